--- /dev/null
+++ b/decision/frozen_test.go
@@ -0,0 +1,334 @@
+package decision
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+)
+
+// The files in testdata were written by the program of c8fad44 with
+//
+//	FREEZE=1 go test ./decision -run 'TestTranscriptKeepsItsBytes|TestMemoryKeepsItsBytes'
+//
+// They hold what must not change: the actions for a fixed sequence of events, and the stored form of Memory.
+
+// checkKept compares text with a kept file, or writes the file if FREEZE is set.
+func checkKept(t *testing.T, name string, text []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("FREEZE") != "" {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	kept, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if bytes.Equal(kept, text) {
+		return
+	}
+	want, got := bytes.Split(kept, []byte("\n")), bytes.Split(text, []byte("\n"))
+	for i := range min(len(want), len(got)) {
+		if !bytes.Equal(want[i], got[i]) {
+			t.Fatalf("%s, line %d: got %q, want %q", name, i+1, got[i], want[i])
+		}
+	}
+	t.Fatalf("%s: %d lines, want %d", name, len(got), len(want))
+}
+
+// transcript is a Host that answers a Balancer's actions with events drawn from a seed, and writes down both.
+type transcript struct {
+	balancer *Balancer
+	rng      *rand.Rand
+	now      time.Duration
+	order    int
+	events   []transcriptEvent
+	text     bytes.Buffer
+	attempts map[RequestID]int
+	streamed map[RequestID]bool
+	down     map[BackendID]bool
+	nextID   RequestID
+}
+
+type transcriptEvent struct {
+	at    time.Duration
+	order int
+	run   func()
+}
+
+func (s *transcript) printf(format string, args ...any) { fmt.Fprintf(&s.text, format+"\n", args...) }
+
+func (s *transcript) schedule(in time.Duration, run func()) {
+	s.order++
+	s.events = append(s.events, transcriptEvent{s.now + in, s.order, run})
+}
+
+// event schedules a call of the Balancer that is written down with its time.
+func (s *transcript) event(in time.Duration, line string, run func()) {
+	s.schedule(in, func() {
+		s.printf("%d %s", s.now, line)
+		run()
+	})
+}
+
+func (s *transcript) play(until time.Duration) {
+	for len(s.events) > 0 {
+		next := 0
+		for i, e := range s.events {
+			if f := s.events[next]; e.at < f.at || e.at == f.at && e.order < f.order {
+				next = i
+			}
+		}
+		e := s.events[next]
+		if e.at > until {
+			return
+		}
+		s.events = slices.Delete(s.events, next, next+1)
+		s.now = e.at
+		e.run()
+	}
+}
+
+func (s *transcript) Send(id RequestID, to BackendID, until time.Duration) {
+	s.printf("  send %d to %d until %d", id, to, until)
+	attempt := s.attempts[id]
+	s.attempts[id]++
+	took := time.Duration(1+s.rng.IntN(60)) * time.Millisecond
+	result := OK
+	switch draw := s.rng.IntN(100); {
+	case s.down[to] && draw < 60:
+		result = ConnectFailed
+	case s.down[to] || draw < 4:
+		result, took = Timeout, 400*time.Millisecond
+	case draw < 8:
+		result = Error
+	case draw < 11:
+		result = Full
+	case draw < 14:
+		result = Reset
+	case draw < 24:
+		took *= 8
+	}
+	if id%9 == 4 && result == OK {
+		s.event(took/2, fmt.Sprintf("first byte %d/%d from %d", id, attempt, to), func() {
+			s.balancer.FirstByte(s.now, FirstByte{ID: id, Attempt: attempt, Backend: to, Took: took / 2})
+		})
+	}
+	s.end(took, Outcome{ID: id, Attempt: attempt, Backend: to, Result: result, Took: took, Final: result == OK})
+}
+
+func (s *transcript) end(in time.Duration, o Outcome) {
+	o.Spent = s.streamed[o.ID] && o.Result != OK && o.ID%2 == 0
+	line := fmt.Sprintf("outcome %d/%d from %d: %d final %v spent %v", o.ID, o.Attempt, o.Backend, o.Result, o.Final, o.Spent)
+	s.event(in, line, func() { s.balancer.Outcome(s.now, o) })
+}
+
+func (s *transcript) Refuse(id RequestID, retryAfter time.Duration) {
+	s.printf("  refuse %d for %d", id, retryAfter)
+}
+func (s *transcript) Fail(id RequestID) { s.printf("  fail %d", id) }
+func (s *transcript) Cancel(id RequestID, attempt int) {
+	s.printf("  cancel %d/%d", id, attempt)
+	s.end(time.Millisecond, Outcome{ID: id, Attempt: attempt, Result: Cancelled})
+}
+
+func (s *transcript) Probe(to BackendID) {
+	s.printf("  probe %d", to)
+	p := ProbeResult{Backend: to, Result: OK, Took: 2 * time.Millisecond}
+	if s.down[to] || s.rng.IntN(20) == 0 {
+		p.Result = ConnectFailed
+	}
+	s.event(p.Took, fmt.Sprintf("probed %d: %d", p.Backend, p.Result), func() { s.balancer.Probed(s.now, p) })
+}
+
+func (s *transcript) Release(to BackendID)     { s.printf("  release %d", to) }
+func (s *transcript) Watch(on bool)            { s.printf("  watch %v", on) }
+func (s *transcript) Fetch()                   { s.printf("  fetch") }
+func (s *transcript) Tell(to uint32, b []byte) { s.printf("  tell %d %x", to, b) }
+func (s *transcript) Log(line string)          { s.printf("  log %s", line) }
+func (s *transcript) After(d time.Duration, token uint64) {
+	s.printf("  after %d token %x", d, token)
+	s.event(d, fmt.Sprintf("timer %x", token), func() { s.balancer.Timer(s.now, token) })
+}
+
+// list schedules a list of discovery.
+func (s *transcript) list(in time.Duration, kind ListKind, backends ...Backend) {
+	line := fmt.Sprintf("list of kind %d:", kind)
+	for _, e := range backends {
+		line += fmt.Sprintf(" %d is %d in %d/%d", e.ID, e.State, e.Zone, e.Cell)
+	}
+	s.event(in, line, func() {
+		s.balancer.Membership(s.now, Membership{Kind: kind, Backends: backends})
+	})
+}
+
+// request schedules a request, and for some of them the end of a streamed body or the client's leave.
+func (s *transcript) request(in time.Duration) {
+	s.schedule(in, func() {
+		s.nextID++
+		id := s.nextID
+		q := Request{ID: id, Class: s.rng.IntN(4), Tenant: s.rng.IntN(3) - 1, Deadline: s.now + 3*second}
+		if s.rng.IntN(2) == 0 {
+			q.Key = uint64(1 + s.rng.IntN(20))
+		}
+		if s.rng.IntN(3) == 0 {
+			q.Cost = time.Duration(5+s.rng.IntN(100)) * time.Millisecond
+		}
+		q.Repeat, q.Streamed = id%11 == 0, id%9 == 0
+		s.streamed[id] = q.Streamed
+		s.printf("%d request %d class %d tenant %d key %d cost %d repeat %v streamed %v",
+			s.now, id, q.Class, q.Tenant, q.Key, q.Cost, q.Repeat, q.Streamed)
+		s.balancer.Request(s.now, q)
+		if q.Streamed && s.rng.IntN(3) > 0 {
+			s.event(5*milli, fmt.Sprintf("whole %d", id), func() { s.balancer.Whole(s.now, id, s.now+2*second) })
+		}
+		if id%31 == 0 {
+			s.event(20*milli, fmt.Sprintf("gone %d", id), func() { s.balancer.Gone(s.now, id) })
+		}
+	})
+}
+
+// playTranscript plays a fixed scenario: a list that fails at first, a first load, a backend that dies, one that drains, one
+// that starts cold, one that is taken out by an operator, and a burst of requests.
+func playTranscript(t *testing.T, seed uint64, cfg Config, until time.Duration) *transcript {
+	t.Helper()
+	s := &transcript{rng: rand.New(rand.NewPCG(seed, 99)), now: second, attempts: map[RequestID]int{},
+		streamed: map[RequestID]bool{}, down: map[BackendID]bool{}}
+	b, err := New(cfg, seed, s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.balancer = b
+	b.Start(s.now)
+	all := list(7)
+	draining, started := all[5], Backend{ID: 9, Zone: 1, Cell: 1, State: Ready, Weight: 2, Started: 3 * second}
+	draining.State = Draining
+	s.list(0, ListFailed)
+	s.list(100*milli, ListFull, all...)
+	s.event(110*milli, "vet", func() { b.Vet(s.now) })
+	for i := range 250 {
+		s.request(150*milli + time.Duration(i)*16*milli)
+	}
+	for i := range 60 {
+		s.request(2500*milli + time.Duration(i)*milli)
+	}
+	s.event(1000*milli, "backend 2 dies", func() { s.down[2] = true })
+	s.list(1500*milli, ListDelta, draining)
+	s.list(2*second, ListDelta, started)
+	s.event(2200*milli, "detach 4", func() { b.Detach(s.now, 4) })
+	s.list(2300*milli, ListFailed)
+	s.list(3*second, ListCached, append(slices.Clone(all[:5]), started)...)
+	s.event(3100*milli, "attach 4", func() { b.Attach(s.now, 4) })
+	s.event(3400*milli, "backend 2 comes back", func() { s.down[2] = false })
+	s.play(until)
+	known, excluded := b.Census()
+	s.printf("%d known %d excluded", known, excluded)
+	return s
+}
+
+// frozenConfigs are of a proxy that is one of two, and of one that is one of twelve where keys stay warm, the list has
+// to be asked for and further attempts go one by one.
+func frozenConfigs() [2]Config {
+	few := testConfig()
+	few.Classes[1].Stream = true
+	few.Tenants = []Tenant{{Name: "a", Share: 0.7, QuotaPerS: 30}, {Name: "b", Share: 0.3, QuotaPerS: 20}}
+	few.OverShareWorth = 0.2
+	few.Goal = Goal{Whole: 1, WorstClass: 0.5, WorstTenant: 0.5, WorstWindow: 0.2}
+	many := few
+	many.Classes = slices.Clone(few.Classes)
+	many.Classes[0].LateShare, many.Classes[2].AimStretch = 0.3, 2
+	many.Instances, many.Rank, many.Zone, many.Weights = 12, 3, 1, WeightNominal
+	many.WarmKeys, many.OnRequest, many.WorthByWork = true, true, true
+	many.Caps.SecondCopies, many.Caps.MaxOpen = false, 12
+	return [2]Config{few, many}
+}
+
+func TestTranscriptKeepsItsBytes(t *testing.T) {
+	for i, cfg := range frozenConfigs() {
+		s := playTranscript(t, uint64(i+1), cfg, 6*second)
+		checkKept(t, fmt.Sprintf("transcript-%d.txt", i+1), s.text.Bytes())
+	}
+}
+
+func TestMemoryKeepsItsBytes(t *testing.T) {
+	b := playTranscript(t, 1, frozenConfigs()[0], 4*second).balancer
+	taken, err := json.Marshal(b.Remember(4 * second))
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkKept(t, "memory.json", taken)
+	kept, err := os.ReadFile(filepath.Join("testdata", "memory.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var m Memory
+	if err := json.Unmarshal(kept, &m); err != nil {
+		t.Fatal(err)
+	}
+	checkFrozenMemory(t, m)
+	again, err := json.Marshal(m)
+	if err != nil || !bytes.Equal(again, kept) {
+		t.Errorf("written again it is %s, %v", again, err)
+	}
+
+	// A Balancer that starts in its place goes on from it.
+	next, err := New(frozenConfigs()[0], 2, &recorder{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	next.Start(4 * second)
+	next.Recall(4*second, m)
+	backends := append(list(7)[:5], Backend{ID: 9, Zone: 1, Cell: 1, State: Ready, Weight: 2, Started: 3 * second})
+	next.Membership(4*second, Membership{Kind: ListFull, Backends: backends})
+	was := next.Remember(4 * second)
+	if !slices.Equal(was.Classes, m.Classes) || !slices.Equal(was.Backends, m.Backends) || was.Limit != m.Limit {
+		t.Errorf("taken over it is %v, want %v", was, m)
+	}
+	if math.Abs(was.Rate-m.Rate) > 1e-9*m.Rate {
+		t.Errorf("a rate of %v is taken over, want %v", was.Rate, m.Rate)
+	}
+	if known, excluded := next.Census(); known != 6 || excluded != 1 {
+		t.Errorf("%d backends known, %d excluded; want 6 and 1", known, excluded)
+	}
+}
+
+// checkFrozenMemory compares with the values that memory.json holds.
+func checkFrozenMemory(t *testing.T, m Memory) {
+	t.Helper()
+	if m.At != 4*second || m.Rate != 68.28571428571429 || m.Limit != 28 {
+		t.Errorf("taken at %v, a rate of %v, a limit of %v", m.At, m.Rate, m.Limit)
+	}
+	classes := []ClassMemory{
+		{"safe", [5]float64{63.639864714994204, 1419.2651774685087, 3576.1380330273228, 285244.16296711215, 247985.60618872903}},
+		{"keyed", [5]float64{60.12969262421049, 1033.4658028881463, 2436.5365321994013, 69581.9482636242, 42086.65156495698}},
+		{"unsafe", [5]float64{39.401841687910284, 549.8191103673497, 1677.8441365302226, 30079.468361966265, 22767.330987800073}},
+		{"anywhere", [5]float64{44.90145728340681, 860.2249562352229, 2080.458203323331, 65000.993269454586, 66287.67192740779}},
+	}
+	if len(m.Classes) != len(classes) {
+		t.Fatalf("%d classes", len(m.Classes))
+	}
+	for i, want := range classes {
+		if got := m.Classes[i]; got.Name != want.Name || got.Delays != want.Delays {
+			t.Errorf("class %d: got %v, want %v", i, got, want)
+		}
+	}
+	backends := []TargetMemory{
+		{ID: 1, Started: 0, Cold: 0, Healthy: true, Served: 676.2523286437226},
+		{ID: 2, Started: 0, Cold: 3502 * milli, Healthy: false, Served: 370.5749509060237},
+		{ID: 3, Started: 0, Cold: 0, Healthy: true, Served: 3713.220612820249},
+		{ID: 4, Started: 0, Cold: 0, Healthy: true, Served: 136.50930673011058},
+		{ID: 5, Started: 0, Cold: 0, Healthy: true, Served: 1026.5339355201759},
+		{ID: 9, Started: 3 * second, Cold: 3 * second, Healthy: true, Served: 76.6658113968397},
+	}
+	if !slices.Equal(m.Backends, backends) {
+		t.Errorf("backends: got %v, want %v", m.Backends, backends)
+	}
+}
