--- a/decision/api.go
+++ b/decision/api.go
@@ -55,7 +55,7 @@
 	GiveUp     time.Duration // how long a client waits over all its tries
 	Effect     Effect
 	Group      Group         // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are dropped, from the first send that may have run
+	Window     time.Duration // for Keyed: how long repeats are dropped, from the first that may have run
 	LateShare  float64       // share of the worth that a late answer earns
 	Stream     bool          // the answer begins with FirstByte
 	Value      float64       // worth of a request
@@ -93,7 +93,7 @@
 
 	ConnIdle, ConnectTimeout, MaxRetryAfter time.Duration
 	MaxAttempts, StreamsPerConn             int
-	MaxOpen                                 int // requests that may be open; more can't come. 0 is no such limit
+	MaxOpen                                 int // requests that may be open; 0 is no such limit
 }
 
 // WeightKind says what Backend.Weight stands for.
@@ -135,7 +135,7 @@
 	Cost     time.Duration // expected work; 0 is unknown
 	Deadline time.Duration // the clock time at which the client leaves
 	Repeat   bool          // the client has marked it as a repeat
-	Streamed bool          // its body passes through while it is sent: no second copy, and its time counts from Whole
+	Streamed bool          // its body passes through while it is sent: its time counts from Whole
 }
 
 // State is what the list says of a backend.
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -22,7 +22,7 @@
 	probeShare   = 0.1 // probes, as a share of the requests,
 	probeLeast   = 2   // and in each rest span, or in this if that is less, as many
 	probeFloor   = 2 * time.Second
-	diesFor      = 2 // this part of a probe interval without an answer goes by before a start is suspected
+	diesFor      = 2 // this part of a probe interval goes by unanswered before a start is suspected
 
 	// The delay estimate.
 	memory     = 4     // probe intervals over which what was measured fades
@@ -99,12 +99,14 @@
 	b := &Balancer{cfg: cfg, host: host, rng: rand.New(rand.NewPCG(seed, 0)), retries: retryBurst,
 		median: 1, medians: first, byID: map[BackendID]*target{},
 		detached: map[BackendID]time.Duration{}, requests: map[RequestID]*request{},
-		classes: make([]line, classes), tails: make([]tail, classes), all: make([]tally, 1),
-		byClass: make([]tally, classes), byTenant: make([]tally, tenants), traffic: make([]decaying, tenants)}
+		classes: make([]line, classes), tails: make([]tail, classes),
+		all: make([]tally, 1), byClass: make([]tally, classes),
+		byTenant: make([]tally, tenants), traffic: make([]decaying, tenants)}
 	for _, c := range cfg.Classes { // until answers tell
 		b.longest = max(b.longest, millis(c.Aim))
 	}
-	b.interval = max(suspectProbe*cfg.Caps.ConnectTimeout, 20*cfg.Tick, 100*time.Millisecond)
+	suspect := suspectProbe * cfg.Caps.ConnectTimeout
+	b.interval = max(suspect, 20*cfg.Tick, 100*time.Millisecond)
 	return b, nil
 }
 
@@ -320,7 +322,8 @@
 	// Danger: a proxy that meets each only now and then forgets a slow one before it comes to it again.
 	b.span = memory * b.interval
 	if rate > 0 {
-		b.span = max(b.span, span(min(1000*(kept*float64(len(b.ready))/rate), millis(rateOver))))
+		enough := min(1000*(kept*float64(len(b.ready))/rate), millis(rateOver))
+		b.span = max(b.span, span(enough))
 	}
 	b.ready = b.ready[:0]
 	left := [2]float64{n, n}
@@ -385,7 +388,8 @@
 	if !b.cfg.Caps.Probes {
 		return
 	}
-	least := float64(probeLeast*b.interval) / sweeps / float64(max(restProbe*b.interval, probeFloor))
+	rest := max(restProbe*b.interval, probeFloor)
+	least := float64(probeLeast*b.interval) / sweeps / float64(rest)
 	b.probes = min(b.probes+least, float64(len(b.ready)))
 	b.probeAt++
 	for _, doubt := range [2]bool{true, false} {
@@ -422,7 +426,8 @@
 	// Danger: it may be up again before the list says that it died. But one that died answers nothing for a
 	// while; where connections break here and there, two failures come close together by chance, and all
 	// backends would be taken for cold, one after the other.
-	if result == ConnectFailed && t.bad > 0 && b.now-t.badSince >= b.interval/diesFor {
+	silent := t.bad > 0 && b.now-t.badSince >= b.interval/diesFor
+	if result == ConnectFailed && silent {
 		b.starts(t, b.now)
 	}
 	if t.bad++; t.bad == 1 {
@@ -483,7 +488,8 @@
 		}
 		t.coldRate = max(rate*coldPart*b.cfg.Obligations.FallMultiple, least)
 		more := t.coldRate * (b.now - t.tokensAt).Seconds()
-		t.tokens = min(t.tokens+more/b.oneWork(), t.coldRate*coldBurst*fall/b.oneWork())
+		most := t.coldRate * coldBurst * fall / b.oneWork()
+		t.tokens = min(t.tokens+more/b.oneWork(), most)
 		t.tokensAt = b.now
 	}
 }
@@ -494,7 +500,8 @@
 		return true
 	}
 	// Danger: answers that come fast, or a cancel, let one request at a time add up; it needs budget too.
-	return t.tokens >= b.inMean(work) || len(t.out) == 0 && t.tokens >= 0 && work <= 2*b.oneWork()
+	alone := len(t.out) == 0 && t.tokens >= 0 && work <= 2*b.oneWork()
+	return t.tokens >= b.inMean(work) || alone
 }
 
 // oneWork is the mean work of a request, ms; inMean how many such a request counts for. Danger: a budget
@@ -530,10 +537,12 @@
 	if !b.pooled() {
 		return 1
 	}
-	return min(max(math.Sqrt(b.gain(r)*b.all[0].asked/max(b.meanGain, 1e-9)), partLeast), partMost)
+	gain := b.gain(r) * b.all[0].asked / max(b.meanGain, 1e-9)
+	return min(max(math.Sqrt(gain), partLeast), partMost)
 }
 
-// full tells whether the mean out reaches the limit for all. Danger: with one or two out, now none, now four.
+// full tells whether the mean out reaches the limit for all.
+// Danger: with one or two out, now none, now four.
 func (b *Balancer) full(part float64) bool {
 	return b.pooled() && b.shared.mean(b.now) > b.shared.limit*part
 }
@@ -649,7 +658,8 @@
 	}
 	q.Class = min(max(q.Class, 0), len(b.cfg.Classes)-1)
 	c := &b.cfg.Classes[q.Class]
-	if l := &b.classes[q.Class]; q.Cost > 0 && l.n == 0 { // until answers tell, a hint is taken for the delay
+	// Until answers tell, a hint is taken for the delay.
+	if l := &b.classes[q.Class]; q.Cost > 0 && l.n == 0 {
 		l.learn(0, 0, 1)
 		l.learn(millis(c.Aim)/2, millis(c.Aim)/2, 1)
 	}
@@ -709,7 +719,8 @@
 	if t := &b.byClass[r.Class]; worst(t, b.byClass, worstNear) {
 		v += part(t, g.WorstClass)
 	}
-	if i := r.Tenant; i >= 0 && i < len(b.byTenant) && worst(&b.byTenant[i], b.byTenant, worstNear) {
+	i := r.Tenant
+	if i >= 0 && i < len(b.byTenant) && worst(&b.byTenant[i], b.byTenant, worstNear) {
 		v += part(&b.byTenant[i], g.WorstTenant) * (1 - r.over)
 	}
 	mean := b.expected(r.Class, millis(r.Cost)) * b.median
@@ -723,7 +734,8 @@
 // ms that they are open. Danger: once all are open nobody else can come, and those that bring much in a
 // short time are shut out with the others. It covers a limit on clients' connections, wherever it is met.
 func (b *Balancer) crowded(r *request) bool {
-	density := b.gain(r) * b.all[0].asked * b.workOf(r) / (b.expected(r.Class, millis(r.Cost)) * b.median)
+	delay := b.expected(r.Class, millis(r.Cost)) * b.median
+	density := b.gain(r) * b.all[0].asked * b.workOf(r) / delay
 	b.meanDensity = smooth(b.meanDensity, density, b.over)
 	most := b.cfg.Caps.MaxOpen
 	return most > 0 && float64(b.open) > openPart*float64(most) && density < b.meanDensity
@@ -867,7 +879,8 @@
 	}
 	e := b.expected(r.Class, millis(r.Cost))
 	a := &attempt{req: r, n: len(r.attempts), to: t, zone: t.Zone, cell: t.Cell, left: b.now, sent: b.now,
-		work: work, expected: e, weight: min(max(e/b.mean, 1.0/maxWeight), maxWeight), mayRun: true}
+		work: work, expected: e, mayRun: true}
+	a.weight = min(max(e/b.mean, 1.0/maxWeight), maxWeight)
 	a.begin()
 	t.tokens -= b.inMean(work)
 	mean, aim := b.expected(r.Class, 0), millis(r.aimAt-r.arrived)
@@ -946,7 +959,8 @@
 			}
 			b.book(r, func(t *tally) { t.served += v })
 		}
-		b.tails[r.Class].learn(took/max(1, a.expected/b.expected(r.Class, 0)), tailPart, tailStep)
+		heavy := max(1, a.expected/b.expected(r.Class, 0))
+		b.tails[r.Class].learn(took/heavy, tailPart, tailStep)
 		b.classes[r.Class].learn(millis(r.Cost), took, classKeep)
 		t.note(b.now, b.span, took/a.expected, 1)
 		b.longest = max(b.longest*(1-1.0/meanOver), took)
@@ -1082,7 +1096,8 @@
 		b.relax(&t.own)
 	}
 	b.relax(&b.shared)
-	b.fadeTallies(math.Exp(-float64(b.interval/sweeps) / float64(b.cfg.Obligations.Cold+b.interval)))
+	forget := b.cfg.Obligations.Cold + b.interval
+	b.fadeTallies(math.Exp(-float64(b.interval/sweeps) / float64(forget)))
 }
 
 // overdue thinks of another attempt beside, or in place of, one that takes longer than usual.
@@ -1097,7 +1112,8 @@
 		}
 		return
 	}
-	if b.cfg.Classes[r.Class].Effect == Safe && b.cfg.Caps.Cancel && a.to.lastOK < a.sent {
+	silent := a.to.lastOK < a.sent
+	if b.cfg.Classes[r.Class].Effect == Safe && b.cfg.Caps.Cancel && silent {
 		a.again = true
 		b.retries--
 		b.cancel(a)
--- a/decision/config.go
+++ b/decision/config.go
@@ -23,12 +23,14 @@
 		return &SettingError{"Balancers", fmt.Sprintf("%d, must be 1 or more", c.Instances)}
 	}
 	if c.Caps.MaxAttempts < 1 {
-		return &SettingError{"Caps.MaxAttempts", fmt.Sprintf("%d, must be 1 or more: no request could be sent", c.Caps.MaxAttempts)}
+		reason := fmt.Sprintf("%d, must be 1 or more: no request could be sent", c.Caps.MaxAttempts)
+		return &SettingError{"Caps.MaxAttempts", reason}
 	}
 	for i, s := range c.Classes {
 		for _, f := range [2]figure{{"Aim", float64(s.Aim)}, {"GiveUp", float64(s.GiveUp)}} {
 			if f.value <= 0 {
-				return &SettingError{fmt.Sprintf("Services.%d.%s", i, f.name), "must be above 0: no answer could be in time"}
+				field := fmt.Sprintf("Services.%d.%s", i, f.name)
+				return &SettingError{field, "must be above 0: no answer could be in time"}
 			}
 		}
 		if s.Window < 0 {
@@ -90,9 +92,11 @@
 		}
 	}
 	o, k, g := &m.Obligations, &m.Caps, &m.Goal
-	bound(&m.Tick, &o.AnswerSlack, &o.AskEvery, &o.Cold, &o.DrainGrace, &o.Fall, &k.ConnIdle, &k.ConnectTimeout, &k.MaxRetryAfter)
+	bound(&m.Tick, &o.AnswerSlack, &o.AskEvery, &o.Cold, &o.DrainGrace, &o.Fall)
+	bound(&k.ConnIdle, &k.ConnectTimeout, &k.MaxRetryAfter)
 	within(1, &o.StartCapacity)
-	within(mostWorth, &m.OverShareWorth, &o.FallMultiple, &g.Whole, &g.WorstClass, &g.WorstTenant, &g.WorstWindow)
+	within(mostWorth, &m.OverShareWorth, &o.FallMultiple)
+	within(mostWorth, &g.Whole, &g.WorstClass, &g.WorstTenant, &g.WorstWindow)
 	for i := range m.Classes {
 		s := &m.Classes[i]
 		bound(&s.Aim, &s.GiveUp, &s.Window)
--- a/decision/state.go
+++ b/decision/state.go
@@ -25,13 +25,15 @@
 	interval               time.Duration // between two probes of one target
 	span                   time.Duration // over which what was measured fades
 	targets                []*target     // one that left stays while something is out
-	listed, ready          []*target     // those listed ready, in this proxy's order; those of them in use
+	listed                 []*target     // those listed ready, in this proxy's order
+	ready                  []*target     // those of them in use
 	byID                   map[BackendID]*target
 	detached               map[BackendID]time.Duration // taken out by order, and since when
 	requests               map[RequestID]*request
 	classes                []line     // delay over cost hint
 	tails                  []tail     // of the delay of a request of mean cost, ms
-	mean, meanWork         float64    // of a request of any class, ms: delay; what it asks of a backend
+	mean                   float64    // delay of a request of any class, ms
+	meanWork               float64    // what it asks of a backend, ms
 	median                 float64    // of the targets' delay ratios
 	longest                float64    // delay of late, ms; 0 is none yet
 	medians                [2]float64 // of those in the own zone, and of the others
@@ -70,9 +72,10 @@
 	bad                  int        // attempts in a row that got no answer
 	lastOK               time.Duration
 	badSince, failsSince time.Duration // the first of those in a row
-	lost                 []decaying    // attempts of each class without an answer, halved by each that got one
+	lost                 []decaying    // unanswered attempts of each class, halved by each that got an answer
 	coldSince, tokensAt  time.Duration // coldSince: last known or suspected start; 0 is long ago
-	tokens, coldRate     float64       // what a cold backend may be sent, in requests of mean work; ms of work a second
+	tokens               float64       // what a cold backend may be sent, in requests of mean work
+	coldRate             float64       // ms of work a second
 	served, servedLately decaying      // work
 }
 
@@ -87,7 +90,9 @@
 }
 
 func newLimiter(unit, cut float64, over time.Duration) limiter {
-	return limiter{over: over, limit: limitStart * unit, boost: 1, unit: unit, cut: cut}
+	c := limiter{over: over, unit: unit, cut: cut, boost: 1}
+	c.limit = limitStart * unit
+	return c
 }
 
 // mean is the load of late. It must be asked before the load changes.
@@ -144,7 +149,8 @@
 
 // newTarget enters a backend that the list names for the first time.
 func (b *Balancer) newTarget(e Backend) *target {
-	t := &target{Backend: e, lost: make([]decaying, len(b.cfg.Classes)), healthy: true, tokensAt: b.now, order: mix(uint64(b.cfg.Rank)+1, e.ID)}
+	t := &target{Backend: e, lost: make([]decaying, len(b.cfg.Classes)), healthy: true, tokensAt: b.now}
+	t.order = mix(uint64(b.cfg.Rank)+1, e.ID)
 	_, t.detached = b.detached[e.ID]
 	b.byID[e.ID] = t
 	b.targets = append(b.targets, t)
@@ -175,7 +181,8 @@
 // fast the backend answers, and is no load there yet: the backend begins with its last byte.
 func (a *attempt) waitFrom(now time.Duration) {
 	t := a.to
-	t.ageA, t.ageB = t.ageA+millis(now)/a.expected, t.ageB+1/a.expected
+	t.ageA += millis(now) / a.expected
+	t.ageB += 1 / a.expected
 	if a.uploading {
 		a.uploading, a.weight = false, a.full
 		for i := range a.in {
@@ -206,7 +213,8 @@
 	if len(t.out) == 0 {
 		t.ageA, t.ageB = 0, 0
 	} else if !a.uploading {
-		t.ageA, t.ageB = t.ageA-millis(a.sent)/a.expected, t.ageB-1/a.expected
+		t.ageA -= millis(a.sent) / a.expected
+		t.ageB -= 1 / a.expected
 	}
 }
 
@@ -220,7 +228,9 @@
 func (c *limiter) join(a *attempt, now time.Duration, late float64) {
 	before := c.mean(now)
 	c.out, c.load, c.lastSent = c.out+1, c.load+a.weight, now
-	a.in = append(a.in, use{limiter: c, atSend: max(before, c.mean(now)), lateAt: now + span(late)})
+	u := use{limiter: c, atSend: max(before, c.mean(now))}
+	u.lateAt = now + span(late)
+	a.in = append(a.in, u)
 }
 
 // book enters worth in the tallies that a request belongs to.
@@ -249,8 +259,9 @@
 	}
 }
 
-// findMedian sets what is usual: each class's tail, and the medians: of all, and of the own zone's and the others' apart. Danger: in a short
-// zone, one elsewhere that is taken to be as slow as those would get no request, and never be known.
+// findMedian sets what is usual: each class's tail, and the medians: of all, and of the own zone's and the others'
+// apart. Danger: in a short zone, one elsewhere that is taken to be as slow as those would get no request, and never
+// be known.
 func (b *Balancer) findMedian() {
 	b.ratios = b.ratios[:0]
 	for away := range b.medians {
