--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -878,8 +878,8 @@
 		return false
 	}
 	e := b.expected(r.Class, millis(r.Cost))
-	a := &attempt{req: r, n: len(r.attempts), to: t, zone: t.Zone, cell: t.Cell, left: b.now, sent: b.now,
-		work: work, expected: e, mayRun: true}
+	a := &attempt{req: r, n: len(r.attempts), to: t, zone: t.Zone, cell: t.Cell,
+		left: b.now, sent: b.now, work: work, expected: e, mayRun: true}
 	a.weight = min(max(e/b.mean, 1.0/maxWeight), maxWeight)
 	a.begin()
 	t.tokens -= b.inMean(work)
--- a/decision/state.go
+++ b/decision/state.go
@@ -72,7 +72,7 @@
 	bad                  int        // attempts in a row that got no answer
 	lastOK               time.Duration
 	badSince, failsSince time.Duration // the first of those in a row
-	lost                 []decaying    // unanswered attempts of each class, halved by each that got an answer
+	lost                 []decaying    // unanswered attempts by class, halved by each answer
 	coldSince, tokensAt  time.Duration // coldSince: last known or suspected start; 0 is long ago
 	tokens               float64       // what a cold backend may be sent, in requests of mean work
 	coldRate             float64       // ms of work a second
@@ -149,7 +149,8 @@
 
 // newTarget enters a backend that the list names for the first time.
 func (b *Balancer) newTarget(e Backend) *target {
-	t := &target{Backend: e, lost: make([]decaying, len(b.cfg.Classes)), healthy: true, tokensAt: b.now}
+	t := &target{Backend: e, healthy: true, tokensAt: b.now}
+	t.lost = make([]decaying, len(b.cfg.Classes))
 	t.order = mix(uint64(b.cfg.Rank)+1, e.ID)
 	_, t.detached = b.detached[e.ID]
 	b.byID[e.ID] = t
