--- /dev/null
+++ b/internal/effects/store/frozen_test.go
@@ -0,0 +1,80 @@
+package store
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"lapisspread/internal/effects"
+)
+
+var writeFrozen = flag.Bool("write-frozen", false, "write the files under testdata instead of reading them")
+
+// The files under testdata were written by the program of c8fad44 with
+// go test ./internal/effects/store -run TestFrozenLedger -write-frozen
+// The next process reads what one of an older version has written down, and goes on from there.
+func TestFrozenLedger(t *testing.T) {
+	const kept = "testdata/ledger"
+	began := time.Unix(1_735_689_600, 0)
+	ended := effects.Record{Key: effects.Key{Origin: "a.example", ID: 7}, Ended: true, Answer: []byte("paid")}
+	lost := effects.Record{Key: effects.Key{Origin: "b.example", ID: 1 << 31}, Lost: true, Answer: []byte{}}
+	intent := effects.Record{Key: effects.Key{Origin: "c.example", ID: 9}}
+	if *writeFrozen {
+		s, _, err := Open(kept, Options{Window: window, Uncertain: uncertain, Now: func() time.Time { return began }})
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, r := range []effects.Record{ended, lost, intent} {
+			if err := s.Write(t.Context(), r); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if err := s.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	path := filepath.Join(t.TempDir(), "ledger")
+	for _, suffix := range []string{"", ".seq"} {
+		text, err := os.ReadFile(kept + suffix)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path+suffix, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	later := func() time.Time { return began.Add(time.Minute) }
+	s, records, err := Open(path, Options{Window: window, Uncertain: uncertain, Now: later})
+	if err != nil {
+		t.Fatal(err)
+	}
+	// An intent of a process that has ended may have run.
+	unfinished := effects.Record{Key: intent.Key, Lost: true, Answer: []byte{}}
+	if want := []effects.Record{unfinished, ended, lost}; !reflect.DeepEqual(records, want) {
+		t.Errorf("got %+v\nwant %+v", records, want)
+	}
+	if !s.Lost().Equal(began) {
+		t.Errorf("it lacked something at %v, want %v", s.Lost(), began)
+	}
+	if s.seq != 5 {
+		t.Errorf("transaction %d, want 5", s.seq)
+	}
+	next := effects.Record{Key: intent.Key, Ended: true, Answer: []byte("late")}
+	if err := s.Write(t.Context(), next); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	s, records, err = Open(path, Options{Window: window, Uncertain: uncertain, Now: later})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	if want := []effects.Record{ended, next, lost}; !reflect.DeepEqual(records, want) {
+		t.Errorf("after a write: %+v\nwant %+v", records, want)
+	}
+}
--- /dev/null
+++ b/internal/proxy/frozen_test.go
@@ -0,0 +1,181 @@
+package proxy
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"lapisspread/decision"
+	"lapisspread/internal/admission"
+	"lapisspread/internal/comeback/source"
+	"lapisspread/internal/console"
+	"lapisspread/internal/diameter/node"
+	"lapisspread/internal/durable"
+	"lapisspread/internal/effects/guard"
+	"lapisspread/internal/engine"
+	"lapisspread/internal/figures"
+)
+
+// The files under testdata were written by the program of c8fad44 with
+// go test ./internal/proxy -run TestFrozen -write-frozen
+var writeFrozen = flag.Bool("write-frozen", false, "write the files under testdata instead of comparing with them")
+
+// frozenTime is when the kept values were taken: 2025-01-01 00:00:00 UTC.
+const frozenTime = 1_735_689_600 * time.Second
+
+func frozenMemory() learned {
+	return learned{
+		Lists: map[string]source.Held{"10.0.0.1:8500": {At: frozenTime, List: engine.List{Version: 41, Full: true,
+			Members: []engine.Member{
+				{ID: "s-1", Addr: "10.0.1.1:80", Zone: "z1", Kind: "large", Cell: 3, State: decision.Ready, Weight: 1.5,
+					Started: frozenTime - time.Hour},
+				{ID: "s-2", Addr: "10.0.1.2:80", Zone: "z2", Kind: "small", Cell: 4, State: decision.Draining, Weight: 0.5,
+					Started: frozenTime - time.Minute},
+			}}}},
+		Services: map[string]decision.Memory{"orders": {At: frozenTime, Rate: 12.5, Limit: 64,
+			Classes: []decision.ClassMemory{{Name: "hand-in", Delays: [5]float64{1, 2, 3, 4, 5}}},
+			Backends: []decision.TargetMemory{{ID: engine.BackendID("s-1"), Started: frozenTime - time.Hour,
+				Cold: frozenTime - time.Second, Healthy: true, Served: 99.5}}}},
+	}
+}
+
+// The next process reads what one of an older version has learned, and writes it in the same form.
+func TestFrozenMemoryFile(t *testing.T) {
+	const kept = "testdata/memory"
+	if *writeFrozen {
+		f := durable.File{Path: kept, Kind: "lapisspread-memory", Form: memoryForm}
+		if err := f.Save(frozenMemory()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	m := openMemory(kept, time.Second, 1<<62)
+	want := frozenMemory()
+	if m.report.Recalled != "yes" || !reflect.DeepEqual(m.before, want) {
+		t.Fatalf("%q: got %+v\nwant %+v", m.report.Recalled, m.before, want)
+	}
+	again := filepath.Join(t.TempDir(), "memory")
+	m.file.Path = again
+	if err := m.file.Save(m.before); err != nil {
+		t.Fatal(err)
+	}
+	compareWithKept(t, kept, readFile(t, again), false)
+	list := m.known("10.0.0.1:8500", List{Version: 40, Full: true})
+	if list.Version != 41 || len(list.Members) != 2 || m.age("10.0.0.1:8500") <= 0 {
+		t.Errorf("the list to start with: %+v", list)
+	}
+	if got := m.recall("orders"); got == nil || got.Rate != 12.5 || m.recall("orders") != nil {
+		t.Errorf("recalled %+v, which can be had once", got)
+	}
+}
+
+func readFile(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func compareWithKept(t *testing.T, kept string, got []byte, write bool) {
+	t.Helper()
+	if write {
+		if err := os.WriteFile(kept, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := readFile(t, kept); !bytes.Equal(got, want) {
+		t.Errorf("%s:\ngot  %s\nwant %s", kept, got, want)
+	}
+}
+
+// The reports that the console shows keep their keys and their order.
+func TestFrozenReports(t *testing.T) {
+	own := figures.New([]string{"fetch-work", "hand-in"})
+	own.Ended(0, figures.Served)
+	own.Ended(1, figures.Refused)
+	own.Ended(1, figures.Failed)
+	for i, counter := range []interface{ Store(int64) }{&own.Attempts, &own.InFlight, &own.BackendsKnown, &own.BackendsExcluded,
+		&own.ReloadsOK, &own.ReloadsFailed, &own.ListsBad} {
+		counter.Store(int64(i + 11))
+	}
+	peers := []node.Status{{Host: "a.example", Addr: "10.0.0.9:3868", State: "open", Well: true, InHand: 1, Outstanding: 2}, {}}
+	comeback := struct {
+		source.Report
+		Memory *memoryReport `json:"memory,omitempty"`
+	}{source.Report{Counts: source.Counts{Calls: 1, Failed: 2, Later: 3}, FailedInARow: 4, Doubted: 5, Kept: 6, Back: 7,
+		Dropped: 8, Missing: 9}, &memoryReport{Recalled: "yes", AgeS: 1.5, Written: 2, Failed: 3, Why: "disk"}}
+	door := doorReport{Report: admission.Report{Places: 1, Open: 2, Known: 3, Waiting: 4, Bytes: 5, Crowded: 6,
+		Refused: map[string]int64{"full": 7}, Blocks: map[string]int{"10.0.0.0/8": 8},
+		Top: []admission.Standing{{Prefix: "10.0.0.1", Open: 1, Unproven: 2, Earned: 3.5, Bytes: 4, Rate: 5.5, Refused: 6}}},
+		Short: 9, Requests: map[string]bound{"orders": {Limit: 10, InHand: 11}}}
+	ledger := guard.Report{Ready: true, Durable: true, Entries: 1, Bytes: 2, InHand: 3, Begun: 4, Joined: 5, Repeated: 6,
+		Uncertain: 7, Full: 8, DiskErrors: 9, Flushes: 10, FileBytes: 11}
+	var all bytes.Buffer
+	for _, report := range []any{own, peers, comeback, memoryReport{}, door, doorReport{}, ledger} {
+		text, err := json.Marshal(report)
+		if err != nil {
+			t.Fatal(err)
+		}
+		all.Write(append(text, '\n'))
+	}
+	sum, err := figures.Sum(own, map[string]*figures.Figures{}, map[string]any{"requests": 3})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(sum, &fields); err != nil {
+		t.Fatal(err)
+	}
+	fields["goroutines"] = json.RawMessage("0") // the one that differs from run to run
+	if sum, err = json.Marshal(fields); err != nil {
+		t.Fatal(err)
+	}
+	compareWithKept(t, "testdata/reports.txt", append(all.Bytes(), append(sum, '\n')...), *writeFrozen)
+}
+
+// The console's replies of a proxy that runs stay as they are.
+func TestFrozenConsoleReplies(t *testing.T) {
+	got := make(chan *http.Request, 64)
+	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
+	mustAnswer(t, 200)(p.ask(t, "hand-in", 9000, "x"))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := console.New(operator{p.proxy}, slog.New(slog.DiscardHandler))
+	done := make(chan error, 1)
+	go func() { done <- server.Serve(t.Context(), listener) }()
+	t.Cleanup(func() {
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	var all bytes.Buffer
+	for _, call := range []string{"PING", "ADMISSION", "DIAMETER", "COMEBACK", "FLEET", "VIEW", "ROUTES", "DETACH a", "ATTACH a",
+		"DETACH unknown", "ATTACH unknown", "BLOCK 10.0.0.1 1h", "UNBLOCK 10.0.0.1", "LAMEDUCK", "REJOIN", "PING now", "OTHER"} {
+		conn, err := net.Dial("tcp", listener.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := io.WriteString(conn, call+"\n"); err != nil {
+			t.Fatal(err)
+		}
+		reply, err := io.ReadAll(conn)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_ = conn.Close() // the reply is there
+		all.WriteString("> " + call + "\n" + string(reply))
+	}
+	compareWithKept(t, "testdata/console.txt", all.Bytes(), *writeFrozen)
+}
