--- a/internal/engine/exchange.go
+++ b/internal/engine/exchange.go
@@ -18,9 +18,9 @@
 
 // List is what discovery says of the servers: all of them, or those that changed.
 type List struct {
-	Version uint32
-	Full    bool
-	Members []Member
+	Version uint32   `json:"Version"`
+	Full    bool     `json:"Full"`
+	Members []Member `json:"Members"`
 }
 
 // Past tells whether a list with that number is newer. Danger: the number wraps; a plain comparison would then drop all
@@ -29,13 +29,14 @@
 
 // Member is a server as discovery names it.
 type Member struct {
-	ID         string
-	Addr       string
-	Zone, Kind string
-	Cell       int
-	State      decision.State
-	Weight     float64
-	Started    time.Duration
+	ID      string         `json:"ID"`
+	Addr    string         `json:"Addr"`
+	Zone    string         `json:"Zone"`
+	Kind    string         `json:"Kind"`
+	Cell    int            `json:"Cell"`
+	State   decision.State `json:"State"`
+	Weight  float64        `json:"Weight"`
+	Started time.Duration  `json:"Started"`
 }
 
 // BackendID comes from the name alone, so that it is the same at every proxy and after every restart: keys find
