--- /dev/null
+++ b/internal/consensus/store/frozen_test.go
@@ -0,0 +1,275 @@
+package store_test
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"go.etcd.io/bbolt"
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"lapisspread/internal/consensus"
+	"lapisspread/internal/consensus/store"
+)
+
+// The frozen store was written by the code of commit c8fad44 with
+//
+//	FREEZE_STORE=1 go test ./internal/consensus/store -run TestWriteFrozenStore
+//
+// It must never be written again: it stands for the stores of running stewards. frozenRecords lists its records.
+const (
+	frozenStore   = "testdata/c8fad44.store"
+	frozenRecords = "testdata/c8fad44.records"
+)
+
+// joinedText is a Machine that appends the commands.
+type joinedText struct{ text []byte }
+
+func (m *joinedText) Apply(_ uint64, command []byte) []byte {
+	m.text = append(m.text, command...)
+	return fmt.Append(nil, len(m.text))
+}
+func (m *joinedText) Snapshot() ([]byte, error)     { return bytes.Clone(m.text), nil }
+func (m *joinedText) Restore(snapshot []byte) error { m.text = bytes.Clone(snapshot); return nil }
+
+// runSingle has a fleet of one member propose commands on a store, and closes the store.
+func runSingle(t *testing.T, s *store.Store, state consensus.State, commands ...string) *joinedText {
+	t.Helper()
+	machine := &joinedText{}
+	core, err := consensus.New(consensus.Settings{Fleet: "north", Epoch: 7, ID: 2, Nonce: state.Stamp.Nonce, SilenceTicks: 1, CompactBytes: 150},
+		state, machine)
+	if err != nil {
+		t.Fatal(err)
+	}
+	proposed, replied := 0, 0
+	for ticks := 0; replied < len(commands); ticks++ {
+		if ticks > 1000 {
+			t.Fatalf("%d of %d commands are replied to, status %+v", replied, len(commands), core.Status())
+		}
+		if err := core.Tick(); err != nil {
+			t.Fatal(err)
+		}
+		if core.Status().Role == "StateLeader" && proposed == replied {
+			if err := core.Propose(uint64(proposed+1), []byte(commands[proposed])); err == nil {
+				proposed++
+			}
+		}
+		for output, ok := core.Ready(); ok; output, ok = core.Ready() {
+			if err := s.Write(&output.Batch); err != nil {
+				t.Fatal(err)
+			}
+			effects, err := core.Done(output)
+			if err != nil {
+				t.Fatal(err)
+			}
+			replied += len(effects.Replies)
+		}
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return machine
+}
+
+func frozenCommands() (commands []string) {
+	for i := range 12 {
+		commands = append(commands, fmt.Sprintf("<command %02d>", i))
+	}
+	return commands
+}
+
+// records lists what a store's file holds, sums included.
+func records(t *testing.T, path string) (all []string) {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				all = append(all, fmt.Sprintf("%s %x %x", bucket, k, v))
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+func TestWriteFrozenStore(t *testing.T) {
+	if os.Getenv("FREEZE_STORE") == "" {
+		t.Skip("the frozen store is kept as it is")
+	}
+	if err := os.MkdirAll("testdata", 0o700); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.Found(frozenStore, "north", 7, 2, []uint64{2}); err != nil {
+		t.Fatal(err)
+	}
+	s, state, err := store.Open(frozenStore, "north", 7, 2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	runSingle(t, s, state, frozenCommands()...)
+	if s, state, err = store.Open(frozenStore, "north", 7, 2); err != nil {
+		t.Fatal(err)
+	}
+	b := consensus.Batch{Seq: state.Stamp.Seq + 1, Sync: true, Cut: new(true), Sure: state.Hard.GetCommit(),
+		Peers: map[uint64]consensus.Stamp{1: {Store: 11, Start: 12, Nonce: 13, Seq: 14}, 300: {Store: 21, Start: 22, Nonce: 1 << 63, Seq: 24}}}
+	if err := s.Write(&b); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(frozenRecords, []byte(strings.Join(records(t, frozenStore), "\n")+"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	t.Logf("%+v", state)
+}
+
+func frozenCopy(t *testing.T) string {
+	t.Helper()
+	data, err := os.ReadFile(frozenStore)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "store")
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+func TestFrozenRecords(t *testing.T) {
+	data, err := os.ReadFile(frozenRecords)
+	if err != nil {
+		t.Fatal(err)
+	}
+	all := strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
+	if got := records(t, frozenCopy(t)); !slices.Equal(got, all) {
+		t.Errorf("the records are\n%s", strings.Join(got, "\n"))
+	}
+	// Each value that is CBOR is written again as the same bytes, after its sum of 8 bytes.
+	for _, r := range []struct {
+		key     string
+		value   any
+		decoded any
+	}{
+		{"meta identity", store.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, Store: frozenStoreNumber}, &store.Identity{}},
+		{"meta stamp", consensus.Stamp{Store: frozenStoreNumber, Start: 2, Nonce: frozenNonce, Seq: frozenSeq}, &consensus.Stamp{}},
+		{"peers 0000000000000001", consensus.Stamp{Store: 11, Start: 12, Nonce: 13, Seq: 14}, &consensus.Stamp{}},
+		{"peers 000000000000012c", consensus.Stamp{Store: 21, Start: 22, Nonce: 1 << 63, Seq: 24}, &consensus.Stamp{}},
+		{"meta cut", true, new(bool)},
+		{"meta sure", uint64(14), new(uint64)},
+	} {
+		bucket, key, _ := strings.Cut(r.key, " ")
+		if bucket == "meta" {
+			key = hex.EncodeToString([]byte(key))
+		}
+		at := slices.IndexFunc(all, func(line string) bool { return strings.HasPrefix(line, bucket+" "+key+" ") })
+		if at < 0 {
+			t.Fatalf("there is no %s", r.key)
+		}
+		text := strings.Fields(all[at])[2]
+		stored, err := hex.DecodeString(text[16:])
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := cbor.Unmarshal(stored, r.decoded); err != nil || !reflect.DeepEqual(reflect.ValueOf(r.decoded).Elem().Interface(), r.value) {
+			t.Errorf("%s: %+v, %v; want %+v", r.key, r.decoded, err, r.value)
+		}
+		if again, err := cbor.Marshal(r.value); err != nil || !bytes.Equal(again, stored) {
+			t.Errorf("%s is encoded as %x, %v; want %x", r.key, again, err, stored)
+		}
+	}
+}
+
+// checkFrozenState compares all that the frozen store holds but for the stamp of the start.
+func checkFrozenState(t *testing.T, state consensus.State) {
+	t.Helper()
+	if state.Hard.GetTerm() != 2 || state.Hard.GetVote() != 2 || state.Hard.GetCommit() != 14 {
+		t.Errorf("hard state %v", state.Hard)
+	}
+	meta := state.Snapshot.GetMetadata()
+	if meta.GetIndex() != frozenSnapshotIndex || meta.GetTerm() != 2 || !slices.Equal(meta.GetConfState().GetVoters(), []uint64{2}) ||
+		len(meta.GetConfState().GetLearners()) > 0 {
+		t.Errorf("snapshot of %v", meta)
+	}
+	var cover struct {
+		_    struct{} `cbor:",toarray"`
+		Sum  uint64
+		Runs [][3]uint64 // term, nonce, last entry
+		Data []byte
+	}
+	if err := cbor.Unmarshal(state.Snapshot.GetData(), &cover); err != nil || cover.Sum != 0x4c26da7f99401f35 ||
+		!reflect.DeepEqual(cover.Runs, [][3]uint64{{2, frozenFirstNonce, frozenSnapshotIndex}}) ||
+		string(cover.Data) != strings.Join(frozenCommands()[:frozenSnapshotIndex-2], "") {
+		t.Errorf("snapshot %+v, %v", cover, err)
+	}
+	if len(state.Entries) != 14-frozenSnapshotIndex {
+		t.Fatalf("%d entries", len(state.Entries))
+	}
+	for i, e := range state.Entries {
+		index := uint64(frozenSnapshotIndex + 1 + i)
+		command := frozenCommands()[index-3]
+		if e.GetIndex() != index || e.GetTerm() != 2 || e.GetType() != pb.EntryNormal || string(e.GetData()[16:]) != command ||
+			binary.BigEndian.Uint64(e.GetData()) != frozenFirstNonce || binary.BigEndian.Uint64(e.GetData()[8:]) != index-2 {
+			t.Errorf("entry %v, want %s", e, command)
+		}
+	}
+	peers := map[uint64]consensus.Stamp{1: {Store: 11, Start: 12, Nonce: 13, Seq: 14}, 300: {Store: 21, Start: 22, Nonce: 1 << 63, Seq: 24}}
+	if !reflect.DeepEqual(state.Peers, peers) || !state.Cut || state.Sure != 14 {
+		t.Errorf("peers %+v, cut %v, sure %d", state.Peers, state.Cut, state.Sure)
+	}
+}
+
+func TestGoOnFromFrozenStore(t *testing.T) {
+	path := frozenCopy(t)
+	s, state, err := store.Open(path, "north", 7, 2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.Identity() != (store.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, Store: frozenStoreNumber}) {
+		t.Errorf("identity %+v", s.Identity())
+	}
+	if state.Stamp.Store != frozenStoreNumber || state.Stamp.Start != 3 || state.Stamp.Seq != frozenSeq {
+		t.Errorf("stamp %+v", state.Stamp)
+	}
+	checkFrozenState(t, state)
+	state.Cut = false // else it waits
+	machine := runSingle(t, s, state, "<one more>", strings.Repeat("x", 300))
+	if want := strings.Join(frozenCommands(), "") + "<one more>" + strings.Repeat("x", 300); string(machine.text) != want {
+		t.Errorf("the machine holds %q", machine.text)
+	}
+	s, after, err := store.Open(path, "north", 7, 2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	if after.Hard.GetTerm() != 3 || after.Stamp.Start != 4 || after.Stamp.Seq <= frozenSeq || after.Snapshot.GetMetadata().GetIndex() != 17 ||
+		!reflect.DeepEqual(after.Peers, state.Peers) {
+		t.Errorf("reopened: %+v", after)
+	}
+}
+
+// Numbers that were drawn by chance when the frozen store was written, and what came of them.
+const (
+	frozenStoreNumber   = 0x0400b9aca50e2a61
+	frozenFirstNonce    = 0x5e9514f5210ea6c7 // of the start that proposed the commands
+	frozenNonce         = 0x9c969c36a36ebd95 // of the last start
+	frozenSeq           = 15
+	frozenSnapshotIndex = 12
+)
--- /dev/null
+++ b/internal/fleetlink/frozen_test.go
@@ -0,0 +1,169 @@
+package fleetlink
+
+import (
+	"bytes"
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"lapisspread/internal/durable"
+	"lapisspread/internal/grant"
+	"lapisspread/internal/pieces"
+	"lapisspread/internal/rollout"
+)
+
+// frozenDir holds the files that a proxy of name p1 keeps, as the code of commit c8fad44 writes them; made with
+//
+//	FREEZE_KEPT=1 go test ./internal/fleetlink -run TestWriteFrozenFiles
+//
+// They must never be written again: they stand for the files of running proxies.
+const frozenDir = "testdata/c8fad44"
+
+func frozenFloors() map[string]grant.Floor {
+	return map[string]grant.Floor{
+		"all":  {Kind: grant.Rate, Amount: grant.Of(200), Burst: grant.Of(20)},
+		"held": {Kind: grant.InHand, Amount: grant.Of(3), Life: 1500 * time.Millisecond},
+	}
+}
+
+// frozenContents are the policies that are kept one after another.
+func frozenContents(t *testing.T) (one, two content) {
+	t.Helper()
+	for i, c := range []*content{&one, &two} {
+		text := policyOf([]string{"one", "two"}[i])
+		var err error
+		if *c, err = contentOf(offerOf(1, uint64(5+i), text), text); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return one, two
+}
+
+func writeFrozenFiles(t *testing.T, dir string) {
+	t.Helper()
+	one, two := frozenContents(t)
+	k := newKeeper(dir, "p1")
+	older := keptText{Offer: offerOf(1, 4, policyOf("older")), Text: policyOf("older")}
+	c := newClaim(filepath.Join(dir, "floors-p1"), "p1")
+	err := errors.Join(k.older.Save(older), k.save(one), k.save(two), c.save(9, frozenFloors(), func() bool { return true }))
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestWriteFrozenFiles(t *testing.T) {
+	if os.Getenv("FREEZE_KEPT") == "" {
+		t.Skip("the frozen files are kept as they are")
+	}
+	if err := os.MkdirAll(frozenDir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	writeFrozenFiles(t, frozenDir)
+}
+
+// frozenFiles gives a copy of them.
+func frozenFiles(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(frozenDir)); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+func TestFrozenFilesAreWrittenTheSame(t *testing.T) {
+	dir := t.TempDir()
+	writeFrozenFiles(t, dir)
+	for _, name := range []string{"floors-p1", "pieces-p1", "policy-p1"} {
+		want, err := os.ReadFile(filepath.Join(frozenDir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := os.ReadFile(filepath.Join(dir, name))
+		if err != nil || !bytes.Equal(got, want) {
+			t.Errorf("%s, %v: %q, want %q", name, err, got, want)
+		}
+	}
+}
+
+func TestGoOnFromFrozenFloors(t *testing.T) {
+	c := newClaim(filepath.Join(frozenFiles(t), "floors-p1"), "p1")
+	version, floors, err := c.load()
+	if err != nil || version != 9 || !reflect.DeepEqual(floors, frozenFloors()) {
+		t.Fatalf("%d, %+v, %v", version, floors, err)
+	}
+	held, err := c.try()
+	if err != nil || !held {
+		t.Fatal(held, err)
+	}
+	defer c.release()
+	delete(floors, "held")
+	for version, want := range []uint64{9, 10} { // 9 is kept already
+		if err := c.save(uint64(version)+9, floors, func() bool { return true }); err != nil {
+			t.Fatal(err)
+		}
+		if got, _, err := c.load(); err != nil || got != want {
+			t.Errorf("%d, %v; want %d", got, err, want)
+		}
+	}
+	if _, got, _ := c.load(); !reflect.DeepEqual(got, floors) {
+		t.Errorf("%+v", got)
+	}
+}
+
+func TestGoOnFromFrozenPolicy(t *testing.T) {
+	dir := frozenFiles(t)
+	_, two := frozenContents(t)
+	k := newKeeper(dir, "p1")
+	got, loose, err := k.load()
+	if err != nil || len(loose) > 0 || got.offer != (rollout.Offer{Order: 1, Epoch: 6, Hash: two.hash}) || got.hash != two.hash ||
+		!slices.EqualFunc(slices.Collect(got.tree.Items()), slices.Collect(two.tree.Items()), func(a, b pieces.Item) bool {
+			return a.Key == b.Key && bytes.Equal(a.Value, b.Value)
+		}) {
+		t.Fatalf("%+v, %d loose, %v", got, len(loose), err)
+	}
+	text := policyOf("three")
+	three, err := contentOf(offerOf(2, 3, text), text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	before := k.journal.Size()
+	if err := k.save(three); err != nil || k.journal.Size() <= before {
+		t.Fatalf("%v: %d bytes after %d", err, k.journal.Size(), before)
+	}
+	if got, _, err := newKeeper(dir, "p1").load(); err != nil || got.offer != three.offer || got.tree.Root() != three.tree.Root() {
+		t.Errorf("%+v, %v", got, err)
+	}
+}
+
+// A release before pieces kept a text.
+func TestGoOnFromFrozenText(t *testing.T) {
+	dir := frozenFiles(t)
+	if err := os.Remove(filepath.Join(dir, "pieces-p1")); err != nil {
+		t.Fatal(err)
+	}
+	p := NewPolicies(Settings{File: file(dir, "127.0.0.1:1"), Name: "p1"}, func(*Taken) error { return nil })
+	p.Recall()
+	if want := offerOf(1, 4, policyOf("older")); p.Now().Offer != want || p.Now().Policy.Hash() != want.Hash {
+		t.Errorf("%+v, want %+v", p.Now(), want)
+	}
+	older := durable.File{Path: filepath.Join(dir, "policy-p1"), Kind: "lapisspread-policy", Form: 1}
+	var kept struct {
+		Offer struct {
+			Order, Epoch uint64
+			Hash         string
+		}
+		Text []byte
+	}
+	if err := older.Load(&kept); err != nil || kept.Offer.Order != 1 || kept.Offer.Epoch != 4 || !bytes.Equal(kept.Text, policyOf("older")) {
+		t.Errorf("%+v, %v", kept, err)
+	}
+	if _, err := os.Stat(filepath.Join(dir, "pieces-p1")); !errors.Is(err, fs.ErrNotExist) {
+		t.Error(err)
+	}
+}
