--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -86,10 +86,10 @@
 // Stamp is how far a steward's store has come. Each message bears its sender's; who gets it remembers it on disk before anything
 // that rests on the message goes out.
 type Stamp struct {
-	Store uint64 // drawn by chance when the store was made
-	Start uint64 // how often a process has begun on it
-	Nonce uint64 // drawn by chance at that start
-	Seq   uint64 // writes of entries, votes and terms that are on disk
+	Store uint64 `cbor:"Store"` // drawn by chance when the store was made
+	Start uint64 `cbor:"Start"` // how often a process has begun on it
+	Nonce uint64 `cbor:"Nonce"` // drawn by chance at that start
+	Seq   uint64 `cbor:"Seq"`   // writes of entries, votes and terms that are on disk
 }
 
 // lacks tells whether a store that is at s lacks what known shows that it once held.
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -48,11 +48,11 @@
 
 // Identity says whose store it is.
 type Identity struct {
-	Format uint64
-	Fleet  string
-	Epoch  uint64 // of the fleet's founding
-	ID     uint64 // of the steward
-	Store  uint64 // drawn by chance when it was made
+	Format uint64 `cbor:"Format"`
+	Fleet  string `cbor:"Fleet"`
+	Epoch  uint64 `cbor:"Epoch"` // of the fleet's founding
+	ID     uint64 `cbor:"ID"`    // of the steward
+	Store  uint64 `cbor:"Store"` // drawn by chance when it was made
 }
 
 // Store is an open file. One caller at a time.
--- a/internal/fleetlink/claim.go
+++ b/internal/fleetlink/claim.go
@@ -29,8 +29,8 @@
 const floorsForm = 1
 
 type keptFloors struct {
-	Version uint64
-	Floors  map[string]grant.Floor
+	Version uint64                 `json:"Version"`
+	Floors  map[string]grant.Floor `json:"Floors"`
 }
 
 func newClaim(path, name string) *claim {
--- a/internal/fleetlink/kept.go
+++ b/internal/fleetlink/kept.go
@@ -40,13 +40,13 @@
 
 // keptOffer says what the pieces before it come to.
 type keptOffer struct {
-	Offer rollout.Offer
-	Root  string // the offer's hash, unless the policy came as a text
+	Offer rollout.Offer `json:"Offer"`
+	Root  string        `json:"Root"` // the offer's hash, unless the policy came as a text
 }
 
 type keptText struct {
-	Offer rollout.Offer
-	Text  []byte
+	Offer rollout.Offer `json:"Offer"`
+	Text  []byte        `json:"Text"`
 }
 
 // keptSlack is by how many bytes the journal may be more than twice as long as what is kept.
