--- a/internal/fleetlink/docs_test.go
+++ b/internal/fleetlink/docs_test.go
@@ -50,11 +50,19 @@
 	end   = "<!-- end of errors -->"
 )
 
+// codeOf is the name of an error in messages between processes.
+func codeOf(e advice.Error) string {
+	if coded, ok := e.(interface{ Code() string }); ok {
+		return coded.Code()
+	}
+	return fmt.Sprintf("%T", e)
+}
+
 func table() string {
 	var out strings.Builder
 	out.WriteString(begin + "\n| error | what to do |\n| --- | --- |\n")
 	for _, e := range told {
-		fmt.Fprintf(&out, "| `%T` | %s |\n", e, e.Advice())
+		fmt.Fprintf(&out, "| `%s` | %s |\n", codeOf(e), e.Advice())
 	}
 	return out.String() + "\n" + end
 }
@@ -96,7 +104,7 @@
 					continue
 				}
 				name := f.Name.Name + "." + m.Recv.List[0].Type.(*ast.Ident).Name
-				if name != "fleet.Problem" && !slices.Contains(have, name) { // that one passes on another's
+				if name != fmt.Sprintf("%T", fleet.Problem{}) && !slices.Contains(have, name) { // that one passes on another's
 					t.Errorf("%s is not on the page", name)
 				}
 			}
