--- /dev/null
+++ b/internal/steward/codes_test.go
@@ -0,0 +1,114 @@
+package steward_test
+
+import (
+	"fmt"
+	"testing"
+
+	"lapisspread/internal/advice"
+	"lapisspread/internal/consensus"
+	"lapisspread/internal/consensus/store"
+	"lapisspread/internal/fleet"
+	"lapisspread/internal/fleetlink"
+	"lapisspread/internal/fleetview"
+	"lapisspread/internal/grant"
+	"lapisspread/internal/namespace"
+	"lapisspread/internal/pieces"
+	"lapisspread/internal/policybook"
+	"lapisspread/internal/policyroutes"
+	"lapisspread/internal/rollout"
+	"lapisspread/internal/staleness"
+	"lapisspread/internal/steward"
+)
+
+// codes has each error's name as the program of c8fad44 sends it.
+var codes = []struct {
+	err  advice.Error
+	code string
+}{
+	{consensus.LogContradicts{}, "consensus.LogContradicts"},
+	{consensus.NotEnoughStewards{}, "consensus.NotEnoughStewards"},
+	{consensus.NotLeader{}, "consensus.NotLeader"},
+	{consensus.OtherFleet{}, "consensus.OtherFleet"},
+	{consensus.QueueFull{}, "consensus.QueueFull"},
+	{consensus.Silent{}, "consensus.Silent"},
+	{consensus.StoreRolledBack{}, "consensus.StoreRolledBack"},
+	{consensus.TooLarge{}, "consensus.TooLarge"},
+	{consensus.Undecided{}, "consensus.Undecided"},
+	{store.DiskFull{}, "store.DiskFull"},
+	{store.StoreDamaged{}, "store.StoreDamaged"},
+	{store.StoreHeld{}, "store.StoreHeld"},
+	{store.StoreMissing{}, "store.StoreMissing"},
+	{store.StoreNewer{}, "store.StoreNewer"},
+	{store.StoreOfAnotherFleet{}, "store.StoreOfAnotherFleet"},
+	{store.StoreOfAnotherNode{}, "store.StoreOfAnotherNode"},
+	{fleet.BadMessage{}, "fleet.BadMessage"},
+	{fleet.UnknownSteward{}, "fleet.UnknownSteward"},
+	{fleet.Unreachable{}, "fleet.Unreachable"},
+	{fleetlink.DutyDied{}, "fleetlink.DutyDied"},
+	{fleetlink.DutyStuck{}, "fleetlink.DutyStuck"},
+	{fleetlink.FloorsNotKept{}, "fleetlink.FloorsNotKept"},
+	{fleetlink.PolicyNotTaken{}, "fleetlink.PolicyNotTaken"},
+	{fleetview.DutyDied{}, "fleetview.DutyDied"},
+	{fleetview.DutyStuck{}, "fleetview.DutyStuck"},
+	{fleetview.TooManyRegisters{}, "fleetview.TooManyRegisters"},
+	{grant.BadCommand{}, "grant.BadCommand"},
+	{grant.FloorTaken{}, "grant.FloorTaken"},
+	{grant.GrantEnded{}, "grant.GrantEnded"},
+	{grant.NoBudget{}, "grant.NoBudget"},
+	{grant.NoGrant{}, "grant.NoGrant"},
+	{grant.NotEnoughStewards{}, "grant.NotEnoughStewards"},
+	{grant.NotFounded{}, "grant.NotFounded"},
+	{grant.OldBudgets{}, "grant.OldBudgets"},
+	{grant.OldEpoch{}, "grant.OldEpoch"},
+	{grant.OldToken{}, "grant.OldToken"},
+	{grant.OtherFleet{}, "grant.OtherFleet"},
+	{grant.OtherHolder{}, "grant.OtherHolder"},
+	{grant.OverWhole{}, "grant.OverWhole"},
+	{grant.Spent{}, "grant.Spent"},
+	{grant.StillSilent{}, "grant.StillSilent"},
+	{namespace.Clash{}, "namespace.Clash"},
+	{namespace.DelegationCircle{}, "namespace.DelegationCircle"},
+	{namespace.DelegationTooWide{}, "namespace.DelegationTooWide"},
+	{namespace.FileError{}, "namespace.FileError"},
+	{namespace.MinimumsExceedWhole{}, "namespace.MinimumsExceedWhole"},
+	{namespace.NamespaceHeld{}, "namespace.NamespaceHeld"},
+	{namespace.OutsideDomain{}, "namespace.OutsideDomain"},
+	{namespace.UnknownNamespace{}, "namespace.UnknownNamespace"},
+	{namespace.VersionTaken{}, "namespace.VersionTaken"},
+	{namespace.WrongItem{}, "namespace.WrongItem"},
+	{pieces.Incomplete{}, "pieces.Incomplete"},
+	{pieces.Malformed{}, "pieces.Malformed"},
+	{pieces.TooLong{}, "pieces.TooLong"},
+	{pieces.Twice{}, "pieces.Twice"},
+	{pieces.WrongName{}, "pieces.WrongName"},
+	{pieces.WrongPiece{}, "pieces.WrongPiece"},
+	{policybook.BadCommand{}, "policybook.BadCommand"},
+	{policybook.EpochGone{}, "policybook.EpochGone"},
+	{policybook.NoCharter{}, "policybook.NoCharter"},
+	{policybook.TooMuch{}, "policybook.TooMuch"},
+	{policyroutes.BadRoutes{}, "policyroutes.BadRoutes"},
+	{policyroutes.MissingServices{}, "policyroutes.MissingServices"},
+	{rollout.EpochTwice{}, "rollout.EpochTwice"},
+	{rollout.OldEpoch{}, "rollout.OldEpoch"},
+	{rollout.RolloutNotTaken{}, "rollout.RolloutNotTaken"},
+	{rollout.RolloutStopped{}, "rollout.RolloutStopped"},
+	{rollout.WorseAfter{}, "rollout.WorseAfter"},
+	{rollout.WrongContent{}, "rollout.WrongContent"},
+	{staleness.BadSettings{}, "staleness.BadSettings"},
+	{staleness.ClaimCannotBeTrue{}, "staleness.ClaimCannotBeTrue"},
+	{staleness.EdgeBlind{}, "staleness.EdgeBlind"},
+	{staleness.NameTaken{}, "staleness.NameTaken"},
+	{staleness.UnknownSource{}, "staleness.UnknownSource"},
+	{staleness.ViewDoubtful{}, "staleness.ViewDoubtful"},
+	{steward.FloorsTwice{}, "steward.FloorsTwice"},
+	{steward.NeedsPieces{}, "steward.NeedsPieces"},
+}
+
+// Stewards and proxies of two releases know each other's errors by these names.
+func TestErrorsKeepTheirNamesOnTheWire(t *testing.T) {
+	for _, c := range codes {
+		if got := fleet.ProblemOf(fmt.Errorf("wrapped: %w", c.err)).Name; got != c.code {
+			t.Errorf("%s is sent as %s", c.code, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/steward/frozen_test.go
@@ -0,0 +1,135 @@
+package steward
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"lapisspread/internal/grant"
+	"lapisspread/internal/policybook"
+	"lapisspread/internal/rollout"
+)
+
+// The files of this test were written by the program of c8fad44: UPDATE_FROZEN=1 go test ./internal/steward -run Frozen
+const (
+	frozenCommands = "testdata/commands.txt" // one a line, in hexadecimal
+	frozenSnapshot = "testdata/snapshot.bin"
+	frozenReplies  = "testdata/replies.txt" // to the commands, in hexadecimal
+)
+
+func frozenNow() time.Duration { return 0 }
+
+var frozenKey = grant.Key{Holder: "p1", Incarnation: 7}
+
+// frozenEntries has grants and policies of a fleet that begins.
+func frozenEntries(t *testing.T) (all [][]byte) {
+	t.Helper()
+	add := func(mark string, c any) {
+		text, err := json.Marshal(c)
+		if err != nil {
+			t.Fatal(err)
+		}
+		all = append(all, append([]byte(mark), text...))
+	}
+	add("", grant.Command{Found: &grant.Found{Fleet: "north", Epoch: 1, Drift: .001, Longest: 600 * time.Millisecond}})
+	add("", grant.Command{Expire: &grant.Expire{Token: grant.Token{Epoch: 1, Index: 1}}})
+	add("", grant.Command{SetBudgets: &grant.SetBudgets{Version: 1, Fleet: grant.Fleet{ID: "north", Drift: .001, Longest: 600 * time.Millisecond,
+		Budgets: []grant.Budget{{Name: "attempts", Kind: grant.Rate, Whole: 1000, Burst: 100, Lease: 600 * time.Millisecond, Floors: map[string]float64{"p1": 50}}}}}})
+	add("", grant.Command{Batch: []grant.Command{{Grant: &grant.Grant{Fleet: "north", Epoch: 1, Key: frozenKey, Budget: "attempts", Kind: grant.Rate,
+		Amount: grant.Of(200), Burst: grant.Of(20), Lease: 600 * time.Millisecond, Ask: 3, Version: 1}}}})
+	add("", grant.Command{})
+	mark := string(rune(policyMark))
+	add(mark, policybook.Command{Charter: &policybook.Charter{Text: charterText("x.org"), By: "op"}})
+	add(mark, offerOf("alpha", 1, "/a"))
+	add(mark, policybook.Command{Judge: &policybook.Judge{Order: 1 << 32, Epoch: 1, Done: true, Proxies: 3}})
+	add(mark, offerOf("beta", 1, "/a"))
+	add(mark, policybook.Command{Back: &policybook.Back{Epoch: 99}})
+	return all
+}
+
+func hexLines(all [][]byte) []byte {
+	var b strings.Builder
+	for _, text := range all {
+		b.WriteString(hex.EncodeToString(text) + "\n")
+	}
+	return []byte(b.String())
+}
+
+// A steward goes on from a log and a snapshot of the program of c8fad44, and answers entries with the same bytes.
+func TestFrozenLogAndSnapshot(t *testing.T) {
+	m := newMachine(frozenNow, 1)
+	entries := frozenEntries(t)
+	var replies [][]byte
+	for i, entry := range entries {
+		replies = append(replies, m.Apply(uint64(i+1), entry))
+	}
+	snapshot, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range []struct {
+		path string
+		text []byte
+	}{{frozenCommands, hexLines(entries)}, {frozenReplies, hexLines(replies)}, {frozenSnapshot, snapshot}} {
+		if os.Getenv("UPDATE_FROZEN") != "" {
+			if err := os.WriteFile(f.path, f.text, 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+		kept, err := os.ReadFile(f.path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(kept, f.text) {
+			t.Errorf("%s: it is written otherwise", f.path)
+		}
+	}
+	kept, err := os.ReadFile(frozenSnapshot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored := newMachine(frozenNow, 9)
+	if err := restored.Restore(kept); err != nil {
+		t.Fatal(err)
+	}
+	checkFrozenState(t, restored)
+	next := append([]byte{policyMark}, []byte(`{"back":{"epoch":1,"by":"op"}}`)...)
+	if got, want := restored.Apply(20, next), m.Apply(20, next); !bytes.Equal(got, want) {
+		t.Errorf("answers %x, want %x", got, want)
+	}
+	got, _ := restored.Snapshot()
+	want, _ := m.Snapshot()
+	if !bytes.Equal(got, want) {
+		t.Error("a restored state goes on otherwise")
+	}
+}
+
+func checkFrozenState(t *testing.T, m *machine) {
+	t.Helper()
+	st := m.standing()
+	base := rollout.Offer{Order: 1 << 32, Epoch: 1, Hash: "8a10529ffc3691e232af7149e3151bf480492604b19e6b0281d70bdc53a370ae"}
+	next := rollout.Offer{Order: 1 << 32, Epoch: 2, Hash: "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389"}
+	if st.Base != base || st.Next != next || st.Head != next || st.Stopped != nil || st.Proxies != 3 || !slices.Equal(st.Kept, []uint64{1, 2}) ||
+		!slices.Equal(st.Train, []policybook.Change{{Namespace: "alpha", Number: 1, By: "alpha"}}) || len(st.Gathered) != 0 || len(st.Faults) != 0 {
+		t.Errorf("policies: read %+v", st)
+	}
+	if len(st.Held) != 1 || st.Held[0].Namespace != "beta" || st.Held[0].Offered != 1 || st.Held[0].Holds != 0 || st.Held[0].By != "beta" {
+		t.Errorf("held back: read %+v", st.Held)
+	}
+	want := grant.Reply{Fleet: "north", Epoch: 1, Key: frozenKey, Version: 1,
+		Grants: []grant.Grant{{Fleet: "north", Epoch: 1, Key: frozenKey, Budget: "attempts", Kind: grant.Rate, Amount: grant.Of(200), Burst: grant.Of(20),
+			Lease: 600 * time.Millisecond, Ask: 3, Version: 1, Token: grant.Token{Epoch: 1, Index: 4}}},
+		Floors: map[string]grant.Floor{"attempts": {Kind: grant.Rate, Amount: grant.Of(50), Burst: grant.Of(5)}}}
+	if got := m.book.Tell(frozenKey); !reflect.DeepEqual(got, want) {
+		t.Errorf("grants: read\n%+v, want\n%+v", got, want)
+	}
+	if _, epoch, err := m.book.Founded(); err != nil || epoch != 1 {
+		t.Errorf("founded: read %d, %v", epoch, err)
+	}
+}
