--- /dev/null
+++ b/internal/fleet/codes.go
@@ -0,0 +1,12 @@
+package fleet
+
+// Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
+
+// Code is the name of the error in messages between processes.
+func (BadMessage) Code() string { return "fleet.BadMessage" }
+
+// Code is the name of the error in messages between processes.
+func (UnknownSteward) Code() string { return "fleet.UnknownSteward" }
+
+// Code is the name of the error in messages between processes.
+func (Unreachable) Code() string { return "fleet.Unreachable" }
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -27,55 +27,57 @@
 
 // PolicyReport is what a proxy tells: see rollout.Report.
 type PolicyReport struct {
-	Fleet     string
-	Proxy     string
-	Number    uint64
-	Has       rollout.Offer
-	Refused   rollout.Offer `cbor:",omitzero"` // that it has the content of and can't take up yet: it tries by itself
-	Good, Bad int64
-	Pieces    bool `cbor:",omitempty"` // it takes pieces; one that doesn't is of an older release
-	Most      int  `cbor:",omitempty"` // bytes of pieces that the reply shall have at most; 0 is MostPieces
+	Fleet   string        `json:"Fleet"`
+	Proxy   string        `json:"Proxy"`
+	Number  uint64        `json:"Number"`
+	Has     rollout.Offer `json:"Has"`
+	Refused rollout.Offer `json:"Refused" cbor:"Refused,omitzero"` // that it has the content of and can't take up yet: it tries by itself
+	Good    int64         `json:"Good"`
+	Bad     int64         `json:"Bad"`
+	Pieces  bool          `json:"Pieces" cbor:"Pieces,omitempty"` // it takes pieces; one that doesn't is of an older release
+	Most    int           `json:"Most" cbor:"Most,omitempty"`     // bytes of pieces that the reply shall have at most; 0 is MostPieces
 }
 
 // PolicyReply is what a proxy shall have. With InPieces the offer's hash is the root of a tree of pieces, and Pieces are some that the
 // proxy lacks, top first; it fetches all others by name. Else the hash is the SHA-256 of Text, which is the whole policy, if the
 // proxy doesn't have it.
 type PolicyReply struct {
-	Fleet    string
-	Offer    rollout.Offer
-	Text     []byte   `cbor:",omitempty"`
-	InPieces bool     `cbor:",omitempty"`
-	Pieces   [][]byte `cbor:",omitempty"`
+	Fleet    string        `json:"Fleet"`
+	Offer    rollout.Offer `json:"Offer"`
+	Text     []byte        `json:"Text" cbor:"Text,omitempty"`
+	InPieces bool          `json:"InPieces" cbor:"InPieces,omitempty"`
+	Pieces   [][]byte      `json:"Pieces" cbor:"Pieces,omitempty"`
 }
 
 // PiecesRequest asks for pieces by name, MostNames at most.
 type PiecesRequest struct {
-	Fleet, Proxy string
-	Root         string   // of the tree that they are of, in hexadecimal
-	Names        [][]byte // SHA-256 each
+	Fleet string   `json:"Fleet"`
+	Proxy string   `json:"Proxy"`
+	Root  string   `json:"Root"`  // of the tree that they are of, in hexadecimal
+	Names [][]byte `json:"Names"` // SHA-256 each
 }
 
 // PiecesReply has pieces in the order of their names in the request, as many as MostPieces allows. Lacks counts those that this steward
 // doesn't have. If too many proxies fetch at once it has none, and says after how many nanoseconds to come back.
 type PiecesReply struct {
-	Pieces [][]byte `cbor:",omitempty"`
-	Lacks  int      `cbor:",omitempty"`
-	Later  int64    `cbor:",omitempty"`
+	Pieces [][]byte `json:"Pieces" cbor:"Pieces,omitempty"`
+	Lacks  int      `json:"Lacks" cbor:"Lacks,omitempty"`
+	Later  int64    `json:"Later" cbor:"Later,omitempty"`
 }
 
 // PolicyStatus is how the policy stands, as one steward knows it.
 type PolicyStatus struct {
-	Standing  policybook.Standing
-	Leads     bool     // whoever says so; the rest is known by it alone
-	State     string   // of the roll-out
-	Proxies   int      // that report
-	Have      int      // of them, what goes out, or what all shall have
-	Refused   int      // of them, that can't take it up
-	Behind    []string `cbor:",omitempty"` // of them, some that don't have yet what all have: MostBehind names at most, sorted
-	Late      int      `cbor:",omitempty"` // how many there are of these
-	Older     int      `cbor:",omitempty"` // of them, that take whole texts alone
-	Worse     string   `cbor:",omitempty"` // what the watch of all of them has to tell of the last hour; empty is nothing
-	WorseHelp string   `cbor:",omitempty"`
+	Standing  policybook.Standing `json:"Standing"`
+	Leads     bool                `json:"Leads"`                          // whoever says so; the rest is known by it alone
+	State     string              `json:"State"`                          // of the roll-out
+	Proxies   int                 `json:"Proxies"`                        // that report
+	Have      int                 `json:"Have"`                           // of them, what goes out, or what all shall have
+	Refused   int                 `json:"Refused"`                        // of them, that can't take it up
+	Behind    []string            `json:"Behind" cbor:"Behind,omitempty"` // of them, some that don't have yet what all have: MostBehind names at most, sorted
+	Late      int                 `json:"Late" cbor:"Late,omitempty"`     // how many there are of these
+	Older     int                 `json:"Older" cbor:"Older,omitempty"`   // of them, that take whole texts alone
+	Worse     string              `json:"Worse" cbor:"Worse,omitempty"`   // what the watch of all of them has to tell of the last hour; empty is nothing
+	WorseHelp string              `json:"WorseHelp" cbor:"WorseHelp,omitempty"`
 }
 
 // MostBehind is how many proxies are told by name in a PolicyStatus.
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -41,45 +41,51 @@
 
 // Founding asks a steward to make its store, and to begin the fleet under an epoch above all before.
 type Founding struct {
-	Fleet   string
-	Epoch   uint64
-	Drift   float64
-	Longest int64 // nanoseconds
-	Members []uint64
-	ID      uint64 // of the steward that is asked: a wrong address must not make a wrong store
+	Fleet   string   `json:"Fleet"`
+	Epoch   uint64   `json:"Epoch"`
+	Drift   float64  `json:"Drift"`
+	Longest int64    `json:"Longest"` // nanoseconds
+	Members []uint64 `json:"Members"`
+	ID      uint64   `json:"ID"` // of the steward that is asked: a wrong address must not make a wrong store
 }
 
 // Status is how a steward stands.
 type Status struct {
-	Name, Fleet  string
-	ID           uint64
-	Epoch        uint64 // 0 is not founded
-	Role         string
-	Leader       string // the address of whom it believes to lead
-	LeaderName   string
-	Term, Commit uint64
-	Applied      uint64
-	Silent       []uint64 // who has not confirmed its store yet
-	Heard        int
-	Voters       int
-	Version      uint64 // of the budgets
-	Unset        bool   // no budgets are set: the time before the founding may not be over
-	Budgets      []Counted
-	Trouble      Problem // why it takes no part; empty if it does
-	Counts       map[string]uint64
+	Name       string            `json:"Name"`
+	Fleet      string            `json:"Fleet"`
+	ID         uint64            `json:"ID"`
+	Epoch      uint64            `json:"Epoch"` // 0 is not founded
+	Role       string            `json:"Role"`
+	Leader     string            `json:"Leader"` // the address of whom it believes to lead
+	LeaderName string            `json:"LeaderName"`
+	Term       uint64            `json:"Term"`
+	Commit     uint64            `json:"Commit"`
+	Applied    uint64            `json:"Applied"`
+	Silent     []uint64          `json:"Silent"` // who has not confirmed its store yet
+	Heard      int               `json:"Heard"`
+	Voters     int               `json:"Voters"`
+	Version    uint64            `json:"Version"` // of the budgets
+	Unset      bool              `json:"Unset"`   // no budgets are set: the time before the founding may not be over
+	Budgets    []Counted         `json:"Budgets"`
+	Trouble    Problem           `json:"Trouble"` // why it takes no part; empty if it does
+	Counts     map[string]uint64 `json:"Counts"`
 }
 
 // Counted is what of a budget is out.
 type Counted struct {
-	Name                string
-	Whole, Burst        float64
-	Granted, BurstsHeld float64 // with all floors
+	Name       string  `json:"Name"`
+	Whole      float64 `json:"Whole"`
+	Burst      float64 `json:"Burst"`
+	Granted    float64 `json:"Granted"`    // with all floors
+	BurstsHeld float64 `json:"BurstsHeld"` // with all floors
 }
 
 // Problem is an error as it goes over the wire: the name of its type, what it says, and what an operator can do.
 type Problem struct {
-	Name, Text, Help string
-	Leader           string // of NotLeader: where to ask instead; empty is not known
+	Name   string `json:"Name"`
+	Text   string `json:"Text"`
+	Help   string `json:"Help"`
+	Leader string `json:"Leader"` // of NotLeader: where to ask instead; empty is not known
 }
 
 func (p Problem) Error() string { return p.Text }
@@ -87,6 +93,12 @@
 // Advice is what an operator can do, as the steward said it.
 func (p Problem) Advice() string { return p.Help }
 
+// Coded is an error that has a name in messages between processes which stays as it is when its type gets another name.
+type Coded interface {
+	advice.Error
+	Code() string
+}
+
 // ProblemOf is an error as it is told.
 func ProblemOf(err error) Problem {
 	if err == nil {
@@ -101,6 +113,9 @@
 	if errors.As(err, &typed) {
 		name = fmt.Sprintf("%T", typed)
 	}
+	if coded, ok := typed.(Coded); ok {
+		name = coded.Code()
+	}
 	return Problem{Name: name, Text: err.Error(), Help: advice.Of(err)}
 }
 
--- /dev/null
+++ b/internal/fleetview/codes.go
@@ -0,0 +1,12 @@
+package fleetview
+
+// Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
+
+// Code is the name of the error in messages between processes.
+func (DutyDied) Code() string { return "fleetview.DutyDied" }
+
+// Code is the name of the error in messages between processes.
+func (DutyStuck) Code() string { return "fleetview.DutyStuck" }
+
+// Code is the name of the error in messages between processes.
+func (TooManyRegisters) Code() string { return "fleetview.TooManyRegisters" }
--- a/internal/policybook/book.go
+++ b/internal/policybook/book.go
@@ -455,17 +455,17 @@
 
 // Standing is what the fleet has, what goes out, and what waits. Nobody writes to its lists.
 type Standing struct {
-	Base     rollout.Offer // in force: what all have; none is the zero
-	Next     rollout.Offer // the train on its way; none is the zero
-	Head     rollout.Offer // the newest merged. It departs under this epoch or, if parts of a stopped train go first, a higher one
-	Stopped  *Judge        // why Next goes no further; nil if it does
-	Train    []Change      // in Next, against Base
-	Gathered []Change      // in Head, and not in Next: they wait for a train
-	Faults   []Fault       // changes that were taken out, the newest last; one of a namespace, until a higher number of it is in force
-	Held     []Held        // by namespace
-	Told     []string      // conflicts
-	Kept     []uint64      // the epochs that the fleet can be told to go back to
-	Proxies  int           // that the leader knew at the last judgement; 0 is not known
+	Base     rollout.Offer `json:"Base"`     // in force: what all have; none is the zero
+	Next     rollout.Offer `json:"Next"`     // the train on its way; none is the zero
+	Head     rollout.Offer `json:"Head"`     // the newest merged. It departs under this epoch or, if parts of a stopped train go first, a higher one
+	Stopped  *Judge        `json:"Stopped"`  // why Next goes no further; nil if it does
+	Train    []Change      `json:"Train"`    // in Next, against Base
+	Gathered []Change      `json:"Gathered"` // in Head, and not in Next: they wait for a train
+	Faults   []Fault       `json:"Faults"`   // changes that were taken out, the newest last; one of a namespace, until a higher number of it is in force
+	Held     []Held        `json:"Held"`     // by namespace
+	Told     []string      `json:"Told"`     // conflicts
+	Kept     []uint64      `json:"Kept"`     // the epochs that the fleet can be told to go back to
+	Proxies  int           `json:"Proxies"`  // that the leader knew at the last judgement; 0 is not known
 }
 
 // Standing tells how things stand.
--- /dev/null
+++ b/internal/policybook/codes.go
@@ -0,0 +1,15 @@
+package policybook
+
+// Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
+
+// Code is the name of the error in messages between processes.
+func (BadCommand) Code() string { return "policybook.BadCommand" }
+
+// Code is the name of the error in messages between processes.
+func (EpochGone) Code() string { return "policybook.EpochGone" }
+
+// Code is the name of the error in messages between processes.
+func (NoCharter) Code() string { return "policybook.NoCharter" }
+
+// Code is the name of the error in messages between processes.
+func (TooMuch) Code() string { return "policybook.TooMuch" }
--- a/internal/policybook/snapshot.go
+++ b/internal/policybook/snapshot.go
@@ -22,41 +22,41 @@
 // snapshot is a state as it is written: CBOR in its one deterministic encoding (RFC 8949, 4.2). Texts and pieces stand in it once, and
 // what refers to them does so by their hash, so that what was damaged is found.
 type snapshot struct {
-	Form      int
-	Texts     [][]byte   // of charters and files
-	Pieces    [][]byte   // of all policies
-	Files     []snapFile // each once
-	Charter   int        // of Files
-	Good      []int      // of Files
-	Waiting   []int      // of Files
-	Seen      map[string]uint64
-	Held      []Held
-	Conflicts []string
-	Order     uint64
-	Epoch     uint64
-	Merges    uint64
-	Head      snapKept
-	Kept      []snapKept
-	Base      int
-	Next      int
-	Trials    [][]change
-	Stopped   *Judge
-	Faults    []Fault
-	Proxies   int
+	Form      int               `json:"Form"`
+	Texts     [][]byte          `json:"Texts"`   // of charters and files
+	Pieces    [][]byte          `json:"Pieces"`  // of all policies
+	Files     []snapFile        `json:"Files"`   // each once
+	Charter   int               `json:"Charter"` // of Files
+	Good      []int             `json:"Good"`    // of Files
+	Waiting   []int             `json:"Waiting"` // of Files
+	Seen      map[string]uint64 `json:"Seen"`
+	Held      []Held            `json:"Held"`
+	Conflicts []string          `json:"Conflicts"`
+	Order     uint64            `json:"Order"`
+	Epoch     uint64            `json:"Epoch"`
+	Merges    uint64            `json:"Merges"`
+	Head      snapKept          `json:"Head"`
+	Kept      []snapKept        `json:"Kept"`
+	Base      int               `json:"Base"`
+	Next      int               `json:"Next"`
+	Trials    [][]change        `json:"Trials"`
+	Stopped   *Judge            `json:"Stopped"`
+	Faults    []Fault           `json:"Faults"`
+	Proxies   int               `json:"Proxies"`
 }
 
 type snapFile struct {
-	Namespace string // empty for a charter
-	Text      pieces.Name
-	By        string
-	Number    uint64
-	At        uint64
+	Namespace string      `json:"Namespace"` // empty for a charter
+	Text      pieces.Name `json:"Text"`
+	By        string      `json:"By"`
+	Number    uint64      `json:"Number"`
+	At        uint64      `json:"At"`
 }
 
 type snapKept struct {
-	Offer   rollout.Offer // without a hash nothing was ever merged
-	Charter int
-	Files   []int
+	Offer   rollout.Offer `json:"Offer"` // without a hash nothing was ever merged
+	Charter int           `json:"Charter"`
+	Files   []int         `json:"Files"`
 }
 
 var (
--- /dev/null
+++ b/internal/policyroutes/codes.go
@@ -0,0 +1,9 @@
+package policyroutes
+
+// Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
+
+// Code is the name of the error in messages between processes.
+func (BadRoutes) Code() string { return "policyroutes.BadRoutes" }
+
+// Code is the name of the error in messages between processes.
+func (MissingServices) Code() string { return "policyroutes.MissingServices" }
--- a/internal/rollout/holder.go
+++ b/internal/rollout/holder.go
@@ -14,9 +14,9 @@
 
 // Offer is a policy that a proxy shall have.
 type Offer struct {
-	Order uint64 // how often an operator has told the fleet to go back
-	Epoch uint64 // of the policy; each new one is higher
-	Hash  string // of the policy's content: the root of its tree of pieces (package pieces) in hexadecimal
+	Order uint64 `json:"Order"` // how often an operator has told the fleet to go back
+	Epoch uint64 `json:"Epoch"` // of the policy; each new one is higher
+	Hash  string `json:"Hash"`  // of the policy's content: the root of its tree of pieces (package pieces) in hexadecimal
 }
 
 // After tells whether an offer goes before another.
--- /dev/null
+++ b/internal/steward/codes.go
@@ -0,0 +1,9 @@
+package steward
+
+// Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
+
+// Code is the name of the error in messages between processes.
+func (FloorsTwice) Code() string { return "steward.FloorsTwice" }
+
+// Code is the name of the error in messages between processes.
+func (NeedsPieces) Code() string { return "steward.NeedsPieces" }
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -53,7 +53,10 @@
 const policyMark = 0x01
 
 // both is a snapshot of both books, after the mark.
-type both struct{ Grants, Policies []byte }
+type both struct {
+	Grants   []byte `json:"Grants"`
+	Policies []byte `json:"Policies"`
+}
 
 // newMachine has no silence of its own: the log keeps it, and knows by the other stewards when it may end sooner.
 func newMachine(clock func() time.Duration, epoch uint64) *machine {
@@ -79,9 +82,9 @@
 
 // outcome is what a command came to.
 type outcome struct {
-	Refused fleet.Problem // of the command itself; empty if it was carried out
-	Parts   int           // of a batch, what was refused of it
-	Born    int
+	Refused fleet.Problem `json:"Refused"` // of the command itself; empty if it was carried out
+	Parts   int           `json:"Parts"`   // of a batch, what was refused of it
+	Born    int           `json:"Born"`
 }
 
 // Apply implements consensus.Machine.
