--- a/internal/grant/book.go
+++ b/internal/grant/book.go
@@ -12,84 +12,84 @@
 
 // Command is an entry of the log: exactly one field is set.
 type Command struct {
-	Found      *Found      `json:",omitempty"`
-	SetBudgets *SetBudgets `json:",omitempty"`
-	Grant      *Grant      `json:",omitempty"`
-	Expire     *Expire     `json:",omitempty"`
-	Ack        *Ack        `json:",omitempty"`
-	GiveBack   *GiveBack   `json:",omitempty"`
-	Know       *Know       `json:",omitempty"`
-	Grants     *Grants     `json:",omitempty"`
-	Words      *Words      `json:",omitempty"`
-	Batch      []Command   `json:",omitempty"` // applied in order, each accepted or refused by itself
+	Found      *Found      `json:"Found,omitempty"`
+	SetBudgets *SetBudgets `json:"SetBudgets,omitempty"`
+	Grant      *Grant      `json:"Grant,omitempty"`
+	Expire     *Expire     `json:"Expire,omitempty"`
+	Ack        *Ack        `json:"Ack,omitempty"`
+	GiveBack   *GiveBack   `json:"GiveBack,omitempty"`
+	Know       *Know       `json:"Know,omitempty"`
+	Grants     *Grants     `json:"Grants,omitempty"`
+	Words      *Words      `json:"Words,omitempty"`
+	Batch      []Command   `json:"Batch,omitempty"` // applied in order, each accepted or refused by itself
 }
 
 // Found is an operator's word: this log is the fleet's from now on, under an epoch above all before. Nothing is granted, and
 // no budget is set, until Longest has gone by; it and Drift must be at least what held before.
 type Found struct {
-	Fleet   string
-	Epoch   uint64
-	Drift   float64
-	Longest time.Duration
+	Fleet   string        `json:"Fleet"`
+	Epoch   uint64        `json:"Epoch"`
+	Drift   float64       `json:"Drift"`
+	Longest time.Duration `json:"Longest"`
 }
 
 // SetBudgets is a new configuration, under a version above all before. A lower whole holds once the last grant of the
 // version before has ended. A floor that is lowered stays counted until its holder says that it goes by the new version;
 // Gone names holders whose floors an operator vouches that nobody will spend again.
 type SetBudgets struct {
-	Version uint64
-	Fleet   Fleet
-	Gone    []string `json:",omitempty"`
+	Version uint64   `json:"Version"`
+	Fleet   Fleet    `json:"Fleet"`
+	Gone    []string `json:"Gone,omitempty"`
 }
 
 // Grant is a part of a budget for one process, for a length of time.
 type Grant struct {
-	Fleet string
-	Epoch uint64
+	Fleet string `json:"Fleet"`
+	Epoch uint64 `json:"Epoch"`
 	Key
-	Budget  string
-	Kind    Kind
-	Amount  Amount        // units a second, or units in hand
-	Burst   Amount        // units of the bucket; 0 for work in hand
-	Lease   time.Duration // the holder counts it from when it sent the ask
-	Life    time.Duration // of work in hand
-	Ask     uint64        // number of the ask that it answers; the ask was sent before this was committed
-	Version uint64        // of the budgets; set by the book
-	Token   Token         // set by the book
+	Budget  string        `json:"Budget"`
+	Kind    Kind          `json:"Kind"`
+	Amount  Amount        `json:"Amount"`  // units a second, or units in hand
+	Burst   Amount        `json:"Burst"`   // units of the bucket; 0 for work in hand
+	Lease   time.Duration `json:"Lease"`   // the holder counts it from when it sent the ask
+	Life    time.Duration `json:"Life"`    // of work in hand
+	Ask     uint64        `json:"Ask"`     // number of the ask that it answers; the ask was sent before this was committed
+	Version uint64        `json:"Version"` // of the budgets; set by the book
+	Token   Token         `json:"Token"`   // set by the book
 }
 
 // Expire is a steward's word that a grant, a rest of work in hand, or the time before a founding, surely is over.
 type Expire struct {
 	Key
-	Budget string
-	Token  Token
+	Budget string `json:"Budget"`
+	Token  Token  `json:"Token"`
 }
 
 // Ack is a holder's word: it goes by Token, will never go by an older one, and had Held in hand when it asked with Seq.
 type Ack struct {
-	Epoch uint64
+	Epoch uint64 `json:"Epoch"`
 	Key
-	Budget string
-	Seq    uint64
-	Token  Token
-	Held   Amount
+	Budget string `json:"Budget"`
+	Seq    uint64 `json:"Seq"`
+	Token  Token  `json:"Token"`
+	Held   Amount `json:"Held"`
 }
 
 // GiveBack is a holder's word: it will never again go by Token or an older one, and had Held in hand when it asked with
 // Seq. With All it will go by no grant of this budget at all: it leaves.
 type GiveBack struct {
 	Ack
-	All bool
+	All bool `json:"All"`
 }
 
 // Grants are grants of many budgets to one process, in answer to one ask: each as a Grant for the budget's whole lease. They
 // are accepted or refused one by one. This is the form that a Keeper proposes: the log grows by a third of what it would.
 type Grants struct {
-	Fleet string
-	Epoch uint64
+	Fleet string `json:"Fleet"`
+	Epoch uint64 `json:"Epoch"`
 	Key
-	Ask   uint64
-	Parts []Part
+	Ask   uint64 `json:"Ask"`
+	Parts []Part `json:"Parts"`
 }
 
 // Part is one grant of Grants.
@@ -101,11 +101,11 @@
 
 // Words are a process's words on many budgets in one ask, each as an Ack, or as a GiveBack where it is Ended or All is set.
 type Words struct {
-	Epoch uint64
+	Epoch uint64 `json:"Epoch"`
 	Key
-	Seq   uint64
-	All   bool `json:",omitempty"`
-	Parts []Word
+	Seq   uint64 `json:"Seq"`
+	All   bool   `json:"All,omitempty"`
+	Parts []Word `json:"Parts"`
 }
 
 // Word is one of Words.
@@ -120,7 +120,8 @@
 // (0: it has no claim to the floors of its name).
 type Know struct {
 	Key
-	Seen, Floors uint64
+	Seen   uint64 `json:"Seen"`
+	Floors uint64 `json:"Floors"`
 }
 
 // Item is something that is counted until it is over: the time before a founding (Budget empty), a grant, or a rest of work
@@ -142,19 +143,20 @@
 // Reply is what a steward tells a holder: all that is the holder's by this steward's book. It may come late, repeated and
 // out of order.
 type Reply struct {
-	Fleet string
-	Epoch uint64
+	Fleet string `json:"Fleet"`
+	Epoch uint64 `json:"Epoch"`
 	Key
-	Version uint64           // of the budgets
-	Grants  []Grant          // the newest of each budget
-	Floors  map[string]Floor // by budget, of the holder's name
+	Version uint64           `json:"Version"` // of the budgets
+	Grants  []Grant          `json:"Grants"`  // the newest of each budget
+	Floors  map[string]Floor `json:"Floors"`  // by budget, of the holder's name
 }
 
 // Floor is what a holder has by its name.
 type Floor struct {
-	Kind          Kind
-	Amount, Burst Amount
-	Life          time.Duration
+	Kind   Kind          `json:"Kind"`
+	Amount Amount        `json:"Amount"`
+	Burst  Amount        `json:"Burst"`
+	Life   time.Duration `json:"Life"`
 }
 
 // count is an amount and its burst.
@@ -167,12 +169,12 @@
 // entry is what one process has of a budget.
 type entry struct {
 	Key
-	Grants []Grant // neither acked away nor expired, by token
-	Rest   Amount  // work in hand beyond the acked grant
-	RestBy Token
-	Life   time.Duration // the longest of any unit that may be in hand
-	Seq    uint64        // of the last Ack
-	Ask    uint64        // of the last Grant
+	Grants []Grant       `json:"Grants"` // neither acked away nor expired, by token
+	Rest   Amount        `json:"Rest"`   // work in hand beyond the acked grant
+	RestBy Token         `json:"RestBy"`
+	Life   time.Duration `json:"Life"` // the longest of any unit that may be in hand
+	Seq    uint64        `json:"Seq"`  // of the last Ack
+	Ask    uint64        `json:"Ask"`  // of the last Grant
 }
 
 // all is what the process may still spend: it goes by one grant at a time, and one cannot know by which of these.
@@ -211,8 +213,9 @@
 
 // floorAt is a floor as of a version.
 type floorAt struct {
-	Version       uint64
-	Amount, Burst Amount
+	Version uint64 `json:"Version"`
+	Amount  Amount `json:"Amount"`
+	Burst   Amount `json:"Burst"`
 }
 
 // ledger is all that is out of one budget, whether it is still configured or not.
@@ -728,20 +731,22 @@
 
 // kept is the book in a snapshot.
 type kept struct {
-	Fleet         string
-	Epoch         uint64
-	Drift         float64
-	Longest       time.Duration
-	Past          Token
-	Index, Lift   uint64
-	Version, Seen uint64
-	Config        Fleet
-	Ledgers       map[string]keptLedger
+	Fleet   string                `json:"Fleet"`
+	Epoch   uint64                `json:"Epoch"`
+	Drift   float64               `json:"Drift"`
+	Longest time.Duration         `json:"Longest"`
+	Past    Token                 `json:"Past"`
+	Index   uint64                `json:"Index"`
+	Lift    uint64                `json:"Lift"`
+	Version uint64                `json:"Version"`
+	Seen    uint64                `json:"Seen"`
+	Config  Fleet                 `json:"Config"`
+	Ledgers map[string]keptLedger `json:"Ledgers"`
 }
 
 type keptLedger struct {
-	Entries []*entry
-	Floors  map[string][]floorAt
+	Entries []*entry             `json:"Entries"`
+	Floors  map[string][]floorAt `json:"Floors"`
 }
 
 // Snapshot is the book in JSON; equal books give equal bytes.
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -65,33 +65,33 @@
 
 // Share is what a holder is promised of a budget.
 type Share struct {
-	Min    float64 // units that it has, after a lease at most, whenever it asks for them
-	Cap    float64 // units that it may have at most; 0 is no cap but the whole
-	Weight float64 // of what is over all minimums; 0 counts as 1
+	Min    float64 `json:"Min"`    // units that it has, after a lease at most, whenever it asks for them
+	Cap    float64 `json:"Cap"`    // units that it may have at most; 0 is no cap but the whole
+	Weight float64 `json:"Weight"` // of what is over all minimums; 0 counts as 1
 }
 
 // Budget is one whole that the fleet shares.
 type Budget struct {
-	Name  string
-	Kind  Kind
-	Whole float64 // units a second, or units in hand
+	Name  string  `json:"Name"`
+	Kind  Kind    `json:"Kind"`
+	Whole float64 `json:"Whole"` // units a second, or units in hand
 	// Burst is units that all buckets together may hold; for a Rate only. A holder with less than one unit of it can spend
 	// nothing: it should be the number of holders that draw at once, or more.
-	Burst float64
-	Lease time.Duration // of each grant
-	Life  time.Duration // the longest that a unit is in hand; for InHand only
+	Burst float64       `json:"Burst"`
+	Lease time.Duration `json:"Lease"` // of each grant
+	Life  time.Duration `json:"Life"`  // the longest that a unit is in hand; for InHand only
 
-	Floors  map[string]float64 // units that a holder has by its name, without talk; they are part of the whole
-	Members map[string]Share   // by holder
-	Others  Share              // of each holder that Members does not name; it has no minimum
+	Floors  map[string]float64 `json:"Floors"`  // units that a holder has by its name, without talk; they are part of the whole
+	Members map[string]Share   `json:"Members"` // by holder
+	Others  Share              `json:"Others"`  // of each holder that Members does not name; it has no minimum
 }
 
 // Fleet is all budgets, and what must hold for all grants of an epoch.
 type Fleet struct {
-	ID      string
-	Drift   float64       // the part by which any clock of the fleet may be wrong, such as .001
-	Longest time.Duration // no lease with its life is longer; whoever may have forgotten grants waits that long
-	Budgets []Budget
+	ID      string        `json:"ID"`
+	Drift   float64       `json:"Drift"`   // the part by which any clock of the fleet may be wrong, such as .001
+	Longest time.Duration `json:"Longest"` // no lease with its life is longer; whoever may have forgotten grants waits that long
+	Budgets []Budget      `json:"Budgets"`
 }
 
 const (
@@ -205,7 +205,8 @@
 
 // Token is a fencing token: it grows strictly with the log, and over foundings. The zero token is that of a floor.
 type Token struct {
-	Epoch, Index uint64
+	Epoch uint64 `json:"Epoch"`
+	Index uint64 `json:"Index"`
 }
 
 // Compare is -1, 0 or 1 as t is older than o, the same or newer.
@@ -217,8 +218,8 @@
 
 // Key is whose a grant is: one process (incarnation) of a holder's name. A process that starts anew is another one.
 type Key struct {
-	Holder      string
-	Incarnation uint64
+	Holder      string `json:"Holder"`
+	Incarnation uint64 `json:"Incarnation"`
 }
 
 // Compare orders keys by name, then by incarnation.
--- a/internal/grant/keeper.go
+++ b/internal/grant/keeper.go
@@ -11,23 +11,23 @@
 
 // Request is what a process asks of the stewards. It may come late, repeated and out of order.
 type Request struct {
-	Fleet string
-	Epoch uint64 // the highest that it knows
+	Fleet string `json:"Fleet"`
+	Epoch uint64 `json:"Epoch"` // the highest that it knows
 	Key
-	Seq     uint64 // number of the ask, from 1
-	Seen    uint64 // newest version of the budgets that it saw
-	Floors  uint64 // version of the floors that it goes by; 0 without the claim to them
-	Leaving bool   // it will spend nothing more
-	Wants   []Want
+	Seq     uint64 `json:"Seq"`     // number of the ask, from 1
+	Seen    uint64 `json:"Seen"`    // newest version of the budgets that it saw
+	Floors  uint64 `json:"Floors"`  // version of the floors that it goes by; 0 without the claim to them
+	Leaving bool   `json:"Leaving"` // it will spend nothing more
+	Wants   []Want `json:"Wants"`
 }
 
 // Want is what a process wants of a budget, beyond its floor, and how it stands.
 type Want struct {
-	Budget string
-	Units  Amount // units a second, or in hand
-	Token  Token  // the newest that it took; it will never go by an older one
-	Ended  bool   // nor by that one
-	Held   Amount // in hand now, of grants
+	Budget string `json:"Budget"`
+	Units  Amount `json:"Units"` // units a second, or in hand
+	Token  Token  `json:"Token"` // the newest that it took; it will never go by an older one
+	Ended  bool   `json:"Ended"` // nor by that one
+	Held   Amount `json:"Held"`  // in hand now, of grants
 }
 
 // end is when an item surely is over.
