--- a/internal/grant/frozen_test.go
+++ b/internal/grant/frozen_test.go
@@ -293,10 +293,16 @@
 	}
 }
 
+// codedError is an error as operators and other processes are told it.
+type codedError interface {
+	advice.Error
+	Code() string
+}
+
 func TestFrozenErrorTexts(t *testing.T) {
 	key := Key{Holder: "a", Incarnation: 7}
 	var now strings.Builder
-	for _, err := range []advice.Error{
+	for _, err := range []codedError{
 		BadCommand{Why: "why"}, FloorTaken{Holder: "a"}, GrantEnded{Budget: "r"}, GrantEnded{Budget: "r", Ago: time.Second},
 		NoBudget{Budget: "r"}, NoGrant{Budget: "r"}, NotFounded{},
 		OldBudgets{Have: 1, Seen: 2}, OldEpoch{Got: 1, Have: 2},
@@ -305,7 +311,7 @@
 		OverWhole{Budget: "r", What: "whole", Whole: 3 * Unit, Counted: 2 * Unit, Asked: 1500000}, Spent{Budget: "r"},
 		StillSilent{Longest: time.Second},
 	} {
-		fmt.Fprintf(&now, "%T\n\t%s\n\t%s\n", err, err, err.Advice())
+		fmt.Fprintf(&now, "%s\n\t%s\n\t%s\n", err.Code(), err, err.Advice())
 	}
 	if kept := string(frozen(t, frozenErrors, []byte(now.String()))); kept != now.String() {
 		t.Errorf("errors now say\n%s\nand said\n%s", now.String(), kept)
