--- a/decision/config.go
+++ b/decision/config.go
@@ -12,7 +12,8 @@
 
 func (e *SettingError) Error() string { return e.Field + ": " + e.Reason }
 
-// Check looks for settings that can't be served: without a class, an attempt or a proxy nothing can be; a class
+// Check looks for settings that can't be served: without a class, an attempt or a proxy nothing
+// can be; a class
 // whose time is over at once has no answer; and what the rules are counted by must be a figure. All else is
 // served, brought to its range if need be. The error is a *SettingError, or nil.
 func (c *Config) Check() error {
@@ -74,7 +75,8 @@
 	usualFall   = time.Second         // where no span is told in which a cold backend falls
 )
 
-// Bounded gives the settings with what only weighs brought to its range, and with no span so long that sums of
+// Bounded gives the settings with what only weighs brought to its range, and with no span so long
+// that sums of
 // it would overflow. It shares nothing with these.
 func (c *Config) Bounded() Config {
 	m := *c
--- a/decision/limits_test.go
+++ b/decision/limits_test.go
@@ -27,7 +27,7 @@
 			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			if w := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); w > 120 {
+			if w := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); w > 110 {
 				t.Errorf("%s, line %d is %d characters wide", file, n+1, w)
 			}
 		}
--- a/decision/memory.go
+++ b/decision/memory.go
@@ -2,9 +2,12 @@
 
 import "time"
 
-// Memory is what a Balancer has learned, for one that starts in its place. Times are of the caller's clock, which
-// must go on over the restart. It holds no request: what was in hand is lost with the process. Of all that is learned
-// it holds what was seen to help: delays and limits of single backends, tails, tallies and means make the next one
+// Memory is what a Balancer has learned, for one that starts in its place. Times are of the
+// caller's clock, which
+// must go on over the restart. It holds no request: what was in hand is lost with the process. Of
+// all that is learned
+// it holds what was seen to help: delays and limits of single backends, tails, tallies and means
+// make the next one
 // refuse by how it was before the crowd that waits for it came together.
 type Memory struct {
 	At       time.Duration  `json:"at"`    // when it was taken
--- a/decision/state.go
+++ b/decision/state.go
@@ -178,7 +178,8 @@
 	a.waitFrom(a.sent)
 }
 
-// waitFrom notes that an answer is waited for from now on. A body that is still on its way says nothing of how
+// waitFrom notes that an answer is waited for from now on. A body that is still on its way says
+// nothing of how
 // fast the backend answers, and is no load there yet: the backend begins with its last byte.
 func (a *attempt) waitFrom(now time.Duration) {
 	t := a.to
@@ -260,8 +261,10 @@
 	}
 }
 
-// findMedian sets what is usual: each class's tail, and the medians: of all, and of the own zone's and the others'
-// apart. Danger: in a short zone, one elsewhere that is taken to be as slow as those would get no request, and never
+// findMedian sets what is usual: each class's tail, and the medians: of all, and of the own zone's
+// and the others'
+// apart. Danger: in a short zone, one elsewhere that is taken to be as slow as those would get no
+// request, and never
 // be known.
 func (b *Balancer) findMedian() {
 	b.ratios = b.ratios[:0]
@@ -291,7 +294,8 @@
 	return 0
 }
 
-// listReady brings those listed ready and not taken out into this proxy's order, each with its size over the mean.
+// listReady brings those listed ready and not taken out into this proxy's order, each with its
+// size over the mean.
 func (b *Balancer) listReady() {
 	b.listed = b.listed[:0]
 	sizes := 0.0
--- a/decision/stats.go
+++ b/decision/stats.go
@@ -122,7 +122,8 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// span is a span of so many ms. Danger: one out of a Duration's range would turn negative, and be due at once.
+// span is a span of so many ms. Danger: one out of a Duration's range would turn negative, and be
+// due at once.
 func span(ms float64) time.Duration {
 	most := millis(longestSpan)
 	return time.Duration(min(max(ms, -most), most) * float64(time.Millisecond))
