--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -93,8 +93,8 @@
 	return list, nil
 }
 
-// discovery makes the calls for the list.
-type discovery struct {
+// discoveryClient makes the calls for the list.
+type discoveryClient struct {
 	addr   string
 	pace   pace
 	log    *slog.Logger
@@ -108,11 +108,11 @@
 	heard  atomic.Bool   // the last call was answered
 }
 
-func newDiscovery(addr string, p pace, log *slog.Logger) *discovery {
+func newDiscovery(addr string, p pace, log *slog.Logger) *discoveryClient {
 	ctx, end := context.WithCancel(context.Background())
 	// Danger: without a bound a connect over a way that was cut waits for the kernel's next try, long after it is whole again.
 	dialer := &net.Dialer{Timeout: p.slack}
-	d := &discovery{addr: addr, pace: p, log: log, ctx: ctx, end: end, hold: func() time.Duration { return p.hold }, dial: dialer.DialContext, late: p.slack, bad: func() {}}
+	d := &discoveryClient{addr: addr, pace: p, log: log, ctx: ctx, end: end, hold: func() time.Duration { return p.hold }, dial: dialer.DialContext, late: p.slack, bad: func() {}}
 	d.client = &http.Client{
 		Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			nc, err := d.dial(ctx, network, addr)
@@ -139,10 +139,10 @@
 }
 
 // Addr is the address that is asked.
-func (d *discovery) Addr() string { return d.addr }
+func (d *discoveryClient) Addr() string { return d.addr }
 
 // Fetch asks once for the whole list.
-func (d *discovery) Fetch(ctx context.Context) (List, error) {
+func (d *discoveryClient) Fetch(ctx context.Context) (List, error) {
 	list, err := d.ask(ctx, "")
 	if err == nil && !list.Full {
 		err = errors.New("discovery: changes in place of the whole list")
@@ -166,7 +166,7 @@
 //
 // Danger: a call made while discovery could not be reached may get no answer however long it has been back. So until
 // one has been answered none asks for a wait.
-func (d *discovery) Watch(ctx context.Context, from uint32, tell func(List)) error {
+func (d *discoveryClient) Watch(ctx context.Context, from uint32, tell func(List)) error {
 	idle := time.Duration(0)
 	for {
 		hold, look, began := d.hold(), !d.heard.Load(), time.Now()
@@ -225,7 +225,7 @@
 
 // ask makes a call that asks for no wait. One that is not answered soon may have gone into the void while discovery could not
 // be reached, or discovery is slow: a second and a third are made beside it, and the first answer counts.
-func (d *discovery) ask(ctx context.Context, query string) (List, error) {
+func (d *discoveryClient) ask(ctx context.Context, query string) (List, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type answer struct {
@@ -257,7 +257,7 @@
 	}
 }
 
-func (d *discovery) call(ctx context.Context, query string, wait time.Duration) (_ List, err error) {
+func (d *discoveryClient) call(ctx context.Context, query string, wait time.Duration) (_ List, err error) {
 	outer := ctx
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -330,7 +330,7 @@
 func (e *comeLater) RetryAfter() time.Duration { return e.after }
 
 // Close ends all calls and connections.
-func (d *discovery) Close() {
+func (d *discoveryClient) Close() {
 	d.end()
 	d.client.CloseIdleConnections()
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -42,8 +42,8 @@
 	drainLook = 10 * time.Millisecond
 )
 
-// frontend takes clients' requests and gives each its one answer, by the service that it is routed to.
-type frontend struct {
+// httpFrontend takes clients' requests and gives each its one answer, by the service that it is routed to.
+type httpFrontend struct {
 	services *services
 	cfg      *Config
 	clock    engine.Clock
@@ -59,8 +59,8 @@
 	bodyTimeout, writeTimeout time.Duration
 }
 
-func newFrontend(s *services, cfg *Config, log *slog.Logger, conns *clientConns) *frontend {
-	f := &frontend{services: s, cfg: cfg, clock: engine.NewClock(), log: log, conns: conns, open: map[string]bool{},
+func newFrontend(s *services, cfg *Config, log *slog.Logger, conns *clientConns) *httpFrontend {
+	f := &httpFrontend{services: s, cfg: cfg, clock: engine.NewClock(), log: log, conns: conns, open: map[string]bool{},
 		mostBytes: bodyRoom(cfg), bodyTimeout: bodyTimeout, writeTimeout: writeTimeout}
 	// Danger: the server's ReadTimeout and WriteTimeout go on while a request is in hand. One that waits for
 	// longer than they allow would be taken for gone, or its answer be lost. ServeHTTP sets its own.
@@ -71,7 +71,7 @@
 }
 
 // serve takes connections until drain, or until the listener fails.
-func (f *frontend) serve(listener net.Listener) error {
+func (f *httpFrontend) serve(listener net.Listener) error {
 	err := f.server.Serve(&clientListener{Listener: listener, conns: f.conns})
 	if (errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed)) && f.conns.isDraining() {
 		return nil
@@ -82,7 +82,7 @@
 // drain ends the service in order: answers close their connections from now on; new ones are taken for a
 // while yet, unless a later process takes them from the same socket; then the idle ones are closed, and it waits
 // for what was taken.
-func (f *frontend) drain(listener net.Listener, succeeded bool) {
+func (f *httpFrontend) drain(listener net.Listener, succeeded bool) {
 	began := time.Now()
 	most := min(f.services.longest(), lastCall) + drainRoom
 	f.conns.setDraining(f.clock.Now(), most)
@@ -106,7 +106,7 @@
 	f.server.Close()
 }
 
-func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *httpFrontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	taken := time.Now()
 	guest := f.conns.guest(r)
 	guest.begin()
@@ -212,7 +212,7 @@
 }
 
 // readAhead reads a short body whole. Of a long one it reads what can be held, and has the rest read by an attempt.
-func (f *frontend) readAhead(w http.ResponseWriter, r *http.Request, req *request) error {
+func (f *httpFrontend) readAhead(w http.ResponseWriter, r *http.Request, req *request) error {
 	deadlines := http.NewResponseController(w)
 	began := time.Now()
 	if c, ours := r.Context().Value(connKey{}).(*clientConn); ours {
@@ -274,7 +274,7 @@
 }
 
 // answer gives the client the final answer.
-func (f *frontend) answer(w http.ResponseWriter, req *request, u *upload, a engine.Result) {
+func (f *httpFrontend) answer(w http.ResponseWriter, req *request, u *upload, a engine.Result) {
 	f.closing(w)
 	c := http.NewResponseController(w)
 	if u != nil {
@@ -312,12 +312,12 @@
 }
 
 // turnAway rejects a request whose class is known.
-func (f *frontend) turnAway(w http.ResponseWriter, req *request, err error) {
+func (f *httpFrontend) turnAway(w http.ResponseWriter, req *request, err error) {
 	req.ended(outcomeOf(f.reject(w, err)))
 }
 
 // closing has the connection closed after this answer while the proxy ends, which it tells.
-func (f *frontend) closing(w http.ResponseWriter) bool {
+func (f *httpFrontend) closing(w http.ResponseWriter) bool {
 	draining := f.conns.isDraining()
 	if draining {
 		w.Header().Set("Connection", "close")
@@ -351,7 +351,7 @@
 
 // reject turns a request away at once and closes its connection: what comes behind it can't be trusted. The
 // server would read a body to its end before it writes an error, so it is told not to.
-func (f *frontend) reject(w http.ResponseWriter, err error) int {
+func (f *httpFrontend) reject(w http.ResponseWriter, err error) int {
 	status, after := http.StatusBadRequest, time.Second
 	if r := (*rejection)(nil); errors.As(err, &r) {
 		status, after = r.status, max(after, r.after)
@@ -390,7 +390,7 @@
 }
 
 // enter takes a request in hand, if no other of its id is and there is room for its body.
-func (f *frontend) enter(id string, bytes int64) error {
+func (f *httpFrontend) enter(id string, bytes int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.open[id] {
@@ -405,7 +405,7 @@
 }
 
 // leave ends what enter began.
-func (f *frontend) leave(id string, bytes int64) {
+func (f *httpFrontend) leave(id string, bytes int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.open, id)
@@ -413,7 +413,7 @@
 }
 
 // parse makes a request of a head, or says what is wrong with it. The body is yet to be read.
-func (f *frontend) parse(r *http.Request, svc *service) (*request, error) {
+func (f *httpFrontend) parse(r *http.Request, svc *service) (*request, error) {
 	h := r.Header
 	for _, name := range []string{"X-Request-Id", "X-Priority-Class", "X-Timeout-Ms"} {
 		if len(h[name]) != 1 {
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -51,11 +51,11 @@
 		t.Fatal(err)
 	}
 	s := newStage(t, twoServices, func(c *Config) { c.Fleet = path })
-	client := &http.Client{Transport: &http.Transport{}}
-	defer client.CloseIdleConnections()
+	httpClient := &http.Client{Transport: &http.Transport{}}
+	defer httpClient.CloseIdleConnections()
 	order := func(c policybook.Command) {
 		t.Helper()
-		if err := f.Order(context.Background(), client, c); err != nil {
+		if err := f.Order(context.Background(), httpClient, c); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -76,7 +76,7 @@
 	}
 	asked := func(path string) (status int, body string) { // 503 is the budget, of which nothing is asked for before there is demand
 		for range 300 {
-			if status, body = s.ask(client, "p.example.org", path, "fetch-work", 5000); status != http.StatusServiceUnavailable {
+			if status, body = s.ask(httpClient, "p.example.org", path, "fetch-work", 5000); status != http.StatusServiceUnavailable {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -239,7 +239,7 @@
 	return p.conns.door.Change(file)
 }
 
-func (p *Proxy) serve(ctx context.Context, listener net.Listener) error {
+func (p *Proxy) serve(ctx context.Context, accepting net.Listener) error {
 	if _, err := p.store.Refresh(); err != nil {
 		p.log.Error("what the process before left can't be read", "err", err)
 	}
@@ -249,18 +249,18 @@
 	p.cfg.Module.Caps.MaxOpen = int(openSockets * float64(p.cfg.Sockets))
 	if p.cfg.Admission != "" {
 		if err := p.openDoor(); err != nil {
-			listener.Close()
+			accepting.Close()
 			return fmt.Errorf("settings: %w", err)
 		}
-		listener = p.conns.door.NewListener(listener, p.log)
+		accepting = p.conns.door.NewListener(accepting, p.log)
 	} else {
 		// Danger: net/http rests for up to a second when a descriptor is missing, and all clients wait meanwhile.
-		listener = door.NewListener(listener, p.log, p.conns.evictIdle, func() {})
+		accepting = door.NewListener(accepting, p.log, p.conns.evictIdle, func() {})
 	}
 	if p.cfg.Fleet != "" {
 		end, err := p.joinFleet()
 		if err != nil {
-			listener.Close()
+			accepting.Close()
 			return fmt.Errorf("settings: %w", err)
 		}
 		defer end() // after all that draws on it has ended
@@ -268,7 +268,7 @@
 	if p.cfg.Comeback != "" {
 		f, err := source.Load(p.cfg.Comeback)
 		if err != nil {
-			listener.Close()
+			accepting.Close()
 			return fmt.Errorf("settings: %w", err)
 		}
 		seed := p.cfg.Seed ^ uint64(backendID(p.cfg.Name)) // two proxies of one seed must not ask in step
@@ -281,18 +281,18 @@
 	}
 	if p.cfg.Diameter != "" {
 		if err := p.openDiameter(); err != nil {
-			listener.Close()
+			accepting.Close()
 			return fmt.Errorf("settings: %w", err)
 		}
 	}
 	inner, cancel := context.WithCancel(context.Background())
 	if err := p.services.start(inner, &p.cfg); err != nil {
 		cancel()
-		listener.Close()
+		accepting.Close()
 		return fmt.Errorf("settings: %w", err)
 	}
 	f := newFrontend(p.services, &p.cfg, p.log, p.conns)
-	p.log.Info("serving", "listen", listener.Addr().String(), "backends", len(p.cfg.Known.Members))
+	p.log.Info("serving", "listen", accepting.Addr().String(), "backends", len(p.cfg.Known.Members))
 
 	var running sync.WaitGroup
 	running.Go(func() { p.followPolicy(inner) })
@@ -313,21 +313,21 @@
 	}
 	var err error
 	served := make(chan error, 1)
-	go func() { served <- f.serve(listener) }()
+	go func() { served <- f.serve(accepting) }()
 	p.ready.Store(true)
 	if err := p.store.Serve(); err != nil {
 		p.log.Error("the process before can't be told", "err", err)
 	}
 	select {
 	case err = <-served:
-		listener.Close()
+		accepting.Close()
 	case <-ctx.Done():
 		p.ready.Store(false)
 		var both sync.WaitGroup
 		if p.diameter != nil { // the engines must outlive both
 			both.Go(p.diameter.drain)
 		}
-		f.drain(listener, p.cfg.PassedSocket != "" && p.store.Succeeded())
+		f.drain(accepting, p.cfg.PassedSocket != "" && p.store.Succeeded())
 		both.Wait()
 		err = <-served
 	}
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -617,7 +617,9 @@
 			known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
 			m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c", Aim: time.Second, GiveUp: time.Second}},
 				Obligations: decision.Obligations{DrainGrace: 250 * time.Millisecond}, Caps: decision.Caps{MaxAttempts: 1}}
-			at := func(addr string) *discovery { return newDiscovery(addr, paceFor(&m), slog.New(slog.DiscardHandler)) }
+			at := func(addr string) *discoveryClient {
+				return newDiscovery(addr, paceFor(&m), slog.New(slog.DiscardHandler))
+			}
 			e, err := engine.New(engine.Options{Module: m, Seed: seed, Known: known, Upstream: &learner{}, Source: at(a)})
 			if err != nil {
 				t.Fatal(err)
