--- a/cmd/lapislab/experiment.go
+++ b/cmd/lapislab/experiment.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lapisspread/internal/comeback/source"
+	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/report"
 	"lapisspread/internal/lab/rival"
@@ -222,7 +222,7 @@
 		spec := f.Spec(seed, v.Load)
 		var memory time.Duration
 		if v.Comeback != "" { // there are no lists to doubt and no calls in virtual time
-			c, err := source.Parse(v.Name+": comeback", []byte(v.Comeback))
+			c, err := guardedsource.Parse(v.Name+": comeback", []byte(v.Comeback))
 			if err != nil {
 				return nil, err
 			}
--- a/cmd/lapisspread/comeback.go
+++ b/cmd/lapisspread/comeback.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lapisspread/internal/comeback/source"
+	"lapisspread/internal/discovery/guardedsource"
 )
 
 func comebackCommand() *cobra.Command {
@@ -20,7 +20,7 @@
 		Short: "Tell whether a file of coming back is good and what it comes to, or which line or key is wrong",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := source.Load(args[0])
+			f, err := guardedsource.Load(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/comeback/source/file.go
+++ b/internal/discovery/guardedsource/file.go
@@ -1,4 +1,4 @@
-package source
+package guardedsource
 
 import (
 	"errors"
--- a/internal/comeback/source/source.go
+++ b/internal/discovery/guardedsource/source.go
@@ -1,6 +1,6 @@
-// Package source puts the rules of coming back (package comeback) between a register and those who follow it: calls for the
+// Package guardedsource puts the rules of coming back (package comeback) between a register and those who follow it: calls for the
 // list wait their turn, and a list that suddenly lacks many servers is not believed at once.
-package source
+package guardedsource
 
 import (
 	"context"
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -16,9 +16,9 @@
 
 	"lapisspread/decision"
 	"lapisspread/internal/admission"
-	"lapisspread/internal/comeback/source"
 	"lapisspread/internal/console"
 	"lapisspread/internal/diameter/node"
+	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/durable"
 	"lapisspread/internal/effects/guard"
 	"lapisspread/internal/engine"
@@ -34,7 +34,7 @@
 
 func frozenMemory() learned {
 	return learned{
-		Lists: map[string]source.Held{"10.0.0.1:8500": {At: frozenTime, List: engine.List{Version: 41, Full: true,
+		Lists: map[string]guardedsource.Held{"10.0.0.1:8500": {At: frozenTime, List: engine.List{Version: 41, Full: true,
 			Members: []engine.Member{
 				{ID: "s-1", Addr: "10.0.1.1:80", Zone: "z1", Kind: "large", Cell: 3, State: decision.Ready, Weight: 1.5,
 					Started: frozenTime - time.Hour},
@@ -110,9 +110,9 @@
 	}
 	peers := []node.Status{{Host: "a.example", Addr: "10.0.0.9:3868", State: "open", Well: true, InHand: 1, Outstanding: 2}, {}}
 	comeback := struct {
-		source.Report
+		guardedsource.Report
 		Memory *memoryReport `json:"memory,omitempty"`
-	}{source.Report{Counts: source.Counts{Calls: 1, Failed: 2, Later: 3}, FailedInARow: 4, Doubted: 5, Kept: 6, Back: 7,
+	}{guardedsource.Report{Counts: guardedsource.Counts{Calls: 1, Failed: 2, Later: 3}, FailedInARow: 4, Doubted: 5, Kept: 6, Back: 7,
 		Dropped: 8, Missing: 9}, &memoryReport{Recalled: "yes", AgeS: 1.5, Written: 2, Failed: 3, Why: "disk"}}
 	door := doorReport{Report: admission.Report{Places: 1, Open: 2, Known: 3, Waiting: 4, Bytes: 5, Crowded: 6,
 		Refused: map[string]int64{"full": 7}, Blocks: map[string]int{"10.0.0.0/8": 8},
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lapisspread/decision"
-	"lapisspread/internal/comeback/source"
+	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/durable"
 	"lapisspread/internal/engine"
 )
@@ -19,8 +19,8 @@
 
 // learned is what a process knows that the next one could use.
 type learned struct {
-	Lists    map[string]source.Held     `json:"lists"`    // by the register's address
-	Services map[string]decision.Memory `json:"services"` // by name; the only one has none
+	Lists    map[string]guardedsource.Held `json:"lists"`    // by the register's address
+	Services map[string]decision.Memory    `json:"services"` // by name; the only one has none
 }
 
 // memory keeps what this process has learned, and tells what the one before it had.
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lapisspread/internal/admission"
-	"lapisspread/internal/comeback/source"
+	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/door"
 )
 
@@ -129,7 +129,7 @@
 		return nil, errors.New("the rules of coming back are off: the proxy was started without --comeback")
 	}
 	r := struct {
-		source.Report
+		guardedsource.Report
 		Memory *memoryReport `json:"memory,omitempty"`
 	}{Report: o.comeback.Report()}
 	if o.memory != nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"lapisspread/internal/comeback/source"
 	"lapisspread/internal/console"
+	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/door"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/figures"
@@ -37,7 +37,7 @@
 	fleet    atomic.Pointer[fleetlink.Link]     // nil is no budget beyond this process
 	policies atomic.Pointer[fleetlink.Policies] // nil is no policy beyond the file of services
 	view     atomic.Pointer[fleetview.Link]     // nil weighs nothing
-	comeback *source.Plan                       // nil believes all, and asks at once
+	comeback *guardedsource.Plan                // nil believes all, and asks at once
 	memory   *memory                            // nil remembers nothing
 	ready    atomic.Bool                        // it takes clients
 
@@ -266,13 +266,13 @@
 		defer end() // after all that draws on it has ended
 	}
 	if p.cfg.Comeback != "" {
-		f, err := source.Load(p.cfg.Comeback)
+		f, err := guardedsource.Load(p.cfg.Comeback)
 		if err != nil {
 			accepting.Close()
 			return fmt.Errorf("settings: %w", err)
 		}
 		seed := p.cfg.Seed ^ uint64(backendID(p.cfg.Name)) // two proxies of one seed must not ask in step
-		p.comeback = source.NewPlan(f, max(1, p.cfg.Module.Instances), seed, engine.NewClock().Now, p.log).Within(p.cfg.pace.rest)
+		p.comeback = guardedsource.NewPlan(f, max(1, p.cfg.Module.Instances), seed, engine.NewClock().Now, p.log).Within(p.cfg.pace.rest)
 		if path := p.store.Path("memory"); f.Memory != nil && path != "" {
 			p.memory = openMemory(path, f.Every(), f.Oldest())
 			p.cfg.Known = p.memory.known(p.cfg.Discovery, p.cfg.Known)
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"lapisspread/decision"
-	"lapisspread/internal/comeback/source"
+	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/register"
 )
@@ -278,11 +278,11 @@
 	case "hub":
 		asked = register.NewHubs(p.rest, func(string) engine.Source { return d }).Join(d.addr, known)
 	case "comeback":
-		f, err := source.Parse("comeback.toml", []byte("version = 1\n[calls]\nrate = 4.0\n"))
+		f, err := guardedsource.Parse("comeback.toml", []byte("version = 1\n[calls]\nrate = 4.0\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := source.NewPlan(f, m.Instances, uint64(phase), engine.NewClock().Now, log).Within(p.rest).Wrap("", d, known)
+		w := guardedsource.NewPlan(f, m.Instances, uint64(phase), engine.NewClock().Now, log).Within(p.rest).Wrap("", d, known)
 		d.hold = func() time.Duration { return w.Hold(p.hold) }
 		down += 20 * time.Second // which is how long it holds them
 		asked = w
