--- a/internal/lab/budgets/budgets.go
+++ b/internal/lab/budgets/budgets.go
@@ -2,7 +2,7 @@
 // steward that leads, the log that it agrees on with the others, and the servers that count. It measures what the talk costs,
 // how soon the whole is divided anew, and how much of it is used; and it plays rivals, for the judge's own trial.
 //
-// What it leaves out: elections and lost messages (internal/grant/explore and internal/consensus play these), and the time that
+// What it leaves out: elections and lost messages (internal/quotalease/modelcheck and internal/consensus play these), and the time that
 // a steward computes, unless Settings.Cost says how long that is; it is told beside.
 package budgets
 
--- a/internal/grant/explore/draw.go
+++ b/internal/quotalease/modelcheck/draw.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"cmp"
--- a/internal/grant/explore/world.go
+++ b/internal/quotalease/modelcheck/world.go
@@ -1,9 +1,9 @@
-// Package explore tries the machine of package grant: a small world with a clock for each process that is wrong within the
+// Package modelcheck tries the machine of package grant: a small world with a clock for each process that is wrong within the
 // stated drift, stewards that agree by an abstract Raft (terms, votes, majorities, logs that are cut back), stores that are
 // lost or put back from an older copy, and a network that loses, delays, reorders and repeats. All states of a small world
 // are explored (Explore), long runs of larger ones are drawn (Draw). At every moment it is checked that all that any
 // process may still spend sums to no more than the whole.
-package explore
+package modelcheck
 
 import (
 	"encoding/binary"
