--- a/internal/consensus/node/node.go
+++ b/internal/consensus/node/node.go
@@ -16,7 +16,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"lapisspread/internal/consensus"
-	"lapisspread/internal/consensus/store"
+	"lapisspread/internal/consensus/storage"
 )
 
 // Config of a node. What is 0 takes the default beside it.
@@ -48,7 +48,7 @@
 type Node struct {
 	conf  Config
 	core  *consensus.Core
-	store *store.Store
+	store *storage.Store
 
 	inbox  chan consensus.Message
 	calls  chan func()
@@ -88,7 +88,7 @@
 	if conf.MaxBody < 2*soft {
 		return nil, fmt.Errorf("consensus: max-body: %d is under %d", conf.MaxBody, 2*soft)
 	}
-	st, state, err := store.Open(conf.Store, conf.Fleet, conf.Epoch, conf.ID)
+	st, state, err := storage.Open(conf.Store, conf.Fleet, conf.Epoch, conf.ID)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/consensus/node/node_test.go
+++ b/internal/consensus/node/node_test.go
@@ -22,7 +22,7 @@
 	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/node"
-	"lapisspread/internal/consensus/store"
+	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/tlskeys"
 	"lapisspread/internal/tlskeys/tlstest"
 )
@@ -117,7 +117,7 @@
 		f.members = append(f.members, &member{id: id + 1, path: filepath.Join(dir, fmt.Sprint(id+1))})
 	}
 	for _, m := range f.members {
-		f.must(store.Found(m.path, "f", 1, m.id, []uint64{1, 2, 3}))
+		f.must(storage.Found(m.path, "f", 1, m.id, []uint64{1, 2, 3}))
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		f.must(err)
 		m.address = l.Addr().String()
@@ -332,12 +332,12 @@
 	// It joins anew under a new number, as a learner with an empty store, and is promoted.
 	f.stop(m)
 	f.must(os.Remove(m.path))
-	if err := f.start(m); !errors.As(err, &store.StoreMissing{}) {
+	if err := f.start(m); !errors.As(err, &storage.StoreMissing{}) {
 		t.Errorf("without a store: %v", err)
 	}
 	gone := m.id
 	m.id = 4
-	f.must(store.Join(m.path, "f", 1, 4))
+	f.must(storage.Join(m.path, "f", 1, 4))
 	f.urls[4] = "http://" + m.address
 	delete(f.urls, gone)
 	for _, o := range f.members { // the others read their addresses anew, one after another
@@ -371,7 +371,7 @@
 	m := f.members[1]
 	f.stop(m)
 	f.must(os.Truncate(m.path, 6000))
-	if err := f.start(m); !errors.As(err, &store.StoreDamaged{}) || advice.Of(err) == "" {
+	if err := f.start(m); !errors.As(err, &storage.StoreDamaged{}) || advice.Of(err) == "" {
 		t.Errorf("got %v", err)
 	}
 	f.propose(nil, "b")
--- a/internal/consensus/store/errors.go
+++ b/internal/consensus/storage/errors.go
@@ -1,4 +1,4 @@
-package store
+package storage
 
 import "fmt"
 
--- a/internal/consensus/store/frozen_test.go
+++ b/internal/consensus/storage/frozen_test.go
@@ -1,4 +1,4 @@
-package store_test
+package storage_test
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"lapisspread/internal/consensus"
-	"lapisspread/internal/consensus/store"
+	"lapisspread/internal/consensus/storage"
 )
 
 // The frozen store was written by the code of commit c8fad44 with
@@ -41,7 +41,7 @@
 func (m *joinedText) Restore(snapshot []byte) error { m.text = bytes.Clone(snapshot); return nil }
 
 // runSingle has a fleet of one member propose commands on a store, and closes the store.
-func runSingle(t *testing.T, s *store.Store, state consensus.State, commands ...string) *joinedText {
+func runSingle(t *testing.T, s *storage.Store, state consensus.State, commands ...string) *joinedText {
 	t.Helper()
 	machine := &joinedText{}
 	core, err := consensus.New(consensus.Settings{Fleet: "north", Epoch: 7, ID: 2, Nonce: state.Stamp.Nonce, SilenceTicks: 1, CompactBytes: 150},
@@ -115,15 +115,15 @@
 	if err := os.MkdirAll("testdata", 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := store.Found(frozenStore, "north", 7, 2, []uint64{2}); err != nil {
+	if err := storage.Found(frozenStore, "north", 7, 2, []uint64{2}); err != nil {
 		t.Fatal(err)
 	}
-	s, state, err := store.Open(frozenStore, "north", 7, 2)
+	s, state, err := storage.Open(frozenStore, "north", 7, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	runSingle(t, s, state, frozenCommands()...)
-	if s, state, err = store.Open(frozenStore, "north", 7, 2); err != nil {
+	if s, state, err = storage.Open(frozenStore, "north", 7, 2); err != nil {
 		t.Fatal(err)
 	}
 	b := consensus.Batch{Seq: state.Stamp.Seq + 1, Sync: true, Cut: new(true), Sure: state.Hard.GetCommit(),
@@ -168,7 +168,7 @@
 		value   any
 		decoded any
 	}{
-		{"meta identity", store.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, Store: frozenStoreNumber}, &store.Identity{}},
+		{"meta identity", storage.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, Store: frozenStoreNumber}, &storage.Identity{}},
 		{"meta stamp", consensus.Stamp{Store: frozenStoreNumber, Start: 2, Nonce: frozenNonce, Seq: frozenSeq}, &consensus.Stamp{}},
 		{"peers 0000000000000001", consensus.Stamp{Store: 11, Start: 12, Nonce: 13, Seq: 14}, &consensus.Stamp{}},
 		{"peers 000000000000012c", consensus.Stamp{Store: 21, Start: 22, Nonce: 1 << 63, Seq: 24}, &consensus.Stamp{}},
@@ -238,11 +238,11 @@
 
 func TestGoOnFromFrozenStore(t *testing.T) {
 	path := frozenCopy(t)
-	s, state, err := store.Open(path, "north", 7, 2)
+	s, state, err := storage.Open(path, "north", 7, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Identity() != (store.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, Store: frozenStoreNumber}) {
+	if s.Identity() != (storage.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, Store: frozenStoreNumber}) {
 		t.Errorf("identity %+v", s.Identity())
 	}
 	if state.Stamp.Store != frozenStoreNumber || state.Stamp.Start != 3 || state.Stamp.Seq != frozenSeq {
@@ -254,7 +254,7 @@
 	if want := strings.Join(frozenCommands(), "") + "<one more>" + strings.Repeat("x", 300); string(machine.text) != want {
 		t.Errorf("the machine holds %q", machine.text)
 	}
-	s, after, err := store.Open(path, "north", 7, 2)
+	s, after, err := storage.Open(path, "north", 7, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/storage/store.go
@@ -1,11 +1,11 @@
-// Package store keeps a steward's part of the log on disk, in a bbolt file: pages are copied on write, a batch is one transaction and
+// Package storage keeps a steward's part of the log on disk, in a bbolt file: pages are copied on write, a batch is one transaction and
 // one flush, and a torn write leaves the state before it. bbolt sums its two meta pages alone, so each record has an xxh3 sum
 // of its key and value before it.
 //
 // The log is read once, when the store is opened: it is bounded by the snapshots, and raft reads it from memory. Buckets: "meta" with
 // identity, stamp, hard state, snapshot, how far it has confirmed and whether a silence after a cut goes on; "log" with entries by index
 // (8 bytes, big endian); "peers" with the stamps of others.
-package store
+package storage
 
 import (
 	"crypto/rand"
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/storage/store_test.go
@@ -1,4 +1,4 @@
-package store_test
+package storage_test
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 
 	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
-	"lapisspread/internal/consensus/store"
+	"lapisspread/internal/consensus/storage"
 )
 
 func entry(index, term uint64, data string) *pb.Entry {
@@ -29,7 +29,7 @@
 
 func made(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "log")
-	if err := store.Found(path, "f", 1, 2, []uint64{1, 2, 3}); err != nil {
+	if err := storage.Found(path, "f", 1, 2, []uint64{1, 2, 3}); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -37,7 +37,7 @@
 
 func TestWhatWasWrittenIsThere(t *testing.T) {
 	path := made(t)
-	s, st, err := store.Open(path, "f", 1, 2)
+	s, st, err := storage.Open(path, "f", 1, 2)
 	if err != nil || st.Stamp.Start != 1 || len(st.Snapshot.GetMetadata().GetConfState().GetVoters()) != 3 {
 		t.Fatal(st, err)
 	}
@@ -54,13 +54,13 @@
 			t.Fatal(err)
 		}
 	}
-	if _, _, err := store.Open(path, "f", 1, 2); !errors.As(err, &store.StoreHeld{}) {
+	if _, _, err := storage.Open(path, "f", 1, 2); !errors.As(err, &storage.StoreHeld{}) {
 		t.Errorf("held: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s, got, err := store.Open(path, "f", 1, 2)
+	s, got, err := storage.Open(path, "f", 1, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		k := []byte("identity")
-		v, err := cbor.Marshal(store.Identity{Format: 99, Fleet: "f", Epoch: 1, ID: 2, Store: 1})
+		v, err := cbor.Marshal(storage.Identity{Format: 99, Fleet: "f", Epoch: 1, ID: 2, Store: 1})
 		if err != nil {
 			return err
 		}
@@ -108,13 +108,13 @@
 		id    uint64
 		want  any
 	}{
-		{"another fleet", nil, "g", 1, 2, &store.StoreOfAnotherFleet{}},
-		{"another epoch", nil, "f", 2, 2, &store.StoreOfAnotherFleet{}},
-		{"another steward", nil, "f", 1, 3, &store.StoreOfAnotherNode{}},
-		{"of a newer version", newer, "f", 1, 2, &store.StoreNewer{}},
-		{"gone", os.Remove, "f", 1, 2, &store.StoreMissing{}},
-		{"cut short", func(p string) error { return os.Truncate(p, 5000) }, "f", 1, 2, &store.StoreDamaged{}},
-		{"empty", func(p string) error { return os.Truncate(p, 0) }, "f", 1, 2, &store.StoreDamaged{}},
+		{"another fleet", nil, "g", 1, 2, &storage.StoreOfAnotherFleet{}},
+		{"another epoch", nil, "f", 2, 2, &storage.StoreOfAnotherFleet{}},
+		{"another steward", nil, "f", 1, 3, &storage.StoreOfAnotherNode{}},
+		{"of a newer version", newer, "f", 1, 2, &storage.StoreNewer{}},
+		{"gone", os.Remove, "f", 1, 2, &storage.StoreMissing{}},
+		{"cut short", func(p string) error { return os.Truncate(p, 5000) }, "f", 1, 2, &storage.StoreDamaged{}},
+		{"empty", func(p string) error { return os.Truncate(p, 0) }, "f", 1, 2, &storage.StoreDamaged{}},
 		{"spoilt", func(p string) error {
 			b, err := os.ReadFile(p)
 			if err == nil {
@@ -122,7 +122,7 @@
 				err = os.WriteFile(p, b, 0o600)
 			}
 			return err
-		}, "f", 1, 2, &store.StoreDamaged{}},
+		}, "f", 1, 2, &storage.StoreDamaged{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := made(t)
@@ -131,7 +131,7 @@
 					t.Fatal(err)
 				}
 			}
-			_, _, err := store.Open(path, c.fleet, c.epoch, c.id)
+			_, _, err := storage.Open(path, c.fleet, c.epoch, c.id)
 			if !errors.As(err, c.want) || advice.Of(err) == "" {
 				t.Errorf("got %v, want a %T", err, c.want)
 			}
@@ -153,9 +153,9 @@
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, st, err := store.Open(path, "f", 1, 2)
+		s, st, err := storage.Open(path, "f", 1, 2)
 		if err != nil {
-			if !errors.As(err, &store.StoreDamaged{}) {
+			if !errors.As(err, &storage.StoreDamaged{}) {
 				t.Fatalf("byte %d: %v", at, err)
 			}
 			found++
@@ -175,7 +175,7 @@
 func TestAFullDiskIsATypedError(t *testing.T) {
 	if path := os.Getenv("FULL_DISK_STORE"); path != "" {
 		signal.Ignore(syscall.SIGXFSZ)
-		s, _, err := store.Open(path, "f", 1, 2)
+		s, _, err := storage.Open(path, "f", 1, 2)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -185,7 +185,7 @@
 		for i := range uint64(20) {
 			b := consensus.Batch{Seq: i + 1, Sync: true, Entries: []*pb.Entry{entry(i+2, 1, strings.Repeat("x", 20_000))}}
 			if err := s.Write(&b); err != nil {
-				if !errors.As(err, &store.DiskFull{}) || advice.Of(err) == "" {
+				if !errors.As(err, &storage.DiskFull{}) || advice.Of(err) == "" {
 					t.Errorf("got %v", err)
 				}
 				fmt.Println("refused after", i)
@@ -205,7 +205,7 @@
 	if _, err := fmt.Sscanf(string(said[bytes.Index(said, []byte("refused after")):]), "refused after %d", &n); err != nil {
 		t.Fatal(err)
 	}
-	s, st, err := store.Open(path, "f", 1, 2)
+	s, st, err := storage.Open(path, "f", 1, 2)
 	if err != nil || len(st.Entries) != n || n == 0 {
 		t.Fatalf("after it: %d entries of %d, %v", len(st.Entries), n, err)
 	}
--- a/internal/fleetlink/docs_test.go
+++ b/internal/fleetlink/docs_test.go
@@ -13,7 +13,7 @@
 
 	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
-	"lapisspread/internal/consensus/store"
+	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
@@ -29,7 +29,7 @@
 var told = []advice.Error{
 	consensus.LogContradicts{}, consensus.NotEnoughStewards{}, consensus.NotLeader{}, consensus.OtherFleet{}, consensus.QueueFull{}, consensus.Silent{},
 	consensus.StoreRolledBack{}, consensus.TooLarge{}, consensus.Undecided{},
-	store.DiskFull{}, store.StoreDamaged{}, store.StoreHeld{}, store.StoreMissing{}, store.StoreNewer{}, store.StoreOfAnotherFleet{}, store.StoreOfAnotherNode{},
+	storage.DiskFull{}, storage.StoreDamaged{}, storage.StoreHeld{}, storage.StoreMissing{}, storage.StoreNewer{}, storage.StoreOfAnotherFleet{}, storage.StoreOfAnotherNode{},
 	fleet.BadMessage{}, fleet.UnknownSteward{}, fleet.Unreachable{},
 	fleetlink.DutyDied{}, fleetlink.DutyStuck{}, fleetlink.FloorsNotKept{}, fleetlink.PolicyNotTaken{},
 	fleetview.DutyDied{}, fleetview.DutyStuck{}, fleetview.TooManyRegisters{},
--- a/internal/steward/codes_test.go
+++ b/internal/steward/codes_test.go
@@ -6,7 +6,7 @@
 
 	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
-	"lapisspread/internal/consensus/store"
+	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
@@ -34,13 +34,13 @@
 	{consensus.StoreRolledBack{}, "consensus.StoreRolledBack"},
 	{consensus.TooLarge{}, "consensus.TooLarge"},
 	{consensus.Undecided{}, "consensus.Undecided"},
-	{store.DiskFull{}, "store.DiskFull"},
-	{store.StoreDamaged{}, "store.StoreDamaged"},
-	{store.StoreHeld{}, "store.StoreHeld"},
-	{store.StoreMissing{}, "store.StoreMissing"},
-	{store.StoreNewer{}, "store.StoreNewer"},
-	{store.StoreOfAnotherFleet{}, "store.StoreOfAnotherFleet"},
-	{store.StoreOfAnotherNode{}, "store.StoreOfAnotherNode"},
+	{storage.DiskFull{}, "store.DiskFull"},
+	{storage.StoreDamaged{}, "store.StoreDamaged"},
+	{storage.StoreHeld{}, "store.StoreHeld"},
+	{storage.StoreMissing{}, "store.StoreMissing"},
+	{storage.StoreNewer{}, "store.StoreNewer"},
+	{storage.StoreOfAnotherFleet{}, "store.StoreOfAnotherFleet"},
+	{storage.StoreOfAnotherNode{}, "store.StoreOfAnotherNode"},
 	{fleet.BadMessage{}, "fleet.BadMessage"},
 	{fleet.UnknownSteward{}, "fleet.UnknownSteward"},
 	{fleet.Unreachable{}, "fleet.Unreachable"},
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -25,7 +25,7 @@
 	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/node"
-	"lapisspread/internal/consensus/store"
+	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
 	"lapisspread/internal/tlskeys"
@@ -169,7 +169,7 @@
 	case f.Fleet != s.set.File.Fleet:
 		return grant.OtherFleet{Ours: s.set.File.Fleet, Theirs: f.Fleet}
 	case f.ID != s.own.Number:
-		return store.StoreOfAnotherNode{Path: s.own.Address, ID: s.own.Number}
+		return storage.StoreOfAnotherNode{Path: s.own.Address, ID: s.own.Number}
 	case f.Epoch == 0 || f.Longest <= 0:
 		return grant.BadCommand{Why: fmt.Sprintf("epoch %d, longest %v", f.Epoch, time.Duration(f.Longest))}
 	case last != nil && f.Epoch == last.Epoch && f.Longest == last.Longest && f.Drift == last.Drift:
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	if err := store.Found(s.storePath(f.Epoch), f.Fleet, f.Epoch, f.ID, f.Members); err != nil && !errors.Is(err, os.ErrExist) {
+	if err := storage.Found(s.storePath(f.Epoch), f.Fleet, f.Epoch, f.ID, f.Members); err != nil && !errors.Is(err, os.ErrExist) {
 		return err
 	}
 	text, err := cbor.Marshal(f)
