--- a/internal/diameter/front/front.go
+++ b/internal/diameter/front/front.go
@@ -18,8 +18,8 @@
 	"lapisspread/internal/diameter/claim"
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/effects"
-	"lapisspread/internal/effects/guard"
 	"lapisspread/internal/engine"
+	"lapisspread/internal/idempotency/guard"
 )
 
 // Service is where a request goes, held until Leave.
--- a/internal/diameter/front/front_test.go
+++ b/internal/diameter/front/front_test.go
@@ -16,9 +16,9 @@
 	"lapisspread/internal/diameter/front"
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/effects"
-	"lapisspread/internal/effects/guard"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/engine/enginetest"
+	"lapisspread/internal/idempotency/guard"
 )
 
 const file = `
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -20,9 +20,9 @@
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/durable"
-	"lapisspread/internal/effects/guard"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/figures"
+	"lapisspread/internal/idempotency/guard"
 )
 
 // The files under testdata were written by the program of c8fad44 with
