--- a/internal/idempotency/guard/guard.go
+++ b/internal/idempotency/guard/guard.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"lapisspread/internal/effects"
-	"lapisspread/internal/effects/store"
+	"lapisspread/internal/idempotency/store"
 )
 
 // End says how a request has ended that Do has run.
