--- a/cmd/lapissim/frozen_test.go
+++ b/cmd/simadapter/frozen_test.go
@@ -16,7 +16,7 @@
 var writeFrozen = flag.Bool("write-frozen", false, "write testdata/session-*.in and .out instead of comparing with them")
 
 // frozenSeeds are the seeds of the kept sessions. The files were written by the program of c8fad44 with
-// go test ./cmd/lapissim -run TestFrozenSessions -write-frozen
+// go test ./cmd/simadapter -run TestFrozenSessions -write-frozen
 var frozenSeeds = []uint64{1, 2}
 
 // The adapter's replies to kept batches stay as they are, byte for byte.
--- a/cmd/lapissim/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Lapissim hosts instances of the decision module on the simulator's wire:
+// Simadapter hosts instances of the decision module on the simulator's wire:
 // batches of events on standard input, one reply to each on standard output.
 package main
 
@@ -15,7 +15,7 @@
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "lapissim:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
