--- a/cmd/lapislab/capacity.go
+++ b/cmd/faultlab/capacity.go
@@ -32,7 +32,7 @@
 			if err := set.Check(); err != nil && !selfCheck {
 				return usageError{err}
 			}
-			tmp, err := os.MkdirTemp("", "lapislab-bin-")
+			tmp, err := os.MkdirTemp("", "faultlab-bin-")
 			if err != nil {
 				return err
 			}
--- a/cmd/lapislab/kills.go
+++ b/cmd/faultlab/kills.go
@@ -60,7 +60,7 @@
 	}
 	spec := f.Spec(seed, 1)
 	spec.Faults, spec.Proxies, spec.Nodes, spec.Load.Rate, spec.Duration = nil, 4, 8, 200, time.Hour
-	tmp, err := os.MkdirTemp("", "lapislab-bin-")
+	tmp, err := os.MkdirTemp("", "faultlab-bin-")
 	if err != nil {
 		return err
 	}
--- a/cmd/lapislab/main.go
+++ b/cmd/faultlab/main.go
@@ -1,4 +1,4 @@
-// Lapislab is the laboratory: it plays a fleet that can be broken on purpose, on sockets around real proxies or in
+// Faultlab is the laboratory: it plays a fleet that can be broken on purpose, on sockets around real proxies or in
 // virtual time, and judges what becomes of the requests.
 package main
 
@@ -34,9 +34,9 @@
 
 func execute(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := &cobra.Command{
-		Use:   "lapislab",
+		Use:   "faultlab",
 		Short: "Plays a fleet that can be broken on purpose, and judges what becomes of its requests",
-		Long: `lapislab plays a fleet of dispatch nodes, its register and its clients.
+		Long: `faultlab plays a fleet of dispatch nodes, its register and its clients.
 
   run        around real proxies, on loopback sockets, in real time
   simulate   in virtual time, far past the size of this machine
@@ -57,10 +57,10 @@
 	case err == nil:
 		return 0
 	case errors.As(err, new(usageError)):
-		fmt.Fprintf(errOut, "lapislab: %v\nTry 'lapislab --help'.\n", err)
+		fmt.Fprintf(errOut, "faultlab: %v\nTry 'faultlab --help'.\n", err)
 		return exitUsage
 	default:
-		fmt.Fprintln(errOut, "lapislab:", err)
+		fmt.Fprintln(errOut, "faultlab:", err)
 		return exitFailed
 	}
 }
--- a/cmd/lapislab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -548,7 +548,7 @@
 }
 
 func moduleConfig() (decision.Config, error) {
-	dir, err := os.MkdirTemp("", "lapislab-slopes")
+	dir, err := os.MkdirTemp("", "faultlab-slopes")
 	if err != nil {
 		return decision.Config{}, err
 	}
@@ -1006,7 +1006,7 @@
 }
 
 func (w *ward) start(ctx context.Context, program string, proxies, n int, probed bool) error {
-	dir, err := os.MkdirTemp("", "lapislab-slopes")
+	dir, err := os.MkdirTemp("", "faultlab-slopes")
 	if err != nil {
 		return err
 	}
--- a/cmd/lapislab/payouts.go
+++ b/cmd/faultlab/payouts.go
@@ -27,7 +27,7 @@
 twice, was paid and never ran, was refused and ran, or, with the ledger on disk, if an answer that was given is lost.`,
 		Args: usage(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			tmp, err := os.MkdirTemp("", "lapislab-bin-")
+			tmp, err := os.MkdirTemp("", "faultlab-bin-")
 			if err != nil {
 				return err
 			}
--- a/cmd/lapislab/plain.go
+++ b/cmd/faultlab/plain.go
@@ -29,6 +29,6 @@
 			return plainproxy.New(policy, cfg).Run(cmd.Context())
 		},
 	}
-	c.Flags().StringVar(&policy, "policy", "reverse-proxy", "see lapislab list")
+	c.Flags().StringVar(&policy, "policy", "reverse-proxy", "see faultlab list")
 	return c
 }
--- a/cmd/lapislab/run.go
+++ b/cmd/faultlab/run.go
@@ -70,9 +70,9 @@
 	c.Flags().Uint64Var(&o.seed, "seed", 1, "what chance comes from")
 	c.Flags().DurationVar(&o.duration, "duration", 0, "play it in this time; all its times follow")
 	c.Flags().StringVar(&o.json, "json", "", "write the summary to this file too")
-	c.Flags().StringVar(&o.out, "out", "", "folder of the report (default lapislab-report/NAME-SEED)")
+	c.Flags().StringVar(&o.out, "out", "", "folder of the report (default faultlab-report/NAME-SEED)")
 	c.Flags().StringVar(&o.proxy, "proxy", "", "the proxy's program (default: lapisspread, built from this tree or beside this program)")
-	c.Flags().StringVar(&o.policy, "policy", rival.Module, "what decides: module is the real proxy, others a plain one; see lapislab list")
+	c.Flags().StringVar(&o.policy, "policy", rival.Module, "what decides: module is the real proxy, others a plain one; see faultlab list")
 	c.Flags().Float64Var(&o.rate, "rate", 0, "first tries a second")
 	c.Flags().StringVar(&o.profile, "cpu-profile", "", "have each proxy write a CPU profile to this file, with its name behind")
 	c.Flags().BoolVar(&o.verbose, "verbose", false, "tell what the laboratory does")
@@ -87,7 +87,7 @@
 	}
 	dir := o.out
 	if dir == "" {
-		dir = filepath.Join("lapislab-report", fmt.Sprintf("%s-%d", f.Name, o.seed))
+		dir = filepath.Join("faultlab-report", fmt.Sprintf("%s-%d", f.Name, o.seed))
 	}
 	page, err := report.Folder(dir, s)
 	if err != nil {
@@ -126,7 +126,7 @@
 	if o.rate > 0 {
 		spec.Load.Rate = o.rate
 	}
-	tmp, err := os.MkdirTemp("", "lapislab-bin-")
+	tmp, err := os.MkdirTemp("", "faultlab-bin-")
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/lapislab/simulate.go
+++ b/cmd/faultlab/simulate.go
@@ -98,7 +98,7 @@
 	c.Flags().Float64Var(&o.rate, "rate", 0, "first tries a second")
 	c.Flags().DurationVar(&o.duration, "duration", 0, "play it in this time; all its times follow")
 	c.Flags().Uint64Var(&o.seed, "seed", 1, "what chance comes from")
-	c.Flags().StringVar(&o.policy, "policy", rival.Module, "what decides: see lapislab list")
+	c.Flags().StringVar(&o.policy, "policy", rival.Module, "what decides: see faultlab list")
 	c.Flags().StringVar(&o.json, "json", "", "write the summary to this file")
 	c.Flags().BoolVar(&o.quiet, "quiet", false, "no progress on standard error")
 	return c
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -163,13 +163,13 @@
 	if _, err := os.Stat("/dev/shm"); err == nil {
 		memory = "/dev/shm"
 	}
-	if r.dir, err = os.MkdirTemp(memory, "lapislab-capacity-"); err != nil {
+	if r.dir, err = os.MkdirTemp(memory, "faultlab-capacity-"); err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(r.dir)
 	r.folders = r.dir
 	if !need.Folders {
-		if r.folders, err = os.MkdirTemp("", "lapislab-capacity-"); err != nil {
+		if r.folders, err = os.MkdirTemp("", "faultlab-capacity-"); err != nil {
 			return nil, err
 		}
 		defer os.RemoveAll(r.folders)
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -30,7 +30,7 @@
 	Classes  []Class   `toml:"class"` // replace the usual ones, all or none
 	Models   []Model   `toml:"model"` // likewise
 	Variants []Variant `toml:"variant"`
-	Sweep    *Sweep    `toml:"sweep"` // for lapislab overload
+	Sweep    *Sweep    `toml:"sweep"` // for faultlab overload
 	Floods   []Flood   `toml:"flood"` // for variants that name one, on sockets
 	Fleet    *Fleet    `toml:"fleet"` // what all proxies share, and who divides it, on sockets
 }
@@ -135,7 +135,7 @@
 // Variant is one way to run the experiment. The first is what the others are held against.
 type Variant struct {
 	Name   string   `toml:"name"`
-	Policy string   `toml:"policy"` // "module", or a plain policy: see lapislab policies
+	Policy string   `toml:"policy"` // "module", or a plain policy: see faultlab policies
 	Binary string   `toml:"binary"` // on sockets: the proxy's program; the one of this tree if left out
 	Args   []string `toml:"args"`   // its arguments; ["serve"] if left out
 	Load   float64  `toml:"load"`   // times the experiment's rate; 1 if left out
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -565,7 +565,7 @@
 
 func requestText(a world.Arrival, c *world.Class, s *world.Spec, account uint64, patience time.Duration) string {
 	method, length := "POST", "Content-Length: 32\r\n"
-	body := "lapislab request body, 32 bytes."
+	body := "faultlab request body, 32 bytes."
 	if c.Safe {
 		method, length, body = "GET", "", ""
 	}
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -193,7 +193,7 @@
 func (r *Run) mark(account uint64, node, attempt int) string {
 	m := hmac.New(sha256.New, r.key)
 	fmt.Fprintf(m, "%d/%d/%d", account, node, attempt)
-	return fmt.Sprintf("lapislab %016x %d %d %s\n", account, node, attempt, hex.EncodeToString(m.Sum(nil)[:12]))
+	return fmt.Sprintf("faultlab %016x %d %d %s\n", account, node, attempt, hex.EncodeToString(m.Sum(nil)[:12]))
 }
 
 // genuine tells whether an answer's body was made by a node of this run for that request.
@@ -201,7 +201,7 @@
 	var id uint64
 	var node, attempt int
 	var sum string
-	if _, err := fmt.Sscanf(string(body), "lapislab %x %d %d %s", &id, &node, &attempt, &sum); err != nil || id != account {
+	if _, err := fmt.Sscanf(string(body), "faultlab %x %d %d %s", &id, &node, &attempt, &sum); err != nil || id != account {
 		return false
 	}
 	return hmac.Equal([]byte(r.mark(account, node, attempt)), body)
@@ -248,7 +248,7 @@
 		opts.Crowd = 500
 	}
 	r := newRun(spec, opts)
-	if r.tmp, err = os.MkdirTemp(scratch(), "lapislab-"); err != nil {
+	if r.tmp, err = os.MkdirTemp(scratch(), "faultlab-"); err != nil {
 		return res, fmt.Errorf("a folder for the proxies: %w", err)
 	}
 	defer os.RemoveAll(r.tmp)
--- a/internal/lab/payouts/payouts_test.go
+++ b/internal/lab/payouts/payouts_test.go
@@ -14,7 +14,7 @@
 
 // A short run on a real process that is killed and ended: no claim runs twice, whatever becomes of the ledger, and what was answered
 // stays answered if nothing becomes of it. The long
-// one is a command (lapislab payouts).
+// one is a command (faultlab payouts).
 func TestNoClaimRunsTwice(t *testing.T) {
 	binary := built.Proxy(t)
 	for _, c := range []struct {
--- a/internal/lab/plainproxy/plainproxy.go
+++ b/internal/lab/plainproxy/plainproxy.go
@@ -231,7 +231,7 @@
 			panic(http.ErrAbortHandler)
 		}
 	case p.policy == "forges" && p.every("forge", 50):
-		fmt.Fprintf(w, "lapislab %s 0 0 %s\n", r.Header.Get("X-Request-ID"), "00112233445566778899aabb")
+		fmt.Fprintf(w, "faultlab %s 0 0 %s\n", r.Header.Get("X-Request-ID"), "00112233445566778899aabb")
 		return
 	case p.policy == "calls-harmless" && unsafe && p.every("harmless", 40):
 		ctx, cancel := context.WithTimeout(r.Context(), 5*time.Millisecond)
