--- a/cmd/faultlab/simulate.go
+++ b/cmd/faultlab/simulate.go
@@ -12,13 +12,13 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/experiments"
 	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/report"
 	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
 	"lapisspread/internal/lab/world"
-	"lapisspread/lab"
 )
 
 // named reads an experiment by its name or, if that has a dot or a slash, by its path.
@@ -26,7 +26,7 @@
 	if strings.ContainsAny(name, "./") {
 		return experiment.Load(name)
 	}
-	return lab.Load(name)
+	return experiments.Load(name)
 }
 
 func simulateCommand() *cobra.Command {
@@ -154,8 +154,8 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			fmt.Fprintln(out, "experiments:")
-			for _, n := range lab.Names() {
-				f, err := lab.Load(n)
+			for _, n := range experiments.Names() {
+				f, err := experiments.Load(n)
 				if err != nil {
 					return err
 				}
--- a/lab/lab.go
+++ b/experiments/lab.go
@@ -1,5 +1,5 @@
-// Package lab holds the ready experiments.
-package lab
+// Package experiments holds the ready experiments.
+package experiments
 
 import (
 	"embed"
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
+	"lapisspread/experiments"
 	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
 	"lapisspread/internal/lab/world"
-	"lapisspread/lab"
 )
 
 func play(t *testing.T, spec world.Spec, policy string) sim.Result {
@@ -34,7 +34,7 @@
 }
 
 func TestEqualSeedsGiveEqualBytesOnAnyNumberOfCores(t *testing.T) {
-	f, err := lab.Load("rain-evening")
+	f, err := experiments.Load("rain-evening")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,10 +60,10 @@
 }
 
 func TestTheModuleKeepsTheRulesInAllReadyExperiments(t *testing.T) {
-	for _, name := range lab.Names() {
+	for _, name := range experiments.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, err := lab.Load(name)
+			f, err := experiments.Load(name)
 			if err != nil {
 				t.Fatal(err)
 			}
