--- a/cmd/faultlab/comeback.go
+++ b/cmd/faultlab/comeback.go
@@ -13,10 +13,10 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/report"
-	"lapisspread/internal/lab/world"
 )
 
 // comeback is a run beside its twin.
@@ -117,24 +117,24 @@
 // draw gives a sequence of two to five troubles. None of them is one from which nobody could come back: a share of the nodes is
 // left alone.
 func draw(rng *rand.Rand, sockets bool) []experiment.Fault {
-	kinds := []string{world.KillProxy, world.KillProxy, world.StopProxy, world.RestartStorm, world.AllSlow, world.Hang, world.BlackHole, world.CutOff, world.RegisterStale}
+	kinds := []string{model.KillProxy, model.KillProxy, model.StopProxy, model.RestartStorm, model.AllSlow, model.Hang, model.BlackHole, model.CutOff, model.RegisterStale}
 	if sockets {
-		kinds = append(kinds, world.RegisterBusy, world.StateFolder, world.Link)
+		kinds = append(kinds, model.RegisterBusy, model.StateFolder, model.Link)
 	}
 	var faults []experiment.Fault
 	for range 2 + rng.IntN(4) {
 		f := experiment.Fault{Kind: kinds[rng.IntN(len(kinds))], At: experiment.Span(drawnFrom + time.Duration(rng.Int64N(int64(drawnUntil-drawnFrom)))),
 			For: experiment.Span(500*time.Millisecond + time.Duration(rng.Int64N(int64(3*time.Second)))), Share: 0.1 + 0.2*rng.Float64()}
 		switch f.Kind {
-		case world.KillProxy, world.StopProxy:
+		case model.KillProxy, model.StopProxy:
 			f.Share = 0.3 + 0.7*rng.Float64()
-		case world.RestartStorm:
+		case model.RestartStorm:
 			f.For = 0
-		case world.AllSlow:
+		case model.AllSlow:
 			f.Size = 1.5 + rng.Float64()
-		case world.StateFolder:
-			f.For, f.Do = 0, world.StateTroubles[rng.IntN(len(world.StateTroubles))]
-		case world.Link:
+		case model.StateFolder:
+			f.For, f.Do = 0, model.StateTroubles[rng.IntN(len(model.StateTroubles))]
+		case model.Link:
 			f.Do, f.To = "silence", []string{"register", "node-0,node-1"}[rng.IntN(2)]
 		}
 		faults = append(faults, f)
@@ -166,7 +166,7 @@
 		end := time.Duration(0)
 		for _, ft := range spec.Faults {
 			over := ft.At + ft.For
-			if ft.Kind == world.RestartStorm { // one node after the other, each away for a moment
+			if ft.Kind == model.RestartStorm { // one node after the other, each away for a moment
 				over = ft.At + time.Duration(float64(spec.Nodes)*ft.Share+1)*300*time.Millisecond + time.Second
 			}
 			end = max(end, over)
@@ -176,7 +176,7 @@
 		if r.Back {
 			took = append(took, r.FromStrike/1000)
 		}
-		if !r.Back || r.FromStrike > world.Millis(drawnBack) || r.Broken > 0 {
+		if !r.Back || r.FromStrike > model.Millis(drawnBack) || r.Broken > 0 {
 			late++
 			back := "never back"
 			if r.Back {
@@ -217,7 +217,7 @@
 	out := *f
 	out.Faults = slices.Clone(f.Faults)
 	for i := range out.Faults {
-		if out.Faults[i].Kind == world.KillProxy && share > 0 {
+		if out.Faults[i].Kind == model.KillProxy && share > 0 {
 			out.Faults[i].Share = share
 		}
 	}
@@ -289,15 +289,15 @@
 
 // struck tells when an experiment's first fault begins, and when the last proxy that it kills or stops is there again; where it
 // does neither, when its last fault ends.
-func struck(s *world.Spec) (strike, start time.Duration, err error) {
+func struck(s *model.Spec) (strike, start time.Duration, err error) {
 	if len(s.Faults) == 0 {
 		return 0, 0, errors.New("it has no fault to come back from")
 	}
 	strike = s.Duration
-	ends := func(f world.Fault) bool { return f.Kind == world.KillProxy || f.Kind == world.StopProxy }
+	ends := func(f model.Fault) bool { return f.Kind == model.KillProxy || f.Kind == model.StopProxy }
 	some := slices.ContainsFunc(s.Faults, ends)
 	for _, ft := range s.Faults {
-		if ft.Kind == world.KillProxy && ft.For == 0 {
+		if ft.Kind == model.KillProxy && ft.For == 0 {
 			return 0, 0, fmt.Errorf("%s: for says how long proxies are away; it is missing", ft.Kind)
 		}
 		strike = min(strike, ft.At)
--- a/cmd/faultlab/kills.go
+++ b/cmd/faultlab/kills.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/live"
-	"lapisspread/internal/lab/world"
 )
 
 // killsWithin is how soon a proxy must serve after it was started.
@@ -70,7 +70,7 @@
 		return err
 	}
 	rng := rand.New(rand.NewPCG(seed, 29))
-	troubles := append([]string{""}, world.StateTroubles...)
+	troubles := append([]string{""}, model.StateTroubles...)
 	var took []float64
 	recalled := map[string]int{}
 	var wrong []string
--- a/cmd/faultlab/ledger.go
+++ b/cmd/faultlab/ledger.go
@@ -6,14 +6,14 @@
 	"runtime"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/judge"
-	"lapisspread/internal/lab/world"
 )
 
 // ledgerTrial enters so many requests into a ledger, 10,000 a second, each with an attempt that serves, and tells
 // what that took. It fails if memory grows with their number or if one of them is not accounted for.
 func ledgerTrial(out io.Writer, n int) error {
-	spec := world.Default()
+	spec := model.Default()
 	l := judge.New(judge.Settings{Classes: spec.Classes, Tenants: spec.Tenants, Proxies: 4, Nodes: 100})
 	heap := func() float64 {
 		runtime.GC()
@@ -27,14 +27,14 @@
 		at := time.Duration(i) * 100 * time.Microsecond
 		class := i % len(spec.Classes)
 		c := &spec.Classes[class]
-		a := world.Arrival{At: at, First: at, Class: class, Tenant: i % len(spec.Tenants), Deadline: at + c.GiveUp/2, GiveUp: at + c.GiveUp,
+		a := model.Arrival{At: at, First: at, Class: class, Tenant: i % len(spec.Tenants), Deadline: at + c.GiveUp/2, GiveUp: at + c.GiveUp,
 			Worth: c.Worth, Work: 20}
 		l.Asked(&a)
 		id := l.Take(judge.Try{Proxy: i % 4, Arrival: a})
 		l.Sent(at, id, i%4, i%100, 0)
 		l.Began(at+time.Millisecond, id, i%100, 0)
 		l.Made(id, i%100, 0)
-		l.Answered(at+40*time.Millisecond, id, world.Served, true)
+		l.Answered(at+40*time.Millisecond, id, model.Served, true)
 		if i%20 == 0 {
 			l.Advance(at)
 		}
--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -24,10 +24,10 @@
 	"lapisspread/decision"
 	backrules "lapisspread/internal/comeback"
 	"lapisspread/internal/engine"
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/lab/budgets"
 	"lapisspread/internal/lab/live"
-	"lapisspread/internal/lab/world"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/proxy"
@@ -515,7 +515,7 @@
 
 // settings are a proxy's of a fleet of so many, as the platform tells them.
 func settings(proxies, kinds int, probed bool) (map[string]any, error) {
-	spec := world.Default()
+	spec := model.Default()
 	spec.Proxies = proxies
 	m := live.Settings(&spec, 0)
 	var names []string
--- a/cmd/faultlab/scale.go
+++ b/cmd/faultlab/scale.go
@@ -12,11 +12,11 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/report"
 	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
-	"lapisspread/internal/lab/world"
 )
 
 // scalePoint is one size of world.
@@ -121,7 +121,7 @@
 }
 
 func scaleOne(ctx context.Context, proxies, nodes int, load float64, duration time.Duration) (scalePoint, error) {
-	spec := world.Default()
+	spec := model.Default()
 	spec.Proxies, spec.Nodes, spec.Duration = proxies, nodes, duration
 	spec.Load.Rate = load * spec.Capacity()
 	factory, err := rival.Named(rival.Module)
@@ -144,7 +144,7 @@
 	return point(&spec, res.Verdict, took, float64(mem.HeapAlloc)/(1<<20)), nil
 }
 
-func point(s *world.Spec, v judge.Verdict, took time.Duration, mb float64) scalePoint {
+func point(s *model.Spec, v judge.Verdict, took time.Duration, mb float64) scalePoint {
 	secs := s.Duration.Seconds()
 	perNode := float64(v.Probes) / float64(s.Nodes) / secs
 	speed := 0.0
--- a/cmd/faultlab/simulate.go
+++ b/cmd/faultlab/simulate.go
@@ -13,12 +13,12 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/experiments"
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/report"
 	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
-	"lapisspread/internal/lab/world"
 )
 
 // named reads an experiment by its name or, if that has a dot or a slash, by its path.
@@ -114,7 +114,7 @@
 }
 
 // simulate plays a spec and tells on progress what it costs.
-func simulate(ctx context.Context, name string, spec *world.Spec, policy string, memory time.Duration, progress io.Writer) (*report.Summary, error) {
+func simulate(ctx context.Context, name string, spec *model.Spec, policy string, memory time.Duration, progress io.Writer) (*report.Summary, error) {
 	factory, err := rival.Named(policy)
 	if err != nil {
 		return nil, err
@@ -165,7 +165,7 @@
 			for _, f := range rival.Flaws {
 				fmt.Fprintf(out, "  %-16s %s\n", f.Name, f.About)
 			}
-			fmt.Fprintf(out, "faults:\n  %s\n", strings.Join(world.Kinds(), ", "))
+			fmt.Fprintf(out, "faults:\n  %s\n", strings.Join(model.Kinds(), ", "))
 			return nil
 		},
 	}
--- a/internal/lab/world/cell_test.go
+++ b/internal/faultlab/model/cell_test.go
@@ -1,4 +1,4 @@
-package world
+package model
 
 import (
 	"math/rand/v2"
--- a/internal/lab/world/fault.go
+++ b/internal/faultlab/model/fault.go
@@ -1,4 +1,4 @@
-package world
+package model
 
 import (
 	"cmp"
--- a/internal/lab/world/spec.go
+++ b/internal/faultlab/model/spec.go
@@ -1,10 +1,10 @@
-// Package world models the fleet that a proxy stands in front of: nodes in cells, the register, the network,
+// Package model models the fleet that a proxy stands in front of: nodes in cells, the register, the network,
 // the clients and what goes wrong with them. It does no input or output, starts no goroutine and reads no clock:
 // time is a span since the start of a run, chance comes from seeds. What drives it (in virtual time or on
 // sockets) tells it what arrives and asks it when something next happens.
 //
 // The defaults are the ranges that the operators publish of their own fleet.
-package world
+package model
 
 import (
 	"errors"
--- a/internal/lab/capacity/process.go
+++ b/internal/lab/capacity/process.go
@@ -20,9 +20,9 @@
 	"syscall"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/live"
 	"lapisspread/internal/lab/quiet"
-	"lapisspread/internal/lab/world"
 )
 
 // process is one that a run has started. It ends with this one.
@@ -392,8 +392,8 @@
 }
 
 // newWorld is what the real proxies' settings come from.
-func newWorld() world.Spec {
-	w := world.Default()
+func newWorld() model.Spec {
+	w := model.Default()
 	w.Proxies = 2
 	return w
 }
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"lapisspread/internal/duty"
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/lab/quiet"
-	"lapisspread/internal/lab/world"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
 )
@@ -28,7 +28,7 @@
 type run struct {
 	set       Settings
 	site      *site
-	world     world.Spec
+	world     model.Spec
 	services  []string
 	dir       string
 	folders   string // what hollow proxies keep is in it
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/lab/world"
 	"lapisspread/internal/strict"
 )
 
@@ -310,7 +310,7 @@
 func (f *File) At(load float64, seed uint64) (at *File, rate float64, err error) {
 	s := f.Spec(seed, 1)
 	can := 0.0 // ms of work a second
-	for _, n := range world.Build(&s).Nodes {
+	for _, n := range model.Build(&s).Nodes {
 		if s.Models[n.Model].Name == f.Sweep.Model {
 			can += 1000 * n.Speed * float64(n.Cores)
 		}
@@ -362,8 +362,8 @@
 }
 
 // Spec is the world of a seed, at so many times the file's rate.
-func (f *File) Spec(seed uint64, load float64) world.Spec {
-	s := world.Default()
+func (f *File) Spec(seed uint64, load float64) model.Spec {
+	s := model.Default()
 	s.Seed, s.Duration = seed, time.Duration(f.Duration)
 	w := &f.World
 	if len(w.Zones) > 0 {
@@ -378,8 +378,8 @@
 	if len(f.Classes) > 0 {
 		s.Classes = nil
 		for _, c := range f.Classes {
-			s.Classes = append(s.Classes, world.Class{Name: c.Name, Share: c.Share, Work: world.Range{Lo: c.Work, Hi: c.Work},
-				CV: world.Range{Lo: 0.5, Hi: 0.5}, Wait: world.Range{Lo: c.Wait, Hi: c.Wait}, Aim: time.Duration(c.Aim),
+			s.Classes = append(s.Classes, model.Class{Name: c.Name, Share: c.Share, Work: model.Range{Lo: c.Work, Hi: c.Work},
+				CV: model.Range{Lo: 0.5, Hi: 0.5}, Wait: model.Range{Lo: c.Wait, Hi: c.Wait}, Aim: time.Duration(c.Aim),
 				GiveUp: time.Duration(c.GiveUp), Safe: c.Safe, Worth: c.Worth, Late: c.Late, Host: c.Host})
 		}
 	}
@@ -388,7 +388,7 @@
 		s.Models = nil
 		for _, m := range f.Models {
 			k := usual
-			k.Name, k.Share, k.Speed = m.Name, m.Share, world.Range{Lo: m.Speed, Hi: m.Speed}
+			k.Name, k.Share, k.Speed = m.Name, m.Share, model.Range{Lo: m.Speed, Hi: m.Speed}
 			s.Models = append(s.Models, k)
 		}
 	}
@@ -405,7 +405,7 @@
 		s.Conns.Accepts = w.Accepts
 	}
 	if w.Handshake != 0 {
-		s.Conns.Handshake = world.Range{Lo: w.Handshake, Hi: w.Handshake}
+		s.Conns.Handshake = model.Range{Lo: w.Handshake, Hi: w.Handshake}
 	}
 	if w.Skew != nil {
 		s.Load.Skew = *w.Skew
@@ -414,10 +414,10 @@
 		s.Load.Quota = *w.Quota
 	}
 	for _, p := range f.Curve {
-		s.Load.Curve = append(s.Load.Curve, world.Point{At: time.Duration(p.At), Value: p.Factor})
+		s.Load.Curve = append(s.Load.Curve, model.Point{At: time.Duration(p.At), Value: p.Factor})
 	}
 	for _, t := range f.Faults {
-		s.Faults = append(s.Faults, world.Fault{Kind: t.Kind, At: time.Duration(t.At), For: time.Duration(t.For), Share: t.Share, Size: t.Size,
+		s.Faults = append(s.Faults, model.Fault{Kind: t.Kind, At: time.Duration(t.At), For: time.Duration(t.For), Share: t.Share, Size: t.Size,
 			Class: t.Class, Extra: t.Extra, Zone: t.Zone, Every: time.Duration(t.Every), Model: t.Model,
 			From: t.From, To: t.To, Way: t.Way, Do: t.Do})
 	}
--- a/internal/lab/judge/ledger.go
+++ b/internal/lab/judge/ledger.go
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lapisspread/internal/lab/world"
+	"lapisspread/internal/faultlab/model"
 )
 
 // Rule is one of the four rules, or what is owed to nodes where a client has left.
@@ -44,8 +44,8 @@
 
 // Settings are the figures that the judge goes by.
 type Settings struct {
-	Classes    []world.Class
-	Tenants    []world.Tenant
+	Classes    []model.Class
+	Tenants    []model.Tenant
 	Proxies    int
 	Nodes      int
 	Slack      time.Duration // after the deadline in which an answer still earns
@@ -67,7 +67,7 @@
 // Try is a request as a proxy takes it.
 type Try struct {
 	Proxy   int
-	Arrival world.Arrival
+	Arrival model.Arrival
 }
 
 // unansweredShare is how many requests may meet a new connection that is closed with no answer: one in so many. Those beyond it
@@ -101,7 +101,7 @@
 	attempts []attempt
 	runs     int8
 	answered time.Duration // 0 is not
-	end      world.End
+	end      model.End
 	left     time.Duration // its client has; 0 is not
 	waited   bool          // for its first attempt then
 	closed   bool          // nothing is owed: answered, or the client or its proxy is gone
@@ -153,7 +153,7 @@
 }
 
 type telling struct {
-	listing world.Listing
+	listing model.Listing
 	since   time.Duration // it has been told so; for Leaving and Left, since the first of them
 	known   bool
 	started time.Duration
@@ -227,7 +227,7 @@
 }
 
 // Asked counts a client's first try, whether a proxy takes it or not.
-func (l *Ledger) Asked(a *world.Arrival) {
+func (l *Ledger) Asked(a *model.Arrival) {
 	l.firstTries++
 	l.asked += a.Worth
 	l.second(a.First).asked += a.Worth
@@ -270,15 +270,15 @@
 	return &l.entries[id-l.base]
 }
 
-func (l *Ledger) class(e *entry) *world.Class { return &l.set.Classes[e.Arrival.Class] }
+func (l *Ledger) class(e *entry) *model.Class { return &l.set.Classes[e.Arrival.Class] }
 
 // Told notes what a proxy has been told of a node.
-func (l *Ledger) Told(at time.Duration, proxy, node int, listing world.Listing, started time.Duration) {
+func (l *Ledger) Told(at time.Duration, proxy, node int, listing model.Listing, started time.Duration) {
 	t := &l.told[proxy][node]
 	if started > t.started {
 		t.started, t.startAt = started, at
 	}
-	if t.known && t.listing != world.Active && listing != world.Active {
+	if t.known && t.listing != model.Active && listing != model.Active {
 		t.listing = listing
 		return
 	}
@@ -307,7 +307,7 @@
 	}
 	l.nodes[node].PerSecond[s]++
 	l.second(at).attempts++
-	if t := &l.told[proxy][node]; t.known && t.listing != world.Active && at > t.since+l.set.DrainGrace {
+	if t := &l.told[proxy][node]; t.known && t.listing != model.Active && at > t.since+l.set.DrainGrace {
 		l.breach(Breach{Rule: Drain, What: "a send to a node that drains or is gone", Proxy: proxy, Node: node,
 			Evidence: []string{fmt.Sprintf("told at %v that it is %s", t.since, t.listing),
 				fmt.Sprintf("sent at %v, %v after that; the grace is %v", at, at-t.since, l.set.DrainGrace)}}, at, id, nil)
@@ -359,7 +359,7 @@
 		e.waited = false
 		l.waitedSent++
 		l.lastWaited = Breach{Rule: Departed, What: "too many of those whose client left while they waited were sent on", Proxy: e.Proxy, Node: -1,
-			AtMs: world.Millis(at), Request: fmt.Sprint(id), Class: l.class(e).Name, Evidence: story(firstGrace)}
+			AtMs: model.Millis(at), Request: fmt.Sprint(id), Class: l.class(e).Name, Evidence: story(firstGrace)}
 	}
 }
 
@@ -414,7 +414,7 @@
 
 // Answered notes a final answer, at the time of its last byte. For one that serves, genuine tells whether it is
 // what a node made for this request, as far as its bytes tell; that a node made one at all, the ledger knows.
-func (l *Ledger) Answered(at time.Duration, id uint64, end world.End, genuine bool) {
+func (l *Ledger) Answered(at time.Duration, id uint64, end model.End, genuine bool) {
 	e := l.entry(id)
 	if e == nil {
 		return
@@ -439,7 +439,7 @@
 	c := l.class(e)
 	w := l.second(a.First)
 	switch end {
-	case world.Served:
+	case model.Served:
 		if !genuine || !slices.ContainsFunc(e.attempts, func(a attempt) bool { return a.made }) {
 			l.breach(Breach{Rule: Lost, What: "served what no node made", Proxy: e.Proxy, Node: -1,
 				Evidence: l.story(e, fmt.Sprintf("served at %v", at))}, at, id, e)
@@ -478,7 +478,7 @@
 			l.tenants[a.Tenant].OK++
 		}
 		l.latency[a.Class].RecordValue(int64((at - a.First) / time.Microsecond))
-	case world.Rejected:
+	case model.Rejected:
 		l.refuse(e)
 		if !c.Safe {
 			for i := range e.attempts {
@@ -590,7 +590,7 @@
 	l.unserved(e, at)
 	l.unansweredAll++
 	l.unanswered = append(l.unanswered, Breach{Rule: Lost, What: "a new connection closed with no answer", Proxy: e.Proxy, Node: -1,
-		AtMs: world.Millis(at), Request: fmt.Sprint(id), Class: l.class(e).Name, Evidence: l.story(e, fmt.Sprintf("closed at %v: %s", at, why))})
+		AtMs: model.Millis(at), Request: fmt.Sprint(id), Class: l.class(e).Name, Evidence: l.story(e, fmt.Sprintf("closed at %v: %s", at, why))})
 	if over := len(l.unanswered) - l.set.Keep; over > 0 {
 		l.unanswered = l.unanswered[over:]
 	}
@@ -632,7 +632,7 @@
 const coldShare = 2.0 / 3
 
 // Fell notes that a cold node was pushed over.
-func (l *Ledger) Fell(f world.Fall, node int) {
+func (l *Ledger) Fell(f model.Fall, node int) {
 	if f.Sent <= 0 || f.Told/f.Sent <= coldShare {
 		return
 	}
@@ -686,7 +686,7 @@
 
 // Finish settles all that is open, as if time had passed it.
 func (l *Ledger) Finish() {
-	l.Advance(world.Never - 1)
+	l.Advance(model.Never - 1)
 	l.settleUnanswered()
 	l.settleDeparted()
 }
@@ -699,7 +699,7 @@
 	if l.counts[b.Rule] > l.set.Keep {
 		return
 	}
-	b.AtMs = world.Millis(at)
+	b.AtMs = model.Millis(at)
 	if id > 0 {
 		b.Request = fmt.Sprintf("%d", id)
 	}
@@ -740,9 +740,9 @@
 func (l *Ledger) Forgot(id uint64) bool { return id > 0 && id < l.base }
 
 // Find gives what a client has asked with a request that is still watched.
-func (l *Ledger) Find(id uint64) (world.Arrival, bool) {
+func (l *Ledger) Find(id uint64) (model.Arrival, bool) {
 	if id < l.base || id >= l.base+uint64(len(l.entries)) {
-		return world.Arrival{}, false
+		return model.Arrival{}, false
 	}
 	return l.entries[id-l.base].Arrival, true
 }
--- a/internal/lab/judge/ledger_test.go
+++ b/internal/lab/judge/ledger_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/lab/world"
+	"lapisspread/internal/faultlab/model"
 )
 
 const ms = time.Millisecond
 
 // scene is a ledger with one safe (0) and one unsafe (1) class, two proxies and three nodes.
 func scene() *Ledger {
-	return New(Settings{Proxies: 2, Nodes: 3, Tenants: []world.Tenant{{Name: "t"}}, Classes: []world.Class{
+	return New(Settings{Proxies: 2, Nodes: 3, Tenants: []model.Tenant{{Name: "t"}}, Classes: []model.Class{
 		{Name: "safe", Aim: 100 * ms, GiveUp: time.Second, Safe: true, Worth: 2, Late: 0.5},
 		{Name: "payout", Aim: 100 * ms, GiveUp: time.Second, Worth: 10, Late: 0.25}}})
 }
 
 func ask(l *Ledger, class int, at time.Duration) uint64 {
-	a := world.Arrival{At: at, First: at, Class: class, Deadline: at + 500*ms, GiveUp: at + time.Second, Worth: l.set.Classes[class].Worth, Work: 10}
+	a := model.Arrival{At: at, First: at, Class: class, Deadline: at + 500*ms, GiveUp: at + time.Second, Worth: l.set.Classes[class].Worth, Work: 10}
 	l.Asked(&a)
 	return l.Take(Try{Proxy: 1, Arrival: a})
 }
@@ -30,7 +30,7 @@
 	l.Sent(at, id, 1, 0, 0)
 	l.Began(at, id, 0, 0)
 	l.Made(id, 0, 0)
-	l.Answered(at+20*ms, id, world.Served, true)
+	l.Answered(at+20*ms, id, model.Served, true)
 }
 
 // sendForNobody has attempts begin at that time for so many clients, all of which left at 10 ms while their requests waited.
@@ -79,19 +79,19 @@
 	}{
 		{"served", func(l *Ledger) { serve(l, ask(l, payout, 0), ms) }, nil},
 		{"never answered", func(l *Ledger) { ask(l, safe, 0) }, []Rule{Lost}},
-		{"half a second late", func(l *Ledger) { l.Answered(1000*ms, ask(l, safe, 0), world.Errored, false) }, nil},
-		{"a microsecond more", func(l *Ledger) { l.Answered(1000*ms+time.Microsecond, ask(l, safe, 0), world.Errored, false) }, []Rule{Lost}},
+		{"half a second late", func(l *Ledger) { l.Answered(1000*ms, ask(l, safe, 0), model.Errored, false) }, nil},
+		{"a microsecond more", func(l *Ledger) { l.Answered(1000*ms+time.Microsecond, ask(l, safe, 0), model.Errored, false) }, []Rule{Lost}},
 		{"answered twice", func(l *Ledger) {
 			id := ask(l, safe, 0)
-			l.Answered(ms, id, world.Errored, false)
-			l.Answered(2*ms, id, world.Errored, false)
+			l.Answered(ms, id, model.Errored, false)
+			l.Answered(2*ms, id, model.Errored, false)
 		}, []Rule{Lost}},
-		{"served what no node made", func(l *Ledger) { l.Answered(ms, ask(l, safe, 0), world.Served, true) }, []Rule{Lost}},
+		{"served what no node made", func(l *Ledger) { l.Answered(ms, ask(l, safe, 0), model.Served, true) }, []Rule{Lost}},
 		{"served with another's bytes", func(l *Ledger) {
 			id := ask(l, safe, 0)
 			l.Sent(ms, id, 1, 0, 0)
 			l.Made(id, 0, 0)
-			l.Answered(2*ms, id, world.Served, false)
+			l.Answered(2*ms, id, model.Served, false)
 		}, []Rule{Lost}},
 		{"the client left", func(l *Ledger) { l.Departed(ms, ask(l, safe, 0)) }, nil},
 		{"attempts for three who left, in time", func(l *Ledger) {
@@ -126,14 +126,14 @@
 			serveOn(l, id, 1, 1)
 		}, nil},
 		{"woken, it sends before it reads what it was told while it was stopped", func(l *Ledger) {
-			l.Told(0, 1, 2, world.Leaving, 0)
+			l.Told(0, 1, 2, model.Leaving, 0)
 			l.ProxyStopped(1, true)
 			l.ProxyStopped(1, false)
 			id := ask(l, safe, 2*time.Second)
 			l.Sent(2*time.Second, id, 1, 2, 0)
 			l.Began(2*time.Second, id, 2, 0)
 			l.Made(id, 2, 0)
-			l.Answered(2*time.Second+20*ms, id, world.Served, true)
+			l.Answered(2*time.Second+20*ms, id, model.Served, true)
 		}, []Rule{Drain}},
 		{"a safe one repeated", func(l *Ledger) {
 			id := ask(l, safe, 0)
@@ -149,32 +149,32 @@
 		{"a payout called harmless", func(l *Ledger) {
 			id := ask(l, payout, 0)
 			l.Sent(ms, id, 1, 0, 0)
-			l.Answered(2*ms, id, world.Rejected, false)
+			l.Answered(2*ms, id, model.Rejected, false)
 		}, []Rule{Duplicate}},
-		{"a payout refused unsent", func(l *Ledger) { l.Answered(ms, ask(l, payout, 0), world.Rejected, false) }, nil},
+		{"a payout refused unsent", func(l *Ledger) { l.Answered(ms, ask(l, payout, 0), model.Rejected, false) }, nil},
 		{"a send within the grace", func(l *Ledger) {
-			l.Told(0, 1, 0, world.Leaving, 0)
+			l.Told(0, 1, 0, model.Leaving, 0)
 			serve(l, ask(l, safe, 400*ms), 500*ms)
 		}, nil},
 		{"a send after the grace", func(l *Ledger) {
-			l.Told(0, 1, 0, world.Leaving, 0)
-			l.Told(300*ms, 1, 0, world.Left, 0) // the grace counts from the first word
+			l.Told(0, 1, 0, model.Leaving, 0)
+			l.Told(300*ms, 1, 0, model.Left, 0) // the grace counts from the first word
 			serve(l, ask(l, safe, 400*ms), 501*ms)
 		}, []Rule{Drain}},
 		{"told another proxy", func(l *Ledger) {
-			l.Told(0, 0, 0, world.Leaving, 0)
+			l.Told(0, 0, 0, model.Leaving, 0)
 			serve(l, ask(l, safe, 400*ms), 600*ms)
 		}, nil},
 		{"back in the list", func(l *Ledger) {
-			l.Told(0, 1, 0, world.Left, 0)
-			l.Told(550*ms, 1, 0, world.Active, 500*ms)
+			l.Told(0, 1, 0, model.Left, 0)
+			l.Told(550*ms, 1, 0, model.Active, 500*ms)
 			serve(l, ask(l, safe, 400*ms), 600*ms)
 		}, nil},
 		{"pushed over by those told", func(l *Ledger) {
-			l.Fell(world.Fall{Sent: 90, Told: 70, Bears: 30, ByProxy: map[int32]float64{0: 20, 1: 70}}, 2)
+			l.Fell(model.Fall{Sent: 90, Told: 70, Bears: 30, ByProxy: map[int32]float64{0: 20, 1: 70}}, 2)
 		}, []Rule{Cold}},
 		{"pushed over by those not told", func(l *Ledger) {
-			l.Fell(world.Fall{Sent: 90, Told: 60, Bears: 30, ByProxy: map[int32]float64{1: 90}}, 2) // two thirds, and not more
+			l.Fell(model.Fall{Sent: 90, Told: 60, Bears: 30, ByProxy: map[int32]float64{1: 90}}, 2) // two thirds, and not more
 		}, nil},
 		{"one new connection in 200 without an answer", func(l *Ledger) {
 			for range 199 {
@@ -198,9 +198,9 @@
 			l.Unanswered(2*ms, id, "closed")
 		}, []Rule{Lost}},
 		{"a new process is told anew", func(l *Ledger) {
-			l.Told(0, 1, 0, world.Left, 0)
+			l.Told(0, 1, 0, model.Left, 0)
 			l.Forget(1)
-			l.Told(400*ms, 1, 0, world.Left, 0)
+			l.Told(400*ms, 1, 0, model.Left, 0)
 			serve(l, ask(l, safe, 800*ms), 900*ms)
 		}, nil},
 	} {
@@ -225,15 +225,15 @@
 	l.Sent(3*ms, id, 1, node, attempt)
 	l.Began(3*ms, id, node, attempt)
 	l.Made(id, node, attempt)
-	l.Answered(20*ms, id, world.Served, true)
+	l.Answered(20*ms, id, model.Served, true)
 }
 
 func TestWorth(t *testing.T) {
 	l := scene()
 	serve(l, ask(l, 1, 0), 10*ms)                                               // 10 of 10
 	serve(l, ask(l, 1, 0), 100*ms)                                              // past its aim: 2.5 of 10
-	l.Answered(400*ms, ask(l, 0, 0), world.Rejected, false)                     // 0 of 2, kept back without an attempt
-	l.Answered(15*time.Second, ask(l, 0, 15*time.Second), world.Errored, false) // 0 of 2, in another window, and as good as refused
+	l.Answered(400*ms, ask(l, 0, 0), model.Rejected, false)                     // 0 of 2, kept back without an attempt
+	l.Answered(15*time.Second, ask(l, 0, 15*time.Second), model.Errored, false) // 0 of 2, in another window, and as good as refused
 	serve(l, ask(l, 0, 15*time.Second), 15500*ms)                               // 0 of 2: it ends late, and earns nothing
 	l.Finish()
 	v := l.Verdict(UsualPrices)
--- a/internal/lab/judge/recovery.go
+++ b/internal/lab/judge/recovery.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lapisspread/internal/lab/world"
+	"lapisspread/internal/faultlab/model"
 )
 
 // Full service is this share of what a twin run without the disturbance serves in a second, held for that long.
@@ -52,7 +52,7 @@
 		if held++; held == int(FullFor/Slice) {
 			r.Back = true
 			back := time.Duration(at+1-held) * Slice
-			r.FromStrike, r.FromStart = world.Millis(back-strike), max(0, world.Millis(back-start))
+			r.FromStrike, r.FromStart = model.Millis(back-strike), max(0, model.Millis(back-start))
 			break
 		}
 	}
--- a/internal/lab/kit/comeback_test.go
+++ b/internal/lab/kit/comeback_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/built"
 	"lapisspread/internal/lab/fabric"
 	"lapisspread/internal/lab/live"
-	"lapisspread/internal/lab/world"
 )
 
 func TestMain(m *testing.M) { built.Main(m) }
@@ -68,12 +68,12 @@
 			return again(f)
 		}},
 		{Name: "most are killed while the register is overbooked", Proxies: 5, Play: func(f *live.Fleet) error {
-			f.Do(world.Step{Op: world.OpRegisterBusy, Size: 1, Extra: 0.2, Flag: true})
+			f.Do(model.Step{Op: model.OpRegisterBusy, Size: 1, Extra: 0.2, Flag: true})
 			restart(f, 0, 1, 2, 3)
 			if err := again(f); err != nil {
 				return err
 			}
-			f.Do(world.Step{Op: world.OpRegisterBusy})
+			f.Do(model.Step{Op: model.OpRegisterBusy})
 			return again(f)
 		}},
 		{Name: "killed again while coming back, three times", Play: func(f *live.Fleet) error {
@@ -93,7 +93,7 @@
 		}},
 		{Name: "half return with a list of long ago", Proxies: 4, Play: func(f *live.Fleet) error {
 			f.Remember()
-			f.Nodes(world.OpDrain, 0, 1)
+			f.Nodes(model.OpDrain, 0, 1)
 			if err := f.Service(enough, 0, 1, 2, 3); err != nil {
 				return err
 			}
@@ -132,7 +132,7 @@
 		}},
 		{Name: "a proxy is stopped and wakes with requests in hand", Play: func(f *live.Fleet) error {
 			f.Stop(1)
-			f.Nodes(world.OpDrain, 0)
+			f.Nodes(model.OpDrain, 0)
 			if err := f.Service(4*enough, 0, 2); err != nil {
 				return err
 			}
@@ -140,7 +140,7 @@
 			return again(f)
 		}},
 		{Name: "state folders are gone, spoilt and old", Play: func(f *live.Fleet) error {
-			for _, do := range world.StateTroubles {
+			for _, do := range model.StateTroubles {
 				f.Kill(f.All()...)
 				f.Spoil(do, f.All()...)
 				f.Start(f.All()...)
@@ -167,16 +167,16 @@
 			return nil
 		}},
 		{Name: "what was learned knows of a server that a list of long ago lacks", Fabric: true, Comeback: learns, Play: func(f *live.Fleet) error {
-			f.Nodes(world.OpDrain, 0, 1, 2, 3, 4)
+			f.Nodes(model.OpDrain, 0, 1, 2, 3, 4)
 			if err := f.Service(enough, f.All()...); err != nil {
 				return err
 			}
 			f.Remember() // as if these had left for good
-			f.Nodes(world.OpStart, 0, 1, 2, 3, 4)
+			f.Nodes(model.OpStart, 0, 1, 2, 3, 4)
 			if err := errors.Join(f.Told(0, 1, 2, 3, 4), f.Learned(f.All()...)); err != nil {
 				return err
 			}
-			f.Nodes(world.OpDrain, 5)
+			f.Nodes(model.OpDrain, 5)
 			if err := errors.Join(f.Service(enough, f.All()...), f.Learned(f.All()...)); err != nil {
 				return err
 			}
@@ -188,8 +188,8 @@
 		{Name: "nodes and proxies restart in one moment, all cold", Rate: 30, Play: func(f *live.Fleet) error {
 			nodes := []int{0, 1, 2, 3, 4, 5}
 			f.Kill(f.All()...)
-			f.Nodes(world.OpKill, nodes...)
-			f.Nodes(world.OpStart, nodes...)
+			f.Nodes(model.OpKill, nodes...)
+			f.Nodes(model.OpStart, nodes...)
 			if err := f.Told(nodes...); err != nil {
 				return err
 			}
@@ -198,7 +198,7 @@
 		}},
 		{Name: "cut off from the register as they start, with a list of long ago", Fabric: true, Play: func(f *live.Fleet) error {
 			f.Remember()
-			f.Nodes(world.OpDrain, 0)
+			f.Nodes(model.OpDrain, 0)
 			if err := f.Service(enough, f.All()...); err != nil {
 				return err
 			}
@@ -226,7 +226,7 @@
 			if err := again(f); err != nil { // it never stops serving, and yet a server that is told to leave gets nothing
 				return err
 			}
-			f.Nodes(world.OpDrain, 0)
+			f.Nodes(model.OpDrain, 0)
 			if err := f.Service(4*enough, f.All()...); err != nil {
 				return err
 			}
@@ -245,25 +245,25 @@
 			return again(f)
 		}},
 		{Name: "most restart, and calls wait their turn at an overbooked register", Proxies: 5, Comeback: waits, Play: func(f *live.Fleet) error {
-			f.Do(world.Step{Op: world.OpRegisterBusy, Size: 2, Extra: 0.5, Flag: true})
+			f.Do(model.Step{Op: model.OpRegisterBusy, Size: 2, Extra: 0.5, Flag: true})
 			restart(f, 0, 1, 2, 3)
-			f.Nodes(world.OpDrain, 1)
+			f.Nodes(model.OpDrain, 1)
 			if err := f.Service(4*enough, f.All()...); err != nil {
 				return err
 			}
-			f.Do(world.Step{Op: world.OpRegisterBusy})
+			f.Do(model.Step{Op: model.OpRegisterBusy})
 			return again(f)
 		}},
 		{Name: "watches fall silent while half of the servers are replaced", Nodes: 8, Play: func(f *live.Fleet) error {
 			old, fresh := []int{0, 1, 2, 3}, []int{4, 5, 6, 7}
-			f.Nodes(world.OpKill, fresh...) // not there yet
+			f.Nodes(model.OpKill, fresh...) // not there yet
 			if err := errors.Join(f.Gone(fresh...), f.Silence(f.All()...)); err != nil {
 				return err
 			}
-			f.Nodes(world.OpStart, fresh...)
-			f.Nodes(world.OpDrain, old...)
+			f.Nodes(model.OpStart, fresh...)
+			f.Nodes(model.OpDrain, old...)
 			time.Sleep(time.Second)
-			f.Nodes(world.OpKill, old...)
+			f.Nodes(model.OpKill, old...)
 			return errors.Join(f.Uses(fresh...), f.Whole(enough, f.All()...))
 		}},
 		{Name: "two restart in order, and clients send on all that stays open", Play: func(f *live.Fleet) error {
--- a/internal/lab/kit/fleet_test.go
+++ b/internal/lab/kit/fleet_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
 	"lapisspread/internal/lab/fabric"
 	"lapisspread/internal/lab/live"
-	"lapisspread/internal/lab/world"
 	"lapisspread/internal/strict"
 )
 
@@ -182,11 +182,11 @@
 			f.Start(0, 1, 2, 3)
 			return nil
 		}},
-		{Name: "two processes of one name with a floor", Fleet: floors(), Change: func(s *world.Spec) {
-			s.Faults = []world.Fault{{Kind: world.UpgradeProxy, At: longest - time.Second, Share: .1}} // the sockets are passed on
+		{Name: "two processes of one name with a floor", Fleet: floors(), Change: func(s *model.Spec) {
+			s.Faults = []model.Fault{{Kind: model.UpgradeProxy, At: longest - time.Second, Share: .1}} // the sockets are passed on
 		}, Play: func(f *live.Fleet) error {
 			for range 3 {
-				f.Do(world.Step{Op: world.OpUpgradeProxy, Node: 0})
+				f.Do(model.Step{Op: model.OpUpgradeProxy, Node: 0})
 				if err := f.Service(2*enough, 0, 1, 2); err != nil {
 					return err
 				}
--- a/internal/lab/kit/kit.go
+++ b/internal/lab/kit/kit.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/built"
 	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/live"
-	"lapisspread/internal/lab/world"
 )
 
 // Scenario is one test.
@@ -27,7 +27,7 @@
 
 	Comeback  string // the text of the proxies' file of coming back; none if empty
 	FleetFile string // the text of a fleet's file without stewards; none if empty
-	Change    func(*world.Spec)
+	Change    func(*model.Spec)
 	Play      func(f *live.Fleet) error
 }
 
@@ -41,7 +41,7 @@
 	for i, s := range scenarios {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			spec := world.Default()
+			spec := model.Default()
 			spec.Seed, spec.Duration, spec.Proxies, spec.Nodes, spec.Load.Rate = uint64(i+1), longest, 3, 6, 60
 			if s.Proxies > 0 {
 				spec.Proxies = s.Proxies
--- a/internal/lab/kit/view_test.go
+++ b/internal/lab/kit/view_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"testing"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/fabric"
 	"lapisspread/internal/lab/live"
-	"lapisspread/internal/lab/world"
 )
 
 // doubts is a fleet's file by which some seconds without news are doubt: the machines are believed to change often.
@@ -59,13 +59,13 @@
 			return err
 		}
 		err := during(f, fabric.Rule{To: "register", Trouble: fabric.Trouble{Silent: true}}, func() error {
-			f.Nodes(world.OpKill, 4)
+			f.Nodes(model.OpKill, 4)
 			f.Doubt() // earlier than any proxy's doubt: an answer between the two counts for the proxy
 			if err := f.Levels("doubtful"); err != nil {
 				return err
 			}
 			doubted, sent := f.Now(), 0 // what proxies had in hand by then breaks nothing
-			f.Nodes(world.OpStart, 4)
+			f.Nodes(model.OpStart, 4)
 			f.Pace(1)
 			if err := f.Await("answers that end the doubt about some", func() bool {
 				now := f.Unproved(doubted)
--- a/internal/lab/live/child.go
+++ b/internal/lab/live/child.go
@@ -20,8 +20,8 @@
 	"syscall"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/quiet"
-	"lapisspread/internal/lab/world"
 )
 
 // child is a proxy's place: one process, or two while it is upgraded.
@@ -61,7 +61,7 @@
 
 // startProxies starts all proxies and waits for none.
 func (r *Run) startProxies(ctx context.Context) error {
-	upgrades := slices.ContainsFunc(r.spec.Faults, func(f world.Fault) bool { return f.Kind == world.UpgradeProxy })
+	upgrades := slices.ContainsFunc(r.spec.Faults, func(f model.Fault) bool { return f.Kind == model.UpgradeProxy })
 	for no := range r.spec.Proxies {
 		c := &child{r: r, no: no, state: filepath.Join(r.tmp, fmt.Sprintf("state-%d", no))}
 		if err := os.Mkdir(c.state, 0o700); err != nil {
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -18,8 +18,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/judge"
-	"lapisspread/internal/lab/world"
 )
 
 // front is the front layer and the clients behind it.
@@ -38,7 +38,7 @@
 	endings []*ending       // by proxy: its process was sent SIGTERM; nil is none
 	odd     bool            // whether the last request came on a connection to a process that ends
 	rude    []net.Conn
-	pending world.Queue
+	pending model.Queue
 
 	inHand  sync.WaitGroup
 	open    atomic.Int64
@@ -64,7 +64,7 @@
 // while more.
 func (f *front) ending(no int, succeeded bool) {
 	f.r.mu.Lock()
-	until := f.r.now() + world.NewAfterTerm.DrawMs(f.r.rng)
+	until := f.r.now() + model.NewAfterTerm.DrawMs(f.r.rng)
 	f.r.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -308,7 +308,7 @@
 		}
 		f.mu.Lock()
 		for len(f.pending) > 0 && f.pending[0].At <= now {
-			a := heap.Pop(&f.pending).(world.Arrival)
+			a := heap.Pop(&f.pending).(model.Arrival)
 			f.mu.Unlock()
 			f.spawn(a)
 			f.mu.Lock()
@@ -351,7 +351,7 @@
 	}
 }
 
-func (f *front) spawn(a world.Arrival) {
+func (f *front) spawn(a model.Arrival) {
 	f.inHand.Add(1)
 	f.open.Add(1)
 	go func() {
@@ -362,7 +362,7 @@
 }
 
 // again lets the client try once more, if it would.
-func (f *front) again(a world.Arrival, end world.End, retryAfter time.Duration) {
+func (f *front) again(a model.Arrival, end model.End, retryAfter time.Duration) {
 	f.r.mu.Lock()
 	next, ok := f.r.spec.Retry(f.r.now(), a, end, retryAfter, f.r.rng)
 	f.r.mu.Unlock()
@@ -421,7 +421,7 @@
 var errUnread = errors.New("the connection ended before an answer began")
 
 // try carries out one try of a client and writes down what came of it.
-func (f *front) try(a world.Arrival) {
+func (f *front) try(a model.Arrival) {
 	r := f.r
 	patience := a.Deadline - a.At
 	var err error
@@ -429,7 +429,7 @@
 	if c == nil {
 		var ok bool
 		if proxy, ok = f.route(a.Zone); !ok { // nobody to send it to: it comes again
-			f.again(a, world.Rejected, 0)
+			f.again(a, model.Rejected, 0)
 			return
 		}
 	}
@@ -441,7 +441,7 @@
 				r.ledger.Unanswered(r.now(), r.ledger.Take(judge.Try{Proxy: proxy, Arrival: a}), err.Error())
 				r.mu.Unlock()
 			}
-			f.again(a, world.Rejected, 0)
+			f.again(a, model.Rejected, 0)
 			return
 		}
 	}
@@ -458,7 +458,7 @@
 	var gaveUp atomic.Bool
 	giveUp := time.AfterFunc(patience, func() { // the client's patience ends; the answer is still watched for
 		gaveUp.Store(true)
-		f.again(a, world.TimedOut, 0)
+		f.again(a, model.TimedOut, 0)
 	})
 	defer giveUp.Stop()
 	for fresh := false; ; fresh = true {
@@ -510,7 +510,7 @@
 		f.keep(proxy, c, false)
 		f.broke(account, proxy, now, err, !used && errors.Is(err, errUnread))
 		if giveUp.Stop() {
-			f.again(a, world.Errored, 0)
+			f.again(a, model.Errored, 0)
 		}
 		return
 	}
@@ -537,22 +537,22 @@
 	f.r.ledger.Broke(at, account, err.Error())
 }
 
-func (f *front) answered(account uint64, proxy int, a world.Arrival, at time.Duration, status int, body []byte, header http.Header, gaveUp bool) {
-	end := world.Errored
+func (f *front) answered(account uint64, proxy int, a model.Arrival, at time.Duration, status int, body []byte, header http.Header, gaveUp bool) {
+	end := model.Errored
 	var retryAfter time.Duration
 	switch status {
 	case http.StatusOK:
-		end = world.Served
+		end = model.Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		end = world.Rejected
+		end = model.Rejected
 		if s, err := strconv.ParseFloat(header.Get("Retry-After"), 64); err == nil && s > 0 {
 			retryAfter = time.Duration(min(s, 60) * float64(time.Second))
 		}
 	}
 	f.r.mu.Lock()
-	f.r.ledger.Answered(at, account, end, end == world.Served && f.r.genuine(account, body))
+	f.r.ledger.Answered(at, account, end, end == model.Served && f.r.genuine(account, body))
 	f.r.mu.Unlock()
-	if end == world.Served {
+	if end == model.Served {
 		f.served[proxy].Add(1)
 		f.inRow[proxy].Add(1)
 	} else {
@@ -563,7 +563,7 @@
 	}
 }
 
-func requestText(a world.Arrival, c *world.Class, s *world.Spec, account uint64, patience time.Duration) string {
+func requestText(a model.Arrival, c *model.Class, s *model.Spec, account uint64, patience time.Duration) string {
 	method, length := "POST", "Content-Length: 32\r\n"
 	body := "faultlab request body, 32 bytes."
 	if c.Safe {
--- a/internal/lab/live/drawn.go
+++ b/internal/lab/live/drawn.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/fabric"
-	"lapisspread/internal/lab/world"
 )
 
 // drawnFaults are what Drawn has befall a fleet and its stewards. Each ends what it began, whatever else fails.
@@ -101,7 +101,7 @@
 			f.r.log.Info("a drawn fault begins", "fault", one.name)
 			err := one.do(d)
 			f.r.mu.Lock()
-			f.r.drawn = append(f.r.drawn, world.Fault{Kind: one.name, At: from, For: f.r.now() - from})
+			f.r.drawn = append(f.r.drawn, model.Fault{Kind: one.name, At: from, For: f.r.now() - from})
 			f.r.mu.Unlock()
 			if err != nil && f.ctx.Err() == nil {
 				return fmt.Errorf("%s: %w", one.name, err)
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
 	"lapisspread/internal/lab/judge"
-	"lapisspread/internal/lab/world"
 )
 
 // FleetOptions is what the proxies of a run share, and who divides it.
@@ -83,7 +83,7 @@
 }
 
 // draws tells whether an attempt of a request draws on a budget; 0 is its first.
-func (r *Run) draws(b *fleet.Budget, a *world.Arrival, attempt int) bool {
+func (r *Run) draws(b *fleet.Budget, a *model.Arrival, attempt int) bool {
 	tenant := ""
 	if a.Tenant >= 0 {
 		tenant = r.spec.Tenants[a.Tenant].Name
@@ -93,7 +93,7 @@
 }
 
 // wanted notes a request that its client sends for the first time. r.mu is held.
-func (r *Run) wanted(now time.Duration, a *world.Arrival) {
+func (r *Run) wanted(now time.Duration, a *model.Arrival) {
 	if r.spending == nil {
 		return
 	}
@@ -105,7 +105,7 @@
 }
 
 // admits counts an attempt, unless its token is an older one and the node knows tokens. r.mu is held.
-func (n *node) admits(q incoming, work world.Arrival, attempt int) bool {
+func (n *node) admits(q incoming, work model.Arrival, attempt int) bool {
 	r := n.r
 	if r.spending == nil {
 		return true
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -15,15 +15,15 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/built"
 	"lapisspread/internal/lab/judge"
-	"lapisspread/internal/lab/world"
 )
 
 func TestMain(m *testing.M) { built.Main(m) }
 
-func small() world.Spec {
-	s := world.Default()
+func small() model.Spec {
+	s := model.Default()
 	s.Duration, s.Proxies, s.Nodes, s.Load.Rate = 4*time.Second, 2, 4, 40
 	return s
 }
@@ -41,15 +41,15 @@
 	path := built.Proxy(t)
 	s := small()
 	s.Duration = 8 * time.Second
-	s.Faults = []world.Fault{
-		{Kind: world.Hang, At: time.Second, For: 2 * time.Second, Share: 0.25},
-		{Kind: world.RollingRestart, At: 500 * time.Millisecond, Share: 0.25},
-		{Kind: world.CutOff, At: 3 * time.Second, For: 2 * time.Second, Share: 0.25},
-		{Kind: world.KillProxy, At: 2 * time.Second, Share: 0.1},
-		{Kind: world.MoveRegister, At: 1500 * time.Millisecond},
-		{Kind: world.SilentWatch, At: 2500 * time.Millisecond, Share: 1, For: 3 * time.Second},
-		{Kind: world.UpgradeProxy, At: 5 * time.Second, Share: 0.1},
-		{Kind: world.RestartProxy, At: 5500 * time.Millisecond, Share: 0.1},
+	s.Faults = []model.Fault{
+		{Kind: model.Hang, At: time.Second, For: 2 * time.Second, Share: 0.25},
+		{Kind: model.RollingRestart, At: 500 * time.Millisecond, Share: 0.25},
+		{Kind: model.CutOff, At: 3 * time.Second, For: 2 * time.Second, Share: 0.25},
+		{Kind: model.KillProxy, At: 2 * time.Second, Share: 0.1},
+		{Kind: model.MoveRegister, At: 1500 * time.Millisecond},
+		{Kind: model.SilentWatch, At: 2500 * time.Millisecond, Share: 1, For: 3 * time.Second},
+		{Kind: model.UpgradeProxy, At: 5 * time.Second, Share: 0.1},
+		{Kind: model.RestartProxy, At: 5500 * time.Millisecond, Share: 0.1},
 	}
 	res, err := Play(context.Background(), &s, Options{Binary: path, HalfOpen: 4, Slow: 1})
 	if err != nil {
@@ -78,17 +78,17 @@
 	second := func(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 	s := small()
 	s.Duration = 9 * time.Second
-	s.Faults = []world.Fault{
-		{Kind: world.Link, At: second(0.5), For: second(1), From: "proxy-*", To: "register", Do: "silence"},
-		{Kind: world.Link, At: second(0.5), For: second(2), To: "node-1", Do: "delay", Size: 20, Way: "back"},
-		{Kind: world.Link, At: second(1), From: "proxy-1", Do: "reset"},
-		{Kind: world.CutOff, At: second(1), For: second(1.5), Share: 0.25},
-		{Kind: world.RegisterBusy, At: second(2), For: second(2), Size: 1, Extra: 0.3},
-		{Kind: world.StopProxy, At: second(2.5), For: second(1), Share: 0.5},
-		{Kind: world.RegisterLost, At: second(4), For: second(1), Share: 0.5},
-		{Kind: world.StateFolder, At: second(4.5), Do: "flip"},
-		{Kind: world.KillProxy, At: second(5), Share: 1, For: second(0.5)},
-		{Kind: world.RestartStorm, At: second(6.5), Share: 0.25},
+	s.Faults = []model.Fault{
+		{Kind: model.Link, At: second(0.5), For: second(1), From: "proxy-*", To: "register", Do: "silence"},
+		{Kind: model.Link, At: second(0.5), For: second(2), To: "node-1", Do: "delay", Size: 20, Way: "back"},
+		{Kind: model.Link, At: second(1), From: "proxy-1", Do: "reset"},
+		{Kind: model.CutOff, At: second(1), For: second(1.5), Share: 0.25},
+		{Kind: model.RegisterBusy, At: second(2), For: second(2), Size: 1, Extra: 0.3},
+		{Kind: model.StopProxy, At: second(2.5), For: second(1), Share: 0.5},
+		{Kind: model.RegisterLost, At: second(4), For: second(1), Share: 0.5},
+		{Kind: model.StateFolder, At: second(4.5), Do: "flip"},
+		{Kind: model.KillProxy, At: second(5), Share: 1, For: second(0.5)},
+		{Kind: model.RestartStorm, At: second(6.5), Share: 0.25},
 	}
 	res, err := Play(context.Background(), &s, Options{Binary: path})
 	if err != nil {
@@ -250,7 +250,7 @@
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		r.mu.Lock()
-		a.tell(time.Second, world.News{Node: 2, Listing: world.Leaving})
+		a.tell(time.Second, model.News{Node: 2, Listing: model.Leaving})
 		r.mu.Unlock()
 	}()
 	if _, c := get("?from=100&hold_ms=5000"); c.Reset || len(c.Instances) != 1 || c.Instances[0].Lifecycle != "leaving" {
@@ -300,10 +300,10 @@
 		return locked(func() bool { a.heard(at); return r.ledger.ToldOfStart(1, 2, started) })
 	}
 	locked(func() bool {
-		a.tell(silent+time.Second, world.News{Proxy: 1, Node: 2, Listing: world.Active, Started: time.Second})
+		a.tell(silent+time.Second, model.News{Proxy: 1, Node: 2, Listing: model.Active, Started: time.Second})
 		return true
 	})
-	if told(silent+world.SilenceTold-1, time.Second) || !told(silent+world.SilenceTold, time.Second) {
+	if told(silent+model.SilenceTold-1, time.Second) || !told(silent+model.SilenceTold, time.Second) {
 		t.Error("what a silent watch missed does not count as told when its clock is over")
 	}
 	select {
@@ -312,8 +312,8 @@
 	case <-time.After(2 * hold):
 	}
 	locked(func() bool {
-		a.missed = world.Missed(0, time.Hour) // as by a call that asked for a long wait
-		a.tell(2*time.Second, world.News{Proxy: 1, Node: 2, Listing: world.Active, Started: 2 * time.Second})
+		a.missed = model.Missed(0, time.Hour) // as by a call that asked for a long wait
+		a.tell(2*time.Second, model.News{Proxy: 1, Node: 2, Listing: model.Active, Started: 2 * time.Second})
 		return true
 	})
 	if told(time.Minute, 2*time.Second) {
@@ -340,7 +340,7 @@
 	}
 	locked(func() bool {
 		a.sighup = 2 * time.Minute // told to ask at another address
-		a.tell(time.Minute, world.News{Proxy: 1, Node: 2, Listing: world.Active, Started: 3 * time.Second})
+		a.tell(time.Minute, model.News{Proxy: 1, Node: 2, Listing: model.Active, Started: 3 * time.Second})
 		return true
 	})
 	if told(2*time.Minute-1, 3*time.Second) || !told(2*time.Minute, 3*time.Second) {
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -13,16 +13,16 @@
 	"syscall"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/grant"
 	"lapisspread/internal/lab/fabric"
-	"lapisspread/internal/lab/world"
 )
 
 // node is a stand-in node on sockets: the world's node decides, this carries it out. It listens once for each proxy.
 type node struct {
 	r  *Run
 	no int
-	w  *world.Node
+	w  *model.Node
 
 	mu      sync.Mutex
 	addrs   []*net.TCPAddr // by proxy; their ports stay
@@ -189,7 +189,7 @@
 	r.advance(now)
 	n.w.Conns++
 	r.ledger.Opened(now)
-	cell.Offer(now, n.w, &world.Job{Kind: world.Shaking, Work: n.w.Shake, Proxy: int32(c.proxy), Told: n.told(c.proxy)})
+	cell.Offer(now, n.w, &model.Job{Kind: model.Shaking, Work: n.w.Shake, Proxy: int32(c.proxy), Told: n.told(c.proxy)})
 	r.mu.Unlock()
 	r.kick()
 
@@ -248,7 +248,7 @@
 // answer carries out one request; false ends the connection.
 func (n *node) answer(c *nodeConn, q incoming, gone <-chan struct{}) bool {
 	r := n.r
-	job := &world.Job{Proxy: int32(c.proxy)}
+	job := &model.Job{Proxy: int32(c.proxy)}
 	attempt := 0
 	r.mu.Lock()
 	now := r.now()
@@ -260,7 +260,7 @@
 	var account uint64
 	switch {
 	case q.path == "/ping":
-		job.Kind, job.Work = world.Probing, r.spec.Probe.Draw(r.rng)
+		job.Kind, job.Work = model.Probing, r.spec.Probe.Draw(r.rng)
 		r.ledger.Probed(now, 1)
 	case strings.HasPrefix(q.path, "/_"):
 		r.mu.Unlock()
@@ -310,11 +310,11 @@
 	r.advance(now)
 	cell := r.fleet.Cells[n.w.CellNo]
 	got := cell.Offer(now, n.w, job)
-	var wait chan world.Answer
-	if got == world.Taken {
-		wait = make(chan world.Answer, 1)
+	var wait chan model.Answer
+	if got == model.Taken {
+		wait = make(chan model.Answer, 1)
 		r.waiting[job] = wait
-	} else if job.Kind == world.Request && got == world.TurnedAway {
+	} else if job.Kind == model.Request && got == model.TurnedAway {
 		r.ledger.Proved(account, attempt)
 	}
 	r.mu.Unlock()
@@ -328,11 +328,11 @@
 			r.advance(now)
 			if r.waiting[job] != nil {
 				delete(r.waiting, job)
-				if job.Kind == world.Request && job.Began > 0 {
+				if job.Kind == model.Request && job.Began > 0 {
 					r.ledger.Wasted(job.Work)
 				}
 				cell.Cancel(now, job)
-			} else if job.Kind == world.Request {
+			} else if job.Kind == model.Request {
 				r.ledger.Wasted(job.Work)
 			}
 			r.mu.Unlock()
@@ -342,24 +342,24 @@
 	}
 	r.mu.Lock()
 	cut := n.w.Cut
-	if !cut && got == world.OK { // ahead of the answer: what follows it may come at once
+	if !cut && got == model.OK { // ahead of the answer: what follows it may come at once
 		r.proved[c.proxy][n.no] = n.w.StartedAt
 	}
 	r.mu.Unlock()
-	if cut || got == world.Silence {
+	if cut || got == model.Silence {
 		<-gone
 		return false
 	}
 	switch got {
-	case world.OK:
+	case model.OK:
 		body := "pong\n"
-		if job.Kind == world.Request {
+		if job.Kind == model.Request {
 			body = r.mark(account, n.no, attempt)
 		}
 		return c.write("200 OK", "", body)
-	case world.Failed:
+	case model.Failed:
 		return c.write("500 Internal Server Error", "", "")
-	case world.TurnedAway:
+	case model.TurnedAway:
 		return c.write("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
 	default:
 		c.SetLinger(0)
--- a/internal/lab/live/paths.go
+++ b/internal/lab/live/paths.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/fabric"
-	"lapisspread/internal/lab/world"
 )
 
 // paths are the relays between the processes of a run, if it has any. A nil one is none.
@@ -86,7 +86,7 @@
 }
 
 // apply carries out a step of a fault on links.
-func (p *paths) apply(s world.Step, f world.Fault) error {
+func (p *paths) apply(s model.Step, f model.Fault) error {
 	if !s.Flag {
 		if end := p.ends[s.Node]; end != nil {
 			return end()
@@ -104,7 +104,7 @@
 	rule := fabric.Rule{From: f.From, To: f.To, Way: way}
 	switch f.Do {
 	case "delay":
-		rule.Delay = world.Ms(f.Size)
+		rule.Delay = model.Ms(f.Size)
 	case "rate":
 		rule.Rate = f.Size
 	case "cut":
@@ -141,7 +141,7 @@
 	at           time.Duration
 }
 
-func (c *calls) limit(now time.Duration, s world.Step) {
+func (c *calls) limit(now time.Duration, s model.Step) {
 	*c = calls{}
 	if s.Flag {
 		*c = calls{rate: s.Size, after: s.Extra, at: now}
--- a/internal/lab/live/register.go
+++ b/internal/lab/live/register.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"lapisspread/internal/lab/world"
+	"lapisspread/internal/faultlab/model"
 )
 
 // agent is the register's agent on one proxy's machine. It answers with whatever it has been sent.
@@ -28,7 +28,7 @@
 
 	// Guarded by r.mu. What cannot reach the proxy binds it only once it can.
 	away    bool           // its last call was turned away, or the way to it was cut since it was answered
-	unheard []world.News   // that it could not be told of
+	unheard []model.News   // that it could not be told of
 	watches map[*held]bool // that are open
 	called  time.Duration  // the last call
 	missed  time.Duration  // what came since its watch fell silent counts as told from then on; 0 is at once
@@ -47,7 +47,7 @@
 const sighupTold = 4 * time.Second
 
 type row struct {
-	listing world.Listing
+	listing model.Listing
 	started time.Duration
 	since   int // the version in which it changed last
 	addr    string
@@ -77,8 +77,8 @@
 func newAgent(r *Run, proxy int) (*agent, error) {
 	a := &agent{r: r, proxy: proxy, version: firstVersion, changed: make(chan struct{}), watches: map[*held]bool{}}
 	for i, n := range r.nodes {
-		a.rows = append(a.rows, row{listing: world.Active, since: 1, addr: r.nodeAddr(proxy, n.no)})
-		r.ledger.Told(0, proxy, i, world.Active, 0)
+		a.rows = append(a.rows, row{listing: model.Active, since: 1, addr: r.nodeAddr(proxy, n.no)})
+		r.ledger.Told(0, proxy, i, model.Active, 0)
 	}
 	_, err := a.move()
 	return a, err
@@ -116,7 +116,7 @@
 }
 
 // tell takes news from the register. From now on it counts as told, unless nothing reaches the proxy. r.mu is held.
-func (a *agent) tell(now time.Duration, n world.News) {
+func (a *agent) tell(now time.Duration, n model.News) {
 	a.unheard = append(a.unheard, n)
 	a.heard(now)
 	a.mu.Lock()
@@ -146,7 +146,7 @@
 	a.mu.Lock()
 	for i, w := range a.rows {
 		if !a.hides(i) {
-			a.unheard = append(a.unheard, world.News{Node: i, Listing: w.listing, Started: w.started})
+			a.unheard = append(a.unheard, model.News{Node: i, Listing: w.listing, Started: w.started})
 		}
 	}
 	a.mu.Unlock()
@@ -161,7 +161,7 @@
 			continue
 		}
 		w.silent, w.since, any = true, now, true
-		a.missed = max(a.missed, world.Missed(now, w.over))
+		a.missed = max(a.missed, model.Missed(now, w.over))
 	}
 	return any
 }
@@ -257,7 +257,7 @@
 	defer a.mu.Unlock()
 	c := catalog{Generation: a.version, Reset: full, Instances: []instance{}}
 	for i, w := range a.rows {
-		if full && w.listing == world.Left || !full && w.since <= from {
+		if full && w.listing == model.Left || !full && w.since <= from {
 			continue
 		}
 		if a.hides(i) {
@@ -270,7 +270,7 @@
 	return c, a.changed
 }
 
-func nodeName(n *world.Node) string { return fmt.Sprintf("s-%08x", n.ID) }
+func nodeName(n *model.Node) string { return fmt.Sprintf("s-%08x", n.ID) }
 
 // mostHold is how long a watch may ask to be held.
 const mostHold = time.Minute
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -22,8 +22,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/judge"
-	"lapisspread/internal/lab/world"
 )
 
 // On sockets every limit of the rules is longer by this.
@@ -114,13 +114,13 @@
 // Result is what a run has come to.
 type Result struct {
 	Verdict  judge.Verdict
-	Faults   []world.Step
+	Faults   []model.Step
 	Problems []string // what went wrong beside the rules: a proxy that ended by itself
 	Late     string   // why the machine was too slow for the run to count; empty if it was not
 	Partial  bool
 	Usage    []Usage                // of each proxy
 	Spending *judge.SpendingVerdict // of the budgets of the fleet; nil without
-	Drawn    []world.Fault          // what a script has drawn
+	Drawn    []model.Fault          // what a script has drawn
 }
 
 // Usage is what the processes of a proxy's place have taken of the machine.
@@ -136,7 +136,7 @@
 
 // Run is a world on its way.
 type Run struct {
-	spec  *world.Spec
+	spec  *model.Spec
 	opts  Options
 	log   *slog.Logger
 	base  time.Time    // with the monotonic clock: a step of the machine's clock moves nothing
@@ -144,12 +144,12 @@
 	key   []byte
 
 	mu       sync.Mutex // guards all below
-	fleet    *world.Fleet
+	fleet    *model.Fleet
 	ledger   *judge.Ledger
-	registry *world.Registry
-	gen      *world.Generator
+	registry *model.Registry
+	gen      *model.Generator
 	rng      *mrand.Rand
-	waiting  map[*world.Job]chan world.Answer
+	waiting  map[*model.Job]chan model.Answer
 	tries    map[uint64]int          // attempts that came to nodes, by account
 	sentTo   [][]int                 // attempts, by proxy and node
 	proved   []map[int]time.Duration // by proxy, of nodes that answered it: when the process that did so began
@@ -161,7 +161,7 @@
 	worst     time.Duration
 	last      judge.Verdict
 	spending  *judge.Spending // nil without budgets of the fleet
-	drawn     []world.Fault   // what a script has drawn
+	drawn     []model.Fault   // what a script has drawn
 
 	remembered atomic.Pointer[[]catalog] // the lists that proxies start with, by proxy; nil is the newest
 
@@ -207,9 +207,9 @@
 	return hmac.Equal([]byte(r.mark(account, node, attempt)), body)
 }
 
-func newRun(spec *world.Spec, opts Options) *Run {
-	r := &Run{spec: spec, opts: opts, log: opts.Log, key: make([]byte, 32), fleet: world.Build(spec), registry: world.NewRegistry(spec),
-		gen: world.NewGenerator(spec), rng: spec.Stream(8), waiting: map[*world.Job]chan world.Answer{}, tries: map[uint64]int{},
+func newRun(spec *model.Spec, opts Options) *Run {
+	r := &Run{spec: spec, opts: opts, log: opts.Log, key: make([]byte, 32), fleet: model.Build(spec), registry: model.NewRegistry(spec),
+		gen: model.NewGenerator(spec), rng: spec.Stream(8), waiting: map[*model.Job]chan model.Answer{}, tries: map[uint64]int{},
 		lateness: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2), wake: make(chan struct{}, 1), over: make(chan struct{})}
 	if r.log == nil {
 		r.log = slog.New(slog.DiscardHandler)
@@ -226,7 +226,7 @@
 }
 
 // Play carries out a run. An error says why it could not be; whatever happens, no child, port or file is left.
-func Play(ctx context.Context, spec *world.Spec, opts Options) (res Result, err error) {
+func Play(ctx context.Context, spec *model.Spec, opts Options) (res Result, err error) {
 	if err := spec.Check(); err != nil {
 		return res, err
 	}
@@ -283,7 +283,7 @@
 		c.Rewind()
 	}
 	r.mu.Unlock()
-	steps := world.Plan(spec, r.fleet)
+	steps := model.Plan(spec, r.fleet)
 	front := newFront(r)
 	r.front = front
 	r.running.Go(func() { r.drive(inner, slices.Clone(steps)) })
@@ -383,17 +383,17 @@
 		}
 	}
 	for _, c := range r.fleet.Cells {
-		c.OnBegin = func(at time.Duration, n *world.Node, j *world.Job) {
+		c.OnBegin = func(at time.Duration, n *model.Node, j *model.Job) {
 			r.ledger.Began(at, j.Request, r.number(n), int(j.Attempt))
 		}
-		c.OnFall = func(f world.Fall) {
+		c.OnFall = func(f model.Fall) {
 			no := r.number(f.Node)
 			r.ledger.Fell(f, no)
 			r.log.Info("a cold node was pushed over", "node", no)
 			r.nodes[no].fall()
 		}
 	}
-	if r.opts.Fabric || slices.ContainsFunc(r.spec.Faults, func(f world.Fault) bool { return f.Kind == world.Link }) {
+	if r.opts.Fabric || slices.ContainsFunc(r.spec.Faults, func(f model.Fault) bool { return f.Kind == model.Link }) {
 		var err error
 		if r.paths, err = newPaths(r); err != nil {
 			return err
@@ -412,7 +412,7 @@
 	return nil
 }
 
-func (r *Run) number(n *world.Node) int { return slices.Index(r.fleet.Nodes, n) }
+func (r *Run) number(n *model.Node) int { return slices.Index(r.fleet.Nodes, n) }
 
 func (r *Run) problem(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
@@ -423,7 +423,7 @@
 }
 
 // drive brings the world forward: nodes' work, faults, news. It ends with ctx.
-func (r *Run) drive(ctx context.Context, steps []world.Step) {
+func (r *Run) drive(ctx context.Context, steps []model.Step) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -458,10 +458,10 @@
 
 // advance plays all cells up to now, hands out what has ended and tells when something next does.
 func (r *Run) advance(now time.Duration) time.Duration {
-	next := world.Never
+	next := model.Never
 	for _, c := range r.fleet.Cells {
 		for _, d := range c.Advance(now) {
-			if d.Answer == world.OK && d.Job.Kind == world.Request {
+			if d.Answer == model.OK && d.Job.Kind == model.Request {
 				r.ledger.Made(d.Job.Request, r.number(d.Node), int(d.Job.Attempt))
 			}
 			if ch := r.waiting[d.Job]; ch != nil {
@@ -482,18 +482,18 @@
 	}
 }
 
-func (r *Run) apply(now time.Duration, s world.Step) {
+func (r *Run) apply(now time.Duration, s model.Step) {
 	r.advance(now)
 	switch s.Op {
-	case world.OpRegister:
+	case model.OpRegister:
 		r.registry.Stale(now, !s.Flag)
-	case world.OpHeavy:
+	case model.OpHeavy:
 		share := s.Extra
 		if s.Size == 1 {
 			share = 0
 		}
 		r.gen.Heavy(s.Node, s.Size, share)
-	case world.OpSlow:
+	case model.OpSlow:
 		if s.Node >= 0 {
 			n := r.fleet.Nodes[s.Node]
 			r.fleet.Cells[n.CellNo].Apply(now, n, s)
@@ -502,64 +502,64 @@
 		for _, c := range r.fleet.Cells {
 			c.Apply(now, nil, s)
 		}
-	case world.OpChangeServices:
+	case model.OpChangeServices:
 		for no := range r.proxies {
 			r.running.Go(func() { r.changeServices(no, int(s.Size)) })
 		}
-	case world.OpMoveRegister:
+	case model.OpMoveRegister:
 		for no := range r.proxies {
 			r.running.Go(func() { r.moveRegister(no) })
 		}
-	case world.OpKillProxy:
+	case model.OpKillProxy:
 		away := proxyAway
 		if s.Extra > 0 {
 			away = time.Duration(s.Extra * float64(time.Second))
 		}
 		r.running.Go(func() { r.proxies[s.Node].killAndRestart(away) })
-	case world.OpStopProxy:
+	case model.OpStopProxy:
 		r.ledger.ProxyStopped(s.Node, true)
 		r.proxies[s.Node].signal(syscall.SIGSTOP)
-	case world.OpGoOnProxy:
+	case model.OpGoOnProxy:
 		r.ledger.ProxyStopped(s.Node, false)
 		r.proxies[s.Node].signal(syscall.SIGCONT)
-	case world.OpLink:
+	case model.OpLink:
 		if err := r.paths.apply(s, r.spec.Faults[s.Node]); err != nil {
 			r.problem("fault %d: %v", s.Node, err)
 		}
-	case world.OpRegisterBusy:
+	case model.OpRegisterBusy:
 		r.calls.limit(now, s)
-	case world.OpRegisterLost:
+	case model.OpRegisterLost:
 		for _, a := range r.agents {
 			a.lose(s.Flag, s.Size)
 		}
-	case world.OpSilentWatch:
+	case model.OpSilentWatch:
 		if s.Flag {
 			r.agents[s.Node].silence(now)
 		} else {
 			r.agents[s.Node].speak(now)
 		}
-	case world.OpState:
+	case model.OpState:
 		if err := r.proxies[s.Node].spoil(s.Do); err != nil {
 			r.problem("proxy %d: its state folder: %v", s.Node, err)
 		}
-	case world.OpRestartProxy:
+	case model.OpRestartProxy:
 		r.running.Go(func() { r.proxies[s.Node].restart() })
-	case world.OpUpgradeProxy:
+	case model.OpUpgradeProxy:
 		r.running.Go(func() { r.proxies[s.Node].upgrade() })
 	default:
 		n, w := r.nodes[s.Node], r.fleet.Nodes[s.Node]
 		r.fleet.Cells[w.CellNo].Apply(now, w, s)
 		switch s.Op {
-		case world.OpKill:
+		case model.OpKill:
 			n.kill()
-		case world.OpStart:
+		case model.OpStart:
 			if err := n.listen(); err != nil {
 				r.problem("node %d cannot come back: %v", s.Node, err)
 				return
 			}
-		case world.OpCut:
+		case model.OpCut:
 			n.cutOff()
-		case world.OpUncut:
+		case model.OpUncut:
 			n.reconnect()
 		}
 		r.registry.Step(now, s, w.StartedAt)
@@ -665,9 +665,9 @@
 			g.Cut++
 		case n.Hangs:
 			g.Hanging++
-		case n.Condition == world.Up:
+		case n.Condition == model.Up:
 			g.Up++
-		case n.Condition == world.Draining:
+		case n.Condition == model.Draining:
 			g.Draining++
 		default:
 			g.Down++
--- a/internal/lab/live/script.go
+++ b/internal/lab/live/script.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/fabric"
-	"lapisspread/internal/lab/world"
 )
 
 // Fleet is a run as a script sees it.
@@ -129,7 +129,7 @@
 }
 
 // Do carries out steps of a time line now.
-func (f *Fleet) Do(steps ...world.Step) {
+func (f *Fleet) Do(steps ...model.Step) {
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	for _, s := range steps {
@@ -139,28 +139,28 @@
 }
 
 // Nodes does the same to each of the nodes.
-func (f *Fleet) Nodes(op world.Op, nodes ...int) {
+func (f *Fleet) Nodes(op model.Op, nodes ...int) {
 	for _, n := range nodes {
-		f.Do(world.Step{Op: op, Node: n})
+		f.Do(model.Step{Op: op, Node: n})
 	}
 }
 
 // Stop takes the processor from proxies, GoOn gives it back.
-func (f *Fleet) Stop(proxies ...int) { f.eachProxy(world.OpStopProxy, proxies) }
+func (f *Fleet) Stop(proxies ...int) { f.eachProxy(model.OpStopProxy, proxies) }
 
 // GoOn gives proxies their processor back.
-func (f *Fleet) GoOn(proxies ...int) { f.eachProxy(world.OpGoOnProxy, proxies) }
+func (f *Fleet) GoOn(proxies ...int) { f.eachProxy(model.OpGoOnProxy, proxies) }
 
-func (f *Fleet) eachProxy(op world.Op, proxies []int) {
+func (f *Fleet) eachProxy(op model.Op, proxies []int) {
 	for _, no := range proxies {
-		f.Do(world.Step{Op: op, Node: no})
+		f.Do(model.Step{Op: op, Node: no})
 	}
 }
 
 // Spoil has something befall the state folders of proxies: see world.StateTroubles.
 func (f *Fleet) Spoil(do string, proxies ...int) {
 	for _, no := range proxies {
-		f.Do(world.Step{Op: world.OpState, Node: no, Do: do})
+		f.Do(model.Step{Op: model.OpState, Node: no, Do: do})
 	}
 }
 
@@ -235,7 +235,7 @@
 		return !slices.ContainsFunc(f.r.agents, func(a *agent) bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return slices.ContainsFunc(nodes, func(n int) bool { return a.rows[n].listing != world.Left })
+			return slices.ContainsFunc(nodes, func(n int) bool { return a.rows[n].listing != model.Left })
 		})
 	})
 }
--- a/internal/lab/live/settings.go
+++ b/internal/lab/live/settings.go
@@ -1,19 +1,19 @@
 package live
 
 import (
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/judge"
-	"lapisspread/internal/lab/world"
 )
 
 // Settings are what the platform tells a proxy, in the nested form of its configuration. Times are in milliseconds.
-func Settings(s *world.Spec, proxy int) map[string]any {
+func Settings(s *model.Spec, proxy int) map[string]any {
 	var services, tenants []map[string]any
 	for _, c := range s.Classes {
 		effect := "fragile"
 		if c.Safe {
 			effect = "retryable"
 		}
-		services = append(services, map[string]any{"Name": c.Name, "Aim": world.Millis(c.Aim), "GiveUp": world.Millis(c.GiveUp), "Effect": effect,
+		services = append(services, map[string]any{"Name": c.Name, "Aim": model.Millis(c.Aim), "GiveUp": model.Millis(c.GiveUp), "Effect": effect,
 			"Group": "all", "LateShare": c.Late, "Stream": false, "Value": c.Worth, "Window": 5000.0})
 	}
 	for _, t := range s.Tenants {
@@ -25,17 +25,17 @@
 	}
 	return map[string]any{
 		"Balancers": s.Proxies, "Rank": proxy, "Zone": s.ProxyZone(proxy), "Tick": 2.0, "Discovery": "pushed", "Weights": "nominal",
-		"WorthBy": "request", "OverShareWorth": world.OverWorth, "Family": "proxy", "FailureDomains": s.Zones, "Kinds": kinds,
+		"WorthBy": "request", "OverShareWorth": model.OverWorth, "Family": "proxy", "FailureDomains": s.Zones, "Kinds": kinds,
 		"Services": services, "Tenants": tenants, "Clients": map[string]any{"MarksRetry": true},
 		"Extra": map[string]any{"WarmKeys": false}, "Feedback": map[string]any{"How": "off", "Names": []string{}},
 		"Goal": map[string]any{"Whole": 0.55, "WorstClass": 0.2, "WorstTenant": 0.1, "WorstWindow": 0.15},
 		"Prices": map[string]any{"CrossZone": judge.UsualPrices.CrossZone, "LateFail": judge.UsualPrices.LateFail,
 			"Probe": judge.UsualPrices.Probe, "Waste": judge.UsualPrices.Waste},
-		"Obligations": map[string]any{"AnswerSlack": world.Millis(judge.DefaultSlack), "AskEvery": 10000.0, "Cold": s.Cold.For.Hi,
-			"DrainGrace": world.Millis(judge.DefaultDrainGrace), "Fall": world.Millis(s.Cold.Fall), "FallMultiple": s.Cold.Multiple,
+		"Obligations": map[string]any{"AnswerSlack": model.Millis(judge.DefaultSlack), "AskEvery": 10000.0, "Cold": s.Cold.For.Hi,
+			"DrainGrace": model.Millis(judge.DefaultDrainGrace), "Fall": model.Millis(s.Cold.Fall), "FallMultiple": s.Cold.Multiple,
 			"StartCapacity": s.Cold.From.Lo},
 		"Caps": map[string]any{"Cancel": true, "Probes": true, "RetryAfter": true, "SecondCopies": true, "Peers": false,
-			"ConnIdle": world.Millis(s.Conns.Idle), "ConnectTimeout": world.Millis(s.Conns.ConnectTimeout), "MaxRetryAfter": 1000.0,
+			"ConnIdle": model.Millis(s.Conns.Idle), "ConnectTimeout": model.Millis(s.Conns.ConnectTimeout), "MaxRetryAfter": 1000.0,
 			"MaxAttempts": 3, "StreamsPerConn": 1, "MaxOpen": 20000},
 	}
 }
--- a/internal/lab/live/steward_test.go
+++ b/internal/lab/live/steward_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
 	"lapisspread/internal/lab/built"
 	"lapisspread/internal/lab/fabric"
-	"lapisspread/internal/lab/world"
 	"lapisspread/internal/strict"
 )
 
@@ -141,7 +141,7 @@
 		{"n0;1.5", 0, true}, {"n0;1.7", 0, true}, {"n0;1.7", 0, true}, {"n0;1.6", 0, false}, {"n0;1.9", 1, true}, {"n0;1.8", 0, true},
 		{"n1;1.2", 0, true}, {"n0;1.0", 0, true}, {"n0;2.1", 0, true}, {"n0;1.99", 0, false}, {"", 0, true},
 	} {
-		if got := n.admits(incoming{token: c.token}, world.Arrival{Tenant: -1}, c.attempt); got != c.want {
+		if got := n.admits(incoming{token: c.token}, model.Arrival{Tenant: -1}, c.attempt); got != c.want {
 			t.Errorf("%q, attempt %d: %v", c.token, c.attempt, got)
 		}
 	}
--- a/internal/lab/payouts/payouts.go
+++ b/internal/lab/payouts/payouts.go
@@ -22,10 +22,10 @@
 	"time"
 
 	"lapisspread/internal/diameter"
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/live"
 	"lapisspread/internal/lab/partner"
 	"lapisspread/internal/lab/quiet"
-	"lapisspread/internal/lab/world"
 )
 
 // Plan is what is played.
@@ -300,7 +300,7 @@
 
 // files writes what the proxy reads.
 func (s *stage) files() error {
-	spec := world.Default()
+	spec := model.Default()
 	spec.Proxies = 1
 	listen, spoken := "127.0.0.1:0", s.addr
 	routes := services
--- a/internal/lab/report/summary.go
+++ b/internal/lab/report/summary.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/judge"
-	"lapisspread/internal/lab/world"
 )
 
 // Schema is the version of the summary's form. It rises when a field changes its meaning or goes; new fields may
@@ -72,7 +72,7 @@
 }
 
 // Summarise makes the summary of a run.
-func Summarise(name, driver, policy string, s *world.Spec, v judge.Verdict, steps []world.Step) *Summary {
+func Summarise(name, driver, policy string, s *model.Spec, v judge.Verdict, steps []model.Step) *Summary {
 	sum := &Summary{SchemaVersion: Schema, Name: name, Driver: driver, Policy: policy, Seed: s.Seed, Duration: s.Duration.Seconds(),
 		Proxies: s.Proxies, Nodes: s.Nodes, Rate: s.Load.Rate, Scored: true, Stale: v.ByRule[judge.Drain], Verdict: v, Faults: []Fault{}}
 	strike := s.Duration
@@ -80,7 +80,7 @@
 		strike = min(strike, f.At)
 	}
 	if after, back := judge.RecoverAlone(&v, strike); back && len(s.Faults) > 0 {
-		ms := world.Millis(after)
+		ms := model.Millis(after)
 		sum.ComebackMs = &ms
 	}
 	for _, f := range s.Faults {
@@ -88,7 +88,7 @@
 		if f.For == 0 { // one that ends by itself: as long as it strikes
 			to = f.At + time.Second
 			for _, st := range steps {
-				if st.Op == world.OpStart || st.Op == world.OpKillProxy || st.Op == world.OpUpgradeProxy {
+				if st.Op == model.OpStart || st.Op == model.OpKillProxy || st.Op == model.OpUpgradeProxy {
 					to = max(to, st.At)
 				}
 			}
@@ -99,7 +99,7 @@
 }
 
 // Spent adds how the budgets of the fleet were spent, if it has any, and the faults that were drawn meanwhile.
-func (s *Summary) Spent(v *judge.SpendingVerdict, drawn []world.Fault) {
+func (s *Summary) Spent(v *judge.SpendingVerdict, drawn []model.Fault) {
 	if v == nil {
 		return
 	}
--- a/internal/lab/sim/cell.go
+++ b/internal/lab/sim/cell.go
@@ -7,18 +7,18 @@
 	"time"
 
 	"lapisspread/decision"
-	"lapisspread/internal/lab/world"
+	"lapisspread/internal/faultlab/model"
 )
 
 // cell drives one cell of nodes. In its half of a step it touches nothing of any other.
 type cell struct {
-	*world.Cell
+	*model.Cell
 	r       *Run
 	rng     *rand.Rand
 	inputs  []message
 	entries []entry
 	out     []posted
-	jobs    map[*world.Job]message // those at nodes, with what they came by
+	jobs    map[*model.Job]message // those at nodes, with what they came by
 }
 
 // posted is an event on its way to a proxy.
@@ -27,12 +27,12 @@
 	event event
 }
 
-func newCell(r *Run, c *world.Cell) *cell {
-	w := &cell{Cell: c, r: r, rng: rand.New(rand.NewPCG(r.spec.Seed^0xcab, uint64(c.No))), jobs: map[*world.Job]message{}}
-	c.OnBegin = func(at time.Duration, n *world.Node, j *world.Job) {
+func newCell(r *Run, c *model.Cell) *cell {
+	w := &cell{Cell: c, r: r, rng: rand.New(rand.NewPCG(r.spec.Seed^0xcab, uint64(c.No))), jobs: map[*model.Job]message{}}
+	c.OnBegin = func(at time.Duration, n *model.Node, j *model.Job) {
 		w.entries = append(w.entries, entry{kind: enBegan, at: at, account: j.Request, node: r.byID[decision.BackendID(n.ID)], attempt: int(j.Attempt)})
 	}
-	c.OnFall = func(f world.Fall) {
+	c.OnFall = func(f model.Fall) {
 		w.entries = append(w.entries, entry{kind: enFell, at: f.At, node: r.byID[decision.BackendID(f.Node.ID)], fall: &f})
 	}
 	return w
@@ -85,7 +85,7 @@
 			c.entries = append(c.entries, entry{kind: enProved, account: m.job.Request, attempt: a.no})
 			return
 		}
-		if a.fresh && !n.Cut && (n.Condition == world.Up || n.Condition == world.Draining) {
+		if a.fresh && !n.Cut && (n.Condition == model.Up || n.Condition == model.Draining) {
 			if !m.waited {
 				m.waited = true
 				if wait := n.Accept(m.at); wait > 0 {
@@ -95,12 +95,12 @@
 				}
 			}
 			if n.Conns >= n.ConnCap {
-				c.reply(m, m.at, world.Refused)
+				c.reply(m, m.at, model.Refused)
 				return
 			}
 			n.Conns++
 			a.reached = true
-			c.Offer(m.at, n, &world.Job{Kind: world.Shaking, Work: n.Shake, Proxy: m.job.Proxy, Told: m.job.Told})
+			c.Offer(m.at, n, &model.Job{Kind: model.Shaking, Work: n.Shake, Proxy: m.job.Proxy, Told: m.job.Told})
 		} else if !a.fresh {
 			a.reached = true
 		}
@@ -116,27 +116,27 @@
 	}
 }
 
-func (c *cell) offer(m *message, n *world.Node) {
+func (c *cell) offer(m *message, n *model.Node) {
 	switch answer := c.Offer(m.at, n, m.job); answer {
-	case world.Taken:
+	case model.Taken:
 		c.jobs[m.job] = *m
-	case world.Silence:
+	case model.Silence:
 	default:
 		c.reply(m, m.at, answer)
 	}
 }
 
-func (c *cell) finish(done []world.Done) {
+func (c *cell) finish(done []model.Done) {
 	for _, d := range done {
 		m, known := c.jobs[d.Job]
 		if !known {
 			continue
 		}
 		delete(c.jobs, d.Job)
-		if d.Answer == world.OK && d.Job.Kind == world.Request {
+		if d.Answer == model.OK && d.Job.Kind == model.Request {
 			c.entries = append(c.entries, entry{kind: enMade, account: d.Job.Request, node: m.node, attempt: int(d.Job.Attempt)})
 		}
-		if d.Node.Cut || d.Answer == world.Silence {
+		if d.Node.Cut || d.Answer == model.Silence {
 			continue
 		}
 		c.reply(&m, d.At, d.Answer)
@@ -144,8 +144,8 @@
 }
 
 // reply sends an answer back.
-func (c *cell) reply(m *message, at time.Duration, answer world.Answer) {
-	if m.kind == msOffer && (answer == world.TurnedAway || answer == world.Refused) {
+func (c *cell) reply(m *message, at time.Duration, answer model.Answer) {
+	if m.kind == msOffer && (answer == model.TurnedAway || answer == model.Refused) {
 		c.entries = append(c.entries, entry{kind: enProved, account: m.job.Request, attempt: m.attempt.no})
 	}
 	at += c.r.way(c.r.fleet.Nodes[m.node].Zone, m.proxy.zone, c.rng)
--- a/internal/lab/sim/cold_test.go
+++ b/internal/lab/sim/cold_test.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
-	"lapisspread/internal/lab/world"
 )
 
 // coldWorld is one in which most servers start cold before many proxies.
@@ -19,19 +19,19 @@
 	nodes   int
 	load    float64 // of what the mean fleet can serve
 	heavy   float64 // times the usual work of a request: with few requests of much work, chance weighs most
-	curve   []world.Point
-	faults  []world.Fault
+	curve   []model.Point
+	faults  []model.Fault
 	crowded bool // it pushes a server over where each proxy takes itself for alone
 }
 
 const coldDay = 14 * time.Second
 
-func (c coldWorld) spec(proxies int, seed uint64) world.Spec {
-	s := world.Default()
+func (c coldWorld) spec(proxies int, seed uint64) model.Spec {
+	s := model.Default()
 	s.Seed, s.Duration, s.Proxies, s.Nodes = seed, coldDay, proxies, c.nodes
 	for i := range s.Classes {
 		k := &s.Classes[i]
-		k.Work = world.Range{Lo: k.Work.Lo * c.heavy, Hi: k.Work.Hi * c.heavy}
+		k.Work = model.Range{Lo: k.Work.Lo * c.heavy, Hi: k.Work.Hi * c.heavy}
 		k.Aim, k.GiveUp = time.Duration(float64(k.Aim)*c.heavy), time.Duration(float64(k.GiveUp)*c.heavy)
 	}
 	s.Load.Rate, s.Load.Curve, s.Faults = c.load*s.Capacity(), c.curve, c.faults
@@ -39,20 +39,20 @@
 }
 
 // bursts are moments in which all proxies get requests, with next to none between.
-func bursts(from, every time.Duration) []world.Point {
+func bursts(from, every time.Duration) []model.Point {
 	const quiet, high, long = 0.05, 100, 60 * time.Millisecond
-	var all []world.Point
+	var all []model.Point
 	for at := from; at < coldDay; at += every {
-		all = append(all, world.Point{At: at - time.Millisecond, Value: quiet}, world.Point{At: at, Value: high},
-			world.Point{At: at + long, Value: high}, world.Point{At: at + long + time.Millisecond, Value: quiet})
+		all = append(all, model.Point{At: at - time.Millisecond, Value: quiet}, model.Point{At: at, Value: high},
+			model.Point{At: at + long, Value: high}, model.Point{At: at + long + time.Millisecond, Value: quiet})
 	}
 	return all
 }
 
 func coldWorlds() []coldWorld {
-	release := []world.Fault{{Kind: world.RollingRestart, At: 2 * time.Second, Every: 300 * time.Millisecond, Share: 0.6}}
-	storm := []world.Fault{{Kind: world.RestartStorm, At: 4 * time.Second, Every: 200 * time.Millisecond, Share: 0.6}}
-	killed := append([]world.Fault{{Kind: world.KillProxy, At: 7500 * time.Millisecond, Share: 0.7}}, release...)
+	release := []model.Fault{{Kind: model.RollingRestart, At: 2 * time.Second, Every: 300 * time.Millisecond, Share: 0.6}}
+	storm := []model.Fault{{Kind: model.RestartStorm, At: 4 * time.Second, Every: 200 * time.Millisecond, Share: 0.6}}
+	killed := append([]model.Fault{{Kind: model.KillProxy, At: 7500 * time.Millisecond, Share: 0.7}}, release...)
 	return []coldWorld{
 		{"most are replaced", 12, 0.5, 2, nil, release, false},
 		{"under too much load", 6, 1, 2, nil, release, false},
@@ -66,7 +66,7 @@
 }
 
 // fallen plays a world and gives what was pushed over by proxies that had been told of the start.
-func fallen(t *testing.T, spec world.Spec, policy rival.Factory) []judge.Breach {
+func fallen(t *testing.T, spec model.Spec, policy rival.Factory) []judge.Breach {
 	t.Helper()
 	r, err := sim.New(&spec, policy)
 	if err != nil {
@@ -97,7 +97,7 @@
 		if c.crowded {
 			sizes = append(sizes, struct{ proxies, seeds int }{30, 2})
 		}
-		if c.faults[0].Kind == world.RestartStorm {
+		if c.faults[0].Kind == model.RestartStorm {
 			sizes = append(sizes, struct{ proxies, seeds int }{300, 1})
 		}
 		for _, n := range sizes {
--- a/internal/lab/sim/config.go
+++ b/internal/lab/sim/config.go
@@ -10,22 +10,22 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/judge"
-	"lapisspread/internal/lab/world"
 )
 
 // Tick is the span of a step: a proxy handles what has come in once a tick.
 const Tick = 2 * time.Millisecond
 
 // ModuleConfig is what the platform tells a proxy of a world.
-func ModuleConfig(s *world.Spec, proxy int) decision.Config {
-	c := decision.Config{Instances: s.Proxies, Rank: proxy, Zone: s.ProxyZone(proxy), Tick: Tick, OverShareWorth: world.OverWorth,
+func ModuleConfig(s *model.Spec, proxy int) decision.Config {
+	c := decision.Config{Instances: s.Proxies, Rank: proxy, Zone: s.ProxyZone(proxy), Tick: Tick, OverShareWorth: model.OverWorth,
 		MarksRetry: true, Weights: decision.WeightNominal,
 		Goal: decision.Goal{Whole: 0.55, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.15},
 		Prices: decision.Prices{CrossZone: judge.UsualPrices.CrossZone, LateFail: judge.UsualPrices.LateFail,
 			Probe: judge.UsualPrices.Probe, Waste: judge.UsualPrices.Waste},
 		Obligations: decision.Obligations{AnswerSlack: judge.DefaultSlack, AskEvery: 10 * time.Second,
-			Cold: world.Ms(s.Cold.For.Hi), DrainGrace: judge.DefaultDrainGrace, Fall: s.Cold.Fall,
+			Cold: model.Ms(s.Cold.For.Hi), DrainGrace: judge.DefaultDrainGrace, Fall: s.Cold.Fall,
 			FallMultiple: s.Cold.Multiple, StartCapacity: s.Cold.From.Lo},
 		Caps: decision.Caps{Cancel: true, Probes: true, RetryAfter: true, SecondCopies: true, ConnIdle: s.Conns.Idle,
 			ConnectTimeout: s.Conns.ConnectTimeout, MaxRetryAfter: time.Second, MaxAttempts: 3, StreamsPerConn: 1,
@@ -45,11 +45,11 @@
 }
 
 // State is a listing as the module knows it.
-func State(l world.Listing) decision.State {
+func State(l model.Listing) decision.State {
 	switch l {
-	case world.Active:
+	case model.Active:
 		return decision.Ready
-	case world.Leaving:
+	case model.Leaving:
 		return decision.Draining
 	}
 	return decision.Gone
--- a/internal/lab/sim/proxy.go
+++ b/internal/lab/sim/proxy.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/rival"
-	"lapisspread/internal/lab/world"
 )
 
 // proxy is one proxy: its policy, its requests and its connections. In its half of a step it touches nothing of
@@ -34,7 +34,7 @@
 
 	out     []message // to cells
 	entries []entry   // for the ledger
-	retries []world.Arrival
+	retries []model.Arrival
 	probes  int
 }
 
@@ -47,7 +47,7 @@
 type request struct {
 	id       decision.RequestID
 	account  uint64
-	arrival  world.Arrival
+	arrival  model.Arrival
 	attempts []*attempt
 	closed   bool
 	expired  bool // nothing came in time; what comes yet is written down as late
@@ -61,7 +61,7 @@
 	req     *request
 	no      int
 	node    int
-	job     *world.Job
+	job     *model.Job
 	sent    time.Duration
 	fresh   bool // over a new connection
 	reached bool // the node has taken the connection. Written by the cell's half
@@ -72,11 +72,11 @@
 type event struct {
 	kind    eventKind
 	at      time.Duration
-	arrival world.Arrival
+	arrival model.Arrival
 	account uint64
 	attempt *attempt
 	node    int
-	answer  world.Answer
+	answer  model.Answer
 	list    decision.Membership
 	probe   *probe
 }
@@ -119,7 +119,7 @@
 
 type probe struct {
 	node int
-	job  *world.Job
+	job  *model.Job
 	sent time.Duration
 	over bool
 }
@@ -157,10 +157,10 @@
 	kind    messageKind
 	node    int
 	attempt *attempt
-	job     *world.Job
+	job     *model.Job
 	probe   *probe
 	count   int
-	step    world.Step
+	step    model.Step
 	waited  bool // in the node's queue for connections
 }
 
@@ -186,10 +186,10 @@
 	at            time.Duration
 	account       uint64
 	node, attempt int
-	end           world.End
+	end           model.End
 	genuine       bool
 	work          float64
-	fall          *world.Fall
+	fall          *model.Fall
 }
 
 type entryKind uint8
@@ -256,44 +256,44 @@
 }
 
 // answer takes what a node has answered to an attempt.
-func (p *proxy) answer(a *attempt, answer world.Answer) {
+func (p *proxy) answer(a *attempt, answer model.Answer) {
 	if a.over {
-		if answer == world.OK {
+		if answer == model.OK {
 			p.entries = append(p.entries, entry{kind: enWasted, work: a.job.Work})
 		}
 		return
 	}
 	var result decision.Result
 	switch answer {
-	case world.OK:
+	case model.OK:
 		result = decision.OK
-	case world.Failed:
+	case model.Failed:
 		result = decision.Error
-	case world.TurnedAway:
+	case model.TurnedAway:
 		result = decision.Full
-	case world.Refused:
+	case model.Refused:
 		result = decision.ConnectFailed
 	default:
 		result = decision.Reset
 	}
-	if answer == world.OK || answer == world.Failed || answer == world.TurnedAway {
+	if answer == model.OK || answer == model.Failed || answer == model.TurnedAway {
 		p.giveBack(a.node)
 	}
 	p.land(a, result)
 }
 
 // probed takes what has come of a probe.
-func (p *proxy) probed(pr *probe, answer world.Answer) {
+func (p *proxy) probed(pr *probe, answer model.Answer) {
 	if pr.over {
 		return
 	}
 	pr.over = true
 	result := decision.OK
 	switch answer {
-	case world.OK:
-	case world.TurnedAway:
+	case model.OK:
+	case model.TurnedAway:
 		result = decision.Full
-	case world.Refused:
+	case model.Refused:
 		result = decision.ConnectFailed
 	default:
 		result = decision.Reset
@@ -316,7 +316,7 @@
 	q := a.req
 	q.out--
 	if result == decision.OK && !q.closed {
-		p.close(q, world.Served, true, 0)
+		p.close(q, model.Served, true, 0)
 	} else if result == decision.OK {
 		p.entries = append(p.entries, entry{kind: enWasted, work: a.job.Work})
 	}
@@ -329,7 +329,7 @@
 }
 
 // close enters a request's end.
-func (p *proxy) close(q *request, end world.End, genuine bool, retryAfter time.Duration) {
+func (p *proxy) close(q *request, end model.End, genuine bool, retryAfter time.Duration) {
 	client := !q.expired
 	q.closed, q.expired = true, false
 	p.entries = append(p.entries, entry{kind: enAnswered, at: p.now, account: q.account, end: end, genuine: genuine})
@@ -342,7 +342,7 @@
 }
 
 // again lets the client try once more.
-func (p *proxy) again(q *request, end world.End, retryAfter time.Duration) {
+func (p *proxy) again(q *request, end model.End, retryAfter time.Duration) {
 	if a, ok := p.r.spec.Retry(p.now, q.arrival, end, retryAfter, p.rng); ok {
 		p.retries = append(p.retries, a)
 	}
@@ -372,7 +372,7 @@
 			q.closed, q.expired = true, true // the ledger sees by itself that nothing has come
 			p.plan(due{at: p.now + lateFor, kind: dueForget, req: q})
 			p.policy.Gone(p.now, q.id)
-			p.again(q, world.TimedOut, 0)
+			p.again(q, model.TimedOut, 0)
 		}
 	case dueLeave:
 		if q := d.req; !q.closed {
@@ -422,7 +422,7 @@
 	}
 	n := p.r.fleet.Nodes[node]
 	a := &attempt{req: q, no: len(q.attempts), node: node, sent: p.now}
-	a.job = &world.Job{Kind: world.Request, Work: q.arrival.Work, Wait: q.arrival.Wait, Request: q.account, Proxy: int32(p.no),
+	a.job = &model.Job{Kind: model.Request, Work: q.arrival.Work, Wait: q.arrival.Wait, Request: q.account, Proxy: int32(p.no),
 		Attempt: int32(a.no), Class: int32(q.arrival.Class), Away: n.Zone != p.zone, Told: p.r.toldOfStart(p.no, node)}
 	q.attempts = append(q.attempts, a)
 	q.out++
@@ -452,20 +452,20 @@
 
 func (p *proxy) Refuse(id decision.RequestID, retryAfter time.Duration) {
 	if q := p.requests[id]; q.owed() {
-		p.close(q, world.Rejected, false, retryAfter)
+		p.close(q, model.Rejected, false, retryAfter)
 	}
 }
 
 func (p *proxy) Fail(id decision.RequestID) {
 	if q := p.requests[id]; q.owed() {
-		p.close(q, world.Errored, false, 0)
+		p.close(q, model.Errored, false, 0)
 	}
 }
 
 // Forge serves what no node made: see rival.Forger.
 func (p *proxy) Forge(id decision.RequestID) {
 	if q := p.requests[id]; q != nil && !q.closed {
-		p.close(q, world.Served, false, 0)
+		p.close(q, model.Served, false, 0)
 	}
 }
 
@@ -477,7 +477,7 @@
 	}
 	q.closed = true
 	p.entries = append(p.entries, entry{kind: enUnanswered, at: p.now, account: q.account})
-	p.again(q, world.Errored, 0)
+	p.again(q, model.Errored, 0)
 	delete(p.requests, id)
 }
 
@@ -496,7 +496,7 @@
 		return
 	}
 	p.probes++
-	pr := &probe{node: node, sent: p.now, job: &world.Job{Kind: world.Probing, Work: p.r.spec.Probe.Draw(p.rng), Proxy: int32(p.no),
+	pr := &probe{node: node, sent: p.now, job: &model.Job{Kind: model.Probing, Work: p.r.spec.Probe.Draw(p.rng), Proxy: int32(p.no),
 		Request: p.seq, Told: p.r.toldOfStart(p.no, node)}}
 	p.say(message{at: p.now + p.way(node), kind: msProbe, node: node, probe: pr, job: pr.job})
 	p.plan(due{at: p.now + probeTimeout, kind: dueProbe, probe: pr})
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -14,26 +14,26 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/rival"
-	"lapisspread/internal/lab/world"
 )
 
 // Result is what a run has come to.
 type Result struct {
 	Verdict judge.Verdict
 	Events  uint64 // handled by proxies and cells
-	Faults  []world.Step
+	Faults  []model.Step
 	Ended   time.Duration // virtual time
 }
 
 // Run is one world on its way.
 type Run struct {
-	spec    *world.Spec
-	fleet   *world.Fleet
+	spec    *model.Spec
+	fleet   *model.Fleet
 	byID    map[decision.BackendID]int
-	reg     *world.Registry
-	gen     *world.Generator
+	reg     *model.Registry
+	gen     *model.Generator
 	ledger  *judge.Ledger
 	proxies []*proxy // by number
 	old     []*proxy // that end in order
@@ -41,7 +41,7 @@
 	named   rival.Factory
 	views   [][]view // what each proxy has been told, by node
 	front   *rand.Rand
-	retries world.Queue
+	retries model.Queue
 	routes  [][]int // by zone: proxies that the front layer gives connections to
 	seq     uint64
 	lines   uint64 // requests that came while some process had connections open after its SIGTERM
@@ -60,7 +60,7 @@
 }
 
 type view struct {
-	listing world.Listing
+	listing model.Listing
 	started time.Duration
 }
 
@@ -81,7 +81,7 @@
 type silence struct {
 	told   time.Duration // what it misses counts as told then
 	anew   time.Duration // the proxy opens it anew
-	missed []world.News
+	missed []model.News
 }
 
 // watchNoticed is how soon a proxy here opens a silent watch anew. The simulator has no calls: it takes this from them.
@@ -94,12 +94,12 @@
 }
 
 // New makes a run of a spec with a policy in every proxy.
-func New(spec *world.Spec, policy rival.Factory) (*Run, error) {
+func New(spec *model.Spec, policy rival.Factory) (*Run, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
 	}
-	r := &Run{spec: spec, fleet: world.Build(spec), byID: map[decision.BackendID]int{}, reg: world.NewRegistry(spec),
-		gen: world.NewGenerator(spec), named: policy, front: spec.Stream(6), routes: make([][]int, len(spec.Zones))}
+	r := &Run{spec: spec, fleet: model.Build(spec), byID: map[decision.BackendID]int{}, reg: model.NewRegistry(spec),
+		gen: model.NewGenerator(spec), named: policy, front: spec.Stream(6), routes: make([][]int, len(spec.Zones))}
 	r.ledger = judge.New(judge.Settings{Classes: spec.Classes, Tenants: spec.Tenants, Proxies: spec.Proxies, Nodes: spec.Nodes,
 		Slack: judge.DefaultSlack + Tick})
 	for i, n := range r.fleet.Nodes {
@@ -111,7 +111,7 @@
 	for no := range spec.Proxies {
 		views := make([]view, spec.Nodes)
 		for i := range views {
-			views[i].listing = world.Active
+			views[i].listing = model.Active
 		}
 		r.views = append(r.views, views)
 		r.proxies, r.kills, r.memories = append(r.proxies, nil), append(r.kills, 0), append(r.memories, nil)
@@ -119,7 +119,7 @@
 		zone := spec.ProxyZone(no)
 		r.routes[zone] = append(r.routes[zone], no)
 		for node := range spec.Nodes {
-			r.ledger.Told(0, no, node, world.Active, 0)
+			r.ledger.Told(0, no, node, model.Active, 0)
 		}
 		if err := r.startProxy(0, no); err != nil {
 			return nil, fmt.Errorf("proxy %d: %w", no, err)
@@ -202,7 +202,7 @@
 
 // Run plays the world to its end, or until ctx ends: what was seen so far is then judged.
 func (r *Run) Run(ctx context.Context) (Result, error) {
-	steps := world.Plan(r.spec, r.fleet)
+	steps := model.Plan(r.spec, r.fleet)
 	faults := slices.Clone(steps)
 	next, more := r.gen.Next()
 	var longest time.Duration
@@ -247,7 +247,7 @@
 			next, more = r.gen.Next()
 		}
 		for len(r.retries) > 0 && r.retries[0].At <= now {
-			r.arrive(now, heap.Pop(&r.retries).(world.Arrival))
+			r.arrive(now, heap.Pop(&r.retries).(model.Arrival))
 		}
 		r.decide(now)
 		r.remember(now)
@@ -259,7 +259,7 @@
 }
 
 // arrive hands a client's try to a proxy.
-func (r *Run) arrive(now time.Duration, a world.Arrival) {
+func (r *Run) arrive(now time.Duration, a model.Arrival) {
 	pool := r.routes[a.Zone]
 	if len(pool) == 0 { // the zone has none: the front of another one takes it
 		for _, other := range r.routes {
@@ -282,7 +282,7 @@
 		away = p.closed(now)
 	}
 	if p.dead || p.stopped || away { // the front has not noticed: the connection is refused, and the client comes again
-		if again, ok := r.spec.Retry(now, a, world.Rejected, 0, r.front); ok {
+		if again, ok := r.spec.Retry(now, a, model.Rejected, 0, r.front); ok {
 			heap.Push(&r.retries, again)
 		}
 		return
@@ -312,7 +312,7 @@
 // term is SIGTERM.
 func (r *Run) term(now time.Duration, p *proxy, succeeds bool) {
 	wire := rival.WireOf(p.policy)
-	p.ending = &ending{since: now, newUntil: now + world.NewAfterTerm.DrawMs(r.front), kill: now + r.spec.KillAfter(), lines: openLines,
+	p.ending = &ending{since: now, newUntil: now + model.NewAfterTerm.DrawMs(r.front), kill: now + r.spec.KillAfter(), lines: openLines,
 		deaf: wire.StopsReading, succeeds: succeeds}
 	if wire.EndsAtOnce {
 		p.ending.kill = now
@@ -351,7 +351,7 @@
 }
 
 // news is what the register tells: to a watch, or to one that has fallen silent.
-func (r *Run) news(now time.Duration, n world.News) {
+func (r *Run) news(now time.Duration, n model.News) {
 	s := r.silent[n.Proxy]
 	if s == nil {
 		r.tell(now, n)
@@ -393,7 +393,7 @@
 }
 
 // tell brings news to a proxy.
-func (r *Run) tell(now time.Duration, n world.News) {
+func (r *Run) tell(now time.Duration, n model.News) {
 	v := &r.views[n.Proxy][n.Node]
 	v.listing = n.Listing
 	v.started = max(v.started, n.Started)
@@ -417,25 +417,25 @@
 const proxyAway = 2500 * time.Millisecond
 
 // apply carries out a step of the faults' time line.
-func (r *Run) apply(now time.Duration, s world.Step) error {
+func (r *Run) apply(now time.Duration, s model.Step) error {
 	switch s.Op {
-	case world.OpRegister:
+	case model.OpRegister:
 		r.reg.Stale(now, !s.Flag)
-	case world.OpHeavy:
+	case model.OpHeavy:
 		share := s.Extra
 		if s.Size == 1 {
 			share = 0
 		}
 		r.gen.Heavy(s.Node, s.Size, share)
-	case world.OpMoveRegister, world.OpChangeServices, world.OpLink, world.OpRegisterBusy, world.OpRegisterLost, world.OpState:
+	case model.OpMoveRegister, model.OpChangeServices, model.OpLink, model.OpRegisterBusy, model.OpRegisterLost, model.OpState:
 		// there are neither addresses nor calls nor files here
-	case world.OpSlow:
+	case model.OpSlow:
 		for _, c := range r.cells {
 			if s.Node < 0 || r.fleet.Nodes[s.Node].CellNo == c.No {
 				c.inputs = append(c.inputs, message{at: now, kind: msStep, node: s.Node, step: s})
 			}
 		}
-	case world.OpKillProxy:
+	case model.OpKillProxy:
 		p := r.proxies[s.Node]
 		p.dead = true
 		r.ledger.ProxyDied(s.Node)
@@ -447,11 +447,11 @@
 		r.kills[s.Node]++
 		r.starts = append(r.starts, proxyStart{now + away, s.Node, r.kills[s.Node]})
 		slices.SortStableFunc(r.starts, func(a, b proxyStart) int { return cmp.Compare(a.at, b.at) })
-	case world.OpStopProxy, world.OpGoOnProxy: // what it had in hand, and what came since, is nobody's fault
-		stopped := s.Op == world.OpStopProxy
+	case model.OpStopProxy, model.OpGoOnProxy: // what it had in hand, and what came since, is nobody's fault
+		stopped := s.Op == model.OpStopProxy
 		r.ledger.ProxyStopped(s.Node, stopped)
 		r.proxies[s.Node].stopped = stopped
-	case world.OpSilentWatch:
+	case model.OpSilentWatch:
 		if !s.Flag {
 			r.reopen(now, s.Node)
 			break
@@ -461,11 +461,11 @@
 		}
 		anew := now + watchNoticed
 		if rival.WireOf(r.proxies[s.Node].policy).KeepsSilentWatch {
-			anew = world.Never
+			anew = model.Never
 		}
-		r.silent[s.Node] = &silence{told: world.Missed(now, 0), anew: anew}
-	case world.OpUpgradeProxy, world.OpRestartProxy:
-		p, succeeds := r.proxies[s.Node], s.Op == world.OpUpgradeProxy
+		r.silent[s.Node] = &silence{told: model.Missed(now, 0), anew: anew}
+	case model.OpUpgradeProxy, model.OpRestartProxy:
+		p, succeeds := r.proxies[s.Node], s.Op == model.OpUpgradeProxy
 		if p.dead || p.ending != nil {
 			break
 		}
@@ -478,7 +478,7 @@
 		n := r.fleet.Nodes[s.Node]
 		r.cells[n.CellNo].inputs = append(r.cells[n.CellNo].inputs, message{at: now, kind: msStep, node: s.Node, step: s})
 		started := n.StartedAt
-		if s.Op == world.OpStart {
+		if s.Op == model.OpStart {
 			started = now
 		}
 		r.reg.Step(now, s, started)
@@ -498,7 +498,7 @@
 		q := p.requests[id]
 		if !q.closed {
 			q.closed = true
-			p.again(q, world.Errored, 0)
+			p.again(q, model.Errored, 0)
 		}
 		for _, a := range q.attempts {
 			if !a.over {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"lapisspread/experiments"
+	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
-	"lapisspread/internal/lab/world"
 )
 
-func play(t *testing.T, spec world.Spec, policy string) sim.Result {
+func play(t *testing.T, spec model.Spec, policy string) sim.Result {
 	t.Helper()
 	factory, err := rival.Named(policy)
 	if err != nil {
@@ -123,7 +123,7 @@
 }
 
 func TestBrokenOffRunsAreJudged(t *testing.T) {
-	spec := world.Default()
+	spec := model.Default()
 	factory, _ := rival.Named(rival.Module)
 	r, err := sim.New(&spec, factory)
 	if err != nil {
@@ -142,7 +142,7 @@
 }
 
 func TestBadWorlds(t *testing.T) {
-	spec := world.Default()
+	spec := model.Default()
 	spec.Nodes = 0
 	if _, err := sim.New(&spec, nil); err == nil {
 		t.Error("a world without nodes was taken")
@@ -158,7 +158,7 @@
 		proxies, nodes int
 	}{{"2x10", 2, 10}, {"8x100", 8, 100}} {
 		b.Run(size.name, func(b *testing.B) {
-			spec := world.Default()
+			spec := model.Default()
 			spec.Duration, spec.Proxies, spec.Nodes = time.Second, size.proxies, size.nodes
 			spec.Load.Rate = 0.4 * spec.Capacity()
 			taken := 0
