--- a/cmd/faultlab/comeback.go
+++ b/cmd/faultlab/comeback.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/experiment"
-	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/report"
 )
 
@@ -28,7 +28,7 @@
 	G          float64 `json:"g"`
 	TwinG      float64 `json:"twin_g"`
 	Late       string  `json:"late,omitempty"` // why the machine was too slow for it to count
-	judge.Recovery
+	checker.Recovery
 
 	run, twin *report.Summary
 }
@@ -172,7 +172,7 @@
 			end = max(end, over)
 			what = append(what, fmt.Sprintf("%s %.1f-%.1f", ft.Kind, ft.At.Seconds(), over.Seconds()))
 		}
-		r := judge.Recover(&run.Verdict, &twin.Verdict, end, end)
+		r := checker.Recover(&run.Verdict, &twin.Verdict, end, end)
 		if r.Back {
 			took = append(took, r.FromStrike/1000)
 		}
@@ -265,7 +265,7 @@
 			if ctx.Err() != nil {
 				return rows, errors.New("broken off; what was seen is told")
 			}
-			row.Recovery = judge.Recover(&row.run.Verdict, &row.twin.Verdict, strike, start)
+			row.Recovery = checker.Recover(&row.run.Verdict, &row.twin.Verdict, strike, start)
 			row.G, row.TwinG = row.run.Worth.G, row.twin.Worth.G
 			for _, s := range []*report.Summary{row.run, row.twin} {
 				if !s.Scored {
@@ -309,7 +309,7 @@
 }
 
 // add enters a row in a mean over n.
-func (c *comeback) add(r *judge.Recovery, n int) {
+func (c *comeback) add(r *checker.Recovery, n int) {
 	m, part := &c.Recovery, 1/float64(n)
 	m.Back = r.Back && (m.Back || m.FromStrike == 0)
 	for _, v := range [][2]*float64{{&m.FromStrike, &r.FromStrike}, {&m.FromStart, &r.FromStart}, {&m.FirstSecond, &r.FirstSecond}, {&m.Worst, &r.Worst},
--- a/cmd/faultlab/flood.go
+++ b/cmd/faultlab/flood.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/lab/experiment"
-	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/live"
 	"lapisspread/internal/lab/report"
 )
@@ -100,7 +100,7 @@
 		if ctx.Err() != nil {
 			return all, errors.New("broken off; what was seen is told")
 		}
-		r := floodOutcome{Variant: v.Name, Sockets: f.World.Sockets, Whole: s.Worth.Whole, Ratio: 1, NoAnswer: s.ByRule[judge.Lost], Refused: s.Refused,
+		r := floodOutcome{Variant: v.Name, Sockets: f.World.Sockets, Whole: s.Worth.Whole, Ratio: 1, NoAnswer: s.ByRule[checker.Lost], Refused: s.Refused,
 			Failed: s.Failed, Broken: s.RulesBroken, Crashes: len(s.Problems)}
 		for _, c := range s.Classes {
 			r.P99 = max(r.P99, c.P99)
--- a/cmd/faultlab/ledger.go
+++ b/cmd/faultlab/ledger.go
@@ -6,15 +6,15 @@
 	"runtime"
 	"time"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/judge"
 )
 
 // ledgerTrial enters so many requests into a ledger, 10,000 a second, each with an attempt that serves, and tells
 // what that took. It fails if memory grows with their number or if one of them is not accounted for.
 func ledgerTrial(out io.Writer, n int) error {
 	spec := model.Default()
-	l := judge.New(judge.Settings{Classes: spec.Classes, Tenants: spec.Tenants, Proxies: 4, Nodes: 100})
+	l := checker.New(checker.Settings{Classes: spec.Classes, Tenants: spec.Tenants, Proxies: 4, Nodes: 100})
 	heap := func() float64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -30,7 +30,7 @@
 		a := model.Arrival{At: at, First: at, Class: class, Tenant: i % len(spec.Tenants), Deadline: at + c.GiveUp/2, GiveUp: at + c.GiveUp,
 			Worth: c.Worth, Work: 20}
 		l.Asked(&a)
-		id := l.Take(judge.Try{Proxy: i % 4, Arrival: a})
+		id := l.Take(checker.Try{Proxy: i % 4, Arrival: a})
 		l.Sent(at, id, i%4, i%100, 0)
 		l.Began(at+time.Millisecond, id, i%100, 0)
 		l.Made(id, i%100, 0)
@@ -44,7 +44,7 @@
 	}
 	late := heap()
 	l.Finish()
-	v := l.Verdict(judge.UsualPrices)
+	v := l.Verdict(checker.UsualPrices)
 	fmt.Fprintf(out, "ledger: %d requests in %.1f s; %d at once; heap %.1f MB after a tenth, %.1f MB at the end\n", n, time.Since(start).Seconds(),
 		l.Peak(), early, late)
 	switch {
--- a/cmd/faultlab/scale.go
+++ b/cmd/faultlab/scale.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/report"
 	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
@@ -144,7 +144,7 @@
 	return point(&spec, res.Verdict, took, float64(mem.HeapAlloc)/(1<<20)), nil
 }
 
-func point(s *model.Spec, v judge.Verdict, took time.Duration, mb float64) scalePoint {
+func point(s *model.Spec, v checker.Verdict, took time.Duration, mb float64) scalePoint {
 	secs := s.Duration.Seconds()
 	perNode := float64(v.Probes) / float64(s.Nodes) / secs
 	speed := 0.0
--- a/cmd/faultlab/selfcheck.go
+++ b/cmd/faultlab/selfcheck.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/lab/budgets"
 	"lapisspread/internal/lab/experiment"
-	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
 )
@@ -149,39 +149,39 @@
 	return res.Spending.OverWhole, what, nil
 }
 
-func trial(cmd *cobra.Command, policy string, seed uint64, sockets bool) (judge.Verdict, error) {
+func trial(cmd *cobra.Command, policy string, seed uint64, sockets bool) (checker.Verdict, error) {
 	f, err := experiment.Parse("trial", []byte(trialDay))
 	if err != nil {
-		return judge.Verdict{}, err
+		return checker.Verdict{}, err
 	}
 	if sockets {
 		s, err := playLive(cmd.Context(), io.Discard, f, runOptions{seed: seed, policy: policy}, 1)
 		if err != nil {
-			return judge.Verdict{}, fmt.Errorf("%s: %w", policy, err)
+			return checker.Verdict{}, fmt.Errorf("%s: %w", policy, err)
 		}
 		if !s.Scored {
-			return judge.Verdict{}, fmt.Errorf("%s: the machine was too slow: %s", policy, s.Late)
+			return checker.Verdict{}, fmt.Errorf("%s: the machine was too slow: %s", policy, s.Late)
 		}
 		if len(s.Problems) > 0 {
-			return judge.Verdict{}, fmt.Errorf("%s: %s", policy, s.Problems[0])
+			return checker.Verdict{}, fmt.Errorf("%s: %s", policy, s.Problems[0])
 		}
 		return s.Verdict, nil
 	}
 	factory, err := rival.Named(policy)
 	if err != nil {
-		return judge.Verdict{}, err
+		return checker.Verdict{}, err
 	}
 	spec := f.Spec(seed, 1)
 	spec.Duration = 20 * time.Second
 	r, err := sim.New(&spec, factory)
 	if err != nil {
-		return judge.Verdict{}, err
+		return checker.Verdict{}, err
 	}
 	res, err := r.Run(cmd.Context())
 	return res.Verdict, err
 }
 
-func names(rules []judge.Rule) string {
+func names(rules []checker.Rule) string {
 	if len(rules) == 0 {
 		return "nothing"
 	}
@@ -192,7 +192,7 @@
 	return strings.Join(s, ",")
 }
 
-func about(v judge.Verdict) string {
+func about(v checker.Verdict) string {
 	if len(v.Breaches) == 0 {
 		return ""
 	}
--- a/cmd/faultlab/simulate.go
+++ b/cmd/faultlab/simulate.go
@@ -13,9 +13,9 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/experiments"
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/experiment"
-	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/report"
 	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
@@ -105,7 +105,7 @@
 }
 
 // first tells of the first breach.
-func first(v judge.Verdict) string {
+func first(v checker.Verdict) string {
 	if len(v.Breaches) == 0 {
 		return ""
 	}
--- a/internal/lab/judge/ledger.go
+++ b/internal/faultlab/checker/ledger.go
@@ -1,9 +1,9 @@
-// Package judge keeps the ledger of a run and judges it by the four rules and by worth. It is pure: what nodes,
+// Package checker keeps the ledger of a run and judges it by the four rules and by worth. It is pure: what nodes,
 // clients and the register saw comes in as calls with their times, a verdict comes out. It is a stream: a
 // request is kept until its deadline and a linger are over, so memory follows what is open, not what has been.
 //
 // What counts is what the nodes and clients saw. A proxy is asked nothing.
-package judge
+package checker
 
 import (
 	"fmt"
--- a/internal/lab/judge/spending.go
+++ b/internal/faultlab/checker/spending.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"cmp"
--- a/internal/lab/judge/spending_test.go
+++ b/internal/faultlab/checker/spending_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"math/rand/v2"
--- a/internal/lab/budgets/budgets.go
+++ b/internal/lab/budgets/budgets.go
@@ -17,8 +17,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/grant"
-	"lapisspread/internal/lab/judge"
 )
 
 // Policies: who divides.
@@ -60,7 +60,7 @@
 type Result struct {
 	Settings
 	Rates
-	Spending judge.SpendingVerdict
+	Spending checker.SpendingVerdict
 	Joined   time.Duration // until the new holder had nine tenths of an equal share of every budget; Never if it hadn't
 	Healed   time.Duration // until all budgets were whole again after the death; Never if they weren't
 	Used     float64       // from steadyAfter on
@@ -148,8 +148,8 @@
 	asks     []func() // answers that wait for the next round
 	busy     bool
 	res      Result
-	spending *judge.Spending
-	steady   *judge.Spending // from steadyAfter on
+	spending *checker.Spending
+	steady   *checker.Spending // from steadyAfter on
 	begin    time.Duration
 	request  uint64
 	err      error
@@ -165,16 +165,16 @@
 	r.res = Result{Settings: set, Joined: Never, Healed: Never}
 	r.fleet = grant.Fleet{ID: "virtual", Drift: .001, Longest: set.Lease}
 	whole := set.Rate * float64(set.Holders)
-	var judged []judge.FleetBudget
+	var judged []checker.FleetBudget
 	for i := range set.Budgets {
 		name := fmt.Sprintf("b%02d", i)
 		r.names = append(r.names, name)
 		r.fleet.Budgets = append(r.fleet.Budgets, grant.Budget{Name: name, Kind: grant.Rate, Whole: whole, Burst: whole, Lease: set.Lease})
 		if i < set.Played {
-			judged = append(judged, judge.FleetBudget{Name: name, Wholes: []judge.Whole{{Units: whole, Burst: whole}}})
+			judged = append(judged, checker.FleetBudget{Name: name, Wholes: []checker.Whole{{Units: whole, Burst: whole}}})
 		}
 	}
-	r.spending, r.steady = judge.NewSpending(2*way, judged), judge.NewSpending(2*way, judged)
+	r.spending, r.steady = checker.NewSpending(2*way, judged), checker.NewSpending(2*way, judged)
 	r.keeper = grant.NewKeeper(0, 0, r.book)
 	r.apply(grant.Command{Found: &grant.Found{Fleet: r.fleet.ID, Epoch: 1, Drift: r.fleet.Drift, Longest: r.fleet.Longest}})
 	r.now = grant.Silence(r.fleet.Longest, r.fleet.Drift) + time.Millisecond
@@ -412,11 +412,11 @@
 }
 
 // judges are those who count now.
-func (r *run) judges() []*judge.Spending {
+func (r *run) judges() []*checker.Spending {
 	if r.now < r.begin+steadyAfter {
-		return []*judge.Spending{r.spending}
+		return []*checker.Spending{r.spending}
 	}
-	return []*judge.Spending{r.spending, r.steady}
+	return []*checker.Spending{r.spending, r.steady}
 }
 
 // poisson draws by multiplication; means here are far below 1. (Knuth, TAOCP 2, 3.4.1.)
--- a/internal/lab/kit/kit.go
+++ b/internal/lab/kit/kit.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/built"
-	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/live"
 )
 
@@ -75,7 +75,7 @@
 func complaints(res *live.Result) []string {
 	out := slices.Clone(res.Problems)
 	for _, b := range res.Verdict.Breaches {
-		if res.Late == "" || b.Rule == judge.Duplicate {
+		if res.Late == "" || b.Rule == checker.Duplicate {
 			out = append(out, fmt.Sprintf("%s: %s\n%s", b.Rule, b.What, strings.Join(b.Evidence, "\n")))
 		}
 	}
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -18,8 +18,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/judge"
 )
 
 // front is the front layer and the clients behind it.
@@ -438,7 +438,7 @@
 		if c, err = f.connect(proxy, nil); err != nil {
 			if f.isEnding(proxy) { // it had to take new ones
 				r.mu.Lock()
-				r.ledger.Unanswered(r.now(), r.ledger.Take(judge.Try{Proxy: proxy, Arrival: a}), err.Error())
+				r.ledger.Unanswered(r.now(), r.ledger.Take(checker.Try{Proxy: proxy, Arrival: a}), err.Error())
 				r.mu.Unlock()
 			}
 			f.again(a, model.Rejected, 0)
@@ -452,7 +452,7 @@
 		a.Leaves += now - a.At
 	}
 	a.At, a.Deadline = now, now+patience
-	account := r.ledger.Take(judge.Try{Proxy: proxy, Arrival: a})
+	account := r.ledger.Take(checker.Try{Proxy: proxy, Arrival: a})
 	r.mu.Unlock()
 	text := requestText(a, class, r.spec, account, patience)
 	var gaveUp atomic.Bool
@@ -473,7 +473,7 @@
 			}
 		}
 		used := c.used
-		c.SetDeadline(time.Now().Add(a.Deadline + judge.DefaultLateGrace + socketSlack + lateWatch - r.now()))
+		c.SetDeadline(time.Now().Add(a.Deadline + checker.DefaultLateGrace + socketSlack + lateWatch - r.now()))
 		if a.Leaves > 0 {
 			c.SetDeadline(time.Now().Add(a.Leaves - r.now()))
 		}
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
-	"lapisspread/internal/lab/judge"
 )
 
 // FleetOptions is what the proxies of a run share, and who divides it.
@@ -74,10 +74,10 @@
 }
 
 // judged is the budgets as the judge knows them.
-func (o *FleetOptions) judged() []judge.FleetBudget {
-	var out []judge.FleetBudget
+func (o *FleetOptions) judged() []checker.FleetBudget {
+	var out []checker.FleetBudget
 	for _, b := range o.Budgets {
-		out = append(out, judge.FleetBudget{Name: b.Name, Wholes: []judge.Whole{{Units: b.Whole, Burst: b.Burst}}})
+		out = append(out, checker.FleetBudget{Name: b.Name, Wholes: []checker.Whole{{Units: b.Whole, Burst: b.Burst}}})
 	}
 	return out
 }
@@ -156,15 +156,15 @@
 	return holder, t, nil
 }
 
-func judgedWhole(from time.Duration, units, burst float64) judge.Whole {
-	return judge.Whole{From: from, Units: units, Burst: burst}
+func judgedWhole(from time.Duration, units, burst float64) checker.Whole {
+	return checker.Whole{From: from, Units: units, Burst: burst}
 }
 
 // newSpending has the nodes count.
 func (r *Run) newSpending() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spending = judge.NewSpending(r.opts.Fleet.Transit, r.opts.Fleet.judged())
+	r.spending = checker.NewSpending(r.opts.Fleet.Transit, r.opts.Fleet.judged())
 	if r.opts.Fleet.Tokens {
 		for _, n := range r.nodes {
 			n.fence = grant.NewFence(mostTokens)
@@ -173,7 +173,7 @@
 }
 
 // Spent is how the budgets of the fleet were spent so far.
-func (f *Fleet) Spent() judge.SpendingVerdict {
+func (f *Fleet) Spent() checker.SpendingVerdict {
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	return f.r.spending.Verdict()
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/built"
-	"lapisspread/internal/lab/judge"
 )
 
 func TestMain(m *testing.M) { built.Main(m) }
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	v := res.Verdict
-	if v.ByRule[judge.Duplicate] > 0 || res.Late == "" && v.RulesBroken > 0 {
+	if v.ByRule[checker.Duplicate] > 0 || res.Late == "" && v.RulesBroken > 0 {
 		t.Errorf("%d breaches, first %+v", v.RulesBroken, v.Breaches[0])
 	}
 	if len(res.Problems) > 0 {
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -22,8 +22,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/judge"
 )
 
 // On sockets every limit of the rules is longer by this.
@@ -113,14 +113,14 @@
 
 // Result is what a run has come to.
 type Result struct {
-	Verdict  judge.Verdict
+	Verdict  checker.Verdict
 	Faults   []model.Step
 	Problems []string // what went wrong beside the rules: a proxy that ended by itself
 	Late     string   // why the machine was too slow for the run to count; empty if it was not
 	Partial  bool
-	Usage    []Usage                // of each proxy
-	Spending *judge.SpendingVerdict // of the budgets of the fleet; nil without
-	Drawn    []model.Fault          // what a script has drawn
+	Usage    []Usage                  // of each proxy
+	Spending *checker.SpendingVerdict // of the budgets of the fleet; nil without
+	Drawn    []model.Fault            // what a script has drawn
 }
 
 // Usage is what the processes of a proxy's place have taken of the machine.
@@ -145,7 +145,7 @@
 
 	mu       sync.Mutex // guards all below
 	fleet    *model.Fleet
-	ledger   *judge.Ledger
+	ledger   *checker.Ledger
 	registry *model.Registry
 	gen      *model.Generator
 	rng      *mrand.Rand
@@ -159,9 +159,9 @@
 	straggler string
 	lateness  *hdrhistogram.Histogram // of this machine, in microseconds
 	worst     time.Duration
-	last      judge.Verdict
-	spending  *judge.Spending // nil without budgets of the fleet
-	drawn     []model.Fault   // what a script has drawn
+	last      checker.Verdict
+	spending  *checker.Spending // nil without budgets of the fleet
+	drawn     []model.Fault     // what a script has drawn
 
 	remembered atomic.Pointer[[]catalog] // the lists that proxies start with, by proxy; nil is the newest
 
@@ -215,8 +215,8 @@
 		r.log = slog.New(slog.DiscardHandler)
 	}
 	rand.Read(r.key) // it never fails
-	r.ledger = judge.New(judge.Settings{Classes: spec.Classes, Tenants: spec.Tenants, Proxies: spec.Proxies, Nodes: spec.Nodes,
-		Slack: judge.DefaultSlack + socketSlack, LateGrace: judge.DefaultLateGrace + socketSlack, DrainGrace: judge.DefaultDrainGrace + socketSlack})
+	r.ledger = checker.New(checker.Settings{Classes: spec.Classes, Tenants: spec.Tenants, Proxies: spec.Proxies, Nodes: spec.Nodes,
+		Slack: checker.DefaultSlack + socketSlack, LateGrace: checker.DefaultLateGrace + socketSlack, DrainGrace: checker.DefaultDrainGrace + socketSlack})
 	for range spec.Proxies {
 		r.sentTo = append(r.sentTo, make([]int, spec.Nodes))
 		r.proved = append(r.proved, map[int]time.Duration{})
@@ -323,7 +323,7 @@
 	}
 	r.mu.Lock()
 	r.ledger.Finish()
-	res = Result{Verdict: r.ledger.Verdict(judge.UsualPrices), Faults: steps, Late: r.tooLate(front), Partial: ctx.Err() != nil}
+	res = Result{Verdict: r.ledger.Verdict(checker.UsualPrices), Faults: steps, Late: r.tooLate(front), Partial: ctx.Err() != nil}
 	r.mu.Unlock()
 	r.endProxies()
 	r.mu.Lock()
@@ -653,7 +653,7 @@
 // glimpse tells how the run stands.
 func (r *Run) glimpse(f *front) {
 	r.mu.Lock()
-	v := r.ledger.Verdict(judge.UsualPrices)
+	v := r.ledger.Verdict(checker.UsualPrices)
 	g := Glimpse{Now: r.now(), Of: r.spec.Duration, Asked: v.FirstTries, OK: v.OK - r.last.OK, Refused: v.Refused - r.last.Refused,
 		Failed: v.Failed - r.last.Failed, Open: len(r.waiting), Late: r.worst, RulesBroken: v.RulesBroken, Attempts: v.Attempts,
 		FirstTrys: v.FirstTries}
--- a/internal/lab/live/settings.go
+++ b/internal/lab/live/settings.go
@@ -1,8 +1,8 @@
 package live
 
 import (
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/judge"
 )
 
 // Settings are what the platform tells a proxy, in the nested form of its configuration. Times are in milliseconds.
@@ -29,10 +29,10 @@
 		"Services": services, "Tenants": tenants, "Clients": map[string]any{"MarksRetry": true},
 		"Extra": map[string]any{"WarmKeys": false}, "Feedback": map[string]any{"How": "off", "Names": []string{}},
 		"Goal": map[string]any{"Whole": 0.55, "WorstClass": 0.2, "WorstTenant": 0.1, "WorstWindow": 0.15},
-		"Prices": map[string]any{"CrossZone": judge.UsualPrices.CrossZone, "LateFail": judge.UsualPrices.LateFail,
-			"Probe": judge.UsualPrices.Probe, "Waste": judge.UsualPrices.Waste},
-		"Obligations": map[string]any{"AnswerSlack": model.Millis(judge.DefaultSlack), "AskEvery": 10000.0, "Cold": s.Cold.For.Hi,
-			"DrainGrace": model.Millis(judge.DefaultDrainGrace), "Fall": model.Millis(s.Cold.Fall), "FallMultiple": s.Cold.Multiple,
+		"Prices": map[string]any{"CrossZone": checker.UsualPrices.CrossZone, "LateFail": checker.UsualPrices.LateFail,
+			"Probe": checker.UsualPrices.Probe, "Waste": checker.UsualPrices.Waste},
+		"Obligations": map[string]any{"AnswerSlack": model.Millis(checker.DefaultSlack), "AskEvery": 10000.0, "Cold": s.Cold.For.Hi,
+			"DrainGrace": model.Millis(checker.DefaultDrainGrace), "Fall": model.Millis(s.Cold.Fall), "FallMultiple": s.Cold.Multiple,
 			"StartCapacity": s.Cold.From.Lo},
 		"Caps": map[string]any{"Cancel": true, "Probes": true, "RetryAfter": true, "SecondCopies": true, "Peers": false,
 			"ConnIdle": model.Millis(s.Conns.Idle), "ConnectTimeout": model.Millis(s.Conns.ConnectTimeout), "MaxRetryAfter": 1000.0,
--- a/internal/lab/report/summary.go
+++ b/internal/lab/report/summary.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/judge"
 )
 
 // Schema is the version of the summary's form. It rises when a field changes its meaning or goes; new fields may
@@ -35,13 +35,13 @@
 	// fault, or it is not back by the end.
 	ComebackMs *float64 `json:"comeback_ms,omitempty"`
 	Stale      int      `json:"stale_decisions"` // attempts at nodes that the proxy had been told to leave
-	judge.Verdict
+	checker.Verdict
 	// Of budgets over the whole fleet, from the nodes' counts; left out where there are none.
-	OverWhole *int                   `json:"over_whole,omitempty"`
-	Used      *float64               `json:"used,omitempty"`
-	Spending  *judge.SpendingVerdict `json:"spending,omitempty"`
-	Usage     []Usage                `json:"usage,omitempty"`    // on sockets: what each proxy took of the machine
-	Problems  []string               `json:"problems,omitempty"` // what went wrong beside the rules
+	OverWhole *int                     `json:"over_whole,omitempty"`
+	Used      *float64                 `json:"used,omitempty"`
+	Spending  *checker.SpendingVerdict `json:"spending,omitempty"`
+	Usage     []Usage                  `json:"usage,omitempty"`    // on sockets: what each proxy took of the machine
+	Problems  []string                 `json:"problems,omitempty"` // what went wrong beside the rules
 }
 
 // Fault is a span in which something was wrong.
@@ -72,14 +72,14 @@
 }
 
 // Summarise makes the summary of a run.
-func Summarise(name, driver, policy string, s *model.Spec, v judge.Verdict, steps []model.Step) *Summary {
+func Summarise(name, driver, policy string, s *model.Spec, v checker.Verdict, steps []model.Step) *Summary {
 	sum := &Summary{SchemaVersion: Schema, Name: name, Driver: driver, Policy: policy, Seed: s.Seed, Duration: s.Duration.Seconds(),
-		Proxies: s.Proxies, Nodes: s.Nodes, Rate: s.Load.Rate, Scored: true, Stale: v.ByRule[judge.Drain], Verdict: v, Faults: []Fault{}}
+		Proxies: s.Proxies, Nodes: s.Nodes, Rate: s.Load.Rate, Scored: true, Stale: v.ByRule[checker.Drain], Verdict: v, Faults: []Fault{}}
 	strike := s.Duration
 	for _, f := range s.Faults {
 		strike = min(strike, f.At)
 	}
-	if after, back := judge.RecoverAlone(&v, strike); back && len(s.Faults) > 0 {
+	if after, back := checker.RecoverAlone(&v, strike); back && len(s.Faults) > 0 {
 		ms := model.Millis(after)
 		sum.ComebackMs = &ms
 	}
@@ -99,7 +99,7 @@
 }
 
 // Spent adds how the budgets of the fleet were spent, if it has any, and the faults that were drawn meanwhile.
-func (s *Summary) Spent(v *judge.SpendingVerdict, drawn []model.Fault) {
+func (s *Summary) Spent(v *checker.SpendingVerdict, drawn []model.Fault) {
 	if v == nil {
 		return
 	}
--- a/internal/lab/sim/cold_test.go
+++ b/internal/lab/sim/cold_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
 )
@@ -66,7 +66,7 @@
 }
 
 // fallen plays a world and gives what was pushed over by proxies that had been told of the start.
-func fallen(t *testing.T, spec model.Spec, policy rival.Factory) []judge.Breach {
+func fallen(t *testing.T, spec model.Spec, policy rival.Factory) []checker.Breach {
 	t.Helper()
 	r, err := sim.New(&spec, policy)
 	if err != nil {
@@ -76,9 +76,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var cold []judge.Breach
+	var cold []checker.Breach
 	for _, b := range res.Verdict.Breaches {
-		if b.Rule == judge.Cold {
+		if b.Rule == checker.Cold {
 			cold = append(cold, b)
 		}
 	}
--- a/internal/lab/sim/config.go
+++ b/internal/lab/sim/config.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/judge"
 )
 
 // Tick is the span of a step: a proxy handles what has come in once a tick.
@@ -22,10 +22,10 @@
 	c := decision.Config{Instances: s.Proxies, Rank: proxy, Zone: s.ProxyZone(proxy), Tick: Tick, OverShareWorth: model.OverWorth,
 		MarksRetry: true, Weights: decision.WeightNominal,
 		Goal: decision.Goal{Whole: 0.55, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.15},
-		Prices: decision.Prices{CrossZone: judge.UsualPrices.CrossZone, LateFail: judge.UsualPrices.LateFail,
-			Probe: judge.UsualPrices.Probe, Waste: judge.UsualPrices.Waste},
-		Obligations: decision.Obligations{AnswerSlack: judge.DefaultSlack, AskEvery: 10 * time.Second,
-			Cold: model.Ms(s.Cold.For.Hi), DrainGrace: judge.DefaultDrainGrace, Fall: s.Cold.Fall,
+		Prices: decision.Prices{CrossZone: checker.UsualPrices.CrossZone, LateFail: checker.UsualPrices.LateFail,
+			Probe: checker.UsualPrices.Probe, Waste: checker.UsualPrices.Waste},
+		Obligations: decision.Obligations{AnswerSlack: checker.DefaultSlack, AskEvery: 10 * time.Second,
+			Cold: model.Ms(s.Cold.For.Hi), DrainGrace: checker.DefaultDrainGrace, Fall: s.Cold.Fall,
 			FallMultiple: s.Cold.Multiple, StartCapacity: s.Cold.From.Lo},
 		Caps: decision.Caps{Cancel: true, Probes: true, RetryAfter: true, SecondCopies: true, ConnIdle: s.Conns.Idle,
 			ConnectTimeout: s.Conns.ConnectTimeout, MaxRetryAfter: time.Second, MaxAttempts: 3, StreamsPerConn: 1,
--- a/internal/lab/sim/proxy.go
+++ b/internal/lab/sim/proxy.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/rival"
 )
 
@@ -242,7 +242,7 @@
 		p.lastID++
 		q := &request{id: p.lastID, account: e.account, arrival: e.arrival}
 		p.requests[q.id] = q
-		p.plan(due{at: e.arrival.Deadline + judge.DefaultSlack, kind: dueExpire, req: q})
+		p.plan(due{at: e.arrival.Deadline + checker.DefaultSlack, kind: dueExpire, req: q})
 		if e.arrival.Leaves > 0 {
 			p.plan(due{at: e.arrival.Leaves, kind: dueLeave, req: q})
 		}
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -14,14 +14,14 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/judge"
 	"lapisspread/internal/lab/rival"
 )
 
 // Result is what a run has come to.
 type Result struct {
-	Verdict judge.Verdict
+	Verdict checker.Verdict
 	Events  uint64 // handled by proxies and cells
 	Faults  []model.Step
 	Ended   time.Duration // virtual time
@@ -34,7 +34,7 @@
 	byID    map[decision.BackendID]int
 	reg     *model.Registry
 	gen     *model.Generator
-	ledger  *judge.Ledger
+	ledger  *checker.Ledger
 	proxies []*proxy // by number
 	old     []*proxy // that end in order
 	cells   []*cell
@@ -100,8 +100,8 @@
 	}
 	r := &Run{spec: spec, fleet: model.Build(spec), byID: map[decision.BackendID]int{}, reg: model.NewRegistry(spec),
 		gen: model.NewGenerator(spec), named: policy, front: spec.Stream(6), routes: make([][]int, len(spec.Zones))}
-	r.ledger = judge.New(judge.Settings{Classes: spec.Classes, Tenants: spec.Tenants, Proxies: spec.Proxies, Nodes: spec.Nodes,
-		Slack: judge.DefaultSlack + Tick})
+	r.ledger = checker.New(checker.Settings{Classes: spec.Classes, Tenants: spec.Tenants, Proxies: spec.Proxies, Nodes: spec.Nodes,
+		Slack: checker.DefaultSlack + Tick})
 	for i, n := range r.fleet.Nodes {
 		r.byID[decision.BackendID(n.ID)] = i
 	}
@@ -255,7 +255,7 @@
 		r.ledger.Advance(now)
 	}
 	r.ledger.Finish()
-	return Result{Verdict: r.ledger.Verdict(judge.UsualPrices), Events: r.events, Faults: faults, Ended: now}, ctx.Err()
+	return Result{Verdict: r.ledger.Verdict(checker.UsualPrices), Events: r.events, Faults: faults, Ended: now}, ctx.Err()
 }
 
 // arrive hands a client's try to a proxy.
@@ -287,7 +287,7 @@
 		}
 		return
 	}
-	id := r.ledger.Take(judge.Try{Proxy: p.no, Arrival: a})
+	id := r.ledger.Take(checker.Try{Proxy: p.no, Arrival: a})
 	p.inbox = append(p.inbox, event{kind: evArrival, at: a.At, arrival: a, account: id})
 }
 
