--- a/cmd/faultlab/experiment.go
+++ b/cmd/faultlab/experiment.go
@@ -13,9 +13,9 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/discovery/guardedsource"
+	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/report"
-	"lapisspread/internal/lab/rival"
 )
 
 // outcome is what an experiment has come to.
@@ -59,8 +59,8 @@
 			}
 			f.Stretch(o.duration)
 			if baselines {
-				f.Variants = []experiment.Variant{{Name: rival.Module, Policy: rival.Module}}
-				for _, b := range rival.Baselines {
+				f.Variants = []experiment.Variant{{Name: baseline.Module, Policy: baseline.Module}}
+				for _, b := range baseline.Baselines {
 					f.Variants = append(f.Variants, experiment.Variant{Name: b, Policy: b})
 				}
 			}
@@ -209,7 +209,7 @@
 	var err error
 	policy := v.Policy
 	if policy == "" {
-		policy = rival.Module
+		policy = baseline.Module
 	}
 	if v.Calm {
 		calm := *f
--- a/cmd/faultlab/plain.go
+++ b/cmd/faultlab/plain.go
@@ -5,8 +5,8 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/lab/plainproxy"
-	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/proxy"
 )
 
@@ -19,7 +19,7 @@
 		Hidden: true,
 		Args:   usage(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if _, err := rival.Named(policy); err != nil {
+			if _, err := baseline.Named(policy); err != nil {
 				return err
 			}
 			cfg, err := proxy.LoadConfig(os.Getenv)
--- a/cmd/faultlab/run.go
+++ b/cmd/faultlab/run.go
@@ -15,10 +15,10 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/live"
 	"lapisspread/internal/lab/report"
-	"lapisspread/internal/lab/rival"
 )
 
 type runOptions struct {
@@ -60,7 +60,7 @@
 				return err
 			}
 			f.Stretch(o.duration)
-			if o.policy == rival.Module { // of an experiment about services, the last variant is the day itself
+			if o.policy == baseline.Module { // of an experiment about services, the last variant is the day itself
 				o.services = f.Variants[len(f.Variants)-1].Services
 				o.comeback = f.Variants[len(f.Variants)-1].Comeback
 			}
@@ -72,7 +72,7 @@
 	c.Flags().StringVar(&o.json, "json", "", "write the summary to this file too")
 	c.Flags().StringVar(&o.out, "out", "", "folder of the report (default faultlab-report/NAME-SEED)")
 	c.Flags().StringVar(&o.proxy, "proxy", "", "the proxy's program (default: lapisspread, built from this tree or beside this program)")
-	c.Flags().StringVar(&o.policy, "policy", rival.Module, "what decides: module is the real proxy, others a plain one; see faultlab list")
+	c.Flags().StringVar(&o.policy, "policy", baseline.Module, "what decides: module is the real proxy, others a plain one; see faultlab list")
 	c.Flags().Float64Var(&o.rate, "rate", 0, "first tries a second")
 	c.Flags().StringVar(&o.profile, "cpu-profile", "", "have each proxy write a CPU profile to this file, with its name behind")
 	c.Flags().BoolVar(&o.verbose, "verbose", false, "tell what the laboratory does")
@@ -139,13 +139,13 @@
 	}
 	if fl := f.Fleet; fl != nil {
 		opts.Fabric, opts.Fleet = true, &live.FleetOptions{Stewards: fl.Stewards, Longest: time.Duration(fl.Longest), Tokens: fl.Tokens,
-			Budgets: slices.Clone(fl.Budgets), Deaf: o.policy != rival.Module}
+			Budgets: slices.Clone(fl.Budgets), Deaf: o.policy != baseline.Module}
 		if fl.Drawn > 0 {
 			opts.Script = live.Drawn(o.seed, time.Duration(fl.Drawn))
 		}
 	}
-	if o.policy != rival.Module {
-		if _, err := rival.Named(o.policy); err != nil {
+	if o.policy != baseline.Module {
+		if _, err := baseline.Named(o.policy); err != nil {
 			return nil, err
 		}
 		if opts.Binary, err = os.Executable(); err != nil {
--- a/cmd/faultlab/scale.go
+++ b/cmd/faultlab/scale.go
@@ -12,10 +12,10 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/report"
-	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
 )
 
@@ -124,7 +124,7 @@
 	spec := model.Default()
 	spec.Proxies, spec.Nodes, spec.Duration = proxies, nodes, duration
 	spec.Load.Rate = load * spec.Capacity()
-	factory, err := rival.Named(rival.Module)
+	factory, err := baseline.Named(baseline.Module)
 	if err != nil {
 		return scalePoint{}, err
 	}
--- a/cmd/faultlab/selfcheck.go
+++ b/cmd/faultlab/selfcheck.go
@@ -10,10 +10,10 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/lab/budgets"
 	"lapisspread/internal/lab/experiment"
-	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
 )
 
@@ -52,11 +52,11 @@
 				return ledgerTrial(out, ledger)
 			}
 			convicted, acquitted, wrong := 0, 0, 0
-			right := append([]string{rival.Module}, rival.Baselines[:3]...)
-			flaws := slices.Clone(rival.Flaws)
+			right := append([]string{baseline.Module}, baseline.Baselines[:3]...)
+			flaws := slices.Clone(baseline.Flaws)
 			shares := []shareTrial{{budgets.FixedOver, true}, {budgets.AfterLease, true}, {budgets.Grants, false}, {budgets.Fixed, false}}
 			if len(only) > 0 {
-				flaws = slices.DeleteFunc(flaws, func(f rival.Flaw) bool { return !slices.Contains(only, f.Name) })
+				flaws = slices.DeleteFunc(flaws, func(f baseline.Flaw) bool { return !slices.Contains(only, f.Name) })
 				right = slices.DeleteFunc(right, func(name string) bool { return !slices.Contains(only, name) })
 				shares = slices.DeleteFunc(shares, func(s shareTrial) bool { return !slices.Contains(only, s.policy) })
 				if len(flaws)+len(right)+len(shares) < len(only) {
@@ -167,7 +167,7 @@
 		}
 		return s.Verdict, nil
 	}
-	factory, err := rival.Named(policy)
+	factory, err := baseline.Named(policy)
 	if err != nil {
 		return checker.Verdict{}, err
 	}
--- a/cmd/faultlab/simulate.go
+++ b/cmd/faultlab/simulate.go
@@ -13,11 +13,11 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/experiments"
+	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/report"
-	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
 )
 
@@ -98,7 +98,7 @@
 	c.Flags().Float64Var(&o.rate, "rate", 0, "first tries a second")
 	c.Flags().DurationVar(&o.duration, "duration", 0, "play it in this time; all its times follow")
 	c.Flags().Uint64Var(&o.seed, "seed", 1, "what chance comes from")
-	c.Flags().StringVar(&o.policy, "policy", rival.Module, "what decides: see faultlab list")
+	c.Flags().StringVar(&o.policy, "policy", baseline.Module, "what decides: see faultlab list")
 	c.Flags().StringVar(&o.json, "json", "", "write the summary to this file")
 	c.Flags().BoolVar(&o.quiet, "quiet", false, "no progress on standard error")
 	return c
@@ -115,7 +115,7 @@
 
 // simulate plays a spec and tells on progress what it costs.
 func simulate(ctx context.Context, name string, spec *model.Spec, policy string, memory time.Duration, progress io.Writer) (*report.Summary, error) {
-	factory, err := rival.Named(policy)
+	factory, err := baseline.Named(policy)
 	if err != nil {
 		return nil, err
 	}
@@ -161,8 +161,8 @@
 				}
 				fmt.Fprintf(out, "  %-16s %s (%v)\n", n, f.About, time.Duration(f.Duration))
 			}
-			fmt.Fprintf(out, "policies:\n  %s, %s\nflawed on purpose:\n", rival.Module, strings.Join(rival.Baselines, ", "))
-			for _, f := range rival.Flaws {
+			fmt.Fprintf(out, "policies:\n  %s, %s\nflawed on purpose:\n", baseline.Module, strings.Join(baseline.Baselines, ", "))
+			for _, f := range baseline.Flaws {
 				fmt.Fprintf(out, "  %-16s %s\n", f.Name, f.About)
 			}
 			fmt.Fprintf(out, "faults:\n  %s\n", strings.Join(model.Kinds(), ", "))
--- a/internal/lab/rival/flawed.go
+++ b/internal/faultlab/baseline/flawed.go
@@ -1,4 +1,4 @@
-package rival
+package baseline
 
 import (
 	"slices"
--- a/internal/lab/rival/rival.go
+++ b/internal/faultlab/baseline/rival.go
@@ -1,6 +1,6 @@
-// Package rival holds what the decision module is compared with and tried against: the plain policies that a team
+// Package baseline holds what the decision module is compared with and tried against: the plain policies that a team
 // would write or take instead, and proxies with one flaw each on which the judge is tried.
-package rival
+package baseline
 
 import (
 	"cmp"
--- a/internal/lab/sim/cold_test.go
+++ b/internal/lab/sim/cold_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
 )
 
@@ -66,7 +66,7 @@
 }
 
 // fallen plays a world and gives what was pushed over by proxies that had been told of the start.
-func fallen(t *testing.T, spec model.Spec, policy rival.Factory) []checker.Breach {
+func fallen(t *testing.T, spec model.Spec, policy baseline.Factory) []checker.Breach {
 	t.Helper()
 	r, err := sim.New(&spec, policy)
 	if err != nil {
@@ -88,7 +88,7 @@
 // A cold server falls under the sum of what all proxies send it: in no window may it be more than its budget of N requests of
 // mean work and 2 x root of N + 2. A server of this world that gets more falls.
 func TestTheSumOfAllProxiesKeepsColdServersUp(t *testing.T) {
-	module, err := rival.Named(rival.Module)
+	module, err := baseline.Named(baseline.Module)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 
 // The check is tried: proxies that each keep to the budget as if they were alone push servers over in a burst.
 func TestProxiesThatTakeThemselvesForAlonePushColdServersOver(t *testing.T) {
-	alone := func(cfg decision.Config, seed uint64, host decision.Host) (rival.Policy, error) {
+	alone := func(cfg decision.Config, seed uint64, host decision.Host) (baseline.Policy, error) {
 		cfg.Instances = 1
 		return decision.New(cfg, seed, host)
 	}
--- a/internal/lab/sim/proxy.go
+++ b/internal/lab/sim/proxy.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/rival"
 )
 
 // proxy is one proxy: its policy, its requests and its connections. In its half of a step it touches nothing of
@@ -17,7 +17,7 @@
 	no      int
 	zone    int
 	r       *Run
-	policy  rival.Policy
+	policy  baseline.Policy
 	rng     *rand.Rand
 	now     time.Duration
 	dead    bool
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/rival"
 )
 
 // Result is what a run has come to.
@@ -38,7 +38,7 @@
 	proxies []*proxy // by number
 	old     []*proxy // that end in order
 	cells   []*cell
-	named   rival.Factory
+	named   baseline.Factory
 	views   [][]view // what each proxy has been told, by node
 	front   *rand.Rand
 	retries model.Queue
@@ -94,7 +94,7 @@
 }
 
 // New makes a run of a spec with a policy in every proxy.
-func New(spec *model.Spec, policy rival.Factory) (*Run, error) {
+func New(spec *model.Spec, policy baseline.Factory) (*Run, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
 	}
@@ -311,7 +311,7 @@
 
 // term is SIGTERM.
 func (r *Run) term(now time.Duration, p *proxy, succeeds bool) {
-	wire := rival.WireOf(p.policy)
+	wire := baseline.WireOf(p.policy)
 	p.ending = &ending{since: now, newUntil: now + model.NewAfterTerm.DrawMs(r.front), kill: now + r.spec.KillAfter(), lines: openLines,
 		deaf: wire.StopsReading, succeeds: succeeds}
 	if wire.EndsAtOnce {
@@ -460,7 +460,7 @@
 			break
 		}
 		anew := now + watchNoticed
-		if rival.WireOf(r.proxies[s.Node].policy).KeepsSilentWatch {
+		if baseline.WireOf(r.proxies[s.Node].policy).KeepsSilentWatch {
 			anew = model.Never
 		}
 		r.silent[s.Node] = &silence{told: model.Missed(now, 0), anew: anew}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -10,15 +10,15 @@
 	"time"
 
 	"lapisspread/experiments"
+	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/experiment"
-	"lapisspread/internal/lab/rival"
 	"lapisspread/internal/lab/sim"
 )
 
 func play(t *testing.T, spec model.Spec, policy string) sim.Result {
 	t.Helper()
-	factory, err := rival.Named(policy)
+	factory, err := baseline.Named(policy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	spec.Proxies, spec.Nodes, spec.Load.Rate = 12, 60, 1500
 	text := func(cores int) []byte {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
-		b, err := json.Marshal(play(t, spec, rival.Module).Verdict)
+		b, err := json.Marshal(play(t, spec, baseline.Module).Verdict)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,7 +68,7 @@
 				t.Fatal(err)
 			}
 			for _, seed := range []uint64{1, 2, 3} {
-				v := play(t, f.Spec(seed, 1), rival.Module).Verdict
+				v := play(t, f.Spec(seed, 1), baseline.Module).Verdict
 				if v.RulesBroken > 0 {
 					t.Errorf("seed %d: %d breaches, first %+v", seed, v.RulesBroken, v.Breaches[0])
 				}
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, flaw := range rival.Flaws {
+	for _, flaw := range baseline.Flaws {
 		t.Run(flaw.Name, func(t *testing.T) {
 			t.Parallel()
 			v := play(t, f.Spec(1, 1), flaw.Name).Verdict
@@ -97,7 +97,7 @@
 			}
 		})
 	}
-	for _, right := range append([]string{rival.Module}, rival.Baselines...) {
+	for _, right := range append([]string{baseline.Module}, baseline.Baselines...) {
 		t.Run(right, func(t *testing.T) {
 			t.Parallel()
 			if v := play(t, f.Spec(1, 1), right).Verdict; v.RulesBroken > 0 {
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := play(t, f.Spec(1, 1), rival.Module).Verdict
+	v := play(t, f.Spec(1, 1), baseline.Module).Verdict
 	if v.RulesBroken > 0 {
 		t.Errorf("%d breaches: %+v", v.RulesBroken, v.Breaches[0])
 	}
@@ -124,7 +124,7 @@
 
 func TestBrokenOffRunsAreJudged(t *testing.T) {
 	spec := model.Default()
-	factory, _ := rival.Named(rival.Module)
+	factory, _ := baseline.Named(baseline.Module)
 	r, err := sim.New(&spec, factory)
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 	if _, err := sim.New(&spec, nil); err == nil {
 		t.Error("a world without nodes was taken")
 	}
-	if _, err := rival.Named("best"); err == nil {
+	if _, err := baseline.Named("best"); err == nil {
 		t.Error("a policy that is not there was taken")
 	}
 }
@@ -163,7 +163,7 @@
 			spec.Load.Rate = 0.4 * spec.Capacity()
 			taken := 0
 			for b.Loop() {
-				factory, _ := rival.Named(rival.Module)
+				factory, _ := baseline.Named(baseline.Module)
 				r, err := sim.New(&spec, factory)
 				if err != nil {
 					b.Fatal(err)
