--- a/internal/lab/fabric/fabric_test.go
+++ b/internal/faultlab/linkfault/fabric_test.go
@@ -1,4 +1,4 @@
-package fabric
+package linkfault
 
 import (
 	"bytes"
--- a/internal/lab/fabric/trouble.go
+++ b/internal/faultlab/linkfault/trouble.go
@@ -1,10 +1,10 @@
-// Package fabric stands between the processes of a test: every way between two of them can be led through a relay on
+// Package linkfault stands between the processes of a test: every way between two of them can be led through a relay on
 // loopback, and broken there on purpose. Bytes are late, few or held, in either direction; connections are refused, reset or
 // cut off in the midst; and all of that ends.
 //
 // What a relay can't show: a lost packet. TCP sends it again until the way is whole, so loss in one direction is silence in
 // that direction, and its end brings what was held. The rest of the way (windows, congestion) is loopback's.
-package fabric
+package linkfault
 
 import (
 	"fmt"
--- a/internal/lab/kit/comeback_test.go
+++ b/internal/lab/kit/comeback_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/built"
-	"lapisspread/internal/lab/fabric"
 	"lapisspread/internal/lab/live"
 )
 
@@ -21,7 +21,7 @@
 func again(f *live.Fleet) error { return f.Service(enough, f.All()...) }
 
 // during has a rule hold while something is done.
-func during(f *live.Fleet, r fabric.Rule, do func() error) error {
+func during(f *live.Fleet, r linkfault.Rule, do func() error) error {
 	links, err := f.Fabric()
 	if err != nil {
 		return err
@@ -61,7 +61,7 @@
 // The fleet comes back from each of these, by itself, with no rule broken on the way.
 func TestTheFleetComesBack(t *testing.T) {
 	t.Parallel()
-	silent := fabric.Trouble{Silent: true}
+	silent := linkfault.Trouble{Silent: true}
 	Run(t, []Scenario{
 		{Name: "all are killed", Play: func(f *live.Fleet) error {
 			restart(f, f.All()...)
@@ -180,7 +180,7 @@
 			if err := errors.Join(f.Service(enough, f.All()...), f.Learned(f.All()...)); err != nil {
 				return err
 			}
-			return errors.Join(during(f, fabric.Rule{To: "register", Trouble: silent}, func() error {
+			return errors.Join(during(f, linkfault.Rule{To: "register", Trouble: silent}, func() error {
 				restart(f, f.All()...) // without what was learned there would be the one that drains, and it alone
 				return errors.Join(recalls(f, "yes"), again(f))
 			}), again(f))
@@ -202,16 +202,16 @@
 			if err := f.Service(enough, f.All()...); err != nil {
 				return err
 			}
-			return errors.Join(during(f, fabric.Rule{To: "register", Trouble: silent}, func() error {
+			return errors.Join(during(f, linkfault.Rule{To: "register", Trouble: silent}, func() error {
 				restart(f, f.All()...)
 				return again(f)
 			}), again(f))
 		}},
 		{Name: "cut off from the register for a while, one way", Fabric: true, Play: func(f *live.Fleet) error {
-			return errors.Join(during(f, fabric.Rule{To: "register", Way: fabric.Back, Trouble: silent}, func() error { return again(f) }), again(f))
+			return errors.Join(during(f, linkfault.Rule{To: "register", Way: linkfault.Back, Trouble: silent}, func() error { return again(f) }), again(f))
 		}},
 		{Name: "a black-holed link heals as the herd returns", Fabric: true, Play: func(f *live.Fleet) error {
-			err := during(f, fabric.Rule{From: "proxy-0,proxy-1", To: "node-0,node-1", Trouble: silent}, func() error {
+			err := during(f, linkfault.Rule{From: "proxy-0,proxy-1", To: "node-0,node-1", Trouble: silent}, func() error {
 				if err := again(f); err != nil {
 					return err
 				}
@@ -271,8 +271,8 @@
 			return again(f)
 		}},
 		{Name: "links are slow, narrow and cut while one restarts", Fabric: true, Play: func(f *live.Fleet) error {
-			slow := fabric.Rule{To: "node-*", Trouble: fabric.Trouble{Delay: 5 * time.Millisecond, Rate: 64 << 10}}
-			cut := fabric.Rule{From: "proxy-2", To: "node-3", Way: fabric.Back, Trouble: fabric.Trouble{Cut: 300}}
+			slow := linkfault.Rule{To: "node-*", Trouble: linkfault.Trouble{Delay: 5 * time.Millisecond, Rate: 64 << 10}}
+			cut := linkfault.Rule{From: "proxy-2", To: "node-3", Way: linkfault.Back, Trouble: linkfault.Trouble{Cut: 300}}
 			return errors.Join(during(f, slow, func() error {
 				return during(f, cut, func() error { restart(f, 1); return again(f) })
 			}), again(f))
--- a/internal/lab/kit/fleet_test.go
+++ b/internal/lab/kit/fleet_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
-	"lapisspread/internal/lab/fabric"
 	"lapisspread/internal/lab/live"
 	"lapisspread/internal/strict"
 )
@@ -34,7 +34,7 @@
 }
 
 // while has proxies or stewards cut off from stewards while something is done.
-func while(f *live.Fleet, from, to string, way fabric.Way, do func() error) error {
+func while(f *live.Fleet, from, to string, way linkfault.Way, do func() error) error {
 	end, err := f.CutStewards(from, to, way)
 	if err != nil {
 		return err
@@ -107,17 +107,17 @@
 	for _, s := range []Scenario{
 		{Name: "all is whole", Play: func(f *live.Fleet) error { return granted(f) }},
 		{Name: "a proxy is cut off from the stewards", Play: func(f *live.Fleet) error {
-			return while(f, "proxy-0", "steward-*", fabric.Both, func() error { return cutOff(f, 0, 1, 2) })
+			return while(f, "proxy-0", "steward-*", linkfault.Both, func() error { return cutOff(f, 0, 1, 2) })
 		}},
 		{Name: "a proxy with a floor is cut off from the stewards and serves on it", Fleet: floors(), Play: func(f *live.Fleet) error {
-			return while(f, "proxy-0", "steward-*", fabric.Both, func() error { return errors.Join(cutOff(f, 0, 1, 2), f.Service(enough, 0)) })
+			return while(f, "proxy-0", "steward-*", linkfault.Both, func() error { return errors.Join(cutOff(f, 0, 1, 2), f.Service(enough, 0)) })
 		}},
 		{Name: "replies of the stewards are lost", Play: func(f *live.Fleet) error {
-			return while(f, "proxy-0", "steward-*", fabric.Back, func() error { return cutOff(f, 0, 1, 2) })
+			return while(f, "proxy-0", "steward-*", linkfault.Back, func() error { return cutOff(f, 0, 1, 2) })
 		}},
 		{Name: "replies of the stewards take half of the lease, and longer than it", Play: func(f *live.Fleet) error {
 			for _, d := range []time.Duration{lease / 2, lease * 3 / 2} {
-				slow := fabric.Rule{From: "proxy-0", To: "steward-*", Way: fabric.Back, Trouble: fabric.Trouble{Delay: d}}
+				slow := linkfault.Rule{From: "proxy-0", To: "steward-*", Way: linkfault.Back, Trouble: linkfault.Trouble{Delay: d}}
 				if err := during(f, slow, func() error { return f.Service(4*enough, 1, 2) }); err != nil {
 					return err
 				}
@@ -194,7 +194,7 @@
 			return nil
 		}},
 		{Name: "the whole is halved while proxies and a steward are cut off", Play: func(f *live.Fleet) error {
-			return while(f, "proxy-0,proxy-1", "steward-*", fabric.Both, func() error {
+			return while(f, "proxy-0,proxy-1", "steward-*", linkfault.Both, func() error {
 				end, err := f.Apart(2)
 				if err != nil {
 					return err
@@ -235,7 +235,7 @@
 			return err
 		}},
 		{Name: "stewards can't speak to each other", Play: func(f *live.Fleet) error {
-			return while(f, "steward-*", "steward-*", fabric.Both, func() error { return errors.Join(f.Leaderless(), f.Ended("attempts", f.All()...)) })
+			return while(f, "steward-*", "steward-*", linkfault.Both, func() error { return errors.Join(f.Leaderless(), f.Ended("attempts", f.All()...)) })
 		}},
 	} {
 		s.Fabric = true
--- a/internal/lab/kit/view_test.go
+++ b/internal/lab/kit/view_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
+	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/fabric"
 	"lapisspread/internal/lab/live"
 )
 
@@ -58,7 +58,7 @@
 		if err := f.Silence(f.All()...); err != nil {
 			return err
 		}
-		err := during(f, fabric.Rule{To: "register", Trouble: fabric.Trouble{Silent: true}}, func() error {
+		err := during(f, linkfault.Rule{To: "register", Trouble: linkfault.Trouble{Silent: true}}, func() error {
 			f.Nodes(model.OpKill, 4)
 			f.Doubt() // earlier than any proxy's doubt: an answer between the two counts for the proxy
 			if err := f.Levels("doubtful"); err != nil {
--- a/internal/lab/live/drawn.go
+++ b/internal/lab/live/drawn.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/fabric"
 )
 
 // drawnFaults are what Drawn has befall a fleet and its stewards. Each ends what it began, whatever else fails.
@@ -16,14 +16,14 @@
 	name string
 	do   func(d *drawn) error
 }{
-	{"proxies-cut-off", func(d *drawn) error { return d.cut(fabric.Both, d.some()) }},
-	{"proxies-unheard", func(d *drawn) error { return d.cut(fabric.There, d.some()) }},
-	{"proxies-untold", func(d *drawn) error { return d.cut(fabric.Back, d.some()) }},
-	{"all-cut-off", func(d *drawn) error { return d.cut(fabric.Both, "proxy-*") }},
+	{"proxies-cut-off", func(d *drawn) error { return d.cut(linkfault.Both, d.some()) }},
+	{"proxies-unheard", func(d *drawn) error { return d.cut(linkfault.There, d.some()) }},
+	{"proxies-untold", func(d *drawn) error { return d.cut(linkfault.Back, d.some()) }},
+	{"all-cut-off", func(d *drawn) error { return d.cut(linkfault.Both, "proxy-*") }},
 	{"slow-replies", func(d *drawn) error {
-		return d.during(fabric.Rule{From: d.some(), To: "steward-*", Way: fabric.Back, Trouble: fabric.Trouble{Delay: d.about(d.lease)}})
+		return d.during(linkfault.Rule{From: d.some(), To: "steward-*", Way: linkfault.Back, Trouble: linkfault.Trouble{Delay: d.about(d.lease)}})
 	}},
-	{"stewards-apart", func(d *drawn) error { return d.cut(fabric.Both, "steward-*") }},
+	{"stewards-apart", func(d *drawn) error { return d.cut(linkfault.Both, "steward-*") }},
 	{"leader-killed", func(d *drawn) error {
 		no, _, err := d.leading()
 		if err != nil {
@@ -140,11 +140,11 @@
 	return names[1:]
 }
 
-func (d *drawn) cut(way fabric.Way, from string) error {
-	return d.during(fabric.Rule{From: from, To: "steward-*", Way: way, Trouble: fabric.Trouble{Silent: true}})
+func (d *drawn) cut(way linkfault.Way, from string) error {
+	return d.during(linkfault.Rule{From: from, To: "steward-*", Way: way, Trouble: linkfault.Trouble{Silent: true}})
 }
 
-func (d *drawn) during(r fabric.Rule) error {
+func (d *drawn) during(r linkfault.Rule) error {
 	end, err := d.r.paths.fabric.Apply(r)
 	if err != nil {
 		return err
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
+	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/grant"
-	"lapisspread/internal/lab/fabric"
 )
 
 // node is a stand-in node on sockets: the world's node decides, this carries it out. It listens once for each proxy.
@@ -28,8 +28,8 @@
 	addrs   []*net.TCPAddr // by proxy; their ports stay
 	listens []*net.TCPListener
 	conns   map[*nodeConn]bool
-	deaf    *fabric.Deaf // while it is cut off; else nil
-	uncut   func()       // what ends the silence of its links then; nil is none
+	deaf    *linkfault.Deaf // while it is cut off; else nil
+	uncut   func()          // what ends the silence of its links then; nil is none
 
 	fence *grant.Fence // nil is a server that knows no tokens; guarded by the run's lock
 }
@@ -146,7 +146,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.deaf == nil {
-		n.deaf, n.uncut = fabric.Deafen(n.listens...), n.r.paths.silence(n.no)
+		n.deaf, n.uncut = linkfault.Deafen(n.listens...), n.r.paths.silence(n.no)
 	}
 }
 
--- a/internal/lab/live/paths.go
+++ b/internal/lab/live/paths.go
@@ -8,24 +8,24 @@
 	"path/filepath"
 	"time"
 
+	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/fabric"
 )
 
 // paths are the relays between the processes of a run, if it has any. A nil one is none.
 type paths struct {
-	fabric   *fabric.Fabric
-	nodes    [][]*fabric.Link           // by proxy, by node
-	register []*fabric.Link             // by proxy
-	stewards map[[2]string]*fabric.Link // by who connects and to whom
+	fabric   *linkfault.Fabric
+	nodes    [][]*linkfault.Link           // by proxy, by node
+	register []*linkfault.Link             // by proxy
+	stewards map[[2]string]*linkfault.Link // by who connects and to whom
 	ends     map[int]func() error
 }
 
 // newPaths lays a link from each proxy to each node.
 func newPaths(r *Run) (*paths, error) {
-	p := &paths{fabric: fabric.New(), ends: map[int]func() error{}, stewards: map[[2]string]*fabric.Link{}}
+	p := &paths{fabric: linkfault.New(), ends: map[int]func() error{}, stewards: map[[2]string]*linkfault.Link{}}
 	for no := range r.spec.Proxies {
-		var links []*fabric.Link
+		var links []*linkfault.Link
 		for i, n := range r.nodes {
 			l, err := p.fabric.Link(fmt.Sprintf("proxy-%d", no), fmt.Sprintf("node-%d", i), nodeAddr(no, i), func() string { return n.addr(no) })
 			if err != nil {
@@ -75,7 +75,7 @@
 		return func() {}
 	}
 	name := fmt.Sprintf("node-%d", node)
-	stop, err := p.fabric.Apply(fabric.Rule{To: name, Trouble: fabric.Trouble{Silent: true}})
+	stop, err := p.fabric.Apply(linkfault.Rule{To: name, Trouble: linkfault.Trouble{Silent: true}})
 	if err != nil { // a silence opens nothing that could fail
 		panic(err)
 	}
@@ -97,11 +97,11 @@
 		p.fabric.Reset(f.From, f.To)
 		return nil
 	}
-	way, err := fabric.ParseWay(f.Way)
+	way, err := linkfault.ParseWay(f.Way)
 	if err != nil {
 		return err
 	}
-	rule := fabric.Rule{From: f.From, To: f.To, Way: way}
+	rule := linkfault.Rule{From: f.From, To: f.To, Way: way}
 	switch f.Do {
 	case "delay":
 		rule.Delay = model.Ms(f.Size)
--- a/internal/lab/live/script.go
+++ b/internal/lab/live/script.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/fabric"
 )
 
 // Fleet is a run as a script sees it.
@@ -165,7 +165,7 @@
 }
 
 // Fabric is the links, where the run has them.
-func (f *Fleet) Fabric() (*fabric.Fabric, error) {
+func (f *Fleet) Fabric() (*linkfault.Fabric, error) {
 	if f.r.paths == nil {
 		return nil, errors.New("the run has no fabric: see Options.Fabric")
 	}
--- a/internal/lab/live/steward.go
+++ b/internal/lab/live/steward.go
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
+	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/lab/fabric"
 	"lapisspread/internal/lab/quiet"
 )
 
@@ -301,8 +301,8 @@
 
 // CutStewards holds all that goes from some processes to some stewards, such as "proxy-0" to "steward-*", in one direction or
 // both, until end is called.
-func (f *Fleet) CutStewards(from, to string, way fabric.Way) (end func() error, err error) {
-	return f.r.paths.fabric.Apply(fabric.Rule{From: from, To: to, Way: way, Trouble: fabric.Trouble{Silent: true}})
+func (f *Fleet) CutStewards(from, to string, way linkfault.Way) (end func() error, err error) {
+	return f.r.paths.fabric.Apply(linkfault.Rule{From: from, To: to, Way: way, Trouble: linkfault.Trouble{Silent: true}})
 }
 
 // Apart cuts stewards off from all processes, in both directions, until end is called.
@@ -317,7 +317,7 @@
 	}
 	for _, no := range stewards {
 		name := f.r.stewards[no].name()
-		for _, rule := range []fabric.Rule{{To: name}, {From: name}} {
+		for _, rule := range []linkfault.Rule{{To: name}, {From: name}} {
 			rule.Silent = true
 			e, err := f.r.paths.fabric.Apply(rule)
 			if err != nil {
--- a/internal/lab/live/steward_test.go
+++ b/internal/lab/live/steward_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
 	"lapisspread/internal/lab/built"
-	"lapisspread/internal/lab/fabric"
 	"lapisspread/internal/strict"
 )
 
@@ -87,7 +87,7 @@
 			},
 			func() error { return granted("a grant after they met") },
 			func() error {
-				end, err := f.CutStewards("proxy-0", "steward-*", fabric.Back)
+				end, err := f.CutStewards("proxy-0", "steward-*", linkfault.Back)
 				return errors.Join(err, nothing("no grant by ways of one direction", end))
 			},
 			func() error { return errors.Join(granted("a grant as all is whole"), f.SetWhole("attempts", 5, 5)) },
