--- a/internal/lab/kit/comeback_test.go
+++ b/internal/faultlab/clustertest/comeback_test.go
@@ -1,4 +1,4 @@
-package kit
+package clustertest
 
 import (
 	"errors"
--- a/internal/lab/kit/kit.go
+++ b/internal/faultlab/clustertest/kit.go
@@ -1,6 +1,6 @@
-// Package kit is for tests that start several processes of the program and put faults between them. A scenario is a small
+// Package clustertest is for tests that start several processes of the program and put faults between them. A scenario is a small
 // world and a script; what must never happen is asserted for all of them, what must come at last is the script's to await.
-package kit
+package clustertest
 
 import (
 	"fmt"
