--- a/cmd/faultlab/diametersend.go
+++ b/cmd/faultlab/diametersend.go
@@ -13,14 +13,14 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/diameter"
-	"lapisspread/internal/lab/partner"
+	"lapisspread/internal/faultlab/diameterpeer"
 )
 
 func sendCommand() *cobra.Command {
 	var to string
 	var n, atOnce int
 	var amount int64
-	client := &partner.Client{}
+	client := &diameterpeer.Client{}
 	c := &cobra.Command{
 		Use:   "send",
 		Short: "Send claims to a Diameter node, as a partner would, and tell what it answers",
@@ -53,7 +53,7 @@
 	return c
 }
 
-func sendClaims(ctx context.Context, w io.Writer, client *partner.Client, n, atOnce int, amount int64) error {
+func sendClaims(ctx context.Context, w io.Writer, client *diameterpeer.Client, n, atOnce int, amount int64) error {
 	var mu sync.Mutex
 	codes := map[diameter.ResultCode]int{}
 	var took []time.Duration
--- a/internal/diameter/upstream/late_test.go
+++ b/internal/diameter/upstream/late_test.go
@@ -6,12 +6,12 @@
 
 	"lapisspread/decision"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/lab/partner"
+	"lapisspread/internal/faultlab/diameterpeer"
 )
 
 // A server takes its time over the capabilities exchange, and by then the attempt may not be made any more: it does not go out.
 func TestAConnectionThatComesUpTooLate(t *testing.T) {
-	inBubble(t, &partner.Server{Late: 500 * time.Millisecond}, func(t *testing.T, u *Upstream, send func(uint32) decision.Result) {
+	inBubble(t, &diameterpeer.Server{Late: 500 * time.Millisecond}, func(t *testing.T, u *Upstream, send func(uint32) decision.Result) {
 		asked := time.Now()
 		may := func() (time.Time, bool) { return time.Time{}, time.Since(asked) < 400*time.Millisecond }
 		a := engine.Attempt{Message: NewMessage(claimOf("1", 1)), Timeout: time.Second, May: may}
--- a/internal/diameter/upstream/silent_test.go
+++ b/internal/diameter/upstream/silent_test.go
@@ -11,7 +11,7 @@
 	"lapisspread/decision"
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/lab/partner"
+	"lapisspread/internal/faultlab/diameterpeer"
 )
 
 // pipes is a listener whose connections are pipes: they go by a test's own clock.
@@ -38,7 +38,7 @@
 	return a, nil
 }
 
-func inBubble(t *testing.T, s *partner.Server, do func(t *testing.T, u *Upstream, send func(id uint32) decision.Result)) {
+func inBubble(t *testing.T, s *diameterpeer.Server, do func(t *testing.T, u *Upstream, send func(id uint32) decision.Result)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &pipes{make(chan net.Conn), make(chan struct{})}
 		s.Host, s.Realm = "node.kigali.example", "kigali.example"
@@ -64,7 +64,7 @@
 
 // A server that answers no watchdog gets nothing new within two of them, and its connection is made anew.
 func TestAServerThatAnswersNoWatchdog(t *testing.T) {
-	inBubble(t, &partner.Server{Deaf: true}, func(t *testing.T, u *Upstream, send func(uint32) decision.Result) {
+	inBubble(t, &diameterpeer.Server{Deaf: true}, func(t *testing.T, u *Upstream, send func(uint32) decision.Result) {
 		if got := send(1); got != decision.OK {
 			t.Fatalf("at first: %v", got)
 		}
@@ -91,7 +91,7 @@
 // While a server takes its time over the capabilities exchange requests wait, for no longer than a connection may take.
 func TestAServerThatIsLateWithItsCapabilities(t *testing.T) {
 	for late, want := range map[time.Duration]decision.Result{500 * time.Millisecond: decision.OK, 5 * time.Second: decision.ConnectFailed} {
-		inBubble(t, &partner.Server{Late: late}, func(t *testing.T, _ *Upstream, send func(uint32) decision.Result) {
+		inBubble(t, &diameterpeer.Server{Late: late}, func(t *testing.T, _ *Upstream, send func(uint32) decision.Result) {
 			began := time.Now()
 			if got := send(1); got != want || time.Since(began) > 1100*time.Millisecond {
 				t.Errorf("%v late: %v after %v", late, got, time.Since(began))
--- a/internal/diameter/upstream/upstream_test.go
+++ b/internal/diameter/upstream/upstream_test.go
@@ -15,7 +15,7 @@
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/engine/enginetest"
-	"lapisspread/internal/lab/partner"
+	"lapisspread/internal/faultlab/diameterpeer"
 )
 
 func claimOf(session string, id uint32) diameter.Message {
@@ -29,7 +29,7 @@
 }
 
 // stand starts a server, and an upstream before it.
-func stand(t *testing.T, s *partner.Server, refuses bool) (*Upstream, engine.List) {
+func stand(t *testing.T, s *diameterpeer.Server, refuses bool) (*Upstream, engine.List) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,13 +52,13 @@
 }
 
 func TestDiameterUpstreamConforms(t *testing.T) {
-	acts := map[enginetest.Behaviour]partner.Act{enginetest.Errs: partner.Fails, enginetest.TurnsAway: partner.Busy, enginetest.ClosesFirst: partner.DropAfter,
-		enginetest.ClosesMidway: partner.HalfAnswer, enginetest.Spoils: partner.Garbage, enginetest.Stalls: partner.Stall,
-		enginetest.ServesSlowly: partner.Slowly, enginetest.SaysTooMuch: partner.Stray}
+	acts := map[enginetest.Behaviour]diameterpeer.Act{enginetest.Errs: diameterpeer.Fails, enginetest.TurnsAway: diameterpeer.Busy, enginetest.ClosesFirst: diameterpeer.DropAfter,
+		enginetest.ClosesMidway: diameterpeer.HalfAnswer, enginetest.Spoils: diameterpeer.Garbage, enginetest.Stalls: diameterpeer.Stall,
+		enginetest.ServesSlowly: diameterpeer.Slowly, enginetest.SaysTooMuch: diameterpeer.Stray}
 	var last atomic.Uint32
 	enginetest.Upstream{
 		Start: func(t *testing.T, b enginetest.Behaviour) (engine.Upstream, engine.List) {
-			return stand(t, &partner.Server{Act: func(int64) partner.Act { return acts[b] }}, b == enginetest.Refuses)
+			return stand(t, &diameterpeer.Server{Act: func(int64) diameterpeer.Act { return acts[b] }}, b == enginetest.Refuses)
 		},
 		Message: func() engine.Message { id := last.Add(1); return NewMessage(claimOf(fmt.Sprint(id), id)) },
 		Body:    func(answer any) []byte { m, _ := answer.(diameter.Message); return front.Body(m, diameter.Base()) },
@@ -69,9 +69,9 @@
 // A server that mixes up its identifiers gives nobody another's answer; one that answers twice does no harm.
 func TestIdentifiersThatAreMixedUp(t *testing.T) {
 	var n atomic.Int64
-	s := &partner.Server{Act: func(k int64) partner.Act {
+	s := &diameterpeer.Server{Act: func(k int64) diameterpeer.Act {
 		n.Store(k)
-		return [3]partner.Act{partner.Slowly, partner.Swap, partner.Twice}[k%3]
+		return [3]diameterpeer.Act{diameterpeer.Slowly, diameterpeer.Swap, diameterpeer.Twice}[k%3]
 	}}
 	u, list := stand(t, s, false)
 	u.Update(list)
@@ -100,7 +100,7 @@
 
 // A thousand in hand of a server that drains by the register: all come back, nothing new goes there, and it is told goodbye.
 func TestAServerThatDrains(t *testing.T) {
-	s := &partner.Server{Act: func(int64) partner.Act { return partner.Slowly }}
+	s := &diameterpeer.Server{Act: func(int64) diameterpeer.Act { return diameterpeer.Slowly }}
 	u, list := stand(t, s, false)
 	u.Update(list)
 	held := u.Find(engine.BackendID("a"))
@@ -136,11 +136,11 @@
 
 // A request that goes out again after it may have run has the T flag; one that never left has not.
 func TestRepeatsAreMarked(t *testing.T) {
-	s := &partner.Server{Act: func(n int64) partner.Act {
+	s := &diameterpeer.Server{Act: func(n int64) diameterpeer.Act {
 		if n == 1 {
-			return partner.Fails
+			return diameterpeer.Fails
 		}
-		return partner.Serve
+		return diameterpeer.Serve
 	}}
 	u, list := stand(t, s, false)
 	m := NewMessage(claimOf("s", 1))
--- a/internal/lab/partner/client.go
+++ b/internal/faultlab/diameterpeer/client.go
@@ -1,4 +1,4 @@
-package partner
+package diameterpeer
 
 import (
 	"context"
--- a/internal/lab/partner/server.go
+++ b/internal/faultlab/diameterpeer/server.go
@@ -1,7 +1,7 @@
-// Package partner is stand-ins for settlement partners: a Diameter server that executes claims and counts them, with faults
+// Package diameterpeer is stand-ins for settlement partners: a Diameter server that executes claims and counts them, with faults
 // at every step, and a client that sends claims and repeats them. They are written from RFC 6733 and RFC 8506 on the codec
 // alone: nothing of the proxy's own peers is used, so that what both have wrong shows.
-package partner
+package diameterpeer
 
 import (
 	"fmt"
--- a/internal/lab/payouts/http.go
+++ b/internal/lab/payouts/http.go
@@ -11,17 +11,17 @@
 	"time"
 
 	"lapisspread/internal/diameter"
-	"lapisspread/internal/lab/partner"
+	"lapisspread/internal/faultlab/diameterpeer"
 )
 
 // webServer executes claims that come by HTTP.
 type webServer struct {
 	mu  sync.Mutex
-	ran map[partner.Name]int
+	ran map[diameterpeer.Name]int
 }
 
 func newWebServer(l net.Listener) *webServer {
-	w := &webServer{ran: map[partner.Name]int{}}
+	w := &webServer{ran: map[diameterpeer.Name]int{}}
 	go http.Serve(l, w)
 	return w
 }
@@ -31,17 +31,17 @@
 	if r.Method == http.MethodPost {
 		if id, err := strconv.ParseUint(r.Header.Get("X-Request-Id"), 10, 32); err == nil {
 			s.mu.Lock()
-			s.ran[partner.Name{Origin: "http", ID: uint32(id)}]++
+			s.ran[diameterpeer.Name{Origin: "http", ID: uint32(id)}]++
 			s.mu.Unlock()
 		}
 	}
 	io.WriteString(w, "the answer")
 }
 
-func (s *webServer) executed() map[partner.Name]int {
+func (s *webServer) executed() map[diameterpeer.Name]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[partner.Name]int{}
+	out := map[diameterpeer.Name]int{}
 	for k, v := range s.ran {
 		out[k] = v
 	}
@@ -52,14 +52,14 @@
 var claimText = strings.Repeat("x", 300)
 
 // sendHTTP sends the claims by HTTP, once each.
-func (s *stage) sendHTTP(ctx context.Context) []partner.Outcome {
+func (s *stage) sendHTTP(ctx context.Context) []diameterpeer.Outcome {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: giveUp + 200*time.Millisecond}
 	defer client.CloseIdleConnections()
-	out := make([]partner.Outcome, s.plan.Claims)
+	out := make([]diameterpeer.Outcome, s.plan.Claims)
 	var all sync.WaitGroup
 	for i := range s.paced(ctx) {
 		all.Go(func() {
-			o := partner.Outcome{Name: partner.Name{Origin: "http", ID: uint32(i)}, Tries: 1}
+			o := diameterpeer.Outcome{Name: diameterpeer.Name{Origin: "http", ID: uint32(i)}, Tries: 1}
 			defer func() { out[i] = o }()
 			req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.addr+"/claims?key="+strconv.Itoa(i), strings.NewReader(claimText))
 			if err != nil {
--- a/internal/lab/payouts/payouts.go
+++ b/internal/lab/payouts/payouts.go
@@ -22,9 +22,9 @@
 	"time"
 
 	"lapisspread/internal/diameter"
+	"lapisspread/internal/faultlab/diameterpeer"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/live"
-	"lapisspread/internal/lab/partner"
 	"lapisspread/internal/lab/quiet"
 )
 
@@ -49,9 +49,9 @@
 }
 
 // Chances are what a server does wrong, by how often. The last of the servers stalls for a part of the run besides.
-var Chances = map[partner.Act]float64{partner.Slowly: 0.05, partner.Stall: 0.002, partner.DropAfter: 0.0006, partner.HalfAnswer: 0.0006, partner.Twice: 0.01,
-	partner.Stray: 0.01, partner.Swap: 0.01, partner.Garbage: 0.0006, partner.HalfHeader: 0.0006, partner.DropBefore: 0.0006, partner.Busy: 0.01,
-	partner.Fails: 0.002, partner.Goodbye: 0.0006}
+var Chances = map[diameterpeer.Act]float64{diameterpeer.Slowly: 0.05, diameterpeer.Stall: 0.002, diameterpeer.DropAfter: 0.0006, diameterpeer.HalfAnswer: 0.0006, diameterpeer.Twice: 0.01,
+	diameterpeer.Stray: 0.01, diameterpeer.Swap: 0.01, diameterpeer.Garbage: 0.0006, diameterpeer.HalfHeader: 0.0006, diameterpeer.DropBefore: 0.0006, diameterpeer.Busy: 0.01,
+	diameterpeer.Fails: 0.002, diameterpeer.Goodbye: 0.0006}
 
 // Losses are what may befall a ledger: it is gone, the whole state folder is, or it is again as it was at the kill before.
 var Losses = []string{"ledger", "folder", "old"}
@@ -129,7 +129,7 @@
 	tmp     string
 	addr    string // of the proxy's Diameter, or HTTP
 	plain   []*webServer
-	servers []*partner.Server
+	servers []*diameterpeer.Server
 	lists   []net.Listener
 	catalog *http.Server
 	agent   string
@@ -217,7 +217,7 @@
 			return fmt.Errorf("a server: %w", err)
 		}
 		seed := rng.Uint64()
-		srv := &partner.Server{Host: fmt.Sprintf("n%d.nodes.example", i), Realm: "kigali.example", Act: s.chance(seed, i == s.plan.Servers-1 && i > 0)}
+		srv := &diameterpeer.Server{Host: fmt.Sprintf("n%d.nodes.example", i), Realm: "kigali.example", Act: s.chance(seed, i == s.plan.Servers-1 && i > 0)}
 		s.servers, s.lists = append(s.servers, srv), append(s.lists, l)
 		if s.plan.HTTP {
 			s.plain = append(s.plain, newWebServer(l))
@@ -239,18 +239,18 @@
 }
 
 // chance draws what a server does with each claim. One that stalls does so for the second fifth of its claims.
-func (s *stage) chance(seed uint64, stalls bool) func(n int64) partner.Act {
+func (s *stage) chance(seed uint64, stalls bool) func(n int64) diameterpeer.Act {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 2))
-	acts := make([]partner.Act, 0, len(Chances))
+	acts := make([]diameterpeer.Act, 0, len(Chances))
 	for a := range Chances {
 		acts = append(acts, a)
 	}
 	slices.Sort(acts)
 	share := int64(s.plan.Claims / max(1, s.plan.Servers))
-	return func(n int64) partner.Act {
+	return func(n int64) diameterpeer.Act {
 		if stalls && n > share/5 && n < share/5+50 {
-			return partner.Stall
+			return diameterpeer.Stall
 		}
 		mu.Lock()
 		u := rng.Float64()
@@ -260,7 +260,7 @@
 				return a
 			}
 		}
-		return partner.Serve
+		return diameterpeer.Serve
 	}
 }
 
@@ -497,18 +497,18 @@
 }
 
 // send sends all claims, and some of those with an answer again.
-func (s *stage) send(ctx context.Context, t *Table) []partner.Outcome {
+func (s *stage) send(ctx context.Context, t *Table) []diameterpeer.Outcome {
 	rng := rand.New(rand.NewPCG(s.plan.Seed, 4))
 	if s.plan.HTTP {
 		return s.sendHTTP(ctx)
 	}
-	var clients []*partner.Client
+	var clients []*diameterpeer.Client
 	for i := range s.plan.Clients {
-		clients = append(clients, &partner.Client{Host: fmt.Sprintf("c%d.partner.example", i), Realm: "partner.example", To: "kigali.example", Action: 1,
+		clients = append(clients, &diameterpeer.Client{Host: fmt.Sprintf("c%d.partner.example", i), Realm: "partner.example", To: "kigali.example", Action: 1,
 			GiveUp: giveUp + 200*time.Millisecond, Tries: tries, Rest: 100 * time.Millisecond, Seed: rng.Uint64(),
 			Dial: func(ctx context.Context) (net.Conn, error) { return new(net.Dialer).DialContext(ctx, "tcp4", s.addr) }})
 	}
-	out := make([]partner.Outcome, s.plan.Claims)
+	out := make([]diameterpeer.Outcome, s.plan.Claims)
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	for i := range s.paced(ctx) {
@@ -565,8 +565,8 @@
 }
 
 // judge holds what clients were told against what has run.
-func (s *stage) judge(t *Table, outcomes []partner.Outcome) {
-	ran := map[partner.Name]int{}
+func (s *stage) judge(t *Table, outcomes []diameterpeer.Outcome) {
+	ran := map[diameterpeer.Name]int{}
 	for _, srv := range s.servers {
 		for name, n := range srv.Executed() {
 			ran[name] += n
--- a/internal/lab/payouts/payouts_test.go
+++ b/internal/lab/payouts/payouts_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/faultlab/diameterpeer"
 	"lapisspread/internal/lab/built"
-	"lapisspread/internal/lab/partner"
 )
 
 func TestMain(m *testing.M) { built.Main(m) }
@@ -51,7 +51,7 @@
 	}
 	sum := 0.0
 	for a, p := range Chances {
-		if a == partner.Serve || p <= 0 {
+		if a == diameterpeer.Serve || p <= 0 {
 			t.Errorf("%v: %v", a, p)
 		}
 		sum += p
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"lapisspread/internal/diameter"
-	"lapisspread/internal/lab/partner"
+	"lapisspread/internal/faultlab/diameterpeer"
 	"lapisspread/internal/lab/quiet"
 	"lapisspread/internal/tlskeys"
 	"lapisspread/internal/tlskeys/tlstest"
@@ -52,7 +52,7 @@
 }
 
 // diameterStage is a stage that speaks Diameter too, and a client of it.
-func diameterStage(t *testing.T, services string, change func(*Config)) (*stage, *partner.Client) {
+func diameterStage(t *testing.T, services string, change func(*Config)) (*stage, *diameterpeer.Client) {
 	t.Helper()
 	dir, addr := t.TempDir(), freeAddr(t)
 	path := filepath.Join(dir, "diameter.toml")
@@ -68,8 +68,8 @@
 	return s, diameterClient(t, addr, 1)
 }
 
-func diameterClient(t *testing.T, addr string, action uint32) *partner.Client {
-	c := &partner.Client{Host: "claims.partner.example", Realm: "partner.example", To: "pay.example.org", Action: action, GiveUp: 3 * time.Second,
+func diameterClient(t *testing.T, addr string, action uint32) *diameterpeer.Client {
+	c := &diameterpeer.Client{Host: "claims.partner.example", Realm: "partner.example", To: "pay.example.org", Action: action, GiveUp: 3 * time.Second,
 		Tries: 1000, Rest: 20 * time.Millisecond, Dial: func(ctx context.Context) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "tcp", addr)
 		}}
@@ -103,8 +103,8 @@
 
 // Servers that speak Diameter, over a whole service: no claim runs twice, and the HTTP front end says that it can't go there.
 func TestDiameterServers(t *testing.T) {
-	server := &partner.Server{Host: "n1.pay.example", Realm: "pay.example.org", Act: func(n int64) partner.Act {
-		return [...]partner.Act{partner.Serve, partner.Busy, partner.Twice, partner.Slowly, partner.Stray}[n%5]
+	server := &diameterpeer.Server{Host: "n1.pay.example", Realm: "pay.example.org", Act: func(n int64) diameterpeer.Act {
+		return [...]diameterpeer.Act{diameterpeer.Serve, diameterpeer.Busy, diameterpeer.Twice, diameterpeer.Slowly, diameterpeer.Stray}[n%5]
 	}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -149,7 +149,7 @@
 		t.Error("two processes have the ledger")
 	}
 	s.stall["slow-5"].Store(300)
-	inHand := make(chan partner.Outcome, 1)
+	inHand := make(chan diameterpeer.Outcome, 1)
 	go func() { inHand <- client.Claim(t.Context(), 6) }()
 	for begun := time.Now(); s.proxy.diameter.guard.Report().InHand == 0; time.Sleep(time.Millisecond) {
 		if time.Since(begun) > patience {
@@ -209,14 +209,14 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	server := &partner.Server{Host: "n1.example", Realm: "pay.example.org"}
+	server := &diameterpeer.Server{Host: "n1.example", Realm: "pay.example.org"}
 	go server.Serve(tls.NewListener(l, serverKeys.Server()))
 	defer server.Drop()
 	s := newStage(t, strings.Replace(twoServices, `name = "settlement"`, "name = \"settlement\"\nupstream = \"diameter\"", 1),
 		func(c *Config) { c.Diameter, c.StateDir = path, dir })
 	s.lists <- listText(2, true, memberText("id-fast", s.backend["fast-5"], "active"),
 		strings.Replace(memberText("id-slow", l.Addr().String(), "active"), `"fast-5"`, `"slow-5"`, 1))
-	client := func(f tlstest.Files) *partner.Client {
+	client := func(f tlstest.Files) *diameterpeer.Client {
 		keys, err := tlskeys.Load(tlskeys.Files(f))
 		if err != nil {
 			t.Fatal(err)
@@ -253,7 +253,7 @@
 func TestAnEndWaitsForClaims(t *testing.T) {
 	s, client := diameterStage(t, twoServices, nil)
 	s.stall["slow-5"].Store(1600)
-	outcome := make(chan partner.Outcome, 1)
+	outcome := make(chan diameterpeer.Outcome, 1)
 	go func() { outcome <- client.Claim(t.Context(), 6) }()
 	for begun := time.Now(); s.proxy.diameter.guard.Report().InHand == 0; time.Sleep(time.Millisecond) {
 		if time.Since(begun) > patience {
