--- a/cmd/lapisspread/operate_test.go
+++ b/cmd/lapisspread/operate_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/lab/quiet"
+	"lapisspread/internal/faultlab/loopbackaddr"
 )
 
 const patience = 20 * time.Second
@@ -22,7 +22,7 @@
 // freeAddr is an address that nobody listens at, nor connects from.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	addr, err := quiet.Addr()
+	addr, err := loopbackaddr.Addr()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/quiet/quiet.go
+++ b/internal/faultlab/loopbackaddr/quiet.go
@@ -1,6 +1,6 @@
-// Package quiet gives addresses of loopback that nothing connects from. A port that is found free, for another process to take, may
+// Package loopbackaddr gives addresses of loopback that nothing connects from. A port that is found free, for another process to take, may
 // meanwhile become some connection's own end where connections come from the same address.
-package quiet
+package loopbackaddr
 
 import (
 	"errors"
--- a/internal/lab/quiet/quiet_test.go
+++ b/internal/faultlab/loopbackaddr/quiet_test.go
@@ -1,4 +1,4 @@
-package quiet
+package loopbackaddr
 
 import (
 	"net"
--- a/internal/lab/capacity/process.go
+++ b/internal/lab/capacity/process.go
@@ -20,9 +20,9 @@
 	"syscall"
 	"time"
 
+	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/live"
-	"lapisspread/internal/lab/quiet"
 )
 
 // process is one that a run has started. It ends with this one.
@@ -286,7 +286,7 @@
 // backends are one stand-in for each service, and a register that lists them.
 func (r *run) startBackends() error {
 	for i, name := range r.services {
-		l, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: quiet.IP()})
+		l, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: loopbackaddr.IP()})
 		if err != nil {
 			return fmt.Errorf("a backend: %w", err)
 		}
@@ -301,7 +301,7 @@
 		r.members = append(r.members, map[string]any{"instanceId": fmt.Sprintf("s-%08x", i+1), "hostPort": l.Addr().String(), "zone": r.world.Zones[0],
 			"machineType": name, "cell": 0, "lifecycle": "active", "weight": 1.0, "startedAtMs": 0})
 	}
-	l, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: quiet.IP()})
+	l, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: loopbackaddr.IP()})
 	if err != nil {
 		return fmt.Errorf("the register: %w", err)
 	}
@@ -332,7 +332,7 @@
 func (r *run) startReal(name, fleet string) (*real, error) {
 	p := &real{name: name, client: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4}}}
 	var err error
-	if p.addr, err = quiet.Addr(); err != nil {
+	if p.addr, err = loopbackaddr.Addr(); err != nil {
 		return nil, err
 	}
 	dir := filepath.Join(r.dir, "real-"+name)
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"lapisspread/internal/duty"
+	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/lab/quiet"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
 )
@@ -277,7 +277,7 @@
 
 func (r *run) startStewards(ctx context.Context) error {
 	for no := range stewards {
-		at, err := quiet.Addr()
+		at, err := loopbackaddr.Addr()
 		if err != nil {
 			return err
 		}
--- a/internal/lab/live/child.go
+++ b/internal/lab/live/child.go
@@ -20,8 +20,8 @@
 	"syscall"
 	"time"
 
+	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/quiet"
 )
 
 // child is a proxy's place: one process, or two while it is upgraded.
@@ -69,14 +69,14 @@
 		}
 		var err error
 		if upgrades {
-			if c.socket, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: quiet.IP()}); err != nil {
+			if c.socket, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: loopbackaddr.IP()}); err != nil {
 				return fmt.Errorf("proxy %d: an address: %w", no, err)
 			}
 			c.listen = c.socket.Addr().String()
 			if c.file, err = c.socket.File(); err != nil {
 				return fmt.Errorf("proxy %d: its socket: %w", no, err)
 			}
-		} else if c.listen, err = quiet.Addr(); err != nil { // if another process is faster, the proxy says so and the start fails
+		} else if c.listen, err = loopbackaddr.Addr(); err != nil { // if another process is faster, the proxy says so and the start fails
 			return fmt.Errorf("proxy %d: an address: %w", no, err)
 		}
 		r.proxies = append(r.proxies, c)
@@ -260,7 +260,7 @@
 		return nil, fmt.Errorf("proxy %d: its configuration: %w", c.no, err)
 	}
 	p := &process{done: make(chan struct{})}
-	if p.console, err = quiet.Addr(); err != nil {
+	if p.console, err = loopbackaddr.Addr(); err != nil {
 		return nil, fmt.Errorf("proxy %d: its console: %w", c.no, err)
 	}
 	args := slices.Clone(c.r.opts.Args)
--- a/internal/lab/live/steward.go
+++ b/internal/lab/live/steward.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"lapisspread/internal/faultlab/linkfault"
+	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/lab/quiet"
 )
 
 func stewardName(no int) string { return fmt.Sprintf("s%d", no+1) }
@@ -44,7 +44,7 @@
 		return nil
 	}
 	for no := range o.Stewards {
-		at, err := quiet.Addr()
+		at, err := loopbackaddr.Addr()
 		if err != nil {
 			return fmt.Errorf("steward %d: an address: %w", no, err)
 		}
--- a/internal/lab/payouts/payouts.go
+++ b/internal/lab/payouts/payouts.go
@@ -23,9 +23,9 @@
 
 	"lapisspread/internal/diameter"
 	"lapisspread/internal/faultlab/diameterpeer"
+	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/lab/live"
-	"lapisspread/internal/lab/quiet"
 )
 
 // Plan is what is played.
@@ -232,7 +232,7 @@
 	s.agent = l.Addr().String()
 	s.catalog = &http.Server{Handler: http.HandlerFunc(s.members), ReadHeaderTimeout: 5 * time.Second}
 	go s.catalog.Serve(l)
-	if s.addr, err = quiet.Addr(); err != nil {
+	if s.addr, err = loopbackaddr.Addr(); err != nil {
 		return err
 	}
 	return s.files()
@@ -347,7 +347,7 @@
 // start starts a process and waits until its ledger is ready.
 func (s *stage) start(ctx context.Context) error {
 	began := time.Now()
-	at, err := quiet.Addr()
+	at, err := loopbackaddr.Addr()
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -14,7 +14,7 @@
 
 	"lapisspread/internal/diameter"
 	"lapisspread/internal/faultlab/diameterpeer"
-	"lapisspread/internal/lab/quiet"
+	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/tlskeys"
 	"lapisspread/internal/tlskeys/tlstest"
 )
@@ -44,7 +44,7 @@
 // freeAddr is an address that nobody listens at, nor connects from.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	addr, err := quiet.Addr()
+	addr, err := loopbackaddr.Addr()
 	if err != nil {
 		t.Fatal(err)
 	}
