--- a/internal/faultlab/clustertest/comeback_test.go
+++ b/internal/faultlab/clustertest/comeback_test.go
@@ -8,11 +8,11 @@
 
 	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/built"
+	"lapisspread/internal/faultlab/testbinary"
 	"lapisspread/internal/lab/live"
 )
 
-func TestMain(m *testing.M) { built.Main(m) }
+func TestMain(m *testing.M) { testbinary.Main(m) }
 
 // enough is how many requests show that a proxy serves.
 const enough = 15
--- a/internal/faultlab/clustertest/kit.go
+++ b/internal/faultlab/clustertest/kit.go
@@ -11,7 +11,7 @@
 
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/built"
+	"lapisspread/internal/faultlab/testbinary"
 	"lapisspread/internal/lab/live"
 )
 
@@ -37,7 +37,7 @@
 // Run plays scenarios side by side. None may break a rule, leave a process to die by itself, or serve what no node made. The
 // rules that hang on time are not asserted where this machine was seen to wake too late for them.
 func Run(t *testing.T, scenarios []Scenario) {
-	binary := built.Proxy(t)
+	binary := testbinary.Proxy(t)
 	for i, s := range scenarios {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/built/built.go
+++ b/internal/faultlab/testbinary/built.go
@@ -1,5 +1,5 @@
-// Package built gives tests the proxy's program, built once for all tests of a package.
-package built
+// Package testbinary gives tests the proxy's program, built once for all tests of a package.
+package testbinary
 
 import (
 	"fmt"
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/lab/built"
+	"lapisspread/internal/faultlab/testbinary"
 )
 
 const childEnv = "CAPACITY_CHILD"
@@ -22,12 +22,12 @@
 		}
 		return
 	}
-	built.Main(m)
+	testbinary.Main(m)
 }
 
 func small(t *testing.T) Settings {
 	s := Small()
-	s.Binary = built.Proxy(t)
+	s.Binary = testbinary.Proxy(t)
 	s.Child = func() *exec.Cmd {
 		c := exec.Command(os.Args[0])
 		c.Env = append(os.Environ(), childEnv+"=1")
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -17,10 +17,10 @@
 
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/built"
+	"lapisspread/internal/faultlab/testbinary"
 )
 
-func TestMain(m *testing.M) { built.Main(m) }
+func TestMain(m *testing.M) { testbinary.Main(m) }
 
 func small() model.Spec {
 	s := model.Default()
@@ -38,7 +38,7 @@
 // A whole run around real proxies with every kind of trouble that a socket can show: nodes that die, drain, hang and
 // are cut off, a proxy that is killed and one that is upgraded.
 func TestARunAroundRealProxies(t *testing.T) {
-	path := built.Proxy(t)
+	path := testbinary.Proxy(t)
 	s := small()
 	s.Duration = 8 * time.Second
 	s.Faults = []model.Fault{
@@ -74,7 +74,7 @@
 
 // Links, the register, processors and state folders fail: all is told to the world, and what has no part in it serves on.
 func TestFaultsBetweenProcesses(t *testing.T) {
-	path := built.Proxy(t)
+	path := testbinary.Proxy(t)
 	second := func(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 	s := small()
 	s.Duration = 9 * time.Second
@@ -131,7 +131,7 @@
 
 // A proxy that ends by itself in the midst is a problem with its last lines, and the run goes on to its end.
 func TestAProxyThatEndsByItself(t *testing.T) {
-	path := built.Proxy(t)
+	path := testbinary.Proxy(t)
 	s := small()
 	s.Duration = 3 * time.Second
 	script := filepath.Join(t.TempDir(), "ends")
@@ -153,7 +153,7 @@
 
 // Ctrl-C in the midst: what was seen is judged, and nothing is left.
 func TestBrokenOff(t *testing.T) {
-	path := built.Proxy(t)
+	path := testbinary.Proxy(t)
 	s := small()
 	s.Duration = time.Minute
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/lab/live/steward_test.go
+++ b/internal/lab/live/steward_test.go
@@ -9,9 +9,9 @@
 
 	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
+	"lapisspread/internal/faultlab/testbinary"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
-	"lapisspread/internal/lab/built"
 	"lapisspread/internal/strict"
 )
 
@@ -48,7 +48,7 @@
 	s.Duration = 2 * time.Minute
 	o := &FleetOptions{Longest: time.Second, Tokens: true, Deaf: true, Budgets: []fleet.Budget{
 		{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 10, Burst: 5, Lease: strict.Span(time.Second)}}}
-	res, err := Play(t.Context(), &s, Options{Binary: built.Proxy(t), Fabric: true, Fleet: o, Script: func(f *Fleet) error {
+	res, err := Play(t.Context(), &s, Options{Binary: testbinary.Proxy(t), Fabric: true, Fleet: o, Script: func(f *Fleet) error {
 		a := &asker{begun: time.Now(), r: f.r, client: &http.Client{Transport: &http.Transport{}},
 			Holder: grant.NewHolder(grant.HolderSettings{Fleet: fleetName, Key: grant.Key{Holder: "n0", Incarnation: 1}, Drift: .001})}
 		defer a.client.CloseIdleConnections()
@@ -111,7 +111,7 @@
 	if v.OverWhole == 0 || v.NoToken == 0 || v.Budgets[0].Took != v.NoToken || v.Budgets[0].Wanted == 0 {
 		t.Errorf("those who know nothing of the budget are acquitted: %+v", v)
 	}
-	if left := children(t, built.Proxy(t)+" steward"); left != "" {
+	if left := children(t, testbinary.Proxy(t)+" steward"); left != "" {
 		t.Errorf("left: %s", left)
 	}
 }
--- a/internal/lab/payouts/payouts_test.go
+++ b/internal/lab/payouts/payouts_test.go
@@ -7,16 +7,16 @@
 	"time"
 
 	"lapisspread/internal/faultlab/diameterpeer"
-	"lapisspread/internal/lab/built"
+	"lapisspread/internal/faultlab/testbinary"
 )
 
-func TestMain(m *testing.M) { built.Main(m) }
+func TestMain(m *testing.M) { testbinary.Main(m) }
 
 // A short run on a real process that is killed and ended: no claim runs twice, whatever becomes of the ledger, and what was answered
 // stays answered if nothing becomes of it. The long
 // one is a command (faultlab payouts).
 func TestNoClaimRunsTwice(t *testing.T) {
-	binary := built.Proxy(t)
+	binary := testbinary.Proxy(t)
 	for _, c := range []struct {
 		durable bool
 		lose    string
--- a/internal/lab/stewards/stewards_test.go
+++ b/internal/lab/stewards/stewards_test.go
@@ -17,9 +17,9 @@
 	"time"
 	"unsafe"
 
+	"lapisspread/internal/faultlab/testbinary"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
-	"lapisspread/internal/lab/built"
 )
 
 func TestMain(m *testing.M) {
@@ -31,7 +31,7 @@
 		follower(path, os.Getenv("FOLLOW_COUNT"), os.Getenv("FOLLOW_STATE"))
 		return
 	}
-	built.Main(m)
+	testbinary.Main(m)
 }
 
 // page is what a drawer shares with the test: a pipe would tell late.
@@ -164,7 +164,7 @@
 func (s *site) start(i int) {
 	s.t.Helper()
 	name := fmt.Sprint("s", i+1)
-	c := exec.Command(built.Proxy(s.t), "steward", "--fleet", s.path, "--name", name, "--state", filepath.Join(s.dir, name))
+	c := exec.Command(testbinary.Proxy(s.t), "steward", "--fleet", s.path, "--name", name, "--state", filepath.Join(s.dir, name))
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	s.must(c.Start())
 	s.run[i] = c
@@ -184,14 +184,14 @@
 func (s *site) foundAs(epoch string) {
 	s.t.Helper()
 	s.until("the fleet is founded", func() bool {
-		return exec.Command(built.Proxy(s.t), "fleet", "found", s.path, "--epoch", epoch).Run() == nil
+		return exec.Command(testbinary.Proxy(s.t), "fleet", "found", s.path, "--epoch", epoch).Run() == nil
 	})
 }
 
 // order runs an operator's command.
 func (s *site) order(args ...string) string {
 	s.t.Helper()
-	out, err := exec.Command(built.Proxy(s.t), append([]string{"fleet"}, args...)...).CombinedOutput()
+	out, err := exec.Command(testbinary.Proxy(s.t), append([]string{"fleet"}, args...)...).CombinedOutput()
 	if err != nil {
 		s.t.Fatalf("%v: %v: %s", args, err, out)
 	}
