--- a/cmd/faultlab/grants.go
+++ b/cmd/faultlab/grants.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lapisspread/internal/lab/budgets"
+	"lapisspread/internal/faultlab/quotasim"
 )
 
 // grantsPoint is one size of fleet. Times are in milliseconds; -1 is never.
@@ -28,7 +28,7 @@
 
 func grantsCommand() *cobra.Command {
 	var holders, jsonPath string
-	set := budgets.Settings{}
+	set := quotasim.Settings{}
 	c := &cobra.Command{
 		Use:   "grants",
 		Short: "Play the budgets of a fleet in virtual time: what the talk costs, how soon all is divided anew, what is used",
@@ -86,21 +86,21 @@
 
 // grantsOne plays a size three times: with demand that moves, by grants and by fixed shares, and with a join and a death while all
 // want twice the whole.
-func grantsOne(set budgets.Settings, holders int) (grantsPoint, error) {
+func grantsOne(set quotasim.Settings, holders int) (grantsPoint, error) {
 	set.Holders = holders
 	moves, fixed, anew := set, set, set
-	moves.Policy, moves.Moves = budgets.Grants, 5*time.Second
-	fixed.Policy, fixed.Moves = budgets.Fixed, 5*time.Second
-	anew.Policy, anew.Load, anew.Played, anew.Join, anew.Death = budgets.Grants, 2, 0, set.Length/3, 2*set.Length/3
-	var res [3]budgets.Result
-	for i, s := range []budgets.Settings{moves, fixed, anew} {
+	moves.Policy, moves.Moves = quotasim.Grants, 5*time.Second
+	fixed.Policy, fixed.Moves = quotasim.Fixed, 5*time.Second
+	anew.Policy, anew.Load, anew.Played, anew.Join, anew.Death = quotasim.Grants, 2, 0, set.Length/3, 2*set.Length/3
+	var res [3]quotasim.Result
+	for i, s := range []quotasim.Settings{moves, fixed, anew} {
 		var err error
-		if res[i], err = budgets.Play(s); err != nil {
+		if res[i], err = quotasim.Play(s); err != nil {
 			return grantsPoint{}, err
 		}
 	}
 	ms := func(d time.Duration) float64 {
-		if d == budgets.Never {
+		if d == quotasim.Never {
 			return -1
 		}
 		return float64(d) / float64(time.Millisecond)
--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -25,8 +25,8 @@
 	backrules "lapisspread/internal/comeback"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/faultlab/model"
+	"lapisspread/internal/faultlab/quotasim"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/lab/budgets"
 	"lapisspread/internal/lab/live"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policybook"
@@ -501,7 +501,7 @@
 
 func grantsOf(holders, names int) ([]is, error) {
 	const length = 10 * time.Second
-	res, err := budgets.Play(budgets.Settings{Policy: budgets.Grants, Holders: holders, Budgets: names, Played: 1, Seed: 1, Length: length, Lease: 3 * time.Second, Rate: 20,
+	res, err := quotasim.Play(quotasim.Settings{Policy: quotasim.Grants, Holders: holders, Budgets: names, Played: 1, Seed: 1, Length: length, Lease: 3 * time.Second, Rate: 20,
 		Falls: 1. / 3, Load: .9, Moves: 5 * time.Second, Cost: time.Microsecond})
 	if err != nil {
 		return nil, err
--- a/internal/lab/budgets/budgets.go
+++ b/internal/faultlab/quotasim/budgets.go
@@ -1,10 +1,10 @@
-// Package budgets plays the rules of a fleet's budgets (internal/grant) in virtual time: many holders with many budgets, the
+// Package quotasim plays the rules of a fleet's budgets (internal/grant) in virtual time: many holders with many budgets, the
 // steward that leads, the log that it agrees on with the others, and the servers that count. It measures what the talk costs,
 // how soon the whole is divided anew, and how much of it is used; and it plays rivals, for the judge's own trial.
 //
 // What it leaves out: elections and lost messages (internal/quotalease/modelcheck and internal/consensus play these), and the time that
 // a steward computes, unless Settings.Cost says how long that is; it is told beside.
-package budgets
+package quotasim
 
 import (
 	"container/heap"
--- a/internal/lab/budgets/budgets_test.go
+++ b/internal/faultlab/quotasim/budgets_test.go
@@ -1,4 +1,4 @@
-package budgets
+package quotasim
 
 import (
 	"testing"
