--- a/cmd/faultlab/capacity.go
+++ b/cmd/faultlab/capacity.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/capacity"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/lab/capacity"
 )
 
 // hollowCommand is the name of the command that runs hollow proxies for a process of this program.
