--- a/cmd/faultlab/comeback.go
+++ b/cmd/faultlab/comeback.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/faultlab/checker"
+	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/report"
 )
 
--- a/cmd/faultlab/experiment.go
+++ b/cmd/faultlab/experiment.go
@@ -14,7 +14,7 @@
 
 	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/faultlab/baseline"
-	"lapisspread/internal/lab/experiment"
+	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/lab/report"
 )
 
--- a/cmd/faultlab/flood.go
+++ b/cmd/faultlab/flood.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/faultlab/checker"
-	"lapisspread/internal/lab/experiment"
+	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/lab/live"
 	"lapisspread/internal/lab/report"
 )
--- a/cmd/faultlab/overload.go
+++ b/cmd/faultlab/overload.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lapisspread/internal/lab/experiment"
+	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/lab/report"
 )
 
--- a/cmd/faultlab/run.go
+++ b/cmd/faultlab/run.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/faultlab/baseline"
-	"lapisspread/internal/lab/experiment"
+	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/lab/live"
 	"lapisspread/internal/lab/report"
 )
--- a/cmd/faultlab/selfcheck.go
+++ b/cmd/faultlab/selfcheck.go
@@ -12,8 +12,8 @@
 
 	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/checker"
+	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/quotasim"
-	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/sim"
 )
 
--- a/cmd/faultlab/simulate.go
+++ b/cmd/faultlab/simulate.go
@@ -15,8 +15,8 @@
 	"lapisspread/experiments"
 	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/checker"
+	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/report"
 	"lapisspread/internal/lab/sim"
 )
--- a/experiments/lab.go
+++ b/experiments/lab.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"lapisspread/internal/lab/experiment"
+	"lapisspread/internal/faultlab/experiment"
 )
 
 //go:embed *.toml
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -11,8 +11,8 @@
 
 	"lapisspread/experiments"
 	"lapisspread/internal/faultlab/baseline"
+	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/experiment"
 	"lapisspread/internal/lab/sim"
 )
 
