--- a/cmd/faultlab/flood.go
+++ b/cmd/faultlab/flood.go
@@ -13,7 +13,7 @@
 
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/experiment"
-	"lapisspread/internal/lab/live"
+	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/lab/report"
 )
 
@@ -159,7 +159,7 @@
 // floodClientCommand is what a flood starts: a process has too few descriptors for a large one.
 func floodClientCommand() *cobra.Command {
 	var targets, from string
-	f := live.Flooder{}
+	f := liverun.Flooder{}
 	c := &cobra.Command{
 		Use:    "flood-client",
 		Short:  "Open connections of which nothing good comes, to loopback addresses",
--- a/cmd/faultlab/kills.go
+++ b/cmd/faultlab/kills.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/live"
 )
 
 // killsWithin is how soon a proxy must serve after it was started.
@@ -65,7 +65,7 @@
 		return err
 	}
 	defer os.RemoveAll(tmp)
-	opts := live.Options{Comeback: text}
+	opts := liverun.Options{Comeback: text}
 	if opts.Binary, err = findProxy(ctx, tmp); err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 	var took []float64
 	recalled := map[string]int{}
 	var wrong []string
-	opts.Script = func(fl *live.Fleet) error {
+	opts.Script = func(fl *liverun.Fleet) error {
 		if err := fl.Service(5, fl.All()...); err != nil {
 			return err
 		}
@@ -110,7 +110,7 @@
 		}
 		return nil
 	}
-	res, err := live.Play(ctx, &spec, opts)
+	res, err := liverun.Play(ctx, &spec, opts)
 	if err != nil {
 		return err
 	}
--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -24,10 +24,10 @@
 	"lapisspread/decision"
 	backrules "lapisspread/internal/comeback"
 	"lapisspread/internal/engine"
+	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/faultlab/quotasim"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/lab/live"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/proxy"
@@ -517,7 +517,7 @@
 func settings(proxies, kinds int, probed bool) (map[string]any, error) {
 	spec := model.Default()
 	spec.Proxies = proxies
-	m := live.Settings(&spec, 0)
+	m := liverun.Settings(&spec, 0)
 	var names []string
 	for i := range kinds {
 		names = append(names, fmt.Sprint("k", i))
--- a/cmd/faultlab/run.go
+++ b/cmd/faultlab/run.go
@@ -17,7 +17,7 @@
 
 	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/experiment"
-	"lapisspread/internal/lab/live"
+	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/lab/report"
 )
 
@@ -36,7 +36,7 @@
 
 	flood, admission string // a flood's name; the text of a file of admission
 	comeback         string // the text of a file of coming back
-	sample           func(live.Sample)
+	sample           func(liverun.Sample)
 }
 
 func runCommand() *cobra.Command {
@@ -131,17 +131,17 @@
 		return nil, err
 	}
 	defer os.RemoveAll(tmp)
-	opts := live.Options{Binary: o.proxy, HalfOpen: f.World.HalfOpen, Slow: f.World.Slow, Progress: shower(out), Services: o.services,
+	opts := liverun.Options{Binary: o.proxy, HalfOpen: f.World.HalfOpen, Slow: f.World.Slow, Progress: shower(out), Services: o.services,
 		Sockets: f.World.Sockets, Clients: f.World.Clients, Crowd: f.World.Crowd, Admission: o.admission, Comeback: o.comeback, Sample: o.sample}
 	if fl := f.FloodNamed(o.flood); fl != nil {
-		opts.Flood = &live.Flood{Kind: fl.Kind, Connections: fl.Connections, Addresses: fl.Addresses, Shared: fl.Shared, At: time.Duration(fl.At),
+		opts.Flood = &liverun.Flood{Kind: fl.Kind, Connections: fl.Connections, Addresses: fl.Addresses, Shared: fl.Shared, At: time.Duration(fl.At),
 			For: time.Duration(fl.For)}
 	}
 	if fl := f.Fleet; fl != nil {
-		opts.Fabric, opts.Fleet = true, &live.FleetOptions{Stewards: fl.Stewards, Longest: time.Duration(fl.Longest), Tokens: fl.Tokens,
+		opts.Fabric, opts.Fleet = true, &liverun.FleetOptions{Stewards: fl.Stewards, Longest: time.Duration(fl.Longest), Tokens: fl.Tokens,
 			Budgets: slices.Clone(fl.Budgets), Deaf: o.policy != baseline.Module}
 		if fl.Drawn > 0 {
-			opts.Script = live.Drawn(o.seed, time.Duration(fl.Drawn))
+			opts.Script = liverun.Drawn(o.seed, time.Duration(fl.Drawn))
 		}
 	}
 	if o.policy != baseline.Module {
@@ -169,7 +169,7 @@
 	}
 	fmt.Fprintf(out, "%s: %d proxies, %d nodes, %.0f first tries a second for %v, seed %d, %s\n", f.Name, spec.Proxies, spec.Nodes,
 		spec.Load.Rate, spec.Duration, o.seed, o.policy)
-	res, err := live.Play(ctx, &spec, opts)
+	res, err := liverun.Play(ctx, &spec, opts)
 	if err != nil {
 		return nil, err
 	}
@@ -205,7 +205,7 @@
 }
 
 // shower tells how a run stands: one line that is written over on a terminal, a line every five seconds elsewhere.
-func shower(out io.Writer) func(live.Glimpse) {
+func shower(out io.Writer) func(liverun.Glimpse) {
 	terminal := false
 	if file, ok := out.(*os.File); ok {
 		if info, err := file.Stat(); err == nil {
@@ -213,7 +213,7 @@
 		}
 	}
 	n := 0
-	return func(g live.Glimpse) {
+	return func(g liverun.Glimpse) {
 		n++
 		line := fmt.Sprintf("%5s of %v  ok %4d  refused %3d  failed %3d  in hand %3d  nodes %d up%s  proxies %d  late %4.1f ms  rules broken %d",
 			g.Now.Round(time.Second), g.Of, g.OK, g.Refused, g.Failed, g.Open, g.Up, troubles(g), g.Proxies,
@@ -230,7 +230,7 @@
 	}
 }
 
-func troubles(g live.Glimpse) string {
+func troubles(g liverun.Glimpse) string {
 	var s strings.Builder
 	for _, c := range []struct {
 		n    int
--- a/cmd/faultlab/soak.go
+++ b/cmd/faultlab/soak.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/admission"
-	"lapisspread/internal/lab/live"
+	"lapisspread/internal/faultlab/liverun"
 )
 
 // soakGrowth is by how much the last third of a soak may be over the first, beside so many units: the collector and the
@@ -44,11 +44,11 @@
 			for i := range f.Floods { // as many a second as before
 				f.Floods[i].Connections = max(1, int(float64(f.Floods[i].Connections)*float64(f.Duration)/float64(before)))
 			}
-			var all []live.Sample
+			var all []liverun.Sample
 			v := f.Variants[0]
 			w := cmd.OutOrStdout()
 			o := runOptions{seed: f.Seeds[0], policy: "module", proxy: v.Binary, args: v.Args, services: v.Services, flood: v.Flood, admission: v.Admission}
-			o.sample = func(s live.Sample) {
+			o.sample = func(s liverun.Sample) {
 				if n := len(all); n%30 == 0 {
 					fmt.Fprintf(w, "%4.0f s: %.1f MB, %d descriptors in the largest\n", s.At.Seconds(), s.RSSMB, s.Files)
 				}
@@ -63,9 +63,9 @@
 			}
 			all = all[len(all)/10:]
 			third := len(all) / 3
-			rss := func(s []live.Sample) float64 { return middle(s, func(x live.Sample) float64 { return x.RSSMB }) }
-			files := func(s []live.Sample) float64 {
-				return middle(s, func(x live.Sample) float64 { return float64(x.Files) })
+			rss := func(s []liverun.Sample) float64 { return middle(s, func(x liverun.Sample) float64 { return x.RSSMB }) }
+			files := func(s []liverun.Sample) float64 {
+				return middle(s, func(x liverun.Sample) float64 { return float64(x.Files) })
 			}
 			first, last := all[:third], all[len(all)-third:]
 			fmt.Fprintf(w, "%d looks; first third %.1f MB and %.0f descriptors, last third %.1f MB and %.0f; %d first tries, rules broken: %d\n", len(all), rss(first), files(first),
@@ -85,7 +85,7 @@
 	return c
 }
 
-func middle(samples []live.Sample, of func(live.Sample) float64) float64 {
+func middle(samples []liverun.Sample, of func(liverun.Sample) float64) float64 {
 	var values []float64
 	for _, s := range samples {
 		values = append(values, of(s))
--- a/internal/faultlab/capacity/process.go
+++ b/internal/faultlab/capacity/process.go
@@ -20,9 +20,9 @@
 	"syscall"
 	"time"
 
+	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/live"
 )
 
 // process is one that a run has started. It ends with this one.
@@ -339,7 +339,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	settings := live.Settings(&r.world, 0)
+	settings := liverun.Settings(&r.world, 0)
 	settings["Kinds"] = r.services
 	text, err := json.Marshal(map[string]any{"name": name, "listen": p.addr, "discovery": r.register, "seed": fmt.Sprintf("%x", r.set.Seed+1),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 2048, "sockets": 20000}, "settings": settings,
--- a/internal/faultlab/clustertest/fleet_test.go
+++ b/internal/faultlab/clustertest/fleet_test.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"lapisspread/internal/faultlab/linkfault"
+	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
-	"lapisspread/internal/lab/live"
 	"lapisspread/internal/strict"
 )
 
@@ -21,20 +21,20 @@
 const lease = 2 * time.Second
 
 // shared is a budget of all attempts that is less than what is sent, and no floors.
-func shared() *live.FleetOptions {
-	return &live.FleetOptions{Longest: lease, Tokens: true, Budgets: []fleet.Budget{
+func shared() *liverun.FleetOptions {
+	return &liverun.FleetOptions{Longest: lease, Tokens: true, Budgets: []fleet.Budget{
 		{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 40, Burst: 20, Lease: strict.Span(lease)}}}
 }
 
 // floors is one with a part of it fixed by name for the first proxy.
-func floors() *live.FleetOptions {
+func floors() *liverun.FleetOptions {
 	o := shared()
 	o.Budgets[0].Floors = map[string]float64{"n0": 8}
 	return o
 }
 
 // while has proxies or stewards cut off from stewards while something is done.
-func while(f *live.Fleet, from, to string, way linkfault.Way, do func() error) error {
+func while(f *liverun.Fleet, from, to string, way linkfault.Way, do func() error) error {
 	end, err := f.CutStewards(from, to, way)
 	if err != nil {
 		return err
@@ -43,10 +43,10 @@
 }
 
 // granted waits until much of the whole is out.
-func granted(f *live.Fleet) error { return f.WaitGranted("attempts", 30, 40) }
+func granted(f *liverun.Fleet) error { return f.WaitGranted("attempts", 30, 40) }
 
 // cutOff has others serve for longer than a proxy that is cut off holds what it was granted.
-func cutOff(f *live.Fleet, who int, others ...int) error {
+func cutOff(f *liverun.Fleet, who int, others ...int) error {
 	return errors.Join(f.Service(4*enough, others...), f.Ended("attempts", who))
 }
 
@@ -60,7 +60,7 @@
 }
 
 // all waits until each proxy has had so many answers of both kinds more.
-func (o *otherFleet) all(f *live.Fleet, n int) error {
+func (o *otherFleet) all(f *liverun.Fleet, n int) error {
 	had := func() [][2]int {
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -105,17 +105,17 @@
 	t.Parallel()
 	var all []Scenario
 	for _, s := range []Scenario{
-		{Name: "all is whole", Play: func(f *live.Fleet) error { return granted(f) }},
-		{Name: "a proxy is cut off from the stewards", Play: func(f *live.Fleet) error {
+		{Name: "all is whole", Play: func(f *liverun.Fleet) error { return granted(f) }},
+		{Name: "a proxy is cut off from the stewards", Play: func(f *liverun.Fleet) error {
 			return while(f, "proxy-0", "steward-*", linkfault.Both, func() error { return cutOff(f, 0, 1, 2) })
 		}},
-		{Name: "a proxy with a floor is cut off from the stewards and serves on it", Fleet: floors(), Play: func(f *live.Fleet) error {
+		{Name: "a proxy with a floor is cut off from the stewards and serves on it", Fleet: floors(), Play: func(f *liverun.Fleet) error {
 			return while(f, "proxy-0", "steward-*", linkfault.Both, func() error { return errors.Join(cutOff(f, 0, 1, 2), f.Service(enough, 0)) })
 		}},
-		{Name: "replies of the stewards are lost", Play: func(f *live.Fleet) error {
+		{Name: "replies of the stewards are lost", Play: func(f *liverun.Fleet) error {
 			return while(f, "proxy-0", "steward-*", linkfault.Back, func() error { return cutOff(f, 0, 1, 2) })
 		}},
-		{Name: "replies of the stewards take half of the lease, and longer than it", Play: func(f *live.Fleet) error {
+		{Name: "replies of the stewards take half of the lease, and longer than it", Play: func(f *liverun.Fleet) error {
 			for _, d := range []time.Duration{lease / 2, lease * 3 / 2} {
 				slow := linkfault.Rule{From: "proxy-0", To: "steward-*", Way: linkfault.Back, Trouble: linkfault.Trouble{Delay: d}}
 				if err := during(f, slow, func() error { return f.Service(4*enough, 1, 2) }); err != nil {
@@ -124,7 +124,7 @@
 			}
 			return nil
 		}},
-		{Name: "the leading steward is killed", Play: func(f *live.Fleet) error {
+		{Name: "the leading steward is killed", Play: func(f *liverun.Fleet) error {
 			no, err := f.Leader()
 			if err != nil {
 				return err
@@ -132,7 +132,7 @@
 			f.KillSteward(no)
 			return errors.Join(again(f), f.StartSteward(no), again(f))
 		}},
-		{Name: "the leading steward stands still past all that it granted, and wakes", Play: func(f *live.Fleet) error {
+		{Name: "the leading steward stands still past all that it granted, and wakes", Play: func(f *liverun.Fleet) error {
 			no, err := f.Leader()
 			if err != nil {
 				return err
@@ -144,14 +144,14 @@
 			f.GoOnSteward(no)
 			return err
 		}},
-		{Name: "two of three stewards are gone, then their stores", Play: func(f *live.Fleet) error {
+		{Name: "two of three stewards are gone, then their stores", Play: func(f *liverun.Fleet) error {
 			f.KillSteward(0, 1)
 			if err := errors.Join(f.Ended("attempts", f.All()...), f.LoseStore(0), f.LoseStore(1), f.StartSteward(0, 1)); err != nil {
 				return err
 			}
 			return f.FoundAnew(2)
 		}},
-		{Name: "a proxy stands still past its lease with requests in hand, and wakes", Play: func(f *live.Fleet) error {
+		{Name: "a proxy stands still past its lease with requests in hand, and wakes", Play: func(f *liverun.Fleet) error {
 			for range 3 {
 				f.Stop(1)
 				stopped := time.Now()
@@ -166,7 +166,7 @@
 			}
 			return nil
 		}},
-		{Name: "a third of the fleet joins in one moment", Proxies: 6, Rate: 90, Play: func(f *live.Fleet) error {
+		{Name: "a third of the fleet joins in one moment", Proxies: 6, Rate: 90, Play: func(f *liverun.Fleet) error {
 			f.Kill(4, 5)
 			if err := f.Service(2*enough, 0, 1, 2, 3); err != nil {
 				return err
@@ -174,7 +174,7 @@
 			f.Start(4, 5)
 			return nil
 		}},
-		{Name: "most are killed in one moment", Proxies: 6, Rate: 90, Play: func(f *live.Fleet) error {
+		{Name: "most are killed in one moment", Proxies: 6, Rate: 90, Play: func(f *liverun.Fleet) error {
 			f.Kill(0, 1, 2, 3)
 			if err := errors.Join(f.Service(4*enough, 4, 5), granted(f)); err != nil {
 				return err
@@ -184,7 +184,7 @@
 		}},
 		{Name: "two processes of one name with a floor", Fleet: floors(), Change: func(s *model.Spec) {
 			s.Faults = []model.Fault{{Kind: model.UpgradeProxy, At: longest - time.Second, Share: .1}} // the sockets are passed on
-		}, Play: func(f *live.Fleet) error {
+		}, Play: func(f *liverun.Fleet) error {
 			for range 3 {
 				f.Do(model.Step{Op: model.OpUpgradeProxy, Node: 0})
 				if err := f.Service(2*enough, 0, 1, 2); err != nil {
@@ -193,7 +193,7 @@
 			}
 			return nil
 		}},
-		{Name: "the whole is halved while proxies and a steward are cut off", Play: func(f *live.Fleet) error {
+		{Name: "the whole is halved while proxies and a steward are cut off", Play: func(f *liverun.Fleet) error {
 			return while(f, "proxy-0,proxy-1", "steward-*", linkfault.Both, func() error {
 				end, err := f.Apart(2)
 				if err != nil {
@@ -206,7 +206,7 @@
 				return errors.Join(err, end())
 			})
 		}},
-		{Name: "an older store of a steward is put back", Play: func(f *live.Fleet) error {
+		{Name: "an older store of a steward is put back", Play: func(f *liverun.Fleet) error {
 			no, err := f.Leader()
 			if err != nil {
 				return err
@@ -218,7 +218,7 @@
 			f.KillSteward(no)
 			return errors.Join(f.OldStore(no), f.StartSteward(no))
 		}},
-		{Name: "a steward answers with another fleet's grants", Play: func(f *live.Fleet) error {
+		{Name: "a steward answers with another fleet's grants", Play: func(f *liverun.Fleet) error {
 			liar := &otherFleet{replies: map[string][2]int{}}
 			other := httptest.NewServer(liar)
 			defer other.Close()
@@ -234,7 +234,7 @@
 			}
 			return err
 		}},
-		{Name: "stewards can't speak to each other", Play: func(f *live.Fleet) error {
+		{Name: "stewards can't speak to each other", Play: func(f *liverun.Fleet) error {
 			return while(f, "steward-*", "steward-*", linkfault.Both, func() error { return errors.Join(f.Leaderless(), f.Ended("attempts", f.All()...)) })
 		}},
 	} {
@@ -243,7 +243,7 @@
 			s.Fleet = shared()
 		}
 		play := s.Play
-		s.Play = func(f *live.Fleet) error { return errors.Join(again(f), play(f), again(f)) }
+		s.Play = func(f *liverun.Fleet) error { return errors.Join(again(f), play(f), again(f)) }
 		all = append(all, s)
 	}
 	Run(t, all)
--- a/internal/faultlab/clustertest/kit.go
+++ b/internal/faultlab/clustertest/kit.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"lapisspread/internal/faultlab/checker"
+	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/faultlab/testbinary"
-	"lapisspread/internal/lab/live"
 )
 
 // Scenario is one test.
@@ -23,12 +23,12 @@
 	Rate    float64 // first tries a second; 60 if left out
 	Fabric  bool    // all ways lead through relays
 
-	Fleet *live.FleetOptions // what the proxies share; it needs Fabric
+	Fleet *liverun.FleetOptions // what the proxies share; it needs Fabric
 
 	Comeback  string // the text of the proxies' file of coming back; none if empty
 	FleetFile string // the text of a fleet's file without stewards; none if empty
 	Change    func(*model.Spec)
-	Play      func(f *live.Fleet) error
+	Play      func(f *liverun.Fleet) error
 }
 
 // longest bounds a scenario; a script ends its run long before.
@@ -55,7 +55,7 @@
 			if s.Change != nil {
 				s.Change(&spec)
 			}
-			res, err := live.Play(t.Context(), &spec, live.Options{Binary: binary, Fabric: s.Fabric, Comeback: s.Comeback, Fleet: s.Fleet, FleetFile: s.FleetFile, Script: s.Play})
+			res, err := liverun.Play(t.Context(), &spec, liverun.Options{Binary: binary, Fabric: s.Fabric, Comeback: s.Comeback, Fleet: s.Fleet, FleetFile: s.FleetFile, Script: s.Play})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -72,7 +72,7 @@
 }
 
 // complaints are what must never happen and has.
-func complaints(res *live.Result) []string {
+func complaints(res *liverun.Result) []string {
 	out := slices.Clone(res.Problems)
 	for _, b := range res.Verdict.Breaches {
 		if res.Late == "" || b.Rule == checker.Duplicate {
--- a/internal/faultlab/clustertest/view_test.go
+++ b/internal/faultlab/clustertest/view_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"lapisspread/internal/faultlab/linkfault"
+	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/live"
 )
 
 // doubts is a fleet's file by which some seconds without news are doubt: the machines are believed to change often.
@@ -35,7 +35,7 @@
 `
 
 // all tells whether all routes of all proxies are at a level.
-func all(f *live.Fleet, level string) (bool, error) {
+func all(f *liverun.Fleet, level string) (bool, error) {
 	for _, no := range f.All() {
 		now, _, err := f.View(no)
 		if err != nil || slices.ContainsFunc(now, func(l string) bool { return l != level }) {
@@ -50,7 +50,7 @@
 // comes before all servers have answered; with act = false this convicts.
 func TestASilentWatchIsDoubt(t *testing.T) {
 	t.Parallel()
-	Run(t, []Scenario{{Name: "watches fall silent while a server is replaced", Fabric: true, FleetFile: doubts, Play: func(f *live.Fleet) error {
+	Run(t, []Scenario{{Name: "watches fall silent while a server is replaced", Fabric: true, FleetFile: doubts, Play: func(f *liverun.Fleet) error {
 		if err := errors.Join(f.Service(enough, f.All()...), f.Levels("fresh", "confirmed")); err != nil {
 			return err
 		}
--- a/internal/lab/live/run.go
+++ b/internal/faultlab/liverun/run.go
@@ -1,6 +1,6 @@
-// Package live plays a world on loopback sockets, in real time, around real proxies that run as children of this
+// Package liverun plays a world on loopback sockets, in real time, around real proxies that run as children of this
 // process. Nodes, register and clients are the world's; the wire is the platform's protocol.
-package live
+package liverun
 
 import (
 	"context"
--- a/internal/lab/live/steward.go
+++ b/internal/faultlab/liverun/steward.go
@@ -1,4 +1,4 @@
-package live
+package liverun
 
 import (
 	"context"
--- a/internal/lab/payouts/payouts.go
+++ b/internal/lab/payouts/payouts.go
@@ -23,9 +23,9 @@
 
 	"lapisspread/internal/diameter"
 	"lapisspread/internal/faultlab/diameterpeer"
+	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/live"
 )
 
 // Plan is what is played.
@@ -309,7 +309,7 @@
 		routes = strings.Replace(services, "upstream = \"diameter\"\n", "", 1)
 	}
 	text, err := json.MarshalIndent(map[string]any{"name": "p0", "listen": listen, "discovery": s.agent, "seed": fmt.Sprintf("%x", s.plan.Seed),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": json.RawMessage(s.list()), "settings": live.Settings(&spec, 0)}, "", " ")
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": json.RawMessage(s.list()), "settings": liverun.Settings(&spec, 0)}, "", " ")
 	if err != nil {
 		return err
 	}
