--- a/cmd/faultlab/load.go
+++ b/cmd/faultlab/load.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lapisspread/internal/lab/loadgen"
+	"lapisspread/internal/faultlab/loadgen"
 )
 
 func loadCommand() *cobra.Command {
