--- a/cmd/faultlab/payouts.go
+++ b/cmd/faultlab/payouts.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lapisspread/internal/lab/payouts"
+	"lapisspread/internal/faultlab/payouts"
 )
 
 func payoutsCommand() *cobra.Command {
