--- a/cmd/faultlab/plain.go
+++ b/cmd/faultlab/plain.go
@@ -6,7 +6,7 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/faultlab/baseline"
-	"lapisspread/internal/lab/plainproxy"
+	"lapisspread/internal/faultlab/baselineproxy"
 	"lapisspread/internal/proxy"
 )
 
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			return plainproxy.New(policy, cfg).Run(cmd.Context())
+			return baselineproxy.New(policy, cfg).Run(cmd.Context())
 		},
 	}
 	c.Flags().StringVar(&policy, "policy", "reverse-proxy", "see faultlab list")
--- a/internal/lab/plainproxy/plainproxy.go
+++ b/internal/faultlab/baselineproxy/plainproxy.go
@@ -1,7 +1,7 @@
-// Package plainproxy is what a team would put in the proxy's place: net/http/httputil.ReverseProxy behind the
+// Package baselineproxy is what a team would put in the proxy's place: net/http/httputil.ReverseProxy behind the
 // platform's protocol, with a plain choice of the backend and plain retries. It also has, on purpose, one flaw each
 // on which the judge is tried. It is for comparison only.
-package plainproxy
+package baselineproxy
 
 import (
 	"cmp"
--- a/internal/lab/plainproxy/plainproxy_test.go
+++ b/internal/faultlab/baselineproxy/plainproxy_test.go
@@ -1,4 +1,4 @@
-package plainproxy
+package baselineproxy
 
 import (
 	"fmt"
