--- a/cmd/faultlab/comeback.go
+++ b/cmd/faultlab/comeback.go
@@ -16,7 +16,7 @@
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/report"
+	"lapisspread/internal/faultlab/report"
 )
 
 // comeback is a run beside its twin.
--- a/cmd/faultlab/experiment.go
+++ b/cmd/faultlab/experiment.go
@@ -15,7 +15,7 @@
 	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/experiment"
-	"lapisspread/internal/lab/report"
+	"lapisspread/internal/faultlab/report"
 )
 
 // outcome is what an experiment has come to.
--- a/cmd/faultlab/flood.go
+++ b/cmd/faultlab/flood.go
@@ -14,7 +14,7 @@
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/liverun"
-	"lapisspread/internal/lab/report"
+	"lapisspread/internal/faultlab/report"
 )
 
 // floodOutcome is one variant of a flood.
--- a/cmd/faultlab/main_test.go
+++ b/cmd/faultlab/main_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/lab/report"
+	"lapisspread/internal/faultlab/report"
 )
 
 func command(args ...string) (code int, out, errs string) {
--- a/cmd/faultlab/overload.go
+++ b/cmd/faultlab/overload.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/faultlab/experiment"
-	"lapisspread/internal/lab/report"
+	"lapisspread/internal/faultlab/report"
 )
 
 // retryBurst is how many further attempts a proxy may have saved up beside its budget.
--- a/cmd/faultlab/run.go
+++ b/cmd/faultlab/run.go
@@ -18,7 +18,7 @@
 	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/liverun"
-	"lapisspread/internal/lab/report"
+	"lapisspread/internal/faultlab/report"
 )
 
 type runOptions struct {
--- a/cmd/faultlab/scale.go
+++ b/cmd/faultlab/scale.go
@@ -15,7 +15,7 @@
 	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/report"
+	"lapisspread/internal/faultlab/report"
 	"lapisspread/internal/lab/sim"
 )
 
--- a/cmd/faultlab/simulate.go
+++ b/cmd/faultlab/simulate.go
@@ -17,7 +17,7 @@
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/report"
+	"lapisspread/internal/faultlab/report"
 	"lapisspread/internal/lab/sim"
 )
 
