--- a/cmd/faultlab/scale.go
+++ b/cmd/faultlab/scale.go
@@ -16,7 +16,7 @@
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/faultlab/report"
-	"lapisspread/internal/lab/sim"
+	"lapisspread/internal/faultlab/simulation"
 )
 
 // scalePoint is one size of world.
@@ -128,7 +128,7 @@
 	if err != nil {
 		return scalePoint{}, err
 	}
-	r, err := sim.New(&spec, factory)
+	r, err := simulation.New(&spec, factory)
 	if err != nil {
 		return scalePoint{}, err
 	}
--- a/cmd/faultlab/selfcheck.go
+++ b/cmd/faultlab/selfcheck.go
@@ -14,7 +14,7 @@
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/quotasim"
-	"lapisspread/internal/lab/sim"
+	"lapisspread/internal/faultlab/simulation"
 )
 
 // trialDay has what each flaw needs to show: load, nodes that drain and come back cold.
@@ -173,7 +173,7 @@
 	}
 	spec := f.Spec(seed, 1)
 	spec.Duration = 20 * time.Second
-	r, err := sim.New(&spec, factory)
+	r, err := simulation.New(&spec, factory)
 	if err != nil {
 		return checker.Verdict{}, err
 	}
--- a/cmd/faultlab/simulate.go
+++ b/cmd/faultlab/simulate.go
@@ -18,7 +18,7 @@
 	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/faultlab/report"
-	"lapisspread/internal/lab/sim"
+	"lapisspread/internal/faultlab/simulation"
 )
 
 // named reads an experiment by its name or, if that has a dot or a slash, by its path.
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := sim.New(spec, factory)
+	r, err := simulation.New(spec, factory)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/sim/cold_test.go
+++ b/internal/faultlab/simulation/cold_test.go
@@ -1,4 +1,4 @@
-package sim_test
+package simulation_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/sim"
+	"lapisspread/internal/faultlab/simulation"
 )
 
 // coldWorld is one in which most servers start cold before many proxies.
@@ -68,7 +68,7 @@
 // fallen plays a world and gives what was pushed over by proxies that had been told of the start.
 func fallen(t *testing.T, spec model.Spec, policy baseline.Factory) []checker.Breach {
 	t.Helper()
-	r, err := sim.New(&spec, policy)
+	r, err := simulation.New(&spec, policy)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/sim/config.go
+++ b/internal/faultlab/simulation/config.go
@@ -1,10 +1,10 @@
-// Package sim plays a world in virtual time: many proxies, each with a policy of its own in this process, before
+// Package simulation plays a world in virtual time: many proxies, each with a policy of its own in this process, before
 // many nodes. Equal specs and seeds give equal results, byte for byte, whatever the number of cores.
 //
 // Time goes in steps of one tick. In each step all proxies take in what has come for them, each apart from the
 // others, then all cells serve up to the step's end, each apart from the others. What passes between the two
 // is put in order by one goroutine.
-package sim
+package simulation
 
 import (
 	"time"
--- a/internal/lab/sim/proxy.go
+++ b/internal/faultlab/simulation/proxy.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"container/heap"
--- a/internal/lab/sim/sim_test.go
+++ b/internal/faultlab/simulation/sim_test.go
@@ -1,4 +1,4 @@
-package sim_test
+package simulation_test
 
 import (
 	"bytes"
@@ -13,16 +13,16 @@
 	"lapisspread/internal/faultlab/baseline"
 	"lapisspread/internal/faultlab/experiment"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/lab/sim"
+	"lapisspread/internal/faultlab/simulation"
 )
 
-func play(t *testing.T, spec model.Spec, policy string) sim.Result {
+func play(t *testing.T, spec model.Spec, policy string) simulation.Result {
 	t.Helper()
 	factory, err := baseline.Named(policy)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := sim.New(&spec, factory)
+	r, err := simulation.New(&spec, factory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 func TestBrokenOffRunsAreJudged(t *testing.T) {
 	spec := model.Default()
 	factory, _ := baseline.Named(baseline.Module)
-	r, err := sim.New(&spec, factory)
+	r, err := simulation.New(&spec, factory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 func TestBadWorlds(t *testing.T) {
 	spec := model.Default()
 	spec.Nodes = 0
-	if _, err := sim.New(&spec, nil); err == nil {
+	if _, err := simulation.New(&spec, nil); err == nil {
 		t.Error("a world without nodes was taken")
 	}
 	if _, err := baseline.Named("best"); err == nil {
@@ -164,7 +164,7 @@
 			taken := 0
 			for b.Loop() {
 				factory, _ := baseline.Named(baseline.Module)
-				r, err := sim.New(&spec, factory)
+				r, err := simulation.New(&spec, factory)
 				if err != nil {
 					b.Fatal(err)
 				}
