--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -23,6 +23,7 @@
 
 	"lapisspread/decision"
 	backrules "lapisspread/internal/comeback"
+	"lapisspread/internal/discovery"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
@@ -32,7 +33,6 @@
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/proxy"
 	"lapisspread/internal/quota"
-	"lapisspread/internal/register"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/route"
 	"lapisspread/internal/services"
@@ -808,7 +808,7 @@
 
 func hubOf(ctx context.Context, g *rig, servers int) ([]is, error) {
 	source := &told{make(chan engine.List)}
-	hubs := register.NewHubs(time.Second, func(string) engine.Source { return source })
+	hubs := discovery.NewHubs(time.Second, func(string) engine.Source { return source })
 	all := members(0, servers, "std-1")
 	ctx, cancel := context.WithCancel(ctx)
 	var watching sync.WaitGroup
--- a/internal/register/hub.go
+++ b/internal/discovery/hub.go
@@ -1,11 +1,11 @@
-// Package register lets several engines follow one register by one watch. A hub keeps the register's whole list as it
+// Package discovery lets several engines follow one register by one watch. A hub keeps the register's whole list as it
 // is now: who joins late is told it at once, and who asks for it while the watch is alive is answered from it.
 //
 // What it promises each follower is what a source promises one engine: every change in the register's order, the whole
 // list ahead of changes that it has no ground for, and an error once the watch has failed. What it promises the
 // register: one watch and one call for the list at a time, however many follow, and after failures a rest that
 // doubles, whoever asks.
-package register
+package discovery
 
 import (
 	"context"
--- a/internal/register/hub_test.go
+++ b/internal/discovery/hub_test.go
@@ -1,4 +1,4 @@
-package register
+package discovery
 
 import (
 	"context"
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -18,6 +18,7 @@
 	"lapisspread/internal/admission"
 	"lapisspread/internal/budget"
 	"lapisspread/internal/diameter/upstream"
+	"lapisspread/internal/discovery"
 	"lapisspread/internal/door"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/figures"
@@ -25,7 +26,6 @@
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/quota"
-	"lapisspread/internal/register"
 	"lapisspread/internal/route"
 	config "lapisspread/internal/services"
 )
@@ -116,13 +116,13 @@
 	policyRoutes bool            // routes come from the fleet's policy, once there is one
 	discovery    string          // the process's, as of the last change
 	ctx          context.Context // of all services
-	registers    *register.Hubs
+	registers    *discovery.Hubs
 	requests     *admission.RequestSettings // of each service; nil is none
 }
 
 func newServices(p *Proxy) *services {
 	s := &services{p: p, limits: quota.New(engine.NewClock().Now)}
-	s.registers = register.NewHubs(p.cfg.pace.rest, func(addr string) engine.Source { return s.ask(addr, addr) })
+	s.registers = discovery.NewHubs(p.cfg.pace.rest, func(addr string) engine.Source { return s.ask(addr, addr) })
 	return s
 }
 
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/discovery"
 	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/register"
 )
 
 // trouble is what befalls calls for the list.
@@ -276,7 +276,7 @@
 	var asked engine.Source = d
 	switch by {
 	case "hub":
-		asked = register.NewHubs(p.rest, func(string) engine.Source { return d }).Join(d.addr, known)
+		asked = discovery.NewHubs(p.rest, func(string) engine.Source { return d }).Join(d.addr, known)
 	case "comeback":
 		f, err := guardedsource.Parse("comeback.toml", []byte("version = 1\n[calls]\nrate = 4.0\n"))
 		if err != nil {
