--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -22,8 +22,8 @@
 	"time"
 
 	"lapisspread/decision"
-	backrules "lapisspread/internal/comeback"
 	"lapisspread/internal/discovery"
+	backrules "lapisspread/internal/discovery/listguard"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
--- a/internal/discovery/guardedsource/file.go
+++ b/internal/discovery/guardedsource/file.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"lapisspread/internal/comeback"
+	"lapisspread/internal/discovery/listguard"
 	"lapisspread/internal/strict"
 )
 
@@ -113,11 +113,11 @@
 }
 
 // guard are the settings of the guard, if there is one.
-func (f *File) guard() (s comeback.GuardSettings, on bool) {
+func (f *File) guard() (s listguard.GuardSettings, on bool) {
 	if f.List == nil {
 		return s, false
 	}
-	s = comeback.GuardSettings{Shrink: 0.3, Least: or(f.List.Least, 2), Hold: time.Duration(or(f.List.Hold, strict.Span(30*time.Second)))}
+	s = listguard.GuardSettings{Shrink: 0.3, Least: or(f.List.Least, 2), Hold: time.Duration(or(f.List.Hold, strict.Span(30*time.Second)))}
 	if f.List.Shrink != nil {
 		s.Shrink = *f.List.Shrink
 	}
@@ -125,11 +125,11 @@
 }
 
 // calls are the settings of the calls, if they are spread.
-func (f *File) calls(proxies int, seed uint64) (s comeback.CallSettings, on bool) {
+func (f *File) calls(proxies int, seed uint64) (s listguard.CallSettings, on bool) {
 	if f.Calls == nil {
 		return s, false
 	}
-	return comeback.CallSettings{Rate: f.Calls.Rate, Proxies: proxies, Most: time.Duration(or(f.Calls.Most, strict.Span(10*time.Second))),
+	return listguard.CallSettings{Rate: f.Calls.Rate, Proxies: proxies, Most: time.Duration(or(f.Calls.Most, strict.Span(10*time.Second))),
 		Hold: time.Duration(or(f.Calls.Hold, strict.Span(20*time.Second))), Seed: seed}, true
 }
 
--- a/internal/discovery/guardedsource/source.go
+++ b/internal/discovery/guardedsource/source.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"lapisspread/decision"
-	"lapisspread/internal/comeback"
+	"lapisspread/internal/discovery/listguard"
 	"lapisspread/internal/engine"
 )
 
@@ -27,7 +27,7 @@
 
 	mu     sync.Mutex
 	guards map[string]*guarded
-	calls  map[string]*comeback.Calls // by name, as guards
+	calls  map[string]*listguard.Calls // by name, as guards
 	counts Counts
 	held   map[string]Held // by address
 }
@@ -70,7 +70,7 @@
 // guarded is a guard with the lock under which lists go through it, so that they keep their order.
 type guarded struct {
 	mu    sync.Mutex
-	guard *comeback.Guard
+	guard *listguard.Guard
 }
 
 // Counts are what the calls for the list have come to.
@@ -82,7 +82,7 @@
 
 // NewPlan makes the plan of one of so many proxies. The seed must be another one for each process.
 func NewPlan(f *File, proxies int, seed uint64, now func() time.Duration, log *slog.Logger) *Plan {
-	return &Plan{file: f, proxies: proxies, seed: seed, now: now, log: log, guards: map[string]*guarded{}, calls: map[string]*comeback.Calls{},
+	return &Plan{file: f, proxies: proxies, seed: seed, now: now, log: log, guards: map[string]*guarded{}, calls: map[string]*listguard.Calls{},
 		held: map[string]Held{}}
 }
 
@@ -107,7 +107,7 @@
 	}
 	if set, on := p.file.guard(); on {
 		if p.guards[name] == nil {
-			g, err := comeback.NewGuard(set, known)
+			g, err := listguard.NewGuard(set, known)
 			if err != nil { // the file was checked
 				panic(err)
 			}
@@ -118,9 +118,9 @@
 	if set, on := p.file.calls(p.proxies, p.seed); on {
 		if p.calls[name] == nil {
 			if p.most > 0 {
-				set.Most = max(min(set.Most, p.most/2), comeback.LeastRest) // a turn may be added to it
+				set.Most = max(min(set.Most, p.most/2), listguard.LeastRest) // a turn may be added to it
 			}
-			c, err := comeback.NewCalls(set)
+			c, err := listguard.NewCalls(set)
 			if err != nil { // the file was checked
 				panic(err)
 			}
@@ -167,8 +167,8 @@
 type Source struct {
 	engine.Source
 	plan  *Plan
-	guard *guarded        // nil believes all
-	calls *comeback.Calls // nil waits for nothing; the plan's lock guards it
+	guard *guarded         // nil believes all
+	calls *listguard.Calls // nil waits for nothing; the plan's lock guards it
 }
 
 var _ engine.Source = (*Source)(nil)
--- a/internal/comeback/comeback_test.go
+++ b/internal/discovery/listguard/comeback_test.go
@@ -1,4 +1,4 @@
-package comeback
+package listguard
 
 import (
 	"fmt"
--- a/internal/comeback/guard.go
+++ b/internal/discovery/listguard/guard.go
@@ -1,7 +1,7 @@
-// Package comeback decides what a proxy that comes back, or whose register does, may believe and ask for: which servers of a
+// Package listguard decides what a proxy that comes back, or whose register does, may believe and ask for: which servers of a
 // list that suddenly lacks many are kept for a while, and when the next call for a list may be made. It is pure: no I/O, no
 // goroutine, no clock; lists and ends of calls come in, lists and waits go out.
-package comeback
+package listguard
 
 import (
 	"errors"
