--- a/cmd/lapisspread/admission.go
+++ b/cmd/lapisspread/admission.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lapisspread/internal/door"
+	"lapisspread/internal/listener"
 )
 
 func admissionCommand() *cobra.Command {
@@ -20,11 +20,11 @@
 		Short: "Tell whether a file of admission is good and what it comes to, or which line or key is wrong",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := door.Load(args[0])
+			f, err := listener.Load(args[0])
 			if err != nil {
 				return err
 			}
-			s, err := f.Settings(door.Room{Places: 1 << 16}, 0)
+			s, err := f.Settings(listener.Room{Places: 1 << 16}, 0)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/internal/door/door.go
+++ b/internal/listener/door.go
@@ -1,6 +1,6 @@
-// Package door stands between listeners and front ends: it asks package admission who is taken, closes whom that names,
+// Package listener stands between listeners and front ends: it asks package admission who is taken, closes whom that names,
 // and keeps the blocks by hand. All front ends of a process share one Door.
-package door
+package listener
 
 import (
 	"encoding/json"
--- a/internal/door/requests.go
+++ b/internal/listener/requests.go
@@ -1,4 +1,4 @@
-package door
+package listener
 
 import (
 	"sync"
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lapisspread/internal/admission"
-	"lapisspread/internal/door"
+	"lapisspread/internal/listener"
 )
 
 const (
@@ -38,8 +38,8 @@
 	ends     time.Duration // and a short one must be out by then
 	duckFrom time.Time     // lame duck since then; zero if it is none
 
-	door     *door.Door // who gets a place; nil is whoever comes, for whom nothing was heard of for longest
-	told     int        // who were turned away with an answer in the second of toldAt
+	door     *listener.Door // who gets a place; nil is whoever comes, for whom nothing was heard of for longest
+	told     int            // who were turned away with an answer in the second of toldAt
 	toldAt   time.Time
 	turnAway []byte
 }
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"testing"
 
-	"lapisspread/internal/door"
+	"lapisspread/internal/listener"
 )
 
 // narrow is a listener whose process has descriptors for so many clients.
@@ -38,7 +38,7 @@
 	}
 	conns := newClientConns(100)
 	var turnedAway atomic.Int32
-	l := &clientListener{door.NewListener(narrow{inner, conns, 3}, slog.New(slog.DiscardHandler), conns.evictIdle,
+	l := &clientListener{listener.NewListener(narrow{inner, conns, 3}, slog.New(slog.DiscardHandler), conns.evictIdle,
 		func() { turnedAway.Add(1) }), conns}
 	defer l.Close()
 	taken := make(chan net.Conn, 64)
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -22,10 +22,10 @@
 	"lapisspread/internal/diameter/front"
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/diameter/upstream"
-	"lapisspread/internal/door"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/figures"
 	"lapisspread/internal/idempotency/guard"
+	"lapisspread/internal/listener"
 	"lapisspread/internal/quota"
 	"lapisspread/internal/route"
 	"lapisspread/internal/tlskeys"
@@ -362,7 +362,7 @@
 // peerConn is a peer's connection as the door has it: once we have answered who it is, it is one that is in use.
 type peerConn struct {
 	net.Conn
-	door  *door.Door
+	door  *listener.Door
 	id    admission.ID
 	known atomic.Bool
 	once  sync.Once
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -10,7 +10,7 @@
 
 	"lapisspread/internal/admission"
 	"lapisspread/internal/discovery/guardedsource"
-	"lapisspread/internal/door"
+	"lapisspread/internal/listener"
 )
 
 // mostNames bounds the names that a roster remembers; of those that it forgets the oldest go first.
@@ -183,7 +183,7 @@
 	if o.conns.door == nil {
 		return netip.Prefix{}, errNoDoor
 	}
-	return door.Prefix(text)
+	return listener.Prefix(text)
 }
 
 // order writes down that a backend is out by hand, or no more, and has the loop look.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -14,13 +14,13 @@
 
 	"lapisspread/internal/console"
 	"lapisspread/internal/discovery/guardedsource"
-	"lapisspread/internal/door"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/figures"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/handover"
+	"lapisspread/internal/listener"
 )
 
 // Proxy is a whole proxy: what Run needs beside its configuration.
@@ -172,11 +172,11 @@
 
 // openDoor reads who is admitted.
 func (p *Proxy) openDoor() error {
-	file, err := door.Load(p.cfg.Admission)
+	file, err := listener.Load(p.cfg.Admission)
 	if err != nil {
 		return err
 	}
-	d, err := door.New(file, door.Room{Places: clientPlaces(&p.cfg), Bytes: bodyRoom(&p.cfg)}, p.cfg.Seed, engine.NewClock().Now, p.store.Path("blocks"))
+	d, err := listener.New(file, listener.Room{Places: clientPlaces(&p.cfg), Bytes: bodyRoom(&p.cfg)}, p.cfg.Seed, engine.NewClock().Now, p.store.Path("blocks"))
 	if err != nil {
 		return err
 	}
@@ -232,7 +232,7 @@
 	if p.cfg.Admission == "" || p.conns.door == nil {
 		return nil
 	}
-	file, err := door.Load(p.cfg.Admission)
+	file, err := listener.Load(p.cfg.Admission)
 	if err != nil {
 		return err
 	}
@@ -255,7 +255,7 @@
 		accepting = p.conns.door.NewListener(accepting, p.log)
 	} else {
 		// Danger: net/http rests for up to a second when a descriptor is missing, and all clients wait meanwhile.
-		accepting = door.NewListener(accepting, p.log, p.conns.evictIdle, func() {})
+		accepting = listener.NewListener(accepting, p.log, p.conns.evictIdle, func() {})
 	}
 	if p.cfg.Fleet != "" {
 		end, err := p.joinFleet()
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -19,11 +19,11 @@
 	"lapisspread/internal/budget"
 	"lapisspread/internal/diameter/upstream"
 	"lapisspread/internal/discovery"
-	"lapisspread/internal/door"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/figures"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
+	"lapisspread/internal/listener"
 	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/quota"
 	"lapisspread/internal/route"
@@ -44,7 +44,7 @@
 	roster  *roster
 	gate    *budget.Gate // of its share of the process; nil for the only one
 
-	requests *door.InHand       // bounds those in hand; nil is no bound
+	requests *listener.InHand   // bounds those in hand; nil is no bound
 	sight    *fleetview.Sight   // nil weighs nothing
 	diameter *upstream.Upstream // where its servers speak that; nil is HTTP
 
@@ -425,7 +425,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if svc.requests, err = door.NewInHand(*s.requests, gate, len(module.Tenants), seed); err != nil {
+		if svc.requests, err = listener.NewInHand(*s.requests, gate, len(module.Tenants), seed); err != nil {
 			return nil, err
 		}
 	}
