--- a/internal/figures/figures.go
+++ b/internal/metrics/figures.go
@@ -1,6 +1,6 @@
-// Package figures counts what a proxy does. Whoever counts takes no lock, and whoever reads waits for nobody:
+// Package metrics counts what a proxy does. Whoever counts takes no lock, and whoever reads waits for nobody:
 // the figures of one reading may be some events apart from each other.
-package figures
+package metrics
 
 import (
 	"encoding/json"
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"encoding/json"
--- a/internal/proxy/conformance_test.go
+++ b/internal/proxy/conformance_test.go
@@ -16,7 +16,7 @@
 	"lapisspread/decision"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/engine/enginetest"
-	"lapisspread/internal/figures"
+	"lapisspread/internal/metrics"
 )
 
 func TestHTTPFrontEndConforms(t *testing.T) {
@@ -25,7 +25,7 @@
 			cfg := Config{MemoryMB: 64, Sockets: 1024, Module: enginetest.Config()}
 			svcs := newServices(New(cfg, slog.New(slog.DiscardHandler)))
 			only := &service{engine: e, clock: e.Clock(), module: cfg.Module, classes: map[string]int{"safe": 0, "unsafe": 1},
-				figures: figures.New([]string{"safe", "unsafe"})}
+				figures: metrics.New([]string{"safe", "unsafe"})}
 			svcs.now.Store(&installed{only: only, byName: map[string]*service{"": only}})
 			f := newFrontend(svcs, &cfg, slog.New(slog.DiscardHandler), newClientConns(512))
 			l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -23,9 +23,9 @@
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/diameter/upstream"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/figures"
 	"lapisspread/internal/idempotency/guard"
 	"lapisspread/internal/listener"
+	"lapisspread/internal/metrics"
 	"lapisspread/internal/quota"
 	"lapisspread/internal/route"
 	"lapisspread/internal/tlskeys"
@@ -237,7 +237,7 @@
 	tenant := svc.tenants[a.Tenant]
 	ticket, why, after := s.admit(svc, class, tenant, bytes)
 	if why != "" {
-		svc.figures.Ended(class, figures.Refused)
+		svc.figures.Ended(class, metrics.Refused)
 		policy.Count(false)
 		svc.leave()
 		return nil, &front.Turned{What: why, After: max(after, time.Second)}
@@ -248,7 +248,7 @@
 	out.Ended = func(end engine.End, t time.Duration) {
 		took = t
 		policy.Count(end == engine.Served)
-		svc.figures.Ended(class, map[engine.End]figures.Outcome{engine.Served: figures.Served, engine.Refused: figures.Refused, engine.Failed: figures.Failed}[end])
+		svc.figures.Ended(class, map[engine.End]metrics.Outcome{engine.Served: metrics.Served, engine.Refused: metrics.Refused, engine.Failed: metrics.Failed}[end])
 	}
 	out.Leave = func() {
 		svc.figures.InFlight.Add(-1)
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"lapisspread/internal/engine"
-	"lapisspread/internal/figures"
 	"lapisspread/internal/fleetlink"
+	"lapisspread/internal/metrics"
 )
 
 const (
@@ -294,21 +294,21 @@
 	// Danger: of what comes late in a drain a long answer may be cut off by the process's end, and be lost.
 	if f.conns.isLate(f.clock.Now() - req.service.clock.Now() + req.Came()) {
 		stream.End(errGone)
-		req.ended(figures.Failed)
+		req.ended(metrics.Failed)
 		write(w, answer{status: http.StatusBadGateway})
 		return
 	}
 	err := pass(w, stream, f.writeTimeout)
 	stream.End(err)
 	if err != nil {
-		req.ended(figures.Failed)
+		req.ended(metrics.Failed)
 		f.log.Warn("a long answer broke off", "err", err)
 		if req.old && stream.length < 0 {
 			resetClient(w)
 		}
 		panic(http.ErrAbortHandler) // the client must be able to tell
 	}
-	req.ended(figures.Served)
+	req.ended(metrics.Served)
 }
 
 // turnAway rejects a request whose class is known.
@@ -326,14 +326,14 @@
 }
 
 // outcomeOf is what an answer of that status counts as.
-func outcomeOf(status int) figures.Outcome {
+func outcomeOf(status int) metrics.Outcome {
 	switch status {
 	case http.StatusOK:
-		return figures.Served
+		return metrics.Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return figures.Refused
+		return metrics.Refused
 	}
-	return figures.Failed
+	return metrics.Failed
 }
 
 // rejection says why a request is not taken.
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -21,8 +21,8 @@
 	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/durable"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/figures"
 	"lapisspread/internal/idempotency/guard"
+	"lapisspread/internal/metrics"
 )
 
 // The files under testdata were written by the program of c8fad44 with
@@ -100,10 +100,10 @@
 
 // The reports that the console shows keep their keys and their order.
 func TestFrozenReports(t *testing.T) {
-	own := figures.New([]string{"fetch-work", "hand-in"})
-	own.Ended(0, figures.Served)
-	own.Ended(1, figures.Refused)
-	own.Ended(1, figures.Failed)
+	own := metrics.New([]string{"fetch-work", "hand-in"})
+	own.Ended(0, metrics.Served)
+	own.Ended(1, metrics.Refused)
+	own.Ended(1, metrics.Failed)
 	for i, counter := range []interface{ Store(int64) }{&own.Attempts, &own.InFlight, &own.BackendsKnown, &own.BackendsExcluded,
 		&own.ReloadsOK, &own.ReloadsFailed, &own.ListsBad} {
 		counter.Store(int64(i + 11))
@@ -128,7 +128,7 @@
 		}
 		all.Write(append(text, '\n'))
 	}
-	sum, err := figures.Sum(own, map[string]*figures.Figures{}, map[string]any{"requests": 3})
+	sum, err := metrics.Sum(own, map[string]*metrics.Figures{}, map[string]any{"requests": 3})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/figures"
+	"lapisspread/internal/metrics"
 )
 
 // A lame duck answers what comes, closes each connection after it, also the idle ones, and can come back.
@@ -84,8 +84,8 @@
 }
 
 func TestOutcomeOf(t *testing.T) {
-	for status, want := range map[int]figures.Outcome{200: figures.Served, 429: figures.Refused, 503: figures.Refused,
-		502: figures.Failed, 504: figures.Failed, 400: figures.Failed, 413: figures.Failed} {
+	for status, want := range map[int]metrics.Outcome{200: metrics.Served, 429: metrics.Refused, 503: metrics.Refused,
+		502: metrics.Failed, 504: metrics.Failed, 400: metrics.Failed, 413: metrics.Failed} {
 		if got := outcomeOf(status); got != want {
 			t.Errorf("%d counts as %v, want %v", status, got, want)
 		}
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -5,8 +5,8 @@
 	"errors"
 	"net/http"
 
-	"lapisspread/internal/figures"
 	"lapisspread/internal/fleetlink"
+	"lapisspread/internal/metrics"
 	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/route"
 )
@@ -63,9 +63,9 @@
 }
 
 // ended counts a request, and whether it went well under the policy that it was decided under.
-func (r *request) ended(o figures.Outcome) {
+func (r *request) ended(o metrics.Outcome) {
 	r.service.figures.Ended(r.Class, o)
-	r.policy.Count(o == figures.Served)
+	r.policy.Count(o == metrics.Served)
 }
 
 // followPolicy has the process take up what the stewards offer until ctx ends.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -15,12 +15,12 @@
 	"lapisspread/internal/console"
 	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/figures"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/handover"
 	"lapisspread/internal/listener"
+	"lapisspread/internal/metrics"
 )
 
 // Proxy is a whole proxy: what Run needs beside its configuration.
@@ -28,7 +28,7 @@
 	cfg     Config
 	log     *slog.Logger
 	reloads chan Config      // holds the newest that was not taken in yet
-	own     *figures.Figures // of the only service, and of the process where there are several
+	own     *metrics.Figures // of the only service, and of the process where there are several
 	store   *handover.Store
 	conns   *clientConns
 
@@ -52,7 +52,7 @@
 	for i, c := range cfg.Module.Classes {
 		classes[i] = c.Name
 	}
-	p := &Proxy{cfg: cfg, log: log, reloads: make(chan Config, 1), own: figures.New(classes),
+	p := &Proxy{cfg: cfg, log: log, reloads: make(chan Config, 1), own: metrics.New(classes),
 		store: handover.Open(cfg.StateDir, cfg.Name), conns: newClientConns(clientPlaces(&cfg))}
 	p.services = newServices(p)
 	return p
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -20,10 +20,10 @@
 	"lapisspread/internal/diameter/upstream"
 	"lapisspread/internal/discovery"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/figures"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/listener"
+	"lapisspread/internal/metrics"
 	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/quota"
 	"lapisspread/internal/route"
@@ -39,7 +39,7 @@
 	module  decision.Config
 	classes map[string]int
 	tenants map[string]int
-	figures *figures.Figures
+	figures *metrics.Figures
 	pool    *pool
 	roster  *roster
 	gate    *budget.Gate // of its share of the process; nil for the only one
@@ -236,7 +236,7 @@
 		for i, c := range module.Classes {
 			classes[i] = c.Name
 		}
-		svc, err := s.newService(ctx, discovery, spec, module, figures.New(classes))
+		svc, err := s.newService(ctx, discovery, spec, module, metrics.New(classes))
 		if err != nil {
 			for _, b := range began {
 				b.cancel()
@@ -387,7 +387,7 @@
 }
 
 // newService starts an engine with connections of its own.
-func (s *services) newService(ctx context.Context, discovery string, spec config.Service, module decision.Config, fig *figures.Figures) (*service, error) {
+func (s *services) newService(ctx context.Context, discovery string, spec config.Service, module decision.Config, fig *metrics.Figures) (*service, error) {
 	svc := &service{name: spec.Name, spec: spec, module: module, figures: fig, roster: newRoster(),
 		idle: make(chan struct{}, 1), ended: make(chan struct{})}
 	var classes, tenants []string
@@ -651,18 +651,18 @@
 }
 
 type allFigures struct {
-	own    *figures.Figures
+	own    *metrics.Figures
 	byName map[string]*service
 	limits *quota.Limits
 }
 
 // MarshalJSON gives the sums in the form of one service, and each service's own beside them.
 func (a allFigures) MarshalJSON() ([]byte, error) {
-	all := map[string]*figures.Figures{}
+	all := map[string]*metrics.Figures{}
 	for name, svc := range a.byName {
 		all[name] = svc.figures
 	}
-	return figures.Sum(a.own, all, a.limits.Report())
+	return metrics.Sum(a.own, all, a.limits.Report())
 }
 
 // share is a service's part of the connections to backends.
