--- a/internal/faultlab/capacity/child.go
+++ b/internal/faultlab/capacity/child.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
-	"lapisspread/internal/duty"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/route"
+	"lapisspread/internal/supervisor"
 )
 
 // place is a child's beginning: its hollow proxies.
@@ -254,7 +254,7 @@
 		left := waits[:0]
 		for _, e := range waits {
 			if e.met(now.service) {
-				c.tell(event{Seen: &seen{e.ID, h.name, duty.Boottime()}})
+				c.tell(event{Seen: &seen{e.ID, h.name, supervisor.Boottime()}})
 			} else {
 				left = append(left, e)
 			}
@@ -343,7 +343,7 @@
 }
 
 func (c *child) figures(collect bool) figures {
-	f := figures{Troubles: map[string]int{}, At: duty.Boottime()}
+	f := figures{Troubles: map[string]int{}, At: supervisor.Boottime()}
 	for _, h := range c.proxies {
 		f.Policy += h.policy.bytes()
 		f.Budget += h.budget.bytes()
--- a/internal/faultlab/capacity/faults.go
+++ b/internal/faultlab/capacity/faults.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"lapisspread/internal/duty"
+	"lapisspread/internal/supervisor"
 )
 
 // The kinds of faults.
@@ -48,10 +48,10 @@
 	rng := rand.New(rand.NewPCG(r.set.Seed, 0xfa))
 	for {
 		for _, i := range rng.Perm(len(Kinds())) {
-			if pause(ctx, between) != nil || duty.Boottime()-began > r.set.Duration {
+			if pause(ctx, between) != nil || supervisor.Boottime()-began > r.set.Duration {
 				return
 			}
-			f := Fault{Kind: Kinds()[i], At: ms(duty.Boottime() - began)}
+			f := Fault{Kind: Kinds()[i], At: ms(supervisor.Boottime() - began)}
 			r.say("fault: %s", f.Kind)
 			if err := r.fault(ctx, &f, rng); err != nil {
 				if ctx.Err() == nil {
@@ -68,7 +68,7 @@
 
 // fault plays one, and waits until all have caught up with what was offered until its end.
 func (r *run) fault(ctx context.Context, f *Fault, rng *rand.Rand) error {
-	begin := duty.Boottime()
+	begin := supervisor.Boottime()
 	var befell []string
 	away := min(mostAway, max(3*r.set.Every, 4*time.Second))
 	switch f.Kind {
@@ -140,7 +140,7 @@
 		}
 	}
 	r.mu.Lock()
-	end, offered := duty.Boottime(), len(r.changes)
+	end, offered := supervisor.Boottime(), len(r.changes)
 	var routes []int
 	for _, c := range r.changes[max(0, offered-50):] {
 		routes = append(routes, c.route)
--- a/internal/faultlab/capacity/play.go
+++ b/internal/faultlab/capacity/play.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"lapisspread/internal/duty"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/route"
+	"lapisspread/internal/supervisor"
 )
 
 // reading is what all have spent so far.
@@ -27,7 +27,7 @@
 }
 
 func (r *run) read(ctx context.Context, collect bool) (reading, error) {
-	out := reading{at: duty.Boottime(), children: make([]figures, len(r.remotes))}
+	out := reading{at: supervisor.Boottime(), children: make([]figures, len(r.remotes))}
 	var all sync.WaitGroup
 	errs := make([]error, len(r.remotes)+1)
 	for i, c := range append(slices.Clone(r.remotes), r.paper) {
@@ -99,7 +99,7 @@
 	clear(r.unserved)
 	r.early = nil
 	r.mu.Unlock()
-	began := duty.Boottime()
+	began := supervisor.Boottime()
 	checks, stopChecks := context.WithCancel(ctx)
 	defer stopChecks()
 	var beside sync.WaitGroup
@@ -151,7 +151,7 @@
 // offer offers the changes one after another, each at its time or once the one before was taken.
 func (r *run) offer(ctx context.Context, began time.Duration) error {
 	for no := 1; time.Duration(no)*r.set.Every <= r.set.Duration; no++ {
-		if wait := began + time.Duration(no-1)*r.set.Every - duty.Boottime(); wait > 0 {
+		if wait := began + time.Duration(no-1)*r.set.Every - supervisor.Boottime(); wait > 0 {
 			if err := pause(ctx, wait); err != nil {
 				return err
 			}
@@ -161,7 +161,7 @@
 		team := r.site.team(moved)
 		text := r.site.file(team, no)
 		e := expect{ID: int(r.lastID.Add(1)), Requests: []route.Request{r.site.request(moved)}, Services: [][]string{{r.site.want(moved, no)}}}
-		c.at = duty.Boottime()
+		c.at = supervisor.Boottime()
 		r.mu.Lock()
 		r.changes = append(r.changes, c)
 		r.mu.Unlock()
@@ -169,7 +169,7 @@
 		limit, cancel := context.WithTimeout(ctx, time.Minute)
 		err := r.give(limit, policybook.Command{Offer: &policybook.Offer{Text: text, By: teamName(team)}})
 		if err == nil {
-			c.answered = duty.Boottime()
+			c.answered = supervisor.Boottime()
 			if st, err := r.standing(limit); err == nil {
 				r.learn(st, no)
 			}
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -16,12 +16,12 @@
 	"sync/atomic"
 	"time"
 
-	"lapisspread/internal/duty"
 	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
+	"lapisspread/internal/supervisor"
 )
 
 // run is one play.
@@ -574,7 +574,7 @@
 			route, _ = strconv.Atoi(strings.TrimSuffix(strings.TrimPrefix(q.Path, "/r"), "/x"))
 		}
 		service, epochs, err := p.ask(q.Host, q.Path, q.Tenant, fmt.Sprintf("%s-%d", p.name, n))
-		now := duty.Boottime()
+		now := supervisor.Boottime()
 		switch {
 		case err != nil && lastEpoch == 0: // it has no policy yet
 		case err != nil:
--- a/internal/fleetlink/link.go
+++ b/internal/fleetlink/link.go
@@ -27,9 +27,9 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"lapisspread/internal/advice"
-	"lapisspread/internal/duty"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
+	"lapisspread/internal/supervisor"
 )
 
 // Settings of a link.
@@ -60,7 +60,7 @@
 	claim     *claim // nil without a folder
 	counts    counts
 	flaws     flaws
-	duty      duty.Duty
+	duty      supervisor.Duty
 
 	mu         sync.Mutex // never held over I/O
 	generation uint64
@@ -84,7 +84,7 @@
 	l := &Link{set: set, grants: set.File.Grants(), clock: set.Clock, client: &http.Client{Transport: set.Via}, pots: map[string]*pot{},
 		floorText: set.Name + ";" + grant.Token{}.String(), stand: map[string]Standing{}, troubles: map[string]*Trouble{}}
 	if l.clock == nil {
-		l.clock = duty.Boottime
+		l.clock = supervisor.Boottime
 	}
 	for _, b := range l.grants.Budgets {
 		l.pots[b.Name] = &pot{name: b.Name, whole: b.Whole}
@@ -93,7 +93,7 @@
 		_ = os.MkdirAll(dir, 0o700) // if it can't be, the claim says so
 		l.claim = newClaim(filepath.Join(dir, "floors-"+set.Name), set.Name)
 	}
-	l.duty = duty.Duty{Clock: l.clock, Begin: l.begin, Body: l.work, Died: l.died, Stuck: l.stuck, Last: 2 * leaveTime}
+	l.duty = supervisor.Duty{Clock: l.clock, Begin: l.begin, Body: l.work, Died: l.died, Stuck: l.stuck, Last: 2 * leaveTime}
 	return l
 }
 
@@ -183,7 +183,7 @@
 			w.ask(ctx)
 		}
 		w.note()
-		duty.Sleep(ctx, poll)
+		supervisor.Sleep(ctx, poll)
 	}
 	w.leave()
 }
--- a/internal/fleetlink/link_test.go
+++ b/internal/fleetlink/link_test.go
@@ -16,10 +16,10 @@
 
 	"go.uber.org/goleak"
 
-	"lapisspread/internal/duty"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
 	"lapisspread/internal/strict"
+	"lapisspread/internal/supervisor"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -227,7 +227,7 @@
 			default:
 				for ctx.Err() == nil {
 					l.duty.Beat()
-					duty.Sleep(ctx, poll)
+					supervisor.Sleep(ctx, poll)
 				}
 			}
 		}
@@ -235,7 +235,7 @@
 		ended := make(chan struct{})
 		go func() { l.Run(ctx); close(ended) }()
 		time.Sleep(10 * time.Minute)
-		if l.counts.died.Load() != 2 || worst.Load() != duty.MostStuck+1 || l.counts.stuck.Load() != duty.MostStuck+1 {
+		if l.counts.died.Load() != 2 || worst.Load() != supervisor.MostStuck+1 || l.counts.stuck.Load() != supervisor.MostStuck+1 {
 			t.Errorf("%d died, %d stuck, %d at once", l.counts.died.Load(), l.counts.stuck.Load(), worst.Load())
 		}
 		close(release)
--- a/internal/fleetlink/policy.go
+++ b/internal/fleetlink/policy.go
@@ -12,11 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"lapisspread/internal/duty"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/rollout"
+	"lapisspread/internal/supervisor"
 )
 
 const (
@@ -235,7 +235,7 @@
 		if err == nil && f.open() {
 			rest = 0
 		}
-		duty.Sleep(ctx, max(rest, every/8))
+		supervisor.Sleep(ctx, max(rest, every/8))
 	}
 }
 
--- a/internal/fleetview/link.go
+++ b/internal/fleetview/link.go
@@ -16,9 +16,9 @@
 
 	"lapisspread/decision"
 	"lapisspread/internal/advice"
-	"lapisspread/internal/duty"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/staleness"
+	"lapisspread/internal/supervisor"
 )
 
 const (
@@ -41,7 +41,7 @@
 type Link struct {
 	set    Settings
 	clock  func() time.Duration
-	duty   duty.Duty
+	duty   supervisor.Duty
 	woken  chan struct{}
 	ring   chan evidence
 	counts struct {
@@ -85,9 +85,9 @@
 	}
 	l := &Link{set: set, clock: set.Clock, woken: make(chan struct{}, 1), ring: make(chan evidence, ringSize), registers: map[string]*Register{}}
 	if l.clock == nil {
-		l.clock = duty.Boottime
+		l.clock = supervisor.Boottime
 	}
-	l.duty = duty.Duty{Clock: l.clock, Begin: func() uint64 { return l.generation.Add(1) }, Body: l.work, Died: l.died, Stuck: l.stuck, Last: time.Second}
+	l.duty = supervisor.Duty{Clock: l.clock, Begin: func() uint64 { return l.generation.Add(1) }, Body: l.work, Died: l.died, Stuck: l.stuck, Last: time.Second}
 	return l
 }
 
--- a/internal/duty/clock.go
+++ b/internal/supervisor/clock.go
@@ -1,4 +1,4 @@
-package duty
+package supervisor
 
 import (
 	"time"
--- a/internal/duty/duty.go
+++ b/internal/supervisor/duty.go
@@ -1,5 +1,5 @@
-// Package duty has work done in a goroutine that is watched: one that died or is stuck is begun anew.
-package duty
+// Package supervisor has work done in a goroutine that is watched: one that died or is stuck is begun anew.
+package supervisor
 
 import (
 	"context"
