--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -10,7 +10,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"lapisspread/internal/advice"
+	"lapisspread/internal/operatorerror"
 )
 
 func TestNoAcknowledgedCommandIsLost(t *testing.T) {
@@ -265,7 +265,7 @@
 		t.Errorf("silent: %v", err)
 	}
 	err = c.Step(Message{Fleet: "f", Epoch: 1, From: 1, To: 2, Kind: KindAnswer, Claim: 5, Stamp: Stamp{Store: 9, Start: 1}, Known: Stamp{Store: 8, Seq: 3}})
-	if !errors.As(err, &StoreRolledBack{}) || c.Err() == nil || advice.Of(err) == "" {
+	if !errors.As(err, &StoreRolledBack{}) || c.Err() == nil || operatorerror.Of(err) == "" {
 		t.Errorf("lost store: %v", err)
 	}
 	// A joiner's empty store has no voice.
--- a/internal/consensus/node/node_test.go
+++ b/internal/consensus/node/node_test.go
@@ -19,10 +19,10 @@
 
 	"go.uber.org/goleak"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/node"
 	"lapisspread/internal/consensus/storage"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/tlskeys"
 	"lapisspread/internal/tlskeys/tlstest"
 )
@@ -297,7 +297,7 @@
 	f.until("the leader that is cut off steps down", func() bool { return old.Status().Role != "StateLeader" })
 	ctx, cancel = context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := old.Propose(ctx, []byte("LOST")); !errors.As(err, &consensus.NotEnoughStewards{}) || advice.Of(err) == "" {
+	if _, err := old.Propose(ctx, []byte("LOST")); !errors.As(err, &consensus.NotEnoughStewards{}) || operatorerror.Of(err) == "" {
 		t.Errorf("a minority says %v", err)
 	}
 	gone, leave := context.WithCancel(context.Background())
@@ -371,7 +371,7 @@
 	m := f.members[1]
 	f.stop(m)
 	f.must(os.Truncate(m.path, 6000))
-	if err := f.start(m); !errors.As(err, &storage.StoreDamaged{}) || advice.Of(err) == "" {
+	if err := f.start(m); !errors.As(err, &storage.StoreDamaged{}) || operatorerror.Of(err) == "" {
 		t.Errorf("got %v", err)
 	}
 	f.propose(nil, "b")
--- a/internal/consensus/storage/store_test.go
+++ b/internal/consensus/storage/store_test.go
@@ -18,9 +18,9 @@
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/storage"
+	"lapisspread/internal/operatorerror"
 )
 
 func entry(index, term uint64, data string) *pb.Entry {
@@ -132,7 +132,7 @@
 				}
 			}
 			_, _, err := storage.Open(path, c.fleet, c.epoch, c.id)
-			if !errors.As(err, c.want) || advice.Of(err) == "" {
+			if !errors.As(err, c.want) || operatorerror.Of(err) == "" {
 				t.Errorf("got %v, want a %T", err, c.want)
 			}
 		})
@@ -185,7 +185,7 @@
 		for i := range uint64(20) {
 			b := consensus.Batch{Seq: i + 1, Sync: true, Entries: []*pb.Entry{entry(i+2, 1, strings.Repeat("x", 20_000))}}
 			if err := s.Write(&b); err != nil {
-				if !errors.As(err, &storage.DiskFull{}) || advice.Of(err) == "" {
+				if !errors.As(err, &storage.DiskFull{}) || operatorerror.Of(err) == "" {
 					t.Errorf("got %v", err)
 				}
 				fmt.Println("refused after", i)
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/grant"
+	"lapisspread/internal/operatorerror"
 )
 
 // callTime is for one call of an operator to one steward.
@@ -71,7 +71,7 @@
 
 // Told is an error with its advice, for a terminal.
 func Told(err error) error {
-	if help := advice.Of(err); err != nil && help != "" {
+	if help := operatorerror.Of(err); err != nil && help != "" {
 		return fmt.Errorf("%w\n%s", err, help)
 	}
 	return err
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -12,7 +12,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lapisspread/internal/advice"
+	"lapisspread/internal/operatorerror"
 )
 
 // Paths of a steward's calls. Bodies are CBOR but for the figures.
@@ -95,7 +95,7 @@
 
 // Coded is an error that has a name in messages between processes which stays as it is when its type gets another name.
 type Coded interface {
-	advice.Error
+	operatorerror.Error
 	Code() string
 }
 
@@ -109,14 +109,14 @@
 		return p
 	}
 	name := "error"
-	var typed advice.Error
+	var typed operatorerror.Error
 	if errors.As(err, &typed) {
 		name = fmt.Sprintf("%T", typed)
 	}
 	if coded, ok := typed.(Coded); ok {
 		name = coded.Code()
 	}
-	return Problem{Name: name, Text: err.Error(), Help: advice.Of(err)}
+	return Problem{Name: name, Text: err.Error(), Help: operatorerror.Of(err)}
 }
 
 var decoder = func() cbor.DecMode {
--- a/internal/fleetlink/docs_test.go
+++ b/internal/fleetlink/docs_test.go
@@ -11,7 +11,6 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/fleet"
@@ -19,6 +18,7 @@
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/grant"
 	"lapisspread/internal/namespace"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
@@ -26,7 +26,7 @@
 	"lapisspread/internal/steward"
 )
 
-var told = []advice.Error{
+var told = []operatorerror.Error{
 	consensus.LogContradicts{}, consensus.NotEnoughStewards{}, consensus.NotLeader{}, consensus.OtherFleet{}, consensus.QueueFull{}, consensus.Silent{},
 	consensus.StoreRolledBack{}, consensus.TooLarge{}, consensus.Undecided{},
 	storage.DiskFull{}, storage.StoreDamaged{}, storage.StoreHeld{}, storage.StoreMissing{}, storage.StoreNewer{}, storage.StoreOfAnotherFleet{}, storage.StoreOfAnotherNode{},
@@ -51,7 +51,7 @@
 )
 
 // codeOf is the name of an error in messages between processes.
-func codeOf(e advice.Error) string {
+func codeOf(e operatorerror.Error) string {
 	if coded, ok := e.(interface{ Code() string }); ok {
 		return coded.Code()
 	}
--- a/internal/fleetlink/link.go
+++ b/internal/fleetlink/link.go
@@ -26,9 +26,9 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/supervisor"
 )
 
@@ -448,7 +448,7 @@
 		l.troubles[name] = t
 	}
 	t.Count++
-	t.Error, t.Advice = err.Error(), advice.Of(err)
+	t.Error, t.Advice = err.Error(), operatorerror.Of(err)
 	tell := now-t.told >= tellEvery
 	if tell {
 		t.told = now
@@ -456,6 +456,6 @@
 	count := t.Count
 	l.mu.Unlock()
 	if tell {
-		l.set.Log.Warn("the fleet", "err", err, "advice", cmp.Or(advice.Of(err), "none"), "count", count)
+		l.set.Log.Warn("the fleet", "err", err, "advice", cmp.Or(operatorerror.Of(err), "none"), "count", count)
 	}
 }
--- a/internal/fleetlink/pieces_test.go
+++ b/internal/fleetlink/pieces_test.go
@@ -16,9 +16,9 @@
 	"testing/synctest"
 	"time"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/namespace"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/shelf"
@@ -704,7 +704,7 @@
 // Errors on the way tell what can be done.
 func TestErrorsOfTheWayHaveAdvice(t *testing.T) {
 	for _, err := range []error{PolicyNotTaken{1, pieces.WrongPiece{}}, pieces.Malformed{}, pieces.Incomplete{}} {
-		if advice.Of(err) == "" || strings.TrimSpace(err.Error()) == "" {
+		if operatorerror.Of(err) == "" || strings.TrimSpace(err.Error()) == "" {
 			t.Errorf("%T", err)
 		}
 	}
--- a/internal/fleetlink/policy_test.go
+++ b/internal/fleetlink/policy_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/namespace"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/rollout"
 )
 
@@ -98,7 +98,7 @@
 	if next.number.Load() <= p.number.Load() {
 		t.Error("its reports would be taken for old ones")
 	}
-	if text := advice.Of(PolicyNotTaken{1, errors.New("x")}); text == "" {
+	if text := operatorerror.Of(PolicyNotTaken{1, errors.New("x")}); text == "" {
 		t.Error("no advice")
 	}
 }
--- a/internal/fleetview/link.go
+++ b/internal/fleetview/link.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"lapisspread/decision"
-	"lapisspread/internal/advice"
 	"lapisspread/internal/fleet"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/staleness"
 	"lapisspread/internal/supervisor"
 )
@@ -214,7 +214,7 @@
 		if n.changes {
 			x.dirty = true
 			if err := x.view.Heard(at, fleet.Source, n.News); err != nil {
-				w.set.Log.Warn("the view", "err", err, "advice", cmp.Or(advice.Of(err), "none"))
+				w.set.Log.Warn("the view", "err", err, "advice", cmp.Or(operatorerror.Of(err), "none"))
 			}
 		} else {
 			_ = x.view.Quiet(at, fleet.Source)
@@ -245,7 +245,7 @@
 			r := RouteReport{Name: name, Level: level.String(), Chance: chance, Servers: x.routes[name]}
 			trouble := x.view.Trouble(now, name)
 			if trouble != nil {
-				r.Trouble, r.Advice = trouble.Error(), advice.Of(trouble)
+				r.Trouble, r.Advice = trouble.Error(), operatorerror.Of(trouble)
 			}
 			s.report.Routes = append(s.report.Routes, r)
 			if was, any := x.levels[name]; !any || was != level {
--- a/internal/grant/book_test.go
+++ b/internal/grant/book_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"lapisspread/internal/advice"
+	"lapisspread/internal/operatorerror"
 )
 
 func testFleet(change func(*Fleet)) Fleet {
@@ -166,7 +166,7 @@
 			t.Errorf("%s: %v, not a %T", tt.name, err, tt.want)
 			continue
 		}
-		if advice.Of(err) == "" {
+		if operatorerror.Of(err) == "" {
 			t.Errorf("%s: %v has no advice", tt.name, err)
 		}
 		if after, _ := l.Counted("r"); after != before {
--- a/internal/grant/frozen_test.go
+++ b/internal/grant/frozen_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lapisspread/internal/advice"
+	"lapisspread/internal/operatorerror"
 )
 
 // The files under testdata are the bytes that commit c8fad44 stores and sends. They were written at that commit by
@@ -295,7 +295,7 @@
 
 // codedError is an error as operators and other processes are told it.
 type codedError interface {
-	advice.Error
+	operatorerror.Error
 	Code() string
 }
 
--- a/internal/namespace/items_test.go
+++ b/internal/namespace/items_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/advice"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/route"
 )
@@ -185,7 +185,7 @@
 		if err == nil {
 			t.Errorf("%s%s: read whole, there was nothing wrong", k.set.Key, k.gone)
 		}
-		if wrong := (WrongItem{}); errors.As(err, &wrong) && advice.Of(err) == "" {
+		if wrong := (WrongItem{}); errors.As(err, &wrong) && operatorerror.Of(err) == "" {
 			t.Errorf("%v says nothing", err)
 		}
 	}
--- a/internal/namespace/merge_test.go
+++ b/internal/namespace/merge_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/budget"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/route"
 )
 
@@ -200,7 +200,7 @@
 		text := strings.Replace(texts["dispatch"], k.from, k.to, 1)
 		_, err := Parse("f.toml", []byte(text))
 		var file FileError
-		if err == nil || !strings.Contains(err.Error(), k.want) || !errors.As(err, &file) || advice.Of(err) == "" {
+		if err == nil || !strings.Contains(err.Error(), k.want) || !errors.As(err, &file) || operatorerror.Of(err) == "" {
 			t.Errorf("%s: %v, want %q", k.to, err, k.want)
 		}
 	}
@@ -258,7 +258,7 @@
 		var held []string
 		for _, h := range out.Held {
 			held = append(held, h.Namespace+":"+string(rune('0'+h.Holds/10))+string(rune('0'+h.Holds%10)))
-			if k.why != nil && (!errors.As(error(h), k.why) || advice.Of(h) == "") {
+			if k.why != nil && (!errors.As(error(h), k.why) || operatorerror.Of(h) == "") {
 				t.Errorf("%s: %v is no %T", k.name, h, k.why)
 			}
 		}
--- a/internal/advice/advice.go
+++ b/internal/operatorerror/advice.go
@@ -1,7 +1,7 @@
-// Package advice is the form of errors that an operator is told of: each has a type of its own, works with errors.Is and
+// Package operatorerror is the form of errors that an operator is told of: each has a type of its own, works with errors.Is and
 // errors.As, and says what the operator can do. That text stands in one place, beside the type; the log, the console
 // and the page for staff take it from there.
-package advice
+package operatorerror
 
 import (
 	"errors"
--- a/internal/pieces/pieces_test.go
+++ b/internal/pieces/pieces_test.go
@@ -9,7 +9,7 @@
 	"slices"
 	"testing"
 
-	"lapisspread/internal/advice"
+	"lapisspread/internal/operatorerror"
 )
 
 // drawer draws content. Values are of all lengths, so that leaves, chunks and lists of several levels come about.
@@ -179,7 +179,7 @@
 	malformed := Assemble(bad, nil).Add([]byte("x"))
 	for err, as := range map[error]any{long: new(TooLong), value: new(TooLong), twice: new(Twice), name: new(WrongName),
 		missing: new(Incomplete), wrong: new(WrongPiece), malformed: new(Malformed)} {
-		if err == nil || !errors.As(err, as) || advice.Of(err) == "" {
+		if err == nil || !errors.As(err, as) || operatorerror.Of(err) == "" {
 			t.Errorf("%v is no %T, or says nothing", err, as)
 		}
 	}
--- a/internal/policybook/book.go
+++ b/internal/policybook/book.go
@@ -14,8 +14,8 @@
 	"maps"
 	"slices"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/namespace"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/rollout"
 )
@@ -351,7 +351,7 @@
 		if w, ok := s.Waiting[h.Namespace]; ok && h.Offered == w.Number {
 			by = w.By
 		}
-		s.Held = append(s.Held, Held{h.Namespace, h.Offered, h.Holds, by, h.Cut, cut(h.Error()), advice.Of(h)})
+		s.Held = append(s.Held, Held{h.Namespace, h.Offered, h.Holds, by, h.Cut, cut(h.Error()), operatorerror.Of(h)})
 	}
 	for _, c := range out.Conflicts[:min(mostTold, len(out.Conflicts))] {
 		s.Conflicts = append(s.Conflicts, cut(c.String()))
--- a/internal/policybook/book_test.go
+++ b/internal/policybook/book_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/namespace"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/rollout"
 )
 
@@ -46,7 +46,7 @@
 	t.Helper()
 	for _, c := range all {
 		if err := b.Apply(c); err != nil {
-			t.Fatalf("%v: %s", err, advice.Of(err))
+			t.Fatalf("%v: %s", err, operatorerror.Of(err))
 		}
 	}
 }
@@ -280,7 +280,7 @@
 		before, _ := b.Snapshot()
 		err := b.Apply(k.c)
 		after, _ := b.Snapshot()
-		if !errors.As(err, k.want) || advice.Of(err) == "" || !bytes.Equal(before, after) {
+		if !errors.As(err, k.want) || operatorerror.Of(err) == "" || !bytes.Equal(before, after) {
 			t.Errorf("%+v: %v", k.c, err)
 		}
 	}
--- a/internal/policybook/train_test.go
+++ b/internal/policybook/train_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/advice"
+	"lapisspread/internal/operatorerror"
 )
 
 // teams is a charter of n namespaces on one host, none of which may go first.
@@ -142,7 +142,7 @@
 	b := ten(t, 0)
 	apply(t, b, word(team(9, 2, "/9a", false)))
 	apply(t, b, word(team(0, 2, "/0a", false)), word(team(0, 5, "/0b", false)))
-	if err := b.Apply(word(team(0, 3, "/0c", false))); advice.Of(err) == "" {
+	if err := b.Apply(word(team(0, 3, "/0c", false))); operatorerror.Of(err) == "" {
 		t.Errorf("a lower number: %v", err)
 	}
 	if s := b.Standing(); !slices.Equal(names(s.Gathered), []string{"t05"}) {
--- a/internal/policyroutes/policyroutes_test.go
+++ b/internal/policyroutes/policyroutes_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/namespace"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/route"
 )
@@ -120,7 +120,7 @@
 				t.Fatalf("seed %d, step %d: what was before has changed: %s", seed, step, wrong)
 			}
 			if err != nil || wantErr != nil {
-				if fmt.Sprint(err) != fmt.Sprint(wantErr) || !errors.As(err, new(MissingServices)) || advice.Of(err) == "" {
+				if fmt.Sprint(err) != fmt.Sprint(wantErr) || !errors.As(err, new(MissingServices)) || operatorerror.Of(err) == "" {
 					t.Fatalf("seed %d, step %d: %v, built %v", seed, step, err, wantErr)
 				}
 				refused++
@@ -153,7 +153,7 @@
 	_, err = Build(p, "", func(string) bool { return true })
 	_, again := now.With(p, &namespace.Diff{Blocks: true}, func(string) bool { return true })
 	for _, err := range []error{err, again} {
-		if bad := (BadRoutes{}); !errors.As(err, &bad) || bad.What != "blocks" || !strings.Contains(err.Error(), "ties") || advice.Of(err) == "" {
+		if bad := (BadRoutes{}); !errors.As(err, &bad) || bad.What != "blocks" || !strings.Contains(err.Error(), "ties") || operatorerror.Of(err) == "" {
 			t.Errorf("%v", err)
 		}
 	}
--- a/internal/rollout/aftermath_test.go
+++ b/internal/rollout/aftermath_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/advice"
+	"lapisspread/internal/operatorerror"
 )
 
 // aftermath has a train come through each 6 s for four minutes; from one of them on, or from a moment, more requests go bad. It gives what
@@ -32,7 +32,7 @@
 		}
 		if err := a.Tick(now); err != nil {
 			var w WorseAfter
-			if !errors.As(err, &w) || advice.Of(err) == "" {
+			if !errors.As(err, &w) || operatorerror.Of(err) == "" {
 				panic(err)
 			}
 			told, when = append(told, w), append(when, now)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -16,7 +16,7 @@
 
 	"pgregory.net/rapid"
 
-	"lapisspread/internal/advice"
+	"lapisspread/internal/operatorerror"
 )
 
 // The same cases in every run.
@@ -242,7 +242,7 @@
 			return "a damaged policy was taken up"
 		case err != nil && has != before:
 			return "a refused offer changed something"
-		case err != nil && advice.Of(err) == "":
+		case err != nil && operatorerror.Of(err) == "":
 			return "an error without advice"
 		case at == [2]uint64{o.Order, o.Epoch} && o.Hash != has.Hash && !errors.As(err, new(EpochTwice)):
 			return "one epoch, two contents, and nobody is told"
@@ -307,7 +307,7 @@
 		r.Tick(now)
 	}
 	var stop RolloutStopped
-	if state, err := r.State(); state != Stopped || !errors.As(err, &stop) || !strings.Contains(err.Error(), "20.00% of requests go bad") || advice.Of(err) == "" {
+	if state, err := r.State(); state != Stopped || !errors.As(err, &stop) || !strings.Contains(err.Error(), "20.00% of requests go bad") || operatorerror.Of(err) == "" {
 		t.Fatalf("%v %v", state, err)
 	}
 	if !slices.Equal(with(6), first) || len(first) >= 20 {
--- a/internal/rollout/trains_test.go
+++ b/internal/rollout/trains_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/advice"
+	"lapisspread/internal/operatorerror"
 )
 
 // lane is a fleet whose proxies report once a second, each at a moment of its own, and take up at once what the answer offers.
@@ -290,7 +290,7 @@
 				break
 			}
 		}
-		if state, why := l.r.State(); state != Stopped || advice.Of(why) == "" || l.have(2) > 90 {
+		if state, why := l.r.State(); state != Stopped || operatorerror.Of(why) == "" || l.have(2) > 90 {
 			t.Errorf("seed %d: %v, and %d had it", seed, state, l.have(2))
 		}
 	}
@@ -388,7 +388,7 @@
 		return l.r.State()
 	}
 	var not RolloutNotTaken
-	if state, err := play(0, 5); state != Stopped || !errors.As(err, &not) || advice.Of(err) == "" {
+	if state, err := play(0, 5); state != Stopped || !errors.As(err, &not) || operatorerror.Of(err) == "" {
 		t.Errorf("%v %v", state, err)
 	}
 	if state, err := play(0, 1); state != Done {
--- a/internal/steward/codes_test.go
+++ b/internal/steward/codes_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"testing"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/fleet"
@@ -12,6 +11,7 @@
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/grant"
 	"lapisspread/internal/namespace"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/policyroutes"
@@ -22,7 +22,7 @@
 
 // codes has each error's name as the program of c8fad44 sends it.
 var codes = []struct {
-	err  advice.Error
+	err  operatorerror.Error
 	code string
 }{
 	{consensus.LogContradicts{}, "consensus.LogContradicts"},
--- a/internal/steward/policy.go
+++ b/internal/steward/policy.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
 )
@@ -281,7 +281,7 @@
 		}
 		j := policybook.Judge{Order: next.Order, Epoch: next.Epoch, Done: state == rollout.Done, Proxies: known}
 		if why != nil {
-			j.Why, j.Help = why.Error(), advice.Of(why)
+			j.Why, j.Help = why.Error(), operatorerror.Of(why)
 			s.warn("a train was stopped", why)
 		}
 		if err := s.command(ctx, t, policybook.Command{Judge: &j}); err != nil {
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -22,12 +22,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/node"
 	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/tlskeys"
 )
 
@@ -304,5 +304,5 @@
 
 // warn logs an error with its advice.
 func (s *Steward) warn(what string, err error) {
-	s.set.Log.Warn(what, "err", err, "advice", advice.Of(err))
+	s.set.Log.Warn(what, "err", err, "advice", operatorerror.Of(err))
 }
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -16,9 +16,9 @@
 
 	"go.uber.org/goleak"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/strict"
 	"lapisspread/internal/tlskeys/tlstest"
 )
@@ -195,7 +195,7 @@
 	s.t.Helper()
 	s.until(what, func() bool {
 		for _, h := range []*holder{a, b} {
-			if err := s.ask(h); err != nil && advice.Of(err) == "" {
+			if err := s.ask(h); err != nil && operatorerror.Of(err) == "" {
 				s.t.Errorf("an error without advice: %v", err)
 			}
 			x, y := a.has(), b.has()
@@ -224,7 +224,7 @@
 	other := s.leader()
 	s.stop(other)
 	s.both("a minority grants nothing, and leases end", a, b, func(a, b float64) bool { return a+b == 0 }, 1000)
-	if err := s.ask(a); err == nil || advice.Of(err) == "" || a.has() != 0 {
+	if err := s.ask(a); err == nil || operatorerror.Of(err) == "" || a.has() != 0 {
 		t.Errorf("a minority says %v, and gives %v", err, a.has())
 	}
 	s.start(lead)
--- a/internal/steward/trains_test.go
+++ b/internal/steward/trains_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/advice"
 	"lapisspread/internal/fleet"
+	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
 )
@@ -107,7 +107,7 @@
 	y.t.Helper()
 	y.counted = false
 	if err := y.book.Apply(c); err != nil {
-		y.t.Fatalf("%v: %s", err, advice.Of(err))
+		y.t.Fatalf("%v: %s", err, operatorerror.Of(err))
 	}
 }
 
@@ -203,7 +203,7 @@
 		if r.next == st.Next && r.next.Epoch != 0 && st.Stopped == nil && y.judge == nil && (state == rollout.Done || state == rollout.Stopped) {
 			j := &policybook.Judge{Order: r.next.Order, Epoch: r.next.Epoch, Done: state == rollout.Done, Proxies: len(r.proxies)}
 			if why != nil {
-				j.Why, j.Help = why.Error(), advice.Of(why)
+				j.Why, j.Help = why.Error(), operatorerror.Of(why)
 			}
 			y.judge = j
 		}
