--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -13,7 +13,7 @@
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policybook"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // by has an operator say who gives a word. It is kept and shown; nothing proves it.
@@ -38,7 +38,7 @@
 	}
 	who := by(c)
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		text, err := strict.ReadFile(args[1], "the charter", namespace.MostBytes)
+		text, err := strictconfig.ReadFile(args[1], "the charter", namespace.MostBytes)
 		if err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 		return withFleet(args[0], func(f *fleet.File, client *http.Client) error {
 			var errs []error
 			for _, path := range args[1:] {
-				text, err := strict.ReadFile(path, "the namespace", namespace.MostBytes)
+				text, err := strictconfig.ReadFile(path, "the namespace", namespace.MostBytes)
 				if err == nil {
 					_, err = namespace.Parse(path, text)
 				}
--- a/internal/diameter/dictionary.go
+++ b/internal/diameter/dictionary.go
@@ -8,7 +8,7 @@
 	"slices"
 	"sync"
 
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 //go:embed base.toml
@@ -98,7 +98,7 @@
 
 func (d *Dictionary) add(path string, text []byte) error {
 	var f dictionaryFile
-	if err := strict.Decode(path, text, &f); err != nil {
+	if err := strictconfig.Decode(path, text, &f); err != nil {
 		return err
 	}
 	if f.Version != 1 {
--- a/internal/discovery/guardedsource/file.go
+++ b/internal/discovery/guardedsource/file.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lapisspread/internal/discovery/listguard"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // Version is the form of the file that this program reads.
@@ -22,23 +22,23 @@
 
 // List says when a list is in doubt: see comeback.GuardSettings.
 type List struct {
-	Shrink *float64    `toml:"shrink"` // 0.3 if left out
-	Least  int         `toml:"least"`  // 2 if left out
-	Hold   strict.Span `toml:"hold"`   // 30s if left out
+	Shrink *float64          `toml:"shrink"` // 0.3 if left out
+	Least  int               `toml:"least"`  // 2 if left out
+	Hold   strictconfig.Span `toml:"hold"`   // 30s if left out
 }
 
 // Calls say how calls for the list are spread: see comeback.CallSettings.
 type Calls struct {
-	Rate float64     `toml:"rate"` // calls a second of all proxies together
-	Most strict.Span `toml:"most"` // 10s if left out
-	Hold strict.Span `toml:"hold"` // 20s if left out
+	Rate float64           `toml:"rate"` // calls a second of all proxies together
+	Most strictconfig.Span `toml:"most"` // 10s if left out
+	Hold strictconfig.Span `toml:"hold"` // 20s if left out
 }
 
 // Memory says where a proxy writes down what it has learned, for the one that starts in its place.
 type Memory struct {
-	Folder string      `toml:"folder"` // that for temporary files if left out
-	Every  strict.Span `toml:"every"`  // 1s if left out
-	Most   strict.Span `toml:"most"`   // the oldest that is recalled; 1h if left out
+	Folder string            `toml:"folder"` // that for temporary files if left out
+	Every  strictconfig.Span `toml:"every"`  // 1s if left out
+	Most   strictconfig.Span `toml:"most"`   // the oldest that is recalled; 1h if left out
 }
 
 const (
@@ -51,12 +51,12 @@
 	if f.Memory == nil {
 		return 0
 	}
-	return time.Duration(or(f.Memory.Every, strict.Span(time.Second)))
+	return time.Duration(or(f.Memory.Every, strictconfig.Span(time.Second)))
 }
 
 // Oldest is the age up to which it is recalled.
 func (f *File) Oldest() time.Duration {
-	return time.Duration(or(f.Memory.Most, strict.Span(time.Hour)))
+	return time.Duration(or(f.Memory.Most, strictconfig.Span(time.Hour)))
 }
 
 // mostFile is the longest file that is read, in bytes.
@@ -64,13 +64,13 @@
 
 // Load reads a file. Errors name the file, the line where there is one, and the key.
 func Load(path string) (*File, error) {
-	return strict.Load(path, "the settings of coming back", mostFile, Parse)
+	return strictconfig.Load(path, "the settings of coming back", mostFile, Parse)
 }
 
 // Parse reads the text of a file.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{}
-	if err := strict.Decode(path, text, f); err != nil {
+	if err := strictconfig.Decode(path, text, f); err != nil {
 		return nil, err
 	}
 	if f.Version != Version {
@@ -117,7 +117,7 @@
 	if f.List == nil {
 		return s, false
 	}
-	s = listguard.GuardSettings{Shrink: 0.3, Least: or(f.List.Least, 2), Hold: time.Duration(or(f.List.Hold, strict.Span(30*time.Second)))}
+	s = listguard.GuardSettings{Shrink: 0.3, Least: or(f.List.Least, 2), Hold: time.Duration(or(f.List.Hold, strictconfig.Span(30*time.Second)))}
 	if f.List.Shrink != nil {
 		s.Shrink = *f.List.Shrink
 	}
@@ -129,8 +129,8 @@
 	if f.Calls == nil {
 		return s, false
 	}
-	return listguard.CallSettings{Rate: f.Calls.Rate, Proxies: proxies, Most: time.Duration(or(f.Calls.Most, strict.Span(10*time.Second))),
-		Hold: time.Duration(or(f.Calls.Hold, strict.Span(20*time.Second))), Seed: seed}, true
+	return listguard.CallSettings{Rate: f.Calls.Rate, Proxies: proxies, Most: time.Duration(or(f.Calls.Most, strictconfig.Span(10*time.Second))),
+		Hold: time.Duration(or(f.Calls.Hold, strictconfig.Span(20*time.Second))), Seed: seed}, true
 }
 
 // Words tell what a file comes to.
--- a/internal/faultlab/clustertest/fleet_test.go
+++ b/internal/faultlab/clustertest/fleet_test.go
@@ -14,7 +14,7 @@
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // lease is longer than a busy machine holds a process up.
@@ -23,7 +23,7 @@
 // shared is a budget of all attempts that is less than what is sent, and no floors.
 func shared() *liverun.FleetOptions {
 	return &liverun.FleetOptions{Longest: lease, Tokens: true, Budgets: []fleet.Budget{
-		{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 40, Burst: 20, Lease: strict.Span(lease)}}}
+		{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 40, Burst: 20, Lease: strictconfig.Span(lease)}}}
 }
 
 // floors is one with a part of it fixed by name for the first proxy.
--- a/internal/faultlab/experiment/file.go
+++ b/internal/faultlab/experiment/file.go
@@ -12,11 +12,11 @@
 
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // Span is a time in the file.
-type Span = strict.Span
+type Span = strictconfig.Span
 
 // File is an experiment. What is left out is as on the operators' usual day: see world.Default.
 type File struct {
@@ -161,7 +161,7 @@
 // Parse reads an experiment. Errors name the file, the line where there is one, and the key.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{}
-	if err := strict.Decode(path, text, f); err != nil {
+	if err := strictconfig.Decode(path, text, f); err != nil {
 		return nil, err
 	}
 	if err := f.check(); err != nil {
--- a/internal/faultlab/liverun/drawn_test.go
+++ b/internal/faultlab/liverun/drawn_test.go
@@ -7,7 +7,7 @@
 
 	"lapisspread/internal/faultlab/testbinary"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // Each fault that may be drawn ends, and breaks nothing.
@@ -15,7 +15,7 @@
 	s := small()
 	s.Duration, s.Proxies = 3*time.Minute, 3
 	o := &FleetOptions{Longest: time.Second, Tokens: true, Budgets: []fleet.Budget{
-		{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 30, Burst: 15, Lease: strict.Span(time.Second)}}}
+		{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 30, Burst: 15, Lease: strictconfig.Span(time.Second)}}}
 	res, err := Play(t.Context(), &s, Options{Binary: testbinary.Proxy(t), Fabric: true, Fleet: o, Script: func(f *Fleet) error {
 		d := &drawn{Fleet: f, rng: rand.New(rand.NewPCG(1, 1)), lease: time.Second}
 		for _, one := range drawnFaults {
--- a/internal/faultlab/liverun/steward_test.go
+++ b/internal/faultlab/liverun/steward_test.go
@@ -12,7 +12,7 @@
 	"lapisspread/internal/faultlab/testbinary"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // asker is a proxy's side without a proxy, by the ways of one.
@@ -47,7 +47,7 @@
 	s := small()
 	s.Duration = 2 * time.Minute
 	o := &FleetOptions{Longest: time.Second, Tokens: true, Deaf: true, Budgets: []fleet.Budget{
-		{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 10, Burst: 5, Lease: strict.Span(time.Second)}}}
+		{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 10, Burst: 5, Lease: strictconfig.Span(time.Second)}}}
 	res, err := Play(t.Context(), &s, Options{Binary: testbinary.Proxy(t), Fabric: true, Fleet: o, Script: func(f *Fleet) error {
 		a := &asker{begun: time.Now(), r: f.r, client: &http.Client{Transport: &http.Transport{}},
 			Holder: grant.NewHolder(grant.HolderSettings{Fleet: fleetName, Key: grant.Key{Holder: "n0", Incarnation: 1}, Drift: .001})}
--- a/internal/fleet/file.go
+++ b/internal/fleet/file.go
@@ -16,7 +16,7 @@
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/staleness"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // Version is the form of the file that this program reads.
@@ -27,14 +27,14 @@
 
 // File is deploy/fleet.toml.
 type File struct {
-	Version  int         `toml:"version"` // 1
-	Fleet    string      `toml:"fleet"`   // its name; grants of another one are refused
-	Drift    float64     `toml:"drift"`   // the part by which any clock may be wrong; .001 if left out
-	Longest  strict.Span `toml:"longest"` // no lease is longer
-	State    string      `toml:"state"`   // the folder in which a proxy keeps its floors; without it, it has none
-	Stewards []Steward   `toml:"stewards"`
-	Budgets  []Budget    `toml:"budgets"`
-	TLS      *TLS        `toml:"tls"` // nil is in the clear
+	Version  int               `toml:"version"` // 1
+	Fleet    string            `toml:"fleet"`   // its name; grants of another one are refused
+	Drift    float64           `toml:"drift"`   // the part by which any clock may be wrong; .001 if left out
+	Longest  strictconfig.Span `toml:"longest"` // no lease is longer
+	State    string            `toml:"state"`   // the folder in which a proxy keeps its floors; without it, it has none
+	Stewards []Steward         `toml:"stewards"`
+	Budgets  []Budget          `toml:"budgets"`
+	TLS      *TLS              `toml:"tls"` // nil is in the clear
 
 	Policy Policy `toml:"policy"`
 
@@ -53,11 +53,11 @@
 
 // Policy says how the merged policy of all teams is used and goes out.
 type Policy struct {
-	Routes bool        `toml:"routes"` // proxies route by it, once the file of services has all services that it leads to
-	Step   strict.Span `toml:"step"`   // of a roll-out, at least; 2.5s if left out
-	Watch  strict.Span `toml:"watch"`  // of the fleet after all have a policy; 1m if left out
-	Enough int64       `toml:"enough"` // requests that each side must have had before a look; 1000 if left out
-	Silent strict.Span `toml:"silent"` // after which a proxy counts as failed; 10s if left out
+	Routes bool              `toml:"routes"` // proxies route by it, once the file of services has all services that it leads to
+	Step   strictconfig.Span `toml:"step"`   // of a roll-out, at least; 2.5s if left out
+	Watch  strictconfig.Span `toml:"watch"`  // of the fleet after all have a policy; 1m if left out
+	Enough int64             `toml:"enough"` // requests that each side must have had before a look; 1000 if left out
+	Silent strictconfig.Span `toml:"silent"` // after which a proxy counts as failed; 10s if left out
 }
 
 // Rollout is how a policy goes out.
@@ -83,7 +83,7 @@
 	Of      Of                 `toml:"of"`
 	Whole   float64            `toml:"whole"` // attempts a second
 	Burst   float64            `toml:"burst"` // attempts; the number of proxies or more
-	Lease   strict.Span        `toml:"lease"` // 3s if left out
+	Lease   strictconfig.Span  `toml:"lease"` // 3s if left out
 	Floors  map[string]float64 `toml:"floors"`
 	Members map[string]Share   `toml:"members"`
 	Others  Share              `toml:"others"`
@@ -99,13 +99,13 @@
 
 // Load reads a file. Errors name the file, the line where there is one, and the key.
 func Load(path string) (*File, error) {
-	return strict.Load(path, "the fleet's file", mostFile, Parse)
+	return strictconfig.Load(path, "the fleet's file", mostFile, Parse)
 }
 
 // Parse reads the text of a file.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{}
-	if err := strict.Decode(path, text, f); err != nil {
+	if err := strictconfig.Decode(path, text, f); err != nil {
 		return nil, err
 	}
 	if f.Version != Version {
@@ -175,7 +175,7 @@
 func (f *File) Grants() grant.Fleet {
 	out := grant.Fleet{ID: f.Fleet, Drift: cmp.Or(f.Drift, .001), Longest: time.Duration(f.Longest)}
 	for _, b := range f.Budgets {
-		one := grant.Budget{Name: b.Name, Kind: grant.Rate, Whole: b.Whole, Burst: b.Burst, Lease: time.Duration(cmp.Or(b.Lease, strict.Span(3*time.Second))),
+		one := grant.Budget{Name: b.Name, Kind: grant.Rate, Whole: b.Whole, Burst: b.Burst, Lease: time.Duration(cmp.Or(b.Lease, strictconfig.Span(3*time.Second))),
 			Floors: b.Floors, Others: grant.Share(b.Others)}
 		for name, s := range b.Members {
 			if one.Members == nil {
@@ -214,7 +214,7 @@
 	if f.Charter == "" {
 		return nil, nil
 	}
-	text, err := strict.ReadFile(f.Charter, "the charter", namespace.MostBytes)
+	text, err := strictconfig.ReadFile(f.Charter, "the charter", namespace.MostBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/file_frozen_test.go
+++ b/internal/fleet/file_frozen_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // The kept file has each key of the form with a value of its own.
@@ -17,19 +17,19 @@
 		t.Fatal(err)
 	}
 	in := func(name string) string { return filepath.Join("testdata", name) }
-	want := &fleet.File{Version: 1, Fleet: "north", Drift: .002, Longest: strict.Span(12 * time.Second), State: "/var/lib/x",
+	want := &fleet.File{Version: 1, Fleet: "north", Drift: .002, Longest: strictconfig.Span(12 * time.Second), State: "/var/lib/x",
 		Stewards: []fleet.Steward{{Name: "s1", Number: 7, Address: "127.0.0.1:7401"}},
 		Budgets: []fleet.Budget{{Name: "attempts", Of: fleet.Of{Counts: "attempts", Service: "desks", Class: "booking", Tenant: "t1"}, Whole: 1000, Burst: 100,
-			Lease: strict.Span(2 * time.Second), Floors: map[string]float64{"p1": 50},
+			Lease: strictconfig.Span(2 * time.Second), Floors: map[string]float64{"p1": 50},
 			Members: map[string]fleet.Share{"p1": {Min: 1, Cap: 200, Weight: 3}}, Others: fleet.Share{Cap: 300, Weight: 2}}},
 		TLS: &fleet.TLS{Certificate: in("c.pem"), Key: in("k.pem"), CA: in("ca.pem")},
-		Policy: fleet.Policy{Routes: true, Step: strict.Span(3 * time.Second), Watch: strict.Span(50 * time.Second), Enough: 900,
-			Silent: strict.Span(9 * time.Second)},
+		Policy: fleet.Policy{Routes: true, Step: strictconfig.Span(3 * time.Second), Watch: strictconfig.Span(50 * time.Second), Enough: 900,
+			Silent: strictconfig.Span(9 * time.Second)},
 		Charter: in("charter.toml"), Namespaces: []string{in("a.toml")},
-		View: &fleet.View{Act: true, Beat: strict.Span(20 * time.Second), Transit: strict.Span(200 * time.Millisecond), Silence: .01, Lies: .001,
-			Levels: fleet.Levels{Confirmed: .99, Fresh: .9, Ageing: .7, Doubtful: .3, Margin: .005, Rest: strict.Span(3 * time.Second),
-				Within: strict.Span(11 * time.Second)},
-			Kinds: map[string]fleet.Kind{"pay-1": {Changes: 2, In: strict.Span(time.Hour)}}}}
+		View: &fleet.View{Act: true, Beat: strictconfig.Span(20 * time.Second), Transit: strictconfig.Span(200 * time.Millisecond), Silence: .01, Lies: .001,
+			Levels: fleet.Levels{Confirmed: .99, Fresh: .9, Ageing: .7, Doubtful: .3, Margin: .005, Rest: strictconfig.Span(3 * time.Second),
+				Within: strictconfig.Span(11 * time.Second)},
+			Kinds: map[string]fleet.Kind{"pay-1": {Changes: 2, In: strictconfig.Span(time.Hour)}}}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read\n%+v, want\n%+v", got, want)
 	}
@@ -45,15 +45,15 @@
 		t.Fatal(err)
 	}
 	at := filepath.Join(filepath.Dir(example), "fleet")
-	want := &fleet.File{Version: 1, Fleet: "kigali", Drift: .001, Longest: strict.Span(10 * time.Second), State: "/var/lib/lapisspread",
+	want := &fleet.File{Version: 1, Fleet: "kigali", Drift: .001, Longest: strictconfig.Span(10 * time.Second), State: "/var/lib/lapisspread",
 		Stewards: []fleet.Steward{{Name: "s1", Number: 1, Address: "127.0.0.1:7401"}, {Name: "s2", Number: 2, Address: "127.0.0.1:7402"},
 			{Name: "s3", Number: 3, Address: "127.0.0.1:7403"}},
 		Budgets: []fleet.Budget{
-			{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 12000, Burst: 1200, Lease: strict.Span(3 * time.Second)},
-			{Name: "retries", Of: fleet.Of{Counts: "retries"}, Whole: 1200, Burst: 240, Lease: strict.Span(3 * time.Second)}},
+			{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 12000, Burst: 1200, Lease: strictconfig.Span(3 * time.Second)},
+			{Name: "retries", Of: fleet.Of{Counts: "retries"}, Whole: 1200, Burst: 240, Lease: strictconfig.Span(3 * time.Second)}},
 		Charter:    filepath.Join(at, "charter.toml"),
 		Namespaces: []string{filepath.Join(at, "dispatch.toml"), filepath.Join(at, "settlement.toml"), filepath.Join(at, "booking-desks.toml")},
-		View:       &fleet.View{Transit: strict.Span(250 * time.Millisecond), Levels: fleet.Levels{Fresh: .95, Ageing: .8, Doubtful: .4}}}
+		View:       &fleet.View{Transit: strictconfig.Span(250 * time.Millisecond), Levels: fleet.Levels{Fresh: .95, Ageing: .8, Doubtful: .4}}}
 	if !reflect.DeepEqual(got, want) || !reflect.DeepEqual(got.View, want.View) {
 		t.Errorf("read\n%+v %+v, want\n%+v %+v", got, got.View, want, want.View)
 	}
--- a/internal/fleetlink/link_test.go
+++ b/internal/fleetlink/link_test.go
@@ -18,16 +18,16 @@
 
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 	"lapisspread/internal/supervisor"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func file(state string, addresses ...string) *fleet.File {
-	f := &fleet.File{Version: 1, Fleet: "north", Drift: .001, Longest: strict.Span(10 * time.Second), State: state,
-		Budgets: []fleet.Budget{{Name: "all", Of: fleet.Of{Counts: "attempts"}, Whole: 1000, Burst: 100, Lease: strict.Span(3 * time.Second)},
-			{Name: "again", Of: fleet.Of{Counts: "retries", Service: "pay"}, Whole: 100, Burst: 10, Lease: strict.Span(3 * time.Second)}}}
+	f := &fleet.File{Version: 1, Fleet: "north", Drift: .001, Longest: strictconfig.Span(10 * time.Second), State: state,
+		Budgets: []fleet.Budget{{Name: "all", Of: fleet.Of{Counts: "attempts"}, Whole: 1000, Burst: 100, Lease: strictconfig.Span(3 * time.Second)},
+			{Name: "again", Of: fleet.Of{Counts: "retries", Service: "pay"}, Whole: 100, Burst: 10, Lease: strictconfig.Span(3 * time.Second)}}}
 	for i, a := range addresses {
 		f.Stewards = append(f.Stewards, fleet.Steward{Name: fmt.Sprint("s", i+1), Number: uint64(i + 1), Address: a})
 	}
--- a/internal/listener/file.go
+++ b/internal/listener/file.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lapisspread/internal/admission"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // Version is the form of the file that this program reads.
@@ -22,25 +22,25 @@
 
 // Connections are who holds a place.
 type Connections struct {
-	Places    int          `toml:"places"`  // the process's for clients if left out, and never more than these
-	Reserve   *float64     `toml:"reserve"` // part of the places that only known clients may have
-	Grace     *strict.Span `toml:"grace"`   // for so long one that has shown nothing is not closed to make room
-	HalfLife  *strict.Span `toml:"half_life"`
-	Earned    int          `toml:"earned"`
-	Rate      *float64     `toml:"rate"`       // new connections a second of one address, while places are short
-	BytesPart *float64     `toml:"bytes_part"` // of the bytes of bodies that one address may hold while they are short
-	Short     *float64     `toml:"short"`      // places are short while less than this part of them is free
-	Tracked   int          `toml:"tracked"`
-	Known     []string     `toml:"known"` // addresses or prefixes that are known from the start
+	Places    int                `toml:"places"`  // the process's for clients if left out, and never more than these
+	Reserve   *float64           `toml:"reserve"` // part of the places that only known clients may have
+	Grace     *strictconfig.Span `toml:"grace"`   // for so long one that has shown nothing is not closed to make room
+	HalfLife  *strictconfig.Span `toml:"half_life"`
+	Earned    int                `toml:"earned"`
+	Rate      *float64           `toml:"rate"`       // new connections a second of one address, while places are short
+	BytesPart *float64           `toml:"bytes_part"` // of the bytes of bodies that one address may hold while they are short
+	Short     *float64           `toml:"short"`      // places are short while less than this part of them is free
+	Tracked   int                `toml:"tracked"`
+	Known     []string           `toml:"known"` // addresses or prefixes that are known from the start
 }
 
 // Requests are how many requests are in hand.
 type Requests struct {
-	InHand     int         `toml:"in_hand"`
-	PerTenant  float64     `toml:"per_tenant"`
-	Adaptive   bool        `toml:"adaptive"`
-	Least      int         `toml:"least"`
-	RetryAfter strict.Span `toml:"retry_after"` // 1s if left out
+	InHand     int               `toml:"in_hand"`
+	PerTenant  float64           `toml:"per_tenant"`
+	Adaptive   bool              `toml:"adaptive"`
+	Least      int               `toml:"least"`
+	RetryAfter strictconfig.Span `toml:"retry_after"` // 1s if left out
 }
 
 // mostFile is the longest file that is read, in bytes.
@@ -48,13 +48,13 @@
 
 // Load reads a file. Errors name the file, the line where there is one, and the key.
 func Load(path string) (*File, error) {
-	return strict.Load(path, "the admission's settings", mostFile, Parse)
+	return strictconfig.Load(path, "the admission's settings", mostFile, Parse)
 }
 
 // Parse reads the text of a file.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{}
-	if err := strict.Decode(path, text, f); err != nil {
+	if err := strictconfig.Decode(path, text, f); err != nil {
 		return nil, err
 	}
 	if f.Version != Version {
@@ -66,7 +66,7 @@
 	}
 	if f.Requests != nil {
 		if f.Requests.RetryAfter == 0 {
-			f.Requests.RetryAfter = strict.Span(time.Second)
+			f.Requests.RetryAfter = strictconfig.Span(time.Second)
 		}
 		s := f.RequestSettings()
 		if err := s.Check(); err != nil {
--- a/internal/namespace/charter.go
+++ b/internal/namespace/charter.go
@@ -16,7 +16,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 
 	"lapisspread/internal/route"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // Version is the form of charters and namespace files that this program reads.
@@ -113,7 +113,7 @@
 
 // decode reads a text strictly. What is wrong carries file, line and key already.
 func decode(path string, text []byte, v any) error {
-	err := strict.Decode(path, text, v)
+	err := strictconfig.Decode(path, text, v)
 	if err == nil {
 		return nil
 	}
@@ -151,7 +151,7 @@
 	for i, b := range c.Budgets {
 		key := fmt.Sprintf("budget[%d]", i)
 		_, twice := c.wholes[b.Name]
-		bad(!strict.PlainName(b.Name) || twice, key+".name", fmt.Errorf("%q: wanted small letters, digits and dashes, once", b.Name))
+		bad(!strictconfig.PlainName(b.Name) || twice, key+".name", fmt.Errorf("%q: wanted small letters, digits and dashes, once", b.Name))
 		bad(b.Whole < 0, key+".whole", fmt.Errorf("%d is negative", b.Whole))
 		c.wholes[b.Name] = b.Whole
 	}
@@ -168,7 +168,7 @@
 		h := &c.Namespaces[i]
 		key := fmt.Sprintf("namespace[%d]", i)
 		_, twice := c.seats[h.Name]
-		bad(!strict.PlainName(h.Name) || twice, key+".name", fmt.Errorf("%q: wanted small letters, digits and dashes, once", h.Name))
+		bad(!strictconfig.PlainName(h.Name) || twice, key+".name", fmt.Errorf("%q: wanted small letters, digits and dashes, once", h.Name))
 		bad(h.Owner == "", key+".owner", errors.New("none is given"))
 		domain(key, &h.Domain)
 		c.seats[h.Name] = nil
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -12,14 +12,14 @@
 
 	"lapisspread/internal/budget"
 	"lapisspread/internal/route"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // Version is the form of the file that this program reads.
 const Version = 1
 
 // Span is a time in the file.
-type Span = strict.Span
+type Span = strictconfig.Span
 
 // File is the whole configuration.
 type File struct {
@@ -102,7 +102,7 @@
 
 // Load reads a file and checks it whole.
 func Load(path string) (*Config, error) {
-	text, err := strict.ReadFile(path, "the services", mostBytes)
+	text, err := strictconfig.ReadFile(path, "the services", mostBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 // Parse reads the text of a file.
 func Parse(path string, text []byte) (*Config, error) {
 	f := &File{Limits: Limits{Lend: 0.75, Recall: Span(3 * time.Second)}}
-	if err := strict.Decode(path, text, f); err != nil {
+	if err := strictconfig.Decode(path, text, f); err != nil {
 		return nil, err
 	}
 	table, err := f.check()
@@ -138,7 +138,7 @@
 	for i := range f.Services {
 		s := &f.Services[i]
 		at := fmt.Sprintf("service[%d] %q", i, s.Name)
-		bad(!strict.PlainName(s.Name), "%s: name: wanted small letters, digits and dashes", at)
+		bad(!strictconfig.PlainName(s.Name), "%s: name: wanted small letters, digits and dashes", at)
 		bad(names[s.Name], "%s: name: it is there twice", at)
 		names[s.Name] = true
 		bad(s.Discovery != "" && !strings.Contains(s.Discovery, ":"), "%s: discovery: %q is no host:port", at, s.Discovery)
--- a/internal/steward/pieces_test.go
+++ b/internal/steward/pieces_test.go
@@ -19,7 +19,7 @@
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 )
 
 // policyOf is a policy of so many routes, one of which leads elsewhere with each version.
@@ -92,7 +92,7 @@
 			trees := []*pieces.Tree{policyOf(b, routes, 1)}
 			first := lead.inForce(trees...)
 			file := *s.file
-			file.Policy.Silent = strict.Span(250 * time.Millisecond) // it reports 20 times a second
+			file.Policy.Silent = strictconfig.Span(250 * time.Millisecond) // it reports 20 times a second
 			file.Stewards = []fleet.Steward{lead.own}
 			var n counted
 			via := n.transport()
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -19,7 +19,7 @@
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/grant"
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/strict"
+	"lapisspread/internal/strictconfig"
 	"lapisspread/internal/tlskeys/tlstest"
 )
 
@@ -59,8 +59,8 @@
 
 func newSiteBy(t testing.TB, by *fleet.TLS) *site {
 	s := &site{t: t, client: &http.Client{}}
-	s.file = &fleet.File{Version: 1, Policy: fleet.Policy{Step: strict.Span(400 * time.Millisecond), Watch: strict.Span(400 * time.Millisecond), Enough: 100, Silent: strict.Span(2 * time.Second)}, Fleet: "north", Drift: .001, Longest: strict.Span(600 * time.Millisecond),
-		Budgets: []fleet.Budget{{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 1000, Burst: 100, Lease: strict.Span(600 * time.Millisecond)}}}
+	s.file = &fleet.File{Version: 1, Policy: fleet.Policy{Step: strictconfig.Span(400 * time.Millisecond), Watch: strictconfig.Span(400 * time.Millisecond), Enough: 100, Silent: strictconfig.Span(2 * time.Second)}, Fleet: "north", Drift: .001, Longest: strictconfig.Span(600 * time.Millisecond),
+		Budgets: []fleet.Budget{{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 1000, Burst: 100, Lease: strictconfig.Span(600 * time.Millisecond)}}}
 	s.file.TLS = by
 	keys, err := s.file.Keys()
 	s.must(err)
--- a/internal/strict/strict.go
+++ b/internal/strictconfig/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files in which every key must be known. An error names the file, the line and the key.
-package strict
+// Package strictconfig reads TOML files in which every key must be known. An error names the file, the line and the key.
+package strictconfig
 
 import (
 	"bytes"
