--- a/cmd/lapisspread/fleet.go
+++ b/cmd/lapisspread/fleet.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/logline"
+	"lapisspread/internal/lograte"
 	"lapisspread/internal/steward"
 )
 
@@ -183,7 +183,7 @@
 	}
 	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	writer := logline.New(os.Stderr)
+	writer := lograte.New(os.Stderr)
 	defer writer.Close()
 	log := slog.New(slog.NewTextHandler(writer, nil)).With("steward", name)
 	listener, err := net.Listen("tcp", cmp.Or(listen, own.Address))
--- a/cmd/lapisspread/serve.go
+++ b/cmd/lapisspread/serve.go
@@ -12,7 +12,7 @@
 	"runtime/pprof"
 	"syscall"
 
-	"lapisspread/internal/logline"
+	"lapisspread/internal/lograte"
 	"lapisspread/internal/proxy"
 )
 
@@ -49,7 +49,7 @@
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	signal.Ignore(syscall.SIGPIPE) // a log whose reader has died must not take the proxy with it
-	writer := logline.New(os.Stderr)
+	writer := lograte.New(os.Stderr)
 	defer writer.Close()
 	log := slog.New(slog.NewTextHandler(writer, nil)).With("proxy", cfg.Name)
 	p := proxy.New(cfg, log)
--- a/internal/logline/logline.go
+++ b/internal/lograte/logline.go
@@ -1,5 +1,5 @@
-// Package logline writes log lines at a bounded rate to readers that may stand still.
-package logline
+// Package lograte writes log lines at a bounded rate to readers that may stand still.
+package lograte
 
 import (
 	"fmt"
--- a/internal/logline/logline_test.go
+++ b/internal/lograte/logline_test.go
@@ -1,4 +1,4 @@
-package logline
+package lograte
 
 import (
 	"bytes"
