--- a/internal/handover/frozen_test.go
+++ b/internal/hotrestart/frozen_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"flag"
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/handover.go
@@ -1,6 +1,6 @@
-// Package handover is what one process of a proxy leaves to the next: the clients' listening socket, which the
+// Package hotrestart is what one process of a proxy leaves to the next: the clients' listening socket, which the
 // platform holds and every process inherits, and a few files in the folder that the processes share.
-package handover
+package hotrestart
 
 import (
 	"context"
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -18,7 +18,7 @@
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
-	"lapisspread/internal/handover"
+	"lapisspread/internal/hotrestart"
 	"lapisspread/internal/listener"
 	"lapisspread/internal/metrics"
 )
@@ -29,7 +29,7 @@
 	log     *slog.Logger
 	reloads chan Config      // holds the newest that was not taken in yet
 	own     *metrics.Figures // of the only service, and of the process where there are several
-	store   *handover.Store
+	store   *hotrestart.Store
 	conns   *clientConns
 
 	services *services
@@ -53,7 +53,7 @@
 		classes[i] = c.Name
 	}
 	p := &Proxy{cfg: cfg, log: log, reloads: make(chan Config, 1), own: metrics.New(classes),
-		store: handover.Open(cfg.StateDir, cfg.Name), conns: newClientConns(clientPlaces(&cfg))}
+		store: hotrestart.Open(cfg.StateDir, cfg.Name), conns: newClientConns(clientPlaces(&cfg))}
 	p.services = newServices(p)
 	return p
 }
@@ -146,7 +146,7 @@
 
 // Run serves until ctx ends, and then ends in order. An error says why it could not serve.
 func (p *Proxy) Run(ctx context.Context) error {
-	listener, err := handover.Listen(p.cfg.PassedSocket, p.cfg.Listen)
+	listener, err := hotrestart.Listen(p.cfg.PassedSocket, p.cfg.Listen)
 	if err != nil {
 		return err
 	}
