--- a/internal/console/console.go
+++ b/internal/admin/console.go
@@ -1,9 +1,9 @@
-// Package console serves the operators' second address: each connection carries one line, a call. The answer is a
+// Package admin serves the operators' second address: each connection carries one line, a call. The answer is a
 // line that starts with 200 or 400; to INFO it is the figures, one JSON object on a line, and then a line EOF.
 //
 // A caller waits a second and no more. So each has a goroutine of its own, nothing here waits for the proxy's
 // loop, and callers that say nothing cost a place at most until somebody needs it.
-package console
+package admin
 
 import (
 	"bufio"
--- a/internal/console/console_test.go
+++ b/internal/admin/console_test.go
@@ -1,4 +1,4 @@
-package console
+package admin
 
 import (
 	"context"
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/console"
+	"lapisspread/internal/admin"
 )
 
 // guarded is a stage that admits by a file.
@@ -238,7 +238,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { ended <- console.New(operator{p}, slog.New(slog.DiscardHandler)).Serve(ctx, l) }()
+	go func() { ended <- admin.New(operator{p}, slog.New(slog.DiscardHandler)).Serve(ctx, l) }()
 	defer func() { cancel(); <-ended }()
 	for call, want := range map[string]string{"ADMISSION": `"top":[{"address":"127.`, "BLOCK 127.1.0.0/16 1m": "200 127.1.0.0/16", "PING": "200 serving"} {
 		c, err := net.Dial("tcp", l.Addr().String())
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/admin"
 	"lapisspread/internal/admission"
-	"lapisspread/internal/console"
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/durable"
@@ -152,7 +152,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := console.New(operator{p.proxy}, slog.New(slog.DiscardHandler))
+	server := admin.New(operator{p.proxy}, slog.New(slog.DiscardHandler))
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(t.Context(), listener) }()
 	t.Cleanup(func() {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"lapisspread/internal/console"
+	"lapisspread/internal/admin"
 	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/fleet"
@@ -163,7 +163,7 @@
 	defer running.Wait()
 	defer cancel()
 	running.Go(func() {
-		if err := console.New(operator{p}, p.log).Serve(inner, second); err != nil {
+		if err := admin.New(operator{p}, p.log).Serve(inner, second); err != nil {
 			p.log.Error("no more calls are taken", "err", err)
 		}
 	})
