--- a/internal/faultlab/clustertest/fleet_test.go
+++ b/internal/faultlab/clustertest/fleet_test.go
@@ -13,7 +13,7 @@
 	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/strictconfig"
 )
 
@@ -82,13 +82,13 @@
 }
 
 func (o *otherFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var q grant.Request
+	var q quotalease.Request
 	if err := fleet.Read(r.Body, &q); err != nil {
 		fleet.Write(w, http.StatusBadRequest, fleet.ProblemOf(err))
 		return
 	}
-	reply := grant.Reply{Fleet: "other", Epoch: 1, Key: q.Key, Version: 1, Grants: []grant.Grant{{Fleet: "other", Epoch: 1, Key: q.Key, Budget: "attempts", Kind: grant.Rate,
-		Amount: grant.Of(1000), Burst: grant.Of(1000), Lease: lease, Ask: q.Seq, Version: 1, Token: grant.Token{Epoch: 1, Index: 1e6 + q.Seq}}}}
+	reply := quotalease.Reply{Fleet: "other", Epoch: 1, Key: q.Key, Version: 1, Grants: []quotalease.Grant{{Fleet: "other", Epoch: 1, Key: q.Key, Budget: "attempts", Kind: quotalease.Rate,
+		Amount: quotalease.Of(1000), Burst: quotalease.Of(1000), Lease: lease, Ask: q.Seq, Version: 1, Token: quotalease.Token{Epoch: 1, Index: 1e6 + q.Seq}}}}
 	if q.Seq%2 == 0 {
 		reply.Fleet = q.Fleet
 	}
--- a/internal/faultlab/liverun/fleet.go
+++ b/internal/faultlab/liverun/fleet.go
@@ -12,7 +12,7 @@
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 )
 
 // FleetOptions is what the proxies of a run share, and who divides it.
@@ -132,13 +132,13 @@
 		}
 	}
 	for _, i := range on {
-		r.spending.Took(q.first, i, work.Origin, err == nil && token == grant.Token{})
+		r.spending.Took(q.first, i, work.Origin, err == nil && token == quotalease.Token{})
 	}
 	return true
 }
 
 // parseToken reads an attempt's token. The zero token is a floor's.
-func parseToken(text string) (holder string, t grant.Token, err error) {
+func parseToken(text string) (holder string, t quotalease.Token, err error) {
 	holder, token, ok := strings.Cut(text, ";")
 	epoch, index, ok2 := strings.Cut(token, ".")
 	if !ok || !ok2 || holder == "" {
@@ -148,10 +148,10 @@
 	t.Epoch, err1 = strconv.ParseUint(epoch, 10, 64)
 	t.Index, err2 = strconv.ParseUint(index, 10, 64)
 	if err := errors.Join(err1, err2); err != nil {
-		return "", grant.Token{}, err
+		return "", quotalease.Token{}, err
 	}
 	if t.Index == 0 {
-		t = grant.Token{}
+		t = quotalease.Token{}
 	}
 	return holder, t, nil
 }
@@ -167,7 +167,7 @@
 	r.spending = checker.NewSpending(r.opts.Fleet.Transit, r.opts.Fleet.judged())
 	if r.opts.Fleet.Tokens {
 		for _, n := range r.nodes {
-			n.fence = grant.NewFence(mostTokens)
+			n.fence = quotalease.NewFence(mostTokens)
 		}
 	}
 }
--- a/internal/faultlab/liverun/node.go
+++ b/internal/faultlab/liverun/node.go
@@ -15,7 +15,7 @@
 
 	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 )
 
 // node is a stand-in node on sockets: the world's node decides, this carries it out. It listens once for each proxy.
@@ -31,7 +31,7 @@
 	deaf    *linkfault.Deaf // while it is cut off; else nil
 	uncut   func()          // what ends the silence of its links then; nil is none
 
-	fence *grant.Fence // nil is a server that knows no tokens; guarded by the run's lock
+	fence *quotalease.Fence // nil is a server that knows no tokens; guarded by the run's lock
 }
 
 type nodeConn struct {
--- a/internal/faultlab/liverun/steward_test.go
+++ b/internal/faultlab/liverun/steward_test.go
@@ -11,13 +11,13 @@
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/faultlab/testbinary"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/strictconfig"
 )
 
 // asker is a proxy's side without a proxy, by the ways of one.
 type asker struct {
-	*grant.Holder
+	*quotalease.Holder
 	begun  time.Time
 	r      *Run
 	client *http.Client
@@ -31,7 +31,7 @@
 		call, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 		a.Want("attempts", 100)
 		sent := a.now()
-		var reply grant.Reply
+		var reply quotalease.Reply
 		err := fleet.Call(call, a.client, a.r.paths.stewards[[2]string{"proxy-0", s.name()}].Addr(), fleet.PathAsk, a.Ask(sent), &reply)
 		cancel()
 		if err == nil && a.Take(sent, a.now(), reply) == nil && a.Has(a.now(), "attempts").Amount > 0 {
@@ -50,7 +50,7 @@
 		{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 10, Burst: 5, Lease: strictconfig.Span(time.Second)}}}
 	res, err := Play(t.Context(), &s, Options{Binary: testbinary.Proxy(t), Fabric: true, Fleet: o, Script: func(f *Fleet) error {
 		a := &asker{begun: time.Now(), r: f.r, client: &http.Client{Transport: &http.Transport{}},
-			Holder: grant.NewHolder(grant.HolderSettings{Fleet: fleetName, Key: grant.Key{Holder: "n0", Incarnation: 1}, Drift: .001})}
+			Holder: quotalease.NewHolder(quotalease.HolderSettings{Fleet: fleetName, Key: quotalease.Key{Holder: "n0", Incarnation: 1}, Drift: .001})}
 		defer a.client.CloseIdleConnections()
 		granted := func(what string) error {
 			return f.Await(what, func() bool { return a.ask(f.ctx) > 0 })
@@ -92,7 +92,7 @@
 			},
 			func() error { return errors.Join(granted("a grant as all is whole"), f.SetWhole("attempts", 5, 5)) },
 			func() error {
-				return f.Await("the lower whole", func() bool { a.ask(f.ctx); return a.Has(a.now(), "attempts").Amount <= grant.Of(5) })
+				return f.Await("the lower whole", func() bool { a.ask(f.ctx); return a.Has(a.now(), "attempts").Amount <= quotalease.Of(5) })
 			},
 		} {
 			if err := step(); err != nil {
--- a/internal/faultlab/quotasim/budgets.go
+++ b/internal/faultlab/quotasim/budgets.go
@@ -1,4 +1,4 @@
-// Package quotasim plays the rules of a fleet's budgets (internal/grant) in virtual time: many holders with many budgets, the
+// Package quotasim plays the rules of a fleet's budgets (internal/quotalease) in virtual time: many holders with many budgets, the
 // steward that leads, the log that it agrees on with the others, and the servers that count. It measures what the talk costs,
 // how soon the whole is divided anew, and how much of it is used; and it plays rivals, for the judge's own trial.
 //
@@ -18,7 +18,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lapisspread/internal/faultlab/checker"
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 )
 
 // Policies: who divides.
@@ -106,7 +106,7 @@
 
 // holder is a proxy.
 type holder struct {
-	*grant.Holder
+	*quotalease.Holder
 	no     int
 	alive  bool
 	cut    bool
@@ -140,10 +140,10 @@
 	queue    events
 	seq      int
 	names    []string
-	fleet    grant.Fleet
+	fleet    quotalease.Fleet
 	holders  []*holder
-	book     *grant.Book
-	keeper   *grant.Keeper
+	book     *quotalease.Book
+	keeper   *quotalease.Keeper
 	index    uint64
 	asks     []func() // answers that wait for the next round
 	busy     bool
@@ -161,27 +161,27 @@
 		return Result{}, fmt.Errorf("%d holders, %d budgets, %d played, lease %v, length %v, rate %v and falls %v make no run", set.Holders, set.Budgets, set.Played, set.Lease,
 			set.Length, set.Rate, set.Falls)
 	}
-	r := &run{set: set, rng: rand.New(rand.NewPCG(set.Seed, 24)), book: grant.NewBook()}
+	r := &run{set: set, rng: rand.New(rand.NewPCG(set.Seed, 24)), book: quotalease.NewBook()}
 	r.res = Result{Settings: set, Joined: Never, Healed: Never}
-	r.fleet = grant.Fleet{ID: "virtual", Drift: .001, Longest: set.Lease}
+	r.fleet = quotalease.Fleet{ID: "virtual", Drift: .001, Longest: set.Lease}
 	whole := set.Rate * float64(set.Holders)
 	var judged []checker.FleetBudget
 	for i := range set.Budgets {
 		name := fmt.Sprintf("b%02d", i)
 		r.names = append(r.names, name)
-		r.fleet.Budgets = append(r.fleet.Budgets, grant.Budget{Name: name, Kind: grant.Rate, Whole: whole, Burst: whole, Lease: set.Lease})
+		r.fleet.Budgets = append(r.fleet.Budgets, quotalease.Budget{Name: name, Kind: quotalease.Rate, Whole: whole, Burst: whole, Lease: set.Lease})
 		if i < set.Played {
 			judged = append(judged, checker.FleetBudget{Name: name, Wholes: []checker.Whole{{Units: whole, Burst: whole}}})
 		}
 	}
 	r.spending, r.steady = checker.NewSpending(2*way, judged), checker.NewSpending(2*way, judged)
-	r.keeper = grant.NewKeeper(0, 0, r.book)
-	r.apply(grant.Command{Found: &grant.Found{Fleet: r.fleet.ID, Epoch: 1, Drift: r.fleet.Drift, Longest: r.fleet.Longest}})
-	r.now = grant.Silence(r.fleet.Longest, r.fleet.Drift) + time.Millisecond
+	r.keeper = quotalease.NewKeeper(0, 0, r.book)
+	r.apply(quotalease.Command{Found: &quotalease.Found{Fleet: r.fleet.ID, Epoch: 1, Drift: r.fleet.Drift, Longest: r.fleet.Longest}})
+	r.now = quotalease.Silence(r.fleet.Longest, r.fleet.Drift) + time.Millisecond
 	for _, c := range r.keeper.Plan(r.now) { // the time before the founding is over
 		r.apply(c)
 	}
-	r.apply(grant.Command{SetBudgets: &grant.SetBudgets{Version: 1, Fleet: r.fleet}})
+	r.apply(quotalease.Command{SetBudgets: &quotalease.SetBudgets{Version: 1, Fleet: r.fleet}})
 	r.begin = r.now
 	for range set.Holders {
 		r.born()
@@ -225,8 +225,8 @@
 // born is a new holder, which asks from now on.
 func (r *run) born() {
 	no := len(r.holders)
-	key := grant.Key{Holder: fmt.Sprintf("n%d", no), Incarnation: 1}
-	h := &holder{no: no, alive: true, Holder: grant.NewHolder(grant.HolderSettings{Fleet: r.fleet.ID, Key: key, Drift: r.fleet.Drift})}
+	key := quotalease.Key{Holder: fmt.Sprintf("n%d", no), Incarnation: 1}
+	h := &holder{no: no, alive: true, Holder: quotalease.NewHolder(quotalease.HolderSettings{Fleet: r.fleet.ID, Key: key, Drift: r.fleet.Drift})}
 	r.holders = append(r.holders, h)
 	share := r.set.Rate
 	if r.set.Policy == FixedOver {
@@ -318,7 +318,7 @@
 const headroom = 1.2
 
 func (r *run) answer(h *holder, sent time.Duration) {
-	reply := r.book.Tell(grant.Key{Holder: fmt.Sprintf("n%d", h.no), Incarnation: 1})
+	reply := r.book.Tell(quotalease.Key{Holder: fmt.Sprintf("n%d", h.no), Incarnation: 1})
 	r.res.BytesOut += r.size(reply)
 	r.later(r.delay(), func() {
 		if h.alive && !h.cut {
@@ -346,14 +346,14 @@
 		r.res.Rounds++
 	}
 	r.busy = true
-	var commands []grant.Command
+	var commands []quotalease.Command
 	if done < rounds && r.keeper.Pending(r.now) {
 		begun := time.Now()
 		commands = r.keeper.Plan(r.now)
 		r.res.Computed += time.Since(begun)
 	}
 	if len(commands) > 0 {
-		batch := grant.Command{Batch: commands}
+		batch := quotalease.Command{Batch: commands}
 		text, err := json.Marshal(batch)
 		if err != nil {
 			r.err = err
@@ -379,7 +379,7 @@
 	return r.set.Cost * time.Duration(len(r.holders)*r.set.Budgets)
 }
 
-func (r *run) apply(c grant.Command) {
+func (r *run) apply(c quotalease.Command) {
 	r.index++
 	a, err := r.book.Apply(r.index, c)
 	if err != nil {
--- a/internal/fleet/file.go
+++ b/internal/fleet/file.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"lapisspread/internal/grant"
 	"lapisspread/internal/namespace"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/staleness"
 	"lapisspread/internal/strictconfig"
@@ -172,16 +172,16 @@
 }
 
 // Grants is the fleet as the stewards divide it.
-func (f *File) Grants() grant.Fleet {
-	out := grant.Fleet{ID: f.Fleet, Drift: cmp.Or(f.Drift, .001), Longest: time.Duration(f.Longest)}
+func (f *File) Grants() quotalease.Fleet {
+	out := quotalease.Fleet{ID: f.Fleet, Drift: cmp.Or(f.Drift, .001), Longest: time.Duration(f.Longest)}
 	for _, b := range f.Budgets {
-		one := grant.Budget{Name: b.Name, Kind: grant.Rate, Whole: b.Whole, Burst: b.Burst, Lease: time.Duration(cmp.Or(b.Lease, strictconfig.Span(3*time.Second))),
-			Floors: b.Floors, Others: grant.Share(b.Others)}
+		one := quotalease.Budget{Name: b.Name, Kind: quotalease.Rate, Whole: b.Whole, Burst: b.Burst, Lease: time.Duration(cmp.Or(b.Lease, strictconfig.Span(3*time.Second))),
+			Floors: b.Floors, Others: quotalease.Share(b.Others)}
 		for name, s := range b.Members {
 			if one.Members == nil {
-				one.Members = map[string]grant.Share{}
+				one.Members = map[string]quotalease.Share{}
 			}
-			one.Members[name] = grant.Share(s)
+			one.Members[name] = quotalease.Share(s)
 		}
 		out.Budgets = append(out.Budgets, one)
 	}
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"lapisspread/internal/grant"
 	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/quotalease"
 )
 
 // callTime is for one call of an operator to one steward.
@@ -54,7 +54,7 @@
 		}
 		version++
 	}
-	in := grant.SetBudgets{Version: version, Fleet: f.Grants(), Gone: gone}
+	in := quotalease.SetBudgets{Version: version, Fleet: f.Grants(), Gone: gone}
 	var tried []error
 	for _, s := range f.Stewards {
 		err := One(ctx, client, s.Address, PathSet, in, nil)
--- a/internal/fleetlink/claim.go
+++ b/internal/fleetlink/claim.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 
 	"lapisspread/internal/durable"
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 )
 
 // claim is a name's claim to its floors on this machine: a lock on a file, that the system lets go of when the process dies. Two
@@ -29,8 +29,8 @@
 const floorsForm = 1
 
 type keptFloors struct {
-	Version uint64                 `json:"Version"`
-	Floors  map[string]grant.Floor `json:"Floors"`
+	Version uint64                      `json:"Version"`
+	Floors  map[string]quotalease.Floor `json:"Floors"`
 }
 
 func newClaim(path, name string) *claim {
@@ -52,7 +52,7 @@
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return false, grant.FloorTaken{Holder: c.name}
+			return false, quotalease.FloorTaken{Holder: c.name}
 		}
 		return false, FloorsNotKept{err}
 	}
@@ -71,7 +71,7 @@
 }
 
 // load is what was kept; nothing if nothing was.
-func (c *claim) load() (uint64, map[string]grant.Floor, error) {
+func (c *claim) load() (uint64, map[string]quotalease.Floor, error) {
 	var k keptFloors
 	err := c.file.Load(&k)
 	if errors.Is(err, os.ErrNotExist) {
@@ -84,7 +84,7 @@
 }
 
 // save keeps floors so that they outlive a power failure, unless what is kept is newer already, or may says no more.
-func (c *claim) save(version uint64, floors map[string]grant.Floor, may func() bool) error {
+func (c *claim) save(version uint64, floors map[string]quotalease.Floor, may func() bool) error {
 	c.saving.Lock()
 	defer c.saving.Unlock()
 	if !may() {
--- a/internal/fleetlink/docs_test.go
+++ b/internal/fleetlink/docs_test.go
@@ -16,11 +16,11 @@
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
-	"lapisspread/internal/grant"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policybook"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/staleness"
 	"lapisspread/internal/steward"
@@ -33,8 +33,8 @@
 	fleet.BadMessage{}, fleet.UnknownSteward{}, fleet.Unreachable{},
 	fleetlink.DutyDied{}, fleetlink.DutyStuck{}, fleetlink.FloorsNotKept{}, fleetlink.PolicyNotTaken{},
 	fleetview.DutyDied{}, fleetview.DutyStuck{}, fleetview.TooManyRegisters{},
-	grant.BadCommand{}, grant.FloorTaken{}, grant.GrantEnded{}, grant.NoBudget{}, grant.NoGrant{}, grant.NotEnoughStewards{}, grant.NotFounded{}, grant.OldBudgets{},
-	grant.OldEpoch{}, grant.OldToken{}, grant.OtherFleet{}, grant.OtherHolder{}, grant.OverWhole{}, grant.Spent{}, grant.StillSilent{},
+	quotalease.BadCommand{}, quotalease.FloorTaken{}, quotalease.GrantEnded{}, quotalease.NoBudget{}, quotalease.NoGrant{}, quotalease.NotEnoughStewards{}, quotalease.NotFounded{}, quotalease.OldBudgets{},
+	quotalease.OldEpoch{}, quotalease.OldToken{}, quotalease.OtherFleet{}, quotalease.OtherHolder{}, quotalease.OverWhole{}, quotalease.Spent{}, quotalease.StillSilent{},
 	steward.FloorsTwice{}, steward.NeedsPieces{},
 	staleness.BadSettings{}, staleness.ClaimCannotBeTrue{}, staleness.EdgeBlind{}, staleness.NameTaken{}, staleness.UnknownSource{}, staleness.ViewDoubtful{},
 	namespace.Clash{}, namespace.DelegationCircle{}, namespace.DelegationTooWide{}, namespace.FileError{}, namespace.MinimumsExceedWhole{},
--- a/internal/fleetlink/frozen_test.go
+++ b/internal/fleetlink/frozen_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"lapisspread/internal/durable"
-	"lapisspread/internal/grant"
 	"lapisspread/internal/pieces"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 )
 
@@ -24,10 +24,10 @@
 // They must never be written again: they stand for the files of running proxies.
 const frozenDir = "testdata/c8fad44"
 
-func frozenFloors() map[string]grant.Floor {
-	return map[string]grant.Floor{
-		"all":  {Kind: grant.Rate, Amount: grant.Of(200), Burst: grant.Of(20)},
-		"held": {Kind: grant.InHand, Amount: grant.Of(3), Life: 1500 * time.Millisecond},
+func frozenFloors() map[string]quotalease.Floor {
+	return map[string]quotalease.Floor{
+		"all":  {Kind: quotalease.Rate, Amount: quotalease.Of(200), Burst: quotalease.Of(20)},
+		"held": {Kind: quotalease.InHand, Amount: quotalease.Of(3), Life: 1500 * time.Millisecond},
 	}
 }
 
--- a/internal/fleetlink/link.go
+++ b/internal/fleetlink/link.go
@@ -27,8 +27,8 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
 	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/supervisor"
 )
 
@@ -52,7 +52,7 @@
 // Link is a proxy's side. It is for any goroutine.
 type Link struct {
 	set       Settings
-	grants    grant.Fleet
+	grants    quotalease.Fleet
 	clock     func() time.Duration
 	client    *http.Client
 	pots      map[string]*pot // never changes
@@ -82,7 +82,7 @@
 		set.Via = fleet.Transport(nil)
 	}
 	l := &Link{set: set, grants: set.File.Grants(), clock: set.Clock, client: &http.Client{Transport: set.Via}, pots: map[string]*pot{},
-		floorText: set.Name + ";" + grant.Token{}.String(), stand: map[string]Standing{}, troubles: map[string]*Trouble{}}
+		floorText: set.Name + ";" + quotalease.Token{}.String(), stand: map[string]Standing{}, troubles: map[string]*Trouble{}}
 	if l.clock == nil {
 		l.clock = supervisor.Boottime
 	}
@@ -141,7 +141,7 @@
 	*Link
 	generation uint64
 	by         uint64
-	holder     *grant.Holder
+	holder     *quotalease.Holder
 	bursts     map[string]burstOf
 	wants      map[string]float64
 	asked      time.Duration
@@ -155,15 +155,15 @@
 }
 
 type burstOf struct {
-	token grant.Token
-	burst grant.Amount
+	token quotalease.Token
+	burst quotalease.Amount
 }
 
 func (l *Link) work(ctx context.Context, generation uint64) {
 	w := &worker{Link: l, generation: generation, by: incarnation(), bursts: map[string]burstOf{}, wants: map[string]float64{}, asked: l.clock(),
 		at: rand.IntN(len(l.set.File.Stewards)), wait: backoff.NewExponentialBackOff()}
 	w.wait.InitialInterval, w.wait.MaxInterval, w.wait.RandomizationFactor = poll, time.Second, .5
-	set := grant.HolderSettings{Fleet: l.grants.ID, Key: grant.Key{Holder: l.set.Name, Incarnation: w.by}, Drift: l.grants.Drift}
+	set := quotalease.HolderSettings{Fleet: l.grants.ID, Key: quotalease.Key{Holder: l.set.Name, Incarnation: w.by}, Drift: l.grants.Drift}
 	if l.claim != nil {
 		var err error
 		if set.Version, set.Floors, err = l.claim.load(); err != nil {
@@ -171,7 +171,7 @@
 		}
 		w.kept = set.Version
 	}
-	w.holder = grant.NewHolder(set)
+	w.holder = quotalease.NewHolder(set)
 	for name, p := range l.pots {
 		// Nothing is known of the demand: some is asked for, so that the first requests find something, and it goes if none come.
 		w.wants[name] = max(p.whole/50, float64(p.tried.Load()))
@@ -214,7 +214,7 @@
 	_, floors := w.holder.Floors()
 	for name := range w.pots {
 		has := w.holder.Has(now, name)
-		burst := grant.Amount(0)
+		burst := quotalease.Amount(0)
 		if b := w.bursts[name]; b.token == has.Token {
 			burst = b.burst
 		}
@@ -317,7 +317,7 @@
 	w.counts.asks.Add(1)
 	sent := w.clock()
 	request := w.holder.Ask(sent)
-	var reply grant.Reply
+	var reply quotalease.Reply
 	if err := fleet.Call(ctx, w.client, address, fleet.PathAsk, request, &reply); err != nil {
 		return err
 	}
@@ -330,7 +330,7 @@
 	}
 	w.publishAll()
 	w.counts.answered.Add(1)
-	if errors.As(err, &grant.OtherFleet{}) || errors.As(err, &grant.OtherHolder{}) || errors.As(err, &grant.OldEpoch{}) {
+	if errors.As(err, &quotalease.OtherFleet{}) || errors.As(err, &quotalease.OtherHolder{}) || errors.As(err, &quotalease.OldEpoch{}) {
 		return err // nothing of it was taken: ask another
 	}
 	if err != nil {
--- a/internal/fleetlink/link_test.go
+++ b/internal/fleetlink/link_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/goleak"
 
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/strictconfig"
 	"lapisspread/internal/supervisor"
 )
@@ -50,8 +50,8 @@
 	if err != nil || s == nil {
 		t.Fatal(s, err)
 	}
-	key := grant.Key{Holder: "p1", Incarnation: 7}
-	h := grant.NewHolder(grant.HolderSettings{Fleet: "north", Key: key, Drift: .001})
+	key := quotalease.Key{Holder: "p1", Incarnation: 7}
+	h := quotalease.NewHolder(quotalease.HolderSettings{Fleet: "north", Key: key, Drift: .001})
 	h.Claim(0, true)
 	var total, most atomic.Int64
 	// take has many take all that there is while something happens.
@@ -71,7 +71,7 @@
 		during()
 		takers.Wait()
 	}
-	version, index, granted := uint64(0), uint64(0), grant.Amount(0)
+	version, index, granted := uint64(0), uint64(0), quotalease.Amount(0)
 	at := int64(0)
 	drain := func() {
 		for {
@@ -93,17 +93,17 @@
 			}
 		}
 		now := time.Duration(clock.Load())
-		r := grant.Reply{Fleet: "north", Epoch: 1, Key: key, Floors: map[string]grant.Floor{}}
-		burst := grant.Of(float64(st.burst))
+		r := quotalease.Reply{Fleet: "north", Epoch: 1, Key: key, Floors: map[string]quotalease.Floor{}}
+		burst := quotalease.Of(float64(st.burst))
 		if st.lease > 0 {
 			index++
 			ask := h.Ask(now)
-			r.Grants = []grant.Grant{{Fleet: "north", Epoch: 1, Key: key, Budget: "all", Kind: grant.Rate, Amount: grant.Of(float64(st.amount)), Burst: burst,
-				Lease: time.Duration(st.lease) * time.Millisecond, Ask: ask.Seq, Token: grant.Token{Epoch: 1, Index: index}}}
+			r.Grants = []quotalease.Grant{{Fleet: "north", Epoch: 1, Key: key, Budget: "all", Kind: quotalease.Rate, Amount: quotalease.Of(float64(st.amount)), Burst: burst,
+				Lease: time.Duration(st.lease) * time.Millisecond, Ask: ask.Seq, Token: quotalease.Token{Epoch: 1, Index: index}}}
 		} else if st.amount > 0 {
 			version++
 			r.Version = version
-			r.Floors["all"] = grant.Floor{Kind: grant.Rate, Amount: grant.Of(float64(st.amount)), Burst: burst}
+			r.Floors["all"] = quotalease.Floor{Kind: quotalease.Rate, Amount: quotalease.Of(float64(st.amount)), Burst: burst}
 		}
 		if err := h.Take(now, now, r); err != nil {
 			t.Fatal(err)
@@ -142,8 +142,8 @@
 func replaced(l *Link, at, until, next time.Duration) (a, b *cell) {
 	l.generation = 1
 	make := func(now, ends time.Duration, index uint64) *cell {
-		c := newCell(now, grant.Of(100), grant.Of(10), .001)
-		c.by, c.ends, c.token = 7, int64(ends), grant.Token{Epoch: 1, Index: index}
+		c := newCell(now, quotalease.Of(100), quotalease.Of(10), .001)
+		c.by, c.ends, c.token = 7, int64(ends), quotalease.Token{Epoch: 1, Index: index}
 		l.publish(1, 7, "all", now, c, nil)
 		return c
 	}
@@ -190,7 +190,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	floor := func(name string) { l.publish(1, 7, name, 0, nil, newCell(0, grant.Of(10), grant.Of(1), 0)) }
+	floor := func(name string) { l.publish(1, 7, name, 0, nil, newCell(0, quotalease.Of(10), quotalease.Of(1), 0)) }
 	floor("all")
 	now = time.Second
 	for range 5 { // a retry without its own budget must not use up the other
@@ -268,12 +268,12 @@
 	if ok, err := a.try(); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
-	var taken grant.FloorTaken
+	var taken quotalease.FloorTaken
 	if ok, err := b.try(); ok || !errors.As(err, &taken) {
 		t.Fatal(ok, err)
 	}
 	yes := func() bool { return true }
-	floors := map[string]grant.Floor{"all": {Kind: grant.Rate, Amount: grant.Unit, Burst: grant.Unit}}
+	floors := map[string]quotalease.Floor{"all": {Kind: quotalease.Rate, Amount: quotalease.Unit, Burst: quotalease.Unit}}
 	if err := errors.Join(a.save(2, floors, yes), a.save(1, nil, yes)); err != nil {
 		t.Fatal(err)
 	}
@@ -303,14 +303,14 @@
 			t.Error("two calls are out at once")
 		}
 		defer out.Add(-1)
-		var in grant.Request
+		var in quotalease.Request
 		if err := fleet.Read(r.Body, &in); err != nil {
 			t.Error(err)
 		}
-		g := grant.Grant{Fleet: "south", Epoch: 9, Key: in.Key, Budget: "all", Kind: grant.Rate, Amount: grant.Of(500), Burst: grant.Of(50), Lease: time.Hour,
-			Ask: in.Seq, Token: grant.Token{Epoch: 9, Index: 9}}
-		fleet.Write(w, http.StatusOK, grant.Reply{Fleet: "south", Epoch: 9, Key: in.Key, Version: 9, Grants: []grant.Grant{g},
-			Floors: map[string]grant.Floor{"all": {Kind: grant.Rate, Amount: grant.Of(500), Burst: grant.Of(50)}}})
+		g := quotalease.Grant{Fleet: "south", Epoch: 9, Key: in.Key, Budget: "all", Kind: quotalease.Rate, Amount: quotalease.Of(500), Burst: quotalease.Of(50), Lease: time.Hour,
+			Ask: in.Seq, Token: quotalease.Token{Epoch: 9, Index: 9}}
+		fleet.Write(w, http.StatusOK, quotalease.Reply{Fleet: "south", Epoch: 9, Key: in.Key, Version: 9, Grants: []quotalease.Grant{g},
+			Floors: map[string]quotalease.Floor{"all": {Kind: quotalease.Rate, Amount: quotalease.Of(500), Burst: quotalease.Of(50)}}})
 	}))
 	defer server.Close()
 	l := New(Settings{File: file(t.TempDir(), server.Listener.Addr().String()), Name: "p1"})
@@ -323,7 +323,7 @@
 			t.Fatal("another fleet's grant was spent")
 		}
 	}
-	if r := l.Report(); len(r.Troubles) != 1 || r.Troubles[0].Advice != (grant.OtherFleet{}).Advice() || !r.Claim {
+	if r := l.Report(); len(r.Troubles) != 1 || r.Troubles[0].Advice != (quotalease.OtherFleet{}).Advice() || !r.Claim {
 		t.Errorf("%+v", r)
 	}
 	cancel()
@@ -334,7 +334,7 @@
 	l := New(Settings{File: file("", "127.0.0.1:1"), Name: "p1"})
 	l.generation = 1
 	s, _ := l.Sight("web", nil, nil)
-	l.publish(1, 7, "all", l.clock(), nil, newCell(l.clock(), grant.Of(1e9), grant.Of(1e9), 0))
+	l.publish(1, 7, "all", l.clock(), nil, newCell(l.clock(), quotalease.Of(1e9), quotalease.Of(1e9), 0))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/internal/fleetlink/look.go
+++ b/internal/fleetlink/look.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lapisspread/internal/engine"
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 )
 
 // A cell is a token bucket that many goroutines take from without a lock: the virtual scheduling of GCRA (ITU-T I.371, annex A),
@@ -27,7 +27,7 @@
 	depth int64   // nanoseconds in which an empty bucket fills
 	ends  int64   // by the link's clock; a floor's never comes
 	by    uint64  // incarnation; 0 of a floor
-	token grant.Token
+	token quotalease.Token
 	text  string // the token, as it goes out
 	z     atomic.Int64
 }
@@ -38,8 +38,8 @@
 )
 
 // newCell makes an empty one; nil for nothing.
-func newCell(now time.Duration, amount, burst grant.Amount, drift float64) *cell {
-	if amount <= 0 || burst < grant.Unit {
+func newCell(now time.Duration, amount, burst quotalease.Amount, drift float64) *cell {
+	if amount <= 0 || burst < quotalease.Unit {
 		return nil // less than a unit at once: nothing can be taken, as of the Holder
 	}
 	c := &cell{per: float64(time.Second) * (1 + drift) / amount.Units(), ends: never}
@@ -167,7 +167,7 @@
 	now := int64(s.link.clock())
 	p := engine.Permit{Token: s.link.floorText, Ends: never}
 	var took [mostBudgets]*cell
-	var newest grant.Token
+	var newest quotalease.Token
 	for i := range s.on {
 		on := &s.on[i]
 		if on.class >= 0 && on.class != class || on.tenant >= 0 && on.tenant != tenant || on.retries && first {
@@ -257,7 +257,7 @@
 type flaws struct{ late, open, full, endless bool }
 
 // cellsOf is what the Holder has of a budget, as cells.
-func (l *Link) cellsOf(h *grant.Holder, by uint64, now time.Duration, name string, burst grant.Amount, claimed bool, f grant.Floor) (lease, floor *cell) {
+func (l *Link) cellsOf(h *quotalease.Holder, by uint64, now time.Duration, name string, burst quotalease.Amount, claimed bool, f quotalease.Floor) (lease, floor *cell) {
 	drift := l.grants.Drift
 	has := h.Has(now, name)
 	if lease = newCell(now, has.Amount, burst, drift); lease != nil {
--- a/internal/grant/internal/flaw/flaw.go
+++ b/internal/grant/internal/flaw/flaw.go
@@ -1,5 +1,5 @@
 // Package flaw takes single guards out of the grants' machine, so that a checker can be tried: with a guard out it must
-// convict. Only packages below internal/grant can make a Set.
+// convict. Only packages below internal/quotalease can make a Set.
 package flaw
 
 // Set names the guards that are out. The zero value is the sound machine.
--- a/internal/grant/book_test.go
+++ b/internal/quotalease/book_test.go
@@ -1,4 +1,4 @@
-package grant
+package quotalease
 
 import (
 	"bytes"
--- a/internal/grant/grant.go
+++ b/internal/quotalease/grant.go
@@ -1,4 +1,4 @@
-// Package grant holds the pure rules of budgets that hold over a whole fleet. A budget is a whole W, of units a second or
+// Package quotalease holds the pure rules of budgets that hold over a whole fleet. A budget is a whole W, of units a second or
 // of units in hand. Proxies (holders) draw on grants; stewards divide these through a replicated log. What it promises:
 //
 //   - At every moment all that any process may still spend sums to no more than W, and all buckets to no more than the
@@ -13,7 +13,7 @@
 //
 // All is pure: no I/O, no goroutine, no clock; callers give the time and see to it that one at a time calls. The argument
 // why it is safe is in docs/fleet-budgets-design.md.
-package grant
+package quotalease
 
 import (
 	"cmp"
--- a/internal/quotalease/modelcheck/draw.go
+++ b/internal/quotalease/modelcheck/draw.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 )
 
 // Run is what a drawn run came to.
@@ -204,7 +204,7 @@
 			return
 		}
 		part := .5 + p.rng.Float64()/2
-		if w.set.Kind == grant.InHand {
+		if w.set.Kind == quotalease.InHand {
 			part = .5
 		}
 		if p.chance(.5) {
@@ -212,7 +212,7 @@
 		}
 		if _, v := s.book.Budgets(); v == w.version {
 			f := w.set.fleet(w.set.Whole*part, w.set.Burst*part)
-			w.append(s, grant.Command{SetBudgets: &grant.SetBudgets{Version: w.version + 1, Fleet: f}})
+			w.append(s, quotalease.Command{SetBudgets: &quotalease.SetBudgets{Version: w.version + 1, Fleet: f}})
 		}
 	case "demand moves":
 		for j, proc := range w.procs {
--- a/internal/quotalease/modelcheck/explore_test.go
+++ b/internal/quotalease/modelcheck/explore_test.go
@@ -4,16 +4,16 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/grant"
 	"lapisspread/internal/grant/internal/flaw"
+	"lapisspread/internal/quotalease"
 )
 
 func rates() Settings {
-	return Settings{Holders: 4, Stewards: 3, Kind: grant.Rate, Whole: 20, Burst: 8, Lease: time.Second, Drift: .05, Floor: 5}
+	return Settings{Holders: 4, Stewards: 3, Kind: quotalease.Rate, Whole: 20, Burst: 8, Lease: time.Second, Drift: .05, Floor: 5}
 }
 
 func hands() Settings {
-	return Settings{Holders: 4, Stewards: 3, Kind: grant.InHand, Whole: 12, Lease: time.Second, Life: 2 * time.Second, Drift: .05, Floor: 2}
+	return Settings{Holders: 4, Stewards: 3, Kind: quotalease.InHand, Whole: 12, Lease: time.Second, Life: 2 * time.Second, Drift: .05, Floor: 2}
 }
 
 // Never more than the whole, and all of it in the end; with usual faults, with four times as many, and in a larger fleet.
@@ -90,7 +90,7 @@
 }
 
 func small() Settings {
-	return Settings{Holders: 2, Stewards: 3, Kind: grant.Rate, Whole: 2, Burst: 2, Lease: time.Second, Drift: .05}
+	return Settings{Holders: 2, Stewards: 3, Kind: quotalease.Rate, Whole: 2, Burst: 2, Lease: time.Second, Drift: .05}
 }
 
 const half = 500 * time.Millisecond // of a lease
--- a/internal/quotalease/modelcheck/world.go
+++ b/internal/quotalease/modelcheck/world.go
@@ -14,8 +14,8 @@
 
 	"github.com/zeebo/xxh3"
 
-	"lapisspread/internal/grant"
 	"lapisspread/internal/grant/internal/flaw"
+	"lapisspread/internal/quotalease"
 )
 
 const (
@@ -36,7 +36,7 @@
 // rec is an entry of a log; id stands for it and all before it.
 type rec struct {
 	term, id uint64
-	cmd      grant.Command
+	cmd      quotalease.Command
 }
 
 // steward is one of the stewards. Its log and term are durable, unless its store is exchanged.
@@ -52,36 +52,36 @@
 	sure    int             // entries that it confirmed to a leader, or committed as one
 	commit  int
 	applied int
-	book    *grant.Book
-	keeper  *grant.Keeper
-	heard   map[grant.Key]*request // the last that it took from each
+	book    *quotalease.Book
+	keeper  *quotalease.Keeper
+	heard   map[quotalease.Key]*request // the last that it took from each
 }
 
 type request struct {
 	id     uint64
 	from   int
 	sentAt time.Duration // by the sender's clock
-	grant.Request
+	quotalease.Request
 }
 
 type reply struct {
 	id     uint64
 	to     int
 	sentAt time.Duration // of the request, by the holder's clock
-	grant.Reply
+	quotalease.Reply
 }
 
 // work is a unit in hand.
 type work struct {
-	token grant.Token
+	token quotalease.Token
 	until time.Duration // by its process's clock, or by true time when the process is gone
 }
 
 // process is one proxy.
 type process struct {
 	clock
-	grant.Key
-	*grant.Holder
+	quotalease.Key
+	*quotalease.Holder
 	up    bool
 	works []work
 }
@@ -89,7 +89,7 @@
 // Settings are those of a world.
 type Settings struct {
 	Holders, Stewards int
-	Kind              grant.Kind
+	Kind              quotalease.Kind
 	Whole, Burst      float64
 	Lease, Life       time.Duration
 	Drift             float64
@@ -126,12 +126,12 @@
 	lives    uint64  // incarnations that there were
 }
 
-func (s *Settings) fleet(units, burst float64) grant.Fleet {
-	b := grant.Budget{Name: budget, Kind: s.Kind, Whole: units, Burst: burst, Lease: s.Lease, Life: s.Life}
+func (s *Settings) fleet(units, burst float64) quotalease.Fleet {
+	b := quotalease.Budget{Name: budget, Kind: s.Kind, Whole: units, Burst: burst, Lease: s.Lease, Life: s.Life}
 	if s.Floor > 0 {
 		b.Floors = map[string]float64{name(0): s.Floor}
 	}
-	return grant.Fleet{ID: fleet, Drift: s.Drift, Longest: s.longest(), Budgets: []grant.Budget{b}}
+	return quotalease.Fleet{ID: fleet, Drift: s.Drift, Longest: s.longest(), Budgets: []quotalease.Budget{b}}
 }
 
 func (s *Settings) longest() time.Duration { return s.Lease + s.Life }
@@ -147,12 +147,12 @@
 		w.start(w.stewards[i], 0)
 	}
 	lead := w.stewards[0]
-	base := []grant.Command{
-		{Found: &grant.Found{Fleet: fleet, Epoch: 1, Drift: s.Drift, Longest: s.longest()}},
-		{Expire: &grant.Expire{Token: grant.Token{Epoch: 0, Index: 1}}},
-		{SetBudgets: &grant.SetBudgets{Version: 1, Fleet: s.fleet(s.Whole, s.Burst)}},
+	base := []quotalease.Command{
+		{Found: &quotalease.Found{Fleet: fleet, Epoch: 1, Drift: s.Drift, Longest: s.longest()}},
+		{Expire: &quotalease.Expire{Token: quotalease.Token{Epoch: 0, Index: 1}}},
+		{SetBudgets: &quotalease.SetBudgets{Version: 1, Fleet: s.fleet(s.Whole, s.Burst)}},
 	}
-	base[1].Expire.Token = grant.Token{Epoch: 1, Index: 1}
+	base[1].Expire.Token = quotalease.Token{Epoch: 1, Index: 1}
 	lead.term, lead.leader, lead.match, lead.contact = 1, true, make([]int, s.Stewards), make([]time.Duration, s.Stewards)
 	for _, c := range base {
 		w.append(lead, c)
@@ -165,7 +165,7 @@
 	}
 	for i := range s.Holders {
 		wrong := clock{1 + s.Drift*rate(s.Stewards+i), -time.Minute * time.Duration(i)}
-		w.procs = append(w.procs, &process{clock: wrong, Key: grant.Key{Holder: name(i)}})
+		w.procs = append(w.procs, &process{clock: wrong, Key: quotalease.Key{Holder: name(i)}})
 		w.born(i)
 	}
 	return w
@@ -176,11 +176,11 @@
 	p := w.procs[i]
 	w.lives++
 	p.Incarnation = w.lives
-	set := grant.HolderSettings{Fleet: fleet, Key: p.Key, Drift: w.set.Drift}
+	set := quotalease.HolderSettings{Fleet: fleet, Key: p.Key, Drift: w.set.Drift}
 	if p.Holder != nil { // what the one before kept on disk
 		set.Version, set.Floors = p.Holder.Floors()
 	}
-	p.Holder = grant.NewHolder(set)
+	p.Holder = quotalease.NewHolder(set)
 	p.Without(w.set.flaws)
 	p.Claim(p.at(w.now), true)
 	p.Want(budget, w.demand)
@@ -203,13 +203,13 @@
 // start starts a steward with what its store holds, silent for a time.
 func (w *World) start(s *steward, silence time.Duration) {
 	s.up, s.leader, s.sure, s.commit, s.applied = true, false, 0, 0, 0
-	s.heard = map[grant.Key]*request{}
-	s.book = grant.NewBook()
+	s.heard = map[quotalease.Key]*request{}
+	s.book = quotalease.NewBook()
 	s.book.Without(w.set.flaws)
-	s.keeper = grant.NewKeeper(s.at(w.now), silence, s.book)
+	s.keeper = quotalease.NewKeeper(s.at(w.now), silence, s.book)
 }
 
-func (w *World) silence() time.Duration { return grant.Silence(w.set.longest(), w.set.Drift) }
+func (w *World) silence() time.Duration { return quotalease.Silence(w.set.longest(), w.set.Drift) }
 
 // restart starts a steward anew, with the first entries of its log: all of them, or those of an older copy of its store.
 func (w *World) restart(s *steward, entries int) {
@@ -227,7 +227,7 @@
 
 func (w *World) majority() int { return w.set.Stewards/2 + 1 }
 
-func (w *World) append(s *steward, c grant.Command) {
+func (w *World) append(s *steward, c quotalease.Command) {
 	data, err := json.Marshal(c)
 	if err != nil {
 		panic(err) // commands are plain data
@@ -273,7 +273,7 @@
 	for i := range c.contact {
 		c.contact[i] = c.at(w.now)
 	}
-	w.append(c, grant.Command{Batch: []grant.Command{}}) // an entry of its own term: with it all before is committed
+	w.append(c, quotalease.Command{Batch: []quotalease.Command{}}) // an entry of its own term: with it all before is committed
 	return true
 }
 
@@ -400,11 +400,11 @@
 	_, epoch, _ := s.book.Founded()
 	if epoch < w.epoch {
 		w.epoch++
-		w.append(s, grant.Command{Found: &grant.Found{Fleet: fleet, Epoch: w.epoch, Drift: w.set.Drift, Longest: w.set.longest()}})
+		w.append(s, quotalease.Command{Found: &quotalease.Found{Fleet: fleet, Epoch: w.epoch, Drift: w.set.Drift, Longest: w.set.longest()}})
 		return
 	}
 	if _, v := s.book.Budgets(); v < w.version {
-		w.append(s, grant.Command{SetBudgets: &grant.SetBudgets{Version: w.version + 1, Fleet: w.set.fleet(w.set.Whole, w.set.Burst)}})
+		w.append(s, quotalease.Command{SetBudgets: &quotalease.SetBudgets{Version: w.version + 1, Fleet: w.set.fleet(w.set.Whole, w.set.Burst)}})
 	}
 }
 
@@ -417,7 +417,7 @@
 	if len(c) == 0 {
 		return false
 	}
-	w.append(s, grant.Command{Batch: c})
+	w.append(s, quotalease.Command{Batch: c})
 	return true
 }
 
@@ -484,7 +484,7 @@
 			return
 		}
 		w.spent++
-		if w.set.Kind == grant.InHand {
+		if w.set.Kind == quotalease.InHand {
 			p.works = append(p.works, work{t, at + w.set.Life})
 			continue
 		}
@@ -525,7 +525,7 @@
 		for _, one := range p.works {
 			switch {
 			case one.until <= at:
-			case one.token == grant.Token{}:
+			case one.token == quotalease.Token{}:
 				floorHeld++
 			default:
 				held++
@@ -563,7 +563,7 @@
 		n.match, n.contact = slices.Clone(s.match), slices.Clone(s.contact)
 		n.book = s.book.Clone()
 		n.keeper = s.keeper.Clone(n.book)
-		n.heard = make(map[grant.Key]*request, len(s.heard))
+		n.heard = make(map[quotalease.Key]*request, len(s.heard))
 		for k, r := range s.heard {
 			n.heard[k] = r
 		}
--- a/internal/steward/codes_test.go
+++ b/internal/steward/codes_test.go
@@ -9,12 +9,12 @@
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
-	"lapisspread/internal/grant"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/policyroutes"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/staleness"
 	"lapisspread/internal/steward"
@@ -51,21 +51,21 @@
 	{fleetview.DutyDied{}, "fleetview.DutyDied"},
 	{fleetview.DutyStuck{}, "fleetview.DutyStuck"},
 	{fleetview.TooManyRegisters{}, "fleetview.TooManyRegisters"},
-	{grant.BadCommand{}, "grant.BadCommand"},
-	{grant.FloorTaken{}, "grant.FloorTaken"},
-	{grant.GrantEnded{}, "grant.GrantEnded"},
-	{grant.NoBudget{}, "grant.NoBudget"},
-	{grant.NoGrant{}, "grant.NoGrant"},
-	{grant.NotEnoughStewards{}, "grant.NotEnoughStewards"},
-	{grant.NotFounded{}, "grant.NotFounded"},
-	{grant.OldBudgets{}, "grant.OldBudgets"},
-	{grant.OldEpoch{}, "grant.OldEpoch"},
-	{grant.OldToken{}, "grant.OldToken"},
-	{grant.OtherFleet{}, "grant.OtherFleet"},
-	{grant.OtherHolder{}, "grant.OtherHolder"},
-	{grant.OverWhole{}, "grant.OverWhole"},
-	{grant.Spent{}, "grant.Spent"},
-	{grant.StillSilent{}, "grant.StillSilent"},
+	{quotalease.BadCommand{}, "grant.BadCommand"},
+	{quotalease.FloorTaken{}, "grant.FloorTaken"},
+	{quotalease.GrantEnded{}, "grant.GrantEnded"},
+	{quotalease.NoBudget{}, "grant.NoBudget"},
+	{quotalease.NoGrant{}, "grant.NoGrant"},
+	{quotalease.NotEnoughStewards{}, "grant.NotEnoughStewards"},
+	{quotalease.NotFounded{}, "grant.NotFounded"},
+	{quotalease.OldBudgets{}, "grant.OldBudgets"},
+	{quotalease.OldEpoch{}, "grant.OldEpoch"},
+	{quotalease.OldToken{}, "grant.OldToken"},
+	{quotalease.OtherFleet{}, "grant.OtherFleet"},
+	{quotalease.OtherHolder{}, "grant.OtherHolder"},
+	{quotalease.OverWhole{}, "grant.OverWhole"},
+	{quotalease.Spent{}, "grant.Spent"},
+	{quotalease.StillSilent{}, "grant.StillSilent"},
 	{namespace.Clash{}, "namespace.Clash"},
 	{namespace.DelegationCircle{}, "namespace.DelegationCircle"},
 	{namespace.DelegationTooWide{}, "namespace.DelegationTooWide"},
--- a/internal/steward/frozen_test.go
+++ b/internal/steward/frozen_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/grant"
 	"lapisspread/internal/policybook"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 )
 
@@ -25,7 +25,7 @@
 
 func frozenNow() time.Duration { return 0 }
 
-var frozenKey = grant.Key{Holder: "p1", Incarnation: 7}
+var frozenKey = quotalease.Key{Holder: "p1", Incarnation: 7}
 
 // frozenEntries has grants and policies of a fleet that begins.
 func frozenEntries(t *testing.T) (all [][]byte) {
@@ -37,13 +37,13 @@
 		}
 		all = append(all, append([]byte(mark), text...))
 	}
-	add("", grant.Command{Found: &grant.Found{Fleet: "north", Epoch: 1, Drift: .001, Longest: 600 * time.Millisecond}})
-	add("", grant.Command{Expire: &grant.Expire{Token: grant.Token{Epoch: 1, Index: 1}}})
-	add("", grant.Command{SetBudgets: &grant.SetBudgets{Version: 1, Fleet: grant.Fleet{ID: "north", Drift: .001, Longest: 600 * time.Millisecond,
-		Budgets: []grant.Budget{{Name: "attempts", Kind: grant.Rate, Whole: 1000, Burst: 100, Lease: 600 * time.Millisecond, Floors: map[string]float64{"p1": 50}}}}}})
-	add("", grant.Command{Batch: []grant.Command{{Grant: &grant.Grant{Fleet: "north", Epoch: 1, Key: frozenKey, Budget: "attempts", Kind: grant.Rate,
-		Amount: grant.Of(200), Burst: grant.Of(20), Lease: 600 * time.Millisecond, Ask: 3, Version: 1}}}})
-	add("", grant.Command{})
+	add("", quotalease.Command{Found: &quotalease.Found{Fleet: "north", Epoch: 1, Drift: .001, Longest: 600 * time.Millisecond}})
+	add("", quotalease.Command{Expire: &quotalease.Expire{Token: quotalease.Token{Epoch: 1, Index: 1}}})
+	add("", quotalease.Command{SetBudgets: &quotalease.SetBudgets{Version: 1, Fleet: quotalease.Fleet{ID: "north", Drift: .001, Longest: 600 * time.Millisecond,
+		Budgets: []quotalease.Budget{{Name: "attempts", Kind: quotalease.Rate, Whole: 1000, Burst: 100, Lease: 600 * time.Millisecond, Floors: map[string]float64{"p1": 50}}}}}})
+	add("", quotalease.Command{Batch: []quotalease.Command{{Grant: &quotalease.Grant{Fleet: "north", Epoch: 1, Key: frozenKey, Budget: "attempts", Kind: quotalease.Rate,
+		Amount: quotalease.Of(200), Burst: quotalease.Of(20), Lease: 600 * time.Millisecond, Ask: 3, Version: 1}}}})
+	add("", quotalease.Command{})
 	mark := string(rune(policyMark))
 	add(mark, policybook.Command{Charter: &policybook.Charter{Text: charterText("x.org"), By: "op"}})
 	add(mark, offerOf("alpha", 1, "/a"))
@@ -122,10 +122,10 @@
 	if len(st.Held) != 1 || st.Held[0].Namespace != "beta" || st.Held[0].Offered != 1 || st.Held[0].Holds != 0 || st.Held[0].By != "beta" {
 		t.Errorf("held back: read %+v", st.Held)
 	}
-	want := grant.Reply{Fleet: "north", Epoch: 1, Key: frozenKey, Version: 1,
-		Grants: []grant.Grant{{Fleet: "north", Epoch: 1, Key: frozenKey, Budget: "attempts", Kind: grant.Rate, Amount: grant.Of(200), Burst: grant.Of(20),
-			Lease: 600 * time.Millisecond, Ask: 3, Version: 1, Token: grant.Token{Epoch: 1, Index: 4}}},
-		Floors: map[string]grant.Floor{"attempts": {Kind: grant.Rate, Amount: grant.Of(50), Burst: grant.Of(5)}}}
+	want := quotalease.Reply{Fleet: "north", Epoch: 1, Key: frozenKey, Version: 1,
+		Grants: []quotalease.Grant{{Fleet: "north", Epoch: 1, Key: frozenKey, Budget: "attempts", Kind: quotalease.Rate, Amount: quotalease.Of(200), Burst: quotalease.Of(20),
+			Lease: 600 * time.Millisecond, Ask: 3, Version: 1, Token: quotalease.Token{Epoch: 1, Index: 4}}},
+		Floors: map[string]quotalease.Floor{"attempts": {Kind: quotalease.Rate, Amount: quotalease.Of(50), Burst: quotalease.Of(5)}}}
 	if got := m.book.Tell(frozenKey); !reflect.DeepEqual(got, want) {
 		t.Errorf("grants: read\n%+v, want\n%+v", got, want)
 	}
--- a/internal/steward/http.go
+++ b/internal/steward/http.go
@@ -9,15 +9,15 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
 	"lapisspread/internal/policybook"
+	"lapisspread/internal/quotalease"
 )
 
 // Handler serves proxies, operators and the other stewards.
 func (s *Steward) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+fleet.PathAsk, func(w http.ResponseWriter, r *http.Request) {
-		var in grant.Request
+		var in quotalease.Request
 		if s.read(w, r, &in) {
 			reply, err := s.asked(r.Context(), in, fleet.Waits(r, answerTime))
 			s.write(w, reply, err)
@@ -34,7 +34,7 @@
 		}
 	})
 	mux.HandleFunc("POST "+fleet.PathSet, func(w http.ResponseWriter, r *http.Request) {
-		var in grant.SetBudgets
+		var in quotalease.SetBudgets
 		if s.read(w, r, &in) {
 			s.write(w, struct{}{}, s.setBudgets(r.Context(), in))
 		}
@@ -68,7 +68,7 @@
 	mux.HandleFunc("/consensus/", func(w http.ResponseWriter, r *http.Request) {
 		t := s.now.Load()
 		if t == nil {
-			fleet.Write(w, http.StatusServiceUnavailable, s.told(grant.NotFounded{}))
+			fleet.Write(w, http.StatusServiceUnavailable, s.told(quotalease.NotFounded{}))
 			return
 		}
 		t.handler.ServeHTTP(w, r)
--- a/internal/steward/machine.go
+++ b/internal/steward/machine.go
@@ -13,9 +13,9 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policybook"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/shelf"
 )
@@ -25,8 +25,8 @@
 	clock func() time.Duration
 
 	mu     sync.Mutex
-	book   *grant.Book
-	keeper *grant.Keeper
+	book   *quotalease.Book
+	keeper *quotalease.Keeper
 
 	policies sync.Mutex // apart from the grants: a merge takes longer than a plan may wait
 	policy   *policybook.Book
@@ -60,8 +60,8 @@
 
 // newMachine has no silence of its own: the log keeps it, and knows by the other stewards when it may end sooner.
 func newMachine(clock func() time.Duration, epoch uint64) *machine {
-	book := grant.NewBook()
-	m := &machine{clock: clock, book: book, keeper: grant.NewKeeper(clock(), 0, book), policy: policybook.New(epoch << 32),
+	book := quotalease.NewBook()
+	m := &machine{clock: clock, book: book, keeper: quotalease.NewKeeper(clock(), 0, book), policy: policybook.New(epoch << 32),
 		shelf: shelf.New(shelf.Defaults()), whole: map[string]whole{}}
 	m.publish()
 	return m
@@ -92,10 +92,10 @@
 	if len(command) > 0 && command[0] == policyMark {
 		return m.applyPolicy(command[1:])
 	}
-	var c grant.Command
+	var c quotalease.Command
 	var out outcome
 	if err := json.Unmarshal(command, &c); err != nil {
-		c = grant.Command{} // the book counts the entry, and refuses it as empty
+		c = quotalease.Command{} // the book counts the entry, and refuses it as empty
 	}
 	m.mu.Lock()
 	a, err := m.book.Apply(index, c)
--- a/internal/steward/plans.go
+++ b/internal/steward/plans.go
@@ -9,7 +9,7 @@
 
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 )
 
 const leads = "StateLeader"
@@ -54,7 +54,7 @@
 func (s *Steward) round(ctx context.Context, asks []ask) {
 	t := s.now.Load()
 	if t == nil {
-		s.answerAll(asks, grant.NotFounded{})
+		s.answerAll(asks, quotalease.NotFounded{})
 		return
 	}
 	m := t.machine
@@ -79,7 +79,7 @@
 	m.mu.Unlock()
 	if unfounded != nil {
 		f := t.founding
-		if err := s.propose(ctx, t, grant.Command{Found: &grant.Found{Fleet: f.Fleet, Epoch: f.Epoch, Drift: f.Drift, Longest: time.Duration(f.Longest)}}); err != nil {
+		if err := s.propose(ctx, t, quotalease.Command{Found: &quotalease.Found{Fleet: f.Fleet, Epoch: f.Epoch, Drift: f.Drift, Longest: time.Duration(f.Longest)}}); err != nil {
 			s.answerAll(asks, err)
 			return
 		}
@@ -89,7 +89,7 @@
 	m.mu.Lock()
 	for _, a := range asks {
 		if err := m.keeper.Heard(now, a.request); err != nil {
-			s.answer(a, grant.Reply{}, err)
+			s.answer(a, quotalease.Reply{}, err)
 			continue
 		}
 		heard = append(heard, a)
@@ -106,7 +106,7 @@
 	}
 	for range 3 { // words first, then grants of what they free; what is left comes with the next round
 		m.mu.Lock()
-		var commands []grant.Command
+		var commands []quotalease.Command
 		if m.keeper.Pending(s.clock()) {
 			commands = m.keeper.Plan(s.clock())
 		}
@@ -125,7 +125,7 @@
 		past := reply.Version == 0 && m.past()
 		m.mu.Unlock()
 		if past {
-			s.answer(a, reply, grant.StillSilent{Longest: time.Duration(t.founding.Longest)})
+			s.answer(a, reply, quotalease.StillSilent{Longest: time.Duration(t.founding.Longest)})
 			continue
 		}
 		s.answer(a, reply, nil)
@@ -133,7 +133,7 @@
 }
 
 // carryOut proposes a plan, in as few entries as it fits in.
-func (s *Steward) carryOut(ctx context.Context, t *term, commands []grant.Command) error {
+func (s *Steward) carryOut(ctx context.Context, t *term, commands []quotalease.Command) error {
 	for len(commands) > 0 {
 		n, bytes := 0, 0
 		for n < len(commands) {
@@ -146,7 +146,7 @@
 			}
 			n++
 		}
-		if err := s.propose(ctx, t, grant.Command{Batch: commands[:n]}); err != nil {
+		if err := s.propose(ctx, t, quotalease.Command{Batch: commands[:n]}); err != nil {
 			return err
 		}
 		commands = commands[n:]
@@ -155,7 +155,7 @@
 }
 
 // propose returns once a command is committed and applied here. An error is the log's, or the book's Problem.
-func (s *Steward) propose(ctx context.Context, t *term, c grant.Command) error {
+func (s *Steward) propose(ctx context.Context, t *term, c quotalease.Command) error {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -185,7 +185,7 @@
 	return nil
 }
 
-func (s *Steward) answer(a ask, r grant.Reply, err error) {
+func (s *Steward) answer(a ask, r quotalease.Reply, err error) {
 	if err == nil {
 		s.counts.answered.Add(1)
 	} else {
@@ -196,12 +196,12 @@
 
 func (s *Steward) answerAll(asks []ask, err error) {
 	for _, a := range asks {
-		s.answer(a, grant.Reply{}, err)
+		s.answer(a, quotalease.Reply{}, err)
 	}
 }
 
 // asked has the plans answer a request.
-func (s *Steward) asked(ctx context.Context, r grant.Request, waits time.Duration) (grant.Reply, error) {
+func (s *Steward) asked(ctx context.Context, r quotalease.Request, waits time.Duration) (quotalease.Reply, error) {
 	s.counts.asks.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, waits*4/5) // so that the caller hears why
 	defer cancel()
@@ -210,13 +210,13 @@
 	case s.asks <- a:
 	default:
 		s.counts.full.Add(1)
-		return grant.Reply{}, consensus.QueueFull{Limit: mostAsks}
+		return quotalease.Reply{}, consensus.QueueFull{Limit: mostAsks}
 	}
 	select {
 	case got := <-a.answer:
 		return got.reply, got.err
 	case <-ctx.Done():
-		return grant.Reply{}, s.late()
+		return quotalease.Reply{}, s.late()
 	}
 }
 
@@ -229,10 +229,10 @@
 }
 
 // setBudgets carries out an operator's word.
-func (s *Steward) setBudgets(ctx context.Context, b grant.SetBudgets) error {
+func (s *Steward) setBudgets(ctx context.Context, b quotalease.SetBudgets) error {
 	t := s.now.Load()
 	if t == nil {
-		return grant.NotFounded{}
+		return quotalease.NotFounded{}
 	}
 	status := t.node.Status()
 	if status.Err != nil {
@@ -243,7 +243,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTime)
 	defer cancel()
-	err := s.propose(ctx, t, grant.Command{SetBudgets: &b})
+	err := s.propose(ctx, t, quotalease.Command{SetBudgets: &b})
 	if err == nil {
 		s.set.Log.Info("budgets were set by an operator's word", "version", b.Version, "budgets", len(b.Fleet.Budgets))
 	} else {
--- a/internal/steward/policy.go
+++ b/internal/steward/policy.go
@@ -13,9 +13,9 @@
 
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policybook"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 )
 
@@ -56,7 +56,7 @@
 func (s *Steward) leading() (*term, error) {
 	t := s.now.Load()
 	if t == nil {
-		return nil, grant.NotFounded{}
+		return nil, quotalease.NotFounded{}
 	}
 	status := t.node.Status()
 	if status.Err != nil {
@@ -173,7 +173,7 @@
 func (s *Steward) reported(in fleet.PolicyReport) (fleet.PolicyReply, error) {
 	out := fleet.PolicyReply{Fleet: s.set.File.Fleet}
 	if in.Fleet != out.Fleet {
-		return out, grant.OtherFleet{Ours: out.Fleet, Theirs: in.Fleet}
+		return out, quotalease.OtherFleet{Ours: out.Fleet, Theirs: in.Fleet}
 	}
 	t, err := s.leading()
 	if err != nil {
@@ -214,14 +214,14 @@
 // piecesOf gives pieces by name. Any steward does: what it has may be behind, and then the proxy asks another.
 func (s *Steward) piecesOf(in fleet.PiecesRequest) (out fleet.PiecesReply, err error) {
 	if in.Fleet != s.set.File.Fleet {
-		return out, grant.OtherFleet{Ours: s.set.File.Fleet, Theirs: in.Fleet}
+		return out, quotalease.OtherFleet{Ours: s.set.File.Fleet, Theirs: in.Fleet}
 	}
 	if len(in.Names) > fleet.MostNames || len(in.Proxy) > mostName {
 		return out, fleet.BadMessage{Why: fmt.Sprintf("it asks for %d pieces", len(in.Names))}
 	}
 	t := s.now.Load()
 	if t == nil {
-		return out, grant.NotFounded{}
+		return out, quotalease.NotFounded{}
 	}
 	var later time.Duration
 	out.Pieces, out.Lacks, later = t.machine.shelf.Named(s.clock(), in.Proxy, in.Root, in.Names)
@@ -328,7 +328,7 @@
 func (s *Steward) policyStatus() (fleet.PolicyStatus, error) {
 	t := s.now.Load()
 	if t == nil {
-		return fleet.PolicyStatus{}, grant.NotFounded{}
+		return fleet.PolicyStatus{}, quotalease.NotFounded{}
 	}
 	out := fleet.PolicyStatus{Standing: t.machine.standing()}
 	if _, err := s.leading(); err != nil {
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -1,5 +1,5 @@
 // Package steward is one of those who divide the budgets of a fleet: a process of its own that agrees with the others on a log
-// (internal/consensus) what is granted to whom (internal/grant).
+// (internal/consensus) what is granted to whom (internal/quotalease).
 //
 // A goroutine for each duty: the log's own (package node), the plans, the figures; they share the book under a lock that is
 // never held over I/O. Asks come by HTTP and wait in a bounded queue; when that is full they are refused, and the proxy asks
@@ -26,8 +26,8 @@
 	"lapisspread/internal/consensus/node"
 	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
 	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/tlskeys"
 )
 
@@ -83,12 +83,12 @@
 }
 
 type ask struct {
-	request grant.Request
+	request quotalease.Request
 	answer  chan answer // holds one
 }
 
 type answer struct {
-	reply grant.Reply
+	reply quotalease.Reply
 	err   error
 }
 
@@ -167,17 +167,17 @@
 	was := s.now.Load()
 	switch {
 	case f.Fleet != s.set.File.Fleet:
-		return grant.OtherFleet{Ours: s.set.File.Fleet, Theirs: f.Fleet}
+		return quotalease.OtherFleet{Ours: s.set.File.Fleet, Theirs: f.Fleet}
 	case f.ID != s.own.Number:
 		return storage.StoreOfAnotherNode{Path: s.own.Address, ID: s.own.Number}
 	case f.Epoch == 0 || f.Longest <= 0:
-		return grant.BadCommand{Why: fmt.Sprintf("epoch %d, longest %v", f.Epoch, time.Duration(f.Longest))}
+		return quotalease.BadCommand{Why: fmt.Sprintf("epoch %d, longest %v", f.Epoch, time.Duration(f.Longest))}
 	case last != nil && f.Epoch == last.Epoch && f.Longest == last.Longest && f.Drift == last.Drift:
 		return nil // told again
 	case last != nil && f.Epoch <= last.Epoch:
-		return grant.OldEpoch{Got: f.Epoch, Have: last.Epoch}
+		return quotalease.OldEpoch{Got: f.Epoch, Have: last.Epoch}
 	case last != nil && (f.Longest < last.Longest || f.Drift < last.Drift):
-		return grant.BadCommand{Why: fmt.Sprintf("longest %v or drift %v is less than held before", time.Duration(f.Longest), f.Drift)}
+		return quotalease.BadCommand{Why: fmt.Sprintf("longest %v or drift %v is less than held before", time.Duration(f.Longest), f.Drift)}
 	}
 	if was != nil { // from here on it has no voice in the founding before
 		s.now.Store(nil)
@@ -226,7 +226,7 @@
 		peers[o.Number] = "http://" + o.Address
 	}
 	m := newMachine(s.clock, f.Epoch)
-	silence := grant.Silence(time.Duration(f.Longest), f.Drift) + s.set.Tick
+	silence := quotalease.Silence(time.Duration(f.Longest), f.Drift) + s.set.Tick
 	n, err := node.Start(node.Config{Fleet: f.Fleet, Epoch: f.Epoch, ID: f.ID, Store: s.storePath(f.Epoch), Peers: peers, Machine: m,
 		Silence: silence, Tick: s.set.Tick, Limits: consensus.Settings{MaxCommand: mostEntry}, Via: s.set.Via})
 	if err != nil {
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -17,8 +17,8 @@
 	"go.uber.org/goleak"
 
 	"lapisspread/internal/fleet"
-	"lapisspread/internal/grant"
 	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/quotalease"
 	"lapisspread/internal/strictconfig"
 	"lapisspread/internal/tlskeys/tlstest"
 )
@@ -161,12 +161,12 @@
 
 // holder asks in its own pace, of all stewards in turn.
 type holder struct {
-	*grant.Holder
+	*quotalease.Holder
 	begun time.Time
 }
 
 func newHolder(name string) *holder {
-	return &holder{grant.NewHolder(grant.HolderSettings{Fleet: "north", Key: grant.Key{Holder: name, Incarnation: 7}, Drift: .001}), time.Now()}
+	return &holder{quotalease.NewHolder(quotalease.HolderSettings{Fleet: "north", Key: quotalease.Key{Holder: name, Incarnation: 7}, Drift: .001}), time.Now()}
 }
 
 func (h *holder) now() time.Duration { return time.Since(h.begun) }
@@ -177,7 +177,7 @@
 	at := h.now()
 	r := h.Ask(at)
 	for _, o := range s.file.Stewards {
-		var reply grant.Reply
+		var reply quotalease.Reply
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		err = fleet.Call(ctx, s.client, o.Address, fleet.PathAsk, r, &reply)
 		cancel()
@@ -263,7 +263,7 @@
 	_, err = s.file.Set(ctx, s.client, 1, nil)
 	refused("an old version", "OldBudgets", err)
 	stranger := newHolder("p1")
-	stranger.Holder = grant.NewHolder(grant.HolderSettings{Fleet: "south", Key: grant.Key{Holder: "p1", Incarnation: 1}})
+	stranger.Holder = quotalease.NewHolder(quotalease.HolderSettings{Fleet: "south", Key: quotalease.Key{Holder: "p1", Incarnation: 1}})
 	lead := s.leader()
 	err = fleet.One(ctx, s.client, s.file.Stewards[lead].Address, fleet.PathAsk, stranger.Ask(0), nil)
 	refused("another fleet's proxy", "OtherFleet", err)
@@ -353,7 +353,7 @@
 					for left.Add(-1) >= 0 {
 						h.Want("attempts", 1000)
 						at := h.now()
-						var reply grant.Reply
+						var reply quotalease.Reply
 						if err := fleet.One(context.Background(), client, lead, fleet.PathAsk, h.Ask(at), &reply); err != nil {
 							failed.Add(1)
 							continue
--- a/internal/steward/twice.go
+++ b/internal/steward/twice.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 )
 
 // FloorsTwice is that two processes both say that the floors of one name are theirs. On one machine a lock keeps them apart, so these
@@ -37,7 +37,7 @@
 )
 
 // heard takes a request, and returns FloorsTwice if it shows that.
-func (c *claimants) heard(now time.Duration, r *grant.Request) error {
+func (c *claimants) heard(now time.Duration, r *quotalease.Request) error {
 	if r.Floors == 0 || r.Leaving {
 		return nil
 	}
--- a/internal/steward/twice_test.go
+++ b/internal/steward/twice_test.go
@@ -5,21 +5,21 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/grant"
+	"lapisspread/internal/quotalease"
 )
 
 func TestFloorsOfOneNameOnTwoMachinesAreFound(t *testing.T) {
-	ask := func(incarnation, floors uint64) *grant.Request {
-		return &grant.Request{Key: grant.Key{Holder: "p1", Incarnation: incarnation}, Floors: floors}
+	ask := func(incarnation, floors uint64) *quotalease.Request {
+		return &quotalease.Request{Key: quotalease.Key{Holder: "p1", Incarnation: incarnation}, Floors: floors}
 	}
 	for name, c := range map[string]struct {
-		asks []*grant.Request
+		asks []*quotalease.Request
 		want bool
 	}{
-		"one":                          {[]*grant.Request{ask(1, 3), ask(1, 3), ask(1, 4)}, false},
-		"a restart, and another":       {[]*grant.Request{ask(1, 3), ask(2, 3), ask(2, 3), ask(3, 3)}, false},
-		"an upgrade: the old one asks": {[]*grant.Request{ask(1, 3), ask(2, 0), ask(1, 3), ask(2, 3), ask(1, 0)}, false},
-		"two":                          {[]*grant.Request{ask(1, 3), ask(2, 3), ask(1, 3)}, true},
+		"one":                          {[]*quotalease.Request{ask(1, 3), ask(1, 3), ask(1, 4)}, false},
+		"a restart, and another":       {[]*quotalease.Request{ask(1, 3), ask(2, 3), ask(2, 3), ask(3, 3)}, false},
+		"an upgrade: the old one asks": {[]*quotalease.Request{ask(1, 3), ask(2, 0), ask(1, 3), ask(2, 3), ask(1, 0)}, false},
+		"two":                          {[]*quotalease.Request{ask(1, 3), ask(2, 3), ask(1, 3)}, true},
 	} {
 		var all claimants
 		found := false
