--- a/internal/quotalease/book.go
+++ b/internal/quotalease/book.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"lapisspread/internal/grant/internal/flaw"
+	"lapisspread/internal/quotalease/internal/mutation"
 )
 
 // Command is an entry of the log: exactly one field is set.
@@ -178,7 +178,7 @@
 }
 
 // all is what the process may still spend: it goes by one grant at a time, and one cannot know by which of these.
-func (e *entry) all(f flaw.Set) count {
+func (e *entry) all(f mutation.Set) count {
 	c := count{amount: e.Rest}
 	if f.Max && len(e.Grants) > 0 {
 		return count{e.Grants[len(e.Grants)-1].Amount, e.Grants[len(e.Grants)-1].Burst}
@@ -190,7 +190,7 @@
 }
 
 // fresh is the part of all that was granted under a version.
-func (e *entry) fresh(version uint64, f flaw.Set) count {
+func (e *entry) fresh(version uint64, f mutation.Set) count {
 	if f.Max {
 		return e.all(f)
 	}
@@ -243,14 +243,14 @@
 	seen    uint64 // newest version that a holder knows
 	config  Fleet
 	ledgers map[string]*ledger
-	flaws   flaw.Set
+	flaws   mutation.Set
 }
 
 // NewBook is the book of an empty log.
 func NewBook() *Book { return &Book{ledgers: map[string]*ledger{}} }
 
 // Without takes guards out, for the trial of a checker.
-func (b *Book) Without(f flaw.Set) { b.flaws = f }
+func (b *Book) Without(f mutation.Set) { b.flaws = f }
 
 // Founded is the fleet, and the epoch of its founding; NotFounded before.
 func (b *Book) Founded() (fleet string, epoch uint64, err error) {
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"lapisspread/internal/grant/internal/flaw"
+	"lapisspread/internal/quotalease/internal/mutation"
 )
 
 // HolderSettings are those of one process of a proxy.
@@ -82,7 +82,7 @@
 	claimed time.Duration
 	left    bool
 	slipped uint64
-	flaws   flaw.Set
+	flaws   mutation.Set
 }
 
 // NewHolder makes the holder of a process that has nothing but, with a claim, its floors.
@@ -95,7 +95,7 @@
 }
 
 // Without takes guards out, for the trial of a checker.
-func (h *Holder) Without(f flaw.Set) { h.flaws = f }
+func (h *Holder) Without(f mutation.Set) { h.flaws = f }
 
 func (h *Holder) draw(budget string, kind Kind) *draw {
 	d := h.draws[budget]
--- a/internal/grant/internal/flaw/flaw.go
+++ b/internal/quotalease/internal/mutation/flaw.go
@@ -1,6 +1,6 @@
-// Package flaw takes single guards out of the grants' machine, so that a checker can be tried: with a guard out it must
+// Package mutation takes single guards out of the grants' machine, so that a checker can be tried: with a guard out it must
 // convict. Only packages below internal/quotalease can make a Set.
-package flaw
+package mutation
 
 // Set names the guards that are out. The zero value is the sound machine.
 type Set struct {
--- a/internal/quotalease/modelcheck/explore_test.go
+++ b/internal/quotalease/modelcheck/explore_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/grant/internal/flaw"
 	"lapisspread/internal/quotalease"
+	"lapisspread/internal/quotalease/internal/mutation"
 )
 
 func rates() Settings {
@@ -53,20 +53,20 @@
 		guard string
 		world Settings
 		mix   map[string]int
-		out   flaw.Set
+		out   mutation.Set
 		from  uint64 // the first seed: those before were tried and don't meet it
 	}{
-		{"the lease's margin for drift", quick, deaths, flaw.Set{Margin: true}, 22},
-		{"the lease counted from the ask", rates(), deaths, flaw.Set{Reply: true}, 0},
-		{"the empty bucket", rates(), links, flaw.Set{Full: true}, 0},
-		{"the order of tokens", quick, moves, flaw.Set{Order: true}, 49},
-		{"commit before telling", rates(), stewards, flaw.Set{Commit: true}, 0},
-		{"silence after a start", rates(), stores, flaw.Set{Silence: true}, 5},
-		{"silence after a cut", rates(), stores, flaw.Set{Cut: true}, 31},
-		{"the largest of all grants", rates(), links, flaw.Set{Max: true}, 0},
-		{"only what is older than acked is dropped", rates(), links, flaw.Set{Ack: true}, 0},
-		{"the sum in the log", rates(), links, flaw.Set{Sum: true}, 0},
-		{"the life of work in hand", hands(), links, flaw.Set{Life: true}, 0},
+		{"the lease's margin for drift", quick, deaths, mutation.Set{Margin: true}, 22},
+		{"the lease counted from the ask", rates(), deaths, mutation.Set{Reply: true}, 0},
+		{"the empty bucket", rates(), links, mutation.Set{Full: true}, 0},
+		{"the order of tokens", quick, moves, mutation.Set{Order: true}, 49},
+		{"commit before telling", rates(), stewards, mutation.Set{Commit: true}, 0},
+		{"silence after a start", rates(), stores, mutation.Set{Silence: true}, 5},
+		{"silence after a cut", rates(), stores, mutation.Set{Cut: true}, 31},
+		{"the largest of all grants", rates(), links, mutation.Set{Max: true}, 0},
+		{"only what is older than acked is dropped", rates(), links, mutation.Set{Ack: true}, 0},
+		{"the sum in the log", rates(), links, mutation.Set{Sum: true}, 0},
+		{"the life of work in hand", hands(), links, mutation.Set{Life: true}, 0},
 	} {
 		t.Run(tt.guard, func(t *testing.T) {
 			t.Parallel()
@@ -78,7 +78,7 @@
 					continue
 				}
 				t.Logf("seed %d, moment %d: %s", seed, flawed.Steps, flawed.Found)
-				tt.world.flaws = flaw.Set{}
+				tt.world.flaws = mutation.Set{}
 				if sound := Draw(tt.world, seed, 2000); sound.Found != "" {
 					t.Errorf("with the guard: %v", sound)
 				}
@@ -113,13 +113,13 @@
 	t.Parallel()
 	for _, tt := range []struct {
 		guard  string
-		out    flaw.Set
+		out    mutation.Set
 		bounds Bounds
 	}{
-		{"the lease's margin for drift", flaw.Set{Margin: true}, Bounds{Asks: 1, Ticks: 2, Tick: half}},
-		{"the lease counted from the ask", flaw.Set{Reply: true}, Bounds{Asks: 1, Ticks: 3, Tick: half}},
-		{"commit before telling", flaw.Set{Commit: true}, Bounds{Asks: 1, Elections: 1}},
-		{"the sum in the log", flaw.Set{Sum: true}, Bounds{Asks: 1, Tick: half}},
+		{"the lease's margin for drift", mutation.Set{Margin: true}, Bounds{Asks: 1, Ticks: 2, Tick: half}},
+		{"the lease counted from the ask", mutation.Set{Reply: true}, Bounds{Asks: 1, Ticks: 3, Tick: half}},
+		{"commit before telling", mutation.Set{Commit: true}, Bounds{Asks: 1, Elections: 1}},
+		{"the sum in the log", mutation.Set{Sum: true}, Bounds{Asks: 1, Tick: half}},
 	} {
 		s := small()
 		s.flaws = tt.out
@@ -128,7 +128,7 @@
 		} else {
 			t.Logf("%s: %s: %q", tt.guard, r.Found, r.Trace)
 		}
-		s.flaws = flaw.Set{}
+		s.flaws = mutation.Set{}
 		if r := Explore(s, tt.bounds); r.Found != "" || !r.Complete {
 			t.Errorf("%s, with it: %+v", tt.guard, r)
 		}
@@ -139,18 +139,18 @@
 func BenchmarkExplore(b *testing.B) {
 	for _, tt := range []struct {
 		name   string
-		out    flaw.Set
+		out    mutation.Set
 		bounds Bounds
 		broken bool
 	}{
-		{"sound/2 asks, 1 tick", flaw.Set{}, Bounds{Asks: 2, Ticks: 1, Tick: half}, false},
-		{"sound/2 asks, 2 ticks", flaw.Set{}, Bounds{Asks: 2, Ticks: 2, Tick: half, Most: 200000}, false},
-		{"sound/3 asks", flaw.Set{}, Bounds{Asks: 3, Tick: half}, false},
-		{"sound/1 election, 1 restart", flaw.Set{}, Bounds{Asks: 1, Elections: 1, Restarts: 1}, false},
-		{"sound/1 election, 1 tick", flaw.Set{}, Bounds{Asks: 1, Ticks: 1, Tick: half, Elections: 1, Most: 200000}, false},
-		{"without the largest of all grants", flaw.Set{Max: true}, Bounds{Asks: 2, Tick: half}, true},
-		{"without the order of tokens", flaw.Set{Order: true}, Bounds{Asks: 3, Tick: half}, true},
-		{"without silence", flaw.Set{Silence: true}, Bounds{Asks: 1, Elections: 1, Restarts: 1}, true},
+		{"sound/2 asks, 1 tick", mutation.Set{}, Bounds{Asks: 2, Ticks: 1, Tick: half}, false},
+		{"sound/2 asks, 2 ticks", mutation.Set{}, Bounds{Asks: 2, Ticks: 2, Tick: half, Most: 200000}, false},
+		{"sound/3 asks", mutation.Set{}, Bounds{Asks: 3, Tick: half}, false},
+		{"sound/1 election, 1 restart", mutation.Set{}, Bounds{Asks: 1, Elections: 1, Restarts: 1}, false},
+		{"sound/1 election, 1 tick", mutation.Set{}, Bounds{Asks: 1, Ticks: 1, Tick: half, Elections: 1, Most: 200000}, false},
+		{"without the largest of all grants", mutation.Set{Max: true}, Bounds{Asks: 2, Tick: half}, true},
+		{"without the order of tokens", mutation.Set{Order: true}, Bounds{Asks: 3, Tick: half}, true},
+		{"without silence", mutation.Set{Silence: true}, Bounds{Asks: 1, Elections: 1, Restarts: 1}, true},
 	} {
 		b.Run(tt.name, func(b *testing.B) {
 			for b.Loop() {
--- a/internal/quotalease/modelcheck/world.go
+++ b/internal/quotalease/modelcheck/world.go
@@ -14,8 +14,8 @@
 
 	"github.com/zeebo/xxh3"
 
-	"lapisspread/internal/grant/internal/flaw"
 	"lapisspread/internal/quotalease"
+	"lapisspread/internal/quotalease/internal/mutation"
 )
 
 const (
@@ -96,7 +96,7 @@
 	Floor             float64        // of the first holder
 	Step              time.Duration  // the longest moment of a drawn run; 0 is a twentieth of a lease
 	Mix               map[string]int // how often each fault is drawn, in 4,000 moments; nil is the usual
-	flaws             flaw.Set
+	flaws             mutation.Set
 }
 
 // whole is a configured whole under which something was granted; it counts until that must have ended, by true time.
