--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"lapisspread/internal/budget"
+	"lapisspread/internal/processquota"
 )
 
 // RequestSettings are what Requests go by.
@@ -43,7 +43,7 @@
 // Door it is pure, and for one caller at a time.
 type Requests struct {
 	set     RequestSettings
-	gate    *budget.Gate
+	gate    *processquota.Gate
 	rng     *rand.Rand
 	inHand  int
 	tenants []int
@@ -53,7 +53,7 @@
 }
 
 // NewRequests makes bounds for so many tenants. An error names the setting.
-func NewRequests(s RequestSettings, gate *budget.Gate, tenants int, seed uint64) (*Requests, error) {
+func NewRequests(s RequestSettings, gate *processquota.Gate, tenants int, seed uint64) (*Requests, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("admission: requests: %w", err)
 	}
--- a/internal/listener/requests.go
+++ b/internal/listener/requests.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lapisspread/internal/admission"
-	"lapisspread/internal/budget"
+	"lapisspread/internal/processquota"
 )
 
 // InHand bounds the requests in hand of one service. It is for any goroutine.
@@ -15,7 +15,7 @@
 }
 
 // NewInHand makes the bounds of a service with so many tenants.
-func NewInHand(s admission.RequestSettings, gate *budget.Gate, tenants int, seed uint64) (*InHand, error) {
+func NewInHand(s admission.RequestSettings, gate *processquota.Gate, tenants int, seed uint64) (*InHand, error) {
 	rules, err := admission.NewRequests(s, gate, tenants, seed)
 	if err != nil {
 		return nil, err
--- a/internal/namespace/policy.go
+++ b/internal/namespace/policy.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"lapisspread/internal/budget"
+	"lapisspread/internal/processquota"
 	"lapisspread/internal/route"
 )
 
@@ -278,13 +278,13 @@
 }
 
 // BudgetShares are the namespaces' shares of a budget in the form of package budget.
-func (p *Policy) BudgetShares(name string) map[string]budget.Share {
-	out := map[string]budget.Share{}
+func (p *Policy) BudgetShares(name string) map[string]processquota.Share {
+	out := map[string]processquota.Share{}
 	for _, s := range p.Shares {
 		if s.Budget != name {
 			continue
 		}
-		var b budget.Share
+		var b processquota.Share
 		if s.Min != nil {
 			b.Min = s.Min.Is
 		}
--- a/internal/budget/budget.go
+++ b/internal/processquota/budget.go
@@ -1,4 +1,4 @@
-// Package budget shares what a process has among its services: requests in hand, bytes of bodies, connections
+// Package processquota shares what a process has among its services: requests in hand, bytes of bodies, connections
 // (Pool), and attempts a second (Rate); and whose requests still get in as a share runs short (Gate). It is pure: no I/O, no goroutine, no clock; callers give the time and see to
 // it that one at a time calls.
 //
@@ -10,7 +10,7 @@
 //     than that. What of a minimum is idle is lent until its owner asks.
 //   - What is over all minimums goes by weight: who asks and is under its weighted share goes before who is over it.
 //     Nobody that asks waits for ever behind those that are over theirs, under the same condition.
-package budget
+package processquota
 
 import (
 	"errors"
--- a/internal/budget/gate_test.go
+++ b/internal/processquota/gate_test.go
@@ -1,4 +1,4 @@
-package budget
+package processquota
 
 import (
 	"math"
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -16,7 +16,6 @@
 
 	"lapisspread/decision"
 	"lapisspread/internal/admission"
-	"lapisspread/internal/budget"
 	"lapisspread/internal/diameter/upstream"
 	"lapisspread/internal/discovery"
 	"lapisspread/internal/engine"
@@ -25,6 +24,7 @@
 	"lapisspread/internal/listener"
 	"lapisspread/internal/metrics"
 	"lapisspread/internal/policyroutes"
+	"lapisspread/internal/processquota"
 	"lapisspread/internal/quota"
 	"lapisspread/internal/route"
 	config "lapisspread/internal/services"
@@ -42,7 +42,7 @@
 	figures *metrics.Figures
 	pool    *pool
 	roster  *roster
-	gate    *budget.Gate // of its share of the process; nil for the only one
+	gate    *processquota.Gate // of its share of the process; nil for the only one
 
 	requests *listener.InHand   // bounds those in hand; nil is no bound
 	sight    *fleetview.Sight   // nil weighs nothing
@@ -323,16 +323,16 @@
 }
 
 // gateOf is who gets the last of a service's share.
-func gateOf(m *decision.Config) (*budget.Gate, error) {
-	var classes []budget.GateClass
+func gateOf(m *decision.Config) (*processquota.Gate, error) {
+	var classes []processquota.GateClass
 	for _, c := range m.Classes {
-		classes = append(classes, budget.GateClass{Worth: c.Value, Holds: max(c.Aim, time.Millisecond).Seconds()})
+		classes = append(classes, processquota.GateClass{Worth: c.Value, Holds: max(c.Aim, time.Millisecond).Seconds()})
 	}
 	var weights []float64
 	for _, t := range m.Tenants {
 		weights = append(weights, t.Share)
 	}
-	return budget.NewGate(classes, weights)
+	return processquota.NewGate(classes, weights)
 }
 
 // moduleOf are the settings of a service's decisions: the process's, but for what its file says otherwise.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"lapisspread/internal/budget"
+	"lapisspread/internal/processquota"
 	"lapisspread/internal/services"
 )
 
@@ -27,14 +27,14 @@
 
 	mu       sync.Mutex
 	pools    *pools // nil for one service
-	attempts *budget.Rate
+	attempts *processquota.Rate
 	leaving  map[string]int // services that take no more and have not ended, by name
 	file     *services.File // the pools' own
 	totals   Totals
 	refused  map[string]*refusals
 }
 
-type pools struct{ requests, bytes, conns *budget.Pool }
+type pools struct{ requests, bytes, conns *processquota.Pool }
 
 // refusals count what a service was refused, by why.
 type refusals struct {
@@ -114,13 +114,13 @@
 		next = *l.pools
 	}
 	for _, k := range []struct {
-		pool  **budget.Pool
+		pool  **processquota.Pool
 		total int64
 	}{{&next.requests, totals.Requests}, {&next.bytes, totals.Bytes}, {&next.conns, totals.Conns}} { // the same shares: all are good or none
 		shares := withLeaving(f.Shares(k.total), l.leaving)
 		var err error
 		if *k.pool == nil {
-			*k.pool, err = budget.NewPool(f.Terms(k.total), shares)
+			*k.pool, err = processquota.NewPool(f.Terms(k.total), shares)
 		} else {
 			err = (*k.pool).Change(f.Terms(k.total), shares)
 		}
@@ -153,13 +153,13 @@
 	return shares
 }
 
-func (l *Limits) rate(f *services.File, total float64) (*budget.Rate, error) {
+func (l *Limits) rate(f *services.File, total float64) (*processquota.Rate, error) {
 	if total == 0 {
 		return nil, nil
 	}
 	shares := withLeaving(f.RateShares(total), l.leaving)
 	if l.attempts == nil {
-		r, err := budget.NewRate(total, attemptsBurst, shares)
+		r, err := processquota.NewRate(total, attemptsBurst, shares)
 		if err != nil {
 			return nil, fmt.Errorf("limits: attempts: %w", err)
 		}
@@ -174,7 +174,7 @@
 // Ask is a request that wants to be taken.
 type Ask struct {
 	Service       string
-	Gate          *budget.Gate // the service's own; nil lets everyone in
+	Gate          *processquota.Gate // the service's own; nil lets everyone in
 	Class, Tenant int
 	Bytes         int64 // of its body
 }
@@ -279,7 +279,7 @@
 	}
 	out := map[string]any{}
 	now := l.now()
-	for name, p := range map[string]*budget.Pool{"requests": l.pools.requests, "bytes": l.pools.bytes, "connections": l.pools.conns} {
+	for name, p := range map[string]*processquota.Pool{"requests": l.pools.requests, "bytes": l.pools.bytes, "connections": l.pools.conns} {
 		total, used := p.Total()
 		by := map[string]int64{}
 		for member, u := range p.Used(now) {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/budget"
+	"lapisspread/internal/processquota"
 	"lapisspread/internal/services"
 )
 
@@ -129,7 +129,7 @@
 	if err := l.Change(file(t, two), Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 60}, nil); err != nil {
 		t.Fatal(err)
 	}
-	gate, err := budget.NewGate([]budget.GateClass{{Worth: 1, Holds: 1000}, {Worth: 10, Holds: 500}}, nil)
+	gate, err := processquota.NewGate([]processquota.GateClass{{Worth: 1, Holds: 1000}, {Worth: 10, Holds: 500}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"lapisspread/internal/budget"
+	"lapisspread/internal/processquota"
 	"lapisspread/internal/route"
 	"lapisspread/internal/strictconfig"
 )
@@ -199,25 +199,25 @@
 }
 
 // Shares gives each service's part of so many units.
-func (f *File) Shares(total int64) map[string]budget.Share {
-	out := map[string]budget.Share{}
+func (f *File) Shares(total int64) map[string]processquota.Share {
+	out := map[string]processquota.Share{}
 	for _, s := range f.Services {
-		out[s.Name] = budget.Share{Min: int64(s.Share.Min * float64(total)), Cap: max(1, int64(math.Ceil(s.Share.Cap*float64(total)))),
+		out[s.Name] = processquota.Share{Min: int64(s.Share.Min * float64(total)), Cap: max(1, int64(math.Ceil(s.Share.Cap*float64(total)))),
 			Weight: s.Share.Weight}
 	}
 	return out
 }
 
 // RateShares gives each service's part of so many units a second.
-func (f *File) RateShares(total float64) map[string]budget.RateShare {
-	out := map[string]budget.RateShare{}
+func (f *File) RateShares(total float64) map[string]processquota.RateShare {
+	out := map[string]processquota.RateShare{}
 	for _, s := range f.Services {
-		out[s.Name] = budget.RateShare{Min: s.Share.Min * total, Cap: s.Share.Cap * total, Weight: s.Share.Weight}
+		out[s.Name] = processquota.RateShare{Min: s.Share.Min * total, Cap: s.Share.Cap * total, Weight: s.Share.Weight}
 	}
 	return out
 }
 
 // Terms are the terms on which the services share so many units.
-func (f *File) Terms(total int64) budget.Terms {
-	return budget.Terms{Total: total, Recall: time.Duration(f.Limits.Recall), Lend: f.Limits.Lend}
+func (f *File) Terms(total int64) processquota.Terms {
+	return processquota.Terms{Total: total, Recall: time.Duration(f.Limits.Recall), Lend: f.Limits.Lend}
 }
