--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -31,8 +31,8 @@
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policybook"
+	"lapisspread/internal/processquota/limiter"
 	"lapisspread/internal/proxy"
-	"lapisspread/internal/quota"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/route"
 	"lapisspread/internal/services"
@@ -935,15 +935,15 @@
 		f.Services = append(f.Services, services.Service{Name: fmt.Sprint("s", i), Share: services.Share{Min: .5 / float64(n), Cap: 1, Weight: 1}})
 	}
 	clock := engine.NewClock()
-	l := quota.New(clock.Now)
-	if err := l.Change(f, quota.Totals{Requests: 100_000, Bytes: 1 << 32, Conns: 100_000, Attempts: 1e6}, nil); err != nil {
+	l := limiter.New(clock.Now)
+	if err := l.Change(f, limiter.Totals{Requests: 100_000, Bytes: 1 << 32, Conns: 100_000, Attempts: 1e6}, nil); err != nil {
 		return nil, err
 	}
 	var err error
 	k := 0
 	took := g.cost(func() {
 		k++
-		ask := quota.Ask{Service: f.Services[k%n].Name, Bytes: 1000}
+		ask := limiter.Ask{Service: f.Services[k%n].Name, Bytes: 1000}
 		if why, _ := l.Take(ask); why != "" {
 			err = fmt.Errorf("refused: %s", why)
 		}
--- a/internal/quota/quota.go
+++ b/internal/processquota/limiter/quota.go
@@ -1,6 +1,6 @@
-// Package quota holds what the services of one process share of it: requests in hand, bytes of bodies, connections to
+// Package limiter holds what the services of one process share of it: requests in hand, bytes of bodies, connections to
 // servers, attempts a second. The decisions are package budget's; here are the lock, the clock and the totals.
-package quota
+package limiter
 
 import (
 	"fmt"
--- a/internal/quota/quota_test.go
+++ b/internal/processquota/limiter/quota_test.go
@@ -1,4 +1,4 @@
-package quota
+package limiter
 
 import (
 	"strings"
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -26,7 +26,7 @@
 	"lapisspread/internal/idempotency/guard"
 	"lapisspread/internal/listener"
 	"lapisspread/internal/metrics"
-	"lapisspread/internal/quota"
+	"lapisspread/internal/processquota/limiter"
 	"lapisspread/internal/route"
 	"lapisspread/internal/tlskeys"
 )
@@ -306,13 +306,13 @@
 type ticket struct {
 	s      *services
 	svc    *service
-	ask    quota.Ask
+	ask    limiter.Ask
 	tenant int
 }
 
 // admit takes a request within the limits of its service, or tells why not, and after how long it may come again.
 func (s *services) admit(svc *service, class, tenant int, bytes int64) (t ticket, why string, after time.Duration) {
-	t = ticket{s: s, svc: svc, tenant: tenant, ask: quota.Ask{Service: svc.name, Gate: svc.gate, Class: class, Tenant: tenant, Bytes: bytes}}
+	t = ticket{s: s, svc: svc, tenant: tenant, ask: limiter.Ask{Service: svc.name, Gate: svc.gate, Class: class, Tenant: tenant, Bytes: bytes}}
 	if svc.gate != nil { // one of several
 		if why, after = s.limits.Take(t.ask); why != "" {
 			return t, why, after
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -25,7 +25,7 @@
 	"lapisspread/internal/metrics"
 	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/processquota"
-	"lapisspread/internal/quota"
+	"lapisspread/internal/processquota/limiter"
 	"lapisspread/internal/route"
 	config "lapisspread/internal/services"
 )
@@ -108,7 +108,7 @@
 type services struct {
 	p       *Proxy
 	now     atomic.Pointer[installed]
-	limits  *quota.Limits
+	limits  *limiter.Limits
 	running sync.WaitGroup
 
 	mu           sync.Mutex // one change at a time
@@ -121,7 +121,7 @@
 }
 
 func newServices(p *Proxy) *services {
-	s := &services{p: p, limits: quota.New(engine.NewClock().Now)}
+	s := &services{p: p, limits: limiter.New(engine.NewClock().Now)}
 	s.registers = discovery.NewHubs(p.cfg.pace.rest, func(addr string) engine.Source { return s.ask(addr, addr) })
 	return s
 }
@@ -310,9 +310,9 @@
 }
 
 // totals are what the services share: what the file says, and else what the process has.
-func (s *services) totals(l *config.Limits) quota.Totals {
+func (s *services) totals(l *config.Limits) limiter.Totals {
 	c := &s.p.cfg
-	t := quota.Totals{Requests: l.InHand, Bytes: l.Bytes, Conns: int64(s.backendPlaces()), Attempts: l.Attempts}
+	t := limiter.Totals{Requests: l.InHand, Bytes: l.Bytes, Conns: int64(s.backendPlaces()), Attempts: l.Attempts}
 	if t.Requests == 0 {
 		t.Requests = int64(openSockets * float64(c.Sockets))
 	}
@@ -488,7 +488,7 @@
 }
 
 // mayRepeat is asked before each further attempt.
-func (s *service) mayRepeat(l *quota.Limits) func() bool {
+func (s *service) mayRepeat(l *limiter.Limits) func() bool {
 	if s.name == "" {
 		return nil
 	}
@@ -653,7 +653,7 @@
 type allFigures struct {
 	own    *metrics.Figures
 	byName map[string]*service
-	limits *quota.Limits
+	limits *limiter.Limits
 }
 
 // MarshalJSON gives the sums in the form of one service, and each service's own beside them.
@@ -667,7 +667,7 @@
 
 // share is a service's part of the connections to backends.
 type share struct {
-	limits *quota.Limits
+	limits *limiter.Limits
 	name   string
 }
 
