--- a/cmd/lapisspread/fleet.go
+++ b/cmd/lapisspread/fleet.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/controlplane/server"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/lograte"
-	"lapisspread/internal/steward"
 )
 
 func fleetCommand() *cobra.Command {
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := steward.New(steward.Settings{File: f, Name: name, State: state, Log: log})
+	s, err := server.New(server.Settings{File: f, Name: name, State: state, Log: log})
 	if err != nil {
 		listener.Close()
 		return err
--- a/cmd/lapisspread/policy_test.go
+++ b/cmd/lapisspread/policy_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/controlplane/server"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/rollout"
-	"lapisspread/internal/steward"
 )
 
 // The words about the policy, from founding to going back, before one steward.
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := steward.New(steward.Settings{File: f, Name: "s1", State: t.TempDir(), Tick: 20 * time.Millisecond})
+	s, err := server.New(server.Settings{File: f, Name: "s1", State: t.TempDir(), Tick: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/steward/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -1,4 +1,4 @@
-package steward_test
+package server_test
 
 import (
 	"fmt"
@@ -6,6 +6,7 @@
 
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/storage"
+	"lapisspread/internal/controlplane/server"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
@@ -17,7 +18,6 @@
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/staleness"
-	"lapisspread/internal/steward"
 )
 
 // codes has each error's name as the program of c8fad44 sends it.
@@ -100,8 +100,8 @@
 	{staleness.NameTaken{}, "staleness.NameTaken"},
 	{staleness.UnknownSource{}, "staleness.UnknownSource"},
 	{staleness.ViewDoubtful{}, "staleness.ViewDoubtful"},
-	{steward.FloorsTwice{}, "steward.FloorsTwice"},
-	{steward.NeedsPieces{}, "steward.NeedsPieces"},
+	{server.FloorsTwice{}, "steward.FloorsTwice"},
+	{server.NeedsPieces{}, "steward.NeedsPieces"},
 }
 
 // Stewards and proxies of two releases know each other's errors by these names.
--- a/internal/steward/policy.go
+++ b/internal/controlplane/server/policy.go
@@ -1,4 +1,4 @@
-package steward
+package server
 
 import (
 	"cmp"
--- a/internal/steward/steward.go
+++ b/internal/controlplane/server/steward.go
@@ -1,10 +1,10 @@
-// Package steward is one of those who divide the budgets of a fleet: a process of its own that agrees with the others on a log
+// Package server is one of those who divide the budgets of a fleet: a process of its own that agrees with the others on a log
 // (internal/consensus) what is granted to whom (internal/quotalease).
 //
 // A goroutine for each duty: the log's own (package node), the plans, the figures; they share the book under a lock that is
 // never held over I/O. Asks come by HTTP and wait in a bounded queue; when that is full they are refused, and the proxy asks
 // again. An ask is answered by what the book holds after its plan was committed, never before.
-package steward
+package server
 
 import (
 	"context"
--- a/internal/faultlab/quotasim/budgets.go
+++ b/internal/faultlab/quotasim/budgets.go
@@ -81,7 +81,7 @@
 	steadyAfter = 10 * time.Second
 
 	hot    = 6.0 // times what the others want
-	rounds = 3   // plans for one batch of asks; as internal/steward does
+	rounds = 3   // plans for one batch of asks; as internal/controlplane/server does
 )
 
 type event struct {
--- a/internal/fleetlink/docs_test.go
+++ b/internal/fleetlink/docs_test.go
@@ -13,6 +13,7 @@
 
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/storage"
+	"lapisspread/internal/controlplane/server"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
@@ -23,7 +24,6 @@
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/staleness"
-	"lapisspread/internal/steward"
 )
 
 var told = []operatorerror.Error{
@@ -35,7 +35,7 @@
 	fleetview.DutyDied{}, fleetview.DutyStuck{}, fleetview.TooManyRegisters{},
 	quotalease.BadCommand{}, quotalease.FloorTaken{}, quotalease.GrantEnded{}, quotalease.NoBudget{}, quotalease.NoGrant{}, quotalease.NotEnoughStewards{}, quotalease.NotFounded{}, quotalease.OldBudgets{},
 	quotalease.OldEpoch{}, quotalease.OldToken{}, quotalease.OtherFleet{}, quotalease.OtherHolder{}, quotalease.OverWhole{}, quotalease.Spent{}, quotalease.StillSilent{},
-	steward.FloorsTwice{}, steward.NeedsPieces{},
+	server.FloorsTwice{}, server.NeedsPieces{},
 	staleness.BadSettings{}, staleness.ClaimCannotBeTrue{}, staleness.EdgeBlind{}, staleness.NameTaken{}, staleness.UnknownSource{}, staleness.ViewDoubtful{},
 	namespace.Clash{}, namespace.DelegationCircle{}, namespace.DelegationTooWide{}, namespace.FileError{}, namespace.MinimumsExceedWhole{},
 	namespace.NamespaceHeld{}, namespace.OutsideDomain{}, namespace.UnknownNamespace{}, namespace.VersionTaken{}, namespace.WrongItem{},
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/controlplane/server"
 	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
-	"lapisspread/internal/steward"
 	"lapisspread/internal/tlskeys/tlstest"
 )
 
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := steward.New(steward.Settings{File: f, Name: "s1", State: t.TempDir(), Tick: 20 * time.Millisecond})
+	s, err := server.New(server.Settings{File: f, Name: "s1", State: t.TempDir(), Tick: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
