--- a/cmd/faultlab/capacity.go
+++ b/cmd/faultlab/capacity.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/faultlab/capacity"
-	"lapisspread/internal/fleet"
 )
 
 // hollowCommand is the name of the command that runs hollow proxies for a process of this program.
@@ -53,7 +53,7 @@
 			}
 			r, err := capacity.Play(cmd.Context(), set)
 			if err != nil {
-				return fleet.Told(err)
+				return api.Told(err)
 			}
 			r.Text(cmd.OutOrStdout())
 			if err := writeResult(jsonPath, r); err != nil {
--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -22,13 +22,13 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/discovery"
 	backrules "lapisspread/internal/discovery/listguard"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/faultlab/quotasim"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/processquota/limiter"
@@ -468,12 +468,12 @@
 		return nil, err
 	}
 	server := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var in fleet.PolicyReport
-		if err := fleet.Read(r.Body, &in); err != nil {
-			fleet.Write(w, http.StatusBadRequest, fleet.ProblemOf(err))
+		var in api.PolicyReport
+		if err := api.Read(r.Body, &in); err != nil {
+			api.Write(w, http.StatusBadRequest, api.ProblemOf(err))
 			return
 		}
-		fleet.Write(w, http.StatusOK, fleet.PolicyReply{Fleet: in.Fleet, Offer: offer})
+		api.Write(w, http.StatusOK, api.PolicyReply{Fleet: in.Fleet, Offer: offer})
 	})}
 	ended := make(chan struct{})
 	go func() { _ = server.Serve(l); close(ended) }()
@@ -487,8 +487,8 @@
 	began := cpu()
 	for i := range reports {
 		inner, cancel := context.WithTimeout(ctx, 5*time.Second)
-		var reply fleet.PolicyReply
-		err := fleet.Call(inner, client, l.Addr().String(), fleet.PathReport, fleet.PolicyReport{Fleet: "dispatch-eu", Proxy: fmt.Sprintf("proxy-r3-z11-%04d", i),
+		var reply api.PolicyReply
+		err := api.Call(inner, client, l.Addr().String(), api.PathReport, api.PolicyReport{Fleet: "dispatch-eu", Proxy: fmt.Sprintf("proxy-r3-z11-%04d", i),
 			Number: uint64(1<<60 + i), Has: offer, Good: 160, Bad: 1}, &reply)
 		cancel()
 		if err != nil {
@@ -913,8 +913,8 @@
 	var err error
 	now := time.Second
 	bytes := heapOf(func() any {
-		if v, err = staleness.New((&fleet.View{}).Settings(time.Second)); err == nil {
-			err = v.Heard(now, fleet.Source, staleness.News{Version: 1, Whole: true, Changed: changes})
+		if v, err = staleness.New((&api.View{}).Settings(time.Second)); err == nil {
+			err = v.Heard(now, api.Source, staleness.News{Version: 1, Whole: true, Changed: changes})
 		}
 		return v
 	})
@@ -923,7 +923,7 @@
 	}
 	tick := g.cost(func() {
 		now += 100 * time.Millisecond
-		_ = v.Quiet(now, fleet.Source)
+		_ = v.Quiet(now, api.Source)
 		v.Tick(now)
 	})
 	return []is{{"held, each", "B", bytes / float64(servers)}, {"a tick", "ms", millis(tick)}, {"ten ticks a second", "% core", millis(tick)}}, nil
--- a/cmd/lapisspread/fleet.go
+++ b/cmd/lapisspread/fleet.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/lograte"
 )
 
@@ -31,13 +31,13 @@
 		Short: "Tell whether a fleet's file is good, with the charter and the namespaces that it names, or what is wrong",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := fleet.Load(args[0])
+			f, err := api.Load(args[0])
 			if err != nil {
 				return err
 			}
 			held, err := f.CheckTeams()
 			if err != nil {
-				return fleet.Told(err)
+				return api.Told(err)
 			}
 			for _, text := range held {
 				fmt.Fprintln(cmd.OutOrStdout(), text)
@@ -54,8 +54,8 @@
 }
 
 // withFleet loads a fleet's file, and tells an error with what an operator can do about it.
-func withFleet(path string, do func(f *fleet.File, client *http.Client) error) error {
-	f, err := fleet.Load(path)
+func withFleet(path string, do func(f *api.File, client *http.Client) error) error {
+	f, err := api.Load(path)
 	if err != nil {
 		return err
 	}
@@ -63,9 +63,9 @@
 	if err != nil {
 		return err
 	}
-	client := &http.Client{Transport: fleet.Transport(keys)}
+	client := &http.Client{Transport: api.Transport(keys)}
 	defer client.CloseIdleConnections()
-	return fleet.Told(do(f, client))
+	return api.Told(do(f, client))
 }
 
 func foundCommand() *cobra.Command {
@@ -75,7 +75,7 @@
 		Short: "Have all stewards begin the fleet, or begin it anew under a higher epoch: nothing is granted for the longest lease",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *fleet.File, client *http.Client) error {
+			return withFleet(args[0], func(f *api.File, client *http.Client) error {
 				if err := f.Found(cmd.Context(), client, epoch); err != nil {
 					return err
 				}
@@ -97,7 +97,7 @@
 		Short: "Have the stewards divide the budgets of this file from now on",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *fleet.File, client *http.Client) error {
+			return withFleet(args[0], func(f *api.File, client *http.Client) error {
 				v, err := f.Set(cmd.Context(), client, version, gone)
 				for end := time.Now().Add(wait); err != nil && time.Now().Before(end); v, err = f.Set(cmd.Context(), client, version, gone) {
 					time.Sleep(200 * time.Millisecond)
@@ -121,7 +121,7 @@
 		Short: "Tell how each steward stands and what is out of each budget",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *fleet.File, client *http.Client) error {
+			return withFleet(args[0], func(f *api.File, client *http.Client) error {
 				all, errs := f.Statuses(cmd.Context(), client)
 				out := cmd.OutOrStdout()
 				for i, s := range all {
@@ -159,11 +159,11 @@
 			if file == "" || name == "" || state == "" {
 				return usageError{errors.New("steward: --fleet, --name and --state are all needed")}
 			}
-			f, err := fleet.Load(file)
+			f, err := api.Load(file)
 			if err != nil {
 				return err
 			}
-			return fleet.Told(runSteward(cmd, f, name, state, listen))
+			return api.Told(runSteward(cmd, f, name, state, listen))
 		},
 	}
 	c.Flags().StringVar(&file, "fleet", "", "the fleet's file")
@@ -173,7 +173,7 @@
 	return c
 }
 
-func runSteward(cmd *cobra.Command, f *fleet.File, name, state, listen string) error {
+func runSteward(cmd *cobra.Command, f *api.File, name, state, listen string) error {
 	own, err := f.Steward(name)
 	if err != nil {
 		return err
--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/strictconfig"
@@ -43,9 +43,9 @@
 			return err
 		}
 		if _, err := namespace.ParseCharter(args[1], text); err != nil { // here the error has the file's name
-			return fleet.Told(err)
+			return api.Told(err)
 		}
-		return withFleet(args[0], func(f *fleet.File, client *http.Client) error {
+		return withFleet(args[0], func(f *api.File, client *http.Client) error {
 			if err := f.Order(cmd.Context(), client, policybook.Command{Charter: &policybook.Charter{Text: string(text), By: *who}}); err != nil {
 				return err
 			}
@@ -63,7 +63,7 @@
 	}
 	who := by(c)
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		return withFleet(args[0], func(f *fleet.File, client *http.Client) error {
+		return withFleet(args[0], func(f *api.File, client *http.Client) error {
 			var errs []error
 			for _, path := range args[1:] {
 				text, err := strictconfig.ReadFile(path, "the namespace", namespace.MostBytes)
@@ -95,7 +95,7 @@
 		if *epoch == 0 {
 			return usageError{errors.New("back: --epoch is needed")}
 		}
-		return withFleet(args[0], func(f *fleet.File, client *http.Client) error {
+		return withFleet(args[0], func(f *api.File, client *http.Client) error {
 			if err := f.Order(cmd.Context(), client, policybook.Command{Back: &policybook.Back{Epoch: *epoch, By: *who}}); err != nil {
 				return err
 			}
@@ -111,7 +111,7 @@
 		Short: "Tell the policy's epoch and hash, who is held back and why, and how far the roll-out is",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *fleet.File, client *http.Client) error { return tellPolicy(cmd, f, client) })
+			return withFleet(args[0], func(f *api.File, client *http.Client) error { return tellPolicy(cmd, f, client) })
 		},
 	}
 }
@@ -126,7 +126,7 @@
 	}
 	who := by(c)
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		return withFleet(args[0], func(f *fleet.File, client *http.Client) error {
+		return withFleet(args[0], func(f *api.File, client *http.Client) error {
 			p, err := f.Policies(cmd.Context(), client)
 			if err != nil {
 				return err
@@ -165,7 +165,7 @@
 	return cmp.Or(strings.Join(out, ", "), "nothing that differs")
 }
 
-func tellPolicy(cmd *cobra.Command, f *fleet.File, client *http.Client) error {
+func tellPolicy(cmd *cobra.Command, f *api.File, client *http.Client) error {
 	p, err := f.Policies(cmd.Context(), client)
 	if err != nil {
 		return err
--- a/cmd/lapisspread/policy_test.go
+++ b/cmd/lapisspread/policy_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/rollout"
 )
 
@@ -33,7 +33,7 @@
 	file := write("fleet.toml", fmt.Sprintf("version = 1\nfleet = \"north\"\nlongest = \"1s\"\n[[stewards]]\nname = \"s1\"\nnumber = 1\naddress = %q\n"+
 		"[[budgets]]\nname = \"all\"\nof = { counts = \"attempts\" }\nwhole = 100.0\nburst = 10.0\nlease = \"1s\"\n"+
 		"[policy]\nsilent = \"200ms\"\n", l.Addr().String()))
-	f, err := fleet.Load(file)
+	f, err := api.Load(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,12 +80,12 @@
 	reports := make(chan struct{})
 	go func() {
 		defer close(reports)
-		h, client := rollout.NewHolder(rollout.Offer{}), &http.Client{Transport: fleet.Transport(nil)}
+		h, client := rollout.NewHolder(rollout.Offer{}), &http.Client{Transport: api.Transport(nil)}
 		defer client.CloseIdleConnections()
 		for n := uint64(1); reporting.Err() == nil; n++ {
-			var reply fleet.PolicyReply
-			in := fleet.PolicyReport{Fleet: "north", Proxy: "p1", Number: n, Has: h.Has(), Good: 10}
-			if fleet.One(reporting, client, l.Addr().String(), fleet.PathReport, in, &reply) == nil {
+			var reply api.PolicyReply
+			in := api.PolicyReport{Fleet: "north", Proxy: "p1", Number: n, Has: h.Has(), Good: 10}
+			if api.One(reporting, client, l.Addr().String(), api.PathReport, in, &reply) == nil {
 				_ = h.Take(reply.Offer, reply.Text)
 			}
 			time.Sleep(20 * time.Millisecond)
--- a/internal/fleet/codes.go
+++ b/internal/controlplane/api/codes.go
@@ -1,4 +1,4 @@
-package fleet
+package api
 
 // Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
 
--- a/internal/fleet/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -1,4 +1,4 @@
-package fleet
+package api
 
 import "fmt"
 
--- a/internal/fleet/file.go
+++ b/internal/controlplane/api/file.go
@@ -1,6 +1,6 @@
-// Package fleet reads the file of a fleet: its stewards, its budgets, and what a proxy draws on; and it holds what stewards and
+// Package api reads the file of a fleet: its stewards, its budgets, and what a proxy draws on; and it holds what stewards and
 // those who call them say to each other.
-package fleet
+package api
 
 import (
 	"cmp"
--- a/internal/fleet/file_test.go
+++ b/internal/controlplane/api/file_test.go
@@ -1,4 +1,4 @@
-package fleet_test
+package api_test
 
 import (
 	"bytes"
@@ -7,13 +7,13 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 )
 
 const example = "../../deploy/fleet.toml"
 
 func TestTheExampleIsGood(t *testing.T) {
-	f, err := fleet.Load(example)
+	f, err := api.Load(example)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,16 +53,16 @@
 		if changed == string(text) {
 			t.Fatalf("the example has no %q", c.old)
 		}
-		if _, err := fleet.Parse("fleet.toml", []byte(changed)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := api.Parse("fleet.toml", []byte(changed)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %q", c.new, err, c.want)
 		}
 	}
 }
 
 func TestBodiesAreBounded(t *testing.T) {
-	var s fleet.Status
-	for _, body := range [][]byte{nil, []byte("x"), make([]byte, fleet.MostBody+1), {0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
-		if err := fleet.Read(bytes.NewReader(body), &s); !errors.As(err, &fleet.BadMessage{}) {
+	var s api.Status
+	for _, body := range [][]byte{nil, []byte("x"), make([]byte, api.MostBody+1), {0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
+		if err := api.Read(bytes.NewReader(body), &s); !errors.As(err, &api.BadMessage{}) {
 			t.Errorf("%d bytes: %v", len(body), err)
 		}
 	}
--- a/internal/fleet/wire_frozen_test.go
+++ b/internal/controlplane/api/wire_frozen_test.go
@@ -1,4 +1,4 @@
-package fleet_test
+package api_test
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
 )
@@ -19,26 +19,26 @@
 // UPDATE_FROZEN=1 go test ./internal/fleet -run Frozen
 var updateFrozen = os.Getenv("UPDATE_FROZEN") != ""
 
-var frozenProblem = fleet.Problem{Name: "consensus.NotLeader", Text: "not the leader", Help: "ask the leader", Leader: "127.0.0.1:7402"}
+var frozenProblem = api.Problem{Name: "consensus.NotLeader", Text: "not the leader", Help: "ask the leader", Leader: "127.0.0.1:7402"}
 
 // frozenMessages has each message between proxies, stewards and operators, with no field at its zero value.
 var frozenMessages = map[string]any{
-	"founding": fleet.Founding{Fleet: "north", Epoch: 3, Drift: .001, Longest: 10e9, Members: []uint64{1, 2, 3}, ID: 2},
+	"founding": api.Founding{Fleet: "north", Epoch: 3, Drift: .001, Longest: 10e9, Members: []uint64{1, 2, 3}, ID: 2},
 	"problem":  frozenProblem,
-	"status": fleet.Status{Name: "s1", Fleet: "north", ID: 1, Epoch: 3, Role: "StateLeader", Leader: "127.0.0.1:7402", LeaderName: "s2", Term: 4,
+	"status": api.Status{Name: "s1", Fleet: "north", ID: 1, Epoch: 3, Role: "StateLeader", Leader: "127.0.0.1:7402", LeaderName: "s2", Term: 4,
 		Commit: 5, Applied: 6, Silent: []uint64{3}, Heard: 2, Voters: 3, Version: 7, Unset: true,
-		Budgets: []fleet.Counted{{Name: "attempts", Whole: 1000, Burst: 100, Granted: 250.5, BurstsHeld: 12.25}},
+		Budgets: []api.Counted{{Name: "attempts", Whole: 1000, Burst: 100, Granted: 250.5, BurstsHeld: 12.25}},
 		Trouble: frozenProblem, Counts: map[string]uint64{"asks": 8}},
-	"counted": fleet.Counted{Name: "attempts", Whole: 1000, Burst: 100, Granted: 250.5, BurstsHeld: 12.25},
-	"policy_report": fleet.PolicyReport{Fleet: "north", Proxy: "p1", Number: 9, Has: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"},
+	"counted": api.Counted{Name: "attempts", Whole: 1000, Burst: 100, Granted: 250.5, BurstsHeld: 12.25},
+	"policy_report": api.PolicyReport{Fleet: "north", Proxy: "p1", Number: 9, Has: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"},
 		Refused: rollout.Offer{Order: 1, Epoch: 3, Hash: "cd"}, Good: 90, Bad: 10, Pieces: true, Most: 4096},
-	"policy_report_short": fleet.PolicyReport{Fleet: "north", Proxy: "p1", Number: 9, Has: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"}, Good: 90, Bad: 10},
-	"policy_reply":        fleet.PolicyReply{Fleet: "north", Offer: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"}, Text: []byte("{}"), InPieces: true, Pieces: [][]byte{{1}, {2, 3}}},
-	"policy_reply_short":  fleet.PolicyReply{Fleet: "north", Offer: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"}},
-	"pieces_request":      fleet.PiecesRequest{Fleet: "north", Proxy: "p1", Root: "ab", Names: [][]byte{{1, 2}, {3, 4}}},
-	"pieces_reply":        fleet.PiecesReply{Pieces: [][]byte{{1}, {2, 3}}, Lacks: 1, Later: 2e9},
-	"pieces_reply_empty":  fleet.PiecesReply{},
-	"policy_status": fleet.PolicyStatus{Standing: policybook.Standing{Base: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"},
+	"policy_report_short": api.PolicyReport{Fleet: "north", Proxy: "p1", Number: 9, Has: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"}, Good: 90, Bad: 10},
+	"policy_reply":        api.PolicyReply{Fleet: "north", Offer: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"}, Text: []byte("{}"), InPieces: true, Pieces: [][]byte{{1}, {2, 3}}},
+	"policy_reply_short":  api.PolicyReply{Fleet: "north", Offer: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"}},
+	"pieces_request":      api.PiecesRequest{Fleet: "north", Proxy: "p1", Root: "ab", Names: [][]byte{{1, 2}, {3, 4}}},
+	"pieces_reply":        api.PiecesReply{Pieces: [][]byte{{1}, {2, 3}}, Lacks: 1, Later: 2e9},
+	"pieces_reply_empty":  api.PiecesReply{},
+	"policy_status": api.PolicyStatus{Standing: policybook.Standing{Base: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"},
 		Next: rollout.Offer{Order: 1, Epoch: 3, Hash: "cd"}, Head: rollout.Offer{Order: 1, Epoch: 4, Hash: "ef"},
 		Stopped:  &policybook.Judge{Order: 1, Epoch: 3, Done: true, Why: "worse", Help: "mend it", Proxies: 5},
 		Train:    []policybook.Change{{Namespace: "alpha", Number: 2, By: "a"}},
@@ -58,7 +58,7 @@
 	for name, want := range frozenMessages {
 		path := filepath.Join("testdata", "wire", name+".cbor")
 		sent := httptest.NewRecorder()
-		fleet.Write(sent, 200, want)
+		api.Write(sent, 200, want)
 		if updateFrozen {
 			if err := os.WriteFile(path, sent.Body.Bytes(), 0o644); err != nil {
 				t.Fatal(err)
@@ -72,7 +72,7 @@
 			t.Errorf("%s is sent as %x, was %x", name, sent.Body.Bytes(), kept)
 		}
 		got := reflect.New(reflect.TypeOf(want))
-		if err := fleet.Read(bytes.NewReader(kept), got.Interface()); err != nil {
+		if err := api.Read(bytes.NewReader(kept), got.Interface()); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if !reflect.DeepEqual(got.Elem().Interface(), want) {
--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -6,8 +6,8 @@
 
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/storage"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/namespace"
@@ -41,9 +41,9 @@
 	{storage.StoreNewer{}, "store.StoreNewer"},
 	{storage.StoreOfAnotherFleet{}, "store.StoreOfAnotherFleet"},
 	{storage.StoreOfAnotherNode{}, "store.StoreOfAnotherNode"},
-	{fleet.BadMessage{}, "fleet.BadMessage"},
-	{fleet.UnknownSteward{}, "fleet.UnknownSteward"},
-	{fleet.Unreachable{}, "fleet.Unreachable"},
+	{api.BadMessage{}, "fleet.BadMessage"},
+	{api.UnknownSteward{}, "fleet.UnknownSteward"},
+	{api.Unreachable{}, "fleet.Unreachable"},
 	{fleetlink.DutyDied{}, "fleetlink.DutyDied"},
 	{fleetlink.DutyStuck{}, "fleetlink.DutyStuck"},
 	{fleetlink.FloorsNotKept{}, "fleetlink.FloorsNotKept"},
@@ -107,7 +107,7 @@
 // Stewards and proxies of two releases know each other's errors by these names.
 func TestErrorsKeepTheirNamesOnTheWire(t *testing.T) {
 	for _, c := range codes {
-		if got := fleet.ProblemOf(fmt.Errorf("wrapped: %w", c.err)).Name; got != c.code {
+		if got := api.ProblemOf(fmt.Errorf("wrapped: %w", c.err)).Name; got != c.code {
 			t.Errorf("%s is sent as %s", c.code, got)
 		}
 	}
--- a/internal/controlplane/server/http.go
+++ b/internal/controlplane/server/http.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/quotalease"
 )
@@ -16,15 +16,15 @@
 // Handler serves proxies, operators and the other stewards.
 func (s *Steward) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+fleet.PathAsk, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+api.PathAsk, func(w http.ResponseWriter, r *http.Request) {
 		var in quotalease.Request
 		if s.read(w, r, &in) {
-			reply, err := s.asked(r.Context(), in, fleet.Waits(r, answerTime))
+			reply, err := s.asked(r.Context(), in, api.Waits(r, answerTime))
 			s.write(w, reply, err)
 		}
 	})
-	mux.HandleFunc("POST "+fleet.PathFound, func(w http.ResponseWriter, r *http.Request) {
-		var in fleet.Founding
+	mux.HandleFunc("POST "+api.PathFound, func(w http.ResponseWriter, r *http.Request) {
+		var in api.Founding
 		if s.read(w, r, &in) {
 			err := s.found(in)
 			if err != nil {
@@ -33,42 +33,42 @@
 			s.write(w, struct{}{}, err)
 		}
 	})
-	mux.HandleFunc("POST "+fleet.PathSet, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+api.PathSet, func(w http.ResponseWriter, r *http.Request) {
 		var in quotalease.SetBudgets
 		if s.read(w, r, &in) {
 			s.write(w, struct{}{}, s.setBudgets(r.Context(), in))
 		}
 	})
-	mux.HandleFunc("POST "+fleet.PathOrder, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+api.PathOrder, func(w http.ResponseWriter, r *http.Request) {
 		var in policybook.Command
 		if s.read(w, r, &in) {
 			s.write(w, struct{}{}, s.order(r.Context(), in))
 		}
 	})
-	mux.HandleFunc("POST "+fleet.PathReport, func(w http.ResponseWriter, r *http.Request) {
-		var in fleet.PolicyReport
+	mux.HandleFunc("POST "+api.PathReport, func(w http.ResponseWriter, r *http.Request) {
+		var in api.PolicyReport
 		if s.read(w, r, &in) {
 			reply, err := s.reported(in)
 			s.write(w, reply, err)
 		}
 	})
-	mux.HandleFunc("POST "+fleet.PathPieces, func(w http.ResponseWriter, r *http.Request) {
-		var in fleet.PiecesRequest
+	mux.HandleFunc("POST "+api.PathPieces, func(w http.ResponseWriter, r *http.Request) {
+		var in api.PiecesRequest
 		if s.read(w, r, &in) {
 			reply, err := s.piecesOf(in)
 			s.write(w, reply, err)
 		}
 	})
-	mux.HandleFunc("GET "+fleet.PathPolicy, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+api.PathPolicy, func(w http.ResponseWriter, _ *http.Request) {
 		status, err := s.policyStatus()
 		s.write(w, status, err)
 	})
-	mux.HandleFunc("GET "+fleet.PathStatus, func(w http.ResponseWriter, _ *http.Request) { s.write(w, s.stand.Load(), nil) })
-	mux.Handle("GET "+fleet.PathMetrics, s.metrics())
+	mux.HandleFunc("GET "+api.PathStatus, func(w http.ResponseWriter, _ *http.Request) { s.write(w, s.stand.Load(), nil) })
+	mux.Handle("GET "+api.PathMetrics, s.metrics())
 	mux.HandleFunc("/consensus/", func(w http.ResponseWriter, r *http.Request) {
 		t := s.now.Load()
 		if t == nil {
-			fleet.Write(w, http.StatusServiceUnavailable, s.told(quotalease.NotFounded{}))
+			api.Write(w, http.StatusServiceUnavailable, s.told(quotalease.NotFounded{}))
 			return
 		}
 		t.handler.ServeHTTP(w, r)
@@ -77,8 +77,8 @@
 }
 
 func (s *Steward) read(w http.ResponseWriter, r *http.Request, v any) bool {
-	if err := fleet.Read(r.Body, v); err != nil {
-		fleet.Write(w, http.StatusBadRequest, s.told(err))
+	if err := api.Read(r.Body, v); err != nil {
+		api.Write(w, http.StatusBadRequest, s.told(err))
 		return false
 	}
 	return true
@@ -86,10 +86,10 @@
 
 func (s *Steward) write(w http.ResponseWriter, v any, err error) {
 	if err != nil {
-		fleet.Write(w, http.StatusConflict, s.told(err))
+		api.Write(w, http.StatusConflict, s.told(err))
 		return
 	}
-	fleet.Write(w, http.StatusOK, v)
+	api.Write(w, http.StatusOK, v)
 }
 
 // figures keeps the status new, so that who asks for it waits for nobody.
@@ -114,13 +114,13 @@
 
 func (s *Steward) look() {
 	c := &s.counts
-	out := &fleet.Status{Name: s.own.Name, Fleet: s.set.File.Fleet, ID: s.own.Number, Counts: map[string]uint64{
+	out := &api.Status{Name: s.own.Name, Fleet: s.set.File.Fleet, ID: s.own.Number, Counts: map[string]uint64{
 		"asks": c.asks.Load(), "answered": c.answered.Load(), "refused": c.refused.Load(), "queue_full": c.full.Load(), "proposals": c.proposals.Load(),
 		"grants": c.grants.Load(), "rejected": c.rejected.Load(), "failed": c.failed.Load(), "floors_twice": c.twice.Load()}}
 	if t := s.now.Load(); t != nil {
 		n := t.node.Status()
 		out.Epoch, out.Role, out.Term, out.Commit, out.Applied = t.founding.Epoch, n.Role, n.Term, n.Commit, n.Applied
-		out.Silent, out.Heard, out.Voters, out.Trouble = n.Silent, n.Heard, len(n.Voters), fleet.ProblemOf(n.Err)
+		out.Silent, out.Heard, out.Voters, out.Trouble = n.Silent, n.Heard, len(n.Voters), api.ProblemOf(n.Err)
 		out.Leader, out.LeaderName = s.address(n.Leader)
 		f := t.node.Figures()
 		out.Counts["log_sent"], out.Counts["log_sent_bytes"], out.Counts["log_lost"], out.Counts["log_refused"], out.Counts["log_writes"] =
@@ -136,7 +136,7 @@
 		for i := range config.Budgets {
 			b := &config.Budgets[i]
 			amount, burst := m.book.Counted(b.Name)
-			out.Budgets = append(out.Budgets, fleet.Counted{Name: b.Name, Whole: b.Whole, Burst: b.Burst, Granted: amount.Units(), BurstsHeld: burst.Units()})
+			out.Budgets = append(out.Budgets, api.Counted{Name: b.Name, Whole: b.Whole, Burst: b.Burst, Granted: amount.Units(), BurstsHeld: burst.Units()})
 		}
 		m.mu.Unlock()
 	}
--- a/internal/controlplane/server/machine.go
+++ b/internal/controlplane/server/machine.go
@@ -12,7 +12,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/quotalease"
@@ -82,9 +82,9 @@
 
 // outcome is what a command came to.
 type outcome struct {
-	Refused fleet.Problem `json:"Refused"` // of the command itself; empty if it was carried out
-	Parts   int           `json:"Parts"`   // of a batch, what was refused of it
-	Born    int           `json:"Born"`
+	Refused api.Problem `json:"Refused"` // of the command itself; empty if it was carried out
+	Parts   int         `json:"Parts"`   // of a batch, what was refused of it
+	Born    int         `json:"Born"`
 }
 
 // Apply implements consensus.Machine.
@@ -101,7 +101,7 @@
 	a, err := m.book.Apply(index, c)
 	m.keeper.Note(m.clock(), a)
 	m.mu.Unlock()
-	out.Refused, out.Parts, out.Born = fleet.ProblemOf(err), len(a.Refused), len(a.Born)
+	out.Refused, out.Parts, out.Born = api.ProblemOf(err), len(a.Refused), len(a.Born)
 	text, _ := cbor.Marshal(out) // strings and numbers
 	return text
 }
@@ -115,7 +115,7 @@
 	err := m.policy.Apply(c)
 	m.publish()
 	m.policies.Unlock()
-	reply, _ := cbor.Marshal(outcome{Refused: fleet.ProblemOf(err)})
+	reply, _ := cbor.Marshal(outcome{Refused: api.ProblemOf(err)})
 	return reply
 }
 
@@ -189,7 +189,7 @@
 	if len(snapshot) > 0 && snapshot[0] == policyMark {
 		parts = both{}
 		if err := cbor.Unmarshal(snapshot[1:], &parts); err != nil {
-			return fleet.BadMessage{Why: err.Error()}
+			return api.BadMessage{Why: err.Error()}
 		}
 	}
 	m.policies.Lock()
--- a/internal/controlplane/server/pieces_test.go
+++ b/internal/controlplane/server/pieces_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/pieces"
@@ -93,7 +93,7 @@
 			first := lead.inForce(trees...)
 			file := *s.file
 			file.Policy.Silent = strictconfig.Span(250 * time.Millisecond) // it reports 20 times a second
-			file.Stewards = []fleet.Steward{lead.own}
+			file.Stewards = []api.Steward{lead.own}
 			var n counted
 			via := n.transport()
 			defer via.CloseIdleConnections()
@@ -165,14 +165,14 @@
 			handler := lead.Handler()
 			var bodies [][]byte
 			for i := range n {
-				text, err := cbor.Marshal(fleet.PolicyReport{Fleet: "north", Proxy: fmt.Sprintf("proxy-%05d", i), Number: 1, Has: offer, Good: 160, Bad: 1, Pieces: true})
+				text, err := cbor.Marshal(api.PolicyReport{Fleet: "north", Proxy: fmt.Sprintf("proxy-%05d", i), Number: 1, Has: offer, Good: 160, Bad: 1, Pieces: true})
 				s.must(err)
 				bodies = append(bodies, text)
 			}
 			at := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				r := httptest.NewRequest(http.MethodPost, fleet.PathReport, bytes.NewReader(bodies[at%n]))
+				r := httptest.NewRequest(http.MethodPost, api.PathReport, bytes.NewReader(bodies[at%n]))
 				w := httptest.NewRecorder()
 				handler.ServeHTTP(w, r)
 				if w.Code != http.StatusOK {
@@ -202,14 +202,14 @@
 			sent := 0
 			for b.Loop() {
 				for rest := names; len(rest) > 0; {
-					some := rest[:min(len(rest), fleet.MostNames)]
-					text, err := cbor.Marshal(fleet.PiecesRequest{Fleet: "north", Proxy: "p1", Root: tree.Root().String(), Names: some})
+					some := rest[:min(len(rest), api.MostNames)]
+					text, err := cbor.Marshal(api.PiecesRequest{Fleet: "north", Proxy: "p1", Root: tree.Root().String(), Names: some})
 					s.must(err)
 					w := httptest.NewRecorder()
-					handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, fleet.PathPieces, bytes.NewReader(text)))
+					handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, api.PathPieces, bytes.NewReader(text)))
 					sent += w.Body.Len()
-					var out fleet.PiecesReply
-					s.must(fleet.Read(w.Body, &out))
+					var out api.PiecesReply
+					s.must(api.Read(w.Body, &out))
 					if len(out.Pieces) == 0 {
 						b.Fatalf("%+v", out)
 					}
@@ -230,9 +230,9 @@
 	lead := s.leader()
 	small, large := policyOf(t, 300, 1), policyOf(t, 13000, 1)
 	ctx := context.Background()
-	report := func(in fleet.PolicyReport) (out fleet.PolicyReply, err error) {
+	report := func(in api.PolicyReport) (out api.PolicyReply, err error) {
 		in.Fleet, in.Proxy = "north", "p1"
-		err = fleet.One(ctx, s.client, s.file.Stewards[s.leader()].Address, fleet.PathReport, in, &out)
+		err = api.One(ctx, s.client, s.file.Stewards[s.leader()].Address, api.PathReport, in, &out)
 		return out, err
 	}
 	s.order(policybook.Command{Charter: &policybook.Charter{Text: charterText("x.org")}})
@@ -249,21 +249,21 @@
 	}
 	has := rollout.Offer{Order: base.Order, Epoch: base.Epoch, Hash: w.hash}
 	for _, takes := range []bool{false, true} {
-		out, err := report(fleet.PolicyReport{Number: 1, Has: has, Pieces: takes})
+		out, err := report(api.PolicyReport{Number: 1, Has: has, Pieces: takes})
 		if err != nil || len(out.Text) > 0 || len(out.Pieces) > 0 || out.Offer.After(has) {
 			t.Errorf("one that has it as a text, takes pieces %v: %+v, %v", takes, out.Offer, err)
 		}
 	}
-	out, err := report(fleet.PolicyReport{Number: 2})
+	out, err := report(api.PolicyReport{Number: 2})
 	if err != nil || string(out.Text) != w.text || out.Offer.Hash != w.hash {
 		t.Errorf("one that takes whole texts is told %+v, %v", out.Offer, err)
 	}
 
 	s.run[lead].inForceAt(9, small, large)
-	if _, err := report(fleet.PolicyReport{Number: 3, Has: rollout.Offer{}}); fleet.ProblemOf(err).Name != "steward.NeedsPieces" || fleet.ProblemOf(err).Help == "" {
+	if _, err := report(api.PolicyReport{Number: 3, Has: rollout.Offer{}}); api.ProblemOf(err).Name != "steward.NeedsPieces" || api.ProblemOf(err).Help == "" {
 		t.Errorf("of one that is too long: %v", err)
 	}
-	out, err = report(fleet.PolicyReport{Number: 4, Pieces: true})
+	out, err = report(api.PolicyReport{Number: 4, Pieces: true})
 	if err != nil || !out.InPieces || out.Offer.Hash != large.Root().String() {
 		t.Errorf("one that takes pieces is told %+v, %v", out.Offer, err)
 	}
@@ -273,18 +273,18 @@
 	tree := p.trees["p00"]
 	for i, o := range s.file.Stewards {
 		s.until("a follower has it", func() bool { return s.standing(i).Base == base || i == lead })
-		var out fleet.PiecesReply
+		var out api.PiecesReply
 		name := tree.Root()
-		err := fleet.One(ctx, s.client, o.Address, fleet.PathPieces, fleet.PiecesRequest{Fleet: "north", Proxy: "p9", Root: root, Names: [][]byte{name[:], {1, 2}}}, &out)
+		err := api.One(ctx, s.client, o.Address, api.PathPieces, api.PiecesRequest{Fleet: "north", Proxy: "p9", Root: root, Names: [][]byte{name[:], {1, 2}}}, &out)
 		if err != nil || len(out.Pieces) != 1 || out.Lacks != 1 || pieces.NameOf(out.Pieces[0]) != name {
 			t.Errorf("steward %s: %d pieces, %v", o.Name, len(out.Pieces), err)
 		}
-		for what, in := range map[string]fleet.PiecesRequest{
+		for what, in := range map[string]api.PiecesRequest{
 			"another fleet's": {Fleet: "south", Proxy: "p9", Root: root},
-			"too many":        {Fleet: "north", Proxy: "p9", Root: root, Names: make([][]byte, fleet.MostNames+1)},
+			"too many":        {Fleet: "north", Proxy: "p9", Root: root, Names: make([][]byte, api.MostNames+1)},
 			"a name too long": {Fleet: "north", Proxy: string(make([]byte, mostName+1)), Root: root},
 		} {
-			if err := fleet.One(ctx, s.client, o.Address, fleet.PathPieces, in, &out); fleet.ProblemOf(err).Help == "" {
+			if err := api.One(ctx, s.client, o.Address, api.PathPieces, in, &out); api.ProblemOf(err).Help == "" {
 				t.Errorf("%s: %v", what, err)
 			}
 		}
@@ -305,7 +305,7 @@
 		r := &roller{}
 		st := policybook.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}, Next: rollout.Offer{Order: 1, Epoch: 2, Hash: "b"}, Proxies: k.known}
 		for i := range k.report {
-			if _, err := r.report(time.Duration(i)*time.Millisecond, set, st, fleet.PolicyReport{Proxy: fmt.Sprint("p", i), Number: 1, Has: st.Base}); err != nil {
+			if _, err := r.report(time.Duration(i)*time.Millisecond, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Number: 1, Has: st.Base}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -324,11 +324,11 @@
 	set, r := rollout.Defaults(), &roller{}
 	st := policybook.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}}
 	for i := range mostProxies {
-		if _, err := r.report(0, set, st, fleet.PolicyReport{Proxy: fmt.Sprint("p", i), Number: 1, Has: st.Base}); err != nil {
+		if _, err := r.report(0, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Number: 1, Has: st.Base}); err != nil {
 			t.Fatal(i, err)
 		}
 	}
-	if _, err := r.report(0, set, st, fleet.PolicyReport{Proxy: "one more", Number: 1}); fleet.ProblemOf(err).Help == "" || len(r.proxies) != mostProxies {
+	if _, err := r.report(0, set, st, api.PolicyReport{Proxy: "one more", Number: 1}); api.ProblemOf(err).Help == "" || len(r.proxies) != mostProxies {
 		t.Error(err)
 	}
 	if mostProxies < 2*4700 {
--- a/internal/controlplane/server/plans.go
+++ b/internal/controlplane/server/plans.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lapisspread/internal/consensus"
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/quotalease"
 )
 
@@ -174,7 +174,7 @@
 	}
 	var out outcome
 	if err := cbor.Unmarshal(reply, &out); err != nil {
-		return fleet.BadMessage{Why: err.Error()}
+		return api.BadMessage{Why: err.Error()}
 	}
 	s.counts.grants.Add(uint64(out.Born))
 	s.counts.rejected.Add(uint64(out.Parts))
--- a/internal/controlplane/server/policy.go
+++ b/internal/controlplane/server/policy.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"lapisspread/internal/consensus"
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/quotalease"
@@ -140,7 +140,7 @@
 }
 
 // report takes a proxy's report in, and gives what it shall have. It is called under the lock.
-func (r *roller) report(now time.Duration, set rollout.Settings, st policybook.Standing, in fleet.PolicyReport) (rollout.Offer, error) {
+func (r *roller) report(now time.Duration, set rollout.Settings, st policybook.Standing, in api.PolicyReport) (rollout.Offer, error) {
 	p := r.proxies[in.Proxy]
 	if p == nil {
 		if in.Proxy == "" || len(in.Proxy) > mostName || len(r.proxies) >= mostProxies {
@@ -170,8 +170,8 @@
 }
 
 // reported takes a proxy's report in, and tells what it shall have.
-func (s *Steward) reported(in fleet.PolicyReport) (fleet.PolicyReply, error) {
-	out := fleet.PolicyReply{Fleet: s.set.File.Fleet}
+func (s *Steward) reported(in api.PolicyReport) (api.PolicyReply, error) {
+	out := api.PolicyReply{Fleet: s.set.File.Fleet}
 	if in.Fleet != out.Fleet {
 		return out, quotalease.OtherFleet{Ours: out.Fleet, Theirs: in.Fleet}
 	}
@@ -192,7 +192,7 @@
 	if in.Pieces {
 		out.InPieces = true
 		if wants {
-			out.Pieces = t.machine.shelf.Along(in.Has.Hash, out.Offer.Hash, cmp.Or(in.Most, fleet.MostPieces))
+			out.Pieces = t.machine.shelf.Along(in.Has.Hash, out.Offer.Hash, cmp.Or(in.Most, api.MostPieces))
 		}
 		return out, nil
 	}
@@ -212,12 +212,12 @@
 }
 
 // piecesOf gives pieces by name. Any steward does: what it has may be behind, and then the proxy asks another.
-func (s *Steward) piecesOf(in fleet.PiecesRequest) (out fleet.PiecesReply, err error) {
+func (s *Steward) piecesOf(in api.PiecesRequest) (out api.PiecesReply, err error) {
 	if in.Fleet != s.set.File.Fleet {
 		return out, quotalease.OtherFleet{Ours: s.set.File.Fleet, Theirs: in.Fleet}
 	}
-	if len(in.Names) > fleet.MostNames || len(in.Proxy) > mostName {
-		return out, fleet.BadMessage{Why: fmt.Sprintf("it asks for %d pieces", len(in.Names))}
+	if len(in.Names) > api.MostNames || len(in.Proxy) > mostName {
+		return out, api.BadMessage{Why: fmt.Sprintf("it asks for %d pieces", len(in.Names))}
 	}
 	t := s.now.Load()
 	if t == nil {
@@ -325,12 +325,12 @@
 	return nil
 }
 
-func (s *Steward) policyStatus() (fleet.PolicyStatus, error) {
+func (s *Steward) policyStatus() (api.PolicyStatus, error) {
 	t := s.now.Load()
 	if t == nil {
-		return fleet.PolicyStatus{}, quotalease.NotFounded{}
+		return api.PolicyStatus{}, quotalease.NotFounded{}
 	}
-	out := fleet.PolicyStatus{Standing: t.machine.standing()}
+	out := api.PolicyStatus{Standing: t.machine.standing()}
 	if _, err := s.leading(); err != nil {
 		return out, nil // what it has applied
 	}
@@ -367,6 +367,6 @@
 		}
 	}
 	slices.Sort(out.Behind)
-	out.Behind = out.Behind[:min(len(out.Behind), fleet.MostBehind)]
+	out.Behind = out.Behind[:min(len(out.Behind), api.MostBehind)]
 	return out, nil
 }
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
@@ -59,10 +59,10 @@
 		h := p.holders[name]
 		p.number++
 		bad := p.bad(h.Has().Epoch)
-		in := fleet.PolicyReport{Fleet: "north", Proxy: name, Number: p.number, Has: h.Has(), Good: 100 - bad, Bad: bad, Pieces: i%2 == 0}
+		in := api.PolicyReport{Fleet: "north", Proxy: name, Number: p.number, Has: h.Has(), Good: 100 - bad, Bad: bad, Pieces: i%2 == 0}
 		for _, o := range p.file.Stewards {
-			var reply fleet.PolicyReply
-			if fleet.One(context.Background(), p.client, o.Address, fleet.PathReport, in, &reply) != nil {
+			var reply api.PolicyReply
+			if api.One(context.Background(), p.client, o.Address, api.PathReport, in, &reply) != nil {
 				continue
 			}
 			before := h.Has()
@@ -83,7 +83,7 @@
 }
 
 // assemble has one fetch what it is offered, of any steward.
-func (p *proxies) assemble(name string, reply fleet.PolicyReply) {
+func (p *proxies) assemble(name string, reply api.PolicyReply) {
 	p.t.Helper()
 	if !reply.Offer.After(p.holders[name].Has()) {
 		return
@@ -95,17 +95,17 @@
 		p.must(a.Add(piece))
 	}
 	for range 100 {
-		names := a.Wants(fleet.MostNames)
+		names := a.Wants(api.MostNames)
 		if len(names) == 0 {
 			break
 		}
-		in := fleet.PiecesRequest{Fleet: "north", Proxy: name, Root: reply.Offer.Hash}
+		in := api.PiecesRequest{Fleet: "north", Proxy: name, Root: reply.Offer.Hash}
 		for _, n := range names {
 			in.Names = append(in.Names, n[:])
 		}
 		p.asked++
-		var out fleet.PiecesReply
-		if fleet.One(context.Background(), p.client, p.file.Stewards[p.asked%3].Address, fleet.PathPieces, in, &out) != nil {
+		var out api.PiecesReply
+		if api.One(context.Background(), p.client, p.file.Stewards[p.asked%3].Address, api.PathPieces, in, &out) != nil {
 			continue
 		}
 		for _, piece := range out.Pieces {
@@ -177,7 +177,7 @@
 	go func() { one <- lone.Order(context.Background(), s.client, offerOf("alpha", 2, "/c")) }()
 	s.until("the other side takes beta's", func() bool {
 		for i, o := range s.file.Stewards {
-			if i != lead && fleet.One(context.Background(), s.client, o.Address, fleet.PathOrder, offerOf("beta", 2, "/c"), nil) == nil {
+			if i != lead && api.One(context.Background(), s.client, o.Address, api.PathOrder, offerOf("beta", 2, "/c"), nil) == nil {
 				return true
 			}
 		}
@@ -306,7 +306,7 @@
 			t.Errorf("%q came back as %q", text, again)
 		}
 	}
-	if err := newMachine(clock, 1).Restore(append([]byte{policyMark}, 'x')); fleet.ProblemOf(err).Help == "" {
+	if err := newMachine(clock, 1).Restore(append([]byte{policyMark}, 'x')); api.ProblemOf(err).Help == "" {
 		t.Error(err)
 	}
 }
@@ -407,7 +407,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				number++
-				in := fleet.PolicyReport{Proxy: names[number%uint64(n)], Number: number, Has: st.Base, Good: 100}
+				in := api.PolicyReport{Proxy: names[number%uint64(n)], Number: number, Has: st.Base, Good: 100}
 				if _, err := r.report(time.Duration(number)*time.Second/time.Duration(n), set, st, in); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/controlplane/server/steward.go
+++ b/internal/controlplane/server/steward.go
@@ -25,7 +25,7 @@
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/node"
 	"lapisspread/internal/consensus/storage"
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/tlskeys"
@@ -33,7 +33,7 @@
 
 // Settings of a steward.
 type Settings struct {
-	File  *fleet.File
+	File  *api.File
 	Name  string
 	State string // a folder that nobody else writes in
 	Log   *slog.Logger
@@ -44,7 +44,7 @@
 const (
 	mostAsks   = 1024             // that wait
 	mostBatch  = 256 << 10        // bytes of commands in an entry
-	mostEntry  = fleet.MostBody   // bytes of a command
+	mostEntry  = api.MostBody     // bytes of a command
 	planTime   = 2 * time.Second  // for a plan to be committed
 	orderTime  = 5 * time.Second  // for an operator's word
 	rest       = time.Second      // at most between two looks at what has ended
@@ -55,13 +55,13 @@
 // Steward is a running steward. It is for any goroutine.
 type Steward struct {
 	set   Settings
-	own   fleet.Steward
+	own   api.Steward
 	keys  *tlskeys.Keys // nil is in the clear
 	begun time.Time
 
 	orders sync.Mutex // one founding at a time
 	now    atomic.Pointer[term]
-	stand  atomic.Pointer[fleet.Status]
+	stand  atomic.Pointer[api.Status]
 	asks   chan ask
 	wake   chan struct{} // holds one: another term
 	counts counts
@@ -75,7 +75,7 @@
 
 // term is a steward's part in one founding.
 type term struct {
-	founding fleet.Founding
+	founding api.Founding
 	node     *node.Node
 	handler  http.Handler // of the log
 	machine  *machine
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	if set.Via == nil {
-		set.Via = fleet.Transport(keys)
+		set.Via = api.Transport(keys)
 	}
 	s := &Steward{set: set, keys: keys, own: own, begun: time.Now(), asks: make(chan ask, mostAsks), wake: make(chan struct{}, 1)}
 	f, err := s.lastFounding()
@@ -134,20 +134,20 @@
 }
 
 // lastFounding is the newest that the folder holds, nil if there is none.
-func (s *Steward) lastFounding() (*fleet.Founding, error) {
+func (s *Steward) lastFounding() (*api.Founding, error) {
 	paths, err := filepath.Glob(filepath.Join(s.set.State, "founding-*"))
 	if err != nil {
 		return nil, err
 	}
-	var last *fleet.Founding
+	var last *api.Founding
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return nil, err
 		}
-		f := &fleet.Founding{}
+		f := &api.Founding{}
 		if err := cbor.Unmarshal(text, f); err != nil {
-			return nil, fmt.Errorf("%s: %w", path, fleet.BadMessage{Why: err.Error()})
+			return nil, fmt.Errorf("%s: %w", path, api.BadMessage{Why: err.Error()})
 		}
 		if last == nil || f.Epoch > last.Epoch {
 			last = f
@@ -157,7 +157,7 @@
 }
 
 // found carries out an operator's word. It may be given again; the stores of foundings before stay where they are.
-func (s *Steward) found(f fleet.Founding) error {
+func (s *Steward) found(f api.Founding) error {
 	s.orders.Lock()
 	defer s.orders.Unlock()
 	last, err := s.lastFounding()
@@ -220,7 +220,7 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-func (s *Steward) start(f fleet.Founding) error {
+func (s *Steward) start(f api.Founding) error {
 	peers := map[uint64]string{}
 	for _, o := range s.set.File.Stewards {
 		peers[o.Number] = "http://" + o.Address
@@ -247,7 +247,7 @@
 	duties.Go(func() { s.plans(inner) })
 	duties.Go(func() { s.figures(inner) })
 	if s.keys != nil {
-		duties.Go(func() { fleet.WatchKeys(inner, s.keys, s.set.Log) })
+		duties.Go(func() { api.WatchKeys(inner, s.keys, s.set.Log) })
 		listener = tls.NewListener(listener, s.keys.Server())
 	}
 	duties.Go(func() { s.rollouts(inner) })
@@ -293,8 +293,8 @@
 }
 
 // told is an error as it is told to a caller, with whom to ask instead.
-func (s *Steward) told(err error) fleet.Problem {
-	p := fleet.ProblemOf(err)
+func (s *Steward) told(err error) api.Problem {
+	p := api.ProblemOf(err)
 	var not consensus.NotLeader
 	if errors.As(err, &not) {
 		p.Leader, _ = s.address(not.Leader)
--- a/internal/controlplane/server/steward_test.go
+++ b/internal/controlplane/server/steward_test.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/goleak"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/strictconfig"
@@ -28,7 +28,7 @@
 // site is three stewards on loopback, each with a folder of its own.
 type site struct {
 	t      testing.TB
-	file   *fleet.File
+	file   *api.File
 	client *http.Client
 	run    [3]*process
 	dirs   [3]string
@@ -57,20 +57,20 @@
 
 func newSite(t testing.TB) *site { return newSiteBy(t, nil) }
 
-func newSiteBy(t testing.TB, by *fleet.TLS) *site {
+func newSiteBy(t testing.TB, by *api.TLS) *site {
 	s := &site{t: t, client: &http.Client{}}
-	s.file = &fleet.File{Version: 1, Policy: fleet.Policy{Step: strictconfig.Span(400 * time.Millisecond), Watch: strictconfig.Span(400 * time.Millisecond), Enough: 100, Silent: strictconfig.Span(2 * time.Second)}, Fleet: "north", Drift: .001, Longest: strictconfig.Span(600 * time.Millisecond),
-		Budgets: []fleet.Budget{{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 1000, Burst: 100, Lease: strictconfig.Span(600 * time.Millisecond)}}}
+	s.file = &api.File{Version: 1, Policy: api.Policy{Step: strictconfig.Span(400 * time.Millisecond), Watch: strictconfig.Span(400 * time.Millisecond), Enough: 100, Silent: strictconfig.Span(2 * time.Second)}, Fleet: "north", Drift: .001, Longest: strictconfig.Span(600 * time.Millisecond),
+		Budgets: []api.Budget{{Name: "attempts", Of: api.Of{Counts: "attempts"}, Whole: 1000, Burst: 100, Lease: strictconfig.Span(600 * time.Millisecond)}}}
 	s.file.TLS = by
 	keys, err := s.file.Keys()
 	s.must(err)
-	s.client.Transport = fleet.Transport(keys)
+	s.client.Transport = api.Transport(keys)
 	var held []net.Listener
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		s.must(err)
 		held = append(held, l)
-		s.file.Stewards = append(s.file.Stewards, fleet.Steward{Name: fmt.Sprint("s", i+1), Number: uint64(i + 1), Address: l.Addr().String()})
+		s.file.Stewards = append(s.file.Stewards, api.Steward{Name: fmt.Sprint("s", i+1), Number: uint64(i + 1), Address: l.Addr().String()})
 		s.dirs[i] = t.TempDir()
 	}
 	for i := range 3 {
@@ -97,7 +97,7 @@
 	s.t.Helper()
 	keys, err := s.file.Keys()
 	s.must(err)
-	way := &http.Client{Transport: fleet.Transport(keys)}
+	way := &http.Client{Transport: api.Transport(keys)}
 	via := link{way.Transport, s, i}
 	st, err := New(Settings{File: s.file, Name: fmt.Sprint("s", i+1), State: s.dirs[i], Tick: 20 * time.Millisecond, Via: via})
 	s.must(err)
@@ -179,7 +179,7 @@
 	for _, o := range s.file.Stewards {
 		var reply quotalease.Reply
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		err = fleet.Call(ctx, s.client, o.Address, fleet.PathAsk, r, &reply)
+		err = api.Call(ctx, s.client, o.Address, api.PathAsk, r, &reply)
 		cancel()
 		if err == nil {
 			return h.Take(at, h.now(), reply)
@@ -209,7 +209,7 @@
 
 func TestStewardsDivideThroughTheirOwnDeaths(t *testing.T) {
 	s := newSite(t)
-	if err := s.ask(newHolder("p1")); fleet.ProblemOf(err).Name != "grant.NotFounded" {
+	if err := s.ask(newHolder("p1")); api.ProblemOf(err).Name != "grant.NotFounded" {
 		t.Errorf("before the founding: %v", err)
 	}
 	s.found()
@@ -247,7 +247,7 @@
 	ctx := context.Background()
 	refused := func(what, name string, err error) {
 		t.Helper()
-		if p := fleet.ProblemOf(err); !strings.Contains(p.Name, name) || p.Help == "" {
+		if p := api.ProblemOf(err); !strings.Contains(p.Name, name) || p.Help == "" {
 			t.Errorf("%s: %s %v, with advice %q", what, p.Name, err, p.Help)
 		}
 	}
@@ -265,11 +265,11 @@
 	stranger := newHolder("p1")
 	stranger.Holder = quotalease.NewHolder(quotalease.HolderSettings{Fleet: "south", Key: quotalease.Key{Holder: "p1", Incarnation: 1}})
 	lead := s.leader()
-	err = fleet.One(ctx, s.client, s.file.Stewards[lead].Address, fleet.PathAsk, stranger.Ask(0), nil)
+	err = api.One(ctx, s.client, s.file.Stewards[lead].Address, api.PathAsk, stranger.Ask(0), nil)
 	refused("another fleet's proxy", "OtherFleet", err)
 	follower := s.file.Stewards[(lead+1)%3]
-	err = fleet.One(ctx, s.client, follower.Address, fleet.PathAsk, newHolder("p2").Ask(0), nil)
-	if p := fleet.ProblemOf(err); p.Leader != s.file.Stewards[lead].Address || !strings.Contains(p.Name, "NotLeader") {
+	err = api.One(ctx, s.client, follower.Address, api.PathAsk, newHolder("p2").Ask(0), nil)
+	if p := api.ProblemOf(err); p.Leader != s.file.Stewards[lead].Address || !strings.Contains(p.Name, "NotLeader") {
 		t.Errorf("a follower says %+v", p)
 	}
 
@@ -279,7 +279,7 @@
 	s.must(s.file.Found(ctx, s.client, 2))
 	s.until("budgets are set under the second epoch", func() bool {
 		_, err := s.file.Set(ctx, s.client, 0, nil)
-		if err != nil && b.has() > 0 && fleet.ProblemOf(err).Name == "" {
+		if err != nil && b.has() > 0 && api.ProblemOf(err).Name == "" {
 			t.Errorf("an error without a name: %v", err)
 		}
 		return err == nil
@@ -305,13 +305,13 @@
 func TestFiguresAreShownToWhoShowsACertificate(t *testing.T) {
 	ca := tlstest.NewCA(t)
 	files := ca.Issue(t, "steward", time.Hour)
-	s := newSiteBy(t, &fleet.TLS{Certificate: files.Certificate, Key: files.Key, CA: files.CA})
+	s := newSiteBy(t, &api.TLS{Certificate: files.Certificate, Key: files.Key, CA: files.CA})
 	stranger := tlstest.NewCA(t).Issue(t, "stranger", time.Hour)
-	other, err := (&fleet.File{TLS: &fleet.TLS{Certificate: stranger.Certificate, Key: stranger.Key, CA: files.CA}}).Keys()
+	other, err := (&api.File{TLS: &api.TLS{Certificate: stranger.Certificate, Key: stranger.Key, CA: files.CA}}).Keys()
 	s.must(err)
-	for what, via := range map[string]http.RoundTripper{"in the clear": fleet.Transport(nil), "another CA's": fleet.Transport(other)} {
+	for what, via := range map[string]http.RoundTripper{"in the clear": api.Transport(nil), "another CA's": api.Transport(other)} {
 		client := &http.Client{Transport: via}
-		if err := s.file.Found(context.Background(), client, 1); !errors.As(err, &fleet.Unreachable{}) {
+		if err := s.file.Found(context.Background(), client, 1); !errors.As(err, &api.Unreachable{}) {
 			t.Errorf("%s: %v", what, err)
 		}
 		client.CloseIdleConnections()
@@ -320,7 +320,7 @@
 	s.must(func() error { s.until("an ask", func() bool { return s.ask(newHolder("p1")) == nil }); return nil }())
 	lead := s.leader()
 	s.until("figures", func() bool {
-		r, err := s.client.Get("http://" + s.file.Stewards[lead].Address + fleet.PathMetrics)
+		r, err := s.client.Get("http://" + s.file.Stewards[lead].Address + api.PathMetrics)
 		s.must(err)
 		defer r.Body.Close()
 		var text strings.Builder
@@ -354,7 +354,7 @@
 						h.Want("attempts", 1000)
 						at := h.now()
 						var reply quotalease.Reply
-						if err := fleet.One(context.Background(), client, lead, fleet.PathAsk, h.Ask(at), &reply); err != nil {
+						if err := api.One(context.Background(), client, lead, api.PathAsk, h.Ask(at), &reply); err != nil {
 							failed.Add(1)
 							continue
 						}
--- a/internal/controlplane/server/trains_test.go
+++ b/internal/controlplane/server/trains_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
@@ -71,7 +71,7 @@
 
 func newYard(t testing.TB, seed uint64, n, teams int) *yard {
 	t.Helper()
-	f := &fleet.File{}
+	f := &api.File{}
 	y := &yard{t: t, rng: rand.New(rand.NewPCG(seed, 21)), set: f.Rollout(), harm: map[uint64]bool{}, never: map[uint64]bool{}}
 	y.found(teams)
 	y.join(n)
@@ -250,7 +250,7 @@
 	const each = 160 // requests a second
 	bad := int64(math.Round(each*share + math.Sqrt(each*share*(1-share))*y.rng.NormFloat64()))
 	bad = max(0, min(each, bad))
-	o, err := y.roll.report(y.now, y.set, st, fleet.PolicyReport{Proxy: c.name, Number: c.number, Has: c.has, Good: each - bad, Bad: bad})
+	o, err := y.roll.report(y.now, y.set, st, api.PolicyReport{Proxy: c.name, Number: c.number, Has: c.has, Good: each - bad, Bad: bad})
 	if err != nil {
 		y.t.Fatal(err)
 	}
--- a/internal/faultlab/capacity/child.go
+++ b/internal/faultlab/capacity/child.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/route"
 	"lapisspread/internal/supervisor"
@@ -144,7 +144,7 @@
 	if err := json.Unmarshal(lines.Bytes(), &c.place); err != nil {
 		return err
 	}
-	file, err := fleet.Load(c.place.Fleet)
+	file, err := api.Load(c.place.Fleet)
 	if err != nil {
 		return err
 	}
--- a/internal/faultlab/capacity/hollow.go
+++ b/internal/faultlab/capacity/hollow.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/route"
@@ -22,7 +22,7 @@
 type hollow struct {
 	no    int
 	name  string
-	file  fleet.File // its own: the state folder is
+	file  api.File // its own: the state folder is
 	flaw  string
 	rate  float64 // requests a second that it counts
 	bad   float64 // share of them
--- a/internal/faultlab/capacity/meter.go
+++ b/internal/faultlab/capacity/meter.go
@@ -8,7 +8,7 @@
 	"sync"
 	"sync/atomic"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 )
 
 // meter counts what goes over the connections that are dialled through it, both ways, at the socket: HTTP's heads count, those of TCP and
@@ -33,7 +33,7 @@
 
 // transport leads calls to stewards over connections of its own.
 func (m *meter) transport() http.RoundTripper {
-	t := fleet.Transport(nil).(*http.Transport) // in the clear it is one
+	t := api.Transport(nil).(*http.Transport) // in the clear it is one
 	t.DialContext = m.dial
 	return t
 }
--- a/internal/faultlab/capacity/play.go
+++ b/internal/faultlab/capacity/play.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/route"
 	"lapisspread/internal/supervisor"
@@ -508,9 +508,9 @@
 // leader is the steward that leads; -1 is none that says so.
 func (r *run) leader(ctx context.Context) int {
 	for i, s := range r.file.Stewards {
-		var st fleet.Status
+		var st api.Status
 		one, cancel := context.WithTimeout(ctx, time.Second)
-		err := fleet.Call(one, r.operator, s.Address, fleet.PathStatus, nil, &st)
+		err := api.Call(one, r.operator, s.Address, api.PathStatus, nil, &st)
 		cancel()
 		if err == nil && st.Name == st.LeaderName {
 			return i
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -16,9 +16,9 @@
 	"sync/atomic"
 	"time"
 
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/supervisor"
@@ -33,7 +33,7 @@
 	dir       string
 	folders   string // what hollow proxies keep is in it
 	fleetPath string // for stewards and the operator
-	file      *fleet.File
+	file      *api.File
 	operator  *http.Client
 
 	register string
@@ -154,7 +154,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{set: set, site: newSite(&set), world: newWorld(), operator: &http.Client{Transport: fleet.Transport(nil)}, waits: map[int]*wait{},
+	r := &run{set: set, site: newSite(&set), world: newWorld(), operator: &http.Client{Transport: api.Transport(nil)}, waits: map[int]*wait{},
 		contents: map[string]content{}, epochs: map[uint64]content{}, unknown: map[string][]odd{}, away: map[string][]span{}, wrong: map[string]string{},
 		broken: map[string]*Broken{}, held: map[string]bool{}, unserved: map[string]int{}}
 	r.services = r.site.serviceNames()
@@ -288,7 +288,7 @@
 		return err
 	}
 	var err error
-	if r.file, err = fleet.Load(r.fleetPath); err != nil {
+	if r.file, err = api.Load(r.fleetPath); err != nil {
 		return err
 	}
 	for _, s := range r.stewards {
@@ -319,7 +319,7 @@
 
 // bad tells whether the book itself says no, so that saying it again changes nothing.
 func bad(err error) bool {
-	name := fleet.ProblemOf(err).Name
+	name := api.ProblemOf(err).Name
 	return strings.HasPrefix(name, "policybook.") || strings.HasPrefix(name, "namespace.")
 }
 
--- a/internal/faultlab/clustertest/fleet_test.go
+++ b/internal/faultlab/clustertest/fleet_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/strictconfig"
 )
@@ -22,8 +22,8 @@
 
 // shared is a budget of all attempts that is less than what is sent, and no floors.
 func shared() *liverun.FleetOptions {
-	return &liverun.FleetOptions{Longest: lease, Tokens: true, Budgets: []fleet.Budget{
-		{Name: "attempts", Of: fleet.Of{Counts: "attempts"}, Whole: 40, Burst: 20, Lease: strictconfig.Span(lease)}}}
+	return &liverun.FleetOptions{Longest: lease, Tokens: true, Budgets: []api.Budget{
+		{Name: "attempts", Of: api.Of{Counts: "attempts"}, Whole: 40, Burst: 20, Lease: strictconfig.Span(lease)}}}
 }
 
 // floors is one with a part of it fixed by name for the first proxy.
@@ -83,8 +83,8 @@
 
 func (o *otherFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var q quotalease.Request
-	if err := fleet.Read(r.Body, &q); err != nil {
-		fleet.Write(w, http.StatusBadRequest, fleet.ProblemOf(err))
+	if err := api.Read(r.Body, &q); err != nil {
+		api.Write(w, http.StatusBadRequest, api.ProblemOf(err))
 		return
 	}
 	reply := quotalease.Reply{Fleet: "other", Epoch: 1, Key: q.Key, Version: 1, Grants: []quotalease.Grant{{Fleet: "other", Epoch: 1, Key: q.Key, Budget: "attempts", Kind: quotalease.Rate,
@@ -92,7 +92,7 @@
 	if q.Seq%2 == 0 {
 		reply.Fleet = q.Fleet
 	}
-	fleet.Write(w, http.StatusOK, reply)
+	api.Write(w, http.StatusOK, reply)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	had := o.replies[q.Key.Holder]
--- a/internal/faultlab/liverun/fleet.go
+++ b/internal/faultlab/liverun/fleet.go
@@ -9,16 +9,16 @@
 	"strings"
 	"time"
 
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/faultlab/checker"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/quotalease"
 )
 
 // FleetOptions is what the proxies of a run share, and who divides it.
 type FleetOptions struct {
 	Stewards int // 3 if 0
-	Budgets  []fleet.Budget
+	Budgets  []api.Budget
 	Longest  time.Duration // see fleet.File
 	Tokens   bool          // the nodes know tokens, and turn older ones away
 	Transit  time.Duration // see judge.Spending; Transit if 0
@@ -53,7 +53,7 @@
 func (r *Run) fleetText(state string, addresses []string) string {
 	o := r.opts.Fleet
 	var b strings.Builder
-	fmt.Fprintf(&b, "version = %d\nfleet = %q\nlongest = %q\n", fleet.Version, fleetName, o.Longest)
+	fmt.Fprintf(&b, "version = %d\nfleet = %q\nlongest = %q\n", api.Version, fleetName, o.Longest)
 	if state != "" {
 		fmt.Fprintf(&b, "state = %q\n", state)
 	}
@@ -83,7 +83,7 @@
 }
 
 // draws tells whether an attempt of a request draws on a budget; 0 is its first.
-func (r *Run) draws(b *fleet.Budget, a *model.Arrival, attempt int) bool {
+func (r *Run) draws(b *api.Budget, a *model.Arrival, attempt int) bool {
 	tenant := ""
 	if a.Tenant >= 0 {
 		tenant = r.spec.Tenants[a.Tenant].Name
--- a/internal/faultlab/liverun/steward.go
+++ b/internal/faultlab/liverun/steward.go
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/faultlab/linkfault"
 	"lapisspread/internal/faultlab/loopbackaddr"
-	"lapisspread/internal/fleet"
 )
 
 func stewardName(no int) string { return fmt.Sprintf("s%d", no+1) }
@@ -152,8 +152,8 @@
 }
 
 // operatorsFile is the file of an operator, who reaches all stewards, whatever the fabric does.
-func (r *Run) operatorsFile() (*fleet.File, error) {
-	return fleet.Load(filepath.Join(r.tmp, "fleet-operator.toml"))
+func (r *Run) operatorsFile() (*api.File, error) {
+	return api.Load(filepath.Join(r.tmp, "fleet-operator.toml"))
 }
 
 func (s *steward) name() string { return fmt.Sprintf("steward-%d", s.no) }
@@ -341,7 +341,7 @@
 }
 
 // statuses asks all stewards how they stand, over ways that nothing is done to; nil is one that gave no answer.
-func (f *Fleet) statuses() ([]*fleet.Status, error) {
+func (f *Fleet) statuses() ([]*api.Status, error) {
 	file, err := f.r.operatorsFile()
 	if err != nil {
 		return nil, err
@@ -350,12 +350,12 @@
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	out := make([]*fleet.Status, len(file.Stewards))
+	out := make([]*api.Status, len(file.Stewards))
 	var all sync.WaitGroup
 	for i, s := range file.Stewards {
 		all.Go(func() {
-			var st fleet.Status
-			if fleet.One(ctx, client, s.Address, fleet.PathStatus, nil, &st) == nil {
+			var st api.Status
+			if api.One(ctx, client, s.Address, api.PathStatus, nil, &st) == nil {
 				out[i] = &st
 			}
 		})
@@ -387,7 +387,7 @@
 }
 
 // leading is the leader with the highest term of those who answer; nil is none.
-func (f *Fleet) leading() (at int, led *fleet.Status, err error) {
+func (f *Fleet) leading() (at int, led *api.Status, err error) {
 	all, err := f.statuses()
 	for i, s := range all {
 		if s != nil && s.Name == s.LeaderName && (led == nil || s.Term > led.Term) {
@@ -435,7 +435,7 @@
 func (f *Fleet) Leaderless() error {
 	return f.Await("stewards that all seek votes in vain", func() bool {
 		all, err := f.statuses()
-		return err == nil && !slices.ContainsFunc(all, func(s *fleet.Status) bool { return s == nil || !strings.HasSuffix(s.Role, "Candidate") })
+		return err == nil && !slices.ContainsFunc(all, func(s *api.Status) bool { return s == nil || !strings.HasSuffix(s.Role, "Candidate") })
 	})
 }
 
--- a/internal/fleetlink/docs_test.go
+++ b/internal/fleetlink/docs_test.go
@@ -13,8 +13,8 @@
 
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/storage"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/namespace"
@@ -30,7 +30,7 @@
 	consensus.LogContradicts{}, consensus.NotEnoughStewards{}, consensus.NotLeader{}, consensus.OtherFleet{}, consensus.QueueFull{}, consensus.Silent{},
 	consensus.StoreRolledBack{}, consensus.TooLarge{}, consensus.Undecided{},
 	storage.DiskFull{}, storage.StoreDamaged{}, storage.StoreHeld{}, storage.StoreMissing{}, storage.StoreNewer{}, storage.StoreOfAnotherFleet{}, storage.StoreOfAnotherNode{},
-	fleet.BadMessage{}, fleet.UnknownSteward{}, fleet.Unreachable{},
+	api.BadMessage{}, api.UnknownSteward{}, api.Unreachable{},
 	fleetlink.DutyDied{}, fleetlink.DutyStuck{}, fleetlink.FloorsNotKept{}, fleetlink.PolicyNotTaken{},
 	fleetview.DutyDied{}, fleetview.DutyStuck{}, fleetview.TooManyRegisters{},
 	quotalease.BadCommand{}, quotalease.FloorTaken{}, quotalease.GrantEnded{}, quotalease.NoBudget{}, quotalease.NoGrant{}, quotalease.NotEnoughStewards{}, quotalease.NotFounded{}, quotalease.OldBudgets{},
@@ -104,7 +104,7 @@
 					continue
 				}
 				name := f.Name.Name + "." + m.Recv.List[0].Type.(*ast.Ident).Name
-				if name != fmt.Sprintf("%T", fleet.Problem{}) && !slices.Contains(have, name) { // that one passes on another's
+				if name != fmt.Sprintf("%T", api.Problem{}) && !slices.Contains(have, name) { // that one passes on another's
 					t.Errorf("%s is not on the page", name)
 				}
 			}
--- a/internal/fleetlink/fetch.go
+++ b/internal/fleetlink/fetch.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/pieces"
 )
 
@@ -76,17 +76,17 @@
 
 func newFetching(p *Policies) *fetching {
 	n := len(p.set.File.Stewards)
-	return &fetching{Policies: p, at: rand.IntN(n), due: make([]time.Duration, n), names: fleet.MostNames}
+	return &fetching{Policies: p, at: rand.IntN(n), due: make([]time.Duration, n), names: api.MostNames}
 }
 
 // pace has reports bring less over a link on which they take too long, and more again.
 func (f *fetching) pace(slow bool) {
 	switch {
 	case slow && f.along == 0:
-		f.along = fleet.MostPieces / 4
+		f.along = api.MostPieces / 4
 	case slow:
 		f.along = max(f.along/4, leastMost)
-	case f.along >= fleet.MostPieces/2:
+	case f.along >= api.MostPieces/2:
 		f.along = 0
 	default:
 		f.along *= 2
@@ -101,7 +101,7 @@
 
 // fetch goes on with what an offer comes to: of the pieces that came along, of what came before, and of what stewards give by name. The
 // tree is nil as long as it is not whole; the next report goes on. Errors are of package pieces, and of the last steward that was asked.
-func (f *fetching) fetch(ctx context.Context, r fleet.PolicyReply) (*pieces.Tree, error) {
+func (f *fetching) fetch(ctx context.Context, r api.PolicyReply) (*pieces.Tree, error) {
 	root, err := pieces.ParseName(r.Offer.Hash)
 	if err != nil {
 		return nil, err
@@ -166,14 +166,14 @@
 
 // ask asks a steward for pieces by name. One that hasn't all of them, or fails, rests until the others were asked.
 func (f *fetching) ask(ctx context.Context, names []pieces.Name) error {
-	in := fleet.PiecesRequest{Fleet: f.set.File.Fleet, Proxy: f.set.Name, Root: f.root.String()}
+	in := api.PiecesRequest{Fleet: f.set.File.Fleet, Proxy: f.set.Name, Root: f.root.String()}
 	for i := range names {
 		in.Names = append(in.Names, names[i][:])
 	}
 	inner, cancel := context.WithTimeout(ctx, reportTime)
 	defer cancel()
-	var out fleet.PiecesReply
-	err := fleet.Call(inner, f.client, f.set.File.Stewards[f.at].Address, fleet.PathPieces, in, &out)
+	var out api.PiecesReply
+	err := api.Call(inner, f.client, f.set.File.Stewards[f.at].Address, api.PathPieces, in, &out)
 	switch {
 	case err != nil:
 		if inner.Err() != nil {
@@ -187,7 +187,7 @@
 	case len(out.Pieces) == 0 || out.Lacks > 0: // it is behind, or ahead
 		f.rest(mostReport)
 	}
-	f.names = min(f.names+f.names/8+1, fleet.MostNames)
+	f.names = min(f.names+f.names/8+1, api.MostNames)
 	if err := f.add(out.Pieces); err != nil {
 		f.rest(mostReport)
 		return fmt.Errorf("steward %s: %w", f.set.File.Stewards[f.at].Name, err)
--- a/internal/fleetlink/link.go
+++ b/internal/fleetlink/link.go
@@ -26,7 +26,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/supervisor"
@@ -34,7 +34,7 @@
 
 // Settings of a link.
 type Settings struct {
-	File  *fleet.File
+	File  *api.File
 	Name  string // of this proxy: no other may have it
 	Log   *slog.Logger
 	Via   http.RoundTripper    // to the stewards; nil is its own, in the clear
@@ -79,7 +79,7 @@
 		set.Log = slog.New(slog.DiscardHandler)
 	}
 	if set.Via == nil {
-		set.Via = fleet.Transport(nil)
+		set.Via = api.Transport(nil)
 	}
 	l := &Link{set: set, grants: set.File.Grants(), clock: set.Clock, client: &http.Client{Transport: set.Via}, pots: map[string]*pot{},
 		floorText: set.Name + ";" + quotalease.Token{}.String(), stand: map[string]Standing{}, troubles: map[string]*Trouble{}}
@@ -292,10 +292,10 @@
 			return
 		}
 		w.counts.failed.Add(1)
-		var p fleet.Problem
+		var p api.Problem
 		if errors.As(err, &p) && p.Leader != "" && p.Leader != address {
 			address = p.Leader
-			w.at = max(0, slices.IndexFunc(stewards, func(s fleet.Steward) bool { return s.Address == address }))
+			w.at = max(0, slices.IndexFunc(stewards, func(s api.Steward) bool { return s.Address == address }))
 			continue
 		}
 		w.trouble(err)
@@ -318,7 +318,7 @@
 	sent := w.clock()
 	request := w.holder.Ask(sent)
 	var reply quotalease.Reply
-	if err := fleet.Call(ctx, w.client, address, fleet.PathAsk, request, &reply); err != nil {
+	if err := api.Call(ctx, w.client, address, api.PathAsk, request, &reply); err != nil {
 		return err
 	}
 	now := w.clock()
@@ -362,7 +362,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
 	defer cancel()
-	_ = fleet.Call(ctx, w.client, leader, fleet.PathAsk, w.holder.Ask(w.clock()), nil) // else its leases end by themselves
+	_ = api.Call(ctx, w.client, leader, api.PathAsk, w.holder.Ask(w.clock()), nil) // else its leases end by themselves
 }
 
 // Standing is how a budget stands.
@@ -439,7 +439,7 @@
 
 // trouble counts an error by its kind, and logs it now and then.
 func (l *Link) trouble(err error) {
-	name := fleet.ProblemOf(err).Name
+	name := api.ProblemOf(err).Name
 	now := l.clock()
 	l.mu.Lock()
 	t := l.troubles[name]
--- a/internal/fleetlink/link_test.go
+++ b/internal/fleetlink/link_test.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/goleak"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/strictconfig"
 	"lapisspread/internal/supervisor"
@@ -24,12 +24,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func file(state string, addresses ...string) *fleet.File {
-	f := &fleet.File{Version: 1, Fleet: "north", Drift: .001, Longest: strictconfig.Span(10 * time.Second), State: state,
-		Budgets: []fleet.Budget{{Name: "all", Of: fleet.Of{Counts: "attempts"}, Whole: 1000, Burst: 100, Lease: strictconfig.Span(3 * time.Second)},
-			{Name: "again", Of: fleet.Of{Counts: "retries", Service: "pay"}, Whole: 100, Burst: 10, Lease: strictconfig.Span(3 * time.Second)}}}
+func file(state string, addresses ...string) *api.File {
+	f := &api.File{Version: 1, Fleet: "north", Drift: .001, Longest: strictconfig.Span(10 * time.Second), State: state,
+		Budgets: []api.Budget{{Name: "all", Of: api.Of{Counts: "attempts"}, Whole: 1000, Burst: 100, Lease: strictconfig.Span(3 * time.Second)},
+			{Name: "again", Of: api.Of{Counts: "retries", Service: "pay"}, Whole: 100, Burst: 10, Lease: strictconfig.Span(3 * time.Second)}}}
 	for i, a := range addresses {
-		f.Stewards = append(f.Stewards, fleet.Steward{Name: fmt.Sprint("s", i+1), Number: uint64(i + 1), Address: a})
+		f.Stewards = append(f.Stewards, api.Steward{Name: fmt.Sprint("s", i+1), Number: uint64(i + 1), Address: a})
 	}
 	return f
 }
@@ -304,12 +304,12 @@
 		}
 		defer out.Add(-1)
 		var in quotalease.Request
-		if err := fleet.Read(r.Body, &in); err != nil {
+		if err := api.Read(r.Body, &in); err != nil {
 			t.Error(err)
 		}
 		g := quotalease.Grant{Fleet: "south", Epoch: 9, Key: in.Key, Budget: "all", Kind: quotalease.Rate, Amount: quotalease.Of(500), Burst: quotalease.Of(50), Lease: time.Hour,
 			Ask: in.Seq, Token: quotalease.Token{Epoch: 9, Index: 9}}
-		fleet.Write(w, http.StatusOK, quotalease.Reply{Fleet: "south", Epoch: 9, Key: in.Key, Version: 9, Grants: []quotalease.Grant{g},
+		api.Write(w, http.StatusOK, quotalease.Reply{Fleet: "south", Epoch: 9, Key: in.Key, Version: 9, Grants: []quotalease.Grant{g},
 			Floors: map[string]quotalease.Floor{"all": {Kind: quotalease.Rate, Amount: quotalease.Of(500), Burst: quotalease.Of(50)}}})
 	}))
 	defer server.Close()
--- a/internal/fleetlink/pieces_test.go
+++ b/internal/fleetlink/pieces_test.go
@@ -16,7 +16,7 @@
 	"testing/synctest"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
@@ -106,14 +106,14 @@
 func (h *hub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var reply any
 	switch r.URL.Path {
-	case fleet.PathReport:
-		var in fleet.PolicyReport
-		if err := fleet.Read(r.Body, &in); err != nil || !in.Pieces {
+	case api.PathReport:
+		var in api.PolicyReport
+		if err := api.Read(r.Body, &in); err != nil || !in.Pieces {
 			h.t.Errorf("a report that does not take pieces: %v", err)
 		}
 		h.mu.Lock()
 		h.reports = append(h.reports, time.Now())
-		out := fleet.PolicyReply{Fleet: "north", Offer: h.offer}
+		out := api.PolicyReply{Fleet: "north", Offer: h.offer}
 		wants := out.Offer.After(in.Has) && out.Offer != in.Refused
 		if h.older && wants {
 			out.Text = h.text
@@ -123,17 +123,17 @@
 		if out.InPieces && wants {
 			most := in.Most
 			if most == 0 {
-				most = fleet.MostPieces
+				most = api.MostPieces
 			}
 			out.Pieces = h.has().Along(in.Has.Hash, out.Offer.Hash, most)
 		}
 		reply = &out
-	case fleet.PathPieces:
-		var in fleet.PiecesRequest
-		if err := fleet.Read(r.Body, &in); err != nil || len(in.Names) > fleet.MostNames {
+	case api.PathPieces:
+		var in api.PiecesRequest
+		if err := api.Read(r.Body, &in); err != nil || len(in.Names) > api.MostNames {
 			h.t.Errorf("a request for %d pieces: %v", len(in.Names), err)
 		}
-		var out fleet.PiecesReply
+		var out api.PiecesReply
 		var later time.Duration
 		out.Pieces, out.Lacks, later = h.has().Named(time.Since(h.begun), in.Proxy, in.Root, in.Names)
 		out.Later = int64(later)
@@ -142,7 +142,7 @@
 	if h.bend != nil {
 		h.bend(r, reply)
 	}
-	fleet.Write(w, http.StatusOK, reply)
+	api.Write(w, http.StatusOK, reply)
 }
 
 // RoundTrip has a call answered in the caller's goroutine, after the delay.
@@ -315,9 +315,9 @@
 		h.bend = func(_ *http.Request, reply any) {
 			var all *[][]byte
 			switch r := reply.(type) {
-			case *fleet.PolicyReply:
+			case *api.PolicyReply:
 				all = &r.Pieces
-			case *fleet.PiecesReply:
+			case *api.PiecesReply:
 				all = &r.Pieces
 			}
 			if len(*all) == 0 || rng.IntN(2) == 0 {
@@ -384,7 +384,7 @@
 		h := newHub(t)
 		until, early, told := map[string]time.Time{}, 0, 0
 		h.bend = func(q *http.Request, reply any) {
-			r, ok := reply.(*fleet.PiecesReply)
+			r, ok := reply.(*api.PiecesReply)
 			if !ok || told >= 12 {
 				return
 			}
@@ -392,7 +392,7 @@
 				early++
 			}
 			told++
-			*r = fleet.PiecesReply{Later: int64(3 * time.Second)}
+			*r = api.PiecesReply{Later: int64(3 * time.Second)}
 			until[q.URL.Host] = time.Now().Add(3 * time.Second)
 		}
 		e := h.edge("", nil)
@@ -599,7 +599,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			h, dir := newHub(t), t.TempDir()
 			rng, links := rand.New(rand.NewPCG(seed, 7)), rand.New(rand.NewPCG(seed, 8))
-			var stale []fleet.PolicyReply
+			var stale []api.PolicyReply
 			calm := false
 			h.delay = func(string, int) time.Duration {
 				h.mu.Lock()
@@ -616,7 +616,7 @@
 					return
 				}
 				switch r := reply.(type) {
-				case *fleet.PolicyReply:
+				case *api.PolicyReply:
 					stale = append(stale, *r)
 					if links.IntN(4) == 0 {
 						*r = stale[links.IntN(len(stale))] // late, or of a steward that was asleep
@@ -624,7 +624,7 @@
 					if links.IntN(3) == 0 {
 						r.Pieces = r.Pieces[:links.IntN(len(r.Pieces)+1)]
 					}
-				case *fleet.PiecesReply:
+				case *api.PiecesReply:
 					if n := len(r.Pieces); n > 0 && links.IntN(3) == 0 {
 						r.Pieces = slices.Clone(r.Pieces)
 						r.Pieces[links.IntN(n)] = []byte("damaged")
@@ -735,7 +735,7 @@
 			for b.Loop() {
 				epoch++
 				i := int(epoch+1) % 2
-				r := fleet.PolicyReply{Fleet: "north", Offer: offer(i), InPieces: true, Pieces: lacks[i]}
+				r := api.PolicyReply{Fleet: "north", Offer: offer(i), InPieces: true, Pieces: lacks[i]}
 				if err := p.taken(b.Context(), f, r, yes); err != nil || p.Now().Offer != r.Offer || p.Now().Diff == nil {
 					b.Fatalf("%+v: %v", p.Now().Offer, err)
 				}
--- a/internal/fleetlink/policy.go
+++ b/internal/fleetlink/policy.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/rollout"
@@ -187,25 +187,25 @@
 	at := rand.IntN(len(stewards))
 	address := stewards[at].Address
 	f := newFetching(p)
-	var waits *fleet.PolicyReport // it goes again until it is answered: twice it counts once
+	var waits *api.PolicyReport // it goes again until it is answered: twice it counts once
 	for ctx.Err() == nil {
 		p.duty.Beat()
 		if waits == nil {
 			t := p.now.Load()
-			waits = &fleet.PolicyReport{Fleet: p.set.File.Fleet, Proxy: p.set.Name, Number: p.number.Add(1), Has: t.Offer, Good: t.good.Swap(0), Bad: t.bad.Swap(0), Pieces: true}
+			waits = &api.PolicyReport{Fleet: p.set.File.Fleet, Proxy: p.set.Name, Number: p.number.Add(1), Has: t.Offer, Good: t.good.Swap(0), Bad: t.bad.Swap(0), Pieces: true}
 			if not := p.refuse.Load(); not != nil {
 				waits.Refused = not.offer
 			}
 		}
 		waits.Most = f.along
 		begun := p.clock()
-		var reply fleet.PolicyReply
+		var reply api.PolicyReply
 		p.counts.asks.Add(1)
 		inner, cancel := context.WithTimeout(ctx, reportTime)
-		err := fleet.Call(inner, p.client, address, fleet.PathReport, waits, &reply)
+		err := api.Call(inner, p.client, address, api.PathReport, waits, &reply)
 		slow := inner.Err() != nil
 		cancel()
-		var problem fleet.Problem
+		var problem api.Problem
 		switch {
 		case ctx.Err() != nil:
 			return
@@ -240,7 +240,7 @@
 }
 
 // taken takes up what a steward offers, once all of it is there.
-func (p *Policies) taken(ctx context.Context, f *fetching, r fleet.PolicyReply, current func() bool) error {
+func (p *Policies) taken(ctx context.Context, f *fetching, r api.PolicyReply, current func() bool) error {
 	if r.Fleet != p.set.File.Fleet {
 		return fmt.Errorf("a steward answers for fleet %q", r.Fleet)
 	}
--- a/internal/fleetlink/policy_test.go
+++ b/internal/fleetlink/policy_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/rollout"
@@ -55,7 +55,7 @@
 	p := NewPolicies(set, install)
 	f := newFetching(p)
 	reply := func(o rollout.Offer, text []byte) error {
-		return p.taken(t.Context(), f, fleet.PolicyReply{Fleet: "north", Offer: o, Text: text}, yes)
+		return p.taken(t.Context(), f, api.PolicyReply{Fleet: "north", Offer: o, Text: text}, yes)
 	}
 	first, second := offerOf(1, 1, one), offerOf(1, 2, two)
 	for _, k := range []struct {
@@ -84,10 +84,10 @@
 	if installed != 3 {
 		t.Errorf("installed %d times", installed)
 	}
-	if err := p.taken(t.Context(), f, fleet.PolicyReply{Fleet: "south", Offer: offerOf(9, 9, two), Text: two}, yes); err == nil || p.Now().Offer.Order == 9 {
+	if err := p.taken(t.Context(), f, api.PolicyReply{Fleet: "south", Offer: offerOf(9, 9, two), Text: two}, yes); err == nil || p.Now().Offer.Order == 9 {
 		t.Error("another fleet's policy was taken up")
 	}
-	if _ = p.taken(t.Context(), f, fleet.PolicyReply{Fleet: "north", Offer: offerOf(9, 9, two), Text: two}, func() bool { return false }); p.Now().Offer.Order == 9 {
+	if _ = p.taken(t.Context(), f, api.PolicyReply{Fleet: "north", Offer: offerOf(9, 9, two), Text: two}, func() bool { return false }); p.Now().Offer.Order == 9 {
 		t.Error("a duty that was given up took a policy up")
 	}
 	next := NewPolicies(set, install)
@@ -108,8 +108,8 @@
 	text := policyOf("one")
 	var good, last, calls, panics atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var in fleet.PolicyReport
-		if err := fleet.Read(r.Body, &in); err != nil {
+		var in api.PolicyReport
+		if err := api.Read(r.Body, &in); err != nil {
 			t.Error(err)
 		}
 		if int64(in.Number) > last.Load() { // as the stewards count
@@ -120,7 +120,7 @@
 			w.WriteHeader(http.StatusBadGateway)
 			return
 		}
-		fleet.Write(w, http.StatusOK, fleet.PolicyReply{Fleet: "north", Offer: offerOf(1, 1, text), Text: text})
+		api.Write(w, http.StatusOK, api.PolicyReply{Fleet: "north", Offer: offerOf(1, 1, text), Text: text})
 	}))
 	defer server.Close()
 	f := file("", strings.TrimPrefix(server.URL, "http://"))
--- a/internal/fleetview/link.go
+++ b/internal/fleetview/link.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"lapisspread/decision"
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/staleness"
 	"lapisspread/internal/supervisor"
@@ -32,7 +32,7 @@
 
 // Settings of a link.
 type Settings struct {
-	View  *fleet.View
+	View  *api.View
 	Log   *slog.Logger
 	Clock func() time.Duration // only goes forward; nil is the machine's, with the time that it is suspended
 }
@@ -182,9 +182,9 @@
 		}
 		// The view was made with this source, so that there is no error.
 		if e.refused {
-			_ = x.view.Contradicted(now, fleet.Source, staleness.Evidence{Kind: staleness.Refused, Entry: e.of.name})
+			_ = x.view.Contradicted(now, api.Source, staleness.Evidence{Kind: staleness.Refused, Entry: e.of.name})
 		} else {
-			_ = x.view.Confirmed(now, fleet.Source, e.of.name)
+			_ = x.view.Confirmed(now, api.Source, e.of.name)
 		}
 	}
 	return now
@@ -197,7 +197,7 @@
 		panic(err)
 	}
 	n, at, age := r.all()
-	_ = view.Heard(now, fleet.Source, n)
+	_ = view.Heard(now, api.Source, n)
 	if age >= 0 {
 		age += now - at
 	}
@@ -213,18 +213,18 @@
 	if n.any {
 		if n.changes {
 			x.dirty = true
-			if err := x.view.Heard(at, fleet.Source, n.News); err != nil {
+			if err := x.view.Heard(at, api.Source, n.News); err != nil {
 				w.set.Log.Warn("the view", "err", err, "advice", cmp.Or(operatorerror.Of(err), "none"))
 			}
 		} else {
-			_ = x.view.Quiet(at, fleet.Source)
+			_ = x.view.Quiet(at, api.Source)
 		}
 	}
 	if n.mute {
-		_ = x.view.Failed(now, fleet.Source, staleness.FailTimeout)
+		_ = x.view.Failed(now, api.Source, staleness.FailTimeout)
 	}
 	if n.broken {
-		_ = x.view.Failed(now, fleet.Source, staleness.FailBroken)
+		_ = x.view.Failed(now, api.Source, staleness.FailBroken)
 	}
 }
 
@@ -235,7 +235,7 @@
 			w.index(x)
 		}
 		s := &seen{snap: x.view.Tick(now), servers: x.servers, doubt: true, report: RegisterReport{Name: x.register.name, Servers: len(x.servers), Age: "unknown"}}
-		if age, known := x.view.Age(now, fleet.Source); known {
+		if age, known := x.view.Age(now, api.Source); known {
 			s.report.Age = age.Round(time.Millisecond).String()
 		}
 		best := staleness.Blind
--- a/internal/fleetview/view_test.go
+++ b/internal/fleetview/view_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/staleness"
 )
 
@@ -75,7 +75,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		w := &world{t: t, fake: &register{told: make(chan any)}}
-		w.link = New(Settings{View: &fleet.View{Act: act}, Clock: func() time.Duration { return time.Hour + time.Since(begun) + time.Duration(w.jump.Load()) }})
+		w.link = New(Settings{View: &api.View{Act: act}, Clock: func() time.Duration { return time.Hour + time.Since(begun) + time.Duration(w.jump.Load()) }})
 		w.fake.list = servers(1, true, "a", "b", "c", "d")
 		w.src = w.link.Wrap("r", time.Second, w.fake, w.fake.list, -1)
 		w.sight = w.link.Sight(classes)
@@ -299,7 +299,7 @@
 
 // Without a duty all that waits is bounded, and of the list nothing is lost.
 func TestWhatWaitsIsBounded(t *testing.T) {
-	l := New(Settings{View: &fleet.View{}})
+	l := New(Settings{View: &api.View{}})
 	fake := &register{told: make(chan any)}
 	src := l.Wrap("r", time.Second, fake, engine.List{}, -1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -341,7 +341,7 @@
 }
 
 func BenchmarkLook(b *testing.B) {
-	l := New(Settings{View: &fleet.View{Act: true}})
+	l := New(Settings{View: &api.View{Act: true}})
 	l.Wrap("r", time.Second, &register{}, servers(1, true, "a", "b"), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/lab/stewards/policy_test.go
+++ b/internal/lab/stewards/policy_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
@@ -118,7 +118,7 @@
 		s.kill(i)
 		s.start(i)
 	}
-	s.file, err = fleet.Load(s.path)
+	s.file, err = api.Load(s.path)
 	s.must(err)
 	f := &fleetOf{site: s, edges: map[string]*edge{}, number: map[string]int{}, dir: t.TempDir()}
 	s.until("the stewards listen", func() bool {
@@ -148,7 +148,7 @@
 	for _, name := range names {
 		file := *f.file
 		file.State = f.dir
-		transport := fleet.Transport(nil)
+		transport := api.Transport(nil)
 		e := &edge{name: name, way: &way{RoundTripper: transport}}
 		e.Policies = fleetlink.NewPolicies(fleetlink.Settings{File: &file, Name: name, Via: e.way}, e.judge)
 		e.Recall()
@@ -213,7 +213,7 @@
 }
 
 // standing is the leader's word.
-func (f *fleetOf) standing() (p fleet.PolicyStatus) {
+func (f *fleetOf) standing() (p api.PolicyStatus) {
 	f.t.Helper()
 	f.until("the leader's word", func() bool {
 		var err error
@@ -405,7 +405,7 @@
 }
 
 // leads is the word of a leader other than one that is stopped.
-func (f *fleetOf) leads(not int) (p fleet.PolicyStatus) {
+func (f *fleetOf) leads(not int) (p api.PolicyStatus) {
 	f.t.Helper()
 	rest := *f.file
 	rest.Stewards = nil
@@ -429,7 +429,7 @@
 	c := policybook.Command{Offer: &policybook.Offer{Text: policyText(team, f.number[team]), By: team}}
 	f.until("an offer is taken", func() bool {
 		for i, s := range f.file.Stewards {
-			if i != not && fleet.One(context.Background(), f.client, s.Address, fleet.PathOrder, c, nil) == nil {
+			if i != not && api.One(context.Background(), f.client, s.Address, api.PathOrder, c, nil) == nil {
 				return true
 			}
 		}
@@ -474,7 +474,7 @@
 
 // follower is a process that follows the policy until it is killed; it tells the epoch that it has, and counts crimes.
 func follower(path, count, state string) {
-	f, err := fleet.Load(path)
+	f, err := api.Load(path)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/lab/stewards/stewards_test.go
+++ b/internal/lab/stewards/stewards_test.go
@@ -17,8 +17,8 @@
 	"time"
 	"unsafe"
 
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/faultlab/testbinary"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 )
 
@@ -55,7 +55,7 @@
 
 // drawer is a process that draws all it can as p2, and sends what is not over by then, until it is killed.
 func drawer(path, count string) {
-	f, err := fleet.Load(path)
+	f, err := api.Load(path)
 	if err != nil {
 		panic(err)
 	}
@@ -91,7 +91,7 @@
 	t      *testing.T
 	dir    string
 	path   string
-	file   *fleet.File
+	file   *api.File
 	client *http.Client
 	run    [3]*exec.Cmd
 
@@ -136,7 +136,7 @@
 	s.path = filepath.Join(s.dir, "fleet.toml")
 	s.must(os.WriteFile(s.path, []byte(text), 0o600))
 	var err error
-	s.file, err = fleet.Load(s.path)
+	s.file, err = api.Load(s.path)
 	s.must(err)
 	for i := range 3 {
 		s.must(held[i].Close())
@@ -214,9 +214,9 @@
 	s.t.Helper()
 	s.until("a leader", func() bool {
 		for i, o := range s.file.Stewards {
-			var st fleet.Status
+			var st api.Status
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			err := fleet.Call(ctx, s.client, o.Address, fleet.PathStatus, nil, &st)
+			err := api.Call(ctx, s.client, o.Address, api.PathStatus, nil, &st)
 			cancel()
 			if err == nil && st.Role == "StateLeader" && i != not {
 				lead = i
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/tlskeys/tlstest"
 )
@@ -31,7 +31,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := fleet.Load(path)
+	f, err := api.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := &http.Client{Transport: fleet.Transport(keys)}
+	client := &http.Client{Transport: api.Transport(keys)}
 	defer client.CloseIdleConnections()
 	if err := f.Found(ctx, client, 1); err != nil {
 		t.Fatal(err)
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/fleet"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/pieces"
@@ -46,7 +46,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := fleet.Load(path)
+	f, err := api.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 	path, _ := oneSteward(t, 1000, 100)
 	got := make(chan *http.Request, 4096)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), func(c *Config) { c.Fleet = path })
-	f, err := fleet.Load(path)
+	f, err := api.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"lapisspread/internal/admin"
+	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/fleet"
 	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/hotrestart"
@@ -201,7 +201,7 @@
 
 // joinFleet has the fleet's budgets hold here, and the view of its registers weighed, until end is called.
 func (p *Proxy) joinFleet() (end func(), err error) {
-	file, err := fleet.Load(p.cfg.Fleet)
+	file, err := api.Load(p.cfg.Fleet)
 	if err != nil {
 		return nil, err
 	}
@@ -209,12 +209,12 @@
 	if err != nil {
 		return nil, err
 	}
-	link := fleetlink.New(fleetlink.Settings{File: file, Name: p.cfg.Name, Log: p.log, Via: fleet.Transport(keys)})
+	link := fleetlink.New(fleetlink.Settings{File: file, Name: p.cfg.Name, Log: p.log, Via: api.Transport(keys)})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { link.Run(ctx) })
 	if keys != nil {
-		running.Go(func() { fleet.WatchKeys(ctx, keys, p.log) })
+		running.Go(func() { api.WatchKeys(ctx, keys, p.log) })
 	}
 	p.fleet.Store(link)
 	if file.View != nil {
@@ -223,7 +223,7 @@
 		p.view.Store(view)
 	}
 	p.services.policyRoutes = file.Policy.Routes // nothing runs yet
-	p.policies.Store(fleetlink.NewPolicies(fleetlink.Settings{File: file, Name: p.cfg.Name, Log: p.log, Via: fleet.Transport(keys)}, p.services.takeUp))
+	p.policies.Store(fleetlink.NewPolicies(fleetlink.Settings{File: file, Name: p.cfg.Name, Log: p.log, Via: api.Transport(keys)}, p.services.takeUp))
 	return func() { cancel(); running.Wait() }, nil
 }
 
