--- a/internal/fleetlink/docs_test.go
+++ b/internal/controlplane/client/docs_test.go
@@ -1,4 +1,4 @@
-package fleetlink_test
+package client_test
 
 import (
 	"fmt"
@@ -14,8 +14,8 @@
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/controlplane/api"
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
@@ -31,7 +31,7 @@
 	consensus.StoreRolledBack{}, consensus.TooLarge{}, consensus.Undecided{},
 	storage.DiskFull{}, storage.StoreDamaged{}, storage.StoreHeld{}, storage.StoreMissing{}, storage.StoreNewer{}, storage.StoreOfAnotherFleet{}, storage.StoreOfAnotherNode{},
 	api.BadMessage{}, api.UnknownSteward{}, api.Unreachable{},
-	fleetlink.DutyDied{}, fleetlink.DutyStuck{}, fleetlink.FloorsNotKept{}, fleetlink.PolicyNotTaken{},
+	client.DutyDied{}, client.DutyStuck{}, client.FloorsNotKept{}, client.PolicyNotTaken{},
 	fleetview.DutyDied{}, fleetview.DutyStuck{}, fleetview.TooManyRegisters{},
 	quotalease.BadCommand{}, quotalease.FloorTaken{}, quotalease.GrantEnded{}, quotalease.NoBudget{}, quotalease.NoGrant{}, quotalease.NotEnoughStewards{}, quotalease.NotFounded{}, quotalease.OldBudgets{},
 	quotalease.OldEpoch{}, quotalease.OldToken{}, quotalease.OtherFleet{}, quotalease.OtherHolder{}, quotalease.OverWhole{}, quotalease.Spent{}, quotalease.StillSilent{},
--- a/internal/fleetlink/link.go
+++ b/internal/controlplane/client/link.go
@@ -1,10 +1,10 @@
-// Package fleetlink is a proxy's side of the fleet's budgets. One goroutine, the duty, talks to the stewards and holds the grants
+// Package client is a proxy's side of the fleet's budgets. One goroutine, the duty, talks to the stewards and holds the grants
 // (grant.Holder); engines look at what it publishes (Sight) without a lock. The duty is watched: one that died or is stuck is
 // counted and begun anew, and no request ever waits for it. What was published goes on to its end meanwhile.
 //
 // Between engines and duty there are no queues but two fields for each budget: the cells go one way, the newest takes the place of the
 // one before; sums of what was tried go the other way by atomic additions, so they can't be full and nothing of them is lost.
-package fleetlink
+package client
 
 import (
 	"cmp"
--- a/internal/fleetlink/policy_test.go
+++ b/internal/controlplane/client/policy_test.go
@@ -1,4 +1,4 @@
-package fleetlink
+package client
 
 import (
 	"context"
--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -7,8 +7,8 @@
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/controlplane/api"
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
@@ -44,10 +44,10 @@
 	{api.BadMessage{}, "fleet.BadMessage"},
 	{api.UnknownSteward{}, "fleet.UnknownSteward"},
 	{api.Unreachable{}, "fleet.Unreachable"},
-	{fleetlink.DutyDied{}, "fleetlink.DutyDied"},
-	{fleetlink.DutyStuck{}, "fleetlink.DutyStuck"},
-	{fleetlink.FloorsNotKept{}, "fleetlink.FloorsNotKept"},
-	{fleetlink.PolicyNotTaken{}, "fleetlink.PolicyNotTaken"},
+	{client.DutyDied{}, "fleetlink.DutyDied"},
+	{client.DutyStuck{}, "fleetlink.DutyStuck"},
+	{client.FloorsNotKept{}, "fleetlink.FloorsNotKept"},
+	{client.PolicyNotTaken{}, "fleetlink.PolicyNotTaken"},
 	{fleetview.DutyDied{}, "fleetview.DutyDied"},
 	{fleetview.DutyStuck{}, "fleetview.DutyStuck"},
 	{fleetview.TooManyRegisters{}, "fleetview.TooManyRegisters"},
--- a/internal/controlplane/server/pieces_test.go
+++ b/internal/controlplane/server/pieces_test.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/fleetlink"
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policybook"
@@ -97,7 +97,7 @@
 			var n counted
 			via := n.transport()
 			defer via.CloseIdleConnections()
-			p := fleetlink.NewPolicies(fleetlink.Settings{File: &file, Name: "p1", Via: via}, func(*fleetlink.Taken) error { return nil })
+			p := client.NewPolicies(client.Settings{File: &file, Name: "p1", Via: via}, func(*client.Taken) error { return nil })
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() { defer close(done); p.Run(ctx) }()
--- a/internal/faultlab/capacity/decides.go
+++ b/internal/faultlab/capacity/decides.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"strings"
 
-	"lapisspread/internal/fleetlink"
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policyroutes"
@@ -13,12 +13,12 @@
 
 // decides is what a hollow proxy decides by: made of a policy as the real one makes it.
 type decides struct {
-	taken  *fleetlink.Taken
+	taken  *client.Taken
 	routes *policyroutes.Routes // nil of none
 }
 
 // takenOf is a policy as a proxy has it that has fetched all of it: it shares nothing.
-func takenOf(p *namespace.Policy) (*fleetlink.Taken, error) {
+func takenOf(p *namespace.Policy) (*client.Taken, error) {
 	from, err := p.Tree()
 	if err != nil {
 		return nil, err
@@ -27,7 +27,7 @@
 	for item := range from.Items() {
 		items = append(items, pieces.Item{Key: strings.Clone(item.Key), Value: bytes.Clone(item.Value)})
 	}
-	t := &fleetlink.Taken{Epoch: "1"}
+	t := &client.Taken{Epoch: "1"}
 	if t.Tree, err = pieces.Build(items); err != nil {
 		return nil, err
 	}
@@ -36,7 +36,7 @@
 }
 
 // decideBy makes it of what was taken up, and of the one before; has tells which services there are, nil is all.
-func decideBy(was *decides, t *fleetlink.Taken, has map[string]bool) (*decides, error) {
+func decideBy(was *decides, t *client.Taken, has map[string]bool) (*decides, error) {
 	out := &decides{taken: t}
 	if t.Policy == nil {
 		return out, nil
--- a/internal/faultlab/capacity/hollow.go
+++ b/internal/faultlab/capacity/hollow.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/fleetlink"
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/route"
 )
@@ -32,9 +32,9 @@
 	policy, budget *meter
 
 	mu       sync.Mutex // of what follows: the child's loops and its orders
-	policies *fleetlink.Policies
-	link     *fleetlink.Link
-	sights   []*fleetlink.Sight
+	policies *client.Policies
+	link     *client.Link
+	sights   []*client.Sight
 	end      func()
 	counted  float64 // requests begun, in parts
 	spoilt   float64
@@ -53,10 +53,10 @@
 	log := slog.New(slog.DiscardHandler)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.policies = fleetlink.NewPolicies(fleetlink.Settings{File: &h.file, Name: h.name, Log: log, Via: h.policy.transport()}, h.install)
+	h.policies = client.NewPolicies(client.Settings{File: &h.file, Name: h.name, Log: log, Via: h.policy.transport()}, h.install)
 	h.link, h.sights = nil, nil
 	if len(h.file.Budgets) > 0 {
-		h.link = fleetlink.New(fleetlink.Settings{File: &h.file, Name: h.name, Log: log, Via: h.budget.transport()})
+		h.link = client.New(client.Settings{File: &h.file, Name: h.name, Log: log, Via: h.budget.transport()})
 		for _, b := range h.file.Budgets {
 			sight, err := h.link.Sight(b.Of.Service, nil, nil)
 			if err != nil {
@@ -104,7 +104,7 @@
 }
 
 // install takes a policy up, or changes nothing and says why.
-func (h *hollow) install(t *fleetlink.Taken) error {
+func (h *hollow) install(t *client.Taken) error {
 	old := h.now.Load()
 	first := t == nil || t.Policy == nil
 	if !first {
@@ -120,7 +120,7 @@
 		}
 	}
 	if t == nil {
-		t = &fleetlink.Taken{}
+		t = &client.Taken{}
 	}
 	next, err := decideBy(old, t, h.has)
 	if err != nil {
--- a/internal/lab/stewards/policy_test.go
+++ b/internal/lab/stewards/policy_test.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/fleetlink"
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/policybook"
 	"lapisspread/internal/rollout"
 )
@@ -48,7 +48,7 @@
 
 // edge is a proxy's link with the policy, in the test's process, over a way of its own; its judge sees all that it takes up.
 type edge struct {
-	*fleetlink.Policies
+	*client.Policies
 	name string
 	way  *way
 	end  func()
@@ -150,7 +150,7 @@
 		file.State = f.dir
 		transport := api.Transport(nil)
 		e := &edge{name: name, way: &way{RoundTripper: transport}}
-		e.Policies = fleetlink.NewPolicies(fleetlink.Settings{File: &file, Name: name, Via: e.way}, e.judge)
+		e.Policies = client.NewPolicies(client.Settings{File: &file, Name: name, Via: e.way}, e.judge)
 		e.Recall()
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
@@ -181,7 +181,7 @@
 }
 
 // judge sees to it that content is what its offer names, and that nothing old comes but by a higher order.
-func (e *edge) judge(t *fleetlink.Taken) error {
+func (e *edge) judge(t *client.Taken) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	tree, err := t.Policy.Tree()
@@ -484,7 +484,7 @@
 		panic(err)
 	}
 	e := &edge{name: "stopped"}
-	e.Policies = fleetlink.NewPolicies(fleetlink.Settings{File: f, Name: "stopped"}, func(t *fleetlink.Taken) error {
+	e.Policies = client.NewPolicies(client.Settings{File: f, Name: "stopped"}, func(t *client.Taken) error {
 		err := e.judge(t)
 		p.out.Store(int64(len(e.crimes)))
 		return err
--- a/internal/lab/stewards/stewards_test.go
+++ b/internal/lab/stewards/stewards_test.go
@@ -18,8 +18,8 @@
 	"unsafe"
 
 	"lapisspread/internal/controlplane/api"
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/faultlab/testbinary"
-	"lapisspread/internal/fleetlink"
 )
 
 func TestMain(m *testing.M) {
@@ -63,7 +63,7 @@
 	if err != nil {
 		panic(err)
 	}
-	l := fleetlink.New(fleetlink.Settings{File: f, Name: "p2"})
+	l := client.New(client.Settings{File: f, Name: "p2"})
 	go l.Run(context.Background())
 	sight, err := l.Sight("", nil, nil)
 	if err != nil {
@@ -99,7 +99,7 @@
 }
 
 type link struct {
-	*fleetlink.Link
+	*client.Link
 	end func()
 }
 
@@ -230,7 +230,7 @@
 
 // join starts a link of a name, under a key of the test's, and has it draw all it can.
 func (s *site) join(key, name string) {
-	l := fleetlink.New(fleetlink.Settings{File: s.file, Name: name})
+	l := client.New(client.Settings{File: s.file, Name: name})
 	sight, err := l.Sight("", nil, nil)
 	s.must(err)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/metrics"
 )
 
@@ -498,7 +498,7 @@
 
 // request is an exchange with the message that it carries.
 type request struct {
-	policy *fleetlink.Taken // that it is decided under; nil without a fleet
+	policy *client.Taken // that it is decided under; nil without a fleet
 	engine.Exchange
 	message *message
 	service *service
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -5,7 +5,7 @@
 	"errors"
 	"net/http"
 
-	"lapisspread/internal/fleetlink"
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/metrics"
 	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/route"
@@ -13,7 +13,7 @@
 
 // takeUp has requests decided under a policy from now on, all of it or nothing. Whoever is decided already keeps what it was
 // decided under.
-func (s *services) takeUp(t *fleetlink.Taken) error {
+func (s *services) takeUp(t *client.Taken) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.now.Load()
@@ -30,7 +30,7 @@
 
 // decideBy sets the policy, and where routes come from it the routes. What did not change since the policy before is taken over, if
 // the services are the same. An error leaves something half done: n is thrown away then.
-func (n *installed) decideBy(t *fleetlink.Taken, routes bool) error {
+func (n *installed) decideBy(t *client.Taken, routes bool) error {
 	before, was := n.policyRoutes, n.policy
 	n.policy = t
 	if !routes || n.only != nil || t == nil || t.Policy == nil {
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/fleetlink"
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/pieces"
 	"lapisspread/internal/policybook"
@@ -59,12 +59,12 @@
 			t.Fatal(err)
 		}
 	}
-	report := func() fleetlink.Report {
+	report := func() client.Report {
 		r, err := operator{s.proxy}.Fleet()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r.(fleetlink.Report)
+		return r.(client.Report)
 	}
 	until := func(what string, is func() bool) {
 		t.Helper()
@@ -164,12 +164,12 @@
 		p.Blocks = append(p.Blocks, b)
 		return p
 	}
-	taken := func(was *fleetlink.Taken, p *namespace.Policy) *fleetlink.Taken {
+	taken := func(was *client.Taken, p *namespace.Policy) *client.Taken {
 		to, err := p.Tree()
 		if err != nil {
 			t.Fatal(err)
 		}
-		next := &fleetlink.Taken{Offer: rollout.Offer{Order: 1, Epoch: p.Routes[0].From.Number, Hash: to.Root().String()}, Policy: p}
+		next := &client.Taken{Offer: rollout.Offer{Order: 1, Epoch: p.Routes[0].From.Number, Hash: to.Root().String()}, Policy: p}
 		if was != nil {
 			from, err := was.Policy.Tree()
 			if err != nil {
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -16,10 +16,10 @@
 
 	"lapisspread/decision"
 	"lapisspread/internal/admission"
+	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/diameter/upstream"
 	"lapisspread/internal/discovery"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/fleetlink"
 	"lapisspread/internal/fleetview"
 	"lapisspread/internal/listener"
 	"lapisspread/internal/metrics"
@@ -97,9 +97,9 @@
 	sticky map[string]string // by route
 	limits config.Limits
 
-	policy    *fleetlink.Taken // that requests are decided under; nil without a fleet
-	blocks    *route.Table     // of the policy; nil is none
-	otherwise string           // the file's service for what no route matches
+	policy    *client.Taken // that requests are decided under; nil without a fleet
+	blocks    *route.Table  // of the policy; nil is none
+	otherwise string        // the file's service for what no route matches
 
 	policyRoutes *policyroutes.Routes // what table, sticky and blocks are of; nil if the policy doesn't lead requests
 }
@@ -538,13 +538,13 @@
 }
 
 // route gives the service for a request, held until it leaves it.
-func (s *services) route(r *http.Request) (*service, *fleetlink.Taken, error) {
+func (s *services) route(r *http.Request) (*service, *client.Taken, error) {
 	return s.pick(func(now *installed) (*service, error) { return now.find(r) })
 }
 
 // pick gives the service that find names, where there are several, held until it is left.
 // The policy that it was decided under comes with it, and with an error too.
-func (s *services) pick(find func(now *installed) (*service, error)) (*service, *fleetlink.Taken, error) {
+func (s *services) pick(find func(now *installed) (*service, error)) (*service, *client.Taken, error) {
 	for {
 		now := s.now.Load()
 		svc := now.only
