--- a/internal/controlplane/client/docs_test.go
+++ b/internal/controlplane/client/docs_test.go
@@ -15,8 +15,8 @@
 	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/client"
+	"lapisspread/internal/controlplane/freshness"
 	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/fleetview"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
@@ -32,7 +32,7 @@
 	storage.DiskFull{}, storage.StoreDamaged{}, storage.StoreHeld{}, storage.StoreMissing{}, storage.StoreNewer{}, storage.StoreOfAnotherFleet{}, storage.StoreOfAnotherNode{},
 	api.BadMessage{}, api.UnknownSteward{}, api.Unreachable{},
 	client.DutyDied{}, client.DutyStuck{}, client.FloorsNotKept{}, client.PolicyNotTaken{},
-	fleetview.DutyDied{}, fleetview.DutyStuck{}, fleetview.TooManyRegisters{},
+	freshness.DutyDied{}, freshness.DutyStuck{}, freshness.TooManyRegisters{},
 	quotalease.BadCommand{}, quotalease.FloorTaken{}, quotalease.GrantEnded{}, quotalease.NoBudget{}, quotalease.NoGrant{}, quotalease.NotEnoughStewards{}, quotalease.NotFounded{}, quotalease.OldBudgets{},
 	quotalease.OldEpoch{}, quotalease.OldToken{}, quotalease.OtherFleet{}, quotalease.OtherHolder{}, quotalease.OverWhole{}, quotalease.Spent{}, quotalease.StillSilent{},
 	server.FloorsTwice{}, server.NeedsPieces{},
--- a/internal/fleetview/link.go
+++ b/internal/controlplane/freshness/link.go
@@ -1,7 +1,7 @@
-// Package fleetview has a proxy weigh how old what it holds of each register may be (package staleness), and engines look at it. One
+// Package freshness has a proxy weigh how old what it holds of each register may be (package staleness), and engines look at it. One
 // goroutine, the duty, owns the views; it is watched, and begun anew on the lists as last heard where it dies or is stuck. What it
 // publishes is looked at without a lock and without allocation; no request ever waits for it.
-package fleetview
+package freshness
 
 import (
 	"cmp"
--- a/internal/fleetview/sight.go
+++ b/internal/controlplane/freshness/sight.go
@@ -1,4 +1,4 @@
-package fleetview
+package freshness
 
 import (
 	"sync/atomic"
--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -8,8 +8,8 @@
 	"lapisspread/internal/consensus/storage"
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/client"
+	"lapisspread/internal/controlplane/freshness"
 	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/fleetview"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
@@ -48,9 +48,9 @@
 	{client.DutyStuck{}, "fleetlink.DutyStuck"},
 	{client.FloorsNotKept{}, "fleetlink.FloorsNotKept"},
 	{client.PolicyNotTaken{}, "fleetlink.PolicyNotTaken"},
-	{fleetview.DutyDied{}, "fleetview.DutyDied"},
-	{fleetview.DutyStuck{}, "fleetview.DutyStuck"},
-	{fleetview.TooManyRegisters{}, "fleetview.TooManyRegisters"},
+	{freshness.DutyDied{}, "fleetview.DutyDied"},
+	{freshness.DutyStuck{}, "fleetview.DutyStuck"},
+	{freshness.TooManyRegisters{}, "fleetview.TooManyRegisters"},
 	{quotalease.BadCommand{}, "grant.BadCommand"},
 	{quotalease.FloorTaken{}, "grant.FloorTaken"},
 	{quotalease.GrantEnded{}, "grant.GrantEnded"},
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -15,9 +15,9 @@
 	"lapisspread/internal/admin"
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/client"
+	"lapisspread/internal/controlplane/freshness"
 	"lapisspread/internal/discovery/guardedsource"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/fleetview"
 	"lapisspread/internal/hotrestart"
 	"lapisspread/internal/listener"
 	"lapisspread/internal/metrics"
@@ -36,7 +36,7 @@
 	diameter *diameterSide                   // nil is none
 	fleet    atomic.Pointer[client.Link]     // nil is no budget beyond this process
 	policies atomic.Pointer[client.Policies] // nil is no policy beyond the file of services
-	view     atomic.Pointer[fleetview.Link]  // nil weighs nothing
+	view     atomic.Pointer[freshness.Link]  // nil weighs nothing
 	comeback *guardedsource.Plan             // nil believes all, and asks at once
 	memory   *memory                         // nil remembers nothing
 	ready    atomic.Bool                     // it takes clients
@@ -218,7 +218,7 @@
 	}
 	p.fleet.Store(link)
 	if file.View != nil {
-		view := fleetview.New(fleetview.Settings{View: file.View, Log: p.log})
+		view := freshness.New(freshness.Settings{View: file.View, Log: p.log})
 		running.Go(func() { view.Run(ctx) })
 		p.view.Store(view)
 	}
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -17,10 +17,10 @@
 	"lapisspread/decision"
 	"lapisspread/internal/admission"
 	"lapisspread/internal/controlplane/client"
+	"lapisspread/internal/controlplane/freshness"
 	"lapisspread/internal/diameter/upstream"
 	"lapisspread/internal/discovery"
 	"lapisspread/internal/engine"
-	"lapisspread/internal/fleetview"
 	"lapisspread/internal/listener"
 	"lapisspread/internal/metrics"
 	"lapisspread/internal/policyroutes"
@@ -45,7 +45,7 @@
 	gate    *processquota.Gate // of its share of the process; nil for the only one
 
 	requests *listener.InHand   // bounds those in hand; nil is no bound
-	sight    *fleetview.Sight   // nil weighs nothing
+	sight    *freshness.Sight   // nil weighs nothing
 	diameter *upstream.Upstream // where its servers speak that; nil is HTTP
 
 	inHand atomic.Int64 // requests that hold it
--- a/internal/proxy/view_test.go
+++ b/internal/proxy/view_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/fleetview"
+	"lapisspread/internal/controlplane/freshness"
 )
 
 // viewFile is a fleet's file with a view, without budgets.
@@ -23,7 +23,7 @@
 }
 
 // viewOfProxy waits for a snapshot that is as told.
-func viewOfProxy(t *testing.T, p *running, what string, yes func(r fleetview.RegisterReport) bool) fleetview.Report {
+func viewOfProxy(t *testing.T, p *running, what string, yes func(r freshness.RegisterReport) bool) freshness.Report {
 	t.Helper()
 	var last any
 	for by := time.Now().Add(60 * time.Second); time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
@@ -31,12 +31,12 @@
 		if last, err = (operator{p.proxy}).View(); err != nil {
 			continue // it starts yet
 		}
-		if r := last.(fleetview.Report); len(r.Registers) == 1 && len(r.Registers[0].Routes) > 0 && yes(r.Registers[0]) {
+		if r := last.(freshness.Report); len(r.Registers) == 1 && len(r.Registers[0].Routes) > 0 && yes(r.Registers[0]) {
 			return r
 		}
 	}
 	t.Fatalf("never %s: %+v", what, last)
-	return fleetview.Report{}
+	return freshness.Report{}
 }
 
 // What must never run twice goes nowhere while nobody knows how old the list is, then only to whom answered since, and at last to all.
@@ -45,7 +45,7 @@
 	a, b := memberText("a", countingBackend(t, atA), "active"), memberText("b", countingBackend(t, atB), "active")
 	c := newCatalog(t)
 	p := startProxy(t, listText(1, true, a, b), c, func(cfg *Config) { cfg.Fleet = viewFile(t, true) })
-	viewOfProxy(t, p, "doubtful", func(r fleetview.RegisterReport) bool { return r.Age == "unknown" && r.Routes[0].Level == "doubtful" })
+	viewOfProxy(t, p, "doubtful", func(r freshness.RegisterReport) bool { return r.Age == "unknown" && r.Routes[0].Level == "doubtful" })
 	resp, _ := mustAnswer(t, http.StatusServiceUnavailable)(p.ask(t, "hand-in", 10000, "homework"))
 	if resp.Header.Get("Retry-After") == "" || len(atA)+len(atB) > 0 {
 		t.Errorf("Retry-After %q, %d at the servers", resp.Header.Get("Retry-After"), len(atA)+len(atB))
@@ -65,7 +65,7 @@
 		t.Errorf("%d at the one that answered, %d at the other", len(mine), len(other))
 	}
 	c.lists <- listText(2, true, a, b)
-	r := viewOfProxy(t, p, "fresh", func(r fleetview.RegisterReport) bool {
+	r := viewOfProxy(t, p, "fresh", func(r freshness.RegisterReport) bool {
 		return r.Routes[0].Level == "fresh" || r.Routes[0].Level == "confirmed"
 	})
 	if r.Forbidden["once"] == 0 || r.Registers[0].Age == "unknown" || r.Registers[0].Routes[0].Servers != 2 || r.Registers[0].Routes[0].Name != "fast-5" {
@@ -82,7 +82,7 @@
 func TestWithoutActTheViewIsOnlyShown(t *testing.T) {
 	got := make(chan *http.Request, 256)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), func(cfg *Config) { cfg.Fleet = viewFile(t, false) })
-	viewOfProxy(t, p, "doubtful", func(r fleetview.RegisterReport) bool { return r.Routes[0].Level == "doubtful" })
+	viewOfProxy(t, p, "doubtful", func(r freshness.RegisterReport) bool { return r.Routes[0].Level == "doubtful" })
 	mustAnswer(t, 200)(p.ask(t, "hand-in", 10000, "homework"))
 	plain := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
 	mustAnswer(t, 200)(plain.ask(t, "hand-in", 10000, "homework"))
