--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -30,7 +30,7 @@
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/faultlab/quotasim"
 	"lapisspread/internal/namespace"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/processquota/limiter"
 	"lapisspread/internal/proxy"
 	"lapisspread/internal/rollout"
@@ -285,25 +285,25 @@
 
 func bookOf(_ context.Context, r *rig, routes int) ([]is, error) {
 	tenants := routes * targetTenants / targetRoutes
-	var b *policybook.Book
+	var b *store.Book
 	number := 1
 	var err error
 	offer := func() {
 		number++
-		if bad := b.Apply(policybook.Command{Offer: &policybook.Offer{Text: teamFile(0, number, min(100, routes), routes, tenants)}}); bad != nil {
+		if bad := b.Apply(store.Command{Offer: &store.Offer{Text: teamFile(0, number, min(100, routes), routes, tenants)}}); bad != nil {
 			err = bad
 		}
 	}
 	bytes := heapOf(func() any {
 		charter, files := teams(routes, tenants)
-		b = policybook.New(0)
-		err = b.Apply(policybook.Command{Charter: &policybook.Charter{Text: charter}})
+		b = store.New(0)
+		err = b.Apply(store.Command{Charter: &store.Charter{Text: charter}})
 		for _, text := range files {
 			if err == nil {
-				err = b.Apply(policybook.Command{Offer: &policybook.Offer{Text: text}})
+				err = b.Apply(store.Command{Offer: &store.Offer{Text: text}})
 			}
 		}
-		for range policybook.MostKept {
+		for range store.MostKept {
 			if err == nil {
 				offer()
 			}
--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -12,7 +12,7 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/namespace"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/strictconfig"
 )
 
@@ -46,7 +46,7 @@
 			return api.Told(err)
 		}
 		return withFleet(args[0], func(f *api.File, client *http.Client) error {
-			if err := f.Order(cmd.Context(), client, policybook.Command{Charter: &policybook.Charter{Text: string(text), By: *who}}); err != nil {
+			if err := f.Order(cmd.Context(), client, store.Command{Charter: &store.Charter{Text: string(text), By: *who}}); err != nil {
 				return err
 			}
 			return tellPolicy(cmd, f, client)
@@ -71,7 +71,7 @@
 					_, err = namespace.Parse(path, text)
 				}
 				if err == nil {
-					err = f.Order(cmd.Context(), client, policybook.Command{Offer: &policybook.Offer{Text: string(text), By: *who}})
+					err = f.Order(cmd.Context(), client, store.Command{Offer: &store.Offer{Text: string(text), By: *who}})
 				}
 				if err != nil {
 					errs = append(errs, fmt.Errorf("%s: %w", path, err))
@@ -96,7 +96,7 @@
 			return usageError{errors.New("back: --epoch is needed")}
 		}
 		return withFleet(args[0], func(f *api.File, client *http.Client) error {
-			if err := f.Order(cmd.Context(), client, policybook.Command{Back: &policybook.Back{Epoch: *epoch, By: *who}}); err != nil {
+			if err := f.Order(cmd.Context(), client, store.Command{Back: &store.Back{Epoch: *epoch, By: *who}}); err != nil {
 				return err
 			}
 			return tellPolicy(cmd, f, client)
@@ -135,7 +135,7 @@
 				return errors.New("stop: no policy is in force yet, to go back to: offer the files that the train shall have instead")
 			}
 			if p.Standing.Next.Epoch > 0 || len(p.Standing.Gathered) > 0 {
-				if err := f.Order(cmd.Context(), client, policybook.Command{Back: &policybook.Back{Epoch: p.Standing.Base.Epoch, By: *who}}); err != nil {
+				if err := f.Order(cmd.Context(), client, store.Command{Back: &store.Back{Epoch: p.Standing.Base.Epoch, By: *who}}); err != nil {
 					return err
 				}
 			}
@@ -146,7 +146,7 @@
 }
 
 // changesTold names changes, some of them if there are many.
-func changesTold(all []policybook.Change) string {
+func changesTold(all []store.Change) string {
 	const most = 20
 	var out []string
 	for _, c := range all[:min(most, len(all))] {
@@ -194,14 +194,14 @@
 			fmt.Fprintf(out, "behind, with an older policy than what is in force: %s%s\n", strings.Join(p.Behind, ", "), more)
 		}
 		if p.Older > 0 {
-			fmt.Fprintf(out, "%d proxies are of an older release and take whole texts alone, up to %d bytes\n", p.Older, policybook.MostWhole)
+			fmt.Fprintf(out, "%d proxies are of an older release and take whole texts alone, up to %d bytes\n", p.Older, store.MostWhole)
 		}
 	}
 	if st.Stopped != nil {
 		fmt.Fprintf(out, "stopped: %s\n  %s\n", st.Stopped.Why, st.Stopped.Help)
 	}
 	for _, f := range st.Faults {
-		fmt.Fprintf(out, "at fault, and taken out: %s\n  %s\n  %s\n", changesTold([]policybook.Change{f.Change}), f.Why, f.Help)
+		fmt.Fprintf(out, "at fault, and taken out: %s\n  %s\n  %s\n", changesTold([]store.Change{f.Change}), f.Why, f.Help)
 	}
 	if p.Worse != "" {
 		fmt.Fprintf(out, "worse: %s\n  %s\n", p.Worse, p.WorseHelp)
--- a/internal/controlplane/api/policy.go
+++ b/internal/controlplane/api/policy.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"strings"
 
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/rollout"
 )
 
@@ -67,24 +67,24 @@
 
 // PolicyStatus is how the policy stands, as one steward knows it.
 type PolicyStatus struct {
-	Standing  policybook.Standing `json:"Standing"`
-	Leads     bool                `json:"Leads"`                          // whoever says so; the rest is known by it alone
-	State     string              `json:"State"`                          // of the roll-out
-	Proxies   int                 `json:"Proxies"`                        // that report
-	Have      int                 `json:"Have"`                           // of them, what goes out, or what all shall have
-	Refused   int                 `json:"Refused"`                        // of them, that can't take it up
-	Behind    []string            `json:"Behind" cbor:"Behind,omitempty"` // of them, some that don't have yet what all have: MostBehind names at most, sorted
-	Late      int                 `json:"Late" cbor:"Late,omitempty"`     // how many there are of these
-	Older     int                 `json:"Older" cbor:"Older,omitempty"`   // of them, that take whole texts alone
-	Worse     string              `json:"Worse" cbor:"Worse,omitempty"`   // what the watch of all of them has to tell of the last hour; empty is nothing
-	WorseHelp string              `json:"WorseHelp" cbor:"WorseHelp,omitempty"`
+	Standing  store.Standing `json:"Standing"`
+	Leads     bool           `json:"Leads"`                          // whoever says so; the rest is known by it alone
+	State     string         `json:"State"`                          // of the roll-out
+	Proxies   int            `json:"Proxies"`                        // that report
+	Have      int            `json:"Have"`                           // of them, what goes out, or what all shall have
+	Refused   int            `json:"Refused"`                        // of them, that can't take it up
+	Behind    []string       `json:"Behind" cbor:"Behind,omitempty"` // of them, some that don't have yet what all have: MostBehind names at most, sorted
+	Late      int            `json:"Late" cbor:"Late,omitempty"`     // how many there are of these
+	Older     int            `json:"Older" cbor:"Older,omitempty"`   // of them, that take whole texts alone
+	Worse     string         `json:"Worse" cbor:"Worse,omitempty"`   // what the watch of all of them has to tell of the last hour; empty is nothing
+	WorseHelp string         `json:"WorseHelp" cbor:"WorseHelp,omitempty"`
 }
 
 // MostBehind is how many proxies are told by name in a PolicyStatus.
 const MostBehind = 20
 
 // Order gives whoever leads an operator's word about the policy.
-func (f *File) Order(ctx context.Context, client *http.Client, c policybook.Command) error {
+func (f *File) Order(ctx context.Context, client *http.Client, c store.Command) error {
 	var tried []error
 	for _, s := range f.Stewards {
 		err := One(ctx, client, s.Address, PathOrder, c, nil)
--- a/internal/controlplane/api/wire_frozen_test.go
+++ b/internal/controlplane/api/wire_frozen_test.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/rollout"
 )
 
@@ -38,19 +38,19 @@
 	"pieces_request":      api.PiecesRequest{Fleet: "north", Proxy: "p1", Root: "ab", Names: [][]byte{{1, 2}, {3, 4}}},
 	"pieces_reply":        api.PiecesReply{Pieces: [][]byte{{1}, {2, 3}}, Lacks: 1, Later: 2e9},
 	"pieces_reply_empty":  api.PiecesReply{},
-	"policy_status": api.PolicyStatus{Standing: policybook.Standing{Base: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"},
+	"policy_status": api.PolicyStatus{Standing: store.Standing{Base: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"},
 		Next: rollout.Offer{Order: 1, Epoch: 3, Hash: "cd"}, Head: rollout.Offer{Order: 1, Epoch: 4, Hash: "ef"},
-		Stopped:  &policybook.Judge{Order: 1, Epoch: 3, Done: true, Why: "worse", Help: "mend it", Proxies: 5},
-		Train:    []policybook.Change{{Namespace: "alpha", Number: 2, By: "a"}},
-		Gathered: []policybook.Change{{Namespace: "beta", Number: 3, By: "b"}},
-		Faults:   []policybook.Fault{{Change: policybook.Change{Namespace: "gamma", Number: 4, By: "c"}, At: 6, Why: "worse", Help: "mend it"}},
-		Held:     []policybook.Held{{Namespace: "delta", Offered: 5, Holds: 4, By: "d", Cut: []string{"cut"}, Why: "clash", Help: "agree"}},
+		Stopped:  &store.Judge{Order: 1, Epoch: 3, Done: true, Why: "worse", Help: "mend it", Proxies: 5},
+		Train:    []store.Change{{Namespace: "alpha", Number: 2, By: "a"}},
+		Gathered: []store.Change{{Namespace: "beta", Number: 3, By: "b"}},
+		Faults:   []store.Fault{{Change: store.Change{Namespace: "gamma", Number: 4, By: "c"}, At: 6, Why: "worse", Help: "mend it"}},
+		Held:     []store.Held{{Namespace: "delta", Offered: 5, Holds: 4, By: "d", Cut: []string{"cut"}, Why: "clash", Help: "agree"}},
 		Told:     []string{"conflict"}, Kept: []uint64{1, 2}, Proxies: 5},
 		Leads: true, State: "rolling", Proxies: 6, Have: 3, Refused: 1, Behind: []string{"p2"}, Late: 1, Older: 2, Worse: "worse", WorseHelp: "go back"},
-	"order_charter": policybook.Command{Charter: &policybook.Charter{Text: "version = 1\n", By: "a"}},
-	"order_offer":   policybook.Command{Offer: &policybook.Offer{Text: "version = 1\n", By: "a"}},
-	"order_back":    policybook.Command{Back: &policybook.Back{Epoch: 2, By: "a"}},
-	"order_judge":   policybook.Command{Judge: &policybook.Judge{Order: 1, Epoch: 3, Done: true, Why: "worse", Help: "mend it", Proxies: 5}},
+	"order_charter": store.Command{Charter: &store.Charter{Text: "version = 1\n", By: "a"}},
+	"order_offer":   store.Command{Offer: &store.Offer{Text: "version = 1\n", By: "a"}},
+	"order_back":    store.Command{Back: &store.Back{Epoch: 2, By: "a"}},
+	"order_judge":   store.Command{Judge: &store.Judge{Order: 1, Epoch: 3, Done: true, Why: "worse", Help: "mend it", Proxies: 5}},
 }
 
 // A release that writes or reads a message otherwise can't be in one fleet with the release before.
--- a/internal/controlplane/client/docs_test.go
+++ b/internal/controlplane/client/docs_test.go
@@ -20,7 +20,7 @@
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/staleness"
@@ -40,7 +40,7 @@
 	namespace.Clash{}, namespace.DelegationCircle{}, namespace.DelegationTooWide{}, namespace.FileError{}, namespace.MinimumsExceedWhole{},
 	namespace.NamespaceHeld{}, namespace.OutsideDomain{}, namespace.UnknownNamespace{}, namespace.VersionTaken{}, namespace.WrongItem{},
 	pieces.Incomplete{}, pieces.Malformed{}, pieces.TooLong{}, pieces.Twice{}, pieces.WrongName{}, pieces.WrongPiece{},
-	policybook.BadCommand{}, policybook.EpochGone{}, policybook.NoCharter{}, policybook.TooMuch{},
+	store.BadCommand{}, store.EpochGone{}, store.NoCharter{}, store.TooMuch{},
 	rollout.EpochTwice{}, rollout.OldEpoch{}, rollout.RolloutNotTaken{}, rollout.RolloutStopped{}, rollout.WorseAfter{}, rollout.WrongContent{},
 }
 
--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -13,7 +13,7 @@
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/pieces"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
@@ -82,10 +82,10 @@
 	{pieces.Twice{}, "pieces.Twice"},
 	{pieces.WrongName{}, "pieces.WrongName"},
 	{pieces.WrongPiece{}, "pieces.WrongPiece"},
-	{policybook.BadCommand{}, "policybook.BadCommand"},
-	{policybook.EpochGone{}, "policybook.EpochGone"},
-	{policybook.NoCharter{}, "policybook.NoCharter"},
-	{policybook.TooMuch{}, "policybook.TooMuch"},
+	{store.BadCommand{}, "policybook.BadCommand"},
+	{store.EpochGone{}, "policybook.EpochGone"},
+	{store.NoCharter{}, "policybook.NoCharter"},
+	{store.TooMuch{}, "policybook.TooMuch"},
 	{policyroutes.BadRoutes{}, "policyroutes.BadRoutes"},
 	{policyroutes.MissingServices{}, "policyroutes.MissingServices"},
 	{rollout.EpochTwice{}, "rollout.EpochTwice"},
--- a/internal/controlplane/server/frozen_test.go
+++ b/internal/controlplane/server/frozen_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 )
@@ -45,11 +45,11 @@
 		Amount: quotalease.Of(200), Burst: quotalease.Of(20), Lease: 600 * time.Millisecond, Ask: 3, Version: 1}}}})
 	add("", quotalease.Command{})
 	mark := string(rune(policyMark))
-	add(mark, policybook.Command{Charter: &policybook.Charter{Text: charterText("x.org"), By: "op"}})
+	add(mark, store.Command{Charter: &store.Charter{Text: charterText("x.org"), By: "op"}})
 	add(mark, offerOf("alpha", 1, "/a"))
-	add(mark, policybook.Command{Judge: &policybook.Judge{Order: 1 << 32, Epoch: 1, Done: true, Proxies: 3}})
+	add(mark, store.Command{Judge: &store.Judge{Order: 1 << 32, Epoch: 1, Done: true, Proxies: 3}})
 	add(mark, offerOf("beta", 1, "/a"))
-	add(mark, policybook.Command{Back: &policybook.Back{Epoch: 99}})
+	add(mark, store.Command{Back: &store.Back{Epoch: 99}})
 	return all
 }
 
@@ -116,7 +116,7 @@
 	base := rollout.Offer{Order: 1 << 32, Epoch: 1, Hash: "8a10529ffc3691e232af7149e3151bf480492604b19e6b0281d70bdc53a370ae"}
 	next := rollout.Offer{Order: 1 << 32, Epoch: 2, Hash: "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389"}
 	if st.Base != base || st.Next != next || st.Head != next || st.Stopped != nil || st.Proxies != 3 || !slices.Equal(st.Kept, []uint64{1, 2}) ||
-		!slices.Equal(st.Train, []policybook.Change{{Namespace: "alpha", Number: 1, By: "alpha"}}) || len(st.Gathered) != 0 || len(st.Faults) != 0 {
+		!slices.Equal(st.Train, []store.Change{{Namespace: "alpha", Number: 1, By: "alpha"}}) || len(st.Gathered) != 0 || len(st.Faults) != 0 {
 		t.Errorf("policies: read %+v", st)
 	}
 	if len(st.Held) != 1 || st.Held[0].Namespace != "beta" || st.Held[0].Offered != 1 || st.Held[0].Holds != 0 || st.Held[0].By != "beta" {
--- a/internal/controlplane/server/http.go
+++ b/internal/controlplane/server/http.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
 )
 
@@ -40,7 +40,7 @@
 		}
 	})
 	mux.HandleFunc("POST "+api.PathOrder, func(w http.ResponseWriter, r *http.Request) {
-		var in policybook.Command
+		var in store.Command
 		if s.read(w, r, &in) {
 			s.write(w, struct{}{}, s.order(r.Context(), in))
 		}
--- a/internal/controlplane/server/machine.go
+++ b/internal/controlplane/server/machine.go
@@ -14,7 +14,7 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/pieces"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/shelf"
@@ -29,7 +29,7 @@
 	keeper *quotalease.Keeper
 
 	policies sync.Mutex // apart from the grants: a merge takes longer than a plan may wait
-	policy   *policybook.Book
+	policy   *store.Book
 	view     atomic.Pointer[view] // of the policies: whoever reads waits for no merge
 	shelf    *shelf.Shelf
 
@@ -39,7 +39,7 @@
 
 // view is how the policies stand after an entry. Nobody writes to it.
 type view struct {
-	standing policybook.Standing
+	standing store.Standing
 	offers   []rollout.Offer // that are kept, and Head, the newest first
 }
 
@@ -61,7 +61,7 @@
 // newMachine has no silence of its own: the log keeps it, and knows by the other stewards when it may end sooner.
 func newMachine(clock func() time.Duration, epoch uint64) *machine {
 	book := quotalease.NewBook()
-	m := &machine{clock: clock, book: book, keeper: quotalease.NewKeeper(clock(), 0, book), policy: policybook.New(epoch << 32),
+	m := &machine{clock: clock, book: book, keeper: quotalease.NewKeeper(clock(), 0, book), policy: store.New(epoch << 32),
 		shelf: shelf.New(shelf.Defaults()), whole: map[string]whole{}}
 	m.publish()
 	return m
@@ -107,9 +107,9 @@
 }
 
 func (m *machine) applyPolicy(text []byte) []byte {
-	var c policybook.Command
+	var c store.Command
 	if err := json.Unmarshal(text, &c); err != nil {
-		c = policybook.Command{} // refused as empty
+		c = store.Command{} // refused as empty
 	}
 	m.policies.Lock()
 	err := m.policy.Apply(c)
@@ -119,7 +119,7 @@
 	return reply
 }
 
-func (m *machine) standing() policybook.Standing { return m.view.Load().standing }
+func (m *machine) standing() store.Standing { return m.view.Load().standing }
 
 // policyText is the whole of a policy with its hash; not ok if it isn't kept, or is too long for one answer.
 func (m *machine) policyText(o rollout.Offer) (whole, bool) {
--- a/internal/controlplane/server/pieces_test.go
+++ b/internal/controlplane/server/pieces_test.go
@@ -17,7 +17,7 @@
 	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/pieces"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/strictconfig"
 )
@@ -235,7 +235,7 @@
 		err = api.One(ctx, s.client, s.file.Stewards[s.leader()].Address, api.PathReport, in, &out)
 		return out, err
 	}
-	s.order(policybook.Command{Charter: &policybook.Charter{Text: charterText("x.org")}})
+	s.order(store.Command{Charter: &store.Charter{Text: charterText("x.org")}})
 	p := newProxies(s, 4)
 	s.order(offerOf("alpha", 1, "/a"))
 	s.until("it is in force", func() bool { p.turn(); return s.standing(s.leader()).Base.Epoch == s.newest() })
@@ -303,7 +303,7 @@
 		begun         bool
 	}{{100, 89, false}, {100, 90, true}, {0, 100, false}, {100, 140, true}} {
 		r := &roller{}
-		st := policybook.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}, Next: rollout.Offer{Order: 1, Epoch: 2, Hash: "b"}, Proxies: k.known}
+		st := store.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}, Next: rollout.Offer{Order: 1, Epoch: 2, Hash: "b"}, Proxies: k.known}
 		for i := range k.report {
 			if _, err := r.report(time.Duration(i)*time.Millisecond, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Number: 1, Has: st.Base}); err != nil {
 				t.Fatal(err)
@@ -322,7 +322,7 @@
 // As many proxies as the bound says are kept, and one more is refused without a trace.
 func TestProxiesAreBounded(t *testing.T) {
 	set, r := rollout.Defaults(), &roller{}
-	st := policybook.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}}
+	st := store.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}}
 	for i := range mostProxies {
 		if _, err := r.report(0, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Number: 1, Has: st.Base}); err != nil {
 			t.Fatal(i, err)
--- a/internal/controlplane/server/policy.go
+++ b/internal/controlplane/server/policy.go
@@ -14,7 +14,7 @@
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 )
@@ -72,7 +72,7 @@
 }
 
 // base is what all have. A fleet with no policy yet has one without an epoch, of this founding's order.
-func base(st policybook.Standing) rollout.Offer {
+func base(st store.Standing) rollout.Offer {
 	if st.Base.Epoch == 0 {
 		return rollout.Offer{Order: st.Next.Order}
 	}
@@ -80,7 +80,7 @@
 }
 
 // follow brings the rule in step with the log. It is called under the lock.
-func (r *roller) follow(now time.Duration, set rollout.Settings, st policybook.Standing) {
+func (r *roller) follow(now time.Duration, set rollout.Settings, st store.Standing) {
 	if r.after == nil {
 		r.after = rollout.NewAftermath(set)
 	}
@@ -126,7 +126,7 @@
 }
 
 // offer is what a proxy shall have; none is the zero. It is called under the lock.
-func (r *roller) offer(name string, st policybook.Standing) rollout.Offer {
+func (r *roller) offer(name string, st store.Standing) rollout.Offer {
 	o := r.rule.Offer(name)
 	// Danger: that a roll-out is through is committed before all are told. Else a leader that dies in between leaves the next one with
 	// nobody to compare with, and the roll-out never ends.
@@ -140,7 +140,7 @@
 }
 
 // report takes a proxy's report in, and gives what it shall have. It is called under the lock.
-func (r *roller) report(now time.Duration, set rollout.Settings, st policybook.Standing, in api.PolicyReport) (rollout.Offer, error) {
+func (r *roller) report(now time.Duration, set rollout.Settings, st store.Standing, in api.PolicyReport) (rollout.Offer, error) {
 	p := r.proxies[in.Proxy]
 	if p == nil {
 		if in.Proxy == "" || len(in.Proxy) > mostName || len(r.proxies) >= mostProxies {
@@ -233,7 +233,7 @@
 type NeedsPieces struct{ Epoch uint64 }
 
 func (e NeedsPieces) Error() string {
-	return fmt.Sprintf("the policy of epoch %d is over %d bytes, and this proxy takes whole texts alone", e.Epoch, policybook.MostWhole)
+	return fmt.Sprintf("the policy of epoch %d is over %d bytes, and this proxy takes whole texts alone", e.Epoch, store.MostWhole)
 }
 
 // Advice is what an operator can do.
@@ -279,12 +279,12 @@
 		if next != st.Next || next.Epoch == 0 || st.Stopped != nil || state != rollout.Done && state != rollout.Stopped {
 			continue
 		}
-		j := policybook.Judge{Order: next.Order, Epoch: next.Epoch, Done: state == rollout.Done, Proxies: known}
+		j := store.Judge{Order: next.Order, Epoch: next.Epoch, Done: state == rollout.Done, Proxies: known}
 		if why != nil {
 			j.Why, j.Help = why.Error(), operatorerror.Of(why)
 			s.warn("a train was stopped", why)
 		}
-		if err := s.command(ctx, t, policybook.Command{Judge: &j}); err != nil {
+		if err := s.command(ctx, t, store.Command{Judge: &j}); err != nil {
 			s.warn("how a train ended was not kept", err) // it is tried again
 			continue
 		}
@@ -297,7 +297,7 @@
 	}
 }
 
-func (s *Steward) command(ctx context.Context, t *term, c policybook.Command) error {
+func (s *Steward) command(ctx context.Context, t *term, c store.Command) error {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -306,9 +306,9 @@
 }
 
 // order carries out an operator's word. How a roll-out ends is not theirs to say.
-func (s *Steward) order(ctx context.Context, c policybook.Command) error {
+func (s *Steward) order(ctx context.Context, c store.Command) error {
 	if c.Judge != nil {
-		return policybook.BadCommand{Why: "how a roll-out ends is the leader's word"}
+		return store.BadCommand{Why: "how a roll-out ends is the leader's word"}
 	}
 	t, err := s.leading()
 	if err != nil {
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -10,7 +10,7 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/pieces"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/rollout"
 )
 
@@ -27,8 +27,8 @@
 		name, number, name, path, name)
 }
 
-func offerOf(name string, number int, path string) policybook.Command {
-	return policybook.Command{Offer: &policybook.Offer{Text: rulesText(name, number, path), By: name}}
+func offerOf(name string, number int, path string) store.Command {
+	return store.Command{Offer: &store.Offer{Text: rulesText(name, number, path), By: name}}
 }
 
 // proxies report to whoever leads; bad of a hundred requests fail under an epoch. Each other one is of an older release, and takes whole
@@ -135,12 +135,12 @@
 }
 
 // order gives a word until somebody takes it.
-func (s *site) order(c policybook.Command) {
+func (s *site) order(c store.Command) {
 	s.t.Helper()
 	s.until("a word is taken", func() bool { return s.file.Order(context.Background(), s.client, c) == nil })
 }
 
-func (s *site) standing(i int) policybook.Standing {
+func (s *site) standing(i int) store.Standing {
 	t := s.run[i].now.Load()
 	return t.machine.standing()
 }
@@ -148,7 +148,7 @@
 func policySite(t *testing.T) *site {
 	s := newSite(t)
 	s.found()
-	s.order(policybook.Command{Charter: &policybook.Charter{Text: charterText("x.org")}})
+	s.order(store.Command{Charter: &store.Charter{Text: charterText("x.org")}})
 	return s
 }
 
@@ -211,7 +211,7 @@
 		t.Error("the stewards' books differ")
 	}
 
-	s.order(policybook.Command{Charter: &policybook.Charter{Text: charterText("y.org")}})
+	s.order(store.Command{Charter: &store.Charter{Text: charterText("y.org")}})
 	s.until("nobody uses a domain that was taken back", func() bool {
 		for i := range 3 {
 			st := s.standing(i)
@@ -272,9 +272,9 @@
 			s.start(i)
 		}
 	}
-	s.order(policybook.Command{Back: &policybook.Back{Epoch: second, By: "on call"}})
+	s.order(store.Command{Back: &store.Back{Epoch: second, By: "on call"}})
 	p.untilAll("back", second)
-	if err := s.file.Order(context.Background(), s.client, policybook.Command{Judge: &policybook.Judge{}}); err == nil {
+	if err := s.file.Order(context.Background(), s.client, store.Command{Judge: &store.Judge{}}); err == nil {
 		t.Error("an operator judged")
 	}
 }
@@ -316,8 +316,8 @@
 	set := rollout.Defaults()
 	set.Step, set.Silent, set.Enough = 100*time.Millisecond, 50*time.Millisecond, 100
 	run := func(early bool) (ended bool) {
-		book := policybook.New(1 << 32)
-		for _, c := range []policybook.Command{{Charter: &policybook.Charter{Text: charterText("x.org")}}, offerOf("alpha", 1, "/a")} {
+		book := store.New(1 << 32)
+		for _, c := range []store.Command{{Charter: &store.Charter{Text: charterText("x.org")}}, offerOf("alpha", 1, "/a")} {
 			if err := book.Apply(c); err != nil {
 				t.Fatal(err)
 			}
@@ -376,7 +376,7 @@
 	set.Silent = time.Second
 	for _, hasty := range []bool{false, true} {
 		r := &roller{hasty: hasty, proxies: map[string]*reporter{}}
-		st := policybook.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}, Next: rollout.Offer{Order: 1, Epoch: 2, Hash: "b"}}
+		st := store.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}, Next: rollout.Offer{Order: 1, Epoch: 2, Hash: "b"}}
 		done := false
 		for i := range 20 { // one more each 100 ms
 			now := time.Duration(i) * 100 * time.Millisecond
@@ -399,7 +399,7 @@
 	for _, n := range []int{30, 300, 1000, 4700, 9400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			set, r, number := rollout.Defaults(), &roller{}, uint64(0)
-			st := policybook.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}, Next: rollout.Offer{Order: 1, Epoch: 2, Hash: "b"}}
+			st := store.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}, Next: rollout.Offer{Order: 1, Epoch: 2, Hash: "b"}}
 			var names []string
 			for i := range n {
 				names = append(names, fmt.Sprint("p", i))
--- a/internal/controlplane/server/trains_test.go
+++ b/internal/controlplane/server/trains_test.go
@@ -11,7 +11,7 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/rollout"
 )
 
@@ -20,14 +20,14 @@
 type yard struct {
 	t      testing.TB
 	rng    *rand.Rand
-	book   *policybook.Book
+	book   *store.Book
 	roll   *roller // of whoever leads; nil is nobody
 	set    rollout.Settings
 	now    time.Duration
 	all    []*cart
 	slots  [slots][]*cart
 	taking []*cart
-	judge  *policybook.Judge // that is being committed
+	judge  *store.Judge // that is being committed
 
 	changes []*offered
 	harm    map[uint64]bool // epochs that have something harmful
@@ -82,10 +82,10 @@
 func (y *yard) found(teams int) {
 	y.t.Helper()
 	y.order++
-	y.book, y.roll, y.judge = policybook.New(y.order<<32), nil, nil
-	y.do(policybook.Command{Charter: &policybook.Charter{Text: teamsText(teams), By: "admin"}})
+	y.book, y.roll, y.judge = store.New(y.order<<32), nil, nil
+	y.do(store.Command{Charter: &store.Charter{Text: teamsText(teams), By: "admin"}})
 	for i := range teams {
-		y.do(policybook.Command{Offer: &policybook.Offer{Text: teamText(i, 1, fmt.Sprint("/", i)), By: "t"}})
+		y.do(store.Command{Offer: &store.Offer{Text: teamText(i, 1, fmt.Sprint("/", i)), By: "t"}})
 	}
 	y.lead()
 }
@@ -103,7 +103,7 @@
 	return rulesText(fmt.Sprint("t", team), number, path)
 }
 
-func (y *yard) do(c policybook.Command) {
+func (y *yard) do(c store.Command) {
 	y.t.Helper()
 	y.counted = false
 	if err := y.book.Apply(c); err != nil {
@@ -128,13 +128,13 @@
 func (y *yard) offer(team, number int, path string, harm bool) {
 	y.t.Helper()
 	before := y.book.Standing()
-	y.do(policybook.Command{Offer: &policybook.Offer{Text: teamText(team, number, path), By: "t"}})
+	y.do(store.Command{Offer: &store.Offer{Text: teamText(team, number, path), By: "t"}})
 	y.changes = append(y.changes, &offered{team: team, number: number, at: y.now, harm: harm})
 	y.departed(before, false)
 }
 
 // departed looks at what goes out after a command.
-func (y *yard) departed(before policybook.Standing, judged bool) {
+func (y *yard) departed(before store.Standing, judged bool) {
 	s := y.book.Standing()
 	if s.Next == before.Next || s.Next.Epoch == 0 {
 		return
@@ -180,7 +180,7 @@
 		} else {
 			y.stops++
 		}
-		y.do(policybook.Command{Judge: y.judge})
+		y.do(store.Command{Judge: y.judge})
 		y.judge = nil
 		y.departed(before, true)
 		st = y.book.Standing()
@@ -201,7 +201,7 @@
 		r.tick(y.now)
 		state, why := r.rule.State()
 		if r.next == st.Next && r.next.Epoch != 0 && st.Stopped == nil && y.judge == nil && (state == rollout.Done || state == rollout.Stopped) {
-			j := &policybook.Judge{Order: r.next.Order, Epoch: r.next.Epoch, Done: state == rollout.Done, Proxies: len(r.proxies)}
+			j := &store.Judge{Order: r.next.Order, Epoch: r.next.Epoch, Done: state == rollout.Done, Proxies: len(r.proxies)}
 			if why != nil {
 				j.Why, j.Help = why.Error(), operatorerror.Of(why)
 			}
@@ -217,7 +217,7 @@
 }
 
 // count sees which epoch all have at least, and how many have something harmful.
-func (y *yard) count(st policybook.Standing) {
+func (y *yard) count(st store.Standing) {
 	if y.counted {
 		return
 	}
@@ -238,7 +238,7 @@
 	y.harmHad = max(y.harmHad, had)
 }
 
-func (y *yard) report(c *cart, st policybook.Standing) {
+func (y *yard) report(c *cart, st store.Standing) {
 	if c.gone || y.roll == nil {
 		return
 	}
@@ -291,8 +291,8 @@
 	harmless := !slices.ContainsFunc(y.changes, func(o *offered) bool { return o.harm })
 	for _, o := range y.changes {
 		name := fmt.Sprint("t", o.team)
-		at := slices.IndexFunc(st.Faults, func(f policybook.Fault) bool { return f.Namespace == name && f.Number == uint64(o.number) })
-		held := slices.ContainsFunc(st.Held, func(h policybook.Held) bool {
+		at := slices.IndexFunc(st.Faults, func(f store.Fault) bool { return f.Namespace == name && f.Number == uint64(o.number) })
+		held := slices.ContainsFunc(st.Held, func(h store.Held) bool {
 			return h.Namespace == name && h.Offered == uint64(o.number) && h.Why != ""
 		})
 		newer := slices.ContainsFunc(y.changes, func(n *offered) bool { return n.team == o.team && n.number > o.number })
@@ -476,7 +476,7 @@
 	y.offer(1, 4, "/new", false)
 	y.run(4 * time.Second)
 	y.changes = y.changes[:2]
-	y.do(policybook.Command{Back: &policybook.Back{Epoch: base.Epoch, By: "on call"}})
+	y.do(store.Command{Back: &store.Back{Epoch: base.Epoch, By: "on call"}})
 	y.settle()
 	y.check()
 	for _, c := range y.all {
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -19,7 +19,7 @@
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/faultlab/model"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/supervisor"
 )
@@ -324,7 +324,7 @@
 }
 
 // give gives the stewards an operator's word until it is taken or the book says no.
-func (r *run) give(ctx context.Context, c policybook.Command) error {
+func (r *run) give(ctx context.Context, c store.Command) error {
 	var no error
 	err := again(ctx, "an operator's word", func() error {
 		err := r.file.Order(ctx, r.operator, c)
@@ -340,11 +340,11 @@
 // load gives the stewards the first policy. Then all proxies are told to have it at once, as an operator can: there is no fleet yet in
 // which it could go out by steps.
 func (r *run) load(ctx context.Context) error {
-	if err := r.give(ctx, policybook.Command{Charter: &policybook.Charter{Text: r.site.charter()}}); err != nil {
+	if err := r.give(ctx, store.Command{Charter: &store.Charter{Text: r.site.charter()}}); err != nil {
 		return err
 	}
 	for team := range r.site.teams {
-		if err := r.give(ctx, policybook.Command{Offer: &policybook.Offer{Text: r.site.file(team, 0), By: teamName(team)}}); err != nil {
+		if err := r.give(ctx, store.Command{Offer: &store.Offer{Text: r.site.file(team, 0), By: teamName(team)}}); err != nil {
 			return err
 		}
 	}
@@ -354,7 +354,7 @@
 	}
 	r.learn(st, 0)
 	if o := newest(st); o != st.Base && slices.Contains(st.Kept, o.Epoch) {
-		if err := r.give(ctx, policybook.Command{Back: &policybook.Back{Epoch: o.Epoch}}); err != nil {
+		if err := r.give(ctx, store.Command{Back: &store.Back{Epoch: o.Epoch}}); err != nil {
 			r.say("the first policy goes out by steps: %v", err)
 		}
 		if st, err = r.standing(ctx); err != nil {
@@ -365,7 +365,7 @@
 	return nil
 }
 
-func (r *run) standing(ctx context.Context) (st policybook.Standing, err error) {
+func (r *run) standing(ctx context.Context) (st store.Standing, err error) {
 	err = again(ctx, "how the policy stands", func() error {
 		s, err := r.file.Policies(ctx, r.operator)
 		if err == nil && !s.Leads {
@@ -378,7 +378,7 @@
 }
 
 // newest is what all that was offered has come to.
-func newest(st policybook.Standing) rollout.Offer {
+func newest(st store.Standing) rollout.Offer {
 	if st.Head.Epoch > 0 {
 		return st.Head
 	}
@@ -389,7 +389,7 @@
 }
 
 // learn notes what the newest policy is made of: changes are offered one after another, each with all before it.
-func (r *run) learn(st policybook.Standing, changes int) {
+func (r *run) learn(st store.Standing, changes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, h := range st.Held {
--- a/internal/lab/stewards/policy_test.go
+++ b/internal/lab/stewards/policy_test.go
@@ -18,7 +18,7 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/client"
-	"lapisspread/internal/policybook"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/rollout"
 )
 
@@ -138,7 +138,7 @@
 	f.t.Helper()
 	f.foundAs(fmt.Sprint(epoch))
 	f.until("the charter is taken", func() bool {
-		return f.file.Order(context.Background(), f.client, policybook.Command{Charter: &policybook.Charter{Text: charterOf()}}) == nil
+		return f.file.Order(context.Background(), f.client, store.Command{Charter: &store.Charter{Text: charterOf()}}) == nil
 	})
 }
 
@@ -208,7 +208,7 @@
 func (f *fleetOf) offer(team string) {
 	f.t.Helper()
 	f.number[team]++
-	c := policybook.Command{Offer: &policybook.Offer{Text: policyText(team, f.number[team]), By: team}}
+	c := store.Command{Offer: &store.Offer{Text: policyText(team, f.number[team]), By: team}}
 	f.until("an offer is taken", func() bool { return f.file.Order(context.Background(), f.client, c) == nil })
 }
 
@@ -387,7 +387,7 @@
 	// A founding anew: its numbers begin at 1, and it goes before all that there was.
 	f.foundAs("2")
 	f.until("the charter is taken", func() bool {
-		return f.file.Order(context.Background(), f.client, policybook.Command{Charter: &policybook.Charter{Text: charterOf()}}) == nil
+		return f.file.Order(context.Background(), f.client, store.Command{Charter: &store.Charter{Text: charterOf()}}) == nil
 	})
 	f.number = map[string]int{}
 	f.offer("beta")
@@ -426,7 +426,7 @@
 func (f *fleetOf) offerBy(not int, team string) {
 	f.t.Helper()
 	f.number[team]++
-	c := policybook.Command{Offer: &policybook.Offer{Text: policyText(team, f.number[team]), By: team}}
+	c := store.Command{Offer: &store.Offer{Text: policyText(team, f.number[team]), By: team}}
 	f.until("an offer is taken", func() bool {
 		for i, s := range f.file.Stewards {
 			if i != not && api.One(context.Background(), f.client, s.Address, api.PathOrder, c, nil) == nil {
--- a/internal/policybook/bench_test.go
+++ b/internal/policy/store/bench_test.go
@@ -1,4 +1,4 @@
-package policybook
+package store
 
 import (
 	"fmt"
--- a/internal/policybook/book.go
+++ b/internal/policy/store/book.go
@@ -1,4 +1,4 @@
-// Package policybook is the state machine of a fleet's policies: the charter, the last good file of each namespace, what is offered
+// Package store is the state machine of a fleet's policies: the charter, the last good file of each namespace, what is offered
 // and held, and the merged policy under an epoch. It is pure: commands come from a log that all stewards agree on, and the same
 // commands give the same bytes at each of them. What conflicts, and who is held for it, is package namespace's to say.
 //
@@ -6,7 +6,7 @@
 // displaces Next; what has gathered departs as the next train. A train that is stopped is halved until the change at fault stands
 // alone (see train.go). Epochs only rise; Order rises when an operator tells the fleet to go back, and then alone. A file's number
 // is used once: what is late or repeated takes no namespace back. The design: docs/fleet-ownership-design.md, docs/capacity-trains.md.
-package policybook
+package store
 
 import (
 	"fmt"
