--- a/internal/controlplane/client/docs_test.go
+++ b/internal/controlplane/client/docs_test.go
@@ -19,7 +19,7 @@
 	"lapisspread/internal/controlplane/server"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
@@ -39,7 +39,7 @@
 	staleness.BadSettings{}, staleness.ClaimCannotBeTrue{}, staleness.EdgeBlind{}, staleness.NameTaken{}, staleness.UnknownSource{}, staleness.ViewDoubtful{},
 	namespace.Clash{}, namespace.DelegationCircle{}, namespace.DelegationTooWide{}, namespace.FileError{}, namespace.MinimumsExceedWhole{},
 	namespace.NamespaceHeld{}, namespace.OutsideDomain{}, namespace.UnknownNamespace{}, namespace.VersionTaken{}, namespace.WrongItem{},
-	pieces.Incomplete{}, pieces.Malformed{}, pieces.TooLong{}, pieces.Twice{}, pieces.WrongName{}, pieces.WrongPiece{},
+	merkle.Incomplete{}, merkle.Malformed{}, merkle.TooLong{}, merkle.Twice{}, merkle.WrongName{}, merkle.WrongPiece{},
 	store.BadCommand{}, store.EpochGone{}, store.NoCharter{}, store.TooMuch{},
 	rollout.EpochTwice{}, rollout.OldEpoch{}, rollout.RolloutNotTaken{}, rollout.RolloutStopped{}, rollout.WorseAfter{}, rollout.WrongContent{},
 }
--- a/internal/controlplane/client/fetch.go
+++ b/internal/controlplane/client/fetch.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 )
 
 const (
@@ -22,28 +22,28 @@
 // bag holds pieces that came and are not taken up yet, by name: what came for one root serves the next one.
 type bag struct {
 	mu   sync.Mutex
-	all  map[pieces.Name][]byte
+	all  map[merkle.Name][]byte
 	size int
 }
 
 func (b *bag) put(piece []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := pieces.NameOf(piece)
-	if b.all[n] != nil || len(piece) > pieces.MostPiece {
+	n := merkle.NameOf(piece)
+	if b.all[n] != nil || len(piece) > merkle.MostPiece {
 		return
 	}
 	if b.size+len(piece) > mostLoose {
 		b.all, b.size = nil, 0 // it can be fetched
 	}
 	if b.all == nil {
-		b.all = map[pieces.Name][]byte{}
+		b.all = map[merkle.Name][]byte{}
 	}
 	b.all[n] = piece
 	b.size += len(piece)
 }
 
-func (b *bag) get(n pieces.Name) []byte {
+func (b *bag) get(n merkle.Name) []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.all[n]
@@ -57,16 +57,16 @@
 
 // assembly is a *pieces.Assembly, or what a test has in its place.
 type assembly interface {
-	Wants(most int) []pieces.Name
+	Wants(most int) []merkle.Name
 	Add(piece []byte) error
-	Tree() (*pieces.Tree, error)
+	Tree() (*merkle.Tree, error)
 }
 
 // fetching is one duty's: what it is putting together, over as many reports as it takes.
 type fetching struct {
 	*Policies
-	root  pieces.Name
-	has   *pieces.Tree
+	root  merkle.Name
+	has   *merkle.Tree
 	to    assembly        // nil is none
 	at    int             // the steward that is asked
 	due   []time.Duration // when each may be asked again
@@ -101,8 +101,8 @@
 
 // fetch goes on with what an offer comes to: of the pieces that came along, of what came before, and of what stewards give by name. The
 // tree is nil as long as it is not whole; the next report goes on. Errors are of package pieces, and of the last steward that was asked.
-func (f *fetching) fetch(ctx context.Context, r api.PolicyReply) (*pieces.Tree, error) {
-	root, err := pieces.ParseName(r.Offer.Hash)
+func (f *fetching) fetch(ctx context.Context, r api.PolicyReply) (*merkle.Tree, error) {
+	root, err := merkle.ParseName(r.Offer.Hash)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	wrong := f.add(r.Pieces)
-	var malformed pieces.Malformed
+	var malformed merkle.Malformed
 	if errors.As(wrong, &malformed) {
 		return nil, wrong
 	}
@@ -165,7 +165,7 @@
 }
 
 // ask asks a steward for pieces by name. One that hasn't all of them, or fails, rests until the others were asked.
-func (f *fetching) ask(ctx context.Context, names []pieces.Name) error {
+func (f *fetching) ask(ctx context.Context, names []merkle.Name) error {
 	in := api.PiecesRequest{Fleet: f.set.File.Fleet, Proxy: f.set.Name, Root: f.root.String()}
 	for i := range names {
 		in.Names = append(in.Names, names[i][:])
@@ -201,13 +201,13 @@
 // add takes pieces that came. What is not wanted is left out; the error is the last of these.
 func (f *fetching) add(all [][]byte) (wrong error) {
 	for _, piece := range all {
-		if f.loose.get(pieces.NameOf(piece)) != nil {
+		if f.loose.get(merkle.NameOf(piece)) != nil {
 			continue // it came before
 		}
 		if err := f.to.Add(piece); err != nil {
 			f.wrong.Add(1)
 			wrong = err
-			var malformed pieces.Malformed
+			var malformed merkle.Malformed
 			if errors.As(err, &malformed) {
 				return err
 			}
--- a/internal/controlplane/client/frozen_test.go
+++ b/internal/controlplane/client/frozen_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"lapisspread/internal/durable"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 )
@@ -122,7 +122,7 @@
 	k := newKeeper(dir, "p1")
 	got, loose, err := k.load()
 	if err != nil || len(loose) > 0 || got.offer != (rollout.Offer{Order: 1, Epoch: 6, Hash: two.hash}) || got.hash != two.hash ||
-		!slices.EqualFunc(slices.Collect(got.tree.Items()), slices.Collect(two.tree.Items()), func(a, b pieces.Item) bool {
+		!slices.EqualFunc(slices.Collect(got.tree.Items()), slices.Collect(two.tree.Items()), func(a, b merkle.Item) bool {
 			return a.Key == b.Key && bytes.Equal(a.Value, b.Value)
 		}) {
 		t.Fatalf("%+v, %d loose, %v", got, len(loose), err)
--- a/internal/controlplane/client/kept.go
+++ b/internal/controlplane/client/kept.go
@@ -11,7 +11,7 @@
 
 	"lapisspread/internal/durable"
 	"lapisspread/internal/namespace"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/rollout"
 )
 
@@ -19,7 +19,7 @@
 type content struct {
 	offer rollout.Offer
 	hash  string // what it came to: the root, or the SHA-256 of its text where that is what the offer names
-	tree  *pieces.Tree
+	tree  *merkle.Tree
 }
 
 // keeper keeps a policy for the next process of this name, in pieces: a change appends the pieces that it brought, and now and then all
@@ -29,7 +29,7 @@
 	journal durable.Journal
 	older   durable.File // in which releases before pieces kept a text
 	offer   rollout.Offer
-	tree    *pieces.Tree // that the journal has; nil is not known
+	tree    *merkle.Tree // that the journal has; nil is not known
 }
 
 // The kinds of records, by their first byte.
@@ -85,12 +85,12 @@
 	if err != nil {
 		return c, nil, err
 	}
-	all := map[pieces.Name][]byte{}
+	all := map[merkle.Name][]byte{}
 	var offers []keptOffer
 	for _, r := range records {
 		switch {
 		case len(r) > 1 && r[0] == recordPiece:
-			all[pieces.NameOf(r[1:])] = r[1:]
+			all[merkle.NameOf(r[1:])] = r[1:]
 		case len(r) > 1 && r[0] == recordOffer:
 			var o keptOffer
 			if json.Unmarshal(r[1:], &o) == nil {
@@ -99,11 +99,11 @@
 		}
 	}
 	for i := len(offers) - 1; i >= 0 && c.tree == nil; i-- {
-		root, wrong := pieces.ParseName(offers[i].Root)
+		root, wrong := merkle.ParseName(offers[i].Root)
 		if wrong != nil {
 			continue
 		}
-		a := pieces.Assemble(root, nil)
+		a := merkle.Assemble(root, nil)
 		for names := a.Wants(len(all)); len(names) > 0; names = a.Wants(len(all)) {
 			added := false
 			for _, n := range names {
--- a/internal/controlplane/client/pieces_test.go
+++ b/internal/controlplane/client/pieces_test.go
@@ -19,7 +19,7 @@
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/shelf"
 )
@@ -48,7 +48,7 @@
 	})
 }
 
-func treeOf(t testing.TB, p *namespace.Policy) *pieces.Tree {
+func treeOf(t testing.TB, p *namespace.Policy) *merkle.Tree {
 	t.Helper()
 	tree, err := p.Tree()
 	if err != nil {
@@ -83,7 +83,7 @@
 func (h *hub) offers(order, epoch uint64, p *namespace.Policy) rollout.Offer {
 	h.t.Helper()
 	tree := treeOf(h.t, p)
-	h.has().Keep([]*pieces.Tree{tree})
+	h.has().Keep([]*merkle.Tree{tree})
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.offer = rollout.Offer{Order: order, Epoch: epoch, Hash: tree.Root().String()}
@@ -334,7 +334,7 @@
 			case 2:
 				*all = (*all)[:at]
 			case 3:
-				(*all)[at] = make([]byte, pieces.MostPiece+1)
+				(*all)[at] = make([]byte, merkle.MostPiece+1)
 			}
 		}
 		e := h.edge(t.TempDir(), nil)
@@ -415,11 +415,11 @@
 		e := h.edge(t.TempDir(), nil)
 		first := h.offers(1, 1, version(300, 1))
 		e.has(t, "the first", first)
-		bad, err := e.Now().Tree.With([]pieces.Item{{Key: "route a/r00001", Value: []byte("{}")}}, nil)
+		bad, err := e.Now().Tree.With([]merkle.Item{{Key: "route a/r00001", Value: []byte("{}")}}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.has().Keep([]*pieces.Tree{bad})
+		h.has().Keep([]*merkle.Tree{bad})
 		h.set(func() { h.offer = rollout.Offer{Order: 1, Epoch: 2, Hash: bad.Root().String()} })
 		before := e.got.Load()
 		time.Sleep(time.Minute)
@@ -573,18 +573,18 @@
 // takes takes whatever piece comes, and gives what there is before all is there: a receiver without its guards.
 type takes struct {
 	assembly
-	has *pieces.Tree
+	has *merkle.Tree
 	n   int
 }
 
-func (a *takes) Tree() (*pieces.Tree, error) {
+func (a *takes) Tree() (*merkle.Tree, error) {
 	if t, err := a.assembly.Tree(); err == nil && a.n%2 == 0 {
 		return t, nil
 	}
 	return a.has, nil
 }
 
-func (a *takes) Wants(most int) []pieces.Name {
+func (a *takes) Wants(most int) []merkle.Name {
 	if a.n++; a.has != nil && a.n > 1 {
 		return nil // half of it will do
 	}
@@ -634,7 +634,7 @@
 			change := func(p *Policies) {
 				p.out = out
 				if early {
-					p.wants = func(root pieces.Name, has *pieces.Tree) assembly { return &takes{pieces.Assemble(root, has), has, 0} }
+					p.wants = func(root merkle.Name, has *merkle.Tree) assembly { return &takes{merkle.Assemble(root, has), has, 0} }
 				}
 			}
 			order, epoch := uint64(1), uint64(1)
@@ -656,7 +656,7 @@
 					h.set(func() { h.down = false })
 				case 6:
 					h.forget()
-					h.has().Keep([]*pieces.Tree{})
+					h.has().Keep([]*merkle.Tree{})
 					epoch++
 					offer()
 				case 7:
@@ -703,7 +703,7 @@
 
 // Errors on the way tell what can be done.
 func TestErrorsOfTheWayHaveAdvice(t *testing.T) {
-	for _, err := range []error{PolicyNotTaken{1, pieces.WrongPiece{}}, pieces.Malformed{}, pieces.Incomplete{}} {
+	for _, err := range []error{PolicyNotTaken{1, merkle.WrongPiece{}}, merkle.Malformed{}, merkle.Incomplete{}} {
 		if operatorerror.Of(err) == "" || strings.TrimSpace(err.Error()) == "" {
 			t.Errorf("%T", err)
 		}
@@ -717,7 +717,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := NewPolicies(Settings{File: file(b.TempDir(), "127.0.0.1:1"), Name: "p1"}, func(*Taken) error { return nil })
 			f := newFetching(p)
-			trees := []*pieces.Tree{treeOf(b, version(n, 2)), treeOf(b, version(n, 3))}
+			trees := []*merkle.Tree{treeOf(b, version(n, 2)), treeOf(b, version(n, 3))}
 			var lacks [2][][]byte // of each, one who has the other
 			for i := range 2 {
 				for _, piece := range trees[i].Lacks(trees[1-i]) {
--- a/internal/controlplane/client/policy.go
+++ b/internal/controlplane/client/policy.go
@@ -14,7 +14,7 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/namespace"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/supervisor"
 )
@@ -32,7 +32,7 @@
 	Offer  rollout.Offer
 	Policy *namespace.Policy // nil of none
 	Epoch  string            // as attempts carry it; empty of none
-	Tree   *pieces.Tree      // its content; nil of none
+	Tree   *merkle.Tree      // its content; nil of none
 
 	Before rollout.Offer   // that it was made of by Diff
 	Diff   *namespace.Diff // what is not as in Before; nil where it was not made of it
@@ -66,7 +66,7 @@
 	loose  bag
 	got    atomic.Int64 // pieces that were taken
 	wrong  atomic.Int64 // pieces that were not what they should be
-	wants  func(root pieces.Name, has *pieces.Tree) assembly
+	wants  func(root merkle.Name, has *merkle.Tree) assembly
 	out    guards
 }
 
@@ -91,7 +91,7 @@
 	file.State, file.Budgets = "", nil
 	set.File = &file
 	p := &Policies{Link: New(set), install: install, holder: rollout.NewHolder(rollout.Offer{}),
-		wants: func(root pieces.Name, has *pieces.Tree) assembly { return pieces.Assemble(root, has) }}
+		wants: func(root merkle.Name, has *merkle.Tree) assembly { return merkle.Assemble(root, has) }}
 	p.number.Store(uint64(time.Now().UnixNano())) // rises over restarts too
 	p.now.Store(&Taken{})
 	if dir != "" {
@@ -151,7 +151,7 @@
 	was := p.now.Load()
 	t := &Taken{Offer: c.offer, Epoch: strconv.FormatUint(c.offer.Epoch, 10), Tree: c.tree}
 	if was.Policy != nil {
-		if policy, diff, err := was.Policy.With(pieces.Changes(was.Tree, c.tree)); err == nil {
+		if policy, diff, err := was.Policy.With(merkle.Changes(was.Tree, c.tree)); err == nil {
 			t.Policy, t.Diff, t.Before = policy, diff, was.Offer
 		}
 	}
@@ -269,7 +269,7 @@
 	if err == nil {
 		err = p.take(c, current)
 	}
-	var malformed pieces.Malformed
+	var malformed merkle.Malformed
 	var no unreadable
 	switch {
 	case errors.As(err, &malformed) || errors.As(err, &no): // of the root that was offered: what the stewards have is so
--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -12,7 +12,7 @@
 	"lapisspread/internal/controlplane/server"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/quotalease"
@@ -76,12 +76,12 @@
 	{namespace.UnknownNamespace{}, "namespace.UnknownNamespace"},
 	{namespace.VersionTaken{}, "namespace.VersionTaken"},
 	{namespace.WrongItem{}, "namespace.WrongItem"},
-	{pieces.Incomplete{}, "pieces.Incomplete"},
-	{pieces.Malformed{}, "pieces.Malformed"},
-	{pieces.TooLong{}, "pieces.TooLong"},
-	{pieces.Twice{}, "pieces.Twice"},
-	{pieces.WrongName{}, "pieces.WrongName"},
-	{pieces.WrongPiece{}, "pieces.WrongPiece"},
+	{merkle.Incomplete{}, "pieces.Incomplete"},
+	{merkle.Malformed{}, "pieces.Malformed"},
+	{merkle.TooLong{}, "pieces.TooLong"},
+	{merkle.Twice{}, "pieces.Twice"},
+	{merkle.WrongName{}, "pieces.WrongName"},
+	{merkle.WrongPiece{}, "pieces.WrongPiece"},
 	{store.BadCommand{}, "policybook.BadCommand"},
 	{store.EpochGone{}, "policybook.EpochGone"},
 	{store.NoCharter{}, "policybook.NoCharter"},
--- a/internal/controlplane/server/machine.go
+++ b/internal/controlplane/server/machine.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
@@ -70,7 +70,7 @@
 // publish shows what an entry came to. It is called under the lock.
 func (m *machine) publish() {
 	v := &view{standing: m.policy.Standing()}
-	var trees []*pieces.Tree
+	var trees []*merkle.Tree
 	for o, t := range m.policy.Policies() {
 		v.offers = append(v.offers, o)
 		trees = append(trees, t)
--- a/internal/controlplane/server/pieces_test.go
+++ b/internal/controlplane/server/pieces_test.go
@@ -16,14 +16,14 @@
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/strictconfig"
 )
 
 // policyOf is a policy of so many routes, one of which leads elsewhere with each version.
-func policyOf(tb testing.TB, routes int, version uint64) *pieces.Tree {
+func policyOf(tb testing.TB, routes int, version uint64) *merkle.Tree {
 	tb.Helper()
 	weight := 1.0
 	p := &namespace.Policy{Form: 1}
@@ -50,7 +50,7 @@
 }
 
 // inForce has a steward tell that trees are kept, the last of which is in force, without a merge.
-func (p *process) inForce(trees ...*pieces.Tree) rollout.Offer {
+func (p *process) inForce(trees ...*merkle.Tree) rollout.Offer {
 	return p.inForceAt(uint64(len(trees)), trees...)
 }
 
@@ -89,7 +89,7 @@
 			s := newSite(b)
 			s.found()
 			lead := s.run[s.leader()]
-			trees := []*pieces.Tree{policyOf(b, routes, 1)}
+			trees := []*merkle.Tree{policyOf(b, routes, 1)}
 			first := lead.inForce(trees...)
 			file := *s.file
 			file.Policy.Silent = strictconfig.Span(250 * time.Millisecond) // it reports 20 times a second
@@ -142,7 +142,7 @@
 }
 
 // inForceAt is inForce with an epoch of the last.
-func (p *process) inForceAt(epoch uint64, trees ...*pieces.Tree) rollout.Offer {
+func (p *process) inForceAt(epoch uint64, trees ...*merkle.Tree) rollout.Offer {
 	m := p.now.Load().machine
 	v := &view{}
 	for i := range trees {
@@ -276,7 +276,7 @@
 		var out api.PiecesReply
 		name := tree.Root()
 		err := api.One(ctx, s.client, o.Address, api.PathPieces, api.PiecesRequest{Fleet: "north", Proxy: "p9", Root: root, Names: [][]byte{name[:], {1, 2}}}, &out)
-		if err != nil || len(out.Pieces) != 1 || out.Lacks != 1 || pieces.NameOf(out.Pieces[0]) != name {
+		if err != nil || len(out.Pieces) != 1 || out.Lacks != 1 || merkle.NameOf(out.Pieces[0]) != name {
 			t.Errorf("steward %s: %d pieces, %v", o.Name, len(out.Pieces), err)
 		}
 		for what, in := range map[string]api.PiecesRequest{
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/rollout"
 )
@@ -37,14 +37,14 @@
 	*site
 	names   []string
 	holders map[string]*rollout.Holder
-	trees   map[string]*pieces.Tree // of those that take pieces
+	trees   map[string]*merkle.Tree // of those that take pieces
 	number  uint64
 	asked   int // calls for pieces
 	bad     func(epoch uint64) int64
 }
 
 func newProxies(s *site, n int) *proxies {
-	p := &proxies{site: s, holders: map[string]*rollout.Holder{}, trees: map[string]*pieces.Tree{}, bad: func(uint64) int64 { return 0 }}
+	p := &proxies{site: s, holders: map[string]*rollout.Holder{}, trees: map[string]*merkle.Tree{}, bad: func(uint64) int64 { return 0 }}
 	for i := range n {
 		name := fmt.Sprintf("p%02d", i)
 		p.names, p.holders[name] = append(p.names, name), rollout.NewHolder(rollout.Offer{})
@@ -88,9 +88,9 @@
 	if !reply.Offer.After(p.holders[name].Has()) {
 		return
 	}
-	root, err := pieces.ParseName(reply.Offer.Hash)
+	root, err := merkle.ParseName(reply.Offer.Hash)
 	p.must(err)
-	a := pieces.Assemble(root, p.trees[name])
+	a := merkle.Assemble(root, p.trees[name])
 	for _, piece := range reply.Pieces {
 		p.must(a.Add(piece))
 	}
--- a/internal/faultlab/capacity/decides.go
+++ b/internal/faultlab/capacity/decides.go
@@ -6,7 +6,7 @@
 
 	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/route"
 )
@@ -23,12 +23,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var items []pieces.Item
+	var items []merkle.Item
 	for item := range from.Items() {
-		items = append(items, pieces.Item{Key: strings.Clone(item.Key), Value: bytes.Clone(item.Value)})
+		items = append(items, merkle.Item{Key: strings.Clone(item.Key), Value: bytes.Clone(item.Value)})
 	}
 	t := &client.Taken{Epoch: "1"}
-	if t.Tree, err = pieces.Build(items); err != nil {
+	if t.Tree, err = merkle.Build(items); err != nil {
 		return nil, err
 	}
 	t.Policy, err = namespace.FromTree(t.Tree)
--- a/internal/namespace/items.go
+++ b/internal/namespace/items.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"strings"
 
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/route"
 )
 
@@ -45,7 +45,7 @@
 
 // itemChanges is what becomes of a policy's items.
 type itemChanges struct {
-	set     map[string][]pieces.Item // by kind
+	set     map[string][]merkle.Item // by kind
 	removed map[string][]string      // keys, by kind
 	files   map[string]origin        // by namespace, as they are afterwards
 	renewed []string                 // namespaces whose number is another than before
@@ -80,7 +80,7 @@
 // key is the key of a rule. A name that would be too long stands by its beginning and its hash.
 func (l *list[T]) key(v *T) string {
 	name := l.tell(v)
-	if len(l.kind)+1+len(name) > pieces.MostKey {
+	if len(l.kind)+1+len(name) > merkle.MostKey {
 		sum := sha256.Sum256([]byte(name))
 		return l.kind + " " + name[:64] + "..." + hex.EncodeToString(sum[:])
 	}
@@ -321,14 +321,14 @@
 
 // Tree gives the policy's items as pieces; the root names its content. It is an error if a list is out of order or a namespace's
 // rules come from two versions of its file, which Merge never gives.
-func (p *Policy) Tree() (*pieces.Tree, error) {
-	var all []pieces.Item
+func (p *Policy) Tree() (*merkle.Tree, error) {
+	var all []merkle.Item
 	add := func(key string, v any) error {
 		text, err := plainJSON(v)
 		if err != nil {
 			return WrongItem{key, err}
 		}
-		all = append(all, pieces.Item{Key: key, Value: text})
+		all = append(all, merkle.Item{Key: key, Value: text})
 		return nil
 	}
 	if err := add(formKey, p.Form); err != nil {
@@ -348,12 +348,12 @@
 			return nil, err
 		}
 	}
-	return pieces.Build(all)
+	return merkle.Build(all)
 }
 
 // FromTree reads a policy from its items. They must be the very ones that Tree gives, and its routes must compile. Errors are
 // WrongItem, and those of package route.
-func FromTree(t *pieces.Tree) (*Policy, error) {
+func FromTree(t *merkle.Tree) (*Policy, error) {
 	if _, there := t.Get(formKey); !there {
 		return nil, WrongItem{formKey, errors.New("it is missing")}
 	}
@@ -369,7 +369,7 @@
 
 // With gives the policy with items set and without those removed, as FromTree of the outcome does, and what that makes of the rules
 // that lead requests. It costs what changed, and the copying of the lists that do. The policy itself stays as it is.
-func (p *Policy) With(set []pieces.Item, removed []string) (*Policy, *Diff, error) {
+func (p *Policy) With(set []merkle.Item, removed []string) (*Policy, *Diff, error) {
 	next, d, err := p.with(set, removed)
 	if err != nil {
 		return nil, nil, err
@@ -391,12 +391,12 @@
 	return next, d, nil
 }
 
-func (p *Policy) with(set []pieces.Item, removed []string) (*Policy, *Diff, error) {
+func (p *Policy) with(set []merkle.Item, removed []string) (*Policy, *Diff, error) {
 	before, err := p.origins()
 	if err != nil {
 		return nil, nil, err
 	}
-	c := itemChanges{set: map[string][]pieces.Item{}, removed: map[string][]string{}, files: maps.Clone(before), touched: map[string]bool{}}
+	c := itemChanges{set: map[string][]merkle.Item{}, removed: map[string][]string{}, files: maps.Clone(before), touched: map[string]bool{}}
 	number := func(ns string, n uint64) {
 		o := c.files[ns]
 		if o.number != n && o.from > 0 {
--- a/internal/namespace/items_test.go
+++ b/internal/namespace/items_test.go
@@ -10,11 +10,11 @@
 	"testing"
 
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/route"
 )
 
-func treeOf(tb testing.TB, p *Policy) *pieces.Tree {
+func treeOf(tb testing.TB, p *Policy) *merkle.Tree {
 	tb.Helper()
 	t, err := p.Tree()
 	if err != nil {
@@ -40,7 +40,7 @@
 			out := Merge(c, first.Good, d.change(c, first.Good))
 			next := treeOf(t, out.Policy)
 			before := again.Encode()
-			got, diff, err := again.With(pieces.Changes(tree, next))
+			got, diff, err := again.With(merkle.Changes(tree, next))
 			if err != nil || !bytes.Equal(got.Encode(), out.Policy.Encode()) || treeOf(t, got).Root() != next.Root() {
 				t.Fatalf("set %d: %v: %s\ninstead of\n%s", i, err, got.Encode(), out.Policy.Encode())
 			}
@@ -120,7 +120,7 @@
 	if len(out.Held) > 0 {
 		t.Fatal(out.Held)
 	}
-	set, removed := pieces.Changes(treeOf(t, first.Policy), treeOf(t, out.Policy))
+	set, removed := merkle.Changes(treeOf(t, first.Policy), treeOf(t, out.Policy))
 	if len(set) != 2 || len(removed) > 0 {
 		t.Errorf("%d set, %d removed", len(set), len(removed))
 	}
@@ -139,39 +139,39 @@
 	}
 	route := value("team-0/route r0")
 	for _, k := range []struct {
-		set  pieces.Item
+		set  merkle.Item
 		gone string
 		want string
 	}{
-		{set: pieces.Item{Key: "team-0/route r1", Value: []byte(route)}, want: "it holds the rule of"},
-		{set: pieces.Item{Key: "team-0/route r0", Value: []byte(" " + route)}, want: "the one encoding"},
-		{set: pieces.Item{Key: "team-0/route r0", Value: []byte(route + " ")}, want: "the one encoding"},
-		{set: pieces.Item{Key: "team-0/route r0", Value: []byte(strings.Replace(route, `"name"`, `"Name"`, 1))}, want: "the one encoding"},
-		{set: pieces.Item{Key: "team-0/route r0", Value: []byte(strings.Replace(route, `{`, `{"other":1,`, 1))}, want: "other"},
-		{set: pieces.Item{Key: "team-0/route r0", Value: []byte(strings.Replace(route, `"namespace":"team-0"`, `"namespace":"team-0","number":1`, 1))}, want: "wrong place"},
-		{set: pieces.Item{Key: "team-0/route r0", Value: []byte(strings.Replace(route, `"namespace":"team-0"`, `"namespace":"nobody"`, 1))}, want: "nowhere"},
-		{set: pieces.Item{Key: "team-0/route r0", Value: []byte(strings.Replace(route, `"weight":1`, `"weight":null`, 1))}, want: "no weight"},
-		{set: pieces.Item{Key: "team-0/route zz", Value: []byte(strings.Replace(route, `team-0/r0`, `team-0/zz`, 1))}, want: "ties with"},
-		{set: pieces.Item{Key: "what else", Value: []byte(`1`)}, want: "no such rule"},
-		{set: pieces.Item{Key: "route", Value: []byte(route)}, want: "it holds the rule of"},
-		{set: pieces.Item{Key: "route team-0/r0", Value: []byte(route)}, want: "it holds the rule of"},
-		{set: pieces.Item{Key: "team-0/form", Value: []byte(`1`)}, want: "no such rule"},
-		{set: pieces.Item{Key: "number team-0", Value: []byte(`1`)}, want: "no such rule"},
-		{set: pieces.Item{Key: "number", Value: []byte(`1`)}, want: "no such rule"},
-		{set: pieces.Item{Key: "form", Value: []byte(`2`)}, want: "form 2"},
-		{set: pieces.Item{Key: "form x", Value: []byte(`1`)}, want: "no such rule"},
-		{set: pieces.Item{Key: "team-0/number", Value: []byte(`0`)}, want: "no number"},
-		{set: pieces.Item{Key: "team-0/number", Value: []byte(`01`)}, want: "no number"},
-		{set: pieces.Item{Key: "nobody/number", Value: []byte(`1`)}, want: "no rule comes from"},
+		{set: merkle.Item{Key: "team-0/route r1", Value: []byte(route)}, want: "it holds the rule of"},
+		{set: merkle.Item{Key: "team-0/route r0", Value: []byte(" " + route)}, want: "the one encoding"},
+		{set: merkle.Item{Key: "team-0/route r0", Value: []byte(route + " ")}, want: "the one encoding"},
+		{set: merkle.Item{Key: "team-0/route r0", Value: []byte(strings.Replace(route, `"name"`, `"Name"`, 1))}, want: "the one encoding"},
+		{set: merkle.Item{Key: "team-0/route r0", Value: []byte(strings.Replace(route, `{`, `{"other":1,`, 1))}, want: "other"},
+		{set: merkle.Item{Key: "team-0/route r0", Value: []byte(strings.Replace(route, `"namespace":"team-0"`, `"namespace":"team-0","number":1`, 1))}, want: "wrong place"},
+		{set: merkle.Item{Key: "team-0/route r0", Value: []byte(strings.Replace(route, `"namespace":"team-0"`, `"namespace":"nobody"`, 1))}, want: "nowhere"},
+		{set: merkle.Item{Key: "team-0/route r0", Value: []byte(strings.Replace(route, `"weight":1`, `"weight":null`, 1))}, want: "no weight"},
+		{set: merkle.Item{Key: "team-0/route zz", Value: []byte(strings.Replace(route, `team-0/r0`, `team-0/zz`, 1))}, want: "ties with"},
+		{set: merkle.Item{Key: "what else", Value: []byte(`1`)}, want: "no such rule"},
+		{set: merkle.Item{Key: "route", Value: []byte(route)}, want: "it holds the rule of"},
+		{set: merkle.Item{Key: "route team-0/r0", Value: []byte(route)}, want: "it holds the rule of"},
+		{set: merkle.Item{Key: "team-0/form", Value: []byte(`1`)}, want: "no such rule"},
+		{set: merkle.Item{Key: "number team-0", Value: []byte(`1`)}, want: "no such rule"},
+		{set: merkle.Item{Key: "number", Value: []byte(`1`)}, want: "no such rule"},
+		{set: merkle.Item{Key: "form", Value: []byte(`2`)}, want: "form 2"},
+		{set: merkle.Item{Key: "form x", Value: []byte(`1`)}, want: "no such rule"},
+		{set: merkle.Item{Key: "team-0/number", Value: []byte(`0`)}, want: "no number"},
+		{set: merkle.Item{Key: "team-0/number", Value: []byte(`01`)}, want: "no number"},
+		{set: merkle.Item{Key: "nobody/number", Value: []byte(`1`)}, want: "no rule comes from"},
 		{gone: "team-0/number", want: "it is missing"},
 		{gone: "form", want: "missing"},
 	} {
-		var set []pieces.Item
+		var set []merkle.Item
 		var removed []string
 		if k.gone != "" {
 			removed = []string{k.gone}
 		} else {
-			set = []pieces.Item{k.set}
+			set = []merkle.Item{k.set}
 		}
 		_, _, err := p.With(set, removed)
 		if err == nil || !strings.Contains(err.Error(), k.want) {
@@ -193,7 +193,7 @@
 
 // A name that is too long for a key has its place too.
 func TestLongNames(t *testing.T) {
-	long := strings.Repeat("ä", pieces.MostKey)
+	long := strings.Repeat("ä", merkle.MostKey)
 	aim := &Value[float64]{1, []Source{{"a", 1, "class x"}}}
 	p := &Policy{Form: 1, Classes: []PolicyClass{{Name: "x", Worth: aim}, {Name: long, Worth: aim}}}
 	tree := treeOf(t, p)
@@ -202,7 +202,7 @@
 		t.Fatal(err)
 	}
 	less := &Policy{Form: 1, Classes: p.Classes[:1]}
-	got, _, err = p.With(pieces.Changes(tree, treeOf(t, less)))
+	got, _, err = p.With(merkle.Changes(tree, treeOf(t, less)))
 	if err != nil || !bytes.Equal(got.Encode(), less.Encode()) {
 		t.Fatalf("%v: %.300s", err, got.Encode())
 	}
--- a/internal/pieces/assembly_test.go
+++ b/internal/policy/merkle/assembly_test.go
@@ -1,4 +1,4 @@
-package pieces
+package merkle
 
 import (
 	"bytes"
--- a/internal/pieces/codes.go
+++ b/internal/policy/merkle/codes.go
@@ -1,4 +1,4 @@
-package pieces
+package merkle
 
 // Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
 
--- a/internal/pieces/pieces.go
+++ b/internal/policy/merkle/pieces.go
@@ -1,4 +1,4 @@
-// Package pieces holds content as a canonical Merkle radix tree, so that a change costs what changed: to make, to send and to
+// Package merkle holds content as a canonical Merkle radix tree, so that a change costs what changed: to make, to send and to
 // take up. It is pure: no I/O, no goroutine, no clock.
 //
 // Content is a set of items, each a value under a key. An item's place is given by SHA-256 of its key, digit by digit, where the first
@@ -8,7 +8,7 @@
 // Chen and Mazières, 2001), which are named in the same way. No piece is over MostPiece.
 //
 // Trees never change. A new version shares with the one before all that did not change. The design: docs/capacity-pieces.md.
-package pieces
+package merkle
 
 import (
 	"bytes"
--- a/internal/policy/store/book.go
+++ b/internal/policy/store/book.go
@@ -16,7 +16,7 @@
 
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/rollout"
 )
 
@@ -87,7 +87,7 @@
 	Offer   rollout.Offer
 	Charter file
 	Files   map[string]file // by namespace, as they were offered
-	Tree    *pieces.Tree    // nil is none
+	Tree    *merkle.Tree    // nil is none
 }
 
 // file is a charter or a namespace's file, as it was given.
@@ -255,7 +255,7 @@
 
 // join merges files over last good ones under a charter, and gives the policy in pieces, with those of a tree before as far as they are
 // the same. All files were read before, when they came.
-func (b *Book) join(charter file, good, offered map[string]file, before *pieces.Tree) (namespace.Outcome, *pieces.Tree, error) {
+func (b *Book) join(charter file, good, offered map[string]file, before *merkle.Tree) (namespace.Outcome, *merkle.Tree, error) {
 	none := namespace.Outcome{}
 	c, err := namespace.ParseCharter("charter", []byte(charter.Text))
 	if err != nil {
@@ -274,7 +274,7 @@
 	if err != nil || before == nil {
 		return out, tree, err
 	}
-	tree, err = before.With(pieces.Changes(before, tree))
+	tree, err = before.With(merkle.Changes(before, tree))
 	return out, tree, err
 }
 
@@ -497,7 +497,7 @@
 }
 
 // Tree is a policy that is kept, or Head, in pieces.
-func (b *Book) Tree(o rollout.Offer) (*pieces.Tree, bool) {
+func (b *Book) Tree(o rollout.Offer) (*merkle.Tree, bool) {
 	for k := range b.s.policies() {
 		if k.Offer == o {
 			return k.Tree, true
@@ -507,7 +507,7 @@
 }
 
 // TreeOf is the policy of a root in hexadecimal, if it is kept under any epoch.
-func (b *Book) TreeOf(root string) (*pieces.Tree, bool) {
+func (b *Book) TreeOf(root string) (*merkle.Tree, bool) {
 	for k := range b.s.policies() {
 		if k.Offer.Hash == root {
 			return k.Tree, true
@@ -517,8 +517,8 @@
 }
 
 // Policies are all that are kept, and Head, the newest first.
-func (b *Book) Policies() iter.Seq2[rollout.Offer, *pieces.Tree] {
-	return func(yield func(rollout.Offer, *pieces.Tree) bool) {
+func (b *Book) Policies() iter.Seq2[rollout.Offer, *merkle.Tree] {
+	return func(yield func(rollout.Offer, *merkle.Tree) bool) {
 		for k := range b.s.policies() {
 			if !yield(k.Offer, k.Tree) {
 				return
--- a/internal/policy/store/snapshot.go
+++ b/internal/policy/store/snapshot.go
@@ -12,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lapisspread/internal/namespace"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/rollout"
 )
 
@@ -47,7 +47,7 @@
 
 type snapFile struct {
 	Namespace string      `json:"Namespace"` // empty for a charter
-	Text      pieces.Name `json:"Text"`
+	Text      merkle.Name `json:"Text"`
 	By        string      `json:"By"`
 	Number    uint64      `json:"Number"`
 	At        uint64      `json:"At"`
@@ -80,11 +80,11 @@
 func (b *Book) Snapshot() ([]byte, error) {
 	s := &b.s
 	all := map[snapFile]string{}
-	names := map[string]pieces.Name{} // texts are many times the same
+	names := map[string]merkle.Name{} // texts are many times the same
 	one := func(namespace string, f file) snapFile {
 		name, ok := names[f.Text]
 		if !ok {
-			name = pieces.NameOf([]byte(f.Text))
+			name = merkle.NameOf([]byte(f.Text))
 			names[f.Text] = name
 		}
 		return snapFile{namespace, name, f.By, f.Number, f.At}
@@ -107,7 +107,7 @@
 		return cmp.Or(strings.Compare(a.Namespace, b.Namespace), cmp.Compare(a.Number, b.Number), cmp.Compare(a.At, b.At),
 			strings.Compare(a.By, b.By), slices.Compare(a.Text[:], b.Text[:]))
 	})
-	at, written := map[snapFile]int{}, map[pieces.Name]bool{}
+	at, written := map[snapFile]int{}, map[merkle.Name]bool{}
 	for i, f := range out.Files {
 		at[f] = i
 		if !written[f.Text] {
@@ -123,7 +123,7 @@
 		return places
 	}
 	out.Charter, out.Good, out.Waiting = at[one("", s.Charter)], list(s.Good), list(s.Waiting)
-	var before *pieces.Tree
+	var before *merkle.Tree
 	clear(written)
 	kept := func(k *Kept) snapKept {
 		if k.Tree == nil {
@@ -185,12 +185,12 @@
 	if in.Form != form || in.Base < -1 || in.Base >= len(in.Kept) || in.Next < -1 || in.Next >= len(in.Kept) || len(in.Kept) > MostKept {
 		return bad("of another form")
 	}
-	texts, parts := map[pieces.Name]string{}, map[pieces.Name][]byte{}
+	texts, parts := map[merkle.Name]string{}, map[merkle.Name][]byte{}
 	for _, t := range in.Texts {
-		texts[pieces.NameOf(t)] = string(t)
+		texts[merkle.NameOf(t)] = string(t)
 	}
 	for _, p := range in.Pieces {
-		parts[pieces.NameOf(p)] = p
+		parts[merkle.NameOf(p)] = p
 	}
 	files := make([]file, len(in.Files))
 	for i, f := range in.Files {
@@ -222,7 +222,7 @@
 	if s.Seen == nil {
 		s.Seen = map[string]uint64{}
 	}
-	var before *pieces.Tree
+	var before *merkle.Tree
 	for i, k := range append(slices.Clone(in.Kept), in.Head) {
 		var one Kept
 		if k.Offer.Hash != "" {
@@ -246,12 +246,12 @@
 }
 
 // assemble puts a tree together from pieces, with those of another one as far as they are the same.
-func assemble(root string, parts map[pieces.Name][]byte, before *pieces.Tree) (*pieces.Tree, error) {
-	name, err := pieces.ParseName(root)
+func assemble(root string, parts map[merkle.Name][]byte, before *merkle.Tree) (*merkle.Tree, error) {
+	name, err := merkle.ParseName(root)
 	if err != nil {
 		return nil, err
 	}
-	a := pieces.Assemble(name, before)
+	a := merkle.Assemble(name, before)
 	for {
 		wants := a.Wants(1 << 10)
 		if len(wants) == 0 {
--- a/internal/policyroutes/bench_test.go
+++ b/internal/policyroutes/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"lapisspread/internal/namespace"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 )
 
 // sizes are the routes of the policies that are measured: the target is 13,000.
@@ -85,7 +85,7 @@
 		from := must(was.Tree())
 		for _, p := range next {
 			to := must(p.Tree())
-			if set, removed := pieces.Changes(from, to); len(set) != 2 || len(removed) != 0 { // the route and its file's number
+			if set, removed := merkle.Changes(from, to); len(set) != 2 || len(removed) != 0 { // the route and its file's number
 				t.Fatalf("%d items set, %d removed", len(set), len(removed))
 			}
 			sum := 0
@@ -113,7 +113,7 @@
 				runtime.ReadMemStats(&m)
 				return int(m.HeapAlloc)
 			}
-			var built *pieces.Tree
+			var built *merkle.Tree
 			for b.Loop() {
 				built = must(p.Tree())
 			}
@@ -123,7 +123,7 @@
 				longest = max(longest, len(piece))
 			}
 			before := heap()
-			tree := must(pieces.Build(slices.Collect(built.Items())))
+			tree := must(merkle.Build(slices.Collect(built.Items())))
 			withTree := heap()
 			policy := must(namespace.FromTree(tree))
 			withPolicy := heap()
@@ -181,14 +181,14 @@
 		from, to := must(p.Tree()), must(q.Tree())
 		was := must(namespace.FromTree(from))
 		r := must(Build(was, "", has))
-		set, removed := pieces.Changes(from, to)
+		set, removed := merkle.Changes(from, to)
 		next, diff, err := was.With(set, removed)
 		if err != nil || len(diff.Routes) != 1 {
 			b.Fatal(err, len(diff.Routes))
 		}
 		text := q.Encode()
-		assemble := func(b *testing.B) *pieces.Tree {
-			a := pieces.Assemble(to.Root(), from)
+		assemble := func(b *testing.B) *merkle.Tree {
+			a := merkle.Assemble(to.Root(), from)
 			for _, piece := range to.Lacks(from) {
 				if err := a.Add(piece); err != nil {
 					b.Fatal(err)
@@ -198,11 +198,11 @@
 		}
 		for name, step := range map[string]func(b *testing.B){
 			"1 assembly":          func(b *testing.B) { assemble(b) },
-			"2 changes":           func(*testing.B) { pieces.Changes(from, to) },
+			"2 changes":           func(*testing.B) { merkle.Changes(from, to) },
 			"3 namespace.With":    func(*testing.B) { _, _, _ = was.With(set, removed) },
 			"4 policyroutes.With": func(*testing.B) { must(r.With(next, diff, has)) },
 			"5 all of it": func(b *testing.B) {
-				n, d, err := was.With(pieces.Changes(from, assemble(b)))
+				n, d, err := was.With(merkle.Changes(from, assemble(b)))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/policyroutes/policyroutes_test.go
+++ b/internal/policyroutes/policyroutes_test.go
@@ -11,7 +11,7 @@
 
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/route"
 )
 
@@ -79,7 +79,7 @@
 	return ""
 }
 
-func tree(t *testing.T, p *namespace.Policy) *pieces.Tree {
+func tree(t *testing.T, p *namespace.Policy) *merkle.Tree {
 	t.Helper()
 	out, err := p.Tree()
 	if err != nil {
@@ -106,7 +106,7 @@
 		}
 		for step := range 12 {
 			next := d.policy()
-			p, diff, err := was.With(pieces.Changes(tree(t, was), tree(t, next)))
+			p, diff, err := was.With(merkle.Changes(tree(t, was), tree(t, next)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -13,7 +13,7 @@
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/rollout"
@@ -175,7 +175,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if next.Policy, next.Diff, err = was.Policy.With(pieces.Changes(from, to)); err != nil {
+			if next.Policy, next.Diff, err = was.Policy.With(merkle.Changes(from, to)); err != nil {
 				t.Fatal(err)
 			}
 			next.Before = was.Offer
--- a/internal/shelf/shelf.go
+++ b/internal/shelf/shelf.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 )
 
 // Settings bound what is given out.
@@ -36,8 +36,8 @@
 	set Settings
 
 	mu     sync.Mutex // never held over I/O
-	kept   []*pieces.Tree
-	recent []*pieces.Tree // newest last, those that are kept among them
+	kept   []*merkle.Tree
+	recent []*merkle.Tree // newest last, those that are kept among them
 	pairs  []pair         // used last, last
 	slots  map[string]*slot
 	turn   time.Duration // of the last that was told to come back
@@ -68,7 +68,7 @@
 }
 
 // Keep says which trees there are from now on, oldest first. Of those before, the last few stay.
-func (s *Shelf) Keep(trees []*pieces.Tree) {
+func (s *Shelf) Keep(trees []*merkle.Tree) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.kept = trees
@@ -76,7 +76,7 @@
 		if n := len(s.recent); n > 0 && s.recent[n-1] == t {
 			continue
 		}
-		s.recent = slices.DeleteFunc(s.recent, func(o *pieces.Tree) bool { return o == t || o.Root() == t.Root() })
+		s.recent = slices.DeleteFunc(s.recent, func(o *merkle.Tree) bool { return o == t || o.Root() == t.Root() })
 		s.recent = append(s.recent, t)
 	}
 	if over := len(s.recent) - s.set.Recent - len(trees); over > 0 {
@@ -85,8 +85,8 @@
 }
 
 // tree is the one of a root; nil is not here. It is called under the lock.
-func (s *Shelf) tree(root string) *pieces.Tree {
-	n, err := pieces.ParseName(root)
+func (s *Shelf) tree(root string) *merkle.Tree {
+	n, err := merkle.ParseName(root)
 	if err != nil {
 		return nil
 	}
@@ -158,7 +158,7 @@
 	}
 	trees := s.kept
 	if t := s.tree(root); t != nil {
-		trees = append([]*pieces.Tree{t}, trees...)
+		trees = append([]*merkle.Tree{t}, trees...)
 	}
 	size := 0
 	for _, name := range names {
@@ -178,12 +178,12 @@
 	return out, lacks, 0
 }
 
-func named(trees []*pieces.Tree, name []byte) []byte {
-	if len(name) != len(pieces.Name{}) {
+func named(trees []*merkle.Tree, name []byte) []byte {
+	if len(name) != len(merkle.Name{}) {
 		return nil
 	}
 	for _, t := range trees {
-		if piece, there := t.Piece(pieces.Name(name)); there {
+		if piece, there := t.Piece(merkle.Name(name)); there {
 			return piece
 		}
 	}
--- a/internal/shelf/shelf_test.go
+++ b/internal/shelf/shelf_test.go
@@ -6,25 +6,25 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/pieces"
+	"lapisspread/internal/policy/merkle"
 )
 
-func tree(t testing.TB, n int, value func(i int) string) *pieces.Tree {
+func tree(t testing.TB, n int, value func(i int) string) *merkle.Tree {
 	t.Helper()
-	var items []pieces.Item
+	var items []merkle.Item
 	for i := range n {
-		items = append(items, pieces.Item{Key: fmt.Sprint("k", i), Value: []byte(value(i))})
+		items = append(items, merkle.Item{Key: fmt.Sprint("k", i), Value: []byte(value(i))})
 	}
-	out, err := pieces.Build(items)
+	out, err := merkle.Build(items)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out
 }
 
-func with(t testing.TB, tree *pieces.Tree, i int, value string) *pieces.Tree {
+func with(t testing.TB, tree *merkle.Tree, i int, value string) *merkle.Tree {
 	t.Helper()
-	out, err := tree.With([]pieces.Item{{Key: fmt.Sprint("k", i), Value: []byte(value)}}, nil)
+	out, err := tree.With([]merkle.Item{{Key: fmt.Sprint("k", i), Value: []byte(value)}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,9 +34,9 @@
 func long(i int) string { return fmt.Sprintf("%0300d", i) }
 
 // fetch has one get a tree of what is at hand, as a proxy does: what comes along, and the rest by name. It gives the pieces of each.
-func fetch(t testing.TB, s *Shelf, has, to *pieces.Tree, most int) (along, named int) {
+func fetch(t testing.TB, s *Shelf, has, to *merkle.Tree, most int) (along, named int) {
 	t.Helper()
-	a := pieces.Assemble(to.Root(), has)
+	a := merkle.Assemble(to.Root(), has)
 	root := ""
 	if has != nil {
 		root = has.Root().String()
@@ -80,7 +80,7 @@
 	s := New(Defaults())
 	first := tree(t, 3000, long)
 	second := with(t, first, 7, "other")
-	s.Keep([]*pieces.Tree{first, second})
+	s.Keep([]*merkle.Tree{first, second})
 	if along, named := fetch(t, s, first, second, 1<<20); along == 0 || along > 5 || named != 0 {
 		t.Errorf("one that is one change behind: %d along, %d named", along, named)
 	}
@@ -96,7 +96,7 @@
 	}
 	for i := range 100 { // only the last few stay
 		second = with(t, second, i, fmt.Sprint("more", i))
-		s.Keep([]*pieces.Tree{second})
+		s.Keep([]*merkle.Tree{second})
 	}
 	if n := len(s.recent); n > s.set.Recent+1 {
 		t.Errorf("%d trees are remembered", n)
@@ -123,7 +123,7 @@
 	set.Fetching = 8
 	s := New(set)
 	policy := tree(t, 2000, long)
-	s.Keep([]*pieces.Tree{policy})
+	s.Keep([]*merkle.Tree{policy})
 	const proxies, answers = 300, 6 // each needs so many answers
 	var name [][]byte
 	for n := range policy.Pieces() {
