--- a/internal/controlplane/client/pieces_test.go
+++ b/internal/controlplane/client/pieces_test.go
@@ -19,9 +19,9 @@
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/policy/distribution"
 	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/rollout"
-	"lapisspread/internal/shelf"
 )
 
 // routes is a policy of so many routes of one team, each with a path.
@@ -61,7 +61,7 @@
 type hub struct {
 	t     testing.TB
 	begun time.Time
-	shelf *shelf.Shelf
+	shelf *distribution.Shelf
 	delay func(path string, bytes int) time.Duration // of an answer; nil is none
 	bend  func(r *http.Request, reply any)           // changes an answer on its way
 
@@ -76,7 +76,7 @@
 }
 
 func newHub(t testing.TB) *hub {
-	return &hub{t: t, begun: time.Now(), shelf: shelf.New(shelf.Defaults()), trees: map[string]bool{}}
+	return &hub{t: t, begun: time.Now(), shelf: distribution.New(distribution.Defaults()), trees: map[string]bool{}}
 }
 
 // offers has all shall have a policy from now on.
@@ -95,9 +95,9 @@
 	return h.offer
 }
 
-func (h *hub) forget() { h.set(func() { h.shelf = shelf.New(shelf.Defaults()) }) }
+func (h *hub) forget() { h.set(func() { h.shelf = distribution.New(distribution.Defaults()) }) }
 
-func (h *hub) has() *shelf.Shelf {
+func (h *hub) has() *distribution.Shelf {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shelf
--- a/internal/controlplane/server/machine.go
+++ b/internal/controlplane/server/machine.go
@@ -13,11 +13,11 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lapisspread/internal/controlplane/api"
+	"lapisspread/internal/policy/distribution"
 	"lapisspread/internal/policy/merkle"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
-	"lapisspread/internal/shelf"
 )
 
 // machine is the book behind the log, and the keeper beside it. The log's goroutine applies, the plans' plans.
@@ -31,7 +31,7 @@
 	policies sync.Mutex // apart from the grants: a merge takes longer than a plan may wait
 	policy   *store.Book
 	view     atomic.Pointer[view] // of the policies: whoever reads waits for no merge
-	shelf    *shelf.Shelf
+	shelf    *distribution.Shelf
 
 	texts sync.Mutex
 	whole map[string]whole // by root
@@ -62,7 +62,7 @@
 func newMachine(clock func() time.Duration, epoch uint64) *machine {
 	book := quotalease.NewBook()
 	m := &machine{clock: clock, book: book, keeper: quotalease.NewKeeper(clock(), 0, book), policy: store.New(epoch << 32),
-		shelf: shelf.New(shelf.Defaults()), whole: map[string]whole{}}
+		shelf: distribution.New(distribution.Defaults()), whole: map[string]whole{}}
 	m.publish()
 	return m
 }
--- a/internal/shelf/shelf.go
+++ b/internal/policy/distribution/shelf.go
@@ -1,7 +1,7 @@
-// Package shelf gives out the pieces of policies (package pieces): those that a proxy lacks, beside the answer to its report, and
+// Package distribution gives out the pieces of policies (package pieces): those that a proxy lacks, beside the answer to its report, and
 // any by name. It bounds how many fetch a whole policy at once, and says when the others are to come back. It is pure: no I/O, no
 // goroutine, no clock; callers give the time.
-package shelf
+package distribution
 
 import (
 	"slices"
--- a/internal/shelf/shelf_test.go
+++ b/internal/policy/distribution/shelf_test.go
@@ -1,4 +1,4 @@
-package shelf
+package distribution
 
 import (
 	"bytes"
