--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -13,8 +13,8 @@
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/routetable"
 	"lapisspread/internal/policy/store"
-	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/staleness"
@@ -86,8 +86,8 @@
 	{store.EpochGone{}, "policybook.EpochGone"},
 	{store.NoCharter{}, "policybook.NoCharter"},
 	{store.TooMuch{}, "policybook.TooMuch"},
-	{policyroutes.BadRoutes{}, "policyroutes.BadRoutes"},
-	{policyroutes.MissingServices{}, "policyroutes.MissingServices"},
+	{routetable.BadRoutes{}, "policyroutes.BadRoutes"},
+	{routetable.MissingServices{}, "policyroutes.MissingServices"},
 	{rollout.EpochTwice{}, "rollout.EpochTwice"},
 	{rollout.OldEpoch{}, "rollout.OldEpoch"},
 	{rollout.RolloutNotTaken{}, "rollout.RolloutNotTaken"},
--- a/internal/faultlab/capacity/decides.go
+++ b/internal/faultlab/capacity/decides.go
@@ -7,14 +7,14 @@
 	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
-	"lapisspread/internal/policyroutes"
+	"lapisspread/internal/policy/routetable"
 	"lapisspread/internal/route"
 )
 
 // decides is what a hollow proxy decides by: made of a policy as the real one makes it.
 type decides struct {
 	taken  *client.Taken
-	routes *policyroutes.Routes // nil of none
+	routes *routetable.Routes // nil of none
 }
 
 // takenOf is a policy as a proxy has it that has fetched all of it: it shares nothing.
@@ -46,7 +46,7 @@
 	if was != nil && was.routes != nil && t.Diff != nil && was.taken.Offer == t.Before {
 		out.routes, err = was.routes.With(t.Policy, t.Diff, there)
 	} else {
-		out.routes, err = policyroutes.Build(t.Policy, "", there)
+		out.routes, err = routetable.Build(t.Policy, "", there)
 	}
 	return out, err
 }
--- a/internal/policyroutes/bench_test.go
+++ b/internal/policy/routetable/bench_test.go
@@ -1,4 +1,4 @@
-package policyroutes
+package routetable
 
 import (
 	"fmt"
--- a/internal/policyroutes/codes.go
+++ b/internal/policy/routetable/codes.go
@@ -1,4 +1,4 @@
-package policyroutes
+package routetable
 
 // Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
 
--- a/internal/policyroutes/policyroutes.go
+++ b/internal/policy/routetable/policyroutes.go
@@ -1,6 +1,6 @@
-// Package policyroutes makes of a policy what requests are led by: the routes, what they stay by, and what is blocked. It is pure:
+// Package routetable makes of a policy what requests are led by: the routes, what they stay by, and what is blocked. It is pure:
 // no I/O, no goroutine, no clock. A policy that follows on another costs what changed.
-package policyroutes
+package routetable
 
 import (
 	"fmt"
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -7,7 +7,7 @@
 
 	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/metrics"
-	"lapisspread/internal/policyroutes"
+	"lapisspread/internal/policy/routetable"
 	"lapisspread/internal/route"
 )
 
@@ -37,12 +37,12 @@
 		return nil
 	}
 	has := func(service string) bool { return n.byName[service] != nil }
-	var next *policyroutes.Routes
+	var next *routetable.Routes
 	var err error
 	if before != nil && t.Diff != nil && was != nil && was.Policy != nil && was.Offer == t.Before {
 		next, err = before.With(t.Policy, t.Diff, has)
 	} else {
-		next, err = policyroutes.Build(t.Policy, n.otherwise, has)
+		next, err = routetable.Build(t.Policy, n.otherwise, has)
 	}
 	if err != nil {
 		return err
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -14,8 +14,8 @@
 	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/routetable"
 	"lapisspread/internal/policy/store"
-	"lapisspread/internal/policyroutes"
 	"lapisspread/internal/rollout"
 	"lapisspread/internal/route"
 )
@@ -204,7 +204,7 @@
 	if finds(&next, "/x") != "two" || finds(&next, "/b") != "" || finds(&next, "/a") != "one" || finds(&n, "/b") != "one" {
 		t.Error("the routes are not those of the policy")
 	}
-	missing := policyroutes.MissingServices{}
+	missing := routetable.MissingServices{}
 	again := n
 	if err := again.decideBy(taken(first, policy(2, "/x", "three")), true); !errors.As(err, &missing) || missing.Services[0] != "three" {
 		t.Errorf("a route to a service that is not there: %v", err)
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -23,7 +23,7 @@
 	"lapisspread/internal/engine"
 	"lapisspread/internal/listener"
 	"lapisspread/internal/metrics"
-	"lapisspread/internal/policyroutes"
+	"lapisspread/internal/policy/routetable"
 	"lapisspread/internal/processquota"
 	"lapisspread/internal/processquota/limiter"
 	"lapisspread/internal/route"
@@ -101,7 +101,7 @@
 	blocks    *route.Table  // of the policy; nil is none
 	otherwise string        // the file's service for what no route matches
 
-	policyRoutes *policyroutes.Routes // what table, sticky and blocks are of; nil if the policy doesn't lead requests
+	policyRoutes *routetable.Routes // what table, sticky and blocks are of; nil if the policy doesn't lead requests
 }
 
 // services are all that run, and the routes to them.
