--- a/cmd/lapisspread/policy_test.go
+++ b/cmd/lapisspread/policy_test.go
@@ -13,7 +13,7 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 )
 
 // The words about the policy, from founding to going back, before one steward.
--- a/internal/controlplane/api/file.go
+++ b/internal/controlplane/api/file.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"lapisspread/internal/namespace"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/quotalease"
-	"lapisspread/internal/rollout"
 	"lapisspread/internal/staleness"
 	"lapisspread/internal/strictconfig"
 )
--- a/internal/controlplane/api/policy.go
+++ b/internal/controlplane/api/policy.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"strings"
 
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
-	"lapisspread/internal/rollout"
 )
 
 // Paths of a steward's calls about the policy.
--- a/internal/controlplane/api/wire_frozen_test.go
+++ b/internal/controlplane/api/wire_frozen_test.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lapisspread/internal/controlplane/api"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
-	"lapisspread/internal/rollout"
 )
 
 // updateFrozen has the tests write their kept bytes. The kept ones were written by the program of c8fad44:
--- a/internal/controlplane/client/frozen_test.go
+++ b/internal/controlplane/client/frozen_test.go
@@ -13,8 +13,8 @@
 
 	"lapisspread/internal/durable"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/quotalease"
-	"lapisspread/internal/rollout"
 )
 
 // frozenDir holds the files that a proxy of name p1 keeps, as the code of commit c8fad44 writes them; made with
--- a/internal/controlplane/client/kept.go
+++ b/internal/controlplane/client/kept.go
@@ -12,7 +12,7 @@
 	"lapisspread/internal/durable"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 )
 
 // content is a policy that came whole.
--- a/internal/controlplane/client/pieces_test.go
+++ b/internal/controlplane/client/pieces_test.go
@@ -21,7 +21,7 @@
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policy/distribution"
 	"lapisspread/internal/policy/merkle"
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 )
 
 // routes is a policy of so many routes of one team, each with a path.
--- a/internal/controlplane/client/policy.go
+++ b/internal/controlplane/client/policy.go
@@ -15,7 +15,7 @@
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/supervisor"
 )
 
--- a/internal/controlplane/client/policy_test.go
+++ b/internal/controlplane/client/policy_test.go
@@ -13,7 +13,7 @@
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 )
 
 // policyOf is an empty policy with a service of a name.
--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -13,10 +13,10 @@
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/routetable"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
-	"lapisspread/internal/rollout"
 	"lapisspread/internal/staleness"
 )
 
--- a/internal/controlplane/server/frozen_test.go
+++ b/internal/controlplane/server/frozen_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
-	"lapisspread/internal/rollout"
 )
 
 // The files of this test were written by the program of c8fad44: UPDATE_FROZEN=1 go test ./internal/steward -run Frozen
--- a/internal/controlplane/server/machine.go
+++ b/internal/controlplane/server/machine.go
@@ -15,9 +15,9 @@
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/policy/distribution"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
-	"lapisspread/internal/rollout"
 )
 
 // machine is the book behind the log, and the keeper beside it. The log's goroutine applies, the plans' plans.
--- a/internal/controlplane/server/pieces_test.go
+++ b/internal/controlplane/server/pieces_test.go
@@ -17,8 +17,8 @@
 	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
-	"lapisspread/internal/rollout"
 	"lapisspread/internal/strictconfig"
 )
 
--- a/internal/controlplane/server/policy.go
+++ b/internal/controlplane/server/policy.go
@@ -14,9 +14,9 @@
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
-	"lapisspread/internal/rollout"
 )
 
 const (
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -10,8 +10,8 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
-	"lapisspread/internal/rollout"
 )
 
 func charterText(beta string) string {
--- a/internal/controlplane/server/trains_test.go
+++ b/internal/controlplane/server/trains_test.go
@@ -11,8 +11,8 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
-	"lapisspread/internal/rollout"
 )
 
 // yard is the book of three stewards that agree, whoever leads, and a fleet, over virtual time: all that is pure on the way of a change.
--- a/internal/faultlab/capacity/child.go
+++ b/internal/faultlab/capacity/child.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/route"
 	"lapisspread/internal/supervisor"
 )
--- a/internal/faultlab/capacity/hollow.go
+++ b/internal/faultlab/capacity/hollow.go
@@ -14,7 +14,7 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/client"
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/route"
 )
 
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -19,8 +19,8 @@
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/faultlab/model"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
-	"lapisspread/internal/rollout"
 	"lapisspread/internal/supervisor"
 )
 
--- a/internal/lab/stewards/policy_test.go
+++ b/internal/lab/stewards/policy_test.go
@@ -18,8 +18,8 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/client"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
-	"lapisspread/internal/rollout"
 )
 
 // policyText is the file of a team: so many routes below its own path, one of which changes with each number.
--- a/internal/policy/store/book.go
+++ b/internal/policy/store/book.go
@@ -17,7 +17,7 @@
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policy/merkle"
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 )
 
 // Bounds on what is kept. They reach over twice as far as 13,000 routes with 150,000 tenants (some 5 MB of files, and of policy). A
--- a/internal/policy/store/book_test.go
+++ b/internal/policy/store/book_test.go
@@ -10,7 +10,7 @@
 
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 )
 
 // charter has two teams on one host, and a third elsewhere; with the last argument beta has only a part.
--- a/internal/policy/store/frozen_test.go
+++ b/internal/policy/store/frozen_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 )
 
 // The files of these tests were written by the program of c8fad44: UPDATE_FROZEN=1 go test ./internal/policybook -run Frozen
--- a/internal/policy/store/snapshot.go
+++ b/internal/policy/store/snapshot.go
@@ -13,7 +13,7 @@
 
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 )
 
 // form is the form of snapshots that is written. Form 1, of before there were trains and pieces, is JSON with whole texts: it is read.
--- a/internal/policy/store/snapshot_test.go
+++ b/internal/policy/store/snapshot_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 )
 
 // A snapshot of before trains and pieces (written by the release of then: alpha's second file goes out, beta's is held) goes on under
--- a/internal/policy/store/train.go
+++ b/internal/policy/store/train.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"lapisspread/internal/rollout"
+	"lapisspread/internal/policy/rollout"
 )
 
 // CharterName stands for the charter among changes: a change of the charter has it as its Namespace, and no Number.
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -14,9 +14,9 @@
 	"lapisspread/internal/controlplane/client"
 	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/routetable"
 	"lapisspread/internal/policy/store"
-	"lapisspread/internal/rollout"
 	"lapisspread/internal/route"
 )
 
