--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -29,7 +29,7 @@
 	"lapisspread/internal/faultlab/liverun"
 	"lapisspread/internal/faultlab/model"
 	"lapisspread/internal/faultlab/quotasim"
-	"lapisspread/internal/namespace"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/processquota/limiter"
--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/namespace"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/strictconfig"
 )
--- a/internal/controlplane/api/file.go
+++ b/internal/controlplane/api/file.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"lapisspread/internal/namespace"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/quotalease"
 	"lapisspread/internal/staleness"
--- a/internal/controlplane/client/kept.go
+++ b/internal/controlplane/client/kept.go
@@ -10,8 +10,8 @@
 	"sync"
 
 	"lapisspread/internal/durable"
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/rollout"
 )
 
--- a/internal/controlplane/client/pieces_test.go
+++ b/internal/controlplane/client/pieces_test.go
@@ -17,10 +17,10 @@
 	"time"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policy/distribution"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/rollout"
 )
 
--- a/internal/controlplane/client/policy.go
+++ b/internal/controlplane/client/policy.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/supervisor"
 )
--- a/internal/controlplane/client/policy_test.go
+++ b/internal/controlplane/client/policy_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/rollout"
 )
 
--- a/internal/controlplane/server/pieces_test.go
+++ b/internal/controlplane/server/pieces_test.go
@@ -15,8 +15,8 @@
 
 	"lapisspread/internal/controlplane/api"
 	"lapisspread/internal/controlplane/client"
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/rollout"
 	"lapisspread/internal/policy/store"
 	"lapisspread/internal/strictconfig"
--- a/internal/faultlab/capacity/decides.go
+++ b/internal/faultlab/capacity/decides.go
@@ -5,8 +5,8 @@
 	"strings"
 
 	"lapisspread/internal/controlplane/client"
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/routetable"
 	"lapisspread/internal/route"
 )
--- a/internal/faultlab/capacity/settings.go
+++ b/internal/faultlab/capacity/settings.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"lapisspread/internal/namespace"
+	"lapisspread/internal/policy/namespace"
 )
 
 // Flaws that a hollow proxy can be given, for the trial of the measuring.
--- a/internal/policy/routetable/bench_test.go
+++ b/internal/policy/routetable/bench_test.go
@@ -7,8 +7,8 @@
 	"slices"
 	"testing"
 
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/namespace"
 )
 
 // sizes are the routes of the policies that are measured: the target is 13,000.
--- a/internal/policy/routetable/policyroutes.go
+++ b/internal/policy/routetable/policyroutes.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"lapisspread/internal/namespace"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/route"
 )
 
--- a/internal/policy/routetable/policyroutes_test.go
+++ b/internal/policy/routetable/policyroutes_test.go
@@ -9,9 +9,9 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/route"
 )
 
--- a/internal/policy/store/book.go
+++ b/internal/policy/store/book.go
@@ -14,9 +14,9 @@
 	"maps"
 	"slices"
 
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/rollout"
 )
 
--- a/internal/policy/store/book_test.go
+++ b/internal/policy/store/book_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/rollout"
 )
 
--- a/internal/policy/store/snapshot.go
+++ b/internal/policy/store/snapshot.go
@@ -11,8 +11,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lapisspread/internal/namespace"
 	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/namespace"
 	"lapisspread/internal/policy/rollout"
 )
 
