--- a/internal/diameter/claim/claim.go
+++ b/internal/diameter/claim/claim.go
@@ -9,18 +9,18 @@
 	"time"
 
 	"lapisspread/internal/diameter"
-	"lapisspread/internal/effects"
+	"lapisspread/internal/idempotency"
 )
 
 // Ask is a request as the decisions see it.
 type Ask struct {
 	Class, Tenant string
-	Path          string        // of the HTTP request that it becomes, where the servers speak that
-	Session       string        // its Session-Id, the key that finds its server
-	Realm         string        // its Destination-Realm
-	GiveUp        time.Duration // from its arrival until its client gives up
-	Name          effects.Key   // under which it must not run twice
-	Repeat        bool          // its T flag is set
+	Path          string          // of the HTTP request that it becomes, where the servers speak that
+	Session       string          // its Session-Id, the key that finds its server
+	Realm         string          // its Destination-Realm
+	GiveUp        time.Duration   // from its arrival until its client gives up
+	Name          idempotency.Key // under which it must not run twice
+	Repeat        bool            // its T flag is set
 }
 
 // From is the peer that a request comes from.
@@ -61,7 +61,7 @@
 		return Ask{}, e
 	}
 	a := Ask{Session: text(m, r.avp.session), Realm: text(m, r.avp.destRealm), Repeat: h.Flags&diameter.Retransmitted != 0,
-		Name: effects.Key{Origin: text(m, r.avp.originHost), ID: h.EndToEnd}}
+		Name: idempotency.Key{Origin: text(m, r.avp.originHost), ID: h.EndToEnd}}
 	if !r.serves[a.Realm] {
 		return a, &diameter.Error{Code: diameter.RealmNotServed, What: fmt.Sprintf("realm %q is not served here", a.Realm)}
 	}
--- a/internal/diameter/claim/file.go
+++ b/internal/diameter/claim/file.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lapisspread/internal/diameter"
-	"lapisspread/internal/effects"
+	"lapisspread/internal/idempotency"
 	"lapisspread/internal/strictconfig"
 )
 
@@ -146,7 +146,7 @@
 		f.Applications = []uint32{4}
 	}
 	if f.Ledger.Window == 0 {
-		f.Ledger.Window = strictconfig.Span(effects.Window)
+		f.Ledger.Window = strictconfig.Span(idempotency.Window)
 	}
 	if f.Ledger.Uncertain == 0 {
 		f.Ledger.Uncertain = max(strictconfig.Span(time.Hour), f.Ledger.Window)
@@ -251,8 +251,8 @@
 }
 
 // LedgerSettings are those of the ledger; lost is when it began without what was known before, below 0 if nothing was lost.
-func (f *File) LedgerSettings(lost time.Duration) effects.Settings {
-	return effects.Settings{Window: time.Duration(f.Ledger.Window), Uncertain: time.Duration(f.Ledger.Uncertain), Entries: f.Ledger.Entries, Bytes: f.Ledger.Bytes, Lost: lost}
+func (f *File) LedgerSettings(lost time.Duration) idempotency.Settings {
+	return idempotency.Settings{Window: time.Duration(f.Ledger.Window), Uncertain: time.Duration(f.Ledger.Uncertain), Entries: f.Ledger.Entries, Bytes: f.Ledger.Bytes, Lost: lost}
 }
 
 // Dictionary is what the rules were made with.
--- a/internal/diameter/front/front.go
+++ b/internal/diameter/front/front.go
@@ -17,8 +17,8 @@
 	"lapisspread/internal/diameter"
 	"lapisspread/internal/diameter/claim"
 	"lapisspread/internal/diameter/node"
-	"lapisspread/internal/effects"
 	"lapisspread/internal/engine"
+	"lapisspread/internal/idempotency"
 	"lapisspread/internal/idempotency/guard"
 )
 
@@ -116,15 +116,15 @@
 		return f.run(r, &ask, svc, came, false)
 	})
 	switch verdict {
-	case effects.Begin:
-	case effects.Join, effects.Answered:
+	case idempotency.Begin:
+	case idempotency.Join, idempotency.Answered:
 		f.Counts.Repeated.Add(1)
 		svc.Ended(endOf(end, verdict), 0)
-	case effects.Full:
+	case idempotency.Full:
 		svc.Ended(engine.Refused, 0)
 		f.end(r, claim.Full, 0)
 		return
-	case effects.TooLong:
+	case idempotency.TooLong:
 		svc.Ended(engine.Failed, 0)
 		f.end(r, claim.TooLong, 0)
 		return
@@ -141,9 +141,9 @@
 }
 
 // endOf is how a request has ended that was not carried out again.
-func endOf(end guard.End, v effects.Verdict) engine.End {
+func endOf(end guard.End, v idempotency.Verdict) engine.End {
 	switch {
-	case v == effects.Answered || end == guard.Answered:
+	case v == idempotency.Answered || end == guard.Answered:
 		return engine.Served
 	case end == guard.NeverRan:
 		return engine.Refused
--- a/internal/diameter/front/front_test.go
+++ b/internal/diameter/front/front_test.go
@@ -15,9 +15,9 @@
 	"lapisspread/internal/diameter/claim"
 	"lapisspread/internal/diameter/front"
 	"lapisspread/internal/diameter/node"
-	"lapisspread/internal/effects"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/engine/enginetest"
+	"lapisspread/internal/idempotency"
 	"lapisspread/internal/idempotency/guard"
 )
 
@@ -48,7 +48,7 @@
 func (stubMessage) Spent() bool { return false }
 
 // stand puts a front end before an engine, and gives a peer that asks it, and the guard.
-func stand(t *testing.T, e *engine.Engine, change func(*effects.Settings)) (*node.Peer, *front.Front, *node.Node) {
+func stand(t *testing.T, e *engine.Engine, change func(*idempotency.Settings)) (*node.Peer, *front.Front, *node.Node) {
 	t.Helper()
 	f, rules, err := claim.Parse("d.toml", []byte(file))
 	if err != nil {
@@ -197,7 +197,7 @@
 func TestEndsAndRepeats(t *testing.T) {
 	var replies atomic.Pointer[enginetest.Reply]
 	e, s := scripted(t, func(int, engine.Attempt) enginetest.Reply { return *replies.Load() })
-	p, _, _ := stand(t, e, func(s *effects.Settings) { s.Entries = 3 })
+	p, _, _ := stand(t, e, func(s *idempotency.Settings) { s.Entries = 3 })
 	for i, k := range []struct {
 		reply enginetest.Reply
 		first diameter.ResultCode
--- a/internal/idempotency/guard/guard.go
+++ b/internal/idempotency/guard/guard.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"lapisspread/internal/effects"
+	"lapisspread/internal/idempotency"
 	"lapisspread/internal/idempotency/store"
 )
 
@@ -36,8 +36,8 @@
 
 // Options are what a Guard is made of.
 type Options struct {
-	Ledger effects.Settings // Lost below 0 says that no process before could have known anything; else it is set to now
-	Path   string           // of the store; empty is none
+	Ledger idempotency.Settings // Lost below 0 says that no process before could have known anything; else it is set to now
+	Path   string               // of the store; empty is none
 	Now    func() time.Duration
 	Log    *slog.Logger
 	// Wait bounds how long a write to disk may take; a disk that does not answer is one that fails.
@@ -50,10 +50,10 @@
 
 	o     Options
 	mu    sync.Mutex
-	rules *effects.Ledger // nil until the store is read
-	early []effects.Key   // that came before as no repeats, and were turned away
+	rules *idempotency.Ledger // nil until the store is read
+	early []idempotency.Key   // that came before as no repeats, and were turned away
 	disk  *store.Store
-	hands map[effects.Key]*hand
+	hands map[idempotency.Key]*hand
 }
 
 // hand is a request in hand.
@@ -77,8 +77,8 @@
 	if o.Ledger.Lost >= 0 {
 		o.Ledger.Lost = o.Now() // clocks need not begin at 0
 	}
-	g := &Guard{o: o, hands: map[effects.Key]*hand{}}
-	rules, err := effects.New(o.Ledger)
+	g := &Guard{o: o, hands: map[idempotency.Key]*hand{}}
+	rules, err := idempotency.New(o.Ledger)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 					g.o.Log.Warn("the ledger of effects lacks what was known before: repeats of what it does not know are answered as may have run", "since", at)
 				}
 			}
-			rules, err := effects.New(s)
+			rules, err := idempotency.New(s)
 			if err == nil {
 				err = rules.Restore(g.o.Now(), records)
 			}
@@ -154,7 +154,7 @@
 // Do runs work unless the request has come before, and gives its answer. Ctx ends when the client gives up: by then whoever waits
 // for another's answer, or for the disk, has an end. With a verdict other than effects.Begin, Join and
 // Answered there is none. End tells of Begin and Join how it went.
-func (g *Guard) Do(ctx context.Context, k effects.Key, repeat bool, work Work) (answer []byte, end End, v effects.Verdict) {
+func (g *Guard) Do(ctx context.Context, k idempotency.Key, repeat bool, work Work) (answer []byte, end End, v idempotency.Verdict) {
 	g.mu.Lock()
 	if g.rules == nil {
 		if !repeat && len(g.early) < g.o.Ledger.Entries {
@@ -162,38 +162,38 @@
 		}
 		g.mu.Unlock()
 		g.Counts.Full.Add(1)
-		return nil, NeverRan, effects.Full
+		return nil, NeverRan, idempotency.Full
 	}
 	v, answer = g.rules.Come(g.o.Now(), k, repeat)
 	h := g.hands[k]
 	disk := g.disk
-	if v == effects.Begin {
+	if v == idempotency.Begin {
 		h = &hand{done: make(chan struct{}), end: Uncertain}
 		g.hands[k] = h
 	}
 	g.mu.Unlock()
 	switch v {
-	case effects.Begin:
+	case idempotency.Begin:
 		g.Counts.Begun.Add(1)
 		g.run(ctx, k, h, disk, work)
 		if h.unwritten {
-			return nil, NeverRan, effects.Full
+			return nil, NeverRan, idempotency.Full
 		}
 		return h.answer, h.end, v
-	case effects.Join:
+	case idempotency.Join:
 		g.Counts.Joined.Add(1)
 		select {
 		case <-h.done:
 			if h.unwritten {
-				return nil, NeverRan, effects.Full
+				return nil, NeverRan, idempotency.Full
 			}
 			return h.answer, h.end, v
 		case <-ctx.Done():
-			return nil, Uncertain, effects.MayHaveRun
+			return nil, Uncertain, idempotency.MayHaveRun
 		}
-	case effects.Answered:
+	case idempotency.Answered:
 		g.Counts.Repeated.Add(1)
-	case effects.MayHaveRun:
+	case idempotency.MayHaveRun:
 		g.Counts.Uncertain.Add(1)
 	default:
 		g.Counts.Full.Add(1)
@@ -202,7 +202,7 @@
 }
 
 // run runs a request whose intent is on disk, and writes down how it ended. Its end is settled whatever work does.
-func (g *Guard) run(ctx context.Context, k effects.Key, h *hand, disk *store.Store, work Work) {
+func (g *Guard) run(ctx context.Context, k idempotency.Key, h *hand, disk *store.Store, work Work) {
 	defer func() {
 		g.mu.Lock()
 		if g.rules != nil {
@@ -220,7 +220,7 @@
 		close(h.done)
 	}()
 	if disk != nil {
-		if err := g.write(ctx, func(ctx context.Context) error { return disk.Write(ctx, effects.Record{Key: k}) }); err != nil {
+		if err := g.write(ctx, func(ctx context.Context) error { return disk.Write(ctx, idempotency.Record{Key: k}) }); err != nil {
 			g.o.Log.Error("an intent could not be written: the request is not begun", "err", err)
 			h.end, h.unwritten = NeverRan, true
 			return
@@ -235,12 +235,12 @@
 	case Answered:
 		answer := h.answer
 		err = g.write(ctx, func(ctx context.Context) error {
-			return disk.Write(ctx, effects.Record{Key: k, Ended: true, Answer: answer})
+			return disk.Write(ctx, idempotency.Record{Key: k, Ended: true, Answer: answer})
 		})
 	case NeverRan:
 		err = g.write(ctx, func(ctx context.Context) error { return disk.Drop(ctx, k) })
 	default:
-		err = g.write(ctx, func(ctx context.Context) error { return disk.Write(ctx, effects.Record{Key: k, Lost: true}) })
+		err = g.write(ctx, func(ctx context.Context) error { return disk.Write(ctx, idempotency.Record{Key: k, Lost: true}) })
 	}
 	if err != nil { // the answer is true all the same; after a restart its request is one that may have run
 		g.o.Log.Error("an end could not be written", "err", err)
--- a/internal/idempotency/guard/guard_test.go
+++ b/internal/idempotency/guard/guard_test.go
@@ -12,11 +12,11 @@
 	"testing/synctest"
 	"time"
 
-	"lapisspread/internal/effects"
+	"lapisspread/internal/idempotency"
 )
 
-func settings(lost time.Duration) effects.Settings {
-	return effects.Settings{Window: effects.Window, Uncertain: effects.Window, Entries: 100, Bytes: 1 << 20, Lost: lost}
+func settings(lost time.Duration) idempotency.Settings {
+	return idempotency.Settings{Window: idempotency.Window, Uncertain: idempotency.Window, Entries: 100, Bytes: 1 << 20, Lost: lost}
 }
 
 func newGuard(t *testing.T, path string, lost time.Duration) *Guard {
@@ -32,7 +32,7 @@
 	return g
 }
 
-func key(n int) effects.Key { return effects.Key{Origin: "a", ID: uint32(n)} }
+func key(n int) idempotency.Key { return idempotency.Key{Origin: "a", ID: uint32(n)} }
 
 // Many who send the same at once, and after it: it runs once and all have the one answer.
 func TestOnce(t *testing.T) {
@@ -48,7 +48,7 @@
 					time.Sleep(100 * time.Millisecond)
 					return fmt.Append(nil, i%10), Answered
 				})
-				if string(answer) != fmt.Sprint(i%10) || v != effects.Begin && v != effects.Join && v != effects.Answered {
+				if string(answer) != fmt.Sprint(i%10) || v != idempotency.Begin && v != idempotency.Join && v != idempotency.Answered {
 					t.Errorf("%d: %q, %v", i, answer, v)
 				}
 			})
@@ -58,8 +58,8 @@
 		if ran.Load() != 10 || r.Begun != 10 || r.Joined == 0 || r.Repeated == 0 || r.InHand != 0 {
 			t.Errorf("%d ran; %+v", ran.Load(), r)
 		}
-		time.Sleep(effects.Window + time.Second)
-		if _, _, v := g.Do(t.Context(), key(1), false, func() ([]byte, End) { return nil, NeverRan }); v != effects.Begin {
+		time.Sleep(idempotency.Window + time.Second)
+		if _, _, v := g.Do(t.Context(), key(1), false, func() ([]byte, End) { return nil, NeverRan }); v != idempotency.Begin {
 			t.Errorf("after the window: %v", v)
 		}
 	})
@@ -72,7 +72,7 @@
 		g := newGuard(t, "", -1)
 		refused := func() ([]byte, End) { return []byte("3004"), NeverRan }
 		for range 2 {
-			if answer, end, v := g.Do(t.Context(), key(1), false, refused); string(answer) != "3004" || end != NeverRan || v != effects.Begin {
+			if answer, end, v := g.Do(t.Context(), key(1), false, refused); string(answer) != "3004" || end != NeverRan || v != idempotency.Begin {
 				t.Errorf("%q %v %v", answer, end, v)
 			}
 		}
@@ -83,8 +83,8 @@
 			defer func() { _ = recover() }()
 			g.Do(t.Context(), key(3), false, func() ([]byte, End) { panic("a wrong handler") })
 		}()
-		for _, k := range []effects.Key{key(2), key(3)} {
-			if _, _, v := g.Do(t.Context(), k, false, refused); v != effects.MayHaveRun {
+		for _, k := range []idempotency.Key{key(2), key(3)} {
+			if _, _, v := g.Do(t.Context(), k, false, refused); v != idempotency.MayHaveRun {
 				t.Errorf("%v again: %v", k, v)
 			}
 		}
@@ -93,11 +93,11 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
-		if answer, _, v := g.Do(ctx, key(4), true, refused); v != effects.MayHaveRun || answer != nil || time.Since(began) != time.Second {
+		if answer, _, v := g.Do(ctx, key(4), true, refused); v != idempotency.MayHaveRun || answer != nil || time.Since(began) != time.Second {
 			t.Errorf("%q %v after %v", answer, v, time.Since(began))
 		}
 		time.Sleep(time.Minute)
-		if answer, _, v := g.Do(t.Context(), key(4), true, refused); v != effects.Answered || string(answer) != "late" {
+		if answer, _, v := g.Do(t.Context(), key(4), true, refused); v != idempotency.Answered || string(answer) != "late" {
 			t.Errorf("%q %v", answer, v)
 		}
 	})
@@ -108,14 +108,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", 0)
 		run := func() ([]byte, End) { return []byte("x"), Answered }
-		if _, _, v := g.Do(t.Context(), key(1), true, run); v != effects.MayHaveRun {
+		if _, _, v := g.Do(t.Context(), key(1), true, run); v != idempotency.MayHaveRun {
 			t.Errorf("a repeat right after the start: %v", v)
 		}
-		if _, _, v := g.Do(t.Context(), key(2), false, run); v != effects.Begin {
+		if _, _, v := g.Do(t.Context(), key(2), false, run); v != idempotency.Begin {
 			t.Errorf("a new one: %v", v)
 		}
-		time.Sleep(effects.Window)
-		if _, _, v := g.Do(t.Context(), key(3), true, run); v != effects.Begin {
+		time.Sleep(idempotency.Window)
+		if _, _, v := g.Do(t.Context(), key(3), true, run); v != idempotency.Begin {
 			t.Errorf("a repeat after the window: %v", v)
 		}
 	})
@@ -126,7 +126,7 @@
 func TestTheNextProcessKnows(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects.db")
 	g := newGuard(t, path, -1)
-	if answer, _, v := g.Do(t.Context(), key(1), true, func() ([]byte, End) { return []byte("paid"), Answered }); v != effects.Begin || string(answer) != "paid" {
+	if answer, _, v := g.Do(t.Context(), key(1), true, func() ([]byte, End) { return []byte("paid"), Answered }); v != idempotency.Begin || string(answer) != "paid" {
 		t.Fatalf("%q %v: a repeat of what a whole ledger does not know is new", answer, v)
 	}
 	g.Do(t.Context(), key(2), false, func() ([]byte, End) { return []byte("3004"), NeverRan })
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, v := next.Do(t.Context(), key(9), false, func() ([]byte, End) { t.Error("it ran"); return nil, Answered }); v != effects.Full || next.Report().Ready {
+	if _, _, v := next.Do(t.Context(), key(9), false, func() ([]byte, End) { t.Error("it ran"); return nil, Answered }); v != idempotency.Full || next.Report().Ready {
 		t.Errorf("before the file is read: %v", v)
 	}
 	opened := make(chan error, 1)
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	defer next.Close()
-	for n, want := range map[int]effects.Verdict{1: effects.Answered, 2: effects.Begin, 3: effects.MayHaveRun} {
+	for n, want := range map[int]idempotency.Verdict{1: idempotency.Answered, 2: idempotency.Begin, 3: idempotency.MayHaveRun} {
 		answer, _, v := next.Do(t.Context(), key(n), true, func() ([]byte, End) { return []byte("new"), Answered })
 		if v != want || n == 1 && string(answer) != "paid" {
 			t.Errorf("%d: %q %v, want %v", n, answer, v, want)
@@ -193,30 +193,30 @@
 				if err := lose(path, old); err != nil {
 					t.Fatal(err)
 				}
-				unknown := effects.MayHaveRun
+				unknown := idempotency.MayHaveRun
 				if name == "nothing" {
-					unknown = effects.Begin
+					unknown = idempotency.Begin
 				}
 				for i := range 2 {
 					g = next(0)
-					if _, _, v := g.Do(t.Context(), key(2), true, pay); v == effects.Begin {
+					if _, _, v := g.Do(t.Context(), key(2), true, pay); v == idempotency.Begin {
 						t.Errorf("process %d: what was paid begins again", i)
 					}
 					if _, _, v := g.Do(t.Context(), key(10+i), true, pay); v != unknown {
 						t.Errorf("process %d: a repeat of what is not known: %v, want %v", i, v, unknown)
 					}
-					if _, _, v := g.Do(t.Context(), key(20+i), false, func() ([]byte, End) { return nil, NeverRan }); v != effects.Begin {
+					if _, _, v := g.Do(t.Context(), key(20+i), false, func() ([]byte, End) { return nil, NeverRan }); v != idempotency.Begin {
 						t.Errorf("process %d: a new one: %v", i, v)
 					}
-					if _, _, v := g.Do(t.Context(), key(20+i), true, pay); v != effects.Begin {
+					if _, _, v := g.Do(t.Context(), key(20+i), true, pay); v != idempotency.Begin {
 						t.Errorf("process %d: a repeat of what this process has turned away: %v", i, v)
 					}
 					g.Close()
-					time.Sleep(effects.Window / 3)
+					time.Sleep(idempotency.Window / 3)
 				}
-				time.Sleep(effects.Window)
+				time.Sleep(idempotency.Window)
 				g = next(0)
-				if _, _, v := g.Do(t.Context(), key(30), true, pay); v != effects.Begin {
+				if _, _, v := g.Do(t.Context(), key(30), true, pay); v != idempotency.Begin {
 					t.Errorf("after the window: %v", v)
 				}
 			})
@@ -234,13 +234,13 @@
 		}
 		return []byte("paid"), Answered
 	})
-	if string(answer) != "paid" || v != effects.Begin || g.Report().DiskErrors != 1 {
+	if string(answer) != "paid" || v != idempotency.Begin || g.Report().DiskErrors != 1 {
 		t.Errorf("%q %v %+v", answer, v, g.Report())
 	}
-	if _, _, v := g.Do(t.Context(), key(2), false, func() ([]byte, End) { t.Error("it ran"); return nil, Answered }); v != effects.Full {
+	if _, _, v := g.Do(t.Context(), key(2), false, func() ([]byte, End) { t.Error("it ran"); return nil, Answered }); v != idempotency.Full {
 		t.Errorf("%v", v)
 	}
-	if answer, _, v := g.Do(t.Context(), key(1), false, nil); v != effects.Answered || string(answer) != "paid" {
+	if answer, _, v := g.Do(t.Context(), key(1), false, nil); v != idempotency.Answered || string(answer) != "paid" {
 		t.Errorf("%q %v", answer, v)
 	}
 	if err := os.WriteFile(path, []byte("no database"), 0o600); err != nil {
--- a/internal/effects/ledger.go
+++ b/internal/idempotency/ledger.go
@@ -1,4 +1,4 @@
-// Package effects remembers which requests that must never run twice have begun, and how they ended: whoever sends one
+// Package idempotency remembers which requests that must never run twice have begun, and how they ended: whoever sends one
 // again gets the answer that it had, or joins the one in hand, or hears that it may have run. It is pure: no I/O, no
 // goroutine, no clock; one caller at a time.
 //
@@ -11,7 +11,7 @@
 //   - Nothing is forgotten before the window has passed since its end. When there is no room, what is unsafe is turned away.
 //   - An entry whose end is not known (its process died) says that it may have run, and never that it may begin.
 //   - Memory is bounded by entries and bytes.
-package effects
+package idempotency
 
 import (
 	"container/list"
--- a/internal/effects/ledger_test.go
+++ b/internal/idempotency/ledger_test.go
@@ -1,4 +1,4 @@
-package effects
+package idempotency
 
 import (
 	"fmt"
--- a/internal/idempotency/store/frozen_test.go
+++ b/internal/idempotency/store/frozen_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/effects"
+	"lapisspread/internal/idempotency"
 )
 
 var writeFrozen = flag.Bool("write-frozen", false, "write the files under testdata instead of reading them")
@@ -19,15 +19,15 @@
 func TestFrozenLedger(t *testing.T) {
 	const kept = "testdata/ledger"
 	began := time.Unix(1_735_689_600, 0)
-	ended := effects.Record{Key: effects.Key{Origin: "a.example", ID: 7}, Ended: true, Answer: []byte("paid")}
-	lost := effects.Record{Key: effects.Key{Origin: "b.example", ID: 1 << 31}, Lost: true, Answer: []byte{}}
-	intent := effects.Record{Key: effects.Key{Origin: "c.example", ID: 9}}
+	ended := idempotency.Record{Key: idempotency.Key{Origin: "a.example", ID: 7}, Ended: true, Answer: []byte("paid")}
+	lost := idempotency.Record{Key: idempotency.Key{Origin: "b.example", ID: 1 << 31}, Lost: true, Answer: []byte{}}
+	intent := idempotency.Record{Key: idempotency.Key{Origin: "c.example", ID: 9}}
 	if *writeFrozen {
 		s, _, err := Open(kept, Options{Window: window, Uncertain: uncertain, Now: func() time.Time { return began }})
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, r := range []effects.Record{ended, lost, intent} {
+		for _, r := range []idempotency.Record{ended, lost, intent} {
 			if err := s.Write(t.Context(), r); err != nil {
 				t.Fatal(err)
 			}
@@ -52,8 +52,8 @@
 		t.Fatal(err)
 	}
 	// An intent of a process that has ended may have run.
-	unfinished := effects.Record{Key: intent.Key, Lost: true, Answer: []byte{}}
-	if want := []effects.Record{unfinished, ended, lost}; !reflect.DeepEqual(records, want) {
+	unfinished := idempotency.Record{Key: intent.Key, Lost: true, Answer: []byte{}}
+	if want := []idempotency.Record{unfinished, ended, lost}; !reflect.DeepEqual(records, want) {
 		t.Errorf("got %+v\nwant %+v", records, want)
 	}
 	if !s.Lost().Equal(began) {
@@ -62,7 +62,7 @@
 	if s.seq != 5 {
 		t.Errorf("transaction %d, want 5", s.seq)
 	}
-	next := effects.Record{Key: intent.Key, Ended: true, Answer: []byte("late")}
+	next := idempotency.Record{Key: intent.Key, Ended: true, Answer: []byte("late")}
 	if err := s.Write(t.Context(), next); err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if want := []effects.Record{ended, next, lost}; !reflect.DeepEqual(records, want) {
+	if want := []idempotency.Record{ended, next, lost}; !reflect.DeepEqual(records, want) {
 		t.Errorf("after a write: %+v\nwant %+v", records, want)
 	}
 }
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -35,7 +35,7 @@
 	"go.etcd.io/bbolt"
 	berrors "go.etcd.io/bbolt/errors"
 
-	"lapisspread/internal/effects"
+	"lapisspread/internal/idempotency"
 )
 
 var (
@@ -80,7 +80,7 @@
 }
 
 type waiter struct {
-	record effects.Record
+	record idempotency.Record
 	drop   bool
 	done   chan error // holds one
 }
@@ -98,7 +98,7 @@
 
 // Open opens or makes a file, and gives what it holds in the order in which it was written, without what is older than
 // the window. A file that is not one, or is held by another process, is an error.
-func Open(path string, o Options) (*Store, []effects.Record, error) {
+func Open(path string, o Options) (*Store, []idempotency.Record, error) {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
@@ -123,10 +123,10 @@
 }
 
 // load reads all that holds.
-func (s *Store) load() ([]effects.Record, error) {
+func (s *Store) load() ([]idempotency.Record, error) {
 	type dated struct {
 		at int64
-		r  effects.Record
+		r  idempotency.Record
 	}
 	var all []dated
 	now := s.now()
@@ -150,7 +150,7 @@
 			} else if at < now.UnixNano() {
 				return nil
 			}
-			all = append(all, dated{at, effects.Record{Key: key, Ended: v[0] == end, Lost: v[0] != end, Answer: bytes.Clone(v[9:])}})
+			all = append(all, dated{at, idempotency.Record{Key: key, Ended: v[0] == end, Lost: v[0] != end, Answer: bytes.Clone(v[9:])}})
 			return nil
 		})
 		for _, h := range begun {
@@ -164,7 +164,7 @@
 		return nil, err
 	}
 	slices.SortStableFunc(all, func(a, b dated) int { return cmp.Compare(a.at, b.at) })
-	out := make([]effects.Record, len(all))
+	out := make([]idempotency.Record, len(all))
 	for i, d := range all {
 		out[i] = d.r
 	}
@@ -236,13 +236,13 @@
 
 // Write returns once a record is on disk, with others that wait. After an error it is not known whether it is: whoever
 // wanted to begin must not, and whoever has ended must say that it may have run.
-func (s *Store) Write(ctx context.Context, r effects.Record) error {
+func (s *Store) Write(ctx context.Context, r idempotency.Record) error {
 	return s.wait(ctx, &waiter{record: r, done: make(chan error, 1)})
 }
 
 // Drop takes back the intent of a request that has not run and will not.
-func (s *Store) Drop(ctx context.Context, k effects.Key) error {
-	return s.wait(ctx, &waiter{record: effects.Record{Key: k}, drop: true, done: make(chan error, 1)})
+func (s *Store) Drop(ctx context.Context, k idempotency.Key) error {
+	return s.wait(ctx, &waiter{record: idempotency.Record{Key: k}, drop: true, done: make(chan error, 1)})
 }
 
 func (s *Store) wait(ctx context.Context, w *waiter) error {
@@ -390,15 +390,15 @@
 	return err
 }
 
-func bytesOf(k effects.Key) []byte {
+func bytesOf(k idempotency.Key) []byte {
 	b := make([]byte, 0, len(k.Origin)+5)
 	b = append(append(b, k.Origin...), 0)
 	return binary.BigEndian.AppendUint32(b, k.ID)
 }
 
-func keyOf(b []byte) (effects.Key, error) {
+func keyOf(b []byte) (idempotency.Key, error) {
 	if len(b) < 5 || b[len(b)-5] != 0 {
-		return effects.Key{}, errors.New("no key")
+		return idempotency.Key{}, errors.New("no key")
 	}
-	return effects.Key{Origin: string(b[:len(b)-5]), ID: binary.BigEndian.Uint32(b[len(b)-4:])}, nil
+	return idempotency.Key{Origin: string(b[:len(b)-5]), ID: binary.BigEndian.Uint32(b[len(b)-4:])}, nil
 }
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -15,22 +15,22 @@
 	"testing"
 	"time"
 
-	"lapisspread/internal/effects"
+	"lapisspread/internal/idempotency"
 )
 
 const (
-	window    = effects.Window
+	window    = idempotency.Window
 	uncertain = time.Hour
 )
 
-func open(t testing.TB, path string, now func() time.Time) (*Store, map[effects.Key]effects.Record) {
+func open(t testing.TB, path string, now func() time.Time) (*Store, map[idempotency.Key]idempotency.Record) {
 	t.Helper()
 	s, records, err := Open(path, Options{Window: window, Uncertain: uncertain, Now: now})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Close() })
-	by := map[effects.Key]effects.Record{}
+	by := map[idempotency.Key]idempotency.Record{}
 	for _, r := range records {
 		by[r.Key] = r
 	}
@@ -43,8 +43,8 @@
 	clock := time.Unix(1_800_000_000, 0)
 	now := func() time.Time { return clock }
 	s, _ := open(t, path, now)
-	a, b, c := effects.Key{Origin: "a", ID: 1}, effects.Key{Origin: "a", ID: 2}, effects.Key{Origin: "b\x00c", ID: 1}
-	for _, r := range []effects.Record{{Key: a}, {Key: b}, {Key: a, Ended: true, Answer: []byte("paid")}, {Key: c}} {
+	a, b, c := idempotency.Key{Origin: "a", ID: 1}, idempotency.Key{Origin: "a", ID: 2}, idempotency.Key{Origin: "b\x00c", ID: 1}
+	for _, r := range []idempotency.Record{{Key: a}, {Key: b}, {Key: a, Ended: true, Answer: []byte("paid")}, {Key: c}} {
 		if err := s.Write(ctx, r); err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +58,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Write(ctx, effects.Record{Key: a}); !errors.Is(err, ErrClosed) {
+	if err := s.Write(ctx, idempotency.Record{Key: a}); !errors.Is(err, ErrClosed) {
 		t.Errorf("after its end: %v", err)
 	}
 	s, by := open(t, path, now)
@@ -66,7 +66,7 @@
 		t.Errorf("%+v", by)
 	}
 	clock = clock.Add(window + time.Second) // what has ended grows old; of an intent without an end the time begins when it is found
-	if err := s.Write(ctx, effects.Record{Key: effects.Key{Origin: "z", ID: 9}}); err != nil {
+	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "z", ID: 9}}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -75,11 +75,11 @@
 		t.Errorf("a window later: %+v", by)
 	}
 	clock = clock.Add(uncertain + time.Second)
-	if err := s.Write(ctx, effects.Record{Key: effects.Key{Origin: "y", ID: 9}, Lost: true}); err != nil {
+	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "y", ID: 9}, Lost: true}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
-	if _, by = open(t, path, now); len(by) != 1 || !by[effects.Key{Origin: "y", ID: 9}].Lost {
+	if _, by = open(t, path, now); len(by) != 1 || !by[idempotency.Key{Origin: "y", ID: 9}].Lost {
 		t.Errorf("long after: %+v", by)
 	}
 }
@@ -98,8 +98,8 @@
 func TestADiskThatIsFull(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects")
 	s, _ := open(t, path, nil)
-	k := effects.Key{Origin: "a", ID: 1}
-	if err := s.Write(t.Context(), effects.Record{Key: k}); err != nil {
+	k := idempotency.Key{Origin: "a", ID: 1}
+	if err := s.Write(t.Context(), idempotency.Record{Key: k}); err != nil {
 		t.Fatal(err)
 	}
 	if size, err := s.Size(); err != nil || size == 0 {
@@ -108,7 +108,7 @@
 	s.db.MaxSize = 64 << 10 // as if the disk ended there
 	var failed error
 	for i := uint32(2); i < 2000 && failed == nil; i++ {
-		failed = s.Write(t.Context(), effects.Record{Key: effects.Key{Origin: "a", ID: i}, Ended: true, Answer: make([]byte, 4000)})
+		failed = s.Write(t.Context(), idempotency.Record{Key: idempotency.Key{Origin: "a", ID: i}, Ended: true, Answer: make([]byte, 4000)})
 	}
 	if failed == nil {
 		t.Fatal("a full disk is not told")
@@ -125,7 +125,7 @@
 	var all sync.WaitGroup
 	for i := range uint32(400) {
 		all.Go(func() {
-			if err := s.Write(t.Context(), effects.Record{Key: effects.Key{Origin: "a", ID: i}}); err != nil {
+			if err := s.Write(t.Context(), idempotency.Record{Key: idempotency.Key{Origin: "a", ID: i}}); err != nil {
 				t.Error(err)
 			}
 		})
@@ -136,7 +136,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := s.Write(ctx, effects.Record{Key: effects.Key{Origin: "a", ID: 1}}); !errors.Is(err, context.Canceled) && err != nil {
+	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "a", ID: 1}}); !errors.Is(err, context.Canceled) && err != nil {
 		t.Errorf("given up: %v", err)
 	}
 }
@@ -158,7 +158,7 @@
 	}
 	rng := rand.New(rand.NewPCG(11, 12))
 	path := filepath.Join(t.TempDir(), "effects")
-	told := map[effects.Key]string{} // "intent", or the answer
+	told := map[idempotency.Key]string{} // "intent", or the answer
 	for round := range crashes() {
 		c := exec.Command(os.Args[0], "-test.run=^TestKills$")
 		c.Env = append(os.Environ(), "EFFECTS_CHILD="+path, "EFFECTS_ROUND="+strconv.Itoa(round))
@@ -178,7 +178,7 @@
 			var id uint32
 			var what string
 			if _, err := fmt.Sscanf(lines.Text(), "told %d %s", &id, &what); err == nil {
-				told[effects.Key{Origin: "a", ID: id}] = what
+				told[idempotency.Key{Origin: "a", ID: id}] = what
 			}
 		}
 		c.Wait()
@@ -186,7 +186,7 @@
 		if err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
-		l, err := effects.New(effects.Settings{Window: window, Uncertain: window, Entries: 1 << 20, Bytes: 1 << 24, Lost: -1})
+		l, err := idempotency.New(idempotency.Settings{Window: window, Uncertain: window, Entries: 1 << 20, Bytes: 1 << 24, Lost: -1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -196,9 +196,9 @@
 		for k, what := range told {
 			v, answer := l.Come(time.Second, k, false)
 			switch {
-			case v == effects.Begin:
+			case v == idempotency.Begin:
 				t.Fatalf("round %d: %v was told to be %s, and would begin again", round, k, what)
-			case what != "intent" && (v != effects.Answered || string(answer) != what):
+			case what != "intent" && (v != idempotency.Answered || string(answer) != what):
 				t.Fatalf("round %d: %v has the answer %s: %v %q", round, k, what, v, answer)
 			}
 		}
@@ -227,13 +227,13 @@
 		go func() {
 			for i := uint32(0); ; i++ {
 				id := uint32(round)<<20 | g<<14 | i
-				k := effects.Key{Origin: "a", ID: id}
-				if s.Write(context.Background(), effects.Record{Key: k}) != nil {
+				k := idempotency.Key{Origin: "a", ID: id}
+				if s.Write(context.Background(), idempotency.Record{Key: k}) != nil {
 					return
 				}
 				say(id, "intent")
 				answer := fmt.Sprint("paid-", id)
-				if s.Write(context.Background(), effects.Record{Key: k, Ended: true, Answer: []byte(answer)}) != nil {
+				if s.Write(context.Background(), idempotency.Record{Key: k, Ended: true, Answer: []byte(answer)}) != nil {
 					return
 				}
 				say(id, answer)
@@ -251,11 +251,11 @@
 			for g := range at {
 				all.Go(func() {
 					for i := range b.N/at + 1 {
-						k := effects.Key{Origin: "a", ID: uint32(g)<<24 | uint32(i)}
-						if err := s.Write(context.Background(), effects.Record{Key: k}); err != nil {
+						k := idempotency.Key{Origin: "a", ID: uint32(g)<<24 | uint32(i)}
+						if err := s.Write(context.Background(), idempotency.Record{Key: k}); err != nil {
 							b.Error(err)
 						}
-						if err := s.Write(context.Background(), effects.Record{Key: k, Ended: true, Answer: make([]byte, 180)}); err != nil {
+						if err := s.Write(context.Background(), idempotency.Record{Key: k, Ended: true, Answer: make([]byte, 180)}); err != nil {
 							b.Error(err)
 						}
 					}
@@ -285,7 +285,7 @@
 	for w := range writers {
 		all.Go(func() {
 			for i := w; i < entries; i += writers {
-				if err := s.Write(b.Context(), effects.Record{Key: effects.Key{Origin: "claims.partner.example", ID: uint32(i)}, Ended: true, Answer: answer}); err != nil {
+				if err := s.Write(b.Context(), idempotency.Record{Key: idempotency.Key{Origin: "claims.partner.example", ID: uint32(i)}, Ended: true, Answer: answer}); err != nil {
 					b.Error(err)
 					return
 				}
