--- a/internal/diameter/front/front.go
+++ b/internal/diameter/frontend/front.go
@@ -1,6 +1,6 @@
-// Package front is the Diameter front end of the engine: a peer's request becomes an exchange, and its one end becomes an
+// Package frontend is the Diameter front end of the engine: a peer's request becomes an exchange, and its one end becomes an
 // answer with a Result-Code. What is unsafe passes the guard: it runs once, whoever sends it again.
-package front
+package frontend
 
 import (
 	"context"
--- a/internal/diameter/front/front_test.go
+++ b/internal/diameter/frontend/front_test.go
@@ -1,4 +1,4 @@
-package front_test
+package frontend_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"lapisspread/decision"
 	"lapisspread/internal/diameter"
 	"lapisspread/internal/diameter/claim"
-	"lapisspread/internal/diameter/front"
+	"lapisspread/internal/diameter/frontend"
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/engine/enginetest"
@@ -48,7 +48,7 @@
 func (stubMessage) Spent() bool { return false }
 
 // stand puts a front end before an engine, and gives a peer that asks it, and the guard.
-func stand(t *testing.T, e *engine.Engine, change func(*idempotency.Settings)) (*node.Peer, *front.Front, *node.Node) {
+func stand(t *testing.T, e *engine.Engine, change func(*idempotency.Settings)) (*node.Peer, *frontend.Front, *node.Node) {
 	t.Helper()
 	f, rules, err := claim.Parse("d.toml", []byte(file))
 	if err != nil {
@@ -64,12 +64,12 @@
 		t.Fatal(err)
 	}
 	classes := map[string]int{"safe": 0, "unsafe": 1}
-	fr := front.New(front.Settings{Rules: rules, Host: f.Host, Realm: f.Realm, Guard: g, Slack: 15 * time.Millisecond,
-		Route: func(a *claim.Ask, _ int64) (*front.Service, error) {
+	fr := frontend.New(frontend.Settings{Rules: rules, Host: f.Host, Realm: f.Realm, Guard: g, Slack: 15 * time.Millisecond,
+		Route: func(a *claim.Ask, _ int64) (*frontend.Service, error) {
 			if a.Session == "nowhere" {
-				return nil, &front.Turned{What: "no places", After: 1500 * time.Millisecond}
+				return nil, &frontend.Turned{What: "no places", After: 1500 * time.Millisecond}
 			}
-			return &front.Service{Engine: e, Class: classes[a.Class], Unsafe: a.Class == "unsafe", Leave: func() {}, Ended: func(engine.End, time.Duration) {},
+			return &frontend.Service{Engine: e, Class: classes[a.Class], Unsafe: a.Class == "unsafe", Leave: func() {}, Ended: func(engine.End, time.Duration) {},
 				Message: func(*claim.Ask, diameter.Message) (engine.Message, error) { return stubMessage{}, nil }}, nil
 		}})
 	server, err := node.New(node.Settings{Host: f.Host, Realm: f.Realm, Apps: []uint32{4}, Allow: fr.Allow, Handle: fr.Handle, InHand: 1000})
@@ -139,7 +139,7 @@
 				case err != nil:
 					return 0, nil, err
 				case code == diameter.Success:
-					return engine.Served, front.Body(a, diameter.Base()), nil
+					return engine.Served, frontend.Body(a, diameter.Base()), nil
 				case code == diameter.TooBusy:
 					return engine.Refused, nil, nil
 				}
@@ -148,7 +148,7 @@
 		},
 		Answer: func(body []byte) any { return body },
 		Stream: func(body []byte, broken bool) engine.Stream { return long{enginetest.Broken(body, broken)} },
-		Most:   front.MostBody,
+		Most:   frontend.MostBody,
 	}.Test(t)
 }
 
@@ -173,7 +173,7 @@
 	results := make(chan result, 9)
 	send := func(flags diameter.Flags, action uint32) {
 		code, a, err := ask(t.Context(), p, 7, flags, "s", action, 3*time.Second)
-		results <- result{code, string(front.Body(a, diameter.Base())), err}
+		results <- result{code, string(frontend.Body(a, diameter.Base())), err}
 	}
 	for i := range 4 {
 		go send(diameter.Flags(i%2)*diameter.Retransmitted, 1)
@@ -207,7 +207,7 @@
 		{enginetest.Reply{Result: decision.Full}, diameter.TooBusy, diameter.TooBusy, true},
 		{enginetest.Reply{After: time.Hour}, diameter.UnableToComply, diameter.UnableToComply, false},
 		{enginetest.Reply{Answer: []byte("x")}, diameter.Success, diameter.Success, false},
-		{enginetest.Reply{Answer: make([]byte, front.MostBody+1)}, diameter.UnableToComply, diameter.UnableToComply, false},
+		{enginetest.Reply{Answer: make([]byte, frontend.MostBody+1)}, diameter.UnableToComply, diameter.UnableToComply, false},
 	} {
 		replies.Store(&k.reply)
 		id := uint32(100 + i)
@@ -282,7 +282,7 @@
 		t.Fatal(err)
 	}
 	code, a, err := ask(t.Context(), again, 5, diameter.Retransmitted, "s", 1, 3*time.Second)
-	if err != nil || code != diameter.Success || string(front.Body(a, diameter.Base())) != "paid" || s.Attempts() != 1 {
+	if err != nil || code != diameter.Success || string(frontend.Body(a, diameter.Base())) != "paid" || s.Attempts() != 1 {
 		t.Errorf("%d, %v, %d attempts", code, errors.Join(err), s.Attempts())
 	}
 }
--- a/internal/diameter/upstream/upstream_test.go
+++ b/internal/diameter/upstream/upstream_test.go
@@ -11,7 +11,7 @@
 
 	"lapisspread/decision"
 	"lapisspread/internal/diameter"
-	"lapisspread/internal/diameter/front"
+	"lapisspread/internal/diameter/frontend"
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/engine"
 	"lapisspread/internal/engine/enginetest"
@@ -61,7 +61,7 @@
 			return stand(t, &diameterpeer.Server{Act: func(int64) diameterpeer.Act { return acts[b] }}, b == enginetest.Refuses)
 		},
 		Message: func() engine.Message { id := last.Add(1); return NewMessage(claimOf(fmt.Sprint(id), id)) },
-		Body:    func(answer any) []byte { m, _ := answer.(diameter.Message); return front.Body(m, diameter.Base()) },
+		Body:    func(answer any) []byte { m, _ := answer.(diameter.Message); return frontend.Body(m, diameter.Base()) },
 		Shared:  true,
 	}.Test(t)
 }
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -19,7 +19,7 @@
 	"lapisspread/internal/admission"
 	"lapisspread/internal/diameter"
 	"lapisspread/internal/diameter/claim"
-	"lapisspread/internal/diameter/front"
+	"lapisspread/internal/diameter/frontend"
 	"lapisspread/internal/diameter/node"
 	"lapisspread/internal/diameter/upstream"
 	"lapisspread/internal/engine"
@@ -47,7 +47,7 @@
 	file  *claim.File
 	rules *claim.Rules
 	guard *guard.Guard
-	front *front.Front
+	front *frontend.Front
 	node  *node.Node
 	keys  *tlskeys.Keys // nil is plain TCP
 
@@ -83,7 +83,7 @@
 	if d.guard, err = guard.New(guard.Options{Ledger: d.file.LedgerSettings(0), Path: path, Now: engine.NewClock().Now, Log: p.log}); err != nil {
 		return fmt.Errorf("%s: %w", p.cfg.Diameter, err)
 	}
-	d.front = front.New(front.Settings{Rules: d.rules, Host: d.file.Host, Realm: d.file.Realm, Guard: d.guard, Route: d.route, Slack: answerRoom, Log: p.log})
+	d.front = frontend.New(frontend.Settings{Rules: d.rules, Host: d.file.Host, Realm: d.file.Realm, Guard: d.guard, Route: d.route, Slack: answerRoom, Log: p.log})
 	s := d.settings()
 	s.Allow, s.Handle = d.front.Allow, d.front.Handle
 	if d.node, err = node.New(s); err != nil {
@@ -219,7 +219,7 @@
 }
 
 // route finds a request's service, within its limits.
-func (d *diameterSide) route(a *claim.Ask, bytes int64) (*front.Service, error) {
+func (d *diameterSide) route(a *claim.Ask, bytes int64) (*frontend.Service, error) {
 	s := d.p.services
 	svc, policy, err := s.pick(func(now *installed) (*service, error) {
 		q := route.Request{Host: a.Realm, Path: a.Path, Method: http.MethodPost, Class: a.Class, Tenant: a.Tenant}
@@ -227,12 +227,12 @@
 	})
 	if err != nil {
 		policy.Count(false)
-		return nil, &front.Turned{What: err.Error(), Code: diameter.UnableToDeliver}
+		return nil, &frontend.Turned{What: err.Error(), Code: diameter.UnableToDeliver}
 	}
 	class, known := svc.classes[a.Class]
 	if !known {
 		svc.leave()
-		return nil, &front.Turned{What: fmt.Sprintf("the service knows no class %q", a.Class), Code: diameter.UnableToDeliver}
+		return nil, &frontend.Turned{What: fmt.Sprintf("the service knows no class %q", a.Class), Code: diameter.UnableToDeliver}
 	}
 	tenant := svc.tenants[a.Tenant]
 	ticket, why, after := s.admit(svc, class, tenant, bytes)
@@ -240,10 +240,10 @@
 		svc.figures.Ended(class, metrics.Refused)
 		policy.Count(false)
 		svc.leave()
-		return nil, &front.Turned{What: why, After: max(after, time.Second)}
+		return nil, &frontend.Turned{What: why, After: max(after, time.Second)}
 	}
 	svc.figures.InFlight.Add(1)
-	out := &front.Service{Engine: svc.engine, Class: class, Tenant: tenant, Unsafe: svc.module.Classes[class].Effect != decision.Safe}
+	out := &frontend.Service{Engine: svc.engine, Class: class, Tenant: tenant, Unsafe: svc.module.Classes[class].Effect != decision.Safe}
 	var took time.Duration
 	out.Ended = func(end engine.End, t time.Duration) {
 		took = t
