--- a/internal/lab/stewards/policy_test.go
+++ b/internal/faultlab/controlplane/policy_test.go
@@ -1,4 +1,4 @@
-package stewards
+package controlplane
 
 import (
 	"context"
--- a/internal/lab/stewards/stewards_test.go
+++ b/internal/faultlab/controlplane/stewards_test.go
@@ -1,5 +1,5 @@
-// Package stewards has real steward processes, breaks them, and counts what proxies' links let out meanwhile.
-package stewards
+// Package controlplane has real steward processes, breaks them, and counts what proxies' links let out meanwhile.
+package controlplane
 
 import (
 	"context"
