--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -601,16 +601,16 @@
 }
 
 func (h *atRest) Send(decision.RequestID, decision.BackendID, time.Duration) {}
-func (h *atRest) Refuse(decision.RequestID, time.Duration)                   {}
+func (h *atRest) Reject(decision.RequestID, time.Duration)                   {}
 func (h *atRest) Fail(decision.RequestID)                                    {}
 func (h *atRest) Cancel(decision.RequestID, int)                             {}
-func (h *atRest) Probe(b decision.BackendID)                                 { h.of.probes++; h.probed = append(h.probed, b) }
-func (h *atRest) Release(decision.BackendID)                                 {}
-func (h *atRest) Watch(bool)                                                 {}
-func (h *atRest) Fetch()                                                     {}
-func (h *atRest) Tell(uint32, []byte)                                        {}
+func (h *atRest) CheckHealth(b decision.BackendID)                           { h.of.probes++; h.probed = append(h.probed, b) }
+func (h *atRest) ReleaseIdleConnections(decision.BackendID)                  {}
+func (h *atRest) WatchEndpoints(bool)                                        {}
+func (h *atRest) FetchEndpoints()                                            {}
+func (h *atRest) SendToPeer(uint32, []byte)                                  {}
 func (h *atRest) Log(string)                                                 {}
-func (h *atRest) After(d time.Duration, token uint64) {
+func (h *atRest) StartTimer(d time.Duration, token uint64) {
 	h.of.seq++
 	heap.Push(&h.of.alarms, alarm{h.of.now + max(d, 0), h.of.seq, h, token})
 }
@@ -636,7 +636,7 @@
 		}
 		r.all = append(r.all, h)
 		h.module.Start(r.now)
-		h.module.Membership(r.now, decision.Membership{Kind: decision.ListFull, Version: 1, Backends: backendList(i*backends, backends)})
+		h.module.UpdateEndpoints(r.now, decision.EndpointUpdate{Kind: decision.UpdateFull, Version: 1, Backends: backendList(i*backends, backends)})
 	}
 	return r, nil
 }
@@ -649,7 +649,7 @@
 		r.timers++
 		a.of.module.Timer(r.now, a.token)
 		for _, b := range a.of.probed {
-			a.of.module.Probed(r.now, decision.ProbeResult{Backend: b, Result: decision.OK, Took: time.Millisecond})
+			a.of.module.HealthChecked(r.now, decision.HealthCheckResult{Backend: b, Result: decision.OK, Latency: time.Millisecond})
 		}
 		a.of.probed = a.of.probed[:0]
 	}
@@ -688,9 +688,11 @@
 	r.run(10 * time.Second)
 	m := r.all[0].module
 	list := backendList(0, backends)
-	full := g.cost(func() { m.Membership(r.now, decision.Membership{Kind: decision.ListFull, Version: 2, Backends: list}) })
+	full := g.cost(func() {
+		m.UpdateEndpoints(r.now, decision.EndpointUpdate{Kind: decision.UpdateFull, Version: 2, Backends: list})
+	})
 	change := g.cost(func() {
-		m.Membership(r.now, decision.Membership{Kind: decision.ListDelta, Version: 2, Backends: list[:1]})
+		m.UpdateEndpoints(r.now, decision.EndpointUpdate{Kind: decision.UpdateDelta, Version: 2, Backends: list[:1]})
 	})
 	timers, began := r.timers, cpu()
 	for cpu()-began < 20*time.Millisecond {
@@ -712,7 +714,7 @@
 func (n nowhere) Addr() string                          { return "nowhere" }
 func (n nowhere) Close()                                {}
 func (n nowhere) Exchange(context.Context, engine.Attempt) (decision.Result, any) {
-	return decision.Moot, nil
+	return decision.NotSent, nil
 }
 func (n nowhere) Fetch(ctx context.Context) (engine.List, error) {
 	<-ctx.Done()
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -93,7 +93,7 @@
 	}
 	switch now := batch.Now; ev.Code {
 	case wire.Membership:
-		b.Membership(now, ev.List)
+		b.UpdateEndpoints(now, ev.List)
 	case wire.Ask:
 		b.Request(now, ev.Request)
 	case wire.Headers:
@@ -101,13 +101,13 @@
 	case wire.Returned:
 		b.Outcome(now, ev.Outcome)
 	case wire.Aborted:
-		b.Gone(now, ev.ID)
+		b.ClientGone(now, ev.ID)
 	case wire.Elapsed:
 		b.Timer(now, ev.Token)
 	case wire.Probed:
-		b.Probed(now, ev.Probe)
+		b.HealthChecked(now, ev.Probe)
 	case wire.Peer:
-		b.Peer(now, ev.Message)
+		b.PeerMessage(now, ev.Message)
 	case wire.Destroy:
 		delete(instances, ev.Instance)
 	}
--- a/decision/api.go
+++ b/decision/api.go
@@ -24,76 +24,76 @@
 // RequestID names one try of a client.
 type RequestID uint32
 
-// Everyone addresses Host.Tell to every peer.
-const Everyone = ^uint32(0)
+// AllPeers addresses Host.Tell to every peer.
+const AllPeers = ^uint32(0)
 
-// Effect says what repeating a request of a class may do.
-type Effect uint8
+// Idempotency says what repeating a request of a class may do.
+type Idempotency uint8
 
 // The effects. Unsafe is the zero value: the careful one.
 const (
-	Unsafe Effect = iota // must never run twice
-	Keyed                // repeats are dropped within a group and a window
-	Safe                 // may be repeated freely
+	NotIdempotent   Idempotency = iota // must never run twice
+	IdempotentByKey                    // repeats are dropped within a group and a window
+	Idempotent                         // may be repeated freely
 )
 
-// Group says which backends drop repeats of a keyed request.
-type Group uint8
+// DeduplicationScope says which backends drop repeats of a keyed request.
+type DeduplicationScope uint8
 
 // The groups. GroupCell is the zero value: the narrowest one.
 const (
-	GroupCell Group = iota
-	GroupZone
-	GroupAll
+	ScopeCell DeduplicationScope = iota
+	ScopeZone
+	ScopeAll
 )
 
 // Class is a kind of request.
 type Class struct {
-	Name       string
-	Aim        time.Duration // an answer within it earns the full worth
-	AimStretch float64       // the aim is longer by this multiple of the request's own work
-	GiveUp     time.Duration // how long a client waits over all its tries
-	Effect     Effect
-	Group      Group         // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are dropped, from the first that may have run
-	LateShare  float64       // share of the worth that a late answer earns
-	Stream     bool          // the answer begins with FirstByte
-	Value      float64       // worth of a request
+	Name                string
+	LatencyObjective    time.Duration // an answer within it earns the full worth
+	ObjectivePerWork    float64       // the aim is longer by this multiple of the request's own work
+	ClientTimeout       time.Duration // how long a client waits over all its tries
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope // for Keyed
+	DeduplicationWindow time.Duration      // for Keyed: how long repeats are dropped, from the first that may have run
+	LateValueShare      float64            // share of the worth that a late answer earns
+	StreamedResponse    bool               // the answer begins with FirstByte
+	PriorityWeight      float64            // worth of a request
 }
 
 // Tenant is a customer with a share of the service.
 type Tenant struct {
-	Name      string
-	Share     float64
-	QuotaPerS float64 // requests a second within its share, over all proxies
+	Name           string
+	Share          float64
+	QuotaPerSecond float64 // requests a second within its share, over all proxies
 }
 
-// Goal weighs the parts of the result.
-type Goal struct{ Whole, WorstClass, WorstTenant, WorstWindow float64 }
+// ObjectiveWeights weighs the parts of the result.
+type ObjectiveWeights struct{ Overall, WorstClass, WorstTenant, WorstWindow float64 }
 
-// Prices are taken off the result, each times its rate.
-type Prices struct {
-	Connection, CrossZone, Discovery, Handshake, LateFail, Peer, Probe, Waste float64
+// Penalties are taken off the result, each times its rate.
+type Penalties struct {
+	Connection, CrossZone, Discovery, Handshake, LateFailure, PeerMessage, HealthCheck, WastedWork float64
 }
 
-// Obligations are the figures of the four rules.
-type Obligations struct {
-	AnswerSlack   time.Duration // how late after the deadline a final answer still counts
-	AskEvery      time.Duration // where the list must be asked for: how old an answer may grow
-	Cold          time.Duration // a started backend is warm after this
-	DrainGrace    time.Duration // sends to a draining backend must cease within this
-	Fall          time.Duration // the window of the cold budget
-	FallMultiple  float64       // a cold backend falls over beyond this many times its capacity
-	StartCapacity float64       // share of its capacity that a started backend has at least
+// Constraints are the figures of the four rules.
+type Constraints struct {
+	AnswerSlack     time.Duration // how late after the deadline a final answer still counts
+	MaxListAge      time.Duration // where the list must be asked for: how old an answer may grow
+	WarmUp          time.Duration // a started backend is warm after this
+	DrainGrace      time.Duration // sends to a draining backend must cease within this
+	OverloadWindow  time.Duration // the window of the cold budget
+	OverloadFactor  float64       // a cold backend falls over beyond this many times its capacity
+	InitialCapacity float64       // share of its capacity that a started backend has at least
 }
 
-// Caps is what the site allows.
-type Caps struct {
-	Cancel, Peers, Probes, RetryAfter, SecondCopies bool
+// Capabilities is what the site allows.
+type Capabilities struct {
+	Cancel, PeerMessages, HealthChecks, RetryAfter, HedgedRequests bool
 
-	ConnIdle, ConnectTimeout, MaxRetryAfter time.Duration
-	MaxAttempts, StreamsPerConn             int
-	MaxOpen                                 int // requests that may be open; 0 is no such limit
+	ConnectionIdleTimeout, ConnectTimeout, MaxRetryAfter time.Duration
+	MaxAttempts, StreamsPerConnection                    int
+	MaxOpenRequests                                      int // requests that may be open; 0 is no such limit
 }
 
 // WeightKind says what Backend.Weight stands for.
@@ -108,42 +108,42 @@
 
 // Config is what a Balancer is told at its start.
 type Config struct {
-	Instances, Rank int // how many proxies there are, and which this one is
-	Zone            int // where it is
-	Tick            time.Duration
-	Classes         []Class
-	Tenants         []Tenant
-	OverShareWorth  float64 // worth of traffic beyond a tenant's share, as a share
-	WorthByWork     bool    // worth counts by work, not by request
-	WarmKeys        bool    // a backend that met a key lately serves it with less work
-	MarksRetry      bool    // clients mark their repeats
-	OnRequest       bool    // the list comes only when asked for
-	Weights         WeightKind
-	RetryShare      float64 // further attempts, as a share of the requests; 0 is the usual tenth
-	Goal            Goal
-	Prices          Prices
-	Obligations     Obligations
-	Caps            Caps
+	Instances, Rank    int // how many proxies there are, and which this one is
+	Zone               int // where it is
+	Tick               time.Duration
+	Classes            []Class
+	Tenants            []Tenant
+	OverQuotaWeight    float64 // worth of traffic beyond a tenant's share, as a share
+	WeightByWork       bool    // worth counts by work, not by request
+	KeyAffinity        bool    // a backend that met a key lately serves it with less work
+	ClientsMarkRetries bool    // clients mark their repeats
+	PolledDiscovery    bool    // the list comes only when asked for
+	Weights            WeightKind
+	RetryBudgetRatio   float64 // further attempts, as a share of the requests; 0 is the usual tenth
+	ObjectiveWeights   ObjectiveWeights
+	Penalties          Penalties
+	Constraints        Constraints
+	Capabilities       Capabilities
 }
 
 // Request is one try of a client that the proxy has taken.
 type Request struct {
-	ID       RequestID
-	Class    int
-	Tenant   int
-	Key      uint64        // 0 is none
-	Cost     time.Duration // expected work; 0 is unknown
-	Deadline time.Duration // the clock time at which the client leaves
-	Repeat   bool          // the client has marked it as a repeat
-	Streamed bool          // its body passes through while it is sent: its time counts from Whole
+	ID           RequestID
+	Class        int
+	Tenant       int
+	Key          uint64        // 0 is none
+	ExpectedWork time.Duration // expected work; 0 is unknown
+	Deadline     time.Duration // the clock time at which the client leaves
+	MarkedRetry  bool          // the client has marked it as a repeat
+	StreamedBody bool          // its body passes through while it is sent: its time counts from Whole
 }
 
-// State is what the list says of a backend.
-type State uint8
+// BackendState is what the list says of a backend.
+type BackendState uint8
 
 // The states.
 const (
-	Gone State = iota
+	Removed BackendState = iota
 	Ready
 	Draining
 )
@@ -152,25 +152,25 @@
 type Backend struct {
 	ID               BackendID
 	Zone, Kind, Cell int
-	State            State
+	State            BackendState
 	Weight           float64
 	Started          time.Duration // clock time of its last start; 0 is long ago
 }
 
-// ListKind says how a Membership is to be read.
-type ListKind uint8
+// UpdateKind says how a Membership is to be read.
+type UpdateKind uint8
 
 // The kinds of list.
 const (
-	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // the whole list
-	ListCached                 // the whole list as last held, maybe old
-	ListFailed                 // a Watch or Fetch failed; the old list stands
+	UpdateDelta  UpdateKind = iota // changed entries only
+	UpdateFull                     // the whole list
+	UpdateCached                   // the whole list as last held, maybe old
+	UpdateFailed                   // a Watch or Fetch failed; the old list stands
 )
 
-// Membership is what discovery says.
-type Membership struct {
-	Kind     ListKind
+// EndpointUpdate is what discovery says.
+type EndpointUpdate struct {
+	Kind     UpdateKind
 	Version  uint32
 	Backends []Backend
 }
@@ -182,33 +182,33 @@
 const (
 	OK            Result = iota
 	Error                // answered with an error; it may have run
-	Full                 // turned away unseen
+	Rejected             // turned away unseen
 	Timeout              // no timely answer; it may run
 	ConnectFailed        // no connection; it never ran
 	Reset                // the connection broke; it may have run
 	Cancelled            // called off; it may have run
-	Moot                 // never sent
+	NotSent              // never sent
 )
 
 // NeverRan tells whether the result proves that the attempt did not run.
-func (r Result) NeverRan() bool { return r == Full || r == ConnectFailed || r == Moot }
+func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
 // Outcome is the end of an attempt.
 type Outcome struct {
-	ID      RequestID
-	Attempt int
-	Backend BackendID
-	Result  Result
-	Took    time.Duration
-	Final   bool // the request is over; not set: a final answer is still owed
-	Spent   bool // the body has passed by: there can be no further attempt
+	ID           RequestID
+	Attempt      int
+	Backend      BackendID
+	Result       Result
+	Latency      time.Duration
+	Final        bool // the request is over; not set: a final answer is still owed
+	BodyConsumed bool // the body has passed by: there can be no further attempt
 }
 
-// ProbeResult is the end of a probe.
-type ProbeResult struct {
+// HealthCheckResult is the end of a probe.
+type HealthCheckResult struct {
 	Backend BackendID
 	Result  Result
-	Took    time.Duration
+	Latency time.Duration
 }
 
 // FirstByte says that a streamed answer has begun: one of a streamed class, or a long one.
@@ -216,7 +216,7 @@
 	ID      RequestID
 	Attempt int
 	Backend BackendID
-	Took    time.Duration
+	Latency time.Duration
 }
 
 // PeerMessage comes from another proxy.
@@ -228,14 +228,14 @@
 // Host carries out a Balancer's actions, in the order of the calls.
 type Host interface {
 	Send(id RequestID, to BackendID, until time.Duration) // until: clock time; 0 is the client's deadline
-	Refuse(id RequestID, retryAfter time.Duration)        // final: coming again is harmless
+	Reject(id RequestID, retryAfter time.Duration)        // final: coming again is harmless
 	Fail(id RequestID)                                    // final: nothing is promised
 	Cancel(id RequestID, attempt int)
-	Probe(b BackendID)
-	Release(b BackendID) // give back idle connections
-	Watch(on bool)       // ask for the list's changes from here on
-	Fetch()              // ask for the whole list once
-	Tell(peer uint32, body []byte)
-	After(d time.Duration, token uint64) // calls for Balancer.Timer
+	CheckHealth(b BackendID)
+	ReleaseIdleConnections(b BackendID) // give back idle connections
+	WatchEndpoints(on bool)             // ask for the list's changes from here on
+	FetchEndpoints()                    // ask for the whole list once
+	SendToPeer(peer uint32, body []byte)
+	StartTimer(d time.Duration, token uint64) // calls for Balancer.Timer
 	Log(line string)
 }
--- a/decision/balancer_test.go
+++ b/decision/balancer_test.go
@@ -19,11 +19,11 @@
 		result Result
 		want   string
 	}{
-		{safe, Error, "send"}, {safe, Reset, "send"}, {safe, ConnectFailed, "send"}, {safe, Full, "send"},
+		{safe, Error, "send"}, {safe, Reset, "send"}, {safe, ConnectFailed, "send"}, {safe, Rejected, "send"},
 		{keyed, Error, "send"}, {keyed, ConnectFailed, "send"},
 		{anywhere, Error, "send"}, {anywhere, Reset, "send"},
 		{unsafe, Error, "fail"}, {unsafe, Reset, "fail"}, {unsafe, Cancelled, "fail"},
-		{unsafe, ConnectFailed, "send"}, {unsafe, Full, "send"},
+		{unsafe, ConnectFailed, "send"}, {unsafe, Rejected, "send"},
 	} {
 		b, h := newBalancer(t, testConfig(), 6)
 		b.Request(second, Request{ID: 9, Class: c.class, Deadline: 4 * second})
@@ -31,7 +31,7 @@
 		if len(first) != 1 {
 			t.Fatalf("class %d: %d sends at first", c.class, len(first))
 		}
-		b.Outcome(second+10*milli, Outcome{ID: 9, Backend: first[0].to, Result: c.result, Took: 10 * milli})
+		b.Outcome(second+10*milli, Outcome{ID: 9, Backend: first[0].to, Result: c.result, Latency: 10 * milli})
 		next := h.take("send", "fail", "refuse")
 		if len(next) != 1 || next[0].verb != c.want {
 			t.Errorf("class %d after result %d: %v, want one %s", c.class, c.result, next, c.want)
@@ -58,7 +58,7 @@
 func TestAListThatComesInTimeServesWhatWaits(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 0)
 	b.Request(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second})
-	b.Membership(second+50*milli, Membership{Kind: ListDelta, Backends: list(1)})
+	b.UpdateEndpoints(second+50*milli, EndpointUpdate{Kind: UpdateDelta, Backends: list(1)})
 	b.Timer(second+60*milli, timerDispatch<<56)
 	if got := h.take("send", "refuse", "fail"); len(got) != 1 || got[0].verb != "send" {
 		t.Errorf("got %v", got)
@@ -66,9 +66,9 @@
 }
 
 func TestNothingNewGoesToADrainingOrGoneBackend(t *testing.T) {
-	for _, state := range []State{Draining, Gone} {
+	for _, state := range []BackendState{Draining, Removed} {
 		b, h := newBalancer(t, testConfig(), 3)
-		b.Membership(second, Membership{Kind: ListDelta, Backends: []Backend{{ID: 2, State: state}}})
+		b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{{ID: 2, State: state}}})
 		for i := range 200 {
 			b.Request(second, Request{ID: RequestID(i), Deadline: 4 * second})
 		}
@@ -83,17 +83,17 @@
 
 func TestHealthOutlivesListChanges(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 3)
-	for now := second; now < 12*second; now += b.interval / sweeps {
+	for now := second; now < 12*second; now += b.checkInterval / sweepsPerInterval {
 		b.Timer(now, timerSweep<<56)
 		for _, p := range h.take("probe") {
 			r := OK
 			if p.to == 1 {
 				r = Timeout
 			}
-			b.Probed(now, ProbeResult{Backend: p.to, Result: r})
+			b.HealthChecked(now, HealthCheckResult{Backend: p.to, Result: r})
 		}
 	}
-	b.Membership(12*second, Membership{Kind: ListFull, Version: 2, Backends: list(5)})
+	b.UpdateEndpoints(12*second, EndpointUpdate{Kind: UpdateFull, Version: 2, Backends: list(5)})
 	for i := range 100 {
 		b.Request(12*second, Request{ID: RequestID(i), Deadline: 14 * second})
 	}
@@ -108,11 +108,11 @@
 func TestOneLateAttemptAloneDoesNotCloseABackend(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	only.own.limit = 20
+	only.limit.limit = 20
 	b.Request(second, Request{ID: 1, Deadline: 4 * second})
 	b.Outcome(second+900*milli, Outcome{ID: 1, Backend: h.take("send")[0].to, Result: OK, Final: true})
-	if only.own.limit >= 20 || only.own.limit < 15 {
-		t.Errorf("limit %v after one late answer", only.own.limit)
+	if only.limit.limit >= 20 || only.limit.limit < 15 {
+		t.Errorf("limit %v after one late answer", only.limit.limit)
 	}
 }
 
@@ -135,17 +135,17 @@
 			if got := h.take("send"); len(got) != 1 {
 				t.Fatalf("%s: sends %v", c.name, got)
 			}
-			before := only.own.limit
+			before := only.limit.limit
 			took := 50 * milli
 			if id == 0 {
-				took = span(c.takes)
+				took = fromMillis(c.takes)
 			}
 			now += took
 			b.Outcome(now, Outcome{ID: id + 1, Result: OK, Final: true})
-			if grown := only.own.limit - before; id == 1 && (grown > c.most || grown < c.least) {
+			if grown := only.limit.limit - before; id == 1 && (grown > c.most || grown < c.least) {
 				t.Errorf("%s: the limit of %v grew by %v", c.name, before, grown)
 			}
-			only.own.limit, b.mean = 1, b.expected(unsafe, 0) // so that the next attempt uses it
+			only.limit.limit, b.meanLatency = 1, b.expectedLatency(unsafe, 0) // so that the next attempt uses it
 		}
 	}
 }
@@ -154,13 +154,13 @@
 func TestAnAttemptCountsAsLateWhileStillOut(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	only.own.limit = 20
+	only.limit.limit = 20
 	b.Request(second, Request{ID: 1, Deadline: 4 * second})
 	b.Timer(second+600*milli, timerSweep<<56)
-	once := only.own.limit
+	once := only.limit.limit
 	b.Timer(second+650*milli, timerSweep<<56)
-	if once >= 20 || only.own.limit < once*0.95 { // it may sink a little by itself
-		t.Errorf("limits %v, then %v", once, only.own.limit)
+	if once >= 20 || only.limit.limit < once*0.95 { // it may sink a little by itself
+		t.Errorf("limits %v, then %v", once, only.limit.limit)
 	}
 }
 
@@ -171,15 +171,15 @@
 	b, h := newBalancer(t, cfg, 2)
 	b.Request(second, Request{ID: 1, Deadline: 4 * second})
 	full := h.take("send")[0].to
-	before := b.byID[full].own.limit
-	b.Outcome(second+milli, Outcome{ID: 1, Backend: full, Result: Full})
+	before := b.targetsByID[full].limit.limit
+	b.Outcome(second+milli, Outcome{ID: 1, Backend: full, Result: Rejected})
 	b.Request(second+2*milli, Request{ID: 2, Deadline: 4 * second})
 	for _, a := range h.take("send") {
 		if a.to == full {
 			t.Error("sent to a backend that had just said that it is full")
 		}
 	}
-	if now := b.byID[full].own.limit; now >= before {
+	if now := b.targetsByID[full].limit.limit; now >= before {
 		t.Errorf("its limit was %v and is %v", before, now)
 	}
 }
@@ -188,10 +188,10 @@
 func TestALimitBelowOneSpacesAttemptsOut(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	b.mean, only.own.limit = 200, 0.5
+	b.meanLatency, only.limit.limit = 200, 0.5
 	sent := 0 * second
 	for at := second; at < 3*second; at += 10 * milli {
-		only.own.limit, b.mean = 0.5, 200
+		only.limit.limit, b.meanLatency = 0.5, 200
 		b.Request(at, Request{ID: RequestID(at), Class: safe, Deadline: at + 3*second})
 		b.Timer(at, timerDispatch<<56)
 		for _, a := range h.take("send") {
@@ -248,13 +248,13 @@
 // Keys that go wherever there is room find nothing warm, and their extra work keeps all at their limits.
 func TestAKeyWaitsForItsOwnBackendsBeforeItGoesElsewhere(t *testing.T) {
 	cfg := testConfig()
-	cfg.WarmKeys = true
+	cfg.KeyAffinity = true
 	b, h := newBalancer(t, cfg, 6)
 	ask := func(id RequestID) {
 		b.Request(second, Request{ID: id, Class: safe, Key: 77, Deadline: 4 * second})
 	}
 	own := map[BackendID]bool{}
-	for id := RequestID(1); len(b.waiting) == 0; id++ {
+	for id := RequestID(1); len(b.queue) == 0; id++ {
 		if id > 100 {
 			t.Fatal("a hundred requests of one key and none waits")
 		}
@@ -283,14 +283,14 @@
 		fail func(b *Balancer, h *recorder, now time.Duration)
 	}{
 		{"probes fail", func(b *Balancer, h *recorder, now time.Duration) {
-			for range runToFail {
-				b.targets[0].probing = true
-				b.Probed(now, ProbeResult{Backend: 1, Result: ConnectFailed})
+			for range unhealthyThreshold {
+				b.targets[0].checkInFlight = true
+				b.HealthChecked(now, HealthCheckResult{Backend: 1, Result: ConnectFailed})
 			}
 		}},
 		{"connections fail", func(b *Balancer, h *recorder, now time.Duration) {
 			for id := range RequestID(2) {
-				now += time.Duration(id) * b.interval // for as long nothing is answered
+				now += time.Duration(id) * b.checkInterval // for as long nothing is answered
 				b.Request(now, Request{ID: id + 1, Class: unsafe, Deadline: now + second})
 				if got := h.take("send"); len(got) == 0 {
 					t.Fatal("nothing was sent")
@@ -302,16 +302,16 @@
 	} {
 		b, h := newBalancer(t, testConfig(), 1)
 		now := 30 * second
-		if _, cold := b.cold(b.targets[0]); cold {
+		if _, cold := b.warmUpCapacity(b.targets[0]); cold {
 			t.Fatalf("%s: cold before", c.name)
 		}
 		c.fail(b, h, now)
 		b.now = now + second
-		if share, cold := b.cold(b.targets[0]); !cold || share > 0.3 {
+		if share, cold := b.warmUpCapacity(b.targets[0]); !cold || share > 0.3 {
 			t.Errorf("%s: cold %v, share %v a second later", c.name, cold, share)
 		}
 		b.now = now + 21*second
-		if _, cold := b.cold(b.targets[0]); cold {
+		if _, cold := b.warmUpCapacity(b.targets[0]); cold {
 			t.Errorf("%s: still cold after the cold span", c.name)
 		}
 	}
@@ -332,7 +332,7 @@
 		{"no copies, unsafe", false, unsafe, ""},
 	} {
 		cfg := testConfig()
-		cfg.Caps.SecondCopies = c.copies
+		cfg.Capabilities.HedgedRequests = c.copies
 		b, h := newBalancer(t, cfg, 4)
 		b.Request(second, Request{ID: 1, Class: c.class, Deadline: 4 * second})
 		first := h.take("send")[0].to
@@ -362,10 +362,10 @@
 	}{{"silent", 0, true}, {"answers others", second + milli, false}} {
 		b, h := newBalancer(t, testConfig(), 2)
 		only := b.targets[0]
-		only.nextProbe, b.targets[1].nextProbe = time.Hour, time.Hour
-		b.now, only.lastOK, b.probes = second+2*milli, c.lastOK, 1
-		b.judge(&attempt{req: &request{}, to: only, sent: second}, Timeout)
-		b.probeDue()
+		only.nextCheck, b.targets[1].nextCheck = time.Hour, time.Hour
+		b.now, only.lastSuccess, b.checkBudget = second+2*milli, c.lastOK, 1
+		b.recordAttemptHealth(&attempt{request: &request{}, target: only, waitingSince: second}, Timeout)
+		b.startDueHealthChecks()
 		if asked := len(h.take("probe")) > 0; asked != c.asks {
 			t.Errorf("%s: probed is %v", c.name, asked)
 		}
@@ -376,11 +376,11 @@
 func TestAHeavyRequestDoesNotGoAloneToAColdBackend(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	only.coldSince, b.meanWork, only.tokens = second, 100, 0.1
-	if !b.coldAllows(only, 150) {
+	only.lastStart, b.meanWork, only.slowStartTokens = second, 100, 0.1
+	if !b.slowStartAllows(only, 150) {
 		t.Error("a usual request may go alone")
 	}
-	if b.coldAllows(only, 250) {
+	if b.slowStartAllows(only, 250) {
 		t.Error("a heavy one may not")
 	}
 }
@@ -389,12 +389,12 @@
 func TestALimitThatIsNotUsedSinks(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	only.own.limit = 100
+	only.limit.limit = 100
 	for at := second; at < 11*second; at += 50 * milli {
 		b.Timer(at, timerSweep<<56)
 	}
-	if only.own.limit > 2*newLimiter(0.5, limitCut, 0).limit || only.own.limit < newLimiter(0.5, limitCut, 0).limit {
-		t.Errorf("limit %v after ten idle seconds", only.own.limit)
+	if only.limit.limit > 2*newConcurrencyLimit(0.5, targetLimitBackoff, 0).limit || only.limit.limit < newConcurrencyLimit(0.5, targetLimitBackoff, 0).limit {
+		t.Errorf("limit %v after ten idle seconds", only.limit.limit)
 	}
 }
 
@@ -410,19 +410,19 @@
 			b.Outcome(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: Error})
 		}
 	}
-	if most := 2 * 1000 / b.expected(unsafe, 0); b.median < 1 || b.median > most {
-		t.Errorf("median %v of the expected delay; %v at most", b.median, most)
+	if most := 2 * 1000 / b.expectedLatency(unsafe, 0); b.medianRatio < 1 || b.medianRatio > most {
+		t.Errorf("median %v of the expected delay; %v at most", b.medianRatio, most)
 	}
 }
 
 // What a backend served before it restarted says nothing of what it can do cold.
 func TestARestartForgetsWhatWasServed(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
-	b.targets[0].servedLately.add(5000, second, second)
-	b.Membership(2*second, Membership{Kind: ListDelta, Backends: []Backend{
+	b.targets[0].recentWork.add(5000, second, second)
+	b.UpdateEndpoints(2*second, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{
 		{ID: b.targets[0].ID, State: Ready, Started: 2 * second}}})
-	b.coldRates()
-	if got := b.targets[0].coldRate; got > 100 {
+	b.refillSlowStart()
+	if got := b.targets[0].slowStartRate; got > 100 {
 		t.Errorf("may be sent %v ms of work a second right after its start", got)
 	}
 }
@@ -431,10 +431,10 @@
 func TestLightRequestsCountForTheMeanInAColdBudget(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	b.meanWork, only.coldSince, only.tokens = 50, second, 2
+	b.meanWork, only.lastStart, only.slowStartTokens = 50, second, 2
 	sent := 0
 	for i := range 50 {
-		r := &request{Request: Request{ID: RequestID(i), Cost: milli, Deadline: 4 * second}, arrived: second, aimAt: 2 * second}
+		r := &request{Request: Request{ID: RequestID(i), ExpectedWork: milli, Deadline: 4 * second}, arrived: second, objectiveAt: 2 * second}
 		b.requests[r.ID] = r
 		if b.send(r, only) {
 			sent++
@@ -451,7 +451,7 @@
 	for i := range 2000 {
 		b.Request(second, Request{ID: RequestID(i), Deadline: 4 * second})
 	}
-	if n := len(b.waiting); n > waitingEach*4 {
+	if n := len(b.queue); n > queuedPerTarget*4 {
 		t.Errorf("%d wait", n)
 	}
 }
@@ -459,14 +459,14 @@
 // Under pressure the request that adds more to the goal goes first.
 func TestWorthGoesFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[anywhere].Value = 10
+	cfg.Classes[anywhere].PriorityWeight = 10
 	b, h := newBalancer(t, cfg, 1)
 	for i := range 12 {
 		b.Request(second, Request{ID: RequestID(i), Class: []int{safe, anywhere}[i%2], Deadline: 4 * second})
 	}
 	first := h.take("send")
-	if len(b.waiting) < 3 {
-		t.Fatalf("%d wait after %d sends", len(b.waiting), len(first))
+	if len(b.queue) < 3 {
+		t.Fatalf("%d wait after %d sends", len(b.queue), len(first))
 	}
 	b.Outcome(second+50*milli, Outcome{ID: first[0].id, Backend: 1, Result: OK, Final: true})
 	next := h.take("send")
@@ -477,7 +477,7 @@
 
 func TestTheListIsAskedForAgainAfterAFailure(t *testing.T) {
 	cfg := testConfig()
-	cfg.OnRequest = true
+	cfg.PolledDiscovery = true
 	h := &recorder{}
 	b, err := New(cfg, 1, h)
 	if err != nil {
@@ -487,18 +487,18 @@
 	for i := range 10 {
 		var timer action
 		for _, a := range h.take("after") {
-			if a.token == timerDiscover<<56 {
+			if a.token == timerEndpoints<<56 {
 				timer = a
 			}
 		}
-		if timer.verb == "" || timer.at > cfg.Obligations.AskEvery {
+		if timer.verb == "" || timer.at > cfg.Constraints.MaxListAge {
 			t.Fatalf("round %d: next call after %v", i, timer.at)
 		}
 		b.Timer(second, timer.token)
 		if len(h.take("watch")) != 1 {
 			t.Fatalf("round %d: not asked", i)
 		}
-		b.Membership(second, Membership{Kind: ListFailed})
+		b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFailed})
 	}
 }
 
@@ -510,7 +510,7 @@
 			for _, grace := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond} {
 				for _, onRequest := range []bool{true, false} {
 					cfg := testConfig()
-					cfg.OnRequest, cfg.Caps.ConnectTimeout, cfg.Obligations.AskEvery, cfg.Obligations.DrainGrace = onRequest, connect, asked, grace
+					cfg.PolledDiscovery, cfg.Capabilities.ConnectTimeout, cfg.Constraints.MaxListAge, cfg.Constraints.DrainGrace = onRequest, connect, asked, grace
 					most := 2 * second
 					if !onRequest {
 						most = grace / 3
@@ -522,12 +522,12 @@
 					}
 					b.Start(second)
 					for _, a := range h.take("after") {
-						if a.token>>56 == timerDiscover && a.at > most {
+						if a.token>>56 == timerEndpoints && a.at > most {
 							t.Fatalf("asked every %v, connects in %v: the first call comes after %v", asked, connect, a.at)
 						}
 					}
 					for i := range 20 {
-						b.Membership(second, Membership{Kind: ListFailed})
+						b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFailed})
 						rests := h.take("after")
 						if len(rests) != 1 || rests[0].at > most || rests[0].at < 5*time.Millisecond {
 							t.Fatalf("asked every %v, connects in %v, grace %v, on request %v: after %d failed calls %+v", asked, connect, grace, onRequest, i+1, rests)
@@ -542,19 +542,19 @@
 func TestOddInputIsPassedOver(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	twice := append(list(2), list(2)...)
-	b.Membership(second, Membership{Kind: ListFull, Backends: twice})
-	if len(b.ready) != 2 {
-		t.Errorf("%d ready after a list that names each twice", len(b.ready))
+	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: twice})
+	if len(b.active) != 2 {
+		t.Errorf("%d ready after a list that names each twice", len(b.active))
 	}
 	b.Request(second, Request{ID: 1, Class: 99, Tenant: 99, Deadline: 0})
 	b.Request(second, Request{ID: 1})
 	b.Outcome(second, Outcome{ID: 1, Attempt: 7})
 	b.Outcome(second, Outcome{ID: 5})
-	b.Probed(second, ProbeResult{Backend: 99})
+	b.HealthChecked(second, HealthCheckResult{Backend: 99})
 	b.FirstByte(second, FirstByte{ID: 99})
 	b.Timer(second, ^uint64(0))
-	b.Membership(second, Membership{Kind: ListFull})
-	if len(b.ready) != 0 {
+	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull})
+	if len(b.active) != 0 {
 		t.Error("an empty list leaves ready backends")
 	}
 	if got := h.take("send"); len(got) > 0 {
--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -13,10 +13,10 @@
 }
 
 func (h *nobody) Send(_ RequestID, to BackendID, _ time.Duration) { h.to = to }
-func (h *nobody) Refuse(RequestID, time.Duration)                 { h.to = 0 }
+func (h *nobody) Reject(RequestID, time.Duration)                 { h.to = 0 }
 func (h *nobody) Fail(RequestID)                                  { h.to = 0 }
-func (h *nobody) Probe(BackendID)                                 {}
-func (h *nobody) After(time.Duration, uint64)                     {}
+func (h *nobody) CheckHealth(BackendID)                           {}
+func (h *nobody) StartTimer(time.Duration, uint64)                {}
 
 // BenchmarkRequest is a request's whole life: arrival, choice, send and answer, with a sweep of the
 // timers every hundred. Keyed requests choose by their key.
@@ -25,13 +25,13 @@
 		for _, keyed := range []bool{false, true} {
 			b.Run(fmt.Sprintf("backends=%d/keyed=%v", backends, keyed), func(b *testing.B) {
 				cfg, h := testConfig(), &nobody{}
-				cfg.WarmKeys = keyed
+				cfg.KeyAffinity = keyed
 				m, err := New(cfg, 1, h)
 				if err != nil {
 					b.Fatal(err)
 				}
 				m.Start(second)
-				m.Membership(second, Membership{Kind: ListFull, Version: 1, Backends: list(backends)})
+				m.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Version: 1, Backends: list(backends)})
 				b.ReportAllocs()
 				now, answered := second, 0
 				for i := range b.N {
--- a/decision/cold_test.go
+++ b/decision/cold_test.go
@@ -21,7 +21,7 @@
 			b.Start(now)
 			one := list(1)
 			one[0].Started = now - 2*second
-			b.Membership(now, Membership{Kind: ListFull, Backends: one})
+			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFull, Backends: one})
 			now += 5 * milli
 			b.Request(now, Request{ID: 1, Class: safe, Deadline: now + second})
 			sent += len(h.take("send"))
--- a/decision/config.go
+++ b/decision/config.go
@@ -12,44 +12,44 @@
 
 func (e *SettingError) Error() string { return e.Field + ": " + e.Reason }
 
-// Check looks for settings that can't be served: without a class, an attempt or a proxy nothing
+// Validate looks for settings that can't be served: without a class, an attempt or a proxy nothing
 // can be; a class
 // whose time is over at once has no answer; and what the rules are counted by must be a figure. All else is
 // served, brought to its range if need be. The error is a *SettingError, or nil.
-func (c *Config) Check() error {
+func (c *Config) Validate() error {
 	if len(c.Classes) == 0 {
 		return &SettingError{"Services", "none given, so there is nothing to serve"}
 	}
 	if c.Instances < 1 {
 		return &SettingError{"Balancers", fmt.Sprintf("%d, must be 1 or more", c.Instances)}
 	}
-	if c.Caps.MaxAttempts < 1 {
-		reason := fmt.Sprintf("%d, must be 1 or more: no request could be sent", c.Caps.MaxAttempts)
+	if c.Capabilities.MaxAttempts < 1 {
+		reason := fmt.Sprintf("%d, must be 1 or more: no request could be sent", c.Capabilities.MaxAttempts)
 		return &SettingError{"Caps.MaxAttempts", reason}
 	}
 	for i, s := range c.Classes {
-		for _, f := range [2]figure{{"Aim", float64(s.Aim)}, {"GiveUp", float64(s.GiveUp)}} {
+		for _, f := range [2]setting{{"Aim", float64(s.LatencyObjective)}, {"GiveUp", float64(s.ClientTimeout)}} {
 			if f.value <= 0 {
 				field := fmt.Sprintf("Services.%d.%s", i, f.name)
 				return &SettingError{field, "must be above 0: no answer could be in time"}
 			}
 		}
-		if s.Window < 0 {
+		if s.DeduplicationWindow < 0 {
 			return &SettingError{fmt.Sprintf("Services.%d.Window", i), "is negative"}
 		}
 	}
-	o, k := &c.Obligations, &c.Caps
-	for _, f := range []figure{
+	o, k := &c.Constraints, &c.Capabilities
+	for _, f := range []setting{
 		{"Tick", float64(c.Tick)},
-		{"RetryShare", c.RetryShare},
+		{"RetryShare", c.RetryBudgetRatio},
 		{"Obligations.AnswerSlack", float64(o.AnswerSlack)},
-		{"Obligations.AskEvery", float64(o.AskEvery)},
-		{"Obligations.Cold", float64(o.Cold)},
+		{"Obligations.AskEvery", float64(o.MaxListAge)},
+		{"Obligations.Cold", float64(o.WarmUp)},
 		{"Obligations.DrainGrace", float64(o.DrainGrace)},
-		{"Obligations.Fall", float64(o.Fall)},
-		{"Obligations.FallMultiple", o.FallMultiple},
-		{"Obligations.StartCapacity", o.StartCapacity},
-		{"Caps.ConnIdle", float64(k.ConnIdle)},
+		{"Obligations.Fall", float64(o.OverloadWindow)},
+		{"Obligations.FallMultiple", o.OverloadFactor},
+		{"Obligations.StartCapacity", o.InitialCapacity},
+		{"Caps.ConnIdle", float64(k.ConnectionIdleTimeout)},
 		{"Caps.ConnectTimeout", float64(k.ConnectTimeout)},
 		{"Caps.MaxRetryAfter", float64(k.MaxRetryAfter)},
 	} {
@@ -63,27 +63,27 @@
 	return nil
 }
 
-type figure struct {
+type setting struct {
 	name  string
 	value float64
 }
 
 const (
-	longestSpan = 30 * 24 * time.Hour // no one waits for longer; a few hundred times this is still a span
-	mostWorth   = 1e12                // sums of it over all requests are still numbers
-	mostTries   = 255                 // an attempt's number is one byte in a timer's token, as on the wire
-	usualFall   = time.Second         // where no span is told in which a cold backend falls
+	maxDuration           = 30 * 24 * time.Hour // no one waits for longer; a few hundred times this is still a span
+	maxWeightSetting      = 1e12                // sums of it over all requests are still numbers
+	maxAttemptsSetting    = 255                 // an attempt's number is one byte in a timer's token, as on the wire
+	defaultOverloadWindow = time.Second         // where no span is told in which a cold backend falls
 )
 
-// Bounded gives the settings with what only weighs brought to its range, and with no span so long
+// Normalized gives the settings with what only weighs brought to its range, and with no span so long
 // that sums of
 // it would overflow. It shares nothing with these.
-func (c *Config) Bounded() Config {
+func (c *Config) Normalized() Config {
 	m := *c
 	m.Classes, m.Tenants = slices.Clone(c.Classes), slices.Clone(c.Tenants)
 	bound := func(spans ...*time.Duration) {
 		for _, d := range spans {
-			*d = min(*d, longestSpan)
+			*d = min(*d, maxDuration)
 		}
 	}
 	within := func(most float64, weights ...*float64) {
@@ -93,26 +93,26 @@
 			}
 		}
 	}
-	o, k, g := &m.Obligations, &m.Caps, &m.Goal
-	bound(&m.Tick, &o.AnswerSlack, &o.AskEvery, &o.Cold, &o.DrainGrace, &o.Fall)
-	bound(&k.ConnIdle, &k.ConnectTimeout, &k.MaxRetryAfter)
-	within(1, &o.StartCapacity)
-	within(mostWorth, &m.OverShareWorth, &o.FallMultiple)
-	within(mostWorth, &g.Whole, &g.WorstClass, &g.WorstTenant, &g.WorstWindow)
+	o, k, g := &m.Constraints, &m.Capabilities, &m.ObjectiveWeights
+	bound(&m.Tick, &o.AnswerSlack, &o.MaxListAge, &o.WarmUp, &o.DrainGrace, &o.OverloadWindow)
+	bound(&k.ConnectionIdleTimeout, &k.ConnectTimeout, &k.MaxRetryAfter)
+	within(1, &o.InitialCapacity)
+	within(maxWeightSetting, &m.OverQuotaWeight, &o.OverloadFactor)
+	within(maxWeightSetting, &g.Overall, &g.WorstClass, &g.WorstTenant, &g.WorstWindow)
 	for i := range m.Classes {
 		s := &m.Classes[i]
-		bound(&s.Aim, &s.GiveUp, &s.Window)
-		within(mostWorth, &s.Value, &s.AimStretch, &s.LateShare)
+		bound(&s.LatencyObjective, &s.ClientTimeout, &s.DeduplicationWindow)
+		within(maxWeightSetting, &s.PriorityWeight, &s.ObjectivePerWork, &s.LateValueShare)
 	}
 	for i := range m.Tenants {
-		within(mostWorth, &m.Tenants[i].Share, &m.Tenants[i].QuotaPerS)
+		within(maxWeightSetting, &m.Tenants[i].Share, &m.Tenants[i].QuotaPerSecond)
 	}
-	k.MaxAttempts = min(k.MaxAttempts, mostTries)
-	if *g == (Goal{}) { // nothing is told of what counts
-		g.Whole = 1
+	k.MaxAttempts = min(k.MaxAttempts, maxAttemptsSetting)
+	if *g == (ObjectiveWeights{}) { // nothing is told of what counts
+		g.Overall = 1
 	}
-	if o.Fall == 0 {
-		o.Fall = usualFall
+	if o.OverloadWindow == 0 {
+		o.OverloadWindow = defaultOverloadWindow
 	}
 	return m
 }
--- a/decision/convicts_test.go
+++ b/decision/convicts_test.go
@@ -12,17 +12,17 @@
 // policy is the module, behind hands that may spoil what it is told.
 type policy struct {
 	*decision.Balancer
-	list func(decision.Membership) []decision.Membership // in place of each list
-	deaf bool                                            // orders by hand are lost
+	list func(decision.EndpointUpdate) []decision.EndpointUpdate // in place of each list
+	deaf bool                                                    // orders by hand are lost
 }
 
-func (f *policy) Membership(now time.Duration, m decision.Membership) {
+func (f *policy) UpdateEndpoints(now time.Duration, m decision.EndpointUpdate) {
 	if f.list == nil {
-		f.Balancer.Membership(now, m)
+		f.Balancer.UpdateEndpoints(now, m)
 		return
 	}
 	for _, l := range f.list(m) {
-		f.Balancer.Membership(now, l)
+		f.Balancer.UpdateEndpoints(now, l)
 	}
 }
 
@@ -47,9 +47,9 @@
 	h.send(h.Host, id, to, until)
 }
 
-func (h hands) Refuse(id decision.RequestID, after time.Duration) {
+func (h hands) Reject(id decision.RequestID, after time.Duration) {
 	if h.refuse == nil {
-		h.Host.Refuse(id, after)
+		h.Host.Reject(id, after)
 		return
 	}
 	h.refuse(h.Host, id)
@@ -59,14 +59,14 @@
 func TestTheModelConvictsFlawedPolicies(t *testing.T) {
 	entries := func(change func(*decision.Backend)) func(*policy, *hands) {
 		return func(f *policy, _ *hands) {
-			f.list = func(m decision.Membership) []decision.Membership {
+			f.list = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
 				var all []decision.Backend
 				for _, e := range m.Backends {
 					change(&e)
 					all = append(all, e)
 				}
 				m.Backends = all
-				return []decision.Membership{m}
+				return []decision.EndpointUpdate{m}
 			}
 		}
 	}
@@ -77,39 +77,39 @@
 		spoil      func(*policy, *hands)
 	}{
 		{"answers twice", "rule 1", false, nil, func(_ *policy, h *hands) {
-			h.refuse = func(h decision.Host, id decision.RequestID) { h.Refuse(id, 0); h.Fail(id) }
+			h.refuse = func(h decision.Host, id decision.RequestID) { h.Reject(id, 0); h.Fail(id) }
 		}},
 		{"never refuses", "rule 1", false, nil, func(_ *policy, h *hands) {
 			h.refuse = func(decision.Host, decision.RequestID) {}
 		}},
 		{"repeats what may not be", "rule 2", false, func(c *decision.Config) {
 			for i := range c.Classes {
-				c.Classes[i].Effect = decision.Safe
+				c.Classes[i].Idempotency = decision.Idempotent
 			}
 		}, nil},
 		{"leaves the group of a keyed request", "rule 2", false, func(c *decision.Config) {
 			for i := range c.Classes {
-				c.Classes[i].Group = decision.GroupAll
+				c.Classes[i].DeduplicationScope = decision.ScopeAll
 			}
 		}, nil},
 		{"forgets the window", "rule 2", false, func(c *decision.Config) {
 			for i := range c.Classes {
-				c.Classes[i].Window = time.Hour
+				c.Classes[i].DeduplicationWindow = time.Hour
 			}
 		}, nil},
-		{"sends two at once", "rule 2", false, func(c *decision.Config) { c.Caps.SecondCopies = true }, nil},
+		{"sends two at once", "rule 2", false, func(c *decision.Config) { c.Capabilities.HedgedRequests = true }, nil},
 		{"sends on to what drains", "rule 3: send", false, nil, entries(func(e *decision.Backend) { e.State = decision.Ready })},
 		{"sends to what is out by hand", "rule 3: send", false, nil, func(f *policy, _ *hands) { f.deaf = true }},
 		{"sends to what nobody listed", "listed", false, nil, entries(func(e *decision.Backend) { e.ID += 100 })},
 		{"sends all to the one that started last", "rule 4", true, nil, func(f *policy, h *hands) {
 			last := decision.Backend{}
-			f.list = func(m decision.Membership) []decision.Membership {
+			f.list = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
 				for _, e := range m.Backends {
 					if e.Started > last.Started {
 						last = e
 					}
 				}
-				return []decision.Membership{m}
+				return []decision.EndpointUpdate{m}
 			}
 			h.send = func(h decision.Host, id decision.RequestID, to decision.BackendID, until time.Duration) {
 				if last.ID != 0 {
@@ -119,17 +119,17 @@
 			}
 		}},
 		{"builds its checker anew with each list", "health", false, nil, func(f *policy, _ *hands) {
-			f.list = func(m decision.Membership) []decision.Membership {
-				return []decision.Membership{{Kind: decision.ListFull}, m}
+			f.list = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
+				return []decision.EndpointUpdate{{Kind: decision.UpdateFull}, m}
 			}
 		}},
 		{"keeps an answer back", "parked", false, nil, func(_ *policy, h *hands) {
 			h.refuse = func(h decision.Host, id decision.RequestID) {
 				x := h.(*proxy)
-				if r := x.model.byID[id]; !r.Streamed {
-					x.at(r.Deadline-x.now-10*milli, func() { x.model.now = x.now; x.Refuse(id, 0) })
+				if r := x.model.byID[id]; !r.StreamedBody {
+					x.at(r.Deadline-x.now-10*milli, func() { x.model.now = x.now; x.Reject(id, 0) })
 				} else {
-					x.Refuse(id, 0)
+					x.Reject(id, 0)
 				}
 			}
 		}},
--- a/decision/crossing_test.go
+++ b/decision/crossing_test.go
@@ -25,7 +25,7 @@
 	for n := range attempts {
 		b.Timer(from, timerAttempt<<56|uint64(n)<<32|1)
 	}
-	b.Membership(from, Membership{Kind: ListFull, Backends: list(6)})
+	b.UpdateEndpoints(from, EndpointUpdate{Kind: UpdateFull, Backends: list(6)})
 	for at := from; at < from+5*second; at += 50 * milli {
 		b.Timer(at, timerDispatch<<56)
 		b.Timer(at, timerSweep<<56)
@@ -47,14 +47,14 @@
 		t.Run(fmt.Sprint("queued, class ", class), func(t *testing.T) {
 			b, h := newBalancer(t, testConfig(), 0)
 			b.Request(second, Request{ID: 1, Class: class, Deadline: 4 * second})
-			b.Gone(second+milli, 1)
+			b.ClientGone(second+milli, 1)
 			all(b, second+2*milli, 0)
 			none(t, h)
 		})
-		for _, result := range []Result{OK, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot} {
+		for _, result := range []Result{OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent} {
 			t.Run(fmt.Sprintf("in an attempt, class %d, which ends with %d", class, result), func(t *testing.T) {
 				b, h, to := asked(t, testConfig(), class, 6)
-				b.Gone(second+milli, 1)
+				b.ClientGone(second+milli, 1)
 				if got := h.take("cancel"); len(got) != 1 {
 					t.Errorf("its attempt is not called off: %v", got)
 				}
@@ -63,19 +63,19 @@
 				b.Outcome(second+3*milli, Outcome{ID: 1, Backend: to, Result: result})
 				all(b, second+4*milli, 1)
 				none(t, h)
-				if len(b.requests) != 0 || b.open != 0 {
-					t.Errorf("%d requests are held, %d count as open", len(b.requests), b.open)
+				if len(b.requests) != 0 || b.openRequests != 0 {
+					t.Errorf("%d requests are held, %d count as open", len(b.requests), b.openRequests)
 				}
 			})
 		}
 		t.Run(fmt.Sprint("between two attempts, class ", class), func(t *testing.T) {
 			b, h, to := asked(t, testConfig(), class, 1)
-			b.targets[0].own.limit, b.targets[0].own.out, b.targets[0].own.load = 1, 9, 9 // no room: it waits
+			b.targets[0].limit.limit, b.targets[0].limit.inFlight, b.targets[0].limit.load = 1, 9, 9 // no room: it waits
 			b.Outcome(second+milli, Outcome{ID: 1, Backend: to, Result: ConnectFailed})
-			if got := h.take("send", "refuse", "fail"); len(got) != 0 || len(b.waiting) != 1 {
+			if got := h.take("send", "refuse", "fail"); len(got) != 0 || len(b.queue) != 1 {
 				t.Fatalf("it does not wait: %v", got)
 			}
-			b.Gone(second+2*milli, 1)
+			b.ClientGone(second+2*milli, 1)
 			all(b, second+3*milli, 1)
 			none(t, h)
 		})
@@ -87,7 +87,7 @@
 	for class := range 4 {
 		for _, copies := range []bool{true, false} {
 			cfg := testConfig()
-			cfg.Caps.SecondCopies = copies
+			cfg.Capabilities.HedgedRequests = copies
 			b, h, to := asked(t, cfg, class, 6)
 			b.Outcome(second+50*milli, Outcome{ID: 1, Backend: to, Result: OK, Final: true})
 			all(b, second+51*milli, 2)
@@ -132,27 +132,27 @@
 		after  time.Duration
 		repeat bool
 	}{
-		{"safe", Class{Effect: Safe}, 30 * milli, true},
-		{"unsafe", Class{Effect: Unsafe, Window: second, Group: GroupAll}, 30 * milli, false},
-		{"all, in time", Class{Effect: Keyed, Group: GroupAll, Window: 40 * milli}, 30 * milli, true},
-		{"all, too late", Class{Effect: Keyed, Group: GroupAll, Window: 40 * milli}, 40 * milli, false},
-		{"all, within a tick of its end", Class{Effect: Keyed, Group: GroupAll, Window: 40 * milli}, 36 * milli, false},
-		{"zone, in time", Class{Effect: Keyed, Group: GroupZone, Window: 40 * milli}, 30 * milli, true},
-		{"zone, too late", Class{Effect: Keyed, Group: GroupZone, Window: 40 * milli}, 41 * milli, false},
-		{"cell, in time", Class{Effect: Keyed, Group: GroupCell, Window: 40 * milli}, 30 * milli, true},
-		{"cell, too late", Class{Effect: Keyed, Group: GroupCell, Window: 40 * milli}, 50 * milli, false},
-		{"a window shorter than a tick", Class{Effect: Keyed, Group: GroupAll, Window: 3 * milli}, milli, false},
-		{"no window", Class{Effect: Keyed, Group: GroupAll}, 0, false},
+		{"safe", Class{Idempotency: Idempotent}, 30 * milli, true},
+		{"unsafe", Class{Idempotency: NotIdempotent, DeduplicationWindow: second, DeduplicationScope: ScopeAll}, 30 * milli, false},
+		{"all, in time", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll, DeduplicationWindow: 40 * milli}, 30 * milli, true},
+		{"all, too late", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll, DeduplicationWindow: 40 * milli}, 40 * milli, false},
+		{"all, within a tick of its end", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll, DeduplicationWindow: 40 * milli}, 36 * milli, false},
+		{"zone, in time", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeZone, DeduplicationWindow: 40 * milli}, 30 * milli, true},
+		{"zone, too late", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeZone, DeduplicationWindow: 40 * milli}, 41 * milli, false},
+		{"cell, in time", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeCell, DeduplicationWindow: 40 * milli}, 30 * milli, true},
+		{"cell, too late", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeCell, DeduplicationWindow: 40 * milli}, 50 * milli, false},
+		{"a window shorter than a tick", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll, DeduplicationWindow: 3 * milli}, milli, false},
+		{"no window", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll}, 0, false},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			cfg := testConfig()
-			k.class.Name, k.class.Aim, k.class.GiveUp, k.class.Value = "c", second, 3*second, 1
+			k.class.Name, k.class.LatencyObjective, k.class.ClientTimeout, k.class.PriorityWeight = "c", second, 3*second, 1
 			cfg.Classes = []Class{k.class}
 			b, h, to := asked(t, cfg, 0, n)
 			zone, cell := place(to)
 			for _, e := range list(n) { // of its group it alone is left: any other place is outside
 				z, c := place(e.ID)
-				if e.ID != to && (k.class.Group == GroupZone && z == zone || k.class.Group == GroupCell && c == cell) {
+				if e.ID != to && (k.class.DeduplicationScope == ScopeZone && z == zone || k.class.DeduplicationScope == ScopeCell && c == cell) {
 					b.Detach(second, e.ID)
 				}
 			}
@@ -160,7 +160,7 @@
 			b.Outcome(second+k.after, Outcome{ID: 1, Backend: to, Result: Reset})
 			got := h.take("send", "refuse", "fail")
 			end := "fail"
-			if k.class.Effect == Safe || k.class.Effect == Keyed && k.class.Group == GroupAll {
+			if k.class.Idempotency == Idempotent || k.class.Idempotency == IdempotentByKey && k.class.DeduplicationScope == ScopeAll {
 				end = "refuse" // coming again is harmless
 			}
 			switch {
@@ -171,8 +171,8 @@
 			case k.repeat && got[0].verb != "send":
 				t.Errorf("%v, want a repeat", got)
 			}
-			if z, c := place(got[0].to); k.repeat && (k.class.Group == GroupZone && z != zone && k.class.Effect == Keyed ||
-				k.class.Group == GroupCell && c != cell && k.class.Effect == Keyed) {
+			if z, c := place(got[0].to); k.repeat && (k.class.DeduplicationScope == ScopeZone && z != zone && k.class.Idempotency == IdempotentByKey ||
+				k.class.DeduplicationScope == ScopeCell && c != cell && k.class.Idempotency == IdempotentByKey) {
 				t.Errorf("the repeat of what went to %d goes to %d, outside its group", to, got[0].to)
 			}
 		})
@@ -184,13 +184,13 @@
 	for class := range 4 {
 		b, h, to := asked(t, testConfig(), class, 6)
 		for _, o := range b.targets {
-			o.own.limit, o.own.out, o.own.load = 1, 9, 9 // no room: it waits
+			o.limit.limit, o.limit.inFlight, o.limit.load = 1, 9, 9 // no room: it waits
 		}
 		for range 3 {
 			b.Outcome(second+milli, Outcome{ID: 1, Backend: to, Result: ConnectFailed})
 		}
 		for _, o := range b.targets {
-			o.own.out, o.own.load = 0, 0
+			o.limit.inFlight, o.limit.load = 0, 0
 		}
 		b.Timer(second+10*milli, timerDispatch<<56)
 		if got := h.take("send", "refuse", "fail"); len(got) != 1 || got[0].verb != "send" {
@@ -214,11 +214,11 @@
 // have run.
 func TestAWindowCountsFromTheFirstThatMayHaveRun(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes = []Class{{Name: "c", Aim: second, GiveUp: 3 * second, Value: 1, Effect: Keyed, Group: GroupAll, Window: 100 * milli}}
+	cfg.Classes = []Class{{Name: "c", LatencyObjective: second, ClientTimeout: 3 * second, PriorityWeight: 1, Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll, DeduplicationWindow: 100 * milli}}
 	for _, k := range []struct {
 		first Result
 		want  string
-	}{{ConnectFailed, "send"}, {Full, "send"}, {Moot, "send"}, {Reset, "refuse"}, {Error, "refuse"}} {
+	}{{ConnectFailed, "send"}, {Rejected, "send"}, {NotSent, "send"}, {Reset, "refuse"}, {Error, "refuse"}} {
 		b, h, to := asked(t, cfg, 0, 12)
 		b.Outcome(second+60*milli, Outcome{ID: 1, Backend: to, Result: k.first})
 		next := h.take("send")
@@ -261,17 +261,17 @@
 func TestADrainWhileARequestWaits(t *testing.T) {
 	for name, leave := range map[string]func(*Balancer){
 		"drains": func(b *Balancer) {
-			b.Membership(second+milli, Membership{Kind: ListDelta, Backends: []Backend{{ID: 1, State: Draining}}})
+			b.UpdateEndpoints(second+milli, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{{ID: 1, State: Draining}}})
 		},
-		"is gone": func(b *Balancer) { b.Membership(second+milli, Membership{Kind: ListFull}) },
+		"is gone": func(b *Balancer) { b.UpdateEndpoints(second+milli, EndpointUpdate{Kind: UpdateFull}) },
 		"is out":  func(b *Balancer) { b.Detach(second+milli, 1) },
 	} {
 		for class := range 4 {
 			b, h := newBalancer(t, testConfig(), 1)
-			own := &b.targets[0].own
-			own.limit, own.out, own.load = 1, 9, 9 // no room
+			own := &b.targets[0].limit
+			own.limit, own.inFlight, own.load = 1, 9, 9 // no room
 			b.Request(second, Request{ID: 1, Class: class, Deadline: 4 * second})
-			own.out, own.load = 0, 0
+			own.inFlight, own.load = 0, 0
 			leave(b)
 			for at := second + 2*milli; at < 4*second; at += 10 * milli {
 				b.Timer(at, timerDispatch<<56)
--- a/decision/draw_test.go
+++ b/decision/draw_test.go
@@ -88,7 +88,7 @@
 	x.model.now = x.now
 	model()
 	real()
-	x.model.settled(x.p.Census())
+	x.model.settled(x.p.CountBackends())
 	if len(x.broken) == 0 {
 		x.broken = append(x.broken, x.model.broken...)
 	}
@@ -104,23 +104,23 @@
 
 // list tells of servers as they are now, in one of the forms.
 func (x *proxy) list() {
-	l := decision.Membership{Version: math.MaxUint32 - 3 + uint32(x.tells)} // wraps
+	l := decision.EndpointUpdate{Version: math.MaxUint32 - 3 + uint32(x.tells)} // wraps
 	x.tells++
 	all := x.backends()
 	switch x.rng.IntN(10) {
 	case 0:
-		l.Kind = decision.ListFailed
+		l.Kind = decision.UpdateFailed
 	case 1, 2, 3:
-		l.Kind = []decision.ListKind{decision.ListFull, decision.ListCached}[x.rng.IntN(2)]
-		l.Backends = slices.DeleteFunc(all, func(e decision.Backend) bool { return e.State == decision.Gone })
+		l.Kind = []decision.UpdateKind{decision.UpdateFull, decision.UpdateCached}[x.rng.IntN(2)]
+		l.Backends = slices.DeleteFunc(all, func(e decision.Backend) bool { return e.State == decision.Removed })
 	default:
-		l.Kind, l.Backends = decision.ListDelta, all
+		l.Kind, l.Backends = decision.UpdateDelta, all
 		if len(all) > 0 {
 			l.Backends = all[:1+x.rng.IntN(len(all))]
 		}
 	}
 	x.tell(fmt.Sprintf("list %d %s", l.Kind, brief(l.Backends)), func() { x.model.list(l) },
-		func() { x.p.Membership(x.now, l) })
+		func() { x.p.UpdateEndpoints(x.now, l) })
 }
 
 func brief(bs []decision.Backend) (s string) {
@@ -157,23 +157,23 @@
 		return
 	}
 	n := len(r.tries) - 1
-	if until <= 0 || until > r.Deadline || r.Streamed {
+	if until <= 0 || until > r.Deadline || r.StreamedBody {
 		until = r.Deadline
 	}
 	took := x.serve(s, r.work)
 	result := s.mood
 	switch result {
 	case decision.ConnectFailed:
-		took = x.cfg.Caps.ConnectTimeout
+		took = x.cfg.Capabilities.ConnectTimeout
 	case decision.Timeout:
 		took = math.MaxInt64 / 4
-	case decision.Error, decision.Reset, decision.Full, decision.Cancelled, decision.Moot:
+	case decision.Error, decision.Reset, decision.Rejected, decision.Cancelled, decision.NotSent:
 		took = time.Duration(x.rng.IntN(3)) * 5 * milli
 	}
 	if x.odd && x.rng.IntN(20) == 0 {
 		took = 0
 	}
-	if r.Streamed && !r.whole { // whole goes on with it
+	if r.StreamedBody && !r.whole { // whole goes on with it
 		if result != decision.OK && result != decision.Timeout {
 			x.at(took, func() { x.ends(id, n, result) })
 		}
@@ -187,7 +187,7 @@
 	if x.now+took >= until {
 		took, result = max(0, until-x.now), decision.Timeout
 	}
-	if result == decision.OK && (x.cfg.Classes[r.Class].Stream || x.rng.IntN(20) == 0) {
+	if result == decision.OK && (x.cfg.Classes[r.Class].StreamedResponse || x.rng.IntN(20) == 0) {
 		x.at(took, func() { x.begins(r.ID, n) })
 		return
 	}
@@ -200,9 +200,9 @@
 		return 0
 	}
 	speed := x.fleet.speed[s.ID] / s.slow
-	o := x.cfg.Obligations
-	if age := x.now - s.Started; s.Started > 0 && age < o.Cold {
-		speed *= o.StartCapacity + (1-o.StartCapacity)*float64(age)/float64(o.Cold)
+	o := x.cfg.Constraints
+	if age := x.now - s.Started; s.Started > 0 && age < o.WarmUp {
+		speed *= o.InitialCapacity + (1-o.InitialCapacity)*float64(age)/float64(o.WarmUp)
 	}
 	s.free = max(s.free, x.now) + time.Duration(float64(ms)/speed)
 	return s.free - x.now + milli
@@ -217,7 +217,7 @@
 	if r.tries[n].over {
 		return
 	}
-	f := decision.FirstByte{ID: id, Attempt: n, Backend: r.tries[n].to, Took: x.now - r.tries[n].sent}
+	f := decision.FirstByte{ID: id, Attempt: n, Backend: r.tries[n].to, Latency: x.now - r.tries[n].sent}
 	x.event(fmt.Sprintf("first byte of %d/%d", id, n), func() { r.streams = true }, func() { x.p.FirstByte(x.now, f) })
 	x.at(time.Duration(x.rng.IntN(500))*milli, func() {
 		x.ends(id, n, []decision.Result{decision.OK, decision.Reset}[x.rng.IntN(2)])
@@ -229,10 +229,10 @@
 	r := x.model.byID[id]
 	t := r.tries[n]
 	if !t.over {
-		spent := r.Streamed && result != decision.OK && x.rng.IntN(2) == 0
-		o := decision.Outcome{ID: id, Attempt: n, Backend: t.to, Result: result, Took: x.now - t.sent, Spent: spent}
+		spent := r.StreamedBody && result != decision.OK && x.rng.IntN(2) == 0
+		o := decision.Outcome{ID: id, Attempt: n, Backend: t.to, Result: result, Latency: x.now - t.sent, BodyConsumed: spent}
 		if x.odd && x.rng.IntN(10) == 0 {
-			o.Took = []time.Duration{0, -time.Hour, math.MaxInt64, math.MinInt64}[x.rng.IntN(4)]
+			o.Latency = []time.Duration{0, -time.Hour, math.MaxInt64, math.MinInt64}[x.rng.IntN(4)]
 		}
 		x.event(fmt.Sprintf("outcome %d of %d/%d", result, id, n), func() { x.model.outcome(id, n, result, spent) },
 			func() { o.Final = r.over; x.p.Outcome(x.now, o) })
@@ -246,9 +246,9 @@
 	})
 }
 
-func (x *proxy) Refuse(id decision.RequestID, after time.Duration) {
+func (x *proxy) Reject(id decision.RequestID, after time.Duration) {
 	x.note("  refuse %d", id)
-	if after < 0 || after > x.cfg.Caps.MaxRetryAfter {
+	if after < 0 || after > x.cfg.Capabilities.MaxRetryAfter {
 		x.model.breaks("listed", "request %d is to come again after %v", id, after)
 	}
 	x.model.final(id, true)
@@ -266,7 +266,7 @@
 	}
 }
 
-func (x *proxy) Probe(id decision.BackendID) {
+func (x *proxy) CheckHealth(id decision.BackendID) {
 	x.note("  probe %d", id)
 	x.model.probe(id)
 	s := x.servers[id]
@@ -275,10 +275,10 @@
 	}
 	took := time.Duration(1+x.rng.IntN(10)) * milli
 	if s.mood == decision.Timeout || s.mood == decision.ConnectFailed {
-		took = x.cfg.Caps.ConnectTimeout
+		took = x.cfg.Capabilities.ConnectTimeout
 	}
 	if x.wide {
-		took = min(took, x.cfg.Caps.ConnectTimeout)
+		took = min(took, x.cfg.Capabilities.ConnectTimeout)
 	}
 	told := took
 	if x.odd && x.rng.IntN(8) == 0 {
@@ -290,22 +290,22 @@
 	}
 	for i := range results {
 		x.at(took+time.Duration(i*x.rng.IntN(3000))*milli, func() {
-			p := decision.ProbeResult{Backend: id, Result: s.mood, Took: told}
+			p := decision.HealthCheckResult{Backend: id, Result: s.mood, Latency: told}
 			if i > 0 {
 				p.Result = decision.Result(x.rng.IntN(8))
 			}
 			x.event(fmt.Sprintf("probe of %d: %d", id, p.Result), func() { x.model.probed(id, p.Result) },
-				func() { x.p.Probed(x.now, p) })
+				func() { x.p.HealthChecked(x.now, p) })
 		})
 	}
 }
 
-func (x *proxy) Release(decision.BackendID) {}
-func (x *proxy) Tell(uint32, []byte)        {}
-func (x *proxy) Log(string)                 {}
-func (x *proxy) Fetch()                     { x.Watch(true) }
-func (x *proxy) Watch(bool)                 { x.at(20*milli, x.list) }
-func (x *proxy) After(in time.Duration, token uint64) {
+func (x *proxy) ReleaseIdleConnections(decision.BackendID) {}
+func (x *proxy) SendToPeer(uint32, []byte)                 {}
+func (x *proxy) Log(string)                                {}
+func (x *proxy) FetchEndpoints()                           { x.WatchEndpoints(true) }
+func (x *proxy) WatchEndpoints(bool)                       { x.at(20*milli, x.list) }
+func (x *proxy) StartTimer(in time.Duration, token uint64) {
 	in = max(in, milli)
 	if tick := x.cfg.Tick; x.wide && tick > 0 { // as where time goes by in ticks
 		in = (x.now+in+tick-1)/tick*tick - x.now
@@ -320,18 +320,18 @@
 	s := d.servers[id]
 	switch d.rng.IntN(9) {
 	case 0, 1:
-		s.mood = []decision.Result{decision.OK, decision.OK, decision.Timeout, decision.Error, decision.Full,
-			decision.ConnectFailed, decision.Reset, decision.Moot}[d.rng.IntN(8)]
+		s.mood = []decision.Result{decision.OK, decision.OK, decision.Timeout, decision.Error, decision.Rejected,
+			decision.ConnectFailed, decision.Reset, decision.NotSent}[d.rng.IntN(8)]
 		d.note("server %d answers with %d", id, s.mood)
 	case 2:
-		s.State = []decision.State{decision.Draining, decision.Gone}[d.rng.IntN(2)]
+		s.State = []decision.BackendState{decision.Draining, decision.Removed}[d.rng.IntN(2)]
 	case 3, 4: // it starts again: where it was, or after it had left
 		s.State, s.Started, s.mood, s.free = decision.Ready, d.now, decision.OK, d.now
 	case 5: // it returns as it was
 		s.State = decision.Ready
 	case 6: // all but one go, or all
 		for _, o := range d.servers {
-			o.State = decision.Gone
+			o.State = decision.Removed
 		}
 		if d.rng.IntN(2) == 0 {
 			s.State = decision.Ready
@@ -356,10 +356,10 @@
 		none := decision.RequestID(d.rng.Uint32())
 		x.event("odd", func() {}, func() {
 			x.p.Outcome(d.now, decision.Outcome{ID: none, Attempt: d.rng.IntN(9) - 4})
-			x.p.Probed(d.now, decision.ProbeResult{Backend: 9999, Took: math.MinInt64})
+			x.p.HealthChecked(d.now, decision.HealthCheckResult{Backend: 9999, Latency: math.MinInt64})
 			x.p.FirstByte(d.now, decision.FirstByte{ID: none, Attempt: -1})
-			x.p.Whole(d.now, none, 0)
-			x.p.Gone(d.now, none)
+			x.p.BodyComplete(d.now, none, 0)
+			x.p.ClientGone(d.now, none)
 		})
 	}
 	d.lists()
@@ -385,21 +385,21 @@
 	}
 	give := time.Duration(100+x.rng.IntN(2900)) * milli
 	if x.wide {
-		if most := x.cfg.Classes[class].GiveUp; x.well {
+		if most := x.cfg.Classes[class].ClientTimeout; x.well {
 			give = most
 		} else {
 			give = max(milli, give*time.Duration(most/milli)/3000)
 		}
 	}
-	q := decision.Request{ID: id, Class: class, Key: uint64(x.rng.IntN(20)), Cost: cost,
-		Deadline: x.now + give, Tenant: x.rng.IntN(4) - 1, Streamed: x.rng.IntN(12) == 0}
+	q := decision.Request{ID: id, Class: class, Key: uint64(x.rng.IntN(20)), ExpectedWork: cost,
+		Deadline: x.now + give, Tenant: x.rng.IntN(4) - 1, StreamedBody: x.rng.IntN(12) == 0}
 	x.event(fmt.Sprintf("request %d class %d", id, class), func() { x.model.request(q, ms) }, func() { x.p.Request(x.now, q) })
 	r := x.model.byID[id]
-	if q.Streamed {
+	if q.StreamedBody {
 		x.at(time.Duration(x.rng.IntN(3000))*milli, func() {
 			if !r.over && !r.streams {
 				x.event(fmt.Sprintf("whole %d", id), func() { r.whole, r.Deadline = true, x.now+give },
-					func() { x.p.Whole(x.now, id, x.now+give) })
+					func() { x.p.BodyComplete(x.now, id, x.now+give) })
 			}
 			for n, t := range r.tries {
 				if !t.over {
@@ -411,7 +411,7 @@
 	} else if x.rng.IntN(40) == 0 {
 		x.at(time.Duration(x.rng.IntN(200))*milli, func() {
 			if !r.over && !r.streams {
-				x.event(fmt.Sprintf("client of %d leaves", id), func() { r.over = true }, func() { x.p.Gone(x.now, id) })
+				x.event(fmt.Sprintf("client of %d leaves", id), func() { r.over = true }, func() { x.p.ClientGone(x.now, id) })
 			}
 		})
 	}
@@ -511,18 +511,18 @@
 		cfg.Instances = 9
 	}
 	cfg.Tick = between(milli/2, 20*milli).Round(milli / 2)
-	c, o := &cfg.Caps, &cfg.Obligations
-	c.ConnectTimeout, c.ConnIdle, c.MaxRetryAfter = between(5*milli, 2*time.Second), between(time.Second, time.Minute), between(50*milli, 5*time.Second)
+	c, o := &cfg.Capabilities, &cfg.Constraints
+	c.ConnectTimeout, c.ConnectionIdleTimeout, c.MaxRetryAfter = between(5*milli, 2*time.Second), between(time.Second, time.Minute), between(50*milli, 5*time.Second)
 	c.MaxAttempts = 1 + rng.IntN(6)
-	o.AnswerSlack, o.DrainGrace, o.AskEvery = 4*cfg.Tick, between(100*milli, 2*time.Second), between(time.Second, 30*time.Second)
-	o.Cold, o.Fall = between(100*milli, time.Minute), between(100*milli, 10*time.Second)
+	o.AnswerSlack, o.DrainGrace, o.MaxListAge = 4*cfg.Tick, between(100*milli, 2*time.Second), between(time.Second, 30*time.Second)
+	o.WarmUp, o.OverloadWindow = between(100*milli, time.Minute), between(100*milli, 10*time.Second)
 	if rng.IntN(6) == 0 {
-		o.Cold = 0
+		o.WarmUp = 0
 	}
-	o.FallMultiple, o.StartCapacity = 1.5+3*rng.Float64(), 0.1+0.8*rng.Float64()
-	cfg.MarksRetry, cfg.WorthByWork, cfg.OverShareWorth = rng.IntN(2) == 0, rng.IntN(3) == 0, rng.Float64()
+	o.OverloadFactor, o.InitialCapacity = 1.5+3*rng.Float64(), 0.1+0.8*rng.Float64()
+	cfg.ClientsMarkRetries, cfg.WeightByWork, cfg.OverQuotaWeight = rng.IntN(2) == 0, rng.IntN(3) == 0, rng.Float64()
 	cfg.Weights = decision.WeightKind(rng.IntN(3))
-	cfg.Goal = decision.Goal{Whole: rng.Float64(), WorstClass: rng.Float64(), WorstTenant: rng.Float64(), WorstWindow: rng.Float64()}
+	cfg.ObjectiveWeights = decision.ObjectiveWeights{Overall: rng.Float64(), WorstClass: rng.Float64(), WorstTenant: rng.Float64(), WorstWindow: rng.Float64()}
 	least := between(50*milli, 2*time.Second) // to give up; of no class is it more than four times as long
 	if rng.IntN(8) == 0 {
 		least = 15 * time.Second
@@ -530,13 +530,13 @@
 	work = 80 * milli
 	for i := range cfg.Classes {
 		k := &cfg.Classes[i]
-		k.GiveUp = between(least, 4*least)
-		k.Aim = between(k.GiveUp/8, k.GiveUp)
-		k.Window, k.Value = between(10*milli, 10*time.Second), float64(between(milli, time.Second))/float64(20*milli)
-		work = min(work, time.Duration(float64(k.Aim)*(0.1+0.3*rng.Float64())))
+		k.ClientTimeout = between(least, 4*least)
+		k.LatencyObjective = between(k.ClientTimeout/8, k.ClientTimeout)
+		k.DeduplicationWindow, k.PriorityWeight = between(10*milli, 10*time.Second), float64(between(milli, time.Second))/float64(20*milli)
+		work = min(work, time.Duration(float64(k.LatencyObjective)*(0.1+0.3*rng.Float64())))
 	}
 	for i := range cfg.Tenants {
-		cfg.Tenants[i].QuotaPerS = float64(between(milli, 10*time.Second)) / float64(10*milli)
+		cfg.Tenants[i].QuotaPerSecond = float64(between(milli, 10*time.Second)) / float64(10*milli)
 	}
 	return max(work, milli)
 }
@@ -545,13 +545,13 @@
 func (d *drawn) settles() {
 	most := time.Duration(0)
 	for _, c := range d.cfg.Classes {
-		most = max(most, c.GiveUp)
+		most = max(most, c.ClientTimeout)
 	}
 	d.run(d.now + most + 4*time.Second)
 	for _, x := range d.proxies {
 		x.tell("the end", func() {}, func() {})
 		for _, r := range x.model.asks {
-			if len(d.broken) == 0 && !r.over && !r.streams && (!r.Streamed || r.whole) {
+			if len(d.broken) == 0 && !r.over && !r.streams && (!r.StreamedBody || r.whole) {
 				d.broken = append(d.broken, fmt.Sprintf("rule 1: request %d has no answer at the end", r.ID))
 			}
 		}
@@ -595,12 +595,12 @@
 		for id := range x.model.out {
 			x.tell("attach", func() { delete(x.model.out, id) }, func() { x.p.Attach(d.now, id) })
 		}
-		l := decision.Membership{Kind: decision.ListFull, Backends: d.backends()}
-		x.tell("list, all well", func() { x.model.list(l) }, func() { x.p.Membership(d.now, l) })
+		l := decision.EndpointUpdate{Kind: decision.UpdateFull, Backends: d.backends()}
+		x.tell("list, all well", func() { x.model.list(l) }, func() { x.p.UpdateEndpoints(d.now, l) })
 	}
 	d.well = true
 	if d.wide { // until none is cold by what anybody may suspect
-		d.run(d.now + d.cfg.Obligations.Cold + 10*d.cfg.Caps.ConnectTimeout)
+		d.run(d.now + d.cfg.Constraints.WarmUp + 10*d.cfg.Capabilities.ConnectTimeout)
 	}
 	late, each := make([][]*asked, len(d.proxies)), max(100*milli, 3*d.work)
 	for i := range 100 * len(d.proxies) {
@@ -608,7 +608,7 @@
 		d.at(time.Duration(i)*each, func() {
 			x := d.proxies[n]
 			x.ask()
-			if r := x.model.byID[x.lastID]; i >= 70*len(d.proxies) && !r.Streamed {
+			if r := x.model.byID[x.lastID]; i >= 70*len(d.proxies) && !r.StreamedBody {
 				late[n] = append(late[n], r)
 			}
 		})
@@ -639,7 +639,7 @@
 	if d.wide { // few requests come in the spans of a slow site
 		chance = 2 * math.Sqrt(fair)
 	}
-	if len(d.broken) == 0 && len(d.servers) > 2 && !d.cfg.WarmKeys && float64(there) > 0.75*fair+chance {
+	if len(d.broken) == 0 && len(d.servers) > 2 && !d.cfg.KeyAffinity && float64(there) > 0.75*fair+chance {
 		d.broken = append(d.broken, fmt.Sprintf("recovery: of %d sends %d went to the one of %d servers that is 8 times as slow", sends, there, len(d.servers)))
 	}
 }
@@ -648,23 +648,23 @@
 func drawnConfig(rng *rand.Rand) decision.Config {
 	coin := func() bool { return rng.IntN(2) == 0 }
 	late := func() float64 { return []float64{0, 0.5}[rng.IntN(2)] }
-	cfg := decision.Config{Instances: 1 + rng.IntN(4), Tick: time.Duration(rng.IntN(3)) * 2 * milli, OverShareWorth: 0.1,
+	cfg := decision.Config{Instances: 1 + rng.IntN(4), Tick: time.Duration(rng.IntN(3)) * 2 * milli, OverQuotaWeight: 0.1,
 		Classes: []decision.Class{
-			{Name: "safe", Aim: 250 * milli, GiveUp: time.Second, Effect: decision.Safe, Value: 2, LateShare: late()},
-			{Name: "zone", Aim: 250 * milli, GiveUp: time.Second, Effect: decision.Keyed, Group: decision.GroupZone, Window: 400 * milli, Value: 2, LateShare: late()},
-			{Name: "cell", Aim: 500 * milli, GiveUp: time.Second, Effect: decision.Keyed, Group: decision.GroupCell, Window: 900 * milli, Value: 1, LateShare: late()},
-			{Name: "all", Aim: 500 * milli, GiveUp: time.Second, Effect: decision.Keyed, Group: decision.GroupAll, Window: 150 * milli, Value: 1, LateShare: late()},
-			{Name: "unsafe", Aim: 500 * milli, GiveUp: 2 * time.Second, Effect: decision.Unsafe, Group: decision.GroupAll, Window: time.Second, Value: 10, LateShare: late()},
-			{Name: "stream", Aim: 500 * milli, GiveUp: 2 * time.Second, Effect: decision.Safe, Stream: true, Value: 3, LateShare: late()},
+			{Name: "safe", LatencyObjective: 250 * milli, ClientTimeout: time.Second, Idempotency: decision.Idempotent, PriorityWeight: 2, LateValueShare: late()},
+			{Name: "zone", LatencyObjective: 250 * milli, ClientTimeout: time.Second, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeZone, DeduplicationWindow: 400 * milli, PriorityWeight: 2, LateValueShare: late()},
+			{Name: "cell", LatencyObjective: 500 * milli, ClientTimeout: time.Second, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeCell, DeduplicationWindow: 900 * milli, PriorityWeight: 1, LateValueShare: late()},
+			{Name: "all", LatencyObjective: 500 * milli, ClientTimeout: time.Second, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll, DeduplicationWindow: 150 * milli, PriorityWeight: 1, LateValueShare: late()},
+			{Name: "unsafe", LatencyObjective: 500 * milli, ClientTimeout: 2 * time.Second, Idempotency: decision.NotIdempotent, DeduplicationScope: decision.ScopeAll, DeduplicationWindow: time.Second, PriorityWeight: 10, LateValueShare: late()},
+			{Name: "stream", LatencyObjective: 500 * milli, ClientTimeout: 2 * time.Second, Idempotency: decision.Idempotent, StreamedResponse: true, PriorityWeight: 3, LateValueShare: late()},
 		},
-		Tenants:  []decision.Tenant{{Name: "a", Share: 0.7, QuotaPerS: 100}, {Name: "b", Share: 0.3, QuotaPerS: 0}},
-		Goal:     decision.Goal{Whole: 0.55, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.15},
-		WarmKeys: rng.IntN(4) == 0, OnRequest: coin(),
-		Obligations: decision.Obligations{AnswerSlack: 8 * milli, AskEvery: 10 * time.Second, Cold: 8 * time.Second, DrainGrace: 500 * milli,
-			Fall: time.Second, FallMultiple: 3, StartCapacity: 0.34},
-		Caps: decision.Caps{Cancel: rng.IntN(4) > 0, Probes: rng.IntN(5) > 0, RetryAfter: coin(), SecondCopies: coin(),
-			ConnIdle: time.Minute, ConnectTimeout: 75 * milli, MaxRetryAfter: time.Second, MaxAttempts: 1 + rng.IntN(4), StreamsPerConn: 1,
-			MaxOpen: []int{0, 0, 20, 20000}[rng.IntN(4)]},
+		Tenants:          []decision.Tenant{{Name: "a", Share: 0.7, QuotaPerSecond: 100}, {Name: "b", Share: 0.3, QuotaPerSecond: 0}},
+		ObjectiveWeights: decision.ObjectiveWeights{Overall: 0.55, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.15},
+		KeyAffinity:      rng.IntN(4) == 0, PolledDiscovery: coin(),
+		Constraints: decision.Constraints{AnswerSlack: 8 * milli, MaxListAge: 10 * time.Second, WarmUp: 8 * time.Second, DrainGrace: 500 * milli,
+			OverloadWindow: time.Second, OverloadFactor: 3, InitialCapacity: 0.34},
+		Capabilities: decision.Capabilities{Cancel: rng.IntN(4) > 0, HealthChecks: rng.IntN(5) > 0, RetryAfter: coin(), HedgedRequests: coin(),
+			ConnectionIdleTimeout: time.Minute, ConnectTimeout: 75 * milli, MaxRetryAfter: time.Second, MaxAttempts: 1 + rng.IntN(4), StreamsPerConnection: 1,
+			MaxOpenRequests: []int{0, 0, 20, 20000}[rng.IntN(4)]},
 	}
 	if rng.IntN(3) == 0 {
 		cfg.Instances = 4 + rng.IntN(8)
--- a/decision/engine_test.go
+++ b/decision/engine_test.go
@@ -104,9 +104,9 @@
 
 // told tells the model of a list. The lock must be held.
 func (g *rig) told(l engine.List) {
-	m := decision.Membership{Kind: decision.ListDelta, Version: l.Version}
+	m := decision.EndpointUpdate{Kind: decision.UpdateDelta, Version: l.Version}
 	if l.Full {
-		m.Kind = decision.ListFull
+		m.Kind = decision.UpdateFull
 	}
 	for _, e := range l.Members {
 		m.Backends = append(m.Backends, decision.Backend{ID: engine.BackendID(e.ID), Cell: e.Cell, State: e.State, Started: e.Started})
@@ -119,7 +119,7 @@
 func (g *rig) change() {
 	defer g.lock()()
 	e := &g.members[g.rng.IntN(len(g.members))]
-	e.State = []decision.State{decision.Ready, decision.Ready, decision.Draining, decision.Gone}[g.rng.IntN(4)]
+	e.State = []decision.BackendState{decision.Ready, decision.Ready, decision.Draining, decision.Removed}[g.rng.IntN(4)]
 	if e.State == decision.Ready && g.rng.IntN(3) == 0 {
 		e.Started = g.model.now
 	}
@@ -157,7 +157,7 @@
 	_, may := a.Go()
 	if !may || ctx.Err() != nil { // called off before it began, or too late
 		unlock()
-		return decision.Moot, nil
+		return decision.NotSent, nil
 	}
 	s.note("send %d to %d", id, s.id)
 	s.model.send(id, s.id)
@@ -221,10 +221,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		cfg := enginetest.Config()
 		cfg.Classes = append(slices.Clone(cfg.Classes), // with windows shorter than a connection may take
-			decision.Class{Name: "all", Aim: time.Second, GiveUp: 3 * time.Second, Effect: decision.Keyed, Group: decision.GroupAll, Window: 60 * milli, Value: 1},
-			decision.Class{Name: "cell", Aim: time.Second, GiveUp: 3 * time.Second, Effect: decision.Keyed, Group: decision.GroupCell, Window: 150 * milli, Value: 1})
+			decision.Class{Name: "all", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll, DeduplicationWindow: 60 * milli, PriorityWeight: 1},
+			decision.Class{Name: "cell", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeCell, DeduplicationWindow: 150 * milli, PriorityWeight: 1})
 		rng := rand.New(rand.NewPCG(seed, 9))
-		cfg.Caps.SecondCopies, cfg.Caps.Probes = rng.IntN(2) == 0, rng.IntN(2) == 0
+		cfg.Capabilities.HedgedRequests, cfg.Capabilities.HealthChecks = rng.IntN(2) == 0, rng.IntN(2) == 0
 		g := &rig{seed: seed, rng: rng, version: math.MaxUint32 - 3, changed: make(chan struct{})} // wraps
 		g.model = newModel(cfg, &books{speed: map[decision.BackendID]float64{}, sent: map[decision.BackendID][]work{}, slack: time.Hour})
 		g.model.graceOnly = true
@@ -238,7 +238,7 @@
 			rng := g.draw(2, int(id), len(g.model.byID[decision.RequestID(id)].tries))
 			r := enginetest.Reply{After: time.Duration(rng.IntN(80)) * milli, Answer: "x", Deaf: rng.IntN(20) == 0}
 			if rng.IntN(4) == 0 {
-				r.Result = []decision.Result{decision.Error, decision.Full, decision.Timeout, decision.ConnectFailed, decision.Reset, decision.Moot}[rng.IntN(6)]
+				r.Result = []decision.Result{decision.Error, decision.Rejected, decision.Timeout, decision.ConnectFailed, decision.Reset, decision.NotSent}[rng.IntN(6)]
 			}
 			if rng.IntN(15) == 0 {
 				r.After, r.Deaf = time.Hour, false
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -13,19 +13,19 @@
 func (printer) Send(id decision.RequestID, to decision.BackendID, until time.Duration) {
 	fmt.Printf("send request %d to backend %d, until %v\n", id, to, until)
 }
-func (printer) Refuse(id decision.RequestID, after time.Duration) {
+func (printer) Reject(id decision.RequestID, after time.Duration) {
 	fmt.Printf("refuse request %d, come again after %v\n", id, after)
 }
 func (printer) Fail(id decision.RequestID) { fmt.Printf("fail request %d\n", id) }
 func (printer) Cancel(id decision.RequestID, n int) {
 	fmt.Printf("cancel attempt %d of %d\n", n, id)
 }
-func (printer) Probe(b decision.BackendID)    {}
-func (printer) Release(b decision.BackendID)  {}
-func (printer) Watch(on bool)                 {}
-func (printer) Fetch()                        {}
-func (printer) Tell(peer uint32, body []byte) {}
-func (printer) After(d time.Duration, token uint64) {
+func (printer) CheckHealth(b decision.BackendID)            {}
+func (printer) ReleaseIdleConnections(b decision.BackendID) {}
+func (printer) WatchEndpoints(on bool)                      {}
+func (printer) FetchEndpoints()                             {}
+func (printer) SendToPeer(peer uint32, body []byte)         {}
+func (printer) StartTimer(d time.Duration, token uint64) {
 	// A real proxy calls Timer with the token when the time has come.
 }
 func (printer) Log(line string) { fmt.Println(line) }
@@ -35,10 +35,10 @@
 	cfg := decision.Config{
 		Instances: 1,
 		Tick:      time.Millisecond,
-		Classes: []decision.Class{{Name: "page", Aim: 300 * time.Millisecond, GiveUp: time.Second,
-			Effect: decision.Safe, Value: 1}},
-		Goal: decision.Goal{Whole: 1},
-		Caps: decision.Caps{Probes: true, ConnectTimeout: 100 * time.Millisecond, MaxAttempts: 3},
+		Classes: []decision.Class{{Name: "page", LatencyObjective: 300 * time.Millisecond, ClientTimeout: time.Second,
+			Idempotency: decision.Idempotent, PriorityWeight: 1}},
+		ObjectiveWeights: decision.ObjectiveWeights{Overall: 1},
+		Capabilities:     decision.Capabilities{HealthChecks: true, ConnectTimeout: 100 * time.Millisecond, MaxAttempts: 3},
 	}
 	b, err := decision.New(cfg, 1, printer{})
 	if err != nil {
@@ -46,13 +46,13 @@
 		return
 	}
 	b.Start(time.Second)
-	b.Membership(time.Second, decision.Membership{Kind: decision.ListFull, Backends: []decision.Backend{
+	b.UpdateEndpoints(time.Second, decision.EndpointUpdate{Kind: decision.UpdateFull, Backends: []decision.Backend{
 		{ID: 7, State: decision.Ready},
 		{ID: 8, State: decision.Draining},
 	}})
 	b.Request(time.Second, decision.Request{ID: 1, Deadline: 2 * time.Second})
 	now := time.Second + 20*time.Millisecond
-	b.Outcome(now, decision.Outcome{ID: 1, Backend: 7, Result: decision.OK, Took: 20 * time.Millisecond, Final: true})
+	b.Outcome(now, decision.Outcome{ID: 1, Backend: 7, Result: decision.OK, Latency: 20 * time.Millisecond, Final: true})
 	// Output:
 	// send request 1 to backend 7, until 1.299s
 }
--- a/decision/faults_test.go
+++ b/decision/faults_test.go
@@ -11,10 +11,10 @@
 func TestAKeyedRequestIsAnsweredOnceItsWindowEnds(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	b.Request(second, Request{ID: 1, Class: keyed, Deadline: 9 * second})
-	b.requests[1].aimAt = 9 * second // much time is left beside the window of 1 s
+	b.requests[1].objectiveAt = 9 * second // much time is left beside the window of 1 s
 	to := h.take("send")[0].to
 	for _, other := range b.targets { // those of its zone have no room
-		other.own.limit, other.own.out, other.own.load = 1, 9, 9
+		other.limit.limit, other.limit.inFlight, other.limit.load = 1, 9, 9
 	}
 	b.Outcome(second+900*milli, Outcome{ID: 1, Backend: to, Result: Reset})
 	if got := h.take("send", "refuse", "fail"); len(got) != 0 {
@@ -29,9 +29,9 @@
 // The window counts from the first send that may have run, also where the body's end comes later.
 func TestTheWindowOfAStreamedRequestCountsFromItsSend(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
-	b.Request(second, Request{ID: 1, Class: keyed, Deadline: 9 * second, Streamed: true})
+	b.Request(second, Request{ID: 1, Class: keyed, Deadline: 9 * second, StreamedBody: true})
 	to := h.take("send")[0].to
-	b.Whole(second+900*milli, 1, 9*second)
+	b.BodyComplete(second+900*milli, 1, 9*second)
 	b.Outcome(2*second+100*milli, Outcome{ID: 1, Backend: to, Result: Reset})
 	if got := h.take("send", "fail"); len(got) != 1 || got[0].verb != "fail" {
 		t.Errorf("1.1 s after its send, with a window of 1 s: %v, want its failure", got)
@@ -43,16 +43,16 @@
 	for _, busy := range []bool{false, true} {
 		b, _ := newBalancer(t, testConfig(), 2)
 		id := list(2)[0].ID
-		for range runToFail {
-			b.probe(b.byID[id])
-			b.Probed(second, ProbeResult{Backend: id, Result: Timeout})
+		for range unhealthyThreshold {
+			b.startHealthCheck(b.targetsByID[id])
+			b.HealthChecked(second, HealthCheckResult{Backend: id, Result: Timeout})
 		}
 		if busy {
-			b.probe(b.byID[id])
+			b.startHealthCheck(b.targetsByID[id])
 		}
-		b.Membership(2*second, Membership{Kind: ListDelta, Backends: []Backend{{ID: id, State: Gone}}})
-		b.Membership(3*second, Membership{Kind: ListFull, Backends: list(2)})
-		if _, excluded := b.Census(); excluded != 0 {
+		b.UpdateEndpoints(2*second, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{{ID: id, State: Removed}}})
+		b.UpdateEndpoints(3*second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)})
+		if _, excluded := b.CountBackends(); excluded != 0 {
 			t.Errorf("a probe still out is %v: %d avoided on its return", busy, excluded)
 		}
 	}
@@ -68,8 +68,8 @@
 		}
 	}
 	slow := b.targets[0]
-	slow.note(second, b.span, 8*20, 20)
-	if d, other := b.score(&request{}, slow), b.score(&request{}, b.targets[1]); !(d > other) {
+	slow.recordRatio(second, b.decaySpan, 8*20, 20)
+	if d, other := b.expectedDelay(&request{}, slow), b.expectedDelay(&request{}, b.targets[1]); !(d > other) {
 		t.Errorf("the slow one counts as %v, the other as %v", d, other)
 	}
 }
@@ -82,8 +82,8 @@
 		if now += 10 * milli; i == 1000 {
 			now += 24 * time.Hour
 			b.Timer(now, timerSweep<<56)
-			if b.span > 10*time.Minute {
-				t.Errorf("what was measured is remembered for %v", b.span)
+			if b.decaySpan > 10*time.Minute {
+				t.Errorf("what was measured is remembered for %v", b.decaySpan)
 			}
 		}
 		id := RequestID(i + 1)
@@ -91,16 +91,16 @@
 		for _, a := range h.take("send") {
 			b.Outcome(now, Outcome{ID: a.id, Backend: a.to, Final: true})
 		}
-		b.Gone(now, id)
+		b.ClientGone(now, id)
 	}
-	if b.reach(); len(b.ready) <= 2*reachLeast {
-		t.Errorf("10 s on, at 100 requests a second, it uses %d of 400 servers", len(b.ready))
+	if b.selectActive(); len(b.active) <= 2*minActiveTargets {
+		t.Errorf("10 s on, at 100 requests a second, it uses %d of 400 servers", len(b.active))
 	}
 }
 
 // Attempts and probes that could not be sent for want of something of the proxy's own say nothing of a backend.
 func TestWhatWasNeverSentSaysNothingOfABackend(t *testing.T) {
-	for result, blamed := range map[Result]bool{Moot: false, ConnectFailed: true} {
+	for result, blamed := range map[Result]bool{NotSent: false, ConnectFailed: true} {
 		b, h := newBalancer(t, testConfig(), 1)
 		to := b.targets[0]
 		for i := range RequestID(6) {
@@ -109,11 +109,11 @@
 			for n, sent := 0, h.take("send"); len(sent) > 0; n, sent = n+1, h.take("send") {
 				b.Outcome(now, Outcome{ID: i, Attempt: n, Backend: sent[0].to, Result: result})
 			}
-			b.probe(to)
-			b.Probed(now, ProbeResult{Backend: to.ID, Result: result})
-			b.Gone(now, i)
+			b.startHealthCheck(to)
+			b.HealthChecked(now, HealthCheckResult{Backend: to.ID, Result: result})
+			b.ClientGone(now, i)
 		}
-		if _, cold := b.cold(to); cold != blamed || to.healthy == blamed {
+		if _, cold := b.warmUpCapacity(to); cold != blamed || to.healthy == blamed {
 			t.Errorf("result %d: taken for cold %v, healthy %v", result, cold, to.healthy)
 		}
 	}
--- a/decision/frozen_test.go
+++ b/decision/frozen_test.go
@@ -111,7 +111,7 @@
 	case draw < 8:
 		result = Error
 	case draw < 11:
-		result = Full
+		result = Rejected
 	case draw < 14:
 		result = Reset
 	case draw < 24:
@@ -119,19 +119,19 @@
 	}
 	if id%9 == 4 && result == OK {
 		s.event(took/2, fmt.Sprintf("first byte %d/%d from %d", id, attempt, to), func() {
-			s.balancer.FirstByte(s.now, FirstByte{ID: id, Attempt: attempt, Backend: to, Took: took / 2})
+			s.balancer.FirstByte(s.now, FirstByte{ID: id, Attempt: attempt, Backend: to, Latency: took / 2})
 		})
 	}
-	s.end(took, Outcome{ID: id, Attempt: attempt, Backend: to, Result: result, Took: took, Final: result == OK})
+	s.end(took, Outcome{ID: id, Attempt: attempt, Backend: to, Result: result, Latency: took, Final: result == OK})
 }
 
 func (s *transcript) end(in time.Duration, o Outcome) {
-	o.Spent = s.streamed[o.ID] && o.Result != OK && o.ID%2 == 0
-	line := fmt.Sprintf("outcome %d/%d from %d: %d final %v spent %v", o.ID, o.Attempt, o.Backend, o.Result, o.Final, o.Spent)
+	o.BodyConsumed = s.streamed[o.ID] && o.Result != OK && o.ID%2 == 0
+	line := fmt.Sprintf("outcome %d/%d from %d: %d final %v spent %v", o.ID, o.Attempt, o.Backend, o.Result, o.Final, o.BodyConsumed)
 	s.event(in, line, func() { s.balancer.Outcome(s.now, o) })
 }
 
-func (s *transcript) Refuse(id RequestID, retryAfter time.Duration) {
+func (s *transcript) Reject(id RequestID, retryAfter time.Duration) {
 	s.printf("  refuse %d for %d", id, retryAfter)
 }
 func (s *transcript) Fail(id RequestID) { s.printf("  fail %d", id) }
@@ -140,33 +140,33 @@
 	s.end(time.Millisecond, Outcome{ID: id, Attempt: attempt, Result: Cancelled})
 }
 
-func (s *transcript) Probe(to BackendID) {
+func (s *transcript) CheckHealth(to BackendID) {
 	s.printf("  probe %d", to)
-	p := ProbeResult{Backend: to, Result: OK, Took: 2 * time.Millisecond}
+	p := HealthCheckResult{Backend: to, Result: OK, Latency: 2 * time.Millisecond}
 	if s.down[to] || s.rng.IntN(20) == 0 {
 		p.Result = ConnectFailed
 	}
-	s.event(p.Took, fmt.Sprintf("probed %d: %d", p.Backend, p.Result), func() { s.balancer.Probed(s.now, p) })
+	s.event(p.Latency, fmt.Sprintf("probed %d: %d", p.Backend, p.Result), func() { s.balancer.HealthChecked(s.now, p) })
 }
 
-func (s *transcript) Release(to BackendID)     { s.printf("  release %d", to) }
-func (s *transcript) Watch(on bool)            { s.printf("  watch %v", on) }
-func (s *transcript) Fetch()                   { s.printf("  fetch") }
-func (s *transcript) Tell(to uint32, b []byte) { s.printf("  tell %d %x", to, b) }
-func (s *transcript) Log(line string)          { s.printf("  log %s", line) }
-func (s *transcript) After(d time.Duration, token uint64) {
+func (s *transcript) ReleaseIdleConnections(to BackendID) { s.printf("  release %d", to) }
+func (s *transcript) WatchEndpoints(on bool)              { s.printf("  watch %v", on) }
+func (s *transcript) FetchEndpoints()                     { s.printf("  fetch") }
+func (s *transcript) SendToPeer(to uint32, b []byte)      { s.printf("  tell %d %x", to, b) }
+func (s *transcript) Log(line string)                     { s.printf("  log %s", line) }
+func (s *transcript) StartTimer(d time.Duration, token uint64) {
 	s.printf("  after %d token %x", d, token)
 	s.event(d, fmt.Sprintf("timer %x", token), func() { s.balancer.Timer(s.now, token) })
 }
 
 // list schedules a list of discovery.
-func (s *transcript) list(in time.Duration, kind ListKind, backends ...Backend) {
+func (s *transcript) list(in time.Duration, kind UpdateKind, backends ...Backend) {
 	line := fmt.Sprintf("list of kind %d:", kind)
 	for _, e := range backends {
 		line += fmt.Sprintf(" %d is %d in %d/%d", e.ID, e.State, e.Zone, e.Cell)
 	}
 	s.event(in, line, func() {
-		s.balancer.Membership(s.now, Membership{Kind: kind, Backends: backends})
+		s.balancer.UpdateEndpoints(s.now, EndpointUpdate{Kind: kind, Backends: backends})
 	})
 }
 
@@ -180,18 +180,18 @@
 			q.Key = uint64(1 + s.rng.IntN(20))
 		}
 		if s.rng.IntN(3) == 0 {
-			q.Cost = time.Duration(5+s.rng.IntN(100)) * time.Millisecond
+			q.ExpectedWork = time.Duration(5+s.rng.IntN(100)) * time.Millisecond
 		}
-		q.Repeat, q.Streamed = id%11 == 0, id%9 == 0
-		s.streamed[id] = q.Streamed
+		q.MarkedRetry, q.StreamedBody = id%11 == 0, id%9 == 0
+		s.streamed[id] = q.StreamedBody
 		s.printf("%d request %d class %d tenant %d key %d cost %d repeat %v streamed %v",
-			s.now, id, q.Class, q.Tenant, q.Key, q.Cost, q.Repeat, q.Streamed)
+			s.now, id, q.Class, q.Tenant, q.Key, q.ExpectedWork, q.MarkedRetry, q.StreamedBody)
 		s.balancer.Request(s.now, q)
-		if q.Streamed && s.rng.IntN(3) > 0 {
-			s.event(5*milli, fmt.Sprintf("whole %d", id), func() { s.balancer.Whole(s.now, id, s.now+2*second) })
+		if q.StreamedBody && s.rng.IntN(3) > 0 {
+			s.event(5*milli, fmt.Sprintf("whole %d", id), func() { s.balancer.BodyComplete(s.now, id, s.now+2*second) })
 		}
 		if id%31 == 0 {
-			s.event(20*milli, fmt.Sprintf("gone %d", id), func() { s.balancer.Gone(s.now, id) })
+			s.event(20*milli, fmt.Sprintf("gone %d", id), func() { s.balancer.ClientGone(s.now, id) })
 		}
 	})
 }
@@ -211,9 +211,9 @@
 	all := list(7)
 	draining, started := all[5], Backend{ID: 9, Zone: 1, Cell: 1, State: Ready, Weight: 2, Started: 3 * second}
 	draining.State = Draining
-	s.list(0, ListFailed)
-	s.list(100*milli, ListFull, all...)
-	s.event(110*milli, "vet", func() { b.Vet(s.now) })
+	s.list(0, UpdateFailed)
+	s.list(100*milli, UpdateFull, all...)
+	s.event(110*milli, "vet", func() { b.CheckHealthNow(s.now) })
 	for i := range 250 {
 		s.request(150*milli + time.Duration(i)*16*milli)
 	}
@@ -221,15 +221,15 @@
 		s.request(2500*milli + time.Duration(i)*milli)
 	}
 	s.event(1000*milli, "backend 2 dies", func() { s.down[2] = true })
-	s.list(1500*milli, ListDelta, draining)
-	s.list(2*second, ListDelta, started)
+	s.list(1500*milli, UpdateDelta, draining)
+	s.list(2*second, UpdateDelta, started)
 	s.event(2200*milli, "detach 4", func() { b.Detach(s.now, 4) })
-	s.list(2300*milli, ListFailed)
-	s.list(3*second, ListCached, append(slices.Clone(all[:5]), started)...)
+	s.list(2300*milli, UpdateFailed)
+	s.list(3*second, UpdateCached, append(slices.Clone(all[:5]), started)...)
 	s.event(3100*milli, "attach 4", func() { b.Attach(s.now, 4) })
 	s.event(3400*milli, "backend 2 comes back", func() { s.down[2] = false })
 	s.play(until)
-	known, excluded := b.Census()
+	known, excluded := b.CountBackends()
 	s.printf("%d known %d excluded", known, excluded)
 	return s
 }
@@ -238,16 +238,16 @@
 // to be asked for and further attempts go one by one.
 func frozenConfigs() [2]Config {
 	few := testConfig()
-	few.Classes[1].Stream = true
-	few.Tenants = []Tenant{{Name: "a", Share: 0.7, QuotaPerS: 30}, {Name: "b", Share: 0.3, QuotaPerS: 20}}
-	few.OverShareWorth = 0.2
-	few.Goal = Goal{Whole: 1, WorstClass: 0.5, WorstTenant: 0.5, WorstWindow: 0.2}
+	few.Classes[1].StreamedResponse = true
+	few.Tenants = []Tenant{{Name: "a", Share: 0.7, QuotaPerSecond: 30}, {Name: "b", Share: 0.3, QuotaPerSecond: 20}}
+	few.OverQuotaWeight = 0.2
+	few.ObjectiveWeights = ObjectiveWeights{Overall: 1, WorstClass: 0.5, WorstTenant: 0.5, WorstWindow: 0.2}
 	many := few
 	many.Classes = slices.Clone(few.Classes)
-	many.Classes[0].LateShare, many.Classes[2].AimStretch = 0.3, 2
+	many.Classes[0].LateValueShare, many.Classes[2].ObjectivePerWork = 0.3, 2
 	many.Instances, many.Rank, many.Zone, many.Weights = 12, 3, 1, WeightNominal
-	many.WarmKeys, many.OnRequest, many.WorthByWork = true, true, true
-	many.Caps.SecondCopies, many.Caps.MaxOpen = false, 12
+	many.KeyAffinity, many.PolledDiscovery, many.WeightByWork = true, true, true
+	many.Capabilities.HedgedRequests, many.Capabilities.MaxOpenRequests = false, 12
 	return [2]Config{few, many}
 }
 
@@ -260,7 +260,7 @@
 
 func TestMemoryKeepsItsBytes(t *testing.T) {
 	b := playTranscript(t, 1, frozenConfigs()[0], 4*second).balancer
-	taken, err := json.Marshal(b.Remember(4 * second))
+	taken, err := json.Marshal(b.Snapshot(4 * second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,7 +269,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m Memory
+	var m Snapshot
 	if err := json.Unmarshal(kept, &m); err != nil {
 		t.Fatal(err)
 	}
@@ -285,28 +285,28 @@
 		t.Fatal(err)
 	}
 	next.Start(4 * second)
-	next.Recall(4*second, m)
+	next.Restore(4*second, m)
 	backends := append(list(7)[:5], Backend{ID: 9, Zone: 1, Cell: 1, State: Ready, Weight: 2, Started: 3 * second})
-	next.Membership(4*second, Membership{Kind: ListFull, Backends: backends})
-	was := next.Remember(4 * second)
-	if !slices.Equal(was.Classes, m.Classes) || !slices.Equal(was.Backends, m.Backends) || was.Limit != m.Limit {
+	next.UpdateEndpoints(4*second, EndpointUpdate{Kind: UpdateFull, Backends: backends})
+	was := next.Snapshot(4 * second)
+	if !slices.Equal(was.Classes, m.Classes) || !slices.Equal(was.Backends, m.Backends) || was.SharedLimit != m.SharedLimit {
 		t.Errorf("taken over it is %v, want %v", was, m)
 	}
-	if math.Abs(was.Rate-m.Rate) > 1e-9*m.Rate {
-		t.Errorf("a rate of %v is taken over, want %v", was.Rate, m.Rate)
+	if math.Abs(was.RequestRate-m.RequestRate) > 1e-9*m.RequestRate {
+		t.Errorf("a rate of %v is taken over, want %v", was.RequestRate, m.RequestRate)
 	}
-	if known, excluded := next.Census(); known != 6 || excluded != 1 {
+	if known, excluded := next.CountBackends(); known != 6 || excluded != 1 {
 		t.Errorf("%d backends known, %d excluded; want 6 and 1", known, excluded)
 	}
 }
 
 // checkFrozenMemory compares with the values that memory.json holds.
-func checkFrozenMemory(t *testing.T, m Memory) {
+func checkFrozenMemory(t *testing.T, m Snapshot) {
 	t.Helper()
-	if m.At != 4*second || m.Rate != 68.28571428571429 || m.Limit != 28 {
-		t.Errorf("taken at %v, a rate of %v, a limit of %v", m.At, m.Rate, m.Limit)
+	if m.TakenAt != 4*second || m.RequestRate != 68.28571428571429 || m.SharedLimit != 28 {
+		t.Errorf("taken at %v, a rate of %v, a limit of %v", m.TakenAt, m.RequestRate, m.SharedLimit)
 	}
-	classes := []ClassMemory{
+	classes := []ClassSnapshot{
 		{"safe", [5]float64{63.639864714994204, 1419.2651774685087, 3576.1380330273228, 285244.16296711215, 247985.60618872903}},
 		{"keyed", [5]float64{60.12969262421049, 1033.4658028881463, 2436.5365321994013, 69581.9482636242, 42086.65156495698}},
 		{"unsafe", [5]float64{39.401841687910284, 549.8191103673497, 1677.8441365302226, 30079.468361966265, 22767.330987800073}},
@@ -316,17 +316,17 @@
 		t.Fatalf("%d classes", len(m.Classes))
 	}
 	for i, want := range classes {
-		if got := m.Classes[i]; got.Name != want.Name || got.Delays != want.Delays {
+		if got := m.Classes[i]; got.Name != want.Name || got.LatencySums != want.LatencySums {
 			t.Errorf("class %d: got %v, want %v", i, got, want)
 		}
 	}
-	backends := []TargetMemory{
-		{ID: 1, Started: 0, Cold: 0, Healthy: true, Served: 676.2523286437226},
-		{ID: 2, Started: 0, Cold: 3502 * milli, Healthy: false, Served: 370.5749509060237},
-		{ID: 3, Started: 0, Cold: 0, Healthy: true, Served: 3713.220612820249},
-		{ID: 4, Started: 0, Cold: 0, Healthy: true, Served: 136.50930673011058},
-		{ID: 5, Started: 0, Cold: 0, Healthy: true, Served: 1026.5339355201759},
-		{ID: 9, Started: 3 * second, Cold: 3 * second, Healthy: true, Served: 76.6658113968397},
+	backends := []BackendSnapshot{
+		{ID: 1, Started: 0, LastStart: 0, Healthy: true, ServedWork: 676.2523286437226},
+		{ID: 2, Started: 0, LastStart: 3502 * milli, Healthy: false, ServedWork: 370.5749509060237},
+		{ID: 3, Started: 0, LastStart: 0, Healthy: true, ServedWork: 3713.220612820249},
+		{ID: 4, Started: 0, LastStart: 0, Healthy: true, ServedWork: 136.50930673011058},
+		{ID: 5, Started: 0, LastStart: 0, Healthy: true, ServedWork: 1026.5339355201759},
+		{ID: 9, Started: 3 * second, LastStart: 3 * second, Healthy: true, ServedWork: 76.6658113968397},
 	}
 	if !slices.Equal(m.Backends, backends) {
 		t.Errorf("backends: got %v, want %v", m.Backends, backends)
--- a/decision/host_test.go
+++ b/decision/host_test.go
@@ -25,19 +25,19 @@
 func (h *recorder) Send(id RequestID, to BackendID, until time.Duration) {
 	h.add(action{verb: "send", id: id, to: to, at: until})
 }
-func (h *recorder) Refuse(id RequestID, d time.Duration) {
+func (h *recorder) Reject(id RequestID, d time.Duration) {
 	h.add(action{verb: "refuse", id: id, at: d})
 }
-func (h *recorder) Fail(id RequestID)          { h.add(action{verb: "fail", id: id}) }
-func (h *recorder) Cancel(id RequestID, n int) { h.add(action{verb: "cancel", id: id, attempt: n}) }
-func (h *recorder) Probe(b BackendID)          { h.add(action{verb: "probe", to: b}) }
-func (h *recorder) Release(b BackendID)        { h.add(action{verb: "release", to: b}) }
-func (h *recorder) Watch(on bool)              { h.add(action{verb: "watch"}) }
-func (h *recorder) Fetch()                     { h.add(action{verb: "fetch"}) }
-func (h *recorder) Tell(peer uint32, body []byte) {
+func (h *recorder) Fail(id RequestID)                  { h.add(action{verb: "fail", id: id}) }
+func (h *recorder) Cancel(id RequestID, n int)         { h.add(action{verb: "cancel", id: id, attempt: n}) }
+func (h *recorder) CheckHealth(b BackendID)            { h.add(action{verb: "probe", to: b}) }
+func (h *recorder) ReleaseIdleConnections(b BackendID) { h.add(action{verb: "release", to: b}) }
+func (h *recorder) WatchEndpoints(on bool)             { h.add(action{verb: "watch"}) }
+func (h *recorder) FetchEndpoints()                    { h.add(action{verb: "fetch"}) }
+func (h *recorder) SendToPeer(peer uint32, body []byte) {
 	h.add(action{verb: "tell", text: fmt.Sprintf("%d %x", peer, body)})
 }
-func (h *recorder) After(d time.Duration, token uint64) {
+func (h *recorder) StartTimer(d time.Duration, token uint64) {
 	h.add(action{verb: "after", at: d, token: token})
 }
 func (h *recorder) Log(line string) { h.add(action{verb: "log", text: line}) }
@@ -60,19 +60,19 @@
 
 // testConfig has one class of each effect; all else is allowed.
 func testConfig() Config {
-	return Config{Instances: 2, Tick: 5 * milli, OverShareWorth: 1,
+	return Config{Instances: 2, Tick: 5 * milli, OverQuotaWeight: 1,
 		Classes: []Class{
-			{Name: "safe", Aim: second, GiveUp: 3 * second, Effect: Safe, Value: 1},
-			{Name: "keyed", Aim: second, GiveUp: 3 * second, Effect: Keyed, Group: GroupZone, Window: second, Value: 1},
-			{Name: "unsafe", Aim: second, GiveUp: 3 * second, Effect: Unsafe, Value: 1},
-			{Name: "anywhere", Aim: second, GiveUp: 3 * second, Effect: Keyed, Group: GroupAll, Window: 2 * second, Value: 1},
+			{Name: "safe", LatencyObjective: second, ClientTimeout: 3 * second, Idempotency: Idempotent, PriorityWeight: 1},
+			{Name: "keyed", LatencyObjective: second, ClientTimeout: 3 * second, Idempotency: IdempotentByKey, DeduplicationScope: ScopeZone, DeduplicationWindow: second, PriorityWeight: 1},
+			{Name: "unsafe", LatencyObjective: second, ClientTimeout: 3 * second, Idempotency: NotIdempotent, PriorityWeight: 1},
+			{Name: "anywhere", LatencyObjective: second, ClientTimeout: 3 * second, Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll, DeduplicationWindow: 2 * second, PriorityWeight: 1},
 		},
-		Goal: Goal{Whole: 1},
-		Obligations: Obligations{AnswerSlack: 20 * milli, AskEvery: 10 * second, Cold: 20 * second,
-			DrainGrace: 250 * milli, Fall: 2 * second, FallMultiple: 2.5, StartCapacity: 0.2},
-		Caps: Caps{Cancel: true, Peers: true, Probes: true, RetryAfter: true, SecondCopies: true,
-			ConnIdle: 15 * second, ConnectTimeout: 250 * milli, MaxRetryAfter: 2 * second,
-			MaxAttempts: 4, StreamsPerConn: 1},
+		ObjectiveWeights: ObjectiveWeights{Overall: 1},
+		Constraints: Constraints{AnswerSlack: 20 * milli, MaxListAge: 10 * second, WarmUp: 20 * second,
+			DrainGrace: 250 * milli, OverloadWindow: 2 * second, OverloadFactor: 2.5, InitialCapacity: 0.2},
+		Capabilities: Capabilities{Cancel: true, PeerMessages: true, HealthChecks: true, RetryAfter: true, HedgedRequests: true,
+			ConnectionIdleTimeout: 15 * second, ConnectTimeout: 250 * milli, MaxRetryAfter: 2 * second,
+			MaxAttempts: 4, StreamsPerConnection: 1},
 	}
 }
 
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	b.Start(second)
-	b.Membership(second, Membership{Kind: ListFull, Version: 1, Backends: list(n)})
+	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Version: 1, Backends: list(n)})
 	h.take()
 	return b, h
 }
--- a/decision/many_test.go
+++ b/decision/many_test.go
@@ -22,11 +22,11 @@
 				t.Fatal(err)
 			}
 			b.Start(second)
-			b.Membership(second, Membership{Kind: ListFull, Backends: list(3)})
+			b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(3)})
 			b.now, b.meanWork = 3000*second, 100
-			b.starts(b.targets[0], b.now)
-			b.coldRates() // what it might have been sent before its start must not count
-			if b.coldAllows(b.targets[0], 100) {
+			b.recordStart(b.targets[0], b.now)
+			b.refillSlowStart() // what it might have been sent before its start must not count
+			if b.slowStartAllows(b.targets[0], 100) {
 				allowed++
 			}
 		}
@@ -40,22 +40,22 @@
 func TestProbesAreHeldToAShareOfTheRequests(t *testing.T) {
 	b, h := newBalancer(t, manyConfig(100), 40)
 	span := 60 * second
-	for now := second; now < second+span; now += b.interval / sweeps {
+	for now := second; now < second+span; now += b.checkInterval / sweepsPerInterval {
 		b.Timer(now, timerSweep<<56)
 		for _, p := range h.take("probe") {
-			b.Probed(now, ProbeResult{Backend: p.to, Result: OK})
+			b.HealthChecked(now, HealthCheckResult{Backend: p.to, Result: OK})
 		}
 	}
 	// No request came, so only the least is due; what the first budget allows comes once.
 	probes := 0
-	for now := second + span; now < second+2*span; now += b.interval / sweeps {
+	for now := second + span; now < second+2*span; now += b.checkInterval / sweepsPerInterval {
 		b.Timer(now, timerSweep<<56)
 		for _, p := range h.take("probe") {
 			probes++
-			b.Probed(now, ProbeResult{Backend: p.to, Result: OK})
+			b.HealthChecked(now, HealthCheckResult{Backend: p.to, Result: OK})
 		}
 	}
-	want := int(span/(restProbe*b.interval)) * probeLeast
+	want := int(span/(passingCheckFactor*b.checkInterval)) * minChecksPerSpan
 	if probes < want*8/10 || probes > want*12/10 {
 		t.Errorf("%d probes a minute without requests, %d are due", probes, want)
 	}
@@ -69,12 +69,12 @@
 		gap  time.Duration
 		used int
 	}{
-		{"one request in two seconds", false, 2 * second, 2 * reachLeast},
+		{"one request in two seconds", false, 2 * second, 2 * minActiveTargets},
 		{"hundreds a second", false, 2 * milli, 40},
 		{"little, but keys choose", true, 2 * second, 40},
 	} {
 		cfg := manyConfig(100)
-		cfg.WarmKeys = c.warm
+		cfg.KeyAffinity = c.warm
 		b, _ := newBalancer(t, cfg, 40)
 		now := second
 		for id := range RequestID(60) {
@@ -82,17 +82,17 @@
 			b.Request(now, Request{ID: id + 1, Class: safe, Deadline: now + second})
 		}
 		b.Timer(now, timerSweep<<56)
-		if len(b.ready) != c.used {
-			t.Errorf("%s: uses %d, not %d", c.name, len(b.ready), c.used)
+		if len(b.active) != c.used {
+			t.Errorf("%s: uses %d, not %d", c.name, len(b.active), c.used)
 		}
 		if c.used > len(b.listed)/2 {
 			continue
 		}
-		before := b.ready[0]
+		before := b.active[0]
 		before.healthy = false
-		b.Timer(now+b.interval, timerSweep<<56)
-		if len(b.ready) != c.used+1 || b.ready[0] != before {
-			t.Errorf("%s: an unhealthy one is not made up for: %d used", c.name, len(b.ready))
+		b.Timer(now+b.checkInterval, timerSweep<<56)
+		if len(b.active) != c.used+1 || b.active[0] != before {
+			t.Errorf("%s: an unhealthy one is not made up for: %d used", c.name, len(b.active))
 		}
 	}
 }
@@ -101,21 +101,21 @@
 func TestABackendElsewhereIsNotTakenForSlowAsTheOwnZones(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 6)
 	for _, to := range b.targets {
-		if to.Zone == b.cfg.Zone {
-			to.note(b.now, b.span, 4, 3)
-			to.note(b.now, b.span, 8, 1)
+		if to.Zone == b.config.Zone {
+			to.recordRatio(b.now, b.decaySpan, 4, 3)
+			to.recordRatio(b.now, b.decaySpan, 8, 1)
 		}
 	}
-	b.findMedian()
+	b.updateBaselines()
 	for _, to := range b.targets {
-		if got := b.estimate(to); to.Zone != b.cfg.Zone && got != 1 {
+		if got := b.latencyRatio(to); to.Zone != b.config.Zone && got != 1 {
 			t.Errorf("backend %d elsewhere is taken to be %v as slow as usual", to.ID, got)
-		} else if to.Zone == b.cfg.Zone && got < 2 {
+		} else if to.Zone == b.config.Zone && got < 2 {
 			t.Errorf("backend %d: estimate %v", to.ID, got)
 		}
 	}
-	r := &request{Request: Request{Class: safe, Deadline: time.Hour}, aimAt: time.Hour}
-	if to := b.pick(r); to == nil || to.Zone == b.cfg.Zone {
+	r := &request{Request: Request{Class: safe, Deadline: time.Hour}, objectiveAt: time.Hour}
+	if to := b.selectTarget(r); to == nil || to.Zone == b.config.Zone {
 		t.Error("the request stays in a zone three times as slow")
 	}
 }
@@ -123,14 +123,14 @@
 // A limit for all backends at one or two out would be closed by chance; so it holds for their mean.
 func TestTheSharedLimitHoldsForTheMean(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 10)
-	b.shared.limit = 1.5
+	b.sharedLimit.limit = 1.5
 	for range 4 {
-		b.shared.join(&attempt{weight: 1}, b.now, 100)
+		b.sharedLimit.reserve(&attempt{loadWeight: 1}, b.now, 100)
 	}
-	if b.now += 10 * milli; b.full(1) {
+	if b.now += 10 * milli; b.sharedLimitReached(1) {
 		t.Error("full as soon as four are out")
 	}
-	if b.now += 10 * second; !b.full(1) {
+	if b.now += 10 * second; !b.sharedLimitReached(1) {
 		t.Error("four out for ten seconds, and it is not full")
 	}
 }
@@ -144,20 +144,20 @@
 		b, _ := newBalancer(t, manyConfig(100), 2)
 		to := b.targets[0]
 		if c.slow {
-			to.note(b.now, b.span, 400, 100)
+			to.recordRatio(b.now, b.decaySpan, 400, 100)
 		}
-		r := &request{Request: Request{ID: 1, Class: safe, Deadline: time.Hour}, arrived: b.now, aimAt: b.now + second}
-		b.mean, b.meanWork, b.requests[1] = 100, 100, r
+		r := &request{Request: Request{ID: 1, Class: safe, Deadline: time.Hour}, arrived: b.now, objectiveAt: b.now + second}
+		b.meanLatency, b.meanWork, b.requests[1] = 100, 100, r
 		if !b.send(r, to) {
 			t.Fatal("not sent")
 		}
-		limits := [2]float64{to.own.limit, b.shared.limit}
+		limits := [2]float64{to.limit.limit, b.sharedLimit.limit}
 		b.now += 900 * milli
-		b.learnLimit(r.attempts[0], Cancelled)
-		if to.own.limit >= limits[0] {
+		b.adjustLimits(r.attempts[0], Cancelled)
+		if to.limit.limit >= limits[0] {
 			t.Errorf("%s: its own limit is not cut", c.name)
 		}
-		if cut := b.shared.limit < limits[1]; cut == c.slow {
+		if cut := b.sharedLimit.limit < limits[1]; cut == c.slow {
 			t.Errorf("%s: the shared limit is cut: %v", c.name, cut)
 		}
 	}
@@ -171,23 +171,23 @@
 		now += second
 		b.Request(now, Request{ID: id + 1, Class: safe, Deadline: now + milli})
 	}
-	b.reach()
-	if b.span < 20*second || b.span > 30*second {
-		t.Errorf("one request a second to six backends is remembered for %v", b.span)
+	b.selectActive()
+	if b.decaySpan < 20*second || b.decaySpan > 30*second {
+		t.Errorf("one request a second to six backends is remembered for %v", b.decaySpan)
 	}
 }
 
 // The waiting room is ranked at each outcome: that of all proxies together must not grow with their number.
 func TestTheWaitingRoomIsThisProxysPart(t *testing.T) {
 	cfg := manyConfig(100)
-	cfg.WarmKeys = true
+	cfg.KeyAffinity = true
 	b, _ := newBalancer(t, cfg, 50)
-	b.shared.limit = 0
-	b.shared.average, b.shared.load, b.shared.at = 1, 1, b.now
+	b.sharedLimit.limit = 0
+	b.sharedLimit.averageLoad, b.sharedLimit.load, b.sharedLimit.averagedAt = 1, 1, b.now
 	for id := range RequestID(200) {
 		b.Request(b.now, Request{ID: id + 1, Class: safe, Deadline: b.now + 3*second})
 	}
-	if n := len(b.waiting); n == 0 || n > 50 {
+	if n := len(b.queue); n == 0 || n > 50 {
 		t.Errorf("%d wait", n)
 	}
 }
@@ -199,11 +199,11 @@
 	b, _ := newBalancer(t, cfg, 0)
 	backends := list(4)
 	backends[0].Weight = 3
-	b.Membership(b.now, Membership{Kind: ListFull, Backends: backends})
+	b.UpdateEndpoints(b.now, EndpointUpdate{Kind: UpdateFull, Backends: backends})
 	firsts := 0
 	for key := range uint64(3000) {
 		pool := append([]*target(nil), b.targets...)
-		if two := ownTwo(pool, key+1); two[0].ID == backends[0].ID {
+		if two := affinityTargets(pool, key+1); two[0].ID == backends[0].ID {
 			firsts++
 		}
 	}
@@ -217,21 +217,21 @@
 func TestALimitFallsForOneThatHangsAndComesBack(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 3)
 	to := b.targets[0]
-	first := to.own.limit
+	first := to.limit.limit
 	for i := range 2 {
-		if to.own.limit != first {
+		if to.limit.limit != first {
 			t.Fatalf("the limit fell after %d", i)
 		}
-		b.judge(&attempt{req: &request{}, to: to, sent: b.now}, Timeout)
+		b.recordAttemptHealth(&attempt{request: &request{}, target: to, waitingSince: b.now}, Timeout)
 	}
-	if to.own.limit != to.own.unit {
-		t.Errorf("limit %v after two attempts without an answer, its floor is %v", to.own.limit, to.own.unit)
+	if to.limit.limit != to.limit.unit {
+		t.Errorf("limit %v after two attempts without an answer, its floor is %v", to.limit.limit, to.limit.unit)
 	}
-	for range limitBack * memory * sweeps {
-		b.relax(&to.own)
+	for range limitRecoveryFactor * decayIntervals * sweepsPerInterval {
+		b.relaxLimit(&to.limit)
 	}
-	if to.own.limit < first/2 || to.own.limit > first {
-		t.Errorf("after a while the limit is %v, it began at %v", to.own.limit, first)
+	if to.limit.limit < first/2 || to.limit.limit > first {
+		t.Errorf("after a while the limit is %v, it began at %v", to.limit.limit, first)
 	}
 }
 
@@ -243,10 +243,10 @@
 		b, _ := newBalancer(t, manyConfig(n), 3)
 		b.now, b.meanWork = 30*second, 1
 		cold := b.targets[0]
-		b.starts(cold, b.now-10*second)
-		cold.servedLately.add(1000, b.now, b.cfg.Obligations.Fall)
-		b.coldRates()
-		rates[i] = cold.coldRate
+		b.recordStart(cold, b.now-10*second)
+		cold.recentWork.add(1000, b.now, b.config.Constraints.OverloadWindow)
+		b.refillSlowStart()
+		rates[i] = cold.slowStartRate
 	}
 	if half := rates[0] / 2; rates[1] > half*1.01 || rates[1] < half*0.99 {
 		t.Errorf("with nothing served by others a proxy of many may send %v, one of two %v", rates[1], rates[0])
@@ -256,7 +256,7 @@
 // A proxy with little traffic seldom has two waiting to choose from; so the limits themselves tell worth apart.
 func TestRequestsOfMoreGainKeepRoomWhereOthersFindNone(t *testing.T) {
 	cfg := manyConfig(100)
-	cfg.Classes[anywhere].Value = 20
+	cfg.Classes[anywhere].PriorityWeight = 20
 	b, h := newBalancer(t, cfg, 10)
 	now := b.now
 	for id := range RequestID(400) { // until the mean gain is known, and no longer that of the first
@@ -267,14 +267,14 @@
 		}
 	}
 	part := func(class int) float64 {
-		r := &request{Request: Request{Class: class, Deadline: now + 3*second}, arrived: now, aimAt: now + second}
-		r.worth = b.cfg.Classes[class].Value
-		return b.partFor(r)
+		r := &request{Request: Request{Class: class, Deadline: now + 3*second}, arrived: now, objectiveAt: now + second}
+		r.value = b.config.Classes[class].PriorityWeight
+		return b.limitScale(r)
 	}
-	if low, high := part(safe), part(anywhere); low > 1 || low < partLeast || high < 1.5 || high > partMost {
+	if low, high := part(safe), part(anywhere); low > 1 || low < minLimitScale || high < 1.5 || high > maxLimitScale {
 		t.Errorf("parts of the limit: %v for little worth, %v for much", low, high)
 	}
-	b.cfg.Instances = 2
+	b.config.Instances = 2
 	if part(safe) != 1 || part(anywhere) != 1 {
 		t.Error("a proxy that sees much of the traffic chooses among what waits instead")
 	}
@@ -285,14 +285,14 @@
 	b, _ := newBalancer(t, manyConfig(100), 2)
 	bad, good := b.targets[0], b.targets[1]
 	for range 2 {
-		b.judge(&attempt{req: &request{}, to: bad, sent: b.now}, Timeout)
-		b.judge(&attempt{req: &request{Request: Request{Class: unsafe}}, to: bad, sent: b.now}, OK)
+		b.recordAttemptHealth(&attempt{request: &request{}, target: bad, waitingSince: b.now}, Timeout)
+		b.recordAttemptHealth(&attempt{request: &request{Request: Request{Class: unsafe}}, target: bad, waitingSince: b.now}, OK)
 	}
 	one, other := &request{}, &request{Request: Request{Class: unsafe}}
-	if b.score(one, bad) < 2*b.score(one, good) {
+	if b.expectedDelay(one, bad) < 2*b.expectedDelay(one, good) {
 		t.Error("the class that gets no answer does not avoid the backend")
 	}
-	if b.score(other, bad) > b.score(other, good) {
+	if b.expectedDelay(other, bad) > b.expectedDelay(other, good) {
 		t.Error("the class that is served avoids it too")
 	}
 }
@@ -304,10 +304,10 @@
 		grows bool
 	}{{0.3, false}, {0.5, true}} {
 		b, _ := newBalancer(t, manyConfig(100), 2)
-		b.shared.limit, b.shared.boost = 4, 0
-		a := &attempt{to: b.targets[0], in: []use{{limiter: &b.shared, atSend: 4 * c.used, lateAt: time.Hour}}}
-		b.learnLimit(a, OK)
-		if grown := b.shared.limit > 4; grown != c.grows {
+		b.sharedLimit.limit, b.sharedLimit.growthStep = 4, 0
+		a := &attempt{target: b.targets[0], reservations: []reservation{{concurrencyLimit: &b.sharedLimit, loadAtSend: 4 * c.used, lateAt: time.Hour}}}
+		b.adjustLimits(a, OK)
+		if grown := b.sharedLimit.limit > 4; grown != c.grows {
 			t.Errorf("%v of the limit used: grown is %v", c.used, grown)
 		}
 	}
@@ -316,9 +316,9 @@
 // At rest about one in five may be late, not every second one: the queues would take what is wanted in time.
 func TestTheSharedLimitGrowsByAPartOfItsCut(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(400), 2)
-	b.shared.limit, b.shared.boost = 1, 0
+	b.sharedLimit.limit, b.sharedLimit.growthStep = 1, 0
 	ends := func(result Result, lateAt time.Duration) {
-		b.learnLimit(&attempt{to: b.targets[0], in: []use{{limiter: &b.shared, atSend: 9, lateAt: lateAt}}}, result)
+		b.adjustLimits(&attempt{target: b.targets[0], reservations: []reservation{{concurrencyLimit: &b.sharedLimit, loadAtSend: 9, lateAt: lateAt}}}, result)
 	}
 	for range 30 {
 		ends(OK, 0)
@@ -326,23 +326,23 @@
 			ends(OK, time.Hour)
 		}
 	}
-	if b.shared.limit > 0.9 {
-		t.Errorf("limit %v with one late in four, it should have fallen", b.shared.limit)
+	if b.sharedLimit.limit > 0.9 {
+		t.Errorf("limit %v with one late in four, it should have fallen", b.sharedLimit.limit)
 	}
 }
 
 // Where connections are made fast the checker's spans are short, and probes would cost more than requests.
 func TestShortConnectTimeoutsDoNotMakeProbesMany(t *testing.T) {
 	cfg := manyConfig(100)
-	cfg.Caps.ConnectTimeout = 50 * milli
+	cfg.Capabilities.ConnectTimeout = 50 * milli
 	b, h := newBalancer(t, cfg, 10)
 	h.take()
 	probes := 0
-	for at := second; at < 11*second; at += b.interval / sweeps {
+	for at := second; at < 11*second; at += b.checkInterval / sweepsPerInterval {
 		b.Timer(at, timerSweep<<56)
 		for _, a := range h.take("probe") {
 			probes++
-			b.Probed(at, ProbeResult{Backend: a.to, Result: OK, Took: milli})
+			b.HealthChecked(at, HealthCheckResult{Backend: a.to, Result: OK, Latency: milli})
 		}
 	}
 	if probes < 5 || probes > 15 {
@@ -354,15 +354,15 @@
 // while half of all are.
 func TestAnAttemptCountsAsLateBeforeItsAim(t *testing.T) {
 	b, h := newBalancer(t, manyConfig(10), 2)
-	for i := range b.tails {
-		b.tails[i].least = 5000
+	for i := range b.tailByClass {
+		b.tailByClass[i].baseline = 5000
 	}
 	b.Request(b.now, Request{ID: 1, Class: unsafe, Deadline: b.now + 4*second})
 	if len(h.take("send")) != 1 {
 		t.Fatal("nothing was sent")
 	}
-	for _, u := range b.requests[1].attempts[0].in {
-		if late := u.lateAt - b.now; late >= b.cfg.Classes[unsafe].Aim {
+	for _, u := range b.requests[1].attempts[0].reservations {
+		if late := u.lateAt - b.now; late >= b.config.Classes[unsafe].LatencyObjective {
 			t.Errorf("late only after %v", late)
 		}
 	}
--- a/decision/memory_test.go
+++ b/decision/memory_test.go
@@ -8,7 +8,7 @@
 )
 
 // learnt is a balancer that has served for a while, with a backend out of order, and one that has started anew.
-func learnt(t *testing.T) (*Balancer, Memory) {
+func learnt(t *testing.T) (*Balancer, Snapshot) {
 	t.Helper()
 	b, h := newBalancer(t, testConfig(), 8)
 	now := second
@@ -19,10 +19,10 @@
 			b.Outcome(now+5*milli, Outcome{ID: a.id, Backend: a.to, Result: OK, Final: true})
 		}
 	}
-	b.byID[3].healthy = false
-	b.starts(b.byID[4], now-second) // suspected: the list knows nothing of it
-	var m Memory
-	text, err := json.Marshal(b.Remember(now))
+	b.targetsByID[3].healthy = false
+	b.recordStart(b.targetsByID[4], now-second) // suspected: the list knows nothing of it
+	var m Snapshot
+	text, err := json.Marshal(b.Snapshot(now))
 	if err == nil {
 		err = json.Unmarshal(text, &m)
 	}
@@ -42,8 +42,8 @@
 		least, mostRate float64       // parts of the rate before
 	}{
 		{"at once", milli, 0, false, true, 0.9, 1.01},
-		{"after the time over which the rate is taken", rateOver, 0, false, false, 0.3, 0.4},
-		{"a backend that has started anew is another", second, m.At + milli, true, true, 0.9, 1.01},
+		{"after the time over which the rate is taken", maxRateSpan, 0, false, false, 0.3, 0.4},
+		{"a backend that has started anew is another", second, m.TakenAt + milli, true, true, 0.9, 1.01},
 		{"of a time that has not come", -second, 0, true, false, 0, 0},
 	} {
 		h := &recorder{}
@@ -51,23 +51,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now := m.At + c.age
+		now := m.TakenAt + c.age
 		b.Start(now)
-		b.Recall(now, m)
+		b.Restore(now, m)
 		backends := list(8)
 		for i := range backends {
 			backends[i].Started = c.started
 		}
-		b.Membership(now, Membership{Kind: ListCached, Backends: backends})
-		_, cold := b.cold(b.byID[4])
-		if b.byID[3].healthy != c.healthy || cold != c.cold {
-			t.Errorf("%s: healthy %v, cold %v", c.name, b.byID[3].healthy, cold)
+		b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateCached, Backends: backends})
+		_, cold := b.warmUpCapacity(b.targetsByID[4])
+		if b.targetsByID[3].healthy != c.healthy || cold != c.cold {
+			t.Errorf("%s: healthy %v, cold %v", c.name, b.targetsByID[3].healthy, cold)
 		}
-		if part := b.rate() / old.rate(); part < c.least || part > c.mostRate {
+		if part := b.requestRate() / old.requestRate(); part < c.least || part > c.mostRate {
 			t.Errorf("%s: the rate is %.2f of the one before", c.name, part)
 		}
 		if c.age >= 0 {
-			if want, got := old.expected(safe, 0), b.expected(safe, 0); math.Abs(want-got) > 1e-9*want {
+			if want, got := old.expectedLatency(safe, 0), b.expectedLatency(safe, 0); math.Abs(want-got) > 1e-9*want {
 				t.Errorf("%s: a delay of %v is expected, before it was %v", c.name, got, want)
 			}
 		}
@@ -81,14 +81,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Start(m.At)
-	b.Recall(m.At, m)
-	b.Membership(m.At, Membership{Kind: ListCached, Backends: list(8)})
+	b.Start(m.TakenAt)
+	b.Restore(m.TakenAt, m)
+	b.UpdateEndpoints(m.TakenAt, EndpointUpdate{Kind: UpdateCached, Backends: list(8)})
 	sent := 0
 	for range 1000 {
-		if b.coldAllows(b.byID[4], 100) {
-			b.byID[4].tokens--
-			b.byID[4].out = append(b.byID[4].out, nil)
+		if b.slowStartAllows(b.targetsByID[4], 100) {
+			b.targetsByID[4].slowStartTokens--
+			b.targetsByID[4].inFlight = append(b.targetsByID[4].inFlight, nil)
 			sent++
 		}
 	}
--- a/decision/model_test.go
+++ b/decision/model_test.go
@@ -68,17 +68,17 @@
 
 // ---- what the proxy is told ----
 
-func (m *model) list(l decision.Membership) {
-	if l.Kind == decision.ListFailed {
+func (m *model) list(l decision.EndpointUpdate) {
+	if l.Kind == decision.UpdateFailed {
 		return
 	}
 	leave := func(s *server) {
 		if s.State == decision.Ready {
 			s.notReady = m.now
 		}
-		s.State = decision.Gone
+		s.State = decision.Removed
 	}
-	if l.Kind != decision.ListDelta {
+	if l.Kind != decision.UpdateDelta {
 		for id, s := range m.servers {
 			if !slices.ContainsFunc(l.Backends, func(e decision.Backend) bool { return e.ID == id }) {
 				leave(s)
@@ -88,17 +88,17 @@
 	for _, e := range l.Backends {
 		s := m.servers[e.ID]
 		if s == nil {
-			if e.State == decision.Gone {
+			if e.State == decision.Removed {
 				continue
 			}
 			s = &server{notReady: m.now}
 			m.servers[e.ID] = s
 		}
-		if e.State == decision.Gone {
+		if e.State == decision.Removed {
 			leave(s)
 			continue
 		}
-		if s.State == decision.Gone { // it is new, or was away: a new target, well until probes say otherwise
+		if s.State == decision.Removed { // it is new, or was away: a new target, well until probes say otherwise
 			s.sick, s.passes, s.fails = false, 0, 0
 		}
 		if s.State == decision.Ready && e.State != decision.Ready {
@@ -149,29 +149,29 @@
 // ---- what it does ----
 
 func neverRan(t *try) bool {
-	return t.over && (t.result == decision.Full || t.result == decision.ConnectFailed || t.result == decision.Moot)
+	return t.over && (t.result == decision.Rejected || t.result == decision.ConnectFailed || t.result == decision.NotSent)
 }
 
 // forbids says what the second rule has against sending a request (again) to a place, or nothing.
 func (m *model) forbids(r *asked, zone, cell int) string {
 	c := m.cfg.Classes[r.Class]
 	for n, t := range r.tries {
-		if !t.over && (!m.cfg.Caps.SecondCopies || r.Streamed) {
+		if !t.over && (!m.cfg.Capabilities.HedgedRequests || r.StreamedBody) {
 			return "two attempts out"
 		}
-		if neverRan(t) || c.Effect == decision.Safe {
+		if neverRan(t) || c.Idempotency == decision.Idempotent {
 			continue
 		}
 		switch {
-		case c.Effect == decision.Unsafe:
+		case c.Idempotency == decision.NotIdempotent:
 			return fmt.Sprintf("attempt %d may have run and may not be repeated", n)
-		case c.Group == decision.GroupZone && t.zone != zone, c.Group == decision.GroupCell && t.cell != cell:
+		case c.DeduplicationScope == decision.ScopeZone && t.zone != zone, c.DeduplicationScope == decision.ScopeCell && t.cell != cell:
 			return fmt.Sprintf("it leaves the group of attempt %d", n)
-		case m.now-t.sent >= c.Window:
+		case m.now-t.sent >= c.DeduplicationWindow:
 			return fmt.Sprintf("the window of attempt %d is over", n)
 		}
 	}
-	if len(r.tries) >= m.cfg.Caps.MaxAttempts {
+	if len(r.tries) >= m.cfg.Capabilities.MaxAttempts {
 		return "too many attempts"
 	}
 	return ""
@@ -189,7 +189,7 @@
 	if why := m.forbids(r, s.Zone, s.Cell); why != "" {
 		m.breaks("rule 2", "request %d to %d: %s", id, to, why)
 	}
-	if away := m.now - s.notReady; s.State != decision.Ready && away > m.cfg.Obligations.DrainGrace {
+	if away := m.now - s.notReady; s.State != decision.Ready && away > m.cfg.Constraints.DrainGrace {
 		m.breaks("rule 3", "send to %d, %v after it was told to drain or gone", to, away)
 	} else if s.State != decision.Ready && !m.graceOnly {
 		m.breaks("listed", "send to %d, which is not listed as ready", to)
@@ -205,28 +205,28 @@
 			}
 		}
 	}
-	if why := m.fleet.charge(m.cfg.Obligations, m.now, s.Backend, r.work); why != "" {
+	if why := m.fleet.charge(m.cfg.Constraints, m.now, s.Backend, r.work); why != "" {
 		m.breaks("rule 4", "%s", why)
 	}
 	r.tries = append(r.tries, &try{to: to, zone: s.Zone, cell: s.Cell, sent: m.now})
 }
 
 // charge enters work in the budget of a cold server, and says if that is more than its budget.
-func (b *books) charge(o decision.Obligations, now time.Duration, s decision.Backend, ms time.Duration) string {
+func (b *books) charge(o decision.Constraints, now time.Duration, s decision.Backend, ms time.Duration) string {
 	b.sent[s.ID] = append(b.sent[s.ID], work{now, ms})
 	age := now - s.Started
-	if s.Started == 0 || age >= o.Cold {
+	if s.Started == 0 || age >= o.WarmUp {
 		return ""
 	}
 	sum := time.Duration(0)
 	for _, w := range b.sent[s.ID] {
-		if w.at >= s.Started && now-w.at < o.Fall {
+		if w.at >= s.Started && now-w.at < o.OverloadWindow {
 			sum += w.ms
 		}
 	}
-	share := o.StartCapacity + (1-o.StartCapacity)*float64(max(age, 0))/float64(o.Cold)
-	if budget := o.FallMultiple*share*b.speed[s.ID]*float64(o.Fall) + float64(b.slack); float64(sum) > budget {
-		return fmt.Sprintf("%d got %v of work within %v, %v after its start; it bears %v", s.ID, sum, o.Fall, age, time.Duration(budget))
+	share := o.InitialCapacity + (1-o.InitialCapacity)*float64(max(age, 0))/float64(o.WarmUp)
+	if budget := o.OverloadFactor*share*b.speed[s.ID]*float64(o.OverloadWindow) + float64(b.slack); float64(sum) > budget {
+		return fmt.Sprintf("%d got %v of work within %v, %v after its start; it bears %v", s.ID, sum, o.OverloadWindow, age, time.Duration(budget))
 	}
 	return ""
 }
@@ -242,7 +242,7 @@
 		m.breaks("rule 1", "request %d gets a second answer", id)
 	}
 	c := m.cfg.Classes[r.Class]
-	harmless := c.Effect == decision.Safe || c.Effect == decision.Keyed && c.Group == decision.GroupAll
+	harmless := c.Idempotency == decision.Idempotent || c.Idempotency == decision.IdempotentByKey && c.DeduplicationScope == decision.ScopeAll
 	for n, t := range r.tries {
 		if refused && !harmless && !neverRan(t) {
 			m.breaks("rule 2", "request %d is refused though attempt %d may have run", id, n)
@@ -266,7 +266,7 @@
 		return
 	case s.probing:
 		m.breaks("health", "two probes of %d at once", id)
-	case !m.cfg.Caps.Probes:
+	case !m.cfg.Capabilities.HealthChecks:
 		m.breaks("listed", "a probe where none is allowed")
 	}
 	if s != nil {
@@ -294,7 +294,7 @@
 func (m *model) settled(known, excluded int) {
 	wantKnown, wantOut := 0, 0
 	for id, s := range m.servers {
-		if s.State != decision.Gone {
+		if s.State != decision.Removed {
 			wantKnown++
 			if m.out[id] || s.State == decision.Ready && s.sick {
 				wantOut++
@@ -324,8 +324,8 @@
 // late looks for requests whose time is up.
 func (m *model) late() {
 	for _, r := range m.asks {
-		timed := !r.over && !r.streams && !r.complained && (!r.Streamed || r.whole)
-		if timed && m.now > r.Deadline+m.cfg.Obligations.AnswerSlack {
+		timed := !r.over && !r.streams && !r.complained && (!r.StreamedBody || r.whole)
+		if timed && m.now > r.Deadline+m.cfg.Constraints.AnswerSlack {
 			m.breaks("rule 1", "request %d has no answer in time", r.ID)
 			r.complained = true
 		}
--- a/decision/operator_test.go
+++ b/decision/operator_test.go
@@ -12,15 +12,15 @@
 		lists func(b *Balancer)
 	}{
 		{"list unchanged", func(b *Balancer) {}},
-		{"listed anew", func(b *Balancer) { b.Membership(second, Membership{Kind: ListFull, Backends: list(2)}) }},
+		{"listed anew", func(b *Balancer) { b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)}) }},
 		{"gone and back", func(b *Balancer) {
-			b.Membership(second, Membership{Kind: ListFull, Backends: list(2)[1:]})
-			b.Membership(second, Membership{Kind: ListFull, Backends: list(2)})
+			b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)[1:]})
+			b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)})
 		}},
 		{"restarted", func(b *Balancer) {
 			e := list(2)[0]
 			e.Started = second
-			b.Membership(second, Membership{Kind: ListDelta, Backends: []Backend{e}})
+			b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{e}})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -31,7 +31,7 @@
 				t.Errorf("idle connections given back: %v", got)
 			}
 			c.lists(b)
-			if known, excluded := b.Census(); known != 2 || excluded != 1 {
+			if known, excluded := b.CountBackends(); known != 2 || excluded != 1 {
 				t.Errorf("%d known, %d excluded", known, excluded)
 			}
 			sent := func(from RequestID) (there int) {
@@ -45,9 +45,9 @@
 							there++
 						}
 						if a.verb == "send" {
-							b.Outcome(now+milli, Outcome{ID: a.id, Backend: a.to, Result: OK, Took: milli, Final: true})
+							b.Outcome(now+milli, Outcome{ID: a.id, Backend: a.to, Result: OK, Latency: milli, Final: true})
 						} else {
-							b.Probed(now+milli, ProbeResult{Backend: a.to, Result: OK, Took: milli})
+							b.HealthChecked(now+milli, HealthCheckResult{Backend: a.to, Result: OK, Latency: milli})
 						}
 					}
 					now += milli
@@ -58,7 +58,7 @@
 				t.Errorf("%d requests and probes for the backend that is out", n)
 			}
 			b.Attach(3*second, out)
-			if _, cold := b.cold(b.byID[out]); !cold {
+			if _, cold := b.warmUpCapacity(b.targetsByID[out]); !cold {
 				t.Error("it may have been restarted, and is taken for warm")
 			}
 			b.now = 3 * second
@@ -71,7 +71,7 @@
 					if a.to == out {
 						there++
 					}
-					b.Outcome(now+milli, Outcome{ID: a.id, Backend: a.to, Result: OK, Took: milli, Final: true})
+					b.Outcome(now+milli, Outcome{ID: a.id, Backend: a.to, Result: OK, Latency: milli, Final: true})
 				}
 			}
 			if there == 0 {
@@ -87,13 +87,13 @@
 	b, _ := newBalancer(t, testConfig(), 0)
 	b.Detach(second, out)
 	b.Detach(second, out)
-	b.Membership(second, Membership{Kind: ListFull, Backends: list(3)})
-	if len(b.ready) != 2 {
-		t.Errorf("%d ready, want 2", len(b.ready))
+	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(3)})
+	if len(b.active) != 2 {
+		t.Errorf("%d ready, want 2", len(b.active))
 	}
 	b.Attach(2*second, out)
 	b.Attach(2*second, out)
-	if len(b.ready) != 3 {
-		t.Errorf("put back: %d ready, want 3", len(b.ready))
+	if len(b.active) != 3 {
+		t.Errorf("put back: %d ready, want 3", len(b.active))
 	}
 }
--- a/decision/reach_test.go
+++ b/decision/reach_test.go
@@ -9,7 +9,7 @@
 func TestReachFollowsHighRates(t *testing.T) {
 	for _, k := range []struct {
 		perSecond, least, most int
-	}{{40, reachLeast, 40}, {10_000, 250, 400}} {
+	}{{40, minActiveTargets, 40}, {10_000, 250, 400}} {
 		cfg := testConfig()
 		cfg.Instances = 2
 		b, h := newBalancer(t, cfg, 400)
@@ -21,10 +21,10 @@
 			for _, a := range h.take("send") {
 				b.Outcome(now, Outcome{ID: a.id, Backend: a.to, Result: OK, Final: true})
 			}
-			b.Gone(now, RequestID(i+1))
+			b.ClientGone(now, RequestID(i+1))
 		}
-		b.reach()
-		if n := len(b.ready); n < k.least || n > k.most {
+		b.selectActive()
+		if n := len(b.active); n < k.least || n > k.most {
 			t.Errorf("at %d requests a second it uses %d backends, want %d to %d", k.perSecond, n, k.least, k.most)
 		}
 	}
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -6,11 +6,11 @@
 func TestFurtherAttemptsStayWithinTheirShare(t *testing.T) {
 	for _, share := range []float64{0, 0.02, 0.1, 0.5} { // 0 is the usual
 		cfg := testConfig()
-		cfg.RetryShare = share
+		cfg.RetryBudgetRatio = share
 		b, h := newBalancer(t, cfg, 20)
 		want := share
 		if want == 0 {
-			want = retryShare
+			want = defaultRetryBudgetRatio
 		}
 		const n = 2000
 		sends := 0
@@ -31,10 +31,10 @@
 					break
 				}
 			}
-			b.Gone(now, id)
+			b.ClientGone(now, id)
 		}
 		// An attempt after one that broke costs brokenPrice of the budget.
-		if most := n + int(want*n/brokenPrice) + retryBurst/brokenPrice + 1; float64(sends) > float64(most) {
+		if most := n + int(want*n/brokenAttemptCost) + maxRetryBudget/brokenAttemptCost + 1; float64(sends) > float64(most) {
 			t.Errorf("share %v: %d sends for %d requests, at most %d", share, sends, n, most)
 		}
 		if want >= 0.1 && sends < n+n/20 {
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -13,24 +13,24 @@
 		{"streaming", safe, func(_ *Balancer, r *request, _ *target) { r.streaming = true }},
 		{"past the deadline", safe, func(b *Balancer, r *request, _ *target) { b.now = r.Deadline }},
 		{"draining", safe, func(_ *Balancer, _ *request, o *target) { o.State = Draining }},
-		{"gone", safe, func(_ *Balancer, _ *request, o *target) { o.State = Gone }},
-		{"second copy", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.SecondCopies = false }},
-		{"attempts used up", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.MaxAttempts = 1 }},
+		{"gone", safe, func(_ *Balancer, _ *request, o *target) { o.State = Removed }},
+		{"second copy", safe, func(b *Balancer, _ *request, _ *target) { b.config.Capabilities.HedgedRequests = false }},
+		{"attempts used up", safe, func(b *Balancer, _ *request, _ *target) { b.config.Capabilities.MaxAttempts = 1 }},
 		{"unsafe that may run", unsafe, func(*Balancer, *request, *target) {}},
 		{"other zone", keyed, func(_ *Balancer, r *request, o *target) { o.Zone = r.attempts[0].zone + 1 }},
 		{"other cell", keyed, func(b *Balancer, r *request, o *target) {
-			b.cfg.Classes[keyed].Group, o.Cell = GroupCell, r.attempts[0].cell+1
+			b.config.Classes[keyed].DeduplicationScope, o.Cell = ScopeCell, r.attempts[0].cell+1
 		}},
 		{"after the window", anywhere, func(b *Balancer, _ *request, _ *target) { b.now += 2 * second }},
 		{"cold without budget", safe, func(b *Balancer, _ *request, o *target) {
-			o.coldSince, o.tokens = b.now, -1
+			o.lastStart, o.slowStartTokens = b.now, -1
 		}},
 	} {
 		b, h := newBalancer(t, testConfig(), 2)
 		b.Request(second, Request{ID: 1, Class: c.class, Deadline: 5 * second})
 		r := b.requests[1]
 		other := b.targets[0]
-		if other == r.attempts[0].to {
+		if other == r.attempts[0].target {
 			other = b.targets[1]
 		}
 		other.Zone, other.Cell = r.attempts[0].zone, r.attempts[0].cell
@@ -45,14 +45,14 @@
 	h.take()
 	r := b.requests[1]
 	other := b.targets[0]
-	if other == r.attempts[0].to {
+	if other == r.attempts[0].target {
 		other = b.targets[1]
 	}
 	if !b.send(r, other) {
 		t.Error("a second copy of a safe request was not sent, so the cases above show nothing")
 	}
-	b.end(r, 0)
-	b.end(r, 0)
+	b.rejectOrFail(r, 0)
+	b.rejectOrFail(r, 0)
 	if got := h.take("refuse", "fail"); len(got) != 1 {
 		t.Errorf("%d final answers", len(got))
 	}
--- a/decision/service_test.go
+++ b/decision/service_test.go
@@ -32,7 +32,7 @@
 	}
 	func() {
 		defer func() { recover() }()
-		b.Membership(second, Membership{Kind: ListFull, Version: 1, Backends: list(4)})
+		b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Version: 1, Backends: list(4)})
 		b.Timer(second+20*milli, timerDispatch<<56)
 	}()
 	if !h.failed {
@@ -52,13 +52,13 @@
 	if len(sent) != 1 {
 		t.Fatalf("%d sends, want 1", len(sent))
 	}
-	b.Membership(second, Membership{Kind: ListFull, Version: 2})
+	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Version: 2})
 	if len(b.targets) != 1 {
 		t.Fatal("a target with something out was forgotten")
 	}
 	b.Outcome(2*second, Outcome{ID: 1, Backend: sent[0].to, Result: OK, Final: true})
 	b.Timer(2*second, timerSweep<<56)
-	if len(b.targets) != 0 || len(b.byID) != 0 {
+	if len(b.targets) != 0 || len(b.targetsByID) != 0 {
 		t.Errorf("%d targets are still held", len(b.targets))
 	}
 }
@@ -75,10 +75,10 @@
 		for i := range RequestID(2) {
 			now := 30*second + time.Duration(i)*c.apart
 			b.now = now
-			b.judge(&attempt{req: &request{}, to: target, sent: now}, Reset)
-			b.judge(&attempt{req: &request{}, to: target, sent: now}, ConnectFailed)
+			b.recordAttemptHealth(&attempt{request: &request{}, target: target, waitingSince: now}, Reset)
+			b.recordAttemptHealth(&attempt{request: &request{}, target: target, waitingSince: now}, ConnectFailed)
 		}
-		if _, cold := b.cold(target); cold != c.cold {
+		if _, cold := b.warmUpCapacity(target); cold != c.cold {
 			t.Errorf("failures %v apart: cold %v", c.apart, cold)
 		}
 	}
@@ -90,13 +90,13 @@
 		b, _ := newBalancer(t, testConfig(), 1)
 		target := b.targets[0]
 		for i := range 2 {
-			target.probing = true
-			b.Probed(30*second+time.Duration(i)*second, ProbeResult{Backend: target.ID, Result: Reset})
+			target.checkInFlight = true
+			b.HealthChecked(30*second+time.Duration(i)*second, HealthCheckResult{Backend: target.ID, Result: Reset})
 			if answers {
-				target.lastOK = b.now + 10*milli
+				target.lastSuccess = b.now + 10*milli
 			}
 		}
-		if _, cold := b.cold(target); cold == answers {
+		if _, cold := b.warmUpCapacity(target); cold == answers {
 			t.Errorf("answers meanwhile %v: cold %v", answers, cold)
 		}
 		if target.healthy {
@@ -109,7 +109,7 @@
 func TestBrokenAttemptsAreRepeated(t *testing.T) {
 	repeats := func(result Result) int {
 		cfg := testConfig()
-		cfg.Caps.MaxAttempts = 1000
+		cfg.Capabilities.MaxAttempts = 1000
 		b, h := newBalancer(t, cfg, 1)
 		b.Request(second, Request{ID: 1, Deadline: 4 * second})
 		n := 0
@@ -130,8 +130,8 @@
 // at once, and the others are taken.
 func TestLastPlacesAreForTheBest(t *testing.T) {
 	cfg := testConfig()
-	cfg.Caps.MaxOpen = 20
-	cfg.Classes[2].Value = 20 // unsafe
+	cfg.Capabilities.MaxOpenRequests = 20
+	cfg.Classes[2].PriorityWeight = 20 // unsafe
 	b, h := newBalancer(t, cfg, 4)
 	id := RequestID(0)
 	ask := func(class int) string {
@@ -147,21 +147,21 @@
 	for range 9 {
 		for _, class := range []int{unsafe, 0} {
 			if got := ask(class); got != "taken" {
-				t.Fatalf("with %d open: %s", b.open, got)
+				t.Fatalf("with %d open: %s", b.openRequests, got)
 			}
 		}
 	}
 	if got := ask(0); got != "refused" {
-		t.Errorf("one of little worth with %d open: %s", b.open, got)
+		t.Errorf("one of little worth with %d open: %s", b.openRequests, got)
 	}
 	if got := ask(unsafe); got != "taken" {
-		t.Errorf("one of much worth with %d open: %s", b.open, got)
+		t.Errorf("one of much worth with %d open: %s", b.openRequests, got)
 	}
 	for id := range id {
-		b.Gone(second, id+1)
-		b.Gone(second, id+1)
+		b.ClientGone(second, id+1)
+		b.ClientGone(second, id+1)
 	}
-	if b.open != 0 {
-		t.Errorf("%d are counted as open after all have gone", b.open)
+	if b.openRequests != 0 {
+		t.Errorf("%d are counted as open after all have gone", b.openRequests)
 	}
 }
--- a/decision/stats.go
+++ b/decision/stats.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// decaying is a sum whose parts fade with their age.
-type decaying struct {
-	sum float64
-	at  time.Duration
+// decayingSum is a sum whose parts fade with their age.
+type decayingSum struct {
+	sum       float64
+	updatedAt time.Duration
 }
 
-// fade brings the sum to the time now; span is how long a part takes to fade to 1/e.
-func (f *decaying) fade(now, span time.Duration) float64 {
-	if span > 0 && now > f.at {
-		f.sum *= math.Exp(-float64(now-f.at) / float64(span))
+// decay brings the sum to the time now; span is how long a part takes to fade to 1/e.
+func (f *decayingSum) decay(now, span time.Duration) float64 {
+	if span > 0 && now > f.updatedAt {
+		f.sum *= math.Exp(-float64(now-f.updatedAt) / float64(span))
 	}
-	f.at = now
+	f.updatedAt = now
 	return f.sum
 }
 
-func (f *decaying) add(v float64, now, span time.Duration) {
-	f.fade(now, span)
+func (f *decayingSum) add(v float64, now, span time.Duration) {
+	f.decay(now, span)
 	f.sum += v
 }
 
 // perSecond is the rate at which v is added.
-func (f *decaying) perSecond(now, span time.Duration) float64 {
-	return f.fade(now, span) / max(span, time.Millisecond).Seconds()
+func (f *decayingSum) perSecond(now, span time.Duration) float64 {
+	return f.decay(now, span) / max(span, time.Millisecond).Seconds()
 }
 
-// line is a least-squares line through points of which old ones fade with the number of newer ones.
-type line struct{ n, x, y, xx, xy float64 }
+// linearFit is a least-squares line through points of which old ones fade with the number of newer ones.
+type linearFit struct{ n, x, y, xx, xy float64 }
 
-func (l *line) learn(x, y, keep float64) {
+func (l *linearFit) learn(x, y, keep float64) {
 	l.n, l.x, l.y = l.n*keep+1, l.x*keep+x, l.y*keep+y
 	l.xx, l.xy = l.xx*keep+x*x, l.xy*keep+x*y
 }
 
 // mean is the points' mean y. There must be a point.
-func (l *line) mean() float64 { return l.y / l.n }
+func (l *linearFit) mean() float64 { return l.y / l.n }
 
-// at is the line's y; the line never falls, and it is flat if the points don't say otherwise.
-func (l *line) at(x float64) float64 {
+// predict is the line's y; the line never falls, and it is flat if the points don't say otherwise.
+func (l *linearFit) predict(x float64) float64 {
 	slope, spread := 0.0, l.xx-l.x*l.x/l.n
 	if spread > 1e-9*l.xx {
 		slope = max(0, (l.xy-l.x*l.y/l.n)/spread)
@@ -52,43 +52,43 @@
 	return l.mean() + slope*(x-l.x/l.n)
 }
 
-// tail follows a quantile: a part of the values seen lies beyond it. least is the least that it was
+// quantile follows a quantile: a part of the values seen lies beyond it. least is the least that it was
 // lately.
-type tail struct{ n, at, least float64 }
+type quantile struct{ samples, value, baseline float64 }
 
 // learn takes in a value; step is by how much one moves the quantile at most.
-func (q *tail) learn(v, part, step float64) {
-	switch q.n++; {
-	case q.n == 1:
-		q.at = v
-	case v > q.at:
-		q.at *= 1 + step*(1-part)
+func (q *quantile) learn(v, part, step float64) {
+	switch q.samples++; {
+	case q.samples == 1:
+		q.value = v
+	case v > q.value:
+		q.value *= 1 + step*(1-part)
 	default:
-		q.at *= 1 - step*part
+		q.value *= 1 - step*part
 	}
 }
 
-// findLeast follows the quantile down at once, and up by one part in rise each time; it begins when
+// trackBaseline follows the quantile down at once, and up by one part in rise each time; it begins when
 // so many values are known.
-func (q *tail) findLeast(from, rise float64) {
-	if q.n < from {
+func (q *quantile) trackBaseline(from, rise float64) {
+	if q.samples < from {
 		return
 	}
-	if q.least *= 1 + 1/rise; q.least == 0 || q.at < q.least {
-		q.least = q.at
+	if q.baseline *= 1 + 1/rise; q.baseline == 0 || q.value < q.baseline {
+		q.baseline = q.value
 	}
 }
 
-// usual is the least, or what stands in for it while too few values are known.
-func (q *tail) usual(otherwise float64) float64 {
-	if q.least == 0 {
+// baselineOr is the least, or what stands in for it while too few values are known.
+func (q *quantile) baselineOr(otherwise float64) float64 {
+	if q.baseline == 0 {
 		return otherwise
 	}
-	return q.least
+	return q.baseline
 }
 
-// smooth takes v into a mean over n values; the first v is the mean.
-func smooth(mean, v, n float64) float64 {
+// movingAverage takes v into a mean over n values; the first v is the mean.
+func movingAverage(mean, v, n float64) float64 {
 	if mean == 0 {
 		return v
 	}
@@ -96,17 +96,17 @@
 }
 
 // tally is worth asked for and worth served.
-type tally struct{ asked, served float64 }
+type tally struct{ offered, served float64 }
 
-func (t *tally) share() float64 {
-	if t.asked <= 0 {
+func (t *tally) servedShare() float64 {
+	if t.offered <= 0 {
 		return 1
 	}
-	return t.served / t.asked
+	return t.served / t.offered
 }
 
-// mix hashes a key with a backend, the same way at every proxy.
-func mix(key uint64, id BackendID) uint64 {
+// hashKey hashes a key with a backend, the same way at every proxy.
+func hashKey(key uint64, id BackendID) uint64 {
 	h := key ^ uint64(id)*0x9e3779b97f4a7c15
 	for range 2 {
 		h ^= h >> 32
@@ -122,10 +122,10 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// span is a span of so many ms. Danger: one out of a Duration's range would turn negative, and be
+// fromMillis is a span of so many ms. Danger: one out of a Duration's range would turn negative, and be
 // due at once.
-func span(ms float64) time.Duration {
-	most := millis(longestSpan)
+func fromMillis(ms float64) time.Duration {
+	most := millis(maxDuration)
 	return time.Duration(min(max(ms, -most), most) * float64(time.Millisecond))
 }
 
--- a/decision/stats_test.go
+++ b/decision/stats_test.go
@@ -7,9 +7,9 @@
 	b, _ := newBalancer(t, testConfig(), 4)
 	const others = 15
 	for i := range 1 + others {
-		r := Request{ID: RequestID(i + 1), Deadline: 2 * second, Cost: milli}
+		r := Request{ID: RequestID(i + 1), Deadline: 2 * second, ExpectedWork: milli}
 		if i == 0 {
-			r.Cost = 100 * milli
+			r.ExpectedWork = 100 * milli
 		}
 		b.Request(second, r)
 	}
--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -5,27 +5,27 @@
 // A body on its way is no load at its backend, and its time counts from its last byte.
 func TestABodyOnItsWayIsNoLoad(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
-	b.Request(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second, Streamed: true})
+	b.Request(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second, StreamedBody: true})
 	if got := h.take("send"); len(got) != 1 {
 		t.Fatalf("sent %v", got)
 	}
 	to := b.targets[0]
 	b.now = 6 * second
-	if e := b.estimate(to); to.own.load != 0 || e > 1.01 {
-		t.Errorf("load %v, estimate %v while the body is on its way", to.own.load, e)
+	if e := b.latencyRatio(to); to.limit.load != 0 || e > 1.01 {
+		t.Errorf("load %v, estimate %v while the body is on its way", to.limit.load, e)
 	}
 	b.Timer(6*second, timerAttempt<<56|1)
 	if got := h.take("send", "refuse", "fail"); len(got) != 0 {
 		t.Errorf("a second copy of a body that passes by once: %v", got)
 	}
-	b.Whole(6*second, 1, 7*second)
+	b.BodyComplete(6*second, 1, 7*second)
 	b.now = 6*second + 500*milli
-	if e := b.estimate(to); to.own.load <= 0 || e < 2 {
-		t.Errorf("load %v, estimate %v half a second after its last byte", to.own.load, e)
+	if e := b.latencyRatio(to); to.limit.load <= 0 || e < 2 {
+		t.Errorf("load %v, estimate %v half a second after its last byte", to.limit.load, e)
 	}
 	b.Outcome(6*second+600*milli, Outcome{ID: 1, Backend: to.ID, Result: OK, Final: true})
-	if to.own.load != 0 || to.ageB != 0 || b.all[0].served == 0 {
-		t.Errorf("load %v, ages %v, served %v at the end", to.own.load, to.ageB, b.all[0].served)
+	if to.limit.load != 0 || to.inverseExpected != 0 || b.totalTally[0].served == 0 {
+		t.Errorf("load %v, ages %v, served %v at the end", to.limit.load, to.inverseExpected, b.totalTally[0].served)
 	}
 }
 
@@ -33,9 +33,9 @@
 func TestASpentBodyIsNotSentAgain(t *testing.T) {
 	for _, spent := range []bool{true, false} {
 		b, h := newBalancer(t, testConfig(), 3)
-		b.Request(second, Request{ID: 1, Class: safe, Deadline: 2 * second, Streamed: true})
+		b.Request(second, Request{ID: 1, Class: safe, Deadline: 2 * second, StreamedBody: true})
 		first := h.take("send")
-		b.Outcome(second+milli, Outcome{ID: 1, Backend: first[0].to, Result: Full, Spent: spent})
+		b.Outcome(second+milli, Outcome{ID: 1, Backend: first[0].to, Result: Rejected, BodyConsumed: spent})
 		got := h.take("send", "refuse")
 		if want := map[bool]string{true: "refuse", false: "send"}[spent]; len(got) != 1 || got[0].verb != want {
 			t.Errorf("spent %v: %v, want %s", spent, got, want)
@@ -48,13 +48,13 @@
 	b, h := newBalancer(t, testConfig(), 1)
 	b.Request(second, Request{ID: 1, Class: safe, Deadline: 2 * second})
 	to := h.take("send")[0].to
-	b.FirstByte(second+20*milli, FirstByte{ID: 1, Backend: to, Took: 20 * milli})
-	if got := b.targets[0]; got.own.load != 0 || got.answers.sum == 0 || b.classes[safe].mean() != 20 {
-		t.Errorf("load %v, answers %v, class mean %v", got.own.load, got.answers.sum, b.classes[safe].mean())
+	b.FirstByte(second+20*milli, FirstByte{ID: 1, Backend: to, Latency: 20 * milli})
+	if got := b.targets[0]; got.limit.load != 0 || got.ratioCount.sum == 0 || b.latencyByClass[safe].mean() != 20 {
+		t.Errorf("load %v, answers %v, class mean %v", got.limit.load, got.ratioCount.sum, b.latencyByClass[safe].mean())
 	}
 	b.Timer(30*second, timerDispatch<<56)
-	b.Outcome(30*second, Outcome{ID: 1, Backend: to, Result: Reset, Took: 29 * second, Final: true})
-	if got := h.take("refuse", "fail", "send"); len(got) != 0 || len(b.requests) != 0 || b.open != 0 {
-		t.Errorf("after its end: %v, %d requests held, %d open", got, len(b.requests), b.open)
+	b.Outcome(30*second, Outcome{ID: 1, Backend: to, Result: Reset, Latency: 29 * second, Final: true})
+	if got := h.take("refuse", "fail", "send"); len(got) != 0 || len(b.requests) != 0 || b.openRequests != 0 {
+		t.Errorf("after its end: %v, %d requests held, %d open", got, len(b.requests), b.openRequests)
 	}
 }
--- a/internal/controlplane/freshness/sight.go
+++ b/internal/controlplane/freshness/sight.go
@@ -24,16 +24,16 @@
 func (l *Link) Sight(classes []decision.Class) *Sight {
 	s := &Sight{link: l}
 	for _, c := range classes {
-		s.effects = append(s.effects, effectOf(c.Effect))
+		s.effects = append(s.effects, effectOf(c.Idempotency))
 	}
 	return s
 }
 
-func effectOf(e decision.Effect) staleness.Effect {
+func effectOf(e decision.Idempotency) staleness.Effect {
 	switch e {
-	case decision.Safe:
+	case decision.Idempotent:
 		return staleness.Safe
-	case decision.Keyed:
+	case decision.IdempotentByKey:
 		return staleness.Keyed
 	}
 	return staleness.Once
--- a/internal/controlplane/freshness/view_test.go
+++ b/internal/controlplane/freshness/view_test.go
@@ -50,7 +50,7 @@
 	return l
 }
 
-var classes = []decision.Class{{Effect: decision.Safe}, {Effect: decision.Keyed}, {Effect: decision.Unsafe}}
+var classes = []decision.Class{{Idempotency: decision.Idempotent}, {Idempotency: decision.IdempotentByKey}, {Idempotency: decision.NotIdempotent}}
 
 const (
 	safe  = 0
@@ -256,7 +256,7 @@
 		w.say(servers(2, false, "e"))
 		time.Sleep(3 * tick)
 		gone := servers(3, false, "d")
-		gone.Members[0].State = decision.Gone
+		gone.Members[0].State = decision.Removed
 		w.say(gone)
 		w.link.ring <- evidence{} // without a server: it kills the duty
 		w.comes("another duty", func() bool { return w.link.Report().Died == 1 })
--- a/internal/diameter/frontend/front_test.go
+++ b/internal/diameter/frontend/front_test.go
@@ -204,7 +204,7 @@
 		again diameter.ResultCode
 		runs  bool // the repeat is carried out
 	}{
-		{enginetest.Reply{Result: decision.Full}, diameter.TooBusy, diameter.TooBusy, true},
+		{enginetest.Reply{Result: decision.Rejected}, diameter.TooBusy, diameter.TooBusy, true},
 		{enginetest.Reply{After: time.Hour}, diameter.UnableToComply, diameter.UnableToComply, false},
 		{enginetest.Reply{Answer: []byte("x")}, diameter.Success, diameter.Success, false},
 		{enginetest.Reply{Answer: make([]byte, frontend.MostBody+1)}, diameter.UnableToComply, diameter.UnableToComply, false},
--- a/internal/diameter/upstream/late_test.go
+++ b/internal/diameter/upstream/late_test.go
@@ -15,7 +15,7 @@
 		asked := time.Now()
 		may := func() (time.Time, bool) { return time.Time{}, time.Since(asked) < 400*time.Millisecond }
 		a := engine.Attempt{Message: NewMessage(claimOf("1", 1)), Timeout: time.Second, May: may}
-		if got, _ := u.Find(engine.BackendID("a")).Exchange(t.Context(), a); got != decision.Moot {
+		if got, _ := u.Find(engine.BackendID("a")).Exchange(t.Context(), a); got != decision.NotSent {
 			t.Errorf("ended as %v", got)
 		}
 		before := u.node.Counts.Sent.Load()
--- a/internal/diameter/upstream/upstream.go
+++ b/internal/diameter/upstream/upstream.go
@@ -79,7 +79,7 @@
 		id := engine.BackendID(l.ID)
 		named[id] = true
 		m := u.members[id]
-		if l.State == decision.Gone {
+		if l.State == decision.Removed {
 			u.drop(id)
 			continue
 		}
@@ -178,7 +178,7 @@
 	case errors.Is(cause, context.Canceled):
 		return decision.Cancelled, nil
 	case errors.Is(err, node.ErrTooLate):
-		return decision.Moot, nil
+		return decision.NotSent, nil
 	case unsent:
 		return decision.ConnectFailed, nil
 	case cause != nil:
@@ -212,7 +212,7 @@
 	case claim.Final:
 		return decision.OK, answer
 	case claim.NeverRan:
-		return decision.Full, nil
+		return decision.Rejected, nil
 	}
 	return decision.Error, nil
 }
@@ -221,7 +221,7 @@
 func (m *member) Probe(ctx context.Context) decision.Result {
 	p := m.now()
 	if p == nil {
-		return decision.Moot
+		return decision.NotSent
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.up.connect)
 	defer cancel()
--- a/internal/discovery/guardedsource/source.go
+++ b/internal/discovery/guardedsource/source.go
@@ -58,7 +58,7 @@
 		members := slices.Clone(h.List.Members) // of which others hold the old ones
 		for _, m := range told.Members {
 			members = slices.DeleteFunc(members, func(o engine.Member) bool { return o.ID == m.ID })
-			if m.State != decision.Gone {
+			if m.State != decision.Removed {
 				members = append(members, m)
 			}
 		}
--- a/internal/discovery/hub.go
+++ b/internal/discovery/hub.go
@@ -366,9 +366,9 @@
 	for _, m := range list.Members {
 		i := slices.IndexFunc(c.members, func(o engine.Member) bool { return o.ID == m.ID })
 		switch {
-		case m.State == decision.Gone && i >= 0:
+		case m.State == decision.Removed && i >= 0:
 			c.members = slices.Delete(c.members, i, i+1)
-		case m.State == decision.Gone:
+		case m.State == decision.Removed:
 		case i < 0:
 			c.members = append(c.members, m)
 		default:
--- a/internal/discovery/hub_test.go
+++ b/internal/discovery/hub_test.go
@@ -150,7 +150,7 @@
 			add()
 		}
 		time.Sleep(100 * time.Millisecond)
-		src.lists <- engine.List{Version: 8, Members: []engine.Member{{ID: "a", State: decision.Gone}, {ID: "c", Addr: "c:1", State: decision.Ready}}}
+		src.lists <- engine.List{Version: 8, Members: []engine.Member{{ID: "a", State: decision.Removed}, {ID: "c", Addr: "c:1", State: decision.Ready}}}
 		synctest.Wait()
 		add() // who comes late is told what is so far
 		time.Sleep(100 * time.Millisecond)
@@ -284,7 +284,7 @@
 				version++
 				switch s {
 				case 0, 1, 2:
-					l := engine.List{Version: version, Members: []engine.Member{{ID: id, Addr: fmt.Sprint(id, ":", version), State: decision.State(s)}}}
+					l := engine.List{Version: version, Members: []engine.Member{{ID: id, Addr: fmt.Sprint(id, ":", version), State: decision.BackendState(s)}}}
 					truth.take(l)
 					src.lists <- l
 				case 3: // the register starts anew, with versions of its own
@@ -325,7 +325,7 @@
 	}{{7, 8, true}, {7, 6, false}, {math.MaxUint32, 0, true}, {1, math.MaxUint32, false}} {
 		h := &hub{watchers: map[*watcher]bool{}}
 		h.tell(full(k.held, "a"))
-		h.tell(engine.List{Version: k.told, Members: []engine.Member{{ID: "a", State: decision.Gone}}})
+		h.tell(engine.List{Version: k.told, Members: []engine.Member{{ID: "a", State: decision.Removed}}})
 		if taken := len(h.list.members) == 0; taken != k.taken {
 			t.Errorf("holding list %d, changes with number %d are taken: %v", k.held, k.told, taken)
 		}
--- a/internal/discovery/listguard/comeback_test.go
+++ b/internal/discovery/listguard/comeback_test.go
@@ -27,7 +27,7 @@
 		case strings.HasSuffix(n, "-"):
 			m.State = decision.Draining
 		case strings.HasSuffix(n, "!"):
-			m.State = decision.Gone
+			m.State = decision.Removed
 		}
 		l.Members = append(l.Members, m)
 	}
@@ -103,7 +103,7 @@
 func TestTheGuardBelievesNoMoreThanItMay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, _ := NewGuard(guardSettings(), list(0, true, "a", "b", "c", "d", "e", "f"))
-		last := map[string]decision.State{} // what was said last of each
+		last := map[string]decision.BackendState{} // what was said last of each
 		for _, id := range strings.Fields("a b c d e f") {
 			last[id] = decision.Ready
 		}
@@ -118,7 +118,7 @@
 				}
 			}
 			l := list(uint32(i), full, say...)
-			believed := map[string]decision.State{}
+			believed := map[string]decision.BackendState{}
 			g.Elapse(now) // as its driver does when it is due
 			g.Take(now, l)
 			for _, m := range g.whole().Members {
@@ -126,7 +126,7 @@
 			}
 			for _, m := range l.Members {
 				last[m.ID] = m.State
-				if got, known := believed[m.ID]; known != (m.State != decision.Gone) || known && got != m.State {
+				if got, known := believed[m.ID]; known != (m.State != decision.Removed) || known && got != m.State {
 					t.Fatalf("%s is told as %v and believed %v (%v)", m.ID, m.State, got, known)
 				}
 			}
--- a/internal/discovery/listguard/guard.go
+++ b/internal/discovery/listguard/guard.go
@@ -114,7 +114,7 @@
 	g.version = list.Version
 	if !list.Full {
 		for _, m := range list.Members {
-			if m.State == decision.Gone {
+			if m.State == decision.Removed {
 				g.drop(m.ID)
 			} else {
 				g.enter(m)
@@ -125,7 +125,7 @@
 	told, addrs := map[string]bool{}, map[string]bool{}
 	for _, m := range list.Members {
 		told[m.ID] = true
-		if m.State != decision.Gone {
+		if m.State != decision.Removed {
 			addrs[m.Addr] = true
 		}
 	}
@@ -156,7 +156,7 @@
 		g.counts.Doubted++
 	}
 	for _, m := range list.Members {
-		if m.State == decision.Gone {
+		if m.State == decision.Removed {
 			g.drop(m.ID)
 		} else {
 			g.enter(m)
--- a/internal/engine/budget_test.go
+++ b/internal/engine/budget_test.go
@@ -28,7 +28,7 @@
 func (c counted) Find(decision.BackendID) Peer { return c }
 func (c counted) Exchange(_ context.Context, a Attempt) (decision.Result, any) {
 	c.got <- a.Token
-	return decision.Full, nil
+	return decision.Rejected, nil
 }
 
 // What a budget refuses is never sent and ends as Moot; what it lets out bears its token.
@@ -37,7 +37,7 @@
 		tight
 		sent bool
 		want decision.Result
-	}{{tight{}, false, decision.Moot}, {tight{draw: true, over: true}, false, decision.Moot}, {tight{draw: true}, true, decision.Full}} {
+	}{{tight{}, false, decision.NotSent}, {tight{draw: true, over: true}, false, decision.NotSent}, {tight{draw: true}, true, decision.Rejected}} {
 		server := counted{got: make(chan string, 8)}
 		budget := c.tight
 		l, err := New(Options{Module: testConfig(), Seed: 1, Upstream: server, Source: nowhere{}, Budget: &budget})
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -11,7 +11,7 @@
 	t.Helper()
 	l := testEngine(t)
 	l.handle(func() {
-		l.list(List{Full: true, Members: []Member{{ID: "a", Addr: "a:1", State: decision.Ready}}}, decision.ListFull)
+		l.list(List{Full: true, Members: []Member{{ID: "a", Addr: "a:1", State: decision.Ready}}}, decision.UpdateFull)
 	})
 	x := testRequest(l)
 	x.Class = class
@@ -39,7 +39,7 @@
 			func(l *Engine, x *Exchange) { l.Gone(x) },
 			func(l *Engine, x *Exchange) { l.outcome(x, 0, decision.OK, "whole") }, Failed},
 		"a refusal first": {
-			func(l *Engine, x *Exchange) { host{l}.Refuse(x.id, 0) },
+			func(l *Engine, x *Exchange) { host{l}.Reject(x.id, 0) },
 			func(l *Engine, x *Exchange) { l.outcome(x, 0, decision.OK, "whole") }, Refused},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -90,20 +90,20 @@
 // module is the decisions as the engine calls them.
 type module interface {
 	Start(now time.Duration)
-	Membership(now time.Duration, m decision.Membership)
+	UpdateEndpoints(now time.Duration, m decision.EndpointUpdate)
 	Request(now time.Duration, q decision.Request)
 	Outcome(now time.Duration, o decision.Outcome)
 	FirstByte(now time.Duration, f decision.FirstByte)
-	Whole(now time.Duration, id decision.RequestID, deadline time.Duration)
-	Probed(now time.Duration, p decision.ProbeResult)
-	Gone(now time.Duration, id decision.RequestID)
+	BodyComplete(now time.Duration, id decision.RequestID, deadline time.Duration)
+	HealthChecked(now time.Duration, p decision.HealthCheckResult)
+	ClientGone(now time.Duration, id decision.RequestID)
 	Timer(now time.Duration, token uint64)
 	Detach(now time.Duration, id decision.BackendID)
 	Attach(now time.Duration, id decision.BackendID)
-	Vet(now time.Duration)
-	Census() (known, excluded int)
-	Remember(now time.Duration) decision.Memory
-	Recall(now time.Duration, m decision.Memory)
+	CheckHealthNow(now time.Duration)
+	CountBackends() (known, excluded int)
+	Snapshot(now time.Duration) decision.Snapshot
+	Restore(now time.Duration, m decision.Snapshot)
 }
 
 // New makes an engine. An error names the setting of the module that makes no sense.
@@ -140,12 +140,12 @@
 	l.handle(func() {
 		l.module.Start(l.clock.Now())
 		if l.opts.Recall != nil {
-			l.module.Recall(l.clock.Now(), *l.opts.Recall)
+			l.module.Restore(l.clock.Now(), *l.opts.Recall)
 		}
 		l.obey() // before the list, so that nothing is sent to a backend that is out
-		l.list(l.opts.Known, decision.ListCached)
-		if !l.opts.Module.OnRequest { // the module takes pushed lists as they come and asks for none
-			host{l}.Watch(true)
+		l.list(l.opts.Known, decision.UpdateCached)
+		if !l.opts.Module.PolledDiscovery { // the module takes pushed lists as they come and asks for none
+			host{l}.WatchEndpoints(true)
 		}
 		l.watchCensus()
 	})
@@ -188,7 +188,7 @@
 	now, m := l.clock.Now(), &l.opts.Module
 	stood := now - l.turned
 	l.turned = now
-	if m.OnRequest || stood < max(m.Obligations.DrainGrace/2, 2*censusEvery) {
+	if m.PolledDiscovery || stood < max(m.Constraints.DrainGrace/2, 2*censusEvery) {
 		return
 	}
 	type answer struct {
@@ -196,7 +196,7 @@
 		err  error
 	}
 	asked, came := l.source, make(chan answer, 1)
-	ctx, cancel := context.WithTimeout(l.ctx, m.ListRest())
+	ctx, cancel := context.WithTimeout(l.ctx, m.MaxListBackoff())
 	defer cancel()
 	l.start(func() {
 		list, err := asked.Fetch(ctx)
@@ -226,9 +226,9 @@
 }
 
 // Remember tells what the module has learned, unless the engine ends first.
-func (l *Engine) Remember() (m decision.Memory, ok bool) {
-	told := make(chan decision.Memory, 1)
-	l.Post(func() { told <- l.module.Remember(l.clock.Now()) })
+func (l *Engine) Remember() (m decision.Snapshot, ok bool) {
+	told := make(chan decision.Snapshot, 1)
+	l.Post(func() { told <- l.module.Snapshot(l.clock.Now()) })
 	select {
 	case m = <-told:
 		return m, true
@@ -343,8 +343,8 @@
 	} else {
 		r.expiry = l.at(r.Deadline+backstop, func() { l.expire(r) })
 	}
-	l.module.Request(now, decision.Request{ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost,
-		Deadline: deadline, Repeat: r.Repeat, Streamed: r.Uploading()})
+	l.module.Request(now, decision.Request{ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, ExpectedWork: r.Cost,
+		Deadline: deadline, MarkedRetry: r.Repeat, StreamedBody: r.Uploading()})
 }
 
 // Whole notes that the last byte of a streamed body has been read: the request's time counts from there.
@@ -360,7 +360,7 @@
 			a.limit(r.Deadline - now)
 		}
 	}
-	l.module.Whole(now, r.id, r.Deadline)
+	l.module.BodyComplete(now, r.id, r.Deadline)
 }
 
 // firstByte takes a long answer that has begun: it is the final one.
@@ -374,7 +374,7 @@
 	r.stream = d
 	l.end(r, Result{End: Served, Stream: d})
 	now := l.clock.Now()
-	l.module.FirstByte(now, decision.FirstByte{ID: r.id, Attempt: n, Backend: a.to, Took: now - a.sent})
+	l.module.FirstByte(now, decision.FirstByte{ID: r.id, Attempt: n, Backend: a.to, Latency: now - a.sent})
 }
 
 // expire ends a request that is still open after its deadline: an answer is owed whatever went wrong.
@@ -384,7 +384,7 @@
 	}
 	l.log.Warn("a request was still open at its deadline", "attempts", len(r.attempts))
 	l.end(r, Result{End: Failed, TimedOut: true})
-	l.module.Gone(l.clock.Now(), r.id)
+	l.module.ClientGone(l.clock.Now(), r.id)
 }
 
 // Gone notes that the client has left.
@@ -396,7 +396,7 @@
 		return
 	}
 	l.end(r, Result{End: Failed, Gone: true})
-	l.module.Gone(l.clock.Now(), r.id)
+	l.module.ClientGone(l.clock.Now(), r.id)
 }
 
 // end gives the final answer, once.
@@ -433,33 +433,33 @@
 	}
 	l.forget(r)
 	l.module.Outcome(now, decision.Outcome{ID: r.id, Attempt: n, Backend: a.to, Result: result,
-		Took: now - a.sent, Final: r.ended, Spent: spent})
+		Latency: now - a.sent, Final: r.ended, BodyConsumed: spent})
 }
 
 // ---- the list ----
 
 // list hands a list to the pool and to the module, in this order: what the module sends next goes by it.
-func (l *Engine) list(list List, kind decision.ListKind) {
+func (l *Engine) list(list List, kind decision.UpdateKind) {
 	l.version = list.Version
-	if kind != decision.ListDelta {
+	if kind != decision.UpdateDelta {
 		list.Full = true
 	}
 	l.opts.Upstream.Update(list)
 	l.opts.Listed(list)
-	m := decision.Membership{Kind: kind, Version: list.Version}
+	m := decision.EndpointUpdate{Kind: kind, Version: list.Version}
 	for _, e := range list.Members {
 		l.log.Info("listed", "backend", BackendID(e.ID), "name", e.ID, "addr", e.Addr, "state", stateNames[e.State])
 		m.Backends = append(m.Backends, decision.Backend{ID: BackendID(e.ID), Zone: l.number(l.zones, e.Zone),
 			Kind: l.number(l.kinds, e.Kind), Cell: e.Cell, State: e.State, Weight: e.Weight, Started: e.Started})
 	}
-	l.module.Membership(l.clock.Now(), m)
+	l.module.UpdateEndpoints(l.clock.Now(), m)
 	for _, v := range l.vetting {
 		l.vet(v)
 	}
 }
 
-var stateNames = map[decision.State]string{decision.Ready: "ready", decision.Draining: "draining",
-	decision.Gone: "gone"}
+var stateNames = map[decision.BackendState]string{decision.Ready: "ready", decision.Draining: "draining",
+	decision.Removed: "gone"}
 
 // number is a name's place in the settings; names that these lack share the place after the last.
 func (l *Engine) number(of map[string]int, name string) int {
@@ -475,9 +475,9 @@
 	switch {
 	case list.Full:
 		l.listKnown = true
-		l.list(list, decision.ListFull)
+		l.list(list, decision.UpdateFull)
 	case !list.Past(l.version):
-		l.list(list, decision.ListDelta)
+		l.list(list, decision.UpdateDelta)
 	}
 }
 
@@ -510,13 +510,13 @@
 	old := l.source
 	l.log.Info("discovery has moved", "from", old.Addr(), "to", d.Addr())
 	l.source, l.listKnown = d, false
-	host{l}.Watch(true)
+	host{l}.WatchEndpoints(true)
 	old.Close()
 }
 
 func (l *Engine) listFailed(err error) {
 	l.log.Warn("a call for the list failed", "err", err)
-	l.module.Membership(l.clock.Now(), decision.Membership{Kind: decision.ListFailed})
+	l.module.UpdateEndpoints(l.clock.Now(), decision.EndpointUpdate{Kind: decision.UpdateFailed})
 }
 
 // ---- the module's host ----
@@ -544,14 +544,14 @@
 	r.attempts = append(r.attempts, a)
 	r.out++
 	b := h.opts.Upstream.Find(to)
-	if r.sends.isOver() || b == nil || now >= until || n >= h.opts.Module.Caps.MaxAttempts ||
-		r.out > 1 && !h.opts.Module.Caps.SecondCopies || n > 0 && !h.opts.Repeat() {
-		h.deferred = append(h.deferred, func() { h.outcome(r, n, decision.Moot, nil) })
+	if r.sends.isOver() || b == nil || now >= until || n >= h.opts.Module.Capabilities.MaxAttempts ||
+		r.out > 1 && !h.opts.Module.Capabilities.HedgedRequests || n > 0 && !h.opts.Repeat() {
+		h.deferred = append(h.deferred, func() { h.outcome(r, n, decision.NotSent, nil) })
 		return
 	}
 	if h.opts.View != nil {
 		if _, ok := h.opts.View.Look(to, r.Class); !ok {
-			h.deferred = append(h.deferred, func() { h.outcome(r, n, decision.Moot, nil) })
+			h.deferred = append(h.deferred, func() { h.outcome(r, n, decision.NotSent, nil) })
 			return
 		}
 	}
@@ -559,7 +559,7 @@
 	if h.opts.Budget != nil {
 		var ok bool
 		if permit, ok = h.opts.Budget.Draw(r.Class, r.Tenant, n == 0); !ok {
-			h.deferred = append(h.deferred, func() { h.outcome(r, n, decision.Moot, nil) })
+			h.deferred = append(h.deferred, func() { h.outcome(r, n, decision.NotSent, nil) })
 			return
 		}
 	}
@@ -593,14 +593,14 @@
 	}}
 	h.start(func() {
 		if h.opts.Budget != nil && h.opts.Budget.Over(permit) {
-			h.Post(func() { h.outcome(r, n, decision.Moot, nil) })
+			h.Post(func() { h.outcome(r, n, decision.NotSent, nil) })
 			return
 		}
 		var seen any
 		if h.opts.View != nil { // once more: the process may have been stopped since
 			var ok bool
 			if seen, ok = h.opts.View.Look(to, r.Class); !ok {
-				h.Post(func() { h.outcome(r, n, decision.Moot, nil) })
+				h.Post(func() { h.outcome(r, n, decision.NotSent, nil) })
 				return
 			}
 		}
@@ -612,8 +612,8 @@
 	})
 }
 
-// Refuse says that coming again is harmless, and when.
-func (h host) Refuse(id decision.RequestID, retryAfter time.Duration) {
+// Reject says that coming again is harmless, and when.
+func (h host) Reject(id decision.RequestID, retryAfter time.Duration) {
 	if r := h.requests[id]; r != nil {
 		h.end(r, Result{End: Refused, RetryAfter: retryAfter})
 	}
@@ -633,8 +633,8 @@
 	}
 }
 
-// Probe checks a backend.
-func (h host) Probe(to decision.BackendID) {
+// CheckHealth checks a backend.
+func (h host) CheckHealth(to decision.BackendID) {
 	sent, b := h.clock.Now(), h.opts.Upstream.Find(to)
 	v := h.asking
 	if v != nil {
@@ -642,13 +642,13 @@
 	}
 	report := func(result decision.Result) {
 		now := h.clock.Now()
-		h.module.Probed(now, decision.ProbeResult{Backend: to, Result: result, Took: now - sent})
+		h.module.HealthChecked(now, decision.HealthCheckResult{Backend: to, Result: result, Latency: now - sent})
 		if v != nil {
 			h.vetted(v, result)
 		}
 	}
 	if b == nil {
-		h.deferred = append(h.deferred, func() { report(decision.Moot) })
+		h.deferred = append(h.deferred, func() { report(decision.NotSent) })
 		return
 	}
 	h.start(func() {
@@ -703,7 +703,7 @@
 	if v.begun {
 		return
 	}
-	if known, _ := l.module.Census(); known == 0 {
+	if known, _ := l.module.CountBackends(); known == 0 {
 		return
 	}
 	v.begun, v.open = true, 1 // for the call itself
@@ -712,7 +712,7 @@
 		l.asking = nil
 		l.vettingLanded(v)
 	}()
-	l.module.Vet(l.clock.Now())
+	l.module.CheckHealthNow(l.clock.Now())
 }
 
 // vetted counts a probe's result.
@@ -729,13 +729,13 @@
 	}
 }
 
-// Release closes a backend's idle connections.
-func (h host) Release(b decision.BackendID) {
+// ReleaseIdleConnections closes a backend's idle connections.
+func (h host) ReleaseIdleConnections(b decision.BackendID) {
 	h.start(func() { h.opts.Upstream.Release(b) })
 }
 
-// Watch begins a watch in place of the one before, or ends it.
-func (h host) Watch(on bool) {
+// WatchEndpoints begins a watch in place of the one before, or ends it.
+func (h host) WatchEndpoints(on bool) {
 	h.stopWatch()
 	h.watches++
 	if !on {
@@ -772,8 +772,8 @@
 	})
 }
 
-// Fetch asks once for the whole list.
-func (h host) Fetch() {
+// FetchEndpoints asks once for the whole list.
+func (h host) FetchEndpoints() {
 	asked := h.source
 	h.start(func() {
 		list, err := asked.Fetch(h.ctx)
@@ -789,14 +789,14 @@
 	})
 }
 
-// Tell does nothing: the module has nothing to say to other proxies.
-func (h host) Tell(uint32, []byte) {}
+// SendToPeer does nothing: the module has nothing to say to other proxies.
+func (h host) SendToPeer(uint32, []byte) {}
 
-// After sets a timer. It is due in a later event, never in this one.
+// StartTimer sets a timer. It is due in a later event, never in this one.
 //
 // Danger: a panic in a timer's event would lose what the module does by it again and again: its look at
 // health, or at what waits. So if the module had not set that timer anew by then, it comes again.
-func (h host) After(d time.Duration, token uint64) {
+func (h host) StartTimer(d time.Duration, token uint64) {
 	h.set[token]++
 	h.at(h.clock.Now()+max(d, 0), func() {
 		if h.set[token]--; h.set[token] == 0 {
@@ -804,7 +804,7 @@
 		}
 		before := h.set[token]
 		if !h.guard(func() { h.module.Timer(h.clock.Now(), token) }) && h.set[token] <= before {
-			h.After(max(d, timerAgain), token)
+			h.StartTimer(max(d, timerAgain), token)
 		}
 	})
 }
@@ -834,7 +834,7 @@
 }
 
 // census publishes what the module says of the list.
-func (l *Engine) census() { l.opts.Census(l.module.Census()) }
+func (l *Engine) census() { l.opts.Census(l.module.CountBackends()) }
 
 // watchCensus publishes it now and then: health changes without a word.
 func (l *Engine) watchCensus() {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -42,10 +42,10 @@
 func (message) Spent() bool { return false }
 
 func testConfig() decision.Config {
-	return decision.Config{Instances: 1, Tick: 5 * time.Millisecond, Goal: decision.Goal{Whole: 1},
-		Classes: []decision.Class{{Name: "fetch", Aim: 8 * time.Second, GiveUp: 20 * time.Second, Effect: decision.Safe, Value: 1},
-			{Name: "hand-in", Aim: 8 * time.Second, GiveUp: 20 * time.Second, Value: 1}},
-		Caps: decision.Caps{Cancel: true, RetryAfter: true, ConnectTimeout: 250 * time.Millisecond, ConnIdle: time.Minute, MaxAttempts: 6, MaxRetryAfter: time.Second}}
+	return decision.Config{Instances: 1, Tick: 5 * time.Millisecond, ObjectiveWeights: decision.ObjectiveWeights{Overall: 1},
+		Classes: []decision.Class{{Name: "fetch", LatencyObjective: 8 * time.Second, ClientTimeout: 20 * time.Second, Idempotency: decision.Idempotent, PriorityWeight: 1},
+			{Name: "hand-in", LatencyObjective: 8 * time.Second, ClientTimeout: 20 * time.Second, PriorityWeight: 1}},
+		Capabilities: decision.Capabilities{Cancel: true, RetryAfter: true, ConnectTimeout: 250 * time.Millisecond, ConnectionIdleTimeout: time.Minute, MaxAttempts: 6, MaxRetryAfter: time.Second}}
 }
 
 // testEngine is an engine that does not run: its events are handled by the test.
@@ -85,7 +85,7 @@
 	if a := within(t, r.result, "no answer"); a.End != Failed {
 		t.Errorf("ended as %v", a.End)
 	}
-	l.handle(func() { host{l}.Refuse(1, 0); host{l}.Fail(1); l.expire(r); l.Gone(r) })
+	l.handle(func() { host{l}.Reject(1, 0); host{l}.Fail(1); l.expire(r); l.Gone(r) })
 	if len(r.result) != 0 || len(l.requests) != 0 {
 		t.Error("a second answer, or a request that was not forgotten")
 	}
@@ -159,7 +159,7 @@
 	r.Deadline = l.clock.Now() + time.Hour
 	timers := len(l.timers)
 	l.Take(r)
-	host{l}.Refuse(r.id, 0)
+	host{l}.Reject(r.id, 0)
 	l.Gone(r)
 	if len(l.requests) != 0 || r.Message != nil || r.expiry.place >= 0 {
 		t.Errorf("%d requests are held, message %v, expiry's place %d", len(l.requests), r.Message, r.expiry.place)
--- a/internal/engine/enginetest/frontend.go
+++ b/internal/engine/enginetest/frontend.go
@@ -22,18 +22,18 @@
 
 // Classes are those of the engines that the kit makes: one that may be repeated, one that must never run twice.
 var Classes = []decision.Class{
-	{Name: "safe", Aim: time.Second, GiveUp: 3 * time.Second, Effect: decision.Safe, Value: 1, LateShare: 0.5},
-	{Name: "unsafe", Aim: time.Second, GiveUp: 3 * time.Second, Effect: decision.Unsafe, Value: 1, LateShare: 0.5},
+	{Name: "safe", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, Idempotency: decision.Idempotent, PriorityWeight: 1, LateValueShare: 0.5},
+	{Name: "unsafe", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, Idempotency: decision.NotIdempotent, PriorityWeight: 1, LateValueShare: 0.5},
 }
 
 // Config are the settings of the engines that the kit makes.
 func Config() decision.Config {
-	return decision.Config{Instances: 1, Tick: 2 * time.Millisecond, Goal: decision.Goal{Whole: 1}, Classes: Classes,
-		Tenants: []decision.Tenant{{Name: "t", Share: 1, QuotaPerS: 1000}},
-		Obligations: decision.Obligations{AnswerSlack: 20 * time.Millisecond, DrainGrace: 500 * time.Millisecond, Fall: time.Second,
-			FallMultiple: 3, StartCapacity: 0.3, Cold: time.Second},
-		Caps: decision.Caps{Cancel: true, RetryAfter: true, ConnectTimeout: 200 * time.Millisecond, ConnIdle: time.Minute, MaxAttempts: 3,
-			MaxRetryAfter: time.Second, StreamsPerConn: 1, MaxOpen: 1000}}
+	return decision.Config{Instances: 1, Tick: 2 * time.Millisecond, ObjectiveWeights: decision.ObjectiveWeights{Overall: 1}, Classes: Classes,
+		Tenants: []decision.Tenant{{Name: "t", Share: 1, QuotaPerSecond: 1000}},
+		Constraints: decision.Constraints{AnswerSlack: 20 * time.Millisecond, DrainGrace: 500 * time.Millisecond, OverloadWindow: time.Second,
+			OverloadFactor: 3, InitialCapacity: 0.3, WarmUp: time.Second},
+		Capabilities: decision.Capabilities{Cancel: true, RetryAfter: true, ConnectTimeout: 200 * time.Millisecond, ConnectionIdleTimeout: time.Minute, MaxAttempts: 3,
+			MaxRetryAfter: time.Second, StreamsPerConnection: 1, MaxOpenRequests: 1000}}
 }
 
 // Reply is what a scripted server does with one attempt.
@@ -167,7 +167,7 @@
 		}
 	})
 	t.Run("refused", func(t *testing.T) {
-		if end, _, err := ask(t, 2*time.Second, "unsafe", always(Reply{Result: decision.Full})); err != nil || end != engine.Refused {
+		if end, _, err := ask(t, 2*time.Second, "unsafe", always(Reply{Result: decision.Rejected})); err != nil || end != engine.Refused {
 			t.Errorf("%v %v", end, err)
 		}
 	})
--- a/internal/engine/enginetest/upstream.go
+++ b/internal/engine/enginetest/upstream.go
@@ -49,7 +49,7 @@
 	}{
 		{"serves", Serves, []decision.Result{decision.OK}},
 		{"errs", Errs, []decision.Result{decision.Error}},
-		{"turns away", TurnsAway, []decision.Result{decision.Full}},
+		{"turns away", TurnsAway, []decision.Result{decision.Rejected}},
 		{"refuses", Refuses, []decision.Result{decision.ConnectFailed}},
 		{"closes without an answer", ClosesFirst, []decision.Result{decision.Reset}},
 		{"closes midway", ClosesMidway, []decision.Result{decision.Reset}},
@@ -165,7 +165,7 @@
 	p := up.Find(engine.BackendID("a"))
 	if p == nil {
 		t.Error("the server is not found")
-		return decision.Moot, nil
+		return decision.NotSent, nil
 	}
 	return p.Exchange(ctx, engine.Attempt{Message: u.Message(), Timeout: patience, Begin: func(s engine.Stream) bool {
 		s.End(engine.ErrGone)
--- a/internal/engine/exchange.go
+++ b/internal/engine/exchange.go
@@ -29,14 +29,14 @@
 
 // Member is a server as discovery names it.
 type Member struct {
-	ID      string         `json:"ID"`
-	Addr    string         `json:"Addr"`
-	Zone    string         `json:"Zone"`
-	Kind    string         `json:"Kind"`
-	Cell    int            `json:"Cell"`
-	State   decision.State `json:"State"`
-	Weight  float64        `json:"Weight"`
-	Started time.Duration  `json:"Started"`
+	ID      string                `json:"ID"`
+	Addr    string                `json:"Addr"`
+	Zone    string                `json:"Zone"`
+	Kind    string                `json:"Kind"`
+	Cell    int                   `json:"Cell"`
+	State   decision.BackendState `json:"State"`
+	Weight  float64               `json:"Weight"`
+	Started time.Duration         `json:"Started"`
 }
 
 // BackendID comes from the name alone, so that it is the same at every proxy and after every restart: keys find
@@ -196,8 +196,8 @@
 type Options struct {
 	Module   decision.Config
 	Seed     uint64
-	Known    List             // the servers as last known
-	Recall   *decision.Memory // what the module before this one has learned; nil is nothing
+	Known    List               // the servers as last known
+	Recall   *decision.Snapshot // what the module before this one has learned; nil is nothing
 	Zones    []string
 	Kinds    []string
 	Upstream Upstream
--- a/internal/engine/sends.go
+++ b/internal/engine/sends.go
@@ -17,11 +17,11 @@
 
 // repeats is how long after an attempt that may have run the next one of a class may go out.
 func repeats(c decision.Class) time.Duration {
-	switch c.Effect {
-	case decision.Safe:
+	switch c.Idempotency {
+	case decision.Idempotent:
 		return math.MaxInt64
-	case decision.Keyed:
-		return c.Window
+	case decision.IdempotentByKey:
+		return c.DeduplicationWindow
 	}
 	return 0
 }
--- a/internal/engine/sends_test.go
+++ b/internal/engine/sends_test.go
@@ -33,7 +33,7 @@
 	by, ok := a.Go()
 	d.by = by
 	if d.out <- ok; !ok {
-		return decision.Moot, nil
+		return decision.NotSent, nil
 	}
 	return result, "answer"
 }
@@ -50,8 +50,8 @@
 func lateConnections(t *testing.T, c decision.Class, copies bool, do func(t *testing.T, l *Engine, x *Exchange, came <-chan *dialled)) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig()
-		c.Name, c.Aim, c.GiveUp, c.Value, c.LateShare = "c", 400*time.Millisecond, 2*time.Second, 1, 0.5
-		cfg.Classes, cfg.Caps.SecondCopies, cfg.Caps.Cancel = []decision.Class{c}, copies, false
+		c.Name, c.LatencyObjective, c.ClientTimeout, c.PriorityWeight, c.LateValueShare = "c", 400*time.Millisecond, 2*time.Second, 1, 0.5
+		cfg.Classes, cfg.Capabilities.HedgedRequests, cfg.Capabilities.Cancel = []decision.Class{c}, copies, false
 		s := &slow{came: make(chan *dialled)}
 		known := List{Full: true, Members: []Member{{ID: "a", Addr: "a:1", State: decision.Ready}, {ID: "b", Addr: "b:1", State: decision.Ready}}}
 		l, err := New(Options{Module: cfg, Seed: 1, Known: known, Upstream: s, Source: nowhere{}})
@@ -73,7 +73,7 @@
 // A connection for a repeat comes up after the window for repeats has ended: the repeat does not go out, and the request is
 // answered then.
 func TestAConnectionThatComesUpAfterTheWindow(t *testing.T) {
-	keyed := decision.Class{Effect: decision.Keyed, Group: decision.GroupAll, Window: shortWindow}
+	keyed := decision.Class{Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll, DeduplicationWindow: shortWindow}
 	for name, k := range map[string]struct {
 		class decision.Class
 		first decision.Result
@@ -84,10 +84,10 @@
 		"before its end":                    {keyed, decision.Reset, shortWindow - time.Millisecond, true, true},
 		"at its end":                        {keyed, decision.Reset, shortWindow, false, true},
 		"long after":                        {keyed, decision.Error, time.Second, false, true},
-		"long after one that never ran":     {keyed, decision.Full, time.Second, true, false},
+		"long after one that never ran":     {keyed, decision.Rejected, time.Second, true, false},
 		"long after one that was not begun": {keyed, decision.ConnectFailed, time.Second, true, false},
-		"and the class is safe":             {decision.Class{Effect: decision.Safe}, decision.Reset, time.Second, true, false},
-		"and the class is unsafe":           {decision.Class{}, decision.Full, time.Second, true, false},
+		"and the class is safe":             {decision.Class{Idempotency: decision.Idempotent}, decision.Reset, time.Second, true, false},
+		"and the class is unsafe":           {decision.Class{}, decision.Rejected, time.Second, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			lateConnections(t, k.class, false, func(t *testing.T, l *Engine, x *Exchange, came <-chan *dialled) {
@@ -118,7 +118,7 @@
 // The first attempt's own connection comes up late, and the copy beside it has begun: then the first is the repeat.
 func TestAFirstAttemptThatComesUpAfterItsCopyHasBegun(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		c := decision.Class{Effect: decision.Keyed, Group: decision.GroupAll, Window: time.Second}
+		c := decision.Class{Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll, DeduplicationWindow: time.Second}
 		lateConnections(t, c, true, func(t *testing.T, l *Engine, x *Exchange, came <-chan *dialled) {
 			first, second := <-came, <-came // a hedge
 			if !second.comesUp(decision.Reset) {
@@ -158,7 +158,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lateConnections(t, decision.Class{Effect: decision.Safe}, true, func(t *testing.T, l *Engine, x *Exchange, came <-chan *dialled) {
+			lateConnections(t, decision.Class{Idempotency: decision.Idempotent}, true, func(t *testing.T, l *Engine, x *Exchange, came <-chan *dialled) {
 				first := <-came
 				end(t, l, x, came)
 				<-x.Result()
@@ -196,7 +196,7 @@
 	if _, ok := s.begin(1, 5, 0); !ok {
 		t.Error("a second does not go out though the first never ran")
 	}
-	if got := repeats(decision.Class{Effect: decision.Safe, Window: time.Second}); got != math.MaxInt64 {
+	if got := repeats(decision.Class{Idempotency: decision.Idempotent, DeduplicationWindow: time.Second}); got != math.MaxInt64 {
 		t.Errorf("a safe class may be repeated for %v", got)
 	}
 }
@@ -206,7 +206,7 @@
 	for _, left := range []time.Duration{-time.Hour, -time.Second, 0} {
 		l := testEngine(t)
 		l.handle(func() {
-			l.list(List{Full: true, Members: []Member{{ID: "a", Addr: "a:1", State: decision.Ready}}}, decision.ListFull)
+			l.list(List{Full: true, Members: []Member{{ID: "a", Addr: "a:1", State: decision.Ready}}}, decision.UpdateFull)
 		})
 		x := &Exchange{Message: message{}, Deadline: l.clock.Now() + left}
 		x.Open()
--- a/internal/engine/stopped_test.go
+++ b/internal/engine/stopped_test.go
@@ -39,7 +39,9 @@
 // The news goes first. Where none is to be had, or the register must be asked and paid for, the request goes out all the same, and
 // soon.
 func TestNewsGoesBeforeWhatHasWaited(t *testing.T) {
-	member := func(id string, s decision.State) Member { return Member{ID: id, Addr: id + ":1", State: s, Weight: 1} }
+	member := func(id string, s decision.BackendState) Member {
+		return Member{ID: id, Addr: id + ":1", State: s, Weight: 1}
+	}
 	news := List{Version: 2, Full: true, Members: []Member{member("a", decision.Draining), member("b", decision.Ready)}}
 	for name, c := range map[string]struct {
 		stood     time.Duration
@@ -57,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cfg := testConfig()
-				cfg.OnRequest, cfg.Obligations.DrainGrace, cfg.Obligations.AskEvery = c.onRequest, 250*time.Millisecond, time.Hour
+				cfg.PolledDiscovery, cfg.Constraints.DrainGrace, cfg.Constraints.MaxListAge = c.onRequest, 250*time.Millisecond, time.Hour
 				up := serves{sent: make(chan decision.BackendID, 8)}
 				l, err := New(Options{Module: cfg, Seed: 1, Upstream: up, Source: agent{fetch: c.fetch},
 					Known: List{Version: 1, Full: true, Members: []Member{member("a", decision.Ready)}}})
@@ -80,7 +82,7 @@
 				if to := <-up.sent; to != BackendID(c.want) {
 					t.Errorf("sent to the wrong server, want %s", c.want)
 				}
-				if late := time.Since(woken); late > cfg.Obligations.DrainGrace/2 {
+				if late := time.Since(woken); late > cfg.Constraints.DrainGrace/2 {
 					t.Errorf("held up for %v", late)
 				}
 				cancel()
--- a/internal/faultlab/baseline/flawed.go
+++ b/internal/faultlab/baseline/flawed.go
@@ -80,7 +80,7 @@
 // ownToken marks timers of the flawed part; the module's own have their purpose there.
 const ownToken = 0xf1
 
-func (w *flawed) Membership(now time.Duration, m decision.Membership) {
+func (w *flawed) UpdateEndpoints(now time.Duration, m decision.EndpointUpdate) {
 	m.Backends = slices.Clone(m.Backends)
 	for i := range m.Backends {
 		b := &m.Backends[i]
@@ -102,12 +102,12 @@
 			w.ready = append(w.ready, b.ID)
 		}
 	}
-	w.Policy.Membership(now, m)
+	w.Policy.UpdateEndpoints(now, m)
 }
 
 func (w *flawed) Request(now time.Duration, q decision.Request) {
 	w.now = now
-	unsafe := w.cfg.Classes[q.Class].Effect == decision.Unsafe
+	unsafe := w.cfg.Classes[q.Class].Idempotency == decision.NotIdempotent
 	every := func(n int) bool {
 		w.n++
 		return w.n%n == 0
@@ -121,10 +121,10 @@
 	case w.flaw == "calls-harmless" && unsafe && len(w.ready) > 0 && every(40):
 		w.own[q.ID] = q
 		w.host.Send(q.ID, w.ready[w.n/40%len(w.ready)], 0)
-		w.host.After(4*time.Millisecond, ownToken<<56|uint64(q.ID))
+		w.host.StartTimer(4*time.Millisecond, ownToken<<56|uint64(q.ID))
 	case w.flaw == "answers-late" && every(200):
 		w.own[q.ID] = q
-		w.host.After(q.Deadline-now+lateBy, ownToken<<56|uint64(q.ID))
+		w.host.StartTimer(q.Deadline-now+lateBy, ownToken<<56|uint64(q.ID))
 	case w.flaw == "drops" && every(300):
 		w.own[q.ID] = q
 	case w.flaw == "forges" && every(100):
@@ -162,17 +162,17 @@
 		if o.Final {
 			return
 		}
-		if o.Result.NeverRan() || w.cfg.Classes[q.Class].Effect == decision.Safe {
-			w.host.Refuse(o.ID, 0)
+		if o.Result.NeverRan() || w.cfg.Classes[q.Class].Idempotency == decision.Idempotent {
+			w.host.Reject(o.ID, 0)
 		} else {
 			w.host.Fail(o.ID)
 		}
 	}
 }
 
-func (w *flawed) Gone(now time.Duration, id decision.RequestID) {
+func (w *flawed) ClientGone(now time.Duration, id decision.RequestID) {
 	if _, own := w.own[id]; !own {
-		w.Policy.Gone(now, id)
+		w.Policy.ClientGone(now, id)
 	} else if w.flaw != "answers-late" {
 		delete(w.own, id)
 	}
@@ -189,7 +189,7 @@
 	}
 	delete(w.own, id)
 	if w.flaw == "calls-harmless" {
-		w.host.Refuse(id, 0)
+		w.host.Reject(id, 0)
 	} else {
 		w.host.Fail(id)
 	}
--- a/internal/faultlab/baseline/rival.go
+++ b/internal/faultlab/baseline/rival.go
@@ -16,11 +16,11 @@
 // Policy decides for one proxy: the events of the decision module.
 type Policy interface {
 	Start(now time.Duration)
-	Membership(now time.Duration, m decision.Membership)
+	UpdateEndpoints(now time.Duration, m decision.EndpointUpdate)
 	Request(now time.Duration, q decision.Request)
 	Outcome(now time.Duration, o decision.Outcome)
-	Probed(now time.Duration, p decision.ProbeResult)
-	Gone(now time.Duration, id decision.RequestID)
+	HealthChecked(now time.Duration, p decision.HealthCheckResult)
+	ClientGone(now time.Duration, id decision.RequestID)
 	Timer(now time.Duration, token uint64)
 }
 
@@ -88,19 +88,19 @@
 	mayRun bool
 }
 
-func (p *plain) Start(time.Duration)                           {}
-func (p *plain) Probed(time.Duration, decision.ProbeResult)    {}
-func (p *plain) Timer(time.Duration, uint64)                   {}
-func (p *plain) Gone(_ time.Duration, id decision.RequestID)   { delete(p.open, id) }
-func (p *plain) Request(now time.Duration, q decision.Request) { p.try(&call{Request: q}) }
+func (p *plain) Start(time.Duration)                                     {}
+func (p *plain) HealthChecked(time.Duration, decision.HealthCheckResult) {}
+func (p *plain) Timer(time.Duration, uint64)                             {}
+func (p *plain) ClientGone(_ time.Duration, id decision.RequestID)       { delete(p.open, id) }
+func (p *plain) Request(now time.Duration, q decision.Request)           { p.try(&call{Request: q}) }
 
-func (p *plain) Membership(_ time.Duration, m decision.Membership) {
-	if m.Kind == decision.ListFailed {
+func (p *plain) UpdateEndpoints(_ time.Duration, m decision.EndpointUpdate) {
+	if m.Kind == decision.UpdateFailed {
 		return
 	}
-	if m.Kind != decision.ListDelta {
+	if m.Kind != decision.UpdateDelta {
 		for _, b := range p.all {
-			b.State = decision.Gone
+			b.State = decision.Removed
 		}
 	}
 	for _, e := range m.Backends {
@@ -154,12 +154,12 @@
 // end answers for good.
 func (p *plain) end(c *call) {
 	delete(p.open, c.ID)
-	if c.mayRun && p.cfg.Classes[c.Class].Effect != decision.Safe {
+	if c.mayRun && p.cfg.Classes[c.Class].Idempotency != decision.Idempotent {
 		p.host.Fail(c.ID)
 	} else if p.kind == "reverse-proxy" && len(c.tried) > 0 {
 		p.host.Fail(c.ID) // it answers 502
 	} else {
-		p.host.Refuse(c.ID, 100*time.Millisecond)
+		p.host.Reject(c.ID, 100*time.Millisecond)
 	}
 }
 
@@ -176,8 +176,8 @@
 		return
 	}
 	c.mayRun = c.mayRun || !o.Result.NeverRan()
-	again := p.kind != "reverse-proxy" && len(c.tried) < p.cfg.Caps.MaxAttempts && now < c.Deadline &&
-		(!c.mayRun || p.cfg.Classes[c.Class].Effect == decision.Safe)
+	again := p.kind != "reverse-proxy" && len(c.tried) < p.cfg.Capabilities.MaxAttempts && now < c.Deadline &&
+		(!c.mayRun || p.cfg.Classes[c.Class].Idempotency == decision.Idempotent)
 	if again {
 		p.try(c)
 	} else {
--- a/internal/faultlab/simulation/config.go
+++ b/internal/faultlab/simulation/config.go
@@ -19,38 +19,38 @@
 
 // ModuleConfig is what the platform tells a proxy of a world.
 func ModuleConfig(s *model.Spec, proxy int) decision.Config {
-	c := decision.Config{Instances: s.Proxies, Rank: proxy, Zone: s.ProxyZone(proxy), Tick: Tick, OverShareWorth: model.OverWorth,
-		MarksRetry: true, Weights: decision.WeightNominal,
-		Goal: decision.Goal{Whole: 0.55, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.15},
-		Prices: decision.Prices{CrossZone: checker.UsualPrices.CrossZone, LateFail: checker.UsualPrices.LateFail,
-			Probe: checker.UsualPrices.Probe, Waste: checker.UsualPrices.Waste},
-		Obligations: decision.Obligations{AnswerSlack: checker.DefaultSlack, AskEvery: 10 * time.Second,
-			Cold: model.Ms(s.Cold.For.Hi), DrainGrace: checker.DefaultDrainGrace, Fall: s.Cold.Fall,
-			FallMultiple: s.Cold.Multiple, StartCapacity: s.Cold.From.Lo},
-		Caps: decision.Caps{Cancel: true, Probes: true, RetryAfter: true, SecondCopies: true, ConnIdle: s.Conns.Idle,
-			ConnectTimeout: s.Conns.ConnectTimeout, MaxRetryAfter: time.Second, MaxAttempts: 3, StreamsPerConn: 1,
-			MaxOpen: 20000}}
+	c := decision.Config{Instances: s.Proxies, Rank: proxy, Zone: s.ProxyZone(proxy), Tick: Tick, OverQuotaWeight: model.OverWorth,
+		ClientsMarkRetries: true, Weights: decision.WeightNominal,
+		ObjectiveWeights: decision.ObjectiveWeights{Overall: 0.55, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.15},
+		Penalties: decision.Penalties{CrossZone: checker.UsualPrices.CrossZone, LateFailure: checker.UsualPrices.LateFail,
+			HealthCheck: checker.UsualPrices.Probe, WastedWork: checker.UsualPrices.Waste},
+		Constraints: decision.Constraints{AnswerSlack: checker.DefaultSlack, MaxListAge: 10 * time.Second,
+			WarmUp: model.Ms(s.Cold.For.Hi), DrainGrace: checker.DefaultDrainGrace, OverloadWindow: s.Cold.Fall,
+			OverloadFactor: s.Cold.Multiple, InitialCapacity: s.Cold.From.Lo},
+		Capabilities: decision.Capabilities{Cancel: true, HealthChecks: true, RetryAfter: true, HedgedRequests: true, ConnectionIdleTimeout: s.Conns.Idle,
+			ConnectTimeout: s.Conns.ConnectTimeout, MaxRetryAfter: time.Second, MaxAttempts: 3, StreamsPerConnection: 1,
+			MaxOpenRequests: 20000}}
 	for _, k := range s.Classes {
-		effect := decision.Unsafe
+		effect := decision.NotIdempotent
 		if k.Safe {
-			effect = decision.Safe
+			effect = decision.Idempotent
 		}
-		c.Classes = append(c.Classes, decision.Class{Name: k.Name, Aim: k.Aim, GiveUp: k.GiveUp, Effect: effect, Group: decision.GroupAll,
-			Window: 5 * time.Second, LateShare: k.Late, Value: k.Worth})
+		c.Classes = append(c.Classes, decision.Class{Name: k.Name, LatencyObjective: k.Aim, ClientTimeout: k.GiveUp, Idempotency: effect, DeduplicationScope: decision.ScopeAll,
+			DeduplicationWindow: 5 * time.Second, LateValueShare: k.Late, PriorityWeight: k.Worth})
 	}
 	for _, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, decision.Tenant{Name: t.Name, Share: t.Share, QuotaPerS: t.Share * s.Load.Quota * s.Load.Rate})
+		c.Tenants = append(c.Tenants, decision.Tenant{Name: t.Name, Share: t.Share, QuotaPerSecond: t.Share * s.Load.Quota * s.Load.Rate})
 	}
 	return c
 }
 
 // State is a listing as the module knows it.
-func State(l model.Listing) decision.State {
+func State(l model.Listing) decision.BackendState {
 	switch l {
 	case model.Active:
 		return decision.Ready
 	case model.Leaving:
 		return decision.Draining
 	}
-	return decision.Gone
+	return decision.Removed
 }
