--- a/internal/faultlab/simulation/proxy.go
+++ b/internal/faultlab/simulation/proxy.go
@@ -77,7 +77,7 @@
 	attempt *attempt
 	node    int
 	answer  model.Answer
-	list    decision.Membership
+	list    decision.EndpointUpdate
 	probe   *probe
 }
 
@@ -234,7 +234,7 @@
 func (p *proxy) take(e *event) {
 	switch e.kind {
 	case evList:
-		p.policy.Membership(p.now, e.list)
+		p.policy.UpdateEndpoints(p.now, e.list)
 	case evArrival:
 		if p.ending != nil && p.ending.deaf && e.at >= p.ending.since {
 			return // the judge sees that nothing comes
@@ -247,7 +247,7 @@
 			p.plan(due{at: e.arrival.Leaves, kind: dueLeave, req: q})
 		}
 		p.policy.Request(p.now, decision.Request{ID: q.id, Class: e.arrival.Class, Tenant: e.arrival.Tenant,
-			Deadline: e.arrival.Deadline, Repeat: e.arrival.Try > 0})
+			Deadline: e.arrival.Deadline, MarkedRetry: e.arrival.Try > 0})
 	case evProbe:
 		p.probed(e.probe, e.answer)
 	case evAnswer:
@@ -270,7 +270,7 @@
 	case model.Failed:
 		result = decision.Error
 	case model.TurnedAway:
-		result = decision.Full
+		result = decision.Rejected
 	case model.Refused:
 		result = decision.ConnectFailed
 	default:
@@ -292,13 +292,13 @@
 	switch answer {
 	case model.OK:
 	case model.TurnedAway:
-		result = decision.Full
+		result = decision.Rejected
 	case model.Refused:
 		result = decision.ConnectFailed
 	default:
 		result = decision.Reset
 	}
-	p.policy.Probed(p.now, decision.ProbeResult{Backend: p.r.backend(pr.node), Result: result, Took: p.now - pr.sent})
+	p.policy.HealthChecked(p.now, decision.HealthCheckResult{Backend: p.r.backend(pr.node), Result: result, Latency: p.now - pr.sent})
 }
 
 // giveBack keeps a connection for the next attempt.
@@ -325,7 +325,7 @@
 		delete(p.requests, q.id)
 	}
 	p.policy.Outcome(p.now, decision.Outcome{ID: q.id, Attempt: a.no, Backend: decision.BackendID(p.r.fleet.Nodes[a.node].ID), Result: result,
-		Took: p.now - a.sent, Final: final})
+		Latency: p.now - a.sent, Final: final})
 }
 
 // close enters a request's end.
@@ -371,14 +371,14 @@
 		if q := d.req; !q.closed {
 			q.closed, q.expired = true, true // the ledger sees by itself that nothing has come
 			p.plan(due{at: p.now + lateFor, kind: dueForget, req: q})
-			p.policy.Gone(p.now, q.id)
+			p.policy.ClientGone(p.now, q.id)
 			p.again(q, model.TimedOut, 0)
 		}
 	case dueLeave:
 		if q := d.req; !q.closed {
 			q.closed = true
 			p.entries = append(p.entries, entry{kind: enDeparted, account: q.account})
-			p.policy.Gone(p.now, q.id)
+			p.policy.ClientGone(p.now, q.id)
 			if q.out == 0 {
 				delete(p.requests, q.id)
 			}
@@ -394,7 +394,7 @@
 		if !d.probe.over {
 			d.probe.over = true
 			p.say(message{at: p.now + p.way(d.probe.node), kind: msCancel, node: d.probe.node, job: d.probe.job})
-			p.policy.Probed(p.now, decision.ProbeResult{Backend: p.r.backend(d.probe.node), Result: decision.Timeout, Took: p.now - d.probe.sent})
+			p.policy.HealthChecked(p.now, decision.HealthCheckResult{Backend: p.r.backend(d.probe.node), Result: decision.Timeout, Latency: p.now - d.probe.sent})
 		}
 	}
 }
@@ -450,7 +450,7 @@
 	p.plan(due{at: max(until, p.now+1), kind: dueUntil, try: a})
 }
 
-func (p *proxy) Refuse(id decision.RequestID, retryAfter time.Duration) {
+func (p *proxy) Reject(id decision.RequestID, retryAfter time.Duration) {
 	if q := p.requests[id]; q.owed() {
 		p.close(q, model.Rejected, false, retryAfter)
 	}
@@ -490,7 +490,7 @@
 	p.plan(due{at: p.now + 1, kind: dueCancelled, try: q.attempts[no]})
 }
 
-func (p *proxy) Probe(b decision.BackendID) {
+func (p *proxy) CheckHealth(b decision.BackendID) {
 	node, known := p.r.byID[b]
 	if !known {
 		return
@@ -502,17 +502,17 @@
 	p.plan(due{at: p.now + probeTimeout, kind: dueProbe, probe: pr})
 }
 
-func (p *proxy) Release(b decision.BackendID) {
+func (p *proxy) ReleaseIdleConnections(b decision.BackendID) {
 	if node, known := p.r.byID[b]; known && p.conns[node].idle > 0 {
 		p.say(message{at: p.now, kind: msClose, node: node, count: p.conns[node].idle})
 		p.conns[node].idle = 0
 	}
 }
 
-func (p *proxy) Watch(bool)          {}
-func (p *proxy) Fetch()              {}
-func (p *proxy) Tell(uint32, []byte) {}
-func (p *proxy) Log(string)          {}
-func (p *proxy) After(d time.Duration, token uint64) {
+func (p *proxy) WatchEndpoints(bool)       {}
+func (p *proxy) FetchEndpoints()           {}
+func (p *proxy) SendToPeer(uint32, []byte) {}
+func (p *proxy) Log(string)                {}
+func (p *proxy) StartTimer(d time.Duration, token uint64) {
 	p.plan(due{at: p.now + max(d, 1), kind: dueTimer, token: token})
 }
--- a/internal/faultlab/simulation/run.go
+++ b/internal/faultlab/simulation/run.go
@@ -53,7 +53,7 @@
 
 	// Memory is how often each proxy writes down what it has learned, which one that starts in its place recalls. 0 is never.
 	Memory   time.Duration
-	memories []*decision.Memory // by proxy; nil is none
+	memories []*decision.Snapshot // by proxy; nil is none
 
 	// Progress is told the virtual time once a virtual second. It may be nil.
 	Progress func(now time.Duration)
@@ -130,8 +130,8 @@
 
 // rememberer is a policy that can tell what it has learned.
 type rememberer interface {
-	Remember(now time.Duration) decision.Memory
-	Recall(now time.Duration, m decision.Memory)
+	Snapshot(now time.Duration) decision.Snapshot
+	Restore(now time.Duration, m decision.Snapshot)
 }
 
 // remember has the proxies whose time it is write down what they have learned.
@@ -142,7 +142,7 @@
 	for no, p := range r.proxies { // not all in one moment
 		phase := (now + r.Memory*time.Duration(no)/time.Duration(len(r.proxies))) % r.Memory
 		if m, can := p.policy.(rememberer); can && phase < Tick && !p.dead && !p.stopped {
-			learned := m.Remember(now)
+			learned := m.Snapshot(now)
 			r.memories[no] = &learned
 		}
 	}
@@ -162,18 +162,18 @@
 	r.proxies[no] = p
 	policy.Start(now)
 	if m, can := policy.(rememberer); can && r.memories[no] != nil {
-		m.Recall(now, *r.memories[no])
+		m.Restore(now, *r.memories[no])
 	}
 	r.lists++
-	m := decision.Membership{Kind: decision.ListCached, Version: r.lists}
+	m := decision.EndpointUpdate{Kind: decision.UpdateCached, Version: r.lists}
 	for i := range r.fleet.Nodes {
-		if b := r.listed(no, i); b.State != decision.Gone {
+		if b := r.listed(no, i); b.State != decision.Removed {
 			m.Backends = append(m.Backends, b)
 		}
 	}
-	policy.Membership(now, m)
-	m.Kind = decision.ListFull
-	policy.Membership(now, m)
+	policy.UpdateEndpoints(now, m)
+	m.Kind = decision.UpdateFull
+	policy.UpdateEndpoints(now, m)
 	return nil
 }
 
@@ -403,7 +403,7 @@
 		return
 	}
 	r.lists++
-	list := event{kind: evList, at: now, list: decision.Membership{Kind: decision.ListDelta, Version: r.lists,
+	list := event{kind: evList, at: now, list: decision.EndpointUpdate{Kind: decision.UpdateDelta, Version: r.lists,
 		Backends: []decision.Backend{r.listed(n.Proxy, n.Node)}}}
 	p.inbox = append(p.inbox, list)
 	for _, o := range r.old { // an old process beside it has a watch of its own
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -81,7 +81,7 @@
 		id := backendID(m.ID)
 		named[id] = true
 		b := p.backends[id]
-		if m.State == decision.Gone {
+		if m.State == decision.Removed {
 			stale = append(stale, p.drop(id)...)
 			continue
 		}
@@ -415,7 +415,7 @@
 			case errors.Is(context.Cause(ctx), context.Canceled):
 				return decision.Cancelled, nil
 			case errors.Is(err, errNoSockets): // Danger: for want of our own, every backend would count as down
-				return decision.Moot, nil
+				return decision.NotSent, nil
 			}
 			return decision.ConnectFailed, nil
 		}
@@ -475,7 +475,7 @@
 				p.putIdle(b, c)
 			}
 			// Danger: what was not read to its end may be spoilt, and a spoilt answer does not prove that nothing ran.
-			if cut && result == decision.Full {
+			if cut && result == decision.Rejected {
 				result = decision.Error
 			}
 			return result, body, false
@@ -496,7 +496,7 @@
 	case errors.Is(cause, context.Canceled), errors.Is(err, errClient), errors.Is(err, errGone):
 		return decision.Cancelled, nil, untouched
 	case errors.Is(err, errSpent), errors.Is(err, errTooLate):
-		return decision.Moot, nil, false
+		return decision.NotSent, nil, false
 	case !whole: // its last byte never went out
 		return decision.ConnectFailed, nil, untouched
 	case cause != nil:
@@ -533,7 +533,7 @@
 		return decision.OK
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Processed") == "1":
-		return decision.Full
+		return decision.Rejected
 	}
 	return decision.Error
 }
--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -87,8 +87,8 @@
 		"served":                {answer(served), decision.OK},
 		"error":                 {answer("HTTP/1.1 500 Oh\nContent-Length: 0\n\n"), decision.Error},
 		"not found":             {answer("HTTP/1.1 404 No\nContent-Length: 0\n\n"), decision.Error},
-		"503 turned away":       {answer("HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n"), decision.Full},
-		"504 turned away":       {answer("HTTP/1.1 504 Late\nX-Not-Processed: 1\nContent-Length: 0\n\n"), decision.Full},
+		"503 turned away":       {answer("HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n"), decision.Rejected},
+		"504 turned away":       {answer("HTTP/1.1 504 Late\nX-Not-Processed: 1\nContent-Length: 0\n\n"), decision.Rejected},
 		"503 and no word of it": {answer("HTTP/1.1 503 Full\nContent-Length: 0\n\n"), decision.Error},
 		"broken after the last byte": {func(_ int, _ net.Conn, in *bufio.Reader) { readWhole(in) },
 			decision.Reset},
@@ -396,10 +396,10 @@
 		within(t, came, "no request came")
 	}
 	// It says nothing of the backend: it must not count as one that cannot be reached, for requests or probes.
-	if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.Moot {
+	if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.NotSent {
 		t.Errorf("with no socket left: result %v, want Moot", result)
 	}
-	if result := p.probe(t.Context(), b); result != decision.Moot {
+	if result := p.probe(t.Context(), b); result != decision.NotSent {
 		t.Errorf("a probe with no socket left: result %v, want Moot", result)
 	}
 	close(leave)
@@ -533,7 +533,7 @@
 func TestDrainWhileConnecting(t *testing.T) {
 	for name, change := range map[string]Member{
 		"drains": {ID: "a", State: decision.Draining},
-		"left":   {ID: "a", State: decision.Gone},
+		"left":   {ID: "a", State: decision.Removed},
 		"moved":  {ID: "a", State: decision.Ready, Addr: "127.0.0.1:1"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -186,7 +186,7 @@
 	}))}
 	t.Cleanup(func() { c.CloseClientConnections(); c.Close() })
 	p := startProxy(t, listText(version, true, all()...), c, func(cfg *Config) {
-		cfg.Module.OnRequest, cfg.Module.Caps.Probes, cfg.Module.Caps.SecondCopies = false, true, true
+		cfg.Module.PolledDiscovery, cfg.Module.Capabilities.HealthChecks, cfg.Module.Capabilities.HedgedRequests = false, true, true
 	})
 	end := time.Now().Add(span)
 	var running sync.WaitGroup
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -193,7 +193,7 @@
 	if err := c.readSettings(f.Settings); err != nil {
 		return Config{}, err
 	}
-	c.Module = c.Module.Bounded()
+	c.Module = c.Module.Normalized()
 	c.pace = paceFor(&c.Module)
 	return c, nil
 }
@@ -234,7 +234,7 @@
 	flatten(&lines, "", tree)
 	var err error
 	if c.Module, err = wire.ParseBootInfo(lines.String()); err == nil {
-		err = c.Module.Check()
+		err = c.Module.Validate()
 	}
 	if bad := (*decision.SettingError)(nil); errors.As(err, &bad) { // its line is none of the file's
 		return badField("settings."+bad.Field, "%s", bad.Reason)
@@ -243,7 +243,7 @@
 		return badField("settings", "%w", err)
 	}
 	// Danger: without it every connection would time out at once, and every request be refused.
-	if c.Module.Caps.ConnectTimeout <= 0 {
+	if c.Module.Capabilities.ConnectTimeout <= 0 {
 		return badField("settings.Caps.ConnectTimeout", "must be above 0: no connection to a backend could come up")
 	}
 	// Danger: a request would go by the rules of either of them.
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -208,7 +208,7 @@
 		return body, nil, nil
 	}
 	hold := time.Duration(holdAnswer)
-	if answered(resp) == decision.Full { // only a whole one is proof that nothing ran, and none is passed on
+	if answered(resp) == decision.Rejected { // only a whole one is proof that nothing ran, and none is passed on
 		hold = readStall
 	}
 	ahead := startPump(&limited{from: resp.Body, c: c})
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -214,12 +214,12 @@
 // A change of the list that comes between the choice of an idle connection and the request's first byte takes effect.
 func TestAChangeBetweenChoiceAndSend(t *testing.T) {
 	for name, c := range map[string]struct {
-		state decision.State
+		state decision.BackendState
 		moved bool
 		want  decision.Result
 	}{
 		"drains": {decision.Draining, false, decision.ConnectFailed},
-		"left":   {decision.Gone, false, decision.ConnectFailed},
+		"left":   {decision.Removed, false, decision.ConnectFailed},
 		"moved":  {decision.Ready, true, decision.OK}, // there
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -501,7 +501,7 @@
 		got <- n
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), func(c *Config) {
-		c.Module.Caps.ConnectTimeout = patience
+		c.Module.Capabilities.ConnectTimeout = patience
 	})
 	resp, err := http.Get("http://" + p.addr + "/_health") // it serves
 	if err != nil {
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -108,7 +108,7 @@
 		return nil, errors.New("upstream: \"diameter\" asks for --diameter: it says who we are")
 	}
 	s := d.settings()
-	s.Watchdog, s.Reopen, s.Reconnect, s.Queue, s.Handshake = watchdogLeast, serversWell, serversBack, 1<<20, module.Caps.ConnectTimeout
+	s.Watchdog, s.Reopen, s.Reconnect, s.Queue, s.Handshake = watchdogLeast, serversWell, serversBack, 1<<20, module.Capabilities.ConnectTimeout
 	if d.keys != nil {
 		s.TLS = func() *tls.Config { return d.keys.Client("") }
 	}
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return upstream.New(n, module.Caps.ConnectTimeout, serversLeave), nil
+	return upstream.New(n, module.Capabilities.ConnectTimeout, serversLeave), nil
 }
 
 // run reads the ledger and takes peers until ctx ends, or drain.
@@ -243,7 +243,7 @@
 		return nil, &frontend.Turned{What: why, After: max(after, time.Second)}
 	}
 	svc.figures.InFlight.Add(1)
-	out := &frontend.Service{Engine: svc.engine, Class: class, Tenant: tenant, Unsafe: svc.module.Classes[class].Effect != decision.Safe}
+	out := &frontend.Service{Engine: svc.engine, Class: class, Tenant: tenant, Unsafe: svc.module.Classes[class].Idempotency != decision.Idempotent}
 	var took time.Duration
 	out.Ended = func(end engine.End, t time.Duration) {
 		took = t
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -37,11 +37,11 @@
 // And whatever call has failed, all counts as told 6 s after discovery could be reached, or at once by its agent: a call
 // that may have gone into the void has a next one after fetch/3 or the rest, with half of that time to spare.
 func paceFor(m *decision.Config) pace {
-	rest := m.ListRest()
-	if !m.OnRequest {
+	rest := m.MaxListBackoff()
+	if !m.PolledDiscovery {
 		return pace{hold: time.Second, slack: 500 * time.Millisecond, fetch: 1500 * time.Millisecond, rest: rest}
 	}
-	return pace{hold: min(max(m.Obligations.AskEvery/2, 2*time.Second), 20*time.Second), slack: time.Second, fetch: 6 * time.Second, rest: rest}
+	return pace{hold: min(max(m.Constraints.MaxListAge/2, 2*time.Second), 20*time.Second), slack: time.Second, fetch: 6 * time.Second, rest: rest}
 }
 
 // List and Member are the servers as the engine knows them.
@@ -74,8 +74,8 @@
 	if f.Generation == nil {
 		return List{}, errors.New("no generation")
 	}
-	states := map[string]decision.State{"active": decision.Ready, "leaving": decision.Draining,
-		"left": decision.Gone}
+	states := map[string]decision.BackendState{"active": decision.Ready, "leaving": decision.Draining,
+		"left": decision.Removed}
 	list := List{Version: *f.Generation, Full: f.Reset}
 	for _, e := range f.Instances {
 		state, known := states[e.State]
@@ -349,7 +349,7 @@
 			if list.Full {
 				continue
 			}
-			m.State = decision.Gone
+			m.State = decision.Removed
 		}
 		out.Members = append(out.Members, m)
 	}
--- a/internal/proxy/effects_test.go
+++ b/internal/proxy/effects_test.go
@@ -29,16 +29,16 @@
 	} {
 		for _, c := range []struct {
 			name   string
-			effect decision.Effect
-			group  decision.Group
+			effect decision.Idempotency
+			group  decision.DeduplicationScope
 			window time.Duration
 			status int
 		}{
-			{"unsafe", decision.Unsafe, decision.GroupAll, time.Minute, 502},
-			{"safe", decision.Safe, decision.GroupAll, 0, 200},
-			{"keyed, within its window", decision.Keyed, decision.GroupZone, time.Minute, 200},
-			{"keyed, past its window", decision.Keyed, decision.GroupAll, window, 503}, // a client's repeat is harmless
-			{"keyed in a zone, past its window", decision.Keyed, decision.GroupZone, window, 502},
+			{"unsafe", decision.NotIdempotent, decision.ScopeAll, time.Minute, 502},
+			{"safe", decision.Idempotent, decision.ScopeAll, 0, 200},
+			{"keyed, within its window", decision.IdempotentByKey, decision.ScopeZone, time.Minute, 200},
+			{"keyed, past its window", decision.IdempotentByKey, decision.ScopeAll, window, 503}, // a client's repeat is harmless
+			{"keyed in a zone, past its window", decision.IdempotentByKey, decision.ScopeZone, window, 502},
 		} {
 			if c.window == window && way != "reset long after" {
 				continue
@@ -68,7 +68,7 @@
 				p := startProxy(t, listText(1, true, memberText("a", rawBackend(t, serve), "active"), memberText("b", rawBackend(t, serve), "active")),
 					newCatalog(t), func(cfg *Config) {
 						class := &cfg.Module.Classes[0]
-						class.Effect, class.Group, class.Window = c.effect, c.group, c.window
+						class.Idempotency, class.DeduplicationScope, class.DeduplicationWindow = c.effect, c.group, c.window
 					})
 				runs := 1
 				if _, body := mustAnswer(t, c.status)(p.ask(t, "fetch-work", 9000, "")); c.status == http.StatusOK {
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -361,7 +361,7 @@
 	c.EnableFullDuplex()
 	c.SetReadDeadline(time.Now().Add(rejectDrain))
 	c.SetWriteDeadline(time.Now().Add(f.writeTimeout))
-	if caps := &f.cfg.Module.Caps; status == http.StatusServiceUnavailable && caps.RetryAfter {
+	if caps := &f.cfg.Module.Capabilities; status == http.StatusServiceUnavailable && caps.RetryAfter {
 		setRetryAfter(w.Header(), min(after, caps.MaxRetryAfter))
 	}
 	w.Header().Set("Connection", "close")
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -41,10 +41,10 @@
 				{ID: "s-2", Addr: "10.0.1.2:80", Zone: "z2", Kind: "small", Cell: 4, State: decision.Draining, Weight: 0.5,
 					Started: frozenTime - time.Minute},
 			}}}},
-		Services: map[string]decision.Memory{"orders": {At: frozenTime, Rate: 12.5, Limit: 64,
-			Classes: []decision.ClassMemory{{Name: "hand-in", Delays: [5]float64{1, 2, 3, 4, 5}}},
-			Backends: []decision.TargetMemory{{ID: engine.BackendID("s-1"), Started: frozenTime - time.Hour,
-				Cold: frozenTime - time.Second, Healthy: true, Served: 99.5}}}},
+		Services: map[string]decision.Snapshot{"orders": {TakenAt: frozenTime, RequestRate: 12.5, SharedLimit: 64,
+			Classes: []decision.ClassSnapshot{{Name: "hand-in", LatencySums: [5]float64{1, 2, 3, 4, 5}}},
+			Backends: []decision.BackendSnapshot{{ID: engine.BackendID("s-1"), Started: frozenTime - time.Hour,
+				LastStart: frozenTime - time.Second, Healthy: true, ServedWork: 99.5}}}},
 	}
 }
 
@@ -72,7 +72,7 @@
 	if list.Version != 41 || len(list.Members) != 2 || m.age("10.0.0.1:8500") <= 0 {
 		t.Errorf("the list to start with: %+v", list)
 	}
-	if got := m.recall("orders"); got == nil || got.Rate != 12.5 || m.recall("orders") != nil {
+	if got := m.recall("orders"); got == nil || got.RequestRate != 12.5 || m.recall("orders") != nil {
 		t.Errorf("recalled %+v, which can be had once", got)
 	}
 }
--- a/internal/proxy/late_test.go
+++ b/internal/proxy/late_test.go
@@ -36,7 +36,7 @@
 		late = false
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second) // should it go out
 		a := engine.Attempt{Message: m, Timeout: time.Second, May: func() (time.Time, bool) { return time.Time{}, !late }}
-		if result, _ := p.Find(backendID("a")).Exchange(ctx, a); result != decision.Moot {
+		if result, _ := p.Find(backendID("a")).Exchange(ctx, a); result != decision.NotSent {
 			t.Errorf("%s: ended as %v", name, result)
 		}
 		cancel()
@@ -64,7 +64,7 @@
 	}
 	looks := 0
 	a := engine.Attempt{Message: testMessage("GET", nil), Timeout: time.Second, May: func() (time.Time, bool) { looks++; return time.Time{}, false }}
-	if result, _ := p.Find(backendID("a")).Exchange(t.Context(), a); result != decision.Moot || looks != 1 {
+	if result, _ := p.Find(backendID("a")).Exchange(t.Context(), a); result != decision.NotSent || looks != 1 {
 		t.Errorf("ended as %v after %d looks", result, looks)
 	}
 	if len(asked) != 1 {
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -127,8 +127,8 @@
 					say(c, "HTTP/1.1 503 Service Unavailable\nX-Not-Processed: 1\nContent-Length: 0\nConnection: close\n\n")
 				})
 				p := startProxy(t, listText(1, true, memberText("a", addr, "active"), memberText("b", addr, "active")), newCatalog(t), func(c *Config) {
-					c.Module.Caps.Cancel = cancel
-					c.Module.Caps.ConnectTimeout = patience
+					c.Module.Capabilities.Cancel = cancel
+					c.Module.Capabilities.ConnectTimeout = patience
 				})
 				pool := p.only(t)
 				dial, dials := pool.dialer, 0
@@ -182,7 +182,7 @@
 		"overdue":   {func(cancel context.CancelCauseFunc, _ *message) { cancel(context.DeadlineExceeded) }, decision.ConnectFailed},
 		"not wanted": {func(_ context.CancelCauseFunc, m *message) {
 			m.may = func() (time.Time, bool) { return time.Time{}, false }
-		}, decision.Moot},
+		}, decision.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := make(chan *http.Request, 64)
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -20,7 +20,7 @@
 // learned is what a process knows that the next one could use.
 type learned struct {
 	Lists    map[string]guardedsource.Held `json:"lists"`    // by the register's address
-	Services map[string]decision.Memory    `json:"services"` // by name; the only one has none
+	Services map[string]decision.Snapshot  `json:"services"` // by name; the only one has none
 }
 
 // memory keeps what this process has learned, and tells what the one before it had.
@@ -71,11 +71,11 @@
 		}
 	}
 	for name, s := range m.before.Services {
-		if old(s.At) {
+		if old(s.TakenAt) {
 			delete(m.before.Services, name)
 			dropped = true
 		} else {
-			newest = max(newest, s.At)
+			newest = max(newest, s.TakenAt)
 		}
 	}
 	if newest > 0 {
@@ -110,7 +110,7 @@
 }
 
 // recall gives what the service of that name had learned, once: a later one of that name is another.
-func (m *memory) recall(name string) *decision.Memory {
+func (m *memory) recall(name string) *decision.Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s, any := m.before.Services[name]
@@ -139,7 +139,7 @@
 		if now == nil {
 			continue
 		}
-		l := learned{Lists: p.comeback.Held(), Services: map[string]decision.Memory{}}
+		l := learned{Lists: p.comeback.Held(), Services: map[string]decision.Snapshot{}}
 		for name, svc := range now.byName {
 			if s, ok := svc.engine.Remember(); ok {
 				l.Services[name] = s
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -191,7 +191,7 @@
 	defer p.conns.mu.Unlock()
 	p.conns.door = d
 	p.conns.turnAway = []byte("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-	if caps := &p.cfg.Module.Caps; caps.RetryAfter {
+	if caps := &p.cfg.Module.Capabilities; caps.RetryAfter {
 		h := http.Header{}
 		setRetryAfter(h, min(time.Second, caps.MaxRetryAfter))
 		p.conns.turnAway = fmt.Appendf(nil, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\nRetry-After: %s\r\n\r\n", h.Get("Retry-After"))
@@ -246,7 +246,7 @@
 	if p.cfg.KnownBad != nil {
 		p.log.Error("the list that the configuration knows can't be read: discovery is asked for all", "err", p.cfg.KnownBad)
 	}
-	p.cfg.Module.Caps.MaxOpen = int(openSockets * float64(p.cfg.Sockets))
+	p.cfg.Module.Capabilities.MaxOpenRequests = int(openSockets * float64(p.cfg.Sockets))
 	if p.cfg.Admission != "" {
 		if err := p.openDoor(); err != nil {
 			accepting.Close()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -493,7 +493,7 @@
 		}
 	}
 	list, err := parseList([]byte(listText(7, false, memberText("a", "", "left"))))
-	if err != nil || list.Version != 7 || list.Full || list.Members[0].State != decision.Gone {
+	if err != nil || list.Version != 7 || list.Full || list.Members[0].State != decision.Removed {
 		t.Errorf("a change: %+v, %v", list, err)
 	}
 }
@@ -837,8 +837,8 @@
 		t.Fatal(err)
 	}
 	m := c.Module
-	if m.Classes[1].Name != "hand-in" || m.Classes[1].Effect != decision.Unsafe || m.Classes[0].Effect != decision.Safe ||
-		!m.OnRequest || m.Caps.ConnectTimeout != 250*time.Millisecond || m.Obligations.FallMultiple != 2.5 {
+	if m.Classes[1].Name != "hand-in" || m.Classes[1].Idempotency != decision.NotIdempotent || m.Classes[0].Idempotency != decision.Idempotent ||
+		!m.PolledDiscovery || m.Capabilities.ConnectTimeout != 250*time.Millisecond || m.Constraints.OverloadFactor != 2.5 {
 		t.Errorf("settings %+v", m)
 	}
 	if c.Known.Version != 41 || c.Seed != 0x8c1f30d27a5be964 || c.Kinds[1] != "slow-5" || c.Zones[0] != "dc one" {
@@ -861,7 +861,7 @@
 func TestPushedListsAreWatched(t *testing.T) {
 	got := make(chan *http.Request, 8)
 	c := newCatalog(t)
-	p := startProxy(t, listText(1, true), c, func(cfg *Config) { cfg.Module.OnRequest = false })
+	p := startProxy(t, listText(1, true), c, func(cfg *Config) { cfg.Module.PolledDiscovery = false })
 	within(t, c.queries, "no watch")
 	c.lists <- listText(2, true, memberText("a", countingBackend(t, got), "active"))
 	within(t, c.queries, "no second call")
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -326,7 +326,7 @@
 func gateOf(m *decision.Config) (*processquota.Gate, error) {
 	var classes []processquota.GateClass
 	for _, c := range m.Classes {
-		classes = append(classes, processquota.GateClass{Worth: c.Value, Holds: max(c.Aim, time.Millisecond).Seconds()})
+		classes = append(classes, processquota.GateClass{Worth: c.PriorityWeight, Holds: max(c.LatencyObjective, time.Millisecond).Seconds()})
 	}
 	var weights []float64
 	for _, t := range m.Tenants {
@@ -341,23 +341,23 @@
 	if len(spec.Classes) > 0 {
 		m.Classes = nil
 		for _, c := range spec.Classes {
-			effect := decision.Unsafe
+			effect := decision.NotIdempotent
 			if c.Effect == "safe" {
-				effect = decision.Safe
+				effect = decision.Idempotent
 			}
-			m.Classes = append(m.Classes, decision.Class{Name: plain(c.Name), Aim: time.Duration(c.Aim), GiveUp: time.Duration(c.GiveUp), Effect: effect,
-				Group: decision.GroupAll, LateShare: c.Late, Value: c.Worth})
+			m.Classes = append(m.Classes, decision.Class{Name: plain(c.Name), LatencyObjective: time.Duration(c.Aim), ClientTimeout: time.Duration(c.GiveUp), Idempotency: effect,
+				DeduplicationScope: decision.ScopeAll, LateValueShare: c.Late, PriorityWeight: c.Worth})
 		}
 	}
-	m.RetryShare = spec.Repeats
-	m.Caps.MaxOpen = max(1, int(spec.Share.Cap*float64(m.Caps.MaxOpen)))
+	m.RetryBudgetRatio = spec.Repeats
+	m.Capabilities.MaxOpenRequests = max(1, int(spec.Share.Cap*float64(m.Capabilities.MaxOpenRequests)))
 	return m
 }
 
 // keeps tells whether a service can live on under another configuration.
 func (s *service) keeps(spec *config.Service, module decision.Config) bool {
 	return s.spec.Upstream == spec.Upstream && slices.Equal(s.spec.Kinds, spec.Kinds) && slices.Equal(s.spec.Cells, spec.Cells) && slices.Equal(s.module.Classes, module.Classes) &&
-		s.module.Caps.MaxOpen == module.Caps.MaxOpen && s.module.RetryShare == module.RetryShare
+		s.module.Capabilities.MaxOpenRequests == module.Capabilities.MaxOpenRequests && s.module.RetryBudgetRatio == module.RetryBudgetRatio
 }
 
 func (s *services) moveTo(svc *service, discovery string) {
@@ -402,11 +402,11 @@
 		told.Classes = nil
 	}
 	svc.classes, svc.tenants = numbered(classes, told.Classes), numbered(tenants, told.Tenants)
-	idle := module.Caps.ConnIdle
+	idle := module.Capabilities.ConnectionIdleTimeout
 	if spec.Name != "" { // what stands idle here is kept from others: it comes back within the recall time
 		idle = min(idle, defaultRecall)
 	}
-	svc.pool = newPool(s.backendPlaces(), module.Caps.ConnectTimeout, idle)
+	svc.pool = newPool(s.backendPlaces(), module.Capabilities.ConnectTimeout, idle)
 	svc.pool.attempts = &fig.Attempts
 	seed := s.p.cfg.Seed
 	var err error
@@ -454,7 +454,7 @@
 		svc.follow(discovery)
 		view = svc.sight
 	}
-	var recall *decision.Memory
+	var recall *decision.Snapshot
 	if s.p.memory != nil {
 		recall = s.p.memory.recall(spec.Name)
 	}
@@ -612,7 +612,7 @@
 	most := time.Duration(0)
 	for _, svc := range s.now.Load().byName {
 		for _, c := range svc.module.Classes {
-			most = max(most, c.GiveUp)
+			most = max(most, c.ClientTimeout)
 		}
 	}
 	return most
--- a/internal/proxy/services_trouble_test.go
+++ b/internal/proxy/services_trouble_test.go
@@ -23,7 +23,7 @@
 name = "all"
 path_prefix = "/api"
 to = [{ service = "dispatch" }]
-`, func(c *Config) { c.Module.Caps.Probes = true })
+`, func(c *Config) { c.Module.Capabilities.HealthChecks = true })
 	if status, body := s.ask(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 || body != "fast-5" {
 		t.Fatalf("before: %d %q", status, body)
 	}
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -82,7 +82,7 @@
 			}
 			p := startProxy(t, known, catalog, func(c *Config) {
 				if s.dials >= 0 {
-					c.Module.Caps.ConnectTimeout = patience
+					c.Module.Capabilities.ConnectTimeout = patience
 				}
 			})
 			pool := p.only(t)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -246,7 +246,7 @@
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), func(c *Config) {
 		for i := range c.Module.Classes { // so that the last deadline is soon past
-			c.Module.Classes[i].GiveUp = 10 * time.Millisecond
+			c.Module.Classes[i].ClientTimeout = 10 * time.Millisecond
 		}
 	})
 	type result struct {
@@ -284,7 +284,7 @@
 		says string
 		want decision.Result
 	}{
-		"turned away":    {"HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n", decision.Full},
+		"turned away":    {"HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n", decision.Rejected},
 		"error":          {"HTTP/1.1 500 Oh\nContent-Length: 2\n\nno", decision.Error},
 		"too long":       {"HTTP/1.1 413 Long\nTransfer-Encoding: chunked\n\n2\nno\n0\n\n", decision.Error},
 		"served already": {served, decision.ConnectFailed}, // it can't have been
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -241,9 +241,9 @@
 	for _, onRequest := range []bool{true, false} {
 		for _, other := range []struct{ asked, connect, grace time.Duration }{
 			{2 * time.Second, 30 * time.Millisecond, 500 * time.Millisecond}, {60 * time.Second, time.Second, 250 * time.Millisecond}} {
-			m := decision.Config{Instances: 24, Tick: 2 * time.Millisecond, OnRequest: onRequest,
-				Classes:     []decision.Class{{Name: "c", Aim: time.Second, GiveUp: time.Second}},
-				Obligations: decision.Obligations{AskEvery: other.asked, DrainGrace: other.grace}, Caps: decision.Caps{ConnectTimeout: other.connect, MaxAttempts: 1}}
+			m := decision.Config{Instances: 24, Tick: 2 * time.Millisecond, PolledDiscovery: onRequest,
+				Classes:     []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
+				Constraints: decision.Constraints{MaxListAge: other.asked, DrainGrace: other.grace}, Capabilities: decision.Capabilities{ConnectTimeout: other.connect, MaxAttempts: 1}}
 			for _, what := range []trouble{refused, void, hung, turned, reset, half, garbled, unordered, slow} {
 				for _, by := range []string{"alone", "hub", "comeback"} {
 					t.Run(fmt.Sprintf("on request %v/asked every %v/%s/%s", onRequest, other.asked, what, by), func(t *testing.T) {
@@ -303,12 +303,12 @@
 	made := reg.made() - before
 	back := time.Now()
 	most := 5500 * time.Millisecond
-	if !m.OnRequest && what != hung && what != void {
-		most = m.Obligations.DrainGrace
+	if !m.PolledDiscovery && what != hung && what != void {
+		most = m.Constraints.DrainGrace
 	}
 	if what != slow {
 		reg.turn(well)
-	} else if !m.OnRequest { // an agent on this machine is never so slow
+	} else if !m.PolledDiscovery { // an agent on this machine is never so slow
 		return
 	}
 	reg.drain(12)
@@ -328,8 +328,8 @@
 // A register that has begun anew counts from the start: its whole list is asked for, and its changes are no past ones.
 func TestARegisterThatCountsAnewIsBelieved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c", Aim: time.Second, GiveUp: time.Second}},
-			Obligations: decision.Obligations{DrainGrace: 250 * time.Millisecond}, Caps: decision.Caps{MaxAttempts: 1}}
+		m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
+			Constraints: decision.Constraints{DrainGrace: 250 * time.Millisecond}, Capabilities: decision.Capabilities{MaxAttempts: 1}}
 		reg, up := newTroubled(), &learner{}
 		d := newDiscovery("register.test:1", paceFor(&m), slog.New(slog.DiscardHandler))
 		d.dial = reg.dial(time.Second)
@@ -476,7 +476,7 @@
 
 // pushed has a proxy watch an agent on its machine at the pace of its settings.
 func pushed(cfg *Config) {
-	cfg.Module.OnRequest = false
+	cfg.Module.PolledDiscovery = false
 	cfg.pace = paceFor(&cfg.Module)
 }
 
@@ -615,8 +615,8 @@
 			first, second, third := newTroubled(), newTroubled(), newTroubled()
 			a, b, c := first.listen(t), second.listen(t), third.listen(t)
 			known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
-			m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c", Aim: time.Second, GiveUp: time.Second}},
-				Obligations: decision.Obligations{DrainGrace: 250 * time.Millisecond}, Caps: decision.Caps{MaxAttempts: 1}}
+			m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
+				Constraints: decision.Constraints{DrainGrace: 250 * time.Millisecond}, Capabilities: decision.Capabilities{MaxAttempts: 1}}
 			at := func(addr string) *discoveryClient {
 				return newDiscovery(addr, paceFor(&m), slog.New(slog.DiscardHandler))
 			}
--- a/internal/wire/bootinfo.go
+++ b/internal/wire/bootinfo.go
@@ -56,28 +56,28 @@
 func (s *settings) config() decision.Config {
 	c := decision.Config{
 		Instances: s.count("Balancers", 1), Rank: s.count("Rank", 0), Zone: s.count("Zone", 0),
-		Tick:           s.span("Tick", 0),
-		OverShareWorth: s.number("OverShareWorth", 1),
-		WorthByWork:    s.text("WorthBy") == "work",
-		WarmKeys:       s.flag("Extra.WarmKeys"),
-		MarksRetry:     s.flag("Clients.MarksRetry"),
-		OnRequest:      s.word("Discovery", "pushed", "on_request") == "on_request",
-		Goal: decision.Goal{Whole: s.number("Goal.Whole", 1), WorstClass: s.number("Goal.WorstClass", 0),
+		Tick:               s.span("Tick", 0),
+		OverQuotaWeight:    s.number("OverShareWorth", 1),
+		WeightByWork:       s.text("WorthBy") == "work",
+		KeyAffinity:        s.flag("Extra.WarmKeys"),
+		ClientsMarkRetries: s.flag("Clients.MarksRetry"),
+		PolledDiscovery:    s.word("Discovery", "pushed", "on_request") == "on_request",
+		ObjectiveWeights: decision.ObjectiveWeights{Overall: s.number("Goal.Whole", 1), WorstClass: s.number("Goal.WorstClass", 0),
 			WorstTenant: s.number("Goal.WorstTenant", 0), WorstWindow: s.number("Goal.WorstWindow", 0)},
-		Prices: decision.Prices{Connection: s.number("Prices.Connection", 0),
+		Penalties: decision.Penalties{Connection: s.number("Prices.Connection", 0),
 			CrossZone: s.number("Prices.CrossZone", 0), Discovery: s.number("Prices.Discovery", 0),
-			Handshake: s.number("Prices.Handshake", 0), LateFail: s.number("Prices.LateFail", 0),
-			Peer: s.number("Prices.Peer", 0), Probe: s.number("Prices.Probe", 0), Waste: s.number("Prices.Waste", 0)},
-		Obligations: decision.Obligations{AnswerSlack: s.span("Obligations.AnswerSlack", 0),
-			AskEvery: s.span("Obligations.AskEvery", 0), Cold: s.span("Obligations.Cold", 0),
-			DrainGrace: s.span("Obligations.DrainGrace", 0), Fall: s.span("Obligations.Fall", 0),
-			FallMultiple:  s.number("Obligations.FallMultiple", 1),
-			StartCapacity: s.number("Obligations.StartCapacity", 1)},
-		Caps: decision.Caps{Cancel: s.flag("Caps.Cancel"), Peers: s.flag("Caps.Peers"), Probes: s.flag("Caps.Probes"),
-			RetryAfter: s.flag("Caps.RetryAfter"), SecondCopies: s.flag("Caps.SecondCopies"),
-			ConnIdle: s.span("Caps.ConnIdle", 0), ConnectTimeout: s.span("Caps.ConnectTimeout", 0),
+			Handshake: s.number("Prices.Handshake", 0), LateFailure: s.number("Prices.LateFail", 0),
+			PeerMessage: s.number("Prices.Peer", 0), HealthCheck: s.number("Prices.Probe", 0), WastedWork: s.number("Prices.Waste", 0)},
+		Constraints: decision.Constraints{AnswerSlack: s.span("Obligations.AnswerSlack", 0),
+			MaxListAge: s.span("Obligations.AskEvery", 0), WarmUp: s.span("Obligations.Cold", 0),
+			DrainGrace: s.span("Obligations.DrainGrace", 0), OverloadWindow: s.span("Obligations.Fall", 0),
+			OverloadFactor:  s.number("Obligations.FallMultiple", 1),
+			InitialCapacity: s.number("Obligations.StartCapacity", 1)},
+		Capabilities: decision.Capabilities{Cancel: s.flag("Caps.Cancel"), PeerMessages: s.flag("Caps.Peers"), HealthChecks: s.flag("Caps.Probes"),
+			RetryAfter: s.flag("Caps.RetryAfter"), HedgedRequests: s.flag("Caps.SecondCopies"),
+			ConnectionIdleTimeout: s.span("Caps.ConnIdle", 0), ConnectTimeout: s.span("Caps.ConnectTimeout", 0),
 			MaxRetryAfter: s.span("Caps.MaxRetryAfter", 0), MaxAttempts: s.count("Caps.MaxAttempts", 1),
-			StreamsPerConn: s.count("Caps.StreamsPerConn", 1)},
+			StreamsPerConnection: s.count("Caps.StreamsPerConn", 1)},
 	}
 	switch s.text("Weights") {
 	case "nominal", "rough":
@@ -91,30 +91,30 @@
 	for i := range s.items("Tenants.count") {
 		p := fmt.Sprintf("Tenants.%d.", i)
 		c.Tenants = append(c.Tenants, decision.Tenant{Name: s.text(p + "Name"), Share: s.number(p+"Share", 0),
-			QuotaPerS: s.number(p+"QuotaPerS", 0)})
+			QuotaPerSecond: s.number(p+"QuotaPerS", 0)})
 	}
 	return c
 }
 
 func (s *settings) class(p string) decision.Class {
-	c := decision.Class{Name: s.text(p + "Name"), Aim: s.span(p+"Aim", 0), AimStretch: s.number(p+"AimStretch", 0),
-		GiveUp: s.span(p+"GiveUp", 0), LateShare: s.number(p+"LateShare", 0), Stream: s.flag(p + "Stream"),
-		Value: s.number(p+"Value", 1), Window: s.span(p+"Window", 0)}
+	c := decision.Class{Name: s.text(p + "Name"), LatencyObjective: s.span(p+"Aim", 0), ObjectivePerWork: s.number(p+"AimStretch", 0),
+		ClientTimeout: s.span(p+"GiveUp", 0), LateValueShare: s.number(p+"LateShare", 0), StreamedResponse: s.flag(p + "Stream"),
+		PriorityWeight: s.number(p+"Value", 1), DeduplicationWindow: s.span(p+"Window", 0)}
 	switch s.word(p+"Effect", "fragile", "dedup", "retryable") {
 	case "dedup":
-		c.Effect = decision.Keyed
+		c.Idempotency = decision.IdempotentByKey
 	case "retryable":
-		c.Effect = decision.Safe
+		c.Idempotency = decision.Idempotent
 	}
 	group := s.text(p + "Group")
-	if c.Effect == decision.Keyed { // Danger: of an unknown one nobody knows where repeats are dropped
+	if c.Idempotency == decision.IdempotentByKey { // Danger: of an unknown one nobody knows where repeats are dropped
 		group = s.word(p+"Group", "cell", "zone", "all")
 	}
 	switch group {
 	case "zone":
-		c.Group = decision.GroupZone
+		c.DeduplicationScope = decision.ScopeZone
 	case "all":
-		c.Group = decision.GroupAll
+		c.DeduplicationScope = decision.ScopeAll
 	}
 	return c
 }
--- a/internal/wire/bootinfo_test.go
+++ b/internal/wire/bootinfo_test.go
@@ -23,17 +23,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := decision.Config{Instances: 3, Rank: 2, Zone: 1, Tick: 5 * ms, OnRequest: true, WarmKeys: true,
-		OverShareWorth: 1, WorthByWork: true, Weights: decision.WeightNominal,
-		Goal: decision.Goal{Whole: 1},
+	want := decision.Config{Instances: 3, Rank: 2, Zone: 1, Tick: 5 * ms, PolledDiscovery: true, KeyAffinity: true,
+		OverQuotaWeight: 1, WeightByWork: true, Weights: decision.WeightNominal,
+		ObjectiveWeights: decision.ObjectiveWeights{Overall: 1},
 		Classes: []decision.Class{
-			{Name: "a", Aim: time.Second, GiveUp: 3 * time.Second, Effect: decision.Safe, Group: decision.GroupAll, Value: 1},
-			{Name: "b", Aim: 400 * ms, GiveUp: 900 * ms, Effect: decision.Keyed, Group: decision.GroupZone, Value: 1,
-				Window: 1200*ms + 500*time.Microsecond},
+			{Name: "a", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, Idempotency: decision.Idempotent, DeduplicationScope: decision.ScopeAll, PriorityWeight: 1},
+			{Name: "b", LatencyObjective: 400 * ms, ClientTimeout: 900 * ms, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeZone, PriorityWeight: 1,
+				DeduplicationWindow: 1200*ms + 500*time.Microsecond},
 		},
-		Tenants:     []decision.Tenant{{Name: "t", QuotaPerS: 12.5}},
-		Obligations: decision.Obligations{FallMultiple: 2.5, StartCapacity: 1},
-		Caps:        decision.Caps{Cancel: true, ConnectTimeout: 250 * ms, MaxAttempts: 6, StreamsPerConn: 1},
+		Tenants:      []decision.Tenant{{Name: "t", QuotaPerSecond: 12.5}},
+		Constraints:  decision.Constraints{OverloadFactor: 2.5, InitialCapacity: 1},
+		Capabilities: decision.Capabilities{Cancel: true, ConnectTimeout: 250 * ms, MaxAttempts: 6, StreamsPerConnection: 1},
 	}
 	if !reflect.DeepEqual(c, want) {
 		t.Errorf("got  %+v\nwant %+v", c, want)
@@ -70,8 +70,8 @@
 func TestNewWordsThatOnlyWeighAreRead(t *testing.T) {
 	c, err := ParseBootInfo("Weights=guessed\nWorthBy=mood\nFeedback.How=by_post\nServices.count=2\n" +
 		"Services.0.Effect=retryable\nServices.0.Group=galaxy\nServices.1.Effect=fragile\nServices.1.Group=galaxy")
-	if err != nil || c.Weights != decision.WeightNone || c.WorthByWork || c.Classes[0].Effect != decision.Safe ||
-		c.Classes[1].Effect != decision.Unsafe || c.Classes[1].Group != decision.GroupCell {
+	if err != nil || c.Weights != decision.WeightNone || c.WeightByWork || c.Classes[0].Idempotency != decision.Idempotent ||
+		c.Classes[1].Idempotency != decision.NotIdempotent || c.Classes[1].DeduplicationScope != decision.ScopeCell {
 		t.Errorf("%+v, error %v", c, err)
 	}
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -58,11 +58,11 @@
 	BootInfo []byte
 	ID       decision.RequestID
 	Token    uint64
-	List     decision.Membership
+	List     decision.EndpointUpdate
 	Request  decision.Request
 	First    decision.FirstByte
 	Outcome  decision.Outcome
-	Probe    decision.ProbeResult
+	Probe    decision.HealthCheckResult
 	Message  decision.PeerMessage
 }
 
@@ -193,8 +193,8 @@
 func (d *decoder) report() { d.take(4 * int(d.u8())) }
 
 // results gives the outcomes by their code on the wire.
-var results = [...]decision.Result{decision.Error, decision.OK, decision.Full, decision.Timeout,
-	decision.ConnectFailed, decision.Reset, decision.Cancelled, decision.Moot}
+var results = [...]decision.Result{decision.Error, decision.OK, decision.Rejected, decision.Timeout,
+	decision.ConnectFailed, decision.Reset, decision.Cancelled, decision.NotSent}
 
 func (d *decoder) result() decision.Result {
 	c := d.u8()
@@ -205,11 +205,11 @@
 	return results[c]
 }
 
-var states = [...]decision.State{decision.Gone, decision.Ready, decision.Draining}
+var states = [...]decision.BackendState{decision.Removed, decision.Ready, decision.Draining}
 
-var listKinds = [...]decision.ListKind{decision.ListDelta, decision.ListFull, decision.ListCached, decision.ListFailed}
+var listKinds = [...]decision.UpdateKind{decision.UpdateDelta, decision.UpdateFull, decision.UpdateCached, decision.UpdateFailed}
 
-func (d *decoder) list() decision.Membership {
+func (d *decoder) list() decision.EndpointUpdate {
 	kind, version, n := d.u8(), d.u32(), int(d.u32())
 	if int(kind) >= len(listKinds) {
 		d.fail(fmt.Errorf("unknown list mode %d", kind))
@@ -217,7 +217,7 @@
 		d.fail(errShort)
 	}
 	if d.err != nil {
-		return decision.Membership{}
+		return decision.EndpointUpdate{}
 	}
 	d.rows = d.rows[:0]
 	for range n {
@@ -232,7 +232,7 @@
 		row.State = states[state]
 		d.rows = append(d.rows, row)
 	}
-	return decision.Membership{Kind: listKinds[kind], Version: version, Backends: d.rows}
+	return decision.EndpointUpdate{Kind: listKinds[kind], Version: version, Backends: d.rows}
 }
 
 const hintValid = 1
@@ -246,27 +246,27 @@
 	case Membership:
 		ev.List = d.list()
 	case Ask:
-		r := decision.Request{ID: decision.RequestID(d.u32()), Cost: d.time(), Deadline: d.time()}
+		r := decision.Request{ID: decision.RequestID(d.u32()), ExpectedWork: d.time(), Deadline: d.time()}
 		bits := d.u8()
 		r.Class, r.Key, r.Tenant = int(d.u8()), d.u64(), int(d.u32())
-		if bits&hintValid == 0 || r.Cost < 0 {
-			r.Cost = 0
+		if bits&hintValid == 0 || r.ExpectedWork < 0 {
+			r.ExpectedWork = 0
 		}
-		r.Repeat = bits&clientRepeat != 0
+		r.MarkedRetry = bits&clientRepeat != 0
 		ev.Request = r
 	case Headers:
 		ev.First = decision.FirstByte{ID: decision.RequestID(d.u32()), Attempt: int(d.u8()),
-			Backend: decision.BackendID(d.u32()), Took: d.time()}
+			Backend: decision.BackendID(d.u32()), Latency: d.time()}
 	case Returned:
 		ev.Outcome = decision.Outcome{ID: decision.RequestID(d.u32()), Attempt: int(d.u8()),
-			Backend: decision.BackendID(d.u32()), Result: d.result(), Took: d.time(), Final: d.u8() != 0}
+			Backend: decision.BackendID(d.u32()), Result: d.result(), Latency: d.time(), Final: d.u8() != 0}
 		d.report()
 	case Aborted:
 		ev.ID = decision.RequestID(d.u32())
 	case Elapsed:
 		ev.Token = d.u64()
 	case Probed:
-		ev.Probe = decision.ProbeResult{Backend: decision.BackendID(d.u32()), Result: d.result(), Took: d.time()}
+		ev.Probe = decision.HealthCheckResult{Backend: decision.BackendID(d.u32()), Result: d.result(), Latency: d.time()}
 		d.report()
 	case Peer:
 		from := int(d.u16())
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -88,8 +88,8 @@
 	a.millis(until)
 }
 
-// Refuse implements decision.Host.
-func (a Actions) Refuse(id decision.RequestID, retryAfter time.Duration) {
+// Reject implements decision.Host.
+func (a Actions) Reject(id decision.RequestID, retryAfter time.Duration) {
 	a.record(reject)
 	a.u32(uint32(id))
 	a.millis(retryAfter)
@@ -108,20 +108,20 @@
 	a.To.buf = append(a.To.buf, byte(attempt))
 }
 
-// Probe implements decision.Host.
-func (a Actions) Probe(b decision.BackendID) {
+// CheckHealth implements decision.Host.
+func (a Actions) CheckHealth(b decision.BackendID) {
 	a.record(sample)
 	a.u32(uint32(b))
 }
 
-// Release implements decision.Host.
-func (a Actions) Release(b decision.BackendID) {
+// ReleaseIdleConnections implements decision.Host.
+func (a Actions) ReleaseIdleConnections(b decision.BackendID) {
 	a.record(release)
 	a.u32(uint32(b))
 }
 
-// Watch implements decision.Host.
-func (a Actions) Watch(on bool) {
+// WatchEndpoints implements decision.Host.
+func (a Actions) WatchEndpoints(on bool) {
 	a.record(observe)
 	var v byte
 	if on {
@@ -130,18 +130,18 @@
 	a.To.buf = append(a.To.buf, v)
 }
 
-// Fetch implements decision.Host.
-func (a Actions) Fetch() { a.record(resolve) }
+// FetchEndpoints implements decision.Host.
+func (a Actions) FetchEndpoints() { a.record(resolve) }
 
-// Tell implements decision.Host.
-func (a Actions) Tell(peer uint32, body []byte) {
+// SendToPeer implements decision.Host.
+func (a Actions) SendToPeer(peer uint32, body []byte) {
 	a.record(signal)
 	a.u32(peer)
 	a.bytes(body, maxMessage)
 }
 
-// After implements decision.Host.
-func (a Actions) After(d time.Duration, token uint64) {
+// StartTimer implements decision.Host.
+func (a Actions) StartTimer(d time.Duration, token uint64) {
 	a.record(notifyMe)
 	a.millis(d)
 	a.u64(token)
