--- a/cmd/faultlab/experiment.go
+++ b/cmd/faultlab/experiment.go
@@ -226,7 +226,7 @@
 			if err != nil {
 				return nil, err
 			}
-			memory = c.Every()
+			memory = c.SnapshotInterval()
 		}
 		s, err = simulate(ctx, f.Name, &spec, policy, memory, io.Discard)
 	}
--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -707,29 +707,29 @@
 // nowhere is an upstream whose probes pass at once, and a source that has nothing to tell.
 type nowhere struct{ probes *atomic.Int64 }
 
-func (n nowhere) Update(engine.List)                    {}
-func (n nowhere) Find(decision.BackendID) engine.Peer   { return n }
-func (n nowhere) Release(decision.BackendID)            {}
-func (n nowhere) Probe(context.Context) decision.Result { n.probes.Add(1); return decision.OK }
-func (n nowhere) Addr() string                          { return "nowhere" }
-func (n nowhere) Close()                                {}
+func (n nowhere) Update(engine.EndpointList)                  {}
+func (n nowhere) Find(decision.BackendID) engine.Backend      { return n }
+func (n nowhere) Release(decision.BackendID)                  {}
+func (n nowhere) CheckHealth(context.Context) decision.Result { n.probes.Add(1); return decision.OK }
+func (n nowhere) Addr() string                                { return "nowhere" }
+func (n nowhere) Close()                                      {}
 func (n nowhere) Exchange(context.Context, engine.Attempt) (decision.Result, any) {
 	return decision.NotSent, nil
 }
-func (n nowhere) Fetch(ctx context.Context) (engine.List, error) {
+func (n nowhere) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	<-ctx.Done()
-	return engine.List{}, ctx.Err()
+	return engine.EndpointList{}, ctx.Err()
 }
-func (n nowhere) Watch(ctx context.Context, _ uint32, _ func(engine.List)) error {
+func (n nowhere) Watch(ctx context.Context, _ uint32, _ func(engine.EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func members(first, n int, kind string) []engine.Member {
-	list := make([]engine.Member, n)
+func members(first, n int, kind string) []engine.Endpoint {
+	list := make([]engine.Endpoint, n)
 	for i := range list {
 		k := first + i
-		list[i] = engine.Member{ID: fmt.Sprintf("dispatch-r%d-z%02d-%05d", k%7, k%22, k), Addr: fmt.Sprintf("10.%d.%d.%d:8080", k>>16&255, k>>8&255, k&255), Zone: "nyarugenge",
+		list[i] = engine.Endpoint{ID: fmt.Sprintf("dispatch-r%d-z%02d-%05d", k%7, k%22, k), Addr: fmt.Sprintf("10.%d.%d.%d:8080", k>>16&255, k>>8&255, k&255), Zone: "nyarugenge",
 			Kind: kind, Cell: k % 40, State: decision.Ready, Weight: 1}
 	}
 	return list
@@ -752,7 +752,7 @@
 	was := memory.HeapAlloc + memory.StackInuse
 	for i := range engines {
 		up := nowhere{&probes}
-		e, err := engine.New(engine.Options{Module: cfg, Seed: uint64(i + 1), Known: engine.List{Version: 1, Full: true, Members: members(i*perService, perService, "std-1")},
+		e, err := engine.New(engine.Options{Decision: cfg, Seed: uint64(i + 1), InitialEndpoints: engine.EndpointList{Version: 1, Full: true, Endpoints: members(i*perService, perService, "std-1")},
 			Zones: []string{"nyarugenge"}, Kinds: []string{"std-1"}, Upstream: up, Source: up})
 		if err != nil {
 			return nil, err
@@ -789,15 +789,15 @@
 }
 
 // told is a register that tells what a test hands it.
-type told struct{ lists chan engine.List }
+type told struct{ lists chan engine.EndpointList }
 
 func (t *told) Addr() string { return "register" }
 func (t *told) Close()       {}
-func (t *told) Fetch(ctx context.Context) (engine.List, error) {
+func (t *told) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	<-ctx.Done()
-	return engine.List{}, ctx.Err()
+	return engine.EndpointList{}, ctx.Err()
 }
-func (t *told) Watch(ctx context.Context, _ uint32, tell func(engine.List)) error {
+func (t *told) Watch(ctx context.Context, _ uint32, tell func(engine.EndpointList)) error {
 	for {
 		select {
 		case l := <-t.lists:
@@ -809,24 +809,24 @@
 }
 
 func hubOf(ctx context.Context, g *rig, servers int) ([]is, error) {
-	source := &told{make(chan engine.List)}
-	hubs := discovery.NewHubs(time.Second, func(string) engine.Source { return source })
+	source := &told{make(chan engine.EndpointList)}
+	hubs := discovery.NewRegistry(time.Second, func(string) engine.Source { return source })
 	all := members(0, servers, "std-1")
 	ctx, cancel := context.WithCancel(ctx)
 	var watching sync.WaitGroup
 	defer watching.Wait()
 	defer cancel()
 	heard := make(chan uint32, targetServices)
-	known := engine.List{Version: 1, Full: true, Members: all}
+	known := engine.EndpointList{Version: 1, Full: true, Endpoints: all}
 	began := cpu()
 	for range targetServices {
-		f := hubs.Join("register", known)
+		f := hubs.Subscribe("register", known)
 		if _, ok := f.List(); !ok {
 			return nil, fmt.Errorf("the hub does not know its list")
 		}
 		watching.Go(func() {
 			defer f.Close()
-			_ = f.Watch(ctx, 1, func(l engine.List) { heard <- l.Version })
+			_ = f.Watch(ctx, 1, func(l engine.EndpointList) { heard <- l.Version })
 		})
 	}
 	wait := func(version uint32) error {
@@ -847,7 +847,7 @@
 	}
 	joined := cpu() - began
 	version, full, change, zone := uint32(1), time.Duration(0), time.Duration(0), time.Duration(0)
-	var draining []engine.Member // here and there in the list
+	var draining []engine.Endpoint // here and there in the list
 	for i := 0; i < servers; i += targetBackends / zoneBackends {
 		m := all[i]
 		m.State = decision.Draining
@@ -856,11 +856,11 @@
 	for range g.times {
 		for _, k := range []struct {
 			whole   bool
-			members []engine.Member
+			members []engine.Endpoint
 			best    *time.Duration
 		}{{true, all, &full}, {false, all[:1], &change}, {false, draining, &zone}} {
 			version++
-			l, best := engine.List{Version: version, Full: k.whole, Members: k.members}, k.best
+			l, best := engine.EndpointList{Version: version, Full: k.whole, Endpoints: k.members}, k.best
 			began := cpu()
 			select {
 			case source.lists <- l:
@@ -880,8 +880,8 @@
 
 func guardOf(_ context.Context, g *rig, servers int) ([]is, error) {
 	all := members(0, servers, "std-1")
-	whole := engine.List{Version: 1, Full: true, Members: all}
-	set := backrules.GuardSettings{Shrink: .3, Least: 2, Hold: 30 * time.Second}
+	whole := engine.EndpointList{Version: 1, Full: true, Endpoints: all}
+	set := backrules.GuardSettings{MaxMissingRatio: .3, MinMissing: 2, RetainFor: 30 * time.Second}
 	gone := servers * zoneBackends / targetBackends
 	var err error
 	make := func() (guard *backrules.Guard) {
@@ -893,12 +893,12 @@
 	}
 	bytes := heapOf(func() any { return make() })
 	guard := make()
-	same := g.cost(func() { guard.Take(time.Second, whole) })
+	same := g.cost(func() { guard.Apply(time.Second, whole) })
 	best := time.Duration(0)
 	for range g.times {
 		guard := make()
 		began := cpu()
-		guard.Take(time.Second, engine.List{Version: 2, Full: true, Members: all[gone:]})
+		guard.Apply(time.Second, engine.EndpointList{Version: 2, Full: true, Endpoints: all[gone:]})
 		if took := cpu() - began; best == 0 || took < best {
 			best = took
 		}
--- a/cmd/lapisspread/comeback.go
+++ b/cmd/lapisspread/comeback.go
@@ -24,7 +24,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %s\n", args[0], f.Words())
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %s\n", args[0], f.Describe())
 			return nil
 		},
 	})
--- a/cmd/lapisspread/main.go
+++ b/cmd/lapisspread/main.go
@@ -99,7 +99,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: proxy %q, %d classes, %d tenants, %d backends known\n",
-				args[0], c.Name, len(c.Module.Classes), len(c.Module.Tenants), len(c.Known.Members))
+				args[0], c.Name, len(c.Module.Classes), len(c.Module.Tenants), len(c.Known.Endpoints))
 			if c.KnownBad != nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "%v; it is served without, and discovery is asked\n", c.KnownBad)
 			}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -36,13 +36,13 @@
 		}
 		reply.Reset(batch.Seq)
 		var failed *panicError
-		err = batch.Each(func(ev *wire.Event) error { return guard(instances, &reply, batch, ev) })
+		err = batch.Each(func(ev *wire.Event) error { return deliverRecovering(instances, &reply, batch, ev) })
 		if err != nil && !errors.As(err, &failed) {
 			return err
 		}
 		if failed != nil { // what the batch had decided so far is void
 			reply.Reset(batch.Seq)
-			wire.Actions{To: &reply, Instance: failed.instance}.Broken(failed.Error())
+			wire.Actions{Reply: &reply, Instance: failed.instance}.ReportFailure(failed.Error())
 		}
 		if _, err := out.Write(reply.Bytes()); err != nil {
 			return fmt.Errorf("batch %d: writing the reply: %w", batch.Seq, err)
@@ -63,8 +63,8 @@
 	return fmt.Sprintf("instance %d: the decision code failed: %v", e.instance, e.value)
 }
 
-// guard delivers an event and turns a panic into an error.
-func guard(instances map[uint16]*decision.Balancer, reply *wire.Reply, batch wire.Batch, ev *wire.Event) (err error) {
+// deliverRecovering delivers an event and turns a panic into an error.
+func deliverRecovering(instances map[uint16]*decision.Balancer, reply *wire.Reply, batch wire.Batch, ev *wire.Event) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			err = &panicError{ev.Instance, v}
@@ -75,11 +75,11 @@
 
 func deliver(instances map[uint16]*decision.Balancer, reply *wire.Reply, batch wire.Batch, ev *wire.Event) error {
 	if ev.Code == wire.Init {
-		cfg, err := wire.ParseBootInfo(string(ev.BootInfo))
+		cfg, err := wire.ParseSettings(string(ev.Settings))
 		if err != nil {
 			return err
 		}
-		b, err := decision.New(cfg, ev.Seed, wire.Actions{To: reply, Instance: ev.Instance})
+		b, err := decision.New(cfg, ev.Seed, wire.Actions{Reply: reply, Instance: ev.Instance})
 		if err != nil {
 			return err
 		}
@@ -92,22 +92,22 @@
 		return fmt.Errorf("instance %d was never initialised", ev.Instance)
 	}
 	switch now := batch.Now; ev.Code {
-	case wire.Membership:
-		b.UpdateEndpoints(now, ev.List)
-	case wire.Ask:
+	case wire.EndpointsChanged:
+		b.UpdateEndpoints(now, ev.Endpoints)
+	case wire.RequestArrived:
 		b.Request(now, ev.Request)
-	case wire.Headers:
-		b.FirstByte(now, ev.First)
-	case wire.Returned:
+	case wire.FirstByteReceived:
+		b.FirstByte(now, ev.FirstByte)
+	case wire.AttemptEnded:
 		b.Outcome(now, ev.Outcome)
-	case wire.Aborted:
-		b.ClientGone(now, ev.ID)
-	case wire.Elapsed:
-		b.Timer(now, ev.Token)
-	case wire.Probed:
-		b.HealthChecked(now, ev.Probe)
-	case wire.Peer:
-		b.PeerMessage(now, ev.Message)
+	case wire.ClientGone:
+		b.ClientGone(now, ev.RequestID)
+	case wire.TimerFired:
+		b.Timer(now, ev.TimerToken)
+	case wire.HealthChecked:
+		b.HealthChecked(now, ev.HealthCheck)
+	case wire.PeerMessageReceived:
+		b.PeerMessage(now, ev.PeerMessage)
 	case wire.Destroy:
 		delete(instances, ev.Instance)
 	}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -91,7 +91,7 @@
 func TestAPanicBecomesAnErrorThatNamesTheInstance(t *testing.T) {
 	var reply wire.Reply
 	instances := map[uint16]*decision.Balancer{5: {}} // never made by New: any request panics
-	err := guard(instances, &reply, wire.Batch{}, &wire.Event{Code: wire.Ask, Instance: 5})
+	err := deliverRecovering(instances, &reply, wire.Batch{}, &wire.Event{Code: wire.RequestArrived, Instance: 5})
 	var failed *panicError
 	if !errors.As(err, &failed) || failed.instance != 5 || !strings.Contains(err.Error(), "instance 5") {
 		t.Errorf("error %v", err)
--- a/decision/engine_test.go
+++ b/decision/engine_test.go
@@ -26,16 +26,16 @@
 	rng     *rand.Rand // of the requests and of the list; what goroutines draw comes from draw
 	model   *model
 	engine  *engine.Engine
-	members []engine.Member
+	members []engine.Endpoint
 	version uint32
-	changed chan struct{} // closed at each change of the list
-	update  engine.List   // what changed last
+	changed chan struct{}       // closed at each change of the list
+	update  engine.EndpointList // what changed last
 	trace   []string
 }
 
 type drawnMessage decision.RequestID
 
-func (drawnMessage) Spent() bool { return false }
+func (drawnMessage) Consumed() bool { return false }
 
 func (g *rig) lock() func() {
 	g.mu.Lock()
@@ -61,14 +61,14 @@
 func (g *rig) Addr() string { return "drawn" }
 func (g *rig) Close()       {}
 
-func (g *rig) Fetch(context.Context) (engine.List, error) {
+func (g *rig) Fetch(context.Context) (engine.EndpointList, error) {
 	defer g.lock()()
 	l := g.whole()
 	g.told(l)
 	return l, nil
 }
 
-func (g *rig) Watch(ctx context.Context, from uint32, tell func(engine.List)) error {
+func (g *rig) Watch(ctx context.Context, from uint32, tell func(engine.EndpointList)) error {
 	for {
 		unlock := g.lock()
 		l, changed := g.update, g.changed
@@ -98,17 +98,17 @@
 }
 
 // whole is the list as it is now.
-func (g *rig) whole() engine.List {
-	return engine.List{Version: g.version, Full: true, Members: slices.Clone(g.members)}
+func (g *rig) whole() engine.EndpointList {
+	return engine.EndpointList{Version: g.version, Full: true, Endpoints: slices.Clone(g.members)}
 }
 
 // told tells the model of a list. The lock must be held.
-func (g *rig) told(l engine.List) {
+func (g *rig) told(l engine.EndpointList) {
 	m := decision.EndpointUpdate{Kind: decision.UpdateDelta, Version: l.Version}
 	if l.Full {
 		m.Kind = decision.UpdateFull
 	}
-	for _, e := range l.Members {
+	for _, e := range l.Endpoints {
 		m.Backends = append(m.Backends, decision.Backend{ID: engine.BackendID(e.ID), Cell: e.Cell, State: e.State, Started: e.Started})
 	}
 	g.note("told of list %d full %v:%s", l.Version, l.Full, brief(m.Backends))
@@ -124,7 +124,7 @@
 		e.Started = g.model.now
 	}
 	g.version++
-	g.update = engine.List{Version: g.version, Members: []engine.Member{*e}}
+	g.update = engine.EndpointList{Version: g.version, Endpoints: []engine.Endpoint{*e}}
 	if g.rng.IntN(10) == 0 {
 		g.update = g.whole()
 	}
@@ -135,7 +135,7 @@
 // ---- servers ----
 
 // Find gives a server whatever the list says: what is sent there is for the engine and the module to decide.
-func (g *rig) Find(id decision.BackendID) engine.Peer { return scripted{g, id} }
+func (g *rig) Find(id decision.BackendID) engine.Backend { return scripted{g, id} }
 
 type scripted struct {
 	*rig
@@ -154,7 +154,7 @@
 		}
 	}
 	unlock = s.lock()
-	_, may := a.Go()
+	_, may := a.SendAllowed()
 	if !may || ctx.Err() != nil { // called off before it began, or too late
 		unlock()
 		return decision.NotSent, nil
@@ -176,32 +176,32 @@
 // ---- requests ----
 
 func (g *rig) ask(id decision.RequestID, class int, give, leave time.Duration) {
-	x := &engine.Exchange{Message: drawnMessage(id), Class: class, Timeout: give}
-	x.Open()
+	x := &engine.Request{Message: drawnMessage(id), Class: class, Timeout: give}
+	x.Init()
 	unlock := g.lock()
 	x.Deadline = g.model.now + give
 	g.note("request %d class %d", id, class)
 	g.model.request(decision.Request{ID: id, Class: class, Deadline: x.Deadline}, milli)
 	unlock()
-	g.engine.Post(func() { g.engine.Take(x) })
+	g.engine.Post(func() { g.engine.Submit(x) })
 	if leave > 0 {
 		time.Sleep(leave)
-		g.engine.Post(func() { g.engine.Gone(x) })
+		g.engine.Post(func() { g.engine.ClientGone(x) })
 	}
 	end := <-x.Result()
 	unlock = g.lock()
-	g.note("end of request %d: %v", id, end.End)
+	g.note("end of request %d: %v", id, end.Outcome)
 	r := g.model.byID[id]
 	switch {
-	case end.Gone:
+	case end.ClientGone:
 		r.over = true
-	case end.End == engine.Served:
+	case end.Outcome == engine.Served:
 		if r.over || !slices.ContainsFunc(r.tries, func(t *try) bool { return t.over && t.result == decision.OK }) {
 			g.model.breaks("rule 1", "request %d is served by nobody, or twice", id)
 		}
 		r.over = true
 	default:
-		g.model.final(id, end.End == engine.Refused)
+		g.model.final(id, end.Outcome == engine.Rejected)
 	}
 	g.model.late()
 	g.model.forget()
@@ -229,23 +229,23 @@
 		g.model = newModel(cfg, &books{speed: map[decision.BackendID]float64{}, sent: map[decision.BackendID][]work{}, slack: time.Hour})
 		g.model.graceOnly = true
 		for i := range 1 + rng.IntN(6) {
-			g.members = append(g.members, engine.Member{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1", State: decision.Ready, Cell: i % 2, Weight: 1})
+			g.members = append(g.members, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1", State: decision.Ready, Cell: i % 2, Weight: 1})
 		}
 		g.update = g.whole()
-		g.Next = func(_ int, a engine.Attempt) enginetest.Reply {
+		g.Next = func(_ int, a engine.Attempt) enginetest.Step {
 			defer g.lock()()
 			id := a.Message.(drawnMessage)
 			rng := g.draw(2, int(id), len(g.model.byID[decision.RequestID(id)].tries))
-			r := enginetest.Reply{After: time.Duration(rng.IntN(80)) * milli, Answer: "x", Deaf: rng.IntN(20) == 0}
+			r := enginetest.Step{Delay: time.Duration(rng.IntN(80)) * milli, Response: "x", IgnoresCancel: rng.IntN(20) == 0}
 			if rng.IntN(4) == 0 {
 				r.Result = []decision.Result{decision.Error, decision.Rejected, decision.Timeout, decision.ConnectFailed, decision.Reset, decision.NotSent}[rng.IntN(6)]
 			}
 			if rng.IntN(15) == 0 {
-				r.After, r.Deaf = time.Hour, false
+				r.Delay, r.IgnoresCancel = time.Hour, false
 			}
 			return r
 		}
-		e, err := engine.New(engine.Options{Module: cfg, Seed: seed, Known: g.update, Upstream: g, Source: g})
+		e, err := engine.New(engine.Options{Decision: cfg, Seed: seed, InitialEndpoints: g.update, Upstream: g, Source: g})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/client/fetch.go
+++ b/internal/controlplane/client/fetch.go
@@ -123,7 +123,7 @@
 	}
 	end := f.clock() + fetchTime
 	for ctx.Err() == nil {
-		f.duty.Beat()
+		f.duty.Heartbeat()
 		names := f.to.Wants(f.names)
 		if len(names) == 0 {
 			return f.to.Tree()
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -60,7 +60,7 @@
 	claim     *claim // nil without a folder
 	counts    counts
 	flaws     flaws
-	duty      supervisor.Duty
+	duty      supervisor.Task
 
 	mu         sync.Mutex // never held over I/O
 	generation uint64
@@ -93,7 +93,7 @@
 		_ = os.MkdirAll(dir, 0o700) // if it can't be, the claim says so
 		l.claim = newClaim(filepath.Join(dir, "floors-"+set.Name), set.Name)
 	}
-	l.duty = supervisor.Duty{Clock: l.clock, Begin: l.begin, Body: l.work, Died: l.died, Stuck: l.stuck, Last: 2 * leaveTime}
+	l.duty = supervisor.Task{Clock: l.clock, OnStart: l.begin, Work: l.work, OnPanic: l.died, OnStuck: l.stuck, ShutdownGrace: 2 * leaveTime}
 	return l
 }
 
@@ -177,7 +177,7 @@
 		w.wants[name] = max(p.whole/50, float64(p.tried.Load()))
 	}
 	for ctx.Err() == nil {
-		l.duty.Beat()
+		l.duty.Heartbeat()
 		w.claimFloors()
 		if now := l.clock(); now >= w.next && (now-w.asked >= w.every || w.hungry(now)) {
 			w.ask(ctx)
--- a/internal/controlplane/client/link_test.go
+++ b/internal/controlplane/client/link_test.go
@@ -61,7 +61,7 @@
 			takers.Go(func() {
 				for range 2 {
 					for ok := true; ok; {
-						if _, ok = s.Draw(0, 0, true); ok {
+						if _, ok = s.Acquire(0, 0, true); ok {
 							total.Add(1)
 						}
 					}
@@ -194,17 +194,17 @@
 	floor("all")
 	now = time.Second
 	for range 5 { // a retry without its own budget must not use up the other
-		if _, ok := s.Draw(0, 0, false); ok {
+		if _, ok := s.Acquire(0, 0, false); ok {
 			t.Fatal("a retry went out without a budget")
 		}
 	}
-	if p, ok := s.Draw(0, 0, true); !ok || p.Token != "p1;0.0" || s.Over(p) {
+	if p, ok := s.Acquire(0, 0, true); !ok || p.Token != "p1;0.0" || s.Expired(p) {
 		t.Errorf("a first attempt: %+v, %v", p, ok)
 	}
-	if _, ok := s.Draw(0, 0, true); ok {
+	if _, ok := s.Acquire(0, 0, true); ok {
 		t.Error("a bucket of one gave two")
 	}
-	if allocs := testing.AllocsPerRun(1000, func() { now += time.Second; s.Draw(0, 0, true) }); allocs > 0 {
+	if allocs := testing.AllocsPerRun(1000, func() { now += time.Second; s.Acquire(0, 0, true) }); allocs > 0 {
 		t.Errorf("a look allocates %v times", allocs)
 	}
 }
@@ -216,7 +216,7 @@
 		l := New(Settings{File: file("", "127.0.0.1:1"), Name: "p1", Clock: func() time.Duration { return time.Since(begun) }})
 		release := make(chan struct{})
 		var began, alive, worst atomic.Int64
-		l.duty.Body = func(ctx context.Context, generation uint64) {
+		l.duty.Work = func(ctx context.Context, generation uint64) {
 			worst.Store(max(worst.Load(), alive.Add(1)))
 			defer alive.Add(-1)
 			switch n := began.Add(1); {
@@ -226,7 +226,7 @@
 				<-release // without a look at ctx
 			default:
 				for ctx.Err() == nil {
-					l.duty.Beat()
+					l.duty.Heartbeat()
 					supervisor.Sleep(ctx, poll)
 				}
 			}
@@ -235,7 +235,7 @@
 		ended := make(chan struct{})
 		go func() { l.Run(ctx); close(ended) }()
 		time.Sleep(10 * time.Minute)
-		if l.counts.died.Load() != 2 || worst.Load() != supervisor.MostStuck+1 || l.counts.stuck.Load() != supervisor.MostStuck+1 {
+		if l.counts.died.Load() != 2 || worst.Load() != supervisor.MaxStuck+1 || l.counts.stuck.Load() != supervisor.MaxStuck+1 {
 			t.Errorf("%d died, %d stuck, %d at once", l.counts.died.Load(), l.counts.stuck.Load(), worst.Load())
 		}
 		close(release)
@@ -319,7 +319,7 @@
 	ended := make(chan struct{})
 	go func() { l.Run(ctx); close(ended) }()
 	for end := time.Now().Add(20 * time.Second); l.counts.failed.Load() < 3 && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if _, ok := s.Draw(0, 0, true); ok {
+		if _, ok := s.Acquire(0, 0, true); ok {
 			t.Fatal("another fleet's grant was spent")
 		}
 	}
@@ -338,7 +338,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			s.Draw(0, 0, true)
+			s.Acquire(0, 0, true)
 		}
 	})
 }
--- a/internal/controlplane/client/look.go
+++ b/internal/controlplane/client/look.go
@@ -130,7 +130,7 @@
 	retries       bool
 }
 
-var _ engine.Budget = (*Sight)(nil)
+var _ engine.Quota = (*Sight)(nil)
 
 // Sight is what covers a service; nil if nothing does.
 func (l *Link) Sight(service string, classes, tenants []string) (*Sight, error) {
@@ -162,10 +162,10 @@
 	return s, nil
 }
 
-// Draw looks whether an attempt may go out now, by all budgets that cover it, and takes a unit of each, or of none.
-func (s *Sight) Draw(class, tenant int, first bool) (engine.Permit, bool) {
+// Acquire looks whether an attempt may go out now, by all budgets that cover it, and takes a unit of each, or of none.
+func (s *Sight) Acquire(class, tenant int, first bool) (engine.Permit, bool) {
 	now := int64(s.link.clock())
-	p := engine.Permit{Token: s.link.floorText, Ends: never}
+	p := engine.Permit{Token: s.link.floorText, Expires: never}
 	var took [mostBudgets]*cell
 	var newest quotalease.Token
 	for i := range s.on {
@@ -189,7 +189,7 @@
 		on.pot.allowed.Add(1)
 		took[i] = c
 		if c.ends != never {
-			p.Ends = min(p.Ends, time.Duration(c.ends))
+			p.Expires = min(p.Expires, time.Duration(c.ends))
 			if c.token.Compare(newest) > 0 {
 				newest, p.Token = c.token, c.text
 			}
@@ -198,10 +198,10 @@
 	return p, true
 }
 
-// Over looks once more just before an attempt goes out: the process may have been stopped since Draw. What ends between this look
+// Expired looks once more just before an attempt goes out: the process may have been stopped since Draw. What ends between this look
 // and the network can slip; see grant.Holder.Send.
-func (s *Sight) Over(p engine.Permit) bool {
-	if s.link.clock() < p.Ends {
+func (s *Sight) Expired(p engine.Permit) bool {
+	if s.link.clock() < p.Expires {
 		return false
 	}
 	s.link.counts.stopped.Add(1)
--- a/internal/controlplane/client/policy.go
+++ b/internal/controlplane/client/policy.go
@@ -98,7 +98,7 @@
 		_ = os.MkdirAll(dir, 0o700) // if it can't be, keeping says so
 		p.keeper = newKeeper(dir, set.Name)
 	}
-	p.duty.Body = p.follow
+	p.duty.Work = p.follow
 	return p
 }
 
@@ -189,7 +189,7 @@
 	f := newFetching(p)
 	var waits *api.PolicyReport // it goes again until it is answered: twice it counts once
 	for ctx.Err() == nil {
-		p.duty.Beat()
+		p.duty.Heartbeat()
 		if waits == nil {
 			t := p.now.Load()
 			waits = &api.PolicyReport{Fleet: p.set.File.Fleet, Proxy: p.set.Name, Number: p.number.Add(1), Has: t.Offer, Good: t.good.Swap(0), Bad: t.bad.Swap(0), Pieces: true}
--- a/internal/controlplane/freshness/link.go
+++ b/internal/controlplane/freshness/link.go
@@ -41,7 +41,7 @@
 type Link struct {
 	set    Settings
 	clock  func() time.Duration
-	duty   supervisor.Duty
+	duty   supervisor.Task
 	woken  chan struct{}
 	ring   chan evidence
 	counts struct {
@@ -87,7 +87,7 @@
 	if l.clock == nil {
 		l.clock = supervisor.Boottime
 	}
-	l.duty = supervisor.Duty{Clock: l.clock, Begin: func() uint64 { return l.generation.Add(1) }, Body: l.work, Died: l.died, Stuck: l.stuck, Last: time.Second}
+	l.duty = supervisor.Task{Clock: l.clock, OnStart: func() uint64 { return l.generation.Add(1) }, Work: l.work, OnPanic: l.died, OnStuck: l.stuck, ShutdownGrace: time.Second}
 	return l
 }
 
@@ -136,7 +136,7 @@
 	w := &worker{Link: l, generation: generation, views: map[*Register]*weighed{}, last: l.clock()}
 	next := w.last
 	for ctx.Err() == nil {
-		l.duty.Beat()
+		l.duty.Heartbeat()
 		now := w.step()
 		if now >= next {
 			w.publish(now)
--- a/internal/controlplane/freshness/register.go
+++ b/internal/controlplane/freshness/register.go
@@ -45,7 +45,7 @@
 }
 
 // start is one number for the process that answers for a server: when it began, and where.
-func start(m *engine.Member) uint64 {
+func start(m *engine.Endpoint) uint64 {
 	h := fnv.New64a()
 	_ = binary.Write(h, binary.LittleEndian, int64(m.Started))
 	io.WriteString(h, m.Addr)
@@ -53,10 +53,10 @@
 }
 
 // newsOf is a list as news. Servers that are told to leave take nothing new: for a request they are gone.
-func newsOf(list engine.List) staleness.News {
+func newsOf(list engine.EndpointList) staleness.News {
 	n := staleness.News{Version: uint64(list.Version), Whole: list.Full}
-	for i := range list.Members {
-		m := &list.Members[i]
+	for i := range list.Endpoints {
+		m := &list.Endpoints[i]
 		n.Changed = append(n.Changed, staleness.Change{Gone: m.State != decision.Ready,
 			Entry: staleness.Entry{Name: m.ID, Kind: m.Kind, Route: routeOf(m.Kind), Start: start(m)}})
 	}
@@ -95,7 +95,7 @@
 	if r.asks != s {
 		return
 	}
-	if (called || !n.Whole) && r.told == s && (engine.List{Version: uint32(n.Version)}).Past(uint32(r.held.Version)) {
+	if (called || !n.Whole) && r.told == s && (engine.EndpointList{Version: uint32(n.Version)}).OlderThan(uint32(r.held.Version)) {
 		return // an answer that crossed a newer one: the engine drops it too
 	}
 	r.told = s
@@ -155,7 +155,7 @@
 
 // Wrap has the view of a register hear what a source tells. Of one name is one register, also where it moves. Known is the list that the
 // process holds of it already, so old; negative is unknown. Beat is the time between two answers of its watch.
-func (l *Link) Wrap(name string, beat time.Duration, inner engine.Source, known engine.List, age time.Duration) engine.Source {
+func (l *Link) Wrap(name string, beat time.Duration, inner engine.Source, known engine.EndpointList, age time.Duration) engine.Source {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.registers[name]
@@ -183,7 +183,7 @@
 }
 
 // Fetch asks once for the whole list.
-func (s *source) Fetch(ctx context.Context) (engine.List, error) {
+func (s *source) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	s.begin()
 	asked := s.register.link.clock()
 	list, err := s.Source.Fetch(ctx)
@@ -199,9 +199,9 @@
 }
 
 // Watch tells of each answer until it fails or ctx ends.
-func (s *source) Watch(ctx context.Context, from uint32, tell func(engine.List)) error {
+func (s *source) Watch(ctx context.Context, from uint32, tell func(engine.EndpointList)) error {
 	s.begin()
-	err := s.Source.Watch(ctx, from, func(list engine.List) {
+	err := s.Source.Watch(ctx, from, func(list engine.EndpointList) {
 		s.register.hear(s, newsOf(list), false)
 		tell(list)
 	})
--- a/internal/controlplane/freshness/sight.go
+++ b/internal/controlplane/freshness/sight.go
@@ -18,7 +18,7 @@
 	register atomic.Pointer[Register]
 }
 
-var _ engine.View = (*Sight)(nil)
+var _ engine.Freshness = (*Sight)(nil)
 
 // Sight is for a service of these classes. It looks at nothing before Follow.
 func (l *Link) Sight(classes []decision.Class) *Sight {
@@ -46,9 +46,9 @@
 	s.register.Store(s.link.registers[name])
 }
 
-// Look tells whether an attempt of a class may go to a server now, and gives what Ended takes. A register that is not weighed forbids
+// CheckAttempt tells whether an attempt of a class may go to a server now, and gives what Ended takes. A register that is not weighed forbids
 // nothing. Where a snapshot is too old or none is there yet, what must never run twice stays here.
-func (s *Sight) Look(to decision.BackendID, class int) (any, bool) {
+func (s *Sight) CheckAttempt(to decision.BackendID, class int) (any, bool) {
 	r := s.register.Load()
 	if r == nil {
 		return nil, true
@@ -81,8 +81,8 @@
 	return of, may
 }
 
-// Ended takes in how an attempt or a probe at a server ended. It never waits: what finds the ring full is dropped and counted.
-func (s *Sight) Ended(seen any, result decision.Result) {
+// AttemptEnded takes in how an attempt or a probe at a server ended. It never waits: what finds the ring full is dropped and counted.
+func (s *Sight) AttemptEnded(seen any, result decision.Result) {
 	of, _ := seen.(*server)
 	if of == nil || result != decision.OK && result != decision.ConnectFailed {
 		return
--- a/internal/controlplane/freshness/view_test.go
+++ b/internal/controlplane/freshness/view_test.go
@@ -18,22 +18,22 @@
 // register is a fake source: what is sent on told comes at once, and a watch ends where it is an error.
 type register struct {
 	told chan any
-	list engine.List
+	list engine.EndpointList
 }
 
 func (r *register) Addr() string { return "register" }
 func (r *register) Close()       {}
-func (r *register) Fetch(context.Context) (engine.List, error) {
+func (r *register) Fetch(context.Context) (engine.EndpointList, error) {
 	return r.list, nil
 }
-func (r *register) Watch(ctx context.Context, _ uint32, tell func(engine.List)) error {
+func (r *register) Watch(ctx context.Context, _ uint32, tell func(engine.EndpointList)) error {
 	for {
 		select {
 		case x := <-r.told:
 			switch x := x.(type) {
 			case error:
 				return x
-			case engine.List:
+			case engine.EndpointList:
 				tell(x)
 			}
 		case <-ctx.Done():
@@ -42,10 +42,10 @@
 	}
 }
 
-func servers(version uint32, full bool, names ...string) engine.List {
-	l := engine.List{Version: version, Full: full}
+func servers(version uint32, full bool, names ...string) engine.EndpointList {
+	l := engine.EndpointList{Version: version, Full: full}
 	for _, n := range names {
-		l.Members = append(l.Members, engine.Member{ID: n, Addr: n + ":1", Kind: "fast", State: decision.Ready})
+		l.Endpoints = append(l.Endpoints, engine.Endpoint{ID: n, Addr: n + ":1", Kind: "fast", State: decision.Ready})
 	}
 	return l
 }
@@ -85,7 +85,7 @@
 		go func() { w.link.Run(ctx); ended <- struct{}{} }()
 		go func() {
 			for ctx.Err() == nil {
-				_ = w.src.Watch(ctx, 1, func(engine.List) {})
+				_ = w.src.Watch(ctx, 1, func(engine.EndpointList) {})
 			}
 			ended <- struct{}{}
 		}()
@@ -111,7 +111,7 @@
 }
 
 func (w *world) say(x any) {
-	if l, is := x.(engine.List); is {
+	if l, is := x.(engine.EndpointList); is {
 		w.at.Store(max(w.at.Load(), l.Version))
 	}
 	select {
@@ -154,13 +154,13 @@
 }
 
 func (w *world) may(server string, class int) bool {
-	_, ok := w.sight.Look(backendID(server), class)
+	_, ok := w.sight.CheckAttempt(backendID(server), class)
 	return ok
 }
 
 func (w *world) ended(server string, result decision.Result) {
-	seen, _ := w.sight.Look(backendID(server), -1)
-	w.sight.Ended(seen, result)
+	seen, _ := w.sight.CheckAttempt(backendID(server), -1)
+	w.sight.AttemptEnded(seen, result)
 	time.Sleep(3 * tick)
 }
 
@@ -256,7 +256,7 @@
 		w.say(servers(2, false, "e"))
 		time.Sleep(3 * tick)
 		gone := servers(3, false, "d")
-		gone.Members[0].State = decision.Removed
+		gone.Endpoints[0].State = decision.Removed
 		w.say(gone)
 		w.link.ring <- evidence{} // without a server: it kills the duty
 		w.comes("another duty", func() bool { return w.link.Report().Died == 1 })
@@ -301,10 +301,10 @@
 func TestWhatWaitsIsBounded(t *testing.T) {
 	l := New(Settings{View: &api.View{}})
 	fake := &register{told: make(chan any)}
-	src := l.Wrap("r", time.Second, fake, engine.List{}, -1)
+	src := l.Wrap("r", time.Second, fake, engine.EndpointList{}, -1)
 	ctx, cancel := context.WithCancel(context.Background())
 	told, ended := make(chan struct{}), make(chan struct{})
-	go func() { _ = src.Watch(ctx, 0, func(engine.List) { told <- struct{}{} }); close(ended) }()
+	go func() { _ = src.Watch(ctx, 0, func(engine.EndpointList) { told <- struct{}{} }); close(ended) }()
 	for i := range 1000 {
 		fake.told <- servers(uint32(i), i == 0, fmt.Sprint("s", i%7))
 		<-told
@@ -317,13 +317,13 @@
 	}
 	sight := l.Sight(classes)
 	for range ringSize + 10 {
-		sight.Ended(&server{register: r}, decision.OK)
+		sight.AttemptEnded(&server{register: r}, decision.OK)
 	}
 	if len(l.ring) != ringSize || l.Report().Dropped != 10 {
 		t.Errorf("%d wait, %d dropped", len(l.ring), l.Report().Dropped)
 	}
 	for i := range mostRegisters + 5 {
-		l.Wrap(fmt.Sprint(i), time.Second, fake, engine.List{}, -1)
+		l.Wrap(fmt.Sprint(i), time.Second, fake, engine.EndpointList{}, -1)
 	}
 	if len(l.registers) != mostRegisters {
 		t.Errorf("%d registers", len(l.registers))
@@ -334,7 +334,7 @@
 	play(t, true, func(w *world) {
 		w.fresh()
 		a, nobody := backendID("a"), backendID("nobody")
-		if n := testing.AllocsPerRun(100, func() { w.sight.Look(a, once); w.sight.Look(nobody, safe) }); n > 0 {
+		if n := testing.AllocsPerRun(100, func() { w.sight.CheckAttempt(a, once); w.sight.CheckAttempt(nobody, safe) }); n > 0 {
 			t.Errorf("a look allocates %v times", n)
 		}
 	})
@@ -352,6 +352,6 @@
 	id := backendID("a")
 	b.ReportAllocs()
 	for b.Loop() {
-		s.Look(id, safe)
+		s.CheckAttempt(id, safe)
 	}
 }
--- a/internal/diameter/frontend/front.go
+++ b/internal/diameter/frontend/front.go
@@ -30,7 +30,7 @@
 	// Message makes what the service's servers are sent. Wire is the request, ready to be handed on.
 	Message func(a *claim.Ask, wire diameter.Message) (engine.Message, error)
 	// Ended notes the end, and how long it took.
-	Ended func(end engine.End, took time.Duration)
+	Ended func(end engine.Outcome, took time.Duration)
 	Leave func()
 }
 
@@ -121,7 +121,7 @@
 		f.Counts.Repeated.Add(1)
 		svc.Ended(endOf(end, verdict), 0)
 	case idempotency.Full:
-		svc.Ended(engine.Refused, 0)
+		svc.Ended(engine.Rejected, 0)
 		f.end(r, claim.Full, 0)
 		return
 	case idempotency.TooLong:
@@ -141,12 +141,12 @@
 }
 
 // endOf is how a request has ended that was not carried out again.
-func endOf(end guard.End, v idempotency.Verdict) engine.End {
+func endOf(end guard.End, v idempotency.Verdict) engine.Outcome {
 	switch {
 	case v == idempotency.Answered || end == guard.Answered:
 		return engine.Served
 	case end == guard.NeverRan:
-		return engine.Refused
+		return engine.Rejected
 	}
 	return engine.Failed
 }
@@ -170,10 +170,10 @@
 		f.Counts.Failed.Add(1)
 		return f.worded(r, claim.Unfit, 0), guard.NeverRan
 	}
-	x := &engine.Exchange{Message: m, Class: svc.Class, Tenant: svc.Tenant, Key: keyOf(a.Session), Repeat: a.Repeat, Timeout: a.GiveUp - f.slack(a)}
-	x.Open()
+	x := &engine.Request{Message: m, Class: svc.Class, Tenant: svc.Tenant, Key: keyOf(a.Session), MarkedRetry: a.Repeat, Timeout: a.GiveUp - f.slack(a)}
+	x.Init()
 	x.Deadline = svc.Engine.Clock().Now() + x.Timeout - time.Since(came)
-	svc.Engine.Post(func() { svc.Engine.Take(x) })
+	svc.Engine.Post(func() { svc.Engine.Submit(x) })
 	var gone <-chan struct{}
 	if leaves {
 		gone = r.Gone()
@@ -185,10 +185,10 @@
 	case end = <-x.Result():
 	case <-late.C: // the engine has ended: whoever ends it first waits for what is in hand, but an answer is owed all the same
 		f.set.Log.Error("a request has no end from its engine")
-		end = engine.Result{End: engine.Failed, TimedOut: true, MayHaveRun: true}
+		end = engine.Result{Outcome: engine.Failed, TimedOut: true, MayHaveRun: true}
 	case <-gone:
-		svc.Engine.Post(func() { svc.Engine.Gone(x) })
-		end = engine.Result{End: engine.Failed, Gone: true, MayHaveRun: true} // nobody waits for it
+		svc.Engine.Post(func() { svc.Engine.ClientGone(x) })
+		end = engine.Result{Outcome: engine.Failed, ClientGone: true, MayHaveRun: true} // nobody waits for it
 	}
 	answer, fate := f.answer(r, end)
 	switch fate {
@@ -197,7 +197,7 @@
 		svc.Ended(engine.Served, time.Since(came))
 	case guard.NeverRan:
 		f.Counts.Refused.Add(1)
-		svc.Ended(engine.Refused, 0)
+		svc.Ended(engine.Rejected, 0)
 	default:
 		f.Counts.Failed.Add(1)
 		svc.Ended(engine.Failed, 0)
@@ -221,17 +221,17 @@
 // answer words a result, and tells what is known of its request by it.
 func (f *Front) answer(r *node.Request, end engine.Result) (diameter.Message, guard.End) {
 	switch {
-	case end.End == engine.Refused:
+	case end.Outcome == engine.Rejected:
 		return f.worded(r, claim.Refused, end.RetryAfter), guard.NeverRan
-	case end.End == engine.Failed && end.MayHaveRun:
+	case end.Outcome == engine.Failed && end.MayHaveRun:
 		return f.worded(r, claim.MayHaveRun, 0), guard.Uncertain
-	case end.End == engine.Failed:
+	case end.Outcome == engine.Failed:
 		return f.worded(r, claim.Undeliver, 0), guard.NeverRan
 	}
-	if m, ok := end.Answer.(diameter.Message); ok {
+	if m, ok := end.Response.(diameter.Message); ok {
 		return append(diameter.Message(nil), m...), guard.Answered
 	}
-	body, _ := end.Answer.([]byte)
+	body, _ := end.Response.([]byte)
 	if end.Stream != nil {
 		var err error
 		body, err = readAll(end.Stream)
--- a/internal/diameter/frontend/front_test.go
+++ b/internal/diameter/frontend/front_test.go
@@ -45,7 +45,7 @@
 
 type stubMessage struct{}
 
-func (stubMessage) Spent() bool { return false }
+func (stubMessage) Consumed() bool { return false }
 
 // stand puts a front end before an engine, and gives a peer that asks it, and the guard.
 func stand(t *testing.T, e *engine.Engine, change func(*idempotency.Settings)) (*node.Peer, *frontend.Front, *node.Node) {
@@ -69,7 +69,7 @@
 			if a.Session == "nowhere" {
 				return nil, &frontend.Turned{What: "no places", After: 1500 * time.Millisecond}
 			}
-			return &frontend.Service{Engine: e, Class: classes[a.Class], Unsafe: a.Class == "unsafe", Leave: func() {}, Ended: func(engine.End, time.Duration) {},
+			return &frontend.Service{Engine: e, Class: classes[a.Class], Unsafe: a.Class == "unsafe", Leave: func() {}, Ended: func(engine.Outcome, time.Duration) {},
 				Message: func(*claim.Ask, diameter.Message) (engine.Message, error) { return stubMessage{}, nil }}, nil
 		}})
 	server, err := node.New(node.Settings{Host: f.Host, Realm: f.Realm, Apps: []uint32{4}, Allow: fr.Allow, Handle: fr.Handle, InHand: 1000})
@@ -129,10 +129,10 @@
 func (long) End(error) {}
 
 func TestDiameterFrontEndConforms(t *testing.T) {
-	enginetest.FrontEnd{
+	enginetest.Frontend{
 		Start: func(t *testing.T, e *engine.Engine) enginetest.Client {
 			p, _, _ := stand(t, e, nil)
-			return func(ctx context.Context, id, class string, timeout time.Duration) (engine.End, []byte, error) {
+			return func(ctx context.Context, id, class string, timeout time.Duration) (engine.Outcome, []byte, error) {
 				action := map[string]uint32{"unsafe": 1, "safe": 2}[class]
 				code, a, err := ask(ctx, p, lastID.Add(1), 0, id, action, timeout)
 				switch {
@@ -141,19 +141,19 @@
 				case code == diameter.Success:
 					return engine.Served, frontend.Body(a, diameter.Base()), nil
 				case code == diameter.TooBusy:
-					return engine.Refused, nil, nil
+					return engine.Rejected, nil, nil
 				}
 				return engine.Failed, nil, nil
 			}
 		},
-		Answer: func(body []byte) any { return body },
-		Stream: func(body []byte, broken bool) engine.Stream { return long{enginetest.Broken(body, broken)} },
-		Most:   frontend.MostBody,
+		Response:         func(body []byte) any { return body },
+		Stream:           func(body []byte, broken bool) engine.Stream { return long{enginetest.BodyReader(body, broken)} },
+		MaxResponseBytes: frontend.MostBody,
 	}.Test(t)
 }
 
 // scripted is an engine before a server that does what next says, and how many attempts it has seen.
-func scripted(t *testing.T, next func(n int, a engine.Attempt) enginetest.Reply) (*engine.Engine, *enginetest.Script) {
+func scripted(t *testing.T, next func(n int, a engine.Attempt) enginetest.Step) (*engine.Engine, *enginetest.Script) {
 	s := &enginetest.Script{Next: next}
 	return enginetest.Start(t, s, s.List()), s
 }
@@ -161,8 +161,8 @@
 // A claim that is sent again, at once or later, with the T flag or without, on this connection or another, runs once and has
 // one answer. What is safe is asked anew.
 func TestAClaimRunsOnce(t *testing.T) {
-	e, s := scripted(t, func(int, engine.Attempt) enginetest.Reply {
-		return enginetest.Reply{After: 100 * time.Millisecond, Answer: []byte("paid")}
+	e, s := scripted(t, func(int, engine.Attempt) enginetest.Step {
+		return enginetest.Step{Delay: 100 * time.Millisecond, Response: []byte("paid")}
 	})
 	p, fr, _ := stand(t, e, nil)
 	type result struct {
@@ -195,19 +195,19 @@
 
 // What may have run is not run again, also when its client is sure that it must be; what was refused is.
 func TestEndsAndRepeats(t *testing.T) {
-	var replies atomic.Pointer[enginetest.Reply]
-	e, s := scripted(t, func(int, engine.Attempt) enginetest.Reply { return *replies.Load() })
+	var replies atomic.Pointer[enginetest.Step]
+	e, s := scripted(t, func(int, engine.Attempt) enginetest.Step { return *replies.Load() })
 	p, _, _ := stand(t, e, func(s *idempotency.Settings) { s.Entries = 3 })
 	for i, k := range []struct {
-		reply enginetest.Reply
+		reply enginetest.Step
 		first diameter.ResultCode
 		again diameter.ResultCode
 		runs  bool // the repeat is carried out
 	}{
-		{enginetest.Reply{Result: decision.Rejected}, diameter.TooBusy, diameter.TooBusy, true},
-		{enginetest.Reply{After: time.Hour}, diameter.UnableToComply, diameter.UnableToComply, false},
-		{enginetest.Reply{Answer: []byte("x")}, diameter.Success, diameter.Success, false},
-		{enginetest.Reply{Answer: make([]byte, frontend.MostBody+1)}, diameter.UnableToComply, diameter.UnableToComply, false},
+		{enginetest.Step{Result: decision.Rejected}, diameter.TooBusy, diameter.TooBusy, true},
+		{enginetest.Step{Delay: time.Hour}, diameter.UnableToComply, diameter.UnableToComply, false},
+		{enginetest.Step{Response: []byte("x")}, diameter.Success, diameter.Success, false},
+		{enginetest.Step{Response: make([]byte, frontend.MostBody+1)}, diameter.UnableToComply, diameter.UnableToComply, false},
 	} {
 		replies.Store(&k.reply)
 		id := uint32(100 + i)
@@ -227,7 +227,7 @@
 		}
 	}
 	// The ledger is full now: what is unsafe is refused, what is safe goes on.
-	replies.Store(&enginetest.Reply{Answer: []byte("x")})
+	replies.Store(&enginetest.Step{Response: []byte("x")})
 	if code, _, err := ask(t.Context(), p, 900, 0, "s", 1, time.Second); err != nil || code != diameter.TooBusy {
 		t.Errorf("with a full ledger: %d, %v", code, err)
 	}
@@ -243,8 +243,8 @@
 
 // A client that breaks off and comes again on another connection has the answer of what was in hand.
 func TestAClientThatComesAgain(t *testing.T) {
-	e, s := scripted(t, func(int, engine.Attempt) enginetest.Reply {
-		return enginetest.Reply{After: 300 * time.Millisecond, Answer: []byte("paid")}
+	e, s := scripted(t, func(int, engine.Attempt) enginetest.Step {
+		return enginetest.Step{Delay: 300 * time.Millisecond, Response: []byte("paid")}
 	})
 	p, _, server := stand(t, e, nil)
 	first := make(chan error, 1)
--- a/internal/diameter/upstream/late_test.go
+++ b/internal/diameter/upstream/late_test.go
@@ -14,7 +14,7 @@
 	inBubble(t, &diameterpeer.Server{Late: 500 * time.Millisecond}, func(t *testing.T, u *Upstream, send func(uint32) decision.Result) {
 		asked := time.Now()
 		may := func() (time.Time, bool) { return time.Time{}, time.Since(asked) < 400*time.Millisecond }
-		a := engine.Attempt{Message: NewMessage(claimOf("1", 1)), Timeout: time.Second, May: may}
+		a := engine.Attempt{Message: NewMessage(claimOf("1", 1)), Timeout: time.Second, MaySend: may}
 		if got, _ := u.Find(engine.BackendID("a")).Exchange(t.Context(), a); got != decision.NotSent {
 			t.Errorf("ended as %v", got)
 		}
--- a/internal/diameter/upstream/silent_test.go
+++ b/internal/diameter/upstream/silent_test.go
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		u := New(n, time.Second, time.Second)
-		u.Update(engine.List{Version: 1, Full: true, Members: []engine.Member{{ID: "a", Addr: "a", State: decision.Ready}}})
+		u.Update(engine.EndpointList{Version: 1, Full: true, Endpoints: []engine.Endpoint{{ID: "a", Addr: "a", State: decision.Ready}}})
 		do(t, u, func(id uint32) decision.Result {
 			result, _ := u.Find(engine.BackendID("a")).Exchange(t.Context(), engine.Attempt{Message: NewMessage(claimOf(fmt.Sprint(id), id)), Timeout: time.Second})
 			return result
--- a/internal/diameter/upstream/upstream.go
+++ b/internal/diameter/upstream/upstream.go
@@ -30,8 +30,8 @@
 // NewMessage makes one of a request as it is to be handed on.
 func NewMessage(wire diameter.Message) *Message { return &Message{wire: wire} }
 
-// Spent is false: it can always be sent again.
-func (m *Message) Spent() bool { return false }
+// Consumed is false: it can always be sent again.
+func (m *Message) Consumed() bool { return false }
 
 // next is the request for one attempt. One that goes out again has the T flag (section 6.1.8): the server may have it.
 func (m *Message) next() diameter.Message {
@@ -68,14 +68,14 @@
 
 // Update takes in a list: new servers are connected to at once; one that drains or is gone gets nothing new from now on, and
 // a goodbye once what is out has come back.
-func (u *Upstream) Update(list engine.List) {
+func (u *Upstream) Update(list engine.EndpointList) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.closed {
 		return
 	}
 	named := map[decision.BackendID]bool{}
-	for _, l := range list.Members {
+	for _, l := range list.Endpoints {
 		id := engine.BackendID(l.ID)
 		named[id] = true
 		m := u.members[id]
@@ -132,7 +132,7 @@
 }
 
 // Find is the server of that id, or nil.
-func (u *Upstream) Find(id decision.BackendID) engine.Peer {
+func (u *Upstream) Find(id decision.BackendID) engine.Backend {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if m := u.members[id]; m != nil {
@@ -169,7 +169,7 @@
 	if p == nil || !ours {
 		return decision.ConnectFailed, nil
 	}
-	answer, unsent, err := m.send(ctx, p, msg, func() bool { _, ok := a.Go(); return ok })
+	answer, unsent, err := m.send(ctx, p, msg, func() bool { _, ok := a.SendAllowed(); return ok })
 	if err == nil {
 		return m.read(answer)
 	}
@@ -217,8 +217,8 @@
 	return decision.Error, nil
 }
 
-// Probe asks the server whether it is well.
-func (m *member) Probe(ctx context.Context) decision.Result {
+// CheckHealth asks the server whether it is well.
+func (m *member) CheckHealth(ctx context.Context) decision.Result {
 	p := m.now()
 	if p == nil {
 		return decision.NotSent
--- a/internal/diameter/upstream/upstream_test.go
+++ b/internal/diameter/upstream/upstream_test.go
@@ -29,7 +29,7 @@
 }
 
 // stand starts a server, and an upstream before it.
-func stand(t *testing.T, s *diameterpeer.Server, refuses bool) (*Upstream, engine.List) {
+func stand(t *testing.T, s *diameterpeer.Server, refuses bool) (*Upstream, engine.EndpointList) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,21 +48,21 @@
 	}
 	u := New(n, time.Second, 2*time.Second)
 	t.Cleanup(func() { l.Close(); u.Close(); s.Drop() })
-	return u, engine.List{Version: 1, Full: true, Members: []engine.Member{{ID: "a", Addr: l.Addr().String(), State: decision.Ready}}}
+	return u, engine.EndpointList{Version: 1, Full: true, Endpoints: []engine.Endpoint{{ID: "a", Addr: l.Addr().String(), State: decision.Ready}}}
 }
 
 func TestDiameterUpstreamConforms(t *testing.T) {
-	acts := map[enginetest.Behaviour]diameterpeer.Act{enginetest.Errs: diameterpeer.Fails, enginetest.TurnsAway: diameterpeer.Busy, enginetest.ClosesFirst: diameterpeer.DropAfter,
-		enginetest.ClosesMidway: diameterpeer.HalfAnswer, enginetest.Spoils: diameterpeer.Garbage, enginetest.Stalls: diameterpeer.Stall,
-		enginetest.ServesSlowly: diameterpeer.Slowly, enginetest.SaysTooMuch: diameterpeer.Stray}
+	acts := map[enginetest.Behaviour]diameterpeer.Act{enginetest.ReturnsErrors: diameterpeer.Fails, enginetest.RejectsRequests: diameterpeer.Busy, enginetest.ClosesBeforeResponse: diameterpeer.DropAfter,
+		enginetest.ClosesDuringResponse: diameterpeer.HalfAnswer, enginetest.SendsGarbage: diameterpeer.Garbage, enginetest.Stalls: diameterpeer.Stall,
+		enginetest.ServesSlowly: diameterpeer.Slowly, enginetest.SendsTrailingBytes: diameterpeer.Stray}
 	var last atomic.Uint32
 	enginetest.Upstream{
-		Start: func(t *testing.T, b enginetest.Behaviour) (engine.Upstream, engine.List) {
-			return stand(t, &diameterpeer.Server{Act: func(int64) diameterpeer.Act { return acts[b] }}, b == enginetest.Refuses)
+		Start: func(t *testing.T, b enginetest.Behaviour) (engine.Upstream, engine.EndpointList) {
+			return stand(t, &diameterpeer.Server{Act: func(int64) diameterpeer.Act { return acts[b] }}, b == enginetest.RefusesConnections)
 		},
-		Message: func() engine.Message { id := last.Add(1); return NewMessage(claimOf(fmt.Sprint(id), id)) },
-		Body:    func(answer any) []byte { m, _ := answer.(diameter.Message); return frontend.Body(m, diameter.Base()) },
-		Shared:  true,
+		Message:           func() engine.Message { id := last.Add(1); return NewMessage(claimOf(fmt.Sprint(id), id)) },
+		Body:              func(answer any) []byte { m, _ := answer.(diameter.Message); return frontend.Body(m, diameter.Base()) },
+		SharesConnections: true,
 	}.Test(t)
 }
 
@@ -121,7 +121,7 @@
 		all.Go(func() { send(1 + i) })
 	}
 	time.Sleep(5 * time.Millisecond)
-	list.Members[0].State = decision.Draining
+	list.Endpoints[0].State = decision.Draining
 	u.Update(list)
 	n, _ := s.Claims()
 	for i := range 100 {
--- a/internal/discovery/guardedsource/file.go
+++ b/internal/discovery/guardedsource/file.go
@@ -14,57 +14,57 @@
 
 // File is deploy/comeback.toml. A part that is left out is off.
 type File struct {
-	Version int     `toml:"version"` // 1
-	List    *List   `toml:"list"`
-	Calls   *Calls  `toml:"calls"`
-	Memory  *Memory `toml:"memory"`
+	Version  int             `toml:"version"` // 1
+	Guard    *GuardConfig    `toml:"list"`
+	Pacing   *PacingConfig   `toml:"calls"`
+	Snapshot *SnapshotConfig `toml:"memory"`
 }
 
-// List says when a list is in doubt: see comeback.GuardSettings.
-type List struct {
-	Shrink *float64          `toml:"shrink"` // 0.3 if left out
-	Least  int               `toml:"least"`  // 2 if left out
-	Hold   strictconfig.Span `toml:"hold"`   // 30s if left out
+// GuardConfig says when a list is in doubt: see comeback.GuardSettings.
+type GuardConfig struct {
+	MaxMissingRatio *float64          `toml:"shrink"` // 0.3 if left out
+	MinMissing      int               `toml:"least"`  // 2 if left out
+	RetainFor       strictconfig.Span `toml:"hold"`   // 30s if left out
 }
 
-// Calls say how calls for the list are spread: see comeback.CallSettings.
-type Calls struct {
-	Rate float64           `toml:"rate"` // calls a second of all proxies together
-	Most strictconfig.Span `toml:"most"` // 10s if left out
-	Hold strictconfig.Span `toml:"hold"` // 20s if left out
+// PacingConfig say how calls for the list are spread: see comeback.CallSettings.
+type PacingConfig struct {
+	CallsPerSecond float64           `toml:"rate"` // calls a second of all proxies together
+	MaxBackoff     strictconfig.Span `toml:"most"` // 10s if left out
+	WatchTimeout   strictconfig.Span `toml:"hold"` // 20s if left out
 }
 
-// Memory says where a proxy writes down what it has learned, for the one that starts in its place.
-type Memory struct {
-	Folder string            `toml:"folder"` // that for temporary files if left out
-	Every  strictconfig.Span `toml:"every"`  // 1s if left out
-	Most   strictconfig.Span `toml:"most"`   // the oldest that is recalled; 1h if left out
+// SnapshotConfig says where a proxy writes down what it has learned, for the one that starts in its place.
+type SnapshotConfig struct {
+	Directory string            `toml:"folder"` // that for temporary files if left out
+	Interval  strictconfig.Span `toml:"every"`  // 1s if left out
+	MaxAge    strictconfig.Span `toml:"most"`   // the oldest that is recalled; 1h if left out
 }
 
 const (
-	leastEvery = 100 * time.Millisecond
-	mostEvery  = time.Hour
+	minSnapshotInterval = 100 * time.Millisecond
+	maxSnapshotInterval = time.Hour
 )
 
-// Every is how often it is written; 0 is never.
-func (f *File) Every() time.Duration {
-	if f.Memory == nil {
+// SnapshotInterval is how often it is written; 0 is never.
+func (f *File) SnapshotInterval() time.Duration {
+	if f.Snapshot == nil {
 		return 0
 	}
-	return time.Duration(or(f.Memory.Every, strictconfig.Span(time.Second)))
+	return time.Duration(valueOr(f.Snapshot.Interval, strictconfig.Span(time.Second)))
 }
 
-// Oldest is the age up to which it is recalled.
-func (f *File) Oldest() time.Duration {
-	return time.Duration(or(f.Memory.Most, strictconfig.Span(time.Hour)))
+// SnapshotMaxAge is the age up to which it is recalled.
+func (f *File) SnapshotMaxAge() time.Duration {
+	return time.Duration(valueOr(f.Snapshot.MaxAge, strictconfig.Span(time.Hour)))
 }
 
-// mostFile is the longest file that is read, in bytes.
-const mostFile = 1 << 20
+// maxFileBytes is the longest file that is read, in bytes.
+const maxFileBytes = 1 << 20
 
 // Load reads a file. Errors name the file, the line where there is one, and the key.
 func Load(path string) (*File, error) {
-	return strictconfig.Load(path, "the settings of coming back", mostFile, Parse)
+	return strictconfig.Load(path, "the settings of coming back", maxFileBytes, Parse)
 }
 
 // Parse reads the text of a file.
@@ -76,25 +76,25 @@
 	if f.Version != Version {
 		return nil, fmt.Errorf("%s: version: %d; this program reads %d", path, f.Version, Version)
 	}
-	if f.List == nil && f.Calls == nil && f.Memory == nil {
+	if f.Guard == nil && f.Pacing == nil && f.Snapshot == nil {
 		return nil, fmt.Errorf("%s: it has none of [list], [calls] and [memory]: there is nothing to go by", path)
 	}
 	var errs []error
-	if m := f.Memory; m != nil {
-		if v := f.Every(); v < leastEvery || v > mostEvery {
-			errs = append(errs, fmt.Errorf("memory: every: %v is not within %v and %v", v, leastEvery, mostEvery))
+	if m := f.Snapshot; m != nil {
+		if v := f.SnapshotInterval(); v < minSnapshotInterval || v > maxSnapshotInterval {
+			errs = append(errs, fmt.Errorf("memory: every: %v is not within %v and %v", v, minSnapshotInterval, maxSnapshotInterval))
 		}
-		if v := f.Oldest(); v < f.Every() {
-			errs = append(errs, fmt.Errorf("memory: most: %v is shorter than every, %v", v, f.Every()))
+		if v := f.SnapshotMaxAge(); v < f.SnapshotInterval() {
+			errs = append(errs, fmt.Errorf("memory: most: %v is shorter than every, %v", v, f.SnapshotInterval()))
 		}
 	}
-	if set, on := f.guard(); on {
-		if err := set.Check(); err != nil {
+	if set, on := f.guardSettings(); on {
+		if err := set.Validate(); err != nil {
 			errs = append(errs, fmt.Errorf("list: %w", err))
 		}
 	}
-	if set, on := f.calls(1, 0); on {
-		if err := set.Check(); err != nil {
+	if set, on := f.pacingSettings(1, 0); on {
+		if err := set.Validate(); err != nil {
 			errs = append(errs, fmt.Errorf("calls: %w", err))
 		}
 	}
@@ -104,7 +104,7 @@
 	return f, nil
 }
 
-func or[T comparable](v, usual T) T {
+func valueOr[T comparable](v, usual T) T {
 	var zero T
 	if v == zero {
 		return usual
@@ -112,39 +112,39 @@
 	return v
 }
 
-// guard are the settings of the guard, if there is one.
-func (f *File) guard() (s listguard.GuardSettings, on bool) {
-	if f.List == nil {
+// guardSettings are the settings of the guard, if there is one.
+func (f *File) guardSettings() (s listguard.GuardSettings, on bool) {
+	if f.Guard == nil {
 		return s, false
 	}
-	s = listguard.GuardSettings{Shrink: 0.3, Least: or(f.List.Least, 2), Hold: time.Duration(or(f.List.Hold, strictconfig.Span(30*time.Second)))}
-	if f.List.Shrink != nil {
-		s.Shrink = *f.List.Shrink
+	s = listguard.GuardSettings{MaxMissingRatio: 0.3, MinMissing: valueOr(f.Guard.MinMissing, 2), RetainFor: time.Duration(valueOr(f.Guard.RetainFor, strictconfig.Span(30*time.Second)))}
+	if f.Guard.MaxMissingRatio != nil {
+		s.MaxMissingRatio = *f.Guard.MaxMissingRatio
 	}
 	return s, true
 }
 
-// calls are the settings of the calls, if they are spread.
-func (f *File) calls(proxies int, seed uint64) (s listguard.CallSettings, on bool) {
-	if f.Calls == nil {
+// pacingSettings are the settings of the calls, if they are spread.
+func (f *File) pacingSettings(proxies int, seed uint64) (s listguard.PacingSettings, on bool) {
+	if f.Pacing == nil {
 		return s, false
 	}
-	return listguard.CallSettings{Rate: f.Calls.Rate, Proxies: proxies, Most: time.Duration(or(f.Calls.Most, strictconfig.Span(10*time.Second))),
-		Hold: time.Duration(or(f.Calls.Hold, strictconfig.Span(20*time.Second))), Seed: seed}, true
+	return listguard.PacingSettings{CallsPerSecond: f.Pacing.CallsPerSecond, Proxies: proxies, MaxBackoff: time.Duration(valueOr(f.Pacing.MaxBackoff, strictconfig.Span(10*time.Second))),
+		WatchTimeout: time.Duration(valueOr(f.Pacing.WatchTimeout, strictconfig.Span(20*time.Second))), Seed: seed}, true
 }
 
-// Words tell what a file comes to.
-func (f *File) Words() string {
+// Describe tell what a file comes to.
+func (f *File) Describe() string {
 	list, calls := "lists are believed as they come", "calls for the list are not spread"
-	if s, on := f.guard(); on {
-		list = fmt.Sprintf("a list that lacks over %.0f %% of the servers, %d at least, is in doubt for %v", 100*s.Shrink, s.Least, s.Hold)
+	if s, on := f.guardSettings(); on {
+		list = fmt.Sprintf("a list that lacks over %.0f %% of the servers, %d at least, is in doubt for %v", 100*s.MaxMissingRatio, s.MinMissing, s.RetainFor)
 	}
-	if s, on := f.calls(1, 0); on {
-		calls = fmt.Sprintf("all proxies together call for the list %g times a second, each after %v at the latest", s.Rate, s.Most)
+	if s, on := f.pacingSettings(1, 0); on {
+		calls = fmt.Sprintf("all proxies together call for the list %g times a second, each after %v at the latest", s.CallsPerSecond, s.MaxBackoff)
 	}
 	memory := "nothing is remembered"
-	if f.Memory != nil {
-		memory = fmt.Sprintf("what is learned is written down every %v, and recalled for %v", f.Every(), f.Oldest())
+	if f.Snapshot != nil {
+		memory = fmt.Sprintf("what is learned is written down every %v, and recalled for %v", f.SnapshotInterval(), f.SnapshotMaxAge())
 	}
 	return list + "; " + calls + "; " + memory
 }
--- a/internal/discovery/guardedsource/source.go
+++ b/internal/discovery/guardedsource/source.go
@@ -16,148 +16,148 @@
 	"lapisspread/internal/engine"
 )
 
-// Plan is what a process goes by. It is for any goroutine.
-type Plan struct {
-	file    *File
-	proxies int
-	seed    uint64
-	now     func() time.Duration
-	log     *slog.Logger
-	most    time.Duration // the longest rest between two calls, whatever the file says; 0 is no such bound
+// Coordinator is what a process goes by. It is for any goroutine.
+type Coordinator struct {
+	file       *File
+	proxies    int
+	seed       uint64
+	now        func() time.Duration
+	log        *slog.Logger
+	maxBackoff time.Duration // the longest rest between two calls, whatever the file says; 0 is no such bound
 
-	mu     sync.Mutex
-	guards map[string]*guarded
-	calls  map[string]*listguard.Calls // by name, as guards
-	counts Counts
-	held   map[string]Held // by address
+	mu          sync.Mutex
+	guards      map[string]*lockedGuard
+	pacers      map[string]*listguard.Pacer // by name, as guards
+	stats       CallStats
+	cachedLists map[string]CachedList // by address
 }
 
-// Held is a list as a register has told it.
-type Held struct {
-	List engine.List   `json:"list"`
-	At   time.Duration `json:"at"` // when it last answered, by the plan's clock; 0 is never
+// CachedList is a list as a register has told it.
+type CachedList struct {
+	Endpoints  engine.EndpointList `json:"list"`
+	AnsweredAt time.Duration       `json:"at"` // when it last answered, by the plan's clock; 0 is never
 }
 
-// Held tells the lists of all registers, by address.
-func (p *Plan) Held() map[string]Held {
+// CachedLists tells the lists of all registers, by address.
+func (p *Coordinator) CachedLists() map[string]CachedList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return maps.Clone(p.held)
+	return maps.Clone(p.cachedLists)
 }
 
-// hold takes a list into what is held of a register.
-func (p *Plan) hold(addr string, told engine.List) {
+// cache takes a list into what is held of a register.
+func (p *Coordinator) cache(addr string, told engine.EndpointList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.held[addr]
-	h.At = p.now()
+	h := p.cachedLists[addr]
+	h.AnsweredAt = p.now()
 	switch {
 	case told.Full:
-		h.List = told
-	case !told.Past(h.List.Version):
-		members := slices.Clone(h.List.Members) // of which others hold the old ones
-		for _, m := range told.Members {
-			members = slices.DeleteFunc(members, func(o engine.Member) bool { return o.ID == m.ID })
+		h.Endpoints = told
+	case !told.OlderThan(h.Endpoints.Version):
+		members := slices.Clone(h.Endpoints.Endpoints) // of which others hold the old ones
+		for _, m := range told.Endpoints {
+			members = slices.DeleteFunc(members, func(o engine.Endpoint) bool { return o.ID == m.ID })
 			if m.State != decision.Removed {
 				members = append(members, m)
 			}
 		}
-		h.List = engine.List{Version: told.Version, Full: true, Members: members}
+		h.Endpoints = engine.EndpointList{Version: told.Version, Full: true, Endpoints: members}
 	}
-	p.held[addr] = h
+	p.cachedLists[addr] = h
 }
 
-// guarded is a guard with the lock under which lists go through it, so that they keep their order.
-type guarded struct {
+// lockedGuard is a guard with the lock under which lists go through it, so that they keep their order.
+type lockedGuard struct {
 	mu    sync.Mutex
 	guard *listguard.Guard
 }
 
-// Counts are what the calls for the list have come to.
-type Counts struct {
-	Calls  int64 `json:"calls"`
-	Failed int64 `json:"failed"`
-	Later  int64 `json:"told_to_come_back_later"`
+// CallStats are what the calls for the list have come to.
+type CallStats struct {
+	Calls    int64 `json:"calls"`
+	Failed   int64 `json:"failed"`
+	Deferred int64 `json:"told_to_come_back_later"`
 }
 
-// NewPlan makes the plan of one of so many proxies. The seed must be another one for each process.
-func NewPlan(f *File, proxies int, seed uint64, now func() time.Duration, log *slog.Logger) *Plan {
-	return &Plan{file: f, proxies: proxies, seed: seed, now: now, log: log, guards: map[string]*guarded{}, calls: map[string]*listguard.Calls{},
-		held: map[string]Held{}}
+// NewCoordinator makes the plan of one of so many proxies. The seed must be another one for each process.
+func NewCoordinator(f *File, proxies int, seed uint64, now func() time.Duration, log *slog.Logger) *Coordinator {
+	return &Coordinator{file: f, proxies: proxies, seed: seed, now: now, log: log, guards: map[string]*lockedGuard{}, pacers: map[string]*listguard.Pacer{},
+		cachedLists: map[string]CachedList{}}
 }
 
-// Within has no call rest longer, whatever the file and the register say. Danger: what a register has counts as told soon after it
+// LimitBackoff has no call rest longer, whatever the file and the register say. Danger: what a register has counts as told soon after it
 // could be reached, however many it has turned away.
-func (p *Plan) Within(most time.Duration) *Plan {
-	p.most = most
+func (p *Coordinator) LimitBackoff(most time.Duration) *Coordinator {
+	p.maxBackoff = most
 	return p
 }
 
-// Later is an error by which a register says when to come back.
-type Later interface{ RetryAfter() time.Duration }
+// RetryAfterError is an error by which a register says when to come back.
+type RetryAfterError interface{ RetryAfter() time.Duration }
 
 // Wrap puts the rules before a source. What it knows of a register is kept by the name: sources of one name are one register,
 // wherever it has moved. Known is the list that the process knows of it from elsewhere.
-func (p *Plan) Wrap(name string, inner engine.Source, known engine.List) *Source {
-	s := &Source{Source: inner, plan: p}
+func (p *Coordinator) Wrap(name string, inner engine.Source, known engine.EndpointList) *Source {
+	s := &Source{Source: inner, coordinator: p}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, any := p.held[inner.Addr()]; !any {
-		p.held[inner.Addr()] = Held{List: known}
+	if _, any := p.cachedLists[inner.Addr()]; !any {
+		p.cachedLists[inner.Addr()] = CachedList{Endpoints: known}
 	}
-	if set, on := p.file.guard(); on {
+	if set, on := p.file.guardSettings(); on {
 		if p.guards[name] == nil {
 			g, err := listguard.NewGuard(set, known)
 			if err != nil { // the file was checked
 				panic(err)
 			}
-			p.guards[name] = &guarded{guard: g}
+			p.guards[name] = &lockedGuard{guard: g}
 		}
 		s.guard = p.guards[name]
 	}
-	if set, on := p.file.calls(p.proxies, p.seed); on {
-		if p.calls[name] == nil {
-			if p.most > 0 {
-				set.Most = max(min(set.Most, p.most/2), listguard.LeastRest) // a turn may be added to it
+	if set, on := p.file.pacingSettings(p.proxies, p.seed); on {
+		if p.pacers[name] == nil {
+			if p.maxBackoff > 0 {
+				set.MaxBackoff = max(min(set.MaxBackoff, p.maxBackoff/2), listguard.MinBackoff) // a turn may be added to it
 			}
-			c, err := listguard.NewCalls(set)
+			c, err := listguard.NewPacer(set)
 			if err != nil { // the file was checked
 				panic(err)
 			}
-			p.calls[name] = c
+			p.pacers[name] = c
 		}
-		s.calls = p.calls[name]
+		s.pacer = p.pacers[name]
 	}
 	return s
 }
 
 // Report is how a plan stands.
 type Report struct {
-	Counts
-	FailedInARow int   `json:"failed_in_a_row"`
-	Doubted      int64 `json:"lists_doubted"`
-	Kept         int64 `json:"servers_kept"`
-	Back         int64 `json:"servers_back"`
-	Dropped      int64 `json:"servers_dropped"`
-	Missing      int   `json:"servers_missing_now"`
+	CallStats
+	ConsecutiveFailures int   `json:"failed_in_a_row"`
+	SuspectLists        int64 `json:"lists_doubted"`
+	Retained            int64 `json:"servers_kept"`
+	Returned            int64 `json:"servers_back"`
+	Dropped             int64 `json:"servers_dropped"`
+	Missing             int   `json:"servers_missing_now"`
 }
 
 // Report tells how it stands.
-func (p *Plan) Report() Report {
+func (p *Coordinator) Report() Report {
 	p.mu.Lock()
-	r := Report{Counts: p.counts}
-	for _, c := range p.calls {
-		r.FailedInARow = max(r.FailedInARow, c.InARow())
+	r := Report{CallStats: p.stats}
+	for _, c := range p.pacers {
+		r.ConsecutiveFailures = max(r.ConsecutiveFailures, c.ConsecutiveFailures())
 	}
-	guards := make([]*guarded, 0, len(p.guards))
+	guards := make([]*lockedGuard, 0, len(p.guards))
 	for _, g := range p.guards {
 		guards = append(guards, g)
 	}
 	p.mu.Unlock()
 	for _, g := range guards {
 		g.mu.Lock()
-		c := g.guard.Counts()
-		r.Doubted, r.Kept, r.Back, r.Dropped, r.Missing = r.Doubted+c.Doubted, r.Kept+c.Kept, r.Back+c.Back, r.Dropped+c.Dropped, r.Missing+g.guard.Missing()
+		c := g.guard.Stats()
+		r.SuspectLists, r.Retained, r.Returned, r.Dropped, r.Missing = r.SuspectLists+c.SuspectLists, r.Retained+c.Retained, r.Returned+c.Returned, r.Dropped+c.Dropped, r.Missing+g.guard.Missing()
 		g.mu.Unlock()
 	}
 	return r
@@ -166,40 +166,40 @@
 // Source is a register with the rules before it.
 type Source struct {
 	engine.Source
-	plan  *Plan
-	guard *guarded         // nil believes all
-	calls *listguard.Calls // nil waits for nothing; the plan's lock guards it
+	coordinator *Coordinator
+	guard       *lockedGuard     // nil believes all
+	pacer       *listguard.Pacer // nil waits for nothing; the plan's lock guards it
 }
 
 var _ engine.Source = (*Source)(nil)
 
-// Hold is for how long a watch is to be held; usual is it without the rules.
-func (s *Source) Hold(usual time.Duration) time.Duration {
-	if s.calls == nil {
+// WatchTimeout is for how long a watch is to be held; usual is it without the rules.
+func (s *Source) WatchTimeout(usual time.Duration) time.Duration {
+	if s.pacer == nil {
 		return usual
 	}
-	s.plan.mu.Lock()
-	defer s.plan.mu.Unlock()
-	return s.calls.Hold()
+	s.coordinator.mu.Lock()
+	defer s.coordinator.mu.Unlock()
+	return s.pacer.WatchTimeout()
 }
 
 // Fetch asks for the whole list in its turn.
-func (s *Source) Fetch(ctx context.Context) (engine.List, error) {
-	if err := s.turn(ctx); err != nil {
-		return engine.List{}, err
+func (s *Source) Fetch(ctx context.Context) (engine.EndpointList, error) {
+	if err := s.waitTurn(ctx); err != nil {
+		return engine.EndpointList{}, err
 	}
 	list, err := s.Source.Fetch(ctx)
-	s.note(ctx, err)
+	s.recordResult(ctx, err)
 	if err != nil {
 		return list, err
 	}
-	s.plan.hold(s.Addr(), list)
-	return s.take(list), nil
+	s.coordinator.cache(s.Addr(), list)
+	return s.filter(list), nil
 }
 
 // Watch tells of each answer, and of what time alone changes in the list, until the watch fails or ctx ends.
-func (s *Source) Watch(ctx context.Context, from uint32, tell func(engine.List)) error {
-	if err := s.turn(ctx); err != nil {
+func (s *Source) Watch(ctx context.Context, from uint32, tell func(engine.EndpointList)) error {
+	if err := s.waitTurn(ctx); err != nil {
 		return err
 	}
 	inner, cancel := context.WithCancel(ctx)
@@ -207,40 +207,40 @@
 	var running sync.WaitGroup
 	defer func() { cancel(); running.Wait() }()
 	if s.guard != nil {
-		running.Go(func() { s.elapse(inner, changed, tell) })
+		running.Go(func() { s.expireRetained(inner, changed, tell) })
 	}
-	err := s.Source.Watch(ctx, from, func(list engine.List) {
-		s.note(ctx, nil)
-		s.plan.hold(s.Addr(), list)
+	err := s.Source.Watch(ctx, from, func(list engine.EndpointList) {
+		s.recordResult(ctx, nil)
+		s.coordinator.cache(s.Addr(), list)
 		if s.guard == nil {
 			tell(list)
 			return
 		}
 		s.guard.mu.Lock()
-		tell(s.believe(list))
+		tell(s.filterLocked(list))
 		s.guard.mu.Unlock()
 		select {
 		case changed <- struct{}{}:
 		default:
 		}
 	})
-	s.note(ctx, err)
+	s.recordResult(ctx, err)
 	return err
 }
 
-// elapse drops servers once they have been kept for long enough.
-func (s *Source) elapse(ctx context.Context, changed <-chan struct{}, tell func(engine.List)) {
+// expireRetained drops servers once they have been kept for long enough.
+func (s *Source) expireRetained(ctx context.Context, changed <-chan struct{}, tell func(engine.EndpointList)) {
 	for {
 		s.guard.mu.Lock()
-		if list, over := s.guard.guard.Elapse(s.plan.now()); over {
-			s.plan.log.Warn("servers that the register names no more are given up", "left", len(list.Members))
+		if list, over := s.guard.guard.Expire(s.coordinator.now()); over {
+			s.coordinator.log.Warn("servers that the register names no more are given up", "left", len(list.Endpoints))
 			tell(list)
 		}
-		due, any := s.guard.guard.Due()
+		due, any := s.guard.guard.NextExpiry()
 		s.guard.mu.Unlock()
 		var timer <-chan time.Time
 		if any {
-			timer = time.After(max(0, due-s.plan.now()))
+			timer = time.After(max(0, due-s.coordinator.now()))
 		}
 		select {
 		case <-ctx.Done():
@@ -251,34 +251,34 @@
 	}
 }
 
-func (s *Source) take(list engine.List) engine.List {
+func (s *Source) filter(list engine.EndpointList) engine.EndpointList {
 	if s.guard == nil {
 		return list
 	}
 	s.guard.mu.Lock()
 	defer s.guard.mu.Unlock()
-	return s.believe(list)
+	return s.filterLocked(list)
 }
 
-// believe has the guard look at a list. Its lock is held.
-func (s *Source) believe(list engine.List) engine.List {
-	before := s.guard.guard.Counts()
-	out := s.guard.guard.Take(s.plan.now(), list)
-	if c := s.guard.guard.Counts(); c.Doubted != before.Doubted {
-		s.plan.log.Warn("a list lacks many servers, which are kept for a while", "named", len(list.Members), "kept", c.Kept-before.Kept)
+// filterLocked has the guard look at a list. Its lock is held.
+func (s *Source) filterLocked(list engine.EndpointList) engine.EndpointList {
+	before := s.guard.guard.Stats()
+	out := s.guard.guard.Apply(s.coordinator.now(), list)
+	if c := s.guard.guard.Stats(); c.SuspectLists != before.SuspectLists {
+		s.coordinator.log.Warn("a list lacks many servers, which are kept for a while", "named", len(list.Endpoints), "kept", c.Retained-before.Retained)
 	}
 	return out
 }
 
-// turn waits until a call may be made.
-func (s *Source) turn(ctx context.Context) error {
-	if s.calls == nil {
+// waitTurn waits until a call may be made.
+func (s *Source) waitTurn(ctx context.Context) error {
+	if s.pacer == nil {
 		return ctx.Err()
 	}
-	s.plan.mu.Lock()
-	wait := s.calls.Wait(s.plan.now())
-	s.plan.counts.Calls++
-	s.plan.mu.Unlock()
+	s.coordinator.mu.Lock()
+	wait := s.pacer.Wait(s.coordinator.now())
+	s.coordinator.stats.Calls++
+	s.coordinator.mu.Unlock()
 	if wait == 0 {
 		return ctx.Err()
 	}
@@ -292,24 +292,24 @@
 	}
 }
 
-// note takes in how a call ended, unless it was called off.
-func (s *Source) note(ctx context.Context, err error) {
-	if s.calls == nil || ctx.Err() != nil {
+// recordResult takes in how a call ended, unless it was called off.
+func (s *Source) recordResult(ctx context.Context, err error) {
+	if s.pacer == nil || ctx.Err() != nil {
 		return
 	}
-	s.plan.mu.Lock()
-	defer s.plan.mu.Unlock()
+	s.coordinator.mu.Lock()
+	defer s.coordinator.mu.Unlock()
 	if err == nil {
-		s.calls.Answered()
+		s.pacer.Succeeded()
 		return
 	}
 	var after time.Duration
-	if later := Later(nil); errors.As(err, &later) {
+	if later := RetryAfterError(nil); errors.As(err, &later) {
 		after = later.RetryAfter()
 	}
 	if after > 0 {
-		s.plan.counts.Later++
+		s.coordinator.stats.Deferred++
 	}
-	s.plan.counts.Failed++
-	s.calls.Failed(s.plan.now(), after)
+	s.coordinator.stats.Failed++
+	s.pacer.Failed(s.coordinator.now(), after)
 }
--- a/internal/discovery/guardedsource/source_test.go
+++ b/internal/discovery/guardedsource/source_test.go
@@ -15,7 +15,7 @@
 
 // register is one that a test speaks for.
 type register struct {
-	lists chan engine.List
+	lists chan engine.EndpointList
 	errs  []error // of its next calls; nil is an answer
 	calls []time.Duration
 	began time.Time
@@ -32,13 +32,13 @@
 	r.errs = r.errs[1:]
 	return err
 }
-func (r *register) Fetch(ctx context.Context) (engine.List, error) {
+func (r *register) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	if err := r.call(); err != nil {
-		return engine.List{}, err
+		return engine.EndpointList{}, err
 	}
 	return <-r.lists, nil
 }
-func (r *register) Watch(ctx context.Context, _ uint32, tell func(engine.List)) error {
+func (r *register) Watch(ctx context.Context, _ uint32, tell func(engine.EndpointList)) error {
 	if err := r.call(); err != nil {
 		return err
 	}
@@ -60,52 +60,52 @@
 func (l later) Error() string             { return "come back later" }
 func (l later) RetryAfter() time.Duration { return time.Duration(l) }
 
-func whole(names ...string) engine.List {
-	l := engine.List{Full: true, Version: 1}
+func whole(names ...string) engine.EndpointList {
+	l := engine.EndpointList{Full: true, Version: 1}
 	for _, n := range names {
-		l.Members = append(l.Members, engine.Member{ID: n, Addr: "at-" + n, State: decision.Ready})
+		l.Endpoints = append(l.Endpoints, engine.Endpoint{ID: n, Addr: "at-" + n, State: decision.Ready})
 	}
 	return l
 }
 
-func plan(t *testing.T, text string, proxies int) *Plan {
+func plan(t *testing.T, text string, proxies int) *Coordinator {
 	t.Helper()
 	f, err := Parse("comeback.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	return NewPlan(f, proxies, 1, func() time.Duration { return time.Since(began) }, slog.New(slog.DiscardHandler))
+	return NewCoordinator(f, proxies, 1, func() time.Duration { return time.Since(began) }, slog.New(slog.DiscardHandler))
 }
 
 // A list that lacks many is told with them, until time alone takes them out; and the sources of one register share what they know.
 func TestServersAreKeptForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := plan(t, "version = 1\n[list]\nhold = \"10s\"\n", 3)
-		r := &register{lists: make(chan engine.List, 1)}
+		r := &register{lists: make(chan engine.EndpointList, 1)}
 		s := p.Wrap("", r, whole("a", "b", "c"))
 		ctx, cancel := context.WithCancel(t.Context())
-		told := make(chan engine.List, 4)
+		told := make(chan engine.EndpointList, 4)
 		ended := make(chan error, 1)
-		go func() { ended <- s.Watch(ctx, 0, func(l engine.List) { told <- l }) }()
+		go func() { ended <- s.Watch(ctx, 0, func(l engine.EndpointList) { told <- l }) }()
 		r.lists <- whole("a")
-		if l := <-told; len(l.Members) != 3 {
-			t.Errorf("told of %v", l.Members)
+		if l := <-told; len(l.Endpoints) != 3 {
+			t.Errorf("told of %v", l.Endpoints)
 		}
 		r.lists <- whole("a")
-		if l := <-told; len(l.Members) != 3 {
-			t.Errorf("told of %v", l.Members)
+		if l := <-told; len(l.Endpoints) != 3 {
+			t.Errorf("told of %v", l.Endpoints)
 		}
-		r2 := &register{lists: make(chan engine.List, 1)}
+		r2 := &register{lists: make(chan engine.EndpointList, 1)}
 		r2.lists <- whole("a")
-		if l, err := p.Wrap("", r2, engine.List{}).Fetch(ctx); err != nil || len(l.Members) != 3 {
-			t.Errorf("at another address: %v, %v", l.Members, err)
+		if l, err := p.Wrap("", r2, engine.EndpointList{}).Fetch(ctx); err != nil || len(l.Endpoints) != 3 {
+			t.Errorf("at another address: %v, %v", l.Endpoints, err)
 		}
-		if r := p.Report(); r.Doubted != 1 || r.Kept != 2 || r.Missing != 2 {
+		if r := p.Report(); r.SuspectLists != 1 || r.Retained != 2 || r.Missing != 2 {
 			t.Errorf("%+v", r)
 		}
-		if l := <-told; len(l.Members) != 1 || time.Since(r.began) == 0 {
-			t.Errorf("after the hold: %v", l.Members)
+		if l := <-told; len(l.Endpoints) != 1 || time.Since(r.began) == 0 {
+			t.Errorf("after the hold: %v", l.Endpoints)
 		}
 		if r := p.Report(); r.Dropped != 2 || r.Missing != 0 {
 			t.Errorf("%+v", r)
@@ -121,24 +121,24 @@
 func TestCallsWaitTheirTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := plan(t, "version = 1\n[calls]\nrate = 2.0\nmost = \"5s\"\n", 4)
-		r := &register{lists: make(chan engine.List, 1), errs: []error{errors.New("no"), later(3 * time.Second), nil}, began: time.Now()}
-		s := p.Wrap("", r, engine.List{})
+		r := &register{lists: make(chan engine.EndpointList, 1), errs: []error{errors.New("no"), later(3 * time.Second), nil}, began: time.Now()}
+		s := p.Wrap("", r, engine.EndpointList{})
 		r.lists <- whole("a")
 		for range 2 {
 			if _, err := s.Fetch(t.Context()); err == nil {
 				t.Error("a failed call is told as good")
 			}
 		}
-		if l, err := s.Fetch(t.Context()); err != nil || len(l.Members) != 1 {
+		if l, err := s.Fetch(t.Context()); err != nil || len(l.Endpoints) != 1 {
 			t.Errorf("%v, %v", l, err)
 		}
 		if c := r.calls; len(c) != 3 || c[0] > 1500*time.Millisecond || c[1]-c[0] < 50*time.Millisecond || c[2]-c[1] < 3*time.Second {
 			t.Errorf("calls at %v", c)
 		}
-		if r := p.Report(); r.Calls != 3 || r.Failed != 2 || r.Later != 1 || r.FailedInARow != 0 {
+		if r := p.Report(); r.Calls != 3 || r.Failed != 2 || r.Deferred != 1 || r.ConsecutiveFailures != 0 {
 			t.Errorf("%+v", r)
 		}
-		if h := s.Hold(time.Hour); h < 15*time.Second || h > 20*time.Second {
+		if h := s.WatchTimeout(time.Hour); h < 15*time.Second || h > 20*time.Second {
 			t.Errorf("a watch is held for %v", h)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
@@ -162,7 +162,7 @@
 		}
 	}
 	f, err := Load("../../../deploy/comeback.toml")
-	if err != nil || !strings.Contains(f.Words(), "30 %") || !strings.Contains(f.Words(), "20 times a second") || !strings.Contains(f.Words(), "written down every 1s") {
+	if err != nil || !strings.Contains(f.Describe(), "30 %") || !strings.Contains(f.Describe(), "20 times a second") || !strings.Contains(f.Describe(), "written down every 1s") {
 		t.Errorf("%v, %v", f, err)
 	}
 	if _, err := Load("nowhere.toml"); err == nil || !strings.Contains(err.Error(), "nowhere.toml") {
--- a/internal/discovery/hub.go
+++ b/internal/discovery/hub.go
@@ -18,119 +18,119 @@
 	"lapisspread/internal/engine"
 )
 
-const firstRest = 50 * time.Millisecond // after a failed call, if no shorter one is the most
+const initialBackoff = 50 * time.Millisecond // after a failed call, if no shorter one is the most
 
-// ErrLeft says that a follower has left its register.
-var ErrLeft = errors.New("register: the follower has left")
+// ErrUnsubscribed says that a follower has left its register.
+var ErrUnsubscribed = errors.New("register: the follower has left")
 
-// Hubs are the registers that somebody follows, by address. They are for any goroutine.
-type Hubs struct {
-	open func(addr string) engine.Source
-	rest time.Duration // after a failed call, at most
+// Registry are the registers that somebody follows, by address. They are for any goroutine.
+type Registry struct {
+	open       func(addr string) engine.Source
+	maxBackoff time.Duration // after a failed call, at most
 
 	mu     sync.Mutex
-	byAddr map[string]*hub
+	byAddr map[string]*sharedWatch
 }
 
-// NewHubs makes an empty set, which opens a register when the first follower comes and closes it when the last leaves. After
+// NewRegistry makes an empty set, which opens a register when the first follower comes and closes it when the last leaves. After
 // failed calls it rests for so long at most.
-func NewHubs(rest time.Duration, open func(addr string) engine.Source) *Hubs {
-	return &Hubs{open: open, rest: rest, byAddr: map[string]*hub{}}
+func NewRegistry(rest time.Duration, open func(addr string) engine.Source) *Registry {
+	return &Registry{open: open, maxBackoff: rest, byAddr: map[string]*sharedWatch{}}
 }
 
-// Join adds a follower of the register at an address: a source of its own, which it leaves by Close. Known is the
+// Subscribe adds a follower of the register at an address: a source of its own, which it leaves by Close. Known is the
 // list as the process knows it from elsewhere, for a register that nobody follows yet; one that is not Full is none.
-func (s *Hubs) Join(addr string, known engine.List) *Follower {
+func (s *Registry) Subscribe(addr string, known engine.EndpointList) *Subscription {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.byAddr[addr]
 	if h == nil {
-		h = &hub{source: s.open(addr), mostRest: s.rest, watchers: map[*watcher]bool{}}
+		h = &sharedWatch{source: s.open(addr), maxBackoff: s.maxBackoff, watchers: map[*watcher]bool{}}
 		if known.Full {
-			h.list.take(known)
-			h.seq++
+			h.endpoints.apply(known)
+			h.sequence++
 		}
 		s.byAddr[addr] = h
 	}
-	h.followers++
+	h.subscribers++
 	ctx, end := context.WithCancelCause(context.Background())
-	return &Follower{hubs: s, hub: h, ctx: ctx, end: end}
+	return &Subscription{registry: s, watch: h, ctx: ctx, cancel: end}
 }
 
-// leave takes a follower off. Danger: who joins at the same time must find the hub open, or not at all.
-func (s *Hubs) leave(h *hub) {
+// unsubscribe takes a follower off. Danger: who joins at the same time must find the hub open, or not at all.
+func (s *Registry) unsubscribe(h *sharedWatch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h.followers--; h.followers == 0 {
+	if h.subscribers--; h.subscribers == 0 {
 		delete(s.byAddr, h.source.Addr())
 		h.close()
 	}
 }
 
-// hub is one register with its followers.
-type hub struct {
-	source    engine.Source
-	followers int // the set's lock guards it
+// sharedWatch is one register with its followers.
+type sharedWatch struct {
+	source      engine.Source
+	subscribers int // the set's lock guards it
 
-	mu        sync.Mutex
-	list      catalogue
-	seq       uint64 // counts what has changed the list
-	watchers  map[*watcher]bool
-	stop      context.CancelFunc // of the watch; nil while there is none
-	alive     bool               // the watch has told something, and has not failed since
-	fetching  *fetch
-	rest      time.Duration // before the next call
-	mostRest  time.Duration
-	restUntil time.Time
+	mu           sync.Mutex
+	endpoints    endpointSet
+	sequence     uint64 // counts what has changed the list
+	watchers     map[*watcher]bool
+	stop         context.CancelFunc // of the watch; nil while there is none
+	alive        bool               // the watch has told something, and has not failed since
+	fetching     *fetch
+	backoff      time.Duration // before the next call
+	maxBackoff   time.Duration
+	backoffUntil time.Time
 }
 
 // watcher is one follower's watch: what it has not been told yet, in order.
 type watcher struct {
-	lists []engine.List
-	seq   uint64 // of the last of them
-	err   error
-	wake  chan struct{} // holds one
+	lists    []engine.EndpointList
+	sequence uint64 // of the last of them
+	err      error
+	wake     chan struct{} // holds one
 }
 
 // fetch is a call for the whole list under way, for all that wait for it.
 type fetch struct {
 	done chan struct{}
-	list engine.List
+	list engine.EndpointList
 	err  error
 }
 
-// Follower is a register as one engine sees it.
-type Follower struct {
-	hubs *Hubs
-	hub  *hub
-	ctx  context.Context
-	end  context.CancelCauseFunc
-	once sync.Once
-	seen uint64 // what it was told last; the hub's lock guards it
+// Subscription is a register as one engine sees it.
+type Subscription struct {
+	registry     *Registry
+	watch        *sharedWatch
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	once         sync.Once
+	seenSequence uint64 // what it was told last; the hub's lock guards it
 }
 
-var _ engine.Source = (*Follower)(nil)
+var _ engine.Source = (*Subscription)(nil)
 
 // Addr is the register's address.
-func (f *Follower) Addr() string { return f.hub.source.Addr() }
+func (f *Subscription) Addr() string { return f.watch.source.Addr() }
 
 // List is the whole list as it is known now, if it is.
-func (f *Follower) List() (engine.List, bool) {
-	f.hub.mu.Lock()
-	defer f.hub.mu.Unlock()
-	return f.hub.list.whole(), f.hub.list.known
+func (f *Subscription) List() (engine.EndpointList, bool) {
+	f.watch.mu.Lock()
+	defer f.watch.mu.Unlock()
+	return f.watch.endpoints.snapshot(), f.watch.endpoints.known
 }
 
 // Close ends the follower's calls; with the last one's the register's own.
-func (f *Follower) Close() {
+func (f *Subscription) Close() {
 	f.once.Do(func() {
-		f.end(ErrLeft)
-		f.hubs.leave(f.hub)
+		f.cancel(ErrUnsubscribed)
+		f.registry.unsubscribe(f.watch)
 	})
 }
 
 // close ends the register's calls.
-func (h *hub) close() {
+func (h *sharedWatch) close() {
 	h.mu.Lock()
 	if h.stop != nil {
 		h.stop()
@@ -142,11 +142,11 @@
 
 // Fetch gives the whole list: the hub's own while its watch is alive, else the register's, by one call for all that
 // ask at the same time.
-func (f *Follower) Fetch(ctx context.Context) (engine.List, error) {
-	h := f.hub
+func (f *Subscription) Fetch(ctx context.Context) (engine.EndpointList, error) {
+	h := f.watch
 	h.mu.Lock()
-	if h.alive && h.list.known {
-		list := h.list.whole()
+	if h.alive && h.endpoints.known {
+		list := h.endpoints.snapshot()
 		h.mu.Unlock()
 		return list, nil
 	}
@@ -154,7 +154,7 @@
 	if c == nil {
 		c = &fetch{done: make(chan struct{})}
 		h.fetching = c
-		wait := time.Until(h.restUntil)
+		wait := time.Until(h.backoffUntil)
 		go h.fetch(c, wait)
 	}
 	h.mu.Unlock()
@@ -162,70 +162,70 @@
 	case <-c.done:
 		return c.list, c.err
 	case <-ctx.Done():
-		return engine.List{}, context.Cause(ctx)
+		return engine.EndpointList{}, context.Cause(ctx)
 	case <-f.ctx.Done():
-		return engine.List{}, context.Cause(f.ctx)
+		return engine.EndpointList{}, context.Cause(f.ctx)
 	}
 }
 
 // fetch makes a call for all that wait for it. It outlives each of them: the source's Close ends it.
-func (h *hub) fetch(c *fetch, wait time.Duration) {
+func (h *sharedWatch) fetch(c *fetch, wait time.Duration) {
 	if wait > 0 {
 		time.Sleep(wait)
 	}
 	h.mu.Lock()
-	before := h.seq
+	before := h.sequence
 	h.mu.Unlock()
 	c.list, c.err = h.source.Fetch(context.Background())
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.fetching = nil
-	h.note(c.err)
+	h.recordResult(c.err)
 	switch {
 	case c.err != nil:
-	case h.seq != before && c.list.Past(h.list.version):
+	case h.sequence != before && c.list.OlderThan(h.endpoints.version):
 		// Danger: the watch has told something newer meanwhile, and goes on from there. What drains by it would be ready
 		// again, and nobody would ever say otherwise.
-		c.list = h.list.whole()
+		c.list = h.endpoints.snapshot()
 	default:
-		h.tell(c.list)
+		h.publish(c.list)
 	}
 	close(c.done)
 }
 
-// note has the next call wait after one that failed. The lock is held.
-func (h *hub) note(err error) {
+// recordResult has the next call wait after one that failed. The lock is held.
+func (h *sharedWatch) recordResult(err error) {
 	if err == nil {
-		h.rest = 0
+		h.backoff = 0
 		return
 	}
-	h.rest = min(max(2*h.rest, firstRest), h.mostRest)
-	h.restUntil = time.Now().Add(h.rest)
+	h.backoff = min(max(2*h.backoff, initialBackoff), h.maxBackoff)
+	h.backoffUntil = time.Now().Add(h.backoff)
 }
 
 // Watch tells of each change until the register's watch fails, the follower leaves or ctx ends; first, of the whole
 // list, unless nothing has changed since it last told of something. Danger: the version that the follower stands at
 // does not say so: a register that has begun anew counts its versions anew.
-func (f *Follower) Watch(ctx context.Context, _ uint32, tell func(engine.List)) error {
-	h := f.hub
+func (f *Subscription) Watch(ctx context.Context, _ uint32, tell func(engine.EndpointList)) error {
+	h := f.watch
 	w := &watcher{wake: make(chan struct{}, 1)}
 	h.mu.Lock()
 	if f.ctx.Err() != nil {
 		h.mu.Unlock()
-		return ErrLeft
+		return ErrUnsubscribed
 	}
-	if h.list.known && h.seq != f.seen {
-		w.add(h.list.whole(), h.seq)
+	if h.endpoints.known && h.sequence != f.seenSequence {
+		w.enqueue(h.endpoints.snapshot(), h.sequence)
 	}
 	h.watchers[w] = true
 	if h.stop == nil {
-		h.begin()
+		h.startWatch()
 	}
 	h.mu.Unlock()
-	defer h.drop(w)
+	defer h.removeWatcher(w)
 	for {
 		h.mu.Lock()
-		lists, seq, err := w.lists, w.seq, w.err
+		lists, seq, err := w.lists, w.sequence, w.err
 		w.lists = nil
 		h.mu.Unlock()
 		for _, l := range lists {
@@ -233,7 +233,7 @@
 		}
 		if len(lists) > 0 {
 			h.mu.Lock()
-			f.seen = seq
+			f.seenSequence = seq
 			h.mu.Unlock()
 		}
 		if err != nil {
@@ -252,8 +252,8 @@
 	}
 }
 
-// drop ends a watcher; the register's watch goes on only while somebody watches.
-func (h *hub) drop(w *watcher) {
+// removeWatcher ends a watcher; the register's watch goes on only while somebody watches.
+func (h *sharedWatch) removeWatcher(w *watcher) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.watchers, w)
@@ -263,8 +263,8 @@
 	}
 }
 
-func (w *watcher) add(l engine.List, seq uint64) {
-	w.seq = seq
+func (w *watcher) enqueue(l engine.EndpointList, seq uint64) {
+	w.sequence = seq
 	if l.Full {
 		w.lists = w.lists[:0] // it says all that those before it do
 	}
@@ -275,17 +275,17 @@
 	}
 }
 
-// begin starts the register's watch. The lock is held.
-func (h *hub) begin() {
+// startWatch starts the register's watch. The lock is held.
+func (h *sharedWatch) startWatch() {
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
-	wait := time.Until(h.restUntil)
-	go h.watch(ctx, wait)
+	wait := time.Until(h.backoffUntil)
+	go h.runWatch(ctx, wait)
 }
 
-// watch follows the register until it fails or nobody watches. Danger: a watch that was stopped may end after the next
+// runWatch follows the register until it fails or nobody watches. Danger: a watch that was stopped may end after the next
 // one has begun; it must change nothing then.
-func (h *hub) watch(ctx context.Context, wait time.Duration) {
+func (h *sharedWatch) runWatch(ctx context.Context, wait time.Duration) {
 	if wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
@@ -304,21 +304,21 @@
 	}
 	var known bool
 	var from uint32
-	mine(func() { known, from = h.list.known, h.list.version })
+	mine(func() { known, from = h.endpoints.known, h.endpoints.version })
 	var err error
 	if !known {
-		var list engine.List
+		var list engine.EndpointList
 		if list, err = h.source.Fetch(ctx); err == nil {
 			from = list.Version
-			mine(func() { h.tell(list) })
+			mine(func() { h.publish(list) })
 		}
 	}
 	if err == nil {
-		err = h.source.Watch(ctx, from, func(list engine.List) {
+		err = h.source.Watch(ctx, from, func(list engine.EndpointList) {
 			mine(func() {
 				h.alive = true
-				h.note(nil)
-				h.tell(list)
+				h.recordResult(nil)
+				h.publish(list)
 			})
 		})
 	}
@@ -326,7 +326,7 @@
 		err = errors.New("register: the watch has ended")
 	}
 	mine(func() {
-		h.note(err)
+		h.recordResult(err)
 		h.stop, h.alive = nil, false
 		for w := range h.watchers {
 			w.err = err
@@ -339,32 +339,32 @@
 	})
 }
 
-// tell takes a list in and passes it on. The lock is held.
-func (h *hub) tell(list engine.List) {
-	if !list.Full && (!h.list.known || list.Past(h.list.version)) {
+// publish takes a list in and passes it on. The lock is held.
+func (h *sharedWatch) publish(list engine.EndpointList) {
+	if !list.Full && (!h.endpoints.known || list.OlderThan(h.endpoints.version)) {
 		return // changes to a list that nobody has, or of one that is past
 	}
-	h.list.take(list)
-	h.seq++
+	h.endpoints.apply(list)
+	h.sequence++
 	for w := range h.watchers {
-		w.add(list, h.seq)
+		w.enqueue(list, h.sequence)
 	}
 }
 
-// catalogue is a whole list, and how changes alter it.
-type catalogue struct {
+// endpointSet is a whole list, and how changes alter it.
+type endpointSet struct {
 	known   bool
 	version uint32
-	members []engine.Member // in the order in which they came
+	members []engine.Endpoint // in the order in which they came
 }
 
-func (c *catalogue) take(list engine.List) {
+func (c *endpointSet) apply(list engine.EndpointList) {
 	if list.Full {
 		c.members = c.members[:0]
 	}
 	c.known, c.version = true, list.Version
-	for _, m := range list.Members {
-		i := slices.IndexFunc(c.members, func(o engine.Member) bool { return o.ID == m.ID })
+	for _, m := range list.Endpoints {
+		i := slices.IndexFunc(c.members, func(o engine.Endpoint) bool { return o.ID == m.ID })
 		switch {
 		case m.State == decision.Removed && i >= 0:
 			c.members = slices.Delete(c.members, i, i+1)
@@ -380,6 +380,6 @@
 	}
 }
 
-func (c *catalogue) whole() engine.List {
-	return engine.List{Version: c.version, Full: true, Members: slices.Clone(c.members)}
+func (c *endpointSet) snapshot() engine.EndpointList {
+	return engine.EndpointList{Version: c.version, Full: true, Endpoints: slices.Clone(c.members)}
 }
--- a/internal/discovery/hub_test.go
+++ b/internal/discovery/hub_test.go
@@ -20,9 +20,9 @@
 // fake is a register: what comes in at lists goes out to its watch; an error ends it.
 type fake struct {
 	mu      sync.Mutex
-	list    engine.List
+	list    engine.EndpointList
 	err     error // of the next fetches
-	lists   chan engine.List
+	lists   chan engine.EndpointList
 	fail    chan error
 	fetches int
 	watches int
@@ -32,14 +32,14 @@
 	closed  bool
 }
 
-func newFake(list engine.List) *fake {
-	return &fake{list: list, lists: make(chan engine.List), fail: make(chan error)}
+func newFake(list engine.EndpointList) *fake {
+	return &fake{list: list, lists: make(chan engine.EndpointList), fail: make(chan error)}
 }
 
 func (f *fake) Addr() string { return "127.0.0.1:1" }
 func (f *fake) Close()       { f.mu.Lock(); f.closed = true; f.mu.Unlock() }
 
-func (f *fake) Fetch(context.Context) (engine.List, error) {
+func (f *fake) Fetch(context.Context) (engine.EndpointList, error) {
 	f.mu.Lock()
 	f.fetches++
 	f.at = append(f.at, time.Now())
@@ -49,7 +49,7 @@
 	return list, err
 }
 
-func (f *fake) Watch(ctx context.Context, from uint32, tell func(engine.List)) error {
+func (f *fake) Watch(ctx context.Context, from uint32, tell func(engine.EndpointList)) error {
 	f.mu.Lock()
 	f.watches++
 	f.at = append(f.at, time.Now())
@@ -75,20 +75,20 @@
 
 // testHub is a set with one register.
 type testHub struct {
-	*Hubs
-	known engine.List
+	*Registry
+	known engine.EndpointList
 }
 
-func newTestHub(src *fake, known engine.List) testHub {
-	return testHub{NewHubs(2*time.Second, func(string) engine.Source { return src }), known}
+func newTestHub(src *fake, known engine.EndpointList) testHub {
+	return testHub{NewRegistry(2*time.Second, func(string) engine.Source { return src }), known}
 }
 
-func (h testHub) Join() *Follower { return h.Hubs.Join("127.0.0.1:1", h.known) }
+func (h testHub) Join() *Subscription { return h.Registry.Subscribe("127.0.0.1:1", h.known) }
 
-func full(version uint32, ids ...string) engine.List {
-	l := engine.List{Version: version, Full: true}
+func full(version uint32, ids ...string) engine.EndpointList {
+	l := engine.EndpointList{Version: version, Full: true}
 	for _, id := range ids {
-		l.Members = append(l.Members, engine.Member{ID: id, Addr: id + ":1", State: decision.Ready})
+		l.Endpoints = append(l.Endpoints, engine.Endpoint{ID: id, Addr: id + ":1", State: decision.Ready})
 	}
 	return l
 }
@@ -96,16 +96,16 @@
 // follower keeps what an engine would know.
 type follower struct {
 	mu   sync.Mutex
-	list catalogue
+	list endpointSet
 	told int
 	errs int
 }
 
-func (f *follower) tell(l engine.List) {
+func (f *follower) tell(l engine.EndpointList) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.told++
-	f.list.take(l)
+	f.list.apply(l)
 }
 
 func (f *follower) ids() []string {
@@ -137,10 +137,10 @@
 func TestManyFollowByOneWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := newFake(full(7, "a", "b"))
-		h := newTestHub(src, engine.List{})
+		h := newTestHub(src, engine.EndpointList{})
 		ctx, cancel := context.WithCancel(t.Context())
 		var all []*follower
-		var joined []*Follower
+		var joined []*Subscription
 		add := func() {
 			f, j := &follower{}, h.Join()
 			all, joined = append(all, f), append(joined, j)
@@ -150,7 +150,7 @@
 			add()
 		}
 		time.Sleep(100 * time.Millisecond)
-		src.lists <- engine.List{Version: 8, Members: []engine.Member{{ID: "a", State: decision.Removed}, {ID: "c", Addr: "c:1", State: decision.Ready}}}
+		src.lists <- engine.EndpointList{Version: 8, Endpoints: []engine.Endpoint{{ID: "a", State: decision.Removed}, {ID: "c", Addr: "c:1", State: decision.Ready}}}
 		synctest.Wait()
 		add() // who comes late is told what is so far
 		time.Sleep(100 * time.Millisecond)
@@ -162,7 +162,7 @@
 		if src.fetches != 1 || src.watches != 1 {
 			t.Errorf("%d fetches, %d watches for 51 followers", src.fetches, src.watches)
 		}
-		if list, err := joined[0].Fetch(ctx); err != nil || len(list.Members) != 2 || src.fetches != 1 {
+		if list, err := joined[0].Fetch(ctx); err != nil || len(list.Endpoints) != 2 || src.fetches != 1 {
 			t.Errorf("while the watch is alive: %+v, %v, %d fetches", list, err, src.fetches)
 		}
 		cancel()
@@ -190,7 +190,7 @@
 		defer cancel()
 		var all []*follower
 		for range 200 {
-			f := &follower{list: catalogue{known: true, version: 1}}
+			f := &follower{list: endpointSet{known: true, version: 1}}
 			all = append(all, f)
 			go f.follow(ctx, h.Join())
 		}
@@ -233,19 +233,19 @@
 		h := newTestHub(src, full(1))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		slow, quick := &follower{list: catalogue{version: 1}}, &follower{list: catalogue{version: 1}}
-		go h.Join().Watch(ctx, 1, func(l engine.List) { time.Sleep(time.Second); slow.tell(l) })
+		slow, quick := &follower{list: endpointSet{version: 1}}, &follower{list: endpointSet{version: 1}}
+		go h.Join().Watch(ctx, 1, func(l engine.EndpointList) { time.Sleep(time.Second); slow.tell(l) })
 		go h.Join().Watch(ctx, 1, quick.tell)
 		gone := h.Join()
 		left := make(chan error, 1)
-		go func() { left <- gone.Watch(ctx, 1, func(engine.List) {}) }()
+		go func() { left <- gone.Watch(ctx, 1, func(engine.EndpointList) {}) }()
 		synctest.Wait()
 		gone.Close()
-		if err := <-left; !errors.Is(err, ErrLeft) {
+		if err := <-left; !errors.Is(err, ErrUnsubscribed) {
 			t.Errorf("the one that left: %v", err)
 		}
 		for v := range uint32(5) {
-			src.lists <- engine.List{Version: 2 + v, Members: []engine.Member{{ID: fmt.Sprint("n", v), Addr: "x:1", State: decision.Ready}}}
+			src.lists <- engine.EndpointList{Version: 2 + v, Endpoints: []engine.Endpoint{{ID: fmt.Sprint("n", v), Addr: "x:1", State: decision.Ready}}}
 			synctest.Wait()
 			if quick.told != int(v)+2 { // the whole list first
 				t.Errorf("the quick one was told %d of %d", quick.told, v+2)
@@ -265,10 +265,10 @@
 		ids := rapid.SliceOfN(rapid.IntRange(0, 6), len(steps), len(steps)).Draw(rt, "ids")
 		var wrong []string // rapid must not be failed from within the bubble
 		synctest.Test(t, func(t *testing.T) {
-			var truth catalogue
-			truth.take(full(1, "n0"))
-			src := newFake(truth.whole())
-			h := newTestHub(src, engine.List{})
+			var truth endpointSet
+			truth.apply(full(1, "n0"))
+			src := newFake(truth.snapshot())
+			h := newTestHub(src, engine.EndpointList{})
 			ctx, cancel := context.WithCancel(t.Context())
 			var all []*follower
 			add := func() {
@@ -284,18 +284,18 @@
 				version++
 				switch s {
 				case 0, 1, 2:
-					l := engine.List{Version: version, Members: []engine.Member{{ID: id, Addr: fmt.Sprint(id, ":", version), State: decision.BackendState(s)}}}
-					truth.take(l)
+					l := engine.EndpointList{Version: version, Endpoints: []engine.Endpoint{{ID: id, Addr: fmt.Sprint(id, ":", version), State: decision.BackendState(s)}}}
+					truth.apply(l)
 					src.lists <- l
 				case 3: // the register starts anew, with versions of its own
 					version = uint32(i % 3)
-					truth.take(full(version, id))
-					src.lists <- truth.whole()
+					truth.apply(full(version, id))
+					src.lists <- truth.snapshot()
 				case 4: // it breaks; what changes meanwhile is in its next answer
 					src.fail <- errors.New("broken")
 					time.Sleep(5 * time.Second)
-					truth.take(full(version, id))
-					src.lists <- truth.whole()
+					truth.apply(full(version, id))
+					src.lists <- truth.snapshot()
 				default:
 					add()
 				}
@@ -323,10 +323,10 @@
 		held, told uint32
 		taken      bool
 	}{{7, 8, true}, {7, 6, false}, {math.MaxUint32, 0, true}, {1, math.MaxUint32, false}} {
-		h := &hub{watchers: map[*watcher]bool{}}
-		h.tell(full(k.held, "a"))
-		h.tell(engine.List{Version: k.told, Members: []engine.Member{{ID: "a", State: decision.Removed}}})
-		if taken := len(h.list.members) == 0; taken != k.taken {
+		h := &sharedWatch{watchers: map[*watcher]bool{}}
+		h.publish(full(k.held, "a"))
+		h.publish(engine.EndpointList{Version: k.told, Endpoints: []engine.Endpoint{{ID: "a", State: decision.Removed}}})
+		if taken := len(h.endpoints.members) == 0; taken != k.taken {
 			t.Errorf("holding list %d, changes with number %d are taken: %v", k.held, k.told, taken)
 		}
 	}
@@ -338,7 +338,7 @@
 	came, letGo chan struct{}
 }
 
-func (f *heldFetch) Fetch(context.Context) (engine.List, error) {
+func (f *heldFetch) Fetch(context.Context) (engine.EndpointList, error) {
 	f.mu.Lock()
 	list := f.list
 	f.mu.Unlock()
@@ -351,10 +351,10 @@
 func TestAWholeListThatCrossesNewsDoesNotUndoIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &heldFetch{newFake(full(5, "a", "b")), make(chan struct{}), make(chan struct{})}
-		hubs := NewHubs(time.Second, func(string) engine.Source { return src })
-		asks, follows := hubs.Join("r", full(5, "a", "b")), hubs.Join("r", engine.List{})
+		hubs := NewRegistry(time.Second, func(string) engine.Source { return src })
+		asks, follows := hubs.Subscribe("r", full(5, "a", "b")), hubs.Subscribe("r", engine.EndpointList{})
 		ctx, cancel := context.WithCancel(t.Context())
-		fetched := make(chan engine.List, 1)
+		fetched := make(chan engine.EndpointList, 1)
 		go func() {
 			list, err := asks.Fetch(ctx)
 			if err != nil {
@@ -365,14 +365,14 @@
 		<-src.came
 		f := &follower{}
 		go f.follow(ctx, follows)
-		src.lists <- engine.List{Version: 6, Members: []engine.Member{{ID: "a", Addr: "a:1", State: decision.Draining}}}
+		src.lists <- engine.EndpointList{Version: 6, Endpoints: []engine.Endpoint{{ID: "a", Addr: "a:1", State: decision.Draining}}}
 		synctest.Wait()
 		close(src.letGo)
 		list := <-fetched
 		synctest.Wait()
 		held, _ := follows.List()
-		for what, l := range map[string]engine.List{"the call's answer": list, "the hub": held, "the follower": f.list.whole()} {
-			if l.Version != 6 || len(l.Members) != 2 || l.Members[0].State != decision.Draining {
+		for what, l := range map[string]engine.EndpointList{"the call's answer": list, "the hub": held, "the follower": f.list.snapshot()} {
+			if l.Version != 6 || len(l.Endpoints) != 2 || l.Endpoints[0].State != decision.Draining {
 				t.Errorf("%s has %+v", what, l)
 			}
 		}
--- a/internal/discovery/listguard/comeback_test.go
+++ b/internal/discovery/listguard/comeback_test.go
@@ -15,13 +15,15 @@
 
 const second = time.Second
 
-func guardSettings() GuardSettings { return GuardSettings{Shrink: 0.3, Least: 2, Hold: 30 * second} }
+func guardSettings() GuardSettings {
+	return GuardSettings{MaxMissingRatio: 0.3, MinMissing: 2, RetainFor: 30 * second}
+}
 
 // list is a list of servers by their names: "a" is ready, "a-" leaves, "a!" has left.
-func list(version uint32, full bool, names ...string) engine.List {
-	l := engine.List{Version: version, Full: full}
+func list(version uint32, full bool, names ...string) engine.EndpointList {
+	l := engine.EndpointList{Version: version, Full: full}
 	for _, n := range names {
-		m := engine.Member{ID: strings.TrimRight(n, "-!"), State: decision.Ready}
+		m := engine.Endpoint{ID: strings.TrimRight(n, "-!"), State: decision.Ready}
 		m.Addr = "at-" + m.ID
 		switch {
 		case strings.HasSuffix(n, "-"):
@@ -29,14 +31,14 @@
 		case strings.HasSuffix(n, "!"):
 			m.State = decision.Removed
 		}
-		l.Members = append(l.Members, m)
+		l.Endpoints = append(l.Endpoints, m)
 	}
 	return l
 }
 
-func names(l engine.List) string {
+func names(l engine.EndpointList) string {
 	var out []string
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		n := m.ID
 		if m.State == decision.Draining {
 			n += "-"
@@ -50,7 +52,7 @@
 func TestTheGuard(t *testing.T) {
 	type told struct {
 		at   time.Duration
-		list engine.List
+		list engine.EndpointList
 		want string // of all that is believed then
 	}
 	all := list(7, true, "a", "b", "c", "d", "e")
@@ -62,18 +64,18 @@
 		"who was leaving is not missed":     {{0, list(8, false, "a-", "b-"), "a- b- c d e"}, {second, list(9, true, "c", "d", "e"), "c d e"}},
 		"after the hold they are gone":      {{0, list(1, true, "a"), "a b c d e"}, {29 * second, list(2, true, "a"), "a b c d e"}, {30 * second, list(3, true, "a"), "a"}},
 		"the hold counts from the first":    {{0, list(1, true, "a"), "a b c d e"}, {20 * second, list(2, true, "a", "x"), "a b c d e x"}, {30 * second, list(3, true, "a", "x"), "a x"}},
-		"another one at its address":        {{0, engine.List{Version: 1, Full: true, Members: []engine.Member{{ID: "new", Addr: "at-b", State: decision.Ready}}}, "a c d e new"}},
+		"another one at its address":        {{0, engine.EndpointList{Version: 1, Full: true, Endpoints: []engine.Endpoint{{ID: "new", Addr: "at-b", State: decision.Ready}}}, "a c d e new"}},
 	} {
 		g, err := NewGuard(guardSettings(), all)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, s := range steps {
-			got := g.Take(s.at, s.list)
+			got := g.Apply(s.at, s.list)
 			if got.Version != s.list.Version || got.Full != s.list.Full {
 				t.Errorf("%s, %d: version %d, whole %v", name, i, got.Version, got.Full)
 			}
-			if believed := names(g.whole()); believed != s.want {
+			if believed := names(g.snapshot()); believed != s.want {
 				t.Errorf("%s, %d: believes %q, want %q", name, i, believed, s.want)
 			}
 		}
@@ -82,19 +84,19 @@
 
 func TestTheHoldElapses(t *testing.T) {
 	g, _ := NewGuard(guardSettings(), list(7, true, "a", "b", "c"))
-	if _, any := g.Due(); any {
+	if _, any := g.NextExpiry(); any {
 		t.Error("something is due, and nothing is missing")
 	}
-	g.Take(2*second, list(1, true))
-	if at, any := g.Due(); !any || at != 32*second || g.Missing() != 3 {
+	g.Apply(2*second, list(1, true))
+	if at, any := g.NextExpiry(); !any || at != 32*second || g.Missing() != 3 {
 		t.Errorf("due at %v, %v; %d are missing", at, any, g.Missing())
 	}
-	if _, changed := g.Elapse(31 * second); changed {
+	if _, changed := g.Expire(31 * second); changed {
 		t.Error("too early")
 	}
-	l, changed := g.Elapse(32 * second)
-	if !changed || len(l.Members) != 0 || !l.Full || g.Counts() != (GuardCounts{Doubted: 1, Kept: 3, Dropped: 3}) {
-		t.Errorf("%v %+v %+v", changed, l, g.Counts())
+	l, changed := g.Expire(32 * second)
+	if !changed || len(l.Endpoints) != 0 || !l.Full || g.Stats() != (GuardStats{SuspectLists: 1, Retained: 3, Dropped: 3}) {
+		t.Errorf("%v %+v %+v", changed, l, g.Stats())
 	}
 }
 
@@ -119,12 +121,12 @@
 			}
 			l := list(uint32(i), full, say...)
 			believed := map[string]decision.BackendState{}
-			g.Elapse(now) // as its driver does when it is due
-			g.Take(now, l)
-			for _, m := range g.whole().Members {
+			g.Expire(now) // as its driver does when it is due
+			g.Apply(now, l)
+			for _, m := range g.snapshot().Endpoints {
 				believed[m.ID] = m.State
 			}
-			for _, m := range l.Members {
+			for _, m := range l.Endpoints {
 				last[m.ID] = m.State
 				if got, known := believed[m.ID]; known != (m.State != decision.Removed) || known && got != m.State {
 					t.Fatalf("%s is told as %v and believed %v (%v)", m.ID, m.State, got, known)
@@ -134,7 +136,7 @@
 				if state == decision.Ready && last[id] != decision.Ready {
 					t.Fatalf("%s is believed to be ready, the last word was %v", id, last[id])
 				}
-				if _, any := g.Due(); state == decision.Ready && g.known[id].missing && (!any || now-g.known[id].since >= guardSettings().Hold) {
+				if _, any := g.NextExpiry(); state == decision.Ready && g.known[id].missing && (!any || now-g.known[id].since >= guardSettings().RetainFor) {
 					t.Fatalf("%s is kept, missing since %v, at %v", id, g.known[id].since, now)
 				}
 			}
@@ -142,21 +144,21 @@
 	})
 }
 
-func callSettings(proxies int, seed uint64) CallSettings {
-	return CallSettings{Rate: 4, Proxies: proxies, Most: 10 * second, Hold: 20 * second, Seed: seed}
+func callSettings(proxies int, seed uint64) PacingSettings {
+	return PacingSettings{CallsPerSecond: 4, Proxies: proxies, MaxBackoff: 10 * second, WatchTimeout: 20 * second, Seed: seed}
 }
 
 // A register that takes four calls a second, and a fleet that starts in one moment, plays in virtual time.
 func herd(t *testing.T, proxies int, after time.Duration) (calls, turnedAway []int, done time.Duration) {
 	t.Helper()
 	type proxy struct {
-		c    *Calls
+		c    *Pacer
 		at   time.Duration
 		done bool
 	}
 	var fleet []*proxy
 	for i := range proxies {
-		c, err := NewCalls(callSettings(proxies, uint64(i)))
+		c, err := NewPacer(callSettings(proxies, uint64(i)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -185,7 +187,7 @@
 		if tokens >= 1 {
 			tokens--
 			next.done, done = true, now
-			next.c.Answered()
+			next.c.Succeeded()
 			continue
 		}
 		turnedAway[now/second]++
@@ -213,38 +215,38 @@
 }
 
 func TestCallsKeepToWhatTheyAreTold(t *testing.T) {
-	c, _ := NewCalls(callSettings(12, 5))
+	c, _ := NewPacer(callSettings(12, 5))
 	now := second + c.Wait(second)
-	if now > second+firstMost {
+	if now > second+maxInitialDelay {
 		t.Errorf("the first call waits until %v", now)
 	}
 	for range 50 {
 		c.Failed(now, 3*second)
-		if w := c.Wait(now); w < 3*second || w > callSettings(12, 5).Most+c.turn() {
+		if w := c.Wait(now); w < 3*second || w > callSettings(12, 5).MaxBackoff+c.fleetRound() {
 			t.Fatalf("told to come back after 3 s, it waits %v", w)
 		}
 		c.Failed(now, 0)
-		if w := c.Wait(now); w < LeastRest || w > 10*second {
+		if w := c.Wait(now); w < MinBackoff || w > 10*second {
 			t.Fatalf("it waits %v", w)
 		}
-		if h := c.Hold(); h < 15*second || h > 20*second {
+		if h := c.WatchTimeout(); h < 15*second || h > 20*second {
 			t.Fatalf("a watch is held for %v", h)
 		}
 	}
-	if c.InARow() != 100 {
-		t.Errorf("%d in a row", c.InARow())
+	if c.ConsecutiveFailures() != 100 {
+		t.Errorf("%d in a row", c.ConsecutiveFailures())
 	}
-	if c.Answered(); c.Wait(now) != 0 {
+	if c.Succeeded(); c.Wait(now) != 0 {
 		t.Error("it waits after an answer")
 	}
-	for want, s := range map[string]CallSettings{"rate: 0": {Proxies: 1, Most: second}, "proxies: 0": {Rate: 1, Most: second}, "most: 0s": {Rate: 1, Proxies: 1},
-		"hold: 1h": {Rate: 1, Proxies: 1, Most: second, Hold: time.Hour}} {
-		if _, err := NewCalls(s); err == nil || !strings.Contains(err.Error(), want) {
+	for want, s := range map[string]PacingSettings{"rate: 0": {Proxies: 1, MaxBackoff: second}, "proxies: 0": {CallsPerSecond: 1, MaxBackoff: second}, "most: 0s": {CallsPerSecond: 1, Proxies: 1},
+		"hold: 1h": {CallsPerSecond: 1, Proxies: 1, MaxBackoff: second, WatchTimeout: time.Hour}} {
+		if _, err := NewPacer(s); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	for want, s := range map[string]GuardSettings{"shrink: 2": {Shrink: 2, Least: 1, Hold: second}, "least: 0": {Hold: second}, "hold: 1ms": {Least: 1, Hold: time.Millisecond}} {
-		if _, err := NewGuard(s, engine.List{}); err == nil || !strings.Contains(err.Error(), want) {
+	for want, s := range map[string]GuardSettings{"shrink: 2": {MaxMissingRatio: 2, MinMissing: 1, RetainFor: second}, "least: 0": {RetainFor: second}, "hold: 1ms": {MinMissing: 1, RetainFor: time.Millisecond}} {
+		if _, err := NewGuard(s, engine.EndpointList{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, fmt.Sprint(err))
 		}
 	}
--- a/internal/discovery/listguard/guard.go
+++ b/internal/discovery/listguard/guard.go
@@ -15,28 +15,28 @@
 
 // GuardSettings say when a whole list is in doubt.
 type GuardSettings struct {
-	Shrink float64       // a list that lacks more than this part of the servers listed ready is in doubt, 0 to 1
-	Least  int           // and at least so many
-	Hold   time.Duration // for so long those that it lacks are kept, from the first list that lacks them on
+	MaxMissingRatio float64       // a list that lacks more than this part of the servers listed ready is in doubt, 0 to 1
+	MinMissing      int           // and at least so many
+	RetainFor       time.Duration // for so long those that it lacks are kept, from the first list that lacks them on
 }
 
-// Check tells what makes no sense, by the field's name.
-func (s *GuardSettings) Check() error {
+// Validate tells what makes no sense, by the field's name.
+func (s *GuardSettings) Validate() error {
 	var errs []error
 	bad := func(wrong bool, format string, args ...any) {
 		if wrong {
 			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
-	bad(!(s.Shrink >= 0 && s.Shrink < 1), "shrink: %v is not within 0 and 1", s.Shrink)
-	bad(s.Least < 1, "least: %d must be above 0", s.Least)
-	bad(s.Hold < time.Second || s.Hold > time.Hour, "hold: %v is not within 1s and 1h", s.Hold)
+	bad(!(s.MaxMissingRatio >= 0 && s.MaxMissingRatio < 1), "shrink: %v is not within 0 and 1", s.MaxMissingRatio)
+	bad(s.MinMissing < 1, "least: %d must be above 0", s.MinMissing)
+	bad(s.RetainFor < time.Second || s.RetainFor > time.Hour, "hold: %v is not within 1s and 1h", s.RetainFor)
 	return errors.Join(errs...)
 }
 
-// entry is a server as the guard knows it.
-type entry struct {
-	engine.Member
+// guardedEndpoint is a server as the guard knows it.
+type guardedEndpoint struct {
+	engine.Endpoint
 	missing bool
 	since   time.Duration // it is missing
 }
@@ -48,37 +48,37 @@
 // Danger: a server that is really gone stays in the list for Hold. Its health finds it out; where lists alone rule, there
 // must be no guard.
 type Guard struct {
-	set     GuardSettings
-	known   map[string]*entry
-	order   []string // of known, as they came
-	version uint32
-	counts  GuardCounts
+	settings GuardSettings
+	known    map[string]*guardedEndpoint
+	order    []string // of known, as they came
+	version  uint32
+	stats    GuardStats
 }
 
-// GuardCounts are what a guard has done, from 0 on.
-type GuardCounts struct {
-	Doubted int64 // lists
-	Kept    int64 // servers that such a list lacked
-	Back    int64 // of them were listed again,
-	Dropped int64 // or were not until Hold had passed
+// GuardStats are what a guard has done, from 0 on.
+type GuardStats struct {
+	SuspectLists int64 // lists
+	Retained     int64 // servers that such a list lacked
+	Returned     int64 // of them were listed again,
+	Dropped      int64 // or were not until Hold had passed
 }
 
 // NewGuard makes a guard of a process that knows a list already; one that is not Full is none.
-func NewGuard(s GuardSettings, known engine.List) (*Guard, error) {
-	if err := s.Check(); err != nil {
+func NewGuard(s GuardSettings, known engine.EndpointList) (*Guard, error) {
+	if err := s.Validate(); err != nil {
 		return nil, fmt.Errorf("comeback: %w", err)
 	}
-	g := &Guard{set: s, known: map[string]*entry{}}
+	g := &Guard{settings: s, known: map[string]*guardedEndpoint{}}
 	if known.Full {
-		for _, m := range known.Members {
-			g.enter(m)
+		for _, m := range known.Endpoints {
+			g.add(m)
 		}
 	}
 	return g, nil
 }
 
-// Counts are what it has done.
-func (g *Guard) Counts() GuardCounts { return g.counts }
+// Stats are what it has done.
+func (g *Guard) Stats() GuardStats { return g.stats }
 
 // Missing is how many servers are kept now that no list names.
 func (g *Guard) Missing() int {
@@ -91,39 +91,39 @@
 	return n
 }
 
-func (g *Guard) enter(m engine.Member) {
+func (g *Guard) add(m engine.Endpoint) {
 	e := g.known[m.ID]
 	if e == nil {
-		e = &entry{}
+		e = &guardedEndpoint{}
 		g.known[m.ID] = e
 		g.order = append(g.order, m.ID)
 	}
 	if e.missing {
-		g.counts.Back++
+		g.stats.Returned++
 	}
-	*e = entry{Member: m}
+	*e = guardedEndpoint{Endpoint: m}
 }
 
-func (g *Guard) drop(id string) {
+func (g *Guard) remove(id string) {
 	delete(g.known, id)
 	g.order = slices.DeleteFunc(g.order, func(o string) bool { return o == id })
 }
 
-// Take takes a list in and gives the one to believe.
-func (g *Guard) Take(now time.Duration, list engine.List) engine.List {
+// Apply takes a list in and gives the one to believe.
+func (g *Guard) Apply(now time.Duration, list engine.EndpointList) engine.EndpointList {
 	g.version = list.Version
 	if !list.Full {
-		for _, m := range list.Members {
+		for _, m := range list.Endpoints {
 			if m.State == decision.Removed {
-				g.drop(m.ID)
+				g.remove(m.ID)
 			} else {
-				g.enter(m)
+				g.add(m)
 			}
 		}
 		return list
 	}
 	told, addrs := map[string]bool{}, map[string]bool{}
-	for _, m := range list.Members {
+	for _, m := range list.Endpoints {
 		told[m.ID] = true
 		if m.State != decision.Removed {
 			addrs[m.Addr] = true
@@ -136,10 +136,10 @@
 		switch {
 		case addrs[e.Addr] && !told[id]:
 			// Danger: another server has its address. What is sent to this one would reach that, under a wrong name.
-			g.drop(id)
+			g.remove(id)
 		case e.State != decision.Ready:
 			if !told[id] { // it was leaving: that it is not named any more is no surprise
-				g.drop(id)
+				g.remove(id)
 			}
 		default:
 			ready++
@@ -151,15 +151,15 @@
 			}
 		}
 	}
-	doubted := fresh >= g.set.Least && float64(fresh) > g.set.Shrink*float64(ready)
+	doubted := fresh >= g.settings.MinMissing && float64(fresh) > g.settings.MaxMissingRatio*float64(ready)
 	if doubted {
-		g.counts.Doubted++
+		g.stats.SuspectLists++
 	}
-	for _, m := range list.Members {
+	for _, m := range list.Endpoints {
 		if m.State == decision.Removed {
-			g.drop(m.ID)
+			g.remove(m.ID)
 		} else {
-			g.enter(m)
+			g.add(m)
 		}
 	}
 	for _, id := range lacks {
@@ -167,53 +167,53 @@
 		case e.missing: // kept since an earlier list
 		case doubted:
 			e.missing, e.since = true, now
-			g.counts.Kept++
+			g.stats.Retained++
 		default:
-			g.drop(id)
+			g.remove(id)
 		}
 	}
-	g.expire(now)
-	return g.whole()
+	g.removeExpired(now)
+	return g.snapshot()
 }
 
-// expire drops those that have been missing for long enough, and tells whether there were any.
-func (g *Guard) expire(now time.Duration) bool {
+// removeExpired drops those that have been missing for long enough, and tells whether there were any.
+func (g *Guard) removeExpired(now time.Duration) bool {
 	var over []string
 	for _, id := range g.order {
-		if e := g.known[id]; e.missing && now-e.since >= g.set.Hold {
+		if e := g.known[id]; e.missing && now-e.since >= g.settings.RetainFor {
 			over = append(over, id)
 		}
 	}
 	for _, id := range over {
-		g.counts.Dropped++
-		g.drop(id)
+		g.stats.Dropped++
+		g.remove(id)
 	}
 	return len(over) > 0
 }
 
-// Due is when servers are next dropped that were kept; false if none is.
-func (g *Guard) Due() (at time.Duration, any bool) {
+// NextExpiry is when servers are next dropped that were kept; false if none is.
+func (g *Guard) NextExpiry() (at time.Duration, any bool) {
 	for _, e := range g.known {
-		if due := e.since + g.set.Hold; e.missing && (!any || due < at) {
+		if due := e.since + g.settings.RetainFor; e.missing && (!any || due < at) {
 			at, any = due, true
 		}
 	}
 	return at, any
 }
 
-// Elapse tells the list to believe once time alone has changed it.
-func (g *Guard) Elapse(now time.Duration) (engine.List, bool) {
-	if !g.expire(now) {
-		return engine.List{}, false
+// Expire tells the list to believe once time alone has changed it.
+func (g *Guard) Expire(now time.Duration) (engine.EndpointList, bool) {
+	if !g.removeExpired(now) {
+		return engine.EndpointList{}, false
 	}
-	return g.whole(), true
+	return g.snapshot(), true
 }
 
-// whole is all that it believes.
-func (g *Guard) whole() engine.List {
-	out := engine.List{Version: g.version, Full: true}
+// snapshot is all that it believes.
+func (g *Guard) snapshot() engine.EndpointList {
+	out := engine.EndpointList{Version: g.version, Full: true}
 	for _, id := range g.order {
-		out.Members = append(out.Members, g.known[id].Member)
+		out.Endpoints = append(out.Endpoints, g.known[id].Endpoint)
 	}
 	return out
 }
--- a/internal/engine/budget_test.go
+++ b/internal/engine/budget_test.go
@@ -9,15 +9,15 @@
 
 // tight refuses attempts, or finds at the last moment that they are over.
 type tight struct {
-	draw, over bool
-	firsts     []bool
+	draw, expired bool
+	firsts        []bool
 }
 
-func (b *tight) Draw(_, _ int, first bool) (Permit, bool) {
+func (b *tight) Acquire(_, _ int, first bool) (Permit, bool) {
 	b.firsts = append(b.firsts, first)
 	return Permit{Token: "t"}, b.draw
 }
-func (b *tight) Over(Permit) bool { return b.over }
+func (b *tight) Expired(Permit) bool { return b.expired }
 
 // counted is a server that tells which tokens reach it.
 type counted struct {
@@ -25,9 +25,9 @@
 	got chan string
 }
 
-func (c counted) Find(decision.BackendID) Peer { return c }
+func (c counted) Find(decision.BackendID) Backend { return c }
 func (c counted) Exchange(_ context.Context, a Attempt) (decision.Result, any) {
-	c.got <- a.Token
+	c.got <- a.LeaseToken
 	return decision.Rejected, nil
 }
 
@@ -37,15 +37,15 @@
 		tight
 		sent bool
 		want decision.Result
-	}{{tight{}, false, decision.NotSent}, {tight{draw: true, over: true}, false, decision.NotSent}, {tight{draw: true}, true, decision.Rejected}} {
+	}{{tight{}, false, decision.NotSent}, {tight{draw: true, expired: true}, false, decision.NotSent}, {tight{draw: true}, true, decision.Rejected}} {
 		server := counted{got: make(chan string, 8)}
 		budget := c.tight
-		l, err := New(Options{Module: testConfig(), Seed: 1, Upstream: server, Source: nowhere{}, Budget: &budget})
+		l, err := New(Options{Decision: testConfig(), Seed: 1, Upstream: server, Source: nowhere{}, Quota: &budget})
 		if err != nil {
 			t.Fatal(err)
 		}
 		l.ctx = t.Context()
-		l.module.Start(l.clock.Now())
+		l.decider.Start(l.clock.Now())
 		r := testRequest(l)
 		r.id = 1
 		l.requests[1] = r
@@ -57,7 +57,7 @@
 				l.deferred[0]()
 				l.deferred = nil
 			}
-			if a := r.attempts[n]; !a.over || a.result != c.want || (len(server.got) == n+1) != c.sent {
+			if a := r.attempts[n]; !a.ended || a.result != c.want || (len(server.got) == n+1) != c.sent {
 				t.Errorf("%+v: attempt %d ended as %v, %d were sent", c.tight, n, a.result, len(server.got))
 			}
 		}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -13,9 +13,9 @@
 // nowhere is an upstream with one server at which nothing ever ends, and a source that never tells.
 type nowhere struct{}
 
-func (nowhere) Update(List)                {}
+func (nowhere) Update(EndpointList)        {}
 func (nowhere) Release(decision.BackendID) {}
-func (nowhere) Find(id decision.BackendID) Peer {
+func (nowhere) Find(id decision.BackendID) Backend {
 	if id == BackendID("a") {
 		return nowhere{}
 	}
@@ -28,18 +28,24 @@
 	}
 	return decision.Cancelled, nil
 }
-func (nowhere) Probe(ctx context.Context) decision.Result { <-ctx.Done(); return decision.Cancelled }
-func (nowhere) Addr() string                              { return "nowhere" }
-func (nowhere) Close()                                    {}
-func (nowhere) Fetch(ctx context.Context) (List, error)   { <-ctx.Done(); return List{}, ctx.Err() }
-func (nowhere) Watch(ctx context.Context, _ uint32, _ func(List)) error {
+func (nowhere) CheckHealth(ctx context.Context) decision.Result {
+	<-ctx.Done()
+	return decision.Cancelled
+}
+func (nowhere) Addr() string { return "nowhere" }
+func (nowhere) Close()       {}
+func (nowhere) Fetch(ctx context.Context) (EndpointList, error) {
+	<-ctx.Done()
+	return EndpointList{}, ctx.Err()
+}
+func (nowhere) Watch(ctx context.Context, _ uint32, _ func(EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
 type message struct{}
 
-func (message) Spent() bool { return false }
+func (message) Consumed() bool { return false }
 
 func testConfig() decision.Config {
 	return decision.Config{Instances: 1, Tick: 5 * time.Millisecond, ObjectiveWeights: decision.ObjectiveWeights{Overall: 1},
@@ -51,18 +57,18 @@
 // testEngine is an engine that does not run: its events are handled by the test.
 func testEngine(t *testing.T) *Engine {
 	t.Helper()
-	l, err := New(Options{Module: testConfig(), Seed: 1, Upstream: nowhere{}, Source: nowhere{}})
+	l, err := New(Options{Decision: testConfig(), Seed: 1, Upstream: nowhere{}, Source: nowhere{}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.ctx = t.Context()
-	l.module.Start(l.clock.Now())
+	l.decider.Start(l.clock.Now())
 	return l
 }
 
-func testRequest(l *Engine) *Exchange {
-	x := &Exchange{Class: 1, Deadline: l.clock.Now() + time.Minute, Message: message{}}
-	x.Open()
+func testRequest(l *Engine) *Request {
+	x := &Request{Class: 1, Deadline: l.clock.Now() + time.Minute, Message: message{}}
+	x.Init()
 	return x
 }
 
@@ -81,11 +87,11 @@
 func TestBackstop(t *testing.T) {
 	l := testEngine(t)
 	r := testRequest(l)
-	l.handle(func() { l.requests[1] = r; r.id = 1; l.expire(r) })
-	if a := within(t, r.result, "no answer"); a.End != Failed {
-		t.Errorf("ended as %v", a.End)
+	l.handle(func() { l.requests[1] = r; r.id = 1; l.expireRequest(r) })
+	if a := within(t, r.result, "no answer"); a.Outcome != Failed {
+		t.Errorf("ended as %v", a.Outcome)
 	}
-	l.handle(func() { host{l}.Reject(1, 0); host{l}.Fail(1); l.expire(r); l.Gone(r) })
+	l.handle(func() { host{l}.Reject(1, 0); host{l}.Fail(1); l.expireRequest(r); l.ClientGone(r) })
 	if len(r.result) != 0 || len(l.requests) != 0 {
 		t.Error("a second answer, or a request that was not forgotten")
 	}
@@ -94,11 +100,11 @@
 // What may not be sent any more ends as Moot, in a later event, and nothing goes out.
 func TestMootSends(t *testing.T) {
 	l := testEngine(t)
-	for name, send := range map[string]func(*Exchange){
-		"unknown backend": func(r *Exchange) { host{l}.Send(1, BackendID("b"), 0) },
-		"past time":       func(r *Exchange) { host{l}.Send(1, BackendID("a"), l.clock.Now()-1) },
-		"request over":    func(r *Exchange) { r.ended, r.out = true, 1; host{l}.Send(1, BackendID("a"), 0) },
-		"second copy":     func(r *Exchange) { r.out = 1; host{l}.Send(1, BackendID("a"), 0) },
+	for name, send := range map[string]func(*Request){
+		"unknown backend": func(r *Request) { host{l}.Send(1, BackendID("b"), 0) },
+		"past time":       func(r *Request) { host{l}.Send(1, BackendID("a"), l.clock.Now()-1) },
+		"request over":    func(r *Request) { r.ended, r.inFlight = true, 1; host{l}.Send(1, BackendID("a"), 0) },
+		"second copy":     func(r *Request) { r.inFlight = 1; host{l}.Send(1, BackendID("a"), 0) },
 	} {
 		r := testRequest(l)
 		r.id = 1
@@ -125,7 +131,7 @@
 // A timer of the module's whose event fails comes again, and one that was set anew does not come twice.
 func TestTimerSurvivesAPanic(t *testing.T) {
 	l := testEngine(t)
-	module := l.module
+	module := l.decider
 	fire := func() (fired int) {
 		due := l.timers
 		l.timers = nil
@@ -139,15 +145,15 @@
 		t.Fatal("the module sets no timers")
 	}
 	sets := len(l.timers)
-	l.module = nil // each event fails
+	l.decider = nil // each event fails
 	for range 3 {
 		if fire(); len(l.timers) != sets {
 			t.Fatalf("%d timers after a failure, want %d", len(l.timers), sets)
 		}
 	}
-	l.module = module
-	before := l.timerSeq
-	if fire(); l.timerSeq == before {
+	l.decider = module
+	before := l.timerSequence
+	if fire(); l.timerSequence == before {
 		t.Error("the module's timers were not set anew after the failures")
 	}
 }
@@ -158,14 +164,14 @@
 	r := testRequest(l)
 	r.Deadline = l.clock.Now() + time.Hour
 	timers := len(l.timers)
-	l.Take(r)
+	l.Submit(r)
 	host{l}.Reject(r.id, 0)
-	l.Gone(r)
-	if len(l.requests) != 0 || r.Message != nil || r.expiry.place >= 0 {
-		t.Errorf("%d requests are held, message %v, expiry's place %d", len(l.requests), r.Message, r.expiry.place)
+	l.ClientGone(r)
+	if len(l.requests) != 0 || r.Message != nil || r.expiry.index >= 0 {
+		t.Errorf("%d requests are held, message %v, expiry's place %d", len(l.requests), r.Message, r.expiry.index)
 	}
 	for _, timer := range l.timers[min(timers, len(l.timers)):] {
-		if timer.at > l.clock.Now()+time.Minute {
+		if timer.due > l.clock.Now()+time.Minute {
 			t.Error("a timer waits for the deadline of a request that has ended")
 		}
 	}
@@ -181,7 +187,7 @@
 	l.Post(func() {
 		for _, ms := range []time.Duration{40, 10, 0, 25} {
 			wanted := l.Clock().Now() + ms*time.Millisecond
-			l.at(wanted, func() { fired <- firing{wanted, l.clock.Now()} })
+			l.startTimerAt(wanted, func() { fired <- firing{wanted, l.clock.Now()} })
 		}
 	})
 	last := time.Duration(0)
@@ -216,9 +222,9 @@
 	}{{7, 8, true}, {7, 7, true}, {7, 6, false}, {math.MaxUint32, 0, true}, {math.MaxUint32, 3, true}, {2, math.MaxUint32, false}} {
 		l := testEngine(t)
 		heard := false
-		l.opts.Listed = func(List) { heard = true }
-		l.version = k.held
-		l.listed(List{Version: k.told, Members: []Member{{ID: "a", State: decision.Draining}}})
+		l.opts.OnEndpoints = func(EndpointList) { heard = true }
+		l.listVersion = k.held
+		l.endpointsReceived(EndpointList{Version: k.told, Endpoints: []Endpoint{{ID: "a", State: decision.Draining}}})
 		if heard != k.counts {
 			t.Errorf("holding list %d, changes with number %d count: %v", k.held, k.told, heard)
 		}
--- a/internal/engine/enginetest/frontend.go
+++ b/internal/engine/enginetest/frontend.go
@@ -17,8 +17,8 @@
 	"lapisspread/internal/engine"
 )
 
-// patience is what no step of the kit takes on a machine that is merely busy.
-const patience = 20 * time.Second
+// stepTimeout is what no step of the kit takes on a machine that is merely busy.
+const stepTimeout = 20 * time.Second
 
 // Classes are those of the engines that the kit makes: one that may be repeated, one that must never run twice.
 var Classes = []decision.Class{
@@ -36,18 +36,18 @@
 			MaxRetryAfter: time.Second, StreamsPerConnection: 1, MaxOpenRequests: 1000}}
 }
 
-// Reply is what a scripted server does with one attempt.
-type Reply struct {
-	After  time.Duration   // it waits so long first
-	Result decision.Result // and ends the attempt so
-	Answer any             // decision.OK: with this
-	Stream func() engine.Stream
-	Deaf   bool // it goes on after ctx has ended, and ends the attempt then all the same
+// Step is what a scripted server does with one attempt.
+type Step struct {
+	Delay         time.Duration   // it waits so long first
+	Result        decision.Result // and ends the attempt so
+	Response      any             // decision.OK: with this
+	Stream        func() engine.Stream
+	IgnoresCancel bool // it goes on after ctx has ended, and ends the attempt then all the same
 }
 
 // Script is an upstream whose one server does what Next says. It is safe for concurrent use.
 type Script struct {
-	Next func(n int, a engine.Attempt) Reply // n counts attempts from 0
+	Next func(n int, a engine.Attempt) Step // n counts attempts from 0
 
 	mu       sync.Mutex
 	attempts int
@@ -61,15 +61,15 @@
 }
 
 // List names the script's server.
-func (s *Script) List() engine.List {
-	return engine.List{Version: 1, Full: true, Members: []engine.Member{{ID: "a", Addr: "127.0.0.1:1", State: decision.Ready, Weight: 1},
+func (s *Script) List() engine.EndpointList {
+	return engine.EndpointList{Version: 1, Full: true, Endpoints: []engine.Endpoint{{ID: "a", Addr: "127.0.0.1:1", State: decision.Ready, Weight: 1},
 		{ID: "b", Addr: "127.0.0.1:1", State: decision.Ready, Weight: 1}}}
 }
 
-func (s *Script) Update(engine.List)                    {}
-func (s *Script) Release(decision.BackendID)            {}
-func (s *Script) Find(decision.BackendID) engine.Peer   { return s }
-func (s *Script) Probe(context.Context) decision.Result { return decision.OK }
+func (s *Script) Update(engine.EndpointList)                  {}
+func (s *Script) Release(decision.BackendID)                  {}
+func (s *Script) Find(decision.BackendID) engine.Backend      { return s }
+func (s *Script) CheckHealth(context.Context) decision.Result { return decision.OK }
 
 func (s *Script) Exchange(ctx context.Context, a engine.Attempt) (decision.Result, any) {
 	s.mu.Lock()
@@ -77,12 +77,12 @@
 	s.attempts++
 	s.mu.Unlock()
 	r := s.Next(n, a)
-	timer := time.NewTimer(r.After)
+	timer := time.NewTimer(r.Delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
-		if r.Deaf {
+		if r.IgnoresCancel {
 			<-timer.C
 			break
 		}
@@ -92,31 +92,31 @@
 		return decision.Cancelled, nil
 	}
 	if r.Stream != nil {
-		a.Begin(r.Stream())
+		a.StartStream(r.Stream())
 		<-ctx.Done()
 		return decision.OK, nil
 	}
-	return r.Result, r.Answer
+	return r.Result, r.Response
 }
 
-// quiet is a source that tells nothing.
-type quiet struct{}
+// silentSource is a source that tells nothing.
+type silentSource struct{}
 
-func (quiet) Addr() string { return "quiet" }
-func (quiet) Close()       {}
-func (quiet) Fetch(ctx context.Context) (engine.List, error) {
+func (silentSource) Addr() string { return "quiet" }
+func (silentSource) Close()       {}
+func (silentSource) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	<-ctx.Done()
-	return engine.List{}, ctx.Err()
+	return engine.EndpointList{}, ctx.Err()
 }
-func (quiet) Watch(ctx context.Context, _ uint32, _ func(engine.List)) error {
+func (silentSource) Watch(ctx context.Context, _ uint32, _ func(engine.EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
 // Start runs an engine before an upstream until the test ends.
-func Start(t *testing.T, up engine.Upstream, list engine.List) *engine.Engine {
+func Start(t *testing.T, up engine.Upstream, list engine.EndpointList) *engine.Engine {
 	t.Helper()
-	e, err := engine.New(engine.Options{Module: Config(), Seed: 1, Known: list, Upstream: up, Source: quiet{},
+	e, err := engine.New(engine.Options{Decision: Config(), Seed: 1, InitialEndpoints: list, Upstream: up, Source: silentSource{},
 		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 		cancel()
 		select {
 		case <-ended:
-		case <-time.After(patience):
+		case <-time.After(stepTimeout):
 			t.Error("the engine does not end")
 		}
 	})
@@ -138,77 +138,77 @@
 // Client asks through a front end: one request of a class, given up after timeout, its id unique. It returns how the
 // request ended for it, with the answer's bytes if it was served. An error is a connection that ended without a
 // whole answer. When ctx ends, it leaves.
-type Client func(ctx context.Context, id, class string, timeout time.Duration) (engine.End, []byte, error)
+type Client func(ctx context.Context, id, class string, timeout time.Duration) (engine.Outcome, []byte, error)
 
-// FrontEnd is a front end under test.
-type FrontEnd struct {
+// Frontend is a front end under test.
+type Frontend struct {
 	// Start puts the front end before an engine until the test ends and gives a client for it.
 	Start func(t *testing.T, e *engine.Engine) Client
 	// Answer is what its upstream would give for a body, and Stream for a long one that breaks off if broken is set.
-	Answer func(body []byte) any
-	Stream func(body []byte, broken bool) engine.Stream
+	Response func(body []byte) any
+	Stream   func(body []byte, broken bool) engine.Stream
 	// Most is the longest answer that its protocol can hold, in bytes; 0 is any.
-	Most int
+	MaxResponseBytes int
 }
 
 // Test runs a front end against all that it must bear.
-func (f FrontEnd) Test(t *testing.T) {
-	ask := func(t *testing.T, timeout time.Duration, class string, next func(int, engine.Attempt) Reply) (engine.End, []byte, error) {
+func (f Frontend) Test(t *testing.T) {
+	ask := func(t *testing.T, timeout time.Duration, class string, next func(int, engine.Attempt) Step) (engine.Outcome, []byte, error) {
 		t.Helper()
 		s := &Script{Next: next}
 		client := f.Start(t, Start(t, s, s.List()))
 		return client(context.Background(), "one", class, timeout)
 	}
-	always := func(r Reply) func(int, engine.Attempt) Reply { return func(int, engine.Attempt) Reply { return r } }
+	always := func(r Step) func(int, engine.Attempt) Step { return func(int, engine.Attempt) Step { return r } }
 	t.Run("served", func(t *testing.T) {
-		end, body, err := ask(t, 2*time.Second, "unsafe", always(Reply{Answer: f.Answer([]byte("the answer"))}))
+		end, body, err := ask(t, 2*time.Second, "unsafe", always(Step{Response: f.Response([]byte("the answer"))}))
 		if err != nil || end != engine.Served || string(body) != "the answer" {
 			t.Errorf("%v %q %v", end, body, err)
 		}
 	})
 	t.Run("refused", func(t *testing.T) {
-		if end, _, err := ask(t, 2*time.Second, "unsafe", always(Reply{Result: decision.Rejected})); err != nil || end != engine.Refused {
+		if end, _, err := ask(t, 2*time.Second, "unsafe", always(Step{Result: decision.Rejected})); err != nil || end != engine.Rejected {
 			t.Errorf("%v %v", end, err)
 		}
 	})
 	t.Run("failed", func(t *testing.T) {
-		if end, _, err := ask(t, 2*time.Second, "unsafe", always(Reply{Result: decision.Reset})); err != nil || end != engine.Failed {
+		if end, _, err := ask(t, 2*time.Second, "unsafe", always(Step{Result: decision.Reset})); err != nil || end != engine.Failed {
 			t.Errorf("%v %v", end, err)
 		}
 	})
 	t.Run("a stalled server", func(t *testing.T) {
 		began := time.Now()
-		end, _, err := ask(t, 300*time.Millisecond, "unsafe", always(Reply{After: time.Hour}))
-		if took := time.Since(began); err != nil || end != engine.Failed || took > patience/2 {
+		end, _, err := ask(t, 300*time.Millisecond, "unsafe", always(Step{Delay: time.Hour}))
+		if took := time.Since(began); err != nil || end != engine.Failed || took > stepTimeout/2 {
 			t.Errorf("%v %v after %v", end, err, took)
 		}
 	})
 	t.Run("an outcome after the end", func(t *testing.T) {
-		late := f.Answer([]byte("late"))
-		end, _, err := ask(t, 200*time.Millisecond, "unsafe", always(Reply{After: 400 * time.Millisecond, Deaf: true, Answer: late}))
+		late := f.Response([]byte("late"))
+		end, _, err := ask(t, 200*time.Millisecond, "unsafe", always(Step{Delay: 400 * time.Millisecond, IgnoresCancel: true, Response: late}))
 		if err != nil || end != engine.Failed {
 			t.Errorf("%v %v", end, err)
 		}
 	})
 	t.Run("a long answer", func(t *testing.T) {
 		n := 300 << 10
-		if f.Most > 0 {
-			n = min(n, f.Most)
+		if f.MaxResponseBytes > 0 {
+			n = min(n, f.MaxResponseBytes)
 		}
 		long := make([]byte, n)
 		for i := range long {
 			long[i] = byte(i * 7)
 		}
-		end, body, err := ask(t, 2*time.Second, "safe", func(int, engine.Attempt) Reply {
-			return Reply{Stream: func() engine.Stream { return f.Stream(long, false) }}
+		end, body, err := ask(t, 2*time.Second, "safe", func(int, engine.Attempt) Step {
+			return Step{Stream: func() engine.Stream { return f.Stream(long, false) }}
 		})
 		if err != nil || end != engine.Served || string(body) != string(long) {
 			t.Errorf("%v, %d bytes, %v", end, len(body), err)
 		}
 	})
 	t.Run("a long answer that breaks off", func(t *testing.T) {
-		end, body, err := ask(t, 2*time.Second, "safe", func(int, engine.Attempt) Reply {
-			return Reply{Stream: func() engine.Stream { return f.Stream(make([]byte, 300<<10), true) }}
+		end, body, err := ask(t, 2*time.Second, "safe", func(int, engine.Attempt) Step {
+			return Step{Stream: func() engine.Stream { return f.Stream(make([]byte, 300<<10), true) }}
 		})
 		if err == nil && end == engine.Served {
 			t.Errorf("the client cannot tell that it is not whole: %v, %d bytes", end, len(body))
@@ -216,14 +216,14 @@
 	})
 	t.Run("answers race the deadline", func(t *testing.T) {
 		const timeout = 60 * time.Millisecond
-		s := &Script{Next: func(n int, _ engine.Attempt) Reply {
-			return Reply{After: timeout - 20*time.Millisecond + time.Duration(n%40)*time.Millisecond, Deaf: n%2 == 0, Answer: f.Answer([]byte("x"))}
+		s := &Script{Next: func(n int, _ engine.Attempt) Step {
+			return Step{Delay: timeout - 20*time.Millisecond + time.Duration(n%40)*time.Millisecond, IgnoresCancel: n%2 == 0, Response: f.Response([]byte("x"))}
 		}}
 		f.oneEach(t, s, 120, timeout, 0)
 	})
 	t.Run("clients leave as answers come", func(t *testing.T) {
-		s := &Script{Next: func(n int, _ engine.Attempt) Reply {
-			return Reply{After: time.Duration(n%20) * time.Millisecond, Answer: f.Answer([]byte("x"))}
+		s := &Script{Next: func(n int, _ engine.Attempt) Step {
+			return Step{Delay: time.Duration(n%20) * time.Millisecond, Response: f.Response([]byte("x"))}
 		}}
 		f.oneEach(t, s, 120, 2*time.Second, 10*time.Millisecond)
 	})
@@ -231,13 +231,13 @@
 
 // oneEach asks so many times at once; each must have just one end. Every second client leaves after leave, if that
 // is above 0; the others must be answered.
-func (f FrontEnd) oneEach(t *testing.T, s *Script, n int, timeout, leave time.Duration) {
+func (f Frontend) oneEach(t *testing.T, s *Script, n int, timeout, leave time.Duration) {
 	t.Helper()
 	client := f.Start(t, Start(t, s, s.List()))
 	var all sync.WaitGroup
 	for i := range n {
 		all.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 			defer cancel()
 			leaves := leave > 0 && i%2 == 0
 			if leaves {
@@ -269,8 +269,8 @@
 	}
 }
 
-// Broken is a reader that gives a body and then an error, if it is to break off in the midst.
-func Broken(body []byte, broken bool) io.Reader {
+// BodyReader is a reader that gives a body and then an error, if it is to break off in the midst.
+func BodyReader(body []byte, broken bool) io.Reader {
 	if !broken {
 		return &reader{rest: body, end: io.EOF}
 	}
--- a/internal/engine/enginetest/upstream.go
+++ b/internal/engine/enginetest/upstream.go
@@ -15,27 +15,27 @@
 
 // The behaviours.
 const (
-	Serves       Behaviour = iota // answers "the answer"
-	Errs                          // answers with an error
-	TurnsAway                     // says that it has not run the request
-	Refuses                       // takes no connection
-	ClosesFirst                   // takes a request whole and closes without an answer
-	ClosesMidway                  // sends a part of its answer and closes
-	Spoils                        // answers what cannot be read
-	Stalls                        // takes a request and says nothing
-	ServesSlowly                  // answers after some 20 ms
-	SaysTooMuch                   // sends bytes behind its answer that belong to nobody
+	Serves               Behaviour = iota // answers "the answer"
+	ReturnsErrors                         // answers with an error
+	RejectsRequests                       // says that it has not run the request
+	RefusesConnections                    // takes no connection
+	ClosesBeforeResponse                  // takes a request whole and closes without an answer
+	ClosesDuringResponse                  // sends a part of its answer and closes
+	SendsGarbage                          // answers what cannot be read
+	Stalls                                // takes a request and says nothing
+	ServesSlowly                          // answers after some 20 ms
+	SendsTrailingBytes                    // sends bytes behind its answer that belong to nobody
 )
 
 // Upstream is an upstream under test.
 type Upstream struct {
 	// Start gives an upstream before one server that behaves so, until the test ends, with the list that names the
 	// server, as member "a".
-	Start func(t *testing.T, b Behaviour) (engine.Upstream, engine.List)
+	Start func(t *testing.T, b Behaviour) (engine.Upstream, engine.EndpointList)
 	// Message makes a message for an attempt.
 	Message func() engine.Message
 	// Shared says that many requests share a connection: one that broke may be away for a while, and what comes then never runs.
-	Shared bool
+	SharesConnections bool
 	// Body gives the bytes of an answer.
 	Body func(answer any) []byte
 }
@@ -48,13 +48,13 @@
 		want []decision.Result
 	}{
 		{"serves", Serves, []decision.Result{decision.OK}},
-		{"errs", Errs, []decision.Result{decision.Error}},
-		{"turns away", TurnsAway, []decision.Result{decision.Rejected}},
-		{"refuses", Refuses, []decision.Result{decision.ConnectFailed}},
-		{"closes without an answer", ClosesFirst, []decision.Result{decision.Reset}},
-		{"closes midway", ClosesMidway, []decision.Result{decision.Reset}},
-		{"spoils its answer", Spoils, []decision.Result{decision.Reset, decision.Error}},
-		{"says too much", SaysTooMuch, []decision.Result{decision.OK}},
+		{"errs", ReturnsErrors, []decision.Result{decision.Error}},
+		{"turns away", RejectsRequests, []decision.Result{decision.Rejected}},
+		{"refuses", RefusesConnections, []decision.Result{decision.ConnectFailed}},
+		{"closes without an answer", ClosesBeforeResponse, []decision.Result{decision.Reset}},
+		{"closes midway", ClosesDuringResponse, []decision.Result{decision.Reset}},
+		{"spoils its answer", SendsGarbage, []decision.Result{decision.Reset, decision.Error}},
+		{"says too much", SendsTrailingBytes, []decision.Result{decision.OK}},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			up, list := u.Start(t, k.b)
@@ -65,7 +65,7 @@
 				for _, w := range k.want {
 					ok = ok || got == w
 				}
-				ok = ok || n > 0 && u.Shared && got == decision.ConnectFailed
+				ok = ok || n > 0 && u.SharesConnections && got == decision.ConnectFailed
 				if !ok {
 					t.Fatalf("attempt %d: %v, want one of %v", n, got, k.want)
 				}
@@ -115,15 +115,15 @@
 		if got, _ := u.once(t, context.Background(), up); got != decision.OK {
 			t.Fatalf("before: %v", got)
 		}
-		leaving := list.Members[0]
+		leaving := list.Endpoints[0]
 		leaving.State = decision.Draining
-		up.Update(engine.List{Version: 2, Members: []engine.Member{leaving}})
-		for name, peer := range map[string]engine.Peer{"found anew": up.Find(engine.BackendID("a")), "held from before": held} {
+		up.Update(engine.EndpointList{Version: 2, Endpoints: []engine.Endpoint{leaving}})
+		for name, peer := range map[string]engine.Backend{"found anew": up.Find(engine.BackendID("a")), "held from before": held} {
 			if got, _ := peer.Exchange(context.Background(), engine.Attempt{Message: u.Message(), Timeout: time.Second}); !got.NeverRan() {
 				t.Errorf("%s, of a draining server: %v", name, got)
 			}
 		}
-		up.Update(engine.List{Version: 3, Full: true})
+		up.Update(engine.EndpointList{Version: 3, Full: true})
 		if up.Find(engine.BackendID("a")) != nil {
 			t.Error("a server that is gone is still found")
 		}
@@ -137,8 +137,8 @@
 		for _, conn := range []string{"a new connection", "one that is there"} {
 			looks := 0
 			may := func() (time.Time, bool) { looks++; return time.Time{}, false }
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
-			got, _ := up.Find(engine.BackendID("a")).Exchange(ctx, engine.Attempt{Message: u.Message(), Timeout: patience, May: may})
+			ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
+			got, _ := up.Find(engine.BackendID("a")).Exchange(ctx, engine.Attempt{Message: u.Message(), Timeout: stepTimeout, MaySend: may})
 			if cancel(); !got.NeverRan() || looks == 0 {
 				t.Errorf("%s: %v after %d looks", conn, got, looks)
 			}
@@ -160,15 +160,15 @@
 
 func (u Upstream) once(t *testing.T, ctx context.Context, up engine.Upstream) (decision.Result, any) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	p := up.Find(engine.BackendID("a"))
 	if p == nil {
 		t.Error("the server is not found")
 		return decision.NotSent, nil
 	}
-	return p.Exchange(ctx, engine.Attempt{Message: u.Message(), Timeout: patience, Begin: func(s engine.Stream) bool {
-		s.End(engine.ErrGone)
+	return p.Exchange(ctx, engine.Attempt{Message: u.Message(), Timeout: stepTimeout, StartStream: func(s engine.Stream) bool {
+		s.End(engine.ErrAbandoned)
 		return false
 	}})
 }
--- a/internal/engine/sends_test.go
+++ b/internal/engine/sends_test.go
@@ -24,13 +24,13 @@
 	by  time.Time
 }
 
-func (s *slow) Find(decision.BackendID) Peer { return s }
+func (s *slow) Find(decision.BackendID) Backend { return s }
 
 func (s *slow) Exchange(_ context.Context, a Attempt) (decision.Result, any) {
 	d := &dialled{a: a, up: make(chan decision.Result), out: make(chan bool, 1)}
 	s.came <- d
 	result := <-d.up
-	by, ok := a.Go()
+	by, ok := a.SendAllowed()
 	d.by = by
 	if d.out <- ok; !ok {
 		return decision.NotSent, nil
@@ -47,23 +47,23 @@
 const shortWindow = 40 * time.Millisecond
 
 // lateConnections runs an engine before two such servers, on a test's own clock, with one request of a class.
-func lateConnections(t *testing.T, c decision.Class, copies bool, do func(t *testing.T, l *Engine, x *Exchange, came <-chan *dialled)) {
+func lateConnections(t *testing.T, c decision.Class, copies bool, do func(t *testing.T, l *Engine, x *Request, came <-chan *dialled)) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig()
 		c.Name, c.LatencyObjective, c.ClientTimeout, c.PriorityWeight, c.LateValueShare = "c", 400*time.Millisecond, 2*time.Second, 1, 0.5
 		cfg.Classes, cfg.Capabilities.HedgedRequests, cfg.Capabilities.Cancel = []decision.Class{c}, copies, false
 		s := &slow{came: make(chan *dialled)}
-		known := List{Full: true, Members: []Member{{ID: "a", Addr: "a:1", State: decision.Ready}, {ID: "b", Addr: "b:1", State: decision.Ready}}}
-		l, err := New(Options{Module: cfg, Seed: 1, Known: known, Upstream: s, Source: nowhere{}})
+		known := EndpointList{Full: true, Endpoints: []Endpoint{{ID: "a", Addr: "a:1", State: decision.Ready}, {ID: "b", Addr: "b:1", State: decision.Ready}}}
+		l, err := New(Options{Decision: cfg, Seed: 1, InitialEndpoints: known, Upstream: s, Source: nowhere{}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan bool)
 		go func() { l.Run(ctx); close(ended) }()
-		x := &Exchange{Message: message{}, Timeout: 2 * time.Second, Deadline: l.Clock().Now() + 2*time.Second}
-		x.Open()
-		l.Post(func() { l.Take(x) })
+		x := &Request{Message: message{}, Timeout: 2 * time.Second, Deadline: l.Clock().Now() + 2*time.Second}
+		x.Init()
+		l.Post(func() { l.Submit(x) })
 		do(t, l, x, s.came)
 		cancel()
 		<-ended
@@ -90,7 +90,7 @@
 		"and the class is unsafe":           {decision.Class{}, decision.Rejected, time.Second, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lateConnections(t, k.class, false, func(t *testing.T, l *Engine, x *Exchange, came <-chan *dialled) {
+			lateConnections(t, k.class, false, func(t *testing.T, l *Engine, x *Request, came <-chan *dialled) {
 				first := <-came
 				time.Sleep(30 * time.Millisecond) // the window counts from what goes out, not from the order
 				if !first.comesUp(k.first) || !first.by.IsZero() {
@@ -107,8 +107,8 @@
 					t.Errorf("it may go out until %v, want %v", second.by, want)
 				}
 				before := time.Now()
-				if r := <-x.Result(); out != (r.End == Served) || time.Since(before) > 0 {
-					t.Errorf("ended as %v, %v after the connection came up", r.End, time.Since(before))
+				if r := <-x.Result(); out != (r.Outcome == Served) || time.Since(before) > 0 {
+					t.Errorf("ended as %v, %v after the connection came up", r.Outcome, time.Since(before))
 				}
 			})
 		})
@@ -119,7 +119,7 @@
 func TestAFirstAttemptThatComesUpAfterItsCopyHasBegun(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		c := decision.Class{Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll, DeduplicationWindow: time.Second}
-		lateConnections(t, c, true, func(t *testing.T, l *Engine, x *Exchange, came <-chan *dialled) {
+		lateConnections(t, c, true, func(t *testing.T, l *Engine, x *Request, came <-chan *dialled) {
 			first, second := <-came, <-came // a hedge
 			if !second.comesUp(decision.Reset) {
 				t.Fatal("the copy does not go out")
@@ -131,8 +131,8 @@
 			if out := first.comesUp(decision.OK); out == late {
 				t.Errorf("late: %v; the first goes out: %v", late, out)
 			}
-			if r := <-x.Result(); late == (r.End == Served) {
-				t.Errorf("late: %v; ended as %v", late, r.End)
+			if r := <-x.Result(); late == (r.Outcome == Served) {
+				t.Errorf("late: %v; ended as %v", late, r.Outcome)
 			}
 		})
 	}
@@ -140,16 +140,16 @@
 
 // A connection comes up after the request's end, where attempts can't be called off: nothing goes out any more.
 func TestAConnectionThatComesUpAfterTheEnd(t *testing.T) {
-	for name, end := range map[string]func(t *testing.T, l *Engine, x *Exchange, came <-chan *dialled){
-		"the client has left": func(t *testing.T, l *Engine, x *Exchange, _ <-chan *dialled) {
-			l.Post(func() { l.Gone(x) })
+	for name, end := range map[string]func(t *testing.T, l *Engine, x *Request, came <-chan *dialled){
+		"the client has left": func(t *testing.T, l *Engine, x *Request, _ <-chan *dialled) {
+			l.Post(func() { l.ClientGone(x) })
 		},
-		"its copy was answered": func(t *testing.T, _ *Engine, _ *Exchange, came <-chan *dialled) {
+		"its copy was answered": func(t *testing.T, _ *Engine, _ *Request, came <-chan *dialled) {
 			if d := <-came; !d.comesUp(decision.OK) {
 				t.Error("the copy does not go out")
 			}
 		},
-		"its time is over": func(t *testing.T, _ *Engine, _ *Exchange, came <-chan *dialled) {
+		"its time is over": func(t *testing.T, _ *Engine, _ *Request, came <-chan *dialled) {
 			d := <-came
 			time.Sleep(3 * time.Second)
 			if d.comesUp(decision.OK) {
@@ -158,7 +158,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lateConnections(t, decision.Class{Idempotency: decision.Idempotent}, true, func(t *testing.T, l *Engine, x *Exchange, came <-chan *dialled) {
+			lateConnections(t, decision.Class{Idempotency: decision.Idempotent}, true, func(t *testing.T, l *Engine, x *Request, came <-chan *dialled) {
 				first := <-came
 				end(t, l, x, came)
 				<-x.Result()
@@ -168,7 +168,7 @@
 				synctest.Wait()
 				select {
 				case r := <-x.Result():
-					t.Errorf("a second result: %v", r.End)
+					t.Errorf("a second result: %v", r.Outcome)
 				default:
 				}
 			})
@@ -178,8 +178,8 @@
 
 // Whatever is ordered, of an unsafe request only one attempt goes out until it is proved that it did not run.
 func TestAnUnsafeRequestGoesOutOnce(t *testing.T) {
-	var s sends
-	if _, ok := s.begin(0, 1, repeats(decision.Class{})); !ok {
+	var s sendGuard
+	if _, ok := s.begin(0, 1, retryWindow(decision.Class{})); !ok {
 		t.Fatal("the first does not go out")
 	}
 	if _, ok := s.begin(0, 2, 0); !ok {
@@ -188,15 +188,15 @@
 	if _, ok := s.begin(1, 3, 0); ok {
 		t.Error("a second goes out beside it")
 	}
-	s.ended(0, decision.Reset)
+	s.attemptEnded(0, decision.Reset)
 	if _, ok := s.begin(1, 4, 0); ok {
 		t.Error("a second goes out after a reset")
 	}
-	s.ended(0, decision.ConnectFailed)
+	s.attemptEnded(0, decision.ConnectFailed)
 	if _, ok := s.begin(1, 5, 0); !ok {
 		t.Error("a second does not go out though the first never ran")
 	}
-	if got := repeats(decision.Class{Idempotency: decision.Idempotent, DeduplicationWindow: time.Second}); got != math.MaxInt64 {
+	if got := retryWindow(decision.Class{Idempotency: decision.Idempotent, DeduplicationWindow: time.Second}); got != math.MaxInt64 {
 		t.Errorf("a safe class may be repeated for %v", got)
 	}
 }
@@ -206,14 +206,14 @@
 	for _, left := range []time.Duration{-time.Hour, -time.Second, 0} {
 		l := testEngine(t)
 		l.handle(func() {
-			l.list(List{Full: true, Members: []Member{{ID: "a", Addr: "a:1", State: decision.Ready}}}, decision.UpdateFull)
+			l.applyEndpoints(EndpointList{Full: true, Endpoints: []Endpoint{{ID: "a", Addr: "a:1", State: decision.Ready}}}, decision.UpdateFull)
 		})
-		x := &Exchange{Message: message{}, Deadline: l.clock.Now() + left}
-		x.Open()
-		l.handle(func() { l.Take(x) })
+		x := &Request{Message: message{}, Deadline: l.clock.Now() + left}
+		x.Init()
+		l.handle(func() { l.Submit(x) })
 		select {
 		case r := <-x.Result():
-			if r.End != Failed || !r.TimedOut || r.MayHaveRun {
+			if r.Outcome != Failed || !r.TimedOut || r.MayHaveRun {
 				t.Errorf("%v left: %+v", left, r)
 			}
 		default:
--- a/internal/faultlab/capacity/hollow.go
+++ b/internal/faultlab/capacity/hollow.go
@@ -180,7 +180,7 @@
 	h.drawn -= draws
 	for _, s := range h.sights {
 		for range int(draws) {
-			s.Draw(0, 0, true)
+			s.Acquire(0, 0, true)
 		}
 	}
 }
--- a/internal/faultlab/controlplane/stewards_test.go
+++ b/internal/faultlab/controlplane/stewards_test.go
@@ -70,7 +70,7 @@
 		panic(err)
 	}
 	for {
-		if permit, ok := sight.Draw(0, 0, true); ok && !sight.Over(permit) {
+		if permit, ok := sight.Acquire(0, 0, true); ok && !sight.Expired(permit) {
 			p.out.Add(1)
 			continue
 		}
@@ -238,7 +238,7 @@
 	running.Go(func() { l.Run(ctx) })
 	running.Go(func() {
 		for ctx.Err() == nil {
-			if _, ok := sight.Draw(0, 0, true); !ok {
+			if _, ok := sight.Acquire(0, 0, true); !ok {
 				time.Sleep(time.Millisecond)
 			}
 		}
--- a/internal/hotrestart/frozen_test.go
+++ b/internal/hotrestart/frozen_test.go
@@ -18,11 +18,11 @@
 	if *writeFrozen {
 		s := Open("testdata", name)
 		for _, id := range []string{"s-2", "s-1", "s-3"} {
-			if err := s.Change(id, true); err != nil {
+			if err := s.SetDetached(id, true); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := s.Serve(); err != nil {
+		if err := s.MarkServing(); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Remove(s.path("lock")); err != nil {
@@ -44,19 +44,19 @@
 	if want := filepath.Join(dir, base+".memory"); s.Path("memory") != want {
 		t.Errorf("path %s, want %s", s.Path("memory"), want)
 	}
-	if changed, err := s.Refresh(); err != nil || !changed || !slices.Equal(s.Out(), []string{"s-1", "s-2", "s-3"}) {
-		t.Errorf("read %v, %v: %v", changed, err, s.Out())
+	if changed, err := s.Refresh(); err != nil || !changed || !slices.Equal(s.Detached(), []string{"s-1", "s-2", "s-3"}) {
+		t.Errorf("read %v, %v: %v", changed, err, s.Detached())
 	}
-	if !s.Succeeded() {
+	if !s.Superseded() {
 		t.Error("the process that serves is not seen")
 	}
-	if err := s.Change("s-2", false); err != nil {
+	if err := s.SetDetached("s-2", false); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(filepath.Join(dir, base+".out")); err != nil || string(got) != `["s-1","s-3"]` {
 		t.Errorf("written: %s, %v", got, err)
 	}
-	if err := s.Serve(); err != nil || s.Succeeded() {
-		t.Errorf("now this one serves: %v, succeeded %v", err, s.Succeeded())
+	if err := s.MarkServing(); err != nil || s.Superseded() {
+		t.Errorf("now this one serves: %v, succeeded %v", err, s.Superseded())
 	}
 }
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -43,39 +43,39 @@
 // Store is the state that outlives a process: which backends are out by hand, and which process serves. With
 // no folder it lasts as long as the process.
 type Store struct {
-	base string // of all files' paths; empty without a folder
-	mine string // names this process
+	basePath  string // of all files' paths; empty without a folder
+	processID string // names this process
 
-	mu   sync.Mutex
-	out  []string // ids, sorted
-	seen fs.FileInfo
-	life *os.File // locked for as long as this process lives
+	mu       sync.Mutex
+	detached []string // ids, sorted
+	lastFile fs.FileInfo
+	lifeLock *os.File // locked for as long as this process lives
 }
 
 // Open makes the store of the proxy of that name. A folder is used by several proxies without harm.
 func Open(dir, name string) *Store {
-	s := &Store{mine: fmt.Sprintf("%d-%d", os.Getpid(), time.Now().UnixNano())}
+	s := &Store{processID: fmt.Sprintf("%d-%d", os.Getpid(), time.Now().UnixNano())}
 	if dir != "" {
-		s.base = filepath.Join(dir, fmt.Sprintf("lapisspread-%x", name))
+		s.basePath = filepath.Join(dir, fmt.Sprintf("lapisspread-%x", name))
 	}
 	return s
 }
 
-func (s *Store) path(what string) string { return s.base + "." + what }
+func (s *Store) path(what string) string { return s.basePath + "." + what }
 
 // Path is where something else of the proxy outlives a process, by its name; empty without a folder.
 func (s *Store) Path(what string) string {
-	if s.base == "" {
+	if s.basePath == "" {
 		return ""
 	}
 	return s.path(what)
 }
 
-// Out is a copy of the ids that are out by hand, as far as this process has read.
-func (s *Store) Out() []string {
+// Detached is a copy of the ids that are out by hand, as far as this process has read.
+func (s *Store) Detached() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.out)
+	return slices.Clone(s.detached)
 }
 
 // Refresh reads the file if another process has replaced it, and tells whether it had.
@@ -86,7 +86,7 @@
 }
 
 func (s *Store) refresh() (bool, error) {
-	if s.base == "" {
+	if s.basePath == "" {
 		return false, nil
 	}
 	info, err := os.Stat(s.path("out"))
@@ -97,7 +97,7 @@
 		return false, fmt.Errorf("handover: %w", err)
 	}
 	// Each version is a new file; one that takes the place of an older one has another time.
-	if s.seen != nil && os.SameFile(s.seen, info) && s.seen.ModTime().Equal(info.ModTime()) {
+	if s.lastFile != nil && os.SameFile(s.lastFile, info) && s.lastFile.ModTime().Equal(info.ModTime()) {
 		return false, nil
 	}
 	text, err := os.ReadFile(s.path("out"))
@@ -109,13 +109,13 @@
 		return false, fmt.Errorf("handover: %s: %w", s.path("out"), err)
 	}
 	slices.Sort(out)
-	s.seen, s.out = info, slices.Compact(out)
+	s.lastFile, s.detached = info, slices.Compact(out)
 	return true, nil
 }
 
-// Change takes a backend out, or ends that. The change holds in this process also where an error says that it
+// SetDetached takes a backend out, or ends that. The change holds in this process also where an error says that it
 // could not be written down.
-func (s *Store) Change(id string, out bool) error {
+func (s *Store) SetDetached(id string, out bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	unlock, err := s.lock()
@@ -123,26 +123,26 @@
 		defer unlock()
 		_, err = s.refresh() // what the other process has changed
 	}
-	i, found := slices.BinarySearch(s.out, id)
+	i, found := slices.BinarySearch(s.detached, id)
 	switch {
 	case out == found:
 		return err
 	case out:
-		s.out = slices.Insert(s.out, i, id)
+		s.detached = slices.Insert(s.detached, i, id)
 	default:
-		s.out = slices.Delete(s.out, i, i+1)
+		s.detached = slices.Delete(s.detached, i, i+1)
 	}
-	if s.base == "" || err != nil {
+	if s.basePath == "" || err != nil {
 		return err
 	}
-	text, err := json.Marshal(s.out)
+	text, err := json.Marshal(s.detached)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if err := replace(s.path("out"), text); err != nil {
+	if err := replaceFile(s.path("out"), text); err != nil {
 		return err
 	}
-	if s.seen, err = os.Stat(s.path("out")); err != nil {
+	if s.lastFile, err = os.Stat(s.path("out")); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
@@ -150,7 +150,7 @@
 
 // lock keeps another process from changing the state between reading and writing it.
 func (s *Store) lock() (unlock func(), err error) {
-	if s.base == "" {
+	if s.basePath == "" {
 		return func() {}, nil
 	}
 	f, err := os.OpenFile(s.path("lock"), os.O_CREATE|os.O_RDWR, 0o600)
@@ -164,8 +164,8 @@
 	return func() { f.Close() }, nil
 }
 
-// replace puts a new file in the place of the old one, so that nobody reads half of it.
-func replace(path string, text []byte) error {
+// replaceFile puts a new file in the place of the old one, so that nobody reads half of it.
+func replaceFile(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -184,29 +184,29 @@
 	return nil
 }
 
-// Serve marks this process as the one that serves: the newest that takes clients.
-func (s *Store) Serve() error {
-	if s.base == "" {
+// MarkServing marks this process as the one that serves: the newest that takes clients.
+func (s *Store) MarkServing() error {
+	if s.basePath == "" {
 		return nil
 	}
-	return replace(s.path("serving"), []byte(s.mine))
+	return replaceFile(s.path("serving"), []byte(s.processID))
 }
 
-// Succeeded tells whether a later process serves.
-func (s *Store) Succeeded() bool {
-	if s.base == "" {
+// Superseded tells whether a later process serves.
+func (s *Store) Superseded() bool {
+	if s.basePath == "" {
 		return false
 	}
 	text, err := os.ReadFile(s.path("serving"))
-	return err == nil && string(text) != s.mine
+	return err == nil && string(text) != s.processID
 }
 
-// Alone tells whether no other process of this proxy lives; once it has said so it keeps the place for as
+// OnlyProcess tells whether no other process of this proxy lives; once it has said so it keeps the place for as
 // long as this process lives. A process's lock ends with it, however it ends.
-func (s *Store) Alone() bool {
+func (s *Store) OnlyProcess() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.base == "" || s.life != nil {
+	if s.basePath == "" || s.lifeLock != nil {
 		return true
 	}
 	f, err := os.OpenFile(s.path("life"), os.O_CREATE|os.O_RDWR, 0o600)
@@ -217,13 +217,13 @@
 		f.Close()
 		return false
 	}
-	s.life = f
+	s.lifeLock = f
 	return true
 }
 
-// Follow calls changed whenever another process has changed the state, until ctx ends.
-func (s *Store) Follow(ctx context.Context, every time.Duration, changed func(), failed func(error)) {
-	if s.base == "" {
+// Watch calls changed whenever another process has changed the state, until ctx ends.
+func (s *Store) Watch(ctx context.Context, every time.Duration, changed func(), failed func(error)) {
+	if s.basePath == "" {
 		return
 	}
 	tick := time.NewTicker(every)
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -15,7 +15,7 @@
 	dir := t.TempDir()
 	first := Open(dir, "n/1")
 	for _, id := range []string{"s-2", "s-1", "s-2"} {
-		if err := first.Change(id, true); err != nil {
+		if err := first.SetDetached(id, true); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -23,34 +23,34 @@
 	if news, err := second.Refresh(); !news || err != nil {
 		t.Fatalf("Refresh: %v, %v", news, err)
 	}
-	if got := second.Out(); !slices.Equal(got, []string{"s-1", "s-2"}) {
+	if got := second.Detached(); !slices.Equal(got, []string{"s-1", "s-2"}) {
 		t.Fatalf("out: %q", got)
 	}
-	if err := second.Change("s-1", false); err != nil {
+	if err := second.SetDetached("s-1", false); err != nil {
 		t.Fatal(err)
 	}
 	changed := make(chan bool, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go first.Follow(ctx, time.Millisecond, func() { changed <- true }, func(err error) { t.Error(err) })
+	go first.Watch(ctx, time.Millisecond, func() { changed <- true }, func(err error) { t.Error(err) })
 	select {
 	case <-changed:
 	case <-time.After(20 * time.Second):
 		t.Fatal("the first process hears nothing of the second one's change")
 	}
-	if got := first.Out(); !slices.Equal(got, []string{"s-2"}) {
+	if got := first.Detached(); !slices.Equal(got, []string{"s-2"}) {
 		t.Errorf("out at the first: %q", got)
 	}
-	if err := first.Change("s-3", true); err != nil { // on top of what the second has written
+	if err := first.SetDetached("s-3", true); err != nil { // on top of what the second has written
 		t.Fatal(err)
 	}
 	if _, err := second.Refresh(); err != nil {
 		t.Fatal(err)
 	}
-	if got := second.Out(); !slices.Equal(got, []string{"s-2", "s-3"}) {
+	if got := second.Detached(); !slices.Equal(got, []string{"s-2", "s-3"}) {
 		t.Errorf("out at the second: %q", got)
 	}
-	if other := Open(dir, "n/2"); len(other.Out()) > 0 {
+	if other := Open(dir, "n/2"); len(other.Detached()) > 0 {
 		t.Error("another proxy has these orders too")
 	}
 }
@@ -63,10 +63,10 @@
 	if _, err := s.Refresh(); err == nil {
 		t.Error("no error")
 	}
-	if err := s.Change("s-1", true); err == nil {
+	if err := s.SetDetached("s-1", true); err == nil {
 		t.Error("no error from a change that was not written down")
 	}
-	if got := s.Out(); !slices.Equal(got, []string{"s-1"}) {
+	if got := s.Detached(); !slices.Equal(got, []string{"s-1"}) {
 		t.Errorf("out: %q", got)
 	}
 }
@@ -74,34 +74,34 @@
 func TestWhoServes(t *testing.T) {
 	dir := t.TempDir()
 	first, second := Open(dir, "n1"), Open(dir, "n1")
-	second.mine += "-2" // as if of another process
-	if first.Succeeded() || !first.Alone() {
+	second.processID += "-2" // as if of another process
+	if first.Superseded() || !first.OnlyProcess() {
 		t.Error("the first is not alone")
 	}
-	if err := first.Serve(); err != nil {
+	if err := first.MarkServing(); err != nil {
 		t.Fatal(err)
 	}
-	if first.Succeeded() || second.Alone() {
+	if first.Superseded() || second.OnlyProcess() {
 		t.Error("the first is taken to have ended")
 	}
-	if err := second.Serve(); err != nil {
+	if err := second.MarkServing(); err != nil {
 		t.Fatal(err)
 	}
-	if !first.Succeeded() || second.Succeeded() {
+	if !first.Superseded() || second.Superseded() {
 		t.Error("the second serves, and the first should know")
 	}
-	first.life.Close() // as its end does
-	if !second.Alone() {
+	first.lifeLock.Close() // as its end does
+	if !second.OnlyProcess() {
 		t.Error("the second is alone now")
 	}
 }
 
 func TestWithoutAFolder(t *testing.T) {
 	s := Open("", "n1")
-	if err := s.Change("s-1", true); err != nil || len(s.Out()) != 1 {
-		t.Errorf("out %q, err %v", s.Out(), err)
+	if err := s.SetDetached("s-1", true); err != nil || len(s.Detached()) != 1 {
+		t.Errorf("out %q, err %v", s.Detached(), err)
 	}
-	if !s.Alone() || s.Succeeded() || s.Serve() != nil {
+	if !s.OnlyProcess() || s.Superseded() || s.MarkServing() != nil {
 		t.Error("it needs a folder to serve")
 	}
 }
--- a/internal/metrics/figures.go
+++ b/internal/metrics/figures.go
@@ -12,18 +12,18 @@
 // Outcome is how a request ended.
 type Outcome int
 
-// The outcomes.
+// The outcomeCount.
 const (
 	Served Outcome = iota
-	Refused
+	Rejected
 	Failed
-	outcomes
+	outcomeCount
 )
 
-// Figures are one process's, from 0 on.
-type Figures struct {
-	classes []string
-	ended   [outcomes][]atomic.Int64 // by class
+// Counters are one process's, from 0 on.
+type Counters struct {
+	classes  []string
+	requests [outcomeCount][]atomic.Int64 // by class
 
 	Attempts         atomic.Int64 // written whole to backends
 	InFlight         atomic.Int64 // requests taken and not yet ended
@@ -31,31 +31,31 @@
 	BackendsExcluded atomic.Int64 // of these, the ones that are avoided
 	ReloadsOK        atomic.Int64
 	ReloadsFailed    atomic.Int64
-	ListsBad         atomic.Int64 // answers of discovery that were no list
+	InvalidLists     atomic.Int64 // answers of discovery that were no list
 }
 
 // New makes figures for requests of these classes.
-func New(classes []string) *Figures {
-	f := &Figures{classes: classes}
-	for i := range f.ended {
-		f.ended[i] = make([]atomic.Int64, len(classes))
+func New(classes []string) *Counters {
+	f := &Counters{classes: classes}
+	for i := range f.requests {
+		f.requests[i] = make([]atomic.Int64, len(classes))
 	}
 	return f
 }
 
-// Ended counts a request of a class.
-func (f *Figures) Ended(class int, o Outcome) {
-	if class >= 0 && class < len(f.classes) && o >= 0 && o < outcomes {
-		f.ended[o][class].Add(1)
+// CountRequest counts a request of a class.
+func (f *Counters) CountRequest(class int, o Outcome) {
+	if class >= 0 && class < len(f.classes) && o >= 0 && o < outcomeCount {
+		f.requests[o][class].Add(1)
 	}
 }
 
 // MarshalJSON gives the figures as one object, on one line.
-func (f *Figures) MarshalJSON() ([]byte, error) {
+func (f *Counters) MarshalJSON() ([]byte, error) {
 	byClass := func(o Outcome) map[string]int64 {
 		m := make(map[string]int64, len(f.classes))
 		for i, name := range f.classes {
-			m[name] = f.ended[o][i].Load()
+			m[name] = f.requests[o][i].Load()
 		}
 		return m
 	}
@@ -70,24 +70,24 @@
 		ReloadsOK        int64            `json:"reloads_ok"`
 		ReloadsFailed    int64            `json:"reloads_failed"`
 		ListsBad         int64            `json:"lists_bad"`
-	}{byClass(Served), byClass(Refused), byClass(Failed), f.Attempts.Load(), f.InFlight.Load(), f.BackendsKnown.Load(),
-		f.BackendsExcluded.Load(), f.ReloadsOK.Load(), f.ReloadsFailed.Load(), f.ListsBad.Load()})
+	}{byClass(Served), byClass(Rejected), byClass(Failed), f.Attempts.Load(), f.InFlight.Load(), f.BackendsKnown.Load(),
+		f.BackendsExcluded.Load(), f.ReloadsOK.Load(), f.ReloadsFailed.Load(), f.InvalidLists.Load()})
 	if err != nil {
 		return nil, fmt.Errorf("figures: %w", err)
 	}
 	return text, nil
 }
 
-// Sum gives the figures of several services: their sums in the form of one, and beside them each service's own and
+// MarshalTotals gives the figures of several services: their sums in the form of one, and beside them each service's own and
 // how they share the process's limits. Reloads and bad lists are the process's.
-func Sum(own *Figures, services map[string]*Figures, limits map[string]any) ([]byte, error) {
-	sums := map[string]any{"reloads_ok": own.ReloadsOK.Load(), "reloads_failed": own.ReloadsFailed.Load(), "lists_bad": own.ListsBad.Load(), "services": services, "limits": limits,
+func MarshalTotals(own *Counters, services map[string]*Counters, limits map[string]any) ([]byte, error) {
+	sums := map[string]any{"reloads_ok": own.ReloadsOK.Load(), "reloads_failed": own.ReloadsFailed.Load(), "lists_bad": own.InvalidLists.Load(), "services": services, "limits": limits,
 		"goroutines": runtime.NumGoroutine()}
-	for o, name := range map[Outcome]string{Served: "served", Refused: "refused", Failed: "failed"} {
+	for o, name := range map[Outcome]string{Served: "served", Rejected: "refused", Failed: "failed"} {
 		by := map[string]int64{}
 		for _, f := range services {
 			for i, class := range f.classes {
-				by[class] += f.ended[o][i].Load()
+				by[class] += f.requests[o][i].Load()
 			}
 		}
 		sums[name] = by
--- a/internal/metrics/figures_test.go
+++ b/internal/metrics/figures_test.go
@@ -12,11 +12,11 @@
 	for range 8 {
 		all.Go(func() {
 			for range 100 {
-				f.Ended(0, Served)
-				f.Ended(1, Failed)
+				f.CountRequest(0, Served)
+				f.CountRequest(1, Failed)
 				f.Attempts.Add(1)
-				f.Ended(2, Served) // no such class: not counted
-				f.Ended(-1, Refused)
+				f.CountRequest(2, Served) // no such class: not counted
+				f.CountRequest(-1, Rejected)
 			}
 		})
 	}
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -77,7 +77,7 @@
 	var stale []*conn
 	p.mu.Lock()
 	named := map[decision.BackendID]bool{}
-	for _, m := range list.Members {
+	for _, m := range list.Endpoints {
 		id := backendID(m.ID)
 		named[id] = true
 		b := p.backends[id]
@@ -126,7 +126,7 @@
 }
 
 // Find is the backend of that id, or nil.
-func (p *pool) Find(id decision.BackendID) engine.Peer {
+func (p *pool) Find(id decision.BackendID) engine.Backend {
 	if b := p.find(id); b != nil {
 		return peer{p, b}
 	}
@@ -148,13 +148,13 @@
 // Exchange sends a request's message once.
 func (p peer) Exchange(ctx context.Context, a engine.Attempt) (decision.Result, any) {
 	m := *a.Message.(*message)
-	m.begin = func(d *download) bool { return a.Begin(d) }
-	m.may = a.Go
+	m.begin = func(d *download) bool { return a.StartStream(d) }
+	m.may = a.SendAllowed
 	m.header = m.header.Clone()
 	m.header.Set("X-Timeout-Ms", strconv.FormatInt(max(1, a.Timeout.Milliseconds()), 10))
 	if p.pool.fleet {
-		if m.header.Del("X-Fleet-Token"); a.Token != "" { // a client's own would pass for ours
-			m.header.Set("X-Fleet-Token", a.Token)
+		if m.header.Del("X-Fleet-Token"); a.LeaseToken != "" { // a client's own would pass for ours
+			m.header.Set("X-Fleet-Token", a.LeaseToken)
 		}
 		if m.header.Del("X-Fleet-Epoch"); m.epoch != "" {
 			m.header.Set("X-Fleet-Epoch", m.epoch)
@@ -164,8 +164,8 @@
 	return result, body
 }
 
-// Probe asks the backend whether it is well.
-func (p peer) Probe(ctx context.Context) decision.Result { return p.pool.probe(ctx, p.b) }
+// CheckHealth asks the backend whether it is well.
+func (p peer) CheckHealth(ctx context.Context) decision.Result { return p.pool.probe(ctx, p.b) }
 
 // Release closes a backend's idle connections.
 func (p *pool) Release(id decision.BackendID) {
@@ -387,8 +387,8 @@
 	return by, err
 }
 
-// Spent tells whether there can be no further attempt.
-func (m *message) Spent() bool { return m.upload.isSpent() }
+// Consumed tells whether there can be no further attempt.
+func (m *message) Consumed() bool { return m.upload.isSpent() }
 
 // request is the message for one attempt, on a connection to addr.
 func (m *message) request(addr string) *http.Request {
--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -62,7 +62,7 @@
 func testPool(t *testing.T, addr string) (*pool, *backend) {
 	t.Helper()
 	p := newPool(16, patience, 2*patience)
-	p.Update(List{Members: []Member{{ID: "a", Addr: addr, State: decision.Ready}}})
+	p.Update(List{Endpoints: []Member{{ID: "a", Addr: addr, State: decision.Ready}}})
 	t.Cleanup(func() { p.Update(List{Full: true}) })
 	return p, p.find(backendID("a"))
 }
@@ -409,7 +409,7 @@
 		}
 	}
 	// Both are idle now, and make room for one to another backend.
-	p.Update(List{Members: []Member{{ID: "b", State: decision.Ready, Addr: rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
+	p.Update(List{Endpoints: []Member{{ID: "b", State: decision.Ready, Addr: rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		readWhole(in)
 		say(c, served)
 	})}}})
@@ -439,7 +439,7 @@
 		for _, c := range conns {
 			p.putIdle(b, c)
 		}
-		p.Update(List{Members: []Member{{ID: "b", State: decision.Ready, Addr: rawBackend(t, serveAll)}}})
+		p.Update(List{Endpoints: []Member{{ID: "b", State: decision.Ready, Addr: rawBackend(t, serveAll)}}})
 		if result, _ := p.exchange(t.Context(), p.find(backendID("b")), testMessage("GET", nil)); result != decision.OK {
 			t.Errorf("%d idle: result %v", idle, result)
 		}
@@ -515,7 +515,7 @@
 		done <- result
 	}()
 	within(t, came, "no request came")
-	p.Update(List{Full: true, Members: []Member{{ID: "new", Addr: addr, State: decision.Ready}}})
+	p.Update(List{Full: true, Endpoints: []Member{{ID: "new", Addr: addr, State: decision.Ready}}})
 	leave <- true
 	if result := within(t, done, "no answer"); result != decision.OK {
 		t.Errorf("what was in hand: result %v", result)
@@ -546,7 +546,7 @@
 			}))
 			dial := p.dialer
 			p.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
-				defer p.Update(List{Members: []Member{change}})
+				defer p.Update(List{Endpoints: []Member{change}})
 				return dial(ctx, network, addr)
 			}
 			if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.ConnectFailed {
@@ -566,7 +566,7 @@
 		}
 	}))
 	p.exchange(t.Context(), b, testMessage("GET", nil))
-	p.Update(List{Members: []Member{{ID: "a", State: decision.Draining}}})
+	p.Update(List{Endpoints: []Member{{ID: "a", State: decision.Draining}}})
 	if p.open != 0 {
 		t.Errorf("%d connections to a draining backend", p.open)
 	}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -233,7 +233,7 @@
 	var lines strings.Builder
 	flatten(&lines, "", tree)
 	var err error
-	if c.Module, err = wire.ParseBootInfo(lines.String()); err == nil {
+	if c.Module, err = wire.ParseSettings(lines.String()); err == nil {
 		err = c.Module.Validate()
 	}
 	if bad := (*decision.SettingError)(nil); errors.As(err, &bad) { // its line is none of the file's
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -247,7 +247,7 @@
 	if !strings.Contains(p.logs.String(), "the list that the configuration knows can't be read") {
 		t.Errorf("the log says nothing of it:\n%s", p.logs.String())
 	}
-	if cfg, err := parseConfig(configText(`{"generation":1,"instances":[{}]}`)); err != nil || cfg.KnownBad == nil || len(cfg.Known.Members) > 0 {
+	if cfg, err := parseConfig(configText(`{"generation":1,"instances":[{}]}`)); err != nil || cfg.KnownBad == nil || len(cfg.Known.Endpoints) > 0 {
 		t.Errorf("known %+v, bad %v, error %v", cfg.Known, cfg.KnownBad, err)
 	}
 }
--- a/internal/proxy/conformance_test.go
+++ b/internal/proxy/conformance_test.go
@@ -20,7 +20,7 @@
 )
 
 func TestHTTPFrontEndConforms(t *testing.T) {
-	enginetest.FrontEnd{
+	enginetest.Frontend{
 		Start: func(t *testing.T, e *engine.Engine) enginetest.Client {
 			cfg := Config{MemoryMB: 64, Sockets: 1024, Module: enginetest.Config()}
 			svcs := newServices(New(cfg, slog.New(slog.DiscardHandler)))
@@ -34,7 +34,7 @@
 			}
 			go f.serve(l)
 			t.Cleanup(func() { f.server.Close() })
-			return func(ctx context.Context, id, class string, timeout time.Duration) (engine.End, []byte, error) {
+			return func(ctx context.Context, id, class string, timeout time.Duration) (engine.Outcome, []byte, error) {
 				req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr().String()+"/api", strings.NewReader("body"))
 				if err != nil {
 					return 0, nil, err
@@ -53,42 +53,42 @@
 				case resp.StatusCode == http.StatusOK:
 					return engine.Served, body, nil
 				case resp.StatusCode == http.StatusServiceUnavailable:
-					return engine.Refused, nil, nil
+					return engine.Rejected, nil, nil
 				}
 				return engine.Failed, nil, nil
 			}
 		},
-		Answer: func(body []byte) any { return body },
+		Response: func(body []byte) any { return body },
 		Stream: func(body []byte, broken bool) engine.Stream {
-			return newDownload(int64(len(body)), enginetest.Broken(body, broken))
+			return newDownload(int64(len(body)), enginetest.BodyReader(body, broken))
 		},
 	}.Test(t)
 }
 
 func TestHTTPUpstreamConforms(t *testing.T) {
 	answers := map[enginetest.Behaviour]string{
-		enginetest.Serves:       "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answer",
-		enginetest.ServesSlowly: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answer",
-		enginetest.SaysTooMuch:  "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answerHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
-		enginetest.Errs:         "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n",
-		enginetest.TurnsAway:    "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-		enginetest.ClosesMidway: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe",
-		enginetest.Spoils:       "HTTP/1.1 200 OK\r\nContent-Length: 10\r\nContent-Length: 3\r\n\r\nthe answer",
+		enginetest.Serves:               "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answer",
+		enginetest.ServesSlowly:         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answer",
+		enginetest.SendsTrailingBytes:   "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answerHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
+		enginetest.ReturnsErrors:        "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n",
+		enginetest.RejectsRequests:      "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
+		enginetest.ClosesDuringResponse: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe",
+		enginetest.SendsGarbage:         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\nContent-Length: 3\r\n\r\nthe answer",
 	}
 	enginetest.Upstream{
-		Start: func(t *testing.T, b enginetest.Behaviour) (engine.Upstream, engine.List) {
+		Start: func(t *testing.T, b enginetest.Behaviour) (engine.Upstream, engine.EndpointList) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { l.Close() })
-			if b == enginetest.Refuses {
+			if b == enginetest.RefusesConnections {
 				l.Close()
 			}
 			go serveRaw(l, func(_ int, c net.Conn, in *bufio.Reader) { behave(c, in, b, answers[b]) })
 			p := newPool(64, 2*time.Second, time.Minute)
 			t.Cleanup(func() { p.Update(List{Full: true}) })
-			return p, List{Version: 1, Full: true, Members: []Member{{ID: "a", Addr: l.Addr().String(), State: decision.Ready}}}
+			return p, List{Version: 1, Full: true, Endpoints: []Member{{ID: "a", Addr: l.Addr().String(), State: decision.Ready}}}
 		},
 		Message: func() engine.Message { return testMessage("POST", []byte("body")) },
 		Body: func(answer any) []byte {
@@ -107,7 +107,7 @@
 		}
 		io.Copy(io.Discard, req.Body)
 		switch b {
-		case enginetest.ClosesFirst:
+		case enginetest.ClosesBeforeResponse:
 			return
 		case enginetest.Stalls:
 			in.Peek(1) // until the other side closes
@@ -116,7 +116,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		io.WriteString(c, answer)
-		if b == enginetest.ClosesMidway {
+		if b == enginetest.ClosesDuringResponse {
 			return
 		}
 	}
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -239,7 +239,7 @@
 			p, b := hooked(t, member.Addr, func(n int, h *hookedConn) {
 				h.chosen = func() {
 					if n == 0 && reuse {
-						p.Update(List{Members: []Member{member}})
+						p.Update(List{Endpoints: []Member{member}})
 					}
 				}
 			})
@@ -455,7 +455,7 @@
 			}
 		},
 		"the same list": func(p *pool) {
-			p.Update(List{Full: true, Members: []Member{{ID: "a", State: decision.Ready}}})
+			p.Update(List{Full: true, Endpoints: []Member{{ID: "a", State: decision.Ready}}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -237,7 +237,7 @@
 	tenant := svc.tenants[a.Tenant]
 	ticket, why, after := s.admit(svc, class, tenant, bytes)
 	if why != "" {
-		svc.figures.Ended(class, metrics.Refused)
+		svc.figures.CountRequest(class, metrics.Rejected)
 		policy.Count(false)
 		svc.leave()
 		return nil, &frontend.Turned{What: why, After: max(after, time.Second)}
@@ -245,10 +245,10 @@
 	svc.figures.InFlight.Add(1)
 	out := &frontend.Service{Engine: svc.engine, Class: class, Tenant: tenant, Unsafe: svc.module.Classes[class].Idempotency != decision.Idempotent}
 	var took time.Duration
-	out.Ended = func(end engine.End, t time.Duration) {
+	out.Ended = func(end engine.Outcome, t time.Duration) {
 		took = t
 		policy.Count(end == engine.Served)
-		svc.figures.Ended(class, map[engine.End]metrics.Outcome{engine.Served: metrics.Served, engine.Refused: metrics.Refused, engine.Failed: metrics.Failed}[end])
+		svc.figures.CountRequest(class, map[engine.Outcome]metrics.Outcome{engine.Served: metrics.Served, engine.Rejected: metrics.Rejected, engine.Failed: metrics.Failed}[end])
 	}
 	out.Leave = func() {
 		svc.figures.InFlight.Add(-1)
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -46,8 +46,8 @@
 
 // List and Member are the servers as the engine knows them.
 type (
-	List   = engine.List
-	Member = engine.Member
+	List   = engine.EndpointList
+	Member = engine.Endpoint
 )
 
 func backendID(name string) decision.BackendID { return engine.BackendID(name) }
@@ -86,7 +86,7 @@
 		if !(e.Started >= 0 && e.Started < latest) {
 			return List{}, fmt.Errorf("instance %q: startedAtMs %v is no time", e.ID, e.Started)
 		}
-		list.Members = append(list.Members, Member{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind,
+		list.Endpoints = append(list.Endpoints, Member{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind,
 			Cell: e.Cell, State: state, Weight: e.Weight,
 			Started: time.Duration(e.Started * float64(time.Millisecond))})
 	}
@@ -182,7 +182,7 @@
 			d.log.Warn("a watch has fallen silent and is begun anew", "addr", d.addr, "version", from, "held", hold)
 			continue
 		}
-		again := err == nil && !list.Full && list.Past(from)
+		again := err == nil && !list.Full && list.OlderThan(from)
 		if again {
 			// Danger: it has begun anew and counts from the start. Its changes would be taken for past ones until it has
 			// counted as far as the one before it.
@@ -192,7 +192,7 @@
 		if err != nil {
 			return err
 		}
-		nothing := again || list.Version == from || !list.Full && len(list.Members) == 0
+		nothing := again || list.Version == from || !list.Full && len(list.Endpoints) == 0
 		from = list.Version
 		tell(list)
 		if look || !nothing || time.Since(began) >= hold/2 {
@@ -344,14 +344,14 @@
 
 func (s selected) pick(list List) List {
 	out := List{Version: list.Version, Full: list.Full}
-	for _, m := range list.Members {
+	for _, m := range list.Endpoints {
 		if len(s.spec.Kinds) > 0 && !slices.Contains(s.spec.Kinds, m.Kind) || len(s.spec.Cells) > 0 && !slices.Contains(s.spec.Cells, m.Cell) {
 			if list.Full {
 				continue
 			}
 			m.State = decision.Removed
 		}
-		out.Members = append(out.Members, m)
+		out.Endpoints = append(out.Endpoints, m)
 	}
 	return out
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -184,26 +184,26 @@
 		svc.figures.InFlight.Add(1)
 		defer svc.figures.InFlight.Add(-1)
 	}
-	svc.engine.Post(func() { svc.engine.Take(&req.Exchange) })
+	svc.engine.Post(func() { svc.engine.Submit(&req.Request) })
 	var failed chan error
 	if u != nil {
 		failed = u.failed
 	}
 	select {
 	case a := <-req.Result():
-		if a.End == engine.Served {
+		if a.Outcome == engine.Served {
 			guest.noteServed()
 			req.took = time.Since(taken)
 		}
 		f.answer(w, req, u, a)
 	case err := <-failed:
-		req.Leave()
-		svc.engine.Post(func() { svc.engine.Gone(&req.Exchange) })
+		req.Abandon()
+		svc.engine.Post(func() { svc.engine.ClientGone(&req.Request) })
 		u.stop()
 		f.turnAway(w, req, unread(err))
 	case <-r.Context().Done():
-		req.Leave()
-		svc.engine.Post(func() { svc.engine.Gone(&req.Exchange) })
+		req.Abandon()
+		svc.engine.Post(func() { svc.engine.ClientGone(&req.Request) })
 		// Danger: the server words a handler's silence as an empty 200, and who has closed only its sending would read that.
 		w.Header().Set("Connection", "close")
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(f.writeTimeout))
@@ -255,7 +255,7 @@
 		deadlines.SetReadDeadline(time.Time{})
 		now := svc.clock.Now()
 		svc.figures.InFlight.Add(1)
-		go svc.engine.Post(func() { svc.engine.Whole(&req.Exchange, now) }) // Danger: the engine may ask for the lock that is held here
+		go svc.engine.Post(func() { svc.engine.BodyComplete(&req.Request, now) }) // Danger: the engine may ask for the lock that is held here
 	}
 	req.message.upload = u
 	return nil
@@ -292,7 +292,7 @@
 		return
 	}
 	// Danger: of what comes late in a drain a long answer may be cut off by the process's end, and be lost.
-	if f.conns.isLate(f.clock.Now() - req.service.clock.Now() + req.Came()) {
+	if f.conns.isLate(f.clock.Now() - req.service.clock.Now() + req.ReceivedAt()) {
 		stream.End(errGone)
 		req.ended(metrics.Failed)
 		write(w, answer{status: http.StatusBadGateway})
@@ -331,7 +331,7 @@
 	case http.StatusOK:
 		return metrics.Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return metrics.Refused
+		return metrics.Rejected
 	}
 	return metrics.Failed
 }
@@ -437,10 +437,10 @@
 	timeout := min(time.Duration(ms)*time.Millisecond, longTimeout)
 	tenant, _ := named(svc.tenants, h.Get("X-Tenant-Id"))
 	m := &message{method: r.Method, host: r.Host, url: *r.URL, header: forwarded(h)}
-	req := &request{message: m, service: svc, old: !r.ProtoAtLeast(1, 1), Exchange: engine.Exchange{Message: m, Class: class, Tenant: tenant,
-		Key: keyHash(r.URL.Query().Get("key")), Cost: hint(h.Get("X-Cost")), Repeat: h.Get("X-Retried") == "1",
+	req := &request{message: m, service: svc, old: !r.ProtoAtLeast(1, 1), Request: engine.Request{Message: m, Class: class, Tenant: tenant,
+		Key: keyHash(r.URL.Query().Get("key")), ExpectedWork: hint(h.Get("X-Cost")), MarkedRetry: h.Get("X-Retried") == "1",
 		Timeout: timeout - min(answerRoom, timeout/roomPart)}}
-	req.Open()
+	req.Init()
 	return req, nil
 }
 
@@ -499,7 +499,7 @@
 // request is an exchange with the message that it carries.
 type request struct {
 	policy *client.Taken // that it is decided under; nil without a fleet
-	engine.Exchange
+	engine.Request
 	message *message
 	service *service
 	old     bool          // its client has HTTP/1.0: an answer of no told length ends with the connection
@@ -516,10 +516,10 @@
 // worded puts a result into HTTP.
 func worded(r engine.Result) answer {
 	switch {
-	case r.End == engine.Served:
-		body, _ := r.Answer.([]byte)
+	case r.Outcome == engine.Served:
+		body, _ := r.Response.([]byte)
 		return answer{status: http.StatusOK, body: body}
-	case r.End == engine.Refused:
+	case r.Outcome == engine.Rejected:
 		return answer{status: http.StatusServiceUnavailable, retryAfter: r.RetryAfter}
 	case r.TimedOut:
 		return answer{status: http.StatusGatewayTimeout}
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -34,8 +34,8 @@
 
 func frozenMemory() learned {
 	return learned{
-		Lists: map[string]guardedsource.Held{"10.0.0.1:8500": {At: frozenTime, List: engine.List{Version: 41, Full: true,
-			Members: []engine.Member{
+		Lists: map[string]guardedsource.CachedList{"10.0.0.1:8500": {AnsweredAt: frozenTime, Endpoints: engine.EndpointList{Version: 41, Full: true,
+			Endpoints: []engine.Endpoint{
 				{ID: "s-1", Addr: "10.0.1.1:80", Zone: "z1", Kind: "large", Cell: 3, State: decision.Ready, Weight: 1.5,
 					Started: frozenTime - time.Hour},
 				{ID: "s-2", Addr: "10.0.1.2:80", Zone: "z2", Kind: "small", Cell: 4, State: decision.Draining, Weight: 0.5,
@@ -69,7 +69,7 @@
 	}
 	compareWithKept(t, kept, readFile(t, again), false)
 	list := m.known("10.0.0.1:8500", List{Version: 40, Full: true})
-	if list.Version != 41 || len(list.Members) != 2 || m.age("10.0.0.1:8500") <= 0 {
+	if list.Version != 41 || len(list.Endpoints) != 2 || m.age("10.0.0.1:8500") <= 0 {
 		t.Errorf("the list to start with: %+v", list)
 	}
 	if got := m.recall("orders"); got == nil || got.RequestRate != 12.5 || m.recall("orders") != nil {
@@ -101,18 +101,18 @@
 // The reports that the console shows keep their keys and their order.
 func TestFrozenReports(t *testing.T) {
 	own := metrics.New([]string{"fetch-work", "hand-in"})
-	own.Ended(0, metrics.Served)
-	own.Ended(1, metrics.Refused)
-	own.Ended(1, metrics.Failed)
+	own.CountRequest(0, metrics.Served)
+	own.CountRequest(1, metrics.Rejected)
+	own.CountRequest(1, metrics.Failed)
 	for i, counter := range []interface{ Store(int64) }{&own.Attempts, &own.InFlight, &own.BackendsKnown, &own.BackendsExcluded,
-		&own.ReloadsOK, &own.ReloadsFailed, &own.ListsBad} {
+		&own.ReloadsOK, &own.ReloadsFailed, &own.InvalidLists} {
 		counter.Store(int64(i + 11))
 	}
 	peers := []node.Status{{Host: "a.example", Addr: "10.0.0.9:3868", State: "open", Well: true, InHand: 1, Outstanding: 2}, {}}
 	comeback := struct {
 		guardedsource.Report
 		Memory *memoryReport `json:"memory,omitempty"`
-	}{guardedsource.Report{Counts: guardedsource.Counts{Calls: 1, Failed: 2, Later: 3}, FailedInARow: 4, Doubted: 5, Kept: 6, Back: 7,
+	}{guardedsource.Report{CallStats: guardedsource.CallStats{Calls: 1, Failed: 2, Deferred: 3}, ConsecutiveFailures: 4, SuspectLists: 5, Retained: 6, Returned: 7,
 		Dropped: 8, Missing: 9}, &memoryReport{Recalled: "yes", AgeS: 1.5, Written: 2, Failed: 3, Why: "disk"}}
 	door := doorReport{Report: admission.Report{Places: 1, Open: 2, Known: 3, Waiting: 4, Bytes: 5, Crowded: 6,
 		Refused: map[string]int64{"full": 7}, Blocks: map[string]int{"10.0.0.0/8": 8},
@@ -128,7 +128,7 @@
 		}
 		all.Write(append(text, '\n'))
 	}
-	sum, err := metrics.Sum(own, map[string]*metrics.Figures{}, map[string]any{"requests": 3})
+	sum, err := metrics.MarshalTotals(own, map[string]*metrics.Counters{}, map[string]any{"requests": 3})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -75,8 +75,8 @@
 		}
 	}
 	after := sharing(t, held.(*net.TCPListener), dir, known)
-	eventually(t, "the old process is not told of the new one", before.proxy.store.Succeeded)
-	if after.proxy.store.Succeeded() {
+	eventually(t, "the old process is not told of the new one", before.proxy.store.Superseded)
+	if after.proxy.store.Superseded() {
 		t.Error("the new process takes the old one for its successor")
 	}
 	comes(20)
