--- a/internal/proxy/late_test.go
+++ b/internal/proxy/late_test.go
@@ -35,7 +35,7 @@
 	} {
 		late = false
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second) // should it go out
-		a := engine.Attempt{Message: m, Timeout: time.Second, May: func() (time.Time, bool) { return time.Time{}, !late }}
+		a := engine.Attempt{Message: m, Timeout: time.Second, MaySend: func() (time.Time, bool) { return time.Time{}, !late }}
 		if result, _ := p.Find(backendID("a")).Exchange(ctx, a); result != decision.NotSent {
 			t.Errorf("%s: ended as %v", name, result)
 		}
@@ -63,7 +63,7 @@
 		t.Fatalf("at first: %v", result)
 	}
 	looks := 0
-	a := engine.Attempt{Message: testMessage("GET", nil), Timeout: time.Second, May: func() (time.Time, bool) { looks++; return time.Time{}, false }}
+	a := engine.Attempt{Message: testMessage("GET", nil), Timeout: time.Second, MaySend: func() (time.Time, bool) { looks++; return time.Time{}, false }}
 	if result, _ := p.Find(backendID("a")).Exchange(t.Context(), a); result != decision.NotSent || looks != 1 {
 		t.Errorf("ended as %v after %d looks", result, looks)
 	}
@@ -98,7 +98,7 @@
 		return c, err
 	}
 	a := engine.Attempt{Message: testMessage("POST", make([]byte, bodyBytes)), Timeout: patience,
-		May: func() (time.Time, bool) { return time.Now().Add(30 * time.Millisecond), true }}
+		MaySend: func() (time.Time, bool) { return time.Now().Add(30 * time.Millisecond), true }}
 	ended := make(chan decision.Result, 1)
 	go func() {
 		result, _ := p.Find(backendID("a")).Exchange(t.Context(), a)
@@ -135,7 +135,7 @@
 		time.AfterFunc(time.Until(by)+10*time.Millisecond, func() { close(over) })
 		return by, true
 	}
-	a := engine.Attempt{Message: testMessage("POST", []byte("body")), Timeout: patience, May: may}
+	a := engine.Attempt{Message: testMessage("POST", []byte("body")), Timeout: patience, MaySend: may}
 	if result, body := p.Find(backendID("a")).Exchange(t.Context(), a); result != decision.OK || string(body.([]byte)) != "fine" {
 		t.Errorf("ended as %v", result)
 	}
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -19,8 +19,8 @@
 
 // learned is what a process knows that the next one could use.
 type learned struct {
-	Lists    map[string]guardedsource.Held `json:"lists"`    // by the register's address
-	Services map[string]decision.Snapshot  `json:"services"` // by name; the only one has none
+	Lists    map[string]guardedsource.CachedList `json:"lists"`    // by the register's address
+	Services map[string]decision.Snapshot        `json:"services"` // by name; the only one has none
 }
 
 // memory keeps what this process has learned, and tells what the one before it had.
@@ -66,7 +66,7 @@
 	old := func(at time.Duration) bool { return at > now || now-at > m.most }
 	dropped, newest := false, time.Duration(0)
 	for addr, h := range m.before.Lists {
-		if old(h.At) {
+		if old(h.AnsweredAt) {
 			delete(m.before.Lists, addr)
 		}
 	}
@@ -90,8 +90,8 @@
 func (m *memory) known(addr string, told List) List {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if h, any := m.before.Lists[addr]; any && len(h.List.Members) > 0 && !h.List.Past(told.Version) {
-		return h.List
+	if h, any := m.before.Lists[addr]; any && len(h.Endpoints.Endpoints) > 0 && !h.Endpoints.OlderThan(told.Version) {
+		return h.Endpoints
 	}
 	return told
 }
@@ -103,8 +103,8 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if h, any := m.before.Lists[addr]; any && h.At > 0 {
-		return m.now() - h.At
+	if h, any := m.before.Lists[addr]; any && h.AnsweredAt > 0 {
+		return m.now() - h.AnsweredAt
 	}
 	return -1
 }
@@ -132,16 +132,16 @@
 			return
 		}
 		timer.Reset(m.every)
-		if p.store.Succeeded() {
+		if p.store.Superseded() {
 			continue
 		}
 		now := p.services.now.Load()
 		if now == nil {
 			continue
 		}
-		l := learned{Lists: p.comeback.Held(), Services: map[string]decision.Snapshot{}}
+		l := learned{Lists: p.comeback.CachedLists(), Services: map[string]decision.Snapshot{}}
 		for name, svc := range now.byName {
-			if s, ok := svc.engine.Remember(); ok {
+			if s, ok := svc.engine.Snapshot(); ok {
 				l.Services[name] = s
 			}
 		}
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -30,7 +30,7 @@
 func (r *roster) add(list List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, m := range list.Members {
+	for _, m := range list.Endpoints {
 		if r.names[m.ID] {
 			continue
 		}
@@ -189,13 +189,13 @@
 // order writes down that a backend is out by hand, or no more, and has the loop look.
 func (o operator) order(id string, out bool) error {
 	known := o.services.listed(id)
-	for _, name := range o.store.Out() { // by the process before, which may have known it alone
+	for _, name := range o.store.Detached() { // by the process before, which may have known it alone
 		known = known || name == id
 	}
 	if !known {
 		return fmt.Errorf("no backend %.64q was ever listed", id)
 	}
-	if err := o.store.Change(id, out); err != nil { // it holds here all the same
+	if err := o.store.SetDetached(id, out); err != nil { // it holds here all the same
 		o.log.Error("an order that the next process will not know", "backend", id, "err", err)
 	}
 	o.services.wake()
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -84,7 +84,7 @@
 }
 
 func TestOutcomeOf(t *testing.T) {
-	for status, want := range map[int]metrics.Outcome{200: metrics.Served, 429: metrics.Refused, 503: metrics.Refused,
+	for status, want := range map[int]metrics.Outcome{200: metrics.Served, 429: metrics.Rejected, 503: metrics.Rejected,
 		502: metrics.Failed, 504: metrics.Failed, 400: metrics.Failed, 413: metrics.Failed} {
 		if got := outcomeOf(status); got != want {
 			t.Errorf("%d counts as %v, want %v", status, got, want)
@@ -95,12 +95,12 @@
 // Only what was listed can be taken out, also long after it has left; of very many names the oldest are forgotten.
 func TestTheRosterIsBounded(t *testing.T) {
 	r := newRoster()
-	r.add(List{Members: []Member{{ID: "first"}}})
+	r.add(List{Endpoints: []Member{{ID: "first"}}})
 	if !r.listed("first") || r.listed("other") {
 		t.Error("it does not know what was listed")
 	}
 	for i := range mostNames {
-		r.add(List{Members: []Member{{ID: fmt.Sprint(i)}}})
+		r.add(List{Endpoints: []Member{{ID: fmt.Sprint(i)}}})
 	}
 	if r.listed("first") || !r.listed("0") || len(r.names) != mostNames || len(r.order) != mostNames {
 		t.Errorf("%d names are remembered", len(r.names))
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -64,7 +64,7 @@
 
 // ended counts a request, and whether it went well under the policy that it was decided under.
 func (r *request) ended(o metrics.Outcome) {
-	r.service.figures.Ended(r.Class, o)
+	r.service.figures.CountRequest(r.Class, o)
 	r.policy.Count(o == metrics.Served)
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -27,8 +27,8 @@
 type Proxy struct {
 	cfg     Config
 	log     *slog.Logger
-	reloads chan Config      // holds the newest that was not taken in yet
-	own     *metrics.Figures // of the only service, and of the process where there are several
+	reloads chan Config       // holds the newest that was not taken in yet
+	own     *metrics.Counters // of the only service, and of the process where there are several
 	store   *hotrestart.Store
 	conns   *clientConns
 
@@ -37,7 +37,7 @@
 	fleet    atomic.Pointer[client.Link]     // nil is no budget beyond this process
 	policies atomic.Pointer[client.Policies] // nil is no policy beyond the file of services
 	view     atomic.Pointer[freshness.Link]  // nil weighs nothing
-	comeback *guardedsource.Plan             // nil believes all, and asks at once
+	comeback *guardedsource.Coordinator      // nil believes all, and asks at once
 	memory   *memory                         // nil remembers nothing
 	ready    atomic.Bool                     // it takes clients
 
@@ -107,7 +107,7 @@
 func (p *Proxy) watchShare() (follow func(ctx context.Context)) {
 	shared := false
 	look := func(first bool) {
-		now := !p.store.Alone() || p.store.Succeeded()
+		now := !p.store.OnlyProcess() || p.store.Superseded()
 		if now == shared && !first {
 			return
 		}
@@ -272,9 +272,9 @@
 			return fmt.Errorf("settings: %w", err)
 		}
 		seed := p.cfg.Seed ^ uint64(backendID(p.cfg.Name)) // two proxies of one seed must not ask in step
-		p.comeback = guardedsource.NewPlan(f, max(1, p.cfg.Module.Instances), seed, engine.NewClock().Now, p.log).Within(p.cfg.pace.rest)
-		if path := p.store.Path("memory"); f.Memory != nil && path != "" {
-			p.memory = openMemory(path, f.Every(), f.Oldest())
+		p.comeback = guardedsource.NewCoordinator(f, max(1, p.cfg.Module.Instances), seed, engine.NewClock().Now, p.log).LimitBackoff(p.cfg.pace.rest)
+		if path := p.store.Path("memory"); f.Snapshot != nil && path != "" {
+			p.memory = openMemory(path, f.SnapshotInterval(), f.SnapshotMaxAge())
 			p.cfg.Known = p.memory.known(p.cfg.Discovery, p.cfg.Known)
 			p.log.Info("what the process before has learned", "recalled", p.memory.report.Recalled, "age_s", p.memory.report.AgeS)
 		}
@@ -292,7 +292,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	f := newFrontend(p.services, &p.cfg, p.log, p.conns)
-	p.log.Info("serving", "listen", accepting.Addr().String(), "backends", len(p.cfg.Known.Members))
+	p.log.Info("serving", "listen", accepting.Addr().String(), "backends", len(p.cfg.Known.Endpoints))
 
 	var running sync.WaitGroup
 	running.Go(func() { p.followPolicy(inner) })
@@ -301,7 +301,7 @@
 	follow := p.watchShare()
 	running.Go(func() { follow(inner) })
 	running.Go(func() {
-		p.store.Follow(inner, followEvery, p.services.wake, func(err error) {
+		p.store.Watch(inner, followEvery, p.services.wake, func(err error) {
 			p.log.Error("what the other process has written can't be read", "err", err)
 		})
 	})
@@ -315,7 +315,7 @@
 	served := make(chan error, 1)
 	go func() { served <- f.serve(accepting) }()
 	p.ready.Store(true)
-	if err := p.store.Serve(); err != nil {
+	if err := p.store.MarkServing(); err != nil {
 		p.log.Error("the process before can't be told", "err", err)
 	}
 	select {
@@ -327,7 +327,7 @@
 		if p.diameter != nil { // the engines must outlive both
 			both.Go(p.diameter.drain)
 		}
-		f.drain(accepting, p.cfg.PassedSocket != "" && p.store.Succeeded())
+		f.drain(accepting, p.cfg.PassedSocket != "" && p.store.Superseded())
 		both.Wait()
 		err = <-served
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -493,7 +493,7 @@
 		}
 	}
 	list, err := parseList([]byte(listText(7, false, memberText("a", "", "left"))))
-	if err != nil || list.Version != 7 || list.Full || list.Members[0].State != decision.Removed {
+	if err != nil || list.Version != 7 || list.Full || list.Endpoints[0].State != decision.Removed {
 		t.Errorf("a change: %+v, %v", list, err)
 	}
 }
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -39,7 +39,7 @@
 	module  decision.Config
 	classes map[string]int
 	tenants map[string]int
-	figures *metrics.Figures
+	figures *metrics.Counters
 	pool    *pool
 	roster  *roster
 	gate    *processquota.Gate // of its share of the process; nil for the only one
@@ -116,13 +116,13 @@
 	policyRoutes bool            // routes come from the fleet's policy, once there is one
 	discovery    string          // the process's, as of the last change
 	ctx          context.Context // of all services
-	registers    *discovery.Hubs
+	registers    *discovery.Registry
 	requests     *admission.RequestSettings // of each service; nil is none
 }
 
 func newServices(p *Proxy) *services {
 	s := &services{p: p, limits: limiter.New(engine.NewClock().Now)}
-	s.registers = discovery.NewHubs(p.cfg.pace.rest, func(addr string) engine.Source { return s.ask(addr, addr) })
+	s.registers = discovery.NewRegistry(p.cfg.pace.rest, func(addr string) engine.Source { return s.ask(addr, addr) })
 	return s
 }
 
@@ -130,7 +130,7 @@
 // also where it moves.
 func (s *services) ask(name, addr string) engine.Source {
 	d := newDiscovery(addr, s.p.cfg.pace, s.p.log)
-	d.bad = func() { s.p.own.ListsBad.Add(1) }
+	d.bad = func() { s.p.own.InvalidLists.Add(1) }
 	var asked engine.Source = d
 	if view := s.p.view.Load(); view != nil { // before the rules of coming back: it weighs what the register said, not what of it is believed
 		asked = view.Wrap(viewOf(name), d.pace.hold, d, s.knownAt(addr), s.p.memory.age(addr))
@@ -139,7 +139,7 @@
 		return asked
 	}
 	w := s.p.comeback.Wrap(name, asked, s.knownAt(addr))
-	d.hold = func() time.Duration { return w.Hold(d.pace.hold) }
+	d.hold = func() time.Duration { return w.WatchTimeout(d.pace.hold) }
 	return w
 }
 
@@ -162,7 +162,7 @@
 	if addr != s.p.cfg.Discovery {
 		return List{}
 	}
-	return List{Version: s.p.cfg.Known.Version, Full: true, Members: s.p.cfg.Known.Members}
+	return List{Version: s.p.cfg.Known.Version, Full: true, Endpoints: s.p.cfg.Known.Endpoints}
 }
 
 // several tells whether there are routes to services, rather than one that has all.
@@ -302,7 +302,7 @@
 	var all sync.WaitGroup
 	for _, svc := range began {
 		all.Go(func() {
-			passed, asked := svc.engine.Vet(ctx)
+			passed, asked := svc.engine.CheckReadiness(ctx)
 			s.p.log.Info("a new service begins", "service", svc.name, "probed", asked, "passed", passed)
 		})
 	}
@@ -364,7 +364,7 @@
 	svc.engine.Post(func() {
 		if discovery != svc.engine.Source().Addr() {
 			source, _ := s.source(discovery, &svc.spec)
-			svc.engine.MoveTo(source)
+			svc.engine.SwitchSource(source)
 			svc.follow(discovery)
 		}
 	})
@@ -377,7 +377,7 @@
 	if spec.Name == "" {
 		return s.ask("", addr), known
 	}
-	follower := s.registers.Join(addr, known)
+	follower := s.registers.Subscribe(addr, known)
 	known, _ = follower.List()
 	if len(spec.Kinds) == 0 && len(spec.Cells) == 0 {
 		return follower, known
@@ -387,7 +387,7 @@
 }
 
 // newService starts an engine with connections of its own.
-func (s *services) newService(ctx context.Context, discovery string, spec config.Service, module decision.Config, fig *metrics.Figures) (*service, error) {
+func (s *services) newService(ctx context.Context, discovery string, spec config.Service, module decision.Config, fig *metrics.Counters) (*service, error) {
 	svc := &service{name: spec.Name, spec: spec, module: module, figures: fig, roster: newRoster(),
 		idle: make(chan struct{}, 1), ended: make(chan struct{})}
 	var classes, tenants []string
@@ -436,7 +436,7 @@
 		}
 		up = svc.diameter
 	}
-	var fleetBudget engine.Budget // stays nil where nothing covers the service
+	var fleetBudget engine.Quota // stays nil where nothing covers the service
 	if link := s.p.fleet.Load(); link != nil {
 		svc.pool.fleet = true
 		sight, err := link.Sight(spec.Name, classes, tenants)
@@ -448,7 +448,7 @@
 		}
 	}
 	source, known := s.source(discovery, &spec)
-	var view engine.View // stays nil where nothing is weighed
+	var view engine.Freshness // stays nil where nothing is weighed
 	if link := s.p.view.Load(); link != nil {
 		svc.sight = link.Sight(module.Classes)
 		svc.follow(discovery)
@@ -458,9 +458,9 @@
 	if s.p.memory != nil {
 		recall = s.p.memory.recall(spec.Name)
 	}
-	svc.engine, err = engine.New(engine.Options{Module: module, Seed: seed, Known: known, Recall: recall, Repeat: svc.mayRepeat(s.limits), Budget: fleetBudget, View: view, Zones: s.p.cfg.Zones, Kinds: s.p.cfg.Kinds,
-		Upstream: up, Source: source, Log: s.p.log, Out: s.p.store.Out, Wake: svc.roster.wake, Listed: svc.roster.add,
-		Census: func(known, excluded int) {
+	svc.engine, err = engine.New(engine.Options{Decision: module, Seed: seed, InitialEndpoints: known, Snapshot: recall, AllowRetry: svc.mayRepeat(s.limits), Quota: fleetBudget, Freshness: view, Zones: s.p.cfg.Zones, Kinds: s.p.cfg.Kinds,
+		Upstream: up, Source: source, Log: s.p.log, Detached: s.p.store.Detached, DetachedChanged: svc.roster.wake, OnEndpoints: svc.roster.add,
+		OnBackendCount: func(known, excluded int) {
 			fig.BackendsKnown.Store(int64(known))
 			fig.BackendsExcluded.Store(int64(excluded))
 		}})
@@ -651,18 +651,18 @@
 }
 
 type allFigures struct {
-	own    *metrics.Figures
+	own    *metrics.Counters
 	byName map[string]*service
 	limits *limiter.Limits
 }
 
 // MarshalJSON gives the sums in the form of one service, and each service's own beside them.
 func (a allFigures) MarshalJSON() ([]byte, error) {
-	all := map[string]*metrics.Figures{}
+	all := map[string]*metrics.Counters{}
 	for name, svc := range a.byName {
 		all[name] = svc.figures
 	}
-	return metrics.Sum(a.own, all, a.limits.Report())
+	return metrics.MarshalTotals(a.own, all, a.limits.Report())
 }
 
 // share is a service's part of the connections to backends.
--- a/internal/proxy/services_test.go
+++ b/internal/proxy/services_test.go
@@ -326,12 +326,12 @@
 // Of a list the service sees its part; what moves out of it is gone.
 func TestSelectedLists(t *testing.T) {
 	sel := selected{spec: twoKinds()}
-	got := sel.pick(List{Full: true, Members: []Member{{ID: "a", Kind: "fast-5", Cell: 1}, {ID: "b", Kind: "slow-5", Cell: 1}, {ID: "c", Kind: "fast-5", Cell: 2}}})
-	if len(got.Members) != 1 || got.Members[0].ID != "a" {
+	got := sel.pick(List{Full: true, Endpoints: []Member{{ID: "a", Kind: "fast-5", Cell: 1}, {ID: "b", Kind: "slow-5", Cell: 1}, {ID: "c", Kind: "fast-5", Cell: 2}}})
+	if len(got.Endpoints) != 1 || got.Endpoints[0].ID != "a" {
 		t.Errorf("whole list: %+v", got)
 	}
-	got = sel.pick(List{Members: []Member{{ID: "a", Kind: "slow-5", Cell: 1, State: 1}}})
-	if len(got.Members) != 1 || got.Members[0].State != 0 {
+	got = sel.pick(List{Endpoints: []Member{{ID: "a", Kind: "slow-5", Cell: 1, State: 1}}})
+	if len(got.Endpoints) != 1 || got.Endpoints[0].State != 0 {
 		t.Errorf("a change: %+v", got)
 	}
 }
--- a/internal/proxy/slopes_test.go
+++ b/internal/proxy/slopes_test.go
@@ -42,8 +42,8 @@
 			part := selected{nil, config.Service{Kinds: []string{"kind-0007"}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				if got := part.pick(list); len(got.Members) != 38 {
-					b.Fatal(len(got.Members))
+				if got := part.pick(list); len(got.Endpoints) != 38 {
+					b.Fatal(len(got.Endpoints))
 				}
 			}
 		})
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -31,7 +31,7 @@
 	errEarly  = errors.New("the backend has answered before the body's end")
 	errClient = errors.New("reading the body")
 	errSpent  = errors.New("the body has passed by")
-	errGone   = engine.ErrGone
+	errGone   = engine.ErrAbandoned
 )
 
 // upload is a long body on its way: what was read ahead of it can be sent again, the rest only once.
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -225,14 +225,14 @@
 func (l *learner) Update(list List) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, m := range list.Members {
+	for _, m := range list.Endpoints {
 		if m.State == decision.Draining && l.at.IsZero() {
 			l.at = time.Now()
 		}
 	}
 }
-func (l *learner) Find(decision.BackendID) engine.Peer { return nil }
-func (l *learner) Release(decision.BackendID)          {}
+func (l *learner) Find(decision.BackendID) engine.Backend { return nil }
+func (l *learner) Release(decision.BackendID)             {}
 
 // Whatever call for the list has failed, been refused or been given up, and for however long: a drain is learnt well within the
 // 6 s after which it counts as told from when discovery can be reached, and within its grace where lists are pushed. What that
@@ -276,18 +276,18 @@
 	var asked engine.Source = d
 	switch by {
 	case "hub":
-		asked = discovery.NewHubs(p.rest, func(string) engine.Source { return d }).Join(d.addr, known)
+		asked = discovery.NewRegistry(p.rest, func(string) engine.Source { return d }).Subscribe(d.addr, known)
 	case "comeback":
 		f, err := guardedsource.Parse("comeback.toml", []byte("version = 1\n[calls]\nrate = 4.0\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := guardedsource.NewPlan(f, m.Instances, uint64(phase), engine.NewClock().Now, log).Within(p.rest).Wrap("", d, known)
-		d.hold = func() time.Duration { return w.Hold(p.hold) }
+		w := guardedsource.NewCoordinator(f, m.Instances, uint64(phase), engine.NewClock().Now, log).LimitBackoff(p.rest).Wrap("", d, known)
+		d.hold = func() time.Duration { return w.WatchTimeout(p.hold) }
 		down += 20 * time.Second // which is how long it holds them
 		asked = w
 	}
-	e, err := engine.New(engine.Options{Module: m, Seed: uint64(phase), Known: known, Upstream: up, Source: asked, Log: log})
+	e, err := engine.New(engine.Options{Decision: m, Seed: uint64(phase), InitialEndpoints: known, Upstream: up, Source: asked, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -334,7 +334,7 @@
 		d := newDiscovery("register.test:1", paceFor(&m), slog.New(slog.DiscardHandler))
 		d.dial = reg.dial(time.Second)
 		known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
-		e, err := engine.New(engine.Options{Module: m, Known: known, Upstream: up, Source: d})
+		e, err := engine.New(engine.Options{Decision: m, InitialEndpoints: known, Upstream: up, Source: d})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -538,8 +538,8 @@
 			}
 			reg.turn(well)
 			p.avoids(t, onA)
-			if bad := p.proxy.own.ListsBad.Load() > 0; bad != (what == half || what == garbled || what == endless) {
-				t.Errorf("%d bad lists are counted", p.proxy.own.ListsBad.Load())
+			if bad := p.proxy.own.InvalidLists.Load() > 0; bad != (what == half || what == garbled || what == endless) {
+				t.Errorf("%d bad lists are counted", p.proxy.own.InvalidLists.Load())
 			}
 		})
 	}
@@ -620,7 +620,7 @@
 			at := func(addr string) *discoveryClient {
 				return newDiscovery(addr, paceFor(&m), slog.New(slog.DiscardHandler))
 			}
-			e, err := engine.New(engine.Options{Module: m, Seed: seed, Known: known, Upstream: &learner{}, Source: at(a)})
+			e, err := engine.New(engine.Options{Decision: m, Seed: seed, InitialEndpoints: known, Upstream: &learner{}, Source: at(a)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -628,7 +628,7 @@
 			ended := make(chan struct{})
 			go func() { e.Run(ctx); close(ended) }()
 			skipped := at(b)
-			e.Post(func() { e.MoveTo(skipped); e.MoveTo(at(c)) })
+			e.Post(func() { e.SwitchSource(skipped); e.SwitchSource(at(c)) })
 			for start := time.Now(); third.made() == 0; time.Sleep(time.Millisecond) {
 				if time.Since(start) > patience {
 					t.Fatal("the last one is not asked")
--- a/internal/supervisor/duty.go
+++ b/internal/supervisor/duty.go
@@ -11,33 +11,33 @@
 // StuckAfter is for how long a duty may be without a beat. MostStuck is how many that were given up may be alive before
 // another one is begun only as they end: each holds a goroutine.
 const (
-	StuckAfter = 8 * time.Second
-	MostStuck  = 3
-	rest       = 100 * time.Millisecond // before one that ended is begun anew
+	StuckAfter   = 8 * time.Second
+	MaxStuck     = 3
+	restartDelay = 100 * time.Millisecond // before one that ended is begun anew
 )
 
-// Duty is one piece of work. All fields are set before Run.
-type Duty struct {
-	Clock func() time.Duration                         // only goes forward
-	Begin func() uint64                                // called before each; what it gives tells this one from those before
-	Body  func(ctx context.Context, generation uint64) // beats until ctx ends
-	Died  func(cause any, stack []byte)
-	Stuck func(since time.Duration)
-	Last  time.Duration // that Body has once ctx has ended
+// Task is one piece of work. All fields are set before Run.
+type Task struct {
+	Clock         func() time.Duration                         // only goes forward
+	OnStart       func() uint64                                // called before each; what it gives tells this one from those before
+	Work          func(ctx context.Context, generation uint64) // beats until ctx ends
+	OnPanic       func(cause any, stack []byte)
+	OnStuck       func(since time.Duration)
+	ShutdownGrace time.Duration // that Body has once ctx has ended
 
-	beat atomic.Int64
+	lastHeartbeat atomic.Int64
 }
 
-// Beat says that the duty goes on.
-func (d *Duty) Beat() { d.beat.Store(int64(d.Clock())) }
+// Heartbeat says that the duty goes on.
+func (d *Task) Heartbeat() { d.lastHeartbeat.Store(int64(d.Clock())) }
 
 // Run has the work done until ctx ends.
-func (d *Duty) Run(ctx context.Context) {
+func (d *Task) Run(ctx context.Context) {
 	var alive atomic.Int64
 	for ctx.Err() == nil {
 		inner, cancel := context.WithCancel(ctx)
-		generation := d.Begin()
-		d.Beat()
+		generation := d.OnStart()
+		d.Heartbeat()
 		done := make(chan struct{})
 		alive.Add(1)
 		go func() {
@@ -45,24 +45,24 @@
 			defer alive.Add(-1)
 			defer func() {
 				if r := recover(); r != nil {
-					d.Died(r, debug.Stack())
+					d.OnPanic(r, debug.Stack())
 				}
 			}()
-			d.Body(inner, generation)
+			d.Work(inner, generation)
 		}()
 		stuck := d.watch(ctx, done)
 		cancel()
-		for stuck && alive.Load() > MostStuck && ctx.Err() == nil {
+		for stuck && alive.Load() > MaxStuck && ctx.Err() == nil {
 			Sleep(ctx, time.Second)
 		}
 		if !stuck {
-			Sleep(ctx, rest)
+			Sleep(ctx, restartDelay)
 		}
 	}
 }
 
 // watch waits until the duty has ended, is stuck, or ctx has ended and it had time for its last word.
-func (d *Duty) watch(ctx context.Context, done <-chan struct{}) (stuck bool) {
+func (d *Task) watch(ctx context.Context, done <-chan struct{}) (stuck bool) {
 	looks := time.NewTicker(StuckAfter / 8)
 	defer looks.Stop()
 	stale := 0
@@ -71,7 +71,7 @@
 		case <-done:
 			return false
 		case <-ctx.Done():
-			last := time.NewTimer(d.Last)
+			last := time.NewTimer(d.ShutdownGrace)
 			defer last.Stop()
 			select {
 			case <-done:
@@ -79,13 +79,13 @@
 			}
 			return false
 		case <-looks.C:
-			since := d.Clock() - time.Duration(d.beat.Load())
+			since := d.Clock() - time.Duration(d.lastHeartbeat.Load())
 			if since <= StuckAfter {
 				stale = 0
 				continue
 			}
 			if stale++; stale > 1 { // once is a process that was stopped as a whole: the duty has had no turn yet
-				d.Stuck(since)
+				d.OnStuck(since)
 				return true
 			}
 		}
--- a/internal/wire/bootinfo_test.go
+++ b/internal/wire/bootinfo_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestSettings(t *testing.T) {
-	c, err := ParseBootInfo(strings.Join([]string{
+	c, err := ParseSettings(strings.Join([]string{
 		"Balancers=3", "Rank=2", "Zone=1", "Tick=5.0", "Caps.Cancel=true", "Caps.MaxAttempts=6", "Discovery=on_request",
 		"Caps.ConnectTimeout=250.0", "Extra.WarmKeys=true", "Feedback.How=on_probe",
 		"Feedback.Names=failed_ps,busy_reqs,new_one", "Weights=rough", "WorthBy=work", "Obligations.FallMultiple=2.5",
@@ -55,7 +55,7 @@
 		{"Services.count=1\nServices.0.Effect=odd", "line 2: Services.0.Effect"},
 		{"Services.count=1\nServices.0.Effect=dedup\nServices.0.Group=galaxy", "line 3: Services.0.Group"},
 	} {
-		_, err := ParseBootInfo(c.text)
+		_, err := ParseSettings(c.text)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: error %v, want %q in it", c.text, err, c.want)
 		}
@@ -68,7 +68,7 @@
 
 // A word that is new is no reason to refuse, where nothing that the rules hang on is told by it.
 func TestNewWordsThatOnlyWeighAreRead(t *testing.T) {
-	c, err := ParseBootInfo("Weights=guessed\nWorthBy=mood\nFeedback.How=by_post\nServices.count=2\n" +
+	c, err := ParseSettings("Weights=guessed\nWorthBy=mood\nFeedback.How=by_post\nServices.count=2\n" +
 		"Services.0.Effect=retryable\nServices.0.Group=galaxy\nServices.1.Effect=fragile\nServices.1.Group=galaxy")
 	if err != nil || c.Weights != decision.WeightNone || c.WeightByWork || c.Classes[0].Idempotency != decision.Idempotent ||
 		c.Classes[1].Idempotency != decision.NotIdempotent || c.Classes[1].DeduplicationScope != decision.ScopeCell {
@@ -80,7 +80,7 @@
 	f.Add("Services.count=2\nServices.1.Aim=5\n")
 	f.Add("Tick=1e9\nFeedback.How=inline\nFeedback.Names=,,\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		c, err := ParseBootInfo(text)
+		c, err := ParseSettings(text)
 		if err == nil && len(c.Classes) > maxItems {
 			t.Error("a list longer than the bound")
 		}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -13,22 +13,22 @@
 	"lapisspread/decision"
 )
 
-// Code is an event's record code.
-type Code uint8
+// EventCode is an event's record code.
+type EventCode uint8
 
 // The events.
 const (
-	Init       Code = 1
-	Membership Code = 2
-	Ask        Code = 3
-	Headers    Code = 4
-	Returned   Code = 5
-	Aborted    Code = 6
-	Elapsed    Code = 7
-	Probed     Code = 8
-	Peer       Code = 9
-	Destroy    Code = 10
-	to         Code = 11
+	Init                EventCode = 1
+	EndpointsChanged    EventCode = 2
+	RequestArrived      EventCode = 3
+	FirstByteReceived   EventCode = 4
+	AttemptEnded        EventCode = 5
+	ClientGone          EventCode = 6
+	TimerFired          EventCode = 7
+	HealthChecked       EventCode = 8
+	PeerMessageReceived EventCode = 9
+	Destroy             EventCode = 10
+	selectInstance      EventCode = 11
 )
 
 const (
@@ -52,18 +52,18 @@
 // Event is one decoded record. Which fields hold something follows from Code;
 // slices are good until the next event is decoded.
 type Event struct {
-	Code     Code
-	Instance uint16
-	Seed     uint64
-	BootInfo []byte
-	ID       decision.RequestID
-	Token    uint64
-	List     decision.EndpointUpdate
-	Request  decision.Request
-	First    decision.FirstByte
-	Outcome  decision.Outcome
-	Probe    decision.HealthCheckResult
-	Message  decision.PeerMessage
+	Code        EventCode
+	Instance    uint16
+	Seed        uint64
+	Settings    []byte
+	RequestID   decision.RequestID
+	TimerToken  uint64
+	Endpoints   decision.EndpointUpdate
+	Request     decision.Request
+	FirstByte   decision.FirstByte
+	Outcome     decision.Outcome
+	HealthCheck decision.HealthCheckResult
+	PeerMessage decision.PeerMessage
 }
 
 // ReadBatch reads a frame, using buf's space if it suffices. The error is
@@ -79,7 +79,7 @@
 	le := binary.LittleEndian
 	b := Batch{Seq: le.Uint32(h[0:]), records: le.Uint32(h[16:])}
 	var err error
-	if b.Now, err = millis(math.Float64frombits(le.Uint64(h[4:]))); err != nil {
+	if b.Now, err = durationFromMillis(math.Float64frombits(le.Uint64(h[4:]))); err != nil {
 		return Batch{}, buf, fmt.Errorf("batch %d, byte 4: clock: %w", b.Seq, err)
 	}
 	size := int(le.Uint32(h[12:]))
@@ -105,17 +105,17 @@
 	instance := -1
 	for i := uint32(0); i < b.records; i++ {
 		at := d.pos
-		code := Code(d.u8())
-		if d.err == nil && code != to && instance < 0 {
+		code := EventCode(d.u8())
+		if d.err == nil && code != selectInstance && instance < 0 {
 			d.err = errors.New("no instance named before it")
 		}
-		if code == to {
+		if code == selectInstance {
 			instance = int(d.u16())
 		} else if d.err == nil {
 			ev.Code, ev.Instance = code, uint16(instance)
 			d.event(&ev)
 		}
-		if d.err == nil && code != to {
+		if d.err == nil && code != selectInstance {
 			d.err = f(&ev)
 		}
 		if d.err != nil {
@@ -170,7 +170,7 @@
 }
 
 func (d *decoder) time() time.Duration {
-	v, err := millis(math.Float64frombits(d.u64()))
+	v, err := durationFromMillis(math.Float64frombits(d.u64()))
 	d.fail(err)
 	return v
 }
@@ -181,8 +181,8 @@
 	}
 }
 
-// millis turns milliseconds into a span, rounded to the simulator's microseconds.
-func millis(ms float64) (time.Duration, error) {
+// durationFromMillis turns milliseconds into a span, rounded to the simulator's microseconds.
+func durationFromMillis(ms float64) (time.Duration, error) {
 	if !(math.Abs(ms) <= maxMillis) {
 		return 0, fmt.Errorf("time %v ms is out of range", ms)
 	}
@@ -242,10 +242,10 @@
 	switch ev.Code {
 	case Init:
 		ev.Seed = d.u64()
-		ev.BootInfo = d.take(int(d.u32()))
-	case Membership:
-		ev.List = d.list()
-	case Ask:
+		ev.Settings = d.take(int(d.u32()))
+	case EndpointsChanged:
+		ev.Endpoints = d.list()
+	case RequestArrived:
 		r := decision.Request{ID: decision.RequestID(d.u32()), ExpectedWork: d.time(), Deadline: d.time()}
 		bits := d.u8()
 		r.Class, r.Key, r.Tenant = int(d.u8()), d.u64(), int(d.u32())
@@ -254,23 +254,23 @@
 		}
 		r.MarkedRetry = bits&clientRepeat != 0
 		ev.Request = r
-	case Headers:
-		ev.First = decision.FirstByte{ID: decision.RequestID(d.u32()), Attempt: int(d.u8()),
+	case FirstByteReceived:
+		ev.FirstByte = decision.FirstByte{ID: decision.RequestID(d.u32()), Attempt: int(d.u8()),
 			Backend: decision.BackendID(d.u32()), Latency: d.time()}
-	case Returned:
+	case AttemptEnded:
 		ev.Outcome = decision.Outcome{ID: decision.RequestID(d.u32()), Attempt: int(d.u8()),
 			Backend: decision.BackendID(d.u32()), Result: d.result(), Latency: d.time(), Final: d.u8() != 0}
 		d.report()
-	case Aborted:
-		ev.ID = decision.RequestID(d.u32())
-	case Elapsed:
-		ev.Token = d.u64()
-	case Probed:
-		ev.Probe = decision.HealthCheckResult{Backend: decision.BackendID(d.u32()), Result: d.result(), Latency: d.time()}
+	case ClientGone:
+		ev.RequestID = decision.RequestID(d.u32())
+	case TimerFired:
+		ev.TimerToken = d.u64()
+	case HealthChecked:
+		ev.HealthCheck = decision.HealthCheckResult{Backend: decision.BackendID(d.u32()), Result: d.result(), Latency: d.time()}
 		d.report()
-	case Peer:
+	case PeerMessageReceived:
 		from := int(d.u16())
-		ev.Message = decision.PeerMessage{From: from, Body: d.take(int(d.u16()))}
+		ev.PeerMessage = decision.PeerMessage{From: from, Body: d.take(int(d.u16()))}
 	case Destroy:
 	default:
 		d.fail(errors.New("unknown record code"))
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -48,7 +48,7 @@
 	var out []Event
 	err = b.Each(func(ev *Event) error {
 		e := *ev
-		e.List.Backends = append([]decision.Backend(nil), ev.List.Backends...)
+		e.Endpoints.Backends = append([]decision.Backend(nil), ev.Endpoints.Backends...)
 		out = append(out, e)
 		return nil
 	})
@@ -65,26 +65,26 @@
 		got    func(Event) any
 		want   any
 	}{
-		{"init", raw(1, uint64(77), uint32(3), "a=b"), func(e Event) any { return string(e.BootInfo) }, "a=b"},
-		{"membership", raw(2, 1, uint32(5), uint32(1), row), func(e Event) any { return e.List },
+		{"init", raw(1, uint64(77), uint32(3), "a=b"), func(e Event) any { return string(e.Settings) }, "a=b"},
+		{"membership", raw(2, 1, uint32(5), uint32(1), row), func(e Event) any { return e.Endpoints },
 			decision.EndpointUpdate{Kind: decision.UpdateFull, Version: 5, Backends: []decision.Backend{{ID: 70, Zone: 2,
 				Kind: 1, Cell: 9, State: decision.Ready, Weight: 1.5, Started: 8000*ms + 250*time.Microsecond}}}},
-		{"a failed list", raw(2, 3, uint32(5), uint32(0)), func(e Event) any { return e.List.Kind }, decision.UpdateFailed},
+		{"a failed list", raw(2, 3, uint32(5), uint32(0)), func(e Event) any { return e.Endpoints.Kind }, decision.UpdateFailed},
 		{"ask", raw(3, uint32(9), 12.5, 900.0, 3, 2, uint64(1<<60), uint32(4)), func(e Event) any { return e.Request },
 			decision.Request{ID: 9, Class: 2, Tenant: 4, Key: 1 << 60, ExpectedWork: 12500 * time.Microsecond, Deadline: 900 * ms,
 				MarkedRetry: true}},
 		{"ask without a valid hint", raw(3, uint32(9), 12.5, 900.0, 0, 2, uint64(0), uint32(0)),
 			func(e Event) any { return e.Request.ExpectedWork }, time.Duration(0)},
-		{"headers", raw(4, uint32(9), 1, uint32(70), 3.0), func(e Event) any { return e.First },
+		{"headers", raw(4, uint32(9), 1, uint32(70), 3.0), func(e Event) any { return e.FirstByte },
 			decision.FirstByte{ID: 9, Attempt: 1, Backend: 70, Latency: 3 * ms}},
 		{"returned", raw(5, uint32(9), 1, uint32(70), 4, 3.0, 1, 2, float32(1), float32(2)),
 			func(e Event) any { return e.Outcome }, decision.Outcome{ID: 9, Attempt: 1, Backend: 70,
 				Result: decision.ConnectFailed, Latency: 3 * ms, Final: true}},
-		{"aborted", raw(6, uint32(9)), func(e Event) any { return e.ID }, decision.RequestID(9)},
-		{"elapsed", raw(7, uint64(1)<<63), func(e Event) any { return e.Token }, uint64(1) << 63},
-		{"probed", raw(8, uint32(70), 1, 1.5, 0), func(e Event) any { return e.Probe },
+		{"aborted", raw(6, uint32(9)), func(e Event) any { return e.RequestID }, decision.RequestID(9)},
+		{"elapsed", raw(7, uint64(1)<<63), func(e Event) any { return e.TimerToken }, uint64(1) << 63},
+		{"probed", raw(8, uint32(70), 1, 1.5, 0), func(e Event) any { return e.HealthCheck },
 			decision.HealthCheckResult{Backend: 70, Result: decision.OK, Latency: 1500 * time.Microsecond}},
-		{"neighbour_says", raw(9, uint16(2), uint16(2), "hi"), func(e Event) any { return string(e.Message.Body) }, "hi"},
+		{"neighbour_says", raw(9, uint16(2), uint16(2), "hi"), func(e Event) any { return string(e.PeerMessage.Body) }, "hi"},
 		{"destroy", raw(10), func(e Event) any { return e.Code }, Destroy},
 	} {
 		evs, err := events(t, batch(1, 5, 2, raw(11, uint16(3), c.record)))
@@ -103,7 +103,7 @@
 		decision.Reset, decision.Cancelled, decision.NotSent}
 	for code, result := range want {
 		evs, err := events(t, batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), code, 0.0, 0)))
-		if err != nil || evs[0].Probe.Result != result {
+		if err != nil || evs[0].HealthCheck.Result != result {
 			t.Errorf("code %d: %v, error %v", code, evs, err)
 		}
 	}
@@ -168,12 +168,12 @@
 		{"release", func(h decision.Host) { h.ReleaseIdleConnections(70) }, raw(7, uint32(70))},
 		{"signal", func(h decision.Host) { h.SendToPeer(decision.AllPeers, []byte("hi")) }, raw(8, uint32(1<<32-1), uint16(2), "hi")},
 		{"say_log", func(h decision.Host) { h.Log("x") }, raw(9, uint16(1), "x")},
-		{"broken", func(h decision.Host) { h.(Actions).Broken("x") }, raw(10, uint16(1), "x")},
+		{"broken", func(h decision.Host) { h.(Actions).ReportFailure("x") }, raw(10, uint16(1), "x")},
 		{"observe", func(h decision.Host) { h.WatchEndpoints(true); h.WatchEndpoints(false) }, raw(11, 1, 11, 0)},
 		{"resolve", func(h decision.Host) { h.FetchEndpoints() }, raw(12)},
 	} {
 		r.Reset(6)
-		c.do(Actions{To: &r, Instance: 3})
+		c.do(Actions{Reply: &r, Instance: 3})
 		got := r.Bytes()
 		records := uint32(2)
 		if c.name == "observe" {
@@ -234,7 +234,7 @@
 	}
 	ask := decision.Request{ID: 0x5d3a91c4, ExpectedWork: 12 * ms, Deadline: 8652250 * time.Microsecond,
 		Key: 0x91f03b7c55d20a64}
-	if evs[0].Instance != 3 || evs[0].Request != ask || evs[1].Token != 77 || evs[2].Instance != 5 {
+	if evs[0].Instance != 3 || evs[0].Request != ask || evs[1].TimerToken != 77 || evs[2].Instance != 5 {
 		t.Errorf("got %+v", evs)
 	}
 	var r Reply
@@ -251,19 +251,19 @@
 	}{
 		{"02 02 29000000 02000000 074a1203 0000 0000 0000 01 0000803f 0000000000000000 " +
 			"f211902c 0100 0000 0000 01 0000c03f 0000000000d4b740   membership", func(e Event) bool {
-			l := e.List
+			l := e.Endpoints
 			return l.Kind == decision.UpdateCached && l.Version == 41 && len(l.Backends) == 2 &&
 				l.Backends[1].Zone == 1 && l.Backends[1].Weight == 1.5 && l.Backends[1].Started == 6100*ms
 		}},
-		{"04 c4913a5d 00 074a1203 0000000000802240   headers", func(e Event) bool { return e.First.Latency == 9250*time.Microsecond }},
+		{"04 c4913a5d 00 074a1203 0000000000802240   headers", func(e Event) bool { return e.FirstByte.Latency == 9250*time.Microsecond }},
 		{"05 c4913a5d 00 074a1203 01 0000000000803240 01 00   returned", func(e Event) bool {
 			return e.Outcome.Result == decision.OK && e.Outcome.Final && e.Outcome.Latency == 18500*time.Microsecond
 		}},
 		{"08 f211902c 01 666666666666f63f 03 0000e0400000404052b81e3f   probed", func(e Event) bool {
-			return e.Probe.Latency == 1400*time.Microsecond && e.Probe.Result == decision.OK
+			return e.HealthCheck.Latency == 1400*time.Microsecond && e.HealthCheck.Result == decision.OK
 		}},
 		{"09 0200 0400 68692037   neighbour_says", func(e Event) bool {
-			return e.Message.From == 2 && string(e.Message.Body) == "hi 7"
+			return e.PeerMessage.From == 2 && string(e.PeerMessage.Body) == "hi 7"
 		}},
 		{"0a   destroy", func(e Event) bool { return e.Code == Destroy }},
 	} {
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ParseBootInfo(string(text))
+	got, err := ParseSettings(string(text))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -53,22 +53,22 @@
 
 // Actions writes one instance's actions; it is that instance's decision.Host.
 type Actions struct {
-	To       *Reply
+	Reply    *Reply
 	Instance uint16
 }
 
 func (a Actions) record(code byte) {
-	if r := a.To; r.current != int(a.Instance) {
+	if r := a.Reply; r.current != int(a.Instance) {
 		r.current = int(a.Instance)
 		r.buf = binary.LittleEndian.AppendUint16(append(r.buf, onBehalf), a.Instance)
 		r.records++
 	}
-	a.To.buf = append(a.To.buf, code)
-	a.To.records++
+	a.Reply.buf = append(a.Reply.buf, code)
+	a.Reply.records++
 }
 
-func (a Actions) u32(v uint32) { a.To.buf = binary.LittleEndian.AppendUint32(a.To.buf, v) }
-func (a Actions) u64(v uint64) { a.To.buf = binary.LittleEndian.AppendUint64(a.To.buf, v) }
+func (a Actions) u32(v uint32) { a.Reply.buf = binary.LittleEndian.AppendUint32(a.Reply.buf, v) }
+func (a Actions) u64(v uint64) { a.Reply.buf = binary.LittleEndian.AppendUint64(a.Reply.buf, v) }
 
 func (a Actions) millis(d time.Duration) {
 	a.u64(math.Float64bits(float64(d) / float64(time.Millisecond)))
@@ -76,8 +76,8 @@
 
 func (a Actions) bytes(b []byte, most int) {
 	b = b[:min(len(b), most)]
-	a.To.buf = binary.LittleEndian.AppendUint16(a.To.buf, uint16(len(b)))
-	a.To.buf = append(a.To.buf, b...)
+	a.Reply.buf = binary.LittleEndian.AppendUint16(a.Reply.buf, uint16(len(b)))
+	a.Reply.buf = append(a.Reply.buf, b...)
 }
 
 // Send implements decision.Host.
@@ -105,7 +105,7 @@
 func (a Actions) Cancel(id decision.RequestID, attempt int) {
 	a.record(abortAttempt)
 	a.u32(uint32(id))
-	a.To.buf = append(a.To.buf, byte(attempt))
+	a.Reply.buf = append(a.Reply.buf, byte(attempt))
 }
 
 // CheckHealth implements decision.Host.
@@ -127,7 +127,7 @@
 	if on {
 		v = 1
 	}
-	a.To.buf = append(a.To.buf, v)
+	a.Reply.buf = append(a.Reply.buf, v)
 }
 
 // FetchEndpoints implements decision.Host.
@@ -153,8 +153,8 @@
 	a.bytes([]byte(line), maxText)
 }
 
-// Broken reports that the decision code has failed.
-func (a Actions) Broken(reason string) {
+// ReportFailure reports that the decision code has failed.
+func (a Actions) ReportFailure(reason string) {
 	a.record(broken)
 	a.bytes([]byte(reason), maxText)
 }
