--- a/cmd/faultlab/grants.go
+++ b/cmd/faultlab/grants.go
@@ -44,7 +44,7 @@
 			if err != nil {
 				return err
 			}
-			set.Played = min(set.Played, set.Budgets)
+			set.DrivenQuotas = min(set.DrivenQuotas, set.Quotas)
 			w := cmd.OutOrStdout()
 			fmt.Fprintf(w, "%8s %8s %8s %10s %11s %9s %11s %12s %9s %9s %7s %7s %6s\n", "holders", "budgets", "calls/s", "KB in/s", "KB out/s", "entries/s",
 				"log KB/s", "computed/s", "join", "death", "used", "fixed", "over")
@@ -70,15 +70,15 @@
 		},
 	}
 	c.Flags().StringVar(&holders, "holders", "30,300,1000", "how many, separated by commas")
-	c.Flags().IntVar(&set.Budgets, "budgets", 50, "how many")
-	c.Flags().IntVar(&set.Played, "played", 1, "of the budgets, so many are drawn on by attempts; the others are asked for alike")
+	c.Flags().IntVar(&set.Quotas, "budgets", 50, "how many")
+	c.Flags().IntVar(&set.DrivenQuotas, "played", 1, "of the budgets, so many are drawn on by attempts; the others are asked for alike")
 	c.Flags().Uint64Var(&set.Seed, "seed", 1, "what chance comes from")
 	c.Flags().DurationVar(&set.Length, "duration", time.Minute, "virtual time of each run")
-	c.Flags().DurationVar(&set.Lease, "lease", 3*time.Second, "of each grant")
-	c.Flags().DurationVar(&set.Pace, "pace", 0, "holders ask at least so often; 0 is as often as the rules say")
-	c.Flags().Float64Var(&set.Rate, "rate", 20, "units a second of each whole, for each holder")
-	c.Flags().Float64Var(&set.Falls, "falls", 1./3, "by which part of the way what is asked for falls at each ask, when less is tried")
-	c.Flags().DurationVar(&set.Cost, "plan-cost", 0, "that a plan takes the leading steward for each holder and budget")
+	c.Flags().DurationVar(&set.LeaseDuration, "lease", 3*time.Second, "of each grant")
+	c.Flags().DurationVar(&set.MaxRequestInterval, "pace", 0, "holders ask at least so often; 0 is as often as the rules say")
+	c.Flags().Float64Var(&set.UnitsPerHolder, "rate", 20, "units a second of each whole, for each holder")
+	c.Flags().Float64Var(&set.DemandDecay, "falls", 1./3, "by which part of the way what is asked for falls at each ask, when less is tried")
+	c.Flags().DurationVar(&set.PlanCost, "plan-cost", 0, "that a plan takes the leading steward for each holder and budget")
 	c.Flags().Float64Var(&set.Load, "load", .9, "what is wanted of each whole")
 	c.Flags().StringVar(&jsonPath, "json", "", "write the points to this file")
 	return c
@@ -89,13 +89,13 @@
 func grantsOne(set quotasim.Settings, holders int) (grantsPoint, error) {
 	set.Holders = holders
 	moves, fixed, anew := set, set, set
-	moves.Policy, moves.Moves = quotasim.Grants, 5*time.Second
-	fixed.Policy, fixed.Moves = quotasim.Fixed, 5*time.Second
-	anew.Policy, anew.Load, anew.Played, anew.Join, anew.Death = quotasim.Grants, 2, 0, set.Length/3, 2*set.Length/3
+	moves.Policy, moves.DemandShiftInterval = quotasim.Leases, 5*time.Second
+	fixed.Policy, fixed.DemandShiftInterval = quotasim.FixedShares, 5*time.Second
+	anew.Policy, anew.Load, anew.DrivenQuotas, anew.JoinAt, anew.KillAt = quotasim.Leases, 2, 0, set.Length/3, 2*set.Length/3
 	var res [3]quotasim.Result
 	for i, s := range []quotasim.Settings{moves, fixed, anew} {
 		var err error
-		if res[i], err = quotasim.Play(s); err != nil {
+		if res[i], err = quotasim.Run(s); err != nil {
 			return grantsPoint{}, err
 		}
 	}
@@ -106,7 +106,7 @@
 		return float64(d) / float64(time.Millisecond)
 	}
 	m := &res[0]
-	return grantsPoint{Holders: holders, Budgets: set.Budgets, Calls: m.Calls, BytesIn: m.BytesIn, BytesOut: m.BytesOut, Entries: m.Entries, LogBytes: m.LogBytes,
-		Computed: ms(m.Computed) / set.Length.Seconds(), Joined: ms(res[2].Joined), Healed: ms(res[2].Healed), Used: m.Used, UsedFixed: res[1].Used,
+	return grantsPoint{Holders: holders, Budgets: set.Quotas, Calls: m.Calls, BytesIn: m.BytesIn, BytesOut: m.BytesOut, Entries: m.Entries, LogBytes: m.LogBytes,
+		Computed: ms(m.ComputeTime) / set.Length.Seconds(), Joined: ms(res[2].JoinTime), Healed: ms(res[2].RecoveryTime), Used: m.Utilization, UsedFixed: res[1].Utilization,
 		OverWhole: m.Spending.OverWhole + res[1].Spending.OverWhole}, nil
 }
--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -501,14 +501,14 @@
 
 func grantsOf(holders, names int) ([]is, error) {
 	const length = 10 * time.Second
-	res, err := quotasim.Play(quotasim.Settings{Policy: quotasim.Grants, Holders: holders, Budgets: names, Played: 1, Seed: 1, Length: length, Lease: 3 * time.Second, Rate: 20,
-		Falls: 1. / 3, Load: .9, Moves: 5 * time.Second, Cost: time.Microsecond})
+	res, err := quotasim.Run(quotasim.Settings{Policy: quotasim.Leases, Holders: holders, Quotas: names, DrivenQuotas: 1, Seed: 1, Length: length, LeaseDuration: 3 * time.Second, UnitsPerHolder: 20,
+		DemandDecay: 1. / 3, Load: .9, DemandShiftInterval: 5 * time.Second, PlanCost: time.Microsecond})
 	if err != nil {
 		return nil, err
 	}
 	each := float64(holders)
 	return []is{{"a proxy's talk, bodies", "KB/s", (res.BytesIn + res.BytesOut) / each / 1000}, {"the leader's talk, bodies", "KB/s", (res.BytesIn + res.BytesOut) / 1000},
-		{"log, to each other steward", "KB/s", res.LogBytes / 1000}, {"entries", "1/s", res.Entries}, {"the leader's plans", "ms/s", millis(res.Computed) / length.Seconds()}}, nil
+		{"log, to each other steward", "KB/s", res.LogBytes / 1000}, {"entries", "1/s", res.Entries}, {"the leader's plans", "ms/s", millis(res.ComputeTime) / length.Seconds()}}, nil
 }
 
 // ---- decision modules ----
--- a/cmd/faultlab/selfcheck.go
+++ b/cmd/faultlab/selfcheck.go
@@ -54,7 +54,7 @@
 			convicted, acquitted, wrong := 0, 0, 0
 			right := append([]string{baseline.Module}, baseline.Baselines[:3]...)
 			flaws := slices.Clone(baseline.Flaws)
-			shares := []shareTrial{{quotasim.FixedOver, true}, {quotasim.AfterLease, true}, {quotasim.Grants, false}, {quotasim.Fixed, false}}
+			shares := []shareTrial{{quotasim.FixedSharesOverLimit, true}, {quotasim.SpendsExpiredLease, true}, {quotasim.Leases, false}, {quotasim.FixedShares, false}}
 			if len(only) > 0 {
 				flaws = slices.DeleteFunc(flaws, func(f baseline.Flaw) bool { return !slices.Contains(only, f.Name) })
 				right = slices.DeleteFunc(right, func(name string) bool { return !slices.Contains(only, name) })
@@ -138,8 +138,8 @@
 
 // play has all want twice the whole, while a third of them is cut off from the stewards for three leases.
 func (s shareTrial) play(seed uint64) (over int, what string, err error) {
-	res, err := quotasim.Play(quotasim.Settings{Policy: s.policy, Holders: 10, Budgets: 3, Played: 2, Seed: seed, Length: 40 * time.Second, Lease: 3 * time.Second,
-		Rate: 20, Falls: 1. / 3, Load: 2, Cut: 15 * time.Second})
+	res, err := quotasim.Run(quotasim.Settings{Policy: s.policy, Holders: 10, Quotas: 3, DrivenQuotas: 2, Seed: seed, Length: 40 * time.Second, LeaseDuration: 3 * time.Second,
+		UnitsPerHolder: 20, DemandDecay: 1. / 3, Load: 2, PartitionAt: 15 * time.Second})
 	if err != nil {
 		return 0, "", fmt.Errorf("%s: %w", s.policy, err)
 	}
--- a/internal/controlplane/api/file.go
+++ b/internal/controlplane/api/file.go
@@ -172,18 +172,18 @@
 }
 
 // Grants is the fleet as the stewards divide it.
-func (f *File) Grants() quotalease.Fleet {
-	out := quotalease.Fleet{ID: f.Fleet, Drift: cmp.Or(f.Drift, .001), Longest: time.Duration(f.Longest)}
+func (f *File) Grants() quotalease.FleetConfig {
+	out := quotalease.FleetConfig{FleetID: f.Fleet, MaxDrift: cmp.Or(f.Drift, .001), MaxLifetime: time.Duration(f.Longest)}
 	for _, b := range f.Budgets {
-		one := quotalease.Budget{Name: b.Name, Kind: quotalease.Rate, Whole: b.Whole, Burst: b.Burst, Lease: time.Duration(cmp.Or(b.Lease, strictconfig.Span(3*time.Second))),
-			Floors: b.Floors, Others: quotalease.Share(b.Others)}
+		one := quotalease.Quota{Name: b.Name, Kind: quotalease.Rate, Limit: b.Whole, Burst: b.Burst, LeaseDuration: time.Duration(cmp.Or(b.Lease, strictconfig.Span(3*time.Second))),
+			Floors: b.Floors, DefaultShare: quotalease.Share(b.Others)}
 		for name, s := range b.Members {
 			if one.Members == nil {
 				one.Members = map[string]quotalease.Share{}
 			}
 			one.Members[name] = quotalease.Share(s)
 		}
-		out.Budgets = append(out.Budgets, one)
+		out.Quotas = append(out.Quotas, one)
 	}
 	return out
 }
--- a/internal/controlplane/api/file_test.go
+++ b/internal/controlplane/api/file_test.go
@@ -20,7 +20,7 @@
 	if held, err := f.CheckTeams(); err != nil || len(held) > 0 {
 		t.Errorf("its teams: %v, %v", held, err)
 	}
-	if g := f.Grants(); g.Check() != nil || len(g.Budgets) != 2 || g.Budgets[0].Whole != 12000 {
+	if g := f.Grants(); g.Check() != nil || len(g.Quotas) != 2 || g.Quotas[0].Limit != 12000 {
 		t.Errorf("%+v", g)
 	}
 }
--- a/internal/controlplane/api/operator.go
+++ b/internal/controlplane/api/operator.go
@@ -27,7 +27,7 @@
 	g := f.Grants()
 	var errs []error
 	for _, s := range f.Stewards {
-		in := Founding{Fleet: f.Fleet, Epoch: epoch, Drift: g.Drift, Longest: int64(g.Longest), Members: f.Numbers(), ID: s.Number}
+		in := Founding{Fleet: f.Fleet, Epoch: epoch, Drift: g.MaxDrift, Longest: int64(g.MaxLifetime), Members: f.Numbers(), ID: s.Number}
 		if err := One(ctx, client, s.Address, PathFound, in, nil); err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", s.Name, err))
 		}
@@ -54,7 +54,7 @@
 		}
 		version++
 	}
-	in := quotalease.SetBudgets{Version: version, Fleet: f.Grants(), Gone: gone}
+	in := quotalease.SetQuotas{Version: version, Config: f.Grants(), RemovedHolders: gone}
 	var tried []error
 	for _, s := range f.Stewards {
 		err := One(ctx, client, s.Address, PathSet, in, nil)
--- a/internal/controlplane/client/claim.go
+++ b/internal/controlplane/client/claim.go
@@ -52,7 +52,7 @@
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return false, quotalease.FloorTaken{Holder: c.name}
+			return false, quotalease.FloorClaimedError{Holder: c.name}
 		}
 		return false, FloorsNotKept{err}
 	}
--- a/internal/controlplane/client/frozen_test.go
+++ b/internal/controlplane/client/frozen_test.go
@@ -26,8 +26,8 @@
 
 func frozenFloors() map[string]quotalease.Floor {
 	return map[string]quotalease.Floor{
-		"all":  {Kind: quotalease.Rate, Amount: quotalease.Of(200), Burst: quotalease.Of(20)},
-		"held": {Kind: quotalease.InHand, Amount: quotalease.Of(3), Life: 1500 * time.Millisecond},
+		"all":  {Kind: quotalease.Rate, Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20)},
+		"held": {Kind: quotalease.InFlight, Amount: quotalease.FromUnits(3), MaxHoldTime: 1500 * time.Millisecond},
 	}
 }
 
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -52,7 +52,7 @@
 // Link is a proxy's side. It is for any goroutine.
 type Link struct {
 	set       Settings
-	grants    quotalease.Fleet
+	grants    quotalease.FleetConfig
 	clock     func() time.Duration
 	client    *http.Client
 	pots      map[string]*pot // never changes
@@ -86,8 +86,8 @@
 	if l.clock == nil {
 		l.clock = supervisor.Boottime
 	}
-	for _, b := range l.grants.Budgets {
-		l.pots[b.Name] = &pot{name: b.Name, whole: b.Whole}
+	for _, b := range l.grants.Quotas {
+		l.pots[b.Name] = &pot{name: b.Name, whole: b.Limit}
 	}
 	if dir := set.File.State; dir != "" {
 		_ = os.MkdirAll(dir, 0o700) // if it can't be, the claim says so
@@ -163,13 +163,13 @@
 	w := &worker{Link: l, generation: generation, by: incarnation(), bursts: map[string]burstOf{}, wants: map[string]float64{}, asked: l.clock(),
 		at: rand.IntN(len(l.set.File.Stewards)), wait: backoff.NewExponentialBackOff()}
 	w.wait.InitialInterval, w.wait.MaxInterval, w.wait.RandomizationFactor = poll, time.Second, .5
-	set := quotalease.HolderSettings{Fleet: l.grants.ID, Key: quotalease.Key{Holder: l.set.Name, Incarnation: w.by}, Drift: l.grants.Drift}
+	set := quotalease.HolderSettings{FleetID: l.grants.FleetID, HolderID: quotalease.HolderID{Holder: l.set.Name, Incarnation: w.by}, MaxDrift: l.grants.MaxDrift}
 	if l.claim != nil {
 		var err error
-		if set.Version, set.Floors, err = l.claim.load(); err != nil {
+		if set.ConfigVersion, set.Floors, err = l.claim.load(); err != nil {
 			l.trouble(err)
 		}
-		w.kept = set.Version
+		w.kept = set.ConfigVersion
 	}
 	w.holder = quotalease.NewHolder(set)
 	for name, p := range l.pots {
@@ -204,7 +204,7 @@
 	w.held = held
 	w.mu.Unlock()
 	if w.claimed {
-		w.holder.Claim(now, true)
+		w.holder.SetFloorClaim(now, true)
 		w.publishAll()
 	}
 }
@@ -213,7 +213,7 @@
 	now := w.clock()
 	_, floors := w.holder.Floors()
 	for name := range w.pots {
-		has := w.holder.Has(now, name)
+		has := w.holder.Status(now, name)
 		burst := quotalease.Amount(0)
 		if b := w.bursts[name]; b.token == has.Token {
 			burst = b.burst
@@ -250,7 +250,7 @@
 			want = 0
 		}
 		w.wants[name] = want
-		w.holder.Want(name, want)
+		w.holder.SetDemand(name, want)
 	}
 	w.asked = now
 }
@@ -258,8 +258,8 @@
 // callTime is for one call: several fit in a lease.
 func (w *worker) callTime() time.Duration {
 	least := 2 * time.Second
-	for _, b := range w.grants.Budgets {
-		least = min(least, b.Lease/4)
+	for _, b := range w.grants.Quotas {
+		least = min(least, b.LeaseDuration/4)
 	}
 	return max(least, 100*time.Millisecond)
 }
@@ -282,7 +282,7 @@
 		err := w.call(ctx, address)
 		if err == nil {
 			w.wait.Reset()
-			w.next, w.every = 0, time.Duration(float64(w.holder.Every())*(.9+.2*rand.Float64())) // a fleet must not ask in step
+			w.next, w.every = 0, time.Duration(float64(w.holder.RequestInterval())*(.9+.2*rand.Float64())) // a fleet must not ask in step
 			w.mu.Lock()
 			w.leader = address
 			w.mu.Unlock()
@@ -316,21 +316,21 @@
 	defer cancel()
 	w.counts.asks.Add(1)
 	sent := w.clock()
-	request := w.holder.Ask(sent)
+	request := w.holder.NextRequest(sent)
 	var reply quotalease.Reply
 	if err := api.Call(ctx, w.client, address, api.PathAsk, request, &reply); err != nil {
 		return err
 	}
 	now := w.clock()
-	err := w.holder.Take(sent, now, reply)
-	for _, g := range reply.Grants {
-		if w.holder.Has(now, g.Budget).Token == g.Token {
-			w.bursts[g.Budget] = burstOf{g.Token, g.Burst}
+	err := w.holder.HandleReply(sent, now, reply)
+	for _, g := range reply.Leases {
+		if w.holder.Status(now, g.Quota).Token == g.Token {
+			w.bursts[g.Quota] = burstOf{g.Token, g.Burst}
 		}
 	}
 	w.publishAll()
 	w.counts.answered.Add(1)
-	if errors.As(err, &quotalease.OtherFleet{}) || errors.As(err, &quotalease.OtherHolder{}) || errors.As(err, &quotalease.OldEpoch{}) {
+	if errors.As(err, &quotalease.FleetMismatchError{}) || errors.As(err, &quotalease.HolderMismatchError{}) || errors.As(err, &quotalease.StaleEpochError{}) {
 		return err // nothing of it was taken: ask another
 	}
 	if err != nil {
@@ -353,7 +353,7 @@
 	for name := range w.pots {
 		w.publish(w.generation, 0, name, w.clock(), nil, nil)
 	}
-	w.holder.Leave()
+	w.holder.ReleaseAll()
 	w.mu.Lock()
 	leader := w.leader
 	w.mu.Unlock()
@@ -362,7 +362,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
 	defer cancel()
-	_ = api.Call(ctx, w.client, leader, api.PathAsk, w.holder.Ask(w.clock()), nil) // else its leases end by themselves
+	_ = api.Call(ctx, w.client, leader, api.PathAsk, w.holder.NextRequest(w.clock()), nil) // else its leases end by themselves
 }
 
 // Standing is how a budget stands.
@@ -413,9 +413,9 @@
 		return
 	}
 	for name := range w.pots {
-		has := w.holder.Has(now, name)
-		w.version = has.Version
-		w.stand[name] = Standing{Granted: has.Amount.Units(), Floor: has.Floor.Units(), Wanted: w.wants[name], Left: has.Left.Milliseconds(), Token: has.Token.String()}
+		has := w.holder.Status(now, name)
+		w.version = has.ConfigVersion
+		w.stand[name] = Standing{Granted: has.Amount.Units(), Floor: has.Floor.Units(), Wanted: w.wants[name], Left: has.Remaining.Milliseconds(), Token: has.Token.String()}
 	}
 }
 
@@ -424,7 +424,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := &l.counts
-	r := Report{Fleet: l.grants.ID, Proxy: l.set.Name, Steward: l.leader, Claim: l.held, Version: l.version, Asks: c.asks.Load(), Answered: c.answered.Load(),
+	r := Report{Fleet: l.grants.FleetID, Proxy: l.set.Name, Steward: l.leader, Claim: l.held, Version: l.version, Asks: c.asks.Load(), Answered: c.answered.Load(),
 		Failed: c.failed.Load(), Died: c.died.Load(), Stuck: c.stuck.Load(), Stopped: c.stopped.Load(), Budgets: map[string]Standing{}}
 	for name, p := range l.pots {
 		s := l.stand[name]
--- a/internal/controlplane/client/link_test.go
+++ b/internal/controlplane/client/link_test.go
@@ -50,9 +50,9 @@
 	if err != nil || s == nil {
 		t.Fatal(s, err)
 	}
-	key := quotalease.Key{Holder: "p1", Incarnation: 7}
-	h := quotalease.NewHolder(quotalease.HolderSettings{Fleet: "north", Key: key, Drift: .001})
-	h.Claim(0, true)
+	key := quotalease.HolderID{Holder: "p1", Incarnation: 7}
+	h := quotalease.NewHolder(quotalease.HolderSettings{FleetID: "north", HolderID: key, MaxDrift: .001})
+	h.SetFloorClaim(0, true)
 	var total, most atomic.Int64
 	// take has many take all that there is while something happens.
 	take := func(during func()) {
@@ -75,13 +75,13 @@
 	at := int64(0)
 	drain := func() {
 		for {
-			if _, err := h.Allow(time.Duration(clock.Load()), "all", 1); err != nil {
+			if _, err := h.Acquire(time.Duration(clock.Load()), "all", 1); err != nil {
 				return
 			}
 			most.Add(1)
 		}
 	}
-	h.Want("all", 1)
+	h.SetDemand("all", 1)
 	for _, st := range append(steps, step{after: 300}) {
 		for range st.after {
 			at++
@@ -93,19 +93,19 @@
 			}
 		}
 		now := time.Duration(clock.Load())
-		r := quotalease.Reply{Fleet: "north", Epoch: 1, Key: key, Floors: map[string]quotalease.Floor{}}
-		burst := quotalease.Of(float64(st.burst))
+		r := quotalease.Reply{FleetID: "north", Epoch: 1, HolderID: key, Floors: map[string]quotalease.Floor{}}
+		burst := quotalease.FromUnits(float64(st.burst))
 		if st.lease > 0 {
 			index++
-			ask := h.Ask(now)
-			r.Grants = []quotalease.Grant{{Fleet: "north", Epoch: 1, Key: key, Budget: "all", Kind: quotalease.Rate, Amount: quotalease.Of(float64(st.amount)), Burst: burst,
-				Lease: time.Duration(st.lease) * time.Millisecond, Ask: ask.Seq, Token: quotalease.Token{Epoch: 1, Index: index}}}
+			ask := h.NextRequest(now)
+			r.Leases = []quotalease.Lease{{FleetID: "north", Epoch: 1, HolderID: key, Quota: "all", Kind: quotalease.Rate, Amount: quotalease.FromUnits(float64(st.amount)), Burst: burst,
+				Duration: time.Duration(st.lease) * time.Millisecond, RequestSeq: ask.Seq, Token: quotalease.Token{Epoch: 1, Index: index}}}
 		} else if st.amount > 0 {
 			version++
-			r.Version = version
-			r.Floors["all"] = quotalease.Floor{Kind: quotalease.Rate, Amount: quotalease.Of(float64(st.amount)), Burst: burst}
+			r.ConfigVersion = version
+			r.Floors["all"] = quotalease.Floor{Kind: quotalease.Rate, Amount: quotalease.FromUnits(float64(st.amount)), Burst: burst}
 		}
-		if err := h.Take(now, now, r); err != nil {
+		if err := h.HandleReply(now, now, r); err != nil {
 			t.Fatal(err)
 		}
 		_, floors := h.Floors()
@@ -142,7 +142,7 @@
 func replaced(l *Link, at, until, next time.Duration) (a, b *cell) {
 	l.generation = 1
 	make := func(now, ends time.Duration, index uint64) *cell {
-		c := newCell(now, quotalease.Of(100), quotalease.Of(10), .001)
+		c := newCell(now, quotalease.FromUnits(100), quotalease.FromUnits(10), .001)
 		c.by, c.ends, c.token = 7, int64(ends), quotalease.Token{Epoch: 1, Index: index}
 		l.publish(1, 7, "all", now, c, nil)
 		return c
@@ -190,7 +190,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	floor := func(name string) { l.publish(1, 7, name, 0, nil, newCell(0, quotalease.Of(10), quotalease.Of(1), 0)) }
+	floor := func(name string) {
+		l.publish(1, 7, name, 0, nil, newCell(0, quotalease.FromUnits(10), quotalease.FromUnits(1), 0))
+	}
 	floor("all")
 	now = time.Second
 	for range 5 { // a retry without its own budget must not use up the other
@@ -268,7 +270,7 @@
 	if ok, err := a.try(); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
-	var taken quotalease.FloorTaken
+	var taken quotalease.FloorClaimedError
 	if ok, err := b.try(); ok || !errors.As(err, &taken) {
 		t.Fatal(ok, err)
 	}
@@ -307,10 +309,10 @@
 		if err := api.Read(r.Body, &in); err != nil {
 			t.Error(err)
 		}
-		g := quotalease.Grant{Fleet: "south", Epoch: 9, Key: in.Key, Budget: "all", Kind: quotalease.Rate, Amount: quotalease.Of(500), Burst: quotalease.Of(50), Lease: time.Hour,
-			Ask: in.Seq, Token: quotalease.Token{Epoch: 9, Index: 9}}
-		api.Write(w, http.StatusOK, quotalease.Reply{Fleet: "south", Epoch: 9, Key: in.Key, Version: 9, Grants: []quotalease.Grant{g},
-			Floors: map[string]quotalease.Floor{"all": {Kind: quotalease.Rate, Amount: quotalease.Of(500), Burst: quotalease.Of(50)}}})
+		g := quotalease.Lease{FleetID: "south", Epoch: 9, HolderID: in.HolderID, Quota: "all", Kind: quotalease.Rate, Amount: quotalease.FromUnits(500), Burst: quotalease.FromUnits(50), Duration: time.Hour,
+			RequestSeq: in.Seq, Token: quotalease.Token{Epoch: 9, Index: 9}}
+		api.Write(w, http.StatusOK, quotalease.Reply{FleetID: "south", Epoch: 9, HolderID: in.HolderID, ConfigVersion: 9, Leases: []quotalease.Lease{g},
+			Floors: map[string]quotalease.Floor{"all": {Kind: quotalease.Rate, Amount: quotalease.FromUnits(500), Burst: quotalease.FromUnits(50)}}})
 	}))
 	defer server.Close()
 	l := New(Settings{File: file(t.TempDir(), server.Listener.Addr().String()), Name: "p1"})
@@ -323,7 +325,7 @@
 			t.Fatal("another fleet's grant was spent")
 		}
 	}
-	if r := l.Report(); len(r.Troubles) != 1 || r.Troubles[0].Advice != (quotalease.OtherFleet{}).Advice() || !r.Claim {
+	if r := l.Report(); len(r.Troubles) != 1 || r.Troubles[0].Advice != (quotalease.FleetMismatchError{}).Advice() || !r.Claim {
 		t.Errorf("%+v", r)
 	}
 	cancel()
@@ -334,7 +336,7 @@
 	l := New(Settings{File: file("", "127.0.0.1:1"), Name: "p1"})
 	l.generation = 1
 	s, _ := l.Sight("web", nil, nil)
-	l.publish(1, 7, "all", l.clock(), nil, newCell(l.clock(), quotalease.Of(1e9), quotalease.Of(1e9), 0))
+	l.publish(1, 7, "all", l.clock(), nil, newCell(l.clock(), quotalease.FromUnits(1e9), quotalease.FromUnits(1e9), 0))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/internal/controlplane/client/look.go
+++ b/internal/controlplane/client/look.go
@@ -258,10 +258,10 @@
 
 // cellsOf is what the Holder has of a budget, as cells.
 func (l *Link) cellsOf(h *quotalease.Holder, by uint64, now time.Duration, name string, burst quotalease.Amount, claimed bool, f quotalease.Floor) (lease, floor *cell) {
-	drift := l.grants.Drift
-	has := h.Has(now, name)
+	drift := l.grants.MaxDrift
+	has := h.Status(now, name)
 	if lease = newCell(now, has.Amount, burst, drift); lease != nil {
-		lease.ends, lease.by, lease.token = int64(now+has.Left), by, has.Token
+		lease.ends, lease.by, lease.token = int64(now+has.Remaining), by, has.Token
 		lease.text = fmt.Sprintf("%s;%v", l.set.Name, has.Token)
 		if l.flaws.full {
 			lease.z.Add(-lease.depth)
--- a/internal/controlplane/server/frozen_test.go
+++ b/internal/controlplane/server/frozen_test.go
@@ -25,7 +25,7 @@
 
 func frozenNow() time.Duration { return 0 }
 
-var frozenKey = quotalease.Key{Holder: "p1", Incarnation: 7}
+var frozenKey = quotalease.HolderID{Holder: "p1", Incarnation: 7}
 
 // frozenEntries has grants and policies of a fleet that begins.
 func frozenEntries(t *testing.T) (all [][]byte) {
@@ -37,12 +37,12 @@
 		}
 		all = append(all, append([]byte(mark), text...))
 	}
-	add("", quotalease.Command{Found: &quotalease.Found{Fleet: "north", Epoch: 1, Drift: .001, Longest: 600 * time.Millisecond}})
+	add("", quotalease.Command{Bootstrap: &quotalease.Bootstrap{FleetID: "north", Epoch: 1, MaxDrift: .001, MaxLifetime: 600 * time.Millisecond}})
 	add("", quotalease.Command{Expire: &quotalease.Expire{Token: quotalease.Token{Epoch: 1, Index: 1}}})
-	add("", quotalease.Command{SetBudgets: &quotalease.SetBudgets{Version: 1, Fleet: quotalease.Fleet{ID: "north", Drift: .001, Longest: 600 * time.Millisecond,
-		Budgets: []quotalease.Budget{{Name: "attempts", Kind: quotalease.Rate, Whole: 1000, Burst: 100, Lease: 600 * time.Millisecond, Floors: map[string]float64{"p1": 50}}}}}})
-	add("", quotalease.Command{Batch: []quotalease.Command{{Grant: &quotalease.Grant{Fleet: "north", Epoch: 1, Key: frozenKey, Budget: "attempts", Kind: quotalease.Rate,
-		Amount: quotalease.Of(200), Burst: quotalease.Of(20), Lease: 600 * time.Millisecond, Ask: 3, Version: 1}}}})
+	add("", quotalease.Command{SetQuotas: &quotalease.SetQuotas{Version: 1, Config: quotalease.FleetConfig{FleetID: "north", MaxDrift: .001, MaxLifetime: 600 * time.Millisecond,
+		Quotas: []quotalease.Quota{{Name: "attempts", Kind: quotalease.Rate, Limit: 1000, Burst: 100, LeaseDuration: 600 * time.Millisecond, Floors: map[string]float64{"p1": 50}}}}}})
+	add("", quotalease.Command{Batch: []quotalease.Command{{Grant: &quotalease.Lease{FleetID: "north", Epoch: 1, HolderID: frozenKey, Quota: "attempts", Kind: quotalease.Rate,
+		Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20), Duration: 600 * time.Millisecond, RequestSeq: 3, ConfigVersion: 1}}}})
 	add("", quotalease.Command{})
 	mark := string(rune(policyMark))
 	add(mark, store.Command{Charter: &store.Charter{Text: charterText("x.org"), By: "op"}})
@@ -122,14 +122,14 @@
 	if len(st.Held) != 1 || st.Held[0].Namespace != "beta" || st.Held[0].Offered != 1 || st.Held[0].Holds != 0 || st.Held[0].By != "beta" {
 		t.Errorf("held back: read %+v", st.Held)
 	}
-	want := quotalease.Reply{Fleet: "north", Epoch: 1, Key: frozenKey, Version: 1,
-		Grants: []quotalease.Grant{{Fleet: "north", Epoch: 1, Key: frozenKey, Budget: "attempts", Kind: quotalease.Rate, Amount: quotalease.Of(200), Burst: quotalease.Of(20),
-			Lease: 600 * time.Millisecond, Ask: 3, Version: 1, Token: quotalease.Token{Epoch: 1, Index: 4}}},
-		Floors: map[string]quotalease.Floor{"attempts": {Kind: quotalease.Rate, Amount: quotalease.Of(50), Burst: quotalease.Of(5)}}}
-	if got := m.book.Tell(frozenKey); !reflect.DeepEqual(got, want) {
+	want := quotalease.Reply{FleetID: "north", Epoch: 1, HolderID: frozenKey, ConfigVersion: 1,
+		Leases: []quotalease.Lease{{FleetID: "north", Epoch: 1, HolderID: frozenKey, Quota: "attempts", Kind: quotalease.Rate, Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20),
+			Duration: 600 * time.Millisecond, RequestSeq: 3, ConfigVersion: 1, Token: quotalease.Token{Epoch: 1, Index: 4}}},
+		Floors: map[string]quotalease.Floor{"attempts": {Kind: quotalease.Rate, Amount: quotalease.FromUnits(50), Burst: quotalease.FromUnits(5)}}}
+	if got := m.book.ReplyTo(frozenKey); !reflect.DeepEqual(got, want) {
 		t.Errorf("grants: read\n%+v, want\n%+v", got, want)
 	}
-	if _, epoch, err := m.book.Founded(); err != nil || epoch != 1 {
+	if _, epoch, err := m.book.Bootstrapped(); err != nil || epoch != 1 {
 		t.Errorf("founded: read %d, %v", epoch, err)
 	}
 }
--- a/internal/controlplane/server/http.go
+++ b/internal/controlplane/server/http.go
@@ -34,7 +34,7 @@
 		}
 	})
 	mux.HandleFunc("POST "+api.PathSet, func(w http.ResponseWriter, r *http.Request) {
-		var in quotalease.SetBudgets
+		var in quotalease.SetQuotas
 		if s.read(w, r, &in) {
 			s.write(w, struct{}{}, s.setBudgets(r.Context(), in))
 		}
@@ -68,7 +68,7 @@
 	mux.HandleFunc("/consensus/", func(w http.ResponseWriter, r *http.Request) {
 		t := s.now.Load()
 		if t == nil {
-			api.Write(w, http.StatusServiceUnavailable, s.told(quotalease.NotFounded{}))
+			api.Write(w, http.StatusServiceUnavailable, s.told(quotalease.NotBootstrappedError{}))
 			return
 		}
 		t.handler.ServeHTTP(w, r)
@@ -130,13 +130,13 @@
 		out.Counts["pieces_along"], out.Counts["pieces_named"], out.Counts["pieces_bytes"], out.Counts["pieces_lacked"], out.Counts["pieces_later"] =
 			p.Along, p.Named, p.Bytes, p.Lacks, p.Later
 		m.mu.Lock()
-		config, version := m.book.Budgets()
-		_, _, err := m.book.Founded()
+		config, version := m.book.Config()
+		_, _, err := m.book.Bootstrapped()
 		out.Version, out.Unset = version, err != nil || version == 0
-		for i := range config.Budgets {
-			b := &config.Budgets[i]
-			amount, burst := m.book.Counted(b.Name)
-			out.Budgets = append(out.Budgets, api.Counted{Name: b.Name, Whole: b.Whole, Burst: b.Burst, Granted: amount.Units(), BurstsHeld: burst.Units()})
+		for i := range config.Quotas {
+			b := &config.Quotas[i]
+			amount, burst := m.book.Outstanding(b.Name)
+			out.Budgets = append(out.Budgets, api.Counted{Name: b.Name, Whole: b.Limit, Burst: b.Burst, Granted: amount.Units(), BurstsHeld: burst.Units()})
 		}
 		m.mu.Unlock()
 	}
--- a/internal/controlplane/server/machine.go
+++ b/internal/controlplane/server/machine.go
@@ -25,8 +25,8 @@
 	clock func() time.Duration
 
 	mu     sync.Mutex
-	book   *quotalease.Book
-	keeper *quotalease.Keeper
+	book   *quotalease.StateMachine
+	keeper *quotalease.Allocator
 
 	policies sync.Mutex // apart from the grants: a merge takes longer than a plan may wait
 	policy   *store.Book
@@ -60,8 +60,8 @@
 
 // newMachine has no silence of its own: the log keeps it, and knows by the other stewards when it may end sooner.
 func newMachine(clock func() time.Duration, epoch uint64) *machine {
-	book := quotalease.NewBook()
-	m := &machine{clock: clock, book: book, keeper: quotalease.NewKeeper(clock(), 0, book), policy: store.New(epoch << 32),
+	book := quotalease.NewStateMachine()
+	m := &machine{clock: clock, book: book, keeper: quotalease.NewAllocator(clock(), 0, book), policy: store.New(epoch << 32),
 		shelf: distribution.New(distribution.Defaults()), whole: map[string]whole{}}
 	m.publish()
 	return m
@@ -99,9 +99,9 @@
 	}
 	m.mu.Lock()
 	a, err := m.book.Apply(index, c)
-	m.keeper.Note(m.clock(), a)
+	m.keeper.ObserveApplied(m.clock(), a)
 	m.mu.Unlock()
-	out.Refused, out.Parts, out.Born = api.ProblemOf(err), len(a.Refused), len(a.Born)
+	out.Refused, out.Parts, out.Born = api.ProblemOf(err), len(a.Rejected), len(a.Started)
 	text, _ := cbor.Marshal(out) // strings and numbers
 	return text
 }
@@ -206,14 +206,14 @@
 	if err := m.book.Restore(parts.Grants); err != nil {
 		return err
 	}
-	m.keeper.Restart(m.clock())
+	m.keeper.RestartTimers(m.clock())
 	return nil
 }
 
 // past tells whether the time before the founding is not over.
 func (m *machine) past() bool {
-	for _, i := range m.book.Items() {
-		if i.Budget == "" {
+	for _, i := range m.book.PendingExpiries() {
+		if i.Quota == "" {
 			return true
 		}
 	}
--- a/internal/controlplane/server/plans.go
+++ b/internal/controlplane/server/plans.go
@@ -44,7 +44,7 @@
 	}
 	t.machine.mu.Lock()
 	defer t.machine.mu.Unlock()
-	at, ok := t.machine.keeper.NextEnd()
+	at, ok := t.machine.keeper.NextExpiry()
 	if !ok {
 		return rest
 	}
@@ -54,7 +54,7 @@
 func (s *Steward) round(ctx context.Context, asks []ask) {
 	t := s.now.Load()
 	if t == nil {
-		s.answerAll(asks, quotalease.NotFounded{})
+		s.answerAll(asks, quotalease.NotBootstrappedError{})
 		return
 	}
 	m := t.machine
@@ -75,11 +75,11 @@
 		return
 	}
 	m.mu.Lock()
-	_, _, unfounded := m.book.Founded()
+	_, _, unfounded := m.book.Bootstrapped()
 	m.mu.Unlock()
 	if unfounded != nil {
 		f := t.founding
-		if err := s.propose(ctx, t, quotalease.Command{Found: &quotalease.Found{Fleet: f.Fleet, Epoch: f.Epoch, Drift: f.Drift, Longest: time.Duration(f.Longest)}}); err != nil {
+		if err := s.propose(ctx, t, quotalease.Command{Bootstrap: &quotalease.Bootstrap{FleetID: f.Fleet, Epoch: f.Epoch, MaxDrift: f.Drift, MaxLifetime: time.Duration(f.Longest)}}); err != nil {
 			s.answerAll(asks, err)
 			return
 		}
@@ -88,7 +88,7 @@
 	now := s.clock()
 	m.mu.Lock()
 	for _, a := range asks {
-		if err := m.keeper.Heard(now, a.request); err != nil {
+		if err := m.keeper.HandleRequest(now, a.request); err != nil {
 			s.answer(a, quotalease.Reply{}, err)
 			continue
 		}
@@ -107,7 +107,7 @@
 	for range 3 { // words first, then grants of what they free; what is left comes with the next round
 		m.mu.Lock()
 		var commands []quotalease.Command
-		if m.keeper.Pending(s.clock()) {
+		if m.keeper.HasWork(s.clock()) {
 			commands = m.keeper.Plan(s.clock())
 		}
 		m.mu.Unlock()
@@ -121,11 +121,11 @@
 	}
 	for _, a := range heard {
 		m.mu.Lock()
-		reply := m.book.Tell(a.request.Key)
-		past := reply.Version == 0 && m.past()
+		reply := m.book.ReplyTo(a.request.HolderID)
+		past := reply.ConfigVersion == 0 && m.past()
 		m.mu.Unlock()
 		if past {
-			s.answer(a, reply, quotalease.StillSilent{Longest: time.Duration(t.founding.Longest)})
+			s.answer(a, reply, quotalease.BootstrapPendingError{MaxLifetime: time.Duration(t.founding.Longest)})
 			continue
 		}
 		s.answer(a, reply, nil)
@@ -229,10 +229,10 @@
 }
 
 // setBudgets carries out an operator's word.
-func (s *Steward) setBudgets(ctx context.Context, b quotalease.SetBudgets) error {
+func (s *Steward) setBudgets(ctx context.Context, b quotalease.SetQuotas) error {
 	t := s.now.Load()
 	if t == nil {
-		return quotalease.NotFounded{}
+		return quotalease.NotBootstrappedError{}
 	}
 	status := t.node.Status()
 	if status.Err != nil {
@@ -243,9 +243,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTime)
 	defer cancel()
-	err := s.propose(ctx, t, quotalease.Command{SetBudgets: &b})
+	err := s.propose(ctx, t, quotalease.Command{SetQuotas: &b})
 	if err == nil {
-		s.set.Log.Info("budgets were set by an operator's word", "version", b.Version, "budgets", len(b.Fleet.Budgets))
+		s.set.Log.Info("budgets were set by an operator's word", "version", b.Version, "budgets", len(b.Config.Quotas))
 	} else {
 		s.warn("budgets were not set", err)
 	}
--- a/internal/controlplane/server/policy.go
+++ b/internal/controlplane/server/policy.go
@@ -56,7 +56,7 @@
 func (s *Steward) leading() (*term, error) {
 	t := s.now.Load()
 	if t == nil {
-		return nil, quotalease.NotFounded{}
+		return nil, quotalease.NotBootstrappedError{}
 	}
 	status := t.node.Status()
 	if status.Err != nil {
@@ -173,7 +173,7 @@
 func (s *Steward) reported(in api.PolicyReport) (api.PolicyReply, error) {
 	out := api.PolicyReply{Fleet: s.set.File.Fleet}
 	if in.Fleet != out.Fleet {
-		return out, quotalease.OtherFleet{Ours: out.Fleet, Theirs: in.Fleet}
+		return out, quotalease.FleetMismatchError{Ours: out.Fleet, Theirs: in.Fleet}
 	}
 	t, err := s.leading()
 	if err != nil {
@@ -214,14 +214,14 @@
 // piecesOf gives pieces by name. Any steward does: what it has may be behind, and then the proxy asks another.
 func (s *Steward) piecesOf(in api.PiecesRequest) (out api.PiecesReply, err error) {
 	if in.Fleet != s.set.File.Fleet {
-		return out, quotalease.OtherFleet{Ours: s.set.File.Fleet, Theirs: in.Fleet}
+		return out, quotalease.FleetMismatchError{Ours: s.set.File.Fleet, Theirs: in.Fleet}
 	}
 	if len(in.Names) > api.MostNames || len(in.Proxy) > mostName {
 		return out, api.BadMessage{Why: fmt.Sprintf("it asks for %d pieces", len(in.Names))}
 	}
 	t := s.now.Load()
 	if t == nil {
-		return out, quotalease.NotFounded{}
+		return out, quotalease.NotBootstrappedError{}
 	}
 	var later time.Duration
 	out.Pieces, out.Lacks, later = t.machine.shelf.Named(s.clock(), in.Proxy, in.Root, in.Names)
@@ -328,7 +328,7 @@
 func (s *Steward) policyStatus() (api.PolicyStatus, error) {
 	t := s.now.Load()
 	if t == nil {
-		return api.PolicyStatus{}, quotalease.NotFounded{}
+		return api.PolicyStatus{}, quotalease.NotBootstrappedError{}
 	}
 	out := api.PolicyStatus{Standing: t.machine.standing()}
 	if _, err := s.leading(); err != nil {
--- a/internal/controlplane/server/steward.go
+++ b/internal/controlplane/server/steward.go
@@ -167,17 +167,17 @@
 	was := s.now.Load()
 	switch {
 	case f.Fleet != s.set.File.Fleet:
-		return quotalease.OtherFleet{Ours: s.set.File.Fleet, Theirs: f.Fleet}
+		return quotalease.FleetMismatchError{Ours: s.set.File.Fleet, Theirs: f.Fleet}
 	case f.ID != s.own.Number:
 		return storage.StoreOfAnotherNode{Path: s.own.Address, ID: s.own.Number}
 	case f.Epoch == 0 || f.Longest <= 0:
-		return quotalease.BadCommand{Why: fmt.Sprintf("epoch %d, longest %v", f.Epoch, time.Duration(f.Longest))}
+		return quotalease.InvalidCommandError{Reason: fmt.Sprintf("epoch %d, longest %v", f.Epoch, time.Duration(f.Longest))}
 	case last != nil && f.Epoch == last.Epoch && f.Longest == last.Longest && f.Drift == last.Drift:
 		return nil // told again
 	case last != nil && f.Epoch <= last.Epoch:
-		return quotalease.OldEpoch{Got: f.Epoch, Have: last.Epoch}
+		return quotalease.StaleEpochError{Got: f.Epoch, Have: last.Epoch}
 	case last != nil && (f.Longest < last.Longest || f.Drift < last.Drift):
-		return quotalease.BadCommand{Why: fmt.Sprintf("longest %v or drift %v is less than held before", time.Duration(f.Longest), f.Drift)}
+		return quotalease.InvalidCommandError{Reason: fmt.Sprintf("longest %v or drift %v is less than held before", time.Duration(f.Longest), f.Drift)}
 	}
 	if was != nil { // from here on it has no voice in the founding before
 		s.now.Store(nil)
@@ -226,7 +226,7 @@
 		peers[o.Number] = "http://" + o.Address
 	}
 	m := newMachine(s.clock, f.Epoch)
-	silence := quotalease.Silence(time.Duration(f.Longest), f.Drift) + s.set.Tick
+	silence := quotalease.StartupSilence(time.Duration(f.Longest), f.Drift) + s.set.Tick
 	n, err := node.Start(node.Config{Fleet: f.Fleet, Epoch: f.Epoch, ID: f.ID, Store: s.storePath(f.Epoch), Peers: peers, Machine: m,
 		Silence: silence, Tick: s.set.Tick, Limits: consensus.Settings{MaxCommand: mostEntry}, Via: s.set.Via})
 	if err != nil {
--- a/internal/controlplane/server/steward_test.go
+++ b/internal/controlplane/server/steward_test.go
@@ -166,29 +166,29 @@
 }
 
 func newHolder(name string) *holder {
-	return &holder{quotalease.NewHolder(quotalease.HolderSettings{Fleet: "north", Key: quotalease.Key{Holder: name, Incarnation: 7}, Drift: .001}), time.Now()}
+	return &holder{quotalease.NewHolder(quotalease.HolderSettings{FleetID: "north", HolderID: quotalease.HolderID{Holder: name, Incarnation: 7}, MaxDrift: .001}), time.Now()}
 }
 
 func (h *holder) now() time.Duration { return time.Since(h.begun) }
 
 // ask gives the last error if no steward answered.
 func (s *site) ask(h *holder) (err error) {
-	h.Want("attempts", 1000)
+	h.SetDemand("attempts", 1000)
 	at := h.now()
-	r := h.Ask(at)
+	r := h.NextRequest(at)
 	for _, o := range s.file.Stewards {
 		var reply quotalease.Reply
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		err = api.Call(ctx, s.client, o.Address, api.PathAsk, r, &reply)
 		cancel()
 		if err == nil {
-			return h.Take(at, h.now(), reply)
+			return h.HandleReply(at, h.now(), reply)
 		}
 	}
 	return err
 }
 
-func (h *holder) has() float64 { return h.Has(h.now(), "attempts").Amount.Units() }
+func (h *holder) has() float64 { return h.Status(h.now(), "attempts").Amount.Units() }
 
 // both asks for both in turn until it is so, and checks that they never have more than the whole together.
 func (s *site) both(what string, a, b *holder, is func(a, b float64) bool, whole float64) {
@@ -237,7 +237,7 @@
 	s.both("the old whole ends", a, b, func(float64, float64) bool { return time.Now().After(deadline) }, 1000)
 	s.both("both have half of the lower whole", a, b, func(a, b float64) bool { return a == 200 && b == 200 }, 400)
 
-	b.Leave()
+	b.ReleaseAll()
 	s.both("who stays has all", a, b, func(a, _ float64) bool { return a == 400 }, 400)
 }
 
@@ -263,12 +263,12 @@
 	_, err = s.file.Set(ctx, s.client, 1, nil)
 	refused("an old version", "OldBudgets", err)
 	stranger := newHolder("p1")
-	stranger.Holder = quotalease.NewHolder(quotalease.HolderSettings{Fleet: "south", Key: quotalease.Key{Holder: "p1", Incarnation: 1}})
+	stranger.Holder = quotalease.NewHolder(quotalease.HolderSettings{FleetID: "south", HolderID: quotalease.HolderID{Holder: "p1", Incarnation: 1}})
 	lead := s.leader()
-	err = api.One(ctx, s.client, s.file.Stewards[lead].Address, api.PathAsk, stranger.Ask(0), nil)
+	err = api.One(ctx, s.client, s.file.Stewards[lead].Address, api.PathAsk, stranger.NextRequest(0), nil)
 	refused("another fleet's proxy", "OtherFleet", err)
 	follower := s.file.Stewards[(lead+1)%3]
-	err = api.One(ctx, s.client, follower.Address, api.PathAsk, newHolder("p2").Ask(0), nil)
+	err = api.One(ctx, s.client, follower.Address, api.PathAsk, newHolder("p2").NextRequest(0), nil)
 	if p := api.ProblemOf(err); p.Leader != s.file.Stewards[lead].Address || !strings.Contains(p.Name, "NotLeader") {
 		t.Errorf("a follower says %+v", p)
 	}
@@ -351,14 +351,14 @@
 				all.Go(func() {
 					h := newHolder(fmt.Sprint("p", i))
 					for left.Add(-1) >= 0 {
-						h.Want("attempts", 1000)
+						h.SetDemand("attempts", 1000)
 						at := h.now()
 						var reply quotalease.Reply
-						if err := api.One(context.Background(), client, lead, api.PathAsk, h.Ask(at), &reply); err != nil {
+						if err := api.One(context.Background(), client, lead, api.PathAsk, h.NextRequest(at), &reply); err != nil {
 							failed.Add(1)
 							continue
 						}
-						_ = h.Take(at, h.now(), reply)
+						_ = h.HandleReply(at, h.now(), reply)
 					}
 				})
 			}
--- a/internal/controlplane/server/twice.go
+++ b/internal/controlplane/server/twice.go
@@ -38,7 +38,7 @@
 
 // heard takes a request, and returns FloorsTwice if it shows that.
 func (c *claimants) heard(now time.Duration, r *quotalease.Request) error {
-	if r.Floors == 0 || r.Leaving {
+	if r.FloorsVersion == 0 || r.Leaving {
 		return nil
 	}
 	if c.by == nil || len(c.by) >= mostClaimants {
--- a/internal/controlplane/server/twice_test.go
+++ b/internal/controlplane/server/twice_test.go
@@ -10,7 +10,7 @@
 
 func TestFloorsOfOneNameOnTwoMachinesAreFound(t *testing.T) {
 	ask := func(incarnation, floors uint64) *quotalease.Request {
-		return &quotalease.Request{Key: quotalease.Key{Holder: "p1", Incarnation: incarnation}, Floors: floors}
+		return &quotalease.Request{HolderID: quotalease.HolderID{Holder: "p1", Incarnation: incarnation}, FloorsVersion: floors}
 	}
 	for name, c := range map[string]struct {
 		asks []*quotalease.Request
--- a/internal/faultlab/clustertest/fleet_test.go
+++ b/internal/faultlab/clustertest/fleet_test.go
@@ -87,17 +87,17 @@
 		api.Write(w, http.StatusBadRequest, api.ProblemOf(err))
 		return
 	}
-	reply := quotalease.Reply{Fleet: "other", Epoch: 1, Key: q.Key, Version: 1, Grants: []quotalease.Grant{{Fleet: "other", Epoch: 1, Key: q.Key, Budget: "attempts", Kind: quotalease.Rate,
-		Amount: quotalease.Of(1000), Burst: quotalease.Of(1000), Lease: lease, Ask: q.Seq, Version: 1, Token: quotalease.Token{Epoch: 1, Index: 1e6 + q.Seq}}}}
+	reply := quotalease.Reply{FleetID: "other", Epoch: 1, HolderID: q.HolderID, ConfigVersion: 1, Leases: []quotalease.Lease{{FleetID: "other", Epoch: 1, HolderID: q.HolderID, Quota: "attempts", Kind: quotalease.Rate,
+		Amount: quotalease.FromUnits(1000), Burst: quotalease.FromUnits(1000), Duration: lease, RequestSeq: q.Seq, ConfigVersion: 1, Token: quotalease.Token{Epoch: 1, Index: 1e6 + q.Seq}}}}
 	if q.Seq%2 == 0 {
-		reply.Fleet = q.Fleet
+		reply.FleetID = q.FleetID
 	}
 	api.Write(w, http.StatusOK, reply)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	had := o.replies[q.Key.Holder]
+	had := o.replies[q.HolderID.Holder]
 	had[q.Seq%2]++
-	o.replies[q.Key.Holder] = had
+	o.replies[q.HolderID.Holder] = had
 }
 
 // What the fleet spends never sums to more than the whole, by the nodes' own counts, and in the end all proxies serve again.
--- a/internal/faultlab/liverun/steward_test.go
+++ b/internal/faultlab/liverun/steward_test.go
@@ -29,12 +29,12 @@
 func (a *asker) ask(ctx context.Context) (answers int) {
 	for _, s := range a.r.stewards {
 		call, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
-		a.Want("attempts", 100)
+		a.SetDemand("attempts", 100)
 		sent := a.now()
 		var reply quotalease.Reply
-		err := api.Call(call, a.client, a.r.paths.stewards[[2]string{"proxy-0", s.name()}].Addr(), api.PathAsk, a.Ask(sent), &reply)
+		err := api.Call(call, a.client, a.r.paths.stewards[[2]string{"proxy-0", s.name()}].Addr(), api.PathAsk, a.NextRequest(sent), &reply)
 		cancel()
-		if err == nil && a.Take(sent, a.now(), reply) == nil && a.Has(a.now(), "attempts").Amount > 0 {
+		if err == nil && a.HandleReply(sent, a.now(), reply) == nil && a.Status(a.now(), "attempts").Amount > 0 {
 			answers++
 		}
 	}
@@ -50,14 +50,14 @@
 		{Name: "attempts", Of: api.Of{Counts: "attempts"}, Whole: 10, Burst: 5, Lease: strictconfig.Span(time.Second)}}}
 	res, err := Play(t.Context(), &s, Options{Binary: testbinary.Proxy(t), Fabric: true, Fleet: o, Script: func(f *Fleet) error {
 		a := &asker{begun: time.Now(), r: f.r, client: &http.Client{Transport: &http.Transport{}},
-			Holder: quotalease.NewHolder(quotalease.HolderSettings{Fleet: fleetName, Key: quotalease.Key{Holder: "n0", Incarnation: 1}, Drift: .001})}
+			Holder: quotalease.NewHolder(quotalease.HolderSettings{FleetID: fleetName, HolderID: quotalease.HolderID{Holder: "n0", Incarnation: 1}, MaxDrift: .001})}
 		defer a.client.CloseIdleConnections()
 		granted := func(what string) error {
 			return f.Await(what, func() bool { return a.ask(f.ctx) > 0 })
 		}
 		nothing := func(what string, do func() error) error {
 			return errors.Join(f.Await(what, func() bool {
-				return a.ask(f.ctx) == 0 && a.Has(a.now(), "attempts").Amount == 0
+				return a.ask(f.ctx) == 0 && a.Status(a.now(), "attempts").Amount == 0
 			}), do())
 		}
 		for _, step := range []func() error{
@@ -92,7 +92,7 @@
 			},
 			func() error { return errors.Join(granted("a grant as all is whole"), f.SetWhole("attempts", 5, 5)) },
 			func() error {
-				return f.Await("the lower whole", func() bool { a.ask(f.ctx); return a.Has(a.now(), "attempts").Amount <= quotalease.Of(5) })
+				return f.Await("the lower whole", func() bool { a.ask(f.ctx); return a.Status(a.now(), "attempts").Amount <= quotalease.FromUnits(5) })
 			},
 		} {
 			if err := step(); err != nil {
--- a/internal/quotalease/book.go
+++ b/internal/quotalease/book.go
@@ -12,331 +12,333 @@
 
 // Command is an entry of the log: exactly one field is set.
 type Command struct {
-	Found      *Found      `json:"Found,omitempty"`
-	SetBudgets *SetBudgets `json:"SetBudgets,omitempty"`
-	Grant      *Grant      `json:"Grant,omitempty"`
-	Expire     *Expire     `json:"Expire,omitempty"`
-	Ack        *Ack        `json:"Ack,omitempty"`
-	GiveBack   *GiveBack   `json:"GiveBack,omitempty"`
-	Know       *Know       `json:"Know,omitempty"`
-	Grants     *Grants     `json:"Grants,omitempty"`
-	Words      *Words      `json:"Words,omitempty"`
-	Batch      []Command   `json:"Batch,omitempty"` // applied in order, each accepted or refused by itself
-}
-
-// Found is an operator's word: this log is the fleet's from now on, under an epoch above all before. Nothing is granted, and
+	Bootstrap     *Bootstrap     `json:"Found,omitempty"`
+	SetQuotas     *SetQuotas     `json:"SetBudgets,omitempty"`
+	Grant         *Lease         `json:"Grant,omitempty"`
+	Expire        *Expire        `json:"Expire,omitempty"`
+	Ack           *Ack           `json:"Ack,omitempty"`
+	Release       *Release       `json:"GiveBack,omitempty"`
+	ObserveConfig *ObserveConfig `json:"Know,omitempty"`
+	GrantBatch    *GrantBatch    `json:"Grants,omitempty"`
+	AckBatch      *AckBatch      `json:"Words,omitempty"`
+	Batch         []Command      `json:"Batch,omitempty"` // applied in order, each accepted or refused by itself
+}
+
+// Bootstrap is an operator's word: this log is the fleet's from now on, under an epoch above all before. Nothing is granted, and
 // no budget is set, until Longest has gone by; it and Drift must be at least what held before.
-type Found struct {
-	Fleet   string        `json:"Fleet"`
-	Epoch   uint64        `json:"Epoch"`
-	Drift   float64       `json:"Drift"`
-	Longest time.Duration `json:"Longest"`
+type Bootstrap struct {
+	FleetID     string        `json:"Fleet"`
+	Epoch       uint64        `json:"Epoch"`
+	MaxDrift    float64       `json:"Drift"`
+	MaxLifetime time.Duration `json:"Longest"`
 }
 
-// SetBudgets is a new configuration, under a version above all before. A lower whole holds once the last grant of the
+// SetQuotas is a new configuration, under a version above all before. A lower whole holds once the last grant of the
 // version before has ended. A floor that is lowered stays counted until its holder says that it goes by the new version;
 // Gone names holders whose floors an operator vouches that nobody will spend again.
-type SetBudgets struct {
-	Version uint64   `json:"Version"`
-	Fleet   Fleet    `json:"Fleet"`
-	Gone    []string `json:"Gone,omitempty"`
-}
-
-// Grant is a part of a budget for one process, for a length of time.
-type Grant struct {
-	Fleet string `json:"Fleet"`
-	Epoch uint64 `json:"Epoch"`
-	Key
-	Budget  string        `json:"Budget"`
-	Kind    Kind          `json:"Kind"`
-	Amount  Amount        `json:"Amount"`  // units a second, or units in hand
-	Burst   Amount        `json:"Burst"`   // units of the bucket; 0 for work in hand
-	Lease   time.Duration `json:"Lease"`   // the holder counts it from when it sent the ask
-	Life    time.Duration `json:"Life"`    // of work in hand
-	Ask     uint64        `json:"Ask"`     // number of the ask that it answers; the ask was sent before this was committed
-	Version uint64        `json:"Version"` // of the budgets; set by the book
-	Token   Token         `json:"Token"`   // set by the book
+type SetQuotas struct {
+	Version        uint64      `json:"Version"`
+	Config         FleetConfig `json:"Fleet"`
+	RemovedHolders []string    `json:"Gone,omitempty"`
+}
+
+// Lease is a part of a budget for one process, for a length of time.
+type Lease struct {
+	FleetID string `json:"Fleet"`
+	Epoch   uint64 `json:"Epoch"`
+	HolderID
+	Quota         string        `json:"Budget"`
+	Kind          Kind          `json:"Kind"`
+	Amount        Amount        `json:"Amount"`  // units a second, or units in hand
+	Burst         Amount        `json:"Burst"`   // units of the bucket; 0 for work in hand
+	Duration      time.Duration `json:"Lease"`   // the holder counts it from when it sent the ask
+	MaxHoldTime   time.Duration `json:"Life"`    // of work in hand
+	RequestSeq    uint64        `json:"Ask"`     // number of the ask that it answers; the ask was sent before this was committed
+	ConfigVersion uint64        `json:"Version"` // of the budgets; set by the book
+	Token         Token         `json:"Token"`   // set by the book
 }
 
 // Expire is a steward's word that a grant, a rest of work in hand, or the time before a founding, surely is over.
 type Expire struct {
-	Key
-	Budget string `json:"Budget"`
-	Token  Token  `json:"Token"`
+	HolderID
+	Quota string `json:"Budget"`
+	Token Token  `json:"Token"`
 }
 
 // Ack is a holder's word: it goes by Token, will never go by an older one, and had Held in hand when it asked with Seq.
 type Ack struct {
 	Epoch uint64 `json:"Epoch"`
-	Key
-	Budget string `json:"Budget"`
-	Seq    uint64 `json:"Seq"`
-	Token  Token  `json:"Token"`
-	Held   Amount `json:"Held"`
+	HolderID
+	Quota      string `json:"Budget"`
+	RequestSeq uint64 `json:"Seq"`
+	Token      Token  `json:"Token"`
+	InFlight   Amount `json:"Held"`
 }
 
-// GiveBack is a holder's word: it will never again go by Token or an older one, and had Held in hand when it asked with
+// Release is a holder's word: it will never again go by Token or an older one, and had Held in hand when it asked with
 // Seq. With All it will go by no grant of this budget at all: it leaves.
-type GiveBack struct {
+type Release struct {
 	Ack
 	All bool `json:"All"`
 }
 
-// Grants are grants of many budgets to one process, in answer to one ask: each as a Grant for the budget's whole lease. They
+// GrantBatch are grants of many budgets to one process, in answer to one ask: each as a Grant for the budget's whole lease. They
 // are accepted or refused one by one. This is the form that a Keeper proposes: the log grows by a third of what it would.
-type Grants struct {
-	Fleet string `json:"Fleet"`
-	Epoch uint64 `json:"Epoch"`
-	Key
-	Ask   uint64 `json:"Ask"`
-	Parts []Part `json:"Parts"`
+type GrantBatch struct {
+	FleetID string `json:"Fleet"`
+	Epoch   uint64 `json:"Epoch"`
+	HolderID
+	RequestSeq uint64       `json:"Ask"`
+	Grants     []QuotaGrant `json:"Parts"`
 }
 
-// Part is one grant of Grants.
-type Part struct {
-	Budget string `json:"b"`
+// QuotaGrant is one grant of Grants.
+type QuotaGrant struct {
+	Quota  string `json:"b"`
 	Amount Amount `json:"a"`
 	Burst  Amount `json:"u,omitempty"`
 }
 
-// Words are a process's words on many budgets in one ask, each as an Ack, or as a GiveBack where it is Ended or All is set.
-type Words struct {
+// AckBatch are a process's words on many budgets in one ask, each as an Ack, or as a GiveBack where it is Ended or All is set.
+type AckBatch struct {
 	Epoch uint64 `json:"Epoch"`
-	Key
-	Seq   uint64 `json:"Seq"`
-	All   bool   `json:"All,omitempty"`
-	Parts []Word `json:"Parts"`
+	HolderID
+	RequestSeq uint64     `json:"Seq"`
+	All        bool       `json:"All,omitempty"`
+	Acks       []QuotaAck `json:"Parts"`
 }
 
-// Word is one of Words.
-type Word struct {
-	Budget string `json:"b"`
-	Token  Token  `json:"t"`
-	Held   Amount `json:"h,omitempty"`
-	Ended  bool   `json:"e,omitempty"`
+// QuotaAck is one of Words.
+type QuotaAck struct {
+	Quota    string `json:"b"`
+	Token    Token  `json:"t"`
+	InFlight Amount `json:"h,omitempty"`
+	Ended    bool   `json:"e,omitempty"`
 }
 
-// Know is what a process knows: the newest version of the budgets that it saw, and the version whose floors it goes by
+// ObserveConfig is what a process knows: the newest version of the budgets that it saw, and the version whose floors it goes by
 // (0: it has no claim to the floors of its name).
-type Know struct {
-	Key
-	Seen   uint64 `json:"Seen"`
-	Floors uint64 `json:"Floors"`
+type ObserveConfig struct {
+	HolderID
+	SeenVersion   uint64 `json:"Seen"`
+	FloorsVersion uint64 `json:"Floors"`
 }
 
-// Item is something that is counted until it is over: the time before a founding (Budget empty), a grant, or a rest of work
+// Expiry is something that is counted until it is over: the time before a founding (Budget empty), a grant, or a rest of work
 // in hand. Length is counted by the steward's clock from when it applied the command, with the margin.
-type Item struct {
-	Key
-	Budget string
-	Token  Token
-	Length time.Duration
+type Expiry struct {
+	HolderID
+	Quota    string
+	Token    Token
+	Duration time.Duration
 }
 
-// Applied is what a command did.
-type Applied struct {
-	Token   Token
-	Born    []Item
-	Refused []error // of a Batch, Grants or Words, for what was refused
+// ApplyResult is what a command did.
+type ApplyResult struct {
+	Token    Token
+	Started  []Expiry
+	Rejected []error // of a Batch, Grants or Words, for what was refused
 }
 
 // Reply is what a steward tells a holder: all that is the holder's by this steward's book. It may come late, repeated and
 // out of order.
 type Reply struct {
-	Fleet string `json:"Fleet"`
-	Epoch uint64 `json:"Epoch"`
-	Key
-	Version uint64           `json:"Version"` // of the budgets
-	Grants  []Grant          `json:"Grants"`  // the newest of each budget
-	Floors  map[string]Floor `json:"Floors"`  // by budget, of the holder's name
+	FleetID string `json:"Fleet"`
+	Epoch   uint64 `json:"Epoch"`
+	HolderID
+	ConfigVersion uint64           `json:"Version"` // of the budgets
+	Leases        []Lease          `json:"Grants"`  // the newest of each budget
+	Floors        map[string]Floor `json:"Floors"`  // by budget, of the holder's name
 }
 
 // Floor is what a holder has by its name.
 type Floor struct {
-	Kind   Kind          `json:"Kind"`
-	Amount Amount        `json:"Amount"`
-	Burst  Amount        `json:"Burst"`
-	Life   time.Duration `json:"Life"`
+	Kind        Kind          `json:"Kind"`
+	Amount      Amount        `json:"Amount"`
+	Burst       Amount        `json:"Burst"`
+	MaxHoldTime time.Duration `json:"Life"`
 }
 
-// count is an amount and its burst.
-type count struct{ amount, burst Amount }
+// usage is an amount and its burst.
+type usage struct{ amount, burst Amount }
 
-func (c count) max(o count) count { return count{max(c.amount, o.amount), max(c.burst, o.burst)} }
-func (c *count) add(o count)      { c.amount += o.amount; c.burst += o.burst }
-func (c *count) sub(o count)      { c.amount -= o.amount; c.burst -= o.burst }
+func (c usage) atLeast(o usage) usage { return usage{max(c.amount, o.amount), max(c.burst, o.burst)} }
+func (c *usage) add(o usage)          { c.amount += o.amount; c.burst += o.burst }
+func (c *usage) sub(o usage)          { c.amount -= o.amount; c.burst -= o.burst }
 
-// entry is what one process has of a budget.
-type entry struct {
-	Key
-	Grants []Grant       `json:"Grants"` // neither acked away nor expired, by token
-	Rest   Amount        `json:"Rest"`   // work in hand beyond the acked grant
-	RestBy Token         `json:"RestBy"`
-	Life   time.Duration `json:"Life"` // the longest of any unit that may be in hand
-	Seq    uint64        `json:"Seq"`  // of the last Ack
-	Ask    uint64        `json:"Ask"`  // of the last Grant
+// holderEntry is what one process has of a budget.
+type holderEntry struct {
+	HolderID
+	Leases        []Lease       `json:"Grants"` // neither acked away nor expired, by token
+	Residual      Amount        `json:"Rest"`   // work in hand beyond the acked grant
+	ResidualToken Token         `json:"RestBy"`
+	MaxHoldTime   time.Duration `json:"Life"` // the longest of any unit that may be in hand
+	LastAck       uint64        `json:"Seq"`  // of the last Ack
+	LastGrant     uint64        `json:"Ask"`  // of the last Grant
 }
 
-// all is what the process may still spend: it goes by one grant at a time, and one cannot know by which of these.
-func (e *entry) all(f mutation.Set) count {
-	c := count{amount: e.Rest}
-	if f.Max && len(e.Grants) > 0 {
-		return count{e.Grants[len(e.Grants)-1].Amount, e.Grants[len(e.Grants)-1].Burst}
+// maxUsage is what the process may still spend: it goes by one grant at a time, and one cannot know by which of these.
+func (e *holderEntry) maxUsage(f mutation.Set) usage {
+	c := usage{amount: e.Residual}
+	if f.CountNewestLeaseOnly && len(e.Leases) > 0 {
+		return usage{e.Leases[len(e.Leases)-1].Amount, e.Leases[len(e.Leases)-1].Burst}
 	}
-	for i := range e.Grants {
-		c = c.max(count{e.Grants[i].Amount, e.Grants[i].Burst})
+	for i := range e.Leases {
+		c = c.atLeast(usage{e.Leases[i].Amount, e.Leases[i].Burst})
 	}
 	return c
 }
 
-// fresh is the part of all that was granted under a version.
-func (e *entry) fresh(version uint64, f mutation.Set) count {
-	if f.Max {
-		return e.all(f)
+// usageSince is the part of all that was granted under a version.
+func (e *holderEntry) usageSince(version uint64, f mutation.Set) usage {
+	if f.CountNewestLeaseOnly {
+		return e.maxUsage(f)
 	}
-	var c count
-	for i := range e.Grants {
-		if e.Grants[i].Version == version {
-			c = c.max(count{e.Grants[i].Amount, e.Grants[i].Burst})
+	var c usage
+	for i := range e.Leases {
+		if e.Leases[i].ConfigVersion == version {
+			c = c.atLeast(usage{e.Leases[i].Amount, e.Leases[i].Burst})
 		}
 	}
 	return c
 }
 
-// newest is the last grant, nil if there is none.
-func (e *entry) newest() *Grant {
-	if e == nil || len(e.Grants) == 0 {
+// newestLease is the last grant, nil if there is none.
+func (e *holderEntry) newestLease() *Lease {
+	if e == nil || len(e.Leases) == 0 {
 		return nil
 	}
-	return &e.Grants[len(e.Grants)-1]
+	return &e.Leases[len(e.Leases)-1]
 }
 
-// floorAt is a floor as of a version.
-type floorAt struct {
-	Version uint64 `json:"Version"`
-	Amount  Amount `json:"Amount"`
-	Burst   Amount `json:"Burst"`
+// versionedFloor is a floor as of a version.
+type versionedFloor struct {
+	ConfigVersion uint64 `json:"Version"`
+	Amount        Amount `json:"Amount"`
+	Burst         Amount `json:"Burst"`
 }
 
-// ledger is all that is out of one budget, whether it is still configured or not.
-type ledger struct {
-	entries map[Key]*entry
-	floors  map[string][]floorAt // by holder, those that it may go by, oldest first
-	sum     count                // of all entries
-	fresh   count                // of all entries, under the current version
-	floor   count                // of all floors
+// quotaLedger is all that is out of one budget, whether it is still configured or not.
+type quotaLedger struct {
+	entries  map[HolderID]*holderEntry
+	floors   map[string][]versionedFloor // by holder, those that it may go by, oldest first
+	total    usage                       // of all entries
+	current  usage                       // of all entries, under the current version
+	reserved usage                       // of all floors
 }
 
-func newLedger() *ledger { return &ledger{entries: map[Key]*entry{}, floors: map[string][]floorAt{}} }
+func newQuotaLedger() *quotaLedger {
+	return &quotaLedger{entries: map[HolderID]*holderEntry{}, floors: map[string][]versionedFloor{}}
+}
 
-// Book is the state machine behind the log: what may be spent of each budget, by whom. It trusts no proposer: what would
+// StateMachine is the state machine behind the log: what may be spent of each budget, by whom. It trusts no proposer: what would
 // break a sum is refused here. Only Expire is a steward's word, for the book has no clock.
-type Book struct {
-	fleet   string
-	epoch   uint64
-	drift   float64
-	longest time.Duration
-	past    Token  // of a founding whose time before is not over; nothing is granted
-	index   uint64 // of the last command
-	lift    uint64 // tokens are so much above the index: an older store was put back, and holders know higher ones
-	version uint64
-	seen    uint64 // newest version that a holder knows
-	config  Fleet
-	ledgers map[string]*ledger
-	flaws   mutation.Set
-}
-
-// NewBook is the book of an empty log.
-func NewBook() *Book { return &Book{ledgers: map[string]*ledger{}} }
-
-// Without takes guards out, for the trial of a checker.
-func (b *Book) Without(f mutation.Set) { b.flaws = f }
-
-// Founded is the fleet, and the epoch of its founding; NotFounded before.
-func (b *Book) Founded() (fleet string, epoch uint64, err error) {
+type StateMachine struct {
+	fleetID        string
+	epoch          uint64
+	maxDrift       float64
+	maxLifetime    time.Duration
+	bootstrapToken Token  // of a founding whose time before is not over; nothing is granted
+	appliedIndex   uint64 // of the last command
+	tokenOffset    uint64 // tokens are so much above the index: an older store was put back, and holders know higher ones
+	configVersion  uint64
+	seenVersion    uint64 // newest version that a holder knows
+	config         FleetConfig
+	ledgers        map[string]*quotaLedger
+	mutations      mutation.Set
+}
+
+// NewStateMachine is the book of an empty log.
+func NewStateMachine() *StateMachine { return &StateMachine{ledgers: map[string]*quotaLedger{}} }
+
+// SetMutations takes guards out, for the trial of a checker.
+func (b *StateMachine) SetMutations(f mutation.Set) { b.mutations = f }
+
+// Bootstrapped is the fleet, and the epoch of its founding; NotFounded before.
+func (b *StateMachine) Bootstrapped() (fleet string, epoch uint64, err error) {
 	if b.epoch == 0 {
-		return "", 0, NotFounded{}
+		return "", 0, NotBootstrappedError{}
 	}
-	return b.fleet, b.epoch, nil
+	return b.fleetID, b.epoch, nil
 }
 
-// Budgets is the configuration and its version.
-func (b *Book) Budgets() (Fleet, uint64) { return b.config, b.version }
+// Config is the configuration and its version.
+func (b *StateMachine) Config() (FleetConfig, uint64) { return b.config, b.configVersion }
 
-// Index is that of the last command applied.
-func (b *Book) Index() uint64 { return b.index }
+// AppliedIndex is that of the last command applied.
+func (b *StateMachine) AppliedIndex() uint64 { return b.appliedIndex }
 
-// Counted is what all together may still spend of a budget, with all floors, and what all buckets may hold.
-func (b *Book) Counted(budget string) (amount, burst Amount) {
+// Outstanding is what all together may still spend of a budget, with all floors, and what all buckets may hold.
+func (b *StateMachine) Outstanding(budget string) (amount, burst Amount) {
 	l := b.ledgers[budget]
 	if l == nil {
 		return 0, 0
 	}
-	return l.sum.amount + l.floor.amount, l.sum.burst + l.floor.burst
+	return l.total.amount + l.reserved.amount, l.total.burst + l.reserved.burst
 }
 
-func (b *Book) ledger(budget string) *ledger {
+func (b *StateMachine) ledgerOf(budget string) *quotaLedger {
 	l := b.ledgers[budget]
 	if l == nil {
-		l = newLedger()
+		l = newQuotaLedger()
 		b.ledgers[budget] = l
 	}
 	return l
 }
 
-func (b *Book) entry(budget string, k Key) *entry {
+func (b *StateMachine) entryOf(budget string, k HolderID) *holderEntry {
 	if l := b.ledgers[budget]; l != nil {
 		return l.entries[k]
 	}
 	return nil
 }
 
-// change does something to an entry and keeps the sums.
-func (b *Book) change(l *ledger, e *entry, do func()) {
-	l.sum.sub(e.all(b.flaws))
-	l.fresh.sub(e.fresh(b.version, b.flaws))
+// updateEntry does something to an entry and keeps the sums.
+func (b *StateMachine) updateEntry(l *quotaLedger, e *holderEntry, do func()) {
+	l.total.sub(e.maxUsage(b.mutations))
+	l.current.sub(e.usageSince(b.configVersion, b.mutations))
 	do()
-	l.sum.add(e.all(b.flaws))
-	l.fresh.add(e.fresh(b.version, b.flaws))
-	if len(e.Grants) == 0 && e.Rest == 0 {
-		delete(l.entries, e.Key)
+	l.total.add(e.maxUsage(b.mutations))
+	l.current.add(e.usageSince(b.configVersion, b.mutations))
+	if len(e.Leases) == 0 && e.Residual == 0 {
+		delete(l.entries, e.HolderID)
 	}
 }
 
 // Apply applies a command of the log. What is refused changes nothing but the index; the error is one of this package's
 // types. Indices must grow.
-func (b *Book) Apply(index uint64, c Command) (Applied, error) {
-	if index <= b.index {
-		return Applied{}, BadCommand{fmt.Sprintf("index %d was applied, %d is the last", index, b.index)}
+func (b *StateMachine) Apply(index uint64, c Command) (ApplyResult, error) {
+	if index <= b.appliedIndex {
+		return ApplyResult{}, InvalidCommandError{fmt.Sprintf("index %d was applied, %d is the last", index, b.appliedIndex)}
 	}
-	b.index = index
-	a := Applied{Token: b.token()}
+	b.appliedIndex = index
+	a := ApplyResult{Token: b.nextToken()}
 	if c.Batch == nil {
 		err := b.apply(c, &a)
-		a.Token = b.token()
+		a.Token = b.nextToken()
 		return a, err
 	}
 	for _, one := range c.Batch {
 		if err := b.apply(one, &a); err != nil {
-			a.Refused = append(a.Refused, err)
+			a.Rejected = append(a.Rejected, err)
 		}
 	}
-	a.Token = b.token()
+	a.Token = b.nextToken()
 	return a, nil
 }
 
-func (b *Book) token() Token { return Token{b.epoch, b.index + b.lift} }
+func (b *StateMachine) nextToken() Token { return Token{b.epoch, b.appliedIndex + b.tokenOffset} }
 
-func (b *Book) apply(c Command, a *Applied) error {
-	if c.Found != nil {
-		return b.found(c.Found, a)
+func (b *StateMachine) apply(c Command, a *ApplyResult) error {
+	if c.Bootstrap != nil {
+		return b.bootstrap(c.Bootstrap, a)
 	}
 	if b.epoch == 0 {
-		return NotFounded{}
+		return NotBootstrappedError{}
 	}
 	switch {
-	case c.SetBudgets != nil:
-		return b.setBudgets(c.SetBudgets)
+	case c.SetQuotas != nil:
+		return b.setQuotas(c.SetQuotas)
 	case c.Grant != nil:
 		return b.grant(*c.Grant, a)
 	case c.Expire != nil:
@@ -344,104 +346,104 @@
 		return nil
 	case c.Ack != nil:
 		return b.ack(c.Ack, false, false, a)
-	case c.GiveBack != nil:
-		return b.ack(&c.GiveBack.Ack, true, c.GiveBack.All, a)
-	case c.Know != nil:
-		return b.know(c.Know)
-	case c.Grants != nil:
-		b.grants(c.Grants, a)
+	case c.Release != nil:
+		return b.ack(&c.Release.Ack, true, c.Release.All, a)
+	case c.ObserveConfig != nil:
+		return b.observeConfig(c.ObserveConfig)
+	case c.GrantBatch != nil:
+		b.grantBatch(c.GrantBatch, a)
 		return nil
-	case c.Words != nil:
-		b.words(c.Words, a)
+	case c.AckBatch != nil:
+		b.ackBatch(c.AckBatch, a)
 		return nil
 	}
-	return BadCommand{"it is empty"}
+	return InvalidCommandError{"it is empty"}
 }
 
-func (b *Book) found(f *Found, a *Applied) error {
+func (b *StateMachine) bootstrap(f *Bootstrap, a *ApplyResult) error {
 	switch {
-	case b.epoch > 0 && f.Fleet != b.fleet:
-		return OtherFleet{b.fleet, f.Fleet}
+	case b.epoch > 0 && f.FleetID != b.fleetID:
+		return FleetMismatchError{b.fleetID, f.FleetID}
 	case f.Epoch <= b.epoch:
-		return OldEpoch{f.Epoch, b.epoch}
-	case f.Fleet == "" || !(f.Drift >= 0 && f.Drift <= maxDrift) || f.Longest < leastTime:
-		return BadCommand{fmt.Sprintf("fleet %q, drift %v, longest %v", f.Fleet, f.Drift, f.Longest)}
-	case f.Longest < b.longest || f.Drift < b.drift:
-		return BadCommand{fmt.Sprintf("longest %v or drift %v is less than held before", f.Longest, f.Drift)}
+		return StaleEpochError{f.Epoch, b.epoch}
+	case f.FleetID == "" || !(f.MaxDrift >= 0 && f.MaxDrift <= driftLimit) || f.MaxLifetime < minDuration:
+		return InvalidCommandError{fmt.Sprintf("fleet %q, drift %v, longest %v", f.FleetID, f.MaxDrift, f.MaxLifetime)}
+	case f.MaxLifetime < b.maxLifetime || f.MaxDrift < b.maxDrift:
+		return InvalidCommandError{fmt.Sprintf("longest %v or drift %v is less than held before", f.MaxLifetime, f.MaxDrift)}
 	}
-	b.fleet, b.epoch, b.drift, b.longest = f.Fleet, f.Epoch, f.Drift, f.Longest
+	b.fleetID, b.epoch, b.maxDrift, b.maxLifetime = f.FleetID, f.Epoch, f.MaxDrift, f.MaxLifetime
 	for _, l := range b.ledgers { // they are over when the time before is
-		l.entries = map[Key]*entry{}
-		l.sum, l.fresh = count{}, count{}
+		l.entries = map[HolderID]*holderEntry{}
+		l.total, l.current = usage{}, usage{}
 	}
-	b.past = b.token()
-	a.Born = append(a.Born, Item{Token: b.past, Length: f.Longest})
+	b.bootstrapToken = b.nextToken()
+	a.Started = append(a.Started, Expiry{Token: b.bootstrapToken, Duration: f.MaxLifetime})
 	return nil
 }
 
-func (b *Book) setBudgets(s *SetBudgets) error {
+func (b *StateMachine) setQuotas(s *SetQuotas) error {
 	switch {
-	case s.Fleet.ID != b.fleet:
-		return OtherFleet{b.fleet, s.Fleet.ID}
-	case b.past != Token{}:
-		return StillSilent{b.longest}
-	case s.Version <= max(b.version, b.seen):
-		return OldBudgets{s.Version, max(b.version, b.seen)}
-	case s.Fleet.Drift > b.drift || s.Fleet.Longest > b.longest:
-		return BadCommand{fmt.Sprintf("drift %v or longest %v is above what the fleet was founded with", s.Fleet.Drift, s.Fleet.Longest)}
-	}
-	if err := s.Fleet.Check(); err != nil {
-		return BadCommand{err.Error()}
-	}
-	after := map[string]*ledger{} // with the floors of the new configuration
-	for _, name := range b.names(&s.Fleet) {
-		now, was := s.Fleet.Budget(name), b.config.Budget(name)
-		l := newLedger()
+	case s.Config.FleetID != b.fleetID:
+		return FleetMismatchError{b.fleetID, s.Config.FleetID}
+	case b.bootstrapToken != Token{}:
+		return BootstrapPendingError{b.maxLifetime}
+	case s.Version <= max(b.configVersion, b.seenVersion):
+		return StaleConfigError{s.Version, max(b.configVersion, b.seenVersion)}
+	case s.Config.MaxDrift > b.maxDrift || s.Config.MaxLifetime > b.maxLifetime:
+		return InvalidCommandError{fmt.Sprintf("drift %v or longest %v is above what the fleet was founded with", s.Config.MaxDrift, s.Config.MaxLifetime)}
+	}
+	if err := s.Config.Check(); err != nil {
+		return InvalidCommandError{err.Error()}
+	}
+	after := map[string]*quotaLedger{} // with the floors of the new configuration
+	for _, name := range b.quotaNames(&s.Config) {
+		now, was := s.Config.Quota(name), b.config.Quota(name)
+		l := newQuotaLedger()
 		if old := b.ledgers[name]; old != nil {
 			*l = *old
 			l.floors = maps.Clone(old.floors)
 		}
 		if now != nil && was != nil && now.Kind != was.Kind && (len(l.entries) > 0 || len(l.floors) > 0) {
-			return BadCommand{fmt.Sprintf("%s: its kind cannot change while grants or floors of it are out", name)}
+			return InvalidCommandError{fmt.Sprintf("%s: its kind cannot change while grants or floors of it are out", name)}
 		}
-		l.setFloors(now, s.Version, s.Gone)
+		l.setFloors(now, s.Version, s.RemovedHolders)
 		if now != nil {
 			// A floor is the holder's with the commit: it needs room now, and grants make room only as they end.
-			if had := Of(now.Whole); l.floor.amount > b.floorOf(name).amount && l.sum.amount+l.floor.amount > had {
-				return OverWhole{name, "whole", had, l.sum.amount, l.floor.amount}
+			if had := FromUnits(now.Limit); l.reserved.amount > b.reservedOf(name).amount && l.total.amount+l.reserved.amount > had {
+				return LimitExceededError{name, "whole", had, l.total.amount, l.reserved.amount}
 			}
-			if had := Of(now.Burst); l.floor.burst > b.floorOf(name).burst && l.sum.burst+l.floor.burst > had {
-				return OverWhole{name, "burst", had, l.sum.burst, l.floor.burst}
+			if had := FromUnits(now.Burst); l.reserved.burst > b.reservedOf(name).burst && l.total.burst+l.reserved.burst > had {
+				return LimitExceededError{name, "burst", had, l.total.burst, l.reserved.burst}
 			}
 		}
 		after[name] = l
 	}
-	b.ledgers, b.config, b.version = after, s.Fleet, s.Version
+	b.ledgers, b.config, b.configVersion = after, s.Config, s.Version
 	for _, l := range b.ledgers {
-		l.fresh = count{} // nothing is granted under this version yet
+		l.current = usage{} // nothing is granted under this version yet
 	}
 	return nil
 }
 
-// names is all budgets of a configuration and of the book, sorted.
-func (b *Book) names(f *Fleet) []string {
+// quotaNames is all budgets of a configuration and of the book, sorted.
+func (b *StateMachine) quotaNames(f *FleetConfig) []string {
 	all := slices.Collect(maps.Keys(b.ledgers))
-	for i := range f.Budgets {
-		all = append(all, f.Budgets[i].Name)
+	for i := range f.Quotas {
+		all = append(all, f.Quotas[i].Name)
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-func (b *Book) floorOf(budget string) count {
+func (b *StateMachine) reservedOf(budget string) usage {
 	if l := b.ledgers[budget]; l != nil {
-		return l.floor
+		return l.reserved
 	}
-	return count{}
+	return usage{}
 }
 
 // setFloors adds the floors of a configuration to those that holders may still go by.
-func (l *ledger) setFloors(now *Budget, version uint64, gone []string) {
+func (l *quotaLedger) setFloors(now *Quota, version uint64, gone []string) {
 	for _, holder := range gone {
 		delete(l.floors, holder)
 	}
@@ -451,9 +453,9 @@
 	}
 	slices.Sort(holders)
 	for _, holder := range slices.Compact(holders) {
-		f := floorAt{Version: version}
+		f := versionedFloor{ConfigVersion: version}
 		if now != nil {
-			f.Amount, f.Burst = now.floor(holder)
+			f.Amount, f.Burst = now.floorOf(holder)
 		}
 		had := l.floors[holder]
 		if n := len(had); n == 0 && f.Amount == 0 || n > 0 && had[n-1].Amount == f.Amount && had[n-1].Burst == f.Burst {
@@ -464,199 +466,199 @@
 	l.sumFloors()
 }
 
-func (l *ledger) sumFloors() {
-	l.floor = count{}
+func (l *quotaLedger) sumFloors() {
+	l.reserved = usage{}
 	for _, at := range l.floors {
-		var c count
+		var c usage
 		for _, f := range at {
-			c = c.max(count{f.Amount, f.Burst})
+			c = c.atLeast(usage{f.Amount, f.Burst})
 		}
-		l.floor.add(c)
+		l.reserved.add(c)
 	}
 }
 
-func (b *Book) grant(g Grant, a *Applied) error {
-	now := b.config.Budget(g.Budget)
+func (b *StateMachine) grant(g Lease, a *ApplyResult) error {
+	now := b.config.Quota(g.Quota)
 	switch {
-	case g.Fleet != b.fleet:
-		return OtherFleet{b.fleet, g.Fleet}
+	case g.FleetID != b.fleetID:
+		return FleetMismatchError{b.fleetID, g.FleetID}
 	case g.Epoch != b.epoch:
-		return OldEpoch{g.Epoch, b.epoch}
-	case b.past != Token{}:
-		return StillSilent{b.longest}
-	case b.seen > b.version:
-		return OldBudgets{b.version, b.seen}
+		return StaleEpochError{g.Epoch, b.epoch}
+	case b.bootstrapToken != Token{}:
+		return BootstrapPendingError{b.maxLifetime}
+	case b.seenVersion > b.configVersion:
+		return StaleConfigError{b.configVersion, b.seenVersion}
 	case now == nil:
-		return NoBudget{g.Budget}
-	case g.Kind != now.Kind || g.Lease <= 0 || g.Lease > now.Lease || g.Life != now.Life || g.Holder == "":
-		return BadCommand{fmt.Sprintf("a grant of %s for %q is not of this budget's kind, lease or life", g.Budget, g.Holder)}
-	case g.Amount < 0 || g.Burst < 0 || g.Kind == InHand && (g.Burst != 0 || g.Amount%Unit != 0):
-		return BadCommand{fmt.Sprintf("amount %d, burst %d", g.Amount, g.Burst)}
-	}
-	l := b.ledger(g.Budget)
-	e := l.entries[g.Key]
+		return UnknownQuotaError{g.Quota}
+	case g.Kind != now.Kind || g.Duration <= 0 || g.Duration > now.LeaseDuration || g.MaxHoldTime != now.MaxHoldTime || g.Holder == "":
+		return InvalidCommandError{fmt.Sprintf("a grant of %s for %q is not of this budget's kind, lease or life", g.Quota, g.Holder)}
+	case g.Amount < 0 || g.Burst < 0 || g.Kind == InFlight && (g.Burst != 0 || g.Amount%Unit != 0):
+		return InvalidCommandError{fmt.Sprintf("amount %d, burst %d", g.Amount, g.Burst)}
+	}
+	l := b.ledgerOf(g.Quota)
+	e := l.entries[g.HolderID]
 	if e == nil {
-		e = &entry{Key: g.Key}
+		e = &holderEntry{HolderID: g.HolderID}
 	}
-	g.Version, g.Token = b.version, b.token()
-	if last := e.newest(); g.Ask <= e.Ask && e.Ask > 0 || last != nil && g.Token.Compare(last.Token) <= 0 {
-		return OldToken{g.Holder, g.Budget, g.Token, last.tokenOr()}
+	g.ConfigVersion, g.Token = b.configVersion, b.nextToken()
+	if last := e.newestLease(); g.RequestSeq <= e.LastGrant && e.LastGrant > 0 || last != nil && g.Token.Compare(last.Token) <= 0 {
+		return StaleTokenError{g.Holder, g.Quota, g.Token, last.tokenOrZero()}
 	}
 
-	own := count{g.Amount, g.Burst}
-	sum, fresh := l.sum, l.fresh
-	before, beforeFresh := e.all(b.flaws), e.fresh(b.version, b.flaws)
+	own := usage{g.Amount, g.Burst}
+	sum, fresh := l.total, l.current
+	before, beforeFresh := e.maxUsage(b.mutations), e.usageSince(b.configVersion, b.mutations)
 	sum.sub(before)
-	sum.add(before.max(own))
-	if b.flaws.Max {
-		sum = l.sum
+	sum.add(before.atLeast(own))
+	if b.mutations.CountNewestLeaseOnly {
+		sum = l.total
 		sum.sub(before)
 		sum.add(own)
-		beforeFresh = count{}
+		beforeFresh = usage{}
 	}
-	fresh.sub(e.fresh(b.version, b.flaws))
-	fresh.add(beforeFresh.max(own))
-	if err := b.over(now, l, sum, fresh, own); err != nil && !b.flaws.Sum {
+	fresh.sub(e.usageSince(b.configVersion, b.mutations))
+	fresh.add(beforeFresh.atLeast(own))
+	if err := b.checkLimit(now, l, sum, fresh, own); err != nil && !b.mutations.NoLimitCheck {
 		return err
 	}
-	l.entries[g.Key] = e
-	b.change(l, e, func() {
-		e.Grants = append(e.Grants, g)
-		e.Life = max(e.Life, g.Life)
-		e.Ask = g.Ask
+	l.entries[g.HolderID] = e
+	b.updateEntry(l, e, func() {
+		e.Leases = append(e.Leases, g)
+		e.MaxHoldTime = max(e.MaxHoldTime, g.MaxHoldTime)
+		e.LastGrant = g.RequestSeq
 	})
-	length := g.Lease + g.Life
-	if b.flaws.Life {
-		length = g.Lease
+	length := g.Duration + g.MaxHoldTime
+	if b.mutations.ForgetInFlightAtLeaseEnd {
+		length = g.Duration
 	}
-	a.Born = append(a.Born, Item{g.Key, g.Budget, g.Token, length})
+	a.Started = append(a.Started, Expiry{g.HolderID, g.Quota, g.Token, length})
 	return nil
 }
 
-func (b *Book) grants(gs *Grants, a *Applied) {
-	for _, p := range gs.Parts {
-		g := Grant{Fleet: gs.Fleet, Epoch: gs.Epoch, Key: gs.Key, Budget: p.Budget, Amount: p.Amount, Burst: p.Burst, Ask: gs.Ask}
-		if now := b.config.Budget(p.Budget); now != nil {
-			g.Kind, g.Lease, g.Life = now.Kind, now.Lease, now.Life
+func (b *StateMachine) grantBatch(gs *GrantBatch, a *ApplyResult) {
+	for _, p := range gs.Grants {
+		g := Lease{FleetID: gs.FleetID, Epoch: gs.Epoch, HolderID: gs.HolderID, Quota: p.Quota, Amount: p.Amount, Burst: p.Burst, RequestSeq: gs.RequestSeq}
+		if now := b.config.Quota(p.Quota); now != nil {
+			g.Kind, g.Duration, g.MaxHoldTime = now.Kind, now.LeaseDuration, now.MaxHoldTime
 		}
 		if err := b.grant(g, a); err != nil {
-			a.Refused = append(a.Refused, err)
+			a.Rejected = append(a.Rejected, err)
 		}
 	}
 }
 
-func (b *Book) words(w *Words, a *Applied) {
-	for _, p := range w.Parts {
-		if err := b.ack(&Ack{w.Epoch, w.Key, p.Budget, w.Seq, p.Token, p.Held}, p.Ended || w.All, w.All, a); err != nil {
-			a.Refused = append(a.Refused, err)
+func (b *StateMachine) ackBatch(w *AckBatch, a *ApplyResult) {
+	for _, p := range w.Acks {
+		if err := b.ack(&Ack{w.Epoch, w.HolderID, p.Quota, w.RequestSeq, p.Token, p.InFlight}, p.Ended || w.All, w.All, a); err != nil {
+			a.Rejected = append(a.Rejected, err)
 		}
 	}
 }
 
-func (g *Grant) tokenOr() Token {
+func (g *Lease) tokenOrZero() Token {
 	if g == nil {
 		return Token{}
 	}
 	return g.Token
 }
 
-// over tells whether sums after a grant break the whole. All that is out may be above it after the whole was lowered: then
+// checkLimit tells whether sums after a grant break the whole. All that is out may be above it after the whole was lowered: then
 // it must not grow, and what was granted since must fit by itself; so the whole holds once the last older grant has ended.
-func (b *Book) over(now *Budget, l *ledger, sum, fresh, own count) error {
-	whole, burst := Of(now.Whole)-l.floor.amount, Of(now.Burst)-l.floor.burst
-	if sum.amount > max(whole, l.sum.amount) || fresh.amount > whole && own.amount > 0 {
-		return OverWhole{now.Name, "whole", Of(now.Whole), l.sum.amount + l.floor.amount, own.amount}
+func (b *StateMachine) checkLimit(now *Quota, l *quotaLedger, sum, fresh, own usage) error {
+	whole, burst := FromUnits(now.Limit)-l.reserved.amount, FromUnits(now.Burst)-l.reserved.burst
+	if sum.amount > max(whole, l.total.amount) || fresh.amount > whole && own.amount > 0 {
+		return LimitExceededError{now.Name, "whole", FromUnits(now.Limit), l.total.amount + l.reserved.amount, own.amount}
 	}
-	if sum.burst > max(burst, l.sum.burst) || fresh.burst > burst && own.burst > 0 {
-		return OverWhole{now.Name, "burst", Of(now.Burst), l.sum.burst + l.floor.burst, own.burst}
+	if sum.burst > max(burst, l.total.burst) || fresh.burst > burst && own.burst > 0 {
+		return LimitExceededError{now.Name, "burst", FromUnits(now.Burst), l.total.burst + l.reserved.burst, own.burst}
 	}
 	return nil
 }
 
-func (b *Book) expire(x *Expire) {
-	if x.Token == b.past && x.Budget == "" {
-		b.past = Token{}
+func (b *StateMachine) expire(x *Expire) {
+	if x.Token == b.bootstrapToken && x.Quota == "" {
+		b.bootstrapToken = Token{}
 		return
 	}
-	l, e := b.ledgers[x.Budget], b.entry(x.Budget, x.Key)
+	l, e := b.ledgers[x.Quota], b.entryOf(x.Quota, x.HolderID)
 	if e == nil {
 		return // it was acked away
 	}
-	b.change(l, e, func() {
-		e.Grants = slices.DeleteFunc(slices.Clone(e.Grants), func(g Grant) bool { return g.Token == x.Token })
-		if e.RestBy == x.Token {
-			e.Rest, e.RestBy = 0, Token{}
+	b.updateEntry(l, e, func() {
+		e.Leases = slices.DeleteFunc(slices.Clone(e.Leases), func(g Lease) bool { return g.Token == x.Token })
+		if e.ResidualToken == x.Token {
+			e.Residual, e.ResidualToken = 0, Token{}
 		}
 	})
 }
 
 // ack drops grants that the holder will never go by again. Work in hand above the grant that it goes by was begun under
 // older ones and stays counted, for the longest life. Danger: it must be the count of the same ask; hence Seq.
-func (b *Book) ack(k *Ack, ended, all bool, a *Applied) error {
+func (b *StateMachine) ack(k *Ack, ended, all bool, a *ApplyResult) error {
 	if k.Epoch > b.epoch {
-		return OldEpoch{b.epoch, k.Epoch}
+		return StaleEpochError{b.epoch, k.Epoch}
 	}
-	if k.Token.Epoch == b.epoch && k.Token.Index > b.index+b.lift {
+	if k.Token.Epoch == b.epoch && k.Token.Index > b.appliedIndex+b.tokenOffset {
 		// This book never gave that token: its store is an older copy. New ones must be above it, or the holder refuses them.
-		b.lift = k.Token.Index - b.index
+		b.tokenOffset = k.Token.Index - b.appliedIndex
 	}
-	l, e := b.ledgers[k.Budget], b.entry(k.Budget, k.Key)
+	l, e := b.ledgers[k.Quota], b.entryOf(k.Quota, k.HolderID)
 	if e == nil {
 		return nil
 	}
-	if k.Seq <= e.Seq {
-		return OldToken{k.Holder, k.Budget, k.Token, Token{b.epoch, e.Seq}}
+	if k.RequestSeq <= e.LastAck {
+		return StaleTokenError{k.Holder, k.Quota, k.Token, Token{b.epoch, e.LastAck}}
 	}
 	dropped, goesBy := false, Amount(0)
-	keep := make([]Grant, 0, len(e.Grants))
-	for _, g := range e.Grants {
+	keep := make([]Lease, 0, len(e.Leases))
+	for _, g := range e.Leases {
 		order := g.Token.Compare(k.Token)
 		drop := order < 0 || ended && order == 0 || all
-		if b.flaws.Ack {
+		if b.mutations.AckDropsNewest {
 			drop = true
 		}
 		if drop {
 			dropped = true
 			continue
 		}
-		if order == 0 && g.Life == e.Life { // else work of a longer life may be among what is in hand
+		if order == 0 && g.MaxHoldTime == e.MaxHoldTime { // else work of a longer life may be among what is in hand
 			goesBy = g.Amount
 		}
 		keep = append(keep, g)
 	}
-	held := min(k.Held.up(), e.all(b.flaws).amount) // more than is counted cannot be in hand, whatever is said
-	if !dropped && held >= e.Rest {
+	held := min(k.InFlight.roundUp(), e.maxUsage(b.mutations).amount) // more than is counted cannot be in hand, whatever is said
+	if !dropped && held >= e.Residual {
 		return nil // nothing that is counted may go
 	}
-	b.change(l, e, func() {
-		e.Seq = k.Seq
-		e.Grants = keep
-		e.Rest, e.RestBy = 0, Token{}
-		if held > goesBy && e.Life > 0 && !b.flaws.Life {
-			e.Rest, e.RestBy = held, b.token()
-			a.Born = append(a.Born, Item{k.Key, k.Budget, e.RestBy, e.Life})
+	b.updateEntry(l, e, func() {
+		e.LastAck = k.RequestSeq
+		e.Leases = keep
+		e.Residual, e.ResidualToken = 0, Token{}
+		if held > goesBy && e.MaxHoldTime > 0 && !b.mutations.ForgetInFlightAtLeaseEnd {
+			e.Residual, e.ResidualToken = held, b.nextToken()
+			a.Started = append(a.Started, Expiry{k.HolderID, k.Quota, e.ResidualToken, e.MaxHoldTime})
 		}
 	})
 	return nil
 }
 
-// up is the amount in whole units, rounded up.
-func (a Amount) up() Amount { return (a + Unit - 1).whole() }
+// roundUp is the amount in whole units, rounded up.
+func (a Amount) roundUp() Amount { return (a + Unit - 1).wholeUnits() }
 
-func (b *Book) know(k *Know) error {
-	b.seen = max(b.seen, k.Seen)
-	if k.Floors == 0 {
+func (b *StateMachine) observeConfig(k *ObserveConfig) error {
+	b.seenVersion = max(b.seenVersion, k.SeenVersion)
+	if k.FloorsVersion == 0 {
 		return nil
 	}
 	for _, l := range b.ledgers {
 		at := l.floors[k.Holder]
 		first := 0
 		for i, f := range at {
-			if f.Version <= k.Floors {
+			if f.ConfigVersion <= k.FloorsVersion {
 				first = i
 			}
 		}
-		if first == 0 && (len(at) != 1 || at[0].Amount > 0 || at[0].Version > k.Floors) {
+		if first == 0 && (len(at) != 1 || at[0].Amount > 0 || at[0].ConfigVersion > k.FloorsVersion) {
 			continue
 		}
 		at = slices.Clone(at[first:])
@@ -669,91 +671,91 @@
 	return nil
 }
 
-// Tell is all that is one process's by this book.
-func (b *Book) Tell(k Key) Reply {
-	r := Reply{Fleet: b.fleet, Epoch: b.epoch, Key: k, Version: b.version}
-	for _, name := range b.names(&b.config) {
-		if g := b.entry(name, k).newest(); g != nil {
-			r.Grants = append(r.Grants, *g)
+// ReplyTo is all that is one process's by this book.
+func (b *StateMachine) ReplyTo(k HolderID) Reply {
+	r := Reply{FleetID: b.fleetID, Epoch: b.epoch, HolderID: k, ConfigVersion: b.configVersion}
+	for _, name := range b.quotaNames(&b.config) {
+		if g := b.entryOf(name, k).newestLease(); g != nil {
+			r.Leases = append(r.Leases, *g)
 		}
-		now := b.config.Budget(name)
+		now := b.config.Quota(name)
 		if now == nil {
 			continue
 		}
-		if amount, burst := now.floor(k.Holder); amount > 0 {
+		if amount, burst := now.floorOf(k.Holder); amount > 0 {
 			if r.Floors == nil {
 				r.Floors = map[string]Floor{}
 			}
-			r.Floors[name] = Floor{now.Kind, amount, burst, now.Life}
+			r.Floors[name] = Floor{now.Kind, amount, burst, now.MaxHoldTime}
 		}
 	}
 	return r
 }
 
-// Items is all that is counted until it is over, as a steward that starts with this book must count it anew.
-func (b *Book) Items() []Item {
-	var out []Item
-	if b.past != (Token{}) {
-		out = append(out, Item{Token: b.past, Length: b.longest})
+// PendingExpiries is all that is counted until it is over, as a steward that starts with this book must count it anew.
+func (b *StateMachine) PendingExpiries() []Expiry {
+	var out []Expiry
+	if b.bootstrapToken != (Token{}) {
+		out = append(out, Expiry{Token: b.bootstrapToken, Duration: b.maxLifetime})
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.ledgers)) {
-		for _, e := range b.ledgers[name].sorted() {
-			for _, g := range e.Grants {
-				length := g.Lease + g.Life
-				if b.flaws.Life {
-					length = g.Lease
+		for _, e := range b.ledgers[name].sortedEntries() {
+			for _, g := range e.Leases {
+				length := g.Duration + g.MaxHoldTime
+				if b.mutations.ForgetInFlightAtLeaseEnd {
+					length = g.Duration
 				}
-				out = append(out, Item{e.Key, name, g.Token, length})
+				out = append(out, Expiry{e.HolderID, name, g.Token, length})
 			}
-			if e.Rest > 0 {
-				out = append(out, Item{e.Key, name, e.RestBy, e.Life})
+			if e.Residual > 0 {
+				out = append(out, Expiry{e.HolderID, name, e.ResidualToken, e.MaxHoldTime})
 			}
 		}
 	}
 	return out
 }
 
-// live tells whether an item is still counted.
-func (b *Book) live(i Item) bool {
-	if i.Budget == "" {
-		return b.past == i.Token && b.past != Token{}
+// isPending tells whether an item is still counted.
+func (b *StateMachine) isPending(i Expiry) bool {
+	if i.Quota == "" {
+		return b.bootstrapToken == i.Token && b.bootstrapToken != Token{}
 	}
-	e := b.entry(i.Budget, i.Key)
+	e := b.entryOf(i.Quota, i.HolderID)
 	if e == nil {
 		return false
 	}
-	return e.Rest > 0 && e.RestBy == i.Token || slices.ContainsFunc(e.Grants, func(g Grant) bool { return g.Token == i.Token })
+	return e.Residual > 0 && e.ResidualToken == i.Token || slices.ContainsFunc(e.Leases, func(g Lease) bool { return g.Token == i.Token })
 }
 
-func (l *ledger) sorted() []*entry {
-	return slices.SortedFunc(maps.Values(l.entries), func(x, y *entry) int { return x.Key.Compare(y.Key) })
+func (l *quotaLedger) sortedEntries() []*holderEntry {
+	return slices.SortedFunc(maps.Values(l.entries), func(x, y *holderEntry) int { return x.HolderID.Compare(y.HolderID) })
 }
 
-// kept is the book in a snapshot.
-type kept struct {
-	Fleet   string                `json:"Fleet"`
-	Epoch   uint64                `json:"Epoch"`
-	Drift   float64               `json:"Drift"`
-	Longest time.Duration         `json:"Longest"`
-	Past    Token                 `json:"Past"`
-	Index   uint64                `json:"Index"`
-	Lift    uint64                `json:"Lift"`
-	Version uint64                `json:"Version"`
-	Seen    uint64                `json:"Seen"`
-	Config  Fleet                 `json:"Config"`
-	Ledgers map[string]keptLedger `json:"Ledgers"`
+// snapshot is the book in a snapshot.
+type snapshot struct {
+	FleetID        string                    `json:"Fleet"`
+	Epoch          uint64                    `json:"Epoch"`
+	MaxDrift       float64                   `json:"Drift"`
+	MaxLifetime    time.Duration             `json:"Longest"`
+	BootstrapToken Token                     `json:"Past"`
+	AppliedIndex   uint64                    `json:"Index"`
+	TokenOffset    uint64                    `json:"Lift"`
+	ConfigVersion  uint64                    `json:"Version"`
+	SeenVersion    uint64                    `json:"Seen"`
+	Config         FleetConfig               `json:"Config"`
+	Ledgers        map[string]ledgerSnapshot `json:"Ledgers"`
 }
 
-type keptLedger struct {
-	Entries []*entry             `json:"Entries"`
-	Floors  map[string][]floorAt `json:"Floors"`
+type ledgerSnapshot struct {
+	Entries []*holderEntry              `json:"Entries"`
+	Floors  map[string][]versionedFloor `json:"Floors"`
 }
 
 // Snapshot is the book in JSON; equal books give equal bytes.
-func (b *Book) Snapshot() ([]byte, error) {
-	k := kept{b.fleet, b.epoch, b.drift, b.longest, b.past, b.index, b.lift, b.version, b.seen, b.config, map[string]keptLedger{}}
+func (b *StateMachine) Snapshot() ([]byte, error) {
+	k := snapshot{b.fleetID, b.epoch, b.maxDrift, b.maxLifetime, b.bootstrapToken, b.appliedIndex, b.tokenOffset, b.configVersion, b.seenVersion, b.config, map[string]ledgerSnapshot{}}
 	for name, l := range b.ledgers {
-		k.Ledgers[name] = keptLedger{l.sorted(), l.floors}
+		k.Ledgers[name] = ledgerSnapshot{l.sortedEntries(), l.floors}
 	}
 	data, err := json.Marshal(k)
 	if err != nil {
@@ -763,23 +765,23 @@
 }
 
 // Restore sets the book to a snapshot; what cannot be read changes nothing. The Keeper must be told (Keeper.Restart).
-func (b *Book) Restore(data []byte) error {
-	var k kept
+func (b *StateMachine) Restore(data []byte) error {
+	var k snapshot
 	if err := json.Unmarshal(data, &k); err != nil {
 		return fmt.Errorf("grant: restore: %w", err)
 	}
-	if k.Epoch > 0 && k.Version > 0 {
+	if k.Epoch > 0 && k.ConfigVersion > 0 {
 		if err := k.Config.Check(); err != nil {
 			return fmt.Errorf("grant: restore: %w", err)
 		}
 	}
-	n := &Book{k.Fleet, k.Epoch, k.Drift, k.Longest, k.Past, k.Index, k.Lift, k.Version, k.Seen, k.Config, map[string]*ledger{}, b.flaws}
+	n := &StateMachine{k.FleetID, k.Epoch, k.MaxDrift, k.MaxLifetime, k.BootstrapToken, k.AppliedIndex, k.TokenOffset, k.ConfigVersion, k.SeenVersion, k.Config, map[string]*quotaLedger{}, b.mutations}
 	for name, kl := range k.Ledgers {
-		l := newLedger()
+		l := newQuotaLedger()
 		for _, e := range kl.Entries {
-			l.entries[e.Key] = e
-			l.sum.add(e.all(b.flaws))
-			l.fresh.add(e.fresh(k.Version, b.flaws))
+			l.entries[e.HolderID] = e
+			l.total.add(e.maxUsage(b.mutations))
+			l.current.add(e.usageSince(k.ConfigVersion, b.mutations))
 		}
 		if kl.Floors != nil {
 			l.floors = kl.Floors
@@ -792,15 +794,15 @@
 }
 
 // Clone is a copy, for worlds that are explored.
-func (b *Book) Clone() *Book {
+func (b *StateMachine) Clone() *StateMachine {
 	c := *b
-	c.ledgers = make(map[string]*ledger, len(b.ledgers))
+	c.ledgers = make(map[string]*quotaLedger, len(b.ledgers))
 	for name, l := range b.ledgers {
 		n := *l
-		n.entries = make(map[Key]*entry, len(l.entries))
+		n.entries = make(map[HolderID]*holderEntry, len(l.entries))
 		for k, e := range l.entries {
 			ne := *e
-			ne.Grants = slices.Clone(e.Grants)
+			ne.Leases = slices.Clone(e.Leases)
 			n.entries[k] = &ne
 		}
 		n.floors = maps.Clone(l.floors) // lists of floors are never changed in place
--- a/internal/quotalease/divide.go
+++ b/internal/quotalease/divide.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// band is the part of its due by which a holder's amount may differ before it is moved. Demand is measured and always
+// hysteresis is the part of its due by which a holder's amount may differ before it is moved. Demand is measured and always
 // trembles by a few percent; every move costs an empty bucket at the other end.
-const band = .1
+const hysteresis = .1
 
 // Demand is what one process asks of a budget, and what it has now.
 type Demand struct {
-	Key
-	Want Amount
-	Now  Amount // of its newest grant; 0 is none
+	HolderID
+	Wanted  Amount
+	Current Amount // of its newest grant; 0 is none
 }
 
 // Divide says how much each should have: max-min by weight over what each asks for (progressive filling; Bertsekas and
@@ -22,9 +22,9 @@
 // ask. Floors come off the whole first. Who is within a tenth of its due keeps what it has, as far as that fits: the sum
 // stays the same or more. The outcome does not depend on the order of the demands; amounts come in that order. They never
 // sum to more than the whole less all floors.
-func Divide(b *Budget, demands []Demand) []Amount {
+func Divide(b *Quota, demands []Demand) []Amount {
 	out := make([]Amount, len(demands))
-	whole := b.free()
+	whole := b.unreserved()
 	if len(demands) == 0 || whole <= 0 {
 		return out
 	}
@@ -32,20 +32,20 @@
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(x, y int) int { return demands[x].Key.Compare(demands[y].Key) })
+	slices.SortFunc(order, func(x, y int) int { return demands[x].HolderID.Compare(demands[y].HolderID) })
 
 	n := len(demands)
 	buf := make([]float64, 5*n)
 	weight, low, high, due, most := buf[:n], buf[n:2*n], buf[2*n:3*n], buf[3*n:4*n], buf[4*n:]
 	lows, highs := 0.0, 0.0
 	for at, i := range order {
-		s := b.share(demands[i].Holder)
+		s := b.shareOf(demands[i].Holder)
 		weight[at], most[at] = s.Weight, whole
 		if s.Cap > 0 {
-			most[at] = min(whole, float64(Of(s.Cap)))
+			most[at] = min(whole, float64(FromUnits(s.Cap)))
 		}
-		high[at] = min(max(0, float64(demands[i].Want)), most[at])
-		low[at] = min(float64(Of(s.Min)), high[at])
+		high[at] = min(max(0, float64(demands[i].Wanted)), most[at])
+		low[at] = min(float64(FromUnits(s.Min)), high[at])
 		lows += low[at]
 		highs += high[at]
 	}
@@ -57,24 +57,24 @@
 	if highs <= whole {
 		copy(due, high)
 	} else {
-		fill(whole, weight, low, high, due)
+		fillLevel(whole, weight, low, high, due)
 	}
-	settle(whole, demands, order, low, most, due)
-	round(b.Kind, whole, order, due, out)
+	applyHysteresis(whole, demands, order, low, most, due)
+	roundAmounts(b.Kind, whole, order, due, out)
 	return out
 }
 
-// free is the whole less all floors.
-func (b *Budget) free() float64 {
-	free := Of(b.Whole)
+// unreserved is the whole less all floors.
+func (b *Quota) unreserved() float64 {
+	free := FromUnits(b.Limit)
 	for _, x := range b.Floors {
-		free -= Of(x)
+		free -= FromUnits(x)
 	}
 	return float64(max(0, free))
 }
 
-// fill raises one level, by weight, for all: each gets level times weight, at least its low and at most its high.
-func fill(whole float64, weight, low, high, due []float64) {
+// fillLevel raises one level, by weight, for all: each gets level times weight, at least its low and at most its high.
+func fillLevel(whole float64, weight, low, high, due []float64) {
 	type turn struct {
 		level, slope float64 // from this level on the sum grows by so much more
 	}
@@ -101,13 +101,13 @@
 	}
 }
 
-// settle lets those within the band keep what they have. What the ones keep over their due comes from what is spare and
+// applyHysteresis lets those within the band keep what they have. What the ones keep over their due comes from what is spare and
 // from those who would get a little more; so the sum does not fall.
-func settle(whole float64, demands []Demand, order []int, low, most, due []float64) {
+func applyHysteresis(whole float64, demands []Demand, order []int, low, most, due []float64) {
 	sum, over, under := 0.0, 0.0, 0.0
 	gap := func(at int) float64 { // what it has now over its due, 0 outside the band
-		now := min(float64(demands[order[at]].Now), most[at])
-		if now <= 0 || math.Abs(now-due[at]) > band*due[at] {
+		now := min(float64(demands[order[at]].Current), most[at])
+		if now <= 0 || math.Abs(now-due[at]) > hysteresis*due[at] {
 			return 0
 		}
 		return max(now, low[at]) - due[at]
@@ -135,18 +135,18 @@
 	}
 }
 
-// round brings amounts to whole millionths, or to whole units for work in hand; there what is left over goes to those with
+// roundAmounts brings amounts to whole millionths, or to whole units for work in hand; there what is left over goes to those with
 // the largest remainder, by name among equals.
-func round(kind Kind, whole float64, order []int, due []float64, out []Amount) {
+func roundAmounts(kind Kind, whole float64, order []int, due []float64, out []Amount) {
 	left := Amount(whole)
-	if kind == InHand {
-		left = left.whole()
+	if kind == InFlight {
+		left = left.wholeUnits()
 	}
 	var rest []int
 	for at, i := range order {
 		a := Amount(due[at] + 1e-3) // an error of rounding must not cost a whole unit
-		if kind == InHand {
-			a = a.whole()
+		if kind == InFlight {
+			a = a.wholeUnits()
 			if due[at]-float64(a) > 1 {
 				rest = append(rest, at)
 			}
@@ -166,16 +166,16 @@
 	}
 }
 
-// bursts divides the burst that floors leave: one unit for each that gets anything, as far as they go, and the rest in
+// divideBurst divides the burst that floors leave: one unit for each that gets anything, as far as they go, and the rest in
 // proportion to the amounts.
-func bursts(b *Budget, amounts []Amount) []Amount {
+func divideBurst(b *Quota, amounts []Amount) []Amount {
 	out := make([]Amount, len(amounts))
 	if b.Kind != Rate {
 		return out
 	}
-	left, n, sum := Of(b.Burst), Amount(0), 0.0
+	left, n, sum := FromUnits(b.Burst), Amount(0), 0.0
 	for name := range b.Floors {
-		_, burst := b.floor(name)
+		_, burst := b.floorOf(name)
 		left -= burst
 	}
 	for _, a := range amounts {
--- a/internal/quotalease/divide_test.go
+++ b/internal/quotalease/divide_test.go
@@ -10,38 +10,38 @@
 	"pgregory.net/rapid"
 )
 
-func rateBudget() *Budget {
-	return &Budget{Name: "b", Kind: Rate, Whole: 100, Burst: 20, Lease: time.Second}
+func rateQuota() *Quota {
+	return &Quota{Name: "b", Kind: Rate, Limit: 100, Burst: 20, LeaseDuration: time.Second}
 }
 
 func TestCheckNamesAllThatIsWrong(t *testing.T) {
-	good := Fleet{ID: "f", Drift: .001, Longest: 10 * time.Second, Budgets: []Budget{*rateBudget(),
-		{Name: "h", Kind: InHand, Whole: 8, Lease: time.Second, Life: 2 * time.Second, Floors: map[string]float64{"a": 2}}}}
+	good := FleetConfig{FleetID: "f", MaxDrift: .001, MaxLifetime: 10 * time.Second, Quotas: []Quota{*rateQuota(),
+		{Name: "h", Kind: InFlight, Limit: 8, LeaseDuration: time.Second, MaxHoldTime: 2 * time.Second, Floors: map[string]float64{"a": 2}}}}
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
 	for _, tt := range []struct {
 		name  string
-		spoil func(*Fleet)
+		spoil func(*FleetConfig)
 		want  []string
 	}{
-		{"fleet", func(f *Fleet) { f.ID, f.Drift = "", math.NaN() }, []string{"no name", "drift: NaN"}},
-		{"twice", func(f *Fleet) { f.Budgets[1].Name = "b" }, []string{"b: named twice"}},
-		{"whole", func(f *Fleet) { f.Budgets[0].Whole, f.Budgets[0].Burst = -1, .5 }, []string{"b: whole: -1", "b: burst: 0.5"}},
-		{"lease", func(f *Fleet) { f.Budgets[1].Lease = time.Hour }, []string{"h: lease 1h0m0s and life 2s"}},
-		{"life", func(f *Fleet) { f.Budgets[1].Life = 0 }, []string{"h: life: 0s"}},
-		{"parts of units", func(f *Fleet) { f.Budgets[1].Whole = 7.5 }, []string{"h: whole: 7.5"}},
-		{"sum", func(f *Fleet) {
-			f.Budgets[0].Floors = map[string]float64{"x": 60}
-			f.Budgets[0].Members = map[string]Share{"y": {Min: 50}}
+		{"fleet", func(f *FleetConfig) { f.FleetID, f.MaxDrift = "", math.NaN() }, []string{"no name", "drift: NaN"}},
+		{"twice", func(f *FleetConfig) { f.Quotas[1].Name = "b" }, []string{"b: named twice"}},
+		{"whole", func(f *FleetConfig) { f.Quotas[0].Limit, f.Quotas[0].Burst = -1, .5 }, []string{"b: whole: -1", "b: burst: 0.5"}},
+		{"lease", func(f *FleetConfig) { f.Quotas[1].LeaseDuration = time.Hour }, []string{"h: lease 1h0m0s and life 2s"}},
+		{"life", func(f *FleetConfig) { f.Quotas[1].MaxHoldTime = 0 }, []string{"h: life: 0s"}},
+		{"parts of units", func(f *FleetConfig) { f.Quotas[1].Limit = 7.5 }, []string{"h: whole: 7.5"}},
+		{"sum", func(f *FleetConfig) {
+			f.Quotas[0].Floors = map[string]float64{"x": 60}
+			f.Quotas[0].Members = map[string]Share{"y": {Min: 50}}
 		}, []string{"b: floors (60) and minimums (50)"}},
-		{"floor without a unit of burst", func(f *Fleet) { f.Budgets[0].Floors = map[string]float64{"x": 1} }, []string{`floor of "x": its part`}},
-		{"member", func(f *Fleet) { f.Budgets[0].Members = map[string]Share{"y": {Min: 5, Cap: 4, Weight: -1}} },
+		{"floor without a unit of burst", func(f *FleetConfig) { f.Quotas[0].Floors = map[string]float64{"x": 1} }, []string{`floor of "x": its part`}},
+		{"member", func(f *FleetConfig) { f.Quotas[0].Members = map[string]Share{"y": {Min: 5, Cap: 4, Weight: -1}} },
 			[]string{"member y: cap 4", "member y: weight -1"}},
-		{"others", func(f *Fleet) { f.Budgets[0].Others.Min = 1 }, []string{"others: a minimum"}},
+		{"others", func(f *FleetConfig) { f.Quotas[0].DefaultShare.Min = 1 }, []string{"others: a minimum"}},
 	} {
 		f := good
-		f.Budgets = append([]Budget(nil), good.Budgets...)
+		f.Quotas = append([]Quota(nil), good.Quotas...)
 		tt.spoil(&f)
 		err := f.Check()
 		for _, want := range tt.want {
@@ -55,23 +55,23 @@
 func TestDivide(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		change  func(*Budget)
+		change  func(*Quota)
 		want    string // by holder: want or want/now
 		amounts string
 	}{
 		{"all fits", nil, "a=30 b=20", "30 20"},
 		{"idle is lent", nil, "a=10 b=200 c=200", "10 45 45"},
-		{"by weight", func(b *Budget) { b.Members = map[string]Share{"a": {Weight: 3}} }, "a=200 b=200", "75 25"},
-		{"minimums first", func(b *Budget) { b.Members = map[string]Share{"a": {Min: 70}} }, "a=200 b=200 c=200", "70 15 15"},
-		{"an idle minimum is lent", func(b *Budget) { b.Members = map[string]Share{"a": {Min: 70}} }, "a=10 b=200", "10 90"},
-		{"cap", func(b *Budget) { b.Members = map[string]Share{"a": {Cap: 5}} }, "a=200 b=200", "5 95"},
-		{"floors first", func(b *Budget) { b.Floors = map[string]float64{"z": 60} }, "a=200 b=200", "20 20"},
+		{"by weight", func(b *Quota) { b.Members = map[string]Share{"a": {Weight: 3}} }, "a=200 b=200", "75 25"},
+		{"minimums first", func(b *Quota) { b.Members = map[string]Share{"a": {Min: 70}} }, "a=200 b=200 c=200", "70 15 15"},
+		{"an idle minimum is lent", func(b *Quota) { b.Members = map[string]Share{"a": {Min: 70}} }, "a=10 b=200", "10 90"},
+		{"cap", func(b *Quota) { b.Members = map[string]Share{"a": {Cap: 5}} }, "a=200 b=200", "5 95"},
+		{"floors first", func(b *Quota) { b.Floors = map[string]float64{"z": 60} }, "a=200 b=200", "20 20"},
 		{"trembling keeps", nil, "a=51/48 b=200/52", "48 52"},
 		{"a real change moves", nil, "a=200/20 b=200/80", "50 50"},
 		{"nobody keeps what a new one needs", nil, "a=200/50 b=200/50 c=200", "33.33333 33.33333 33.33333"},
-		{"whole units", func(b *Budget) { b.Kind, b.Whole = InHand, 8 }, "a=50 b=50 c=50", "3 3 2"},
+		{"whole units", func(b *Quota) { b.Kind, b.Limit = InFlight, 8 }, "a=50 b=50 c=50", "3 3 2"},
 	} {
-		b := rateBudget()
+		b := rateQuota()
 		if tt.change != nil {
 			tt.change(b)
 		}
@@ -79,7 +79,7 @@
 		for _, f := range strings.Fields(tt.want) {
 			var want, now float64
 			fmt.Sscanf(f[2:], "%g/%g", &want, &now)
-			demands = append(demands, Demand{Key{Holder: f[:1]}, Of(want), Of(now)})
+			demands = append(demands, Demand{HolderID{Holder: f[:1]}, FromUnits(want), FromUnits(now)})
 		}
 		for i, a := range Divide(b, demands) {
 			var want float64
@@ -91,11 +91,11 @@
 	}
 }
 
-func drawDivide(t *rapid.T) (*Budget, []Demand) {
-	b := rateBudget()
+func drawDivision(t *rapid.T) (*Quota, []Demand) {
+	b := rateQuota()
 	inHand := rapid.Bool().Draw(t, "in hand")
 	if inHand {
-		b.Kind, b.Burst = InHand, 0
+		b.Kind, b.Burst = InFlight, 0
 	}
 	n := rapid.IntRange(1, 12).Draw(t, "n")
 	b.Members = map[string]Share{}
@@ -114,9 +114,9 @@
 		if i%2 == 0 {
 			b.Members[name] = s
 		}
-		d := Demand{Key{name, uint64(i)}, Of(rapid.Float64Range(0, 60).Draw(t, "want")), Of(rapid.Float64Range(0, 40).Draw(t, "now"))}
+		d := Demand{HolderID{name, uint64(i)}, FromUnits(rapid.Float64Range(0, 60).Draw(t, "want")), FromUnits(rapid.Float64Range(0, 40).Draw(t, "now"))}
 		if inHand {
-			d.Now = d.Now.whole()
+			d.Current = d.Current.wholeUnits()
 		}
 		demands = append(demands, d)
 	}
@@ -127,29 +127,29 @@
 // Never over the whole or a cap, nothing unused that is asked for, and any order gives the same.
 func TestDivideKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, demands := drawDivide(t)
+		b, demands := drawDivision(t)
 		out := Divide(b, demands)
 		var sum, asked Amount
 		for i, a := range out {
 			sum += a
-			asked += demands[i].Want
-			most := Of(b.share(demands[i].Holder).Cap)
+			asked += demands[i].Wanted
+			most := FromUnits(b.shareOf(demands[i].Holder).Cap)
 			if most > 0 && a > most {
 				t.Fatalf("%v over the cap %v", a, most)
 			}
 			if most > 0 {
-				asked -= max(0, demands[i].Want-most)
+				asked -= max(0, demands[i].Wanted-most)
 			}
-			if keeps := a <= demands[i].Now; a > demands[i].Want+Unit && !keeps {
-				t.Fatalf("%v where %v is wanted and %v was had", a, demands[i].Want, demands[i].Now)
+			if keeps := a <= demands[i].Current; a > demands[i].Wanted+Unit && !keeps {
+				t.Fatalf("%v where %v is wanted and %v was had", a, demands[i].Wanted, demands[i].Current)
 			}
-			if b.Kind == InHand && a%Unit != 0 {
+			if b.Kind == InFlight && a%Unit != 0 {
 				t.Fatalf("%v is not whole units", a)
 			}
 		}
-		whole := Amount(b.free())
+		whole := Amount(b.unreserved())
 		slack := Amount(len(out) + 1) // of rounding
-		if b.Kind == InHand {
+		if b.Kind == InFlight {
 			slack *= Unit
 		}
 		if sum > whole || sum < min(whole, asked)-slack {
@@ -170,23 +170,23 @@
 // Without amounts of before, nobody is under its weighted part while another that is over its minimum is above its own.
 func TestDivideIsMaxMin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, demands := drawDivide(t)
+		b, demands := drawDivision(t)
 		b.Kind = Rate
 		mins := 0.0
 		for i := range demands {
-			demands[i].Now = 0
-			mins += b.share(demands[i].Holder).Min
+			demands[i].Current = 0
+			mins += b.shareOf(demands[i].Holder).Min
 		}
-		if mins > b.free()/float64(Unit) {
+		if mins > b.unreserved()/float64(Unit) {
 			return
 		}
 		out := Divide(b, demands)
 		for i, a := range out {
-			si := b.share(demands[i].Holder)
-			full := a >= demands[i].Want-1 || si.Cap > 0 && a >= Of(si.Cap)-1
+			si := b.shareOf(demands[i].Holder)
+			full := a >= demands[i].Wanted-1 || si.Cap > 0 && a >= FromUnits(si.Cap)-1
 			for j, o := range out {
-				sj := b.share(demands[j].Holder)
-				if !full && o > Of(sj.Min)+1 && a.Units()/si.Weight < o.Units()/sj.Weight-1e-5 {
+				sj := b.shareOf(demands[j].Holder)
+				if !full && o > FromUnits(sj.Min)+1 && a.Units()/si.Weight < o.Units()/sj.Weight-1e-5 {
 					t.Fatalf("%v has %v while %v has %v", demands[i], a, demands[j], o)
 				}
 			}
@@ -197,18 +197,18 @@
 // Given once more what it gave, it moves nobody.
 func TestDivideSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, demands := drawDivide(t)
+		b, demands := drawDivision(t)
 		for range 2 {
 			for i, a := range Divide(b, demands) {
-				demands[i].Now = a
+				demands[i].Current = a
 			}
 		}
 		for i, a := range Divide(b, demands) {
 			slack := Amount(3 * len(demands))
-			if b.Kind == InHand {
+			if b.Kind == InFlight {
 				slack = Unit
 			}
-			if d := a - demands[i].Now; d > slack || d < -slack {
+			if d := a - demands[i].Current; d > slack || d < -slack {
 				t.Fatalf("%v goes on moving, to %v", demands[i], a)
 			}
 		}
--- a/internal/quotalease/fence.go
+++ b/internal/quotalease/fence.go
@@ -9,28 +9,31 @@
 // with an older one was decided by a process that has stopped meanwhile, or by one that another has replaced; it is turned
 // away as not processed. (Fencing tokens: Kleppmann, "How to do distributed locking", 2016.)
 type Fence struct {
-	most  int
-	known map[fenceKey]*fenced
-	order fenceHeap // lowest token on top
-	below Token     // of those forgotten: who is not known must be above
+	capacity  int
+	known     map[fenceKey]*fenceEntry
+	byToken   fenceHeap // lowest token on top
+	forgotten Token     // of those forgotten: who is not known must be above
 }
 
 type fenceKey struct{ holder, budget string }
 
-type fenced struct {
+type fenceEntry struct {
 	fenceKey
-	high Token
-	at   int
+	highest   Token
+	heapIndex int
 }
 
-type fenceHeap []*fenced
+type fenceHeap []*fenceEntry
 
 func (f fenceHeap) Len() int { return len(f) }
 func (f fenceHeap) Less(i, j int) bool {
-	return cmp.Or(f[i].high.Compare(f[j].high), cmp.Compare(f[i].holder, f[j].holder)) < 0
+	return cmp.Or(f[i].highest.Compare(f[j].highest), cmp.Compare(f[i].holder, f[j].holder)) < 0
+}
+func (f fenceHeap) Swap(i, j int) { f[i], f[j] = f[j], f[i]; f[i].heapIndex, f[j].heapIndex = i, j }
+func (f *fenceHeap) Push(x any) {
+	x.(*fenceEntry).heapIndex = len(*f)
+	*f = append(*f, x.(*fenceEntry))
 }
-func (f fenceHeap) Swap(i, j int) { f[i], f[j] = f[j], f[i]; f[i].at, f[j].at = i, j }
-func (f *fenceHeap) Push(x any)   { x.(*fenced).at = len(*f); *f = append(*f, x.(*fenced)) }
 func (f *fenceHeap) Pop() any {
 	last := (*f)[len(*f)-1]
 	*f = (*f)[:len(*f)-1]
@@ -40,7 +43,9 @@
 // NewFence makes a fence that remembers so many pairs of holder and budget, one at least. Beyond that it forgets the lowest
 // token, and turns away whoever it doesn't know with a token no higher: never one too many passes, and a holder that was
 // forgotten passes again with its next grant.
-func NewFence(most int) *Fence { return &Fence{most: max(1, most), known: map[fenceKey]*fenced{}} }
+func NewFence(most int) *Fence {
+	return &Fence{capacity: max(1, most), known: map[fenceKey]*fenceEntry{}}
+}
 
 // Admit takes an attempt, or returns OldToken. The zero token, of a floor, always passes.
 func (f *Fence) Admit(holder, budget string, t Token) error {
@@ -49,27 +54,27 @@
 	}
 	key := fenceKey{holder, budget}
 	one := f.known[key]
-	have := f.below
+	have := f.forgotten
 	if one != nil {
-		have = one.high
+		have = one.highest
 	}
 	switch order := t.Compare(have); {
 	case order < 0, one == nil && order == 0:
-		return OldToken{holder, budget, t, have}
+		return StaleTokenError{holder, budget, t, have}
 	case order == 0:
 		return nil
 	case one != nil:
-		one.high = t
-		heap.Fix(&f.order, one.at)
+		one.highest = t
+		heap.Fix(&f.byToken, one.heapIndex)
 		return nil
 	}
-	if len(f.known) >= f.most {
-		lowest := heap.Pop(&f.order).(*fenced)
+	if len(f.known) >= f.capacity {
+		lowest := heap.Pop(&f.byToken).(*fenceEntry)
 		delete(f.known, lowest.fenceKey)
-		f.below = lowest.high
+		f.forgotten = lowest.highest
 	}
-	one = &fenced{fenceKey: key, high: t}
+	one = &fenceEntry{fenceKey: key, highest: t}
 	f.known[key] = one
-	heap.Push(&f.order, one)
+	heap.Push(&f.byToken, one)
 	return nil
 }
--- a/internal/quotalease/frozen_test.go
+++ b/internal/quotalease/frozen_test.go
@@ -20,72 +20,72 @@
 // WRITE_FROZEN=1 go test -run TestFrozen ./internal/grant and must never be written again: a change of them is a change of
 // the stored log, of a snapshot, or of a message.
 const (
-	frozenLog      = "testdata/log.jsonl"      // one log command a line, as JSON
-	frozenVerdicts = "testdata/verdicts.txt"   // what each command of the log did
-	frozenHalfway  = "testdata/snapshot.json"  // after frozenHalfwayIndex commands
-	frozenFounded  = "testdata/refounded.json" // after all commands
-	frozenMessages = "testdata/messages.txt"   // a name, an encoding and the bytes in hexadecimal, one message a line
-	frozenErrors   = "testdata/errors.txt"     // each error's name in a message, its text and its advice
+	frozenLog            = "testdata/log.jsonl"      // one log command a line, as JSON
+	frozenVerdicts       = "testdata/verdicts.txt"   // what each command of the log did
+	frozenHalfway        = "testdata/snapshot.json"  // after frozenHalfwayIndex commands
+	frozenRebootstrapped = "testdata/refounded.json" // after all commands
+	frozenMessages       = "testdata/messages.txt"   // a name, an encoding and the bytes in hexadecimal, one message a line
+	frozenErrors         = "testdata/errors.txt"     // each error's name in a message, its text and its advice
 
 	frozenHalfwayIndex = 17
 )
 
-func frozenFleet(whole float64, floors map[string]float64) Fleet {
-	return Fleet{ID: "f", Drift: .01, Longest: 10 * time.Second, Budgets: []Budget{
+func frozenConfig(whole float64, floors map[string]float64) FleetConfig {
+	return FleetConfig{FleetID: "f", MaxDrift: .01, MaxLifetime: 10 * time.Second, Quotas: []Quota{
 		{
-			Name: "r", Kind: Rate, Whole: whole, Burst: 10, Lease: time.Second, Floors: floors,
-			Members: map[string]Share{"a": {Min: 1, Cap: 8, Weight: 2}}, Others: Share{Cap: 9, Weight: 1},
+			Name: "r", Kind: Rate, Limit: whole, Burst: 10, LeaseDuration: time.Second, Floors: floors,
+			Members: map[string]Share{"a": {Min: 1, Cap: 8, Weight: 2}}, DefaultShare: Share{Cap: 9, Weight: 1},
 		},
-		{Name: "h", Kind: InHand, Whole: 10, Lease: time.Second, Life: 2 * time.Second},
+		{Name: "h", Kind: InFlight, Limit: 10, LeaseDuration: time.Second, MaxHoldTime: 2 * time.Second},
 	}}
 }
 
 // frozenCommands has each kind of command with each of its fields set at least once.
 func frozenCommands() []Command {
-	key := func(holder string) Key { return Key{Holder: holder, Incarnation: 1} }
+	key := func(holder string) HolderID { return HolderID{Holder: holder, Incarnation: 1} }
 	return []Command{
-		{Found: &Found{Fleet: "f", Epoch: 1, Drift: .01, Longest: 10 * time.Second}},
+		{Bootstrap: &Bootstrap{FleetID: "f", Epoch: 1, MaxDrift: .01, MaxLifetime: 10 * time.Second}},
 		{Expire: &Expire{Token: Token{Epoch: 1, Index: 1}}},
-		{SetBudgets: &SetBudgets{Version: 1, Fleet: frozenFleet(10, map[string]float64{"a": 4, "z": 1})}},
-		{Grant: &Grant{
-			Fleet: "f", Epoch: 1, Key: key("a"), Budget: "r", Kind: Rate, Amount: 2 * Unit, Burst: 2 * Unit,
-			Lease: time.Second, Ask: 1,
+		{SetQuotas: &SetQuotas{Version: 1, Config: frozenConfig(10, map[string]float64{"a": 4, "z": 1})}},
+		{Grant: &Lease{
+			FleetID: "f", Epoch: 1, HolderID: key("a"), Quota: "r", Kind: Rate, Amount: 2 * Unit, Burst: 2 * Unit,
+			Duration: time.Second, RequestSeq: 1,
 		}},
-		{Grants: &Grants{Fleet: "f", Epoch: 1, Key: key("b"), Ask: 1, Parts: []Part{
-			{Budget: "r", Amount: 2500000, Burst: 2 * Unit},
-			{Budget: "h", Amount: 5 * Unit},
-			{Budget: "unknown", Amount: Unit},
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: key("b"), RequestSeq: 1, Grants: []QuotaGrant{
+			{Quota: "r", Amount: 2500000, Burst: 2 * Unit},
+			{Quota: "h", Amount: 5 * Unit},
+			{Quota: "unknown", Amount: Unit},
 		}}},
-		{Words: &Words{Epoch: 1, Key: key("b"), Seq: 2, Parts: []Word{
-			{Budget: "h", Token: Token{Epoch: 1, Index: 5}, Held: 2 * Unit},
-			{Budget: "r", Token: Token{Epoch: 1, Index: 5}, Ended: true},
+		{AckBatch: &AckBatch{Epoch: 1, HolderID: key("b"), RequestSeq: 2, Acks: []QuotaAck{
+			{Quota: "h", Token: Token{Epoch: 1, Index: 5}, InFlight: 2 * Unit},
+			{Quota: "r", Token: Token{Epoch: 1, Index: 5}, Ended: true},
 		}}},
 		{Batch: []Command{
-			{Grant: &Grant{
-				Fleet: "f", Epoch: 1, Key: key("a"), Budget: "r", Kind: Rate, Amount: Unit, Burst: Unit,
-				Lease: time.Second, Ask: 2,
+			{Grant: &Lease{
+				FleetID: "f", Epoch: 1, HolderID: key("a"), Quota: "r", Kind: Rate, Amount: Unit, Burst: Unit,
+				Duration: time.Second, RequestSeq: 2,
 			}},
-			{Know: &Know{Key: key("a"), Seen: 1, Floors: 1}},
-			{Ack: &Ack{Epoch: 2, Key: key("a"), Budget: "r", Seq: 1}},
+			{ObserveConfig: &ObserveConfig{HolderID: key("a"), SeenVersion: 1, FloorsVersion: 1}},
+			{Ack: &Ack{Epoch: 2, HolderID: key("a"), Quota: "r", RequestSeq: 1}},
 		}},
-		{Ack: &Ack{Epoch: 1, Key: key("a"), Budget: "r", Seq: 2, Token: Token{Epoch: 1, Index: 7}, Held: 300000}},
-		{Grants: &Grants{Fleet: "f", Epoch: 1, Key: key("c"), Ask: 1, Parts: []Part{{Budget: "h", Amount: 3 * Unit}}}},
-		{GiveBack: &GiveBack{Ack: Ack{Epoch: 1, Key: key("c"), Budget: "h", Seq: 1, Token: Token{Epoch: 1, Index: 9}, Held: Unit}}},
-		{SetBudgets: &SetBudgets{Version: 2, Fleet: frozenFleet(9, map[string]float64{"a": 3}), Gone: []string{"z"}}},
-		{Know: &Know{Key: key("a"), Seen: 2, Floors: 1}},
-		{Expire: &Expire{Key: key("b"), Budget: "h", Token: Token{Epoch: 1, Index: 5}}},
+		{Ack: &Ack{Epoch: 1, HolderID: key("a"), Quota: "r", RequestSeq: 2, Token: Token{Epoch: 1, Index: 7}, InFlight: 300000}},
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: key("c"), RequestSeq: 1, Grants: []QuotaGrant{{Quota: "h", Amount: 3 * Unit}}}},
+		{Release: &Release{Ack: Ack{Epoch: 1, HolderID: key("c"), Quota: "h", RequestSeq: 1, Token: Token{Epoch: 1, Index: 9}, InFlight: Unit}}},
+		{SetQuotas: &SetQuotas{Version: 2, Config: frozenConfig(9, map[string]float64{"a": 3}), RemovedHolders: []string{"z"}}},
+		{ObserveConfig: &ObserveConfig{HolderID: key("a"), SeenVersion: 2, FloorsVersion: 1}},
+		{Expire: &Expire{HolderID: key("b"), Quota: "h", Token: Token{Epoch: 1, Index: 5}}},
 		{},
-		{Ack: &Ack{Epoch: 1, Key: key("d"), Budget: "r", Seq: 1, Token: Token{Epoch: 1, Index: 500}}},
-		{Grants: &Grants{Fleet: "f", Epoch: 1, Key: key("d"), Ask: 2, Parts: []Part{
-			{Budget: "r", Amount: 1500000, Burst: Unit},
-			{Budget: "h", Amount: 4 * Unit},
+		{Ack: &Ack{Epoch: 1, HolderID: key("d"), Quota: "r", RequestSeq: 1, Token: Token{Epoch: 1, Index: 500}}},
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: key("d"), RequestSeq: 2, Grants: []QuotaGrant{
+			{Quota: "r", Amount: 1500000, Burst: Unit},
+			{Quota: "h", Amount: 4 * Unit},
 		}}},
-		{Grants: &Grants{Fleet: "f", Epoch: 1, Key: key("e"), Ask: 1, Parts: []Part{{Budget: "r", Amount: 9 * Unit, Burst: Unit}}}},
-		{Words: &Words{Epoch: 1, Key: key("d"), Seq: 3, All: true, Parts: []Word{
-			{Budget: "h", Token: Token{Epoch: 1, Index: 502}, Held: 2 * Unit, Ended: true},
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: key("e"), RequestSeq: 1, Grants: []QuotaGrant{{Quota: "r", Amount: 9 * Unit, Burst: Unit}}}},
+		{AckBatch: &AckBatch{Epoch: 1, HolderID: key("d"), RequestSeq: 3, All: true, Acks: []QuotaAck{
+			{Quota: "h", Token: Token{Epoch: 1, Index: 502}, InFlight: 2 * Unit, Ended: true},
 		}}},
-		{GiveBack: &GiveBack{Ack: Ack{Epoch: 1, Key: key("a"), Budget: "r", Seq: 3, Token: Token{Epoch: 1, Index: 7}}, All: true}},
-		{Found: &Found{Fleet: "f", Epoch: 2, Drift: .02, Longest: 20 * time.Second}},
+		{Release: &Release{Ack: Ack{Epoch: 1, HolderID: key("a"), Quota: "r", RequestSeq: 3, Token: Token{Epoch: 1, Index: 7}}, All: true}},
+		{Bootstrap: &Bootstrap{FleetID: "f", Epoch: 2, MaxDrift: .02, MaxLifetime: 20 * time.Second}},
 	}
 }
 
@@ -97,25 +97,25 @@
 }
 
 func frozenMessageList() []frozenMessage {
-	key := Key{Holder: "a", Incarnation: 7}
-	floor := Floor{Kind: InHand, Amount: 3 * Unit, Burst: Unit, Life: 2 * time.Second}
+	key := HolderID{Holder: "a", Incarnation: 7}
+	floor := Floor{Kind: InFlight, Amount: 3 * Unit, Burst: Unit, MaxHoldTime: 2 * time.Second}
 	return []frozenMessage{
 		{"request", "cbor", Request{
-			Fleet: "f", Epoch: 2, Key: key, Seq: 3, Seen: 4, Floors: 5, Leaving: true,
-			Wants: []Want{{Budget: "r", Units: 1500000, Token: Token{Epoch: 2, Index: 9}, Ended: true, Held: Unit}},
+			FleetID: "f", Epoch: 2, HolderID: key, Seq: 3, SeenVersion: 4, FloorsVersion: 5, Leaving: true,
+			Quotas: []QuotaRequest{{Quota: "r", Wanted: 1500000, Token: Token{Epoch: 2, Index: 9}, Ended: true, InFlight: Unit}},
 		}, func() any { return new(Request) }},
 		{"reply", "cbor", Reply{
-			Fleet: "f", Epoch: 2, Key: key, Version: 6,
-			Grants: []Grant{{
-				Fleet: "f", Epoch: 2, Key: key, Budget: "h", Kind: InHand, Amount: 4 * Unit, Burst: Unit, Lease: time.Second,
-				Life: 2 * time.Second, Ask: 3, Version: 6, Token: Token{Epoch: 2, Index: 9},
+			FleetID: "f", Epoch: 2, HolderID: key, ConfigVersion: 6,
+			Leases: []Lease{{
+				FleetID: "f", Epoch: 2, HolderID: key, Quota: "h", Kind: InFlight, Amount: 4 * Unit, Burst: Unit, Duration: time.Second,
+				MaxHoldTime: 2 * time.Second, RequestSeq: 3, ConfigVersion: 6, Token: Token{Epoch: 2, Index: 9},
 			}},
 			Floors: map[string]Floor{"h": floor},
 		}, func() any { return new(Reply) }},
 		{"empty-reply", "cbor", Reply{}, func() any { return new(Reply) }},
-		{"set-budgets", "cbor", SetBudgets{
-			Version: 3, Fleet: frozenFleet(10, map[string]float64{"a": 4}), Gone: []string{"z"},
-		}, func() any { return new(SetBudgets) }},
+		{"set-budgets", "cbor", SetQuotas{
+			Version: 3, Config: frozenConfig(10, map[string]float64{"a": 4}), RemovedHolders: []string{"z"},
+		}, func() any { return new(SetQuotas) }},
 		{"floors", "json", map[string]Floor{"h": floor, "r": {Kind: Rate, Amount: Unit, Burst: Unit}},
 			func() any { return new(map[string]Floor) }},
 	}
@@ -150,13 +150,13 @@
 }
 
 // verdict tells what a command did, in words that names of types and fields do not change.
-func verdict(applied Applied, err error) string {
+func verdict(applied ApplyResult, err error) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "token=%v", applied.Token)
-	for _, item := range applied.Born {
-		fmt.Fprintf(&out, " item=%s/%d,%s,%v,%v", item.Holder, item.Incarnation, item.Budget, item.Token, item.Length)
+	for _, item := range applied.Started {
+		fmt.Fprintf(&out, " item=%s/%d,%s,%v,%v", item.Holder, item.Incarnation, item.Quota, item.Token, item.Duration)
 	}
-	for _, refused := range applied.Refused {
+	for _, refused := range applied.Rejected {
 		fmt.Fprintf(&out, " refused=%q", refused)
 	}
 	if err != nil {
@@ -165,7 +165,7 @@
 	return out.String() + "\n"
 }
 
-func snapshotOf(t *testing.T, b *Book) []byte {
+func snapshotOf(t *testing.T, b *StateMachine) []byte {
 	t.Helper()
 	data, err := b.Snapshot()
 	if err != nil {
@@ -194,7 +194,7 @@
 
 func TestFrozenLogReplaysToTheKeptSnapshots(t *testing.T) {
 	log := bytes.Split(bytes.TrimSpace(frozen(t, frozenLog, nil)), []byte("\n"))
-	replay := func(b *Book, from, to int) (verdicts string) {
+	replay := func(b *StateMachine, from, to int) (verdicts string) {
 		for i := from; i < to; i++ {
 			var c Command
 			if err := json.Unmarshal(log[i], &c); err != nil {
@@ -204,7 +204,7 @@
 		}
 		return verdicts
 	}
-	book := NewBook()
+	book := NewStateMachine()
 	verdicts := replay(book, 0, frozenHalfwayIndex)
 	halfway := frozen(t, frozenHalfway, snapshotOf(t, book))
 	if got := snapshotOf(t, book); !bytes.Equal(got, halfway) {
@@ -214,12 +214,12 @@
 	if kept := frozen(t, frozenVerdicts, []byte(verdicts)); string(kept) != verdicts {
 		t.Errorf("the commands now do\n%s\nand did\n%s", verdicts, kept)
 	}
-	refounded := frozen(t, frozenFounded, snapshotOf(t, book))
+	refounded := frozen(t, frozenRebootstrapped, snapshotOf(t, book))
 	if got := snapshotOf(t, book); !bytes.Equal(got, refounded) {
 		t.Errorf("the last snapshot is now\n%s\nand was\n%s", got, refounded)
 	}
 
-	restored := NewBook()
+	restored := NewStateMachine()
 	if err := restored.Restore(halfway); err != nil {
 		t.Fatal(err)
 	}
@@ -237,31 +237,31 @@
 }
 
 // wantFrozenState compares what the kept snapshot holds with the values at the time that it was kept.
-func wantFrozenState(t *testing.T, b *Book) {
+func wantFrozenState(t *testing.T, b *StateMachine) {
 	t.Helper()
-	if fleet, epoch, err := b.Founded(); fleet != "f" || epoch != 1 || err != nil {
+	if fleet, epoch, err := b.Bootstrapped(); fleet != "f" || epoch != 1 || err != nil {
 		t.Errorf("founded: fleet %q, epoch %d, %v", fleet, epoch, err)
 	}
-	if config, version := b.Budgets(); version != 2 || !reflect.DeepEqual(config, frozenFleet(9, map[string]float64{"a": 3})) {
+	if config, version := b.Config(); version != 2 || !reflect.DeepEqual(config, frozenConfig(9, map[string]float64{"a": 3})) {
 		t.Errorf("budgets: version %d, %+v", version, config)
 	}
-	if b.Index() != frozenHalfwayIndex {
-		t.Errorf("index %d", b.Index())
+	if b.AppliedIndex() != frozenHalfwayIndex {
+		t.Errorf("index %d", b.AppliedIndex())
 	}
 	for budget, want := range map[string][2]Amount{"r": {6500000, 6 * Unit}, "h": {5 * Unit, 0}} {
-		if amount, burst := b.Counted(budget); amount != want[0] || burst != want[1] {
+		if amount, burst := b.Outstanding(budget); amount != want[0] || burst != want[1] {
 			t.Errorf("%s: %d counted, burst %d, not %v", budget, amount, burst, want)
 		}
 	}
 	want := Reply{
-		Fleet: "f", Epoch: 1, Key: Key{Holder: "a", Incarnation: 1}, Version: 2,
-		Grants: []Grant{{
-			Fleet: "f", Epoch: 1, Key: Key{Holder: "a", Incarnation: 1}, Budget: "r", Kind: Rate, Amount: Unit, Burst: Unit,
-			Lease: time.Second, Ask: 2, Version: 1, Token: Token{Epoch: 1, Index: 7},
+		FleetID: "f", Epoch: 1, HolderID: HolderID{Holder: "a", Incarnation: 1}, ConfigVersion: 2,
+		Leases: []Lease{{
+			FleetID: "f", Epoch: 1, HolderID: HolderID{Holder: "a", Incarnation: 1}, Quota: "r", Kind: Rate, Amount: Unit, Burst: Unit,
+			Duration: time.Second, RequestSeq: 2, ConfigVersion: 1, Token: Token{Epoch: 1, Index: 7},
 		}},
 		Floors: map[string]Floor{"r": {Kind: Rate, Amount: 3 * Unit, Burst: 3333333}},
 	}
-	if got := b.Tell(want.Key); !reflect.DeepEqual(got, want) {
+	if got := b.ReplyTo(want.HolderID); !reflect.DeepEqual(got, want) {
 		t.Errorf("a is told %+v, not %+v", got, want)
 	}
 }
@@ -300,16 +300,16 @@
 }
 
 func TestFrozenErrorTexts(t *testing.T) {
-	key := Key{Holder: "a", Incarnation: 7}
+	key := HolderID{Holder: "a", Incarnation: 7}
 	var now strings.Builder
 	for _, err := range []codedError{
-		BadCommand{Why: "why"}, FloorTaken{Holder: "a"}, GrantEnded{Budget: "r"}, GrantEnded{Budget: "r", Ago: time.Second},
-		NoBudget{Budget: "r"}, NoGrant{Budget: "r"}, NotFounded{},
-		OldBudgets{Have: 1, Seen: 2}, OldEpoch{Got: 1, Have: 2},
-		OldToken{Holder: "a", Budget: "r", Got: Token{Epoch: 1, Index: 2}, Have: Token{Epoch: 1, Index: 3}},
-		OtherFleet{Ours: "f", Theirs: "g"}, OtherHolder{Ours: key, Theirs: Key{Holder: "b", Incarnation: 8}},
-		OverWhole{Budget: "r", What: "whole", Whole: 3 * Unit, Counted: 2 * Unit, Asked: 1500000}, Spent{Budget: "r"},
-		StillSilent{Longest: time.Second},
+		InvalidCommandError{Reason: "why"}, FloorClaimedError{Holder: "a"}, LeaseExpiredError{Quota: "r"}, LeaseExpiredError{Quota: "r", Ago: time.Second},
+		UnknownQuotaError{Quota: "r"}, NoLeaseError{Quota: "r"}, NotBootstrappedError{},
+		StaleConfigError{Have: 1, Seen: 2}, StaleEpochError{Got: 1, Have: 2},
+		StaleTokenError{Holder: "a", Quota: "r", Got: Token{Epoch: 1, Index: 2}, Have: Token{Epoch: 1, Index: 3}},
+		FleetMismatchError{Ours: "f", Theirs: "g"}, HolderMismatchError{Ours: key, Theirs: HolderID{Holder: "b", Incarnation: 8}},
+		LimitExceededError{Quota: "r", Dimension: "whole", Limit: 3 * Unit, Outstanding: 2 * Unit, Requested: 1500000}, ExhaustedError{Quota: "r"},
+		BootstrapPendingError{MaxLifetime: time.Second},
 	} {
 		fmt.Fprintf(&now, "%s\n\t%s\n\t%s\n", err.Code(), err, err.Advice())
 	}
--- a/internal/quotalease/grant.go
+++ b/internal/quotalease/grant.go
@@ -31,8 +31,8 @@
 // Unit is one unit: one attempt, or one piece of work in hand.
 const Unit Amount = 1e6
 
-// Of is x units, rounded down. What is not a number, or below 0, is 0.
-func Of(x float64) Amount {
+// FromUnits is x units, rounded down. What is not a number, or below 0, is 0.
+func FromUnits(x float64) Amount {
 	if !(x > 0) {
 		return 0
 	}
@@ -42,22 +42,22 @@
 // Units is the amount in units.
 func (a Amount) Units() float64 { return float64(a) / float64(Unit) }
 
-// whole drops what is not a whole unit.
-func (a Amount) whole() Amount { return a - a%Unit }
+// wholeUnits drops what is not a whole unit.
+func (a Amount) wholeUnits() Amount { return a - a%Unit }
 
 // Kind is what a budget counts.
 type Kind uint8
 
 const (
-	Rate   Kind = iota + 1 // units a second, with a burst
-	InHand                 // units held at once, each for at most a stated longest life
+	Rate     Kind = iota + 1 // units a second, with a burst
+	InFlight                 // units held at once, each for at most a stated longest life
 )
 
 func (k Kind) String() string {
 	switch k {
 	case Rate:
 		return "rate"
-	case InHand:
+	case InFlight:
 		return "in-hand"
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
@@ -70,90 +70,90 @@
 	Weight float64 `json:"Weight"` // of what is over all minimums; 0 counts as 1
 }
 
-// Budget is one whole that the fleet shares.
-type Budget struct {
+// Quota is one whole that the fleet shares.
+type Quota struct {
 	Name  string  `json:"Name"`
 	Kind  Kind    `json:"Kind"`
-	Whole float64 `json:"Whole"` // units a second, or units in hand
+	Limit float64 `json:"Whole"` // units a second, or units in hand
 	// Burst is units that all buckets together may hold; for a Rate only. A holder with less than one unit of it can spend
 	// nothing: it should be the number of holders that draw at once, or more.
-	Burst float64       `json:"Burst"`
-	Lease time.Duration `json:"Lease"` // of each grant
-	Life  time.Duration `json:"Life"`  // the longest that a unit is in hand; for InHand only
+	Burst         float64       `json:"Burst"`
+	LeaseDuration time.Duration `json:"Lease"` // of each grant
+	MaxHoldTime   time.Duration `json:"Life"`  // the longest that a unit is in hand; for InHand only
 
-	Floors  map[string]float64 `json:"Floors"`  // units that a holder has by its name, without talk; they are part of the whole
-	Members map[string]Share   `json:"Members"` // by holder
-	Others  Share              `json:"Others"`  // of each holder that Members does not name; it has no minimum
+	Floors       map[string]float64 `json:"Floors"`  // units that a holder has by its name, without talk; they are part of the whole
+	Members      map[string]Share   `json:"Members"` // by holder
+	DefaultShare Share              `json:"Others"`  // of each holder that Members does not name; it has no minimum
 }
 
-// Fleet is all budgets, and what must hold for all grants of an epoch.
-type Fleet struct {
-	ID      string        `json:"ID"`
-	Drift   float64       `json:"Drift"`   // the part by which any clock of the fleet may be wrong, such as .001
-	Longest time.Duration `json:"Longest"` // no lease with its life is longer; whoever may have forgotten grants waits that long
-	Budgets []Budget      `json:"Budgets"`
+// FleetConfig is all budgets, and what must hold for all grants of an epoch.
+type FleetConfig struct {
+	FleetID     string        `json:"ID"`
+	MaxDrift    float64       `json:"Drift"`   // the part by which any clock of the fleet may be wrong, such as .001
+	MaxLifetime time.Duration `json:"Longest"` // no lease with its life is longer; whoever may have forgotten grants waits that long
+	Quotas      []Quota       `json:"Budgets"`
 }
 
 const (
-	maxDrift  = .1
-	maxUnits  = 1e9
-	leastTime = time.Millisecond
+	driftLimit  = .1
+	unitsLimit  = 1e9
+	minDuration = time.Millisecond
 )
 
 // Check tells all that makes no sense, by budget and field.
-func (f *Fleet) Check() error {
+func (f *FleetConfig) Check() error {
 	var errs []error
 	bad := func(wrong bool, format string, args ...any) {
 		if wrong {
 			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
-	bad(f.ID == "", "fleet: has no name")
-	bad(!(f.Drift >= 0 && f.Drift <= maxDrift), "drift: %v is not within 0 and %v", f.Drift, maxDrift)
-	bad(f.Longest < leastTime, "longest: %v is under %v", f.Longest, leastTime)
+	bad(f.FleetID == "", "fleet: has no name")
+	bad(!(f.MaxDrift >= 0 && f.MaxDrift <= driftLimit), "drift: %v is not within 0 and %v", f.MaxDrift, driftLimit)
+	bad(f.MaxLifetime < minDuration, "longest: %v is under %v", f.MaxLifetime, minDuration)
 	seen := map[string]bool{}
-	for i := range f.Budgets {
-		b := &f.Budgets[i]
+	for i := range f.Quotas {
+		b := &f.Quotas[i]
 		bad(seen[b.Name], "%s: named twice", b.Name)
 		seen[b.Name] = true
 		if err := b.Check(); err != nil {
 			errs = append(errs, err)
 		}
-		bad(b.Lease+b.Life > f.Longest, "%s: lease %v and life %v come to more than longest, %v", b.Name, b.Lease, b.Life, f.Longest)
+		bad(b.LeaseDuration+b.MaxHoldTime > f.MaxLifetime, "%s: lease %v and life %v come to more than longest, %v", b.Name, b.LeaseDuration, b.MaxHoldTime, f.MaxLifetime)
 	}
 	return errors.Join(errs...)
 }
 
 // Check tells all that makes no sense in one budget, by its name and the field.
-func (b *Budget) Check() error {
+func (b *Quota) Check() error {
 	var errs []error
 	bad := func(wrong bool, format string, args ...any) {
 		if wrong {
 			errs = append(errs, fmt.Errorf("%s: "+format, append([]any{b.Name}, args...)...))
 		}
 	}
-	number := func(x float64) bool { return x >= 0 && x <= maxUnits }
+	number := func(x float64) bool { return x >= 0 && x <= unitsLimit }
 	// Work in hand comes in whole units.
-	fits := func(x float64) bool { return number(x) && (b.Kind != InHand || x == math.Floor(x)) }
+	fits := func(x float64) bool { return number(x) && (b.Kind != InFlight || x == math.Floor(x)) }
 	bad(b.Name == "", "a budget has no name")
-	bad(b.Kind != Rate && b.Kind != InHand, "kind: %v is neither rate nor in-hand", b.Kind)
-	bad(!fits(b.Whole) || b.Whole == 0, "whole: %v units", b.Whole)
-	bad(b.Lease < leastTime, "lease: %v is under %v", b.Lease, leastTime)
+	bad(b.Kind != Rate && b.Kind != InFlight, "kind: %v is neither rate nor in-hand", b.Kind)
+	bad(!fits(b.Limit) || b.Limit == 0, "whole: %v units", b.Limit)
+	bad(b.LeaseDuration < minDuration, "lease: %v is under %v", b.LeaseDuration, minDuration)
 	switch b.Kind {
 	case Rate:
 		bad(!number(b.Burst) || b.Burst < 1, "burst: %v units; a rate needs 1 at least", b.Burst)
-		bad(b.Life != 0, "life: a rate has none")
-	case InHand:
+		bad(b.MaxHoldTime != 0, "life: a rate has none")
+	case InFlight:
 		bad(b.Burst != 0, "burst: work in hand has none")
-		bad(b.Life < leastTime, "life: %v is under %v", b.Life, leastTime)
+		bad(b.MaxHoldTime < minDuration, "life: %v is under %v", b.MaxHoldTime, minDuration)
 	}
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(b.Floors)) {
 		x := b.Floors[name]
 		bad(name == "" || !fits(x), "floor of %q: %v units", name, x)
 		if b.Kind == Rate && fits(x) && x > 0 {
-			bad(b.Burst*x/b.Whole < 1, "floor of %q: its part of the burst is %.3g, under the one unit that it needs to spend any",
-				name, b.Burst*x/b.Whole)
+			bad(b.Burst*x/b.Limit < 1, "floor of %q: its part of the burst is %.3g, under the one unit that it needs to spend any",
+				name, b.Burst*x/b.Limit)
 		}
 		sum += max(0, x)
 	}
@@ -166,17 +166,17 @@
 		bad(!number(s.Weight), "member %s: weight %v", name, s.Weight)
 		sum += max(0, s.Min)
 	}
-	bad(b.Others.Min != 0, "others: a minimum needs a name")
-	bad(!fits(b.Others.Cap) || !number(b.Others.Weight), "others: cap %v or weight %v", b.Others.Cap, b.Others.Weight)
-	bad(!(sum <= b.Whole), "floors (%v) and minimums (%v) come to more than the whole, %v", floors, sum-floors, b.Whole)
+	bad(b.DefaultShare.Min != 0, "others: a minimum needs a name")
+	bad(!fits(b.DefaultShare.Cap) || !number(b.DefaultShare.Weight), "others: cap %v or weight %v", b.DefaultShare.Cap, b.DefaultShare.Weight)
+	bad(!(sum <= b.Limit), "floors (%v) and minimums (%v) come to more than the whole, %v", floors, sum-floors, b.Limit)
 	return errors.Join(errs...)
 }
 
-// share is what a holder is promised.
-func (b *Budget) share(holder string) Share {
+// shareOf is what a holder is promised.
+func (b *Quota) shareOf(holder string) Share {
 	s, named := b.Members[holder]
 	if !named {
-		s = b.Others
+		s = b.DefaultShare
 	}
 	if s.Weight == 0 {
 		s.Weight = 1
@@ -184,20 +184,20 @@
 	return s
 }
 
-// floor is the part of whole and burst that a holder has by its name.
-func (b *Budget) floor(holder string) (amount, burst Amount) {
+// floorOf is the part of whole and burst that a holder has by its name.
+func (b *Quota) floorOf(holder string) (amount, burst Amount) {
 	x := b.Floors[holder]
 	if b.Kind == Rate {
-		burst = Of(b.Burst * x / b.Whole)
+		burst = FromUnits(b.Burst * x / b.Limit)
 	}
-	return Of(x), burst
+	return FromUnits(x), burst
 }
 
-// Budget is the budget of a name, nil if there is none.
-func (f *Fleet) Budget(name string) *Budget {
-	for i := range f.Budgets {
-		if f.Budgets[i].Name == name {
-			return &f.Budgets[i]
+// Quota is the budget of a name, nil if there is none.
+func (f *FleetConfig) Quota(name string) *Quota {
+	for i := range f.Quotas {
+		if f.Quotas[i].Name == name {
+			return &f.Quotas[i]
 		}
 	}
 	return nil
@@ -216,26 +216,28 @@
 
 func (t Token) String() string { return fmt.Sprintf("%d.%d", t.Epoch, t.Index) }
 
-// Key is whose a grant is: one process (incarnation) of a holder's name. A process that starts anew is another one.
-type Key struct {
+// HolderID is whose a grant is: one process (incarnation) of a holder's name. A process that starts anew is another one.
+type HolderID struct {
 	Holder      string `json:"Holder"`
 	Incarnation uint64 `json:"Incarnation"`
 }
 
 // Compare orders keys by name, then by incarnation.
-func (k Key) Compare(o Key) int {
+func (k HolderID) Compare(o HolderID) int {
 	return cmp.Or(cmp.Compare(k.Holder, o.Holder), cmp.Compare(k.Incarnation, o.Incarnation))
 }
 
-// Margin is by how much a steward lets a length of time last longer by its own clock, so that it is over by any other
+// DriftMargin is by how much a steward lets a length of time last longer by its own clock, so that it is over by any other
 // clock of that drift: a clock that is slow by the drift beside one that is fast by it.
-func Margin(drift float64) float64 { return (1 + drift) / (1 - drift) }
+func DriftMargin(drift float64) float64 { return (1 + drift) / (1 - drift) }
 
-// stretch is a length with the margin, rounded up.
-func stretch(d time.Duration, drift float64) time.Duration {
-	return time.Duration(math.Ceil(float64(d)*Margin(drift))) + 1
+// withDriftMargin is a length with the margin, rounded up.
+func withDriftMargin(d time.Duration, drift float64) time.Duration {
+	return time.Duration(math.Ceil(float64(d)*DriftMargin(drift))) + 1
 }
 
-// Silence is for how long a steward that starts takes no part: neither votes, nor confirms entries, nor leads. Its store
+// StartupSilence is for how long a steward that starts takes no part: neither votes, nor confirms entries, nor leads. Its store
 // may be an older copy and may have forgotten grants; after that time they have ended.
-func Silence(longest time.Duration, drift float64) time.Duration { return stretch(longest, drift) }
+func StartupSilence(longest time.Duration, drift float64) time.Duration {
+	return withDriftMargin(longest, drift)
+}
--- a/internal/quotalease/modelcheck/draw.go
+++ b/internal/quotalease/modelcheck/draw.go
@@ -11,134 +11,134 @@
 	"lapisspread/internal/quotalease"
 )
 
-// Run is what a drawn run came to.
-type Run struct {
-	Found   string        // what broke, "" if nothing did
-	Steps   int           // moments that were checked
-	Granted float64       // part of the smaller of whole and demand that is granted once all is mended
-	Healed  time.Duration // after which it was
-	Spent   float64       // units
-	Faults  map[string]int
+// RandomResult is what a drawn run came to.
+type RandomResult struct {
+	Violation    string        // what broke, "" if nothing did
+	Moments      int           // moments that were checked
+	GrantedShare float64       // part of the smaller of whole and demand that is granted once all is mended
+	RecoveryTime time.Duration // after which it was
+	SpentUnits   float64       // units
+	Faults       map[string]int
 }
 
-// player plays a world by chance.
-type player struct {
-	*World
-	rng     *rand.Rand
-	next    []time.Duration // each process's next ask, true time
-	stopped []time.Duration // each process stands still until then; stewards first
-	away    []time.Duration // each proxy is cut off until then
-	faults  map[string]int
-	mended  bool // links lose and delay nothing
+// simulation plays a world by chance.
+type simulation struct {
+	*cluster
+	rng          *rand.Rand
+	nextRequest  []time.Duration // each process's next ask, true time
+	stoppedUntil []time.Duration // each process stands still until then; stewards first
+	cutOffUntil  []time.Duration // each proxy is cut off until then
+	faults       map[string]int
+	linksHealthy bool // links lose and delay nothing
 }
 
-// Draw plays a world for so many moments with faults, then mends all and plays on until what was lost must be made good. The
+// RunRandom plays a world for so many moments with faults, then mends all and plays on until what was lost must be made good. The
 // same seed gives the same run.
-func Draw(s Settings, seed uint64, moments int) Run {
+func RunRandom(s Settings, seed uint64, moments int) RandomResult {
 	rng := rand.New(rand.NewPCG(seed, 24))
-	w := newWorld(s, func(int) float64 { return float64(rng.IntN(3) - 1) })
-	p := &player{World: w, rng: rng, next: make([]time.Duration, s.Holders), stopped: make([]time.Duration, s.Holders+s.Stewards),
-		away: make([]time.Duration, s.Holders), faults: map[string]int{}}
-	run := Run{Faults: p.faults}
-	for ; run.Steps < moments; run.Steps++ {
-		p.fault()
-		if p.step(); w.check() != "" {
-			run.Found = w.found
+	w := newCluster(s, func(int) float64 { return float64(rng.IntN(3) - 1) })
+	p := &simulation{cluster: w, rng: rng, nextRequest: make([]time.Duration, s.Holders), stoppedUntil: make([]time.Duration, s.Holders+s.Servers),
+		cutOffUntil: make([]time.Duration, s.Holders), faults: map[string]int{}}
+	run := RandomResult{Faults: p.faults}
+	for ; run.Moments < moments; run.Moments++ {
+		p.injectFault()
+		if p.step(); w.checkInvariant() != "" {
+			run.Violation = w.violation
 			return run
 		}
 	}
-	p.mend()
+	p.repairAll()
 	mended := w.now
-	for run.Granted < .98 && w.now < mended+5*w.silence()+20*s.Lease {
-		run.Steps++
-		if p.step(); w.check() != "" {
-			run.Found = w.found
+	for run.GrantedShare < .98 && w.now < mended+5*w.startupSilence()+20*s.LeaseDuration {
+		run.Moments++
+		if p.step(); w.checkInvariant() != "" {
+			run.Violation = w.violation
 			return run
 		}
-		run.Granted = w.granted() / min(w.wholes[len(w.wholes)-1].units, float64(s.Holders)*w.demand)
-		if w.wholes[len(w.wholes)-1].until < w.now {
-			run.Granted = 0 // nothing is granted under any whole
+		run.GrantedShare = w.outstanding() / min(w.limits[len(w.limits)-1].units, float64(s.Holders)*w.demandUnits)
+		if w.limits[len(w.limits)-1].until < w.now {
+			run.GrantedShare = 0 // nothing is granted under any whole
 		}
 	}
-	run.Healed = w.now - mended
-	run.Spent = w.spent
+	run.RecoveryTime = w.now - mended
+	run.SpentUnits = w.spentUnits
 	return run
 }
 
-func (p *player) chance(x float64) bool { return p.rng.Float64() < x }
+func (p *simulation) chance(x float64) bool { return p.rng.Float64() < x }
 
-func (p *player) between(lo, hi time.Duration) time.Duration {
+func (p *simulation) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(p.rng.Float64()*float64(hi-lo))
 }
 
 // step lets a little time go by and everybody do what it does.
-func (p *player) step() {
-	w := p.World
-	w.now += p.between(time.Microsecond, cmp.Or(w.set.Step, w.set.Lease/20))
-	w.quorum()
-	w.fill()
-	for i, proc := range w.procs {
-		if !proc.up || p.stopped[w.set.Stewards+i] > w.now {
+func (p *simulation) step() {
+	w := p.cluster
+	w.now += p.between(time.Microsecond, cmp.Or(w.settings.MaxMoment, w.settings.LeaseDuration/20))
+	w.stepDownWithoutQuorum()
+	w.fillSharedBucket()
+	for i, proc := range w.proxies {
+		if !proc.up || p.stoppedUntil[w.settings.Servers+i] > w.now {
 			continue
 		}
-		if p.next[i] <= w.now {
-			p.next[i] = w.now + p.between(w.set.Lease/5, w.set.Lease/3)
-			w.ask(i)
+		if p.nextRequest[i] <= w.now {
+			p.nextRequest[i] = w.now + p.between(w.settings.LeaseDuration/5, w.settings.LeaseDuration/3)
+			w.sendRequest(i)
 		}
 		if p.chance(.5) {
-			w.spend(i, 1+p.rng.IntN(4))
+			w.acquire(i, 1+p.rng.IntN(4))
 		}
-		w.finish(i, p.rng.IntN(3)-1)
+		w.releaseWork(i, p.rng.IntN(3)-1)
 	}
-	lead := slices.ContainsFunc(w.stewards, func(s *steward) bool { return s.up && s.leader })
-	for i, s := range w.stewards {
-		if !s.up || p.stopped[i] > w.now {
+	lead := slices.ContainsFunc(w.servers, func(s *server) bool { return s.up && s.leader })
+	for i, s := range w.servers {
+		if !s.up || p.stoppedUntil[i] > w.now {
 			continue
 		}
 		if p.chance(.002) || !lead && p.chance(.2) {
-			w.elect(s)
+			w.electLeader(s)
 		}
-		w.operate(s)
-		w.propose(s)
-		for j, f := range w.stewards {
-			if p.stopped[j] <= w.now && (p.mended || p.chance(.8)) {
+		w.runOperator(s)
+		w.proposePlan(s)
+		for j, f := range w.servers {
+			if p.stoppedUntil[j] <= w.now && (p.linksHealthy || p.chance(.8)) {
 				w.replicate(s, f)
 			}
 		}
-		w.apply(s)
-		for _, proc := range w.procs {
-			if r := s.heard[proc.Key]; r != nil && (p.mended || p.chance(.3)) {
-				w.tell(s, r)
+		w.applyCommitted(s)
+		for _, proc := range w.proxies {
+			if r := s.requests[proc.HolderID]; r != nil && (p.linksHealthy || p.chance(.3)) {
+				w.sendReply(s, r)
 			}
 		}
 	}
 	w.requests = deliver(p, w.requests, func(r *request) int { return r.from }, func(r *request) {
-		s := w.stewards[p.rng.IntN(len(w.stewards))]
-		for _, l := range w.stewards {
-			if l.leader && (p.mended || p.chance(.8)) {
+		s := w.servers[p.rng.IntN(len(w.servers))]
+		for _, l := range w.servers {
+			if l.leader && (p.linksHealthy || p.chance(.8)) {
 				s = l
 			}
 		}
-		if p.stopped[s.id] <= w.now {
-			w.hear(s, r)
+		if p.stoppedUntil[s.id] <= w.now {
+			w.deliverRequest(s, r)
 		}
 	})
-	w.replies = deliver(p, w.replies, func(r *reply) int { return r.to }, w.take)
+	w.replies = deliver(p, w.replies, func(r *reply) int { return r.to }, w.deliverReply)
 }
 
 // deliver brings some messages of a network to where they go, in any order; some are lost, some come again later.
-func deliver[M any](p *player, all []M, whose func(M) int, to func(M)) []M {
+func deliver[M any](p *simulation, all []M, whose func(M) int, to func(M)) []M {
 	p.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	var kept []M
 	for _, m := range all {
 		i := whose(m)
-		if p.away[i] > p.now {
+		if p.cutOffUntil[i] > p.now {
 			if p.chance(.9) {
 				kept = append(kept, m)
 			}
 			continue
 		}
-		came := (p.mended || p.chance(.4)) && p.stopped[p.set.Stewards+i] <= p.now
+		came := (p.linksHealthy || p.chance(.4)) && p.stoppedUntil[p.settings.Servers+i] <= p.now
 		if came {
 			to(m)
 		}
@@ -149,101 +149,101 @@
 	return kept
 }
 
-// usual is how often each fault is drawn, in 4,000 moments.
-var usual = map[string]int{"steward killed": 10, "steward back": 15, "older store": 10, "store lost": 3, "steward stopped": 12,
+// defaultFaultRates is how often each fault is drawn, in 4,000 moments.
+var defaultFaultRates = map[string]int{"steward killed": 10, "steward back": 15, "older store": 10, "store lost": 3, "steward stopped": 12,
 	"proxy stopped": 20, "proxy killed": 15, "proxy started": 25, "proxy cut off": 15, "stewards cut": 12, "cuts mended": 23,
 	"whole changed": 6, "demand moves": 10}
 
-// fault draws what goes wrong next.
-func (p *player) fault() {
+// injectFault draws what goes wrong next.
+func (p *simulation) injectFault() {
 	at := p.rng.IntN(4000)
-	mix := p.set.Mix
+	mix := p.settings.FaultRates
 	if mix == nil {
-		mix = usual
+		mix = defaultFaultRates
 	}
 	for _, kind := range slices.Sorted(maps.Keys(mix)) {
 		if at -= mix[kind]; at < 0 {
 			p.faults[kind]++
-			p.does(kind)
+			p.applyFault(kind)
 			return
 		}
 	}
 }
 
-func (p *player) does(kind string) {
-	w := p.World
-	s := w.stewards[p.rng.IntN(len(w.stewards))]
-	i := p.rng.IntN(len(w.procs))
+func (p *simulation) applyFault(kind string) {
+	w := p.cluster
+	s := w.servers[p.rng.IntN(len(w.servers))]
+	i := p.rng.IntN(len(w.proxies))
 	switch kind {
 	case "steward killed":
 		s.up, s.leader = false, false
 	case "steward back":
-		w.restart(s, len(s.log))
+		w.restartServer(s, len(s.log))
 	case "older store":
-		w.restart(s, p.rng.IntN(len(s.log)+1))
+		w.restartServer(s, p.rng.IntN(len(s.log)+1))
 	case "store lost":
-		w.restart(s, 0)
+		w.restartServer(s, 0)
 	case "steward stopped":
-		p.stopped[s.id] = w.now + p.between(0, 3*w.set.Lease)
+		p.stoppedUntil[s.id] = w.now + p.between(0, 3*w.settings.LeaseDuration)
 	case "proxy stopped":
-		p.stopped[w.set.Stewards+i] = w.now + p.between(0, 3*w.set.Lease)
+		p.stoppedUntil[w.settings.Servers+i] = w.now + p.between(0, 3*w.settings.LeaseDuration)
 	case "proxy killed":
-		w.gone(i)
+		w.stopProxy(i)
 	case "proxy started":
-		w.gone(i)
-		w.born(i)
-		p.next[i] = w.now
+		w.stopProxy(i)
+		w.startProxy(i)
+		p.nextRequest[i] = w.now
 	case "proxy cut off":
-		p.away[i] = w.now + p.between(0, 4*w.set.Lease)
+		p.cutOffUntil[i] = w.now + p.between(0, 4*w.settings.LeaseDuration)
 	case "stewards cut":
-		w.cut[[2]int{s.id, p.rng.IntN(len(w.stewards))}] = true
+		w.cutLinks[[2]int{s.id, p.rng.IntN(len(w.servers))}] = true
 	case "cuts mended":
-		clear(w.cut)
+		clear(w.cutLinks)
 	case "whole changed":
 		if !s.up || !s.leader {
 			return
 		}
 		part := .5 + p.rng.Float64()/2
-		if w.set.Kind == quotalease.InHand {
+		if w.settings.Kind == quotalease.InFlight {
 			part = .5
 		}
 		if p.chance(.5) {
 			part = 1
 		}
-		if _, v := s.book.Budgets(); v == w.version {
-			f := w.set.fleet(w.set.Whole*part, w.set.Burst*part)
-			w.append(s, quotalease.Command{SetBudgets: &quotalease.SetBudgets{Version: w.version + 1, Fleet: f}})
+		if _, v := s.state.Config(); v == w.version {
+			f := w.settings.config(w.settings.Limit*part, w.settings.Burst*part)
+			w.append(s, quotalease.Command{SetQuotas: &quotalease.SetQuotas{Version: w.version + 1, Config: f}})
 		}
 	case "demand moves":
-		for j, proc := range w.procs {
-			proc.Want(budget, w.demand*float64((i+j)%3)/2)
+		for j, proc := range w.proxies {
+			proc.SetDemand(quotaName, w.demandUnits*float64((i+j)%3)/2)
 		}
 	}
 }
 
-// mend ends all faults.
-func (p *player) mend() {
-	w := p.World
-	p.mended = true
-	clear(w.cut)
-	for i := range p.stopped {
-		p.stopped[i] = 0
+// repairAll ends all faults.
+func (p *simulation) repairAll() {
+	w := p.cluster
+	p.linksHealthy = true
+	clear(w.cutLinks)
+	for i := range p.stoppedUntil {
+		p.stoppedUntil[i] = 0
 	}
-	for i, proc := range w.procs {
-		p.away[i] = 0
+	for i, proc := range w.proxies {
+		p.cutOffUntil[i] = 0
 		if !proc.up {
-			w.born(i)
+			w.startProxy(i)
 		}
-		proc.Want(budget, w.demand)
+		proc.SetDemand(quotaName, w.demandUnits)
 	}
-	for _, s := range w.stewards {
+	for _, s := range w.servers {
 		if !s.up {
-			w.restart(s, len(s.log))
+			w.restartServer(s, len(s.log))
 		}
 	}
 }
 
-func (r Run) String() string {
+func (r RandomResult) String() string {
 	return fmt.Sprintf("%d moments, faults %v, spent %.0f, granted %.3f after %v, found %q",
-		r.Steps, r.Faults, r.Spent, r.Granted, r.Healed, r.Found)
+		r.Moments, r.Faults, r.SpentUnits, r.GrantedShare, r.RecoveryTime, r.Violation)
 }
--- a/internal/quotalease/modelcheck/explore.go
+++ b/internal/quotalease/modelcheck/explore.go
@@ -10,66 +10,66 @@
 
 // Bounds say which small world is explored. All that can happen within them is.
 type Bounds struct {
-	Asks      int           // of each proxy
-	Ticks     int           // of time
-	Tick      time.Duration // how long one is
-	Elections int
-	Restarts  int // of stewards: with their store, with its first half, or with none
-	Most      int // states at which it stops; 0 is no bound
+	RequestsPerProxy int           // of each proxy
+	Ticks            int           // of time
+	Tick             time.Duration // how long one is
+	Elections        int
+	Restarts         int // of stewards: with their store, with its first half, or with none
+	MaxStates        int // states at which it stops; 0 is no bound
 }
 
 // Result is what an exploration came to.
 type Result struct {
-	States   int
-	Steps    int // transitions that were tried
-	Depth    int
-	Complete bool     // every state within the bounds was seen
-	Found    string   // what broke, "" if nothing did
-	Trace    []string // the shortest way to it
+	States      int
+	Transitions int // transitions that were tried
+	Depth       int
+	Complete    bool     // every state within the bounds was seen
+	Violation   string   // what broke, "" if nothing did
+	Trace       []string // the shortest way to it
 }
 
-// node is a state, with what is used up of the bounds.
-type node struct {
-	*World
-	asks                       []int
+// searchNode is a state, with what is used up of the bounds.
+type searchNode struct {
+	*cluster
+	requestsSent               []int
 	ticks, elections, restarts int
 	parent                     int
-	by                         string
+	transition                 string
 	depth                      int
 }
 
 // Explore explores a world breadth first. Messages stay on the network for good: each may come at any time, any number of
 // times, in any order, or never. Clocks are as bad as they may be: stewards' fast, proxies' slow.
 func Explore(s Settings, b Bounds) Result {
-	first := &node{World: newWorld(s, func(i int) float64 {
-		if i < s.Stewards {
+	first := &searchNode{cluster: newCluster(s, func(i int) float64 {
+		if i < s.Servers {
 			return 1
 		}
 		return -1
-	}), asks: make([]int, s.Holders), parent: -1}
-	first.demand = s.Whole
+	}), requestsSent: make([]int, s.Holders), parent: -1}
+	first.demandUnits = s.Limit
 	var buf []byte
 	seen := map[xxh3.Uint128]bool{}
-	all := []*node{first} // those not visited yet keep their world
+	all := []*searchNode{first} // those not visited yet keep their world
 	type step struct {
 		parent int
 		by     string
 	}
 	steps := []step{{-1, ""}}
 	r := Result{Complete: true}
-	_, key := first.mark(buf)
+	_, key := first.boundedHash(buf)
 	seen[key] = true
-	for at := 0; at < len(all) && r.Found == ""; at++ {
+	for at := 0; at < len(all) && r.Violation == ""; at++ {
 		n := all[at]
 		r.Depth = n.depth
-		n.each(b, func(by string, next *node) bool {
-			r.Steps++
+		n.successors(b, func(by string, next *searchNode) bool {
+			r.Transitions++
 			var key xxh3.Uint128
-			found := next.check() // before the key: a look ends what is over
-			if buf, key = next.mark(buf); seen[key] {
+			found := next.checkInvariant() // before the key: a look ends what is over
+			if buf, key = next.boundedHash(buf); seen[key] {
 				return true
 			}
-			if b.Most > 0 && len(seen) >= b.Most {
+			if b.MaxStates > 0 && len(seen) >= b.MaxStates {
 				r.Complete = false
 				return true
 			}
@@ -78,7 +78,7 @@
 			all = append(all, next)
 			steps = append(steps, step{at, by})
 			if found != "" {
-				r.Found = found
+				r.Violation = found
 				for i := len(steps) - 1; i > 0; i = steps[i].parent {
 					r.Trace = append(r.Trace, steps[i].by)
 				}
@@ -92,90 +92,90 @@
 	return r
 }
 
-// mark is the key of a state with what is left of its bounds.
-func (n *node) mark(buf []byte) ([]byte, xxh3.Uint128) {
-	buf, _ = n.key(buf)
-	for _, a := range n.asks {
+// boundedHash is the key of a state with what is left of its bounds.
+func (n *searchNode) boundedHash(buf []byte) ([]byte, xxh3.Uint128) {
+	buf, _ = n.stateHash(buf)
+	for _, a := range n.requestsSent {
 		buf = append(buf, byte(a))
 	}
 	buf = append(buf, byte(n.ticks), byte(n.elections), byte(n.restarts))
 	return buf, xxh3.Hash128(buf)
 }
 
-// each gives every state that can be next, until the caller has enough.
-func (n *node) each(b Bounds, to func(by string, next *node) bool) {
+// successors gives every state that can be next, until the caller has enough.
+func (n *searchNode) successors(b Bounds, to func(by string, next *searchNode) bool) {
 	more := true
-	try := func(do func(*node) bool, format string, args ...any) {
+	try := func(do func(*searchNode) bool, format string, args ...any) {
 		if !more {
 			return
 		}
 		next := *n
-		next.World = n.World.clone()
-		next.asks = slices.Clone(n.asks)
+		next.cluster = n.cluster.clone()
+		next.requestsSent = slices.Clone(n.requestsSent)
 		if do(&next) {
 			// Whatever can be told is on the network at once: as it may come late or never, nothing is lost by that.
-			for _, s := range next.stewards {
-				for _, p := range next.procs {
-					if r := s.heard[p.Key]; r != nil {
-						next.tell(s, r)
+			for _, s := range next.servers {
+				for _, p := range next.proxies {
+					if r := s.requests[p.HolderID]; r != nil {
+						next.sendReply(s, r)
 					}
 				}
 			}
 			more = to(fmt.Sprintf(format, args...), &next)
 		}
 	}
-	for i := range n.procs {
-		if n.asks[i] < b.Asks {
-			try(func(c *node) bool { c.asks[i]++; c.ask(i); return true }, "%s asks", name(i))
+	for i := range n.proxies {
+		if n.requestsSent[i] < b.RequestsPerProxy {
+			try(func(c *searchNode) bool { c.requestsSent[i]++; c.sendRequest(i); return true }, "%s asks", holderName(i))
 		}
 	}
-	for i, s := range n.stewards {
+	for i, s := range n.servers {
 		if !s.up {
 			continue
 		}
 		if s.leader {
 			for j, r := range n.requests {
-				if had := s.heard[r.Key]; had == nil || had.Seq < r.Seq {
-					try(func(c *node) bool { return c.hear(c.stewards[i], c.requests[j]) }, "%d hears ask %d of %s", i, r.Seq, name(r.from))
+				if had := s.requests[r.HolderID]; had == nil || had.Seq < r.Seq {
+					try(func(c *searchNode) bool { return c.deliverRequest(c.servers[i], c.requests[j]) }, "%d hears ask %d of %s", i, r.Seq, holderName(r.from))
 				}
 			}
-			if len(s.log)-s.commit < 2 && s.keeper.Pending(s.at(n.now)) { // what is not committed is proposed again and again
-				try(func(c *node) bool { return c.propose(c.stewards[i]) }, "%d proposes", i)
+			if len(s.log)-s.commit < 2 && s.allocator.HasWork(s.at(n.now)) { // what is not committed is proposed again and again
+				try(func(c *searchNode) bool { return c.proposePlan(c.servers[i]) }, "%d proposes", i)
 			}
-			for f := range n.stewards {
-				if s.match[f] == len(s.log) && n.stewards[f].commit == s.commit && n.stewards[f].sure == len(s.log) {
+			for f := range n.servers {
+				if s.match[f] == len(s.log) && n.servers[f].commit == s.commit && n.servers[f].confirmed == len(s.log) {
 					continue // no news
 				}
 				if f > 1 && b.Elections == 0 && b.Restarts == 0 {
 					continue // nobody else will lead: it's enough that one follows
 				}
-				try(func(c *node) bool { return c.replicate(c.stewards[i], c.stewards[f]) }, "%d to %d", i, f)
+				try(func(c *searchNode) bool { return c.replicate(c.servers[i], c.servers[f]) }, "%d to %d", i, f)
 			}
 		}
 		if n.elections < b.Elections {
-			try(func(c *node) bool { c.elections++; return c.elect(c.stewards[i]) }, "%d is elected", i)
+			try(func(c *searchNode) bool { c.elections++; return c.electLeader(c.servers[i]) }, "%d is elected", i)
 		}
 		if n.restarts < b.Restarts {
 			keeps := []int{len(s.log), len(s.log) / 2, 0}
 			for _, keep := range slices.Compact(keeps) {
-				try(func(c *node) bool {
+				try(func(c *searchNode) bool {
 					c.restarts++
-					c.restart(c.stewards[i], keep)
+					c.restartServer(c.servers[i], keep)
 					return true
 				}, "%d starts anew with %d of %d entries", i, keep, len(s.log))
 			}
 		}
 	}
 	for j, r := range n.replies {
-		if len(r.Grants) > 0 && r.Grants[0].Token.Compare(n.procs[r.to].Has(n.procs[r.to].at(n.now), budget).Token) != 0 {
-			try(func(c *node) bool { c.take(c.replies[j]); return true }, "%s takes token %v", name(r.to), r.Grants[0].Token)
+		if len(r.Leases) > 0 && r.Leases[0].Token.Compare(n.proxies[r.to].Status(n.proxies[r.to].at(n.now), quotaName).Token) != 0 {
+			try(func(c *searchNode) bool { c.deliverReply(c.replies[j]); return true }, "%s takes token %v", holderName(r.to), r.Leases[0].Token)
 		}
 	}
 	if n.ticks < b.Ticks {
-		try(func(c *node) bool {
+		try(func(c *searchNode) bool {
 			c.ticks++
 			c.now += b.Tick
-			c.quorum()
+			c.stepDownWithoutQuorum()
 			return true
 		}, "time goes by")
 	}
