--- a/internal/consensus/chain.go
+++ b/internal/consensus/chain.go
@@ -9,44 +9,44 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// mostRuns bounds how many terms a snapshot names: those with commands. What is older is not known any more.
-const mostRuns = 1024
+// maxTermRuns bounds how many terms a snapshot names: those with commands. What is older is not known any more.
+const maxTermRuns = 1024
 
-// run is what is known of a term's entries without them. Term and nonce name one leader, which writes each entry once; a term alone does
+// termRun is what is known of a term's entries without them. Term and nonce name one leader, which writes each entry once; a term alone does
 // not, once a store was put back.
-type run struct {
-	_     struct{} `cbor:",toarray"`
-	Term  uint64
-	Nonce uint64 // of the start of whoever proposed its commands
-	Last  uint64 // its last command's entry
+type termRun struct {
+	_         struct{} `cbor:",toarray"`
+	Term      uint64
+	Nonce     uint64 // of the start of whoever proposed its commands
+	LastIndex uint64 // its last command's entry
 }
 
-// chain holds, for each entry of the log, a digest (xxh3, 64 bits: it finds what went wrong, not who lies) over it and all before it.
+// digestChain holds, for each entry of the log, a digest (xxh3, 64 bits: it finds what went wrong, not who lies) over it and all before it.
 // Raft takes entries of one index and one term for the same; two leaders of one term, which a store that was put back makes possible,
 // break that, and the digest shows it. It is counted from the entries, so that it costs nothing on disk.
-type chain struct {
-	runs   []run // of the entries up to base
-	base   uint64
-	terms  []uint64 // of entry base and those after it
-	sums   []uint64
-	nonces []uint64 // of whoever proposed the command; 0 is another entry
+type digestChain struct {
+	runs    []termRun // of the entries up to base
+	base    uint64
+	terms   []uint64 // of entry base and those after it
+	digests []uint64
+	nonces  []uint64 // of whoever proposed the command; 0 is another entry
 }
 
-func newChain(index, term, sum uint64, runs []run) chain {
-	return chain{runs, index, []uint64{term}, []uint64{sum}, []uint64{0}}
+func newDigestChain(index, term, sum uint64, runs []termRun) digestChain {
+	return digestChain{runs, index, []uint64{term}, []uint64{sum}, []uint64{0}}
 }
 
-func (c *chain) last() uint64 { return c.base + uint64(len(c.terms)) - 1 }
+func (c *digestChain) lastIndex() uint64 { return c.base + uint64(len(c.terms)) - 1 }
 
-func (c *chain) at(index uint64) (term, sum uint64, ok bool) {
-	if index < c.base || index > c.last() {
+func (c *digestChain) lookup(index uint64) (term, sum uint64, ok bool) {
+	if index < c.base || index > c.lastIndex() {
 		return 0, 0, false
 	}
-	return c.terms[index-c.base], c.sums[index-c.base], true
+	return c.terms[index-c.base], c.digests[index-c.base], true
 }
 
-// link is the digest with one entry more.
-func link(sum uint64, e *pb.Entry) uint64 {
+// chainDigest is the digest with one entry more.
+func chainDigest(sum uint64, e *pb.Entry) uint64 {
 	var h xxh3.Hasher
 	var b [32]byte
 	for i, n := range [...]uint64{sum, e.GetIndex(), e.GetTerm(), uint64(e.GetType())} {
@@ -57,80 +57,80 @@
 	return h.Sum64()
 }
 
-// put takes entries in place of those from the first one's index on.
-func (c *chain) put(entries []*pb.Entry) {
+// replaceFrom takes entries in place of those from the first one's index on.
+func (c *digestChain) replaceFrom(entries []*pb.Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	from := entries[0].GetIndex()
-	_, sum, ok := c.at(from - 1)
+	_, sum, ok := c.lookup(from - 1)
 	if !ok {
-		panic(fmt.Sprintf("entry %d follows %d", from, c.last())) // New, Ready and Step make an error of it
+		panic(fmt.Sprintf("entry %d follows %d", from, c.lastIndex())) // New, Ready and Step make an error of it
 	}
-	c.terms, c.sums, c.nonces = c.terms[:from-c.base], c.sums[:from-c.base], c.nonces[:from-c.base]
+	c.terms, c.digests, c.nonces = c.terms[:from-c.base], c.digests[:from-c.base], c.nonces[:from-c.base]
 	for _, e := range entries {
-		sum = link(sum, e)
+		sum = chainDigest(sum, e)
 		nonce := uint64(0)
 		if e.GetType() == pb.EntryNormal && len(e.GetData()) >= 16 {
 			nonce = binary.BigEndian.Uint64(e.GetData())
 		}
-		c.terms, c.sums, c.nonces = append(c.terms, e.GetTerm()), append(c.sums, sum), append(c.nonces, nonce)
+		c.terms, c.digests, c.nonces = append(c.terms, e.GetTerm()), append(c.digests, sum), append(c.nonces, nonce)
 	}
 }
 
-// runsTo are those of all entries up to index.
-func (c *chain) runsTo(index uint64) []run {
-	runs := append([]run{}, c.runs...)
-	for i := c.base + 1; i <= min(index, c.last()); i++ {
+// runsUpTo are those of all entries up to index.
+func (c *digestChain) runsUpTo(index uint64) []termRun {
+	runs := append([]termRun{}, c.runs...)
+	for i := c.base + 1; i <= min(index, c.lastIndex()); i++ {
 		term, nonce := c.terms[i-c.base], c.nonces[i-c.base]
 		if nonce == 0 {
 			continue
 		}
 		if len(runs) == 0 || runs[len(runs)-1].Term != term {
-			runs = append(runs, run{Term: term, Nonce: nonce})
+			runs = append(runs, termRun{Term: term, Nonce: nonce})
 		}
-		runs[len(runs)-1].Last = i
+		runs[len(runs)-1].LastIndex = i
 	}
-	return runs[max(0, len(runs)-mostRuns):]
+	return runs[max(0, len(runs)-maxTermRuns):]
 }
 
-// compact drops what is before index.
-func (c *chain) compact(index uint64) {
-	if index > c.base && index <= c.last() {
-		c.runs = c.runsTo(index)
-		c.terms, c.sums = append([]uint64{}, c.terms[index-c.base:]...), append([]uint64{}, c.sums[index-c.base:]...)
+// compactTo drops what is before index.
+func (c *digestChain) compactTo(index uint64) {
+	if index > c.base && index <= c.lastIndex() {
+		c.runs = c.runsUpTo(index)
+		c.terms, c.digests = append([]uint64{}, c.terms[index-c.base:]...), append([]uint64{}, c.digests[index-c.base:]...)
 		c.nonces, c.base = append([]uint64{}, c.nonces[index-c.base:]...), index
 	}
 }
 
-// cover is what a snapshot's data is wrapped in.
-type cover struct {
-	_    struct{} `cbor:",toarray"`
-	Sum  uint64   // at its last entry
-	Runs []run    // of all before
-	Data []byte   // of Machine.Snapshot
+// snapshotEnvelope is what a snapshot's data is wrapped in.
+type snapshotEnvelope struct {
+	_      struct{}  `cbor:",toarray"`
+	Digest uint64    // at its last entry
+	Runs   []termRun // of all before
+	Data   []byte    // of Machine.Snapshot
 }
 
-// uncover gives the chain that begins at a snapshot, and the Machine's part of it; none is that of a fleet's founding.
-func uncover(snap *pb.Snapshot) (c chain, data []byte, err error) {
+// decodeSnapshot gives the chain that begins at a snapshot, and the Machine's part of it; none is that of a fleet's founding.
+func decodeSnapshot(snap *pb.Snapshot) (c digestChain, data []byte, err error) {
 	index, term := snap.GetMetadata().GetIndex(), snap.GetMetadata().GetTerm()
-	var v cover
+	var v snapshotEnvelope
 	if len(snap.GetData()) > 0 {
 		if err := cbor.Unmarshal(snap.GetData(), &v); err != nil {
 			return c, nil, fmt.Errorf("consensus: the snapshot of entry %d: %w", index, err)
 		}
 	}
-	return newChain(index, term, v.Sum, v.Runs), v.Data, nil
+	return newDigestChain(index, term, v.Digest, v.Runs), v.Data, nil
 }
 
-// hold tells whether the last command of own is among those of runs. What they don't reach back to is not known.
-func hold(runs, own []run) bool {
+// containsLastRun tells whether the last command of own is among those of runs. What they don't reach back to is not known.
+func containsLastRun(runs, own []termRun) bool {
 	if len(own) == 0 {
 		return true
 	}
 	last := own[len(own)-1]
 	for _, r := range runs {
-		if r.Term == last.Term && r.Nonce == last.Nonce && r.Last >= last.Last {
+		if r.Term == last.Term && r.Nonce == last.Nonce && r.LastIndex >= last.LastIndex {
 			return true
 		}
 	}
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -16,23 +16,23 @@
 func TestNoAcknowledgedCommandIsLost(t *testing.T) {
 	var acked, applied, out, snaps int
 	for seed := range uint64(90) {
-		f := flaws{rollback: seed%2 == 1}
+		f := mutations{restoreOldStore: seed%2 == 1}
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			w := play(t, seed, f)
-			if w.wrong != nil {
-				t.Fatalf("seed %d: %v", seed, w.wrong)
+			w := runSimulation(t, seed, f)
+			if w.violation != nil {
+				t.Fatalf("seed %d: %v", seed, w.violation)
 			}
-			for _, o := range w.ops {
+			for _, o := range w.operations {
 				if o.end > 0 {
 					acked++
 				}
 			}
 			applied += len(w.longest)
 			for _, v := range w.nodes {
-				if errors.As(v.core.Err(), &StoreRolledBack{}) {
+				if errors.As(v.core.Err(), &StoreRolledBackError{}) {
 					out++
 				}
-				if v.core.Status().First > 2 {
+				if v.core.Status().FirstIndex > 2 {
 					snaps++
 				}
 			}
@@ -52,16 +52,16 @@
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			w := play(t, seed, flaws{away: true})
-			if w.wrong != nil {
-				t.Fatalf("seed %d: %v", seed, w.wrong)
+			w := runSimulation(t, seed, mutations{partitionWitnesses: true})
+			if w.violation != nil {
+				t.Fatalf("seed %d: %v", seed, w.violation)
 			}
-			cuts += w.cuts
+			cuts += w.truncations
 			up := 0
 			for _, v := range w.nodes {
 				if v.core.Err() == nil {
 					up++
-				} else if errors.As(v.core.Err(), &LogContradicts{}) {
+				} else if errors.As(v.core.Err(), &LogConflictError{}) {
 					out++
 				}
 			}
@@ -79,18 +79,18 @@
 func TestTheCheckConvicts(t *testing.T) {
 	for name, c := range map[string]struct {
 		from uint64 // where the search begins, to save time
-		f    flaws
+		f    mutations
 	}{
-		"sent before it is on disk":           {0, flaws{sendFirst: true}},
-		"sent before it is on disk, no stamp": {50, flaws{sendFirst: true, unguarded: true}},
-		"no silence, older store":             {0, flaws{unguarded: true, rollback: true}},
-		"no silence after a cut":              {0, flaws{uncut: true, away: true}},
-		"no digests":                          {11, flaws{unchained: true, away: true}},
+		"sent before it is on disk":           {0, mutations{sendBeforeSync: true}},
+		"sent before it is on disk, no stamp": {50, mutations{sendBeforeSync: true, skipStoreChecks: true}},
+		"no silence, older store":             {0, mutations{skipStoreChecks: true, restoreOldStore: true}},
+		"no silence after a cut":              {0, mutations{skipTruncationSilence: true, partitionWitnesses: true}},
+		"no digests":                          {11, mutations{skipDigestChecks: true, partitionWitnesses: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := c.from; seed < c.from+400; seed++ {
 				var wrong error
-				t.Run(fmt.Sprint(seed), func(t *testing.T) { wrong = play(t, seed, c.f).wrong })
+				t.Run(fmt.Sprint(seed), func(t *testing.T) { wrong = runSimulation(t, seed, c.f).violation })
 				if wrong != nil {
 					t.Logf("seed %d: %.300v", seed, wrong)
 					return
@@ -106,12 +106,12 @@
 func TestALateAnswerOfAFormerStartCountsForNothing(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		f     flaws
+		f     mutations
 		wrong bool
-	}{{"guarded", flaws{}, false}, {"convicted", flaws{anyStart: true}, true}} {
+	}{{"guarded", mutations{}, false}, {"convicted", mutations{acceptFormerIncarnations: true}, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			cryptotest.SetGlobalRandom(t, 1)
-			w := newWorld(0, c.f)
+			w := newSimulation(0, c.f)
 			w.calm = true
 			lead := w.leader()
 			p, other := w.nodes[lead.id%3], w.nodes[(lead.id+1)%3]
@@ -124,12 +124,12 @@
 			}
 			// Entries reach nobody but p, and its answers are held up.
 			entries := func(m Message) bool {
-				return m.Kind == KindRaft && (m.Raft.GetType() == pb.MsgApp || m.Raft.GetType() == pb.MsgAppResp)
+				return m.Kind == MessageRaft && (m.Raft.GetType() == pb.MsgApp || m.Raft.GetType() == pb.MsgAppResp)
 			}
 			var late []Message
 			filter := func() {
-				w.net = slices.DeleteFunc(w.net, func(q packet) bool {
-					from := q.m.From == p.id && q.m.Kind == KindRaft
+				w.inTransit = slices.DeleteFunc(w.inTransit, func(q packet) bool {
+					from := q.m.From == p.id && q.m.Kind == MessageRaft
 					if from && q.m.To == lead.id {
 						late = append(late, q.m)
 					}
@@ -143,9 +143,9 @@
 			}
 			p.disk = old
 			w.start(p)
-			for w.now < bound && len(p.core.Status().Silent) > 0 {
+			for w.now < bound && len(p.core.Status().UnconfirmedPeers) > 0 {
 				w.step()
-				w.net = slices.DeleteFunc(w.net, func(q packet) bool { return entries(q.m) })
+				w.inTransit = slices.DeleteFunc(w.inTransit, func(q packet) bool { return entries(q.m) })
 			}
 			applied := len(lead.machine.all)
 			for _, m := range late {
@@ -153,10 +153,10 @@
 					t.Fatal(err)
 				}
 			}
-			w.turn(lead)
+			w.runReady(lead)
 			for lead.writing != nil {
 				w.now++
-				w.turn(lead)
+				w.runReady(lead)
 			}
 			if len(late) == 0 || holds(p.disk) || holds(other.disk) {
 				t.Fatalf("the case is not the one meant: %d late", len(late))
@@ -173,12 +173,12 @@
 func TestAWitnessRemembersBeforeAnythingRestsOnIt(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		f     flaws
+		f     mutations
 		wrong bool
-	}{{"guarded", flaws{}, false}, {"convicted", flaws{lazy: true}, true}} {
+	}{{"guarded", mutations{}, false}, {"convicted", mutations{deferWitnessWrites: true}, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			cryptotest.SetGlobalRandom(t, 1)
-			w := newWorld(0, c.f)
+			w := newSimulation(0, c.f)
 			w.calm = true
 			lead := w.leader()
 			p, other := w.nodes[lead.id%3], w.nodes[(lead.id+1)%3]
@@ -186,11 +186,11 @@
 			for range 60 { // all is told to all
 				w.step()
 			}
-			for _, v := range []*vnode{lead, p} { // the third sees nothing of it
+			for _, v := range []*simulatedNode{lead, p} { // the third sees nothing of it
 				w.cut[[2]uint64{v.id, other.id}], w.cut[[2]uint64{other.id, v.id}] = 1<<30, 1<<30
 			}
 			old := p.disk
-			if err := lead.core.Propose(1<<40, x8); err != nil {
+			if err := lead.core.Propose(1<<40, zeroCommand); err != nil {
 				t.Fatal(err)
 			}
 			for bound := w.now + 500; w.now < bound && !slices.Contains(lead.machine.all, 0); {
@@ -200,11 +200,11 @@
 				t.Fatal("the command was not carried out")
 			}
 			clear(w.cut)
-			w.net = nil                           // and what was on its way is lost
+			w.inTransit = nil                     // and what was on its way is lost
 			lead.core, lead.backAt = nil, w.now+1 // what was not on disk is forgotten
 			p.disk = old
 			w.start(p)
-			w.rolled = p.id
+			w.rolledBack = p.id
 			for range 60 {
 				w.step()
 			}
@@ -216,16 +216,16 @@
 }
 
 func TestLimitsAreTypedErrors(t *testing.T) {
-	set := Settings{Fleet: "f", Epoch: 1, ID: 1, Nonce: 5, MaxWaiting: 3, MaxCommand: 10}
+	set := Config{Fleet: "f", Epoch: 1, ID: 1, Nonce: 5, MaxPendingRequests: 3, MaxCommandBytes: 10}
 	alone := func() *Core {
-		c, err := New(set, founded([]uint64{1}, 9), &list{})
+		c, err := New(set, bootstrappedState([]uint64{1}, 9), &numberList{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c
 	}
 	c := alone()
-	if err := c.Propose(1, x8); !errors.As(err, &NotLeader{}) {
+	if err := c.Propose(1, zeroCommand); !errors.As(err, &NotLeaderError{}) {
 		t.Errorf("before an election: %v", err)
 	}
 	for range 100 {
@@ -233,59 +233,59 @@
 			t.Fatal(err)
 		}
 		if o, ok := c.Ready(); ok {
-			if _, err := c.Done(o); err != nil {
+			if _, err := c.Advance(o); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if err := c.Propose(1, make([]byte, 11)); !errors.As(err, &TooLarge{}) {
+	if err := c.Propose(1, make([]byte, 11)); !errors.As(err, &CommandTooLargeError{}) {
 		t.Errorf("too large: %v", err)
 	}
 	for id := range uint64(3) {
-		if err := c.Propose(id, x8); err != nil {
+		if err := c.Propose(id, zeroCommand); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.Propose(4, x8); !errors.As(err, &QueueFull{}) {
+	if err := c.Propose(4, zeroCommand); !errors.As(err, &QueueFullError{}) {
 		t.Errorf("full: %v", err)
 	}
-	if err := c.Step(Message{Fleet: "g", Epoch: 1, From: 2, To: 1, Kind: KindClaim}); !errors.As(err, &OtherFleet{}) {
+	if err := c.Step(Message{Fleet: "g", Epoch: 1, From: 2, To: 1, Kind: MessageVersionQuery}); !errors.As(err, &FleetMismatchError{}) {
 		t.Errorf("other fleet: %v", err)
 	}
-	if err := c.Step(Message{Fleet: "f", Epoch: 2, From: 2, To: 1, Kind: KindClaim}); !errors.As(err, &OtherFleet{}) {
+	if err := c.Step(Message{Fleet: "f", Epoch: 2, From: 2, To: 1, Kind: MessageVersionQuery}); !errors.As(err, &FleetMismatchError{}) {
 		t.Errorf("other epoch: %v", err)
 	}
 	// A new member of an old name: others have seen another store under it.
 	set.ID = 2
-	c, err := New(set, founded([]uint64{1, 2}, 7), &list{})
+	c, err := New(set, bootstrappedState([]uint64{1, 2}, 7), &numberList{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Propose(1, x8); !errors.As(err, &Silent{}) {
+	if err := c.Propose(1, zeroCommand); !errors.As(err, &SilentError{}) {
 		t.Errorf("silent: %v", err)
 	}
-	err = c.Step(Message{Fleet: "f", Epoch: 1, From: 1, To: 2, Kind: KindAnswer, Claim: 5, Stamp: Stamp{Store: 9, Start: 1}, Known: Stamp{Store: 8, Seq: 3}})
-	if !errors.As(err, &StoreRolledBack{}) || c.Err() == nil || operatorerror.Of(err) == "" {
+	err = c.Step(Message{Fleet: "f", Epoch: 1, From: 1, To: 2, Kind: MessageVersionReply, QueryNonce: 5, SenderVersion: StoreVersion{StoreID: 9, Incarnation: 1}, KnownVersion: StoreVersion{StoreID: 8, WriteSeq: 3}})
+	if !errors.As(err, &StoreRolledBackError{}) || c.Err() == nil || operatorerror.Of(err) == "" {
 		t.Errorf("lost store: %v", err)
 	}
 	// A joiner's empty store has no voice.
-	c, err = New(set, State{Stamp: Stamp{Store: 3, Start: 1}}, &list{})
+	c, err = New(set, State{Version: StoreVersion{StoreID: 3, Incarnation: 1}}, &numberList{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ask := &pb.Message{Type: pb.MsgVote.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(5)), Index: new(uint64(9)), LogTerm: new(uint64(4))}
-	if err := c.Step(Message{Fleet: "f", Epoch: 1, From: 1, To: 2, Kind: KindRaft, Stamp: Stamp{Store: 9, Start: 1}, Raft: ask}); err != nil {
+	if err := c.Step(Message{Fleet: "f", Epoch: 1, From: 1, To: 2, Kind: MessageRaft, SenderVersion: StoreVersion{StoreID: 9, Incarnation: 1}, Raft: ask}); err != nil {
 		t.Fatal(err)
 	}
 	for o, ok := c.Ready(); ok; o, ok = c.Ready() {
-		e, err := c.Done(o)
+		e, err := c.Advance(o)
 		if err != nil || len(e.Messages) > 0 {
 			t.Errorf("an empty store says %v, %v", e.Messages, err)
 		}
 	}
 }
 
-var x8 = make([]byte, 8)
+var zeroCommand = make([]byte, 8)
 
 // The schedule of playAway with a leader of a higher term away, with commits known to the stewards that the leader comes back to, and with
 // leaders of one term on both sides; and each without what is for it.
@@ -295,51 +295,51 @@
 		seed   uint64
 		terms  int
 		hushed bool
-		f      flaws
+		f      mutations
 		cuts   int
 		out    bool // one finds that its log is contradicted
 		wrong  bool
 	}{
-		{"acknowledged entries are cut", 22, 2, true, flaws{}, 1, false, false},
-		{"and the one that was cut goes on", 22, 2, true, flaws{uncut: true}, 1, false, true},
-		{"committed entries would be cut", 9, 2, false, flaws{}, 0, true, false},
-		{"and count as acknowledged", 9, 2, false, flaws{unchained: true}, 0, false, true},
-		{"two leaders of one term", 6, 0, false, flaws{}, 0, true, false},
-		{"and nobody looks", 6, 0, false, flaws{unchained: true}, 0, false, true},
+		{"acknowledged entries are cut", 22, 2, true, mutations{}, 1, false, false},
+		{"and the one that was cut goes on", 22, 2, true, mutations{skipTruncationSilence: true}, 1, false, true},
+		{"committed entries would be cut", 9, 2, false, mutations{}, 0, true, false},
+		{"and count as acknowledged", 9, 2, false, mutations{skipDigestChecks: true}, 0, false, true},
+		{"two leaders of one term", 6, 0, false, mutations{}, 0, true, false},
+		{"and nobody looks", 6, 0, false, mutations{skipDigestChecks: true}, 0, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cryptotest.SetGlobalRandom(t, c.seed)
-			c.f.away = true
-			w := newWorld(c.seed, c.f)
-			w.playAway(c.terms, c.hushed)
-			out := slices.ContainsFunc(w.nodes, func(v *vnode) bool { return errors.As(v.core.Err(), &LogContradicts{}) })
-			if w.cuts != c.cuts || out != c.out || (w.wrong != nil) != c.wrong {
-				t.Errorf("%d logs cut, contradicted %v, and %v", w.cuts, out, w.wrong)
+			c.f.partitionWitnesses = true
+			w := newSimulation(c.seed, c.f)
+			w.runRollbackWhilePartitioned(c.terms, c.hushed)
+			out := slices.ContainsFunc(w.nodes, func(v *simulatedNode) bool { return errors.As(v.core.Err(), &LogConflictError{}) })
+			if w.truncations != c.cuts || out != c.out || (w.violation != nil) != c.wrong {
+				t.Errorf("%d logs cut, contradicted %v, and %v", w.truncations, out, w.violation)
 			}
 		})
 	}
 }
 
 func TestASilenceAfterACutOutlivesARestart(t *testing.T) {
-	st := founded([]uint64{1, 2}, 7)
-	st.Cut = true
-	c, err := New(Settings{Fleet: "f", Epoch: 1, ID: 1, Nonce: 5, SilenceTicks: 30}, st, &list{})
+	st := bootstrappedState([]uint64{1, 2}, 7)
+	st.TruncationSilence = true
+	c, err := New(Config{Fleet: "f", Epoch: 1, ID: 1, Nonce: 5, SilenceTicks: 30}, st, &numberList{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Step(Message{Fleet: "f", Epoch: 1, From: 2, To: 1, Kind: KindAnswer, Claim: 5, Stamp: Stamp{Store: 9, Start: 1}}); err != nil {
+	if err := c.Step(Message{Fleet: "f", Epoch: 1, From: 2, To: 1, Kind: MessageVersionReply, QueryNonce: 5, SenderVersion: StoreVersion{StoreID: 9, Incarnation: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	for range 30 {
-		var silent Silent
-		if err := c.Propose(1, x8); !errors.As(err, &silent) || !silent.Cut {
+		var silent SilentError
+		if err := c.Propose(1, zeroCommand); !errors.As(err, &silent) || !silent.Truncated {
 			t.Fatalf("before its time: %v", err)
 		}
 		if err := c.Tick(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.Propose(1, x8); !errors.As(err, &NotLeader{}) {
+	if err := c.Propose(1, zeroCommand); !errors.As(err, &NotLeaderError{}) {
 		t.Errorf("after it: %v", err)
 	}
 }
--- a/internal/consensus/node/frozen_test.go
+++ b/internal/consensus/node/frozen_test.go
@@ -22,18 +22,18 @@
 const frozenMessages = "testdata/c8fad44.messages"
 
 func frozenRequests() [][]consensus.Message {
-	stamp := consensus.Stamp{Store: 11, Start: 12, Nonce: 1 << 63, Seq: 14}
-	message := consensus.Message{Fleet: "north", Epoch: 7, From: 1, To: 2, Stamp: stamp}
+	stamp := consensus.StoreVersion{StoreID: 11, Incarnation: 12, Nonce: 1 << 63, WriteSeq: 14}
+	message := consensus.Message{Fleet: "north", Epoch: 7, From: 1, To: 2, SenderVersion: stamp}
 	claim, answer, difference, vote, entries, snapshot := message, message, message, message, message, message
-	claim.Kind = consensus.KindClaim
-	answer.Kind, answer.Known, answer.Claim = consensus.KindAnswer, consensus.Stamp{Store: 21, Start: 22, Nonce: 23, Seq: 24}, 99
-	difference.Kind, difference.At, difference.Sum = consensus.KindDifference, 5, 0xfedcba9876543210
-	vote.Kind = consensus.KindRaft
+	claim.Kind = consensus.MessageVersionQuery
+	answer.Kind, answer.KnownVersion, answer.QueryNonce = consensus.MessageVersionReply, consensus.StoreVersion{StoreID: 21, Incarnation: 22, Nonce: 23, WriteSeq: 24}, 99
+	difference.Kind, difference.DigestIndex, difference.Digest = consensus.MessageDigestMismatch, 5, 0xfedcba9876543210
+	vote.Kind = consensus.MessageRaft
 	vote.Raft = &pb.Message{Type: pb.MsgVote.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(3)), LogTerm: new(uint64(2)), Index: new(uint64(9))}
-	entries.Kind, entries.At, entries.Sum = consensus.KindRaft, 9, 77
+	entries.Kind, entries.DigestIndex, entries.Digest = consensus.MessageRaft, 9, 77
 	entries.Raft = &pb.Message{Type: pb.MsgApp.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(3)), LogTerm: new(uint64(2)), Index: new(uint64(9)),
 		Commit: new(uint64(8)), Entries: []*pb.Entry{{Type: pb.EntryNormal.Enum(), Term: new(uint64(3)), Index: new(uint64(10)), Data: []byte("command")}}}
-	snapshot.Kind, snapshot.At, snapshot.Sum = consensus.KindRaft, 8, 66
+	snapshot.Kind, snapshot.DigestIndex, snapshot.Digest = consensus.MessageRaft, 8, 66
 	snapshot.Raft = &pb.Message{Type: pb.MsgSnap.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(3)), Snapshot: &pb.Snapshot{Data: []byte("state"),
 		Metadata: &pb.SnapshotMetadata{Index: new(uint64(8)), Term: new(uint64(2)), ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}}}}
 	return [][]consensus.Message{{claim}, {answer}, {difference}, {vote, entries}, {snapshot}}
@@ -43,7 +43,7 @@
 	t.Helper()
 	var body []cbor.RawMessage
 	for _, m := range messages {
-		b, err := encode(m)
+		b, err := encodeMessage(m)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,7 +83,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := decode(body)
+		got, err := decodeMessages(body)
 		if err != nil || len(got) != len(want) {
 			t.Fatalf("request %d: %v, %v", i, got, err)
 		}
--- a/internal/consensus/node/node.go
+++ b/internal/consensus/node/node.go
@@ -21,53 +21,53 @@
 
 // Config of a node. What is 0 takes the default beside it.
 type Config struct {
-	Fleet   string
-	Epoch   uint64
-	ID      uint64
-	Store   string            // the file
-	Peers   map[uint64]string // base addresses of the other stewards, such as "https://10.0.0.1:7400"
-	Machine consensus.Machine
-	Silence time.Duration // the longest lease: for so long after a start it waits for all others to confirm its store, and after a cut in any case. Must be set
-	Tick    time.Duration // 100 ms; an election comes after 10 to 19, a leader's beat after each
-	Limits  consensus.Settings
-	MaxBody int               // bytes of a request between stewards, a snapshot included; 64 MiB, at least 1 MiB
-	Queue   int               // messages that wait, for each peer and of all peers; 512
-	TLS     *tls.Config       // of the client's side; nil is as the address says
-	Via     http.RoundTripper // instead of a transport of its own
+	Fleet        string
+	Epoch        uint64
+	ID           uint64
+	StorePath    string            // the file
+	Peers        map[uint64]string // base addresses of the other stewards, such as "https://10.0.0.1:7400"
+	Machine      consensus.Machine
+	Silence      time.Duration // the longest lease: for so long after a start it waits for all others to confirm its store, and after a cut in any case. Must be set
+	TickInterval time.Duration // 100 ms; an election comes after 10 to 19, a leader's beat after each
+	Limits       consensus.Config
+	MaxBodyBytes int               // bytes of a request between stewards, a snapshot included; 64 MiB, at least 1 MiB
+	QueueLength  int               // messages that wait, for each peer and of all peers; 512
+	TLS          *tls.Config       // of the client's side; nil is as the address says
+	Transport    http.RoundTripper // instead of a transport of its own
 }
 
 // ErrClosed is the answer of a node that was closed.
 var ErrClosed = errors.New("consensus: the node is closed")
 
-// Figures count since the start.
-type Figures struct {
-	Sent, SentBytes, Lost, Refused, Writes uint64 // messages and bytes out, messages lost here, messages refused here, batches that were flushed
+// Metrics count since the start.
+type Metrics struct {
+	Sent, SentBytes, Dropped, Rejected, SyncedWrites uint64 // messages and bytes out, messages lost here, messages refused here, batches that were flushed
 }
 
 // Node is a running steward. It is for any goroutine.
 type Node struct {
-	conf  Config
-	core  *consensus.Core
-	store *storage.Store
+	config Config
+	core   *consensus.Core
+	store  *storage.Store
 
-	inbox  chan consensus.Message
-	calls  chan func()
-	write  chan *consensus.Output
-	wrote  chan error
-	peers  map[uint64]*peer
-	waits  map[uint64]chan consensus.Reply // of raft's goroutine
-	client *http.Client
+	inbox        chan consensus.Message
+	raftCalls    chan func()
+	writeQueue   chan *consensus.Ready
+	writeResults chan error
+	peers        map[uint64]*peer
+	waiters      map[uint64]chan consensus.Reply // of raft's goroutine
+	httpClient   *http.Client
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
-	ended  chan struct{} // raft's goroutine has
-	last   consensus.Status
-	id     atomic.Uint64
-	close  sync.Once
-	closed error
+	ctx           context.Context
+	cancel        context.CancelFunc
+	goroutines    sync.WaitGroup
+	raftStopped   chan struct{} // raft's goroutine has
+	lastStatus    consensus.Status
+	lastRequestID atomic.Uint64
+	closeOnce     sync.Once
+	closeErr      error
 
-	sent, sentBytes, lost, refused, writes atomic.Uint64
+	sent, sentBytes, dropped, rejected, syncedWrites atomic.Uint64
 }
 
 // Start opens the store and runs the node. The errors are those of store.Open and of consensus.New.
@@ -77,76 +77,76 @@
 			*v = d
 		}
 	}
-	if conf.Tick == 0 {
-		conf.Tick = 100 * time.Millisecond
+	if conf.TickInterval == 0 {
+		conf.TickInterval = 100 * time.Millisecond
 	}
-	def(&conf.MaxBody, 64<<20)
-	def(&conf.Queue, 512)
-	if conf.Silence <= 0 || conf.Tick < 0 || conf.Machine == nil || conf.MaxBody < 0 || conf.Queue < 0 {
-		return nil, fmt.Errorf("consensus: silence %v, tick %v, max-body %d, queue %d, machine %v", conf.Silence, conf.Tick, conf.MaxBody, conf.Queue, conf.Machine)
+	def(&conf.MaxBodyBytes, 64<<20)
+	def(&conf.QueueLength, 512)
+	if conf.Silence <= 0 || conf.TickInterval < 0 || conf.Machine == nil || conf.MaxBodyBytes < 0 || conf.QueueLength < 0 {
+		return nil, fmt.Errorf("consensus: silence %v, tick %v, max-body %d, queue %d, machine %v", conf.Silence, conf.TickInterval, conf.MaxBodyBytes, conf.QueueLength, conf.Machine)
 	}
-	if conf.MaxBody < 2*soft {
-		return nil, fmt.Errorf("consensus: max-body: %d is under %d", conf.MaxBody, 2*soft)
+	if conf.MaxBodyBytes < 2*batchSoftBytes {
+		return nil, fmt.Errorf("consensus: max-body: %d is under %d", conf.MaxBodyBytes, 2*batchSoftBytes)
 	}
-	st, state, err := storage.Open(conf.Store, conf.Fleet, conf.Epoch, conf.ID)
+	st, state, err := storage.Open(conf.StorePath, conf.Fleet, conf.Epoch, conf.ID)
 	if err != nil {
 		return nil, err
 	}
 	set := conf.Limits
-	set.Fleet, set.Epoch, set.ID, set.Nonce = conf.Fleet, conf.Epoch, conf.ID, state.Stamp.Nonce
-	set.SilenceTicks = int(math.Ceil(float64(conf.Silence) / float64(conf.Tick)))
+	set.Fleet, set.Epoch, set.ID, set.Nonce = conf.Fleet, conf.Epoch, conf.ID, state.Version.Nonce
+	set.SilenceTicks = int(math.Ceil(float64(conf.Silence) / float64(conf.TickInterval)))
 	core, err := consensus.New(set, state, conf.Machine)
 	if err != nil {
 		return nil, errors.Join(err, st.Close())
 	}
 	n := &Node{
-		conf: conf, core: core, store: st, inbox: make(chan consensus.Message, conf.Queue), calls: make(chan func(), 64),
-		write: make(chan *consensus.Output, 1), wrote: make(chan error, 1), peers: map[uint64]*peer{}, waits: map[uint64]chan consensus.Reply{},
-		ended: make(chan struct{}),
+		config: conf, core: core, store: st, inbox: make(chan consensus.Message, conf.QueueLength), raftCalls: make(chan func(), 64),
+		writeQueue: make(chan *consensus.Ready, 1), writeResults: make(chan error, 1), peers: map[uint64]*peer{}, waiters: map[uint64]chan consensus.Reply{},
+		raftStopped: make(chan struct{}),
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	via := conf.Via
+	via := conf.Transport
 	if via == nil {
 		via = &http.Transport{TLSClientConfig: conf.TLS, ForceAttemptHTTP2: true, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
 	}
-	n.client = &http.Client{Transport: via}
+	n.httpClient = &http.Client{Transport: via}
 	for id, address := range conf.Peers {
 		if id != conf.ID {
-			p := &peer{node: n, id: id, url: address + path, queue: make(chan consensus.Message, conf.Queue)}
+			p := &peer{node: n, id: id, messagesURL: address + messagesPath, queue: make(chan consensus.Message, conf.QueueLength)}
 			n.peers[id] = p
-			n.done.Go(p.run)
+			n.goroutines.Go(p.run)
 		}
 	}
-	n.done.Go(n.keep)
-	n.done.Go(n.run)
+	n.goroutines.Go(n.runStore)
+	n.goroutines.Go(n.runRaft)
 	return n, nil
 }
 
-// keep writes batches.
-func (n *Node) keep() {
+// runStore writes batches.
+func (n *Node) runStore() {
 	for {
 		select {
-		case o := <-n.write:
+		case o := <-n.writeQueue:
 			err := n.store.Write(&o.Batch)
 			if o.Batch.Sync {
-				n.writes.Add(1)
+				n.syncedWrites.Add(1)
 			}
-			n.wrote <- err // holds one, and one is out at a time
+			n.writeResults <- err // holds one, and one is out at a time
 		case <-n.ctx.Done():
 			return
 		}
 	}
 }
 
-func (n *Node) run() {
-	defer close(n.ended)
-	ticks := time.NewTicker(n.conf.Tick)
+func (n *Node) runRaft() {
+	defer close(n.raftStopped)
+	ticks := time.NewTicker(n.config.TickInterval)
 	defer ticks.Stop()
-	var out *consensus.Output
+	var out *consensus.Ready
 	for {
 		if o, ok := n.core.Ready(); ok {
 			out = o
-			n.write <- o // holds one, and one is out at a time
+			n.writeQueue <- o // holds one, and one is out at a time
 		}
 		select {
 		case <-ticks.C:
@@ -156,29 +156,29 @@
 			for range len(n.inbox) {
 				n.step(<-n.inbox)
 			}
-		case f := <-n.calls:
+		case f := <-n.raftCalls:
 			f()
-			for range len(n.calls) {
-				(<-n.calls)()
+			for range len(n.raftCalls) {
+				(<-n.raftCalls)()
 			}
-		case err := <-n.wrote:
+		case err := <-n.writeResults:
 			if err != nil {
 				// Danger: nobody knows what is on disk. Nothing goes out from here on.
 				n.core.Fail(err)
 			}
-			e, _ := n.core.Done(out) // its error stands in Err
+			e, _ := n.core.Advance(out) // its error stands in Err
 			out = nil
 			for _, m := range e.Messages {
 				n.send(m)
 			}
 			for _, r := range e.Replies {
-				if w := n.waits[r.ID]; w != nil {
-					delete(n.waits, r.ID)
+				if w := n.waiters[r.RequestID]; w != nil {
+					delete(n.waiters, r.RequestID)
 					w <- r // holds one
 				}
 			}
 		case <-n.ctx.Done():
-			n.last = n.core.Status()
+			n.lastStatus = n.core.Status()
 			return
 		}
 	}
@@ -186,7 +186,7 @@
 
 func (n *Node) step(m consensus.Message) {
 	if err := n.core.Step(m); err != nil {
-		n.refused.Add(1)
+		n.rejected.Add(1)
 	}
 }
 
@@ -199,19 +199,19 @@
 		default:
 		}
 	}
-	n.lost.Add(1)
-	n.core.Unreachable(m.To)
+	n.dropped.Add(1)
+	n.core.ReportUnreachable(m.To)
 	if m.Raft.GetType() == pb.MsgSnap {
-		n.core.SnapshotSent(m.To, false)
+		n.core.ReportSnapshot(m.To, false)
 	}
 }
 
-// call has raft's goroutine do something.
-func (n *Node) call(ctx context.Context, f func()) error {
+// onRaftLoop has raft's goroutine do something.
+func (n *Node) onRaftLoop(ctx context.Context, f func()) error {
 	did := make(chan struct{})
 	select {
-	case n.calls <- func() { f(); close(did) }:
-	case <-n.ended:
+	case n.raftCalls <- func() { f(); close(did) }:
+	case <-n.raftStopped:
 		return ErrClosed
 	case <-ctx.Done():
 		return context.Cause(ctx)
@@ -219,7 +219,7 @@
 	select {
 	case <-did:
 		return nil
-	case <-n.ended:
+	case <-n.raftStopped:
 		return ErrClosed
 	}
 }
@@ -228,7 +228,7 @@
 // one until ctx ends. The errors: NotLeader, QueueFull and TooLarge say that the command was not taken, NotEnoughStewards and Undecided
 // that it may yet be carried out; Silent and what Status().Err gives that this steward takes no part.
 func (n *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
-	r, err := n.ask(ctx, func(id uint64) error { return n.core.Propose(id, command) })
+	r, err := n.submit(ctx, func(id uint64) error { return n.core.Propose(id, command) })
 	return r.Data, err
 }
 
@@ -241,82 +241,82 @@
 
 // ReadIndex is Barrier, and gives the entry up to which the Machine holds all.
 func (n *Node) ReadIndex(ctx context.Context) (uint64, error) {
-	r, err := n.ask(ctx, n.core.Read)
+	r, err := n.submit(ctx, n.core.ReadIndex)
 	return r.Index, err
 }
 
-func (n *Node) ask(ctx context.Context, begin func(id uint64) error) (consensus.Reply, error) {
+func (n *Node) submit(ctx context.Context, begin func(id uint64) error) (consensus.Reply, error) {
 	var none consensus.Reply
 	for {
-		id, wait := n.id.Add(1), make(chan consensus.Reply, 1)
+		id, wait := n.lastRequestID.Add(1), make(chan consensus.Reply, 1)
 		var err error
-		if e := n.call(ctx, func() {
+		if e := n.onRaftLoop(ctx, func() {
 			if err = begin(id); err == nil {
-				n.waits[id] = wait
+				n.waiters[id] = wait
 			}
 		}); errors.Is(e, ErrClosed) {
 			return none, e
 		} else if e != nil {
-			return none, n.late(ctx, nil)
+			return none, n.timeoutError(ctx, nil)
 		}
-		var not consensus.NotLeader
-		if err != nil && !(errors.As(err, &not) && not.Leader == 0) && !errors.As(err, &consensus.Silent{}) {
+		var not consensus.NotLeaderError
+		if err != nil && !(errors.As(err, &not) && not.Leader == 0) && !errors.As(err, &consensus.SilentError{}) {
 			return none, err
 		}
 		if err == nil {
 			select {
 			case r := <-wait:
 				return r, r.Err
-			case <-n.ended:
+			case <-n.raftStopped:
 				return none, ErrClosed
 			case <-ctx.Done():
-				_ = n.call(context.Background(), func() { n.core.Forget(id); delete(n.waits, id) })
-				return none, n.late(ctx, nil)
+				_ = n.onRaftLoop(context.Background(), func() { n.core.Forget(id); delete(n.waiters, id) })
+				return none, n.timeoutError(ctx, nil)
 			}
 		}
-		again := time.NewTimer(n.conf.Tick)
+		again := time.NewTimer(n.config.TickInterval)
 		select {
 		case <-again.C:
-		case <-n.ended:
+		case <-n.raftStopped:
 			again.Stop()
 			return none, ErrClosed
 		case <-ctx.Done():
 			again.Stop()
-			return none, n.late(ctx, err)
+			return none, n.timeoutError(ctx, err)
 		}
 	}
 }
 
-// late is why nothing was decided in time.
-func (n *Node) late(ctx context.Context, err error) error {
+// timeoutError is why nothing was decided in time.
+func (n *Node) timeoutError(ctx context.Context, err error) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return context.Cause(ctx) // the caller has gone away: that says nothing of the stewards
 	}
-	if errors.As(err, &consensus.Silent{}) {
+	if errors.As(err, &consensus.SilentError{}) {
 		return err
 	}
 	s := n.Status()
-	return consensus.NotEnoughStewards{Heard: s.Heard, Need: len(s.Voters)/2 + 1}
+	return consensus.NoQuorumError{Active: s.ActiveVoters, Needed: len(s.Voters)/2 + 1}
 }
 
 // AddLearner has a steward join that holds what it is sent but has no voice; at the leader, as all changes of membership, one at a time.
 // That it is in force is seen in Status.
 func (n *Node) AddLearner(ctx context.Context, id uint64) error {
-	return n.change(ctx, pb.ConfChangeAddLearnerNode, id)
+	return n.changeMembership(ctx, pb.ConfChangeAddLearnerNode, id)
 }
 
 // Promote gives a learner a voice.
 func (n *Node) Promote(ctx context.Context, id uint64) error {
-	return n.change(ctx, pb.ConfChangeAddNode, id)
+	return n.changeMembership(ctx, pb.ConfChangeAddNode, id)
 }
 
 // Remove has a steward leave for good: its number is not used again.
 func (n *Node) Remove(ctx context.Context, id uint64) error {
-	return n.change(ctx, pb.ConfChangeRemoveNode, id)
+	return n.changeMembership(ctx, pb.ConfChangeRemoveNode, id)
 }
 
-func (n *Node) change(ctx context.Context, kind pb.ConfChangeType, id uint64) (err error) {
-	if e := n.call(ctx, func() { err = n.core.Change(kind, id) }); e != nil {
+func (n *Node) changeMembership(ctx context.Context, kind pb.ConfChangeType, id uint64) (err error) {
+	if e := n.onRaftLoop(ctx, func() { err = n.core.ProposeConfChange(kind, id) }); e != nil {
 		return e
 	}
 	return err
@@ -324,24 +324,24 @@
 
 // Status tells how the node stands; of a closed one how it stood last.
 func (n *Node) Status() (s consensus.Status) {
-	if err := n.call(context.Background(), func() { s = n.core.Status() }); err != nil {
-		return n.last
+	if err := n.onRaftLoop(context.Background(), func() { s = n.core.Status() }); err != nil {
+		return n.lastStatus
 	}
 	return s
 }
 
-// Figures counts what went through it.
-func (n *Node) Figures() Figures {
-	return Figures{n.sent.Load(), n.sentBytes.Load(), n.lost.Load(), n.refused.Load(), n.writes.Load()}
+// Metrics counts what went through it.
+func (n *Node) Metrics() Metrics {
+	return Metrics{n.sent.Load(), n.sentBytes.Load(), n.dropped.Load(), n.rejected.Load(), n.syncedWrites.Load()}
 }
 
 // Close stops the node without a word to the others, and lets go of the store.
 func (n *Node) Close() error {
-	n.close.Do(func() {
+	n.closeOnce.Do(func() {
 		n.cancel()
-		n.done.Wait()
-		n.client.CloseIdleConnections()
-		n.closed = n.store.Close()
+		n.goroutines.Wait()
+		n.httpClient.CloseIdleConnections()
+		n.closeErr = n.store.Close()
 	})
-	return n.closed
+	return n.closeErr
 }
--- a/internal/consensus/node/node_test.go
+++ b/internal/consensus/node/node_test.go
@@ -99,25 +99,25 @@
 	links   *links
 	urls    map[uint64]string
 	members []*member
-	limits  consensus.Settings
+	limits  consensus.Config
 	silence time.Duration
 	pad     int // of the machines that are started
 	tick    time.Duration
 	keys    map[uint64]*tlskeys.Keys // nil is plain
 }
 
-func newFleet(t testing.TB, limits consensus.Settings) *fleet {
+func newFleet(t testing.TB, limits consensus.Config) *fleet {
 	return newFleetWith(t, limits, nil)
 }
 
-func newFleetWith(t testing.TB, limits consensus.Settings, keys map[uint64]*tlskeys.Keys) *fleet {
+func newFleetWith(t testing.TB, limits consensus.Config, keys map[uint64]*tlskeys.Keys) *fleet {
 	f := &fleet{t: t, keys: keys, links: &links{cut: map[string]bool{}, real: &http.Transport{MaxIdleConnsPerHost: 4}}, urls: map[uint64]string{}, limits: limits, silence: time.Hour, tick: 20 * time.Millisecond}
 	dir := t.TempDir()
 	for id := range uint64(3) {
 		f.members = append(f.members, &member{id: id + 1, path: filepath.Join(dir, fmt.Sprint(id+1))})
 	}
 	for _, m := range f.members {
-		f.must(storage.Found(m.path, "f", 1, m.id, []uint64{1, 2, 3}))
+		f.must(storage.Bootstrap(m.path, "f", 1, m.id, []uint64{1, 2, 3}))
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		f.must(err)
 		m.address = l.Addr().String()
@@ -148,10 +148,10 @@
 
 func (f *fleet) start(m *member) (err error) {
 	m.machine = &text{pad: f.pad}
-	conf := node.Config{Fleet: "f", Epoch: 1, ID: m.id, Store: m.path, Peers: f.urls, Machine: m.machine, Silence: f.silence,
-		Tick: f.tick, Limits: f.limits, Via: link{f.links, m.id}}
+	conf := node.Config{Fleet: "f", Epoch: 1, ID: m.id, StorePath: m.path, Peers: f.urls, Machine: m.machine, Silence: f.silence,
+		TickInterval: f.tick, Limits: f.limits, Transport: link{f.links, m.id}}
 	if f.keys != nil {
-		conf.Via, conf.TLS = nil, f.keys[m.id].Client("steward")
+		conf.Transport, conf.TLS = nil, f.keys[m.id].Client("steward")
 	}
 	m.Node, err = node.Start(conf)
 	if err != nil {
@@ -240,12 +240,12 @@
 }
 
 func TestALeaderDiesAndComesBack(t *testing.T) {
-	f := newFleet(t, consensus.Settings{CompactBytes: 2000})
+	f := newFleet(t, consensus.Config{CompactionBytes: 2000})
 	f.propose(nil, "a")
 	first := f.leader(nil)
 	f.must(first.Barrier(context.Background()))
 	follower := f.members[first.id%3]
-	var not consensus.NotLeader
+	var not consensus.NotLeaderError
 	if _, err := follower.Propose(context.Background(), []byte("x")); !errors.As(err, &not) || not.Leader != first.id {
 		t.Errorf("a follower says %v", err)
 	}
@@ -262,7 +262,7 @@
 
 // What stewards keep of the policies at our size in two years is over the 16 MiB that once were the most.
 func TestALargeSnapshotReachesWhoLags(t *testing.T) {
-	f := newFleet(t, consensus.Settings{CompactBytes: 1000})
+	f := newFleet(t, consensus.Config{CompactionBytes: 1000})
 	for _, m := range f.members {
 		f.stop(m)
 	}
@@ -285,19 +285,19 @@
 }
 
 func TestAMinorityGrantsNothing(t *testing.T) {
-	f := newFleet(t, consensus.Settings{})
+	f := newFleet(t, consensus.Config{})
 	f.propose(nil, "a")
 	old := f.leader(nil)
 	f.sever(old, true)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	if _, err := old.Propose(ctx, []byte("LOST")); !errors.As(err, &consensus.NotEnoughStewards{}) && !errors.As(err, &consensus.Undecided{}) {
+	if _, err := old.Propose(ctx, []byte("LOST")); !errors.As(err, &consensus.NoQuorumError{}) && !errors.As(err, &consensus.UndecidedError{}) {
 		t.Errorf("a leader that is cut off says %v", err)
 	}
 	f.until("the leader that is cut off steps down", func() bool { return old.Status().Role != "StateLeader" })
 	ctx, cancel = context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := old.Propose(ctx, []byte("LOST")); !errors.As(err, &consensus.NotEnoughStewards{}) || operatorerror.Of(err) == "" {
+	if _, err := old.Propose(ctx, []byte("LOST")); !errors.As(err, &consensus.NoQuorumError{}) || operatorerror.Of(err) == "" {
 		t.Errorf("a minority says %v", err)
 	}
 	gone, leave := context.WithCancel(context.Background())
@@ -311,7 +311,7 @@
 }
 
 func TestAStoreThatWasPutBackStaysOut(t *testing.T) {
-	f := newFleet(t, consensus.Settings{})
+	f := newFleet(t, consensus.Config{})
 	f.propose(nil, "a")
 	f.all("a")
 	m := f.members[f.leader(nil).id%3]
@@ -324,15 +324,15 @@
 	f.stop(m)
 	f.must(os.WriteFile(m.path, copied, 0o600))
 	f.must(f.start(m))
-	f.until("it finds that its store is old", func() bool { return errors.As(m.Status().Err, &consensus.StoreRolledBack{}) })
-	if _, err := m.Propose(context.Background(), []byte("x")); !errors.As(err, &consensus.StoreRolledBack{}) {
+	f.until("it finds that its store is old", func() bool { return errors.As(m.Status().Err, &consensus.StoreRolledBackError{}) })
+	if _, err := m.Propose(context.Background(), []byte("x")); !errors.As(err, &consensus.StoreRolledBackError{}) {
 		t.Errorf("it says %v", err)
 	}
 	f.propose(m, "c")
 	// It joins anew under a new number, as a learner with an empty store, and is promoted.
 	f.stop(m)
 	f.must(os.Remove(m.path))
-	if err := f.start(m); !errors.As(err, &storage.StoreMissing{}) {
+	if err := f.start(m); !errors.As(err, &storage.MissingError{}) {
 		t.Errorf("without a store: %v", err)
 	}
 	gone := m.id
@@ -345,7 +345,7 @@
 			f.silence = time.Second
 			f.stop(o)
 			f.must(f.start(o))
-			f.until("it speaks", func() bool { return len(o.Status().Silent) == 0 })
+			f.until("it speaks", func() bool { return len(o.Status().UnconfirmedPeers) == 0 })
 		}
 	}
 	f.must(f.start(m))
@@ -366,12 +366,12 @@
 }
 
 func TestADamagedStoreIsATypedError(t *testing.T) {
-	f := newFleet(t, consensus.Settings{})
+	f := newFleet(t, consensus.Config{})
 	f.propose(nil, "a")
 	m := f.members[1]
 	f.stop(m)
 	f.must(os.Truncate(m.path, 6000))
-	if err := f.start(m); !errors.As(err, &storage.StoreDamaged{}) || operatorerror.Of(err) == "" {
+	if err := f.start(m); !errors.As(err, &storage.DamagedError{}) || operatorerror.Of(err) == "" {
 		t.Errorf("got %v", err)
 	}
 	f.propose(nil, "b")
@@ -390,7 +390,7 @@
 		keys[id] = k
 	}
 	// The third never confirms a store: so the others wait out their silence.
-	f := newFleetWith(t, consensus.Settings{}, keys)
+	f := newFleetWith(t, consensus.Config{}, keys)
 	for _, m := range f.members {
 		f.stop(m)
 	}
@@ -403,8 +403,8 @@
 	f.until("both hold it", func() bool {
 		return string(f.members[0].machine.copy()) == "a" && string(f.members[1].machine.copy()) == "a"
 	})
-	if s := stranger.Status(); s.Leader != 0 || len(stranger.machine.copy()) > 0 || stranger.Figures().Lost == 0 {
-		t.Errorf("the stranger stands at %+v, %+v", s, stranger.Figures())
+	if s := stranger.Status(); s.Leader != 0 || len(stranger.machine.copy()) > 0 || stranger.Metrics().Dropped == 0 {
+		t.Errorf("the stranger stands at %+v, %+v", s, stranger.Metrics())
 	}
 	plain := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}}}
 	defer plain.CloseIdleConnections()
@@ -415,7 +415,7 @@
 }
 
 func TestTheHandlerTurnsAwayWhatIsNotItsOwn(t *testing.T) {
-	f := newFleet(t, consensus.Settings{})
+	f := newFleet(t, consensus.Config{})
 	for _, c := range []struct {
 		body string
 		want int
@@ -436,12 +436,12 @@
 func BenchmarkCommits(b *testing.B) {
 	for _, callers := range []int{1, 16, 64} {
 		b.Run(fmt.Sprint(callers, "-callers"), func(b *testing.B) {
-			f := newFleet(b, consensus.Settings{})
+			f := newFleet(b, consensus.Config{})
 			f.propose(nil, "a")
 			lead, command := f.leader(nil), bytes.Repeat([]byte("x"), 200)
 			sum := func() (bytes, writes uint64) {
 				for _, m := range f.members {
-					bytes, writes = bytes+m.Figures().SentBytes, writes+m.Figures().Writes
+					bytes, writes = bytes+m.Metrics().SentBytes, writes+m.Metrics().SyncedWrites
 				}
 				return bytes, writes
 			}
--- a/internal/consensus/node/transport.go
+++ b/internal/consensus/node/transport.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	path      = "/consensus/v1/messages"
-	mostBatch = 64               // messages of a request
-	soft      = 512 << 10        // bytes after which a request takes no more messages
-	deadline  = 3 * time.Second  // of a request
-	large     = 30 * time.Second // of one with a snapshot
+	messagesPath     = "/consensus/v1/messages"
+	maxBatchMessages = 64               // messages of a request
+	batchSoftBytes   = 512 << 10        // bytes after which a request takes no more messages
+	requestTimeout   = 3 * time.Second  // of a request
+	snapshotTimeout  = 30 * time.Second // of one with a snapshot
 )
 
-// wire is a message as it goes over the network: CBOR (RFC 8949), with raft's own part as the protobuf that it is.
-type wire struct {
-	Fleet string          `cbor:"1,keyasint"`
-	Epoch uint64          `cbor:"2,keyasint"`
-	From  uint64          `cbor:"3,keyasint"`
-	To    uint64          `cbor:"4,keyasint"`
-	Stamp consensus.Stamp `cbor:"5,keyasint"`
-	Kind  consensus.Kind  `cbor:"6,keyasint"`
-	Raft  []byte          `cbor:"7,keyasint,omitempty"`
-	Known consensus.Stamp `cbor:"8,keyasint"`
-	Claim uint64          `cbor:"9,keyasint,omitempty"`
-	At    uint64          `cbor:"10,keyasint,omitempty"`
-	Sum   uint64          `cbor:"11,keyasint,omitempty"`
+// wireMessage is a message as it goes over the network: CBOR (RFC 8949), with raft's own part as the protobuf that it is.
+type wireMessage struct {
+	Fleet         string                 `cbor:"1,keyasint"`
+	Epoch         uint64                 `cbor:"2,keyasint"`
+	From          uint64                 `cbor:"3,keyasint"`
+	To            uint64                 `cbor:"4,keyasint"`
+	SenderVersion consensus.StoreVersion `cbor:"5,keyasint"`
+	Kind          consensus.MessageKind  `cbor:"6,keyasint"`
+	Raft          []byte                 `cbor:"7,keyasint,omitempty"`
+	KnownVersion  consensus.StoreVersion `cbor:"8,keyasint"`
+	QueryNonce    uint64                 `cbor:"9,keyasint,omitempty"`
+	DigestIndex   uint64                 `cbor:"10,keyasint,omitempty"`
+	Digest        uint64                 `cbor:"11,keyasint,omitempty"`
 }
 
-func encode(m consensus.Message) (cbor.RawMessage, error) {
-	w := wire{m.Fleet, m.Epoch, m.From, m.To, m.Stamp, m.Kind, nil, m.Known, m.Claim, m.At, m.Sum}
+func encodeMessage(m consensus.Message) (cbor.RawMessage, error) {
+	w := wireMessage{m.Fleet, m.Epoch, m.From, m.To, m.SenderVersion, m.Kind, nil, m.KnownVersion, m.QueryNonce, m.DigestIndex, m.Digest}
 	if m.Raft != nil {
 		var err error
 		if w.Raft, err = proto.Marshal(m.Raft); err != nil {
@@ -51,19 +51,19 @@
 	return cbor.Marshal(w)
 }
 
-func decode(body []byte) ([]consensus.Message, error) {
-	var all []wire
+func decodeMessages(body []byte) ([]consensus.Message, error) {
+	var all []wireMessage
 	if err := cbor.Unmarshal(body, &all); err != nil {
 		return nil, err
 	}
-	if len(all) > mostBatch {
+	if len(all) > maxBatchMessages {
 		return nil, fmt.Errorf("%d messages", len(all))
 	}
 	out := make([]consensus.Message, len(all))
 	for i, w := range all {
-		out[i] = consensus.Message{Fleet: w.Fleet, Epoch: w.Epoch, From: w.From, To: w.To, Stamp: w.Stamp, Kind: w.Kind, Known: w.Known, Claim: w.Claim,
-			At: w.At, Sum: w.Sum}
-		if w.Kind == consensus.KindRaft {
+		out[i] = consensus.Message{Fleet: w.Fleet, Epoch: w.Epoch, From: w.From, To: w.To, SenderVersion: w.SenderVersion, Kind: w.Kind, KnownVersion: w.KnownVersion, QueryNonce: w.QueryNonce,
+			DigestIndex: w.DigestIndex, Digest: w.Digest}
+		if w.Kind == consensus.MessageRaft {
 			out[i].Raft = &pb.Message{}
 			if err := proto.Unmarshal(w.Raft, out[i].Raft); err != nil {
 				return nil, err
@@ -76,21 +76,21 @@
 // Handler takes the other stewards' messages. Whoever serves it sees to TLS, and to who may call.
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(n.conf.MaxBody)))
+	mux.HandleFunc("POST "+messagesPath, func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(n.config.MaxBodyBytes)))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 			return
 		}
-		all, err := decode(body)
+		all, err := decodeMessages(body)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		for _, m := range all {
-			if m.Fleet != n.conf.Fleet || m.Epoch != n.conf.Epoch || m.To != n.conf.ID {
-				n.refused.Add(1)
-				http.Error(w, consensus.OtherFleet{Fleet: m.Fleet, Epoch: m.Epoch}.Error(), http.StatusConflict)
+			if m.Fleet != n.config.Fleet || m.Epoch != n.config.Epoch || m.To != n.config.ID {
+				n.rejected.Add(1)
+				http.Error(w, consensus.FleetMismatchError{Fleet: m.Fleet, Epoch: m.Epoch}.Error(), http.StatusConflict)
 				return
 			}
 			select {
@@ -99,7 +99,7 @@
 				http.Error(w, ErrClosed.Error(), http.StatusServiceUnavailable)
 				return
 			default:
-				n.lost.Add(1)
+				n.dropped.Add(1)
 				http.Error(w, "the queue is full", http.StatusServiceUnavailable)
 				return
 			}
@@ -111,24 +111,24 @@
 
 // peer sends to one steward, one request at a time.
 type peer struct {
-	node  *Node
-	id    uint64
-	url   string
-	queue chan consensus.Message
+	node        *Node
+	id          uint64
+	messagesURL string
+	queue       chan consensus.Message
 }
 
 func (p *peer) run() {
 	n := p.node
-	rest := &backoff.ExponentialBackOff{InitialInterval: n.conf.Tick / 2, RandomizationFactor: .5, Multiplier: 1.5, MaxInterval: 5 * n.conf.Tick}
+	rest := &backoff.ExponentialBackOff{InitialInterval: n.config.TickInterval / 2, RandomizationFactor: .5, Multiplier: 1.5, MaxInterval: 5 * n.config.TickInterval}
 	rest.Reset()
 	for {
 		var body []cbor.RawMessage
 		size, snaps := 0, 0
 		take := func(m consensus.Message) {
-			b, err := encode(m)
-			if err != nil || len(b) > n.conf.MaxBody-soft-16 {
-				n.lost.Add(1)
-				p.report(m.Raft.GetType() == pb.MsgSnap, errors.New("too large"))
+			b, err := encodeMessage(m)
+			if err != nil || len(b) > n.config.MaxBodyBytes-batchSoftBytes-16 {
+				n.dropped.Add(1)
+				p.reportDelivery(m.Raft.GetType() == pb.MsgSnap, errors.New("too large"))
 				return
 			}
 			if m.Raft.GetType() == pb.MsgSnap {
@@ -142,7 +142,7 @@
 		case <-n.ctx.Done():
 			return
 		}
-		for len(body) < mostBatch && size < soft && len(p.queue) > 0 {
+		for len(body) < maxBatchMessages && size < batchSoftBytes && len(p.queue) > 0 {
 			take(<-p.queue)
 		}
 		if len(body) == 0 {
@@ -156,10 +156,10 @@
 			n.sent.Add(uint64(len(body)))
 			rest.Reset()
 		} else {
-			n.lost.Add(uint64(len(body)))
+			n.dropped.Add(uint64(len(body)))
 		}
 		if err != nil || snaps > 0 {
-			p.report(snaps > 0, err)
+			p.reportDelivery(snaps > 0, err)
 		}
 		if err != nil {
 			wait := time.NewTimer(rest.NextBackOff())
@@ -171,21 +171,21 @@
 			}
 			for range len(p.queue) { // raft has newer ones by now
 				if m := <-p.queue; m.Raft.GetType() == pb.MsgSnap {
-					p.report(true, err)
+					p.reportDelivery(true, err)
 				}
-				n.lost.Add(1)
+				n.dropped.Add(1)
 			}
 		}
 	}
 }
 
-func (p *peer) report(snapshot bool, err error) {
-	_ = p.node.call(p.node.ctx, func() {
+func (p *peer) reportDelivery(snapshot bool, err error) {
+	_ = p.node.onRaftLoop(p.node.ctx, func() {
 		if err != nil {
-			p.node.core.Unreachable(p.id)
+			p.node.core.ReportUnreachable(p.id)
 		}
 		if snapshot {
-			p.node.core.SnapshotSent(p.id, err == nil)
+			p.node.core.ReportSnapshot(p.id, err == nil)
 		}
 	})
 }
@@ -195,19 +195,19 @@
 	if err != nil {
 		return err
 	}
-	limit := deadline
+	limit := requestTimeout
 	if snapshot {
-		limit = large
+		limit = snapshotTimeout
 	}
 	ctx, cancel := context.WithTimeout(p.node.ctx, limit)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.messagesURL, bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
 	req.Header.Set("Content-Type", "application/cbor")
 	p.node.sentBytes.Add(uint64(len(data)))
-	resp, err := p.node.client.Do(req)
+	resp, err := p.node.httpClient.Do(req)
 	if err != nil {
 		return err
 	}
--- a/internal/consensus/storage/frozen_test.go
+++ b/internal/consensus/storage/frozen_test.go
@@ -44,7 +44,7 @@
 func runSingle(t *testing.T, s *storage.Store, state consensus.State, commands ...string) *joinedText {
 	t.Helper()
 	machine := &joinedText{}
-	core, err := consensus.New(consensus.Settings{Fleet: "north", Epoch: 7, ID: 2, Nonce: state.Stamp.Nonce, SilenceTicks: 1, CompactBytes: 150},
+	core, err := consensus.New(consensus.Config{Fleet: "north", Epoch: 7, ID: 2, Nonce: state.Version.Nonce, SilenceTicks: 1, CompactionBytes: 150},
 		state, machine)
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 			if err := s.Write(&output.Batch); err != nil {
 				t.Fatal(err)
 			}
-			effects, err := core.Done(output)
+			effects, err := core.Advance(output)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -115,7 +115,7 @@
 	if err := os.MkdirAll("testdata", 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := storage.Found(frozenStore, "north", 7, 2, []uint64{2}); err != nil {
+	if err := storage.Bootstrap(frozenStore, "north", 7, 2, []uint64{2}); err != nil {
 		t.Fatal(err)
 	}
 	s, state, err := storage.Open(frozenStore, "north", 7, 2)
@@ -126,8 +126,8 @@
 	if s, state, err = storage.Open(frozenStore, "north", 7, 2); err != nil {
 		t.Fatal(err)
 	}
-	b := consensus.Batch{Seq: state.Stamp.Seq + 1, Sync: true, Cut: new(true), Sure: state.Hard.GetCommit(),
-		Peers: map[uint64]consensus.Stamp{1: {Store: 11, Start: 12, Nonce: 13, Seq: 14}, 300: {Store: 21, Start: 22, Nonce: 1 << 63, Seq: 24}}}
+	b := consensus.Batch{WriteSeq: state.Version.WriteSeq + 1, Sync: true, TruncationSilence: new(true), AcknowledgedIndex: state.HardState.GetCommit(),
+		PeerVersions: map[uint64]consensus.StoreVersion{1: {StoreID: 11, Incarnation: 12, Nonce: 13, WriteSeq: 14}, 300: {StoreID: 21, Incarnation: 22, Nonce: 1 << 63, WriteSeq: 24}}}
 	if err := s.Write(&b); err != nil {
 		t.Fatal(err)
 	}
@@ -168,10 +168,10 @@
 		value   any
 		decoded any
 	}{
-		{"meta identity", storage.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, Store: frozenStoreNumber}, &storage.Identity{}},
-		{"meta stamp", consensus.Stamp{Store: frozenStoreNumber, Start: 2, Nonce: frozenNonce, Seq: frozenSeq}, &consensus.Stamp{}},
-		{"peers 0000000000000001", consensus.Stamp{Store: 11, Start: 12, Nonce: 13, Seq: 14}, &consensus.Stamp{}},
-		{"peers 000000000000012c", consensus.Stamp{Store: 21, Start: 22, Nonce: 1 << 63, Seq: 24}, &consensus.Stamp{}},
+		{"meta identity", storage.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, StoreID: frozenStoreNumber}, &storage.Identity{}},
+		{"meta stamp", consensus.StoreVersion{StoreID: frozenStoreNumber, Incarnation: 2, Nonce: frozenNonce, WriteSeq: frozenSeq}, &consensus.StoreVersion{}},
+		{"peers 0000000000000001", consensus.StoreVersion{StoreID: 11, Incarnation: 12, Nonce: 13, WriteSeq: 14}, &consensus.StoreVersion{}},
+		{"peers 000000000000012c", consensus.StoreVersion{StoreID: 21, Incarnation: 22, Nonce: 1 << 63, WriteSeq: 24}, &consensus.StoreVersion{}},
 		{"meta cut", true, new(bool)},
 		{"meta sure", uint64(14), new(uint64)},
 	} {
@@ -200,8 +200,8 @@
 // checkFrozenState compares all that the frozen store holds but for the stamp of the start.
 func checkFrozenState(t *testing.T, state consensus.State) {
 	t.Helper()
-	if state.Hard.GetTerm() != 2 || state.Hard.GetVote() != 2 || state.Hard.GetCommit() != 14 {
-		t.Errorf("hard state %v", state.Hard)
+	if state.HardState.GetTerm() != 2 || state.HardState.GetVote() != 2 || state.HardState.GetCommit() != 14 {
+		t.Errorf("hard state %v", state.HardState)
 	}
 	meta := state.Snapshot.GetMetadata()
 	if meta.GetIndex() != frozenSnapshotIndex || meta.GetTerm() != 2 || !slices.Equal(meta.GetConfState().GetVoters(), []uint64{2}) ||
@@ -230,9 +230,9 @@
 			t.Errorf("entry %v, want %s", e, command)
 		}
 	}
-	peers := map[uint64]consensus.Stamp{1: {Store: 11, Start: 12, Nonce: 13, Seq: 14}, 300: {Store: 21, Start: 22, Nonce: 1 << 63, Seq: 24}}
-	if !reflect.DeepEqual(state.Peers, peers) || !state.Cut || state.Sure != 14 {
-		t.Errorf("peers %+v, cut %v, sure %d", state.Peers, state.Cut, state.Sure)
+	peers := map[uint64]consensus.StoreVersion{1: {StoreID: 11, Incarnation: 12, Nonce: 13, WriteSeq: 14}, 300: {StoreID: 21, Incarnation: 22, Nonce: 1 << 63, WriteSeq: 24}}
+	if !reflect.DeepEqual(state.PeerVersions, peers) || !state.TruncationSilence || state.AcknowledgedIndex != 14 {
+		t.Errorf("peers %+v, cut %v, sure %d", state.PeerVersions, state.TruncationSilence, state.AcknowledgedIndex)
 	}
 }
 
@@ -242,14 +242,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Identity() != (storage.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, Store: frozenStoreNumber}) {
+	if s.Identity() != (storage.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, StoreID: frozenStoreNumber}) {
 		t.Errorf("identity %+v", s.Identity())
 	}
-	if state.Stamp.Store != frozenStoreNumber || state.Stamp.Start != 3 || state.Stamp.Seq != frozenSeq {
-		t.Errorf("stamp %+v", state.Stamp)
+	if state.Version.StoreID != frozenStoreNumber || state.Version.Incarnation != 3 || state.Version.WriteSeq != frozenSeq {
+		t.Errorf("stamp %+v", state.Version)
 	}
 	checkFrozenState(t, state)
-	state.Cut = false // else it waits
+	state.TruncationSilence = false // else it waits
 	machine := runSingle(t, s, state, "<one more>", strings.Repeat("x", 300))
 	if want := strings.Join(frozenCommands(), "") + "<one more>" + strings.Repeat("x", 300); string(machine.text) != want {
 		t.Errorf("the machine holds %q", machine.text)
@@ -259,8 +259,8 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if after.Hard.GetTerm() != 3 || after.Stamp.Start != 4 || after.Stamp.Seq <= frozenSeq || after.Snapshot.GetMetadata().GetIndex() != 17 ||
-		!reflect.DeepEqual(after.Peers, state.Peers) {
+	if after.HardState.GetTerm() != 3 || after.Version.Incarnation != 4 || after.Version.WriteSeq <= frozenSeq || after.Snapshot.GetMetadata().GetIndex() != 17 ||
+		!reflect.DeepEqual(after.PeerVersions, state.PeerVersions) {
 		t.Errorf("reopened: %+v", after)
 	}
 }
--- a/internal/consensus/storage/store.go
+++ b/internal/consensus/storage/store.go
@@ -30,43 +30,43 @@
 )
 
 const (
-	format   = 1
-	openWait = 3 * time.Second // for another process to let go of the file
+	formatVersion = 1
+	lockTimeout   = 3 * time.Second // for another process to let go of the file
 )
 
 var (
-	metaBucket  = []byte("meta")
-	logBucket   = []byte("log")
-	peersBucket = []byte("peers")
-	identityKey = []byte("identity")
-	stampKey    = []byte("stamp")
-	hardKey     = []byte("hard")
-	snapshotKey = []byte("snapshot")
-	cutKey      = []byte("cut")
-	sureKey     = []byte("sure")
+	metaBucket           = []byte("meta")
+	logBucket            = []byte("log")
+	peersBucket          = []byte("peers")
+	identityKey          = []byte("identity")
+	versionKey           = []byte("stamp")
+	hardStateKey         = []byte("hard")
+	snapshotKey          = []byte("snapshot")
+	truncationSilenceKey = []byte("cut")
+	acknowledgedIndexKey = []byte("sure")
 )
 
 // Identity says whose store it is.
 type Identity struct {
-	Format uint64 `cbor:"Format"`
-	Fleet  string `cbor:"Fleet"`
-	Epoch  uint64 `cbor:"Epoch"` // of the fleet's founding
-	ID     uint64 `cbor:"ID"`    // of the steward
-	Store  uint64 `cbor:"Store"` // drawn by chance when it was made
+	Format  uint64 `cbor:"Format"`
+	Fleet   string `cbor:"Fleet"`
+	Epoch   uint64 `cbor:"Epoch"` // of the fleet's founding
+	ID      uint64 `cbor:"ID"`    // of the steward
+	StoreID uint64 `cbor:"Store"` // drawn by chance when it was made
 }
 
 // Store is an open file. One caller at a time.
 type Store struct {
-	db    *bbolt.DB
-	path  string
-	who   Identity
-	stamp consensus.Stamp
-	late  consensus.Batch // of what may wait: goes with the next that may not
+	db       *bbolt.DB
+	path     string
+	identity Identity
+	version  consensus.StoreVersion
+	deferred consensus.Batch // of what may wait: goes with the next that may not
 }
 
-// Found makes the store of a member of a new fleet, or of a fleet that is founded anew under a higher epoch: each of its members
+// Bootstrap makes the store of a member of a new fleet, or of a fleet that is founded anew under a higher epoch: each of its members
 // does, with the same members. It is an operator's word. A file that is there already is an error.
-func Found(path, fleet string, epoch, id uint64, members []uint64) error {
+func Bootstrap(path, fleet string, epoch, id uint64, members []uint64) error {
 	is := false
 	for _, m := range members {
 		is = is || m == id
@@ -92,12 +92,12 @@
 	if err := f.Close(); err != nil {
 		return err
 	}
-	db, err := open(path)
+	db, err := openDB(path)
 	if err != nil {
 		return err
 	}
-	s := &Store{db: db, path: path, who: Identity{format, fleet, epoch, id, chance()}}
-	s.stamp.Store = s.who.Store
+	s := &Store{db: db, path: path, identity: Identity{formatVersion, fleet, epoch, id, randomID()}}
+	s.version.StoreID = s.identity.StoreID
 	err = s.update(func(tx *bbolt.Tx) error {
 		for _, b := range [][]byte{metaBucket, logBucket, peersBucket} {
 			if _, err := tx.CreateBucket(b); err != nil {
@@ -105,41 +105,41 @@
 			}
 		}
 		meta := tx.Bucket(metaBucket)
-		errs := []error{putCBOR(meta, identityKey, s.who), putCBOR(meta, stampKey, s.stamp)}
+		errs := []error{putCBOR(meta, identityKey, s.identity), putCBOR(meta, versionKey, s.version)}
 		if snap != nil {
 			hard := &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
-			errs = append(errs, putProto(meta, hardKey, hard), putProto(meta, snapshotKey, snap))
+			errs = append(errs, putProto(meta, hardStateKey, hard), putProto(meta, snapshotKey, snap))
 		}
 		return errors.Join(errs...)
 	})
 	return errors.Join(err, db.Close())
 }
 
-// chance draws a number above 0.
-func chance() uint64 {
+// randomID draws a number above 0.
+func randomID() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-func open(path string) (db *bbolt.DB, err error) {
-	defer damaged(path, &err)
-	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWait, FreelistType: bbolt.FreelistMapType})
+func openDB(path string) (db *bbolt.DB, err error) {
+	defer recoverDamage(path, &err)
+	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 	switch {
 	case errors.Is(err, berrors.ErrTimeout):
-		return nil, StoreHeld{path}
+		return nil, LockedError{path}
 	case errors.Is(err, os.ErrPermission):
 		return nil, fmt.Errorf("consensus: %w", err)
 	case err != nil:
-		return nil, StoreDamaged{path, err.Error()}
+		return nil, DamagedError{path, err.Error()}
 	}
 	return db, nil
 }
 
-// damaged turns what bbolt panics of into an error: it maps the file, so that one cut short is a fault of memory.
-func damaged(path string, err *error) {
+// recoverDamage turns what bbolt panics of into an error: it maps the file, so that one cut short is a fault of memory.
+func recoverDamage(path string, err *error) {
 	if r := recover(); r != nil {
-		*err = StoreDamaged{path, fmt.Sprint(r)}
+		*err = DamagedError{path, fmt.Sprint(r)}
 	}
 }
 
@@ -147,18 +147,18 @@
 // StoreOfAnotherFleet, StoreOfAnotherNode, StoreNewer, StoreDamaged, DiskFull.
 func Open(path, fleet string, epoch, id uint64) (s *Store, state consensus.State, err error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		return nil, state, StoreMissing{path}
+		return nil, state, MissingError{path}
 	}
-	db, err := open(path)
+	db, err := openDB(path)
 	if err != nil {
 		return nil, state, err
 	}
 	s = &Store{db: db, path: path}
 	if err = s.load(&state, fleet, epoch, id); err == nil {
-		s.stamp.Start++
-		s.stamp.Nonce = chance()
-		state.Stamp = s.stamp
-		err = s.update(func(tx *bbolt.Tx) error { return putCBOR(tx.Bucket(metaBucket), stampKey, s.stamp) })
+		s.version.Incarnation++
+		s.version.Nonce = randomID()
+		state.Version = s.version
+		err = s.update(func(tx *bbolt.Tx) error { return putCBOR(tx.Bucket(metaBucket), versionKey, s.version) })
 	}
 	if err != nil {
 		return nil, consensus.State{}, errors.Join(err, db.Close())
@@ -167,9 +167,9 @@
 }
 
 func (s *Store) load(state *consensus.State, fleet string, epoch, id uint64) (err error) {
-	defer damaged(s.path, &err)
+	defer recoverDamage(s.path, &err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	bad := func(format string, args ...any) error { return StoreDamaged{s.path, fmt.Sprintf(format, args...)} }
+	bad := func(format string, args ...any) error { return DamagedError{s.path, fmt.Sprintf(format, args...)} }
 	return s.db.View(func(tx *bbolt.Tx) error {
 		meta, log, peers := tx.Bucket(metaBucket), tx.Bucket(logBucket), tx.Bucket(peersBucket)
 		if meta == nil || log == nil || peers == nil {
@@ -180,7 +180,7 @@
 			if v == nil {
 				return bad("it has no %s", k)
 			}
-			if v, ok := unsum(k, v); !ok {
+			if v, ok := verifyRecord(k, v); !ok {
 				return bad("the sum of record %q is wrong", k)
 			} else if err := take(v); err != nil {
 				return bad("record %q: %v", k, err)
@@ -191,30 +191,30 @@
 		intoProto := func(m proto.Message) func([]byte) error {
 			return func(b []byte) error { return proto.Unmarshal(b, m) }
 		}
-		if err := get(meta, identityKey, into(&s.who)); err != nil {
+		if err := get(meta, identityKey, into(&s.identity)); err != nil {
 			return err
 		}
-		switch w := s.who; {
-		case w.Format > format:
-			return StoreNewer{s.path, w.Format}
+		switch w := s.identity; {
+		case w.Format > formatVersion:
+			return NewerFormatError{s.path, w.Format}
 		case w.Fleet != fleet || w.Epoch != epoch:
-			return StoreOfAnotherFleet{s.path, w.Fleet, w.Epoch}
+			return FleetMismatchError{s.path, w.Fleet, w.Epoch}
 		case w.ID != id:
-			return StoreOfAnotherNode{s.path, w.ID}
+			return NodeMismatchError{s.path, w.ID}
 		}
-		if err := get(meta, stampKey, into(&s.stamp)); err != nil {
+		if err := get(meta, versionKey, into(&s.version)); err != nil {
 			return err
 		}
-		if s.stamp.Store != s.who.Store {
+		if s.version.StoreID != s.identity.StoreID {
 			return bad("its stamp is of another store")
 		}
-		if meta.Get(hardKey) != nil {
-			state.Hard = &pb.HardState{}
-			if err := get(meta, hardKey, intoProto(state.Hard)); err != nil {
+		if meta.Get(hardStateKey) != nil {
+			state.HardState = &pb.HardState{}
+			if err := get(meta, hardStateKey, intoProto(state.HardState)); err != nil {
 				return err
 			}
 		}
-		for k, v := range map[string]any{string(cutKey): &state.Cut, string(sureKey): &state.Sure} {
+		for k, v := range map[string]any{string(truncationSilenceKey): &state.TruncationSilence, string(acknowledgedIndexKey): &state.AcknowledgedIndex} {
 			if meta.Get([]byte(k)) != nil {
 				if err := get(meta, []byte(k), into(v)); err != nil {
 					return err
@@ -244,19 +244,19 @@
 		if err != nil {
 			return err
 		}
-		if state.Hard.GetCommit() >= next {
-			return bad("entry %d was committed, the last is %d", state.Hard.GetCommit(), next-1)
+		if state.HardState.GetCommit() >= next {
+			return bad("entry %d was committed, the last is %d", state.HardState.GetCommit(), next-1)
 		}
-		state.Peers = map[uint64]consensus.Stamp{}
+		state.PeerVersions = map[uint64]consensus.StoreVersion{}
 		return peers.ForEach(func(k, _ []byte) error {
-			var st consensus.Stamp
+			var st consensus.StoreVersion
 			if err := get(peers, k, into(&st)); err != nil {
 				return err
 			}
 			if len(k) != 8 {
 				return bad("a peer's number of %d bytes", len(k))
 			}
-			state.Peers[binary.BigEndian.Uint64(k)] = st
+			state.PeerVersions[binary.BigEndian.Uint64(k)] = st
 			return nil
 		})
 	})
@@ -267,44 +267,44 @@
 // error the store must not be used any more, for it is not known what it holds: StoreDamaged, DiskFull.
 func (s *Store) Write(batch *consensus.Batch) error {
 	b := *batch
-	if b.Hard == nil {
-		b.Hard = s.late.Hard
+	if b.HardState == nil {
+		b.HardState = s.deferred.HardState
 	}
-	if b.Cut == nil {
-		b.Cut = s.late.Cut
+	if b.TruncationSilence == nil {
+		b.TruncationSilence = s.deferred.TruncationSilence
 	}
-	if len(s.late.Peers) > 0 {
-		peers := maps.Clone(s.late.Peers)
-		maps.Copy(peers, b.Peers)
-		b.Peers = peers
+	if len(s.deferred.PeerVersions) > 0 {
+		peers := maps.Clone(s.deferred.PeerVersions)
+		maps.Copy(peers, b.PeerVersions)
+		b.PeerVersions = peers
 	}
 	if !b.Sync && len(b.Entries) == 0 && b.Snapshot == nil {
-		s.late = b
+		s.deferred = b
 		return nil
 	}
-	s.late = consensus.Batch{}
+	s.deferred = consensus.Batch{}
 	return s.commit(&b)
 }
 
 func (s *Store) commit(b *consensus.Batch) error {
-	s.stamp.Seq = b.Seq
+	s.version.WriteSeq = b.WriteSeq
 	return s.update(func(tx *bbolt.Tx) error {
 		meta, log, peers := tx.Bucket(metaBucket), tx.Bucket(logBucket), tx.Bucket(peersBucket)
-		if err := putCBOR(meta, stampKey, s.stamp); err != nil {
+		if err := putCBOR(meta, versionKey, s.version); err != nil {
 			return err
 		}
-		if b.Hard != nil {
-			if err := putProto(meta, hardKey, b.Hard); err != nil {
+		if b.HardState != nil {
+			if err := putProto(meta, hardStateKey, b.HardState); err != nil {
 				return err
 			}
 		}
-		if b.Sure > 0 {
-			if err := putCBOR(meta, sureKey, b.Sure); err != nil {
+		if b.AcknowledgedIndex > 0 {
+			if err := putCBOR(meta, acknowledgedIndexKey, b.AcknowledgedIndex); err != nil {
 				return err
 			}
 		}
-		if b.Cut != nil {
-			if err := putCBOR(meta, cutKey, *b.Cut); err != nil {
+		if b.TruncationSilence != nil {
+			if err := putCBOR(meta, truncationSilenceKey, *b.TruncationSilence); err != nil {
 				return err
 			}
 		}
@@ -313,7 +313,7 @@
 				return err
 			}
 			c := log.Cursor()
-			for k, _ := c.First(); k != nil && (b.Reset || binary.BigEndian.Uint64(k) <= b.Snapshot.GetMetadata().GetIndex()); k, _ = c.First() {
+			for k, _ := c.First(); k != nil && (b.ReplaceLog || binary.BigEndian.Uint64(k) <= b.Snapshot.GetMetadata().GetIndex()); k, _ = c.First() {
 				if err := c.Delete(); err != nil {
 					return err
 				}
@@ -332,7 +332,7 @@
 				return err
 			}
 		}
-		for id, st := range b.Peers {
+		for id, st := range b.PeerVersions {
 			if err := putCBOR(peers, binary.BigEndian.AppendUint64(nil, id), st); err != nil {
 				return err
 			}
@@ -342,14 +342,14 @@
 }
 
 func (s *Store) update(f func(*bbolt.Tx) error) (err error) {
-	defer damaged(s.path, &err)
+	defer recoverDamage(s.path, &err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	err = s.db.Update(f)
 	if err != nil {
 		for _, full := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG} {
 			// bbolt hands on what it is told when the file is to grow as text alone.
 			if errors.Is(err, full) || strings.Contains(err.Error(), full.Error()) {
-				return DiskFull{s.path, err}
+				return DiskFullError{s.path, err}
 			}
 		}
 		return fmt.Errorf("consensus: writing %s: %w", s.path, err)
@@ -358,31 +358,31 @@
 }
 
 // Identity is whose store it is.
-func (s *Store) Identity() Identity { return s.who }
+func (s *Store) Identity() Identity { return s.identity }
 
 // Close writes what waited, and ends the store.
 func (s *Store) Close() error {
 	var err error
-	if !s.late.Empty() {
-		s.late.Seq = s.stamp.Seq
-		err = s.commit(&s.late)
+	if !s.deferred.Empty() {
+		s.deferred.WriteSeq = s.version.WriteSeq
+		err = s.commit(&s.deferred)
 	}
 	return errors.Join(err, s.db.Close())
 }
 
-func sum(k, v []byte) uint64 {
+func checksum(k, v []byte) uint64 {
 	h := xxh3.New()
 	_, _ = h.Write(k)
 	_, _ = h.Write(v)
 	return h.Sum64()
 }
 
-func putSummed(b *bbolt.Bucket, k, v []byte) error {
-	return b.Put(k, append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(v)), sum(k, v)), v...))
+func putRecord(b *bbolt.Bucket, k, v []byte) error {
+	return b.Put(k, append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(v)), checksum(k, v)), v...))
 }
 
-func unsum(k, v []byte) ([]byte, bool) {
-	if len(v) < 8 || binary.BigEndian.Uint64(v) != sum(k, v[8:]) {
+func verifyRecord(k, v []byte) ([]byte, bool) {
+	if len(v) < 8 || binary.BigEndian.Uint64(v) != checksum(k, v[8:]) {
 		return nil, false
 	}
 	return append([]byte{}, v[8:]...), true // bbolt's bytes do not outlive the transaction
@@ -393,7 +393,7 @@
 	if err != nil {
 		return err
 	}
-	return putSummed(b, k, data)
+	return putRecord(b, k, data)
 }
 
 func putProto(b *bbolt.Bucket, k []byte, m proto.Message) error {
@@ -401,5 +401,5 @@
 	if err != nil {
 		return err
 	}
-	return putSummed(b, k, data)
+	return putRecord(b, k, data)
 }
--- a/internal/consensus/storage/store_test.go
+++ b/internal/consensus/storage/store_test.go
@@ -29,7 +29,7 @@
 
 func made(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "log")
-	if err := storage.Found(path, "f", 1, 2, []uint64{1, 2, 3}); err != nil {
+	if err := storage.Bootstrap(path, "f", 1, 2, []uint64{1, 2, 3}); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -38,23 +38,23 @@
 func TestWhatWasWrittenIsThere(t *testing.T) {
 	path := made(t)
 	s, st, err := storage.Open(path, "f", 1, 2)
-	if err != nil || st.Stamp.Start != 1 || len(st.Snapshot.GetMetadata().GetConfState().GetVoters()) != 3 {
+	if err != nil || st.Version.Incarnation != 1 || len(st.Snapshot.GetMetadata().GetConfState().GetVoters()) != 3 {
 		t.Fatal(st, err)
 	}
 	for _, b := range []consensus.Batch{
-		{Seq: 1, Hard: &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(2)), Commit: new(uint64(1))},
+		{WriteSeq: 1, HardState: &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(2)), Commit: new(uint64(1))},
 			Entries: []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}, Sync: true},
-		{Seq: 2, Entries: []*pb.Entry{entry(3, 3, "B")}, Peers: map[uint64]consensus.Stamp{3: {Store: 7, Start: 1, Nonce: 2, Seq: 9}}, Sync: true,
-			Cut: new(true), Sure: 3},
-		{Seq: 2, Snapshot: &pb.Snapshot{Data: []byte("s"), Metadata: &pb.SnapshotMetadata{Index: new(uint64(2)), Term: new(uint64(2)), ConfState: &pb.ConfState{}}}},
-		{Seq: 2, Hard: &pb.HardState{Term: new(uint64(3)), Vote: new(uint64(2)), Commit: new(uint64(3))}, // may wait, for Close at last
-			Peers: map[uint64]consensus.Stamp{1: {Store: 5, Start: 1, Nonce: 2, Seq: 4}}},
+		{WriteSeq: 2, Entries: []*pb.Entry{entry(3, 3, "B")}, PeerVersions: map[uint64]consensus.StoreVersion{3: {StoreID: 7, Incarnation: 1, Nonce: 2, WriteSeq: 9}}, Sync: true,
+			TruncationSilence: new(true), AcknowledgedIndex: 3},
+		{WriteSeq: 2, Snapshot: &pb.Snapshot{Data: []byte("s"), Metadata: &pb.SnapshotMetadata{Index: new(uint64(2)), Term: new(uint64(2)), ConfState: &pb.ConfState{}}}},
+		{WriteSeq: 2, HardState: &pb.HardState{Term: new(uint64(3)), Vote: new(uint64(2)), Commit: new(uint64(3))}, // may wait, for Close at last
+			PeerVersions: map[uint64]consensus.StoreVersion{1: {StoreID: 5, Incarnation: 1, Nonce: 2, WriteSeq: 4}}},
 	} {
 		if err := s.Write(&b); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, _, err := storage.Open(path, "f", 1, 2); !errors.As(err, &storage.StoreHeld{}) {
+	if _, _, err := storage.Open(path, "f", 1, 2); !errors.As(err, &storage.LockedError{}) {
 		t.Errorf("held: %v", err)
 	}
 	if err := s.Close(); err != nil {
@@ -65,12 +65,12 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if got.Stamp.Start != 2 || got.Stamp.Seq != 2 || got.Stamp.Store != st.Stamp.Store || got.Hard.GetVote() != 2 || len(got.Entries) != 1 ||
-		string(got.Entries[0].GetData()) != "B" || string(got.Snapshot.GetData()) != "s" || got.Peers[3].Seq != 9 ||
-		got.Peers[1].Seq != 4 || !got.Cut || got.Sure != 3 || got.Hard.GetCommit() != 3 {
+	if got.Version.Incarnation != 2 || got.Version.WriteSeq != 2 || got.Version.StoreID != st.Version.StoreID || got.HardState.GetVote() != 2 || len(got.Entries) != 1 ||
+		string(got.Entries[0].GetData()) != "B" || string(got.Snapshot.GetData()) != "s" || got.PeerVersions[3].WriteSeq != 9 ||
+		got.PeerVersions[1].WriteSeq != 4 || !got.TruncationSilence || got.AcknowledgedIndex != 3 || got.HardState.GetCommit() != 3 {
 		t.Errorf("got %+v", got)
 	}
-	if err := s.Write(&consensus.Batch{Seq: 3, Reset: true, Sync: true,
+	if err := s.Write(&consensus.Batch{WriteSeq: 3, ReplaceLog: true, Sync: true,
 		Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: new(uint64(9)), Term: new(uint64(3)), ConfState: &pb.ConfState{}}}}); err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		k := []byte("identity")
-		v, err := cbor.Marshal(storage.Identity{Format: 99, Fleet: "f", Epoch: 1, ID: 2, Store: 1})
+		v, err := cbor.Marshal(storage.Identity{Format: 99, Fleet: "f", Epoch: 1, ID: 2, StoreID: 1})
 		if err != nil {
 			return err
 		}
@@ -108,13 +108,13 @@
 		id    uint64
 		want  any
 	}{
-		{"another fleet", nil, "g", 1, 2, &storage.StoreOfAnotherFleet{}},
-		{"another epoch", nil, "f", 2, 2, &storage.StoreOfAnotherFleet{}},
-		{"another steward", nil, "f", 1, 3, &storage.StoreOfAnotherNode{}},
-		{"of a newer version", newer, "f", 1, 2, &storage.StoreNewer{}},
-		{"gone", os.Remove, "f", 1, 2, &storage.StoreMissing{}},
-		{"cut short", func(p string) error { return os.Truncate(p, 5000) }, "f", 1, 2, &storage.StoreDamaged{}},
-		{"empty", func(p string) error { return os.Truncate(p, 0) }, "f", 1, 2, &storage.StoreDamaged{}},
+		{"another fleet", nil, "g", 1, 2, &storage.FleetMismatchError{}},
+		{"another epoch", nil, "f", 2, 2, &storage.FleetMismatchError{}},
+		{"another steward", nil, "f", 1, 3, &storage.NodeMismatchError{}},
+		{"of a newer version", newer, "f", 1, 2, &storage.NewerFormatError{}},
+		{"gone", os.Remove, "f", 1, 2, &storage.MissingError{}},
+		{"cut short", func(p string) error { return os.Truncate(p, 5000) }, "f", 1, 2, &storage.DamagedError{}},
+		{"empty", func(p string) error { return os.Truncate(p, 0) }, "f", 1, 2, &storage.DamagedError{}},
 		{"spoilt", func(p string) error {
 			b, err := os.ReadFile(p)
 			if err == nil {
@@ -122,7 +122,7 @@
 				err = os.WriteFile(p, b, 0o600)
 			}
 			return err
-		}, "f", 1, 2, &storage.StoreDamaged{}},
+		}, "f", 1, 2, &storage.DamagedError{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := made(t)
@@ -155,13 +155,13 @@
 		}
 		s, st, err := storage.Open(path, "f", 1, 2)
 		if err != nil {
-			if !errors.As(err, &storage.StoreDamaged{}) {
+			if !errors.As(err, &storage.DamagedError{}) {
 				t.Fatalf("byte %d: %v", at, err)
 			}
 			found++
 			continue
 		}
-		if len(st.Snapshot.GetMetadata().GetConfState().GetVoters()) != 3 || st.Hard.GetTerm() != 1 || st.Stamp.Start != 1 {
+		if len(st.Snapshot.GetMetadata().GetConfState().GetVoters()) != 3 || st.HardState.GetTerm() != 1 || st.Version.Incarnation != 1 {
 			t.Fatalf("byte %d: %+v", at, st)
 		}
 		if err := s.Close(); err != nil {
@@ -183,9 +183,9 @@
 			t.Fatal(err)
 		}
 		for i := range uint64(20) {
-			b := consensus.Batch{Seq: i + 1, Sync: true, Entries: []*pb.Entry{entry(i+2, 1, strings.Repeat("x", 20_000))}}
+			b := consensus.Batch{WriteSeq: i + 1, Sync: true, Entries: []*pb.Entry{entry(i+2, 1, strings.Repeat("x", 20_000))}}
 			if err := s.Write(&b); err != nil {
-				if !errors.As(err, &storage.DiskFull{}) || operatorerror.Of(err) == "" {
+				if !errors.As(err, &storage.DiskFullError{}) || operatorerror.Of(err) == "" {
 					t.Errorf("got %v", err)
 				}
 				fmt.Println("refused after", i)
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -17,15 +17,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// list is a Machine: it appends each command's number, and replies with how many there are.
-type list struct{ all []uint64 }
+// numberList is a Machine: it appends each command's number, and replies with how many there are.
+type numberList struct{ all []uint64 }
 
-func (l *list) Apply(_ uint64, command []byte) []byte {
+func (l *numberList) Apply(_ uint64, command []byte) []byte {
 	l.all = append(l.all, binary.BigEndian.Uint64(command))
 	return binary.BigEndian.AppendUint64(nil, uint64(len(l.all)))
 }
 
-func (l *list) Snapshot() ([]byte, error) {
+func (l *numberList) Snapshot() ([]byte, error) {
 	var b []byte
 	for _, n := range l.all {
 		b = binary.BigEndian.AppendUint64(b, n)
@@ -33,7 +33,7 @@
 	return b, nil
 }
 
-func (l *list) Restore(b []byte) error {
+func (l *numberList) Restore(b []byte) error {
 	l.all = nil
 	for ; len(b) >= 8; b = b[8:] {
 		l.all = append(l.all, binary.BigEndian.Uint64(b))
@@ -41,63 +41,63 @@
 	return nil
 }
 
-// founded is the store of a member of a new fleet.
-func founded(members []uint64, store uint64) State {
-	return State{Stamp: Stamp{Store: store}, Hard: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1)), Vote: new(uint64(0))},
+// bootstrappedState is the store of a member of a new fleet.
+func bootstrappedState(members []uint64, store uint64) State {
+	return State{Version: StoreVersion{StoreID: store}, HardState: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1)), Vote: new(uint64(0))},
 		Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: pb.EnsureConfState(&pb.ConfState{Voters: members}),
 			Index: new(uint64(1)), Term: new(uint64(1))}}}
 }
 
-// write is what a store does with a batch; the old state stays as it was.
-func write(s State, b Batch) State {
-	s.Stamp.Seq = b.Seq
-	if b.Hard != nil {
-		s.Hard = b.Hard
+// applyBatch is what a store does with a batch; the old state stays as it was.
+func applyBatch(s State, b Batch) State {
+	s.Version.WriteSeq = b.WriteSeq
+	if b.HardState != nil {
+		s.HardState = b.HardState
 	}
 	s.Entries = slices.Clone(s.Entries)
 	if b.Snapshot != nil {
 		s.Snapshot = b.Snapshot
-		s.Entries = slices.DeleteFunc(s.Entries, func(e *pb.Entry) bool { return b.Reset || e.GetIndex() <= b.Snapshot.GetMetadata().GetIndex() })
+		s.Entries = slices.DeleteFunc(s.Entries, func(e *pb.Entry) bool { return b.ReplaceLog || e.GetIndex() <= b.Snapshot.GetMetadata().GetIndex() })
 	}
 	if len(b.Entries) > 0 {
 		from := b.Entries[0].GetIndex()
 		s.Entries = slices.DeleteFunc(s.Entries, func(e *pb.Entry) bool { return e.GetIndex() >= from })
 		s.Entries = append(s.Entries, b.Entries...)
 	}
-	s.Peers = maps.Clone(s.Peers)
-	if s.Peers == nil {
-		s.Peers = map[uint64]Stamp{}
+	s.PeerVersions = maps.Clone(s.PeerVersions)
+	if s.PeerVersions == nil {
+		s.PeerVersions = map[uint64]StoreVersion{}
 	}
-	maps.Copy(s.Peers, b.Peers)
-	if b.Cut != nil {
-		s.Cut = *b.Cut
+	maps.Copy(s.PeerVersions, b.PeerVersions)
+	if b.TruncationSilence != nil {
+		s.TruncationSilence = *b.TruncationSilence
 	}
-	if b.Sure > 0 {
-		s.Sure = b.Sure
+	if b.AcknowledgedIndex > 0 {
+		s.AcknowledgedIndex = b.AcknowledgedIndex
 	}
 	return s
 }
 
-// flaws of a world that a check must convict.
-type flaws struct {
-	sendFirst bool // what goes out does not wait for the disk
-	unguarded bool // no silence after a start, no look at stamps
-	anyStart  bool // late messages of former starts count
-	lazy      bool // what is remembered of others may be forgotten
-	rollback  bool // no flaw of the code: an older store is put back
-	uncut     bool // no silence after a cut
-	unchained bool // no look at digests
-	away      bool // no flaw of the code: who knows that a store is old is away for longer than the silence
+// mutations of a world that a check must convict.
+type mutations struct {
+	sendBeforeSync           bool // what goes out does not wait for the disk
+	skipStoreChecks          bool // no silence after a start, no look at stamps
+	acceptFormerIncarnations bool // late messages of former starts count
+	deferWitnessWrites       bool // what is remembered of others may be forgotten
+	restoreOldStore          bool // no flaw of the code: an older store is put back
+	skipTruncationSilence    bool // no silence after a cut
+	skipDigestChecks         bool // no look at digests
+	partitionWitnesses       bool // no flaw of the code: who knows that a store is old is away for longer than the silence
 }
 
-type vnode struct {
+type simulatedNode struct {
 	id       uint64
 	core     *Core
-	machine  *list
+	machine  *numberList
 	seen     int // applied when it was last held against the others
 	disk     State
 	copies   []State
-	writing  *Output
+	writing  *Ready
 	done     int // when it is on disk
 	sent     bool
 	pausedTo int
@@ -112,47 +112,47 @@
 	m  Message
 }
 
-type op struct {
+type operation struct {
 	read      bool
 	value     uint64
 	call, end int // end 0: nobody knows
 	result    uint64
 }
 
-// told is an acknowledged command as a grant: it is alive until a lease after it was asked for.
-type told struct {
+// liveGrant is an acknowledged command as a grant: it is alive until a lease after it was asked for.
+type liveGrant struct {
 	from, until int
 	history     []uint64 // up to it
 }
 
-type world struct {
-	rng     *rand.Rand
-	now     int
-	nodes   []*vnode
-	net     []packet
-	cut     map[[2]uint64]int // until
-	loss    float64
-	ops     []*op
-	flaws   flaws
-	rolled  uint64
-	longest []uint64
-	told    []told
-	led     bool // somebody has
-	hushed  bool
-	without int // ticks without a leader since then
-	cuts    int // of logs, below what was confirmed
-	calm    bool
-	idle    bool // no clients
-	wrong   error
+type simulation struct {
+	rng             *rand.Rand
+	now             int
+	nodes           []*simulatedNode
+	inTransit       []packet
+	cut             map[[2]uint64]int // until
+	loss            float64
+	operations      []*operation
+	mutations       mutations
+	rolledBack      uint64
+	longest         []uint64
+	grants          []liveGrant
+	hadLeader       bool // somebody has
+	hideCommits     bool
+	leaderlessTicks int // ticks without a leader since then
+	truncations     int // of logs, below what was confirmed
+	calm            bool
+	idle            bool // no clients
+	violation       error
 }
 
 const (
-	spell   = 220 // ticks of faults
-	silence = 200
+	faultTicks   = 220 // ticks of faults
+	silenceTicks = 200
 )
 
-func newWorld(seed uint64, f flaws) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 24)), cut: map[[2]uint64]int{}, flaws: f}
+func newSimulation(seed uint64, f mutations) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 24)), cut: map[[2]uint64]int{}, mutations: f}
 	n := uint64(3)
 	if seed%4 == 3 {
 		n = 5
@@ -162,64 +162,64 @@
 		ids = append(ids, id+1)
 	}
 	for _, id := range ids {
-		v := &vnode{id: id, disk: founded(ids, w.rng.Uint64())}
+		v := &simulatedNode{id: id, disk: bootstrappedState(ids, w.rng.Uint64())}
 		w.nodes = append(w.nodes, v)
 		w.start(v)
 	}
 	return w
 }
 
-func (w *world) start(v *vnode) {
-	v.disk.Stamp.Start++ // on disk before all else
-	v.disk.Stamp.Nonce = w.rng.Uint64()
-	v.machine, v.writing, v.backAt, v.inbox, v.inflight, v.err = &list{}, nil, 0, nil, map[uint64]int{}, nil
-	set := Settings{Fleet: "f", Epoch: 1, ID: v.id, Nonce: v.disk.Stamp.Nonce, SilenceTicks: silence, CompactBytes: 200, MaxMessage: 300,
-		MaxInflight: 4, MaxWaiting: 8, unguarded: w.flaws.unguarded, anyStart: w.flaws.anyStart, lazy: w.flaws.lazy,
-		uncut: w.flaws.uncut, unchained: w.flaws.unchained}
+func (w *simulation) start(v *simulatedNode) {
+	v.disk.Version.Incarnation++ // on disk before all else
+	v.disk.Version.Nonce = w.rng.Uint64()
+	v.machine, v.writing, v.backAt, v.inbox, v.inflight, v.err = &numberList{}, nil, 0, nil, map[uint64]int{}, nil
+	set := Config{Fleet: "f", Epoch: 1, ID: v.id, Nonce: v.disk.Version.Nonce, SilenceTicks: silenceTicks, CompactionBytes: 200, MaxMessageBytes: 300,
+		MaxInflightMessages: 4, MaxPendingRequests: 8, skipStoreChecks: w.mutations.skipStoreChecks, acceptFormerIncarnations: w.mutations.acceptFormerIncarnations, deferWitnessWrites: w.mutations.deferWitnessWrites,
+		skipTruncationSilence: w.mutations.skipTruncationSilence, skipDigestChecks: w.mutations.skipDigestChecks}
 	state := v.disk
 	state.Entries = slices.Clone(state.Entries)
 	if v.core, v.err = New(set, state, v.machine); v.err != nil {
-		w.convict("start of %d: %v", v.id, v.err)
+		w.fail("start of %d: %v", v.id, v.err)
 	}
 }
 
-func (w *world) convict(format string, args ...any) {
-	if w.wrong == nil {
-		w.wrong = fmt.Errorf("at %d: %s", w.now, fmt.Sprintf(format, args...))
+func (w *simulation) fail(format string, args ...any) {
+	if w.violation == nil {
+		w.violation = fmt.Errorf("at %d: %s", w.now, fmt.Sprintf(format, args...))
 	}
 }
 
-// fell takes an error of a core: one that is out by right is out, any other is a conviction.
-func (w *world) fell(v *vnode, err error) {
-	if errors.As(err, &StoreRolledBack{}) && v.id == w.rolled || errors.As(err, &LogContradicts{}) && w.flaws.away {
+// coreFailed takes an error of a core: one that is out by right is out, any other is a conviction.
+func (w *simulation) coreFailed(v *simulatedNode, err error) {
+	if errors.As(err, &StoreRolledBackError{}) && v.id == w.rolledBack || errors.As(err, &LogConflictError{}) && w.mutations.partitionWitnesses {
 		return
 	}
 	if v.core.Err() != nil {
-		w.convict("%d: %v", v.id, err)
+		w.fail("%d: %v", v.id, err)
 	}
 }
 
-func (w *world) crash(v *vnode) {
-	w.cuts += v.core.Status().Cuts
+func (w *simulation) crash(v *simulatedNode) {
+	w.truncations += v.core.Status().Truncations
 	if v.writing != nil && w.rng.IntN(2) == 0 {
-		w.land(v)
+		w.persistBatch(v)
 	}
-	if w.flaws.rollback && w.rolled == 0 && len(v.copies) > 0 && w.rng.IntN(2) == 0 && w.now > spell/6 {
-		w.rolled = v.id
+	if w.mutations.restoreOldStore && w.rolledBack == 0 && len(v.copies) > 0 && w.rng.IntN(2) == 0 && w.now > faultTicks/6 {
+		w.rolledBack = v.id
 		v.disk = v.copies[w.rng.IntN(len(v.copies))]
 	}
 	v.core, v.writing = nil, nil
 	v.backAt = w.now + 3 + w.rng.IntN(30)
 }
 
-func (w *world) land(v *vnode) {
+func (w *simulation) persistBatch(v *simulatedNode) {
 	if !v.writing.Batch.Empty() {
-		v.disk = write(v.disk, v.writing.Batch)
+		v.disk = applyBatch(v.disk, v.writing.Batch)
 	}
 }
 
-func (w *world) faults() {
-	pick := func() *vnode { return w.nodes[w.rng.IntN(len(w.nodes))] }
+func (w *simulation) injectFaults() {
+	pick := func() *simulatedNode { return w.nodes[w.rng.IntN(len(w.nodes))] }
 	up := 0
 	for _, v := range w.nodes {
 		if v.core != nil && v.core.Err() == nil {
@@ -264,14 +264,14 @@
 }
 
 // send tells whether a message goes on its way.
-func (w *world) send(m Message) bool {
-	if len(w.net) > 500 { // where nothing is guarded there are storms
+func (w *simulation) send(m Message) bool {
+	if len(w.inTransit) > 500 { // where nothing is guarded there are storms
 		return false
 	}
 	if w.cut[[2]uint64{m.From, m.To}] > w.now || w.rng.Float64() < w.loss {
 		return false
 	}
-	if w.hushed && m.Raft.GetCommit() > 0 {
+	if w.hideCommits && m.Raft.GetCommit() > 0 {
 		m.Raft = proto.Clone(m.Raft).(*pb.Message)
 		m.Raft.Commit = new(uint64(0))
 	}
@@ -284,7 +284,7 @@
 		if w.rng.IntN(25) == 0 && !w.calm {
 			late += w.rng.IntN(90)
 		}
-		w.net = append(w.net, packet{w.now + late, m})
+		w.inTransit = append(w.inTransit, packet{w.now + late, m})
 		if times > 1 && m.Raft != nil {
 			m.Raft = proto.Clone(m.Raft).(*pb.Message)
 		}
@@ -292,18 +292,18 @@
 	return true
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now++
 	if !w.calm {
-		w.faults()
+		w.injectFaults()
 	}
-	leads := slices.ContainsFunc(w.nodes, func(v *vnode) bool {
+	leads := slices.ContainsFunc(w.nodes, func(v *simulatedNode) bool {
 		return v.core != nil && v.core.Err() == nil && v.core.Status().Role == "StateLeader"
 	})
-	if w.led = w.led || leads; w.led && !leads {
-		w.without++
+	if w.hadLeader = w.hadLeader || leads; w.hadLeader && !leads {
+		w.leaderlessTicks++
 	}
-	due, rest := w.net, w.net[:0]
+	due, rest := w.inTransit, w.inTransit[:0]
 	for _, p := range due {
 		if p.at > w.now {
 			rest = append(rest, p)
@@ -311,7 +311,7 @@
 			v.inbox = append(v.inbox, p.m)
 		}
 	}
-	w.net = rest
+	w.inTransit = rest
 	for _, v := range w.nodes {
 		switch {
 		case v.core == nil:
@@ -324,21 +324,21 @@
 		}
 		for _, m := range v.inbox {
 			if err := v.core.Step(m); err != nil {
-				w.fell(v, err)
+				w.coreFailed(v, err)
 			}
 		}
 		v.inbox = v.inbox[:0]
 		if w.rng.IntN(20) > 0 { // clocks drift
 			if err := v.core.Tick(); err != nil {
-				w.fell(v, err)
+				w.coreFailed(v, err)
 			}
 		}
-		w.client(v)
-		w.turn(v)
+		w.runClient(v)
+		w.runReady(v)
 	}
 }
 
-func (w *world) turn(v *vnode) {
+func (w *simulation) runReady(v *simulatedNode) {
 	for range 3 {
 		if v.writing == nil {
 			o, ok := v.core.Ready()
@@ -347,43 +347,43 @@
 			}
 			v.writing, v.done, v.sent = o, w.now+w.rng.IntN(3), false
 		}
-		if w.flaws.sendFirst && !v.sent {
+		if w.mutations.sendBeforeSync && !v.sent {
 			v.sent = true
-			w.effects(v)
+			w.sendOutbound(v)
 		}
 		if v.done > w.now {
 			return
 		}
-		w.land(v)
+		w.persistBatch(v)
 		if !v.sent {
-			w.effects(v)
+			w.sendOutbound(v)
 		}
 		v.writing = nil
 	}
 }
 
-func (w *world) effects(v *vnode) {
-	e, err := v.core.Done(v.writing)
+func (w *simulation) sendOutbound(v *simulatedNode) {
+	e, err := v.core.Advance(v.writing)
 	if err != nil {
-		w.fell(v, err)
+		w.coreFailed(v, err)
 	}
 	for _, m := range e.Messages {
 		if ok := w.send(m); m.Raft.GetType() == pb.MsgSnap {
-			v.core.SnapshotSent(m.To, ok)
+			v.core.ReportSnapshot(m.To, ok)
 		}
 	}
 	for _, r := range e.Replies {
-		o := w.ops[v.inflight[r.ID]]
+		o := w.operations[v.inflight[r.RequestID]]
 		switch {
 		case r.Err != nil:
 		case o.read:
 			o.end, o.result = w.now, uint64(len(v.machine.all))
 		default:
 			o.end, o.result = w.now, binary.BigEndian.Uint64(r.Data)
-			w.tell(told{w.now, o.call + silence, slices.Clone(v.machine.all[:o.result])})
+			w.recordGrant(liveGrant{w.now, o.call + silenceTicks, slices.Clone(v.machine.all[:o.result])})
 		}
 	}
-	if w.flaws.away {
+	if w.mutations.partitionWitnesses {
 		return // what is over may be lost
 	}
 	// All must have applied beginnings of one sequence.
@@ -391,38 +391,38 @@
 	if applied := len(v.machine.all); applied == v.seen {
 		return
 	} else if v.seen = applied; !slices.Equal(v.machine.all[:short], w.longest[:short]) {
-		w.convict("steward %d has applied %v, another %v", v.id, v.machine.all, w.longest)
+		w.fail("steward %d has applied %v, another %v", v.id, v.machine.all, w.longest)
 	}
 	if len(v.machine.all) > len(w.longest) {
 		w.longest = slices.Clone(v.machine.all)
 	}
 }
 
-// tell holds a grant against those that are alive with it: of each two, one must know the other.
-func (w *world) tell(g told) {
-	for _, o := range w.told {
+// recordGrant holds a grant against those that are alive with it: of each two, one must know the other.
+func (w *simulation) recordGrant(g liveGrant) {
+	for _, o := range w.grants {
 		if n := min(len(g.history), len(o.history)); o.until > g.from && o.from < g.until && !slices.Equal(g.history[:n], o.history[:n]) {
-			w.convict("of two grants that are alive neither knows the other: %v, %v", o.history, g.history)
+			w.fail("of two grants that are alive neither knows the other: %v, %v", o.history, g.history)
 		}
 	}
-	w.told = append(w.told, g)
+	w.grants = append(w.grants, g)
 }
 
-func (w *world) client(v *vnode) {
+func (w *simulation) runClient(v *simulatedNode) {
 	if w.idle || w.rng.IntN(8) > 0 {
 		return
 	}
-	id := uint64(len(w.ops) + 1)
-	o := &op{read: w.rng.IntN(3) == 0, value: id, call: w.now}
+	id := uint64(len(w.operations) + 1)
+	o := &operation{read: w.rng.IntN(3) == 0, value: id, call: w.now}
 	var err error
 	if o.read {
-		err = v.core.Read(id)
+		err = v.core.ReadIndex(id)
 	} else {
 		err = v.core.Propose(id, binary.BigEndian.AppendUint64(nil, id))
 	}
 	if err == nil {
-		v.inflight[id] = len(w.ops)
-		w.ops = append(w.ops, o)
+		v.inflight[id] = len(w.operations)
+		w.operations = append(w.operations, o)
 	}
 }
 
@@ -438,18 +438,18 @@
 }
 
 // check holds the history against the list: nothing that was acknowledged is lost, and what came after came after.
-func (w *world) check() {
+func (w *simulation) check() {
 	at := map[uint64]uint64{}
 	for i, n := range w.longest {
 		if at[n] > 0 {
-			w.convict("command %d was applied twice", n)
+			w.fail("command %d was applied twice", n)
 		}
 		at[n] = uint64(i + 1)
 	}
 	var history []porcupine.Operation
-	for i, o := range w.ops {
+	for i, o := range w.operations {
 		if o.end > 0 && !o.read && at[o.value] != o.result {
-			w.convict("command %d was acknowledged as number %d, and is number %d", o.value, o.result, at[o.value])
+			w.fail("command %d was acknowledged as number %d, and is number %d", o.value, o.result, at[o.value])
 		}
 		h := porcupine.Operation{ClientId: i, Input: o.read, Call: int64(o.call), Output: o.result, Return: int64(o.end)}
 		switch {
@@ -462,19 +462,19 @@
 		history = append(history, h)
 	}
 	if porcupine.CheckOperationsTimeout(model, history, 5*time.Second) != porcupine.Ok {
-		w.convict("the history of %d operations is not linearizable", len(history))
+		w.fail("the history of %d operations is not linearizable", len(history))
 	}
 }
 
-// play runs a world: a spell of faults, then all is whole, and commands must come through again.
-func play(t *testing.T, seed uint64, f flaws) *world {
+// runSimulation runs a world: a spell of faults, then all is whole, and commands must come through again.
+func runSimulation(t *testing.T, seed uint64, f mutations) *simulation {
 	cryptotest.SetGlobalRandom(t, seed)
-	w := newWorld(seed, f)
-	if f.away {
-		w.playAway(w.rng.IntN(4), w.rng.IntN(2) == 0)
+	w := newSimulation(seed, f)
+	if f.partitionWitnesses {
+		w.runRollbackWhilePartitioned(w.rng.IntN(4), w.rng.IntN(2) == 0)
 		return w
 	}
-	for w.now < spell && w.wrong == nil {
+	for w.now < faultTicks && w.violation == nil {
 		w.step()
 	}
 	w.calm, w.loss = true, 0
@@ -482,44 +482,44 @@
 	for _, v := range w.nodes {
 		v.pausedTo = 0
 	}
-	begun := len(w.ops)
+	begun := len(w.operations)
 	settled := func() bool {
 		for _, v := range w.nodes {
-			if v.core == nil || v.core.Err() == nil && (len(v.core.Status().Silent) > 0 || len(v.machine.all) < begun/8) {
+			if v.core == nil || v.core.Err() == nil && (len(v.core.Status().UnconfirmedPeers) > 0 || len(v.machine.all) < begun/8) {
 				return false
 			}
 		}
 		ended := 0
-		for _, o := range w.ops[begun:] {
+		for _, o := range w.operations[begun:] {
 			if o.end > 0 && !o.read {
 				ended++
 			}
 		}
 		return ended > 3
 	}
-	for i := 0; (i%8 > 0 || !settled()) && w.wrong == nil; i++ {
-		if i > 4*silence {
-			w.convict("nothing comes through though all is whole: %v", w.stand())
+	for i := 0; (i%8 > 0 || !settled()) && w.violation == nil; i++ {
+		if i > 4*silenceTicks {
+			w.fail("nothing comes through though all is whole: %v", w.describeNodes())
 		}
 		w.step()
 	}
 	w.check()
 	for _, v := range w.nodes {
 		if v.core != nil {
-			w.cuts += v.core.Status().Cuts
+			w.truncations += v.core.Status().Truncations
 		}
 	}
 	return w
 }
 
-// playAway has a store put back while those that would know it are away for longer than the silence, with a leader of any term on either
+// runRollbackWhilePartitioned has a store put back while those that would know it are away for longer than the silence, with a leader of any term on either
 // side. Who finds that all can't be true may go out; two grants that are alive must know each other, and those that are left
 // must agree, and go on if they are a majority.
 //
 // Those that are away come to so many terms more before; and hushed is that nobody hears meanwhile that what it acknowledged is committed.
-func (w *world) playAway(terms int, hushed bool) {
+func (w *simulation) runRollbackWhilePartitioned(terms int, hushed bool) {
 	steps := func(n int) {
-		for end := w.now + n; w.now < end && w.wrong == nil; {
+		for end := w.now + n; w.now < end && w.violation == nil; {
 			w.step()
 		}
 	}
@@ -553,12 +553,12 @@
 	for _, i := range away {
 		w.nodes[i].pausedTo = 1 << 30
 	}
-	w.rolled, old.disk = old.id, copied
+	w.rolledBack, old.disk = old.id, copied
 	w.start(old)
-	w.hushed = hushed
-	steps(silence + 20 + w.rng.IntN(80))
-	w.hushed = false
-	lead := slices.IndexFunc(w.nodes, func(v *vnode) bool {
+	w.hideCommits = hushed
+	steps(silenceTicks + 20 + w.rng.IntN(80))
+	w.hideCommits = false
+	lead := slices.IndexFunc(w.nodes, func(v *simulatedNode) bool {
 		return v.core.Status().Role == "StateLeader" && !slices.Contains(away, int(v.id-1))
 	})
 	for _, i := range away {
@@ -570,22 +570,22 @@
 		}
 	}
 	if hushed && lead >= 0 {
-		apart([]int{lead}, w.now+silence/2)
+		apart([]int{lead}, w.now+silenceTicks/2)
 	} else if w.rng.IntN(2) == 0 { // an answer would put it out at once
-		apart(order[:1], w.now+w.rng.IntN(silence))
+		apart(order[:1], w.now+w.rng.IntN(silenceTicks))
 	}
-	steps(silence / 2)
+	steps(silenceTicks / 2)
 	clear(w.cut)
-	begun, up := len(w.told), 0
-	steps(2*silence + silence/2)
+	begun, up := len(w.grants), 0
+	steps(2*silenceTicks + silenceTicks/2)
 	for _, v := range w.nodes {
 		if v.core.Err() == nil {
 			up++
 		}
 	}
-	var left *vnode
+	var left *simulatedNode
 	for _, v := range w.nodes {
-		w.cuts += v.core.Status().Cuts
+		w.truncations += v.core.Status().Truncations
 		if v.core.Err() != nil || up <= len(w.nodes)/2 {
 			continue // a minority decides nothing
 		}
@@ -593,15 +593,15 @@
 			left = v
 		}
 		if n := min(len(v.machine.all), len(left.machine.all)); !slices.Equal(v.machine.all[:n], left.machine.all[:n]) {
-			w.convict("steward %d has applied %v, %d has %v", v.id, v.machine.all, left.id, left.machine.all)
+			w.fail("steward %d has applied %v, %d has %v", v.id, v.machine.all, left.id, left.machine.all)
 		}
 	}
-	if up > len(w.nodes)/2 && len(w.told) < begun+4 {
-		w.convict("%d are left, and nothing comes through: %v", up, w.stand())
+	if up > len(w.nodes)/2 && len(w.grants) < begun+4 {
+		w.fail("%d are left, and nothing comes through: %v", up, w.describeNodes())
 	}
 }
 
-func (w *world) stand() string {
+func (w *simulation) describeNodes() string {
 	var b strings.Builder
 	for _, v := range w.nodes {
 		if v.core != nil {
@@ -612,7 +612,7 @@
 }
 
 // leader steps until one leads and has applied a command.
-func (w *world) leader() *vnode {
+func (w *simulation) leader() *simulatedNode {
 	for w.now < 500 {
 		w.step()
 		for _, v := range w.nodes {
--- a/internal/controlplane/client/docs_test.go
+++ b/internal/controlplane/client/docs_test.go
@@ -27,11 +27,11 @@
 )
 
 var told = []operatorerror.Error{
-	consensus.LogContradicts{}, consensus.NotEnoughStewards{}, consensus.NotLeader{}, consensus.OtherFleet{}, consensus.QueueFull{}, consensus.Silent{},
-	consensus.StoreRolledBack{}, consensus.TooLarge{}, consensus.Undecided{},
-	storage.DiskFull{}, storage.StoreDamaged{}, storage.StoreHeld{}, storage.StoreMissing{}, storage.StoreNewer{}, storage.StoreOfAnotherFleet{}, storage.StoreOfAnotherNode{},
+	consensus.LogConflictError{}, consensus.NoQuorumError{}, consensus.NotLeaderError{}, consensus.FleetMismatchError{}, consensus.QueueFullError{}, consensus.SilentError{},
+	consensus.StoreRolledBackError{}, consensus.CommandTooLargeError{}, consensus.UndecidedError{},
+	storage.DiskFullError{}, storage.DamagedError{}, storage.LockedError{}, storage.MissingError{}, storage.NewerFormatError{}, storage.FleetMismatchError{}, storage.NodeMismatchError{},
 	api.BadMessage{}, api.UnknownSteward{}, api.Unreachable{},
-	client.DutyDied{}, client.DutyStuck{}, client.FloorsNotKept{}, client.PolicyNotTaken{},
+	client.WorkerCrashedError{}, client.WorkerStalledError{}, client.FloorsNotPersistedError{}, client.PolicyNotInstalledError{},
 	freshness.DutyDied{}, freshness.DutyStuck{}, freshness.TooManyRegisters{},
 	quotalease.InvalidCommandError{}, quotalease.FloorClaimedError{}, quotalease.LeaseExpiredError{}, quotalease.UnknownQuotaError{}, quotalease.NoLeaseError{}, quotalease.NotEnoughServersError{}, quotalease.NotBootstrappedError{}, quotalease.StaleConfigError{},
 	quotalease.StaleEpochError{}, quotalease.StaleTokenError{}, quotalease.FleetMismatchError{}, quotalease.HolderMismatchError{}, quotalease.LimitExceededError{}, quotalease.ExhaustedError{}, quotalease.BootstrapPendingError{},
--- a/internal/controlplane/client/frozen_test.go
+++ b/internal/controlplane/client/frozen_test.go
@@ -32,12 +32,12 @@
 }
 
 // frozenContents are the policies that are kept one after another.
-func frozenContents(t *testing.T) (one, two content) {
+func frozenContents(t *testing.T) (one, two policyContent) {
 	t.Helper()
-	for i, c := range []*content{&one, &two} {
+	for i, c := range []*policyContent{&one, &two} {
 		text := policyOf([]string{"one", "two"}[i])
 		var err error
-		if *c, err = contentOf(offerOf(1, uint64(5+i), text), text); err != nil {
+		if *c, err = contentFromText(offerOf(1, uint64(5+i), text), text); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -47,10 +47,10 @@
 func writeFrozenFiles(t *testing.T, dir string) {
 	t.Helper()
 	one, two := frozenContents(t)
-	k := newKeeper(dir, "p1")
-	older := keptText{Offer: offerOf(1, 4, policyOf("older")), Text: policyOf("older")}
+	k := newPolicyStore(dir, "p1")
+	older := textRecord{Offer: offerOf(1, 4, policyOf("older")), Text: policyOf("older")}
 	c := newClaim(filepath.Join(dir, "floors-p1"), "p1")
-	err := errors.Join(k.older.Save(older), k.save(one), k.save(two), c.save(9, frozenFloors(), func() bool { return true }))
+	err := errors.Join(k.textFile.Save(older), k.save(one), k.save(two), c.save(9, frozenFloors(), func() bool { return true }))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	if err != nil || version != 9 || !reflect.DeepEqual(floors, frozenFloors()) {
 		t.Fatalf("%d, %+v, %v", version, floors, err)
 	}
-	held, err := c.try()
+	held, err := c.tryLock()
 	if err != nil || !held {
 		t.Fatal(held, err)
 	}
@@ -119,7 +119,7 @@
 func TestGoOnFromFrozenPolicy(t *testing.T) {
 	dir := frozenFiles(t)
 	_, two := frozenContents(t)
-	k := newKeeper(dir, "p1")
+	k := newPolicyStore(dir, "p1")
 	got, loose, err := k.load()
 	if err != nil || len(loose) > 0 || got.offer != (rollout.Offer{Order: 1, Epoch: 6, Hash: two.hash}) || got.hash != two.hash ||
 		!slices.EqualFunc(slices.Collect(got.tree.Items()), slices.Collect(two.tree.Items()), func(a, b merkle.Item) bool {
@@ -128,7 +128,7 @@
 		t.Fatalf("%+v, %d loose, %v", got, len(loose), err)
 	}
 	text := policyOf("three")
-	three, err := contentOf(offerOf(2, 3, text), text)
+	three, err := contentFromText(offerOf(2, 3, text), text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	if err := k.save(three); err != nil || k.journal.Size() <= before {
 		t.Fatalf("%v: %d bytes after %d", err, k.journal.Size(), before)
 	}
-	if got, _, err := newKeeper(dir, "p1").load(); err != nil || got.offer != three.offer || got.tree.Root() != three.tree.Root() {
+	if got, _, err := newPolicyStore(dir, "p1").load(); err != nil || got.offer != three.offer || got.tree.Root() != three.tree.Root() {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -147,10 +147,10 @@
 	if err := os.Remove(filepath.Join(dir, "pieces-p1")); err != nil {
 		t.Fatal(err)
 	}
-	p := NewPolicies(Settings{File: file(dir, "127.0.0.1:1"), Name: "p1"}, func(*Taken) error { return nil })
-	p.Recall()
-	if want := offerOf(1, 4, policyOf("older")); p.Now().Offer != want || p.Now().Policy.Hash() != want.Hash {
-		t.Errorf("%+v, want %+v", p.Now(), want)
+	p := NewPolicyClient(Config{File: file(dir, "127.0.0.1:1"), ProxyName: "p1"}, func(*InstalledPolicy) error { return nil })
+	p.Restore()
+	if want := offerOf(1, 4, policyOf("older")); p.Current().Offer != want || p.Current().Policy.Hash() != want.Hash {
+		t.Errorf("%+v, want %+v", p.Current(), want)
 	}
 	older := durable.File{Path: filepath.Join(dir, "policy-p1"), Kind: "lapisspread-policy", Form: 1}
 	var kept struct {
--- a/internal/controlplane/client/kept.go
+++ b/internal/controlplane/client/kept.go
@@ -15,62 +15,62 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// content is a policy that came whole.
-type content struct {
+// policyContent is a policy that came whole.
+type policyContent struct {
 	offer rollout.Offer
 	hash  string // what it came to: the root, or the SHA-256 of its text where that is what the offer names
 	tree  *merkle.Tree
 }
 
-// keeper keeps a policy for the next process of this name, in pieces: a change appends the pieces that it brought, and now and then all
+// policyStore keeps a policy for the next process of this name, in pieces: a change appends the pieces that it brought, and now and then all
 // is written anew.
-type keeper struct {
-	mu      sync.Mutex // held over I/O: others don't wait for it
-	journal durable.Journal
-	older   durable.File // in which releases before pieces kept a text
-	offer   rollout.Offer
-	tree    *merkle.Tree // that the journal has; nil is not known
+type policyStore struct {
+	mu       sync.Mutex // held over I/O: others don't wait for it
+	journal  durable.Journal
+	textFile durable.File // in which releases before pieces kept a text
+	offer    rollout.Offer
+	tree     *merkle.Tree // that the journal has; nil is not known
 }
 
 // The kinds of records, by their first byte.
 const (
-	recordPiece = 'p'
+	recordChunk = 'p'
 	recordOffer = 'o' // a keptOffer in JSON; the pieces that it needs stand before it
 )
 
-// keptOffer says what the pieces before it come to.
-type keptOffer struct {
+// offerRecord says what the pieces before it come to.
+type offerRecord struct {
 	Offer rollout.Offer `json:"Offer"`
 	Root  string        `json:"Root"` // the offer's hash, unless the policy came as a text
 }
 
-type keptText struct {
+type textRecord struct {
 	Offer rollout.Offer `json:"Offer"`
 	Text  []byte        `json:"Text"`
 }
 
-// keptSlack is by how many bytes the journal may be more than twice as long as what is kept.
-const keptSlack = 64 << 10
+// journalSlack is by how many bytes the journal may be more than twice as long as what is kept.
+const journalSlack = 64 << 10
 
-func newKeeper(dir, name string) *keeper {
-	return &keeper{
-		journal: durable.Journal{Path: filepath.Join(dir, "pieces-"+name), Kind: "lapisspread-pieces", Form: 1},
-		older:   durable.File{Path: filepath.Join(dir, "policy-"+name), Kind: "lapisspread-policy", Form: 1},
+func newPolicyStore(dir, name string) *policyStore {
+	return &policyStore{
+		journal:  durable.Journal{Path: filepath.Join(dir, "pieces-"+name), Kind: "lapisspread-pieces", Form: 1},
+		textFile: durable.File{Path: filepath.Join(dir, "policy-"+name), Kind: "lapisspread-policy", Form: 1},
 	}
 }
 
 // load gives what the process before has kept: the newest that is whole, and the pieces that can be read besides. Without any the error
 // is fs.ErrNotExist; an error may come with what could be read all the same.
-func (k *keeper) load() (c content, loose [][]byte, err error) {
+func (k *policyStore) load() (c policyContent, loose [][]byte, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c, loose, err = k.read()
 	if c.tree != nil {
 		k.offer, k.tree = c.offer, c.tree
 	}
-	var old keptText
-	if k.older.Load(&old) == nil && old.Offer.After(c.offer) { // an older release has run here since, or this is the first that keeps pieces
-		if t, wrong := contentOf(old.Offer, old.Text); wrong == nil {
+	var old textRecord
+	if k.textFile.Load(&old) == nil && old.Offer.After(c.offer) { // an older release has run here since, or this is the first that keeps pieces
+		if t, wrong := contentFromText(old.Offer, old.Text); wrong == nil {
 			return t, loose, nil
 		} else if errors.Is(err, fs.ErrNotExist) {
 			err = wrong
@@ -80,19 +80,19 @@
 }
 
 // read reads the journal.
-func (k *keeper) read() (c content, loose [][]byte, err error) {
+func (k *policyStore) read() (c policyContent, loose [][]byte, err error) {
 	records, lost, err := k.journal.Load()
 	if err != nil {
 		return c, nil, err
 	}
 	all := map[merkle.Name][]byte{}
-	var offers []keptOffer
+	var offers []offerRecord
 	for _, r := range records {
 		switch {
-		case len(r) > 1 && r[0] == recordPiece:
+		case len(r) > 1 && r[0] == recordChunk:
 			all[merkle.NameOf(r[1:])] = r[1:]
 		case len(r) > 1 && r[0] == recordOffer:
-			var o keptOffer
+			var o offerRecord
 			if json.Unmarshal(r[1:], &o) == nil {
 				offers = append(offers, o)
 			}
@@ -117,7 +117,7 @@
 		}
 		if t, wrong := a.Tree(); wrong == nil {
 			// The text whose hash the offer names was checked before it was kept.
-			c = content{offers[i].Offer, offers[i].Offer.Hash, t}
+			c = policyContent{offers[i].Offer, offers[i].Offer.Hash, t}
 		}
 	}
 	if lost > 0 || c.tree == nil {
@@ -129,37 +129,37 @@
 	return c, loose, err
 }
 
-// contentOf is what a text comes to. Errors are rollout.WrongContent, and those of package namespace.
-func contentOf(o rollout.Offer, text []byte) (content, error) {
+// contentFromText is what a text comes to. Errors are rollout.WrongContent, and those of package namespace.
+func contentFromText(o rollout.Offer, text []byte) (policyContent, error) {
 	if err := rollout.NewHolder(rollout.Offer{}).Take(o, text); err != nil {
-		return content{}, err
+		return policyContent{}, err
 	}
 	p, err := namespace.Decode(text)
 	if err != nil {
-		return content{}, err
+		return policyContent{}, err
 	}
 	t, err := p.Tree()
-	return content{o, o.Hash, t}, err
+	return policyContent{o, o.Hash, t}, err
 }
 
-var errKeeps = errors.New("a duty before is still writing")
+var errSaveInProgress = errors.New("a duty before is still writing")
 
 // save has the next process begin with it, unless another of this name has kept a newer one. It costs what changed, in the mean.
-func (k *keeper) save(c content) error {
+func (k *policyStore) save(c policyContent) error {
 	if !k.mu.TryLock() {
-		return errKeeps
+		return errSaveInProgress
 	}
 	defer k.mu.Unlock()
 	if k.offer == c.offer && k.tree != nil {
 		return nil
 	}
-	mark, err := json.Marshal(keptOffer{c.offer, c.tree.Root().String()})
+	mark, err := json.Marshal(offerRecord{c.offer, c.tree.Root().String()})
 	if err != nil {
 		return err
 	}
 	mark = append([]byte{recordOffer}, mark...)
-	record := func(piece []byte) []byte { return append([]byte{recordPiece}, piece...) }
-	if k.tree != nil && k.journal.Size() < int64(2*c.tree.Size()+keptSlack) {
+	record := func(piece []byte) []byte { return append([]byte{recordChunk}, piece...) }
+	if k.tree != nil && k.journal.Size() < int64(2*c.tree.Size()+journalSlack) {
 		var records [][]byte
 		for _, piece := range c.tree.Lacks(k.tree) {
 			records = append(records, record(piece))
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -32,430 +32,430 @@
 	"lapisspread/internal/supervisor"
 )
 
-// Settings of a link.
-type Settings struct {
-	File  *api.File
-	Name  string // of this proxy: no other may have it
-	Log   *slog.Logger
-	Via   http.RoundTripper    // to the stewards; nil is its own, in the clear
-	Clock func() time.Duration // only goes forward; nil is the machine's, with the time that it is suspended
+// Config of a link.
+type Config struct {
+	File      *api.File
+	ProxyName string // of this proxy: no other may have it
+	Logger    *slog.Logger
+	Transport http.RoundTripper    // to the stewards; nil is its own, in the clear
+	Clock     func() time.Duration // only goes forward; nil is the machine's, with the time that it is suspended
 }
 
 const (
-	poll       = 50 * time.Millisecond  // between two looks at whether to ask
-	leastAsk   = 100 * time.Millisecond // between two asks at least
-	claimEvery = 500 * time.Millisecond // between two tries for a claim that another process has
-	leaveTime  = 500 * time.Millisecond // for the last word
-	tellEvery  = 10 * time.Second       // between two log lines of one trouble
+	pollInterval       = 50 * time.Millisecond  // between two looks at whether to ask
+	minRequestInterval = 100 * time.Millisecond // between two asks at least
+	claimRetryInterval = 500 * time.Millisecond // between two tries for a claim that another process has
+	releaseTimeout     = 500 * time.Millisecond // for the last word
+	faultLogInterval   = 10 * time.Second       // between two log lines of one trouble
 )
 
-// Link is a proxy's side. It is for any goroutine.
-type Link struct {
-	set       Settings
-	grants    quotalease.FleetConfig
-	clock     func() time.Duration
-	client    *http.Client
-	pots      map[string]*pot // never changes
-	floorText string
-	claim     *claim // nil without a folder
-	counts    counts
-	flaws     flaws
-	duty      supervisor.Task
-
-	mu         sync.Mutex // never held over I/O
-	generation uint64
-	leader     string
-	held       bool // the claim
-	version    uint64
-	stand      map[string]Standing
-	troubles   map[string]*Trouble
+// QuotaClient is a proxy's side. It is for any goroutine.
+type QuotaClient struct {
+	config      Config
+	quotaConfig quotalease.FleetConfig
+	clock       func() time.Duration
+	httpClient  *http.Client
+	quotas      map[string]*quota // never changes
+	floorToken  string
+	floorClaim  *floorClaim // nil without a folder
+	counters    counters
+	mutations   mutations
+	worker      supervisor.Task
+
+	mu            sync.Mutex // never held over I/O
+	generation    uint64
+	server        string
+	floorsClaimed bool // the claim
+	configVersion uint64
+	quotaStatuses map[string]QuotaStatus
+	faults        map[string]*Fault
 }
 
-type counts struct{ asks, answered, failed, died, stuck, stopped atomic.Int64 }
+type counters struct{ requests, answered, failed, crashes, stalls, expiredBeforeSend atomic.Int64 }
 
-// New makes a link that holds nothing yet.
-func New(set Settings) *Link {
-	if set.Log == nil {
-		set.Log = slog.New(slog.DiscardHandler)
+// NewQuotaClient makes a link that holds nothing yet.
+func NewQuotaClient(set Config) *QuotaClient {
+	if set.Logger == nil {
+		set.Logger = slog.New(slog.DiscardHandler)
 	}
-	if set.Via == nil {
-		set.Via = api.Transport(nil)
+	if set.Transport == nil {
+		set.Transport = api.Transport(nil)
 	}
-	l := &Link{set: set, grants: set.File.Grants(), clock: set.Clock, client: &http.Client{Transport: set.Via}, pots: map[string]*pot{},
-		floorText: set.Name + ";" + quotalease.Token{}.String(), stand: map[string]Standing{}, troubles: map[string]*Trouble{}}
+	l := &QuotaClient{config: set, quotaConfig: set.File.Grants(), clock: set.Clock, httpClient: &http.Client{Transport: set.Transport}, quotas: map[string]*quota{},
+		floorToken: set.ProxyName + ";" + quotalease.Token{}.String(), quotaStatuses: map[string]QuotaStatus{}, faults: map[string]*Fault{}}
 	if l.clock == nil {
 		l.clock = supervisor.Boottime
 	}
-	for _, b := range l.grants.Quotas {
-		l.pots[b.Name] = &pot{name: b.Name, whole: b.Limit}
+	for _, b := range l.quotaConfig.Quotas {
+		l.quotas[b.Name] = &quota{name: b.Name, limit: b.Limit}
 	}
 	if dir := set.File.State; dir != "" {
 		_ = os.MkdirAll(dir, 0o700) // if it can't be, the claim says so
-		l.claim = newClaim(filepath.Join(dir, "floors-"+set.Name), set.Name)
+		l.floorClaim = newClaim(filepath.Join(dir, "floors-"+set.ProxyName), set.ProxyName)
 	}
-	l.duty = supervisor.Task{Clock: l.clock, OnStart: l.begin, Work: l.work, OnPanic: l.died, OnStuck: l.stuck, ShutdownGrace: 2 * leaveTime}
+	l.worker = supervisor.Task{Clock: l.clock, OnStart: l.beginGeneration, Work: l.runWorker, OnPanic: l.workerCrashed, OnStuck: l.workerStalled, ShutdownGrace: 2 * releaseTimeout}
 	return l
 }
 
 // Run has the duty done until ctx ends; then it gives all back.
-func (l *Link) Run(ctx context.Context) {
-	l.duty.Run(ctx)
-	generation := l.begin() // no duty publishes any more
-	for name := range l.pots {
+func (l *QuotaClient) Run(ctx context.Context) {
+	l.worker.Run(ctx)
+	generation := l.beginGeneration() // no duty publishes any more
+	for name := range l.quotas {
 		l.publish(generation, 0, name, l.clock(), nil, nil)
 	}
-	if l.claim != nil { // only now may another process of this name spend the floors
-		l.claim.release()
+	if l.floorClaim != nil { // only now may another process of this name spend the floors
+		l.floorClaim.release()
 	}
-	l.client.CloseIdleConnections()
+	l.httpClient.CloseIdleConnections()
 }
 
-// begin has what the duties before publish count no more.
-func (l *Link) begin() uint64 {
+// beginGeneration has what the duties before publish count no more.
+func (l *QuotaClient) beginGeneration() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.generation++
 	return l.generation
 }
 
-func (l *Link) died(cause any, stack []byte) {
-	l.counts.died.Add(1)
-	l.trouble(DutyDied{fmt.Sprint(cause)})
-	l.set.Log.Error("a duty of the fleet's died", "cause", cause, "stack", string(stack))
+func (l *QuotaClient) workerCrashed(cause any, stack []byte) {
+	l.counters.crashes.Add(1)
+	l.reportFault(WorkerCrashedError{fmt.Sprint(cause)})
+	l.config.Logger.Error("a duty of the fleet's died", "cause", cause, "stack", string(stack))
 }
 
-func (l *Link) stuck(since time.Duration) {
-	l.counts.stuck.Add(1)
-	l.trouble(DutyStuck{since})
+func (l *QuotaClient) workerStalled(since time.Duration) {
+	l.counters.stalls.Add(1)
+	l.reportFault(WorkerStalledError{since})
 }
 
-// incarnation is one that no other process ever has.
-func incarnation() uint64 {
+// newIncarnation is one that no other process ever has.
+func newIncarnation() uint64 {
 	var b [8]byte
 	_, _ = crand.Read(b[:]) // it never fails
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
-// worker is one duty's own.
-type worker struct {
-	*Link
-	generation uint64
-	by         uint64
-	holder     *quotalease.Holder
-	bursts     map[string]burstOf
-	wants      map[string]float64
-	asked      time.Duration
-	every      time.Duration
-	at         int // of the stewards
-	kept       uint64
-	wait       *backoff.ExponentialBackOff
-	next       time.Duration
-	claimed    bool
-	nextClaim  time.Duration
+// quotaWorker is one duty's own.
+type quotaWorker struct {
+	*QuotaClient
+	generation       uint64
+	incarnation      uint64
+	holder           *quotalease.Holder
+	bursts           map[string]leaseBurst
+	demand           map[string]float64
+	requestedAt      time.Duration
+	requestInterval  time.Duration
+	serverIndex      int // of the stewards
+	persistedVersion uint64
+	retryBackoff     *backoff.ExponentialBackOff
+	nextRequestAt    time.Duration
+	ownsFloors       bool
+	nextClaimAt      time.Duration
 }
 
-type burstOf struct {
+type leaseBurst struct {
 	token quotalease.Token
 	burst quotalease.Amount
 }
 
-func (l *Link) work(ctx context.Context, generation uint64) {
-	w := &worker{Link: l, generation: generation, by: incarnation(), bursts: map[string]burstOf{}, wants: map[string]float64{}, asked: l.clock(),
-		at: rand.IntN(len(l.set.File.Stewards)), wait: backoff.NewExponentialBackOff()}
-	w.wait.InitialInterval, w.wait.MaxInterval, w.wait.RandomizationFactor = poll, time.Second, .5
-	set := quotalease.HolderSettings{FleetID: l.grants.FleetID, HolderID: quotalease.HolderID{Holder: l.set.Name, Incarnation: w.by}, MaxDrift: l.grants.MaxDrift}
-	if l.claim != nil {
+func (l *QuotaClient) runWorker(ctx context.Context, generation uint64) {
+	w := &quotaWorker{QuotaClient: l, generation: generation, incarnation: newIncarnation(), bursts: map[string]leaseBurst{}, demand: map[string]float64{}, requestedAt: l.clock(),
+		serverIndex: rand.IntN(len(l.config.File.Stewards)), retryBackoff: backoff.NewExponentialBackOff()}
+	w.retryBackoff.InitialInterval, w.retryBackoff.MaxInterval, w.retryBackoff.RandomizationFactor = pollInterval, time.Second, .5
+	set := quotalease.HolderSettings{FleetID: l.quotaConfig.FleetID, HolderID: quotalease.HolderID{Holder: l.config.ProxyName, Incarnation: w.incarnation}, MaxDrift: l.quotaConfig.MaxDrift}
+	if l.floorClaim != nil {
 		var err error
-		if set.ConfigVersion, set.Floors, err = l.claim.load(); err != nil {
-			l.trouble(err)
+		if set.ConfigVersion, set.Floors, err = l.floorClaim.load(); err != nil {
+			l.reportFault(err)
 		}
-		w.kept = set.ConfigVersion
+		w.persistedVersion = set.ConfigVersion
 	}
 	w.holder = quotalease.NewHolder(set)
-	for name, p := range l.pots {
+	for name, p := range l.quotas {
 		// Nothing is known of the demand: some is asked for, so that the first requests find something, and it goes if none come.
-		w.wants[name] = max(p.whole/50, float64(p.tried.Load()))
+		w.demand[name] = max(p.limit/50, float64(p.attempted.Load()))
 	}
 	for ctx.Err() == nil {
-		l.duty.Heartbeat()
+		l.worker.Heartbeat()
 		w.claimFloors()
-		if now := l.clock(); now >= w.next && (now-w.asked >= w.every || w.hungry(now)) {
-			w.ask(ctx)
+		if now := l.clock(); now >= w.nextRequestAt && (now-w.requestedAt >= w.requestInterval || w.demandSurged(now)) {
+			w.requestLeases(ctx)
 		}
-		w.note()
-		supervisor.Sleep(ctx, poll)
+		w.recordStatus()
+		supervisor.Sleep(ctx, pollInterval)
 	}
-	w.leave()
+	w.releaseAll()
 }
 
 // claimFloors tries for the claim, and publishes what it holds.
-func (w *worker) claimFloors() {
+func (w *quotaWorker) claimFloors() {
 	now := w.clock()
-	if w.claim == nil || w.claimed || now < w.nextClaim {
+	if w.floorClaim == nil || w.ownsFloors || now < w.nextClaimAt {
 		return
 	}
-	w.nextClaim = now + claimEvery
-	held, err := w.claim.try()
+	w.nextClaimAt = now + claimRetryInterval
+	held, err := w.floorClaim.tryLock()
 	if err != nil {
-		w.trouble(err)
+		w.reportFault(err)
 	}
 	w.mu.Lock()
-	w.claimed = w.generation == w.Link.generation && held
-	w.held = held
+	w.ownsFloors = w.generation == w.QuotaClient.generation && held
+	w.floorsClaimed = held
 	w.mu.Unlock()
-	if w.claimed {
+	if w.ownsFloors {
 		w.holder.SetFloorClaim(now, true)
 		w.publishAll()
 	}
 }
 
-func (w *worker) publishAll() {
+func (w *quotaWorker) publishAll() {
 	now := w.clock()
 	_, floors := w.holder.Floors()
-	for name := range w.pots {
+	for name := range w.quotas {
 		has := w.holder.Status(now, name)
 		burst := quotalease.Amount(0)
 		if b := w.bursts[name]; b.token == has.Token {
 			burst = b.burst
 		}
-		lease, floor := w.cellsOf(w.holder, w.by, now, name, burst, w.claimed, floors[name])
-		w.publish(w.generation, w.by, name, now, lease, floor)
+		lease, floor := w.bucketsFor(w.holder, w.incarnation, now, name, burst, w.ownsFloors, floors[name])
+		w.publish(w.generation, w.incarnation, name, now, lease, floor)
 	}
 }
 
-// hungry tells whether demand has risen so much since the last ask that the next one should not wait.
-func (w *worker) hungry(now time.Duration) bool {
-	since := now - w.asked
-	if since < leastAsk {
+// demandSurged tells whether demand has risen so much since the last ask that the next one should not wait.
+func (w *quotaWorker) demandSurged(now time.Duration) bool {
+	since := now - w.requestedAt
+	if since < minRequestInterval {
 		return false
 	}
-	for name, p := range w.pots {
-		if float64(p.tried.Load())/since.Seconds() > 1.25*max(w.wants[name], 1) {
+	for name, p := range w.quotas {
+		if float64(p.attempted.Load())/since.Seconds() > 1.25*max(w.demand[name], 1) {
 			return true
 		}
 	}
 	return false
 }
 
-// headroom is by how much more is asked for than was tried: demand that grows must be seen to grow.
-const headroom = 1.2
+// demandHeadroom is by how much more is asked for than was tried: demand that grows must be seen to grow.
+const demandHeadroom = 1.2
 
-// measure sets what is wanted, by what was tried since the last ask. It rises at once and falls by a third of the way each time.
-func (w *worker) measure(now time.Duration) {
-	since := max(now-w.asked, poll)
-	for name, p := range w.pots {
-		seen := headroom * float64(p.tried.Swap(0)) / since.Seconds()
-		want := max(seen, w.wants[name]-(w.wants[name]-seen)/3)
+// measureDemand sets what is wanted, by what was tried since the last ask. It rises at once and falls by a third of the way each time.
+func (w *quotaWorker) measureDemand(now time.Duration) {
+	since := max(now-w.requestedAt, pollInterval)
+	for name, p := range w.quotas {
+		seen := demandHeadroom * float64(p.attempted.Swap(0)) / since.Seconds()
+		want := max(seen, w.demand[name]-(w.demand[name]-seen)/3)
 		if want < .01 {
 			want = 0
 		}
-		w.wants[name] = want
+		w.demand[name] = want
 		w.holder.SetDemand(name, want)
 	}
-	w.asked = now
+	w.requestedAt = now
 }
 
-// callTime is for one call: several fit in a lease.
-func (w *worker) callTime() time.Duration {
+// callTimeout is for one call: several fit in a lease.
+func (w *quotaWorker) callTimeout() time.Duration {
 	least := 2 * time.Second
-	for _, b := range w.grants.Quotas {
+	for _, b := range w.quotaConfig.Quotas {
 		least = min(least, b.LeaseDuration/4)
 	}
 	return max(least, 100*time.Millisecond)
 }
 
-// ask asks one steward, and whom it names instead. Never more than one call is out.
-func (w *worker) ask(ctx context.Context) {
-	if version, floors := w.holder.Floors(); w.claim != nil && version > w.kept {
+// requestLeases asks one steward, and whom it names instead. Never more than one call is out.
+func (w *quotaWorker) requestLeases(ctx context.Context) {
+	if version, floors := w.holder.Floors(); w.floorClaim != nil && version > w.persistedVersion {
 		// Danger: a process that starts on older floors than the stewards were told of spends what may be another's.
-		if err := w.claim.save(version, floors, func() bool { return w.current() && ctx.Err() == nil }); err != nil {
-			w.trouble(err)
-			w.later()
+		if err := w.floorClaim.save(version, floors, func() bool { return w.isCurrent() && ctx.Err() == nil }); err != nil {
+			w.reportFault(err)
+			w.scheduleRetry()
 			return
 		}
-		w.kept = version
+		w.persistedVersion = version
 	}
-	w.measure(w.clock())
-	stewards := w.set.File.Stewards
-	address := stewards[w.at%len(stewards)].Address
+	w.measureDemand(w.clock())
+	stewards := w.config.File.Stewards
+	address := stewards[w.serverIndex%len(stewards)].Address
 	for range 3 {
-		err := w.call(ctx, address)
+		err := w.callServer(ctx, address)
 		if err == nil {
-			w.wait.Reset()
-			w.next, w.every = 0, time.Duration(float64(w.holder.RequestInterval())*(.9+.2*rand.Float64())) // a fleet must not ask in step
+			w.retryBackoff.Reset()
+			w.nextRequestAt, w.requestInterval = 0, time.Duration(float64(w.holder.RequestInterval())*(.9+.2*rand.Float64())) // a fleet must not ask in step
 			w.mu.Lock()
-			w.leader = address
+			w.server = address
 			w.mu.Unlock()
 			return
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		w.counts.failed.Add(1)
+		w.counters.failed.Add(1)
 		var p api.Problem
 		if errors.As(err, &p) && p.Leader != "" && p.Leader != address {
 			address = p.Leader
-			w.at = max(0, slices.IndexFunc(stewards, func(s api.Steward) bool { return s.Address == address }))
+			w.serverIndex = max(0, slices.IndexFunc(stewards, func(s api.Steward) bool { return s.Address == address }))
 			continue
 		}
-		w.trouble(err)
+		w.reportFault(err)
 		break
 	}
-	w.at = (w.at + 1) % len(stewards)
-	w.later()
+	w.serverIndex = (w.serverIndex + 1) % len(stewards)
+	w.scheduleRetry()
 }
 
-// later is when a call has failed: with jitter, so that a fleet doesn't come back in step.
-func (w *worker) later() {
-	w.every = 0
-	w.next = w.clock() + w.wait.NextBackOff()
+// scheduleRetry is when a call has failed: with jitter, so that a fleet doesn't come back in step.
+func (w *quotaWorker) scheduleRetry() {
+	w.requestInterval = 0
+	w.nextRequestAt = w.clock() + w.retryBackoff.NextBackOff()
 }
 
-func (w *worker) call(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, w.callTime())
+func (w *quotaWorker) callServer(ctx context.Context, address string) error {
+	ctx, cancel := context.WithTimeout(ctx, w.callTimeout())
 	defer cancel()
-	w.counts.asks.Add(1)
+	w.counters.requests.Add(1)
 	sent := w.clock()
 	request := w.holder.NextRequest(sent)
 	var reply quotalease.Reply
-	if err := api.Call(ctx, w.client, address, api.PathAsk, request, &reply); err != nil {
+	if err := api.Call(ctx, w.httpClient, address, api.PathAsk, request, &reply); err != nil {
 		return err
 	}
 	now := w.clock()
 	err := w.holder.HandleReply(sent, now, reply)
 	for _, g := range reply.Leases {
 		if w.holder.Status(now, g.Quota).Token == g.Token {
-			w.bursts[g.Quota] = burstOf{g.Token, g.Burst}
+			w.bursts[g.Quota] = leaseBurst{g.Token, g.Burst}
 		}
 	}
 	w.publishAll()
-	w.counts.answered.Add(1)
+	w.counters.answered.Add(1)
 	if errors.As(err, &quotalease.FleetMismatchError{}) || errors.As(err, &quotalease.HolderMismatchError{}) || errors.As(err, &quotalease.StaleEpochError{}) {
 		return err // nothing of it was taken: ask another
 	}
 	if err != nil {
-		w.trouble(err)
+		w.reportFault(err)
 	}
 	return nil
 }
 
-func (w *worker) current() bool {
+func (w *quotaWorker) isCurrent() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.generation == w.Link.generation
+	return w.generation == w.QuotaClient.generation
 }
 
-// leave ends all that is held, and says so if that takes no time.
-func (w *worker) leave() {
-	if !w.current() {
+// releaseAll ends all that is held, and says so if that takes no time.
+func (w *quotaWorker) releaseAll() {
+	if !w.isCurrent() {
 		return
 	}
-	for name := range w.pots {
+	for name := range w.quotas {
 		w.publish(w.generation, 0, name, w.clock(), nil, nil)
 	}
 	w.holder.ReleaseAll()
 	w.mu.Lock()
-	leader := w.leader
+	leader := w.server
 	w.mu.Unlock()
 	if leader == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	_ = api.Call(ctx, w.client, leader, api.PathAsk, w.holder.NextRequest(w.clock()), nil) // else its leases end by themselves
+	_ = api.Call(ctx, w.httpClient, leader, api.PathAsk, w.holder.NextRequest(w.clock()), nil) // else its leases end by themselves
 }
 
-// Standing is how a budget stands.
-type Standing struct {
-	Granted float64 `json:"granted"` // units a second
-	Floor   float64 `json:"floor"`
-	Wanted  float64 `json:"wanted"`
-	Left    int64   `json:"lease_left_ms"`
-	Token   string  `json:"token"`
-	Tried   int64   `json:"tried"` // since the last ask
-	Allowed int64   `json:"allowed"`
-	Refused int64   `json:"refused"`
+// QuotaStatus is how a budget stands.
+type QuotaStatus struct {
+	Granted         float64 `json:"granted"` // units a second
+	Floor           float64 `json:"floor"`
+	Wanted          float64 `json:"wanted"`
+	LeaseLeftMillis int64   `json:"lease_left_ms"`
+	Token           string  `json:"token"`
+	Attempted       int64   `json:"tried"` // since the last ask
+	Admitted        int64   `json:"allowed"`
+	Rejected        int64   `json:"refused"`
 }
 
-// Trouble is an error that came up, how often, and what an operator can do.
-type Trouble struct {
+// Fault is an error that came up, how often, and what an operator can do.
+type Fault struct {
 	Error  string `json:"error"`
 	Advice string `json:"advice"`
 	Count  int64  `json:"count"`
 
-	told time.Duration
+	loggedAt time.Duration
 }
 
-// Report is what the console shows.
-type Report struct {
-	Fleet    string              `json:"fleet"`
-	Proxy    string              `json:"proxy"`
-	Steward  string              `json:"steward"` // that answered last
-	Claim    bool                `json:"floors_claimed"`
-	Version  uint64              `json:"budgets_version"`
-	Asks     int64               `json:"asks"`
-	Answered int64               `json:"answered"`
-	Failed   int64               `json:"failed"`
-	Died     int64               `json:"duties_died"`
-	Stuck    int64               `json:"duties_stuck"`
-	Stopped  int64               `json:"stopped_before_send"`
-	Budgets  map[string]Standing `json:"budgets"`
-	Troubles []Trouble           `json:"troubles,omitempty"`
-	Policy   *PolicyReport       `json:"policy,omitempty"`
+// Status is what the console shows.
+type Status struct {
+	Fleet             string                 `json:"fleet"`
+	Proxy             string                 `json:"proxy"`
+	Server            string                 `json:"steward"` // that answered last
+	FloorsClaimed     bool                   `json:"floors_claimed"`
+	ConfigVersion     uint64                 `json:"budgets_version"`
+	Requests          int64                  `json:"asks"`
+	Answered          int64                  `json:"answered"`
+	Failed            int64                  `json:"failed"`
+	WorkersCrashed    int64                  `json:"duties_died"`
+	WorkersStalled    int64                  `json:"duties_stuck"`
+	ExpiredBeforeSend int64                  `json:"stopped_before_send"`
+	Quotas            map[string]QuotaStatus `json:"budgets"`
+	Faults            []Fault                `json:"troubles,omitempty"`
+	Policy            *PolicyStatus          `json:"policy,omitempty"`
 }
 
-// note keeps how things stand, for the console.
-func (w *worker) note() {
+// recordStatus keeps how things stand, for the console.
+func (w *quotaWorker) recordStatus() {
 	now := w.clock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.generation != w.Link.generation {
+	if w.generation != w.QuotaClient.generation {
 		return
 	}
-	for name := range w.pots {
+	for name := range w.quotas {
 		has := w.holder.Status(now, name)
-		w.version = has.ConfigVersion
-		w.stand[name] = Standing{Granted: has.Amount.Units(), Floor: has.Floor.Units(), Wanted: w.wants[name], Left: has.Remaining.Milliseconds(), Token: has.Token.String()}
+		w.configVersion = has.ConfigVersion
+		w.quotaStatuses[name] = QuotaStatus{Granted: has.Amount.Units(), Floor: has.Floor.Units(), Wanted: w.demand[name], LeaseLeftMillis: has.Remaining.Milliseconds(), Token: has.Token.String()}
 	}
 }
 
-// Report tells how the link stands. It waits for nobody.
-func (l *Link) Report() Report {
+// Status tells how the link stands. It waits for nobody.
+func (l *QuotaClient) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := &l.counts
-	r := Report{Fleet: l.grants.FleetID, Proxy: l.set.Name, Steward: l.leader, Claim: l.held, Version: l.version, Asks: c.asks.Load(), Answered: c.answered.Load(),
-		Failed: c.failed.Load(), Died: c.died.Load(), Stuck: c.stuck.Load(), Stopped: c.stopped.Load(), Budgets: map[string]Standing{}}
-	for name, p := range l.pots {
-		s := l.stand[name]
-		s.Tried, s.Allowed, s.Refused = p.tried.Load(), p.allowed.Load(), p.refused.Load()
-		r.Budgets[name] = s
+	c := &l.counters
+	r := Status{Fleet: l.quotaConfig.FleetID, Proxy: l.config.ProxyName, Server: l.server, FloorsClaimed: l.floorsClaimed, ConfigVersion: l.configVersion, Requests: c.requests.Load(), Answered: c.answered.Load(),
+		Failed: c.failed.Load(), WorkersCrashed: c.crashes.Load(), WorkersStalled: c.stalls.Load(), ExpiredBeforeSend: c.expiredBeforeSend.Load(), Quotas: map[string]QuotaStatus{}}
+	for name, p := range l.quotas {
+		s := l.quotaStatuses[name]
+		s.Attempted, s.Admitted, s.Rejected = p.attempted.Load(), p.admitted.Load(), p.rejected.Load()
+		r.Quotas[name] = s
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.troubles)) {
-		r.Troubles = append(r.Troubles, *l.troubles[name])
+	for _, name := range slices.Sorted(maps.Keys(l.faults)) {
+		r.Faults = append(r.Faults, *l.faults[name])
 	}
 	return r
 }
 
-// trouble counts an error by its kind, and logs it now and then.
-func (l *Link) trouble(err error) {
+// reportFault counts an error by its kind, and logs it now and then.
+func (l *QuotaClient) reportFault(err error) {
 	name := api.ProblemOf(err).Name
 	now := l.clock()
 	l.mu.Lock()
-	t := l.troubles[name]
+	t := l.faults[name]
 	if t == nil {
-		t = &Trouble{told: now - tellEvery}
-		l.troubles[name] = t
+		t = &Fault{loggedAt: now - faultLogInterval}
+		l.faults[name] = t
 	}
 	t.Count++
 	t.Error, t.Advice = err.Error(), operatorerror.Of(err)
-	tell := now-t.told >= tellEvery
+	tell := now-t.loggedAt >= faultLogInterval
 	if tell {
-		t.told = now
+		t.loggedAt = now
 	}
 	count := t.Count
 	l.mu.Unlock()
 	if tell {
-		l.set.Log.Warn("the fleet", "err", err, "advice", cmp.Or(operatorerror.Of(err), "none"), "count", count)
+		l.config.Logger.Warn("the fleet", "err", err, "advice", cmp.Or(operatorerror.Of(err), "none"), "count", count)
 	}
 }
--- a/internal/controlplane/client/link_test.go
+++ b/internal/controlplane/client/link_test.go
@@ -41,12 +41,12 @@
 
 // play has many goroutines take all they can while the clock goes on and grants come and go, beside a Holder that gets the same and is
 // drained at each millisecond, which is the most that it could ever allow. It gives the first moment at which more was taken.
-func play(t *testing.T, f flaws, steps []step) (over error, taken, allowed int64) {
+func play(t *testing.T, f mutations, steps []step) (over error, taken, allowed int64) {
 	var clock atomic.Int64
-	l := New(Settings{File: file("", "127.0.0.1:1"), Name: "p1", Clock: func() time.Duration { return time.Duration(clock.Load()) }})
-	l.flaws = f
+	l := NewQuotaClient(Config{File: file("", "127.0.0.1:1"), ProxyName: "p1", Clock: func() time.Duration { return time.Duration(clock.Load()) }})
+	l.mutations = f
 	l.generation = 1
-	s, err := l.Sight("web", nil, nil)
+	s, err := l.ForService("web", nil, nil)
 	if err != nil || s == nil {
 		t.Fatal(s, err)
 	}
@@ -112,7 +112,7 @@
 		if st.lease > 0 {
 			granted = burst
 		}
-		lease, floor := l.cellsOf(h, 7, now, "all", granted, true, floors["all"])
+		lease, floor := l.bucketsFor(h, 7, now, "all", granted, true, floors["all"])
 		take(func() { l.publish(1, 7, "all", now, lease, floor) })
 		drain()
 	}
@@ -123,11 +123,11 @@
 	steps := []step{{10, 500, 20, 200}, {150, 900, 60, 200}, {100, 100, 10, 100}, {250, 700, 40, 300}, {90, 30, 5, 0}, {100, 300, 40, 150}, {300, 60, 8, 0}}
 	for _, c := range []struct {
 		name string
-		flaws
+		mutations
 		over bool
-	}{{"as it is", flaws{}, false}, {"a share arrives full", flaws{full: true}, true}, {"leases do not end", flaws{endless: true}, true}} {
+	}{{"as it is", mutations{}, false}, {"a share arrives full", mutations{startFull: true}, true}, {"leases do not end", mutations{neverExpire: true}, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			over, taken, allowed := play(t, c.flaws, steps)
+			over, taken, allowed := play(t, c.mutations, steps)
 			if (over != nil) != c.over {
 				t.Errorf("over: %v, want %v", over, c.over)
 			}
@@ -139,11 +139,11 @@
 }
 
 // replaced publishes a cell after another, and gives both.
-func replaced(l *Link, at, until, next time.Duration) (a, b *cell) {
+func replaced(l *QuotaClient, at, until, next time.Duration) (a, b *bucket) {
 	l.generation = 1
-	make := func(now, ends time.Duration, index uint64) *cell {
-		c := newCell(now, quotalease.FromUnits(100), quotalease.FromUnits(10), .001)
-		c.by, c.ends, c.token = 7, int64(ends), quotalease.Token{Epoch: 1, Index: index}
+	make := func(now, ends time.Duration, index uint64) *bucket {
+		c := newBucket(now, quotalease.FromUnits(100), quotalease.FromUnits(10), .001)
+		c.incarnation, c.expiresAt, c.token = 7, int64(ends), quotalease.Token{Epoch: 1, Index: index}
 		l.publish(1, 7, "all", now, c, nil)
 		return c
 	}
@@ -152,14 +152,14 @@
 
 func TestWhoeverHoldsAnOldCellGetsNothing(t *testing.T) {
 	for _, c := range []struct {
-		flaws
+		mutations
 		old, late bool
-	}{{flaws{}, false, false}, {flaws{open: true}, true, false}, {flaws{late: true}, false, true}} {
-		l := New(Settings{File: file("", "127.0.0.1:1"), Name: "p1"})
-		l.flaws = c.flaws
+	}{{mutations{}, false, false}, {mutations{keepReplacedOpen: true}, true, false}, {mutations{reuseExpired: true}, false, true}} {
+		l := NewQuotaClient(Config{File: file("", "127.0.0.1:1"), ProxyName: "p1"})
+		l.mutations = c.mutations
 		a, b := replaced(l, 0, time.Second, 200*time.Millisecond)
 		if got := a.take(int64(300 * time.Millisecond)); got != c.old {
-			t.Errorf("%+v: of a cell that was replaced: %v", c.flaws, got)
+			t.Errorf("%+v: of a cell that was replaced: %v", c.mutations, got)
 		}
 		if !b.take(int64(300 * time.Millisecond)) {
 			t.Error("the level of a lease that goes on is lost")
@@ -167,7 +167,7 @@
 		// The lease had ended before the next came: what was left in its bucket may be another's by now.
 		_, b = replaced(l, time.Second, 2*time.Second, 3*time.Second)
 		if got := b.take(int64(3 * time.Second)); got != c.late {
-			t.Errorf("%+v: of a share that came anew: %v", c.flaws, got)
+			t.Errorf("%+v: of a share that came anew: %v", c.mutations, got)
 		}
 		l.publish(1, 8, "all", 3200*time.Millisecond, nil, nil)
 		if !b.take(int64(3300 * time.Millisecond)) {
@@ -184,14 +184,14 @@
 
 func TestAnAttemptDrawsOnAllThatCoverItOrOnNone(t *testing.T) {
 	now := time.Duration(0)
-	l := New(Settings{File: file("", "127.0.0.1:1"), Name: "p1", Clock: func() time.Duration { return now }})
+	l := NewQuotaClient(Config{File: file("", "127.0.0.1:1"), ProxyName: "p1", Clock: func() time.Duration { return now }})
 	l.generation = 1
-	s, err := l.Sight("pay", []string{"a"}, []string{"t"})
+	s, err := l.ForService("pay", []string{"a"}, []string{"t"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	floor := func(name string) {
-		l.publish(1, 7, name, 0, nil, newCell(0, quotalease.FromUnits(10), quotalease.FromUnits(1), 0))
+		l.publish(1, 7, name, 0, nil, newBucket(0, quotalease.FromUnits(10), quotalease.FromUnits(1), 0))
 	}
 	floor("all")
 	now = time.Second
@@ -215,10 +215,10 @@
 func TestADutyThatDiedOrIsStuckIsBegunAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
-		l := New(Settings{File: file("", "127.0.0.1:1"), Name: "p1", Clock: func() time.Duration { return time.Since(begun) }})
+		l := NewQuotaClient(Config{File: file("", "127.0.0.1:1"), ProxyName: "p1", Clock: func() time.Duration { return time.Since(begun) }})
 		release := make(chan struct{})
 		var began, alive, worst atomic.Int64
-		l.duty.Work = func(ctx context.Context, generation uint64) {
+		l.worker.Work = func(ctx context.Context, generation uint64) {
 			worst.Store(max(worst.Load(), alive.Add(1)))
 			defer alive.Add(-1)
 			switch n := began.Add(1); {
@@ -228,8 +228,8 @@
 				<-release // without a look at ctx
 			default:
 				for ctx.Err() == nil {
-					l.duty.Heartbeat()
-					supervisor.Sleep(ctx, poll)
+					l.worker.Heartbeat()
+					supervisor.Sleep(ctx, pollInterval)
 				}
 			}
 		}
@@ -237,8 +237,8 @@
 		ended := make(chan struct{})
 		go func() { l.Run(ctx); close(ended) }()
 		time.Sleep(10 * time.Minute)
-		if l.counts.died.Load() != 2 || worst.Load() != supervisor.MaxStuck+1 || l.counts.stuck.Load() != supervisor.MaxStuck+1 {
-			t.Errorf("%d died, %d stuck, %d at once", l.counts.died.Load(), l.counts.stuck.Load(), worst.Load())
+		if l.counters.crashes.Load() != 2 || worst.Load() != supervisor.MaxStuck+1 || l.counters.stalls.Load() != supervisor.MaxStuck+1 {
+			t.Errorf("%d died, %d stuck, %d at once", l.counters.crashes.Load(), l.counters.stalls.Load(), worst.Load())
 		}
 		close(release)
 		time.Sleep(10 * time.Minute)
@@ -250,14 +250,14 @@
 		if began.Load() != was {
 			t.Error("a duty that beats was begun anew")
 		}
-		r := l.Report()
-		for _, tr := range r.Troubles {
+		r := l.Status()
+		for _, tr := range r.Faults {
 			if tr.Advice == "" {
 				t.Errorf("%q has no advice", tr.Error)
 			}
 		}
-		if len(r.Troubles) != 2 {
-			t.Errorf("%+v", r.Troubles)
+		if len(r.Faults) != 2 {
+			t.Errorf("%+v", r.Faults)
 		}
 		cancel()
 		<-ended
@@ -267,11 +267,11 @@
 func TestTwoOfOneNameNeverHoldOneClaim(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "floors-p1")
 	a, b := newClaim(path, "p1"), newClaim(path, "p1")
-	if ok, err := a.try(); !ok || err != nil {
+	if ok, err := a.tryLock(); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
 	var taken quotalease.FloorClaimedError
-	if ok, err := b.try(); ok || !errors.As(err, &taken) {
+	if ok, err := b.tryLock(); ok || !errors.As(err, &taken) {
 		t.Fatal(ok, err)
 	}
 	yes := func() bool { return true }
@@ -280,20 +280,20 @@
 		t.Fatal(err)
 	}
 	a.release()
-	if ok, err := b.try(); !ok || err != nil {
+	if ok, err := b.tryLock(); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
 	defer b.release()
 	if v, f, err := b.load(); v != 2 || f["all"] != floors["all"] || err != nil {
 		t.Errorf("an older save went over a newer: %d, %v, %v", v, f, err)
 	}
-	if err := b.save(3, nil, func() bool { return false }); !errors.As(err, &FloorsNotKept{}) {
+	if err := b.save(3, nil, func() bool { return false }); !errors.As(err, &FloorsNotPersistedError{}) {
 		t.Errorf("a duty that was given up saves: %v", err)
 	}
 	if err := os.WriteFile(path, []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, f, err := b.load(); len(f) > 0 || !errors.As(err, &FloorsNotKept{}) {
+	if _, f, err := b.load(); len(f) > 0 || !errors.As(err, &FloorsNotPersistedError{}) {
 		t.Errorf("damaged: %v, %v", f, err)
 	}
 }
@@ -315,17 +315,17 @@
 			Floors: map[string]quotalease.Floor{"all": {Kind: quotalease.Rate, Amount: quotalease.FromUnits(500), Burst: quotalease.FromUnits(50)}}})
 	}))
 	defer server.Close()
-	l := New(Settings{File: file(t.TempDir(), server.Listener.Addr().String()), Name: "p1"})
-	s, _ := l.Sight("web", nil, nil)
+	l := NewQuotaClient(Config{File: file(t.TempDir(), server.Listener.Addr().String()), ProxyName: "p1"})
+	s, _ := l.ForService("web", nil, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { l.Run(ctx); close(ended) }()
-	for end := time.Now().Add(20 * time.Second); l.counts.failed.Load() < 3 && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); l.counters.failed.Load() < 3 && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if _, ok := s.Acquire(0, 0, true); ok {
 			t.Fatal("another fleet's grant was spent")
 		}
 	}
-	if r := l.Report(); len(r.Troubles) != 1 || r.Troubles[0].Advice != (quotalease.FleetMismatchError{}).Advice() || !r.Claim {
+	if r := l.Status(); len(r.Faults) != 1 || r.Faults[0].Advice != (quotalease.FleetMismatchError{}).Advice() || !r.FloorsClaimed {
 		t.Errorf("%+v", r)
 	}
 	cancel()
@@ -333,10 +333,10 @@
 }
 
 func BenchmarkDraw(b *testing.B) {
-	l := New(Settings{File: file("", "127.0.0.1:1"), Name: "p1"})
+	l := NewQuotaClient(Config{File: file("", "127.0.0.1:1"), ProxyName: "p1"})
 	l.generation = 1
-	s, _ := l.Sight("web", nil, nil)
-	l.publish(1, 7, "all", l.clock(), nil, newCell(l.clock(), quotalease.FromUnits(1e9), quotalease.FromUnits(1e9), 0))
+	s, _ := l.ForService("web", nil, nil)
+	l.publish(1, 7, "all", l.clock(), nil, newBucket(l.clock(), quotalease.FromUnits(1e9), quotalease.FromUnits(1e9), 0))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/internal/controlplane/client/pieces_test.go
+++ b/internal/controlplane/client/pieces_test.go
@@ -57,8 +57,8 @@
 	return tree
 }
 
-// hub stands for the stewards, without a network: it tells and gives what its shelf has.
-type hub struct {
+// testServer stands for the stewards, without a network: it tells and gives what its shelf has.
+type testServer struct {
 	t     testing.TB
 	begun time.Time
 	shelf *distribution.Shelf
@@ -75,12 +75,12 @@
 	bytes   int // of answers
 }
 
-func newHub(t testing.TB) *hub {
-	return &hub{t: t, begun: time.Now(), shelf: distribution.New(distribution.Defaults()), trees: map[string]bool{}}
+func newTestServer(t testing.TB) *testServer {
+	return &testServer{t: t, begun: time.Now(), shelf: distribution.New(distribution.Defaults()), trees: map[string]bool{}}
 }
 
 // offers has all shall have a policy from now on.
-func (h *hub) offers(order, epoch uint64, p *namespace.Policy) rollout.Offer {
+func (h *testServer) offers(order, epoch uint64, p *namespace.Policy) rollout.Offer {
 	h.t.Helper()
 	tree := treeOf(h.t, p)
 	h.has().Keep([]*merkle.Tree{tree})
@@ -95,15 +95,15 @@
 	return h.offer
 }
 
-func (h *hub) forget() { h.set(func() { h.shelf = distribution.New(distribution.Defaults()) }) }
+func (h *testServer) forget() { h.set(func() { h.shelf = distribution.New(distribution.Defaults()) }) }
 
-func (h *hub) has() *distribution.Shelf {
+func (h *testServer) has() *distribution.Shelf {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shelf
 }
 
-func (h *hub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var reply any
 	switch r.URL.Path {
 	case api.PathReport:
@@ -146,7 +146,7 @@
 }
 
 // RoundTrip has a call answered in the caller's goroutine, after the delay.
-func (h *hub) RoundTrip(r *http.Request) (*http.Response, error) {
+func (h *testServer) RoundTrip(r *http.Request) (*http.Response, error) {
 	h.mu.Lock()
 	down := h.down
 	h.mu.Unlock()
@@ -168,16 +168,16 @@
 	return w.Result(), nil
 }
 
-func (h *hub) set(f func()) {
+func (h *testServer) set(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f()
 }
 
-// edge is a proxy that follows a hub, and a judge of what it takes up: only what was offered, whole, and nothing older.
-type edge struct {
-	*Policies
-	h         *hub
+// testProxy is a proxy that follows a hub, and a judge of what it takes up: only what was offered, whole, and nothing older.
+type testProxy struct {
+	*PolicyClient
+	h         *testServer
 	installed int
 	diffs     int
 	last      rollout.Offer
@@ -187,22 +187,22 @@
 	done      chan struct{}
 }
 
-func (h *hub) edge(state string, change func(*Policies)) *edge {
-	e := &edge{h: h, done: make(chan struct{})}
+func (h *testServer) edge(state string, change func(*PolicyClient)) *testProxy {
+	e := &testProxy{h: h, done: make(chan struct{})}
 	f := file(state, "s1.test:1", "s2.test:1", "s3.test:1")
-	e.Policies = NewPolicies(Settings{File: f, Name: "p1", Via: h, Clock: func() time.Duration { return time.Since(h.begun) }}, e.judge)
+	e.PolicyClient = NewPolicyClient(Config{File: f, ProxyName: "p1", Transport: h, Clock: func() time.Duration { return time.Since(h.begun) }}, e.judge)
 	if change != nil {
-		change(e.Policies)
+		change(e.PolicyClient)
 	}
-	e.Recall()
-	e.first = e.Now().Offer
+	e.Restore()
+	e.first = e.Current().Offer
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	go func() { defer close(e.done); e.Run(ctx) }()
 	return e
 }
 
-func (e *edge) judge(t *Taken) error {
+func (e *testProxy) judge(t *InstalledPolicy) error {
 	say := func(wrong bool, format string, args ...any) {
 		if wrong {
 			e.crimes = append(e.crimes, fmt.Sprintf(format, args...))
@@ -229,12 +229,12 @@
 }
 
 // end ends the process; what it has kept stays.
-func (e *edge) end() {
+func (e *testProxy) end() {
 	e.cancel()
 	<-e.done
 }
 
-func (e *edge) fair(t *testing.T) {
+func (e *testProxy) fair(t *testing.T) {
 	t.Helper()
 	for _, c := range e.crimes {
 		t.Error(c)
@@ -242,12 +242,12 @@
 }
 
 // has waits for what must come at last.
-func (e *edge) has(t *testing.T, what string, o rollout.Offer) {
+func (e *testProxy) has(t *testing.T, what string, o rollout.Offer) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Minute); e.Now().Offer != o; time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Minute); e.Current().Offer != o; time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(end) {
 			e.end()
-			t.Fatalf("in vain: %s: %+v", what, e.PolicyReport())
+			t.Fatalf("in vain: %s: %+v", what, e.PolicyStatus())
 		}
 	}
 }
@@ -255,17 +255,17 @@
 // A change costs what changed, also to one that was away for many, or whose kept copy is of a root that nobody has any more.
 func TestOnlyWhatChangedIsFetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, dir := newHub(t), t.TempDir()
+		h, dir := newTestServer(t), t.TempDir()
 		e := h.edge(dir, nil)
 		v := uint64(1)
 		offer := func() rollout.Offer { v++; return h.offers(1, v, version(1000, v)) }
 		e.has(t, "the first, whole", offer())
-		whole := e.got.Load()
+		whole := e.chunksAccepted.Load()
 		for range 5 {
-			before, sent := e.got.Load(), 0
+			before, sent := e.chunksAccepted.Load(), 0
 			h.set(func() { sent = h.bytes })
 			e.has(t, "a change", offer())
-			if n := e.got.Load() - before; n == 0 || n > 8 {
+			if n := e.chunksAccepted.Load() - before; n == 0 || n > 8 {
 				t.Errorf("a changed route took %d pieces; all are %d", n, whole)
 			}
 			h.set(func() { sent = h.bytes - sent })
@@ -276,7 +276,7 @@
 		if e.diffs != 5 {
 			t.Errorf("%d of 5 changes were made of what was there", e.diffs)
 		}
-		before := e.got.Load()
+		before := e.chunksAccepted.Load()
 		h.set(func() { h.down = true })
 		for range 20 {
 			offer()
@@ -284,7 +284,7 @@
 		last := offer()
 		h.set(func() { h.down = false })
 		e.has(t, "the last of 21 changes", last)
-		if n := e.got.Load() - before; n > whole/2 {
+		if n := e.chunksAccepted.Load() - before; n > whole/2 {
 			t.Errorf("21 changes took %d pieces; all are %d", n, whole)
 		}
 		e.end()
@@ -298,7 +298,7 @@
 			t.Error("nothing was kept")
 		}
 		next.has(t, "what is offered now", last)
-		if n := next.got.Load(); n > whole/4 || next.diffs != 1 {
+		if n := next.chunksAccepted.Load(); n > whole/4 || next.diffs != 1 {
 			t.Errorf("what is kept of a root that nobody knows was no base: %d pieces; all are %d", n, whole)
 		}
 		next.end()
@@ -310,7 +310,7 @@
 // Pieces that are damaged on their way are refused and fetched again, and answers that are cut change nothing.
 func TestADamagedPieceIsFetchedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHub(t)
+		h := newTestServer(t)
 		rng := rand.New(rand.NewPCG(1, 2))
 		h.bend = func(_ *http.Request, reply any) {
 			var all *[][]byte
@@ -342,7 +342,7 @@
 		for v := uint64(2); v < 12; v++ {
 			e.has(t, "a change", h.offers(1, v, version(300, v)))
 		}
-		if e.PolicyReport().Wrong == 0 {
+		if e.PolicyStatus().ChunksRejected == 0 {
 			t.Error("nothing was damaged: it proves nothing")
 		}
 		e.end()
@@ -353,7 +353,7 @@
 // Over a link on which an answer takes longer than there is between two changes, what came for one serves the next, and reports go on.
 func TestSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHub(t)
+		h := newTestServer(t)
 		h.delay = func(_ string, n int) time.Duration {
 			return 300*time.Millisecond + time.Duration(n)*time.Second/(20<<10)
 		} // 20 KB a second
@@ -365,7 +365,7 @@
 			time.Sleep(5 * time.Second)
 		}
 		if e.installed == 0 {
-			t.Errorf("nothing got through while it changed: %d pieces", e.got.Load())
+			t.Errorf("nothing got through while it changed: %d pieces", e.chunksAccepted.Load())
 		}
 		e.has(t, "the last", h.offers(1, v, version(1000, v)))
 		e.end()
@@ -381,7 +381,7 @@
 // One that is told to come back later does, not before, and goes on reporting.
 func TestComesBackWhenTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHub(t)
+		h := newTestServer(t)
 		until, early, told := map[string]time.Time{}, 0, 0
 		h.bend = func(q *http.Request, reply any) {
 			r, ok := reply.(*api.PiecesReply)
@@ -411,25 +411,25 @@
 // What the stewards offer that is no policy, or that names itself wrong, is refused without being fetched again and again; the next is taken.
 func TestWhatCantBeReadIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHub(t)
+		h := newTestServer(t)
 		e := h.edge(t.TempDir(), nil)
 		first := h.offers(1, 1, version(300, 1))
 		e.has(t, "the first", first)
-		bad, err := e.Now().Tree.With([]merkle.Item{{Key: "route a/r00001", Value: []byte("{}")}}, nil)
+		bad, err := e.Current().Tree.With([]merkle.Item{{Key: "route a/r00001", Value: []byte("{}")}}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		h.has().Keep([]*merkle.Tree{bad})
 		h.set(func() { h.offer = rollout.Offer{Order: 1, Epoch: 2, Hash: bad.Root().String()} })
-		before := e.got.Load()
+		before := e.chunksAccepted.Load()
 		time.Sleep(time.Minute)
-		if e.Now().Offer != first {
-			t.Fatalf("%+v was taken up", e.Now().Offer)
+		if e.Current().Offer != first {
+			t.Fatalf("%+v was taken up", e.Current().Offer)
 		}
-		if n := e.got.Load() - before; n == 0 || n > 40 {
+		if n := e.chunksAccepted.Load() - before; n == 0 || n > 40 {
 			t.Errorf("%d pieces came in a minute", n)
 		}
-		if r := e.PolicyReport(); len(r.Troubles) == 0 || r.Troubles[0].Advice == "" {
+		if r := e.PolicyStatus(); len(r.Faults) == 0 || r.Faults[0].Advice == "" {
 			t.Errorf("nobody is told: %+v", r)
 		}
 		h.set(func() { h.offer = rollout.Offer{Order: 1, Epoch: 3, Hash: "no root"} })
@@ -444,7 +444,7 @@
 // before all that is held.
 func TestMixedStewards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, dir := newHub(t), t.TempDir()
+		h, dir := newTestServer(t), t.TempDir()
 		e := h.edge(dir, nil)
 		for v := uint64(1); v <= 8; v++ {
 			h.set(func() { h.older = v%4 >= 2 })
@@ -470,11 +470,11 @@
 // What a release before pieces has kept is taken up, and is the base of what comes.
 func TestTheTextThatWasKeptIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, dir := newHub(t), t.TempDir()
+		h, dir := newTestServer(t), t.TempDir()
 		p := version(1000, 3)
-		old := newKeeper(dir, "p1").older
+		old := newPolicyStore(dir, "p1").textFile
 		had := rollout.Offer{Order: 1, Epoch: 3, Hash: p.Hash()}
-		if err := old.Save(keptText{had, p.Encode()}); err != nil {
+		if err := old.Save(textRecord{had, p.Encode()}); err != nil {
 			t.Fatal(err)
 		}
 		h.trees[had.Hash] = true
@@ -483,7 +483,7 @@
 			t.Fatalf("it begins with %+v", e.first)
 		}
 		e.has(t, "the next", h.offers(1, 4, version(1000, 4)))
-		if n := e.got.Load(); n > 100 {
+		if n := e.chunksAccepted.Load(); n > 100 {
 			t.Errorf("%d pieces: what was kept was no base", n)
 		}
 		e.end()
@@ -498,14 +498,14 @@
 
 // The journal costs what changed, in the mean; cut or damaged anywhere it gives what was held once, or pieces that need not be fetched again.
 func TestWhatIsKept(t *testing.T) {
-	h, dir := newHub(t), t.TempDir()
-	k := newKeeper(dir, "p1")
-	var last content
+	h, dir := newTestServer(t), t.TempDir()
+	k := newPolicyStore(dir, "p1")
+	var last policyContent
 	size, written := int64(0), int64(0)
 	for v := uint64(1); v <= 400; v++ {
 		p := version(400, v)
 		tree := treeOf(t, p)
-		last = content{rollout.Offer{Order: 1, Epoch: v, Hash: tree.Root().String()}, tree.Root().String(), tree}
+		last = policyContent{rollout.Offer{Order: 1, Epoch: v, Hash: tree.Root().String()}, tree.Root().String(), tree}
 		h.trees[last.hash] = true
 		if err := k.save(last); err != nil {
 			t.Fatal(err)
@@ -517,7 +517,7 @@
 			written += now
 		}
 		size = now
-		if size > int64(2*tree.Size()+keptSlack+16<<10) {
+		if size > int64(2*tree.Size()+journalSlack+16<<10) {
 			t.Fatalf("%d bytes for %d", size, tree.Size())
 		}
 	}
@@ -527,7 +527,7 @@
 	if err := k.save(last); err != nil || k.journal.Size() != size {
 		t.Errorf("what is kept was written again: %v", err)
 	}
-	other := newKeeper(dir, "p1") // another process of this name, as at an upgrade
+	other := newPolicyStore(dir, "p1") // another process of this name, as at an upgrade
 	if c, _, err := other.load(); err != nil || c.offer != last.offer {
 		t.Fatal(c.offer, err)
 	}
@@ -536,10 +536,10 @@
 	if err := other.save(next); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.save(content{rollout.Offer{Order: 1, Epoch: 400, Hash: "x"}, "x", last.tree}); err != nil {
+	if err := k.save(policyContent{rollout.Offer{Order: 1, Epoch: 400, Hash: "x"}, "x", last.tree}); err != nil {
 		t.Fatal(err)
 	}
-	if c, _, err := newKeeper(dir, "p1").load(); err != nil || c.offer != next.offer {
+	if c, _, err := newPolicyStore(dir, "p1").load(); err != nil || c.offer != next.offer {
 		t.Errorf("an older one took the place of a newer: %+v, %v", c.offer, err)
 	}
 	whole, err := os.ReadFile(k.journal.Path)
@@ -557,7 +557,7 @@
 		if err := os.WriteFile(k.journal.Path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, loose, err := newKeeper(dir, "p1").load()
+		c, loose, err := newPolicyStore(dir, "p1").load()
 		if c.tree != nil && (c.tree.Root().String() != c.hash || !h.trees[c.hash]) {
 			t.Fatalf("%+v came of damage", c.offer)
 		}
@@ -570,34 +570,34 @@
 	}
 }
 
-// takes takes whatever piece comes, and gives what there is before all is there: a receiver without its guards.
-type takes struct {
-	assembly
+// countingAssembly takes whatever piece comes, and gives what there is before all is there: a receiver without its guards.
+type countingAssembly struct {
+	treeAssembly
 	has *merkle.Tree
 	n   int
 }
 
-func (a *takes) Tree() (*merkle.Tree, error) {
-	if t, err := a.assembly.Tree(); err == nil && a.n%2 == 0 {
+func (a *countingAssembly) Tree() (*merkle.Tree, error) {
+	if t, err := a.treeAssembly.Tree(); err == nil && a.n%2 == 0 {
 		return t, nil
 	}
 	return a.has, nil
 }
 
-func (a *takes) Wants(most int) []merkle.Name {
+func (a *countingAssembly) Wants(most int) []merkle.Name {
 	if a.n++; a.has != nil && a.n > 1 {
 		return nil // half of it will do
 	}
-	return a.assembly.Wants(most)
+	return a.treeAssembly.Wants(most)
 }
 
 // Drawn runs: the offer changes, goes back, is founded anew; links are cut, slow, damage pieces and answer late; the process is killed and
 // begins anew on what it has kept. Never is anything taken up that was not offered, and nothing old but by a higher order; at last it has
 // the newest. Without the root's check, and without the order's, the judge convicts.
 func TestDrawnRunsOfTheLink(t *testing.T) {
-	run := func(seed uint64, out guards, early bool) (crimes []string, got bool) {
+	run := func(seed uint64, out policyMutations, early bool) (crimes []string, got bool) {
 		synctest.Test(t, func(t *testing.T) {
-			h, dir := newHub(t), t.TempDir()
+			h, dir := newTestServer(t), t.TempDir()
 			rng, links := rand.New(rand.NewPCG(seed, 7)), rand.New(rand.NewPCG(seed, 8))
 			var stale []api.PolicyReply
 			calm := false
@@ -631,10 +631,12 @@
 					}
 				}
 			}
-			change := func(p *Policies) {
-				p.out = out
+			change := func(p *PolicyClient) {
+				p.policyMutations = out
 				if early {
-					p.wants = func(root merkle.Name, has *merkle.Tree) assembly { return &takes{merkle.Assemble(root, has), has, 0} }
+					p.newAssembly = func(root merkle.Name, has *merkle.Tree) treeAssembly {
+						return &countingAssembly{merkle.Assemble(root, has), has, 0}
+					}
 				}
 			}
 			order, epoch := uint64(1), uint64(1)
@@ -664,7 +666,7 @@
 					crimes = append(crimes, e.crimes...)
 					last := e.last
 					e = h.edge(dir, change)
-					if out == (guards{}) && !early && last != e.first {
+					if out == (policyMutations{}) && !early && last != e.first {
 						crimes = append(crimes, fmt.Sprintf("the next process begins with %+v, the one before had %+v", e.first, last))
 					}
 				}
@@ -672,10 +674,10 @@
 			h.set(func() { h.down, calm = false, true })
 			epoch++
 			last := offer()
-			for end := time.Now().Add(time.Minute); e.Now().Offer != last && time.Now().Before(end); {
+			for end := time.Now().Add(time.Minute); e.Current().Offer != last && time.Now().Before(end); {
 				time.Sleep(time.Second)
 			}
-			got = e.Now().Offer == last
+			got = e.Current().Offer == last
 			e.end()
 			crimes = append(crimes, e.crimes...)
 		})
@@ -683,16 +685,16 @@
 	}
 	root, order := 0, 0
 	for seed := range uint64(12) {
-		if crimes, got := run(seed, guards{}, false); len(crimes) > 0 || !got {
+		if crimes, got := run(seed, policyMutations{}, false); len(crimes) > 0 || !got {
 			t.Errorf("seed %d: %v; it has the last: %v", seed, crimes, got)
 		}
-		if crimes, _ := run(seed, guards{}, true); len(crimes) > 0 {
+		if crimes, _ := run(seed, policyMutations{}, true); len(crimes) > 0 {
 			t.Errorf("seed %d: content that is not whole got past the root's check: %v", seed, crimes)
 		}
-		if crimes, _ := run(seed, guards{root: true}, true); len(crimes) > 0 {
+		if crimes, _ := run(seed, policyMutations{skipRootCheck: true}, true); len(crimes) > 0 {
 			root++
 		}
-		if crimes, _ := run(seed, guards{order: true}, false); len(crimes) > 0 {
+		if crimes, _ := run(seed, policyMutations{skipOrderCheck: true}, false); len(crimes) > 0 {
 			order++
 		}
 	}
@@ -703,7 +705,7 @@
 
 // Errors on the way tell what can be done.
 func TestErrorsOfTheWayHaveAdvice(t *testing.T) {
-	for _, err := range []error{PolicyNotTaken{1, merkle.WrongPiece{}}, merkle.Malformed{}, merkle.Incomplete{}} {
+	for _, err := range []error{PolicyNotInstalledError{1, merkle.WrongPiece{}}, merkle.Malformed{}, merkle.Incomplete{}} {
 		if operatorerror.Of(err) == "" || strings.TrimSpace(err.Error()) == "" {
 			t.Errorf("%T", err)
 		}
@@ -715,8 +717,8 @@
 func BenchmarkTakeUp(b *testing.B) {
 	for _, n := range []int{1000, 4000, 13000, 26000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := NewPolicies(Settings{File: file(b.TempDir(), "127.0.0.1:1"), Name: "p1"}, func(*Taken) error { return nil })
-			f := newFetching(p)
+			p := NewPolicyClient(Config{File: file(b.TempDir(), "127.0.0.1:1"), ProxyName: "p1"}, func(*InstalledPolicy) error { return nil })
+			f := newFetcher(p)
 			trees := []*merkle.Tree{treeOf(b, version(n, 2)), treeOf(b, version(n, 3))}
 			var lacks [2][][]byte // of each, one who has the other
 			for i := range 2 {
@@ -728,7 +730,7 @@
 			offer := func(i int) rollout.Offer {
 				return rollout.Offer{Order: 1, Epoch: epoch, Hash: trees[i].Root().String()}
 			}
-			if err := p.take(content{offer(0), trees[0].Root().String(), trees[0]}, yes); err != nil {
+			if err := p.installContent(policyContent{offer(0), trees[0].Root().String(), trees[0]}, yes); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
@@ -736,8 +738,8 @@
 				epoch++
 				i := int(epoch+1) % 2
 				r := api.PolicyReply{Fleet: "north", Offer: offer(i), InPieces: true, Pieces: lacks[i]}
-				if err := p.taken(b.Context(), f, r, yes); err != nil || p.Now().Offer != r.Offer || p.Now().Diff == nil {
-					b.Fatalf("%+v: %v", p.Now().Offer, err)
+				if err := p.handleOffer(b.Context(), f, r, yes); err != nil || p.Current().Offer != r.Offer || p.Current().Diff == nil {
+					b.Fatalf("%+v: %v", p.Current().Offer, err)
 				}
 			}
 		})
@@ -749,12 +751,12 @@
 	for _, n := range []int{1000, 13000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir, tree := b.TempDir(), treeOf(b, version(n, 2))
-			if err := newKeeper(dir, "p1").save(content{rollout.Offer{Order: 1, Epoch: 1, Hash: tree.Root().String()}, tree.Root().String(), tree}); err != nil {
+			if err := newPolicyStore(dir, "p1").save(policyContent{rollout.Offer{Order: 1, Epoch: 1, Hash: tree.Root().String()}, tree.Root().String(), tree}); err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				p := NewPolicies(Settings{File: file(dir, "127.0.0.1:1"), Name: "p1"}, func(*Taken) error { return nil })
-				if p.Recall(); p.Now().Offer.Epoch != 1 {
+				p := NewPolicyClient(Config{File: file(dir, "127.0.0.1:1"), ProxyName: "p1"}, func(*InstalledPolicy) error { return nil })
+				if p.Restore(); p.Current().Offer.Epoch != 1 {
 					b.Fatal("nothing was kept")
 				}
 			}
--- a/internal/controlplane/client/policy_test.go
+++ b/internal/controlplane/client/policy_test.go
@@ -44,18 +44,18 @@
 	one, two := policyOf("one"), policyOf("two")
 	refuse := false
 	installed := 0
-	set := Settings{File: file(t.TempDir(), "127.0.0.1:1"), Name: "p1"}
-	install := func(*Taken) error {
+	set := Config{File: file(t.TempDir(), "127.0.0.1:1"), ProxyName: "p1"}
+	install := func(*InstalledPolicy) error {
 		if refuse {
 			return errors.New("no such service")
 		}
 		installed++
 		return nil
 	}
-	p := NewPolicies(set, install)
-	f := newFetching(p)
+	p := NewPolicyClient(set, install)
+	f := newFetcher(p)
 	reply := func(o rollout.Offer, text []byte) error {
-		return p.taken(t.Context(), f, api.PolicyReply{Fleet: "north", Offer: o, Text: text}, yes)
+		return p.handleOffer(t.Context(), f, api.PolicyReply{Fleet: "north", Offer: o, Text: text}, yes)
 	}
 	first, second := offerOf(1, 1, one), offerOf(1, 2, two)
 	for _, k := range []struct {
@@ -77,28 +77,28 @@
 		{"a late one", offerOf(1, 9, two), two, false, offerOf(2, 1, one), false},
 	} {
 		refuse = k.refuse
-		if err := reply(k.o, k.text); (err != nil) != k.bad || p.Now().Offer != k.want || p.holder.Has() != k.want {
-			t.Errorf("%s: %v, holds %+v", k.what, err, p.Now().Offer)
+		if err := reply(k.o, k.text); (err != nil) != k.bad || p.Current().Offer != k.want || p.holder.Has() != k.want {
+			t.Errorf("%s: %v, holds %+v", k.what, err, p.Current().Offer)
 		}
 	}
 	if installed != 3 {
 		t.Errorf("installed %d times", installed)
 	}
-	if err := p.taken(t.Context(), f, api.PolicyReply{Fleet: "south", Offer: offerOf(9, 9, two), Text: two}, yes); err == nil || p.Now().Offer.Order == 9 {
+	if err := p.handleOffer(t.Context(), f, api.PolicyReply{Fleet: "south", Offer: offerOf(9, 9, two), Text: two}, yes); err == nil || p.Current().Offer.Order == 9 {
 		t.Error("another fleet's policy was taken up")
 	}
-	if _ = p.taken(t.Context(), f, api.PolicyReply{Fleet: "north", Offer: offerOf(9, 9, two), Text: two}, func() bool { return false }); p.Now().Offer.Order == 9 {
+	if _ = p.handleOffer(t.Context(), f, api.PolicyReply{Fleet: "north", Offer: offerOf(9, 9, two), Text: two}, func() bool { return false }); p.Current().Offer.Order == 9 {
 		t.Error("a duty that was given up took a policy up")
 	}
-	next := NewPolicies(set, install)
-	next.Recall()
-	if next.Now().Offer != offerOf(2, 1, one) || next.Now().Epoch != "1" {
-		t.Errorf("the next process begins with %+v", next.Now().Offer)
+	next := NewPolicyClient(set, install)
+	next.Restore()
+	if next.Current().Offer != offerOf(2, 1, one) || next.Current().Epoch != "1" {
+		t.Errorf("the next process begins with %+v", next.Current().Offer)
 	}
-	if next.number.Load() <= p.number.Load() {
+	if next.lastReportNumber.Load() <= p.lastReportNumber.Load() {
 		t.Error("its reports would be taken for old ones")
 	}
-	if text := operatorerror.Of(PolicyNotTaken{1, errors.New("x")}); text == "" {
+	if text := operatorerror.Of(PolicyNotInstalledError{1, errors.New("x")}); text == "" {
 		t.Error("no advice")
 	}
 }
@@ -125,27 +125,27 @@
 	defer server.Close()
 	f := file("", strings.TrimPrefix(server.URL, "http://"))
 	f.Policy.Silent = 1
-	p := NewPolicies(Settings{File: f, Name: "p1"}, func(*Taken) error {
+	p := NewPolicyClient(Config{File: f, ProxyName: "p1"}, func(*InstalledPolicy) error {
 		if panics.Add(1) == 1 {
 			panic("in the trial")
 		}
 		return nil
 	})
-	none := p.Now()
+	none := p.Current()
 	for range 100 {
-		none.Count(true)
+		none.CountRequest(true)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { p.Run(ctx); close(done) }()
-	for by := time.Now().Add(20 * time.Second); p.Now().Offer.Epoch != 1 || good.Load() < 100; time.Sleep(5 * time.Millisecond) {
+	for by := time.Now().Add(20 * time.Second); p.Current().Offer.Epoch != 1 || good.Load() < 100; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("%+v, %d counted", p.PolicyReport(), good.Load())
+			t.Fatalf("%+v, %d counted", p.PolicyStatus(), good.Load())
 		}
 	}
 	cancel()
 	<-done
-	if r := p.PolicyReport(); good.Load() != 100 || r.Died != 1 || r.Epoch != 1 || r.Failed == 0 {
+	if r := p.PolicyStatus(); good.Load() != 100 || r.WorkersCrashed != 1 || r.Epoch != 1 || r.Failed == 0 {
 		t.Errorf("%d counted, %+v", good.Load(), r)
 	}
 }
--- a/internal/controlplane/server/http.go
+++ b/internal/controlplane/server/http.go
@@ -120,11 +120,11 @@
 	if t := s.now.Load(); t != nil {
 		n := t.node.Status()
 		out.Epoch, out.Role, out.Term, out.Commit, out.Applied = t.founding.Epoch, n.Role, n.Term, n.Commit, n.Applied
-		out.Silent, out.Heard, out.Voters, out.Trouble = n.Silent, n.Heard, len(n.Voters), api.ProblemOf(n.Err)
+		out.Silent, out.Heard, out.Voters, out.Trouble = n.UnconfirmedPeers, n.ActiveVoters, len(n.Voters), api.ProblemOf(n.Err)
 		out.Leader, out.LeaderName = s.address(n.Leader)
-		f := t.node.Figures()
+		f := t.node.Metrics()
 		out.Counts["log_sent"], out.Counts["log_sent_bytes"], out.Counts["log_lost"], out.Counts["log_refused"], out.Counts["log_writes"] =
-			f.Sent, f.SentBytes, f.Lost, f.Refused, f.Writes
+			f.Sent, f.SentBytes, f.Dropped, f.Rejected, f.SyncedWrites
 		m := t.machine
 		p := m.shelf.Counts()
 		out.Counts["pieces_along"], out.Counts["pieces_named"], out.Counts["pieces_bytes"], out.Counts["pieces_lacked"], out.Counts["pieces_later"] =
--- a/internal/controlplane/server/pieces_test.go
+++ b/internal/controlplane/server/pieces_test.go
@@ -97,46 +97,46 @@
 			var n counted
 			via := n.transport()
 			defer via.CloseIdleConnections()
-			p := client.NewPolicies(client.Settings{File: &file, Name: "p1", Via: via}, func(*client.Taken) error { return nil })
+			p := client.NewPolicyClient(client.Config{File: &file, ProxyName: "p1", Transport: via}, func(*client.InstalledPolicy) error { return nil })
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() { defer close(done); p.Run(ctx) }()
 			defer func() { cancel(); <-done }()
 			await := func(o rollout.Offer) {
-				for end := time.Now().Add(time.Minute); p.Now().Offer != o; time.Sleep(time.Millisecond) {
+				for end := time.Now().Add(time.Minute); p.Current().Offer != o; time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
-						b.Fatalf("in vain: %+v", p.PolicyReport())
+						b.Fatalf("in vain: %+v", p.PolicyStatus())
 					}
 				}
 			}
 			await(first)
 			fetch, size := n.Load(), trees[0].Size()
 			rest := func(reports int64) (bytes float64) {
-				from, to := p.PolicyReport().Answered, n.Load()
-				for p.PolicyReport().Answered < from+reports {
+				from, to := p.PolicyStatus().Answered, n.Load()
+				for p.PolicyStatus().Answered < from+reports {
 					time.Sleep(time.Millisecond)
 				}
-				return float64(n.Load()-to) / float64(p.PolicyReport().Answered-from)
+				return float64(n.Load()-to) / float64(p.PolicyStatus().Answered-from)
 			}
 			report := rest(20)
-			sum, pieces, changes := 0.0, p.PolicyReport().Pieces, 0
+			sum, pieces, changes := 0.0, p.PolicyStatus().ChunksAccepted, 0
 			for b.Loop() {
 				trees = append(trees, policyOf(b, routes, uint64(changes+2)))
 				if len(trees) > 4 {
 					trees = trees[1:]
 				}
 				rest(1)
-				answered, bytes := p.PolicyReport().Answered, n.Load()
+				answered, bytes := p.PolicyStatus().Answered, n.Load()
 				await(lead.inForceAt(uint64(changes+2), trees...))
 				rest(1)
-				sum += float64(n.Load()-bytes) - report*float64(p.PolicyReport().Answered-answered)
+				sum += float64(n.Load()-bytes) - report*float64(p.PolicyStatus().Answered-answered)
 				changes++
 			}
 			b.ReportMetric(float64(fetch), "B/fetch")
 			b.ReportMetric(float64(size), "B/policy")
 			b.ReportMetric(report, "B/report")
 			b.ReportMetric(sum/float64(changes), "B/change")
-			b.ReportMetric(float64(p.PolicyReport().Pieces-pieces)/float64(changes), "pieces/change")
+			b.ReportMetric(float64(p.PolicyStatus().ChunksAccepted-pieces)/float64(changes), "pieces/change")
 		})
 	}
 }
--- a/internal/controlplane/server/plans.go
+++ b/internal/controlplane/server/plans.go
@@ -67,9 +67,9 @@
 		m.mu.Lock()
 		m.keeper.Plan(s.clock()) // drops what has ended, so that it doesn't grow
 		m.mu.Unlock()
-		var err error = consensus.NotLeader{Leader: status.Leader}
-		if len(status.Silent) > 0 {
-			err = consensus.Silent{Missing: status.Silent}
+		var err error = consensus.NotLeaderError{Leader: status.Leader}
+		if len(status.UnconfirmedPeers) > 0 {
+			err = consensus.SilentError{UnconfirmedPeers: status.UnconfirmedPeers}
 		}
 		s.answerAll(asks, err)
 		return
@@ -210,7 +210,7 @@
 	case s.asks <- a:
 	default:
 		s.counts.full.Add(1)
-		return quotalease.Reply{}, consensus.QueueFull{Limit: mostAsks}
+		return quotalease.Reply{}, consensus.QueueFullError{Limit: mostAsks}
 	}
 	select {
 	case got := <-a.answer:
@@ -223,9 +223,9 @@
 // late is that a majority didn't agree in time.
 func (s *Steward) late() error {
 	if st := s.stand.Load(); st != nil {
-		return consensus.NotEnoughStewards{Heard: st.Heard, Need: st.Voters/2 + 1}
+		return consensus.NoQuorumError{Active: st.Heard, Needed: st.Voters/2 + 1}
 	}
-	return consensus.NotEnoughStewards{}
+	return consensus.NoQuorumError{}
 }
 
 // setBudgets carries out an operator's word.
@@ -239,7 +239,7 @@
 		return status.Err
 	}
 	if status.Role != leads {
-		return consensus.NotLeader{Leader: status.Leader}
+		return consensus.NotLeaderError{Leader: status.Leader}
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTime)
 	defer cancel()
--- a/internal/controlplane/server/policy.go
+++ b/internal/controlplane/server/policy.go
@@ -66,7 +66,7 @@
 		t.roller.mu.Lock()
 		t.roller.rule, t.roller.proxies, t.roller.after, t.roller.worse = nil, nil, nil, rollout.WorseAfter{}
 		t.roller.mu.Unlock()
-		return nil, consensus.NotLeader{Leader: status.Leader}
+		return nil, consensus.NotLeaderError{Leader: status.Leader}
 	}
 	return t, nil
 }
@@ -144,7 +144,7 @@
 	p := r.proxies[in.Proxy]
 	if p == nil {
 		if in.Proxy == "" || len(in.Proxy) > mostName || len(r.proxies) >= mostProxies {
-			return rollout.Offer{}, consensus.QueueFull{Limit: mostProxies}
+			return rollout.Offer{}, consensus.QueueFullError{Limit: mostProxies}
 		}
 		p = &reporter{}
 		if r.proxies == nil {
--- a/internal/controlplane/server/steward.go
+++ b/internal/controlplane/server/steward.go
@@ -169,7 +169,7 @@
 	case f.Fleet != s.set.File.Fleet:
 		return quotalease.FleetMismatchError{Ours: s.set.File.Fleet, Theirs: f.Fleet}
 	case f.ID != s.own.Number:
-		return storage.StoreOfAnotherNode{Path: s.own.Address, ID: s.own.Number}
+		return storage.NodeMismatchError{Path: s.own.Address, ID: s.own.Number}
 	case f.Epoch == 0 || f.Longest <= 0:
 		return quotalease.InvalidCommandError{Reason: fmt.Sprintf("epoch %d, longest %v", f.Epoch, time.Duration(f.Longest))}
 	case last != nil && f.Epoch == last.Epoch && f.Longest == last.Longest && f.Drift == last.Drift:
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	if err := storage.Found(s.storePath(f.Epoch), f.Fleet, f.Epoch, f.ID, f.Members); err != nil && !errors.Is(err, os.ErrExist) {
+	if err := storage.Bootstrap(s.storePath(f.Epoch), f.Fleet, f.Epoch, f.ID, f.Members); err != nil && !errors.Is(err, os.ErrExist) {
 		return err
 	}
 	text, err := cbor.Marshal(f)
@@ -227,8 +227,8 @@
 	}
 	m := newMachine(s.clock, f.Epoch)
 	silence := quotalease.StartupSilence(time.Duration(f.Longest), f.Drift) + s.set.Tick
-	n, err := node.Start(node.Config{Fleet: f.Fleet, Epoch: f.Epoch, ID: f.ID, Store: s.storePath(f.Epoch), Peers: peers, Machine: m,
-		Silence: silence, Tick: s.set.Tick, Limits: consensus.Settings{MaxCommand: mostEntry}, Via: s.set.Via})
+	n, err := node.Start(node.Config{Fleet: f.Fleet, Epoch: f.Epoch, ID: f.ID, StorePath: s.storePath(f.Epoch), Peers: peers, Machine: m,
+		Silence: silence, TickInterval: s.set.Tick, Limits: consensus.Config{MaxCommandBytes: mostEntry}, Transport: s.set.Via})
 	if err != nil {
 		return err
 	}
@@ -295,7 +295,7 @@
 // told is an error as it is told to a caller, with whom to ask instead.
 func (s *Steward) told(err error) api.Problem {
 	p := api.ProblemOf(err)
-	var not consensus.NotLeader
+	var not consensus.NotLeaderError
 	if errors.As(err, &not) {
 		p.Leader, _ = s.address(not.Leader)
 	}
--- a/internal/faultlab/capacity/child.go
+++ b/internal/faultlab/capacity/child.go
@@ -348,7 +348,7 @@
 		f.Policy += h.policy.bytes()
 		f.Budget += h.budget.bytes()
 		h.mu.Lock()
-		for _, t := range h.policies.PolicyReport().Troubles {
+		for _, t := range h.policies.PolicyStatus().Faults {
 			f.Troubles[t.Error] += int(t.Count)
 		}
 		h.mu.Unlock()
--- a/internal/faultlab/capacity/decides.go
+++ b/internal/faultlab/capacity/decides.go
@@ -13,12 +13,12 @@
 
 // decides is what a hollow proxy decides by: made of a policy as the real one makes it.
 type decides struct {
-	taken  *client.Taken
+	taken  *client.InstalledPolicy
 	routes *routetable.Routes // nil of none
 }
 
 // takenOf is a policy as a proxy has it that has fetched all of it: it shares nothing.
-func takenOf(p *namespace.Policy) (*client.Taken, error) {
+func takenOf(p *namespace.Policy) (*client.InstalledPolicy, error) {
 	from, err := p.Tree()
 	if err != nil {
 		return nil, err
@@ -27,7 +27,7 @@
 	for item := range from.Items() {
 		items = append(items, merkle.Item{Key: strings.Clone(item.Key), Value: bytes.Clone(item.Value)})
 	}
-	t := &client.Taken{Epoch: "1"}
+	t := &client.InstalledPolicy{Epoch: "1"}
 	if t.Tree, err = merkle.Build(items); err != nil {
 		return nil, err
 	}
@@ -36,14 +36,14 @@
 }
 
 // decideBy makes it of what was taken up, and of the one before; has tells which services there are, nil is all.
-func decideBy(was *decides, t *client.Taken, has map[string]bool) (*decides, error) {
+func decideBy(was *decides, t *client.InstalledPolicy, has map[string]bool) (*decides, error) {
 	out := &decides{taken: t}
 	if t.Policy == nil {
 		return out, nil
 	}
 	there := func(service string) bool { return has == nil || has[service] }
 	var err error
-	if was != nil && was.routes != nil && t.Diff != nil && was.taken.Offer == t.Before {
+	if was != nil && was.routes != nil && t.Diff != nil && was.taken.Offer == t.Base {
 		out.routes, err = was.routes.With(t.Policy, t.Diff, there)
 	} else {
 		out.routes, err = routetable.Build(t.Policy, "", there)
--- a/internal/faultlab/capacity/hollow.go
+++ b/internal/faultlab/capacity/hollow.go
@@ -32,9 +32,9 @@
 	policy, budget *meter
 
 	mu       sync.Mutex // of what follows: the child's loops and its orders
-	policies *client.Policies
-	link     *client.Link
-	sights   []*client.Sight
+	policies *client.PolicyClient
+	link     *client.QuotaClient
+	sights   []*client.ServiceQuotas
 	end      func()
 	counted  float64 // requests begun, in parts
 	spoilt   float64
@@ -53,12 +53,12 @@
 	log := slog.New(slog.DiscardHandler)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.policies = client.NewPolicies(client.Settings{File: &h.file, Name: h.name, Log: log, Via: h.policy.transport()}, h.install)
+	h.policies = client.NewPolicyClient(client.Config{File: &h.file, ProxyName: h.name, Logger: log, Transport: h.policy.transport()}, h.install)
 	h.link, h.sights = nil, nil
 	if len(h.file.Budgets) > 0 {
-		h.link = client.New(client.Settings{File: &h.file, Name: h.name, Log: log, Via: h.budget.transport()})
+		h.link = client.NewQuotaClient(client.Config{File: &h.file, ProxyName: h.name, Logger: log, Transport: h.budget.transport()})
 		for _, b := range h.file.Budgets {
-			sight, err := h.link.Sight(b.Of.Service, nil, nil)
+			sight, err := h.link.ForService(b.Of.Service, nil, nil)
 			if err != nil {
 				return err
 			}
@@ -66,14 +66,14 @@
 		}
 	}
 	h.now.Store(nil)
-	if err := h.install(h.policies.Now()); err != nil && h.flaw == "" {
+	if err := h.install(h.policies.Current()); err != nil && h.flaw == "" {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	if !h.paper {
 		policies, link := h.policies, h.link
-		running.Go(func() { policies.Recall(); policies.Run(ctx) })
+		running.Go(func() { policies.Restore(); policies.Run(ctx) })
 		if link != nil {
 			running.Go(func() { link.Run(ctx) })
 		}
@@ -104,7 +104,7 @@
 }
 
 // install takes a policy up, or changes nothing and says why.
-func (h *hollow) install(t *client.Taken) error {
+func (h *hollow) install(t *client.InstalledPolicy) error {
 	old := h.now.Load()
 	first := t == nil || t.Policy == nil
 	if !first {
@@ -120,7 +120,7 @@
 		}
 	}
 	if t == nil {
-		t = &client.Taken{}
+		t = &client.InstalledPolicy{}
 	}
 	next, err := decideBy(old, t, h.has)
 	if err != nil {
@@ -157,7 +157,7 @@
 	if h.policies == nil {
 		return
 	}
-	taken := h.policies.Now()
+	taken := h.policies.Current()
 	if h.paper { // of its own: what it counts nobody reports
 		taken = h.now.Load().taken
 	}
@@ -170,7 +170,7 @@
 		if !good {
 			h.spoilt--
 		}
-		taken.Count(good)
+		taken.CountRequest(good)
 	}
 	if len(h.sights) == 0 {
 		return
@@ -193,7 +193,7 @@
 	if p == nil {
 		return rollout.Offer{}
 	}
-	return p.Now().Offer
+	return p.Current().Offer
 }
 
 // back tells what is wrong with what it says that it has, if it has gone back without an operator's word. The watcher calls it.
--- a/internal/faultlab/controlplane/policy_test.go
+++ b/internal/faultlab/controlplane/policy_test.go
@@ -48,7 +48,7 @@
 
 // edge is a proxy's link with the policy, in the test's process, over a way of its own; its judge sees all that it takes up.
 type edge struct {
-	*client.Policies
+	*client.PolicyClient
 	name string
 	way  *way
 	end  func()
@@ -150,15 +150,15 @@
 		file.State = f.dir
 		transport := api.Transport(nil)
 		e := &edge{name: name, way: &way{RoundTripper: transport}}
-		e.Policies = client.NewPolicies(client.Settings{File: &file, Name: name, Via: e.way}, e.judge)
-		e.Recall()
+		e.PolicyClient = client.NewPolicyClient(client.Config{File: &file, ProxyName: name, Transport: e.way}, e.judge)
+		e.Restore()
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		running.Go(func() { e.Run(ctx) })
 		running.Go(func() { // requests, all of which go well
 			for ctx.Err() == nil {
 				for range 20 {
-					e.Now().Count(true)
+					e.Current().CountRequest(true)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -181,7 +181,7 @@
 }
 
 // judge sees to it that content is what its offer names, and that nothing old comes but by a higher order.
-func (e *edge) judge(t *client.Taken) error {
+func (e *edge) judge(t *client.InstalledPolicy) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	tree, err := t.Policy.Tree()
@@ -239,7 +239,7 @@
 			return false
 		}
 		for name, e := range f.edges {
-			if !strings.Contains(strings.Join(but, " "), name) && e.Now().Offer != base {
+			if !strings.Contains(strings.Join(but, " "), name) && e.Current().Offer != base {
 				return false
 			}
 		}
@@ -253,7 +253,7 @@
 				continue
 			}
 			found := false
-			for _, r := range e.Now().Policy.Routes {
+			for _, r := range e.Current().Policy.Routes {
 				found = found || r.PathPrefix == want
 			}
 			if !found {
@@ -299,7 +299,7 @@
 				return false
 			}
 			for _, e := range f.edges {
-				if e.Now().Offer == next {
+				if e.Current().Offer == next {
 					return true
 				}
 			}
@@ -330,7 +330,7 @@
 	}
 	got := map[string]int64{}
 	for _, e := range f.edges {
-		got[e.name] = e.PolicyReport().Pieces
+		got[e.name] = e.PolicyStatus().ChunksAccepted
 	}
 	f.alone(12)
 	for i := range 20 {
@@ -343,7 +343,7 @@
 	}
 	f.join(names("z", 2)...)
 	for _, name := range names("z", 2) {
-		if f.edges[name].Now().Offer.Epoch == 0 {
+		if f.edges[name].Current().Offer.Epoch == 0 {
 			t.Errorf("%s has nothing of what it kept", name)
 		}
 		got[name] = 0
@@ -354,11 +354,11 @@
 	f.settled("a zone has joined again")
 	f.alone(16)
 	all := 0
-	for range f.edges["p00"].Now().Tree.Pieces() {
+	for range f.edges["p00"].Current().Tree.Pieces() {
 		all++
 	}
 	for _, name := range names("z", 4) {
-		if n := f.edges[name].PolicyReport().Pieces - got[name]; n == 0 || n >= int64(all) {
+		if n := f.edges[name].PolicyStatus().ChunksAccepted - got[name]; n == 0 || n >= int64(all) {
 			t.Errorf("%s fetched %d pieces after twenty changes; all are %d", name, n, all)
 		}
 	}
@@ -484,16 +484,16 @@
 		panic(err)
 	}
 	e := &edge{name: "stopped"}
-	e.Policies = client.NewPolicies(client.Settings{File: f, Name: "stopped"}, func(t *client.Taken) error {
+	e.PolicyClient = client.NewPolicyClient(client.Config{File: f, ProxyName: "stopped"}, func(t *client.InstalledPolicy) error {
 		err := e.judge(t)
 		p.out.Store(int64(len(e.crimes)))
 		return err
 	})
-	e.Recall()
+	e.Restore()
 	go e.Run(context.Background())
 	for {
-		e.Now().Count(true)
-		p.granted.Store(int64(e.Now().Offer.Epoch))
+		e.Current().CountRequest(true)
+		p.granted.Store(int64(e.Current().Offer.Epoch))
 		time.Sleep(time.Millisecond)
 	}
 }
