--- a/internal/faultlab/controlplane/stewards_test.go
+++ b/internal/faultlab/controlplane/stewards_test.go
@@ -63,9 +63,9 @@
 	if err != nil {
 		panic(err)
 	}
-	l := client.New(client.Settings{File: f, Name: "p2"})
+	l := client.NewQuotaClient(client.Config{File: f, ProxyName: "p2"})
 	go l.Run(context.Background())
-	sight, err := l.Sight("", nil, nil)
+	sight, err := l.ForService("", nil, nil)
 	if err != nil {
 		panic(err)
 	}
@@ -74,7 +74,7 @@
 			p.out.Add(1)
 			continue
 		}
-		p.granted.Store(int64(l.Report().Budgets["all"].Granted))
+		p.granted.Store(int64(l.Status().Quotas["all"].Granted))
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -99,7 +99,7 @@
 }
 
 type link struct {
-	*client.Link
+	*client.QuotaClient
 	end func()
 }
 
@@ -203,7 +203,7 @@
 	for end := time.Now().Add(60 * time.Second); !is(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			for name, l := range s.links {
-				s.t.Logf("%s: %+v", name, l.Report())
+				s.t.Logf("%s: %+v", name, l.Status())
 			}
 			s.t.Fatalf("in vain: %s", what)
 		}
@@ -230,8 +230,8 @@
 
 // join starts a link of a name, under a key of the test's, and has it draw all it can.
 func (s *site) join(key, name string) {
-	l := client.New(client.Settings{File: s.file, Name: name})
-	sight, err := l.Sight("", nil, nil)
+	l := client.NewQuotaClient(client.Config{File: s.file, ProxyName: name})
+	sight, err := l.ForService("", nil, nil)
 	s.must(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -253,7 +253,7 @@
 
 func (s *site) granted() (all float64) {
 	for _, l := range s.links {
-		b := l.Report().Budgets["all"]
+		b := l.Status().Quotas["all"]
 		all += b.Granted + b.Floor
 	}
 	return all
@@ -274,7 +274,7 @@
 		for ctx.Err() == nil {
 			one := sample{from: time.Since(begun)}
 			for _, l := range links {
-				one.n += l.Report().Budgets["all"].Allowed
+				one.n += l.Status().Quotas["all"].Admitted
 			}
 			for _, p := range pages {
 				one.n += p.out.Load()
@@ -367,7 +367,7 @@
 	s.join("p2", "p2")
 	all := func() bool { return s.granted() == whole }
 	s.until("the whole is granted, with the floor", func() bool {
-		return all() && s.links["p1"].Report().Budgets["all"].Floor == floor
+		return all() && s.links["p1"].Status().Quotas["all"].Floor == floor
 	})
 	s.until("status says so", func() bool {
 		return strings.Contains(s.order("status", s.path), "budget all: 1000 of 1000 a second is out")
@@ -406,12 +406,12 @@
 	if n := s.never("a floor, with a copy", end); n == 0 {
 		t.Error("the floor gave nothing")
 	}
-	if r := s.links["copy"].Report(); r.Claim || r.Budgets["all"].Floor > 0 {
+	if r := s.links["copy"].Status(); r.FloorsClaimed || r.Quotas["all"].Floor > 0 {
 		t.Errorf("the copy has the floor too: %+v", r)
 	}
 	end = s.watch(floor, burst*floor/whole)
 	s.leave("p1") // as at an upgrade: the lock falls to the copy
-	s.until("the copy has the floor", func() bool { return s.links["copy"].Report().Budgets["all"].Floor == floor })
+	s.until("the copy has the floor", func() bool { return s.links["copy"].Status().Quotas["all"].Floor == floor })
 	time.Sleep(time.Second)
 	s.never("the floor falls to the copy", end)
 
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -226,7 +226,7 @@
 		return now.lookup(&q, func() string { return a.Session }, fmt.Sprintf("%s/%08x", a.Name.Origin, a.Name.ID))
 	})
 	if err != nil {
-		policy.Count(false)
+		policy.CountRequest(false)
 		return nil, &frontend.Turned{What: err.Error(), Code: diameter.UnableToDeliver}
 	}
 	class, known := svc.classes[a.Class]
@@ -238,7 +238,7 @@
 	ticket, why, after := s.admit(svc, class, tenant, bytes)
 	if why != "" {
 		svc.figures.CountRequest(class, metrics.Rejected)
-		policy.Count(false)
+		policy.CountRequest(false)
 		svc.leave()
 		return nil, &frontend.Turned{What: why, After: max(after, time.Second)}
 	}
@@ -247,7 +247,7 @@
 	var took time.Duration
 	out.Ended = func(end engine.Outcome, t time.Duration) {
 		took = t
-		policy.Count(end == engine.Served)
+		policy.CountRequest(end == engine.Served)
 		svc.figures.CountRequest(class, map[engine.Outcome]metrics.Outcome{engine.Served: metrics.Served, engine.Rejected: metrics.Rejected, engine.Failed: metrics.Failed}[end])
 	}
 	out.Leave = func() {
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report := r.(client.Report); len(got) > 0 || report.Budgets["attempts"].Granted > 0 || len(report.Troubles) == 0 || report.Troubles[0].Advice == "" {
+	if report := r.(client.Status); len(got) > 0 || report.Quotas["attempts"].Granted > 0 || len(report.Faults) == 0 || report.Faults[0].Advice == "" {
 		t.Errorf("without stewards: %d sent, %+v", len(got), report)
 	}
 }
@@ -130,7 +130,7 @@
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, make(chan *http.Request, 1)), "active")), newCatalog(t), func(c *Config) { c.Fleet = path })
 	for by := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		r, err := operator{p.proxy}.Fleet() // an error until the proxy has joined it
-		report, _ := r.(client.Report)
+		report, _ := r.(client.Status)
 		if report.Answered > 0 && report.Policy != nil && report.Policy.Answered > 0 {
 			return
 		}
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -125,7 +125,7 @@
 	}
 	svc, policy, err := f.services.route(r)
 	if err != nil {
-		policy.Count(false) // one that leads nowhere must not look well
+		policy.CountRequest(false) // one that leads nowhere must not look well
 		f.reject(w, err)
 		return
 	}
@@ -498,7 +498,7 @@
 
 // request is an exchange with the message that it carries.
 type request struct {
-	policy *client.Taken // that it is decided under; nil without a fleet
+	policy *client.InstalledPolicy // that it is decided under; nil without a fleet
 	engine.Request
 	message *message
 	service *service
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -144,9 +144,9 @@
 	if link == nil {
 		return nil, errors.New("no budgets of a fleet hold: the proxy was started without --fleet")
 	}
-	r := link.Report()
+	r := link.Status()
 	if policies := o.policies.Load(); policies != nil {
-		report := policies.PolicyReport()
+		report := policies.PolicyStatus()
 		r.Policy = &report
 	}
 	return r, nil
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -13,7 +13,7 @@
 
 // takeUp has requests decided under a policy from now on, all of it or nothing. Whoever is decided already keeps what it was
 // decided under.
-func (s *services) takeUp(t *client.Taken) error {
+func (s *services) takeUp(t *client.InstalledPolicy) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.now.Load()
@@ -30,7 +30,7 @@
 
 // decideBy sets the policy, and where routes come from it the routes. What did not change since the policy before is taken over, if
 // the services are the same. An error leaves something half done: n is thrown away then.
-func (n *installed) decideBy(t *client.Taken, routes bool) error {
+func (n *installed) decideBy(t *client.InstalledPolicy, routes bool) error {
 	before, was := n.policyRoutes, n.policy
 	n.policy = t
 	if !routes || n.only != nil || t == nil || t.Policy == nil {
@@ -39,7 +39,7 @@
 	has := func(service string) bool { return n.byName[service] != nil }
 	var next *routetable.Routes
 	var err error
-	if before != nil && t.Diff != nil && was != nil && was.Policy != nil && was.Offer == t.Before {
+	if before != nil && t.Diff != nil && was != nil && was.Policy != nil && was.Offer == t.Base {
 		next, err = before.With(t.Policy, t.Diff, has)
 	} else {
 		next, err = routetable.Build(t.Policy, n.otherwise, has)
@@ -65,16 +65,16 @@
 // ended counts a request, and whether it went well under the policy that it was decided under.
 func (r *request) ended(o metrics.Outcome) {
 	r.service.figures.CountRequest(r.Class, o)
-	r.policy.Count(o == metrics.Served)
+	r.policy.CountRequest(o == metrics.Served)
 }
 
 // followPolicy has the process take up what the stewards offer until ctx ends.
 func (p *Proxy) followPolicy(ctx context.Context) {
 	if policies := p.policies.Load(); policies != nil {
-		if err := p.services.takeUp(policies.Now()); err != nil { // requests are counted before there is any, to compare with
+		if err := p.services.takeUp(policies.Current()); err != nil { // requests are counted before there is any, to compare with
 			p.log.Error("requests are not counted for the policy", "err", err)
 		}
-		policies.Recall()
+		policies.Restore()
 		policies.Run(ctx)
 	}
 }
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -59,12 +59,12 @@
 			t.Fatal(err)
 		}
 	}
-	report := func() client.Report {
+	report := func() client.Status {
 		r, err := operator{s.proxy}.Fleet()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r.(client.Report)
+		return r.(client.Status)
 	}
 	until := func(what string, is func() bool) {
 		t.Helper()
@@ -104,7 +104,7 @@
 	}
 	order(store.Command{Offer: &store.Offer{Text: policyRules(2, "nowhere", "")}})
 	until("it is told that a service is missing", func() bool {
-		for _, tr := range report().Policy.Troubles {
+		for _, tr := range report().Policy.Faults {
 			if strings.Contains(tr.Error, "nowhere") && tr.Advice != "" {
 				return true
 			}
@@ -164,12 +164,12 @@
 		p.Blocks = append(p.Blocks, b)
 		return p
 	}
-	taken := func(was *client.Taken, p *namespace.Policy) *client.Taken {
+	taken := func(was *client.InstalledPolicy, p *namespace.Policy) *client.InstalledPolicy {
 		to, err := p.Tree()
 		if err != nil {
 			t.Fatal(err)
 		}
-		next := &client.Taken{Offer: rollout.Offer{Order: 1, Epoch: p.Routes[0].From.Number, Hash: to.Root().String()}, Policy: p}
+		next := &client.InstalledPolicy{Offer: rollout.Offer{Order: 1, Epoch: p.Routes[0].From.Number, Hash: to.Root().String()}, Policy: p}
 		if was != nil {
 			from, err := was.Policy.Tree()
 			if err != nil {
@@ -178,7 +178,7 @@
 			if next.Policy, next.Diff, err = was.Policy.With(merkle.Changes(from, to)); err != nil {
 				t.Fatal(err)
 			}
-			next.Before = was.Offer
+			next.Base = was.Offer
 		}
 		return next
 	}
@@ -216,7 +216,7 @@
 	// A diff against another policy than the one that holds is none.
 	strange := n
 	odd := taken(first, policy(2, "/x", "two"))
-	odd.Before.Epoch = 7
+	odd.Base.Epoch = 7
 	if err := strange.decideBy(odd, true); err != nil || strange.blocks == n.blocks || finds(&strange, "/x") != "two" {
 		t.Errorf("%v: built on what it does not follow on", err)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -33,13 +33,13 @@
 	conns   *clientConns
 
 	services *services
-	diameter *diameterSide                   // nil is none
-	fleet    atomic.Pointer[client.Link]     // nil is no budget beyond this process
-	policies atomic.Pointer[client.Policies] // nil is no policy beyond the file of services
-	view     atomic.Pointer[freshness.Link]  // nil weighs nothing
-	comeback *guardedsource.Coordinator      // nil believes all, and asks at once
-	memory   *memory                         // nil remembers nothing
-	ready    atomic.Bool                     // it takes clients
+	diameter *diameterSide                       // nil is none
+	fleet    atomic.Pointer[client.QuotaClient]  // nil is no budget beyond this process
+	policies atomic.Pointer[client.PolicyClient] // nil is no policy beyond the file of services
+	view     atomic.Pointer[freshness.Link]      // nil weighs nothing
+	comeback *guardedsource.Coordinator          // nil believes all, and asks at once
+	memory   *memory                             // nil remembers nothing
+	ready    atomic.Bool                         // it takes clients
 
 	// Shared is told whether another process of this proxy lives beside this one, at the start and at each change:
 	// the limits are for both together. It may be nil.
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, err
 	}
-	link := client.New(client.Settings{File: file, Name: p.cfg.Name, Log: p.log, Via: api.Transport(keys)})
+	link := client.NewQuotaClient(client.Config{File: file, ProxyName: p.cfg.Name, Logger: p.log, Transport: api.Transport(keys)})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { link.Run(ctx) })
@@ -223,7 +223,7 @@
 		p.view.Store(view)
 	}
 	p.services.policyRoutes = file.Policy.Routes // nothing runs yet
-	p.policies.Store(client.NewPolicies(client.Settings{File: file, Name: p.cfg.Name, Log: p.log, Via: api.Transport(keys)}, p.services.takeUp))
+	p.policies.Store(client.NewPolicyClient(client.Config{File: file, ProxyName: p.cfg.Name, Logger: p.log, Transport: api.Transport(keys)}, p.services.takeUp))
 	return func() { cancel(); running.Wait() }, nil
 }
 
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -97,9 +97,9 @@
 	sticky map[string]string // by route
 	limits config.Limits
 
-	policy    *client.Taken // that requests are decided under; nil without a fleet
-	blocks    *route.Table  // of the policy; nil is none
-	otherwise string        // the file's service for what no route matches
+	policy    *client.InstalledPolicy // that requests are decided under; nil without a fleet
+	blocks    *route.Table            // of the policy; nil is none
+	otherwise string                  // the file's service for what no route matches
 
 	policyRoutes *routetable.Routes // what table, sticky and blocks are of; nil if the policy doesn't lead requests
 }
@@ -439,7 +439,7 @@
 	var fleetBudget engine.Quota // stays nil where nothing covers the service
 	if link := s.p.fleet.Load(); link != nil {
 		svc.pool.fleet = true
-		sight, err := link.Sight(spec.Name, classes, tenants)
+		sight, err := link.ForService(spec.Name, classes, tenants)
 		if err != nil {
 			return nil, err
 		}
@@ -538,13 +538,13 @@
 }
 
 // route gives the service for a request, held until it leaves it.
-func (s *services) route(r *http.Request) (*service, *client.Taken, error) {
+func (s *services) route(r *http.Request) (*service, *client.InstalledPolicy, error) {
 	return s.pick(func(now *installed) (*service, error) { return now.find(r) })
 }
 
 // pick gives the service that find names, where there are several, held until it is left.
 // The policy that it was decided under comes with it, and with an error too.
-func (s *services) pick(find func(now *installed) (*service, error)) (*service, *client.Taken, error) {
+func (s *services) pick(find func(now *installed) (*service, error)) (*service, *client.InstalledPolicy, error) {
 	for {
 		now := s.now.Load()
 		svc := now.only
