--- a/cmd/faultlab/capacity.go
+++ b/cmd/faultlab/capacity.go
@@ -53,7 +53,7 @@
 			}
 			r, err := capacity.Play(cmd.Context(), set)
 			if err != nil {
-				return api.Told(err)
+				return api.WithAdvice(err)
 			}
 			r.Text(cmd.OutOrStdout())
 			if err := writeResult(jsonPath, r); err != nil {
--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -363,7 +363,7 @@
 }
 
 func newRolling(proxies int) (*rolling, error) {
-	rule, err := rollout.New(rollout.Defaults(), rollout.Offer{Order: 1, Epoch: 1, Hash: "1"})
+	rule, err := rollout.New(rollout.DefaultSettings(), rollout.Version{Generation: 1, Epoch: 1, Hash: "1"})
 	if err != nil {
 		return nil, err
 	}
@@ -371,14 +371,14 @@
 	for i := range proxies {
 		f.names = append(f.names, fmt.Sprint("p", i))
 	}
-	rule.Members(0, f.names)
+	rule.SetMembers(0, f.names)
 	return f, nil
 }
 
 func (f *rolling) reports(now time.Duration) {
 	f.number++
 	for _, name := range f.names {
-		f.rule.Report(now, rollout.Report{Proxy: name, Number: f.number, Has: f.rule.Offer(name), Good: targetRate / targetProxies})
+		f.rule.Report(now, rollout.Report{Proxy: name, Sequence: f.number, Current: f.rule.Target(name), Good: targetRate / targetProxies})
 	}
 }
 
@@ -387,11 +387,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := f.rule.Begin(0, 2, "2", 2); err != nil {
+	if err := f.rule.Start(0, 2, "2", 2); err != nil {
 		return nil, err
 	}
-	now, state := time.Duration(0), rollout.Rolling
-	for state == rollout.Rolling && now < time.Hour {
+	now, state := time.Duration(0), rollout.InProgress
+	for state == rollout.InProgress && now < time.Hour {
 		now += time.Second
 		f.reports(now)
 		f.rule.Tick(now)
@@ -405,10 +405,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := g.rule.Begin(0, 2, "2", 2); err != nil {
+	if err := g.rule.Start(0, 2, "2", 2); err != nil {
 		return nil, err
 	}
-	members := r.cost(func() { g.rule.Members(0, g.names) })
+	members := r.cost(func() { g.rule.SetMembers(0, g.names) })
 	reports := r.cost(func() { g.reports(0) })
 	return []is{{"until all have it, alone", "s", now.Seconds()}, {"Members, ten a second", "ms", millis(members)},
 		{"the rules, Members ten a second and a report of each", "% core", (10*millis(members) + millis(reports)) / 10}}, nil
@@ -422,7 +422,7 @@
 	through, epoch, now := 0, uint64(1), time.Duration(0)
 	for range 400 {
 		epoch++
-		if err := f.rule.Begin(now, epoch, strconv.FormatUint(epoch, 10), epoch); err != nil {
+		if err := f.rule.Start(now, epoch, strconv.FormatUint(epoch, 10), epoch); err != nil {
 			return nil, err
 		}
 		done := false
@@ -462,18 +462,18 @@
 }
 
 func reportOf(ctx context.Context, _ *rig, reports int) ([]is, error) {
-	offer := rollout.Offer{Order: 1 << 32, Epoch: 123456, Hash: strings.Repeat("0a", 32)}
+	offer := rollout.Version{Generation: 1 << 32, Epoch: 123456, Hash: strings.Repeat("0a", 32)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	server := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var in api.PolicyReport
-		if err := api.Read(r.Body, &in); err != nil {
-			api.Write(w, http.StatusBadRequest, api.ProblemOf(err))
+		if err := api.DecodeBody(r.Body, &in); err != nil {
+			api.WriteReply(w, http.StatusBadRequest, api.RemoteErrorOf(err))
 			return
 		}
-		api.Write(w, http.StatusOK, api.PolicyReply{Fleet: in.Fleet, Offer: offer})
+		api.WriteReply(w, http.StatusOK, api.PolicyReply{Fleet: in.Fleet, Target: offer})
 	})}
 	ended := make(chan struct{})
 	go func() { _ = server.Serve(l); close(ended) }()
@@ -488,8 +488,8 @@
 	for i := range reports {
 		inner, cancel := context.WithTimeout(ctx, 5*time.Second)
 		var reply api.PolicyReply
-		err := api.Call(inner, client, l.Addr().String(), api.PathReport, api.PolicyReport{Fleet: "dispatch-eu", Proxy: fmt.Sprintf("proxy-r3-z11-%04d", i),
-			Number: uint64(1<<60 + i), Has: offer, Good: 160, Bad: 1}, &reply)
+		err := api.Call(inner, client, l.Addr().String(), api.PathPolicyReport, api.PolicyReport{Fleet: "dispatch-eu", Proxy: fmt.Sprintf("proxy-r3-z11-%04d", i),
+			Sequence: uint64(1<<60 + i), Current: offer, Good: 160, Bad: 1}, &reply)
 		cancel()
 		if err != nil {
 			return nil, err
@@ -915,8 +915,8 @@
 	var err error
 	now := time.Second
 	bytes := heapOf(func() any {
-		if v, err = staleness.New((&api.View{}).Settings(time.Second)); err == nil {
-			err = v.Heard(now, api.Source, staleness.News{Version: 1, Whole: true, Changed: changes})
+		if v, err = staleness.New((&api.FreshnessSettings{}).StalenessSettings(time.Second)); err == nil {
+			err = v.Heard(now, api.ListSource, staleness.News{Version: 1, Whole: true, Changed: changes})
 		}
 		return v
 	})
@@ -925,7 +925,7 @@
 	}
 	tick := g.cost(func() {
 		now += 100 * time.Millisecond
-		_ = v.Quiet(now, api.Source)
+		_ = v.Quiet(now, api.ListSource)
 		v.Tick(now)
 	})
 	return []is{{"held, each", "B", bytes / float64(servers)}, {"a tick", "ms", millis(tick)}, {"ten ticks a second", "% core", millis(tick)}}, nil
--- a/cmd/lapisspread/fleet.go
+++ b/cmd/lapisspread/fleet.go
@@ -35,9 +35,9 @@
 			if err != nil {
 				return err
 			}
-			held, err := f.CheckTeams()
+			held, err := f.CheckNamespaces()
 			if err != nil {
-				return api.Told(err)
+				return api.WithAdvice(err)
 			}
 			for _, text := range held {
 				fmt.Fprintln(cmd.OutOrStdout(), text)
@@ -45,7 +45,7 @@
 			if len(held) > 0 {
 				return fmt.Errorf("%s: %d of what it names is held back or at odds", args[0], len(held))
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %s\n", args[0], f.Words())
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %s\n", args[0], f.Summary())
 			return nil
 		},
 	})
@@ -54,18 +54,18 @@
 }
 
 // withFleet loads a fleet's file, and tells an error with what an operator can do about it.
-func withFleet(path string, do func(f *api.File, client *http.Client) error) error {
+func withFleet(path string, do func(f *api.Config, client *http.Client) error) error {
 	f, err := api.Load(path)
 	if err != nil {
 		return err
 	}
-	keys, err := f.Keys()
+	keys, err := f.LoadTLSKeys()
 	if err != nil {
 		return err
 	}
-	client := &http.Client{Transport: api.Transport(keys)}
+	client := &http.Client{Transport: api.NewTransport(keys)}
 	defer client.CloseIdleConnections()
-	return api.Told(do(f, client))
+	return api.WithAdvice(do(f, client))
 }
 
 func foundCommand() *cobra.Command {
@@ -75,11 +75,11 @@
 		Short: "Have all stewards begin the fleet, or begin it anew under a higher epoch: nothing is granted for the longest lease",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *api.File, client *http.Client) error {
-				if err := f.Found(cmd.Context(), client, epoch); err != nil {
+			return withFleet(args[0], func(f *api.Config, client *http.Client) error {
+				if err := f.Bootstrap(cmd.Context(), client, epoch); err != nil {
 					return err
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "fleet %q is founded under epoch %d; budgets can be set %v after a steward leads\n", f.Fleet, epoch, time.Duration(f.Longest))
+				fmt.Fprintf(cmd.OutOrStdout(), "fleet %q is founded under epoch %d; budgets can be set %v after a steward leads\n", f.Fleet, epoch, time.Duration(f.MaxLifetime))
 				return nil
 			})
 		},
@@ -97,13 +97,13 @@
 		Short: "Have the stewards divide the budgets of this file from now on",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *api.File, client *http.Client) error {
-				v, err := f.Set(cmd.Context(), client, version, gone)
-				for end := time.Now().Add(wait); err != nil && time.Now().Before(end); v, err = f.Set(cmd.Context(), client, version, gone) {
+			return withFleet(args[0], func(f *api.Config, client *http.Client) error {
+				v, err := f.SetQuotas(cmd.Context(), client, version, gone)
+				for end := time.Now().Add(wait); err != nil && time.Now().Before(end); v, err = f.SetQuotas(cmd.Context(), client, version, gone) {
 					time.Sleep(200 * time.Millisecond)
 				}
 				if err == nil {
-					fmt.Fprintf(cmd.OutOrStdout(), "%d budgets are set, version %d\n", len(f.Budgets), v)
+					fmt.Fprintf(cmd.OutOrStdout(), "%d budgets are set, version %d\n", len(f.Quotas), v)
 				}
 				return err
 			})
@@ -121,25 +121,25 @@
 		Short: "Tell how each steward stands and what is out of each budget",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *api.File, client *http.Client) error {
-				all, errs := f.Statuses(cmd.Context(), client)
+			return withFleet(args[0], func(f *api.Config, client *http.Client) error {
+				all, errs := f.ServerStatuses(cmd.Context(), client)
 				out := cmd.OutOrStdout()
 				for i, s := range all {
 					if errs[i] != nil {
-						fmt.Fprintf(out, "%s: no answer\n", f.Stewards[i].Name)
+						fmt.Fprintf(out, "%s: no answer\n", f.Servers[i].Name)
 						continue
 					}
 					fmt.Fprintf(out, "%s: epoch %d, %s, leader %q, term %d, applied %d, budgets at version %d\n",
-						s.Name, s.Epoch, cmp.Or(s.Role, "not founded"), s.LeaderName, s.Term, s.Applied, s.Version)
-					if s.Epoch > 0 && s.Unset {
+						s.Name, s.Epoch, cmp.Or(s.Role, "not founded"), s.LeaderName, s.Term, s.Applied, s.ConfigVersion)
+					if s.Epoch > 0 && s.QuotasUnset {
 						fmt.Fprintf(out, "%s: nothing is granted: no budgets are set\n", s.Name)
 					}
-					if s.Trouble.Text != "" {
-						fmt.Fprintf(out, "%s: out: %s; %s\n", s.Name, s.Trouble.Text, s.Trouble.Help)
+					if s.Fault.Message != "" {
+						fmt.Fprintf(out, "%s: out: %s; %s\n", s.Name, s.Fault.Message, s.Fault.Help)
 					}
 					if s.Name == s.LeaderName {
-						for _, b := range s.Budgets {
-							fmt.Fprintf(out, "budget %s: %.6g of %.6g a second is out\n", b.Name, b.Granted, b.Whole)
+						for _, b := range s.Quotas {
+							fmt.Fprintf(out, "budget %s: %.6g of %.6g a second is out\n", b.Name, b.Granted, b.Limit)
 						}
 					}
 				}
@@ -163,7 +163,7 @@
 			if err != nil {
 				return err
 			}
-			return api.Told(runSteward(cmd, f, name, state, listen))
+			return api.WithAdvice(runSteward(cmd, f, name, state, listen))
 		},
 	}
 	c.Flags().StringVar(&file, "fleet", "", "the fleet's file")
@@ -173,8 +173,8 @@
 	return c
 }
 
-func runSteward(cmd *cobra.Command, f *api.File, name, state, listen string) error {
-	own, err := f.Steward(name)
+func runSteward(cmd *cobra.Command, f *api.Config, name, state, listen string) error {
+	own, err := f.Server(name)
 	if err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := server.New(server.Settings{File: f, Name: name, State: state, Log: log})
+	s, err := server.New(server.Config{Fleet: f, Name: name, StateDir: state, Logger: log})
 	if err != nil {
 		listener.Close()
 		return err
--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -43,10 +43,10 @@
 			return err
 		}
 		if _, err := namespace.ParseCharter(args[1], text); err != nil { // here the error has the file's name
-			return api.Told(err)
+			return api.WithAdvice(err)
 		}
-		return withFleet(args[0], func(f *api.File, client *http.Client) error {
-			if err := f.Order(cmd.Context(), client, store.Command{Charter: &store.Charter{Text: string(text), By: *who}}); err != nil {
+		return withFleet(args[0], func(f *api.Config, client *http.Client) error {
+			if err := f.SendPolicyCommand(cmd.Context(), client, store.Command{Charter: &store.Charter{Text: string(text), By: *who}}); err != nil {
 				return err
 			}
 			return tellPolicy(cmd, f, client)
@@ -63,7 +63,7 @@
 	}
 	who := by(c)
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		return withFleet(args[0], func(f *api.File, client *http.Client) error {
+		return withFleet(args[0], func(f *api.Config, client *http.Client) error {
 			var errs []error
 			for _, path := range args[1:] {
 				text, err := strictconfig.ReadFile(path, "the namespace", namespace.MostBytes)
@@ -71,7 +71,7 @@
 					_, err = namespace.Parse(path, text)
 				}
 				if err == nil {
-					err = f.Order(cmd.Context(), client, store.Command{Offer: &store.Offer{Text: string(text), By: *who}})
+					err = f.SendPolicyCommand(cmd.Context(), client, store.Command{Offer: &store.Offer{Text: string(text), By: *who}})
 				}
 				if err != nil {
 					errs = append(errs, fmt.Errorf("%s: %w", path, err))
@@ -95,8 +95,8 @@
 		if *epoch == 0 {
 			return usageError{errors.New("back: --epoch is needed")}
 		}
-		return withFleet(args[0], func(f *api.File, client *http.Client) error {
-			if err := f.Order(cmd.Context(), client, store.Command{Back: &store.Back{Epoch: *epoch, By: *who}}); err != nil {
+		return withFleet(args[0], func(f *api.Config, client *http.Client) error {
+			if err := f.SendPolicyCommand(cmd.Context(), client, store.Command{Back: &store.Back{Epoch: *epoch, By: *who}}); err != nil {
 				return err
 			}
 			return tellPolicy(cmd, f, client)
@@ -111,7 +111,7 @@
 		Short: "Tell the policy's epoch and hash, who is held back and why, and how far the roll-out is",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *api.File, client *http.Client) error { return tellPolicy(cmd, f, client) })
+			return withFleet(args[0], func(f *api.Config, client *http.Client) error { return tellPolicy(cmd, f, client) })
 		},
 	}
 }
@@ -126,16 +126,16 @@
 	}
 	who := by(c)
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		return withFleet(args[0], func(f *api.File, client *http.Client) error {
-			p, err := f.Policies(cmd.Context(), client)
+		return withFleet(args[0], func(f *api.Config, client *http.Client) error {
+			p, err := f.PolicyStatus(cmd.Context(), client)
 			if err != nil {
 				return err
 			}
-			if p.Standing.Base.Epoch == 0 {
+			if p.Policy.Base.Epoch == 0 {
 				return errors.New("stop: no policy is in force yet, to go back to: offer the files that the train shall have instead")
 			}
-			if p.Standing.Next.Epoch > 0 || len(p.Standing.Gathered) > 0 {
-				if err := f.Order(cmd.Context(), client, store.Command{Back: &store.Back{Epoch: p.Standing.Base.Epoch, By: *who}}); err != nil {
+			if p.Policy.Next.Epoch > 0 || len(p.Policy.Gathered) > 0 {
+				if err := f.SendPolicyCommand(cmd.Context(), client, store.Command{Back: &store.Back{Epoch: p.Policy.Base.Epoch, By: *who}}); err != nil {
 					return err
 				}
 			}
@@ -165,13 +165,13 @@
 	return cmp.Or(strings.Join(out, ", "), "nothing that differs")
 }
 
-func tellPolicy(cmd *cobra.Command, f *api.File, client *http.Client) error {
-	p, err := f.Policies(cmd.Context(), client)
+func tellPolicy(cmd *cobra.Command, f *api.Config, client *http.Client) error {
+	p, err := f.PolicyStatus(cmd.Context(), client)
 	if err != nil {
 		return err
 	}
-	out, st := cmd.OutOrStdout(), p.Standing
-	if !p.Leads {
+	out, st := cmd.OutOrStdout(), p.Policy
+	if !p.IsLeader {
 		fmt.Fprintln(out, "no steward leads: this is what one that follows knows")
 	}
 	fmt.Fprintf(out, "in force: epoch %d, root %.12s; kept: %v\n", st.Base.Epoch, st.Base.Hash, st.Kept)
@@ -181,20 +181,20 @@
 	if len(st.Gathered) > 0 {
 		fmt.Fprintf(out, "wait for the next train: %s\n", changesTold(st.Gathered))
 	}
-	if p.Leads {
-		fmt.Fprintf(out, "roll-out: %s, %d of %d proxies have the newest\n", p.State, p.Have, p.Proxies)
-		if p.Refused > 0 {
-			fmt.Fprintf(out, "%d proxies can't take it up: see FLEET on their consoles; their figures don't count\n", p.Refused)
+	if p.IsLeader {
+		fmt.Fprintf(out, "roll-out: %s, %d of %d proxies have the newest\n", p.RolloutState, p.Updated, p.ProxyCount)
+		if p.Rejected > 0 {
+			fmt.Fprintf(out, "%d proxies can't take it up: see FLEET on their consoles; their figures don't count\n", p.Rejected)
 		}
-		if p.Late > 0 {
+		if p.BehindCount > 0 {
 			more := ""
-			if p.Late > len(p.Behind) {
-				more = fmt.Sprintf(" and %d others", p.Late-len(p.Behind))
+			if p.BehindCount > len(p.Behind) {
+				more = fmt.Sprintf(" and %d others", p.BehindCount-len(p.Behind))
 			}
 			fmt.Fprintf(out, "behind, with an older policy than what is in force: %s%s\n", strings.Join(p.Behind, ", "), more)
 		}
-		if p.Older > 0 {
-			fmt.Fprintf(out, "%d proxies are of an older release and take whole texts alone, up to %d bytes\n", p.Older, store.MostWhole)
+		if p.LegacyCount > 0 {
+			fmt.Fprintf(out, "%d proxies are of an older release and take whole texts alone, up to %d bytes\n", p.LegacyCount, store.MostWhole)
 		}
 	}
 	if st.Stopped != nil {
@@ -203,8 +203,8 @@
 	for _, f := range st.Faults {
 		fmt.Fprintf(out, "at fault, and taken out: %s\n  %s\n  %s\n", changesTold([]store.Change{f.Change}), f.Why, f.Help)
 	}
-	if p.Worse != "" {
-		fmt.Fprintf(out, "worse: %s\n  %s\n", p.Worse, p.WorseHelp)
+	if p.Regression != "" {
+		fmt.Fprintf(out, "worse: %s\n  %s\n", p.Regression, p.RegressionAdvice)
 	}
 	for _, h := range st.Held {
 		fmt.Fprintf(out, "held: %s, file %d by %q; file %d goes on\n  %s\n  %s\n", h.Namespace, h.Offered, h.By, h.Holds, h.Why, h.Help)
--- a/cmd/lapisspread/policy_test.go
+++ b/cmd/lapisspread/policy_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := server.New(server.Settings{File: f, Name: "s1", State: t.TempDir(), Tick: 20 * time.Millisecond})
+	s, err := server.New(server.Config{Fleet: f, Name: "s1", StateDir: t.TempDir(), TickInterval: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,13 +80,13 @@
 	reports := make(chan struct{})
 	go func() {
 		defer close(reports)
-		h, client := rollout.NewHolder(rollout.Offer{}), &http.Client{Transport: api.Transport(nil)}
+		h, client := rollout.NewCurrentVersion(rollout.Version{}), &http.Client{Transport: api.NewTransport(nil)}
 		defer client.CloseIdleConnections()
 		for n := uint64(1); reporting.Err() == nil; n++ {
 			var reply api.PolicyReply
-			in := api.PolicyReport{Fleet: "north", Proxy: "p1", Number: n, Has: h.Has(), Good: 10}
-			if api.One(reporting, client, l.Addr().String(), api.PathReport, in, &reply) == nil {
-				_ = h.Take(reply.Offer, reply.Text)
+			in := api.PolicyReport{Fleet: "north", Proxy: "p1", Sequence: n, Current: h.Version(), Good: 10}
+			if api.CallWithTimeout(reporting, client, l.Addr().String(), api.PathPolicyReport, in, &reply) == nil {
+				_ = h.AdoptText(reply.Target, reply.Text)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
--- a/internal/controlplane/api/file_test.go
+++ b/internal/controlplane/api/file_test.go
@@ -17,10 +17,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if held, err := f.CheckTeams(); err != nil || len(held) > 0 {
+	if held, err := f.CheckNamespaces(); err != nil || len(held) > 0 {
 		t.Errorf("its teams: %v, %v", held, err)
 	}
-	if g := f.Grants(); g.Check() != nil || len(g.Quotas) != 2 || g.Quotas[0].Limit != 12000 {
+	if g := f.QuotaConfig(); g.Check() != nil || len(g.Quotas) != 2 || g.Quotas[0].Limit != 12000 {
 		t.Errorf("%+v", g)
 	}
 }
@@ -60,9 +60,9 @@
 }
 
 func TestBodiesAreBounded(t *testing.T) {
-	var s api.Status
-	for _, body := range [][]byte{nil, []byte("x"), make([]byte, api.MostBody+1), {0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
-		if err := api.Read(bytes.NewReader(body), &s); !errors.As(err, &api.BadMessage{}) {
+	var s api.ServerStatus
+	for _, body := range [][]byte{nil, []byte("x"), make([]byte, api.MaxBodyBytes+1), {0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
+		if err := api.DecodeBody(bytes.NewReader(body), &s); !errors.As(err, &api.MalformedMessageError{}) {
 			t.Errorf("%d bytes: %v", len(body), err)
 		}
 	}
--- a/internal/controlplane/api/tls.go
+++ b/internal/controlplane/api/tls.go
@@ -9,47 +9,47 @@
 	"lapisspread/internal/tlskeys"
 )
 
-// TLS names the files of this machine's certificate, in PEM: beside the fleet's file if they are no whole paths. With it all calls to
+// TLSFiles names the files of this machine's certificate, in PEM: beside the fleet's file if they are no whole paths. With it all calls to
 // stewards, and between them, are by TLS in which both sides show a certificate that the CA has signed.
-type TLS struct {
+type TLSFiles struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 	CA          string `toml:"ca"`
 }
 
-// Keys are what the files say; nil without TLS.
-func (f *File) Keys() (*tlskeys.Keys, error) {
+// LoadTLSKeys are what the files say; nil without TLS.
+func (f *Config) LoadTLSKeys() (*tlskeys.Keys, error) {
 	if f.TLS == nil {
 		return nil, nil
 	}
 	return tlskeys.Load(tlskeys.Files{Certificate: f.TLS.Certificate, Key: f.TLS.Key, CA: f.TLS.CA})
 }
 
-// Transport leads calls to stewards: without keys in the clear.
-func Transport(keys *tlskeys.Keys) http.RoundTripper {
+// NewTransport leads calls to stewards: without keys in the clear.
+func NewTransport(keys *tlskeys.Keys) http.RoundTripper {
 	t := &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
 	if keys == nil {
 		return t
 	}
 	t.TLSClientConfig = keys.Client("") // stewards are named by address; whoever the CA has signed may be one
-	return secure{t}
+	return tlsTransport{t}
 }
 
-// secure has calls go by TLS whatever their address says: it is the file that decides.
-type secure struct{ *http.Transport }
+// tlsTransport has calls go by TLS whatever their address says: it is the file that decides.
+type tlsTransport struct{ *http.Transport }
 
-func (s secure) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s tlsTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.URL.Scheme = "https"
 	return s.Transport.RoundTrip(r)
 }
 
-// keysEvery is how often the files are looked at.
-const keysEvery = 10 * time.Second
+// tlsReloadInterval is how often the files are looked at.
+const tlsReloadInterval = 10 * time.Second
 
-// WatchKeys reads the files anew when they change, until ctx ends.
-func WatchKeys(ctx context.Context, keys *tlskeys.Keys, log *slog.Logger) {
-	tick := time.NewTicker(keysEvery)
+// WatchTLSKeys reads the files anew when they change, until ctx ends.
+func WatchTLSKeys(ctx context.Context, keys *tlskeys.Keys, log *slog.Logger) {
+	tick := time.NewTicker(tlsReloadInterval)
 	defer tick.Stop()
 	keys.Watch(tick.C, ctx.Done(), func(err error) {
 		if err != nil {
--- a/internal/controlplane/api/wire_frozen_test.go
+++ b/internal/controlplane/api/wire_frozen_test.go
@@ -19,34 +19,34 @@
 // UPDATE_FROZEN=1 go test ./internal/fleet -run Frozen
 var updateFrozen = os.Getenv("UPDATE_FROZEN") != ""
 
-var frozenProblem = api.Problem{Name: "consensus.NotLeader", Text: "not the leader", Help: "ask the leader", Leader: "127.0.0.1:7402"}
+var frozenProblem = api.RemoteError{Code: "consensus.NotLeader", Message: "not the leader", Help: "ask the leader", LeaderAddress: "127.0.0.1:7402"}
 
 // frozenMessages has each message between proxies, stewards and operators, with no field at its zero value.
 var frozenMessages = map[string]any{
-	"founding": api.Founding{Fleet: "north", Epoch: 3, Drift: .001, Longest: 10e9, Members: []uint64{1, 2, 3}, ID: 2},
+	"founding": api.BootstrapRequest{Fleet: "north", Epoch: 3, MaxDrift: .001, MaxLifetimeNanos: 10e9, ServerIDs: []uint64{1, 2, 3}, ServerID: 2},
 	"problem":  frozenProblem,
-	"status": api.Status{Name: "s1", Fleet: "north", ID: 1, Epoch: 3, Role: "StateLeader", Leader: "127.0.0.1:7402", LeaderName: "s2", Term: 4,
-		Commit: 5, Applied: 6, Silent: []uint64{3}, Heard: 2, Voters: 3, Version: 7, Unset: true,
-		Budgets: []api.Counted{{Name: "attempts", Whole: 1000, Burst: 100, Granted: 250.5, BurstsHeld: 12.25}},
-		Trouble: frozenProblem, Counts: map[string]uint64{"asks": 8}},
-	"counted": api.Counted{Name: "attempts", Whole: 1000, Burst: 100, Granted: 250.5, BurstsHeld: 12.25},
-	"policy_report": api.PolicyReport{Fleet: "north", Proxy: "p1", Number: 9, Has: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"},
-		Refused: rollout.Offer{Order: 1, Epoch: 3, Hash: "cd"}, Good: 90, Bad: 10, Pieces: true, Most: 4096},
-	"policy_report_short": api.PolicyReport{Fleet: "north", Proxy: "p1", Number: 9, Has: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"}, Good: 90, Bad: 10},
-	"policy_reply":        api.PolicyReply{Fleet: "north", Offer: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"}, Text: []byte("{}"), InPieces: true, Pieces: [][]byte{{1}, {2, 3}}},
-	"policy_reply_short":  api.PolicyReply{Fleet: "north", Offer: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"}},
-	"pieces_request":      api.PiecesRequest{Fleet: "north", Proxy: "p1", Root: "ab", Names: [][]byte{{1, 2}, {3, 4}}},
-	"pieces_reply":        api.PiecesReply{Pieces: [][]byte{{1}, {2, 3}}, Lacks: 1, Later: 2e9},
-	"pieces_reply_empty":  api.PiecesReply{},
-	"policy_status": api.PolicyStatus{Standing: store.Standing{Base: rollout.Offer{Order: 1, Epoch: 2, Hash: "ab"},
-		Next: rollout.Offer{Order: 1, Epoch: 3, Hash: "cd"}, Head: rollout.Offer{Order: 1, Epoch: 4, Hash: "ef"},
+	"status": api.ServerStatus{Name: "s1", Fleet: "north", ID: 1, Epoch: 3, Role: "StateLeader", Leader: "127.0.0.1:7402", LeaderName: "s2", Term: 4,
+		Commit: 5, Applied: 6, UnconfirmedServers: []uint64{3}, RespondingVoters: 2, Voters: 3, ConfigVersion: 7, QuotasUnset: true,
+		Quotas: []api.QuotaUsage{{Name: "attempts", Limit: 1000, Burst: 100, Granted: 250.5, GrantedBurst: 12.25}},
+		Fault:  frozenProblem, Counters: map[string]uint64{"asks": 8}},
+	"counted": api.QuotaUsage{Name: "attempts", Limit: 1000, Burst: 100, Granted: 250.5, GrantedBurst: 12.25},
+	"policy_report": api.PolicyReport{Fleet: "north", Proxy: "p1", Sequence: 9, Current: rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"},
+		Rejected: rollout.Version{Generation: 1, Epoch: 3, Hash: "cd"}, Good: 90, Bad: 10, AcceptsChunks: true, MaxChunkBytes: 4096},
+	"policy_report_short": api.PolicyReport{Fleet: "north", Proxy: "p1", Sequence: 9, Current: rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"}, Good: 90, Bad: 10},
+	"policy_reply":        api.PolicyReply{Fleet: "north", Target: rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"}, Text: []byte("{}"), Chunked: true, Chunks: [][]byte{{1}, {2, 3}}},
+	"policy_reply_short":  api.PolicyReply{Fleet: "north", Target: rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"}},
+	"pieces_request":      api.ChunksRequest{Fleet: "north", Proxy: "p1", Root: "ab", Names: [][]byte{{1, 2}, {3, 4}}},
+	"pieces_reply":        api.ChunksReply{Chunks: [][]byte{{1}, {2, 3}}, Missing: 1, RetryAfterNanos: 2e9},
+	"pieces_reply_empty":  api.ChunksReply{},
+	"policy_status": api.PolicyStatus{Policy: store.Standing{Base: rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"},
+		Next: rollout.Version{Generation: 1, Epoch: 3, Hash: "cd"}, Head: rollout.Version{Generation: 1, Epoch: 4, Hash: "ef"},
 		Stopped:  &store.Judge{Order: 1, Epoch: 3, Done: true, Why: "worse", Help: "mend it", Proxies: 5},
 		Train:    []store.Change{{Namespace: "alpha", Number: 2, By: "a"}},
 		Gathered: []store.Change{{Namespace: "beta", Number: 3, By: "b"}},
 		Faults:   []store.Fault{{Change: store.Change{Namespace: "gamma", Number: 4, By: "c"}, At: 6, Why: "worse", Help: "mend it"}},
 		Held:     []store.Held{{Namespace: "delta", Offered: 5, Holds: 4, By: "d", Cut: []string{"cut"}, Why: "clash", Help: "agree"}},
 		Told:     []string{"conflict"}, Kept: []uint64{1, 2}, Proxies: 5},
-		Leads: true, State: "rolling", Proxies: 6, Have: 3, Refused: 1, Behind: []string{"p2"}, Late: 1, Older: 2, Worse: "worse", WorseHelp: "go back"},
+		IsLeader: true, RolloutState: "rolling", ProxyCount: 6, Updated: 3, Rejected: 1, Behind: []string{"p2"}, BehindCount: 1, LegacyCount: 2, Regression: "worse", RegressionAdvice: "go back"},
 	"order_charter": store.Command{Charter: &store.Charter{Text: "version = 1\n", By: "a"}},
 	"order_offer":   store.Command{Offer: &store.Offer{Text: "version = 1\n", By: "a"}},
 	"order_back":    store.Command{Back: &store.Back{Epoch: 2, By: "a"}},
@@ -58,7 +58,7 @@
 	for name, want := range frozenMessages {
 		path := filepath.Join("testdata", "wire", name+".cbor")
 		sent := httptest.NewRecorder()
-		api.Write(sent, 200, want)
+		api.WriteReply(sent, 200, want)
 		if updateFrozen {
 			if err := os.WriteFile(path, sent.Body.Bytes(), 0o644); err != nil {
 				t.Fatal(err)
@@ -72,7 +72,7 @@
 			t.Errorf("%s is sent as %x, was %x", name, sent.Body.Bytes(), kept)
 		}
 		got := reflect.New(reflect.TypeOf(want))
-		if err := api.Read(bytes.NewReader(kept), got.Interface()); err != nil {
+		if err := api.DecodeBody(bytes.NewReader(kept), got.Interface()); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if !reflect.DeepEqual(got.Elem().Interface(), want) {
--- a/internal/controlplane/client/docs_test.go
+++ b/internal/controlplane/client/docs_test.go
@@ -30,18 +30,18 @@
 	consensus.LogConflictError{}, consensus.NoQuorumError{}, consensus.NotLeaderError{}, consensus.FleetMismatchError{}, consensus.QueueFullError{}, consensus.SilentError{},
 	consensus.StoreRolledBackError{}, consensus.CommandTooLargeError{}, consensus.UndecidedError{},
 	storage.DiskFullError{}, storage.DamagedError{}, storage.LockedError{}, storage.MissingError{}, storage.NewerFormatError{}, storage.FleetMismatchError{}, storage.NodeMismatchError{},
-	api.BadMessage{}, api.UnknownSteward{}, api.Unreachable{},
+	api.MalformedMessageError{}, api.UnknownServerError{}, api.ServerUnreachableError{},
 	client.WorkerCrashedError{}, client.WorkerStalledError{}, client.FloorsNotPersistedError{}, client.PolicyNotInstalledError{},
-	freshness.DutyDied{}, freshness.DutyStuck{}, freshness.TooManyRegisters{},
+	freshness.WorkerDiedError{}, freshness.WorkerStuckError{}, freshness.TooManyListsError{},
 	quotalease.InvalidCommandError{}, quotalease.FloorClaimedError{}, quotalease.LeaseExpiredError{}, quotalease.UnknownQuotaError{}, quotalease.NoLeaseError{}, quotalease.NotEnoughServersError{}, quotalease.NotBootstrappedError{}, quotalease.StaleConfigError{},
 	quotalease.StaleEpochError{}, quotalease.StaleTokenError{}, quotalease.FleetMismatchError{}, quotalease.HolderMismatchError{}, quotalease.LimitExceededError{}, quotalease.ExhaustedError{}, quotalease.BootstrapPendingError{},
-	server.FloorsTwice{}, server.NeedsPieces{},
+	server.DuplicateFloorClaimError{}, server.ChunksRequiredError{},
 	staleness.BadSettings{}, staleness.ClaimCannotBeTrue{}, staleness.EdgeBlind{}, staleness.NameTaken{}, staleness.UnknownSource{}, staleness.ViewDoubtful{},
 	namespace.Clash{}, namespace.DelegationCircle{}, namespace.DelegationTooWide{}, namespace.FileError{}, namespace.MinimumsExceedWhole{},
 	namespace.NamespaceHeld{}, namespace.OutsideDomain{}, namespace.UnknownNamespace{}, namespace.VersionTaken{}, namespace.WrongItem{},
 	merkle.Incomplete{}, merkle.Malformed{}, merkle.TooLong{}, merkle.Twice{}, merkle.WrongName{}, merkle.WrongPiece{},
 	store.BadCommand{}, store.EpochGone{}, store.NoCharter{}, store.TooMuch{},
-	rollout.EpochTwice{}, rollout.OldEpoch{}, rollout.RolloutNotTaken{}, rollout.RolloutStopped{}, rollout.WorseAfter{}, rollout.WrongContent{},
+	rollout.EpochConflictError{}, rollout.StaleVersionError{}, rollout.NotAdoptedError{}, rollout.HarmDetectedError{}, rollout.RegressionError{}, rollout.HashMismatchError{},
 }
 
 const (
@@ -104,7 +104,7 @@
 					continue
 				}
 				name := f.Name.Name + "." + m.Recv.List[0].Type.(*ast.Ident).Name
-				if name != fmt.Sprintf("%T", api.Problem{}) && !slices.Contains(have, name) { // that one passes on another's
+				if name != fmt.Sprintf("%T", api.RemoteError{}) && !slices.Contains(have, name) { // that one passes on another's
 					t.Errorf("%s is not on the page", name)
 				}
 			}
--- a/internal/controlplane/client/fetch.go
+++ b/internal/controlplane/client/fetch.go
@@ -75,18 +75,18 @@
 }
 
 func newFetcher(p *PolicyClient) *fetcher {
-	n := len(p.config.File.Stewards)
-	return &fetcher{PolicyClient: p, serverIndex: rand.IntN(n), retryAt: make([]time.Duration, n), namesPerRequest: api.MostNames}
+	n := len(p.config.File.Servers)
+	return &fetcher{PolicyClient: p, serverIndex: rand.IntN(n), retryAt: make([]time.Duration, n), namesPerRequest: api.MaxChunkNames}
 }
 
 // adjustReportBytes has reports bring less over a link on which they take too long, and more again.
 func (f *fetcher) adjustReportBytes(slow bool) {
 	switch {
 	case slow && f.reportBytes == 0:
-		f.reportBytes = api.MostPieces / 4
+		f.reportBytes = api.MaxChunkBytes / 4
 	case slow:
 		f.reportBytes = max(f.reportBytes/4, minReportBytes)
-	case f.reportBytes >= api.MostPieces/2:
+	case f.reportBytes >= api.MaxChunkBytes/2:
 		f.reportBytes = 0
 	default:
 		f.reportBytes *= 2
@@ -102,7 +102,7 @@
 // fetch goes on with what an offer comes to: of the pieces that came along, of what came before, and of what stewards give by name. The
 // tree is nil as long as it is not whole; the next report goes on. Errors are of package pieces, and of the last steward that was asked.
 func (f *fetcher) fetch(ctx context.Context, r api.PolicyReply) (*merkle.Tree, error) {
-	root, err := merkle.ParseName(r.Offer.Hash)
+	root, err := merkle.ParseName(r.Target.Hash)
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +113,7 @@
 	if err := f.addCached(); err != nil {
 		return nil, err
 	}
-	wrong := f.addChunks(r.Pieces)
+	wrong := f.addChunks(r.Chunks)
 	var malformed merkle.Malformed
 	if errors.As(wrong, &malformed) {
 		return nil, wrong
@@ -166,14 +166,14 @@
 
 // requestChunks asks a steward for pieces by name. One that hasn't all of them, or fails, rests until the others were asked.
 func (f *fetcher) requestChunks(ctx context.Context, names []merkle.Name) error {
-	in := api.PiecesRequest{Fleet: f.config.File.Fleet, Proxy: f.config.ProxyName, Root: f.root.String()}
+	in := api.ChunksRequest{Fleet: f.config.File.Fleet, Proxy: f.config.ProxyName, Root: f.root.String()}
 	for i := range names {
 		in.Names = append(in.Names, names[i][:])
 	}
 	inner, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	var out api.PiecesReply
-	err := api.Call(inner, f.httpClient, f.config.File.Stewards[f.serverIndex].Address, api.PathPieces, in, &out)
+	var out api.ChunksReply
+	err := api.Call(inner, f.httpClient, f.config.File.Servers[f.serverIndex].Address, api.PathPolicyChunks, in, &out)
 	switch {
 	case err != nil:
 		if inner.Err() != nil {
@@ -181,16 +181,16 @@
 		}
 		f.suspendServer(maxReportInterval)
 		return err
-	case out.Later > 0:
-		f.suspendServer(min(time.Duration(out.Later), maxRetryAfter))
+	case out.RetryAfterNanos > 0:
+		f.suspendServer(min(time.Duration(out.RetryAfterNanos), maxRetryAfter))
 		return nil
-	case len(out.Pieces) == 0 || out.Lacks > 0: // it is behind, or ahead
+	case len(out.Chunks) == 0 || out.Missing > 0: // it is behind, or ahead
 		f.suspendServer(maxReportInterval)
 	}
-	f.namesPerRequest = min(f.namesPerRequest+f.namesPerRequest/8+1, api.MostNames)
-	if err := f.addChunks(out.Pieces); err != nil {
+	f.namesPerRequest = min(f.namesPerRequest+f.namesPerRequest/8+1, api.MaxChunkNames)
+	if err := f.addChunks(out.Chunks); err != nil {
 		f.suspendServer(maxReportInterval)
-		return fmt.Errorf("steward %s: %w", f.config.File.Stewards[f.serverIndex].Name, err)
+		return fmt.Errorf("steward %s: %w", f.config.File.Servers[f.serverIndex].Name, err)
 	}
 	return nil
 }
--- a/internal/controlplane/client/frozen_test.go
+++ b/internal/controlplane/client/frozen_test.go
@@ -121,7 +121,7 @@
 	_, two := frozenContents(t)
 	k := newPolicyStore(dir, "p1")
 	got, loose, err := k.load()
-	if err != nil || len(loose) > 0 || got.offer != (rollout.Offer{Order: 1, Epoch: 6, Hash: two.hash}) || got.hash != two.hash ||
+	if err != nil || len(loose) > 0 || got.offer != (rollout.Version{Generation: 1, Epoch: 6, Hash: two.hash}) || got.hash != two.hash ||
 		!slices.EqualFunc(slices.Collect(got.tree.Items()), slices.Collect(two.tree.Items()), func(a, b merkle.Item) bool {
 			return a.Key == b.Key && bytes.Equal(a.Value, b.Value)
 		}) {
--- a/internal/controlplane/client/kept.go
+++ b/internal/controlplane/client/kept.go
@@ -17,7 +17,7 @@
 
 // policyContent is a policy that came whole.
 type policyContent struct {
-	offer rollout.Offer
+	offer rollout.Version
 	hash  string // what it came to: the root, or the SHA-256 of its text where that is what the offer names
 	tree  *merkle.Tree
 }
@@ -28,7 +28,7 @@
 	mu       sync.Mutex // held over I/O: others don't wait for it
 	journal  durable.Journal
 	textFile durable.File // in which releases before pieces kept a text
-	offer    rollout.Offer
+	offer    rollout.Version
 	tree     *merkle.Tree // that the journal has; nil is not known
 }
 
@@ -40,13 +40,13 @@
 
 // offerRecord says what the pieces before it come to.
 type offerRecord struct {
-	Offer rollout.Offer `json:"Offer"`
-	Root  string        `json:"Root"` // the offer's hash, unless the policy came as a text
+	Offer rollout.Version `json:"Offer"`
+	Root  string          `json:"Root"` // the offer's hash, unless the policy came as a text
 }
 
 type textRecord struct {
-	Offer rollout.Offer `json:"Offer"`
-	Text  []byte        `json:"Text"`
+	Offer rollout.Version `json:"Offer"`
+	Text  []byte          `json:"Text"`
 }
 
 // journalSlack is by how many bytes the journal may be more than twice as long as what is kept.
@@ -69,7 +69,7 @@
 		k.offer, k.tree = c.offer, c.tree
 	}
 	var old textRecord
-	if k.textFile.Load(&old) == nil && old.Offer.After(c.offer) { // an older release has run here since, or this is the first that keeps pieces
+	if k.textFile.Load(&old) == nil && old.Offer.NewerThan(c.offer) { // an older release has run here since, or this is the first that keeps pieces
 		if t, wrong := contentFromText(old.Offer, old.Text); wrong == nil {
 			return t, loose, nil
 		} else if errors.Is(err, fs.ErrNotExist) {
@@ -130,8 +130,8 @@
 }
 
 // contentFromText is what a text comes to. Errors are rollout.WrongContent, and those of package namespace.
-func contentFromText(o rollout.Offer, text []byte) (policyContent, error) {
-	if err := rollout.NewHolder(rollout.Offer{}).Take(o, text); err != nil {
+func contentFromText(o rollout.Version, text []byte) (policyContent, error) {
+	if err := rollout.NewCurrentVersion(rollout.Version{}).AdoptText(o, text); err != nil {
 		return policyContent{}, err
 	}
 	p, err := namespace.Decode(text)
@@ -174,7 +174,7 @@
 		}
 	}
 	if !k.journal.Same() { // it may be another's
-		if had, _, _ := k.read(); had.tree != nil && !c.offer.After(had.offer) {
+		if had, _, _ := k.read(); had.tree != nil && !c.offer.NewerThan(had.offer) {
 			k.offer, k.tree = had.offer, had.tree
 			return nil
 		}
--- a/internal/controlplane/client/link.go
+++ b/internal/controlplane/client/link.go
@@ -34,7 +34,7 @@
 
 // Config of a link.
 type Config struct {
-	File      *api.File
+	File      *api.Config
 	ProxyName string // of this proxy: no other may have it
 	Logger    *slog.Logger
 	Transport http.RoundTripper    // to the stewards; nil is its own, in the clear
@@ -79,9 +79,9 @@
 		set.Logger = slog.New(slog.DiscardHandler)
 	}
 	if set.Transport == nil {
-		set.Transport = api.Transport(nil)
+		set.Transport = api.NewTransport(nil)
 	}
-	l := &QuotaClient{config: set, quotaConfig: set.File.Grants(), clock: set.Clock, httpClient: &http.Client{Transport: set.Transport}, quotas: map[string]*quota{},
+	l := &QuotaClient{config: set, quotaConfig: set.File.QuotaConfig(), clock: set.Clock, httpClient: &http.Client{Transport: set.Transport}, quotas: map[string]*quota{},
 		floorToken: set.ProxyName + ";" + quotalease.Token{}.String(), quotaStatuses: map[string]QuotaStatus{}, faults: map[string]*Fault{}}
 	if l.clock == nil {
 		l.clock = supervisor.Boottime
@@ -89,7 +89,7 @@
 	for _, b := range l.quotaConfig.Quotas {
 		l.quotas[b.Name] = &quota{name: b.Name, limit: b.Limit}
 	}
-	if dir := set.File.State; dir != "" {
+	if dir := set.File.StateDir; dir != "" {
 		_ = os.MkdirAll(dir, 0o700) // if it can't be, the claim says so
 		l.floorClaim = newClaim(filepath.Join(dir, "floors-"+set.ProxyName), set.ProxyName)
 	}
@@ -161,7 +161,7 @@
 
 func (l *QuotaClient) runWorker(ctx context.Context, generation uint64) {
 	w := &quotaWorker{QuotaClient: l, generation: generation, incarnation: newIncarnation(), bursts: map[string]leaseBurst{}, demand: map[string]float64{}, requestedAt: l.clock(),
-		serverIndex: rand.IntN(len(l.config.File.Stewards)), retryBackoff: backoff.NewExponentialBackOff()}
+		serverIndex: rand.IntN(len(l.config.File.Servers)), retryBackoff: backoff.NewExponentialBackOff()}
 	w.retryBackoff.InitialInterval, w.retryBackoff.MaxInterval, w.retryBackoff.RandomizationFactor = pollInterval, time.Second, .5
 	set := quotalease.HolderSettings{FleetID: l.quotaConfig.FleetID, HolderID: quotalease.HolderID{Holder: l.config.ProxyName, Incarnation: w.incarnation}, MaxDrift: l.quotaConfig.MaxDrift}
 	if l.floorClaim != nil {
@@ -276,7 +276,7 @@
 		w.persistedVersion = version
 	}
 	w.measureDemand(w.clock())
-	stewards := w.config.File.Stewards
+	stewards := w.config.File.Servers
 	address := stewards[w.serverIndex%len(stewards)].Address
 	for range 3 {
 		err := w.callServer(ctx, address)
@@ -292,10 +292,10 @@
 			return
 		}
 		w.counters.failed.Add(1)
-		var p api.Problem
-		if errors.As(err, &p) && p.Leader != "" && p.Leader != address {
-			address = p.Leader
-			w.serverIndex = max(0, slices.IndexFunc(stewards, func(s api.Steward) bool { return s.Address == address }))
+		var p api.RemoteError
+		if errors.As(err, &p) && p.LeaderAddress != "" && p.LeaderAddress != address {
+			address = p.LeaderAddress
+			w.serverIndex = max(0, slices.IndexFunc(stewards, func(s api.Server) bool { return s.Address == address }))
 			continue
 		}
 		w.reportFault(err)
@@ -318,7 +318,7 @@
 	sent := w.clock()
 	request := w.holder.NextRequest(sent)
 	var reply quotalease.Reply
-	if err := api.Call(ctx, w.httpClient, address, api.PathAsk, request, &reply); err != nil {
+	if err := api.Call(ctx, w.httpClient, address, api.PathLease, request, &reply); err != nil {
 		return err
 	}
 	now := w.clock()
@@ -362,7 +362,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	_ = api.Call(ctx, w.httpClient, leader, api.PathAsk, w.holder.NextRequest(w.clock()), nil) // else its leases end by themselves
+	_ = api.Call(ctx, w.httpClient, leader, api.PathLease, w.holder.NextRequest(w.clock()), nil) // else its leases end by themselves
 }
 
 // QuotaStatus is how a budget stands.
@@ -439,7 +439,7 @@
 
 // reportFault counts an error by its kind, and logs it now and then.
 func (l *QuotaClient) reportFault(err error) {
-	name := api.ProblemOf(err).Name
+	name := api.RemoteErrorOf(err).Code
 	now := l.clock()
 	l.mu.Lock()
 	t := l.faults[name]
--- a/internal/controlplane/client/link_test.go
+++ b/internal/controlplane/client/link_test.go
@@ -24,12 +24,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func file(state string, addresses ...string) *api.File {
-	f := &api.File{Version: 1, Fleet: "north", Drift: .001, Longest: strictconfig.Span(10 * time.Second), State: state,
-		Budgets: []api.Budget{{Name: "all", Of: api.Of{Counts: "attempts"}, Whole: 1000, Burst: 100, Lease: strictconfig.Span(3 * time.Second)},
-			{Name: "again", Of: api.Of{Counts: "retries", Service: "pay"}, Whole: 100, Burst: 10, Lease: strictconfig.Span(3 * time.Second)}}}
+func file(state string, addresses ...string) *api.Config {
+	f := &api.Config{Version: 1, Fleet: "north", MaxDrift: .001, MaxLifetime: strictconfig.Span(10 * time.Second), StateDir: state,
+		Quotas: []api.Quota{{Name: "all", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 1000, Burst: 100, LeaseDuration: strictconfig.Span(3 * time.Second)},
+			{Name: "again", Filter: api.AttemptFilter{Attempts: "retries", Service: "pay"}, Limit: 100, Burst: 10, LeaseDuration: strictconfig.Span(3 * time.Second)}}}
 	for i, a := range addresses {
-		f.Stewards = append(f.Stewards, api.Steward{Name: fmt.Sprint("s", i+1), Number: uint64(i + 1), Address: a})
+		f.Servers = append(f.Servers, api.Server{Name: fmt.Sprint("s", i+1), ID: uint64(i + 1), Address: a})
 	}
 	return f
 }
@@ -306,12 +306,12 @@
 		}
 		defer out.Add(-1)
 		var in quotalease.Request
-		if err := api.Read(r.Body, &in); err != nil {
+		if err := api.DecodeBody(r.Body, &in); err != nil {
 			t.Error(err)
 		}
 		g := quotalease.Lease{FleetID: "south", Epoch: 9, HolderID: in.HolderID, Quota: "all", Kind: quotalease.Rate, Amount: quotalease.FromUnits(500), Burst: quotalease.FromUnits(50), Duration: time.Hour,
 			RequestSeq: in.Seq, Token: quotalease.Token{Epoch: 9, Index: 9}}
-		api.Write(w, http.StatusOK, quotalease.Reply{FleetID: "south", Epoch: 9, HolderID: in.HolderID, ConfigVersion: 9, Leases: []quotalease.Lease{g},
+		api.WriteReply(w, http.StatusOK, quotalease.Reply{FleetID: "south", Epoch: 9, HolderID: in.HolderID, ConfigVersion: 9, Leases: []quotalease.Lease{g},
 			Floors: map[string]quotalease.Floor{"all": {Kind: quotalease.Rate, Amount: quotalease.FromUnits(500), Burst: quotalease.FromUnits(50)}}})
 	}))
 	defer server.Close()
--- a/internal/controlplane/client/look.go
+++ b/internal/controlplane/client/look.go
@@ -146,11 +146,11 @@
 		}
 		return 0, false
 	}
-	for _, b := range l.config.File.Budgets {
-		class, ok1 := at(b.Of.Class, classes)
-		tenant, ok2 := at(b.Of.Tenant, tenants)
-		if ok1 && ok2 && (b.Of.Service == "" || b.Of.Service == service) {
-			s.covering = append(s.covering, coveringQuota{l.quotas[b.Name], class, tenant, b.Of.Counts == "retries"})
+	for _, b := range l.config.File.Quotas {
+		class, ok1 := at(b.Filter.Class, classes)
+		tenant, ok2 := at(b.Filter.Tenant, tenants)
+		if ok1 && ok2 && (b.Filter.Service == "" || b.Filter.Service == service) {
+			s.covering = append(s.covering, coveringQuota{l.quotas[b.Name], class, tenant, b.Filter.Attempts == "retries"})
 		}
 	}
 	if len(s.covering) == 0 {
--- a/internal/controlplane/client/pieces_test.go
+++ b/internal/controlplane/client/pieces_test.go
@@ -61,14 +61,14 @@
 type testServer struct {
 	t     testing.TB
 	begun time.Time
-	shelf *distribution.Shelf
+	shelf *distribution.Distributor
 	delay func(path string, bytes int) time.Duration // of an answer; nil is none
 	bend  func(r *http.Request, reply any)           // changes an answer on its way
 
 	mu      sync.Mutex
 	down    bool
 	older   bool // it knows whole texts alone
-	offer   rollout.Offer
+	offer   rollout.Version
 	text    []byte
 	trees   map[string]bool // roots that were ever offered
 	reports []time.Time
@@ -76,17 +76,17 @@
 }
 
 func newTestServer(t testing.TB) *testServer {
-	return &testServer{t: t, begun: time.Now(), shelf: distribution.New(distribution.Defaults()), trees: map[string]bool{}}
+	return &testServer{t: t, begun: time.Now(), shelf: distribution.New(distribution.DefaultSettings()), trees: map[string]bool{}}
 }
 
 // offers has all shall have a policy from now on.
-func (h *testServer) offers(order, epoch uint64, p *namespace.Policy) rollout.Offer {
+func (h *testServer) offers(order, epoch uint64, p *namespace.Policy) rollout.Version {
 	h.t.Helper()
 	tree := treeOf(h.t, p)
-	h.has().Keep([]*merkle.Tree{tree})
+	h.has().Retain([]*merkle.Tree{tree})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.offer = rollout.Offer{Order: order, Epoch: epoch, Hash: tree.Root().String()}
+	h.offer = rollout.Version{Generation: order, Epoch: epoch, Hash: tree.Root().String()}
 	if h.older {
 		h.text = p.Encode()
 		h.offer.Hash = p.Hash()
@@ -95,9 +95,11 @@
 	return h.offer
 }
 
-func (h *testServer) forget() { h.set(func() { h.shelf = distribution.New(distribution.Defaults()) }) }
+func (h *testServer) forget() {
+	h.set(func() { h.shelf = distribution.New(distribution.DefaultSettings()) })
+}
 
-func (h *testServer) has() *distribution.Shelf {
+func (h *testServer) has() *distribution.Distributor {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shelf
@@ -106,43 +108,43 @@
 func (h *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var reply any
 	switch r.URL.Path {
-	case api.PathReport:
+	case api.PathPolicyReport:
 		var in api.PolicyReport
-		if err := api.Read(r.Body, &in); err != nil || !in.Pieces {
+		if err := api.DecodeBody(r.Body, &in); err != nil || !in.AcceptsChunks {
 			h.t.Errorf("a report that does not take pieces: %v", err)
 		}
 		h.mu.Lock()
 		h.reports = append(h.reports, time.Now())
-		out := api.PolicyReply{Fleet: "north", Offer: h.offer}
-		wants := out.Offer.After(in.Has) && out.Offer != in.Refused
+		out := api.PolicyReply{Fleet: "north", Target: h.offer}
+		wants := out.Target.NewerThan(in.Current) && out.Target != in.Rejected
 		if h.older && wants {
 			out.Text = h.text
 		}
-		out.InPieces = !h.older
+		out.Chunked = !h.older
 		h.mu.Unlock()
-		if out.InPieces && wants {
-			most := in.Most
+		if out.Chunked && wants {
+			most := in.MaxChunkBytes
 			if most == 0 {
-				most = api.MostPieces
+				most = api.MaxChunkBytes
 			}
-			out.Pieces = h.has().Along(in.Has.Hash, out.Offer.Hash, most)
+			out.Chunks = h.has().ChunksBetween(in.Current.Hash, out.Target.Hash, most)
 		}
 		reply = &out
-	case api.PathPieces:
-		var in api.PiecesRequest
-		if err := api.Read(r.Body, &in); err != nil || len(in.Names) > api.MostNames {
+	case api.PathPolicyChunks:
+		var in api.ChunksRequest
+		if err := api.DecodeBody(r.Body, &in); err != nil || len(in.Names) > api.MaxChunkNames {
 			h.t.Errorf("a request for %d pieces: %v", len(in.Names), err)
 		}
-		var out api.PiecesReply
+		var out api.ChunksReply
 		var later time.Duration
-		out.Pieces, out.Lacks, later = h.has().Named(time.Since(h.begun), in.Proxy, in.Root, in.Names)
-		out.Later = int64(later)
+		out.Chunks, out.Missing, later = h.has().ChunksByName(time.Since(h.begun), in.Proxy, in.Root, in.Names)
+		out.RetryAfterNanos = int64(later)
 		reply = &out
 	}
 	if h.bend != nil {
 		h.bend(r, reply)
 	}
-	api.Write(w, http.StatusOK, reply)
+	api.WriteReply(w, http.StatusOK, reply)
 }
 
 // RoundTrip has a call answered in the caller's goroutine, after the delay.
@@ -180,8 +182,8 @@
 	h         *testServer
 	installed int
 	diffs     int
-	last      rollout.Offer
-	first     rollout.Offer // that was kept
+	last      rollout.Version
+	first     rollout.Version // that was kept
 	crimes    []string
 	cancel    func()
 	done      chan struct{}
@@ -223,7 +225,7 @@
 	e.h.mu.Unlock()
 	say(!known, "%+v was never offered", t.Offer)
 	say(root != t.Offer.Hash && text != t.Offer.Hash, "%+v was taken up with the content %.12s", t.Offer, root)
-	say(!t.Offer.After(e.last), "%+v was taken up after %+v", t.Offer, e.last)
+	say(!t.Offer.NewerThan(e.last), "%+v was taken up after %+v", t.Offer, e.last)
 	e.last = t.Offer
 	return nil
 }
@@ -242,7 +244,7 @@
 }
 
 // has waits for what must come at last.
-func (e *testProxy) has(t *testing.T, what string, o rollout.Offer) {
+func (e *testProxy) has(t *testing.T, what string, o rollout.Version) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Minute); e.Current().Offer != o; time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -258,7 +260,7 @@
 		h, dir := newTestServer(t), t.TempDir()
 		e := h.edge(dir, nil)
 		v := uint64(1)
-		offer := func() rollout.Offer { v++; return h.offers(1, v, version(1000, v)) }
+		offer := func() rollout.Version { v++; return h.offers(1, v, version(1000, v)) }
 		e.has(t, "the first, whole", offer())
 		whole := e.chunksAccepted.Load()
 		for range 5 {
@@ -316,9 +318,9 @@
 			var all *[][]byte
 			switch r := reply.(type) {
 			case *api.PolicyReply:
-				all = &r.Pieces
-			case *api.PiecesReply:
-				all = &r.Pieces
+				all = &r.Chunks
+			case *api.ChunksReply:
+				all = &r.Chunks
 			}
 			if len(*all) == 0 || rng.IntN(2) == 0 {
 				return
@@ -371,7 +373,7 @@
 		e.end()
 		e.fair(t)
 		for i := 1; i < len(h.reports); i++ {
-			if gap := h.reports[i].Sub(h.reports[i-1]); gap > rollout.Defaults().Silent {
+			if gap := h.reports[i].Sub(h.reports[i-1]); gap > rollout.DefaultSettings().SilenceTimeout {
 				t.Errorf("no report for %v", gap)
 			}
 		}
@@ -384,7 +386,7 @@
 		h := newTestServer(t)
 		until, early, told := map[string]time.Time{}, 0, 0
 		h.bend = func(q *http.Request, reply any) {
-			r, ok := reply.(*api.PiecesReply)
+			r, ok := reply.(*api.ChunksReply)
 			if !ok || told >= 12 {
 				return
 			}
@@ -392,7 +394,7 @@
 				early++
 			}
 			told++
-			*r = api.PiecesReply{Later: int64(3 * time.Second)}
+			*r = api.ChunksReply{RetryAfterNanos: int64(3 * time.Second)}
 			until[q.URL.Host] = time.Now().Add(3 * time.Second)
 		}
 		e := h.edge("", nil)
@@ -419,8 +421,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.has().Keep([]*merkle.Tree{bad})
-		h.set(func() { h.offer = rollout.Offer{Order: 1, Epoch: 2, Hash: bad.Root().String()} })
+		h.has().Retain([]*merkle.Tree{bad})
+		h.set(func() { h.offer = rollout.Version{Generation: 1, Epoch: 2, Hash: bad.Root().String()} })
 		before := e.chunksAccepted.Load()
 		time.Sleep(time.Minute)
 		if e.Current().Offer != first {
@@ -432,7 +434,7 @@
 		if r := e.PolicyStatus(); len(r.Faults) == 0 || r.Faults[0].Advice == "" {
 			t.Errorf("nobody is told: %+v", r)
 		}
-		h.set(func() { h.offer = rollout.Offer{Order: 1, Epoch: 3, Hash: "no root"} })
+		h.set(func() { h.offer = rollout.Version{Generation: 1, Epoch: 3, Hash: "no root"} })
 		time.Sleep(10 * time.Second)
 		e.has(t, "the next", h.offers(1, 4, version(300, 4)))
 		e.end()
@@ -473,7 +475,7 @@
 		h, dir := newTestServer(t), t.TempDir()
 		p := version(1000, 3)
 		old := newPolicyStore(dir, "p1").textFile
-		had := rollout.Offer{Order: 1, Epoch: 3, Hash: p.Hash()}
+		had := rollout.Version{Generation: 1, Epoch: 3, Hash: p.Hash()}
 		if err := old.Save(textRecord{had, p.Encode()}); err != nil {
 			t.Fatal(err)
 		}
@@ -505,7 +507,7 @@
 	for v := uint64(1); v <= 400; v++ {
 		p := version(400, v)
 		tree := treeOf(t, p)
-		last = policyContent{rollout.Offer{Order: 1, Epoch: v, Hash: tree.Root().String()}, tree.Root().String(), tree}
+		last = policyContent{rollout.Version{Generation: 1, Epoch: v, Hash: tree.Root().String()}, tree.Root().String(), tree}
 		h.trees[last.hash] = true
 		if err := k.save(last); err != nil {
 			t.Fatal(err)
@@ -536,7 +538,7 @@
 	if err := other.save(next); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.save(policyContent{rollout.Offer{Order: 1, Epoch: 400, Hash: "x"}, "x", last.tree}); err != nil {
+	if err := k.save(policyContent{rollout.Version{Generation: 1, Epoch: 400, Hash: "x"}, "x", last.tree}); err != nil {
 		t.Fatal(err)
 	}
 	if c, _, err := newPolicyStore(dir, "p1").load(); err != nil || c.offer != next.offer {
@@ -622,12 +624,12 @@
 						*r = stale[links.IntN(len(stale))] // late, or of a steward that was asleep
 					}
 					if links.IntN(3) == 0 {
-						r.Pieces = r.Pieces[:links.IntN(len(r.Pieces)+1)]
+						r.Chunks = r.Chunks[:links.IntN(len(r.Chunks)+1)]
 					}
-				case *api.PiecesReply:
-					if n := len(r.Pieces); n > 0 && links.IntN(3) == 0 {
-						r.Pieces = slices.Clone(r.Pieces)
-						r.Pieces[links.IntN(n)] = []byte("damaged")
+				case *api.ChunksReply:
+					if n := len(r.Chunks); n > 0 && links.IntN(3) == 0 {
+						r.Chunks = slices.Clone(r.Chunks)
+						r.Chunks[links.IntN(n)] = []byte("damaged")
 					}
 				}
 			}
@@ -641,7 +643,7 @@
 			}
 			order, epoch := uint64(1), uint64(1)
 			e := h.edge(dir, change)
-			offer := func() rollout.Offer { return h.offers(order, epoch, version(40, 1+rng.Uint64N(30))) }
+			offer := func() rollout.Version { return h.offers(order, epoch, version(40, 1+rng.Uint64N(30))) }
 			offer()
 			for range 60 {
 				time.Sleep(time.Duration(rng.IntN(2500)) * time.Millisecond)
@@ -658,7 +660,7 @@
 					h.set(func() { h.down = false })
 				case 6:
 					h.forget()
-					h.has().Keep([]*merkle.Tree{})
+					h.has().Retain([]*merkle.Tree{})
 					epoch++
 					offer()
 				case 7:
@@ -727,8 +729,8 @@
 				}
 			}
 			epoch := uint64(1)
-			offer := func(i int) rollout.Offer {
-				return rollout.Offer{Order: 1, Epoch: epoch, Hash: trees[i].Root().String()}
+			offer := func(i int) rollout.Version {
+				return rollout.Version{Generation: 1, Epoch: epoch, Hash: trees[i].Root().String()}
 			}
 			if err := p.installContent(policyContent{offer(0), trees[0].Root().String(), trees[0]}, yes); err != nil {
 				b.Fatal(err)
@@ -737,8 +739,8 @@
 			for b.Loop() {
 				epoch++
 				i := int(epoch+1) % 2
-				r := api.PolicyReply{Fleet: "north", Offer: offer(i), InPieces: true, Pieces: lacks[i]}
-				if err := p.handleOffer(b.Context(), f, r, yes); err != nil || p.Current().Offer != r.Offer || p.Current().Diff == nil {
+				r := api.PolicyReply{Fleet: "north", Target: offer(i), Chunked: true, Chunks: lacks[i]}
+				if err := p.handleOffer(b.Context(), f, r, yes); err != nil || p.Current().Offer != r.Target || p.Current().Diff == nil {
 					b.Fatalf("%+v: %v", p.Current().Offer, err)
 				}
 			}
@@ -751,7 +753,7 @@
 	for _, n := range []int{1000, 13000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir, tree := b.TempDir(), treeOf(b, version(n, 2))
-			if err := newPolicyStore(dir, "p1").save(policyContent{rollout.Offer{Order: 1, Epoch: 1, Hash: tree.Root().String()}, tree.Root().String(), tree}); err != nil {
+			if err := newPolicyStore(dir, "p1").save(policyContent{rollout.Version{Generation: 1, Epoch: 1, Hash: tree.Root().String()}, tree.Root().String(), tree}); err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
--- a/internal/controlplane/client/policy.go
+++ b/internal/controlplane/client/policy.go
@@ -29,12 +29,12 @@
 
 // InstalledPolicy is a policy that was taken up whole. It never changes but for its counts.
 type InstalledPolicy struct {
-	Offer  rollout.Offer
+	Offer  rollout.Version
 	Policy *namespace.Policy // nil of none
 	Epoch  string            // as attempts carry it; empty of none
 	Tree   *merkle.Tree      // its content; nil of none
 
-	Base rollout.Offer   // that it was made of by Diff
+	Base rollout.Version // that it was made of by Diff
 	Diff *namespace.Diff // what is not as in Before; nil where it was not made of it
 
 	good, bad atomic.Int64
@@ -60,7 +60,7 @@
 
 	current          atomic.Pointer[InstalledPolicy]
 	installing       sync.Mutex // a duty that is stuck in there holds up the next one, and no request
-	holder           *rollout.Holder
+	holder           *rollout.CurrentVersion
 	lastReportNumber atomic.Uint64
 	rejected         atomic.Pointer[rejectedPolicy]
 	cache            chunkCache
@@ -87,10 +87,10 @@
 // and says why.
 func NewPolicyClient(set Config, install func(*InstalledPolicy) error) *PolicyClient {
 	file := *set.File
-	dir := file.State
-	file.State, file.Budgets = "", nil
+	dir := file.StateDir
+	file.StateDir, file.Quotas = "", nil
 	set.File = &file
-	p := &PolicyClient{QuotaClient: NewQuotaClient(set), install: install, holder: rollout.NewHolder(rollout.Offer{}),
+	p := &PolicyClient{QuotaClient: NewQuotaClient(set), install: install, holder: rollout.NewCurrentVersion(rollout.Version{}),
 		newAssembly: func(root merkle.Name, has *merkle.Tree) treeAssembly { return merkle.Assemble(root, has) }}
 	p.lastReportNumber.Store(uint64(time.Now().UnixNano())) // rises over restarts too
 	p.current.Store(&InstalledPolicy{})
@@ -134,18 +134,18 @@
 	if !may() {
 		return nil
 	}
-	before := p.holder.Has()
+	before := p.holder.Version()
 	if c.offer == before {
 		return nil
 	}
-	next := rollout.NewHolder(before) // so that one that can't be installed is not had
+	next := rollout.NewCurrentVersion(before) // so that one that can't be installed is not had
 	if p.policyMutations.skipRootCheck {
 		c.hash = c.offer.Hash
 	}
 	if p.policyMutations.skipOrderCheck {
-		next = rollout.NewHolder(rollout.Offer{})
+		next = rollout.NewCurrentVersion(rollout.Version{})
 	}
-	if err := next.TakeRoot(c.offer, c.hash); err != nil {
+	if err := next.Adopt(c.offer, c.hash); err != nil {
 		return err
 	}
 	was := p.current.Load()
@@ -182,8 +182,8 @@
 		defer p.mu.Unlock()
 		return ctx.Err() == nil && p.generation == generation
 	}
-	every := min(maxReportInterval, max(minReportInterval, p.config.File.Rollout().Silent/5))
-	stewards := p.config.File.Stewards
+	every := min(maxReportInterval, max(minReportInterval, p.config.File.RolloutSettings().SilenceTimeout/5))
+	stewards := p.config.File.Servers
 	at := rand.IntN(len(stewards))
 	address := stewards[at].Address
 	f := newFetcher(p)
@@ -192,20 +192,20 @@
 		p.worker.Heartbeat()
 		if waits == nil {
 			t := p.current.Load()
-			waits = &api.PolicyReport{Fleet: p.config.File.Fleet, Proxy: p.config.ProxyName, Number: p.lastReportNumber.Add(1), Has: t.Offer, Good: t.good.Swap(0), Bad: t.bad.Swap(0), Pieces: true}
+			waits = &api.PolicyReport{Fleet: p.config.File.Fleet, Proxy: p.config.ProxyName, Sequence: p.lastReportNumber.Add(1), Current: t.Offer, Good: t.good.Swap(0), Bad: t.bad.Swap(0), AcceptsChunks: true}
 			if not := p.rejected.Load(); not != nil {
-				waits.Refused = not.offer
+				waits.Rejected = not.offer
 			}
 		}
-		waits.Most = f.reportBytes
+		waits.MaxChunkBytes = f.reportBytes
 		begun := p.clock()
 		var reply api.PolicyReply
 		p.counters.requests.Add(1)
 		inner, cancel := context.WithTimeout(ctx, reportTimeout)
-		err := api.Call(inner, p.httpClient, address, api.PathReport, waits, &reply)
+		err := api.Call(inner, p.httpClient, address, api.PathPolicyReport, waits, &reply)
 		slow := inner.Err() != nil
 		cancel()
-		var problem api.Problem
+		var problem api.RemoteError
 		switch {
 		case ctx.Err() != nil:
 			return
@@ -217,11 +217,11 @@
 			waits = nil
 			f.adjustReportBytes(false)
 			if err := p.handleOffer(ctx, f, reply, current); err != nil {
-				p.reportFault(PolicyNotInstalledError{reply.Offer.Epoch, err})
+				p.reportFault(PolicyNotInstalledError{reply.Target.Epoch, err})
 			}
-		case errors.As(err, &problem) && problem.Leader != "" && problem.Leader != address:
+		case errors.As(err, &problem) && problem.LeaderAddress != "" && problem.LeaderAddress != address:
 			p.counters.failed.Add(1)
-			address = problem.Leader
+			address = problem.LeaderAddress
 		default:
 			p.counters.failed.Add(1)
 			p.reportFault(err)
@@ -244,24 +244,24 @@
 	if r.Fleet != p.config.File.Fleet {
 		return fmt.Errorf("a steward answers for fleet %q", r.Fleet)
 	}
-	if !r.Offer.After(p.current.Load().Offer) && !p.policyMutations.skipOrderCheck {
+	if !r.Target.NewerThan(p.current.Load().Offer) && !p.policyMutations.skipOrderCheck {
 		return nil // a steward that has just begun to lead offers the one before
 	}
 	var c policyContent
 	var err error
-	if not := p.rejected.Load(); not != nil && not.offer == r.Offer && (not.tree != nil || p.clock() < not.retryAt) {
+	if not := p.rejected.Load(); not != nil && not.offer == r.Target && (not.tree != nil || p.clock() < not.retryAt) {
 		if not.tree == nil {
 			return not.reason
 		}
 		c = not.policyContent
-	} else if r.InPieces {
-		c.offer = r.Offer
+	} else if r.Chunked {
+		c.offer = r.Target
 		c.tree, err = f.fetch(ctx, r)
 		if c.tree != nil {
 			c.hash = c.tree.Root().String()
 		}
 	} else {
-		c, err = contentFromText(r.Offer, r.Text)
+		c, err = contentFromText(r.Target, r.Text)
 	}
 	if err == nil && c.tree == nil {
 		return nil // it is on its way
@@ -273,7 +273,7 @@
 	var no unreadableError
 	switch {
 	case errors.As(err, &malformed) || errors.As(err, &no): // of the root that was offered: what the stewards have is so
-		p.rejected.Store(&rejectedPolicy{policyContent{offer: r.Offer}, err, p.clock() + unreadableRetryInterval})
+		p.rejected.Store(&rejectedPolicy{policyContent{offer: r.Target}, err, p.clock() + unreadableRetryInterval})
 		f.reset()
 		return err
 	case err != nil && c.tree != nil && c.hash == c.offer.Hash:
@@ -283,7 +283,7 @@
 		return err
 	}
 	p.rejected.Store(nil)
-	if p.current.Load().Offer != r.Offer {
+	if p.current.Load().Offer != r.Target {
 		return nil // another duty has taken over: nothing that does not hold is kept
 	}
 	f.reset()
@@ -315,7 +315,7 @@
 // PolicyStatus tells how it stands. It waits for nobody.
 func (p *PolicyClient) PolicyStatus() PolicyStatus {
 	r, o := p.QuotaClient.Status(), p.current.Load().Offer
-	return PolicyStatus{o.Epoch, o.Order, o.Hash, r.Server, r.Requests, r.Answered, r.Failed, r.WorkersCrashed, r.WorkersStalled, p.chunksAccepted.Load(), p.chunksRejected.Load(), r.Faults}
+	return PolicyStatus{o.Epoch, o.Generation, o.Hash, r.Server, r.Requests, r.Answered, r.Failed, r.WorkersCrashed, r.WorkersStalled, p.chunksAccepted.Load(), p.chunksRejected.Load(), r.Faults}
 }
 
 // PolicyNotInstalledError is a policy that this proxy was offered and could not take up: it goes on with the one before.
--- a/internal/controlplane/client/policy_test.go
+++ b/internal/controlplane/client/policy_test.go
@@ -29,12 +29,12 @@
 	return namespace.Merge(c, nil, []*namespace.Namespace{n}).Policy.Encode()
 }
 
-func offerOf(order, epoch uint64, text []byte) rollout.Offer {
+func offerOf(order, epoch uint64, text []byte) rollout.Version {
 	p, err := namespace.Decode(text)
 	if err != nil {
 		panic(err)
 	}
-	return rollout.Offer{Order: order, Epoch: epoch, Hash: p.Hash()}
+	return rollout.Version{Generation: order, Epoch: epoch, Hash: p.Hash()}
 }
 
 func yes() bool { return true }
@@ -54,16 +54,16 @@
 	}
 	p := NewPolicyClient(set, install)
 	f := newFetcher(p)
-	reply := func(o rollout.Offer, text []byte) error {
-		return p.handleOffer(t.Context(), f, api.PolicyReply{Fleet: "north", Offer: o, Text: text}, yes)
+	reply := func(o rollout.Version, text []byte) error {
+		return p.handleOffer(t.Context(), f, api.PolicyReply{Fleet: "north", Target: o, Text: text}, yes)
 	}
 	first, second := offerOf(1, 1, one), offerOf(1, 2, two)
 	for _, k := range []struct {
 		what   string
-		o      rollout.Offer
+		o      rollout.Version
 		text   []byte
 		refuse bool
-		want   rollout.Offer
+		want   rollout.Version
 		bad    bool
 	}{
 		{"the first", first, one, false, first, false},
@@ -77,17 +77,17 @@
 		{"a late one", offerOf(1, 9, two), two, false, offerOf(2, 1, one), false},
 	} {
 		refuse = k.refuse
-		if err := reply(k.o, k.text); (err != nil) != k.bad || p.Current().Offer != k.want || p.holder.Has() != k.want {
+		if err := reply(k.o, k.text); (err != nil) != k.bad || p.Current().Offer != k.want || p.holder.Version() != k.want {
 			t.Errorf("%s: %v, holds %+v", k.what, err, p.Current().Offer)
 		}
 	}
 	if installed != 3 {
 		t.Errorf("installed %d times", installed)
 	}
-	if err := p.handleOffer(t.Context(), f, api.PolicyReply{Fleet: "south", Offer: offerOf(9, 9, two), Text: two}, yes); err == nil || p.Current().Offer.Order == 9 {
+	if err := p.handleOffer(t.Context(), f, api.PolicyReply{Fleet: "south", Target: offerOf(9, 9, two), Text: two}, yes); err == nil || p.Current().Offer.Generation == 9 {
 		t.Error("another fleet's policy was taken up")
 	}
-	if _ = p.handleOffer(t.Context(), f, api.PolicyReply{Fleet: "north", Offer: offerOf(9, 9, two), Text: two}, func() bool { return false }); p.Current().Offer.Order == 9 {
+	if _ = p.handleOffer(t.Context(), f, api.PolicyReply{Fleet: "north", Target: offerOf(9, 9, two), Text: two}, func() bool { return false }); p.Current().Offer.Generation == 9 {
 		t.Error("a duty that was given up took a policy up")
 	}
 	next := NewPolicyClient(set, install)
@@ -109,22 +109,22 @@
 	var good, last, calls, panics atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var in api.PolicyReport
-		if err := api.Read(r.Body, &in); err != nil {
+		if err := api.DecodeBody(r.Body, &in); err != nil {
 			t.Error(err)
 		}
-		if int64(in.Number) > last.Load() { // as the stewards count
-			last.Store(int64(in.Number))
+		if int64(in.Sequence) > last.Load() { // as the stewards count
+			last.Store(int64(in.Sequence))
 			good.Add(in.Good)
 		}
 		if calls.Add(1)%2 == 1 { // it has counted, and its answer is lost
 			w.WriteHeader(http.StatusBadGateway)
 			return
 		}
-		api.Write(w, http.StatusOK, api.PolicyReply{Fleet: "north", Offer: offerOf(1, 1, text), Text: text})
+		api.WriteReply(w, http.StatusOK, api.PolicyReply{Fleet: "north", Target: offerOf(1, 1, text), Text: text})
 	}))
 	defer server.Close()
 	f := file("", strings.TrimPrefix(server.URL, "http://"))
-	f.Policy.Silent = 1
+	f.Policy.SilenceTimeout = 1
 	p := NewPolicyClient(Config{File: f, ProxyName: "p1"}, func(*InstalledPolicy) error {
 		if panics.Add(1) == 1 {
 			panic("in the trial")
--- a/internal/controlplane/freshness/link.go
+++ b/internal/controlplane/freshness/link.go
@@ -22,130 +22,130 @@
 )
 
 const (
-	tick          = 100 * time.Millisecond // between two snapshots
-	stopAfter     = time.Second            // a gap between two looks of the duty that is a stop of the process
-	staleAfter    = 2 * time.Second        // a snapshot that is older says nothing
-	ringSize      = 1024                   // evidence that waits for the duty
-	mostRegisters = 64
-	leastBeat     = 10 * time.Millisecond
+	snapshotInterval     = 100 * time.Millisecond // between two snapshots
+	suspensionGap        = time.Second            // a gap between two looks of the duty that is a stop of the process
+	maxSnapshotAge       = 2 * time.Second        // a snapshot that is older says nothing
+	observationQueueSize = 1024                   // evidence that waits for the duty
+	maxLists             = 64
+	minWatchInterval     = 10 * time.Millisecond
 )
 
-// Settings of a link.
-type Settings struct {
-	View  *api.View
-	Log   *slog.Logger
-	Clock func() time.Duration // only goes forward; nil is the machine's, with the time that it is suspended
+// Config of a link.
+type Config struct {
+	Freshness *api.FreshnessSettings
+	Logger    *slog.Logger
+	Clock     func() time.Duration // only goes forward; nil is the machine's, with the time that it is suspended
 }
 
-// Link is a proxy's views of all its registers. It is for any goroutine.
-type Link struct {
-	set    Settings
-	clock  func() time.Duration
-	duty   supervisor.Task
-	woken  chan struct{}
-	ring   chan evidence
-	counts struct {
-		dropped, merged, stops, died, stuck, stale atomic.Int64
-		forbidden                                  [3]atomic.Int64 // by staleness.Effect
+// Monitor is a proxy's views of all its registers. It is for any goroutine.
+type Monitor struct {
+	config       Config
+	clock        func() time.Duration
+	supervisor   supervisor.Task
+	wakeups      chan struct{}
+	observations chan observation
+	counters     struct {
+		droppedObservations, mergedUpdates, suspensions, workerDeaths, workerStalls, staleLookups atomic.Int64
+		forbiddenAttempts                                                                         [3]atomic.Int64 // by staleness.Effect
 	}
 	generation atomic.Uint64
 
-	mu        sync.Mutex
-	registers map[string]*Register
-	order     []*Register
+	mu    sync.Mutex
+	lists map[string]*List
+	order []*List
 }
 
-// evidence is what an attempt has shown.
-type evidence struct {
-	of      *server
+// observation is what an attempt has shown.
+type observation struct {
+	from    *endpoint
 	refused bool
 }
 
-// server is a listed server as a snapshot knows it.
-type server struct {
-	register   *Register
-	generation uint64
-	name       string
-	handle     staleness.Handle
-	told       [2]atomic.Int64 // when it last answered or refused: more of it in one tick is the same fact
+// endpoint is a listed server as a snapshot knows it.
+type endpoint struct {
+	list         *List
+	generation   uint64
+	name         string
+	handle       staleness.Handle
+	lastObserved [2]atomic.Int64 // when it last answered or refused: more of it in one tick is the same fact
 }
 
-// seen is what is looked at. It never changes.
-type seen struct {
-	snap    *staleness.Snapshot
-	servers map[decision.BackendID]*server
-	doubt   bool // what is not listed may be sent what may run twice
-	report  RegisterReport
+// publishedState is what is looked at. It never changes.
+type publishedState struct {
+	snapshot    *staleness.Snapshot
+	endpoints   map[decision.BackendID]*endpoint
+	mayBeListed bool // what is not listed may be sent what may run twice
+	report      ListReport
 }
 
 // New makes a link that has no registers yet.
-func New(set Settings) *Link {
-	if set.Log == nil {
-		set.Log = slog.New(slog.DiscardHandler)
+func New(set Config) *Monitor {
+	if set.Logger == nil {
+		set.Logger = slog.New(slog.DiscardHandler)
 	}
-	l := &Link{set: set, clock: set.Clock, woken: make(chan struct{}, 1), ring: make(chan evidence, ringSize), registers: map[string]*Register{}}
+	l := &Monitor{config: set, clock: set.Clock, wakeups: make(chan struct{}, 1), observations: make(chan observation, observationQueueSize), lists: map[string]*List{}}
 	if l.clock == nil {
 		l.clock = supervisor.Boottime
 	}
-	l.duty = supervisor.Task{Clock: l.clock, OnStart: func() uint64 { return l.generation.Add(1) }, Work: l.work, OnPanic: l.died, OnStuck: l.stuck, ShutdownGrace: time.Second}
+	l.supervisor = supervisor.Task{Clock: l.clock, OnStart: func() uint64 { return l.generation.Add(1) }, Work: l.runWorker, OnPanic: l.workerDied, OnStuck: l.workerStuck, ShutdownGrace: time.Second}
 	return l
 }
 
 // Run weighs until ctx ends.
-func (l *Link) Run(ctx context.Context) { l.duty.Run(ctx) }
+func (l *Monitor) Run(ctx context.Context) { l.supervisor.Run(ctx) }
 
-func (l *Link) wake() {
+func (l *Monitor) wake() {
 	select {
-	case l.woken <- struct{}{}:
+	case l.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-func (l *Link) died(cause any, stack []byte) {
-	l.counts.died.Add(1)
-	err := DutyDied{fmt.Sprint(cause)}
-	l.set.Log.Error("the view", "err", err, "advice", err.Advice(), "stack", string(stack))
+func (l *Monitor) workerDied(cause any, stack []byte) {
+	l.counters.workerDeaths.Add(1)
+	err := WorkerDiedError{fmt.Sprint(cause)}
+	l.config.Logger.Error("the view", "err", err, "advice", err.Advice(), "stack", string(stack))
 }
 
-func (l *Link) stuck(since time.Duration) {
-	l.counts.stuck.Add(1)
-	err := DutyStuck{since}
-	l.set.Log.Error("the view", "err", err, "advice", err.Advice())
+func (l *Monitor) workerStuck(since time.Duration) {
+	l.counters.workerStalls.Add(1)
+	err := WorkerStuckError{since}
+	l.config.Logger.Error("the view", "err", err, "advice", err.Advice())
 }
 
 // worker is one duty's own.
 type worker struct {
-	*Link
+	*Monitor
 	generation uint64
-	views      map[*Register]*weighed
-	last       time.Duration // look
-	since      time.Duration // from which what waits has come
+	views      map[*List]*listState
+	lastStep   time.Duration // look
+	notBefore  time.Duration // from which what waits has come
 }
 
-// weighed is a register as one duty weighs it.
-type weighed struct {
-	register *Register
-	view     *staleness.View
-	servers  map[decision.BackendID]*server
-	routes   map[string]int // servers of each
-	dirty    bool           // servers and routes are not those of the view
-	levels   map[string]staleness.Level
+// listState is a register as one duty weighs it.
+type listState struct {
+	list       *List
+	view       *staleness.View
+	endpoints  map[decision.BackendID]*endpoint
+	routes     map[string]int // servers of each
+	indexStale bool           // servers and routes are not those of the view
+	levels     map[string]staleness.Level
 }
 
-func (l *Link) work(ctx context.Context, generation uint64) {
-	w := &worker{Link: l, generation: generation, views: map[*Register]*weighed{}, last: l.clock()}
-	next := w.last
+func (l *Monitor) runWorker(ctx context.Context, generation uint64) {
+	w := &worker{Monitor: l, generation: generation, views: map[*List]*listState{}, lastStep: l.clock()}
+	next := w.lastStep
 	for ctx.Err() == nil {
-		l.duty.Heartbeat()
+		l.supervisor.Heartbeat()
 		now := w.step()
 		if now >= next {
 			w.publish(now)
-			next = now + tick
+			next = now + snapshotInterval
 		}
 		wait := time.NewTimer(next - now)
 		select {
 		case <-wait.C:
-		case <-l.woken:
+		case <-l.wakeups:
 		case <-ctx.Done():
 		}
 		wait.Stop()
@@ -154,12 +154,12 @@
 
 // step takes in all that waits.
 func (w *worker) step() time.Duration {
-	now := max(w.clock(), w.last)
-	gap := now - w.last
-	w.since, w.last = w.last, now
-	if gap > stopAfter { // before all else: what waits was sent while the process stood, or before
-		w.since = now
-		w.counts.stops.Add(1)
+	now := max(w.clock(), w.lastStep)
+	gap := now - w.lastStep
+	w.notBefore, w.lastStep = w.lastStep, now
+	if gap > suspensionGap { // before all else: what waits was sent while the process stood, or before
+		w.notBefore = now
+		w.counters.suspensions.Add(1)
 		for _, x := range w.views {
 			x.view.Stopped(now, gap)
 		}
@@ -169,134 +169,134 @@
 	w.mu.Unlock()
 	for _, r := range order {
 		if x := w.views[r]; x != nil {
-			w.hear(x, now)
+			w.applyUpdate(x, now)
 		} else {
-			w.begin(r, now)
+			w.startList(r, now)
 		}
 	}
-	for range len(w.ring) { // what comes meanwhile is for the next time
-		e := <-w.ring
-		x := w.views[e.of.register]
-		if x == nil || e.of.generation != w.generation || x.view.Handle(e.of.name) != e.of.handle {
+	for range len(w.observations) { // what comes meanwhile is for the next time
+		e := <-w.observations
+		x := w.views[e.from.list]
+		if x == nil || e.from.generation != w.generation || x.view.Handle(e.from.name) != e.from.handle {
 			continue // another process is listed there by now
 		}
 		// The view was made with this source, so that there is no error.
 		if e.refused {
-			_ = x.view.Contradicted(now, api.Source, staleness.Evidence{Kind: staleness.Refused, Entry: e.of.name})
+			_ = x.view.Contradicted(now, api.ListSource, staleness.Evidence{Kind: staleness.Refused, Entry: e.from.name})
 		} else {
-			_ = x.view.Confirmed(now, api.Source, e.of.name)
+			_ = x.view.Confirmed(now, api.ListSource, e.from.name)
 		}
 	}
 	return now
 }
 
-// begin begins to weigh a register, on what was heard of it or on what is known.
-func (w *worker) begin(r *Register, now time.Duration) {
-	view, err := staleness.New(w.set.View.Settings(r.beat))
+// startList begins to weigh a register, on what was heard of it or on what is known.
+func (w *worker) startList(r *List, now time.Duration) {
+	view, err := staleness.New(w.config.Freshness.StalenessSettings(r.watchInterval))
 	if err != nil { // the file was checked
 		panic(err)
 	}
-	n, at, age := r.all()
-	_ = view.Heard(now, api.Source, n)
+	n, at, age := r.restartState()
+	_ = view.Heard(now, api.ListSource, n)
 	if age >= 0 {
 		age += now - at
 	}
 	view.Restarted(now, age)
-	w.views[r] = &weighed{register: r, view: view, dirty: true, levels: map[string]staleness.Level{}}
+	w.views[r] = &listState{list: r, view: view, indexStale: true, levels: map[string]staleness.Level{}}
 }
 
-// hear takes in what a register has told.
-func (w *worker) hear(x *weighed, now time.Duration) {
-	n := x.register.take()
-	w.counts.merged.Add(n.merged)
-	at := min(max(n.at, w.since), now)
-	if n.any {
-		if n.changes {
-			x.dirty = true
-			if err := x.view.Heard(at, api.Source, n.News); err != nil {
-				w.set.Log.Warn("the view", "err", err, "advice", cmp.Or(operatorerror.Of(err), "none"))
+// applyUpdate takes in what a register has told.
+func (w *worker) applyUpdate(x *listState, now time.Duration) {
+	n := x.list.takePending()
+	w.counters.mergedUpdates.Add(n.merged)
+	at := min(max(n.at, w.notBefore), now)
+	if n.heard {
+		if n.changed {
+			x.indexStale = true
+			if err := x.view.Heard(at, api.ListSource, n.News); err != nil {
+				w.config.Logger.Warn("the view", "err", err, "advice", cmp.Or(operatorerror.Of(err), "none"))
 			}
 		} else {
-			_ = x.view.Quiet(at, api.Source)
+			_ = x.view.Quiet(at, api.ListSource)
 		}
 	}
-	if n.mute {
-		_ = x.view.Failed(now, api.Source, staleness.FailTimeout)
+	if n.callFailed {
+		_ = x.view.Failed(now, api.ListSource, staleness.FailTimeout)
 	}
-	if n.broken {
-		_ = x.view.Failed(now, api.Source, staleness.FailBroken)
+	if n.watchBroken {
+		_ = x.view.Failed(now, api.ListSource, staleness.FailBroken)
 	}
 }
 
 // publish puts how things stand where engines look.
 func (w *worker) publish(now time.Duration) {
 	for _, x := range w.views {
-		if x.dirty {
-			w.index(x)
+		if x.indexStale {
+			w.indexEndpoints(x)
 		}
-		s := &seen{snap: x.view.Tick(now), servers: x.servers, doubt: true, report: RegisterReport{Name: x.register.name, Servers: len(x.servers), Age: "unknown"}}
-		if age, known := x.view.Age(now, api.Source); known {
+		s := &publishedState{snapshot: x.view.Tick(now), endpoints: x.endpoints, mayBeListed: true, report: ListReport{Name: x.list.name, Servers: len(x.endpoints), Age: "unknown"}}
+		if age, known := x.view.Age(now, api.ListSource); known {
 			s.report.Age = age.Round(time.Millisecond).String()
 		}
 		best := staleness.Blind
 		for _, name := range slices.Sorted(maps.Keys(x.routes)) {
-			level, chance := s.snap.Route(x.view.RouteIndex(name))
+			level, chance := s.snapshot.Route(x.view.RouteIndex(name))
 			best = max(best, level)
-			r := RouteReport{Name: name, Level: level.String(), Chance: chance, Servers: x.routes[name]}
+			r := RouteReport{Name: name, Level: level.String(), Confidence: chance, Servers: x.routes[name]}
 			trouble := x.view.Trouble(now, name)
 			if trouble != nil {
-				r.Trouble, r.Advice = trouble.Error(), operatorerror.Of(trouble)
+				r.Fault, r.Advice = trouble.Error(), operatorerror.Of(trouble)
 			}
 			s.report.Routes = append(s.report.Routes, r)
 			if was, any := x.levels[name]; !any || was != level {
 				x.levels[name] = level
 				if trouble != nil {
-					w.set.Log.Warn("the view", "register", x.register.name, "err", trouble, "advice", r.Advice)
+					w.config.Logger.Warn("the view", "register", x.list.name, "err", trouble, "advice", r.Advice)
 				} else if was <= staleness.Doubtful {
-					w.set.Log.Info("the view is trusted again", "register", x.register.name, "route", name, "level", r.Level)
+					w.config.Logger.Info("the view is trusted again", "register", x.list.name, "route", name, "level", r.Level)
 				}
 			}
 		}
-		s.doubt = len(x.routes) == 0 || best > staleness.Blind
-		if w.generation == w.Link.generation.Load() {
-			x.register.now.Store(s)
+		s.mayBeListed = len(x.routes) == 0 || best > staleness.Blind
+		if w.generation == w.Monitor.generation.Load() {
+			x.list.published.Store(s)
 		}
 	}
 }
 
-// index names the servers that the view lists.
-func (w *worker) index(x *weighed) {
-	x.dirty = false
-	servers, routes := map[decision.BackendID]*server{}, map[string]int{}
-	for _, e := range x.register.listed() {
+// indexEndpoints names the servers that the view lists.
+func (w *worker) indexEndpoints(x *listState) {
+	x.indexStale = false
+	servers, routes := map[decision.BackendID]*endpoint{}, map[string]int{}
+	for _, e := range x.list.entries() {
 		h := x.view.Handle(e.Name)
 		if h == 0 { // of a list that is newer than the view: it comes with the next
-			x.dirty = true
+			x.indexStale = true
 			continue
 		}
 		id := backendID(e.Name)
-		s := x.servers[id]
+		s := x.endpoints[id]
 		if s == nil || s.handle != h || s.name != e.Name {
-			s = &server{register: x.register, generation: w.generation, name: e.Name, handle: h}
+			s = &endpoint{list: x.list, generation: w.generation, name: e.Name, handle: h}
 		}
 		servers[id] = s
 		routes[e.Route]++
 	}
-	x.servers, x.routes = servers, routes
+	x.endpoints, x.routes = servers, routes
 }
 
 // RouteReport is the servers of a kind.
 type RouteReport struct {
-	Name    string  `json:"name"`
-	Level   string  `json:"level"`
-	Chance  float32 `json:"chance"` // that acting on the list is right
-	Servers int     `json:"servers"`
-	Trouble string  `json:"trouble,omitempty"`
-	Advice  string  `json:"advice,omitempty"`
+	Name       string  `json:"name"`
+	Level      string  `json:"level"`
+	Confidence float32 `json:"chance"` // that acting on the list is right
+	Servers    int     `json:"servers"`
+	Fault      string  `json:"trouble,omitempty"`
+	Advice     string  `json:"advice,omitempty"`
 }
 
-// RegisterReport is a register's list.
-type RegisterReport struct {
+// ListReport is a register's list.
+type ListReport struct {
 	Name    string        `json:"name"`
 	Age     string        `json:"age_at_most"` // "unknown" if nobody can tell
 	Servers int           `json:"servers"`
@@ -305,32 +305,32 @@
 
 // Report is what the console shows.
 type Report struct {
-	Act       bool             `json:"act"`
-	Registers []RegisterReport `json:"registers"`
-	Dropped   int64            `json:"evidence_dropped"`
-	Merged    int64            `json:"news_merged"`
-	Stops     int64            `json:"stops"` // of this process
-	Died      int64            `json:"duties_died"`
-	Stuck     int64            `json:"duties_stuck"`
-	Stale     int64            `json:"looks_at_old"` // at a snapshot that is too old, or at none yet
-	Forbidden map[string]int64 `json:"attempts_forbidden"`
+	Enforced            bool             `json:"act"`
+	Lists               []ListReport     `json:"registers"`
+	DroppedObservations int64            `json:"evidence_dropped"`
+	MergedUpdates       int64            `json:"news_merged"`
+	Suspensions         int64            `json:"stops"` // of this process
+	WorkerDeaths        int64            `json:"duties_died"`
+	WorkerStalls        int64            `json:"duties_stuck"`
+	StaleLookups        int64            `json:"looks_at_old"` // at a snapshot that is too old, or at none yet
+	ForbiddenAttempts   map[string]int64 `json:"attempts_forbidden"`
 }
 
-var effects = [3]string{staleness.Safe: "safe", staleness.Keyed: "keyed", staleness.Once: "once"}
+var effectNames = [3]string{staleness.Safe: "safe", staleness.Keyed: "keyed", staleness.Once: "once"}
 
 // Report tells how the views stand. It waits for nobody.
-func (l *Link) Report() Report {
-	c := &l.counts
-	out := Report{Act: l.set.View.Act, Dropped: c.dropped.Load(), Merged: c.merged.Load(), Stops: c.stops.Load(), Died: c.died.Load(),
-		Stuck: c.stuck.Load(), Stale: c.stale.Load(), Forbidden: map[string]int64{}}
-	for e, name := range effects {
-		out.Forbidden[name] = c.forbidden[e].Load()
+func (l *Monitor) Report() Report {
+	c := &l.counters
+	out := Report{Enforced: l.config.Freshness.Enforce, DroppedObservations: c.droppedObservations.Load(), MergedUpdates: c.mergedUpdates.Load(), Suspensions: c.suspensions.Load(), WorkerDeaths: c.workerDeaths.Load(),
+		WorkerStalls: c.workerStalls.Load(), StaleLookups: c.staleLookups.Load(), ForbiddenAttempts: map[string]int64{}}
+	for e, name := range effectNames {
+		out.ForbiddenAttempts[name] = c.forbiddenAttempts[e].Load()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.order {
-		if s := r.now.Load(); s != nil {
-			out.Registers = append(out.Registers, s.report)
+		if s := r.published.Load(); s != nil {
+			out.Lists = append(out.Lists, s.report)
 		}
 	}
 	return out
--- a/internal/controlplane/freshness/view_test.go
+++ b/internal/controlplane/freshness/view_test.go
@@ -61,10 +61,10 @@
 // world is a link with one register of four servers.
 type world struct {
 	t     *testing.T
-	link  *Link
+	link  *Monitor
 	fake  *register
 	src   engine.Source
-	sight *Sight
+	sight *ServiceView
 	jump  atomic.Int64
 	beats atomic.Bool
 	at    atomic.Uint32 // the register's version
@@ -75,10 +75,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		w := &world{t: t, fake: &register{told: make(chan any)}}
-		w.link = New(Settings{View: &api.View{Act: act}, Clock: func() time.Duration { return time.Hour + time.Since(begun) + time.Duration(w.jump.Load()) }})
+		w.link = New(Config{Freshness: &api.FreshnessSettings{Enforce: act}, Clock: func() time.Duration { return time.Hour + time.Since(begun) + time.Duration(w.jump.Load()) }})
 		w.fake.list = servers(1, true, "a", "b", "c", "d")
 		w.src = w.link.Wrap("r", time.Second, w.fake, w.fake.list, -1)
-		w.sight = w.link.Sight(classes)
+		w.sight = w.link.ForService(classes)
 		w.sight.Follow("r")
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{}, 3)
@@ -121,7 +121,7 @@
 }
 
 func (w *world) level() staleness.Level {
-	s := w.sight.register.Load().now.Load()
+	s := w.sight.list.Load().published.Load()
 	if s == nil {
 		return staleness.Blind
 	}
@@ -161,12 +161,12 @@
 func (w *world) ended(server string, result decision.Result) {
 	seen, _ := w.sight.CheckAttempt(backendID(server), -1)
 	w.sight.AttemptEnded(seen, result)
-	time.Sleep(3 * tick)
+	time.Sleep(3 * snapshotInterval)
 }
 
 func (w *world) chance(server string) float32 {
-	s := w.sight.register.Load().now.Load()
-	c, _ := s.snap.Entry(s.servers[backendID(server)].handle, staleness.Safe)
+	s := w.sight.list.Load().published.Load()
+	c, _ := s.snapshot.Entry(s.endpoints[backendID(server)].handle, staleness.Safe)
 	return c
 }
 
@@ -197,7 +197,7 @@
 		}
 		w.beats.Store(true)
 		w.fresh()
-		if f := w.link.Report().Forbidden; f["once"] == 0 || f["safe"] == 0 {
+		if f := w.link.Report().ForbiddenAttempts; f["once"] == 0 || f["safe"] == 0 {
 			t.Errorf("forbidden: %v", f)
 		}
 	})
@@ -208,7 +208,7 @@
 		w.fresh()
 		w.beats.Store(false)
 		w.comes("blindness", func() bool { return w.level() == staleness.Blind })
-		if !w.may("a", once) || !w.may("nobody", once) || w.link.Report().Forbidden["once"] > 0 {
+		if !w.may("a", once) || !w.may("nobody", once) || w.link.Report().ForbiddenAttempts["once"] > 0 {
 			t.Error("it is only shown, and yet something is forbidden")
 		}
 	})
@@ -242,8 +242,8 @@
 		if w.may("a", once) || !w.may("a", safe) {
 			t.Error("right after a stop an old snapshot was trusted with what must never run twice, or nothing goes out")
 		}
-		time.Sleep(3 * tick)
-		if r := w.link.Report(); r.Stops != 1 || r.Stale == 0 || w.level() >= staleness.Fresh {
+		time.Sleep(3 * snapshotInterval)
+		if r := w.link.Report(); r.Suspensions != 1 || r.StaleLookups == 0 || w.level() >= staleness.Fresh {
 			t.Errorf("after a stop: %+v", r)
 		}
 		w.fresh()
@@ -254,13 +254,13 @@
 	play(t, true, func(w *world) {
 		w.fresh()
 		w.say(servers(2, false, "e"))
-		time.Sleep(3 * tick)
+		time.Sleep(3 * snapshotInterval)
 		gone := servers(3, false, "d")
 		gone.Endpoints[0].State = decision.Removed
 		w.say(gone)
-		w.link.ring <- evidence{} // without a server: it kills the duty
-		w.comes("another duty", func() bool { return w.link.Report().Died == 1 })
-		w.comes("its snapshot", func() bool { return w.sight.register.Load().now.Load().servers[backendID("e")].generation == 2 })
+		w.link.observations <- observation{} // without a server: it kills the duty
+		w.comes("another duty", func() bool { return w.link.Report().WorkerDeaths == 1 })
+		w.comes("its snapshot", func() bool { return w.sight.list.Load().published.Load().endpoints[backendID("e")].generation == 2 })
 		w.fresh()
 		if !w.may("e", once) || w.may("d", once) {
 			t.Error("the list after it is another one")
@@ -299,7 +299,7 @@
 
 // Without a duty all that waits is bounded, and of the list nothing is lost.
 func TestWhatWaitsIsBounded(t *testing.T) {
-	l := New(Settings{View: &api.View{}})
+	l := New(Config{Freshness: &api.FreshnessSettings{}})
 	fake := &register{told: make(chan any)}
 	src := l.Wrap("r", time.Second, fake, engine.EndpointList{}, -1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -311,22 +311,22 @@
 	}
 	cancel()
 	<-ended
-	r := l.registers["r"]
-	if n := r.take(); len(n.Changed) != 7 || !n.Whole || n.merged != 999 || n.Version != 999 {
+	r := l.lists["r"]
+	if n := r.takePending(); len(n.Changed) != 7 || !n.Whole || n.merged != 999 || n.Version != 999 {
 		t.Errorf("%d changes wait, whole %v, %d merged, version %d", len(n.Changed), n.Whole, n.merged, n.Version)
 	}
-	sight := l.Sight(classes)
-	for range ringSize + 10 {
-		sight.AttemptEnded(&server{register: r}, decision.OK)
+	sight := l.ForService(classes)
+	for range observationQueueSize + 10 {
+		sight.AttemptEnded(&endpoint{list: r}, decision.OK)
 	}
-	if len(l.ring) != ringSize || l.Report().Dropped != 10 {
-		t.Errorf("%d wait, %d dropped", len(l.ring), l.Report().Dropped)
+	if len(l.observations) != observationQueueSize || l.Report().DroppedObservations != 10 {
+		t.Errorf("%d wait, %d dropped", len(l.observations), l.Report().DroppedObservations)
 	}
-	for i := range mostRegisters + 5 {
+	for i := range maxLists + 5 {
 		l.Wrap(fmt.Sprint(i), time.Second, fake, engine.EndpointList{}, -1)
 	}
-	if len(l.registers) != mostRegisters {
-		t.Errorf("%d registers", len(l.registers))
+	if len(l.lists) != maxLists {
+		t.Errorf("%d registers", len(l.lists))
 	}
 }
 
@@ -341,13 +341,13 @@
 }
 
 func BenchmarkLook(b *testing.B) {
-	l := New(Settings{View: &api.View{Act: true}})
+	l := New(Config{Freshness: &api.FreshnessSettings{Enforce: true}})
 	l.Wrap("r", time.Second, &register{}, servers(1, true, "a", "b"), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { l.Run(ctx); close(ended) }()
 	defer func() { cancel(); <-ended }()
-	s := l.Sight(classes)
+	s := l.ForService(classes)
 	s.Follow("r")
 	id := backendID("a")
 	b.ReportAllocs()
--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -41,16 +41,16 @@
 	{storage.NewerFormatError{}, "store.StoreNewer"},
 	{storage.FleetMismatchError{}, "store.StoreOfAnotherFleet"},
 	{storage.NodeMismatchError{}, "store.StoreOfAnotherNode"},
-	{api.BadMessage{}, "fleet.BadMessage"},
-	{api.UnknownSteward{}, "fleet.UnknownSteward"},
-	{api.Unreachable{}, "fleet.Unreachable"},
+	{api.MalformedMessageError{}, "fleet.BadMessage"},
+	{api.UnknownServerError{}, "fleet.UnknownSteward"},
+	{api.ServerUnreachableError{}, "fleet.Unreachable"},
 	{client.WorkerCrashedError{}, "fleetlink.DutyDied"},
 	{client.WorkerStalledError{}, "fleetlink.DutyStuck"},
 	{client.FloorsNotPersistedError{}, "fleetlink.FloorsNotKept"},
 	{client.PolicyNotInstalledError{}, "fleetlink.PolicyNotTaken"},
-	{freshness.DutyDied{}, "fleetview.DutyDied"},
-	{freshness.DutyStuck{}, "fleetview.DutyStuck"},
-	{freshness.TooManyRegisters{}, "fleetview.TooManyRegisters"},
+	{freshness.WorkerDiedError{}, "fleetview.DutyDied"},
+	{freshness.WorkerStuckError{}, "fleetview.DutyStuck"},
+	{freshness.TooManyListsError{}, "fleetview.TooManyRegisters"},
 	{quotalease.InvalidCommandError{}, "grant.BadCommand"},
 	{quotalease.FloorClaimedError{}, "grant.FloorTaken"},
 	{quotalease.LeaseExpiredError{}, "grant.GrantEnded"},
@@ -86,28 +86,28 @@
 	{store.EpochGone{}, "policybook.EpochGone"},
 	{store.NoCharter{}, "policybook.NoCharter"},
 	{store.TooMuch{}, "policybook.TooMuch"},
-	{routetable.BadRoutes{}, "policyroutes.BadRoutes"},
-	{routetable.MissingServices{}, "policyroutes.MissingServices"},
-	{rollout.EpochTwice{}, "rollout.EpochTwice"},
-	{rollout.OldEpoch{}, "rollout.OldEpoch"},
-	{rollout.RolloutNotTaken{}, "rollout.RolloutNotTaken"},
-	{rollout.RolloutStopped{}, "rollout.RolloutStopped"},
-	{rollout.WorseAfter{}, "rollout.WorseAfter"},
-	{rollout.WrongContent{}, "rollout.WrongContent"},
+	{routetable.InvalidRulesError{}, "policyroutes.BadRoutes"},
+	{routetable.MissingServicesError{}, "policyroutes.MissingServices"},
+	{rollout.EpochConflictError{}, "rollout.EpochTwice"},
+	{rollout.StaleVersionError{}, "rollout.OldEpoch"},
+	{rollout.NotAdoptedError{}, "rollout.RolloutNotTaken"},
+	{rollout.HarmDetectedError{}, "rollout.RolloutStopped"},
+	{rollout.RegressionError{}, "rollout.WorseAfter"},
+	{rollout.HashMismatchError{}, "rollout.WrongContent"},
 	{staleness.BadSettings{}, "staleness.BadSettings"},
 	{staleness.ClaimCannotBeTrue{}, "staleness.ClaimCannotBeTrue"},
 	{staleness.EdgeBlind{}, "staleness.EdgeBlind"},
 	{staleness.NameTaken{}, "staleness.NameTaken"},
 	{staleness.UnknownSource{}, "staleness.UnknownSource"},
 	{staleness.ViewDoubtful{}, "staleness.ViewDoubtful"},
-	{server.FloorsTwice{}, "steward.FloorsTwice"},
-	{server.NeedsPieces{}, "steward.NeedsPieces"},
+	{server.DuplicateFloorClaimError{}, "steward.FloorsTwice"},
+	{server.ChunksRequiredError{}, "steward.NeedsPieces"},
 }
 
 // Stewards and proxies of two releases know each other's errors by these names.
 func TestErrorsKeepTheirNamesOnTheWire(t *testing.T) {
 	for _, c := range codes {
-		if got := api.ProblemOf(fmt.Errorf("wrapped: %w", c.err)).Name; got != c.code {
+		if got := api.RemoteErrorOf(fmt.Errorf("wrapped: %w", c.err)).Code; got != c.code {
 			t.Errorf("%s is sent as %s", c.code, got)
 		}
 	}
--- a/internal/controlplane/server/frozen_test.go
+++ b/internal/controlplane/server/frozen_test.go
@@ -44,7 +44,7 @@
 	add("", quotalease.Command{Batch: []quotalease.Command{{Grant: &quotalease.Lease{FleetID: "north", Epoch: 1, HolderID: frozenKey, Quota: "attempts", Kind: quotalease.Rate,
 		Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20), Duration: 600 * time.Millisecond, RequestSeq: 3, ConfigVersion: 1}}}})
 	add("", quotalease.Command{})
-	mark := string(rune(policyMark))
+	mark := string(rune(policyEntryMarker))
 	add(mark, store.Command{Charter: &store.Charter{Text: charterText("x.org"), By: "op"}})
 	add(mark, offerOf("alpha", 1, "/a"))
 	add(mark, store.Command{Judge: &store.Judge{Order: 1 << 32, Epoch: 1, Done: true, Proxies: 3}})
@@ -63,7 +63,7 @@
 
 // A steward goes on from a log and a snapshot of the program of c8fad44, and answers entries with the same bytes.
 func TestFrozenLogAndSnapshot(t *testing.T) {
-	m := newMachine(frozenNow, 1)
+	m := newStateMachine(frozenNow, 1)
 	entries := frozenEntries(t)
 	var replies [][]byte
 	for i, entry := range entries {
@@ -94,12 +94,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := newMachine(frozenNow, 9)
+	restored := newStateMachine(frozenNow, 9)
 	if err := restored.Restore(kept); err != nil {
 		t.Fatal(err)
 	}
 	checkFrozenState(t, restored)
-	next := append([]byte{policyMark}, []byte(`{"back":{"epoch":1,"by":"op"}}`)...)
+	next := append([]byte{policyEntryMarker}, []byte(`{"back":{"epoch":1,"by":"op"}}`)...)
 	if got, want := restored.Apply(20, next), m.Apply(20, next); !bytes.Equal(got, want) {
 		t.Errorf("answers %x, want %x", got, want)
 	}
@@ -110,11 +110,11 @@
 	}
 }
 
-func checkFrozenState(t *testing.T, m *machine) {
+func checkFrozenState(t *testing.T, m *stateMachine) {
 	t.Helper()
-	st := m.standing()
-	base := rollout.Offer{Order: 1 << 32, Epoch: 1, Hash: "8a10529ffc3691e232af7149e3151bf480492604b19e6b0281d70bdc53a370ae"}
-	next := rollout.Offer{Order: 1 << 32, Epoch: 2, Hash: "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389"}
+	st := m.policyStatus()
+	base := rollout.Version{Generation: 1 << 32, Epoch: 1, Hash: "8a10529ffc3691e232af7149e3151bf480492604b19e6b0281d70bdc53a370ae"}
+	next := rollout.Version{Generation: 1 << 32, Epoch: 2, Hash: "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389"}
 	if st.Base != base || st.Next != next || st.Head != next || st.Stopped != nil || st.Proxies != 3 || !slices.Equal(st.Kept, []uint64{1, 2}) ||
 		!slices.Equal(st.Train, []store.Change{{Namespace: "alpha", Number: 1, By: "alpha"}}) || len(st.Gathered) != 0 || len(st.Faults) != 0 {
 		t.Errorf("policies: read %+v", st)
@@ -126,10 +126,10 @@
 		Leases: []quotalease.Lease{{FleetID: "north", Epoch: 1, HolderID: frozenKey, Quota: "attempts", Kind: quotalease.Rate, Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20),
 			Duration: 600 * time.Millisecond, RequestSeq: 3, ConfigVersion: 1, Token: quotalease.Token{Epoch: 1, Index: 4}}},
 		Floors: map[string]quotalease.Floor{"attempts": {Kind: quotalease.Rate, Amount: quotalease.FromUnits(50), Burst: quotalease.FromUnits(5)}}}
-	if got := m.book.ReplyTo(frozenKey); !reflect.DeepEqual(got, want) {
+	if got := m.quotas.ReplyTo(frozenKey); !reflect.DeepEqual(got, want) {
 		t.Errorf("grants: read\n%+v, want\n%+v", got, want)
 	}
-	if _, epoch, err := m.book.Bootstrapped(); err != nil || epoch != 1 {
+	if _, epoch, err := m.quotas.Bootstrapped(); err != nil || epoch != 1 {
 		t.Errorf("founded: read %d, %v", epoch, err)
 	}
 }
--- a/internal/controlplane/server/machine.go
+++ b/internal/controlplane/server/machine.go
@@ -20,142 +20,142 @@
 	"lapisspread/internal/quotalease"
 )
 
-// machine is the book behind the log, and the keeper beside it. The log's goroutine applies, the plans' plans.
-type machine struct {
+// stateMachine is the book behind the log, and the keeper beside it. The log's goroutine applies, the plans' plans.
+type stateMachine struct {
 	clock func() time.Duration
 
-	mu     sync.Mutex
-	book   *quotalease.StateMachine
-	keeper *quotalease.Allocator
+	quotaMu   sync.Mutex
+	quotas    *quotalease.StateMachine
+	allocator *quotalease.Allocator
 
-	policies sync.Mutex // apart from the grants: a merge takes longer than a plan may wait
-	policy   *store.Book
-	view     atomic.Pointer[view] // of the policies: whoever reads waits for no merge
-	shelf    *distribution.Shelf
+	policyMu  sync.Mutex // apart from the grants: a merge takes longer than a plan may wait
+	policies  *store.Book
+	published atomic.Pointer[policyView] // of the policies: whoever reads waits for no merge
+	chunks    *distribution.Distributor
 
-	texts sync.Mutex
-	whole map[string]whole // by root
+	encodingMu sync.Mutex
+	encodings  map[string]encodedPolicy // by root
 }
 
-// view is how the policies stand after an entry. Nobody writes to it.
-type view struct {
-	standing store.Standing
-	offers   []rollout.Offer // that are kept, and Head, the newest first
+// policyView is how the policies stand after an entry. Nobody writes to it.
+type policyView struct {
+	status   store.Standing
+	versions []rollout.Version // that are kept, and Head, the newest first
 }
 
-// whole is a policy for proxies that take no pieces.
-type whole struct {
+// encodedPolicy is a policy for proxies that take no pieces.
+type encodedPolicy struct {
 	text string
 	hash string // SHA-256 in hexadecimal; empty if the text is too long
 }
 
-// policyMark begins the commands and snapshots that have to do with policies. Those of before are JSON, and begin with a brace.
-const policyMark = 0x01
+// policyEntryMarker begins the commands and snapshots that have to do with policies. Those of before are JSON, and begin with a brace.
+const policyEntryMarker = 0x01
 
-// both is a snapshot of both books, after the mark.
-type both struct {
-	Grants   []byte `json:"Grants"`
+// combinedSnapshot is a snapshot of both books, after the mark.
+type combinedSnapshot struct {
+	Quotas   []byte `json:"Grants"`
 	Policies []byte `json:"Policies"`
 }
 
-// newMachine has no silence of its own: the log keeps it, and knows by the other stewards when it may end sooner.
-func newMachine(clock func() time.Duration, epoch uint64) *machine {
+// newStateMachine has no silence of its own: the log keeps it, and knows by the other stewards when it may end sooner.
+func newStateMachine(clock func() time.Duration, epoch uint64) *stateMachine {
 	book := quotalease.NewStateMachine()
-	m := &machine{clock: clock, book: book, keeper: quotalease.NewAllocator(clock(), 0, book), policy: store.New(epoch << 32),
-		shelf: distribution.New(distribution.Defaults()), whole: map[string]whole{}}
-	m.publish()
+	m := &stateMachine{clock: clock, quotas: book, allocator: quotalease.NewAllocator(clock(), 0, book), policies: store.New(epoch << 32),
+		chunks: distribution.New(distribution.DefaultSettings()), encodings: map[string]encodedPolicy{}}
+	m.publishPolicies()
 	return m
 }
 
-// publish shows what an entry came to. It is called under the lock.
-func (m *machine) publish() {
-	v := &view{standing: m.policy.Standing()}
+// publishPolicies shows what an entry came to. It is called under the lock.
+func (m *stateMachine) publishPolicies() {
+	v := &policyView{status: m.policies.Standing()}
 	var trees []*merkle.Tree
-	for o, t := range m.policy.Policies() {
-		v.offers = append(v.offers, o)
+	for o, t := range m.policies.Policies() {
+		v.versions = append(v.versions, o)
 		trees = append(trees, t)
 	}
 	slices.Reverse(trees)
-	m.shelf.Keep(trees)
-	m.view.Store(v)
+	m.chunks.Retain(trees)
+	m.published.Store(v)
 }
 
-// outcome is what a command came to.
-type outcome struct {
-	Refused api.Problem `json:"Refused"` // of the command itself; empty if it was carried out
-	Parts   int         `json:"Parts"`   // of a batch, what was refused of it
-	Born    int         `json:"Born"`
+// applyOutcome is what a command came to.
+type applyOutcome struct {
+	Rejected      api.RemoteError `json:"Refused"` // of the command itself; empty if it was carried out
+	RejectedParts int             `json:"Parts"`   // of a batch, what was refused of it
+	LeasesStarted int             `json:"Born"`
 }
 
 // Apply implements consensus.Machine.
-func (m *machine) Apply(index uint64, command []byte) []byte {
-	if len(command) > 0 && command[0] == policyMark {
+func (m *stateMachine) Apply(index uint64, command []byte) []byte {
+	if len(command) > 0 && command[0] == policyEntryMarker {
 		return m.applyPolicy(command[1:])
 	}
 	var c quotalease.Command
-	var out outcome
+	var out applyOutcome
 	if err := json.Unmarshal(command, &c); err != nil {
 		c = quotalease.Command{} // the book counts the entry, and refuses it as empty
 	}
-	m.mu.Lock()
-	a, err := m.book.Apply(index, c)
-	m.keeper.ObserveApplied(m.clock(), a)
-	m.mu.Unlock()
-	out.Refused, out.Parts, out.Born = api.ProblemOf(err), len(a.Rejected), len(a.Started)
+	m.quotaMu.Lock()
+	a, err := m.quotas.Apply(index, c)
+	m.allocator.ObserveApplied(m.clock(), a)
+	m.quotaMu.Unlock()
+	out.Rejected, out.RejectedParts, out.LeasesStarted = api.RemoteErrorOf(err), len(a.Rejected), len(a.Started)
 	text, _ := cbor.Marshal(out) // strings and numbers
 	return text
 }
 
-func (m *machine) applyPolicy(text []byte) []byte {
+func (m *stateMachine) applyPolicy(text []byte) []byte {
 	var c store.Command
 	if err := json.Unmarshal(text, &c); err != nil {
 		c = store.Command{} // refused as empty
 	}
-	m.policies.Lock()
-	err := m.policy.Apply(c)
-	m.publish()
-	m.policies.Unlock()
-	reply, _ := cbor.Marshal(outcome{Refused: api.ProblemOf(err)})
+	m.policyMu.Lock()
+	err := m.policies.Apply(c)
+	m.publishPolicies()
+	m.policyMu.Unlock()
+	reply, _ := cbor.Marshal(applyOutcome{Rejected: api.RemoteErrorOf(err)})
 	return reply
 }
 
-func (m *machine) standing() store.Standing { return m.view.Load().standing }
+func (m *stateMachine) policyStatus() store.Standing { return m.published.Load().status }
 
-// policyText is the whole of a policy with its hash; not ok if it isn't kept, or is too long for one answer.
-func (m *machine) policyText(o rollout.Offer) (whole, bool) {
-	m.texts.Lock()
-	defer m.texts.Unlock()
-	w, known := m.whole[o.Hash]
+// policyEncoding is the whole of a policy with its hash; not ok if it isn't kept, or is too long for one answer.
+func (m *stateMachine) policyEncoding(o rollout.Version) (encodedPolicy, bool) {
+	m.encodingMu.Lock()
+	defer m.encodingMu.Unlock()
+	w, known := m.encodings[o.Hash]
 	if !known {
-		if !slices.Contains(m.view.Load().offers, o) {
+		if !slices.Contains(m.published.Load().versions, o) {
 			return w, false
 		}
-		m.policies.Lock()
-		text, ok := m.policy.Whole(o)
-		m.policies.Unlock()
+		m.policyMu.Lock()
+		text, ok := m.policies.Whole(o)
+		m.policyMu.Unlock()
 		if w.text = text; ok {
 			sum := sha256.Sum256([]byte(text))
 			w.hash = hex.EncodeToString(sum[:])
 		}
-		kept := m.view.Load().offers
-		maps.DeleteFunc(m.whole, func(root string, _ whole) bool {
-			return !slices.ContainsFunc(kept, func(o rollout.Offer) bool { return o.Hash == root })
+		kept := m.published.Load().versions
+		maps.DeleteFunc(m.encodings, func(root string, _ encodedPolicy) bool {
+			return !slices.ContainsFunc(kept, func(o rollout.Version) bool { return o.Hash == root })
 		})
-		m.whole[o.Hash] = w
+		m.encodings[o.Hash] = w
 	}
 	return w, w.hash != ""
 }
 
-// rooted is an offer by its root, where a proxy tells one by the hash of its whole text.
-func (m *machine) rooted(o rollout.Offer) rollout.Offer {
+// resolveRoot is an offer by its root, where a proxy tells one by the hash of its whole text.
+func (m *stateMachine) resolveRoot(o rollout.Version) rollout.Version {
 	if o.Epoch == 0 {
 		return o
 	}
-	for _, k := range m.view.Load().offers {
-		if k.Order != o.Order || k.Epoch != o.Epoch || k.Hash == o.Hash {
+	for _, k := range m.published.Load().versions {
+		if k.Generation != o.Generation || k.Epoch != o.Epoch || k.Hash == o.Hash {
 			continue
 		}
-		if w, ok := m.policyText(k); ok && w.hash == o.Hash {
+		if w, ok := m.policyEncoding(k); ok && w.hash == o.Hash {
 			return k
 		}
 	}
@@ -163,56 +163,56 @@
 }
 
 // Snapshot implements consensus.Machine. A fleet without policies keeps the form of before.
-func (m *machine) Snapshot() ([]byte, error) {
-	m.mu.Lock()
-	grants, err := m.book.Snapshot()
-	m.mu.Unlock()
+func (m *stateMachine) Snapshot() ([]byte, error) {
+	m.quotaMu.Lock()
+	grants, err := m.quotas.Snapshot()
+	m.quotaMu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	m.policies.Lock()
-	defer m.policies.Unlock()
-	if m.policy.Empty() {
+	m.policyMu.Lock()
+	defer m.policyMu.Unlock()
+	if m.policies.Empty() {
 		return grants, nil
 	}
-	policies, err := m.policy.Snapshot()
+	policies, err := m.policies.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	text, err := cbor.Marshal(both{grants, policies})
-	return append([]byte{policyMark}, text...), err
+	text, err := cbor.Marshal(combinedSnapshot{grants, policies})
+	return append([]byte{policyEntryMarker}, text...), err
 }
 
 // Restore implements consensus.Machine.
-func (m *machine) Restore(snapshot []byte) error {
-	parts := both{Grants: snapshot}
-	if len(snapshot) > 0 && snapshot[0] == policyMark {
-		parts = both{}
+func (m *stateMachine) Restore(snapshot []byte) error {
+	parts := combinedSnapshot{Quotas: snapshot}
+	if len(snapshot) > 0 && snapshot[0] == policyEntryMarker {
+		parts = combinedSnapshot{}
 		if err := cbor.Unmarshal(snapshot[1:], &parts); err != nil {
-			return api.BadMessage{Why: err.Error()}
+			return api.MalformedMessageError{Reason: err.Error()}
 		}
 	}
-	m.policies.Lock()
+	m.policyMu.Lock()
 	if parts.Policies != nil {
-		if err := m.policy.Restore(parts.Policies); err != nil {
-			m.policies.Unlock()
+		if err := m.policies.Restore(parts.Policies); err != nil {
+			m.policyMu.Unlock()
 			return err
 		}
-		m.publish()
+		m.publishPolicies()
 	}
-	m.policies.Unlock()
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.book.Restore(parts.Grants); err != nil {
+	m.policyMu.Unlock()
+	m.quotaMu.Lock()
+	defer m.quotaMu.Unlock()
+	if err := m.quotas.Restore(parts.Quotas); err != nil {
 		return err
 	}
-	m.keeper.RestartTimers(m.clock())
+	m.allocator.RestartTimers(m.clock())
 	return nil
 }
 
-// past tells whether the time before the founding is not over.
-func (m *machine) past() bool {
-	for _, i := range m.book.PendingExpiries() {
+// awaitingExpiry tells whether the time before the founding is not over.
+func (m *stateMachine) awaitingExpiry() bool {
+	for _, i := range m.quotas.PendingExpiries() {
 		if i.Quota == "" {
 			return true
 		}
--- a/internal/controlplane/server/pieces_test.go
+++ b/internal/controlplane/server/pieces_test.go
@@ -50,7 +50,7 @@
 }
 
 // inForce has a steward tell that trees are kept, the last of which is in force, without a merge.
-func (p *process) inForce(trees ...*merkle.Tree) rollout.Offer {
+func (p *process) inForce(trees ...*merkle.Tree) rollout.Version {
 	return p.inForceAt(uint64(len(trees)), trees...)
 }
 
@@ -92,8 +92,8 @@
 			trees := []*merkle.Tree{policyOf(b, routes, 1)}
 			first := lead.inForce(trees...)
 			file := *s.file
-			file.Policy.Silent = strictconfig.Span(250 * time.Millisecond) // it reports 20 times a second
-			file.Stewards = []api.Steward{lead.own}
+			file.Policy.SilenceTimeout = strictconfig.Span(250 * time.Millisecond) // it reports 20 times a second
+			file.Servers = []api.Server{lead.self}
 			var n counted
 			via := n.transport()
 			defer via.CloseIdleConnections()
@@ -102,7 +102,7 @@
 			done := make(chan struct{})
 			go func() { defer close(done); p.Run(ctx) }()
 			defer func() { cancel(); <-done }()
-			await := func(o rollout.Offer) {
+			await := func(o rollout.Version) {
 				for end := time.Now().Add(time.Minute); p.Current().Offer != o; time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
 						b.Fatalf("in vain: %+v", p.PolicyStatus())
@@ -142,16 +142,16 @@
 }
 
 // inForceAt is inForce with an epoch of the last.
-func (p *process) inForceAt(epoch uint64, trees ...*merkle.Tree) rollout.Offer {
-	m := p.now.Load().machine
-	v := &view{}
+func (p *process) inForceAt(epoch uint64, trees ...*merkle.Tree) rollout.Version {
+	m := p.replica.Load().state
+	v := &policyView{}
 	for i := range trees {
-		v.offers = append(v.offers, rollout.Offer{Order: 1, Epoch: epoch - uint64(i), Hash: trees[len(trees)-1-i].Root().String()})
+		v.versions = append(v.versions, rollout.Version{Generation: 1, Epoch: epoch - uint64(i), Hash: trees[len(trees)-1-i].Root().String()})
 	}
-	v.standing.Base = v.offers[0]
-	m.shelf.Keep(trees)
-	m.view.Store(v)
-	return v.offers[0]
+	v.status.Base = v.versions[0]
+	m.chunks.Retain(trees)
+	m.published.Store(v)
+	return v.versions[0]
 }
 
 // BenchmarkReported is one report at the leader with reading and writing it, of fleets that report once a second each; nothing is new to them.
@@ -165,14 +165,14 @@
 			handler := lead.Handler()
 			var bodies [][]byte
 			for i := range n {
-				text, err := cbor.Marshal(api.PolicyReport{Fleet: "north", Proxy: fmt.Sprintf("proxy-%05d", i), Number: 1, Has: offer, Good: 160, Bad: 1, Pieces: true})
+				text, err := cbor.Marshal(api.PolicyReport{Fleet: "north", Proxy: fmt.Sprintf("proxy-%05d", i), Sequence: 1, Current: offer, Good: 160, Bad: 1, AcceptsChunks: true})
 				s.must(err)
 				bodies = append(bodies, text)
 			}
 			at := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				r := httptest.NewRequest(http.MethodPost, api.PathReport, bytes.NewReader(bodies[at%n]))
+				r := httptest.NewRequest(http.MethodPost, api.PathPolicyReport, bytes.NewReader(bodies[at%n]))
 				w := httptest.NewRecorder()
 				handler.ServeHTTP(w, r)
 				if w.Code != http.StatusOK {
@@ -202,18 +202,18 @@
 			sent := 0
 			for b.Loop() {
 				for rest := names; len(rest) > 0; {
-					some := rest[:min(len(rest), api.MostNames)]
-					text, err := cbor.Marshal(api.PiecesRequest{Fleet: "north", Proxy: "p1", Root: tree.Root().String(), Names: some})
+					some := rest[:min(len(rest), api.MaxChunkNames)]
+					text, err := cbor.Marshal(api.ChunksRequest{Fleet: "north", Proxy: "p1", Root: tree.Root().String(), Names: some})
 					s.must(err)
 					w := httptest.NewRecorder()
-					handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, api.PathPieces, bytes.NewReader(text)))
+					handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, api.PathPolicyChunks, bytes.NewReader(text)))
 					sent += w.Body.Len()
-					var out api.PiecesReply
-					s.must(api.Read(w.Body, &out))
-					if len(out.Pieces) == 0 {
+					var out api.ChunksReply
+					s.must(api.DecodeBody(w.Body, &out))
+					if len(out.Chunks) == 0 {
 						b.Fatalf("%+v", out)
 					}
-					rest = rest[len(out.Pieces):]
+					rest = rest[len(out.Chunks):]
 				}
 			}
 			b.ReportMetric(float64(len(names)), "pieces")
@@ -232,7 +232,7 @@
 	ctx := context.Background()
 	report := func(in api.PolicyReport) (out api.PolicyReply, err error) {
 		in.Fleet, in.Proxy = "north", "p1"
-		err = api.One(ctx, s.client, s.file.Stewards[s.leader()].Address, api.PathReport, in, &out)
+		err = api.CallWithTimeout(ctx, s.client, s.file.Servers[s.leader()].Address, api.PathPolicyReport, in, &out)
 		return out, err
 	}
 	s.order(store.Command{Charter: &store.Charter{Text: charterText("x.org")}})
@@ -243,53 +243,53 @@
 
 	// The same policy, told by both names, is one.
 	base := s.standing(s.leader()).Base
-	w, ok := s.run[lead].now.Load().machine.policyText(base)
+	w, ok := s.run[lead].replica.Load().state.policyEncoding(base)
 	if !ok {
 		t.Fatal("a small policy is not given whole")
 	}
-	has := rollout.Offer{Order: base.Order, Epoch: base.Epoch, Hash: w.hash}
+	has := rollout.Version{Generation: base.Generation, Epoch: base.Epoch, Hash: w.hash}
 	for _, takes := range []bool{false, true} {
-		out, err := report(api.PolicyReport{Number: 1, Has: has, Pieces: takes})
-		if err != nil || len(out.Text) > 0 || len(out.Pieces) > 0 || out.Offer.After(has) {
-			t.Errorf("one that has it as a text, takes pieces %v: %+v, %v", takes, out.Offer, err)
+		out, err := report(api.PolicyReport{Sequence: 1, Current: has, AcceptsChunks: takes})
+		if err != nil || len(out.Text) > 0 || len(out.Chunks) > 0 || out.Target.NewerThan(has) {
+			t.Errorf("one that has it as a text, takes pieces %v: %+v, %v", takes, out.Target, err)
 		}
 	}
-	out, err := report(api.PolicyReport{Number: 2})
-	if err != nil || string(out.Text) != w.text || out.Offer.Hash != w.hash {
-		t.Errorf("one that takes whole texts is told %+v, %v", out.Offer, err)
+	out, err := report(api.PolicyReport{Sequence: 2})
+	if err != nil || string(out.Text) != w.text || out.Target.Hash != w.hash {
+		t.Errorf("one that takes whole texts is told %+v, %v", out.Target, err)
 	}
 
 	s.run[lead].inForceAt(9, small, large)
-	if _, err := report(api.PolicyReport{Number: 3, Has: rollout.Offer{}}); api.ProblemOf(err).Name != "steward.NeedsPieces" || api.ProblemOf(err).Help == "" {
+	if _, err := report(api.PolicyReport{Sequence: 3, Current: rollout.Version{}}); api.RemoteErrorOf(err).Code != "steward.NeedsPieces" || api.RemoteErrorOf(err).Help == "" {
 		t.Errorf("of one that is too long: %v", err)
 	}
-	out, err = report(api.PolicyReport{Number: 4, Pieces: true})
-	if err != nil || !out.InPieces || out.Offer.Hash != large.Root().String() {
-		t.Errorf("one that takes pieces is told %+v, %v", out.Offer, err)
+	out, err = report(api.PolicyReport{Sequence: 4, AcceptsChunks: true})
+	if err != nil || !out.Chunked || out.Target.Hash != large.Root().String() {
+		t.Errorf("one that takes pieces is told %+v, %v", out.Target, err)
 	}
 
 	// Followers have what the log has told them.
 	root := base.Hash
 	tree := p.trees["p00"]
-	for i, o := range s.file.Stewards {
+	for i, o := range s.file.Servers {
 		s.until("a follower has it", func() bool { return s.standing(i).Base == base || i == lead })
-		var out api.PiecesReply
+		var out api.ChunksReply
 		name := tree.Root()
-		err := api.One(ctx, s.client, o.Address, api.PathPieces, api.PiecesRequest{Fleet: "north", Proxy: "p9", Root: root, Names: [][]byte{name[:], {1, 2}}}, &out)
-		if err != nil || len(out.Pieces) != 1 || out.Lacks != 1 || merkle.NameOf(out.Pieces[0]) != name {
-			t.Errorf("steward %s: %d pieces, %v", o.Name, len(out.Pieces), err)
+		err := api.CallWithTimeout(ctx, s.client, o.Address, api.PathPolicyChunks, api.ChunksRequest{Fleet: "north", Proxy: "p9", Root: root, Names: [][]byte{name[:], {1, 2}}}, &out)
+		if err != nil || len(out.Chunks) != 1 || out.Missing != 1 || merkle.NameOf(out.Chunks[0]) != name {
+			t.Errorf("steward %s: %d pieces, %v", o.Name, len(out.Chunks), err)
 		}
-		for what, in := range map[string]api.PiecesRequest{
+		for what, in := range map[string]api.ChunksRequest{
 			"another fleet's": {Fleet: "south", Proxy: "p9", Root: root},
-			"too many":        {Fleet: "north", Proxy: "p9", Root: root, Names: make([][]byte, api.MostNames+1)},
-			"a name too long": {Fleet: "north", Proxy: string(make([]byte, mostName+1)), Root: root},
+			"too many":        {Fleet: "north", Proxy: "p9", Root: root, Names: make([][]byte, api.MaxChunkNames+1)},
+			"a name too long": {Fleet: "north", Proxy: string(make([]byte, maxProxyNameBytes+1)), Root: root},
 		} {
-			if err := api.One(ctx, s.client, o.Address, api.PathPieces, in, &out); api.ProblemOf(err).Help == "" {
+			if err := api.CallWithTimeout(ctx, s.client, o.Address, api.PathPolicyChunks, in, &out); api.RemoteErrorOf(err).Help == "" {
 				t.Errorf("%s: %v", what, err)
 			}
 		}
 	}
-	if _, err := s.file.Policies(ctx, s.client); err != nil {
+	if _, err := s.file.PolicyStatus(ctx, s.client); err != nil {
 		t.Error(err)
 	}
 }
@@ -297,23 +297,23 @@
 // A leader that has just begun goes on as soon as nine in ten of those that were there at the last judgement have reported, and no sooner; one
 // that does not know how many there were waits for the silence.
 func TestANewLeaderBeginsWithNineInTen(t *testing.T) {
-	set := rollout.Defaults()
+	set := rollout.DefaultSettings()
 	for _, k := range []struct {
 		known, report int
 		begun         bool
 	}{{100, 89, false}, {100, 90, true}, {0, 100, false}, {100, 140, true}} {
-		r := &roller{}
-		st := store.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}, Next: rollout.Offer{Order: 1, Epoch: 2, Hash: "b"}, Proxies: k.known}
+		r := &rolloutDriver{}
+		st := store.Standing{Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"}, Next: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"}, Proxies: k.known}
 		for i := range k.report {
-			if _, err := r.report(time.Duration(i)*time.Millisecond, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Number: 1, Has: st.Base}); err != nil {
+			if _, err := r.report(time.Duration(i)*time.Millisecond, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Base}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if state, _ := r.rule.State(); (state == rollout.Rolling) != k.begun {
+		if state, _ := r.rollout.State(); (state == rollout.InProgress) != k.begun {
 			t.Errorf("%d of %d known have reported: %v", k.report, k.known, state)
 		}
-		r.follow(set.Silent+time.Second, set, st)
-		if state, _ := r.rule.State(); state != rollout.Rolling {
+		r.syncWithLog(set.SilenceTimeout+time.Second, set, st)
+		if state, _ := r.rollout.State(); state != rollout.InProgress {
 			t.Errorf("%d of %d known have reported, and it never begins", k.report, k.known)
 		}
 	}
@@ -321,17 +321,17 @@
 
 // As many proxies as the bound says are kept, and one more is refused without a trace.
 func TestProxiesAreBounded(t *testing.T) {
-	set, r := rollout.Defaults(), &roller{}
-	st := store.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}}
-	for i := range mostProxies {
-		if _, err := r.report(0, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Number: 1, Has: st.Base}); err != nil {
+	set, r := rollout.DefaultSettings(), &rolloutDriver{}
+	st := store.Standing{Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"}}
+	for i := range maxProxies {
+		if _, err := r.report(0, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Base}); err != nil {
 			t.Fatal(i, err)
 		}
 	}
-	if _, err := r.report(0, set, st, api.PolicyReport{Proxy: "one more", Number: 1}); api.ProblemOf(err).Help == "" || len(r.proxies) != mostProxies {
+	if _, err := r.report(0, set, st, api.PolicyReport{Proxy: "one more", Sequence: 1}); api.RemoteErrorOf(err).Help == "" || len(r.proxies) != maxProxies {
 		t.Error(err)
 	}
-	if mostProxies < 2*4700 {
+	if maxProxies < 2*4700 {
 		t.Error("not twice the fleet")
 	}
 }
--- a/internal/controlplane/server/plans.go
+++ b/internal/controlplane/server/plans.go
@@ -12,128 +12,128 @@
 	"lapisspread/internal/quotalease"
 )
 
-const leads = "StateLeader"
+const roleLeader = "StateLeader"
 
-// plans answers asks: all that came while the last plan was committed go into the next.
-func (s *Steward) plans(ctx context.Context) {
-	idle := time.NewTimer(rest)
+// runAllocator answers asks: all that came while the last plan was committed go into the next.
+func (s *Server) runAllocator(ctx context.Context) {
+	idle := time.NewTimer(maxIdle)
 	defer idle.Stop()
 	for {
-		var asks []ask
-		idle.Reset(s.untilEnd())
+		var asks []leaseRequest
+		idle.Reset(s.untilNextExpiry())
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-s.replicaChanged:
 		case <-idle.C:
-		case a := <-s.asks:
+		case a := <-s.leaseRequests:
 			asks = append(asks, a)
 		}
-		for range len(s.asks) {
-			asks = append(asks, <-s.asks)
+		for range len(s.leaseRequests) {
+			asks = append(asks, <-s.leaseRequests)
 		}
-		s.round(ctx, asks)
+		s.allocate(ctx, asks)
 	}
 }
 
-// untilEnd is for how long nothing ends.
-func (s *Steward) untilEnd() time.Duration {
-	t := s.now.Load()
+// untilNextExpiry is for how long nothing ends.
+func (s *Server) untilNextExpiry() time.Duration {
+	t := s.replica.Load()
 	if t == nil {
-		return rest
+		return maxIdle
 	}
-	t.machine.mu.Lock()
-	defer t.machine.mu.Unlock()
-	at, ok := t.machine.keeper.NextExpiry()
+	t.state.quotaMu.Lock()
+	defer t.state.quotaMu.Unlock()
+	at, ok := t.state.allocator.NextExpiry()
 	if !ok {
-		return rest
+		return maxIdle
 	}
-	return max(20*time.Millisecond, min(rest, at-s.clock())) // what is due at a follower stays due until the leader's word
+	return max(20*time.Millisecond, min(maxIdle, at-s.clock())) // what is due at a follower stays due until the leader's word
 }
 
-func (s *Steward) round(ctx context.Context, asks []ask) {
-	t := s.now.Load()
+func (s *Server) allocate(ctx context.Context, asks []leaseRequest) {
+	t := s.replica.Load()
 	if t == nil {
-		s.answerAll(asks, quotalease.NotBootstrappedError{})
+		s.replyAll(asks, quotalease.NotBootstrappedError{})
 		return
 	}
-	m := t.machine
+	m := t.state
 	status := t.node.Status()
 	switch {
 	case status.Err != nil:
-		s.answerAll(asks, status.Err)
+		s.replyAll(asks, status.Err)
 		return
-	case status.Role != leads:
-		m.mu.Lock()
-		m.keeper.Plan(s.clock()) // drops what has ended, so that it doesn't grow
-		m.mu.Unlock()
+	case status.Role != roleLeader:
+		m.quotaMu.Lock()
+		m.allocator.Plan(s.clock()) // drops what has ended, so that it doesn't grow
+		m.quotaMu.Unlock()
 		var err error = consensus.NotLeaderError{Leader: status.Leader}
 		if len(status.UnconfirmedPeers) > 0 {
 			err = consensus.SilentError{UnconfirmedPeers: status.UnconfirmedPeers}
 		}
-		s.answerAll(asks, err)
+		s.replyAll(asks, err)
 		return
 	}
-	m.mu.Lock()
-	_, _, unfounded := m.book.Bootstrapped()
-	m.mu.Unlock()
+	m.quotaMu.Lock()
+	_, _, unfounded := m.quotas.Bootstrapped()
+	m.quotaMu.Unlock()
 	if unfounded != nil {
-		f := t.founding
-		if err := s.propose(ctx, t, quotalease.Command{Bootstrap: &quotalease.Bootstrap{FleetID: f.Fleet, Epoch: f.Epoch, MaxDrift: f.Drift, MaxLifetime: time.Duration(f.Longest)}}); err != nil {
-			s.answerAll(asks, err)
+		f := t.bootstrap
+		if err := s.proposeQuotaCommand(ctx, t, quotalease.Command{Bootstrap: &quotalease.Bootstrap{FleetID: f.Fleet, Epoch: f.Epoch, MaxDrift: f.MaxDrift, MaxLifetime: time.Duration(f.MaxLifetimeNanos)}}); err != nil {
+			s.replyAll(asks, err)
 			return
 		}
 	}
 	heard := asks[:0:0]
 	now := s.clock()
-	m.mu.Lock()
+	m.quotaMu.Lock()
 	for _, a := range asks {
-		if err := m.keeper.HandleRequest(now, a.request); err != nil {
-			s.answer(a, quotalease.Reply{}, err)
+		if err := m.allocator.HandleRequest(now, a.request); err != nil {
+			s.reply(a, quotalease.Reply{}, err)
 			continue
 		}
 		heard = append(heard, a)
 	}
-	m.mu.Unlock()
+	m.quotaMu.Unlock()
 	for _, a := range heard {
-		if err := s.claims.heard(now, &a.request); err != nil {
-			s.counts.twice.Add(1)
-			if s.claims.told == 0 || now-s.claims.told > tellEvery {
-				s.claims.told = now
+		if err := s.floorClaims.observe(now, &a.request); err != nil {
+			s.counters.duplicateFloorClaims.Add(1)
+			if s.floorClaims.lastWarning == 0 || now-s.floorClaims.lastWarning > repeatedWarningInterval {
+				s.floorClaims.lastWarning = now
 				s.warn("floors are spent twice", err)
 			}
 		}
 	}
 	for range 3 { // words first, then grants of what they free; what is left comes with the next round
-		m.mu.Lock()
+		m.quotaMu.Lock()
 		var commands []quotalease.Command
-		if m.keeper.HasWork(s.clock()) {
-			commands = m.keeper.Plan(s.clock())
+		if m.allocator.HasWork(s.clock()) {
+			commands = m.allocator.Plan(s.clock())
 		}
-		m.mu.Unlock()
+		m.quotaMu.Unlock()
 		if len(commands) == 0 {
 			break
 		}
-		if err := s.carryOut(ctx, t, commands); err != nil {
-			s.answerAll(heard, err)
+		if err := s.commitPlan(ctx, t, commands); err != nil {
+			s.replyAll(heard, err)
 			return
 		}
 	}
 	for _, a := range heard {
-		m.mu.Lock()
-		reply := m.book.ReplyTo(a.request.HolderID)
-		past := reply.ConfigVersion == 0 && m.past()
-		m.mu.Unlock()
+		m.quotaMu.Lock()
+		reply := m.quotas.ReplyTo(a.request.HolderID)
+		past := reply.ConfigVersion == 0 && m.awaitingExpiry()
+		m.quotaMu.Unlock()
 		if past {
-			s.answer(a, reply, quotalease.BootstrapPendingError{MaxLifetime: time.Duration(t.founding.Longest)})
+			s.reply(a, reply, quotalease.BootstrapPendingError{MaxLifetime: time.Duration(t.bootstrap.MaxLifetimeNanos)})
 			continue
 		}
-		s.answer(a, reply, nil)
+		s.reply(a, reply, nil)
 	}
 }
 
-// carryOut proposes a plan, in as few entries as it fits in.
-func (s *Steward) carryOut(ctx context.Context, t *term, commands []quotalease.Command) error {
+// commitPlan proposes a plan, in as few entries as it fits in.
+func (s *Server) commitPlan(ctx context.Context, t *replica, commands []quotalease.Command) error {
 	for len(commands) > 0 {
 		n, bytes := 0, 0
 		for n < len(commands) {
@@ -141,12 +141,12 @@
 			if err != nil {
 				return err
 			}
-			if bytes += len(text); n > 0 && bytes > mostBatch {
+			if bytes += len(text); n > 0 && bytes > maxBatchBytes {
 				break
 			}
 			n++
 		}
-		if err := s.propose(ctx, t, quotalease.Command{Batch: commands[:n]}); err != nil {
+		if err := s.proposeQuotaCommand(ctx, t, quotalease.Command{Batch: commands[:n]}); err != nil {
 			return err
 		}
 		commands = commands[n:]
@@ -154,83 +154,83 @@
 	return nil
 }
 
-// propose returns once a command is committed and applied here. An error is the log's, or the book's Problem.
-func (s *Steward) propose(ctx context.Context, t *term, c quotalease.Command) error {
+// proposeQuotaCommand returns once a command is committed and applied here. An error is the log's, or the book's Problem.
+func (s *Server) proposeQuotaCommand(ctx context.Context, t *replica, c quotalease.Command) error {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	return s.proposeText(ctx, t, text)
+	return s.proposeEntry(ctx, t, text)
 }
 
-func (s *Steward) proposeText(ctx context.Context, t *term, text []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, planTime)
+func (s *Server) proposeEntry(ctx context.Context, t *replica, text []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	s.counts.proposals.Add(1)
+	s.counters.proposals.Add(1)
 	reply, err := t.node.Propose(ctx, text)
 	if err != nil {
-		s.counts.failed.Add(1)
+		s.counters.failedProposals.Add(1)
 		return err
 	}
-	var out outcome
+	var out applyOutcome
 	if err := cbor.Unmarshal(reply, &out); err != nil {
-		return api.BadMessage{Why: err.Error()}
+		return api.MalformedMessageError{Reason: err.Error()}
 	}
-	s.counts.grants.Add(uint64(out.Born))
-	s.counts.rejected.Add(uint64(out.Parts))
-	if out.Refused.Text != "" {
-		s.counts.rejected.Add(1)
-		return out.Refused
+	s.counters.leasesGranted.Add(uint64(out.LeasesStarted))
+	s.counters.rejectedCommands.Add(uint64(out.RejectedParts))
+	if out.Rejected.Message != "" {
+		s.counters.rejectedCommands.Add(1)
+		return out.Rejected
 	}
 	return nil
 }
 
-func (s *Steward) answer(a ask, r quotalease.Reply, err error) {
+func (s *Server) reply(a leaseRequest, r quotalease.Reply, err error) {
 	if err == nil {
-		s.counts.answered.Add(1)
+		s.counters.answered.Add(1)
 	} else {
-		s.counts.refused.Add(1)
+		s.counters.rejectedRequests.Add(1)
 	}
-	a.answer <- answer{r, err} // holds one
+	a.reply <- leaseReply{r, err} // holds one
 }
 
-func (s *Steward) answerAll(asks []ask, err error) {
+func (s *Server) replyAll(asks []leaseRequest, err error) {
 	for _, a := range asks {
-		s.answer(a, quotalease.Reply{}, err)
+		s.reply(a, quotalease.Reply{}, err)
 	}
 }
 
-// asked has the plans answer a request.
-func (s *Steward) asked(ctx context.Context, r quotalease.Request, waits time.Duration) (quotalease.Reply, error) {
-	s.counts.asks.Add(1)
+// requestLease has the plans answer a request.
+func (s *Server) requestLease(ctx context.Context, r quotalease.Request, waits time.Duration) (quotalease.Reply, error) {
+	s.counters.requests.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, waits*4/5) // so that the caller hears why
 	defer cancel()
-	a := ask{r, make(chan answer, 1)}
+	a := leaseRequest{r, make(chan leaseReply, 1)}
 	select {
-	case s.asks <- a:
+	case s.leaseRequests <- a:
 	default:
-		s.counts.full.Add(1)
-		return quotalease.Reply{}, consensus.QueueFullError{Limit: mostAsks}
+		s.counters.queueFull.Add(1)
+		return quotalease.Reply{}, consensus.QueueFullError{Limit: maxQueuedRequests}
 	}
 	select {
-	case got := <-a.answer:
+	case got := <-a.reply:
 		return got.reply, got.err
 	case <-ctx.Done():
-		return quotalease.Reply{}, s.late()
+		return quotalease.Reply{}, s.noQuorum()
 	}
 }
 
-// late is that a majority didn't agree in time.
-func (s *Steward) late() error {
-	if st := s.stand.Load(); st != nil {
-		return consensus.NoQuorumError{Active: st.Heard, Needed: st.Voters/2 + 1}
+// noQuorum is that a majority didn't agree in time.
+func (s *Server) noQuorum() error {
+	if st := s.status.Load(); st != nil {
+		return consensus.NoQuorumError{Active: st.RespondingVoters, Needed: st.Voters/2 + 1}
 	}
 	return consensus.NoQuorumError{}
 }
 
-// setBudgets carries out an operator's word.
-func (s *Steward) setBudgets(ctx context.Context, b quotalease.SetQuotas) error {
-	t := s.now.Load()
+// setQuotas carries out an operator's word.
+func (s *Server) setQuotas(ctx context.Context, b quotalease.SetQuotas) error {
+	t := s.replica.Load()
 	if t == nil {
 		return quotalease.NotBootstrappedError{}
 	}
@@ -238,14 +238,14 @@
 	if status.Err != nil {
 		return status.Err
 	}
-	if status.Role != leads {
+	if status.Role != roleLeader {
 		return consensus.NotLeaderError{Leader: status.Leader}
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	err := s.propose(ctx, t, quotalease.Command{SetQuotas: &b})
+	err := s.proposeQuotaCommand(ctx, t, quotalease.Command{SetQuotas: &b})
 	if err == nil {
-		s.set.Log.Info("budgets were set by an operator's word", "version", b.Version, "budgets", len(b.Config.Quotas))
+		s.config.Logger.Info("budgets were set by an operator's word", "version", b.Version, "budgets", len(b.Config.Quotas))
 	} else {
 		s.warn("budgets were not set", err)
 	}
--- a/internal/controlplane/server/policy.go
+++ b/internal/controlplane/server/policy.go
@@ -20,41 +20,41 @@
 )
 
 const (
-	mostProxies  = 16384 // that are kept in a roll-out
-	mostName     = 128   // bytes of a proxy's
-	recountEvery = time.Second
-	worseTold    = time.Hour // for which it is shown what became worse
+	maxProxies          = 16384 // that are kept in a roll-out
+	maxProxyNameBytes   = 128   // bytes of a proxy's
+	memberCheckInterval = time.Second
+	regressionShownFor  = time.Hour // for which it is shown what became worse
 )
 
-// roller is the roll-out at the leader. The log has what goes out and how a roll-out ended; how far it is is known here alone. A
+// rolloutDriver is the roll-out at the leader. The log has what goes out and how a roll-out ended; how far it is is known here alone. A
 // new leader begins at the first step again, with the same draw: the epoch is the seed. Proxies that are further keep what they
 // have, for what they are offered then is older.
-type roller struct {
-	mu      sync.Mutex // never held over I/O
-	rule    *rollout.Rollout
-	base    rollout.Offer // of the rule
-	next    rollout.Offer // that was begun; the zero is none
-	since   time.Duration // of the rule
-	recount time.Duration // when it is next looked for proxies that are gone
-	proxies map[string]*reporter
-	after   *rollout.Aftermath
-	worse   rollout.WorseAfter // that it has told last; the zero is nothing
-	told    time.Duration      // when
-	early   bool               // guards taken out, to see that the tests convict
-	hasty   bool
+type rolloutDriver struct {
+	mu                   sync.Mutex // never held over I/O
+	rollout              *rollout.Rollout
+	base                 rollout.Version // of the rule
+	next                 rollout.Version // that was begun; the zero is none
+	rolloutSince         time.Duration   // of the rule
+	nextMemberCheck      time.Duration   // when it is next looked for proxies that are gone
+	proxies              map[string]*proxyState
+	regressions          *rollout.RegressionWatch
+	regression           rollout.RegressionError // that it has told last; the zero is nothing
+	regressionAt         time.Duration           // when
+	announceBeforeCommit bool                    // guards taken out, to see that the tests convict
+	startBeforeQuorum    bool
 }
 
-type reporter struct {
-	heard time.Duration
-	has   rollout.Offer
-	not   rollout.Offer // that it can't take up
-	older bool          // it takes whole texts alone
-	last  uint64        // report that was counted
+type proxyState struct {
+	lastReport   time.Duration
+	current      rollout.Version
+	rejected     rollout.Version // that it can't take up
+	legacy       bool            // it takes whole texts alone
+	lastSequence uint64          // report that was counted
 }
 
-// leading is the term in which this steward leads.
-func (s *Steward) leading() (*term, error) {
-	t := s.now.Load()
+// leaderReplica is the term in which this steward leads.
+func (s *Server) leaderReplica() (*replica, error) {
+	t := s.replica.Load()
 	if t == nil {
 		return nil, quotalease.NotBootstrappedError{}
 	}
@@ -62,148 +62,148 @@
 	if status.Err != nil {
 		return nil, status.Err
 	}
-	if status.Role != leads {
-		t.roller.mu.Lock()
-		t.roller.rule, t.roller.proxies, t.roller.after, t.roller.worse = nil, nil, nil, rollout.WorseAfter{}
-		t.roller.mu.Unlock()
+	if status.Role != roleLeader {
+		t.rollouts.mu.Lock()
+		t.rollouts.rollout, t.rollouts.proxies, t.rollouts.regressions, t.rollouts.regression = nil, nil, nil, rollout.RegressionError{}
+		t.rollouts.mu.Unlock()
 		return nil, consensus.NotLeaderError{Leader: status.Leader}
 	}
 	return t, nil
 }
 
-// base is what all have. A fleet with no policy yet has one without an epoch, of this founding's order.
-func base(st store.Standing) rollout.Offer {
+// baseVersion is what all have. A fleet with no policy yet has one without an epoch, of this founding's order.
+func baseVersion(st store.Standing) rollout.Version {
 	if st.Base.Epoch == 0 {
-		return rollout.Offer{Order: st.Next.Order}
+		return rollout.Version{Generation: st.Next.Generation}
 	}
 	return st.Base
 }
 
-// follow brings the rule in step with the log. It is called under the lock.
-func (r *roller) follow(now time.Duration, set rollout.Settings, st store.Standing) {
-	if r.after == nil {
-		r.after = rollout.NewAftermath(set)
+// syncWithLog brings the rule in step with the log. It is called under the lock.
+func (r *rolloutDriver) syncWithLog(now time.Duration, set rollout.Settings, st store.Standing) {
+	if r.regressions == nil {
+		r.regressions = rollout.NewRegressionWatch(set)
 	}
-	if r.rule != nil && r.next != (rollout.Offer{}) && st.Base == r.next {
+	if r.rollout != nil && r.next != (rollout.Version{}) && st.Base == r.next {
 		if r.base != st.Base {
-			r.after.Through(now, st.Base.Epoch)
+			r.regressions.RolloutCompleted(now, st.Base.Epoch)
 		}
 		r.base = st.Base // it is through, by this rule
 	}
-	if r.rule == nil || r.base != base(st) {
-		rule, err := rollout.New(set, base(st))
+	if r.rollout == nil || r.base != baseVersion(st) {
+		rule, err := rollout.New(set, baseVersion(st))
 		if err != nil {
 			return // the file was checked
 		}
 		if r.proxies == nil {
-			r.proxies = map[string]*reporter{}
+			r.proxies = map[string]*proxyState{}
 		}
-		r.rule, r.base, r.next, r.since, r.recount = rule, base(st), rollout.Offer{}, now, now
+		r.rollout, r.base, r.next, r.rolloutSince, r.nextMemberCheck = rule, baseVersion(st), rollout.Version{}, now, now
 	}
-	if now >= r.recount { // it looks at all: not for each report
-		r.recount = now + recountEvery
+	if now >= r.nextMemberCheck { // it looks at all: not for each report
+		r.nextMemberCheck = now + memberCheckInterval
 		for name, p := range r.proxies {
-			if now-p.heard > 3*set.Silent {
+			if now-p.lastReport > 3*set.SilenceTimeout {
 				delete(r.proxies, name)
 			}
 		}
-		r.rule.Members(now, slices.Sorted(maps.Keys(r.proxies)))
+		r.rollout.SetMembers(now, slices.Sorted(maps.Keys(r.proxies)))
 	}
 	// Danger: a leader that has just begun does not know its proxies; the first to report is not the whole fleet. Nine in ten of those that
 	// there were at the last judgement are enough of it.
 	known := st.Proxies > 0 && 10*len(r.proxies) >= 9*st.Proxies
-	if st.Next.Epoch != 0 && st.Next != r.next && st.Stopped == nil && (known || now-r.since > set.Silent || r.hasty) {
-		if r.rule.Begin(now, st.Next.Epoch, st.Next.Hash, st.Next.Epoch) == nil {
+	if st.Next.Epoch != 0 && st.Next != r.next && st.Stopped == nil && (known || now-r.rolloutSince > set.SilenceTimeout || r.startBeforeQuorum) {
+		if r.rollout.Start(now, st.Next.Epoch, st.Next.Hash, st.Next.Epoch) == nil {
 			r.next = st.Next
 		}
 	}
 }
 
-// tick has the rule go on. The last step, which has nobody to compare with, begins and ends under one lock: nobody is told in between.
-func (r *roller) tick(now time.Duration) {
-	r.rule.Tick(now)
-	r.rule.Tick(now)
+// advance has the rule go on. The last step, which has nobody to compare with, begins and ends under one lock: nobody is told in between.
+func (r *rolloutDriver) advance(now time.Duration) {
+	r.rollout.Tick(now)
+	r.rollout.Tick(now)
 }
 
-// offer is what a proxy shall have; none is the zero. It is called under the lock.
-func (r *roller) offer(name string, st store.Standing) rollout.Offer {
-	o := r.rule.Offer(name)
+// target is what a proxy shall have; none is the zero. It is called under the lock.
+func (r *rolloutDriver) target(name string, st store.Standing) rollout.Version {
+	o := r.rollout.Target(name)
 	// Danger: that a roll-out is through is committed before all are told. Else a leader that dies in between leaves the next one with
 	// nobody to compare with, and the roll-out never ends.
-	if state, _ := r.rule.State(); state == rollout.Done && r.next != st.Base && !r.early {
+	if state, _ := r.rollout.State(); state == rollout.Done && r.next != st.Base && !r.announceBeforeCommit {
 		o = st.Base
 	}
 	if o.Epoch == 0 {
-		return rollout.Offer{}
+		return rollout.Version{}
 	}
 	return o
 }
 
 // report takes a proxy's report in, and gives what it shall have. It is called under the lock.
-func (r *roller) report(now time.Duration, set rollout.Settings, st store.Standing, in api.PolicyReport) (rollout.Offer, error) {
+func (r *rolloutDriver) report(now time.Duration, set rollout.Settings, st store.Standing, in api.PolicyReport) (rollout.Version, error) {
 	p := r.proxies[in.Proxy]
 	if p == nil {
-		if in.Proxy == "" || len(in.Proxy) > mostName || len(r.proxies) >= mostProxies {
-			return rollout.Offer{}, consensus.QueueFullError{Limit: mostProxies}
+		if in.Proxy == "" || len(in.Proxy) > maxProxyNameBytes || len(r.proxies) >= maxProxies {
+			return rollout.Version{}, consensus.QueueFullError{Limit: maxProxies}
 		}
-		p = &reporter{}
+		p = &proxyState{}
 		if r.proxies == nil {
-			r.proxies = map[string]*reporter{}
+			r.proxies = map[string]*proxyState{}
 		}
 		r.proxies[in.Proxy] = p
-		if r.rule != nil {
-			r.rule.Join(now, in.Proxy)
+		if r.rollout != nil {
+			r.rollout.Join(now, in.Proxy)
 		}
 	}
-	p.heard, p.has, p.not, p.older = now, in.Has, in.Refused, !in.Pieces
-	r.follow(now, set, st)
-	has := in.Has
-	if b := base(st); b.Epoch == 0 && b.After(has) {
+	p.lastReport, p.current, p.rejected, p.legacy = now, in.Current, in.Rejected, !in.AcceptsChunks
+	r.syncWithLog(now, set, st)
+	has := in.Current
+	if b := baseVersion(st); b.Epoch == 0 && b.NewerThan(has) {
 		has = b // what it has is of a founding before: under this one it has none
 	}
-	if in.Number > p.last {
-		p.last = in.Number
-		r.after.Report(now, in.Good, in.Bad)
+	if in.Sequence > p.lastSequence {
+		p.lastSequence = in.Sequence
+		r.regressions.Report(now, in.Good, in.Bad)
 	}
-	r.rule.Report(now, rollout.Report{Proxy: in.Proxy, Number: in.Number, Has: has, Good: in.Good, Bad: in.Bad})
-	return r.offer(in.Proxy, st), nil
+	r.rollout.Report(now, rollout.Report{Proxy: in.Proxy, Sequence: in.Sequence, Current: has, Good: in.Good, Bad: in.Bad})
+	return r.target(in.Proxy, st), nil
 }
 
-// reported takes a proxy's report in, and tells what it shall have.
-func (s *Steward) reported(in api.PolicyReport) (api.PolicyReply, error) {
-	out := api.PolicyReply{Fleet: s.set.File.Fleet}
+// policyReport takes a proxy's report in, and tells what it shall have.
+func (s *Server) policyReport(in api.PolicyReport) (api.PolicyReply, error) {
+	out := api.PolicyReply{Fleet: s.config.Fleet.Fleet}
 	if in.Fleet != out.Fleet {
 		return out, quotalease.FleetMismatchError{Ours: out.Fleet, Theirs: in.Fleet}
 	}
-	t, err := s.leading()
+	t, err := s.leaderReplica()
 	if err != nil {
 		return out, err
 	}
-	had := in.Has
-	in.Has, in.Refused = t.machine.rooted(in.Has), t.machine.rooted(in.Refused)
-	now, st, r := s.clock(), t.machine.standing(), &t.roller
+	had := in.Current
+	in.Current, in.Rejected = t.state.resolveRoot(in.Current), t.state.resolveRoot(in.Rejected)
+	now, st, r := s.clock(), t.state.policyStatus(), &t.rollouts
 	r.mu.Lock()
-	out.Offer, err = r.report(now, s.set.File.Rollout(), st, in)
+	out.Target, err = r.report(now, s.config.Fleet.RolloutSettings(), st, in)
 	r.mu.Unlock()
 	if err != nil {
 		return out, err
 	}
-	wants := out.Offer.After(in.Has) && out.Offer != in.Refused
-	if in.Pieces {
-		out.InPieces = true
+	wants := out.Target.NewerThan(in.Current) && out.Target != in.Rejected
+	if in.AcceptsChunks {
+		out.Chunked = true
 		if wants {
-			out.Pieces = t.machine.shelf.Along(in.Has.Hash, out.Offer.Hash, cmp.Or(in.Most, api.MostPieces))
+			out.Chunks = t.state.chunks.ChunksBetween(in.Current.Hash, out.Target.Hash, cmp.Or(in.MaxChunkBytes, api.MaxChunkBytes))
 		}
 		return out, nil
 	}
-	if out.Offer == in.Has {
-		out.Offer = had // as it was told
-	} else if out.Offer.After(in.Has) {
-		w, ok := t.machine.policyText(out.Offer)
+	if out.Target == in.Current {
+		out.Target = had // as it was told
+	} else if out.Target.NewerThan(in.Current) {
+		w, ok := t.state.policyEncoding(out.Target)
 		if !ok {
-			return out, NeedsPieces{out.Offer.Epoch}
+			return out, ChunksRequiredError{out.Target.Epoch}
 		}
-		out.Offer.Hash = w.hash
+		out.Target.Hash = w.hash
 		if wants {
 			out.Text = []byte(w.text)
 		}
@@ -211,62 +211,62 @@
 	return out, nil
 }
 
-// piecesOf gives pieces by name. Any steward does: what it has may be behind, and then the proxy asks another.
-func (s *Steward) piecesOf(in api.PiecesRequest) (out api.PiecesReply, err error) {
-	if in.Fleet != s.set.File.Fleet {
-		return out, quotalease.FleetMismatchError{Ours: s.set.File.Fleet, Theirs: in.Fleet}
+// policyChunks gives pieces by name. Any steward does: what it has may be behind, and then the proxy asks another.
+func (s *Server) policyChunks(in api.ChunksRequest) (out api.ChunksReply, err error) {
+	if in.Fleet != s.config.Fleet.Fleet {
+		return out, quotalease.FleetMismatchError{Ours: s.config.Fleet.Fleet, Theirs: in.Fleet}
 	}
-	if len(in.Names) > api.MostNames || len(in.Proxy) > mostName {
-		return out, api.BadMessage{Why: fmt.Sprintf("it asks for %d pieces", len(in.Names))}
+	if len(in.Names) > api.MaxChunkNames || len(in.Proxy) > maxProxyNameBytes {
+		return out, api.MalformedMessageError{Reason: fmt.Sprintf("it asks for %d pieces", len(in.Names))}
 	}
-	t := s.now.Load()
+	t := s.replica.Load()
 	if t == nil {
 		return out, quotalease.NotBootstrappedError{}
 	}
 	var later time.Duration
-	out.Pieces, out.Lacks, later = t.machine.shelf.Named(s.clock(), in.Proxy, in.Root, in.Names)
-	out.Later = int64(later)
+	out.Chunks, out.Missing, later = t.state.chunks.ChunksByName(s.clock(), in.Proxy, in.Root, in.Names)
+	out.RetryAfterNanos = int64(later)
 	return out, nil
 }
 
-// NeedsPieces is what a proxy of an older release is told of a policy that is too long for one answer.
-type NeedsPieces struct{ Epoch uint64 }
+// ChunksRequiredError is what a proxy of an older release is told of a policy that is too long for one answer.
+type ChunksRequiredError struct{ Epoch uint64 }
 
-func (e NeedsPieces) Error() string {
+func (e ChunksRequiredError) Error() string {
 	return fmt.Sprintf("the policy of epoch %d is over %d bytes, and this proxy takes whole texts alone", e.Epoch, store.MostWhole)
 }
 
 // Advice is what an operator can do.
-func (NeedsPieces) Advice() string {
+func (ChunksRequiredError) Advice() string {
 	return "The proxy goes on with the policy that it has. Replace it by one of this release, which takes policies in pieces; or have " +
 		"the teams write less until then."
 }
 
-// rollouts has the roll-out go on, and commits how it ends.
-func (s *Steward) rollouts(ctx context.Context) {
-	set := s.set.File.Rollout()
-	every := time.NewTicker(min(100*time.Millisecond, max(10*time.Millisecond, set.Step/time.Duration(4*set.Looks)))) // a look late makes a train late
+// runRollouts has the roll-out go on, and commits how it ends.
+func (s *Server) runRollouts(ctx context.Context) {
+	set := s.config.Fleet.RolloutSettings()
+	every := time.NewTicker(min(100*time.Millisecond, max(10*time.Millisecond, set.StepDuration/time.Duration(4*set.LooksPerStep)))) // a look late makes a train late
 	defer every.Stop()
-	var begun rollout.Offer // that was told of
+	var begun rollout.Version // that was told of
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-every.C:
 		}
-		t, err := s.leading()
+		t, err := s.leaderReplica()
 		if err != nil {
 			continue
 		}
-		now, st, r := s.clock(), t.machine.standing(), &t.roller
+		now, st, r := s.clock(), t.state.policyStatus(), &t.rollouts
 		r.mu.Lock()
-		r.follow(now, set, st)
-		r.tick(now)
-		state, why := r.rule.State()
+		r.syncWithLog(now, set, st)
+		r.advance(now)
+		state, why := r.rollout.State()
 		next, known := r.next, len(r.proxies)
-		var worse rollout.WorseAfter
-		if errors.As(r.after.Tick(now), &worse) {
-			r.worse, r.told = worse, now
+		var worse rollout.RegressionError
+		if errors.As(r.regressions.Tick(now), &worse) {
+			r.regression, r.regressionAt = worse, now
 		}
 		r.mu.Unlock()
 		if worse.Epoch > 0 {
@@ -274,99 +274,99 @@
 		}
 		if next != begun && next == st.Next && next.Epoch > 0 {
 			begun = next
-			s.set.Log.Info("a train has departed", "epoch", next.Epoch, "changes", st.Train, "proxies", known)
+			s.config.Logger.Info("a train has departed", "epoch", next.Epoch, "changes", st.Train, "proxies", known)
 		}
 		if next != st.Next || next.Epoch == 0 || st.Stopped != nil || state != rollout.Done && state != rollout.Stopped {
 			continue
 		}
-		j := store.Judge{Order: next.Order, Epoch: next.Epoch, Done: state == rollout.Done, Proxies: known}
+		j := store.Judge{Order: next.Generation, Epoch: next.Epoch, Done: state == rollout.Done, Proxies: known}
 		if why != nil {
 			j.Why, j.Help = why.Error(), operatorerror.Of(why)
 			s.warn("a train was stopped", why)
 		}
-		if err := s.command(ctx, t, store.Command{Judge: &j}); err != nil {
+		if err := s.proposePolicyCommand(ctx, t, store.Command{Judge: &j}); err != nil {
 			s.warn("how a train ended was not kept", err) // it is tried again
 			continue
 		}
-		s.set.Log.Info("a train has ended", "epoch", next.Epoch, "state", state.String(), "changes", st.Train)
-		for _, f := range t.machine.standing().Faults {
+		s.config.Logger.Info("a train has ended", "epoch", next.Epoch, "state", state.String(), "changes", st.Train)
+		for _, f := range t.state.policyStatus().Faults {
 			if !slices.Contains(st.Faults, f) {
-				s.set.Log.Warn("a change was taken out: the others go on without it", "namespace", f.Namespace, "number", f.Number, "by", f.By, "why", f.Why, "advice", f.Help)
+				s.config.Logger.Warn("a change was taken out: the others go on without it", "namespace", f.Namespace, "number", f.Number, "by", f.By, "why", f.Why, "advice", f.Help)
 			}
 		}
 	}
 }
 
-func (s *Steward) command(ctx context.Context, t *term, c store.Command) error {
+func (s *Server) proposePolicyCommand(ctx context.Context, t *replica, c store.Command) error {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	return s.proposeText(ctx, t, append([]byte{policyMark}, text...))
+	return s.proposeEntry(ctx, t, append([]byte{policyEntryMarker}, text...))
 }
 
-// order carries out an operator's word. How a roll-out ends is not theirs to say.
-func (s *Steward) order(ctx context.Context, c store.Command) error {
+// policyCommand carries out an operator's word. How a roll-out ends is not theirs to say.
+func (s *Server) policyCommand(ctx context.Context, c store.Command) error {
 	if c.Judge != nil {
 		return store.BadCommand{Why: "how a roll-out ends is the leader's word"}
 	}
-	t, err := s.leading()
+	t, err := s.leaderReplica()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	if err = s.command(ctx, t, c); err != nil {
+	if err = s.proposePolicyCommand(ctx, t, c); err != nil {
 		s.warn("a word about the policy was not carried out", err)
 		return err
 	}
-	st := t.machine.standing()
-	s.set.Log.Info("the policy, by an operator's word", "all_have", st.Base.Epoch, "goes_out", st.Next.Epoch, "order", st.Base.Order, "held", len(st.Held))
+	st := t.state.policyStatus()
+	s.config.Logger.Info("the policy, by an operator's word", "all_have", st.Base.Epoch, "goes_out", st.Next.Epoch, "order", st.Base.Generation, "held", len(st.Held))
 	return nil
 }
 
-func (s *Steward) policyStatus() (api.PolicyStatus, error) {
-	t := s.now.Load()
+func (s *Server) policyStatus() (api.PolicyStatus, error) {
+	t := s.replica.Load()
 	if t == nil {
 		return api.PolicyStatus{}, quotalease.NotBootstrappedError{}
 	}
-	out := api.PolicyStatus{Standing: t.machine.standing()}
-	if _, err := s.leading(); err != nil {
+	out := api.PolicyStatus{Policy: t.state.policyStatus()}
+	if _, err := s.leaderReplica(); err != nil {
 		return out, nil // what it has applied
 	}
-	out.Leads = true
-	r := &t.roller
+	out.IsLeader = true
+	r := &t.rollouts
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.follow(s.clock(), s.set.File.Rollout(), out.Standing)
-	state, _ := r.rule.State()
-	out.State, out.Proxies = state.String(), len(r.proxies)
-	if r.worse.Epoch > 0 && s.clock()-r.told < worseTold {
-		out.Worse, out.WorseHelp = r.worse.Error(), r.worse.Advice()
+	r.syncWithLog(s.clock(), s.config.Fleet.RolloutSettings(), out.Policy)
+	state, _ := r.rollout.State()
+	out.RolloutState, out.ProxyCount = state.String(), len(r.proxies)
+	if r.regression.Epoch > 0 && s.clock()-r.regressionAt < regressionShownFor {
+		out.Regression, out.RegressionAdvice = r.regression.Error(), r.regression.Advice()
 	}
-	if out.Standing.Stopped != nil {
-		out.State = rollout.Stopped.String()
+	if out.Policy.Stopped != nil {
+		out.RolloutState = rollout.Stopped.String()
 	}
-	want := out.Standing.Next
+	want := out.Policy.Next
 	if want.Epoch == 0 {
-		want = out.Standing.Base
+		want = out.Policy.Base
 	}
 	for name, p := range r.proxies {
-		if out.Standing.Base.After(p.has) {
-			out.Late++
+		if out.Policy.Base.NewerThan(p.current) {
+			out.BehindCount++
 			out.Behind = append(out.Behind, name)
 		}
-		if p.older {
-			out.Older++
+		if p.legacy {
+			out.LegacyCount++
 		}
-		if p.has == want {
-			out.Have++
+		if p.current == want {
+			out.Updated++
 		}
-		if p.not == want {
-			out.Refused++
+		if p.rejected == want {
+			out.Rejected++
 		}
 	}
 	slices.Sort(out.Behind)
-	out.Behind = out.Behind[:min(len(out.Behind), api.MostBehind)]
+	out.Behind = out.Behind[:min(len(out.Behind), api.MaxBehindNames)]
 	return out, nil
 }
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -36,7 +36,7 @@
 type proxies struct {
 	*site
 	names   []string
-	holders map[string]*rollout.Holder
+	holders map[string]*rollout.CurrentVersion
 	trees   map[string]*merkle.Tree // of those that take pieces
 	number  uint64
 	asked   int // calls for pieces
@@ -44,10 +44,10 @@
 }
 
 func newProxies(s *site, n int) *proxies {
-	p := &proxies{site: s, holders: map[string]*rollout.Holder{}, trees: map[string]*merkle.Tree{}, bad: func(uint64) int64 { return 0 }}
+	p := &proxies{site: s, holders: map[string]*rollout.CurrentVersion{}, trees: map[string]*merkle.Tree{}, bad: func(uint64) int64 { return 0 }}
 	for i := range n {
 		name := fmt.Sprintf("p%02d", i)
-		p.names, p.holders[name] = append(p.names, name), rollout.NewHolder(rollout.Offer{})
+		p.names, p.holders[name] = append(p.names, name), rollout.NewCurrentVersion(rollout.Version{})
 	}
 	return p
 }
@@ -58,24 +58,24 @@
 	for i, name := range p.names {
 		h := p.holders[name]
 		p.number++
-		bad := p.bad(h.Has().Epoch)
-		in := api.PolicyReport{Fleet: "north", Proxy: name, Number: p.number, Has: h.Has(), Good: 100 - bad, Bad: bad, Pieces: i%2 == 0}
-		for _, o := range p.file.Stewards {
+		bad := p.bad(h.Version().Epoch)
+		in := api.PolicyReport{Fleet: "north", Proxy: name, Sequence: p.number, Current: h.Version(), Good: 100 - bad, Bad: bad, AcceptsChunks: i%2 == 0}
+		for _, o := range p.file.Servers {
 			var reply api.PolicyReply
-			if api.One(context.Background(), p.client, o.Address, api.PathReport, in, &reply) != nil {
+			if api.CallWithTimeout(context.Background(), p.client, o.Address, api.PathPolicyReport, in, &reply) != nil {
 				continue
 			}
-			before := h.Has()
-			if reply.InPieces != in.Pieces || len(reply.Text) > 0 && in.Pieces || len(reply.Pieces) > 0 && !in.Pieces {
-				p.t.Fatalf("%s, which takes pieces: %v, is told %d bytes and %d pieces", name, in.Pieces, len(reply.Text), len(reply.Pieces))
+			before := h.Version()
+			if reply.Chunked != in.AcceptsChunks || len(reply.Text) > 0 && in.AcceptsChunks || len(reply.Chunks) > 0 && !in.AcceptsChunks {
+				p.t.Fatalf("%s, which takes pieces: %v, is told %d bytes and %d pieces", name, in.AcceptsChunks, len(reply.Text), len(reply.Chunks))
 			}
-			if in.Pieces {
+			if in.AcceptsChunks {
 				p.assemble(name, reply)
 			} else {
-				_ = h.Take(reply.Offer, reply.Text)
+				_ = h.AdoptText(reply.Target, reply.Text)
 			}
-			if h.Has() != before && !h.Has().After(before) {
-				p.t.Fatalf("%s went from %+v to %+v", name, before, h.Has())
+			if h.Version() != before && !h.Version().NewerThan(before) {
+				p.t.Fatalf("%s went from %+v to %+v", name, before, h.Version())
 			}
 			break
 		}
@@ -85,30 +85,30 @@
 // assemble has one fetch what it is offered, of any steward.
 func (p *proxies) assemble(name string, reply api.PolicyReply) {
 	p.t.Helper()
-	if !reply.Offer.After(p.holders[name].Has()) {
+	if !reply.Target.NewerThan(p.holders[name].Version()) {
 		return
 	}
-	root, err := merkle.ParseName(reply.Offer.Hash)
+	root, err := merkle.ParseName(reply.Target.Hash)
 	p.must(err)
 	a := merkle.Assemble(root, p.trees[name])
-	for _, piece := range reply.Pieces {
+	for _, piece := range reply.Chunks {
 		p.must(a.Add(piece))
 	}
 	for range 100 {
-		names := a.Wants(api.MostNames)
+		names := a.Wants(api.MaxChunkNames)
 		if len(names) == 0 {
 			break
 		}
-		in := api.PiecesRequest{Fleet: "north", Proxy: name, Root: reply.Offer.Hash}
+		in := api.ChunksRequest{Fleet: "north", Proxy: name, Root: reply.Target.Hash}
 		for _, n := range names {
 			in.Names = append(in.Names, n[:])
 		}
 		p.asked++
-		var out api.PiecesReply
-		if api.One(context.Background(), p.client, p.file.Stewards[p.asked%3].Address, api.PathPieces, in, &out) != nil {
+		var out api.ChunksReply
+		if api.CallWithTimeout(context.Background(), p.client, p.file.Servers[p.asked%3].Address, api.PathPolicyChunks, in, &out) != nil {
 			continue
 		}
-		for _, piece := range out.Pieces {
+		for _, piece := range out.Chunks {
 			p.must(a.Add(piece))
 		}
 	}
@@ -116,13 +116,13 @@
 	if err != nil {
 		return // it goes on with the next report
 	}
-	p.must(p.holders[name].TakeRoot(reply.Offer, tree.Root().String()))
+	p.must(p.holders[name].Adopt(reply.Target, tree.Root().String()))
 	p.trees[name] = tree
 }
 
 func (p *proxies) have(epoch uint64) (n int) {
 	for _, h := range p.holders {
-		if h.Has().Epoch == epoch {
+		if h.Version().Epoch == epoch {
 			n++
 		}
 	}
@@ -137,12 +137,12 @@
 // order gives a word until somebody takes it.
 func (s *site) order(c store.Command) {
 	s.t.Helper()
-	s.until("a word is taken", func() bool { return s.file.Order(context.Background(), s.client, c) == nil })
+	s.until("a word is taken", func() bool { return s.file.SendPolicyCommand(context.Background(), s.client, c) == nil })
 }
 
 func (s *site) standing(i int) store.Standing {
-	t := s.run[i].now.Load()
-	return t.machine.standing()
+	t := s.run[i].replica.Load()
+	return t.state.policyStatus()
 }
 
 func policySite(t *testing.T) *site {
@@ -156,9 +156,9 @@
 func (s *site) newest() (epoch uint64) {
 	s.t.Helper()
 	s.until("the leader's word", func() bool {
-		p, err := s.file.Policies(context.Background(), s.client)
-		epoch = p.Standing.Head.Epoch
-		return err == nil && p.Leads
+		p, err := s.file.PolicyStatus(context.Background(), s.client)
+		epoch = p.Policy.Head.Epoch
+		return err == nil && p.IsLeader
 	})
 	return epoch
 }
@@ -172,12 +172,12 @@
 	lead := s.leader()
 	s.cut.Store(int64(lead + 1))
 	lone := *s.file
-	lone.Stewards = s.file.Stewards[lead : lead+1]
+	lone.Servers = s.file.Servers[lead : lead+1]
 	one := make(chan error, 1)
-	go func() { one <- lone.Order(context.Background(), s.client, offerOf("alpha", 2, "/c")) }()
+	go func() { one <- lone.SendPolicyCommand(context.Background(), s.client, offerOf("alpha", 2, "/c")) }()
 	s.until("the other side takes beta's", func() bool {
-		for i, o := range s.file.Stewards {
-			if i != lead && api.One(context.Background(), s.client, o.Address, api.PathOrder, offerOf("beta", 2, "/c"), nil) == nil {
+		for i, o := range s.file.Servers {
+			if i != lead && api.CallWithTimeout(context.Background(), s.client, o.Address, api.PathPolicyCommand, offerOf("beta", 2, "/c"), nil) == nil {
 				return true
 			}
 		}
@@ -202,10 +202,10 @@
 	}
 	var texts [3][]byte
 	for i := range 3 {
-		m := s.run[i].now.Load().machine
-		m.policies.Lock()
-		texts[i], _ = m.policy.Snapshot()
-		m.policies.Unlock()
+		m := s.run[i].replica.Load().state
+		m.policyMu.Lock()
+		texts[i], _ = m.policies.Snapshot()
+		m.policyMu.Unlock()
 	}
 	if !bytes.Equal(texts[0], texts[1]) || !bytes.Equal(texts[0], texts[2]) {
 		t.Error("the stewards' books differ")
@@ -215,7 +215,7 @@
 	s.until("nobody uses a domain that was taken back", func() bool {
 		for i := range 3 {
 			st := s.standing(i)
-			w, ok := s.run[i].now.Load().machine.policyText(st.Head)
+			w, ok := s.run[i].replica.Load().state.policyEncoding(st.Head)
 			if !ok || strings.Contains(w.text, "beta/r") || !strings.Contains(w.text, "alpha/r") {
 				return false
 			}
@@ -274,7 +274,7 @@
 	}
 	s.order(store.Command{Back: &store.Back{Epoch: second, By: "on call"}})
 	p.untilAll("back", second)
-	if err := s.file.Order(context.Background(), s.client, store.Command{Judge: &store.Judge{}}); err == nil {
+	if err := s.file.SendPolicyCommand(context.Background(), s.client, store.Command{Judge: &store.Judge{}}); err == nil {
 		t.Error("an operator judged")
 	}
 }
@@ -282,14 +282,14 @@
 // Entries and snapshots of before there were policies stay readable, and a snapshot with both gives both back.
 func TestOldEntriesStayReadable(t *testing.T) {
 	clock := func() time.Duration { return 0 }
-	m := newMachine(clock, 1)
+	m := newStateMachine(clock, 1)
 	m.Apply(1, []byte(`{}`))
 	old, err := m.Snapshot()
-	if err != nil || old[0] == policyMark {
+	if err != nil || old[0] == policyEntryMarker {
 		t.Fatal(err, "a fleet without policies has another form")
 	}
-	m.Apply(2, append([]byte{policyMark}, []byte(fmt.Sprintf(`{"charter":{"text":%q}}`, charterText("x.org")))...))
-	if m.policy.Empty() {
+	m.Apply(2, append([]byte{policyEntryMarker}, []byte(fmt.Sprintf(`{"charter":{"text":%q}}`, charterText("x.org")))...))
+	if m.policies.Empty() {
 		t.Fatal("the charter was not taken in")
 	}
 	both, err := m.Snapshot()
@@ -297,7 +297,7 @@
 		t.Fatal(err)
 	}
 	for _, text := range [][]byte{old, both} {
-		n := newMachine(clock, 1)
+		n := newStateMachine(clock, 1)
 		if err := n.Restore(text); err != nil {
 			t.Fatal(err)
 		}
@@ -306,15 +306,15 @@
 			t.Errorf("%q came back as %q", text, again)
 		}
 	}
-	if err := newMachine(clock, 1).Restore(append([]byte{policyMark}, 'x')); api.ProblemOf(err).Help == "" {
+	if err := newStateMachine(clock, 1).Restore(append([]byte{policyEntryMarker}, 'x')); api.RemoteErrorOf(err).Help == "" {
 		t.Error(err)
 	}
 }
 
 // That a roll-out is through is committed before all are told: a leader that dies in between leaves one behind that can still end it.
 func TestTheEndIsCommittedBeforeItIsTold(t *testing.T) {
-	set := rollout.Defaults()
-	set.Step, set.Silent, set.Enough = 100*time.Millisecond, 50*time.Millisecond, 100
+	set := rollout.DefaultSettings()
+	set.StepDuration, set.SilenceTimeout, set.MinRequests = 100*time.Millisecond, 50*time.Millisecond, 100
 	run := func(early bool) (ended bool) {
 		book := store.New(1 << 32)
 		for _, c := range []store.Command{{Charter: &store.Charter{Text: charterText("x.org")}}, offerOf("alpha", 1, "/a")} {
@@ -322,35 +322,35 @@
 				t.Fatal(err)
 			}
 		}
-		has, now, number := map[string]rollout.Offer{}, time.Duration(0), uint64(0)
+		has, now, number := map[string]rollout.Version{}, time.Duration(0), uint64(0)
 		// lead has one leader go on until its rule is through, and two rounds more, in which the log doesn't answer.
 		lead := func() (done bool) {
-			r := &roller{early: early, proxies: map[string]*reporter{}}
+			r := &rolloutDriver{announceBeforeCommit: early, proxies: map[string]*proxyState{}}
 			for turn, after := 0, 0; turn < 1000 && after < 3; turn++ {
 				now += 10 * time.Millisecond
 				for i := range 20 {
 					name := fmt.Sprint("p", i)
 					if r.proxies[name] == nil {
-						r.proxies[name] = &reporter{}
+						r.proxies[name] = &proxyState{}
 					}
-					r.proxies[name].heard = now
+					r.proxies[name].lastReport = now
 				}
 				st := book.Standing()
-				r.follow(now, set, st)
+				r.syncWithLog(now, set, st)
 				for i := range 20 {
 					name := fmt.Sprint("p", i)
 					number++
 					had := has[name]
 					if had.Epoch == 0 {
-						had = base(st)
+						had = baseVersion(st)
 					}
-					r.rule.Report(now, rollout.Report{Proxy: name, Number: number, Has: had, Good: 100})
-					if o := r.offer(name, st); o.After(has[name]) {
+					r.rollout.Report(now, rollout.Report{Proxy: name, Sequence: number, Current: had, Good: 100})
+					if o := r.target(name, st); o.NewerThan(has[name]) {
 						has[name] = o
 					}
 				}
-				r.tick(now)
-				if state, _ := r.rule.State(); state == rollout.Done {
+				r.advance(now)
+				if state, _ := r.rollout.State(); state == rollout.Done {
 					done = true
 					after++
 				}
@@ -372,20 +372,20 @@
 
 // A leader that has just begun does not take the first proxy that reports for the whole fleet.
 func TestTheFirstToReportIsNotTheFleet(t *testing.T) {
-	set := rollout.Defaults()
-	set.Silent = time.Second
+	set := rollout.DefaultSettings()
+	set.SilenceTimeout = time.Second
 	for _, hasty := range []bool{false, true} {
-		r := &roller{hasty: hasty, proxies: map[string]*reporter{}}
-		st := store.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}, Next: rollout.Offer{Order: 1, Epoch: 2, Hash: "b"}}
+		r := &rolloutDriver{startBeforeQuorum: hasty, proxies: map[string]*proxyState{}}
+		st := store.Standing{Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"}, Next: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"}}
 		done := false
 		for i := range 20 { // one more each 100 ms
 			now := time.Duration(i) * 100 * time.Millisecond
 			for k := range i + 1 {
-				r.proxies[fmt.Sprint("p", k)] = &reporter{heard: now}
+				r.proxies[fmt.Sprint("p", k)] = &proxyState{lastReport: now}
 			}
-			r.follow(now, set, st)
-			r.tick(now)
-			state, _ := r.rule.State()
+			r.syncWithLog(now, set, st)
+			r.advance(now)
+			state, _ := r.rollout.State()
 			done = done || state == rollout.Done
 		}
 		if done != hasty {
@@ -398,8 +398,8 @@
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{30, 300, 1000, 4700, 9400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			set, r, number := rollout.Defaults(), &roller{}, uint64(0)
-			st := store.Standing{Base: rollout.Offer{Order: 1, Epoch: 1, Hash: "a"}, Next: rollout.Offer{Order: 1, Epoch: 2, Hash: "b"}}
+			set, r, number := rollout.DefaultSettings(), &rolloutDriver{}, uint64(0)
+			st := store.Standing{Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"}, Next: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"}}
 			var names []string
 			for i := range n {
 				names = append(names, fmt.Sprint("p", i))
@@ -407,7 +407,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				number++
-				in := api.PolicyReport{Proxy: names[number%uint64(n)], Number: number, Has: st.Base, Good: 100}
+				in := api.PolicyReport{Proxy: names[number%uint64(n)], Sequence: number, Current: st.Base, Good: 100}
 				if _, err := r.report(time.Duration(number)*time.Second/time.Duration(n), set, st, in); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/controlplane/server/steward_test.go
+++ b/internal/controlplane/server/steward_test.go
@@ -28,7 +28,7 @@
 // site is three stewards on loopback, each with a folder of its own.
 type site struct {
 	t      testing.TB
-	file   *api.File
+	file   *api.Config
 	client *http.Client
 	run    [3]*process
 	dirs   [3]string
@@ -43,34 +43,34 @@
 }
 
 func (l link) RoundTrip(r *http.Request) (*http.Response, error) {
-	if cut := int(l.site.cut.Load()); cut > 0 && (cut == l.of+1 || r.URL.Host == l.site.file.Stewards[cut-1].Address) {
+	if cut := int(l.site.cut.Load()); cut > 0 && (cut == l.of+1 || r.URL.Host == l.site.file.Servers[cut-1].Address) {
 		return nil, errors.New("cut")
 	}
 	return l.RoundTripper.RoundTrip(r)
 }
 
 type process struct {
-	*Steward
+	*Server
 	cancel context.CancelFunc
 	ended  chan error
 }
 
 func newSite(t testing.TB) *site { return newSiteBy(t, nil) }
 
-func newSiteBy(t testing.TB, by *api.TLS) *site {
+func newSiteBy(t testing.TB, by *api.TLSFiles) *site {
 	s := &site{t: t, client: &http.Client{}}
-	s.file = &api.File{Version: 1, Policy: api.Policy{Step: strictconfig.Span(400 * time.Millisecond), Watch: strictconfig.Span(400 * time.Millisecond), Enough: 100, Silent: strictconfig.Span(2 * time.Second)}, Fleet: "north", Drift: .001, Longest: strictconfig.Span(600 * time.Millisecond),
-		Budgets: []api.Budget{{Name: "attempts", Of: api.Of{Counts: "attempts"}, Whole: 1000, Burst: 100, Lease: strictconfig.Span(600 * time.Millisecond)}}}
+	s.file = &api.Config{Version: 1, Policy: api.PolicySettings{StepDuration: strictconfig.Span(400 * time.Millisecond), WatchDuration: strictconfig.Span(400 * time.Millisecond), MinRequests: 100, SilenceTimeout: strictconfig.Span(2 * time.Second)}, Fleet: "north", MaxDrift: .001, MaxLifetime: strictconfig.Span(600 * time.Millisecond),
+		Quotas: []api.Quota{{Name: "attempts", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 1000, Burst: 100, LeaseDuration: strictconfig.Span(600 * time.Millisecond)}}}
 	s.file.TLS = by
-	keys, err := s.file.Keys()
+	keys, err := s.file.LoadTLSKeys()
 	s.must(err)
-	s.client.Transport = api.Transport(keys)
+	s.client.Transport = api.NewTransport(keys)
 	var held []net.Listener
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		s.must(err)
 		held = append(held, l)
-		s.file.Stewards = append(s.file.Stewards, api.Steward{Name: fmt.Sprint("s", i+1), Number: uint64(i + 1), Address: l.Addr().String()})
+		s.file.Servers = append(s.file.Servers, api.Server{Name: fmt.Sprint("s", i+1), ID: uint64(i + 1), Address: l.Addr().String()})
 		s.dirs[i] = t.TempDir()
 	}
 	for i := range 3 {
@@ -95,13 +95,13 @@
 
 func (s *site) start(i int) {
 	s.t.Helper()
-	keys, err := s.file.Keys()
+	keys, err := s.file.LoadTLSKeys()
 	s.must(err)
-	way := &http.Client{Transport: api.Transport(keys)}
+	way := &http.Client{Transport: api.NewTransport(keys)}
 	via := link{way.Transport, s, i}
-	st, err := New(Settings{File: s.file, Name: fmt.Sprint("s", i+1), State: s.dirs[i], Tick: 20 * time.Millisecond, Via: via})
+	st, err := New(Config{Fleet: s.file, Name: fmt.Sprint("s", i+1), StateDir: s.dirs[i], TickInterval: 20 * time.Millisecond, Transport: via})
 	s.must(err)
-	l, err := net.Listen("tcp", s.file.Stewards[i].Address)
+	l, err := net.Listen("tcp", s.file.Servers[i].Address)
 	s.must(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &process{st, cancel, make(chan error, 1)}
@@ -126,7 +126,7 @@
 		if time.Now().After(end) {
 			for _, p := range s.run {
 				if p != nil {
-					s.t.Logf("%+v", *p.stand.Load())
+					s.t.Logf("%+v", *p.status.Load())
 				}
 			}
 			s.t.Fatalf("in vain: %s", what)
@@ -136,20 +136,20 @@
 
 func (s *site) found() {
 	s.t.Helper()
-	s.must(s.file.Found(context.Background(), s.client, 1))
+	s.must(s.file.Bootstrap(context.Background(), s.client, 1))
 	s.set()
 }
 
 func (s *site) set() {
 	s.t.Helper()
-	s.until("budgets are set", func() bool { _, err := s.file.Set(context.Background(), s.client, 0, nil); return err == nil })
+	s.until("budgets are set", func() bool { _, err := s.file.SetQuotas(context.Background(), s.client, 0, nil); return err == nil })
 }
 
 func (s *site) leader() int {
 	lead := -1
 	s.until("a leader", func() bool {
 		for i, p := range s.run {
-			if p != nil && p.stand.Load().Role == leads {
+			if p != nil && p.status.Load().Role == roleLeader {
 				lead = i
 				return true
 			}
@@ -176,10 +176,10 @@
 	h.SetDemand("attempts", 1000)
 	at := h.now()
 	r := h.NextRequest(at)
-	for _, o := range s.file.Stewards {
+	for _, o := range s.file.Servers {
 		var reply quotalease.Reply
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		err = api.Call(ctx, s.client, o.Address, api.PathAsk, r, &reply)
+		err = api.Call(ctx, s.client, o.Address, api.PathLease, r, &reply)
 		cancel()
 		if err == nil {
 			return h.HandleReply(at, h.now(), reply)
@@ -209,7 +209,7 @@
 
 func TestStewardsDivideThroughTheirOwnDeaths(t *testing.T) {
 	s := newSite(t)
-	if err := s.ask(newHolder("p1")); api.ProblemOf(err).Name != "grant.NotFounded" {
+	if err := s.ask(newHolder("p1")); api.RemoteErrorOf(err).Code != "grant.NotFounded" {
 		t.Errorf("before the founding: %v", err)
 	}
 	s.found()
@@ -231,7 +231,7 @@
 	s.start(other)
 	s.both("both have half once the stewards are back", a, b, halves, 1000)
 
-	s.file.Budgets[0].Whole = 400
+	s.file.Quotas[0].Limit = 400
 	s.set()
 	deadline := time.Now().Add(700 * time.Millisecond) // a lease, with its margin: then the lower whole holds
 	s.both("the old whole ends", a, b, func(float64, float64) bool { return time.Now().After(deadline) }, 1000)
@@ -247,39 +247,39 @@
 	ctx := context.Background()
 	refused := func(what, name string, err error) {
 		t.Helper()
-		if p := api.ProblemOf(err); !strings.Contains(p.Name, name) || p.Help == "" {
-			t.Errorf("%s: %s %v, with advice %q", what, p.Name, err, p.Help)
+		if p := api.RemoteErrorOf(err); !strings.Contains(p.Code, name) || p.Help == "" {
+			t.Errorf("%s: %s %v, with advice %q", what, p.Code, err, p.Help)
 		}
 	}
-	s.must(s.file.Found(ctx, s.client, 1)) // told again
+	s.must(s.file.Bootstrap(ctx, s.client, 1)) // told again
 	short := *s.file
-	short.Longest /= 2
-	refused("a shorter longest", "BadCommand", short.Found(ctx, s.client, 2))
+	short.MaxLifetime /= 2
+	refused("a shorter longest", "BadCommand", short.Bootstrap(ctx, s.client, 2))
 	wrong := *s.file
 	wrong.Fleet = "south"
-	refused("another fleet's founding", "OtherFleet", wrong.Found(ctx, s.client, 2))
-	_, err := wrong.Set(ctx, s.client, 9, nil)
+	refused("another fleet's founding", "OtherFleet", wrong.Bootstrap(ctx, s.client, 2))
+	_, err := wrong.SetQuotas(ctx, s.client, 9, nil)
 	refused("another fleet's budgets", "OtherFleet", err)
-	_, err = s.file.Set(ctx, s.client, 1, nil)
+	_, err = s.file.SetQuotas(ctx, s.client, 1, nil)
 	refused("an old version", "OldBudgets", err)
 	stranger := newHolder("p1")
 	stranger.Holder = quotalease.NewHolder(quotalease.HolderSettings{FleetID: "south", HolderID: quotalease.HolderID{Holder: "p1", Incarnation: 1}})
 	lead := s.leader()
-	err = api.One(ctx, s.client, s.file.Stewards[lead].Address, api.PathAsk, stranger.NextRequest(0), nil)
+	err = api.CallWithTimeout(ctx, s.client, s.file.Servers[lead].Address, api.PathLease, stranger.NextRequest(0), nil)
 	refused("another fleet's proxy", "OtherFleet", err)
-	follower := s.file.Stewards[(lead+1)%3]
-	err = api.One(ctx, s.client, follower.Address, api.PathAsk, newHolder("p2").NextRequest(0), nil)
-	if p := api.ProblemOf(err); p.Leader != s.file.Stewards[lead].Address || !strings.Contains(p.Name, "NotLeader") {
+	follower := s.file.Servers[(lead+1)%3]
+	err = api.CallWithTimeout(ctx, s.client, follower.Address, api.PathLease, newHolder("p2").NextRequest(0), nil)
+	if p := api.RemoteErrorOf(err); p.LeaderAddress != s.file.Servers[lead].Address || !strings.Contains(p.Code, "NotLeader") {
 		t.Errorf("a follower says %+v", p)
 	}
 
 	// Founding anew: what was granted under the first epoch has ended before anything is granted under the second.
 	a, b := newHolder("p1"), newHolder("p2")
 	s.both("p1 has all or half", a, b, func(a, b float64) bool { return a > 0 }, 1000)
-	s.must(s.file.Found(ctx, s.client, 2))
+	s.must(s.file.Bootstrap(ctx, s.client, 2))
 	s.until("budgets are set under the second epoch", func() bool {
-		_, err := s.file.Set(ctx, s.client, 0, nil)
-		if err != nil && b.has() > 0 && api.ProblemOf(err).Name == "" {
+		_, err := s.file.SetQuotas(ctx, s.client, 0, nil)
+		if err != nil && b.has() > 0 && api.RemoteErrorOf(err).Code == "" {
 			t.Errorf("an error without a name: %v", err)
 		}
 		return err == nil
@@ -292,12 +292,12 @@
 	copied, err := os.ReadFile(old)
 	s.must(err)
 	s.start(0)
-	s.both("it takes part again", a, b, func(a, b float64) bool { return a == 500 && b == 500 && s.run[0].stand.Load().Applied > 5 }, 1000)
+	s.both("it takes part again", a, b, func(a, b float64) bool { return a == 500 && b == 500 && s.run[0].status.Load().Applied > 5 }, 1000)
 	s.stop(0)
 	s.must(os.WriteFile(old, copied, 0o600))
 	s.start(0)
 	s.both("it finds that its store is old", a, b, func(a, b float64) bool {
-		return strings.Contains(s.run[0].stand.Load().Trouble.Name, "StoreRolledBack") && a == 500 && b == 500
+		return strings.Contains(s.run[0].status.Load().Fault.Code, "StoreRolledBack") && a == 500 && b == 500
 	}, 1000)
 }
 
@@ -305,13 +305,13 @@
 func TestFiguresAreShownToWhoShowsACertificate(t *testing.T) {
 	ca := tlstest.NewCA(t)
 	files := ca.Issue(t, "steward", time.Hour)
-	s := newSiteBy(t, &api.TLS{Certificate: files.Certificate, Key: files.Key, CA: files.CA})
+	s := newSiteBy(t, &api.TLSFiles{Certificate: files.Certificate, Key: files.Key, CA: files.CA})
 	stranger := tlstest.NewCA(t).Issue(t, "stranger", time.Hour)
-	other, err := (&api.File{TLS: &api.TLS{Certificate: stranger.Certificate, Key: stranger.Key, CA: files.CA}}).Keys()
+	other, err := (&api.Config{TLS: &api.TLSFiles{Certificate: stranger.Certificate, Key: stranger.Key, CA: files.CA}}).LoadTLSKeys()
 	s.must(err)
-	for what, via := range map[string]http.RoundTripper{"in the clear": api.Transport(nil), "another CA's": api.Transport(other)} {
+	for what, via := range map[string]http.RoundTripper{"in the clear": api.NewTransport(nil), "another CA's": api.NewTransport(other)} {
 		client := &http.Client{Transport: via}
-		if err := s.file.Found(context.Background(), client, 1); !errors.As(err, &api.Unreachable{}) {
+		if err := s.file.Bootstrap(context.Background(), client, 1); !errors.As(err, &api.ServerUnreachableError{}) {
 			t.Errorf("%s: %v", what, err)
 		}
 		client.CloseIdleConnections()
@@ -320,7 +320,7 @@
 	s.must(func() error { s.until("an ask", func() bool { return s.ask(newHolder("p1")) == nil }); return nil }())
 	lead := s.leader()
 	s.until("figures", func() bool {
-		r, err := s.client.Get("http://" + s.file.Stewards[lead].Address + api.PathMetrics)
+		r, err := s.client.Get("http://" + s.file.Servers[lead].Address + api.PathMetrics)
 		s.must(err)
 		defer r.Body.Close()
 		var text strings.Builder
@@ -337,12 +337,12 @@
 	for _, proxies := range []int{30, 300} {
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
 			s := newSite(b)
-			s.file.Budgets[0].Burst = 1000
+			s.file.Quotas[0].Burst = 1000
 			s.found()
-			lead := s.file.Stewards[s.leader()].Address
+			lead := s.file.Servers[s.leader()].Address
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: proxies}}
 			defer client.CloseIdleConnections()
-			before := *s.run[s.leader()].stand.Load()
+			before := *s.run[s.leader()].status.Load()
 			var left, failed atomic.Int64
 			left.Store(int64(b.N))
 			b.ResetTimer()
@@ -354,7 +354,7 @@
 						h.SetDemand("attempts", 1000)
 						at := h.now()
 						var reply quotalease.Reply
-						if err := api.One(context.Background(), client, lead, api.PathAsk, h.NextRequest(at), &reply); err != nil {
+						if err := api.CallWithTimeout(context.Background(), client, lead, api.PathLease, h.NextRequest(at), &reply); err != nil {
 							failed.Add(1)
 							continue
 						}
@@ -364,11 +364,11 @@
 			}
 			all.Wait()
 			b.StopTimer()
-			s.run[s.leader()].look()
-			after := s.run[s.leader()].stand.Load()
+			s.run[s.leader()].refreshStatus()
+			after := s.run[s.leader()].status.Load()
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "asks/s")
-			b.ReportMetric(float64(after.Counts["log_sent_bytes"]-before.Counts["log_sent_bytes"])/float64(b.N), "log-B/ask")
-			b.ReportMetric(float64(after.Counts["proposals"]-before.Counts["proposals"])/float64(b.N), "entries/ask")
+			b.ReportMetric(float64(after.Counters["log_sent_bytes"]-before.Counters["log_sent_bytes"])/float64(b.N), "log-B/ask")
+			b.ReportMetric(float64(after.Counters["proposals"]-before.Counters["proposals"])/float64(b.N), "entries/ask")
 			b.ReportMetric(float64(failed.Load()), "failed")
 		})
 	}
--- a/internal/controlplane/server/trains_test.go
+++ b/internal/controlplane/server/trains_test.go
@@ -21,7 +21,7 @@
 	t      testing.TB
 	rng    *rand.Rand
 	book   *store.Book
-	roll   *roller // of whoever leads; nil is nobody
+	roll   *rolloutDriver // of whoever leads; nil is nobody
 	set    rollout.Settings
 	now    time.Duration
 	all    []*cart
@@ -52,11 +52,11 @@
 // cart is a proxy.
 type cart struct {
 	name   string
-	has    rollout.Offer
+	has    rollout.Version
 	own    float64
 	number uint64
-	coming rollout.Offer // that it is taking up
-	gone   bool          // or cut off
+	coming rollout.Version // that it is taking up
+	gone   bool            // or cut off
 }
 
 // offered is a change.
@@ -71,8 +71,8 @@
 
 func newYard(t testing.TB, seed uint64, n, teams int) *yard {
 	t.Helper()
-	f := &api.File{}
-	y := &yard{t: t, rng: rand.New(rand.NewPCG(seed, 21)), set: f.Rollout(), harm: map[uint64]bool{}, never: map[uint64]bool{}}
+	f := &api.Config{}
+	y := &yard{t: t, rng: rand.New(rand.NewPCG(seed, 21)), set: f.RolloutSettings(), harm: map[uint64]bool{}, never: map[uint64]bool{}}
 	y.found(teams)
 	y.join(n)
 	return y
@@ -112,7 +112,9 @@
 }
 
 // lead has another steward lead from now on, who knows the book alone.
-func (y *yard) lead() { y.roll = &roller{proxies: map[string]*reporter{}, early: y.early} }
+func (y *yard) lead() {
+	y.roll = &rolloutDriver{proxies: map[string]*proxyState{}, announceBeforeCommit: y.early}
+}
 
 func (y *yard) join(n int) {
 	for range n {
@@ -186,7 +188,7 @@
 		st = y.book.Standing()
 	}
 	for _, c := range y.taking {
-		if c.coming.After(c.has) {
+		if c.coming.NewerThan(c.has) {
 			c.has = c.coming
 		}
 	}
@@ -197,11 +199,11 @@
 		y.report(c, st)
 	}
 	if r := y.roll; r != nil { // the steward looks ten times a second
-		r.follow(y.now, y.set, st)
-		r.tick(y.now)
-		state, why := r.rule.State()
+		r.syncWithLog(y.now, y.set, st)
+		r.advance(y.now)
+		state, why := r.rollout.State()
 		if r.next == st.Next && r.next.Epoch != 0 && st.Stopped == nil && y.judge == nil && (state == rollout.Done || state == rollout.Stopped) {
-			j := &store.Judge{Order: r.next.Order, Epoch: r.next.Epoch, Done: state == rollout.Done, Proxies: len(r.proxies)}
+			j := &store.Judge{Order: r.next.Generation, Epoch: r.next.Epoch, Done: state == rollout.Done, Proxies: len(r.proxies)}
 			if why != nil {
 				j.Why, j.Help = why.Error(), operatorerror.Of(why)
 			}
@@ -226,7 +228,7 @@
 	for _, c := range y.all {
 		switch {
 		case c.gone:
-		case c.has.Order != st.Base.Order:
+		case c.has.Generation != st.Base.Generation:
 			y.least = 0
 		default:
 			y.least = min(y.least, c.has.Epoch)
@@ -250,14 +252,14 @@
 	const each = 160 // requests a second
 	bad := int64(math.Round(each*share + math.Sqrt(each*share*(1-share))*y.rng.NormFloat64()))
 	bad = max(0, min(each, bad))
-	o, err := y.roll.report(y.now, y.set, st, api.PolicyReport{Proxy: c.name, Number: c.number, Has: c.has, Good: each - bad, Bad: bad})
+	o, err := y.roll.report(y.now, y.set, st, api.PolicyReport{Proxy: c.name, Sequence: c.number, Current: c.has, Good: each - bad, Bad: bad})
 	if err != nil {
 		y.t.Fatal(err)
 	}
-	if c.has.After(o) && o.Order > c.has.Order {
+	if c.has.NewerThan(o) && o.Generation > c.has.Generation {
 		y.wrong = append(y.wrong, "an offer goes back")
 	}
-	if o.After(c.has) && !y.never[o.Epoch] {
+	if o.NewerThan(c.has) && !y.never[o.Epoch] {
 		c.coming = o
 		y.taking = append(y.taking, c)
 	}
@@ -480,7 +482,7 @@
 	y.settle()
 	y.check()
 	for _, c := range y.all {
-		if c.has.Epoch != base.Epoch || c.has.Order != base.Order+1 {
+		if c.has.Epoch != base.Epoch || c.has.Generation != base.Generation+1 {
 			t.Fatalf("%s has %+v", c.name, c.has)
 		}
 	}
--- a/internal/controlplane/server/twice.go
+++ b/internal/controlplane/server/twice.go
@@ -7,61 +7,61 @@
 	"lapisspread/internal/quotalease"
 )
 
-// FloorsTwice is that two processes both say that the floors of one name are theirs. On one machine a lock keeps them apart, so these
+// DuplicateFloorClaimError is that two processes both say that the floors of one name are theirs. On one machine a lock keeps them apart, so these
 // are on two.
-type FloorsTwice struct{ Holder string }
+type DuplicateFloorClaimError struct{ Holder string }
 
-func (e FloorsTwice) Error() string {
+func (e DuplicateFloorClaimError) Error() string {
 	return fmt.Sprintf("two processes on two machines go by the floors of %s", e.Holder)
 }
 
 // Advice is what an operator can do.
-func (FloorsTwice) Advice() string {
+func (DuplicateFloorClaimError) Advice() string {
 	return "Stop one of the two, or give it a name of its own: until then its floors are spent twice. A copy of a machine's state folder is the usual cause."
 }
 
-// claimants finds that. Once another incarnation has claimed a name's floors, the one before it must never do so again.
-type claimants struct {
-	by   map[string]*claimed
-	told time.Duration
+// floorClaimTracker finds that. Once another incarnation has claimed a name's floors, the one before it must never do so again.
+type floorClaimTracker struct {
+	byHolder    map[string]*floorClaimHistory
+	lastWarning time.Duration
 }
 
-type claimed struct {
-	now    uint64
-	before map[uint64]time.Duration // when it claimed last
+type floorClaimHistory struct {
+	current  uint64
+	previous map[uint64]time.Duration // when it claimed last
 }
 
 const (
-	mostClaimants = 1 << 14
-	remembered    = time.Minute // a claim; of two that live each asks many times in that
+	maxTrackedHolders = 1 << 14
+	claimMemory       = time.Minute // a claim; of two that live each asks many times in that
 )
 
-// heard takes a request, and returns FloorsTwice if it shows that.
-func (c *claimants) heard(now time.Duration, r *quotalease.Request) error {
+// observe takes a request, and returns FloorsTwice if it shows that.
+func (c *floorClaimTracker) observe(now time.Duration, r *quotalease.Request) error {
 	if r.FloorsVersion == 0 || r.Leaving {
 		return nil
 	}
-	if c.by == nil || len(c.by) >= mostClaimants {
-		c.by = map[string]*claimed{}
+	if c.byHolder == nil || len(c.byHolder) >= maxTrackedHolders {
+		c.byHolder = map[string]*floorClaimHistory{}
 	}
-	h := c.by[r.Holder]
+	h := c.byHolder[r.Holder]
 	if h == nil {
-		h = &claimed{now: r.Incarnation, before: map[uint64]time.Duration{}}
-		c.by[r.Holder] = h
+		h = &floorClaimHistory{current: r.Incarnation, previous: map[uint64]time.Duration{}}
+		c.byHolder[r.Holder] = h
 	}
-	if h.now == r.Incarnation {
+	if h.current == r.Incarnation {
 		return nil
 	}
-	for i, at := range h.before {
-		if now-at > remembered {
-			delete(h.before, i)
+	for i, at := range h.previous {
+		if now-at > claimMemory {
+			delete(h.previous, i)
 		}
 	}
-	_, again := h.before[r.Incarnation]
-	h.before[h.now] = now
-	h.now = r.Incarnation
+	_, again := h.previous[r.Incarnation]
+	h.previous[h.current] = now
+	h.current = r.Incarnation
 	if again {
-		return FloorsTwice{r.Holder}
+		return DuplicateFloorClaimError{r.Holder}
 	}
 	return nil
 }
--- a/internal/controlplane/server/twice_test.go
+++ b/internal/controlplane/server/twice_test.go
@@ -21,10 +21,10 @@
 		"an upgrade: the old one asks": {[]*quotalease.Request{ask(1, 3), ask(2, 0), ask(1, 3), ask(2, 3), ask(1, 0)}, false},
 		"two":                          {[]*quotalease.Request{ask(1, 3), ask(2, 3), ask(1, 3)}, true},
 	} {
-		var all claimants
+		var all floorClaimTracker
 		found := false
 		for i, r := range c.asks {
-			found = errors.As(all.heard(time.Duration(i)*time.Second, r), &FloorsTwice{}) || found
+			found = errors.As(all.observe(time.Duration(i)*time.Second, r), &DuplicateFloorClaimError{}) || found
 		}
 		if found != c.want {
 			t.Errorf("%s: found %v", name, found)
--- a/internal/faultlab/capacity/child.go
+++ b/internal/faultlab/capacity/child.go
@@ -98,7 +98,7 @@
 // sample is how a proxy decides.
 type sample struct {
 	Proxy    string
-	Says     rollout.Offer
+	Says     rollout.Version
 	Services []string
 	Numbers  map[string]uint64 // of the files that its policy says it comes of
 }
@@ -154,7 +154,7 @@
 		for _, s := range c.place.Services {
 			h.has[s] = true
 		}
-		h.file.State = stateOf(c.place.Dir, h.name)
+		h.file.StateDir = stateOf(c.place.Dir, h.name)
 		c.proxies, c.by[h.name] = append(c.proxies, h), h
 		if err := h.start(); err != nil {
 			return err
@@ -312,7 +312,7 @@
 			all.Go(func() {
 				err := h.anew(o.Empty)
 				c.mu.Lock()
-				h.last = rollout.Offer{} // another process: what it kept may be older
+				h.last = rollout.Version{} // another process: what it kept may be older
 				delete(c.resting, h)
 				c.mu.Unlock()
 				if err != nil {
--- a/internal/faultlab/capacity/decides.go
+++ b/internal/faultlab/capacity/decides.go
@@ -44,7 +44,7 @@
 	there := func(service string) bool { return has == nil || has[service] }
 	var err error
 	if was != nil && was.routes != nil && t.Diff != nil && was.taken.Offer == t.Base {
-		out.routes, err = was.routes.With(t.Policy, t.Diff, there)
+		out.routes, err = was.routes.Update(t.Policy, t.Diff, there)
 	} else {
 		out.routes, err = routetable.Build(t.Policy, "", there)
 	}
--- a/internal/faultlab/capacity/hollow.go
+++ b/internal/faultlab/capacity/hollow.go
@@ -22,7 +22,7 @@
 type hollow struct {
 	no    int
 	name  string
-	file  api.File // its own: the state folder is
+	file  api.Config // its own: the state folder is
 	flaw  string
 	rate  float64 // requests a second that it counts
 	bad   float64 // share of them
@@ -41,13 +41,13 @@
 	drawn    float64
 
 	now  atomic.Pointer[decides]
-	last rollout.Offer // that it was seen to have; of the watcher
-	told time.Duration // FlawLate: since when it has been told of something newer
+	last rollout.Version // that it was seen to have; of the watcher
+	told time.Duration   // FlawLate: since when it has been told of something newer
 }
 
 // start begins the proxy, with what its folder keeps.
 func (h *hollow) start() error {
-	if err := os.MkdirAll(h.file.State, 0o700); err != nil {
+	if err := os.MkdirAll(h.file.StateDir, 0o700); err != nil {
 		return err
 	}
 	log := slog.New(slog.DiscardHandler)
@@ -55,10 +55,10 @@
 	defer h.mu.Unlock()
 	h.policies = client.NewPolicyClient(client.Config{File: &h.file, ProxyName: h.name, Logger: log, Transport: h.policy.transport()}, h.install)
 	h.link, h.sights = nil, nil
-	if len(h.file.Budgets) > 0 {
+	if len(h.file.Quotas) > 0 {
 		h.link = client.NewQuotaClient(client.Config{File: &h.file, ProxyName: h.name, Logger: log, Transport: h.budget.transport()})
-		for _, b := range h.file.Budgets {
-			sight, err := h.link.ForService(b.Of.Service, nil, nil)
+		for _, b := range h.file.Quotas {
+			sight, err := h.link.ForService(b.Filter.Service, nil, nil)
 			if err != nil {
 				return err
 			}
@@ -96,7 +96,7 @@
 func (h *hollow) anew(empty bool) error {
 	h.stop()
 	if empty {
-		if err := os.RemoveAll(h.file.State); err != nil {
+		if err := os.RemoveAll(h.file.StateDir); err != nil {
 			return err
 		}
 	}
@@ -186,12 +186,12 @@
 }
 
 // says is what it tells the stewards that it has.
-func (h *hollow) says() rollout.Offer {
+func (h *hollow) says() rollout.Version {
 	h.mu.Lock()
 	p := h.policies
 	h.mu.Unlock()
 	if p == nil {
-		return rollout.Offer{}
+		return rollout.Version{}
 	}
 	return p.Current().Offer
 }
@@ -201,14 +201,14 @@
 	o := h.says()
 	was := h.last
 	h.last = o
-	if o == was || o.After(was) {
+	if o == was || o.NewerThan(was) {
 		return ""
 	}
-	return fmt.Sprintf("from order %d, epoch %d back to order %d, epoch %d", was.Order, was.Epoch, o.Order, o.Epoch)
+	return fmt.Sprintf("from order %d, epoch %d back to order %d, epoch %d", was.Generation, was.Epoch, o.Generation, o.Epoch)
 }
 
 // decisions are how it decides some requests, with what it says that it has at that moment. One that is just taking something up is asked again.
-func (h *hollow) decisions(some []route.Request) (rollout.Offer, []string) {
+func (h *hollow) decisions(some []route.Request) (rollout.Version, []string) {
 	for try := 0; ; try++ {
 		said, now := h.says(), h.now.Load()
 		var all []string
--- a/internal/faultlab/capacity/meter.go
+++ b/internal/faultlab/capacity/meter.go
@@ -33,7 +33,7 @@
 
 // transport leads calls to stewards over connections of its own.
 func (m *meter) transport() http.RoundTripper {
-	t := api.Transport(nil).(*http.Transport) // in the clear it is one
+	t := api.NewTransport(nil).(*http.Transport) // in the clear it is one
 	t.DialContext = m.dial
 	return t
 }
--- a/internal/faultlab/capacity/play.go
+++ b/internal/faultlab/capacity/play.go
@@ -507,8 +507,8 @@
 
 // leader is the steward that leads; -1 is none that says so.
 func (r *run) leader(ctx context.Context) int {
-	for i, s := range r.file.Stewards {
-		var st api.Status
+	for i, s := range r.file.Servers {
+		var st api.ServerStatus
 		one, cancel := context.WithTimeout(ctx, time.Second)
 		err := api.Call(one, r.operator, s.Address, api.PathStatus, nil, &st)
 		cancel()
