--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -33,7 +33,7 @@
 	dir       string
 	folders   string // what hollow proxies keep is in it
 	fleetPath string // for stewards and the operator
-	file      *api.File
+	file      *api.Config
 	operator  *http.Client
 
 	register string
@@ -154,7 +154,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{set: set, site: newSite(&set), world: newWorld(), operator: &http.Client{Transport: api.Transport(nil)}, waits: map[int]*wait{},
+	r := &run{set: set, site: newSite(&set), world: newWorld(), operator: &http.Client{Transport: api.NewTransport(nil)}, waits: map[int]*wait{},
 		contents: map[string]content{}, epochs: map[uint64]content{}, unknown: map[string][]odd{}, away: map[string][]span{}, wrong: map[string]string{},
 		broken: map[string]*Broken{}, held: map[string]bool{}, unserved: map[string]int{}}
 	r.services = r.site.serviceNames()
@@ -208,12 +208,12 @@
 		return fmt.Errorf("%v after the start %d of %d proxies do not decide by the first policy%s", r.set.Start, r.count(w), r.set.Proxies, r.stand(ctx))
 	}
 	if err := again(ctx, "what goes out at the beginning is through", func() error {
-		s, err := r.file.Policies(ctx, r.operator)
-		switch st := s.Standing; {
+		s, err := r.file.PolicyStatus(ctx, r.operator)
+		switch st := s.Policy; {
 		case err != nil:
 			return err
-		case !s.Leads || st.Next.Epoch > 0 || newest(st).Hash != st.Base.Hash || s.Have < s.Proxies-(r.set.Proxies-len(r.able())):
-			return fmt.Errorf("%s: %d of %d proxies have it%s", s.State, s.Have, s.Proxies, r.stand(ctx))
+		case !s.IsLeader || st.Next.Epoch > 0 || newest(st).Hash != st.Base.Hash || s.Updated < s.ProxyCount-(r.set.Proxies-len(r.able())):
+			return fmt.Errorf("%s: %d of %d proxies have it%s", s.RolloutState, s.Updated, s.ProxyCount, r.stand(ctx))
 		}
 		return nil
 	}); err != nil {
@@ -296,10 +296,10 @@
 			return err
 		}
 	}
-	if err := again(ctx, "the fleet is founded", func() error { return r.file.Found(ctx, r.operator, 1) }); err != nil {
+	if err := again(ctx, "the fleet is founded", func() error { return r.file.Bootstrap(ctx, r.operator, 1) }); err != nil {
 		return err
 	}
-	return again(ctx, "budgets are set", func() error { _, err := r.file.Set(ctx, r.operator, 0, nil); return err })
+	return again(ctx, "budgets are set", func() error { _, err := r.file.SetQuotas(ctx, r.operator, 0, nil); return err })
 }
 
 // again does something until it works, or ctx ends.
@@ -319,7 +319,7 @@
 
 // bad tells whether the book itself says no, so that saying it again changes nothing.
 func bad(err error) bool {
-	name := api.ProblemOf(err).Name
+	name := api.RemoteErrorOf(err).Code
 	return strings.HasPrefix(name, "policybook.") || strings.HasPrefix(name, "namespace.")
 }
 
@@ -327,7 +327,7 @@
 func (r *run) give(ctx context.Context, c store.Command) error {
 	var no error
 	err := again(ctx, "an operator's word", func() error {
-		err := r.file.Order(ctx, r.operator, c)
+		err := r.file.SendPolicyCommand(ctx, r.operator, c)
 		if err != nil && bad(err) {
 			no = err
 			return nil
@@ -367,18 +367,18 @@
 
 func (r *run) standing(ctx context.Context) (st store.Standing, err error) {
 	err = again(ctx, "how the policy stands", func() error {
-		s, err := r.file.Policies(ctx, r.operator)
-		if err == nil && !s.Leads {
+		s, err := r.file.PolicyStatus(ctx, r.operator)
+		if err == nil && !s.IsLeader {
 			err = errors.New("no steward leads")
 		}
-		st = s.Standing
+		st = s.Policy
 		return err
 	})
 	return st, err
 }
 
 // newest is what all that was offered has come to.
-func newest(st store.Standing) rollout.Offer {
+func newest(st store.Standing) rollout.Version {
 	if st.Head.Epoch > 0 {
 		return st.Head
 	}
@@ -734,9 +734,9 @@
 func (r *run) stand(ctx context.Context) string {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 3*time.Second)
 	defer cancel()
-	st, err := r.file.Policies(ctx, r.operator)
-	out := fmt.Sprintf("; the stewards say: %s, %d of %d proxies have it, %d refuse it; base %d, next %d, stopped %+v, %v", st.State, st.Have, st.Proxies, st.Refused,
-		st.Standing.Base.Epoch, st.Standing.Next.Epoch, st.Standing.Stopped, err)
+	st, err := r.file.PolicyStatus(ctx, r.operator)
+	out := fmt.Sprintf("; the stewards say: %s, %d of %d proxies have it, %d refuse it; base %d, next %d, stopped %+v, %v", st.RolloutState, st.Updated, st.ProxyCount, st.Rejected,
+		st.Policy.Base.Epoch, st.Policy.Next.Epoch, st.Policy.Stopped, err)
 	if e, err := r.remotes[0].call(ctx, r, order{Figures: true}); err == nil {
 		for text, n := range e.Fig.Troubles {
 			out += fmt.Sprintf("\n%d times: %s", n, text)
--- a/internal/faultlab/clustertest/fleet_test.go
+++ b/internal/faultlab/clustertest/fleet_test.go
@@ -22,8 +22,8 @@
 
 // shared is a budget of all attempts that is less than what is sent, and no floors.
 func shared() *liverun.FleetOptions {
-	return &liverun.FleetOptions{Longest: lease, Tokens: true, Budgets: []api.Budget{
-		{Name: "attempts", Of: api.Of{Counts: "attempts"}, Whole: 40, Burst: 20, Lease: strictconfig.Span(lease)}}}
+	return &liverun.FleetOptions{Longest: lease, Tokens: true, Budgets: []api.Quota{
+		{Name: "attempts", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 40, Burst: 20, LeaseDuration: strictconfig.Span(lease)}}}
 }
 
 // floors is one with a part of it fixed by name for the first proxy.
@@ -83,8 +83,8 @@
 
 func (o *otherFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var q quotalease.Request
-	if err := api.Read(r.Body, &q); err != nil {
-		api.Write(w, http.StatusBadRequest, api.ProblemOf(err))
+	if err := api.DecodeBody(r.Body, &q); err != nil {
+		api.WriteReply(w, http.StatusBadRequest, api.RemoteErrorOf(err))
 		return
 	}
 	reply := quotalease.Reply{FleetID: "other", Epoch: 1, HolderID: q.HolderID, ConfigVersion: 1, Leases: []quotalease.Lease{{FleetID: "other", Epoch: 1, HolderID: q.HolderID, Quota: "attempts", Kind: quotalease.Rate,
@@ -92,7 +92,7 @@
 	if q.Seq%2 == 0 {
 		reply.FleetID = q.FleetID
 	}
-	api.Write(w, http.StatusOK, reply)
+	api.WriteReply(w, http.StatusOK, reply)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	had := o.replies[q.HolderID.Holder]
--- a/internal/faultlab/controlplane/policy_test.go
+++ b/internal/faultlab/controlplane/policy_test.go
@@ -54,7 +54,7 @@
 	end  func()
 
 	mu     sync.Mutex
-	last   rollout.Offer
+	last   rollout.Version
 	crimes []string
 }
 
@@ -122,7 +122,7 @@
 	s.must(err)
 	f := &fleetOf{site: s, edges: map[string]*edge{}, number: map[string]int{}, dir: t.TempDir()}
 	s.until("the stewards listen", func() bool {
-		_, errs := s.file.Statuses(t.Context(), s.client)
+		_, errs := s.file.ServerStatuses(t.Context(), s.client)
 		return errs[0] == nil && errs[1] == nil && errs[2] == nil
 	})
 	f.found(1)
@@ -138,7 +138,7 @@
 	f.t.Helper()
 	f.foundAs(fmt.Sprint(epoch))
 	f.until("the charter is taken", func() bool {
-		return f.file.Order(context.Background(), f.client, store.Command{Charter: &store.Charter{Text: charterOf()}}) == nil
+		return f.file.SendPolicyCommand(context.Background(), f.client, store.Command{Charter: &store.Charter{Text: charterOf()}}) == nil
 	})
 }
 
@@ -147,8 +147,8 @@
 	f.t.Helper()
 	for _, name := range names {
 		file := *f.file
-		file.State = f.dir
-		transport := api.Transport(nil)
+		file.StateDir = f.dir
+		transport := api.NewTransport(nil)
 		e := &edge{name: name, way: &way{RoundTripper: transport}}
 		e.PolicyClient = client.NewPolicyClient(client.Config{File: &file, ProxyName: name, Transport: e.way}, e.judge)
 		e.Restore()
@@ -188,7 +188,7 @@
 	if err != nil || tree.Root().String() != t.Offer.Hash {
 		e.crimes = append(e.crimes, fmt.Sprintf("%s took up %+v with another content (%v)", e.name, t.Offer, err))
 	}
-	if !t.Offer.After(e.last) {
+	if !t.Offer.NewerThan(e.last) {
 		e.crimes = append(e.crimes, fmt.Sprintf("%s took up %+v after %+v", e.name, t.Offer, e.last))
 	}
 	e.last = t.Offer
@@ -209,7 +209,7 @@
 	f.t.Helper()
 	f.number[team]++
 	c := store.Command{Offer: &store.Offer{Text: policyText(team, f.number[team]), By: team}}
-	f.until("an offer is taken", func() bool { return f.file.Order(context.Background(), f.client, c) == nil })
+	f.until("an offer is taken", func() bool { return f.file.SendPolicyCommand(context.Background(), f.client, c) == nil })
 }
 
 // standing is the leader's word.
@@ -217,16 +217,16 @@
 	f.t.Helper()
 	f.until("the leader's word", func() bool {
 		var err error
-		p, err = f.file.Policies(context.Background(), f.client)
-		return err == nil && p.Leads
+		p, err = f.file.PolicyStatus(context.Background(), f.client)
+		return err == nil && p.IsLeader
 	})
 	return p
 }
 
 // settled waits until all that was offered is in force, and all proxies but some have it.
-func (f *fleetOf) settled(what string, but ...string) rollout.Offer {
+func (f *fleetOf) settled(what string, but ...string) rollout.Version {
 	f.t.Helper()
-	var base rollout.Offer
+	var base rollout.Version
 	defer func() {
 		if f.t.Failed() {
 			f.t.Logf("%s: %s", what, f.order("policy", f.path))
@@ -234,8 +234,8 @@
 	}()
 	f.until(what+": all is in force everywhere", func() bool {
 		p := f.standing()
-		base = p.Standing.Base
-		if p.Standing.Next.Epoch != 0 || len(p.Standing.Gathered) > 0 || base.Epoch == 0 {
+		base = p.Policy.Base
+		if p.Policy.Next.Epoch != 0 || len(p.Policy.Gathered) > 0 || base.Epoch == 0 {
 			return false
 		}
 		for name, e := range f.edges {
@@ -293,7 +293,7 @@
 		f.t.Helper()
 		f.offer("alpha")
 		f.until(what+": some have it", func() bool {
-			next := f.standing().Standing.Next
+			next := f.standing().Policy.Next
 			if next.Epoch == 0 {
 				f.offer("alpha")
 				return false
@@ -318,7 +318,7 @@
 	f.leader(lead)
 	f.offerBy(lead, "gamma")
 	f.until("the others go on", func() bool {
-		return f.leads(lead).Standing.Next.Epoch == 0 && len(f.leads(lead).Standing.Gathered) == 0
+		return f.leads(lead).Policy.Next.Epoch == 0 && len(f.leads(lead).Policy.Gathered) == 0
 	})
 	f.signal(lead, syscall.SIGCONT)
 	f.settled("a leader that was stopped amid a train was woken")
@@ -387,11 +387,11 @@
 	// A founding anew: its numbers begin at 1, and it goes before all that there was.
 	f.foundAs("2")
 	f.until("the charter is taken", func() bool {
-		return f.file.Order(context.Background(), f.client, store.Command{Charter: &store.Charter{Text: charterOf()}}) == nil
+		return f.file.SendPolicyCommand(context.Background(), f.client, store.Command{Charter: &store.Charter{Text: charterOf()}}) == nil
 	})
 	f.number = map[string]int{}
 	f.offer("beta")
-	if base := f.settled("a founding anew"); base.Order != 2<<32 {
+	if base := f.settled("a founding anew"); base.Generation != 2<<32 {
 		t.Errorf("%+v is in force", base)
 	}
 	f.fair()
@@ -401,23 +401,23 @@
 // cause, and that is not what is tried here.
 func (f *fleetOf) alone(n int) {
 	f.t.Helper()
-	f.until(fmt.Sprintf("the leader knows of %d proxies", n), func() bool { return f.standing().Proxies == n })
+	f.until(fmt.Sprintf("the leader knows of %d proxies", n), func() bool { return f.standing().ProxyCount == n })
 }
 
 // leads is the word of a leader other than one that is stopped.
 func (f *fleetOf) leads(not int) (p api.PolicyStatus) {
 	f.t.Helper()
 	rest := *f.file
-	rest.Stewards = nil
-	for i, s := range f.file.Stewards {
+	rest.Servers = nil
+	for i, s := range f.file.Servers {
 		if i != not {
-			rest.Stewards = append(rest.Stewards, s)
+			rest.Servers = append(rest.Servers, s)
 		}
 	}
 	f.until("the word of another leader", func() bool {
 		var err error
-		p, err = rest.Policies(context.Background(), f.client)
-		return err == nil && p.Leads
+		p, err = rest.PolicyStatus(context.Background(), f.client)
+		return err == nil && p.IsLeader
 	})
 	return p
 }
@@ -428,8 +428,8 @@
 	f.number[team]++
 	c := store.Command{Offer: &store.Offer{Text: policyText(team, f.number[team]), By: team}}
 	f.until("an offer is taken", func() bool {
-		for i, s := range f.file.Stewards {
-			if i != not && api.One(context.Background(), f.client, s.Address, api.PathOrder, c, nil) == nil {
+		for i, s := range f.file.Servers {
+			if i != not && api.CallWithTimeout(context.Background(), f.client, s.Address, api.PathPolicyCommand, c, nil) == nil {
 				return true
 			}
 		}
@@ -449,7 +449,7 @@
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	f.must(c.Start())
 	t.Cleanup(func() { _ = c.Process.Kill(); _ = c.Wait() })
-	has := func(o rollout.Offer) bool { return uint64(p.granted.Load()) == o.Epoch }
+	has := func(o rollout.Version) bool { return uint64(p.granted.Load()) == o.Epoch }
 	for _, team := range teams {
 		f.offer(team)
 	}
@@ -478,7 +478,7 @@
 	if err != nil {
 		panic(err)
 	}
-	f.State = state
+	f.StateDir = state
 	p, err := mapped(count)
 	if err != nil {
 		panic(err)
--- a/internal/faultlab/controlplane/stewards_test.go
+++ b/internal/faultlab/controlplane/stewards_test.go
@@ -91,7 +91,7 @@
 	t      *testing.T
 	dir    string
 	path   string
-	file   *api.File
+	file   *api.Config
 	client *http.Client
 	run    [3]*exec.Cmd
 
@@ -213,8 +213,8 @@
 func (s *site) leader(not int) (lead int) {
 	s.t.Helper()
 	s.until("a leader", func() bool {
-		for i, o := range s.file.Stewards {
-			var st api.Status
+		for i, o := range s.file.Servers {
+			var st api.ServerStatus
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			err := api.Call(ctx, s.client, o.Address, api.PathStatus, nil, &st)
 			cancel()
@@ -333,7 +333,7 @@
 func founded(t *testing.T) *site {
 	s := newSite(t)
 	s.until("the stewards listen", func() bool {
-		_, errs := s.file.Statuses(t.Context(), s.client)
+		_, errs := s.file.ServerStatuses(t.Context(), s.client)
 		return errs[0] == nil && errs[1] == nil && errs[2] == nil
 	})
 	s.foundAs("1")
@@ -388,8 +388,8 @@
 	time.Sleep(2 * lease)
 	s.until("the whole is granted once it was woken", all)
 	s.until("all three speak", func() bool {
-		st, _ := s.file.Statuses(t.Context(), s.client)
-		return len(st[0].Silent)+len(st[1].Silent)+len(st[2].Silent) == 0 && st[0].Applied > 0 && st[1].Applied > 0 && st[2].Applied > 0
+		st, _ := s.file.ServerStatuses(t.Context(), s.client)
+		return len(st[0].UnconfirmedServers)+len(st[1].UnconfirmedServers)+len(st[2].UnconfirmedServers) == 0 && st[0].Applied > 0 && st[1].Applied > 0 && st[2].Applied > 0
 	})
 	s.kill(third)
 	s.kill((third + 1) % 3)
--- a/internal/faultlab/experiment/file.go
+++ b/internal/faultlab/experiment/file.go
@@ -37,11 +37,11 @@
 
 // Fleet is budgets over the whole fleet: see live.FleetOptions. Drawn faults come about so long apart; none if left out.
 type Fleet struct {
-	Stewards int          `toml:"stewards"` // 3 if left out
-	Longest  Span         `toml:"longest"`
-	Tokens   bool         `toml:"tokens"` // the nodes know tokens
-	Drawn    Span         `toml:"drawn"`
-	Budgets  []api.Budget `toml:"budgets"`
+	Stewards int         `toml:"stewards"` // 3 if left out
+	Longest  Span        `toml:"longest"`
+	Tokens   bool        `toml:"tokens"` // the nodes know tokens
+	Drawn    Span        `toml:"drawn"`
+	Budgets  []api.Quota `toml:"budgets"`
 }
 
 // Flood is connections of which nothing good comes: see live.Flood.
--- a/internal/faultlab/liverun/drawn.go
+++ b/internal/faultlab/liverun/drawn.go
@@ -69,9 +69,9 @@
 	}},
 	{"whole-halved", func(d *drawn) error {
 		b := d.r.opts.Fleet.Budgets[0]
-		err := d.SetWhole(b.Name, b.Whole/2, b.Burst)
+		err := d.SetWhole(b.Name, b.Limit/2, b.Burst)
 		d.sleep(d.about(2 * d.lease))
-		return errors.Join(err, d.SetWhole(b.Name, b.Whole, b.Burst))
+		return errors.Join(err, d.SetWhole(b.Name, b.Limit, b.Burst))
 	}},
 }
 
@@ -94,7 +94,7 @@
 // the load ends. It notes each as a fault of the run. The draw is the same for a seed; how long each takes is the machine's.
 func Drawn(seed uint64, apart time.Duration) func(*Fleet) error {
 	return func(f *Fleet) error {
-		d := &drawn{Fleet: f, rng: rand.New(rand.NewPCG(seed, 2424)), lease: time.Duration(f.r.opts.Fleet.Budgets[0].Lease)}
+		d := &drawn{Fleet: f, rng: rand.New(rand.NewPCG(seed, 2424)), lease: time.Duration(f.r.opts.Fleet.Budgets[0].LeaseDuration)}
 		for d.sleep(d.about(apart)) {
 			one := drawnFaults[d.rng.IntN(len(drawnFaults))]
 			from := f.r.now()
--- a/internal/faultlab/liverun/fleet.go
+++ b/internal/faultlab/liverun/fleet.go
@@ -18,7 +18,7 @@
 // FleetOptions is what the proxies of a run share, and who divides it.
 type FleetOptions struct {
 	Stewards int // 3 if 0
-	Budgets  []api.Budget
+	Budgets  []api.Quota
 	Longest  time.Duration // see fleet.File
 	Tokens   bool          // the nodes know tokens, and turn older ones away
 	Transit  time.Duration // see judge.Spending; Transit if 0
@@ -53,7 +53,7 @@
 func (r *Run) fleetText(state string, addresses []string) string {
 	o := r.opts.Fleet
 	var b strings.Builder
-	fmt.Fprintf(&b, "version = %d\nfleet = %q\nlongest = %q\n", api.Version, fleetName, o.Longest)
+	fmt.Fprintf(&b, "version = %d\nfleet = %q\nlongest = %q\n", api.FileVersion, fleetName, o.Longest)
 	if state != "" {
 		fmt.Fprintf(&b, "state = %q\n", state)
 	}
@@ -62,7 +62,7 @@
 	}
 	for _, one := range o.Budgets {
 		fmt.Fprintf(&b, "[[budgets]]\nname = %q\nof = { counts = %q, service = %q, class = %q, tenant = %q }\nwhole = %f\nburst = %f\nlease = %q\n",
-			one.Name, one.Of.Counts, one.Of.Service, one.Of.Class, one.Of.Tenant, one.Whole, one.Burst, time.Duration(one.Lease))
+			one.Name, one.Filter.Attempts, one.Filter.Service, one.Filter.Class, one.Filter.Tenant, one.Limit, one.Burst, time.Duration(one.LeaseDuration))
 		if len(one.Floors) > 0 {
 			b.WriteString("[budgets.floors]\n")
 			for _, holder := range slices.Sorted(maps.Keys(one.Floors)) {
@@ -77,19 +77,19 @@
 func (o *FleetOptions) judged() []checker.FleetBudget {
 	var out []checker.FleetBudget
 	for _, b := range o.Budgets {
-		out = append(out, checker.FleetBudget{Name: b.Name, Wholes: []checker.Whole{{Units: b.Whole, Burst: b.Burst}}})
+		out = append(out, checker.FleetBudget{Name: b.Name, Wholes: []checker.Whole{{Units: b.Limit, Burst: b.Burst}}})
 	}
 	return out
 }
 
 // draws tells whether an attempt of a request draws on a budget; 0 is its first.
-func (r *Run) draws(b *api.Budget, a *model.Arrival, attempt int) bool {
+func (r *Run) draws(b *api.Quota, a *model.Arrival, attempt int) bool {
 	tenant := ""
 	if a.Tenant >= 0 {
 		tenant = r.spec.Tenants[a.Tenant].Name
 	}
-	return (b.Of.Counts != "retries" || attempt > 0) && (b.Of.Class == "" || b.Of.Class == r.spec.Classes[a.Class].Name) &&
-		(b.Of.Tenant == "" || b.Of.Tenant == tenant)
+	return (b.Filter.Attempts != "retries" || attempt > 0) && (b.Filter.Class == "" || b.Filter.Class == r.spec.Classes[a.Class].Name) &&
+		(b.Filter.Tenant == "" || b.Filter.Tenant == tenant)
 }
 
 // wanted notes a request that its client sends for the first time. r.mu is held.
--- a/internal/faultlab/liverun/steward.go
+++ b/internal/faultlab/liverun/steward.go
@@ -81,10 +81,10 @@
 	}
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	if err := until(ctx, stewardsWait, "the stewards are founded", func() error { return f.Found(ctx, client, 1) }); err != nil {
+	if err := until(ctx, stewardsWait, "the stewards are founded", func() error { return f.Bootstrap(ctx, client, 1) }); err != nil {
 		return err
 	}
-	if err := until(ctx, stewardsWait+o.Longest, "budgets are set", func() error { _, err := f.Set(ctx, client, 0, nil); return err }); err != nil {
+	if err := until(ctx, stewardsWait+o.Longest, "budgets are set", func() error { _, err := f.SetQuotas(ctx, client, 0, nil); return err }); err != nil {
 		return err
 	}
 	r.newSpending()
@@ -152,7 +152,7 @@
 }
 
 // operatorsFile is the file of an operator, who reaches all stewards, whatever the fabric does.
-func (r *Run) operatorsFile() (*api.File, error) {
+func (r *Run) operatorsFile() (*api.Config, error) {
 	return api.Load(filepath.Join(r.tmp, "fleet-operator.toml"))
 }
 
@@ -341,7 +341,7 @@
 }
 
 // statuses asks all stewards how they stand, over ways that nothing is done to; nil is one that gave no answer.
-func (f *Fleet) statuses() ([]*api.Status, error) {
+func (f *Fleet) statuses() ([]*api.ServerStatus, error) {
 	file, err := f.r.operatorsFile()
 	if err != nil {
 		return nil, err
@@ -350,12 +350,12 @@
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	out := make([]*api.Status, len(file.Stewards))
+	out := make([]*api.ServerStatus, len(file.Servers))
 	var all sync.WaitGroup
-	for i, s := range file.Stewards {
+	for i, s := range file.Servers {
 		all.Go(func() {
-			var st api.Status
-			if api.One(ctx, client, s.Address, api.PathStatus, nil, &st) == nil {
+			var st api.ServerStatus
+			if api.CallWithTimeout(ctx, client, s.Address, api.PathStatus, nil, &st) == nil {
 				out[i] = &st
 			}
 		})
@@ -387,7 +387,7 @@
 }
 
 // leading is the leader with the highest term of those who answer; nil is none.
-func (f *Fleet) leading() (at int, led *api.Status, err error) {
+func (f *Fleet) leading() (at int, led *api.ServerStatus, err error) {
 	all, err := f.statuses()
 	for i, s := range all {
 		if s != nil && s.Name == s.LeaderName && (led == nil || s.Term > led.Term) {
@@ -414,7 +414,7 @@
 		if err != nil || led == nil {
 			return false
 		}
-		for _, b := range led.Budgets {
+		for _, b := range led.Quotas {
 			if b.Name == budget {
 				return b.Granted >= least && b.Granted <= most
 			}
@@ -435,7 +435,7 @@
 func (f *Fleet) Leaderless() error {
 	return f.Await("stewards that all seek votes in vain", func() bool {
 		all, err := f.statuses()
-		return err == nil && !slices.ContainsFunc(all, func(s *api.Status) bool { return s == nil || !strings.HasSuffix(s.Role, "Candidate") })
+		return err == nil && !slices.ContainsFunc(all, func(s *api.ServerStatus) bool { return s == nil || !strings.HasSuffix(s.Role, "Candidate") })
 	})
 }
 
@@ -490,8 +490,8 @@
 		return fmt.Errorf("there is no budget %q", budget)
 	}
 	b := &r.opts.Fleet.Budgets[at]
-	lower, lease := units < b.Whole, time.Duration(b.Lease)
-	b.Whole, b.Burst = units, burst
+	lower, lease := units < b.Limit, time.Duration(b.LeaseDuration)
+	b.Limit, b.Burst = units, burst
 	if !lower {
 		r.spending.Change(at, judgedWhole(r.now(), units, burst))
 	}
@@ -506,7 +506,7 @@
 	}
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	if err := until(f.ctx, stewardsWait, "budgets are set", func() error { _, err := file.Set(f.ctx, client, 0, nil); return err }); err != nil {
+	if err := until(f.ctx, stewardsWait, "budgets are set", func() error { _, err := file.SetQuotas(f.ctx, client, 0, nil); return err }); err != nil {
 		return err
 	}
 	if lower {
@@ -526,8 +526,8 @@
 	}
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	if err := until(f.ctx, stewardsWait, "the stewards are founded anew", func() error { return file.Found(f.ctx, client, epoch) }); err != nil {
+	if err := until(f.ctx, stewardsWait, "the stewards are founded anew", func() error { return file.Bootstrap(f.ctx, client, epoch) }); err != nil {
 		return err
 	}
-	return until(f.ctx, stewardsWait+f.r.opts.Fleet.Longest, "budgets are set", func() error { _, err := file.Set(f.ctx, client, 1000*epoch, nil); return err })
+	return until(f.ctx, stewardsWait+f.r.opts.Fleet.Longest, "budgets are set", func() error { _, err := file.SetQuotas(f.ctx, client, 1000*epoch, nil); return err })
 }
--- a/internal/faultlab/liverun/steward_test.go
+++ b/internal/faultlab/liverun/steward_test.go
@@ -32,7 +32,7 @@
 		a.SetDemand("attempts", 100)
 		sent := a.now()
 		var reply quotalease.Reply
-		err := api.Call(call, a.client, a.r.paths.stewards[[2]string{"proxy-0", s.name()}].Addr(), api.PathAsk, a.NextRequest(sent), &reply)
+		err := api.Call(call, a.client, a.r.paths.stewards[[2]string{"proxy-0", s.name()}].Addr(), api.PathLease, a.NextRequest(sent), &reply)
 		cancel()
 		if err == nil && a.HandleReply(sent, a.now(), reply) == nil && a.Status(a.now(), "attempts").Amount > 0 {
 			answers++
@@ -46,8 +46,8 @@
 func TestStewardsAreProcessesThatCanBeBroken(t *testing.T) {
 	s := small()
 	s.Duration = 2 * time.Minute
-	o := &FleetOptions{Longest: time.Second, Tokens: true, Deaf: true, Budgets: []api.Budget{
-		{Name: "attempts", Of: api.Of{Counts: "attempts"}, Whole: 10, Burst: 5, Lease: strictconfig.Span(time.Second)}}}
+	o := &FleetOptions{Longest: time.Second, Tokens: true, Deaf: true, Budgets: []api.Quota{
+		{Name: "attempts", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 10, Burst: 5, LeaseDuration: strictconfig.Span(time.Second)}}}
 	res, err := Play(t.Context(), &s, Options{Binary: testbinary.Proxy(t), Fabric: true, Fleet: o, Script: func(f *Fleet) error {
 		a := &asker{begun: time.Now(), r: f.r, client: &http.Client{Transport: &http.Transport{}},
 			Holder: quotalease.NewHolder(quotalease.HolderSettings{FleetID: fleetName, HolderID: quotalease.HolderID{Holder: "n0", Incarnation: 1}, MaxDrift: .001})}
@@ -128,8 +128,8 @@
 // A node that knows tokens turns away an older one and does not count it; other budgets, other holders and floors pass.
 func TestNodesTurnOlderTokensAway(t *testing.T) {
 	s := small()
-	r := newRun(&s, Options{Fleet: &FleetOptions{Tokens: true, Transit: Transit, Budgets: []api.Budget{
-		{Name: "attempts", Of: api.Of{Counts: "attempts"}, Whole: 10, Burst: 5}, {Name: "retries", Of: api.Of{Counts: "retries"}, Whole: 10, Burst: 5}}}})
+	r := newRun(&s, Options{Fleet: &FleetOptions{Tokens: true, Transit: Transit, Budgets: []api.Quota{
+		{Name: "attempts", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 10, Burst: 5}, {Name: "retries", Filter: api.AttemptFilter{Attempts: "retries"}, Limit: 10, Burst: 5}}}})
 	n := newNode(r, 0)
 	r.nodes = append(r.nodes, n)
 	r.newSpending()
--- a/internal/policy/distribution/shelf_test.go
+++ b/internal/policy/distribution/shelf_test.go
@@ -34,14 +34,14 @@
 func long(i int) string { return fmt.Sprintf("%0300d", i) }
 
 // fetch has one get a tree of what is at hand, as a proxy does: what comes along, and the rest by name. It gives the pieces of each.
-func fetch(t testing.TB, s *Shelf, has, to *merkle.Tree, most int) (along, named int) {
+func fetch(t testing.TB, s *Distributor, has, to *merkle.Tree, most int) (along, named int) {
 	t.Helper()
 	a := merkle.Assemble(to.Root(), has)
 	root := ""
 	if has != nil {
 		root = has.Root().String()
 	}
-	for _, p := range s.Along(root, to.Root().String(), most) {
+	for _, p := range s.ChunksBetween(root, to.Root().String(), most) {
 		if err := a.Add(p); err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 		for _, n := range names {
 			in = append(in, n[:])
 		}
-		out, lacks, later := s.Named(now, "p", to.Root().String(), in)
+		out, lacks, later := s.ChunksByName(now, "p", to.Root().String(), in)
 		if now += later; lacks > 0 || len(out) == 0 && later == 0 {
 			t.Fatalf("%d pieces, %d lacked", len(out), lacks)
 		}
@@ -64,7 +64,7 @@
 				t.Fatal(err)
 			}
 		}
-		if size > s.set.Bytes {
+		if size > s.settings.MaxBytes {
 			t.Fatalf("%d bytes in one answer", size)
 		}
 		named += len(out)
@@ -77,10 +77,10 @@
 
 // What is known of both roots goes along; all else is asked for by name, also what is at hand of a root that nobody has any more.
 func TestWhatIsLackedIsGiven(t *testing.T) {
-	s := New(Defaults())
+	s := New(DefaultSettings())
 	first := tree(t, 3000, long)
 	second := with(t, first, 7, "other")
-	s.Keep([]*merkle.Tree{first, second})
+	s.Retain([]*merkle.Tree{first, second})
 	if along, named := fetch(t, s, first, second, 1<<20); along == 0 || along > 5 || named != 0 {
 		t.Errorf("one that is one change behind: %d along, %d named", along, named)
 	}
@@ -96,22 +96,22 @@
 	}
 	for i := range 100 { // only the last few stay
 		second = with(t, second, i, fmt.Sprint("more", i))
-		s.Keep([]*merkle.Tree{second})
+		s.Retain([]*merkle.Tree{second})
 	}
-	if n := len(s.recent); n > s.set.Recent+1 {
+	if n := len(s.recent); n > s.settings.RecentTrees+1 {
 		t.Errorf("%d trees are remembered", n)
 	}
-	before := s.Counts().Made
+	before := s.Counters().DiffsComputed
 	for range 100 {
-		s.Along(s.recent[3].Root().String(), second.Root().String(), 1<<20)
+		s.ChunksBetween(s.recent[3].Root().String(), second.Root().String(), 1<<20)
 	}
-	if n := s.Counts().Made - before; n != 1 {
+	if n := s.Counters().DiffsComputed - before; n != 1 {
 		t.Errorf("one pair of roots was compared %d times", n)
 	}
-	if out, lacks, _ := s.Named(0, "p", "no root", [][]byte{{1}, bytes.Repeat([]byte{2}, 32)}); len(out) != 0 || lacks != 2 {
+	if out, lacks, _ := s.ChunksByName(0, "p", "no root", [][]byte{{1}, bytes.Repeat([]byte{2}, 32)}); len(out) != 0 || lacks != 2 {
 		t.Errorf("names that there are not: %d pieces, %d lacked", len(out), lacks)
 	}
-	if out := s.Along("no root", "none either", 1<<20); out != nil {
+	if out := s.ChunksBetween("no root", "none either", 1<<20); out != nil {
 		t.Errorf("%d pieces of nothing", len(out))
 	}
 }
@@ -119,15 +119,15 @@
 // All of a fleet ask for a whole policy at one moment: never do more than the bound fetch at once, each is told when to come back, and all
 // have it at last. What is light is never held back.
 func TestNotAllFetchAtOnce(t *testing.T) {
-	set := Defaults()
-	set.Fetching = 8
+	set := DefaultSettings()
+	set.MaxFetches = 8
 	s := New(set)
 	policy := tree(t, 2000, long)
-	s.Keep([]*merkle.Tree{policy})
+	s.Retain([]*merkle.Tree{policy})
 	const proxies, answers = 300, 6 // each needs so many answers
 	var name [][]byte
 	for n := range policy.Pieces() {
-		if name = append(name, n[:]); len(name) == set.Names {
+		if name = append(name, n[:]); len(name) == set.MaxNames {
 			break
 		}
 	}
@@ -147,9 +147,9 @@
 			if p.left == 0 || now < p.next {
 				continue
 			}
-			out, lacks, later := s.Named(now, fmt.Sprint("p", i), policy.Root().String(), name)
+			out, lacks, later := s.ChunksByName(now, fmt.Sprint("p", i), policy.Root().String(), name)
 			switch {
-			case later > set.Most || lacks > 0:
+			case later > set.MaxWait || lacks > 0:
 				t.Fatalf("come back after %v, %d lacked", later, lacks)
 			case later > 0:
 				told++
@@ -163,15 +163,15 @@
 				}
 			}
 		}
-		if fetching > set.Fetching || len(s.slots) > set.Fetching {
+		if fetching > set.MaxFetches || len(s.fetches) > set.MaxFetches {
 			t.Fatalf("%d fetch at once", fetching)
 		}
-		if out, _, later := s.Named(now, "light", policy.Root().String(), name[:set.Light]); len(out) != set.Light || later != 0 {
+		if out, _, later := s.ChunksByName(now, "light", policy.Root().String(), name[:set.UnthrottledNames]); len(out) != set.UnthrottledNames || later != 0 {
 			t.Fatalf("one that lacks little was told to come back after %v", later)
 		}
 	}
 	if left > 0 || told == 0 {
 		t.Errorf("%d never got it; %d times one was told to come back", left, told)
 	}
-	t.Logf("%d proxies by %d at once: %v, told to come back %d times", proxies, set.Fetching, now, told)
+	t.Logf("%d proxies by %d at once: %v, told to come back %d times", proxies, set.MaxFetches, now, told)
 }
--- a/internal/policy/rollout/aftermath.go
+++ b/internal/policy/rollout/aftermath.go
@@ -7,51 +7,51 @@
 )
 
 const (
-	parts      = 12  // that the time of watching is looked at in
-	fewParts   = 3   // after a train, before which nothing is told; twice as many before it
-	mostTrains = 256 // that are watched at once
-	deviations = 3   // of the parts before a train that those after it must be beyond
+	watchIntervals     = 12  // that the time of watching is looked at in
+	minIntervals       = 3   // after a train, before which nothing is told; twice as many before it
+	maxWatchedRollouts = 256 // that are watched at once
+	maxDeviations      = 3   // of the parts before a train that those after it must be beyond
 )
 
-// Aftermath watches the whole fleet after all have a policy: where nobody is left to compare with, its share of bad requests is compared
+// RegressionWatch watches the whole fleet after all have a policy: where nobody is left to compare with, its share of bad requests is compared
 // with that of the time before. It tells, and does nothing: other things than a policy make a fleet worse. Like Rollout it is pure, and
 // callers see to it that one at a time calls.
-type Aftermath struct {
-	set    Settings
-	width  time.Duration
-	parts  map[int64]*part // by time in widths
-	newest int64
-	looked int64
-	trains []train // that are watched, in the order of their time
-	floor  int64   // parts before it are of no use: what was worse since then was told
+type RegressionWatch struct {
+	settings     Settings
+	width        time.Duration
+	intervals    map[int64]*interval // by time in widths
+	newest       int64
+	lastChecked  int64
+	rollouts     []completedRollout // that are watched, in the order of their time
+	ignoreBefore int64              // parts before it are of no use: what was worse since then was told
 }
 
-type part struct{ good, bad int64 }
+type interval struct{ good, bad int64 }
 
-type train struct {
+type completedRollout struct {
 	epoch uint64
 	at    time.Duration
 }
 
-// NewAftermath watches for the settings' Watch after each train.
-func NewAftermath(s Settings) *Aftermath {
-	return &Aftermath{set: s, width: max(time.Millisecond, s.Watch/parts), parts: map[int64]*part{}, floor: math.MinInt64}
+// NewRegressionWatch watches for the settings' Watch after each train.
+func NewRegressionWatch(s Settings) *RegressionWatch {
+	return &RegressionWatch{settings: s, width: max(time.Millisecond, s.WatchDuration/watchIntervals), intervals: map[int64]*interval{}, ignoreBefore: math.MinInt64}
 }
 
 // Report takes in the requests of a proxy's report, under whatever policy.
-func (a *Aftermath) Report(now time.Duration, good, bad int64) {
+func (a *RegressionWatch) Report(now time.Duration, good, bad int64) {
 	if good < 0 || bad < 0 {
 		return
 	}
 	at := int64(now / a.width)
-	p := a.parts[at]
+	p := a.intervals[at]
 	if p == nil {
-		p = &part{}
-		a.parts[at] = p
+		p = &interval{}
+		a.intervals[at] = p
 		a.newest = max(a.newest, at)
-		for old := range a.parts {
-			if old < a.newest-2*parts-1 {
-				delete(a.parts, old)
+		for old := range a.intervals {
+			if old < a.newest-2*watchIntervals-1 {
+				delete(a.intervals, old)
 			}
 		}
 	}
@@ -59,77 +59,77 @@
 	p.bad += bad
 }
 
-// Through says that all are to have an epoch from now on.
-func (a *Aftermath) Through(now time.Duration, epoch uint64) {
-	if len(a.trains) == mostTrains {
-		a.trains = a.trains[1:]
+// RolloutCompleted says that all are to have an epoch from now on.
+func (a *RegressionWatch) RolloutCompleted(now time.Duration, epoch uint64) {
+	if len(a.rollouts) == maxWatchedRollouts {
+		a.rollouts = a.rollouts[1:]
 	}
-	a.trains = append(a.trains, train{epoch, now})
+	a.rollouts = append(a.rollouts, completedRollout{epoch, now})
 }
 
-// WorseAfter says that the fleet does worse since a train than before it.
-type WorseAfter struct {
+// RegressionError says that the fleet does worse since a train than before it.
+type RegressionError struct {
 	Epoch         uint64 // of the train after which the difference is greatest
 	Ago           time.Duration
 	Before, After float64  // share of bad requests
-	Near          []uint64 // other epochs that came through at about that time
+	NearbyEpochs  []uint64 // other epochs that came through at about that time
 }
 
-func (e WorseAfter) Error() string {
+func (e RegressionError) Error() string {
 	s := fmt.Sprintf("since epoch %d, %v ago, %.2f%% of all requests go bad, %.2f%% before", e.Epoch, e.Ago.Round(time.Second), 100*e.After, 100*e.Before)
-	if len(e.Near) > 0 {
-		s += fmt.Sprintf("; epochs %v came through at about that time", e.Near)
+	if len(e.NearbyEpochs) > 0 {
+		s += fmt.Sprintf("; epochs %v came through at about that time", e.NearbyEpochs)
 	}
 	return s
 }
 
 // Advice is what an operator can do.
-func (e WorseAfter) Advice() string {
+func (e RegressionError) Advice() string {
 	return "All proxies have it, so nothing goes back by itself. See what else began then. If it is the policy, tell the fleet to go back " +
 		"to an epoch before it that is kept, or have the team offer a mended file."
 }
 
 // Tick tells WorseAfter once for what became worse; nil is that nothing did, or that it can't be told.
-func (a *Aftermath) Tick(now time.Duration) error {
+func (a *RegressionWatch) Tick(now time.Duration) error {
 	last := int64(now/a.width) - 1 // the newest part that is whole
-	if last <= a.looked {
+	if last <= a.lastChecked {
 		return nil
 	}
-	a.looked = last
-	for len(a.trains) > 0 && now-a.trains[0].at > a.set.Watch {
-		a.trains = a.trains[1:]
+	a.lastChecked = last
+	for len(a.rollouts) > 0 && now-a.rollouts[0].at > a.settings.WatchDuration {
+		a.rollouts = a.rollouts[1:]
 	}
 	// The difference is greatest at the train after which it began. Until that one has been looked at for long enough, nothing is told: an
 	// earlier one would be named.
-	worst, at, sure := WorseAfter{}, -1, false
-	for i, t := range a.trains {
+	worst, at, sure := RegressionError{}, -1, false
+	for i, t := range a.rollouts {
 		mid := int64(t.at / a.width)
-		before, spread, n := a.over(max(a.floor, mid-parts), mid-1)
-		after, _, m := a.over(mid+1, last)
-		if n < 2*fewParts || m == 0 || at >= 0 && after-before <= worst.After-worst.Before {
+		before, spread, n := a.badShareOver(max(a.ignoreBefore, mid-watchIntervals), mid-1)
+		after, _, m := a.badShareOver(mid+1, last)
+		if n < 2*minIntervals || m == 0 || at >= 0 && after-before <= worst.After-worst.Before {
 			continue
 		}
-		worst, at = WorseAfter{Epoch: t.epoch, Ago: now - t.at, Before: before, After: after}, i
-		sure = m >= fewParts && after-before > a.set.Margin+deviations*spread
+		worst, at = RegressionError{Epoch: t.epoch, Ago: now - t.at, Before: before, After: after}, i
+		sure = m >= minIntervals && after-before > a.settings.Margin+maxDeviations*spread
 	}
 	if !sure {
 		return nil
 	}
-	mid := a.trains[at].at
-	for i, t := range a.trains {
-		if i != at && max(t.at-mid, mid-t.at) <= fewParts*a.width {
-			worst.Near = append(worst.Near, t.epoch)
+	mid := a.rollouts[at].at
+	for i, t := range a.rollouts {
+		if i != at && max(t.at-mid, mid-t.at) <= minIntervals*a.width {
+			worst.NearbyEpochs = append(worst.NearbyEpochs, t.epoch)
 		}
 	}
-	a.floor, a.trains = int64(mid/a.width)+1, a.trains[at+1:]
+	a.ignoreBefore, a.rollouts = int64(mid/a.width)+1, a.rollouts[at+1:]
 	return worst
 }
 
-// over is the share of bad requests in parts, how far the parts are from each other (standard deviation), and how many had requests.
-func (a *Aftermath) over(from, to int64) (share, spread float64, n int) {
+// badShareOver is the share of bad requests in parts, how far the parts are from each other (standard deviation), and how many had requests.
+func (a *RegressionWatch) badShareOver(from, to int64) (share, spread float64, n int) {
 	good, bad, sum, squares := int64(0), int64(0), 0.0, 0.0
 	for i := from; i <= to; i++ {
-		p := a.parts[i]
+		p := a.intervals[i]
 		if p == nil || p.good+p.bad == 0 {
 			continue
 		}
--- a/internal/policy/rollout/aftermath_test.go
+++ b/internal/policy/rollout/aftermath_test.go
@@ -11,14 +11,14 @@
 
 // aftermath has a train come through each 6 s for four minutes; from one of them on, or from a moment, more requests go bad. It gives what
 // was told, and when.
-func aftermath(seed uint64, n int, harm float64, from uint64) (told []WorseAfter, when []time.Duration) {
+func aftermath(seed uint64, n int, harm float64, from uint64) (told []RegressionError, when []time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	a := NewAftermath(Defaults())
+	a := NewRegressionWatch(DefaultSettings())
 	epoch, weather := uint64(0), 0.0
 	for now := time.Duration(0); now < 4*time.Minute; now += 100 * time.Millisecond {
 		if now%(6*time.Second) == 0 && now > 0 {
 			epoch++
-			a.Through(now, epoch)
+			a.RolloutCompleted(now, epoch)
 		}
 		if now%time.Second == 0 {
 			weather = 0.9*weather + 0.0003*rng.NormFloat64() // what goes bad by itself comes in waves
@@ -31,7 +31,7 @@
 			a.Report(now, total-bad, bad)
 		}
 		if err := a.Tick(now); err != nil {
-			var w WorseAfter
+			var w RegressionError
 			if !errors.As(err, &w) || operatorerror.Of(err) == "" {
 				panic(err)
 			}
@@ -59,15 +59,15 @@
 
 // A leader that has just begun knows nothing of before, and one that hears nothing tells nothing.
 func TestAftermathWithoutABefore(t *testing.T) {
-	a := NewAftermath(Defaults())
-	a.Through(time.Second, 1)
+	a := NewRegressionWatch(DefaultSettings())
+	a.RolloutCompleted(time.Second, 1)
 	for now := time.Duration(0); now < 2*time.Minute; now += 100 * time.Millisecond {
 		a.Report(now, 100, 50)
 		if err := a.Tick(now); err != nil {
 			t.Fatal(err)
 		}
 	}
-	a.Through(2*time.Minute, 2)
+	a.RolloutCompleted(2*time.Minute, 2)
 	for now := 2 * time.Minute; now < 4*time.Minute; now += 100 * time.Millisecond {
 		if err := a.Tick(now); err != nil {
 			t.Fatal(err)
--- a/internal/policy/rollout/bench_test.go
+++ b/internal/policy/rollout/bench_test.go
@@ -12,7 +12,7 @@
 // benchFleet is a fleet amid a step that has no requests yet, so that it goes on.
 func benchFleet(b *testing.B, n int) (*Rollout, []string) {
 	b.Helper()
-	r, err := New(Defaults(), Offer{Epoch: 1, Hash: "a"})
+	r, err := New(DefaultSettings(), Version{Epoch: 1, Hash: "a"})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -21,8 +21,8 @@
 		names = append(names, fmt.Sprintf("proxy-%05d", i))
 	}
 	slices.Sort(names)
-	r.Members(0, names)
-	if err := r.Begin(0, 2, "b", 2); err != nil {
+	r.SetMembers(0, names)
+	if err := r.Start(0, 2, "b", 2); err != nil {
 		b.Fatal(err)
 	}
 	return r, names
@@ -39,14 +39,14 @@
 				for i, name := range names {
 					if i%(n/10) == 0 {
 						now += 100 * time.Millisecond
-						r.Members(now, names)
+						r.SetMembers(now, names)
 						r.Tick(now)
 					}
-					_ = r.Offer(name)
-					r.Report(now, Report{Proxy: name, Number: number, Has: Offer{Epoch: 1, Hash: "a"}, Good: 0})
+					_ = r.Target(name)
+					r.Report(now, Report{Proxy: name, Sequence: number, Current: Version{Epoch: 1, Hash: "a"}, Good: 0})
 				}
 			}
-			if state, _ := r.State(); state != Rolling {
+			if state, _ := r.State(); state != InProgress {
 				b.Fatal(state)
 			}
 		})
@@ -62,7 +62,7 @@
 			for b.Loop() {
 				names = append(names[1:], fmt.Sprintf("later-%09d", i)) // members need not be in order
 				i++
-				r.Members(0, names)
+				r.SetMembers(0, names)
 			}
 		})
 	}
@@ -75,24 +75,24 @@
 		for _, k := range []struct {
 			name  string
 			harm  int64
-			flaws flaw
-		}{{"harmless", 0, 0}, {"harmful", 50, 0}, {"onebyone", 50, noCells}} {
+			flaws mutation
+		}{{"harmless", 0, 0}, {"harmful", 50, 0}, {"onebyone", 50, skipCells}} {
 			b.Run(fmt.Sprintf("%s/%d", k.name, n), func(b *testing.B) {
 				for b.Loop() {
 					b.StopTimer()
 					r, names := benchFleet(b, n)
-					r.step, r.flaws = len(r.set.Steps)-2, k.flaws
-					r.enter(0)
+					r.step, r.mutations = len(r.settings.Steps)-2, k.flaws
+					r.startStep(0)
 					for i, name := range names {
-						o, bad := r.Offer(name), int64(i%23)
+						o, bad := r.Target(name), int64(i%23)
 						if o.Epoch == 2 {
 							bad += k.harm
 						}
 						r.Report(100*time.Millisecond, Report{name, 1, o, 1000 - bad, bad})
-						r.Report(r.set.Step, Report{name, 2, o, 1000 - bad, bad})
+						r.Report(r.settings.StepDuration, Report{name, 2, o, 1000 - bad, bad})
 					}
 					b.StartTimer()
-					r.Tick(r.set.Step)
+					r.Tick(r.settings.StepDuration)
 					if state, _ := r.State(); (state == Stopped) != (k.harm > 0) {
 						b.Fatal(state)
 					}
--- a/internal/policy/rollout/frozen_test.go
+++ b/internal/policy/rollout/frozen_test.go
@@ -11,14 +11,14 @@
 // Offers stand in what stewards and proxies keep and send as the program of c8fad44 wrote them.
 func TestFrozenOfferKeepsItsBytes(t *testing.T) {
 	const inJSON, inCBOR = `{"Order":1,"Epoch":2,"Hash":"ab"}`, "a3654f72646572016545706f6368026448617368626162"
-	want := Offer{Order: 1, Epoch: 2, Hash: "ab"}
+	want := Version{Generation: 1, Epoch: 2, Hash: "ab"}
 	if text, err := json.Marshal(want); err != nil || string(text) != inJSON {
 		t.Errorf("JSON: %s, %v", text, err)
 	}
 	if text, err := cbor.Marshal(want); err != nil || hex.EncodeToString(text) != inCBOR {
 		t.Errorf("CBOR: %x, %v", text, err)
 	}
-	var got Offer
+	var got Version
 	if err := json.Unmarshal([]byte(inJSON), &got); err != nil || got != want {
 		t.Errorf("JSON: read %+v, %v", got, err)
 	}
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got = Offer{}
+	got = Version{}
 	if err := cbor.Unmarshal(text, &got); err != nil || got != want {
 		t.Errorf("CBOR: read %+v, %v", got, err)
 	}
--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -35,8 +35,8 @@
 
 // minutes are settings with steps of a minute and the error rate of a single roll-out, as they were before trains.
 func minutes() Settings {
-	s := Defaults()
-	s.Steps, s.Step, s.Looks, s.Enough, s.Error, s.Small = []float64{0.03, 0.1, 0.3, 1}, time.Minute, 4, 2000, 0.02, 0.02
+	s := DefaultSettings()
+	s.Steps, s.StepDuration, s.LooksPerStep, s.MinRequests, s.ErrorRate, s.SmallFleetErrorRate = []float64{0.03, 0.1, 0.3, 1}, time.Minute, 4, 2000, 0.02, 0.02
 	return s
 }
 
@@ -46,7 +46,7 @@
 	harm   float64 // more bad requests where the new policy holds
 	dies   float64 // of those that take it up
 	each   int64   // requests of a proxy in a report's time; 0 is no traffic
-	flaws  flaw
+	flaws  mutation
 	seed   uint64
 	step   time.Duration
 	left   int // proxies that leave
@@ -58,22 +58,22 @@
 	rng := rand.New(rand.NewPCG(w.seed, 1))
 	set := minutes()
 	set.Margin = w.margin
-	r, err := New(set, Offer{Epoch: 1, Hash: "old"})
+	r, err := New(set, Version{Epoch: 1, Hash: "old"})
 	if err != nil {
 		panic(err)
 	}
-	r.flaws = w.flaws
+	r.mutations = w.flaws
 	var names []string
 	bad, dead, number := map[string]float64{}, map[string]bool{}, uint64(0)
-	has := map[string]Offer{}
+	has := map[string]Version{}
 	for i := range w.n {
 		names = append(names, fmt.Sprint("p", i))
 		// Most proxies see few bad requests, some many: what a zone or a link does to them.
 		bad[names[i]] = 0.01 * rng.ExpFloat64()
-		has[names[i]] = Offer{Epoch: 1, Hash: "old"}
+		has[names[i]] = Version{Epoch: 1, Hash: "old"}
 	}
-	r.Members(0, names)
-	if err := r.Begin(0, 2, "new", w.seed); err != nil {
+	r.SetMembers(0, names)
+	if err := r.Start(0, 2, "new", w.seed); err != nil {
 		panic(err)
 	}
 	most := 0
@@ -81,11 +81,11 @@
 		if w.left > 0 && len(names) > w.n-w.left && rng.IntN(3) == 0 {
 			gone := rng.IntN(len(names))
 			names = slices.Delete(names, gone, gone+1)
-			r.Members(now, names)
+			r.SetMembers(now, names)
 		}
 		have := 0
 		for _, name := range names {
-			o := r.Offer(name)
+			o := r.Target(name)
 			if o.Epoch < has[name].Epoch {
 				return 0, 0, "a proxy is taken back and nobody said so"
 			}
@@ -114,7 +114,7 @@
 		}
 		most = max(most, have)
 		r.Tick(now)
-		if state, _ := r.State(); state != Rolling {
+		if state, _ := r.State(); state != InProgress {
 			return state, most, ""
 		}
 	}
@@ -131,9 +131,9 @@
 }
 
 // verdict is what is wrong with roll-outs over drawn fleets, with flaws.
-func verdict(t *testing.T, flaws flaw) (wrong []string) {
+func verdict(t *testing.T, flaws mutation) (wrong []string) {
 	plays := 300
-	if flaws&(noTest|noSilent|noEnough) != 0 {
+	if flaws&(skipTest|ignoreSilent|skipMinRequests) != 0 {
 		plays = 20 // they err on the other side
 	}
 	// A policy that does no harm is stopped as often as stated; three deviations are the sampling's.
@@ -148,7 +148,7 @@
 		switch state {
 		case Stopped:
 			stops++
-		case Rolling:
+		case InProgress:
 			wrong = append(wrong, "a good policy never reaches all")
 		}
 		if flaws != 0 && (len(wrong) > 0 || stops > 13) {
@@ -183,7 +183,7 @@
 			}
 		}
 		w := world{n: 60, step: 4 * time.Second, seed: uint64(i), flaws: flaws}
-		if state, most, _ := w.play(); state != Rolling || most > 10 {
+		if state, most, _ := w.play(); state != InProgress || most > 10 {
 			wrong = append(wrong, fmt.Sprintf("with no requests: %v, and %d had it", state, most))
 		}
 	}
@@ -197,8 +197,8 @@
 }
 
 func TestRemovedGuardsAreConvicted(t *testing.T) {
-	for name, flaws := range map[string]flaw{"no test": noTest, "the whole error rate at each look": noSpend, "requests counted as apart": pooled,
-		"silent ones left out": noSilent, "looks without requests": noEnough} {
+	for name, flaws := range map[string]mutation{"no test": skipTest, "the whole error rate at each look": fullErrorRatePerLook, "requests counted as apart": poolRequests,
+		"silent ones left out": ignoreSilent, "looks without requests": skipMinRequests} {
 		wrong := verdict(t, flaws)
 		if len(wrong) == 0 {
 			t.Errorf("%s: not convicted", name)
@@ -206,7 +206,7 @@
 		}
 		t.Logf("%s: %s", name, wrong[0])
 	}
-	for name, flaws := range map[string]flaw{"older epochs are taken": noFence, "any content": noHash} {
+	for name, flaws := range map[string]mutation{"older epochs are taken": acceptStaleVersion, "any content": skipHashCheck} {
 		convicted := ""
 		for i := uint64(0); i < 200 && convicted == ""; i++ {
 			convicted = playHolder(rand.New(rand.NewPCG(i, 3)), flaws)
@@ -219,22 +219,22 @@
 }
 
 // playHolder offers policies late, twice, in any order, damaged, and from stewards that number apart; it gives what is wrong.
-func playHolder(rng interface{ IntN(int) int }, flaws flaw) string {
-	h := &Holder{flaws: flaws}
+func playHolder(rng interface{ IntN(int) int }, flaws mutation) string {
+	h := &CurrentVersion{mutations: flaws}
 	contents := map[[2]uint64]string{}
 	for range 60 {
-		before := h.Has()
+		before := h.Version()
 		text := fmt.Sprint("policy ", rng.IntN(2))
-		o := Offer{uint64(rng.IntN(3)), uint64(1 + rng.IntN(6)), hashOf(text)}
+		o := Version{uint64(rng.IntN(3)), uint64(1 + rng.IntN(6)), hashOf(text)}
 		sent := text
 		if rng.IntN(4) == 0 {
 			sent = text[:rng.IntN(len(text))]
 		}
-		err := h.Take(o, []byte(sent))
-		has := h.Has()
-		at := [2]uint64{has.Order, has.Epoch}
+		err := h.AdoptText(o, []byte(sent))
+		has := h.Version()
+		at := [2]uint64{has.Generation, has.Epoch}
 		switch {
-		case has.Order < before.Order || has.Order == before.Order && has.Epoch < before.Epoch:
+		case has.Generation < before.Generation || has.Generation == before.Generation && has.Epoch < before.Epoch:
 			return fmt.Sprintf("from %+v back to %+v", before, has)
 		case contents[at] != "" && contents[at] != has.Hash:
 			return fmt.Sprintf("epoch %d changed its content", has.Epoch)
@@ -244,9 +244,9 @@
 			return "a refused offer changed something"
 		case err != nil && operatorerror.Of(err) == "":
 			return "an error without advice"
-		case at == [2]uint64{o.Order, o.Epoch} && o.Hash != has.Hash && !errors.As(err, new(EpochTwice)):
+		case at == [2]uint64{o.Generation, o.Epoch} && o.Hash != has.Hash && !errors.As(err, new(EpochConflictError)):
 			return "one epoch, two contents, and nobody is told"
-		case err != nil && o.After(before) && sent == text:
+		case err != nil && o.NewerThan(before) && sent == text:
 			return "a newer policy was refused"
 		}
 		contents[at] = has.Hash
@@ -264,28 +264,28 @@
 
 func TestStopAndBack(t *testing.T) {
 	set := minutes()
-	r, err := New(set, Offer{Epoch: 4, Hash: "a"})
+	r, err := New(set, Version{Epoch: 4, Hash: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Back() == nil {
+	if r.Rollback() == nil {
 		t.Error("there is nothing to go back from")
 	}
 	var names []string
 	for i := range 40 {
 		names = append(names, fmt.Sprint("p", i))
 	}
-	r.Members(0, names)
-	var old OldEpoch
-	if err := r.Begin(0, 4, "b", 1); !errors.As(err, &old) {
+	r.SetMembers(0, names)
+	var old StaleVersionError
+	if err := r.Start(0, 4, "b", 1); !errors.As(err, &old) {
 		t.Errorf("an epoch that was: %v", err)
 	}
-	if err := r.Begin(0, 6, "b", 1); err != nil {
+	if err := r.Start(0, 6, "b", 1); err != nil {
 		t.Fatal(err)
 	}
 	with := func(epoch uint64) (out []string) {
 		for _, name := range names {
-			if r.Offer(name).Epoch == epoch {
+			if r.Target(name).Epoch == epoch {
 				out = append(out, name)
 			}
 		}
@@ -297,7 +297,7 @@
 		now += 4 * time.Second
 		for _, name := range names {
 			number++
-			o := r.Offer(name)
+			o := r.Target(name)
 			bad := int64(0)
 			if o.Epoch == 6 {
 				bad = 200
@@ -306,20 +306,20 @@
 		}
 		r.Tick(now)
 	}
-	var stop RolloutStopped
+	var stop HarmDetectedError
 	if state, err := r.State(); state != Stopped || !errors.As(err, &stop) || !strings.Contains(err.Error(), "20.00% of requests go bad") || operatorerror.Of(err) == "" {
 		t.Fatalf("%v %v", state, err)
 	}
 	if !slices.Equal(with(6), first) || len(first) >= 20 {
 		t.Errorf("stopped, and %d have it; %d had it first", len(with(6)), len(first))
 	}
-	r.Members(now, append(names, "late"))
-	if got := r.Offer("late"); got.Epoch != 4 {
+	r.SetMembers(now, append(names, "late"))
+	if got := r.Target("late"); got.Epoch != 4 {
 		t.Errorf("one that joins gets what was stopped: %+v", got)
 	}
 	// A mended policy goes to those first that have the stopped one: they have an epoch that must go. Beside them it goes to as many as a
 	// first step has, drawn from the rest: only these can tell of it.
-	if err := r.Begin(now, 7, "c", 2); err != nil {
+	if err := r.Start(now, 7, "c", 2); err != nil {
 		t.Fatal(err)
 	}
 	got := with(7)
@@ -331,18 +331,18 @@
 	if len(got) != 2*len(first) {
 		t.Errorf("the mended policy begins with %v, the stopped one was at %v: as many are drawn beside them", got, first)
 	}
-	if err := r.Back(); err != nil {
+	if err := r.Rollback(); err != nil {
 		t.Fatal(err)
 	}
-	h := NewHolder(Offer{0, 7, "c"})
-	o := r.Offer(names[0])
-	if o != (Offer{1, 4, "a"}) || errors.As(h.Take(o, nil), &old) {
+	h := NewCurrentVersion(Version{0, 7, "c"})
+	o := r.Target(names[0])
+	if o != (Version{1, 4, "a"}) || errors.As(h.AdoptText(o, nil), &old) {
 		t.Errorf("told to go back: %+v", o)
 	}
-	if err := r.Begin(now, 7, "d", 2); !errors.As(err, &old) {
+	if err := r.Start(now, 7, "d", 2); !errors.As(err, &old) {
 		t.Errorf("epoch 7 is taken again: %v", err)
 	}
-	if err := r.Begin(now, 8, "d", 2); err != nil || r.Offer(with(8)[0]).Order != 1 {
+	if err := r.Start(now, 8, "d", 2); err != nil || r.Target(with(8)[0]).Generation != 1 {
 		t.Errorf("after going back: %v", err)
 	}
 }
@@ -350,22 +350,22 @@
 // Whatever comes, no proxy that was offered a policy is offered an older one unless an operator said so, and all end with one.
 func TestOffersOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r, err := New(Defaults(), Offer{Epoch: 1, Hash: "1"})
+		r, err := New(DefaultSettings(), Version{Epoch: 1, Hash: "1"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		now, epoch, number, backs := time.Duration(0), uint64(1), uint64(0), uint64(0)
-		seen := map[string]Offer{}
+		seen := map[string]Version{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds")) * time.Second
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				epoch += rapid.Uint64Range(1, 3).Draw(t, "more")
-				if err := r.Begin(now, epoch, fmt.Sprint(epoch), epoch); err != nil {
+				if err := r.Start(now, epoch, fmt.Sprint(epoch), epoch); err != nil {
 					t.Fatal(err)
 				}
 			case 1:
-				if r.Back() == nil {
+				if r.Rollback() == nil {
 					backs++
 				}
 			case 2:
@@ -375,7 +375,7 @@
 						names = append(names, fmt.Sprint("p", i))
 					}
 				}
-				r.Members(now, names)
+				r.SetMembers(now, names)
 			default:
 				for name, o := range seen {
 					number++
@@ -389,12 +389,12 @@
 					delete(seen, name)
 					continue
 				}
-				o := r.Offer(name)
-				if was, there := seen[name]; there && was.After(o) {
+				o := r.Target(name)
+				if was, there := seen[name]; there && was.NewerThan(o) {
 					t.Fatalf("%s: %+v after %+v", name, o, was)
 				}
-				if o.Order != backs {
-					t.Fatalf("%s: order %d, an operator spoke %d times", name, o.Order, backs)
+				if o.Generation != backs {
+					t.Fatalf("%s: order %d, an operator spoke %d times", name, o.Generation, backs)
 				}
 				seen[name] = o
 			}
@@ -404,29 +404,29 @@
 
 // A fleet that is gone for a moment has not agreed to anything.
 func TestFewAreNotAll(t *testing.T) {
-	r, err := New(Defaults(), Offer{Epoch: 1, Hash: "a"})
+	r, err := New(DefaultSettings(), Version{Epoch: 1, Hash: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	names := []string{"p0", "p1", "p2", "p3", "p4", "p5"}
 	tick := func(now time.Duration, members []string) State {
-		r.Members(now, members)
+		r.SetMembers(now, members)
 		r.Tick(now)
 		state, _ := r.State()
 		return state
 	}
-	r.Members(0, names)
-	if err := r.Begin(0, 2, "b", 1); err != nil {
+	r.SetMembers(0, names)
+	if err := r.Start(0, 2, "b", 1); err != nil {
 		t.Fatal(err)
 	}
 	for i, members := range [][]string{names[:1], nil, names[5:], names} {
-		if got := tick(time.Duration(i)*time.Hour, members); got != Rolling {
+		if got := tick(time.Duration(i)*time.Hour, members); got != InProgress {
 			t.Errorf("%d of 6 left: %v", len(members), got)
 		}
 	}
-	r, _ = New(Defaults(), Offer{Epoch: 1, Hash: "a"})
-	r.Members(0, names[:1])
-	if err := r.Begin(0, 2, "b", 1); err != nil || tick(time.Second, names[:1]) != Done || r.Offer("p0").Epoch != 2 {
+	r, _ = New(DefaultSettings(), Version{Epoch: 1, Hash: "a"})
+	r.SetMembers(0, names[:1])
+	if err := r.Start(0, 2, "b", 1); err != nil || tick(time.Second, names[:1]) != Done || r.Target("p0").Epoch != 2 {
 		t.Errorf("a fleet of one: %v", err)
 	}
 }
@@ -434,22 +434,22 @@
 func TestSettingsAreChecked(t *testing.T) {
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.Steps = nil }, func(s *Settings) { s.Steps = []float64{0.5} }, func(s *Settings) { s.Steps = []float64{0.5, 0.2, 1} },
-		func(s *Settings) { s.Watch = 0 }, func(s *Settings) { s.Step = 0 }, func(s *Settings) { s.Small = 0 },
-		func(s *Settings) { s.Looks = 0 }, func(s *Settings) { s.Enough = 0 }, func(s *Settings) { s.Margin = -1 },
-		func(s *Settings) { s.Gross = 0 }, func(s *Settings) { s.Error = 0 }, func(s *Settings) { s.Silent = 0 },
+		func(s *Settings) { s.WatchDuration = 0 }, func(s *Settings) { s.StepDuration = 0 }, func(s *Settings) { s.SmallFleetErrorRate = 0 },
+		func(s *Settings) { s.LooksPerStep = 0 }, func(s *Settings) { s.MinRequests = 0 }, func(s *Settings) { s.Margin = -1 },
+		func(s *Settings) { s.GrossMargin = 0 }, func(s *Settings) { s.ErrorRate = 0 }, func(s *Settings) { s.SilenceTimeout = 0 },
 	} {
-		s := Defaults()
+		s := DefaultSettings()
 		change(&s)
-		if _, err := New(s, Offer{}); err == nil {
+		if _, err := New(s, Version{}); err == nil {
 			t.Errorf("%+v is taken", s)
 		}
 	}
-	r, err := New(Defaults(), Offer{})
+	r, err := New(DefaultSettings(), Version{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n, want := range map[int]bool{1: false, 4: false, 9: false, 10: true, 20: true, 300: true} {
-		if got := r.CanTell(n); got != want {
+		if got := r.CanDetect(n); got != want {
 			t.Errorf("a fleet of %d: can tell: %v", n, got)
 		}
 	}
@@ -476,7 +476,7 @@
 		})
 	}
 	for _, n := range []int{10, 60} {
-		for name, flaws := range map[string]flaw{"rule": 0, "whole rate": noSpend, "pooled": pooled} {
+		for name, flaws := range map[string]mutation{"rule": 0, "whole rate": fullErrorRatePerLook, "pooled": poolRequests} {
 			for _, margin := range []float64{0.002, 0} {
 				run(fmt.Sprintf("harmless/%d/%s/margin %v", n, name, margin), 2000, func(i int) world {
 					return world{n: n, each: 100, seed: uint64(i + 5000), flaws: flaws, left: i % 2 * n / 10, margin: margin}
--- a/internal/policy/rollout/trains_test.go
+++ b/internal/policy/rollout/trains_test.go
@@ -27,20 +27,20 @@
 type member struct {
 	name   string
 	at     time.Duration // of its next report
-	has    Offer
+	has    Version
 	own    float64
 	came   time.Duration
 	every  time.Duration // between its reports; 1s if left out
 	number uint64
 }
 
-func newLane(t testing.TB, seed uint64, n int, flaws flaw) *lane {
+func newLane(t testing.TB, seed uint64, n int, flaws mutation) *lane {
 	t.Helper()
-	r, err := New(Defaults(), Offer{Epoch: 1, Hash: "1"})
+	r, err := New(DefaultSettings(), Version{Epoch: 1, Hash: "1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.flaws = flaws
+	r.mutations = flaws
 	l := &lane{r: r, rng: rand.New(rand.NewPCG(seed, 5)), share: func(*member) float64 { return 0 }, each: 160}
 	l.join(n)
 	return l
@@ -57,7 +57,7 @@
 // begin sends an epoch out.
 func (l *lane) begin(t testing.TB, epoch uint64) {
 	t.Helper()
-	if err := l.r.Begin(l.now, epoch, fmt.Sprint(epoch), epoch); err != nil {
+	if err := l.r.Start(l.now, epoch, fmt.Sprint(epoch), epoch); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -83,16 +83,16 @@
 				good, bad = 0, 0
 			}
 			l.r.Report(l.now, Report{m.name, m.number, m.has, good, bad})
-			if o := l.r.Offer(m.name); o.After(m.has) && (l.takes == nil || l.takes(m)) {
+			if o := l.r.Target(m.name); o.NewerThan(m.has) && (l.takes == nil || l.takes(m)) {
 				m.has = o
 			}
 		}
 		l.r.Tick(l.now)
-		if state, _ := l.r.State(); state != Rolling {
+		if state, _ := l.r.State(); state != InProgress {
 			return state
 		}
 	}
-	return Rolling
+	return InProgress
 }
 
 func (l *lane) have(epoch uint64) (n int) {
@@ -106,13 +106,13 @@
 
 // A stop by chance does not come again with the same proxies: the next policy is judged by others.
 func TestAStopByChanceDoesNotRepeat(t *testing.T) {
-	again := func(flaws flaw) (stops int) {
+	again := func(flaws mutation) (stops int) {
 		for seed := range uint64(20) {
 			l := newLane(t, seed, 300, flaws)
 			l.begin(t, 2+seed*10)
 			first := map[string]bool{} // that something befalls which has nothing to do with the policy
 			for _, m := range l.all {
-				first[m.name] = l.r.Offer(m.name).Epoch != 1
+				first[m.name] = l.r.Target(m.name).Epoch != 1
 			}
 			l.share = func(m *member) float64 {
 				if first[m.name] {
@@ -125,7 +125,7 @@
 			}
 			l.begin(t, 3+seed*10)
 			for name, was := range first {
-				if was && l.r.Offer(name).Epoch != 3+seed*10 {
+				if was && l.r.Target(name).Epoch != 3+seed*10 {
 					t.Fatal("one that has the stopped policy does not get the next first")
 				}
 			}
@@ -138,14 +138,14 @@
 	if n := again(0); n > 0 {
 		t.Errorf("%d of 20 were stopped again", n)
 	}
-	if n := again(sameDraw); n == 0 {
+	if n := again(compareTargeted); n == 0 {
 		t.Error("not convicted: the same proxies judge again")
 	}
 }
 
 // A third of the proxies are new at one moment, and cold: a policy that does no harm goes on, one that does is found.
 func TestAThirdIsNewAtOneMoment(t *testing.T) {
-	play := func(flaws flaw, seed uint64, harm float64) (State, int) {
+	play := func(flaws mutation, seed uint64, harm float64) (State, int) {
 		l := newLane(t, seed, 200, flaws)
 		l.begin(t, 2)
 		l.until(time.Second)
@@ -171,7 +171,7 @@
 		if state, had := play(0, seed, 0.06); state != Stopped || had > 100 {
 			t.Errorf("seed %d: a harmful one: %v, and %d had it", seed, state, had)
 		}
-		if state, _ := play(countLate, seed, 0.06); state != Stopped {
+		if state, _ := play(compareLate, seed, 0.06); state != Stopped {
 			missed++
 		}
 	}
@@ -198,7 +198,7 @@
 
 // A leader that hears nobody for a while, or was itself not running, takes that neither for a good step nor for a bad one.
 func TestADeafLeaderWaits(t *testing.T) {
-	play := func(flaws flaw, harm float64, from time.Duration) (State, int) {
+	play := func(flaws mutation, harm float64, from time.Duration) (State, int) {
 		l := newLane(t, 3, 300, flaws)
 		l.begin(t, 2)
 		l.share = func(m *member) float64 {
@@ -222,7 +222,7 @@
 		if state, _ := play(0, 0, from); state != Done {
 			t.Errorf("a policy that does no harm, deaf from %v: %v", from, state)
 		}
-		if state, _ := play(noDeaf, 0, from); state != Done {
+		if state, _ := play(ignoreSilentControl, 0, from); state != Done {
 			wrong++
 		}
 	}
@@ -260,7 +260,7 @@
 func TestStoppedPoliciesAreFoundByReports(t *testing.T) {
 	l := newLane(t, 4, 300, 0)
 	for _, m := range l.all[:10] {
-		m.has = Offer{Epoch: 2, Hash: "2"}
+		m.has = Version{Epoch: 2, Hash: "2"}
 	}
 	l.begin(t, 3)
 	l.until(2200 * time.Millisecond)
@@ -286,7 +286,7 @@
 					m.at = 1 << 60
 				}
 			}
-			if state != Rolling {
+			if state != InProgress {
 				break
 			}
 		}
@@ -298,7 +298,7 @@
 
 // Proxies that go for reasons of their own, on both sides, don't hide what the policy does to the rest.
 func TestOthersThatDieHideNoHarm(t *testing.T) {
-	play := func(flaws flaw, seed uint64, harm float64) State {
+	play := func(flaws mutation, seed uint64, harm float64) State {
 		l := newLane(t, seed, 300, flaws)
 		l.begin(t, 2)
 		l.share = func(m *member) float64 {
@@ -323,7 +323,7 @@
 		if state := play(0, seed, 0); state != Done {
 			t.Errorf("seed %d: one that does no harm: %v", seed, state)
 		}
-		if play(oneTest, seed, 0.05) != Stopped {
+		if play(skipReportingTest, seed, 0.05) != Stopped {
 			missed++
 		}
 	}
@@ -335,7 +335,7 @@
 // Of the few in a first step most may go with others, as a rack does: that is not the policy. In a small fleet of which all that have it
 // go, it is.
 func TestARackThatGoes(t *testing.T) {
-	stops := func(flaws flaw) (n int) {
+	stops := func(flaws mutation) (n int) {
 		for seed := range uint64(400) {
 			l := newLane(t, seed, 60, flaws)
 			l.begin(t, 2+seed)
@@ -352,7 +352,7 @@
 	if n := stops(0); n > 0 {
 		t.Errorf("%d of 400 were stopped", n)
 	}
-	if n := stops(anyGross); n == 0 {
+	if n := stops(skipGrossSignificance); n == 0 {
 		t.Error("not convicted: a few that are silent stop a step")
 	}
 	l := newLane(t, 1, 10, 0)
@@ -365,7 +365,7 @@
 				m.at = 1 << 60
 			}
 		}
-		if state != Rolling {
+		if state != InProgress {
 			break
 		}
 	}
@@ -376,7 +376,7 @@
 
 // A policy that most can't take up is stopped and told; where only a few can't, it goes on.
 func TestAPolicyThatCannotBeTakenUp(t *testing.T) {
-	play := func(flaws flaw, each int) (State, error) {
+	play := func(flaws mutation, each int) (State, error) {
 		l := newLane(t, 1, 300, flaws)
 		n := map[string]int{}
 		for i, m := range l.all {
@@ -387,21 +387,21 @@
 		l.until(10 * time.Minute)
 		return l.r.State()
 	}
-	var not RolloutNotTaken
+	var not NotAdoptedError
 	if state, err := play(0, 5); state != Stopped || !errors.As(err, &not) || operatorerror.Of(err) == "" {
 		t.Errorf("%v %v", state, err)
 	}
 	if state, err := play(0, 1); state != Done {
 		t.Errorf("%v %v", state, err)
 	}
-	if state, _ := play(noPatience, 5); state != Rolling {
+	if state, _ := play(waitForever, 5); state != InProgress {
 		t.Errorf("not convicted: it waits for ever: %v", state)
 	}
 }
 
 // Where those that were drawn have hardly any requests and others have, more are drawn; where nobody has, it waits as before.
 func TestMostProxiesAreIdle(t *testing.T) {
-	play := func(flaws flaw, busy int, harm float64) (State, int) {
+	play := func(flaws mutation, busy int, harm float64) (State, int) {
 		l := newLane(t, 2, 300, flaws)
 		n := map[string]int{}
 		for i, m := range l.all {
@@ -424,28 +424,28 @@
 	if state, had := play(0, 12, 0.5); state != Stopped || had > 150 {
 		t.Errorf("%v, and %d had it", state, had)
 	}
-	if state, had := play(0, 0, 0); state != Rolling || had > 9 {
+	if state, had := play(0, 0, 0); state != InProgress || had > 9 {
 		t.Errorf("without requests: %v, and %d had it", state, had)
 	}
-	if state, _ := play(noPatience, 2, 0); state == Done {
+	if state, _ := play(waitForever, 2, 0); state == Done {
 		t.Error("not convicted: it waits for ever")
 	}
 }
 
 // The error rate of fleets in which the unlikeliest draw is not unlikely enough is as low as it can be, and never over what is set.
 func TestSmallFleetsHaveAHigherRate(t *testing.T) {
-	set := Defaults()
+	set := DefaultSettings()
 	before := 1.0
 	for _, n := range []int{2, 6, 10, 14, 18, 22, 30, 32, 300, 9400} {
-		r, err := New(set, Offer{})
+		r, err := New(set, Version{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, errs := r.spend(n)
-		if errs > set.Small || errs < set.Error || errs > before {
+		_, errs := r.planLooks(n)
+		if errs > set.SmallFleetErrorRate || errs < set.ErrorRate || errs > before {
 			t.Errorf("%d proxies: %v", n, errs)
 		}
-		if n >= 32 && errs != set.Error {
+		if n >= 32 && errs != set.ErrorRate {
 			t.Errorf("%d proxies: %v", n, errs)
 		}
 		before = errs
@@ -501,7 +501,7 @@
 	for b.Loop() {
 		l := newLane(b, 1, 300, 0)
 		var err error
-		if l.r, err = New(minutes(), Offer{Epoch: 1, Hash: "1"}); err != nil {
+		if l.r, err = New(minutes(), Version{Epoch: 1, Hash: "1"}); err != nil {
 			b.Fatal(err)
 		}
 		for _, m := range l.all {
--- a/internal/policy/routetable/bench_test.go
+++ b/internal/policy/routetable/bench_test.go
@@ -200,13 +200,13 @@
 			"1 assembly":          func(b *testing.B) { assemble(b) },
 			"2 changes":           func(*testing.B) { merkle.Changes(from, to) },
 			"3 namespace.With":    func(*testing.B) { _, _, _ = was.With(set, removed) },
-			"4 policyroutes.With": func(*testing.B) { must(r.With(next, diff, has)) },
+			"4 policyroutes.With": func(*testing.B) { must(r.Update(next, diff, has)) },
 			"5 all of it": func(b *testing.B) {
 				n, d, err := was.With(merkle.Changes(from, assemble(b)))
 				if err != nil {
 					b.Fatal(err)
 				}
-				must(r.With(n, d, has))
+				must(r.Update(n, d, has))
 			},
 			"6 whole from pieces": func(*testing.B) { must(Build(must(namespace.FromTree(to)), "", has)) },
 			"7 whole from text":   func(*testing.B) { must(Build(must(namespace.Decode(text)), "", has)) },
--- a/internal/policy/routetable/codes.go
+++ b/internal/policy/routetable/codes.go
@@ -3,7 +3,7 @@
 // Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
 
 // Code is the name of the error in messages between processes.
-func (BadRoutes) Code() string { return "policyroutes.BadRoutes" }
+func (InvalidRulesError) Code() string { return "policyroutes.BadRoutes" }
 
 // Code is the name of the error in messages between processes.
-func (MissingServices) Code() string { return "policyroutes.MissingServices" }
+func (MissingServicesError) Code() string { return "policyroutes.MissingServices" }
--- a/internal/policy/routetable/policyroutes.go
+++ b/internal/policy/routetable/policyroutes.go
@@ -14,97 +14,97 @@
 
 // Routes are what requests are led by under one policy. Nothing changes them; any number of goroutines may use them.
 type Routes struct {
-	Table  *route.Table
-	Sticky map[string]string // by route, where it is not the key: what a route that splits stays by
-	Blocks *route.Table      // what is blocked; nil is nothing
+	Table    *route.Table
+	StickyBy map[string]string // by route, where it is not the key: what a route that splits stays by
+	Blocks   *route.Table      // what is blocked; nil is nothing
 
 	fallback string
 }
 
-// MissingServices says that routes lead to services that the proxy does not have.
-type MissingServices struct{ Services []string }
+// MissingServicesError says that routes lead to services that the proxy does not have.
+type MissingServicesError struct{ Names []string }
 
-func (e MissingServices) Error() string {
+func (e MissingServicesError) Error() string {
 	const most = 20
-	if n := len(e.Services) - most; n > 0 {
-		return fmt.Sprintf("the file of services does not have %s, and %d more", strings.Join(e.Services[:most], ", "), n)
+	if n := len(e.Names) - most; n > 0 {
+		return fmt.Sprintf("the file of services does not have %s, and %d more", strings.Join(e.Names[:most], ", "), n)
 	}
-	return "the file of services does not have " + strings.Join(e.Services, ", ")
+	return "the file of services does not have " + strings.Join(e.Names, ", ")
 }
 
 // Advice is what an operator can do.
-func (MissingServices) Advice() string {
+func (MissingServicesError) Advice() string {
 	return "Enter the services in the proxy's file of services and have it read again; until then the routes before go on."
 }
 
-// BadRoutes says that a policy's routes or blocks can't all hold.
-type BadRoutes struct {
-	What string // routes or blocks
+// InvalidRulesError says that a policy's routes or blocks can't all hold.
+type InvalidRulesError struct {
+	Kind string // routes or blocks
 	Err  error
 }
 
-func (e BadRoutes) Error() string { return fmt.Sprintf("the policy's %s: %v", e.What, e.Err) }
+func (e InvalidRulesError) Error() string { return fmt.Sprintf("the policy's %s: %v", e.Kind, e.Err) }
 
 // Unwrap gives what is wrong.
-func (e BadRoutes) Unwrap() error { return e.Err }
+func (e InvalidRulesError) Unwrap() error { return e.Err }
 
 // Advice is what an operator can do.
-func (BadRoutes) Advice() string {
+func (InvalidRulesError) Advice() string {
 	return "The routes before go on. Have the teams whose rules are named mend them, and offer their files again."
 }
 
 // Build makes the routes of a policy. Fallback is the service for what no route matches, empty for none; has tells whether there is a
 // service. Errors are MissingServices, with all that are missing, and BadRoutes.
 func Build(p *namespace.Policy, fallback string, has func(service string) bool) (*Routes, error) {
-	if err := missing(p.Routes, has); err != nil {
+	if err := checkServices(p.Routes, has); err != nil {
 		return nil, err
 	}
 	table, err := p.Table()
 	if err != nil {
-		return nil, BadRoutes{"routes", err}
+		return nil, InvalidRulesError{"routes", err}
 	}
-	blocks, err := blocksOf(p)
+	blocks, err := compileBlocks(p)
 	if err != nil {
 		return nil, err
 	}
-	r := &Routes{Table: table.Otherwise(fallback), Sticky: map[string]string{}, Blocks: blocks, fallback: fallback}
+	r := &Routes{Table: table.Otherwise(fallback), StickyBy: map[string]string{}, Blocks: blocks, fallback: fallback}
 	for i := range p.Routes {
 		if by := p.Routes[i].Sticky; by != "" {
-			r.Sticky[p.Routes[i].Name] = by
+			r.StickyBy[p.Routes[i].Name] = by
 		}
 	}
 	return r, nil
 }
 
-// With makes the routes of the policy that follows on the one that these are of, where d is what is not as in that. It gives what Build
+// Update makes the routes of the policy that follows on the one that these are of, where d is what is not as in that. It gives what Build
 // gives of p with the same fallback, and the same errors, as long as has tells of the services what it told before: where the services
 // change, Build checks all routes anew. It costs what changed; the routes themselves stay as they are.
-func (r *Routes) With(p *namespace.Policy, d *namespace.Diff, has func(service string) bool) (*Routes, error) {
-	if err := missing(d.Routes, has); err != nil {
+func (r *Routes) Update(p *namespace.Policy, d *namespace.Diff, has func(service string) bool) (*Routes, error) {
+	if err := checkServices(d.Routes, has); err != nil {
 		return nil, err
 	}
 	table, err := p.Table()
 	if err != nil {
-		return nil, BadRoutes{"routes", err}
+		return nil, InvalidRulesError{"routes", err}
 	}
-	next := &Routes{Table: table.Otherwise(r.fallback), Sticky: r.Sticky, Blocks: r.Blocks, fallback: r.fallback}
+	next := &Routes{Table: table.Otherwise(r.fallback), StickyBy: r.StickyBy, Blocks: r.Blocks, fallback: r.fallback}
 	if d.Blocks {
-		if next.Blocks, err = blocksOf(p); err != nil {
+		if next.Blocks, err = compileBlocks(p); err != nil {
 			return nil, err
 		}
 	}
 	copied := false
 	stick := func(name, by string) {
-		if next.Sticky[name] == by {
+		if next.StickyBy[name] == by {
 			return
 		}
 		if !copied {
-			next.Sticky, copied = maps.Clone(next.Sticky), true
+			next.StickyBy, copied = maps.Clone(next.StickyBy), true
 		}
 		if by == "" {
-			delete(next.Sticky, name)
+			delete(next.StickyBy, name)
 		} else {
-			next.Sticky[name] = by
+			next.StickyBy[name] = by
 		}
 	}
 	for _, name := range d.RoutesGone {
@@ -116,8 +116,8 @@
 	return next, nil
 }
 
-// missing tells which services routes lead to that are not there.
-func missing(routes []namespace.PolicyRoute, has func(string) bool) error {
+// checkServices tells which services routes lead to that are not there.
+func checkServices(routes []namespace.PolicyRoute, has func(string) bool) error {
 	var names []string
 	seen := map[string]bool{}
 	for i := range routes {
@@ -134,11 +134,11 @@
 		return nil
 	}
 	slices.Sort(names)
-	return MissingServices{names}
+	return MissingServicesError{names}
 }
 
-// blocksOf is a table of what is blocked; nil of nothing.
-func blocksOf(p *namespace.Policy) (*route.Table, error) {
+// compileBlocks is a table of what is blocked; nil of nothing.
+func compileBlocks(p *namespace.Policy) (*route.Table, error) {
 	if len(p.Blocks) == 0 {
 		return nil, nil
 	}
@@ -150,7 +150,7 @@
 	}
 	table, err := route.Compile(rules, "")
 	if err != nil {
-		return nil, BadRoutes{"blocks", err}
+		return nil, InvalidRulesError{"blocks", err}
 	}
 	return table, nil
 }
--- a/internal/policy/routetable/policyroutes_test.go
+++ b/internal/policy/routetable/policyroutes_test.go
@@ -52,8 +52,8 @@
 
 // same says on what two routes differ; empty is nothing.
 func same(a, b *Routes) string {
-	if !maps.Equal(a.Sticky, b.Sticky) {
-		return fmt.Sprintf("sticky %v and %v", a.Sticky, b.Sticky)
+	if !maps.Equal(a.StickyBy, b.StickyBy) {
+		return fmt.Sprintf("sticky %v and %v", a.StickyBy, b.StickyBy)
 	}
 	for i := range 13 {
 		q := route.Request{Path: fmt.Sprint("/", i)}
@@ -111,7 +111,7 @@
 				t.Fatal(err)
 			}
 			want, wantErr := Build(next, fallback, has)
-			got, err := now.With(p, diff, has)
+			got, err := now.Update(p, diff, has)
 			before, beforeErr := Build(was, fallback, has)
 			if beforeErr != nil {
 				t.Fatal(beforeErr)
@@ -120,7 +120,7 @@
 				t.Fatalf("seed %d, step %d: what was before has changed: %s", seed, step, wrong)
 			}
 			if err != nil || wantErr != nil {
-				if fmt.Sprint(err) != fmt.Sprint(wantErr) || !errors.As(err, new(MissingServices)) || operatorerror.Of(err) == "" {
+				if fmt.Sprint(err) != fmt.Sprint(wantErr) || !errors.As(err, new(MissingServicesError)) || operatorerror.Of(err) == "" {
 					t.Fatalf("seed %d, step %d: %v, built %v", seed, step, err, wantErr)
 				}
 				refused++
@@ -151,9 +151,9 @@
 		p.Blocks = append(p.Blocks, b)
 	}
 	_, err = Build(p, "", func(string) bool { return true })
-	_, again := now.With(p, &namespace.Diff{Blocks: true}, func(string) bool { return true })
+	_, again := now.Update(p, &namespace.Diff{Blocks: true}, func(string) bool { return true })
 	for _, err := range []error{err, again} {
-		if bad := (BadRoutes{}); !errors.As(err, &bad) || bad.What != "blocks" || !strings.Contains(err.Error(), "ties") || operatorerror.Of(err) == "" {
+		if bad := (InvalidRulesError{}); !errors.As(err, &bad) || bad.Kind != "blocks" || !strings.Contains(err.Error(), "ties") || operatorerror.Of(err) == "" {
 			t.Errorf("%v", err)
 		}
 	}
--- a/internal/policy/store/bench_test.go
+++ b/internal/policy/store/bench_test.go
@@ -48,7 +48,7 @@
 			}
 			done := func() {
 				if s := book.Standing(); s.Next.Epoch != 0 {
-					do(Command{Judge: &Judge{Order: s.Next.Order, Epoch: s.Next.Epoch, Done: true}})
+					do(Command{Judge: &Judge{Order: s.Next.Generation, Epoch: s.Next.Epoch, Done: true}})
 				}
 			}
 			do(Command{Charter: &Charter{Text: large(size.teams)}})
@@ -93,7 +93,7 @@
 	}
 	for n := range 20 {
 		st := book.Standing()
-		for _, c := range []Command{{Judge: &Judge{Order: st.Next.Order, Epoch: st.Next.Epoch, Done: true}}, {Offer: &Offer{Text: largeFile(7, n+2, 20, 12)}}} {
+		for _, c := range []Command{{Judge: &Judge{Order: st.Next.Generation, Epoch: st.Next.Epoch, Done: true}}, {Offer: &Offer{Text: largeFile(7, n+2, 20, 12)}}} {
 			if err := book.Apply(c); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/policy/store/book.go
+++ b/internal/policy/store/book.go
@@ -84,7 +84,7 @@
 
 // Kept is a policy with what it came of. Its offer's hash is the root of its pieces.
 type Kept struct {
-	Offer   rollout.Offer
+	Offer   rollout.Version
 	Charter file
 	Files   map[string]file // by namespace, as they were offered
 	Tree    *merkle.Tree    // nil is none
@@ -368,7 +368,7 @@
 	kept.Offer = s.Head.Offer
 	if root := tree.Root().String(); s.Head.Offer.Hash != root {
 		s.Epoch++
-		kept.Offer = rollout.Offer{Order: s.Order, Epoch: s.Epoch, Hash: root}
+		kept.Offer = rollout.Version{Generation: s.Order, Epoch: s.Epoch, Hash: root}
 	}
 	s.Head = kept
 	return nil
@@ -402,7 +402,7 @@
 		s.Order++
 	}
 	k := s.Kept[at]
-	k.Offer.Order = s.Order
+	k.Offer.Generation = s.Order
 	s.Kept[at] = k
 	if s.Base >= 0 {
 		s.Charter = s.Kept[s.Base].Charter // that is in force stays; one on its way is dropped like the files
@@ -423,14 +423,14 @@
 }
 
 func (b *Book) judge(j Judge) error {
-	if h := b.s.Head.Offer; h.Epoch == j.Epoch && h.Order == j.Order && h.Hash != "" && !b.s.departed(h.Epoch) {
+	if h := b.s.Head.Offer; h.Epoch == j.Epoch && h.Generation == j.Order && h.Hash != "" && !b.s.departed(h.Epoch) {
 		// An entry of before trains, when the newest took the place of what was on its way: it went out, and proxies may have it.
 		s := b.copy()
 		s.Trials = nil
 		s.enter(s.Head)
 		b.s = *s
 	}
-	if b.s.Next < 0 || b.s.Kept[b.s.Next].Offer.Epoch != j.Epoch || b.s.Kept[b.s.Next].Offer.Order != j.Order {
+	if b.s.Next < 0 || b.s.Kept[b.s.Next].Offer.Epoch != j.Epoch || b.s.Kept[b.s.Next].Offer.Generation != j.Order {
 		return nil // of one that has given way
 	}
 	if b.s.Stopped != nil {
@@ -455,17 +455,17 @@
 
 // Standing is what the fleet has, what goes out, and what waits. Nobody writes to its lists.
 type Standing struct {
-	Base     rollout.Offer `json:"Base"`     // in force: what all have; none is the zero
-	Next     rollout.Offer `json:"Next"`     // the train on its way; none is the zero
-	Head     rollout.Offer `json:"Head"`     // the newest merged. It departs under this epoch or, if parts of a stopped train go first, a higher one
-	Stopped  *Judge        `json:"Stopped"`  // why Next goes no further; nil if it does
-	Train    []Change      `json:"Train"`    // in Next, against Base
-	Gathered []Change      `json:"Gathered"` // in Head, and not in Next: they wait for a train
-	Faults   []Fault       `json:"Faults"`   // changes that were taken out, the newest last; one of a namespace, until a higher number of it is in force
-	Held     []Held        `json:"Held"`     // by namespace
-	Told     []string      `json:"Told"`     // conflicts
-	Kept     []uint64      `json:"Kept"`     // the epochs that the fleet can be told to go back to
-	Proxies  int           `json:"Proxies"`  // that the leader knew at the last judgement; 0 is not known
+	Base     rollout.Version `json:"Base"`     // in force: what all have; none is the zero
+	Next     rollout.Version `json:"Next"`     // the train on its way; none is the zero
+	Head     rollout.Version `json:"Head"`     // the newest merged. It departs under this epoch or, if parts of a stopped train go first, a higher one
+	Stopped  *Judge          `json:"Stopped"`  // why Next goes no further; nil if it does
+	Train    []Change        `json:"Train"`    // in Next, against Base
+	Gathered []Change        `json:"Gathered"` // in Head, and not in Next: they wait for a train
+	Faults   []Fault         `json:"Faults"`   // changes that were taken out, the newest last; one of a namespace, until a higher number of it is in force
+	Held     []Held          `json:"Held"`     // by namespace
+	Told     []string        `json:"Told"`     // conflicts
+	Kept     []uint64        `json:"Kept"`     // the epochs that the fleet can be told to go back to
+	Proxies  int             `json:"Proxies"`  // that the leader knew at the last judgement; 0 is not known
 }
 
 // Standing tells how things stand.
@@ -497,7 +497,7 @@
 }
 
 // Tree is a policy that is kept, or Head, in pieces.
-func (b *Book) Tree(o rollout.Offer) (*merkle.Tree, bool) {
+func (b *Book) Tree(o rollout.Version) (*merkle.Tree, bool) {
 	for k := range b.s.policies() {
 		if k.Offer == o {
 			return k.Tree, true
@@ -517,8 +517,8 @@
 }
 
 // Policies are all that are kept, and Head, the newest first.
-func (b *Book) Policies() iter.Seq2[rollout.Offer, *merkle.Tree] {
-	return func(yield func(rollout.Offer, *merkle.Tree) bool) {
+func (b *Book) Policies() iter.Seq2[rollout.Version, *merkle.Tree] {
+	return func(yield func(rollout.Version, *merkle.Tree) bool) {
 		for k := range b.s.policies() {
 			if !yield(k.Offer, k.Tree) {
 				return
@@ -529,7 +529,7 @@
 
 // Whole is the encoding of a policy that is kept, for proxies that don't take pieces. It is not ok if it is longer than MostWhole, or
 // the policy is not kept.
-func (b *Book) Whole(o rollout.Offer) (text string, ok bool) {
+func (b *Book) Whole(o rollout.Version) (text string, ok bool) {
 	tree, there := b.Tree(o)
 	if !there {
 		return "", false
--- a/internal/policy/store/book_test.go
+++ b/internal/policy/store/book_test.go
@@ -75,7 +75,7 @@
 func judge(t *testing.T, b *Book, done bool) {
 	t.Helper()
 	s := b.Standing()
-	j := Judge{Order: s.Next.Order, Epoch: s.Next.Epoch, Done: done}
+	j := Judge{Order: s.Next.Generation, Epoch: s.Next.Epoch, Done: done}
 	if !done {
 		j.Why, j.Help = fmt.Sprintf("worse in epoch %d", j.Epoch), "mend it"
 	}
@@ -87,7 +87,7 @@
 	return routesOf(t, b, b.Standing().Head)
 }
 
-func policyOf(t *testing.T, b *Book, o rollout.Offer) *namespace.Policy {
+func policyOf(t *testing.T, b *Book, o rollout.Version) *namespace.Policy {
 	t.Helper()
 	tree, ok := b.Tree(o)
 	if !ok || tree.Root().String() != o.Hash {
@@ -100,7 +100,7 @@
 	return p
 }
 
-func routesOf(t *testing.T, b *Book, o rollout.Offer) string {
+func routesOf(t *testing.T, b *Book, o rollout.Version) string {
 	t.Helper()
 	p := policyOf(t, b, o)
 	var out []string
@@ -135,7 +135,7 @@
 		"going back is no word that goes before": {sameOrder, func(t *testing.T, b *Book) error {
 			was := b.Standing().Base
 			apply(t, b, Command{Back: &Back{Epoch: b.Standing().Kept[0]}})
-			if now := b.Standing().Base; !now.After(was) {
+			if now := b.Standing().Base; !now.NewerThan(was) {
 				return fmt.Errorf("%+v does not go before %+v", now, was)
 			}
 			return nil
@@ -183,7 +183,7 @@
 			if c.Judge != nil { // of what is on its way, mostly
 				j := *c.Judge
 				if j.Epoch%4 != 0 {
-					j.Order, j.Epoch = before.Next.Order, before.Next.Epoch
+					j.Order, j.Epoch = before.Next.Generation, before.Next.Epoch
 				}
 				c.Judge = &j
 			}
@@ -213,7 +213,7 @@
 			if after := max(s.Next.Epoch, s.Base.Epoch, s.Head.Epoch); after < newest && c.Back == nil {
 				t.Fatalf("seed %d: epoch %d after %d without a word", seed, after, newest)
 			}
-			if s.Base != before.Base && before.Base.Epoch != 0 && !s.Base.After(before.Base) {
+			if s.Base != before.Base && before.Base.Epoch != 0 && !s.Base.NewerThan(before.Base) {
 				t.Fatalf("seed %d: %+v after %+v", seed, s.Base, before.Base)
 			}
 			if len(s.Kept) > MostKept {
@@ -250,7 +250,7 @@
 		t.Fatalf("%+v", s)
 	}
 	apply(t, b, Command{Back: &Back{Epoch: good.Epoch, By: "on call"}}, Command{Back: &Back{Epoch: good.Epoch, By: "on call"}})
-	if s := b.Standing(); s.Base.Epoch != good.Epoch || s.Base.Order != 1 || s.Stopped != nil || s.Next.Epoch != 0 {
+	if s := b.Standing(); s.Base.Epoch != good.Epoch || s.Base.Generation != 1 || s.Stopped != nil || s.Next.Epoch != 0 {
 		t.Errorf("%+v", s)
 	}
 	if err := b.Apply(word(rules("alpha", 2, "x.org", "/bad"))); !errors.As(err, &namespace.VersionTaken{}) {
--- a/internal/policy/store/frozen_test.go
+++ b/internal/policy/store/frozen_test.go
@@ -125,9 +125,9 @@
 		`class "any", tenant "any"`
 	overlap := `overlap: alpha/0 charter, beta/0 charter: both may set route; as for host "x.org", path "/", method "GET", class "any", tenant "any"`
 	want := Standing{
-		Base:     rollout.Offer{Order: 8, Epoch: 7, Hash: "c7b8986459f108ae3d90fc492bf9de929b99872029be8f32b56aa006ea8fc623"},
-		Next:     rollout.Offer{Order: 8, Epoch: 10, Hash: "51b4896d41c11870f0f9c7e3a6efc476aab091effb5084882987be7964f36707"},
-		Head:     rollout.Offer{Order: 8, Epoch: 9, Hash: "3956c2f148c9827221aa749772ebdfe715b26d6473707ca165efaa714bba3d08"},
+		Base:     rollout.Version{Generation: 8, Epoch: 7, Hash: "c7b8986459f108ae3d90fc492bf9de929b99872029be8f32b56aa006ea8fc623"},
+		Next:     rollout.Version{Generation: 8, Epoch: 10, Hash: "51b4896d41c11870f0f9c7e3a6efc476aab091effb5084882987be7964f36707"},
+		Head:     rollout.Version{Generation: 8, Epoch: 9, Hash: "3956c2f148c9827221aa749772ebdfe715b26d6473707ca165efaa714bba3d08"},
 		Train:    []Change{{Namespace: "gamma", Number: 2, By: "t"}},
 		Gathered: []Change{{Namespace: "alpha", Number: 4, By: "t"}},
 		Held: []Held{{Namespace: "beta", Offered: 2, By: "t", Why: "namespace beta: version 2 is held back, nothing of it holds: " + contradiction,
--- a/internal/policy/store/snapshot.go
+++ b/internal/policy/store/snapshot.go
@@ -54,9 +54,9 @@
 }
 
 type snapKept struct {
-	Offer   rollout.Offer `json:"Offer"` // without a hash nothing was ever merged
-	Charter int           `json:"Charter"`
-	Files   []int         `json:"Files"`
+	Offer   rollout.Version `json:"Offer"` // without a hash nothing was ever merged
+	Charter int             `json:"Charter"`
+	Files   []int           `json:"Files"`
 }
 
 var (
@@ -292,7 +292,7 @@
 }
 
 type textKept struct {
-	Offer rollout.Offer     `json:"offer"`
+	Offer rollout.Version   `json:"offer"`
 	Files map[string]string `json:"files"`
 	Text  string            `json:"text"`
 }
@@ -331,7 +331,7 @@
 	for _, k := range in.Kept {
 		p, err := namespace.Decode([]byte(k.Text))
 		if err == nil && p.Hash() != k.Offer.Hash {
-			err = rollout.WrongContent{Wanted: k.Offer.Hash, Got: p.Hash()}
+			err = rollout.HashMismatchError{Expected: k.Offer.Hash, Actual: p.Hash()}
 		}
 		if err != nil {
 			return bad("whose policy of epoch %d is damaged: %v", k.Offer.Epoch, err)
--- a/internal/policy/store/snapshot_test.go
+++ b/internal/policy/store/snapshot_test.go
@@ -103,7 +103,7 @@
 	if !ok || text != string(policyOf(t, b, s.Base).Encode()) {
 		t.Errorf("%v %s", ok, text)
 	}
-	if _, ok := b.Whole(rollout.Offer{Order: 9, Epoch: s.Base.Epoch, Hash: s.Base.Hash}); ok {
+	if _, ok := b.Whole(rollout.Version{Generation: 9, Epoch: s.Base.Epoch, Hash: s.Base.Hash}); ok {
 		t.Error("one that is not kept was given")
 	}
 	if tree, ok := b.TreeOf(s.Base.Hash); !ok || tree.Root().String() != s.Base.Hash {
--- a/internal/policy/store/train.go
+++ b/internal/policy/store/train.go
@@ -88,7 +88,7 @@
 			s.Trials = s.Trials[1:]
 			if k, came := b.tried(s, trial); len(came) > 0 {
 				s.Epoch++
-				k.Offer.Order, k.Offer.Epoch = s.Order, s.Epoch
+				k.Offer.Generation, k.Offer.Epoch = s.Order, s.Epoch
 				s.enter(k)
 			}
 			continue
@@ -102,9 +102,9 @@
 			s.settled()
 			return
 		}
-		if s.Head.Offer.Order != s.Order || s.departed(s.Head.Offer.Epoch) {
+		if s.Head.Offer.Generation != s.Order || s.departed(s.Head.Offer.Epoch) {
 			s.Epoch++ // others went out after it was merged
-			s.Head.Offer.Order, s.Head.Offer.Epoch = s.Order, s.Epoch
+			s.Head.Offer.Generation, s.Head.Offer.Epoch = s.Order, s.Epoch
 		}
 		s.enter(s.Head)
 	}
@@ -161,7 +161,7 @@
 	if err != nil || tree.Root().String() == base.Offer.Hash {
 		return Kept{}, nil
 	}
-	k := Kept{Offer: rollout.Offer{Hash: tree.Root().String()}, Charter: charter, Files: map[string]file{}, Tree: tree}
+	k := Kept{Offer: rollout.Version{Hash: tree.Root().String()}, Charter: charter, Files: map[string]file{}, Tree: tree}
 	for _, n := range out.Good {
 		k.Files[n.Name] = base.Files[n.Name]
 		if f, ok := offered[n.Name]; ok && f.Number == n.Number {
--- a/internal/policy/store/train_test.go
+++ b/internal/policy/store/train_test.go
@@ -196,7 +196,7 @@
 	// By an operator: what waits is dropped, and what is on its way.
 	base := b.Standing().Base
 	apply(t, b, word(team(0, 4, "/0a", false)), word(team(1, 4, "/1a", false)), Command{Charter: &Charter{Text: teams(12)}}, Command{Back: &Back{Epoch: base.Epoch}})
-	if s := b.Standing(); s.Base.Epoch != base.Epoch || s.Base.Order != base.Order+1 || s.Next.Epoch != 0 || s.Head != s.Base || len(s.Gathered)+len(s.Train) != 0 {
+	if s := b.Standing(); s.Base.Epoch != base.Epoch || s.Base.Generation != base.Generation+1 || s.Next.Epoch != 0 || s.Head != s.Base || len(s.Gathered)+len(s.Train) != 0 {
 		t.Errorf("%+v", s)
 	}
 	if err := b.Apply(word(team(11, 1, "/11", false))); err == nil {
@@ -269,7 +269,7 @@
 	play(t, b)
 	apply(t, b, word(team(0, 2, "/0", false)))
 	play(t, b)
-	if s := b.Standing(); routesOf(t, b, s.Base) != "t0/r/0 t1/r/1" || s.Base.Order != 7 || len(s.Faults) != 0 {
+	if s := b.Standing(); routesOf(t, b, s.Base) != "t0/r/0 t1/r/1" || s.Base.Generation != 7 || len(s.Faults) != 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := server.New(server.Settings{File: f, Name: "s1", State: t.TempDir(), Tick: 20 * time.Millisecond})
+	s, err := server.New(server.Config{Fleet: f, Name: "s1", StateDir: t.TempDir(), TickInterval: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,17 +50,17 @@
 		ended <- nil
 	}
 	t.Cleanup(end)
-	keys, err := f.Keys()
+	keys, err := f.LoadTLSKeys()
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := &http.Client{Transport: api.Transport(keys)}
+	client := &http.Client{Transport: api.NewTransport(keys)}
 	defer client.CloseIdleConnections()
-	if err := f.Found(ctx, client, 1); err != nil {
+	if err := f.Bootstrap(ctx, client, 1); err != nil {
 		t.Fatal(err)
 	}
 	for by := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if _, err = f.Set(ctx, client, 0, nil); err == nil {
+		if _, err = f.SetQuotas(ctx, client, 0, nil); err == nil {
 			return path, end
 		}
 		if time.Now().After(by) {
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -40,14 +40,14 @@
 	var next *routetable.Routes
 	var err error
 	if before != nil && t.Diff != nil && was != nil && was.Policy != nil && was.Offer == t.Base {
-		next, err = before.With(t.Policy, t.Diff, has)
+		next, err = before.Update(t.Policy, t.Diff, has)
 	} else {
 		next, err = routetable.Build(t.Policy, n.otherwise, has)
 	}
 	if err != nil {
 		return err
 	}
-	n.policyRoutes, n.table, n.sticky, n.blocks = next, next.Table, next.Sticky, next.Blocks
+	n.policyRoutes, n.table, n.sticky, n.blocks = next, next.Table, next.StickyBy, next.Blocks
 	return nil
 }
 
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -55,7 +55,7 @@
 	defer httpClient.CloseIdleConnections()
 	order := func(c store.Command) {
 		t.Helper()
-		if err := f.Order(context.Background(), httpClient, c); err != nil {
+		if err := f.SendPolicyCommand(context.Background(), httpClient, c); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -126,7 +126,7 @@
 	}
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	if err := f.Order(context.Background(), client, store.Command{Charter: &store.Charter{Text: policyCharter}}); err != nil {
+	if err := f.SendPolicyCommand(context.Background(), client, store.Command{Charter: &store.Charter{Text: policyCharter}}); err != nil {
 		t.Fatal(err)
 	}
 	for by := time.Now().Add(60 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -169,7 +169,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next := &client.InstalledPolicy{Offer: rollout.Offer{Order: 1, Epoch: p.Routes[0].From.Number, Hash: to.Root().String()}, Policy: p}
+		next := &client.InstalledPolicy{Offer: rollout.Version{Generation: 1, Epoch: p.Routes[0].From.Number, Hash: to.Root().String()}, Policy: p}
 		if was != nil {
 			from, err := was.Policy.Tree()
 			if err != nil {
@@ -204,13 +204,13 @@
 	if finds(&next, "/x") != "two" || finds(&next, "/b") != "" || finds(&next, "/a") != "one" || finds(&n, "/b") != "one" {
 		t.Error("the routes are not those of the policy")
 	}
-	missing := routetable.MissingServices{}
+	missing := routetable.MissingServicesError{}
 	again := n
-	if err := again.decideBy(taken(first, policy(2, "/x", "three")), true); !errors.As(err, &missing) || missing.Services[0] != "three" {
+	if err := again.decideBy(taken(first, policy(2, "/x", "three")), true); !errors.As(err, &missing) || missing.Names[0] != "three" {
 		t.Errorf("a route to a service that is not there: %v", err)
 	}
 	reloaded := installed{byName: map[string]*service{"two": {}}, policy: nil}
-	if err := reloaded.decideBy(next.policy, true); !errors.As(err, &missing) || missing.Services[0] != "one" {
+	if err := reloaded.decideBy(next.policy, true); !errors.As(err, &missing) || missing.Names[0] != "one" {
 		t.Errorf("a route that did not change, to a service that is no longer there: %v", err)
 	}
 	// A diff against another policy than the one that holds is none.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -36,7 +36,7 @@
 	diameter *diameterSide                       // nil is none
 	fleet    atomic.Pointer[client.QuotaClient]  // nil is no budget beyond this process
 	policies atomic.Pointer[client.PolicyClient] // nil is no policy beyond the file of services
-	view     atomic.Pointer[freshness.Link]      // nil weighs nothing
+	view     atomic.Pointer[freshness.Monitor]   // nil weighs nothing
 	comeback *guardedsource.Coordinator          // nil believes all, and asks at once
 	memory   *memory                             // nil remembers nothing
 	ready    atomic.Bool                         // it takes clients
@@ -205,25 +205,25 @@
 	if err != nil {
 		return nil, err
 	}
-	keys, err := file.Keys()
+	keys, err := file.LoadTLSKeys()
 	if err != nil {
 		return nil, err
 	}
-	link := client.NewQuotaClient(client.Config{File: file, ProxyName: p.cfg.Name, Logger: p.log, Transport: api.Transport(keys)})
+	link := client.NewQuotaClient(client.Config{File: file, ProxyName: p.cfg.Name, Logger: p.log, Transport: api.NewTransport(keys)})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { link.Run(ctx) })
 	if keys != nil {
-		running.Go(func() { api.WatchKeys(ctx, keys, p.log) })
+		running.Go(func() { api.WatchTLSKeys(ctx, keys, p.log) })
 	}
 	p.fleet.Store(link)
-	if file.View != nil {
-		view := freshness.New(freshness.Settings{View: file.View, Log: p.log})
+	if file.Freshness != nil {
+		view := freshness.New(freshness.Config{Freshness: file.Freshness, Logger: p.log})
 		running.Go(func() { view.Run(ctx) })
 		p.view.Store(view)
 	}
-	p.services.policyRoutes = file.Policy.Routes // nothing runs yet
-	p.policies.Store(client.NewPolicyClient(client.Config{File: file, ProxyName: p.cfg.Name, Logger: p.log, Transport: api.Transport(keys)}, p.services.takeUp))
+	p.services.policyRoutes = file.Policy.RouteByPolicy // nothing runs yet
+	p.policies.Store(client.NewPolicyClient(client.Config{File: file, ProxyName: p.cfg.Name, Logger: p.log, Transport: api.NewTransport(keys)}, p.services.takeUp))
 	return func() { cancel(); running.Wait() }, nil
 }
 
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -44,9 +44,9 @@
 	roster  *roster
 	gate    *processquota.Gate // of its share of the process; nil for the only one
 
-	requests *listener.InHand   // bounds those in hand; nil is no bound
-	sight    *freshness.Sight   // nil weighs nothing
-	diameter *upstream.Upstream // where its servers speak that; nil is HTTP
+	requests *listener.InHand       // bounds those in hand; nil is no bound
+	sight    *freshness.ServiceView // nil weighs nothing
+	diameter *upstream.Upstream     // where its servers speak that; nil is HTTP
 
 	inHand atomic.Int64 // requests that hold it
 	ending atomic.Bool  // it takes no more
@@ -450,7 +450,7 @@
 	source, known := s.source(discovery, &spec)
 	var view engine.Freshness // stays nil where nothing is weighed
 	if link := s.p.view.Load(); link != nil {
-		svc.sight = link.Sight(module.Classes)
+		svc.sight = link.ForService(module.Classes)
 		svc.follow(discovery)
 		view = svc.sight
 	}
--- a/internal/proxy/view_test.go
+++ b/internal/proxy/view_test.go
@@ -23,7 +23,7 @@
 }
 
 // viewOfProxy waits for a snapshot that is as told.
-func viewOfProxy(t *testing.T, p *running, what string, yes func(r freshness.RegisterReport) bool) freshness.Report {
+func viewOfProxy(t *testing.T, p *running, what string, yes func(r freshness.ListReport) bool) freshness.Report {
 	t.Helper()
 	var last any
 	for by := time.Now().Add(60 * time.Second); time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
@@ -31,7 +31,7 @@
 		if last, err = (operator{p.proxy}).View(); err != nil {
 			continue // it starts yet
 		}
-		if r := last.(freshness.Report); len(r.Registers) == 1 && len(r.Registers[0].Routes) > 0 && yes(r.Registers[0]) {
+		if r := last.(freshness.Report); len(r.Lists) == 1 && len(r.Lists[0].Routes) > 0 && yes(r.Lists[0]) {
 			return r
 		}
 	}
@@ -45,7 +45,7 @@
 	a, b := memberText("a", countingBackend(t, atA), "active"), memberText("b", countingBackend(t, atB), "active")
 	c := newCatalog(t)
 	p := startProxy(t, listText(1, true, a, b), c, func(cfg *Config) { cfg.Fleet = viewFile(t, true) })
-	viewOfProxy(t, p, "doubtful", func(r freshness.RegisterReport) bool { return r.Age == "unknown" && r.Routes[0].Level == "doubtful" })
+	viewOfProxy(t, p, "doubtful", func(r freshness.ListReport) bool { return r.Age == "unknown" && r.Routes[0].Level == "doubtful" })
 	resp, _ := mustAnswer(t, http.StatusServiceUnavailable)(p.ask(t, "hand-in", 10000, "homework"))
 	if resp.Header.Get("Retry-After") == "" || len(atA)+len(atB) > 0 {
 		t.Errorf("Retry-After %q, %d at the servers", resp.Header.Get("Retry-After"), len(atA)+len(atB))
@@ -65,10 +65,10 @@
 		t.Errorf("%d at the one that answered, %d at the other", len(mine), len(other))
 	}
 	c.lists <- listText(2, true, a, b)
-	r := viewOfProxy(t, p, "fresh", func(r freshness.RegisterReport) bool {
+	r := viewOfProxy(t, p, "fresh", func(r freshness.ListReport) bool {
 		return r.Routes[0].Level == "fresh" || r.Routes[0].Level == "confirmed"
 	})
-	if r.Forbidden["once"] == 0 || r.Registers[0].Age == "unknown" || r.Registers[0].Routes[0].Servers != 2 || r.Registers[0].Routes[0].Name != "fast-5" {
+	if r.ForbiddenAttempts["once"] == 0 || r.Lists[0].Age == "unknown" || r.Lists[0].Routes[0].Servers != 2 || r.Lists[0].Routes[0].Name != "fast-5" {
 		t.Errorf("%+v", r)
 	}
 	for range 50 {
@@ -82,7 +82,7 @@
 func TestWithoutActTheViewIsOnlyShown(t *testing.T) {
 	got := make(chan *http.Request, 256)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), func(cfg *Config) { cfg.Fleet = viewFile(t, false) })
-	viewOfProxy(t, p, "doubtful", func(r freshness.RegisterReport) bool { return r.Routes[0].Level == "doubtful" })
+	viewOfProxy(t, p, "doubtful", func(r freshness.ListReport) bool { return r.Routes[0].Level == "doubtful" })
 	mustAnswer(t, 200)(p.ask(t, "hand-in", 10000, "homework"))
 	plain := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
 	mustAnswer(t, 200)(plain.ask(t, "hand-in", 10000, "homework"))
