--- a/decision/api.go
+++ b/decision/api.go
@@ -49,16 +49,17 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name                string
-	LatencyObjective    time.Duration // an answer within it earns the full worth
-	ObjectivePerWork    float64       // the aim is longer by this multiple of the request's own work
-	ClientTimeout       time.Duration // how long a client waits over all its tries
-	Idempotency         Idempotency
-	DeduplicationScope  DeduplicationScope // for Keyed
-	DeduplicationWindow time.Duration      // for Keyed: how long repeats are dropped, from the first that may have run
-	LateValueShare      float64            // share of the worth that a late answer earns
-	StreamedResponse    bool               // the answer begins with FirstByte
-	PriorityWeight      float64            // worth of a request
+	Name               string
+	LatencyObjective   time.Duration // an answer within it earns the full worth
+	ObjectivePerWork   float64       // the aim is longer by this multiple of the request's own work
+	ClientTimeout      time.Duration // how long a client waits over all its tries
+	Idempotency        Idempotency
+	DeduplicationScope DeduplicationScope // for Keyed
+	// for Keyed: how long repeats are dropped, from the first that may have run
+	DeduplicationWindow time.Duration
+	LateValueShare      float64 // share of the worth that a late answer earns
+	StreamedResponse    bool    // the answer begins with FirstByte
+	PriorityWeight      float64 // worth of a request
 }
 
 // Tenant is a customer with a share of the service.
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -14,15 +14,17 @@
 
 const (
 	// The checker. Spans are in connect time-outs, the sites' own measure of how soon a backend answers.
-	checkIntervalConnectTimeouts = 2   // connect time-outs between two probes of a target in doubt
-	passingCheckFactor           = 4   // times longer between those of one that passes: attempts tell more, at no cost
-	unhealthyThreshold           = 2   // failed probes in a row that mark a target: one may be chance
-	healthyThreshold             = 2   // passed probes in a row that restore it
-	sweepsPerInterval            = 10  // in a probe interval: how often time alone is looked at
-	checkShareOfRequests         = 0.1 // probes, as a share of the requests,
-	minChecksPerSpan             = 2   // and in each rest span, or in this if that is less, as many
-	minCheckSpan                 = 2 * time.Second
-	restartSilenceDivisor        = 2 // this part of a probe interval goes by unanswered before a start is suspected
+	checkIntervalConnectTimeouts = 2 // connect time-outs between two probes of a target in doubt
+	// times longer between those of one that passes: attempts tell more, at no cost
+	passingCheckFactor   = 4
+	unhealthyThreshold   = 2   // failed probes in a row that mark a target: one may be chance
+	healthyThreshold     = 2   // passed probes in a row that restore it
+	sweepsPerInterval    = 10  // in a probe interval: how often time alone is looked at
+	checkShareOfRequests = 0.1 // probes, as a share of the requests,
+	minChecksPerSpan     = 2   // and in each rest span, or in this if that is less, as many
+	minCheckSpan         = 2 * time.Second
+	// this part of a probe interval goes by unanswered before a start is suspected
+	restartSilenceDivisor = 2
 
 	// The delay estimate.
 	decayIntervals   = 4     // probe intervals over which what was measured fades
@@ -35,8 +37,9 @@
 	classDecay       = 0.998 // weight of a class's earlier delays as each new one comes: some 500 count
 	meanRequests     = 256   // requests over which overall means are taken
 	// Over at most so long the rate of requests is taken, and measures are kept.
-	maxRateSpan           = 5 * time.Minute
-	activeShareOfInterval = 0.5  // of a probe interval, in which requests come for as many backends as a proxy uses,
+	maxRateSpan = 5 * time.Minute
+	// of a probe interval, in which requests come for as many backends as a proxy uses,
+	activeShareOfInterval = 0.5
 	minActiveTargets      = 3    // or so many: two to compare after one is lost
 	localPreference       = 0.5  // how much worse the own zone's pick may be before one elsewhere is taken
 	affinityWaitShare     = 0.15 // share of its aim for which a request waits for its key's own two
@@ -47,14 +50,15 @@
 	slowStartBurst      = 0.25 // of the window that a cold backend's budget may be saved up over
 
 	// The limit on what is out at a backend.
-	lateTailFactor      = 1.5  // times the usual tail of its class from which an attempt counts as late
-	minLateShare        = 0.3  // and such shares of its aim at least
-	maxLateShare        = 0.7  // and at most: at its aim it is lost
-	tailExceedance      = 0.2  // that tail is what this part of a class's answers exceed
-	initialTailFactor   = 1.2  // times the mean that it is taken for at first
-	tailStep            = 0.02 // by which one answer moves it
-	tailMinSamples      = 50   // answers after which it is known
-	tailBaselineRise    = 4000 // what is usual rises by one part of these a sweep: far slower than trouble comes
+	lateTailFactor    = 1.5  // times the usual tail of its class from which an attempt counts as late
+	minLateShare      = 0.3  // and such shares of its aim at least
+	maxLateShare      = 0.7  // and at most: at its aim it is lost
+	tailExceedance    = 0.2  // that tail is what this part of a class's answers exceed
+	initialTailFactor = 1.2  // times the mean that it is taken for at first
+	tailStep          = 0.02 // by which one answer moves it
+	tailMinSamples    = 50   // answers after which it is known
+	// what is usual rises by one part of these a sweep: far slower than trouble comes
+	tailBaselineRise    = 4000
 	targetLimitBackoff  = 0.9  // a late one cuts the limit to this share
 	sharedLimitBackoff  = 0.96 // one that holds for all backends
 	increasesPerBackoff = 4    // so many in time make up for one late, so at rest one in five is
@@ -68,19 +72,22 @@
 	maxLoadWeight       = 8    // one request counts for at most so many out
 
 	// Admission and further attempts.
-	worstTolerance          = 0.02 // classes served within this of each other are all the worst
-	maxDispatchMisses       = 20   // waiting requests that find no backend, after which no more are asked
-	openRequestsThreshold   = 0.93 // of the requests that may be open, from which those that bring least are refused
-	queuedPerTarget         = 4    // requests that may wait for each ready backend
-	hedgeLatencyFactor      = 3    // expected delays that an attempt may take before another is thought of
-	defaultRetryBudgetRatio = 0.1  // further attempts, as a share of the requests
-	brokenAttemptCost       = 0.4  // of one after an attempt that broke, most often early, out of that budget
-	maxRetryBudget          = 10   // further attempts that may be saved up
+	worstTolerance    = 0.02 // classes served within this of each other are all the worst
+	maxDispatchMisses = 20   // waiting requests that find no backend, after which no more are asked
+	// of the requests that may be open, from which those that bring least are refused
+	openRequestsThreshold   = 0.93
+	queuedPerTarget         = 4   // requests that may wait for each ready backend
+	hedgeLatencyFactor      = 3   // expected delays that an attempt may take before another is thought of
+	defaultRetryBudgetRatio = 0.1 // further attempts, as a share of the requests
+	brokenAttemptCost       = 0.4 // of one after an attempt that broke, most often early, out of that budget
+	maxRetryBudget          = 10  // further attempts that may be saved up
 
 	// Calls for the list that failed.
-	listFreshnessBound = 6 * time.Second // all that discovery has counts as told so long after it could be reached,
-	listBackoffDivisor = 4               // and this part of it is rested at most: the next call may need time too
-	drainGraceDivisor  = 4               // and this part of a drain's grace, where the list is pushed,
+	// all that discovery has counts as told so long after it could be reached,
+	listFreshnessBound = 6 * time.Second
+	// and this part of it is rested at most: the next call may need time too
+	listBackoffDivisor = 4
+	drainGraceDivisor  = 4 // and this part of a drain's grace, where the list is pushed,
 	minListBackoff     = 10 * time.Millisecond
 
 	logInterval = 2 * time.Second // a line at most, for a tired reader
@@ -96,7 +103,8 @@
 		cfg.RetryBudgetRatio = defaultRetryBudgetRatio
 	}
 	classes, tenants, first := len(cfg.Classes), len(cfg.Tenants), [2]float64{1, 1}
-	b := &Balancer{config: cfg, host: host, random: rand.New(rand.NewPCG(seed, 0)), retryBudget: maxRetryBudget,
+	b := &Balancer{config: cfg, host: host, random: rand.New(rand.NewPCG(seed, 0)),
+		retryBudget: maxRetryBudget,
 		medianRatio: 1, medianRatioByLocality: first, targetsByID: map[BackendID]*target{},
 		detached: map[BackendID]time.Duration{}, requests: map[RequestID]*request{},
 		latencyByClass: make([]linearFit, classes), tailByClass: make([]quantile, classes),
@@ -115,7 +123,8 @@
 	b.now, b.countedSince = now, now
 	b.host.StartTimer(b.checkInterval/sweepsPerInterval, timerSweep<<56)
 	if b.config.PolledDiscovery {
-		b.host.StartTimer(jitter(b.random, min(b.checkInterval/2, b.config.MaxListBackoff())), timerEndpoints<<56)
+		b.host.StartTimer(jitter(b.random, min(b.checkInterval/2, b.config.MaxListBackoff())),
+			timerEndpoints<<56)
 	}
 }
 
@@ -138,13 +147,15 @@
 	for i, c := range b.config.Classes {
 		for _, o := range m.Classes {
 			if d := o.LatencySums; o.Name == c.Name {
-				b.latencyByClass[i] = linearFit{d[0] * keep, d[1] * keep, d[2] * keep, d[3] * keep, d[4] * keep}
+				b.latencyByClass[i] = linearFit{d[0] * keep, d[1] * keep, d[2] * keep, d[3] * keep,
+					d[4] * keep}
 			}
 		}
 	}
 }
 
-// restoreTarget gives a backend that the list names for the first time what was learned in this same life of it.
+// restoreTarget gives a backend that the list names for the first time what was learned in this
+// same life of it.
 // Danger: a suspected start is no life that the list knows of; the backend is cold though the proxy is new.
 func (b *Balancer) restoreTarget(t *target) {
 	if b.predecessor == nil {
@@ -161,7 +172,8 @@
 	}
 }
 
-// restoredSharedLimit is what the limit for all backends was before, as far as they are the same in the same life.
+// restoredSharedLimit is what the limit for all backends was before, as far as they are the same
+// in the same life.
 // Danger: one that was learned on warm backends would let too much out at cold ones.
 func (b *Balancer) restoredSharedLimit() float64 {
 	m, same := b.predecessor, 0
@@ -221,7 +233,8 @@
 	}
 }
 
-// MaxListBackoff is the longest rest between two calls for the list once one has failed. An agent on this machine,
+// MaxListBackoff is the longest rest between two calls for the list once one has failed. An agent
+// on this machine,
 // which has pushed lists, costs nothing, and what it has counts as told at once: a drain's grace bears it.
 // Danger: however seldom a register has to be asked while all is well, what it has counts as told in a fixed
 // time from when it could be reached.
@@ -281,7 +294,8 @@
 	}
 }
 
-// CountBackends counts the backends in the list, and those of them that are avoided by order or for their health.
+// CountBackends counts the backends in the list, and those of them that are avoided by order or
+// for their health.
 func (b *Balancer) CountBackends() (known, excluded int) {
 	for _, t := range b.targets {
 		if t.State == Removed {
@@ -306,7 +320,8 @@
 	})
 }
 
-// selectActive sets which backends this proxy uses: all if keys choose, else as many as it has requests in a part
+// selectActive sets which backends this proxy uses: all if keys choose, else as many as it has
+// requests in a part
 // of the probe interval, in its own zone and elsewhere, by an order that stays as others come and go.
 // Danger: many proxies with connections to all fill the backends' tables and know none of them.
 func (b *Balancer) selectActive() {
@@ -368,7 +383,8 @@
 		}
 	case Rejected, Cancelled, NotSent: // it says nothing of the backend's health
 	default:
-		t.passedChecks, t.failedChecks, t.nextCheck = 0, t.failedChecks+1, min(t.nextCheck, now+b.checkInterval)
+		t.passedChecks, t.failedChecks, t.nextCheck = 0, t.failedChecks+1, min(t.nextCheck,
+			now+b.checkInterval)
 		if t.failedChecks == 1 {
 			t.checksFailingSince = now
 		}
@@ -386,7 +402,8 @@
 	}
 }
 
-// startDueHealthChecks probes the targets whose time has come, those in doubt first, as far as the budget goes.
+// startDueHealthChecks probes the targets whose time has come, those in doubt first, as far as the
+// budget goes.
 // Danger: of many proxies with little traffic each, probes would cost the backends more than requests.
 func (b *Balancer) startDueHealthChecks() {
 	if !b.config.Capabilities.HealthChecks {
@@ -412,7 +429,8 @@
 	}
 }
 
-// recordAttemptHealth takes an attempt's end as evidence beside the probes: one that got no answer asks for a probe.
+// recordAttemptHealth takes an attempt's end as evidence beside the probes: one that got no answer
+// asks for a probe.
 func (b *Balancer) recordAttemptHealth(a *attempt, result Result) {
 	t := a.target
 	lost := &t.lossesByClass[a.request.Class]
@@ -444,7 +462,8 @@
 
 // ---- candidates and delay estimate ----
 
-// latencyRatio is the smoothed latency of a backend, as a multiple of what classes and hints lead one to expect.
+// latencyRatio is the smoothed latency of a backend, as a multiple of what classes and hints lead
+// one to expect.
 // What is out counts with its age, so silence shows at once; unmeasured, it is the others' median.
 func (b *Balancer) latencyRatio(t *target) float64 {
 	age := max(0, millis(b.now)*t.inverseExpected-t.sentOverExpected)
@@ -485,7 +504,8 @@
 			continue
 		}
 		least := b.meanWork / fall / float64(b.config.Instances) // a request a window teaches enough
-		likely, own := b.similarServedRate(t)*share, t.recentWork.perSecond(b.now, b.config.Constraints.OverloadWindow)
+		likely, own := b.similarServedRate(t)*share, t.recentWork.perSecond(b.now,
+			b.config.Constraints.OverloadWindow)
 		rate := max(likely, own)
 		if b.usesSharedLimit() { // Danger: among many, chance makes the larger too large at each.
 			rate = (likely + own) / 2
@@ -508,7 +528,8 @@
 	return t.slowStartTokens >= b.inMeanRequests(work) || alone
 }
 
-// meanRequestWork is the mean work of a request, ms; inMean how many such a request counts for. Danger: a budget
+// meanRequestWork is the mean work of a request, ms; inMean how many such a request counts for.
+// Danger: a budget
 // lets light ones through, and handshakes are work too. None counts under the mean.
 func (b *Balancer) meanRequestWork() float64            { return max(b.meanWork, minLatencyMillis) }
 func (b *Balancer) inMeanRequests(work float64) float64 { return max(work/b.meanRequestWork(), 1) }
@@ -529,14 +550,16 @@
 	return c.inFlight == 0 || c.load+1 <= limit
 }
 
-// typicalLatency is the delay of a request by mean and median, in ms, at most the longest of late. Danger: right after
+// typicalLatency is the delay of a request by mean and median, in ms, at most the longest of late.
+// Danger: right after
 // all delays jump, the mean is learned anew already while the median counts in means of before; their product
 // would be hundreds of times what anything takes, and one proxy of many would send next to nothing.
 func (b *Balancer) typicalLatency() float64 {
 	return min(b.meanLatency*b.medianRatio, b.longestLatency)
 }
 
-// limitScale scales limits for a request by its gain over the mean. Danger: a proxy with little traffic seldom
+// limitScale scales limits for a request by its gain over the mean. Danger: a proxy with little
+// traffic seldom
 // has two waiting to choose from, and all classes would be refused alike, those worth most with the rest.
 // It covers any cause of an overload. It may harm where worth is told wrongly.
 func (b *Balancer) limitScale(r *request) float64 {
@@ -594,7 +617,8 @@
 	return nil
 }
 
-// expectedDelay is the expected delay. Danger: a backend may lose one class's requests and serve the others as usual.
+// expectedDelay is the expected delay. Danger: a backend may lose one class's requests and serve
+// the others as usual.
 func (b *Balancer) expectedDelay(r *request, t *target) float64 {
 	// Danger: one that is unmeasured is taken to be as its only neighbour. If a trace of old losses, which
 	// never fades to nothing, broke the tie, it would get nothing and stay so, however slow the neighbour.
@@ -615,7 +639,8 @@
 	if len(near) == 0 {
 		return best
 	}
-	if local := b.betterOfTwo(r, near); b.expectedDelay(r, best)*(1+localPreference) >= b.expectedDelay(r, local) {
+	if local := b.betterOfTwo(r, near); b.expectedDelay(r,
+		best)*(1+localPreference) >= b.expectedDelay(r, local) {
 		return local
 	}
 	return best
@@ -670,20 +695,23 @@
 		l.learn(millis(c.LatencyObjective)/2, millis(c.LatencyObjective)/2, 1)
 	}
 	r := &request{Request: q, arrived: now}
-	r.objectiveAt = min(now+c.LatencyObjective+fromMillis(c.ObjectivePerWork*millis(q.ExpectedWork)), q.Deadline)
+	r.objectiveAt = min(now+c.LatencyObjective+fromMillis(c.ObjectivePerWork*millis(q.ExpectedWork)),
+		q.Deadline)
 	b.requests[q.ID] = r
 	b.retryBudget = min(b.retryBudget+b.config.RetryBudgetRatio, maxRetryBudget)
 	b.checkBudget += checkShareOfRequests
 	// Danger: over so few that they come within an interval, the rate would seem a fraction of what it
 	// is, and a proxy with much traffic would use too few backends.
-	if b.requestCount++; b.requestCount > meanRequests && now-b.countedSince > decayIntervals*b.checkInterval {
+	if b.requestCount++; b.requestCount > meanRequests &&
+		now-b.countedSince > decayIntervals*b.checkInterval {
 		b.decayRequestRate()
 	}
 	// Danger: over the whole span from the first on, that one would stand for hundreds, and a proxy that has
 	// just started would refuse whatever brings less.
 	b.meanSamples = min(b.meanSamples+1, meanRequests)
 	b.meanWork = movingAverage(b.meanWork, b.workOf(r), b.meanSamples)
-	b.meanLatency = movingAverage(b.meanLatency, b.expectedLatency(q.Class, millis(q.ExpectedWork)), b.meanSamples)
+	b.meanLatency = movingAverage(b.meanLatency, b.expectedLatency(q.Class, millis(q.ExpectedWork)),
+		b.meanSamples)
 	b.valueRequest(r)
 	b.meanGain = movingAverage(b.meanGain, b.marginalGain(r)*b.totalTally[0].offered, b.meanSamples)
 	b.openRequests++
@@ -701,7 +729,8 @@
 		b.rejectOrFail(r, b.checkInterval)
 		return
 	}
-	slack := b.lastUseful(r) - b.now - fromMillis(b.expectedLatency(r.Class, millis(r.ExpectedWork))*b.medianRatio)
+	slack := b.lastUseful(r) - b.now - fromMillis(b.expectedLatency(r.Class,
+		millis(r.ExpectedWork))*b.medianRatio)
 	r.waitUntil = b.now + slack/2
 	b.queue = append(b.queue, r)
 }
@@ -712,7 +741,8 @@
 	return len(r.attempts) > 0 && !slices.ContainsFunc(b.active, may)
 }
 
-// marginalGain is what serving a request now adds to the goal for each unit of its work: its part of all worth, of
+// marginalGain is what serving a request now adds to the goal for each unit of its work: its part
+// of all worth, of
 // its class's and tenant's if worst served, times the chance that the answer comes in time.
 func (b *Balancer) marginalGain(r *request) float64 {
 	g, c := &b.config.ObjectiveWeights, &b.config.Classes[r.Class]
@@ -726,7 +756,8 @@
 		v += part(t, g.WorstClass)
 	}
 	i := r.Tenant
-	if i >= 0 && i < len(b.tallyByTenant) && isWorstServed(&b.tallyByTenant[i], b.tallyByTenant, worstTolerance) {
+	if i >= 0 && i < len(b.tallyByTenant) &&
+		isWorstServed(&b.tallyByTenant[i], b.tallyByTenant, worstTolerance) {
 		v += part(&b.tallyByTenant[i], g.WorstTenant) * (1 - r.overQuota)
 	}
 	mean := b.expectedLatency(r.Class, millis(r.ExpectedWork)) * b.medianRatio
@@ -744,7 +775,8 @@
 	density := b.marginalGain(r) * b.totalTally[0].offered * b.workOf(r) / delay
 	b.meanDensity = movingAverage(b.meanDensity, density, b.meanSamples)
 	most := b.config.Capabilities.MaxOpenRequests
-	return most > 0 && float64(b.openRequests) > openRequestsThreshold*float64(most) && density < b.meanDensity
+	return most > 0 && float64(b.openRequests) > openRequestsThreshold*float64(most) &&
+		density < b.meanDensity
 }
 
 // isWorstServed tells whether none of the others is served much less.
@@ -765,7 +797,8 @@
 		r.rank = b.marginalGain(r)
 	}
 	slices.SortStableFunc(waiting, func(x, y *request) int { return cmp.Compare(y.rank, x.rank) })
-	misses, most := 0, queuedPerTarget*(len(b.active)+1)*min(initialLimit, b.config.Instances)/b.config.Instances
+	misses, most := 0, queuedPerTarget*(len(b.active)+1)*min(initialLimit,
+		b.config.Instances)/b.config.Instances
 	for i, r := range waiting {
 		rest = waiting[i+1:]
 		if r.ended {
@@ -986,7 +1019,8 @@
 	}
 }
 
-// adjustLimits learns how much may be out at a backend from whether its answers take their usual time. Danger:
+// adjustLimits learns how much may be out at a backend from whether its answers take their usual
+// time. Danger:
 // a crowded server answers all late, and may turn slow for long; so one counts as late while still out.
 func (b *Balancer) adjustLimits(a *attempt, result Result) {
 	for i := range a.reservations {
@@ -1006,11 +1040,13 @@
 	}
 }
 
-// usesSharedLimit tells whether there is a limit for all backends beside each one's own. Danger: a proxy whose
+// usesSharedLimit tells whether there is a limit for all backends beside each one's own. Danger: a
+// proxy whose
 // part of a first limit is under one request sees too little of each to learn in time that all are crowded.
 func (b *Balancer) usesSharedLimit() bool { return b.config.Instances > initialLimit }
 
-// relaxLimit lets a limit come down to what is used, and up again to where it began. Danger: far above, a burst
+// relaxLimit lets a limit come down to what is used, and up again to where it began. Danger: far
+// above, a burst
 // tips servers before answers tell; far below, a backend gets nothing that could show that it is well.
 func (b *Balancer) relaxLimit(c *concurrencyLimit) {
 	first := initialLimit * c.unit
@@ -1048,7 +1084,8 @@
 	}
 	c := &b.config.Classes[r.Class]
 	r.bodyComplete, r.arrived, r.Deadline = true, now, deadline
-	r.objectiveAt = min(now+c.LatencyObjective+fromMillis(c.ObjectivePerWork*millis(r.ExpectedWork)), deadline)
+	r.objectiveAt = min(now+c.LatencyObjective+fromMillis(c.ObjectivePerWork*millis(r.ExpectedWork)),
+		deadline)
 	for _, a := range r.attempts {
 		if !a.done {
 			a.startWaiting(now)
--- a/decision/config.go
+++ b/decision/config.go
@@ -28,7 +28,8 @@
 		return &SettingError{"Caps.MaxAttempts", reason}
 	}
 	for i, s := range c.Classes {
-		for _, f := range [2]setting{{"Aim", float64(s.LatencyObjective)}, {"GiveUp", float64(s.ClientTimeout)}} {
+		for _, f := range [2]setting{{"Aim", float64(s.LatencyObjective)}, {"GiveUp",
+			float64(s.ClientTimeout)}} {
 			if f.value <= 0 {
 				field := fmt.Sprintf("Services.%d.%s", i, f.name)
 				return &SettingError{field, "must be above 0: no answer could be in time"}
@@ -69,10 +70,12 @@
 }
 
 const (
-	maxDuration           = 30 * 24 * time.Hour // no one waits for longer; a few hundred times this is still a span
-	maxWeightSetting      = 1e12                // sums of it over all requests are still numbers
-	maxAttemptsSetting    = 255                 // an attempt's number is one byte in a timer's token, as on the wire
-	defaultOverloadWindow = time.Second         // where no span is told in which a cold backend falls
+	// no one waits for longer; a few hundred times this is still a span
+	maxDuration      = 30 * 24 * time.Hour
+	maxWeightSetting = 1e12 // sums of it over all requests are still numbers
+	// an attempt's number is one byte in a timer's token, as on the wire
+	maxAttemptsSetting    = 255
+	defaultOverloadWindow = time.Second // where no span is told in which a cold backend falls
 )
 
 // Normalized gives the settings with what only weighs brought to its range, and with no span so long
--- a/decision/memory.go
+++ b/decision/memory.go
@@ -19,8 +19,9 @@
 
 // ClassSnapshot is what was learned of a class.
 type ClassSnapshot struct {
-	Name        string     `json:"name"`
-	LatencySums [5]float64 `json:"delays"` // sums of a line through cost hints and delays in ms: n, x, y, xx, xy
+	Name string `json:"name"`
+	// sums of a line through cost hints and delays in ms: n, x, y, xx, xy
+	LatencySums [5]float64 `json:"delays"`
 }
 
 // BackendSnapshot is what was learned of a backend in the life that it began at Started.
--- a/decision/state.go
+++ b/decision/state.go
@@ -43,50 +43,58 @@
 	queue                                   []*request
 	dispatchScheduled                       bool    // a timer for what waits is out
 	retryBudget, checkBudget                float64 // budgets of further attempts and of probes
-	failedListCalls, checkCursor            int     // failed calls for the list in a row; where probing goes on
-	meanSamples                             float64 // requests over which overall means are taken by now
-	meanGain                                float64 // of requests as they come, times what all ask for
-	meanDensity                             float64 // likewise of what they bring for each ms that they are open
-	openRequests                            int     // requests without a final answer
-	requestCount                            float64 // requests since the time in since
-	countedSince                            time.Duration
-	lastLogAt                               time.Duration
-	predecessor                             *Snapshot // of one before it; nil is none
-	candidates                              []*target // for use within pick
-	ratioBuffer                             []float64 // for use within findMedian
+	// failed calls for the list in a row; where probing goes on
+	failedListCalls, checkCursor int
+	meanSamples                  float64 // requests over which overall means are taken by now
+	meanGain                     float64 // of requests as they come, times what all ask for
+	// likewise of what they bring for each ms that they are open
+	meanDensity  float64
+	openRequests int     // requests without a final answer
+	requestCount float64 // requests since the time in since
+	countedSince time.Duration
+	lastLogAt    time.Duration
+	predecessor  *Snapshot // of one before it; nil is none
+	candidates   []*target // for use within pick
+	ratioBuffer  []float64 // for use within findMedian
 }
 
 // target is the checker's entry for one backend; it outlives list changes and restarts.
 type target struct {
 	Backend
-	healthy, checkInFlight            bool
-	detached                          bool   // taken out by order
-	hashOrder                         uint64 // where it stands among those this proxy may use
-	failedChecks, passedChecks        int    // probes in a row
-	nextCheck                         time.Duration
-	inFlight                          []*attempt       // oldest first
-	relativeSize                      float64          // as registered, over the mean; 1 where that is not told
-	limit                             concurrencyLimit // with what is out there
-	ratioSum, ratioCount              decayingSum      // sum of delay ratios, and their number
-	sentOverExpected, inverseExpected float64          // of what is out: the sums of sent/expected and 1/expected
-	consecutiveFailures               int              // attempts in a row that got no answer
+	healthy, checkInFlight     bool
+	detached                   bool   // taken out by order
+	hashOrder                  uint64 // where it stands among those this proxy may use
+	failedChecks, passedChecks int    // probes in a row
+	nextCheck                  time.Duration
+	inFlight                   []*attempt // oldest first
+	// as registered, over the mean; 1 where that is not told
+	relativeSize         float64
+	limit                concurrencyLimit // with what is out there
+	ratioSum, ratioCount decayingSum      // sum of delay ratios, and their number
+	// of what is out: the sums of sent/expected and 1/expected
+	sentOverExpected, inverseExpected float64
+	consecutiveFailures               int // attempts in a row that got no answer
 	lastSuccess                       time.Duration
 	failingSince, checksFailingSince  time.Duration // the first of those in a row
 	lossesByClass                     []decayingSum // unanswered attempts by class, halved by each answer
 	lastStart, tokensUpdatedAt        time.Duration // coldSince: last known or suspected start; 0 is long ago
-	slowStartTokens                   float64       // what a cold backend may be sent, in requests of mean work
-	slowStartRate                     float64       // ms of work a second
-	servedWork, recentWork            decayingSum   // work
+	// what a cold backend may be sent, in requests of mean work
+	slowStartTokens        float64
+	slowStartRate          float64     // ms of work a second
+	servedWork, recentWork decayingSum // work
 }
 
-// concurrencyLimit is the concurrency limit: what is out at a backend, or at all of them, and how much may be.
+// concurrencyLimit is the concurrency limit: what is out at a backend, or at all of them, and how
+// much may be.
 type concurrencyLimit struct {
-	inFlight                int
-	load, limit, growthStep float64 // load: heavy requests count for more; boost: what each answer in time adds
-	unit, backoffFactor     float64 // unit: this proxy's part of one request at each; cut: what a late one leaves
-	lastSent, averagedAt    time.Duration
-	averagingSpan           time.Duration // that the load is averaged over; 0 takes it as it is
-	averageLoad             float64
+	inFlight int
+	// load: heavy requests count for more; boost: what each answer in time adds
+	load, limit, growthStep float64
+	// unit: this proxy's part of one request at each; cut: what a late one leaves
+	unit, backoffFactor  float64
+	lastSent, averagedAt time.Duration
+	averagingSpan        time.Duration // that the load is averaged over; 0 takes it as it is
+	averageLoad          float64
 }
 
 func newConcurrencyLimit(unit, cut float64, over time.Duration) concurrencyLimit {
@@ -100,7 +108,8 @@
 	if c.averagingSpan == 0 {
 		return c.load
 	}
-	c.averageLoad += (c.load - c.averageLoad) * (1 - math.Exp(-float64(now-c.averagedAt)/float64(c.averagingSpan)))
+	c.averageLoad += (c.load - c.averageLoad) * (1 -
+		math.Exp(-float64(now-c.averagedAt)/float64(c.averagingSpan)))
 	c.averagedAt = now
 	return c.averageLoad
 }
@@ -290,7 +299,8 @@
 func (b *Balancer) overQuotaShare(i int) float64 {
 	quota := b.config.Tenants[i].QuotaPerSecond / float64(b.config.Instances)
 	b.trafficByTenant[i].add(1, b.now, b.config.Constraints.OverloadWindow)
-	if rate := b.trafficByTenant[i].perSecond(b.now, b.config.Constraints.OverloadWindow); quota > 0 && rate > quota {
+	if rate := b.trafficByTenant[i].perSecond(b.now,
+		b.config.Constraints.OverloadWindow); quota > 0 && rate > quota {
 		return 1 - quota/rate
 	}
 	return 0
@@ -315,12 +325,14 @@
 	slices.SortFunc(b.listed, func(x, y *target) int { return cmp.Compare(x.hashOrder, y.hashOrder) })
 }
 
-// similarServedRate is the work a second that warm backends of the same kind and zone serve, else all warm ones.
+// similarServedRate is the work a second that warm backends of the same kind and zone serve, else
+// all warm ones.
 func (b *Balancer) similarServedRate(t *target) float64 {
 	sum, n := 0.0, 0.0
 	for i := 0; i < 2 && n == 0; i++ {
 		for _, o := range b.active {
-			if _, c := b.warmUpCapacity(o); !c && o.healthy && (i > 0 || o.Kind == t.Kind && o.Zone == t.Zone) {
+			if _, c := b.warmUpCapacity(o); !c && o.healthy && (i > 0 ||
+				o.Kind == t.Kind && o.Zone == t.Zone) {
 				sum, n = sum+o.servedWork.perSecond(b.now, servedWorkIntervals*b.checkInterval), n+1
 			}
 		}
--- a/internal/controlplane/api/file_test.go
+++ b/internal/controlplane/api/file_test.go
@@ -10,7 +10,7 @@
 	"lapisspread/internal/controlplane/api"
 )
 
-const example = "../../deploy/fleet.toml"
+const example = "../../../deploy/fleet.toml"
 
 func TestTheExampleIsGood(t *testing.T) {
 	f, err := api.Load(example)
--- a/internal/controlplane/client/docs_test.go
+++ b/internal/controlplane/client/docs_test.go
@@ -45,7 +45,7 @@
 }
 
 const (
-	page  = "../../docs/fleet.md"
+	page  = "../../../docs/fleet.md"
 	begin = "<!-- errors: from their types; UPDATE_DOCS=1 go test ./internal/fleetlink writes this -->\n"
 	end   = "<!-- end of errors -->"
 )
@@ -88,7 +88,10 @@
 	for _, e := range told {
 		have = append(have, fmt.Sprintf("%T", e))
 	}
-	for _, dir := range []string{"../consensus", "../consensus/store", "../consensus/node", "../fleet", ".", "../fleetview", "../staleness", "../grant", "../steward", "../namespace", "../pieces", "../policybook", "../rollout"} {
+	for _, dir := range []string{
+		"../../consensus", "../../consensus/storage", "../../consensus/node", "../api", ".", "../freshness", "../../staleness",
+		"../../quotalease", "../server", "../../policy/namespace", "../../policy/merkle", "../../policy/store", "../../policy/rollout",
+	} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatal(dir, err)
--- a/internal/policy/namespace/merge_test.go
+++ b/internal/policy/namespace/merge_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	texts := map[string]string{}
 	for _, name := range []string{"charter", "dispatch", "settlement", "booking-desks"} {
-		text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "fleet", name+".toml"))
+		text, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "fleet", name+".toml"))
 		if err != nil {
 			t.Fatal(err)
 		}
