--- a/internal/admin/frozen_test.go
+++ b/internal/admin/frozen_test.go
@@ -26,14 +26,14 @@
 			continue
 		}
 		all.WriteString("> " + line + "\n")
-		all.Write(s.answer(line))
+		all.Write(s.execute(line))
 	}
 	for _, text := range []string{strings.Repeat("y", 600), ""} {
 		if _, err := readLine(strings.NewReader(text)); err == nil {
 			t.Errorf("%.9q is taken for a line", text)
 		} else {
 			all.WriteString("> unreadable\n")
-			all.Write(no(err))
+			all.Write(errorReply(err))
 		}
 	}
 	all.WriteString("orders: " + strings.Join(p.calls, ", ") + "\n")
--- a/internal/admin/console_test.go
+++ b/internal/admin/server_test.go
@@ -9,6 +9,7 @@
 	"net"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 )
@@ -28,16 +29,16 @@
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, call)
 }
-func (s *stub) Serving() bool           { return s.serving }
-func (s *stub) Figures() json.Marshaler { return raw(`{"in_flight":3}`) }
-func (s *stub) LameDuck()               { s.note("lameduck") }
-func (s *stub) Rejoin()                 { s.note("rejoin") }
-func (s *stub) Routes() (string, error) { return "", errors.New("f.toml: line 3:\nbad") }
-func (s *stub) Admission() (any, error) { return map[string]int{"open": 3}, nil }
-func (s *stub) Diameter() (any, error)  { return nil, errors.New("no Diameter is spoken") }
-func (s *stub) Fleet() (any, error)     { return nil, errors.New("no fleet") }
-func (s *stub) View() (any, error)      { return nil, errors.New("no view") }
-func (s *stub) Comeback() (any, error)  { return map[string]int{"servers_kept": 2}, nil }
+func (s *stub) Serving() bool                 { return s.serving }
+func (s *stub) Counters() json.Marshaler      { return raw(`{"in_flight":3}`) }
+func (s *stub) StartDraining()                { s.note("lameduck") }
+func (s *stub) StopDraining()                 { s.note("rejoin") }
+func (s *stub) ReloadRoutes() (string, error) { return "", errors.New("f.toml: line 3:\nbad") }
+func (s *stub) Admission() (any, error)       { return map[string]int{"open": 3}, nil }
+func (s *stub) Diameter() (any, error)        { return nil, errors.New("no Diameter is spoken") }
+func (s *stub) QuotaLeases() (any, error)     { return nil, errors.New("no fleet") }
+func (s *stub) Freshness() (any, error)       { return nil, errors.New("no view") }
+func (s *stub) ListGuard() (any, error)       { return map[string]int{"servers_kept": 2}, nil }
 func (s *stub) Block(prefix string, span time.Duration) error {
 	s.note("block " + prefix + " " + span.String())
 	return nil
@@ -52,7 +53,7 @@
 }
 func (s *stub) Attach(id string) error { s.note("attach " + id); return nil }
 
-func start(t *testing.T, p Proxy) string {
+func start(t *testing.T, p Backend) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,8 +78,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second))
+	t.Cleanup(func() { _ = c.Close() })
+	if err := c.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	return c
 }
 
@@ -90,7 +93,9 @@
 			t.Fatal(err)
 		}
 	}
-	c.(*net.TCPConn).CloseWrite()
+	if err := c.(*net.TCPConn).CloseWrite(); err != nil && !errors.Is(err, syscall.ENOTCONN) {
+		t.Fatal(err) // not connected: the server has replied to a line that is too long and closed
+	}
 	text, err := io.ReadAll(c)
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +132,7 @@
 		{"rejoin with words", "400 REJOIN: 1 words behind the call, want 0\n", []string{"REJOIN now\n"}},
 		{"empty", "400 the line is empty\n", []string{"\n"}},
 		{"nothing", "400 no line came\n", nil},
-		{"too long", "400 the line is longer than 512 bytes\n", []string{"DETACH " + strings.Repeat("x", lineBytes-6)}},
+		{"too long", "400 the line is longer than 512 bytes\n", []string{"DETACH " + strings.Repeat("x", maxLineBytes-6)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := call(t, addr, c.pieces...); got != c.want {
@@ -155,7 +160,7 @@
 func TestSilentCallersKeepNobodyWaiting(t *testing.T) {
 	addr := start(t, &stub{serving: true})
 	first := dial(t, addr)
-	for range 3 * mostCallers {
+	for range 3 * maxSilentConnections {
 		dial(t, addr)
 	}
 	if got := call(t, addr, "PING\n"); got != "200 serving\n" {
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -102,7 +102,7 @@
 	for range 20 {
 		mustAnswer(t, http.StatusServiceUnavailable)(p.ask(t, "hand-in", 10000, "homework"))
 	}
-	r, err := operator{p.proxy}.Fleet()
+	r, err := operator{p.proxy}.QuotaLeases()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 	if h := within(t, got, "the backend got nothing").Header; h.Get("X-Fleet-Token") != "" {
 		t.Errorf("%v", h)
 	}
-	if _, err := (operator{p.proxy}).Fleet(); err == nil || !strings.Contains(err.Error(), "--fleet") {
+	if _, err := (operator{p.proxy}).QuotaLeases(); err == nil || !strings.Contains(err.Error(), "--fleet") {
 		t.Errorf("the console says %v", err)
 	}
 }
@@ -129,7 +129,7 @@
 	path, _ := oneSteward(t, 20, 2, fmt.Sprintf("[tls]\ncertificate = %q\nkey = %q\nca = %q\n", files.Certificate, files.Key, files.CA))
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, make(chan *http.Request, 1)), "active")), newCatalog(t), func(c *Config) { c.Fleet = path })
 	for by := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		r, err := operator{p.proxy}.Fleet() // an error until the proxy has joined it
+		r, err := operator{p.proxy}.QuotaLeases() // an error until the proxy has joined it
 		report, _ := r.(client.Status)
 		if report.Answered > 0 && report.Policy != nil && report.Policy.Answered > 0 {
 			return
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -59,15 +59,15 @@
 // operator is the proxy as the console's calls see it. None of them waits for the loop.
 type operator struct{ *Proxy }
 
-func (o operator) Serving() bool           { return o.ready.Load() }
-func (o operator) Figures() json.Marshaler { return o.services.figures() }
-func (o operator) LameDuck()               { o.conns.setLameDuck(true) }
-func (o operator) Rejoin()                 { o.conns.setLameDuck(false) }
-func (o operator) Detach(id string) error  { return o.order(id, true) }
-func (o operator) Attach(id string) error  { return o.order(id, false) }
-
-// Routes reads the file of services anew. SIGHUP does too, and takes in the process's own settings besides.
-func (o operator) Routes() (string, error) {
+func (o operator) Serving() bool            { return o.ready.Load() }
+func (o operator) Counters() json.Marshaler { return o.services.figures() }
+func (o operator) StartDraining()           { o.conns.setLameDuck(true) }
+func (o operator) StopDraining()            { o.conns.setLameDuck(false) }
+func (o operator) Detach(id string) error   { return o.order(id, true) }
+func (o operator) Attach(id string) error   { return o.order(id, false) }
+
+// ReloadRoutes reads the file of services anew. SIGHUP does too, and takes in the process's own settings besides.
+func (o operator) ReloadRoutes() (string, error) {
 	text, err := o.services.reread()
 	if err != nil {
 		if o.services.several() {
@@ -123,8 +123,8 @@
 	return o.diameter.report(), nil
 }
 
-// Comeback is what is held in doubt, and how the calls for the list went.
-func (o operator) Comeback() (any, error) {
+// ListGuard is what is held in doubt, and how the calls for the list went.
+func (o operator) ListGuard() (any, error) {
 	if o.comeback == nil {
 		return nil, errors.New("the rules of coming back are off: the proxy was started without --comeback")
 	}
@@ -138,8 +138,8 @@
 	return r, nil
 }
 
-// Fleet is what is granted to this proxy, and how the talk with the stewards goes.
-func (o operator) Fleet() (any, error) {
+// QuotaLeases is what is granted to this proxy, and how the talk with the stewards goes.
+func (o operator) QuotaLeases() (any, error) {
 	link := o.fleet.Load()
 	if link == nil {
 		return nil, errors.New("no budgets of a fleet hold: the proxy was started without --fleet")
@@ -152,8 +152,8 @@
 	return r, nil
 }
 
-// View is how old what this proxy holds of its registers may be.
-func (o operator) View() (any, error) {
+// Freshness is how old what this proxy holds of its registers may be.
+func (o operator) Freshness() (any, error) {
 	view := o.view.Load()
 	if view == nil {
 		return nil, errors.New("the view is not weighed: the proxy was started without --fleet, or the fleet's file has no table view")
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	o := operator{p.proxy}
-	o.LameDuck()
+	o.StartDraining()
 	if resp, _ := mustAnswer(t, 200)(askOn(used, usedIn, "hand-in", 9000, "x")); !resp.Close {
 		t.Error("the answer of a lame duck does not close its connection")
 	}
@@ -46,7 +46,7 @@
 	}
 	late, lateIn := dial()
 	mustAnswer(t, 200)(askOn(late, lateIn, "hand-in", 9000, "x"))
-	o.Rejoin()
+	o.StopDraining()
 	again, againIn := dial()
 	if resp, _ := mustAnswer(t, 200)(askOn(again, againIn, "hand-in", 9000, "x")); resp.Close {
 		t.Error("back at work, it still closes connections")
@@ -73,7 +73,7 @@
 	p.proxy.ReloadFailed(errors.New("no such file"))
 	text := ""
 	for start := time.Now(); text != want; time.Sleep(time.Millisecond) { // they may lag a little
-		b, err := operator{p.proxy}.Figures().MarshalJSON()
+		b, err := operator{p.proxy}.Counters().MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -60,7 +60,7 @@
 		}
 	}
 	report := func() client.Status {
-		r, err := operator{s.proxy}.Fleet()
+		r, err := operator{s.proxy}.QuotaLeases()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/services_trouble_test.go
+++ b/internal/proxy/services_trouble_test.go
@@ -175,11 +175,11 @@
 	s := newStage(t, twoServices, nil)
 	op := operator{s.proxy}
 	s.write(strings.ReplaceAll(twoServices, "settlement", "payouts"))
-	if text, err := op.Routes(); err != nil || text != "2 services, 2 routes" {
+	if text, err := op.ReloadRoutes(); err != nil || text != "2 services, 2 routes" {
 		t.Errorf("%q, %v", text, err)
 	}
 	s.write(strings.Replace(twoServices, "cap = 0.5", "cap = 7.0", 1))
-	if _, err := op.Routes(); err == nil || !strings.Contains(err.Error(), "services.toml") || !strings.Contains(err.Error(), "cap 7") {
+	if _, err := op.ReloadRoutes(); err == nil || !strings.Contains(err.Error(), "services.toml") || !strings.Contains(err.Error(), "cap 7") {
 		t.Errorf("a bad file: %v", err)
 	}
 	if s.proxy.services.now.Load().byName["payouts"] == nil || s.proxy.own.ReloadsFailed.Load() != 1 {
