--- a/internal/quotalease/divide.go
+++ b/internal/quotalease/divide.go
@@ -6,193 +6,236 @@
 	"slices"
 )
 
-// hysteresis is the part of its due by which a holder's amount may differ before it is moved. Demand is measured and always
-// trembles by a few percent; every move costs an empty bucket at the other end.
+// hysteresis is the part of its due by which a holder's amount may differ before it is moved. Measured demand
+// varies by a few percent, and each move costs an empty token bucket at the other end.
 const hysteresis = .1
 
-// Demand is what one process asks of a budget, and what it has now.
+// roundingSlack is in millionths of a unit: a floating-point error must not cost a whole unit.
+const roundingSlack = 1e-3
+
+// Demand is what one process demands of a quota, and what it has now.
 type Demand struct {
 	HolderID
-	Wanted  Amount
-	Current Amount // of its newest grant; 0 is none
+	// Wanted is units a second, or units in flight.
+	Wanted Amount
+	// Current is the amount of its newest lease; 0 is none.
+	Current Amount
 }
 
-// Divide says how much each should have: max-min by weight over what each asks for (progressive filling; Bertsekas and
-// Gallager, Data Networks, 6.5.2), minimums first, nobody over its cap or what it asks for. What is idle goes to those who
-// ask. Floors come off the whole first. Who is within a tenth of its due keeps what it has, as far as that fits: the sum
-// stays the same or more. The outcome does not depend on the order of the demands; amounts come in that order. They never
-// sum to more than the whole less all floors.
-func Divide(b *Quota, demands []Demand) []Amount {
-	out := make([]Amount, len(demands))
-	whole := b.unreserved()
-	if len(demands) == 0 || whole <= 0 {
-		return out
-	}
-	order := make([]int, len(demands))
-	for i := range order {
-		order[i] = i
+// Divide returns how much each process should have, in the order of the demands. It is weighted max-min fairness
+// over what each demands (progressive filling; Bertsekas and Gallager, Data Networks, 6.5.2): minimums first,
+// nobody above its cap or its demand; what is idle goes to those who demand it. Floors come off the limit first.
+// Who is within hysteresis of its due keeps what it has, as far as that fits; the sum does not fall by that. The
+// outcome does not depend on the order of the demands. The amounts never sum to more than the limit less all
+// floors.
+func Divide(quota *Quota, demands []Demand) []Amount {
+	amounts := make([]Amount, len(demands))
+	total := quota.unreserved()
+	if len(demands) == 0 || total <= 0 {
+		return amounts
+	}
+	d := newDivision(quota, demands, total)
+	d.scaleMinimums()
+	if d.sumHigh <= total {
+		copy(d.due, d.high)
+	} else {
+		d.fillLevel()
 	}
-	slices.SortFunc(order, func(x, y int) int { return demands[x].HolderID.Compare(demands[y].HolderID) })
+	d.applyHysteresis()
+	d.roundAmounts(amounts)
+	return amounts
+}
+
+// division is one run of Divide. Its slices are in the order of the holders; all amounts are in millionths of a unit.
+type division struct {
+	kind    Kind
+	total   float64
+	demands []Demand
+	order   []int // the index in demands and in the outcome
+
+	weight  []float64
+	low     []float64 // the minimum, no more than is demanded
+	high    []float64 // what is demanded, no more than the cap
+	due     []float64
+	most    []float64 // the cap
+	sumLow  float64
+	sumHigh float64
+}
 
+func newDivision(quota *Quota, demands []Demand, total float64) *division {
 	n := len(demands)
-	buf := make([]float64, 5*n)
-	weight, low, high, due, most := buf[:n], buf[n:2*n], buf[2*n:3*n], buf[3*n:4*n], buf[4*n:]
-	lows, highs := 0.0, 0.0
-	for at, i := range order {
-		s := b.shareOf(demands[i].Holder)
-		weight[at], most[at] = s.Weight, whole
-		if s.Cap > 0 {
-			most[at] = min(whole, float64(FromUnits(s.Cap)))
+	values := make([]float64, 5*n) // one allocation for all
+	d := &division{
+		kind: quota.Kind, total: total, demands: demands, order: make([]int, n),
+		weight: values[:n], low: values[n : 2*n], high: values[2*n : 3*n], due: values[3*n : 4*n], most: values[4*n:],
+	}
+	for i := range d.order {
+		d.order[i] = i
+	}
+	slices.SortFunc(d.order, func(x, y int) int { return demands[x].Compare(demands[y].HolderID) })
+	for at, i := range d.order {
+		share := quota.shareOf(demands[i].Holder)
+		d.weight[at] = share.Weight
+		d.most[at] = total
+		if share.Cap > 0 {
+			d.most[at] = min(total, float64(FromUnits(share.Cap)))
 		}
-		high[at] = min(max(0, float64(demands[i].Wanted)), most[at])
-		low[at] = min(float64(FromUnits(s.Min)), high[at])
-		lows += low[at]
-		highs += high[at]
-	}
-	if lows > whole { // two processes of one name both ask for its minimum
-		for at := range low {
-			low[at] *= whole / lows
-		}
-	}
-	if highs <= whole {
-		copy(due, high)
-	} else {
-		fillLevel(whole, weight, low, high, due)
+		d.high[at] = min(max(0, float64(demands[i].Wanted)), d.most[at])
+		d.low[at] = min(float64(FromUnits(share.Min)), d.high[at])
+		d.sumLow += d.low[at]
+		d.sumHigh += d.high[at]
 	}
-	applyHysteresis(whole, demands, order, low, most, due)
-	roundAmounts(b.Kind, whole, order, due, out)
-	return out
+	return d
 }
 
-// unreserved is the whole less all floors.
-func (b *Quota) unreserved() float64 {
-	free := FromUnits(b.Limit)
-	for _, x := range b.Floors {
-		free -= FromUnits(x)
+// scaleMinimums makes minimums fit that come to more than the total: two processes of one name may both demand its
+// minimum.
+func (d *division) scaleMinimums() {
+	if d.sumLow <= d.total {
+		return
+	}
+	for at := range d.low {
+		d.low[at] *= d.total / d.sumLow
 	}
-	return float64(max(0, free))
 }
 
-// fillLevel raises one level, by weight, for all: each gets level times weight, at least its low and at most its high.
-func fillLevel(whole float64, weight, low, high, due []float64) {
-	type turn struct {
-		level, slope float64 // from this level on the sum grows by so much more
-	}
-	turns := make([]turn, 0, 2*len(due))
+// levelTurn is a level from which on the sum grows by so much more a level.
+type levelTurn struct {
+	level float64
+	slope float64
+}
+
+// fillLevel raises one level for all until the total is used: each gets level times weight, at least its low and at
+// most its high.
+func (d *division) fillLevel() {
+	turns := make([]levelTurn, 0, 2*len(d.due))
 	sum := 0.0
-	for i := range due {
-		sum += low[i]
-		turns = append(turns, turn{low[i] / weight[i], weight[i]}, turn{high[i] / weight[i], -weight[i]})
-	}
-	slices.SortFunc(turns, func(x, y turn) int { return cmp.Or(cmp.Compare(x.level, y.level), cmp.Compare(x.slope, y.slope)) })
-	level, slope := 0.0, 0.0
-	for _, t := range turns {
-		if slope > 0 && sum+slope*(t.level-level) >= whole {
+	for at := range d.due {
+		sum += d.low[at]
+		turns = append(turns, levelTurn{level: d.low[at] / d.weight[at], slope: d.weight[at]})
+		turns = append(turns, levelTurn{level: d.high[at] / d.weight[at], slope: -d.weight[at]})
+	}
+	slices.SortFunc(turns, func(x, y levelTurn) int {
+		return cmp.Or(cmp.Compare(x.level, y.level), cmp.Compare(x.slope, y.slope))
+	})
+	level := 0.0
+	slope := 0.0
+	for _, turn := range turns {
+		if slope > 0 && sum+slope*(turn.level-level) >= d.total {
 			break
 		}
-		sum += max(0, slope) * (t.level - level)
-		level, slope = t.level, slope+t.slope
+		sum += max(0, slope) * (turn.level - level)
+		level = turn.level
+		slope += turn.slope
 	}
 	if slope > 0 {
-		level += max(0, whole-sum) / slope
+		level += max(0, d.total-sum) / slope
 	}
-	for i := range due {
-		due[i] = min(high[i], max(low[i], level*weight[i]))
+	for at := range d.due {
+		d.due[at] = min(d.high[at], max(d.low[at], level*d.weight[at]))
 	}
 }
 
-// applyHysteresis lets those within the band keep what they have. What the ones keep over their due comes from what is spare and
-// from those who would get a little more; so the sum does not fall.
-func applyHysteresis(whole float64, demands []Demand, order []int, low, most, due []float64) {
-	sum, over, under := 0.0, 0.0, 0.0
-	gap := func(at int) float64 { // what it has now over its due, 0 outside the band
-		now := min(float64(demands[order[at]].Current), most[at])
-		if now <= 0 || math.Abs(now-due[at]) > hysteresis*due[at] {
-			return 0
-		}
-		return max(now, low[at]) - due[at]
-	}
-	for at := range due {
-		sum += due[at]
-		over += max(0, gap(at))
-		under += max(0, -gap(at))
+// excess returns what a process has now over its due, 0 if that is outside the hysteresis.
+func (d *division) excess(at int) float64 {
+	current := min(float64(d.demands[d.order[at]].Current), d.most[at])
+	if current <= 0 || math.Abs(current-d.due[at]) > hysteresis*d.due[at] {
+		return 0
 	}
-	if over == 0 {
+	return max(current, d.low[at]) - d.due[at]
+}
+
+// applyHysteresis lets those near their due keep what they have. What the ones keep above it comes from what is
+// spare and from those who would get a little more, so the sum does not fall.
+func (d *division) applyHysteresis() {
+	sum := 0.0
+	above := 0.0
+	below := 0.0
+	for at := range d.due {
+		sum += d.due[at]
+		above += max(0, d.excess(at))
+		below += max(0, -d.excess(at))
+	}
+	if above == 0 {
 		return
 	}
-	spare := max(0, whole-sum)
-	keep := min(1, (spare+under)/over)
-	yield := 0.0
-	if under > 0 {
-		yield = min(1, max(0, over*keep-spare)/under)
+	spare := max(0, d.total-sum)
+	kept := min(1, (spare+below)/above)
+	yielded := 0.0
+	if below > 0 {
+		yielded = min(1, max(0, above*kept-spare)/below)
 	}
-	for at := range due {
-		if g := gap(at); g > 0 {
-			due[at] += g * keep
+	for at := range d.due {
+		if excess := d.excess(at); excess > 0 {
+			d.due[at] += excess * kept
 		} else {
-			due[at] += g * yield
+			d.due[at] += excess * yielded
 		}
 	}
 }
 
-// roundAmounts brings amounts to whole millionths, or to whole units for work in hand; there what is left over goes to those with
-// the largest remainder, by name among equals.
-func roundAmounts(kind Kind, whole float64, order []int, due []float64, out []Amount) {
-	left := Amount(whole)
-	if kind == InFlight {
-		left = left.wholeUnits()
-	}
-	var rest []int
-	for at, i := range order {
-		a := Amount(due[at] + 1e-3) // an error of rounding must not cost a whole unit
-		if kind == InFlight {
-			a = a.wholeUnits()
-			if due[at]-float64(a) > 1 {
-				rest = append(rest, at)
+// roundAmounts brings what is due to whole millionths, or to whole units for units in flight; there what is left
+// over goes to those with the largest remainder, by name among equals.
+func (d *division) roundAmounts(amounts []Amount) {
+	left := Amount(d.total)
+	if d.kind == InFlight {
+		left = left.roundDown()
+	}
+	var remainders []int
+	for at, i := range d.order {
+		amount := Amount(d.due[at] + roundingSlack)
+		if d.kind == InFlight {
+			amount = amount.roundDown()
+			if d.due[at]-float64(amount) > 1 {
+				remainders = append(remainders, at)
 			}
 		}
-		out[i] = max(0, min(a, left))
-		left -= out[i]
+		amounts[i] = max(0, min(amount, left))
+		left -= amounts[i]
 	}
-	slices.SortStableFunc(rest, func(x, y int) int {
-		return -cmp.Compare(due[x]-float64(out[order[x]]), due[y]-float64(out[order[y]]))
-	})
-	for _, at := range rest {
+	remainder := func(at int) float64 { return d.due[at] - float64(amounts[d.order[at]]) }
+	slices.SortStableFunc(remainders, func(x, y int) int { return cmp.Compare(remainder(y), remainder(x)) })
+	for _, at := range remainders {
 		if left < Unit {
 			break
 		}
-		out[order[at]] += Unit
+		amounts[d.order[at]] += Unit
 		left -= Unit
 	}
 }
 
-// divideBurst divides the burst that floors leave: one unit for each that gets anything, as far as they go, and the rest in
-// proportion to the amounts.
-func divideBurst(b *Quota, amounts []Amount) []Amount {
-	out := make([]Amount, len(amounts))
-	if b.Kind != Rate {
-		return out
-	}
-	left, n, sum := FromUnits(b.Burst), Amount(0), 0.0
-	for name := range b.Floors {
-		_, burst := b.floorOf(name)
+// burstRounding keeps the bursts in proportion from summing to more than there is, by a floating-point error.
+const burstRounding = 1 - 1e-12
+
+// divideBurst divides the burst that floors leave: one unit for each that gets anything, as far as they go, and the
+// rest in proportion to the amounts.
+func divideBurst(quota *Quota, amounts []Amount) []Amount {
+	bursts := make([]Amount, len(amounts))
+	if quota.Kind != Rate {
+		return bursts
+	}
+	left := FromUnits(quota.Burst)
+	for holder := range quota.Floors {
+		_, burst := quota.floorOf(holder)
 		left -= burst
 	}
-	for _, a := range amounts {
-		if a > 0 {
-			n++
-			sum += float64(a)
+	holders := Amount(0)
+	sum := 0.0
+	for _, amount := range amounts {
+		if amount > 0 {
+			holders++
+			sum += float64(amount)
 		}
 	}
-	if n == 0 || left <= 0 {
-		return out
+	if holders == 0 || left <= 0 {
+		return bursts
 	}
-	base := min(Unit, left/n)
-	rest := float64(left - base*n)
-	for i, a := range amounts {
-		if a > 0 {
-			out[i] = base + Amount(rest*float64(a)/sum*(1-1e-12))
+	base := min(Unit, left/holders)
+	rest := float64(left - base*holders)
+	for i, amount := range amounts {
+		if amount > 0 {
+			bursts[i] = base + Amount(rest*float64(amount)/sum*burstRounding)
 		}
 	}
-	return out
+	return bursts
 }
--- a/internal/quotalease/divide_test.go
+++ b/internal/quotalease/divide_test.go
@@ -3,213 +3,202 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"pgregory.net/rapid"
 )
 
-func rateQuota() *Quota {
-	return &Quota{Name: "b", Kind: Rate, Limit: 100, Burst: 20, LeaseDuration: time.Second}
-}
-
-func TestCheckNamesAllThatIsWrong(t *testing.T) {
-	good := FleetConfig{FleetID: "f", MaxDrift: .001, MaxLifetime: 10 * time.Second, Quotas: []Quota{*rateQuota(),
-		{Name: "h", Kind: InFlight, Limit: 8, LeaseDuration: time.Second, MaxHoldTime: 2 * time.Second, Floors: map[string]float64{"a": 2}}}}
-	if err := good.Check(); err != nil {
-		t.Fatal(err)
-	}
-	for _, tt := range []struct {
-		name  string
-		spoil func(*FleetConfig)
-		want  []string
-	}{
-		{"fleet", func(f *FleetConfig) { f.FleetID, f.MaxDrift = "", math.NaN() }, []string{"no name", "drift: NaN"}},
-		{"twice", func(f *FleetConfig) { f.Quotas[1].Name = "b" }, []string{"b: named twice"}},
-		{"whole", func(f *FleetConfig) { f.Quotas[0].Limit, f.Quotas[0].Burst = -1, .5 }, []string{"b: whole: -1", "b: burst: 0.5"}},
-		{"lease", func(f *FleetConfig) { f.Quotas[1].LeaseDuration = time.Hour }, []string{"h: lease 1h0m0s and life 2s"}},
-		{"life", func(f *FleetConfig) { f.Quotas[1].MaxHoldTime = 0 }, []string{"h: life: 0s"}},
-		{"parts of units", func(f *FleetConfig) { f.Quotas[1].Limit = 7.5 }, []string{"h: whole: 7.5"}},
-		{"sum", func(f *FleetConfig) {
-			f.Quotas[0].Floors = map[string]float64{"x": 60}
-			f.Quotas[0].Members = map[string]Share{"y": {Min: 50}}
-		}, []string{"b: floors (60) and minimums (50)"}},
-		{"floor without a unit of burst", func(f *FleetConfig) { f.Quotas[0].Floors = map[string]float64{"x": 1} }, []string{`floor of "x": its part`}},
-		{"member", func(f *FleetConfig) { f.Quotas[0].Members = map[string]Share{"y": {Min: 5, Cap: 4, Weight: -1}} },
-			[]string{"member y: cap 4", "member y: weight -1"}},
-		{"others", func(f *FleetConfig) { f.Quotas[0].DefaultShare.Min = 1 }, []string{"others: a minimum"}},
-	} {
-		f := good
-		f.Quotas = append([]Quota(nil), good.Quotas...)
-		tt.spoil(&f)
-		err := f.Check()
-		for _, want := range tt.want {
-			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%s: %v does not name %q", tt.name, err, want)
-			}
-		}
-	}
+func withMember(share Share) func(*Quota) {
+	return func(quota *Quota) { quota.Members = map[string]Share{"a": share} }
 }
 
 func TestDivide(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		change  func(*Quota)
-		want    string // by holder: want or want/now
+		demands string // by holder: wanted, or wanted/current
 		amounts string
 	}{
 		{"all fits", nil, "a=30 b=20", "30 20"},
 		{"idle is lent", nil, "a=10 b=200 c=200", "10 45 45"},
-		{"by weight", func(b *Quota) { b.Members = map[string]Share{"a": {Weight: 3}} }, "a=200 b=200", "75 25"},
-		{"minimums first", func(b *Quota) { b.Members = map[string]Share{"a": {Min: 70}} }, "a=200 b=200 c=200", "70 15 15"},
-		{"an idle minimum is lent", func(b *Quota) { b.Members = map[string]Share{"a": {Min: 70}} }, "a=10 b=200", "10 90"},
-		{"cap", func(b *Quota) { b.Members = map[string]Share{"a": {Cap: 5}} }, "a=200 b=200", "5 95"},
-		{"floors first", func(b *Quota) { b.Floors = map[string]float64{"z": 60} }, "a=200 b=200", "20 20"},
-		{"trembling keeps", nil, "a=51/48 b=200/52", "48 52"},
-		{"a real change moves", nil, "a=200/20 b=200/80", "50 50"},
+		{"by weight", withMember(Share{Weight: 3}), "a=200 b=200", "75 25"},
+		{"minimums first", withMember(Share{Min: 70}), "a=200 b=200 c=200", "70 15 15"},
+		{"an idle minimum is lent", withMember(Share{Min: 70}), "a=10 b=200", "10 90"},
+		{"cap", withMember(Share{Cap: 5}), "a=200 b=200", "5 95"},
+		{"floors first", func(q *Quota) { q.Floors = map[string]float64{"z": 60} }, "a=200 b=200", "20 20"},
+		{"a small difference moves nothing", nil, "a=51/48 b=200/52", "48 52"},
+		{"a large difference moves", nil, "a=200/20 b=200/80", "50 50"},
 		{"nobody keeps what a new one needs", nil, "a=200/50 b=200/50 c=200", "33.33333 33.33333 33.33333"},
-		{"whole units", func(b *Quota) { b.Kind, b.Limit = InFlight, 8 }, "a=50 b=50 c=50", "3 3 2"},
+		{"whole units", func(q *Quota) {
+			q.Kind = InFlight
+			q.Limit = 8
+		}, "a=50 b=50 c=50", "3 3 2"},
 	} {
-		b := rateQuota()
+		quota := rateQuota()
 		if tt.change != nil {
-			tt.change(b)
-		}
-		var demands []Demand
-		for _, f := range strings.Fields(tt.want) {
-			var want, now float64
-			fmt.Sscanf(f[2:], "%g/%g", &want, &now)
-			demands = append(demands, Demand{HolderID{Holder: f[:1]}, FromUnits(want), FromUnits(now)})
+			tt.change(quota)
 		}
-		for i, a := range Divide(b, demands) {
+		demands := parseDemands(tt.demands)
+		for i, amount := range Divide(quota, demands) {
 			var want float64
-			fmt.Sscan(strings.Fields(tt.amounts)[i], &want)
-			if math.Abs(a.Units()-want) > 1e-4 {
-				t.Errorf("%s: %s gets %v, not %v", tt.name, demands[i].Holder, a.Units(), want)
+			_, _ = fmt.Sscan(strings.Fields(tt.amounts)[i], &want)
+			if math.Abs(amount.Units()-want) > 1e-4 {
+				t.Errorf("%s: %s gets %v, not %v", tt.name, demands[i].Holder, amount.Units(), want)
 			}
 		}
 	}
 }
 
+// parseDemands reads fields such as a=51/48: holder a wants 51 units and has 48. Without a slash it has none.
+func parseDemands(text string) (demands []Demand) {
+	for _, field := range strings.Fields(text) {
+		var wanted, current float64
+		_, _ = fmt.Sscanf(field[2:], "%g/%g", &wanted, &current)
+		demands = append(demands, Demand{
+			HolderID: HolderID{Holder: field[:1]}, Wanted: FromUnits(wanted), Current: FromUnits(current),
+		})
+	}
+	return demands
+}
+
+// drawDivision draws a quota and demands. Some of these are of two processes of one name.
 func drawDivision(t *rapid.T) (*Quota, []Demand) {
-	b := rateQuota()
-	inHand := rapid.Bool().Draw(t, "in hand")
-	if inHand {
-		b.Kind, b.Burst = InFlight, 0
+	quota := rateQuota()
+	inFlight := rapid.Bool().Draw(t, "in flight")
+	if inFlight {
+		quota.Kind = InFlight
+		quota.Burst = 0
 	}
 	n := rapid.IntRange(1, 12).Draw(t, "n")
-	b.Members = map[string]Share{}
+	quota.Members = map[string]Share{}
 	var demands []Demand
-	mins := 0.0
+	minimums := 0.0
 	for i := range n {
-		name := fmt.Sprintf("p%02d", i/2) // some are two processes of one name
-		s := Share{Weight: float64(rapid.IntRange(0, 4).Draw(t, "weight"))}
-		if m := float64(rapid.IntRange(0, 40).Draw(t, "min")); i%2 == 0 && mins+m <= 90 {
-			s.Min = m
-			mins += m
+		name := fmt.Sprintf("p%02d", i/2)
+		share := Share{Weight: float64(rapid.IntRange(0, 4).Draw(t, "weight"))}
+		if minimum := float64(rapid.IntRange(0, 40).Draw(t, "min")); i%2 == 0 && minimums+minimum <= 90 {
+			share.Min = minimum
+			minimums += minimum
 		}
-		if c := float64(rapid.IntRange(0, 60).Draw(t, "cap")); c >= s.Min {
-			s.Cap = c
+		if limit := float64(rapid.IntRange(0, 60).Draw(t, "cap")); limit >= share.Min {
+			share.Cap = limit
 		}
 		if i%2 == 0 {
-			b.Members[name] = s
+			quota.Members[name] = share
+		}
+		demand := Demand{
+			HolderID: HolderID{Holder: name, Incarnation: uint64(i)},
+			Wanted:   FromUnits(rapid.Float64Range(0, 60).Draw(t, "wanted")),
+			Current:  FromUnits(rapid.Float64Range(0, 40).Draw(t, "current")),
 		}
-		d := Demand{HolderID{name, uint64(i)}, FromUnits(rapid.Float64Range(0, 60).Draw(t, "want")), FromUnits(rapid.Float64Range(0, 40).Draw(t, "now"))}
-		if inHand {
-			d.Current = d.Current.wholeUnits()
+		if inFlight {
+			demand.Current = demand.Current.roundDown()
 		}
-		demands = append(demands, d)
+		demands = append(demands, demand)
 	}
-	b.Floors = map[string]float64{"p00": float64(rapid.IntRange(0, 10).Draw(t, "floor"))}
-	return b, demands
+	quota.Floors = map[string]float64{"p00": float64(rapid.IntRange(0, 10).Draw(t, "floor"))}
+	return quota, demands
 }
 
-// Never over the whole or a cap, nothing unused that is asked for, and any order gives the same.
-func TestDivideKeepsItsPromises(t *testing.T) {
+// Never above the limit or a cap, nothing unused that is demanded, and any order of demands gives the same.
+func TestDivideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, demands := drawDivision(t)
-		out := Divide(b, demands)
-		var sum, asked Amount
-		for i, a := range out {
-			sum += a
-			asked += demands[i].Wanted
-			most := FromUnits(b.shareOf(demands[i].Holder).Cap)
-			if most > 0 && a > most {
-				t.Fatalf("%v over the cap %v", a, most)
-			}
-			if most > 0 {
-				asked -= max(0, demands[i].Wanted-most)
-			}
-			if keeps := a <= demands[i].Current; a > demands[i].Wanted+Unit && !keeps {
-				t.Fatalf("%v where %v is wanted and %v was had", a, demands[i].Wanted, demands[i].Current)
-			}
-			if b.Kind == InFlight && a%Unit != 0 {
-				t.Fatalf("%v is not whole units", a)
-			}
-		}
-		whole := Amount(b.unreserved())
-		slack := Amount(len(out) + 1) // of rounding
-		if b.Kind == InFlight {
+		quota, demands := drawDivision(t)
+		amounts := Divide(quota, demands)
+		var sum, demanded Amount
+		for i, amount := range amounts {
+			sum += amount
+			demanded += demandWithinCap(quota, &demands[i])
+			checkAmount(t, quota, &demands[i], amount)
+		}
+		total := Amount(quota.unreserved())
+		slack := Amount(len(amounts) + 1) // of rounding
+		if quota.Kind == InFlight {
 			slack *= Unit
 		}
-		if sum > whole || sum < min(whole, asked)-slack {
-			t.Fatalf("sum %v of %v where %v is asked for", sum, whole, asked)
-		}
-		turned := append([]Demand(nil), demands...)
-		for i, j := 0, len(turned)-1; i < j; i, j = i+1, j-1 {
-			turned[i], turned[j] = turned[j], turned[i]
+		if sum > total || sum < min(total, demanded)-slack {
+			t.Fatalf("sum %v of %v where %v is demanded", sum, total, demanded)
 		}
-		for i, a := range Divide(b, turned) {
-			if a != out[len(out)-1-i] {
-				t.Fatalf("another order gives %v, not %v", a, out[len(out)-1-i])
+		reversed := slices.Clone(demands)
+		slices.Reverse(reversed)
+		for i, amount := range Divide(quota, reversed) {
+			if want := amounts[len(amounts)-1-i]; amount != want {
+				t.Fatalf("another order gives %v, not %v", amount, want)
 			}
 		}
 	})
 }
 
-// Without amounts of before, nobody is under its weighted part while another that is over its minimum is above its own.
+func demandWithinCap(quota *Quota, demand *Demand) Amount {
+	if limit := FromUnits(quota.shareOf(demand.Holder).Cap); limit > 0 {
+		return min(demand.Wanted, limit)
+	}
+	return demand.Wanted
+}
+
+func checkAmount(t *rapid.T, quota *Quota, demand *Demand, amount Amount) {
+	if limit := FromUnits(quota.shareOf(demand.Holder).Cap); limit > 0 && amount > limit {
+		t.Fatalf("%v over the cap %v", amount, limit)
+	}
+	kept := amount <= demand.Current
+	if amount > demand.Wanted+Unit && !kept {
+		t.Fatalf("%v where %v is wanted and %v was had", amount, demand.Wanted, demand.Current)
+	}
+	if quota.Kind == InFlight && amount%Unit != 0 {
+		t.Fatalf("%v is not whole units", amount)
+	}
+}
+
+// Without current amounts, nobody is below its weighted part while another one that is above its minimum is above
+// its own.
 func TestDivideIsMaxMin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, demands := drawDivision(t)
-		b.Kind = Rate
-		mins := 0.0
+		quota, demands := drawDivision(t)
+		quota.Kind = Rate
+		minimums := 0.0
 		for i := range demands {
 			demands[i].Current = 0
-			mins += b.shareOf(demands[i].Holder).Min
+			minimums += quota.shareOf(demands[i].Holder).Min
 		}
-		if mins > b.unreserved()/float64(Unit) {
+		if minimums > quota.unreserved()/float64(Unit) {
 			return
 		}
-		out := Divide(b, demands)
-		for i, a := range out {
-			si := b.shareOf(demands[i].Holder)
-			full := a >= demands[i].Wanted-1 || si.Cap > 0 && a >= FromUnits(si.Cap)-1
-			for j, o := range out {
-				sj := b.shareOf(demands[j].Holder)
-				if !full && o > FromUnits(sj.Min)+1 && a.Units()/si.Weight < o.Units()/sj.Weight-1e-5 {
-					t.Fatalf("%v has %v while %v has %v", demands[i], a, demands[j], o)
+		amounts := Divide(quota, demands)
+		for i, amount := range amounts {
+			share := quota.shareOf(demands[i].Holder)
+			full := amount >= demands[i].Wanted-1 || share.Cap > 0 && amount >= FromUnits(share.Cap)-1
+			if full {
+				continue
+			}
+			for j, other := range amounts {
+				otherShare := quota.shareOf(demands[j].Holder)
+				below := amount.Units()/share.Weight < other.Units()/otherShare.Weight-1e-5
+				if below && other > FromUnits(otherShare.Min)+1 {
+					t.Fatalf("%v has %v while %v has %v", demands[i], amount, demands[j], other)
 				}
 			}
 		}
 	})
 }
 
-// Given once more what it gave, it moves nobody.
+// With its own outcome as the current amounts, it moves nobody.
 func TestDivideSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, demands := drawDivision(t)
+		quota, demands := drawDivision(t)
 		for range 2 {
-			for i, a := range Divide(b, demands) {
-				demands[i].Current = a
+			for i, amount := range Divide(quota, demands) {
+				demands[i].Current = amount
 			}
 		}
-		for i, a := range Divide(b, demands) {
-			slack := Amount(3 * len(demands))
-			if b.Kind == InFlight {
-				slack = Unit
-			}
-			if d := a - demands[i].Current; d > slack || d < -slack {
-				t.Fatalf("%v goes on moving, to %v", demands[i], a)
+		slack := Amount(3 * len(demands))
+		if quota.Kind == InFlight {
+			slack = Unit
+		}
+		for i, amount := range Divide(quota, demands) {
+			if moved := amount - demands[i].Current; moved > slack || moved < -slack {
+				t.Fatalf("%v goes on moving, to %v", demands[i], amount)
 			}
 		}
 	})
--- /dev/null
+++ b/internal/quotalease/expiry.go
@@ -0,0 +1,73 @@
+package quotalease
+
+import (
+	"container/heap"
+	"time"
+)
+
+// expiryTimer is when something has surely expired, by the server's clock.
+type expiryTimer struct {
+	at time.Duration
+	Expiry
+}
+
+// timerHeap is a heap of timers, the first to end on top.
+type timerHeap []expiryTimer
+
+// Len implements heap.Interface.
+func (h timerHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+
+// Swap implements heap.Interface.
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push implements heap.Interface.
+func (h *timerHeap) Push(timer any) { *h = append(*h, timer.(expiryTimer)) }
+
+// Pop implements heap.Interface.
+func (h *timerHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
+}
+
+// startExpiry begins the timer of an expiry.
+func (a *Allocator) startExpiry(now time.Duration, expiry Expiry) {
+	duration := withDriftMargin(expiry.Duration, a.state.maxDrift)
+	if a.state.mutations.NoDriftMargin {
+		duration = expiry.Duration
+	}
+	heap.Push(&a.timers, expiryTimer{at: now + duration, Expiry: expiry})
+}
+
+// timerDue tells whether a timer has ended.
+func (a *Allocator) timerDue(now time.Duration) bool {
+	return len(a.timers) > 0 && a.timers[0].at <= now
+}
+
+// NextExpiry returns when the next timer ends, for the caller's own timer; false if nothing is counted.
+func (a *Allocator) NextExpiry() (time.Duration, bool) {
+	if len(a.due) > 0 {
+		return 0, true
+	}
+	if len(a.timers) == 0 {
+		return 0, false
+	}
+	return a.timers[0].at, true
+}
+
+// expireCommands returns a command for all that has expired and is still counted by the state machine.
+func (a *Allocator) expireCommands(now time.Duration) []Command {
+	for a.timerDue(now) {
+		a.due = append(a.due, heap.Pop(&a.timers).(expiryTimer).Expiry)
+	}
+	a.dropSettledExpiries()
+	var commands []Command
+	for _, expiry := range a.due {
+		command := &Expire{HolderID: expiry.HolderID, Quota: expiry.Quota, Token: expiry.Token}
+		commands = append(commands, Command{Expire: command})
+	}
+	return commands
+}
--- a/internal/quotalease/fence.go
+++ b/internal/quotalease/fence.go
@@ -5,17 +5,25 @@
 	"container/heap"
 )
 
-// Fence is the side of a server that knows tokens: of each holder and budget the highest token that it saw. An attempt
-// with an older one was decided by a process that has stopped meanwhile, or by one that another has replaced; it is turned
-// away as not processed. (Fencing tokens: Kleppmann, "How to do distributed locking", 2016.)
+// Fence is for a server that receives attempts with fencing tokens. It remembers the highest token of each holder
+// and quota. An attempt with an older one was admitted by a process that was stopped meanwhile, or that another one
+// has replaced; the server rejects it as not processed. (Fencing tokens: Kleppmann, "How to do distributed
+// locking", 2016.)
+//
+// Its memory is bounded: beyond the capacity it forgets the lowest token, and rejects whoever it does not know with
+// a token no higher. So it never admits one too many, and a holder that was forgotten passes again with its next
+// lease.
 type Fence struct {
 	capacity  int
-	known     map[fenceKey]*fenceEntry
-	byToken   fenceHeap // lowest token on top
-	forgotten Token     // of those forgotten: who is not known must be above
+	entries   map[fenceKey]*fenceEntry
+	byToken   fenceHeap
+	forgotten Token // the highest of those forgotten
 }
 
-type fenceKey struct{ holder, budget string }
+type fenceKey struct {
+	holder string
+	quota  string
+}
 
 type fenceEntry struct {
 	fenceKey
@@ -23,58 +31,75 @@
 	heapIndex int
 }
 
+// fenceHeap is a heap of entries, the lowest token on top.
 type fenceHeap []*fenceEntry
 
-func (f fenceHeap) Len() int { return len(f) }
-func (f fenceHeap) Less(i, j int) bool {
-	return cmp.Or(f[i].highest.Compare(f[j].highest), cmp.Compare(f[i].holder, f[j].holder)) < 0
+// Len implements heap.Interface.
+func (h fenceHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
+func (h fenceHeap) Less(i, j int) bool {
+	return cmp.Or(h[i].highest.Compare(h[j].highest), cmp.Compare(h[i].holder, h[j].holder)) < 0
 }
-func (f fenceHeap) Swap(i, j int) { f[i], f[j] = f[j], f[i]; f[i].heapIndex, f[j].heapIndex = i, j }
-func (f *fenceHeap) Push(x any) {
-	x.(*fenceEntry).heapIndex = len(*f)
-	*f = append(*f, x.(*fenceEntry))
+
+// Swap implements heap.Interface.
+func (h fenceHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
-func (f *fenceHeap) Pop() any {
-	last := (*f)[len(*f)-1]
-	*f = (*f)[:len(*f)-1]
+
+// Push implements heap.Interface.
+func (h *fenceHeap) Push(x any) {
+	entry := x.(*fenceEntry)
+	entry.heapIndex = len(*h)
+	*h = append(*h, entry)
+}
+
+// Pop implements heap.Interface.
+func (h *fenceHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// NewFence makes a fence that remembers so many pairs of holder and budget, one at least. Beyond that it forgets the lowest
-// token, and turns away whoever it doesn't know with a token no higher: never one too many passes, and a holder that was
-// forgotten passes again with its next grant.
-func NewFence(most int) *Fence {
-	return &Fence{capacity: max(1, most), known: map[fenceKey]*fenceEntry{}}
+// NewFence returns a fence that remembers so many pairs of holder and quota, one at least.
+func NewFence(capacity int) *Fence {
+	return &Fence{capacity: max(1, capacity), entries: map[fenceKey]*fenceEntry{}}
 }
 
-// Admit takes an attempt, or returns OldToken. The zero token, of a floor, always passes.
-func (f *Fence) Admit(holder, budget string, t Token) error {
-	if t == (Token{}) {
+// Admit admits an attempt, or returns StaleTokenError. The zero token, of a floor, is always admitted.
+func (f *Fence) Admit(holder, quota string, token Token) error {
+	if token == (Token{}) {
 		return nil
 	}
-	key := fenceKey{holder, budget}
-	one := f.known[key]
-	have := f.forgotten
-	if one != nil {
-		have = one.highest
-	}
-	switch order := t.Compare(have); {
-	case order < 0, one == nil && order == 0:
-		return StaleTokenError{holder, budget, t, have}
-	case order == 0:
-		return nil
-	case one != nil:
-		one.highest = t
-		heap.Fix(&f.byToken, one.heapIndex)
+	key := fenceKey{holder: holder, quota: quota}
+	entry := f.entries[key]
+	if entry == nil {
+		if token.Compare(f.forgotten) <= 0 {
+			return StaleTokenError{Holder: holder, Quota: quota, Got: token, Have: f.forgotten}
+		}
+		f.remember(key, token)
 		return nil
 	}
-	if len(f.known) >= f.capacity {
+	switch order := token.Compare(entry.highest); {
+	case order < 0:
+		return StaleTokenError{Holder: holder, Quota: quota, Got: token, Have: entry.highest}
+	case order > 0:
+		entry.highest = token
+		heap.Fix(&f.byToken, entry.heapIndex)
+	}
+	return nil
+}
+
+// remember adds an entry, and forgets the one with the lowest token if there is no room.
+func (f *Fence) remember(key fenceKey, token Token) {
+	if len(f.entries) >= f.capacity {
 		lowest := heap.Pop(&f.byToken).(*fenceEntry)
-		delete(f.known, lowest.fenceKey)
+		delete(f.entries, lowest.fenceKey)
 		f.forgotten = lowest.highest
 	}
-	one = &fenceEntry{fenceKey: key, highest: t}
-	f.known[key] = one
-	heap.Push(&f.byToken, one)
-	return nil
+	entry := &fenceEntry{fenceKey: key, highest: token}
+	f.entries[key] = entry
+	heap.Push(&f.byToken, entry)
 }
--- a/internal/quotalease/frozen_test.go
+++ b/internal/quotalease/frozen_test.go
@@ -17,14 +17,14 @@
 )
 
 // The files under testdata are the bytes that commit c8fad44 stores and sends. They were written at that commit by
-// WRITE_FROZEN=1 go test -run TestFrozen ./internal/grant and must never be written again: a change of them is a change of
-// the stored log, of a snapshot, or of a message.
+// WRITE_FROZEN=1 go test -run TestFrozen ./internal/grant and must never be written again: a change of them is a
+// change of the stored log, of a snapshot, or of a message.
 const (
 	frozenLog            = "testdata/log.jsonl"      // one log command a line, as JSON
 	frozenVerdicts       = "testdata/verdicts.txt"   // what each command of the log did
 	frozenHalfway        = "testdata/snapshot.json"  // after frozenHalfwayIndex commands
 	frozenRebootstrapped = "testdata/refounded.json" // after all commands
-	frozenMessages       = "testdata/messages.txt"   // a name, an encoding and the bytes in hexadecimal, one message a line
+	frozenMessages       = "testdata/messages.txt"   // a name, an encoding and bytes in hexadecimal, one message a line
 	frozenErrors         = "testdata/errors.txt"     // each error's name in a message, its text and its advice
 
 	frozenHalfwayIndex = 17
@@ -42,49 +42,61 @@
 
 // frozenCommands has each kind of command with each of its fields set at least once.
 func frozenCommands() []Command {
-	key := func(holder string) HolderID { return HolderID{Holder: holder, Incarnation: 1} }
+	token := func(index uint64) Token { return Token{Epoch: 1, Index: index} }
 	return []Command{
 		{Bootstrap: &Bootstrap{FleetID: "f", Epoch: 1, MaxDrift: .01, MaxLifetime: 10 * time.Second}},
-		{Expire: &Expire{Token: Token{Epoch: 1, Index: 1}}},
+		{Expire: &Expire{Token: token(1)}},
 		{SetQuotas: &SetQuotas{Version: 1, Config: frozenConfig(10, map[string]float64{"a": 4, "z": 1})}},
 		{Grant: &Lease{
-			FleetID: "f", Epoch: 1, HolderID: key("a"), Quota: "r", Kind: Rate, Amount: 2 * Unit, Burst: 2 * Unit,
+			FleetID: "f", Epoch: 1, HolderID: processOf("a"), Quota: "r", Kind: Rate, Amount: 2 * Unit, Burst: 2 * Unit,
 			Duration: time.Second, RequestSeq: 1,
 		}},
-		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: key("b"), RequestSeq: 1, Grants: []QuotaGrant{
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: processOf("b"), RequestSeq: 1, Grants: []QuotaGrant{
 			{Quota: "r", Amount: 2500000, Burst: 2 * Unit},
 			{Quota: "h", Amount: 5 * Unit},
 			{Quota: "unknown", Amount: Unit},
 		}}},
-		{AckBatch: &AckBatch{Epoch: 1, HolderID: key("b"), RequestSeq: 2, Acks: []QuotaAck{
-			{Quota: "h", Token: Token{Epoch: 1, Index: 5}, InFlight: 2 * Unit},
-			{Quota: "r", Token: Token{Epoch: 1, Index: 5}, Ended: true},
+		{AckBatch: &AckBatch{Epoch: 1, HolderID: processOf("b"), RequestSeq: 2, Acks: []QuotaAck{
+			{Quota: "h", Token: token(5), InFlight: 2 * Unit},
+			{Quota: "r", Token: token(5), Ended: true},
 		}}},
 		{Batch: []Command{
 			{Grant: &Lease{
-				FleetID: "f", Epoch: 1, HolderID: key("a"), Quota: "r", Kind: Rate, Amount: Unit, Burst: Unit,
+				FleetID: "f", Epoch: 1, HolderID: processOf("a"), Quota: "r", Kind: Rate, Amount: Unit, Burst: Unit,
 				Duration: time.Second, RequestSeq: 2,
 			}},
-			{ObserveConfig: &ObserveConfig{HolderID: key("a"), SeenVersion: 1, FloorsVersion: 1}},
-			{Ack: &Ack{Epoch: 2, HolderID: key("a"), Quota: "r", RequestSeq: 1}},
+			{ObserveConfig: &ObserveConfig{HolderID: processOf("a"), SeenVersion: 1, FloorsVersion: 1}},
+			{Ack: &Ack{Epoch: 2, HolderID: processOf("a"), Quota: "r", RequestSeq: 1}},
 		}},
-		{Ack: &Ack{Epoch: 1, HolderID: key("a"), Quota: "r", RequestSeq: 2, Token: Token{Epoch: 1, Index: 7}, InFlight: 300000}},
-		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: key("c"), RequestSeq: 1, Grants: []QuotaGrant{{Quota: "h", Amount: 3 * Unit}}}},
-		{Release: &Release{Ack: Ack{Epoch: 1, HolderID: key("c"), Quota: "h", RequestSeq: 1, Token: Token{Epoch: 1, Index: 9}, InFlight: Unit}}},
-		{SetQuotas: &SetQuotas{Version: 2, Config: frozenConfig(9, map[string]float64{"a": 3}), RemovedHolders: []string{"z"}}},
-		{ObserveConfig: &ObserveConfig{HolderID: key("a"), SeenVersion: 2, FloorsVersion: 1}},
-		{Expire: &Expire{HolderID: key("b"), Quota: "h", Token: Token{Epoch: 1, Index: 5}}},
+		{Ack: &Ack{
+			Epoch: 1, HolderID: processOf("a"), Quota: "r", RequestSeq: 2, Token: token(7), InFlight: 300000,
+		}},
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: processOf("c"), RequestSeq: 1, Grants: []QuotaGrant{
+			{Quota: "h", Amount: 3 * Unit},
+		}}},
+		{Release: &Release{Ack: Ack{
+			Epoch: 1, HolderID: processOf("c"), Quota: "h", RequestSeq: 1, Token: token(9), InFlight: Unit,
+		}}},
+		{SetQuotas: &SetQuotas{
+			Version: 2, Config: frozenConfig(9, map[string]float64{"a": 3}), RemovedHolders: []string{"z"},
+		}},
+		{ObserveConfig: &ObserveConfig{HolderID: processOf("a"), SeenVersion: 2, FloorsVersion: 1}},
+		{Expire: &Expire{HolderID: processOf("b"), Quota: "h", Token: token(5)}},
 		{},
-		{Ack: &Ack{Epoch: 1, HolderID: key("d"), Quota: "r", RequestSeq: 1, Token: Token{Epoch: 1, Index: 500}}},
-		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: key("d"), RequestSeq: 2, Grants: []QuotaGrant{
+		{Ack: &Ack{Epoch: 1, HolderID: processOf("d"), Quota: "r", RequestSeq: 1, Token: token(500)}},
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: processOf("d"), RequestSeq: 2, Grants: []QuotaGrant{
 			{Quota: "r", Amount: 1500000, Burst: Unit},
 			{Quota: "h", Amount: 4 * Unit},
 		}}},
-		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: key("e"), RequestSeq: 1, Grants: []QuotaGrant{{Quota: "r", Amount: 9 * Unit, Burst: Unit}}}},
-		{AckBatch: &AckBatch{Epoch: 1, HolderID: key("d"), RequestSeq: 3, All: true, Acks: []QuotaAck{
-			{Quota: "h", Token: Token{Epoch: 1, Index: 502}, InFlight: 2 * Unit, Ended: true},
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: processOf("e"), RequestSeq: 1, Grants: []QuotaGrant{
+			{Quota: "r", Amount: 9 * Unit, Burst: Unit},
+		}}},
+		{AckBatch: &AckBatch{Epoch: 1, HolderID: processOf("d"), RequestSeq: 3, All: true, Acks: []QuotaAck{
+			{Quota: "h", Token: token(502), InFlight: 2 * Unit, Ended: true},
 		}}},
-		{Release: &Release{Ack: Ack{Epoch: 1, HolderID: key("a"), Quota: "r", RequestSeq: 3, Token: Token{Epoch: 1, Index: 7}}, All: true}},
+		{Release: &Release{
+			Ack: Ack{Epoch: 1, HolderID: processOf("a"), Quota: "r", RequestSeq: 3, Token: token(7)}, All: true,
+		}},
 		{Bootstrap: &Bootstrap{FleetID: "f", Epoch: 2, MaxDrift: .02, MaxLifetime: 20 * time.Second}},
 	}
 }
@@ -102,13 +114,16 @@
 	return []frozenMessage{
 		{"request", "cbor", Request{
 			FleetID: "f", Epoch: 2, HolderID: key, Seq: 3, SeenVersion: 4, FloorsVersion: 5, Leaving: true,
-			Quotas: []QuotaRequest{{Quota: "r", Wanted: 1500000, Token: Token{Epoch: 2, Index: 9}, Ended: true, InFlight: Unit}},
+			Quotas: []QuotaRequest{{
+				Quota: "r", Wanted: 1500000, Token: Token{Epoch: 2, Index: 9}, Ended: true, InFlight: Unit,
+			}},
 		}, func() any { return new(Request) }},
 		{"reply", "cbor", Reply{
 			FleetID: "f", Epoch: 2, HolderID: key, ConfigVersion: 6,
 			Leases: []Lease{{
-				FleetID: "f", Epoch: 2, HolderID: key, Quota: "h", Kind: InFlight, Amount: 4 * Unit, Burst: Unit, Duration: time.Second,
-				MaxHoldTime: 2 * time.Second, RequestSeq: 3, ConfigVersion: 6, Token: Token{Epoch: 2, Index: 9},
+				FleetID: "f", Epoch: 2, HolderID: key, Quota: "h", Kind: InFlight, Amount: 4 * Unit, Burst: Unit,
+				Duration: time.Second, MaxHoldTime: 2 * time.Second, RequestSeq: 3, ConfigVersion: 6,
+				Token: Token{Epoch: 2, Index: 9},
 			}},
 			Floors: map[string]Floor{"h": floor},
 		}, func() any { return new(Reply) }},
@@ -165,9 +180,9 @@
 	return out.String() + "\n"
 }
 
-func snapshotOf(t *testing.T, b *StateMachine) []byte {
+func snapshotOf(t *testing.T, m *StateMachine) []byte {
 	t.Helper()
-	data, err := b.Snapshot()
+	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,91 +192,100 @@
 func TestFrozenLogDecodesAndEncodesUnchanged(t *testing.T) {
 	commands := frozenCommands()
 	var now bytes.Buffer
-	for _, c := range commands {
-		now.Write(append(encodeFrozen(t, "json", c), '\n'))
+	for _, command := range commands {
+		now.Write(append(encodeFrozen(t, "json", command), '\n'))
 	}
 	kept := frozen(t, frozenLog, now.Bytes())
 	if !bytes.Equal(kept, now.Bytes()) {
 		t.Errorf("the log is now\n%s\nand was\n%s", now.Bytes(), kept)
 	}
 	for i, line := range bytes.Split(bytes.TrimSpace(kept), []byte("\n")) {
-		var c Command
-		if err := json.Unmarshal(line, &c); err != nil || !reflect.DeepEqual(c, commands[i]) {
-			t.Errorf("command %d is read as %s, error %v", i+1, encodeFrozen(t, "json", c), err)
+		var command Command
+		if err := json.Unmarshal(line, &command); err != nil || !reflect.DeepEqual(command, commands[i]) {
+			t.Errorf("command %d is read as %s, error %v", i+1, encodeFrozen(t, "json", command), err)
 		}
 	}
 }
 
-func TestFrozenLogReplaysToTheKeptSnapshots(t *testing.T) {
-	log := bytes.Split(bytes.TrimSpace(frozen(t, frozenLog, nil)), []byte("\n"))
-	replay := func(b *StateMachine, from, to int) (verdicts string) {
-		for i := from; i < to; i++ {
-			var c Command
-			if err := json.Unmarshal(log[i], &c); err != nil {
-				t.Fatal(err)
-			}
-			verdicts += verdict(b.Apply(uint64(i+1), c))
+// replayFrozen applies entries of the kept log, from the index after from up to to, and returns what they did.
+func replayFrozen(t *testing.T, m *StateMachine, from, to int) (verdicts string) {
+	t.Helper()
+	lines := bytes.Split(bytes.TrimSpace(frozen(t, frozenLog, nil)), []byte("\n"))
+	for i := from; i < to; i++ {
+		var command Command
+		if err := json.Unmarshal(lines[i], &command); err != nil {
+			t.Fatal(err)
 		}
-		return verdicts
+		verdicts += verdict(m.Apply(uint64(i+1), command))
 	}
-	book := NewStateMachine()
-	verdicts := replay(book, 0, frozenHalfwayIndex)
-	halfway := frozen(t, frozenHalfway, snapshotOf(t, book))
-	if got := snapshotOf(t, book); !bytes.Equal(got, halfway) {
-		t.Errorf("the snapshot is now\n%s\nand was\n%s", got, halfway)
+	return verdicts
+}
+
+// wantFrozenSnapshot compares the state with a kept snapshot, and returns that.
+func wantFrozenSnapshot(t *testing.T, path string, m *StateMachine) []byte {
+	t.Helper()
+	got := snapshotOf(t, m)
+	kept := frozen(t, path, got)
+	if !bytes.Equal(got, kept) {
+		t.Errorf("the snapshot is now\n%s\nand was\n%s", got, kept)
 	}
-	verdicts += replay(book, frozenHalfwayIndex, len(log))
+	return kept
+}
+
+func TestFrozenLogReplaysToTheKeptSnapshots(t *testing.T) {
+	length := len(frozenCommands())
+	machine := NewStateMachine()
+	verdicts := replayFrozen(t, machine, 0, frozenHalfwayIndex)
+	halfway := wantFrozenSnapshot(t, frozenHalfway, machine)
+	tail := replayFrozen(t, machine, frozenHalfwayIndex, length)
+	verdicts += tail
 	if kept := frozen(t, frozenVerdicts, []byte(verdicts)); string(kept) != verdicts {
 		t.Errorf("the commands now do\n%s\nand did\n%s", verdicts, kept)
 	}
-	refounded := frozen(t, frozenRebootstrapped, snapshotOf(t, book))
-	if got := snapshotOf(t, book); !bytes.Equal(got, refounded) {
-		t.Errorf("the last snapshot is now\n%s\nand was\n%s", got, refounded)
-	}
+	wantFrozenSnapshot(t, frozenRebootstrapped, machine)
 
 	restored := NewStateMachine()
 	if err := restored.Restore(halfway); err != nil {
 		t.Fatal(err)
 	}
-	if got := snapshotOf(t, restored); !bytes.Equal(got, halfway) {
-		t.Errorf("a restored snapshot is written as\n%s\nand was\n%s", got, halfway)
-	}
+	wantFrozenSnapshot(t, frozenHalfway, restored)
 	wantFrozenState(t, restored)
-	tail := strings.Join(strings.SplitAfter(verdicts, "\n")[frozenHalfwayIndex:], "")
-	if got := replay(restored, frozenHalfwayIndex, len(log)); got != tail {
+	if got := replayFrozen(t, restored, frozenHalfwayIndex, length); got != tail {
 		t.Errorf("after the snapshot the commands do\n%s\nand did\n%s", got, tail)
 	}
-	if got := snapshotOf(t, restored); !bytes.Equal(got, refounded) {
-		t.Errorf("going on from the snapshot gives\n%s\nnot\n%s", got, refounded)
-	}
+	wantFrozenSnapshot(t, frozenRebootstrapped, restored)
 }
 
 // wantFrozenState compares what the kept snapshot holds with the values at the time that it was kept.
-func wantFrozenState(t *testing.T, b *StateMachine) {
+func wantFrozenState(t *testing.T, m *StateMachine) {
 	t.Helper()
-	if fleet, epoch, err := b.Bootstrapped(); fleet != "f" || epoch != 1 || err != nil {
-		t.Errorf("founded: fleet %q, epoch %d, %v", fleet, epoch, err)
+	if fleetID, epoch, err := m.Bootstrapped(); fleetID != "f" || epoch != 1 || err != nil {
+		t.Errorf("bootstrapped: fleet %q, epoch %d, %v", fleetID, epoch, err)
 	}
-	if config, version := b.Config(); version != 2 || !reflect.DeepEqual(config, frozenConfig(9, map[string]float64{"a": 3})) {
-		t.Errorf("budgets: version %d, %+v", version, config)
+	wantConfig := frozenConfig(9, map[string]float64{"a": 3})
+	if config, version := m.Config(); version != 2 || !reflect.DeepEqual(config, wantConfig) {
+		t.Errorf("configuration: version %d, %+v", version, config)
 	}
-	if b.AppliedIndex() != frozenHalfwayIndex {
-		t.Errorf("index %d", b.AppliedIndex())
+	if m.AppliedIndex() != frozenHalfwayIndex {
+		t.Errorf("index %d", m.AppliedIndex())
 	}
-	for budget, want := range map[string][2]Amount{"r": {6500000, 6 * Unit}, "h": {5 * Unit, 0}} {
-		if amount, burst := b.Outstanding(budget); amount != want[0] || burst != want[1] {
-			t.Errorf("%s: %d counted, burst %d, not %v", budget, amount, burst, want)
+	for quota, want := range map[string]usage{
+		"r": {amount: 6500000, burst: 6 * Unit},
+		"h": {amount: 5 * Unit},
+	} {
+		if amount, burst := m.Outstanding(quota); amount != want.amount || burst != want.burst {
+			t.Errorf("%s: %d outstanding, burst %d, not %v", quota, amount, burst, want)
 		}
 	}
 	want := Reply{
-		FleetID: "f", Epoch: 1, HolderID: HolderID{Holder: "a", Incarnation: 1}, ConfigVersion: 2,
+		FleetID: "f", Epoch: 1, HolderID: processOf("a"), ConfigVersion: 2,
 		Leases: []Lease{{
-			FleetID: "f", Epoch: 1, HolderID: HolderID{Holder: "a", Incarnation: 1}, Quota: "r", Kind: Rate, Amount: Unit, Burst: Unit,
+			FleetID: "f", Epoch: 1, HolderID: processOf("a"), Quota: "r", Kind: Rate, Amount: Unit, Burst: Unit,
 			Duration: time.Second, RequestSeq: 2, ConfigVersion: 1, Token: Token{Epoch: 1, Index: 7},
 		}},
 		Floors: map[string]Floor{"r": {Kind: Rate, Amount: 3 * Unit, Burst: 3333333}},
 	}
-	if got := b.ReplyTo(want.HolderID); !reflect.DeepEqual(got, want) {
+	if got := m.ReplyTo(want.HolderID); !reflect.DeepEqual(got, want) {
 		t.Errorf("a is told %+v, not %+v", got, want)
 	}
 }
@@ -287,8 +311,9 @@
 			decode = cbor.Unmarshal
 		}
 		got := m.empty()
-		if err := decode(data, got); err != nil || !reflect.DeepEqual(reflect.ValueOf(got).Elem().Interface(), m.value) {
-			t.Errorf("%s is read as %+v, error %v", m.name, got, err)
+		err = decode(data, got)
+		if value := reflect.ValueOf(got).Elem().Interface(); err != nil || !reflect.DeepEqual(value, m.value) {
+			t.Errorf("%s is read as %+v, error %v", m.name, value, err)
 		}
 	}
 }
@@ -303,12 +328,20 @@
 	key := HolderID{Holder: "a", Incarnation: 7}
 	var now strings.Builder
 	for _, err := range []codedError{
-		InvalidCommandError{Reason: "why"}, FloorClaimedError{Holder: "a"}, LeaseExpiredError{Quota: "r"}, LeaseExpiredError{Quota: "r", Ago: time.Second},
-		UnknownQuotaError{Quota: "r"}, NoLeaseError{Quota: "r"}, NotBootstrappedError{},
-		StaleConfigError{Have: 1, Seen: 2}, StaleEpochError{Got: 1, Have: 2},
+		InvalidCommandError{Reason: "why"},
+		FloorClaimedError{Holder: "a"},
+		LeaseExpiredError{Quota: "r"},
+		LeaseExpiredError{Quota: "r", Ago: time.Second},
+		UnknownQuotaError{Quota: "r"},
+		NoLeaseError{Quota: "r"},
+		NotBootstrappedError{},
+		StaleConfigError{Have: 1, Seen: 2},
+		StaleEpochError{Got: 1, Have: 2},
 		StaleTokenError{Holder: "a", Quota: "r", Got: Token{Epoch: 1, Index: 2}, Have: Token{Epoch: 1, Index: 3}},
-		FleetMismatchError{Ours: "f", Theirs: "g"}, HolderMismatchError{Ours: key, Theirs: HolderID{Holder: "b", Incarnation: 8}},
-		LimitExceededError{Quota: "r", Dimension: "whole", Limit: 3 * Unit, Outstanding: 2 * Unit, Requested: 1500000}, ExhaustedError{Quota: "r"},
+		FleetMismatchError{Ours: "f", Theirs: "g"},
+		HolderMismatchError{Ours: key, Theirs: HolderID{Holder: "b", Incarnation: 8}},
+		LimitExceededError{Quota: "r", Dimension: "whole", Limit: 3 * Unit, Outstanding: 2 * Unit, Requested: 1500000},
+		ExhaustedError{Quota: "r"},
 		BootstrapPendingError{MaxLifetime: time.Second},
 	} {
 		fmt.Fprintf(&now, "%s\n\t%s\n\t%s\n", err.Code(), err, err.Advice())
--- /dev/null
+++ b/internal/quotalease/holderreply.go
@@ -0,0 +1,126 @@
+package quotalease
+
+import (
+	"errors"
+	"maps"
+	"slices"
+	"time"
+)
+
+// HandleReply takes a reply to a request that was sent at sentAt. It returns what it refuses, as errors of this
+// package; the rest is taken. It does not matter how late a reply arrives, how often, and in what order.
+func (h *Holder) HandleReply(sentAt, now time.Duration, reply Reply) error {
+	if err := h.checkSender(reply.FleetID, reply.HolderID, reply.Epoch); err != nil {
+		return err
+	}
+	if h.leaving {
+		return nil
+	}
+	h.epoch = reply.Epoch
+	var errs []error
+	for i := range reply.Leases {
+		if err := h.takeLease(sentAt, now, &reply.Leases[i]); err != nil {
+			errs = append(errs, err)
+		}
+	}
+	if reply.ConfigVersion >= h.configVersion && reply.ConfigVersion > 0 {
+		h.adoptFloors(now, reply)
+	}
+	return errors.Join(errs...)
+}
+
+// checkSender refuses what is for another fleet or process, or of an earlier epoch.
+func (h *Holder) checkSender(fleetID string, id HolderID, epoch uint64) error {
+	switch {
+	case fleetID != h.settings.FleetID:
+		return FleetMismatchError{Ours: h.settings.FleetID, Theirs: fleetID}
+	case id != h.settings.HolderID:
+		return HolderMismatchError{Ours: h.settings.HolderID, Theirs: id}
+	case epoch < h.epoch:
+		return StaleEpochError{Got: epoch, Have: h.epoch}
+	}
+	return nil
+}
+
+// takeLease goes by a lease from now on, or refuses it.
+func (h *Holder) takeLease(sentAt, now time.Duration, lease *Lease) error {
+	if err := h.checkSender(lease.FleetID, lease.HolderID, lease.Epoch); err != nil {
+		return err
+	}
+	quota := h.quotaState(lease.Quota, lease.Kind)
+	order := lease.Token.Compare(quota.highestToken)
+	if h.mutations.AnyTokenOrder && order < 0 {
+		order = 1
+	}
+	switch {
+	case order < 0:
+		return StaleTokenError{Holder: lease.Holder, Quota: lease.Quota, Got: lease.Token, Have: quota.highestToken}
+	case order == 0:
+		return nil // it was taken from an earlier reply
+	}
+	expiresAt, err := h.expiryOf(sentAt, now, lease)
+	if err != nil {
+		return err
+	}
+	if !quota.leaseActive(now) {
+		// What the process had may have been leased to others since, so its part arrives with an empty bucket.
+		quota.bucket = tokenBucket{filledAt: now}
+	}
+	quota.bucket.refill(now, quota.lease.Amount, quota.lease.Burst, h.slowdown())
+	quota.bucket.cutTo(lease.Burst)
+	if h.mutations.FullBucketOnLease {
+		quota.bucket.level = float64(lease.Burst)
+	}
+	quota.kind = lease.Kind
+	quota.lease = *lease
+	quota.active = true
+	quota.expiresAt = expiresAt
+	quota.highestToken = lease.Token
+	return nil
+}
+
+// expiryOf returns when a lease expires, or LeaseExpiredError. The lease is counted from the request that it
+// answers, not from the one that this reply answers: a server tells the same lease again in later replies, and its
+// own timer began when the lease was committed.
+func (h *Holder) expiryOf(sentAt, now time.Duration, lease *Lease) (time.Duration, error) {
+	request := h.sentRequests[lease.RequestSeq%requestHistory]
+	if request.seq != lease.RequestSeq || lease.RequestSeq == 0 {
+		return 0, LeaseExpiredError{Quota: lease.Quota}
+	}
+	expiresAt := min(request.sentAt, sentAt) + lease.Duration
+	if h.mutations.LeaseFromReply {
+		expiresAt = now + lease.Duration
+	}
+	if now >= expiresAt {
+		return 0, LeaseExpiredError{Quota: lease.Quota, Ago: now - expiresAt}
+	}
+	return expiresAt, nil
+}
+
+// adoptFloors goes by the floors of a newer version. A floor that grew keeps its level: what it gained arrives empty.
+func (h *Holder) adoptFloors(now time.Duration, reply Reply) {
+	h.configVersion = reply.ConfigVersion
+	for _, name := range slices.Sorted(maps.Keys(reply.Floors)) {
+		quota := h.quotaState(name, reply.Floors[name].Kind)
+		if quota.floor.Amount == 0 {
+			quota.floorBucket = tokenBucket{filledAt: now}
+		}
+	}
+	for name, quota := range h.quotas {
+		floor := reply.Floors[name]
+		quota.floorBucket.refill(now, quota.floor.Amount, quota.floor.Burst, h.slowdown())
+		quota.floorBucket.cutTo(floor.Burst)
+		quota.floor = floor
+	}
+}
+
+// Floors returns what a caller keeps on disk before its next request, for the next process of its name.
+func (h *Holder) Floors() (version uint64, floors map[string]Floor) {
+	floors = map[string]Floor{}
+	for name, quota := range h.quotas {
+		if quota.floor.Amount > 0 {
+			floors[name] = quota.floor
+		}
+	}
+	return h.configVersion, floors
+}
--- /dev/null
+++ b/internal/quotalease/ledger.go
@@ -0,0 +1,175 @@
+package quotalease
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"lapisspread/internal/quotalease/internal/mutation"
+)
+
+// holderEntry is what one process has of a quota.
+type holderEntry struct {
+	HolderID
+	// Leases are those neither acknowledged as replaced nor expired, in the order of their tokens.
+	Leases []Lease `json:"Grants"`
+	// Residual is units in flight beyond the amount of the acknowledged lease.
+	Residual Amount `json:"Rest"`
+	// ResidualToken identifies the residual for its expiry.
+	ResidualToken Token `json:"RestBy"`
+	// MaxHoldTime is the longest of any unit that may be in flight.
+	MaxHoldTime time.Duration `json:"Life"`
+	// LastAck is the number of the request of the last acknowledgement.
+	LastAck uint64 `json:"Seq"`
+	// LastGrant is the number of the request that the last lease answers.
+	LastGrant uint64 `json:"Ask"`
+}
+
+// maxUsage returns what the process may still spend. It goes by one lease at a time, and the servers cannot know by
+// which of these, so the largest counts.
+func (e *holderEntry) maxUsage(mutations mutation.Set) usage {
+	most := usage{amount: e.Residual}
+	if mutations.CountNewestLeaseOnly && len(e.Leases) > 0 {
+		newest := e.newestLease()
+		return usage{amount: newest.Amount, burst: newest.Burst}
+	}
+	for i := range e.Leases {
+		most = most.atLeast(usage{amount: e.Leases[i].Amount, burst: e.Leases[i].Burst})
+	}
+	return most
+}
+
+// usageSince returns the largest of the leases that were granted under a configuration version.
+func (e *holderEntry) usageSince(version uint64, mutations mutation.Set) usage {
+	if mutations.CountNewestLeaseOnly {
+		return e.maxUsage(mutations)
+	}
+	var most usage
+	for i := range e.Leases {
+		if e.Leases[i].ConfigVersion == version {
+			most = most.atLeast(usage{amount: e.Leases[i].Amount, burst: e.Leases[i].Burst})
+		}
+	}
+	return most
+}
+
+// newestLease returns the last lease, nil if there is none. The receiver may be nil.
+func (e *holderEntry) newestLease() *Lease {
+	if e == nil || len(e.Leases) == 0 {
+		return nil
+	}
+	return &e.Leases[len(e.Leases)-1]
+}
+
+// versionedFloor is a floor as of a configuration version.
+type versionedFloor struct {
+	ConfigVersion uint64 `json:"Version"`
+	Amount        Amount `json:"Amount"`
+	Burst         Amount `json:"Burst"`
+}
+
+// quotaLedger is all that is outstanding of one quota, whether it is still configured or not.
+type quotaLedger struct {
+	entries map[HolderID]*holderEntry
+	// floors are, by holder, those that it may still go by, oldest first. The slices are never changed in place.
+	floors   map[string][]versionedFloor
+	total    usage // sum of maxUsage of all entries
+	current  usage // sum of usageSince of all entries, under the current configuration version
+	reserved usage // sum of all floors
+}
+
+func newQuotaLedger() *quotaLedger {
+	return &quotaLedger{entries: map[HolderID]*holderEntry{}, floors: map[string][]versionedFloor{}}
+}
+
+// sortedEntries returns all entries in the order of their holders.
+func (l *quotaLedger) sortedEntries() []*holderEntry {
+	return slices.SortedFunc(maps.Values(l.entries), func(a, b *holderEntry) int {
+		return a.Compare(b.HolderID)
+	})
+}
+
+// clearEntries drops all leases and residuals.
+func (l *quotaLedger) clearEntries() {
+	l.entries = map[HolderID]*holderEntry{}
+	l.total = usage{}
+	l.current = usage{}
+}
+
+// setFloors adds the floors of a configuration to those that holders may still go by. quota is nil if it is no longer
+// configured.
+func (l *quotaLedger) setFloors(quota *Quota, version uint64, removedHolders []string) {
+	for _, holder := range removedHolders {
+		delete(l.floors, holder)
+	}
+	holders := slices.Collect(maps.Keys(l.floors))
+	if quota != nil {
+		holders = slices.AppendSeq(holders, maps.Keys(quota.Floors))
+	}
+	slices.Sort(holders)
+	for _, holder := range slices.Compact(holders) {
+		next := versionedFloor{ConfigVersion: version}
+		if quota != nil {
+			next.Amount, next.Burst = quota.floorOf(holder)
+		}
+		known := l.floors[holder]
+		if len(known) == 0 && next.Amount == 0 {
+			continue
+		}
+		if len(known) > 0 && known[len(known)-1].sameSize(next) {
+			continue
+		}
+		l.floors[holder] = append(slices.Clone(known), next)
+	}
+	l.sumFloors()
+}
+
+func (f versionedFloor) sameSize(other versionedFloor) bool {
+	return f.Amount == other.Amount && f.Burst == other.Burst
+}
+
+// adoptFloors drops the floors of a holder that are older than the version that it has adopted.
+func (l *quotaLedger) adoptFloors(holder string, version uint64) {
+	known := l.floors[holder]
+	adopted := 0
+	for i, floor := range known {
+		if floor.ConfigVersion <= version {
+			adopted = i
+		}
+	}
+	removed := len(known) == 1 && known[0].Amount == 0 && known[0].ConfigVersion <= version
+	if adopted == 0 && !removed {
+		return
+	}
+	known = slices.Clone(known[adopted:])
+	l.floors[holder] = known
+	if len(known) == 1 && known[0].Amount == 0 {
+		delete(l.floors, holder)
+	}
+	l.sumFloors()
+}
+
+// sumFloors computes reserved: of each holder the largest floor that it may still go by.
+func (l *quotaLedger) sumFloors() {
+	l.reserved = usage{}
+	for _, floors := range l.floors {
+		var most usage
+		for _, floor := range floors {
+			most = most.atLeast(usage{amount: floor.Amount, burst: floor.Burst})
+		}
+		l.reserved.add(most)
+	}
+}
+
+// clone copies the ledger. The copy shares only what is never changed in place.
+func (l *quotaLedger) clone() *quotaLedger {
+	copied := *l
+	copied.entries = make(map[HolderID]*holderEntry, len(l.entries))
+	for id, entry := range l.entries {
+		copiedEntry := *entry
+		copiedEntry.Leases = slices.Clone(entry.Leases)
+		copied.entries[id] = &copiedEntry
+	}
+	copied.floors = maps.Clone(l.floors)
+	return &copied
+}
--- /dev/null
+++ b/internal/quotalease/snapshot.go
@@ -0,0 +1,111 @@
+package quotalease
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+)
+
+// snapshot is the form of a StateMachine in a snapshot of the log.
+type snapshot struct {
+	FleetID        string                    `json:"Fleet"`
+	Epoch          uint64                    `json:"Epoch"`
+	MaxDrift       float64                   `json:"Drift"`
+	MaxLifetime    time.Duration             `json:"Longest"`
+	BootstrapToken Token                     `json:"Past"`
+	AppliedIndex   uint64                    `json:"Index"`
+	TokenOffset    uint64                    `json:"Lift"`
+	ConfigVersion  uint64                    `json:"Version"`
+	SeenVersion    uint64                    `json:"Seen"`
+	Config         FleetConfig               `json:"Config"`
+	Ledgers        map[string]ledgerSnapshot `json:"Ledgers"`
+}
+
+// ledgerSnapshot is the form of a quotaLedger. Its sums are computed anew.
+type ledgerSnapshot struct {
+	Entries []*holderEntry              `json:"Entries"`
+	Floors  map[string][]versionedFloor `json:"Floors"`
+}
+
+// Snapshot returns the state as JSON. Equal states give equal bytes.
+func (m *StateMachine) Snapshot() ([]byte, error) {
+	state := snapshot{
+		FleetID:        m.fleetID,
+		Epoch:          m.epoch,
+		MaxDrift:       m.maxDrift,
+		MaxLifetime:    m.maxLifetime,
+		BootstrapToken: m.bootstrapToken,
+		AppliedIndex:   m.appliedIndex,
+		TokenOffset:    m.tokenOffset,
+		ConfigVersion:  m.configVersion,
+		SeenVersion:    m.seenVersion,
+		Config:         m.config,
+		Ledgers:        map[string]ledgerSnapshot{},
+	}
+	for name, ledger := range m.ledgers {
+		state.Ledgers[name] = ledgerSnapshot{Entries: ledger.sortedEntries(), Floors: ledger.floors}
+	}
+	data, err := json.Marshal(state)
+	if err != nil {
+		return nil, fmt.Errorf("grant: snapshot: %w", err)
+	}
+	return data, nil
+}
+
+// Restore replaces the state by a snapshot. On an error nothing has changed. The caller must tell its Allocator
+// afterwards (Allocator.RestartTimers).
+func (m *StateMachine) Restore(data []byte) error {
+	var state snapshot
+	if err := json.Unmarshal(data, &state); err != nil {
+		return fmt.Errorf("grant: restore: %w", err)
+	}
+	if state.Epoch > 0 && state.ConfigVersion > 0 {
+		if err := state.Config.Check(); err != nil {
+			return fmt.Errorf("grant: restore: %w", err)
+		}
+	}
+	restored := &StateMachine{
+		fleetID:        state.FleetID,
+		epoch:          state.Epoch,
+		maxDrift:       state.MaxDrift,
+		maxLifetime:    state.MaxLifetime,
+		bootstrapToken: state.BootstrapToken,
+		appliedIndex:   state.AppliedIndex,
+		tokenOffset:    state.TokenOffset,
+		configVersion:  state.ConfigVersion,
+		seenVersion:    state.SeenVersion,
+		config:         state.Config,
+		ledgers:        map[string]*quotaLedger{},
+		mutations:      m.mutations,
+	}
+	for name, saved := range state.Ledgers {
+		restored.ledgers[name] = restored.restoreLedger(saved)
+	}
+	*m = *restored
+	return nil
+}
+
+// restoreLedger rebuilds a ledger with its sums.
+func (m *StateMachine) restoreLedger(saved ledgerSnapshot) *quotaLedger {
+	ledger := newQuotaLedger()
+	for _, entry := range saved.Entries {
+		ledger.entries[entry.HolderID] = entry
+		ledger.total.add(entry.maxUsage(m.mutations))
+		ledger.current.add(entry.usageSince(m.configVersion, m.mutations))
+	}
+	if saved.Floors != nil {
+		ledger.floors = saved.Floors
+	}
+	ledger.sumFloors()
+	return ledger
+}
+
+// Clone returns a copy that can be changed without changing the original, for model checking.
+func (m *StateMachine) Clone() *StateMachine {
+	copied := *m
+	copied.ledgers = make(map[string]*quotaLedger, len(m.ledgers))
+	for name, ledger := range m.ledgers {
+		copied.ledgers[name] = ledger.clone()
+	}
+	return &copied
+}
--- /dev/null
+++ b/internal/quotalease/statemachine.go
@@ -0,0 +1,300 @@
+package quotalease
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"lapisspread/internal/quotalease/internal/mutation"
+)
+
+// StateMachine is the replicated state behind the log: what may be spent of each quota, and by whom. Equal logs
+// give equal states. It trusts no proposer: it rejects whatever would break a limit. Only Expire is taken on trust,
+// because the state machine has no clock.
+type StateMachine struct {
+	fleetID     string
+	epoch       uint64 // 0 before the first bootstrap
+	maxDrift    float64
+	maxLifetime time.Duration
+
+	// bootstrapToken is that of a bootstrap whose waiting time is not over, zero otherwise. Nothing is granted
+	// meanwhile.
+	bootstrapToken Token
+	appliedIndex   uint64
+	// tokenOffset is by how much tokens are above the log index. It is above 0 after an older store was put back:
+	// holders know higher tokens than this log has given.
+	tokenOffset uint64
+
+	configVersion uint64
+	seenVersion   uint64 // the newest configuration version that a holder knows
+	config        FleetConfig
+	ledgers       map[string]*quotaLedger // by quota
+
+	mutations mutation.Set
+}
+
+// NewStateMachine returns the state of an empty log.
+func NewStateMachine() *StateMachine { return &StateMachine{ledgers: map[string]*quotaLedger{}} }
+
+// SetMutations takes safeguards out, so that a checker of the invariant can be tested.
+func (m *StateMachine) SetMutations(mutations mutation.Set) { m.mutations = mutations }
+
+// Bootstrapped returns the fleet and the epoch of its bootstrap, or NotBootstrappedError.
+func (m *StateMachine) Bootstrapped() (fleetID string, epoch uint64, err error) {
+	if m.epoch == 0 {
+		return "", 0, NotBootstrappedError{}
+	}
+	return m.fleetID, m.epoch, nil
+}
+
+// Config returns the configuration and its version.
+func (m *StateMachine) Config() (FleetConfig, uint64) { return m.config, m.configVersion }
+
+// AppliedIndex returns the index of the last command that was applied.
+func (m *StateMachine) AppliedIndex() uint64 { return m.appliedIndex }
+
+// Outstanding returns what all holders together may still spend of a quota, with all floors, and what all of their
+// token buckets may hold.
+func (m *StateMachine) Outstanding(quota string) (amount, burst Amount) {
+	ledger := m.ledgers[quota]
+	if ledger == nil {
+		return 0, 0
+	}
+	return ledger.total.amount + ledger.reserved.amount, ledger.total.burst + ledger.reserved.burst
+}
+
+// Apply applies a command of the log. What is rejected changes nothing but the index; the error has one of this
+// package's types. Indices must grow.
+func (m *StateMachine) Apply(index uint64, command Command) (ApplyResult, error) {
+	if index <= m.appliedIndex {
+		reason := fmt.Sprintf("index %d was applied, %d is the last", index, m.appliedIndex)
+		return ApplyResult{}, InvalidCommandError{Reason: reason}
+	}
+	m.appliedIndex = index
+	var result ApplyResult
+	var err error
+	if command.Batch == nil {
+		err = m.applyOne(command, &result)
+	}
+	for _, one := range command.Batch {
+		if err := m.applyOne(one, &result); err != nil {
+			result.Rejected = append(result.Rejected, err)
+		}
+	}
+	result.Token = m.nextToken()
+	return result, err
+}
+
+// nextToken returns the fencing token of the current log entry.
+func (m *StateMachine) nextToken() Token {
+	return Token{Epoch: m.epoch, Index: m.appliedIndex + m.tokenOffset}
+}
+
+// applyOne applies a command that is no Batch, or one command of a Batch.
+func (m *StateMachine) applyOne(command Command, result *ApplyResult) error {
+	if command.Bootstrap != nil {
+		return m.bootstrap(command.Bootstrap, result)
+	}
+	if m.epoch == 0 {
+		return NotBootstrappedError{}
+	}
+	switch {
+	case command.SetQuotas != nil:
+		return m.setQuotas(command.SetQuotas)
+	case command.Grant != nil:
+		return m.grant(*command.Grant, result)
+	case command.Expire != nil:
+		m.expire(command.Expire)
+	case command.Ack != nil:
+		return m.acknowledge(acknowledgement{Ack: *command.Ack}, result)
+	case command.Release != nil:
+		released := acknowledgement{Ack: command.Release.Ack, ended: true, all: command.Release.All}
+		return m.acknowledge(released, result)
+	case command.ObserveConfig != nil:
+		m.observeConfig(command.ObserveConfig)
+	case command.GrantBatch != nil:
+		m.grantBatch(command.GrantBatch, result)
+	case command.AckBatch != nil:
+		m.ackBatch(command.AckBatch, result)
+	default:
+		return InvalidCommandError{"it is empty"}
+	}
+	return nil
+}
+
+// bootstrap begins an epoch. All leases of the epochs before have expired once the waiting time is over.
+func (m *StateMachine) bootstrap(command *Bootstrap, result *ApplyResult) error {
+	switch {
+	case m.epoch > 0 && command.FleetID != m.fleetID:
+		return FleetMismatchError{Ours: m.fleetID, Theirs: command.FleetID}
+	case command.Epoch <= m.epoch:
+		return StaleEpochError{Got: command.Epoch, Have: m.epoch}
+	case command.FleetID == "" || !validDrift(command.MaxDrift) || command.MaxLifetime < minDuration:
+		return InvalidCommandError{fmt.Sprintf("fleet %q, drift %v, longest %v",
+			command.FleetID, command.MaxDrift, command.MaxLifetime)}
+	case command.MaxLifetime < m.maxLifetime || command.MaxDrift < m.maxDrift:
+		return InvalidCommandError{fmt.Sprintf("longest %v or drift %v is less than held before",
+			command.MaxLifetime, command.MaxDrift)}
+	}
+	m.fleetID = command.FleetID
+	m.epoch = command.Epoch
+	m.maxDrift = command.MaxDrift
+	m.maxLifetime = command.MaxLifetime
+	for _, ledger := range m.ledgers {
+		ledger.clearEntries()
+	}
+	m.bootstrapToken = m.nextToken()
+	result.Started = append(result.Started, Expiry{Token: m.bootstrapToken, Duration: command.MaxLifetime})
+	return nil
+}
+
+// waitingAfterBootstrap tells whether leases of an earlier epoch may not have expired yet.
+func (m *StateMachine) waitingAfterBootstrap() bool { return m.bootstrapToken != Token{} }
+
+// expire drops what a server says has expired. What was acknowledged away meanwhile is no longer there.
+func (m *StateMachine) expire(command *Expire) {
+	if command.Token == m.bootstrapToken && command.Quota == "" {
+		m.bootstrapToken = Token{}
+		return
+	}
+	entry := m.entryOf(command.Quota, command.HolderID)
+	if entry == nil {
+		return
+	}
+	m.updateEntry(m.ledgers[command.Quota], entry, func() {
+		entry.Leases = slices.DeleteFunc(slices.Clone(entry.Leases), func(lease Lease) bool {
+			return lease.Token == command.Token
+		})
+		if entry.ResidualToken == command.Token {
+			entry.Residual = 0
+			entry.ResidualToken = Token{}
+		}
+	})
+}
+
+// observeConfig notes which configurations a process knows. Nothing is granted while a holder knows a newer version
+// than this state machine: its store is an older copy.
+func (m *StateMachine) observeConfig(observed *ObserveConfig) {
+	m.seenVersion = max(m.seenVersion, observed.SeenVersion)
+	if observed.FloorsVersion == 0 {
+		return
+	}
+	for _, ledger := range m.ledgers {
+		ledger.adoptFloors(observed.Holder, observed.FloorsVersion)
+	}
+}
+
+// ledgerOf returns the ledger of a quota; it makes one if there is none.
+func (m *StateMachine) ledgerOf(quota string) *quotaLedger {
+	ledger := m.ledgers[quota]
+	if ledger == nil {
+		ledger = newQuotaLedger()
+		m.ledgers[quota] = ledger
+	}
+	return ledger
+}
+
+// entryOf returns what a process has of a quota, nil if it has nothing.
+func (m *StateMachine) entryOf(quota string, id HolderID) *holderEntry {
+	if ledger := m.ledgers[quota]; ledger != nil {
+		return ledger.entries[id]
+	}
+	return nil
+}
+
+// updateEntry runs update, which changes the entry, and keeps the sums of the ledger. An entry that is empty
+// afterwards is removed.
+func (m *StateMachine) updateEntry(ledger *quotaLedger, entry *holderEntry, update func()) {
+	ledger.total.sub(entry.maxUsage(m.mutations))
+	ledger.current.sub(entry.usageSince(m.configVersion, m.mutations))
+	update()
+	ledger.total.add(entry.maxUsage(m.mutations))
+	ledger.current.add(entry.usageSince(m.configVersion, m.mutations))
+	if len(entry.Leases) == 0 && entry.Residual == 0 {
+		delete(ledger.entries, entry.HolderID)
+	}
+}
+
+// quotaNames returns the names of all quotas that a configuration has or of which something is outstanding, sorted.
+func (m *StateMachine) quotaNames(config *FleetConfig) []string {
+	names := slices.Collect(maps.Keys(m.ledgers))
+	for i := range config.Quotas {
+		names = append(names, config.Quotas[i].Name)
+	}
+	slices.Sort(names)
+	return slices.Compact(names)
+}
+
+// ReplyTo returns all that one process has. Servers must call it only on a state of committed entries: a lease that is
+// told before it is committed may never be counted.
+func (m *StateMachine) ReplyTo(id HolderID) Reply {
+	reply := Reply{FleetID: m.fleetID, Epoch: m.epoch, HolderID: id, ConfigVersion: m.configVersion}
+	for _, name := range m.quotaNames(&m.config) {
+		if lease := m.entryOf(name, id).newestLease(); lease != nil {
+			reply.Leases = append(reply.Leases, *lease)
+		}
+		quota := m.config.Quota(name)
+		if quota == nil {
+			continue
+		}
+		amount, burst := quota.floorOf(id.Holder)
+		if amount == 0 {
+			continue
+		}
+		if reply.Floors == nil {
+			reply.Floors = map[string]Floor{}
+		}
+		reply.Floors[name] = Floor{Kind: quota.Kind, Amount: amount, Burst: burst, MaxHoldTime: quota.MaxHoldTime}
+	}
+	return reply
+}
+
+// PendingExpiries returns all that is counted until it expires. A server that starts with this state must count each
+// anew, in full.
+func (m *StateMachine) PendingExpiries() []Expiry {
+	var pending []Expiry
+	if m.waitingAfterBootstrap() {
+		pending = append(pending, Expiry{Token: m.bootstrapToken, Duration: m.maxLifetime})
+	}
+	for _, name := range slices.Sorted(maps.Keys(m.ledgers)) {
+		for _, entry := range m.ledgers[name].sortedEntries() {
+			for i := range entry.Leases {
+				pending = append(pending, m.leaseExpiry(&entry.Leases[i]))
+			}
+			if entry.Residual > 0 {
+				pending = append(pending, entry.residualExpiry(name))
+			}
+		}
+	}
+	return pending
+}
+
+// leaseExpiry returns the expiry of a lease. Units in flight may have begun just before its end, so it counts for
+// the hold time too.
+func (m *StateMachine) leaseExpiry(lease *Lease) Expiry {
+	duration := lease.Duration + lease.MaxHoldTime
+	if m.mutations.ForgetInFlightAtLeaseEnd {
+		duration = lease.Duration
+	}
+	return Expiry{HolderID: lease.HolderID, Quota: lease.Quota, Token: lease.Token, Duration: duration}
+}
+
+func (e *holderEntry) residualExpiry(quota string) Expiry {
+	return Expiry{HolderID: e.HolderID, Quota: quota, Token: e.ResidualToken, Duration: e.MaxHoldTime}
+}
+
+// isPending tells whether something is still counted.
+func (m *StateMachine) isPending(expiry Expiry) bool {
+	if expiry.Quota == "" {
+		return m.waitingAfterBootstrap() && m.bootstrapToken == expiry.Token
+	}
+	entry := m.entryOf(expiry.Quota, expiry.HolderID)
+	if entry == nil {
+		return false
+	}
+	if entry.Residual > 0 && entry.ResidualToken == expiry.Token {
+		return true
+	}
+	return slices.ContainsFunc(entry.Leases, func(lease Lease) bool { return lease.Token == expiry.Token })
+}
