--- /dev/null
+++ b/internal/quotalease/modelcheck/network.go
@@ -0,0 +1,109 @@
+package modelcheck
+
+import (
+	"encoding/binary"
+
+	"github.com/zeebo/xxh3"
+
+	"lapisspread/internal/quotalease"
+)
+
+// sendRequest has a process make a request; it is on the network from now on.
+func (c *cluster) sendRequest(i int) {
+	p := c.proxies[i]
+	now := p.at(c.now)
+	r := &request{from: i, sentAt: now, Request: p.NextRequest(now)}
+	r.id = r.Incarnation<<32 | r.Seq
+	c.requests = append(c.requests, r)
+}
+
+// deliverRequest has a server take a request; a leader plans. It tells whether the server took it.
+func (c *cluster) deliverRequest(s *server, r *request) bool {
+	if !s.up || s.allocator.HandleRequest(s.at(c.now), r.Request) != nil {
+		return false
+	}
+	if last := s.requests[r.HolderID]; last == nil || last.Seq < r.Seq {
+		s.requests[r.HolderID] = r
+	}
+	c.proposePlan(s)
+	return true
+}
+
+// proposePlan has a leader append its plan to its log. It tells whether there was one.
+func (c *cluster) proposePlan(s *server) bool {
+	if !s.up || !s.leader {
+		return false
+	}
+	commands := s.allocator.Plan(s.at(c.now))
+	if len(commands) == 0 {
+		return false
+	}
+	c.append(s, quotalease.Command{Batch: commands})
+	return true
+}
+
+// runOperator does what operators do at a leader whose log lacks their commands: they bootstrap the fleet again and
+// set its quotas.
+func (c *cluster) runOperator(s *server) {
+	if !s.up || !s.leader {
+		return
+	}
+	for _, entry := range s.log[s.commit:] {
+		if entry.command.Bootstrap != nil || entry.command.SetQuotas != nil {
+			return // appended, not committed yet
+		}
+	}
+	_, epoch, err := s.state.Bootstrapped()
+	if err != nil || epoch < c.epoch {
+		c.epoch++
+		c.append(s, c.settings.bootstrap(c.epoch))
+		return
+	}
+	if _, version := s.state.Config(); version < c.version {
+		c.append(s, c.settings.setQuotas(c.version+1, c.settings.Limit, c.settings.Burst))
+	}
+}
+
+// sendReply has a server answer a request. Equal replies are on the network once.
+func (c *cluster) sendReply(s *server, r *request) {
+	state := s.state
+	if c.settings.mutations.ReplyBeforeCommit {
+		state = s.uncommittedState()
+	}
+	if _, _, err := state.Bootstrapped(); !s.up || err != nil {
+		return
+	}
+	out := &reply{to: r.from, sentAt: r.sentAt, Reply: state.ReplyTo(r.HolderID)}
+	out.id = out.hash()
+	for _, sent := range c.replies {
+		if sent.id == out.id && sent.to == out.to && sent.HolderID == out.HolderID {
+			return
+		}
+	}
+	c.replies = append(c.replies, out)
+}
+
+// uncommittedState returns the state with all entries of the log.
+func (s *server) uncommittedState() *quotalease.StateMachine {
+	state := s.state.Clone()
+	for i := s.applied; i < len(s.log); i++ {
+		_, _ = state.Apply(uint64(i+1), s.log[i].command) // what it rejects changes nothing
+	}
+	return state
+}
+
+func (r *reply) hash() uint64 {
+	data := binary.AppendVarint(nil, int64(r.sentAt))
+	for _, lease := range r.Leases {
+		data = binary.AppendUvarint(data, lease.Token.Index)
+		data = binary.AppendVarint(data, int64(lease.Amount))
+	}
+	return xxh3.Hash(binary.AppendUvarint(data, r.ConfigVersion))
+}
+
+// deliverReply has a process take a reply. What the holder refuses of it is no failure.
+func (c *cluster) deliverReply(r *reply) {
+	if p := c.proxies[r.to]; p.up {
+		_ = p.HandleReply(r.sentAt, p.at(c.now), r.Reply)
+	}
+}
--- /dev/null
+++ b/internal/quotalease/modelcheck/raft.go
@@ -0,0 +1,186 @@
+package modelcheck
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"time"
+
+	"github.com/zeebo/xxh3"
+
+	"lapisspread/internal/quotalease"
+)
+
+func (c *cluster) silent(s *server) bool { return s.allocator.Silent(s.at(c.now)) }
+
+func (c *cluster) majority() int { return c.settings.Servers/2 + 1 }
+
+func (c *cluster) connected(a, b int) bool {
+	return !c.cutLinks[[2]int{a, b}] && !c.cutLinks[[2]int{b, a}]
+}
+
+// lastEntry returns the term of the last log entry and the length of the log.
+func (s *server) lastEntry() (term uint64, length int) {
+	length = len(s.log)
+	if length > 0 {
+		term = s.log[length-1].term
+	}
+	return term, length
+}
+
+// append adds a command to a leader's log.
+func (c *cluster) append(leader *server, command quotalease.Command) {
+	data, err := json.Marshal(command)
+	if err != nil {
+		panic(err) // commands are plain data
+	}
+	previous := uint64(0)
+	if n := len(leader.log); n > 0 {
+		previous = leader.log[n-1].id
+	}
+	data = binary.AppendUvarint(data, previous)
+	data = binary.AppendUvarint(data, leader.term)
+	entry := logEntry{term: leader.term, id: xxh3.Hash(data), command: command}
+	leader.log = append(leader.log[:len(leader.log):len(leader.log)], entry)
+	leader.match[leader.id] = len(leader.log)
+}
+
+// lead makes a server the leader of its term, as if each other server had confirmed at a time by its clock.
+func (c *cluster) lead(s *server, contact time.Duration) {
+	s.leader = true
+	s.match = make([]int, c.settings.Servers)
+	s.contact = make([]time.Duration, c.settings.Servers)
+	for i := range s.contact {
+		s.contact[i] = contact
+	}
+}
+
+// electLeader has a server ask for votes; others vote for it if its log is no older than theirs. (Ongaro and
+// Ousterhout, In Search of an Understandable Consensus Algorithm, 2014, 5.2 and 5.4; with a pre-vote, so nothing
+// changes in vain.) It tells whether the server was elected.
+func (c *cluster) electLeader(candidate *server) bool {
+	if !candidate.up || candidate.leader || c.silent(candidate) {
+		return false
+	}
+	var votes []*server
+	for _, voter := range c.servers {
+		if voter != candidate && c.votesFor(voter, candidate) {
+			votes = append(votes, voter)
+		}
+	}
+	if len(votes)+1 < c.majority() {
+		return false
+	}
+	candidate.term++
+	for _, voter := range votes {
+		voter.term = candidate.term
+		voter.leader = false
+	}
+	c.lead(candidate, candidate.at(c.now))
+	// With an entry of its own term the leader commits all entries before it.
+	c.append(candidate, quotalease.Command{Batch: []quotalease.Command{}})
+	return true
+}
+
+func (c *cluster) votesFor(voter, candidate *server) bool {
+	if !voter.up || c.silent(voter) || !c.connected(candidate.id, voter.id) || voter.term > candidate.term {
+		return false
+	}
+	term, length := candidate.lastEntry()
+	ownTerm, ownLength := voter.lastEntry()
+	return ownTerm < term || ownTerm == term && ownLength <= length
+}
+
+// replicate sends a follower the leader's log, and the leader its confirmation. It tells whether anything happened.
+func (c *cluster) replicate(leader, follower *server) bool {
+	if !leader.up || !leader.leader || leader == follower || !follower.up {
+		return false
+	}
+	if c.silent(follower) || !c.connected(leader.id, follower.id) {
+		return false
+	}
+	if follower.term > leader.term {
+		leader.term = follower.term
+		leader.leader = false
+		return true
+	}
+	follower.term = leader.term
+	follower.leader = false
+	if follower.truncatedBy(leader) {
+		// A store was put back: what the follower confirmed, and what may have been committed with that, is no
+		// longer in the log. As after a start, it confirms nothing until the leases of those entries have expired.
+		follower.log = leader.log
+		silence := c.startupSilence()
+		if c.settings.mutations.NoSilenceAfterTruncation {
+			silence = 0
+		}
+		c.startServer(follower, silence)
+		return true
+	}
+	follower.log = leader.log
+	follower.confirmed = len(leader.log)
+	leader.match[follower.id] = len(leader.log)
+	leader.contact[follower.id] = leader.at(c.now)
+	// The follower learns of the commit with the next message.
+	follower.commit = max(follower.commit, min(leader.commit, len(follower.log)))
+	c.advanceCommit(leader)
+	c.applyCommitted(leader)
+	c.recordLimit(leader)
+	c.applyCommitted(follower)
+	return true
+}
+
+// truncatedBy tells whether the leader's log lacks an entry that the follower confirmed.
+func (s *server) truncatedBy(leader *server) bool {
+	n := s.confirmed
+	return n > 0 && (len(leader.log) < n || leader.log[n-1].id != s.log[n-1].id)
+}
+
+// advanceCommit commits the entries of the leader's term that a majority has confirmed.
+func (c *cluster) advanceCommit(leader *server) {
+	for n := len(leader.log); n > leader.commit && leader.log[n-1].term == leader.term; n-- {
+		confirmations := 0
+		for _, match := range leader.match {
+			if match >= n {
+				confirmations++
+			}
+		}
+		if confirmations >= c.majority() {
+			leader.commit = n
+			leader.confirmed = max(leader.confirmed, n)
+			return
+		}
+	}
+}
+
+// applyCommitted applies all committed entries.
+func (c *cluster) applyCommitted(s *server) {
+	for s.applied < s.commit {
+		command := s.log[s.applied].command
+		s.applied++
+		if command.SetQuotas != nil && s.leader {
+			c.recordLimit(s) // entries before it in the log were granted under the configuration before
+		}
+		result, _ := s.state.Apply(uint64(s.applied), command) // what it rejects changes nothing
+		s.allocator.ObserveApplied(s.at(c.now), result)
+		_, version := s.state.Config()
+		c.version = max(c.version, version)
+	}
+}
+
+// stepDownWithoutQuorum has leaders step down that a majority has not confirmed for the longest lifetime.
+func (c *cluster) stepDownWithoutQuorum() {
+	for _, s := range c.servers {
+		if !s.leader || !s.up {
+			continue
+		}
+		recent := 1
+		for i, contact := range s.contact {
+			if i != s.id && s.at(c.now)-contact <= c.settings.maxLifetime() {
+				recent++
+			}
+		}
+		if recent < c.majority() {
+			s.leader = false
+		}
+	}
+}
--- /dev/null
+++ b/internal/quotalease/modelcheck/statehash.go
@@ -0,0 +1,80 @@
+package modelcheck
+
+import (
+	"encoding/binary"
+	"slices"
+
+	"github.com/zeebo/xxh3"
+)
+
+// appendState appends all that decides what the cluster does next: equal bytes, equal futures.
+func (c *cluster) appendState(out []byte) []byte {
+	out = appendNumbers(out, int(c.now), len(c.requests), len(c.replies))
+	for _, s := range c.servers {
+		out = s.appendState(out)
+		for _, p := range c.proxies {
+			if r := s.requests[p.HolderID]; r != nil {
+				out = appendNumbers(out, int(r.Seq))
+			}
+		}
+	}
+	for _, p := range c.proxies {
+		out = p.AppendState(out)
+	}
+	return c.appendMessages(out)
+}
+
+// appendState leaves out the state machine: it follows from the log and how much of it is applied.
+func (s *server) appendState(out []byte) []byte {
+	out = appendNumbers(out, number(s.up), int(s.term), number(s.leader), s.commit, s.applied, len(s.log), s.confirmed)
+	if n := len(s.log); n > 0 {
+		out = binary.AppendUvarint(out, s.log[n-1].id)
+	}
+	if s.leader {
+		out = appendNumbers(out, s.match...)
+		for _, contact := range s.contact {
+			out = appendNumbers(out, int(contact))
+		}
+	}
+	return s.allocator.AppendState(out)
+}
+
+// appendMessages appends the messages on the network, in whatever order they were sent.
+func (c *cluster) appendMessages(out []byte) []byte {
+	ids := make([]uint64, 0, len(c.requests)+len(c.replies))
+	for _, r := range c.requests {
+		ids = append(ids, r.id)
+	}
+	for _, r := range c.replies {
+		ids = append(ids, r.id+uint64(r.to))
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		out = binary.AppendUvarint(out, id)
+	}
+	return out
+}
+
+// hash returns the hash of a node's state with what is used up of the bounds. buffer is used again.
+func (n *searchNode) hash(buffer []byte) ([]byte, xxh3.Uint128) {
+	buffer = n.appendState(buffer[:0])
+	for _, sent := range n.requestsSent {
+		buffer = append(buffer, byte(sent))
+	}
+	buffer = append(buffer, byte(n.ticks), byte(n.elections), byte(n.restarts))
+	return buffer, xxh3.Hash128(buffer)
+}
+
+func appendNumbers(out []byte, values ...int) []byte {
+	for _, value := range values {
+		out = binary.AppendVarint(out, int64(value))
+	}
+	return out
+}
+
+func number(flag bool) int {
+	if flag {
+		return 1
+	}
+	return 0
+}
