--- a/internal/quotalease/doc.go
+++ b/internal/quotalease/doc.go
@@ -40,6 +40,11 @@
 //     sent the request that the lease answers; a server counts from when it applied the log entry, which is later,
 //     and stretches the duration by the clock drift.
 //
+// Units in flight outlive the lease under which they began, so a lease of them is counted for its duration and
+// Quota.MaxHoldTime, and what a holder has in flight above a newer, smaller lease stays counted as a residual. A
+// token bucket arrives empty with the first lease after a gap, because what it held may have been leased to others
+// since; so the levels of all buckets never sum to more than the burst.
+//
 // A limit that is lowered holds once the last lease under the previous configuration has expired. Once messages
 // arrive again and one lease duration has passed, what is leased is the smaller of the limit and of what is
 // requested.
