--- a/internal/controlplane/api/file_test.go
+++ b/internal/controlplane/api/config_test.go
@@ -10,24 +10,24 @@
 	"lapisspread/internal/controlplane/api"
 )
 
-const example = "../../../deploy/fleet.toml"
+const exampleFile = "../../../deploy/fleet.toml"
 
-func TestTheExampleIsGood(t *testing.T) {
-	f, err := api.Load(example)
+func TestExampleIsValid(t *testing.T) {
+	f, err := api.Load(exampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if held, err := f.CheckNamespaces(); err != nil || len(held) > 0 {
-		t.Errorf("its teams: %v, %v", held, err)
+		t.Errorf("its namespaces: %v, %v", held, err)
 	}
 	if g := f.QuotaConfig(); g.Check() != nil || len(g.Quotas) != 2 || g.Quotas[0].Limit != 12000 {
 		t.Errorf("%+v", g)
 	}
 }
 
-// Each change of the example is refused, and the error says where.
-func TestErrorsNameThePlace(t *testing.T) {
-	text, err := os.ReadFile(example)
+// Each change of the example is rejected, and the error names the place.
+func TestErrorsNameKeyAndLine(t *testing.T) {
+	text, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,9 @@
 
 func TestBodiesAreBounded(t *testing.T) {
 	var s api.ServerStatus
-	for _, body := range [][]byte{nil, []byte("x"), make([]byte, api.MaxBodyBytes+1), {0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
+	for _, body := range [][]byte{
+		nil, []byte("x"), make([]byte, api.MaxBodyBytes+1), {0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
+	} {
 		if err := api.DecodeBody(bytes.NewReader(body), &s); !errors.As(err, &api.MalformedMessageError{}) {
 			t.Errorf("%d bytes: %v", len(body), err)
 		}
--- a/internal/controlplane/api/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -1,37 +1,102 @@
 package api
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
 
-// UnknownServerError is returned for a name that the file doesn't have.
+	"lapisspread/internal/operatorerror"
+)
+
+// UnknownServerError is returned for a server name that the configuration does not have.
 type UnknownServerError struct{ Name string }
 
+// Error implements error.
 func (e UnknownServerError) Error() string { return fmt.Sprintf("the fleet has no steward %q", e.Name) }
 
-// Advice is what an operator can do.
+// Advice implements operatorerror.Error.
 func (UnknownServerError) Advice() string { return "Name one of the stewards in the fleet's file." }
 
-// MalformedMessageError is returned for a message that cannot be read.
+// MalformedMessageError is returned for a message that cannot be decoded.
 type MalformedMessageError struct{ Reason string }
 
+// Error implements error.
 func (e MalformedMessageError) Error() string { return "a message that can't be read: " + e.Reason }
 
-// Advice is what an operator can do.
+// Advice implements operatorerror.Error.
 func (MalformedMessageError) Advice() string {
 	return "See that nothing but proxies and stewards of one release speaks to the stewards' addresses."
 }
 
-// ServerUnreachableError is returned when a steward gives no answer of its own.
+// ServerUnreachableError is returned when a call got no answer, or none that the server itself gave.
 type ServerUnreachableError struct {
 	Address string
 	Err     error
 }
 
+// Error implements error.
 func (e ServerUnreachableError) Error() string {
 	return fmt.Sprintf("steward at %s: %v", e.Address, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e ServerUnreachableError) Unwrap() error { return e.Err }
 
-// Advice is what an operator can do.
+// Advice implements operatorerror.Error.
 func (ServerUnreachableError) Advice() string {
-	return "See whether the steward runs and whether the network leads to it; proxies ask the others, and go on with their leases and floors until then."
+	return "See whether the steward runs and whether the network leads to it; proxies ask the others, and go on with " +
+		"their leases and floors until then."
+}
+
+// CodedError is an error with a fixed name on the wire, which does not change when its Go type is renamed.
+type CodedError interface {
+	operatorerror.Error
+	// Code returns that name, such as "grant.NotFounded".
+	Code() string
+}
+
+// RemoteError is an error as a server sends it.
+type RemoteError struct {
+	Code    string `json:"Name"` // see CodedError
+	Message string `json:"Text"`
+	Help    string `json:"Help"` // what an operator can do
+	// LeaderAddress is where to send the call instead, if the server is not the leader and knows who is.
+	LeaderAddress string `json:"Leader"`
+}
+
+// Error implements error.
+func (e RemoteError) Error() string { return e.Message }
+
+// Advice implements operatorerror.Error.
+func (e RemoteError) Advice() string { return e.Help }
+
+// RemoteErrorOf returns an error in the form in which it is sent. Nil gives the zero RemoteError.
+func RemoteErrorOf(err error) RemoteError {
+	if err == nil {
+		return RemoteError{}
+	}
+	var remote RemoteError
+	if errors.As(err, &remote) {
+		return remote
+	}
+	return RemoteError{Code: codeOf(err), Message: err.Error(), Help: operatorerror.Of(err)}
+}
+
+func codeOf(err error) string {
+	var typed operatorerror.Error
+	if !errors.As(err, &typed) {
+		return "error"
+	}
+	if coded, ok := typed.(CodedError); ok {
+		return coded.Code()
+	}
+	return fmt.Sprintf("%T", typed)
+}
+
+// WithAdvice appends an error's advice to its text, for a terminal. Nil stays nil.
+func WithAdvice(err error) error {
+	advice := operatorerror.Of(err)
+	if err == nil || advice == "" {
+		return err
+	}
+	return fmt.Errorf("%w\n%s", err, advice)
 }
--- /dev/null
+++ b/internal/controlplane/api/messages.go
@@ -0,0 +1,61 @@
+package api
+
+// Paths of a server's calls. Bodies are CBOR, except those of PathMetrics.
+const (
+	PathLease     = "/v1/ask"    // POST quotalease.Request, returns quotalease.Reply; only the leader answers
+	PathBootstrap = "/v1/found"  // POST BootstrapRequest
+	PathSetQuotas = "/v1/set"    // POST quotalease.SetQuotas; only the leader answers
+	PathStatus    = "/v1/status" // GET, returns ServerStatus
+	PathMetrics   = "/metrics"   // GET, returns metrics in Prometheus' text format
+)
+
+// MaxBodyBytes is the longest body that either side reads.
+const MaxBodyBytes = 1 << 20
+
+// BootstrapRequest asks a server to create its Raft log and to start the fleet under an epoch above all earlier ones.
+type BootstrapRequest struct {
+	Fleet            string   `json:"Fleet"`
+	Epoch            uint64   `json:"Epoch"`
+	MaxDrift         float64  `json:"Drift"`
+	MaxLifetimeNanos int64    `json:"Longest"`
+	ServerIDs        []uint64 `json:"Members"`
+	// ServerID is the server that the request is meant for: a wrong address must not create a log under a wrong ID.
+	ServerID uint64 `json:"ID"`
+}
+
+// ServerStatus is the state of one server as it sees it.
+type ServerStatus struct {
+	Name       string `json:"Name"`
+	Fleet      string `json:"Fleet"`
+	ID         uint64 `json:"ID"`
+	Epoch      uint64 `json:"Epoch"`      // 0 before the bootstrap
+	Role       string `json:"Role"`       // Raft's name of it, such as StateLeader
+	Leader     string `json:"Leader"`     // address of the leader that it knows; empty if none
+	LeaderName string `json:"LeaderName"` // that leader's name
+	Term       uint64 `json:"Term"`
+	Commit     uint64 `json:"Commit"`
+	Applied    uint64 `json:"Applied"`
+	// UnconfirmedServers are those that have not yet confirmed that their log is complete.
+	UnconfirmedServers []uint64 `json:"Silent"`
+	// RespondingVoters is, on the leader, how many voters answered lately, itself included.
+	RespondingVoters int `json:"Heard"`
+	Voters           int `json:"Voters"`
+	// ConfigVersion is the version of the quotas.
+	ConfigVersion uint64 `json:"Version"`
+	// QuotasUnset means that no quotas are set; leases of an earlier epoch may not have expired yet.
+	QuotasUnset bool         `json:"Unset"`
+	Quotas      []QuotaUsage `json:"Budgets"`
+	// Fault is why the server takes no part; empty if it does.
+	Fault    RemoteError       `json:"Trouble"`
+	Counters map[string]uint64 `json:"Counts"` // since the server's start
+}
+
+// QuotaUsage is how much of a quota may be spent at this moment. Limit and Granted are in units per second, the bursts
+// in units.
+type QuotaUsage struct {
+	Name         string  `json:"Name"`
+	Limit        float64 `json:"Whole"`
+	Burst        float64 `json:"Burst"`
+	Granted      float64 `json:"Granted"`    // by leases and floors
+	GrantedBurst float64 `json:"BurstsHeld"` // by leases and floors
+}
--- /dev/null
+++ b/internal/controlplane/api/messages_frozen_test.go
@@ -0,0 +1,150 @@
+package api_test
+
+import (
+	"bytes"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"lapisspread/internal/controlplane/api"
+	"lapisspread/internal/policy/rollout"
+	"lapisspread/internal/policy/store"
+)
+
+// updateFrozen has the tests write their files. The stored ones were written by the program of c8fad44, by
+// UPDATE_FROZEN=1 go test ./internal/fleet -run Frozen
+var updateFrozen = os.Getenv("UPDATE_FROZEN") != ""
+
+var frozenProblem = api.RemoteError{
+	Code:          "consensus.NotLeader",
+	Message:       "not the leader",
+	Help:          "ask the leader",
+	LeaderAddress: "127.0.0.1:7402",
+}
+
+// frozenMessages has each message between proxies, servers and operators, with no field at its zero value.
+var frozenMessages = map[string]any{
+	"founding": api.BootstrapRequest{
+		Fleet:            "north",
+		Epoch:            3,
+		MaxDrift:         .001,
+		MaxLifetimeNanos: 10e9,
+		ServerIDs:        []uint64{1, 2, 3},
+		ServerID:         2,
+	},
+	"problem": frozenProblem,
+	"status": api.ServerStatus{Name: "s1", Fleet: "north", ID: 1, Epoch: 3, Role: "StateLeader",
+		Leader: "127.0.0.1:7402", LeaderName: "s2", Term: 4,
+		Commit: 5, Applied: 6, UnconfirmedServers: []uint64{3}, RespondingVoters: 2, Voters: 3, ConfigVersion: 7,
+		QuotasUnset: true,
+		Quotas:      []api.QuotaUsage{{Name: "attempts", Limit: 1000, Burst: 100, Granted: 250.5, GrantedBurst: 12.25}},
+		Fault:       frozenProblem, Counters: map[string]uint64{"asks": 8}},
+	"counted": api.QuotaUsage{Name: "attempts", Limit: 1000, Burst: 100, Granted: 250.5, GrantedBurst: 12.25},
+	"policy_report": api.PolicyReport{Fleet: "north", Proxy: "p1", Sequence: 9, Current: rollout.Version{
+		Generation: 1,
+		Epoch:      2,
+		Hash:       "ab",
+	},
+		Rejected: rollout.Version{
+			Generation: 1,
+			Epoch:      3,
+			Hash:       "cd",
+		}, Good: 90, Bad: 10, AcceptsChunks: true, MaxChunkBytes: 4096},
+	"policy_report_short": api.PolicyReport{
+		Fleet:    "north",
+		Proxy:    "p1",
+		Sequence: 9,
+		Current:  rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"},
+		Good:     90,
+		Bad:      10,
+	},
+	"policy_reply": api.PolicyReply{
+		Fleet:   "north",
+		Target:  rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"},
+		Text:    []byte("{}"),
+		Chunked: true,
+		Chunks:  [][]byte{{1}, {2, 3}},
+	},
+	"policy_reply_short": api.PolicyReply{
+		Fleet:  "north",
+		Target: rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"},
+	},
+	"pieces_request":     api.ChunksRequest{Fleet: "north", Proxy: "p1", Root: "ab", Names: [][]byte{{1, 2}, {3, 4}}},
+	"pieces_reply":       api.ChunksReply{Chunks: [][]byte{{1}, {2, 3}}, Missing: 1, RetryAfterNanos: 2e9},
+	"pieces_reply_empty": api.ChunksReply{},
+	"policy_status": api.PolicyStatus{Policy: store.Standing{Base: rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"},
+		Next: rollout.Version{
+			Generation: 1,
+			Epoch:      3,
+			Hash:       "cd",
+		}, Head: rollout.Version{Generation: 1, Epoch: 4, Hash: "ef"},
+		Stopped:  &store.Judge{Order: 1, Epoch: 3, Done: true, Why: "worse", Help: "mend it", Proxies: 5},
+		Train:    []store.Change{{Namespace: "alpha", Number: 2, By: "a"}},
+		Gathered: []store.Change{{Namespace: "beta", Number: 3, By: "b"}},
+		Faults: []store.Fault{
+			{Change: store.Change{Namespace: "gamma", Number: 4, By: "c"}, At: 6, Why: "worse", Help: "mend it"},
+		},
+		Held: []store.Held{
+			{Namespace: "delta", Offered: 5, Holds: 4, By: "d", Cut: []string{"cut"}, Why: "clash", Help: "agree"},
+		},
+		Told: []string{"conflict"}, Kept: []uint64{1, 2}, Proxies: 5},
+		IsLeader: true, RolloutState: "rolling", ProxyCount: 6, Updated: 3, Rejected: 1, Behind: []string{"p2"},
+		BehindCount: 1, LegacyCount: 2, Regression: "worse", RegressionAdvice: "go back"},
+	"order_charter": store.Command{Charter: &store.Charter{Text: "version = 1\n", By: "a"}},
+	"order_offer":   store.Command{Offer: &store.Offer{Text: "version = 1\n", By: "a"}},
+	"order_back":    store.Command{Back: &store.Back{Epoch: 2, By: "a"}},
+	"order_judge": store.Command{
+		Judge: &store.Judge{Order: 1, Epoch: 3, Done: true, Why: "worse", Help: "mend it", Proxies: 5},
+	},
+}
+
+// A release that encodes or decodes a message otherwise cannot be in one fleet with the release before.
+func TestFrozenMessagesKeepTheirBytes(t *testing.T) {
+	for name, want := range frozenMessages {
+		path := filepath.Join("testdata", "wire", name+".cbor")
+		sent := httptest.NewRecorder()
+		api.WriteReply(sent, 200, want)
+		if updateFrozen {
+			if err := os.WriteFile(path, sent.Body.Bytes(), 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+		kept, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(sent.Body.Bytes(), kept) {
+			t.Errorf("%s is sent as %x, was %x", name, sent.Body.Bytes(), kept)
+		}
+		got := reflect.New(reflect.TypeOf(want))
+		if err := api.DecodeBody(bytes.NewReader(kept), got.Interface()); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+		if !reflect.DeepEqual(got.Elem().Interface(), want) {
+			t.Errorf("%s: read %+v, want %+v", name, got.Elem().Interface(), want)
+		}
+	}
+}
+
+// Fields have the names on the wire that they had in c8fad44.
+func TestFrozenStatusNamesItsFields(t *testing.T) {
+	kept, err := os.ReadFile(filepath.Join("testdata", "wire", "status.cbor"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var fields map[string]any
+	if err := cbor.Unmarshal(kept, &fields); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"Name", "Fleet", "ID", "Epoch", "Role", "Leader", "LeaderName", "Term", "Commit",
+		"Applied", "Silent", "Heard", "Voters",
+		"Version", "Unset", "Budgets", "Trouble", "Counts"} {
+		if _, ok := fields[name]; !ok {
+			t.Errorf("%s is missing", name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/api/namespaces.go
@@ -0,0 +1,67 @@
+package api
+
+import (
+	"errors"
+	"fmt"
+	"os"
+
+	"lapisspread/internal/policy/namespace"
+	"lapisspread/internal/strictconfig"
+)
+
+// CheckNamespaces reads the ownership declaration and the namespace files that the configuration names, and merges
+// them. It returns a text for each rule that would be held back and each quota that contradicts the file. An error
+// means that a file cannot be read at all.
+func (c *Config) CheckNamespaces() (findings []string, err error) {
+	if c.OwnershipFile == "" {
+		return nil, nil
+	}
+	text, err := strictconfig.ReadFile(c.OwnershipFile, "the charter", namespace.MostBytes)
+	if err != nil {
+		return nil, err
+	}
+	ownership, err := namespace.ParseCharter(c.OwnershipFile, text)
+	if err != nil {
+		return nil, err
+	}
+	limits := map[string]float64{}
+	for _, q := range c.Quotas {
+		limits[q.Name] = q.Limit
+	}
+	for _, q := range ownership.Budgets {
+		if limit, ok := limits[q.Name]; ok && limit != float64(q.Whole) {
+			findings = append(findings,
+				fmt.Sprintf("budget %s: its whole is %v here and %v in the charter", q.Name, limit, q.Whole))
+		}
+	}
+	namespaces, err := c.readNamespaces()
+	if err != nil {
+		return nil, err
+	}
+	for _, held := range namespace.Merge(ownership, nil, namespaces).Held {
+		findings = append(findings, WithAdvice(held).Error())
+	}
+	return findings, nil
+}
+
+func (c *Config) readNamespaces() ([]*namespace.Namespace, error) {
+	var namespaces []*namespace.Namespace
+	var errs []error
+	for _, path := range c.NamespaceFiles {
+		n, err := readNamespace(path)
+		if err != nil {
+			errs = append(errs, err)
+			continue
+		}
+		namespaces = append(namespaces, n)
+	}
+	return namespaces, errors.Join(errs...)
+}
+
+func readNamespace(path string) (*namespace.Namespace, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return namespace.Parse(path, text)
+}
--- a/internal/controlplane/api/operator.go
+++ b/internal/controlplane/api/operator.go
@@ -6,73 +6,119 @@
 	"fmt"
 	"net/http"
 	"strings"
-	"time"
 
-	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/policy/store"
 	"lapisspread/internal/quotalease"
 )
 
-// operatorCallTimeout is for one call of an operator to one steward.
-const operatorCallTimeout = 6 * time.Second
-
-// CallWithTimeout is one call to one steward.
-func CallWithTimeout(ctx context.Context, client *http.Client, address, path string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
-	defer cancel()
-	return Call(ctx, client, address, path, in, out)
-}
-
-// Bootstrap has all stewards of the file begin the fleet under an epoch. All must take it; it may be given again.
-func (f *Config) Bootstrap(ctx context.Context, client *http.Client, epoch uint64) error {
-	g := f.QuotaConfig()
+// Bootstrap has every server start the fleet under an epoch. It fails unless all of them accept; it may be repeated.
+func (c *Config) Bootstrap(ctx context.Context, client *http.Client, epoch uint64) error {
+	quotas := c.QuotaConfig()
 	var errs []error
-	for _, s := range f.Servers {
-		in := BootstrapRequest{Fleet: f.Fleet, Epoch: epoch, MaxDrift: g.MaxDrift, MaxLifetimeNanos: int64(g.MaxLifetime), ServerIDs: f.ServerIDs(), ServerID: s.ID}
-		if err := CallWithTimeout(ctx, client, s.Address, PathBootstrap, in, nil); err != nil {
+	for _, s := range c.Servers {
+		request := BootstrapRequest{
+			Fleet:            c.Fleet,
+			Epoch:            epoch,
+			MaxDrift:         quotas.MaxDrift,
+			MaxLifetimeNanos: int64(quotas.MaxLifetime),
+			ServerIDs:        c.ServerIDs(),
+			ServerID:         s.ID,
+		}
+		if err := CallWithTimeout(ctx, client, s.Address, PathBootstrap, request, nil); err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", s.Name, err))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// ServerStatuses asks all stewards how they stand.
-func (f *Config) ServerStatuses(ctx context.Context, client *http.Client) ([]ServerStatus, []error) {
-	out, errs := make([]ServerStatus, len(f.Servers)), make([]error, len(f.Servers))
-	for i, s := range f.Servers {
-		errs[i] = CallWithTimeout(ctx, client, s.Address, PathStatus, nil, &out[i])
+// ServerStatuses returns the status of every server, or the error of the call to it, in the order of Servers.
+func (c *Config) ServerStatuses(ctx context.Context, client *http.Client) ([]ServerStatus, []error) {
+	statuses := make([]ServerStatus, len(c.Servers))
+	errs := make([]error, len(c.Servers))
+	for i, s := range c.Servers {
+		errs[i] = CallWithTimeout(ctx, client, s.Address, PathStatus, nil, &statuses[i])
 	}
-	return out, errs
+	return statuses, errs
 }
 
-// SetQuotas has whoever leads set the budgets of the file, under a version above all that it knows of, or the one that is named. Gone are
-// holders whose floors the operator vouches that nobody will spend again.
-func (f *Config) SetQuotas(ctx context.Context, client *http.Client, version uint64, gone []string) (uint64, error) {
+// SetQuotas has the leader replace the quotas by those of the configuration, and returns their version. Version 0 picks
+// one above all that the servers know. RemovedHolders are proxies whose floors nobody will spend again; the operator
+// vouches for that.
+func (c *Config) SetQuotas(
+	ctx context.Context, client *http.Client, version uint64, removedHolders []string,
+) (uint64, error) {
 	if version == 0 {
-		all, _ := f.ServerStatuses(ctx, client) // whoever is not reached may know more; then the leader refuses
-		for _, s := range all {
+		statuses, _ := c.ServerStatuses(ctx, client) // if one out of reach knows more, the leader rejects
+		for _, s := range statuses {
 			version = max(version, s.ConfigVersion)
 		}
 		version++
 	}
-	in := quotalease.SetQuotas{Version: version, Config: f.QuotaConfig(), RemovedHolders: gone}
-	var tried []error
-	for _, s := range f.Servers {
-		err := CallWithTimeout(ctx, client, s.Address, PathSetQuotas, in, nil)
+	command := quotalease.SetQuotas{Version: version, Config: c.QuotaConfig(), RemovedHolders: removedHolders}
+	err := c.callUntilAccepted(ctx, client, PathSetQuotas, command, isFinalQuotaError)
+	if err != nil {
+		return 0, err
+	}
+	return version, nil
+}
+
+// SendPolicyCommand has the leader commit a command of an operator about the policy.
+func (c *Config) SendPolicyCommand(ctx context.Context, client *http.Client, command store.Command) error {
+	return c.callUntilAccepted(ctx, client, PathPolicyCommand, command, IsFinalPolicyError)
+}
+
+// callUntilAccepted posts a command to one server after another until one accepts it. An error that isFinal stands for
+// the state machine's own rejection, which every other server would repeat.
+func (c *Config) callUntilAccepted(
+	ctx context.Context, client *http.Client, path string, command any, isFinal func(error) bool,
+) error {
+	var errs []error
+	for _, s := range c.Servers {
+		err := CallWithTimeout(ctx, client, s.Address, path, command, nil)
 		if err == nil {
-			return version, nil
+			return nil
 		}
-		tried = append(tried, fmt.Errorf("%s: %w", s.Name, err))
-		if p := RemoteErrorOf(err); strings.HasPrefix(p.Code, "grant.") && p.Code != "grant.NotFounded" {
-			return 0, tried[len(tried)-1] // the book's own word: no other steward says otherwise
+		named := fmt.Errorf("%s: %w", s.Name, err)
+		if isFinal(err) {
+			return named
 		}
+		errs = append(errs, named)
 	}
-	return 0, errors.Join(tried...)
+	return errors.Join(errs...)
 }
 
-// WithAdvice is an error with its advice, for a terminal.
-func WithAdvice(err error) error {
-	if help := operatorerror.Of(err); err != nil && help != "" {
-		return fmt.Errorf("%w\n%s", err, help)
+// isFinalQuotaError reports whether the quota state machine rejected a command, other than for lack of a bootstrap.
+func isFinalQuotaError(err error) bool {
+	code := RemoteErrorOf(err).Code
+	return strings.HasPrefix(code, "grant.") && code != quotalease.NotBootstrappedError{}.Code()
+}
+
+// IsFinalPolicyError reports whether the policy store rejected a command, so that sending it again changes nothing.
+func IsFinalPolicyError(err error) bool {
+	code := RemoteErrorOf(err).Code
+	return strings.HasPrefix(code, "policybook.") || strings.HasPrefix(code, "namespace.")
+}
+
+// PolicyStatus returns the leader's status of the policy, or the most recent of the others' if no leader answers. It
+// fails only if no server answers.
+func (c *Config) PolicyStatus(ctx context.Context, client *http.Client) (PolicyStatus, error) {
+	var newest PolicyStatus
+	var errs []error
+	for _, s := range c.Servers {
+		var status PolicyStatus
+		if err := CallWithTimeout(ctx, client, s.Address, PathPolicyStatus, nil, &status); err != nil {
+			errs = append(errs, fmt.Errorf("%s: %w", s.Name, err))
+			continue
+		}
+		if status.IsLeader {
+			return status, nil
+		}
+		if status.Policy.Next.NewerThan(newest.Policy.Next) || status.Policy.Base.NewerThan(newest.Policy.Base) {
+			newest = status
+		}
+	}
+	if len(errs) == len(c.Servers) {
+		return newest, errors.Join(errs...)
 	}
-	return err
+	return newest, nil
 }
--- a/internal/controlplane/api/tls.go
+++ b/internal/controlplane/api/tls.go
@@ -9,55 +9,61 @@
 	"lapisspread/internal/tlskeys"
 )
 
-// TLSFiles names the files of this machine's certificate, in PEM: beside the fleet's file if they are no whole paths. With it all calls to
-// stewards, and between them, are by TLS in which both sides show a certificate that the CA has signed.
+const (
+	tlsReloadInterval   = 10 * time.Second // between two looks at the certificate's files
+	idleConnTimeout     = time.Minute
+	maxIdleConnsPerHost = 2
+)
+
+// TLSFiles name this machine's certificate files, in PEM. With them, both sides of every call to or between servers
+// show a certificate that the CA has signed.
 type TLSFiles struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 	CA          string `toml:"ca"`
 }
 
-// LoadTLSKeys are what the files say; nil without TLS.
-func (f *Config) LoadTLSKeys() (*tlskeys.Keys, error) {
-	if f.TLS == nil {
+// LoadTLSKeys reads the certificate files. It returns nil if the configuration has no TLS.
+func (c *Config) LoadTLSKeys() (*tlskeys.Keys, error) {
+	if c.TLS == nil {
 		return nil, nil
 	}
-	return tlskeys.Load(tlskeys.Files{Certificate: f.TLS.Certificate, Key: f.TLS.Key, CA: f.TLS.CA})
+	return tlskeys.Load(tlskeys.Files{Certificate: c.TLS.Certificate, Key: c.TLS.Key, CA: c.TLS.CA})
 }
 
-// NewTransport leads calls to stewards: without keys in the clear.
+// NewTransport returns the transport for calls to servers. Nil keys give one that sends in the clear.
 func NewTransport(keys *tlskeys.Keys) http.RoundTripper {
-	t := &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
+	t := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: idleConnTimeout}
 	if keys == nil {
 		return t
 	}
-	t.TLSClientConfig = keys.Client("") // stewards are named by address; whoever the CA has signed may be one
+	t.TLSClientConfig = keys.Client("") // servers are named by address; any certificate of the CA will do
 	return tlsTransport{t}
 }
 
-// tlsTransport has calls go by TLS whatever their address says: it is the file that decides.
+// tlsTransport sends every request by TLS, whatever scheme its URL has.
 type tlsTransport struct{ *http.Transport }
 
-func (s tlsTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip implements http.RoundTripper.
+func (t tlsTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.URL.Scheme = "https"
-	return s.Transport.RoundTrip(r)
+	return t.Transport.RoundTrip(r)
 }
 
-// tlsReloadInterval is how often the files are looked at.
-const tlsReloadInterval = 10 * time.Second
-
-// WatchTLSKeys reads the files anew when they change, until ctx ends.
+// WatchTLSKeys reloads the certificate files whenever they change. It blocks until ctx ends.
 func WatchTLSKeys(ctx context.Context, keys *tlskeys.Keys, log *slog.Logger) {
-	tick := time.NewTicker(tlsReloadInterval)
-	defer tick.Stop()
-	keys.Watch(tick.C, ctx.Done(), func(err error) {
+	ticker := time.NewTicker(tlsReloadInterval)
+	defer ticker.Stop()
+	reloaded := func(err error) {
 		if err != nil {
 			log.Error("the fleet's certificate stays as it was", "err", err)
 			return
 		}
 		log.Info("the fleet's certificate was read anew")
-	}, func(left time.Duration) {
+	}
+	expiring := func(left time.Duration) {
 		log.Warn("the fleet's certificate expires soon", "left", left.Round(time.Hour))
-	})
+	}
+	keys.Watch(ticker.C, ctx.Done(), reloaded, expiring)
 }
