--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -20,8 +20,8 @@
 	"lapisspread/internal/staleness"
 )
 
-// codes has each error's name as the program of c8fad44 sends it.
-var codes = []struct {
+// wireCodes has each error's name as the program of c8fad44 sends it.
+var wireCodes = []struct {
 	err  operatorerror.Error
 	code string
 }{
@@ -104,9 +104,9 @@
 	{server.ChunksRequiredError{}, "steward.NeedsPieces"},
 }
 
-// Stewards and proxies of two releases know each other's errors by these names.
+// Servers and proxies of two releases know each other's errors by these names.
 func TestErrorsKeepTheirNamesOnTheWire(t *testing.T) {
-	for _, c := range codes {
+	for _, c := range wireCodes {
 		if got := api.RemoteErrorOf(fmt.Errorf("wrapped: %w", c.err)).Code; got != c.code {
 			t.Errorf("%s is sent as %s", c.code, got)
 		}
--- a/internal/controlplane/server/frozen_test.go
+++ b/internal/controlplane/server/frozen_test.go
@@ -16,7 +16,8 @@
 	"lapisspread/internal/quotalease"
 )
 
-// The files of this test were written by the program of c8fad44: UPDATE_FROZEN=1 go test ./internal/steward -run Frozen
+// The files of this test were written by the program of c8fad44, by
+// UPDATE_FROZEN=1 go test ./internal/steward -run Frozen
 const (
 	frozenCommands = "testdata/commands.txt" // one a line, in hexadecimal
 	frozenSnapshot = "testdata/snapshot.bin"
@@ -27,7 +28,7 @@
 
 var frozenKey = quotalease.HolderID{Holder: "p1", Incarnation: 7}
 
-// frozenEntries has grants and policies of a fleet that begins.
+// frozenEntries are log entries of each kind: quotas, leases, policies, and rejected commands.
 func frozenEntries(t *testing.T) (all [][]byte) {
 	t.Helper()
 	add := func(mark string, c any) {
@@ -37,18 +38,40 @@
 		}
 		all = append(all, append([]byte(mark), text...))
 	}
-	add("", quotalease.Command{Bootstrap: &quotalease.Bootstrap{FleetID: "north", Epoch: 1, MaxDrift: .001, MaxLifetime: 600 * time.Millisecond}})
+	add(
+		"",
+		quotalease.Command{
+			Bootstrap: &quotalease.Bootstrap{
+				FleetID:     "north",
+				Epoch:       1,
+				MaxDrift:    .001,
+				MaxLifetime: 600 * time.Millisecond,
+			},
+		},
+	)
 	add("", quotalease.Command{Expire: &quotalease.Expire{Token: quotalease.Token{Epoch: 1, Index: 1}}})
-	add("", quotalease.Command{SetQuotas: &quotalease.SetQuotas{Version: 1, Config: quotalease.FleetConfig{FleetID: "north", MaxDrift: .001, MaxLifetime: 600 * time.Millisecond,
-		Quotas: []quotalease.Quota{{Name: "attempts", Kind: quotalease.Rate, Limit: 1000, Burst: 100, LeaseDuration: 600 * time.Millisecond, Floors: map[string]float64{"p1": 50}}}}}})
-	add("", quotalease.Command{Batch: []quotalease.Command{{Grant: &quotalease.Lease{FleetID: "north", Epoch: 1, HolderID: frozenKey, Quota: "attempts", Kind: quotalease.Rate,
-		Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20), Duration: 600 * time.Millisecond, RequestSeq: 3, ConfigVersion: 1}}}})
+	add("", quotalease.Command{SetQuotas: &quotalease.SetQuotas{Version: 1,
+		Config: quotalease.FleetConfig{FleetID: "north", MaxDrift: .001, MaxLifetime: 600 * time.Millisecond,
+			Quotas: []quotalease.Quota{
+				{
+					Name:          "attempts",
+					Kind:          quotalease.Rate,
+					Limit:         1000,
+					Burst:         100,
+					LeaseDuration: 600 * time.Millisecond,
+					Floors:        map[string]float64{"p1": 50},
+				},
+			}}}})
+	add("", quotalease.Command{Batch: []quotalease.Command{{Grant: &quotalease.Lease{FleetID: "north", Epoch: 1,
+		HolderID: frozenKey, Quota: "attempts", Kind: quotalease.Rate,
+		Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20), Duration: 600 * time.Millisecond,
+		RequestSeq: 3, ConfigVersion: 1}}}})
 	add("", quotalease.Command{})
 	mark := string(rune(policyEntryMarker))
-	add(mark, store.Command{Charter: &store.Charter{Text: charterText("x.org"), By: "op"}})
-	add(mark, offerOf("alpha", 1, "/a"))
+	add(mark, store.Command{Charter: &store.Charter{Text: ownershipText("x.org"), By: "op"}})
+	add(mark, offerCommand("alpha", 1, "/a"))
 	add(mark, store.Command{Judge: &store.Judge{Order: 1 << 32, Epoch: 1, Done: true, Proxies: 3}})
-	add(mark, offerOf("beta", 1, "/a"))
+	add(mark, offerCommand("beta", 1, "/a"))
 	add(mark, store.Command{Back: &store.Back{Epoch: 99}})
 	return all
 }
@@ -61,7 +84,7 @@
 	return []byte(b.String())
 }
 
-// A steward goes on from a log and a snapshot of the program of c8fad44, and answers entries with the same bytes.
+// A server goes on from a log and a snapshot of the program of c8fad44, and returns the same bytes for each entry.
 func TestFrozenLogAndSnapshot(t *testing.T) {
 	m := newStateMachine(frozenNow, 1)
 	entries := frozenEntries(t)
@@ -113,19 +136,35 @@
 func checkFrozenState(t *testing.T, m *stateMachine) {
 	t.Helper()
 	st := m.policyStatus()
-	base := rollout.Version{Generation: 1 << 32, Epoch: 1, Hash: "8a10529ffc3691e232af7149e3151bf480492604b19e6b0281d70bdc53a370ae"}
-	next := rollout.Version{Generation: 1 << 32, Epoch: 2, Hash: "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389"}
-	if st.Base != base || st.Next != next || st.Head != next || st.Stopped != nil || st.Proxies != 3 || !slices.Equal(st.Kept, []uint64{1, 2}) ||
-		!slices.Equal(st.Train, []store.Change{{Namespace: "alpha", Number: 1, By: "alpha"}}) || len(st.Gathered) != 0 || len(st.Faults) != 0 {
+	base := rollout.Version{
+		Generation: 1 << 32,
+		Epoch:      1,
+		Hash:       "8a10529ffc3691e232af7149e3151bf480492604b19e6b0281d70bdc53a370ae",
+	}
+	next := rollout.Version{
+		Generation: 1 << 32,
+		Epoch:      2,
+		Hash:       "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389",
+	}
+	if st.Base != base || st.Next != next || st.Head != next || st.Stopped != nil || st.Proxies != 3 ||
+		!slices.Equal(st.Kept, []uint64{1, 2}) ||
+		!slices.Equal(
+			st.Train, []store.Change{{Namespace: "alpha", Number: 1, By: "alpha"}},
+		) || len(st.Gathered) != 0 || len(st.Faults) != 0 {
 		t.Errorf("policies: read %+v", st)
 	}
-	if len(st.Held) != 1 || st.Held[0].Namespace != "beta" || st.Held[0].Offered != 1 || st.Held[0].Holds != 0 || st.Held[0].By != "beta" {
+	if len(st.Held) != 1 || st.Held[0].Namespace != "beta" || st.Held[0].Offered != 1 || st.Held[0].Holds != 0 ||
+		st.Held[0].By != "beta" {
 		t.Errorf("held back: read %+v", st.Held)
 	}
 	want := quotalease.Reply{FleetID: "north", Epoch: 1, HolderID: frozenKey, ConfigVersion: 1,
-		Leases: []quotalease.Lease{{FleetID: "north", Epoch: 1, HolderID: frozenKey, Quota: "attempts", Kind: quotalease.Rate, Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20),
-			Duration: 600 * time.Millisecond, RequestSeq: 3, ConfigVersion: 1, Token: quotalease.Token{Epoch: 1, Index: 4}}},
-		Floors: map[string]quotalease.Floor{"attempts": {Kind: quotalease.Rate, Amount: quotalease.FromUnits(50), Burst: quotalease.FromUnits(5)}}}
+		Leases: []quotalease.Lease{{FleetID: "north", Epoch: 1, HolderID: frozenKey, Quota: "attempts",
+			Kind: quotalease.Rate, Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20),
+			Duration: 600 * time.Millisecond, RequestSeq: 3, ConfigVersion: 1, Token: quotalease.Token{Epoch: 1,
+				Index: 4}}},
+		Floors: map[string]quotalease.Floor{
+			"attempts": {Kind: quotalease.Rate, Amount: quotalease.FromUnits(50), Burst: quotalease.FromUnits(5)},
+		}}
 	if got := m.quotas.ReplyTo(frozenKey); !reflect.DeepEqual(got, want) {
 		t.Errorf("grants: read\n%+v, want\n%+v", got, want)
 	}
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -14,63 +14,80 @@
 	"lapisspread/internal/policy/store"
 )
 
-func charterText(beta string) string {
+func ownershipText(beta string) string {
 	text := "version = 1\n"
 	for _, n := range [][2]string{{"alpha", "x.org"}, {"beta", beta}} {
-		text += fmt.Sprintf("[[namespace]]\nname = %q\nowner = \"o\"\nhosts = [%q]\nsettings = [\"route\", \"service\"]\n", n[0], n[1])
+		text += fmt.Sprintf(
+			"[[namespace]]\nname = %q\nowner = \"o\"\nhosts = [%q]\nsettings = [\"route\", \"service\"]\n", n[0],
+			n[1],
+		)
 	}
 	return text
 }
 
-func rulesText(name string, number int, path string) string {
-	return fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n[[service]]\nname = \"s-%s\"\n[[route]]\nname = \"r\"\nhost = \"x.org\"\npath_prefix = %q\nto = [{ service = \"s-%s\" }]\n",
+func namespaceText(name string, number int, path string) string {
+	return fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n[[service]]\nname = \"s-%s\"\n[[route]]\nname = \"r\"\n"+
+		"host = \"x.org\"\npath_prefix = %q\nto = [{ service = \"s-%s\" }]\n",
 		name, number, name, path, name)
 }
 
-func offerOf(name string, number int, path string) store.Command {
-	return store.Command{Offer: &store.Offer{Text: rulesText(name, number, path), By: name}}
+func offerCommand(name string, number int, path string) store.Command {
+	return store.Command{Offer: &store.Offer{Text: namespaceText(name, number, path), By: name}}
 }
 
-// proxies report to whoever leads; bad of a hundred requests fail under an epoch. Each other one is of an older release, and takes whole
-// texts alone.
-type proxies struct {
-	*site
-	names   []string
-	holders map[string]*rollout.CurrentVersion
-	trees   map[string]*merkle.Tree // of those that take pieces
-	number  uint64
-	asked   int // calls for pieces
-	bad     func(epoch uint64) int64
+// proxyFleet is proxies that report to the leader, 100 requests each. Every other one is of an older release, which
+// does not accept chunks.
+type proxyFleet struct {
+	*testCluster
+	names         []string
+	versions      map[string]*rollout.CurrentVersion
+	trees         map[string]*merkle.Tree // of proxies that accept chunks
+	sequence      uint64
+	chunkRequests int
+	badRequests   func(epoch uint64) int64 // of 100, under an epoch
 }
 
-func newProxies(s *site, n int) *proxies {
-	p := &proxies{site: s, holders: map[string]*rollout.CurrentVersion{}, trees: map[string]*merkle.Tree{}, bad: func(uint64) int64 { return 0 }}
+func newProxyFleet(cluster *testCluster, n int) *proxyFleet {
+	p := &proxyFleet{testCluster: cluster, versions: map[string]*rollout.CurrentVersion{},
+		trees: map[string]*merkle.Tree{}, badRequests: func(uint64) int64 { return 0 }}
 	for i := range n {
 		name := fmt.Sprintf("p%02d", i)
-		p.names, p.holders[name] = append(p.names, name), rollout.NewCurrentVersion(rollout.Version{})
+		p.names, p.versions[name] = append(p.names, name), rollout.NewCurrentVersion(rollout.Version{})
 	}
 	return p
 }
 
-// turn has each report once, and take up what it shall have. An older policy never comes but by a higher order.
-func (p *proxies) turn() {
+// reportAll has each proxy report once and adopt its target, and checks that no proxy goes back within a generation.
+func (p *proxyFleet) reportAll() {
 	p.t.Helper()
 	for i, name := range p.names {
-		h := p.holders[name]
-		p.number++
-		bad := p.bad(h.Version().Epoch)
-		in := api.PolicyReport{Fleet: "north", Proxy: name, Sequence: p.number, Current: h.Version(), Good: 100 - bad, Bad: bad, AcceptsChunks: i%2 == 0}
-		for _, o := range p.file.Servers {
+		h := p.versions[name]
+		p.sequence++
+		bad := p.badRequests(h.Version().Epoch)
+		in := api.PolicyReport{
+			Fleet:         "north",
+			Proxy:         name,
+			Sequence:      p.sequence,
+			Current:       h.Version(),
+			Good:          100 - bad,
+			Bad:           bad,
+			AcceptsChunks: i%2 == 0,
+		}
+		for _, o := range p.config.Servers {
 			var reply api.PolicyReply
 			if api.CallWithTimeout(context.Background(), p.client, o.Address, api.PathPolicyReport, in, &reply) != nil {
 				continue
 			}
 			before := h.Version()
-			if reply.Chunked != in.AcceptsChunks || len(reply.Text) > 0 && in.AcceptsChunks || len(reply.Chunks) > 0 && !in.AcceptsChunks {
-				p.t.Fatalf("%s, which takes pieces: %v, is told %d bytes and %d pieces", name, in.AcceptsChunks, len(reply.Text), len(reply.Chunks))
+			if reply.Chunked != in.AcceptsChunks || len(reply.Text) > 0 && in.AcceptsChunks ||
+				len(reply.Chunks) > 0 && !in.AcceptsChunks {
+				p.t.Fatalf(
+					"%s, which accepts chunks: %v, gets %d bytes and %d chunks", name, in.AcceptsChunks,
+					len(reply.Text), len(reply.Chunks),
+				)
 			}
 			if in.AcceptsChunks {
-				p.assemble(name, reply)
+				p.fetchChunks(name, reply)
 			} else {
 				_ = h.AdoptText(reply.Target, reply.Text)
 			}
@@ -82,17 +99,17 @@
 	}
 }
 
-// assemble has one fetch what it is offered, of any steward.
-func (p *proxies) assemble(name string, reply api.PolicyReply) {
+// fetchChunks has a proxy fetch its target from any server.
+func (p *proxyFleet) fetchChunks(name string, reply api.PolicyReply) {
 	p.t.Helper()
-	if !reply.Target.NewerThan(p.holders[name].Version()) {
+	if !reply.Target.NewerThan(p.versions[name].Version()) {
 		return
 	}
 	root, err := merkle.ParseName(reply.Target.Hash)
-	p.must(err)
+	p.noError(err)
 	a := merkle.Assemble(root, p.trees[name])
 	for _, piece := range reply.Chunks {
-		p.must(a.Add(piece))
+		p.noError(a.Add(piece))
 	}
 	for range 100 {
 		names := a.Wants(api.MaxChunkNames)
@@ -103,25 +120,28 @@
 		for _, n := range names {
 			in.Names = append(in.Names, n[:])
 		}
-		p.asked++
+		p.chunkRequests++
 		var out api.ChunksReply
-		if api.CallWithTimeout(context.Background(), p.client, p.file.Servers[p.asked%3].Address, api.PathPolicyChunks, in, &out) != nil {
+		if api.CallWithTimeout(
+			context.Background(), p.client, p.config.Servers[p.chunkRequests%3].Address, api.PathPolicyChunks, in,
+			&out,
+		) != nil {
 			continue
 		}
 		for _, piece := range out.Chunks {
-			p.must(a.Add(piece))
+			p.noError(a.Add(piece))
 		}
 	}
 	tree, err := a.Tree()
 	if err != nil {
-		return // it goes on with the next report
+		return // continued with the next report
 	}
-	p.must(p.holders[name].Adopt(reply.Target, tree.Root().String()))
+	p.noError(p.versions[name].Adopt(reply.Target, tree.Root().String()))
 	p.trees[name] = tree
 }
 
-func (p *proxies) have(epoch uint64) (n int) {
-	for _, h := range p.holders {
+func (p *proxyFleet) countAtEpoch(epoch uint64) (n int) {
+	for _, h := range p.versions {
 		if h.Version().Epoch == epoch {
 			n++
 		}
@@ -129,93 +149,101 @@
 	return n
 }
 
-func (p *proxies) untilAll(what string, epoch uint64) {
+func (p *proxyFleet) waitUntilAll(what string, epoch uint64) {
 	p.t.Helper()
-	p.until(what, func() bool { p.turn(); return p.have(epoch) == len(p.names) })
+	p.until(what, func() bool { p.reportAll(); return p.countAtEpoch(epoch) == len(p.names) })
 }
 
-// order gives a word until somebody takes it.
-func (s *site) order(c store.Command) {
-	s.t.Helper()
-	s.until("a word is taken", func() bool { return s.file.SendPolicyCommand(context.Background(), s.client, c) == nil })
+// sendPolicyCommand sends a command until it is accepted.
+func (cluster *testCluster) sendPolicyCommand(c store.Command) {
+	cluster.t.Helper()
+	cluster.until(
+		"a policy command is accepted",
+		func() bool { return cluster.config.SendPolicyCommand(context.Background(), cluster.client, c) == nil },
+	)
 }
 
-func (s *site) standing(i int) store.Standing {
-	t := s.run[i].replica.Load()
+func (cluster *testCluster) policyStatus(i int) store.Standing {
+	t := cluster.servers[i].replica.Load()
 	return t.state.policyStatus()
 }
 
-func policySite(t *testing.T) *site {
-	s := newSite(t)
-	s.found()
-	s.order(store.Command{Charter: &store.Charter{Text: charterText("x.org")}})
-	return s
+func newClusterWithPolicies(t *testing.T) *testCluster {
+	cluster := newCluster(t)
+	cluster.bootstrap()
+	cluster.sendPolicyCommand(store.Command{Charter: &store.Charter{Text: ownershipText("x.org")}})
+	return cluster
 }
 
-// newest is the leader's word: a follower may be behind.
-func (s *site) newest() (epoch uint64) {
-	s.t.Helper()
-	s.until("the leader's word", func() bool {
-		p, err := s.file.PolicyStatus(context.Background(), s.client)
+// leaderNewestEpoch returns the newest merged epoch. It asks the leader, because a follower may be behind.
+func (cluster *testCluster) leaderNewestEpoch() (epoch uint64) {
+	cluster.t.Helper()
+	cluster.until("the leader's policy status", func() bool {
+		p, err := cluster.config.PolicyStatus(context.Background(), cluster.client)
 		epoch = p.Policy.Head.Epoch
 		return err == nil && p.IsLeader
 	})
 	return epoch
 }
 
-// Two teams change rules that overlap on two sides of a partition: one is held, the same one at all stewards after the healing. And a
-// charter that takes a domain back cuts what is outside it.
-func TestTwoTeamsOnTwoSides(t *testing.T) {
-	s := policySite(t)
-	s.order(offerOf("alpha", 1, "/a"))
-	s.order(offerOf("beta", 1, "/b"))
-	lead := s.leader()
-	s.cut.Store(int64(lead + 1))
-	lone := *s.file
-	lone.Servers = s.file.Servers[lead : lead+1]
+// Two teams change overlapping rules on two sides of a partition: after it heals, all servers hold back the same one.
+// An ownership declaration that withdraws a domain removes the rules outside it.
+func TestConflictingRulesAcrossPartition(t *testing.T) {
+	cluster := newClusterWithPolicies(t)
+	cluster.sendPolicyCommand(offerCommand("alpha", 1, "/a"))
+	cluster.sendPolicyCommand(offerCommand("beta", 1, "/b"))
+	lead := cluster.leader()
+	cluster.partitioned.Store(int64(lead + 1))
+	lone := *cluster.config
+	lone.Servers = cluster.config.Servers[lead : lead+1]
 	one := make(chan error, 1)
-	go func() { one <- lone.SendPolicyCommand(context.Background(), s.client, offerOf("alpha", 2, "/c")) }()
-	s.until("the other side takes beta's", func() bool {
-		for i, o := range s.file.Servers {
-			if i != lead && api.CallWithTimeout(context.Background(), s.client, o.Address, api.PathPolicyCommand, offerOf("beta", 2, "/c"), nil) == nil {
+	go func() {
+		one <- lone.SendPolicyCommand(context.Background(), cluster.client, offerCommand("alpha", 2, "/c"))
+	}()
+	cluster.until("the other side takes beta's", func() bool {
+		for i, o := range cluster.config.Servers {
+			if i != lead && api.CallWithTimeout(
+				context.Background(), cluster.client, o.Address, api.PathPolicyCommand, offerCommand("beta", 2, "/c"),
+				nil,
+			) == nil {
 				return true
 			}
 		}
 		return false
 	})
 	if err := <-one; err == nil {
-		t.Error("a minority took a word")
+		t.Error("a minority accepted a command")
 	}
-	s.cut.Store(0)
-	s.order(offerOf("alpha", 2, "/c"))
-	s.until("all stewards know the same", func() bool {
-		a := s.standing(0)
+	cluster.partitioned.Store(0)
+	cluster.sendPolicyCommand(offerCommand("alpha", 2, "/c"))
+	cluster.until("all servers have the same policy", func() bool {
+		a := cluster.policyStatus(0)
 		for i := range 3 {
-			if st := s.standing(i); len(st.Held) != 1 || fmt.Sprint(st) != fmt.Sprint(a) {
+			if st := cluster.policyStatus(i); len(st.Held) != 1 || fmt.Sprint(st) != fmt.Sprint(a) {
 				return false
 			}
 		}
 		return true
 	})
-	if h := s.standing(0).Held[0]; !strings.Contains(h.Why, "x.org") || h.Help == "" || h.Holds != 1 {
+	if h := cluster.policyStatus(0).Held[0]; !strings.Contains(h.Why, "x.org") || h.Help == "" || h.Holds != 1 {
 		t.Errorf("the request is not written out: %+v", h)
 	}
 	var texts [3][]byte
 	for i := range 3 {
-		m := s.run[i].replica.Load().state
+		m := cluster.servers[i].replica.Load().state
 		m.policyMu.Lock()
 		texts[i], _ = m.policies.Snapshot()
 		m.policyMu.Unlock()
 	}
 	if !bytes.Equal(texts[0], texts[1]) || !bytes.Equal(texts[0], texts[2]) {
-		t.Error("the stewards' books differ")
+		t.Error("the servers' policy stores differ")
 	}
 
-	s.order(store.Command{Charter: &store.Charter{Text: charterText("y.org")}})
-	s.until("nobody uses a domain that was taken back", func() bool {
+	cluster.sendPolicyCommand(store.Command{Charter: &store.Charter{Text: ownershipText("y.org")}})
+	cluster.until("nobody uses a domain that was taken back", func() bool {
 		for i := range 3 {
-			st := s.standing(i)
-			w, ok := s.run[i].replica.Load().state.policyEncoding(st.Head)
+			st := cluster.policyStatus(i)
+			w, ok := cluster.servers[i].replica.Load().state.policyEncoding(st.Head)
 			if !ok || strings.Contains(w.text, "beta/r") || !strings.Contains(w.text, "alpha/r") {
 				return false
 			}
@@ -224,73 +252,84 @@
 	})
 }
 
-// A roll-out that loses its leader half way resumes under the next; one that does worse stops by itself, also for the leader after,
-// and goes back only when told.
-func TestARolloutIsCutStoppedAndTakenBack(t *testing.T) {
-	s := policySite(t)
-	p := newProxies(s, 24)
-	s.order(offerOf("alpha", 1, "/a"))
-	first := s.newest()
-	p.untilAll("the first policy", first)
-	s.until("that is kept", func() bool { return s.standing(s.leader()).Base.Epoch == first })
+// A rollout that loses its leader resumes under the next one. One that does harm stops, stays stopped under the next
+// leader, and goes back only on command.
+func TestRolloutResumesStopsAndRollsBack(t *testing.T) {
+	cluster := newClusterWithPolicies(t)
+	p := newProxyFleet(cluster, 24)
+	cluster.sendPolicyCommand(offerCommand("alpha", 1, "/a"))
+	first := cluster.leaderNewestEpoch()
+	p.waitUntilAll("the first policy", first)
+	cluster.until("that is committed", func() bool {
+		return cluster.policyStatus(cluster.leader()).Base.Epoch == first
+	})
 
-	s.order(offerOf("alpha", 2, "/c"))
-	second := s.newest()
-	s.until("some have it", func() bool { p.turn(); return p.have(second) > 0 })
-	if p.have(second) == len(p.names) {
+	cluster.sendPolicyCommand(offerCommand("alpha", 2, "/c"))
+	second := cluster.leaderNewestEpoch()
+	cluster.until("some have it", func() bool { p.reportAll(); return p.countAtEpoch(second) > 0 })
+	if p.countAtEpoch(second) == len(p.names) {
 		t.Error("all had it at once")
 	}
-	lead := s.leader()
-	s.stop(lead)
-	p.untilAll("the second policy under another leader", second)
-	s.start(lead)
-	s.until("that is kept", func() bool { return s.standing(s.leader()).Base.Epoch == second })
+	lead := cluster.leader()
+	cluster.stop(lead)
+	p.waitUntilAll("the second policy under another leader", second)
+	cluster.start(lead)
+	cluster.until("that is committed", func() bool {
+		return cluster.policyStatus(cluster.leader()).Base.Epoch == second
+	})
 
-	s.order(offerOf("alpha", 3, "/worse"))
-	third := s.newest()
-	p.bad = func(epoch uint64) int64 {
+	cluster.sendPolicyCommand(offerCommand("alpha", 3, "/worse"))
+	third := cluster.leaderNewestEpoch()
+	p.badRequests = func(epoch uint64) int64 {
 		if epoch == third {
 			return 40
 		}
 		return 1
 	}
-	s.until("it stops", func() bool { p.turn(); return s.standing(s.leader()).Stopped != nil })
-	had := p.have(third)
+	cluster.until(
+		"it stops", func() bool { p.reportAll(); return cluster.policyStatus(cluster.leader()).Stopped != nil },
+	)
+	had := p.countAtEpoch(third)
 	if had == 0 || had > len(p.names)/2 {
 		t.Errorf("%d of %d had the worse policy", had, len(p.names))
 	}
-	s.stop(s.leader())
-	s.leader()
+	cluster.stop(cluster.leader())
+	cluster.leader()
 	for range 20 {
-		p.turn()
+		p.reportAll()
 	}
-	if n := p.have(third); n != had {
+	if n := p.countAtEpoch(third); n != had {
 		t.Errorf("%d have the stopped policy after another leader came, %d before", n, had)
 	}
 	for i := range 3 {
-		if s.run[i] == nil {
-			s.start(i)
+		if cluster.servers[i] == nil {
+			cluster.start(i)
 		}
 	}
-	s.order(store.Command{Back: &store.Back{Epoch: second, By: "on call"}})
-	p.untilAll("back", second)
-	if err := s.file.SendPolicyCommand(context.Background(), s.client, store.Command{Judge: &store.Judge{}}); err == nil {
-		t.Error("an operator judged")
+	cluster.sendPolicyCommand(store.Command{Back: &store.Back{Epoch: second, By: "on call"}})
+	p.waitUntilAll("back", second)
+	if err := cluster.config.SendPolicyCommand(
+		context.Background(), cluster.client, store.Command{Judge: &store.Judge{}},
+	); err == nil {
+		t.Error("an operator ended a rollout")
 	}
 }
 
-// Entries and snapshots of before there were policies stay readable, and a snapshot with both gives both back.
-func TestOldEntriesStayReadable(t *testing.T) {
+// Snapshots from before there were policies stay readable, and a snapshot with policies restores quotas and policies.
+func TestEntriesWithoutPoliciesStayReadable(t *testing.T) {
 	clock := func() time.Duration { return 0 }
 	m := newStateMachine(clock, 1)
 	m.Apply(1, []byte(`{}`))
 	old, err := m.Snapshot()
 	if err != nil || old[0] == policyEntryMarker {
-		t.Fatal(err, "a fleet without policies has another form")
+		t.Fatal(err, "a fleet without policies has another format")
 	}
-	m.Apply(2, append([]byte{policyEntryMarker}, []byte(fmt.Sprintf(`{"charter":{"text":%q}}`, charterText("x.org")))...))
+	m.Apply(
+		2,
+		append([]byte{policyEntryMarker}, []byte(fmt.Sprintf(`{"charter":{"text":%q}}`, ownershipText("x.org")))...),
+	)
 	if m.policies.Empty() {
-		t.Fatal("the charter was not taken in")
+		t.Fatal("the ownership declaration was not accepted")
 	}
 	both, err := m.Snapshot()
 	if err != nil {
@@ -306,24 +345,29 @@
 			t.Errorf("%q came back as %q", text, again)
 		}
 	}
-	if err := newStateMachine(clock, 1).Restore(append([]byte{policyEntryMarker}, 'x')); api.RemoteErrorOf(err).Help == "" {
+	if err := newStateMachine(clock, 1).Restore(append(
+		[]byte{policyEntryMarker}, 'x',
+	)); api.RemoteErrorOf(err).Help == "" {
 		t.Error(err)
 	}
 }
 
-// That a roll-out is through is committed before all are told: a leader that dies in between leaves one behind that can still end it.
-func TestTheEndIsCommittedBeforeItIsTold(t *testing.T) {
+// The completion of a rollout is committed before it is announced: otherwise a leader that dies in between leaves the
+// next one without proxies to compare with.
+func TestCompletionIsCommittedBeforeItIsAnnounced(t *testing.T) {
 	set := rollout.DefaultSettings()
 	set.StepDuration, set.SilenceTimeout, set.MinRequests = 100*time.Millisecond, 50*time.Millisecond, 100
 	run := func(early bool) (ended bool) {
 		book := store.New(1 << 32)
-		for _, c := range []store.Command{{Charter: &store.Charter{Text: charterText("x.org")}}, offerOf("alpha", 1, "/a")} {
+		for _, c := range []store.Command{
+			{Charter: &store.Charter{Text: ownershipText("x.org")}}, offerCommand("alpha", 1, "/a"),
+		} {
 			if err := book.Apply(c); err != nil {
 				t.Fatal(err)
 			}
 		}
 		has, now, number := map[string]rollout.Version{}, time.Duration(0), uint64(0)
-		// lead has one leader go on until its rule is through, and two rounds more, in which the log doesn't answer.
+		// lead runs one leader until its rollout completes, and two rounds more, without committing anything.
 		lead := func() (done bool) {
 			r := &rolloutDriver{announceBeforeCommit: early, proxies: map[string]*proxyState{}}
 			for turn, after := 0, 0; turn < 1000 && after < 3; turn++ {
@@ -358,27 +402,30 @@
 			return done
 		}
 		if !lead() {
-			t.Fatal("the first leader did not come to the end")
+			t.Fatal("the first leader did not complete the rollout")
 		}
 		return lead()
 	}
 	if !run(false) {
-		t.Error("the second leader never ends the roll-out")
+		t.Error("the second leader never ends the rollout")
 	}
 	if run(true) {
-		t.Error("not convicted without the guard")
+		t.Error("not detected without the safeguard")
 	}
 }
 
-// A leader that has just begun does not take the first proxy that reports for the whole fleet.
-func TestTheFirstToReportIsNotTheFleet(t *testing.T) {
+// A new leader does not take the first proxies that report for the whole fleet.
+func TestFirstProxyToReportIsNotTheFleet(t *testing.T) {
 	set := rollout.DefaultSettings()
 	set.SilenceTimeout = time.Second
 	for _, hasty := range []bool{false, true} {
 		r := &rolloutDriver{startBeforeQuorum: hasty, proxies: map[string]*proxyState{}}
-		st := store.Standing{Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"}, Next: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"}}
+		st := store.Standing{
+			Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"},
+			Next: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"},
+		}
 		done := false
-		for i := range 20 { // one more each 100 ms
+		for i := range 20 { // one more proxy every 100 ms
 			now := time.Duration(i) * 100 * time.Millisecond
 			for k := range i + 1 {
 				r.proxies[fmt.Sprint("p", k)] = &proxyState{lastReport: now}
@@ -389,17 +436,20 @@
 			done = done || state == rollout.Done
 		}
 		if done != hasty {
-			t.Errorf("without the guard: %v; all were to have it at once: %v", hasty, done)
+			t.Errorf("without the safeguard %v: all got it at once: %v", hasty, done)
 		}
 	}
 }
 
-// BenchmarkReport is one report at the leader during a roll-out, of fleets that report once a second each; time goes on with them.
+// BenchmarkReport measures one report at the leader during a rollout, without HTTP.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{30, 300, 1000, 4700, 9400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			set, r, number := rollout.DefaultSettings(), &rolloutDriver{}, uint64(0)
-			st := store.Standing{Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"}, Next: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"}}
+			st := store.Standing{
+				Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"},
+				Next: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"},
+			}
 			var names []string
 			for i := range n {
 				names = append(names, fmt.Sprint("p", i))
--- /dev/null
+++ b/internal/controlplane/server/propose.go
@@ -0,0 +1,150 @@
+package server
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"lapisspread/internal/consensus"
+	"lapisspread/internal/controlplane/api"
+	"lapisspread/internal/policy/store"
+	"lapisspread/internal/quotalease"
+)
+
+const (
+	maxBatchBytes   = 256 << 10       // of commands in one entry
+	proposeTimeout  = 2 * time.Second // for an entry to be committed
+	operatorTimeout = 5 * time.Second // for an operator's command
+)
+
+// roleLeader is the Raft library's name of the leader's role.
+const roleLeader = "StateLeader"
+
+// leaderReplica returns the current replica if this server leads it, and an error otherwise. When the leadership is
+// lost, it forgets how far the rollout was.
+func (s *Server) leaderReplica() (*replica, error) {
+	current := s.replica.Load()
+	if current == nil {
+		return nil, quotalease.NotBootstrappedError{}
+	}
+	status := current.node.Status()
+	if status.Err != nil {
+		return nil, status.Err
+	}
+	if status.Role != roleLeader {
+		current.rollouts.reset()
+		return nil, consensus.NotLeaderError{Leader: status.Leader}
+	}
+	return current, nil
+}
+
+// setQuotas commits an operator's quotas.
+func (s *Server) setQuotas(ctx context.Context, command quotalease.SetQuotas) error {
+	current, err := s.leaderReplica()
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
+	defer cancel()
+	if err := s.proposeQuotaCommand(ctx, current, quotalease.Command{SetQuotas: &command}); err != nil {
+		s.warn("quotas of an operator not set", err)
+		return err
+	}
+	s.config.Logger.Info("quotas set by an operator", "version", command.Version, "quotas", len(command.Config.Quotas))
+	return nil
+}
+
+// policyCommand commits an operator's command about the policy. How a rollout ended is for the leader alone to say.
+func (s *Server) policyCommand(ctx context.Context, command store.Command) error {
+	if command.Judge != nil {
+		return store.BadCommand{Why: "how a roll-out ends is the leader's word"}
+	}
+	current, err := s.leaderReplica()
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
+	defer cancel()
+	if err := s.proposePolicyCommand(ctx, current, command); err != nil {
+		s.warn("policy command of an operator rejected", err)
+		return err
+	}
+	status := current.state.policyStatus()
+	s.config.Logger.Info("policy command of an operator applied", "base_epoch", status.Base.Epoch,
+		"next_epoch", status.Next.Epoch, "generation", status.Base.Generation, "held", len(status.Held))
+	return nil
+}
+
+// commitPlan commits the commands of a plan in as few entries as they fit in.
+func (s *Server) commitPlan(ctx context.Context, current *replica, commands []quotalease.Command) error {
+	for len(commands) > 0 {
+		count, err := batchSize(commands)
+		if err != nil {
+			return err
+		}
+		batch := quotalease.Command{Batch: commands[:count]}
+		if err := s.proposeQuotaCommand(ctx, current, batch); err != nil {
+			return err
+		}
+		commands = commands[count:]
+	}
+	return nil
+}
+
+// batchSize returns how many of the commands fit in one entry, at least one.
+func batchSize(commands []quotalease.Command) (int, error) {
+	size := 0
+	for i := range commands {
+		text, err := json.Marshal(commands[i])
+		if err != nil {
+			return 0, err
+		}
+		size += len(text)
+		if i > 0 && size > maxBatchBytes {
+			return i, nil
+		}
+	}
+	return len(commands), nil
+}
+
+func (s *Server) proposeQuotaCommand(ctx context.Context, current *replica, command quotalease.Command) error {
+	text, err := json.Marshal(command)
+	if err != nil {
+		return err
+	}
+	return s.proposeEntry(ctx, current, text)
+}
+
+func (s *Server) proposePolicyCommand(ctx context.Context, current *replica, command store.Command) error {
+	text, err := json.Marshal(command)
+	if err != nil {
+		return err
+	}
+	return s.proposeEntry(ctx, current, append([]byte{policyEntryMarker}, text...))
+}
+
+// proposeEntry returns once an entry is committed and applied here. A RemoteError means that the state machine rejected
+// the command; with any other error the entry may or may not be committed.
+func (s *Server) proposeEntry(ctx context.Context, current *replica, entry []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	defer cancel()
+	s.counters.proposals.Add(1)
+	reply, err := current.node.Propose(ctx, entry)
+	if err != nil {
+		s.counters.failedProposals.Add(1)
+		return err
+	}
+	var outcome applyOutcome
+	if err := cbor.Unmarshal(reply, &outcome); err != nil {
+		return api.MalformedMessageError{Reason: err.Error()}
+	}
+	s.counters.leasesGranted.Add(uint64(outcome.LeasesStarted))
+	s.counters.rejectedCommands.Add(uint64(outcome.RejectedParts))
+	if outcome.Rejected.Message != "" {
+		s.counters.rejectedCommands.Add(1)
+		return outcome.Rejected
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/controlplane/server/rollout_sim_test.go
@@ -0,0 +1,372 @@
+package server
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"lapisspread/internal/controlplane/api"
+	"lapisspread/internal/operatorerror"
+	"lapisspread/internal/policy/rollout"
+	"lapisspread/internal/policy/store"
+)
+
+// rolloutSim plays the policy store, the rollout driver of the current leader and a fleet of proxies in virtual time.
+// Proxies report once per second, each at its own moment, and differ in how many of their requests go bad.
+type rolloutSim struct {
+	t           testing.TB
+	rng         *rand.Rand
+	store       *store.Book
+	leader      *rolloutDriver // of the current leader; nil if none
+	settings    rollout.Settings
+	now         time.Duration
+	proxies     []*simProxy
+	reporters   [stepsPerSecond][]*simProxy
+	adopting    []*simProxy
+	uncommitted *store.Judge // proposed and not committed yet
+
+	changes           []*simChange
+	harmfulEpochs     map[uint64]bool // with a harmful change
+	unadoptableEpochs map[uint64]bool // that proxies cannot adopt
+	maxHarmed         int             // most proxies that had a harmful epoch at one time
+	rollouts          int
+	stops             int
+	raftEpoch         uint64
+	violations        []string
+	logBlocked        bool // proposals are not committed
+	announceEarly     bool // mutation; see rolloutDriver
+	leastKnown        bool // leastEpoch is up to date
+	leastEpoch        uint64
+}
+
+const (
+	simStep         = 100 * time.Millisecond
+	stepsPerSecond  = int(time.Second / simStep)
+	harmfulBadShare = 0.05 // of the requests under a harmful epoch
+)
+
+type simProxy struct {
+	name        string
+	current     rollout.Version
+	badShare    float64
+	sequence    uint64
+	adopting    rollout.Version // that it is about to adopt
+	unreachable bool
+}
+
+// simChange is a namespace file that a team offers.
+type simChange struct {
+	team, number int
+	offeredAt    time.Duration
+	harmful      bool
+	unadoptable  bool          // proxies cannot adopt it
+	completedIn  uint64        // the first completed rollout with it
+	inForceAt    time.Duration // when all proxies had it
+}
+
+func newRolloutSim(t testing.TB, seed uint64, n, teams int) *rolloutSim {
+	t.Helper()
+	f := &api.Config{}
+	sim := &rolloutSim{
+		t:                 t,
+		rng:               rand.New(rand.NewPCG(seed, 21)),
+		settings:          f.RolloutSettings(),
+		harmfulEpochs:     map[uint64]bool{},
+		unadoptableEpochs: map[uint64]bool{},
+	}
+	sim.bootstrap(teams)
+	sim.join(n)
+	return sim
+}
+
+// bootstrap starts a new store, with an ownership declaration and a file of each team.
+func (sim *rolloutSim) bootstrap(teams int) {
+	sim.t.Helper()
+	sim.raftEpoch++
+	sim.store, sim.leader, sim.uncommitted = store.New(sim.raftEpoch<<32), nil, nil
+	sim.apply(store.Command{Charter: &store.Charter{Text: ownershipOfTeams(teams), By: "admin"}})
+	for i := range teams {
+		sim.apply(store.Command{Offer: &store.Offer{Text: namespaceOfTeam(i, 1, fmt.Sprint("/", i)), By: "t"}})
+	}
+	sim.electLeader()
+}
+
+func ownershipOfTeams(n int) string {
+	var c strings.Builder
+	c.WriteString("version = 1\n")
+	for i := range n {
+		fmt.Fprintf(
+			&c,
+			"[[namespace]]\nname = \"t%d\"\nowner = \"o\"\nhosts = [\"x.org\"]\nsettings = [\"route\", \"service\"]\n",
+			i,
+		)
+	}
+	return c.String()
+}
+
+func namespaceOfTeam(team, number int, path string) string {
+	return namespaceText(fmt.Sprint("t", team), number, path)
+}
+
+func (sim *rolloutSim) apply(c store.Command) {
+	sim.t.Helper()
+	sim.leastKnown = false
+	if err := sim.store.Apply(c); err != nil {
+		sim.t.Fatalf("%v: %s", err, operatorerror.Of(err))
+	}
+}
+
+// electLeader starts a new leader, which knows the store only.
+func (sim *rolloutSim) electLeader() {
+	sim.leader = &rolloutDriver{proxies: map[string]*proxyState{}, announceBeforeCommit: sim.announceEarly}
+}
+
+func (sim *rolloutSim) join(n int) {
+	for range n {
+		c := &simProxy{name: fmt.Sprintf("p%05d", len(sim.proxies)), badShare: 0.01 * sim.rng.ExpFloat64()}
+		sim.proxies = append(sim.proxies, c)
+		k := sim.rng.IntN(stepsPerSecond)
+		sim.reporters[k] = append(sim.reporters[k], c)
+	}
+	sim.leastKnown = false
+}
+
+// offer submits a team's file.
+func (sim *rolloutSim) offer(team, number int, path string, harm bool) {
+	sim.t.Helper()
+	before := sim.store.Standing()
+	sim.apply(store.Command{Offer: &store.Offer{Text: namespaceOfTeam(team, number, path), By: "t"}})
+	sim.changes = append(sim.changes, &simChange{team: team, number: number, offeredAt: sim.now, harmful: harm})
+	sim.observeRollout(before, false)
+}
+
+// observeRollout records a rollout that a command started.
+func (sim *rolloutSim) observeRollout(before store.Standing, judged bool) {
+	s := sim.store.Standing()
+	if s.Next == before.Next || s.Next.Epoch == 0 {
+		return
+	}
+	if before.Next.Epoch != 0 && before.Stopped == nil && !judged {
+		sim.violations = append(
+			sim.violations, fmt.Sprintf("epoch %d was displaced by %d", before.Next.Epoch, s.Next.Epoch),
+		)
+	}
+	sim.rollouts++
+	sim.harmfulEpochs[s.Next.Epoch] = sim.harmfulEpochs[s.Base.Epoch]
+	for _, c := range s.Train {
+		for _, o := range sim.changes {
+			if o.unadoptable && c.Namespace == fmt.Sprint("t", o.team) && c.Number == uint64(o.number) {
+				sim.unadoptableEpochs[s.Next.Epoch] = true
+			}
+		}
+	}
+	for _, c := range s.Train {
+		for _, o := range sim.changes {
+			if o.harmful && c.Namespace == fmt.Sprint("t", o.team) && c.Number == uint64(o.number) {
+				sim.harmfulEpochs[s.Next.Epoch] = true
+			}
+		}
+	}
+}
+
+// step advances the simulation by simStep.
+func (sim *rolloutSim) step() {
+	sim.now += simStep
+	st := sim.store.Standing()
+	if sim.uncommitted != nil && sim.leader != nil &&
+		!sim.logBlocked { // commit the proposal of an earlier step
+		before := st
+		if sim.uncommitted.Done {
+			for _, c := range before.Train {
+				for _, o := range sim.changes {
+					if o.completedIn == 0 && c.Namespace == fmt.Sprint("t", o.team) && c.Number >= uint64(o.number) {
+						o.completedIn = before.Next.Epoch
+					}
+				}
+			}
+			if sim.harmfulEpochs[before.Next.Epoch] {
+				sim.violations = append(
+					sim.violations, fmt.Sprintf("epoch %d is harmful and got through", before.Next.Epoch),
+				)
+			}
+		} else {
+			sim.stops++
+		}
+		sim.apply(store.Command{Judge: sim.uncommitted})
+		sim.uncommitted = nil
+		sim.observeRollout(before, true)
+		st = sim.store.Standing()
+	}
+	for _, c := range sim.adopting {
+		if c.adopting.NewerThan(c.current) {
+			c.current = c.adopting
+		}
+	}
+	if len(sim.adopting) > 0 {
+		sim.adopting, sim.leastKnown = sim.adopting[:0], false
+	}
+	for _, c := range sim.reporters[int(sim.now/simStep)%stepsPerSecond] {
+		sim.report(c, st)
+	}
+	if r := sim.leader; r != nil { // the leader advances with every step
+		r.syncWithLog(sim.now, sim.settings, st)
+		r.advance(sim.now)
+		state, why := r.rollout.State()
+		if r.next == st.Next && r.next.Epoch != 0 && st.Stopped == nil && sim.uncommitted == nil &&
+			(state == rollout.Done || state == rollout.Stopped) {
+			j := &store.Judge{
+				Order:   r.next.Generation,
+				Epoch:   r.next.Epoch,
+				Done:    state == rollout.Done,
+				Proxies: len(r.proxies),
+			}
+			if why != nil {
+				j.Why, j.Help = why.Error(), operatorerror.Of(why)
+			}
+			sim.uncommitted = j
+		}
+	}
+	sim.updateLeastEpoch(st)
+	for _, o := range sim.changes {
+		if o.completedIn != 0 && o.inForceAt == 0 && sim.leastEpoch >= o.completedIn {
+			o.inForceAt = sim.now
+		}
+	}
+}
+
+// updateLeastEpoch finds the epoch that all proxies have at least, and how many have a harmful one.
+func (sim *rolloutSim) updateLeastEpoch(st store.Standing) {
+	if sim.leastKnown {
+		return
+	}
+	had := 0
+	sim.leastKnown, sim.leastEpoch = true, math.MaxUint64
+	for _, c := range sim.proxies {
+		switch {
+		case c.unreachable:
+		case c.current.Generation != st.Base.Generation:
+			sim.leastEpoch = 0
+		default:
+			sim.leastEpoch = min(sim.leastEpoch, c.current.Epoch)
+			if sim.harmfulEpochs[c.current.Epoch] {
+				had++
+			}
+		}
+	}
+	sim.maxHarmed = max(sim.maxHarmed, had)
+}
+
+func (sim *rolloutSim) report(c *simProxy, st store.Standing) {
+	if c.unreachable || sim.leader == nil {
+		return
+	}
+	c.sequence++
+	share := min(1, c.badShare)
+	if sim.harmfulEpochs[c.current.Epoch] {
+		share = min(1, share+harmfulBadShare)
+	}
+	const each = 160 // requests per second of a proxy
+	bad := int64(math.Round(each*share + math.Sqrt(each*share*(1-share))*sim.rng.NormFloat64()))
+	bad = max(0, min(each, bad))
+	o, err := sim.leader.report(
+		sim.now, sim.settings, st,
+		api.PolicyReport{Proxy: c.name, Sequence: c.sequence, Current: c.current, Good: each - bad, Bad: bad},
+	)
+	if err != nil {
+		sim.t.Fatal(err)
+	}
+	if c.current.NewerThan(o) && o.Generation > c.current.Generation {
+		sim.violations = append(sim.violations, "a target goes back")
+	}
+	if o.NewerThan(c.current) && !sim.unadoptableEpochs[o.Epoch] {
+		c.adopting = o
+		sim.adopting = append(sim.adopting, c)
+	}
+}
+
+func (sim *rolloutSim) run(d time.Duration) {
+	for end := sim.now + d; sim.now < end; {
+		sim.step()
+	}
+}
+
+// settle runs until all rollouts have ended, and records a violation if they never do.
+func (sim *rolloutSim) settle() {
+	sim.t.Helper()
+	for range 5 * 60 * stepsPerSecond {
+		sim.step()
+		st := sim.store.Standing()
+		if st.Next.Epoch != 0 && st.Stopped == nil || len(st.Gathered) > 0 {
+			continue
+		}
+		if sim.leastEpoch >= st.Base.Epoch {
+			return
+		}
+	}
+	sim.violations = append(sim.violations, fmt.Sprintf("it never comes to an end: %+v", sim.store.Standing()))
+}
+
+// findViolations returns what must never happen and did: a change that is neither in force nor reported, one that is
+// blamed without having done harm.
+func (sim *rolloutSim) findViolations() []string {
+	st := sim.store.Standing()
+	harmless := !slices.ContainsFunc(sim.changes, func(o *simChange) bool { return o.harmful })
+	for _, o := range sim.changes {
+		name := fmt.Sprint("t", o.team)
+		at := slices.IndexFunc(
+			st.Faults, func(f store.Fault) bool { return f.Namespace == name && f.Number == uint64(o.number) },
+		)
+		held := slices.ContainsFunc(st.Held, func(h store.Held) bool {
+			return h.Namespace == name && h.Offered == uint64(o.number) && h.Why != ""
+		})
+		newer := slices.ContainsFunc(
+			sim.changes, func(n *simChange) bool { return n.team == o.team && n.number > o.number },
+		)
+		switch {
+		case at >= 0 && (st.Faults[at].Why == "" || st.Faults[at].Help == "" || st.Faults[at].By != "t"):
+			sim.violations = append(sim.violations, fmt.Sprintf("%s %d is at fault without a reason", name, o.number))
+		case at >= 0 && (!o.harmful || harmless):
+			sim.violations = append(sim.violations, fmt.Sprintf("%s %d is blamed and did no harm", name, o.number))
+		case at < 0 && !held && !newer && o.inForceAt == 0:
+			sim.violations = append(
+				sim.violations, fmt.Sprintf("%s %d is neither in force nor reported", name, o.number),
+			)
+		case at < 0 && !held && !newer && o.harmful:
+			sim.violations = append(sim.violations, fmt.Sprintf("%s %d is harmful and not reported", name, o.number))
+		}
+	}
+	return sim.violations
+}
+
+func (sim *rolloutSim) check() {
+	sim.t.Helper()
+	if wrong := sim.findViolations(); len(wrong) > 0 {
+		sim.t.Errorf("%d: %s", len(wrong), wrong[0])
+	}
+}
+
+// offerRegularly submits a change of a random team at regular times; every harmful-th does harm.
+func (sim *rolloutSim) offerRegularly(d, every time.Duration, harmful int) {
+	number := 1
+	for end := sim.now + d; sim.now < end; {
+		number++
+		sim.offer(sim.rng.IntN(24), number, fmt.Sprint("/n", number), harmful > 0 && number%harmful == 0)
+		sim.run(every)
+	}
+	sim.settle()
+}
+
+// completionTimes returns how long harmless changes took to reach all proxies, in ascending order.
+func (sim *rolloutSim) completionTimes() (all []time.Duration) {
+	for _, o := range sim.changes {
+		if o.inForceAt > 0 && !o.harmful {
+			all = append(all, o.inForceAt-o.offeredAt)
+		}
+	}
+	slices.Sort(all)
+	return all
+}
