--- a/internal/controlplane/freshness/errors.go
+++ b/internal/controlplane/freshness/errors.go
@@ -2,39 +2,43 @@
 
 import "fmt"
 
-// WorkerDiedError is that the goroutine that weighs the view has died; it is begun anew on what was heard.
+// WorkerDiedError means that the worker has panicked. It was restarted.
 type WorkerDiedError struct{ Reason string }
 
+// Error implements error.
 func (e WorkerDiedError) Error() string { return "the duty of the view died: " + e.Reason }
 
-// Advice is what an operator can do.
+// Advice implements operatorerror.Error.
 func (WorkerDiedError) Advice() string {
-	return "It was begun anew on the list as last heard; file the log line with its cause. If it goes on, take the table view out of the fleet's file until it is mended."
+	return "It was begun anew on the list as last heard; file the log line with its cause. If it goes on, take " +
+		"the table view out of the fleet's file until it is mended."
 }
 
-// WorkerStuckError is that it has not moved for long; another was begun.
+// WorkerStuckError means that the worker has not moved for long. Another one was started.
 type WorkerStuckError struct{ For fmt.Stringer }
 
+// Error implements error.
 func (e WorkerStuckError) Error() string {
 	return fmt.Sprintf("the duty of the view has not moved for %v", e.For)
 }
 
-// Advice is what an operator can do.
+// Advice implements operatorerror.Error.
 func (WorkerStuckError) Advice() string {
 	return "Look at the machine's load; another duty was begun in its place."
 }
 
-// TooManyListsError is a register that is followed without a view.
+// TooManyListsError means that an endpoint list is used without being monitored.
 type TooManyListsError struct {
 	Name string
 	Max  int
 }
 
+// Error implements error.
 func (e TooManyListsError) Error() string {
 	return fmt.Sprintf("register %q is not weighed: %d are the most", e.Name, e.Max)
 }
 
-// Advice is what an operator can do.
+// Advice implements operatorerror.Error.
 func (TooManyListsError) Advice() string {
 	return "Have services share registers, or start the process anew: it keeps the views of all that it ever followed."
 }
--- a/internal/controlplane/freshness/monitor_test.go
+++ b/internal/controlplane/freshness/monitor_test.go
@@ -15,26 +15,26 @@
 	"lapisspread/internal/staleness"
 )
 
-// register is a fake source: what is sent on told comes at once, and a watch ends where it is an error.
-type register struct {
-	told chan any
-	list engine.EndpointList
+// fakeSource is a list source whose watch returns what is sent on answers: a list, or an error that ends the watch.
+type fakeSource struct {
+	answers chan any
+	list    engine.EndpointList
 }
 
-func (r *register) Addr() string { return "register" }
-func (r *register) Close()       {}
-func (r *register) Fetch(context.Context) (engine.EndpointList, error) {
-	return r.list, nil
+func (s *fakeSource) Addr() string { return "register" }
+func (s *fakeSource) Close()       {}
+func (s *fakeSource) Fetch(context.Context) (engine.EndpointList, error) {
+	return s.list, nil
 }
-func (r *register) Watch(ctx context.Context, _ uint32, tell func(engine.EndpointList)) error {
+func (s *fakeSource) Watch(ctx context.Context, _ uint32, handle func(engine.EndpointList)) error {
 	for {
 		select {
-		case x := <-r.told:
+		case x := <-s.answers:
 			switch x := x.(type) {
 			case error:
 				return x
 			case engine.EndpointList:
-				tell(x)
+				handle(x)
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -42,7 +42,7 @@
 	}
 }
 
-func servers(version uint32, full bool, names ...string) engine.EndpointList {
+func endpointList(version uint32, full bool, names ...string) engine.EndpointList {
 	l := engine.EndpointList{Version: version, Full: full}
 	for _, n := range names {
 		l.Endpoints = append(l.Endpoints, engine.Endpoint{ID: n, Addr: n + ":1", Kind: "fast", State: decision.Ready})
@@ -50,49 +50,53 @@
 	return l
 }
 
-var classes = []decision.Class{{Idempotency: decision.Idempotent}, {Idempotency: decision.IdempotentByKey}, {Idempotency: decision.NotIdempotent}}
+var classes = []decision.Class{
+	{Idempotency: decision.Idempotent}, {Idempotency: decision.IdempotentByKey},
+	{Idempotency: decision.NotIdempotent},
+}
 
 const (
-	safe  = 0
-	keyed = 1
-	once  = 2
+	idempotentClass = 0
+	keyedClass      = 1
+	onceOnlyClass   = 2
 )
 
-// world is a link with one register of four servers.
-type world struct {
-	t     *testing.T
-	link  *Monitor
-	fake  *register
-	src   engine.Source
-	sight *ServiceView
-	jump  atomic.Int64
-	beats atomic.Bool
-	at    atomic.Uint32 // the register's version
+// fixture is a monitor with one list of four endpoints.
+type fixture struct {
+	t           *testing.T
+	monitor     *Monitor
+	fakeSource  *fakeSource
+	source      engine.Source
+	view        *ServiceView
+	suspended   atomic.Int64
+	heartbeats  atomic.Bool
+	listVersion atomic.Uint32 // of the last answer
 }
 
-// play runs a test under a fake clock that goes on whenever all wait.
-func play(t *testing.T, act bool, do func(w *world)) {
+// runFixture runs a test in a synctest bubble, with a watch that answers every second while heartbeats is set.
+func runFixture(t *testing.T, act bool, do func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
-		w := &world{t: t, fake: &register{told: make(chan any)}}
-		w.link = New(Config{Freshness: &api.FreshnessSettings{Enforce: act}, Clock: func() time.Duration { return time.Hour + time.Since(begun) + time.Duration(w.jump.Load()) }})
-		w.fake.list = servers(1, true, "a", "b", "c", "d")
-		w.src = w.link.Wrap("r", time.Second, w.fake, w.fake.list, -1)
-		w.sight = w.link.ForService(classes)
-		w.sight.Follow("r")
+		f := &fixture{t: t, fakeSource: &fakeSource{answers: make(chan any)}}
+		f.monitor = New(Config{Freshness: &api.FreshnessSettings{Enforce: act},
+			Clock: func() time.Duration { return time.Hour + time.Since(begun) + time.Duration(f.suspended.Load()) }})
+		f.fakeSource.list = endpointList(1, true, "a", "b", "c", "d")
+		f.source = f.monitor.Wrap("r", time.Second, f.fakeSource, f.fakeSource.list, -1)
+		f.view = f.monitor.ForService(classes)
+		f.view.Follow("r")
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{}, 3)
-		go func() { w.link.Run(ctx); ended <- struct{}{} }()
+		go func() { f.monitor.Run(ctx); ended <- struct{}{} }()
 		go func() {
 			for ctx.Err() == nil {
-				_ = w.src.Watch(ctx, 1, func(engine.EndpointList) {})
+				_ = f.source.Watch(ctx, 1, func(engine.EndpointList) {})
 			}
 			ended <- struct{}{}
 		}()
 		go func() {
 			for ctx.Err() == nil {
-				if w.beats.Load() {
-					w.say(servers(w.at.Load(), false))
+				if f.heartbeats.Load() {
+					f.answer(endpointList(f.listVersion.Load(), false))
 				}
 				time.Sleep(time.Second)
 			}
@@ -104,24 +108,24 @@
 				<-ended
 			}
 		}()
-		w.at.Store(1)
-		w.beats.Store(true)
-		do(w)
+		f.listVersion.Store(1)
+		f.heartbeats.Store(true)
+		do(f)
 	})
 }
 
-func (w *world) say(x any) {
+func (f *fixture) answer(x any) {
 	if l, is := x.(engine.EndpointList); is {
-		w.at.Store(max(w.at.Load(), l.Version))
+		f.listVersion.Store(max(f.listVersion.Load(), l.Version))
 	}
 	select {
-	case w.fake.told <- x:
+	case f.fakeSource.answers <- x:
 	case <-time.After(10 * time.Second):
 	}
 }
 
-func (w *world) level() staleness.Level {
-	s := w.sight.list.Load().published.Load()
+func (f *fixture) level() staleness.Level {
+	s := f.view.list.Load().published.Load()
 	if s == nil {
 		return staleness.Blind
 	}
@@ -136,177 +140,181 @@
 	return worst
 }
 
-// comes waits for what must come at last.
-func (w *world) comes(what string, yes func() bool) {
-	w.t.Helper()
+// waitFor waits for a condition that must become true.
+func (f *fixture) waitFor(what string, yes func() bool) {
+	f.t.Helper()
 	for range 36000 {
 		if yes() {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	w.t.Fatalf("never: %s: %+v", what, w.link.Report())
+	f.t.Fatalf("timed out: %s: %+v", what, f.monitor.Report())
 }
 
-func (w *world) fresh() {
-	w.t.Helper()
-	w.comes("fresh", func() bool { return w.level() >= staleness.Fresh && w.may("a", once) })
+func (f *fixture) waitUntilFresh() {
+	f.t.Helper()
+	f.waitFor("fresh", func() bool { return f.level() >= staleness.Fresh && f.allowed("a", onceOnlyClass) })
 }
 
-func (w *world) may(server string, class int) bool {
-	_, ok := w.sight.CheckAttempt(backendID(server), class)
+func (f *fixture) allowed(server string, class int) bool {
+	_, ok := f.view.CheckAttempt(engine.BackendID(server), class)
 	return ok
 }
 
-func (w *world) ended(server string, result decision.Result) {
-	seen, _ := w.sight.CheckAttempt(backendID(server), -1)
-	w.sight.AttemptEnded(seen, result)
+func (f *fixture) attemptEnded(server string, result decision.Result) {
+	seen, _ := f.view.CheckAttempt(engine.BackendID(server), -1)
+	f.view.AttemptEnded(seen, result)
 	time.Sleep(3 * snapshotInterval)
 }
 
-func (w *world) chance(server string) float32 {
-	s := w.sight.list.Load().published.Load()
-	c, _ := s.snapshot.Entry(s.endpoints[backendID(server)].handle, staleness.Safe)
+func (f *fixture) confidence(server string) float32 {
+	s := f.view.list.Load().published.Load()
+	c, _ := s.snapshot.Entry(s.endpoints[engine.BackendID(server)].handle, staleness.Safe)
 	return c
 }
 
-func TestASilentWatchIsDoubtedAndNewsBringTrustBack(t *testing.T) {
-	play(t, true, func(w *world) {
-		if w.may("a", once) {
-			t.Error("before anything was heard, what must never run twice was let out")
+func TestSilentWatchLowersLevelAndAnswersRestoreIt(t *testing.T) {
+	runFixture(t, true, func(f *fixture) {
+		if f.allowed("a", onceOnlyClass) {
+			t.Error("before any answer, an attempt that must not run twice was allowed")
 		}
-		w.fresh()
+		f.waitUntilFresh()
 		time.Sleep(time.Minute)
-		w.beats.Store(false)
-		w.comes("doubt", func() bool { return w.level() == staleness.Doubtful })
+		f.heartbeats.Store(false)
+		f.waitFor("doubt", func() bool { return f.level() == staleness.Doubtful })
 		for _, c := range []struct {
 			class int
 			may   bool
-		}{{safe, true}, {keyed, true}, {once, false}} {
-			if w.may("b", c.class) != c.may {
+		}{{idempotentClass, true}, {keyedClass, true}, {onceOnlyClass, false}} {
+			if f.allowed("b", c.class) != c.may {
 				t.Errorf("doubtful: class %d: %v", c.class, !c.may)
 			}
 		}
-		w.ended("a", decision.OK)
-		if w.level() == staleness.Doubtful && (!w.may("a", once) || w.may("b", once)) {
-			t.Error("what must never run twice may not go to whom answered since, or goes to another")
+		f.attemptEnded("a", decision.OK)
+		if f.level() == staleness.Doubtful && (!f.allowed("a", onceOnlyClass) || f.allowed("b", onceOnlyClass)) {
+			t.Error("an attempt that must not run twice is refused at an endpoint that answered, or allowed at another")
 		}
-		w.comes("blindness", func() bool { return w.level() == staleness.Blind })
-		if w.may("a", once) || w.may("b", safe) || w.may("nobody", safe) {
-			t.Error("blind, and something goes out")
+		f.waitFor("blindness", func() bool { return f.level() == staleness.Blind })
+		if f.allowed("a", onceOnlyClass) || f.allowed("b", idempotentClass) || f.allowed("nobody", idempotentClass) {
+			t.Error("blind, and an attempt is allowed")
 		}
-		w.beats.Store(true)
-		w.fresh()
-		if f := w.link.Report().ForbiddenAttempts; f["once"] == 0 || f["safe"] == 0 {
+		f.heartbeats.Store(true)
+		f.waitUntilFresh()
+		if f := f.monitor.Report().ForbiddenAttempts; f["once"] == 0 || f["safe"] == 0 {
 			t.Errorf("forbidden: %v", f)
 		}
 	})
 }
 
-func TestWithoutActNothingIsForbidden(t *testing.T) {
-	play(t, false, func(w *world) {
-		w.fresh()
-		w.beats.Store(false)
-		w.comes("blindness", func() bool { return w.level() == staleness.Blind })
-		if !w.may("a", once) || !w.may("nobody", once) || w.link.Report().ForbiddenAttempts["once"] > 0 {
-			t.Error("it is only shown, and yet something is forbidden")
+func TestNothingIsForbiddenUnlessEnforced(t *testing.T) {
+	runFixture(t, false, func(f *fixture) {
+		f.waitUntilFresh()
+		f.heartbeats.Store(false)
+		f.waitFor("blindness", func() bool { return f.level() == staleness.Blind })
+		if !f.allowed("a", onceOnlyClass) || !f.allowed("nobody", onceOnlyClass) ||
+			f.monitor.Report().ForbiddenAttempts["once"] > 0 {
+			t.Error("not enforced, and an attempt is forbidden")
 		}
 	})
 }
 
-func TestARefusalIsAboutOneServer(t *testing.T) {
-	play(t, true, func(w *world) {
-		w.fresh()
-		was := w.chance("b")
+func TestRefusedConnectionConcernsOneEndpoint(t *testing.T) {
+	runFixture(t, true, func(f *fixture) {
+		f.waitUntilFresh()
+		was := f.confidence("b")
 		for range 3 {
-			w.ended("a", decision.ConnectFailed)
+			f.attemptEnded("a", decision.ConnectFailed)
 		}
-		if a, b := w.chance("a"), w.chance("b"); a > .5 || b < .9*was {
+		if a, b := f.confidence("a"), f.confidence("b"); a > .5 || b < .9*was {
 			t.Errorf("after a's refusals: a %v, b %v, was %v", a, b, was)
 		}
-		low := w.chance("a")
-		w.ended("a", decision.Timeout) // says nothing
-		if w.chance("a") > low+.05 {
+		low := f.confidence("a")
+		f.attemptEnded("a", decision.Timeout) // no evidence either way
+		if f.confidence("a") > low+.05 {
 			t.Error("a time-out was taken for an answer")
 		}
-		w.ended("a", decision.OK)
-		w.comes("a trusted again", func() bool { return w.chance("a") > .95 })
+		f.attemptEnded("a", decision.OK)
+		f.waitFor("a trusted again", func() bool { return f.confidence("a") > .95 })
 	})
 }
 
-// What waited in the socket while the process stood is no news, and a look right after it finds what is too old.
-func TestAStopOfTheProcess(t *testing.T) {
-	play(t, true, func(w *world) {
-		w.fresh()
-		w.jump.Add(int64(5 * time.Minute))
-		if w.may("a", once) || !w.may("a", safe) {
-			t.Error("right after a stop an old snapshot was trusted with what must never run twice, or nothing goes out")
+// After a suspension of the process, input that waited in the socket does not count as recent, and the last snapshot is
+// too old.
+func TestSuspensionOfTheProcess(t *testing.T) {
+	runFixture(t, true, func(f *fixture) {
+		f.waitUntilFresh()
+		f.suspended.Add(int64(5 * time.Minute))
+		if f.allowed("a", onceOnlyClass) || !f.allowed("a", idempotentClass) {
+			t.Error("right after a suspension an old snapshot allowed what must not run twice, or nothing is allowed")
 		}
 		time.Sleep(3 * snapshotInterval)
-		if r := w.link.Report(); r.Suspensions != 1 || r.StaleLookups == 0 || w.level() >= staleness.Fresh {
-			t.Errorf("after a stop: %+v", r)
+		if r := f.monitor.Report(); r.Suspensions != 1 || r.StaleLookups == 0 || f.level() >= staleness.Fresh {
+			t.Errorf("after a suspension: %+v", r)
 		}
-		w.fresh()
+		f.waitUntilFresh()
 	})
 }
 
-func TestADutyThatDiedGoesOnWithWhatWasHeard(t *testing.T) {
-	play(t, true, func(w *world) {
-		w.fresh()
-		w.say(servers(2, false, "e"))
+func TestRestartedWorkerKeepsTheList(t *testing.T) {
+	runFixture(t, true, func(f *fixture) {
+		f.waitUntilFresh()
+		f.answer(endpointList(2, false, "e"))
 		time.Sleep(3 * snapshotInterval)
-		gone := servers(3, false, "d")
+		gone := endpointList(3, false, "d")
 		gone.Endpoints[0].State = decision.Removed
-		w.say(gone)
-		w.link.observations <- observation{} // without a server: it kills the duty
-		w.comes("another duty", func() bool { return w.link.Report().WorkerDeaths == 1 })
-		w.comes("its snapshot", func() bool { return w.sight.list.Load().published.Load().endpoints[backendID("e")].generation == 2 })
-		w.fresh()
-		if !w.may("e", once) || w.may("d", once) {
-			t.Error("the list after it is another one")
+		f.answer(gone)
+		f.monitor.observations <- observation{} // without an endpoint: the worker panics
+		f.waitFor("another worker", func() bool { return f.monitor.Report().WorkerDeaths == 1 })
+		f.waitFor("its snapshot", func() bool {
+			return f.view.list.Load().published.Load().endpoints[engine.BackendID("e")].generation == 2
+		})
+		f.waitUntilFresh()
+		if !f.allowed("e", onceOnlyClass) || f.allowed("d", onceOnlyClass) {
+			t.Error("the list is another one after the restart")
 		}
 	})
 }
 
-func TestAFailedWatchIsWeighed(t *testing.T) {
-	play(t, true, func(w *world) {
-		w.fresh()
-		w.beats.Store(false)
+func TestBrokenWatchLowersConfidence(t *testing.T) {
+	runFixture(t, true, func(f *fixture) {
+		f.waitUntilFresh()
+		f.heartbeats.Store(false)
 		time.Sleep(2 * time.Second)
-		was := w.chance("a")
-		w.say(errors.New("broken"))
+		was := f.confidence("a")
+		f.answer(errors.New("broken"))
 		time.Sleep(5 * time.Second)
-		if w.chance("a") >= was {
-			t.Error("a watch that has ended is as good as one that has not")
+		if f.confidence("a") >= was {
+			t.Error("a broken watch did not lower the confidence")
 		}
-		w.beats.Store(true)
-		w.fresh()
+		f.heartbeats.Store(true)
+		f.waitUntilFresh()
 	})
 }
 
-func TestAnAnswerThatCrossedANewerOneIsDropped(t *testing.T) {
-	play(t, true, func(w *world) {
-		w.say(servers(5, false, "e"))
-		if _, err := w.src.Fetch(context.Background()); err != nil { // of version 1, without e
+func TestOvertakenAnswerIsDropped(t *testing.T) {
+	runFixture(t, true, func(f *fixture) {
+		f.answer(endpointList(5, false, "e"))
+		if _, err := f.source.Fetch(context.Background()); err != nil { // of version 1, without e
 			t.Fatal(err)
 		}
-		w.fresh()
-		if !w.may("e", once) {
+		f.waitUntilFresh()
+		if !f.allowed("e", onceOnlyClass) {
 			t.Error("an older list took the place of a newer one")
 		}
 	})
 }
 
-// Without a duty all that waits is bounded, and of the list nothing is lost.
-func TestWhatWaitsIsBounded(t *testing.T) {
+// Without a worker the queues are bounded, and no change of the list is lost.
+func TestQueuesAreBounded(t *testing.T) {
 	l := New(Config{Freshness: &api.FreshnessSettings{}})
-	fake := &register{told: make(chan any)}
+	fake := &fakeSource{answers: make(chan any)}
 	src := l.Wrap("r", time.Second, fake, engine.EndpointList{}, -1)
 	ctx, cancel := context.WithCancel(context.Background())
 	told, ended := make(chan struct{}), make(chan struct{})
 	go func() { _ = src.Watch(ctx, 0, func(engine.EndpointList) { told <- struct{}{} }); close(ended) }()
 	for i := range 1000 {
-		fake.told <- servers(uint32(i), i == 0, fmt.Sprint("s", i%7))
+		fake.answers <- endpointList(uint32(i), i == 0, fmt.Sprint("s", i%7))
 		<-told
 	}
 	cancel()
@@ -326,32 +334,34 @@
 		l.Wrap(fmt.Sprint(i), time.Second, fake, engine.EndpointList{}, -1)
 	}
 	if len(l.lists) != maxLists {
-		t.Errorf("%d registers", len(l.lists))
+		t.Errorf("%d lists", len(l.lists))
 	}
 }
 
-func TestALookAllocatesNothing(t *testing.T) {
-	play(t, true, func(w *world) {
-		w.fresh()
-		a, nobody := backendID("a"), backendID("nobody")
-		if n := testing.AllocsPerRun(100, func() { w.sight.CheckAttempt(a, once); w.sight.CheckAttempt(nobody, safe) }); n > 0 {
-			t.Errorf("a look allocates %v times", n)
+func TestCheckAttemptDoesNotAllocate(t *testing.T) {
+	runFixture(t, true, func(f *fixture) {
+		f.waitUntilFresh()
+		a, nobody := engine.BackendID("a"), engine.BackendID("nobody")
+		if n := testing.AllocsPerRun(
+			100, func() { f.view.CheckAttempt(a, onceOnlyClass); f.view.CheckAttempt(nobody, idempotentClass) },
+		); n > 0 {
+			t.Errorf("CheckAttempt allocates %v times", n)
 		}
 	})
 }
 
 func BenchmarkLook(b *testing.B) {
 	l := New(Config{Freshness: &api.FreshnessSettings{Enforce: true}})
-	l.Wrap("r", time.Second, &register{}, servers(1, true, "a", "b"), 0)
+	l.Wrap("r", time.Second, &fakeSource{}, endpointList(1, true, "a", "b"), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { l.Run(ctx); close(ended) }()
 	defer func() { cancel(); <-ended }()
 	s := l.ForService(classes)
 	s.Follow("r")
-	id := backendID("a")
+	id := engine.BackendID("a")
 	b.ReportAllocs()
 	for b.Loop() {
-		s.CheckAttempt(id, safe)
+		s.CheckAttempt(id, idempotentClass)
 	}
 }
--- /dev/null
+++ b/internal/controlplane/freshness/source.go
@@ -0,0 +1,75 @@
+package freshness
+
+import (
+	"context"
+	"time"
+
+	"lapisspread/internal/engine"
+)
+
+// observedSource is a list's source, observed by the monitor.
+type observedSource struct {
+	engine.Source
+	list *List
+}
+
+// Wrap returns a source that tells the monitor what the inner one answers. Sources of the same name are one list, also
+// when its address changes. Known is the list that the process holds already, and age how old that is; a negative age
+// is unknown. WatchInterval is the expected time between two answers of a watch. If there are too many lists, Wrap
+// logs a TooManyListsError and returns the inner source.
+func (m *Monitor) Wrap(
+	name string, watchInterval time.Duration, inner engine.Source, known engine.EndpointList, age time.Duration,
+) engine.Source {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	list := m.lists[name]
+	if list == nil {
+		if len(m.lists) >= maxLists {
+			err := TooManyListsError{Name: name, Max: maxLists}
+			m.config.Logger.Warn("endpoint list is not monitored", "err", err, "advice", err.Advice())
+			return inner
+		}
+		list = newList(m, name, watchInterval, known, age)
+		m.lists[name] = list
+		m.order = append(m.order, list)
+		m.wake()
+	}
+	return &observedSource{Source: inner, list: list}
+}
+
+// activate makes this the source whose answers count.
+func (s *observedSource) activate() {
+	s.list.mu.Lock()
+	defer s.list.mu.Unlock()
+	s.list.activeSource = s
+}
+
+// Fetch implements engine.Source.
+func (s *observedSource) Fetch(ctx context.Context) (engine.EndpointList, error) {
+	s.activate()
+	asked := s.list.monitor.clock()
+	list, err := s.Source.Fetch(ctx)
+	switch {
+	case err == nil:
+		news := newsFromList(list)
+		news.Whole = true
+		news.Asked = asked
+		s.list.update(s, news, true)
+	case ctx.Err() == nil:
+		s.list.sourceFailed(s, false)
+	}
+	return list, err
+}
+
+// Watch implements engine.Source.
+func (s *observedSource) Watch(ctx context.Context, from uint32, handle func(engine.EndpointList)) error {
+	s.activate()
+	err := s.Source.Watch(ctx, from, func(list engine.EndpointList) {
+		s.list.update(s, newsFromList(list), false)
+		handle(list)
+	})
+	if ctx.Err() == nil {
+		s.list.sourceFailed(s, true)
+	}
+	return err
+}
