--- a/internal/policy/routetable/bench_test.go
+++ b/internal/policy/routetable/bench_test.go
@@ -11,11 +11,12 @@
 	"lapisspread/internal/policy/namespace"
 )
 
-// sizes are the routes of the policies that are measured: the target is 13,000.
+// sizes are the numbers of routes of the measured policies.
 var sizes = []int{1000, 4000, 13_000, 26_000}
 
-// large is a policy as the fleet's would be: 13 routes a team, 23 tenants in every two routes, a service for each nine routes, a class and
-// a share for each team. Versions are the numbers of files by team; each version of a file has another weight in its third route.
+// large returns a policy of many teams: 13 routes per team, 23 tenants in two routes, one service for nine routes, a
+// class and a share for each team. Versions are the numbers of files by team; each version of a file has another
+// weight in its third route.
 func large(routes int, versions map[int]uint64) *namespace.Policy {
 	rng := rand.New(rand.NewPCG(uint64(routes), 33))
 	p := &namespace.Policy{Form: 1}
@@ -25,7 +26,9 @@
 	for i := range services {
 		s := namespace.PolicyService{}
 		s.Name = fmt.Sprintf("service-%05d", i)
-		s.From = []namespace.Source{{Namespace: fmt.Sprintf("team-%05d", i%teams), Number: number(i % teams), Rule: "service " + s.Name}}
+		s.From = []namespace.Source{
+			{Namespace: fmt.Sprintf("team-%05d", i%teams), Number: number(i % teams), Rule: "service " + s.Name},
+		}
 		p.Services = append(p.Services, s)
 	}
 	for i := range routes {
@@ -49,14 +52,29 @@
 		if i%13 == 2 || i%4 == 0 {
 			r.To = append(r.To, namespace.Target{Service: fmt.Sprintf("service-%05d", at+1), Weight: weight})
 		}
-		r.From = namespace.Source{Namespace: fmt.Sprintf("team-%05d", team), Number: number(team), Rule: fmt.Sprintf("route route-%02d", i%13)}
+		r.From = namespace.Source{
+			Namespace: fmt.Sprintf("team-%05d", team),
+			Number:    number(team),
+			Rule:      fmt.Sprintf("route route-%02d", i%13),
+		}
 		p.Routes = append(p.Routes, r)
 	}
 	for team := range teams {
 		ns := fmt.Sprintf("team-%05d", team)
 		from := []namespace.Source{{Namespace: ns, Number: number(team), Rule: "class c"}}
-		p.Classes = append(p.Classes, namespace.PolicyClass{Name: "class-" + ns, Worth: &namespace.Value[float64]{Is: 1, From: from}})
-		p.Shares = append(p.Shares, namespace.PolicyShare{Budget: "attempts", Whole: 1 << 30, Namespace: ns, Min: &namespace.Value[int64]{Is: 5, From: from}})
+		p.Classes = append(
+			p.Classes,
+			namespace.PolicyClass{Name: "class-" + ns, Worth: &namespace.Value[float64]{Is: 1, From: from}},
+		)
+		p.Shares = append(
+			p.Shares,
+			namespace.PolicyShare{
+				Budget:    "attempts",
+				Whole:     1 << 30,
+				Namespace: ns,
+				Min:       &namespace.Value[int64]{Is: 5, From: from},
+			},
+		)
 	}
 	return p
 }
@@ -68,7 +86,7 @@
 	return v
 }
 
-// changedRoutes are so many versions of a policy in each of which one team changed one route.
+// changedRoutes returns versions of a policy, in each of which one team changed one route.
 func changedRoutes(routes, n int) (was *namespace.Policy, next []*namespace.Policy) {
 	rng := rand.New(rand.NewPCG(uint64(routes), 34))
 	for range n {
@@ -77,7 +95,7 @@
 	return large(routes, nil), next
 }
 
-// What a change of one route costs on its way must stay within its bounds.
+// The bytes that a change of one route costs must stay within their bounds.
 func TestBytesOfOneChangedRoute(t *testing.T) {
 	most := map[int]int{}
 	for _, routes := range []int{1000, 13_000} {
@@ -85,7 +103,8 @@
 		from := must(was.Tree())
 		for _, p := range next {
 			to := must(p.Tree())
-			if set, removed := merkle.Changes(from, to); len(set) != 2 || len(removed) != 0 { // the route and its file's number
+			set, removed := merkle.Changes(from, to)
+			if len(set) != 2 || len(removed) != 0 { // the route and its file's number
 				t.Fatalf("%d items set, %d removed", len(set), len(removed))
 			}
 			sum := 0
@@ -97,7 +116,10 @@
 	}
 	t.Log(most)
 	if most[13_000] > 4<<10 || 2*most[13_000] > 3*most[1000] {
-		t.Errorf("%v bytes for one changed route: over 4 KiB at 13,000, or over one and a half times what it is at 1,000", most)
+		t.Errorf(
+			"%v bytes for one changed route: over 4 KiB at 13,000, or over one and a half times what it is at 1,000",
+			most,
+		)
 	}
 }
 
@@ -145,7 +167,7 @@
 	}
 }
 
-// Bytes and pieces of one changed route, over many.
+// BenchmarkChangedRoute measures the bytes and chunks of one changed route.
 func BenchmarkChangedRoute(b *testing.B) {
 	for _, routes := range sizes {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
@@ -172,7 +194,7 @@
 	}
 }
 
-// What a proxy does to take one changed route up, step by step, and what it did before.
+// BenchmarkTakeUp measures the steps in which a proxy adopts one changed route, and adopting the whole policy.
 func BenchmarkTakeUp(b *testing.B) {
 	has := func(string) bool { return true }
 	for _, routes := range sizes {
--- /dev/null
+++ b/internal/policy/routetable/errors.go
@@ -0,0 +1,44 @@
+package routetable
+
+import (
+	"fmt"
+	"strings"
+)
+
+// maxNamedServices bounds the services that the text of a MissingServicesError names.
+const maxNamedServices = 20
+
+// MissingServicesError means that routes lead to services that the proxy does not have.
+type MissingServicesError struct{ Names []string }
+
+// Error implements error.
+func (e MissingServicesError) Error() string {
+	const text = "the file of services does not have "
+	if more := len(e.Names) - maxNamedServices; more > 0 {
+		return fmt.Sprintf("%s%s, and %d more", text, strings.Join(e.Names[:maxNamedServices], ", "), more)
+	}
+	return text + strings.Join(e.Names, ", ")
+}
+
+// Advice implements operatorerror.Error.
+func (MissingServicesError) Advice() string {
+	return "Enter the services in the proxy's file of services and have it read again; " +
+		"until then the routes before go on."
+}
+
+// InvalidRulesError means that the rules of a policy cannot be compiled.
+type InvalidRulesError struct {
+	Kind string // "routes" or "blocks"
+	Err  error
+}
+
+// Error implements error.
+func (e InvalidRulesError) Error() string { return fmt.Sprintf("the policy's %s: %v", e.Kind, e.Err) }
+
+// Unwrap returns the cause.
+func (e InvalidRulesError) Unwrap() error { return e.Err }
+
+// Advice implements operatorerror.Error.
+func (InvalidRulesError) Advice() string {
+	return "The routes before go on. Have the teams whose rules are named mend them, and offer their files again."
+}
--- a/internal/policy/routetable/routes_test.go
+++ b/internal/policy/routetable/routes_test.go
@@ -15,12 +15,12 @@
 	"lapisspread/internal/route"
 )
 
-// drawer draws policies of one team's routes and blocks, out of few values.
-type drawer struct{ *rand.Rand }
+// generator returns random policies of one team, of few routes and blocks.
+type generator struct{ *rand.Rand }
 
 var services = []string{"s0", "s1", "s2", "s3"}
 
-func (d drawer) policy() *namespace.Policy {
+func (d generator) policy() *namespace.Policy {
 	p := &namespace.Policy{Form: 1}
 	number := uint64(1 + d.IntN(2))
 	weight := 1.0
@@ -43,15 +43,17 @@
 		if d.IntN(3) == 0 {
 			continue
 		}
-		b := namespace.PolicyBlock{From: namespace.Source{Namespace: "a", Number: number, Rule: fmt.Sprint("block b", i)}}
+		b := namespace.PolicyBlock{
+			From: namespace.Source{Namespace: "a", Number: number, Rule: fmt.Sprint("block b", i)},
+		}
 		b.Name, b.Path = fmt.Sprint("a/b", i), fmt.Sprint("/", d.IntN(4)+4*i)
 		p.Blocks = append(p.Blocks, b)
 	}
 	return p
 }
 
-// same says on what two routes differ; empty is nothing.
-func same(a, b *Routes) string {
+// difference describes how two route tables differ; empty if they do not.
+func difference(a, b *Routes) string {
 	if !maps.Equal(a.StickyBy, b.StickyBy) {
 		return fmt.Sprintf("sticky %v and %v", a.StickyBy, b.StickyBy)
 	}
@@ -88,11 +90,11 @@
 	return out
 }
 
-// What follows on routes is what is built anew, refusals too, and the routes before stay as they were.
-func TestWithAgreesWithBuild(t *testing.T) {
-	taken, refused := 0, 0
+// Update gives the routes and the errors that Build gives, and leaves the earlier routes as they were.
+func TestUpdateAgreesWithBuild(t *testing.T) {
+	built, rejected := 0, 0
 	for seed := range uint64(100) {
-		d := drawer{rand.New(rand.NewPCG(seed, 32))}
+		d := generator{rand.New(rand.NewPCG(seed, 32))}
 		fallback := []string{"", "s0"}[d.IntN(2)]
 		lacks := ""
 		if seed%2 == 0 {
@@ -116,30 +118,32 @@
 			if beforeErr != nil {
 				t.Fatal(beforeErr)
 			}
-			if wrong := same(now, before); wrong != "" {
-				t.Fatalf("seed %d, step %d: what was before has changed: %s", seed, step, wrong)
+			if wrong := difference(now, before); wrong != "" {
+				t.Fatalf("seed %d, step %d: the earlier routes have changed: %s", seed, step, wrong)
 			}
 			if err != nil || wantErr != nil {
-				if fmt.Sprint(err) != fmt.Sprint(wantErr) || !errors.As(err, new(MissingServicesError)) || operatorerror.Of(err) == "" {
-					t.Fatalf("seed %d, step %d: %v, built %v", seed, step, err, wantErr)
+				if fmt.Sprint(err) != fmt.Sprint(wantErr) || !errors.As(
+					err, new(MissingServicesError),
+				) || operatorerror.Of(err) == "" {
+					t.Fatalf("seed %d, step %d: %v, Build: %v", seed, step, err, wantErr)
 				}
-				refused++
+				rejected++
 				continue
 			}
-			if wrong := same(got, want); wrong != "" {
+			if wrong := difference(got, want); wrong != "" {
 				t.Fatalf("seed %d, step %d: %s", seed, step, wrong)
 			}
 			was, now = p, got
-			taken++
+			built++
 		}
 	}
-	t.Logf("%d taken, %d refused", taken, refused)
-	if taken < 300 || refused < 300 {
-		t.Error("the draw is too tame")
+	t.Logf("%d built, %d rejected", built, rejected)
+	if built < 300 || rejected < 300 {
+		t.Error("too few of one outcome")
 	}
 }
 
-func TestBlocksThatTieAreRefused(t *testing.T) {
+func TestTiedBlocksAreRejected(t *testing.T) {
 	p := &namespace.Policy{Form: 1}
 	now, err := Build(p, "", func(string) bool { return true })
 	if err != nil {
@@ -153,7 +157,8 @@
 	_, err = Build(p, "", func(string) bool { return true })
 	_, again := now.Update(p, &namespace.Diff{Blocks: true}, func(string) bool { return true })
 	for _, err := range []error{err, again} {
-		if bad := (InvalidRulesError{}); !errors.As(err, &bad) || bad.Kind != "blocks" || !strings.Contains(err.Error(), "ties") || operatorerror.Of(err) == "" {
+		if bad := (InvalidRulesError{}); !errors.As(err, &bad) || bad.Kind != "blocks" ||
+			!strings.Contains(err.Error(), "ties") || operatorerror.Of(err) == "" {
 			t.Errorf("%v", err)
 		}
 	}
