--- /dev/null
+++ b/internal/consensus/logger.go
@@ -0,0 +1,21 @@
+package consensus
+
+import "fmt"
+
+// discardLogger drops the Raft library's log: what matters is in Status and in errors. Its panics remain; Core
+// turns them into errors.
+type discardLogger struct{}
+
+func (discardLogger) Debug(...any)            {}
+func (discardLogger) Debugf(string, ...any)   {}
+func (discardLogger) Error(...any)            {}
+func (discardLogger) Errorf(string, ...any)   {}
+func (discardLogger) Info(...any)             {}
+func (discardLogger) Infof(string, ...any)    {}
+func (discardLogger) Warning(...any)          {}
+func (discardLogger) Warningf(string, ...any) {}
+
+func (discardLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (discardLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
