--- a/internal/consensus/node/frozen_test.go
+++ b/internal/consensus/node/frozen_test.go
@@ -14,29 +14,75 @@
 	"lapisspread/internal/consensus"
 )
 
-// frozenMessages are messages between stewards as the code of commit c8fad44 writes them, in hexadecimal, one request a line; made with
+// frozenMessages are messages between stewards as the code of commit c8fad44 writes them, in hexadecimal, one
+// request a line; made with
 //
 //	FREEZE_MESSAGES=1 go test ./internal/consensus/node -run TestFrozenMessages
 //
 // They must never be written again: they stand for the messages of stewards that run an older program.
 const frozenMessages = "testdata/c8fad44.messages"
 
+// frozenRequests are what the kept requests hold.
 func frozenRequests() [][]consensus.Message {
-	stamp := consensus.StoreVersion{StoreID: 11, Incarnation: 12, Nonce: 1 << 63, WriteSeq: 14}
-	message := consensus.Message{Fleet: "north", Epoch: 7, From: 1, To: 2, SenderVersion: stamp}
-	claim, answer, difference, vote, entries, snapshot := message, message, message, message, message, message
-	claim.Kind = consensus.MessageVersionQuery
-	answer.Kind, answer.KnownVersion, answer.QueryNonce = consensus.MessageVersionReply, consensus.StoreVersion{StoreID: 21, Incarnation: 22, Nonce: 23, WriteSeq: 24}, 99
-	difference.Kind, difference.DigestIndex, difference.Digest = consensus.MessageDigestMismatch, 5, 0xfedcba9876543210
+	message := consensus.Message{
+		Fleet:         "north",
+		Epoch:         7,
+		From:          1,
+		To:            2,
+		SenderVersion: consensus.StoreVersion{StoreID: 11, Incarnation: 12, Nonce: 1 << 63, WriteSeq: 14},
+	}
+
+	query := message
+	query.Kind = consensus.MessageVersionQuery
+
+	reply := message
+	reply.Kind = consensus.MessageVersionReply
+	reply.KnownVersion = consensus.StoreVersion{StoreID: 21, Incarnation: 22, Nonce: 23, WriteSeq: 24}
+	reply.QueryNonce = 99
+
+	mismatch := message
+	mismatch.Kind = consensus.MessageDigestMismatch
+	mismatch.DigestIndex = 5
+	mismatch.Digest = 0xfedcba9876543210
+
+	vote := message
 	vote.Kind = consensus.MessageRaft
-	vote.Raft = &pb.Message{Type: pb.MsgVote.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(3)), LogTerm: new(uint64(2)), Index: new(uint64(9))}
-	entries.Kind, entries.DigestIndex, entries.Digest = consensus.MessageRaft, 9, 77
-	entries.Raft = &pb.Message{Type: pb.MsgApp.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(3)), LogTerm: new(uint64(2)), Index: new(uint64(9)),
-		Commit: new(uint64(8)), Entries: []*pb.Entry{{Type: pb.EntryNormal.Enum(), Term: new(uint64(3)), Index: new(uint64(10)), Data: []byte("command")}}}
-	snapshot.Kind, snapshot.DigestIndex, snapshot.Digest = consensus.MessageRaft, 8, 66
-	snapshot.Raft = &pb.Message{Type: pb.MsgSnap.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(3)), Snapshot: &pb.Snapshot{Data: []byte("state"),
-		Metadata: &pb.SnapshotMetadata{Index: new(uint64(8)), Term: new(uint64(2)), ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}}}}
-	return [][]consensus.Message{{claim}, {answer}, {difference}, {vote, entries}, {snapshot}}
+	vote.Raft = raftMessage(pb.MsgVote)
+	vote.Raft.LogTerm = new(uint64(2))
+	vote.Raft.Index = new(uint64(9))
+
+	entries := message
+	entries.Kind = consensus.MessageRaft
+	entries.DigestIndex = 9
+	entries.Digest = 77
+	entries.Raft = raftMessage(pb.MsgApp)
+	entries.Raft.LogTerm = new(uint64(2))
+	entries.Raft.Index = new(uint64(9))
+	entries.Raft.Commit = new(uint64(8))
+	entries.Raft.Entries = []*pb.Entry{{
+		Type:  pb.EntryNormal.Enum(),
+		Term:  new(uint64(3)),
+		Index: new(uint64(10)),
+		Data:  []byte("command"),
+	}}
+
+	snapshot := message
+	snapshot.Kind = consensus.MessageRaft
+	snapshot.DigestIndex = 8
+	snapshot.Digest = 66
+	snapshot.Raft = raftMessage(pb.MsgSnap)
+	snapshot.Raft.Snapshot = &pb.Snapshot{Data: []byte("state"), Metadata: &pb.SnapshotMetadata{
+		Index:     new(uint64(8)),
+		Term:      new(uint64(2)),
+		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}},
+	}}
+
+	return [][]consensus.Message{{query}, {reply}, {mismatch}, {vote, entries}, {snapshot}}
+}
+
+// raftMessage is a message of the Raft library from server 1 to server 2 in term 3.
+func raftMessage(kind pb.MessageType) *pb.Message {
+	return &pb.Message{Type: kind.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(3))}
 }
 
 func encodeRequest(t *testing.T, messages []consensus.Message) []byte {
@@ -56,18 +102,34 @@
 	return data
 }
 
+func writeFrozenMessages(t *testing.T) {
+	t.Helper()
+	var lines []byte
+	for _, messages := range frozenRequests() {
+		lines = append(hex.AppendEncode(lines, encodeRequest(t, messages)), '\n')
+	}
+	if err := os.MkdirAll("testdata", 0o700); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(frozenMessages, lines, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func compareMessages(t *testing.T, got, want consensus.Message) {
+	t.Helper()
+	if !proto.Equal(got.Raft, want.Raft) {
+		t.Errorf("%v, want %v", got.Raft, want.Raft)
+	}
+	got.Raft = want.Raft
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+}
+
 func TestFrozenMessages(t *testing.T) {
 	if os.Getenv("FREEZE_MESSAGES") != "" {
-		var lines []byte
-		for _, messages := range frozenRequests() {
-			lines = append(hex.AppendEncode(lines, encodeRequest(t, messages)), '\n')
-		}
-		if err := os.MkdirAll("testdata", 0o700); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(frozenMessages, lines, 0o600); err != nil {
-			t.Fatal(err)
-		}
+		writeFrozenMessages(t)
 	}
 	data, err := os.ReadFile(frozenMessages)
 	if err != nil {
@@ -88,13 +150,7 @@
 			t.Fatalf("request %d: %v, %v", i, got, err)
 		}
 		for j := range want {
-			if !proto.Equal(got[j].Raft, want[j].Raft) {
-				t.Errorf("request %d: %v, want %v", i, got[j].Raft, want[j].Raft)
-			}
-			got[j].Raft = want[j].Raft
-			if !reflect.DeepEqual(got[j], want[j]) {
-				t.Errorf("request %d: %+v, want %+v", i, got[j], want[j])
-			}
+			compareMessages(t, got[j], want[j])
 		}
 		if again := hex.EncodeToString(encodeRequest(t, want)); again != lines[i] {
 			t.Errorf("request %d is encoded as %s, want %s", i, again, lines[i])
--- a/internal/consensus/storage/errors.go
+++ b/internal/consensus/storage/errors.go
@@ -2,93 +2,104 @@
 
 import "fmt"
 
-// MissingError is that there is no store: none is ever made by itself.
+// MissingError tells that there is no store. None is made unless an operator says so.
 type MissingError struct{ Path string }
 
+// Error implements error.
 func (e MissingError) Error() string { return fmt.Sprintf("consensus: there is no store %s", e.Path) }
 
-// Advice implements advice.Error.
+// Advice implements operatorerror.Error.
 func (MissingError) Advice() string {
 	return "Found the fleet if it is new; if this steward's store was lost, have it join anew under a new number."
 }
 
-// LockedError is that another process has the store open.
+// LockedError tells that another process has the store open.
 type LockedError struct{ Path string }
 
+// Error implements error.
 func (e LockedError) Error() string {
 	return fmt.Sprintf("consensus: another process holds the store %s", e.Path)
 }
 
-// Advice implements advice.Error.
+// Advice implements operatorerror.Error.
 func (LockedError) Advice() string {
 	return "Stop the steward that runs already, or give this one a store of its own."
 }
 
-// FleetMismatchError is that the store is of another fleet, or of another epoch of this one.
+// FleetMismatchError tells that the store is of another fleet, or of another epoch of this one.
 type FleetMismatchError struct {
 	Path, Fleet string
 	Epoch       uint64
 }
 
+// Error implements error.
 func (e FleetMismatchError) Error() string {
 	return fmt.Sprintf("consensus: the store %s is of fleet %q, epoch %d", e.Path, e.Fleet, e.Epoch)
 }
 
-// Advice implements advice.Error.
+// Advice implements operatorerror.Error.
 func (FleetMismatchError) Advice() string {
 	return "Name the store of this fleet; one of before a founding anew is put away."
 }
 
-// NodeMismatchError is that the store is of another steward.
+// NodeMismatchError tells that the store is of another server.
 type NodeMismatchError struct {
 	Path string
 	ID   uint64
 }
 
+// Error implements error.
 func (e NodeMismatchError) Error() string {
 	return fmt.Sprintf("consensus: the store %s is of steward %d", e.Path, e.ID)
 }
 
-// Advice implements advice.Error.
+// Advice implements operatorerror.Error.
 func (NodeMismatchError) Advice() string {
 	return "Name this steward's own store; a copy of another's makes no new one."
 }
 
-// NewerFormatError is that a newer version of the program has written the store.
+// NewerFormatError tells that a newer program has written the store.
 type NewerFormatError struct {
 	Path   string
 	Format uint64
 }
 
+// Error implements error.
 func (e NewerFormatError) Error() string {
-	return fmt.Sprintf("consensus: the store %s is of format %d, this version knows %d", e.Path, e.Format, formatVersion)
+	return fmt.Sprintf("consensus: the store %s is of format %d, this version knows %d",
+		e.Path, e.Format, formatVersion)
 }
 
-// Advice implements advice.Error.
+// Advice implements operatorerror.Error.
 func (NewerFormatError) Advice() string { return "Run the newer version of the program." }
 
-// DamagedError is that the store can't be read.
+// DamagedError tells that the store can't be read.
 type DamagedError struct{ Path, Reason string }
 
+// Error implements error.
 func (e DamagedError) Error() string {
 	return fmt.Sprintf("consensus: the store %s is damaged: %s", e.Path, e.Reason)
 }
 
-// Advice implements advice.Error.
+// Advice implements operatorerror.Error.
 func (DamagedError) Advice() string {
-	return "Look to the disk; put the store away and have the steward join anew under a new number, as a learner with an empty store."
+	return "Look to the disk; put the store away and have the steward join anew under a new number, " +
+		"as a learner with an empty store."
 }
 
-// DiskFullError is that a write found no room; what came before is whole.
+// DiskFullError tells that a write found no room. What was written before is complete.
 type DiskFullError struct {
 	Path string
 	Err  error
 }
 
+// Error implements error.
 func (e DiskFullError) Error() string {
 	return fmt.Sprintf("consensus: no room for the store %s: %v", e.Path, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e DiskFullError) Unwrap() error { return e.Err }
 
-// Advice implements advice.Error.
+// Advice implements operatorerror.Error.
 func (DiskFullError) Advice() string { return "Make room on the disk and start the steward again." }
--- a/internal/consensus/storage/frozen_test.go
+++ b/internal/consensus/storage/frozen_test.go
@@ -44,8 +44,15 @@
 func runSingle(t *testing.T, s *storage.Store, state consensus.State, commands ...string) *joinedText {
 	t.Helper()
 	machine := &joinedText{}
-	core, err := consensus.New(consensus.Config{Fleet: "north", Epoch: 7, ID: 2, Nonce: state.Version.Nonce, SilenceTicks: 1, CompactionBytes: 150},
-		state, machine)
+	config := consensus.Config{
+		Fleet:           "north",
+		Epoch:           7,
+		ID:              2,
+		Nonce:           state.Version.Nonce,
+		SilenceTicks:    1,
+		CompactionBytes: 150,
+	}
+	core, err := consensus.New(config, state, machine)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer db.Close()
+	defer func() { _ = db.Close() }() // it was only read
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(k, v []byte) error {
@@ -126,8 +133,13 @@
 	if s, state, err = storage.Open(frozenStore, "north", 7, 2); err != nil {
 		t.Fatal(err)
 	}
-	b := consensus.Batch{WriteSeq: state.Version.WriteSeq + 1, Sync: true, TruncationSilence: new(true), AcknowledgedIndex: state.HardState.GetCommit(),
-		PeerVersions: map[uint64]consensus.StoreVersion{1: {StoreID: 11, Incarnation: 12, Nonce: 13, WriteSeq: 14}, 300: {StoreID: 21, Incarnation: 22, Nonce: 1 << 63, WriteSeq: 24}}}
+	b := consensus.Batch{
+		WriteSeq:          state.Version.WriteSeq + 1,
+		Sync:              true,
+		TruncationSilence: new(true),
+		AcknowledgedIndex: state.HardState.GetCommit(),
+		PeerVersions:      map[uint64]consensus.StoreVersion{1: frozenPeer1, 300: frozenPeer300},
+	}
 	if err := s.Write(&b); err != nil {
 		t.Fatal(err)
 	}
@@ -168,10 +180,10 @@
 		value   any
 		decoded any
 	}{
-		{"meta identity", storage.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, StoreID: frozenStoreNumber}, &storage.Identity{}},
-		{"meta stamp", consensus.StoreVersion{StoreID: frozenStoreNumber, Incarnation: 2, Nonce: frozenNonce, WriteSeq: frozenSeq}, &consensus.StoreVersion{}},
-		{"peers 0000000000000001", consensus.StoreVersion{StoreID: 11, Incarnation: 12, Nonce: 13, WriteSeq: 14}, &consensus.StoreVersion{}},
-		{"peers 000000000000012c", consensus.StoreVersion{StoreID: 21, Incarnation: 22, Nonce: 1 << 63, WriteSeq: 24}, &consensus.StoreVersion{}},
+		{"meta identity", frozenIdentity, &storage.Identity{}},
+		{"meta stamp", frozenVersion, &consensus.StoreVersion{}},
+		{"peers 0000000000000001", frozenPeer1, &consensus.StoreVersion{}},
+		{"peers 000000000000012c", frozenPeer300, &consensus.StoreVersion{}},
 		{"meta cut", true, new(bool)},
 		{"meta sure", uint64(14), new(uint64)},
 	} {
@@ -188,8 +200,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := cbor.Unmarshal(stored, r.decoded); err != nil || !reflect.DeepEqual(reflect.ValueOf(r.decoded).Elem().Interface(), r.value) {
-			t.Errorf("%s: %+v, %v; want %+v", r.key, r.decoded, err, r.value)
+		if err := cbor.Unmarshal(stored, r.decoded); err != nil {
+			t.Errorf("%s: %v", r.key, err)
+		}
+		if got := reflect.ValueOf(r.decoded).Elem().Interface(); !reflect.DeepEqual(got, r.value) {
+			t.Errorf("%s: %+v, want %+v", r.key, got, r.value)
 		}
 		if again, err := cbor.Marshal(r.value); err != nil || !bytes.Equal(again, stored) {
 			t.Errorf("%s is encoded as %x, %v; want %x", r.key, again, err, stored)
@@ -204,8 +219,9 @@
 		t.Errorf("hard state %v", state.HardState)
 	}
 	meta := state.Snapshot.GetMetadata()
-	if meta.GetIndex() != frozenSnapshotIndex || meta.GetTerm() != 2 || !slices.Equal(meta.GetConfState().GetVoters(), []uint64{2}) ||
-		len(meta.GetConfState().GetLearners()) > 0 {
+	members := meta.GetConfState()
+	if meta.GetIndex() != frozenSnapshotIndex || meta.GetTerm() != 2 ||
+		!slices.Equal(members.GetVoters(), []uint64{2}) || len(members.GetLearners()) > 0 {
 		t.Errorf("snapshot of %v", meta)
 	}
 	var cover struct {
@@ -224,13 +240,15 @@
 	}
 	for i, e := range state.Entries {
 		index := uint64(frozenSnapshotIndex + 1 + i)
-		command := frozenCommands()[index-3]
-		if e.GetIndex() != index || e.GetTerm() != 2 || e.GetType() != pb.EntryNormal || string(e.GetData()[16:]) != command ||
-			binary.BigEndian.Uint64(e.GetData()) != frozenFirstNonce || binary.BigEndian.Uint64(e.GetData()[8:]) != index-2 {
-			t.Errorf("entry %v, want %s", e, command)
+		data := binary.BigEndian.AppendUint64(nil, frozenFirstNonce)
+		data = binary.BigEndian.AppendUint64(data, index-2)
+		data = append(data, frozenCommands()[index-3]...)
+		if e.GetIndex() != index || e.GetTerm() != 2 || e.GetType() != pb.EntryNormal ||
+			!bytes.Equal(e.GetData(), data) {
+			t.Errorf("entry %v, want %q", e, data)
 		}
 	}
-	peers := map[uint64]consensus.StoreVersion{1: {StoreID: 11, Incarnation: 12, Nonce: 13, WriteSeq: 14}, 300: {StoreID: 21, Incarnation: 22, Nonce: 1 << 63, WriteSeq: 24}}
+	peers := map[uint64]consensus.StoreVersion{1: frozenPeer1, 300: frozenPeer300}
 	if !reflect.DeepEqual(state.PeerVersions, peers) || !state.TruncationSilence || state.AcknowledgedIndex != 14 {
 		t.Errorf("peers %+v, cut %v, sure %d", state.PeerVersions, state.TruncationSilence, state.AcknowledgedIndex)
 	}
@@ -242,34 +260,54 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Identity() != (storage.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, StoreID: frozenStoreNumber}) {
+	if s.Identity() != frozenIdentity {
 		t.Errorf("identity %+v", s.Identity())
 	}
-	if state.Version.StoreID != frozenStoreNumber || state.Version.Incarnation != 3 || state.Version.WriteSeq != frozenSeq {
-		t.Errorf("stamp %+v", state.Version)
+	want := frozenVersion
+	want.Incarnation = 3
+	want.Nonce = state.Version.Nonce
+	if state.Version != want {
+		t.Errorf("version %+v, want %+v", state.Version, want)
 	}
 	checkFrozenState(t, state)
 	state.TruncationSilence = false // else it waits
-	machine := runSingle(t, s, state, "<one more>", strings.Repeat("x", 300))
-	if want := strings.Join(frozenCommands(), "") + "<one more>" + strings.Repeat("x", 300); string(machine.text) != want {
+	more := []string{"<one more>", strings.Repeat("x", 300)}
+	machine := runSingle(t, s, state, more...)
+	if want := strings.Join(append(frozenCommands(), more...), ""); string(machine.text) != want {
 		t.Errorf("the machine holds %q", machine.text)
 	}
 	s, after, err := storage.Open(path, "north", 7, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	if after.HardState.GetTerm() != 3 || after.Version.Incarnation != 4 || after.Version.WriteSeq <= frozenSeq || after.Snapshot.GetMetadata().GetIndex() != 17 ||
+	defer closeStore(t, s)
+	if after.Version.Incarnation != 4 || after.Version.WriteSeq <= frozenSeq {
+		t.Errorf("reopened: version %+v", after.Version)
+	}
+	if after.HardState.GetTerm() != 3 || after.Snapshot.GetMetadata().GetIndex() != 17 ||
 		!reflect.DeepEqual(after.PeerVersions, state.PeerVersions) {
 		t.Errorf("reopened: %+v", after)
 	}
 }
 
-// Numbers that were drawn by chance when the frozen store was written, and what came of them.
+// Numbers that were random when the frozen store was written, and what came of them.
 const (
-	frozenStoreNumber   = 0x0400b9aca50e2a61
+	frozenStoreID       = 0x0400b9aca50e2a61
 	frozenFirstNonce    = 0x5e9514f5210ea6c7 // of the start that proposed the commands
 	frozenNonce         = 0x9c969c36a36ebd95 // of the last start
 	frozenSeq           = 15
 	frozenSnapshotIndex = 12
 )
+
+// What the frozen store holds.
+var (
+	frozenIdentity = storage.Identity{Format: 1, Fleet: "north", Epoch: 7, ID: 2, StoreID: frozenStoreID}
+	frozenVersion  = consensus.StoreVersion{
+		StoreID:     frozenStoreID,
+		Incarnation: 2,
+		Nonce:       frozenNonce,
+		WriteSeq:    frozenSeq,
+	}
+	frozenPeer1   = consensus.StoreVersion{StoreID: 11, Incarnation: 12, Nonce: 13, WriteSeq: 14}
+	frozenPeer300 = consensus.StoreVersion{StoreID: 21, Incarnation: 22, Nonce: 1 << 63, WriteSeq: 24}
+)
