--- a/decision/balancer_test.go
+++ b/decision/balancer_test.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	safe = iota
+	idempotent = iota
 	keyed
-	unsafe
-	anywhere
+	notIdempotent
+	keyedAnywhere
 )
 
 // How a request that got the given result may go on, by its class's effect.
-func TestFurtherAttemptsByEffect(t *testing.T) {
+func TestRetryByIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		class  int
 		result Result
 		want   string
 	}{
-		{safe, Error, "send"}, {safe, Reset, "send"}, {safe, ConnectFailed, "send"}, {safe, Rejected, "send"},
+		{idempotent, Error, "send"}, {idempotent, Reset, "send"}, {idempotent, ConnectFailed, "send"}, {idempotent, Rejected, "send"},
 		{keyed, Error, "send"}, {keyed, ConnectFailed, "send"},
-		{anywhere, Error, "send"}, {anywhere, Reset, "send"},
-		{unsafe, Error, "fail"}, {unsafe, Reset, "fail"}, {unsafe, Cancelled, "fail"},
-		{unsafe, ConnectFailed, "send"}, {unsafe, Rejected, "send"},
+		{keyedAnywhere, Error, "send"}, {keyedAnywhere, Reset, "send"},
+		{notIdempotent, Error, "fail"}, {notIdempotent, Reset, "fail"}, {notIdempotent, Cancelled, "fail"},
+		{notIdempotent, ConnectFailed, "send"}, {notIdempotent, Rejected, "send"},
 	} {
 		b, h := newBalancer(t, testConfig(), 6)
 		b.Request(second, Request{ID: 9, Class: c.class, Deadline: 4 * second})
@@ -46,18 +46,18 @@
 	}
 }
 
-func TestNoBackendsMeansARefusalInTime(t *testing.T) {
+func TestNoBackendsMeansRejectionInTime(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 0)
-	b.Request(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second})
+	b.Request(second, Request{ID: 1, Class: notIdempotent, Deadline: 2 * second})
 	b.Timer(2*second-100*milli, timerDispatch<<56)
 	if got := h.take("send", "refuse", "fail"); len(got) != 1 || got[0].verb != "refuse" {
 		t.Errorf("got %v", got)
 	}
 }
 
-func TestAListThatComesInTimeServesWhatWaits(t *testing.T) {
+func TestEndpointListServesQueuedRequests(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 0)
-	b.Request(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second})
+	b.Request(second, Request{ID: 1, Class: notIdempotent, Deadline: 2 * second})
 	b.UpdateEndpoints(second+50*milli, EndpointUpdate{Kind: UpdateDelta, Backends: list(1)})
 	b.Timer(second+60*milli, timerDispatch<<56)
 	if got := h.take("send", "refuse", "fail"); len(got) != 1 || got[0].verb != "send" {
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestNothingNewGoesToADrainingOrGoneBackend(t *testing.T) {
+func TestDrainingOrRemovedBackendGetsNothingNew(t *testing.T) {
 	for _, state := range []BackendState{Draining, Removed} {
 		b, h := newBalancer(t, testConfig(), 3)
 		b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{{ID: 2, State: state}}})
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestHealthOutlivesListChanges(t *testing.T) {
+func TestHealthSurvivesEndpointUpdate(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 3)
 	for now := second; now < 12*second; now += b.checkInterval / sweepsPerInterval {
 		b.Timer(now, timerSweep<<56)
@@ -105,7 +105,7 @@
 }
 
 // A late attempt that was alone at its backend is no sign of a crowd: the limit sinks a little, not to it.
-func TestOneLateAttemptAloneDoesNotCloseABackend(t *testing.T) {
+func TestOneLateAttemptCutsLimitLittle(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.limit.limit = 20
@@ -117,7 +117,7 @@
 }
 
 // A whole bank of proxies that starts under load must not double its limits past what tips a server.
-func TestALateAttemptCurbsTheFastGrowthOfANewLimit(t *testing.T) {
+func TestLateAttemptSlowsGrowthOfNewLimit(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		takes float64 // ms, of the first answer
@@ -145,13 +145,13 @@
 			if grown := only.limit.limit - before; id == 1 && (grown > c.most || grown < c.least) {
 				t.Errorf("%s: the limit of %v grew by %v", c.name, before, grown)
 			}
-			only.limit.limit, b.meanLatency = 1, b.expectedLatency(unsafe, 0) // so that the next attempt uses it
+			only.limit.limit, b.meanLatency = 1, b.expectedLatency(notIdempotent, 0) // so that the next attempt uses it
 		}
 	}
 }
 
 // Waiting for a late attempt's end would show a crowd when the server has tipped.
-func TestAnAttemptCountsAsLateWhileStillOut(t *testing.T) {
+func TestAttemptIsLateWhileInFlight(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.limit.limit = 20
@@ -165,7 +165,7 @@
 }
 
 // A backend that turns requests away at once must not look idle.
-func TestAFullBackendDoesNotLookIdle(t *testing.T) {
+func TestRejectingBackendDoesNotLookIdle(t *testing.T) {
 	cfg := testConfig()
 	cfg.Zone = 9 // no backend is near
 	b, h := newBalancer(t, cfg, 2)
@@ -185,14 +185,14 @@
 }
 
 // One out at each of many proxies is a crowd too: below one, a limit spaces attempts out.
-func TestALimitBelowOneSpacesAttemptsOut(t *testing.T) {
+func TestLimitBelowOneSpacesAttempts(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	b.meanLatency, only.limit.limit = 200, 0.5
 	sent := 0 * second
 	for at := second; at < 3*second; at += 10 * milli {
 		only.limit.limit, b.meanLatency = 0.5, 200
-		b.Request(at, Request{ID: RequestID(at), Class: safe, Deadline: at + 3*second})
+		b.Request(at, Request{ID: RequestID(at), Class: idempotent, Deadline: at + 3*second})
 		b.Timer(at, timerDispatch<<56)
 		for _, a := range h.take("send") {
 			if gap := at - sent; sent > 0 && gap < 380*milli {
@@ -208,13 +208,13 @@
 }
 
 // A backend that breaks fast has nothing out, so it looks idle; its probes may pass all the while.
-func TestABackendThatAnswersErrorsGetsLittle(t *testing.T) {
+func TestBackendWithErrorsGetsFewRequests(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	sends, broken, unsafeLost := 0, 0, 0
 	out := map[RequestID]action{}
 	for at := second; at < 9*second; at += 10 * milli {
 		id := RequestID(at / milli)
-		b.Request(at, Request{ID: id, Class: []int{safe, unsafe}[id/10%2], Deadline: at + 3*second})
+		b.Request(at, Request{ID: id, Class: []int{idempotent, notIdempotent}[id/10%2], Deadline: at + 3*second})
 		b.Timer(at, timerDispatch<<56)
 		for _, a := range h.take("send") {
 			sends++
@@ -246,12 +246,12 @@
 }
 
 // Keys that go wherever there is room find nothing warm, and their extra work keeps all at their limits.
-func TestAKeyWaitsForItsOwnBackendsBeforeItGoesElsewhere(t *testing.T) {
+func TestKeyWaitsForItsOwnTargets(t *testing.T) {
 	cfg := testConfig()
 	cfg.KeyAffinity = true
 	b, h := newBalancer(t, cfg, 6)
 	ask := func(id RequestID) {
-		b.Request(second, Request{ID: id, Class: safe, Key: 77, Deadline: 4 * second})
+		b.Request(second, Request{ID: id, Class: idempotent, Key: 77, Deadline: 4 * second})
 	}
 	own := map[BackendID]bool{}
 	for id := RequestID(1); len(b.queue) == 0; id++ {
@@ -277,7 +277,7 @@
 }
 
 // A backend may die and come back before the list says so: until warm it counts as just started.
-func TestASuspectedStartCountsAsOne(t *testing.T) {
+func TestSuspectedRestartBeginsSlowStart(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		fail func(b *Balancer, h *recorder, now time.Duration)
@@ -291,7 +291,7 @@
 		{"connections fail", func(b *Balancer, h *recorder, now time.Duration) {
 			for id := range RequestID(2) {
 				now += time.Duration(id) * b.checkInterval // for as long nothing is answered
-				b.Request(now, Request{ID: id + 1, Class: unsafe, Deadline: now + second})
+				b.Request(now, Request{ID: id + 1, Class: notIdempotent, Deadline: now + second})
 				if got := h.take("send"); len(got) == 0 {
 					t.Fatal("nothing was sent")
 				}
@@ -319,17 +319,17 @@
 
 // An attempt that takes far longer than expected gets a second one beside it where copies are allowed;
 // elsewhere a safe one is called off and sent again; an unsafe one is left alone.
-func TestAnOverdueAttemptByWhatIsAllowed(t *testing.T) {
+func TestSlowAttemptIsHedgedOrReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		copies bool
 		class  int
 		want   string
 	}{
-		{"copies, safe", true, safe, "send"},
-		{"copies, unsafe", true, unsafe, ""},
-		{"no copies, safe", false, safe, "cancel"},
-		{"no copies, unsafe", false, unsafe, ""},
+		{"copies, safe", true, idempotent, "send"},
+		{"copies, unsafe", true, notIdempotent, ""},
+		{"no copies, safe", false, idempotent, "cancel"},
+		{"no copies, unsafe", false, notIdempotent, ""},
 	} {
 		cfg := testConfig()
 		cfg.Capabilities.HedgedRequests = c.copies
@@ -354,7 +354,7 @@
 
 // Probes may be rare: an attempt that got no answer asks for one at once, unless the backend
 // answered others since.
-func TestAnAttemptWithoutAnAnswerAsksForAProbe(t *testing.T) {
+func TestFailedAttemptTriggersHealthCheck(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		lastOK time.Duration
@@ -373,7 +373,7 @@
 }
 
 // A heavy request is too much for a cold backend even alone.
-func TestAHeavyRequestDoesNotGoAloneToAColdBackend(t *testing.T) {
+func TestHeavyRequestNeedsSlowStartTokens(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.lastStart, b.meanWork, only.slowStartTokens = second, 100, 0.1
@@ -386,7 +386,7 @@
 }
 
 // A limit far above the need would let a burst tip the server before answers tell.
-func TestALimitThatIsNotUsedSinks(t *testing.T) {
+func TestUnusedLimitSinks(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.limit.limit = 100
@@ -399,24 +399,24 @@
 }
 
 // While all fail, what failures count for must not raise the median that they are measured by.
-func TestFailuresAllRoundDoNotFeedTheMedian(t *testing.T) {
+func TestFailuresDoNotRaiseMedianRatio(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	now := second
 	for id := range RequestID(400) {
-		b.Request(now, Request{ID: id + 1, Class: unsafe, Deadline: now + 3*second})
+		b.Request(now, Request{ID: id + 1, Class: notIdempotent, Deadline: now + 3*second})
 		now += 50 * milli
 		b.Timer(now, timerSweep<<56)
 		for _, a := range h.take("send") {
 			b.Outcome(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: Error})
 		}
 	}
-	if most := 2 * 1000 / b.expectedLatency(unsafe, 0); b.medianRatio < 1 || b.medianRatio > most {
+	if most := 2 * 1000 / b.expectedLatency(notIdempotent, 0); b.medianRatio < 1 || b.medianRatio > most {
 		t.Errorf("median %v of the expected delay; %v at most", b.medianRatio, most)
 	}
 }
 
 // What a backend served before it restarted says nothing of what it can do cold.
-func TestARestartForgetsWhatWasServed(t *testing.T) {
+func TestRestartClearsRecentWork(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	b.targets[0].recentWork.add(5000, second, second)
 	b.UpdateEndpoints(2*second, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{
@@ -428,7 +428,7 @@
 }
 
 // Light requests fit any budget of work, but each costs a handshake.
-func TestLightRequestsCountForTheMeanInAColdBudget(t *testing.T) {
+func TestLightRequestTakesWholeSlowStartToken(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	b.meanWork, only.lastStart, only.slowStartTokens = 50, second, 2
@@ -446,7 +446,7 @@
 }
 
 // Without a bound, a burst makes each outcome walk a waiting room of thousands.
-func TestTheWaitingRoomIsBounded(t *testing.T) {
+func TestQueueIsBounded(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 3)
 	for i := range 2000 {
 		b.Request(second, Request{ID: RequestID(i), Deadline: 4 * second})
@@ -457,12 +457,12 @@
 }
 
 // Under pressure the request that adds more to the goal goes first.
-func TestWorthGoesFirst(t *testing.T) {
+func TestHighestGainIsDispatchedFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[anywhere].PriorityWeight = 10
+	cfg.Classes[keyedAnywhere].PriorityWeight = 10
 	b, h := newBalancer(t, cfg, 1)
 	for i := range 12 {
-		b.Request(second, Request{ID: RequestID(i), Class: []int{safe, anywhere}[i%2], Deadline: 4 * second})
+		b.Request(second, Request{ID: RequestID(i), Class: []int{idempotent, keyedAnywhere}[i%2], Deadline: 4 * second})
 	}
 	first := h.take("send")
 	if len(b.queue) < 3 {
@@ -475,7 +475,7 @@
 	}
 }
 
-func TestTheListIsAskedForAgainAfterAFailure(t *testing.T) {
+func TestListIsRequestedAgainAfterFailure(t *testing.T) {
 	cfg := testConfig()
 	cfg.PolledDiscovery = true
 	h := &recorder{}
@@ -504,7 +504,7 @@
 
 // However seldom a register is to be asked and however slowly its servers connect, what it has counts as told 6 s after it
 // could be reached, and what an agent on this machine has counts at once.
-func TestTheRestAfterAFailedCallIsBounded(t *testing.T) {
+func TestListBackoffIsBounded(t *testing.T) {
 	for _, asked := range []time.Duration{0, 2 * second, 10 * second, 60 * second} {
 		for _, connect := range []time.Duration{30 * time.Millisecond, second, 5 * second, 20 * second} {
 			for _, grace := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond} {
@@ -539,7 +539,7 @@
 	}
 }
 
-func TestOddInputIsPassedOver(t *testing.T) {
+func TestInvalidInputIsIgnored(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	twice := append(list(2), list(2)...)
 	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: twice})
--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// nobody is a Host that does nothing but remember the last send.
-type nobody struct {
+// silentHost is a Host that does nothing but remember the last send.
+type silentHost struct {
 	recorder
 	to BackendID
 }
 
-func (h *nobody) Send(_ RequestID, to BackendID, _ time.Duration) { h.to = to }
-func (h *nobody) Reject(RequestID, time.Duration)                 { h.to = 0 }
-func (h *nobody) Fail(RequestID)                                  { h.to = 0 }
-func (h *nobody) CheckHealth(BackendID)                           {}
-func (h *nobody) StartTimer(time.Duration, uint64)                {}
+func (h *silentHost) Send(_ RequestID, to BackendID, _ time.Duration) { h.to = to }
+func (h *silentHost) Reject(RequestID, time.Duration)                 { h.to = 0 }
+func (h *silentHost) Fail(RequestID)                                  { h.to = 0 }
+func (h *silentHost) CheckHealth(BackendID)                           {}
+func (h *silentHost) StartTimer(time.Duration, uint64)                {}
 
 // BenchmarkRequest is a request's whole life: arrival, choice, send and answer, with a sweep of the
 // timers every hundred. Keyed requests choose by their key.
@@ -24,7 +24,7 @@
 	for _, backends := range []int{10, 50} {
 		for _, keyed := range []bool{false, true} {
 			b.Run(fmt.Sprintf("backends=%d/keyed=%v", backends, keyed), func(b *testing.B) {
-				cfg, h := testConfig(), &nobody{}
+				cfg, h := testConfig(), &silentHost{}
 				cfg.KeyAffinity = keyed
 				m, err := New(cfg, 1, h)
 				if err != nil {
--- a/decision/cold_test.go
+++ b/decision/cold_test.go
@@ -6,7 +6,7 @@
 
 // A proxy that has just started knows no mean work, and its first request must wait for its part of the budget like
 // that of any other: most proxies may have been killed at once.
-func TestAProxyThatHasJustStartedWaitsForItsPartOfAColdBackend(t *testing.T) {
+func TestNewProxyWaitsForItsSlowStartShare(t *testing.T) {
 	for _, c := range []struct {
 		n, least, most int
 	}{{1, 200, 200}, {30, 0, 20}} {
@@ -23,7 +23,7 @@
 			one[0].Started = now - 2*second
 			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFull, Backends: one})
 			now += 5 * milli
-			b.Request(now, Request{ID: 1, Class: safe, Deadline: now + second})
+			b.Request(now, Request{ID: 1, Class: idempotent, Deadline: now + second})
 			sent += len(h.take("send"))
 		}
 		if sent < c.least || sent > c.most {
--- a/decision/config_test.go
+++ b/decision/config_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestNewNamesTheSettingThatCantBeServed(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	for field, break_ := range map[string]func(*Config){
 		"Services":                  func(c *Config) { c.Classes = nil },
 		"Services.0.Aim":            func(c *Config) { c.Classes[0].LatencyObjective = 0 },
@@ -41,7 +41,7 @@
 }
 
 // What only weighs is no reason to refuse: it is brought to its range, and the caller's settings stay as they are.
-func TestSettingsThatOnlyWeighAreBroughtToTheirRange(t *testing.T) {
+func TestWeightsAreNormalized(t *testing.T) {
 	cfg := testConfig()
 	cfg.ObjectiveWeights = ObjectiveWeights{Overall: -1}
 	cfg.Rank, cfg.Zone, cfg.OverQuotaWeight = -3, 99, math.Inf(1)
@@ -68,8 +68,8 @@
 	}
 }
 
-// drawnSettings are legal ones, each drawn from what is most odd about it.
-func drawnSettings(rng *rand.Rand) Config {
+// randomConfig are legal ones, each drawn from what is most odd about it.
+func randomConfig(rng *rand.Rand) Config {
 	coin := func() bool { return rng.IntN(2) == 0 }
 	of := func(ds ...time.Duration) time.Duration { return ds[rng.IntN(len(ds))] }
 	weigh := func(fs ...float64) float64 { return fs[rng.IntN(len(fs))] }
@@ -94,111 +94,111 @@
 	return cfg
 }
 
-// stage plays a Balancer against servers that answer after a while.
-type stage struct {
+// simulatedServers plays a Balancer against servers that answer after a while.
+type simulatedServers struct {
 	recorder
-	b     *Balancer
-	rng   *rand.Rand
-	now   time.Duration
-	queue due
-	order int
-	tries map[RequestID]int
-	ended map[RequestID]int // final answers
+	balancer     *Balancer
+	random       *rand.Rand
+	now          time.Duration
+	queue        eventQueue
+	order        int
+	attempts     map[RequestID]int
+	finalAnswers map[RequestID]int // final answers
 }
 
-type dueEvent struct {
+type scheduledEvent struct {
 	at    time.Duration
 	order int
-	do    func()
+	run   func()
 }
 
-type due []dueEvent
+type eventQueue []scheduledEvent
 
-func (d due) Len() int { return len(d) }
-func (d due) Less(i, j int) bool {
+func (d eventQueue) Len() int { return len(d) }
+func (d eventQueue) Less(i, j int) bool {
 	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].order < d[j].order
 }
-func (d due) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *due) Push(x any)   { *d = append(*d, x.(dueEvent)) }
-func (d *due) Pop() any {
+func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d *eventQueue) Push(x any)   { *d = append(*d, x.(scheduledEvent)) }
+func (d *eventQueue) Pop() any {
 	old := *d
 	e := old[len(old)-1]
 	*d = old[:len(old)-1]
 	return e
 }
 
-func (s *stage) at(in time.Duration, do func()) {
+func (s *simulatedServers) schedule(in time.Duration, do func()) {
 	s.order++
-	heap.Push(&s.queue, dueEvent{s.now + max(in, 0), s.order, do})
+	heap.Push(&s.queue, scheduledEvent{s.now + max(in, 0), s.order, do})
 }
 
-func (s *stage) Send(id RequestID, to BackendID, until time.Duration) {
-	n := s.tries[id]
-	s.tries[id]++
-	o := Outcome{ID: id, Attempt: n, Backend: to, Result: Result(s.rng.IntN(8))}
-	if s.rng.IntN(4) > 0 {
+func (s *simulatedServers) Send(id RequestID, to BackendID, until time.Duration) {
+	n := s.attempts[id]
+	s.attempts[id]++
+	o := Outcome{ID: id, Attempt: n, Backend: to, Result: Result(s.random.IntN(8))}
+	if s.random.IntN(4) > 0 {
 		o.Result = OK
 	}
-	took := time.Duration(s.rng.ExpFloat64() * float64(20*milli))
+	took := time.Duration(s.random.ExpFloat64() * float64(20*milli))
 	if s.now+took >= until {
 		took, o.Result = until-s.now, Timeout
 	}
-	s.at(took, func() {
-		if o.Result == OK && s.ended[id] == 0 {
-			s.ended[id] = 1
+	s.schedule(took, func() {
+		if o.Result == OK && s.finalAnswers[id] == 0 {
+			s.finalAnswers[id] = 1
 		}
-		o.Final = s.ended[id] > 0
+		o.Final = s.finalAnswers[id] > 0
 		o.Latency = took
-		s.b.Outcome(s.now, o)
+		s.balancer.Outcome(s.now, o)
 	})
 }
-func (s *stage) Reject(id RequestID, _ time.Duration) { s.ended[id]++ }
-func (s *stage) Fail(id RequestID)                    { s.ended[id]++ }
-func (s *stage) CheckHealth(to BackendID) {
-	s.at(milli, func() {
-		s.b.HealthChecked(s.now, HealthCheckResult{Backend: to, Result: Result(s.rng.IntN(8)), Latency: milli})
+func (s *simulatedServers) Reject(id RequestID, _ time.Duration) { s.finalAnswers[id]++ }
+func (s *simulatedServers) Fail(id RequestID)                    { s.finalAnswers[id]++ }
+func (s *simulatedServers) CheckHealth(to BackendID) {
+	s.schedule(milli, func() {
+		s.balancer.HealthChecked(s.now, HealthCheckResult{Backend: to, Result: Result(s.random.IntN(8)), Latency: milli})
 	})
 }
-func (s *stage) StartTimer(d time.Duration, token uint64) {
-	s.at(max(d, milli/2), func() { s.b.Timer(s.now, token) })
+func (s *simulatedServers) StartTimer(d time.Duration, token uint64) {
+	s.schedule(max(d, milli/2), func() { s.balancer.Timer(s.now, token) })
 }
 
 // play handles what is due within a span.
-func (s *stage) play(t *testing.T, span time.Duration) {
+func (s *simulatedServers) play(t *testing.T, span time.Duration) {
 	end := s.now + span
 	for steps := 0; len(s.queue) > 0 && s.queue[0].at <= end; steps++ {
 		if steps > 200_000 {
 			t.Fatal("it spins")
 		}
-		e := heap.Pop(&s.queue).(dueEvent)
+		e := heap.Pop(&s.queue).(scheduledEvent)
 		s.now = max(s.now, e.at)
-		e.do()
+		e.run()
 	}
 	s.now = end
 }
 
 // Whatever legal settings say, a proxy starts, sends its first request at once, answers each request once, and its
 // figures stay numbers.
-func TestAnyLegalSettingsAreServed(t *testing.T) {
+func TestAnyValidConfigIsServed(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 27))
-		cfg := drawnSettings(rng)
-		s := &stage{rng: rng, now: 1_790_000_000 * second, tries: map[RequestID]int{}, ended: map[RequestID]int{}}
+		cfg := randomConfig(rng)
+		s := &simulatedServers{random: rng, now: 1_790_000_000 * second, attempts: map[RequestID]int{}, finalAnswers: map[RequestID]int{}}
 		var err error
-		if s.b, err = New(cfg, seed, s); err != nil {
+		if s.balancer, err = New(cfg, seed, s); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		s.b.Start(s.now)
-		s.b.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateFull, Version: 1, Backends: list(1 + rng.IntN(6))})
+		s.balancer.Start(s.now)
+		s.balancer.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateFull, Version: 1, Backends: list(1 + rng.IntN(6))})
 		var last RequestID
 		ask := func() {
 			last++
 			give := time.Duration(1+rng.IntN(1000)) * milli
-			s.b.Request(s.now, Request{ID: last, Class: rng.IntN(len(cfg.Classes)), Tenant: rng.IntN(len(cfg.Tenants)+2) - 1, Key: uint64(rng.IntN(3)),
+			s.balancer.Request(s.now, Request{ID: last, Class: rng.IntN(len(cfg.Classes)), Tenant: rng.IntN(len(cfg.Tenants)+2) - 1, Key: uint64(rng.IntN(3)),
 				ExpectedWork: time.Duration(rng.IntN(2)*rng.IntN(100)) * milli, Deadline: s.now + give, MarkedRetry: rng.IntN(3) == 0})
 		}
 		ask()
-		if s.tries[1] == 0 {
+		if s.attempts[1] == 0 {
 			t.Errorf("seed %d: the first request is not sent: %+v", seed, cfg)
 		}
 		for i := range 60 {
@@ -210,16 +210,16 @@
 			case 1:
 				e := list(6)[rng.IntN(6)]
 				e.State, e.Started = BackendState(rng.IntN(3)), s.now
-				s.b.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateDelta, Version: uint32(i), Backends: []Backend{e}})
+				s.balancer.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateDelta, Version: uint32(i), Backends: []Backend{e}})
 			}
 		}
 		s.play(t, 2*second)
 		for id := RequestID(1); id <= last; id++ {
-			if s.ended[id] > 1 {
-				t.Errorf("seed %d: request %d has %d answers", seed, id, s.ended[id])
+			if s.finalAnswers[id] > 1 {
+				t.Errorf("seed %d: request %d has %d answers", seed, id, s.finalAnswers[id])
 			}
 		}
-		b := s.b
+		b := s.balancer
 		for name, v := range map[string]float64{"mean": b.meanLatency, "meanWork": b.meanWork, "meanGain": b.meanGain, "meanDensity": b.meanDensity,
 			"median": b.medianRatio, "shared.limit": b.sharedLimit.limit, "rate": b.requestRate(), "asked": b.totalTally[0].offered, "served": b.totalTally[0].served,
 			"retries": b.retryBudget, "probes": b.checkBudget} {
@@ -240,7 +240,7 @@
 
 // A class that nobody has asked for in minutes: its tally has faded. A client's repeat counts in no tally, and the
 // first of them must not lift the mean that all later ones are held against.
-func TestARepeatToATallyThatHasFadedIsWorthNoMoreThanItself(t *testing.T) {
+func TestRetryToDecayedTallyKeepsItsValue(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances, cfg.ClientsMarkRetries, cfg.ObjectiveWeights = 300, true, ObjectiveWeights{Overall: 0.5, WorstClass: 0.5}
 	cfg.Constraints.WarmUp = 2 * second
@@ -251,25 +251,25 @@
 		b.Request(now, Request{ID: id, Class: class, Deadline: now + 3*second, MarkedRetry: repeat})
 		b.Outcome(now+milli, Outcome{ID: id, Result: OK, Final: true, Latency: milli})
 	}
-	ask(unsafe, false)
+	ask(notIdempotent, false)
 	for now < 90*second {
 		now += 100 * milli
-		ask(safe, false)
+		ask(idempotent, false)
 		b.Timer(now, timerSweep<<56)
 	}
 	before := b.meanGain
-	ask(unsafe, true)
+	ask(notIdempotent, true)
 	if b.meanGain > 3*before {
 		t.Errorf("one repeat lifts the mean gain from %v to %v", before, b.meanGain)
 	}
 }
 
 // An aim that is stretched past all time ends with the client's own, and does not wrap round to the past.
-func TestAnAimStretchedPastAllTimeEndsAtTheDeadline(t *testing.T) {
+func TestStretchedObjectiveEndsAtDeadline(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[safe].ObjectivePerWork = 1e12
+	cfg.Classes[idempotent].ObjectivePerWork = 1e12
 	b, _ := newBalancer(t, cfg, 2)
-	b.Request(second, Request{ID: 1, Class: safe, ExpectedWork: time.Hour, Deadline: 5 * second})
+	b.Request(second, Request{ID: 1, Class: idempotent, ExpectedWork: time.Hour, Deadline: 5 * second})
 	if r := b.requests[1]; r == nil || r.objectiveAt != 5*second {
 		t.Errorf("%+v", r)
 	}
--- a/decision/convicts_test.go
+++ b/decision/convicts_test.go
@@ -12,34 +12,34 @@
 // policy is the module, behind hands that may spoil what it is told.
 type policy struct {
 	*decision.Balancer
-	list func(decision.EndpointUpdate) []decision.EndpointUpdate // in place of each list
-	deaf bool                                                    // orders by hand are lost
+	rewriteList   func(decision.EndpointUpdate) []decision.EndpointUpdate // in place of each list
+	ignoresDetach bool                                                    // orders by hand are lost
 }
 
 func (f *policy) UpdateEndpoints(now time.Duration, m decision.EndpointUpdate) {
-	if f.list == nil {
+	if f.rewriteList == nil {
 		f.Balancer.UpdateEndpoints(now, m)
 		return
 	}
-	for _, l := range f.list(m) {
+	for _, l := range f.rewriteList(m) {
 		f.Balancer.UpdateEndpoints(now, l)
 	}
 }
 
 func (f *policy) Detach(now time.Duration, id decision.BackendID) {
-	if !f.deaf {
+	if !f.ignoresDetach {
 		f.Balancer.Detach(now, id)
 	}
 }
 
-// hands is a host that does something else.
-type hands struct {
+// interferingHost is a host that does something else.
+type interferingHost struct {
 	decision.Host
 	send   func(h decision.Host, id decision.RequestID, to decision.BackendID, until time.Duration)
-	refuse func(h decision.Host, id decision.RequestID)
+	reject func(h decision.Host, id decision.RequestID)
 }
 
-func (h hands) Send(id decision.RequestID, to decision.BackendID, until time.Duration) {
+func (h interferingHost) Send(id decision.RequestID, to decision.BackendID, until time.Duration) {
 	if h.send == nil {
 		h.Host.Send(id, to, until)
 		return
@@ -47,19 +47,19 @@
 	h.send(h.Host, id, to, until)
 }
 
-func (h hands) Reject(id decision.RequestID, after time.Duration) {
-	if h.refuse == nil {
+func (h interferingHost) Reject(id decision.RequestID, after time.Duration) {
+	if h.reject == nil {
 		h.Host.Reject(id, after)
 		return
 	}
-	h.refuse(h.Host, id)
+	h.reject(h.Host, id)
 }
 
 // Each flaw breaks one rule, and the model says which.
-func TestTheModelConvictsFlawedPolicies(t *testing.T) {
-	entries := func(change func(*decision.Backend)) func(*policy, *hands) {
-		return func(f *policy, _ *hands) {
-			f.list = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
+func TestModelRejectsFlawedPolicies(t *testing.T) {
+	entries := func(change func(*decision.Backend)) func(*policy, *interferingHost) {
+		return func(f *policy, _ *interferingHost) {
+			f.rewriteList = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
 				var all []decision.Backend
 				for _, e := range m.Backends {
 					change(&e)
@@ -74,13 +74,13 @@
 		name, rule string
 		calm       bool
 		cfg        func(*decision.Config)
-		spoil      func(*policy, *hands)
+		spoil      func(*policy, *interferingHost)
 	}{
-		{"answers twice", "rule 1", false, nil, func(_ *policy, h *hands) {
-			h.refuse = func(h decision.Host, id decision.RequestID) { h.Reject(id, 0); h.Fail(id) }
+		{"answers twice", "rule 1", false, nil, func(_ *policy, h *interferingHost) {
+			h.reject = func(h decision.Host, id decision.RequestID) { h.Reject(id, 0); h.Fail(id) }
 		}},
-		{"never refuses", "rule 1", false, nil, func(_ *policy, h *hands) {
-			h.refuse = func(decision.Host, decision.RequestID) {}
+		{"never refuses", "rule 1", false, nil, func(_ *policy, h *interferingHost) {
+			h.reject = func(decision.Host, decision.RequestID) {}
 		}},
 		{"repeats what may not be", "rule 2", false, func(c *decision.Config) {
 			for i := range c.Classes {
@@ -99,11 +99,11 @@
 		}, nil},
 		{"sends two at once", "rule 2", false, func(c *decision.Config) { c.Capabilities.HedgedRequests = true }, nil},
 		{"sends on to what drains", "rule 3: send", false, nil, entries(func(e *decision.Backend) { e.State = decision.Ready })},
-		{"sends to what is out by hand", "rule 3: send", false, nil, func(f *policy, _ *hands) { f.deaf = true }},
+		{"sends to what is out by hand", "rule 3: send", false, nil, func(f *policy, _ *interferingHost) { f.ignoresDetach = true }},
 		{"sends to what nobody listed", "listed", false, nil, entries(func(e *decision.Backend) { e.ID += 100 })},
-		{"sends all to the one that started last", "rule 4", true, nil, func(f *policy, h *hands) {
+		{"sends all to the one that started last", "rule 4", true, nil, func(f *policy, h *interferingHost) {
 			last := decision.Backend{}
-			f.list = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
+			f.rewriteList = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
 				for _, e := range m.Backends {
 					if e.Started > last.Started {
 						last = e
@@ -118,16 +118,16 @@
 				h.Send(id, to, until)
 			}
 		}},
-		{"builds its checker anew with each list", "health", false, nil, func(f *policy, _ *hands) {
-			f.list = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
+		{"builds its checker anew with each list", "health", false, nil, func(f *policy, _ *interferingHost) {
+			f.rewriteList = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
 				return []decision.EndpointUpdate{{Kind: decision.UpdateFull}, m}
 			}
 		}},
-		{"keeps an answer back", "parked", false, nil, func(_ *policy, h *hands) {
-			h.refuse = func(h decision.Host, id decision.RequestID) {
+		{"keeps an answer back", "parked", false, nil, func(_ *policy, h *interferingHost) {
+			h.reject = func(h decision.Host, id decision.RequestID) {
 				x := h.(*proxy)
 				if r := x.model.byID[id]; !r.StreamedBody {
-					x.at(r.Deadline-x.now-10*milli, func() { x.model.now = x.now; x.Reject(id, 0) })
+					x.schedule(r.Deadline-x.now-10*milli, func() { x.model.now = x.now; x.Reject(id, 0) })
 				} else {
 					x.Reject(id, 0)
 				}
@@ -137,7 +137,7 @@
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
 			spoiled := func(cfg decision.Config, seed uint64, h decision.Host) (*policy, error) {
-				f, spoilt := &policy{}, &hands{Host: h}
+				f, spoilt := &policy{}, &interferingHost{Host: h}
 				if k.spoil != nil {
 					k.spoil(f, spoilt)
 				}
@@ -151,7 +151,7 @@
 			}
 			found := ""
 			for seed := uint64(0); seed < 40 && !strings.HasPrefix(found, k.rule); seed++ {
-				broken, _, _, err := play(seed, spoiled, manner{calm: k.calm, graceOnly: strings.HasPrefix(k.rule, "rule 3")})
+				broken, _, _, err := runHistory(seed, spoiled, runOptions{restartsOnly: k.calm, drainGraceOnly: strings.HasPrefix(k.rule, "rule 3")})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/decision/crossing_test.go
+++ b/decision/crossing_test.go
@@ -8,8 +8,8 @@
 
 // Two events that cross at a request: what comes after the one must not undo it.
 
-// asked gives a balancer with one request whose first attempt is out at the backend.
-func asked(t *testing.T, cfg Config, class, backends int) (*Balancer, *recorder, BackendID) {
+// openedRequest gives a balancer with one request whose first attempt is out at the backend.
+func openedRequest(t *testing.T, cfg Config, class, backends int) (*Balancer, *recorder, BackendID) {
 	t.Helper()
 	b, h := newBalancer(t, cfg, backends)
 	b.Request(second, Request{ID: 1, Class: class, Deadline: 4 * second})
@@ -20,8 +20,8 @@
 	return b, h, sends[0].to
 }
 
-// all fires what the module may have set, sends a list and lets time go by, after a request has ended.
-func all(b *Balancer, from time.Duration, attempts int) {
+// fireEverything fires what the module may have set, sends a list and lets time go by, after a request has ended.
+func fireEverything(b *Balancer, from time.Duration, attempts int) {
 	for n := range attempts {
 		b.Timer(from, timerAttempt<<56|uint64(n)<<32|1)
 	}
@@ -36,7 +36,7 @@
 }
 
 // A client leaves: nothing new goes out for it and no answer is given, wherever its request was, whatever comes after.
-func TestNothingFollowsAClientsLeave(t *testing.T) {
+func TestNothingFollowsClientGone(t *testing.T) {
 	none := func(t *testing.T, h *recorder) {
 		t.Helper()
 		if got := h.take("send", "refuse", "fail"); len(got) != 0 {
@@ -48,20 +48,20 @@
 			b, h := newBalancer(t, testConfig(), 0)
 			b.Request(second, Request{ID: 1, Class: class, Deadline: 4 * second})
 			b.ClientGone(second+milli, 1)
-			all(b, second+2*milli, 0)
+			fireEverything(b, second+2*milli, 0)
 			none(t, h)
 		})
 		for _, result := range []Result{OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent} {
 			t.Run(fmt.Sprintf("in an attempt, class %d, which ends with %d", class, result), func(t *testing.T) {
-				b, h, to := asked(t, testConfig(), class, 6)
+				b, h, to := openedRequest(t, testConfig(), class, 6)
 				b.ClientGone(second+milli, 1)
 				if got := h.take("cancel"); len(got) != 1 {
 					t.Errorf("its attempt is not called off: %v", got)
 				}
-				all(b, second+2*milli, 1)
+				fireEverything(b, second+2*milli, 1)
 				b.Outcome(second+3*milli, Outcome{ID: 1, Backend: to, Result: result})
 				b.Outcome(second+3*milli, Outcome{ID: 1, Backend: to, Result: result})
-				all(b, second+4*milli, 1)
+				fireEverything(b, second+4*milli, 1)
 				none(t, h)
 				if len(b.requests) != 0 || b.openRequests != 0 {
 					t.Errorf("%d requests are held, %d count as open", len(b.requests), b.openRequests)
@@ -69,28 +69,28 @@
 			})
 		}
 		t.Run(fmt.Sprint("between two attempts, class ", class), func(t *testing.T) {
-			b, h, to := asked(t, testConfig(), class, 1)
+			b, h, to := openedRequest(t, testConfig(), class, 1)
 			b.targets[0].limit.limit, b.targets[0].limit.inFlight, b.targets[0].limit.load = 1, 9, 9 // no room: it waits
 			b.Outcome(second+milli, Outcome{ID: 1, Backend: to, Result: ConnectFailed})
 			if got := h.take("send", "refuse", "fail"); len(got) != 0 || len(b.queue) != 1 {
 				t.Fatalf("it does not wait: %v", got)
 			}
 			b.ClientGone(second+2*milli, 1)
-			all(b, second+3*milli, 1)
+			fireEverything(b, second+3*milli, 1)
 			none(t, h)
 		})
 	}
 }
 
 // A request has its answer: the timer of its hedge, another list and a late end of its first attempt change nothing.
-func TestNothingFollowsAnAnswer(t *testing.T) {
+func TestNothingFollowsFinalAnswer(t *testing.T) {
 	for class := range 4 {
 		for _, copies := range []bool{true, false} {
 			cfg := testConfig()
 			cfg.Capabilities.HedgedRequests = copies
-			b, h, to := asked(t, cfg, class, 6)
+			b, h, to := openedRequest(t, cfg, class, 6)
 			b.Outcome(second+50*milli, Outcome{ID: 1, Backend: to, Result: OK, Final: true})
-			all(b, second+51*milli, 2)
+			fireEverything(b, second+51*milli, 2)
 			b.Outcome(second+60*milli, Outcome{ID: 1, Backend: to, Result: Reset})
 			if got := h.take("send", "refuse", "fail", "cancel"); len(got) != 0 {
 				t.Errorf("class %d, copies %v: after its answer: %v", class, copies, got)
@@ -100,9 +100,9 @@
 }
 
 // The answer and the hedge cross: what is out beside the attempt that won is called off, and its end counts no more.
-func TestACopyIsCalledOffOnceTheOtherHasWon(t *testing.T) {
+func TestHedgedRequestIsCancelledOnceOtherWins(t *testing.T) {
 	for winner := range 2 {
-		b, h, to := asked(t, testConfig(), safe, 6)
+		b, h, to := openedRequest(t, testConfig(), idempotent, 6)
 		b.Timer(second+400*milli, timerAttempt<<56|1)
 		copies := h.take("send")
 		if len(copies) != 1 {
@@ -114,7 +114,7 @@
 			t.Errorf("attempt %d won: %v", winner, got)
 		}
 		b.Outcome(second+501*milli, Outcome{ID: 1, Attempt: 1 - winner, Backend: at[1-winner], Result: Reset, Final: true})
-		all(b, second+502*milli, 2)
+		fireEverything(b, second+502*milli, 2)
 		if got := h.take("send", "refuse", "fail", "cancel"); len(got) != 0 {
 			t.Errorf("attempt %d won: afterwards %v", winner, got)
 		}
@@ -123,7 +123,7 @@
 
 // A reset after the request began, for each effect and each group, before and after the end of a window, also one that is
 // shorter than a tick: it is repeated only where, and as long as, the settings allow, and else answered at once.
-func TestAResetAfterTheRequestBegan(t *testing.T) {
+func TestResetAfterRequestBegan(t *testing.T) {
 	const n = 12 // backends of two zones and three cells
 	place := func(id BackendID) (zone, cell int) { return (int(id) - 1) % 2, (int(id) - 1) % 3 }
 	for _, k := range []struct {
@@ -148,7 +148,7 @@
 			cfg := testConfig()
 			k.class.Name, k.class.LatencyObjective, k.class.ClientTimeout, k.class.PriorityWeight = "c", second, 3*second, 1
 			cfg.Classes = []Class{k.class}
-			b, h, to := asked(t, cfg, 0, n)
+			b, h, to := openedRequest(t, cfg, 0, n)
 			zone, cell := place(to)
 			for _, e := range list(n) { // of its group it alone is left: any other place is outside
 				z, c := place(e.ID)
@@ -180,9 +180,9 @@
 }
 
 // An end that is told twice counts once: what waits to be repeated is not placed, and sent, twice.
-func TestAnEndThatIsToldTwiceCountsOnce(t *testing.T) {
+func TestDuplicateOutcomeCountsOnce(t *testing.T) {
 	for class := range 4 {
-		b, h, to := asked(t, testConfig(), class, 6)
+		b, h, to := openedRequest(t, testConfig(), class, 6)
 		for _, o := range b.targets {
 			o.limit.limit, o.limit.inFlight, o.limit.load = 1, 9, 9 // no room: it waits
 		}
@@ -200,9 +200,9 @@
 }
 
 // An attempt fails when an answer to another could not be of use any more: there is none, and the answer comes at once.
-func TestAFailureAtTheEndIsAnsweredAtOnce(t *testing.T) {
+func TestLateFailureIsAnsweredAtOnce(t *testing.T) {
 	for class, want := range []string{"refuse", "fail", "fail", "refuse"} {
-		b, h, to := asked(t, testConfig(), class, 6)
+		b, h, to := openedRequest(t, testConfig(), class, 6)
 		b.Outcome(2*second-3*milli, Outcome{ID: 1, Backend: to, Result: Timeout}) // its aim of 1 s is all that earns
 		if got := h.take("send", "refuse", "fail"); len(got) != 1 || got[0].verb != want {
 			t.Errorf("class %d: %v, want one %s", class, got, want)
@@ -212,14 +212,14 @@
 
 // The window counts from the first attempt that may have run, however many follow, and not from one that is proved not to
 // have run.
-func TestAWindowCountsFromTheFirstThatMayHaveRun(t *testing.T) {
+func TestWindowStartsAtFirstAttemptThatMayHaveRun(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{{Name: "c", LatencyObjective: second, ClientTimeout: 3 * second, PriorityWeight: 1, Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll, DeduplicationWindow: 100 * milli}}
 	for _, k := range []struct {
 		first Result
 		want  string
 	}{{ConnectFailed, "send"}, {Rejected, "send"}, {NotSent, "send"}, {Reset, "refuse"}, {Error, "refuse"}} {
-		b, h, to := asked(t, cfg, 0, 12)
+		b, h, to := openedRequest(t, cfg, 0, 12)
 		b.Outcome(second+60*milli, Outcome{ID: 1, Backend: to, Result: k.first})
 		next := h.take("send")
 		if len(next) != 1 {
@@ -233,7 +233,7 @@
 }
 
 // Little time is left, or none, or less than a tick: the request is sent within it or answered, and never sent after.
-func TestADeadlineShorterThanATick(t *testing.T) {
+func TestDeadlineShorterThanTick(t *testing.T) {
 	cfg := testConfig()
 	for class := range 4 {
 		for _, left := range []time.Duration{-second, 0, 1, milli, cfg.Tick - 1, cfg.Tick, 2 * cfg.Tick} {
@@ -258,7 +258,7 @@
 }
 
 // A backend drains, leaves or is taken out by hand while a request waits for it: the request does not go there.
-func TestADrainWhileARequestWaits(t *testing.T) {
+func TestDrainWhileRequestIsQueued(t *testing.T) {
 	for name, leave := range map[string]func(*Balancer){
 		"drains": func(b *Balancer) {
 			b.UpdateEndpoints(second+milli, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{{ID: 1, State: Draining}}})
--- a/decision/draw_test.go
+++ b/decision/draw_test.go
@@ -15,122 +15,122 @@
 
 const milli = time.Millisecond
 
-// maker makes what is under test: the module, or a flawed one.
-type maker func(cfg decision.Config, seed uint64, h decision.Host) (*policy, error)
+// policyFactory makes what is under test: the module, or a flawed one.
+type policyFactory func(cfg decision.Config, seed uint64, h decision.Host) (*policy, error)
 
-func theModule(cfg decision.Config, seed uint64, h decision.Host) (*policy, error) {
+func newBalancerPolicy(cfg decision.Config, seed uint64, h decision.Host) (*policy, error) {
 	b, err := decision.New(cfg, seed, h)
 	return &policy{Balancer: b}, err
 }
 
-// drawn is a run drawn from a seed: servers, some proxies, and what happens to them.
-type drawn struct {
-	rng     *rand.Rand
-	cfg     decision.Config
-	now     time.Duration
-	queue   []event
-	serial  int
-	step    int
-	proxies []*proxy
-	servers map[decision.BackendID]*machine
-	fleet   *books
-	lastID  decision.RequestID
-	odd     bool          // events come twice, late, or for what is no more
-	instant bool          // answers take no time
-	hints   bool          // requests tell of their work
-	well    bool          // all servers are, to the end
-	wide    bool          // settings are drawn widely, see widely
-	work    time.Duration // that a request asks for, on average
-	trace   []string
-	broken  []string
-}
-
-type event struct {
+// history is a run drawn from a seed: servers, some proxies, and what happens to them.
+type history struct {
+	random         *rand.Rand
+	config         decision.Config
+	now            time.Duration
+	queue          []historyEvent
+	nextSerial     int
+	step           int
+	proxies        []*proxy
+	servers        map[decision.BackendID]*backendServer
+	loads          *backendLoads
+	lastID         decision.RequestID
+	oddEvents      bool          // events come twice, late, or for what is no more
+	instantAnswers bool          // answers take no time
+	workHints      bool          // requests tell of their work
+	allHealthy     bool          // all servers are, to the end
+	anySettings    bool          // settings are drawn widely, see widely
+	meanWork       time.Duration // that a request asks for, on average
+	trace          []string
+	violations     []string
+}
+
+type historyEvent struct {
 	at     time.Duration
 	serial int
-	do     func()
+	run    func()
 }
 
-// machine is a server as it is, whatever lists say.
-type machine struct {
+// backendServer is a server as it is, whatever lists say.
+type backendServer struct {
 	decision.Backend
-	mood decision.Result // how it answers; decision.OK is well
-	free time.Duration   // when what it has is done
-	slow float64
+	result    decision.Result // how it answers; decision.OK is well
+	busyUntil time.Duration   // when what it has is done
+	slowdown  float64
 }
 
 // proxy is a host for a policy, with a model beside it.
 type proxy struct {
-	*drawn
-	model *model
-	p     *policy
-	tells int // lists that this proxy was told
+	*history
+	model     *model
+	policy    *policy
+	listsSeen int // lists that this proxy was told
 }
 
-func (d *drawn) at(in time.Duration, do func()) {
-	d.serial++
-	e := event{d.now + max(in, 0), d.serial, do}
-	i, _ := slices.BinarySearchFunc(d.queue, e, func(a, b event) int { // the next one comes last
+func (d *history) schedule(in time.Duration, do func()) {
+	d.nextSerial++
+	e := historyEvent{d.now + max(in, 0), d.nextSerial, do}
+	i, _ := slices.BinarySearchFunc(d.queue, e, func(a, b historyEvent) int { // the next one comes last
 		return cmp.Or(cmp.Compare(b.at, a.at), cmp.Compare(b.serial, a.serial))
 	})
 	d.queue = slices.Insert(d.queue, i, e)
 }
 
-func (d *drawn) note(format string, args ...any) {
+func (d *history) note(format string, args ...any) {
 	d.trace = append(d.trace, fmt.Sprintf("%d %v ", d.step, d.now)+fmt.Sprintf(format, args...))
 }
 
-// tell hands an event to a proxy and to its model, and looks at what came of it.
-func (x *proxy) tell(what string, model, real func()) {
+// report hands an event to a proxy and to its model, and looks at what came of it.
+func (x *proxy) report(what string, model, real func()) {
 	if what != "timer" {
 		x.note("proxy %d: %s", slices.Index(x.proxies, x), what)
 	}
 	x.model.now = x.now
 	model()
 	real()
-	x.model.settled(x.p.CountBackends())
-	if len(x.broken) == 0 {
-		x.broken = append(x.broken, x.model.broken...)
+	x.model.check(x.policy.CountBackends())
+	if len(x.violations) == 0 {
+		x.violations = append(x.violations, x.model.violations...)
 	}
 }
 
-// event is tell, and now and then the list changes right after.
-func (x *proxy) event(what string, model, real func()) {
-	x.tell(what, model, real)
-	if x.rng.IntN(8) == 0 {
-		x.list()
+// reportThenList is tell, and now and then the list changes right after.
+func (x *proxy) reportThenList(what string, model, real func()) {
+	x.report(what, model, real)
+	if x.random.IntN(8) == 0 {
+		x.sendList()
 	}
 }
 
-// list tells of servers as they are now, in one of the forms.
-func (x *proxy) list() {
-	l := decision.EndpointUpdate{Version: math.MaxUint32 - 3 + uint32(x.tells)} // wraps
-	x.tells++
+// sendList tells of servers as they are now, in one of the forms.
+func (x *proxy) sendList() {
+	l := decision.EndpointUpdate{Version: math.MaxUint32 - 3 + uint32(x.listsSeen)} // wraps
+	x.listsSeen++
 	all := x.backends()
-	switch x.rng.IntN(10) {
+	switch x.random.IntN(10) {
 	case 0:
 		l.Kind = decision.UpdateFailed
 	case 1, 2, 3:
-		l.Kind = []decision.UpdateKind{decision.UpdateFull, decision.UpdateCached}[x.rng.IntN(2)]
+		l.Kind = []decision.UpdateKind{decision.UpdateFull, decision.UpdateCached}[x.random.IntN(2)]
 		l.Backends = slices.DeleteFunc(all, func(e decision.Backend) bool { return e.State == decision.Removed })
 	default:
 		l.Kind, l.Backends = decision.UpdateDelta, all
 		if len(all) > 0 {
-			l.Backends = all[:1+x.rng.IntN(len(all))]
+			l.Backends = all[:1+x.random.IntN(len(all))]
 		}
 	}
-	x.tell(fmt.Sprintf("list %d %s", l.Kind, brief(l.Backends)), func() { x.model.list(l) },
-		func() { x.p.UpdateEndpoints(x.now, l) })
+	x.report(fmt.Sprintf("list %d %s", l.Kind, describeBackends(l.Backends)), func() { x.model.endpoints(l) },
+		func() { x.policy.UpdateEndpoints(x.now, l) })
 }
 
-func brief(bs []decision.Backend) (s string) {
+func describeBackends(bs []decision.Backend) (s string) {
 	for _, b := range bs {
 		s += fmt.Sprintf(" %d%c", b.ID, "grd"[b.State])
 	}
 	return s
 }
 
-func (d *drawn) ids() []decision.BackendID {
+func (d *history) ids() []decision.BackendID {
 	var ids []decision.BackendID
 	for id := range d.servers {
 		ids = append(ids, id)
@@ -140,7 +140,7 @@
 }
 
 // backends are all servers as they are now, in the order of their ids.
-func (d *drawn) backends() (all []decision.Backend) {
+func (d *history) backends() (all []decision.Backend) {
 	for _, id := range d.ids() {
 		all = append(all, d.servers[id].Backend)
 	}
@@ -153,103 +153,103 @@
 	x.note("  send %d to %d until %v", id, to, until)
 	x.model.send(id, to)
 	r, s := x.model.byID[id], x.servers[to]
-	if r == nil || s == nil || len(r.tries) == 0 {
+	if r == nil || s == nil || len(r.attempts) == 0 {
 		return
 	}
-	n := len(r.tries) - 1
+	n := len(r.attempts) - 1
 	if until <= 0 || until > r.Deadline || r.StreamedBody {
 		until = r.Deadline
 	}
 	took := x.serve(s, r.work)
-	result := s.mood
+	result := s.result
 	switch result {
 	case decision.ConnectFailed:
-		took = x.cfg.Capabilities.ConnectTimeout
+		took = x.config.Capabilities.ConnectTimeout
 	case decision.Timeout:
 		took = math.MaxInt64 / 4
 	case decision.Error, decision.Reset, decision.Rejected, decision.Cancelled, decision.NotSent:
-		took = time.Duration(x.rng.IntN(3)) * 5 * milli
+		took = time.Duration(x.random.IntN(3)) * 5 * milli
 	}
-	if x.odd && x.rng.IntN(20) == 0 {
+	if x.oddEvents && x.random.IntN(20) == 0 {
 		took = 0
 	}
-	if r.StreamedBody && !r.whole { // whole goes on with it
+	if r.StreamedBody && !r.bodyComplete { // whole goes on with it
 		if result != decision.OK && result != decision.Timeout {
-			x.at(took, func() { x.ends(id, n, result) })
+			x.schedule(took, func() { x.endAttempt(id, n, result) })
 		}
 		return
 	}
-	x.later(r, n, result, took, until)
+	x.scheduleEnd(r, n, result, took, until)
 }
 
-// later has an attempt end after some time, or at its time-out.
-func (x *proxy) later(r *asked, n int, result decision.Result, took, until time.Duration) {
+// scheduleEnd has an attempt end after some time, or at its time-out.
+func (x *proxy) scheduleEnd(r *modelRequest, n int, result decision.Result, took, until time.Duration) {
 	if x.now+took >= until {
 		took, result = max(0, until-x.now), decision.Timeout
 	}
-	if result == decision.OK && (x.cfg.Classes[r.Class].StreamedResponse || x.rng.IntN(20) == 0) {
-		x.at(took, func() { x.begins(r.ID, n) })
+	if result == decision.OK && (x.config.Classes[r.Class].StreamedResponse || x.random.IntN(20) == 0) {
+		x.schedule(took, func() { x.beginAnswer(r.ID, n) })
 		return
 	}
-	x.at(took, func() { x.ends(r.ID, n, result) })
+	x.schedule(took, func() { x.endAttempt(r.ID, n, result) })
 }
 
 // serve is how long a server takes for work that comes now: one after the other.
-func (x *proxy) serve(s *machine, ms time.Duration) time.Duration {
-	if x.instant {
+func (x *proxy) serve(s *backendServer, ms time.Duration) time.Duration {
+	if x.instantAnswers {
 		return 0
 	}
-	speed := x.fleet.speed[s.ID] / s.slow
-	o := x.cfg.Constraints
+	speed := x.loads.speed[s.ID] / s.slowdown
+	o := x.config.Constraints
 	if age := x.now - s.Started; s.Started > 0 && age < o.WarmUp {
 		speed *= o.InitialCapacity + (1-o.InitialCapacity)*float64(age)/float64(o.WarmUp)
 	}
-	s.free = max(s.free, x.now) + time.Duration(float64(ms)/speed)
-	return s.free - x.now + milli
+	s.busyUntil = max(s.busyUntil, x.now) + time.Duration(float64(ms)/speed)
+	return s.busyUntil - x.now + milli
 }
 
-func (x *proxy) begins(id decision.RequestID, n int) {
+func (x *proxy) beginAnswer(id decision.RequestID, n int) {
 	r := x.model.byID[id]
-	if r.over || r.streams { // nobody wants it any more
-		x.ends(id, n, decision.OK)
+	if r.ended || r.streaming { // nobody wants it any more
+		x.endAttempt(id, n, decision.OK)
 		return
 	}
-	if r.tries[n].over {
+	if r.attempts[n].done {
 		return
 	}
-	f := decision.FirstByte{ID: id, Attempt: n, Backend: r.tries[n].to, Latency: x.now - r.tries[n].sent}
-	x.event(fmt.Sprintf("first byte of %d/%d", id, n), func() { r.streams = true }, func() { x.p.FirstByte(x.now, f) })
-	x.at(time.Duration(x.rng.IntN(500))*milli, func() {
-		x.ends(id, n, []decision.Result{decision.OK, decision.Reset}[x.rng.IntN(2)])
+	f := decision.FirstByte{ID: id, Attempt: n, Backend: r.attempts[n].target, Latency: x.now - r.attempts[n].sent}
+	x.reportThenList(fmt.Sprintf("first byte of %d/%d", id, n), func() { r.streaming = true }, func() { x.policy.FirstByte(x.now, f) })
+	x.schedule(time.Duration(x.random.IntN(500))*milli, func() {
+		x.endAttempt(id, n, []decision.Result{decision.OK, decision.Reset}[x.random.IntN(2)])
 	})
 }
 
-// ends brings an outcome, now and then once more later, or another one.
-func (x *proxy) ends(id decision.RequestID, n int, result decision.Result) {
+// endAttempt brings an outcome, now and then once more later, or another one.
+func (x *proxy) endAttempt(id decision.RequestID, n int, result decision.Result) {
 	r := x.model.byID[id]
-	t := r.tries[n]
-	if !t.over {
-		spent := r.StreamedBody && result != decision.OK && x.rng.IntN(2) == 0
-		o := decision.Outcome{ID: id, Attempt: n, Backend: t.to, Result: result, Latency: x.now - t.sent, BodyConsumed: spent}
-		if x.odd && x.rng.IntN(10) == 0 {
-			o.Latency = []time.Duration{0, -time.Hour, math.MaxInt64, math.MinInt64}[x.rng.IntN(4)]
+	t := r.attempts[n]
+	if !t.done {
+		spent := r.StreamedBody && result != decision.OK && x.random.IntN(2) == 0
+		o := decision.Outcome{ID: id, Attempt: n, Backend: t.target, Result: result, Latency: x.now - t.sent, BodyConsumed: spent}
+		if x.oddEvents && x.random.IntN(10) == 0 {
+			o.Latency = []time.Duration{0, -time.Hour, math.MaxInt64, math.MinInt64}[x.random.IntN(4)]
 		}
-		x.event(fmt.Sprintf("outcome %d of %d/%d", result, id, n), func() { x.model.outcome(id, n, result, spent) },
-			func() { o.Final = r.over; x.p.Outcome(x.now, o) })
+		x.reportThenList(fmt.Sprintf("outcome %d of %d/%d", result, id, n), func() { x.model.outcome(id, n, result, spent) },
+			func() { o.Final = r.ended; x.policy.Outcome(x.now, o) })
 	}
-	if !x.odd || x.rng.IntN(6) > 0 {
+	if !x.oddEvents || x.random.IntN(6) > 0 {
 		return
 	}
-	x.at(time.Duration(x.rng.IntN(2000))*milli, func() {
-		o := decision.Outcome{ID: id, Attempt: n, Backend: t.to, Result: decision.Result(x.rng.IntN(8)), Final: r.over}
-		x.event(fmt.Sprintf("outcome %d of %d/%d again", o.Result, id, n), func() {}, func() { x.p.Outcome(x.now, o) })
+	x.schedule(time.Duration(x.random.IntN(2000))*milli, func() {
+		o := decision.Outcome{ID: id, Attempt: n, Backend: t.target, Result: decision.Result(x.random.IntN(8)), Final: r.ended}
+		x.reportThenList(fmt.Sprintf("outcome %d of %d/%d again", o.Result, id, n), func() {}, func() { x.policy.Outcome(x.now, o) })
 	})
 }
 
 func (x *proxy) Reject(id decision.RequestID, after time.Duration) {
 	x.note("  refuse %d", id)
-	if after < 0 || after > x.cfg.Capabilities.MaxRetryAfter {
-		x.model.breaks("listed", "request %d is to come again after %v", id, after)
+	if after < 0 || after > x.config.Capabilities.MaxRetryAfter {
+		x.model.violation("listed", "request %d is to come again after %v", id, after)
 	}
 	x.model.final(id, true)
 }
@@ -261,8 +261,8 @@
 
 func (x *proxy) Cancel(id decision.RequestID, n int) {
 	x.note("  cancel %d/%d", id, n)
-	if x.model.cancel(id, n); len(x.model.broken) == 0 {
-		x.at(0, func() { x.ends(id, n, decision.Cancelled) })
+	if x.model.cancel(id, n); len(x.model.violations) == 0 {
+		x.schedule(0, func() { x.endAttempt(id, n, decision.Cancelled) })
 	}
 }
 
@@ -273,29 +273,29 @@
 	if s == nil {
 		return
 	}
-	took := time.Duration(1+x.rng.IntN(10)) * milli
-	if s.mood == decision.Timeout || s.mood == decision.ConnectFailed {
-		took = x.cfg.Capabilities.ConnectTimeout
+	took := time.Duration(1+x.random.IntN(10)) * milli
+	if s.result == decision.Timeout || s.result == decision.ConnectFailed {
+		took = x.config.Capabilities.ConnectTimeout
 	}
-	if x.wide {
-		took = min(took, x.cfg.Capabilities.ConnectTimeout)
+	if x.anySettings {
+		took = min(took, x.config.Capabilities.ConnectTimeout)
 	}
 	told := took
-	if x.odd && x.rng.IntN(8) == 0 {
-		told = []time.Duration{0, -time.Hour, math.MaxInt64, math.MinInt64}[x.rng.IntN(4)]
+	if x.oddEvents && x.random.IntN(8) == 0 {
+		told = []time.Duration{0, -time.Hour, math.MaxInt64, math.MinInt64}[x.random.IntN(4)]
 	}
 	results := 1
-	if x.odd && x.rng.IntN(6) == 0 {
+	if x.oddEvents && x.random.IntN(6) == 0 {
 		results = 2
 	}
 	for i := range results {
-		x.at(took+time.Duration(i*x.rng.IntN(3000))*milli, func() {
-			p := decision.HealthCheckResult{Backend: id, Result: s.mood, Latency: told}
+		x.schedule(took+time.Duration(i*x.random.IntN(3000))*milli, func() {
+			p := decision.HealthCheckResult{Backend: id, Result: s.result, Latency: told}
 			if i > 0 {
-				p.Result = decision.Result(x.rng.IntN(8))
+				p.Result = decision.Result(x.random.IntN(8))
 			}
-			x.event(fmt.Sprintf("probe of %d: %d", id, p.Result), func() { x.model.probed(id, p.Result) },
-				func() { x.p.HealthChecked(x.now, p) })
+			x.reportThenList(fmt.Sprintf("probe of %d: %d", id, p.Result), func() { x.model.healthChecked(id, p.Result) },
+				func() { x.policy.HealthChecked(x.now, p) })
 		})
 	}
 }
@@ -304,206 +304,206 @@
 func (x *proxy) SendToPeer(uint32, []byte)                 {}
 func (x *proxy) Log(string)                                {}
 func (x *proxy) FetchEndpoints()                           { x.WatchEndpoints(true) }
-func (x *proxy) WatchEndpoints(bool)                       { x.at(20*milli, x.list) }
+func (x *proxy) WatchEndpoints(bool)                       { x.schedule(20*milli, x.sendList) }
 func (x *proxy) StartTimer(in time.Duration, token uint64) {
 	in = max(in, milli)
-	if tick := x.cfg.Tick; x.wide && tick > 0 { // as where time goes by in ticks
+	if tick := x.config.Tick; x.anySettings && tick > 0 { // as where time goes by in ticks
 		in = (x.now+in+tick-1)/tick*tick - x.now
 	}
-	x.at(in, func() { x.event("timer", func() {}, func() { x.p.Timer(x.now, token) }) })
+	x.schedule(in, func() { x.reportThenList("timer", func() {}, func() { x.policy.Timer(x.now, token) }) })
 }
 
 // ---- what happens ----
 
-func (d *drawn) trouble() {
-	id := decision.BackendID(1 + d.rng.IntN(len(d.servers)))
+func (d *history) injectFault() {
+	id := decision.BackendID(1 + d.random.IntN(len(d.servers)))
 	s := d.servers[id]
-	switch d.rng.IntN(9) {
+	switch d.random.IntN(9) {
 	case 0, 1:
-		s.mood = []decision.Result{decision.OK, decision.OK, decision.Timeout, decision.Error, decision.Rejected,
-			decision.ConnectFailed, decision.Reset, decision.NotSent}[d.rng.IntN(8)]
-		d.note("server %d answers with %d", id, s.mood)
+		s.result = []decision.Result{decision.OK, decision.OK, decision.Timeout, decision.Error, decision.Rejected,
+			decision.ConnectFailed, decision.Reset, decision.NotSent}[d.random.IntN(8)]
+		d.note("server %d answers with %d", id, s.result)
 	case 2:
-		s.State = []decision.BackendState{decision.Draining, decision.Removed}[d.rng.IntN(2)]
+		s.State = []decision.BackendState{decision.Draining, decision.Removed}[d.random.IntN(2)]
 	case 3, 4: // it starts again: where it was, or after it had left
-		s.State, s.Started, s.mood, s.free = decision.Ready, d.now, decision.OK, d.now
+		s.State, s.Started, s.result, s.busyUntil = decision.Ready, d.now, decision.OK, d.now
 	case 5: // it returns as it was
 		s.State = decision.Ready
 	case 6: // all but one go, or all
 		for _, o := range d.servers {
 			o.State = decision.Removed
 		}
-		if d.rng.IntN(2) == 0 {
+		if d.random.IntN(2) == 0 {
 			s.State = decision.Ready
 		}
-		d.at(time.Second, func() {
+		d.schedule(time.Second, func() {
 			for _, id := range d.ids() {
 				d.servers[id].State = decision.Ready
 			}
-			d.lists()
+			d.sendLists()
 		})
 	case 7: // an order by hand
-		x := d.proxies[d.rng.IntN(len(d.proxies))]
-		x.tell(fmt.Sprintf("detach %d", id), func() { x.model.out[id] = true }, func() { x.p.Detach(d.now, id) })
-		d.at(time.Duration(d.rng.IntN(1500))*milli, func() {
-			x.tell(fmt.Sprintf("attach %d", id), func() { delete(x.model.out, id) }, func() { x.p.Attach(d.now, id) })
+		x := d.proxies[d.random.IntN(len(d.proxies))]
+		x.report(fmt.Sprintf("detach %d", id), func() { x.model.detached[id] = true }, func() { x.policy.Detach(d.now, id) })
+		d.schedule(time.Duration(d.random.IntN(1500))*milli, func() {
+			x.report(fmt.Sprintf("attach %d", id), func() { delete(x.model.detached, id) }, func() { x.policy.Attach(d.now, id) })
 		})
 	case 8:
-		if !d.odd {
+		if !d.oddEvents {
 			return
 		}
-		x := d.proxies[d.rng.IntN(len(d.proxies))]
-		none := decision.RequestID(d.rng.Uint32())
-		x.event("odd", func() {}, func() {
-			x.p.Outcome(d.now, decision.Outcome{ID: none, Attempt: d.rng.IntN(9) - 4})
-			x.p.HealthChecked(d.now, decision.HealthCheckResult{Backend: 9999, Latency: math.MinInt64})
-			x.p.FirstByte(d.now, decision.FirstByte{ID: none, Attempt: -1})
-			x.p.BodyComplete(d.now, none, 0)
-			x.p.ClientGone(d.now, none)
+		x := d.proxies[d.random.IntN(len(d.proxies))]
+		none := decision.RequestID(d.random.Uint32())
+		x.reportThenList("odd", func() {}, func() {
+			x.policy.Outcome(d.now, decision.Outcome{ID: none, Attempt: d.random.IntN(9) - 4})
+			x.policy.HealthChecked(d.now, decision.HealthCheckResult{Backend: 9999, Latency: math.MinInt64})
+			x.policy.FirstByte(d.now, decision.FirstByte{ID: none, Attempt: -1})
+			x.policy.BodyComplete(d.now, none, 0)
+			x.policy.ClientGone(d.now, none)
 		})
 	}
-	d.lists()
+	d.sendLists()
 }
 
-// lists tells all proxies, each after a time of its own.
-func (d *drawn) lists() {
+// sendLists tells all proxies, each after a time of its own.
+func (d *history) sendLists() {
 	for _, x := range d.proxies {
-		d.at(time.Duration(d.rng.IntN(300))*milli, x.list)
+		d.schedule(time.Duration(d.random.IntN(300))*milli, x.sendList)
 	}
 }
 
-func (x *proxy) ask() {
+func (x *proxy) sendRequest() {
 	x.lastID++
-	id, class := x.lastID, x.rng.IntN(len(x.cfg.Classes))
+	id, class := x.lastID, x.random.IntN(len(x.config.Classes))
 	if _, used := x.model.byID[id]; used {
 		return
 	}
-	ms := time.Duration(10+x.rng.IntN(40)) * x.work / 30 // of work
+	ms := time.Duration(10+x.random.IntN(40)) * x.meanWork / 30 // of work
 	cost := ms
-	if !x.hints {
+	if !x.workHints {
 		cost = 0
 	}
-	give := time.Duration(100+x.rng.IntN(2900)) * milli
-	if x.wide {
-		if most := x.cfg.Classes[class].ClientTimeout; x.well {
+	give := time.Duration(100+x.random.IntN(2900)) * milli
+	if x.anySettings {
+		if most := x.config.Classes[class].ClientTimeout; x.allHealthy {
 			give = most
 		} else {
 			give = max(milli, give*time.Duration(most/milli)/3000)
 		}
 	}
-	q := decision.Request{ID: id, Class: class, Key: uint64(x.rng.IntN(20)), ExpectedWork: cost,
-		Deadline: x.now + give, Tenant: x.rng.IntN(4) - 1, StreamedBody: x.rng.IntN(12) == 0}
-	x.event(fmt.Sprintf("request %d class %d", id, class), func() { x.model.request(q, ms) }, func() { x.p.Request(x.now, q) })
+	q := decision.Request{ID: id, Class: class, Key: uint64(x.random.IntN(20)), ExpectedWork: cost,
+		Deadline: x.now + give, Tenant: x.random.IntN(4) - 1, StreamedBody: x.random.IntN(12) == 0}
+	x.reportThenList(fmt.Sprintf("request %d class %d", id, class), func() { x.model.request(q, ms) }, func() { x.policy.Request(x.now, q) })
 	r := x.model.byID[id]
 	if q.StreamedBody {
-		x.at(time.Duration(x.rng.IntN(3000))*milli, func() {
-			if !r.over && !r.streams {
-				x.event(fmt.Sprintf("whole %d", id), func() { r.whole, r.Deadline = true, x.now+give },
-					func() { x.p.BodyComplete(x.now, id, x.now+give) })
+		x.schedule(time.Duration(x.random.IntN(3000))*milli, func() {
+			if !r.ended && !r.streaming {
+				x.reportThenList(fmt.Sprintf("whole %d", id), func() { r.bodyComplete, r.Deadline = true, x.now+give },
+					func() { x.policy.BodyComplete(x.now, id, x.now+give) })
 			}
-			for n, t := range r.tries {
-				if !t.over {
-					s := x.servers[t.to]
-					x.later(r, n, s.mood, x.serve(s, r.work), max(x.now, r.Deadline))
+			for n, t := range r.attempts {
+				if !t.done {
+					s := x.servers[t.target]
+					x.scheduleEnd(r, n, s.result, x.serve(s, r.work), max(x.now, r.Deadline))
 				}
 			}
 		})
-	} else if x.rng.IntN(40) == 0 {
-		x.at(time.Duration(x.rng.IntN(200))*milli, func() {
-			if !r.over && !r.streams {
-				x.event(fmt.Sprintf("client of %d leaves", id), func() { r.over = true }, func() { x.p.ClientGone(x.now, id) })
+	} else if x.random.IntN(40) == 0 {
+		x.schedule(time.Duration(x.random.IntN(200))*milli, func() {
+			if !r.ended && !r.streaming {
+				x.reportThenList(fmt.Sprintf("client of %d leaves", id), func() { r.ended = true }, func() { x.policy.ClientGone(x.now, id) })
 			}
 		})
 	}
 }
 
-// manner is what a run is drawn for.
-type manner struct {
-	calm      bool // servers start again one after the other, and nothing else happens: for the cold budget
-	graceOnly bool // see model
-	jump      bool // answers take no time at first, also for one of many proxies
-	wide      bool // the settings are those of any customer
+// runOptions is what a run is drawn for.
+type runOptions struct {
+	restartsOnly   bool // servers start again one after the other, and nothing else happens: for the cold budget
+	drainGraceOnly bool // see model
+	instantAnswers bool // answers take no time at first, also for one of many proxies
+	anySettings    bool // the settings are those of any customer
 }
 
-// play draws a run and gives what it broke, with the step and what went before.
-func play(seed uint64, of maker, how manner) (broken, trace []string, steps int, err error) {
+// runHistory draws a run and gives what it broke, with the step and what went before.
+func runHistory(seed uint64, of policyFactory, how runOptions) (broken, trace []string, steps int, err error) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	cfg := drawnConfig(rng)
+	cfg := randomSiteConfig(rng)
 	meanWork := 30 * milli
-	if how.wide {
-		meanWork = widely(&cfg, rand.New(rand.NewPCG(seed, 27)))
+	if how.anySettings {
+		meanWork = randomizeSettings(&cfg, rand.New(rand.NewPCG(seed, 27)))
 	}
-	d := &drawn{rng: rng, cfg: cfg, wide: how.wide, work: meanWork, now: time.Second, servers: map[decision.BackendID]*machine{}, odd: !how.calm && rng.IntN(4) > 0,
+	d := &history{random: rng, config: cfg, anySettings: how.anySettings, meanWork: meanWork, now: time.Second, servers: map[decision.BackendID]*backendServer{}, oddEvents: !how.restartsOnly && rng.IntN(4) > 0,
 		lastID: math.MaxUint32 - 200} // request ids wrap
-	d.hints = rng.IntN(2) == 0
-	d.instant = how.jump || !how.calm && cfg.Instances <= 8 && rng.IntN(6) == 0
+	d.workHints = rng.IntN(2) == 0
+	d.instantAnswers = how.instantAnswers || !how.restartsOnly && cfg.Instances <= 8 && rng.IntN(6) == 0
 	if rng.IntN(2) == 0 {
 		d.now = 1_790_000_000 * time.Second // as the engine's clock shows it
 	}
-	d.fleet = &books{speed: map[decision.BackendID]float64{}, sent: map[decision.BackendID][]work{}, slack: 12 * meanWork}
+	d.loads = &backendLoads{speed: map[decision.BackendID]float64{}, sent: map[decision.BackendID][]workSent{}, slack: 12 * meanWork}
 	servers := 1 + rng.IntN(9)
 	for i := range servers {
 		id := decision.BackendID(i + 1)
-		d.servers[id] = &machine{Backend: decision.Backend{ID: id, Zone: i % 2, Cell: i % 3, Kind: i % 2, State: decision.Ready, Weight: 1}, slow: 1}
-		if d.fleet.speed[id] = 1; d.instant {
-			d.fleet.speed[id] = 1e6
+		d.servers[id] = &backendServer{Backend: decision.Backend{ID: id, Zone: i % 2, Cell: i % 3, Kind: i % 2, State: decision.Ready, Weight: 1}, slowdown: 1}
+		if d.loads.speed[id] = 1; d.instantAnswers {
+			d.loads.speed[id] = 1e6
 		}
 	}
 	for i := range cfg.Instances {
 		c := cfg
 		c.Rank = i
-		x := &proxy{drawn: d, model: newModel(c, d.fleet)}
-		x.model.graceOnly = how.graceOnly
-		if x.p, err = of(c, seed*100+uint64(i), x); err != nil {
+		x := &proxy{history: d, model: newModel(c, d.loads)}
+		x.model.drainGraceOnly = how.drainGraceOnly
+		if x.policy, err = of(c, seed*100+uint64(i), x); err != nil {
 			return nil, nil, 0, err
 		}
 		d.proxies = append(d.proxies, x)
-		x.tell("start", func() {}, func() { x.p.Start(d.now) })
-		x.list()
+		x.report("start", func() {}, func() { x.policy.Start(d.now) })
+		x.sendList()
 	}
 	length := 12 * time.Second
-	if how.wide {
+	if how.anySettings {
 		length = max(length, 200*meanWork)
 	}
 	end := d.now + length
 	load := 0.4 + 0.6*rng.Float64() // of what the servers can do
-	gap := max(time.Duration(float64(meanWork)/load/float64(servers)), mostOften)
+	gap := max(time.Duration(float64(meanWork)/load/float64(servers)), minRequestGap)
 	for at := d.now; at < end; at += time.Duration(rng.ExpFloat64() * float64(gap)) {
 		if rng.IntN(2000) == 0 {
 			at += 2 * time.Second // nobody asks
 		}
 		x := d.proxies[rng.IntN(len(d.proxies))]
-		d.at(at-d.now, x.ask)
+		d.schedule(at-d.now, x.sendRequest)
 	}
-	if !how.calm {
+	if !how.restartsOnly {
 		for at := d.now; at < end; at += time.Duration(rng.IntN(500)) * length / 12000 {
-			d.at(at-d.now, d.trouble)
+			d.schedule(at-d.now, d.injectFault)
 		}
 	} else { // one server after the other starts again
 		for i := range servers {
-			d.at(length/6+time.Duration(i)*length*5/6/time.Duration(servers), func() {
+			d.schedule(length/6+time.Duration(i)*length*5/6/time.Duration(servers), func() {
 				s := d.servers[decision.BackendID(i+1)]
-				s.Started, s.free = d.now, d.now
-				d.lists()
+				s.Started, s.busyUntil = d.now, d.now
+				d.sendLists()
 			})
 		}
 	}
-	d.run(end + 7*time.Second)
-	if how.wide {
-		d.settles()
+	d.runUntil(end + 7*time.Second)
+	if how.anySettings {
+		d.settle()
 	}
 	if rng.IntN(4) == 0 { // all stands still for days, and what was due comes after
 		d.now += 200 * 24 * time.Hour
 	}
-	d.recovers()
-	return d.broken, d.trace, d.step, nil
+	d.recover()
+	return d.violations, d.trace, d.step, nil
 }
 
-// mostOften keeps runs with little work in each request short.
-const mostOften = 10 * milli
+// minRequestGap keeps runs with little work in each request short.
+const minRequestGap = 10 * milli
 
-// widely draws the figures of a customer of whatever kind, and gives the work of a request that goes with its aims.
-func widely(cfg *decision.Config, rng *rand.Rand) (work time.Duration) {
+// randomizeSettings draws the figures of a customer of whatever kind, and gives the work of a request that goes with its aims.
+func randomizeSettings(cfg *decision.Config, rng *rand.Rand) (work time.Duration) {
 	between := func(least, most time.Duration) time.Duration { // each order of magnitude alike
 		return time.Duration(float64(least) * math.Pow(float64(most)/float64(least), rng.Float64()))
 	}
@@ -541,26 +541,26 @@
 	return max(work, milli)
 }
 
-// settles waits for the last answers that are owed.
-func (d *drawn) settles() {
+// settle waits for the last answers that are owed.
+func (d *history) settle() {
 	most := time.Duration(0)
-	for _, c := range d.cfg.Classes {
+	for _, c := range d.config.Classes {
 		most = max(most, c.ClientTimeout)
 	}
-	d.run(d.now + most + 4*time.Second)
+	d.runUntil(d.now + most + 4*time.Second)
 	for _, x := range d.proxies {
-		x.tell("the end", func() {}, func() {})
-		for _, r := range x.model.asks {
-			if len(d.broken) == 0 && !r.over && !r.streams && (!r.StreamedBody || r.whole) {
-				d.broken = append(d.broken, fmt.Sprintf("rule 1: request %d has no answer at the end", r.ID))
+		x.report("the end", func() {}, func() {})
+		for _, r := range x.model.open {
+			if len(d.violations) == 0 && !r.ended && !r.streaming && (!r.StreamedBody || r.bodyComplete) {
+				d.violations = append(d.violations, fmt.Sprintf("rule 1: request %d has no answer at the end", r.ID))
 			}
 		}
 	}
 }
 
-// run handles what is due until then.
-func (d *drawn) run(until time.Duration) {
-	for len(d.queue) > 0 && len(d.broken) == 0 {
+// runUntil handles what is due until then.
+func (d *history) runUntil(until time.Duration) {
+	for len(d.queue) > 0 && len(d.violations) == 0 {
 		last := len(d.queue) - 1
 		e := d.queue[last]
 		if e.at > until {
@@ -568,84 +568,84 @@
 		}
 		d.queue = d.queue[:last]
 		d.now, d.step = max(d.now, e.at), d.step+1
-		e.do()
+		e.run()
 	}
 	d.now = max(d.now, until)
 }
 
-// recovers has all servers well and listed, and then requests come now and then: they must be served. What was odd
+// recover has all servers well and listed, and then requests come now and then: they must be served. What was odd
 // before must not have left anything that goes on.
-func (d *drawn) recovers() {
-	if len(d.broken) > 0 {
+func (d *history) recover() {
+	if len(d.violations) > 0 {
 		return
 	}
-	d.odd, d.instant, d.now = false, false, d.now+time.Second
+	d.oddEvents, d.instantAnswers, d.now = false, false, d.now+time.Second
 	for id := range d.servers {
-		d.fleet.speed[id] = 1
+		d.loads.speed[id] = 1
 	}
 	for _, id := range d.ids() {
 		s := d.servers[id]
-		s.State, s.mood, s.free = decision.Ready, decision.OK, 0
+		s.State, s.result, s.busyUntil = decision.Ready, decision.OK, 0
 	}
 	slow := decision.BackendID(1)
 	if len(d.servers) > 2 {
-		d.servers[slow].slow = 8
+		d.servers[slow].slowdown = 8
 	}
 	for _, x := range d.proxies {
-		for id := range x.model.out {
-			x.tell("attach", func() { delete(x.model.out, id) }, func() { x.p.Attach(d.now, id) })
+		for id := range x.model.detached {
+			x.report("attach", func() { delete(x.model.detached, id) }, func() { x.policy.Attach(d.now, id) })
 		}
 		l := decision.EndpointUpdate{Kind: decision.UpdateFull, Backends: d.backends()}
-		x.tell("list, all well", func() { x.model.list(l) }, func() { x.p.UpdateEndpoints(d.now, l) })
+		x.report("list, all well", func() { x.model.endpoints(l) }, func() { x.policy.UpdateEndpoints(d.now, l) })
 	}
-	d.well = true
-	if d.wide { // until none is cold by what anybody may suspect
-		d.run(d.now + d.cfg.Constraints.WarmUp + 10*d.cfg.Capabilities.ConnectTimeout)
+	d.allHealthy = true
+	if d.anySettings { // until none is cold by what anybody may suspect
+		d.runUntil(d.now + d.config.Constraints.WarmUp + 10*d.config.Capabilities.ConnectTimeout)
 	}
-	late, each := make([][]*asked, len(d.proxies)), max(100*milli, 3*d.work)
+	late, each := make([][]*modelRequest, len(d.proxies)), max(100*milli, 3*d.meanWork)
 	for i := range 100 * len(d.proxies) {
 		n := i % len(d.proxies)
-		d.at(time.Duration(i)*each, func() {
+		d.schedule(time.Duration(i)*each, func() {
 			x := d.proxies[n]
-			x.ask()
+			x.sendRequest()
 			if r := x.model.byID[x.lastID]; i >= 70*len(d.proxies) && !r.StreamedBody {
 				late[n] = append(late[n], r)
 			}
 		})
 	}
-	d.run(d.now + 100*each*time.Duration(len(d.proxies)) + 5*time.Second)
-	if d.wide {
-		d.settles()
+	d.runUntil(d.now + 100*each*time.Duration(len(d.proxies)) + 5*time.Second)
+	if d.anySettings {
+		d.settle()
 	}
 	there, sends := 0, 0
 	for n, asks := range late {
 		served := 0
 		for _, r := range asks {
-			for _, t := range r.tries {
-				if sends++; t.to == slow {
+			for _, t := range r.attempts {
+				if sends++; t.target == slow {
 					there++
 				}
 			}
-			if r.streams || slices.ContainsFunc(r.tries, func(t *try) bool { return t.over && t.result == decision.OK }) {
+			if r.streaming || slices.ContainsFunc(r.attempts, func(t *modelAttempt) bool { return t.done && t.result == decision.OK }) {
 				served++
 			}
 		}
 		// One of many spaces its attempts by means that fade by the count of requests, and not by time: see the test below.
-		if len(d.broken) == 0 && served < len(asks)*3/4 && !(d.wide && len(d.proxies) > 3) {
-			d.broken = append(d.broken, fmt.Sprintf("recovery: of %d requests proxy %d has only %d served, all servers being well", len(asks), n, served))
+		if len(d.violations) == 0 && served < len(asks)*3/4 && !(d.anySettings && len(d.proxies) > 3) {
+			d.violations = append(d.violations, fmt.Sprintf("recovery: of %d requests proxy %d has only %d served, all servers being well", len(asks), n, served))
 		}
 	}
 	fair, chance := float64(sends)/float64(len(d.servers)), 0.0
-	if d.wide { // few requests come in the spans of a slow site
+	if d.anySettings { // few requests come in the spans of a slow site
 		chance = 2 * math.Sqrt(fair)
 	}
-	if len(d.broken) == 0 && len(d.servers) > 2 && !d.cfg.KeyAffinity && float64(there) > 0.75*fair+chance {
-		d.broken = append(d.broken, fmt.Sprintf("recovery: of %d sends %d went to the one of %d servers that is 8 times as slow", sends, there, len(d.servers)))
+	if len(d.violations) == 0 && len(d.servers) > 2 && !d.config.KeyAffinity && float64(there) > 0.75*fair+chance {
+		d.violations = append(d.violations, fmt.Sprintf("recovery: of %d sends %d went to the one of %d servers that is 8 times as slow", sends, there, len(d.servers)))
 	}
 }
 
-// drawnConfig are settings of a site, with one class of each effect.
-func drawnConfig(rng *rand.Rand) decision.Config {
+// randomSiteConfig are settings of a site, with one class of each effect.
+func randomSiteConfig(rng *rand.Rand) decision.Config {
 	coin := func() bool { return rng.IntN(2) == 0 }
 	late := func() float64 { return []float64{0, 0.5}[rng.IntN(2)] }
 	cfg := decision.Config{Instances: 1 + rng.IntN(4), Tick: time.Duration(rng.IntN(3)) * 2 * milli, OverQuotaWeight: 0.1,
@@ -672,9 +672,9 @@
 	return cfg
 }
 
-// convict fails a test with all that is needed to play the run again: seed, step, and of the trace what concerns the
+// reportViolation fails a test with all that is needed to play the run again: seed, step, and of the trace what concerns the
 // requests and servers that are named, and the end.
-func convict(t *testing.T, seed uint64, broken, trace []string, step int) {
+func reportViolation(t *testing.T, seed uint64, broken, trace []string, step int) {
 	t.Helper()
 	t.Errorf("seed %d, step %d: %v", seed, step, broken)
 	end := max(0, len(trace)-15)
@@ -691,53 +691,53 @@
 	}
 }
 
-// keeps plays a run and fails the test if the module does not keep to the model.
-func keeps(t *testing.T, seed uint64, how manner) {
+// checkHistory plays a run and fails the test if the module does not keep to the model.
+func checkHistory(t *testing.T, seed uint64, how runOptions) {
 	t.Helper()
-	broken, trace, step, err := play(seed, theModule, how)
+	broken, trace, step, err := runHistory(seed, newBalancerPolicy, how)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(broken) > 0 {
-		convict(t, seed, broken, trace, step)
+		reportViolation(t, seed, broken, trace, step)
 	}
 }
 
-func TestTheModuleKeepsToTheModel(t *testing.T) {
+func TestBalancerFollowsModel(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			keeps(t, seed, manner{calm: seed%3 == 2})
+			checkHistory(t, seed, runOptions{restartsOnly: seed%3 == 2})
 		})
 	}
 }
 
 // Other customers' settings: deadlines from 50 ms to a minute, ticks of half a ms to 20, a fleet that is cold for no time or
 // a minute, and so on.
-func TestTheModuleKeepsToTheModelByWhateverSettings(t *testing.T) {
+func TestBalancerFollowsModelWithAnySettings(t *testing.T) {
 	for seed := range uint64(21) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			keeps(t, seed, manner{calm: seed%3 == 2, wide: true})
+			checkHistory(t, seed, runOptions{restartsOnly: seed%3 == 2, anySettings: true})
 		})
 	}
 }
 
-func FuzzTheModuleKeepsToTheModel(f *testing.F) {
+func FuzzBalancerFollowsModel(f *testing.F) {
 	for _, seed := range []uint64{0, 1, 1000, 1 << 40} {
 		f.Add(seed, seed == 1000)
 	}
-	f.Fuzz(func(t *testing.T, seed uint64, calm bool) { keeps(t, seed, manner{calm: calm}) })
+	f.Fuzz(func(t *testing.T, seed uint64, calm bool) { checkHistory(t, seed, runOptions{restartsOnly: calm}) })
 }
 
 // Right after all delays jump by hundreds of times, the delays of before and those of now must not be multiplied: one of
 // many proxies spaces its attempts out by its usual delay, and would send next to nothing for minutes, though all are
 // well. In each of these runs that has shown.
-func TestAJumpInDelaysHoldsNoneOfManyBack(t *testing.T) {
+func TestLatencyJumpStallsNoProxy(t *testing.T) {
 	for _, seed := range []uint64{1, 29, 207, 266, 273, 324, 375, 545} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			keeps(t, seed, manner{jump: true})
+			checkHistory(t, seed, runOptions{instantAnswers: true})
 		})
 	}
 }
--- a/decision/engine_test.go
+++ b/decision/engine_test.go
@@ -17,13 +17,13 @@
 	"lapisspread/internal/engine/enginetest"
 )
 
-// rig is an engine between drawn requests, a drawn list and servers scripted by its conformance kit, with the model
+// engineHarness is an engine between drawn requests, a drawn list and servers scripted by its conformance kit, with the model
 // beside it. What goes out counts when a server has it, so of the third rule the grace is looked at.
-type rig struct {
+type engineHarness struct {
 	enginetest.Script
 	mu      sync.Mutex
 	seed    uint64
-	rng     *rand.Rand // of the requests and of the list; what goroutines draw comes from draw
+	random  *rand.Rand // of the requests and of the list; what goroutines draw comes from draw
 	model   *model
 	engine  *engine.Engine
 	members []engine.Endpoint
@@ -37,18 +37,18 @@
 
 func (drawnMessage) Consumed() bool { return false }
 
-func (g *rig) lock() func() {
+func (g *engineHarness) lock() func() {
 	g.mu.Lock()
 	g.model.now = g.engine.Clock().Now()
 	return g.mu.Unlock
 }
 
-func (g *rig) note(format string, args ...any) {
+func (g *engineHarness) note(format string, args ...any) {
 	g.trace = append(g.trace, fmt.Sprintf("%v ", g.model.now)+fmt.Sprintf(format, args...))
 }
 
-// draw gives a source of its own to each purpose: goroutines of one moment run in any order.
-func (g *rig) draw(of ...int) *rand.Rand {
+// randomFor gives a source of its own to each purpose: goroutines of one moment run in any order.
+func (g *engineHarness) randomFor(of ...int) *rand.Rand {
 	h := g.seed
 	for _, n := range of {
 		h = h*1_000_003 + uint64(n)
@@ -58,17 +58,17 @@
 
 // ---- the list ----
 
-func (g *rig) Addr() string { return "drawn" }
-func (g *rig) Close()       {}
+func (g *engineHarness) Addr() string { return "drawn" }
+func (g *engineHarness) Close()       {}
 
-func (g *rig) Fetch(context.Context) (engine.EndpointList, error) {
+func (g *engineHarness) Fetch(context.Context) (engine.EndpointList, error) {
 	defer g.lock()()
-	l := g.whole()
-	g.told(l)
+	l := g.fullList()
+	g.reportList(l)
 	return l, nil
 }
 
-func (g *rig) Watch(ctx context.Context, from uint32, tell func(engine.EndpointList)) error {
+func (g *engineHarness) Watch(ctx context.Context, from uint32, tell func(engine.EndpointList)) error {
 	for {
 		unlock := g.lock()
 		l, changed := g.update, g.changed
@@ -82,11 +82,11 @@
 			continue
 		}
 		if l.Version != from+1 { // more than one change was missed
-			l = g.whole()
+			l = g.fullList()
 		}
-		fails := g.draw(1, int(g.version), int(g.model.now)).IntN(20) == 0
+		fails := g.randomFor(1, int(g.version), int(g.model.now)).IntN(20) == 0
 		if !fails {
-			g.told(l)
+			g.reportList(l)
 		}
 		unlock()
 		if fails {
@@ -97,13 +97,13 @@
 	}
 }
 
-// whole is the list as it is now.
-func (g *rig) whole() engine.EndpointList {
+// fullList is the list as it is now.
+func (g *engineHarness) fullList() engine.EndpointList {
 	return engine.EndpointList{Version: g.version, Full: true, Endpoints: slices.Clone(g.members)}
 }
 
-// told tells the model of a list. The lock must be held.
-func (g *rig) told(l engine.EndpointList) {
+// reportList tells the model of a list. The lock must be held.
+func (g *engineHarness) reportList(l engine.EndpointList) {
 	m := decision.EndpointUpdate{Kind: decision.UpdateDelta, Version: l.Version}
 	if l.Full {
 		m.Kind = decision.UpdateFull
@@ -111,22 +111,22 @@
 	for _, e := range l.Endpoints {
 		m.Backends = append(m.Backends, decision.Backend{ID: engine.BackendID(e.ID), Cell: e.Cell, State: e.State, Started: e.Started})
 	}
-	g.note("told of list %d full %v:%s", l.Version, l.Full, brief(m.Backends))
-	g.model.list(m)
+	g.note("told of list %d full %v:%s", l.Version, l.Full, describeBackends(m.Backends))
+	g.model.endpoints(m)
 }
 
-// change draws a change of the list.
-func (g *rig) change() {
+// changeList draws a change of the list.
+func (g *engineHarness) changeList() {
 	defer g.lock()()
-	e := &g.members[g.rng.IntN(len(g.members))]
-	e.State = []decision.BackendState{decision.Ready, decision.Ready, decision.Draining, decision.Removed}[g.rng.IntN(4)]
-	if e.State == decision.Ready && g.rng.IntN(3) == 0 {
+	e := &g.members[g.random.IntN(len(g.members))]
+	e.State = []decision.BackendState{decision.Ready, decision.Ready, decision.Draining, decision.Removed}[g.random.IntN(4)]
+	if e.State == decision.Ready && g.random.IntN(3) == 0 {
 		e.Started = g.model.now
 	}
 	g.version++
 	g.update = engine.EndpointList{Version: g.version, Endpoints: []engine.Endpoint{*e}}
-	if g.rng.IntN(10) == 0 {
-		g.update = g.whole()
+	if g.random.IntN(10) == 0 {
+		g.update = g.fullList()
 	}
 	close(g.changed)
 	g.changed = make(chan struct{})
@@ -135,17 +135,17 @@
 // ---- servers ----
 
 // Find gives a server whatever the list says: what is sent there is for the engine and the module to decide.
-func (g *rig) Find(id decision.BackendID) engine.Backend { return scripted{g, id} }
+func (g *engineHarness) Find(id decision.BackendID) engine.Backend { return scriptedPeer{g, id} }
 
-type scripted struct {
-	*rig
+type scriptedPeer struct {
+	*engineHarness
 	id decision.BackendID
 }
 
-func (s scripted) Exchange(ctx context.Context, a engine.Attempt) (decision.Result, any) {
+func (s scriptedPeer) Exchange(ctx context.Context, a engine.Attempt) (decision.Result, any) {
 	id := decision.RequestID(a.Message.(drawnMessage))
 	unlock := s.lock()
-	rng := s.draw(3, int(id), int(s.id), int(s.model.now))
+	rng := s.randomFor(3, int(id), int(s.id), int(s.model.now))
 	unlock()
 	if rng.IntN(4) == 0 { // a new connection is made
 		select {
@@ -161,21 +161,21 @@
 	}
 	s.note("send %d to %d", id, s.id)
 	s.model.send(id, s.id)
-	t := &try{}
-	if tries := s.model.byID[id].tries; len(tries) > 0 {
+	t := &modelAttempt{}
+	if tries := s.model.byID[id].attempts; len(tries) > 0 {
 		t = tries[len(tries)-1]
 	}
 	unlock()
 	result, answer := s.Script.Exchange(ctx, a)
 	defer s.lock()()
 	s.note("outcome %d of %d", result, id)
-	t.over, t.result = true, result
+	t.done, t.result = true, result
 	return result, answer
 }
 
 // ---- requests ----
 
-func (g *rig) ask(id decision.RequestID, class int, give, leave time.Duration) {
+func (g *engineHarness) sendRequest(id decision.RequestID, class int, give, leave time.Duration) {
 	x := &engine.Request{Message: drawnMessage(id), Class: class, Timeout: give}
 	x.Init()
 	unlock := g.lock()
@@ -194,30 +194,30 @@
 	r := g.model.byID[id]
 	switch {
 	case end.ClientGone:
-		r.over = true
+		r.ended = true
 	case end.Outcome == engine.Served:
-		if r.over || !slices.ContainsFunc(r.tries, func(t *try) bool { return t.over && t.result == decision.OK }) {
-			g.model.breaks("rule 1", "request %d is served by nobody, or twice", id)
+		if r.ended || !slices.ContainsFunc(r.attempts, func(t *modelAttempt) bool { return t.done && t.result == decision.OK }) {
+			g.model.violation("rule 1", "request %d is served by nobody, or twice", id)
 		}
-		r.over = true
+		r.ended = true
 	default:
 		g.model.final(id, end.Outcome == engine.Rejected)
 	}
-	g.model.late()
+	g.model.checkDeadlines()
 	g.model.forget()
 	unlock()
 	time.Sleep(time.Minute)
 	select {
 	case <-x.Result():
 		t := g.lock()
-		g.model.breaks("rule 1", "request %d has a second result", id)
+		g.model.violation("rule 1", "request %d has a second result", id)
 		t()
 	default:
 	}
 }
 
-// playEngine draws a run through the engine and gives what it broke, and the trace.
-func playEngine(t *testing.T, seed uint64) (broken, trace []string) {
+// runEngineHistory draws a run through the engine and gives what it broke, and the trace.
+func runEngineHistory(t *testing.T, seed uint64) (broken, trace []string) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := enginetest.Config()
 		cfg.Classes = append(slices.Clone(cfg.Classes), // with windows shorter than a connection may take
@@ -225,17 +225,17 @@
 			decision.Class{Name: "cell", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeCell, DeduplicationWindow: 150 * milli, PriorityWeight: 1})
 		rng := rand.New(rand.NewPCG(seed, 9))
 		cfg.Capabilities.HedgedRequests, cfg.Capabilities.HealthChecks = rng.IntN(2) == 0, rng.IntN(2) == 0
-		g := &rig{seed: seed, rng: rng, version: math.MaxUint32 - 3, changed: make(chan struct{})} // wraps
-		g.model = newModel(cfg, &books{speed: map[decision.BackendID]float64{}, sent: map[decision.BackendID][]work{}, slack: time.Hour})
-		g.model.graceOnly = true
+		g := &engineHarness{seed: seed, random: rng, version: math.MaxUint32 - 3, changed: make(chan struct{})} // wraps
+		g.model = newModel(cfg, &backendLoads{speed: map[decision.BackendID]float64{}, sent: map[decision.BackendID][]workSent{}, slack: time.Hour})
+		g.model.drainGraceOnly = true
 		for i := range 1 + rng.IntN(6) {
 			g.members = append(g.members, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1", State: decision.Ready, Cell: i % 2, Weight: 1})
 		}
-		g.update = g.whole()
+		g.update = g.fullList()
 		g.Next = func(_ int, a engine.Attempt) enginetest.Step {
 			defer g.lock()()
 			id := a.Message.(drawnMessage)
-			rng := g.draw(2, int(id), len(g.model.byID[decision.RequestID(id)].tries))
+			rng := g.randomFor(2, int(id), len(g.model.byID[decision.RequestID(id)].attempts))
 			r := enginetest.Step{Delay: time.Duration(rng.IntN(80)) * milli, Response: "x", IgnoresCancel: rng.IntN(20) == 0}
 			if rng.IntN(4) == 0 {
 				r.Result = []decision.Result{decision.Error, decision.Rejected, decision.Timeout, decision.ConnectFailed, decision.Reset, decision.NotSent}[rng.IntN(6)]
@@ -251,37 +251,37 @@
 		}
 		g.engine = e
 		unlock := g.lock()
-		g.told(g.update)
+		g.reportList(g.update)
 		unlock()
 		ctx, cancel := context.WithCancel(t.Context())
 		var all sync.WaitGroup
 		all.Go(func() { e.Run(ctx) })
 		for id := range decision.RequestID(600) {
 			unlock := g.lock()
-			class, give, leave := g.rng.IntN(len(cfg.Classes)), time.Duration(50+g.rng.IntN(1500))*milli, time.Duration(0)
-			if g.rng.IntN(20) == 0 {
-				leave = min(give, time.Duration(1+g.rng.IntN(100))*milli)
+			class, give, leave := g.random.IntN(len(cfg.Classes)), time.Duration(50+g.random.IntN(1500))*milli, time.Duration(0)
+			if g.random.IntN(20) == 0 {
+				leave = min(give, time.Duration(1+g.random.IntN(100))*milli)
 			}
-			gap, change := time.Duration(g.rng.IntN(30))*milli, g.rng.IntN(15) == 0
+			gap, change := time.Duration(g.random.IntN(30))*milli, g.random.IntN(15) == 0
 			unlock()
-			all.Go(func() { g.ask(id, class, give, leave) })
+			all.Go(func() { g.sendRequest(id, class, give, leave) })
 			time.Sleep(gap)
 			if change {
-				g.change()
+				g.changeList()
 			}
 		}
 		time.Sleep(2 * time.Minute)
 		cancel()
 		all.Wait()
-		broken, trace = g.model.broken, g.trace
+		broken, trace = g.model.violations, g.trace
 	})
 	return broken, trace
 }
 
-func TestTheEngineKeepsToTheModel(t *testing.T) {
+func TestEngineFollowsModel(t *testing.T) {
 	for seed := range uint64(12) {
-		if broken, trace := playEngine(t, seed); len(broken) > 0 {
-			convict(t, seed, broken[:min(3, len(broken))], trace, len(trace))
+		if broken, trace := runEngineHistory(t, seed); len(broken) > 0 {
+			reportViolation(t, seed, broken[:min(3, len(broken))], trace, len(trace))
 			return
 		}
 	}
--- a/decision/faults_test.go
+++ b/decision/faults_test.go
@@ -8,7 +8,7 @@
 // Faults that the model found, each as plain as it can be shown.
 
 // A keyed request whose window ends while it waits can be sent nowhere any more: it is answered then, not parked.
-func TestAKeyedRequestIsAnsweredOnceItsWindowEnds(t *testing.T) {
+func TestKeyedRequestIsAnsweredOnceWindowEnds(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	b.Request(second, Request{ID: 1, Class: keyed, Deadline: 9 * second})
 	b.requests[1].objectiveAt = 9 * second // much time is left beside the window of 1 s
@@ -27,7 +27,7 @@
 }
 
 // The window counts from the first send that may have run, also where the body's end comes later.
-func TestTheWindowOfAStreamedRequestCountsFromItsSend(t *testing.T) {
+func TestWindowOfStreamedRequestStartsAtSend(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	b.Request(second, Request{ID: 1, Class: keyed, Deadline: 9 * second, StreamedBody: true})
 	to := h.take("send")[0].to
@@ -39,7 +39,7 @@
 }
 
 // A server that left the list and returns is a new target, whether or not something was still out there.
-func TestAServerThatReturnsIsANewTarget(t *testing.T) {
+func TestReturningBackendCountsAsHealthy(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		b, _ := newBalancer(t, testConfig(), 2)
 		id := list(2)[0].ID
@@ -59,10 +59,10 @@
 }
 
 // Answers that come at the very time of their send must leave figures that can be compared.
-func TestAnswersInNoTimeLeaveDelaysThatCompare(t *testing.T) {
+func TestInstantAnswersLeaveComparableDelays(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	for id := range RequestID(40) {
-		b.Request(second, Request{ID: id, Class: safe, Deadline: 3 * second})
+		b.Request(second, Request{ID: id, Class: idempotent, Deadline: 3 * second})
 		for _, a := range h.take("send") {
 			b.Outcome(second, Outcome{ID: a.id, Backend: a.to, Final: true})
 		}
@@ -75,7 +75,7 @@
 }
 
 // After a day without a request a proxy finds its rate again in seconds, and remembers nothing for hours.
-func TestTheRateIsFoundAgainAfterADayOfSilence(t *testing.T) {
+func TestRequestRateRecoversAfterSilence(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 400)
 	now := second
 	for i := range 2000 {
@@ -87,7 +87,7 @@
 			}
 		}
 		id := RequestID(i + 1)
-		b.Request(now, Request{ID: id, Class: safe, Deadline: now + second})
+		b.Request(now, Request{ID: id, Class: idempotent, Deadline: now + second})
 		for _, a := range h.take("send") {
 			b.Outcome(now, Outcome{ID: a.id, Backend: a.to, Final: true})
 		}
@@ -99,13 +99,13 @@
 }
 
 // Attempts and probes that could not be sent for want of something of the proxy's own say nothing of a backend.
-func TestWhatWasNeverSentSaysNothingOfABackend(t *testing.T) {
+func TestNotSentIsNoEvidenceOfHealth(t *testing.T) {
 	for result, blamed := range map[Result]bool{NotSent: false, ConnectFailed: true} {
 		b, h := newBalancer(t, testConfig(), 1)
 		to := b.targets[0]
 		for i := range RequestID(6) {
 			now := 30*second + time.Duration(i)*second
-			b.Request(now, Request{ID: i, Class: unsafe, Deadline: now + second})
+			b.Request(now, Request{ID: i, Class: notIdempotent, Deadline: now + second})
 			for n, sent := 0, h.take("send"); len(sent) > 0; n, sent = n+1, h.take("send") {
 				b.Outcome(now, Outcome{ID: i, Attempt: n, Backend: sent[0].to, Result: result})
 			}
--- a/decision/frozen_test.go
+++ b/decision/frozen_test.go
@@ -258,7 +258,7 @@
 	}
 }
 
-func TestMemoryKeepsItsBytes(t *testing.T) {
+func TestSnapshotKeepsItsBytes(t *testing.T) {
 	b := playTranscript(t, 1, frozenConfigs()[0], 4*second).balancer
 	taken, err := json.Marshal(b.Snapshot(4 * second))
 	if err != nil {
--- a/decision/limits_test.go
+++ b/decision/limits_test.go
@@ -9,7 +9,7 @@
 )
 
 // A file that is too long or too wide can't be read at night.
-func TestModuleStaysWithinItsLimits(t *testing.T) {
+func TestFilesAreShortAndNamedInOverview(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d files, %v", len(files), err)
--- a/decision/many_test.go
+++ b/decision/many_test.go
@@ -13,7 +13,7 @@
 }
 
 // Each of many proxies that hear of a start at once has a first request: together these push it over.
-func TestFirstRequestsToAStartedBackendAreSpreadOverTheProxies(t *testing.T) {
+func TestFirstRequestsToStartedBackendAreSpread(t *testing.T) {
 	for _, c := range []struct{ n, least, most int }{{1, 200, 200}, {100, 0, 20}} {
 		allowed := 0
 		for seed := range uint64(200) {
@@ -37,7 +37,7 @@
 }
 
 // Probes by the clock alone cost the backends of many proxies more than their requests do.
-func TestProbesAreHeldToAShareOfTheRequests(t *testing.T) {
+func TestHealthChecksStayWithinBudget(t *testing.T) {
 	b, h := newBalancer(t, manyConfig(100), 40)
 	span := 60 * second
 	for now := second; now < second+span; now += b.checkInterval / sweepsPerInterval {
@@ -62,7 +62,7 @@
 }
 
 // Many proxies with connections to all backends fill their tables and know none of them.
-func TestAProxyWithLittleTrafficUsesAPartOfTheBackends(t *testing.T) {
+func TestActiveSetFollowsRequestRate(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		warm bool
@@ -79,7 +79,7 @@
 		now := second
 		for id := range RequestID(60) {
 			now += c.gap
-			b.Request(now, Request{ID: id + 1, Class: safe, Deadline: now + second})
+			b.Request(now, Request{ID: id + 1, Class: idempotent, Deadline: now + second})
 		}
 		b.Timer(now, timerSweep<<56)
 		if len(b.active) != c.used {
@@ -98,7 +98,7 @@
 }
 
 // In a zone with too few backends, one elsewhere that was never met must not count as slow as those.
-func TestABackendElsewhereIsNotTakenForSlowAsTheOwnZones(t *testing.T) {
+func TestUnmeasuredBackendElsewhereIsNotSlow(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 6)
 	for _, to := range b.targets {
 		if to.Zone == b.config.Zone {
@@ -114,14 +114,14 @@
 			t.Errorf("backend %d: estimate %v", to.ID, got)
 		}
 	}
-	r := &request{Request: Request{Class: safe, Deadline: time.Hour}, objectiveAt: time.Hour}
+	r := &request{Request: Request{Class: idempotent, Deadline: time.Hour}, objectiveAt: time.Hour}
 	if to := b.selectTarget(r); to == nil || to.Zone == b.config.Zone {
 		t.Error("the request stays in a zone three times as slow")
 	}
 }
 
 // A limit for all backends at one or two out would be closed by chance; so it holds for their mean.
-func TestTheSharedLimitHoldsForTheMean(t *testing.T) {
+func TestSharedLimitHoldsForMeanLoad(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 10)
 	b.sharedLimit.limit = 1.5
 	for range 4 {
@@ -136,7 +136,7 @@
 }
 
 // Some slow machines say nothing of a crowd: they must not close the limit for all.
-func TestSlowMachinesDoNotCutTheSharedLimit(t *testing.T) {
+func TestSlowBackendsDoNotCutSharedLimit(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		slow bool
@@ -146,7 +146,7 @@
 		if c.slow {
 			to.recordRatio(b.now, b.decaySpan, 400, 100)
 		}
-		r := &request{Request: Request{ID: 1, Class: safe, Deadline: time.Hour}, arrived: b.now, objectiveAt: b.now + second}
+		r := &request{Request: Request{ID: 1, Class: idempotent, Deadline: time.Hour}, arrived: b.now, objectiveAt: b.now + second}
 		b.meanLatency, b.meanWork, b.requests[1] = 100, 100, r
 		if !b.send(r, to) {
 			t.Fatal("not sent")
@@ -164,12 +164,12 @@
 }
 
 // A proxy that meets a backend only now and then would forget that it is slow before it comes to it again.
-func TestMemoryLastsForSomeAnswersOfEach(t *testing.T) {
+func TestDecaySpanCoversAnswersOfEachTarget(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 6)
 	now := second
 	for id := range RequestID(60) {
 		now += second
-		b.Request(now, Request{ID: id + 1, Class: safe, Deadline: now + milli})
+		b.Request(now, Request{ID: id + 1, Class: idempotent, Deadline: now + milli})
 	}
 	b.selectActive()
 	if b.decaySpan < 20*second || b.decaySpan > 30*second {
@@ -178,14 +178,14 @@
 }
 
 // The waiting room is ranked at each outcome: that of all proxies together must not grow with their number.
-func TestTheWaitingRoomIsThisProxysPart(t *testing.T) {
+func TestQueueIsThisProxysShare(t *testing.T) {
 	cfg := manyConfig(100)
 	cfg.KeyAffinity = true
 	b, _ := newBalancer(t, cfg, 50)
 	b.sharedLimit.limit = 0
 	b.sharedLimit.averageLoad, b.sharedLimit.load, b.sharedLimit.averagedAt = 1, 1, b.now
 	for id := range RequestID(200) {
-		b.Request(b.now, Request{ID: id + 1, Class: safe, Deadline: b.now + 3*second})
+		b.Request(b.now, Request{ID: id + 1, Class: idempotent, Deadline: b.now + 3*second})
 	}
 	if n := len(b.queue); n == 0 || n > 50 {
 		t.Errorf("%d wait", n)
@@ -193,7 +193,7 @@
 }
 
 // A backend registered as twice as large comes first to twice as many keys, at every proxy.
-func TestKeysFollowTheRegisteredSize(t *testing.T) {
+func TestKeysFollowRegisteredSize(t *testing.T) {
 	cfg := manyConfig(100)
 	cfg.Weights = WeightNominal
 	b, _ := newBalancer(t, cfg, 0)
@@ -214,7 +214,7 @@
 
 // Many proxies that each try a backend that hangs now and then lose much together: two attempts in a
 // row without an answer bring its limit to one out over all proxies. It comes back with time.
-func TestALimitFallsForOneThatHangsAndComesBack(t *testing.T) {
+func TestLimitRecoversAfterHang(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 3)
 	to := b.targets[0]
 	first := to.limit.limit
@@ -237,7 +237,7 @@
 
 // Of what like backends serve and what a cold one serves itself, chance makes one large at each of many
 // proxies: the larger of the two at each would add up to twice what it can take.
-func TestManyProxiesDoNotTakeTheLargerGuessOfAColdBackend(t *testing.T) {
+func TestManyProxiesAverageSlowStartRate(t *testing.T) {
 	rates := [2]float64{}
 	for i, n := range [2]int{2, 100} {
 		b, _ := newBalancer(t, manyConfig(n), 3)
@@ -254,14 +254,14 @@
 }
 
 // A proxy with little traffic seldom has two waiting to choose from; so the limits themselves tell worth apart.
-func TestRequestsOfMoreGainKeepRoomWhereOthersFindNone(t *testing.T) {
+func TestHighGainRaisesLimitScale(t *testing.T) {
 	cfg := manyConfig(100)
-	cfg.Classes[anywhere].PriorityWeight = 20
+	cfg.Classes[keyedAnywhere].PriorityWeight = 20
 	b, h := newBalancer(t, cfg, 10)
 	now := b.now
 	for id := range RequestID(400) { // until the mean gain is known, and no longer that of the first
 		now += 10 * milli
-		b.Request(now, Request{ID: id + 1, Class: []int{safe, safe, anywhere}[id%3], Deadline: now + 3*second})
+		b.Request(now, Request{ID: id + 1, Class: []int{idempotent, idempotent, keyedAnywhere}[id%3], Deadline: now + 3*second})
 		for _, a := range h.take("send") {
 			b.Outcome(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: OK, Final: true})
 		}
@@ -271,24 +271,24 @@
 		r.value = b.config.Classes[class].PriorityWeight
 		return b.limitScale(r)
 	}
-	if low, high := part(safe), part(anywhere); low > 1 || low < minLimitScale || high < 1.5 || high > maxLimitScale {
+	if low, high := part(idempotent), part(keyedAnywhere); low > 1 || low < minLimitScale || high < 1.5 || high > maxLimitScale {
 		t.Errorf("parts of the limit: %v for little worth, %v for much", low, high)
 	}
 	b.config.Instances = 2
-	if part(safe) != 1 || part(anywhere) != 1 {
+	if part(idempotent) != 1 || part(keyedAnywhere) != 1 {
 		t.Error("a proxy that sees much of the traffic chooses among what waits instead")
 	}
 }
 
 // A backend may pass its probes and serve all classes but one.
-func TestAClassAvoidsBackendsThatLeaveItUnanswered(t *testing.T) {
+func TestClassAvoidsBackendsThatLoseIt(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 2)
 	bad, good := b.targets[0], b.targets[1]
 	for range 2 {
 		b.recordAttemptHealth(&attempt{request: &request{}, target: bad, waitingSince: b.now}, Timeout)
-		b.recordAttemptHealth(&attempt{request: &request{Request: Request{Class: unsafe}}, target: bad, waitingSince: b.now}, OK)
+		b.recordAttemptHealth(&attempt{request: &request{Request: Request{Class: notIdempotent}}, target: bad, waitingSince: b.now}, OK)
 	}
-	one, other := &request{}, &request{Request: Request{Class: unsafe}}
+	one, other := &request{}, &request{Request: Request{Class: notIdempotent}}
 	if b.expectedDelay(one, bad) < 2*b.expectedDelay(one, good) {
 		t.Error("the class that gets no answer does not avoid the backend")
 	}
@@ -298,7 +298,7 @@
 }
 
 // While none is late, a limit that little gain meets must grow, or a calm bank refuses what it could serve.
-func TestALimitGrowsWhereRequestsOfLittleGainMeetIt(t *testing.T) {
+func TestLimitGrowsWhereLowGainReachesIt(t *testing.T) {
 	for _, c := range []struct {
 		used  float64
 		grows bool
@@ -314,7 +314,7 @@
 }
 
 // At rest about one in five may be late, not every second one: the queues would take what is wanted in time.
-func TestTheSharedLimitGrowsByAPartOfItsCut(t *testing.T) {
+func TestSharedLimitGrowsByShareOfBackoff(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(400), 2)
 	b.sharedLimit.limit, b.sharedLimit.growthStep = 1, 0
 	ends := func(result Result, lateAt time.Duration) {
@@ -332,7 +332,7 @@
 }
 
 // Where connections are made fast the checker's spans are short, and probes would cost more than requests.
-func TestShortConnectTimeoutsDoNotMakeProbesMany(t *testing.T) {
+func TestShortConnectTimeoutsKeepHealthChecksRare(t *testing.T) {
 	cfg := manyConfig(100)
 	cfg.Capabilities.ConnectTimeout = 50 * milli
 	b, h := newBalancer(t, cfg, 10)
@@ -352,17 +352,17 @@
 
 // What is usual under load may pass the aim; an attempt counts as late before it is lost, or the limit stands
 // while half of all are.
-func TestAnAttemptCountsAsLateBeforeItsAim(t *testing.T) {
+func TestAttemptIsLateBeforeItsObjective(t *testing.T) {
 	b, h := newBalancer(t, manyConfig(10), 2)
 	for i := range b.tailByClass {
 		b.tailByClass[i].baseline = 5000
 	}
-	b.Request(b.now, Request{ID: 1, Class: unsafe, Deadline: b.now + 4*second})
+	b.Request(b.now, Request{ID: 1, Class: notIdempotent, Deadline: b.now + 4*second})
 	if len(h.take("send")) != 1 {
 		t.Fatal("nothing was sent")
 	}
 	for _, u := range b.requests[1].attempts[0].reservations {
-		if late := u.lateAt - b.now; late >= b.config.Classes[unsafe].LatencyObjective {
+		if late := u.lateAt - b.now; late >= b.config.Classes[notIdempotent].LatencyObjective {
 			t.Errorf("late only after %v", late)
 		}
 	}
--- a/decision/memory_test.go
+++ b/decision/memory_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// learnt is a balancer that has served for a while, with a backend out of order, and one that has started anew.
-func learnt(t *testing.T) (*Balancer, Snapshot) {
+// learnedSnapshot is a balancer that has served for a while, with a backend out of order, and one that has started anew.
+func learnedSnapshot(t *testing.T) (*Balancer, Snapshot) {
 	t.Helper()
 	b, h := newBalancer(t, testConfig(), 8)
 	now := second
@@ -32,8 +32,8 @@
 	return b, m
 }
 
-func TestWhatIsRecalledIsAPrior(t *testing.T) {
-	old, m := learnt(t)
+func TestSnapshotIsPrior(t *testing.T) {
+	old, m := learnedSnapshot(t)
 	for _, c := range []struct {
 		name            string
 		age             time.Duration
@@ -67,7 +67,7 @@
 			t.Errorf("%s: the rate is %.2f of the one before", c.name, part)
 		}
 		if c.age >= 0 {
-			if want, got := old.expectedLatency(safe, 0), b.expectedLatency(safe, 0); math.Abs(want-got) > 1e-9*want {
+			if want, got := old.expectedLatency(idempotent, 0), b.expectedLatency(idempotent, 0); math.Abs(want-got) > 1e-9*want {
 				t.Errorf("%s: a delay of %v is expected, before it was %v", c.name, got, want)
 			}
 		}
@@ -75,8 +75,8 @@
 }
 
 // A suspected start outlives the proxy: what knows nothing of it must not push the cold server over.
-func TestARecalledColdBackendHasItsBudget(t *testing.T) {
-	_, m := learnt(t)
+func TestRestoredColdBackendHasSlowStart(t *testing.T) {
+	_, m := learnedSnapshot(t)
 	b, err := New(testConfig(), 1, &recorder{})
 	if err != nil {
 		t.Fatal(err)
--- a/decision/model_test.go
+++ b/decision/model_test.go
@@ -11,70 +11,70 @@
 // model is the four rules and the health of servers, as plainly as they can be said, for one proxy. It keeps what
 // happened and looks through all of it each time. Of the module it uses the interface and no code.
 type model struct {
-	cfg     decision.Config
-	now     time.Duration
-	fleet   *books
-	servers map[decision.BackendID]*server
-	out     map[decision.BackendID]bool // by hand
-	asks    []*asked
-	byID    map[decision.RequestID]*asked
-	broken  []string
+	config     decision.Config
+	now        time.Duration
+	loads      *backendLoads
+	servers    map[decision.BackendID]*modelBackend
+	detached   map[decision.BackendID]bool // by hand
+	open       []*modelRequest
+	byID       map[decision.RequestID]*modelRequest
+	violations []string
 
-	graceOnly bool // the rule alone is looked at, not the design, by which a server that is not ready leaves at once
+	drainGraceOnly bool // the rule alone is looked at, not the design, by which a server that is not ready leaves at once
 }
 
-// server is what this proxy was told of a server, and what probes said.
-type server struct {
+// modelBackend is what this proxy was told of a server, and what probes said.
+type modelBackend struct {
 	decision.Backend
-	notReady      time.Duration // since when it was told so, if it is not ready
-	sick, probing bool
-	passes, fails int // in a row
+	notReadySince            time.Duration // since when it was told so, if it is not ready
+	unhealthy, checkInFlight bool
+	passes, fails            int // in a row
 }
 
-type asked struct {
+type modelRequest struct {
 	decision.Request
-	work          time.Duration
-	tries         []*try
-	over, streams bool // over: it has its final answer
-	whole, spent  bool
-	complained    bool
+	work                       time.Duration
+	attempts                   []*modelAttempt
+	ended, streaming           bool // over: it has its final answer
+	bodyComplete, bodyConsumed bool
+	reported                   bool
 }
 
-type try struct {
-	to         decision.BackendID
+type modelAttempt struct {
+	target     decision.BackendID
 	zone, cell int
 	sent       time.Duration
-	over       bool
+	done       bool
 	result     decision.Result
 }
 
-// books is what all proxies together sent to each server since its last start, and what that can do.
-type books struct {
+// backendLoads is what all proxies together sent to each server since its last start, and what that can do.
+type backendLoads struct {
 	speed map[decision.BackendID]float64 // ms of work in a ms, once warm
-	sent  map[decision.BackendID][]work
+	sent  map[decision.BackendID][]workSent
 	slack time.Duration // for chance
 }
 
-type work struct{ at, ms time.Duration }
+type workSent struct{ at, ms time.Duration }
 
-func newModel(cfg decision.Config, fleet *books) *model {
-	return &model{cfg: cfg, fleet: fleet, servers: map[decision.BackendID]*server{}, out: map[decision.BackendID]bool{},
-		byID: map[decision.RequestID]*asked{}}
+func newModel(cfg decision.Config, fleet *backendLoads) *model {
+	return &model{config: cfg, loads: fleet, servers: map[decision.BackendID]*modelBackend{}, detached: map[decision.BackendID]bool{},
+		byID: map[decision.RequestID]*modelRequest{}}
 }
 
-func (m *model) breaks(rule, format string, args ...any) {
-	m.broken = append(m.broken, rule+": "+fmt.Sprintf(format, args...))
+func (m *model) violation(rule, format string, args ...any) {
+	m.violations = append(m.violations, rule+": "+fmt.Sprintf(format, args...))
 }
 
 // ---- what the proxy is told ----
 
-func (m *model) list(l decision.EndpointUpdate) {
+func (m *model) endpoints(l decision.EndpointUpdate) {
 	if l.Kind == decision.UpdateFailed {
 		return
 	}
-	leave := func(s *server) {
+	leave := func(s *modelBackend) {
 		if s.State == decision.Ready {
-			s.notReady = m.now
+			s.notReadySince = m.now
 		}
 		s.State = decision.Removed
 	}
@@ -91,7 +91,7 @@
 			if e.State == decision.Removed {
 				continue
 			}
-			s = &server{notReady: m.now}
+			s = &modelBackend{notReadySince: m.now}
 			m.servers[e.ID] = s
 		}
 		if e.State == decision.Removed {
@@ -99,21 +99,21 @@
 			continue
 		}
 		if s.State == decision.Removed { // it is new, or was away: a new target, well until probes say otherwise
-			s.sick, s.passes, s.fails = false, 0, 0
+			s.unhealthy, s.passes, s.fails = false, 0, 0
 		}
 		if s.State == decision.Ready && e.State != decision.Ready {
-			s.notReady = m.now
+			s.notReadySince = m.now
 		}
 		s.Backend = e
 	}
 }
 
-func (m *model) probed(id decision.BackendID, r decision.Result) {
+func (m *model) healthChecked(id decision.BackendID, r decision.Result) {
 	s := m.servers[id]
-	if s == nil || !s.probing { // nobody asked for this
+	if s == nil || !s.checkInFlight { // nobody asked for this
 		return
 	}
-	s.probing = false
+	s.checkInFlight = false
 	switch r {
 	case decision.OK:
 		s.passes, s.fails = s.passes+1, 0
@@ -121,42 +121,42 @@
 		s.passes, s.fails = 0, s.fails+1
 	}
 	if s.fails >= 2 {
-		s.sick = true
+		s.unhealthy = true
 	}
 	if s.passes >= 2 {
-		s.sick = false
+		s.unhealthy = false
 	}
 }
 
 func (m *model) request(q decision.Request, ms time.Duration) {
-	r := &asked{Request: q, work: ms}
-	m.asks, m.byID[q.ID] = append(m.asks, r), r
+	r := &modelRequest{Request: q, work: ms}
+	m.open, m.byID[q.ID] = append(m.open, r), r
 }
 
 // outcome notes how a try ended, the first time that it is said.
 func (m *model) outcome(id decision.RequestID, n int, result decision.Result, spent bool) {
 	r := m.byID[id]
-	if r == nil || n >= len(r.tries) || r.tries[n].over {
+	if r == nil || n >= len(r.attempts) || r.attempts[n].done {
 		return
 	}
-	r.tries[n].over, r.tries[n].result = true, result
-	r.spent = r.spent || spent
-	if result == decision.OK || r.streams {
-		r.over = true
+	r.attempts[n].done, r.attempts[n].result = true, result
+	r.bodyConsumed = r.bodyConsumed || spent
+	if result == decision.OK || r.streaming {
+		r.ended = true
 	}
 }
 
 // ---- what it does ----
 
-func neverRan(t *try) bool {
-	return t.over && (t.result == decision.Rejected || t.result == decision.ConnectFailed || t.result == decision.NotSent)
+func neverRan(t *modelAttempt) bool {
+	return t.done && (t.result == decision.Rejected || t.result == decision.ConnectFailed || t.result == decision.NotSent)
 }
 
 // forbids says what the second rule has against sending a request (again) to a place, or nothing.
-func (m *model) forbids(r *asked, zone, cell int) string {
-	c := m.cfg.Classes[r.Class]
-	for n, t := range r.tries {
-		if !t.over && (!m.cfg.Capabilities.HedgedRequests || r.StreamedBody) {
+func (m *model) forbids(r *modelRequest, zone, cell int) string {
+	c := m.config.Classes[r.Class]
+	for n, t := range r.attempts {
+		if !t.done && (!m.config.Capabilities.HedgedRequests || r.StreamedBody) {
 			return "two attempts out"
 		}
 		if neverRan(t) || c.Idempotency == decision.Idempotent {
@@ -171,7 +171,7 @@
 			return fmt.Sprintf("the window of attempt %d is over", n)
 		}
 	}
-	if len(r.tries) >= m.cfg.Capabilities.MaxAttempts {
+	if len(r.attempts) >= m.config.Capabilities.MaxAttempts {
 		return "too many attempts"
 	}
 	return ""
@@ -180,40 +180,40 @@
 func (m *model) send(id decision.RequestID, to decision.BackendID) {
 	r, s := m.byID[id], m.servers[to]
 	if r == nil || s == nil {
-		m.breaks("listed", "request %d is sent to %d, one of them unknown", id, to)
+		m.violation("listed", "request %d is sent to %d, one of them unknown", id, to)
 		return
 	}
-	if r.over || r.streams {
-		m.breaks("rule 1", "request %d is sent after its end", id)
+	if r.ended || r.streaming {
+		m.violation("rule 1", "request %d is sent after its end", id)
 	}
 	if why := m.forbids(r, s.Zone, s.Cell); why != "" {
-		m.breaks("rule 2", "request %d to %d: %s", id, to, why)
+		m.violation("rule 2", "request %d to %d: %s", id, to, why)
 	}
-	if away := m.now - s.notReady; s.State != decision.Ready && away > m.cfg.Constraints.DrainGrace {
-		m.breaks("rule 3", "send to %d, %v after it was told to drain or gone", to, away)
-	} else if s.State != decision.Ready && !m.graceOnly {
-		m.breaks("listed", "send to %d, which is not listed as ready", to)
+	if away := m.now - s.notReadySince; s.State != decision.Ready && away > m.config.Constraints.DrainGrace {
+		m.violation("rule 3", "send to %d, %v after it was told to drain or gone", to, away)
+	} else if s.State != decision.Ready && !m.drainGraceOnly {
+		m.violation("listed", "send to %d, which is not listed as ready", to)
 	}
-	if m.out[to] {
-		m.breaks("rule 3", "send to %d, which is out by hand", to)
+	if m.detached[to] {
+		m.violation("rule 3", "send to %d, which is out by hand", to)
 	}
-	if s.sick {
+	if s.unhealthy {
 		for _, o := range m.servers {
-			if o.State == decision.Ready && !o.sick && !m.out[o.ID] && m.forbids(r, o.Zone, o.Cell) == "" {
-				m.breaks("health", "send to %d, which fails its probes, while %d is well", to, o.ID)
+			if o.State == decision.Ready && !o.unhealthy && !m.detached[o.ID] && m.forbids(r, o.Zone, o.Cell) == "" {
+				m.violation("health", "send to %d, which fails its probes, while %d is well", to, o.ID)
 				break
 			}
 		}
 	}
-	if why := m.fleet.charge(m.cfg.Constraints, m.now, s.Backend, r.work); why != "" {
-		m.breaks("rule 4", "%s", why)
+	if why := m.loads.charge(m.config.Constraints, m.now, s.Backend, r.work); why != "" {
+		m.violation("rule 4", "%s", why)
 	}
-	r.tries = append(r.tries, &try{to: to, zone: s.Zone, cell: s.Cell, sent: m.now})
+	r.attempts = append(r.attempts, &modelAttempt{target: to, zone: s.Zone, cell: s.Cell, sent: m.now})
 }
 
 // charge enters work in the budget of a cold server, and says if that is more than its budget.
-func (b *books) charge(o decision.Constraints, now time.Duration, s decision.Backend, ms time.Duration) string {
-	b.sent[s.ID] = append(b.sent[s.ID], work{now, ms})
+func (b *backendLoads) charge(o decision.Constraints, now time.Duration, s decision.Backend, ms time.Duration) string {
+	b.sent[s.ID] = append(b.sent[s.ID], workSent{now, ms})
 	age := now - s.Started
 	if s.Started == 0 || age >= o.WarmUp {
 		return ""
@@ -235,54 +235,54 @@
 func (m *model) final(id decision.RequestID, refused bool) {
 	r := m.byID[id]
 	if r == nil {
-		m.breaks("rule 1", "an answer to request %d, which nobody sent", id)
+		m.violation("rule 1", "an answer to request %d, which nobody sent", id)
 		return
 	}
-	if r.over || r.streams {
-		m.breaks("rule 1", "request %d gets a second answer", id)
+	if r.ended || r.streaming {
+		m.violation("rule 1", "request %d gets a second answer", id)
 	}
-	c := m.cfg.Classes[r.Class]
+	c := m.config.Classes[r.Class]
 	harmless := c.Idempotency == decision.Idempotent || c.Idempotency == decision.IdempotentByKey && c.DeduplicationScope == decision.ScopeAll
-	for n, t := range r.tries {
+	for n, t := range r.attempts {
 		if refused && !harmless && !neverRan(t) {
-			m.breaks("rule 2", "request %d is refused though attempt %d may have run", id, n)
+			m.violation("rule 2", "request %d is refused though attempt %d may have run", id, n)
 		}
 	}
-	r.over = true
+	r.ended = true
 }
 
 func (m *model) cancel(id decision.RequestID, n int) {
-	if r := m.byID[id]; r == nil || n < 0 || n >= len(r.tries) {
-		m.breaks("listed", "attempt %d of request %d is called off, and was never made", n, id)
+	if r := m.byID[id]; r == nil || n < 0 || n >= len(r.attempts) {
+		m.violation("listed", "attempt %d of request %d is called off, and was never made", n, id)
 	}
 }
 
 func (m *model) probe(id decision.BackendID) {
 	s := m.servers[id]
 	switch {
-	case m.graceOnly:
-	case s == nil || s.State != decision.Ready || m.out[id]:
-		m.breaks("rule 3", "a probe of %d, which is not listed as ready or is out by hand", id)
+	case m.drainGraceOnly:
+	case s == nil || s.State != decision.Ready || m.detached[id]:
+		m.violation("rule 3", "a probe of %d, which is not listed as ready or is out by hand", id)
 		return
-	case s.probing:
-		m.breaks("health", "two probes of %d at once", id)
-	case !m.cfg.Capabilities.HealthChecks:
-		m.breaks("listed", "a probe where none is allowed")
+	case s.checkInFlight:
+		m.violation("health", "two probes of %d at once", id)
+	case !m.config.Capabilities.HealthChecks:
+		m.violation("listed", "a probe where none is allowed")
 	}
 	if s != nil {
-		s.probing = true
+		s.checkInFlight = true
 	}
 }
 
 // hopeless tells whether a request may be sent nowhere any more, whatever lists will say, and that for some ms: the
 // proxy looks at what waits now and then only.
-func (m *model) hopeless(r *asked) bool {
-	if r.spent {
+func (m *model) hopeless(r *modelRequest) bool {
+	if r.bodyConsumed {
 		return true
 	}
 	then := *m
-	then.now -= max(25*time.Millisecond, 3*m.cfg.Tick+time.Millisecond)
-	for _, t := range r.tries { // where one that may have run went is the only place for a keyed one
+	then.now -= max(25*time.Millisecond, 3*m.config.Tick+time.Millisecond)
+	for _, t := range r.attempts { // where one that may have run went is the only place for a keyed one
 		if then.forbids(r, t.zone, t.cell) == "" {
 			return false
 		}
@@ -290,48 +290,48 @@
 	return true
 }
 
-// settled looks at all that is open once an event has been handled. known and excluded are what the proxy says.
-func (m *model) settled(known, excluded int) {
+// check looks at all that is open once an event has been handled. known and excluded are what the proxy says.
+func (m *model) check(known, excluded int) {
 	wantKnown, wantOut := 0, 0
 	for id, s := range m.servers {
 		if s.State != decision.Removed {
 			wantKnown++
-			if m.out[id] || s.State == decision.Ready && s.sick {
+			if m.detached[id] || s.State == decision.Ready && s.unhealthy {
 				wantOut++
 			}
 		}
 	}
-	if !m.graceOnly && (known != wantKnown || excluded != wantOut) {
-		m.breaks("health", "%d servers known and %d avoided, should be %d and %d", known, excluded, wantKnown, wantOut)
+	if !m.drainGraceOnly && (known != wantKnown || excluded != wantOut) {
+		m.violation("health", "%d servers known and %d avoided, should be %d and %d", known, excluded, wantKnown, wantOut)
 	}
-	m.late()
-	for _, r := range m.asks {
-		if r.over || r.streams || r.complained {
+	m.checkDeadlines()
+	for _, r := range m.open {
+		if r.ended || r.streaming || r.reported {
 			continue
 		}
-		out := slices.ContainsFunc(r.tries, func(t *try) bool { return !t.over })
-		if out || len(r.tries) == 0 {
+		out := slices.ContainsFunc(r.attempts, func(t *modelAttempt) bool { return !t.done })
+		if out || len(r.attempts) == 0 {
 			continue
 		}
 		if m.hopeless(r) {
-			m.breaks("parked", "request %d may be sent nowhere any more and has no answer", r.ID)
-			r.complained = true
+			m.violation("parked", "request %d may be sent nowhere any more and has no answer", r.ID)
+			r.reported = true
 		}
 	}
 	m.forget()
 }
 
-// late looks for requests whose time is up.
-func (m *model) late() {
-	for _, r := range m.asks {
-		timed := !r.over && !r.streams && !r.complained && (!r.StreamedBody || r.whole)
-		if timed && m.now > r.Deadline+m.cfg.Constraints.AnswerSlack {
-			m.breaks("rule 1", "request %d has no answer in time", r.ID)
-			r.complained = true
+// checkDeadlines looks for requests whose time is up.
+func (m *model) checkDeadlines() {
+	for _, r := range m.open {
+		timed := !r.ended && !r.streaming && !r.reported && (!r.StreamedBody || r.bodyComplete)
+		if timed && m.now > r.Deadline+m.config.Constraints.AnswerSlack {
+			m.violation("rule 1", "request %d has no answer in time", r.ID)
+			r.reported = true
 		}
 	}
 }
 
 func (m *model) forget() {
-	m.asks = slices.DeleteFunc(m.asks, func(r *asked) bool { return r.over || r.complained })
+	m.open = slices.DeleteFunc(m.open, func(r *modelRequest) bool { return r.ended || r.reported })
 }
--- a/decision/operator_test.go
+++ b/decision/operator_test.go
@@ -6,7 +6,7 @@
 )
 
 // A backend taken out by hand gets neither requests nor probes until it is put back, whatever the list says.
-func TestNothingNewGoesToADetachedBackend(t *testing.T) {
+func TestDetachedBackendGetsNothingNew(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lists func(b *Balancer)
@@ -38,7 +38,7 @@
 				now := second
 				for id := from; id < from+40; id++ {
 					now += 20 * milli
-					b.Request(now, Request{ID: id, Class: safe, Deadline: now + second})
+					b.Request(now, Request{ID: id, Class: idempotent, Deadline: now + second})
 					b.Timer(now, timerSweep<<56)
 					for _, a := range h.take("send", "probe") {
 						if a.to == out {
@@ -66,7 +66,7 @@
 			for id := RequestID(100); id < 200 && there == 0; id++ {
 				now := 3*second + (time.Duration(id)-100)*20*milli
 				b.Timer(now, timerSweep<<56)
-				b.Request(now, Request{ID: id, Class: safe, Deadline: now + second})
+				b.Request(now, Request{ID: id, Class: idempotent, Deadline: now + second})
 				for _, a := range h.take("send") {
 					if a.to == out {
 						there++
@@ -82,7 +82,7 @@
 }
 
 // An order may come before the list, and twice; one call ends it.
-func TestDetachBeforeTheListAndTwice(t *testing.T) {
+func TestDetachBeforeListAndTwice(t *testing.T) {
 	out := list(1)[0].ID
 	b, _ := newBalancer(t, testConfig(), 0)
 	b.Detach(second, out)
--- a/decision/reach_test.go
+++ b/decision/reach_test.go
@@ -6,7 +6,7 @@
 )
 
 // A proxy uses as many backends as it has requests for, also when these come by the thousand in an interval.
-func TestReachFollowsHighRates(t *testing.T) {
+func TestActiveSetFollowsHighRates(t *testing.T) {
 	for _, k := range []struct {
 		perSecond, least, most int
 	}{{40, minActiveTargets, 40}, {10_000, 250, 400}} {
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Where all fails, further attempts stay within their share of the requests, whatever it is set to.
-func TestFurtherAttemptsStayWithinTheirShare(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	for _, share := range []float64{0, 0.02, 0.1, 0.5} { // 0 is the usual
 		cfg := testConfig()
 		cfg.RetryBudgetRatio = share
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -9,20 +9,20 @@
 		class int
 		set   func(b *Balancer, r *request, other *target)
 	}{
-		{"ended", safe, func(_ *Balancer, r *request, _ *target) { r.ended = true }},
-		{"streaming", safe, func(_ *Balancer, r *request, _ *target) { r.streaming = true }},
-		{"past the deadline", safe, func(b *Balancer, r *request, _ *target) { b.now = r.Deadline }},
-		{"draining", safe, func(_ *Balancer, _ *request, o *target) { o.State = Draining }},
-		{"gone", safe, func(_ *Balancer, _ *request, o *target) { o.State = Removed }},
-		{"second copy", safe, func(b *Balancer, _ *request, _ *target) { b.config.Capabilities.HedgedRequests = false }},
-		{"attempts used up", safe, func(b *Balancer, _ *request, _ *target) { b.config.Capabilities.MaxAttempts = 1 }},
-		{"unsafe that may run", unsafe, func(*Balancer, *request, *target) {}},
+		{"ended", idempotent, func(_ *Balancer, r *request, _ *target) { r.ended = true }},
+		{"streaming", idempotent, func(_ *Balancer, r *request, _ *target) { r.streaming = true }},
+		{"past the deadline", idempotent, func(b *Balancer, r *request, _ *target) { b.now = r.Deadline }},
+		{"draining", idempotent, func(_ *Balancer, _ *request, o *target) { o.State = Draining }},
+		{"gone", idempotent, func(_ *Balancer, _ *request, o *target) { o.State = Removed }},
+		{"second copy", idempotent, func(b *Balancer, _ *request, _ *target) { b.config.Capabilities.HedgedRequests = false }},
+		{"attempts used up", idempotent, func(b *Balancer, _ *request, _ *target) { b.config.Capabilities.MaxAttempts = 1 }},
+		{"unsafe that may run", notIdempotent, func(*Balancer, *request, *target) {}},
 		{"other zone", keyed, func(_ *Balancer, r *request, o *target) { o.Zone = r.attempts[0].zone + 1 }},
 		{"other cell", keyed, func(b *Balancer, r *request, o *target) {
 			b.config.Classes[keyed].DeduplicationScope, o.Cell = ScopeCell, r.attempts[0].cell+1
 		}},
-		{"after the window", anywhere, func(b *Balancer, _ *request, _ *target) { b.now += 2 * second }},
-		{"cold without budget", safe, func(b *Balancer, _ *request, o *target) {
+		{"after the window", keyedAnywhere, func(b *Balancer, _ *request, _ *target) { b.now += 2 * second }},
+		{"cold without budget", idempotent, func(b *Balancer, _ *request, o *target) {
 			o.lastStart, o.slowStartTokens = b.now, -1
 		}},
 	} {
--- a/decision/service_test.go
+++ b/decision/service_test.go
@@ -20,7 +20,7 @@
 }
 
 // One request whose sending fails does not take with it those that wait behind it.
-func TestQueueSurvivesAPanic(t *testing.T) {
+func TestQueueSurvivesPanic(t *testing.T) {
 	h := &failingHost{}
 	b, err := New(testConfig(), 1, h)
 	if err != nil {
@@ -45,7 +45,7 @@
 }
 
 // A target that left while something was out there is forgotten once that has ended, without another list.
-func TestGoneTargetIsForgotten(t *testing.T) {
+func TestRemovedTargetIsDropped(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	b.Request(second, Request{ID: 1, Class: 0, Deadline: 4 * second})
 	sent := h.take("send")
@@ -65,7 +65,7 @@
 
 // Two failures that come close together are no start: the backend is not cold. Without any answer for some time
 // they are.
-func TestStartIsSuspectedAfterSilenceOnly(t *testing.T) {
+func TestRestartIsSuspectedAfterSilenceOnly(t *testing.T) {
 	for _, c := range []struct {
 		apart time.Duration
 		cold  bool
@@ -85,7 +85,7 @@
 }
 
 // Failed probes of a backend that answers requests meanwhile do not make it cold.
-func TestProbesBesideAnswers(t *testing.T) {
+func TestHealthChecksBesideAnswers(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		b, _ := newBalancer(t, testConfig(), 1)
 		target := b.targets[0]
@@ -106,7 +106,7 @@
 }
 
 // Attempts that broke are repeated out of more budget than those that timed out.
-func TestBrokenAttemptsAreRepeated(t *testing.T) {
+func TestBrokenAttemptsAreRetried(t *testing.T) {
 	repeats := func(result Result) int {
 		cfg := testConfig()
 		cfg.Capabilities.MaxAttempts = 1000
@@ -128,7 +128,7 @@
 
 // With almost as many requests open as may be, those that bring least for the time that they take are refused
 // at once, and the others are taken.
-func TestLastPlacesAreForTheBest(t *testing.T) {
+func TestLastOpenRequestsAreForMostValuable(t *testing.T) {
 	cfg := testConfig()
 	cfg.Capabilities.MaxOpenRequests = 20
 	cfg.Classes[2].PriorityWeight = 20 // unsafe
@@ -145,7 +145,7 @@
 		return "taken"
 	}
 	for range 9 {
-		for _, class := range []int{unsafe, 0} {
+		for _, class := range []int{notIdempotent, 0} {
 			if got := ask(class); got != "taken" {
 				t.Fatalf("with %d open: %s", b.openRequests, got)
 			}
@@ -154,7 +154,7 @@
 	if got := ask(0); got != "refused" {
 		t.Errorf("one of little worth with %d open: %s", b.openRequests, got)
 	}
-	if got := ask(unsafe); got != "taken" {
+	if got := ask(notIdempotent); got != "taken" {
 		t.Errorf("one of much worth with %d open: %s", b.openRequests, got)
 	}
 	for id := range id {
--- a/decision/stats_test.go
+++ b/decision/stats_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // The first request of a process does not stand for the mean of the next hundreds.
-func TestTheFirstRequestIsNoMean(t *testing.T) {
+func TestFirstRequestIsNoMean(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 4)
 	const others = 15
 	for i := range 1 + others {
--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 // A body on its way is no load at its backend, and its time counts from its last byte.
-func TestABodyOnItsWayIsNoLoad(t *testing.T) {
+func TestUploadIsNoLoad(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
-	b.Request(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second, StreamedBody: true})
+	b.Request(second, Request{ID: 1, Class: notIdempotent, Deadline: 2 * second, StreamedBody: true})
 	if got := h.take("send"); len(got) != 1 {
 		t.Fatalf("sent %v", got)
 	}
@@ -30,10 +30,10 @@
 }
 
 // A body that has passed by can't be sent again, whatever its class allows.
-func TestASpentBodyIsNotSentAgain(t *testing.T) {
+func TestConsumedBodyIsNotRetried(t *testing.T) {
 	for _, spent := range []bool{true, false} {
 		b, h := newBalancer(t, testConfig(), 3)
-		b.Request(second, Request{ID: 1, Class: safe, Deadline: 2 * second, StreamedBody: true})
+		b.Request(second, Request{ID: 1, Class: idempotent, Deadline: 2 * second, StreamedBody: true})
 		first := h.take("send")
 		b.Outcome(second+milli, Outcome{ID: 1, Backend: first[0].to, Result: Rejected, BodyConsumed: spent})
 		got := h.take("send", "refuse")
@@ -44,13 +44,13 @@
 }
 
 // A long answer teaches its delay at its first byte, and is no load from then on.
-func TestALongAnswerCountsToItsFirstByte(t *testing.T) {
+func TestLongAnswerCountsToFirstByte(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
-	b.Request(second, Request{ID: 1, Class: safe, Deadline: 2 * second})
+	b.Request(second, Request{ID: 1, Class: idempotent, Deadline: 2 * second})
 	to := h.take("send")[0].to
 	b.FirstByte(second+20*milli, FirstByte{ID: 1, Backend: to, Latency: 20 * milli})
-	if got := b.targets[0]; got.limit.load != 0 || got.ratioCount.sum == 0 || b.latencyByClass[safe].mean() != 20 {
-		t.Errorf("load %v, answers %v, class mean %v", got.limit.load, got.ratioCount.sum, b.latencyByClass[safe].mean())
+	if got := b.targets[0]; got.limit.load != 0 || got.ratioCount.sum == 0 || b.latencyByClass[idempotent].mean() != 20 {
+		t.Errorf("load %v, answers %v, class mean %v", got.limit.load, got.ratioCount.sum, b.latencyByClass[idempotent].mean())
 	}
 	b.Timer(30*second, timerDispatch<<56)
 	b.Outcome(30*second, Outcome{ID: 1, Backend: to, Result: Reset, Latency: 29 * second, Final: true})
