--- /dev/null
+++ b/decision/admission.go
@@ -0,0 +1,60 @@
+package decision
+
+import "time"
+
+// openRequestsThreshold is the share of MaxOpenRequests from which those that bring least are shed.
+const openRequestsThreshold = 0.93
+
+// Request admits a request that the proxy has just taken, and sends it, queues it or sheds it.
+func (b *Balancer) Request(now time.Duration, q Request) {
+	b.now = now
+	if _, known := b.requests[q.ID]; known {
+		return
+	}
+	q.Class = min(max(q.Class, 0), len(b.config.Classes)-1)
+	b.learnHint(q.Class, q.ExpectedWork)
+	r := &request{Request: q, arrived: now}
+	r.objectiveAt = b.objectiveFrom(now, r)
+	b.requests[q.ID] = r
+	b.refillRetryBudget()
+	b.checkBudget += checkShareOfRequests
+	b.countRequest()
+	b.learnArrival(r)
+	b.valueRequest(r)
+	b.meanGain = movingAverage(b.meanGain, b.marginalGain(r)*b.totalTally.offered, b.meanSamples)
+	b.openRequests++
+	if b.shouldShed(r) {
+		b.rejectOrFail(r)
+		return
+	}
+	b.enqueue(r)
+	b.dispatch()
+}
+
+// objectiveFrom is the time until which an answer to a request earns its full value, if its time counts
+// from now.
+func (b *Balancer) objectiveFrom(now time.Duration, r *request) time.Duration {
+	class := &b.config.Classes[r.Class]
+	extra := fromMillis(class.ObjectivePerWork * millis(r.ExpectedWork))
+	return min(now+class.LatencyObjective+extra, r.Deadline)
+}
+
+// lastUseful is the time after which an answer is worth nothing.
+func (b *Balancer) lastUseful(r *request) time.Duration {
+	if b.config.Classes[r.Class].LateValueShare > 0 {
+		return r.Deadline
+	}
+	return r.objectiveAt
+}
+
+// shouldShed keeps the last of the requests that may be open for those that bring more than the mean for
+// each ms that they are open. Once all are open nobody else can come, and those that bring much in a short
+// time would be shut out with the others.
+func (b *Balancer) shouldShed(r *request) bool {
+	latency := b.expectedFor(r) * b.medianRatio
+	density := b.marginalGain(r) * b.totalTally.offered * b.workOf(r) / latency
+	b.meanDensity = movingAverage(b.meanDensity, density, b.meanSamples)
+	most := b.config.Capabilities.MaxOpenRequests
+	return most > 0 && float64(b.openRequests) > openRequestsThreshold*float64(most) &&
+		density < b.meanDensity
+}
--- /dev/null
+++ b/decision/anyconfig_test.go
@@ -0,0 +1,206 @@
+package decision
+
+import (
+	"container/heap"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// randomConfig is a valid configuration whose settings are drawn from their extremes.
+func randomConfig(rng *rand.Rand) Config {
+	coin := func() bool { return rng.IntN(2) == 0 }
+	of := func(ds ...time.Duration) time.Duration { return ds[rng.IntN(len(ds))] }
+	weigh := func(fs ...float64) float64 { return fs[rng.IntN(len(fs))] }
+	long := time.Duration(1e18)
+	cfg := Config{Instances: []int{1, 2, 9, 300, math.MaxInt32}[rng.IntN(5)], Rank: rng.IntN(5) - 1,
+		Zone: rng.IntN(4) - 1,
+		Tick: of(0, time.Microsecond, milli, 20*milli, second, long), OverQuotaWeight: weigh(0, 0.1, 1, 5, 1e300),
+		WeightByWork: coin(),
+		KeyAffinity:  coin(), ClientsMarkRetries: coin(), PolledDiscovery: coin(), Weights: WeightKind(rng.IntN(3)),
+		ObjectiveWeights: ObjectiveWeights{weigh(0, 0.5, 1e300), weigh(0, 0.2), weigh(0, 0.2), weigh(0, 0.2)},
+		Constraints: Constraints{MaxListAge: of(0, second, long), WarmUp: of(0, milli, 8*second, long),
+			DrainGrace:     of(0, second),
+			OverloadWindow: of(0, milli, second, long), OverloadFactor: weigh(0, 0.01, 3, 1e300),
+			InitialCapacity: weigh(0, 0.1, 1, 34)},
+		Capabilities: Capabilities{Cancel: coin(), HealthChecks: coin(), RetryAfter: coin(), HedgedRequests: coin(),
+			ConnectionIdleTimeout: of(0, second),
+			ConnectTimeout:        of(0, 1, milli, 75*milli, 2*second, long), MaxRetryAfter: of(0, second, long),
+			MaxAttempts: []int{1, 2, 4, math.MaxInt32}[rng.IntN(4)], StreamsPerConnection: rng.IntN(2),
+			MaxOpenRequests: rng.IntN(3) * rng.IntN(100)}}
+	for i := range 1 + rng.IntN(5) {
+		cfg.Classes = append(cfg.Classes, Class{Name: fmt.Sprint(i),
+			LatencyObjective: of(1, milli, 60*milli, second, long), ClientTimeout: of(1, 50*milli, time.Minute, long),
+			ObjectivePerWork: weigh(0, 0, 2, 1e300), Idempotency: Idempotency(rng.IntN(3)),
+			DeduplicationScope: DeduplicationScope(rng.IntN(3)), DeduplicationWindow: of(0, milli, second, long),
+			LateValueShare: weigh(0, 0.5, 1, 3), PriorityWeight: weigh(0, 1, 1e-300, 1e300)})
+	}
+	for range rng.IntN(4) {
+		cfg.Tenants = append(cfg.Tenants, Tenant{Name: "t", Share: weigh(0, 0.5, 9),
+			QuotaPerSecond: weigh(0, 1e-9, 50, 1e300)})
+	}
+	return cfg
+}
+
+// simulatedServers plays a Balancer against servers that answer after a while.
+type simulatedServers struct {
+	recorder
+	balancer     *Balancer
+	random       *rand.Rand
+	now          time.Duration
+	queue        eventQueue
+	order        int
+	attempts     map[RequestID]int
+	finalAnswers map[RequestID]int
+}
+
+func (s *simulatedServers) schedule(in time.Duration, do func()) {
+	s.order++
+	heap.Push(&s.queue, scheduledEvent{s.now + max(in, 0), s.order, do})
+}
+
+func (s *simulatedServers) Send(id RequestID, to BackendID, until time.Duration) {
+	n := s.attempts[id]
+	s.attempts[id]++
+	o := Outcome{ID: id, Attempt: n, Backend: to, Result: Result(s.random.IntN(8))}
+	if s.random.IntN(4) > 0 {
+		o.Result = OK
+	}
+	took := time.Duration(s.random.ExpFloat64() * float64(20*milli))
+	if s.now+took >= until {
+		took, o.Result = until-s.now, Timeout
+	}
+	s.schedule(took, func() {
+		if o.Result == OK && s.finalAnswers[id] == 0 {
+			s.finalAnswers[id] = 1
+		}
+		o.Final = s.finalAnswers[id] > 0
+		o.Latency = took
+		s.balancer.Outcome(s.now, o)
+	})
+}
+
+func (s *simulatedServers) Reject(id RequestID, _ time.Duration) { s.finalAnswers[id]++ }
+
+func (s *simulatedServers) Fail(id RequestID) { s.finalAnswers[id]++ }
+
+func (s *simulatedServers) CheckHealth(to BackendID) {
+	s.schedule(milli, func() {
+		s.balancer.HealthChecked(s.now, HealthCheckResult{Backend: to, Result: Result(s.random.IntN(8)),
+			Latency: milli})
+	})
+}
+
+func (s *simulatedServers) StartTimer(d time.Duration, token uint64) {
+	s.schedule(max(d, milli/2), func() { s.balancer.Timer(s.now, token) })
+}
+
+// play runs the events that are due within a span.
+func (s *simulatedServers) play(t *testing.T, span time.Duration) {
+	end := s.now + span
+	for steps := 0; len(s.queue) > 0 && s.queue[0].at <= end; steps++ {
+		if steps > 200_000 {
+			t.Fatal("it spins")
+		}
+		e := heap.Pop(&s.queue).(scheduledEvent)
+		s.now = max(s.now, e.at)
+		e.run()
+	}
+	s.now = end
+}
+
+type scheduledEvent struct {
+	at    time.Duration
+	order int
+	run   func()
+}
+
+type eventQueue []scheduledEvent
+
+func (d eventQueue) Len() int { return len(d) }
+
+func (d eventQueue) Less(i, j int) bool {
+	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].order < d[j].order
+}
+
+func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+
+func (d *eventQueue) Push(x any) { *d = append(*d, x.(scheduledEvent)) }
+
+func (d *eventQueue) Pop() any {
+	old := *d
+	e := old[len(old)-1]
+	*d = old[:len(old)-1]
+	return e
+}
+
+// With any valid configuration a proxy starts, sends its first request at once, answers each request once, and its
+// estimates stay finite.
+func TestAnyValidConfigIsServed(t *testing.T) {
+	for seed := range uint64(300) {
+		rng := rand.New(rand.NewPCG(seed, 27))
+		cfg := randomConfig(rng)
+		s := &simulatedServers{random: rng, now: 1_790_000_000 * second, attempts: map[RequestID]int{},
+			finalAnswers: map[RequestID]int{}}
+		var err error
+		if s.balancer, err = New(cfg, seed, s); err != nil {
+			t.Fatalf("seed %d: %v", seed, err)
+		}
+		s.balancer.Start(s.now)
+		s.balancer.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateFull, Version: 1, Backends: list(1 + rng.IntN(6))})
+		var last RequestID
+		ask := func() {
+			last++
+			give := time.Duration(1+rng.IntN(1000)) * milli
+			s.balancer.Request(s.now, Request{ID: last, Class: rng.IntN(len(cfg.Classes)),
+				Tenant: rng.IntN(len(cfg.Tenants)+2) - 1, Key: uint64(rng.IntN(3)),
+				ExpectedWork: time.Duration(rng.IntN(2)*rng.IntN(100)) * milli, Deadline: s.now + give,
+				MarkedRetry: rng.IntN(3) == 0})
+		}
+		ask()
+		if s.attempts[1] == 0 {
+			t.Errorf("seed %d: the first request is not sent: %+v", seed, cfg)
+		}
+		for i := range 60 {
+			ask()
+			s.play(t, time.Duration(rng.IntN(50))*milli)
+			switch rng.IntN(20) {
+			case 0: // hours without an event: what was due comes after them
+				s.now += time.Duration(rng.IntN(24)) * time.Hour
+			case 1:
+				e := list(6)[rng.IntN(6)]
+				e.State, e.Started = BackendState(rng.IntN(3)), s.now
+				s.balancer.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateDelta, Version: uint32(i),
+					Backends: []Backend{e}})
+			}
+		}
+		s.play(t, 2*second)
+		for id := RequestID(1); id <= last; id++ {
+			if s.finalAnswers[id] > 1 {
+				t.Errorf("seed %d: request %d has %d answers", seed, id, s.finalAnswers[id])
+			}
+		}
+		b := s.balancer
+		for name, v := range map[string]float64{"mean": b.meanLatency, "meanWork": b.meanWork, "meanGain": b.meanGain,
+			"meanDensity": b.meanDensity,
+			"median":      b.medianRatio, "shared.limit": b.sharedLimit.ceiling, "rate": b.requestRate(),
+			"asked": b.totalTally.offered, "served": b.totalTally.served,
+			"retries": b.retryBudget, "probes": b.checkBudget} {
+			if math.IsNaN(v) || math.IsInf(v, 0) {
+				t.Errorf("seed %d: %s is %v: %+v", seed, name, v, cfg)
+			}
+		}
+		for _, o := range b.targets {
+			v := o.limit.ceiling + o.limit.load + o.slowStartTokens + o.slowStartRate
+			v += b.latencyRatio(o) + o.servedWork.sum
+			if math.IsNaN(v) || math.IsInf(v, 0) {
+				t.Errorf("seed %d: backend %d: %+v", seed, o.ID, o)
+			}
+		}
+		if t.Failed() {
+			return
+		}
+	}
+}
--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -18,8 +18,7 @@
 func (h *silentHost) CheckHealth(BackendID)                           {}
 func (h *silentHost) StartTimer(time.Duration, uint64)                {}
 
-// BenchmarkRequest is a request's whole life: arrival, choice, send and answer, with a sweep of the
-// timers every hundred. Keyed requests choose by their key.
+// BenchmarkRequest measures a request from arrival to answer, with a sweep every hundred.
 func BenchmarkRequest(b *testing.B) {
 	for _, backends := range []int{10, 50} {
 		for _, keyed := range []bool{false, true} {
@@ -37,13 +36,15 @@
 				for i := range b.N {
 					now += milli
 					h.to = 0
-					m.Request(now, Request{ID: RequestID(i), Class: i % 4, Key: uint64(i % 100), Deadline: now + 3*second})
+					m.Request(now, Request{ID: RequestID(i), Class: i % 4, Key: uint64(i % 100),
+						Deadline: now + 3*second})
 					if h.to != 0 {
-						m.Outcome(now+100*time.Microsecond, Outcome{ID: RequestID(i), Backend: h.to, Result: OK, Final: true})
+						m.Outcome(now+100*time.Microsecond, Outcome{ID: RequestID(i), Backend: h.to, Result: OK,
+							Final: true})
 						answered++
 					}
 					if i%100 == 0 {
-						m.Timer(now, timerSweep<<56)
+						m.Timer(now, sweepToken)
 					}
 				}
 				if answered < b.N/2 {
--- a/decision/config.go
+++ b/decision/config.go
@@ -1,121 +1,123 @@
 package decision
 
-import (
-	"fmt"
-	"math"
-	"slices"
-	"time"
+import "time"
+
+// Idempotency says what repeating a request of a class may do.
+type Idempotency uint8
+
+// The kinds of idempotency. The zero value is the careful one.
+const (
+	NotIdempotent   Idempotency = iota // must never run twice
+	IdempotentByKey                    // repeats are dropped within a scope and a window
+	Idempotent                         // may be repeated freely
 )
 
-// A SettingError names a setting that can't be served, by its path in the settings, and says why.
-type SettingError struct{ Field, Reason string }
-
-func (e *SettingError) Error() string { return e.Field + ": " + e.Reason }
-
-// Validate looks for settings that can't be served: without a class, an attempt or a proxy nothing
-// can be; a class
-// whose time is over at once has no answer; and what the rules are counted by must be a figure. All else is
-// served, brought to its range if need be. The error is a *SettingError, or nil.
-func (c *Config) Validate() error {
-	if len(c.Classes) == 0 {
-		return &SettingError{"Services", "none given, so there is nothing to serve"}
-	}
-	if c.Instances < 1 {
-		return &SettingError{"Balancers", fmt.Sprintf("%d, must be 1 or more", c.Instances)}
-	}
-	if c.Capabilities.MaxAttempts < 1 {
-		reason := fmt.Sprintf("%d, must be 1 or more: no request could be sent", c.Capabilities.MaxAttempts)
-		return &SettingError{"Caps.MaxAttempts", reason}
-	}
-	for i, s := range c.Classes {
-		for _, f := range [2]setting{{"Aim", float64(s.LatencyObjective)}, {"GiveUp",
-			float64(s.ClientTimeout)}} {
-			if f.value <= 0 {
-				field := fmt.Sprintf("Services.%d.%s", i, f.name)
-				return &SettingError{field, "must be above 0: no answer could be in time"}
-			}
-		}
-		if s.DeduplicationWindow < 0 {
-			return &SettingError{fmt.Sprintf("Services.%d.Window", i), "is negative"}
-		}
-	}
-	o, k := &c.Constraints, &c.Capabilities
-	for _, f := range []setting{
-		{"Tick", float64(c.Tick)},
-		{"RetryShare", c.RetryBudgetRatio},
-		{"Obligations.AnswerSlack", float64(o.AnswerSlack)},
-		{"Obligations.AskEvery", float64(o.MaxListAge)},
-		{"Obligations.Cold", float64(o.WarmUp)},
-		{"Obligations.DrainGrace", float64(o.DrainGrace)},
-		{"Obligations.Fall", float64(o.OverloadWindow)},
-		{"Obligations.FallMultiple", o.OverloadFactor},
-		{"Obligations.StartCapacity", o.InitialCapacity},
-		{"Caps.ConnIdle", float64(k.ConnectionIdleTimeout)},
-		{"Caps.ConnectTimeout", float64(k.ConnectTimeout)},
-		{"Caps.MaxRetryAfter", float64(k.MaxRetryAfter)},
-	} {
-		switch {
-		case f.value < 0:
-			return &SettingError{f.name, "is negative"}
-		case math.IsNaN(f.value) || math.IsInf(f.value, 0):
-			return &SettingError{f.name, "is no number"}
-		}
-	}
-	return nil
+// DeduplicationScope says which backends drop repeats of a request that is idempotent by its key.
+type DeduplicationScope uint8
+
+// The scopes. The zero value is the narrowest one.
+const (
+	ScopeCell DeduplicationScope = iota
+	ScopeZone
+	ScopeAll
+)
+
+// Class is a kind of request.
+type Class struct {
+	Name             string
+	LatencyObjective time.Duration // an answer within it earns the full weight; must be above 0
+	ObjectivePerWork float64       // the objective is longer by this multiple of the request's expected work
+	ClientTimeout    time.Duration // how long a client waits over all its attempts; must be above 0
+	Idempotency      Idempotency
+
+	// DeduplicationScope and DeduplicationWindow hold for IdempotentByKey. The window begins when the first
+	// attempt that may have run is sent.
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow time.Duration
+
+	LateValueShare   float64 // share of the weight that an answer after the objective earns
+	StreamedResponse bool    // the answer begins with FirstByte
+	PriorityWeight   float64 // what a request in time is worth
+}
+
+// Tenant is a customer with a share of the service.
+type Tenant struct {
+	Name           string
+	Share          float64 // of the service; no rule reads it
+	QuotaPerSecond float64 // requests a second within its share, over all proxies; 0 is no quota
 }
 
-type setting struct {
-	name  string
-	value float64
+// ObjectiveWeights weigh the parts of what is to be maximised: the share of the offered weight that is
+// served.
+type ObjectiveWeights struct {
+	Overall     float64 // over all requests
+	WorstClass  float64 // of the class that is served worst
+	WorstTenant float64 // of the tenant that is served worst
+	WorstWindow float64 // of the worst span of time
 }
 
+// Penalties are what the platform takes off the result, each times its rate. No rule reads them.
+type Penalties struct {
+	Connection, CrossZone, Discovery, Handshake, LateFailure, PeerMessage, HealthCheck, WastedWork float64
+}
+
+// Constraints are the figures of the rules that hold whatever the result.
+type Constraints struct {
+	AnswerSlack     time.Duration // how late after the deadline a final answer still counts
+	MaxListAge      time.Duration // how stale a polled endpoint list may become; 0 is no bound
+	WarmUp          time.Duration // a started backend has its full capacity after this
+	DrainGrace      time.Duration // sends to a draining backend must cease within this
+	OverloadWindow  time.Duration // over which the load of a backend that warms up is bounded; 0 is a second
+	OverloadFactor  float64       // it falls over beyond this multiple of its capacity
+	InitialCapacity float64       // share of its capacity that a started backend has at once
+}
+
+// Capabilities are what the platform allows.
+type Capabilities struct {
+	Cancel         bool // attempts may be called off
+	PeerMessages   bool // proxies may talk to each other; no rule does
+	HealthChecks   bool // backends may be probed
+	RetryAfter     bool // rejections may carry a time
+	HedgedRequests bool // two attempts of a request may be in flight at once
+
+	ConnectionIdleTimeout time.Duration // idle connections are closed after it
+	ConnectTimeout        time.Duration // how long a connection may take; health checks are paced by it
+	MaxRetryAfter         time.Duration // the longest time that a rejection may carry
+	MaxAttempts           int           // of one request; at least 1
+	StreamsPerConnection  int           // requests that a connection carries at once; no rule reads it
+	MaxOpenRequests       int           // at the proxy; more can't come. 0 is no such limit
+}
+
+// WeightKind says what Backend.Weight stands for.
+type WeightKind uint8
+
+// The kinds of weight.
 const (
-	// no one waits for longer; a few hundred times this is still a span
-	maxDuration      = 30 * 24 * time.Hour
-	maxWeightSetting = 1e12 // sums of it over all requests are still numbers
-	// an attempt's number is one byte in a timer's token, as on the wire
-	maxAttemptsSetting    = 255
-	defaultOverloadWindow = time.Second // where no span is told in which a cold backend falls
+	WeightNone    WeightKind = iota // nothing
+	WeightNominal                   // registered size, exact or approximate
+	WeightLive                      // size over load: it varies, and is not used
 )
 
-// Normalized gives the settings with what only weighs brought to its range, and with no span so long
-// that sums of
-// it would overflow. It shares nothing with these.
-func (c *Config) Normalized() Config {
-	m := *c
-	m.Classes, m.Tenants = slices.Clone(c.Classes), slices.Clone(c.Tenants)
-	bound := func(spans ...*time.Duration) {
-		for _, d := range spans {
-			*d = min(*d, maxDuration)
-		}
-	}
-	within := func(most float64, weights ...*float64) {
-		for _, w := range weights {
-			if *w = min(*w, most); !(*w >= 0) {
-				*w = 0
-			}
-		}
-	}
-	o, k, g := &m.Constraints, &m.Capabilities, &m.ObjectiveWeights
-	bound(&m.Tick, &o.AnswerSlack, &o.MaxListAge, &o.WarmUp, &o.DrainGrace, &o.OverloadWindow)
-	bound(&k.ConnectionIdleTimeout, &k.ConnectTimeout, &k.MaxRetryAfter)
-	within(1, &o.InitialCapacity)
-	within(maxWeightSetting, &m.OverQuotaWeight, &o.OverloadFactor)
-	within(maxWeightSetting, &g.Overall, &g.WorstClass, &g.WorstTenant, &g.WorstWindow)
-	for i := range m.Classes {
-		s := &m.Classes[i]
-		bound(&s.LatencyObjective, &s.ClientTimeout, &s.DeduplicationWindow)
-		within(maxWeightSetting, &s.PriorityWeight, &s.ObjectivePerWork, &s.LateValueShare)
-	}
-	for i := range m.Tenants {
-		within(maxWeightSetting, &m.Tenants[i].Share, &m.Tenants[i].QuotaPerSecond)
-	}
-	k.MaxAttempts = min(k.MaxAttempts, maxAttemptsSetting)
-	if *g == (ObjectiveWeights{}) { // nothing is told of what counts
-		g.Overall = 1
-	}
-	if o.OverloadWindow == 0 {
-		o.OverloadWindow = defaultOverloadWindow
-	}
-	return m
+// Config is what a Balancer is told at its start. Validate says what can't be served, Normalized what is
+// brought to its range.
+type Config struct {
+	Instances       int           // how many proxies share the backends; at least 1
+	Rank            int           // which of them this one is, from 0
+	Zone            int           // where it is
+	Tick            time.Duration // the caller handles events and timers at most once in it
+	Classes         []Class
+	Tenants         []Tenant
+	OverQuotaWeight float64 // weight of traffic beyond a tenant's quota, as a share of its usual weight
+	WeightByWork    bool    // weight counts by the millisecond of work, not by request
+
+	KeyAffinity        bool // a backend that met a key lately serves it with less work
+	ClientsMarkRetries bool // else MarkedRetry tells nothing; no rule reads it
+	PolledDiscovery    bool // the endpoint list comes only when asked for
+	Weights            WeightKind
+	RetryBudgetRatio   float64 // retries, as a share of the requests; 0 is a tenth
+
+	ObjectiveWeights ObjectiveWeights
+	Penalties        Penalties
+	Constraints      Constraints
+	Capabilities     Capabilities
 }
--- a/decision/engine_test.go
+++ b/decision/enginehistory_test.go
@@ -17,13 +17,13 @@
 	"lapisspread/internal/engine/enginetest"
 )
 
-// engineHarness is an engine between drawn requests, a drawn list and servers scripted by its conformance kit, with the model
-// beside it. What goes out counts when a server has it, so of the third rule the grace is looked at.
+// engineHarness runs an engine between random requests, a random endpoint list and scripted servers, with the model
+// beside it. A send counts when a server has it, so of the rule on drains only the grace period is checked.
 type engineHarness struct {
 	enginetest.Script
 	mu      sync.Mutex
 	seed    uint64
-	random  *rand.Rand // of the requests and of the list; what goroutines draw comes from draw
+	random  *rand.Rand // of the requests and of the list; what goroutines draw comes from randomFor
 	model   *model
 	engine  *engine.Engine
 	members []engine.Endpoint
@@ -47,7 +47,7 @@
 	g.trace = append(g.trace, fmt.Sprintf("%v ", g.model.now)+fmt.Sprintf(format, args...))
 }
 
-// randomFor gives a source of its own to each purpose: goroutines of one moment run in any order.
+// randomFor gives each purpose a source of its own, as goroutines of one moment run in any order.
 func (g *engineHarness) randomFor(of ...int) *rand.Rand {
 	h := g.seed
 	for _, n := range of {
@@ -56,8 +56,6 @@
 	return rand.New(rand.NewPCG(h, 11))
 }
 
-// ---- the list ----
-
 func (g *engineHarness) Addr() string { return "drawn" }
 func (g *engineHarness) Close()       {}
 
@@ -109,17 +107,19 @@
 		m.Kind = decision.UpdateFull
 	}
 	for _, e := range l.Endpoints {
-		m.Backends = append(m.Backends, decision.Backend{ID: engine.BackendID(e.ID), Cell: e.Cell, State: e.State, Started: e.Started})
+		m.Backends = append(m.Backends, decision.Backend{ID: engine.BackendID(e.ID), Cell: e.Cell, State: e.State,
+			Started: e.Started})
 	}
 	g.note("told of list %d full %v:%s", l.Version, l.Full, describeBackends(m.Backends))
 	g.model.endpoints(m)
 }
 
-// changeList draws a change of the list.
+// changeList makes a random change of the list.
 func (g *engineHarness) changeList() {
 	defer g.lock()()
 	e := &g.members[g.random.IntN(len(g.members))]
-	e.State = []decision.BackendState{decision.Ready, decision.Ready, decision.Draining, decision.Removed}[g.random.IntN(4)]
+	e.State = []decision.BackendState{decision.Ready, decision.Ready, decision.Draining,
+		decision.Removed}[g.random.IntN(4)]
 	if e.State == decision.Ready && g.random.IntN(3) == 0 {
 		e.Started = g.model.now
 	}
@@ -132,8 +132,6 @@
 	g.changed = make(chan struct{})
 }
 
-// ---- servers ----
-
 // Find gives a server whatever the list says: what is sent there is for the engine and the module to decide.
 func (g *engineHarness) Find(id decision.BackendID) engine.Backend { return scriptedPeer{g, id} }
 
@@ -155,7 +153,7 @@
 	}
 	unlock = s.lock()
 	_, may := a.SendAllowed()
-	if !may || ctx.Err() != nil { // called off before it began, or too late
+	if !may || ctx.Err() != nil { // cancelled before it began, or too late
 		unlock()
 		return decision.NotSent, nil
 	}
@@ -173,8 +171,6 @@
 	return result, answer
 }
 
-// ---- requests ----
-
 func (g *engineHarness) sendRequest(id decision.RequestID, class int, give, leave time.Duration) {
 	x := &engine.Request{Message: drawnMessage(id), Class: class, Timeout: give}
 	x.Init()
@@ -196,7 +192,10 @@
 	case end.ClientGone:
 		r.ended = true
 	case end.Outcome == engine.Served:
-		if r.ended || !slices.ContainsFunc(r.attempts, func(t *modelAttempt) bool { return t.done && t.result == decision.OK }) {
+		if r.ended || !slices.ContainsFunc(r.attempts, func(t *modelAttempt) bool {
+			return t.done &&
+				t.result == decision.OK
+		}) {
 			g.model.violation("rule 1", "request %d is served by nobody, or twice", id)
 		}
 		r.ended = true
@@ -216,36 +215,45 @@
 	}
 }
 
-// runEngineHistory draws a run through the engine and gives what it broke, and the trace.
+// runEngineHistory runs a random history through the engine and gives the violations and the trace.
 func runEngineHistory(t *testing.T, seed uint64) (broken, trace []string) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := enginetest.Config()
 		cfg.Classes = append(slices.Clone(cfg.Classes), // with windows shorter than a connection may take
-			decision.Class{Name: "all", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll, DeduplicationWindow: 60 * milli, PriorityWeight: 1},
-			decision.Class{Name: "cell", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeCell, DeduplicationWindow: 150 * milli, PriorityWeight: 1})
+			decision.Class{Name: "all", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second,
+				Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll,
+				DeduplicationWindow: 60 * milli, PriorityWeight: 1},
+			decision.Class{Name: "cell", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second,
+				Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeCell,
+				DeduplicationWindow: 150 * milli, PriorityWeight: 1})
 		rng := rand.New(rand.NewPCG(seed, 9))
 		cfg.Capabilities.HedgedRequests, cfg.Capabilities.HealthChecks = rng.IntN(2) == 0, rng.IntN(2) == 0
 		g := &engineHarness{seed: seed, random: rng, version: math.MaxUint32 - 3, changed: make(chan struct{})} // wraps
-		g.model = newModel(cfg, &backendLoads{speed: map[decision.BackendID]float64{}, sent: map[decision.BackendID][]workSent{}, slack: time.Hour})
+		g.model = newModel(cfg, &backendLoads{speed: map[decision.BackendID]float64{},
+			sent: map[decision.BackendID][]workSent{}, slack: time.Hour})
 		g.model.drainGraceOnly = true
 		for i := range 1 + rng.IntN(6) {
-			g.members = append(g.members, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1", State: decision.Ready, Cell: i % 2, Weight: 1})
+			g.members = append(g.members, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1",
+				State: decision.Ready, Cell: i % 2, Weight: 1})
 		}
 		g.update = g.fullList()
 		g.Next = func(_ int, a engine.Attempt) enginetest.Step {
 			defer g.lock()()
 			id := a.Message.(drawnMessage)
 			rng := g.randomFor(2, int(id), len(g.model.byID[decision.RequestID(id)].attempts))
-			r := enginetest.Step{Delay: time.Duration(rng.IntN(80)) * milli, Response: "x", IgnoresCancel: rng.IntN(20) == 0}
+			r := enginetest.Step{Delay: time.Duration(rng.IntN(80)) * milli, Response: "x",
+				IgnoresCancel: rng.IntN(20) == 0}
 			if rng.IntN(4) == 0 {
-				r.Result = []decision.Result{decision.Error, decision.Rejected, decision.Timeout, decision.ConnectFailed, decision.Reset, decision.NotSent}[rng.IntN(6)]
+				r.Result = []decision.Result{decision.Error, decision.Rejected, decision.Timeout,
+					decision.ConnectFailed, decision.Reset, decision.NotSent}[rng.IntN(6)]
 			}
 			if rng.IntN(15) == 0 {
 				r.Delay, r.IgnoresCancel = time.Hour, false
 			}
 			return r
 		}
-		e, err := engine.New(engine.Options{Decision: cfg, Seed: seed, InitialEndpoints: g.update, Upstream: g, Source: g})
+		e, err := engine.New(engine.Options{Decision: cfg, Seed: seed, InitialEndpoints: g.update, Upstream: g,
+			Source: g})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -258,7 +266,8 @@
 		all.Go(func() { e.Run(ctx) })
 		for id := range decision.RequestID(600) {
 			unlock := g.lock()
-			class, give, leave := g.random.IntN(len(cfg.Classes)), time.Duration(50+g.random.IntN(1500))*milli, time.Duration(0)
+			class, give, leave := g.random.IntN(len(cfg.Classes)), time.Duration(50+g.random.IntN(1500))*milli,
+				time.Duration(0)
 			if g.random.IntN(20) == 0 {
 				leave = min(give, time.Duration(1+g.random.IntN(100))*milli)
 			}
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -20,12 +20,12 @@
 func (printer) Cancel(id decision.RequestID, n int) {
 	fmt.Printf("cancel attempt %d of %d\n", n, id)
 }
-func (printer) CheckHealth(b decision.BackendID)            {}
-func (printer) ReleaseIdleConnections(b decision.BackendID) {}
-func (printer) WatchEndpoints(on bool)                      {}
-func (printer) FetchEndpoints()                             {}
-func (printer) SendToPeer(peer uint32, body []byte)         {}
-func (printer) StartTimer(d time.Duration, token uint64) {
+func (printer) CheckHealth(decision.BackendID)            {}
+func (printer) ReleaseIdleConnections(decision.BackendID) {}
+func (printer) WatchEndpoints(bool)                       {}
+func (printer) FetchEndpoints()                           {}
+func (printer) SendToPeer(uint32, []byte)                 {}
+func (printer) StartTimer(time.Duration, uint64) {
 	// A real proxy calls Timer with the token when the time has come.
 }
 func (printer) Log(line string) { fmt.Println(line) }
@@ -38,7 +38,8 @@
 		Classes: []decision.Class{{Name: "page", LatencyObjective: 300 * time.Millisecond, ClientTimeout: time.Second,
 			Idempotency: decision.Idempotent, PriorityWeight: 1}},
 		ObjectiveWeights: decision.ObjectiveWeights{Overall: 1},
-		Capabilities:     decision.Capabilities{HealthChecks: true, ConnectTimeout: 100 * time.Millisecond, MaxAttempts: 3},
+		Capabilities: decision.Capabilities{HealthChecks: true, ConnectTimeout: 100 * time.Millisecond,
+			MaxAttempts: 3},
 	}
 	b, err := decision.New(cfg, 1, printer{})
 	if err != nil {
@@ -52,7 +53,8 @@
 	}})
 	b.Request(time.Second, decision.Request{ID: 1, Deadline: 2 * time.Second})
 	now := time.Second + 20*time.Millisecond
-	b.Outcome(now, decision.Outcome{ID: 1, Backend: 7, Result: decision.OK, Latency: 20 * time.Millisecond, Final: true})
+	b.Outcome(now, decision.Outcome{ID: 1, Backend: 7, Result: decision.OK, Latency: 20 * time.Millisecond,
+		Final: true})
 	// Output:
 	// send request 1 to backend 7, until 1.299s
 }
--- a/decision/convicts_test.go
+++ b/decision/flawed_test.go
@@ -9,11 +9,11 @@
 	"lapisspread/decision"
 )
 
-// policy is the module, behind hands that may spoil what it is told.
+// policy is a Balancer whose events may be falsified.
 type policy struct {
 	*decision.Balancer
 	rewriteList   func(decision.EndpointUpdate) []decision.EndpointUpdate // in place of each list
-	ignoresDetach bool                                                    // orders by hand are lost
+	ignoresDetach bool                                                    // operators' orders are lost
 }
 
 func (f *policy) UpdateEndpoints(now time.Duration, m decision.EndpointUpdate) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// interferingHost is a host that does something else.
+// interferingHost is a Host that may do something else than the policy asks for.
 type interferingHost struct {
 	decision.Host
 	send   func(h decision.Host, id decision.RequestID, to decision.BackendID, until time.Duration)
@@ -55,7 +55,7 @@
 	h.reject(h.Host, id)
 }
 
-// Each flaw breaks one rule, and the model says which.
+// The model finds the rule that each flawed policy breaks.
 func TestModelRejectsFlawedPolicies(t *testing.T) {
 	entries := func(change func(*decision.Backend)) func(*policy, *interferingHost) {
 		return func(f *policy, _ *interferingHost) {
@@ -98,8 +98,10 @@
 			}
 		}, nil},
 		{"sends two at once", "rule 2", false, func(c *decision.Config) { c.Capabilities.HedgedRequests = true }, nil},
-		{"sends on to what drains", "rule 3: send", false, nil, entries(func(e *decision.Backend) { e.State = decision.Ready })},
-		{"sends to what is out by hand", "rule 3: send", false, nil, func(f *policy, _ *interferingHost) { f.ignoresDetach = true }},
+		{"sends on to what drains", "rule 3: send", false, nil,
+			entries(func(e *decision.Backend) { e.State = decision.Ready })},
+		{"sends to what is out by hand", "rule 3: send", false, nil,
+			func(f *policy, _ *interferingHost) { f.ignoresDetach = true }},
 		{"sends to what nobody listed", "listed", false, nil, entries(func(e *decision.Backend) { e.ID += 100 })},
 		{"sends all to the one that started last", "rule 4", true, nil, func(f *policy, h *interferingHost) {
 			last := decision.Backend{}
@@ -151,7 +153,8 @@
 			}
 			found := ""
 			for seed := uint64(0); seed < 40 && !strings.HasPrefix(found, k.rule); seed++ {
-				broken, _, _, err := runHistory(seed, spoiled, runOptions{restartsOnly: k.calm, drainGraceOnly: strings.HasPrefix(k.rule, "rule 3")})
+				broken, _, _, err := runHistory(seed, spoiled, runOptions{restartsOnly: k.calm,
+					drainGraceOnly: strings.HasPrefix(k.rule, "rule 3")})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -160,7 +163,7 @@
 				}
 			}
 			if !strings.HasPrefix(found, k.rule) {
-				t.Errorf("one that %s is not convicted of %s: %q", k.name, k.rule, found)
+				t.Errorf("one that %s is not found to break %s: %q", k.name, k.rule, found)
 			} else {
 				t.Logf("one that %s: %s", k.name, found)
 			}
--- a/decision/frozen_test.go
+++ b/decision/frozen_test.go
@@ -15,7 +15,7 @@
 
 // The files in testdata were written by the program of c8fad44 with
 //
-//	FREEZE=1 go test ./decision -run 'TestTranscriptKeepsItsBytes|TestMemoryKeepsItsBytes'
+//	FREEZE=1 go test ./decision -run 'KeepsItsBytes'
 //
 // They hold what must not change: the actions for a fixed sequence of events, and the stored form of Memory.
 
@@ -127,7 +127,8 @@
 
 func (s *transcript) end(in time.Duration, o Outcome) {
 	o.BodyConsumed = s.streamed[o.ID] && o.Result != OK && o.ID%2 == 0
-	line := fmt.Sprintf("outcome %d/%d from %d: %d final %v spent %v", o.ID, o.Attempt, o.Backend, o.Result, o.Final, o.BodyConsumed)
+	line := fmt.Sprintf("outcome %d/%d from %d: %d final %v spent %v", o.ID, o.Attempt, o.Backend, o.Result, o.Final,
+		o.BodyConsumed)
 	s.event(in, line, func() { s.balancer.Outcome(s.now, o) })
 }
 
@@ -196,8 +197,8 @@
 	})
 }
 
-// playTranscript plays a fixed scenario: a list that fails at first, a first load, a backend that dies, one that drains, one
-// that starts cold, one that is taken out by an operator, and a burst of requests.
+// playTranscript plays a fixed scenario: a list that fails at first, a first load, a backend that dies, one that
+// drains, one that starts cold, one that is taken out by an operator, and a burst of requests.
 func playTranscript(t *testing.T, seed uint64, cfg Config, until time.Duration) *transcript {
 	t.Helper()
 	s := &transcript{rng: rand.New(rand.NewPCG(seed, 99)), now: second, attempts: map[RequestID]int{},
@@ -273,7 +274,7 @@
 	if err := json.Unmarshal(kept, &m); err != nil {
 		t.Fatal(err)
 	}
-	checkFrozenMemory(t, m)
+	checkFrozenSnapshot(t, m)
 	again, err := json.Marshal(m)
 	if err != nil || !bytes.Equal(again, kept) {
 		t.Errorf("written again it is %s, %v", again, err)
@@ -289,7 +290,8 @@
 	backends := append(list(7)[:5], Backend{ID: 9, Zone: 1, Cell: 1, State: Ready, Weight: 2, Started: 3 * second})
 	next.UpdateEndpoints(4*second, EndpointUpdate{Kind: UpdateFull, Backends: backends})
 	was := next.Snapshot(4 * second)
-	if !slices.Equal(was.Classes, m.Classes) || !slices.Equal(was.Backends, m.Backends) || was.SharedLimit != m.SharedLimit {
+	if !slices.Equal(was.Classes, m.Classes) || !slices.Equal(was.Backends, m.Backends) ||
+		was.SharedLimit != m.SharedLimit {
 		t.Errorf("taken over it is %v, want %v", was, m)
 	}
 	if math.Abs(was.RequestRate-m.RequestRate) > 1e-9*m.RequestRate {
@@ -300,17 +302,21 @@
 	}
 }
 
-// checkFrozenMemory compares with the values that memory.json holds.
-func checkFrozenMemory(t *testing.T, m Snapshot) {
+// checkFrozenSnapshot compares with the values that memory.json holds.
+func checkFrozenSnapshot(t *testing.T, m Snapshot) {
 	t.Helper()
 	if m.TakenAt != 4*second || m.RequestRate != 68.28571428571429 || m.SharedLimit != 28 {
 		t.Errorf("taken at %v, a rate of %v, a limit of %v", m.TakenAt, m.RequestRate, m.SharedLimit)
 	}
 	classes := []ClassSnapshot{
-		{"safe", [5]float64{63.639864714994204, 1419.2651774685087, 3576.1380330273228, 285244.16296711215, 247985.60618872903}},
-		{"keyed", [5]float64{60.12969262421049, 1033.4658028881463, 2436.5365321994013, 69581.9482636242, 42086.65156495698}},
-		{"unsafe", [5]float64{39.401841687910284, 549.8191103673497, 1677.8441365302226, 30079.468361966265, 22767.330987800073}},
-		{"anywhere", [5]float64{44.90145728340681, 860.2249562352229, 2080.458203323331, 65000.993269454586, 66287.67192740779}},
+		{"safe", [5]float64{63.639864714994204, 1419.2651774685087, 3576.1380330273228, 285244.16296711215,
+			247985.60618872903}},
+		{"keyed", [5]float64{60.12969262421049, 1033.4658028881463, 2436.5365321994013, 69581.9482636242,
+			42086.65156495698}},
+		{"unsafe", [5]float64{39.401841687910284, 549.8191103673497, 1677.8441365302226, 30079.468361966265,
+			22767.330987800073}},
+		{"anywhere", [5]float64{44.90145728340681, 860.2249562352229, 2080.458203323331, 65000.993269454586,
+			66287.67192740779}},
 	}
 	if len(m.Classes) != len(classes) {
 		t.Fatalf("%d classes", len(m.Classes))
--- a/decision/model_test.go
+++ b/decision/model_test.go
@@ -8,25 +8,26 @@
 	"lapisspread/decision"
 )
 
-// model is the four rules and the health of servers, as plainly as they can be said, for one proxy. It keeps what
-// happened and looks through all of it each time. Of the module it uses the interface and no code.
+// model states the four rules and the health of backends for one proxy, as simply as can be: it records what happened
+// and looks through all of it each time. It uses the interface of the package under test and none of its code.
 type model struct {
 	config     decision.Config
 	now        time.Duration
 	loads      *backendLoads
 	servers    map[decision.BackendID]*modelBackend
-	detached   map[decision.BackendID]bool // by hand
+	detached   map[decision.BackendID]bool // by an operator
 	open       []*modelRequest
 	byID       map[decision.RequestID]*modelRequest
 	violations []string
 
-	drainGraceOnly bool // the rule alone is looked at, not the design, by which a server that is not ready leaves at once
+	// only the rule is checked, not the design, by which a backend that is not ready gets nothing at once
+	drainGraceOnly bool
 }
 
-// modelBackend is what this proxy was told of a server, and what probes said.
+// modelBackend is what this proxy was told of a backend, and what health checks said.
 type modelBackend struct {
 	decision.Backend
-	notReadySince            time.Duration // since when it was told so, if it is not ready
+	notReadySince            time.Duration // if it is not ready
 	unhealthy, checkInFlight bool
 	passes, fails            int // in a row
 }
@@ -35,7 +36,7 @@
 	decision.Request
 	work                       time.Duration
 	attempts                   []*modelAttempt
-	ended, streaming           bool // over: it has its final answer
+	ended, streaming           bool // ended: it has its final answer
 	bodyComplete, bodyConsumed bool
 	reported                   bool
 }
@@ -48,7 +49,7 @@
 	result     decision.Result
 }
 
-// backendLoads is what all proxies together sent to each server since its last start, and what that can do.
+// backendLoads is what all proxies together sent to each backend, and what each can serve.
 type backendLoads struct {
 	speed map[decision.BackendID]float64 // ms of work in a ms, once warm
 	sent  map[decision.BackendID][]workSent
@@ -58,16 +59,15 @@
 type workSent struct{ at, ms time.Duration }
 
 func newModel(cfg decision.Config, fleet *backendLoads) *model {
-	return &model{config: cfg, loads: fleet, servers: map[decision.BackendID]*modelBackend{}, detached: map[decision.BackendID]bool{},
-		byID: map[decision.RequestID]*modelRequest{}}
+	return &model{config: cfg, loads: fleet, servers: map[decision.BackendID]*modelBackend{},
+		detached: map[decision.BackendID]bool{},
+		byID:     map[decision.RequestID]*modelRequest{}}
 }
 
 func (m *model) violation(rule, format string, args ...any) {
 	m.violations = append(m.violations, rule+": "+fmt.Sprintf(format, args...))
 }
 
-// ---- what the proxy is told ----
-
 func (m *model) endpoints(l decision.EndpointUpdate) {
 	if l.Kind == decision.UpdateFailed {
 		return
@@ -98,7 +98,7 @@
 			leave(s)
 			continue
 		}
-		if s.State == decision.Removed { // it is new, or was away: a new target, well until probes say otherwise
+		if s.State == decision.Removed { // it is new or back: healthy until checks say otherwise
 			s.unhealthy, s.passes, s.fails = false, 0, 0
 		}
 		if s.State == decision.Ready && e.State != decision.Ready {
@@ -110,7 +110,7 @@
 
 func (m *model) healthChecked(id decision.BackendID, r decision.Result) {
 	s := m.servers[id]
-	if s == nil || !s.checkInFlight { // nobody asked for this
+	if s == nil || !s.checkInFlight { // no check is in flight
 		return
 	}
 	s.checkInFlight = false
@@ -133,7 +133,7 @@
 	m.open, m.byID[q.ID] = append(m.open, r), r
 }
 
-// outcome notes how a try ended, the first time that it is said.
+// outcome records how an attempt ended, the first time that it is reported.
 func (m *model) outcome(id decision.RequestID, n int, result decision.Result, spent bool) {
 	r := m.byID[id]
 	if r == nil || n >= len(r.attempts) || r.attempts[n].done {
@@ -146,13 +146,12 @@
 	}
 }
 
-// ---- what it does ----
-
 func neverRan(t *modelAttempt) bool {
-	return t.done && (t.result == decision.Rejected || t.result == decision.ConnectFailed || t.result == decision.NotSent)
+	return t.done && (t.result == decision.Rejected || t.result == decision.ConnectFailed ||
+		t.result == decision.NotSent)
 }
 
-// forbids says what the second rule has against sending a request (again) to a place, or nothing.
+// forbids says why the rule on repeats forbids to send a request to a place; empty is that it doesn't.
 func (m *model) forbids(r *modelRequest, zone, cell int) string {
 	c := m.config.Classes[r.Class]
 	for n, t := range r.attempts {
@@ -165,7 +164,8 @@
 		switch {
 		case c.Idempotency == decision.NotIdempotent:
 			return fmt.Sprintf("attempt %d may have run and may not be repeated", n)
-		case c.DeduplicationScope == decision.ScopeZone && t.zone != zone, c.DeduplicationScope == decision.ScopeCell && t.cell != cell:
+		case c.DeduplicationScope == decision.ScopeZone && t.zone != zone,
+			c.DeduplicationScope == decision.ScopeCell && t.cell != cell:
 			return fmt.Sprintf("it leaves the group of attempt %d", n)
 		case m.now-t.sent >= c.DeduplicationWindow:
 			return fmt.Sprintf("the window of attempt %d is over", n)
@@ -211,7 +211,7 @@
 	r.attempts = append(r.attempts, &modelAttempt{target: to, zone: s.Zone, cell: s.Cell, sent: m.now})
 }
 
-// charge enters work in the budget of a cold server, and says if that is more than its budget.
+// charge enters work at a backend, and says if that is more than it can bear while it warms up.
 func (b *backendLoads) charge(o decision.Constraints, now time.Duration, s decision.Backend, ms time.Duration) string {
 	b.sent[s.ID] = append(b.sent[s.ID], workSent{now, ms})
 	age := now - s.Started
@@ -225,13 +225,15 @@
 		}
 	}
 	share := o.InitialCapacity + (1-o.InitialCapacity)*float64(max(age, 0))/float64(o.WarmUp)
-	if budget := o.OverloadFactor*share*b.speed[s.ID]*float64(o.OverloadWindow) + float64(b.slack); float64(sum) > budget {
-		return fmt.Sprintf("%d got %v of work within %v, %v after its start; it bears %v", s.ID, sum, o.OverloadWindow, age, time.Duration(budget))
+	budget := o.OverloadFactor*share*b.speed[s.ID]*float64(o.OverloadWindow) + float64(b.slack)
+	if float64(sum) > budget {
+		return fmt.Sprintf("%d got %v of work within %v, %v after its start; it bears %v", s.ID, sum,
+			o.OverloadWindow, age, time.Duration(budget))
 	}
 	return ""
 }
 
-// final takes an answer that the proxy words itself.
+// final takes a rejection or a failure.
 func (m *model) final(id decision.RequestID, refused bool) {
 	r := m.byID[id]
 	if r == nil {
@@ -242,7 +244,8 @@
 		m.violation("rule 1", "request %d gets a second answer", id)
 	}
 	c := m.config.Classes[r.Class]
-	harmless := c.Idempotency == decision.Idempotent || c.Idempotency == decision.IdempotentByKey && c.DeduplicationScope == decision.ScopeAll
+	harmless := c.Idempotency == decision.Idempotent || c.Idempotency == decision.IdempotentByKey &&
+		c.DeduplicationScope == decision.ScopeAll
 	for n, t := range r.attempts {
 		if refused && !harmless && !neverRan(t) {
 			m.violation("rule 2", "request %d is refused though attempt %d may have run", id, n)
@@ -274,15 +277,15 @@
 	}
 }
 
-// hopeless tells whether a request may be sent nowhere any more, whatever lists will say, and that for some ms: the
-// proxy looks at what waits now and then only.
+// hopeless tells whether a request may have been sent nowhere any more for some ms, whatever lists will say: the proxy
+// dispatches its queue now and then only.
 func (m *model) hopeless(r *modelRequest) bool {
 	if r.bodyConsumed {
 		return true
 	}
 	then := *m
 	then.now -= max(25*time.Millisecond, 3*m.config.Tick+time.Millisecond)
-	for _, t := range r.attempts { // where one that may have run went is the only place for a keyed one
+	for _, t := range r.attempts { // a keyed one may go where one went that may have run
 		if then.forbids(r, t.zone, t.cell) == "" {
 			return false
 		}
@@ -290,7 +293,7 @@
 	return true
 }
 
-// check looks at all that is open once an event has been handled. known and excluded are what the proxy says.
+// check looks at all open requests once an event has been handled. known and excluded are what the proxy reports.
 func (m *model) check(known, excluded int) {
 	wantKnown, wantOut := 0, 0
 	for id, s := range m.servers {
@@ -302,7 +305,8 @@
 		}
 	}
 	if !m.drainGraceOnly && (known != wantKnown || excluded != wantOut) {
-		m.violation("health", "%d servers known and %d avoided, should be %d and %d", known, excluded, wantKnown, wantOut)
+		m.violation("health", "%d servers known and %d avoided, should be %d and %d", known, excluded, wantKnown,
+			wantOut)
 	}
 	m.checkDeadlines()
 	for _, r := range m.open {
@@ -321,7 +325,7 @@
 	m.forget()
 }
 
-// checkDeadlines looks for requests whose time is up.
+// checkDeadlines looks for requests that had no answer in time.
 func (m *model) checkDeadlines() {
 	for _, r := range m.open {
 		timed := !r.ended && !r.streaming && !r.reported && (!r.StreamedBody || r.bodyComplete)
--- a/decision/operator_test.go
+++ b/decision/operator_test.go
@@ -5,14 +5,17 @@
 	"time"
 )
 
-// A backend taken out by hand gets neither requests nor probes until it is put back, whatever the list says.
+// A detached backend gets neither requests nor health checks until it is attached, whatever the list says.
 func TestDetachedBackendGetsNothingNew(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lists func(b *Balancer)
 	}{
-		{"list unchanged", func(b *Balancer) {}},
-		{"listed anew", func(b *Balancer) { b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)}) }},
+		{"list unchanged", func(*Balancer) {}},
+		{"listed anew", func(b *Balancer) {
+			b.UpdateEndpoints(second,
+				EndpointUpdate{Kind: UpdateFull, Backends: list(2)})
+		}},
 		{"gone and back", func(b *Balancer) {
 			b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)[1:]})
 			b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)})
@@ -39,13 +42,14 @@
 				for id := from; id < from+40; id++ {
 					now += 20 * milli
 					b.Request(now, Request{ID: id, Class: idempotent, Deadline: now + second})
-					b.Timer(now, timerSweep<<56)
-					for _, a := range h.take("send", "probe") {
+					b.Timer(now, sweepToken)
+					for _, a := range h.take("send", "check") {
 						if a.to == out {
 							there++
 						}
 						if a.verb == "send" {
-							b.Outcome(now+milli, Outcome{ID: a.id, Backend: a.to, Result: OK, Latency: milli, Final: true})
+							b.Outcome(now+milli, Outcome{ID: a.id, Backend: a.to, Result: OK, Latency: milli,
+								Final: true})
 						} else {
 							b.HealthChecked(now+milli, HealthCheckResult{Backend: a.to, Result: OK, Latency: milli})
 						}
@@ -65,7 +69,7 @@
 			there := 0
 			for id := RequestID(100); id < 200 && there == 0; id++ {
 				now := 3*second + (time.Duration(id)-100)*20*milli
-				b.Timer(now, timerSweep<<56)
+				b.Timer(now, sweepToken)
 				b.Request(now, Request{ID: id, Class: idempotent, Deadline: now + second})
 				for _, a := range h.take("send") {
 					if a.to == out {
@@ -81,7 +85,7 @@
 	}
 }
 
-// An order may come before the list, and twice; one call ends it.
+// An order may come before the list and twice; one Attach ends it.
 func TestDetachBeforeListAndTwice(t *testing.T) {
 	out := list(1)[0].ID
 	b, _ := newBalancer(t, testConfig(), 0)
--- a/decision/memory_test.go
+++ b/decision/snapshot_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// learnedSnapshot is a balancer that has served for a while, with a backend out of order, and one that has started anew.
+// learnedSnapshot gives a Balancer that has served for a while, with an unhealthy backend and one that may have
+// restarted, and its snapshot as read back from JSON.
 func learnedSnapshot(t *testing.T) (*Balancer, Snapshot) {
 	t.Helper()
 	b, h := newBalancer(t, testConfig(), 8)
@@ -20,7 +21,7 @@
 		}
 	}
 	b.targetsByID[3].healthy = false
-	b.recordStart(b.targetsByID[4], now-second) // suspected: the list knows nothing of it
+	b.recordStart(b.targetsByID[4], now-second) // suspected: the list does not say so
 	var m Snapshot
 	text, err := json.Marshal(b.Snapshot(now))
 	if err == nil {
@@ -67,14 +68,15 @@
 			t.Errorf("%s: the rate is %.2f of the one before", c.name, part)
 		}
 		if c.age >= 0 {
-			if want, got := old.expectedLatency(idempotent, 0), b.expectedLatency(idempotent, 0); math.Abs(want-got) > 1e-9*want {
+			if want, got := old.expectedLatency(idempotent, 0), b.expectedLatency(idempotent,
+				0); math.Abs(want-got) > 1e-9*want {
 				t.Errorf("%s: a delay of %v is expected, before it was %v", c.name, got, want)
 			}
 		}
 	}
 }
 
-// A suspected start outlives the proxy: what knows nothing of it must not push the cold server over.
+// A suspected restart survives the proxy: its successor must not overload the cold backend.
 func TestRestoredColdBackendHasSlowStart(t *testing.T) {
 	_, m := learnedSnapshot(t)
 	b, err := New(testConfig(), 1, &recorder{})
--- a/decision/stream_test.go
+++ b/decision/streaming_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A body on its way is no load at its backend, and its time counts from its last byte.
+// A body on its way is no load at its backend, and the request's time counts from its last byte.
 func TestUploadIsNoLoad(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	b.Request(second, Request{ID: 1, Class: notIdempotent, Deadline: 2 * second, StreamedBody: true})
@@ -14,8 +14,8 @@
 	if e := b.latencyRatio(to); to.limit.load != 0 || e > 1.01 {
 		t.Errorf("load %v, estimate %v while the body is on its way", to.limit.load, e)
 	}
-	b.Timer(6*second, timerAttempt<<56|1)
-	if got := h.take("send", "refuse", "fail"); len(got) != 0 {
+	b.Timer(6*second, attemptToken(1, 0))
+	if got := h.take("send", "reject", "fail"); len(got) != 0 {
 		t.Errorf("a second copy of a body that passes by once: %v", got)
 	}
 	b.BodyComplete(6*second, 1, 7*second)
@@ -24,37 +24,39 @@
 		t.Errorf("load %v, estimate %v half a second after its last byte", to.limit.load, e)
 	}
 	b.Outcome(6*second+600*milli, Outcome{ID: 1, Backend: to.ID, Result: OK, Final: true})
-	if to.limit.load != 0 || to.inverseExpected != 0 || b.totalTally[0].served == 0 {
-		t.Errorf("load %v, ages %v, served %v at the end", to.limit.load, to.inverseExpected, b.totalTally[0].served)
+	if to.limit.load != 0 || to.inverseExpected != 0 || b.totalTally.served == 0 {
+		t.Errorf("load %v, ages %v, served %v at the end", to.limit.load, to.inverseExpected, b.totalTally.served)
 	}
 }
 
-// A body that has passed by can't be sent again, whatever its class allows.
+// A request whose body is consumed is not retried, whatever its class allows.
 func TestConsumedBodyIsNotRetried(t *testing.T) {
 	for _, spent := range []bool{true, false} {
 		b, h := newBalancer(t, testConfig(), 3)
 		b.Request(second, Request{ID: 1, Class: idempotent, Deadline: 2 * second, StreamedBody: true})
 		first := h.take("send")
 		b.Outcome(second+milli, Outcome{ID: 1, Backend: first[0].to, Result: Rejected, BodyConsumed: spent})
-		got := h.take("send", "refuse")
-		if want := map[bool]string{true: "refuse", false: "send"}[spent]; len(got) != 1 || got[0].verb != want {
+		got := h.take("send", "reject")
+		if want := map[bool]string{true: "reject", false: "send"}[spent]; len(got) != 1 || got[0].verb != want {
 			t.Errorf("spent %v: %v, want %s", spent, got, want)
 		}
 	}
 }
 
-// A long answer teaches its delay at its first byte, and is no load from then on.
+// The latency of a long answer is that of its first byte, and it is no load from then on.
 func TestLongAnswerCountsToFirstByte(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	b.Request(second, Request{ID: 1, Class: idempotent, Deadline: 2 * second})
 	to := h.take("send")[0].to
 	b.FirstByte(second+20*milli, FirstByte{ID: 1, Backend: to, Latency: 20 * milli})
-	if got := b.targets[0]; got.limit.load != 0 || got.ratioCount.sum == 0 || b.latencyByClass[idempotent].mean() != 20 {
-		t.Errorf("load %v, answers %v, class mean %v", got.limit.load, got.ratioCount.sum, b.latencyByClass[idempotent].mean())
+	if got := b.targets[0]; got.limit.load != 0 || got.ratioCount.sum == 0 ||
+		b.latencyByClass[idempotent].mean() != 20 {
+		t.Errorf("load %v, answers %v, class mean %v", got.limit.load, got.ratioCount.sum,
+			b.latencyByClass[idempotent].mean())
 	}
-	b.Timer(30*second, timerDispatch<<56)
+	b.Timer(30*second, dispatchToken)
 	b.Outcome(30*second, Outcome{ID: 1, Backend: to, Result: Reset, Latency: 29 * second, Final: true})
-	if got := h.take("refuse", "fail", "send"); len(got) != 0 || len(b.requests) != 0 || b.openRequests != 0 {
+	if got := h.take("reject", "fail", "send"); len(got) != 0 || len(b.requests) != 0 || b.openRequests != 0 {
 		t.Errorf("after its end: %v, %d requests held, %d open", got, len(b.requests), b.openRequests)
 	}
 }
--- /dev/null
+++ b/decision/validate_test.go
@@ -0,0 +1,69 @@
+package decision
+
+import (
+	"errors"
+	"math"
+	"testing"
+	"time"
+)
+
+func TestNewNamesInvalidSetting(t *testing.T) {
+	for field, spoil := range map[string]func(*Config){
+		"Services":                  func(c *Config) { c.Classes = nil },
+		"Services.0.Aim":            func(c *Config) { c.Classes[0].LatencyObjective = 0 },
+		"Services.2.GiveUp":         func(c *Config) { c.Classes[2].ClientTimeout = 0 },
+		"Services.1.Window":         func(c *Config) { c.Classes[1].DeduplicationWindow = -1 },
+		"Balancers":                 func(c *Config) { c.Instances = 0 },
+		"Tick":                      func(c *Config) { c.Tick = -1 },
+		"RetryShare":                func(c *Config) { c.RetryBudgetRatio = math.NaN() },
+		"Obligations.AnswerSlack":   func(c *Config) { c.Constraints.AnswerSlack = -1 },
+		"Obligations.AskEvery":      func(c *Config) { c.Constraints.MaxListAge = -1 },
+		"Obligations.Cold":          func(c *Config) { c.Constraints.WarmUp = -1 },
+		"Obligations.DrainGrace":    func(c *Config) { c.Constraints.DrainGrace = -1 },
+		"Obligations.Fall":          func(c *Config) { c.Constraints.OverloadWindow = -1 },
+		"Obligations.FallMultiple":  func(c *Config) { c.Constraints.OverloadFactor = math.Inf(1) },
+		"Obligations.StartCapacity": func(c *Config) { c.Constraints.InitialCapacity = math.NaN() },
+		"Caps.ConnIdle":             func(c *Config) { c.Capabilities.ConnectionIdleTimeout = -1 },
+		"Caps.ConnectTimeout":       func(c *Config) { c.Capabilities.ConnectTimeout = -1 },
+		"Caps.MaxRetryAfter":        func(c *Config) { c.Capabilities.MaxRetryAfter = -1 },
+		"Caps.MaxAttempts":          func(c *Config) { c.Capabilities.MaxAttempts = 0 },
+	} {
+		cfg := testConfig()
+		spoil(&cfg)
+		_, err := New(cfg, 1, &recorder{})
+		if bad := (*SettingError)(nil); !errors.As(err, &bad) || bad.Field != field || bad.Reason == "" {
+			t.Errorf("%s: error %v", field, err)
+		}
+	}
+}
+
+// Weights out of range are no reason to refuse: they are brought to it, and the caller's settings stay as they are.
+func TestWeightsAreNormalized(t *testing.T) {
+	cfg := testConfig()
+	cfg.ObjectiveWeights = ObjectiveWeights{Overall: -1}
+	cfg.Rank, cfg.Zone, cfg.OverQuotaWeight = -3, 99, math.Inf(1)
+	cfg.Penalties.WastedWork = -1
+	cfg.Classes[0].PriorityWeight, cfg.Classes[0].LateValueShare, cfg.Classes[0].ObjectivePerWork = math.NaN(), -0.5,
+		1e300
+	cfg.Classes[1].LatencyObjective, cfg.Classes[1].ClientTimeout = time.Minute, time.Second
+	cfg.Tenants = []Tenant{{Name: "a", Share: 7, QuotaPerSecond: math.Inf(1)}, {Name: "a", Share: -1}}
+	cfg.Constraints.InitialCapacity, cfg.Constraints.OverloadWindow, cfg.Constraints.WarmUp = 34, 0, math.MaxInt64
+	cfg.Capabilities.MaxAttempts = math.MaxInt32
+	b, err := New(cfg, 1, &recorder{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, o := b.config.Classes[0], b.config.Constraints
+	if b.config.ObjectiveWeights != (ObjectiveWeights{Overall: 1}) || c.PriorityWeight != 0 ||
+		c.LateValueShare != 0 || b.config.Tenants[1].Share != 0 ||
+		math.IsInf(b.config.OverQuotaWeight+b.config.Tenants[0].QuotaPerSecond, 0) ||
+		b.config.Capabilities.MaxAttempts != 255 {
+		t.Errorf("%+v", b.config)
+	}
+	if o.InitialCapacity != 1 || o.OverloadWindow != time.Second || o.WarmUp != maxDuration {
+		t.Errorf("%+v", o)
+	}
+	if !math.IsNaN(cfg.Classes[0].PriorityWeight) || cfg.Tenants[1].Share != -1 {
+		t.Error("the caller's settings were changed")
+	}
+}
