--- a/decision/admission.go
+++ b/decision/admission.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// openRequestsThreshold is the share of MaxOpenRequests from which those that bring least are shed.
+// openRequestsThreshold is the share of MaxOpenRequests from which requests of little value are shed.
 const openRequestsThreshold = 0.93
 
-// Request admits a request that the proxy has just taken, and sends it, queues it or sheds it.
+// Request admits a request that the proxy has just taken from a client: it is sent, queued or shed. An ID
+// that is open already is ignored.
 func (b *Balancer) Request(now time.Duration, q Request) {
 	b.now = now
 	if _, known := b.requests[q.ID]; known {
@@ -39,7 +40,7 @@
 	return min(now+class.LatencyObjective+extra, r.Deadline)
 }
 
-// lastUseful is the time after which an answer is worth nothing.
+// lastUseful is the time after which an answer earns nothing.
 func (b *Balancer) lastUseful(r *request) time.Duration {
 	if b.config.Classes[r.Class].LateValueShare > 0 {
 		return r.Deadline
@@ -47,9 +48,9 @@
 	return r.objectiveAt
 }
 
-// shouldShed keeps the last of the requests that may be open for those that bring more than the mean for
-// each ms that they are open. Once all are open nobody else can come, and those that bring much in a short
-// time would be shut out with the others.
+// shouldShed reports whether a request is shed on arrival: once nearly MaxOpenRequests are open, those are
+// that earn less than the mean for each ms that they are open. With all of them open, no client could
+// connect any more, and requests that earn much in a short time would be shut out with the rest.
 func (b *Balancer) shouldShed(r *request) bool {
 	latency := b.expectedFor(r) * b.medianRatio
 	density := b.marginalGain(r) * b.totalTally.offered * b.workOf(r) / latency
--- a/decision/answers.go
+++ b/decision/answers.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// mayReject guards rejections: a rejection promises the client that trying again is harmless.
+// mayReject reports whether a request may be rejected. A rejection promises the client that trying again is
+// harmless: nothing of the request may have run, or repeats of it are harmless everywhere.
 func (b *Balancer) mayReject(r *request) bool {
 	class := &b.config.Classes[r.Class]
 	if class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey &&
@@ -12,8 +13,8 @@
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
-// rejectOrFail gives the final answer to a request that is given up, and calls off what is still in flight.
-// The client is told to come again after a check interval.
+// rejectOrFail sends the final answer to a request that is given up, and cancels what is still in flight.
+// The client is to retry after a check interval.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.ended || r.streaming {
 		return
--- a/decision/attempts.go
+++ b/decision/attempts.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// mayAttempt guards idempotency: may this request be sent, or sent again, to this target? A request that
-// may have run is repeated only if it is idempotent, or, by its key, within the scope and the window in
-// which repeats are dropped.
+// mayAttempt reports whether a request may be sent, or sent again, to a target: it has no answer, time and
+// attempts are left, only hedged requests have two attempts in flight, and idempotency allows it. A request
+// that may have run is repeated only if it is idempotent, or, by its key, within the scope and the window
+// in which repeats are dropped.
 func (b *Balancer) mayAttempt(r *request, t *target) bool {
 	if r.ended || r.streaming || len(r.attempts) >= b.config.Capabilities.MaxAttempts || b.now >= r.Deadline {
 		return false
@@ -28,7 +29,7 @@
 	return firstSent < 0 || b.now < firstSent+class.DeduplicationWindow-b.config.Tick
 }
 
-// dropsRepeats tells whether a target drops a repeat of an attempt.
+// dropsRepeats reports whether a target drops the repeat of an attempt.
 func (c *Class) dropsRepeats(a *attempt, t *target) bool {
 	switch c.DeduplicationScope {
 	case ScopeZone:
@@ -39,7 +40,8 @@
 	return true
 }
 
-// send is the one place where requests leave; both guards are asked again here.
+// send starts an attempt, unless mayAttempt or mayReceive forbids it. It is the one place where requests
+// leave, so that no path can bypass these guards.
 func (b *Balancer) send(r *request, t *target) bool {
 	work := b.workOf(r)
 	if !b.mayAttempt(r, t) || !b.mayReceive(t, work) {
@@ -54,7 +56,7 @@
 	lateAfter := b.lateAfter(r, expected)
 	t.limit.reserve(a, b.now, lateAfter)
 	if b.usesSharedLimit() {
-		// Late is measured by the target's own speed, or some slow machines would close the limit for all.
+		// Late is relative to the target's own speed, or some slow machines would cut the limit for all.
 		b.sharedLimit.reserve(a, b.now, lateAfter*max(1, b.latencyRatio(t)/b.medianRatio))
 	}
 	until := min(r.Deadline, max(b.lastUseful(r)-b.config.Tick, b.now+b.config.Tick))
@@ -63,7 +65,7 @@
 	return true
 }
 
-// Outcome takes the end of an attempt, and decides whether the request is retried.
+// Outcome reports the end of an attempt. If the request has no final answer, it is retried or given up.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	b.now = now
 	r := b.requests[o.ID]
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -49,7 +49,7 @@
 	tallyByTenant   []tally
 	trafficByTenant []decayingSum // requests
 	meanGain        float64       // marginal gain of a request as it comes, times the weight that all offer
-	meanDensity     float64       // what a request brings for each ms that it is open, times the same
+	meanDensity     float64       // gain of a request for each ms that it is open, times the same
 
 	// Limits and budgets.
 	sharedLimit     concurrencyLimit // on all targets together (concurrency.go)
@@ -93,7 +93,7 @@
 		trafficByTenant:       make([]decayingSum, tenants),
 		retryBudget:           maxRetryBudget,
 	}
-	for _, c := range config.Classes { // until answers tell
+	for _, c := range config.Classes { // until there are answers
 		b.longestLatency = max(b.longestLatency, millis(c.LatencyObjective))
 	}
 	return b, nil
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -75,7 +75,7 @@
 	return c
 }
 
-// meanLoad brings the average load to the time now and gives it. It must be called before the load changes.
+// meanLoad brings the average load to the time now and returns it. It must be called before the load changes.
 func (c *concurrencyLimit) meanLoad(now time.Duration) float64 {
 	if c.averagingSpan == 0 {
 		return c.load
@@ -125,7 +125,7 @@
 	u.loadAtSend = u.limit.load
 }
 
-// isLate tells whether an attempt is late by now; one whose body is on its way is not.
+// isLate reports whether an attempt is late by now; one whose body is on its way is not.
 func (a *attempt) isLate(u *reservation, now time.Duration) bool {
 	return !a.uploading && now >= u.lateAt
 }
@@ -136,7 +136,7 @@
 	objective := millis(r.objectiveAt - r.arrived)
 	usual := max(lateTailFactor*b.tailByClass[r.Class].baselineOr(initialTailFactor*mean),
 		minLateShare*objective)
-	return max(1, expected/mean) * min(usual, maxLateShare*objective) // a heavy one may take longer
+	return max(1, expected/mean) * min(usual, maxLateShare*objective) // one of more work may take longer
 }
 
 // adjustLimits learns how much may be in flight from whether an attempt takes its usual time. It is called
@@ -147,7 +147,7 @@
 		u := &a.reservations[i]
 		c := u.limit
 		if !u.late && (a.isLate(u, b.now) || result == Rejected) {
-			// The ceiling is cut, not the load: an attempt that was alone and late says little of a crowd.
+			// The ceiling is cut, not the load: an attempt that was late alone is no sign of an overload.
 			u.late = true
 			c.ceiling = max(c.unit, c.ceiling*c.backoffFactor)
 			// A proxy that starts under load would double its limits far past what overloads a server.
@@ -163,7 +163,8 @@
 }
 
 // relaxLimit lets a limit sink to what is used, and rise again to where it began. Far above that, a burst
-// overloads servers before answers tell; far below, a backend gets nothing that could show that it is well.
+// overloads servers before late answers show it; far below, a backend gets no request that could show that
+// it has recovered.
 func (b *Balancer) relaxLimit(c *concurrencyLimit) {
 	initial := initialLimit * c.unit
 	needed := max(1, initial, limitHeadroom/minLimitScale*c.meanLoad(b.now))
@@ -174,18 +175,18 @@
 	}
 }
 
-// usesSharedLimit tells whether there is a limit for all backends beside each one's own. A proxy whose part
+// usesSharedLimit reports whether there is a limit for all backends beside each one's own. A proxy whose part
 // of an initial limit is under one request sees too little of each backend to learn in time that all are
 // crowded.
 func (b *Balancer) usesSharedLimit() bool { return b.config.Instances > sharedLimitInstances }
 
-// sharedLimitReached tells whether the mean load reaches the limit for all backends. With few in flight the
+// sharedLimitReached reports whether the mean load reaches the limit for all backends. With few in flight the
 // load itself jumps too much.
 func (b *Balancer) sharedLimitReached(scale float64) bool {
 	return b.usesSharedLimit() && b.sharedLimit.meanLoad(b.now) > b.sharedLimit.ceiling*scale
 }
 
-// hasCapacity tells whether a target may have one more in flight. A limit below one spaces attempts out in
+// hasCapacity reports whether a target may have one more in flight. A limit below one spaces attempts out in
 // time.
 func (b *Balancer) hasCapacity(t *target, scale float64) bool {
 	c := &t.limit
@@ -198,7 +199,7 @@
 
 // limitScale scales limits for a request by the root of its gain over the mean, between minLimitScale and
 // maxLimitScale. A proxy with little traffic seldom has two waiting to choose from, and would shed the
-// classes of most weight alike with the rest. It does harm where weights are told wrongly.
+// classes of most weight alike with the rest. It does harm where weights are configured wrongly.
 func (b *Balancer) limitScale(r *request) float64 {
 	if !b.usesSharedLimit() {
 		return 1
--- a/decision/config.go
+++ b/decision/config.go
@@ -37,7 +37,7 @@
 
 	LateValueShare   float64 // share of the weight that an answer after the objective earns
 	StreamedResponse bool    // the answer begins with FirstByte
-	PriorityWeight   float64 // what a request in time is worth
+	PriorityWeight   float64 // what an answer in time earns
 }
 
 // Tenant is a customer with a share of the service.
@@ -98,8 +98,8 @@
 	WeightLive                      // size over load: it varies, and is not used
 )
 
-// Config is what a Balancer is told at its start. Validate says what can't be served, Normalized what is
-// brought to its range.
+// Config configures a Balancer. Validate rejects what can't be served; Normalized brings the rest to its
+// range.
 type Config struct {
 	Instances       int           // how many proxies share the backends; at least 1
 	Rank            int           // which of them this one is, from 0
@@ -111,8 +111,8 @@
 	WeightByWork    bool    // weight counts by the millisecond of work, not by request
 
 	KeyAffinity        bool // a backend that met a key lately serves it with less work
-	ClientsMarkRetries bool // else MarkedRetry tells nothing; no rule reads it
-	PolledDiscovery    bool // the endpoint list comes only when asked for
+	ClientsMarkRetries bool // Request.MarkedRetry is set by clients; no rule reads it
+	PolledDiscovery    bool // the endpoint list comes only on request, and is not pushed
 	Weights            WeightKind
 	RetryBudgetRatio   float64 // retries, as a share of the requests; 0 is a tenth
 
--- a/decision/discovery.go
+++ b/decision/discovery.go
@@ -19,9 +19,8 @@
 
 // MaxListBackoff is the longest wait between two calls for the endpoint list once one has failed. Where the
 // list is pushed, an agent on this machine has it: calls cost nothing, and what the agent has counts as
-// told at once, so the wait is a part of a drain's grace period. Where it is polled, what the register has
-// counts as told at a fixed time after it could be reached, however seldom it has to be polled while all is
-// well.
+// known at once, so the wait is a part of a drain's grace period. Where it is polled, what the register has
+// counts as known at a fixed time after it could be reached, however seldom it is polled otherwise.
 func (c *Config) MaxListBackoff() time.Duration {
 	if !c.PolledDiscovery {
 		return max(c.Constraints.DrainGrace/drainGraceDivisor, minListBackoff)
@@ -33,8 +32,8 @@
 	return most
 }
 
-// scheduleListRetry asks for the list again after a failed call: after half the backoff and a random part
-// of the rest.
+// scheduleListRetry requests the list again after a failed call: after half the backoff and a random part
+// of the other half.
 func (b *Balancer) scheduleListRetry() {
 	b.failedListCalls++
 	doubled := b.checkInterval << min(b.failedListCalls, maxBackoffDoublings)
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -28,15 +28,15 @@
 // A request passes these rules in turn. Each stands in one place:
 //
 //  1. It is valued: its part of the objective, less what exceeds its tenant's quota (valuation.go).
-//  2. It is shed if nearly all requests that may be open are, and it brings less than the mean
+//  2. It is shed if nearly all requests that may be open are, and it earns less than the mean
 //     (admission.go).
 //  3. It is queued; whenever there may be capacity, the request of the greatest marginal gain goes first
 //     (queue.go).
 //  4. A target is selected among those that are active (activeset.go), healthy (healthcheck.go), within
 //     their slow-start budget (slowstart.go) and below their concurrency limit (concurrency.go), by power of
 //     two choices on the expected delay (selection.go, latency.go, outlier.go).
-//  5. It is sent if idempotency, drains and operators' orders allow it. Both guards are asked again where
-//     it leaves (attempts.go).
+//  5. It is sent if idempotency, drains and operators' orders allow it. Both guards are checked again
+//     where it leaves (attempts.go).
 //  6. A slow attempt is hedged or replaced (hedging.go); a failed one is retried within the retry budget
 //     (retry.go).
 //  7. It gets one final answer: the backend's, a rejection, or a failure (answers.go).
@@ -44,7 +44,7 @@
 // # Files
 //
 //	config.go, validate.go    settings, their units and their valid ranges
-//	events.go, host.go        what is reported, and what is asked for
+//	events.go, host.go        events and actions
 //	balancer.go, timers.go    the Balancer, its timers and the periodic sweep
 //	target.go, request.go     the records of a backend, a request and an attempt
 //	endpoints.go              reconciling the endpoint list
@@ -57,7 +57,7 @@
 //	latency.go                the latency estimate
 //	concurrency.go            limits on what is in flight
 //	selection.go              choosing a target
-//	valuation.go              what serving a request is worth
+//	valuation.go              the value of serving a request
 //	admission.go, queue.go    admitting, shedding and dispatching
 //	attempts.go               sending, and learning from the end of an attempt
 //	retry.go, hedging.go      the retry budget; hedged requests
@@ -75,5 +75,5 @@
 // # Changing a rule
 //
 // TestTranscriptKeepsItsBytes holds every decision of two fixed scenarios. A change that is meant to alter
-// decisions writes them anew, and shows by the experiments of cmd/faultlab what it is worth.
+// decisions writes them anew, and shows its effect by the experiments of cmd/faultlab.
 package decision
--- a/decision/events.go
+++ b/decision/events.go
@@ -72,7 +72,7 @@
 	NotSent              // it never left the proxy
 )
 
-// NeverRan tells whether the result proves that the attempt did not run.
+// NeverRan reports whether the result proves that the attempt did not run.
 func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
 // Outcome is the end of an attempt.
--- a/decision/healthcheck.go
+++ b/decision/healthcheck.go
@@ -15,7 +15,7 @@
 	minIntervalTicks             = 20
 	minCheckInterval             = 100 * time.Millisecond
 
-	// A target that passes is checked passingCheckFactor times as rarely: attempts tell more, at no cost.
+	// A target that passes is checked passingCheckFactor times as rarely: attempts show more, at no cost.
 	passingCheckFactor = 4
 
 	// One failed check may be chance.
@@ -52,7 +52,7 @@
 	b.host.CheckHealth(t.ID)
 }
 
-// HealthChecked takes the result of a health check. One that nobody asked for is passed over.
+// HealthChecked reports the result of a health check. One that was not started is ignored.
 func (b *Balancer) HealthChecked(now time.Duration, result HealthCheckResult) {
 	b.now = now
 	t := b.targetsByID[result.Backend]
@@ -129,7 +129,7 @@
 	}
 }
 
-// inDoubt tells whether a check or an attempt has failed since the last that passed.
+// inDoubt reports whether a check or an attempt has failed since the last that passed.
 func (t *target) inDoubt() bool {
 	return !t.healthy || t.failedChecks > 0 || t.consecutiveFailures > 0
 }
--- a/decision/host.go
+++ b/decision/host.go
@@ -11,12 +11,12 @@
 	// Send starts an attempt. It is to be given up at until on the caller's clock; 0 means the client's
 	// deadline. Attempts of a request are numbered from 0 in the order of the calls.
 	Send(id RequestID, to BackendID, until time.Duration)
-	// Reject gives a final answer that promises that trying again is harmless. A retryAfter of 0 tells the
-	// client no time.
+	// Reject gives a final answer that promises that trying again is harmless. With a retryAfter
+	// of 0 the client is not told when to retry.
 	Reject(id RequestID, retryAfter time.Duration)
 	// Fail gives a final answer that promises nothing: the request may have run.
 	Fail(id RequestID)
-	// Cancel calls off an attempt; its end is still reported by Balancer.Outcome.
+	// Cancel cancels an attempt; its end is still reported by Balancer.Outcome.
 	Cancel(id RequestID, attempt int)
 	// CheckHealth starts a health check, whose result is reported by Balancer.HealthChecked.
 	CheckHealth(b BackendID)
--- a/decision/latency.go
+++ b/decision/latency.go
@@ -30,13 +30,13 @@
 	// longestDecay is the share by which the longest latency of late sinks with each answer.
 	longestDecay = 1.0 / meanRequests
 
-	// Until answers tell, a class is expected to take initialLatencyShare of its objective. A prediction is
-	// at least minPredictionShare of the class's mean.
+	// Until there are answers, a class is expected to take initialLatencyShare of its objective. A
+	// prediction is at least minPredictionShare of the class's mean.
 	initialLatencyShare = 1.0 / 4
 	minPredictionShare  = 1.0 / 4
 
-	// calledOffWeight is how many answers the age of an attempt that was called off counts for.
-	calledOffWeight = 0.5
+	// cancelledWeight is how many answers the age of a cancelled attempt counts for.
+	cancelledWeight = 0.5
 
 	// The tail latency of a class is the quantile that the share tailExceedance of its answers exceed. One
 	// answer moves it by the share tailStep at most. It is known after tailMinSamples answers; until then
@@ -68,7 +68,7 @@
 	return b.expectedLatency(r.Class, millis(r.ExpectedWork))
 }
 
-// workOf is what a request asks of a backend, in ms.
+// workOf is the work of a request in ms.
 func (b *Balancer) workOf(r *request) float64 {
 	if r.ExpectedWork > 0 {
 		return millis(r.ExpectedWork)
@@ -121,7 +121,7 @@
 	b.longestLatency = max(b.longestLatency*(1-longestDecay), latency)
 }
 
-// learnLatency takes in the latency in ms of an attempt that was answered.
+// learnLatency records the latency in ms of an attempt that was answered.
 func (b *Balancer) learnLatency(a *attempt, latency float64) {
 	class := a.request.Class
 	heaviness := max(1, a.expectedLatency/b.expectedLatency(class, 0))
@@ -131,14 +131,14 @@
 	b.recordLongest(latency)
 }
 
-// learnAge takes in the age in ms of an attempt that was called off: a lower bound of its latency.
+// learnAge records the age in ms of an attempt that was cancelled: a lower bound of its latency.
 func (b *Balancer) learnAge(a *attempt, age float64) {
 	if age > a.expectedLatency {
-		a.target.recordRatio(b.now, b.decaySpan, age/a.expectedLatency, calledOffWeight)
+		a.target.recordRatio(b.now, b.decaySpan, age/a.expectedLatency, cancelledWeight)
 	}
 }
 
-// learnFailure takes in an attempt that failed after so many ms. A failure comes fast; it counts as slow as
+// learnFailure records an attempt that failed after so many ms. A failure comes fast; it counts as slow as
 // the objective, or a broken backend would draw all traffic. It is no multiple of the median ratio, which
 // would feed itself while all fail.
 func (b *Balancer) learnFailure(a *attempt, age float64) {
@@ -147,7 +147,8 @@
 	b.recordLongest(lost)
 }
 
-// learnHint takes the expected work of a class's first request for its latency, until answers tell.
+// learnHint lets a class without answers expect a latency that equals the expected work, if its first
+// request carries it.
 func (b *Balancer) learnHint(class int, work time.Duration) {
 	fit := &b.latencyByClass[class]
 	if work <= 0 || fit.weight != 0 {
@@ -158,17 +159,17 @@
 	fit.learn(half, half, 1)
 }
 
-// learnArrival takes a request into the overall means.
+// learnArrival takes a request into the overall means of work and latency.
 func (b *Balancer) learnArrival(r *request) {
 	// Over the whole span from the first on, that one would stand for hundreds, and a proxy that has just
-	// started would shed whatever brings less.
+	// started would shed whatever earns less.
 	b.meanSamples = min(b.meanSamples+1, meanRequests)
 	b.meanWork = movingAverage(b.meanWork, b.workOf(r), b.meanSamples)
 	b.meanLatency = movingAverage(b.meanLatency, b.expectedFor(r), b.meanSamples)
 }
 
 // meanRequestWork is the mean work of a request in ms; inMeanRequests is how many such a request counts
-// for. None counts for less than one: a work budget alone lets light requests through, and handshakes are
+// for. None counts for less than one: a work budget alone lets small requests through, and handshakes are
 // work too.
 func (b *Balancer) meanRequestWork() float64 { return max(b.meanWork, minLatency) }
 
--- a/decision/model_test.go
+++ b/decision/model_test.go
@@ -277,8 +277,8 @@
 	}
 }
 
-// hopeless tells whether a request may have been sent nowhere any more for some ms, whatever lists will say: the proxy
-// dispatches its queue now and then only.
+// hopeless reports whether a request may have been sent nowhere any more for some ms, whatever lists will say: the
+// proxy dispatches its queue now and then only.
 func (m *model) hopeless(r *modelRequest) bool {
 	if r.bodyConsumed {
 		return true
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -30,7 +30,7 @@
 	b.queue = append(b.queue, r)
 }
 
-// hasNoTarget tells whether a request that was sent may be sent nowhere any more.
+// hasNoTarget reports whether a request that was sent may be sent nowhere any more.
 func (b *Balancer) hasNoTarget(r *request) bool {
 	may := func(t *target) bool { return b.mayAttempt(r, t) }
 	return len(r.attempts) > 0 && !slices.ContainsFunc(b.active, may)
--- a/decision/request.go
+++ b/decision/request.go
@@ -32,7 +32,7 @@
 	sentAt        time.Duration // the deduplication window counts from here
 	waitingSince  time.Duration // an answer is waited for from here on
 	reservations  []reservation
-	work          float64 // ms that it asks of the target
+	work          float64 // ms
 	loadWeight    float64 // what it counts for in a limit; 1 is a request of mean latency
 	done          bool
 	mayHaveRun    bool
@@ -45,7 +45,7 @@
 	fullWeight float64 // its loadWeight once the body has gone by
 }
 
-// hasInFlight tells whether an attempt is in flight.
+// hasInFlight reports whether an attempt is in flight.
 func (r *request) hasInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.done })
 }
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -46,7 +46,7 @@
 }
 
 // collectCandidates sets b.candidates to the targets that may get a request, those not yet tried if there
-// are any. It tells whether there is one that would do but for drains and slow start.
+// are any. It reports whether there is one that would do but for drains and slow start.
 func (b *Balancer) collectCandidates(r *request, work float64, healthyOnly bool) (found bool) {
 	b.candidates = b.candidates[:0]
 	fresh := false
@@ -81,7 +81,7 @@
 	b.candidates = slices.DeleteFunc(b.candidates, hasNone)
 }
 
-// hasAffinity tells whether a request goes to its key's own targets.
+// hasAffinity reports whether a request goes to its key's own targets.
 func (b *Balancer) hasAffinity(r *request) bool { return b.config.KeyAffinity && r.Key != 0 }
 
 // expectedDelay is what targets are compared by: the time that a request waits for, in multiples of what is
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -21,7 +21,7 @@
 	soleRequestWork = 2
 )
 
-// warmUpCapacity gives the share of its capacity that a backend surely has, and whether it is still warming
+// warmUpCapacity gives the share of its capacity that a backend has at least, and whether it is still warming
 // up.
 func (b *Balancer) warmUpCapacity(t *target) (share float64, warmingUp bool) {
 	c := &b.config.Constraints
@@ -49,8 +49,8 @@
 func (b *Balancer) otherProxiesShare() float64 { return 1 - 1/float64(b.config.Instances) }
 
 // refillSlowStart sets the rate of each backend that warms up and adds the tokens that are due. The rate is
-// the share that it surely has of what similar ones serve of this proxy's requests, or some more than it
-// serves itself. All proxies together so stay within what it can bear.
+// the share that it has at least of what similar ones serve of this proxy's requests, or some more than it
+// serves itself. All proxies together stay within what it can bear.
 func (b *Balancer) refillSlowStart() {
 	window := max(b.config.Constraints.OverloadWindow, minOverloadWindow).Seconds()
 	for _, t := range b.active {
@@ -59,11 +59,11 @@
 			continue
 		}
 		least := b.meanWork / window / float64(b.config.Instances) // a request a window teaches enough
-		likely := b.similarServedRate(t) * share
+		expected := b.similarServedRate(t) * share
 		own := t.recentWork.perSecond(b.now, b.config.Constraints.OverloadWindow)
-		rate := max(likely, own)
+		rate := max(expected, own)
 		if b.usesSharedLimit() { // among many proxies, chance makes the larger of the two too large at each
-			rate = (likely + own) / 2
+			rate = (expected + own) / 2
 		}
 		t.slowStartRate = max(rate*slowStartSafety*b.config.Constraints.OverloadFactor, least)
 		added := t.slowStartRate * (b.now - t.tokensUpdatedAt).Seconds()
@@ -94,9 +94,9 @@
 	return sum / max(n, 1)
 }
 
-// slowStartAllows tells whether a target may be sent a request of so many ms of work: always once it is
-// warm, else within its tokens, or alone if it is no heavy one. The latter needs tokens too: answers that
-// come fast, or a cancel, would let one request at a time add up.
+// slowStartAllows reports whether a target may be sent a request of so many ms of work: always once it is
+// warm, else within its tokens, or alone if it is not of much more work than the mean. The latter needs
+// tokens too: answers that come fast, or a cancel, would let one request at a time add up.
 func (b *Balancer) slowStartAllows(t *target, work float64) bool {
 	if _, warmingUp := b.warmUpCapacity(t); !warmingUp {
 		return true
@@ -105,7 +105,7 @@
 	return t.slowStartTokens >= b.inMeanRequests(work) || alone
 }
 
-// recordServedWork takes in the work of an attempt that was answered.
+// recordServedWork records the work of an attempt that was answered.
 func (b *Balancer) recordServedWork(t *target, work float64) {
 	t.servedWork.add(work, b.now, servedWorkIntervals*b.checkInterval)
 	t.recentWork.add(work, b.now, b.config.Constraints.OverloadWindow)
--- a/decision/snapshot.go
+++ b/decision/snapshot.go
@@ -35,7 +35,7 @@
 	ServedWork float64       `json:"served"` // ms, decaying
 }
 
-// Snapshot gives what has been learned.
+// Snapshot returns what has been learned.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
 	b.now = now
 	s := Snapshot{TakenAt: now, RequestRate: b.requestRate(), SharedLimit: b.sharedLimit.ceiling}
@@ -53,11 +53,11 @@
 	return s
 }
 
-// Restore takes in what a predecessor has learned, after Start and before the first endpoint list. It is a
+// Restore takes over what a predecessor has learned, after Start and before the first endpoint list. It is a
 // prior: its weight decays with its age, and what it says of a backend is void if that has started since.
 func (b *Balancer) Restore(now time.Duration, s Snapshot) {
 	b.now = now
-	if now < s.TakenAt {
+	if age := now - s.TakenAt; age < 0 {
 		return
 	}
 	b.predecessor = &s
@@ -75,14 +75,14 @@
 	}
 }
 
-// predecessorWeight is what the predecessor's words count for by their age.
+// predecessorWeight is the weight of the predecessor's snapshot by its age.
 func (b *Balancer) predecessorWeight() float64 {
 	return math.Exp(-float64(b.now-b.predecessor.TakenAt) / float64(maxRateSpan))
 }
 
-// restoreTarget gives a backend that the list names for the first time what the predecessor learned in the
-// same incarnation. A suspected start is no incarnation that the list knows of: the backend warms up though
-// the proxy is new.
+// restoreTarget sets for a backend that the list names for the first time what the predecessor learned in
+// the same incarnation. A suspected start is no incarnation that the list knows of: the backend warms up
+// though the proxy is new.
 func (b *Balancer) restoreTarget(t *target) {
 	if b.predecessor == nil {
 		return
@@ -94,7 +94,7 @@
 		t.healthy = old.Healthy
 		t.servedWork = decayingSum{old.ServedWork, b.predecessor.TakenAt}
 		b.recordStart(t, old.LastStart)
-		if !t.healthy { // it may be well by now
+		if !t.healthy { // it may have recovered by now
 			t.nextCheck = b.now
 		}
 	}
--- a/decision/statistics.go
+++ b/decision/statistics.go
@@ -13,7 +13,7 @@
 	updatedAt time.Duration
 }
 
-// decay brings the sum to the time now and gives it; span is how long a part takes to fade to 1/e. The
+// decay brings the sum to the time now and returns it; span is how long a part takes to fade to 1/e. The
 // clock only advances, so decaying twice at one time changes nothing.
 func (s *decayingSum) decay(now, span time.Duration) float64 {
 	if span > 0 && now > s.updatedAt {
@@ -36,7 +36,7 @@
 // linearFit is a least-squares line through points, of which old ones decay with the number of newer ones.
 type linearFit struct{ weight, sumX, sumY, sumXX, sumXY float64 }
 
-// learn takes in a point; keep is what is left of the weight of all earlier ones.
+// learn adds a point; keep is what is left of the weight of all earlier ones.
 func (f *linearFit) learn(x, y, keep float64) {
 	f.weight = f.weight*keep + 1
 	f.sumX = f.sumX*keep + x
@@ -64,7 +64,7 @@
 	baseline float64 // 0 while too few values are known
 }
 
-// learn takes in a value. The share exceedance of the values is to lie above the quantile, and one value
+// learn adds a value. The share exceedance of the values is to lie above the quantile, and one value
 // moves it by the share step at most.
 func (q *quantile) learn(v, exceedance, step float64) {
 	switch q.samples++; {
@@ -104,7 +104,7 @@
 	return mean + (v-mean)/n
 }
 
-// median sorts the values and gives the one in the middle, 1 if there are none.
+// median sorts the values and returns the one in the middle, 1 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 1
--- a/decision/target.go
+++ b/decision/target.go
@@ -7,7 +7,7 @@
 	Backend
 	detached     bool    // by an operator
 	hashOrder    uint64  // its place among those that this proxy may use
-	relativeSize float64 // as registered, over the mean; 1 where that is not told
+	relativeSize float64 // as registered, over the mean; 1 where sizes are not known
 
 	// Active health checks (healthcheck.go).
 	healthy            bool
--- a/decision/timers.go
+++ b/decision/timers.go
@@ -18,7 +18,7 @@
 	dispatchToken     uint64 = timerDispatch << timerKindShift
 )
 
-// sweepsPerInterval is how often in a check interval the Balancer looks at what time alone brings about.
+// sweepsPerInterval is how many sweeps there are in a check interval.
 const sweepsPerInterval = 10
 
 // attemptToken is the token of the timer of an attempt.
@@ -26,7 +26,7 @@
 	return timerAttempt<<timerKindShift | uint64(number)<<timerAttemptShift | uint64(id)
 }
 
-// Timer takes the end of a timer that Host.StartTimer began.
+// Timer reports the end of a timer that Host.StartTimer began. Unknown tokens are ignored.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	b.now = now
 	switch token >> timerKindShift {
@@ -50,7 +50,7 @@
 	b.host.StartTimer(b.checkInterval/sweepsPerInterval, sweepToken)
 }
 
-// sweep does what time alone brings about.
+// sweep applies the rules that depend on time alone.
 func (b *Balancer) sweep() {
 	b.removeDeparted()
 	b.selectActive()
--- a/decision/validate.go
+++ b/decision/validate.go
@@ -24,7 +24,7 @@
 // A SettingError names a setting that can't be served, by its path in the settings file, and says why.
 type SettingError struct{ Field, Reason string }
 
-// Error gives the path and the reason, as operators see them.
+// Error returns the path and the reason, as operators see them.
 func (e *SettingError) Error() string { return e.Field + ": " + e.Reason }
 
 // setting is a figure of the configuration under its name in the settings file.
@@ -33,8 +33,8 @@
 	value float64
 }
 
-// Validate looks for settings that can't be served: there must be a class, an attempt and a proxy, a class
-// needs time to answer, and durations and ratios that the rules rely on must be numbers that are not
+// Validate reports the first setting that can't be served: there must be a class, an attempt and a proxy, a
+// class needs time to answer, and durations and ratios that the rules rely on must be numbers that are not
 // negative. All else is served, brought to its range by Normalized. The error is a *SettingError, or nil.
 func (c *Config) Validate() error {
 	if len(c.Classes) == 0 {
@@ -96,7 +96,7 @@
 	}
 }
 
-// Normalized gives a copy in which weights and shares are within their ranges, and no duration is so long
+// Normalized returns a copy in which weights and shares are within their ranges, and no duration is so long
 // that sums of it would overflow. It shares nothing with c.
 func (c *Config) Normalized() Config {
 	n := *c
@@ -119,7 +119,7 @@
 		clampWeights(maxWeightSetting, &n.Tenants[i].Share, &n.Tenants[i].QuotaPerSecond)
 	}
 	capabilities.MaxAttempts = min(capabilities.MaxAttempts, maxAttemptsSetting)
-	if *weights == (ObjectiveWeights{}) { // without any, all requests would be worth nothing
+	if *weights == (ObjectiveWeights{}) { // without any, no request would have a value
 		weights.Overall = 1
 	}
 	if constraints.OverloadWindow == 0 {
--- a/decision/valuation.go
+++ b/decision/valuation.go
@@ -6,6 +6,10 @@
 	"time"
 )
 
+// A request's value is its class's priority weight, counted by work if so configured, and less for what
+// exceeds its tenant's quota. Tallies hold the value that is offered and the value that is served: over all
+// requests, by class and by tenant. What to serve first follows from the marginal gain: by how much serving a
+// request now raises the weighted shares of offered value that are served, for each ms of its work.
 const (
 	// Classes or tenants whose served shares differ by no more than worstTolerance are all the worst served.
 	worstTolerance = 0.02
@@ -29,8 +33,8 @@
 	t.served *= keep
 }
 
-// valueRequest sets what a request is worth and enters it in the tallies of what is offered. A client's own
-// retry is not offered anew.
+// valueRequest sets a request's value and adds it to the tallies of what is offered. A client's own retry is
+// not offered anew.
 func (b *Balancer) valueRequest(r *request) {
 	r.value = b.config.Classes[r.Class].PriorityWeight
 	if b.config.WeightByWork {
@@ -45,7 +49,7 @@
 	}
 }
 
-// overQuotaShare counts a request of a tenant and gives the share of the tenant's traffic beyond its quota,
+// overQuotaShare counts a request of a tenant and returns the share of the tenant's traffic beyond its quota,
 // if all proxies see as much of it.
 func (b *Balancer) overQuotaShare(tenant int) float64 {
 	quota := b.config.Tenants[tenant].QuotaPerSecond / float64(b.config.Instances)
@@ -103,7 +107,7 @@
 }
 
 // partOf is a request's part of a tally, times a weight. A client's retry counts in no tally: one that
-// comes to a tally that has decayed must not be worth a thousand others, as the mean that all are compared
+// comes to a tally that has decayed must not count for a thousand others, as the mean that all are compared
 // with would stay up for hours.
 func (r *request) partOf(t *tally, weight float64) float64 {
 	return weight * r.value / max(t.offered, r.value, minOffered)
@@ -122,7 +126,7 @@
 	return 1 - math.Exp(-max(0, millis(until-b.now))/mean)
 }
 
-// isWorstServed tells whether none of the others is served much less.
+// isWorstServed reports whether none of the others is served much less.
 func isWorstServed(t *tally, others []tally, tolerance float64) bool {
 	return t.offered > 0 && !slices.ContainsFunc(others, func(o tally) bool {
 		return o.servedShare() < t.servedShare()-tolerance
