--- a/decision/memory_test.go
+++ b/decision/snapshot_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// learnt is a balancer that has served for a while, with a backend out of order, and one that has started anew.
-func learnt(t *testing.T) (*Balancer, Snapshot) {
+// learnedSnapshot gives a Balancer that has served for a while, with an unhealthy backend and one that may have
+// restarted, and its snapshot as read back from JSON.
+func learnedSnapshot(t *testing.T) (*Balancer, Snapshot) {
 	t.Helper()
 	b, h := newBalancer(t, testConfig(), 8)
 	now := second
@@ -20,7 +21,7 @@
 		}
 	}
 	b.targetsByID[3].healthy = false
-	b.recordStart(b.targetsByID[4], now-second) // suspected: the list knows nothing of it
+	b.recordStart(b.targetsByID[4], now-second) // suspected: the list does not say so
 	var m Snapshot
 	text, err := json.Marshal(b.Snapshot(now))
 	if err == nil {
@@ -32,8 +33,8 @@
 	return b, m
 }
 
-func TestWhatIsRecalledIsAPrior(t *testing.T) {
-	old, m := learnt(t)
+func TestSnapshotIsPrior(t *testing.T) {
+	old, m := learnedSnapshot(t)
 	for _, c := range []struct {
 		name            string
 		age             time.Duration
@@ -67,16 +68,17 @@
 			t.Errorf("%s: the rate is %.2f of the one before", c.name, part)
 		}
 		if c.age >= 0 {
-			if want, got := old.expectedLatency(safe, 0), b.expectedLatency(safe, 0); math.Abs(want-got) > 1e-9*want {
+			if want, got := old.expectedLatency(idempotent, 0), b.expectedLatency(idempotent,
+				0); math.Abs(want-got) > 1e-9*want {
 				t.Errorf("%s: a delay of %v is expected, before it was %v", c.name, got, want)
 			}
 		}
 	}
 }
 
-// A suspected start outlives the proxy: what knows nothing of it must not push the cold server over.
-func TestARecalledColdBackendHasItsBudget(t *testing.T) {
-	_, m := learnt(t)
+// A suspected restart survives the proxy: its successor must not overload the cold backend.
+func TestRestoredColdBackendHasSlowStart(t *testing.T) {
+	_, m := learnedSnapshot(t)
 	b, err := New(testConfig(), 1, &recorder{})
 	if err != nil {
 		t.Fatal(err)
