--- a/internal/controlplane/client/docs_test.go
+++ b/internal/controlplane/client/docs_test.go
@@ -33,7 +33,7 @@
 	api.MalformedMessageError{}, api.UnknownServerError{}, api.ServerUnreachableError{},
 	client.WorkerCrashedError{}, client.WorkerStalledError{}, client.FloorsNotPersistedError{}, client.PolicyNotInstalledError{},
 	freshness.WorkerDiedError{}, freshness.WorkerStuckError{}, freshness.TooManyListsError{},
-	quotalease.InvalidCommandError{}, quotalease.FloorClaimedError{}, quotalease.LeaseExpiredError{}, quotalease.UnknownQuotaError{}, quotalease.NoLeaseError{}, quotalease.NotEnoughServersError{}, quotalease.NotBootstrappedError{}, quotalease.StaleConfigError{},
+	quotalease.InvalidCommandError{}, quotalease.FloorClaimedError{}, quotalease.LeaseExpiredError{}, quotalease.UnknownQuotaError{}, quotalease.NoLeaseError{}, quotalease.NotBootstrappedError{}, quotalease.StaleConfigError{},
 	quotalease.StaleEpochError{}, quotalease.StaleTokenError{}, quotalease.FleetMismatchError{}, quotalease.HolderMismatchError{}, quotalease.LimitExceededError{}, quotalease.ExhaustedError{}, quotalease.BootstrapPendingError{},
 	server.DuplicateFloorClaimError{}, server.ChunksRequiredError{},
 	staleness.BadSettings{}, staleness.ClaimCannotBeTrue{}, staleness.EdgeBlind{}, staleness.NameTaken{}, staleness.UnknownSource{}, staleness.ViewDoubtful{},
--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -56,7 +56,6 @@
 	{quotalease.LeaseExpiredError{}, "grant.GrantEnded"},
 	{quotalease.UnknownQuotaError{}, "grant.NoBudget"},
 	{quotalease.NoLeaseError{}, "grant.NoGrant"},
-	{quotalease.NotEnoughServersError{}, "grant.NotEnoughStewards"},
 	{quotalease.NotBootstrappedError{}, "grant.NotFounded"},
 	{quotalease.StaleConfigError{}, "grant.OldBudgets"},
 	{quotalease.StaleEpochError{}, "grant.OldEpoch"},
--- a/internal/quotalease/errors.go
+++ b/internal/quotalease/errors.go
@@ -24,25 +24,6 @@
 		"store went first."
 }
 
-// NotEnoughServersError is returned when nothing can be committed: too few servers are in touch or past their silence.
-type NotEnoughServersError struct {
-	InTouch int
-	Needed  int
-}
-
-// Error implements error.
-func (e NotEnoughServersError) Error() string {
-	return fmt.Sprintf("%d stewards are in touch, %d are needed", e.InTouch, e.Needed)
-}
-
-// Code returns the name of this error in messages between processes.
-func (NotEnoughServersError) Code() string { return "grant.NotEnoughStewards" }
-
-// Advice returns the operator's next step.
-func (NotEnoughServersError) Advice() string {
-	return "Bring stewards back, with the stores that they had; proxies go on with their leases and floors until then."
-}
-
 // LeaseExpiredError is returned for a quota whose lease has expired, and for a lease that arrives after its end.
 type LeaseExpiredError struct {
 	Quota string
