--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -47,7 +47,7 @@
 	demands := a.demandsOf(now, quota)
 	amounts := Divide(quota, demands)
 	bursts := divideBurst(quota, amounts)
-	remaining := newRemainder(quota, a.state.ledgerOf(quota.Name), a.state)
+	free := newFreeCapacity(quota, a.state.ledgerOf(quota.Name), a.state)
 	for i, from := range pending {
 		at, found := slices.BinarySearchFunc(demands, from.HolderID, func(demand Demand, id HolderID) int {
 			return demand.Compare(id)
@@ -56,11 +56,11 @@
 			continue
 		}
 		due := usage{amount: amounts[at], burst: bursts[at]}
-		granted := remaining.fit(quota, due, from.HolderID)
-		if !changesLease(remaining.ledger.entries[from.HolderID].newestLease(), granted, from.Seq) {
+		granted := free.fit(quota, due, from.HolderID)
+		if !changesLease(free.ledger.entries[from.HolderID].newestLease(), granted, from.Seq) {
 			continue
 		}
-		remaining.take(from.HolderID, granted)
+		free.take(from.HolderID, granted)
 		grant := QuotaGrant{Quota: quota.Name, Amount: granted.amount, Burst: granted.burst}
 		grants[i] = append(grants[i], grant)
 	}
@@ -110,8 +110,8 @@
 	return newest.Amount != 0 || granted.amount != 0
 }
 
-// remainder is what a plan can still grant of a quota: the ledger's sums with all that is planned so far.
-type remainder struct {
+// freeCapacity is what a plan can still grant of a quota: the ledger's sums with all that is planned so far.
+type freeCapacity struct {
 	ledger  *quotaLedger
 	state   *StateMachine
 	limit   usage // less all floors
@@ -119,28 +119,28 @@
 	current usage
 }
 
-func newRemainder(quota *Quota, ledger *quotaLedger, state *StateMachine) *remainder {
-	return &remainder{
+func newFreeCapacity(quota *Quota, ledger *quotaLedger, state *StateMachine) *freeCapacity {
+	return &freeCapacity{
 		ledger: ledger, state: state, limit: quota.unreservedUsage(ledger),
 		total: ledger.total, current: ledger.current,
 	}
 }
 
 // usagesOf returns what a process has outstanding, in all and under the current configuration.
-func (r *remainder) usagesOf(id HolderID) (own, ownCurrent usage) {
-	entry := r.ledger.entries[id]
+func (c *freeCapacity) usagesOf(id HolderID) (own, ownCurrent usage) {
+	entry := c.ledger.entries[id]
 	if entry == nil {
 		return usage{}, usage{}
 	}
-	return entry.maxUsage(r.state.mutations), entry.usageSince(r.state.configVersion, r.state.mutations)
+	return entry.maxUsage(c.state.mutations), entry.usageSince(c.state.configVersion, c.state.mutations)
 }
 
 // fit returns the part of a process's due share that the state machine would accept now; nothing if that part could
 // not be spent.
-func (r *remainder) fit(quota *Quota, due usage, id HolderID) usage {
-	own, ownCurrent := r.usagesOf(id)
-	amount := grantable(r.limit.amount, r.total.amount, own.amount, r.current.amount, ownCurrent.amount)
-	burst := grantable(r.limit.burst, r.total.burst, own.burst, r.current.burst, ownCurrent.burst)
+func (c *freeCapacity) fit(quota *Quota, due usage, id HolderID) usage {
+	own, ownCurrent := c.usagesOf(id)
+	amount := grantable(c.limit.amount, c.total.amount, own.amount, c.current.amount, ownCurrent.amount)
+	burst := grantable(c.limit.burst, c.total.burst, own.burst, c.current.burst, ownCurrent.burst)
 	granted := usage{amount: min(due.amount, amount), burst: min(due.burst, burst)}
 	if quota.Kind == InFlight {
 		granted.amount = granted.amount.roundDown()
@@ -161,10 +161,10 @@
 }
 
 // take counts a planned lease.
-func (r *remainder) take(id HolderID, granted usage) {
-	own, ownCurrent := r.usagesOf(id)
-	r.total.sub(own)
-	r.total.add(own.atLeast(granted))
-	r.current.sub(ownCurrent)
-	r.current.add(ownCurrent.atLeast(granted))
+func (c *freeCapacity) take(id HolderID, granted usage) {
+	own, ownCurrent := c.usagesOf(id)
+	c.total.sub(own)
+	c.total.add(own.atLeast(granted))
+	c.current.sub(ownCurrent)
+	c.current.add(ownCurrent.atLeast(granted))
 }
