--- a/internal/quotalease/errors.go
+++ b/internal/quotalease/errors.go
@@ -250,3 +250,7 @@
 	return "If a file of budgets was set, correct what is named; else a steward of another release runs beside " +
 		"these: make them one release."
 }
+
+func invalidCommand(format string, args ...any) InvalidCommandError {
+	return InvalidCommandError{Reason: fmt.Sprintf(format, args...)}
+}
--- a/internal/quotalease/grant.go
+++ b/internal/quotalease/grant.go
@@ -1,7 +1,5 @@
 package quotalease
 
-import "fmt"
-
 // grant counts a lease as outstanding and begins its expiry, or rejects it.
 func (m *StateMachine) grant(lease Lease, result *ApplyResult) error {
 	quota := m.config.Quota(lease.Quota)
@@ -48,8 +46,8 @@
 	case quota == nil:
 		return UnknownQuotaError{Quota: lease.Quota}
 	case !quota.fits(lease):
-		return InvalidCommandError{fmt.Sprintf("a grant of %s for %q is not of this budget's kind, lease or life",
-			lease.Quota, lease.Holder)}
+		return invalidCommand("a grant of %s for %q is not of this budget's kind, lease or life",
+			lease.Quota, lease.Holder)
 	case lease.Amount < 0 || lease.Burst < 0:
 		return invalidAmounts(lease)
 	case lease.Kind == InFlight && (lease.Burst != 0 || lease.Amount%Unit != 0):
@@ -65,7 +63,7 @@
 }
 
 func invalidAmounts(lease *Lease) error {
-	return InvalidCommandError{fmt.Sprintf("amount %d, burst %d", lease.Amount, lease.Burst)}
+	return invalidCommand("amount %d, burst %d", lease.Amount, lease.Burst)
 }
 
 // checkLimit rejects a lease after which more would be outstanding than the quota allows. After a limit was
--- a/internal/quotalease/reconfigure.go
+++ b/internal/quotalease/reconfigure.go
@@ -1,9 +1,6 @@
 package quotalease
 
-import (
-	"fmt"
-	"maps"
-)
+import "maps"
 
 // setQuotas takes a new configuration, or rejects it and changes nothing.
 func (m *StateMachine) setQuotas(command *SetQuotas) error {
@@ -39,11 +36,11 @@
 	case command.Version <= known:
 		return StaleConfigError{Have: command.Version, Seen: known}
 	case config.MaxDrift > m.maxDrift || config.MaxLifetime > m.maxLifetime:
-		return InvalidCommandError{fmt.Sprintf("drift %v or longest %v is above what the fleet was founded with",
-			config.MaxDrift, config.MaxLifetime)}
+		return invalidCommand("drift %v or longest %v is above what the fleet was founded with",
+			config.MaxDrift, config.MaxLifetime)
 	}
 	if err := config.Check(); err != nil {
-		return InvalidCommandError{err.Error()}
+		return InvalidCommandError{Reason: err.Error()}
 	}
 	return nil
 }
@@ -62,8 +59,7 @@
 	}
 	kindChanges := next != nil && previous != nil && next.Kind != previous.Kind
 	if kindChanges && (len(ledger.entries) > 0 || len(ledger.floors) > 0) {
-		return nil, InvalidCommandError{fmt.Sprintf(
-			"%s: its kind cannot change while grants or floors of it are out", name)}
+		return nil, invalidCommand("%s: its kind cannot change while grants or floors of it are out", name)
 	}
 	ledger.setFloors(next, command.Version, command.RemovedHolders)
 	if next == nil {
--- a/internal/quotalease/statemachine.go
+++ b/internal/quotalease/statemachine.go
@@ -1,7 +1,6 @@
 package quotalease
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"time"
@@ -68,8 +67,7 @@
 // package's types. Indices must grow.
 func (m *StateMachine) Apply(index uint64, command Command) (ApplyResult, error) {
 	if index <= m.appliedIndex {
-		reason := fmt.Sprintf("index %d was applied, %d is the last", index, m.appliedIndex)
-		return ApplyResult{}, InvalidCommandError{Reason: reason}
+		return ApplyResult{}, invalidCommand("index %d was applied, %d is the last", index, m.appliedIndex)
 	}
 	m.appliedIndex = index
 	var result ApplyResult
@@ -118,7 +116,7 @@
 	case command.AckBatch != nil:
 		m.ackBatch(command.AckBatch, result)
 	default:
-		return InvalidCommandError{"it is empty"}
+		return invalidCommand("it is empty")
 	}
 	return nil
 }
@@ -131,11 +129,11 @@
 	case command.Epoch <= m.epoch:
 		return StaleEpochError{Got: command.Epoch, Have: m.epoch}
 	case command.FleetID == "" || !validDrift(command.MaxDrift) || command.MaxLifetime < minDuration:
-		return InvalidCommandError{fmt.Sprintf("fleet %q, drift %v, longest %v",
-			command.FleetID, command.MaxDrift, command.MaxLifetime)}
+		return invalidCommand("fleet %q, drift %v, longest %v",
+			command.FleetID, command.MaxDrift, command.MaxLifetime)
 	case command.MaxLifetime < m.maxLifetime || command.MaxDrift < m.maxDrift:
-		return InvalidCommandError{fmt.Sprintf("longest %v or drift %v is less than held before",
-			command.MaxLifetime, command.MaxDrift)}
+		return invalidCommand("longest %v or drift %v is less than held before",
+			command.MaxLifetime, command.MaxDrift)
 	}
 	m.fleetID = command.FleetID
 	m.epoch = command.Epoch
