--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Clock counts from the Unix epoch: the wall's time at its start plus what has gone by on the monotonic
-// clock since. So it never goes back, and starts of backends before this process lie above 0: after a
-// proxy's restart a backend that is still cold is known to be.
+// Clock counts from the Unix epoch: the machine's clock when it was made plus the monotonic time since. It never goes
+// back, and backends that started before this process have a start above 0, so that one which is still warming up is
+// known as such after a restart of the proxy.
 type Clock struct{ start time.Time }
 
-// NewClock makes a clock.
+// NewClock makes a clock that starts at the machine's time.
 func NewClock() Clock { return Clock{time.Now()} }
 
 // Now is the time since the Unix epoch.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,35 +10,36 @@
 	"lapisspread/decision"
 )
 
-// nowhere is an upstream with one server at which nothing ever ends, and a source that never tells.
-type nowhere struct{}
+// stuckUpstream is an upstream with one backend, "a", at which no attempt ends by itself, and a source that never
+// delivers a list.
+type stuckUpstream struct{}
 
-func (nowhere) Update(EndpointList)        {}
-func (nowhere) Release(decision.BackendID) {}
-func (nowhere) Find(id decision.BackendID) Backend {
+func (stuckUpstream) Update(EndpointList)        {}
+func (stuckUpstream) Release(decision.BackendID) {}
+func (stuckUpstream) Find(id decision.BackendID) Backend {
 	if id == BackendID("a") {
-		return nowhere{}
+		return stuckUpstream{}
 	}
 	return nil
 }
-func (nowhere) Exchange(ctx context.Context, _ Attempt) (decision.Result, any) {
+func (stuckUpstream) Exchange(ctx context.Context, _ Attempt) (decision.Result, any) {
 	<-ctx.Done()
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return decision.Timeout, nil
 	}
 	return decision.Cancelled, nil
 }
-func (nowhere) CheckHealth(ctx context.Context) decision.Result {
+func (stuckUpstream) CheckHealth(ctx context.Context) decision.Result {
 	<-ctx.Done()
 	return decision.Cancelled
 }
-func (nowhere) Addr() string { return "nowhere" }
-func (nowhere) Close()       {}
-func (nowhere) Fetch(ctx context.Context) (EndpointList, error) {
+func (stuckUpstream) Addr() string { return "nowhere" }
+func (stuckUpstream) Close()       {}
+func (stuckUpstream) Fetch(ctx context.Context) (EndpointList, error) {
 	<-ctx.Done()
 	return EndpointList{}, ctx.Err()
 }
-func (nowhere) Watch(ctx context.Context, _ uint32, _ func(EndpointList)) error {
+func (stuckUpstream) Watch(ctx context.Context, _ uint32, _ func(EndpointList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -48,30 +49,50 @@
 func (message) Consumed() bool { return false }
 
 func testConfig() decision.Config {
-	return decision.Config{Instances: 1, Tick: 5 * time.Millisecond, ObjectiveWeights: decision.ObjectiveWeights{Overall: 1},
-		Classes: []decision.Class{{Name: "fetch", LatencyObjective: 8 * time.Second, ClientTimeout: 20 * time.Second, Idempotency: decision.Idempotent, PriorityWeight: 1},
-			{Name: "hand-in", LatencyObjective: 8 * time.Second, ClientTimeout: 20 * time.Second, PriorityWeight: 1}},
-		Capabilities: decision.Capabilities{Cancel: true, RetryAfter: true, ConnectTimeout: 250 * time.Millisecond, ConnectionIdleTimeout: time.Minute, MaxAttempts: 6, MaxRetryAfter: time.Second}}
+	fetch := decision.Class{Name: "fetch", LatencyObjective: 8 * time.Second, ClientTimeout: 20 * time.Second, PriorityWeight: 1}
+	fetch.Idempotency = decision.Idempotent
+	handIn := decision.Class{Name: "hand-in", LatencyObjective: 8 * time.Second, ClientTimeout: 20 * time.Second, PriorityWeight: 1}
+	return decision.Config{
+		Instances:        1,
+		Tick:             5 * time.Millisecond,
+		ObjectiveWeights: decision.ObjectiveWeights{Overall: 1},
+		Classes:          []decision.Class{fetch, handIn},
+		Capabilities: decision.Capabilities{
+			Cancel:                true,
+			RetryAfter:            true,
+			ConnectTimeout:        250 * time.Millisecond,
+			ConnectionIdleTimeout: time.Minute,
+			MaxAttempts:           6,
+			MaxRetryAfter:         time.Second,
+		},
+	}
+}
+
+// testEndpoints is a whole list with the one backend of stuckUpstream.
+func testEndpoints() EndpointList {
+	return EndpointList{Full: true, Endpoints: []Endpoint{{ID: "a", Addr: "a:1", State: decision.Ready}}}
 }
 
-// testEngine is an engine that does not run: its events are handled by the test.
+// testEngine makes an engine that does not run: the test handles its events.
 func testEngine(t *testing.T) *Engine {
 	t.Helper()
-	l, err := New(Options{Decision: testConfig(), Seed: 1, Upstream: nowhere{}, Source: nowhere{}})
+	e, err := New(Options{Decision: testConfig(), Seed: 1, Upstream: stuckUpstream{}, Source: stuckUpstream{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.ctx = t.Context()
-	l.decider.Start(l.clock.Now())
-	return l
+	e.ctx = t.Context()
+	e.decider.Start(e.clock.Now())
+	return e
 }
 
-func testRequest(l *Engine) *Request {
-	x := &Request{Class: 1, Deadline: l.clock.Now() + time.Minute, Message: message{}}
-	x.Init()
-	return x
+// testRequest makes a request of the class that is not idempotent.
+func testRequest(e *Engine) *Request {
+	r := &Request{Class: 1, Deadline: e.clock.Now() + time.Minute, Message: message{}}
+	r.Init()
+	return r
 }
 
+// within receives a value, and fails the test if none comes.
 func within[T any](t *testing.T, from <-chan T, missing string) T {
 	t.Helper()
 	select {
@@ -83,111 +104,130 @@
 	}
 }
 
-// The module may fail to end a request; the loop ends it at its deadline.
-func TestBackstop(t *testing.T) {
-	l := testEngine(t)
-	r := testRequest(l)
-	l.handle(func() { l.requests[1] = r; r.id = 1; l.expireRequest(r) })
+// A request that the decision module does not end is ended by the engine after its deadline, once.
+func TestRequestEndsAfterDeadlineGrace(t *testing.T) {
+	e := testEngine(t)
+	r := testRequest(e)
+	e.handle(func() {
+		e.requests[1] = r
+		r.id = 1
+		e.expireRequest(r)
+	})
 	if a := within(t, r.result, "no answer"); a.Outcome != Failed {
 		t.Errorf("ended as %v", a.Outcome)
 	}
-	l.handle(func() { host{l}.Reject(1, 0); host{l}.Fail(1); l.expireRequest(r); l.ClientGone(r) })
-	if len(r.result) != 0 || len(l.requests) != 0 {
-		t.Error("a second answer, or a request that was not forgotten")
+	e.handle(func() {
+		host{e}.Reject(1, 0)
+		host{e}.Fail(1)
+		e.expireRequest(r)
+		e.ClientGone(r)
+	})
+	if len(r.result) != 0 || len(e.requests) != 0 {
+		t.Error("a second answer, or a request that was not released")
 	}
 }
 
-// What may not be sent any more ends as Moot, in a later event, and nothing goes out.
-func TestMootSends(t *testing.T) {
-	l := testEngine(t)
+// An attempt that may not be made ends as NotSent, in a later event, and nothing is sent.
+func TestAttemptsThatMayNotBeSent(t *testing.T) {
+	e := testEngine(t)
 	for name, send := range map[string]func(*Request){
-		"unknown backend": func(r *Request) { host{l}.Send(1, BackendID("b"), 0) },
-		"past time":       func(r *Request) { host{l}.Send(1, BackendID("a"), l.clock.Now()-1) },
-		"request over":    func(r *Request) { r.ended, r.inFlight = true, 1; host{l}.Send(1, BackendID("a"), 0) },
-		"second copy":     func(r *Request) { r.inFlight = 1; host{l}.Send(1, BackendID("a"), 0) },
+		"unknown backend": func(*Request) { host{e}.Send(1, BackendID("b"), 0) },
+		"past time":       func(*Request) { host{e}.Send(1, BackendID("a"), e.clock.Now()-1) },
+		"request over": func(r *Request) {
+			r.ended = true
+			r.inFlight = 1
+			host{e}.Send(1, BackendID("a"), 0)
+		},
+		"hedged request": func(r *Request) {
+			r.inFlight = 1
+			host{e}.Send(1, BackendID("a"), 0)
+		},
 	} {
-		r := testRequest(l)
+		r := testRequest(e)
 		r.id = 1
-		l.requests[1] = r
+		e.requests[1] = r
 		send(r)
-		if len(l.deferred) != 1 {
-			t.Errorf("%s: %d events follow, want one", name, len(l.deferred))
+		if len(e.deferred) != 1 {
+			t.Errorf("%s: %d events follow, want one", name, len(e.deferred))
 		}
-		l.deferred = nil
+		e.deferred = nil
 		r.attempts[0].cancel()
 	}
 }
 
 func TestPanicEndsOneEventOnly(t *testing.T) {
-	l := testEngine(t)
+	e := testEngine(t)
 	ran := false
-	l.handle(func() { panic("the decisions failed") })
-	l.handle(func() { ran = true })
+	e.handle(func() { panic("the decisions failed") })
+	e.handle(func() { ran = true })
 	if !ran {
 		t.Error("no event was handled after a panic")
 	}
 }
 
-// A timer of the module's whose event fails comes again, and one that was set anew does not come twice.
+// A timer of the decision module whose event fails fires again, and one that was set again does not fire twice.
 func TestTimerSurvivesAPanic(t *testing.T) {
-	l := testEngine(t)
-	module := l.decider
+	e := testEngine(t)
+	balancer := e.decider
 	fire := func() (fired int) {
-		due := l.timers
-		l.timers = nil
+		due := e.timers
+		e.timers = nil
 		for _, timer := range due {
 			fired++
-			l.handle(timer.event)
+			e.handle(timer.event)
 		}
 		return fired
 	}
-	if fire(); len(l.timers) == 0 {
-		t.Fatal("the module sets no timers")
+	if fire(); len(e.timers) == 0 {
+		t.Fatal("the decision module sets no timers")
 	}
-	sets := len(l.timers)
-	l.decider = nil // each event fails
+	want := len(e.timers)
+	e.decider = nil // each event fails
 	for range 3 {
-		if fire(); len(l.timers) != sets {
-			t.Fatalf("%d timers after a failure, want %d", len(l.timers), sets)
+		if fire(); len(e.timers) != want {
+			t.Fatalf("%d timers after a failure, want %d", len(e.timers), want)
 		}
 	}
-	l.decider = module
-	before := l.timerSequence
-	if fire(); l.timerSequence == before {
-		t.Error("the module's timers were not set anew after the failures")
+	e.decider = balancer
+	before := e.timerSequence
+	if fire(); e.timerSequence == before {
+		t.Error("the decision module's timers were not set again after the failures")
 	}
 }
 
 // A request that has ended leaves nothing behind, whatever its deadline.
-func TestEndedRequestsAreForgotten(t *testing.T) {
-	l := testEngine(t)
-	r := testRequest(l)
-	r.Deadline = l.clock.Now() + time.Hour
-	timers := len(l.timers)
-	l.Submit(r)
-	host{l}.Reject(r.id, 0)
-	l.ClientGone(r)
-	if len(l.requests) != 0 || r.Message != nil || r.expiry.index >= 0 {
-		t.Errorf("%d requests are held, message %v, expiry's place %d", len(l.requests), r.Message, r.expiry.index)
-	}
-	for _, timer := range l.timers[min(timers, len(l.timers)):] {
-		if timer.due > l.clock.Now()+time.Minute {
+func TestEndedRequestsAreReleased(t *testing.T) {
+	e := testEngine(t)
+	r := testRequest(e)
+	r.Deadline = e.clock.Now() + time.Hour
+	timers := len(e.timers)
+	e.Submit(r)
+	host{e}.Reject(r.id, 0)
+	e.ClientGone(r)
+	if len(e.requests) != 0 || r.Message != nil || r.expiry.index >= 0 {
+		t.Errorf("%d requests are held, message %v, expiry's index %d", len(e.requests), r.Message, r.expiry.index)
+	}
+	for _, timer := range e.timers[min(timers, len(e.timers)):] {
+		if timer.due > e.clock.Now()+time.Minute {
 			t.Error("a timer waits for the deadline of a request that has ended")
 		}
 	}
 }
 
-func TestTimersComeInOrderAndNeverEarly(t *testing.T) {
-	l := testEngine(t)
+func TestTimersFireInOrderAndNeverEarly(t *testing.T) {
+	e := testEngine(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
-	go func() { l.Run(ctx); close(ended) }()
+	go func() {
+		e.Run(ctx)
+		close(ended)
+	}()
 	type firing struct{ wanted, at time.Duration }
 	fired := make(chan firing, 8)
-	l.Post(func() {
+	e.Post(func() {
 		for _, ms := range []time.Duration{40, 10, 0, 25} {
-			wanted := l.Clock().Now() + ms*time.Millisecond
-			l.startTimerAt(wanted, func() { fired <- firing{wanted, l.clock.Now()} })
+			wanted := e.Clock().Now() + ms*time.Millisecond
+			e.startTimerAt(wanted, func() { fired <- firing{wanted, e.clock.Now()} })
 		}
 	})
 	last := time.Duration(0)
@@ -214,19 +254,27 @@
 	}
 }
 
-// A list's number wraps like any counter of 32 bits: what comes after the last one is newer, not older.
-func TestAListAfterTheLastNumberCounts(t *testing.T) {
-	for _, k := range []struct {
-		held, told uint32
-		counts     bool
-	}{{7, 8, true}, {7, 7, true}, {7, 6, false}, {math.MaxUint32, 0, true}, {math.MaxUint32, 3, true}, {2, math.MaxUint32, false}} {
-		l := testEngine(t)
-		heard := false
-		l.opts.OnEndpoints = func(EndpointList) { heard = true }
-		l.listVersion = k.held
-		l.endpointsReceived(EndpointList{Version: k.told, Endpoints: []Endpoint{{ID: "a", State: decision.Draining}}})
-		if heard != k.counts {
-			t.Errorf("holding list %d, changes with number %d count: %v", k.held, k.told, heard)
+// A list's version wraps like any counter of 32 bits: the one after the highest is newer, not older.
+func TestEndpointListVersionWraps(t *testing.T) {
+	for _, c := range []struct {
+		current  uint32
+		received uint32
+		applied  bool
+	}{
+		{7, 8, true},
+		{7, 7, true},
+		{7, 6, false},
+		{math.MaxUint32, 0, true},
+		{math.MaxUint32, 3, true},
+		{2, math.MaxUint32, false},
+	} {
+		e := testEngine(t)
+		applied := false
+		e.opts.OnEndpoints = func(EndpointList) { applied = true }
+		e.listVersion = c.current
+		e.endpointsReceived(EndpointList{Version: c.received, Endpoints: []Endpoint{{ID: "a", State: decision.Draining}}})
+		if applied != c.applied {
+			t.Errorf("changes of version %d to a list of version %d are applied: %v", c.received, c.current, applied)
 		}
 	}
 }
