--- a/internal/wire/frame_test.go
+++ b/internal/wire/protocol_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"io"
 	"math"
 	"reflect"
@@ -14,7 +15,7 @@
 	"lapisspread/decision"
 )
 
-// frame builds little-endian bytes; a float64 is written as such, an int as one byte.
+// raw joins little-endian fields; an int is one byte.
 func raw(fields ...any) []byte {
 	var buf bytes.Buffer
 	for _, f := range fields {
@@ -34,11 +35,12 @@
 	return buf.Bytes()
 }
 
+// batch builds a frame around a body.
 func batch(seq uint32, clock float64, records uint32, body []byte) []byte {
 	return raw(seq, clock, uint32(len(body)), records, body)
 }
 
-// events decodes a frame; slices are copied as the contract demands.
+// events decodes a frame. Slices are copied, since they are valid for one event only.
 func events(t testing.TB, data []byte) ([]Event, error) {
 	t.Helper()
 	b, _, err := ReadBatch(bytes.NewReader(data), nil)
@@ -57,7 +59,8 @@
 
 const ms = time.Millisecond
 
-func TestEveryEventByItsLayout(t *testing.T) {
+// Each event is decoded by its layout.
+func TestEventLayouts(t *testing.T) {
 	row := raw(uint32(70), uint16(2), uint16(1), uint16(9), 1, float32(1.5), 8000.25)
 	for _, c := range []struct {
 		name   string
@@ -98,7 +101,7 @@
 	}
 }
 
-func TestOutcomeCodes(t *testing.T) {
+func TestResultCodes(t *testing.T) {
 	want := []decision.Result{decision.Error, decision.OK, decision.Rejected, decision.Timeout, decision.ConnectFailed,
 		decision.Reset, decision.Cancelled, decision.NotSent}
 	for code, result := range want {
@@ -109,7 +112,7 @@
 	}
 }
 
-func TestMalformedFramesAreErrorsThatSayWhere(t *testing.T) {
+func TestMalformedBatchErrorsSayWhere(t *testing.T) {
 	good := raw(11, uint16(3), 7, uint64(1))
 	for _, c := range []struct {
 		name string
@@ -134,12 +137,12 @@
 			t.Errorf("%s: error %v, want one line with %q", c.name, err, c.want)
 		}
 	}
-	if _, _, err := ReadBatch(bytes.NewReader(nil), nil); err != io.EOF {
+	if _, _, err := ReadBatch(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
 		t.Errorf("end of input between frames: %v", err)
 	}
 }
 
-func TestAFrameOfMegabytes(t *testing.T) {
+func TestBatchOfMegabytes(t *testing.T) {
 	body := raw(11, uint16(0))
 	one := raw(7, uint64(5))
 	const n = 400_000
@@ -152,7 +155,8 @@
 	}
 }
 
-func TestEveryActionByItsLayout(t *testing.T) {
+// Each action is encoded by its layout.
+func TestActionLayouts(t *testing.T) {
 	var r Reply
 	for _, c := range []struct {
 		name string
@@ -197,19 +201,19 @@
 	}
 }
 
-func FuzzFrames(f *testing.F) {
+func FuzzBatches(f *testing.F) {
 	f.Add(batch(1, 5, 2, raw(11, uint16(3), 7, uint64(1))))
 	f.Add(batch(1, 5, 2, raw(11, uint16(3), 1, uint64(1), uint32(3), "a=b")))
 	f.Add(batch(1, 5, 2, raw(11, uint16(0), 2, 1, uint32(0), uint32(1<<31))))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, err := events(t, data)
-		if err != nil && err != io.EOF && strings.Contains(err.Error(), "\n") {
+		if err != nil && !errors.Is(err, io.EOF) && strings.Contains(err.Error(), "\n") {
 			t.Errorf("more than one line: %q", err)
 		}
 	})
 }
 
-// unhex reads the wire page's notation: hex digits with blanks, a record's name after three of them.
+// unhex reads the protocol page's notation: hex digits with blanks, a record's name after three of them.
 func unhex(t *testing.T, lines ...string) []byte {
 	t.Helper()
 	var out []byte
@@ -224,8 +228,8 @@
 	return out
 }
 
-// The examples of the wire page, to the letter.
-func TestTheWirePagesExamples(t *testing.T) {
+// The examples of the protocol page, byte for byte.
+func TestProtocolPageExamples(t *testing.T) {
 	evs, err := events(t, unhex(t, "0c000000", "00000000206ec040", "37000000", "05000000", "0b 0300   to",
 		"03 c4913a5d 0000000000002840 0000000020e6c040 01 00 640ad2557c3bf091 00000000   ask",
 		"07 4d00000000000000   elapsed", "0b 0500   to", "06 192b6f0e   aborted"))
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -8,153 +8,170 @@
 	"lapisspread/decision"
 )
 
-// The actions' record codes.
+// The actions' record codes, with the protocol's name of each.
 const (
-	transmit     = 1
-	reject       = 2
-	endFailed    = 3
-	abortAttempt = 4
-	notifyMe     = 5
-	sample       = 6
-	release      = 7
-	signal       = 8
-	sayLog       = 9
-	broken       = 10
-	observe      = 11
-	resolve      = 12
-	onBehalf     = 13
+	actionSend               = 1  // transmit
+	actionReject             = 2  // reject
+	actionFail               = 3  // end_failed
+	actionCancel             = 4  // abort_attempt
+	actionStartTimer         = 5  // notify_me
+	actionCheckHealth        = 6  // sample
+	actionReleaseConnections = 7  // release
+	actionSendToPeer         = 8  // signal
+	actionLog                = 9  // say_log
+	actionReportFailure      = 10 // broken
+	actionWatchEndpoints     = 11 // observe
+	actionFetchEndpoints     = 12 // resolve
+	actionSelectInstance     = 13 // on_behalf: what follows is of this instance
 )
 
 const (
-	maxText    = 1<<16 - 1
-	maxMessage = 256
+	// noInstance is Reply's instance before the first instance record.
+	noInstance = -1
+	// replyHeaderBytes is the length of a reply's header.
+	replyHeaderBytes = 12
+	// replyRecordsOffset and replyLengthOffset are where the header has the number of records and the body's length.
+	replyRecordsOffset = 4
+	replyLengthOffset  = 8
+	// maxTextBytes bounds a log line and a failure's reason; what is longer is cut.
+	maxTextBytes = 1<<16 - 1
+	// maxPeerMessageBytes bounds a message to a peer; what is longer is cut.
+	maxPeerMessageBytes = 256
 )
 
-// Reply gathers the actions that answer one batch.
+// Reply collects the actions that answer one batch. Its zero value is ready for Reset.
 type Reply struct {
-	buf     []byte
-	records uint32
-	current int // instance of the last onBehalf; -1 is none
+	buf      []byte
+	records  uint32
+	instance int // of the last instance record; noInstance before the first
 }
 
 // Reset begins the reply to a batch.
 func (r *Reply) Reset(seq uint32) {
 	r.buf = binary.LittleEndian.AppendUint32(r.buf[:0], seq)
-	r.buf = append(r.buf, make([]byte, replyHeader-4)...)
-	r.records, r.current = 0, -1
+	r.buf = append(r.buf, make([]byte, replyHeaderBytes-len(r.buf))...)
+	r.records = 0
+	r.instance = noInstance
 }
 
-// Bytes is the whole frame.
+// Bytes returns the whole frame. It is valid until the next action or Reset.
 func (r *Reply) Bytes() []byte {
-	binary.LittleEndian.PutUint32(r.buf[4:], r.records)
-	binary.LittleEndian.PutUint32(r.buf[8:], uint32(len(r.buf)-replyHeader))
+	binary.LittleEndian.PutUint32(r.buf[replyRecordsOffset:], r.records)
+	binary.LittleEndian.PutUint32(r.buf[replyLengthOffset:], uint32(len(r.buf)-replyHeaderBytes))
 	return r.buf
 }
 
-// Actions writes one instance's actions; it is that instance's decision.Host.
+// Actions writes one instance's actions into a reply; it is that instance's decision.Host.
 type Actions struct {
 	Reply    *Reply
 	Instance uint16
 }
 
-func (a Actions) record(code byte) {
-	if r := a.Reply; r.current != int(a.Instance) {
-		r.current = int(a.Instance)
-		r.buf = binary.LittleEndian.AppendUint16(append(r.buf, onBehalf), a.Instance)
+var _ decision.Host = Actions{}
+
+// begin begins a record, after one that names the instance if the last record was another's.
+func (a Actions) begin(code byte) {
+	r := a.Reply
+	if r.instance != int(a.Instance) {
+		r.instance = int(a.Instance)
+		r.buf = append(r.buf, actionSelectInstance)
+		r.buf = binary.LittleEndian.AppendUint16(r.buf, a.Instance)
 		r.records++
 	}
-	a.Reply.buf = append(a.Reply.buf, code)
-	a.Reply.records++
+	r.buf = append(r.buf, code)
+	r.records++
 }
 
-func (a Actions) u32(v uint32) { a.Reply.buf = binary.LittleEndian.AppendUint32(a.Reply.buf, v) }
-func (a Actions) u64(v uint64) { a.Reply.buf = binary.LittleEndian.AppendUint64(a.Reply.buf, v) }
+func (a Actions) uint8(v uint8)   { a.Reply.buf = append(a.Reply.buf, v) }
+func (a Actions) uint32(v uint32) { a.Reply.buf = binary.LittleEndian.AppendUint32(a.Reply.buf, v) }
+func (a Actions) uint64(v uint64) { a.Reply.buf = binary.LittleEndian.AppendUint64(a.Reply.buf, v) }
 
 func (a Actions) millis(d time.Duration) {
-	a.u64(math.Float64bits(float64(d) / float64(time.Millisecond)))
+	a.uint64(math.Float64bits(float64(d) / float64(time.Millisecond)))
 }
 
-func (a Actions) bytes(b []byte, most int) {
-	b = b[:min(len(b), most)]
+// bytes writes at most limit bytes, after their number.
+func (a Actions) bytes(b []byte, limit int) {
+	b = b[:min(len(b), limit)]
 	a.Reply.buf = binary.LittleEndian.AppendUint16(a.Reply.buf, uint16(len(b)))
 	a.Reply.buf = append(a.Reply.buf, b...)
 }
 
 // Send implements decision.Host.
 func (a Actions) Send(id decision.RequestID, to decision.BackendID, until time.Duration) {
-	a.record(transmit)
-	a.u32(uint32(id))
-	a.u32(uint32(to))
+	a.begin(actionSend)
+	a.uint32(uint32(id))
+	a.uint32(uint32(to))
 	a.millis(until)
 }
 
 // Reject implements decision.Host.
 func (a Actions) Reject(id decision.RequestID, retryAfter time.Duration) {
-	a.record(reject)
-	a.u32(uint32(id))
+	a.begin(actionReject)
+	a.uint32(uint32(id))
 	a.millis(retryAfter)
 }
 
 // Fail implements decision.Host.
 func (a Actions) Fail(id decision.RequestID) {
-	a.record(endFailed)
-	a.u32(uint32(id))
+	a.begin(actionFail)
+	a.uint32(uint32(id))
 }
 
 // Cancel implements decision.Host.
 func (a Actions) Cancel(id decision.RequestID, attempt int) {
-	a.record(abortAttempt)
-	a.u32(uint32(id))
-	a.Reply.buf = append(a.Reply.buf, byte(attempt))
+	a.begin(actionCancel)
+	a.uint32(uint32(id))
+	a.uint8(uint8(attempt))
 }
 
 // CheckHealth implements decision.Host.
-func (a Actions) CheckHealth(b decision.BackendID) {
-	a.record(sample)
-	a.u32(uint32(b))
+func (a Actions) CheckHealth(id decision.BackendID) {
+	a.begin(actionCheckHealth)
+	a.uint32(uint32(id))
 }
 
 // ReleaseIdleConnections implements decision.Host.
-func (a Actions) ReleaseIdleConnections(b decision.BackendID) {
-	a.record(release)
-	a.u32(uint32(b))
+func (a Actions) ReleaseIdleConnections(id decision.BackendID) {
+	a.begin(actionReleaseConnections)
+	a.uint32(uint32(id))
 }
 
 // WatchEndpoints implements decision.Host.
 func (a Actions) WatchEndpoints(on bool) {
-	a.record(observe)
-	var v byte
+	a.begin(actionWatchEndpoints)
 	if on {
-		v = 1
+		a.uint8(1)
+	} else {
+		a.uint8(0)
 	}
-	a.Reply.buf = append(a.Reply.buf, v)
 }
 
 // FetchEndpoints implements decision.Host.
-func (a Actions) FetchEndpoints() { a.record(resolve) }
+func (a Actions) FetchEndpoints() { a.begin(actionFetchEndpoints) }
 
 // SendToPeer implements decision.Host.
 func (a Actions) SendToPeer(peer uint32, body []byte) {
-	a.record(signal)
-	a.u32(peer)
-	a.bytes(body, maxMessage)
+	a.begin(actionSendToPeer)
+	a.uint32(peer)
+	a.bytes(body, maxPeerMessageBytes)
 }
 
 // StartTimer implements decision.Host.
-func (a Actions) StartTimer(d time.Duration, token uint64) {
-	a.record(notifyMe)
-	a.millis(d)
-	a.u64(token)
+func (a Actions) StartTimer(delay time.Duration, token uint64) {
+	a.begin(actionStartTimer)
+	a.millis(delay)
+	a.uint64(token)
 }
 
 // Log implements decision.Host.
 func (a Actions) Log(line string) {
-	a.record(sayLog)
-	a.bytes([]byte(line), maxText)
+	a.begin(actionLog)
+	a.bytes([]byte(line), maxTextBytes)
 }
 
-// ReportFailure reports that the decision code has failed.
+// ReportFailure says that the decision module has failed.
 func (a Actions) ReportFailure(reason string) {
-	a.record(broken)
-	a.bytes([]byte(reason), maxText)
+	a.begin(actionReportFailure)
+	a.bytes([]byte(reason), maxTextBytes)
 }
--- a/internal/wire/bootinfo_test.go
+++ b/internal/wire/settings_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// A word that is new is no reason to refuse, where nothing that the rules hang on is told by it.
-func TestNewWordsThatOnlyWeighAreRead(t *testing.T) {
+// An unknown word is no error where it only weighs.
+func TestUnknownWordsThatOnlyWeighAreDefaults(t *testing.T) {
 	c, err := ParseSettings("Weights=guessed\nWorthBy=mood\nFeedback.How=by_post\nServices.count=2\n" +
 		"Services.0.Effect=retryable\nServices.0.Group=galaxy\nServices.1.Effect=fragile\nServices.1.Group=galaxy")
 	if err != nil || c.Weights != decision.WeightNone || c.WeightByWork || c.Classes[0].Idempotency != decision.Idempotent ||
@@ -81,7 +81,7 @@
 	f.Add("Tick=1e9\nFeedback.How=inline\nFeedback.Names=,,\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := ParseSettings(text)
-		if err == nil && len(c.Classes) > maxItems {
+		if err == nil && len(c.Classes) > maxListLength {
 			t.Error("a list longer than the bound")
 		}
 	})
