--- a/internal/discovery/guardedsource/file.go
+++ b/internal/discovery/guardedsource/file.go
@@ -9,10 +9,30 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// Version is the form of the file that this program reads.
+// Version is the version of the settings file that this program reads.
 const Version = 1
 
-// File is deploy/comeback.toml. A part that is left out is off.
+// maxFileBytes is the longest settings file that is read.
+const maxFileBytes = 1 << 20
+
+// What a settings file comes to where it leaves a key out.
+const (
+	defaultMaxMissingRatio  = 0.3
+	defaultMinMissing       = 2
+	defaultRetainFor        = 30 * time.Second
+	defaultMaxBackoff       = 10 * time.Second
+	defaultWatchTimeout     = 20 * time.Second
+	defaultSnapshotInterval = time.Second
+	defaultSnapshotMaxAge   = time.Hour
+)
+
+// The range of SnapshotConfig.Interval.
+const (
+	minSnapshotInterval = 100 * time.Millisecond
+	maxSnapshotInterval = time.Hour
+)
+
+// File is deploy/comeback.toml. A table that is left out is off.
 type File struct {
 	Version  int             `toml:"version"` // 1
 	Guard    *GuardConfig    `toml:"list"`
@@ -20,54 +40,33 @@
 	Snapshot *SnapshotConfig `toml:"memory"`
 }
 
-// GuardConfig says when a list is in doubt: see comeback.GuardSettings.
+// GuardConfig says when a whole list is suspect: see listguard.GuardSettings.
 type GuardConfig struct {
 	MaxMissingRatio *float64          `toml:"shrink"` // 0.3 if left out
 	MinMissing      int               `toml:"least"`  // 2 if left out
 	RetainFor       strictconfig.Span `toml:"hold"`   // 30s if left out
 }
 
-// PacingConfig say how calls for the list are spread: see comeback.CallSettings.
+// PacingConfig says how calls to discovery are spread: see listguard.PacingSettings.
 type PacingConfig struct {
-	CallsPerSecond float64           `toml:"rate"` // calls a second of all proxies together
+	CallsPerSecond float64           `toml:"rate"` // of all proxies together
 	MaxBackoff     strictconfig.Span `toml:"most"` // 10s if left out
 	WatchTimeout   strictconfig.Span `toml:"hold"` // 20s if left out
 }
 
-// SnapshotConfig says where a proxy writes down what it has learned, for the one that starts in its place.
+// SnapshotConfig says where a proxy writes a snapshot of what it has learned, for the process that starts in its place.
 type SnapshotConfig struct {
-	Directory string            `toml:"folder"` // that for temporary files if left out
+	Directory string            `toml:"folder"` // the one for temporary files if left out
 	Interval  strictconfig.Span `toml:"every"`  // 1s if left out
-	MaxAge    strictconfig.Span `toml:"most"`   // the oldest that is recalled; 1h if left out
-}
-
-const (
-	minSnapshotInterval = 100 * time.Millisecond
-	maxSnapshotInterval = time.Hour
-)
-
-// SnapshotInterval is how often it is written; 0 is never.
-func (f *File) SnapshotInterval() time.Duration {
-	if f.Snapshot == nil {
-		return 0
-	}
-	return time.Duration(valueOr(f.Snapshot.Interval, strictconfig.Span(time.Second)))
+	MaxAge    strictconfig.Span `toml:"most"`   // of a snapshot that is restored; 1h if left out
 }
 
-// SnapshotMaxAge is the age up to which it is recalled.
-func (f *File) SnapshotMaxAge() time.Duration {
-	return time.Duration(valueOr(f.Snapshot.MaxAge, strictconfig.Span(time.Hour)))
-}
-
-// maxFileBytes is the longest file that is read, in bytes.
-const maxFileBytes = 1 << 20
-
-// Load reads a file. Errors name the file, the line where there is one, and the key.
+// Load reads a settings file. Errors name the file, the line where there is one, and the key.
 func Load(path string) (*File, error) {
 	return strictconfig.Load(path, "the settings of coming back", maxFileBytes, Parse)
 }
 
-// Parse reads the text of a file.
+// Parse reads the text of a settings file; path is for the errors.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{}
 	if err := strictconfig.Decode(path, text, f); err != nil {
@@ -79,72 +78,106 @@
 	if f.Guard == nil && f.Pacing == nil && f.Snapshot == nil {
 		return nil, fmt.Errorf("%s: it has none of [list], [calls] and [memory]: there is nothing to go by", path)
 	}
+	if err := f.validate(); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return f, nil
+}
+
+// validate returns an error that names each key that makes no sense.
+func (f *File) validate() error {
 	var errs []error
-	if m := f.Snapshot; m != nil {
-		if v := f.SnapshotInterval(); v < minSnapshotInterval || v > maxSnapshotInterval {
-			errs = append(errs, fmt.Errorf("memory: every: %v is not within %v and %v", v, minSnapshotInterval, maxSnapshotInterval))
+	if f.Snapshot != nil {
+		interval := f.SnapshotInterval()
+		if interval < minSnapshotInterval || interval > maxSnapshotInterval {
+			errs = append(errs, fmt.Errorf("memory: every: %v is not within %v and %v",
+				interval, minSnapshotInterval, maxSnapshotInterval))
 		}
-		if v := f.SnapshotMaxAge(); v < f.SnapshotInterval() {
-			errs = append(errs, fmt.Errorf("memory: most: %v is shorter than every, %v", v, f.SnapshotInterval()))
+		if maxAge := f.SnapshotMaxAge(); maxAge < interval {
+			errs = append(errs, fmt.Errorf("memory: most: %v is shorter than every, %v", maxAge, interval))
 		}
 	}
-	if set, on := f.guardSettings(); on {
-		if err := set.Validate(); err != nil {
+	if settings, on := f.guardSettings(); on {
+		if err := settings.Validate(); err != nil {
 			errs = append(errs, fmt.Errorf("list: %w", err))
 		}
 	}
-	if set, on := f.pacingSettings(1, 0); on {
-		if err := set.Validate(); err != nil {
+	if settings, on := f.pacingSettings(1, 0); on {
+		if err := settings.Validate(); err != nil {
 			errs = append(errs, fmt.Errorf("calls: %w", err))
 		}
 	}
-	if err := errors.Join(errs...); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+	return errors.Join(errs...)
+}
+
+// SnapshotInterval is how often a snapshot is written; 0 is never.
+func (f *File) SnapshotInterval() time.Duration {
+	if f.Snapshot == nil {
+		return 0
 	}
-	return f, nil
+	return spanOr(f.Snapshot.Interval, defaultSnapshotInterval)
 }
 
-func valueOr[T comparable](v, usual T) T {
-	var zero T
-	if v == zero {
-		return usual
+// SnapshotMaxAge is the age up to which a snapshot is restored. The file must have a table for snapshots.
+func (f *File) SnapshotMaxAge() time.Duration {
+	return spanOr(f.Snapshot.MaxAge, defaultSnapshotMaxAge)
+}
+
+// spanOr returns a span, or a default for one that was left out.
+func spanOr(span strictconfig.Span, absent time.Duration) time.Duration {
+	if span == 0 {
+		return absent
 	}
-	return v
+	return time.Duration(span)
 }
 
-// guardSettings are the settings of the guard, if there is one.
-func (f *File) guardSettings() (s listguard.GuardSettings, on bool) {
+// guardSettings returns the settings of the guard, if there is to be one.
+func (f *File) guardSettings() (settings listguard.GuardSettings, on bool) {
 	if f.Guard == nil {
-		return s, false
+		return settings, false
 	}
-	s = listguard.GuardSettings{MaxMissingRatio: 0.3, MinMissing: valueOr(f.Guard.MinMissing, 2), RetainFor: time.Duration(valueOr(f.Guard.RetainFor, strictconfig.Span(30*time.Second)))}
+	settings.MaxMissingRatio = defaultMaxMissingRatio
 	if f.Guard.MaxMissingRatio != nil {
-		s.MaxMissingRatio = *f.Guard.MaxMissingRatio
+		settings.MaxMissingRatio = *f.Guard.MaxMissingRatio
+	}
+	settings.MinMissing = defaultMinMissing
+	if f.Guard.MinMissing != 0 {
+		settings.MinMissing = f.Guard.MinMissing
 	}
-	return s, true
+	settings.RetainFor = spanOr(f.Guard.RetainFor, defaultRetainFor)
+	return settings, true
 }
 
-// pacingSettings are the settings of the calls, if they are spread.
-func (f *File) pacingSettings(proxies int, seed uint64) (s listguard.PacingSettings, on bool) {
+// pacingSettings returns the settings of the pacer of one of so many proxies, if there is to be one.
+func (f *File) pacingSettings(proxies int, seed uint64) (settings listguard.PacingSettings, on bool) {
 	if f.Pacing == nil {
-		return s, false
+		return settings, false
 	}
-	return listguard.PacingSettings{CallsPerSecond: f.Pacing.CallsPerSecond, Proxies: proxies, MaxBackoff: time.Duration(valueOr(f.Pacing.MaxBackoff, strictconfig.Span(10*time.Second))),
-		WatchTimeout: time.Duration(valueOr(f.Pacing.WatchTimeout, strictconfig.Span(20*time.Second))), Seed: seed}, true
+	return listguard.PacingSettings{
+		CallsPerSecond: f.Pacing.CallsPerSecond,
+		Proxies:        proxies,
+		MaxBackoff:     spanOr(f.Pacing.MaxBackoff, defaultMaxBackoff),
+		WatchTimeout:   spanOr(f.Pacing.WatchTimeout, defaultWatchTimeout),
+		Seed:           seed,
+	}, true
 }
 
-// Describe tell what a file comes to.
+// Describe says in a line what the file comes to.
 func (f *File) Describe() string {
-	list, calls := "lists are believed as they come", "calls for the list are not spread"
+	list := "lists are believed as they come"
 	if s, on := f.guardSettings(); on {
-		list = fmt.Sprintf("a list that lacks over %.0f %% of the servers, %d at least, is in doubt for %v", 100*s.MaxMissingRatio, s.MinMissing, s.RetainFor)
+		list = fmt.Sprintf("a list that lacks over %.0f %% of the servers, %d at least, is in doubt for %v",
+			100*s.MaxMissingRatio, s.MinMissing, s.RetainFor)
 	}
+	calls := "calls for the list are not spread"
 	if s, on := f.pacingSettings(1, 0); on {
-		calls = fmt.Sprintf("all proxies together call for the list %g times a second, each after %v at the latest", s.CallsPerSecond, s.MaxBackoff)
+		calls = fmt.Sprintf("all proxies together call for the list %g times a second, each after %v at the latest",
+			s.CallsPerSecond, s.MaxBackoff)
 	}
 	memory := "nothing is remembered"
 	if f.Snapshot != nil {
-		memory = fmt.Sprintf("what is learned is written down every %v, and recalled for %v", f.SnapshotInterval(), f.SnapshotMaxAge())
+		memory = fmt.Sprintf("what is learned is written down every %v, and recalled for %v",
+			f.SnapshotInterval(), f.SnapshotMaxAge())
 	}
 	return list + "; " + calls + "; " + memory
 }
--- a/internal/discovery/guardedsource/source_test.go
+++ b/internal/discovery/guardedsource/source_test.go
@@ -13,17 +13,17 @@
 	"lapisspread/internal/engine"
 )
 
-// register is one that a test speaks for.
-type register struct {
+// scriptedSource is a discovery service whose lists and errors a test gives.
+type scriptedSource struct {
 	lists chan engine.EndpointList
-	errs  []error // of its next calls; nil is an answer
+	errs  []error // of its next calls; nil is success
 	calls []time.Duration
 	began time.Time
 }
 
-func (r *register) Addr() string { return "register" }
-func (r *register) Close()       {}
-func (r *register) call() error {
+func (r *scriptedSource) Addr() string { return "discovery" }
+func (r *scriptedSource) Close()       {}
+func (r *scriptedSource) call() error {
 	r.calls = append(r.calls, time.Since(r.began))
 	if len(r.errs) == 0 {
 		return nil
@@ -32,13 +32,13 @@
 	r.errs = r.errs[1:]
 	return err
 }
-func (r *register) Fetch(ctx context.Context) (engine.EndpointList, error) {
+func (r *scriptedSource) Fetch(context.Context) (engine.EndpointList, error) {
 	if err := r.call(); err != nil {
 		return engine.EndpointList{}, err
 	}
 	return <-r.lists, nil
 }
-func (r *register) Watch(ctx context.Context, _ uint32, tell func(engine.EndpointList)) error {
+func (r *scriptedSource) Watch(ctx context.Context, _ uint32, deliver func(engine.EndpointList)) error {
 	if err := r.call(); err != nil {
 		return err
 	}
@@ -48,19 +48,21 @@
 			if !open {
 				return errors.New("it is gone")
 			}
-			tell(l)
+			deliver(l)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-type later time.Duration
+// retryLater is an error with a time after which to retry.
+type retryLater time.Duration
 
-func (l later) Error() string             { return "come back later" }
-func (l later) RetryAfter() time.Duration { return time.Duration(l) }
+func (l retryLater) Error() string             { return "come back later" }
+func (l retryLater) RetryAfter() time.Duration { return time.Duration(l) }
 
-func whole(names ...string) engine.EndpointList {
+// fullList makes a whole list of ready endpoints.
+func fullList(names ...string) engine.EndpointList {
 	l := engine.EndpointList{Full: true, Version: 1}
 	for _, n := range names {
 		l.Endpoints = append(l.Endpoints, engine.Endpoint{ID: n, Addr: "at-" + n, State: decision.Ready})
@@ -68,46 +70,49 @@
 	return l
 }
 
-func plan(t *testing.T, text string, proxies int) *Coordinator {
+// newCoordinator makes a coordinator from the text of a settings file.
+func newCoordinator(t *testing.T, text string, proxies int) *Coordinator {
 	t.Helper()
 	f, err := Parse("comeback.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	return NewCoordinator(f, proxies, 1, func() time.Duration { return time.Since(began) }, slog.New(slog.DiscardHandler))
+	now := func() time.Duration { return time.Since(began) }
+	return NewCoordinator(f, proxies, 1, now, slog.New(slog.DiscardHandler))
 }
 
-// A list that lacks many is told with them, until time alone takes them out; and the sources of one register share what they know.
-func TestServersAreKeptForAWhile(t *testing.T) {
+// A list that lacks many endpoints is delivered with them until they expire, and the sources of one discovery service
+// share what they know.
+func TestMissingEndpointsAreRetained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := plan(t, "version = 1\n[list]\nhold = \"10s\"\n", 3)
-		r := &register{lists: make(chan engine.EndpointList, 1)}
-		s := p.Wrap("", r, whole("a", "b", "c"))
+		c := newCoordinator(t, "version = 1\n[list]\nhold = \"10s\"\n", 3)
+		r := &scriptedSource{lists: make(chan engine.EndpointList, 1)}
+		s := c.Wrap("", r, fullList("a", "b", "c"))
 		ctx, cancel := context.WithCancel(t.Context())
-		told := make(chan engine.EndpointList, 4)
+		delivered := make(chan engine.EndpointList, 4)
 		ended := make(chan error, 1)
-		go func() { ended <- s.Watch(ctx, 0, func(l engine.EndpointList) { told <- l }) }()
-		r.lists <- whole("a")
-		if l := <-told; len(l.Endpoints) != 3 {
-			t.Errorf("told of %v", l.Endpoints)
-		}
-		r.lists <- whole("a")
-		if l := <-told; len(l.Endpoints) != 3 {
-			t.Errorf("told of %v", l.Endpoints)
-		}
-		r2 := &register{lists: make(chan engine.EndpointList, 1)}
-		r2.lists <- whole("a")
-		if l, err := p.Wrap("", r2, engine.EndpointList{}).Fetch(ctx); err != nil || len(l.Endpoints) != 3 {
+		go func() { ended <- s.Watch(ctx, 0, func(l engine.EndpointList) { delivered <- l }) }()
+		r.lists <- fullList("a")
+		if l := <-delivered; len(l.Endpoints) != 3 {
+			t.Errorf("delivered %v", l.Endpoints)
+		}
+		r.lists <- fullList("a")
+		if l := <-delivered; len(l.Endpoints) != 3 {
+			t.Errorf("delivered %v", l.Endpoints)
+		}
+		moved := &scriptedSource{lists: make(chan engine.EndpointList, 1)}
+		moved.lists <- fullList("a")
+		if l, err := c.Wrap("", moved, engine.EndpointList{}).Fetch(ctx); err != nil || len(l.Endpoints) != 3 {
 			t.Errorf("at another address: %v, %v", l.Endpoints, err)
 		}
-		if r := p.Report(); r.SuspectLists != 1 || r.Retained != 2 || r.Missing != 2 {
+		if r := c.Report(); r.SuspectLists != 1 || r.Retained != 2 || r.Missing != 2 {
 			t.Errorf("%+v", r)
 		}
-		if l := <-told; len(l.Endpoints) != 1 || time.Since(r.began) == 0 {
-			t.Errorf("after the hold: %v", l.Endpoints)
+		if l := <-delivered; len(l.Endpoints) != 1 || time.Since(r.began) == 0 {
+			t.Errorf("after the retention: %v", l.Endpoints)
 		}
-		if r := p.Report(); r.Dropped != 2 || r.Missing != 0 {
+		if r := c.Report(); r.Dropped != 2 || r.Missing != 0 {
 			t.Errorf("%+v", r)
 		}
 		cancel()
@@ -117,25 +122,34 @@
 	})
 }
 
-// Calls that fail are not made again before their time, and what the register says of that is kept.
-func TestCallsWaitTheirTurn(t *testing.T) {
+// A call after one that failed waits for its turn, and as long as discovery says.
+func TestCallsWaitForTheirTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := plan(t, "version = 1\n[calls]\nrate = 2.0\nmost = \"5s\"\n", 4)
-		r := &register{lists: make(chan engine.EndpointList, 1), errs: []error{errors.New("no"), later(3 * time.Second), nil}, began: time.Now()}
-		s := p.Wrap("", r, engine.EndpointList{})
-		r.lists <- whole("a")
+		c := newCoordinator(t, "version = 1\n[calls]\nrate = 2.0\nmost = \"5s\"\n", 4)
+		r := &scriptedSource{
+			lists: make(chan engine.EndpointList, 1),
+			errs:  []error{errors.New("no"), retryLater(3 * time.Second), nil},
+			began: time.Now(),
+		}
+		s := c.Wrap("", r, engine.EndpointList{})
+		r.lists <- fullList("a")
 		for range 2 {
 			if _, err := s.Fetch(t.Context()); err == nil {
-				t.Error("a failed call is told as good")
+				t.Error("a failed call is reported as good")
 			}
 		}
 		if l, err := s.Fetch(t.Context()); err != nil || len(l.Endpoints) != 1 {
 			t.Errorf("%v, %v", l, err)
 		}
-		if c := r.calls; len(c) != 3 || c[0] > 1500*time.Millisecond || c[1]-c[0] < 50*time.Millisecond || c[2]-c[1] < 3*time.Second {
-			t.Errorf("calls at %v", c)
+		if len(r.calls) != 3 {
+			t.Fatalf("calls at %v", r.calls)
 		}
-		if r := p.Report(); r.Calls != 3 || r.Failed != 2 || r.Deferred != 1 || r.ConsecutiveFailures != 0 {
+		backoff := r.calls[1] - r.calls[0]
+		retryAfter := r.calls[2] - r.calls[1]
+		if r.calls[0] > 1500*time.Millisecond || backoff < 50*time.Millisecond || retryAfter < 3*time.Second {
+			t.Errorf("calls at %v", r.calls)
+		}
+		if r := c.Report(); r.Calls != 3 || r.Failed != 2 || r.Deferred != 1 || r.ConsecutiveFailures != 0 {
 			t.Errorf("%+v", r)
 		}
 		if h := s.WatchTimeout(time.Hour); h < 15*time.Second || h > 20*time.Second {
@@ -144,26 +158,38 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		r.errs = []error{errors.New("no")}
-		s.Fetch(t.Context())
+		if _, err := s.Fetch(t.Context()); err == nil {
+			t.Error("a failed call is reported as good")
+		}
 		if _, err := s.Fetch(ctx); !errors.Is(err, context.DeadlineExceeded) || len(r.calls) != 4 {
 			t.Errorf("%v, %d calls", err, len(r.calls))
 		}
 	})
 }
 
-func TestFiles(t *testing.T) {
+func TestFile(t *testing.T) {
 	for want, text := range map[string]string{
-		`comeback.toml:3: unknown key "list.shrunk"`: "version = 1\n[list]\nshrunk = 1\n", "version: 2": "version = 2\n", "none of [list], [calls] and [memory]": "version = 1\n",
-		"memory: every: 1ms": "version = 1\n[memory]\nevery = \"1ms\"\n", "memory: most: 1s is shorter": "version = 1\n[memory]\nevery = \"2s\"\nmost = \"1s\"\n",
-		"list: shrink: 3": "version = 1\n[list]\nshrink = 3.0\n", "calls: rate: 0": "version = 1\n[calls]\n", "no span of time": "version = 1\n[list]\nhold = \"long\"\n",
+		`comeback.toml:3: unknown key "list.shrunk"`: "version = 1\n[list]\nshrunk = 1\n",
+		"version: 2":                           "version = 2\n",
+		"none of [list], [calls] and [memory]": "version = 1\n",
+		"memory: every: 1ms":                   "version = 1\n[memory]\nevery = \"1ms\"\n",
+		"memory: most: 1s is shorter":          "version = 1\n[memory]\nevery = \"2s\"\nmost = \"1s\"\n",
+		"list: shrink: 3":                      "version = 1\n[list]\nshrink = 3.0\n",
+		"calls: rate: 0":                       "version = 1\n[calls]\n",
+		"no span of time":                      "version = 1\n[list]\nhold = \"long\"\n",
 	} {
 		if _, err := Parse("comeback.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
 	f, err := Load("../../../deploy/comeback.toml")
-	if err != nil || !strings.Contains(f.Describe(), "30 %") || !strings.Contains(f.Describe(), "20 times a second") || !strings.Contains(f.Describe(), "written down every 1s") {
-		t.Errorf("%v, %v", f, err)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"30 %", "20 times a second", "written down every 1s"} {
+		if !strings.Contains(f.Describe(), want) {
+			t.Errorf("%q lacks %q", f.Describe(), want)
+		}
 	}
 	if _, err := Load("nowhere.toml"); err == nil || !strings.Contains(err.Error(), "nowhere.toml") {
 		t.Error(err)
--- a/internal/discovery/listguard/guard.go
+++ b/internal/discovery/listguard/guard.go
@@ -1,6 +1,3 @@
-// Package listguard decides what a proxy that comes back, or whose register does, may believe and ask for: which servers of a
-// list that suddenly lacks many are kept for a while, and when the next call for a list may be made. It is pure: no I/O, no
-// goroutine, no clock; lists and ends of calls come in, lists and waits go out.
 package listguard
 
 import (
@@ -13,207 +10,233 @@
 	"lapisspread/internal/engine"
 )
 
-// GuardSettings say when a whole list is in doubt.
+// GuardSettings say when a whole list is suspect.
 type GuardSettings struct {
-	MaxMissingRatio float64       // a list that lacks more than this part of the servers listed ready is in doubt, 0 to 1
+	MaxMissingRatio float64       // a list that newly lacks more than this part of the ready endpoints, 0 to 1,
 	MinMissing      int           // and at least so many
-	RetainFor       time.Duration // for so long those that it lacks are kept, from the first list that lacks them on
+	RetainFor       time.Duration // for how long what it lacks is retained, from the first list that lacks it on
 }
 
-// Validate tells what makes no sense, by the field's name.
+// Validate returns an error that names the settings that make no sense by their keys in the settings file.
 func (s *GuardSettings) Validate() error {
 	var errs []error
-	bad := func(wrong bool, format string, args ...any) {
+	reject := func(wrong bool, format string, args ...any) {
 		if wrong {
 			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
-	bad(!(s.MaxMissingRatio >= 0 && s.MaxMissingRatio < 1), "shrink: %v is not within 0 and 1", s.MaxMissingRatio)
-	bad(s.MinMissing < 1, "least: %d must be above 0", s.MinMissing)
-	bad(s.RetainFor < time.Second || s.RetainFor > time.Hour, "hold: %v is not within 1s and 1h", s.RetainFor)
+	ratioValid := s.MaxMissingRatio >= 0 && s.MaxMissingRatio < 1 // false for NaN
+	reject(!ratioValid, "shrink: %v is not within 0 and 1", s.MaxMissingRatio)
+	reject(s.MinMissing < 1, "least: %d must be above 0", s.MinMissing)
+	reject(s.RetainFor < time.Second || s.RetainFor > time.Hour, "hold: %v is not within 1s and 1h", s.RetainFor)
 	return errors.Join(errs...)
 }
 
-// guardedEndpoint is a server as the guard knows it.
+// guardedEndpoint is an endpoint as the guard knows it.
 type guardedEndpoint struct {
 	engine.Endpoint
-	missing bool
+	missing bool          // the last whole list lacks it
 	since   time.Duration // it is missing
 }
 
-// Guard keeps the servers that a register has lost. A register that comes back with an empty store tells a list that is
-// whole and wrong; whoever believed it would refuse all requests while all servers are well. What a register says of a
-// server, that it leaves or has left, is believed at once: only silence about many at a time is in doubt.
+// Guard retains endpoints that discovery has lost. A discovery service that restarts with an empty store delivers a
+// list that is whole and wrong; a proxy that believed it would reject all requests while all backends are healthy. What
+// the list says of an endpoint, that it drains or is removed, is believed at once: only silence about many at a time is
+// suspect.
 //
-// Danger: a server that is really gone stays in the list for Hold. Its health finds it out; where lists alone rule, there
-// must be no guard.
+// A backend that is really gone stays in the list for RetainFor; health checks find it out. Where nothing checks health
+// there must be no guard.
 type Guard struct {
 	settings GuardSettings
 	known    map[string]*guardedEndpoint
-	order    []string // of known, as they came
+	order    []string // the IDs of known, as they came
 	version  uint32
 	stats    GuardStats
 }
 
-// GuardStats are what a guard has done, from 0 on.
+// GuardStats count what a guard has done.
 type GuardStats struct {
-	SuspectLists int64 // lists
-	Retained     int64 // servers that such a list lacked
-	Returned     int64 // of them were listed again,
-	Dropped      int64 // or were not until Hold had passed
+	SuspectLists int64
+	Retained     int64 // endpoints that such a list lacked
+	Returned     int64 // of these, the ones that were listed again
+	Dropped      int64 // of these, the ones that were not within RetainFor
 }
 
-// NewGuard makes a guard of a process that knows a list already; one that is not Full is none.
-func NewGuard(s GuardSettings, known engine.EndpointList) (*Guard, error) {
-	if err := s.Validate(); err != nil {
+// NewGuard makes a guard of a process that knows a list already; one that is not Full is ignored.
+func NewGuard(settings GuardSettings, known engine.EndpointList) (*Guard, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("comeback: %w", err)
 	}
-	g := &Guard{settings: s, known: map[string]*guardedEndpoint{}}
+	g := &Guard{settings: settings, known: map[string]*guardedEndpoint{}}
 	if known.Full {
-		for _, m := range known.Endpoints {
-			g.add(m)
+		for _, endpoint := range known.Endpoints {
+			g.add(endpoint)
 		}
 	}
 	return g, nil
 }
 
-// Stats are what it has done.
+// Stats returns what the guard has done since it was made.
 func (g *Guard) Stats() GuardStats { return g.stats }
 
-// Missing is how many servers are kept now that no list names.
+// Missing returns how many endpoints are retained now that no list names.
 func (g *Guard) Missing() int {
 	n := 0
-	for _, e := range g.known {
-		if e.missing {
+	for _, endpoint := range g.known {
+		if endpoint.missing {
 			n++
 		}
 	}
 	return n
 }
 
-func (g *Guard) add(m engine.Endpoint) {
-	e := g.known[m.ID]
-	if e == nil {
-		e = &guardedEndpoint{}
-		g.known[m.ID] = e
-		g.order = append(g.order, m.ID)
+// Apply takes a list in and returns the one to believe.
+func (g *Guard) Apply(now time.Duration, list engine.EndpointList) engine.EndpointList {
+	g.version = list.Version
+	if !list.Full {
+		g.update(list)
+		return list
 	}
-	if e.missing {
-		g.stats.Returned++
+	lacking := g.findLacking(list)
+	suspect := g.isSuspect(lacking)
+	if suspect {
+		g.stats.SuspectLists++
 	}
-	*e = guardedEndpoint{Endpoint: m}
-}
-
-func (g *Guard) remove(id string) {
-	delete(g.known, id)
-	g.order = slices.DeleteFunc(g.order, func(o string) bool { return o == id })
+	g.update(list)
+	for _, id := range lacking.ids {
+		switch endpoint := g.known[id]; {
+		case endpoint.missing: // retained since an earlier list
+		case suspect:
+			endpoint.missing = true
+			endpoint.since = now
+			g.stats.Retained++
+		default:
+			g.remove(id)
+		}
+	}
+	g.removeExpired(now)
+	return g.snapshot()
 }
 
-// Apply takes a list in and gives the one to believe.
-func (g *Guard) Apply(now time.Duration, list engine.EndpointList) engine.EndpointList {
-	g.version = list.Version
-	if !list.Full {
-		for _, m := range list.Endpoints {
-			if m.State == decision.Removed {
-				g.remove(m.ID)
-			} else {
-				g.add(m)
-			}
+// update takes in what a list says of each endpoint that it names.
+func (g *Guard) update(list engine.EndpointList) {
+	for _, endpoint := range list.Endpoints {
+		if endpoint.State == decision.Removed {
+			g.remove(endpoint.ID)
+		} else {
+			g.add(endpoint)
 		}
-		return list
 	}
-	told, addrs := map[string]bool{}, map[string]bool{}
-	for _, m := range list.Endpoints {
-		told[m.ID] = true
-		if m.State != decision.Removed {
-			addrs[m.Addr] = true
+}
+
+// lackingEndpoints are the ready endpoints that a whole list does not name.
+type lackingEndpoints struct {
+	ids   []string
+	fresh int // of these, how many the list before has named
+	ready int // ready endpoints before the list, named or not
+}
+
+// findLacking compares a whole list with what is known. It removes endpoints whose absence is no surprise: those that
+// were draining, and those whose address another endpoint has now, which would get their requests under a wrong name.
+func (g *Guard) findLacking(list engine.EndpointList) lackingEndpoints {
+	named := map[string]bool{}
+	addrs := map[string]bool{}
+	for _, endpoint := range list.Endpoints {
+		named[endpoint.ID] = true
+		if endpoint.State != decision.Removed {
+			addrs[endpoint.Addr] = true
 		}
 	}
-	var lacks []string
-	ready, fresh := 0, 0
+	var lacking lackingEndpoints
 	for _, id := range slices.Clone(g.order) {
-		e := g.known[id]
+		endpoint := g.known[id]
 		switch {
-		case addrs[e.Addr] && !told[id]:
-			// Danger: another server has its address. What is sent to this one would reach that, under a wrong name.
+		case addrs[endpoint.Addr] && !named[id]:
 			g.remove(id)
-		case e.State != decision.Ready:
-			if !told[id] { // it was leaving: that it is not named any more is no surprise
+		case endpoint.State != decision.Ready:
+			if !named[id] {
 				g.remove(id)
 			}
 		default:
-			ready++
-			if !told[id] {
-				lacks = append(lacks, id)
-				if !e.missing {
-					fresh++
-				}
+			lacking.ready++
+			if named[id] {
+				continue
+			}
+			lacking.ids = append(lacking.ids, id)
+			if !endpoint.missing {
+				lacking.fresh++
 			}
 		}
 	}
-	doubted := fresh >= g.settings.MinMissing && float64(fresh) > g.settings.MaxMissingRatio*float64(ready)
-	if doubted {
-		g.stats.SuspectLists++
-	}
-	for _, m := range list.Endpoints {
-		if m.State == decision.Removed {
-			g.remove(m.ID)
-		} else {
-			g.add(m)
-		}
+	return lacking
+}
+
+// isSuspect reports whether a list newly lacks too many ready endpoints.
+func (g *Guard) isSuspect(lacking lackingEndpoints) bool {
+	return lacking.fresh >= g.settings.MinMissing &&
+		float64(lacking.fresh) > g.settings.MaxMissingRatio*float64(lacking.ready)
+}
+
+func (g *Guard) add(endpoint engine.Endpoint) {
+	known := g.known[endpoint.ID]
+	if known == nil {
+		known = &guardedEndpoint{}
+		g.known[endpoint.ID] = known
+		g.order = append(g.order, endpoint.ID)
 	}
-	for _, id := range lacks {
-		switch e := g.known[id]; {
-		case e.missing: // kept since an earlier list
-		case doubted:
-			e.missing, e.since = true, now
-			g.stats.Retained++
-		default:
-			g.remove(id)
-		}
+	if known.missing {
+		g.stats.Returned++
 	}
-	g.removeExpired(now)
-	return g.snapshot()
+	*known = guardedEndpoint{Endpoint: endpoint}
+}
+
+func (g *Guard) remove(id string) {
+	delete(g.known, id)
+	g.order = slices.DeleteFunc(g.order, func(other string) bool { return other == id })
 }
 
-// removeExpired drops those that have been missing for long enough, and tells whether there were any.
+// removeExpired drops what has been missing for RetainFor and reports whether there was any.
 func (g *Guard) removeExpired(now time.Duration) bool {
-	var over []string
+	var expired []string
 	for _, id := range g.order {
-		if e := g.known[id]; e.missing && now-e.since >= g.settings.RetainFor {
-			over = append(over, id)
+		if endpoint := g.known[id]; endpoint.missing && now-endpoint.since >= g.settings.RetainFor {
+			expired = append(expired, id)
 		}
 	}
-	for _, id := range over {
+	for _, id := range expired {
 		g.stats.Dropped++
 		g.remove(id)
 	}
-	return len(over) > 0
+	return len(expired) > 0
 }
 
-// NextExpiry is when servers are next dropped that were kept; false if none is.
-func (g *Guard) NextExpiry() (at time.Duration, any bool) {
-	for _, e := range g.known {
-		if due := e.since + g.settings.RetainFor; e.missing && (!any || due < at) {
-			at, any = due, true
+// NextExpiry returns when retained endpoints are dropped next; ok is false if none is retained.
+func (g *Guard) NextExpiry() (at time.Duration, ok bool) {
+	for _, endpoint := range g.known {
+		if !endpoint.missing {
+			continue
+		}
+		if due := endpoint.since + g.settings.RetainFor; !ok || due < at {
+			at = due
+			ok = true
 		}
 	}
-	return at, any
+	return at, ok
 }
 
-// Expire tells the list to believe once time alone has changed it.
-func (g *Guard) Expire(now time.Duration) (engine.EndpointList, bool) {
+// Expire drops what has been retained for long enough. If there was any it returns the list to believe now.
+func (g *Guard) Expire(now time.Duration) (list engine.EndpointList, changed bool) {
 	if !g.removeExpired(now) {
 		return engine.EndpointList{}, false
 	}
 	return g.snapshot(), true
 }
 
-// snapshot is all that it believes.
+// snapshot is the whole list to believe.
 func (g *Guard) snapshot() engine.EndpointList {
-	out := engine.EndpointList{Version: g.version, Full: true}
+	list := engine.EndpointList{Version: g.version, Full: true}
 	for _, id := range g.order {
-		out.Endpoints = append(out.Endpoints, g.known[id].Endpoint)
+		list.Endpoints = append(list.Endpoints, g.known[id].Endpoint)
 	}
-	return out
+	return list
 }
