--- a/internal/metrics/figures_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,23 +7,23 @@
 )
 
 func TestCountsFromManyGoroutines(t *testing.T) {
-	f := New([]string{"ride", "payout"})
+	c := New([]string{"ride", "payout"})
 	var all sync.WaitGroup
 	for range 8 {
 		all.Go(func() {
 			for range 100 {
-				f.CountRequest(0, Served)
-				f.CountRequest(1, Failed)
-				f.Attempts.Add(1)
-				f.CountRequest(2, Served) // no such class: not counted
-				f.CountRequest(-1, Rejected)
+				c.CountRequest(0, Served)
+				c.CountRequest(1, Failed)
+				c.Attempts.Add(1)
+				c.CountRequest(2, Served) // no such class: not counted
+				c.CountRequest(-1, Rejected)
 			}
 		})
 	}
 	all.Wait()
-	f.InFlight.Store(14)
-	f.BackendsKnown.Store(9)
-	text, err := json.Marshal(f)
+	c.InFlight.Store(14)
+	c.BackendsKnown.Store(9)
+	text, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -11,6 +11,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"regexp"
 	"testing"
 	"time"
 
@@ -132,14 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var fields map[string]json.RawMessage
-	if err := json.Unmarshal(sum, &fields); err != nil {
-		t.Fatal(err)
-	}
-	fields["goroutines"] = json.RawMessage("0") // the one that differs from run to run
-	if sum, err = json.Marshal(fields); err != nil {
-		t.Fatal(err)
-	}
+	sum = regexp.MustCompile(`"goroutines":\d+`).ReplaceAll(sum, []byte(`"goroutines":0`)) // differs from run to run
 	compareWithKept(t, "testdata/reports.txt", append(all.Bytes(), append(sum, '\n')...), *writeFrozen)
 }
 
