--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/store_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"io"
 	"net"
 	"os"
 	"slices"
@@ -11,7 +12,7 @@
 	"time"
 )
 
-func TestOrdersReachTheNextProcessAndBack(t *testing.T) {
+func TestDetachedBackendsAreShared(t *testing.T) {
 	dir := t.TempDir()
 	first := Open(dir, "n/1")
 	for _, id := range []string{"s-2", "s-1", "s-2"} {
@@ -20,11 +21,11 @@
 		}
 	}
 	second := Open(dir, "n/1")
-	if news, err := second.Refresh(); !news || err != nil {
-		t.Fatalf("Refresh: %v, %v", news, err)
+	if changed, err := second.Refresh(); !changed || err != nil {
+		t.Fatalf("Refresh: %v, %v", changed, err)
 	}
 	if got := second.Detached(); !slices.Equal(got, []string{"s-1", "s-2"}) {
-		t.Fatalf("out: %q", got)
+		t.Fatalf("detached: %q", got)
 	}
 	if err := second.SetDetached("s-1", false); err != nil {
 		t.Fatal(err)
@@ -36,10 +37,10 @@
 	select {
 	case <-changed:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the first process hears nothing of the second one's change")
+		t.Fatal("the first process does not see the second one's change")
 	}
 	if got := first.Detached(); !slices.Equal(got, []string{"s-2"}) {
-		t.Errorf("out at the first: %q", got)
+		t.Errorf("detached at the first: %q", got)
 	}
 	if err := first.SetDetached("s-3", true); err != nil { // on top of what the second has written
 		t.Fatal(err)
@@ -48,14 +49,14 @@
 		t.Fatal(err)
 	}
 	if got := second.Detached(); !slices.Equal(got, []string{"s-2", "s-3"}) {
-		t.Errorf("out at the second: %q", got)
+		t.Errorf("detached at the second: %q", got)
 	}
 	if other := Open(dir, "n/2"); len(other.Detached()) > 0 {
-		t.Error("another proxy has these orders too")
+		t.Error("another proxy has these backends detached too")
 	}
 }
 
-func TestSpoiltStateIsAnErrorAndOrdersStillHold(t *testing.T) {
+func TestUnreadableFileIsAnErrorAndChangesStillHold(t *testing.T) {
 	s := Open(t.TempDir(), "n1")
 	if err := os.WriteFile(s.path("out"), []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
@@ -67,16 +68,17 @@
 		t.Error("no error from a change that was not written down")
 	}
 	if got := s.Detached(); !slices.Equal(got, []string{"s-1"}) {
-		t.Errorf("out: %q", got)
+		t.Errorf("detached: %q", got)
 	}
 }
 
-func TestWhoServes(t *testing.T) {
+func TestServingProcess(t *testing.T) {
 	dir := t.TempDir()
-	first, second := Open(dir, "n1"), Open(dir, "n1")
+	first := Open(dir, "n1")
+	second := Open(dir, "n1")
 	second.processID += "-2" // as if of another process
 	if first.Superseded() || !first.OnlyProcess() {
-		t.Error("the first is not alone")
+		t.Error("the first is not the only process")
 	}
 	if err := first.MarkServing(); err != nil {
 		t.Fatal(err)
@@ -90,19 +92,21 @@
 	if !first.Superseded() || second.Superseded() {
 		t.Error("the second serves, and the first should know")
 	}
-	first.lifeLock.Close() // as its end does
+	if err := first.lifeLock.Close(); err != nil { // as its end does
+		t.Fatal(err)
+	}
 	if !second.OnlyProcess() {
-		t.Error("the second is alone now")
+		t.Error("the second is the only process now")
 	}
 }
 
-func TestWithoutAFolder(t *testing.T) {
+func TestWithoutDirectory(t *testing.T) {
 	s := Open("", "n1")
 	if err := s.SetDetached("s-1", true); err != nil || len(s.Detached()) != 1 {
-		t.Errorf("out %q, err %v", s.Detached(), err)
+		t.Errorf("detached %q, err %v", s.Detached(), err)
 	}
 	if !s.OnlyProcess() || s.Superseded() || s.MarkServing() != nil {
-		t.Error("it needs a folder to serve")
+		t.Error("it needs a directory to serve")
 	}
 }
 
@@ -111,12 +115,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer closeNow(t, held)
 	file, err := held.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer closeNow(t, file)
 	fd, err := syscall.Dup(int(file.Fd())) // Listen takes it over
 	if err != nil {
 		t.Fatal(err)
@@ -125,19 +129,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer closeNow(t, listener)
 	if got, want := listener.Addr().String(), held.Addr().String(); got != want {
 		t.Errorf("listens on %s, want %s", got, want)
 	}
 	for _, bad := range []string{"x", "-1", "0", "2", "9999"} {
 		if l, err := Listen(bad, "127.0.0.1:0"); err == nil {
-			l.Close()
+			closeNow(t, l)
 			t.Errorf("%q: no error", bad)
 		}
 	}
-	if l, err := Listen("", "127.0.0.1:0"); err != nil {
+	l, err := Listen("", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeNow(t, l)
+}
+
+func closeNow(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
 		t.Error(err)
-	} else {
-		l.Close()
 	}
 }
