--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -39,8 +39,8 @@
 	return fmt.Sprintf("instance %d was never initialised", e.instance)
 }
 
-// serve answers each batch with a reply until the input ends. It blocks until then. A reply is written whole or not at
-// all.
+// serve answers each batch with a reply until the input ends. It blocks until then. A reply is written completely or
+// not at all.
 func serve(in io.Reader, out io.Writer) error {
 	in = bufio.NewReaderSize(in, inputBufferBytes)
 	a := &adapter{instances: map[uint16]*decision.Balancer{}}
--- a/cmd/simadapter/frozen_test.go
+++ b/cmd/simadapter/frozen_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-var writeFrozen = flag.Bool("write-frozen", false, "write testdata/session-*.in and .out instead of comparing with them")
+var writeFrozen = flag.Bool("write-frozen", false, "write testdata/session-* instead of comparing with them")
 
 // frozenSeeds are the seeds of the kept sessions. The files were written by the program of c8fad44 with
 // go test ./cmd/simadapter -run TestFrozenSessions -write-frozen
@@ -230,25 +230,33 @@
 	d.nextID++
 	id := d.nextID
 	bits, class := d.rng.IntN(4), d.rng.IntN(3)
-	giveUp := []float64{500, 900, 300}[class]
-	d.add(instance, bytesOf(3, id, 2+d.rng.ExpFloat64()*8, d.now+giveUp, bits, class, d.rng.Uint64(), uint32(d.rng.IntN(2))))
+	timeout := []float64{500, 900, 300}[class]
+	work := 2 + d.rng.ExpFloat64()*8
+	key := d.rng.Uint64()
+	tenant := uint32(d.rng.IntN(2))
+	d.add(instance, bytesOf(3, id, work, d.now+timeout, bits, class, key, tenant))
 	if d.rng.IntN(25) == 0 {
 		d.later(d.rng.Float64()*60, instance, bytesOf(6, id))
 	}
 }
 
-const sessionSettings = "Balancers=2\nZone=0\nTick=5\nRank=%d\nWeights=live\nWorthBy=work\nOverShareWorth=0.5\nExtra.WarmKeys=true\n" +
-	"Clients.MarksRetry=true\nDiscovery=%s\nGoal.Whole=1\nGoal.WorstClass=0.5\nGoal.WorstTenant=0.25\nGoal.WorstWindow=0.25\n" +
+const sessionSettings = "Balancers=2\nZone=0\nTick=5\nRank=%d\nWeights=live\nWorthBy=work\nOverShareWorth=0.5\n" +
+	"Extra.WarmKeys=true\n" +
+	"Clients.MarksRetry=true\nDiscovery=%s\nGoal.Whole=1\nGoal.WorstClass=0.5\nGoal.WorstTenant=0.25\n" +
+	"Goal.WorstWindow=0.25\n" +
 	"Prices.Connection=0.1\nPrices.CrossZone=0.2\nPrices.Discovery=0.05\nPrices.Handshake=0.1\nPrices.LateFail=0.5\n" +
 	"Prices.Peer=0.01\nPrices.Probe=0.02\nPrices.Waste=0.3\n" +
 	"Obligations.AnswerSlack=20\nObligations.AskEvery=1000\nObligations.Cold=2000\nObligations.DrainGrace=1000\n" +
 	"Obligations.Fall=500\nObligations.FallMultiple=2\nObligations.StartCapacity=0.3\n" +
-	"Caps.Cancel=true\nCaps.Peers=true\nCaps.Probes=true\nCaps.RetryAfter=true\nCaps.SecondCopies=true\nCaps.ConnIdle=10000\n" +
+	"Caps.Cancel=true\nCaps.Peers=true\nCaps.Probes=true\nCaps.RetryAfter=true\nCaps.SecondCopies=true\n" +
+	"Caps.ConnIdle=10000\n" +
 	"Caps.ConnectTimeout=100\nCaps.MaxRetryAfter=1000\nCaps.MaxAttempts=4\nCaps.StreamsPerConn=4\n" +
 	"Services.count=3\nServices.0.Name=safe\nServices.0.Aim=50\nServices.0.AimStretch=2\nServices.0.GiveUp=500\n" +
 	"Services.0.Effect=retryable\nServices.0.Value=2\nServices.0.LateShare=0.05\n" +
-	"Services.1.Name=keyed\nServices.1.Aim=100\nServices.1.GiveUp=900\nServices.1.Effect=dedup\nServices.1.Group=zone\n" +
-	"Services.1.Window=700\nServices.2.Name=once\nServices.2.Aim=40\nServices.2.GiveUp=300\nServices.2.Effect=fragile\n" +
+	"Services.1.Name=keyed\nServices.1.Aim=100\nServices.1.GiveUp=900\nServices.1.Effect=dedup\n" +
+	"Services.1.Group=zone\n" +
+	"Services.1.Window=700\nServices.2.Name=once\nServices.2.Aim=40\nServices.2.GiveUp=300\n" +
+	"Services.2.Effect=fragile\n" +
 	"Services.2.Value=3\nServices.2.Stream=true\nTenants.count=2\nTenants.0.Name=t0\nTenants.0.Share=0.7\n" +
 	"Tenants.0.QuotaPerS=60\nTenants.1.Name=t1\nTenants.1.Share=0.3\n"
 
--- a/internal/discovery/endpointset.go
+++ b/internal/discovery/endpointset.go
@@ -7,14 +7,14 @@
 	"lapisspread/internal/engine"
 )
 
-// endpointSet is a whole endpoint list that changes are applied to.
+// endpointSet is a full endpoint list that changes are applied to.
 type endpointSet struct {
 	known   bool // a list was applied
 	version uint32
 	members []engine.Endpoint // in the order in which they came
 }
 
-// apply takes in a whole list, or changes of single endpoints.
+// apply takes in a full list, or changes of single endpoints.
 func (s *endpointSet) apply(list engine.EndpointList) {
 	if list.Full {
 		s.members = s.members[:0]
@@ -38,7 +38,7 @@
 	}
 }
 
-// snapshot returns the whole list; it does not share memory with the set.
+// snapshot returns the full list; it does not share memory with the set.
 func (s *endpointSet) snapshot() engine.EndpointList {
 	return engine.EndpointList{Version: s.version, Full: true, Endpoints: slices.Clone(s.members)}
 }
--- a/internal/discovery/guardedsource/file.go
+++ b/internal/discovery/guardedsource/file.go
@@ -40,7 +40,7 @@
 	Snapshot *SnapshotConfig `toml:"memory"`
 }
 
-// GuardConfig says when a whole list is suspect: see listguard.GuardSettings.
+// GuardConfig says when a full list is suspect: see listguard.GuardSettings.
 type GuardConfig struct {
 	MaxMissingRatio *float64          `toml:"shrink"` // 0.3 if left out
 	MinMissing      int               `toml:"least"`  // 2 if left out
--- a/internal/discovery/guardedsource/source.go
+++ b/internal/discovery/guardedsource/source.go
@@ -33,7 +33,7 @@
 	return s.pacer.WatchTimeout()
 }
 
-// Fetch waits for its turn, polls the whole list and returns the one to believe.
+// Fetch waits for its turn, polls the full list and returns the one to believe.
 func (s *Source) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	if err := s.waitTurn(ctx); err != nil {
 		return engine.EndpointList{}, err
--- a/internal/discovery/guardedsource/source_test.go
+++ b/internal/discovery/guardedsource/source_test.go
@@ -61,7 +61,7 @@
 func (l retryLater) Error() string             { return "come back later" }
 func (l retryLater) RetryAfter() time.Duration { return time.Duration(l) }
 
-// fullList makes a whole list of ready endpoints.
+// fullList makes a full list of ready endpoints.
 func fullList(names ...string) engine.EndpointList {
 	l := engine.EndpointList{Full: true, Version: 1}
 	for _, n := range names {
--- a/internal/discovery/listguard/guard.go
+++ b/internal/discovery/listguard/guard.go
@@ -10,7 +10,7 @@
 	"lapisspread/internal/engine"
 )
 
-// GuardSettings say when a whole list is suspect.
+// GuardSettings say when a full list is suspect.
 type GuardSettings struct {
 	MaxMissingRatio float64       // a list that newly lacks more than this part of the ready endpoints, 0 to 1,
 	MinMissing      int           // and at least so many
@@ -35,12 +35,12 @@
 // guardedEndpoint is an endpoint as the guard knows it.
 type guardedEndpoint struct {
 	engine.Endpoint
-	missing bool          // the last whole list lacks it
+	missing bool          // the last full list lacks it
 	since   time.Duration // it is missing
 }
 
 // Guard retains endpoints that discovery has lost. A discovery service that restarts with an empty store delivers a
-// list that is whole and wrong; a proxy that believed it would reject all requests while all backends are healthy. What
+// list that is full and wrong; a proxy that believed it would reject all requests while all backends are healthy. What
 // the list says of an endpoint, that it drains or is removed, is believed at once: only silence about many at a time is
 // suspect.
 //
@@ -129,14 +129,14 @@
 	}
 }
 
-// lackingEndpoints are the ready endpoints that a whole list does not name.
+// lackingEndpoints are the ready endpoints that a full list does not name.
 type lackingEndpoints struct {
 	ids   []string
 	fresh int // of these, how many the list before has named
 	ready int // ready endpoints before the list, named or not
 }
 
-// findLacking compares a whole list with what is known. It removes endpoints whose absence is no surprise: those that
+// findLacking compares a full list with what is known. It removes endpoints whose absence is no surprise: those that
 // were draining, and those whose address another endpoint has now, which would get their requests under a wrong name.
 func (g *Guard) findLacking(list engine.EndpointList) lackingEndpoints {
 	named := map[string]bool{}
@@ -232,7 +232,7 @@
 	return g.snapshot(), true
 }
 
-// snapshot is the whole list to believe.
+// snapshot is the full list to believe.
 func (g *Guard) snapshot() engine.EndpointList {
 	list := engine.EndpointList{Version: g.version, Full: true}
 	for _, id := range g.order {
--- a/internal/discovery/listguard/guard_test.go
+++ b/internal/discovery/listguard/guard_test.go
@@ -137,7 +137,7 @@
 }
 
 // Whatever lists come: no endpoint is believed to be ready that was last said to be draining or removed, none longer
-// than RetainFor after the last list that named it, and all that the last whole list names are believed as named.
+// than RetainFor after the last list that named it, and all that the last full list names are believed as named.
 func TestGuardInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, err := NewGuard(guardSettings(), list(0, true, "a", "b", "c", "d", "e", "f"))
--- a/internal/discovery/listguard/pacer.go
+++ b/internal/discovery/listguard/pacer.go
@@ -85,10 +85,10 @@
 	return max(0, p.until-now)
 }
 
-// Failed notes that a call has failed. retryAfter is when discovery said to come back; 0 is not told.
+// Failed notes that a call has failed. retryAfter is when discovery said to come back; 0 is none.
 //
 // The backoff is drawn between the shortest one and three times the one before (decorrelated jitter), so that proxies
-// that failed together do not come back together. Many may be told the same retryAfter: each adds a random part of a
+// that failed together do not come back together. Many may get the same retryAfter: each adds a random part of a
 // fleet round.
 func (p *Pacer) Failed(now, retryAfter time.Duration) {
 	p.failures++
@@ -112,8 +112,8 @@
 // ConsecutiveFailures returns how many calls have failed in a row.
 func (p *Pacer) ConsecutiveFailures() int { return p.failures }
 
-// WatchTimeout returns for how long the next watch is to be held. It is drawn anew for each, so that watches that began
-// together do not end together again and again.
+// WatchTimeout returns for how long the next watch is to be held. It is drawn again for each, so that watches that
+// began together do not end together again and again.
 func (p *Pacer) WatchTimeout() time.Duration {
 	return p.randomBetween(p.settings.WatchTimeout*3/4, p.settings.WatchTimeout)
 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -73,7 +73,7 @@
 // Addr is the discovery service's address.
 func (s *Subscription) Addr() string { return s.watch.source.Addr() }
 
-// List returns the whole list as it is now; ok is false if there is none yet.
+// List returns the full list as it is now; ok is false if there is none yet.
 func (s *Subscription) List() (list engine.EndpointList, ok bool) {
 	s.watch.mu.Lock()
 	defer s.watch.mu.Unlock()
@@ -88,7 +88,7 @@
 	})
 }
 
-// Fetch returns the whole list: the one at hand while the watch is healthy, else by one call for all that ask at the
+// Fetch returns the full list: the one at hand while the watch is healthy, else by one call for all that ask at the
 // same time. It blocks until then, or until ctx or the subscription ends.
 func (s *Subscription) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	list, call := s.watch.listOrFetch()
@@ -106,7 +106,7 @@
 }
 
 // Watch calls deliver with each change until the shared watch fails, or until ctx or the subscription ends; before that
-// with the whole list, unless nothing has changed since an earlier Watch has delivered it. The version is ignored: a
+// with the full list, unless nothing has changed since an earlier Watch has delivered it. The version is ignored: a
 // discovery service that was restarted counts its versions from the beginning.
 func (s *Subscription) Watch(ctx context.Context, _ uint32, deliver func(engine.EndpointList)) error {
 	w, err := s.watch.addWatcher(s)
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -272,7 +272,7 @@
 			added := engine.Endpoint{ID: fmt.Sprint("n", v), Addr: "x:1", State: decision.Ready}
 			src.lists <- engine.EndpointList{Version: 2 + v, Endpoints: []engine.Endpoint{added}}
 			synctest.Wait()
-			if quick.lists != int(v)+2 { // the whole list first
+			if quick.lists != int(v)+2 { // the full list first
 				t.Errorf("the quick one got %d of %d lists", quick.lists, v+2)
 			}
 		}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -41,7 +41,7 @@
 	wake     chan struct{} // of capacity 1
 }
 
-// fetchCall is a poll of the whole list that all who ask meanwhile wait for. list and err are set when done is closed.
+// fetchCall is a poll of the full list that all who ask meanwhile wait for. list and err are set when done is closed.
 type fetchCall struct {
 	done chan struct{}
 	list engine.EndpointList
@@ -179,7 +179,7 @@
 	go w.runWatch(ctx, time.Until(w.backoffUntil))
 }
 
-// runWatch watches the source after a delay, until that fails or ctx ends, and tells the watchers of the failure.
+// runWatch watches the source after a delay, until that fails or ctx ends, and reports the failure to the watchers.
 func (w *sharedWatch) runWatch(ctx context.Context, delay time.Duration) {
 	if !sleep(ctx, delay) {
 		return
@@ -215,7 +215,7 @@
 	}
 }
 
-// watchSource fetches the whole list if there is none, and publishes it and each change after it.
+// watchSource fetches the full list if there is none, and publishes it and each change after it.
 func (w *sharedWatch) watchSource(ctx context.Context) error {
 	var known bool
 	var from uint32
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -77,7 +77,7 @@
 // attemptEnd is when an attempt ends at the latest, for one that the decision module wants to end at until.
 func (r *Request) attemptEnd(now, until time.Duration) time.Duration {
 	switch {
-	case r.Uploading(): // the backend is told so; the timeout is set once the body is complete
+	case r.Uploading(): // the backend gets this; the timeout is set once the body is complete
 		return now + r.Timeout
 	case until <= 0 || until > r.Deadline:
 		return r.Deadline
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -8,7 +8,7 @@
 	"lapisspread/decision"
 )
 
-// sourceSwitchSpread is the time over which the proxies of a fleet that are told together to use another source do so.
+// sourceSwitchSpread is the time over which the proxies of a fleet that get another source together switch to it.
 // The old one must answer for that long.
 const sourceSwitchSpread = 500 * time.Millisecond
 
@@ -47,7 +47,7 @@
 type Source interface {
 	// Addr is the address of the discovery service.
 	Addr() string
-	// Fetch polls the whole list once. It may block until ctx ends.
+	// Fetch polls the full list once. It may block until ctx ends.
 	Fetch(ctx context.Context) (EndpointList, error)
 	// Watch calls deliver with each change after a version, until the watch fails or ctx ends.
 	Watch(ctx context.Context, from uint32, deliver func(EndpointList)) error
@@ -142,7 +142,7 @@
 	})
 }
 
-// watch is one watch of a source; a fetch of the whole list goes before it if that is not known.
+// watch is one watch of a source; a fetch of the full list goes before it if that is not known.
 type watch struct {
 	engine     *Engine
 	source     Source
@@ -175,7 +175,7 @@
 	})
 }
 
-// FetchEndpoints polls the whole list once.
+// FetchEndpoints polls the full list once.
 func (h host) FetchEndpoints() {
 	source := h.source
 	h.startWorker(func() {
@@ -216,7 +216,7 @@
 }
 
 // useSource turns to another source. Backends, their health and all requests in flight live on; what calls of the old
-// source still bring is dropped. Versions of the new one are its own, so its whole list is fetched first.
+// source still bring is dropped. Versions of the new one are its own, so its full list is fetched first.
 func (e *Engine) useSource(source Source) {
 	old := e.source
 	e.log.Info("discovery has moved", "from", old.Addr(), "to", source.Addr())
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -40,12 +40,12 @@
 	nextSource      Source // replaces source when switchTimer fires; nil if no switch is due
 	switchTimer     *timer
 	listVersion     uint32
-	listKnown       bool // a whole list came from source, or source is the first one
+	listKnown       bool // a full list came from source, or source is the first one
 	stopWatch       context.CancelFunc
-	watchGeneration int // counts watches, so that events of an earlier one are told apart
+	watchGeneration int // counts watches, so that events of an earlier one are distinguished
 	zoneNumbers     map[string]int
 	kindNumbers     map[string]int
-	detached        map[string]bool // names of the backends that the decision module was told are detached
+	detached        map[string]bool // names of the backends that the decision module has as detached
 
 	readinessChecks  []*readinessCheck
 	currentReadiness *readinessCheck // the one whose health checks the decision module is starting just now
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -49,9 +49,12 @@
 func (message) Consumed() bool { return false }
 
 func testConfig() decision.Config {
-	fetch := decision.Class{Name: "fetch", LatencyObjective: 8 * time.Second, ClientTimeout: 20 * time.Second, PriorityWeight: 1}
+	class := decision.Class{LatencyObjective: 8 * time.Second, ClientTimeout: 20 * time.Second, PriorityWeight: 1}
+	fetch := class
+	fetch.Name = "fetch"
 	fetch.Idempotency = decision.Idempotent
-	handIn := decision.Class{Name: "hand-in", LatencyObjective: 8 * time.Second, ClientTimeout: 20 * time.Second, PriorityWeight: 1}
+	handIn := class
+	handIn.Name = "hand-in"
 	return decision.Config{
 		Instances:        1,
 		Tick:             5 * time.Millisecond,
@@ -68,7 +71,7 @@
 	}
 }
 
-// testEndpoints is a whole list with the one backend of stuckUpstream.
+// testEndpoints is a full list with the one backend of stuckUpstream.
 func testEndpoints() EndpointList {
 	return EndpointList{Full: true, Endpoints: []Endpoint{{ID: "a", Addr: "a:1", State: decision.Ready}}}
 }
@@ -272,7 +275,8 @@
 		applied := false
 		e.opts.OnEndpoints = func(EndpointList) { applied = true }
 		e.listVersion = c.current
-		e.endpointsReceived(EndpointList{Version: c.received, Endpoints: []Endpoint{{ID: "a", State: decision.Draining}}})
+		draining := Endpoint{ID: "a", State: decision.Draining}
+		e.endpointsReceived(EndpointList{Version: c.received, Endpoints: []Endpoint{draining}})
 		if applied != c.applied {
 			t.Errorf("changes of version %d to a list of version %d are applied: %v", c.received, c.current, applied)
 		}
--- a/internal/engine/enginetest/frontend.go
+++ b/internal/engine/enginetest/frontend.go
@@ -124,7 +124,7 @@
 	step := Step{Stream: func() engine.Stream { return f.Stream(make([]byte, longBody), true) }}
 	outcome, body, err := f.ask(t, clientTimeout, "safe", step)
 	if err == nil && outcome == engine.Served {
-		t.Errorf("the client cannot tell that the response is not complete: %v, %d bytes", outcome, len(body))
+		t.Errorf("the client cannot see that the response is not complete: %v, %d bytes", outcome, len(body))
 	}
 }
 
--- a/internal/engine/enginetest/upstream.go
+++ b/internal/engine/enginetest/upstream.go
@@ -35,14 +35,14 @@
 	Start func(t *testing.T, b Behaviour) (engine.Upstream, engine.EndpointList)
 	// Message makes a message for an attempt.
 	Message func() engine.Message
-	// SharesConnections says that many requests share a connection: one that broke may be down for a while, and attempts
-	// at it never run meanwhile.
+	// SharesConnections says that many requests share a connection: one that broke may be down for a while, and
+	// attempts at it never run meanwhile.
 	SharesConnections bool
 	// Body returns the bytes of a response.
 	Body func(response any) []byte
 }
 
-// Test runs the upstream through all that it must tell apart, as subtests.
+// Test runs the upstream through all that it must distinguish, as subtests.
 func (u Upstream) Test(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -35,7 +35,7 @@
 
 var _ decision.Host = host{}
 
-// Reject ends a request that did not run: a repeat is harmless. retryAfter is passed to the client; 0 is not told.
+// Reject ends a request that did not run: a repeat is harmless. retryAfter is passed to the client; 0 is none.
 func (h host) Reject(id decision.RequestID, retryAfter time.Duration) {
 	if r := h.requests[id]; r != nil {
 		h.complete(r, Result{Outcome: Rejected, RetryAfter: retryAfter})
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -19,11 +19,11 @@
 	Source           Source
 	Log              *slog.Logger // nil discards
 
-	// AllowRetry is asked before each attempt after a request's first; nil allows all.
+	// AllowRetry is called before each attempt after a request's first; nil allows all.
 	AllowRetry func() bool
-	// Quota is asked before each attempt; nil allows all.
+	// Quota is called before each attempt; nil allows all.
 	Quota Quota
-	// Freshness is asked before each attempt; nil allows all.
+	// Freshness is called before each attempt; nil allows all.
 	Freshness Freshness
 	// Detached names the backends that an operator has detached; nil is none.
 	Detached func() []string
--- a/internal/engine/quota_test.go
+++ b/internal/engine/quota_test.go
@@ -45,7 +45,13 @@
 	} {
 		backend := tokenRecorder{tokens: make(chan string, 8)}
 		quota := c.quota
-		e, err := New(Options{Decision: testConfig(), Seed: 1, Upstream: backend, Source: stuckUpstream{}, Quota: &quota})
+		e, err := New(Options{
+			Decision: testConfig(),
+			Seed:     1,
+			Upstream: backend,
+			Source:   stuckUpstream{},
+			Quota:    &quota,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -25,7 +25,7 @@
 // Result is the one result of a request.
 type Result struct {
 	Outcome    Outcome
-	RetryAfter time.Duration // Rejected: when the client may come again; 0 is not told
+	RetryAfter time.Duration // Rejected: when the client may come again; 0 is none
 	TimedOut   bool          // Failed: the last attempt ran into its timeout
 	MayHaveRun bool          // an attempt may have run, or may still
 	ClientGone bool          // the client had left; nobody waits for this
--- a/internal/engine/sendguard_test.go
+++ b/internal/engine/sendguard_test.go
@@ -66,7 +66,13 @@
 		upstream := &slowUpstream{dialed: make(chan *dialedAttempt)}
 		known := testEndpoints()
 		known.Endpoints = append(known.Endpoints, Endpoint{ID: "b", Addr: "b:1", State: decision.Ready})
-		e, err := New(Options{Decision: cfg, Seed: 1, InitialEndpoints: known, Upstream: upstream, Source: stuckUpstream{}})
+		e, err := New(Options{
+			Decision:         cfg,
+			Seed:             1,
+			InitialEndpoints: known,
+			Upstream:         upstream,
+			Source:           stuckUpstream{},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -92,6 +98,7 @@
 		DeduplicationScope:  decision.ScopeAll,
 		DeduplicationWindow: shortWindow,
 	}
+	idempotent := decision.Class{Idempotency: decision.Idempotent}
 	for name, c := range map[string]struct {
 		class   decision.Class
 		first   decision.Result
@@ -104,7 +111,7 @@
 		"long after":                          {keyed, decision.Error, time.Second, false, true},
 		"long after one that never ran":       {keyed, decision.Rejected, time.Second, true, false},
 		"long after one that did not connect": {keyed, decision.ConnectFailed, time.Second, true, false},
-		"and the class is idempotent":         {decision.Class{Idempotency: decision.Idempotent}, decision.Reset, time.Second, true, false},
+		"and the class is idempotent":         {idempotent, decision.Reset, time.Second, true, false},
 		"and the class is not idempotent":     {decision.Class{}, decision.Rejected, time.Second, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -221,7 +228,8 @@
 	if _, ok := g.begin(1, 5, 0); !ok {
 		t.Error("a second is not sent though the first never ran")
 	}
-	if got := retryWindow(decision.Class{Idempotency: decision.Idempotent, DeduplicationWindow: time.Second}); got != math.MaxInt64 {
+	idempotent := decision.Class{Idempotency: decision.Idempotent, DeduplicationWindow: time.Second}
+	if got := retryWindow(idempotent); got != math.MaxInt64 {
 		t.Errorf("an idempotent class may be retried for %v", got)
 	}
 }
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -42,7 +42,11 @@
 	endpoint := func(id string, s decision.BackendState) Endpoint {
 		return Endpoint{ID: id, Addr: id + ":1", State: s, Weight: 1}
 	}
-	drained := EndpointList{Version: 2, Full: true, Endpoints: []Endpoint{endpoint("a", decision.Draining), endpoint("b", decision.Ready)}}
+	initial := EndpointList{Version: 1, Full: true, Endpoints: []Endpoint{endpoint("a", decision.Ready)}}
+	drained := EndpointList{Version: 2, Full: true, Endpoints: []Endpoint{
+		endpoint("a", decision.Draining),
+		endpoint("b", decision.Ready),
+	}}
 	for name, c := range map[string]struct {
 		stall  time.Duration
 		polled bool
@@ -80,8 +84,13 @@
 				cfg.Constraints.DrainGrace = 250 * time.Millisecond
 				cfg.Constraints.MaxListAge = time.Hour
 				up := servingUpstream{sent: make(chan decision.BackendID, 8)}
-				e, err := New(Options{Decision: cfg, Seed: 1, Upstream: up, Source: fetchOnlySource{fetch: c.fetch},
-					InitialEndpoints: EndpointList{Version: 1, Full: true, Endpoints: []Endpoint{endpoint("a", decision.Ready)}}})
+				e, err := New(Options{
+					Decision:         cfg,
+					Seed:             1,
+					InitialEndpoints: initial,
+					Upstream:         up,
+					Source:           fetchOnlySource{fetch: c.fetch},
+				})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/engine/upstream.go
+++ b/internal/engine/upstream.go
@@ -35,19 +35,19 @@
 // Attempt is one attempt to send a request's message.
 type Attempt struct {
 	Message Message
-	// Timeout is how long the response is waited for; the backend is told.
+	// Timeout is how long the response is waited for; it is passed to the backend.
 	Timeout time.Duration
 	// LeaseToken is the Permit's token, for the backend; empty is none.
 	LeaseToken string
 	// StartStream takes a streamed response that has begun. It returns false if it is too late for it.
 	StartStream func(Stream) bool
-	// MaySend is asked just before the first byte is sent, on each connection that is tried: whether the attempt may
+	// MaySend is called just before the first byte is sent, on each connection that is tried: whether the attempt may
 	// still be made, and unless by is zero, until when its last byte may be sent. It guards against an attempt whose
 	// connection comes up after the request has ended or the retry window is over. nil allows all.
 	MaySend func() (by time.Time, ok bool)
 }
 
-// SendAllowed asks MaySend. Backends call it right before they write.
+// SendAllowed calls MaySend. Backends call it right before they write.
 func (a Attempt) SendAllowed() (by time.Time, ok bool) {
 	if a.MaySend == nil {
 		return time.Time{}, true
@@ -78,7 +78,7 @@
 	// Acquire takes one unit for an attempt of a class and a tenant; first marks a request's first attempt. It returns
 	// false if the attempt must not be made. A unit that was taken is spent, whatever becomes of the attempt.
 	Acquire(class, tenant int, first bool) (Permit, bool)
-	// Expired is asked just before the attempt is made and reports that the permit is not valid any more.
+	// Expired is called just before the attempt is made and reports that the permit is not valid any more.
 	Expired(Permit) bool
 }
 
--- a/internal/hotrestart/frozen_test.go
+++ b/internal/hotrestart/frozen_test.go
@@ -44,7 +44,8 @@
 	if want := filepath.Join(dir, base+".memory"); s.Path("memory") != want {
 		t.Errorf("path %s, want %s", s.Path("memory"), want)
 	}
-	if changed, err := s.Refresh(); err != nil || !changed || !slices.Equal(s.Detached(), []string{"s-1", "s-2", "s-3"}) {
+	changed, err := s.Refresh()
+	if err != nil || !changed || !slices.Equal(s.Detached(), []string{"s-1", "s-2", "s-3"}) {
 		t.Errorf("read %v, %v: %v", changed, err, s.Detached())
 	}
 	if !s.Superseded() {
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -23,7 +23,7 @@
 }
 
 // OnlyProcess reports whether no other process of this proxy lives. Once it has returned true it does for as long as
-// this process lives, and false in every other one. A lock on a file tells it, which ends with its process however that
+// this process lives, and false in every other one. A file lock decides, which ends with its process however that
 // ends; if the file cannot be opened, it returns true.
 func (s *Store) OnlyProcess() bool {
 	s.mu.Lock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -26,7 +26,7 @@
 	classes  []string
 	requests [outcomeCount][]atomic.Int64 // by class
 
-	Attempts         atomic.Int64 // sent whole to backends
+	Attempts         atomic.Int64 // sent completely to backends
 	InFlight         atomic.Int64 // requests that have not ended
 	BackendsKnown    atomic.Int64 // in the endpoint list
 	BackendsExcluded atomic.Int64 // of these, the ones that get no traffic
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -28,7 +28,8 @@
 		t.Fatal(err)
 	}
 	want := `{"served":{"payout":0,"ride":800},"refused":{"payout":0,"ride":0},"failed":{"payout":800,"ride":0},` +
-		`"attempts":800,"in_flight":14,"backends_known":9,"backends_excluded":0,"reloads_ok":0,"reloads_failed":0,"lists_bad":0}`
+		`"attempts":800,"in_flight":14,"backends_known":9,"backends_excluded":0,` +
+		`"reloads_ok":0,"reloads_failed":0,"lists_bad":0}`
 	if string(text) != want {
 		t.Errorf("got  %s\nwant %s", text, want)
 	}
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -28,7 +28,7 @@
 type Task struct {
 	// Clock returns a time that never goes back.
 	Clock func() time.Duration
-	// OnStart is called before each start; what it returns tells that start from those before.
+	// OnStart is called before each start; what it returns identifies that start.
 	OnStart func() uint64
 	// Work does the work until ctx ends, and calls Heartbeat more often than every StuckAfter.
 	Work func(ctx context.Context, generation uint64)
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -9,8 +9,8 @@
 	"lapisspread/decision"
 )
 
-// testdata/settings.txt has every key of the settings that the program of c8fad44 reads, written by hand; each keeps its
-// name and its meaning.
+// testdata/settings.txt has every key of the settings that the program of c8fad44 reads, written by hand; each keeps
+// its name and its meaning.
 func TestFrozenSettings(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.txt")
 	if err != nil {
@@ -31,21 +31,71 @@
 		PolledDiscovery:    true,
 		KeyAffinity:        true,
 		ClientsMarkRetries: true,
-		ObjectiveWeights:   decision.ObjectiveWeights{Overall: 0.5, WorstClass: 0.125, WorstTenant: 0.0625, WorstWindow: 0.3125},
-		Penalties: decision.Penalties{Connection: 0.11, CrossZone: 0.12, Discovery: 0.13, Handshake: 0.14, LateFailure: 0.15,
-			PeerMessage: 0.16, HealthCheck: 0.17, WastedWork: 0.18},
-		Constraints: decision.Constraints{AnswerSlack: 21 * ms, MaxListAge: 1022 * ms, WarmUp: 2023 * ms,
-			DrainGrace: 1524 * ms, OverloadWindow: 525 * ms, OverloadFactor: 2.5, InitialCapacity: 0.35},
-		Capabilities: decision.Capabilities{Cancel: true, PeerMessages: true, HealthChecks: true, RetryAfter: true, HedgedRequests: true,
-			ConnectionIdleTimeout: 10031 * ms, ConnectTimeout: 132 * ms, MaxRetryAfter: 1033 * ms, MaxAttempts: 4, StreamsPerConnection: 6},
+		ObjectiveWeights: decision.ObjectiveWeights{
+			Overall:     0.5,
+			WorstClass:  0.125,
+			WorstTenant: 0.0625,
+			WorstWindow: 0.3125,
+		},
+		Penalties: decision.Penalties{
+			Connection:  0.11,
+			CrossZone:   0.12,
+			Discovery:   0.13,
+			Handshake:   0.14,
+			LateFailure: 0.15,
+			PeerMessage: 0.16,
+			HealthCheck: 0.17,
+			WastedWork:  0.18,
+		},
+		Constraints: decision.Constraints{
+			AnswerSlack:     21 * ms,
+			MaxListAge:      1022 * ms,
+			WarmUp:          2023 * ms,
+			DrainGrace:      1524 * ms,
+			OverloadWindow:  525 * ms,
+			OverloadFactor:  2.5,
+			InitialCapacity: 0.35,
+		},
+		Capabilities: decision.Capabilities{
+			Cancel:                true,
+			PeerMessages:          true,
+			HealthChecks:          true,
+			RetryAfter:            true,
+			HedgedRequests:        true,
+			ConnectionIdleTimeout: 10031 * ms,
+			ConnectTimeout:        132 * ms,
+			MaxRetryAfter:         1033 * ms,
+			MaxAttempts:           4,
+			StreamsPerConnection:  6,
+		},
 		Classes: []decision.Class{
-			{Name: "safe", LatencyObjective: 50 * ms, ObjectivePerWork: 2.5, ClientTimeout: 500 * ms, LateValueShare: 0.05, Idempotency: decision.Idempotent,
-				DeduplicationScope: decision.ScopeAll, StreamedResponse: true, PriorityWeight: 3, DeduplicationWindow: 41 * ms},
-			{Name: "keyed", LatencyObjective: 100 * ms, ClientTimeout: 900 * ms, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeZone, PriorityWeight: 1,
-				DeduplicationWindow: 1200500 * time.Microsecond},
+			{
+				Name:                "safe",
+				LatencyObjective:    50 * ms,
+				ObjectivePerWork:    2.5,
+				ClientTimeout:       500 * ms,
+				LateValueShare:      0.05,
+				Idempotency:         decision.Idempotent,
+				DeduplicationScope:  decision.ScopeAll,
+				StreamedResponse:    true,
+				PriorityWeight:      3,
+				DeduplicationWindow: 41 * ms,
+			},
+			{
+				Name:                "keyed",
+				LatencyObjective:    100 * ms,
+				ClientTimeout:       900 * ms,
+				Idempotency:         decision.IdempotentByKey,
+				DeduplicationScope:  decision.ScopeZone,
+				PriorityWeight:      1,
+				DeduplicationWindow: 1200500 * time.Microsecond,
+			},
 			{Name: "once", LatencyObjective: 40 * ms, ClientTimeout: 300 * ms, PriorityWeight: 1},
 		},
-		Tenants: []decision.Tenant{{Name: "first", Share: 0.7, QuotaPerSecond: 60.5}, {Name: "second", Share: 0.3}},
+		Tenants: []decision.Tenant{
+			{Name: "first", Share: 0.7, QuotaPerSecond: 60.5},
+			{Name: "second", Share: 0.3},
+		},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
--- a/internal/wire/protocol_test.go
+++ b/internal/wire/protocol_test.go
@@ -62,6 +62,24 @@
 // Each event is decoded by its layout.
 func TestEventLayouts(t *testing.T) {
 	row := raw(uint32(70), uint16(2), uint16(1), uint16(9), 1, float32(1.5), 8000.25)
+	backend := decision.Backend{
+		ID:      70,
+		Zone:    2,
+		Kind:    1,
+		Cell:    9,
+		State:   decision.Ready,
+		Weight:  1.5,
+		Started: 8000*ms + 250*time.Microsecond,
+	}
+	request := decision.Request{
+		ID:           9,
+		Class:        2,
+		Tenant:       4,
+		Key:          1 << 60,
+		ExpectedWork: 12500 * time.Microsecond,
+		Deadline:     900 * ms,
+		MarkedRetry:  true,
+	}
 	for _, c := range []struct {
 		name   string
 		record []byte
@@ -70,12 +88,11 @@
 	}{
 		{"init", raw(1, uint64(77), uint32(3), "a=b"), func(e Event) any { return string(e.Settings) }, "a=b"},
 		{"membership", raw(2, 1, uint32(5), uint32(1), row), func(e Event) any { return e.Endpoints },
-			decision.EndpointUpdate{Kind: decision.UpdateFull, Version: 5, Backends: []decision.Backend{{ID: 70, Zone: 2,
-				Kind: 1, Cell: 9, State: decision.Ready, Weight: 1.5, Started: 8000*ms + 250*time.Microsecond}}}},
-		{"a failed list", raw(2, 3, uint32(5), uint32(0)), func(e Event) any { return e.Endpoints.Kind }, decision.UpdateFailed},
-		{"ask", raw(3, uint32(9), 12.5, 900.0, 3, 2, uint64(1<<60), uint32(4)), func(e Event) any { return e.Request },
-			decision.Request{ID: 9, Class: 2, Tenant: 4, Key: 1 << 60, ExpectedWork: 12500 * time.Microsecond, Deadline: 900 * ms,
-				MarkedRetry: true}},
+			decision.EndpointUpdate{Kind: decision.UpdateFull, Version: 5, Backends: []decision.Backend{backend}}},
+		{"a failed list", raw(2, 3, uint32(5), uint32(0)),
+			func(e Event) any { return e.Endpoints.Kind }, decision.UpdateFailed},
+		{"ask", raw(3, uint32(9), 12.5, 900.0, 3, 2, uint64(1<<60), uint32(4)),
+			func(e Event) any { return e.Request }, request},
 		{"ask without a valid hint", raw(3, uint32(9), 12.5, 900.0, 0, 2, uint64(0), uint32(0)),
 			func(e Event) any { return e.Request.ExpectedWork }, time.Duration(0)},
 		{"headers", raw(4, uint32(9), 1, uint32(70), 3.0), func(e Event) any { return e.FirstByte },
@@ -87,7 +104,8 @@
 		{"elapsed", raw(7, uint64(1)<<63), func(e Event) any { return e.TimerToken }, uint64(1) << 63},
 		{"probed", raw(8, uint32(70), 1, 1.5, 0), func(e Event) any { return e.HealthCheck },
 			decision.HealthCheckResult{Backend: 70, Result: decision.OK, Latency: 1500 * time.Microsecond}},
-		{"neighbour_says", raw(9, uint16(2), uint16(2), "hi"), func(e Event) any { return string(e.PeerMessage.Body) }, "hi"},
+		{"neighbour_says", raw(9, uint16(2), uint16(2), "hi"),
+			func(e Event) any { return string(e.PeerMessage.Body) }, "hi"},
 		{"destroy", raw(10), func(e Event) any { return e.Code }, Destroy},
 	} {
 		evs, err := events(t, batch(1, 5, 2, raw(11, uint16(3), c.record)))
@@ -127,7 +145,8 @@
 		{"no instance", batch(1, 0, 1, raw(7, uint64(1))), "no instance"},
 		{"unknown outcome", batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), 8, 0.0, 0)), "unknown outcome 8"},
 		{"unknown mode", batch(1, 0, 2, raw(11, uint16(0), 2, 4, uint32(0), uint32(0))), "unknown list mode"},
-		{"a list that is not there", batch(1, 0, 2, raw(11, uint16(0), 2, 1, uint32(0), uint32(1<<31))), "past the end"},
+		{"a list that is not there", batch(1, 0, 2, raw(11, uint16(0), 2, 1, uint32(0), uint32(1<<31))),
+			"past the end"},
 		{"a text that is not there", batch(1, 0, 2, raw(11, uint16(0), 1, uint64(0), uint32(1<<31))), "past the end"},
 		{"a clock that is no number", batch(1, math.NaN(), 0, nil), "clock"},
 		{"a time out of range", batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), 1, 1e300, 0)), "out of range"},
@@ -163,17 +182,22 @@
 		do   func(decision.Host)
 		want []byte
 	}{
-		{"transmit", func(h decision.Host) { h.Send(9, 70, 1500*time.Microsecond) }, raw(1, uint32(9), uint32(70), 1.5)},
+		{"transmit", func(h decision.Host) { h.Send(9, 70, 1500*time.Microsecond) },
+			raw(1, uint32(9), uint32(70), 1.5)},
 		{"reject", func(h decision.Host) { h.Reject(9, 240*ms) }, raw(2, uint32(9), 240.0)},
 		{"end_failed", func(h decision.Host) { h.Fail(9) }, raw(3, uint32(9))},
 		{"abort_attempt", func(h decision.Host) { h.Cancel(9, 2) }, raw(4, uint32(9), 2)},
 		{"notify_me", func(h decision.Host) { h.StartTimer(500*ms, 77) }, raw(5, 500.0, uint64(77))},
 		{"sample", func(h decision.Host) { h.CheckHealth(70) }, raw(6, uint32(70))},
 		{"release", func(h decision.Host) { h.ReleaseIdleConnections(70) }, raw(7, uint32(70))},
-		{"signal", func(h decision.Host) { h.SendToPeer(decision.AllPeers, []byte("hi")) }, raw(8, uint32(1<<32-1), uint16(2), "hi")},
+		{"signal", func(h decision.Host) { h.SendToPeer(decision.AllPeers, []byte("hi")) },
+			raw(8, uint32(1<<32-1), uint16(2), "hi")},
 		{"say_log", func(h decision.Host) { h.Log("x") }, raw(9, uint16(1), "x")},
 		{"broken", func(h decision.Host) { h.(Actions).ReportFailure("x") }, raw(10, uint16(1), "x")},
-		{"observe", func(h decision.Host) { h.WatchEndpoints(true); h.WatchEndpoints(false) }, raw(11, 1, 11, 0)},
+		{"observe", func(h decision.Host) {
+			h.WatchEndpoints(true)
+			h.WatchEndpoints(false)
+		}, raw(11, 1, 11, 0)},
 		{"resolve", func(h decision.Host) { h.FetchEndpoints() }, raw(12)},
 	} {
 		r.Reset(6)
@@ -259,7 +283,9 @@
 			return l.Kind == decision.UpdateCached && l.Version == 41 && len(l.Backends) == 2 &&
 				l.Backends[1].Zone == 1 && l.Backends[1].Weight == 1.5 && l.Backends[1].Started == 6100*ms
 		}},
-		{"04 c4913a5d 00 074a1203 0000000000802240   headers", func(e Event) bool { return e.FirstByte.Latency == 9250*time.Microsecond }},
+		{"04 c4913a5d 00 074a1203 0000000000802240   headers", func(e Event) bool {
+			return e.FirstByte.Latency == 9250*time.Microsecond
+		}},
 		{"05 c4913a5d 00 074a1203 01 0000000000803240 01 00   returned", func(e Event) bool {
 			return e.Outcome.Result == decision.OK && e.Outcome.Final && e.Outcome.Latency == 18500*time.Microsecond
 		}},
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -23,17 +23,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := decision.Config{Instances: 3, Rank: 2, Zone: 1, Tick: 5 * ms, PolledDiscovery: true, KeyAffinity: true,
-		OverQuotaWeight: 1, WeightByWork: true, Weights: decision.WeightNominal,
+	want := decision.Config{
+		Instances:        3,
+		Rank:             2,
+		Zone:             1,
+		Tick:             5 * ms,
+		PolledDiscovery:  true,
+		KeyAffinity:      true,
+		OverQuotaWeight:  1,
+		WeightByWork:     true,
+		Weights:          decision.WeightNominal,
 		ObjectiveWeights: decision.ObjectiveWeights{Overall: 1},
 		Classes: []decision.Class{
-			{Name: "a", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, Idempotency: decision.Idempotent, DeduplicationScope: decision.ScopeAll, PriorityWeight: 1},
-			{Name: "b", LatencyObjective: 400 * ms, ClientTimeout: 900 * ms, Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeZone, PriorityWeight: 1,
-				DeduplicationWindow: 1200*ms + 500*time.Microsecond},
+			{
+				Name:               "a",
+				LatencyObjective:   time.Second,
+				ClientTimeout:      3 * time.Second,
+				Idempotency:        decision.Idempotent,
+				DeduplicationScope: decision.ScopeAll,
+				PriorityWeight:     1,
+			},
+			{
+				Name:                "b",
+				LatencyObjective:    400 * ms,
+				ClientTimeout:       900 * ms,
+				Idempotency:         decision.IdempotentByKey,
+				DeduplicationScope:  decision.ScopeZone,
+				PriorityWeight:      1,
+				DeduplicationWindow: 1200*ms + 500*time.Microsecond,
+			},
+		},
+		Tenants:     []decision.Tenant{{Name: "t", QuotaPerSecond: 12.5}},
+		Constraints: decision.Constraints{OverloadFactor: 2.5, InitialCapacity: 1},
+		Capabilities: decision.Capabilities{
+			Cancel:               true,
+			ConnectTimeout:       250 * ms,
+			MaxAttempts:          6,
+			StreamsPerConnection: 1,
 		},
-		Tenants:      []decision.Tenant{{Name: "t", QuotaPerSecond: 12.5}},
-		Constraints:  decision.Constraints{OverloadFactor: 2.5, InitialCapacity: 1},
-		Capabilities: decision.Capabilities{Cancel: true, ConnectTimeout: 250 * ms, MaxAttempts: 6, StreamsPerConnection: 1},
 	}
 	if !reflect.DeepEqual(c, want) {
 		t.Errorf("got  %+v\nwant %+v", c, want)
@@ -70,9 +97,17 @@
 func TestUnknownWordsThatOnlyWeighAreDefaults(t *testing.T) {
 	c, err := ParseSettings("Weights=guessed\nWorthBy=mood\nFeedback.How=by_post\nServices.count=2\n" +
 		"Services.0.Effect=retryable\nServices.0.Group=galaxy\nServices.1.Effect=fragile\nServices.1.Group=galaxy")
-	if err != nil || c.Weights != decision.WeightNone || c.WeightByWork || c.Classes[0].Idempotency != decision.Idempotent ||
-		c.Classes[1].Idempotency != decision.NotIdempotent || c.Classes[1].DeduplicationScope != decision.ScopeCell {
-		t.Errorf("%+v, error %v", c, err)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.Weights != decision.WeightNone || c.WeightByWork {
+		t.Errorf("weights: %+v", c)
+	}
+	if c.Classes[0].Idempotency != decision.Idempotent || c.Classes[1].Idempotency != decision.NotIdempotent {
+		t.Errorf("idempotency: %+v", c.Classes)
+	}
+	if c.Classes[1].DeduplicationScope != decision.ScopeCell {
+		t.Errorf("scope: %+v", c.Classes[1])
 	}
 }
 
