--- a/internal/faultlab/quotasim/holder.go
+++ b/internal/faultlab/quotasim/holder.go
@@ -121,7 +121,7 @@
 	s.schedule(tickInterval, s.drawAttempts)
 }
 
-// attempt makes one attempt, and tells the checkers what was wanted and what was taken.
+// attempt makes one attempt, and notifies the checkers of what was wanted and what was taken.
 func (s *simulation) attempt(h *holder, quota int) {
 	s.requestCount++
 	admitted := s.acquire(h, quota)
--- a/internal/faultlab/quotasim/leader.go
+++ b/internal/faultlab/quotasim/leader.go
@@ -77,7 +77,7 @@
 	s.result.BytesOut += s.encodedSize(reply)
 	s.schedule(s.delay(), func() {
 		if h.alive && !h.partitioned {
-			_ = h.HandleReply(sentAt, s.now, reply) // what it refuses is told again
+			_ = h.HandleReply(sentAt, s.now, reply) // later replies repeat what it refuses
 			s.scheduleRequest(h)
 		}
 	})
--- a/internal/faultlab/quotasim/settings.go
+++ b/internal/faultlab/quotasim/settings.go
@@ -59,7 +59,7 @@
 		s.Holders, s.Quotas, s.DrivenQuotas, s.LeaseDuration, s.Length, s.UnitsPerHolder, s.DemandDecay)
 }
 
-// usesLeases tells whether there are servers.
+// usesLeases reports whether there are servers.
 func (s *Settings) usesLeases() bool { return s.Policy == Leases || s.Policy == SpendsExpiredLease }
 
 // Rates are per second.
--- a/internal/faultlab/quotasim/simulation.go
+++ b/internal/faultlab/quotasim/simulation.go
@@ -152,7 +152,7 @@
 	return []*checker.Spending{s.spending, s.steady}
 }
 
-// recordWhen looks each tick whether something has come about, and records the time since then.
+// recordWhen checks each tick whether something has happened, and records the time that it took.
 func (s *simulation) recordWhen(recorded *time.Duration, since time.Duration, happened func() bool) {
 	if happened() {
 		*recorded = s.now - since
@@ -161,7 +161,7 @@
 	s.schedule(tickInterval, func() { s.recordWhen(recorded, since, happened) })
 }
 
-// newestHasItsShare tells whether the newest holder has nine tenths of an equal share of every quota.
+// newestHasItsShare reports whether the newest holder has nine tenths of an equal share of every quota.
 func (s *simulation) newestHasItsShare() bool {
 	h := s.holders[len(s.holders)-1]
 	due := .9 * s.settings.UnitsPerHolder * float64(s.settings.Holders) / float64(len(s.holders))
@@ -170,7 +170,7 @@
 	})
 }
 
-// fullyLeased tells whether those who live have all of every quota, but for a tenth of an equal share.
+// fullyLeased reports whether those who live have all of every quota, but for a tenth of an equal share.
 func (s *simulation) fullyLeased() bool {
 	due := s.settings.UnitsPerHolder * (float64(s.settings.Holders) - .1)
 	return !slices.ContainsFunc(s.quotaNames, func(name string) bool {
--- a/internal/quotalease/acknowledge.go
+++ b/internal/quotalease/acknowledge.go
@@ -3,7 +3,7 @@
 // acknowledgement is an Ack or a Release.
 type acknowledgement struct {
 	Ack
-	ended bool // the holder will not go by Token either
+	ended bool // the holder will not use the lease of Token either
 	all   bool // nor by any lease of this quota
 }
 
@@ -24,8 +24,8 @@
 	}
 }
 
-// acknowledge drops the leases that a holder will never go by again. Units in flight above the amount of the lease
-// that it goes by began under older leases; they stay counted as a residual for the longest hold time.
+// acknowledge drops the leases that a holder will never use again. Units in flight above the amount of the lease
+// that it uses began under older leases; they stay counted as a residual for the longest hold time.
 func (m *StateMachine) acknowledge(ack acknowledgement, result *ApplyResult) error {
 	if ack.Epoch > m.epoch {
 		return StaleEpochError{Got: m.epoch, Have: ack.Epoch}
@@ -40,7 +40,7 @@
 		have := Token{Epoch: m.epoch, Index: entry.LastAck}
 		return StaleTokenError{Holder: ack.Holder, Quota: ack.Quota, Got: ack.Token, Have: have}
 	}
-	remaining, goesBy := m.leasesAfter(ack, entry)
+	remaining, used := m.leasesAfter(ack, entry)
 	// Never count more in flight than the leases allowed: a residual must not raise the total.
 	inFlight := min(ack.InFlight.roundUp(), entry.maxUsage(m.mutations).amount)
 	if len(remaining) == len(entry.Leases) && inFlight >= entry.Residual {
@@ -51,7 +51,7 @@
 		entry.Leases = remaining
 		entry.Residual = 0
 		entry.ResidualToken = Token{}
-		if inFlight > goesBy && entry.MaxHoldTime > 0 && !m.mutations.ForgetInFlightAtLeaseEnd {
+		if inFlight > used && entry.MaxHoldTime > 0 && !m.mutations.ForgetInFlightAtLeaseEnd {
 			entry.Residual = inFlight
 			entry.ResidualToken = m.nextToken()
 			result.Started = append(result.Started, entry.residualExpiry(ack.Quota))
@@ -69,8 +69,8 @@
 }
 
 // leasesAfter returns the leases that stay counted after an acknowledgement, and the amount of the one that the
-// holder goes by, 0 if that one is gone.
-func (m *StateMachine) leasesAfter(ack acknowledgement, entry *holderEntry) (remaining []Lease, goesBy Amount) {
+// holder uses, 0 if that one is gone.
+func (m *StateMachine) leasesAfter(ack acknowledgement, entry *holderEntry) (remaining []Lease, used Amount) {
 	remaining = make([]Lease, 0, len(entry.Leases))
 	for _, lease := range entry.Leases {
 		order := lease.Token.Compare(ack.Token)
@@ -80,9 +80,9 @@
 		// If older leases had a longer hold time, units of them may be among those in flight; then all count as
 		// residual.
 		if order == 0 && lease.MaxHoldTime == entry.MaxHoldTime {
-			goesBy = lease.Amount
+			used = lease.Amount
 		}
 		remaining = append(remaining, lease)
 	}
-	return remaining, goesBy
+	return remaining, used
 }
--- a/internal/quotalease/allocator.go
+++ b/internal/quotalease/allocator.go
@@ -13,10 +13,10 @@
 	pending bool // the request is not answered by leases yet
 }
 
-// Allocator is what a server keeps beside the log and never shares: when, by its own clock, each lease has surely
-// expired, and the latest request of each process. Every server keeps timers from when it applied an entry, so any
-// of them can lead; one that restarts counts everything anew. A wrong plan is harmless, because the state machine
-// rejects it. Only its word that something has expired is trusted.
+// Allocator is what a server keeps beside the log and never shares: when, by its own clock, each lease has
+// certainly expired, and the latest request of each process. Every server keeps timers from when it applied an
+// entry, so any of them can lead; one that restarts starts all timers from the beginning. A wrong plan is harmless,
+// because the state machine rejects it. Only its Expire commands are trusted.
 //
 // Calls do not block, and must not run concurrently with each other or with calls of the StateMachine.
 type Allocator struct {
@@ -39,7 +39,7 @@
 	return a
 }
 
-// Silent tells whether the server must not take part yet: neither vote, nor confirm entries, nor lead.
+// Silent reports whether the server must not take part yet: neither vote, nor confirm entries, nor lead.
 func (a *Allocator) Silent(now time.Duration) bool { return now < a.silentUntil }
 
 // RestartTimers counts all that the state machine has outstanding from now on, in full. It is called after
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// HasWork tells whether a plan may have commands.
+// HasWork reports whether a plan may have commands.
 func (a *Allocator) HasWork(now time.Duration) bool {
 	if len(a.due) > 0 || a.timerDue(now) {
 		return true
@@ -153,7 +153,7 @@
 	return commands
 }
 
-// adoptsFloors tells whether a request frees a floor that was lowered.
+// adoptsFloors reports whether a request frees a floor that was lowered.
 func (a *Allocator) adoptsFloors(from *requester) bool {
 	for _, ledger := range a.state.ledgers {
 		if floors := ledger.floors[from.Holder]; len(floors) > 1 && floors[1].ConfigVersion <= from.FloorsVersion {
@@ -163,7 +163,7 @@
 	return false
 }
 
-// changesState tells whether what a request says of one quota would change the state.
+// changesState reports whether what a request says of one quota would change the state.
 func (a *Allocator) changesState(from *requester, one *QuotaRequest) bool {
 	state := a.state
 	if one.Token.Epoch == state.epoch && one.Token.Index > state.appliedIndex+state.tokenOffset {
--- a/internal/quotalease/allocator_test.go
+++ b/internal/quotalease/allocator_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// reply has a holder take what the server tells it.
+// reply has a holder take the server's reply.
 func (c *testCluster) reply(holder *Holder) {
 	c.Helper()
 	if err := holder.HandleReply(c.now, c.now, c.ReplyTo(holder.settings.HolderID)); err != nil {
--- a/internal/quotalease/amount.go
+++ b/internal/quotalease/amount.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Amount is a number of units in millionths. Sums of amounts are exact, so all servers come to the same result.
+// Amount is a number of units in millionths. Sums of amounts are exact, so all servers compute the same result.
 type Amount int64
 
 // Unit is one unit: one attempt of a rate, or one unit in flight.
--- a/internal/quotalease/command.go
+++ b/internal/quotalease/command.go
@@ -68,7 +68,7 @@
 	return l.Token
 }
 
-// Expire says that something has surely expired by a server's clock: a lease, a residual of units in flight, or the
+// Expire says that something has certainly expired by a server's clock: a lease, a residual of units in flight, or the
 // waiting time after a bootstrap.
 type Expire struct {
 	HolderID
@@ -76,8 +76,8 @@
 	Token Token  `json:"Token"`
 }
 
-// Ack says that a holder goes by Token, will never go by an older one, and had InFlight units in flight when it sent
-// request RequestSeq.
+// Ack says that a holder uses the lease of Token, will never use an older one, and had InFlight units in flight
+// when it sent request RequestSeq.
 type Ack struct {
 	Epoch uint64 `json:"Epoch"`
 	HolderID
@@ -87,8 +87,8 @@
 	InFlight   Amount `json:"Held"`
 }
 
-// Release says that a holder will never again go by Token or an older one, and had InFlight units in flight when it
-// sent request RequestSeq. With All it will go by no lease of this quota at all.
+// Release says that a holder will never again use the lease of Token or an older one, and had InFlight units in
+// flight when it sent request RequestSeq. With All it will use no lease of this quota at all.
 type Release struct {
 	Ack
 	All bool `json:"All"`
@@ -153,7 +153,7 @@
 type ApplyResult struct {
 	// Token is the fencing token of the log entry.
 	Token Token
-	// Started are the expiries that the command began. The Allocator must be told (ObserveApplied).
+	// Started are the expiries that the command began. The caller passes them to Allocator.ObserveApplied.
 	Started []Expiry
 	// Rejected are the reasons for each rejected part of a Batch, a GrantBatch or an AckBatch.
 	Rejected []error
--- a/internal/quotalease/config.go
+++ b/internal/quotalease/config.go
@@ -125,7 +125,7 @@
 
 func validNumber(x float64) bool { return x >= 0 && x <= unitsLimit }
 
-// validUnits tells whether x is a number of units of this quota. Units in flight are whole.
+// validUnits reports whether x is a number of units of this quota. Units in flight are whole.
 func (q *Quota) validUnits(x float64) bool {
 	return validNumber(x) && (q.Kind != InFlight || x == math.Floor(x))
 }
--- a/internal/quotalease/divide.go
+++ b/internal/quotalease/divide.go
@@ -88,7 +88,7 @@
 	return d
 }
 
-// scaleMinimums makes minimums fit that come to more than the total: two processes of one name may both demand its
+// scaleMinimums makes minimums fit whose sum is above the total: two processes of one name may both demand its
 // minimum.
 func (d *division) scaleMinimums() {
 	if d.sumLow <= d.total {
@@ -99,7 +99,7 @@
 	}
 }
 
-// levelTurn is a level from which on the sum grows by so much more a level.
+// levelTurn is a level from which on the growth of the sum per level changes by slope.
 type levelTurn struct {
 	level float64
 	slope float64
--- a/internal/quotalease/doc.go
+++ b/internal/quotalease/doc.go
@@ -14,7 +14,7 @@
 //   - StateMachine is what the log replicates. It rejects every command that would break a limit, whoever proposes
 //     it.
 //   - Allocator is what each server keeps beside the log and never shares: by its own clock, when each lease has
-//     surely expired, and the latest request of each process. On the leader it plans the next commands.
+//     certainly expired, and the latest request of each process. On the leader it plans the next commands.
 //   - Holder is the lease holder, in each proxy: it requests, takes leases, and admits or rejects each unit.
 //   - Fence is for a server behind the proxies: it rejects attempts that carry a stale fencing token.
 //
--- a/internal/quotalease/expiry.go
+++ b/internal/quotalease/expiry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// expiryTimer is when something has surely expired, by the server's clock.
+// expiryTimer is when something has certainly expired, by the server's clock.
 type expiryTimer struct {
 	at time.Duration
 	Expiry
@@ -42,7 +42,7 @@
 	heap.Push(&a.timers, expiryTimer{at: now + duration, Expiry: expiry})
 }
 
-// timerDue tells whether a timer has ended.
+// timerDue reports whether a timer has ended.
 func (a *Allocator) timerDue(now time.Duration) bool {
 	return len(a.timers) > 0 && a.timers[0].at <= now
 }
--- a/internal/quotalease/fence.go
+++ b/internal/quotalease/fence.go
@@ -63,7 +63,7 @@
 	return last
 }
 
-// NewFence returns a fence that remembers so many pairs of holder and quota, one at least.
+// NewFence returns a fence that remembers up to capacity pairs of holder and quota, at least one.
 func NewFence(capacity int) *Fence {
 	return &Fence{capacity: max(1, capacity), entries: map[fenceKey]*fenceEntry{}}
 }
--- a/internal/quotalease/frozen_test.go
+++ b/internal/quotalease/frozen_test.go
@@ -164,7 +164,7 @@
 	return data
 }
 
-// verdict tells what a command did, in words that names of types and fields do not change.
+// verdict describes what a command did, in words that names of types and fields do not change.
 func verdict(applied ApplyResult, err error) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "token=%v", applied.Token)
@@ -318,7 +318,7 @@
 	}
 }
 
-// codedError is an error as operators and other processes are told it.
+// codedError is an error with all that operators and other processes see of it.
 type codedError interface {
 	operatorerror.Error
 	Code() string
--- a/internal/quotalease/grant.go
+++ b/internal/quotalease/grant.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// fits tells whether a lease has the quota's kind and durations, and names a holder.
+// fits reports whether a lease has the quota's kind and durations, and names a holder.
 func (q *Quota) fits(lease *Lease) bool {
 	return lease.Kind == q.Kind && lease.Duration > 0 && lease.Duration <= q.LeaseDuration &&
 		lease.MaxHoldTime == q.MaxHoldTime && lease.Holder != ""
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -15,7 +15,7 @@
 	HolderID
 	// MaxDrift is at least that of the fleet's bootstrap.
 	MaxDrift float64
-	// ConfigVersion and Floors are what the process, or the one before it, was told last and has kept on disk. An
+	// ConfigVersion and Floors are what the process, or the one before it, received last and keeps on disk. An
 	// older copy of them must not be put back: a floor in it may be another holder's by now.
 	ConfigVersion uint64
 	Floors        map[string]Floor
@@ -111,7 +111,7 @@
 // than it should.
 func (h *Holder) slowdown() float64 { return 1 + h.settings.MaxDrift }
 
-// SetFloorClaim tells whether this process alone, on its machine, has the claim to the floors of its name. Callers
+// SetFloorClaim sets whether this process alone, on its machine, has the claim to the floors of its name. Callers
 // call it when that changes. What the process before spent last is not known: a rate begins with an empty bucket,
 // and units in flight are admitted only when all that the process before may have begun is over.
 func (h *Holder) SetFloorClaim(now time.Duration, claimed bool) {
@@ -124,7 +124,7 @@
 	h.floorClaim = claimed
 }
 
-// floorSettled tells whether units in flight that the process before began on this floor are over.
+// floorSettled reports whether units in flight that the process before began on this floor are over.
 func (h *Holder) floorSettled(now time.Duration, floor *Floor) bool {
 	return now-h.claimedAt >= withDriftMargin(floor.MaxHoldTime, h.settings.MaxDrift)
 }
@@ -137,7 +137,7 @@
 	}
 }
 
-// leaseActive tells whether there is a lease that has not expired.
+// leaseActive reports whether there is a lease that has not expired.
 func (q *quotaState) leaseActive(now time.Duration) bool {
 	if q.active && now >= q.expiresAt {
 		q.active = false
@@ -145,7 +145,7 @@
 	return q.active
 }
 
-// Acquire admits so many units of a quota now, or rejects them with ExhaustedError, LeaseExpiredError or
+// Acquire admits a number of units of a quota now, or rejects them with ExhaustedError, LeaseExpiredError or
 // NoLeaseError. The token goes with the attempt, to servers that have a Fence; the zero token is that of a floor.
 // Units in flight must be given back by Release, at the end of their hold time at the latest. Acquire allocates
 // nothing for a known quota.
--- a/internal/quotalease/holderreply.go
+++ b/internal/quotalease/holderreply.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// takeLease goes by a lease from now on, or refuses it.
+// takeLease uses a lease from now on, or refuses it.
 func (h *Holder) takeLease(sentAt, now time.Duration, lease *Lease) error {
 	if err := h.checkSender(lease.FleetID, lease.HolderID, lease.Epoch); err != nil {
 		return err
@@ -80,7 +80,7 @@
 }
 
 // expiryOf returns when a lease expires, or LeaseExpiredError. The lease is counted from the request that it
-// answers, not from the one that this reply answers: a server tells the same lease again in later replies, and its
+// answers, not from the one that this reply answers: a server repeats the same lease in later replies, and its
 // own timer began when the lease was committed.
 func (h *Holder) expiryOf(sentAt, now time.Duration, lease *Lease) (time.Duration, error) {
 	request := h.sentRequests[lease.RequestSeq%requestHistory]
@@ -97,7 +97,7 @@
 	return expiresAt, nil
 }
 
-// adoptFloors goes by the floors of a newer version. A floor that grew keeps its level: what it gained arrives empty.
+// adoptFloors uses the floors of a newer version. A floor that grew keeps its level: what it gained arrives empty.
 func (h *Holder) adoptFloors(now time.Duration, reply Reply) {
 	h.configVersion = reply.ConfigVersion
 	for _, name := range slices.Sorted(maps.Keys(reply.Floors)) {
--- a/internal/quotalease/holderrequest.go
+++ b/internal/quotalease/holderrequest.go
@@ -52,8 +52,8 @@
 	q.peakInFlight = q.inFlight + q.floorInFlight
 }
 
-// NextRequest returns the next request: what the process wants, and which tokens it goes by. The caller sends it at
-// once, because a lease is counted from now. It calls NextRequest again after RequestInterval.
+// NextRequest returns the next request: what the process wants, and the tokens of the leases that it uses. The
+// caller sends it at once, because a lease is counted from now. It calls NextRequest again after RequestInterval.
 func (h *Holder) NextRequest(now time.Duration) Request {
 	h.seq++
 	h.sentRequests[h.seq%requestHistory] = sentRequest{seq: h.seq, sentAt: now}
--- a/internal/quotalease/internal/mutation/mutation.go
+++ b/internal/quotalease/internal/mutation/mutation.go
@@ -8,7 +8,7 @@
 	LeaseFromReply           bool // holders count a lease from the reply, not from their request
 	FullBucketOnLease        bool // a lease arrives with a full token bucket
 	AnyTokenOrder            bool // holders take leases in whatever order they arrive
-	ReplyBeforeCommit        bool // servers tell a lease before it is committed
+	ReplyBeforeCommit        bool // servers send a lease before it is committed
 	NoStartupSilence         bool // a server that starts takes part at once
 	NoSilenceAfterTruncation bool // a server whose confirmed entries were overwritten takes part at once
 	CountNewestLeaseOnly     bool // a holder counts with its newest lease alone
--- a/internal/quotalease/ledger.go
+++ b/internal/quotalease/ledger.go
@@ -25,7 +25,7 @@
 	LastGrant uint64 `json:"Ask"`
 }
 
-// maxUsage returns what the process may still spend. It goes by one lease at a time, and the servers cannot know by
+// maxUsage returns what the process may still spend. It uses one lease at a time, and the servers cannot know
 // which of these, so the largest counts.
 func (e *holderEntry) maxUsage(mutations mutation.Set) usage {
 	most := usage{amount: e.Residual}
@@ -71,7 +71,7 @@
 // quotaLedger is all that is outstanding of one quota, whether it is still configured or not.
 type quotaLedger struct {
 	entries map[HolderID]*holderEntry
-	// floors are, by holder, those that it may still go by, oldest first. The slices are never changed in place.
+	// floors are, by holder, those that it may still use, oldest first. The slices are never changed in place.
 	floors   map[string][]versionedFloor
 	total    usage // sum of maxUsage of all entries
 	current  usage // sum of usageSince of all entries, under the current configuration version
@@ -96,7 +96,7 @@
 	l.current = usage{}
 }
 
-// setFloors adds the floors of a configuration to those that holders may still go by. quota is nil if it is no longer
+// setFloors adds the floors of a configuration to those that holders may still use. quota is nil if it is no longer
 // configured.
 func (l *quotaLedger) setFloors(quota *Quota, version uint64, removedHolders []string) {
 	for _, holder := range removedHolders {
@@ -149,7 +149,7 @@
 	l.sumFloors()
 }
 
-// sumFloors computes reserved: of each holder the largest floor that it may still go by.
+// sumFloors computes reserved: of each holder the largest floor that it may still use.
 func (l *quotaLedger) sumFloors() {
 	l.reserved = usage{}
 	for _, floors := range l.floors {
--- a/internal/quotalease/message.go
+++ b/internal/quotalease/message.go
@@ -24,15 +24,15 @@
 	Quota string `json:"Budget"`
 	// Wanted is units a second, or units in flight.
 	Wanted Amount `json:"Units"`
-	// Token is the newest that the process took. It will never go by an older one.
+	// Token is the newest that the process took. It will never use an older lease.
 	Token Token `json:"Token"`
-	// Ended says that it will never again go by Token either.
+	// Ended says that the process will never again use that lease either.
 	Ended bool `json:"Ended"`
 	// InFlight is the units in flight now, under leases.
 	InFlight Amount `json:"Held"`
 }
 
-// Reply is what a server tells a holder, as CBOR: all that the holder has by this server's state machine. It may
+// Reply is what a server sends to a holder, as CBOR: all that the holder has by this server's state machine. It may
 // arrive late, repeatedly and out of order.
 type Reply struct {
 	FleetID string `json:"Fleet"`
--- a/internal/quotalease/modelcheck/explore.go
+++ b/internal/quotalease/modelcheck/explore.go
@@ -85,7 +85,7 @@
 	return -1
 }
 
-// add notes a state unless it was seen or there are too many. It tells whether the state is new.
+// add notes a state unless it was seen or there are too many. It reports whether the state is new.
 func (e *search) add(node *searchNode, step transition) bool {
 	var hash xxh3.Uint128
 	e.buffer, hash = node.hash(e.buffer)
@@ -102,7 +102,7 @@
 	return true
 }
 
-// visit checks a state and adds it. It tells whether the search goes on.
+// visit checks a state and adds it. It reports whether the search goes on.
 func (e *search) visit(next *searchNode, step transition) bool {
 	e.result.Transitions++
 	violation := next.checkInvariant() // before the hash, because it ends leases that have expired
--- a/internal/quotalease/modelcheck/fault.go
+++ b/internal/quotalease/modelcheck/fault.go
@@ -55,7 +55,7 @@
 	DemandShifted: 10,
 }
 
-// Pauses and cuts last up to so many lease durations.
+// Pauses and cut-offs last up to these numbers of lease durations.
 const (
 	maxPauseLeases  = 3
 	maxCutOffLeases = 4
--- a/internal/quotalease/modelcheck/invariant.go
+++ b/internal/quotalease/modelcheck/invariant.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// releaseWork gives back units whose hold time is over, and the first few besides.
+// releaseWork gives back units whose hold time is over, and a few more, the oldest first.
 func (c *cluster) releaseWork(i, few int) {
 	p := c.proxies[i]
 	now := p.at(c.now)
--- a/internal/quotalease/modelcheck/network.go
+++ b/internal/quotalease/modelcheck/network.go
@@ -17,7 +17,7 @@
 	c.requests = append(c.requests, r)
 }
 
-// deliverRequest has a server take a request; a leader plans. It tells whether the server took it.
+// deliverRequest has a server take a request; a leader plans. It reports whether the server took it.
 func (c *cluster) deliverRequest(s *server, r *request) bool {
 	if !s.up || s.allocator.HandleRequest(s.at(c.now), r.Request) != nil {
 		return false
@@ -29,7 +29,7 @@
 	return true
 }
 
-// proposePlan has a leader append its plan to its log. It tells whether there was one.
+// proposePlan has a leader append its plan to its log. It reports whether there was one.
 func (c *cluster) proposePlan(s *server) bool {
 	if !s.up || !s.leader {
 		return false
--- a/internal/quotalease/modelcheck/raft.go
+++ b/internal/quotalease/modelcheck/raft.go
@@ -56,7 +56,7 @@
 
 // electLeader has a server ask for votes; others vote for it if its log is no older than theirs. (Ongaro and
 // Ousterhout, In Search of an Understandable Consensus Algorithm, 2014, 5.2 and 5.4; with a pre-vote, so nothing
-// changes in vain.) It tells whether the server was elected.
+// changes in vain.) It reports whether the server was elected.
 func (c *cluster) electLeader(candidate *server) bool {
 	if !candidate.up || candidate.leader || c.silent(candidate) {
 		return false
@@ -90,7 +90,7 @@
 	return ownTerm < term || ownTerm == term && ownLength <= length
 }
 
-// replicate sends a follower the leader's log, and the leader its confirmation. It tells whether anything happened.
+// replicate sends a follower the leader's log, and the leader its confirmation. It reports whether anything happened.
 func (c *cluster) replicate(leader, follower *server) bool {
 	if !leader.up || !leader.leader || leader == follower || !follower.up {
 		return false
@@ -129,7 +129,7 @@
 	return true
 }
 
-// truncatedBy tells whether the leader's log lacks an entry that the follower confirmed.
+// truncatedBy reports whether the leader's log lacks an entry that the follower confirmed.
 func (s *server) truncatedBy(leader *server) bool {
 	n := s.confirmed
 	return n > 0 && (len(leader.log) < n || leader.log[n-1].id != s.log[n-1].id)
--- a/internal/quotalease/modelcheck/random.go
+++ b/internal/quotalease/modelcheck/random.go
@@ -56,8 +56,8 @@
 	repaired          bool // links lose and delay nothing
 }
 
-// RunRandom plays a cluster for so many moments with faults, then repairs all and plays on until what was lost must be
-// granted again. Equal arguments give equal runs.
+// RunRandom plays a cluster for a number of moments with faults, then repairs all and plays on until what was lost
+// must be granted again. Equal arguments give equal runs.
 func RunRandom(s Settings, seed uint64, moments int) RandomResult {
 	r := newRandomRun(s, seed)
 	result := RandomResult{Faults: r.faults}
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -94,12 +94,13 @@
 	return demands
 }
 
-// recent tells whether the process was heard of within a lease duration. Otherwise it is gone, or cut off.
+// recent reports whether the process sent a request within a lease duration. Otherwise it has stopped, or cannot
+// reach the servers.
 func (r *requester) recent(now time.Duration, quota *Quota) bool {
 	return now-r.heardAt <= quota.LeaseDuration
 }
 
-// changesLease tells whether a lease would change what a process has. newest is nil if it has no lease.
+// changesLease reports whether a lease would change what a process has. newest is nil if it has no lease.
 func changesLease(newest *Lease, granted usage, requestSeq uint64) bool {
 	if newest == nil {
 		return granted.amount > 0
--- a/internal/quotalease/snapshot.go
+++ b/internal/quotalease/snapshot.go
@@ -21,7 +21,7 @@
 	Ledgers        map[string]ledgerSnapshot `json:"Ledgers"`
 }
 
-// ledgerSnapshot is the form of a quotaLedger. Its sums are computed anew.
+// ledgerSnapshot is the form of a quotaLedger. Its sums are computed on restore.
 type ledgerSnapshot struct {
 	Entries []*holderEntry              `json:"Entries"`
 	Floors  map[string][]versionedFloor `json:"Floors"`
@@ -52,7 +52,7 @@
 	return data, nil
 }
 
-// Restore replaces the state by a snapshot. On an error nothing has changed. The caller must tell its Allocator
+// Restore replaces the state by a snapshot. On an error nothing has changed. The caller must notify its Allocator
 // afterwards (Allocator.RestartTimers).
 func (m *StateMachine) Restore(data []byte) error {
 	var state snapshot
--- a/internal/quotalease/statemachine.go
+++ b/internal/quotalease/statemachine.go
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// waitingAfterBootstrap tells whether leases of an earlier epoch may not have expired yet.
+// waitingAfterBootstrap reports whether leases of an earlier epoch may not have expired yet.
 func (m *StateMachine) waitingAfterBootstrap() bool { return m.bootstrapToken != Token{} }
 
 // expire drops what a server says has expired. What was acknowledged away meanwhile is no longer there.
@@ -225,7 +225,7 @@
 }
 
 // ReplyTo returns all that one process has. Servers must call it only on a state of committed entries: a lease that is
-// told before it is committed may never be counted.
+// sent before it is committed may never be counted.
 func (m *StateMachine) ReplyTo(id HolderID) Reply {
 	reply := Reply{FleetID: m.fleetID, Epoch: m.epoch, HolderID: id, ConfigVersion: m.configVersion}
 	for _, name := range m.quotaNames(&m.config) {
@@ -249,7 +249,7 @@
 }
 
 // PendingExpiries returns all that is counted until it expires. A server that starts with this state must count each
-// anew, in full.
+// in full.
 func (m *StateMachine) PendingExpiries() []Expiry {
 	var pending []Expiry
 	if m.waitingAfterBootstrap() {
@@ -282,7 +282,7 @@
 	return Expiry{HolderID: e.HolderID, Quota: quota, Token: e.ResidualToken, Duration: e.MaxHoldTime}
 }
 
-// isPending tells whether something is still counted.
+// isPending reports whether something is still counted.
 func (m *StateMachine) isPending(expiry Expiry) bool {
 	if expiry.Quota == "" {
 		return m.waitingAfterBootstrap() && m.bootstrapToken == expiry.Token
