--- a/decision/answers_test.go
+++ b/decision/answers_test.go
@@ -41,7 +41,9 @@
 		t.Run(fmt.Sprint("between two attempts, class ", class), func(t *testing.T) {
 			b, h, to := openedRequest(t, testConfig(), class, 1)
 			// no capacity: it waits
-			b.targets[0].limit.ceiling, b.targets[0].limit.inFlight, b.targets[0].limit.load = 1, 9, 9
+			b.targets[0].limit.ceiling = 1
+			b.targets[0].limit.inFlight = 9
+			b.targets[0].limit.load = 9
 			b.Outcome(second+milli, Outcome{ID: 1, Backend: to, Result: ConnectFailed})
 			if got := h.take("send", "reject", "fail"); len(got) != 0 || len(b.queue) != 1 {
 				t.Fatalf("it does not wait: %v", got)
@@ -56,15 +58,15 @@
 // Once a request has its answer, its hedging timer, an endpoint update and the late end of an attempt change nothing.
 func TestNothingFollowsFinalAnswer(t *testing.T) {
 	for class := range 4 {
-		for _, copies := range []bool{true, false} {
+		for _, hedged := range []bool{true, false} {
 			cfg := testConfig()
-			cfg.Capabilities.HedgedRequests = copies
+			cfg.Capabilities.HedgedRequests = hedged
 			b, h, to := openedRequest(t, cfg, class, 6)
 			b.Outcome(second+50*milli, Outcome{ID: 1, Backend: to, Result: OK, Final: true})
 			fireEverything(b, second+51*milli, 2)
 			b.Outcome(second+60*milli, Outcome{ID: 1, Backend: to, Result: Reset})
 			if got := h.take("send", "reject", "fail", "cancel"); len(got) != 0 {
-				t.Errorf("class %d, copies %v: after its answer: %v", class, copies, got)
+				t.Errorf("class %d, hedged %v: after its answer: %v", class, hedged, got)
 			}
 		}
 	}
--- a/decision/anyconfig_test.go
+++ b/decision/anyconfig_test.go
@@ -182,25 +182,38 @@
 				t.Errorf("seed %d: request %d has %d answers", seed, id, s.finalAnswers[id])
 			}
 		}
-		b := s.balancer
-		for name, v := range map[string]float64{"mean": b.meanLatency, "meanWork": b.meanWork, "meanGain": b.meanGain,
-			"meanDensity": b.meanDensity,
-			"median":      b.medianRatio, "shared.limit": b.sharedLimit.ceiling, "rate": b.requestRate(),
-			"asked": b.totalTally.offered, "served": b.totalTally.served,
-			"retries": b.retryBudget, "probes": b.checkBudget} {
-			if math.IsNaN(v) || math.IsInf(v, 0) {
-				t.Errorf("seed %d: %s is %v: %+v", seed, name, v, cfg)
-			}
-		}
-		for _, o := range b.targets {
-			v := o.limit.ceiling + o.limit.load + o.slowStartTokens + o.slowStartRate
-			v += b.latencyRatio(o) + o.servedWork.sum
-			if math.IsNaN(v) || math.IsInf(v, 0) {
-				t.Errorf("seed %d: backend %d: %+v", seed, o.ID, o)
-			}
-		}
+		checkFinite(t, seed, s.balancer)
 		if t.Failed() {
 			return
 		}
 	}
 }
+
+// checkFinite fails the test if an estimate, a limit or a budget is no finite number.
+func checkFinite(t *testing.T, seed uint64, b *Balancer) {
+	t.Helper()
+	for name, v := range map[string]float64{
+		"meanLatency": b.meanLatency,
+		"meanWork":    b.meanWork,
+		"meanGain":    b.meanGain,
+		"meanDensity": b.meanDensity,
+		"medianRatio": b.medianRatio,
+		"sharedLimit": b.sharedLimit.ceiling,
+		"requestRate": b.requestRate(),
+		"offered":     b.totalTally.offered,
+		"served":      b.totalTally.served,
+		"retryBudget": b.retryBudget,
+		"checkBudget": b.checkBudget,
+	} {
+		if math.IsNaN(v) || math.IsInf(v, 0) {
+			t.Errorf("seed %d: %s is %v: %+v", seed, name, v, b.config)
+		}
+	}
+	for _, o := range b.targets {
+		v := o.limit.ceiling + o.limit.load + o.slowStartTokens + o.slowStartRate
+		v += b.latencyRatio(o) + o.servedWork.sum
+		if math.IsNaN(v) || math.IsInf(v, 0) {
+			t.Errorf("seed %d: backend %d: %+v", seed, o.ID, o)
+		}
+	}
+}
--- a/decision/attempts_test.go
+++ b/decision/attempts_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// send refuses by each guard alone, whatever its callers have checked.
+// send is held back by each guard alone, whatever its callers have checked.
 func TestSendAsksEveryGuard(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -136,8 +136,10 @@
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			cfg := testConfig()
-			k.class.Name, k.class.LatencyObjective, k.class.ClientTimeout, k.class.PriorityWeight = "c", second,
-				3*second, 1
+			k.class.Name = "c"
+			k.class.LatencyObjective = second
+			k.class.ClientTimeout = 3 * second
+			k.class.PriorityWeight = 1
 			cfg.Classes = []Class{k.class}
 			b, h, to := openedRequest(t, cfg, 0, n)
 			zone, cell := place(to)
@@ -203,7 +205,9 @@
 	b.requests[1].objectiveAt = 9 * second // much time is left beside the window of 1 s
 	to := h.take("send")[0].to
 	for _, other := range b.targets { // those of its zone have no capacity
-		other.limit.ceiling, other.limit.inFlight, other.limit.load = 1, 9, 9
+		other.limit.ceiling = 1
+		other.limit.inFlight = 9
+		other.limit.load = 9
 	}
 	b.Outcome(second+900*milli, Outcome{ID: 1, Backend: to, Result: Reset})
 	if got := h.take("send", "reject", "fail"); len(got) != 0 {
--- a/decision/concurrency_test.go
+++ b/decision/concurrency_test.go
@@ -151,7 +151,9 @@
 		}
 		r := &request{Request: Request{ID: 1, Class: idempotent, Deadline: time.Hour}, arrived: b.now,
 			objectiveAt: b.now + second}
-		b.meanLatency, b.meanWork, b.requests[1] = 100, 100, r
+		b.meanLatency = 100
+		b.meanWork = 100
+		b.requests[1] = r
 		if !b.send(r, to) {
 			t.Fatal("not sent")
 		}
@@ -204,17 +206,17 @@
 			b.Outcome(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: OK, Final: true})
 		}
 	}
-	part := func(class int) float64 {
+	scale := func(class int) float64 {
 		r := &request{Request: Request{Class: class, Deadline: now + 3*second}, arrived: now, objectiveAt: now + second}
 		r.value = b.config.Classes[class].PriorityWeight
 		return b.limitScale(r)
 	}
-	if low, high := part(idempotent), part(keyedAnywhere); low > 1 || low < minLimitScale || high < 1.5 ||
+	if low, high := scale(idempotent), scale(keyedAnywhere); low > 1 || low < minLimitScale || high < 1.5 ||
 		high > maxLimitScale {
-		t.Errorf("parts of the limit: %v for little worth, %v for much", low, high)
+		t.Errorf("limit scales: %v for little gain, %v for much", low, high)
 	}
 	b.config.Instances = 2
-	if part(idempotent) != 1 || part(keyedAnywhere) != 1 {
+	if scale(idempotent) != 1 || scale(keyedAnywhere) != 1 {
 		t.Error("a proxy that sees much of the traffic chooses among what waits instead")
 	}
 }
--- a/decision/discovery_test.go
+++ b/decision/discovery_test.go
@@ -40,8 +40,10 @@
 			for _, grace := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond} {
 				for _, polled := range []bool{true, false} {
 					cfg := testConfig()
-					cfg.PolledDiscovery, cfg.Capabilities.ConnectTimeout, cfg.Constraints.MaxListAge,
-						cfg.Constraints.DrainGrace = polled, connect, maxAge, grace
+					cfg.PolledDiscovery = polled
+					cfg.Capabilities.ConnectTimeout = connect
+					cfg.Constraints.MaxListAge = maxAge
+					cfg.Constraints.DrainGrace = grace
 					most := 2 * second
 					if !polled {
 						most = grace / 3
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -75,7 +75,7 @@
 		b.UpdateEndpoints(2*second, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{{ID: id, State: Removed}}})
 		b.UpdateEndpoints(3*second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)})
 		if _, excluded := b.CountBackends(); excluded != 0 {
-			t.Errorf("a probe still out is %v: %d avoided on its return", busy, excluded)
+			t.Errorf("a check still in flight is %v: %d excluded on its return", busy, excluded)
 		}
 	}
 }
--- a/decision/enginehistory_test.go
+++ b/decision/enginehistory_test.go
@@ -110,7 +110,7 @@
 		m.Backends = append(m.Backends, decision.Backend{ID: engine.BackendID(e.ID), Cell: e.Cell, State: e.State,
 			Started: e.Started})
 	}
-	g.note("told of list %d full %v:%s", l.Version, l.Full, describeBackends(m.Backends))
+	g.note("list %d full %v:%s", l.Version, l.Full, describeBackends(m.Backends))
 	g.model.endpoints(m)
 }
 
@@ -216,57 +216,16 @@
 }
 
 // runEngineHistory runs a random history through the engine and gives the violations and the trace.
-func runEngineHistory(t *testing.T, seed uint64) (broken, trace []string) {
+func runEngineHistory(t *testing.T, seed uint64) (violations, trace []string) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := enginetest.Config()
-		cfg.Classes = append(slices.Clone(cfg.Classes), // with windows shorter than a connection may take
-			decision.Class{Name: "all", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second,
-				Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll,
-				DeduplicationWindow: 60 * milli, PriorityWeight: 1},
-			decision.Class{Name: "cell", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second,
-				Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeCell,
-				DeduplicationWindow: 150 * milli, PriorityWeight: 1})
-		rng := rand.New(rand.NewPCG(seed, 9))
-		cfg.Capabilities.HedgedRequests, cfg.Capabilities.HealthChecks = rng.IntN(2) == 0, rng.IntN(2) == 0
-		g := &engineHarness{seed: seed, random: rng, version: math.MaxUint32 - 3, changed: make(chan struct{})} // wraps
-		g.model = newModel(cfg, &backendLoads{speed: map[decision.BackendID]float64{},
-			sent: map[decision.BackendID][]workSent{}, slack: time.Hour})
-		g.model.drainGraceOnly = true
-		for i := range 1 + rng.IntN(6) {
-			g.members = append(g.members, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1",
-				State: decision.Ready, Cell: i % 2, Weight: 1})
-		}
-		g.update = g.fullList()
-		g.Next = func(_ int, a engine.Attempt) enginetest.Step {
-			defer g.lock()()
-			id := a.Message.(drawnMessage)
-			rng := g.randomFor(2, int(id), len(g.model.byID[decision.RequestID(id)].attempts))
-			r := enginetest.Step{Delay: time.Duration(rng.IntN(80)) * milli, Response: "x",
-				IgnoresCancel: rng.IntN(20) == 0}
-			if rng.IntN(4) == 0 {
-				r.Result = []decision.Result{decision.Error, decision.Rejected, decision.Timeout,
-					decision.ConnectFailed, decision.Reset, decision.NotSent}[rng.IntN(6)]
-			}
-			if rng.IntN(15) == 0 {
-				r.Delay, r.IgnoresCancel = time.Hour, false
-			}
-			return r
-		}
-		e, err := engine.New(engine.Options{Decision: cfg, Seed: seed, InitialEndpoints: g.update, Upstream: g,
-			Source: g})
-		if err != nil {
-			t.Fatal(err)
-		}
-		g.engine = e
-		unlock := g.lock()
-		g.reportList(g.update)
-		unlock()
+		g := newEngineHarness(t, seed)
 		ctx, cancel := context.WithCancel(t.Context())
 		var all sync.WaitGroup
-		all.Go(func() { e.Run(ctx) })
+		all.Go(func() { g.engine.Run(ctx) })
 		for id := range decision.RequestID(600) {
 			unlock := g.lock()
-			class, give, leave := g.random.IntN(len(cfg.Classes)), time.Duration(50+g.random.IntN(1500))*milli,
+			class, give, leave := g.random.IntN(len(g.model.config.Classes)),
+				time.Duration(50+g.random.IntN(1500))*milli,
 				time.Duration(0)
 			if g.random.IntN(20) == 0 {
 				leave = min(give, time.Duration(1+g.random.IntN(100))*milli)
@@ -282,9 +241,61 @@
 		time.Sleep(2 * time.Minute)
 		cancel()
 		all.Wait()
-		broken, trace = g.model.violations, g.trace
+		violations, trace = g.model.violations, g.trace
 	})
-	return broken, trace
+	return violations, trace
+}
+
+// newEngineHarness starts nothing yet: the engine has its first list, and the model knows it.
+func newEngineHarness(t *testing.T, seed uint64) *engineHarness {
+	t.Helper()
+	cfg := enginetest.Config()
+	cfg.Classes = append(slices.Clone(cfg.Classes), // with windows shorter than a connection may take
+		decision.Class{Name: "all", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second,
+			Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll,
+			DeduplicationWindow: 60 * milli, PriorityWeight: 1},
+		decision.Class{Name: "cell", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second,
+			Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeCell,
+			DeduplicationWindow: 150 * milli, PriorityWeight: 1})
+	rng := rand.New(rand.NewPCG(seed, 9))
+	cfg.Capabilities.HedgedRequests, cfg.Capabilities.HealthChecks = rng.IntN(2) == 0, rng.IntN(2) == 0
+	g := &engineHarness{seed: seed, random: rng, version: math.MaxUint32 - 3, changed: make(chan struct{})} // wraps
+	g.model = newModel(cfg, &backendLoads{speed: map[decision.BackendID]float64{},
+		sent: map[decision.BackendID][]workSent{}, slack: time.Hour})
+	g.model.drainGraceOnly = true
+	for i := range 1 + rng.IntN(6) {
+		g.members = append(g.members, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1",
+			State: decision.Ready, Cell: i % 2, Weight: 1})
+	}
+	g.update = g.fullList()
+	g.Next = g.nextStep
+	e, err := engine.New(engine.Options{Decision: cfg, Seed: seed, InitialEndpoints: g.update, Upstream: g,
+		Source: g})
+	if err != nil {
+		t.Fatal(err)
+	}
+	g.engine = e
+	unlock := g.lock()
+	g.reportList(g.update)
+	unlock()
+	return g
+}
+
+// nextStep scripts what a server does with an attempt.
+func (g *engineHarness) nextStep(_ int, a engine.Attempt) enginetest.Step {
+	defer g.lock()()
+	id := a.Message.(drawnMessage)
+	rng := g.randomFor(2, int(id), len(g.model.byID[decision.RequestID(id)].attempts))
+	r := enginetest.Step{Delay: time.Duration(rng.IntN(80)) * milli, Response: "x",
+		IgnoresCancel: rng.IntN(20) == 0}
+	if rng.IntN(4) == 0 {
+		r.Result = []decision.Result{decision.Error, decision.Rejected, decision.Timeout,
+			decision.ConnectFailed, decision.Reset, decision.NotSent}[rng.IntN(6)]
+	}
+	if rng.IntN(15) == 0 {
+		r.Delay, r.IgnoresCancel = time.Hour, false
+	}
+	return r
 }
 
 func TestEngineFollowsModel(t *testing.T) {
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -14,7 +14,7 @@
 	fmt.Printf("send request %d to backend %d, until %v\n", id, to, until)
 }
 func (printer) Reject(id decision.RequestID, after time.Duration) {
-	fmt.Printf("refuse request %d, come again after %v\n", id, after)
+	fmt.Printf("reject request %d, retry after %v\n", id, after)
 }
 func (printer) Fail(id decision.RequestID) { fmt.Printf("fail request %d\n", id) }
 func (printer) Cancel(id decision.RequestID, n int) {
--- a/decision/flawed_test.go
+++ b/decision/flawed_test.go
@@ -79,7 +79,7 @@
 		{"answers twice", "rule 1", false, nil, func(_ *policy, h *interferingHost) {
 			h.reject = func(h decision.Host, id decision.RequestID) { h.Reject(id, 0); h.Fail(id) }
 		}},
-		{"never refuses", "rule 1", false, nil, func(_ *policy, h *interferingHost) {
+		{"never rejects", "rule 1", false, nil, func(_ *policy, h *interferingHost) {
 			h.reject = func(decision.Host, decision.RequestID) {}
 		}},
 		{"repeats what may not be", "rule 2", false, func(c *decision.Config) {
@@ -100,7 +100,7 @@
 		{"sends two at once", "rule 2", false, func(c *decision.Config) { c.Capabilities.HedgedRequests = true }, nil},
 		{"sends on to what drains", "rule 3: send", false, nil,
 			entries(func(e *decision.Backend) { e.State = decision.Ready })},
-		{"sends to what is out by hand", "rule 3: send", false, nil,
+		{"sends to what is detached", "rule 3: send", false, nil,
 			func(f *policy, _ *interferingHost) { f.ignoresDetach = true }},
 		{"sends to what nobody listed", "listed", false, nil, entries(func(e *decision.Backend) { e.ID += 100 })},
 		{"sends all to the one that started last", "rule 4", true, nil, func(f *policy, h *interferingHost) {
--- a/decision/frozen_test.go
+++ b/decision/frozen_test.go
@@ -246,8 +246,13 @@
 	many := few
 	many.Classes = slices.Clone(few.Classes)
 	many.Classes[0].LateValueShare, many.Classes[2].ObjectivePerWork = 0.3, 2
-	many.Instances, many.Rank, many.Zone, many.Weights = 12, 3, 1, WeightNominal
-	many.KeyAffinity, many.PolledDiscovery, many.WeightByWork = true, true, true
+	many.Instances = 12
+	many.Rank = 3
+	many.Zone = 1
+	many.Weights = WeightNominal
+	many.KeyAffinity = true
+	many.PolledDiscovery = true
+	many.WeightByWork = true
 	many.Capabilities.HedgedRequests, many.Capabilities.MaxOpenRequests = false, 12
 	return [2]Config{few, many}
 }
--- a/decision/healthcheck_test.go
+++ b/decision/healthcheck_test.go
@@ -16,17 +16,17 @@
 		}
 	}
 	// No request came, so only the least is due; what the first budget allows comes once.
-	probes := 0
+	checks := 0
 	for now := second + span; now < second+2*span; now += b.checkInterval / sweepsPerInterval {
 		b.Timer(now, sweepToken)
 		for _, p := range h.take("check") {
-			probes++
+			checks++
 			b.HealthChecked(now, HealthCheckResult{Backend: p.to, Result: OK})
 		}
 	}
 	want := int(span/(passingCheckFactor*b.checkInterval)) * minChecksPerSpan
-	if probes < want*8/10 || probes > want*12/10 {
-		t.Errorf("%d probes a minute without requests, %d are due", probes, want)
+	if checks < want*8/10 || checks > want*12/10 {
+		t.Errorf("%d checks a minute without requests, %d are due", checks, want)
 	}
 }
 
@@ -36,16 +36,16 @@
 	cfg.Capabilities.ConnectTimeout = 50 * milli
 	b, h := newBalancer(t, cfg, 10)
 	h.take()
-	probes := 0
+	checks := 0
 	for at := second; at < 11*second; at += b.checkInterval / sweepsPerInterval {
 		b.Timer(at, sweepToken)
 		for _, a := range h.take("check") {
-			probes++
+			checks++
 			b.HealthChecked(at, HealthCheckResult{Backend: a.to, Result: OK, Latency: milli})
 		}
 	}
-	if probes < 5 || probes > 15 {
-		t.Errorf("%d probes in ten idle seconds", probes)
+	if checks < 5 || checks > 15 {
+		t.Errorf("%d checks in ten idle seconds", checks)
 	}
 }
 
@@ -65,7 +65,7 @@
 			t.Errorf("answers meanwhile %v: cold %v", answers, cold)
 		}
 		if target.healthy {
-			t.Error("two failed probes in a row did not mark it")
+			t.Error("two failed checks in a row did not mark it")
 		}
 	}
 }
--- a/decision/hedging_test.go
+++ b/decision/hedging_test.go
@@ -7,17 +7,17 @@
 func TestSlowAttemptIsHedgedOrReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		copies bool
+		hedged bool
 		class  int
 		want   string
 	}{
-		{"copies, safe", true, idempotent, "send"},
-		{"copies, unsafe", true, notIdempotent, ""},
-		{"no copies, safe", false, idempotent, "cancel"},
-		{"no copies, unsafe", false, notIdempotent, ""},
+		{"hedged, idempotent", true, idempotent, "send"},
+		{"hedged, not idempotent", true, notIdempotent, ""},
+		{"not hedged, idempotent", false, idempotent, "cancel"},
+		{"not hedged, not idempotent", false, notIdempotent, ""},
 	} {
 		cfg := testConfig()
-		cfg.Capabilities.HedgedRequests = c.copies
+		cfg.Capabilities.HedgedRequests = c.hedged
 		b, h := newBalancer(t, cfg, 4)
 		b.Request(second, Request{ID: 1, Class: c.class, Deadline: 4 * second})
 		first := h.take("send")[0].to
@@ -42,11 +42,11 @@
 	for winner := range 2 {
 		b, h, to := openedRequest(t, testConfig(), idempotent, 6)
 		b.Timer(second+400*milli, attemptToken(1, 0))
-		copies := h.take("send")
-		if len(copies) != 1 {
-			t.Fatalf("%d copies", len(copies))
+		hedges := h.take("send")
+		if len(hedges) != 1 {
+			t.Fatalf("%d hedged requests", len(hedges))
 		}
-		at := []BackendID{to, copies[0].to}
+		at := []BackendID{to, hedges[0].to}
 		b.Outcome(second+500*milli, Outcome{ID: 1, Attempt: winner, Backend: at[winner], Result: OK, Final: true})
 		if got := h.take("cancel"); len(got) != 1 || got[0].attempt != 1-winner {
 			t.Errorf("attempt %d won: %v", winner, got)
--- a/decision/history_test.go
+++ b/decision/history_test.go
@@ -236,33 +236,15 @@
 	if len(d.violations) > 0 {
 		return
 	}
-	d.oddEvents, d.instantAnswers, d.now = false, false, d.now+time.Second
-	for id := range d.servers {
-		d.loads.speed[id] = 1
-	}
-	for _, id := range d.ids() {
-		s := d.servers[id]
-		s.State, s.result, s.busyUntil = decision.Ready, decision.OK, 0
-	}
 	slow := decision.BackendID(1)
-	if len(d.servers) > 2 {
-		d.servers[slow].slowdown = 8
-	}
-	for _, x := range d.proxies {
-		for id := range x.model.detached {
-			x.report("attach", func() { delete(x.model.detached, id) }, func() { x.policy.Attach(d.now, id) })
-		}
-		l := decision.EndpointUpdate{Kind: decision.UpdateFull, Backends: d.backends()}
-		x.report("list, all well", func() { x.model.endpoints(l) }, func() { x.policy.UpdateEndpoints(d.now, l) })
-	}
-	d.allHealthy = true
+	d.healAll(slow)
 	if d.anySettings { // until the slow start of any suspected restart is over
 		d.runUntil(d.now + d.config.Constraints.WarmUp + 10*d.config.Capabilities.ConnectTimeout)
 	}
-	late, each := make([][]*modelRequest, len(d.proxies)), max(100*milli, 3*d.meanWork)
+	late, gap := make([][]*modelRequest, len(d.proxies)), max(100*milli, 3*d.meanWork)
 	for i := range 100 * len(d.proxies) {
 		n := i % len(d.proxies)
-		d.schedule(time.Duration(i)*each, func() {
+		d.schedule(time.Duration(i)*gap, func() {
 			x := d.proxies[n]
 			x.sendRequest()
 			if r := x.model.byID[x.lastID]; i >= 70*len(d.proxies) && !r.StreamedBody {
@@ -270,32 +252,70 @@
 			}
 		})
 	}
-	d.runUntil(d.now + 100*each*time.Duration(len(d.proxies)) + 5*time.Second)
+	d.runUntil(d.now + 100*gap*time.Duration(len(d.proxies)) + 5*time.Second)
 	if d.anySettings {
 		d.settle()
 	}
-	there, sends := 0, 0
-	for n, asks := range late {
+	d.checkServed(late)
+	d.checkSlowAvoided(late, slow)
+}
+
+// healAll makes all servers healthy, lists and attaches them, and lets one of more than two be slow.
+func (d *history) healAll(slow decision.BackendID) {
+	d.oddEvents = false
+	d.instantAnswers = false
+	d.now += time.Second
+	for id := range d.servers {
+		d.loads.speed[id] = 1
+	}
+	for _, id := range d.ids() {
+		s := d.servers[id]
+		s.State = decision.Ready
+		s.result = decision.OK
+		s.busyUntil = 0
+	}
+	if len(d.servers) > 2 {
+		d.servers[slow].slowdown = 8
+	}
+	for _, x := range d.proxies {
+		for id := range x.model.detached {
+			x.report("attach", func() { delete(x.model.detached, id) }, func() { x.policy.Attach(d.now, id) })
+		}
+		l := decision.EndpointUpdate{Kind: decision.UpdateFull, Backends: d.backends()}
+		x.report("list, all healthy", func() { x.model.endpoints(l) }, func() { x.policy.UpdateEndpoints(d.now, l) })
+	}
+	d.allHealthy = true
+}
+
+// checkServed checks that most of the requests of each proxy were served.
+func (d *history) checkServed(byProxy [][]*modelRequest) {
+	for n, requests := range byProxy {
 		served := 0
-		for _, r := range asks {
-			for _, t := range r.attempts {
-				if sends++; t.target == slow {
-					there++
-				}
-			}
-			if r.streaming || slices.ContainsFunc(r.attempts, func(t *modelAttempt) bool {
-				return t.done &&
-					t.result == decision.OK
-			}) {
+		for _, r := range requests {
+			if r.streaming || slices.ContainsFunc(r.attempts, (*modelAttempt).succeeded) {
 				served++
 			}
 		}
 		// One of many proxies spaces its attempts by means that decay by requests, not by time: see
 		// TestLatencyJumpStallsNoProxy.
-		if len(d.violations) == 0 && served < len(asks)*3/4 && (!d.anySettings || len(d.proxies) <= 3) {
+		if len(d.violations) == 0 && served < len(requests)*3/4 && (!d.anySettings || len(d.proxies) <= 3) {
 			d.violations = append(d.violations,
-				fmt.Sprintf("recovery: of %d requests proxy %d has only %d served, all servers being well", len(asks),
-					n, served))
+				fmt.Sprintf("recovery: of %d requests proxy %d has only %d served, all servers being healthy",
+					len(requests), n, served))
+		}
+	}
+}
+
+// checkSlowAvoided checks that a slow server got less than its share of the attempts.
+func (d *history) checkSlowAvoided(byProxy [][]*modelRequest, slow decision.BackendID) {
+	there, sends := 0, 0
+	for _, requests := range byProxy {
+		for _, r := range requests {
+			for _, a := range r.attempts {
+				if sends++; a.target == slow {
+					there++
+				}
+			}
 		}
 	}
 	fair, chance := float64(sends)/float64(len(d.servers)), 0.0
@@ -304,8 +324,8 @@
 	}
 	if len(d.violations) == 0 && len(d.servers) > 2 && !d.config.KeyAffinity && float64(there) > 0.75*fair+chance {
 		d.violations = append(d.violations,
-			fmt.Sprintf("recovery: of %d sends %d went to the one of %d servers that is 8 times as slow", sends,
-				there, len(d.servers)))
+			fmt.Sprintf("recovery: of %d sends %d went to the one of %d servers that is 8 times as slow",
+				sends, there, len(d.servers)))
 	}
 }
 
@@ -316,7 +336,7 @@
 	t.Errorf("seed %d, step %d: %v", seed, step, broken)
 	end := max(0, len(trace)-15)
 	for _, name := range regexp.MustCompile(`(request|server) (\d+)`).FindAllStringSubmatch(broken[0], -1) {
-		concerns := regexp.MustCompile(`(request|send|refuse|cancel|of|server) ` + name[2] + `\b`)
+		concerns := regexp.MustCompile(`(request|send|reject|cancel|of|server) ` + name[2] + `\b`)
 		for _, line := range trace[:end] {
 			if concerns.MatchString(line) {
 				t.Log(line)
@@ -397,7 +417,10 @@
 	case 2:
 		s.State = []decision.BackendState{decision.Draining, decision.Removed}[d.random.IntN(2)]
 	case 3, 4: // it restarts: where it was, or after it had left
-		s.State, s.Started, s.result, s.busyUntil = decision.Ready, d.now, decision.OK, d.now
+		s.State = decision.Ready
+		s.Started = d.now
+		s.result = decision.OK
+		s.busyUntil = d.now
 	case 5: // it returns as it was
 		s.State = decision.Ready
 	case 6: // all but one go, or all
--- a/decision/historyproxy_test.go
+++ b/decision/historyproxy_test.go
@@ -163,7 +163,7 @@
 }
 
 func (x *proxy) Reject(id decision.RequestID, after time.Duration) {
-	x.note("  refuse %d", id)
+	x.note("  reject %d", id)
 	if after < 0 || after > x.config.Capabilities.MaxRetryAfter {
 		x.model.violation("listed", "request %d is to come again after %v", id, after)
 	}
@@ -183,8 +183,8 @@
 }
 
 func (x *proxy) CheckHealth(id decision.BackendID) {
-	x.note("  probe %d", id)
-	x.model.probe(id)
+	x.note("  check %d", id)
+	x.model.checkHealth(id)
 	s := x.servers[id]
 	if s == nil {
 		return
@@ -196,9 +196,9 @@
 	if x.anySettings {
 		took = min(took, x.config.Capabilities.ConnectTimeout)
 	}
-	told := took
+	reported := took
 	if x.oddEvents && x.random.IntN(8) == 0 {
-		told = []time.Duration{0, -time.Hour, math.MaxInt64, math.MinInt64}[x.random.IntN(4)]
+		reported = []time.Duration{0, -time.Hour, math.MaxInt64, math.MinInt64}[x.random.IntN(4)]
 	}
 	results := 1
 	if x.oddEvents && x.random.IntN(6) == 0 {
@@ -206,11 +206,11 @@
 	}
 	for i := range results {
 		x.schedule(took+time.Duration(i*x.random.IntN(3000))*milli, func() {
-			p := decision.HealthCheckResult{Backend: id, Result: s.result, Latency: told}
+			p := decision.HealthCheckResult{Backend: id, Result: s.result, Latency: reported}
 			if i > 0 {
 				p.Result = decision.Result(x.random.IntN(8))
 			}
-			x.reportThenList(fmt.Sprintf("probe of %d: %d", id, p.Result),
+			x.reportThenList(fmt.Sprintf("check of %d: %d", id, p.Result),
 				func() { x.model.healthChecked(id, p.Result) },
 				func() { x.policy.HealthChecked(x.now, p) })
 		})
--- a/decision/historysettings_test.go
+++ b/decision/historysettings_test.go
@@ -22,17 +22,21 @@
 	}
 	cfg.Tick = between(milli/2, 20*milli).Round(milli / 2)
 	c, o := &cfg.Capabilities, &cfg.Constraints
-	c.ConnectTimeout, c.ConnectionIdleTimeout, c.MaxRetryAfter = between(5*milli, 2*time.Second),
-		between(time.Second, time.Minute), between(50*milli, 5*time.Second)
+	c.ConnectTimeout = between(5*milli, 2*time.Second)
+	c.ConnectionIdleTimeout = between(time.Second, time.Minute)
+	c.MaxRetryAfter = between(50*milli, 5*time.Second)
 	c.MaxAttempts = 1 + rng.IntN(6)
-	o.AnswerSlack, o.DrainGrace, o.MaxListAge = 4*cfg.Tick, between(100*milli, 2*time.Second),
-		between(time.Second, 30*time.Second)
+	o.AnswerSlack = 4 * cfg.Tick
+	o.DrainGrace = between(100*milli, 2*time.Second)
+	o.MaxListAge = between(time.Second, 30*time.Second)
 	o.WarmUp, o.OverloadWindow = between(100*milli, time.Minute), between(100*milli, 10*time.Second)
 	if rng.IntN(6) == 0 {
 		o.WarmUp = 0
 	}
 	o.OverloadFactor, o.InitialCapacity = 1.5+3*rng.Float64(), 0.1+0.8*rng.Float64()
-	cfg.ClientsMarkRetries, cfg.WeightByWork, cfg.OverQuotaWeight = rng.IntN(2) == 0, rng.IntN(3) == 0, rng.Float64()
+	cfg.ClientsMarkRetries = rng.IntN(2) == 0
+	cfg.WeightByWork = rng.IntN(3) == 0
+	cfg.OverQuotaWeight = rng.Float64()
 	cfg.Weights = decision.WeightKind(rng.IntN(3))
 	cfg.ObjectiveWeights = decision.ObjectiveWeights{Overall: rng.Float64(), WorstClass: rng.Float64(),
 		WorstTenant: rng.Float64(), WorstWindow: rng.Float64()}
--- a/decision/model_test.go
+++ b/decision/model_test.go
@@ -10,6 +10,11 @@
 
 // model states the four rules and the health of backends for one proxy, as simply as can be: it records what happened
 // and looks through all of it each time. It uses the interface of the package under test and none of its code.
+//
+//   - Rule 1: each request gets one final answer, in time.
+//   - Rule 2: a request that may have run is repeated only as its class allows, and rejected only if that is harmless.
+//   - Rule 3: a backend that drains, left or is detached gets nothing new.
+//   - Rule 4: a backend that warms up gets no more work than it can bear.
 type model struct {
 	config     decision.Config
 	now        time.Duration
@@ -24,7 +29,7 @@
 	drainGraceOnly bool
 }
 
-// modelBackend is what this proxy was told of a backend, and what health checks said.
+// modelBackend is what the list and the health checks said of a backend.
 type modelBackend struct {
 	decision.Backend
 	notReadySince            time.Duration // if it is not ready
@@ -49,6 +54,9 @@
 	result     decision.Result
 }
 
+// succeeded reports whether an attempt was answered.
+func (a *modelAttempt) succeeded() bool { return a.done && a.result == decision.OK }
+
 // backendLoads is what all proxies together sent to each backend, and what each can serve.
 type backendLoads struct {
 	speed map[decision.BackendID]float64 // ms of work in a ms, once warm
@@ -99,7 +107,9 @@
 			continue
 		}
 		if s.State == decision.Removed { // it is new or back: healthy until checks say otherwise
-			s.unhealthy, s.passes, s.fails = false, 0, 0
+			s.unhealthy = false
+			s.passes = 0
+			s.fails = 0
 		}
 		if s.State == decision.Ready && e.State != decision.Ready {
 			s.notReadySince = m.now
@@ -190,17 +200,17 @@
 		m.violation("rule 2", "request %d to %d: %s", id, to, why)
 	}
 	if away := m.now - s.notReadySince; s.State != decision.Ready && away > m.config.Constraints.DrainGrace {
-		m.violation("rule 3", "send to %d, %v after it was told to drain or gone", to, away)
+		m.violation("rule 3", "send to %d, %v after it was listed as draining or gone", to, away)
 	} else if s.State != decision.Ready && !m.drainGraceOnly {
 		m.violation("listed", "send to %d, which is not listed as ready", to)
 	}
 	if m.detached[to] {
-		m.violation("rule 3", "send to %d, which is out by hand", to)
+		m.violation("rule 3", "send to %d, which is detached", to)
 	}
 	if s.unhealthy {
 		for _, o := range m.servers {
 			if o.State == decision.Ready && !o.unhealthy && !m.detached[o.ID] && m.forbids(r, o.Zone, o.Cell) == "" {
-				m.violation("health", "send to %d, which fails its probes, while %d is well", to, o.ID)
+				m.violation("health", "send to %d, which fails its checks, while %d is healthy", to, o.ID)
 				break
 			}
 		}
@@ -234,7 +244,7 @@
 }
 
 // final takes a rejection or a failure.
-func (m *model) final(id decision.RequestID, refused bool) {
+func (m *model) final(id decision.RequestID, rejected bool) {
 	r := m.byID[id]
 	if r == nil {
 		m.violation("rule 1", "an answer to request %d, which nobody sent", id)
@@ -247,8 +257,8 @@
 	harmless := c.Idempotency == decision.Idempotent || c.Idempotency == decision.IdempotentByKey &&
 		c.DeduplicationScope == decision.ScopeAll
 	for n, t := range r.attempts {
-		if refused && !harmless && !neverRan(t) {
-			m.violation("rule 2", "request %d is refused though attempt %d may have run", id, n)
+		if rejected && !harmless && !neverRan(t) {
+			m.violation("rule 2", "request %d is rejected though attempt %d may have run", id, n)
 		}
 	}
 	r.ended = true
@@ -260,17 +270,17 @@
 	}
 }
 
-func (m *model) probe(id decision.BackendID) {
+func (m *model) checkHealth(id decision.BackendID) {
 	s := m.servers[id]
 	switch {
 	case m.drainGraceOnly:
 	case s == nil || s.State != decision.Ready || m.detached[id]:
-		m.violation("rule 3", "a probe of %d, which is not listed as ready or is out by hand", id)
+		m.violation("rule 3", "a check of %d, which is not listed as ready or is detached", id)
 		return
 	case s.checkInFlight:
-		m.violation("health", "two probes of %d at once", id)
+		m.violation("health", "two checks of %d at once", id)
 	case !m.config.Capabilities.HealthChecks:
-		m.violation("listed", "a probe where none is allowed")
+		m.violation("listed", "a check where none is allowed")
 	}
 	if s != nil {
 		s.checkInFlight = true
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -94,11 +94,13 @@
 		b, h := newBalancer(t, testConfig(), 2)
 		only := b.targets[0]
 		only.nextCheck, b.targets[1].nextCheck = time.Hour, time.Hour
-		b.now, only.lastSuccess, b.checkBudget = second+2*milli, c.lastOK, 1
+		b.now = second + 2*milli
+		only.lastSuccess = c.lastOK
+		b.checkBudget = 1
 		b.recordAttemptHealth(&attempt{request: &request{}, target: only, waitingSince: second}, Timeout)
 		b.startDueHealthChecks()
 		if asked := len(h.take("check")) > 0; asked != c.asks {
-			t.Errorf("%s: probed is %v", c.name, asked)
+			t.Errorf("%s: checked is %v", c.name, asked)
 		}
 	}
 }
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -41,7 +41,9 @@
 	cfg.KeyAffinity = true
 	b, _ := newBalancer(t, cfg, 50)
 	b.sharedLimit.ceiling = 0
-	b.sharedLimit.averageLoad, b.sharedLimit.load, b.sharedLimit.averagedAt = 1, 1, b.now
+	b.sharedLimit.averageLoad = 1
+	b.sharedLimit.load = 1
+	b.sharedLimit.averagedAt = b.now
 	for id := range RequestID(200) {
 		b.Request(b.now, Request{ID: id + 1, Class: idempotent, Deadline: b.now + 3*second})
 	}
@@ -129,7 +131,7 @@
 				b.Timer(at, dispatchToken)
 			}
 			if got := h.take("send", "reject", "fail"); len(got) != 1 || got[0].verb != "reject" {
-				t.Errorf("%s, class %d: %v, want one refusal", name, class, got)
+				t.Errorf("%s, class %d: %v, want one rejection", name, class, got)
 			}
 		}
 	}
--- a/decision/selection_test.go
+++ b/decision/selection_test.go
@@ -29,7 +29,7 @@
 	}
 	b.Timer(second+200*milli, dispatchToken)
 	if late := h.take("send"); len(late) != 1 || own[late[0].to] {
-		t.Errorf("after a fifth of the aim, with room elsewhere: %v", late)
+		t.Errorf("after a fifth of the objective, with capacity elsewhere: %v", late)
 	}
 }
 
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -6,7 +6,9 @@
 func TestHeavyRequestNeedsSlowStartTokens(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	only.lastStart, b.meanWork, only.slowStartTokens = second, 100, 0.1
+	only.lastStart = second
+	b.meanWork = 100
+	only.slowStartTokens = 0.1
 	if !b.slowStartAllows(only, 150) {
 		t.Error("a usual request may go alone")
 	}
@@ -31,7 +33,9 @@
 func TestLightRequestTakesWholeSlowStartToken(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	b.meanWork, only.lastStart, only.slowStartTokens = 50, second, 2
+	b.meanWork = 50
+	only.lastStart = second
+	only.slowStartTokens = 2
 	sent := 0
 	for i := range 50 {
 		r := &request{Request: Request{ID: RequestID(i), ExpectedWork: milli, Deadline: 4 * second}, arrived: second,
--- a/decision/snapshot_test.go
+++ b/decision/snapshot_test.go
@@ -64,8 +64,8 @@
 		if b.targetsByID[3].healthy != c.healthy || cold != c.cold {
 			t.Errorf("%s: healthy %v, cold %v", c.name, b.targetsByID[3].healthy, cold)
 		}
-		if part := b.requestRate() / old.requestRate(); part < c.least || part > c.mostRate {
-			t.Errorf("%s: the rate is %.2f of the one before", c.name, part)
+		if share := b.requestRate() / old.requestRate(); share < c.least || share > c.mostRate {
+			t.Errorf("%s: the rate is %.2f of the one before", c.name, share)
 		}
 		if c.age >= 0 {
 			if want, got := old.expectedLatency(idempotent, 0), b.expectedLatency(idempotent,
--- a/decision/validate_test.go
+++ b/decision/validate_test.go
@@ -37,17 +37,22 @@
 	}
 }
 
-// Weights out of range are no reason to refuse: they are brought to it, and the caller's settings stay as they are.
+// Weights out of range are no error: they are brought to it, and the caller's settings stay as they are.
 func TestWeightsAreNormalized(t *testing.T) {
 	cfg := testConfig()
 	cfg.ObjectiveWeights = ObjectiveWeights{Overall: -1}
-	cfg.Rank, cfg.Zone, cfg.OverQuotaWeight = -3, 99, math.Inf(1)
+	cfg.Rank = -3
+	cfg.Zone = 99
+	cfg.OverQuotaWeight = math.Inf(1)
 	cfg.Penalties.WastedWork = -1
-	cfg.Classes[0].PriorityWeight, cfg.Classes[0].LateValueShare, cfg.Classes[0].ObjectivePerWork = math.NaN(), -0.5,
-		1e300
+	cfg.Classes[0].PriorityWeight = math.NaN()
+	cfg.Classes[0].LateValueShare = -0.5
+	cfg.Classes[0].ObjectivePerWork = 1e300
 	cfg.Classes[1].LatencyObjective, cfg.Classes[1].ClientTimeout = time.Minute, time.Second
 	cfg.Tenants = []Tenant{{Name: "a", Share: 7, QuotaPerSecond: math.Inf(1)}, {Name: "a", Share: -1}}
-	cfg.Constraints.InitialCapacity, cfg.Constraints.OverloadWindow, cfg.Constraints.WarmUp = 34, 0, math.MaxInt64
+	cfg.Constraints.InitialCapacity = 34
+	cfg.Constraints.OverloadWindow = 0
+	cfg.Constraints.WarmUp = math.MaxInt64
 	cfg.Capabilities.MaxAttempts = math.MaxInt32
 	b, err := New(cfg, 1, &recorder{})
 	if err != nil {
