--- a/decision/activeset.go
+++ b/decision/activeset.go
@@ -18,7 +18,7 @@
 // its own zone and elsewhere, as it has requests in a part of the check interval. The order stays as others
 // come and go. It also sets the span over which measurements decay, which follows the request rate.
 func (b *Balancer) selectActive() {
-	// Hours of silence in the mean would hide the rate of the morning from thousands of requests.
+	// A long silence in the mean would hide the present rate for thousands of requests.
 	for b.now-b.countedSince > maxRateSpan {
 		b.decayRequestRate()
 	}
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -33,8 +33,9 @@
 	// limitUtilization is the share of a limit that must be in use for it to grow.
 	limitUtilization = 0.6
 
-	// An unused limit sinks to limitHeadroom times the mean load. One below its initial value rises to it
-	// limitRecoveryFactor times as slowly. Both take averagingIntervals check intervals to fade to 1/e.
+	// An unused limit sinks until its part for requests of little gain is limitHeadroom times the mean load.
+	// One below its initial value rises to it limitRecoveryFactor times as slowly. The difference sinks to
+	// 1/e in averagingIntervals check intervals.
 	limitHeadroom       = 1.5
 	limitRecoveryFactor = 4
 	averagingIntervals  = decayIntervals
@@ -140,8 +141,8 @@
 }
 
 // adjustLimits learns how much may be in flight from whether an attempt takes its usual time. It is called
-// at the end of an attempt and, with Cancelled, by each sweep while it is in flight: a crowded server
-// answers all late, so its limit must not wait for the answers.
+// at the end of an attempt and, with Cancelled, by each sweep while it is in flight: an overloaded
+// server answers all late, so its limit must not wait for the answers.
 func (b *Balancer) adjustLimits(a *attempt, result Result) {
 	for i := range a.reservations {
 		u := &a.reservations[i]
@@ -177,7 +178,7 @@
 
 // usesSharedLimit reports whether there is a limit for all backends beside each one's own. A proxy whose part
 // of an initial limit is under one request sees too little of each backend to learn in time that all are
-// crowded.
+// overloaded.
 func (b *Balancer) usesSharedLimit() bool { return b.config.Instances > sharedLimitInstances }
 
 // sharedLimitReached reports whether the mean load reaches the limit for all backends. With few in flight the
--- a/decision/latency.go
+++ b/decision/latency.go
@@ -77,8 +77,8 @@
 }
 
 // latencyRatio is the smoothed latency of a target as a multiple of what is expected of any backend.
-// Attempts in flight count with their age, so silence shows at once. Unmeasured, it is the median of its
-// zone's, or of the others.
+// Attempts in flight count with their age, so silence shows at once. Unmeasured, it is the median of the
+// targets of the own zone, or of those elsewhere, whichever it is one of.
 func (b *Balancer) latencyRatio(t *target) float64 {
 	age := max(0, millis(b.now)*t.inverseExpected-t.sentOverExpected)
 	sum := t.ratioSum.decay(b.now, b.decaySpan)
@@ -161,18 +161,18 @@
 
 // learnArrival takes a request into the overall means of work and latency.
 func (b *Balancer) learnArrival(r *request) {
-	// Over the whole span from the first on, that one would stand for hundreds, and a proxy that has just
-	// started would shed whatever earns less.
+	// Averaged over meanRequests from the first on, the first would stand for hundreds, and a proxy that has
+	// just started would shed whatever earns less.
 	b.meanSamples = min(b.meanSamples+1, meanRequests)
 	b.meanWork = movingAverage(b.meanWork, b.workOf(r), b.meanSamples)
 	b.meanLatency = movingAverage(b.meanLatency, b.expectedFor(r), b.meanSamples)
 }
 
-// meanRequestWork is the mean work of a request in ms; inMeanRequests is how many such a request counts
-// for. None counts for less than one: a work budget alone lets small requests through, and handshakes are
-// work too.
+// meanRequestWork is the mean work of a request in ms.
 func (b *Balancer) meanRequestWork() float64 { return max(b.meanWork, minLatency) }
 
+// inMeanRequests is how many requests of mean work a request of so many ms counts for, at least one: a work
+// budget alone lets small requests through, and handshakes are work too.
 func (b *Balancer) inMeanRequests(work float64) float64 { return max(work/b.meanRequestWork(), 1) }
 
 // decayOverSweep is what a sweep leaves of sums that decay over a span.
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// queueCapacity is how many requests may wait: this proxy's part of those that all targets together start
-// with.
+// queueCapacity is how many requests may wait at this proxy. Of many proxies each holds its part only: their
+// queues together must not grow with their number.
 func (b *Balancer) queueCapacity() int {
 	instances := b.config.Instances
 	return queuedPerTarget * (len(b.active) + 1) * min(initialLimit, instances) / instances
--- a/decision/request.go
+++ b/decision/request.go
@@ -50,6 +50,7 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.done })
 }
 
+// wasAttempted reports whether an attempt of a request went to a target.
 func wasAttempted(r *request, t *target) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.target == t })
 }
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -12,6 +12,7 @@
 	brokenAttemptCost = 0.4
 )
 
+// refillRetryBudget adds what one request earns for retries.
 func (b *Balancer) refillRetryBudget() {
 	b.retryBudget = min(b.retryBudget+b.config.RetryBudgetRatio, maxRetryBudget)
 }
@@ -29,7 +30,8 @@
 	return 1
 }
 
-// retryOrEnd queues a request whose only attempt has ended without an answer for a retry, or gives it up.
+// retryOrEnd queues a request for a retry, or gives it up, after its last attempt in flight has ended
+// without an answer.
 func (b *Balancer) retryOrEnd(a *attempt, o Outcome) {
 	r := a.request
 	price := retryPrice(a, o.Result)
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -84,7 +84,7 @@
 // hasAffinity reports whether a request goes to its key's own targets.
 func (b *Balancer) hasAffinity(r *request) bool { return b.config.KeyAffinity && r.Key != 0 }
 
-// expectedDelay is what targets are compared by: the time that a request waits for, in multiples of what is
+// expectedDelay is what targets are compared by: the latency at the present load, in multiples of what is
 // expected of any backend.
 func (b *Balancer) expectedDelay(r *request, t *target) float64 {
 	return (t.limit.load + 1) * b.latencyRatio(t) * b.lossFactor(t, r.Class)
--- a/decision/timers.go
+++ b/decision/timers.go
@@ -10,12 +10,16 @@
 	timerAttempt   = 3
 	timerDispatch  = 4
 
-	timerKindShift           = 56
-	timerAttemptShift        = 32
-	timerAttemptMask         = 0xff
-	sweepToken        uint64 = timerSweep << timerKindShift
-	endpointsToken    uint64 = timerEndpoints << timerKindShift
-	dispatchToken     uint64 = timerDispatch << timerKindShift
+	timerKindShift    = 56
+	timerAttemptShift = 32
+	timerAttemptMask  = 0xff
+)
+
+// The tokens of timers that need nothing but their kind.
+const (
+	sweepToken     uint64 = timerSweep << timerKindShift
+	endpointsToken uint64 = timerEndpoints << timerKindShift
+	dispatchToken  uint64 = timerDispatch << timerKindShift
 )
 
 // sweepsPerInterval is how many sweeps there are in a check interval.
--- a/decision/valuation.go
+++ b/decision/valuation.go
@@ -18,7 +18,7 @@
 	minOffered = 1e-9
 )
 
-// tally is the weight that is offered and the weight that is served, both decaying.
+// tally is the value that is offered and the value that is served, both decaying.
 type tally struct{ offered, served float64 }
 
 func (t *tally) servedShare() float64 {
@@ -74,11 +74,19 @@
 func (b *Balancer) updateTallies(r *request, change func(*tally)) {
 	change(&b.totalTally)
 	change(&b.tallyByClass[r.Class])
-	if r.Tenant >= 0 && r.Tenant < len(b.tallyByTenant) {
-		change(&b.tallyByTenant[r.Tenant])
+	if t := b.tenantTally(r); t != nil {
+		change(t)
 	}
 }
 
+// tenantTally is the tally of a request's tenant, nil if it has none.
+func (b *Balancer) tenantTally(r *request) *tally {
+	if r.Tenant < 0 || r.Tenant >= len(b.tallyByTenant) {
+		return nil
+	}
+	return &b.tallyByTenant[r.Tenant]
+}
+
 func (b *Balancer) decayTallies(keep float64) {
 	b.totalTally.decay(keep)
 	for i := range b.tallyByClass {
@@ -90,18 +98,16 @@
 }
 
 // marginalGain is what serving a request now adds to the objective for each ms of its work: its part of all
-// weight, and of its class's and its tenant's if these are served worst, times the chance that the answer
-// comes in time.
+// offered value, and of its class's and its tenant's if these are served worst, times the share of it that it
+// is expected to earn.
 func (b *Balancer) marginalGain(r *request) float64 {
 	weights := &b.config.ObjectiveWeights
 	gain := r.partOf(&b.totalTally, weights.Overall+weights.WorstWindow)
 	if t := &b.tallyByClass[r.Class]; isWorstServed(t, b.tallyByClass, worstTolerance) {
 		gain += r.partOf(t, weights.WorstClass)
 	}
-	i := r.Tenant
-	if i >= 0 && i < len(b.tallyByTenant) && isWorstServed(&b.tallyByTenant[i], b.tallyByTenant,
-		worstTolerance) {
-		gain += r.partOf(&b.tallyByTenant[i], weights.WorstTenant) * (1 - r.overQuota)
+	if t := b.tenantTally(r); t != nil && isWorstServed(t, b.tallyByTenant, worstTolerance) {
+		gain += r.partOf(t, weights.WorstTenant) * (1 - r.overQuota)
 	}
 	return gain * b.chanceInTime(r) / b.workOf(r)
 }
