--- a/internal/consensus/storage/frozen_test.go
+++ b/internal/consensus/storage/frozen_test.go
@@ -22,7 +22,7 @@
 
 // The frozen store was written by the code of commit c8fad44 with
 //
-//	FREEZE_STORE=1 go test ./internal/consensus/store -run TestWriteFrozenStore
+//	FREEZE_STORE=1 go test ./internal/consensus/storage -run TestFrozenRecords
 //
 // It must never be written again: it stands for the stores of running stewards. frozenRecords lists its records.
 const (
@@ -115,10 +115,8 @@
 	return all
 }
 
-func TestWriteFrozenStore(t *testing.T) {
-	if os.Getenv("FREEZE_STORE") == "" {
-		t.Skip("the frozen store is kept as it is")
-	}
+func writeFrozenStore(t *testing.T) {
+	t.Helper()
 	if err := os.MkdirAll("testdata", 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +147,6 @@
 	if err := os.WriteFile(frozenRecords, []byte(strings.Join(records(t, frozenStore), "\n")+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%+v", state)
 }
 
 func frozenCopy(t *testing.T) string {
@@ -166,6 +163,9 @@
 }
 
 func TestFrozenRecords(t *testing.T) {
+	if os.Getenv("FREEZE_STORE") != "" {
+		writeFrozenStore(t)
+	}
 	data, err := os.ReadFile(frozenRecords)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/client/codes.go
+++ b/internal/controlplane/client/codes.go
@@ -1,6 +1,7 @@
 package client
 
-// Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
+// Codes of this package's errors in messages between processes. A code stays as it is when its type gets another
+// name.
 
 // Code is the name of the error in messages between processes.
 func (WorkerCrashedError) Code() string { return "fleetlink.DutyDied" }
--- /dev/null
+++ b/internal/controlplane/client/errors.go
@@ -0,0 +1,73 @@
+package client
+
+import (
+	"fmt"
+)
+
+// FloorsNotPersistedError tells that the floors of a proxy can't be kept on disk. It requests no leases then, and
+// goes on with what it holds.
+type FloorsNotPersistedError struct{ Err error }
+
+// Error implements error.
+func (e FloorsNotPersistedError) Error() string {
+	return fmt.Sprintf("floors can't be kept: %v", e.Err)
+}
+
+// Unwrap returns the cause.
+func (e FloorsNotPersistedError) Unwrap() error { return e.Err }
+
+// Advice implements operatorerror.Error.
+func (FloorsNotPersistedError) Advice() string {
+	return "See that the folder that the fleet's file names as state is there, has room and may be written; " +
+		"what is damaged in it may be removed while no proxy of that name runs: it is told its floors anew."
+}
+
+// WorkerCrashedError tells that a worker has panicked. Another was started.
+type WorkerCrashedError struct{ Cause string }
+
+// Error implements error.
+func (e WorkerCrashedError) Error() string { return "a duty of the fleet's died: " + e.Cause }
+
+// Advice implements operatorerror.Error.
+func (WorkerCrashedError) Advice() string {
+	return "It was begun anew; file the log line with its cause. " +
+		"If it goes on, serve without --fleet until it is mended."
+}
+
+// WorkerStalledError tells that a worker is stuck. Another was started.
+type WorkerStalledError struct {
+	// For is how long it has made no progress.
+	For fmt.Stringer
+}
+
+// Error implements error.
+func (e WorkerStalledError) Error() string {
+	return fmt.Sprintf("a duty of the fleet's has not moved for %v", e.For)
+}
+
+// Advice implements operatorerror.Error.
+func (WorkerStalledError) Advice() string {
+	return "Look at the disk that holds the state folder and at the machine's load; " +
+		"another duty was begun in its place."
+}
+
+// PolicyNotInstalledError tells that this proxy could not install a policy that it was offered. It goes on with the
+// one before.
+type PolicyNotInstalledError struct {
+	Epoch uint64
+	Err   error
+}
+
+// Error implements error.
+func (e PolicyNotInstalledError) Error() string {
+	return fmt.Sprintf("the policy of epoch %d was not taken up: %v", e.Epoch, e.Err)
+}
+
+// Unwrap returns the cause.
+func (e PolicyNotInstalledError) Unwrap() error { return e.Err }
+
+// Advice implements operatorerror.Error.
+func (PolicyNotInstalledError) Advice() string {
+	return "The proxy goes on as before. If services are missing, enter them in its file of services and have it " +
+		"read again; it tries by itself each time that it reports. The roll-out waits meanwhile."
+}
--- a/internal/controlplane/client/frozen_test.go
+++ b/internal/controlplane/client/frozen_test.go
@@ -19,7 +19,7 @@
 
 // frozenDir holds the files that a proxy of name p1 keeps, as the code of commit c8fad44 writes them; made with
 //
-//	FREEZE_KEPT=1 go test ./internal/fleetlink -run TestWriteFrozenFiles
+//	FREEZE_KEPT=1 go test ./internal/controlplane/client -run TestFrozenFilesAreWrittenTheSame
 //
 // They must never be written again: they stand for the files of running proxies.
 const frozenDir = "testdata/c8fad44"
@@ -35,9 +35,9 @@
 func frozenContents(t *testing.T) (one, two policyContent) {
 	t.Helper()
 	for i, c := range []*policyContent{&one, &two} {
-		text := policyOf([]string{"one", "two"}[i])
+		text := policyText([]string{"one", "two"}[i])
 		var err error
-		if *c, err = contentFromText(offerOf(1, uint64(5+i), text), text); err != nil {
+		if *c, err = contentFromText(textVersion(1, uint64(5+i), text), text); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -48,24 +48,14 @@
 	t.Helper()
 	one, two := frozenContents(t)
 	k := newPolicyStore(dir, "p1")
-	older := textRecord{Offer: offerOf(1, 4, policyOf("older")), Text: policyOf("older")}
-	c := newClaim(filepath.Join(dir, "floors-p1"), "p1")
-	err := errors.Join(k.textFile.Save(older), k.save(one), k.save(two), c.save(9, frozenFloors(), func() bool { return true }))
+	older := textRecord{Offer: textVersion(1, 4, policyText("older")), Text: policyText("older")}
+	c := newFloorClaim(filepath.Join(dir, "floors-p1"), "p1")
+	err := errors.Join(k.textFile.Save(older), k.save(one), k.save(two), c.save(9, frozenFloors(), always))
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestWriteFrozenFiles(t *testing.T) {
-	if os.Getenv("FREEZE_KEPT") == "" {
-		t.Skip("the frozen files are kept as they are")
-	}
-	if err := os.MkdirAll(frozenDir, 0o700); err != nil {
-		t.Fatal(err)
-	}
-	writeFrozenFiles(t, frozenDir)
-}
-
 // frozenFiles gives a copy of them.
 func frozenFiles(t *testing.T) string {
 	t.Helper()
@@ -77,6 +67,12 @@
 }
 
 func TestFrozenFilesAreWrittenTheSame(t *testing.T) {
+	if os.Getenv("FREEZE_KEPT") != "" {
+		if err := os.MkdirAll(frozenDir, 0o700); err != nil {
+			t.Fatal(err)
+		}
+		writeFrozenFiles(t, frozenDir)
+	}
 	dir := t.TempDir()
 	writeFrozenFiles(t, dir)
 	for _, name := range []string{"floors-p1", "pieces-p1", "policy-p1"} {
@@ -92,7 +88,7 @@
 }
 
 func TestGoOnFromFrozenFloors(t *testing.T) {
-	c := newClaim(filepath.Join(frozenFiles(t), "floors-p1"), "p1")
+	c := newFloorClaim(filepath.Join(frozenFiles(t), "floors-p1"), "p1")
 	version, floors, err := c.load()
 	if err != nil || version != 9 || !reflect.DeepEqual(floors, frozenFloors()) {
 		t.Fatalf("%d, %+v, %v", version, floors, err)
@@ -104,7 +100,7 @@
 	defer c.release()
 	delete(floors, "held")
 	for version, want := range []uint64{9, 10} { // 9 is kept already
-		if err := c.save(uint64(version)+9, floors, func() bool { return true }); err != nil {
+		if err := c.save(uint64(version)+9, floors, always); err != nil {
 			t.Fatal(err)
 		}
 		if got, _, err := c.load(); err != nil || got != want {
@@ -121,14 +117,16 @@
 	_, two := frozenContents(t)
 	k := newPolicyStore(dir, "p1")
 	got, loose, err := k.load()
-	if err != nil || len(loose) > 0 || got.offer != (rollout.Version{Generation: 1, Epoch: 6, Hash: two.hash}) || got.hash != two.hash ||
-		!slices.EqualFunc(slices.Collect(got.tree.Items()), slices.Collect(two.tree.Items()), func(a, b merkle.Item) bool {
-			return a.Key == b.Key && bytes.Equal(a.Value, b.Value)
-		}) {
+	want := rollout.Version{Generation: 1, Epoch: 6, Hash: two.hash}
+	if err != nil || len(loose) > 0 || got.offer != want || got.hash != two.hash {
 		t.Fatalf("%+v, %d loose, %v", got, len(loose), err)
 	}
-	text := policyOf("three")
-	three, err := contentFromText(offerOf(2, 3, text), text)
+	sameItem := func(a, b merkle.Item) bool { return a.Key == b.Key && bytes.Equal(a.Value, b.Value) }
+	if !slices.EqualFunc(slices.Collect(got.tree.Items()), slices.Collect(two.tree.Items()), sameItem) {
+		t.Fatalf("the content is %v", slices.Collect(got.tree.Items()))
+	}
+	text := policyText("three")
+	three, err := contentFromText(textVersion(2, 3, text), text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,21 +134,23 @@
 	if err := k.save(three); err != nil || k.journal.Size() <= before {
 		t.Fatalf("%v: %d bytes after %d", err, k.journal.Size(), before)
 	}
-	if got, _, err := newPolicyStore(dir, "p1").load(); err != nil || got.offer != three.offer || got.tree.Root() != three.tree.Root() {
+	got, _, err = newPolicyStore(dir, "p1").load()
+	if err != nil || got.offer != three.offer || got.tree.Root() != three.tree.Root() {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
-// A release before pieces kept a text.
+// Earlier releases kept a text.
 func TestGoOnFromFrozenText(t *testing.T) {
 	dir := frozenFiles(t)
 	if err := os.Remove(filepath.Join(dir, "pieces-p1")); err != nil {
 		t.Fatal(err)
 	}
-	p := NewPolicyClient(Config{File: file(dir, "127.0.0.1:1"), ProxyName: "p1"}, func(*InstalledPolicy) error { return nil })
+	p := NewPolicyClient(testConfig(dir), acceptAll)
 	p.Restore()
-	if want := offerOf(1, 4, policyOf("older")); p.Current().Offer != want || p.Current().Policy.Hash() != want.Hash {
-		t.Errorf("%+v, want %+v", p.Current(), want)
+	want := textVersion(1, 4, policyText("older"))
+	if current := p.Current(); current.Offer != want || current.Policy.Hash() != want.Hash {
+		t.Errorf("%+v, want %+v", current, want)
 	}
 	older := durable.File{Path: filepath.Join(dir, "policy-p1"), Kind: "lapisspread-policy", Form: 1}
 	var kept struct {
@@ -160,8 +160,11 @@
 		}
 		Text []byte
 	}
-	if err := older.Load(&kept); err != nil || kept.Offer.Order != 1 || kept.Offer.Epoch != 4 || !bytes.Equal(kept.Text, policyOf("older")) {
-		t.Errorf("%+v, %v", kept, err)
+	if err := older.Load(&kept); err != nil {
+		t.Fatal(err)
+	}
+	if kept.Offer.Order != 1 || kept.Offer.Epoch != 4 || !bytes.Equal(kept.Text, policyText("older")) {
+		t.Errorf("%+v", kept)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "pieces-p1")); !errors.Is(err, fs.ErrNotExist) {
 		t.Error(err)
