--- a/cmd/lapisspread/fleet.go
+++ b/cmd/lapisspread/fleet.go
@@ -4,21 +4,18 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"log/slog"
-	"net"
+	"io"
 	"net/http"
-	"os"
-	"os/signal"
-	"syscall"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/controlplane/api"
-	"lapisspread/internal/controlplane/server"
-	"lapisspread/internal/lograte"
 )
 
+// setRetryInterval is the time between two attempts of "fleet set --wait".
+const setRetryInterval = 200 * time.Millisecond
+
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "fleet",
@@ -26,60 +23,81 @@
 		Args:  noArguments,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
-	c.AddCommand(&cobra.Command{
-		Use:   "check FILE",
-		Short: "Tell whether a fleet's file is good, with the charter and the namespaces that it names, or what is wrong",
-		Args:  oneFile,
+	c.AddCommand(
+		fleetCheckCommand(),
+		bootstrapCommand(),
+		setQuotasCommand(),
+		statusCommand(),
+		ownershipCommand(),
+		offerCommand(),
+		policyCommand(),
+		rollbackCommand(),
+		stopCommand(),
+	)
+	return c
+}
+
+// printf writes to an operator's terminal. A terminal that is gone needs no answer.
+func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
+
+// withFleet loads a fleet's file and calls do. It appends the advice to an error of do.
+func withFleet(path string, do func(fleet *api.Config, client *http.Client) error) error {
+	fleet, err := api.Load(path)
+	if err != nil {
+		return err
+	}
+	keys, err := fleet.LoadTLSKeys()
+	if err != nil {
+		return err
+	}
+	client := &http.Client{Transport: api.NewTransport(keys)}
+	defer client.CloseIdleConnections()
+	return api.WithAdvice(do(fleet, client))
+}
+
+func fleetCheckCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "check FILE",
+		Short: "Tell whether a fleet's file is good, with the charter and the namespaces that it names, " +
+			"or what is wrong",
+		Args: oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := api.Load(args[0])
+			path := args[0]
+			fleet, err := api.Load(path)
 			if err != nil {
 				return err
 			}
-			held, err := f.CheckNamespaces()
+			findings, err := fleet.CheckNamespaces()
 			if err != nil {
 				return api.WithAdvice(err)
 			}
-			for _, text := range held {
-				fmt.Fprintln(cmd.OutOrStdout(), text)
+			for _, text := range findings {
+				printf(cmd.OutOrStdout(), "%s\n", text)
 			}
-			if len(held) > 0 {
-				return fmt.Errorf("%s: %d of what it names is held back or at odds", args[0], len(held))
+			if len(findings) > 0 {
+				return fmt.Errorf("%s: %d of what it names is held back or at odds", path, len(findings))
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %s\n", args[0], f.Summary())
+			printf(cmd.OutOrStdout(), "%s: good: %s\n", path, fleet.Summary())
 			return nil
 		},
-	})
-	c.AddCommand(foundCommand(), setCommand(), statusCommand(), charterCommand(), offerCommand(), policyCommand(), backCommand(), stopCommand())
-	return c
-}
-
-// withFleet loads a fleet's file, and tells an error with what an operator can do about it.
-func withFleet(path string, do func(f *api.Config, client *http.Client) error) error {
-	f, err := api.Load(path)
-	if err != nil {
-		return err
-	}
-	keys, err := f.LoadTLSKeys()
-	if err != nil {
-		return err
 	}
-	client := &http.Client{Transport: api.NewTransport(keys)}
-	defer client.CloseIdleConnections()
-	return api.WithAdvice(do(f, client))
 }
 
-func foundCommand() *cobra.Command {
+func bootstrapCommand() *cobra.Command {
 	var epoch uint64
 	c := &cobra.Command{
-		Use:   "found FILE",
-		Short: "Have all stewards begin the fleet, or begin it anew under a higher epoch: nothing is granted for the longest lease",
-		Args:  oneFile,
+		Use: "found FILE",
+		Short: "Have all stewards begin the fleet, or begin it anew under a higher epoch: " +
+			"nothing is granted for the longest lease",
+		Args: oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *api.Config, client *http.Client) error {
-				if err := f.Bootstrap(cmd.Context(), client, epoch); err != nil {
+			return withFleet(args[0], func(fleet *api.Config, client *http.Client) error {
+				if err := fleet.Bootstrap(cmd.Context(), client, epoch); err != nil {
 					return err
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "fleet %q is founded under epoch %d; budgets can be set %v after a steward leads\n", f.Fleet, epoch, time.Duration(f.MaxLifetime))
+				printf(cmd.OutOrStdout(),
+					"fleet %q is founded under epoch %d; budgets can be set %v after a steward leads\n",
+					fleet.Fleet, epoch, time.Duration(fleet.MaxLifetime))
 				return nil
 			})
 		},
@@ -88,30 +106,35 @@
 	return c
 }
 
-func setCommand() *cobra.Command {
+func setQuotasCommand() *cobra.Command {
 	var version uint64
-	var gone []string
+	var removedHolders []string
 	var wait time.Duration
 	c := &cobra.Command{
 		Use:   "set FILE",
 		Short: "Have the stewards divide the budgets of this file from now on",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *api.Config, client *http.Client) error {
-				v, err := f.SetQuotas(cmd.Context(), client, version, gone)
-				for end := time.Now().Add(wait); err != nil && time.Now().Before(end); v, err = f.SetQuotas(cmd.Context(), client, version, gone) {
-					time.Sleep(200 * time.Millisecond)
+			return withFleet(args[0], func(fleet *api.Config, client *http.Client) error {
+				deadline := time.Now().Add(wait)
+				set, err := fleet.SetQuotas(cmd.Context(), client, version, removedHolders)
+				for err != nil && time.Now().Before(deadline) {
+					time.Sleep(setRetryInterval)
+					set, err = fleet.SetQuotas(cmd.Context(), client, version, removedHolders)
 				}
-				if err == nil {
-					fmt.Fprintf(cmd.OutOrStdout(), "%d budgets are set, version %d\n", len(f.Quotas), v)
+				if err != nil {
+					return err
 				}
-				return err
+				printf(cmd.OutOrStdout(), "%d budgets are set, version %d\n", len(fleet.Quotas), set)
+				return nil
 			})
 		},
 	}
-	c.Flags().Uint64Var(&version, "version", 0, "of the budgets, above all that were ever used; 0 is one above what the stewards know")
+	c.Flags().Uint64Var(&version, "version", 0,
+		"of the budgets, above all that were ever used; 0 is one above what the stewards know")
 	c.Flags().DurationVar(&wait, "wait", 0, "try for so long, such as until the time after a founding is over")
-	c.Flags().StringSliceVar(&gone, "gone", nil, "proxies whose floors nobody will ever spend again: your word")
+	c.Flags().StringSliceVar(&removedHolders, "gone", nil,
+		"proxies whose floors nobody will ever spend again: your word")
 	return c
 }
 
@@ -121,27 +144,14 @@
 		Short: "Tell how each steward stands and what is out of each budget",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFleet(args[0], func(f *api.Config, client *http.Client) error {
-				all, errs := f.ServerStatuses(cmd.Context(), client)
-				out := cmd.OutOrStdout()
-				for i, s := range all {
+			return withFleet(args[0], func(fleet *api.Config, client *http.Client) error {
+				statuses, errs := fleet.ServerStatuses(cmd.Context(), client)
+				for i := range statuses {
 					if errs[i] != nil {
-						fmt.Fprintf(out, "%s: no answer\n", f.Servers[i].Name)
+						printf(cmd.OutOrStdout(), "%s: no answer\n", fleet.Servers[i].Name)
 						continue
 					}
-					fmt.Fprintf(out, "%s: epoch %d, %s, leader %q, term %d, applied %d, budgets at version %d\n",
-						s.Name, s.Epoch, cmp.Or(s.Role, "not founded"), s.LeaderName, s.Term, s.Applied, s.ConfigVersion)
-					if s.Epoch > 0 && s.QuotasUnset {
-						fmt.Fprintf(out, "%s: nothing is granted: no budgets are set\n", s.Name)
-					}
-					if s.Fault.Message != "" {
-						fmt.Fprintf(out, "%s: out: %s; %s\n", s.Name, s.Fault.Message, s.Fault.Help)
-					}
-					if s.Name == s.LeaderName {
-						for _, b := range s.Quotas {
-							fmt.Fprintf(out, "budget %s: %.6g of %.6g a second is out\n", b.Name, b.Granted, b.Limit)
-						}
-					}
+					printServerStatus(cmd.OutOrStdout(), &statuses[i])
 				}
 				return errors.Join(errs...)
 			})
@@ -149,55 +159,20 @@
 	}
 }
 
-func stewardCommand() *cobra.Command {
-	var file, name, state, listen string
-	c := &cobra.Command{
-		Use:   "steward",
-		Short: "Divide a fleet's budgets, with the other stewards, until SIGTERM",
-		Args:  noArguments,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if file == "" || name == "" || state == "" {
-				return usageError{errors.New("steward: --fleet, --name and --state are all needed")}
-			}
-			f, err := api.Load(file)
-			if err != nil {
-				return err
-			}
-			return api.WithAdvice(runSteward(cmd, f, name, state, listen))
-		},
+func printServerStatus(out io.Writer, status *api.ServerStatus) {
+	printf(out, "%s: epoch %d, %s, leader %q, term %d, applied %d, budgets at version %d\n",
+		status.Name, status.Epoch, cmp.Or(status.Role, "not founded"), status.LeaderName,
+		status.Term, status.Applied, status.ConfigVersion)
+	if status.Epoch > 0 && status.QuotasUnset {
+		printf(out, "%s: nothing is granted: no budgets are set\n", status.Name)
 	}
-	c.Flags().StringVar(&file, "fleet", "", "the fleet's file")
-	c.Flags().StringVar(&name, "name", "", "which of its stewards this is")
-	c.Flags().StringVar(&state, "state", "", "a folder for its log, that nobody else writes in")
-	c.Flags().StringVar(&listen, "listen", "", "where to listen; the address in the file if left out")
-	return c
-}
-
-func runSteward(cmd *cobra.Command, f *api.Config, name, state, listen string) error {
-	own, err := f.Server(name)
-	if err != nil {
-		return err
+	if status.Fault.Message != "" {
+		printf(out, "%s: out: %s; %s\n", status.Name, status.Fault.Message, status.Fault.Help)
 	}
-	if err := os.MkdirAll(state, 0o700); err != nil {
-		return err
+	if status.Name != status.LeaderName {
+		return
 	}
-	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	writer := lograte.New(os.Stderr)
-	defer writer.Close()
-	log := slog.New(slog.NewTextHandler(writer, nil)).With("steward", name)
-	listener, err := net.Listen("tcp", cmp.Or(listen, own.Address))
-	if err != nil {
-		return err
-	}
-	s, err := server.New(server.Config{Fleet: f, Name: name, StateDir: state, Logger: log})
-	if err != nil {
-		listener.Close()
-		return err
-	}
-	if err := s.Run(ctx, listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		return err
+	for _, quota := range status.Quotas {
+		printf(out, "budget %s: %.6g of %.6g a second is out\n", quota.Name, quota.Granted, quota.Limit)
 	}
-	log.Info("ended")
-	return nil
 }
--- a/cmd/lapisspread/main.go
+++ b/cmd/lapisspread/main.go
@@ -60,7 +60,7 @@
 		RunE:          func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	root.AddCommand(serveCommand(), configCommand(), routesCommand(), admissionCommand(), diameterCommand(), comebackCommand(), fleetCommand(), stewardCommand(), versionCommand())
+	root.AddCommand(serveCommand(), configCommand(), routesCommand(), admissionCommand(), diameterCommand(), comebackCommand(), fleetCommand(), fleetServerCommand(), versionCommand())
 	return root
 }
 
