--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -48,7 +48,7 @@
 	tallyByClass    []tally
 	tallyByTenant   []tally
 	trafficByTenant []decayingSum // requests
-	meanGain        float64       // marginal gain of a request as it comes, times the weight that all offer
+	meanGain        float64       // marginal gain of a request as it comes, times the value that all offer
 	meanDensity     float64       // gain of a request for each ms that it is open, times the same
 
 	// Limits and budgets.
--- a/decision/config.go
+++ b/decision/config.go
@@ -47,7 +47,7 @@
 	QuotaPerSecond float64 // requests a second within its share, over all proxies; 0 is no quota
 }
 
-// ObjectiveWeights weigh the parts of what is to be maximised: the share of the offered weight that is
+// ObjectiveWeights weigh the parts of what is to be maximised: the share of the offered value that is
 // served.
 type ObjectiveWeights struct {
 	Overall     float64 // over all requests
