--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// Fail has the server take no part any more, as when its store can't be written. Only the first call counts. All
+// Fail has the server stop taking part, as when its store can't be written. Only the first call counts. All
 // pending requests end with the error.
 func (c *Core) Fail(err error) {
 	if c.failure != nil {
@@ -171,7 +171,7 @@
 	}
 }
 
-// Err is why the server takes no part any more; nil is that it does.
+// Err returns why the server has stopped taking part; nil while it takes part.
 func (c *Core) Err() error { return c.failure }
 
 // Tick is called once for each interval of time that has passed.
@@ -182,7 +182,7 @@
 	defer c.recoverPanic(&err)
 	c.elapsedTicks++
 	if !c.config.skipStoreChecks && c.elapsedTicks%c.config.ElectionTicks == 0 {
-		// After the silence too: a peer that starts late may still show that the store was put back.
+		// After the silence too: a peer that starts late may still show that the store was rolled back.
 		c.queryVersions()
 	}
 	if c.silent {
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// ReportUnreachable tells that a message to a peer was not delivered.
+// ReportUnreachable reports that a message to a peer was not delivered.
 func (c *Core) ReportUnreachable(peer uint64) {
 	if c.failure == nil {
 		c.raft.ReportUnreachable(peer)
--- a/internal/consensus/digestchain.go
+++ b/internal/consensus/digestchain.go
@@ -9,11 +9,12 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// maxTermRuns bounds the terms with commands that a snapshot names. Older ones are not known any more.
+// maxTermRuns bounds the terms with commands that a snapshot names. Older ones are no longer known.
 const maxTermRuns = 1024
 
 // termRun is what remains of a term's entries once they are compacted. Term and Nonce together name one leader,
-// which writes each entry once; the term alone does not once a store was put back. It is part of stored snapshots.
+// which writes each entry once; the term alone does not once a store was rolled back. It is part of stored
+// snapshots.
 type termRun struct {
 	_     struct{} `cbor:",toarray"`
 	Term  uint64
@@ -30,7 +31,7 @@
 }
 
 // digestChain holds a digest of the log up to each entry. Raft takes entries of equal index and term for the same;
-// two leaders of one term, which a store that was put back makes possible, break that, and the digests show it. A
+// two leaders of one term, which a store that was rolled back makes possible, break that, and the digests show it. A
 // digest has 64 bits of xxh3: it finds faults, not attacks. It is computed from the entries, so that only snapshots
 // store one.
 type digestChain struct {
@@ -119,7 +120,7 @@
 	c.base = index
 }
 
-// containsLastRun tells whether the last command of own is among those of runs. It is also true if own has none.
+// containsLastRun reports whether the last command of own is among those of runs. It is also true if own has none.
 func containsLastRun(runs, own []termRun) bool {
 	if len(own) == 0 {
 		return true
--- a/internal/consensus/digestcheck.go
+++ b/internal/consensus/digestcheck.go
@@ -21,8 +21,8 @@
 		}
 		return c.checkEntries(m)
 	case pb.MsgHeartbeat:
-		// A heartbeat tells that what this server has acknowledged is committed. If its store was put back since,
-		// it may hold another entry there.
+		// A heartbeat reports that what this server has acknowledged is committed. If its store was rolled back
+		// since, it may hold another entry there.
 		if m.Raft.GetTerm() >= term && c.differsAt(m) {
 			return c.failWithConflict("entry %d is not the one that steward %d has committed", m.DigestIndex, m.From)
 		}
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// differsAt tells whether both servers know the digest at the message's index, and the two differ.
+// differsAt reports whether both servers know the digest at the message's index, and the two differ.
 func (c *Core) differsAt(m Message) bool {
 	_, own, ok := c.digests.lookup(m.DigestIndex)
 	return m.DigestIndex > 0 && ok && own != m.Digest
@@ -64,7 +64,7 @@
 	}
 }
 
-// failWithConflict has the server take no part any more.
+// failWithConflict has the server stop taking part.
 func (c *Core) failWithConflict(format string, args ...any) error {
 	c.Fail(LogConflictError{fmt.Sprintf(format, args...)})
 	return c.failure
@@ -116,10 +116,10 @@
 	return m
 }
 
-// recordDigests takes the entries that are about to be written into the chain, and tells whether they truncate the
+// recordDigests takes the entries that are about to be written into the chain, and reports whether they truncate the
 // log below what this server has acknowledged.
 //
-// Raft truncates without asking, which is right as long as no store is put back. Once one was, a leader may be
+// Raft truncates without asking, which is right as long as no store is rolled back. Once one was, a leader may be
 // elected that lacks acknowledged entries, and a majority may have committed with that acknowledgement. A server
 // that has lost one must not acknowledge another in its place while a lease that the first one granted is in force
 // (docs/fleet-budgets-design.md, 7).
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -38,7 +38,7 @@
 // that steps down answers all pending requests with UndecidedError: the entry may still be committed by its
 // successor.
 //
-// # Stores that are put back
+// # Stores that are rolled back
 //
 // Raft is correct only while no server forgets what it has written. An operator may still restore a server's disk
 // from an older copy, and that server would then vote twice in a term, or acknowledge an entry and lose it. Three
@@ -56,6 +56,10 @@
 //     leases that a majority committed with its acknowledgement. It is silent until the longest of those leases has
 //     ended. See docs/fleet-budgets-design.md, section 7.
 //
+// # Names
+//
+// The texts of errors are read by operators, whose pages call the control-plane servers stewards.
+//
 // The election timeout is randomized from crypto/rand within the library: a run that must repeat itself seeds that
 // (testing/cryptotest).
 package consensus
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -39,7 +39,7 @@
 		"or send it again if it bears being carried out twice."
 }
 
-// NoQuorumError tells that no majority has agreed within the caller's time: the command may still be carried out.
+// NoQuorumError reports that no majority has agreed within the caller's time: the command may still be carried out.
 type NoQuorumError struct {
 	// Active is the number of voters that answered lately, this server included.
 	Active int
@@ -59,7 +59,7 @@
 		"If the stores of a majority are lost for good, found the fleet anew under a higher epoch."
 }
 
-// QueueFullError tells that as many requests are pending as may be: this one was not taken.
+// QueueFullError reports that as many requests are pending as may be: this one was not taken.
 type QueueFullError struct {
 	// Limit is the number of requests that may be pending.
 	Limit int
@@ -75,7 +75,7 @@
 	return "Ask again later and less often; if it goes on, see what slows the stewards' disks or links."
 }
 
-// CommandTooLargeError tells that a command is larger than the log takes: it was not taken.
+// CommandTooLargeError reports that a command is larger than the log takes: it was not taken.
 type CommandTooLargeError struct {
 	// Size and Limit are in bytes.
 	Size  int
@@ -95,7 +95,7 @@
 type SilentError struct {
 	// UnconfirmedPeers are the voters that have not confirmed the store.
 	UnconfirmedPeers []uint64
-	// Truncated tells that the silence is one after a truncation.
+	// Truncated reports whether the silence is one after a truncation.
 	Truncated bool
 }
 
@@ -118,8 +118,8 @@
 	return "Start the stewards that are missing; without them this one takes part after the silence that is set."
 }
 
-// StoreRolledBackError tells that a peer has seen this server write what its store does not hold: an older copy was
-// put back, or the store was lost. The server takes no part any more.
+// StoreRolledBackError reports that a peer has seen this server write what its store does not hold: an older copy
+// was put back, or the store was lost. The server stops taking part.
 type StoreRolledBackError struct {
 	// Witness is the peer that has seen a newer version.
 	Witness uint64
@@ -161,7 +161,7 @@
 		"and that none runs on a store of before the founding anew."
 }
 
-// LogConflictError tells that this server's log contradicts itself or what another server holds. This server takes
+// LogConflictError reports that this server's log contradicts itself or what another server holds. This server takes
 // no part any more.
 type LogConflictError struct {
 	Reason string
--- a/internal/consensus/frozen_test.go
+++ b/internal/consensus/frozen_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// The digests of the code of commit c8fad44: stewards compare them, and snapshots keep them.
+// The digests of the code of commit c8fad44: servers compare them, and snapshots keep them.
 func TestFrozenDigests(t *testing.T) {
 	entry := func(index uint64, kind pb.EntryType, data string) *pb.Entry {
 		return &pb.Entry{Index: new(index), Term: new(uint64(3)), Type: kind.Enum(), Data: []byte(data)}
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -13,7 +13,7 @@
 	MessageVersionQuery
 	// MessageVersionReply answers a MessageVersionQuery, or any message of a store that is behind.
 	MessageVersionReply
-	// MessageDigestMismatch tells that the receiver has acknowledged an entry that is not the leader's.
+	// MessageDigestMismatch reports that the receiver has acknowledged an entry that is not the leader's.
 	MessageDigestMismatch
 )
 
--- a/internal/consensus/node/frozen_test.go
+++ b/internal/consensus/node/frozen_test.go
@@ -14,12 +14,12 @@
 	"lapisspread/internal/consensus"
 )
 
-// frozenMessages are messages between stewards as the code of commit c8fad44 writes them, in hexadecimal, one
+// frozenMessages are messages between servers as the code of commit c8fad44 writes them, in hexadecimal, one
 // request a line; made with
 //
 //	FREEZE_MESSAGES=1 go test ./internal/consensus/node -run TestFrozenMessages
 //
-// They must never be written again: they stand for the messages of stewards that run an older program.
+// They must never be written again: they stand for the messages of servers that run an older program.
 const frozenMessages = "testdata/c8fad44.messages"
 
 // frozenRequests are what the kept requests hold.
--- a/internal/consensus/node/requests.go
+++ b/internal/consensus/node/requests.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// isTransient tells whether a request that was not taken may be taken here later: no leader is known, or the server
-// is silent.
+// isTransient reports whether a request that was not taken may be taken here later: no leader is known, or the
+// server is silent.
 func isTransient(err error) bool {
 	var notLeader consensus.NotLeaderError
 	if errors.As(err, &notLeader) && notLeader.Leader == 0 {
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -40,12 +40,12 @@
 	return ready, true
 }
 
-// hasOutput tells whether there is anything for a round besides what the library has.
+// hasOutput reports whether there is anything for a round besides what the library has.
 func (c *Core) hasOutput() bool {
 	return len(c.outbox) > 0 || c.syncNeeded || c.unsavedSnapshot != nil || len(c.replies) > 0
 }
 
-// takeRaftReady takes what the library has ready, and tells whether it truncates the log below what was
+// takeRaftReady takes what the library has ready, and reports whether it truncates the log below what was
 // acknowledged.
 func (c *Core) takeRaftReady() (raftReady *raft.Ready, truncated bool) {
 	var err error
--- a/internal/consensus/rollback_test.go
+++ b/internal/consensus/rollback_test.go
@@ -28,7 +28,7 @@
 	return slices.ContainsFunc(n.disk.Entries, func(e *pb.Entry) bool { return bytes.HasSuffix(e.GetData(), command) })
 }
 
-// A follower acknowledges an entry, its message is late, and its store is put back to before. No other node has
+// A follower acknowledges an entry, its message is late, and its store is rolled back. No other node has
 // seen the message, so that all confirm the store. Then it arrives, and must not count: nobody but the leader holds
 // the entry.
 func TestLateReplyOfFormerIncarnationIsIgnored(t *testing.T) {
@@ -86,7 +86,7 @@
 }
 
 // A leader that has replied to a command has the version of the follower whose acknowledgement that rests on on
-// disk: if the follower's store is put back while the leader is down, the leader still shows it.
+// disk: if the follower's store is rolled back while the leader is down, the leader still shows it.
 func TestWitnessPersistsVersionBeforeReplying(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/consensus/silence.go
+++ b/internal/consensus/silence.go
@@ -88,11 +88,11 @@
 	return nil
 }
 
-// observeVersion remembers the version that a message bears of its sender's store, and tells whether the message
+// observeVersion remembers the version that a message bears of its sender's store, and reports whether the message
 // counts.
 func (c *Core) observeVersion(m Message) bool {
-	known, met := c.peerVersions[m.From]
-	if !met && len(c.peerVersions) >= maxPeerVersions {
+	known, isKnown := c.peerVersions[m.From]
+	if !isKnown && len(c.peerVersions) >= maxPeerVersions {
 		return false
 	}
 	sender := m.SenderVersion
@@ -112,7 +112,7 @@
 		}
 		return true
 	case sender.isBehind(known):
-		// A late message of a former start, or a store that was put back: the sender is told, and the message
+		// A late message of a former start, or a store that was rolled back: the sender is told, and the message
 		// dropped.
 		if m.Kind != MessageVersionReply {
 			c.replyVersion(m, known)
--- a/internal/consensus/simulation_faults_test.go
+++ b/internal/consensus/simulation_faults_test.go
@@ -28,7 +28,7 @@
 		n.pausedUntil = until
 	case draw < 24:
 		s.loss = []float64{0, .05, .3}[s.rng.IntN(3)]
-	case draw < 60: // a copy of a store, which may be put back later
+	case draw < 60: // a copy of a store, which may be restored later
 		if n := s.anyNode(); len(n.copies) < 40 {
 			n.copies = append(n.copies, n.disk)
 		}
--- a/internal/consensus/simulation_run_test.go
+++ b/internal/consensus/simulation_run_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// recovered tells whether commands of the operations after a number of them were acknowledged.
+// recovered reports whether commands of the operations after a number of them were acknowledged.
 func (s *simulation) recovered(before int) bool {
 	for _, n := range s.nodes {
 		if n.core == nil {
@@ -78,7 +78,7 @@
 	s.calm = true
 	s.leader()
 	s.steps(10)
-	order := s.rng.Perm(len(s.nodes)) // the node whose store is put back, a minority that is away, and the rest
+	order := s.rng.Perm(len(s.nodes)) // the node whose store is rolled back, a minority that is away, and the rest
 	rolledBack := s.nodes[order[0]]
 	away := order[1 : 1+len(s.nodes)/2]
 	copied := rolledBack.disk
--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -30,7 +30,7 @@
 	deferWitnessWrites       bool
 	skipTruncationSilence    bool
 	skipDigestChecks         bool
-	restoreOldStore          bool // a fault: an older store is put back
+	restoreOldStore          bool // a fault: a store is rolled back
 	partitionWitnesses       bool // a fault: the nodes that know a newer store are away for longer than the silence
 }
 
@@ -60,7 +60,7 @@
 	machine     *numberList
 	compared    int // commands applied when they were last compared with the other nodes'
 	disk        State
-	copies      []State // of disk, that may be put back
+	copies      []State // of disk, that may be restored
 	writing     *Ready
 	writtenAt   int
 	pausedUntil int
@@ -92,7 +92,7 @@
 	loss        float64           // the part of the messages that is lost
 	operations  []*operation
 	mutations   mutations
-	rolledBack  uint64   // the node whose store was put back
+	rolledBack  uint64   // the node whose store was rolled back
 	longest     []uint64 // the longest list that a node has applied
 	grants      []liveGrant
 	hideCommits bool // nobody hears what is committed
@@ -140,7 +140,7 @@
 	}
 }
 
-// coreFailed takes an error of a core. It is a violation if the core takes no part any more without a fault that
+// coreFailed takes an error of a core. It is a violation if the core stops taking part without a fault that
 // calls for it.
 func (s *simulation) coreFailed(n *simulatedNode, err error) {
 	if errors.As(err, &StoreRolledBackError{}) && n.id == s.rolledBack {
@@ -211,7 +211,7 @@
 	n.inbox = n.inbox[:0]
 }
 
-// send tells whether a message goes on its way. Some go twice, and some late.
+// send reports whether a message goes on its way. Some go twice, and some late.
 func (s *simulation) send(m Message) bool {
 	if len(s.inTransit) > maxInTransit {
 		return false
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -15,7 +15,7 @@
 	WriteSeq uint64 `cbor:"Seq"`
 }
 
-// isBehind tells whether a store of this version lacks what a peer that knows the other version has seen of it.
+// isBehind reports whether a store of this version lacks what a peer that knows the other version has seen of it.
 func (v StoreVersion) isBehind(known StoreVersion) bool {
 	if known == (StoreVersion{}) {
 		return false
@@ -27,7 +27,7 @@
 	return v.Incarnation == known.Incarnation && v.Nonce != known.Nonce
 }
 
-// sameIncarnation tells whether both are versions of one start of one store.
+// sameIncarnation reports whether both are versions of one start of one store.
 func (v StoreVersion) sameIncarnation(o StoreVersion) bool {
 	return v.StoreID == o.StoreID && v.Incarnation == o.Incarnation && v.Nonce == o.Nonce
 }
@@ -41,7 +41,7 @@
 	// Entries follow the snapshot.
 	Entries      []*pb.Entry
 	PeerVersions map[uint64]StoreVersion
-	// TruncationSilence tells that the silence after a truncation had not ended.
+	// TruncationSilence reports whether the silence after a truncation had not ended.
 	TruncationSilence bool
 	// AcknowledgedIndex is an entry up to which the server has at least acknowledged the log.
 	AcknowledgedIndex uint64
@@ -55,7 +55,7 @@
 	HardState *pb.HardState
 	// Snapshot replaces the stored one and removes the entries up to its index; nil leaves both.
 	Snapshot *pb.Snapshot
-	// ReplaceLog tells that the snapshot came from another server: it removes all entries.
+	// ReplaceLog reports whether the snapshot came from another server: it removes all entries.
 	ReplaceLog bool
 	// Entries replace the stored ones from the first one's index on.
 	Entries []*pb.Entry
@@ -65,11 +65,11 @@
 	TruncationSilence *bool
 	// AcknowledgedIndex replaces the stored one; 0 leaves it.
 	AcknowledgedIndex uint64
-	// Sync tells that the batch must outlive a power failure before Core.Advance is called.
+	// Sync reports whether the batch must outlive a power failure before Core.Advance is called.
 	Sync bool
 }
 
-// Empty tells whether there is nothing to write.
+// Empty reports whether there is nothing to write.
 func (b *Batch) Empty() bool {
 	return b.HardState == nil && b.Snapshot == nil && len(b.Entries) == 0 && len(b.PeerVersions) == 0 &&
 		b.TruncationSilence == nil && b.AcknowledgedIndex == 0
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -26,7 +26,7 @@
 	Role string
 	// UnconfirmedPeers are the voters that have not confirmed the store; set while the server is silent.
 	UnconfirmedPeers []uint64
-	// TruncationSilence tells that the server is silent since a truncation of its log.
+	// TruncationSilence reports whether the server is silent since a truncation of its log.
 	TruncationSilence bool
 	// Truncations counts the truncations below what was acknowledged, since the start.
 	Truncations int
@@ -39,7 +39,7 @@
 	Learners     []uint64
 	// PendingRequests is the number of commands and reads without a Reply.
 	PendingRequests int
-	// Err is why the server takes no part any more; nil is that it does.
+	// Err is why the server has stopped taking part; nil while it takes part.
 	Err error
 }
 
--- a/internal/consensus/step.go
+++ b/internal/consensus/step.go
@@ -8,7 +8,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// acknowledges tells whether a message grants a vote or acknowledges entries.
+// acknowledges reports whether a message grants a vote or acknowledges entries.
 func (m Message) acknowledges() bool {
 	if m.Kind != MessageRaft || m.Raft.GetReject() {
 		return false
@@ -25,7 +25,7 @@
 }
 
 // Step takes a message of another server. An error tells why the message was dropped: FleetMismatchError,
-// SilentError, one of the Raft library, or what Err returns too, after which the server takes no part any more.
+// SilentError, one of the Raft library, or what Err returns too, after which the server stops taking part.
 func (c *Core) Step(m Message) (err error) {
 	switch {
 	case c.failure != nil:
--- a/internal/consensus/storage/errors.go
+++ b/internal/consensus/storage/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// MissingError tells that there is no store. None is made unless an operator says so.
+// MissingError reports that there is no store. None is made unless an operator says so.
 type MissingError struct{ Path string }
 
 // Error implements error.
@@ -13,7 +13,7 @@
 	return "Found the fleet if it is new; if this steward's store was lost, have it join anew under a new number."
 }
 
-// LockedError tells that another process has the store open.
+// LockedError reports that another process has the store open.
 type LockedError struct{ Path string }
 
 // Error implements error.
@@ -26,7 +26,7 @@
 	return "Stop the steward that runs already, or give this one a store of its own."
 }
 
-// FleetMismatchError tells that the store is of another fleet, or of another epoch of this one.
+// FleetMismatchError reports that the store is of another fleet, or of another epoch of this one.
 type FleetMismatchError struct {
 	Path, Fleet string
 	Epoch       uint64
@@ -42,7 +42,7 @@
 	return "Name the store of this fleet; one of before a founding anew is put away."
 }
 
-// NodeMismatchError tells that the store is of another server.
+// NodeMismatchError reports that the store is of another server.
 type NodeMismatchError struct {
 	Path string
 	ID   uint64
@@ -58,7 +58,7 @@
 	return "Name this steward's own store; a copy of another's makes no new one."
 }
 
-// NewerFormatError tells that a newer program has written the store.
+// NewerFormatError reports that a newer program has written the store.
 type NewerFormatError struct {
 	Path   string
 	Format uint64
@@ -73,7 +73,7 @@
 // Advice implements operatorerror.Error.
 func (NewerFormatError) Advice() string { return "Run the newer version of the program." }
 
-// DamagedError tells that the store can't be read.
+// DamagedError reports that the store can't be read.
 type DamagedError struct{ Path, Reason string }
 
 // Error implements error.
@@ -87,7 +87,7 @@
 		"as a learner with an empty store."
 }
 
-// DiskFullError tells that a write found no room. What was written before is complete.
+// DiskFullError reports that a write found no room. What was written before is complete.
 type DiskFullError struct {
 	Path string
 	Err  error
--- a/internal/consensus/storage/frozen_test.go
+++ b/internal/consensus/storage/frozen_test.go
@@ -24,7 +24,7 @@
 //
 //	FREEZE_STORE=1 go test ./internal/consensus/storage -run TestFrozenRecords
 //
-// It must never be written again: it stands for the stores of running stewards. frozenRecords lists its records.
+// It must never be written again: it stands for the stores of running servers. frozenRecords lists its records.
 const (
 	frozenStore   = "testdata/c8fad44.store"
 	frozenRecords = "testdata/c8fad44.records"
--- a/internal/consensus/storage/storage.go
+++ b/internal/consensus/storage/storage.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// isDiskFull tells whether the system had no room for a write. bbolt passes on the text alone when its file can't
+// isDiskFull reports whether the system had no room for a write. bbolt passes on the text alone when its file can't
 // grow.
 func isDiskFull(err error) bool {
 	for _, cause := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG} {
--- a/internal/controlplane/client/bucket.go
+++ b/internal/controlplane/client/bucket.go
@@ -88,7 +88,7 @@
 // close has no unit be taken any more.
 func (b *bucket) close() { b.emptyAt.Store(closedBucket) }
 
-// sameAs tells whether both are of one lease.
+// sameAs reports whether both are of one lease.
 func (b *bucket) sameAs(o *bucket) bool {
 	return b.token == o.token && b.incarnation == o.incarnation && b.expiresAt == o.expiresAt &&
 		b.nanosPerUnit == o.nanosPerUnit && b.capacity == o.capacity
--- a/internal/controlplane/client/connection.go
+++ b/internal/controlplane/client/connection.go
@@ -96,7 +96,7 @@
 	return c.generation
 }
 
-// isCurrent tells whether no other worker was started since a generation.
+// isCurrent reports whether no other worker was started since a generation.
 func (c *connection) isCurrent(generation uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/client/demand.go
+++ b/internal/controlplane/client/demand.go
@@ -42,7 +42,7 @@
 // since is the time since the last measurement.
 func (d *demandMeter) since(now time.Duration) time.Duration { return now - d.measuredAt }
 
-// surged tells whether the demand has risen so much that the next request should not wait.
+// surged reports whether the demand has risen so much that the next request should not wait.
 func (d *demandMeter) surged(now time.Duration) bool {
 	since := d.since(now)
 	if since < minRequestInterval {
--- a/internal/controlplane/client/errors.go
+++ b/internal/controlplane/client/errors.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// FloorsNotPersistedError tells that the floors of a proxy can't be kept on disk. It requests no leases then, and
+// FloorsNotPersistedError reports that the floors of a proxy can't be kept on disk. It requests no leases then, and
 // goes on with what it holds.
 type FloorsNotPersistedError struct{ Err error }
 
@@ -22,7 +22,7 @@
 		"what is damaged in it may be removed while no proxy of that name runs: it is told its floors anew."
 }
 
-// WorkerCrashedError tells that a worker has panicked. Another was started.
+// WorkerCrashedError reports that a worker has panicked. Another was started.
 type WorkerCrashedError struct{ Cause string }
 
 // Error implements error.
@@ -34,7 +34,7 @@
 		"If it goes on, serve without --fleet until it is mended."
 }
 
-// WorkerStalledError tells that a worker is stuck. Another was started.
+// WorkerStalledError reports that a worker is stuck. Another was started.
 type WorkerStalledError struct {
 	// For is how long it has made no progress.
 	For fmt.Stringer
@@ -51,8 +51,8 @@
 		"another duty was begun in its place."
 }
 
-// PolicyNotInstalledError tells that this proxy could not install a policy that it was offered. It goes on with the
-// one before.
+// PolicyNotInstalledError reports that this proxy could not install a policy that it was offered. It goes on with
+// the one before.
 type PolicyNotInstalledError struct {
 	Epoch uint64
 	Err   error
--- a/internal/controlplane/client/fetcher.go
+++ b/internal/controlplane/client/fetcher.go
@@ -129,16 +129,16 @@
 	return nil
 }
 
-// isMalformed tells whether what the servers have can't be put together, so that no further chunk helps.
+// isMalformed reports whether what the servers have can't be put together, so that no further chunk helps.
 func isMalformed(err error) bool {
 	var malformed merkle.Malformed
 	return errors.As(err, &malformed)
 }
 
-// canFetch tells whether something is being fetched and a server may be asked for it now.
+// canFetch reports whether something is being fetched and a server may be asked for it now.
 func (f *fetcher) canFetch() bool { return f.target != nil && f.selectServer() }
 
-// selectServer moves on to a server that may be asked now, and tells whether there is one.
+// selectServer moves on to a server that may be asked now, and reports whether there is one.
 func (f *fetcher) selectServer() bool {
 	now := f.client.clock()
 	for range f.retryAt {
--- a/internal/controlplane/client/policyclient.go
+++ b/internal/controlplane/client/policyclient.go
@@ -204,7 +204,7 @@
 	return installed, nil
 }
 
-// unreadableError tells that content has the offered hash and is no policy.
+// unreadableError reports that content has the offered hash and is no policy.
 type unreadableError struct{ error }
 
 // Unwrap returns the cause.
--- a/internal/controlplane/client/policystore.go
+++ b/internal/controlplane/client/policystore.go
@@ -180,7 +180,7 @@
 }
 
 // save keeps a policy, unless another process of this name has kept a newer one. In the mean it writes as much as
-// changed. It does not wait: errSaveInProgress tells that another save is under way.
+// changed. It does not wait: errSaveInProgress reports that another save is under way.
 func (s *policyStore) save(content policyContent) error {
 	if !s.mu.TryLock() {
 		return errSaveInProgress
@@ -227,7 +227,7 @@
 	return nil
 }
 
-// keepsNewer tells whether another process has kept a version that the offer does not go before.
+// keepsNewer reports whether another process has kept a version that the offer does not go before.
 func (s *policyStore) keepsNewer(offer rollout.Version) bool {
 	if s.journal.Same() {
 		return false
--- a/internal/controlplane/client/policyworker.go
+++ b/internal/controlplane/client/policyworker.go
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// awaitsRetry tells whether a version was rejected as unreadable, and is not to be fetched again yet.
+// awaitsRetry reports whether a version was rejected as unreadable, and is not to be fetched again yet.
 func (r *rejectedPolicy) awaitsRetry(version rollout.Version, now time.Duration) bool {
 	return r != nil && r.offer == version && r.tree == nil && now < r.retryAt
 }
--- a/internal/controlplane/client/quotaworker.go
+++ b/internal/controlplane/client/quotaworker.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// requestDue tells whether it is time to request leases: regularly, at once if demand has surged, and never before
+// requestDue reports whether it is time to request leases: regularly, at once if demand has surged, and never before
 // the end of the backoff after a failure.
 func (w *quotaWorker) requestDue() bool {
 	now := w.client.clock()
@@ -273,7 +273,7 @@
 	return nil
 }
 
-// isForeignReply tells whether a reply was for another fleet or process, or of an earlier epoch: another server is
+// isForeignReply reports whether a reply was for another fleet or process, or of an earlier epoch: another server is
 // called then.
 func isForeignReply(err error) bool {
 	return errors.As(err, &quotalease.FleetMismatchError{}) || errors.As(err, &quotalease.HolderMismatchError{}) ||
--- a/internal/controlplane/client/servicequotas.go
+++ b/internal/controlplane/client/servicequotas.go
@@ -72,7 +72,7 @@
 	return index, index >= 0
 }
 
-// covers tells whether an attempt draws on the quota.
+// covers reports whether an attempt draws on the quota.
 func (q *coveringQuota) covers(class, tenant int, first bool) bool {
 	if q.class != anyIndex && q.class != class || q.tenant != anyIndex && q.tenant != tenant {
 		return false
--- a/internal/controlplane/client/status.go
+++ b/internal/controlplane/client/status.go
@@ -21,7 +21,7 @@
 	Proxy string `json:"proxy"`
 	// Server is the address of the server that answered last.
 	Server string `json:"steward"`
-	// FloorsClaimed tells that this process holds the claim to the floors of its name.
+	// FloorsClaimed reports whether this process holds the claim to the floors of its name.
 	FloorsClaimed bool   `json:"floors_claimed"`
 	ConfigVersion uint64 `json:"budgets_version"`
 	Requests      int64  `json:"asks"`
