--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -285,25 +285,25 @@
 
 func bookOf(_ context.Context, r *rig, routes int) ([]is, error) {
 	tenants := routes * targetTenants / targetRoutes
-	var b *store.Book
+	var b *store.StateMachine
 	number := 1
 	var err error
 	offer := func() {
 		number++
-		if bad := b.Apply(store.Command{Offer: &store.Offer{Text: teamFile(0, number, min(100, routes), routes, tenants)}}); bad != nil {
+		if bad := b.Apply(store.Command{SubmitFile: &store.SubmitFile{Text: teamFile(0, number, min(100, routes), routes, tenants)}}); bad != nil {
 			err = bad
 		}
 	}
 	bytes := heapOf(func() any {
 		charter, files := teams(routes, tenants)
 		b = store.New(0)
-		err = b.Apply(store.Command{Charter: &store.Charter{Text: charter}})
+		err = b.Apply(store.Command{SetDeclaration: &store.SetDeclaration{Text: charter}})
 		for _, text := range files {
 			if err == nil {
-				err = b.Apply(store.Command{Offer: &store.Offer{Text: text}})
+				err = b.Apply(store.Command{SubmitFile: &store.SubmitFile{Text: text}})
 			}
 		}
-		for range store.MostKept {
+		for range store.MaxRetainedPolicies {
 			if err == nil {
 				offer()
 			}
--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -48,7 +48,7 @@
 		if _, err := namespace.ParseCharter(path, text); err != nil { // here the error has the file's name
 			return api.WithAdvice(err)
 		}
-		command := store.Command{Charter: &store.Charter{Text: string(text), By: *author}}
+		command := store.Command{SetDeclaration: &store.SetDeclaration{Text: string(text), Author: *author}}
 		return withFleet(args[0], func(fleet *api.Config, client *http.Client) error {
 			return sendPolicyCommand(cmd, fleet, client, command)
 		})
@@ -94,7 +94,7 @@
 	if _, err := namespace.Parse(path, text); err != nil {
 		return err
 	}
-	command := store.Command{Offer: &store.Offer{Text: string(text), By: author}}
+	command := store.Command{SubmitFile: &store.SubmitFile{Text: string(text), Author: author}}
 	return fleet.SendPolicyCommand(cmd.Context(), client, command)
 }
 
@@ -110,7 +110,7 @@
 		if *epoch == 0 {
 			return usageError{errors.New("back: --epoch is needed")}
 		}
-		command := store.Command{Back: &store.Back{Epoch: *epoch, By: *author}}
+		command := store.Command{Rollback: &store.Rollback{Epoch: *epoch, Author: *author}}
 		return withFleet(args[0], func(fleet *api.Config, client *http.Client) error {
 			return sendPolicyCommand(cmd, fleet, client, command)
 		})
@@ -147,14 +147,14 @@
 				return err
 			}
 			policy := &status.Policy
-			if policy.Base.Epoch == 0 {
+			if policy.Active.Epoch == 0 {
 				return errors.New("stop: no policy is in force yet, to go back to: " +
 					"offer the files that the train shall have instead")
 			}
-			if policy.Next.Epoch == 0 && len(policy.Gathered) == 0 {
+			if policy.Candidate.Epoch == 0 && len(policy.Queued) == 0 {
 				return showPolicy(cmd, fleet, client)
 			}
-			command := store.Command{Back: &store.Back{Epoch: policy.Base.Epoch, By: *author}}
+			command := store.Command{Rollback: &store.Rollback{Epoch: policy.Active.Epoch, Author: *author}}
 			return sendPolicyCommand(cmd, fleet, client, command)
 		})
 	}
--- a/cmd/lapisspread/policy_status.go
+++ b/cmd/lapisspread/policy_status.go
@@ -36,13 +36,13 @@
 	if !status.IsLeader {
 		printf(out, "no steward leads: this is what one that follows knows\n")
 	}
-	printf(out, "in force: epoch %d, root %.12s; kept: %v\n", policy.Base.Epoch, policy.Base.Hash, policy.Kept)
-	if policy.Next.Epoch > 0 {
+	printf(out, "in force: epoch %d, root %.12s; kept: %v\n", policy.Active.Epoch, policy.Active.Hash, policy.RetainedEpochs)
+	if policy.Candidate.Epoch > 0 {
 		printf(out, "train: epoch %d, root %.12s, with %s\n",
-			policy.Next.Epoch, policy.Next.Hash, describeChanges(policy.Train))
+			policy.Candidate.Epoch, policy.Candidate.Hash, describeChanges(policy.Batch))
 	}
-	if len(policy.Gathered) > 0 {
-		printf(out, "wait for the next train: %s\n", describeChanges(policy.Gathered))
+	if len(policy.Queued) > 0 {
+		printf(out, "wait for the next train: %s\n", describeChanges(policy.Queued))
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 	if status.LegacyCount > 0 {
 		printf(out, "%d proxies are of an older release and take whole texts alone, up to %d bytes\n",
-			status.LegacyCount, store.MostWhole)
+			status.LegacyCount, store.MaxUnchunkedBytes)
 	}
 }
 
@@ -72,20 +72,20 @@
 func printFindings(out io.Writer, status *api.PolicyStatus) {
 	policy := &status.Policy
 	if policy.Stopped != nil {
-		printf(out, "stopped: %s\n  %s\n", policy.Stopped.Why, policy.Stopped.Help)
+		printf(out, "stopped: %s\n  %s\n", policy.Stopped.Reason, policy.Stopped.Advice)
 	}
-	for _, fault := range policy.Faults {
+	for _, fault := range policy.FailedChanges {
 		change := describeChanges([]store.Change{fault.Change})
-		printf(out, "at fault, and taken out: %s\n  %s\n  %s\n", change, fault.Why, fault.Help)
+		printf(out, "at fault, and taken out: %s\n  %s\n  %s\n", change, fault.Reason, fault.Advice)
 	}
 	if status.Regression != "" {
 		printf(out, "worse: %s\n  %s\n", status.Regression, status.RegressionAdvice)
 	}
-	for _, held := range policy.Held {
+	for _, held := range policy.HeldFiles {
 		printf(out, "held: %s, file %d by %q; file %d goes on\n  %s\n  %s\n",
-			held.Namespace, held.Offered, held.By, held.Holds, held.Why, held.Help)
+			held.Namespace, held.Submitted, held.Author, held.Active, held.Reason, held.Advice)
 	}
-	for _, conflict := range policy.Told {
+	for _, conflict := range policy.Conflicts {
 		printf(out, "conflict: %s\n", conflict)
 	}
 }
@@ -98,8 +98,8 @@
 		if change.Number == 0 {
 			text = "the charter"
 		}
-		if change.By != "" {
-			text += fmt.Sprintf(" by %q", change.By)
+		if change.Author != "" {
+			text += fmt.Sprintf(" by %q", change.Author)
 		}
 		texts = append(texts, text)
 	}
--- a/internal/controlplane/api/messages_frozen_test.go
+++ b/internal/controlplane/api/messages_frozen_test.go
@@ -76,29 +76,29 @@
 	"pieces_request":     api.ChunksRequest{Fleet: "north", Proxy: "p1", Root: "ab", Names: [][]byte{{1, 2}, {3, 4}}},
 	"pieces_reply":       api.ChunksReply{Chunks: [][]byte{{1}, {2, 3}}, Missing: 1, RetryAfterNanos: 2e9},
 	"pieces_reply_empty": api.ChunksReply{},
-	"policy_status": api.PolicyStatus{Policy: store.Standing{Base: rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"},
-		Next: rollout.Version{
+	"policy_status": api.PolicyStatus{Policy: store.Status{Active: rollout.Version{Generation: 1, Epoch: 2, Hash: "ab"},
+		Candidate: rollout.Version{
 			Generation: 1,
 			Epoch:      3,
 			Hash:       "cd",
 		}, Head: rollout.Version{Generation: 1, Epoch: 4, Hash: "ef"},
-		Stopped:  &store.Judge{Order: 1, Epoch: 3, Done: true, Why: "worse", Help: "mend it", Proxies: 5},
-		Train:    []store.Change{{Namespace: "alpha", Number: 2, By: "a"}},
-		Gathered: []store.Change{{Namespace: "beta", Number: 3, By: "b"}},
-		Faults: []store.Fault{
-			{Change: store.Change{Namespace: "gamma", Number: 4, By: "c"}, At: 6, Why: "worse", Help: "mend it"},
+		Stopped: &store.RolloutResult{Generation: 1, Epoch: 3, Completed: true, Reason: "worse", Advice: "mend it", ProxyCount: 5},
+		Batch:   []store.Change{{Namespace: "alpha", Number: 2, Author: "a"}},
+		Queued:  []store.Change{{Namespace: "beta", Number: 3, Author: "b"}},
+		FailedChanges: []store.FailedChange{
+			{Change: store.Change{Namespace: "gamma", Number: 4, Author: "c"}, MergeNumber: 6, Reason: "worse", Advice: "mend it"},
 		},
-		Held: []store.Held{
-			{Namespace: "delta", Offered: 5, Holds: 4, By: "d", Cut: []string{"cut"}, Why: "clash", Help: "agree"},
+		HeldFiles: []store.HeldFile{
+			{Namespace: "delta", Submitted: 5, Active: 4, Author: "d", RemovedItems: []string{"cut"}, Reason: "clash", Advice: "agree"},
 		},
-		Told: []string{"conflict"}, Kept: []uint64{1, 2}, Proxies: 5},
+		Conflicts: []string{"conflict"}, RetainedEpochs: []uint64{1, 2}, ProxyCount: 5},
 		IsLeader: true, RolloutState: "rolling", ProxyCount: 6, Updated: 3, Rejected: 1, Behind: []string{"p2"},
 		BehindCount: 1, LegacyCount: 2, Regression: "worse", RegressionAdvice: "go back"},
-	"order_charter": store.Command{Charter: &store.Charter{Text: "version = 1\n", By: "a"}},
-	"order_offer":   store.Command{Offer: &store.Offer{Text: "version = 1\n", By: "a"}},
-	"order_back":    store.Command{Back: &store.Back{Epoch: 2, By: "a"}},
+	"order_charter": store.Command{SetDeclaration: &store.SetDeclaration{Text: "version = 1\n", Author: "a"}},
+	"order_offer":   store.Command{SubmitFile: &store.SubmitFile{Text: "version = 1\n", Author: "a"}},
+	"order_back":    store.Command{Rollback: &store.Rollback{Epoch: 2, Author: "a"}},
 	"order_judge": store.Command{
-		Judge: &store.Judge{Order: 1, Epoch: 3, Done: true, Why: "worse", Help: "mend it", Proxies: 5},
+		RolloutResult: &store.RolloutResult{Generation: 1, Epoch: 3, Completed: true, Reason: "worse", Advice: "mend it", ProxyCount: 5},
 	},
 }
 
--- a/internal/controlplane/api/operator.go
+++ b/internal/controlplane/api/operator.go
@@ -113,7 +113,7 @@
 		if status.IsLeader {
 			return status, nil
 		}
-		if status.Policy.Next.NewerThan(newest.Policy.Next) || status.Policy.Base.NewerThan(newest.Policy.Base) {
+		if status.Policy.Candidate.NewerThan(newest.Policy.Candidate) || status.Policy.Active.NewerThan(newest.Policy.Active) {
 			newest = status
 		}
 	}
--- a/internal/controlplane/api/policy_messages.go
+++ b/internal/controlplane/api/policy_messages.go
@@ -71,12 +71,12 @@
 
 // PolicyStatus is the state of the policy as one server sees it. All but Policy is known by the leader only.
 type PolicyStatus struct {
-	Policy       store.Standing `json:"Standing"`
-	IsLeader     bool           `json:"Leads"`
-	RolloutState string         `json:"State"`
-	ProxyCount   int            `json:"Proxies"` // proxies that report
-	Updated      int            `json:"Have"`    // proxies that run the newest version
-	Rejected     int            `json:"Refused"` // proxies that cannot adopt it
+	Policy       store.Status `json:"Standing"`
+	IsLeader     bool         `json:"Leads"`
+	RolloutState string       `json:"State"`
+	ProxyCount   int          `json:"Proxies"` // proxies that report
+	Updated      int          `json:"Have"`    // proxies that run the newest version
+	Rejected     int          `json:"Refused"` // proxies that cannot adopt it
 	// Behind are some of the proxies that run an older version than the base: sorted, at most MaxBehindNames.
 	Behind           []string `json:"Behind" cbor:"Behind,omitempty"`
 	BehindCount      int      `json:"Late" cbor:"Late,omitempty"`
--- a/internal/controlplane/server/chunks_test.go
+++ b/internal/controlplane/server/chunks_test.go
@@ -156,7 +156,7 @@
 			rollout.Version{Generation: 1, Epoch: epoch - uint64(i), Hash: trees[len(trees)-1-i].Root().String()},
 		)
 	}
-	v.status.Base = v.versions[0]
+	v.status.Active = v.versions[0]
 	m.chunks.Retain(trees)
 	m.published.Store(v)
 	return v.versions[0]
@@ -260,20 +260,20 @@
 		)
 		return out, err
 	}
-	cluster.sendPolicyCommand(store.Command{Charter: &store.Charter{Text: ownershipText("x.org")}})
+	cluster.sendPolicyCommand(store.Command{SetDeclaration: &store.SetDeclaration{Text: ownershipText("x.org")}})
 	p := newProxyFleet(cluster, 4)
 	cluster.sendPolicyCommand(offerCommand("alpha", 1, "/a"))
 	cluster.until(
 		"it is in force",
 		func() bool {
 			p.reportAll()
-			return cluster.policyStatus(cluster.leader()).Base.Epoch == cluster.leaderNewestEpoch()
+			return cluster.policyStatus(cluster.leader()).Active.Epoch == cluster.leaderNewestEpoch()
 		},
 	)
 	p.waitUntilAll("all have it", cluster.leaderNewestEpoch())
 
 	// A version by the hash of its text is the same as by its root.
-	base := cluster.policyStatus(cluster.leader()).Base
+	base := cluster.policyStatus(cluster.leader()).Active
 	w, ok := cluster.servers[lead].replica.Load().state.policyEncoding(base)
 	if !ok {
 		t.Fatal("a small policy is not sent as a text")
@@ -306,7 +306,7 @@
 	root := base.Hash
 	tree := p.trees["p00"]
 	for i, o := range cluster.config.Servers {
-		cluster.until("a follower has it", func() bool { return cluster.policyStatus(i).Base == base || i == lead })
+		cluster.until("a follower has it", func() bool { return cluster.policyStatus(i).Active == base || i == lead })
 		var out api.ChunksReply
 		name := tree.Root()
 		err := api.CallWithTimeout(
@@ -342,15 +342,15 @@
 		begun         bool
 	}{{100, 89, false}, {100, 90, true}, {0, 100, false}, {100, 140, true}} {
 		r := &rolloutDriver{}
-		st := store.Standing{
-			Base:    rollout.Version{Generation: 1, Epoch: 1, Hash: "a"},
-			Next:    rollout.Version{Generation: 1, Epoch: 2, Hash: "b"},
-			Proxies: k.known,
+		st := store.Status{
+			Active:     rollout.Version{Generation: 1, Epoch: 1, Hash: "a"},
+			Candidate:  rollout.Version{Generation: 1, Epoch: 2, Hash: "b"},
+			ProxyCount: k.known,
 		}
 		for i := range k.report {
 			if _, err := r.report(
 				time.Duration(i)*time.Millisecond, set, st,
-				api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Base},
+				api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Active},
 			); err != nil {
 				t.Fatal(err)
 			}
@@ -368,10 +368,10 @@
 // The number of known proxies is bounded, and one more is rejected without being recorded.
 func TestProxiesAreBounded(t *testing.T) {
 	set, r := rollout.DefaultSettings(), &rolloutDriver{}
-	st := store.Standing{Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"}}
+	st := store.Status{Active: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"}}
 	for i := range maxProxies {
 		if _, err := r.report(
-			0, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Base},
+			0, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Active},
 		); err != nil {
 			t.Fatal(i, err)
 		}
--- a/internal/controlplane/server/errors.go
+++ b/internal/controlplane/server/errors.go
@@ -27,7 +27,7 @@
 // Error implements error.
 func (e ChunksRequiredError) Error() string {
 	return fmt.Sprintf("the policy of epoch %d is over %d bytes, and this proxy takes whole texts alone",
-		e.Epoch, store.MostWhole)
+		e.Epoch, store.MaxUnchunkedBytes)
 }
 
 // Advice implements operatorerror.Error.
--- a/internal/controlplane/server/frozen_test.go
+++ b/internal/controlplane/server/frozen_test.go
@@ -68,11 +68,11 @@
 		RequestSeq: 3, ConfigVersion: 1}}}})
 	add("", quotalease.Command{})
 	mark := string(rune(policyEntryMarker))
-	add(mark, store.Command{Charter: &store.Charter{Text: ownershipText("x.org"), By: "op"}})
+	add(mark, store.Command{SetDeclaration: &store.SetDeclaration{Text: ownershipText("x.org"), Author: "op"}})
 	add(mark, offerCommand("alpha", 1, "/a"))
-	add(mark, store.Command{Judge: &store.Judge{Order: 1 << 32, Epoch: 1, Done: true, Proxies: 3}})
+	add(mark, store.Command{RolloutResult: &store.RolloutResult{Generation: 1 << 32, Epoch: 1, Completed: true, ProxyCount: 3}})
 	add(mark, offerCommand("beta", 1, "/a"))
-	add(mark, store.Command{Back: &store.Back{Epoch: 99}})
+	add(mark, store.Command{Rollback: &store.Rollback{Epoch: 99}})
 	return all
 }
 
@@ -146,16 +146,16 @@
 		Epoch:      2,
 		Hash:       "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389",
 	}
-	if st.Base != base || st.Next != next || st.Head != next || st.Stopped != nil || st.Proxies != 3 ||
-		!slices.Equal(st.Kept, []uint64{1, 2}) ||
+	if st.Active != base || st.Candidate != next || st.Head != next || st.Stopped != nil || st.ProxyCount != 3 ||
+		!slices.Equal(st.RetainedEpochs, []uint64{1, 2}) ||
 		!slices.Equal(
-			st.Train, []store.Change{{Namespace: "alpha", Number: 1, By: "alpha"}},
-		) || len(st.Gathered) != 0 || len(st.Faults) != 0 {
+			st.Batch, []store.Change{{Namespace: "alpha", Number: 1, Author: "alpha"}},
+		) || len(st.Queued) != 0 || len(st.FailedChanges) != 0 {
 		t.Errorf("policies: read %+v", st)
 	}
-	if len(st.Held) != 1 || st.Held[0].Namespace != "beta" || st.Held[0].Offered != 1 || st.Held[0].Holds != 0 ||
-		st.Held[0].By != "beta" {
-		t.Errorf("held back: read %+v", st.Held)
+	if len(st.HeldFiles) != 1 || st.HeldFiles[0].Namespace != "beta" || st.HeldFiles[0].Submitted != 1 || st.HeldFiles[0].Active != 0 ||
+		st.HeldFiles[0].Author != "beta" {
+		t.Errorf("held back: read %+v", st.HeldFiles)
 	}
 	want := quotalease.Reply{FleetID: "north", Epoch: 1, HolderID: frozenKey, ConfigVersion: 1,
 		Leases: []quotalease.Lease{{FleetID: "north", Epoch: 1, HolderID: frozenKey, Quota: "attempts",
--- a/internal/controlplane/server/policy.go
+++ b/internal/controlplane/server/policy.go
@@ -118,13 +118,13 @@
 
 // countProxies adds how many proxies run which version. The caller holds the lock.
 func (d *rolloutDriver) countProxies(status *api.PolicyStatus) {
-	newest := status.Policy.Next
+	newest := status.Policy.Candidate
 	if newest.Epoch == 0 {
-		newest = status.Policy.Base
+		newest = status.Policy.Active
 	}
 	status.ProxyCount = len(d.proxies)
 	for name, proxy := range d.proxies {
-		if status.Policy.Base.NewerThan(proxy.current) {
+		if status.Policy.Active.NewerThan(proxy.current) {
 			status.BehindCount++
 			status.Behind = append(status.Behind, name)
 		}
--- a/internal/controlplane/server/policy_encoding.go
+++ b/internal/controlplane/server/policy_encoding.go
@@ -27,7 +27,7 @@
 		return encodedPolicy{}, false
 	}
 	m.policyMu.Lock()
-	text, ok := m.policies.Whole(version)
+	text, ok := m.policies.Unchunked(version)
 	m.policyMu.Unlock()
 	encoded.text = text
 	if ok {
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -32,7 +32,7 @@
 }
 
 func offerCommand(name string, number int, path string) store.Command {
-	return store.Command{Offer: &store.Offer{Text: namespaceText(name, number, path), By: name}}
+	return store.Command{SubmitFile: &store.SubmitFile{Text: namespaceText(name, number, path), Author: name}}
 }
 
 // proxyFleet is proxies that report to the leader, 100 requests each. Every other one is of an older release, which
@@ -163,7 +163,7 @@
 	)
 }
 
-func (cluster *testCluster) policyStatus(i int) store.Standing {
+func (cluster *testCluster) policyStatus(i int) store.Status {
 	t := cluster.servers[i].replica.Load()
 	return t.state.policyStatus()
 }
@@ -171,7 +171,7 @@
 func newClusterWithPolicies(t *testing.T) *testCluster {
 	cluster := newCluster(t)
 	cluster.bootstrap()
-	cluster.sendPolicyCommand(store.Command{Charter: &store.Charter{Text: ownershipText("x.org")}})
+	cluster.sendPolicyCommand(store.Command{SetDeclaration: &store.SetDeclaration{Text: ownershipText("x.org")}})
 	return cluster
 }
 
@@ -219,13 +219,13 @@
 	cluster.until("all servers have the same policy", func() bool {
 		a := cluster.policyStatus(0)
 		for i := range 3 {
-			if st := cluster.policyStatus(i); len(st.Held) != 1 || fmt.Sprint(st) != fmt.Sprint(a) {
+			if st := cluster.policyStatus(i); len(st.HeldFiles) != 1 || fmt.Sprint(st) != fmt.Sprint(a) {
 				return false
 			}
 		}
 		return true
 	})
-	if h := cluster.policyStatus(0).Held[0]; !strings.Contains(h.Why, "x.org") || h.Help == "" || h.Holds != 1 {
+	if h := cluster.policyStatus(0).HeldFiles[0]; !strings.Contains(h.Reason, "x.org") || h.Advice == "" || h.Active != 1 {
 		t.Errorf("the request is not written out: %+v", h)
 	}
 	var texts [3][]byte
@@ -239,7 +239,7 @@
 		t.Error("the servers' policy stores differ")
 	}
 
-	cluster.sendPolicyCommand(store.Command{Charter: &store.Charter{Text: ownershipText("y.org")}})
+	cluster.sendPolicyCommand(store.Command{SetDeclaration: &store.SetDeclaration{Text: ownershipText("y.org")}})
 	cluster.until("nobody uses a domain that was taken back", func() bool {
 		for i := range 3 {
 			st := cluster.policyStatus(i)
@@ -261,7 +261,7 @@
 	first := cluster.leaderNewestEpoch()
 	p.waitUntilAll("the first policy", first)
 	cluster.until("that is committed", func() bool {
-		return cluster.policyStatus(cluster.leader()).Base.Epoch == first
+		return cluster.policyStatus(cluster.leader()).Active.Epoch == first
 	})
 
 	cluster.sendPolicyCommand(offerCommand("alpha", 2, "/c"))
@@ -275,7 +275,7 @@
 	p.waitUntilAll("the second policy under another leader", second)
 	cluster.start(lead)
 	cluster.until("that is committed", func() bool {
-		return cluster.policyStatus(cluster.leader()).Base.Epoch == second
+		return cluster.policyStatus(cluster.leader()).Active.Epoch == second
 	})
 
 	cluster.sendPolicyCommand(offerCommand("alpha", 3, "/worse"))
@@ -306,10 +306,10 @@
 			cluster.start(i)
 		}
 	}
-	cluster.sendPolicyCommand(store.Command{Back: &store.Back{Epoch: second, By: "on call"}})
+	cluster.sendPolicyCommand(store.Command{Rollback: &store.Rollback{Epoch: second, Author: "on call"}})
 	p.waitUntilAll("back", second)
 	if err := cluster.config.SendPolicyCommand(
-		context.Background(), cluster.client, store.Command{Judge: &store.Judge{}},
+		context.Background(), cluster.client, store.Command{RolloutResult: &store.RolloutResult{}},
 	); err == nil {
 		t.Error("an operator ended a rollout")
 	}
@@ -360,7 +360,7 @@
 	run := func(early bool) (ended bool) {
 		book := store.New(1 << 32)
 		for _, c := range []store.Command{
-			{Charter: &store.Charter{Text: ownershipText("x.org")}}, offerCommand("alpha", 1, "/a"),
+			{SetDeclaration: &store.SetDeclaration{Text: ownershipText("x.org")}}, offerCommand("alpha", 1, "/a"),
 		} {
 			if err := book.Apply(c); err != nil {
 				t.Fatal(err)
@@ -379,7 +379,7 @@
 					}
 					r.proxies[name].lastReport = now
 				}
-				st := book.Standing()
+				st := book.Status()
 				r.syncWithLog(now, set, st)
 				for i := range 20 {
 					name := fmt.Sprint("p", i)
@@ -420,9 +420,9 @@
 	set.SilenceTimeout = time.Second
 	for _, hasty := range []bool{false, true} {
 		r := &rolloutDriver{startBeforeQuorum: hasty, proxies: map[string]*proxyState{}}
-		st := store.Standing{
-			Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"},
-			Next: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"},
+		st := store.Status{
+			Active:    rollout.Version{Generation: 1, Epoch: 1, Hash: "a"},
+			Candidate: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"},
 		}
 		done := false
 		for i := range 20 { // one more proxy every 100 ms
@@ -446,9 +446,9 @@
 	for _, n := range []int{30, 300, 1000, 4700, 9400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			set, r, number := rollout.DefaultSettings(), &rolloutDriver{}, uint64(0)
-			st := store.Standing{
-				Base: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"},
-				Next: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"},
+			st := store.Status{
+				Active:    rollout.Version{Generation: 1, Epoch: 1, Hash: "a"},
+				Candidate: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"},
 			}
 			var names []string
 			for i := range n {
@@ -457,7 +457,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				number++
-				in := api.PolicyReport{Proxy: names[number%uint64(n)], Sequence: number, Current: st.Base, Good: 100}
+				in := api.PolicyReport{Proxy: names[number%uint64(n)], Sequence: number, Current: st.Active, Good: 100}
 				if _, err := r.report(time.Duration(number)*time.Second/time.Duration(n), set, st, in); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/controlplane/server/propose.go
+++ b/internal/controlplane/server/propose.go
@@ -58,8 +58,8 @@
 
 // policyCommand commits an operator's command about the policy. How a rollout ended is for the leader alone to say.
 func (s *Server) policyCommand(ctx context.Context, command store.Command) error {
-	if command.Judge != nil {
-		return store.BadCommand{Why: "how a roll-out ends is the leader's word"}
+	if command.RolloutResult != nil {
+		return store.InvalidCommandError{Reason: "how a roll-out ends is the leader's word"}
 	}
 	current, err := s.leaderReplica()
 	if err != nil {
@@ -72,8 +72,8 @@
 		return err
 	}
 	status := current.state.policyStatus()
-	s.config.Logger.Info("policy command of an operator applied", "base_epoch", status.Base.Epoch,
-		"next_epoch", status.Next.Epoch, "generation", status.Base.Generation, "held", len(status.Held))
+	s.config.Logger.Info("policy command of an operator applied", "base_epoch", status.Active.Epoch,
+		"next_epoch", status.Candidate.Epoch, "generation", status.Active.Generation, "held", len(status.HeldFiles))
 	return nil
 }
 
--- a/internal/controlplane/server/rollout_driver.go
+++ b/internal/controlplane/server/rollout_driver.go
@@ -65,24 +65,24 @@
 
 // baseVersion returns the version that all proxies have. In a fleet without a policy it has no epoch, and the
 // generation of the current Raft epoch.
-func baseVersion(status store.Standing) rollout.Version {
-	if status.Base.Epoch == 0 {
-		return rollout.Version{Generation: status.Next.Generation}
+func baseVersion(status store.Status) rollout.Version {
+	if status.Active.Epoch == 0 {
+		return rollout.Version{Generation: status.Candidate.Generation}
 	}
-	return status.Base
+	return status.Active
 }
 
 // syncWithLog brings the rollout in line with what is committed. The caller holds the lock.
-func (d *rolloutDriver) syncWithLog(now time.Duration, settings rollout.Settings, status store.Standing) {
+func (d *rolloutDriver) syncWithLog(now time.Duration, settings rollout.Settings, status store.Status) {
 	if d.regressions == nil {
 		d.regressions = rollout.NewRegressionWatch(settings)
 	}
-	completed := d.rollout != nil && d.next != (rollout.Version{}) && status.Base == d.next
+	completed := d.rollout != nil && d.next != (rollout.Version{}) && status.Active == d.next
 	if completed {
-		if d.base != status.Base {
-			d.regressions.RolloutCompleted(now, status.Base.Epoch)
+		if d.base != status.Active {
+			d.regressions.RolloutCompleted(now, status.Active.Epoch)
 		}
-		d.base = status.Base
+		d.base = status.Active
 	}
 	if d.rollout == nil || d.base != baseVersion(status) {
 		if !d.startOver(now, settings, status) {
@@ -93,7 +93,7 @@
 		d.removeSilent(now, settings)
 	}
 	if d.mayStart(now, settings, status) {
-		next := status.Next
+		next := status.Candidate
 		if d.rollout.Start(now, next.Epoch, next.Hash, next.Epoch) == nil {
 			d.next = next
 		}
@@ -101,7 +101,7 @@
 }
 
 // startOver replaces the rollout by one from the committed base.
-func (d *rolloutDriver) startOver(now time.Duration, settings rollout.Settings, status store.Standing) bool {
+func (d *rolloutDriver) startOver(now time.Duration, settings rollout.Settings, status store.Status) bool {
 	fresh, err := rollout.New(settings, baseVersion(status))
 	if err != nil {
 		return false // cannot happen: Config.Validate has checked the settings
@@ -132,11 +132,11 @@
 // mayStart reports whether the next version can start to roll out. A new leader does not know its proxies: taking the
 // first ones to report for the whole fleet would give the version to all at once. It waits for nine in ten of the
 // proxies that the last rollout knew, or for the silence timeout.
-func (d *rolloutDriver) mayStart(now time.Duration, settings rollout.Settings, status store.Standing) bool {
-	if status.Next.Epoch == 0 || status.Next == d.next || status.Stopped != nil {
+func (d *rolloutDriver) mayStart(now time.Duration, settings rollout.Settings, status store.Status) bool {
+	if status.Candidate.Epoch == 0 || status.Candidate == d.next || status.Stopped != nil {
 		return false
 	}
-	known := status.Proxies > 0 && 10*len(d.proxies) >= 9*status.Proxies
+	known := status.ProxyCount > 0 && 10*len(d.proxies) >= 9*status.ProxyCount
 	return known || now-d.rolloutSince > settings.SilenceTimeout || d.startBeforeQuorum
 }
 
@@ -160,7 +160,7 @@
 
 // lockedReport is report under the lock.
 func (d *rolloutDriver) lockedReport(
-	now time.Duration, settings rollout.Settings, status store.Standing, report api.PolicyReport,
+	now time.Duration, settings rollout.Settings, status store.Status, report api.PolicyReport,
 ) (rollout.Version, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,7 +170,7 @@
 // report records a proxy's report and returns the version that the proxy is to adopt, zero if none. It fails if the
 // proxy is new and there are too many, or its name is empty or too long. The caller holds the lock.
 func (d *rolloutDriver) report(
-	now time.Duration, settings rollout.Settings, status store.Standing, report api.PolicyReport,
+	now time.Duration, settings rollout.Settings, status store.Status, report api.PolicyReport,
 ) (rollout.Version, error) {
 	proxy := d.proxies[report.Proxy]
 	if proxy == nil {
@@ -219,12 +219,12 @@
 //
 // A completed rollout is not announced to all before that is committed. Otherwise a leader that dies in between leaves
 // the next one without proxies to compare with, and the rollout never ends.
-func (d *rolloutDriver) target(name string, status store.Standing) rollout.Version {
+func (d *rolloutDriver) target(name string, status store.Status) rollout.Version {
 	target := d.rollout.Target(name)
 	state, _ := d.rollout.State()
-	uncommitted := state == rollout.Done && d.next != status.Base
+	uncommitted := state == rollout.Done && d.next != status.Active
 	if uncommitted && !d.announceBeforeCommit {
-		target = status.Base
+		target = status.Active
 	}
 	if target.Epoch == 0 {
 		return rollout.Version{}
--- a/internal/controlplane/server/rollout_scenarios_test.go
+++ b/internal/controlplane/server/rollout_scenarios_test.go
@@ -15,8 +15,8 @@
 	sim.settle()
 	sim.offerRegularly(time.Hour, 9*time.Second, 0)
 	sim.check()
-	if len(sim.store.Standing().Faults) > 0 || sim.stops > 0 {
-		t.Errorf("%+v", sim.store.Standing().Faults)
+	if len(sim.store.Status().FailedChanges) > 0 || sim.stops > 0 {
+		t.Errorf("%+v", sim.store.Status().FailedChanges)
 	}
 	all := sim.completionTimes()
 	t.Logf(
@@ -51,7 +51,7 @@
 		}
 		sim.settle()
 		sim.check()
-		if f := sim.store.Standing().Faults; len(f) != 1 || f[0].Namespace != fmt.Sprint("t", bad) {
+		if f := sim.store.Status().FailedChanges; len(f) != 1 || f[0].Namespace != fmt.Sprint("t", bad) {
 			t.Errorf("%+v", f)
 		}
 		all := sim.completionTimes()
@@ -116,7 +116,7 @@
 	sim.offer(1, 3, "/b", false)
 	sim.settle()
 	sim.check()
-	if text, _ := sim.store.Whole(sim.store.Standing().Base); !strings.Contains(text, `"/b"`) ||
+	if text, _ := sim.store.Unchunked(sim.store.Status().Active); !strings.Contains(text, `"/b"`) ||
 		strings.Contains(text, `"/a"`) {
 		t.Error("the lower number is in force")
 	}
@@ -138,7 +138,7 @@
 	sim.offer(3, 2, "/other", false)
 	sim.settle()
 	sim.check()
-	if h := sim.store.Standing().Held; len(h) != 1 || h[0].Namespace != "t2" {
+	if h := sim.store.Status().HeldFiles; len(h) != 1 || h[0].Namespace != "t2" {
 		t.Errorf("%+v", h)
 	}
 }
@@ -152,11 +152,11 @@
 	sim.settle()
 	sim.check()
 	// After a rollback by an operator no proxy keeps the version.
-	base := sim.store.Standing().Base
+	base := sim.store.Status().Active
 	sim.offer(1, 4, "/new", false)
 	sim.run(4 * time.Second)
 	sim.changes = sim.changes[:2]
-	sim.apply(store.Command{Back: &store.Back{Epoch: base.Epoch, By: "on call"}})
+	sim.apply(store.Command{Rollback: &store.Rollback{Epoch: base.Epoch, Author: "on call"}})
 	sim.settle()
 	sim.check()
 	for _, c := range sim.proxies {
@@ -202,8 +202,8 @@
 	sim.settle()
 	sim.changes = slices.DeleteFunc(sim.changes, func(o *simChange) bool { return o.team == 3 })
 	sim.check()
-	if f := sim.store.Standing().Faults; len(f) != 1 || f[0].Namespace != "t3" || !strings.Contains(
-		f[0].Why, "did not take it up",
+	if f := sim.store.Status().FailedChanges; len(f) != 1 || f[0].Namespace != "t3" || !strings.Contains(
+		f[0].Reason, "did not take it up",
 	) {
 		t.Errorf("%+v", f)
 	}
@@ -229,7 +229,7 @@
 		sim.run(9 * time.Second)
 	}
 	sim.settle()
-	before := sim.store.Standing().Base
+	before := sim.store.Status().Active
 	cut(false)
 	sim.settle()
 	sim.check()
@@ -252,8 +252,8 @@
 	sim.settle()
 	sim.check()
 	for _, c := range sim.proxies {
-		if c.current != sim.store.Standing().Base {
-			t.Fatalf("%s has %+v, in force is %+v", c.name, c.current, sim.store.Standing().Base)
+		if c.current != sim.store.Status().Active {
+			t.Fatalf("%s has %+v, in force is %+v", c.name, c.current, sim.store.Status().Active)
 		}
 	}
 }
--- a/internal/controlplane/server/rollout_sim_test.go
+++ b/internal/controlplane/server/rollout_sim_test.go
@@ -20,14 +20,14 @@
 type rolloutSim struct {
 	t           testing.TB
 	rng         *rand.Rand
-	store       *store.Book
+	store       *store.StateMachine
 	leader      *rolloutDriver // of the current leader; nil if none
 	settings    rollout.Settings
 	now         time.Duration
 	proxies     []*simProxy
 	reporters   [stepsPerSecond][]*simProxy
 	adopting    []*simProxy
-	uncommitted *store.Judge // proposed and not committed yet
+	uncommitted *store.RolloutResult // proposed and not committed yet
 
 	changes           []*simChange
 	harmfulEpochs     map[uint64]bool // with a harmful change
@@ -88,9 +88,9 @@
 	sim.t.Helper()
 	sim.raftEpoch++
 	sim.store, sim.leader, sim.uncommitted = store.New(sim.raftEpoch<<32), nil, nil
-	sim.apply(store.Command{Charter: &store.Charter{Text: ownershipOfTeams(teams), By: "admin"}})
+	sim.apply(store.Command{SetDeclaration: &store.SetDeclaration{Text: ownershipOfTeams(teams), Author: "admin"}})
 	for i := range teams {
-		sim.apply(store.Command{Offer: &store.Offer{Text: namespaceOfTeam(i, 1, fmt.Sprint("/", i)), By: "t"}})
+		sim.apply(store.Command{SubmitFile: &store.SubmitFile{Text: namespaceOfTeam(i, 1, fmt.Sprint("/", i)), Author: "t"}})
 	}
 	sim.electLeader()
 }
@@ -138,36 +138,36 @@
 // offer submits a team's file.
 func (sim *rolloutSim) offer(team, number int, path string, harm bool) {
 	sim.t.Helper()
-	before := sim.store.Standing()
-	sim.apply(store.Command{Offer: &store.Offer{Text: namespaceOfTeam(team, number, path), By: "t"}})
+	before := sim.store.Status()
+	sim.apply(store.Command{SubmitFile: &store.SubmitFile{Text: namespaceOfTeam(team, number, path), Author: "t"}})
 	sim.changes = append(sim.changes, &simChange{team: team, number: number, offeredAt: sim.now, harmful: harm})
 	sim.observeRollout(before, false)
 }
 
 // observeRollout records a rollout that a command started.
-func (sim *rolloutSim) observeRollout(before store.Standing, judged bool) {
-	s := sim.store.Standing()
-	if s.Next == before.Next || s.Next.Epoch == 0 {
+func (sim *rolloutSim) observeRollout(before store.Status, judged bool) {
+	s := sim.store.Status()
+	if s.Candidate == before.Candidate || s.Candidate.Epoch == 0 {
 		return
 	}
-	if before.Next.Epoch != 0 && before.Stopped == nil && !judged {
+	if before.Candidate.Epoch != 0 && before.Stopped == nil && !judged {
 		sim.violations = append(
-			sim.violations, fmt.Sprintf("epoch %d was displaced by %d", before.Next.Epoch, s.Next.Epoch),
+			sim.violations, fmt.Sprintf("epoch %d was displaced by %d", before.Candidate.Epoch, s.Candidate.Epoch),
 		)
 	}
 	sim.rollouts++
-	sim.harmfulEpochs[s.Next.Epoch] = sim.harmfulEpochs[s.Base.Epoch]
-	for _, c := range s.Train {
+	sim.harmfulEpochs[s.Candidate.Epoch] = sim.harmfulEpochs[s.Active.Epoch]
+	for _, c := range s.Batch {
 		for _, o := range sim.changes {
 			if o.unadoptable && c.Namespace == fmt.Sprint("t", o.team) && c.Number == uint64(o.number) {
-				sim.unadoptableEpochs[s.Next.Epoch] = true
+				sim.unadoptableEpochs[s.Candidate.Epoch] = true
 			}
 		}
 	}
-	for _, c := range s.Train {
+	for _, c := range s.Batch {
 		for _, o := range sim.changes {
 			if o.harmful && c.Namespace == fmt.Sprint("t", o.team) && c.Number == uint64(o.number) {
-				sim.harmfulEpochs[s.Next.Epoch] = true
+				sim.harmfulEpochs[s.Candidate.Epoch] = true
 			}
 		}
 	}
@@ -176,30 +176,30 @@
 // step advances the simulation by simStep.
 func (sim *rolloutSim) step() {
 	sim.now += simStep
-	st := sim.store.Standing()
+	st := sim.store.Status()
 	if sim.uncommitted != nil && sim.leader != nil &&
 		!sim.logBlocked { // commit the proposal of an earlier step
 		before := st
-		if sim.uncommitted.Done {
-			for _, c := range before.Train {
+		if sim.uncommitted.Completed {
+			for _, c := range before.Batch {
 				for _, o := range sim.changes {
 					if o.completedIn == 0 && c.Namespace == fmt.Sprint("t", o.team) && c.Number >= uint64(o.number) {
-						o.completedIn = before.Next.Epoch
+						o.completedIn = before.Candidate.Epoch
 					}
 				}
 			}
-			if sim.harmfulEpochs[before.Next.Epoch] {
+			if sim.harmfulEpochs[before.Candidate.Epoch] {
 				sim.violations = append(
-					sim.violations, fmt.Sprintf("epoch %d is harmful and got through", before.Next.Epoch),
+					sim.violations, fmt.Sprintf("epoch %d is harmful and got through", before.Candidate.Epoch),
 				)
 			}
 		} else {
 			sim.stops++
 		}
-		sim.apply(store.Command{Judge: sim.uncommitted})
+		sim.apply(store.Command{RolloutResult: sim.uncommitted})
 		sim.uncommitted = nil
 		sim.observeRollout(before, true)
-		st = sim.store.Standing()
+		st = sim.store.Status()
 	}
 	for _, c := range sim.adopting {
 		if c.adopting.NewerThan(c.current) {
@@ -216,16 +216,16 @@
 		r.syncWithLog(sim.now, sim.settings, st)
 		r.advance(sim.now)
 		state, why := r.rollout.State()
-		if r.next == st.Next && r.next.Epoch != 0 && st.Stopped == nil && sim.uncommitted == nil &&
+		if r.next == st.Candidate && r.next.Epoch != 0 && st.Stopped == nil && sim.uncommitted == nil &&
 			(state == rollout.Done || state == rollout.Stopped) {
-			j := &store.Judge{
-				Order:   r.next.Generation,
-				Epoch:   r.next.Epoch,
-				Done:    state == rollout.Done,
-				Proxies: len(r.proxies),
+			j := &store.RolloutResult{
+				Generation: r.next.Generation,
+				Epoch:      r.next.Epoch,
+				Completed:  state == rollout.Done,
+				ProxyCount: len(r.proxies),
 			}
 			if why != nil {
-				j.Why, j.Help = why.Error(), operatorerror.Of(why)
+				j.Reason, j.Advice = why.Error(), operatorerror.Of(why)
 			}
 			sim.uncommitted = j
 		}
@@ -239,7 +239,7 @@
 }
 
 // updateLeastEpoch finds the epoch that all proxies have at least, and how many have a harmful one.
-func (sim *rolloutSim) updateLeastEpoch(st store.Standing) {
+func (sim *rolloutSim) updateLeastEpoch(st store.Status) {
 	if sim.leastKnown {
 		return
 	}
@@ -248,7 +248,7 @@
 	for _, c := range sim.proxies {
 		switch {
 		case c.unreachable:
-		case c.current.Generation != st.Base.Generation:
+		case c.current.Generation != st.Active.Generation:
 			sim.leastEpoch = 0
 		default:
 			sim.leastEpoch = min(sim.leastEpoch, c.current.Epoch)
@@ -260,7 +260,7 @@
 	sim.maxHarmed = max(sim.maxHarmed, had)
 }
 
-func (sim *rolloutSim) report(c *simProxy, st store.Standing) {
+func (sim *rolloutSim) report(c *simProxy, st store.Status) {
 	if c.unreachable || sim.leader == nil {
 		return
 	}
@@ -299,35 +299,35 @@
 	sim.t.Helper()
 	for range 5 * 60 * stepsPerSecond {
 		sim.step()
-		st := sim.store.Standing()
-		if st.Next.Epoch != 0 && st.Stopped == nil || len(st.Gathered) > 0 {
+		st := sim.store.Status()
+		if st.Candidate.Epoch != 0 && st.Stopped == nil || len(st.Queued) > 0 {
 			continue
 		}
-		if sim.leastEpoch >= st.Base.Epoch {
+		if sim.leastEpoch >= st.Active.Epoch {
 			return
 		}
 	}
-	sim.violations = append(sim.violations, fmt.Sprintf("it never comes to an end: %+v", sim.store.Standing()))
+	sim.violations = append(sim.violations, fmt.Sprintf("it never comes to an end: %+v", sim.store.Status()))
 }
 
 // findViolations returns what must never happen and did: a change that is neither in force nor reported, one that is
 // blamed without having done harm.
 func (sim *rolloutSim) findViolations() []string {
-	st := sim.store.Standing()
+	st := sim.store.Status()
 	harmless := !slices.ContainsFunc(sim.changes, func(o *simChange) bool { return o.harmful })
 	for _, o := range sim.changes {
 		name := fmt.Sprint("t", o.team)
 		at := slices.IndexFunc(
-			st.Faults, func(f store.Fault) bool { return f.Namespace == name && f.Number == uint64(o.number) },
+			st.FailedChanges, func(f store.FailedChange) bool { return f.Namespace == name && f.Number == uint64(o.number) },
 		)
-		held := slices.ContainsFunc(st.Held, func(h store.Held) bool {
-			return h.Namespace == name && h.Offered == uint64(o.number) && h.Why != ""
+		held := slices.ContainsFunc(st.HeldFiles, func(h store.HeldFile) bool {
+			return h.Namespace == name && h.Submitted == uint64(o.number) && h.Reason != ""
 		})
 		newer := slices.ContainsFunc(
 			sim.changes, func(n *simChange) bool { return n.team == o.team && n.number > o.number },
 		)
 		switch {
-		case at >= 0 && (st.Faults[at].Why == "" || st.Faults[at].Help == "" || st.Faults[at].By != "t"):
+		case at >= 0 && (st.FailedChanges[at].Reason == "" || st.FailedChanges[at].Advice == "" || st.FailedChanges[at].Author != "t"):
 			sim.violations = append(sim.violations, fmt.Sprintf("%s %d is at fault without a reason", name, o.number))
 		case at >= 0 && (!o.harmful || harmless):
 			sim.violations = append(sim.violations, fmt.Sprintf("%s %d is blamed and did no harm", name, o.number))
--- a/internal/controlplane/server/rollouts.go
+++ b/internal/controlplane/server/rollouts.go
@@ -24,7 +24,7 @@
 
 // rolloutProgress is the state of the rollout after an advance.
 type rolloutProgress struct {
-	status     store.Standing // at the advance
+	status     store.Status // at the advance
 	next       rollout.Version
 	proxies    int // that are known
 	state      rollout.State
@@ -33,7 +33,7 @@
 
 // ended reports whether the rollout of the committed next version has just ended.
 func (p *rolloutProgress) ended() bool {
-	if p.next != p.status.Next || p.next.Epoch == 0 || p.status.Stopped != nil {
+	if p.next != p.status.Candidate || p.next.Epoch == 0 || p.status.Stopped != nil {
 		return false
 	}
 	return p.state == rollout.Done || p.state == rollout.Stopped
@@ -55,10 +55,10 @@
 			continue
 		}
 		progress := s.advanceRollout(current)
-		if progress.next != announced && progress.next == progress.status.Next && progress.next.Epoch > 0 {
+		if progress.next != announced && progress.next == progress.status.Candidate && progress.next.Epoch > 0 {
 			announced = progress.next
 			s.config.Logger.Info("rollout started",
-				"epoch", progress.next.Epoch, "changes", progress.status.Train, "proxies", progress.proxies)
+				"epoch", progress.next.Epoch, "changes", progress.status.Batch, "proxies", progress.proxies)
 		}
 		if progress.ended() {
 			s.endRollout(ctx, current, progress)
@@ -92,33 +92,33 @@
 
 // endRollout commits how a rollout ended. If that fails, the next advance tries again.
 func (s *Server) endRollout(ctx context.Context, current *replica, progress rolloutProgress) {
-	verdict := store.Judge{
-		Order:   progress.next.Generation,
-		Epoch:   progress.next.Epoch,
-		Done:    progress.state == rollout.Done,
-		Proxies: progress.proxies,
+	verdict := store.RolloutResult{
+		Generation: progress.next.Generation,
+		Epoch:      progress.next.Epoch,
+		Completed:  progress.state == rollout.Done,
+		ProxyCount: progress.proxies,
 	}
 	if reason := progress.stopReason; reason != nil {
-		verdict.Why = reason.Error()
-		verdict.Help = operatorerror.Of(reason)
+		verdict.Reason = reason.Error()
+		verdict.Advice = operatorerror.Of(reason)
 		s.warn("rollout stopped", reason)
 	}
-	if err := s.proposePolicyCommand(ctx, current, store.Command{Judge: &verdict}); err != nil {
+	if err := s.proposePolicyCommand(ctx, current, store.Command{RolloutResult: &verdict}); err != nil {
 		s.warn("outcome of a rollout not committed", err)
 		return
 	}
 	s.config.Logger.Info("rollout ended",
-		"epoch", progress.next.Epoch, "state", progress.state.String(), "changes", progress.status.Train)
-	s.logNewFaults(progress.status.Faults, current.state.policyStatus().Faults)
+		"epoch", progress.next.Epoch, "state", progress.state.String(), "changes", progress.status.Batch)
+	s.logNewFaults(progress.status.FailedChanges, current.state.policyStatus().FailedChanges)
 }
 
 // logNewFaults logs the changes that were removed from the policy because they made a rollout stop.
-func (s *Server) logNewFaults(before, after []store.Fault) {
+func (s *Server) logNewFaults(before, after []store.FailedChange) {
 	for _, fault := range after {
 		if slices.Contains(before, fault) {
 			continue
 		}
 		s.config.Logger.Warn("faulty change removed; the other changes go on", "namespace", fault.Namespace,
-			"number", fault.Number, "by", fault.By, "err", fault.Why, "advice", fault.Help)
+			"number", fault.Number, "by", fault.Author, "err", fault.Reason, "advice", fault.Advice)
 	}
 }
--- a/internal/controlplane/server/state_machine.go
+++ b/internal/controlplane/server/state_machine.go
@@ -31,7 +31,7 @@
 	allocator *quotalease.Allocator // of this server alone: it is not replicated
 
 	policyMu  sync.Mutex // apart from quotaMu: merging policies takes longer than a lease request may wait
-	policies  *store.Book
+	policies  *store.StateMachine
 	published atomic.Pointer[policyView] // for readers that must not wait for a merge
 	chunks    *distribution.Distributor
 
@@ -41,7 +41,7 @@
 
 // policyView is the state of the policies after an entry. It is immutable.
 type policyView struct {
-	status   store.Standing
+	status   store.Status
 	versions []rollout.Version // of all policies that are retained, the newest first
 }
 
@@ -116,7 +116,7 @@
 
 // publishPolicies makes the current policies visible to readers. The caller holds policyMu.
 func (m *stateMachine) publishPolicies() {
-	view := &policyView{status: m.policies.Standing()}
+	view := &policyView{status: m.policies.Status()}
 	var trees []*merkle.Tree
 	for version, tree := range m.policies.Policies() {
 		view.versions = append(view.versions, version)
@@ -127,7 +127,7 @@
 	m.published.Store(view)
 }
 
-func (m *stateMachine) policyStatus() store.Standing { return m.published.Load().status }
+func (m *stateMachine) policyStatus() store.Status { return m.published.Load().status }
 
 // Snapshot implements consensus.Machine. Without policies a snapshot is that of the quotas alone, which releases from
 // before there were policies can read.
--- a/internal/faultlab/capacity/play.go
+++ b/internal/faultlab/capacity/play.go
@@ -167,7 +167,7 @@
 		r.mu.Unlock()
 		r.await(e, c, r.names())
 		limit, cancel := context.WithTimeout(ctx, time.Minute)
-		err := r.give(limit, store.Command{Offer: &store.Offer{Text: text, By: teamName(team)}})
+		err := r.give(limit, store.Command{SubmitFile: &store.SubmitFile{Text: text, Author: teamName(team)}})
 		if err == nil {
 			c.answered = supervisor.Boottime()
 			if st, err := r.standing(limit); err == nil {
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -212,7 +212,7 @@
 		switch st := s.Policy; {
 		case err != nil:
 			return err
-		case !s.IsLeader || st.Next.Epoch > 0 || newest(st).Hash != st.Base.Hash || s.Updated < s.ProxyCount-(r.set.Proxies-len(r.able())):
+		case !s.IsLeader || st.Candidate.Epoch > 0 || newest(st).Hash != st.Active.Hash || s.Updated < s.ProxyCount-(r.set.Proxies-len(r.able())):
 			return fmt.Errorf("%s: %d of %d proxies have it%s", s.RolloutState, s.Updated, s.ProxyCount, r.stand(ctx))
 		}
 		return nil
@@ -340,11 +340,11 @@
 // load gives the stewards the first policy. Then all proxies are told to have it at once, as an operator can: there is no fleet yet in
 // which it could go out by steps.
 func (r *run) load(ctx context.Context) error {
-	if err := r.give(ctx, store.Command{Charter: &store.Charter{Text: r.site.charter()}}); err != nil {
+	if err := r.give(ctx, store.Command{SetDeclaration: &store.SetDeclaration{Text: r.site.charter()}}); err != nil {
 		return err
 	}
 	for team := range r.site.teams {
-		if err := r.give(ctx, store.Command{Offer: &store.Offer{Text: r.site.file(team, 0), By: teamName(team)}}); err != nil {
+		if err := r.give(ctx, store.Command{SubmitFile: &store.SubmitFile{Text: r.site.file(team, 0), Author: teamName(team)}}); err != nil {
 			return err
 		}
 	}
@@ -353,8 +353,8 @@
 		return err
 	}
 	r.learn(st, 0)
-	if o := newest(st); o != st.Base && slices.Contains(st.Kept, o.Epoch) {
-		if err := r.give(ctx, store.Command{Back: &store.Back{Epoch: o.Epoch}}); err != nil {
+	if o := newest(st); o != st.Active && slices.Contains(st.RetainedEpochs, o.Epoch) {
+		if err := r.give(ctx, store.Command{Rollback: &store.Rollback{Epoch: o.Epoch}}); err != nil {
 			r.say("the first policy goes out by steps: %v", err)
 		}
 		if st, err = r.standing(ctx); err != nil {
@@ -365,7 +365,7 @@
 	return nil
 }
 
-func (r *run) standing(ctx context.Context) (st store.Standing, err error) {
+func (r *run) standing(ctx context.Context) (st store.Status, err error) {
 	err = again(ctx, "how the policy stands", func() error {
 		s, err := r.file.PolicyStatus(ctx, r.operator)
 		if err == nil && !s.IsLeader {
@@ -378,25 +378,25 @@
 }
 
 // newest is what all that was offered has come to.
-func newest(st store.Standing) rollout.Version {
+func newest(st store.Status) rollout.Version {
 	if st.Head.Epoch > 0 {
 		return st.Head
 	}
-	if st.Next.Epoch > 0 {
-		return st.Next
+	if st.Candidate.Epoch > 0 {
+		return st.Candidate
 	}
-	return st.Base
+	return st.Active
 }
 
 // learn notes what the newest policy is made of: changes are offered one after another, each with all before it.
-func (r *run) learn(st store.Standing, changes int) {
+func (r *run) learn(st store.Status, changes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, h := range st.Held {
-		r.held[h.Namespace+": "+h.Why] = true
+	for _, h := range st.HeldFiles {
+		r.held[h.Namespace+": "+h.Reason] = true
 	}
-	for _, f := range st.Faults {
-		r.held[fmt.Sprintf("%s/%d, taken out: %s", f.Namespace, f.Number, f.Why)] = true
+	for _, f := range st.FailedChanges {
+		r.held[fmt.Sprintf("%s/%d, taken out: %s", f.Namespace, f.Number, f.Reason)] = true
 	}
 	o := newest(st)
 	if o.Epoch == 0 {
@@ -736,7 +736,7 @@
 	defer cancel()
 	st, err := r.file.PolicyStatus(ctx, r.operator)
 	out := fmt.Sprintf("; the stewards say: %s, %d of %d proxies have it, %d refuse it; base %d, next %d, stopped %+v, %v", st.RolloutState, st.Updated, st.ProxyCount, st.Rejected,
-		st.Policy.Base.Epoch, st.Policy.Next.Epoch, st.Policy.Stopped, err)
+		st.Policy.Active.Epoch, st.Policy.Candidate.Epoch, st.Policy.Stopped, err)
 	if e, err := r.remotes[0].call(ctx, r, order{Figures: true}); err == nil {
 		for text, n := range e.Fig.Troubles {
 			out += fmt.Sprintf("\n%d times: %s", n, text)
--- a/internal/faultlab/controlplane/policy_test.go
+++ b/internal/faultlab/controlplane/policy_test.go
@@ -138,7 +138,7 @@
 	f.t.Helper()
 	f.foundAs(fmt.Sprint(epoch))
 	f.until("the charter is taken", func() bool {
-		return f.file.SendPolicyCommand(context.Background(), f.client, store.Command{Charter: &store.Charter{Text: charterOf()}}) == nil
+		return f.file.SendPolicyCommand(context.Background(), f.client, store.Command{SetDeclaration: &store.SetDeclaration{Text: charterOf()}}) == nil
 	})
 }
 
@@ -208,7 +208,7 @@
 func (f *fleetOf) offer(team string) {
 	f.t.Helper()
 	f.number[team]++
-	c := store.Command{Offer: &store.Offer{Text: policyText(team, f.number[team]), By: team}}
+	c := store.Command{SubmitFile: &store.SubmitFile{Text: policyText(team, f.number[team]), Author: team}}
 	f.until("an offer is taken", func() bool { return f.file.SendPolicyCommand(context.Background(), f.client, c) == nil })
 }
 
@@ -234,8 +234,8 @@
 	}()
 	f.until(what+": all is in force everywhere", func() bool {
 		p := f.standing()
-		base = p.Policy.Base
-		if p.Policy.Next.Epoch != 0 || len(p.Policy.Gathered) > 0 || base.Epoch == 0 {
+		base = p.Policy.Active
+		if p.Policy.Candidate.Epoch != 0 || len(p.Policy.Queued) > 0 || base.Epoch == 0 {
 			return false
 		}
 		for name, e := range f.edges {
@@ -293,7 +293,7 @@
 		f.t.Helper()
 		f.offer("alpha")
 		f.until(what+": some have it", func() bool {
-			next := f.standing().Policy.Next
+			next := f.standing().Policy.Candidate
 			if next.Epoch == 0 {
 				f.offer("alpha")
 				return false
@@ -318,7 +318,7 @@
 	f.leader(lead)
 	f.offerBy(lead, "gamma")
 	f.until("the others go on", func() bool {
-		return f.leads(lead).Policy.Next.Epoch == 0 && len(f.leads(lead).Policy.Gathered) == 0
+		return f.leads(lead).Policy.Candidate.Epoch == 0 && len(f.leads(lead).Policy.Queued) == 0
 	})
 	f.signal(lead, syscall.SIGCONT)
 	f.settled("a leader that was stopped amid a train was woken")
@@ -387,7 +387,7 @@
 	// A founding anew: its numbers begin at 1, and it goes before all that there was.
 	f.foundAs("2")
 	f.until("the charter is taken", func() bool {
-		return f.file.SendPolicyCommand(context.Background(), f.client, store.Command{Charter: &store.Charter{Text: charterOf()}}) == nil
+		return f.file.SendPolicyCommand(context.Background(), f.client, store.Command{SetDeclaration: &store.SetDeclaration{Text: charterOf()}}) == nil
 	})
 	f.number = map[string]int{}
 	f.offer("beta")
@@ -426,7 +426,7 @@
 func (f *fleetOf) offerBy(not int, team string) {
 	f.t.Helper()
 	f.number[team]++
-	c := store.Command{Offer: &store.Offer{Text: policyText(team, f.number[team]), By: team}}
+	c := store.Command{SubmitFile: &store.SubmitFile{Text: policyText(team, f.number[team]), Author: team}}
 	f.until("an offer is taken", func() bool {
 		for i, s := range f.file.Servers {
 			if i != not && api.CallWithTimeout(context.Background(), f.client, s.Address, api.PathPolicyCommand, c, nil) == nil {
--- a/internal/policy/store/bench_test.go
+++ b/internal/policy/store/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// large is a charter of teams, and the file of one with so many routes and tenants of each.
-func large(teams int) string {
+// largeDeclaration is a charter of teams, and the file of one with so many routes and tenants of each.
+func largeDeclaration(teams int) string {
 	var c strings.Builder
 	c.WriteString("version = 1\n")
 	for i := range teams {
@@ -47,25 +47,25 @@
 				}
 			}
 			done := func() {
-				if s := book.Standing(); s.Next.Epoch != 0 {
-					do(Command{Judge: &Judge{Order: s.Next.Generation, Epoch: s.Next.Epoch, Done: true}})
+				if s := book.Status(); s.Candidate.Epoch != 0 {
+					do(Command{RolloutResult: &RolloutResult{Generation: s.Candidate.Generation, Epoch: s.Candidate.Epoch, Completed: true}})
 				}
 			}
-			do(Command{Charter: &Charter{Text: large(size.teams)}})
+			do(Command{SetDeclaration: &SetDeclaration{Text: largeDeclaration(size.teams)}})
 			done()
 			// Files of a snapshot come at once: each by itself would merge all for each.
-			s := book.copy()
+			s := book.cloneState()
 			for i := range size.teams {
-				s.Waiting[fmt.Sprint("t", i)] = file{Text: largeFile(i, 1, size.routes, size.tenants), Number: 1}
+				s.pending[fmt.Sprint("t", i)] = submittedFile{text: largeFile(i, 1, size.routes, size.tenants), number: 1}
 			}
-			if err := book.moved(s); err != nil {
+			if err := book.mergeAndCommit(s); err != nil {
 				b.Fatal(err)
 			}
 			done()
 			n := 1
 			for b.Loop() {
 				n++
-				do(Command{Offer: &Offer{Text: largeFile(7, n, size.routes, size.tenants)}})
+				do(Command{SubmitFile: &SubmitFile{Text: largeFile(7, n, size.routes, size.tenants)}})
 				done()
 			}
 			text, err := book.Snapshot()
@@ -73,7 +73,7 @@
 				b.Fatal(err)
 			}
 			b.ReportMetric(float64(len(text)), "snapshot-bytes")
-			b.ReportMetric(float64(book.s.Head.Tree.Size()), "policy-bytes")
+			b.ReportMetric(float64(book.state.head.tree.Size()), "policy-bytes")
 		})
 	}
 }
@@ -81,19 +81,19 @@
 // BenchmarkSnapshot writes and reads the state of the target, with sixteen policies kept.
 func BenchmarkSnapshot(b *testing.B) {
 	book := New(0)
-	if err := book.Apply(Command{Charter: &Charter{Text: large(650)}}); err != nil {
+	if err := book.Apply(Command{SetDeclaration: &SetDeclaration{Text: largeDeclaration(650)}}); err != nil {
 		b.Fatal(err)
 	}
-	s := book.copy()
+	s := book.cloneState()
 	for i := range 650 {
-		s.Waiting[fmt.Sprint("t", i)] = file{Text: largeFile(i, 1, 20, 12), Number: 1}
+		s.pending[fmt.Sprint("t", i)] = submittedFile{text: largeFile(i, 1, 20, 12), number: 1}
 	}
-	if err := book.moved(s); err != nil {
+	if err := book.mergeAndCommit(s); err != nil {
 		b.Fatal(err)
 	}
 	for n := range 20 {
-		st := book.Standing()
-		for _, c := range []Command{{Judge: &Judge{Order: st.Next.Generation, Epoch: st.Next.Epoch, Done: true}}, {Offer: &Offer{Text: largeFile(7, n+2, 20, 12)}}} {
+		st := book.Status()
+		for _, c := range []Command{{RolloutResult: &RolloutResult{Generation: st.Candidate.Generation, Epoch: st.Candidate.Epoch, Completed: true}}, {SubmitFile: &SubmitFile{Text: largeFile(7, n+2, 20, 12)}}} {
 			if err := book.Apply(c); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/policy/store/book.go
+++ b/internal/policy/store/book.go
@@ -23,249 +23,249 @@
 // Bounds on what is kept. They reach over twice as far as 13,000 routes with 150,000 tenants (some 5 MB of files, and of policy). A
 // train takes some 6 s: of those that went out in the minute for which the fleet is watched after one, each can be gone back to.
 const (
-	MostText   = 256 << 10 // bytes of a charter, or of a namespace's file
-	MostFiles  = 16 << 20  // bytes of all good and waiting files
-	MostPolicy = 16 << 20  // bytes of a policy's pieces
-	MostWhole  = 512 << 10 // bytes of a policy's encoding that is given whole, to proxies that don't take pieces
-	MostKept   = 16        // policies that the fleet can be told to go back to
-	mostBy     = 128       // bytes of who gave a command
-	mostTold   = 64        // conflicts
-	mostFaults = 256       // changes that were at fault, the newest
-	mostWords  = 2 << 10   // bytes of one text that tells why
+	MaxFileBytes        = 256 << 10 // bytes of a charter, or of a namespace's file
+	MaxTotalFileBytes   = 16 << 20  // bytes of all good and waiting files
+	MaxPolicyBytes      = 16 << 20  // bytes of a policy's pieces
+	MaxUnchunkedBytes   = 512 << 10 // bytes of a policy's encoding that is given whole, to proxies that don't take pieces
+	MaxRetainedPolicies = 16        // policies that the fleet can be told to go back to
+	maxAuthorBytes      = 128       // bytes of who gave a command
+	maxConflicts        = 64        // conflicts
+	maxFailedChanges    = 256       // changes that were at fault, the newest
+	maxReasonBytes      = 2 << 10   // bytes of one text that tells why
 )
 
 // Command is one of the four.
 type Command struct {
-	Charter *Charter `json:"charter,omitempty"`
-	Offer   *Offer   `json:"offer,omitempty"`
-	Back    *Back    `json:"back,omitempty"`
-	Judge   *Judge   `json:"judge,omitempty"`
+	SetDeclaration *SetDeclaration `json:"charter,omitempty"`
+	SubmitFile     *SubmitFile     `json:"offer,omitempty"`
+	Rollback       *Rollback       `json:"back,omitempty"`
+	RolloutResult  *RolloutResult  `json:"judge,omitempty"`
 }
 
-// Charter puts a charter in place of the one before.
-type Charter struct {
-	Text string `json:"text"`
-	By   string `json:"by,omitempty"`
+// SetDeclaration puts a charter in place of the one before.
+type SetDeclaration struct {
+	Text   string `json:"text"`
+	Author string `json:"by,omitempty"`
 }
 
-// Offer offers the file of a namespace.
-type Offer struct {
-	Text string `json:"text"`
-	By   string `json:"by,omitempty"`
+// SubmitFile offers the file of a namespace.
+type SubmitFile struct {
+	Text   string `json:"text"`
+	Author string `json:"by,omitempty"`
 }
 
-// Back is an operator's word that the fleet goes back to an epoch that is kept.
-type Back struct {
-	Epoch uint64 `json:"epoch"`
-	By    string `json:"by,omitempty"`
+// Rollback is an operator's word that the fleet goes back to an epoch that is kept.
+type Rollback struct {
+	Epoch  uint64 `json:"epoch"`
+	Author string `json:"by,omitempty"`
 }
 
-// Judge says how a roll-out has ended. The leader gives it.
-type Judge struct {
-	Order uint64 `json:"order"`
-	Epoch uint64 `json:"epoch"`
-	Done  bool   `json:"done"`          // else it was stopped
-	Why   string `json:"why,omitempty"` // of one that was stopped
-	Help  string `json:"help,omitempty"`
+// RolloutResult says how a roll-out has ended. The leader gives it.
+type RolloutResult struct {
+	Generation uint64 `json:"order"`
+	Epoch      uint64 `json:"epoch"`
+	Completed  bool   `json:"done"`          // else it was stopped
+	Reason     string `json:"why,omitempty"` // of one that was stopped
+	Advice     string `json:"help,omitempty"`
 
-	Proxies int `json:"proxies,omitempty"` // that the leader knew by then; 0 is not told
+	ProxyCount int `json:"proxies,omitempty"` // that the leader knew by then; 0 is not told
 }
 
-// Held tells why a namespace's file was held back. Texts stand for errors, so that all stewards keep the same bytes.
-type Held struct {
-	Namespace string   `json:"namespace"`
-	Offered   uint64   `json:"offered"`
-	Holds     uint64   `json:"holds"` // its file that goes on; 0 is none
-	By        string   `json:"by,omitempty"`
-	Cut       []string `json:"cut,omitempty"`
-	Why       string   `json:"why"` // with the request written out, where the conflict is about one
-	Help      string   `json:"help"`
+// HeldFile tells why a namespace's file was held back. Texts stand for errors, so that all stewards keep the same bytes.
+type HeldFile struct {
+	Namespace    string   `json:"namespace"`
+	Submitted    uint64   `json:"offered"`
+	Active       uint64   `json:"holds"` // its file that goes on; 0 is none
+	Author       string   `json:"by,omitempty"`
+	RemovedItems []string `json:"cut,omitempty"`
+	Reason       string   `json:"why"` // with the request written out, where the conflict is about one
+	Advice       string   `json:"help"`
 }
 
-// Kept is a policy with what it came of. Its offer's hash is the root of its pieces.
-type Kept struct {
-	Offer   rollout.Version
-	Charter file
-	Files   map[string]file // by namespace, as they were offered
-	Tree    *merkle.Tree    // nil is none
+// retainedPolicy is a policy with what it came of. Its offer's hash is the root of its pieces.
+type retainedPolicy struct {
+	version     rollout.Version
+	declaration submittedFile
+	files       map[string]submittedFile // by namespace, as they were offered
+	tree        *merkle.Tree             // nil is none
 }
 
-// file is a charter or a namespace's file, as it was given.
-type file struct {
-	Text   string
-	By     string
-	Number uint64 // of a namespace's file
-	At     uint64 // the merge that it came in with
+// submittedFile is a charter or a namespace's file, as it was given.
+type submittedFile struct {
+	text        string
+	author      string
+	number      uint64 // of a namespace's file
+	mergeNumber uint64 // the merge that it came in with
 }
 
 type state struct {
-	Charter   file
-	Good      map[string]file   // that Head came of, and those of namespaces that the charter has no more
-	Waiting   map[string]file   // held: they come in by themselves once nothing is against them
-	Seen      map[string]uint64 // the highest number that a namespace has used
-	Held      []Held
-	Conflicts []string
-	Order     uint64
-	Epoch     uint64 // the highest
-	Merges    uint64 // that there were
-	Head      Kept   // the newest merged
-	Kept      []Kept
-	Base      int        // of Kept: what all have; -1 is none
-	Next      int        // of Kept: the train on its way; -1 is none
-	Trials    [][]change // parts of a train that was stopped, that go out one by one before Head
-	Stopped   *Judge
-	Faults    []Fault // the newest last
-	Proxies   int
-}
-
-// flaw is a guard taken out, to see that the tests convict.
-type flaw uint8
+	declaration    submittedFile
+	accepted       map[string]submittedFile // that Head came of, and those of namespaces that the charter has no more
+	pending        map[string]submittedFile // held: they come in by themselves once nothing is against them
+	highestNumbers map[string]uint64        // the highest number that a namespace has used
+	heldFiles      []HeldFile
+	conflicts      []string
+	generation     uint64
+	lastEpoch      uint64         // the highest
+	mergeCount     uint64         // that there were
+	head           retainedPolicy // the newest merged
+	retained       []retainedPolicy
+	activeIndex    int               // of Kept: what all have; -1 is none
+	candidateIndex int               // of Kept: the train on its way; -1 is none
+	bisection      [][]trackedChange // parts of a train that was stopped, that go out one by one before Head
+	stopped        *RolloutResult
+	failedChanges  []FailedChange // the newest last
+	proxyCount     int
+}
+
+// mutation is a guard taken out, to see that the tests convict.
+type mutation uint8
 
 const (
-	noSeen    flaw = 1 << iota // a file's number may come again
-	allStop                    // one that is held stops all
-	sameOrder                  // going back is not counted
-	displace                   // an offer takes the place of the train on its way
-	blameAll                   // a train that was stopped is not halved: all in it are at fault
-	noBlame                    // the change at fault stays in Head
-	noCache                    // files are read anew each time
-	tellOne                    // of a train whose changes can't be parted one is told, the others are dropped without a word
+	allowReusedNumbers mutation = 1 << iota // a file's number may come again
+	holdEverything                          // one that is held stops all
+	keepGeneration                          // going back is not counted
+	displaceCandidate                       // an offer takes the place of the train on its way
+	skipBisection                           // a train that was stopped is not halved: all in it are at fault
+	keepFailedChanges                       // the change at fault stays in Head
+	skipParseCache                          // files are read anew each time
+	reportOnlyFirst                         // of a train whose changes can't be parted one is told, the others are dropped without a word
 )
 
-// Book is the state. Callers see to it that one at a time calls.
-type Book struct {
-	s     state
-	flaws flaw
+// StateMachine is the state. Callers see to it that one at a time calls.
+type StateMachine struct {
+	state     state
+	mutations mutation
 
 	// What follows is no part of the state: the same commands give the same with and without it.
-	told   *Standing                       // of the state as it is; nil is not worked out yet
-	parsed map[string]*namespace.Namespace // files by their text
-	wholes map[string]string               // encodings by root; empty is one that is too long
+	cachedStatus *Status                         // of the state as it is; nil is not worked out yet
+	parsedFiles  map[string]*namespace.Namespace // files by their text
+	unchunked    map[string]string               // encodings by root; empty is one that is too long
 }
 
 // New makes an empty one. Orders begin at order: a fleet that is founded anew numbers its epochs from 1, and has to go before all
 // that its proxies were told before.
-func New(order uint64) *Book {
-	return &Book{s: state{Order: order, Good: map[string]file{}, Waiting: map[string]file{}, Seen: map[string]uint64{}, Base: -1, Next: -1}}
+func New(order uint64) *StateMachine {
+	return &StateMachine{state: state{generation: order, accepted: map[string]submittedFile{}, pending: map[string]submittedFile{}, highestNumbers: map[string]uint64{}, activeIndex: -1, candidateIndex: -1}}
 }
 
 // Empty tells whether nothing was ever taken in.
-func (b *Book) Empty() bool { return b.s.Charter.Text == "" }
+func (b *StateMachine) Empty() bool { return b.state.declaration.text == "" }
 
 // Apply carries a command out, whole or not at all. Errors change nothing: NoCharter, TooMuch, BadCommand, EpochGone, and those of
 // package namespace for a file or a charter that is bad by itself. A file that is held back is no error: see Held.
-func (b *Book) Apply(c Command) error {
+func (b *StateMachine) Apply(c Command) error {
 	given := 0
-	for _, is := range []bool{c.Charter != nil, c.Offer != nil, c.Back != nil, c.Judge != nil} {
+	for _, is := range []bool{c.SetDeclaration != nil, c.SubmitFile != nil, c.Rollback != nil, c.RolloutResult != nil} {
 		if is {
 			given++
 		}
 	}
 	switch {
 	case given != 1:
-		return BadCommand{fmt.Sprintf("it says %d things", given)}
+		return InvalidCommandError{fmt.Sprintf("it says %d things", given)}
 	}
-	b.told = nil
-	defer b.forget()
+	b.cachedStatus = nil
+	defer b.pruneCaches()
 	switch {
-	case c.Charter != nil:
-		return b.charter(*c.Charter)
-	case c.Offer != nil:
-		return b.offer(*c.Offer)
-	case c.Back != nil:
-		return b.back(*c.Back)
+	case c.SetDeclaration != nil:
+		return b.setDeclaration(*c.SetDeclaration)
+	case c.SubmitFile != nil:
+		return b.submitFile(*c.SubmitFile)
+	case c.Rollback != nil:
+		return b.rollBack(*c.Rollback)
 	}
-	return b.judge(*c.Judge)
+	return b.finishRollout(*c.RolloutResult)
 }
 
-func bounded(what, text, by string) error {
-	if len(text) > MostText {
-		return TooMuch{what, len(text), MostText}
+func checkSizes(what, text, by string) error {
+	if len(text) > MaxFileBytes {
+		return TooLargeError{what, len(text), MaxFileBytes}
 	}
-	if len(by) > mostBy {
-		return TooMuch{"the name of who gave it", len(by), mostBy}
+	if len(by) > maxAuthorBytes {
+		return TooLargeError{"the name of who gave it", len(by), maxAuthorBytes}
 	}
 	return nil
 }
 
-func (b *Book) charter(c Charter) error {
-	if err := bounded("the charter", c.Text, c.By); err != nil {
+func (b *StateMachine) setDeclaration(c SetDeclaration) error {
+	if err := checkSizes("the charter", c.Text, c.Author); err != nil {
 		return err
 	}
 	if _, err := namespace.ParseCharter("charter", []byte(c.Text)); err != nil {
 		return err
 	}
-	next := b.copy()
-	if c.Text != next.Charter.Text {
-		next.Charter = file{Text: c.Text, By: c.By, At: next.Merges + 1}
+	next := b.cloneState()
+	if c.Text != next.declaration.text {
+		next.declaration = submittedFile{text: c.Text, author: c.Author, mergeNumber: next.mergeCount + 1}
 	}
-	return b.moved(next)
+	return b.mergeAndCommit(next)
 }
 
-func (b *Book) offer(o Offer) error {
+func (b *StateMachine) submitFile(o SubmitFile) error {
 	if b.Empty() {
-		return NoCharter{}
+		return NoDeclarationError{}
 	}
-	if err := bounded("a namespace's file", o.Text, o.By); err != nil {
+	if err := checkSizes("a namespace's file", o.Text, o.Author); err != nil {
 		return err
 	}
 	n, err := namespace.Parse("offered", []byte(o.Text))
 	if err != nil {
 		return err
 	}
-	charter, err := namespace.ParseCharter("charter", []byte(b.s.Charter.Text))
+	charter, err := namespace.ParseCharter("charter", []byte(b.state.declaration.text))
 	if err != nil {
 		return err
 	}
 	if !slices.ContainsFunc(charter.Namespaces, func(h namespace.Holder) bool { return h.Name == n.Name }) {
 		return namespace.UnknownNamespace{Namespace: n.Name} // kept, it would take room that is nobody's
 	}
-	if b.s.Good[n.Name].Text == o.Text || b.s.Waiting[n.Name].Text == o.Text {
+	if b.state.accepted[n.Name].text == o.Text || b.state.pending[n.Name].text == o.Text {
 		return nil // told again
 	}
-	if seen := b.s.Seen[n.Name]; n.Number <= seen && b.flaws&noSeen == 0 {
+	if seen := b.state.highestNumbers[n.Name]; n.Number <= seen && b.mutations&allowReusedNumbers == 0 {
 		return namespace.VersionTaken{Namespace: n.Name, Offered: n.Number, Holds: seen}
 	}
-	next := b.copy()
-	next.Seen[n.Name] = max(n.Number, next.Seen[n.Name])
-	next.Waiting[n.Name] = file{Text: o.Text, By: o.By, Number: n.Number}
-	if b.flaws&noSeen != 0 && next.Good[n.Name].Text != "" {
-		delete(next.Good, n.Name)
+	next := b.cloneState()
+	next.highestNumbers[n.Name] = max(n.Number, next.highestNumbers[n.Name])
+	next.pending[n.Name] = submittedFile{text: o.Text, author: o.Author, number: n.Number}
+	if b.mutations&allowReusedNumbers != 0 && next.accepted[n.Name].text != "" {
+		delete(next.accepted, n.Name)
 	}
-	return b.moved(next)
+	return b.mergeAndCommit(next)
 }
 
-// moved puts a state in place of this one in which charter or files are others: it is merged, and if no train is on its way, one departs.
-func (b *Book) moved(s *state) error {
-	if err := b.merge(s, true); err != nil {
+// mergeAndCommit puts a state in place of this one in which charter or files are others: it is merged, and if no train is on its way, one departs.
+func (b *StateMachine) mergeAndCommit(s *state) error {
+	if err := b.updateHead(s, true); err != nil {
 		return err
 	}
-	b.depart(s)
-	b.s = *s
+	b.startNextRollout(s)
+	b.state = *s
 	return nil
 }
 
-// copy is a state that can be changed and thrown away. What it shares is never written to.
-func (b *Book) copy() *state {
-	s := b.s
-	s.Good, s.Waiting, s.Seen, s.Kept = maps.Clone(s.Good), maps.Clone(s.Waiting), maps.Clone(s.Seen), slices.Clone(s.Kept)
-	s.Trials, s.Faults = slices.Clone(s.Trials), slices.Clone(s.Faults)
+// cloneState is a state that can be changed and thrown away. What it shares is never written to.
+func (b *StateMachine) cloneState() *state {
+	s := b.state
+	s.accepted, s.pending, s.highestNumbers, s.retained = maps.Clone(s.accepted), maps.Clone(s.pending), maps.Clone(s.highestNumbers), slices.Clone(s.retained)
+	s.bisection, s.failedChanges = slices.Clone(s.bisection), slices.Clone(s.failedChanges)
 	return &s
 }
 
-// join merges files over last good ones under a charter, and gives the policy in pieces, with those of a tree before as far as they are
+// mergeFiles merges files over last good ones under a charter, and gives the policy in pieces, with those of a tree before as far as they are
 // the same. All files were read before, when they came.
-func (b *Book) join(charter file, good, offered map[string]file, before *merkle.Tree) (namespace.Outcome, *merkle.Tree, error) {
+func (b *StateMachine) mergeFiles(charter submittedFile, good, offered map[string]submittedFile, before *merkle.Tree) (namespace.Outcome, *merkle.Tree, error) {
 	none := namespace.Outcome{}
-	c, err := namespace.ParseCharter("charter", []byte(charter.Text))
+	c, err := namespace.ParseCharter("charter", []byte(charter.text))
 	if err != nil {
 		return none, nil, err
 	}
-	last, err := b.parse(good)
+	last, err := b.parseFiles(good)
 	if err != nil {
 		return none, nil, err
 	}
-	next, err := b.parse(offered)
+	next, err := b.parseFiles(offered)
 	if err != nil {
 		return none, nil, err
 	}
@@ -278,340 +278,340 @@
 	return out, tree, err
 }
 
-// parse reads files. What was read stays at hand by its text.
-func (b *Book) parse(files map[string]file) (all []*namespace.Namespace, err error) {
+// parseFiles reads files. What was read stays at hand by its text.
+func (b *StateMachine) parseFiles(files map[string]submittedFile) (all []*namespace.Namespace, err error) {
 	for _, name := range slices.Sorted(maps.Keys(files)) {
-		text := files[name].Text
-		n := b.parsed[text]
-		if n == nil || b.flaws&noCache != 0 {
+		text := files[name].text
+		n := b.parsedFiles[text]
+		if n == nil || b.mutations&skipParseCache != 0 {
 			if n, err = namespace.Parse(name, []byte(text)); err != nil {
 				return nil, err
 			}
-			if b.parsed == nil {
-				b.parsed = map[string]*namespace.Namespace{}
+			if b.parsedFiles == nil {
+				b.parsedFiles = map[string]*namespace.Namespace{}
 			}
-			b.parsed[text] = n
+			b.parsedFiles[text] = n
 		}
 		all = append(all, n)
 	}
 	return all, nil
 }
 
-// forget drops from what is at hand what nothing needs any more.
-func (b *Book) forget() {
-	if len(b.parsed) > 2*(len(b.s.Good)+len(b.s.Waiting))+64 {
-		had := b.parsed
-		b.parsed = map[string]*namespace.Namespace{}
-		keep := func(files map[string]file) {
+// pruneCaches drops from what is at hand what nothing needs any more.
+func (b *StateMachine) pruneCaches() {
+	if len(b.parsedFiles) > 2*(len(b.state.accepted)+len(b.state.pending))+64 {
+		had := b.parsedFiles
+		b.parsedFiles = map[string]*namespace.Namespace{}
+		keep := func(files map[string]submittedFile) {
 			for _, f := range files {
-				if n := had[f.Text]; n != nil {
-					b.parsed[f.Text] = n
+				if n := had[f.text]; n != nil {
+					b.parsedFiles[f.text] = n
 				}
 			}
 		}
-		keep(b.s.Good)
-		keep(b.s.Waiting)
-		keep(b.s.base().Files)
+		keep(b.state.accepted)
+		keep(b.state.pending)
+		keep(b.state.active().files)
 	}
-	for root := range b.wholes {
-		if _, ok := b.TreeOf(root); !ok {
-			delete(b.wholes, root)
+	for root := range b.unchunked {
+		if _, ok := b.TreeByRoot(root); !ok {
+			delete(b.unchunked, root)
 		}
 	}
 }
 
-// merge joins what a state has, and moves its Head. An error is told before anything but s was touched.
-func (b *Book) merge(s *state, bounds bool) error {
+// updateHead joins what a state has, and moves its Head. An error is told before anything but s was touched.
+func (b *StateMachine) updateHead(s *state, bounds bool) error {
 	total := 0
-	for _, files := range []map[string]file{s.Good, s.Waiting} {
+	for _, files := range []map[string]submittedFile{s.accepted, s.pending} {
 		for _, f := range files {
-			total += len(f.Text)
+			total += len(f.text)
 		}
 	}
-	if bounds && total > MostFiles {
-		return TooMuch{"all namespaces' files", total, MostFiles}
+	if bounds && total > MaxTotalFileBytes {
+		return TooLargeError{"all namespaces' files", total, MaxTotalFileBytes}
 	}
-	out, tree, err := b.join(s.Charter, s.Good, s.Waiting, s.Head.Tree)
+	out, tree, err := b.mergeFiles(s.declaration, s.accepted, s.pending, s.head.tree)
 	if err != nil {
 		return err
 	}
-	if bounds && tree.Size() > MostPolicy {
-		return TooMuch{"the merged policy", tree.Size(), MostPolicy}
+	if bounds && tree.Size() > MaxPolicyBytes {
+		return TooLargeError{"the merged policy", tree.Size(), MaxPolicyBytes}
 	}
-	if b.flaws&allStop != 0 && len(out.Held) > 0 {
-		waiting := s.Waiting
-		*s = *b.copy()
-		s.Waiting = waiting
+	if b.mutations&holdEverything != 0 && len(out.Held) > 0 {
+		waiting := s.pending
+		*s = *b.cloneState()
+		s.pending = waiting
 		return nil
 	}
-	s.Merges++
-	s.Held, s.Conflicts = nil, nil
+	s.mergeCount++
+	s.heldFiles, s.conflicts = nil, nil
 	for _, h := range out.Held {
-		by := s.Good[h.Namespace].By
-		if w, ok := s.Waiting[h.Namespace]; ok && h.Offered == w.Number {
-			by = w.By
+		by := s.accepted[h.Namespace].author
+		if w, ok := s.pending[h.Namespace]; ok && h.Offered == w.number {
+			by = w.author
 		}
-		s.Held = append(s.Held, Held{h.Namespace, h.Offered, h.Holds, by, h.Cut, cut(h.Error()), operatorerror.Of(h)})
+		s.heldFiles = append(s.heldFiles, HeldFile{h.Namespace, h.Offered, h.Holds, by, h.Cut, truncate(h.Error()), operatorerror.Of(h)})
 	}
-	for _, c := range out.Conflicts[:min(mostTold, len(out.Conflicts))] {
-		s.Conflicts = append(s.Conflicts, cut(c.String()))
+	for _, c := range out.Conflicts[:min(maxConflicts, len(out.Conflicts))] {
+		s.conflicts = append(s.conflicts, truncate(c.String()))
 	}
-	kept := Kept{Charter: s.Charter, Files: map[string]file{}, Tree: tree}
+	kept := retainedPolicy{declaration: s.declaration, files: map[string]submittedFile{}, tree: tree}
 	for _, n := range out.Good {
-		if w, ok := s.Waiting[n.Name]; ok && n.Number == w.Number {
-			w.At = s.Merges
-			s.Good[n.Name] = w
-			delete(s.Waiting, n.Name)
+		if w, ok := s.pending[n.Name]; ok && n.Number == w.number {
+			w.mergeNumber = s.mergeCount
+			s.accepted[n.Name] = w
+			delete(s.pending, n.Name)
 		}
-		kept.Files[n.Name] = s.Good[n.Name]
+		kept.files[n.Name] = s.accepted[n.Name]
 	}
-	kept.Offer = s.Head.Offer
-	if root := tree.Root().String(); s.Head.Offer.Hash != root {
-		s.Epoch++
-		kept.Offer = rollout.Version{Generation: s.Order, Epoch: s.Epoch, Hash: root}
+	kept.version = s.head.version
+	if root := tree.Root().String(); s.head.version.Hash != root {
+		s.lastEpoch++
+		kept.version = rollout.Version{Generation: s.generation, Epoch: s.lastEpoch, Hash: root}
 	}
-	s.Head = kept
+	s.head = kept
 	return nil
 }
 
-func cut(text string) string {
-	if len(text) > mostWords {
-		return text[:mostWords]
+func truncate(text string) string {
+	if len(text) > maxReasonBytes {
+		return text[:maxReasonBytes]
 	}
 	return text
 }
 
-// back puts the files of an epoch back, and gives its policy to all. What waited is dropped: it was written against other files.
-func (b *Book) back(c Back) error {
-	if len(c.By) > mostBy {
-		return TooMuch{"the name of who gave it", len(c.By), mostBy}
+// rollBack puts the files of an epoch back, and gives its policy to all. What waited is dropped: it was written against other files.
+func (b *StateMachine) rollBack(c Rollback) error {
+	if len(c.Author) > maxAuthorBytes {
+		return TooLargeError{"the name of who gave it", len(c.Author), maxAuthorBytes}
 	}
-	at := slices.IndexFunc(b.s.Kept, func(k Kept) bool { return k.Offer.Epoch == c.Epoch })
+	at := slices.IndexFunc(b.state.retained, func(k retainedPolicy) bool { return k.version.Epoch == c.Epoch })
 	if at < 0 {
 		var has []uint64
-		for _, k := range b.s.Kept {
-			has = append(has, k.Offer.Epoch)
+		for _, k := range b.state.retained {
+			has = append(has, k.version.Epoch)
 		}
-		return EpochGone{c.Epoch, has}
+		return EpochNotRetainedError{c.Epoch, has}
 	}
-	if at == b.s.Base && b.s.Next < 0 {
+	if at == b.state.activeIndex && b.state.candidateIndex < 0 {
 		return nil // told again
 	}
-	s := b.copy()
-	if b.flaws&sameOrder == 0 {
-		s.Order++
-	}
-	k := s.Kept[at]
-	k.Offer.Generation = s.Order
-	s.Kept[at] = k
-	if s.Base >= 0 {
-		s.Charter = s.Kept[s.Base].Charter // that is in force stays; one on its way is dropped like the files
-	}
-	s.Base, s.Next, s.Stopped, s.Held, s.Conflicts, s.Trials = at, -1, nil, nil, nil, nil
-	s.Waiting, s.Head = map[string]file{}, k
-	was := s.Good
-	s.Good = map[string]file{}
-	for name, f := range k.Files {
-		s.Good[name] = f
-		if was[name].Text != f.Text {
-			f.By = c.By
-			s.Good[name] = f
+	s := b.cloneState()
+	if b.mutations&keepGeneration == 0 {
+		s.generation++
+	}
+	k := s.retained[at]
+	k.version.Generation = s.generation
+	s.retained[at] = k
+	if s.activeIndex >= 0 {
+		s.declaration = s.retained[s.activeIndex].declaration // that is in force stays; one on its way is dropped like the files
+	}
+	s.activeIndex, s.candidateIndex, s.stopped, s.heldFiles, s.conflicts, s.bisection = at, -1, nil, nil, nil, nil
+	s.pending, s.head = map[string]submittedFile{}, k
+	was := s.accepted
+	s.accepted = map[string]submittedFile{}
+	for name, f := range k.files {
+		s.accepted[name] = f
+		if was[name].text != f.text {
+			f.author = c.Author
+			s.accepted[name] = f
 		}
 	}
-	b.s = *s
+	b.state = *s
 	return nil
 }
 
-func (b *Book) judge(j Judge) error {
-	if h := b.s.Head.Offer; h.Epoch == j.Epoch && h.Generation == j.Order && h.Hash != "" && !b.s.departed(h.Epoch) {
+func (b *StateMachine) finishRollout(j RolloutResult) error {
+	if h := b.state.head.version; h.Epoch == j.Epoch && h.Generation == j.Generation && h.Hash != "" && !b.state.rolledOut(h.Epoch) {
 		// An entry of before trains, when the newest took the place of what was on its way: it went out, and proxies may have it.
-		s := b.copy()
-		s.Trials = nil
-		s.enter(s.Head)
-		b.s = *s
+		s := b.cloneState()
+		s.bisection = nil
+		s.startRollout(s.head)
+		b.state = *s
 	}
-	if b.s.Next < 0 || b.s.Kept[b.s.Next].Offer.Epoch != j.Epoch || b.s.Kept[b.s.Next].Offer.Generation != j.Order {
+	if b.state.candidateIndex < 0 || b.state.retained[b.state.candidateIndex].version.Epoch != j.Epoch || b.state.retained[b.state.candidateIndex].version.Generation != j.Generation {
 		return nil // of one that has given way
 	}
-	if b.s.Stopped != nil {
+	if b.state.stopped != nil {
 		return nil
 	}
-	s := b.copy()
-	if j.Proxies > 0 {
-		s.Proxies = j.Proxies
+	s := b.cloneState()
+	if j.ProxyCount > 0 {
+		s.proxyCount = j.ProxyCount
 	}
-	if j.Done {
-		s.Base, s.Next = s.Next, -1
-		s.settled()
+	if j.Completed {
+		s.activeIndex, s.candidateIndex = s.candidateIndex, -1
+		s.clearSuperseded()
 	} else {
-		j.Why, j.Help = cut(j.Why), cut(j.Help)
-		s.Stopped = &j
-		b.part(s)
+		j.Reason, j.Advice = truncate(j.Reason), truncate(j.Advice)
+		s.stopped = &j
+		b.bisect(s)
 	}
-	b.depart(s)
-	b.s = *s
+	b.startNextRollout(s)
+	b.state = *s
 	return nil
 }
 
-// Standing is what the fleet has, what goes out, and what waits. Nobody writes to its lists.
-type Standing struct {
-	Base     rollout.Version `json:"Base"`     // in force: what all have; none is the zero
-	Next     rollout.Version `json:"Next"`     // the train on its way; none is the zero
-	Head     rollout.Version `json:"Head"`     // the newest merged. It departs under this epoch or, if parts of a stopped train go first, a higher one
-	Stopped  *Judge          `json:"Stopped"`  // why Next goes no further; nil if it does
-	Train    []Change        `json:"Train"`    // in Next, against Base
-	Gathered []Change        `json:"Gathered"` // in Head, and not in Next: they wait for a train
-	Faults   []Fault         `json:"Faults"`   // changes that were taken out, the newest last; one of a namespace, until a higher number of it is in force
-	Held     []Held          `json:"Held"`     // by namespace
-	Told     []string        `json:"Told"`     // conflicts
-	Kept     []uint64        `json:"Kept"`     // the epochs that the fleet can be told to go back to
-	Proxies  int             `json:"Proxies"`  // that the leader knew at the last judgement; 0 is not known
-}
-
-// Standing tells how things stand.
-func (b *Book) Standing() Standing {
-	if b.told != nil {
-		return *b.told
-	}
-	s := &b.s
-	out := Standing{Head: s.Head.Offer, Held: slices.Clone(s.Held), Told: slices.Clone(s.Conflicts), Faults: slices.Clone(s.Faults), Proxies: s.Proxies}
-	from := s.base()
-	out.Base = from.Offer
-	if s.Next >= 0 {
-		next := &s.Kept[s.Next]
-		out.Next, out.Train = next.Offer, told(changes(from, next))
-		if s.Stopped == nil {
+// Status is what the fleet has, what goes out, and what waits. Nobody writes to its lists.
+type Status struct {
+	Active         rollout.Version `json:"Base"`     // in force: what all have; none is the zero
+	Candidate      rollout.Version `json:"Next"`     // the train on its way; none is the zero
+	Head           rollout.Version `json:"Head"`     // the newest merged. It departs under this epoch or, if parts of a stopped train go first, a higher one
+	Stopped        *RolloutResult  `json:"Stopped"`  // why Next goes no further; nil if it does
+	Batch          []Change        `json:"Train"`    // in Next, against Base
+	Queued         []Change        `json:"Gathered"` // in Head, and not in Next: they wait for a train
+	FailedChanges  []FailedChange  `json:"Faults"`   // changes that were taken out, the newest last; one of a namespace, until a higher number of it is in force
+	HeldFiles      []HeldFile      `json:"Held"`     // by namespace
+	Conflicts      []string        `json:"Told"`     // conflicts
+	RetainedEpochs []uint64        `json:"Kept"`     // the epochs that the fleet can be told to go back to
+	ProxyCount     int             `json:"Proxies"`  // that the leader knew at the last judgement; 0 is not known
+}
+
+// Status tells how things stand.
+func (b *StateMachine) Status() Status {
+	if b.cachedStatus != nil {
+		return *b.cachedStatus
+	}
+	s := &b.state
+	out := Status{Head: s.head.version, HeldFiles: slices.Clone(s.heldFiles), Conflicts: slices.Clone(s.conflicts), FailedChanges: slices.Clone(s.failedChanges), ProxyCount: s.proxyCount}
+	from := s.active()
+	out.Active = from.version
+	if s.candidateIndex >= 0 {
+		next := &s.retained[s.candidateIndex]
+		out.Candidate, out.Batch = next.version, publicChanges(changesBetween(from, next))
+		if s.stopped == nil {
 			from = next
 		}
 	}
-	out.Gathered = told(changes(from, &s.Head))
-	if s.Stopped != nil {
-		j := *s.Stopped
+	out.Queued = publicChanges(changesBetween(from, &s.head))
+	if s.stopped != nil {
+		j := *s.stopped
 		out.Stopped = &j
 	}
-	for _, k := range s.Kept {
-		out.Kept = append(out.Kept, k.Offer.Epoch)
+	for _, k := range s.retained {
+		out.RetainedEpochs = append(out.RetainedEpochs, k.version.Epoch)
 	}
-	b.told = &out
+	b.cachedStatus = &out
 	return out
 }
 
 // Tree is a policy that is kept, or Head, in pieces.
-func (b *Book) Tree(o rollout.Version) (*merkle.Tree, bool) {
-	for k := range b.s.policies() {
-		if k.Offer == o {
-			return k.Tree, true
+func (b *StateMachine) Tree(o rollout.Version) (*merkle.Tree, bool) {
+	for k := range b.state.newestFirst() {
+		if k.version == o {
+			return k.tree, true
 		}
 	}
 	return nil, false
 }
 
-// TreeOf is the policy of a root in hexadecimal, if it is kept under any epoch.
-func (b *Book) TreeOf(root string) (*merkle.Tree, bool) {
-	for k := range b.s.policies() {
-		if k.Offer.Hash == root {
-			return k.Tree, true
+// TreeByRoot is the policy of a root in hexadecimal, if it is kept under any epoch.
+func (b *StateMachine) TreeByRoot(root string) (*merkle.Tree, bool) {
+	for k := range b.state.newestFirst() {
+		if k.version.Hash == root {
+			return k.tree, true
 		}
 	}
 	return nil, false
 }
 
 // Policies are all that are kept, and Head, the newest first.
-func (b *Book) Policies() iter.Seq2[rollout.Version, *merkle.Tree] {
+func (b *StateMachine) Policies() iter.Seq2[rollout.Version, *merkle.Tree] {
 	return func(yield func(rollout.Version, *merkle.Tree) bool) {
-		for k := range b.s.policies() {
-			if !yield(k.Offer, k.Tree) {
+		for k := range b.state.newestFirst() {
+			if !yield(k.version, k.tree) {
 				return
 			}
 		}
 	}
 }
 
-// Whole is the encoding of a policy that is kept, for proxies that don't take pieces. It is not ok if it is longer than MostWhole, or
+// Unchunked is the encoding of a policy that is kept, for proxies that don't take pieces. It is not ok if it is longer than MostWhole, or
 // the policy is not kept.
-func (b *Book) Whole(o rollout.Version) (text string, ok bool) {
+func (b *StateMachine) Unchunked(o rollout.Version) (text string, ok bool) {
 	tree, there := b.Tree(o)
 	if !there {
 		return "", false
 	}
-	text, known := b.wholes[o.Hash]
+	text, known := b.unchunked[o.Hash]
 	if !known {
-		if tree.Size() <= 4*MostWhole { // else it need not be tried
+		if tree.Size() <= 4*MaxUnchunkedBytes { // else it need not be tried
 			if p, err := namespace.FromTree(tree); err == nil {
 				text = string(p.Encode())
 			}
 		}
-		if len(text) > MostWhole {
+		if len(text) > MaxUnchunkedBytes {
 			text = ""
 		}
-		if b.wholes == nil {
-			b.wholes = map[string]string{}
+		if b.unchunked == nil {
+			b.unchunked = map[string]string{}
 		}
-		b.wholes[o.Hash] = text
+		b.unchunked[o.Hash] = text
 	}
 	return text, text != ""
 }
 
-// policies are all that are kept, the newest first.
-func (s *state) policies() iter.Seq[*Kept] {
-	return func(yield func(*Kept) bool) {
-		if s.Head.Tree != nil && !yield(&s.Head) {
+// newestFirst are all that are kept, the newest first.
+func (s *state) newestFirst() iter.Seq[*retainedPolicy] {
+	return func(yield func(*retainedPolicy) bool) {
+		if s.head.tree != nil && !yield(&s.head) {
 			return
 		}
-		for i := range s.Kept {
-			if !yield(&s.Kept[len(s.Kept)-1-i]) {
+		for i := range s.retained {
+			if !yield(&s.retained[len(s.retained)-1-i]) {
 				return
 			}
 		}
 	}
 }
 
-// NoCharter is an offer to a fleet in which nobody may say anything yet.
-type NoCharter struct{}
+// NoDeclarationError is an offer to a fleet in which nobody may say anything yet.
+type NoDeclarationError struct{}
 
-func (NoCharter) Error() string { return "the fleet has no charter" }
+func (NoDeclarationError) Error() string { return "the fleet has no charter" }
 
 // Advice is what an operator can do.
-func (NoCharter) Advice() string {
+func (NoDeclarationError) Advice() string {
 	return "Give the fleet its charter first: lapisspread fleet charter."
 }
 
-// TooMuch is more than the stewards keep.
-type TooMuch struct {
-	What       string
-	Has, Limit int // bytes
+// TooLargeError is more than the stewards keep.
+type TooLargeError struct {
+	What         string
+	Bytes, Limit int // bytes
 }
 
-func (e TooMuch) Error() string {
-	return fmt.Sprintf("%s: %d bytes, %d are the most", e.What, e.Has, e.Limit)
+func (e TooLargeError) Error() string {
+	return fmt.Sprintf("%s: %d bytes, %d are the most", e.What, e.Bytes, e.Limit)
 }
 
 // Advice is what an operator can do.
-func (TooMuch) Advice() string {
+func (TooLargeError) Advice() string {
 	return "Nothing was changed. Take out rules that nothing comes to any more, and write those that are alike as one."
 }
 
-// EpochGone is a word to go back to an epoch that is not kept.
-type EpochGone struct {
-	Epoch uint64
-	Kept  []uint64
+// EpochNotRetainedError is a word to go back to an epoch that is not kept.
+type EpochNotRetainedError struct {
+	Epoch    uint64
+	Retained []uint64
 }
 
-func (e EpochGone) Error() string {
-	return fmt.Sprintf("epoch %d is not kept; %v are", e.Epoch, e.Kept)
+func (e EpochNotRetainedError) Error() string {
+	return fmt.Sprintf("epoch %d is not kept; %v are", e.Epoch, e.Retained)
 }
 
 // Advice is what an operator can do.
-func (EpochGone) Advice() string {
+func (EpochNotRetainedError) Advice() string {
 	return "Name one of the epochs that are kept, or have the teams offer the old content under new numbers."
 }
 
-// BadCommand is a command or a snapshot that can't be.
-type BadCommand struct{ Why string }
+// InvalidCommandError is a command or a snapshot that can't be.
+type InvalidCommandError struct{ Reason string }
 
-func (e BadCommand) Error() string { return "policies: " + e.Why }
+func (e InvalidCommandError) Error() string { return "policies: " + e.Reason }
 
 // Advice is what an operator can do.
-func (BadCommand) Advice() string {
+func (InvalidCommandError) Advice() string {
 	return "See that all stewards and whoever speaks to them are of one release."
 }
--- a/internal/policy/store/codes.go
+++ b/internal/policy/store/codes.go
@@ -3,13 +3,13 @@
 // Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
 
 // Code is the name of the error in messages between processes.
-func (BadCommand) Code() string { return "policybook.BadCommand" }
+func (InvalidCommandError) Code() string { return "policybook.BadCommand" }
 
 // Code is the name of the error in messages between processes.
-func (EpochGone) Code() string { return "policybook.EpochGone" }
+func (EpochNotRetainedError) Code() string { return "policybook.EpochGone" }
 
 // Code is the name of the error in messages between processes.
-func (NoCharter) Code() string { return "policybook.NoCharter" }
+func (NoDeclarationError) Code() string { return "policybook.NoCharter" }
 
 // Code is the name of the error in messages between processes.
-func (TooMuch) Code() string { return "policybook.TooMuch" }
+func (TooLargeError) Code() string { return "policybook.TooMuch" }
--- a/internal/policy/store/frozen_test.go
+++ b/internal/policy/store/frozen_test.go
@@ -20,27 +20,27 @@
 // frozenLog is what stands in the kept log of commands: of each kind one at least.
 func frozenLog() []Command {
 	judge := func(order, epoch uint64, done bool) Command {
-		j := &Judge{Order: order, Epoch: epoch, Done: done, Proxies: 5}
+		j := &RolloutResult{Generation: order, Epoch: epoch, Completed: done, ProxyCount: 5}
 		if !done {
-			j.Why, j.Help = "worse", "mend it"
+			j.Reason, j.Advice = "worse", "mend it"
 		}
-		return Command{Judge: j}
+		return Command{RolloutResult: j}
 	}
 	return []Command{
-		{Charter: &Charter{Text: charter("x.org"), By: "op"}},
+		{SetDeclaration: &SetDeclaration{Text: declarationText("x.org"), Author: "op"}},
 		judge(7, 1, true),
-		word(rules("alpha", 1, "x.org", "/a")),
+		submitCommand(policyFile("alpha", 1, "x.org", "/a")),
 		judge(7, 2, true),
-		word(rules("alpha", 2, "x.org", "/c")),
-		word(rules("gamma", 1, "g.org", "/")),
-		word(rules("beta", 1, "x.org", "/c")),
+		submitCommand(policyFile("alpha", 2, "x.org", "/c")),
+		submitCommand(policyFile("gamma", 1, "g.org", "/")),
+		submitCommand(policyFile("beta", 1, "x.org", "/c")),
 		judge(7, 3, false),
-		{Back: &Back{Epoch: 2, By: "op"}},
-		word(rules("alpha", 3, "x.org", "/d")),
+		{Rollback: &Rollback{Epoch: 2, Author: "op"}},
+		submitCommand(policyFile("alpha", 3, "x.org", "/d")),
 		judge(8, 4, true),
-		word(rules("gamma", 2, "g.org", "/g")),
-		word(rules("alpha", 4, "x.org", "/e")),
-		word(rules("beta", 2, "x.org", "/e")),
+		submitCommand(policyFile("gamma", 2, "g.org", "/g")),
+		submitCommand(policyFile("alpha", 4, "x.org", "/e")),
+		submitCommand(policyFile("beta", 2, "x.org", "/e")),
 		judge(8, 7, true),
 		judge(8, 9, false),
 	}
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	checkFrozenStanding(t, restored)
-	for _, c := range []Command{{Judge: &Judge{Order: 8, Epoch: restored.Standing().Next.Epoch, Done: true}}, word(rules("alpha", 5, "x.org", "/f"))} {
+	for _, c := range []Command{{RolloutResult: &RolloutResult{Generation: 8, Epoch: restored.Status().Candidate.Epoch, Completed: true}}, submitCommand(policyFile("alpha", 5, "x.org", "/f"))} {
 		if err, wanted := restored.Apply(c), b.Apply(c); err != nil || wanted != nil {
 			t.Errorf("%v, %v", err, wanted)
 		}
@@ -119,26 +119,26 @@
 	}
 }
 
-func checkFrozenStanding(t *testing.T, b *Book) {
+func checkFrozenStanding(t *testing.T, b *StateMachine) {
 	t.Helper()
 	contradiction := `contradiction: alpha/4 route r, beta/2 route r: neither goes before the other; as for host "x.org", path "/e", method "GET", ` +
 		`class "any", tenant "any"`
 	overlap := `overlap: alpha/0 charter, beta/0 charter: both may set route; as for host "x.org", path "/", method "GET", class "any", tenant "any"`
-	want := Standing{
-		Base:     rollout.Version{Generation: 8, Epoch: 7, Hash: "c7b8986459f108ae3d90fc492bf9de929b99872029be8f32b56aa006ea8fc623"},
-		Next:     rollout.Version{Generation: 8, Epoch: 10, Hash: "51b4896d41c11870f0f9c7e3a6efc476aab091effb5084882987be7964f36707"},
-		Head:     rollout.Version{Generation: 8, Epoch: 9, Hash: "3956c2f148c9827221aa749772ebdfe715b26d6473707ca165efaa714bba3d08"},
-		Train:    []Change{{Namespace: "gamma", Number: 2, By: "t"}},
-		Gathered: []Change{{Namespace: "alpha", Number: 4, By: "t"}},
-		Held: []Held{{Namespace: "beta", Offered: 2, By: "t", Why: "namespace beta: version 2 is held back, nothing of it holds: " + contradiction,
-			Help: "Nobody else waits for this. The team of the namespace mends its file, or agrees with the other team that is named, and offers " +
+	want := Status{
+		Active:    rollout.Version{Generation: 8, Epoch: 7, Hash: "c7b8986459f108ae3d90fc492bf9de929b99872029be8f32b56aa006ea8fc623"},
+		Candidate: rollout.Version{Generation: 8, Epoch: 10, Hash: "51b4896d41c11870f0f9c7e3a6efc476aab091effb5084882987be7964f36707"},
+		Head:      rollout.Version{Generation: 8, Epoch: 9, Hash: "3956c2f148c9827221aa749772ebdfe715b26d6473707ca165efaa714bba3d08"},
+		Batch:     []Change{{Namespace: "gamma", Number: 2, Author: "t"}},
+		Queued:    []Change{{Namespace: "alpha", Number: 4, Author: "t"}},
+		HeldFiles: []HeldFile{{Namespace: "beta", Submitted: 2, Author: "t", Reason: "namespace beta: version 2 is held back, nothing of it holds: " + contradiction,
+			Advice: "Nobody else waits for this. The team of the namespace mends its file, or agrees with the other team that is named, and offers " +
 				"a higher version. Explain the request that is written out to see both rules. Narrow one of them, or have the charter delegate " +
 				"that part to the team whose rule shall go first."}},
-		Told:    []string{contradiction, overlap},
-		Kept:    []uint64{1, 2, 3, 6, 7, 9, 10},
-		Proxies: 5,
+		Conflicts:      []string{contradiction, overlap},
+		RetainedEpochs: []uint64{1, 2, 3, 6, 7, 9, 10},
+		ProxyCount:     5,
 	}
-	if got := b.Standing(); !reflect.DeepEqual(got, want) {
+	if got := b.Status(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read\n%+v, want\n%+v", got, want)
 	}
 }
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -84,8 +84,8 @@
 		return status, body
 	}
 	before, _ := asked("/x")
-	order(store.Command{Charter: &store.Charter{Text: policyCharter}})
-	order(store.Command{Offer: &store.Offer{Text: policyRules(1, "settlement", "[[block]]\nname = \"no\"\nhost = \"p.example.org\"\npath_prefix = \"/no\"\n")}})
+	order(store.Command{SetDeclaration: &store.SetDeclaration{Text: policyCharter}})
+	order(store.Command{SubmitFile: &store.SubmitFile{Text: policyRules(1, "settlement", "[[block]]\nname = \"no\"\nhost = \"p.example.org\"\npath_prefix = \"/no\"\n")}})
 	until("the policy holds", func() bool { p := report().Policy; return p.Epoch == 2 && len(p.Hash) == 64 })
 	if status, body := asked("/x"); status != 200 || body != "slow-5" {
 		t.Errorf("%d %q under the policy, %d before", status, body, before)
@@ -102,7 +102,7 @@
 	if s.reload(strings.Replace(strings.ReplaceAll(twoServices, "\"settlement\"", "\"other\""), "other-5", "slow-5", 1)) {
 		t.Error("a file without a service that the policy leads to was taken in")
 	}
-	order(store.Command{Offer: &store.Offer{Text: policyRules(2, "nowhere", "")}})
+	order(store.Command{SubmitFile: &store.SubmitFile{Text: policyRules(2, "nowhere", "")}})
 	until("it is told that a service is missing", func() bool {
 		for _, tr := range report().Policy.Faults {
 			if strings.Contains(tr.Error, "nowhere") && tr.Advice != "" {
@@ -126,7 +126,7 @@
 	}
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	if err := f.SendPolicyCommand(context.Background(), client, store.Command{Charter: &store.Charter{Text: policyCharter}}); err != nil {
+	if err := f.SendPolicyCommand(context.Background(), client, store.Command{SetDeclaration: &store.SetDeclaration{Text: policyCharter}}); err != nil {
 		t.Fatal(err)
 	}
 	for by := time.Now().Add(60 * time.Second); ; time.Sleep(5 * time.Millisecond) {
