--- a/decision/doc.go
+++ b/decision/doc.go
@@ -74,6 +74,7 @@
 //
 // # Changing a rule
 //
-// TestTranscriptKeepsItsBytes holds every decision of two fixed scenarios. A change that is meant to alter
-// decisions writes them anew, and shows its effect by the experiments of cmd/faultlab.
+// TestTranscriptKeepsItsBytes holds every decision of two fixed scenarios, and TestTranscriptsKeepTheirSums
+// those under random configurations. A change that is meant to alter decisions writes them anew, and shows
+// its effect by the experiments of cmd/faultlab.
 package decision
--- a/decision/frozen_test.go
+++ b/decision/frozen_test.go
@@ -15,7 +15,7 @@
 
 // The files in testdata were written by the program of c8fad44 with
 //
-//	FREEZE=1 go test ./decision -run 'KeepsItsBytes'
+//	FREEZE=1 go test ./decision -run 'KeepsItsBytes|KeepTheirSums'
 //
 // They hold what must not change: the actions for a fixed sequence of events, and the stored form of Memory.
 
