--- a/decision/frozen_test.go
+++ b/decision/frozen_test.go
@@ -17,7 +17,7 @@
 //
 //	FREEZE=1 go test ./decision -run 'KeepsItsBytes|KeepTheirSums'
 //
-// They hold what must not change: the actions for a fixed sequence of events, and the stored form of Memory.
+// They hold what must not change: the actions for a fixed sequence of events, and the stored form of Snapshot.
 
 // checkKept compares text with a kept file, or writes the file if FREEZE is set.
 func checkKept(t *testing.T, name string, text []byte) {
