--- a/cmd/lapisspread/policy_status.go
+++ b/cmd/lapisspread/policy_status.go
@@ -81,7 +81,7 @@
 	if status.Regression != "" {
 		printf(out, "worse: %s\n  %s\n", status.Regression, status.RegressionAdvice)
 	}
-	for _, held := range policy.HeldFiles {
+	for _, held := range policy.WithheldFiles {
 		printf(out, "held: %s, file %d by %q; file %d goes on\n  %s\n  %s\n",
 			held.Namespace, held.Submitted, held.Author, held.Active, held.Reason, held.Advice)
 	}
--- a/internal/controlplane/api/messages_frozen_test.go
+++ b/internal/controlplane/api/messages_frozen_test.go
@@ -88,7 +88,7 @@
 		FailedChanges: []store.FailedChange{
 			{Change: store.Change{Namespace: "gamma", Number: 4, Author: "c"}, MergeNumber: 6, Reason: "worse", Advice: "mend it"},
 		},
-		HeldFiles: []store.HeldFile{
+		WithheldFiles: []store.WithheldFile{
 			{Namespace: "delta", Submitted: 5, Active: 4, Author: "d", RemovedItems: []string{"cut"}, Reason: "clash", Advice: "agree"},
 		},
 		Conflicts: []string{"conflict"}, RetainedEpochs: []uint64{1, 2}, ProxyCount: 5},
--- a/internal/controlplane/server/frozen_test.go
+++ b/internal/controlplane/server/frozen_test.go
@@ -153,9 +153,9 @@
 		) || len(st.Queued) != 0 || len(st.FailedChanges) != 0 {
 		t.Errorf("policies: read %+v", st)
 	}
-	if len(st.HeldFiles) != 1 || st.HeldFiles[0].Namespace != "beta" || st.HeldFiles[0].Submitted != 1 || st.HeldFiles[0].Active != 0 ||
-		st.HeldFiles[0].Author != "beta" {
-		t.Errorf("held back: read %+v", st.HeldFiles)
+	if len(st.WithheldFiles) != 1 || st.WithheldFiles[0].Namespace != "beta" || st.WithheldFiles[0].Submitted != 1 || st.WithheldFiles[0].Active != 0 ||
+		st.WithheldFiles[0].Author != "beta" {
+		t.Errorf("held back: read %+v", st.WithheldFiles)
 	}
 	want := quotalease.Reply{FleetID: "north", Epoch: 1, HolderID: frozenKey, ConfigVersion: 1,
 		Leases: []quotalease.Lease{{FleetID: "north", Epoch: 1, HolderID: frozenKey, Quota: "attempts",
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -219,13 +219,13 @@
 	cluster.until("all servers have the same policy", func() bool {
 		a := cluster.policyStatus(0)
 		for i := range 3 {
-			if st := cluster.policyStatus(i); len(st.HeldFiles) != 1 || fmt.Sprint(st) != fmt.Sprint(a) {
+			if st := cluster.policyStatus(i); len(st.WithheldFiles) != 1 || fmt.Sprint(st) != fmt.Sprint(a) {
 				return false
 			}
 		}
 		return true
 	})
-	if h := cluster.policyStatus(0).HeldFiles[0]; !strings.Contains(h.Reason, "x.org") || h.Advice == "" || h.Active != 1 {
+	if h := cluster.policyStatus(0).WithheldFiles[0]; !strings.Contains(h.Reason, "x.org") || h.Advice == "" || h.Active != 1 {
 		t.Errorf("the request is not written out: %+v", h)
 	}
 	var texts [3][]byte
--- a/internal/controlplane/server/propose.go
+++ b/internal/controlplane/server/propose.go
@@ -73,7 +73,7 @@
 	}
 	status := current.state.policyStatus()
 	s.config.Logger.Info("policy command of an operator applied", "base_epoch", status.Active.Epoch,
-		"next_epoch", status.Candidate.Epoch, "generation", status.Active.Generation, "held", len(status.HeldFiles))
+		"next_epoch", status.Candidate.Epoch, "generation", status.Active.Generation, "held", len(status.WithheldFiles))
 	return nil
 }
 
--- a/internal/controlplane/server/rollout_scenarios_test.go
+++ b/internal/controlplane/server/rollout_scenarios_test.go
@@ -138,7 +138,7 @@
 	sim.offer(3, 2, "/other", false)
 	sim.settle()
 	sim.check()
-	if h := sim.store.Status().HeldFiles; len(h) != 1 || h[0].Namespace != "t2" {
+	if h := sim.store.Status().WithheldFiles; len(h) != 1 || h[0].Namespace != "t2" {
 		t.Errorf("%+v", h)
 	}
 }
--- a/internal/controlplane/server/rollout_sim_test.go
+++ b/internal/controlplane/server/rollout_sim_test.go
@@ -320,7 +320,7 @@
 		at := slices.IndexFunc(
 			st.FailedChanges, func(f store.FailedChange) bool { return f.Namespace == name && f.Number == uint64(o.number) },
 		)
-		held := slices.ContainsFunc(st.HeldFiles, func(h store.HeldFile) bool {
+		held := slices.ContainsFunc(st.WithheldFiles, func(h store.WithheldFile) bool {
 			return h.Namespace == name && h.Submitted == uint64(o.number) && h.Reason != ""
 		})
 		newer := slices.ContainsFunc(
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -392,7 +392,7 @@
 func (r *run) learn(st store.Status, changes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, h := range st.HeldFiles {
+	for _, h := range st.WithheldFiles {
 		r.held[h.Namespace+": "+h.Reason] = true
 	}
 	for _, f := range st.FailedChanges {
--- a/internal/policy/store/frozen_test.go
+++ b/internal/policy/store/frozen_test.go
@@ -130,7 +130,7 @@
 		Head:      rollout.Version{Generation: 8, Epoch: 9, Hash: "3956c2f148c9827221aa749772ebdfe715b26d6473707ca165efaa714bba3d08"},
 		Batch:     []Change{{Namespace: "gamma", Number: 2, Author: "t"}},
 		Queued:    []Change{{Namespace: "alpha", Number: 4, Author: "t"}},
-		HeldFiles: []HeldFile{{Namespace: "beta", Submitted: 2, Author: "t", Reason: "namespace beta: version 2 is held back, nothing of it holds: " + contradiction,
+		WithheldFiles: []WithheldFile{{Namespace: "beta", Submitted: 2, Author: "t", Reason: "namespace beta: version 2 is held back, nothing of it holds: " + contradiction,
 			Advice: "Nobody else waits for this. The team of the namespace mends its file, or agrees with the other team that is named, and offers " +
 				"a higher version. Explain the request that is written out to see both rules. Narrow one of them, or have the charter delegate " +
 				"that part to the team whose rule shall go first."}},
--- /dev/null
+++ b/internal/policy/store/restore.go
@@ -0,0 +1,188 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+
+	"lapisspread/internal/policy/merkle"
+)
+
+// errChunkMissing is returned for a snapshot that lacks a chunk of a policy.
+var errChunkMissing = errors.New("a piece is missing")
+
+// chunksPerStep is how many missing chunks an assembly is asked for at once.
+const chunksPerStep = 1 << 10
+
+// Restore replaces the state by that of a snapshot. An InvalidCommandError changes nothing.
+func (m *StateMachine) Restore(data []byte) error {
+	decode := decodeSnapshot
+	if len(data) > 0 && data[0] == '{' {
+		decode = decodeLegacySnapshot
+	}
+	next, err := decode(data)
+	if err != nil {
+		return err
+	}
+	*m = StateMachine{state: next, mutations: m.mutations}
+	return nil
+}
+
+// invalidSnapshot returns an InvalidCommandError about a snapshot.
+func invalidSnapshot(format string, args ...any) error {
+	return InvalidCommandError{"a snapshot " + fmt.Sprintf(format, args...)}
+}
+
+// validIndices reports whether a count of retained policies, and the indices of the active one and of the candidate
+// among them, are possible.
+func validIndices(retained, active, candidate int) bool {
+	within := func(index int) bool { return index >= noPolicy && index < retained }
+	return retained <= MaxRetainedPolicies && within(active) && within(candidate)
+}
+
+func decodeSnapshot(data []byte) (state, error) {
+	var in snapshot
+	if err := decMode.Unmarshal(data, &in); err != nil {
+		return state{}, invalidSnapshot("that can't be read: %v", err)
+	}
+	if in.Format != snapshotFormat || !validIndices(len(in.Retained), in.ActiveIndex, in.CandidateIndex) {
+		return state{}, invalidSnapshot("of another form")
+	}
+	files, err := newFileDecoder(&in)
+	if err != nil {
+		return state{}, err
+	}
+	s := state{
+		declaration:    files.declaration(in.Declaration),
+		accepted:       files.byNamespace(in.Accepted),
+		pending:        files.byNamespace(in.Pending),
+		highestNumbers: in.HighestNumbers,
+		withheldFiles:  in.WithheldFiles,
+		conflicts:      in.Conflicts,
+		generation:     in.Generation,
+		lastEpoch:      in.LastEpoch,
+		mergeCount:     in.MergeCount,
+		activeIndex:    in.ActiveIndex,
+		candidateIndex: in.CandidateIndex,
+		bisection:      in.Bisection,
+		stopped:        in.Stopped,
+		failedChanges:  in.FailedChanges,
+		proxyCount:     in.ProxyCount,
+	}
+	if s.highestNumbers == nil {
+		s.highestNumbers = map[string]uint64{}
+	}
+	if err := s.decodePolicies(&in, files); err != nil {
+		return state{}, err
+	}
+	if files.outOfRange {
+		return state{}, invalidSnapshot("that speaks of files that it does not have")
+	}
+	return s, nil
+}
+
+// decodePolicies assembles the retained policies and the head. Trees share what is the same with the one before.
+func (s *state) decodePolicies(in *snapshot, files *fileDecoder) error {
+	chunks := map[merkle.Name][]byte{}
+	for _, chunk := range in.Chunks {
+		chunks[merkle.NameOf(chunk)] = chunk
+	}
+	var previous *merkle.Tree
+	decode := func(p snapshotPolicy) (retainedPolicy, error) {
+		if p.Version.Hash == "" {
+			return retainedPolicy{}, nil
+		}
+		tree, err := assembleTree(p.Version.Hash, chunks, previous)
+		if err != nil {
+			return retainedPolicy{}, invalidSnapshot("whose policy of epoch %d is damaged: %v", p.Version.Epoch, err)
+		}
+		previous = tree
+		return retainedPolicy{p.Version, files.declaration(p.Declaration), files.byNamespace(p.Files), tree}, nil
+	}
+	for _, p := range in.Retained {
+		policy, err := decode(p)
+		if err != nil {
+			return err
+		}
+		if policy.tree == nil {
+			files.outOfRange = true
+		}
+		s.retained = append(s.retained, policy)
+	}
+	var err error
+	s.head, err = decode(in.Head)
+	return err
+}
+
+// assembleTree assembles the tree of a root from chunks, and from another tree as far as they are the same.
+func assembleTree(root string, chunks map[merkle.Name][]byte, previous *merkle.Tree) (*merkle.Tree, error) {
+	name, err := merkle.ParseName(root)
+	if err != nil {
+		return nil, err
+	}
+	assembly := merkle.Assemble(name, previous)
+	for {
+		wanted := assembly.Wants(chunksPerStep)
+		if len(wanted) == 0 {
+			return assembly.Tree()
+		}
+		for _, name := range wanted {
+			chunk, ok := chunks[name]
+			if !ok {
+				return nil, errChunkMissing
+			}
+			if err := assembly.Add(chunk); err != nil {
+				return nil, err
+			}
+		}
+	}
+}
+
+// fileDecoder resolves the indices of a snapshot's files.
+type fileDecoder struct {
+	namespaces []string
+	files      []submittedFile
+	outOfRange bool // an index was: the snapshot is damaged
+}
+
+func newFileDecoder(in *snapshot) (*fileDecoder, error) {
+	texts := map[merkle.Name]string{}
+	for _, text := range in.Texts {
+		texts[merkle.NameOf(text)] = string(text)
+	}
+	d := &fileDecoder{files: make([]submittedFile, 0, len(in.Files))}
+	for _, f := range in.Files {
+		text, ok := texts[f.Text]
+		if !ok {
+			return nil, invalidSnapshot("in which file %d of %s is damaged", f.Number, f.Namespace)
+		}
+		d.namespaces = append(d.namespaces, f.Namespace)
+		d.files = append(d.files, submittedFile{text, f.Author, f.Number, f.MergeNumber})
+	}
+	return d, nil
+}
+
+// valid reports whether an index is in range, and notes one that is not.
+func (d *fileDecoder) valid(index int) bool {
+	if index < 0 || index >= len(d.files) {
+		d.outOfRange = true
+		return false
+	}
+	return true
+}
+
+func (d *fileDecoder) declaration(index int) submittedFile {
+	if !d.valid(index) {
+		return submittedFile{}
+	}
+	return d.files[index]
+}
+
+func (d *fileDecoder) byNamespace(indices []int) map[string]submittedFile {
+	files := make(map[string]submittedFile, len(indices))
+	for _, index := range indices {
+		if d.valid(index) {
+			files[d.namespaces[index]] = d.files[index]
+		}
+	}
+	return files
+}
--- a/internal/policy/store/train_test.go
+++ b/internal/policy/store/rollout_test.go
@@ -170,15 +170,15 @@
 	if got := routesOf(t, b, s.Active); !strings.Contains(got, "t0/r/same") || !strings.Contains(got, "t1/r/1") || !strings.Contains(got, "/2a") {
 		t.Error(got)
 	}
-	if len(s.HeldFiles) != 1 || s.HeldFiles[0].Namespace != "t1" || s.HeldFiles[0].Reason == "" {
-		t.Errorf("%+v", s.HeldFiles)
+	if len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "t1" || s.WithheldFiles[0].Reason == "" {
+		t.Errorf("%+v", s.WithheldFiles)
 	}
 	// The one that was there first is at fault later on: the one that was held comes in by itself.
 	b = newWithTenTeams(t, 0)
 	apply(t, b, submitCommand(teamFile(0, 2, "/same", true)), submitCommand(teamFile(1, 2, "/same", false)))
 	endRolloutsByHarm(t, b)
 	s = b.Status()
-	if got := routesOf(t, b, s.Active); !strings.Contains(got, "t1/r/same") || len(s.HeldFiles) != 0 || !slices.Equal(failedChangeNames(b), []string{"t02"}) {
+	if got := routesOf(t, b, s.Active); !strings.Contains(got, "t1/r/same") || len(s.WithheldFiles) != 0 || !slices.Equal(failedChangeNames(b), []string{"t02"}) {
 		t.Errorf("%s: %+v", got, s)
 	}
 }
@@ -223,8 +223,8 @@
 	if len(s.FailedChanges) != 1 || s.FailedChanges[0].Namespace != DeclarationName || s.FailedChanges[0].Author != "admin" {
 		t.Errorf("%+v", s.FailedChanges)
 	}
-	if len(s.HeldFiles) != 1 || s.HeldFiles[0].Namespace != "t10" {
-		t.Errorf("%+v", s.HeldFiles)
+	if len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "t10" {
+		t.Errorf("%+v", s.WithheldFiles)
 	}
 }
 
@@ -232,7 +232,7 @@
 func TestInseparableChangesFailTogether(t *testing.T) {
 	b := newWithTenTeams(t, 0)
 	apply(t, b, submitCommand(teamFile(0, 2, "/1", true)))
-	if s := b.Status(); len(s.HeldFiles) != 1 || s.Candidate.Epoch != 0 {
+	if s := b.Status(); len(s.WithheldFiles) != 1 || s.Candidate.Epoch != 0 {
 		t.Fatalf("%+v", s)
 	}
 	apply(t, b, submitCommand(teamFile(1, 2, "/0", false)))
@@ -251,7 +251,7 @@
 			t.Fatalf("%+v", s)
 		}
 		endRolloutsByHarm(t, b)
-		if s := b.Status(); !slices.Equal(failedChangeNames(b), []string{"t12"}) || len(s.HeldFiles) != 1 || s.HeldFiles[0].Namespace != fmt.Sprint("t", needs) {
+		if s := b.Status(); !slices.Equal(failedChangeNames(b), []string{"t12"}) || len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != fmt.Sprint("t", needs) {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -369,7 +369,7 @@
 		name := fmt.Sprint("t", o.team)
 		at := slices.IndexFunc(s.FailedChanges, func(x FailedChange) bool { return x.Namespace == name && x.Number == uint64(o.number) })
 		in := inForce[name] == uint64(o.number)
-		held := slices.ContainsFunc(s.HeldFiles, func(h HeldFile) bool { return h.Namespace == name && h.Submitted == uint64(o.number) })
+		held := slices.ContainsFunc(s.WithheldFiles, func(h WithheldFile) bool { return h.Namespace == name && h.Submitted == uint64(o.number) })
 		switch {
 		case at >= 0 && (s.FailedChanges[at].Reason == "" || s.FailedChanges[at].Advice == ""):
 			return "a fault without a reason"
--- a/internal/policy/store/snapshot_test.go
+++ b/internal/policy/store/snapshot_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	s := b.Status()
-	if s.Active.Epoch != 3 || s.Candidate.Epoch != 5 || s.Head != s.Candidate || len(s.HeldFiles) != 1 || !slices.Equal(changeNames(s.Batch), []string{"alpha2", "gamma1"}) || len(s.Queued) != 0 {
+	if s.Active.Epoch != 3 || s.Candidate.Epoch != 5 || s.Head != s.Candidate || len(s.WithheldFiles) != 1 || !slices.Equal(changeNames(s.Batch), []string{"alpha2", "gamma1"}) || len(s.Queued) != 0 {
 		t.Fatalf("%+v", s)
 	}
 	if got := routesOf(t, b, s.Active); got != "alpha/r/a beta/r/b" {
--- /dev/null
+++ b/internal/policy/store/state.go
@@ -0,0 +1,115 @@
+package store
+
+import (
+	"iter"
+	"maps"
+	"slices"
+
+	"lapisspread/internal/policy/merkle"
+	"lapisspread/internal/policy/rollout"
+)
+
+// noPolicy is the index among the retained policies that stands for none.
+const noPolicy = -1
+
+// submittedFile is a declaration or a namespace's file, as it was submitted.
+type submittedFile struct {
+	text        string
+	author      string
+	number      uint64 // of a namespace's file
+	mergeNumber uint64 // the merge that accepted it
+}
+
+// retainedPolicy is a merged policy with what it was merged from. The hash of its version is the root of its tree.
+type retainedPolicy struct {
+	version     rollout.Version
+	declaration submittedFile
+	files       map[string]submittedFile // by namespace
+	tree        *merkle.Tree             // nil: nothing was merged yet
+}
+
+// contains reports whether the policy was merged from a change.
+func (p *retainedPolicy) contains(c trackedChange) bool {
+	if c.isDeclaration() {
+		return p.declaration.mergeNumber == c.MergeNumber
+	}
+	return p.files[c.Namespace].number == c.Number
+}
+
+// state is what the log replicates. Maps and slices that a clone shares are never written to.
+type state struct {
+	declaration submittedFile
+	// accepted are the files that the head was merged from, and those of namespaces that the declaration dropped.
+	accepted       map[string]submittedFile
+	pending        map[string]submittedFile // held back; accepted in a later merge once nothing conflicts
+	highestNumbers map[string]uint64        // the highest file number that each namespace has used
+	withheldFiles  []WithheldFile
+	conflicts      []string
+	generation     uint64
+	lastEpoch      uint64
+	mergeCount     uint64
+	head           retainedPolicy
+	retained       []retainedPolicy  // oldest first
+	activeIndex    int               // in retained, or noPolicy
+	candidateIndex int               // in retained, or noPolicy
+	bisection      [][]trackedChange // parts of stopped batches that are rolled out one by one before the head
+	stopped        *RolloutResult    // of the candidate
+	failedChanges  []FailedChange    // oldest first
+	proxyCount     int
+}
+
+// cloneState returns a copy that can be changed and discarded.
+func (m *StateMachine) cloneState() *state {
+	s := m.state
+	s.accepted = maps.Clone(s.accepted)
+	s.pending = maps.Clone(s.pending)
+	s.highestNumbers = maps.Clone(s.highestNumbers)
+	s.retained = slices.Clone(s.retained)
+	s.bisection = slices.Clone(s.bisection)
+	s.failedChanges = slices.Clone(s.failedChanges)
+	return &s
+}
+
+// active returns the policy in force, or an empty one.
+func (s *state) active() *retainedPolicy {
+	if s.activeIndex == noPolicy {
+		return &retainedPolicy{}
+	}
+	return &s.retained[s.activeIndex]
+}
+
+// candidate returns the policy that is being rolled out, or nil.
+func (s *state) candidate() *retainedPolicy {
+	if s.candidateIndex == noPolicy {
+		return nil
+	}
+	return &s.retained[s.candidateIndex]
+}
+
+// rolledOut reports whether the rollout of an epoch, or of a later one, was started.
+func (s *state) rolledOut(epoch uint64) bool {
+	return slices.ContainsFunc(s.retained, func(p retainedPolicy) bool { return p.version.Epoch >= epoch })
+}
+
+// retainedEpochs returns the epochs that the fleet can be rolled back to.
+func (s *state) retainedEpochs() []uint64 {
+	var epochs []uint64
+	for _, p := range s.retained {
+		epochs = append(epochs, p.version.Epoch)
+	}
+	return epochs
+}
+
+// newestFirst yields the head and all retained policies.
+func (s *state) newestFirst() iter.Seq[*retainedPolicy] {
+	return func(yield func(*retainedPolicy) bool) {
+		if s.head.tree != nil && !yield(&s.head) {
+			return
+		}
+		for i := range s.retained {
+			if !yield(&s.retained[len(s.retained)-1-i]) {
+				return
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/policy/store/statemachine.go
@@ -0,0 +1,209 @@
+package store
+
+import (
+	"fmt"
+	"slices"
+
+	"lapisspread/internal/policy/namespace"
+)
+
+// StateMachine applies the commands of a replicated log. Create it with New. Callers serialize all calls.
+type StateMachine struct {
+	state     state
+	mutations mutation
+
+	// The caches below are no part of the state: equal commands give equal results with and without them.
+	cachedStatus *Status                         // nil if the state has changed since
+	parsedFiles  map[string]*namespace.Namespace // by text
+	unchunked    map[string]string               // encoded policies by root; empty is one that is too long
+}
+
+// New returns an empty state machine whose generations begin at generation. A fleet that is bootstrapped again numbers
+// its epochs from 1, so its generation must be above every one that its proxies know.
+func New(generation uint64) *StateMachine {
+	return &StateMachine{state: state{
+		generation:     generation,
+		accepted:       map[string]submittedFile{},
+		pending:        map[string]submittedFile{},
+		highestNumbers: map[string]uint64{},
+		activeIndex:    noPolicy,
+		candidateIndex: noPolicy,
+	}}
+}
+
+// Empty reports whether the fleet has no ownership declaration yet.
+func (m *StateMachine) Empty() bool { return m.state.declaration.text == "" }
+
+// Apply carries a command out. An error changes nothing: NoDeclarationError, TooLargeError, InvalidCommandError,
+// EpochNotRetainedError, or one of package namespace for a file or a declaration that is invalid by itself. A file
+// that is held back is no error: see WithheldFile.
+func (m *StateMachine) Apply(c Command) error {
+	if fields := c.fields(); fields != 1 {
+		return InvalidCommandError{fmt.Sprintf("it says %d things", fields)}
+	}
+	m.cachedStatus = nil
+	defer m.pruneCaches()
+	switch {
+	case c.SetDeclaration != nil:
+		return m.setDeclaration(*c.SetDeclaration)
+	case c.SubmitFile != nil:
+		return m.submitFile(*c.SubmitFile)
+	case c.Rollback != nil:
+		return m.rollBack(*c.Rollback)
+	default:
+		m.finishRollout(*c.RolloutResult)
+		return nil
+	}
+}
+
+func (m *StateMachine) setDeclaration(c SetDeclaration) error {
+	if err := checkSizes("the charter", c.Text, c.Author); err != nil {
+		return err
+	}
+	if _, err := namespace.ParseCharter("charter", []byte(c.Text)); err != nil {
+		return err
+	}
+	next := m.cloneState()
+	if c.Text != next.declaration.text {
+		next.declaration = submittedFile{text: c.Text, author: c.Author, mergeNumber: next.mergeCount + 1}
+	}
+	return m.mergeAndCommit(next)
+}
+
+func (m *StateMachine) submitFile(c SubmitFile) error {
+	if m.Empty() {
+		return NoDeclarationError{}
+	}
+	if err := checkSizes("a namespace's file", c.Text, c.Author); err != nil {
+		return err
+	}
+	parsed, err := namespace.Parse("offered", []byte(c.Text))
+	if err != nil {
+		return err
+	}
+	name := parsed.Name
+	declaration, err := namespace.ParseCharter("charter", []byte(m.state.declaration.text))
+	if err != nil {
+		return err
+	}
+	declared := func(h namespace.Holder) bool { return h.Name == name }
+	if !slices.ContainsFunc(declaration.Namespaces, declared) {
+		return namespace.UnknownNamespace{Namespace: name}
+	}
+	if m.state.accepted[name].text == c.Text || m.state.pending[name].text == c.Text {
+		return nil // a repeated submission
+	}
+	highest := m.state.highestNumbers[name]
+	if parsed.Number <= highest && !m.mutated(allowReusedNumbers) {
+		return namespace.VersionTaken{Namespace: name, Offered: parsed.Number, Holds: highest}
+	}
+	next := m.cloneState()
+	next.highestNumbers[name] = max(parsed.Number, highest)
+	next.pending[name] = submittedFile{text: c.Text, author: c.Author, number: parsed.Number}
+	if m.mutated(allowReusedNumbers) && next.accepted[name].text != "" {
+		delete(next.accepted, name)
+	}
+	return m.mergeAndCommit(next)
+}
+
+// mergeAndCommit merges a state whose declaration or files have changed, starts a rollout if none is under way, and
+// commits the state.
+func (m *StateMachine) mergeAndCommit(s *state) error {
+	if err := m.updateHead(s, true); err != nil {
+		return err
+	}
+	m.startNextRollout(s)
+	m.state = *s
+	return nil
+}
+
+// rollBack restores the files of a retained epoch and makes its policy active. Pending files are dropped, because they
+// were written against other files; so is a declaration that is not in force yet.
+func (m *StateMachine) rollBack(c Rollback) error {
+	if err := checkAuthor(c.Author); err != nil {
+		return err
+	}
+	index := slices.IndexFunc(m.state.retained, func(p retainedPolicy) bool { return p.version.Epoch == c.Epoch })
+	if index < 0 {
+		return EpochNotRetainedError{c.Epoch, m.state.retainedEpochs()}
+	}
+	if index == m.state.activeIndex && m.state.candidateIndex == noPolicy {
+		return nil // a repeated command
+	}
+	s := m.cloneState()
+	if !m.mutated(keepGeneration) {
+		s.generation++
+	}
+	if s.activeIndex != noPolicy {
+		s.declaration = s.active().declaration
+	}
+	s.retained[index].version.Generation = s.generation
+	s.activeIndex = index
+	s.candidateIndex = noPolicy
+	s.stopped = nil
+	s.withheldFiles = nil
+	s.conflicts = nil
+	s.bisection = nil
+	s.pending = map[string]submittedFile{}
+	s.head = s.retained[index]
+	previous := s.accepted
+	s.accepted = map[string]submittedFile{}
+	for name, f := range s.head.files {
+		if previous[name].text != f.text {
+			f.author = c.Author
+		}
+		s.accepted[name] = f
+	}
+	m.state = *s
+	return nil
+}
+
+// finishRollout takes the result of the candidate's rollout. A result of any other version, or a second one, is stale
+// and changes nothing.
+func (m *StateMachine) finishRollout(result RolloutResult) {
+	m.adoptLegacyCandidate(result)
+	candidate := m.state.candidate()
+	if candidate == nil || m.state.stopped != nil {
+		return
+	}
+	if candidate.version.Epoch != result.Epoch || candidate.version.Generation != result.Generation {
+		return
+	}
+	s := m.cloneState()
+	if result.ProxyCount > 0 {
+		s.proxyCount = result.ProxyCount
+	}
+	if result.Completed {
+		s.activeIndex = s.candidateIndex
+		s.candidateIndex = noPolicy
+		s.clearSuperseded()
+	} else {
+		result.Reason = truncate(result.Reason)
+		result.Advice = truncate(result.Advice)
+		s.stopped = &result
+		m.bisect(s)
+	}
+	m.startNextRollout(s)
+	m.state = *s
+}
+
+// adoptLegacyCandidate makes the head the candidate if a result is about a head that was never rolled out. Logs of
+// releases without batches have such results: there each submission displaced the candidate.
+func (m *StateMachine) adoptLegacyCandidate(result RolloutResult) {
+	head := m.state.head.version
+	if head.Epoch != result.Epoch || head.Generation != result.Generation || head.Hash == "" {
+		return
+	}
+	if m.state.rolledOut(head.Epoch) {
+		return
+	}
+	s := m.cloneState()
+	s.bisection = nil
+	s.startRollout(s.head)
+	m.state = *s
+}
+
+// truncate bounds a reason or an advice.
+func truncate(text string) string {
+	return text[:min(len(text), maxReasonBytes)]
+}
--- a/internal/policy/store/book_test.go
+++ b/internal/policy/store/statemachine_test.go
@@ -205,12 +205,12 @@
 				}
 			}
 			s := a.Status()
-			for _, h := range s.HeldFiles {
+			for _, h := range s.WithheldFiles {
 				if h.Advice == "" || h.Reason == "" {
 					t.Fatalf("%+v", h)
 				}
 			}
-			held += len(s.HeldFiles)
+			held += len(s.WithheldFiles)
 			newest := max(before.Candidate.Epoch, before.Active.Epoch, before.Head.Epoch)
 			if after := max(s.Candidate.Epoch, s.Active.Epoch, s.Head.Epoch); after < newest && c.Rollback == nil {
 				t.Fatalf("seed %d: epoch %d after %d without a word", seed, after, newest)
@@ -232,12 +232,12 @@
 func TestDeclarationWithdrawsHost(t *testing.T) {
 	b := newWithTwoTeams(t, 0)
 	apply(t, b, Command{SetDeclaration: &SetDeclaration{Text: declarationText("y.org")}})
-	if s := b.Status(); headRoutes(t, b) != "alpha/r/a" || len(s.HeldFiles) != 1 || s.HeldFiles[0].Namespace != "beta" || len(s.HeldFiles[0].RemovedItems) != 1 {
-		t.Errorf("%s, %+v", headRoutes(t, b), s.HeldFiles)
+	if s := b.Status(); headRoutes(t, b) != "alpha/r/a" || len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "beta" || len(s.WithheldFiles[0].RemovedItems) != 1 {
+		t.Errorf("%s, %+v", headRoutes(t, b), s.WithheldFiles)
 	}
 	apply(t, b, Command{SetDeclaration: &SetDeclaration{Text: declarationText("x.org")}})
-	if s := b.Status(); headRoutes(t, b) != "alpha/r/a beta/r/b" || len(s.HeldFiles) != 0 {
-		t.Errorf("%s, %+v", headRoutes(t, b), s.HeldFiles)
+	if s := b.Status(); headRoutes(t, b) != "alpha/r/a beta/r/b" || len(s.WithheldFiles) != 0 {
+		t.Errorf("%s, %+v", headRoutes(t, b), s.WithheldFiles)
 	}
 }
 
