--- a/internal/controlplane/freshness/list.go
+++ b/internal/controlplane/freshness/list.go
@@ -26,7 +26,7 @@
 	published     atomic.Pointer[publishedState]
 
 	mu           sync.Mutex
-	activeSource *observedSource // the source that was called last; what others still tell is ignored
+	activeSource *observedSource // the source that was called last; what others still send is ignored
 	latestFrom   *observedSource // the source of latest
 	latest       staleness.News  // the whole list as last heard
 	lastHeard    time.Duration   // 0 is never
@@ -40,7 +40,7 @@
 	staleness.News
 	at          time.Duration
 	heard       bool  // the source has answered
-	changed     bool  // it has told a list or changes, not only that nothing changed
+	changed     bool  // it has sent a list or changes, not only that nothing changed
 	watchBroken bool  // a watch has ended since
 	callFailed  bool  // a call has failed since
 	merged      int64 // updates that were merged into an earlier one
@@ -66,7 +66,7 @@
 	l.latest.Changed = slices.DeleteFunc(l.latest.Changed, func(c staleness.Change) bool { return c.Gone })
 }
 
-// update records what a source has told. Fetched means that it answers a call, not a watch.
+// update records what a source has sent. Fetched means that it answers a call, not a watch.
 func (l *List) update(source *observedSource, news staleness.News, fetched bool) {
 	now := l.monitor.clock()
 	l.mu.Lock()
@@ -74,8 +74,8 @@
 	if l.activeSource != source {
 		return
 	}
-	told := engine.EndpointList{Version: uint32(news.Version)}
-	if (fetched || !news.Whole) && l.latestFrom == source && told.OlderThan(uint32(l.latest.Version)) {
+	reported := engine.EndpointList{Version: uint32(news.Version)}
+	if (fetched || !news.Whole) && l.latestFrom == source && reported.OlderThan(uint32(l.latest.Version)) {
 		return // an answer that was overtaken by a newer one; the engine drops it too
 	}
 	l.latestFrom = source
--- a/internal/controlplane/freshness/monitor_test.go
+++ b/internal/controlplane/freshness/monitor_test.go
@@ -342,10 +342,12 @@
 	runFixture(t, true, func(f *fixture) {
 		f.waitUntilFresh()
 		a, nobody := engine.BackendID("a"), engine.BackendID("nobody")
-		if n := testing.AllocsPerRun(
-			100, func() { f.view.CheckAttempt(a, onceOnlyClass); f.view.CheckAttempt(nobody, idempotentClass) },
-		); n > 0 {
-			t.Errorf("CheckAttempt allocates %v times", n)
+		allocations := testing.AllocsPerRun(100, func() {
+			f.view.CheckAttempt(a, onceOnlyClass)
+			f.view.CheckAttempt(nobody, idempotentClass)
+		})
+		if allocations > 0 {
+			t.Errorf("CheckAttempt allocates %v times", allocations)
 		}
 	})
 }
--- a/internal/controlplane/freshness/worker.go
+++ b/internal/controlplane/freshness/worker.go
@@ -152,7 +152,7 @@
 	w.lists[list] = &listState{list: list, view: view, indexStale: true, levels: map[string]staleness.Level{}}
 }
 
-// applyUpdate applies what a list's source has told since the last step.
+// applyUpdate applies what a list's source has sent since the last step.
 func (w *worker) applyUpdate(state *listState, now time.Duration) {
 	update := state.list.takePending()
 	w.counters.mergedUpdates.Add(update.merged)
--- a/internal/controlplane/server/chunks_test.go
+++ b/internal/controlplane/server/chunks_test.go
@@ -248,71 +248,75 @@
 // Any server returns chunks; a proxy of an older release gets a text while it fits, and an error otherwise; malformed
 // requests are rejected.
 func TestRepliesInChunksAndAsText(t *testing.T) {
+	small, large := policyWithRoutes(t, 300, 1), policyWithRoutes(t, 13000, 1)
 	cluster := newCluster(t)
 	cluster.bootstrap()
-	lead := cluster.leader()
-	small, large := policyWithRoutes(t, 300, 1), policyWithRoutes(t, 13000, 1)
-	ctx := context.Background()
-	report := func(in api.PolicyReport) (out api.PolicyReply, err error) {
-		in.Fleet, in.Proxy = "north", "p1"
-		err = api.CallWithTimeout(
-			ctx, cluster.client, cluster.config.Servers[cluster.leader()].Address, api.PathPolicyReport, in, &out,
-		)
-		return out, err
-	}
 	cluster.sendPolicyCommand(store.Command{SetDeclaration: &store.SetDeclaration{Text: ownershipText("x.org")}})
-	p := newProxyFleet(cluster, 4)
+	proxies := newProxyFleet(cluster, 4)
 	cluster.sendPolicyCommand(offerCommand("alpha", 1, "/a"))
-	cluster.until(
-		"it is in force",
-		func() bool {
-			p.reportAll()
-			return cluster.policyStatus(cluster.leader()).Active.Epoch == cluster.leaderNewestEpoch()
-		},
-	)
-	p.waitUntilAll("all have it", cluster.leaderNewestEpoch())
+	cluster.until("it is in force", func() bool {
+		proxies.reportAll()
+		return cluster.policyStatus(cluster.leader()).Active.Epoch == cluster.leaderNewestEpoch()
+	})
+	proxies.waitUntilAll("all have it", cluster.leaderNewestEpoch())
+	lead := cluster.leader()
+	base := cluster.policyStatus(lead).Active
+	checkTextReplies(t, cluster, lead, base)
+	cluster.servers[lead].publishTreesAt(9, small, large)
+	checkReplyOfLongPolicy(t, cluster, large.Root().String())
+	checkChunksOfEveryServer(t, cluster, lead, base, proxies.trees["p00"].Root())
+	if _, err := cluster.config.PolicyStatus(context.Background(), cluster.client); err != nil {
+		t.Error(err)
+	}
+}
+
+// report sends one report of p1 to the leader.
+func (cluster *testCluster) report(in api.PolicyReport) (out api.PolicyReply, err error) {
+	in.Fleet, in.Proxy = "north", "p1"
+	leader := cluster.config.Servers[cluster.leader()].Address
+	err = cluster.call(leader, api.PathPolicyReport, in, &out)
+	return out, err
+}
 
-	// A version by the hash of its text is the same as by its root.
-	base := cluster.policyStatus(cluster.leader()).Active
-	w, ok := cluster.servers[lead].replica.Load().state.policyEncoding(base)
+// checkTextReplies reports a version by the hash of its text, which is the same as by its root.
+func checkTextReplies(t *testing.T, cluster *testCluster, lead int, base rollout.Version) {
+	encoded, ok := cluster.servers[lead].replica.Load().state.policyEncoding(base)
 	if !ok {
 		t.Fatal("a small policy is not sent as a text")
 	}
-	has := rollout.Version{Generation: base.Generation, Epoch: base.Epoch, Hash: w.hash}
-	for _, takes := range []bool{false, true} {
-		out, err := report(api.PolicyReport{Sequence: 1, Current: has, AcceptsChunks: takes})
-		if err != nil || len(out.Text) > 0 || len(out.Chunks) > 0 || out.Target.NewerThan(has) {
-			t.Errorf("one that has it as a text, accepts chunks %v: %+v, %v", takes, out.Target, err)
+	current := rollout.Version{Generation: base.Generation, Epoch: base.Epoch, Hash: encoded.hash}
+	for _, acceptsChunks := range []bool{false, true} {
+		out, err := cluster.report(api.PolicyReport{Sequence: 1, Current: current, AcceptsChunks: acceptsChunks})
+		if err != nil || len(out.Text) > 0 || len(out.Chunks) > 0 || out.Target.NewerThan(current) {
+			t.Errorf("one that has it as a text, accepts chunks %v: %+v, %v", acceptsChunks, out.Target, err)
 		}
 	}
-	out, err := report(api.PolicyReport{Sequence: 2})
-	if err != nil || string(out.Text) != w.text || out.Target.Hash != w.hash {
+	out, err := cluster.report(api.PolicyReport{Sequence: 2})
+	if err != nil || string(out.Text) != encoded.text || out.Target.Hash != encoded.hash {
 		t.Errorf("one that takes a text gets %+v, %v", out.Target, err)
 	}
+}
 
-	cluster.servers[lead].publishTreesAt(9, small, large)
-	if _, err := report(api.PolicyReport{
-		Sequence: 3,
-		Current:  rollout.Version{},
-	}); api.RemoteErrorOf(err).Code != "steward.NeedsPieces" || api.RemoteErrorOf(err).Help == "" {
+// checkReplyOfLongPolicy expects a base that is too long to be sent as a text.
+func checkReplyOfLongPolicy(t *testing.T, cluster *testCluster, root string) {
+	_, err := cluster.report(api.PolicyReport{Sequence: 3, Current: rollout.Version{}})
+	if remote := api.RemoteErrorOf(err); remote.Code != "steward.NeedsPieces" || remote.Help == "" {
 		t.Errorf("of one that is too long: %v", err)
 	}
-	out, err = report(api.PolicyReport{Sequence: 4, AcceptsChunks: true})
-	if err != nil || !out.Chunked || out.Target.Hash != large.Root().String() {
+	out, err := cluster.report(api.PolicyReport{Sequence: 4, AcceptsChunks: true})
+	if err != nil || !out.Chunked || out.Target.Hash != root {
 		t.Errorf("one that accepts chunks gets %+v, %v", out.Target, err)
 	}
+}
 
-	// Followers have what they have applied.
+// checkChunksOfEveryServer fetches a chunk by name from each server; followers have what they have applied.
+func checkChunksOfEveryServer(t *testing.T, cluster *testCluster, lead int, base rollout.Version, name merkle.Name) {
 	root := base.Hash
-	tree := p.trees["p00"]
 	for i, o := range cluster.config.Servers {
 		cluster.until("a follower has it", func() bool { return cluster.policyStatus(i).Active == base || i == lead })
 		var out api.ChunksReply
-		name := tree.Root()
-		err := api.CallWithTimeout(
-			ctx, cluster.client, o.Address, api.PathPolicyChunks,
-			api.ChunksRequest{Fleet: "north", Proxy: "p9", Root: root, Names: [][]byte{name[:], {1, 2}}}, &out,
-		)
+		request := api.ChunksRequest{Fleet: "north", Proxy: "p9", Root: root, Names: [][]byte{name[:], {1, 2}}}
+		err := cluster.call(o.Address, api.PathPolicyChunks, request, &out)
 		if err != nil || len(out.Chunks) != 1 || out.Missing != 1 || merkle.NameOf(out.Chunks[0]) != name {
 			t.Errorf("server %s: %d chunks, %v", o.Name, len(out.Chunks), err)
 		}
@@ -321,16 +325,12 @@
 			"too many":        {Fleet: "north", Proxy: "p9", Root: root, Names: make([][]byte, api.MaxChunkNames+1)},
 			"a name too long": {Fleet: "north", Proxy: string(make([]byte, maxProxyNameBytes+1)), Root: root},
 		} {
-			if err := api.CallWithTimeout(
-				ctx, cluster.client, o.Address, api.PathPolicyChunks, in, &out,
-			); api.RemoteErrorOf(err).Help == "" {
+			err := cluster.call(o.Address, api.PathPolicyChunks, in, &out)
+			if api.RemoteErrorOf(err).Help == "" {
 				t.Errorf("%s: %v", what, err)
 			}
 		}
 	}
-	if _, err := cluster.config.PolicyStatus(ctx, cluster.client); err != nil {
-		t.Error(err)
-	}
 }
 
 // A new leader starts a rollout once nine in ten of the proxies that the last rollout knew have reported, and no
@@ -348,10 +348,8 @@
 			ProxyCount: k.known,
 		}
 		for i := range k.report {
-			if _, err := r.report(
-				time.Duration(i)*time.Millisecond, set, st,
-				api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Active},
-			); err != nil {
+			report := api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Active}
+			if _, err := r.report(time.Duration(i)*time.Millisecond, set, st, report); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -370,15 +368,13 @@
 	set, r := rollout.DefaultSettings(), &rolloutDriver{}
 	st := store.Status{Active: rollout.Version{Generation: 1, Epoch: 1, Hash: "a"}}
 	for i := range maxProxies {
-		if _, err := r.report(
-			0, set, st, api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Active},
-		); err != nil {
+		report := api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Active}
+		if _, err := r.report(0, set, st, report); err != nil {
 			t.Fatal(i, err)
 		}
 	}
-	if _, err := r.report(
-		0, set, st, api.PolicyReport{Proxy: "one more", Sequence: 1},
-	); api.RemoteErrorOf(err).Help == "" || len(r.proxies) != maxProxies {
+	_, err := r.report(0, set, st, api.PolicyReport{Proxy: "one more", Sequence: 1})
+	if api.RemoteErrorOf(err).Help == "" || len(r.proxies) != maxProxies {
 		t.Error(err)
 	}
 	if maxProxies < 2*4700 {
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -75,7 +75,7 @@
 		}
 		for _, o := range p.config.Servers {
 			var reply api.PolicyReply
-			if api.CallWithTimeout(context.Background(), p.client, o.Address, api.PathPolicyReport, in, &reply) != nil {
+			if p.call(o.Address, api.PathPolicyReport, in, &reply) != nil {
 				continue
 			}
 			before := h.Version()
@@ -122,10 +122,8 @@
 		}
 		p.chunkRequests++
 		var out api.ChunksReply
-		if api.CallWithTimeout(
-			context.Background(), p.client, p.config.Servers[p.chunkRequests%3].Address, api.PathPolicyChunks, in,
-			&out,
-		) != nil {
+		address := p.config.Servers[p.chunkRequests%3].Address
+		if p.call(address, api.PathPolicyChunks, in, &out) != nil {
 			continue
 		}
 		for _, piece := range out.Chunks {
@@ -192,29 +190,7 @@
 	cluster := newClusterWithPolicies(t)
 	cluster.sendPolicyCommand(offerCommand("alpha", 1, "/a"))
 	cluster.sendPolicyCommand(offerCommand("beta", 1, "/b"))
-	lead := cluster.leader()
-	cluster.partitioned.Store(int64(lead + 1))
-	lone := *cluster.config
-	lone.Servers = cluster.config.Servers[lead : lead+1]
-	one := make(chan error, 1)
-	go func() {
-		one <- lone.SendPolicyCommand(context.Background(), cluster.client, offerCommand("alpha", 2, "/c"))
-	}()
-	cluster.until("the other side takes beta's", func() bool {
-		for i, o := range cluster.config.Servers {
-			if i != lead && api.CallWithTimeout(
-				context.Background(), cluster.client, o.Address, api.PathPolicyCommand, offerCommand("beta", 2, "/c"),
-				nil,
-			) == nil {
-				return true
-			}
-		}
-		return false
-	})
-	if err := <-one; err == nil {
-		t.Error("a minority accepted a command")
-	}
-	cluster.partitioned.Store(0)
+	offerOnBothSides(t, cluster)
 	cluster.sendPolicyCommand(offerCommand("alpha", 2, "/c"))
 	cluster.until("all servers have the same policy", func() bool {
 		a := cluster.policyStatus(0)
@@ -252,6 +228,33 @@
 	})
 }
 
+// offerOnBothSides cuts the leader off, and offers alpha's file there and beta's on the other side.
+func offerOnBothSides(t *testing.T, cluster *testCluster) {
+	lead := cluster.leader()
+	cluster.partitioned.Store(int64(lead + 1))
+	lone := *cluster.config
+	lone.Servers = cluster.config.Servers[lead : lead+1]
+	one := make(chan error, 1)
+	go func() {
+		one <- lone.SendPolicyCommand(context.Background(), cluster.client, offerCommand("alpha", 2, "/c"))
+	}()
+	cluster.until("the other side takes beta's", func() bool {
+		for i, o := range cluster.config.Servers {
+			if i == lead {
+				continue
+			}
+			if cluster.call(o.Address, api.PathPolicyCommand, offerCommand("beta", 2, "/c"), nil) == nil {
+				return true
+			}
+		}
+		return false
+	})
+	if err := <-one; err == nil {
+		t.Error("a minority accepted a command")
+	}
+	cluster.partitioned.Store(0)
+}
+
 // A rollout that loses its leader resumes under the next one. One that does harm stops, stays stopped under the next
 // leader, and goes back only on command.
 func TestRolloutResumesStopsAndRollsBack(t *testing.T) {
@@ -308,9 +311,8 @@
 	}
 	cluster.sendPolicyCommand(store.Command{Rollback: &store.Rollback{Epoch: second, Author: "on call"}})
 	p.waitUntilAll("back", second)
-	if err := cluster.config.SendPolicyCommand(
-		context.Background(), cluster.client, store.Command{RolloutResult: &store.RolloutResult{}},
-	); err == nil {
+	verdict := store.Command{RolloutResult: &store.RolloutResult{}}
+	if err := cluster.config.SendPolicyCommand(context.Background(), cluster.client, verdict); err == nil {
 		t.Error("an operator ended a rollout")
 	}
 }
@@ -345,9 +347,8 @@
 			t.Errorf("%q came back as %q", text, again)
 		}
 	}
-	if err := newStateMachine(clock, 1).Restore(append(
-		[]byte{policyEntryMarker}, 'x',
-	)); api.RemoteErrorOf(err).Help == "" {
+	err = newStateMachine(clock, 1).Restore([]byte{policyEntryMarker, 'x'})
+	if api.RemoteErrorOf(err).Help == "" {
 		t.Error(err)
 	}
 }
--- a/internal/controlplane/server/rollout_scenarios_test.go
+++ b/internal/controlplane/server/rollout_scenarios_test.go
@@ -202,10 +202,9 @@
 	sim.settle()
 	sim.changes = slices.DeleteFunc(sim.changes, func(o *simChange) bool { return o.team == 3 })
 	sim.check()
-	if f := sim.store.Status().FailedChanges; len(f) != 1 || f[0].Namespace != "t3" || !strings.Contains(
-		f[0].Reason, "did not take it up",
-	) {
-		t.Errorf("%+v", f)
+	faults := sim.store.Status().FailedChanges
+	if len(faults) != 1 || faults[0].Namespace != "t3" || !strings.Contains(faults[0].Reason, "did not take it up") {
+		t.Errorf("%+v", faults)
 	}
 }
 
--- a/internal/controlplane/server/rollout_sim_test.go
+++ b/internal/controlplane/server/rollout_sim_test.go
@@ -68,6 +68,8 @@
 	inForceAt    time.Duration // when all proxies had it
 }
 
+func (o *simChange) namespace() string { return fmt.Sprint("t", o.team) }
+
 func newRolloutSim(t testing.TB, seed uint64, n, teams int) *rolloutSim {
 	t.Helper()
 	f := &api.Config{}
@@ -146,95 +148,118 @@
 
 // observeRollout records a rollout that a command started.
 func (sim *rolloutSim) observeRollout(before store.Status, judged bool) {
-	s := sim.store.Status()
-	if s.Candidate == before.Candidate || s.Candidate.Epoch == 0 {
+	after := sim.store.Status()
+	if after.Candidate == before.Candidate || after.Candidate.Epoch == 0 {
 		return
 	}
 	if before.Candidate.Epoch != 0 && before.Stopped == nil && !judged {
-		sim.violations = append(
-			sim.violations, fmt.Sprintf("epoch %d was displaced by %d", before.Candidate.Epoch, s.Candidate.Epoch),
-		)
+		sim.violate("epoch %d was displaced by %d", before.Candidate.Epoch, after.Candidate.Epoch)
 	}
 	sim.rollouts++
-	sim.harmfulEpochs[s.Candidate.Epoch] = sim.harmfulEpochs[s.Active.Epoch]
-	for _, c := range s.Batch {
+	sim.harmfulEpochs[after.Candidate.Epoch] = sim.harmfulEpochs[after.Active.Epoch]
+	for _, change := range after.Batch {
 		for _, o := range sim.changes {
-			if o.unadoptable && c.Namespace == fmt.Sprint("t", o.team) && c.Number == uint64(o.number) {
-				sim.unadoptableEpochs[s.Candidate.Epoch] = true
+			if change.Namespace != o.namespace() || change.Number != uint64(o.number) {
+				continue
 			}
-		}
-	}
-	for _, c := range s.Batch {
-		for _, o := range sim.changes {
-			if o.harmful && c.Namespace == fmt.Sprint("t", o.team) && c.Number == uint64(o.number) {
-				sim.harmfulEpochs[s.Candidate.Epoch] = true
+			if o.unadoptable {
+				sim.unadoptableEpochs[after.Candidate.Epoch] = true
+			}
+			if o.harmful {
+				sim.harmfulEpochs[after.Candidate.Epoch] = true
 			}
 		}
 	}
 }
 
+func (sim *rolloutSim) violate(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
+}
+
 // step advances the simulation by simStep.
 func (sim *rolloutSim) step() {
 	sim.now += simStep
-	st := sim.store.Status()
-	if sim.uncommitted != nil && sim.leader != nil &&
-		!sim.logBlocked { // commit the proposal of an earlier step
-		before := st
-		if sim.uncommitted.Completed {
-			for _, c := range before.Batch {
-				for _, o := range sim.changes {
-					if o.completedIn == 0 && c.Namespace == fmt.Sprint("t", o.team) && c.Number >= uint64(o.number) {
-						o.completedIn = before.Candidate.Epoch
-					}
-				}
-			}
-			if sim.harmfulEpochs[before.Candidate.Epoch] {
-				sim.violations = append(
-					sim.violations, fmt.Sprintf("epoch %d is harmful and got through", before.Candidate.Epoch),
-				)
+	sim.commitProposal()
+	status := sim.store.Status()
+	sim.adoptTargets()
+	for _, c := range sim.reporters[int(sim.now/simStep)%stepsPerSecond] {
+		sim.report(c, status)
+	}
+	sim.advanceLeader(status)
+	sim.updateLeastEpoch(status)
+	for _, o := range sim.changes {
+		if o.completedIn != 0 && o.inForceAt == 0 && sim.leastEpoch >= o.completedIn {
+			o.inForceAt = sim.now
+		}
+	}
+}
+
+// commitProposal commits how a rollout ended, as the leader proposed it in an earlier step.
+func (sim *rolloutSim) commitProposal() {
+	if sim.uncommitted == nil || sim.leader == nil || sim.logBlocked {
+		return
+	}
+	before := sim.store.Status()
+	if sim.uncommitted.Completed {
+		sim.completeChanges(before)
+	} else {
+		sim.stops++
+	}
+	sim.apply(store.Command{RolloutResult: sim.uncommitted})
+	sim.uncommitted = nil
+	sim.observeRollout(before, true)
+}
+
+func (sim *rolloutSim) completeChanges(before store.Status) {
+	epoch := before.Candidate.Epoch
+	for _, change := range before.Batch {
+		for _, o := range sim.changes {
+			if o.completedIn == 0 && change.Namespace == o.namespace() && change.Number >= uint64(o.number) {
+				o.completedIn = epoch
 			}
-		} else {
-			sim.stops++
 		}
-		sim.apply(store.Command{RolloutResult: sim.uncommitted})
-		sim.uncommitted = nil
-		sim.observeRollout(before, true)
-		st = sim.store.Status()
 	}
+	if sim.harmfulEpochs[epoch] {
+		sim.violate("epoch %d is harmful and got through", epoch)
+	}
+}
+
+// adoptTargets has proxies adopt what they learnt in the last step.
+func (sim *rolloutSim) adoptTargets() {
 	for _, c := range sim.adopting {
 		if c.adopting.NewerThan(c.current) {
 			c.current = c.adopting
 		}
 	}
 	if len(sim.adopting) > 0 {
-		sim.adopting, sim.leastKnown = sim.adopting[:0], false
+		sim.adopting = sim.adopting[:0]
+		sim.leastKnown = false
 	}
-	for _, c := range sim.reporters[int(sim.now/simStep)%stepsPerSecond] {
-		sim.report(c, st)
-	}
-	if r := sim.leader; r != nil { // the leader advances with every step
-		r.syncWithLog(sim.now, sim.settings, st)
-		r.advance(sim.now)
-		state, why := r.rollout.State()
-		if r.next == st.Candidate && r.next.Epoch != 0 && st.Stopped == nil && sim.uncommitted == nil &&
-			(state == rollout.Done || state == rollout.Stopped) {
-			j := &store.RolloutResult{
-				Generation: r.next.Generation,
-				Epoch:      r.next.Epoch,
-				Completed:  state == rollout.Done,
-				ProxyCount: len(r.proxies),
-			}
-			if why != nil {
-				j.Reason, j.Advice = why.Error(), operatorerror.Of(why)
-			}
-			sim.uncommitted = j
-		}
+}
+
+// advanceLeader advances the leader's rollout, as runRollouts does.
+func (sim *rolloutSim) advanceLeader(status store.Status) {
+	driver := sim.leader
+	if driver == nil {
+		return
 	}
-	sim.updateLeastEpoch(st)
-	for _, o := range sim.changes {
-		if o.completedIn != 0 && o.inForceAt == 0 && sim.leastEpoch >= o.completedIn {
-			o.inForceAt = sim.now
-		}
+	driver.syncWithLog(sim.now, sim.settings, status)
+	driver.advance(sim.now)
+	state, reason := driver.rollout.State()
+	current := driver.next == status.Candidate && driver.next.Epoch != 0 && status.Stopped == nil
+	ended := state == rollout.Done || state == rollout.Stopped
+	if !current || !ended || sim.uncommitted != nil {
+		return
+	}
+	sim.uncommitted = &store.RolloutResult{
+		Generation: driver.next.Generation,
+		Epoch:      driver.next.Epoch,
+		Completed:  state == rollout.Done,
+		ProxyCount: len(driver.proxies),
+	}
+	if reason != nil {
+		sim.uncommitted.Reason = reason.Error()
+		sim.uncommitted.Advice = operatorerror.Of(reason)
 	}
 }
 
@@ -280,7 +305,7 @@
 		sim.t.Fatal(err)
 	}
 	if c.current.NewerThan(o) && o.Generation > c.current.Generation {
-		sim.violations = append(sim.violations, "a target goes back")
+		sim.violate("a target goes back")
 	}
 	if o.NewerThan(c.current) && !sim.unadoptableEpochs[o.Epoch] {
 		c.adopting = o
@@ -307,7 +332,7 @@
 			return
 		}
 	}
-	sim.violations = append(sim.violations, fmt.Sprintf("it never comes to an end: %+v", sim.store.Status()))
+	sim.violate("it never comes to an end: %+v", sim.store.Status())
 }
 
 // findViolations returns what must never happen and did: a change that is neither in force nor reported, one that is
@@ -328,15 +353,13 @@
 		)
 		switch {
 		case at >= 0 && (st.FailedChanges[at].Reason == "" || st.FailedChanges[at].Advice == "" || st.FailedChanges[at].Author != "t"):
-			sim.violations = append(sim.violations, fmt.Sprintf("%s %d is at fault without a reason", name, o.number))
+			sim.violate("%s %d is at fault without a reason", name, o.number)
 		case at >= 0 && (!o.harmful || harmless):
-			sim.violations = append(sim.violations, fmt.Sprintf("%s %d is blamed and did no harm", name, o.number))
+			sim.violate("%s %d is blamed and did no harm", name, o.number)
 		case at < 0 && !held && !newer && o.inForceAt == 0:
-			sim.violations = append(
-				sim.violations, fmt.Sprintf("%s %d is neither in force nor reported", name, o.number),
-			)
+			sim.violate("%s %d is neither in force nor reported", name, o.number)
 		case at < 0 && !held && !newer && o.harmful:
-			sim.violations = append(sim.violations, fmt.Sprintf("%s %d is harmful and not reported", name, o.number))
+			sim.violate("%s %d is harmful and not reported", name, o.number)
 		}
 	}
 	return sim.violations
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -190,6 +190,11 @@
 	return lead
 }
 
+// call sends one request to a server.
+func (cluster *testCluster) call(address, path string, in, out any) error {
+	return api.CallWithTimeout(context.Background(), cluster.client, address, path, in, out)
+}
+
 // testHolder requests leases, from one server after another.
 type testHolder struct {
 	*quotalease.Holder
@@ -253,12 +258,11 @@
 	}
 	cluster.bootstrap()
 	a, b := newTestHolder("p1"), newTestHolder("p2")
-	halves := func(a, b float64) bool { return a == 500 && b == 500 }
-	cluster.requestBothUntil("both have half", a, b, halves, 1000)
+	cluster.requestBothUntil("both have half", a, b, bothHaveHalf, 1000)
 
 	lead := cluster.leader()
 	cluster.stop(lead)
-	cluster.requestBothUntil("both have half again under another leader", a, b, halves, 1000)
+	cluster.requestBothUntil("both have half again under another leader", a, b, bothHaveHalf, 1000)
 
 	other := cluster.leader()
 	cluster.stop(other)
@@ -270,7 +274,7 @@
 	}
 	cluster.start(lead)
 	cluster.start(other)
-	cluster.requestBothUntil("both have half once the servers are back", a, b, halves, 1000)
+	cluster.requestBothUntil("both have half once the servers are back", a, b, bothHaveHalf, 1000)
 
 	cluster.config.Quotas[0].Limit = 400
 	cluster.setQuotas()
@@ -290,45 +294,52 @@
 func TestOperatorCommandsAreValidated(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.bootstrap()
+	checkInvalidCommands(t, cluster)
+	a, b := newTestHolder("p1"), newTestHolder("p2")
+	checkSecondEpoch(t, cluster, a, b)
+	checkRestoredLog(cluster, a, b)
+}
+
+func checkInvalidCommands(t *testing.T, cluster *testCluster) {
 	ctx := context.Background()
-	refused := func(what, name string, err error) {
+	rejected := func(what, code string, err error) {
 		t.Helper()
-		if p := api.RemoteErrorOf(err); !strings.Contains(p.Code, name) || p.Help == "" {
-			t.Errorf("%s: %s %v, with advice %q", what, p.Code, err, p.Help)
+		if remote := api.RemoteErrorOf(err); !strings.Contains(remote.Code, code) || remote.Help == "" {
+			t.Errorf("%s: %s %v, with advice %q", what, remote.Code, err, remote.Help)
 		}
 	}
 	cluster.noError(cluster.config.Bootstrap(ctx, cluster.client, 1)) // repeated
-	short := *cluster.config
-	short.MaxLifetime /= 2
-	refused("a shorter longest", "BadCommand", short.Bootstrap(ctx, cluster.client, 2))
-	wrong := *cluster.config
-	wrong.Fleet = "south"
-	refused("another fleet's bootstrap", "OtherFleet", wrong.Bootstrap(ctx, cluster.client, 2))
-	_, err := wrong.SetQuotas(ctx, cluster.client, 9, nil)
-	refused("another fleet's budgets", "OtherFleet", err)
+	shorter := *cluster.config
+	shorter.MaxLifetime /= 2
+	rejected("a shorter lifetime", "BadCommand", shorter.Bootstrap(ctx, cluster.client, 2))
+	other := *cluster.config
+	other.Fleet = "south"
+	rejected("another fleet's bootstrap", "OtherFleet", other.Bootstrap(ctx, cluster.client, 2))
+	_, err := other.SetQuotas(ctx, cluster.client, 9, nil)
+	rejected("another fleet's quotas", "OtherFleet", err)
 	_, err = cluster.config.SetQuotas(ctx, cluster.client, 1, nil)
-	refused("an old version", "OldBudgets", err)
+	rejected("an old version", "OldBudgets", err)
+
 	stranger := newTestHolder("p1")
 	stranger.Holder = quotalease.NewHolder(quotalease.HolderSettings{
 		FleetID:  "south",
 		HolderID: quotalease.HolderID{Holder: "p1", Incarnation: 1},
 	})
 	lead := cluster.leader()
-	err = api.CallWithTimeout(
-		ctx, cluster.client, cluster.config.Servers[lead].Address, api.PathLease, stranger.NextRequest(0), nil,
-	)
-	refused("another fleet's proxy", "OtherFleet", err)
-	follower := cluster.config.Servers[(lead+1)%3]
-	err = api.CallWithTimeout(
-		ctx, cluster.client, follower.Address, api.PathLease, newTestHolder("p2").NextRequest(0), nil,
-	)
-	if p := api.RemoteErrorOf(err); p.LeaderAddress != cluster.config.Servers[lead].Address ||
-		!strings.Contains(p.Code, "NotLeader") {
-		t.Errorf("a follower says %+v", p)
+	leader := cluster.config.Servers[lead].Address
+	follower := cluster.config.Servers[(lead+1)%3].Address
+	err = cluster.call(leader, api.PathLease, stranger.NextRequest(0), nil)
+	rejected("another fleet's proxy", "OtherFleet", err)
+	err = cluster.call(follower, api.PathLease, newTestHolder("p2").NextRequest(0), nil)
+	remote := api.RemoteErrorOf(err)
+	if remote.LeaderAddress != leader || !strings.Contains(remote.Code, "NotLeader") {
+		t.Errorf("a follower says %+v", remote)
 	}
+}
 
-	// A second epoch: leases of the first have expired before any is granted under the second.
-	a, b := newTestHolder("p1"), newTestHolder("p2")
+// checkSecondEpoch bootstraps again: leases of the first epoch have expired before any is granted under the second.
+func checkSecondEpoch(t *testing.T, cluster *testCluster, a, b *testHolder) {
+	ctx := context.Background()
 	cluster.requestBothUntil("p1 has all or half", a, b, func(a, _ float64) bool { return a > 0 }, 1000)
 	cluster.noError(cluster.config.Bootstrap(ctx, cluster.client, 2))
 	cluster.until("quotas are set under the second epoch", func() bool {
@@ -338,26 +349,30 @@
 		}
 		return err == nil
 	})
-	cluster.requestBothUntil("both have half", a, b, func(a, b float64) bool { return a == 500 && b == 500 }, 1000)
+	cluster.requestBothUntil("both have half", a, b, bothHaveHalf, 1000)
+}
 
-	// A server whose log was restored from an older copy takes no part and reports it; the others go on.
+// checkRestoredLog restores a server's log from an older copy: it takes no part and reports it; the others go on.
+func checkRestoredLog(cluster *testCluster, a, b *testHolder) {
 	cluster.stop(0)
-	old := filepath.Join(cluster.stateDirs[0], "log-2.db")
-	copied, err := os.ReadFile(old)
+	path := filepath.Join(cluster.stateDirs[0], "log-2.db")
+	copied, err := os.ReadFile(path)
 	cluster.noError(err)
 	cluster.start(0)
-	cluster.requestBothUntil(
-		"it takes part again", a, b,
-		func(a, b float64) bool { return a == 500 && b == 500 && cluster.servers[0].status.Load().Applied > 5 }, 1000,
-	)
+	cluster.requestBothUntil("it takes part again", a, b, func(a, b float64) bool {
+		return bothHaveHalf(a, b) && cluster.servers[0].status.Load().Applied > 5
+	}, 1000)
 	cluster.stop(0)
-	cluster.noError(os.WriteFile(old, copied, 0o600))
+	cluster.noError(os.WriteFile(path, copied, 0o600))
 	cluster.start(0)
 	cluster.requestBothUntil("it finds that its log is old", a, b, func(a, b float64) bool {
-		return strings.Contains(cluster.servers[0].status.Load().Fault.Code, "StoreRolledBack") && a == 500 && b == 500
+		fault := cluster.servers[0].status.Load().Fault
+		return strings.Contains(fault.Code, "StoreRolledBack") && bothHaveHalf(a, b)
 	}, 1000)
 }
 
+func bothHaveHalf(a, b float64) bool { return a == 500 && b == 500 }
+
 // Servers and their callers need a certificate of the fleet's CA; other callers get no answer.
 func TestMetricsRequireClientCertificate(t *testing.T) {
 	ca := tlstest.NewCA(t)
@@ -373,9 +388,8 @@
 		"another CA's": api.NewTransport(other),
 	} {
 		client := &http.Client{Transport: via}
-		if err := cluster.config.Bootstrap(context.Background(), client, 1); !errors.As(
-			err, &api.ServerUnreachableError{},
-		) {
+		err := cluster.config.Bootstrap(context.Background(), client, 1)
+		if !errors.As(err, &api.ServerUnreachableError{}) {
 			t.Errorf("%s: %v", what, err)
 		}
 		client.CloseIdleConnections()
@@ -423,9 +437,9 @@
 						h.SetDemand("attempts", 1000)
 						at := h.now()
 						var reply quotalease.Reply
-						if err := api.CallWithTimeout(
-							context.Background(), client, lead, api.PathLease, h.NextRequest(at), &reply,
-						); err != nil {
+						ctx := context.Background()
+						err := api.CallWithTimeout(ctx, client, lead, api.PathLease, h.NextRequest(at), &reply)
+						if err != nil {
 							failed.Add(1)
 							continue
 						}
--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -26,111 +26,23 @@
 	os.Exit(m.Run())
 }
 
-// minuteSteps are settings with steps of a minute and a high error rate.
-func minuteSteps() Settings {
-	s := DefaultSettings()
-	s.Steps, s.StepDuration, s.LooksPerStep, s.MinRequests, s.ErrorRate, s.SmallFleetErrorRate = []float64{0.03, 0.1,
-		0.3, 1}, time.Minute, 4, 2000, 0.02, 0.02
-	return s
-}
-
-// simulation plays one rollout in a fleet whose proxies differ in their share of bad requests.
-type simulation struct {
-	n                 int
-	extraBadShare     float64 // with the new version
-	dyingShare        float64 // of the proxies that adopt it
-	requestsPerReport int64   // 0 is no traffic
-	mutations         mutation
-	seed              uint64
-	reportInterval    time.Duration
-	leaving           int // proxies that leave
-	margin            float64
-}
-
-// play returns the state at the end, the most proxies that ever had the version, and what must never happen.
-func (w *simulation) play() (State, int, string) {
-	rng := rand.New(rand.NewPCG(w.seed, 1))
-	set := minuteSteps()
-	set.Margin = w.margin
-	r, err := New(set, Version{Epoch: 1, Hash: "old"})
-	if err != nil {
-		panic(err)
-	}
-	r.mutations = w.mutations
-	var names []string
-	bad, dead, number := map[string]float64{}, map[string]bool{}, uint64(0)
-	has := map[string]Version{}
-	for i := range w.n {
-		names = append(names, fmt.Sprint("p", i))
-		// Most proxies see few bad requests, some many.
-		bad[names[i]] = 0.01 * rng.ExpFloat64()
-		has[names[i]] = Version{Epoch: 1, Hash: "old"}
-	}
-	r.SetMembers(0, names)
-	if err := r.Start(0, 2, "new", w.seed); err != nil {
-		panic(err)
-	}
-	most := 0
-	for now := time.Duration(0); now < 10*time.Minute; now += w.reportInterval {
-		if w.leaving > 0 && len(names) > w.n-w.leaving && rng.IntN(3) == 0 {
-			gone := rng.IntN(len(names))
-			names = slices.Delete(names, gone, gone+1)
-			r.SetMembers(now, names)
-		}
-		have := 0
-		for _, name := range names {
-			o := r.Target(name)
-			if o.Epoch < has[name].Epoch {
-				return 0, 0, "a proxy goes back without a rollback"
-			}
-			if o != has[name] {
-				has[name] = o
-				dead[name] = rng.Float64() < w.dyingShare
-			}
-			if o.Epoch == 2 {
-				have++
-			}
-			if dead[name] {
-				continue
-			}
-			share := min(1, bad[name])
-			if has[name].Epoch == 2 {
-				share = min(1, share+w.extraBadShare)
-			}
-			number++
-			lost := int64(0)
-			for i := goodBeforeBad(rng, share); i < w.requestsPerReport; i += 1 + goodBeforeBad(rng, share) {
-				lost++
-			}
-			t := Report{name, number, has[name], w.requestsPerReport - lost, lost}
-			r.Report(now, t)
-			r.Report(now, t) // a repeated report counts once
-		}
-		most = max(most, have)
-		r.Tick(now)
-		if state, _ := r.State(); state != InProgress {
-			return state, most, ""
-		}
-	}
-	state, _ := r.State()
-	return state, most, ""
-}
-
-// goodBeforeBad returns how many requests succeed before the next bad one, from a geometric distribution.
-func goodBeforeBad(rng *rand.Rand, share float64) int64 {
-	if share <= 0 {
-		return math.MaxInt32
+// findViolations plays rollouts in random fleets and returns what is wrong.
+func findViolations(t *testing.T, mutations mutation) []string {
+	wrong := playHarmless(t, mutations)
+	if mutations != 0 && len(wrong) > 0 {
+		return wrong
 	}
-	return int64(min(math.MaxInt32, math.Log(1-rng.Float64())/math.Log1p(-min(share, 0.999))))
+	return append(wrong, playHarmful(t, mutations)...)
 }
 
-// findViolations plays rollouts in random fleets and returns what is wrong.
-func findViolations(t *testing.T, mutations mutation) (wrong []string) {
+// playHarmless checks that harmless versions reach all proxies, and are stopped no more often than the error rate says,
+// within three standard deviations.
+func playHarmless(t *testing.T, mutations mutation) (wrong []string) {
+	const errorRate = 0.02
 	plays := 300
 	if mutations&(skipTest|ignoreSilent|skipMinRequests) != 0 {
 		plays = 20 // these err towards harmful versions
 	}
-	// A harmless version is stopped no more often than the error rate says, within three standard deviations.
 	stops, played := 0, 0
 	for i := range plays {
 		played++
@@ -143,9 +55,9 @@
 			leaving:           i % 2 * 6,
 			margin:            0.002,
 		}
-		state, _, bad := w.play()
-		if bad != "" {
-			wrong = append(wrong, bad)
+		state, _, violation := w.play()
+		if violation != "" {
+			wrong = append(wrong, violation)
 		}
 		switch state {
 		case Stopped:
@@ -158,17 +70,21 @@
 		}
 	}
 	t.Logf("mutations %d: a harmless version was stopped in %d of %d", mutations, stops, played)
-	if bound := 0.02*float64(plays) + 3*math.Sqrt(0.02*0.98*float64(plays)); float64(stops) > bound {
+	deviation := math.Sqrt(errorRate * (1 - errorRate) * float64(plays))
+	if float64(stops) > errorRate*float64(plays)+3*deviation {
 		wrong = append(wrong, fmt.Sprintf("a harmless version was stopped in %d of %d", stops, played))
 	}
-	if mutations != 0 && len(wrong) > 0 {
-		return wrong
-	}
-	had := map[string]float64{}
+	return wrong
+}
+
+// playHarmful checks that harmful versions are stopped before many proxies have them.
+func playHarmful(t *testing.T, mutations mutation) (wrong []string) {
+	const plays = 20
+	share := map[string]float64{}
 	defer func() {
-		t.Logf("mutations %d: mean share that had the version when it was stopped: %.3v", mutations, had)
+		t.Logf("mutations %d: mean share that had the version when it was stopped: %.3v", mutations, share)
 	}()
-	for i := range 20 {
+	for i := range plays {
 		if mutations != 0 && len(wrong) > 0 {
 			return wrong
 		}
@@ -179,9 +95,12 @@
 			"most that adopt it die":     {n: 60, dyingShare: 0.7, requestsPerReport: 100},
 			"3 more of 100 go bad":       {n: 300, extraBadShare: 0.03, requestsPerReport: 50},
 		} {
-			w.reportInterval, w.seed, w.mutations, w.margin = 4*time.Second, uint64(i), mutations, 0.002
+			w.reportInterval = 4 * time.Second
+			w.seed = uint64(i)
+			w.mutations = mutations
+			w.margin = 0.002
 			state, most, _ := w.play()
-			had[name] += float64(most) / float64(w.n) / 20
+			share[name] += float64(most) / float64(w.n) / plays
 			if state != Stopped || most > w.n*2/5 {
 				wrong = append(wrong, fmt.Sprintf("%s: %v, and %d of %d had it", name, state, most, w.n))
 			}
@@ -201,9 +120,13 @@
 }
 
 func TestMutationsAreDetected(t *testing.T) {
-	for name, mutations := range map[string]mutation{"no test": skipTest,
-		"the whole error rate at each look": fullErrorRatePerLook, "requests counted as independent": poolRequests,
-		"silent ones left out": ignoreSilent, "looks without requests": skipMinRequests} {
+	for name, mutations := range map[string]mutation{
+		"no test":                           skipTest,
+		"the whole error rate at each look": fullErrorRatePerLook,
+		"requests counted as independent":   poolRequests,
+		"silent ones left out":              ignoreSilent,
+		"looks without requests":            skipMinRequests,
+	} {
 		wrong := findViolations(t, mutations)
 		if len(wrong) == 0 {
 			t.Errorf("%s: not detected", name)
@@ -227,8 +150,7 @@
 }
 
 func TestStopAndRollback(t *testing.T) {
-	set := minuteSteps()
-	r, err := New(set, Version{Epoch: 4, Hash: "a"})
+	r, err := New(minuteSteps(), Version{Epoch: 4, Hash: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -240,78 +162,95 @@
 		names = append(names, fmt.Sprint("p", i))
 	}
 	r.SetMembers(0, names)
-	var old StaleVersionError
-	if err := r.Start(0, 4, "b", 1); !errors.As(err, &old) {
+	var stale StaleVersionError
+	if err := r.Start(0, 4, "b", 1); !errors.As(err, &stale) {
 		t.Errorf("a used epoch: %v", err)
 	}
 	if err := r.Start(0, 6, "b", 1); err != nil {
 		t.Fatal(err)
 	}
-	with := func(epoch uint64) (out []string) {
-		for _, name := range names {
-			if r.Target(name).Epoch == epoch {
-				out = append(out, name)
-			}
+	now, first := checkHarmfulStop(t, r, names)
+	checkFixedVersion(t, r, now, names, first)
+
+	if err := r.Rollback(); err != nil {
+		t.Fatal(err)
+	}
+	current := NewCurrentVersion(Version{0, 7, "c"})
+	target := r.Target(names[0])
+	if target != (Version{1, 4, "a"}) || errors.As(current.AdoptText(target, nil), &stale) {
+		t.Errorf("after a rollback: %+v", target)
+	}
+	if err := r.Start(now, 7, "d", 2); !errors.As(err, &stale) {
+		t.Errorf("epoch 7 is accepted again: %v", err)
+	}
+	if err := r.Start(now, 8, "d", 2); err != nil || r.Target(targetedAt(r, names, 8)[0]).Generation != 1 {
+		t.Errorf("after the rollback: %v", err)
+	}
+}
+
+// targetedAt returns the proxies that are to have an epoch.
+func targetedAt(r *Rollout, names []string, epoch uint64) (targeted []string) {
+	for _, name := range names {
+		if r.Target(name).Epoch == epoch {
+			targeted = append(targeted, name)
 		}
-		return out
 	}
-	first := with(6)
-	now, number := time.Duration(0), uint64(0)
+	return targeted
+}
+
+// checkHarmfulStop plays epoch 6, under which a fifth of the requests is bad, until it stops. It returns the proxies that
+// have it.
+func checkHarmfulStop(t *testing.T, r *Rollout, names []string) (now time.Duration, first []string) {
+	t.Helper()
+	first = targetedAt(r, names, 6)
+	sequence := uint64(0)
 	for range 60 {
 		now += 4 * time.Second
 		for _, name := range names {
-			number++
-			o := r.Target(name)
+			sequence++
+			target := r.Target(name)
 			bad := int64(0)
-			if o.Epoch == 6 {
+			if target.Epoch == 6 {
 				bad = 200
 			}
-			r.Report(now, Report{name, number, o, 800, bad})
+			r.Report(now, Report{name, sequence, target, 800, bad})
 		}
 		r.Tick(now)
 	}
-	var stop HarmDetectedError
-	if state, err := r.State(); state != Stopped || !errors.As(err, &stop) || !strings.Contains(
-		err.Error(), "20.00% of requests go bad",
-	) || operatorerror.Of(err) == "" {
+	state, err := r.State()
+	var harm HarmDetectedError
+	if state != Stopped || !errors.As(err, &harm) || operatorerror.Of(err) == "" {
 		t.Fatalf("%v %v", state, err)
 	}
-	if !slices.Equal(with(6), first) || len(first) >= 20 {
-		t.Errorf("stopped, and %d have it; %d had it first", len(with(6)), len(first))
+	if !strings.Contains(err.Error(), "20.00% of requests go bad") {
+		t.Fatalf("%v %v", state, err)
+	}
+	targeted := targetedAt(r, names, 6)
+	if !slices.Equal(targeted, first) || len(first) >= 20 {
+		t.Errorf("stopped, and %d have it; %d had it first", len(targeted), len(first))
 	}
 	r.SetMembers(now, append(names, "late"))
 	if got := r.Target("late"); got.Epoch != 4 {
 		t.Errorf("a proxy that joins gets a stopped version: %+v", got)
 	}
-	// A fixed version goes first to the proxies with the stopped one, and to as many others as a first step has, drawn
-	// from the rest: only these are compared.
+	return now, first
+}
+
+// checkFixedVersion starts epoch 7. It goes first to the proxies with the stopped version, and to as many others as a
+// first step has, drawn from the rest: only these are compared.
+func checkFixedVersion(t *testing.T, r *Rollout, now time.Duration, names, first []string) {
+	t.Helper()
 	if err := r.Start(now, 7, "c", 2); err != nil {
 		t.Fatal(err)
 	}
-	got := with(7)
+	targeted := targetedAt(r, names, 7)
 	for _, name := range first {
-		if !slices.Contains(got, name) {
-			t.Errorf("the fixed version begins with %v, the stopped one was at %v", got, first)
+		if !slices.Contains(targeted, name) {
+			t.Errorf("the fixed version begins with %v, the stopped one was at %v", targeted, first)
 		}
 	}
-	if len(got) != 2*len(first) {
-		t.Errorf(
-			"the fixed version begins with %v, the stopped one was at %v: as many are drawn beside them", got, first,
-		)
-	}
-	if err := r.Rollback(); err != nil {
-		t.Fatal(err)
-	}
-	h := NewCurrentVersion(Version{0, 7, "c"})
-	o := r.Target(names[0])
-	if o != (Version{1, 4, "a"}) || errors.As(h.AdoptText(o, nil), &old) {
-		t.Errorf("after a rollback: %+v", o)
-	}
-	if err := r.Start(now, 7, "d", 2); !errors.As(err, &old) {
-		t.Errorf("epoch 7 is accepted again: %v", err)
-	}
-	if err := r.Start(now, 8, "d", 2); err != nil || r.Target(with(8)[0]).Generation != 1 {
-		t.Errorf("after the rollback: %v", err)
+	if len(targeted) != 2*len(first) {
+		t.Errorf("the fixed version begins with %v: twice as many were wanted as %v", targeted, first)
 	}
 }
 
--- a/internal/policy/routetable/bench_test.go
+++ b/internal/policy/routetable/bench_test.go
@@ -62,19 +62,11 @@
 	for team := range teams {
 		ns := fmt.Sprintf("team-%05d", team)
 		from := []namespace.Source{{Namespace: ns, Number: number(team), Rule: "class c"}}
-		p.Classes = append(
-			p.Classes,
-			namespace.PolicyClass{Name: "class-" + ns, Worth: &namespace.Value[float64]{Is: 1, From: from}},
-		)
-		p.Shares = append(
-			p.Shares,
-			namespace.PolicyShare{
-				Budget:    "attempts",
-				Whole:     1 << 30,
-				Namespace: ns,
-				Min:       &namespace.Value[int64]{Is: 5, From: from},
-			},
-		)
+		worth := &namespace.Value[float64]{Is: 1, From: from}
+		p.Classes = append(p.Classes, namespace.PolicyClass{Name: "class-" + ns, Worth: worth})
+		least := &namespace.Value[int64]{Is: 5, From: from}
+		share := namespace.PolicyShare{Budget: "attempts", Whole: 1 << 30, Namespace: ns, Min: least}
+		p.Shares = append(p.Shares, share)
 	}
 	return p
 }
