--- a/internal/controlplane/api/tls.go
+++ b/internal/controlplane/api/tls.go
@@ -57,13 +57,13 @@
 	defer ticker.Stop()
 	reloaded := func(err error) {
 		if err != nil {
-			log.Error("the fleet's certificate stays as it was", "err", err)
+			log.Error("reloading the fleet's certificate failed, the old one stays", "err", err)
 			return
 		}
-		log.Info("the fleet's certificate was read anew")
+		log.Info("fleet's certificate reloaded")
 	}
 	expiring := func(left time.Duration) {
-		log.Warn("the fleet's certificate expires soon", "left", left.Round(time.Hour))
+		log.Warn("fleet's certificate expires soon", "left", left.Round(time.Hour))
 	}
 	keys.Watch(ticker.C, ctx.Done(), reloaded, expiring)
 }
--- a/internal/discovery/guardedsource/source.go
+++ b/internal/discovery/guardedsource/source.go
@@ -104,7 +104,7 @@
 	s.guard.mu.Lock()
 	defer s.guard.mu.Unlock()
 	if list, changed := s.guard.guard.Expire(s.coordinator.now()); changed {
-		s.coordinator.log.Warn("servers that the register names no more are given up", "left", len(list.Endpoints))
+		s.coordinator.log.Warn("endpoints missing from the list are given up", "left", len(list.Endpoints))
 		deliver(list)
 	}
 	return s.guard.guard.NextExpiry()
@@ -126,7 +126,7 @@
 	believed := s.guard.guard.Apply(s.coordinator.now(), list)
 	after := s.guard.guard.Stats()
 	if after.SuspectLists != before.SuspectLists {
-		s.coordinator.log.Warn("a list lacks many servers, which are kept for a while",
+		s.coordinator.log.Warn("endpoint list lacks many endpoints, which are retained for a while",
 			"listed", len(list.Endpoints), "retained", after.Retained-before.Retained)
 	}
 	return believed
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -43,7 +43,7 @@
 func (h host) Send(id decision.RequestID, to decision.BackendID, until time.Duration) {
 	r := h.requests[id]
 	if r == nil {
-		h.log.Warn("an attempt for a request that is over")
+		h.log.Warn("attempt for a finished request ignored")
 		return
 	}
 	now := h.clock.Now()
@@ -148,7 +148,7 @@
 	e.Post(func() {
 		a.stopTimeout()
 		if a.ctx.Err() != nil { // it timed out meanwhile
-			e.log.Info("a streamed response came too late", "cause", context.Cause(a.ctx), "uploading", r.Uploading())
+			e.log.Info("streamed response came after its attempt's deadline", "cause", context.Cause(a.ctx), "uploading", r.Uploading())
 			s.End(ErrAbandoned)
 			return
 		}
@@ -160,7 +160,7 @@
 // streamStarted takes a streamed response whose first byte has come: it is the request's result.
 func (e *Engine) streamStarted(r *Request, a *inFlightAttempt, s Stream) {
 	if r.ended {
-		e.log.Info("a streamed response is not wanted any more", "attempt", a.number, "streaming", r.stream != nil)
+		e.log.Info("streamed response of a superseded attempt dropped", "attempt", a.number, "streaming", r.stream != nil)
 		s.End(ErrAbandoned)
 		return
 	}
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -74,7 +74,7 @@
 	for _, endpoint := range list.Endpoints {
 		id := BackendID(endpoint.ID)
 		state := stateNames[endpoint.State]
-		e.log.Info("listed", "backend", id, "name", endpoint.ID, "addr", endpoint.Addr, "state", state)
+		e.log.Info("endpoint listed", "backend", id, "name", endpoint.ID, "addr", endpoint.Addr, "state", state)
 		update.Backends = append(update.Backends, decision.Backend{
 			ID:      id,
 			Zone:    e.indexOf(e.zoneNumbers, endpoint.Zone),
@@ -96,7 +96,7 @@
 	if n, known := numbers[name]; known {
 		return n
 	}
-	e.log.Warn("the settings name no such zone or kind of machine", "name", name)
+	e.log.Warn("unknown zone or machine kind in the endpoint list", "name", name)
 	return len(numbers)
 }
 
@@ -113,7 +113,7 @@
 
 // endpointsFailed takes the failure of a call to the source.
 func (e *Engine) endpointsFailed(err error) {
-	e.log.Warn("a call for the list failed", "err", err)
+	e.log.Warn("polling the endpoint list failed", "err", err)
 	e.decider.UpdateEndpoints(e.clock.Now(), decision.EndpointUpdate{Kind: decision.UpdateFailed})
 }
 
@@ -219,7 +219,7 @@
 // source still bring is dropped. Versions of the new one are its own, so its full list is fetched first.
 func (e *Engine) useSource(source Source) {
 	old := e.source
-	e.log.Info("discovery has moved", "from", old.Addr(), "to", source.Addr())
+	e.log.Info("discovery address changed", "from", old.Addr(), "to", source.Addr())
 	e.source = source
 	e.listKnown = false
 	host{e}.WatchEndpoints(true)
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -86,7 +86,7 @@
 func (e *Engine) recoverPanic(event func()) (ok bool) {
 	defer func() {
 		if v := recover(); v != nil {
-			e.log.Error("an event failed", "panic", v, "stack", string(debug.Stack()))
+			e.log.Error("event handler panicked", "panic", v, "stack", string(debug.Stack()))
 		}
 	}()
 	event()
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -159,7 +159,7 @@
 	if r.ended {
 		return
 	}
-	e.log.Warn("a request was still open at its deadline", "attempts", len(r.attempts))
+	e.log.Warn("request still open at its deadline", "attempts", len(r.attempts))
 	e.complete(r, Result{Outcome: Failed, TimedOut: true})
 	e.decider.ClientGone(e.clock.Now(), r.id)
 }
