--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -938,22 +938,22 @@
 	}
 	clock := engine.NewClock()
 	l := limiter.New(clock.Now)
-	if err := l.Change(f, limiter.Totals{Requests: 100_000, Bytes: 1 << 32, Conns: 100_000, Attempts: 1e6}, nil); err != nil {
+	if err := l.Reconfigure(f, limiter.Totals{Requests: 100_000, Bytes: 1 << 32, Conns: 100_000, Attempts: 1e6}, nil); err != nil {
 		return nil, err
 	}
 	var err error
 	k := 0
 	took := g.cost(func() {
 		k++
-		ask := limiter.Ask{Service: f.Services[k%n].Name, Bytes: 1000}
-		if why, _ := l.Take(ask); why != "" {
+		ask := limiter.Request{Service: f.Services[k%n].Name, Bytes: 1000}
+		if why, _ := l.Acquire(ask); why != "" {
 			err = fmt.Errorf("refused: %s", why)
 		}
-		if !l.TakeConn(ask.Service) {
+		if !l.AcquireConn(ask.Service) {
 			err = fmt.Errorf("no connection")
 		}
-		l.GiveConn(ask.Service)
-		l.Give(ask)
+		l.ReleaseConn(ask.Service)
+		l.Release(ask)
 	})
 	return []is{{"take and give, a request with a connection", "us", float64(took) / 1000}, {"at a proxy's rate", "% core", 100 * took.Seconds() * targetRate / targetProxies}}, err
 }
--- a/internal/admission/requests_test.go
+++ b/internal/admission/requests_test.go
@@ -33,7 +33,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := RequestSettings{InHand: rapid.IntRange(1, 30).Draw(t, "in hand"), PerTenant: rapid.Float64Range(0, 1).Draw(t, "per tenant"),
 			PerConn: rapid.IntRange(0, 3).Draw(t, "per connection"), RetryAfter: time.Second}
-		gate, err := processquota.NewGate([]processquota.GateClass{{Worth: 1, Holds: 1}, {Worth: 9, Holds: 1}}, []float64{1, 2})
+		gate, err := processquota.NewGate([]processquota.GateClass{{PriorityWeight: 1, HoldTime: 1}, {PriorityWeight: 9, HoldTime: 1}}, []float64{1, 2})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/diameter/claim/file.go
+++ b/internal/diameter/claim/file.go
@@ -146,7 +146,7 @@
 		f.Applications = []uint32{4}
 	}
 	if f.Ledger.Window == 0 {
-		f.Ledger.Window = strictconfig.Span(idempotency.Window)
+		f.Ledger.Window = strictconfig.Span(idempotency.MinWindow)
 	}
 	if f.Ledger.Uncertain == 0 {
 		f.Ledger.Uncertain = max(strictconfig.Span(time.Hour), f.Ledger.Window)
@@ -212,7 +212,7 @@
 		bad(t.Certificate == "" || t.Key == "" || t.CA == "", "tls: certificate, key and ca must be given")
 	}
 	s := f.LedgerSettings(0)
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		errs = append(errs, fmt.Errorf("ledger: %w", err))
 	}
 	for i := range f.Peers {
@@ -252,7 +252,7 @@
 
 // LedgerSettings are those of the ledger; lost is when it began without what was known before, below 0 if nothing was lost.
 func (f *File) LedgerSettings(lost time.Duration) idempotency.Settings {
-	return idempotency.Settings{Window: time.Duration(f.Ledger.Window), Uncertain: time.Duration(f.Ledger.Uncertain), Entries: f.Ledger.Entries, Bytes: f.Ledger.Bytes, Lost: lost}
+	return idempotency.Settings{Window: time.Duration(f.Ledger.Window), UncertainWindow: time.Duration(f.Ledger.Uncertain), MaxEntries: f.Ledger.Entries, MaxBytes: f.Ledger.Bytes, LostAt: lost}
 }
 
 // Dictionary is what the rules were made with.
--- a/internal/diameter/frontend/front.go
+++ b/internal/diameter/frontend/front.go
@@ -112,7 +112,7 @@
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), came.Add(ask.GiveUp-f.slack(&ask)/2))
 	defer cancel()
-	answer, end, verdict := f.set.Guard.Do(ctx, ask.Name, ask.Repeat, func() ([]byte, guard.End) {
+	answer, end, verdict := f.set.Guard.Do(ctx, ask.Name, ask.Repeat, func() ([]byte, guard.Outcome) {
 		return f.run(r, &ask, svc, came, false)
 	})
 	switch verdict {
@@ -124,7 +124,7 @@
 		svc.Ended(engine.Rejected, 0)
 		f.end(r, claim.Full, 0)
 		return
-	case idempotency.TooLong:
+	case idempotency.KeyTooLong:
 		svc.Ended(engine.Failed, 0)
 		f.end(r, claim.TooLong, 0)
 		return
@@ -141,7 +141,7 @@
 }
 
 // endOf is how a request has ended that was not carried out again.
-func endOf(end guard.End, v idempotency.Verdict) engine.Outcome {
+func endOf(end guard.Outcome, v idempotency.Verdict) engine.Outcome {
 	switch {
 	case v == idempotency.Answered || end == guard.Answered:
 		return engine.Served
@@ -159,7 +159,7 @@
 }
 
 // run has the engine carry a request out, and words its end.
-func (f *Front) run(r *node.Request, a *claim.Ask, svc *Service, came time.Time, leaves bool) (diameter.Message, guard.End) {
+func (f *Front) run(r *node.Request, a *claim.Ask, svc *Service, came time.Time, leaves bool) (diameter.Message, guard.Outcome) {
 	wire, err := f.forward(r)
 	var m engine.Message
 	if err == nil {
@@ -219,12 +219,12 @@
 }
 
 // answer words a result, and tells what is known of its request by it.
-func (f *Front) answer(r *node.Request, end engine.Result) (diameter.Message, guard.End) {
+func (f *Front) answer(r *node.Request, end engine.Result) (diameter.Message, guard.Outcome) {
 	switch {
 	case end.Outcome == engine.Rejected:
 		return f.worded(r, claim.Refused, end.RetryAfter), guard.NeverRan
 	case end.Outcome == engine.Failed && end.MayHaveRun:
-		return f.worded(r, claim.MayHaveRun, 0), guard.Uncertain
+		return f.worded(r, claim.MayHaveRun, 0), guard.Unknown
 	case end.Outcome == engine.Failed:
 		return f.worded(r, claim.Undeliver, 0), guard.NeverRan
 	}
@@ -238,13 +238,13 @@
 		end.Stream.End(err)
 		if err != nil {
 			f.set.Log.Warn("an answer does not fit", "err", err)
-			return f.worded(r, claim.Unfit, 0), guard.Uncertain
+			return f.worded(r, claim.Unfit, 0), guard.Unknown
 		}
 	}
 	m, err := f.success(r, body)
 	if err != nil {
 		f.set.Log.Warn("an answer does not fit", "err", err)
-		return f.worded(r, claim.Unfit, 0), guard.Uncertain
+		return f.worded(r, claim.Unfit, 0), guard.Unknown
 	}
 	return m, guard.Answered
 }
--- a/internal/diameter/frontend/front_test.go
+++ b/internal/diameter/frontend/front_test.go
@@ -197,7 +197,7 @@
 func TestEndsAndRepeats(t *testing.T) {
 	var replies atomic.Pointer[enginetest.Step]
 	e, s := scripted(t, func(int, engine.Attempt) enginetest.Step { return *replies.Load() })
-	p, _, _ := stand(t, e, func(s *idempotency.Settings) { s.Entries = 3 })
+	p, _, _ := stand(t, e, func(s *idempotency.Settings) { s.MaxEntries = 3 })
 	for i, k := range []struct {
 		reply enginetest.Step
 		first diameter.ResultCode
--- a/internal/idempotency/guard/guard.go
+++ b/internal/idempotency/guard/guard.go
@@ -16,22 +16,22 @@
 	"lapisspread/internal/idempotency/store"
 )
 
-// End says how a request has ended that Do has run.
-type End uint8
+// Outcome says how a request has ended that Do has run.
+type Outcome uint8
 
 // The ends.
 const (
-	Answered  End = iota // its answer is known, and everyone who repeats it gets that
-	NeverRan             // it has not run and will not: it may come again as new
-	Uncertain            // nobody knows
+	Answered Outcome = iota // its answer is known, and everyone who repeats it gets that
+	NeverRan                // it has not run and will not: it may come again as new
+	Unknown                 // nobody knows
 )
 
 // Work runs a request, once. Its answer goes to all who have asked.
-type Work func() (answer []byte, end End)
+type Work func() (answer []byte, end Outcome)
 
 // Counts are what a Guard has done.
 type Counts struct {
-	Begun, Joined, Repeated, Uncertain, Full, DiskErrors atomic.Int64
+	Started, Joined, Replayed, MayHaveRun, Full, DiskErrors atomic.Int64
 }
 
 // Options are what a Guard is made of.
@@ -41,26 +41,26 @@
 	Now    func() time.Duration
 	Log    *slog.Logger
 	// Wait bounds how long a write to disk may take; a disk that does not answer is one that fails.
-	Wait time.Duration
+	WriteTimeout time.Duration
 }
 
 // Guard is for any goroutine.
 type Guard struct {
 	Counts Counts
 
-	o     Options
-	mu    sync.Mutex
-	rules *idempotency.Ledger // nil until the store is read
-	early []idempotency.Key   // that came before as no repeats, and were turned away
-	disk  *store.Store
-	hands map[idempotency.Key]*hand
+	options            Options
+	mu                 sync.Mutex
+	ledger             *idempotency.Ledger // nil until the store is read
+	firstTransmissions []idempotency.Key   // that came before as no repeats, and were turned away
+	store              *store.Store
+	inFlight           map[idempotency.Key]*call
 }
 
-// hand is a request in hand.
-type hand struct {
+// call is a request in hand.
+type call struct {
 	done      chan struct{}
 	answer    []byte
-	end       End
+	end       Outcome
 	unwritten bool // its intent is not on disk, so it was not begun
 }
 
@@ -71,19 +71,19 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Wait == 0 {
-		o.Wait = defaultWait
+	if o.WriteTimeout == 0 {
+		o.WriteTimeout = defaultWait
 	}
-	if o.Ledger.Lost >= 0 {
-		o.Ledger.Lost = o.Now() // clocks need not begin at 0
+	if o.Ledger.LostAt >= 0 {
+		o.Ledger.LostAt = o.Now() // clocks need not begin at 0
 	}
-	g := &Guard{o: o, hands: map[idempotency.Key]*hand{}}
+	g := &Guard{options: o, inFlight: map[idempotency.Key]*call{}}
 	rules, err := idempotency.New(o.Ledger)
 	if err != nil {
 		return nil, err
 	}
 	if o.Path == "" {
-		g.rules = rules
+		g.ledger = rules
 	}
 	return g, nil
 }
@@ -94,38 +94,38 @@
 // Open reads the store, and waits for it while another process has it: in an upgrade the one before keeps it until it has
 // answered all. What can't be read is an error, and then nothing unsafe is taken: nobody knows what has run.
 func (g *Guard) Open(ctx context.Context) error {
-	if g.o.Path == "" {
+	if g.options.Path == "" {
 		return nil
 	}
 	for {
-		disk, records, err := store.Open(g.o.Path, store.Options{Window: g.o.Ledger.Window, Uncertain: g.o.Ledger.Uncertain, First: g.o.Ledger.Lost < 0})
+		disk, records, err := store.Open(g.options.Path, store.Options{Window: g.options.Ledger.Window, UncertainWindow: g.options.Ledger.UncertainWindow, FirstProcess: g.options.Ledger.LostAt < 0})
 		if err == nil {
-			s := g.o.Ledger
-			s.Lost = -1 // the disk has it all, unless it was lost
-			if at := disk.Lost(); !at.IsZero() {
-				s.Lost = max(0, g.o.Now()-time.Since(at))
-				if g.o.Now()-s.Lost < s.Window {
-					g.o.Log.Warn("the ledger of effects lacks what was known before: repeats of what it does not know are answered as may have run", "since", at)
+			s := g.options.Ledger
+			s.LostAt = -1 // the disk has it all, unless it was lost
+			if at := disk.LostAt(); !at.IsZero() {
+				s.LostAt = max(0, g.options.Now()-time.Since(at))
+				if g.options.Now()-s.LostAt < s.Window {
+					g.options.Log.Warn("the ledger of effects lacks what was known before: repeats of what it does not know are answered as may have run", "since", at)
 				}
 			}
 			rules, err := idempotency.New(s)
 			if err == nil {
-				err = rules.Restore(g.o.Now(), records)
+				err = rules.Restore(g.options.Now(), records)
 			}
 			if err != nil {
 				return errors.Join(err, disk.Close())
 			}
 			g.mu.Lock()
-			g.rules, g.disk = rules, disk
-			for _, k := range g.early {
-				rules.First(k)
+			g.ledger, g.store = rules, disk
+			for _, k := range g.firstTransmissions {
+				rules.NoteFirstTransmission(k)
 			}
-			g.early = nil
+			g.firstTransmissions = nil
 			g.mu.Unlock()
-			g.o.Log.Info("the ledger of effects is read", "entries", len(records))
+			g.options.Log.Info("the ledger of effects is read", "entries", len(records))
 			return nil
 		}
-		if !errors.Is(err, store.ErrHeld) {
+		if !errors.Is(err, store.ErrLocked) {
 			return err
 		}
 		select {
@@ -139,9 +139,9 @@
 // Close ends the store; what is in hand must have ended.
 func (g *Guard) Close() error {
 	g.mu.Lock()
-	disk := g.disk
-	g.rules, g.disk = nil, nil
-	if g.o.Path == "" {
+	disk := g.store
+	g.ledger, g.store = nil, nil
+	if g.options.Path == "" {
 		disk = nil
 	}
 	g.mu.Unlock()
@@ -154,27 +154,27 @@
 // Do runs work unless the request has come before, and gives its answer. Ctx ends when the client gives up: by then whoever waits
 // for another's answer, or for the disk, has an end. With a verdict other than effects.Begin, Join and
 // Answered there is none. End tells of Begin and Join how it went.
-func (g *Guard) Do(ctx context.Context, k idempotency.Key, repeat bool, work Work) (answer []byte, end End, v idempotency.Verdict) {
+func (g *Guard) Do(ctx context.Context, k idempotency.Key, repeat bool, work Work) (answer []byte, end Outcome, v idempotency.Verdict) {
 	g.mu.Lock()
-	if g.rules == nil {
-		if !repeat && len(g.early) < g.o.Ledger.Entries {
-			g.early = append(g.early, k)
+	if g.ledger == nil {
+		if !repeat && len(g.firstTransmissions) < g.options.Ledger.MaxEntries {
+			g.firstTransmissions = append(g.firstTransmissions, k)
 		}
 		g.mu.Unlock()
 		g.Counts.Full.Add(1)
 		return nil, NeverRan, idempotency.Full
 	}
-	v, answer = g.rules.Come(g.o.Now(), k, repeat)
-	h := g.hands[k]
-	disk := g.disk
+	v, answer = g.ledger.Admit(g.options.Now(), k, repeat)
+	h := g.inFlight[k]
+	disk := g.store
 	if v == idempotency.Begin {
-		h = &hand{done: make(chan struct{}), end: Uncertain}
-		g.hands[k] = h
+		h = &call{done: make(chan struct{}), end: Unknown}
+		g.inFlight[k] = h
 	}
 	g.mu.Unlock()
 	switch v {
 	case idempotency.Begin:
-		g.Counts.Begun.Add(1)
+		g.Counts.Started.Add(1)
 		g.run(ctx, k, h, disk, work)
 		if h.unwritten {
 			return nil, NeverRan, idempotency.Full
@@ -189,39 +189,39 @@
 			}
 			return h.answer, h.end, v
 		case <-ctx.Done():
-			return nil, Uncertain, idempotency.MayHaveRun
+			return nil, Unknown, idempotency.MayHaveRun
 		}
 	case idempotency.Answered:
-		g.Counts.Repeated.Add(1)
+		g.Counts.Replayed.Add(1)
 	case idempotency.MayHaveRun:
-		g.Counts.Uncertain.Add(1)
+		g.Counts.MayHaveRun.Add(1)
 	default:
 		g.Counts.Full.Add(1)
 	}
-	return answer, Uncertain, v
+	return answer, Unknown, v
 }
 
 // run runs a request whose intent is on disk, and writes down how it ended. Its end is settled whatever work does.
-func (g *Guard) run(ctx context.Context, k idempotency.Key, h *hand, disk *store.Store, work Work) {
+func (g *Guard) run(ctx context.Context, k idempotency.Key, h *call, disk *store.Store, work Work) {
 	defer func() {
 		g.mu.Lock()
-		if g.rules != nil {
+		if g.ledger != nil {
 			switch h.end {
 			case Answered:
-				g.rules.End(g.o.Now(), k, h.answer)
+				g.ledger.Complete(g.options.Now(), k, h.answer)
 			case NeverRan:
-				g.rules.Drop(k)
+				g.ledger.Cancel(k)
 			default:
-				g.rules.Lose(g.o.Now(), k)
+				g.ledger.MarkUncertain(g.options.Now(), k)
 			}
 		}
-		delete(g.hands, k)
+		delete(g.inFlight, k)
 		g.mu.Unlock()
 		close(h.done)
 	}()
 	if disk != nil {
 		if err := g.write(ctx, func(ctx context.Context) error { return disk.Write(ctx, idempotency.Record{Key: k}) }); err != nil {
-			g.o.Log.Error("an intent could not be written: the request is not begun", "err", err)
+			g.options.Log.Error("an intent could not be written: the request is not begun", "err", err)
 			h.end, h.unwritten = NeverRan, true
 			return
 		}
@@ -235,15 +235,15 @@
 	case Answered:
 		answer := h.answer
 		err = g.write(ctx, func(ctx context.Context) error {
-			return disk.Write(ctx, idempotency.Record{Key: k, Ended: true, Answer: answer})
+			return disk.Write(ctx, idempotency.Record{Key: k, Completed: true, Answer: answer})
 		})
 	case NeverRan:
-		err = g.write(ctx, func(ctx context.Context) error { return disk.Drop(ctx, k) })
+		err = g.write(ctx, func(ctx context.Context) error { return disk.Delete(ctx, k) })
 	default:
-		err = g.write(ctx, func(ctx context.Context) error { return disk.Write(ctx, idempotency.Record{Key: k, Lost: true}) })
+		err = g.write(ctx, func(ctx context.Context) error { return disk.Write(ctx, idempotency.Record{Key: k, Uncertain: true}) })
 	}
 	if err != nil { // the answer is true all the same; after a restart its request is one that may have run
-		g.o.Log.Error("an end could not be written", "err", err)
+		g.options.Log.Error("an end could not be written", "err", err)
 	}
 }
 
@@ -252,7 +252,7 @@
 func (g *Guard) write(ctx context.Context, what func(ctx context.Context) error) error {
 	done := make(chan error, 1)
 	go func() {
-		inner, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.o.Wait)
+		inner, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.options.WriteTimeout)
 		defer cancel()
 		done <- what(inner)
 	}()
@@ -274,11 +274,11 @@
 	Durable    bool  `json:"durable"`
 	Entries    int   `json:"entries"`
 	Bytes      int   `json:"bytes"`
-	InHand     int   `json:"in_hand"`
-	Begun      int64 `json:"begun"`
+	InFlight   int   `json:"in_hand"`
+	Started    int64 `json:"begun"`
 	Joined     int64 `json:"joined"`
-	Repeated   int64 `json:"repeated"`
-	Uncertain  int64 `json:"may_have_run"`
+	Replayed   int64 `json:"repeated"`
+	MayHaveRun int64 `json:"may_have_run"`
 	Full       int64 `json:"full"`
 	DiskErrors int64 `json:"disk_errors"`
 	Flushes    int64 `json:"flushes"`
@@ -288,17 +288,17 @@
 // Report tells how it stands.
 func (g *Guard) Report() Report {
 	g.mu.Lock()
-	r := Report{Ready: g.rules != nil, Durable: g.o.Path != "", InHand: len(g.hands)}
-	if g.rules != nil {
-		r.Entries, r.Bytes = g.rules.Len()
+	r := Report{Ready: g.ledger != nil, Durable: g.options.Path != "", InFlight: len(g.inFlight)}
+	if g.ledger != nil {
+		r.Entries, r.Bytes = g.ledger.Len()
 	}
-	disk := g.disk
+	disk := g.store
 	g.mu.Unlock()
 	if disk != nil {
 		r.Flushes = disk.Commits()
 		r.FileBytes, _ = disk.Size() // 0 where it can't be told
 	}
 	c := &g.Counts
-	r.Begun, r.Joined, r.Repeated, r.Uncertain, r.Full, r.DiskErrors = c.Begun.Load(), c.Joined.Load(), c.Repeated.Load(), c.Uncertain.Load(), c.Full.Load(), c.DiskErrors.Load()
+	r.Started, r.Joined, r.Replayed, r.MayHaveRun, r.Full, r.DiskErrors = c.Started.Load(), c.Joined.Load(), c.Replayed.Load(), c.MayHaveRun.Load(), c.Full.Load(), c.DiskErrors.Load()
 	return r
 }
--- a/internal/idempotency/guard/guard_test.go
+++ b/internal/idempotency/guard/guard_test.go
@@ -16,13 +16,13 @@
 )
 
 func settings(lost time.Duration) idempotency.Settings {
-	return idempotency.Settings{Window: idempotency.Window, Uncertain: idempotency.Window, Entries: 100, Bytes: 1 << 20, Lost: lost}
+	return idempotency.Settings{Window: idempotency.MinWindow, UncertainWindow: idempotency.MinWindow, MaxEntries: 100, MaxBytes: 1 << 20, LostAt: lost}
 }
 
 func newGuard(t *testing.T, path string, lost time.Duration) *Guard {
 	t.Helper()
 	began := time.Now().Add(-30 * time.Hour) // a clock that began long before
-	g, err := New(Options{Ledger: settings(lost), Path: path, Now: func() time.Duration { return time.Since(began) }, Wait: 500 * time.Millisecond})
+	g, err := New(Options{Ledger: settings(lost), Path: path, Now: func() time.Duration { return time.Since(began) }, WriteTimeout: 500 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 		for i := range 300 {
 			all.Go(func() {
 				time.Sleep(time.Duration(i) * time.Millisecond)
-				answer, _, v := g.Do(t.Context(), key(i%10), i >= 10, func() ([]byte, End) {
+				answer, _, v := g.Do(t.Context(), key(i%10), i >= 10, func() ([]byte, Outcome) {
 					ran.Add(1)
 					time.Sleep(100 * time.Millisecond)
 					return fmt.Append(nil, i%10), Answered
@@ -55,11 +55,11 @@
 		}
 		all.Wait()
 		r := g.Report()
-		if ran.Load() != 10 || r.Begun != 10 || r.Joined == 0 || r.Repeated == 0 || r.InHand != 0 {
+		if ran.Load() != 10 || r.Started != 10 || r.Joined == 0 || r.Replayed == 0 || r.InFlight != 0 {
 			t.Errorf("%d ran; %+v", ran.Load(), r)
 		}
-		time.Sleep(idempotency.Window + time.Second)
-		if _, _, v := g.Do(t.Context(), key(1), false, func() ([]byte, End) { return nil, NeverRan }); v != idempotency.Begin {
+		time.Sleep(idempotency.MinWindow + time.Second)
+		if _, _, v := g.Do(t.Context(), key(1), false, func() ([]byte, Outcome) { return nil, NeverRan }); v != idempotency.Begin {
 			t.Errorf("after the window: %v", v)
 		}
 	})
@@ -70,25 +70,25 @@
 func TestEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", -1)
-		refused := func() ([]byte, End) { return []byte("3004"), NeverRan }
+		refused := func() ([]byte, Outcome) { return []byte("3004"), NeverRan }
 		for range 2 {
 			if answer, end, v := g.Do(t.Context(), key(1), false, refused); string(answer) != "3004" || end != NeverRan || v != idempotency.Begin {
 				t.Errorf("%q %v %v", answer, end, v)
 			}
 		}
-		if answer, end, _ := g.Do(t.Context(), key(2), false, func() ([]byte, End) { return []byte("5012"), Uncertain }); string(answer) != "5012" || end != Uncertain {
+		if answer, end, _ := g.Do(t.Context(), key(2), false, func() ([]byte, Outcome) { return []byte("5012"), Unknown }); string(answer) != "5012" || end != Unknown {
 			t.Errorf("%q %v", answer, end)
 		}
 		func() {
 			defer func() { _ = recover() }()
-			g.Do(t.Context(), key(3), false, func() ([]byte, End) { panic("a wrong handler") })
+			g.Do(t.Context(), key(3), false, func() ([]byte, Outcome) { panic("a wrong handler") })
 		}()
 		for _, k := range []idempotency.Key{key(2), key(3)} {
 			if _, _, v := g.Do(t.Context(), k, false, refused); v != idempotency.MayHaveRun {
 				t.Errorf("%v again: %v", k, v)
 			}
 		}
-		go g.Do(t.Context(), key(4), false, func() ([]byte, End) { time.Sleep(time.Minute); return []byte("late"), Answered })
+		go g.Do(t.Context(), key(4), false, func() ([]byte, Outcome) { time.Sleep(time.Minute); return []byte("late"), Answered })
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -107,14 +107,14 @@
 func TestMemoryAloneForgets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", 0)
-		run := func() ([]byte, End) { return []byte("x"), Answered }
+		run := func() ([]byte, Outcome) { return []byte("x"), Answered }
 		if _, _, v := g.Do(t.Context(), key(1), true, run); v != idempotency.MayHaveRun {
 			t.Errorf("a repeat right after the start: %v", v)
 		}
 		if _, _, v := g.Do(t.Context(), key(2), false, run); v != idempotency.Begin {
 			t.Errorf("a new one: %v", v)
 		}
-		time.Sleep(idempotency.Window)
+		time.Sleep(idempotency.MinWindow)
 		if _, _, v := g.Do(t.Context(), key(3), true, run); v != idempotency.Begin {
 			t.Errorf("a repeat after the window: %v", v)
 		}
@@ -126,26 +126,26 @@
 func TestTheNextProcessKnows(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects.db")
 	g := newGuard(t, path, -1)
-	if answer, _, v := g.Do(t.Context(), key(1), true, func() ([]byte, End) { return []byte("paid"), Answered }); v != idempotency.Begin || string(answer) != "paid" {
+	if answer, _, v := g.Do(t.Context(), key(1), true, func() ([]byte, Outcome) { return []byte("paid"), Answered }); v != idempotency.Begin || string(answer) != "paid" {
 		t.Fatalf("%q %v: a repeat of what a whole ledger does not know is new", answer, v)
 	}
-	g.Do(t.Context(), key(2), false, func() ([]byte, End) { return []byte("3004"), NeverRan })
+	g.Do(t.Context(), key(2), false, func() ([]byte, Outcome) { return []byte("3004"), NeverRan })
 	inHand, release := make(chan struct{}), make(chan struct{})
-	go g.Do(t.Context(), key(3), false, func() ([]byte, End) { close(inHand); <-release; return []byte("later"), Answered })
+	go g.Do(t.Context(), key(3), false, func() ([]byte, Outcome) { close(inHand); <-release; return []byte("later"), Answered })
 	<-inHand
 	began := time.Now()
 	next, err := New(Options{Ledger: settings(0), Path: path, Now: func() time.Duration { return time.Since(began) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, v := next.Do(t.Context(), key(9), false, func() ([]byte, End) { t.Error("it ran"); return nil, Answered }); v != idempotency.Full || next.Report().Ready {
+	if _, _, v := next.Do(t.Context(), key(9), false, func() ([]byte, Outcome) { t.Error("it ran"); return nil, Answered }); v != idempotency.Full || next.Report().Ready {
 		t.Errorf("before the file is read: %v", v)
 	}
 	opened := make(chan error, 1)
 	go func() { opened <- next.Open(t.Context()) }()
 	time.Sleep(20 * time.Millisecond)
 	// The old one dies with a request in hand.
-	if err := g.disk.Close(); err != nil {
+	if err := g.store.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-opened; err != nil {
@@ -153,7 +153,7 @@
 	}
 	defer next.Close()
 	for n, want := range map[int]idempotency.Verdict{1: idempotency.Answered, 2: idempotency.Begin, 3: idempotency.MayHaveRun} {
-		answer, _, v := next.Do(t.Context(), key(n), true, func() ([]byte, End) { return []byte("new"), Answered })
+		answer, _, v := next.Do(t.Context(), key(n), true, func() ([]byte, Outcome) { return []byte("new"), Answered })
 		if v != want || n == 1 && string(answer) != "paid" {
 			t.Errorf("%d: %q %v, want %v", n, answer, v, want)
 		}
@@ -174,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				path := filepath.Join(t.TempDir(), "effects.db")
-				pay := func() ([]byte, End) { return []byte("paid"), Answered }
+				pay := func() ([]byte, Outcome) { return []byte("paid"), Answered }
 				next := func(first time.Duration) *Guard { // after a kill, for all that the files show
 					g := newGuard(t, path, first)
 					t.Cleanup(func() { g.Close() })
@@ -205,16 +205,16 @@
 					if _, _, v := g.Do(t.Context(), key(10+i), true, pay); v != unknown {
 						t.Errorf("process %d: a repeat of what is not known: %v, want %v", i, v, unknown)
 					}
-					if _, _, v := g.Do(t.Context(), key(20+i), false, func() ([]byte, End) { return nil, NeverRan }); v != idempotency.Begin {
+					if _, _, v := g.Do(t.Context(), key(20+i), false, func() ([]byte, Outcome) { return nil, NeverRan }); v != idempotency.Begin {
 						t.Errorf("process %d: a new one: %v", i, v)
 					}
 					if _, _, v := g.Do(t.Context(), key(20+i), true, pay); v != idempotency.Begin {
 						t.Errorf("process %d: a repeat of what this process has turned away: %v", i, v)
 					}
 					g.Close()
-					time.Sleep(idempotency.Window / 3)
+					time.Sleep(idempotency.MinWindow / 3)
 				}
-				time.Sleep(idempotency.Window)
+				time.Sleep(idempotency.MinWindow)
 				g = next(0)
 				if _, _, v := g.Do(t.Context(), key(30), true, pay); v != idempotency.Begin {
 					t.Errorf("after the window: %v", v)
@@ -228,8 +228,8 @@
 func TestADiskThatFails(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects.db")
 	g := newGuard(t, path, 0)
-	answer, _, v := g.Do(t.Context(), key(1), false, func() ([]byte, End) {
-		if err := g.disk.Close(); err != nil {
+	answer, _, v := g.Do(t.Context(), key(1), false, func() ([]byte, Outcome) {
+		if err := g.store.Close(); err != nil {
 			t.Error(err)
 		}
 		return []byte("paid"), Answered
@@ -237,7 +237,7 @@
 	if string(answer) != "paid" || v != idempotency.Begin || g.Report().DiskErrors != 1 {
 		t.Errorf("%q %v %+v", answer, v, g.Report())
 	}
-	if _, _, v := g.Do(t.Context(), key(2), false, func() ([]byte, End) { t.Error("it ran"); return nil, Answered }); v != idempotency.Full {
+	if _, _, v := g.Do(t.Context(), key(2), false, func() ([]byte, Outcome) { t.Error("it ran"); return nil, Answered }); v != idempotency.Full {
 		t.Errorf("%v", v)
 	}
 	if answer, _, v := g.Do(t.Context(), key(1), false, nil); v != idempotency.Answered || string(answer) != "paid" {
--- a/internal/idempotency/ledger.go
+++ b/internal/idempotency/ledger.go
@@ -26,33 +26,33 @@
 	ID     uint32 // its end-to-end identifier
 }
 
-// Window is the least time for which what has ended is remembered (RFC 6733, section 3: identifiers stay unique for four
+// MinWindow is the least time for which what has ended is remembered (RFC 6733, section 3: identifiers stay unique for four
 // minutes, across restarts too).
-const Window = 4 * time.Minute
+const MinWindow = 4 * time.Minute
 
 // Settings are what a Ledger goes by.
 type Settings struct {
 	Window time.Duration // for which what has ended is remembered
 	// Uncertain is for how long that of which nobody knows how it ended is: longer, since somebody must look into the books.
-	Uncertain time.Duration
-	Entries   int // at most
-	Bytes     int // of the answers that are kept, at most
+	UncertainWindow time.Duration
+	MaxEntries      int // at most
+	MaxBytes        int // of the answers that are kept, at most
 	// Lost is when the ledger began without what a process before knew; a repeat of what it does not know may have run
 	// up to a window after that. Below 0 nothing was lost: the ledger is durable, or this is the first process.
-	Lost time.Duration
+	LostAt time.Duration
 }
 
-// Check tells what makes no sense, by the field's name.
-func (s *Settings) Check() error {
+// Validate tells what makes no sense, by the field's name.
+func (s *Settings) Validate() error {
 	var errs []error
-	if s.Window < Window {
-		errs = append(errs, fmt.Errorf("window: %v is under %v", s.Window, Window))
+	if s.Window < MinWindow {
+		errs = append(errs, fmt.Errorf("window: %v is under %v", s.Window, MinWindow))
 	}
-	if s.Uncertain < s.Window {
-		errs = append(errs, fmt.Errorf("uncertain: %v is under the window, %v", s.Uncertain, s.Window))
+	if s.UncertainWindow < s.Window {
+		errs = append(errs, fmt.Errorf("uncertain: %v is under the window, %v", s.UncertainWindow, s.Window))
 	}
-	if s.Entries < 1 || s.Bytes < 1 {
-		errs = append(errs, fmt.Errorf("entries %d and bytes %d must be above 0", s.Entries, s.Bytes))
+	if s.MaxEntries < 1 || s.MaxBytes < 1 {
+		errs = append(errs, fmt.Errorf("entries %d and bytes %d must be above 0", s.MaxEntries, s.MaxBytes))
 	}
 	return errors.Join(errs...)
 }
@@ -67,7 +67,7 @@
 	Answered                  // it has ended: this is its answer
 	MayHaveRun                // nobody knows: it must not run again
 	Full                      // there is no room to remember it: it must not run now, and has not
-	TooLong                   // its name is longer than any that is remembered
+	KeyTooLong                // its name is longer than any that is remembered
 )
 
 func (v Verdict) String() string {
@@ -105,7 +105,7 @@
 
 // New makes a ledger. An error names the setting.
 func New(s Settings) (*Ledger, error) {
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, fmt.Errorf("effects: %w", err)
 	}
 	return &Ledger{set: s, entries: map[Key]*entry{}, firsts: map[Key]bool{}}, nil
@@ -114,11 +114,11 @@
 // Len is how many requests it remembers, and how many bytes of answers.
 func (l *Ledger) Len() (entries, bytes int) { return len(l.entries), l.bytes }
 
-// Come decides on a request. With Begin it is in hand from now on: End or Lose must follow. repeat is the T flag.
-func (l *Ledger) Come(now time.Duration, k Key, repeat bool) (Verdict, []byte) {
+// Admit decides on a request. With Begin it is in hand from now on: End or Lose must follow. repeat is the T flag.
+func (l *Ledger) Admit(now time.Duration, k Key, repeat bool) (Verdict, []byte) {
 	l.forget(now)
 	if len(k.Origin) > mostOrigin {
-		return TooLong, nil
+		return KeyTooLong, nil
 	}
 	if e := l.entries[k]; e != nil {
 		switch e.state {
@@ -130,36 +130,36 @@
 			return MayHaveRun, nil
 		}
 	}
-	if l.set.Lost >= 0 && now < l.set.Lost+l.set.Window {
+	if l.set.LostAt >= 0 && now < l.set.LostAt+l.set.Window {
 		if repeat && !l.firsts[k] {
 			return MayHaveRun, nil // it may have been in hand of the process before
 		}
-		l.First(k)
+		l.NoteFirstTransmission(k)
 	} else if len(l.firsts) > 0 {
 		clear(l.firsts)
 	}
-	if len(l.entries) >= l.set.Entries || l.bytes >= l.set.Bytes {
+	if len(l.entries) >= l.set.MaxEntries || l.bytes >= l.set.MaxBytes {
 		return Full, nil
 	}
 	l.entries[k] = &entry{key: k}
 	return Begin, nil
 }
 
-// First notes a request that came as no repeat and was turned away: a repeat of it is new.
-func (l *Ledger) First(k Key) {
-	if len(l.firsts) < l.set.Entries {
+// NoteFirstTransmission notes a request that came as no repeat and was turned away: a repeat of it is new.
+func (l *Ledger) NoteFirstTransmission(k Key) {
+	if len(l.firsts) < l.set.MaxEntries {
 		l.firsts[k] = true
 	}
 }
 
-// End notes a request's answer. It is kept for the window. Where the answer is longer than what may be kept, the request
+// Complete notes a request's answer. It is kept for the window. Where the answer is longer than what may be kept, the request
 // counts as one that may have run: that is true, if less than all.
-func (l *Ledger) End(now time.Duration, k Key, answer []byte) {
+func (l *Ledger) Complete(now time.Duration, k Key, answer []byte) {
 	e := l.entries[k]
 	if e == nil || e.state == ended {
 		return
 	}
-	if l.bytes+len(answer) > l.set.Bytes {
+	if l.bytes+len(answer) > l.set.MaxBytes {
 		l.settle(now, e, unknown)
 		return
 	}
@@ -168,15 +168,15 @@
 	l.settle(now, e, ended)
 }
 
-// Lose notes that a request's end will not be known.
-func (l *Ledger) Lose(now time.Duration, k Key) {
+// MarkUncertain notes that a request's end will not be known.
+func (l *Ledger) MarkUncertain(now time.Duration, k Key) {
 	if e := l.entries[k]; e != nil && e.state == inHand {
 		l.settle(now, e, unknown)
 	}
 }
 
-// Drop forgets a request in hand that has not run and will not: it was refused, and may come again as a new one.
-func (l *Ledger) Drop(k Key) {
+// Cancel forgets a request in hand that has not run and will not: it was refused, and may come again as a new one.
+func (l *Ledger) Cancel(k Key) {
 	if e := l.entries[k]; e != nil && e.state == inHand {
 		delete(l.entries, k)
 	}
@@ -188,7 +188,7 @@
 	}
 	e.state = s
 	if s == unknown {
-		e.until = now + l.set.Uncertain
+		e.until = now + l.set.UncertainWindow
 		e.at = l.lost.PushBack(e)
 		return
 	}
@@ -213,10 +213,10 @@
 
 // Record is an entry as it is written down: an intent, an end, or that its end will not be known.
 type Record struct {
-	Key    Key
-	Ended  bool
-	Lost   bool
-	Answer []byte
+	Key       Key
+	Completed bool
+	Uncertain bool
+	Answer    []byte
 }
 
 // Restore takes in what a process before has written down, in order. An intent without an end may have run. What does not
@@ -225,15 +225,15 @@
 	for _, r := range records {
 		e := l.entries[r.Key]
 		if e == nil {
-			if len(l.entries) >= l.set.Entries {
-				return fmt.Errorf("effects: %d entries were written down; there is room for %d", len(records), l.set.Entries)
+			if len(l.entries) >= l.set.MaxEntries {
+				return fmt.Errorf("effects: %d entries were written down; there is room for %d", len(records), l.set.MaxEntries)
 			}
 			e = &entry{key: r.Key}
 			l.entries[r.Key] = e
 			l.settle(now, e, unknown)
 		}
-		if r.Ended && e.state != ended {
-			l.End(now, r.Key, r.Answer)
+		if r.Completed && e.state != ended {
+			l.Complete(now, r.Key, r.Answer)
 		}
 	}
 	return nil
--- a/internal/idempotency/ledger_test.go
+++ b/internal/idempotency/ledger_test.go
@@ -20,9 +20,9 @@
 
 func TestSettings(t *testing.T) {
 	for want, s := range map[string]Settings{
-		"window":    {Window: time.Minute, Entries: 1, Bytes: 1},
-		"entries":   {Window: Window, Uncertain: Window, Bytes: 1},
-		"uncertain": {Window: Window, Uncertain: time.Minute, Entries: 1, Bytes: 1},
+		"window":    {Window: time.Minute, MaxEntries: 1, MaxBytes: 1},
+		"entries":   {Window: MinWindow, UncertainWindow: MinWindow, MaxBytes: 1},
+		"uncertain": {Window: MinWindow, UncertainWindow: time.Minute, MaxEntries: 1, MaxBytes: 1},
 	} {
 		if _, err := New(s); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -31,7 +31,7 @@
 }
 
 func TestARepeatGetsTheSameAnswer(t *testing.T) {
-	l := ledger(t, Settings{Window: Window, Uncertain: 2 * Window, Entries: 10, Bytes: 100, Lost: -1})
+	l := ledger(t, Settings{Window: MinWindow, UncertainWindow: 2 * MinWindow, MaxEntries: 10, MaxBytes: 100, LostAt: -1})
 	k := Key{"partner.example", 7}
 	for i, step := range []struct {
 		at   time.Duration
@@ -40,50 +40,50 @@
 	}{
 		{0, nil, Begin},
 		{time.Second, nil, Join},
-		{2 * time.Second, func() { l.End(2*time.Second, k, []byte("2001")) }, Answered},
-		{Window, nil, Answered},
-		{Window + 2*time.Second, nil, Begin}, // the identifier is another request's by now
-		{Window + 3*time.Second, func() { l.Lose(Window+3*time.Second, k) }, MayHaveRun},
-		{2*Window + 4*time.Second, nil, MayHaveRun}, // for longer than an answer
-		{3*Window + 4*time.Second, nil, Begin},
-		{3*Window + 4*time.Second, func() { l.Drop(k) }, Begin},
+		{2 * time.Second, func() { l.Complete(2*time.Second, k, []byte("2001")) }, Answered},
+		{MinWindow, nil, Answered},
+		{MinWindow + 2*time.Second, nil, Begin}, // the identifier is another request's by now
+		{MinWindow + 3*time.Second, func() { l.MarkUncertain(MinWindow+3*time.Second, k) }, MayHaveRun},
+		{2*MinWindow + 4*time.Second, nil, MayHaveRun}, // for longer than an answer
+		{3*MinWindow + 4*time.Second, nil, Begin},
+		{3*MinWindow + 4*time.Second, func() { l.Cancel(k) }, Begin},
 	} {
 		if step.do != nil {
 			step.do()
 		}
-		v, answer := l.Come(step.at, k, i%2 == 1)
+		v, answer := l.Admit(step.at, k, i%2 == 1)
 		if v != step.want || v == Answered && string(answer) != "2001" {
 			t.Errorf("step %d: %v %q, want %v", i, v, answer, step.want)
 		}
 	}
-	if v, _ := l.Come(0, Key{strings.Repeat("x", 256), 1}, false); v != TooLong {
+	if v, _ := l.Admit(0, Key{strings.Repeat("x", 256), 1}, false); v != KeyTooLong {
 		t.Errorf("a name without a bound: %v", v)
 	}
 }
 
 // After a restart that has forgotten, a repeat of what is not known may have run, for a window; what is new may begin.
 func TestAfterARestart(t *testing.T) {
-	l := ledger(t, Settings{Window: Window, Uncertain: Window, Entries: 10, Bytes: 100, Lost: time.Minute})
-	if v, _ := l.Come(time.Minute, Key{"a", 1}, true); v != MayHaveRun {
+	l := ledger(t, Settings{Window: MinWindow, UncertainWindow: MinWindow, MaxEntries: 10, MaxBytes: 100, LostAt: time.Minute})
+	if v, _ := l.Admit(time.Minute, Key{"a", 1}, true); v != MayHaveRun {
 		t.Errorf("a repeat: %v", v)
 	}
-	if v, _ := l.Come(time.Minute, Key{"a", 2}, false); v != Begin {
+	if v, _ := l.Admit(time.Minute, Key{"a", 2}, false); v != Begin {
 		t.Errorf("a new one: %v", v)
 	}
-	if v, _ := l.Come(time.Minute+Window, Key{"a", 1}, true); v != Begin {
+	if v, _ := l.Admit(time.Minute+MinWindow, Key{"a", 1}, true); v != Begin {
 		t.Errorf("a window later: %v", v)
 	}
 }
 
 func TestRestore(t *testing.T) {
-	l := ledger(t, Settings{Window: Window, Uncertain: Window, Entries: 3, Bytes: 8, Lost: -1})
-	err := l.Restore(0, []Record{{Key: Key{"a", 1}}, {Key: Key{"a", 2}}, {Key: Key{"a", 1}, Ended: true, Answer: []byte("paid")},
-		{Key: Key{"a", 3}, Ended: true, Answer: []byte("too long to keep")}})
+	l := ledger(t, Settings{Window: MinWindow, UncertainWindow: MinWindow, MaxEntries: 3, MaxBytes: 8, LostAt: -1})
+	err := l.Restore(0, []Record{{Key: Key{"a", 1}}, {Key: Key{"a", 2}}, {Key: Key{"a", 1}, Completed: true, Answer: []byte("paid")},
+		{Key: Key{"a", 3}, Completed: true, Answer: []byte("too long to keep")}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for id, want := range map[uint32]Verdict{1: Answered, 2: MayHaveRun, 3: MayHaveRun, 4: Full} {
-		if v, _ := l.Come(time.Second, Key{"a", id}, false); v != want {
+		if v, _ := l.Admit(time.Second, Key{"a", id}, false); v != want {
 			t.Errorf("%d: %v, want %v", id, v, want)
 		}
 	}
@@ -95,7 +95,7 @@
 // Any order of events keeps the promises of the package: beside a memory that forgets nothing.
 func TestNeverTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Settings{Window: Window, Uncertain: Window * time.Duration(rapid.IntRange(1, 3).Draw(t, "uncertain")), Entries: rapid.IntRange(1, 8).Draw(t, "entries"), Bytes: rapid.IntRange(1, 60).Draw(t, "bytes"), Lost: -1}
+		s := Settings{Window: MinWindow, UncertainWindow: MinWindow * time.Duration(rapid.IntRange(1, 3).Draw(t, "uncertain")), MaxEntries: rapid.IntRange(1, 8).Draw(t, "entries"), MaxBytes: rapid.IntRange(1, 60).Draw(t, "bytes"), LostAt: -1}
 		l, err := New(s)
 		if err != nil {
 			t.Fatal(err)
@@ -113,12 +113,12 @@
 			m := all[k]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1, 2:
-				v, answer := l.Come(now, k, rapid.Bool().Draw(t, "T"))
+				v, answer := l.Admit(now, k, rapid.Bool().Draw(t, "T"))
 				fresh := m == nil || !m.open && now >= m.ended+s.Window
 				if m != nil && m.answer == "lost" {
-					fresh = now >= m.ended+s.Uncertain
+					fresh = now >= m.ended+s.UncertainWindow
 				}
-				known := m != nil && (m.open || now < m.ended+s.Uncertain) // an answer that is too long to be kept counts as lost
+				known := m != nil && (m.open || now < m.ended+s.UncertainWindow) // an answer that is too long to be kept counts as lost
 				switch {
 				case v == Begin && !fresh:
 					t.Fatalf("%v begins again at %v: %+v", k, now, m)
@@ -134,30 +134,30 @@
 			case 3:
 				if m != nil && m.open {
 					answer := fmt.Sprint("answer ", n)
-					l.End(now, k, []byte(answer))
+					l.Complete(now, k, []byte(answer))
 					*m = memory{ended: now, answer: answer}
 				}
 			case 4:
 				if m != nil && m.open {
-					l.Lose(now, k)
+					l.MarkUncertain(now, k)
 					*m = memory{ended: now, answer: "lost"}
 				}
 			default:
 				if m != nil && m.open {
-					l.Drop(k)
+					l.Cancel(k)
 					delete(all, k)
 				}
 			}
 			entries, bytes := l.Len()
-			if entries > s.Entries || bytes > s.Bytes {
-				t.Fatalf("%d entries of %d, %d bytes of %d", entries, s.Entries, bytes, s.Bytes)
+			if entries > s.MaxEntries || bytes > s.MaxBytes {
+				t.Fatalf("%d entries of %d, %d bytes of %d", entries, s.MaxEntries, bytes, s.MaxBytes)
 			}
 		}
 	})
 }
 
 func BenchmarkComeAndEnd(b *testing.B) {
-	l := ledger(b, Settings{Window: Window, Uncertain: Window, Entries: 1 << 20, Bytes: 1 << 28, Lost: -1})
+	l := ledger(b, Settings{Window: MinWindow, UncertainWindow: MinWindow, MaxEntries: 1 << 20, MaxBytes: 1 << 28, LostAt: -1})
 	answer := make([]byte, 180)
 	i := uint32(0)
 	b.ReportAllocs()
@@ -165,9 +165,9 @@
 		i++
 		now := time.Duration(i) * time.Millisecond
 		k := Key{"partner.example", i}
-		if v, _ := l.Come(now, k, false); v != Begin {
+		if v, _ := l.Admit(now, k, false); v != Begin {
 			b.Fatal(v)
 		}
-		l.End(now, k, answer)
+		l.Complete(now, k, answer)
 	}
 }
--- a/internal/idempotency/store/frozen_test.go
+++ b/internal/idempotency/store/frozen_test.go
@@ -19,11 +19,11 @@
 func TestFrozenLedger(t *testing.T) {
 	const kept = "testdata/ledger"
 	began := time.Unix(1_735_689_600, 0)
-	ended := idempotency.Record{Key: idempotency.Key{Origin: "a.example", ID: 7}, Ended: true, Answer: []byte("paid")}
-	lost := idempotency.Record{Key: idempotency.Key{Origin: "b.example", ID: 1 << 31}, Lost: true, Answer: []byte{}}
+	ended := idempotency.Record{Key: idempotency.Key{Origin: "a.example", ID: 7}, Completed: true, Answer: []byte("paid")}
+	lost := idempotency.Record{Key: idempotency.Key{Origin: "b.example", ID: 1 << 31}, Uncertain: true, Answer: []byte{}}
 	intent := idempotency.Record{Key: idempotency.Key{Origin: "c.example", ID: 9}}
 	if *writeFrozen {
-		s, _, err := Open(kept, Options{Window: window, Uncertain: uncertain, Now: func() time.Time { return began }})
+		s, _, err := Open(kept, Options{Window: window, UncertainWindow: uncertain, Now: func() time.Time { return began }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,29 +47,29 @@
 		}
 	}
 	later := func() time.Time { return began.Add(time.Minute) }
-	s, records, err := Open(path, Options{Window: window, Uncertain: uncertain, Now: later})
+	s, records, err := Open(path, Options{Window: window, UncertainWindow: uncertain, Now: later})
 	if err != nil {
 		t.Fatal(err)
 	}
 	// An intent of a process that has ended may have run.
-	unfinished := idempotency.Record{Key: intent.Key, Lost: true, Answer: []byte{}}
+	unfinished := idempotency.Record{Key: intent.Key, Uncertain: true, Answer: []byte{}}
 	if want := []idempotency.Record{unfinished, ended, lost}; !reflect.DeepEqual(records, want) {
 		t.Errorf("got %+v\nwant %+v", records, want)
 	}
-	if !s.Lost().Equal(began) {
-		t.Errorf("it lacked something at %v, want %v", s.Lost(), began)
+	if !s.LostAt().Equal(began) {
+		t.Errorf("it lacked something at %v, want %v", s.LostAt(), began)
 	}
 	if s.seq != 5 {
 		t.Errorf("transaction %d, want 5", s.seq)
 	}
-	next := idempotency.Record{Key: intent.Key, Ended: true, Answer: []byte("late")}
+	next := idempotency.Record{Key: intent.Key, Completed: true, Answer: []byte("late")}
 	if err := s.Write(t.Context(), next); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s, records, err = Open(path, Options{Window: window, Uncertain: uncertain, Now: later})
+	s, records, err = Open(path, Options{Window: window, UncertainWindow: uncertain, Now: later})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -59,7 +59,7 @@
 // Why a store can't be used.
 var (
 	ErrClosed = errors.New("effects: the store is closed")
-	ErrHeld   = errors.New("effects: another process holds the store")
+	ErrLocked = errors.New("effects: another process holds the store")
 )
 
 // Store is a file of effects. It is for any goroutine.
@@ -87,14 +87,14 @@
 
 // Options are how a store is opened.
 type Options struct {
-	Window    time.Duration    // for which what has ended is kept
-	Uncertain time.Duration    // for which that of which nobody knows how it ended is; Window if it is shorter
-	Now       func() time.Time // the machine's clock; nil is time.Now
-	First     bool             // no process before can have known anything: a new ledger lacks nothing
+	Window          time.Duration    // for which what has ended is kept
+	UncertainWindow time.Duration    // for which that of which nobody knows how it ended is; Window if it is shorter
+	Now             func() time.Time // the machine's clock; nil is time.Now
+	FirstProcess    bool             // no process before can have known anything: a new ledger lacks nothing
 }
 
-// Lost is when the ledger was last found to lack what a process before knew; the zero time is never. It is as of Open.
-func (s *Store) Lost() time.Time { return s.lost }
+// LostAt is when the ledger was last found to lack what a process before knew; the zero time is never. It is as of Open.
+func (s *Store) LostAt() time.Time { return s.lost }
 
 // Open opens or makes a file, and gives what it holds in the order in which it was written, without what is older than
 // the window. A file that is not one, or is held by another process, is an error.
@@ -104,15 +104,15 @@
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWait, FreelistType: bbolt.FreelistMapType})
 	if errors.Is(err, berrors.ErrTimeout) {
-		return nil, nil, fmt.Errorf("%s: %w", path, ErrHeld)
+		return nil, nil, fmt.Errorf("%s: %w", path, ErrLocked)
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("effects: %s: %w", path, err)
 	}
-	s := &Store{db: db, window: o.Window, uncertain: max(o.Window, o.Uncertain), now: o.Now, queue: make(chan *waiter, mostBatch), stop: make(chan struct{}), done: make(chan struct{})}
+	s := &Store{db: db, window: o.Window, uncertain: max(o.Window, o.UncertainWindow), now: o.Now, queue: make(chan *waiter, mostBatch), stop: make(chan struct{}), done: make(chan struct{})}
 	records, err := s.load()
 	if err == nil {
-		err = s.testify(path+".seq", o.First)
+		err = s.testify(path+".seq", o.FirstProcess)
 	}
 	if err != nil {
 		db.Close()
@@ -150,7 +150,7 @@
 			} else if at < now.UnixNano() {
 				return nil
 			}
-			all = append(all, dated{at, idempotency.Record{Key: key, Ended: v[0] == end, Lost: v[0] != end, Answer: bytes.Clone(v[9:])}})
+			all = append(all, dated{at, idempotency.Record{Key: key, Completed: v[0] == end, Uncertain: v[0] != end, Answer: bytes.Clone(v[9:])}})
 			return nil
 		})
 		for _, h := range begun {
@@ -240,8 +240,8 @@
 	return s.wait(ctx, &waiter{record: r, done: make(chan error, 1)})
 }
 
-// Drop takes back the intent of a request that has not run and will not.
-func (s *Store) Drop(ctx context.Context, k idempotency.Key) error {
+// Delete takes back the intent of a request that has not run and will not.
+func (s *Store) Delete(ctx context.Context, k idempotency.Key) error {
 	return s.wait(ctx, &waiter{record: idempotency.Record{Key: k}, drop: true, done: make(chan error, 1)})
 }
 
@@ -317,9 +317,9 @@
 		}
 		var err error
 		switch {
-		case w.record.Ended:
+		case w.record.Completed:
 			err = put(tx, k, end, now.Add(s.window), w.record.Answer)
-		case w.record.Lost:
+		case w.record.Uncertain:
 			err = put(tx, k, lost, now.Add(s.uncertain), nil)
 		default:
 			v := make([]byte, 9)
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	window    = idempotency.Window
+	window    = idempotency.MinWindow
 	uncertain = time.Hour
 )
 
 func open(t testing.TB, path string, now func() time.Time) (*Store, map[idempotency.Key]idempotency.Record) {
 	t.Helper()
-	s, records, err := Open(path, Options{Window: window, Uncertain: uncertain, Now: now})
+	s, records, err := Open(path, Options{Window: window, UncertainWindow: uncertain, Now: now})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,12 +44,12 @@
 	now := func() time.Time { return clock }
 	s, _ := open(t, path, now)
 	a, b, c := idempotency.Key{Origin: "a", ID: 1}, idempotency.Key{Origin: "a", ID: 2}, idempotency.Key{Origin: "b\x00c", ID: 1}
-	for _, r := range []idempotency.Record{{Key: a}, {Key: b}, {Key: a, Ended: true, Answer: []byte("paid")}, {Key: c}} {
+	for _, r := range []idempotency.Record{{Key: a}, {Key: b}, {Key: a, Completed: true, Answer: []byte("paid")}, {Key: c}} {
 		if err := s.Write(ctx, r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.Drop(ctx, c); err != nil {
+	if err := s.Delete(ctx, c); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(path, Options{Window: window}); err == nil {
@@ -62,7 +62,7 @@
 		t.Errorf("after its end: %v", err)
 	}
 	s, by := open(t, path, now)
-	if len(by) != 2 || !by[a].Ended || string(by[a].Answer) != "paid" || by[b].Ended {
+	if len(by) != 2 || !by[a].Completed || string(by[a].Answer) != "paid" || by[b].Completed {
 		t.Errorf("%+v", by)
 	}
 	clock = clock.Add(window + time.Second) // what has ended grows old; of an intent without an end the time begins when it is found
@@ -71,15 +71,15 @@
 	}
 	s.Close()
 	s, by = open(t, path, now)
-	if len(by) != 2 || by[a].Ended || !by[b].Lost {
+	if len(by) != 2 || by[a].Completed || !by[b].Uncertain {
 		t.Errorf("a window later: %+v", by)
 	}
 	clock = clock.Add(uncertain + time.Second)
-	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "y", ID: 9}, Lost: true}); err != nil {
+	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "y", ID: 9}, Uncertain: true}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
-	if _, by = open(t, path, now); len(by) != 1 || !by[idempotency.Key{Origin: "y", ID: 9}].Lost {
+	if _, by = open(t, path, now); len(by) != 1 || !by[idempotency.Key{Origin: "y", ID: 9}].Uncertain {
 		t.Errorf("long after: %+v", by)
 	}
 }
@@ -108,7 +108,7 @@
 	s.db.MaxSize = 64 << 10 // as if the disk ended there
 	var failed error
 	for i := uint32(2); i < 2000 && failed == nil; i++ {
-		failed = s.Write(t.Context(), idempotency.Record{Key: idempotency.Key{Origin: "a", ID: i}, Ended: true, Answer: make([]byte, 4000)})
+		failed = s.Write(t.Context(), idempotency.Record{Key: idempotency.Key{Origin: "a", ID: i}, Completed: true, Answer: make([]byte, 4000)})
 	}
 	if failed == nil {
 		t.Fatal("a full disk is not told")
@@ -186,7 +186,7 @@
 		if err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
-		l, err := idempotency.New(idempotency.Settings{Window: window, Uncertain: window, Entries: 1 << 20, Bytes: 1 << 24, Lost: -1})
+		l, err := idempotency.New(idempotency.Settings{Window: window, UncertainWindow: window, MaxEntries: 1 << 20, MaxBytes: 1 << 24, LostAt: -1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -194,7 +194,7 @@
 			t.Fatal(err)
 		}
 		for k, what := range told {
-			v, answer := l.Come(time.Second, k, false)
+			v, answer := l.Admit(time.Second, k, false)
 			switch {
 			case v == idempotency.Begin:
 				t.Fatalf("round %d: %v was told to be %s, and would begin again", round, k, what)
@@ -233,7 +233,7 @@
 				}
 				say(id, "intent")
 				answer := fmt.Sprint("paid-", id)
-				if s.Write(context.Background(), idempotency.Record{Key: k, Ended: true, Answer: []byte(answer)}) != nil {
+				if s.Write(context.Background(), idempotency.Record{Key: k, Completed: true, Answer: []byte(answer)}) != nil {
 					return
 				}
 				say(id, answer)
@@ -255,7 +255,7 @@
 						if err := s.Write(context.Background(), idempotency.Record{Key: k}); err != nil {
 							b.Error(err)
 						}
-						if err := s.Write(context.Background(), idempotency.Record{Key: k, Ended: true, Answer: make([]byte, 180)}); err != nil {
+						if err := s.Write(context.Background(), idempotency.Record{Key: k, Completed: true, Answer: make([]byte, 180)}); err != nil {
 							b.Error(err)
 						}
 					}
@@ -285,7 +285,7 @@
 	for w := range writers {
 		all.Go(func() {
 			for i := w; i < entries; i += writers {
-				if err := s.Write(b.Context(), idempotency.Record{Key: idempotency.Key{Origin: "claims.partner.example", ID: uint32(i)}, Ended: true, Answer: answer}); err != nil {
+				if err := s.Write(b.Context(), idempotency.Record{Key: idempotency.Key{Origin: "claims.partner.example", ID: uint32(i)}, Completed: true, Answer: answer}); err != nil {
 					b.Error(err)
 					return
 				}
--- a/internal/policy/namespace/merge_test.go
+++ b/internal/policy/namespace/merge_test.go
@@ -115,12 +115,12 @@
 func TestSharesAreABudgetsOwn(t *testing.T) {
 	c, texts := shipped(t)
 	p := Merge(c, nil, []*Namespace{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}).Policy
-	pool, err := processquota.NewPool(processquota.Terms{Total: 12000, Recall: time.Second, Lend: 0.5}, p.BudgetShares("attempts"))
+	pool, err := processquota.NewPool(processquota.PoolSettings{Total: 12000, Recall: time.Second, Lend: 0.5}, p.BudgetShares("attempts"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := map[string]processquota.Share{"dispatch": {Min: 6000, Weight: 3}, "settlement": {Min: 2400, Cap: 6000, Weight: 1}, "booking-desks": {Min: 1200, Cap: 3000, Weight: 1}}
-	for name, use := range pool.Used(0) {
+	for name, use := range pool.Usage(0) {
 		if use.Share != want[name] {
 			t.Errorf("%s: %+v, want %+v", name, use.Share, want[name])
 		}
--- a/internal/processquota/gate.go
+++ b/internal/processquota/gate.go
@@ -21,28 +21,28 @@
 type Gate struct {
 	ranks   []float64 // by class: the part of the classes that are less dense, 1 for the densest
 	weights []float64 // by tenant
-	held    []int64   // by tenant
+	inUse   []int64   // by tenant
 }
 
 // GateClass is what of a class a gate goes by.
 type GateClass struct {
-	Worth float64 // of an answer in time
-	Holds float64 // for how long a request holds its place, in any unit: its aim will do
+	PriorityWeight float64 // of an answer in time
+	HoldTime       float64 // for how long a request holds its place, in any unit: its aim will do
 }
 
-// Reserve is the part of a service's places that is kept for what is worth most.
-const Reserve = 0.15
+// ReserveRatio is the part of a service's places that is kept for what is worth most.
+const ReserveRatio = 0.15
 
 // NewGate makes a gate. weights are the tenants' parts; who has none counts as having the mean of the others. Errors
 // name the class or the tenant by its place.
 func NewGate(classes []GateClass, weights []float64) (*Gate, error) {
-	g := &Gate{weights: slices.Clone(weights), held: make([]int64, max(1, len(weights)))}
+	g := &Gate{weights: slices.Clone(weights), inUse: make([]int64, max(1, len(weights)))}
 	density := make([]float64, len(classes))
 	for i, c := range classes {
-		if !(c.Worth >= 0) || !(c.Holds > 0) || math.IsInf(c.Worth+c.Holds, 0) {
-			return nil, fmt.Errorf("class %d: worth %v, holds %v", i, c.Worth, c.Holds)
+		if !(c.PriorityWeight >= 0) || !(c.HoldTime > 0) || math.IsInf(c.PriorityWeight+c.HoldTime, 0) {
+			return nil, fmt.Errorf("class %d: worth %v, holds %v", i, c.PriorityWeight, c.HoldTime)
 		}
-		density[i] = c.Worth / c.Holds
+		density[i] = c.PriorityWeight / c.HoldTime
 	}
 	sum, n := 0.0, 0
 	for i, w := range weights {
@@ -83,7 +83,7 @@
 		return false
 	}
 	places := float64(used + room)
-	kept := Reserve * places
+	kept := ReserveRatio * places
 	if float64(room) > kept {
 		return true
 	}
@@ -92,29 +92,29 @@
 	if class < 0 || class >= len(g.ranks) || g.ranks[class] < min(depth, 1) {
 		return false
 	}
-	mine := g.tenant(tenant)
+	mine := g.tenantIndex(tenant)
 	active, others := g.weights[mine], false
-	for t, held := range g.held {
+	for t, held := range g.inUse {
 		if t != mine && held > 0 {
 			active, others = active+g.weights[t], true
 		}
 	}
-	return !others || float64(g.held[mine]) < g.weights[mine]/active*places
+	return !others || float64(g.inUse[mine]) < g.weights[mine]/active*places
 }
 
 // Enter counts a request that was let in, and Leave one that has ended.
-func (g *Gate) Enter(tenant int) { g.held[g.tenant(tenant)]++ }
+func (g *Gate) Enter(tenant int) { g.inUse[g.tenantIndex(tenant)]++ }
 
 // Leave ends what Enter began.
 func (g *Gate) Leave(tenant int) {
-	if t := g.tenant(tenant); g.held[t] > 0 {
-		g.held[t]--
+	if t := g.tenantIndex(tenant); g.inUse[t] > 0 {
+		g.inUse[t]--
 	}
 }
 
-// tenant keeps a number within those that there are: strangers count with the first.
-func (g *Gate) tenant(t int) int {
-	if t < 0 || t >= len(g.held) {
+// tenantIndex keeps a number within those that there are: strangers count with the first.
+func (g *Gate) tenantIndex(t int) int {
+	if t < 0 || t >= len(g.inUse) {
 		return 0
 	}
 	return t
--- a/internal/processquota/gate_test.go
+++ b/internal/processquota/gate_test.go
@@ -71,7 +71,7 @@
 		best := 0
 		for i := range nc {
 			classes = append(classes, GateClass{float64(rapid.IntRange(1, 10).Draw(t, "worth")), float64(rapid.IntRange(1, 9).Draw(t, "holds"))})
-			if classes[i].Worth/classes[i].Holds > classes[best].Worth/classes[best].Holds {
+			if classes[i].PriorityWeight/classes[i].HoldTime > classes[best].PriorityWeight/classes[best].HoldTime {
 				best = i
 			}
 		}
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 		total := int64(rapid.IntRange(1, 60).Draw(t, "places"))
-		p, err := NewPool(Terms{Total: total, Lend: 1}, map[string]Share{"s": {}})
+		p, err := NewPool(PoolSettings{Total: total, Lend: 1}, map[string]Share{"s": {}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,13 +96,13 @@
 			if held[tenant] > 0 && rapid.IntRange(0, 2).Draw(t, "goes") == 0 {
 				held[tenant]--
 				g.Leave(tenant)
-				if err := p.Give("s", 1); err != nil {
+				if err := p.Release("s", 1); err != nil {
 					t.Fatal(err)
 				}
 				continue
 			}
 			_, used := p.Total()
-			room := p.Room(0, "s")
+			room := p.Available(0, "s")
 			got := g.Admits(used, room, class, tenant)
 			others := false
 			for i, n := range held {
@@ -111,7 +111,7 @@
 			switch under := float64(held[tenant]) < weights[tenant]/sum*float64(total); {
 			case got && room <= 0:
 				t.Fatal("let in where nothing is free")
-			case !got && float64(room) > Reserve*float64(total):
+			case !got && float64(room) > ReserveRatio*float64(total):
 				t.Fatalf("refused with %d of %d free", room, total)
 			case !got && room > 0 && class == best && (under || !others):
 				t.Fatalf("the densest class of a tenant that holds %d was refused with %d of %d free", held[tenant], room, total)
@@ -120,7 +120,7 @@
 				t.Fatal("two classes of the same density are not treated alike")
 			}
 			if got {
-				if !p.Take(0, "s", 1) {
+				if !p.Acquire(0, "s", 1) {
 					t.Fatal("the pool refused what it said it had")
 				}
 				g.Enter(tenant)
@@ -134,7 +134,7 @@
 func TestRoomIsWhatTakeGives(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{Total: int64(rapid.IntRange(1, 30).Draw(t, "total")), Recall: 100 * ms, Lend: rapid.Float64Range(0, 1).Draw(t, "lend")}
+		terms := PoolSettings{Total: int64(rapid.IntRange(1, 30).Draw(t, "total")), Recall: 100 * ms, Lend: rapid.Float64Range(0, 1).Draw(t, "lend")}
 		shares, left := map[string]Share{}, terms.Total
 		for _, n := range names {
 			m := int64(rapid.IntRange(0, int(left)/2).Draw(t, "min"))
@@ -156,19 +156,19 @@
 			}
 			for _, a := range acts {
 				if a.n < 0 {
-					_ = p.Give(a.who, -a.n)
+					_ = p.Release(a.who, -a.n)
 				} else {
-					p.Take(0, a.who, a.n)
+					p.Acquire(0, a.who, a.n)
 				}
 			}
 			return p
 		}
 		who := rapid.SampledFrom(names).Draw(t, "asks")
-		room := build().Room(0, who)
-		if room > 0 && !build().Take(0, who, room) {
+		room := build().Available(0, who)
+		if room > 0 && !build().Acquire(0, who, room) {
 			t.Fatalf("%s was told %d and did not get it", who, room)
 		}
-		if build().Take(0, who, room+1) {
+		if build().Acquire(0, who, room+1) {
 			t.Fatalf("%s was told %d and got one more", who, room)
 		}
 	})
--- a/internal/processquota/limiter/quota.go
+++ b/internal/processquota/limiter/limiter.go
@@ -27,31 +27,31 @@
 
 	mu       sync.Mutex
 	pools    *pools // nil for one service
-	attempts *processquota.Rate
+	attempts *processquota.RateLimiter
 	leaving  map[string]int // services that take no more and have not ended, by name
 	file     *services.File // the pools' own
 	totals   Totals
-	refused  map[string]*refusals
+	rejected map[string]*rejections
 }
 
 type pools struct{ requests, bytes, conns *processquota.Pool }
 
-// refusals count what a service was refused, by why.
-type refusals struct {
-	Places   int64 `json:"places"`   // no request more in hand, or no byte
-	Worth    int64 `json:"worth"`    // the last places are kept for others
-	Attempts int64 `json:"attempts"` // none in this second
-	Repeats  int64 `json:"repeats"`  // further attempts that were not made
+// rejections count what a service was refused, by why.
+type rejections struct {
+	Capacity        int64 `json:"places"`   // no request more in hand, or no byte
+	PriorityReserve int64 `json:"worth"`    // the last places are kept for others
+	Attempts        int64 `json:"attempts"` // none in this second
+	Retries         int64 `json:"repeats"`  // further attempts that were not made
 }
 
 // New makes limits that go by a clock.
 func New(now func() time.Duration) *Limits {
-	return &Limits{now: now, leaving: map[string]int{}, refused: map[string]*refusals{}}
+	return &Limits{now: now, leaving: map[string]int{}, rejected: map[string]*rejections{}}
 }
 
-// Change sets the limits of a file. Services that are leaving keep a share until Left is called for each: what they
+// Reconfigure sets the limits of a file. Services that are leaving keep a share until Left is called for each: what they
 // have in hand may need connections yet. A bad change changes nothing, and its error names the limit.
-func (l *Limits) Change(f *services.File, totals Totals, leaving []string) error {
+func (l *Limits) Reconfigure(f *services.File, totals Totals, leaving []string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range leaving {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// Left notes that a service which was leaving has left.
-func (l *Limits) Left(name string) {
+// RemoveLeaving notes that a service which was leaving has left.
+func (l *Limits) RemoveLeaving(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.left(name)
@@ -97,8 +97,8 @@
 	}
 }
 
-// Requests is how many of the requests that may be in hand are, for all services together.
-func (l *Limits) Requests() (total, used int64) {
+// RequestUsage is how many of the requests that may be in hand are, for all services together.
+func (l *Limits) RequestUsage() (total, used int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pools == nil {
@@ -122,7 +122,7 @@
 		if *k.pool == nil {
 			*k.pool, err = processquota.NewPool(f.Terms(k.total), shares)
 		} else {
-			err = (*k.pool).Change(f.Terms(k.total), shares)
+			err = (*k.pool).Reconfigure(f.Terms(k.total), shares)
 		}
 		if err != nil {
 			return fmt.Errorf("limits: %w", err)
@@ -134,9 +134,9 @@
 	}
 	l.pools, l.attempts = &next, attempts
 	stay := withLeaving(f.Shares(1), l.leaving)
-	for name := range l.refused {
+	for name := range l.rejected {
 		if _, stays := stay[name]; !stays {
-			delete(l.refused, name)
+			delete(l.rejected, name)
 		}
 	}
 	return nil
@@ -153,61 +153,61 @@
 	return shares
 }
 
-func (l *Limits) rate(f *services.File, total float64) (*processquota.Rate, error) {
+func (l *Limits) rate(f *services.File, total float64) (*processquota.RateLimiter, error) {
 	if total == 0 {
 		return nil, nil
 	}
 	shares := withLeaving(f.RateShares(total), l.leaving)
 	if l.attempts == nil {
-		r, err := processquota.NewRate(total, attemptsBurst, shares)
+		r, err := processquota.NewRateLimiter(total, attemptsBurst, shares)
 		if err != nil {
 			return nil, fmt.Errorf("limits: attempts: %w", err)
 		}
 		return r, nil
 	}
-	if err := l.attempts.Change(total, attemptsBurst, shares); err != nil {
+	if err := l.attempts.Reconfigure(total, attemptsBurst, shares); err != nil {
 		return nil, fmt.Errorf("limits: attempts: %w", err)
 	}
 	return l.attempts, nil
 }
 
-// Ask is a request that wants to be taken.
-type Ask struct {
+// Request is a request that wants to be taken.
+type Request struct {
 	Service       string
 	Gate          *processquota.Gate // the service's own; nil lets everyone in
 	Class, Tenant int
 	Bytes         int64 // of its body
 }
 
-// Take takes a request with its body's bytes and its first attempt, or tells why not and after how long it may come
+// Acquire takes a request with its body's bytes and its first attempt, or tells why not and after how long it may come
 // again; 0 is not known. What was taken is given back by Give, but for the attempt.
-func (l *Limits) Take(a Ask) (why string, after time.Duration) {
+func (l *Limits) Acquire(a Request) (why string, after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pools == nil {
 		return "", 0
 	}
 	now := l.now()
-	if room := l.pools.requests.Room(now, a.Service); room > 0 && a.Gate != nil {
-		if !a.Gate.Admits(l.pools.requests.Held(a.Service), room, a.Class, a.Tenant) {
-			l.refusedOf(a.Service).Worth++
+	if room := l.pools.requests.Available(now, a.Service); room > 0 && a.Gate != nil {
+		if !a.Gate.Admits(l.pools.requests.InUse(a.Service), room, a.Class, a.Tenant) {
+			l.rejectionsOf(a.Service).PriorityReserve++
 			return "the last of the service's places are kept for what is worth more, and for tenants that hold less", 0
 		}
 	}
-	if !l.pools.requests.Take(now, a.Service, 1) {
-		l.refusedOf(a.Service).Places++
+	if !l.pools.requests.Acquire(now, a.Service, 1) {
+		l.rejectionsOf(a.Service).Capacity++
 		return "the service's share of this proxy is taken", 0
 	}
-	if !l.pools.bytes.Take(now, a.Service, a.Bytes) {
-		_ = l.pools.requests.Give(a.Service, 1) // it was taken just now
-		l.refusedOf(a.Service).Places++
+	if !l.pools.bytes.Acquire(now, a.Service, a.Bytes) {
+		_ = l.pools.requests.Release(a.Service, 1) // it was taken just now
+		l.rejectionsOf(a.Service).Capacity++
 		return "the service's share of this proxy's bytes is taken", 0
 	}
 	if l.attempts != nil {
-		if ok, after := l.attempts.Take(now, a.Service); !ok {
-			_ = l.pools.requests.Give(a.Service, 1)
-			_ = l.pools.bytes.Give(a.Service, a.Bytes)
-			l.refusedOf(a.Service).Attempts++
+		if ok, after := l.attempts.Acquire(now, a.Service); !ok {
+			_ = l.pools.requests.Release(a.Service, 1)
+			_ = l.pools.bytes.Release(a.Service, a.Bytes)
+			l.rejectionsOf(a.Service).Attempts++
 			return "the service's attempts of this second are taken", after
 		}
 	}
@@ -217,56 +217,56 @@
 	return "", 0
 }
 
-// Give ends what Take began. Danger: it must be asked for what Take has granted only.
-func (l *Limits) Give(a Ask) {
+// Release ends what Take began. Danger: it must be asked for what Take has granted only.
+func (l *Limits) Release(a Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pools == nil {
 		return
 	}
-	_ = l.pools.requests.Give(a.Service, 1)
-	_ = l.pools.bytes.Give(a.Service, a.Bytes)
+	_ = l.pools.requests.Release(a.Service, 1)
+	_ = l.pools.bytes.Release(a.Service, a.Bytes)
 	if a.Gate != nil {
 		a.Gate.Leave(a.Tenant)
 	}
 }
 
-// Repeat takes a further attempt out of the service's attempts a second, or tells that there is none now.
-func (l *Limits) Repeat(service string) bool {
+// AcquireRetry takes a further attempt out of the service's attempts a second, or tells that there is none now.
+func (l *Limits) AcquireRetry(service string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.attempts == nil {
 		return true
 	}
-	ok, _ := l.attempts.Take(l.now(), service)
+	ok, _ := l.attempts.Acquire(l.now(), service)
 	if !ok {
-		l.refusedOf(service).Repeats++
+		l.rejectionsOf(service).Retries++
 	}
 	return ok
 }
 
-func (l *Limits) refusedOf(service string) *refusals {
-	r := l.refused[service]
+func (l *Limits) rejectionsOf(service string) *rejections {
+	r := l.rejected[service]
 	if r == nil {
-		r = &refusals{}
-		l.refused[service] = r
+		r = &rejections{}
+		l.rejected[service] = r
 	}
 	return r
 }
 
-// TakeConn takes a connection to a server for a service, or tells that it may not have one.
-func (l *Limits) TakeConn(service string) bool {
+// AcquireConn takes a connection to a server for a service, or tells that it may not have one.
+func (l *Limits) AcquireConn(service string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.pools == nil || l.pools.conns.Take(l.now(), service, 1)
+	return l.pools == nil || l.pools.conns.Acquire(l.now(), service, 1)
 }
 
-// GiveConn gives it back.
-func (l *Limits) GiveConn(service string) {
+// ReleaseConn gives it back.
+func (l *Limits) ReleaseConn(service string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pools != nil {
-		_ = l.pools.conns.Give(service, 1)
+		_ = l.pools.conns.Release(service, 1)
 	}
 }
 
@@ -282,13 +282,13 @@
 	for name, p := range map[string]*processquota.Pool{"requests": l.pools.requests, "bytes": l.pools.bytes, "connections": l.pools.conns} {
 		total, used := p.Total()
 		by := map[string]int64{}
-		for member, u := range p.Used(now) {
+		for member, u := range p.Usage(now) {
 			by[member] = u.Used
 		}
 		out[name] = map[string]any{"total": total, "used": used, "by_service": by}
 	}
-	refused := map[string]refusals{}
-	for name, r := range l.refused {
+	refused := map[string]rejections{}
+	for name, r := range l.rejected {
 		refused[name] = *r
 	}
 	out["refused"] = refused
--- a/internal/processquota/limiter/quota_test.go
+++ b/internal/processquota/limiter/limiter_test.go
@@ -31,13 +31,13 @@
 func TestARefusedRequestHoldsNothing(t *testing.T) {
 	now := time.Duration(0)
 	l := New(func() time.Duration { return now })
-	if err := l.Change(file(t, two), Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 100}, nil); err != nil {
+	if err := l.Reconfigure(file(t, two), Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 100}, nil); err != nil {
 		t.Fatal(err)
 	}
 	whys := map[string]int{}
 	taken := 0
 	for i := range 400 {
-		why, after := l.Take(Ask{Service: "b", Bytes: int64(i % 40)})
+		why, after := l.Acquire(Request{Service: "b", Bytes: int64(i % 40)})
 		whys[why]++
 		if why == "" {
 			taken++
@@ -50,7 +50,7 @@
 	if len(whys) < 3 {
 		t.Errorf("why: %v", whys)
 	}
-	if _, used := l.Requests(); used != int64(taken) {
+	if _, used := l.RequestUsage(); used != int64(taken) {
 		t.Errorf("%d are booked, %d were taken", used, taken)
 	}
 }
@@ -58,13 +58,13 @@
 // Limits that are lowered below what is in use take nothing new until it has come down, and lose no count.
 func TestLoweredBelowWhatIsInUse(t *testing.T) {
 	l := New(func() time.Duration { return 0 })
-	if err := l.Change(file(t, two), Totals{Requests: 100, Bytes: 1000, Conns: 50}, nil); err != nil {
+	if err := l.Reconfigure(file(t, two), Totals{Requests: 100, Bytes: 1000, Conns: 50}, nil); err != nil {
 		t.Fatal(err)
 	}
-	var held []Ask
+	var held []Request
 	for {
-		a := Ask{Service: "a", Bytes: 1}
-		if why, _ := l.Take(a); why != "" {
+		a := Request{Service: "a", Bytes: 1}
+		if why, _ := l.Acquire(a); why != "" {
 			break
 		}
 		held = append(held, a)
@@ -72,26 +72,26 @@
 	if len(held) < 50 {
 		t.Fatalf("%d in hand", len(held))
 	}
-	if err := l.Change(file(t, two), Totals{Requests: 10, Bytes: 1000, Conns: 50}, nil); err != nil {
+	if err := l.Reconfigure(file(t, two), Totals{Requests: 10, Bytes: 1000, Conns: 50}, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i, a := range held {
-		if why, _ := l.Take(a); why == "" && len(held)-i >= 10 {
+		if why, _ := l.Acquire(a); why == "" && len(held)-i >= 10 {
 			t.Fatalf("one more was taken with %d in hand of 10", len(held)-i)
 		} else if why == "" {
-			l.Give(a)
+			l.Release(a)
 		}
-		l.Give(a)
+		l.Release(a)
 	}
-	if _, used := l.Requests(); used != 0 {
+	if _, used := l.RequestUsage(); used != 0 {
 		t.Errorf("%d are still booked", used)
 	}
 	bad := *file(t, two)
 	bad.Services[0].Share.Min = 0.9
-	if err := l.Change(&bad, Totals{Requests: 10}, []string{"a"}); err == nil || !strings.Contains(err.Error(), "minimums") {
+	if err := l.Reconfigure(&bad, Totals{Requests: 10}, []string{"a"}); err == nil || !strings.Contains(err.Error(), "minimums") {
 		t.Errorf("minimums of 1.1: %v", err)
 	}
-	if total, _ := l.Requests(); total != 10 {
+	if total, _ := l.RequestUsage(); total != 10 {
 		t.Errorf("a bad change has changed the total to %d", total)
 	}
 }
@@ -100,24 +100,24 @@
 func TestAServiceThatLeaves(t *testing.T) {
 	now := time.Duration(0)
 	l := New(func() time.Duration { return now })
-	if err := l.Change(file(t, two), Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 1000}, nil); err != nil {
+	if err := l.Reconfigure(file(t, two), Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 1000}, nil); err != nil {
 		t.Fatal(err)
 	}
-	a := Ask{Service: "b", Bytes: 7}
-	if why, _ := l.Take(a); why != "" {
+	a := Request{Service: "b", Bytes: 7}
+	if why, _ := l.Acquire(a); why != "" {
 		t.Fatal(why)
 	}
-	if err := l.Change(file(t, "[[service]]\nname = \"a\"\n"), Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 1000}, []string{"b"}); err != nil {
+	if err := l.Reconfigure(file(t, "[[service]]\nname = \"a\"\n"), Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 1000}, []string{"b"}); err != nil {
 		t.Fatal(err)
 	}
 	now += time.Second
-	if !l.TakeConn("b") || !l.Repeat("b") {
+	if !l.AcquireConn("b") || !l.AcquireRetry("b") {
 		t.Error("what it has in hand can't go on")
 	}
-	l.GiveConn("b")
-	l.Give(a)
-	l.Left("b")
-	if _, there := l.Report()["requests"].(map[string]any)["by_service"].(map[string]int64)["b"]; there || l.TakeConn("b") {
+	l.ReleaseConn("b")
+	l.Release(a)
+	l.RemoveLeaving("b")
+	if _, there := l.Report()["requests"].(map[string]any)["by_service"].(map[string]int64)["b"]; there || l.AcquireConn("b") {
 		t.Error("it has left and has a share yet")
 	}
 }
@@ -126,23 +126,23 @@
 func TestGateAndAttempts(t *testing.T) {
 	now := time.Duration(0)
 	l := New(func() time.Duration { return now })
-	if err := l.Change(file(t, two), Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 60}, nil); err != nil {
+	if err := l.Reconfigure(file(t, two), Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 60}, nil); err != nil {
 		t.Fatal(err)
 	}
-	gate, err := processquota.NewGate([]processquota.GateClass{{Worth: 1, Holds: 1000}, {Worth: 10, Holds: 500}}, nil)
+	gate, err := processquota.NewGate([]processquota.GateClass{{PriorityWeight: 1, HoldTime: 1000}, {PriorityWeight: 10, HoldTime: 500}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	light, dense := 0, 0
 	for range 2000 {
 		now += 100 * time.Millisecond // never short of attempts
-		if why, _ := l.Take(Ask{Service: "b", Gate: gate, Class: 0}); why == "" {
+		if why, _ := l.Acquire(Request{Service: "b", Gate: gate, Class: 0}); why == "" {
 			light++
 		}
 	}
 	for range 2000 {
 		now += 100 * time.Millisecond
-		if why, _ := l.Take(Ask{Service: "b", Gate: gate, Class: 1}); why == "" {
+		if why, _ := l.Acquire(Request{Service: "b", Gate: gate, Class: 1}); why == "" {
 			dense++
 		}
 	}
@@ -151,7 +151,7 @@
 	}
 	repeats := 0
 	for range 100 {
-		if l.Repeat("b") {
+		if l.AcquireRetry("b") {
 			repeats++
 		}
 	}
--- a/internal/processquota/budget.go
+++ b/internal/processquota/pool.go
@@ -28,8 +28,8 @@
 	Weight float64 // of what is over all minimums; 0 counts as 1
 }
 
-// Terms hold for all members of a pool.
-type Terms struct {
+// PoolSettings hold for all members of a pool.
+type PoolSettings struct {
 	Total  int64         // units
 	Recall time.Duration // after which a member that asks has its minimum: the longest that anybody holds a unit
 	Lend   float64       // part of an idle minimum that is lent, 0 to 1
@@ -37,34 +37,34 @@
 
 // Pool is units that members take and give back.
 type Pool struct {
-	terms   Terms
-	members map[string]*member
-	order   []*member
-	used    int64
-	weights float64
-	mins    int64
+	settings  PoolSettings
+	members   map[string]*member
+	order     []*member
+	used      int64
+	weightSum float64
+	minSum    int64
 }
 
 type member struct {
-	name  string
-	share Share
-	used  int64
-	wants time.Duration // it has asked in vain, and is kept room for until then; 0 is not
-	gone  bool          // no longer a member; what it holds comes back in its time
+	name         string
+	share        Share
+	used         int64
+	waitingUntil time.Duration // it has asked in vain, and is kept room for until then; 0 is not
+	removed      bool          // no longer a member; what it holds comes back in its time
 }
 
 // NewPool makes a pool. Errors name the member or the field.
-func NewPool(terms Terms, shares map[string]Share) (*Pool, error) {
+func NewPool(terms PoolSettings, shares map[string]Share) (*Pool, error) {
 	p := &Pool{members: map[string]*member{}}
-	if err := p.Change(terms, shares); err != nil {
+	if err := p.Reconfigure(terms, shares); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-// Change sets new terms and shares. Who holds more than it may now keeps it, and gets nothing new until it has
+// Reconfigure sets new terms and shares. Who holds more than it may now keeps it, and gets nothing new until it has
 // come down; members that are no longer named give back what they hold and get nothing. A bad change changes nothing.
-func (p *Pool) Change(terms Terms, shares map[string]Share) error {
+func (p *Pool) Reconfigure(terms PoolSettings, shares map[string]Share) error {
 	var errs []error
 	switch {
 	case terms.Total < 0:
@@ -93,10 +93,10 @@
 	if len(errs) > 0 {
 		return errors.Join(errs...)
 	}
-	p.terms, p.mins = terms, mins
+	p.settings, p.minSum = terms, mins
 	for _, m := range p.order {
 		if _, stays := shares[m.name]; !stays {
-			m.gone, m.share, m.wants = true, Share{}, 0
+			m.removed, m.share, m.waitingUntil = true, Share{}, 0
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(shares)) {
@@ -110,80 +110,80 @@
 			p.members[name] = m
 			p.order = append(p.order, m)
 		}
-		m.share, m.gone = s, false
+		m.share, m.removed = s, false
 	}
-	p.forget()
+	p.dropRemoved()
 	return nil
 }
 
-// forget drops members that are gone and hold nothing.
-func (p *Pool) forget() {
+// dropRemoved drops members that are gone and hold nothing.
+func (p *Pool) dropRemoved() {
 	keep := p.order[:0]
-	p.weights = 0
+	p.weightSum = 0
 	for _, m := range p.order {
-		if m.gone && m.used == 0 {
+		if m.removed && m.used == 0 {
 			delete(p.members, m.name)
 			continue
 		}
 		keep = append(keep, m)
-		if !m.gone {
-			p.weights += m.share.Weight
+		if !m.removed {
+			p.weightSum += m.share.Weight
 		}
 	}
 	clear(p.order[len(keep):])
 	p.order = keep
 }
 
-// Take gives a member n units, or tells that it may not have them now; then room is kept for it.
-func (p *Pool) Take(now time.Duration, name string, n int64) bool {
+// Acquire gives a member n units, or tells that it may not have them now; then room is kept for it.
+func (p *Pool) Acquire(now time.Duration, name string, n int64) bool {
 	m := p.members[name]
-	if m == nil || m.gone || n < 0 {
+	if m == nil || m.removed || n < 0 {
 		return false
 	}
 	if n == 0 {
 		return true
 	}
-	if m.share.Cap > 0 && m.used+n > m.share.Cap || n > p.terms.Total {
+	if m.share.Cap > 0 && m.used+n > m.share.Cap || n > p.settings.Total {
 		return false // it would not help to wait for others
 	}
-	if n > p.room(now, m) {
-		m.wants = now + max(p.terms.Recall, 1)
+	if n > p.available(now, m) {
+		m.waitingUntil = now + max(p.settings.Recall, 1)
 		return false
 	}
 	m.used += n
 	p.used += n
-	if m.used >= m.share.Min || m.wants <= now {
-		m.wants = 0
+	if m.used >= m.share.Min || m.waitingUntil <= now {
+		m.waitingUntil = 0
 	}
 	return true
 }
 
-// Room is how many units a member could take now: exactly as many does Take give it.
-func (p *Pool) Room(now time.Duration, name string) int64 {
+// Available is how many units a member could take now: exactly as many does Take give it.
+func (p *Pool) Available(now time.Duration, name string) int64 {
 	m := p.members[name]
-	if m == nil || m.gone {
+	if m == nil || m.removed {
 		return 0
 	}
-	room := p.room(now, m)
+	room := p.available(now, m)
 	if m.share.Cap > 0 {
 		room = min(room, m.share.Cap-m.used)
 	}
 	return max(0, room)
 }
 
-// room is how many more m may have, but for its cap.
-func (p *Pool) room(now time.Duration, m *member) int64 {
-	within, over := p.terms.Total-p.used, p.terms.Total-p.used // for its minimum, and beyond
+// available is how many more m may have, but for its cap.
+func (p *Pool) available(now time.Duration, m *member) int64 {
+	within, over := p.settings.Total-p.used, p.settings.Total-p.used // for its minimum, and beyond
 	for _, o := range p.order {
-		if o == m || o.gone {
+		if o == m || o.removed {
 			continue
 		}
 		left := o.share.Min - o.used
-		wants := o.wants > now
+		wants := o.waitingUntil > now
 		if left > 0 {
 			// What is never lent stays, whatever o holds of the rest. A minimum that is asked for goes before what is
 			// over others' minimums, but not before these: they all fit together.
-			unlent := o.share.Min - int64(p.terms.Lend*float64(o.share.Min))
+			unlent := o.share.Min - int64(p.settings.Lend*float64(o.share.Min))
 			keep := max(0, unlent-o.used)
 			within -= keep
 			if wants {
@@ -192,8 +192,8 @@
 			over -= keep
 		}
 		// Over its own minimum m makes way for one that asks and is under its weighted part, if m is over its own.
-		if wants && left <= 0 && float64(o.used) < p.part(o) {
-			over = min(over, int64(math.Floor(p.part(m)-float64(m.used))))
+		if wants && left <= 0 && float64(o.used) < p.weightedShare(o) {
+			over = min(over, int64(math.Floor(p.weightedShare(m)-float64(m.used))))
 		}
 	}
 	if owed := max(0, m.share.Min-m.used); over <= owed {
@@ -202,43 +202,43 @@
 	return over
 }
 
-// part is a member's weighted share: its minimum, and its part by weight of what is over all minimums.
-func (p *Pool) part(m *member) float64 {
-	return float64(m.share.Min) + float64(p.terms.Total-p.mins)*m.share.Weight/p.weights
+// weightedShare is a member's weighted share: its minimum, and its part by weight of what is over all minimums.
+func (p *Pool) weightedShare(m *member) float64 {
+	return float64(m.share.Min) + float64(p.settings.Total-p.minSum)*m.share.Weight/p.weightSum
 }
 
-// Give takes n units back from a member. What it does not hold it cannot give: that is told, and nothing changes.
-func (p *Pool) Give(name string, n int64) error {
+// Release takes n units back from a member. What it does not hold it cannot give: that is told, and nothing changes.
+func (p *Pool) Release(name string, n int64) error {
 	m := p.members[name]
 	if m == nil || n < 0 || n > m.used {
 		return fmt.Errorf("%s gives back %d that it does not hold", name, n)
 	}
 	m.used -= n
 	p.used -= n
-	if m.gone && m.used == 0 {
-		p.forget()
+	if m.removed && m.used == 0 {
+		p.dropRemoved()
 	}
 	return nil
 }
 
-// Use is how a member stands.
-type Use struct {
+// MemberUsage is how a member stands.
+type MemberUsage struct {
 	Share
-	Used  int64
-	Wants bool // it has asked in vain of late
+	Used    int64
+	Waiting bool // it has asked in vain of late
 }
 
-// Used is how all members stand, those that are gone and still hold something too.
-func (p *Pool) Used(now time.Duration) map[string]Use {
-	out := map[string]Use{}
+// Usage is how all members stand, those that are gone and still hold something too.
+func (p *Pool) Usage(now time.Duration) map[string]MemberUsage {
+	out := map[string]MemberUsage{}
 	for _, m := range p.order {
-		out[m.name] = Use{m.share, m.used, m.wants > now}
+		out[m.name] = MemberUsage{m.share, m.used, m.waitingUntil > now}
 	}
 	return out
 }
 
-// Held is how many units a member holds.
-func (p *Pool) Held(name string) int64 {
+// InUse is how many units a member holds.
+func (p *Pool) InUse(name string) int64 {
 	if m := p.members[name]; m != nil {
 		return m.used
 	}
@@ -246,4 +246,4 @@
 }
 
 // Total is how many units there are, and how many are taken.
-func (p *Pool) Total() (total, used int64) { return p.terms.Total, p.used }
+func (p *Pool) Total() (total, used int64) { return p.settings.Total, p.used }
--- a/internal/processquota/budget_test.go
+++ b/internal/processquota/pool_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-func pool(t *testing.T, terms Terms, shares map[string]Share) *Pool {
+func pool(t *testing.T, terms PoolSettings, shares map[string]Share) *Pool {
 	t.Helper()
 	p, err := NewPool(terms, shares)
 	if err != nil {
@@ -22,15 +22,15 @@
 }
 
 func TestErrorsNameTheField(t *testing.T) {
-	good := Terms{Total: 10, Lend: 0.5}
+	good := PoolSettings{Total: 10, Lend: 0.5}
 	for _, k := range []struct {
-		terms  Terms
+		terms  PoolSettings
 		shares map[string]Share
 		want   string
 	}{
-		{Terms{Total: -1}, nil, "total: -1"},
-		{Terms{Lend: 2}, nil, "lend: 2"},
-		{Terms{Recall: -1}, nil, "recall"},
+		{PoolSettings{Total: -1}, nil, "total: -1"},
+		{PoolSettings{Lend: 2}, nil, "lend: 2"},
+		{PoolSettings{Recall: -1}, nil, "recall"},
 		{good, map[string]Share{"a": {Min: -1}}, "a: min -1"},
 		{good, map[string]Share{"a": {Min: 5, Cap: 4}}, "a: cap 4 is under min 5"},
 		{good, map[string]Share{"a": {Weight: math.NaN()}}, "a: weight NaN"},
@@ -43,60 +43,60 @@
 }
 
 func TestLendingAndRecall(t *testing.T) {
-	p := pool(t, Terms{Total: 10, Recall: time.Second, Lend: 0.5}, map[string]Share{"pay": {Min: 4}, "dispatch": {Min: 4}})
+	p := pool(t, PoolSettings{Total: 10, Recall: time.Second, Lend: 0.5}, map[string]Share{"pay": {Min: 4}, "dispatch": {Min: 4}})
 	n := 0
-	for p.Take(0, "dispatch", 1) {
+	for p.Acquire(0, "dispatch", 1) {
 		n++
 	}
 	if n != 8 { // all but the half of pay's minimum that is never lent
 		t.Errorf("dispatch took %d of 10, want 8", n)
 	}
-	if !p.Take(0, "pay", 1) || !p.Take(0, "pay", 1) || p.Take(0, "pay", 1) {
+	if !p.Acquire(0, "pay", 1) || !p.Acquire(0, "pay", 1) || p.Acquire(0, "pay", 1) {
 		t.Error("pay has not just its unlent two")
 	}
 	// As dispatch gives back, pay goes first: it asks, and is under its minimum.
-	if err := p.Give("dispatch", 1); err != nil {
+	if err := p.Release("dispatch", 1); err != nil {
 		t.Fatal(err)
 	}
-	if p.Take(ms, "dispatch", 1) {
+	if p.Acquire(ms, "dispatch", 1) {
 		t.Error("dispatch took what pay is owed")
 	}
-	if !p.Take(ms, "pay", 1) {
+	if !p.Acquire(ms, "pay", 1) {
 		t.Error("pay did not get what came back")
 	}
 	// Nobody has asked for pay's last unit for longer than the recall time: it is lent again.
-	if err := p.Give("dispatch", 1); err != nil {
+	if err := p.Release("dispatch", 1); err != nil {
 		t.Fatal(err)
 	}
-	if !p.Take(ms+2*time.Second, "dispatch", 1) {
+	if !p.Acquire(ms+2*time.Second, "dispatch", 1) {
 		t.Error("what nobody wants is not lent")
 	}
-	if err := p.Give("pay", 9); err == nil {
+	if err := p.Release("pay", 9); err == nil {
 		t.Error("pay gave back what it does not hold")
 	}
 }
 
 func TestChangesUnderUse(t *testing.T) {
-	p := pool(t, Terms{Total: 10, Lend: 1}, map[string]Share{"a": {}, "b": {}})
+	p := pool(t, PoolSettings{Total: 10, Lend: 1}, map[string]Share{"a": {}, "b": {}})
 	for range 8 {
-		p.Take(0, "a", 1)
+		p.Acquire(0, "a", 1)
 	}
-	if err := p.Change(Terms{Total: 4}, map[string]Share{"b": {Min: 2, Cap: 2}, "c": {}}); err != nil {
+	if err := p.Reconfigure(PoolSettings{Total: 4}, map[string]Share{"b": {Min: 2, Cap: 2}, "c": {}}); err != nil {
 		t.Fatal(err)
 	}
-	if p.Take(0, "a", 1) || p.Take(0, "b", 1) { // a is gone; what it holds is over the new total
+	if p.Acquire(0, "a", 1) || p.Acquire(0, "b", 1) { // a is gone; what it holds is over the new total
 		t.Error("something was taken over the new total")
 	}
-	if err := p.Change(Terms{Total: 1}, map[string]Share{"b": {Min: 2}}); err == nil {
+	if err := p.Reconfigure(PoolSettings{Total: 1}, map[string]Share{"b": {Min: 2}}); err == nil {
 		t.Error("a bad change was taken")
 	}
-	if err := p.Give("a", 8); err != nil {
+	if err := p.Release("a", 8); err != nil {
 		t.Fatal(err)
 	}
-	if _, there := p.Used(0)["a"]; there {
+	if _, there := p.Usage(0)["a"]; there {
 		t.Error("a is still a member")
 	}
-	if !p.Take(0, "b", 2) || p.Take(0, "b", 1) || !p.Take(0, "c", 2) {
+	if !p.Acquire(0, "b", 2) || p.Acquire(0, "b", 1) || !p.Acquire(0, "c", 2) {
 		t.Error("after the change")
 	}
 }
@@ -113,7 +113,7 @@
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		recall := 100 * ms
-		terms := Terms{Total: int64(rapid.IntRange(6, 40).Draw(t, "total")), Recall: recall, Lend: rapid.Float64Range(0, 1).Draw(t, "lend")}
+		terms := PoolSettings{Total: int64(rapid.IntRange(6, 40).Draw(t, "total")), Recall: recall, Lend: rapid.Float64Range(0, 1).Draw(t, "lend")}
 		shares := map[string]Share{}
 		left := terms.Total
 		for _, n := range names {
@@ -140,7 +140,7 @@
 			kept := holds[:0]
 			for _, h := range holds {
 				if h.until <= now {
-					if err := p.Give(h.name, h.n); err != nil {
+					if err := p.Release(h.name, h.n); err != nil {
 						t.Fatal(err)
 					}
 					used[h.name] -= h.n
@@ -164,7 +164,7 @@
 				unlent := s.Min - int64(terms.Lend*float64(s.Min))
 				refused := false
 				for range terms.Total {
-					got := p.Take(now, n, 1)
+					got := p.Acquire(now, n, 1)
 					if !got {
 						refused = true
 						if used[n] < unlent {
@@ -190,7 +190,7 @@
 			if all > total {
 				t.Fatalf("%d of %d are taken", all, total)
 			}
-			for n, u := range p.Used(now) {
+			for n, u := range p.Usage(now) {
 				if u.Used != used[n] || u.Cap > 0 && u.Used > u.Cap {
 					t.Fatalf("%s: %+v, %d by our count", n, u, used[n])
 				}
@@ -201,7 +201,7 @@
 
 // Two that always ask come to their weighted shares, whoever was first.
 func TestWeights(t *testing.T) {
-	p := pool(t, Terms{Total: 100, Recall: 100 * ms, Lend: 1}, map[string]Share{"a": {Weight: 3}, "b": {Weight: 1}})
+	p := pool(t, PoolSettings{Total: 100, Recall: 100 * ms, Lend: 1}, map[string]Share{"a": {Weight: 3}, "b": {Weight: 1}})
 	var holds []hold
 	used := map[string]int64{}
 	for step := range 200 {
@@ -209,7 +209,7 @@
 		kept := holds[:0]
 		for _, h := range holds {
 			if h.until <= now {
-				p.Give(h.name, 1)
+				p.Release(h.name, 1)
 				used[h.name]--
 			} else {
 				kept = append(kept, h)
@@ -220,7 +220,7 @@
 			if n == "a" && step < 20 {
 				continue // and has had all to itself for a while
 			}
-			for k := 0; p.Take(now, n, 1); k++ {
+			for k := 0; p.Acquire(now, n, 1); k++ {
 				used[n]++
 				holds = append(holds, hold{n, 1, now + time.Duration(50+(k*37)%50)*ms})
 			}
@@ -240,7 +240,7 @@
 		for _, n := range names {
 			shares[n] = RateShare{Min: total / 3 * rapid.Float64Range(0, 1).Draw(t, "min "+n)}
 		}
-		r, err := NewRate(total, burst, shares)
+		r, err := NewRateLimiter(total, burst, shares)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -258,7 +258,7 @@
 						next += shares[n].Min * 0.002
 					}
 					for ; next >= 1; next-- {
-						ok, after := r.Take(now, n)
+						ok, after := r.Acquire(now, n)
 						if !ok {
 							t.Fatalf("%s takes its minimum of %.1f a second evenly and was refused at %v, for %v", n, shares[n].Min, now, after)
 						}
@@ -268,7 +268,7 @@
 					continue
 				}
 				for range 3 {
-					if ok, _ := r.Take(now, n); ok {
+					if ok, _ := r.Acquire(now, n); ok {
 						taken[n]++
 						all++
 					}
@@ -283,14 +283,14 @@
 }
 
 func TestRateCapsAndChanges(t *testing.T) {
-	r, err := NewRate(100, time.Second, map[string]RateShare{"a": {Min: 10, Cap: 20}, "b": {}})
+	r, err := NewRateLimiter(100, time.Second, map[string]RateShare{"a": {Min: 10, Cap: 20}, "b": {}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	count := func(name string, from, to time.Duration) int {
 		n := 0
 		for now := from; now < to; now += ms {
-			for ok, _ := r.Take(now, name); ok; ok, _ = r.Take(now, name) {
+			for ok, _ := r.Acquire(now, name); ok; ok, _ = r.Acquire(now, name) {
 				n++
 			}
 		}
@@ -299,13 +299,13 @@
 	if n := count("a", 0, 10*time.Second); n < 195 || n > 225 {
 		t.Errorf("a took %d in 10 s; its cap is 20 a second", n)
 	}
-	if ok, after := r.Take(10*time.Second, "nobody"); ok || after != 0 {
+	if ok, after := r.Acquire(10*time.Second, "nobody"); ok || after != 0 {
 		t.Error("a stranger took")
 	}
-	if err := r.Change(5, time.Second, map[string]RateShare{"a": {Min: 10}}); err == nil {
+	if err := r.Reconfigure(5, time.Second, map[string]RateShare{"a": {Min: 10}}); err == nil {
 		t.Error("minimums over the total were taken")
 	}
-	if err := r.Change(50, time.Second, map[string]RateShare{"a": {Min: 5}}); err != nil {
+	if err := r.Reconfigure(50, time.Second, map[string]RateShare{"a": {Min: 5}}); err != nil {
 		t.Fatal(err)
 	}
 	if n := count("a", 20*time.Second, 30*time.Second); n < 480 || n > 610 {
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -306,22 +306,22 @@
 type ticket struct {
 	s      *services
 	svc    *service
-	ask    limiter.Ask
+	ask    limiter.Request
 	tenant int
 }
 
 // admit takes a request within the limits of its service, or tells why not, and after how long it may come again.
 func (s *services) admit(svc *service, class, tenant int, bytes int64) (t ticket, why string, after time.Duration) {
-	t = ticket{s: s, svc: svc, tenant: tenant, ask: limiter.Ask{Service: svc.name, Gate: svc.gate, Class: class, Tenant: tenant, Bytes: bytes}}
+	t = ticket{s: s, svc: svc, tenant: tenant, ask: limiter.Request{Service: svc.name, Gate: svc.gate, Class: class, Tenant: tenant, Bytes: bytes}}
 	if svc.gate != nil { // one of several
-		if why, after = s.limits.Take(t.ask); why != "" {
+		if why, after = s.limits.Acquire(t.ask); why != "" {
 			return t, why, after
 		}
 	}
 	if svc.requests != nil {
 		if why, after = svc.requests.Take(class, tenant, 0); why != "" {
 			if svc.gate != nil {
-				s.limits.Give(t.ask)
+				s.limits.Release(t.ask)
 			}
 			return t, why, after
 		}
@@ -335,7 +335,7 @@
 		t.svc.requests.Done(t.tenant, took)
 	}
 	if t.svc.gate != nil {
-		t.s.limits.Give(t.ask)
+		t.s.limits.Release(t.ask)
 	}
 }
 
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -151,7 +151,7 @@
 	s.stall["slow-5"].Store(300)
 	inHand := make(chan diameterpeer.Outcome, 1)
 	go func() { inHand <- client.Claim(t.Context(), 6) }()
-	for begun := time.Now(); s.proxy.diameter.guard.Report().InHand == 0; time.Sleep(time.Millisecond) {
+	for begun := time.Now(); s.proxy.diameter.guard.Report().InFlight == 0; time.Sleep(time.Millisecond) {
 		if time.Since(begun) > patience {
 			t.Fatal("the claim does not arrive")
 		}
@@ -255,7 +255,7 @@
 	s.stall["slow-5"].Store(1600)
 	outcome := make(chan diameterpeer.Outcome, 1)
 	go func() { outcome <- client.Claim(t.Context(), 6) }()
-	for begun := time.Now(); s.proxy.diameter.guard.Report().InHand == 0; time.Sleep(time.Millisecond) {
+	for begun := time.Now(); s.proxy.diameter.guard.Report().InFlight == 0; time.Sleep(time.Millisecond) {
 		if time.Since(begun) > patience {
 			t.Fatal("the claim does not arrive")
 		}
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -119,8 +119,8 @@
 		Refused: map[string]int64{"full": 7}, Blocks: map[string]int{"10.0.0.0/8": 8},
 		Top: []admission.Standing{{Prefix: "10.0.0.1", Open: 1, Unproven: 2, Earned: 3.5, Bytes: 4, Rate: 5.5, Refused: 6}}},
 		Short: 9, Requests: map[string]bound{"orders": {Limit: 10, InHand: 11}}}
-	ledger := guard.Report{Ready: true, Durable: true, Entries: 1, Bytes: 2, InHand: 3, Begun: 4, Joined: 5, Repeated: 6,
-		Uncertain: 7, Full: 8, DiskErrors: 9, Flushes: 10, FileBytes: 11}
+	ledger := guard.Report{Ready: true, Durable: true, Entries: 1, Bytes: 2, InFlight: 3, Started: 4, Joined: 5, Replayed: 6,
+		MayHaveRun: 7, Full: 8, DiskErrors: 9, Flushes: 10, FileBytes: 11}
 	var all bytes.Buffer
 	for _, report := range []any{own, peers, comeback, memoryReport{}, door, doorReport{}, ledger} {
 		text, err := json.Marshal(report)
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -262,7 +262,7 @@
 			}
 		}
 	}
-	if err := s.limits.Change(file.File, s.totals(&file.File.Limits), leaving); err != nil {
+	if err := s.limits.Reconfigure(file.File, s.totals(&file.File.Limits), leaving); err != nil {
 		for _, b := range began {
 			b.cancel()
 		}
@@ -284,7 +284,7 @@
 		svc := old.byName[name]
 		s.running.Go(func() {
 			svc.retire(ctx)
-			s.limits.Left(name)
+			s.limits.RemoveLeaving(name)
 		})
 	}
 	s.p.log.Info("services", "services", len(next.byName), "routes", next.table.Rules(), "new", len(began))
@@ -326,7 +326,7 @@
 func gateOf(m *decision.Config) (*processquota.Gate, error) {
 	var classes []processquota.GateClass
 	for _, c := range m.Classes {
-		classes = append(classes, processquota.GateClass{Worth: c.PriorityWeight, Holds: max(c.LatencyObjective, time.Millisecond).Seconds()})
+		classes = append(classes, processquota.GateClass{PriorityWeight: c.PriorityWeight, HoldTime: max(c.LatencyObjective, time.Millisecond).Seconds()})
 	}
 	var weights []float64
 	for _, t := range m.Tenants {
@@ -492,7 +492,7 @@
 	if s.name == "" {
 		return nil
 	}
-	return func() bool { return l.Repeat(s.name) }
+	return func() bool { return l.AcquireRetry(s.name) }
 }
 
 // defaultRecall is within what time idle connections of one of several services are given back.
@@ -671,5 +671,5 @@
 	name   string
 }
 
-func (s *share) take() bool { return s.limits.TakeConn(s.name) }
-func (s *share) give()      { s.limits.GiveConn(s.name) }
+func (s *share) take() bool { return s.limits.AcquireConn(s.name) }
+func (s *share) give()      { s.limits.ReleaseConn(s.name) }
--- a/internal/proxy/services_test.go
+++ b/internal/proxy/services_test.go
@@ -318,7 +318,7 @@
 			t.Fatalf("%d goroutines before, %d after", before, runtime.NumGoroutine())
 		}
 	}
-	if total, used := s.proxy.services.limits.Requests(); used != 0 || total == 0 {
+	if total, used := s.proxy.services.limits.RequestUsage(); used != 0 || total == 0 {
 		t.Errorf("%d of %d requests are still booked", used, total)
 	}
 }
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -218,6 +218,6 @@
 }
 
 // Terms are the terms on which the services share so many units.
-func (f *File) Terms(total int64) processquota.Terms {
-	return processquota.Terms{Total: total, Recall: time.Duration(f.Limits.Recall), Lend: f.Limits.Lend}
+func (f *File) Terms(total int64) processquota.PoolSettings {
+	return processquota.PoolSettings{Total: total, Recall: time.Duration(f.Limits.Recall), Lend: f.Limits.Lend}
 }
--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if u := p.Used(0)["settlement"]; u.Min != 75 || u.Cap != 180 {
+	if u := p.Usage(0)["settlement"]; u.Min != 75 || u.Cap != 180 {
 		t.Errorf("settlement's share: %+v", u)
 	}
 }
