--- a/cmd/lapisspread/policy_status.go
+++ b/cmd/lapisspread/policy_status.go
@@ -36,7 +36,8 @@
 	if !status.IsLeader {
 		printf(out, "no steward leads: this is what one that follows knows\n")
 	}
-	printf(out, "in force: epoch %d, root %.12s; kept: %v\n", policy.Active.Epoch, policy.Active.Hash, policy.RetainedEpochs)
+	printf(out, "in force: epoch %d, root %.12s; kept: %v\n",
+		policy.Active.Epoch, policy.Active.Hash, policy.RetainedEpochs)
 	if policy.Candidate.Epoch > 0 {
 		printf(out, "train: epoch %d, root %.12s, with %s\n",
 			policy.Candidate.Epoch, policy.Candidate.Hash, describeChanges(policy.Batch))
--- a/internal/controlplane/api/operator.go
+++ b/internal/controlplane/api/operator.go
@@ -99,6 +99,11 @@
 	return strings.HasPrefix(code, "policybook.") || strings.HasPrefix(code, "namespace.")
 }
 
+// isNewer reports whether a has a newer candidate or a newer active version than b.
+func isNewer(a, b *store.Status) bool {
+	return a.Candidate.NewerThan(b.Candidate) || a.Active.NewerThan(b.Active)
+}
+
 // PolicyStatus returns the leader's status of the policy, or the most recent of the others' if no leader answers. It
 // fails only if no server answers.
 func (c *Config) PolicyStatus(ctx context.Context, client *http.Client) (PolicyStatus, error) {
@@ -113,7 +118,7 @@
 		if status.IsLeader {
 			return status, nil
 		}
-		if status.Policy.Candidate.NewerThan(newest.Policy.Candidate) || status.Policy.Active.NewerThan(newest.Policy.Active) {
+		if isNewer(&status.Policy, &newest.Policy) {
 			newest = status
 		}
 	}
--- a/internal/controlplane/server/rollout_driver.go
+++ b/internal/controlplane/server/rollout_driver.go
@@ -117,8 +117,8 @@
 	return true
 }
 
-// removeSilent removes proxies that have been silent for long. It walks through all of them, so it is not called for each
-// report.
+// removeSilent removes proxies that have been silent for long. It walks through all of them, so it is not called for
+// each report.
 func (d *rolloutDriver) removeSilent(now time.Duration, settings rollout.Settings) {
 	d.nextMemberCheck = now + memberCheckInterval
 	for name, proxy := range d.proxies {
--- a/internal/controlplane/server/rollout_sim_test.go
+++ b/internal/controlplane/server/rollout_sim_test.go
@@ -92,7 +92,9 @@
 	sim.store, sim.leader, sim.uncommitted = store.New(sim.raftEpoch<<32), nil, nil
 	sim.apply(store.Command{SetDeclaration: &store.SetDeclaration{Text: ownershipOfTeams(teams), Author: "admin"}})
 	for i := range teams {
-		sim.apply(store.Command{SubmitFile: &store.SubmitFile{Text: namespaceOfTeam(i, 1, fmt.Sprint("/", i)), Author: "t"}})
+		sim.apply(store.Command{
+			SubmitFile: &store.SubmitFile{Text: namespaceOfTeam(i, 1, fmt.Sprint("/", i)), Author: "t"},
+		})
 	}
 	sim.electLeader()
 }
@@ -343,7 +345,8 @@
 	for _, o := range sim.changes {
 		name := fmt.Sprint("t", o.team)
 		at := slices.IndexFunc(
-			st.FailedChanges, func(f store.FailedChange) bool { return f.Namespace == name && f.Number == uint64(o.number) },
+			st.FailedChanges,
+			func(f store.FailedChange) bool { return f.Namespace == name && f.Number == uint64(o.number) },
 		)
 		held := slices.ContainsFunc(st.WithheldFiles, func(h store.WithheldFile) bool {
 			return h.Namespace == name && h.Submitted == uint64(o.number) && h.Reason != ""
@@ -352,7 +355,8 @@
 			sim.changes, func(n *simChange) bool { return n.team == o.team && n.number > o.number },
 		)
 		switch {
-		case at >= 0 && (st.FailedChanges[at].Reason == "" || st.FailedChanges[at].Advice == "" || st.FailedChanges[at].Author != "t"):
+		case at >= 0 && (st.FailedChanges[at].Reason == "" || st.FailedChanges[at].Advice == "" ||
+			st.FailedChanges[at].Author != "t"):
 			sim.violate("%s %d is at fault without a reason", name, o.number)
 		case at >= 0 && (!o.harmful || harmless):
 			sim.violate("%s %d is blamed and did no harm", name, o.number)
