--- a/cmd/lapisspread/admission.go
+++ b/cmd/lapisspread/admission.go
@@ -8,6 +8,9 @@
 	"lapisspread/internal/listener"
 )
 
+// checkedPlaces is the capacity of the process for which a file is checked.
+const checkedPlaces = 1 << 16
+
 func admissionCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "admission",
@@ -24,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := f.Settings(listener.Room{Places: 1 << 16}, 0)
+			s, err := f.Settings(listener.Room{Places: checkedPlaces}, 0)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -36,8 +39,9 @@
 			if r := f.Requests; r != nil {
 				requests = fmt.Sprintf("%d requests in hand", r.InHand)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %s, %.0f %% of them for known clients, %d prefixes known from the start; %s\n", args[0], places, 100*s.Reserve,
-				len(s.Listed), requests)
+			printf(cmd.OutOrStdout(),
+				"%s: good: %s, %.0f %% of them for known clients, %d prefixes known from the start; %s\n",
+				args[0], places, 100*s.Reserve, len(s.Listed), requests)
 			return nil
 		},
 	})
--- a/cmd/lapisspread/command_test.go
+++ b/cmd/lapisspread/command_test.go
@@ -27,20 +27,48 @@
 	}{
 		{"a good file", "config check " + good, `proxy "n0", 1 classes`, "", 0},
 		{"no seed", "config check " + write("seed.json", `"1f"`, `"none"`), "", "seed.json: seed:", 1},
-		{"few sockets", "config check " + write("few.json", "1024", "10"), "", "few.json: limits.sockets: 10, must be 64", 1},
-		{"an aim of nothing", "config check " + write("aim.json", "800", "0"), "", "aim.json: settings.Services.0.Aim: must be above 0", 1},
+		{
+			"few sockets", "config check " + write("few.json", "1024", "10"), "",
+			"few.json: limits.sockets: 10, must be 64", 1,
+		},
+		{
+			"an aim of nothing", "config check " + write("aim.json", "800", "0"), "",
+			"aim.json: settings.Services.0.Aim: must be above 0", 1,
+		},
 		{"not JSON", "config check " + write("json.json", "{", ""), "", "json.json: ", 1},
-		{"nowhere to listen", "config check " + write("addr.json", "127.0.0.1:0", ""), "", "addr.json: listen: must be given", 1},
-		{"a name twice", "config check " + write("twice.json", `"GiveUp":2000}`, `"GiveUp":2000},{"Name":"hand-in","Aim":1,"GiveUp":1}`), "", `twice.json: settings.Services.1.Name: "hand-in" is the name of Services.0 too`, 1},
-		{"a number that is none", "config check " + write("number.json", `15000`, `"soon"`), "", `number.json: settings.Caps.ConnIdle: "soon" is not a number`, 1},
-		{"a list that is none", "config check " + write("known.json", `"settings"`, `"known":{"generation":1,"instances":[{}]},"settings"`), "known.json: known: ", "", 0},
+		{
+			"nowhere to listen", "config check " + write("addr.json", "127.0.0.1:0", ""), "",
+			"addr.json: listen: must be given", 1,
+		},
+		{
+			"a name twice",
+			"config check " + write(
+				"twice.json", `"GiveUp":2000}`, `"GiveUp":2000},{"Name":"hand-in","Aim":1,"GiveUp":1}`,
+			),
+			"", `twice.json: settings.Services.1.Name: "hand-in" is the name of Services.0 too`, 1,
+		},
+		{
+			"a number that is none", "config check " + write("number.json", `15000`, `"soon"`), "",
+			`number.json: settings.Caps.ConnIdle: "soon" is not a number`, 1,
+		},
+		{
+			"a list that is none",
+			"config check " + write("known.json", `"settings"`, `"known":{"generation":1,"instances":[{}]},"settings"`),
+			"known.json: known: ", "", 0,
+		},
 		{"no such file", "config check " + dir + "/none", "", "no such file", 1},
 		{"no file named", "config check", "", "takes one FILE", 2},
 		{"the shipped services", "routes check ../../deploy/services.toml", "2 services, 2 routes", "", 0},
-		{"a route", "routes explain ../../deploy/services.toml --path /api/x --class driver-payout", "* payouts: first", "", 0},
+		{
+			"a route", "routes explain ../../deploy/services.toml --path /api/x --class driver-payout",
+			"* payouts: first", "", 0,
+		},
 		{"the default", "routes explain ../../deploy/services.toml --path /x", "* default: the default", "", 0},
 		{"an unclear path", "routes explain ../../deploy/services.toml --path /x/../y", "", "read in two ways", 1},
-		{"the shipped admission", "admission check ../../deploy/admission.toml", "25 % of them for known clients", "", 0},
+		{
+			"the shipped admission", "admission check ../../deploy/admission.toml", "25 % of them for known clients",
+			"", 0,
+		},
 		{"the shipped comeback", "comeback check ../../deploy/comeback.toml", "in doubt for 30s", "", 0},
 		{"bad comeback", "comeback check " + good, "", "good.json:", 1},
 		{"bad admission", "admission check " + good, "", "good.json:", 1},
--- a/cmd/lapisspread/diameter.go
+++ b/cmd/lapisspread/diameter.go
@@ -26,19 +26,20 @@
 				return err
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%s: good: %s of realm %s, %d peers\n", args[0], f.Host, f.Realm, len(f.Peers))
+			printf(out, "%s: good: %s of realm %s, %d peers\n", args[0], f.Host, f.Realm, len(f.Peers))
 			for _, c := range f.Commands {
 				what := c.Name
 				if c.RequestedAction != nil {
 					what += fmt.Sprintf(" with Requested-Action %d", *c.RequestedAction)
 				}
-				fmt.Fprintf(out, "  %s is of class %s, its client waits %v\n", what, c.Class, time.Duration(c.GiveUp))
+				printf(out, "  %s is of class %s, its client waits %v\n", what, c.Class, time.Duration(c.GiveUp))
 			}
-			kept := "in memory alone"
+			storage := "in memory alone"
 			if f.Ledger.File != "" {
-				kept = "in " + f.Ledger.File + " of the state directory"
+				storage = "in " + f.Ledger.File + " of the state directory"
 			}
-			fmt.Fprintf(out, "  %d claims are remembered for %v, %s\n", f.Ledger.Entries, time.Duration(f.Ledger.Window), kept)
+			printf(out, "  %d claims are remembered for %v, %s\n",
+				f.Ledger.Entries, time.Duration(f.Ledger.Window), storage)
 			return nil
 		},
 	})
--- a/cmd/lapisspread/fleet_server.go
+++ b/cmd/lapisspread/fleet_server.go
@@ -61,7 +61,7 @@
 	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	writer := lograte.New(os.Stderr)
-	defer writer.Close()
+	defer func() { _ = writer.Close() }()
 	log := slog.New(slog.NewTextHandler(writer, nil)).With("server", flags.name)
 	listener, err := net.Listen("tcp", cmp.Or(flags.listen, self.Address))
 	if err != nil {
--- a/cmd/lapisspread/comeback.go
+++ b/cmd/lapisspread/list_guard.go
@@ -1,14 +1,12 @@
 package main
 
 import (
-	"fmt"
-
 	"github.com/spf13/cobra"
 
 	"lapisspread/internal/discovery/guardedsource"
 )
 
-func comebackCommand() *cobra.Command {
+func listGuardCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "comeback",
 		Short: "Look at files of coming back",
@@ -24,7 +22,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %s\n", args[0], f.Describe())
+			printf(cmd.OutOrStdout(), "%s: good: %s\n", args[0], f.Describe())
 			return nil
 		},
 	})
--- a/cmd/lapisspread/main.go
+++ b/cmd/lapisspread/main.go
@@ -20,12 +20,12 @@
 	exitUsage  = 2 // the command line itself was wrong
 )
 
-// usageError is a command line that cannot be carried out as it is written.
+// usageError is an error of the command line itself.
 type usageError struct{ error }
 
 func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// execute runs one command line and gives its exit code.
+// execute runs one command line and returns its exit code.
 func execute(args []string, out, errOut io.Writer) int {
 	root := rootCommand()
 	root.SetArgs(args)
@@ -35,9 +35,9 @@
 	if err == nil {
 		return 0
 	}
-	fmt.Fprintln(errOut, "lapisspread:", err)
+	printf(errOut, "lapisspread: %v\n", err)
 	if errors.As(err, new(usageError)) {
-		fmt.Fprintln(errOut, "Try 'lapisspread --help'.")
+		printf(errOut, "Try 'lapisspread --help'.\n")
 		return exitUsage
 	}
 	return exitFailed
@@ -60,7 +60,17 @@
 		RunE:          func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	root.AddCommand(serveCommand(), configCommand(), routesCommand(), admissionCommand(), diameterCommand(), comebackCommand(), fleetCommand(), fleetServerCommand(), versionCommand())
+	root.AddCommand(
+		serveCommand(),
+		configCommand(),
+		routesCommand(),
+		admissionCommand(),
+		diameterCommand(),
+		listGuardCommand(),
+		fleetCommand(),
+		fleetServerCommand(),
+		versionCommand(),
+	)
 	return root
 }
 
@@ -73,12 +83,18 @@
 		Args:  noArguments,
 		RunE:  func(*cobra.Command, []string) error { return serve(profile, files) },
 	}
-	c.Flags().StringVar(&files.services, "services", "", "serve the services of this file in place of a single one; SIGHUP reads it again")
-	c.Flags().StringVar(&files.admission, "admission", "", "decide by this file who gets a connection; SIGHUP reads it again")
-	c.Flags().StringVar(&files.diameter, "diameter", "", "speak Diameter too, by this file; SIGHUP reads its certificates again")
-	c.Flags().StringVar(&files.comeback, "comeback", "", "go by this file about lists that are in doubt and calls for them")
-	c.Flags().StringVar(&files.fleet, "fleet", "", "draw on the budgets of this fleet, that its stewards divide")
-	c.Flags().StringVar(&profile, "cpu-profile", "", "write a CPU profile (pprof) to this file, with the proxy's name behind it, at the end")
+	c.Flags().StringVar(&files.services, "services", "",
+		"serve the services of this file in place of a single one; SIGHUP reads it again")
+	c.Flags().StringVar(&files.admission, "admission", "",
+		"decide by this file who gets a connection; SIGHUP reads it again")
+	c.Flags().StringVar(&files.diameter, "diameter", "",
+		"speak Diameter too, by this file; SIGHUP reads its certificates again")
+	c.Flags().StringVar(&files.listGuard, "comeback", "",
+		"go by this file about lists that are in doubt and calls for them")
+	c.Flags().StringVar(&files.fleet, "fleet", "",
+		"draw on the budgets of this fleet, that its stewards divide")
+	c.Flags().StringVar(&profile, "cpu-profile", "",
+		"write a CPU profile (pprof) to this file, with the proxy's name behind it, at the end")
 	return c
 }
 
@@ -98,10 +114,10 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: proxy %q, %d classes, %d tenants, %d backends known\n",
+			printf(cmd.OutOrStdout(), "%s: good: proxy %q, %d classes, %d tenants, %d backends known\n",
 				args[0], c.Name, len(c.Module.Classes), len(c.Module.Tenants), len(c.Known.Endpoints))
 			if c.KnownBad != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%v; it is served without, and discovery is asked\n", c.KnownBad)
+				printf(cmd.OutOrStdout(), "%v; it is served without, and discovery is asked\n", c.KnownBad)
 			}
 			return nil
 		},
@@ -115,19 +131,20 @@
 		Short: "Print which build this is",
 		Args:  noArguments,
 		Run: func(cmd *cobra.Command, _ []string) {
-			fmt.Fprintln(cmd.OutOrStdout(), "lapisspread", buildVersion())
+			printf(cmd.OutOrStdout(), "lapisspread %s\n", buildVersion())
 		},
 	}
 }
 
-// buildVersion is what the Go toolchain has written into the program: the revision it was built from, and
-// whether the tree had changes beside it.
+// buildVersion describes the build by what the Go toolchain recorded: version, revision, and whether the tree had
+// uncommitted changes.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "(unknown)"
 	}
-	version, revision, dirty := info.Main.Version, "", ""
+	revision := ""
+	dirty := ""
 	for _, s := range info.Settings {
 		switch s.Key {
 		case "vcs.revision":
@@ -138,7 +155,7 @@
 			}
 		}
 	}
-	return fmt.Sprintf("%s%s%s %s", version, revision, dirty, info.GoVersion)
+	return fmt.Sprintf("%s%s%s %s", info.Main.Version, revision, dirty, info.GoVersion)
 }
 
 func noArguments(cmd *cobra.Command, args []string) error {
--- a/cmd/lapisspread/routes.go
+++ b/cmd/lapisspread/routes.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 
 	"github.com/spf13/cobra"
 
@@ -10,8 +11,8 @@
 	"lapisspread/internal/services"
 )
 
-// shownLosers is how many routes that do not match are told of, unless all are asked for.
-const shownLosers = 10
+// maxShownMismatches bounds the routes that do not match which "routes explain" prints without --all.
+const maxShownMismatches = 10
 
 func routesCommand() *cobra.Command {
 	c := &cobra.Command{
@@ -20,7 +21,12 @@
 		Args:  noArguments,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
-	c.AddCommand(&cobra.Command{
+	c.AddCommand(routesCheckCommand(), routesExplainCommand())
+	return c
+}
+
+func routesCheckCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:   "check FILE",
 		Short: "Tell whether a file of services is good, and if not, what is wrong and where",
 		Args:  oneFile,
@@ -29,13 +35,17 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %d services, %d routes\n", args[0], len(s.File.Services), s.Table.Rules())
+			printf(cmd.OutOrStdout(), "%s: good: %d services, %d routes\n",
+				args[0], len(s.File.Services), s.Table.Rules())
 			return nil
 		},
-	})
-	var q route.Request
+	}
+}
+
+func routesExplainCommand() *cobra.Command {
+	var request route.Request
 	var all bool
-	explain := &cobra.Command{
+	c := &cobra.Command{
 		Use:   "explain FILE",
 		Short: "Tell which route a request gets and why, and why the others lost",
 		Args:  oneFile,
@@ -44,51 +54,54 @@
 			if err != nil {
 				return err
 			}
-			out := cmd.OutOrStdout()
-			rule, verdict := s.Table.Lookup(&q)
-			if rule != nil {
-				fmt.Fprintf(out, "%s:", rule.Name)
-				for _, to := range rule.To {
-					fmt.Fprintf(out, " %s (weight %g)", to.Service, to.Weight)
-				}
-				fmt.Fprintln(out)
-			}
-			losers := 0
-			for i, r := range s.Table.Explain(&q) {
-				mark := "-"
-				switch {
-				case r.Matches && i == 0:
-					mark = "*"
-				case r.Matches:
-					mark = "+"
-				default:
-					losers++
-					if losers > shownLosers && !all {
-						continue
-					}
-				}
-				fmt.Fprintf(out, "  %s %s: %s\n", mark, r.Rule.Name, r.Why)
-			}
-			if losers > shownLosers && !all {
-				fmt.Fprintf(out, "  and %d more that do not match; --all tells of them\n", losers-shownLosers)
-			}
-			if rule == nil {
-				return errors.New(verdict.String())
-			}
-			return nil
+			return explainRoute(cmd.OutOrStdout(), s.Table, &request, all)
 		},
 	}
-	explain.Flags().StringVar(&q.Host, "host", "", "the request's host")
-	explain.Flags().StringVar(&q.Path, "path", "/", "its path")
-	explain.Flags().StringVar(&q.Method, "method", "GET", "its method")
-	explain.Flags().StringVar(&q.Class, "class", "", "its class")
-	explain.Flags().StringVar(&q.Tenant, "tenant", "", "its tenant")
-	explain.Flags().BoolVar(&all, "all", false, "tell of all routes that do not match")
-	c.AddCommand(explain)
+	c.Flags().StringVar(&request.Host, "host", "", "the request's host")
+	c.Flags().StringVar(&request.Path, "path", "/", "its path")
+	c.Flags().StringVar(&request.Method, "method", "GET", "its method")
+	c.Flags().StringVar(&request.Class, "class", "", "its class")
+	c.Flags().StringVar(&request.Tenant, "tenant", "", "its tenant")
+	c.Flags().BoolVar(&all, "all", false, "tell of all routes that do not match")
 	return c
 }
 
-// oneFile takes one argument.
+// explainRoute prints the route that a request gets, and how all others compare. It fails if the request gets none.
+func explainRoute(out io.Writer, table *route.Table, request *route.Request, all bool) error {
+	rule, verdict := table.Lookup(request)
+	if rule != nil {
+		printf(out, "%s:", rule.Name)
+		for _, to := range rule.To {
+			printf(out, " %s (weight %g)", to.Service, to.Weight)
+		}
+		printf(out, "\n")
+	}
+	mismatches := 0
+	for i, r := range table.Explain(request) {
+		mark := "-"
+		switch {
+		case r.Matches && i == 0:
+			mark = "*"
+		case r.Matches:
+			mark = "+"
+		default:
+			mismatches++
+			if mismatches > maxShownMismatches && !all {
+				continue
+			}
+		}
+		printf(out, "  %s %s: %s\n", mark, r.Rule.Name, r.Why)
+	}
+	if mismatches > maxShownMismatches && !all {
+		printf(out, "  and %d more that do not match; --all tells of them\n", mismatches-maxShownMismatches)
+	}
+	if rule == nil {
+		return errors.New(verdict.String())
+	}
+	return nil
+}
+
+// oneFile rejects command lines without exactly one argument.
 func oneFile(cmd *cobra.Command, args []string) error {
 	if len(args) != 1 {
 		return usageError{fmt.Errorf("%s takes one FILE, not %d", cmd.CommandPath(), len(args))}
--- a/cmd/lapisspread/serve.go
+++ b/cmd/lapisspread/serve.go
@@ -16,32 +16,38 @@
 	"lapisspread/internal/proxy"
 )
 
-// memoryPart is the part of the memory limit that the collector keeps the heap within: the rest is for
+// heapShare is the share of the memory limit, 0 to 1, that the garbage collector keeps the heap within. The rest is for
 // what it does not count, such as the sockets' buffers and the program itself.
-const memoryPart = 0.7
+const heapShare = 0.7
 
-// serveFiles are files that are read if they are named: of services, of who is admitted, of Diameter, of coming back, of the fleet.
-type serveFiles struct{ services, admission, diameter, comeback, fleet string }
+// serveFiles are the optional files of "serve". An empty name turns the feature off.
+type serveFiles struct {
+	services  string
+	admission string
+	diameter  string
+	listGuard string
+	fleet     string
+}
 
-// serve runs the proxy until SIGTERM, and writes a CPU profile if one is named. An error says why it could not serve.
+// serve runs the proxy until SIGTERM, and writes a CPU profile if profile names a file.
 func serve(profile string, files serveFiles) error {
-	hup := make(chan os.Signal, 1) // before all else: SIGHUP would end the program
-	signal.Notify(hup, syscall.SIGHUP)
-	// SIGTERM would too, out of order. Danger: no later one may: a second SIGTERM amid a drain would lose what is in hand.
+	// Signals first: an unhandled SIGHUP would end the program.
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	// The handler stays until the end: a second SIGTERM during the drain must not drop requests in flight.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	cfg, err := proxy.LoadConfig(os.Getenv)
 	if err != nil {
 		return err
 	}
-	cfg.Services, cfg.Admission, cfg.Diameter = files.services, files.admission, files.diameter
-	cfg.Comeback, cfg.Fleet = files.comeback, files.fleet
+	files.apply(&cfg)
 	if profile != "" {
 		file, err := os.Create(profile + "." + cfg.Name)
 		if err != nil {
 			return fmt.Errorf("the profile: %w", err)
 		}
-		defer file.Close()
+		defer func() { _ = file.Close() }()
 		if err := pprof.StartCPUProfile(file); err != nil {
 			return fmt.Errorf("the profile: %w", err)
 		}
@@ -50,11 +56,11 @@
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	signal.Ignore(syscall.SIGPIPE) // a log whose reader has died must not take the proxy with it
 	writer := lograte.New(os.Stderr)
-	defer writer.Close()
+	defer func() { _ = writer.Close() }()
 	log := slog.New(slog.NewTextHandler(writer, nil)).With("proxy", cfg.Name)
 	p := proxy.New(cfg, log)
 	p.Shared = func(shared bool) {
-		limit := memoryPart * float64(cfg.MemoryMB) * (1 << 20)
+		limit := heapShare * float64(cfg.MemoryMB) * (1 << 20)
 		if shared {
 			limit /= 2
 		}
@@ -62,7 +68,7 @@
 	}
 	ended := make(chan struct{})
 	defer close(ended)
-	go reload(p, hup, ended)
+	go reload(p, hangup, ended)
 	if err := p.Run(ctx); err != nil {
 		return err
 	}
@@ -70,12 +76,20 @@
 	return nil
 }
 
-// reload reads the configuration anew at each SIGHUP, for as long as the program runs. A bad one changes
-// nothing.
-func reload(p *proxy.Proxy, hup <-chan os.Signal, ended <-chan struct{}) {
+// apply puts the files into the proxy's configuration.
+func (f serveFiles) apply(cfg *proxy.Config) {
+	cfg.Services = f.services
+	cfg.Admission = f.admission
+	cfg.Diameter = f.diameter
+	cfg.Comeback = f.listGuard
+	cfg.Fleet = f.fleet
+}
+
+// reload reads the configuration again at each SIGHUP until ended is closed. An invalid one changes nothing.
+func reload(p *proxy.Proxy, hangup <-chan os.Signal, ended <-chan struct{}) {
 	for {
 		select {
-		case <-hup:
+		case <-hangup:
 		case <-ended:
 			return
 		}
