--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -202,12 +202,12 @@
 
 func policy(r *rig, routes, tenants int) ([]is, error) {
 	charter, files := teams(routes, tenants)
-	c, err := namespace.ParseCharter("charter", []byte(charter))
+	c, err := namespace.ParseDeclaration("charter", []byte(charter))
 	if err != nil {
 		return nil, err
 	}
 	total := 0
-	var all []*namespace.Namespace
+	var all []*namespace.File
 	parse := func() {
 		all = all[:0]
 		for i, text := range files {
@@ -227,14 +227,14 @@
 		return nil, err
 	}
 	out := namespace.Merge(c, nil, all)
-	if len(out.Held) > 0 || len(out.Policy.Routes) != routes {
-		return nil, fmt.Errorf("%d held, %d routes", len(out.Held), len(out.Policy.Routes))
+	if len(out.Withheld) > 0 || len(out.Policy.Routes) != routes {
+		return nil, fmt.Errorf("%d held, %d routes", len(out.Withheld), len(out.Policy.Routes))
 	}
 	next, err := namespace.Parse("t0", []byte(teamFile(0, 2, min(100, routes), routes, tenants)))
 	if err != nil {
 		return nil, err
 	}
-	merged := r.cost(func() { namespace.Merge(c, out.Good, []*namespace.Namespace{next}) })
+	merged := r.cost(func() { namespace.Merge(c, out.Accepted, []*namespace.File{next}) })
 	text := out.Policy.Encode()
 	encoded := r.cost(func() { out.Policy.Encode() })
 	decoded := r.cost(func() { _, err = namespace.Decode(text) })
--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -41,11 +41,11 @@
 	author := authorFlag(c)
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		path := args[1]
-		text, err := strictconfig.ReadFile(path, "the charter", namespace.MostBytes)
+		text, err := strictconfig.ReadFile(path, "the charter", namespace.MaxFileBytes)
 		if err != nil {
 			return err
 		}
-		if _, err := namespace.ParseCharter(path, text); err != nil { // here the error has the file's name
+		if _, err := namespace.ParseDeclaration(path, text); err != nil { // here the error has the file's name
 			return api.WithAdvice(err)
 		}
 		command := store.Command{SetDeclaration: &store.SetDeclaration{Text: string(text), Author: *author}}
@@ -87,7 +87,7 @@
 }
 
 func offerFile(cmd *cobra.Command, fleet *api.Config, client *http.Client, path, author string) error {
-	text, err := strictconfig.ReadFile(path, "the namespace", namespace.MostBytes)
+	text, err := strictconfig.ReadFile(path, "the namespace", namespace.MaxFileBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/api/messages_frozen_test.go
+++ b/internal/controlplane/api/messages_frozen_test.go
@@ -89,7 +89,7 @@
 			{Change: store.Change{Namespace: "gamma", Number: 4, Author: "c"}, MergeNumber: 6, Reason: "worse", Advice: "mend it"},
 		},
 		WithheldFiles: []store.WithheldFile{
-			{Namespace: "delta", Submitted: 5, Active: 4, Author: "d", RemovedItems: []string{"cut"}, Reason: "clash", Advice: "agree"},
+			{Namespace: "delta", Submitted: 5, Active: 4, Author: "d", RemovedRules: []string{"cut"}, Reason: "clash", Advice: "agree"},
 		},
 		Conflicts: []string{"conflict"}, RetainedEpochs: []uint64{1, 2}, ProxyCount: 5},
 		IsLeader: true, RolloutState: "rolling", ProxyCount: 6, Updated: 3, Rejected: 1, Behind: []string{"p2"},
--- a/internal/controlplane/api/namespaces.go
+++ b/internal/controlplane/api/namespaces.go
@@ -16,11 +16,11 @@
 	if c.OwnershipFile == "" {
 		return nil, nil
 	}
-	text, err := strictconfig.ReadFile(c.OwnershipFile, "the charter", namespace.MostBytes)
+	text, err := strictconfig.ReadFile(c.OwnershipFile, "the charter", namespace.MaxFileBytes)
 	if err != nil {
 		return nil, err
 	}
-	ownership, err := namespace.ParseCharter(c.OwnershipFile, text)
+	ownership, err := namespace.ParseDeclaration(c.OwnershipFile, text)
 	if err != nil {
 		return nil, err
 	}
@@ -28,24 +28,24 @@
 	for _, q := range c.Quotas {
 		limits[q.Name] = q.Limit
 	}
-	for _, q := range ownership.Budgets {
-		if limit, ok := limits[q.Name]; ok && limit != float64(q.Whole) {
+	for _, q := range ownership.Quotas {
+		if limit, ok := limits[q.Name]; ok && limit != float64(q.Limit) {
 			findings = append(findings,
-				fmt.Sprintf("budget %s: its whole is %v here and %v in the charter", q.Name, limit, q.Whole))
+				fmt.Sprintf("budget %s: its whole is %v here and %v in the charter", q.Name, limit, q.Limit))
 		}
 	}
 	namespaces, err := c.readNamespaces()
 	if err != nil {
 		return nil, err
 	}
-	for _, held := range namespace.Merge(ownership, nil, namespaces).Held {
+	for _, held := range namespace.Merge(ownership, nil, namespaces).Withheld {
 		findings = append(findings, WithAdvice(held).Error())
 	}
 	return findings, nil
 }
 
-func (c *Config) readNamespaces() ([]*namespace.Namespace, error) {
-	var namespaces []*namespace.Namespace
+func (c *Config) readNamespaces() ([]*namespace.File, error) {
+	var namespaces []*namespace.File
 	var errs []error
 	for _, path := range c.NamespaceFiles {
 		n, err := readNamespace(path)
@@ -58,7 +58,7 @@
 	return namespaces, errors.Join(errs...)
 }
 
-func readNamespace(path string) (*namespace.Namespace, error) {
+func readNamespace(path string) (*namespace.File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/internal/controlplane/client/bench_test.go
+++ b/internal/controlplane/client/bench_test.go
@@ -12,7 +12,7 @@
 
 // missingChunks are those of a tree that one who has another lacks.
 func missingChunks(tree, base *merkle.Tree) (chunks [][]byte) {
-	for _, chunk := range tree.Lacks(base) {
+	for _, chunk := range tree.ChunksNotIn(base) {
 		chunks = append(chunks, chunk)
 	}
 	return chunks
--- a/internal/controlplane/client/chunkcache.go
+++ b/internal/controlplane/client/chunkcache.go
@@ -13,7 +13,7 @@
 // serves the next. It is safe for concurrent use.
 type chunkCache struct {
 	mu     sync.Mutex
-	chunks map[merkle.Name][]byte
+	chunks map[merkle.Hash][]byte
 	bytes  int
 }
 
@@ -21,8 +21,8 @@
 func (c *chunkCache) put(chunk []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	name := merkle.NameOf(chunk)
-	if c.chunks[name] != nil || len(chunk) > merkle.MostPiece {
+	name := merkle.HashOf(chunk)
+	if c.chunks[name] != nil || len(chunk) > merkle.MaxChunkBytes {
 		return
 	}
 	if c.bytes+len(chunk) > maxCachedBytes {
@@ -30,14 +30,14 @@
 		c.bytes = 0
 	}
 	if c.chunks == nil {
-		c.chunks = map[merkle.Name][]byte{}
+		c.chunks = map[merkle.Hash][]byte{}
 	}
 	c.chunks[name] = chunk
 	c.bytes += len(chunk)
 }
 
 // get returns a chunk; nil if it is not there.
-func (c *chunkCache) get(name merkle.Name) []byte {
+func (c *chunkCache) get(name merkle.Hash) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.chunks[name]
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -134,9 +134,9 @@
 func TestPolicyErrorsHaveAdvice(t *testing.T) {
 	for _, err := range []error{
 		PolicyNotInstalledError{1, errors.New("x")},
-		PolicyNotInstalledError{1, merkle.WrongPiece{}},
-		merkle.Malformed{},
-		merkle.Incomplete{},
+		PolicyNotInstalledError{1, merkle.UnexpectedChunkError{}},
+		merkle.MalformedChunkError{},
+		merkle.IncompleteError{},
 	} {
 		if operatorerror.Of(err) == "" || strings.TrimSpace(err.Error()) == "" {
 			t.Errorf("%T", err)
--- a/internal/controlplane/client/fetch_test.go
+++ b/internal/controlplane/client/fetch_test.go
@@ -99,7 +99,7 @@
 	case 2:
 		*chunks = (*chunks)[:at]
 	case 3:
-		(*chunks)[at] = make([]byte, merkle.MostPiece+1)
+		(*chunks)[at] = make([]byte, merkle.MaxChunkBytes+1)
 	}
 }
 
--- a/internal/controlplane/client/fetcher.go
+++ b/internal/controlplane/client/fetcher.go
@@ -27,7 +27,7 @@
 
 // treeAssembly puts a tree together from chunks. It is a *merkle.Assembly, or what a test has in its place.
 type treeAssembly interface {
-	Wants(most int) []merkle.Name
+	Missing(most int) []merkle.Hash
 	Add(chunk []byte) error
 	Tree() (*merkle.Tree, error)
 }
@@ -35,7 +35,7 @@
 // fetcher puts the content of a policy together, over as many reports as it takes. Only its worker uses it.
 type fetcher struct {
 	client *PolicyClient
-	root   merkle.Name
+	root   merkle.Hash
 	base   *merkle.Tree // of the installed policy: chunks of it are not fetched
 	target treeAssembly // nil while nothing is fetched
 
@@ -94,7 +94,7 @@
 	}
 	for end := f.client.clock() + maxFetchTime; ctx.Err() == nil; {
 		f.client.worker.Heartbeat()
-		names := f.target.Wants(f.namesPerRequest)
+		names := f.target.Missing(f.namesPerRequest)
 		if len(names) == 0 {
 			return f.target.Tree()
 		}
@@ -116,7 +116,7 @@
 
 // begin starts another tree if the offer or the installed policy has changed.
 func (f *fetcher) begin(reply api.PolicyReply) error {
-	root, err := merkle.ParseName(reply.Target.Hash)
+	root, err := merkle.ParseHash(reply.Target.Hash)
 	if err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 
 // isMalformed reports whether what the servers have can't be put together, so that no further chunk helps.
 func isMalformed(err error) bool {
-	var malformed merkle.Malformed
+	var malformed merkle.MalformedChunkError
 	return errors.As(err, &malformed)
 }
 
@@ -156,7 +156,7 @@
 }
 
 // requestChunks asks a server for chunks by name. One that fails or does not have all of them is suspended.
-func (f *fetcher) requestChunks(ctx context.Context, names []merkle.Name) error {
+func (f *fetcher) requestChunks(ctx context.Context, names []merkle.Hash) error {
 	config := f.client.config
 	server := config.File.Servers[f.serverIndex]
 	request := api.ChunksRequest{Fleet: config.File.Fleet, Proxy: config.ProxyName, Root: f.root.String()}
@@ -192,7 +192,7 @@
 // addChunks takes chunks that came. One that is not wanted is left out; the error is that of the last of these.
 func (f *fetcher) addChunks(chunks [][]byte) (lastErr error) {
 	for _, chunk := range chunks {
-		if f.client.cache.get(merkle.NameOf(chunk)) != nil {
+		if f.client.cache.get(merkle.HashOf(chunk)) != nil {
 			continue
 		}
 		if err := f.target.Add(chunk); err != nil {
@@ -213,7 +213,7 @@
 func (f *fetcher) addCached() error {
 	for added := true; added; {
 		added = false
-		for _, name := range f.target.Wants(math.MaxInt) {
+		for _, name := range f.target.Missing(math.MaxInt) {
 			chunk := f.client.cache.get(name)
 			if chunk == nil {
 				continue
--- a/internal/controlplane/client/policyclient.go
+++ b/internal/controlplane/client/policyclient.go
@@ -62,7 +62,7 @@
 	cache          chunkCache
 	chunksAccepted atomic.Int64
 	chunksRejected atomic.Int64
-	newAssembly    func(root merkle.Name, base *merkle.Tree) treeAssembly
+	newAssembly    func(root merkle.Hash, base *merkle.Tree) treeAssembly
 
 	mutations policyMutations
 }
@@ -87,8 +87,8 @@
 	c := &PolicyClient{
 		install: install,
 		version: rollout.NewCurrentVersion(rollout.Version{}),
-		newAssembly: func(root merkle.Name, base *merkle.Tree) treeAssembly {
-			return merkle.Assemble(root, base)
+		newAssembly: func(root merkle.Hash, base *merkle.Tree) treeAssembly {
+			return merkle.NewAssembly(root, base)
 		},
 	}
 	c.initialize(config, c.runWorker)
@@ -124,7 +124,7 @@
 	if content.tree != nil {
 		if installErr := c.installContent(content, func() bool { return true }); installErr != nil {
 			err = installErr
-			for _, chunk := range content.tree.Pieces() {
+			for _, chunk := range content.tree.Chunks() {
 				c.cache.put(chunk)
 			}
 		}
--- a/internal/controlplane/client/policyclient_test.go
+++ b/internal/controlplane/client/policyclient_test.go
@@ -16,7 +16,7 @@
 
 // policyText is the text of a policy without routes, with a service of a name.
 func policyText(service string) []byte {
-	charter, err := namespace.ParseCharter("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\nowner = \"o\"\n"+
+	charter, err := namespace.ParseDeclaration("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\nowner = \"o\"\n"+
 		"hosts = [\"x.org\"]\nsettings = [\"service\"]\n"))
 	if err != nil {
 		panic(err)
@@ -26,7 +26,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return namespace.Merge(charter, nil, []*namespace.Namespace{team}).Policy.Encode()
+	return namespace.Merge(charter, nil, []*namespace.File{team}).Policy.Encode()
 }
 
 func textVersion(generation, epoch uint64, text []byte) rollout.Version {
--- a/internal/controlplane/client/policystore.go
+++ b/internal/controlplane/client/policystore.go
@@ -134,8 +134,8 @@
 
 // decodeRecords returns the chunks by name, and the offers in the order in which they were kept. It leaves out what
 // it does not know.
-func decodeRecords(records [][]byte) (chunks map[merkle.Name][]byte, offers []offerRecord) {
-	chunks = map[merkle.Name][]byte{}
+func decodeRecords(records [][]byte) (chunks map[merkle.Hash][]byte, offers []offerRecord) {
+	chunks = map[merkle.Hash][]byte{}
 	for _, record := range records {
 		if len(record) < 2 {
 			continue
@@ -143,7 +143,7 @@
 		data := record[1:]
 		switch record[0] {
 		case recordChunk:
-			chunks[merkle.NameOf(data)] = data
+			chunks[merkle.HashOf(data)] = data
 		case recordOffer:
 			var offer offerRecord
 			if json.Unmarshal(data, &offer) == nil {
@@ -155,15 +155,15 @@
 }
 
 // assemble puts a tree together; nil if chunks are missing.
-func assemble(rootName string, chunks map[merkle.Name][]byte) *merkle.Tree {
-	root, err := merkle.ParseName(rootName)
+func assemble(rootName string, chunks map[merkle.Hash][]byte) *merkle.Tree {
+	root, err := merkle.ParseHash(rootName)
 	if err != nil {
 		return nil
 	}
-	assembly := merkle.Assemble(root, nil)
+	assembly := merkle.NewAssembly(root, nil)
 	for {
 		added := false
-		for _, name := range assembly.Wants(len(chunks)) {
+		for _, name := range assembly.Missing(len(chunks)) {
 			if chunk, ok := chunks[name]; ok && assembly.Add(chunk) == nil {
 				added = true
 			}
@@ -216,7 +216,7 @@
 // written it.
 func (s *policyStore) appendChange(content policyContent, offer []byte) error {
 	var records [][]byte
-	for _, chunk := range content.tree.Lacks(s.tree) {
+	for _, chunk := range content.tree.ChunksNotIn(s.tree) {
 		records = append(records, encodeChunk(chunk))
 	}
 	if err := s.journal.Append(append(records, offer)...); err != nil {
@@ -244,7 +244,7 @@
 // rewrite writes the journal anew.
 func (s *policyStore) rewrite(content policyContent, offer []byte) error {
 	records := func(yield func([]byte) bool) {
-		for _, chunk := range content.tree.Pieces() {
+		for _, chunk := range content.tree.Chunks() {
 			if !yield(encodeChunk(chunk)) {
 				return
 			}
--- a/internal/controlplane/client/policyworker.go
+++ b/internal/controlplane/client/policyworker.go
@@ -203,7 +203,7 @@
 
 // handleInstallError remembers content that can't be installed yet, so that it is not fetched again and again.
 func (c *PolicyClient) handleInstallError(f *fetcher, reply api.PolicyReply, content policyContent, err error) {
-	var malformed merkle.Malformed
+	var malformed merkle.MalformedChunkError
 	var unreadable unreadableError
 	switch {
 	case errors.As(err, &malformed) || errors.As(err, &unreadable):
--- a/internal/controlplane/client/randomized_test.go
+++ b/internal/controlplane/client/randomized_test.go
@@ -28,12 +28,12 @@
 	return a.base, nil
 }
 
-func (a *incompleteAssembly) Wants(most int) []merkle.Name {
+func (a *incompleteAssembly) Missing(most int) []merkle.Hash {
 	a.calls++
 	if a.base != nil && a.calls > 1 {
 		return nil
 	}
-	return a.treeAssembly.Wants(most)
+	return a.treeAssembly.Missing(most)
 }
 
 // randomizedRun follows from one seed: the offer changes, goes back and comes of a new bootstrap; links are cut,
@@ -57,8 +57,8 @@
 func (r *randomizedRun) change(c *PolicyClient) {
 	c.mutations = r.mutations
 	if r.incomplete {
-		c.newAssembly = func(root merkle.Name, base *merkle.Tree) treeAssembly {
-			return &incompleteAssembly{treeAssembly: merkle.Assemble(root, base), base: base}
+		c.newAssembly = func(root merkle.Hash, base *merkle.Tree) treeAssembly {
+			return &incompleteAssembly{treeAssembly: merkle.NewAssembly(root, base), base: base}
 		}
 	}
 }
--- a/internal/controlplane/client/testserver_test.go
+++ b/internal/controlplane/client/testserver_test.go
@@ -19,9 +19,9 @@
 // routePolicy is a policy of so many routes of one team, each with a path.
 func routePolicy(routes int, number uint64, path func(i int) string) *namespace.Policy {
 	weight := 1.0
-	p := &namespace.Policy{Form: 1, Services: []namespace.PolicyService{{
+	p := &namespace.Policy{Format: 1, Services: []namespace.PolicyService{{
 		Service: namespace.Service{Name: "s"},
-		From:    []namespace.Source{{Namespace: "a", Number: number, Rule: "service s"}},
+		Sources: []namespace.Source{{Namespace: "a", Number: number, Rule: "service s"}},
 	}}}
 	for i := range routes {
 		name := fmt.Sprintf("r%05d", i)
@@ -31,7 +31,7 @@
 				Match: namespace.Match{Host: "x.org", PathPrefix: path(i)},
 				To:    []namespace.Target{{Service: "s", Weight: &weight}},
 			},
-			From: namespace.Source{Namespace: "a", Number: number, Rule: "route " + name},
+			Source: namespace.Source{Namespace: "a", Number: number, Rule: "route " + name},
 		})
 	}
 	return p
--- a/internal/controlplane/server/chunks_test.go
+++ b/internal/controlplane/server/chunks_test.go
@@ -26,10 +26,10 @@
 func policyWithRoutes(tb testing.TB, routes int, version uint64) *merkle.Tree {
 	tb.Helper()
 	weight := 1.0
-	p := &namespace.Policy{Form: 1}
+	p := &namespace.Policy{Format: 1}
 	for _, name := range []string{"one", "two"} {
 		p.Services = append(p.Services, namespace.PolicyService{Service: namespace.Service{Name: name},
-			From: []namespace.Source{{Namespace: "a", Number: version, Rule: "service " + name}}})
+			Sources: []namespace.Source{{Namespace: "a", Number: version, Rule: "service " + name}}})
 	}
 	for i := range routes {
 		to := "one"
@@ -42,7 +42,7 @@
 				PathPrefix: fmt.Sprintf("/v1/things/%d", i), Tenants: []string{
 					fmt.Sprintf("tenant-%06d", 11*i), fmt.Sprintf("tenant-%06d", 11*i+1), fmt.Sprintf("tenant-%06d",
 						11*i+2)}}, To: []namespace.Target{{Service: to, Weight: &weight}}},
-			From: namespace.Source{Namespace: "a", Number: version, Rule: "route " + name}})
+			Source: namespace.Source{Namespace: "a", Number: version, Rule: "route " + name}})
 	}
 	tree, err := p.Tree()
 	if err != nil {
@@ -211,7 +211,7 @@
 			lead.publishTrees(tree)
 			handler := lead.Handler()
 			var names [][]byte
-			for n := range tree.Pieces() {
+			for n := range tree.Chunks() {
 				names = append(names, bytes.Clone(n[:]))
 			}
 			b.ReportAllocs()
@@ -310,14 +310,14 @@
 }
 
 // checkChunksOfEveryServer fetches a chunk by name from each server; followers have what they have applied.
-func checkChunksOfEveryServer(t *testing.T, cluster *testCluster, lead int, base rollout.Version, name merkle.Name) {
+func checkChunksOfEveryServer(t *testing.T, cluster *testCluster, lead int, base rollout.Version, name merkle.Hash) {
 	root := base.Hash
 	for i, o := range cluster.config.Servers {
 		cluster.until("a follower has it", func() bool { return cluster.policyStatus(i).Active == base || i == lead })
 		var out api.ChunksReply
 		request := api.ChunksRequest{Fleet: "north", Proxy: "p9", Root: root, Names: [][]byte{name[:], {1, 2}}}
 		err := cluster.call(o.Address, api.PathPolicyChunks, request, &out)
-		if err != nil || len(out.Chunks) != 1 || out.Missing != 1 || merkle.NameOf(out.Chunks[0]) != name {
+		if err != nil || len(out.Chunks) != 1 || out.Missing != 1 || merkle.HashOf(out.Chunks[0]) != name {
 			t.Errorf("server %s: %d chunks, %v", o.Name, len(out.Chunks), err)
 		}
 		for what, in := range map[string]api.ChunksRequest{
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -105,14 +105,14 @@
 	if !reply.Target.NewerThan(p.versions[name].Version()) {
 		return
 	}
-	root, err := merkle.ParseName(reply.Target.Hash)
+	root, err := merkle.ParseHash(reply.Target.Hash)
 	p.noError(err)
-	a := merkle.Assemble(root, p.trees[name])
+	a := merkle.NewAssembly(root, p.trees[name])
 	for _, piece := range reply.Chunks {
 		p.noError(a.Add(piece))
 	}
 	for range 100 {
-		names := a.Wants(api.MaxChunkNames)
+		names := a.Missing(api.MaxChunkNames)
 		if len(names) == 0 {
 			break
 		}
--- a/internal/faultlab/capacity/child.go
+++ b/internal/faultlab/capacity/child.go
@@ -335,7 +335,7 @@
 	}
 	out := map[string]uint64{}
 	for i := range now.taken.Policy.Routes {
-		if from := &now.taken.Policy.Routes[i].From; from.Number > 1 {
+		if from := &now.taken.Policy.Routes[i].Source; from.Number > 1 {
 			out[from.Namespace] = from.Number
 		}
 	}
--- a/internal/faultlab/capacity/settings.go
+++ b/internal/faultlab/capacity/settings.go
@@ -231,11 +231,11 @@
 
 // policyOf is what files come to, by their teams' numbers.
 func (t *site) policyOf(numbers []int) (*namespace.Policy, int, error) {
-	charter, err := namespace.ParseCharter("charter", []byte(t.charter()))
+	charter, err := namespace.ParseDeclaration("charter", []byte(t.charter()))
 	if err != nil {
 		return nil, 0, err
 	}
-	var all []*namespace.Namespace
+	var all []*namespace.File
 	longest := 0
 	for team, number := range numbers {
 		text := t.fileOf(team, number)
@@ -247,8 +247,8 @@
 		all = append(all, n)
 	}
 	out := namespace.Merge(charter, nil, all)
-	if len(out.Held) > 0 {
-		return nil, 0, fmt.Errorf("the site's own files conflict: %s", strings.TrimSpace(out.Held[0].Error()))
+	if len(out.Withheld) > 0 {
+		return nil, 0, fmt.Errorf("the site's own files conflict: %s", strings.TrimSpace(out.Withheld[0].Error()))
 	}
 	return out.Policy, longest, nil
 }
--- a/internal/faultlab/controlplane/policy_test.go
+++ b/internal/faultlab/controlplane/policy_test.go
@@ -354,7 +354,7 @@
 	f.settled("a zone has joined again")
 	f.alone(16)
 	all := 0
-	for range f.edges["p00"].Current().Tree.Pieces() {
+	for range f.edges["p00"].Current().Tree.Chunks() {
 		all++
 	}
 	for _, name := range names("z", 4) {
--- a/internal/policy/distribution/distributor.go
+++ b/internal/policy/distribution/distributor.go
@@ -102,7 +102,7 @@
 
 // treeOf returns the tree of a root, nil if it is unknown. The caller holds mu.
 func (d *Distributor) treeOf(root string) *merkle.Tree {
-	name, err := merkle.ParseName(root)
+	name, err := merkle.ParseHash(root)
 	if err != nil {
 		return nil
 	}
@@ -148,7 +148,7 @@
 	}
 	computed := cachedDiff{from: from, to: to}
 	size := 0
-	for _, chunk := range toTree.Lacks(fromTree) {
+	for _, chunk := range toTree.ChunksNotIn(fromTree) {
 		size += len(chunk)
 		if size > d.settings.MaxBytes {
 			break
@@ -215,11 +215,11 @@
 }
 
 func findChunk(trees []*merkle.Tree, name []byte) []byte {
-	if len(name) != len(merkle.Name{}) {
+	if len(name) != len(merkle.Hash{}) {
 		return nil
 	}
 	for _, tree := range trees {
-		if chunk, ok := tree.Piece(merkle.Name(name)); ok {
+		if chunk, ok := tree.Chunk(merkle.Hash(name)); ok {
 			return chunk
 		}
 	}
--- a/internal/policy/distribution/distributor_test.go
+++ b/internal/policy/distribution/distributor_test.go
@@ -36,7 +36,7 @@
 // fetch assembles a tree as a proxy does, from pushed chunks and the rest by name, and returns how many chunks of each.
 func fetch(t testing.TB, d *Distributor, has, to *merkle.Tree, most int) (pushed, requested int) {
 	t.Helper()
-	a := merkle.Assemble(to.Root(), has)
+	a := merkle.NewAssembly(to.Root(), has)
 	root := ""
 	if has != nil {
 		root = has.Root().String()
@@ -48,7 +48,7 @@
 		pushed++
 	}
 	now := time.Duration(0)
-	for names := a.Wants(256); len(names) > 0; names = a.Wants(256) {
+	for names := a.Missing(256); len(names) > 0; names = a.Missing(256) {
 		var in [][]byte
 		for _, n := range names {
 			in = append(in, n[:])
@@ -128,7 +128,7 @@
 	d.Retain([]*merkle.Tree{policy})
 	const proxies, answers = 300, 6 // that each needs
 	var name [][]byte
-	for n := range policy.Pieces() {
+	for n := range policy.Chunks() {
 		if name = append(name, n[:]); len(name) == set.MaxNames {
 			break
 		}
--- a/internal/policy/merkle/assembly_test.go
+++ b/internal/policy/merkle/assembly_test.go
@@ -15,19 +15,19 @@
 
 // bent bends a tree somewhere, and names what is above it anew; nil if that can't be done.
 func (d drawer) bent(n *node, depth int, b bend) *node {
-	if n.kids == nil || d.IntN(4) == 0 {
+	if n.children == nil || d.IntN(4) == 0 {
 		return b(d, n, depth)
 	}
-	at := d.IntN(fanOut)
-	for i := range fanOut {
-		k := (at + i) % fanOut
-		if n.kids[k] == nil {
+	at := d.IntN(fanout)
+	for i := range fanout {
+		k := (at + i) % fanout
+		if n.children[k] == nil {
 			continue
 		}
-		if other := d.bent(n.kids[k], depth+1, b); other != nil {
-			kids := *n.kids
+		if other := d.bent(n.children[k], depth+1, b); other != nil {
+			kids := *n.children
 			kids[k] = other
-			return nodeOf(&kids)
+			return newNode(&kids)
 		}
 	}
 	return b(d, n, depth)
@@ -35,36 +35,36 @@
 
 // bends are ways to make content wrong, each with the guard that alone is against it.
 var bends = map[string]struct {
-	guard flaw
+	guard mutation
 	bend  bend
 }{
-	"children that change places": {noPlace, func(d drawer, n *node, _ int) *node {
-		if n.kids == nil {
+	"children that change places": {skipPlaceCheck, func(d drawer, n *node, _ int) *node {
+		if n.children == nil {
 			return nil
 		}
-		i, j := d.IntN(fanOut), d.IntN(fanOut)
-		if n.kids[i] == n.kids[j] {
+		i, j := d.IntN(fanout), d.IntN(fanout)
+		if n.children[i] == n.children[j] {
 			return nil
 		}
-		kids := *n.kids
+		kids := *n.children
 		kids[i], kids[j] = kids[j], kids[i]
-		return nodeOf(&kids)
+		return newNode(&kids)
 	}},
-	"a leaf out of order": {noPlace, func(_ drawer, n *node, _ int) *node {
+	"a leaf out of order": {skipPlaceCheck, func(_ drawer, n *node, _ int) *node {
 		if len(n.items) < 2 {
 			return nil
 		}
 		items := slices.Clone(n.items)
 		slices.Reverse(items)
-		return leafOf(items)
+		return newLeaf(items)
 	}},
-	"a leaf with an item twice": {noPlace, func(_ drawer, n *node, _ int) *node {
-		if len(n.items) == 0 || 2*n.bytes > LeafBytes {
+	"a leaf with an item twice": {skipPlaceCheck, func(_ drawer, n *node, _ int) *node {
+		if len(n.items) == 0 || 2*n.bytes > MaxLeafBytes {
 			return nil
 		}
-		return leafOf([]item{n.items[0], n.items[0]})
+		return newLeaf([]item{n.items[0], n.items[0]})
 	}},
-	"a node that should be a leaf": {noSplit, func(_ drawer, n *node, depth int) *node {
+	"a node that should be a leaf": {skipShapeCheck, func(_ drawer, n *node, depth int) *node {
 		if len(n.items) == 0 {
 			return nil
 		}
@@ -74,62 +74,62 @@
 				return nil
 			}
 		}
-		kids := new([fanOut]*node)
+		kids := new([fanout]*node)
 		kids[at.digit(depth)] = n
-		return nodeOf(kids)
+		return newNode(kids)
 	}},
-	"a leaf that should be a node": {noSplit, func(_ drawer, n *node, _ int) *node {
-		if n.kids == nil || n.bytes > MostPiece/2 {
+	"a leaf that should be a node": {skipShapeCheck, func(_ drawer, n *node, _ int) *node {
+		if n.children == nil || n.bytes > MaxChunkBytes/2 {
 			return nil
 		}
 		var items []item
 		n.each(func(i *item) bool { items = append(items, *i); return true })
-		return leafOf(items)
+		return newLeaf(items)
 	}},
-	"a value that is cut elsewhere": {noSplit, func(_ drawer, n *node, _ int) *node {
+	"a value that is cut elsewhere": {skipShapeCheck, func(_ drawer, n *node, _ int) *node {
 		for i := range n.items {
-			l := n.items[i].long
+			l := n.items[i].segmented
 			if l == nil {
 				continue
 			}
 			value := l.value()
 			names := []byte{}
-			cutting := &long{total: l.total, pieces: []namedPiece{{}}}
+			cutting := &segmentedValue{total: l.total, chunks: []hashedChunk{{}}}
 			for rest := value; len(rest) > 0; {
-				p := pieceOf(kindChunk, rest[:min(len(rest), 999)])
-				rest = rest[len(p.piece)-1:]
-				names = append(names, p.name[:]...)
-				cutting.pieces = append(cutting.pieces, p)
+				p := newChunk(kindSegment, rest[:min(len(rest), 999)])
+				rest = rest[len(p.data)-1:]
+				names = append(names, p.hash[:]...)
+				cutting.chunks = append(cutting.chunks, p)
 			}
-			cutting.pieces[0] = pieceOf(kindList, names)
-			cutting.top = cutting.pieces[0].name
+			cutting.chunks[0] = newChunk(kindSegmentList, names)
+			cutting.root = cutting.chunks[0].hash
 			items := slices.Clone(n.items)
-			items[i].long = cutting
-			return leafOf(items)
+			items[i].segmented = cutting
+			return newLeaf(items)
 		}
 		return nil
 	}},
 	"a value that is shorter than told": {0, func(_ drawer, n *node, _ int) *node {
 		for i := range n.items {
-			if l := n.items[i].long; l != nil {
+			if l := n.items[i].segmented; l != nil {
 				other := *l
 				other.total++
 				items := slices.Clone(n.items)
-				items[i].long = &other
-				return leafOf(items)
+				items[i].segmented = &other
+				return newLeaf(items)
 			}
 		}
 		return nil
 	}},
 	"an empty leaf below the root": {0, func(_ drawer, n *node, _ int) *node {
-		if n.kids == nil {
+		if n.children == nil {
 			return nil
 		}
-		kids := *n.kids
+		kids := *n.children
 		for i, k := range kids {
 			if k == nil {
-				kids[i] = empty
-				return nodeOf(&kids)
+				kids[i] = emptyLeaf
+				return newNode(&kids)
 			}
 		}
 		return nil
@@ -138,7 +138,7 @@
 
 // play has one proxy put content together out of what several send, some of it damaged, cut off, foreign or made wrong, and gives all
 // that must never happen.
-func play(seed uint64, flaws flaw) (crimes []string, wrong, whole int) {
+func play(seed uint64, flaws mutation) (crimes []string, wrong, whole int) {
 	say := func(is bool, format string, args ...any) {
 		if is {
 			crimes = append(crimes, fmt.Sprintf("seed %d: ", seed)+fmt.Sprintf(format, args...))
@@ -166,21 +166,21 @@
 	if names := slices.Sorted(maps.Keys(bends)); d.IntN(2) == 0 {
 		kind = names[d.IntN(len(names))]
 		top := d.bent(is.top, 0, bends[kind].bend)
-		if top == nil || top.name == is.top.name {
+		if top == nil || top.hash == is.top.hash {
 			kind = ""
 		} else {
 			is = &Tree{top: top}
 		}
 	}
 	has := []*Tree{nil, was, foreign}[d.IntN(3)]
-	a := Assemble(is.Root(), has)
-	a.flaws = flaws
-	all := maps.Collect(is.Pieces())
-	strangers := slices.SortedFunc(maps.Values(maps.Collect(foreign.Pieces())), bytes.Compare)
+	a := NewAssembly(is.Root(), has)
+	a.mutations = flaws
+	all := maps.Collect(is.Chunks())
+	strangers := slices.SortedFunc(maps.Values(maps.Collect(foreign.Chunks())), bytes.Compare)
 	for range 100_000 {
-		wants := a.Wants(1 + d.IntN(8))
+		wants := a.Missing(1 + d.IntN(8))
 		t, err := a.Tree()
-		switch missing := (Incomplete{}); {
+		switch missing := (IncompleteError{}); {
 		case err == nil:
 			whole++
 			built, err := Build(slices.Collect(t.Items()))
@@ -215,15 +215,15 @@
 		case 3:
 			piece = append(bytes.Clone(right), 0)
 		case 4:
-			piece = make([]byte, d.IntN(2*MostPiece))
+			piece = make([]byte, d.IntN(2*MaxChunkBytes))
 		}
-		wanted := slices.Contains(a.Wants(1<<30), NameOf(piece))
-		before := len(a.Wants(1 << 30))
+		wanted := slices.Contains(a.Missing(1<<30), HashOf(piece))
+		before := len(a.Missing(1 << 30))
 		err = a.Add(bytes.Clone(piece))
-		malformed := Malformed{}
+		malformed := MalformedChunkError{}
 		say(err == nil && !wanted, "a piece was taken that nothing wanted")
-		say(errors.As(err, new(WrongPiece)) && wanted, "a piece was refused that was wanted: %v", err)
-		say(err != nil && len(a.Wants(1<<30)) != before, "a piece that was refused changed what is wanted")
+		say(errors.As(err, new(UnexpectedChunkError)) && wanted, "a piece was refused that was wanted: %v", err)
+		say(err != nil && len(a.Missing(1<<30)) != before, "a piece that was refused changed what is wanted")
 		if errors.As(err, &malformed) {
 			say(kind == "", "well made content is refused: %v", err)
 			return crimes, wrong, whole
@@ -258,7 +258,7 @@
 
 // The check of the drawn plays convicts each guard that is taken out.
 func TestEachGuardOfAnAssemblyIsNeeded(t *testing.T) {
-	for name, flaws := range map[string]flaw{"no hash": noHash, "no place": noPlace, "no split": noSplit, "not whole": noWhole} {
+	for name, flaws := range map[string]mutation{"no hash": skipHashCheck, "no place": skipPlaceCheck, "no split": skipShapeCheck, "not whole": skipCompleteCheck} {
 		var crimes []string
 		seed := uint64(0)
 		for ; len(crimes) == 0 && seed < plays; seed++ {
@@ -287,15 +287,15 @@
 				t.Fatal(err)
 			}
 			top := d.bent(good.top, 0, b.bend)
-			if top == nil || top.name == good.top.name {
+			if top == nil || top.hash == good.top.hash {
 				continue
 			}
 			met++
-			for _, flaws := range []flaw{0, b.guard} {
-				a := Assemble(top.name, nil)
-				a.flaws = flaws
+			for _, flaws := range []mutation{0, b.guard} {
+				a := NewAssembly(top.hash, nil)
+				a.mutations = flaws
 				var refused error
-				for _, piece := range (&Tree{top: top}).Pieces() {
+				for _, piece := range (&Tree{top: top}).Chunks() {
 					if err := a.Add(piece); err != nil && refused == nil {
 						refused = err
 					}
@@ -325,14 +325,14 @@
 	for i := range random {
 		random[i] = byte(d.Uint32())
 	}
-	never := make([]byte, MostValue) // a value in which no chunk ends by itself
-	if n := chunkEnd(never); n != chunkMost {
+	never := make([]byte, MaxValueBytes) // a value in which no chunk ends by itself
+	if n := segmentEnd(never); n != maxSegmentBytes {
 		t.Fatalf("a chunk of zeros ends at %d", n)
 	}
 	var small []byte // one in which each chunk ends as early as it may
 	for len(small) < 200<<10 {
-		ends := make([]byte, chunkLeast)
-		for chunkEnd(append(slices.Clone(ends), 0)) != chunkLeast {
+		ends := make([]byte, minSegmentBytes)
+		for segmentEnd(append(slices.Clone(ends), 0)) != minSegmentBytes {
 			for i := range 8 {
 				ends[len(ends)-1-i] = byte(d.Uint32())
 			}
@@ -341,12 +341,12 @@
 	}
 	content := map[string][]byte{"random": random, "never": never, "small": small, "none": nil}
 	for i := range 20 {
-		key := make([]byte, MostKey-i)
+		key := make([]byte, MaxKeyBytes-i)
 		for k := range key {
 			key[k] = byte(d.Uint32())
 		}
-		content[string(key)] = random[:mostInline-i%2]
-		content[fmt.Sprint("inline ", i)] = random[:mostInline-10+i]
+		content[string(key)] = random[:maxInlineBytes-i%2]
+		content[fmt.Sprint("inline ", i)] = random[:maxInlineBytes-10+i]
 	}
 	tree, err := Build(d.items(content))
 	if err != nil {
@@ -355,8 +355,8 @@
 	if wrong := holds(tree, content); wrong != "" {
 		t.Fatal(wrong)
 	}
-	a := Assemble(tree.Root(), nil)
-	for _, piece := range tree.Pieces() {
+	a := NewAssembly(tree.Root(), nil)
+	for _, piece := range tree.Chunks() {
 		if err := a.Add(piece); err != nil {
 			t.Fatal(err)
 		}
@@ -369,7 +369,7 @@
 		t.Fatal(wrong)
 	}
 	longest := 0
-	for _, piece := range tree.Pieces() {
+	for _, piece := range tree.Chunks() {
 		longest = max(longest, len(piece))
 	}
 	t.Logf("the longest of all pieces is %d bytes", longest)
@@ -394,13 +394,13 @@
 			t.Fatal(err)
 		}
 		sum := 0
-		for _, piece := range is.Lacks(was) {
+		for _, piece := range is.ChunksNotIn(was) {
 			sum += len(piece)
 		}
 		most = max(most, sum)
 	}
 	t.Logf("at most %d bytes of %d", most, was.Size())
-	if most > 4*MostPiece {
+	if most > 4*MaxChunkBytes {
 		t.Errorf("a change within took %d bytes of %d", most, was.Size())
 	}
 }
@@ -416,7 +416,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := slices.SortedFunc(maps.Values(maps.Collect(tree.Pieces())), bytes.Compare)
+	all := slices.SortedFunc(maps.Values(maps.Collect(tree.Chunks())), bytes.Compare)
 	taken := 0
 	for i := range 30_000 {
 		piece := bytes.Clone(all[d.IntN(len(all))])
@@ -431,13 +431,13 @@
 				piece = slices.Insert(piece, at, byte(d.IntN(8)))
 			}
 		}
-		root, pieces := NameOf(piece), [][]byte{piece}
+		root, pieces := HashOf(piece), [][]byte{piece}
 		if d.IntN(3) == 0 { // as a chunk or a list of a value
-			long := &long{total: mostInline + 1 + d.IntN(5000), top: root}
-			leaf := leafOf([]item{{key: "k", long: long}})
-			root, pieces = leaf.name, [][]byte{leaf.piece, piece}
+			long := &segmentedValue{total: maxInlineBytes + 1 + d.IntN(5000), root: root}
+			leaf := newLeaf([]item{{key: "k", segmented: long}})
+			root, pieces = leaf.hash, [][]byte{leaf.chunk, piece}
 		}
-		a := Assemble(root, nil)
+		a := NewAssembly(root, nil)
 		for _, piece := range pieces {
 			err = a.Add(piece)
 		}
--- a/internal/policy/merkle/pieces.go
+++ b/internal/policy/merkle/pieces.go
@@ -24,52 +24,52 @@
 
 // Bounds, in bytes.
 const (
-	MostPiece  = 16 << 10 // a piece is never longer
-	LeafBytes  = 512      // items that come to no more stand together in a leaf
-	MostKey    = 4 << 10  // a key is never longer
-	MostValue  = 16 << 20 // a value is never longer
-	mostInline = 2 << 10  // longer values stand in chunks of their own
+	MaxChunkBytes  = 16 << 10 // a piece is never longer
+	MaxLeafBytes   = 512      // items that come to no more stand together in a leaf
+	MaxKeyBytes    = 4 << 10  // a key is never longer
+	MaxValueBytes  = 16 << 20 // a value is never longer
+	maxInlineBytes = 2 << 10  // longer values stand in chunks of their own
 )
 
 // The kinds of pieces. Each piece begins with its kind, so that no piece of one kind hashes as one of another.
 const (
-	kindLeaf  = 1 // items in the order of their places
-	kindNode  = 2 // which children there are, two bytes, big endian, the lowest bit for digit 0; then their names
-	kindChunk = 3 // a part of a value
-	kindList  = 4 // names of chunks, or of lists, in order
+	kindLeaf        = 1 // items in the order of their places
+	kindNode        = 2 // which children there are, two bytes, big endian, the lowest bit for digit 0; then their names
+	kindSegment     = 3 // a part of a value
+	kindSegmentList = 4 // names of chunks, or of lists, in order
 )
 
 // How an item's value stands in a leaf: its length and itself, or its length and the name of its chunk or list.
 const (
-	inline = 0
-	byName = 1
+	valueInline    = 0
+	valueSegmented = 1
 )
 
 // The tree's shape: each node looks at so many bits of a place, a byte being cut into whole digits.
 const (
-	digitBits = 4
-	fanOut    = 1 << digitBits
-	perByte   = 8 / digitBits
-	mostDepth = sha256.Size * perByte // digits of a place
+	digitBits     = 4
+	fanout        = 1 << digitBits
+	digitsPerByte = 8 / digitBits
+	maxDepth      = sha256.Size * digitsPerByte // digits of a place
 )
 
-// Name names a piece: SHA-256 of it (FIPS 180-4).
-type Name [sha256.Size]byte
+// Hash names a piece: SHA-256 of it (FIPS 180-4).
+type Hash [sha256.Size]byte
 
-// NameOf names a piece.
-func NameOf(piece []byte) Name { return sha256.Sum256(piece) }
+// HashOf names a piece.
+func HashOf(piece []byte) Hash { return sha256.Sum256(piece) }
 
 // String gives the name in hexadecimal.
-func (n Name) String() string { return hex.EncodeToString(n[:]) }
+func (n Hash) String() string { return hex.EncodeToString(n[:]) }
 
-// ParseName reads what String gives. The error is WrongName.
-func ParseName(s string) (Name, error) {
-	var n Name
+// ParseHash reads what String gives. The error is WrongName.
+func ParseHash(s string) (Hash, error) {
+	var n Hash
 	if len(s) != 2*len(n) {
-		return Name{}, WrongName{s}
+		return Hash{}, InvalidHashError{s}
 	}
 	if _, err := hex.Decode(n[:], []byte(s)); err != nil || n.String() != s {
-		return Name{}, WrongName{s}
+		return Hash{}, InvalidHashError{s}
 	}
 	return n, nil
 }
@@ -82,9 +82,9 @@
 
 // item is one as it stands in a leaf.
 type item struct {
-	key   string
-	value []byte // part of the leaf's piece, if it has no chunks
-	long  *long  // the chunks of its value; nil if it stands in the leaf
+	key       string
+	value     []byte          // part of the leaf's piece, if it has no chunks
+	segmented *segmentedValue // the chunks of its value; nil if it stands in the leaf
 }
 
 // groupBytes is how much of a place comes from its key's group.
@@ -92,8 +92,8 @@
 
 // place is where a key belongs: what its group hashes to, then what it hashes to itself. Its group is what stands before the first
 // slash, or all of it: what changes together lies together, and has most of its way from the root in common.
-func place(key string) Name {
-	n := Name(sha256.Sum256([]byte(key)))
+func place(key string) Hash {
+	n := Hash(sha256.Sum256([]byte(key)))
 	if group, _, ok := strings.Cut(key, "/"); ok {
 		g := sha256.Sum256([]byte(group))
 		copy(n[:groupBytes], g[:])
@@ -102,15 +102,15 @@
 }
 
 // digit is the part of a place that a node at a depth looks at.
-func (n *Name) digit(depth int) int {
-	return int(n[depth/perByte]>>(digitBits*(perByte-1-depth%perByte))) & (fanOut - 1)
+func (n *Hash) digit(depth int) int {
+	return int(n[depth/digitsPerByte]>>(digitBits*(digitsPerByte-1-depth%digitsPerByte))) & (fanout - 1)
 }
 
 // bytes is what an item comes to in a leaf.
 func (i *item) bytes() int {
 	n := uvarintLen(len(i.key)) + len(i.key) + 1
-	if i.long != nil {
-		return n + uvarintLen(i.long.total) + sha256.Size
+	if i.segmented != nil {
+		return n + uvarintLen(i.segmented.total) + sha256.Size
 	}
 	return n + uvarintLen(len(i.value)) + len(i.value)
 }
@@ -120,39 +120,39 @@
 func (i *item) append(to []byte) []byte {
 	to = binary.AppendUvarint(to, uint64(len(i.key)))
 	to = append(to, i.key...)
-	if i.long != nil {
-		to = append(to, byName)
-		to = binary.AppendUvarint(to, uint64(i.long.total))
-		return append(to, i.long.top[:]...)
+	if i.segmented != nil {
+		to = append(to, valueSegmented)
+		to = binary.AppendUvarint(to, uint64(i.segmented.total))
+		return append(to, i.segmented.root[:]...)
 	}
-	to = append(to, inline)
+	to = append(to, valueInline)
 	to = binary.AppendUvarint(to, uint64(len(i.value)))
 	return append(to, i.value...)
 }
 
 func (i *item) equal(o *item) bool {
-	if i.long != nil || o.long != nil {
-		return i.long != nil && o.long != nil && i.long.top == o.long.top && i.long.total == o.long.total
+	if i.segmented != nil || o.segmented != nil {
+		return i.segmented != nil && o.segmented != nil && i.segmented.root == o.segmented.root && i.segmented.total == o.segmented.total
 	}
 	return bytes.Equal(i.value, o.value)
 }
 
 func (i *item) whole() []byte {
-	if i.long != nil {
-		return i.long.value()
+	if i.segmented != nil {
+		return i.segmented.value()
 	}
 	return i.value
 }
 
 // node is a subtree. Nothing changes it.
 type node struct {
-	name  Name
-	piece []byte
-	items []item         // of a leaf
-	kids  *[fanOut]*node // of a node; nil where there is none
-	count int            // items below
-	bytes int            // that they come to in leaves
-	size  int            // of all pieces below and this one
+	hash     Hash
+	chunk    []byte
+	items    []item         // of a leaf
+	children *[fanout]*node // of a node; nil where there is none
+	count    int            // items below
+	bytes    int            // that they come to in leaves
+	size     int            // of all pieces below and this one
 }
 
 // Tree is content in pieces. Any number of goroutines may use it.
@@ -160,64 +160,64 @@
 	top *node
 
 	once  sync.Once
-	index map[Name][]byte
+	index map[Hash][]byte
 }
 
-// leafOf makes a leaf of items in order.
-func leafOf(items []item) *node {
+// newLeaf makes a leaf of items in order.
+func newLeaf(items []item) *node {
 	n := &node{count: len(items)}
 	for i := range items {
 		n.bytes += items[i].bytes()
 	}
-	n.piece = make([]byte, 1, 1+n.bytes)
-	n.piece[0] = kindLeaf
+	n.chunk = make([]byte, 1, 1+n.bytes)
+	n.chunk[0] = kindLeaf
 	n.items = slices.Clone(items)
 	for i := range n.items {
 		it := &n.items[i]
-		n.piece = it.append(n.piece)
-		if it.long != nil {
-			n.size += it.long.size
+		n.chunk = it.append(n.chunk)
+		if it.segmented != nil {
+			n.size += it.segmented.size
 		} else {
-			end := len(n.piece)
-			it.value = n.piece[end-len(it.value) : end : end] // held once
+			end := len(n.chunk)
+			it.value = n.chunk[end-len(it.value) : end : end] // held once
 		}
 	}
-	n.size += len(n.piece)
-	n.name = NameOf(n.piece)
+	n.size += len(n.chunk)
+	n.hash = HashOf(n.chunk)
 	return n
 }
 
-// nodeOf makes a node of children.
-func nodeOf(kids *[fanOut]*node) *node {
-	n := &node{kids: kids}
+// newNode makes a node of children.
+func newNode(kids *[fanout]*node) *node {
+	n := &node{children: kids}
 	var there uint16
-	names := make([]byte, 3, 3+fanOut*sha256.Size)
+	names := make([]byte, 3, 3+fanout*sha256.Size)
 	for i, k := range kids {
 		if k != nil {
 			there |= 1 << i
-			names = append(names, k.name[:]...)
+			names = append(names, k.hash[:]...)
 			n.count, n.bytes, n.size = n.count+k.count, n.bytes+k.bytes, n.size+k.size
 		}
 	}
 	names[0] = kindNode
 	binary.BigEndian.PutUint16(names[1:], there)
-	n.piece = slices.Clip(names)
-	n.size += len(n.piece)
-	n.name = NameOf(n.piece)
+	n.chunk = slices.Clip(names)
+	n.size += len(n.chunk)
+	n.hash = HashOf(n.chunk)
 	return n
 }
 
 // isLeaf tells whether so many items that come to so many bytes stand in a leaf.
-func isLeaf(count, size int) bool { return count <= 1 || size <= LeafBytes }
+func isLeaf(count, size int) bool { return count <= 1 || size <= MaxLeafBytes }
 
 // change is what becomes of a key: an item, or none.
 type change struct {
-	at   Name
+	at   Hash
 	item *item
 }
 
-// grow makes the subtree of items in order, all of which belong below a node at that depth.
-func grow(all []change, depth int) *node {
+// buildSubtree makes the subtree of items in order, all of which belong below a node at that depth.
+func buildSubtree(all []change, depth int) *node {
 	if len(all) == 0 {
 		return nil
 	}
@@ -230,13 +230,13 @@
 		for i := range all {
 			items[i] = *all[i].item
 		}
-		return leafOf(items)
+		return newLeaf(items)
 	}
-	kids := new([fanOut]*node)
+	kids := new([fanout]*node)
 	for part := range parts(all, depth) {
-		kids[part[0].at.digit(depth)] = grow(part, depth+1)
+		kids[part[0].at.digit(depth)] = buildSubtree(part, depth+1)
 	}
-	return nodeOf(kids)
+	return newNode(kids)
 }
 
 // parts cuts changes in order by the digit at a depth.
@@ -261,8 +261,8 @@
 	case len(changes) == 0:
 		return n
 	case n == nil:
-		return grow(slices.DeleteFunc(slices.Clone(changes), func(c change) bool { return c.item == nil }), depth)
-	case n.kids == nil:
+		return buildSubtree(slices.DeleteFunc(slices.Clone(changes), func(c change) bool { return c.item == nil }), depth)
+	case n.children == nil:
 		var all []change
 		for i := range n.items {
 			at := place(n.items[i].key)
@@ -276,18 +276,18 @@
 			}
 		}
 		all = append(all, changes...)
-		out := grow(slices.DeleteFunc(all, func(c change) bool { return c.item == nil }), depth)
-		if out != nil && out.name == n.name {
+		out := buildSubtree(slices.DeleteFunc(all, func(c change) bool { return c.item == nil }), depth)
+		if out != nil && out.hash == n.hash {
 			return n
 		}
 		return out
 	}
-	kids := *n.kids
+	kids := *n.children
 	same, count, size := true, 0, 0
 	for part := range parts(changes, depth) {
 		k := part[0].at.digit(depth)
-		kids[k] = n.kids[k].edit(part, depth+1)
-		same = same && kids[k] == n.kids[k]
+		kids[k] = n.children[k].edit(part, depth+1)
+		same = same && kids[k] == n.children[k]
 	}
 	if same {
 		return n
@@ -305,9 +305,9 @@
 		for _, k := range kids {
 			k.each(func(i *item) bool { items = append(items, *i); return true })
 		}
-		return leafOf(items)
+		return newLeaf(items)
 	}
-	return nodeOf(&kids)
+	return newNode(&kids)
 }
 
 // each goes through all items below in order, until yield says no.
@@ -320,8 +320,8 @@
 			return false
 		}
 	}
-	if n.kids != nil {
-		for _, k := range n.kids {
+	if n.children != nil {
+		for _, k := range n.children {
 			if !k.each(yield) {
 				return false
 			}
@@ -336,8 +336,8 @@
 		return nil
 	}
 	n, at := t.top, place(key)
-	for depth := 0; n != nil && n.kids != nil; depth++ {
-		n = n.kids[at.digit(depth)]
+	for depth := 0; n != nil && n.children != nil; depth++ {
+		n = n.children[at.digit(depth)]
 	}
 	if n == nil {
 		return nil
@@ -350,11 +350,11 @@
 	return nil
 }
 
-var empty = leafOf(nil)
+var emptyLeaf = newLeaf(nil)
 
 func treeOf(top *node) *Tree {
 	if top == nil {
-		top = empty
+		top = emptyLeaf
 	}
 	return &Tree{top: top}
 }
@@ -367,17 +367,17 @@
 func (t *Tree) With(set []Item, removed []string) (*Tree, error) {
 	changes := make([]change, 0, len(set)+len(removed))
 	for _, i := range set {
-		if len(i.Key) > MostKey {
-			return nil, TooLong{"key", i.Key[:64] + "...", len(i.Key), MostKey}
+		if len(i.Key) > MaxKeyBytes {
+			return nil, TooLongError{"key", i.Key[:64] + "...", len(i.Key), MaxKeyBytes}
 		}
-		if len(i.Value) > MostValue {
-			return nil, TooLong{"value", i.Key, len(i.Value), MostValue}
+		if len(i.Value) > MaxValueBytes {
+			return nil, TooLongError{"value", i.Key, len(i.Value), MaxValueBytes}
 		}
 		it := &item{key: i.Key, value: i.Value}
-		if len(i.Value) > mostInline {
-			it.value, it.long = nil, cut(i.Value)
+		if len(i.Value) > maxInlineBytes {
+			it.value, it.segmented = nil, splitValue(i.Value)
 			if old := t.find(i.Key); old != nil && old.equal(it) {
-				it.long = old.long
+				it.segmented = old.segmented
 			}
 		}
 		changes = append(changes, change{place(i.Key), it})
@@ -388,7 +388,7 @@
 	slices.SortFunc(changes, func(a, b change) int { return bytes.Compare(a.at[:], b.at[:]) })
 	for i := 1; i < len(changes); i++ {
 		if changes[i].at == changes[i-1].at {
-			return nil, Twice{cmp.Or(changes[i].item, changes[i-1].item, &item{}).key}
+			return nil, DuplicateKeyError{cmp.Or(changes[i].item, changes[i-1].item, &item{}).key}
 		}
 	}
 	top := t.top
@@ -403,7 +403,7 @@
 }
 
 // Root names the whole content.
-func (t *Tree) Root() Name { return t.top.name }
+func (t *Tree) Root() Hash { return t.top.hash }
 
 // Len is how many items there are.
 func (t *Tree) Len() int { return t.top.count }
@@ -427,14 +427,14 @@
 	}
 }
 
-// Pieces gives all pieces with their names, each once and after the one that names it.
-func (t *Tree) Pieces() iter.Seq2[Name, []byte] { return t.Lacks(nil) }
+// Chunks gives all pieces with their names, each once and after the one that names it.
+func (t *Tree) Chunks() iter.Seq2[Hash, []byte] { return t.ChunksNotIn(nil) }
 
-// Piece gives a piece by its name. The first call on a tree makes an index of all its pieces.
-func (t *Tree) Piece(n Name) ([]byte, bool) {
+// Chunk gives a piece by its name. The first call on a tree makes an index of all its pieces.
+func (t *Tree) Chunk(n Hash) ([]byte, bool) {
 	t.once.Do(func() {
-		t.index = map[Name][]byte{}
-		for name, piece := range t.Pieces() {
+		t.index = map[Hash][]byte{}
+		for name, piece := range t.Chunks() {
 			t.index[name] = piece
 		}
 	})
@@ -442,50 +442,50 @@
 	return piece, there
 }
 
-// shadow is what a tree that is there already has below the same digit: of a leaf itself, for what stood in a leaf may stand
+// counterpart is what a tree that is there already has below the same digit: of a leaf itself, for what stood in a leaf may stand
 // in one further down now.
-func (n *node) shadow(digit int) *node {
-	if n == nil || n.kids == nil {
+func (n *node) counterpart(digit int) *node {
+	if n == nil || n.children == nil {
 		return n
 	}
-	return n.kids[digit]
+	return n.children[digit]
 }
 
-// Lacks gives the pieces that one who has another tree lacks, each after the one that names it; nil is a tree with nothing. An
+// ChunksNotIn gives the pieces that one who has another tree lacks, each after the one that names it; nil is a tree with nothing. An
 // Assembly on that tree wants just these, in this order. It costs what differs.
-func (t *Tree) Lacks(has *Tree) iter.Seq2[Name, []byte] {
-	return func(yield func(Name, []byte) bool) {
-		told := map[Name]bool{} // chunks: one may stand in several places
+func (t *Tree) ChunksNotIn(has *Tree) iter.Seq2[Hash, []byte] {
+	return func(yield func(Hash, []byte) bool) {
+		told := map[Hash]bool{} // chunks: one may stand in several places
 		var walk func(n, h *node) bool
 		walk = func(n, h *node) bool {
-			if n == nil || h != nil && h.name == n.name {
+			if n == nil || h != nil && h.hash == n.hash {
 				return true
 			}
-			if !yield(n.name, n.piece) {
+			if !yield(n.hash, n.chunk) {
 				return false
 			}
 			for i := range n.items {
 				it := &n.items[i]
-				if it.long == nil {
+				if it.segmented == nil {
 					continue
 				}
-				var old map[Name][]byte
+				var old map[Hash][]byte
 				if o := has.find(it.key); o != nil {
-					old = o.long.byName()
+					old = o.segmented.byHash()
 				}
-				for _, p := range it.long.pieces {
-					if _, there := old[p.name]; there || told[p.name] {
+				for _, p := range it.segmented.chunks {
+					if _, there := old[p.hash]; there || told[p.hash] {
 						continue
 					}
-					told[p.name] = true
-					if !yield(p.name, p.piece) {
+					told[p.hash] = true
+					if !yield(p.hash, p.data) {
 						return false
 					}
 				}
 			}
-			if n.kids != nil {
-				for i, k := range n.kids {
-					if !walk(k, h.shadow(i)) {
+			if n.children != nil {
+				for i, k := range n.children {
+					if !walk(k, h.counterpart(i)) {
 						return false
 					}
 				}
@@ -506,11 +506,11 @@
 	var walk func(a, b *node)
 	walk = func(a, b *node) {
 		switch {
-		case a == b || a != nil && b != nil && a.name == b.name:
+		case a == b || a != nil && b != nil && a.hash == b.hash:
 			return
-		case a != nil && b != nil && a.kids != nil && b.kids != nil:
-			for i := range a.kids {
-				walk(a.kids[i], b.kids[i])
+		case a != nil && b != nil && a.children != nil && b.children != nil:
+			for i := range a.children {
+				walk(a.children[i], b.children[i])
 			}
 			return
 		}
--- a/internal/policy/merkle/pieces_test.go
+++ b/internal/policy/merkle/pieces_test.go
@@ -23,7 +23,7 @@
 	n := d.IntN(200)
 	switch d.IntN(40) {
 	case 0:
-		n = mostInline - 1 + d.IntN(3)
+		n = maxInlineBytes - 1 + d.IntN(3)
 	case 1:
 		n = d.IntN(60 << 10)
 	case 2:
@@ -85,7 +85,7 @@
 			return fmt.Sprintf("%q is wrong or not there", key)
 		}
 	}
-	last := Name{}
+	last := Hash{}
 	for i := range t.Items() {
 		if at := place(i.Key); bytes.Compare(last[:], at[:]) >= 0 || !bytes.Equal(content[i.Key], i.Value) {
 			return fmt.Sprintf("%q is out of order or wrong", i.Key)
@@ -93,14 +93,14 @@
 			last = at
 		}
 	}
-	size, seen := 0, map[Name]bool{}
-	for n, piece := range t.Pieces() {
+	size, seen := 0, map[Hash]bool{}
+	for n, piece := range t.Chunks() {
 		size += len(piece)
-		if len(piece) > MostPiece || NameOf(piece) != n || seen[n] {
+		if len(piece) > MaxChunkBytes || HashOf(piece) != n || seen[n] {
 			return fmt.Sprintf("piece %v of %d bytes is too long, comes twice, or has another name", n, len(piece))
 		}
 		seen[n] = true
-		if got, there := t.Piece(n); !there || !bytes.Equal(got, piece) {
+		if got, there := t.Chunk(n); !there || !bytes.Equal(got, piece) {
 			return fmt.Sprintf("piece %v isn't found by its name", n)
 		}
 	}
@@ -144,8 +144,8 @@
 			}
 			// Just what one lacks is wanted, in the order in which it is told.
 			for _, has := range []*Tree{nil, now, treeOf(nil)} {
-				as := Assemble(next.Root(), has)
-				for n, piece := range next.Lacks(has) {
+				as := NewAssembly(next.Root(), has)
+				for n, piece := range next.ChunksNotIn(has) {
 					if err := as.Add(piece); err != nil {
 						t.Fatalf("seed %d, step %d: %v: %v", seed, step, n, err)
 					}
@@ -164,26 +164,26 @@
 }
 
 func TestErrorsSayWhatToDo(t *testing.T) {
-	_, long := Build([]Item{{string(make([]byte, MostKey+1)), nil}})
-	_, value := Build([]Item{{"k", make([]byte, MostValue+1)}})
+	_, long := Build([]Item{{string(make([]byte, MaxKeyBytes+1)), nil}})
+	_, value := Build([]Item{{"k", make([]byte, MaxValueBytes+1)}})
 	_, twice := Build([]Item{{"k", nil}, {"k", nil}})
-	_, name := ParseName("x")
+	_, name := ParseHash("x")
 	one, err := Build([]Item{{"k", nil}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := Assemble(one.Root(), nil)
+	a := NewAssembly(one.Root(), nil)
 	_, missing := a.Tree()
 	wrong := a.Add([]byte("x"))
-	bad := NameOf([]byte("x"))
-	malformed := Assemble(bad, nil).Add([]byte("x"))
-	for err, as := range map[error]any{long: new(TooLong), value: new(TooLong), twice: new(Twice), name: new(WrongName),
-		missing: new(Incomplete), wrong: new(WrongPiece), malformed: new(Malformed)} {
+	bad := HashOf([]byte("x"))
+	malformed := NewAssembly(bad, nil).Add([]byte("x"))
+	for err, as := range map[error]any{long: new(TooLongError), value: new(TooLongError), twice: new(DuplicateKeyError), name: new(InvalidHashError),
+		missing: new(IncompleteError), wrong: new(UnexpectedChunkError), malformed: new(MalformedChunkError)} {
 		if err == nil || !errors.As(err, as) || operatorerror.Of(err) == "" {
 			t.Errorf("%v is no %T, or says nothing", err, as)
 		}
 	}
-	if n, err := ParseName(bad.String()); err != nil || n != bad {
+	if n, err := ParseHash(bad.String()); err != nil || n != bad {
 		t.Errorf("%v reads back as %v: %v", bad, n, err)
 	}
 }
--- a/internal/policy/namespace/bench_test.go
+++ b/internal/policy/namespace/bench_test.go
@@ -10,7 +10,7 @@
 // fleet is a charter of so many teams with so many rules each, and their files. Operations has a rule over everything; each
 // team has a host of its own, and a part of a host that all share, by tenant; every tenth one delegates to the next.
 // Changed teams also write a route that their giver or their delegate has in another way.
-func fleet(tb testing.TB, teams, rules, changed int, nowhere bool) (*Charter, []*Namespace, []*Namespace) {
+func fleet(tb testing.TB, teams, rules, changed int, nowhere bool) (*Declaration, []*File, []*File) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "version = 1\n[[budget]]\nname = \"attempts\"\nwhole = %d\n[[namespace]]\nname = \"operations\"\nowner = \"o\"\nbudgets = [\"*\"]\nzones = [\"*\"]\n"+
 		"settings = [\"route\", \"block\", \"budget\", \"order\", \"service\", \"staleness\"]\n", teams*100)
@@ -23,19 +23,19 @@
 			fmt.Fprintf(&text, "[[delegation]]\nfrom = \"team-%d\"\nto = \"team-%d\"\nhosts = [\"team-%d.org\"]\npath_prefixes = [\"/lent\"]\nsettings = [\"route\"]\n", i, i+1, i)
 		}
 	}
-	c, err := ParseCharter("charter.toml", []byte(text.String()))
+	c, err := ParseDeclaration("charter.toml", []byte(text.String()))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	file := func(name string, number int, body string) *Namespace {
+	file := func(name string, number int, body string) *File {
 		n, err := Parse(name, []byte(fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n%s", name, number, body)))
 		if err != nil {
 			tb.Fatal(err)
 		}
 		return n
 	}
-	all := []*Namespace{file("operations", 1, "[[service]]\nname = \"s\"\n[[route]]\nname = \"all\"\nto = [{ service = \"s\" }]\n[[route]]\nname = \"health\"\npath = \"/health\"\nto = [{ service = \"s\" }]\n")}
-	var next []*Namespace
+	all := []*File{file("operations", 1, "[[service]]\nname = \"s\"\n[[route]]\nname = \"all\"\nto = [{ service = \"s\" }]\n[[route]]\nname = \"health\"\npath = \"/health\"\nto = [{ service = \"s\" }]\n")}
+	var next []*File
 	for i := range teams {
 		var b strings.Builder
 		fmt.Fprintf(&b, "[[service]]\nname = \"s%d\"\n[[class]]\nname = \"class-%d\"\naim = \"1s\"\n[[budget]]\nname = \"attempts\"\nmin = 50\n", i, i)
@@ -71,12 +71,12 @@
 func TestTheBenchedFleet(t *testing.T) {
 	c, all, next := fleet(t, 20, 40, 20, false)
 	first := Merge(c, nil, all)
-	if len(first.Held) > 0 || len(first.Conflicts) > 0 {
-		t.Fatalf("held %v, conflicts %v", first.Held, first.Conflicts)
+	if len(first.Withheld) > 0 || len(first.Conflicts) > 0 {
+		t.Fatalf("held %v, conflicts %v", first.Withheld, first.Conflicts)
 	}
-	out := Merge(c, first.Good, next)
-	if len(out.Held) != 2 || out.Held[0].Namespace != "team-0" || out.Held[1].Namespace != "team-10" {
-		t.Errorf("held %v", out.Held)
+	out := Merge(c, first.Accepted, next)
+	if len(out.Withheld) != 2 || out.Withheld[0].Namespace != "team-0" || out.Withheld[1].Namespace != "team-10" {
+		t.Errorf("held %v", out.Withheld)
 	}
 }
 
@@ -98,7 +98,7 @@
 			}
 			held := 0
 			for b.Loop() {
-				held = len(Merge(c, good, offered).Held)
+				held = len(Merge(c, good, offered).Withheld)
 			}
 			b.ReportMetric(float64(total), "rules")
 			b.ReportMetric(float64(held), "held")
@@ -108,47 +108,47 @@
 
 // across is two teams whose domains overlap by the charter's mistake, one with routes by path, the other by tenant: each
 // of one meets each of the other.
-func across(tb testing.TB, n int) (*Charter, []*Namespace) {
-	c, err := ParseCharter("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\nowner = \"a\"\nsettings = [\"route\", \"service\"]\n[[namespace]]\nname = \"b\"\nowner = \"b\"\nsettings = [\"route\", \"service\"]\n"))
+func across(tb testing.TB, n int) (*Declaration, []*File) {
+	c, err := ParseDeclaration("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\nowner = \"a\"\nsettings = [\"route\", \"service\"]\n[[namespace]]\nname = \"b\"\nowner = \"b\"\nsettings = [\"route\", \"service\"]\n"))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	a := &Namespace{Version: 1, Name: "a", Number: 1, Services: []Service{{Name: "s"}}}
-	b := &Namespace{Version: 1, Name: "b", Number: 1, Services: []Service{{Name: "r"}}}
+	a := &File{Version: 1, Name: "a", Number: 1, Services: []Service{{Name: "s"}}}
+	b := &File{Version: 1, Name: "b", Number: 1, Services: []Service{{Name: "r"}}}
 	for i := range n {
 		a.Routes = append(a.Routes, Route{Name: fmt.Sprint("r", i), Match: Match{Path: fmt.Sprint("/x/", i)}, To: []Target{{Service: "s"}}})
 		b.Routes = append(b.Routes, Route{Name: fmt.Sprint("r", i), Match: Match{Host: "*.org", Tenants: []string{fmt.Sprint("t", i)}}, To: []Target{{Service: "r"}}})
 	}
-	for _, x := range []*Namespace{a, b} {
+	for _, x := range []*File{a, b} {
 		if err := x.check(); err != nil {
 			tb.Fatal(err)
 		}
 	}
-	return c, []*Namespace{a, b}
+	return c, []*File{a, b}
 }
 
 // Two teams that conflict in millions of pairs stop nobody and fill no memory.
 func TestTeamsAcrossEachOther(t *testing.T) {
 	c, set := across(t, 100)
 	third := Merge(c, set[:1], set[1:])
-	if len(third.Held) != 1 || third.Held[0].Namespace != "b" || len(third.Policy.Routes) != 100 {
-		t.Errorf("%d held, %d routes", len(third.Held), len(third.Policy.Routes))
+	if len(third.Withheld) != 1 || third.Withheld[0].Namespace != "b" || len(third.Policy.Routes) != 100 {
+		t.Errorf("%d held, %d routes", len(third.Withheld), len(third.Policy.Routes))
 	}
-	if n := len(third.Conflicts); n > 101*mostWith || !slices.ContainsFunc(third.Conflicts, func(x Conflict) bool { return x.More }) {
+	if n := len(third.Conflicts); n > 101*maxConflictsPerRoute || !slices.ContainsFunc(third.Conflicts, func(x Conflict) bool { return x.More }) {
 		t.Errorf("%d conflicts listed", n)
 	}
 	// With neither changed, as after a slip of the charter, the last by the order loses its routes.
 	both := Merge(c, set, nil)
-	if len(both.Held) != 1 || both.Held[0].Namespace != "b" || len(both.Policy.Routes) != 100 || len(both.Good) != 2 {
-		t.Errorf("%v held, %d routes", len(both.Held), len(both.Policy.Routes))
+	if len(both.Withheld) != 1 || both.Withheld[0].Namespace != "b" || len(both.Policy.Routes) != 100 || len(both.Accepted) != 2 {
+		t.Errorf("%v held, %d routes", len(both.Withheld), len(both.Policy.Routes))
 	}
 }
 
 func BenchmarkAcross(b *testing.B) {
 	c, set := across(b, 5000)
 	for b.Loop() {
-		if out := Merge(c, set, nil); len(out.Held) != 1 {
-			b.Fatal(out.Held)
+		if out := Merge(c, set, nil); len(out.Withheld) != 1 {
+			b.Fatal(out.Withheld)
 		}
 	}
 }
--- a/internal/policy/namespace/charter.go
+++ b/internal/policy/namespace/charter.go
@@ -19,30 +19,30 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// Version is the form of charters and namespace files that this program reads.
-const Version = 1
+// FileVersion is the form of charters and namespace files that this program reads.
+const FileVersion = 1
 
-// Charter is who may speak over what.
-type Charter struct {
-	Version     int          `toml:"version"` // 1
-	Budgets     []Whole      `toml:"budget"`
-	Namespaces  []Holder     `toml:"namespace"`
-	Delegations []Delegation `toml:"delegation"`
+// Declaration is who may speak over what.
+type Declaration struct {
+	Version     int                 `toml:"version"` // 1
+	Quotas      []Quota             `toml:"budget"`
+	Namespaces  []DeclaredNamespace `toml:"namespace"`
+	Delegations []Delegation        `toml:"delegation"`
 
-	wholes map[string]int64
-	seats  map[string][]seat
-	given  map[string][]*Delegation // by whom they are to
-	depth  map[string]int
+	limits        map[string]int64
+	parts         map[string][]domainPart
+	delegationsTo map[string][]*Delegation // by whom they are to
+	depth         map[string]int
 }
 
-// Whole is a budget: how much of something the fleet has, in units that its name says.
-type Whole struct {
+// Quota is a budget: how much of something the fleet has, in units that its name says.
+type Quota struct {
 	Name  string `toml:"name"`
-	Whole int64  `toml:"whole"`
+	Limit int64  `toml:"whole"`
 }
 
-// Holder is a namespace with its team and its own domain. With no settings it has only what is delegated to it.
-type Holder struct {
+// DeclaredNamespace is a namespace with its team and its own domain. With no settings it has only what is delegated to it.
+type DeclaredNamespace struct {
 	Name  string `toml:"name"`
 	Owner string `toml:"owner"`
 	Domain
@@ -55,10 +55,10 @@
 	Domain
 }
 
-// seat is one part of a namespace's domain, with those whose delegations it came through; none for its own.
-type seat struct {
-	domain *Domain
-	above  []string
+// domainPart is one part of a namespace's domain, with those whose delegations it came through; none for its own.
+type domainPart struct {
+	domain     *Domain
+	delegators []string
 }
 
 // lines tells where each key of a TOML text stands, as "route[2].to" or "route[2]".
@@ -102,8 +102,8 @@
 	return out
 }
 
-// at is a mistake at a key. The line is the key's, or that of the table it should be in.
-func at(path string, where map[string]int, key string, err error) error {
+// keyError is a mistake at a key. The line is the key's, or that of the table it should be in.
+func keyError(path string, where map[string]int, key string, err error) error {
 	line, there := where[key]
 	if i := strings.LastIndexByte(key, '.'); !there && i >= 0 {
 		line = where[key[:i]]
@@ -126,10 +126,10 @@
 	return FileError{Path: path, Line: line, Err: errors.New(strings.TrimSpace(what))}
 }
 
-// ParseCharter reads a charter and checks it whole. Errors are FileError, with DelegationCircle, DelegationTooWide or
+// ParseDeclaration reads a charter and checks it whole. Errors are FileError, with DelegationCircle, DelegationTooWide or
 // UnknownNamespace within where it is one.
-func ParseCharter(path string, text []byte) (*Charter, error) {
-	c := &Charter{}
+func ParseDeclaration(path string, text []byte) (*Declaration, error) {
+	c := &Declaration{}
 	if err := decode(path, text, c); err != nil {
 		return nil, err
 	}
@@ -139,63 +139,63 @@
 	return c, nil
 }
 
-func (c *Charter) check(path string, where map[string]int) error {
+func (c *Declaration) check(path string, where map[string]int) error {
 	var errs []error
 	bad := func(wrong bool, key string, err error) {
 		if wrong {
-			errs = append(errs, at(path, where, key, err))
+			errs = append(errs, keyError(path, where, key, err))
 		}
 	}
-	bad(c.Version != Version, "version", fmt.Errorf("%d; this program reads %d", c.Version, Version))
-	c.wholes = map[string]int64{}
-	for i, b := range c.Budgets {
+	bad(c.Version != FileVersion, "version", fmt.Errorf("%d; this program reads %d", c.Version, FileVersion))
+	c.limits = map[string]int64{}
+	for i, b := range c.Quotas {
 		key := fmt.Sprintf("budget[%d]", i)
-		_, twice := c.wholes[b.Name]
+		_, twice := c.limits[b.Name]
 		bad(!strictconfig.PlainName(b.Name) || twice, key+".name", fmt.Errorf("%q: wanted small letters, digits and dashes, once", b.Name))
-		bad(b.Whole < 0, key+".whole", fmt.Errorf("%d is negative", b.Whole))
-		c.wholes[b.Name] = b.Whole
+		bad(b.Limit < 0, key+".whole", fmt.Errorf("%d is negative", b.Limit))
+		c.limits[b.Name] = b.Limit
 	}
-	c.seats, c.given, c.depth = map[string][]seat{}, map[string][]*Delegation{}, map[string]int{}
+	c.parts, c.delegationsTo, c.depth = map[string][]domainPart{}, map[string][]*Delegation{}, map[string]int{}
 	domain := func(key string, d *Domain) {
 		err := d.check()
 		bad(err != nil, key, err)
-		for _, name := range d.Budgets {
-			_, there := c.wholes[name]
+		for _, name := range d.Quotas {
+			_, there := c.limits[name]
 			bad(!there && name != "*", key+".budgets", fmt.Errorf("there is no budget %q", name))
 		}
 	}
 	for i := range c.Namespaces {
 		h := &c.Namespaces[i]
 		key := fmt.Sprintf("namespace[%d]", i)
-		_, twice := c.seats[h.Name]
+		_, twice := c.parts[h.Name]
 		bad(!strictconfig.PlainName(h.Name) || twice, key+".name", fmt.Errorf("%q: wanted small letters, digits and dashes, once", h.Name))
 		bad(h.Owner == "", key+".owner", errors.New("none is given"))
 		domain(key, &h.Domain)
-		c.seats[h.Name] = nil
+		c.parts[h.Name] = nil
 		if len(h.Settings) > 0 {
-			c.seats[h.Name] = []seat{{domain: &h.Domain}}
+			c.parts[h.Name] = []domainPart{{domain: &h.Domain}}
 		}
 	}
 	for i := range c.Delegations {
 		d := &c.Delegations[i]
 		key := fmt.Sprintf("delegation[%d]", i)
 		for k, name := range map[string]string{"from": d.From, "to": d.To} {
-			_, there := c.seats[name]
-			bad(!there, key+"."+k, UnknownNamespace{name})
+			_, there := c.parts[name]
+			bad(!there, key+"."+k, UnknownNamespaceError{name})
 		}
 		domain(key, &d.Domain)
-		c.given[d.To] = append(c.given[d.To], d)
+		c.delegationsTo[d.To] = append(c.delegationsTo[d.To], d)
 		bad(len(d.Settings) == 0, key+".settings", errors.New("none is given: nothing would be delegated"))
 	}
 	if len(errs) == 0 {
-		errs = c.seat(path, where)
+		errs = c.resolveDelegations(path, where)
 	}
 	slices.SortStableFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
 	return errors.Join(errs...)
 }
 
-// seat gives each namespace what is delegated to it, givers first: what a giver has must be known.
-func (c *Charter) seat(path string, where map[string]int) (errs []error) {
+// resolveDelegations gives each namespace what is delegated to it, givers first: what a giver has must be known.
+func (c *Declaration) resolveDelegations(path string, where map[string]int) (errs []error) {
 	done := make([]bool, len(c.Delegations))
 	for left := len(done); left > 0; {
 		waiting := map[string]bool{}
@@ -214,18 +214,18 @@
 			left--
 			what := "it has nothing"
 			fits := false
-			for _, s := range c.seats[d.From] {
+			for _, s := range c.parts[d.From] {
 				over, ok := d.within(s.domain)
 				if ok {
 					fits = true
-					c.seats[d.To] = append(c.seats[d.To], seat{&d.Domain, append(slices.Clone(s.above), d.From)})
+					c.parts[d.To] = append(c.parts[d.To], domainPart{&d.Domain, append(slices.Clone(s.delegators), d.From)})
 					c.depth[d.To] = max(c.depth[d.To], c.depth[d.From]+1)
 				} else {
 					what = over
 				}
 			}
 			if !fits {
-				errs = append(errs, at(path, where, fmt.Sprintf("delegation[%d]", i), DelegationTooWide{d.From, d.To, what}))
+				errs = append(errs, keyError(path, where, fmt.Sprintf("delegation[%d]", i), DelegationTooWideError{d.From, d.To, what}))
 			}
 		}
 		if left == before {
@@ -240,14 +240,14 @@
 				}
 			}
 			slices.Sort(through)
-			return append(errs, at(path, where, fmt.Sprintf("delegation[%d]", first), DelegationCircle{slices.Compact(through)}))
+			return append(errs, keyError(path, where, fmt.Sprintf("delegation[%d]", first), DelegationCycleError{slices.Compact(through)}))
 		}
 	}
 	return errs
 }
 
 // overlaps are the domains that meet with no delegation between their namespaces.
-func (c *Charter) overlaps() []Conflict {
+func (c *Declaration) overlaps() []Conflict {
 	var out []Conflict
 	for i := range c.Namespaces {
 		for k := range i {
@@ -257,9 +257,9 @@
 			}
 			all := map[string]bool{}
 			var q *route.Request
-			for _, x := range c.seats[a] {
-				for _, y := range c.seats[b] {
-					if slices.Contains(x.above, b) || slices.Contains(y.above, a) {
+			for _, x := range c.parts[a] {
+				for _, y := range c.parts[b] {
+					if slices.Contains(x.delegators, b) || slices.Contains(y.delegators, a) {
 						continue
 					}
 					settings, at := x.domain.meet(y.domain)
@@ -278,7 +278,7 @@
 						names = append(names, s)
 					}
 				}
-				out = append(out, Conflict{Kind: Overlap, Request: q,
+				out = append(out, Conflict{Kind: DomainOverlap, Request: q,
 					Rules: []Source{{Namespace: a, Rule: "charter"}, {Namespace: b, Rule: "charter"}}, Text: "both may set " + strings.Join(names, ", ")})
 			}
 		}
@@ -286,11 +286,11 @@
 	return out
 }
 
-// meet tells whether routes of two namespaces can be for one request at all.
-func (c *Charter) meet(a, b string) bool {
-	for _, x := range c.seats[a] {
-		for _, y := range c.seats[b] {
-			if !slices.Contains(x.domain.Settings, SetRoute) || !slices.Contains(y.domain.Settings, SetRoute) {
+// routesMayMeet tells whether routes of two namespaces can be for one request at all.
+func (c *Declaration) routesMayMeet(a, b string) bool {
+	for _, x := range c.parts[a] {
+		for _, y := range c.parts[b] {
+			if !slices.Contains(x.domain.Settings, SettingRoute) || !slices.Contains(y.domain.Settings, SettingRoute) {
 				continue
 			}
 			if _, ok := x.domain.meetRequests(y.domain); ok {
@@ -301,14 +301,14 @@
 	return false
 }
 
-// speaksUnder tells whether a rule of a namespace stands where the other delegated to it, straight or through others: each
+// delegated tells whether a rule of a namespace stands where the other delegated to it, straight or through others: each
 // delegation on the way has the whole rule and the setting. It ends, for delegations make no circle.
-func (c *Charter) speaksUnder(name, other, setting string, m *Match) bool {
-	for _, d := range c.given[name] {
+func (c *Declaration) delegated(name, other, setting string, m *Match) bool {
+	for _, d := range c.delegationsTo[name] {
 		if !slices.Contains(d.Settings, setting) {
 			continue
 		}
-		if _, ok := d.holds(m); ok && (d.From == other || c.speaksUnder(d.From, other, setting, m)) {
+		if _, ok := d.holds(m); ok && (d.From == other || c.delegated(d.From, other, setting, m)) {
 			return true
 		}
 	}
--- a/internal/policy/namespace/charter_test.go
+++ b/internal/policy/namespace/charter_test.go
@@ -49,7 +49,7 @@
 `
 
 func TestCharter(t *testing.T) {
-	c, err := ParseCharter("charter.toml", []byte(goodCharter))
+	c, err := ParseDeclaration("charter.toml", []byte(goodCharter))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,19 +61,19 @@
 	}
 	in := &Match{Host: "pay.kigali.example.org", Path: "/api/pay/x", Classes: []string{"payout"}}
 	for _, other := range []string{"dispatch", "operations"} {
-		if !c.speaksUnder("settlement", other, SetRoute, in) {
+		if !c.delegated("settlement", other, SettingRoute, in) {
 			t.Errorf("settlement does not speak under %s", other)
 		}
 	}
-	if c.speaksUnder("settlement", "dispatch", SetRoute, &Match{Host: "pay.kigali.example.org", PathPrefix: "/api"}) {
+	if c.delegated("settlement", "dispatch", SettingRoute, &Match{Host: "pay.kigali.example.org", PathPrefix: "/api"}) {
 		t.Error("settlement speaks for more than it was given")
 	}
 }
 
 func TestBadCharters(t *testing.T) {
-	var circle DelegationCircle
-	var wide DelegationTooWide
-	var unknown UnknownNamespace
+	var circle DelegationCycleError
+	var wide DelegationTooWideError
+	var unknown UnknownNamespaceError
 	for _, k := range []struct {
 		from, to, want string
 		as             any
@@ -97,7 +97,7 @@
 		if text == goodCharter {
 			t.Fatalf("%q is not in the text", k.from)
 		}
-		_, err := ParseCharter("charter.toml", []byte(text))
+		_, err := ParseDeclaration("charter.toml", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), k.want) {
 			t.Errorf("%s: %v, want %q", k.to, err, k.want)
 			continue
@@ -136,7 +136,7 @@
 		{`["/api/pay"]`, `["/apis"]`, "both may set order"},
 		{"zones = [\"1\"]\nsettings = [\"route\", \"order\"]\n[[", "zones = [\"2\"]\nsettings = [\"route\", \"order\"]\n[[", "both may set route"},
 	} {
-		c, err := ParseCharter("c", []byte(strings.Replace(text, k.from, k.to, 1)))
+		c, err := ParseDeclaration("c", []byte(strings.Replace(text, k.from, k.to, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/policy/namespace/conflict.go
+++ b/internal/policy/namespace/conflict.go
@@ -11,44 +11,44 @@
 	"lapisspread/internal/route"
 )
 
-// Kind is what is wrong between rules.
-type Kind string
+// ConflictKind is what is wrong between rules.
+type ConflictKind string
 
 // The kinds. Those of the first part hold a namespace back; those of the second are told and hold nobody.
 const (
-	Contradiction Kind = "contradiction" // one request matches two routes that lead apart, and no delegation says which goes first
-	Orders        Kind = "orders"        // a server shall be in and out at one moment
-	Minimums      Kind = "minimums"      // they come to more than the whole
-	CapUnderMin   Kind = "cap"           // a cap set by a giver is under the minimum
-	Removed       Kind = "removed"       // a route leads to a service that is not there
-	Said          Kind = "said twice"    // what one alone may say is said in two ways
-	Crowded       Kind = "crowded"       // all routes together are more than a table takes
-
-	Overlap   Kind = "overlap"   // domains meet with no delegation: the charter's affair; no rules may have met yet
-	Unmatched Kind = "unmatched" // a rule that nothing can come to
+	Contradiction          ConflictKind = "contradiction" // one request matches two routes that lead apart, and no delegation says which goes first
+	ContradictoryOverrides ConflictKind = "orders"        // a server shall be in and out at one moment
+	MinimumsExceedLimit    ConflictKind = "minimums"      // they come to more than the whole
+	CapBelowMinimum        ConflictKind = "cap"           // a cap set by a giver is under the minimum
+	ServiceRemoved         ConflictKind = "removed"       // a route leads to a service that is not there
+	InconsistentDefinition ConflictKind = "said twice"    // what one alone may say is said in two ways
+	TooManyCombinations    ConflictKind = "crowded"       // all routes together are more than a table takes
+
+	DomainOverlap   ConflictKind = "overlap"   // domains meet with no delegation: the charter's affair; no rules may have met yet
+	UnreachableRule ConflictKind = "unmatched" // a rule that nothing can come to
 )
 
-// Holds tells whether a conflict holds a namespace back.
-func (k Kind) Holds() bool { return k != Overlap && k != Unmatched }
+// Withholds tells whether a conflict holds a namespace back.
+func (k ConflictKind) Withholds() bool { return k != DomainOverlap && k != UnreachableRule }
 
 // Conflict is rules that don't go together.
 type Conflict struct {
-	Kind    Kind
-	Rules   []Source       // that have a part in it
-	Request *route.Request // that all these rules match, where the conflict is about requests
-	Moment  *time.Time     // at which orders contradict
-	Text    string
-	More    bool   // there are more like it between these two namespaces, which are not listed
-	Held    string // the namespace that was held back for it; empty is none
-	why     error
+	Kind     ConflictKind
+	Rules    []Source       // that have a part in it
+	Request  *route.Request // that all these rules match, where the conflict is about requests
+	Time     *time.Time     // at which orders contradict
+	Text     string
+	More     bool   // there are more like it between these two namespaces, which are not listed
+	Withheld string // the namespace that was held back for it; empty is none
+	cause    error
 }
 
 // Err is the conflict as an error with advice: MinimumsExceedWhole, or a Clash.
 func (c Conflict) Err() error {
-	if c.why != nil {
-		return c.why
+	if c.cause != nil {
+		return c.cause
 	}
-	return Clash{c}
+	return ConflictError{c}
 }
 
 func (c Conflict) String() string {
@@ -63,8 +63,8 @@
 	if c.More {
 		s += "; and more"
 	}
-	if c.Moment != nil {
-		s += "; as at " + c.Moment.Format(time.RFC3339)
+	if c.Time != nil {
+		s += "; as at " + c.Time.Format(time.RFC3339)
 	}
 	return s
 }
@@ -151,7 +151,7 @@
 				i, _ := slices.BinarySearch(t.names, s)
 				t.names = slices.Insert(t.names, i, s)
 			}
-			t = at0(t.below, s)
+			t = getOrCreate(t.below, s)
 		}
 	}
 	if p.exact {
@@ -201,7 +201,7 @@
 // index is rules by host, then path.
 type index map[string]*tree
 
-func (x index) add(m *Match, id int32) { at0(x, m.Host).add(m, id) }
+func (x index) add(m *Match, id int32) { getOrCreate(x, m.Host).add(m, id) }
 
 // outerHosts calls f for a pattern of hosts and each that it lies in.
 func outerHosts(host string, f func(string)) {
@@ -219,21 +219,21 @@
 	}
 }
 
-// mostWith is with how many routes of one namespace a route's conflicts are listed: two teams that write thousands of routes
+// maxConflictsPerRoute is with how many routes of one namespace a route's conflicts are listed: two teams that write thousands of routes
 // across each other's would else fill the memory.
-const mostWith = 8
+const maxConflictsPerRoute = 8
 
 // finder finds the conflicts of sets of namespaces under one charter. It keeps what it found of two files for the next set.
 type finder struct {
-	c       *Charter
+	c       *Declaration
 	was     map[string][]Source // who offered which service before
-	indexes map[*Namespace]index
-	pairs   map[[2]*Namespace][]Conflict
+	indexes map[*File]index
+	pairs   map[[2]*File][]Conflict
 	meets   map[[2]string]bool
 }
 
-func newFinder(c *Charter, before []*Namespace) *finder {
-	f := &finder{c, map[string][]Source{}, map[*Namespace]index{}, map[[2]*Namespace][]Conflict{}, map[[2]string]bool{}}
+func newFinder(c *Declaration, before []*File) *finder {
+	f := &finder{c, map[string][]Source{}, map[*File]index{}, map[[2]*File][]Conflict{}, map[[2]string]bool{}}
 	for _, n := range before {
 		for i := range n.Services {
 			if s := &n.Services[i]; !s.Removed {
@@ -245,7 +245,7 @@
 }
 
 // Check finds all conflicts of a set of namespaces, each of which keeps to its domain. Before is the set that held so far.
-func Check(c *Charter, before, set []*Namespace) []Conflict {
+func Check(c *Declaration, before, set []*File) []Conflict {
 	f := newFinder(c, before)
 	out := append(f.holding(set), f.telling(set)...)
 	sortConflicts(out)
@@ -259,14 +259,14 @@
 	})
 }
 
-func byName(set []*Namespace) []*Namespace {
+func byName(set []*File) []*File {
 	out := slices.Clone(set)
-	slices.SortFunc(out, func(a, b *Namespace) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b *File) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
 // holding finds the conflicts that hold a namespace back.
-func (f *finder) holding(set []*Namespace) []Conflict {
+func (f *finder) holding(set []*File) []Conflict {
 	set = byName(set)
 	var out []Conflict
 	for i, b := range set {
@@ -274,14 +274,14 @@
 			out = append(out, f.contradictions(a, b)...)
 		}
 	}
-	out = append(out, said(set)...)
-	out = append(out, orders(set)...)
+	out = append(out, inconsistentDefinitions(set)...)
+	out = append(out, contradictoryOverrides(set)...)
 	out = append(out, f.budgets(set)...)
-	out = append(out, crowded(set)...)
+	out = append(out, tooManyCombinations(set)...)
 	return append(out, f.removed(set)...)
 }
 
-func (f *finder) indexOf(n *Namespace) index {
+func (f *finder) indexOf(n *File) index {
 	x, there := f.indexes[n]
 	if !there {
 		x = index{}
@@ -294,31 +294,31 @@
 }
 
 // contradictions finds routes of two namespaces that meet and are not put in order by a delegation.
-func (f *finder) contradictions(a, b *Namespace) []Conflict {
+func (f *finder) contradictions(a, b *File) []Conflict {
 	names := [2]string{a.Name, b.Name}
 	meet, known := f.meets[names]
 	if !known {
-		meet = f.c.meet(a.Name, b.Name)
+		meet = f.c.routesMayMeet(a.Name, b.Name)
 		f.meets[names] = meet
 	}
 	if !meet {
 		return nil
 	}
-	key := [2]*Namespace{a, b}
+	key := [2]*File{a, b}
 	if found, there := f.pairs[key]; there {
 		return found
 	}
 	var out []Conflict
 	// Each pair is met once: at the host of the inner one. Where the hosts differ the inner one goes first, so a delegation to it
 	// settles all pairs at once; this is what keeps a rule over everything from being compared with each rule under it.
-	half := func(inner, outer *Namespace, strict bool) {
+	half := func(inner, outer *File, strict bool) {
 		x := f.indexOf(outer)
 		for i := range inner.Routes {
 			r := &inner.Routes[i]
-			under := f.c.speaksUnder(inner.Name, outer.Name, SetRoute, &r.Match)
+			under := f.c.delegated(inner.Name, outer.Name, SettingRoute, &r.Match)
 			var with []int32
 			outerHosts(r.Host, func(host string) {
-				if strict && host == r.Host || under && host != r.Host || len(with) == mostWith {
+				if strict && host == r.Host || under && host != r.Host || len(with) == maxConflictsPerRoute {
 					return
 				}
 				t := x[host]
@@ -331,7 +331,7 @@
 						return true
 					}
 					with = append(with, id)
-					c.More = len(with) == mostWith
+					c.More = len(with) == maxConflictsPerRoute
 					out = append(out, c)
 					return !c.More
 				})
@@ -345,7 +345,7 @@
 }
 
 // contradict looks at one route of each of two namespaces; under tells whether x stands in what o's delegated.
-func (f *finder) contradict(xn, on *Namespace, x, o *Route, under bool) (Conflict, bool) {
+func (f *finder) contradict(xn, on *File, x, o *Route, under bool) (Conflict, bool) {
 	q, meet := x.Match.meet(&o.Match)
 	if !meet {
 		return Conflict{}, false
@@ -358,9 +358,9 @@
 		text = "neither goes before the other"
 	case x.leadsAs(o):
 		return Conflict{}, false
-	case first > 0 && under || first < 0 && f.c.speaksUnder(on.Name, xn.Name, SetRoute, &o.Match):
+	case first > 0 && under || first < 0 && f.c.delegated(on.Name, xn.Name, SettingRoute, &o.Match):
 		return Conflict{}, false
-	case first < 0 && under || first > 0 && f.c.speaksUnder(on.Name, xn.Name, SetRoute, &o.Match):
+	case first < 0 && under || first > 0 && f.c.delegated(on.Name, xn.Name, SettingRoute, &o.Match):
 		text = "they lead apart, and the giver's goes before that of the namespace it delegated to"
 	}
 	return Conflict{Kind: Contradiction, Rules: sources(xn.source(x.id()), on.source(o.id())), Request: &q, Text: text}, true
@@ -377,8 +377,8 @@
 		slices.EqualFunc(r.To, o.To, func(a, b Target) bool { return a.Service == b.Service && *a.Weight == *b.Weight })
 }
 
-// said finds services, and worths of classes, that two namespaces give differently.
-func said(set []*Namespace) []Conflict {
+// inconsistentDefinitions finds services, and worths of classes, that two namespaces give differently.
+func inconsistentDefinitions(set []*File) []Conflict {
 	type statement struct {
 		from Source
 		text string
@@ -387,11 +387,11 @@
 	for _, n := range set {
 		for i := range n.Services {
 			id := n.Services[i].id()
-			all[id] = append(all[id], statement{n.source(id), n.text[id]})
+			all[id] = append(all[id], statement{n.source(id), n.ruleTexts[id]})
 		}
 		for i := range n.Classes {
-			if c := &n.Classes[i]; c.Worth != nil {
-				all[c.id()] = append(all[c.id()], statement{n.source(c.id()), fmt.Sprintf("worth %v", *c.Worth)})
+			if c := &n.Classes[i]; c.PriorityWeight != nil {
+				all[c.id()] = append(all[c.id()], statement{n.source(c.id()), fmt.Sprintf("worth %v", *c.PriorityWeight)})
 			}
 		}
 	}
@@ -400,7 +400,7 @@
 		for i, b := range all[id] {
 			for _, a := range all[id][:i] {
 				if a.text != b.text {
-					out = append(out, Conflict{Kind: Said, Rules: sources(a.from, b.from), Text: fmt.Sprintf("%s and %s", a.text, b.text)})
+					out = append(out, Conflict{Kind: InconsistentDefinition, Rules: sources(a.from, b.from), Text: fmt.Sprintf("%s and %s", a.text, b.text)})
 				}
 			}
 		}
@@ -408,24 +408,24 @@
 	return out
 }
 
-// orders finds orders for one server that contradict at one moment.
-func orders(set []*Namespace) []Conflict {
+// contradictoryOverrides finds orders for one server that contradict at one moment.
+func contradictoryOverrides(set []*File) []Conflict {
 	type one struct {
-		n *Namespace
-		o *Order
+		n *File
+		o *Override
 	}
 	by := map[string][]one{}
 	for _, n := range set {
-		for i := range n.Orders {
-			by[n.Orders[i].Server] = append(by[n.Orders[i].Server], one{n, &n.Orders[i]})
+		for i := range n.Overrides {
+			by[n.Overrides[i].Server] = append(by[n.Overrides[i].Server], one{n, &n.Overrides[i]})
 		}
 	}
 	var out []Conflict
 	for _, server := range slices.Sorted(maps.Keys(by)) {
 		for i, b := range by[server] {
 			for _, a := range by[server][:i] {
-				if moment, against := a.o.against(b.o); against {
-					out = append(out, Conflict{Kind: Orders, Rules: sources(a.n.source(a.o.id()), b.n.source(b.o.id())), Moment: &moment,
+				if moment, against := a.o.contradicts(b.o); against {
+					out = append(out, Conflict{Kind: ContradictoryOverrides, Rules: sources(a.n.source(a.o.id()), b.n.source(b.o.id())), Time: &moment,
 						Text: "server " + server + " shall be in and out"})
 				}
 			}
@@ -435,7 +435,7 @@
 }
 
 // budgets finds minimums that come to more than the whole, and caps under a minimum.
-func (f *finder) budgets(set []*Namespace) []Conflict {
+func (f *finder) budgets(set []*File) []Conflict {
 	sums, parts := map[string]int64{}, map[string][]Source{}
 	type limit struct {
 		from Source
@@ -443,30 +443,30 @@
 	}
 	caps := map[[2]string][]limit{}
 	for _, n := range set {
-		for i := range n.Budgets {
-			b := &n.Budgets[i]
-			if b.For != "" {
-				caps[[2]string{b.Budget, b.For}] = append(caps[[2]string{b.Budget, b.For}], limit{n.source(b.id()), b.Cap})
+		for i := range n.Quotas {
+			b := &n.Quotas[i]
+			if b.Namespace != "" {
+				caps[[2]string{b.Quota, b.Namespace}] = append(caps[[2]string{b.Quota, b.Namespace}], limit{n.source(b.id()), b.Cap})
 			}
 			if b.Min > 0 {
-				sums[b.Budget] += b.Min
-				parts[b.Budget] = append(parts[b.Budget], n.source(b.id()))
+				sums[b.Quota] += b.Min
+				parts[b.Quota] = append(parts[b.Quota], n.source(b.id()))
 			}
 		}
 	}
 	var out []Conflict
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
-		if whole := f.c.wholes[name]; sums[name] > whole {
-			why := MinimumsExceedWhole{name, sums[name], whole}
-			out = append(out, Conflict{Kind: Minimums, Rules: sources(parts[name]...), Text: why.Error(), why: why})
+		if whole := f.c.limits[name]; sums[name] > whole {
+			why := MinimumsExceedLimitError{name, sums[name], whole}
+			out = append(out, Conflict{Kind: MinimumsExceedLimit, Rules: sources(parts[name]...), Text: why.Error(), cause: why})
 		}
 	}
 	for _, n := range set {
-		for i := range n.Budgets {
-			b := &n.Budgets[i]
-			for _, l := range caps[[2]string{b.Budget, n.Name}] {
-				if b.For == "" && l.cap > 0 && l.cap < b.Min {
-					out = append(out, Conflict{Kind: CapUnderMin, Rules: sources(l.from, n.source(b.id())),
+		for i := range n.Quotas {
+			b := &n.Quotas[i]
+			for _, l := range caps[[2]string{b.Quota, n.Name}] {
+				if b.Namespace == "" && l.cap > 0 && l.cap < b.Min {
+					out = append(out, Conflict{Kind: CapBelowMinimum, Rules: sources(l.from, n.source(b.id())),
 						Text: fmt.Sprintf("cap %d is under minimum %d", l.cap, b.Min)})
 				}
 			}
@@ -475,13 +475,13 @@
 	return out
 }
 
-// mostCombinations of methods, classes and tenants may all routes come to. It is well under what package route takes.
-const mostCombinations = 400_000
+// maxCombinations of methods, classes and tenants may all routes come to. It is well under what package route takes.
+const maxCombinations = 400_000
 
 // allRoutes stands for all routes of a namespace in a conflict.
 const allRoutes = "all routes"
 
-func (n *Namespace) combinations() int {
+func (n *File) combinations() int {
 	sum := 0
 	for i := range n.Routes {
 		r := &n.Routes[i]
@@ -490,8 +490,8 @@
 	return sum
 }
 
-// crowded finds that all routes together would not compile: each file is small enough by itself.
-func crowded(set []*Namespace) []Conflict {
+// tooManyCombinations finds that all routes together would not compile: each file is small enough by itself.
+func tooManyCombinations(set []*File) []Conflict {
 	sum := 0
 	var parts []Source
 	for _, n := range set {
@@ -500,15 +500,15 @@
 			parts = append(parts, n.source(allRoutes))
 		}
 	}
-	if sum <= mostCombinations {
+	if sum <= maxCombinations {
 		return nil
 	}
-	return []Conflict{{Kind: Crowded, Rules: sources(parts...),
-		Text: fmt.Sprintf("%d combinations of methods, classes and tenants; %d are the most", sum, mostCombinations)}}
+	return []Conflict{{Kind: TooManyCombinations, Rules: sources(parts...),
+		Text: fmt.Sprintf("%d combinations of methods, classes and tenants; %d are the most", sum, maxCombinations)}}
 }
 
 // removed finds routes to services that nobody offers, with those who took them away.
-func (f *finder) removed(set []*Namespace) []Conflict {
+func (f *finder) removed(set []*File) []Conflict {
 	offered, gone := map[string]bool{}, map[string][]Source{}
 	for _, n := range set {
 		for i := range n.Services {
@@ -530,7 +530,7 @@
 				by := gone[to.Service]
 				if len(by) == 0 {
 					for _, s := range f.was[to.Service] {
-						if k := slices.IndexFunc(set, func(o *Namespace) bool { return o.Name == s.Namespace }); k >= 0 {
+						if k := slices.IndexFunc(set, func(o *File) bool { return o.Name == s.Namespace }); k >= 0 {
 							by = append(by, set[k].source(s.Rule))
 						}
 					}
@@ -541,7 +541,7 @@
 				}
 				q, _ := r.Match.meet(&r.Match)
 				rules := sources(append(slices.Clone(by), n.source(r.id()))...)
-				out = append(out, Conflict{Kind: Removed, Rules: rules, Request: &q, Text: text})
+				out = append(out, Conflict{Kind: ServiceRemoved, Rules: rules, Request: &q, Text: text})
 			}
 		}
 	}
@@ -549,17 +549,17 @@
 }
 
 // telling finds what holds nobody back: overlaps of the charter, and rules that nothing can come to.
-func (f *finder) telling(set []*Namespace) []Conflict {
-	return append(f.c.overlaps(), unmatched(byName(set))...)
+func (f *finder) telling(set []*File) []Conflict {
+	return append(f.c.overlaps(), unreachableRules(byName(set))...)
 }
 
-// unmatched finds routes that other rules take every request from, and bounds for routes that are not there.
+// unreachableRules finds routes that other rules take every request from, and bounds for routes that are not there.
 //
 // It is exact because the language is open: there are always a host, a path, a method, a class and a tenant that no rule
 // names. So of a route's requests with one listed method, class and tenant (a cell), the one that is fresh in all else
 // can only be taken by a rule that takes the whole cell, and only these need be looked for: blocks, and routes that go first.
 // A route that goes first and takes a whole cell has the same host, and is one for the prefix / beside one for any path.
-func unmatched(set []*Namespace) []Conflict {
+func unreachableRules(set []*File) []Conflict {
 	type rule struct {
 		from Source
 		m    *Match
@@ -584,9 +584,9 @@
 	var out []Conflict
 	spare := spares(set)
 	for _, n := range set {
-		for i := range n.Staleness {
-			if s := &n.Staleness[i]; !names[s.Route] {
-				out = append(out, Conflict{Kind: Unmatched, Rules: []Source{n.source(s.id())}, Text: "there is no route " + s.Route})
+		for i := range n.StalenessBounds {
+			if s := &n.StalenessBounds[i]; !names[s.Route] {
+				out = append(out, Conflict{Kind: UnreachableRule, Rules: []Source{n.source(s.id())}, Text: "there is no route " + s.Route})
 			}
 		}
 		for i := range n.Routes {
@@ -636,7 +636,7 @@
 				}
 			}
 			if whole {
-				out = append(out, Conflict{Kind: Unmatched, Rules: append([]Source{n.source(r.id())}, sources(by...)...), Request: q,
+				out = append(out, Conflict{Kind: UnreachableRule, Rules: append([]Source{n.source(r.id())}, sources(by...)...), Request: q,
 					Text: "nothing comes to the first: the rest take it all"})
 			}
 		}
@@ -659,7 +659,7 @@
 // spare is a word that no rule names.
 type spare string
 
-func spares(set []*Namespace) spare {
+func spares(set []*File) spare {
 	used := map[string]bool{}
 	for _, n := range set {
 		each := func(m *Match) {
--- a/internal/policy/namespace/drawn_test.go
+++ b/internal/policy/namespace/drawn_test.go
@@ -11,10 +11,10 @@
 )
 
 // change draws what namespaces offer after a first merge: some new files, some with one rule changed, some nothing.
-func (d drawer) change(c *Charter, good []*Namespace) []*Namespace {
-	var out []*Namespace
+func (d drawer) change(c *Declaration, good []*File) []*File {
+	var out []*File
 	for _, name := range drawnNames {
-		i := slices.IndexFunc(good, func(n *Namespace) bool { return n.Name == name })
+		i := slices.IndexFunc(good, func(n *File) bool { return n.Name == name })
 		switch d.IntN(3) {
 		case 0:
 			out = append(out, d.file(c, name, 2))
@@ -30,29 +30,29 @@
 }
 
 // held is what is wrong with an outcome beside what was offered; base is the merge before.
-func heldWrong(c *Charter, base Outcome, offered []*Namespace, got Outcome) (wrong []string) {
+func heldWrong(c *Declaration, base Outcome, offered []*File, got Outcome) (wrong []string) {
 	bad := func(is bool, format string, args ...any) {
 		if is {
 			wrong = append(wrong, fmt.Sprintf(format, args...))
 		}
 	}
-	holds := func(n *Namespace) *Namespace {
+	holds := func(n *File) *File {
 		cut := map[string]bool{}
-		for _, h := range got.Held {
+		for _, h := range got.Withheld {
 			if h.Namespace == n.Name {
-				for _, id := range h.Cut {
+				for _, id := range h.RemovedRules {
 					cut[id] = true
 				}
 			}
 		}
 		return n.without(cut)
 	}
-	var set []*Namespace
-	for _, n := range got.Good {
+	var set []*File
+	for _, n := range got.Accepted {
 		set = append(set, holds(n))
 	}
 	for _, x := range Check(c, nil, set) {
-		bad(x.Kind.Holds(), "what holds conflicts: %v", x)
+		bad(x.Kind.Withholds(), "what holds conflicts: %v", x)
 	}
 	bad(assemble(c, set).Hash() != got.Hash, "the policy is not what holds")
 	if _, err := got.Policy.Table(); err != nil {
@@ -62,26 +62,26 @@
 	in := map[string]bool{}
 	for _, x := range got.Conflicts {
 		for _, r := range x.Rules {
-			in[r.Namespace] = in[r.Namespace] || x.Kind.Holds()
+			in[r.Namespace] = in[r.Namespace] || x.Kind.Withholds()
 		}
 	}
-	for _, h := range got.Held {
+	for _, h := range got.Withheld {
 		bad(!in[h.Namespace], "%s is held and in no conflict", h.Namespace)
-		i := slices.IndexFunc(offered, func(n *Namespace) bool { return n.Name == h.Namespace })
+		i := slices.IndexFunc(offered, func(n *File) bool { return n.Name == h.Namespace })
 		if i < 0 {
-			bad(len(base.Held) == 0, "%s is held and changed nothing", h.Namespace)
+			bad(len(base.Withheld) == 0, "%s is held and changed nothing", h.Namespace)
 			continue
 		}
-		if h.Holds >= h.Offered || len(h.Cut) > 0 {
+		if h.Active >= h.Submitted || len(h.RemovedRules) > 0 {
 			continue
 		}
-		with := slices.DeleteFunc(slices.Clone(set), func(n *Namespace) bool { return n.Name == h.Namespace })
+		with := slices.DeleteFunc(slices.Clone(set), func(n *File) bool { return n.Name == h.Namespace })
 		found := Check(c, nil, append(with, offered[i]))
-		bad(!slices.ContainsFunc(found, func(x Conflict) bool { return x.Kind.Holds() }), "%s is held for nothing", h.Namespace)
+		bad(!slices.ContainsFunc(found, func(x Conflict) bool { return x.Kind.Withholds() }), "%s is held for nothing", h.Namespace)
 	}
 	for _, n := range offered {
-		there := slices.ContainsFunc(got.Good, func(g *Namespace) bool { return g.Name == n.Name && g.Number == n.Number })
-		told := slices.ContainsFunc(got.Held, func(h NamespaceHeld) bool { return h.Namespace == n.Name })
+		there := slices.ContainsFunc(got.Accepted, func(g *File) bool { return g.Name == n.Name && g.Number == n.Number })
+		told := slices.ContainsFunc(got.Withheld, func(h WithheldError) bool { return h.Namespace == n.Name })
 		bad(!there && !told, "%s is held and not told", n.Name)
 	}
 	return wrong
@@ -102,32 +102,32 @@
 }
 
 // play draws a set and a change of it, merges both with flaws, and gives all that is wrong.
-func play(i int, flaws flaw) (wrong []string, held int) {
+func play(i int, flaws mutation) (wrong []string, held int) {
 	c, set := drawSet(i)
 	base := merge(c, nil, set, flaws)
 	wrong = heldWrong(c, Outcome{}, set, base) // all are new at once
 	for _, order := range orders4(i%50 == 0) {
-		if again := merge(c, nil, []*Namespace{set[order[0]], set[order[1]], set[order[2]], set[order[3]]}, flaws); again.Hash != base.Hash ||
-			!reflect.DeepEqual(again.Held, base.Held) {
+		if again := merge(c, nil, []*File{set[order[0]], set[order[1]], set[order[2]], set[order[3]]}, flaws); again.Hash != base.Hash ||
+			!reflect.DeepEqual(again.Withheld, base.Withheld) {
 			wrong = append(wrong, "another order gives another outcome at first")
 		}
 	}
-	held = len(base.Held)
+	held = len(base.Withheld)
 	d := drawer{rand.New(rand.NewPCG(uint64(i), 25))}
-	if len(base.Held) > 0 {
-		base = merge(c, base.Good, nil, 0) // what held nothing is not offered again
+	if len(base.Withheld) > 0 {
+		base = merge(c, base.Accepted, nil, 0) // what held nothing is not offered again
 	}
-	offered := d.change(c, base.Good)
-	got := merge(c, base.Good, offered, flaws)
+	offered := d.change(c, base.Accepted)
+	got := merge(c, base.Accepted, offered, flaws)
 	wrong = append(wrong, heldWrong(c, base, offered, got)...)
 	d.Shuffle(len(offered), func(a, b int) { offered[a], offered[b] = offered[b], offered[a] })
-	good := slices.Clone(base.Good)
+	good := slices.Clone(base.Accepted)
 	d.Shuffle(len(good), func(a, b int) { good[a], good[b] = good[b], good[a] })
 	again := merge(c, good, append(offered, offered[:len(offered)/2]...), flaws)
-	if again.Hash != got.Hash || !reflect.DeepEqual(again.Held, got.Held) || !reflect.DeepEqual(again.Conflicts, got.Conflicts) {
+	if again.Hash != got.Hash || !reflect.DeepEqual(again.Withheld, got.Withheld) || !reflect.DeepEqual(again.Conflicts, got.Conflicts) {
 		wrong = append(wrong, "another order gives another outcome")
 	}
-	return wrong, held + len(got.Held)
+	return wrong, held + len(got.Withheld)
 }
 
 func TestMergesOfDrawnSets(t *testing.T) {
@@ -152,16 +152,16 @@
 	for i := range 300 {
 		c, set := drawSet(i)
 		want := Merge(c, nil, set)
-		if len(want.Held) > 0 {
+		if len(want.Withheld) > 0 {
 			continue
 		}
 		whole++
 		rest := set[1:]
 		rand.New(rand.NewPCG(uint64(i), 27)).Shuffle(len(rest), func(a, b int) { rest[a], rest[b] = rest[b], rest[a] })
-		got := Merge(c, Merge(c, nil, set[:1]).Good, rest[:1+i%2])
-		got = Merge(c, got.Good, rest[1+i%2:])
-		if got.Hash != want.Hash || len(got.Held) > 0 {
-			t.Fatalf("set %d: in parts another policy, held %v", i, got.Held)
+		got := Merge(c, Merge(c, nil, set[:1]).Accepted, rest[:1+i%2])
+		got = Merge(c, got.Accepted, rest[1+i%2:])
+		if got.Hash != want.Hash || len(got.Withheld) > 0 {
+			t.Fatalf("set %d: in parts another policy, held %v", i, got.Withheld)
 		}
 	}
 	t.Logf("%d sets without conflict", whole)
@@ -172,7 +172,7 @@
 
 // The checks above are tried: each guard taken out is convicted.
 func TestRemovedGuardsAreConvicted(t *testing.T) {
-	for name, flaws := range map[string]flaw{"take all": takeAll, "hold all": holdAll, "order of arrival": byCome, "no return": noReturn | lastWins, "hold whoever changed": noReturn} {
+	for name, flaws := range map[string]mutation{"take all": acceptAll, "hold all": withholdAll, "order of arrival": arrivalOrder, "no return": noReinstatement | withholdUnchanged, "hold whoever changed": noReinstatement} {
 		convicted := ""
 		for i := 0; i < drawnSets && convicted == ""; i++ {
 			if wrong, _ := play(i, flaws); len(wrong) > 0 {
@@ -185,7 +185,7 @@
 		}
 	}
 	// The comparison with the slow search: a finder that leaves out each kind, or has one too many.
-	for _, k := range []Kind{Contradiction, Orders, Minimums, Removed, Overlap, Unmatched} {
+	for _, k := range []ConflictKind{Contradiction, ContradictoryOverrides, MinimumsExceedLimit, ServiceRemoved, DomainOverlap, UnreachableRule} {
 		missed := false
 		for i := 0; i < drawnSets && !missed; i++ {
 			c, set := drawSet(i)
@@ -197,13 +197,13 @@
 		}
 	}
 	// One that knows no delegations, and one that takes each delegation for a leave to go first.
-	for name, flawed := range map[string]func(*Charter) *Charter{
-		"no delegations": func(c *Charter) *Charter { f := *c; f.given = nil; return &f },
-		"any delegation": func(c *Charter) *Charter {
+	for name, flawed := range map[string]func(*Declaration) *Declaration{
+		"no delegations": func(c *Declaration) *Declaration { f := *c; f.delegationsTo = nil; return &f },
+		"any delegation": func(c *Declaration) *Declaration {
 			f := *c
-			f.given = map[string][]*Delegation{}
+			f.delegationsTo = map[string][]*Delegation{}
 			for _, d := range c.Delegations {
-				f.given[d.To] = append(f.given[d.To], &Delegation{d.From, d.To, Domain{Settings: d.Settings}})
+				f.delegationsTo[d.To] = append(f.delegationsTo[d.To], &Delegation{d.From, d.To, Domain{Settings: d.Settings}})
 			}
 			return &f
 		},
@@ -228,7 +228,7 @@
 // Whatever a file has in it, it is read or refused with its name, and what was read merges without harm to the others.
 func TestDamagedFiles(t *testing.T) {
 	c, texts := shipped(t)
-	base := Merge(c, nil, []*Namespace{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])})
+	base := Merge(c, nil, []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])})
 	rng := rand.New(rand.NewPCG(7, 26))
 	read, refused := 0, 0
 	for range 1000 {
@@ -248,18 +248,18 @@
 			}
 		}
 		var err error
-		var n *Namespace
+		var n *File
 		if name == "charter" {
-			var other *Charter
-			if other, err = ParseCharter("x.toml", text); err == nil {
-				Merge(other, base.Good, nil)
+			var other *Declaration
+			if other, err = ParseDeclaration("x.toml", text); err == nil {
+				Merge(other, base.Accepted, nil)
 			}
 		} else if n, err = Parse("x.toml", text); err == nil {
-			out := Merge(c, base.Good, []*Namespace{n})
-			if len(out.Good) != 3 {
-				t.Fatalf("%d go on after:\n%s", len(out.Good), text)
+			out := Merge(c, base.Accepted, []*File{n})
+			if len(out.Accepted) != 3 {
+				t.Fatalf("%d go on after:\n%s", len(out.Accepted), text)
 			}
-			for _, h := range out.Held {
+			for _, h := range out.Withheld {
 				if h.Namespace != n.Name {
 					t.Fatalf("%v, but %s offered:\n%s", h, n.Name, text)
 				}
--- a/internal/policy/namespace/file.go
+++ b/internal/policy/namespace/file.go
@@ -15,24 +15,24 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// Namespace is a file of one namespace. Lists in it are sorted once it is read. Nothing changes it afterwards.
-type Namespace struct {
-	Version   int         `toml:"version"`   // 1: the form of the file
-	Name      string      `toml:"namespace"` // the charter's name for it
-	Number    uint64      `toml:"number"`    // of this content; each new one is higher
-	Services  []Service   `toml:"service"`
-	Routes    []Route     `toml:"route"`
-	Classes   []Class     `toml:"class"`
-	Budgets   []Share     `toml:"budget"`
-	Blocks    []Block     `toml:"block"`
-	Orders    []Order     `toml:"order"`
-	Staleness []Staleness `toml:"staleness"`
+// File is a file of one namespace. Lists in it are sorted once it is read. Nothing changes it afterwards.
+type File struct {
+	Version         int              `toml:"version"`   // 1: the form of the file
+	Name            string           `toml:"namespace"` // the charter's name for it
+	Number          uint64           `toml:"number"`    // of this content; each new one is higher
+	Services        []Service        `toml:"service"`
+	Routes          []Route          `toml:"route"`
+	Classes         []Class          `toml:"class"`
+	Quotas          []QuotaShare     `toml:"budget"`
+	Blocks          []Block          `toml:"block"`
+	Overrides       []Override       `toml:"order"`
+	StalenessBounds []StalenessBound `toml:"staleness"`
 
-	path  string
-	where map[string]int    // lines by key
-	text  map[string]string // what each rule says, by its id: to tell what changed
-	key   map[string]string // where each rule stands in the file, by its id
-	bad   error             // it could not be read
+	path      string
+	lines     map[string]int    // lines by key
+	ruleTexts map[string]string // what each rule says, by its id: to tell what changed
+	ruleKeys  map[string]string // where each rule stands in the file, by its id
+	readError error             // it could not be read
 }
 
 // Service is where routes lead.
@@ -49,9 +49,9 @@
 type Route struct {
 	Name string `toml:"name" json:"name"`
 	Match
-	To     []Target `toml:"to" json:"to"`
-	Sticky string   `toml:"sticky" json:"sticky,omitempty"` // key, tenant or request; key if left out
-	Bears  string   `toml:"bears" json:"bears,omitempty"`   // the stalest level at which it may still be used; see Levels
+	To           []Target `toml:"to" json:"to"`
+	Sticky       string   `toml:"sticky" json:"sticky,omitempty"` // key, tenant or request; key if left out
+	MaxStaleness string   `toml:"bears" json:"bears,omitempty"`   // the stalest level at which it may still be used; see Levels
 }
 
 // Target is a service with its weight.
@@ -62,21 +62,21 @@
 
 // Class is settings of a class of requests. What is left out is left to others.
 type Class struct {
-	Name   string            `toml:"name" json:"name"`
-	Aim    strictconfig.Span `toml:"aim" json:"aim,omitempty"`
-	GiveUp strictconfig.Span `toml:"give_up" json:"give_up,omitempty"`
-	Effect string            `toml:"effect" json:"effect,omitempty"` // safe, or unsafe: must never run twice
-	Worth  *float64          `toml:"worth" json:"worth,omitempty"`
-	Late   *float64          `toml:"late" json:"late,omitempty"` // share of the worth that a late answer earns, 0 to 1
+	Name             string            `toml:"name" json:"name"`
+	LatencyObjective strictconfig.Span `toml:"aim" json:"aim,omitempty"`
+	Deadline         strictconfig.Span `toml:"give_up" json:"give_up,omitempty"`
+	Effect           string            `toml:"effect" json:"effect,omitempty"` // safe, or unsafe: must never run twice
+	PriorityWeight   *float64          `toml:"worth" json:"worth,omitempty"`
+	LateFraction     *float64          `toml:"late" json:"late,omitempty"` // share of the worth that a late answer earns, 0 to 1
 }
 
-// Share is a namespace's part of a budget, in the budget's units; or a cap that it sets on one it delegated to.
-type Share struct {
-	Budget string  `toml:"name" json:"name"`
-	For    string  `toml:"for" json:"for,omitempty"` // another namespace; its own if left out
-	Min    int64   `toml:"min" json:"min,omitempty"`
-	Cap    int64   `toml:"cap" json:"cap,omitempty"` // 0 is none
-	Weight float64 `toml:"weight" json:"weight,omitempty"`
+// QuotaShare is a namespace's part of a budget, in the budget's units; or a cap that it sets on one it delegated to.
+type QuotaShare struct {
+	Quota     string  `toml:"name" json:"name"`
+	Namespace string  `toml:"for" json:"for,omitempty"` // another namespace; its own if left out
+	Min       int64   `toml:"min" json:"min,omitempty"`
+	Cap       int64   `toml:"cap" json:"cap,omitempty"` // 0 is none
+	Weight    float64 `toml:"weight" json:"weight,omitempty"`
 }
 
 // Block refuses the requests that match.
@@ -85,44 +85,44 @@
 	Match
 }
 
-// Order takes a server out of use, or says that it stays in, from one moment until before another.
-type Order struct {
+// Override takes a server out of use, or says that it stays in, from one moment until before another.
+type Override struct {
 	Name   string    `toml:"name" json:"name"`
 	Server string    `toml:"server" json:"server"`
 	Zone   string    `toml:"zone" json:"zone"`
-	Do     string    `toml:"do" json:"do"`       // detach or attach
+	Action string    `toml:"do" json:"do"`       // detach or attach
 	From   time.Time `toml:"from" json:"from"`   // left out, always so far
 	Until  time.Time `toml:"until" json:"until"` // left out, for ever
 }
 
-// Staleness bounds how stale the view may be at which a route is still used.
-type Staleness struct {
-	Route string `toml:"route" json:"route"` // of the own file, or namespace/route
-	Bears string `toml:"bears" json:"bears"`
+// StalenessBound bounds how stale the view may be at which a route is still used.
+type StalenessBound struct {
+	Route    string `toml:"route" json:"route"` // of the own file, or namespace/route
+	MaxLevel string `toml:"bears" json:"bears"`
 }
 
-// Levels are how stale a view can be, the strictest bound first.
-func Levels() []string { return []string{"confirmed", "fresh", "ageing", "doubtful", "blind"} }
+// StalenessLevels are how stale a view can be, the strictest bound first.
+func StalenessLevels() []string { return []string{"confirmed", "fresh", "ageing", "doubtful", "blind"} }
 
 // Bounds on a file.
 const (
-	MostBytes = 16 << 20
-	mostRules = 50_000
+	MaxFileBytes = 16 << 20
+	maxRules     = 50_000
 )
 
-// Unreadable stands for a file that could not be read or parsed, so that Merge tells its owner.
-func Unreadable(name string, err error) *Namespace { return &Namespace{Name: name, bad: err} }
+// UnreadableFile stands for a file that could not be read or parsed, so that Merge tells its owner.
+func UnreadableFile(name string, err error) *File { return &File{Name: name, readError: err} }
 
 // Parse reads the file of a namespace and checks it by itself. Errors are FileError.
-func Parse(path string, text []byte) (*Namespace, error) {
-	if len(text) > MostBytes {
-		return nil, FileError{Path: path, Err: fmt.Errorf("%d bytes; %d are the most", len(text), MostBytes)}
+func Parse(path string, text []byte) (*File, error) {
+	if len(text) > MaxFileBytes {
+		return nil, FileError{Path: path, Err: fmt.Errorf("%d bytes; %d are the most", len(text), MaxFileBytes)}
 	}
-	n := &Namespace{}
+	n := &File{}
 	if err := decode(path, text, n); err != nil {
 		return nil, err
 	}
-	n.path, n.where = path, lines(text)
+	n.path, n.lines = path, lines(text)
 	if err := n.check(); err != nil {
 		return nil, err
 	}
@@ -130,30 +130,30 @@
 }
 
 // check sorts what has no order, and checks all that needs no charter.
-func (n *Namespace) check() error {
+func (n *File) check() error {
 	var errs []error
 	bad := func(wrong bool, key, format string, args ...any) {
 		if wrong {
-			errs = append(errs, at(n.path, n.where, key, fmt.Errorf(format, args...)))
+			errs = append(errs, keyError(n.path, n.lines, key, fmt.Errorf(format, args...)))
 		}
 	}
-	bad(n.Version != Version, "version", "%d; this program reads %d", n.Version, Version)
+	bad(n.Version != FileVersion, "version", "%d; this program reads %d", n.Version, FileVersion)
 	bad(!strictconfig.PlainName(n.Name), "namespace", "%q: wanted small letters, digits and dashes", n.Name)
 	bad(n.Number == 0, "number", "left out or 0")
-	if total := n.Rules(); total > mostRules {
-		bad(true, "", "%d rules; %d are the most", total, mostRules)
+	if total := n.Rules(); total > maxRules {
+		bad(true, "", "%d rules; %d are the most", total, maxRules)
 		return errors.Join(errs...)
 	}
-	n.text, n.key = map[string]string{}, map[string]string{}
+	n.ruleTexts, n.ruleKeys = map[string]string{}, map[string]string{}
 	enter := func(key, id string, v any) {
 		text, err := json.Marshal(v)
 		bad(err != nil, key, "%v", err)
-		_, twice := n.text[id]
+		_, twice := n.ruleTexts[id]
 		bad(twice, key, "%s is there twice", id)
-		n.text[id], n.key[id] = string(text), key
+		n.ruleTexts[id], n.ruleKeys[id] = string(text), key
 	}
 	level := func(key, l string) {
-		bad(!slices.Contains(Levels(), l), key+".bears", "%q is none of %s", l, strings.Join(Levels(), ", "))
+		bad(!slices.Contains(StalenessLevels(), l), key+".bears", "%q is none of %s", l, strings.Join(StalenessLevels(), ", "))
 	}
 	match := func(key string, m *Match) {
 		err := m.check()
@@ -176,8 +176,8 @@
 		bad(!strictconfig.PlainName(r.Name), key+".name", "%q: wanted small letters, digits and dashes", r.Name)
 		match(key, &r.Match)
 		bad(!slices.Contains([]string{"", "key", "tenant", "request"}, r.Sticky), key+".sticky", "%q is none of key, tenant, request", r.Sticky)
-		if r.Bears != "" {
-			level(key, r.Bears)
+		if r.MaxStaleness != "" {
+			level(key, r.MaxStaleness)
 		}
 		for k := range r.To {
 			if r.To[k].Weight == nil {
@@ -193,22 +193,22 @@
 	for i := range n.Classes {
 		c, key := &n.Classes[i], fmt.Sprintf("class[%d]", i)
 		bad(c.Name == "", key+".name", "none is given")
-		bad(c.Aim < 0 || c.GiveUp < 0 || c.GiveUp > 0 && c.GiveUp < c.Aim, key+".aim", "aim %v and give_up %v: wanted 0 < aim <= give_up",
-			time.Duration(c.Aim), time.Duration(c.GiveUp))
+		bad(c.LatencyObjective < 0 || c.Deadline < 0 || c.Deadline > 0 && c.Deadline < c.LatencyObjective, key+".aim", "aim %v and give_up %v: wanted 0 < aim <= give_up",
+			time.Duration(c.LatencyObjective), time.Duration(c.Deadline))
 		bad(c.Effect != "" && c.Effect != "safe" && c.Effect != "unsafe", key+".effect", "%q is neither safe nor unsafe", c.Effect)
-		bad(c.Worth != nil && !(*c.Worth >= 0 && !math.IsInf(*c.Worth, 0)), key+".worth", "out of range")
-		bad(c.Late != nil && !(*c.Late >= 0 && *c.Late <= 1), key+".late", "not within 0 and 1")
+		bad(c.PriorityWeight != nil && !(*c.PriorityWeight >= 0 && !math.IsInf(*c.PriorityWeight, 0)), key+".worth", "out of range")
+		bad(c.LateFraction != nil && !(*c.LateFraction >= 0 && *c.LateFraction <= 1), key+".late", "not within 0 and 1")
 		enter(key, "class "+c.Name, c)
 	}
-	for i := range n.Budgets {
-		b, key := &n.Budgets[i], fmt.Sprintf("budget[%d]", i)
-		if b.For == n.Name {
-			b.For = ""
+	for i := range n.Quotas {
+		b, key := &n.Quotas[i], fmt.Sprintf("budget[%d]", i)
+		if b.Namespace == n.Name {
+			b.Namespace = ""
 		}
 		bad(b.Min < 0 || b.Cap < 0 || b.Cap > 0 && b.Cap < b.Min, key+".min", "min %d and cap %d: wanted 0 <= min <= cap", b.Min, b.Cap)
 		bad(!(b.Weight >= 0) || math.IsInf(b.Weight, 0), key+".weight", "%v", b.Weight)
-		bad(b.For != "" && (b.Min != 0 || b.Weight != 0), key+".for", "for another namespace only a cap may be set")
-		enter(key, strings.TrimSpace("budget "+b.Budget+" "+b.For), b)
+		bad(b.Namespace != "" && (b.Min != 0 || b.Weight != 0), key+".for", "for another namespace only a cap may be set")
+		enter(key, strings.TrimSpace("budget "+b.Quota+" "+b.Namespace), b)
 	}
 	for i := range n.Blocks {
 		b, key := &n.Blocks[i], fmt.Sprintf("block[%d]", i)
@@ -216,11 +216,11 @@
 		match(key, &b.Match)
 		enter(key, "block "+b.Name, b)
 	}
-	for i := range n.Orders {
-		o, key := &n.Orders[i], fmt.Sprintf("order[%d]", i)
+	for i := range n.Overrides {
+		o, key := &n.Overrides[i], fmt.Sprintf("order[%d]", i)
 		bad(!strictconfig.PlainName(o.Name), key+".name", "%q: wanted small letters, digits and dashes", o.Name)
 		bad(o.Server == "" || o.Zone == "", key+".server", "server or zone is not given")
-		bad(o.Do != "detach" && o.Do != "attach", key+".do", "%q is neither detach nor attach", o.Do)
+		bad(o.Action != "detach" && o.Action != "attach", key+".do", "%q is neither detach nor attach", o.Action)
 		// Danger: a time without offset means another moment on another machine, and so would the policy's hash.
 		bad(o.From.Location() == time.Local || o.Until.Location() == time.Local, key+".from",
 			"a time needs its offset, as 2026-12-01T06:00:00Z")
@@ -228,16 +228,16 @@
 		bad(!o.Until.IsZero() && !o.From.Before(o.Until), key+".until", "it is not after from")
 		enter(key, "order "+o.Name, o)
 	}
-	for i := range n.Staleness {
-		s, key := &n.Staleness[i], fmt.Sprintf("staleness[%d]", i)
+	for i := range n.StalenessBounds {
+		s, key := &n.StalenessBounds[i], fmt.Sprintf("staleness[%d]", i)
 		if !strings.Contains(s.Route, "/") {
 			s.Route = n.Name + "/" + s.Route
 		}
-		level(key, s.Bears)
+		level(key, s.MaxLevel)
 		enter(key, "staleness "+s.Route, s)
 	}
-	bad(n.combinations() > mostCombinations, "route", "they come to %d combinations of methods, classes and tenants; %d are the most",
-		n.combinations(), mostCombinations)
+	bad(n.combinations() > maxCombinations, "route", "they come to %d combinations of methods, classes and tenants; %d are the most",
+		n.combinations(), maxCombinations)
 	if len(errs) == 0 {
 		errs = n.within()
 	}
@@ -245,7 +245,7 @@
 }
 
 // within finds what contradicts in the file itself: routes that tie, and orders.
-func (n *Namespace) within() (errs []error) {
+func (n *File) within() (errs []error) {
 	rules := make([]route.Rule, len(n.Routes))
 	for i := range n.Routes {
 		rules[i] = n.Routes[i].Match.rule(n.Routes[i].Name, n.Routes[i].targets())
@@ -255,22 +255,22 @@
 		i := sort.Search(len(rules), func(k int) bool { _, err := route.Compile(rules[:k+1], ""); return err != nil })
 		_, what, _ := strings.Cut(err.Error(), ": ")
 		what, _, _ = strings.Cut(what, "\n")
-		errs = append(errs, at(n.path, n.where, fmt.Sprintf("route[%d]", i), errors.New(what)))
+		errs = append(errs, keyError(n.path, n.lines, fmt.Sprintf("route[%d]", i), errors.New(what)))
 	}
-	for i := range n.Orders {
+	for i := range n.Overrides {
 		for k := range i {
-			if _, against := n.Orders[i].against(&n.Orders[k]); against {
-				err := fmt.Errorf("contradicts order[%d] %q", k, n.Orders[k].Name)
-				errs = append(errs, at(n.path, n.where, fmt.Sprintf("order[%d]", i), err))
+			if _, against := n.Overrides[i].contradicts(&n.Overrides[k]); against {
+				err := fmt.Errorf("contradicts order[%d] %q", k, n.Overrides[k].Name)
+				errs = append(errs, keyError(n.path, n.lines, fmt.Sprintf("order[%d]", i), err))
 			}
 		}
 	}
 	return errs
 }
 
-// against tells whether two orders contradict at one moment, and the first such.
-func (o *Order) against(p *Order) (time.Time, bool) {
-	if o.Server != p.Server || o.Do == p.Do {
+// contradicts tells whether two orders contradict at one moment, and the first such.
+func (o *Override) contradicts(p *Override) (time.Time, bool) {
+	if o.Server != p.Server || o.Action == p.Action {
 		return time.Time{}, false
 	}
 	from := o.From
@@ -290,38 +290,38 @@
 }
 
 // Rules is how many rules of all kinds the file has.
-func (n *Namespace) Rules() int {
-	return len(n.Services) + len(n.Routes) + len(n.Classes) + len(n.Budgets) + len(n.Blocks) + len(n.Orders) + len(n.Staleness)
+func (n *File) Rules() int {
+	return len(n.Services) + len(n.Routes) + len(n.Classes) + len(n.Quotas) + len(n.Blocks) + len(n.Overrides) + len(n.StalenessBounds)
 }
 
 // same tells whether two files say the same.
-func (n *Namespace) same(o *Namespace) bool { return maps.Equal(n.text, o.text) }
+func (n *File) same(o *File) bool { return maps.Equal(n.ruleTexts, o.ruleTexts) }
 
 // digest is all that a file says, in one order.
-func (n *Namespace) digest() string {
+func (n *File) digest() string {
 	var b strings.Builder
-	for _, id := range slices.Sorted(maps.Keys(n.text)) {
-		b.WriteString(id + n.text[id])
+	for _, id := range slices.Sorted(maps.Keys(n.ruleTexts)) {
+		b.WriteString(id + n.ruleTexts[id])
 	}
 	return b.String()
 }
 
 // without gives the file with some of its rules left out.
-func (n *Namespace) without(ids map[string]bool) *Namespace {
+func (n *File) without(ids map[string]bool) *File {
 	c := *n
-	c.text = map[string]string{}
-	for id, text := range n.text {
+	c.ruleTexts = map[string]string{}
+	for id, text := range n.ruleTexts {
 		if !ids[id] {
-			c.text[id] = text
+			c.ruleTexts[id] = text
 		}
 	}
 	c.Services = keep(n.Services, func(s *Service) bool { return !ids[s.id()] })
 	c.Routes = keep(n.Routes, func(r *Route) bool { return !ids[r.id()] })
 	c.Classes = keep(n.Classes, func(x *Class) bool { return !ids[x.id()] })
-	c.Budgets = keep(n.Budgets, func(b *Share) bool { return !ids[b.id()] })
+	c.Quotas = keep(n.Quotas, func(b *QuotaShare) bool { return !ids[b.id()] })
 	c.Blocks = keep(n.Blocks, func(b *Block) bool { return !ids[b.id()] })
-	c.Orders = keep(n.Orders, func(o *Order) bool { return !ids[o.id()] })
-	c.Staleness = keep(n.Staleness, func(s *Staleness) bool { return !ids[s.id()] })
+	c.Overrides = keep(n.Overrides, func(o *Override) bool { return !ids[o.id()] })
+	c.StalenessBounds = keep(n.StalenessBounds, func(s *StalenessBound) bool { return !ids[s.id()] })
 	return &c
 }
 
@@ -335,18 +335,18 @@
 	return out
 }
 
-func (s *Service) id() string   { return "service " + s.Name }
-func (r *Route) id() string     { return "route " + r.Name }
-func (c *Class) id() string     { return "class " + c.Name }
-func (b *Share) id() string     { return strings.TrimSpace("budget " + b.Budget + " " + b.For) }
-func (b *Block) id() string     { return "block " + b.Name }
-func (o *Order) id() string     { return "order " + o.Name }
-func (s *Staleness) id() string { return "staleness " + s.Route }
+func (s *Service) id() string        { return "service " + s.Name }
+func (r *Route) id() string          { return "route " + r.Name }
+func (c *Class) id() string          { return "class " + c.Name }
+func (b *QuotaShare) id() string     { return strings.TrimSpace("budget " + b.Quota + " " + b.Namespace) }
+func (b *Block) id() string          { return "block " + b.Name }
+func (o *Override) id() string       { return "order " + o.Name }
+func (s *StalenessBound) id() string { return "staleness " + s.Route }
 
 // outside finds all rules that the namespace may not make under a charter, by their ids.
-func (c *Charter) outside(n *Namespace) map[string]OutsideDomain {
-	out := map[string]OutsideDomain{}
-	seats := c.seats[n.Name]
+func (c *Declaration) outside(n *File) map[string]OutsideDomainError {
+	out := map[string]OutsideDomainError{}
+	seats := c.parts[n.Name]
 	check := func(id, setting string, ok func(d *Domain) (string, bool)) {
 		what := "it may not set " + setting
 		for _, s := range seats {
@@ -358,54 +358,54 @@
 				what = over
 			}
 		}
-		out[id] = OutsideDomain{n.Name, id, what}
+		out[id] = OutsideDomainError{n.Name, id, what}
 	}
 	for i := range n.Services {
-		check(n.Services[i].id(), SetService, func(*Domain) (string, bool) { return "", true })
+		check(n.Services[i].id(), SettingService, func(*Domain) (string, bool) { return "", true })
 	}
 	for i := range n.Routes {
 		r := &n.Routes[i]
-		check(r.id(), SetRoute, func(d *Domain) (string, bool) { return d.holds(&r.Match) })
+		check(r.id(), SettingRoute, func(d *Domain) (string, bool) { return d.holds(&r.Match) })
 	}
 	for i := range n.Blocks {
 		b := &n.Blocks[i]
-		check(b.id(), SetBlock, func(d *Domain) (string, bool) { return d.holds(&b.Match) })
+		check(b.id(), SettingBlock, func(d *Domain) (string, bool) { return d.holds(&b.Match) })
 	}
 	for i := range n.Classes {
 		name := n.Classes[i].Name
-		check(n.Classes[i].id(), SetClass, func(d *Domain) (string, bool) {
+		check(n.Classes[i].id(), SettingClass, func(d *Domain) (string, bool) {
 			return fmt.Sprintf("class %q", name), len(d.Classes) == 0 || slices.Contains(d.Classes, name)
 		})
 	}
-	for i := range n.Budgets {
-		b := &n.Budgets[i]
-		check(b.id(), SetBudget, func(d *Domain) (string, bool) {
-			if b.For != "" && !anyOf(c.above(b.For), func(a string) bool { return a == n.Name }) {
-				return fmt.Sprintf("it delegates nothing to %q", b.For), false
+	for i := range n.Quotas {
+		b := &n.Quotas[i]
+		check(b.id(), SettingQuota, func(d *Domain) (string, bool) {
+			if b.Namespace != "" && !anyOf(c.delegatorsOf(b.Namespace), func(a string) bool { return a == n.Name }) {
+				return fmt.Sprintf("it delegates nothing to %q", b.Namespace), false
 			}
-			_, there := c.wholes[b.Budget]
-			return fmt.Sprintf("budget %q", b.Budget), there && named(d.Budgets, b.Budget)
+			_, there := c.limits[b.Quota]
+			return fmt.Sprintf("budget %q", b.Quota), there && named(d.Quotas, b.Quota)
 		})
 	}
-	for i := range n.Orders {
-		o := &n.Orders[i]
-		check(o.id(), SetOrder, func(d *Domain) (string, bool) { return fmt.Sprintf("zone %q", o.Zone), named(d.Zones, o.Zone) })
+	for i := range n.Overrides {
+		o := &n.Overrides[i]
+		check(o.id(), SettingOverride, func(d *Domain) (string, bool) { return fmt.Sprintf("zone %q", o.Zone), named(d.Zones, o.Zone) })
 	}
-	for i := range n.Staleness {
-		s := &n.Staleness[i]
-		check(s.id(), SetStaleness, func(*Domain) (string, bool) {
+	for i := range n.StalenessBounds {
+		s := &n.StalenessBounds[i]
+		check(s.id(), SettingStaleness, func(*Domain) (string, bool) {
 			owner, _, _ := strings.Cut(s.Route, "/")
-			return fmt.Sprintf("route %s", s.Route), owner == n.Name || slices.Contains(c.above(owner), n.Name)
+			return fmt.Sprintf("route %s", s.Route), owner == n.Name || slices.Contains(c.delegatorsOf(owner), n.Name)
 		})
 	}
 	return out
 }
 
-// above are all namespaces that a namespace has a part of its domain from.
-func (c *Charter) above(name string) []string {
+// delegatorsOf are all namespaces that a namespace has a part of its domain from.
+func (c *Declaration) delegatorsOf(name string) []string {
 	var out []string
-	for _, s := range c.seats[name] {
-		out = append(out, s.above...)
+	for _, s := range c.parts[name] {
+		out = append(out, s.delegators...)
 	}
 	return out
 }
--- a/internal/policy/namespace/frozen_test.go
+++ b/internal/policy/namespace/frozen_test.go
@@ -13,7 +13,7 @@
 // sent goes by them.
 func TestFrozenPolicyKeepsItsBytes(t *testing.T) {
 	charter, texts := shipped(t)
-	var all []*Namespace
+	var all []*File
 	for _, name := range []string{"dispatch", "settlement", "booking-desks"} {
 		all = append(all, parse(t, texts[name]))
 	}
--- a/internal/policy/namespace/items.go
+++ b/internal/policy/namespace/items.go
@@ -27,9 +27,9 @@
 
 // Diff is what a change makes of the rules that requests are led by. What only comes from another version of a file is none.
 type Diff struct {
-	Routes     []PolicyRoute // new ones, and those that say something else, as they are now
-	RoutesGone []string      // by name
-	Blocks     bool          // some block was changed, added or removed
+	Routes        []PolicyRoute // new ones, and those that say something else, as they are now
+	RemovedRoutes []string      // by name
+	BlocksChanged bool          // some block was changed, added or removed
 }
 
 // itemKind is one of a policy's lists.
@@ -47,13 +47,13 @@
 type itemChanges struct {
 	set     map[string][]merkle.Item // by kind
 	removed map[string][]string      // keys, by kind
-	files   map[string]origin        // by namespace, as they are afterwards
+	files   map[string]fileOrigin    // by namespace, as they are afterwards
 	renewed []string                 // namespaces whose number is another than before
 	touched map[string]bool          // namespaces of which a rule came or went, or the number
 }
 
-// origin is the file of a namespace that rules come from.
-type origin struct {
+// fileOrigin is the file of a namespace that rules come from.
+type fileOrigin struct {
 	number uint64 // 0 is none
 	from   int    // how often it stands as a source
 }
@@ -80,7 +80,7 @@
 // key is the key of a rule. A name that would be too long stands by its beginning and its hash.
 func (l *list[T]) key(v *T) string {
 	name := l.tell(v)
-	if len(l.kind)+1+len(name) > merkle.MostKey {
+	if len(l.kind)+1+len(name) > merkle.MaxKeyBytes {
 		sum := sha256.Sum256([]byte(name))
 		return l.kind + " " + name[:64] + "..." + hex.EncodeToString(sum[:])
 	}
@@ -117,7 +117,7 @@
 	all := *l.of(p)
 	for i := range all {
 		if i > 0 && l.tell(&all[i-1]) >= l.tell(&all[i]) {
-			return WrongItem{l.key(&all[i]), errors.New("it is there twice, or out of order")}
+			return InvalidItemError{l.key(&all[i]), errors.New("it is there twice, or out of order")}
 		}
 		v := all[i]
 		l.from(&v, true, func(s *Source) { s.Number = 0 })
@@ -138,16 +138,16 @@
 	for _, i := range c.set[l.kind] {
 		v := new(T)
 		if err := strictJSON(i.Value, v); err != nil {
-			return WrongItem{i.Key, err}
+			return InvalidItemError{i.Key, err}
 		}
 		if l.key(v) != i.Key {
-			return WrongItem{i.Key, fmt.Errorf("it holds the rule of %.100q", l.key(v))}
+			return InvalidItemError{i.Key, fmt.Errorf("it holds the rule of %.100q", l.key(v))}
 		}
 		var err error
 		l.from(v, false, func(s *Source) { // what was read is held by nobody else
 			n := c.files[s.Namespace].number
 			if s.Number != 0 || n == 0 {
-				err = WrongItem{i.Key, fmt.Errorf("the number of the file of %q stands in the wrong place or nowhere", s.Namespace)}
+				err = InvalidItemError{i.Key, fmt.Errorf("the number of the file of %q stands in the wrong place or nowhere", s.Namespace)}
 			}
 			s.Number = n
 			c.count(s.Namespace, 1)
@@ -174,7 +174,7 @@
 		rest := old
 		for i, x := range changes {
 			if i > 0 && changes[i-1].name == x.name {
-				return WrongItem{l.kind + " " + x.name, errors.New("it is there twice")}
+				return InvalidItemError{l.kind + " " + x.name, errors.New("it is there twice")}
 			}
 			at, there := slices.BinarySearchFunc(rest, x.name, func(v T, name string) int { return strings.Compare(l.tell(&v), name) })
 			list, rest = append(list, rest[:at]...), rest[at:]
@@ -220,10 +220,10 @@
 		return
 	}
 	if own {
-		*v = &Value[T]{(*v).Is, slices.Clone((*v).From)}
+		*v = &Value[T]{(*v).Value, slices.Clone((*v).Sources)}
 	}
-	for i := range (*v).From {
-		f(&(*v).From[i])
+	for i := range (*v).Sources {
+		f(&(*v).Sources[i])
 	}
 }
 
@@ -232,33 +232,33 @@
 		tell: func(v *PolicyService) string { return v.Name },
 		from: func(v *PolicyService, own bool, f func(*Source)) {
 			if own {
-				v.From = slices.Clone(v.From)
+				v.Sources = slices.Clone(v.Sources)
 			}
-			for i := range v.From {
-				f(&v.From[i])
+			for i := range v.Sources {
+				f(&v.Sources[i])
 			}
 		}},
 	&list[PolicyRoute]{kind: "route", of: func(p *Policy) *[]PolicyRoute { return &p.Routes },
 		tell: func(v *PolicyRoute) string { return v.Name },
-		from: func(v *PolicyRoute, _ bool, f func(*Source)) { f(&v.From) },
+		from: func(v *PolicyRoute, _ bool, f func(*Source)) { f(&v.Source) },
 		note: func(d *Diff, v *PolicyRoute, gone string) {
 			if v != nil {
 				d.Routes = append(d.Routes, *v)
 			} else {
-				d.RoutesGone = append(d.RoutesGone, gone)
+				d.RemovedRoutes = append(d.RemovedRoutes, gone)
 			}
 		}},
 	&list[PolicyClass]{kind: "class", of: func(p *Policy) *[]PolicyClass { return &p.Classes },
 		tell: func(v *PolicyClass) string { return v.Name },
 		from: func(v *PolicyClass, own bool, f func(*Source)) {
-			fromValue(&v.Aim, own, f)
-			fromValue(&v.GiveUp, own, f)
+			fromValue(&v.LatencyObjective, own, f)
+			fromValue(&v.Deadline, own, f)
 			fromValue(&v.Effect, own, f)
-			fromValue(&v.Worth, own, f)
-			fromValue(&v.Late, own, f)
+			fromValue(&v.PriorityWeight, own, f)
+			fromValue(&v.LateFraction, own, f)
 		}},
 	&list[PolicyShare]{kind: "share", of: func(p *Policy) *[]PolicyShare { return &p.Shares },
-		tell: func(v *PolicyShare) string { return v.Budget + " " + v.Namespace },
+		tell: func(v *PolicyShare) string { return v.Quota + " " + v.Namespace },
 		from: func(v *PolicyShare, own bool, f func(*Source)) {
 			fromValue(&v.Min, own, f)
 			fromValue(&v.Cap, own, f)
@@ -266,14 +266,14 @@
 		}},
 	&list[PolicyBlock]{kind: "block", of: func(p *Policy) *[]PolicyBlock { return &p.Blocks },
 		tell: func(v *PolicyBlock) string { return v.Name },
-		from: func(v *PolicyBlock, _ bool, f func(*Source)) { f(&v.From) },
-		note: func(d *Diff, _ *PolicyBlock, _ string) { d.Blocks = true }},
-	&list[PolicyOrder]{kind: "order", of: func(p *Policy) *[]PolicyOrder { return &p.Orders },
-		tell: func(v *PolicyOrder) string { return v.Name },
-		from: func(v *PolicyOrder, _ bool, f func(*Source)) { f(&v.From) }},
-	&list[PolicyStaleness]{kind: "staleness", of: func(p *Policy) *[]PolicyStaleness { return &p.Staleness },
-		tell: func(v *PolicyStaleness) string { return v.Route },
-		from: func(v *PolicyStaleness, own bool, f func(*Source)) { fromValue(&v.Bears, own, f) }},
+		from: func(v *PolicyBlock, _ bool, f func(*Source)) { f(&v.Source) },
+		note: func(d *Diff, _ *PolicyBlock, _ string) { d.BlocksChanged = true }},
+	&list[PolicyOverride]{kind: "order", of: func(p *Policy) *[]PolicyOverride { return &p.Overrides },
+		tell: func(v *PolicyOverride) string { return v.Name },
+		from: func(v *PolicyOverride, _ bool, f func(*Source)) { f(&v.Source) }},
+	&list[PolicyStalenessBound]{kind: "staleness", of: func(p *Policy) *[]PolicyStalenessBound { return &p.StalenessBounds },
+		tell: func(v *PolicyStalenessBound) string { return v.Route },
+		from: func(v *PolicyStalenessBound, own bool, f func(*Source)) { fromValue(&v.MaxLevel, own, f) }},
 }
 
 // plainJSON gives a value as Encode does.
@@ -301,19 +301,19 @@
 }
 
 // origins are the files that rules come from, by namespace. Nobody changes them.
-func (p *Policy) origins() (map[string]origin, error) {
+func (p *Policy) origins() (map[string]fileOrigin, error) {
 	if p.files != nil {
 		return p.files, nil
 	}
-	out := map[string]origin{}
+	out := map[string]fileOrigin{}
 	var err error
 	for _, k := range itemKinds {
 		k.sources(p, func(s *Source) {
 			o := out[s.Namespace]
 			if s.Number == 0 || o.from > 0 && o.number != s.Number {
-				err = WrongItem{numberOf(s.Namespace), fmt.Errorf("its rules come from versions %d and %d of its file", o.number, s.Number)}
+				err = InvalidItemError{numberOf(s.Namespace), fmt.Errorf("its rules come from versions %d and %d of its file", o.number, s.Number)}
 			}
-			out[s.Namespace] = origin{s.Number, o.from + 1}
+			out[s.Namespace] = fileOrigin{s.Number, o.from + 1}
 		})
 	}
 	return out, err
@@ -326,12 +326,12 @@
 	add := func(key string, v any) error {
 		text, err := plainJSON(v)
 		if err != nil {
-			return WrongItem{key, err}
+			return InvalidItemError{key, err}
 		}
 		all = append(all, merkle.Item{Key: key, Value: text})
 		return nil
 	}
-	if err := add(formKey, p.Form); err != nil {
+	if err := add(formKey, p.Format); err != nil {
 		return nil, err
 	}
 	files, err := p.origins()
@@ -355,9 +355,9 @@
 // WrongItem, and those of package route.
 func FromTree(t *merkle.Tree) (*Policy, error) {
 	if _, there := t.Get(formKey); !there {
-		return nil, WrongItem{formKey, errors.New("it is missing")}
+		return nil, InvalidItemError{formKey, errors.New("it is missing")}
 	}
-	p, _, err := (&Policy{Form: 1}).with(slices.Collect(t.Items()), nil)
+	p, _, err := (&Policy{Format: 1}).with(slices.Collect(t.Items()), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -378,12 +378,12 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("policy: %w", err)
 	}
-	if len(d.Routes) > 0 || len(d.RoutesGone) > 0 {
+	if len(d.Routes) > 0 || len(d.RemovedRoutes) > 0 {
 		rules := make([]route.Rule, len(d.Routes))
 		for i := range d.Routes {
 			rules[i] = d.Routes[i].rule()
 		}
-		if table, err = table.With(rules, d.RoutesGone); err != nil {
+		if table, err = table.With(rules, d.RemovedRoutes); err != nil {
 			return nil, nil, fmt.Errorf("policy: %w", err)
 		}
 	}
@@ -402,7 +402,7 @@
 		if o.number != n && o.from > 0 {
 			c.renewed = append(c.renewed, ns)
 		}
-		c.files[ns] = origin{n, o.from}
+		c.files[ns] = fileOrigin{n, o.from}
 		c.touched[ns] = true
 	}
 	known := map[string]bool{formKey: true, numberKey: true}
@@ -413,7 +413,7 @@
 		kind, name := cutKey(key)
 		switch kind {
 		case formKey:
-			return nil, nil, WrongItem{key, errors.New("it is missing")}
+			return nil, nil, InvalidItemError{key, errors.New("it is missing")}
 		case numberKey:
 			number(name, 0)
 		default:
@@ -424,15 +424,15 @@
 		kind, name := cutKey(i.Key)
 		switch {
 		case !known[kind] || kind == formKey && i.Key != formKey || kind == numberKey && i.Key != numberOf(name):
-			return nil, nil, WrongItem{i.Key, errors.New("this program knows no such rule")}
+			return nil, nil, InvalidItemError{i.Key, errors.New("this program knows no such rule")}
 		case kind == formKey:
-			if string(i.Value) != strconv.Itoa(p.Form) {
-				return nil, nil, WrongItem{i.Key, fmt.Errorf("form %.20s; this program reads %d", i.Value, p.Form)}
+			if string(i.Value) != strconv.Itoa(p.Format) {
+				return nil, nil, InvalidItemError{i.Key, fmt.Errorf("form %.20s; this program reads %d", i.Value, p.Format)}
 			}
 		case kind == numberKey:
 			n, err := strconv.ParseUint(string(i.Value), 10, 64)
 			if err != nil || n == 0 || strconv.FormatUint(n, 10) != string(i.Value) {
-				return nil, nil, WrongItem{i.Key, fmt.Errorf("%.40q is no number of a file", i.Value)}
+				return nil, nil, InvalidItemError{i.Key, fmt.Errorf("%.40q is no number of a file", i.Value)}
 			}
 			number(name, n)
 		default:
@@ -451,9 +451,9 @@
 		case o.number == 0 && o.from == 0:
 			delete(c.files, ns)
 		case o.number == 0:
-			return nil, nil, WrongItem{numberOf(ns), errors.New("it is missing, and rules come from the file")}
+			return nil, nil, InvalidItemError{numberOf(ns), errors.New("it is missing, and rules come from the file")}
 		case o.from == 0:
-			return nil, nil, WrongItem{numberOf(ns), errors.New("no rule comes from the file")}
+			return nil, nil, InvalidItemError{numberOf(ns), errors.New("no rule comes from the file")}
 		}
 	}
 	for i := range d.Routes {
--- a/internal/policy/namespace/items_test.go
+++ b/internal/policy/namespace/items_test.go
@@ -37,7 +37,7 @@
 			if err != nil || !bytes.Equal(again.Encode(), was.Encode()) {
 				t.Fatalf("set %d: %v: %s\nis no longer\n%s", i, err, again.Encode(), was.Encode())
 			}
-			out := Merge(c, first.Good, d.change(c, first.Good))
+			out := Merge(c, first.Accepted, d.change(c, first.Accepted))
 			next := treeOf(t, out.Policy)
 			before := again.Encode()
 			got, diff, err := again.With(merkle.Changes(tree, next))
@@ -49,7 +49,7 @@
 			}
 			checkDiff(t, was, out.Policy, diff)
 			checkTable(t, got)
-			changed, gone = changed+len(diff.Routes), gone+len(diff.RoutesGone)
+			changed, gone = changed+len(diff.Routes), gone+len(diff.RemovedRoutes)
 			first, was = out, out.Policy
 		}
 	}
@@ -71,16 +71,16 @@
 	}
 	want := &Diff{}
 	for _, r := range to.Routes {
-		if old := find(from, r.Name); old == nil || !reflect.DeepEqual(old.Route, r.Route) || old.From.Rule != r.From.Rule {
+		if old := find(from, r.Name); old == nil || !reflect.DeepEqual(old.Route, r.Route) || old.Source.Rule != r.Source.Rule {
 			want.Routes = append(want.Routes, r)
 		}
 	}
 	for _, r := range from.Routes {
 		if find(to, r.Name) == nil {
-			want.RoutesGone = append(want.RoutesGone, r.Name)
+			want.RemovedRoutes = append(want.RemovedRoutes, r.Name)
 		}
 	}
-	want.Blocks = !slices.EqualFunc(from.Blocks, to.Blocks, func(a, b PolicyBlock) bool { return reflect.DeepEqual(a.Block, b.Block) })
+	want.BlocksChanged = !slices.EqualFunc(from.Blocks, to.Blocks, func(a, b PolicyBlock) bool { return reflect.DeepEqual(a.Block, b.Block) })
 	if !reflect.DeepEqual(d, want) {
 		t.Fatalf("the diff is %+v, not %+v", d, want)
 	}
@@ -116,9 +116,9 @@
 	next[0].Routes[3].To[0].Weight = new(float64)
 	*next[0].Routes[3].To[0].Weight = 2
 	first := Merge(c, nil, all)
-	out := Merge(c, first.Good, next)
-	if len(out.Held) > 0 {
-		t.Fatal(out.Held)
+	out := Merge(c, first.Accepted, next)
+	if len(out.Withheld) > 0 {
+		t.Fatal(out.Withheld)
 	}
 	set, removed := merkle.Changes(treeOf(t, first.Policy), treeOf(t, out.Policy))
 	if len(set) != 2 || len(removed) > 0 {
@@ -185,7 +185,7 @@
 		if err == nil {
 			t.Errorf("%s%s: read whole, there was nothing wrong", k.set.Key, k.gone)
 		}
-		if wrong := (WrongItem{}); errors.As(err, &wrong) && operatorerror.Of(err) == "" {
+		if wrong := (InvalidItemError{}); errors.As(err, &wrong) && operatorerror.Of(err) == "" {
 			t.Errorf("%v says nothing", err)
 		}
 	}
@@ -193,15 +193,15 @@
 
 // A name that is too long for a key has its place too.
 func TestLongNames(t *testing.T) {
-	long := strings.Repeat("ä", merkle.MostKey)
+	long := strings.Repeat("ä", merkle.MaxKeyBytes)
 	aim := &Value[float64]{1, []Source{{"a", 1, "class x"}}}
-	p := &Policy{Form: 1, Classes: []PolicyClass{{Name: "x", Worth: aim}, {Name: long, Worth: aim}}}
+	p := &Policy{Format: 1, Classes: []PolicyClass{{Name: "x", PriorityWeight: aim}, {Name: long, PriorityWeight: aim}}}
 	tree := treeOf(t, p)
 	got, err := FromTree(tree)
 	if err != nil || !bytes.Equal(got.Encode(), p.Encode()) {
 		t.Fatal(err)
 	}
-	less := &Policy{Form: 1, Classes: p.Classes[:1]}
+	less := &Policy{Format: 1, Classes: p.Classes[:1]}
 	got, _, err = p.With(merkle.Changes(tree, treeOf(t, less)))
 	if err != nil || !bytes.Equal(got.Encode(), less.Encode()) {
 		t.Fatalf("%v: %.300s", err, got.Encode())
--- a/internal/policy/namespace/merge.go
+++ b/internal/policy/namespace/merge.go
@@ -12,21 +12,21 @@
 type Outcome struct {
 	Policy    *Policy
 	Hash      string
-	Held      []NamespaceHeld // by name
+	Withheld  []WithheldError // by name
 	Conflicts []Conflict
-	Good      []*Namespace // the last good files from now on, by name: the next merge's lastGood
+	Accepted  []*File // the last good files from now on, by name: the next merge's lastGood
 }
 
-// standing is how a namespace stands in a merge.
-type standing struct {
-	name   string
-	last   *Namespace // as it was offered; nil is none
-	fits   *Namespace // last, without what is outside its domain now
-	offer  *Namespace // nil is none, or one that may not be taken up
-	back   *Namespace // an offer that was held for a conflict
-	active *Namespace // nil is none
-	cut    map[string]bool
-	held   *NamespaceHeld
+// participant is how a namespace stands in a merge.
+type participant struct {
+	name         string
+	lastAccepted *File // as it was offered; nil is none
+	withinDomain *File // last, without what is outside its domain now
+	submitted    *File // nil is none, or one that may not be taken up
+	displaced    *File // an offer that was held for a conflict
+	active       *File // nil is none
+	removedRules map[string]bool
+	withheld     *WithheldError
 }
 
 // Merge joins what namespaces offer with the last good files of the rest. A file that is bad, or that brings a conflict
@@ -41,31 +41,31 @@
 //   - So the policy has no conflict that holds; those that are only told are in Conflicts.
 //
 // A namespace that offers nothing goes on with its last good file.
-func Merge(c *Charter, lastGood, offered []*Namespace) Outcome { return merge(c, lastGood, offered, 0) }
+func Merge(c *Declaration, lastGood, offered []*File) Outcome { return merge(c, lastGood, offered, 0) }
 
-func merge(c *Charter, lastGood, offered []*Namespace, flaws flaw) Outcome {
+func merge(c *Declaration, lastGood, offered []*File, flaws mutation) Outcome {
 	var out Outcome
-	all := map[string]*standing{}
+	all := map[string]*participant{}
 	for _, h := range c.Namespaces {
-		all[h.Name] = &standing{name: h.Name, cut: map[string]bool{}}
+		all[h.Name] = &participant{name: h.Name, removedRules: map[string]bool{}}
 	}
-	unknown := map[string]*NamespaceHeld{}
+	unknown := map[string]*WithheldError{}
 	for _, n := range lastGood {
 		s := all[n.Name]
 		if s == nil {
-			unknown[n.Name] = &NamespaceHeld{Namespace: n.Name, Offered: n.Number, Why: UnknownNamespace{n.Name}}
+			unknown[n.Name] = &WithheldError{Namespace: n.Name, Submitted: n.Number, Cause: UnknownNamespaceError{n.Name}}
 			continue
 		}
-		if s.last == nil || n.Number > s.last.Number || n.Number == s.last.Number && n.digest() < s.last.digest() {
-			s.last = n
+		if s.lastAccepted == nil || n.Number > s.lastAccepted.Number || n.Number == s.lastAccepted.Number && n.digest() < s.lastAccepted.digest() {
+			s.lastAccepted = n
 		}
 	}
-	files := map[string][]*Namespace{}
+	files := map[string][]*File{}
 	for _, n := range offered {
 		if all[n.Name] == nil {
 			h := unknown[n.Name]
-			if h == nil || n.Number > h.Offered {
-				unknown[n.Name] = &NamespaceHeld{Namespace: n.Name, Offered: n.Number, Why: UnknownNamespace{n.Name}}
+			if h == nil || n.Number > h.Submitted {
+				unknown[n.Name] = &WithheldError{Namespace: n.Name, Submitted: n.Number, Cause: UnknownNamespaceError{n.Name}}
 			}
 			continue
 		}
@@ -74,7 +74,7 @@
 	names := slices.SortedFunc(maps.Keys(all), func(a, b string) int {
 		return cmp.Or(cmp.Compare(c.depth[a], c.depth[b]), strings.Compare(a, b))
 	})
-	if flaws&byCome != 0 {
+	if flaws&arrivalOrder != 0 {
 		names = nil
 		for _, n := range append(slices.Clone(offered), lastGood...) {
 			if all[n.Name] != nil && !slices.Contains(names, n.Name) {
@@ -83,25 +83,25 @@
 		}
 	}
 	place := map[string]int{}
-	var before []*Namespace
+	var before []*File
 	for i, name := range names {
 		place[name] = i
 		s := all[name]
-		if s.last != nil {
-			s.fits = s.last
-			if outside := c.outside(s.last); len(outside) > 0 {
+		if s.lastAccepted != nil {
+			s.withinDomain = s.lastAccepted
+			if outside := c.outside(s.lastAccepted); len(outside) > 0 {
 				for id := range outside {
-					s.cut[id] = true
+					s.removedRules[id] = true
 				}
-				s.hold(s.last.Number, s.last.complain(outside))
-				s.fits = s.last.without(s.cut)
+				s.hold(s.lastAccepted.Number, s.lastAccepted.domainErrors(outside))
+				s.withinDomain = s.lastAccepted.without(s.removedRules)
 			}
-			before = append(before, s.fits)
+			before = append(before, s.withinDomain)
 		}
-		s.active = s.fits
+		s.active = s.withinDomain
 		s.choose(c, files[name])
-		if s.offer != nil {
-			s.active = s.offer
+		if s.submitted != nil {
+			s.active = s.submitted
 		}
 	}
 	f := newFinder(c, before)
@@ -117,13 +117,13 @@
 	for found := f.holding(active(names, all)); len(found) > 0; found = f.holding(active(names, all)) {
 		sortConflicts(found)
 		tell(found)
-		if flaws&takeAll != 0 {
+		if flaws&acceptAll != 0 {
 			break
 		}
 		settle(found, all, place, flaws)
 	}
-	if flaws&noReturn == 0 {
-		takeBack(f, names, all)
+	if flaws&noReinstatement == 0 {
+		reinstate(f, names, all)
 	}
 	set := active(names, all)
 	tell(f.telling(set))
@@ -133,49 +133,49 @@
 		x := &out.Conflicts[i]
 		for _, r := range x.Rules {
 			s := all[r.Namespace]
-			if x.Kind.Holds() && s != nil && s.held != nil && (x.Held == "" || place[s.name] > place[x.Held]) {
-				x.Held = s.name
+			if x.Kind.Withholds() && s != nil && s.withheld != nil && (x.Withheld == "" || place[s.name] > place[x.Withheld]) {
+				x.Withheld = s.name
 			}
 		}
 	}
 	for _, name := range names {
 		s := all[name]
 		switch {
-		case s.offer != nil:
-			out.Good = append(out.Good, s.offer)
-		case s.last != nil:
-			out.Good = append(out.Good, s.last)
+		case s.submitted != nil:
+			out.Accepted = append(out.Accepted, s.submitted)
+		case s.lastAccepted != nil:
+			out.Accepted = append(out.Accepted, s.lastAccepted)
 		}
-		if s.held != nil {
-			s.held.Cut = slices.Sorted(maps.Keys(s.cut))
-			s.held.Holds = 0
+		if s.withheld != nil {
+			s.withheld.RemovedRules = slices.Sorted(maps.Keys(s.removedRules))
+			s.withheld.Active = 0
 			if s.active != nil {
-				s.held.Holds = s.active.Number
+				s.withheld.Active = s.active.Number
 			}
-			out.Held = append(out.Held, *s.held)
+			out.Withheld = append(out.Withheld, *s.withheld)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(unknown)) {
-		out.Held = append(out.Held, *unknown[name])
+		out.Withheld = append(out.Withheld, *unknown[name])
 	}
-	slices.SortFunc(out.Held, func(a, b NamespaceHeld) int { return strings.Compare(a.Namespace, b.Namespace) })
-	slices.SortFunc(out.Good, func(a, b *Namespace) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out.Withheld, func(a, b WithheldError) int { return strings.Compare(a.Namespace, b.Namespace) })
+	slices.SortFunc(out.Accepted, func(a, b *File) int { return strings.Compare(a.Name, b.Name) })
 	sortConflicts(out.Conflicts)
 	return out
 }
 
-// takeBack takes up again what was held for a conflict with a file that was itself held later. So in the end each file
+// reinstate takes up again what was held for a conflict with a file that was itself held later. So in the end each file
 // that is held would bring a conflict in.
-func takeBack(f *finder, names []string, all map[string]*standing) {
+func reinstate(f *finder, names []string, all map[string]*participant) {
 	for again := true; again; {
 		again = false
 		for _, name := range names {
 			s := all[name]
-			if s.back == nil {
+			if s.displaced == nil {
 				continue
 			}
 			was := *s
-			s.active, s.offer, s.back, s.held, s.cut = s.back, s.back, nil, nil, map[string]bool{}
+			s.active, s.submitted, s.displaced, s.withheld, s.removedRules = s.displaced, s.displaced, nil, nil, map[string]bool{}
 			if len(f.holding(active(names, all))) > 0 {
 				*s = was
 				continue
@@ -185,19 +185,19 @@
 	}
 }
 
-// flaw is a guard taken out, to see that the tests convict.
-type flaw uint8
+// mutation is a guard taken out, to see that the tests convict.
+type mutation uint8
 
 const (
-	takeAll  flaw = 1 << iota // conflicts are told, nobody is held
-	holdAll                   // all that brought a rule in are held
-	byCome                    // the order of arrival decides
-	noReturn                  // what was held stays held
-	lastWins                  // the one that changed nothing is held as well as others
+	acceptAll         mutation = 1 << iota // conflicts are told, nobody is held
+	withholdAll                            // all that brought a rule in are held
+	arrivalOrder                           // the order of arrival decides
+	noReinstatement                        // what was held stays held
+	withholdUnchanged                      // the one that changed nothing is held as well as others
 )
 
-func active(names []string, all map[string]*standing) []*Namespace {
-	var set []*Namespace
+func active(names []string, all map[string]*participant) []*File {
+	var set []*File
 	for _, name := range names {
 		if a := all[name].active; a != nil {
 			set = append(set, a)
@@ -207,16 +207,16 @@
 }
 
 // choose takes the highest of the files that are offered, if it may be taken up.
-func (s *standing) choose(c *Charter, files []*Namespace) {
-	var top *Namespace
+func (s *participant) choose(c *Declaration, files []*File) {
+	var top *File
 	var unread []string
 	twice := false
 	for _, n := range files {
 		switch {
-		case n.bad != nil:
-			unread = append(unread, n.bad.Error())
-			if s.held == nil || n.bad.Error() == slices.Min(unread) {
-				s.hold(0, n.bad)
+		case n.readError != nil:
+			unread = append(unread, n.readError.Error())
+			if s.withheld == nil || n.readError.Error() == slices.Min(unread) {
+				s.hold(0, n.readError)
 			}
 		case top == nil || n.Number > top.Number:
 			top, twice = n, false
@@ -227,66 +227,66 @@
 	switch {
 	case top == nil:
 	case twice:
-		s.hold(top.Number, VersionTaken{s.name, top.Number, top.Number})
-	case s.last != nil && (top.Number < s.last.Number || top.Number == s.last.Number && !top.same(s.last)):
-		s.hold(top.Number, VersionTaken{s.name, top.Number, s.last.Number})
-	case s.last != nil && top.Number == s.last.Number:
+		s.hold(top.Number, VersionTakenError{s.name, top.Number, top.Number})
+	case s.lastAccepted != nil && (top.Number < s.lastAccepted.Number || top.Number == s.lastAccepted.Number && !top.same(s.lastAccepted)):
+		s.hold(top.Number, VersionTakenError{s.name, top.Number, s.lastAccepted.Number})
+	case s.lastAccepted != nil && top.Number == s.lastAccepted.Number:
 	default:
 		if outside := c.outside(top); len(outside) > 0 {
-			s.hold(top.Number, top.complain(outside))
+			s.hold(top.Number, top.domainErrors(outside))
 			return
 		}
-		s.offer = top
-		s.cut = map[string]bool{}
+		s.submitted = top
+		s.removedRules = map[string]bool{}
 		if len(unread) == 0 {
-			s.held = nil // what was outside in the last one is of no matter now
+			s.withheld = nil // what was outside in the last one is of no matter now
 		}
 	}
 }
 
-func (s *standing) hold(number uint64, why error) {
-	s.held = &NamespaceHeld{Namespace: s.name, Offered: number, Why: why}
+func (s *participant) hold(number uint64, why error) {
+	s.withheld = &WithheldError{Namespace: s.name, Submitted: number, Cause: why}
 }
 
-// complain gives all rules outside a domain as errors of the file, in the order of their ids.
-func (n *Namespace) complain(outside map[string]OutsideDomain) error {
+// domainErrors gives all rules outside a domain as errors of the file, in the order of their ids.
+func (n *File) domainErrors(outside map[string]OutsideDomainError) error {
 	var errs []error
 	for _, id := range slices.Sorted(maps.Keys(outside)) {
-		errs = append(errs, at(n.path, n.where, n.key[id], outside[id]))
+		errs = append(errs, keyError(n.path, n.lines, n.ruleKeys[id], outside[id]))
 	}
 	return errors.Join(errs...)
 }
 
 // brought tells whether a namespace brought a rule in, changed it, or took it away; for minimums, whether it raised it.
-func (s *standing) brought(k Kind, id string) bool {
-	if s.offer == nil || s.cut[id] {
+func (s *participant) brought(k ConflictKind, id string) bool {
+	if s.submitted == nil || s.removedRules[id] {
 		return false
 	}
-	if s.last == nil {
+	if s.lastAccepted == nil {
 		return true
 	}
-	if k == Crowded {
-		return s.active.combinations() > s.last.combinations()
+	if k == TooManyCombinations {
+		return s.active.combinations() > s.lastAccepted.combinations()
 	}
-	if k == Minimums {
-		return s.active.minimum(id) > s.last.minimum(id)
+	if k == MinimumsExceedLimit {
+		return s.active.minimum(id) > s.lastAccepted.minimum(id)
 	}
-	return s.active.text[id] != s.last.text[id]
+	return s.active.ruleTexts[id] != s.lastAccepted.ruleTexts[id]
 }
 
-func (n *Namespace) minimum(id string) int64 {
-	for i := range n.Budgets {
-		if n.Budgets[i].id() == id {
-			return n.Budgets[i].Min
+func (n *File) minimum(id string) int64 {
+	for i := range n.Quotas {
+		if n.Quotas[i].id() == id {
+			return n.Quotas[i].Min
 		}
 	}
 	return 0
 }
 
 // settle holds back one namespace, the first by the order among those that must be; if there is none, it cuts rules.
-func settle(found []Conflict, all map[string]*standing, place map[string]int, flaws flaw) {
-	last := func(x *Conflict, ok func(s *standing, id string) bool) (*standing, string) {
-		var who *standing
+func settle(found []Conflict, all map[string]*participant, place map[string]int, flaws mutation) {
+	last := func(x *Conflict, ok func(s *participant, id string) bool) (*participant, string) {
+		var who *participant
 		var id string
 		for _, r := range x.Rules {
 			s := all[r.Namespace]
@@ -297,34 +297,34 @@
 		return who, id
 	}
 	// A namespace that is held may take others' conflicts with it: only the first is held now, the rest is looked at anew.
-	var first *standing
+	var first *participant
 	var why int
-	losers := make([]*standing, len(found))
+	losers := make([]*participant, len(found))
 	for i := range found {
 		x := &found[i]
-		losers[i], _ = last(x, func(s *standing, id string) bool {
-			return s.brought(x.Kind, id) || flaws&lastWins != 0 && s.offer != nil
+		losers[i], _ = last(x, func(s *participant, id string) bool {
+			return s.brought(x.Kind, id) || flaws&withholdUnchanged != 0 && s.submitted != nil
 		})
 		if s := losers[i]; s != nil && (first == nil || place[s.name] < place[first.name]) {
 			first, why = s, i
 		}
 	}
-	if first != nil && flaws&holdAll != 0 {
+	if first != nil && flaws&withholdAll != 0 {
 		for _, r := range found[why].Rules {
-			if s := all[r.Namespace]; s != first && s.offer != nil {
-				s.hold(s.offer.Number, found[why].Err())
-				s.offer, s.active = nil, s.fits
+			if s := all[r.Namespace]; s != first && s.submitted != nil {
+				s.hold(s.submitted.Number, found[why].Err())
+				s.submitted, s.active = nil, s.withinDomain
 			}
 		}
 	}
 	if first != nil {
-		first.hold(first.offer.Number, found[why].Err())
-		first.back = first.offer
-		first.offer, first.active, first.cut = nil, first.fits, map[string]bool{}
-		if first.last != nil {
-			for id := range first.last.text {
-				if _, stays := first.fits.text[id]; !stays {
-					first.cut[id] = true
+		first.hold(first.submitted.Number, found[why].Err())
+		first.displaced = first.submitted
+		first.submitted, first.active, first.removedRules = nil, first.withinDomain, map[string]bool{}
+		if first.lastAccepted != nil {
+			for id := range first.lastAccepted.ruleTexts {
+				if _, stays := first.withinDomain.ruleTexts[id]; !stays {
+					first.removedRules[id] = true
 				}
 			}
 		}
@@ -338,26 +338,26 @@
 		if slices.ContainsFunc(x.Rules, func(r Source) bool { return cut[rule{r.Namespace, r.Rule}] }) {
 			continue
 		}
-		who, id := last(x, func(s *standing, id string) bool {
-			return s.active != nil && (s.active.text[id] != "" || x.Kind == Crowded) &&
-				(x.Kind != Removed || strings.HasPrefix(id, "route "))
+		who, id := last(x, func(s *participant, id string) bool {
+			return s.active != nil && (s.active.ruleTexts[id] != "" || x.Kind == TooManyCombinations) &&
+				(x.Kind != ServiceRemoved || strings.HasPrefix(id, "route "))
 		})
 		cut[rule{who.name, id}] = true
-		if x.Kind != Crowded && !x.More {
-			who.cut[id] = true
+		if x.Kind != TooManyCombinations && !x.More {
+			who.removedRules[id] = true
 		} else {
 			// What is not listed can't be cut one by one.
 			for i := range who.active.Routes {
-				who.cut[who.active.Routes[i].id()] = true
+				who.removedRules[who.active.Routes[i].id()] = true
 			}
 		}
-		if who.held == nil {
+		if who.withheld == nil {
 			who.hold(who.active.Number, x.Err())
 		}
 	}
 	for _, s := range all {
 		if s.active != nil && slices.ContainsFunc(slices.Collect(maps.Keys(cut)), func(r rule) bool { return r.namespace == s.name }) {
-			s.active = s.active.without(s.cut)
+			s.active = s.active.without(s.removedRules)
 		}
 	}
 }
--- a/internal/policy/namespace/merge_test.go
+++ b/internal/policy/namespace/merge_test.go
@@ -19,7 +19,7 @@
 )
 
 // shipped reads the example; change replaces text in one of its files.
-func shipped(t testing.TB, change ...string) (*Charter, map[string]string) {
+func shipped(t testing.TB, change ...string) (*Declaration, map[string]string) {
 	t.Helper()
 	texts := map[string]string{}
 	for _, name := range []string{"charter", "dispatch", "settlement", "booking-desks"} {
@@ -29,14 +29,14 @@
 		}
 		texts[name] = string(text)
 	}
-	c, err := ParseCharter("charter.toml", []byte(texts["charter"]))
+	c, err := ParseDeclaration("charter.toml", []byte(texts["charter"]))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c, texts
 }
 
-func parse(t testing.TB, text string, change ...string) *Namespace {
+func parse(t testing.TB, text string, change ...string) *File {
 	t.Helper()
 	for i := 0; i < len(change); i += 2 {
 		if !strings.Contains(text, change[i]) {
@@ -53,10 +53,10 @@
 
 func TestTheShippedFilesAreGood(t *testing.T) {
 	c, texts := shipped(t)
-	set := []*Namespace{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}
+	set := []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}
 	out := Merge(c, nil, set)
-	if len(out.Held) != 0 || len(out.Conflicts) != 0 {
-		t.Fatalf("held %v, conflicts %v", out.Held, out.Conflicts)
+	if len(out.Withheld) != 0 || len(out.Conflicts) != 0 {
+		t.Fatalf("held %v, conflicts %v", out.Withheld, out.Conflicts)
 	}
 	for _, k := range []struct {
 		q           route.Request
@@ -74,11 +74,11 @@
 			t.Errorf("%+v: %+v %v", k.q, e, err)
 			continue
 		}
-		if k.give != "" && e.Class.GiveUp.Is.String() != k.give {
-			t.Errorf("%+v: gives up after %v", k.q, e.Class.GiveUp)
+		if k.give != "" && e.Class.Deadline.Value.String() != k.give {
+			t.Errorf("%+v: gives up after %v", k.q, e.Class.Deadline)
 		}
-		if (e.Bears != nil) != (k.bears != "") || e.Bears != nil && e.Bears.Bears.Is != k.bears {
-			t.Errorf("%+v: bears %+v", k.q, e.Bears)
+		if (e.Staleness != nil) != (k.bears != "") || e.Staleness != nil && e.Staleness.MaxLevel.Value != k.bears {
+			t.Errorf("%+v: bears %+v", k.q, e.Staleness)
 		}
 	}
 	if e, _ := out.Policy.Explain(&route.Request{Host: "else.org", Path: "/"}); e.Verdict != route.WrongHost || e.Route != nil {
@@ -88,21 +88,21 @@
 
 func TestEachSettingJoinsInItsWay(t *testing.T) {
 	c, texts := shipped(t)
-	set := []*Namespace{parse(t, texts["booking-desks"], `effect = "unsafe"`, `effect = "safe"`),
+	set := []*File{parse(t, texts["booking-desks"], `effect = "unsafe"`, `effect = "safe"`),
 		parse(t, texts["dispatch"], `give_up = "4s"`, "give_up = \"4s\"\naim = \"800ms\"\neffect = \"unsafe\"\nlate = 0.5",
 			"name = \"all\"\n", "name = \"all\"\nsticky = \"key\"\n")}
 	out := Merge(c, nil, set)
-	if len(out.Held) != 0 {
-		t.Fatal(out.Held)
+	if len(out.Withheld) != 0 {
+		t.Fatal(out.Withheld)
 	}
 	b := out.Policy.Classes[0]
 	own, given := Source{"booking-desks", 3, "class booking"}, Source{"dispatch", 7, "class booking"}
 	for name, k := range map[string]struct{ got, want any }{
-		"aim: both say it":       {b.Aim, &Value[time.Duration]{800 * time.Millisecond, []Source{own, given}}},
-		"give_up: the strictest": {b.GiveUp, &Value[time.Duration]{4 * time.Second, []Source{given}}},
+		"aim: both say it":       {b.LatencyObjective, &Value[time.Duration]{800 * time.Millisecond, []Source{own, given}}},
+		"give_up: the strictest": {b.Deadline, &Value[time.Duration]{4 * time.Second, []Source{given}}},
 		"effect: never twice":    {b.Effect, &Value[string]{"unsafe", []Source{given}}},
-		"worth: the owner":       {b.Worth, &Value[float64]{4, []Source{own}}},
-		"late: who says it":      {b.Late, &Value[float64]{0.5, []Source{given}}},
+		"worth: the owner":       {b.PriorityWeight, &Value[float64]{4, []Source{own}}},
+		"late: who says it":      {b.LateFraction, &Value[float64]{0.5, []Source{given}}},
 		"share": {out.Policy.Shares[0], PolicyShare{"attempts", 12000, "booking-desks", &Value[int64]{1200, []Source{{"booking-desks", 3, "budget attempts"}}},
 			&Value[int64]{3000, []Source{{"dispatch", 7, "budget attempts booking-desks"}}}, &Value[float64]{1, []Source{{"booking-desks", 3, "budget attempts"}}}}},
 	} {
@@ -114,8 +114,8 @@
 
 func TestSharesAreABudgetsOwn(t *testing.T) {
 	c, texts := shipped(t)
-	p := Merge(c, nil, []*Namespace{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}).Policy
-	pool, err := processquota.NewPool(processquota.PoolSettings{Total: 12000, Recall: time.Second, Lend: 0.5}, p.BudgetShares("attempts"))
+	p := Merge(c, nil, []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}).Policy
+	pool, err := processquota.NewPool(processquota.PoolSettings{Total: 12000, Recall: time.Second, Lend: 0.5}, p.QuotaShares("attempts"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,30 +138,30 @@
 		return "[" + strings.Join(names, ", ") + "]"
 	}
 	many := "\nmethods = " + list(40) + "\ntenants = " + list(50) + "\n"
-	d := parse(t, texts["dispatch"], "number = 7", "number = 8", `host = "dispatch.kigali.example.org"`, `host = "dispatch.kigali.example.org"`+many+"classes = "+list(mostCombinations*6/10/(40*50)))
+	d := parse(t, texts["dispatch"], "number = 7", "number = 8", `host = "dispatch.kigali.example.org"`, `host = "dispatch.kigali.example.org"`+many+"classes = "+list(maxCombinations*6/10/(40*50)))
 	s := parse(t, texts["settlement"], "number = 12", "number = 13", `host = "pay.kigali.example.org"`, `host = "pay.kigali.example.org"`+many)
-	more := parse(t, texts["settlement"], "number = 12", "number = 14", `host = "pay.kigali.example.org"`, `host = "pay.kigali.example.org"`+strings.Replace(many, "methods = ", "methods = "+list(mostCombinations/200)+" # ", 1))
-	out := Merge(c, nil, []*Namespace{d, s})
-	if len(out.Held) != 0 {
-		t.Fatal(out.Held)
+	more := parse(t, texts["settlement"], "number = 12", "number = 14", `host = "pay.kigali.example.org"`, `host = "pay.kigali.example.org"`+strings.Replace(many, "methods = ", "methods = "+list(maxCombinations/200)+" # ", 1))
+	out := Merge(c, nil, []*File{d, s})
+	if len(out.Withheld) != 0 {
+		t.Fatal(out.Withheld)
 	}
-	out = Merge(c, out.Good, []*Namespace{more})
-	if len(out.Held) != 1 || out.Held[0].Namespace != "settlement" || out.Held[0].Holds != 13 || out.Conflicts[0].Kind != Crowded {
-		t.Errorf("held %v", out.Held)
+	out = Merge(c, out.Accepted, []*File{more})
+	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "settlement" || out.Withheld[0].Active != 13 || out.Conflicts[0].Kind != TooManyCombinations {
+		t.Errorf("held %v", out.Withheld)
 	}
 	if _, err := out.Policy.Table(); err != nil {
 		t.Error(err)
 	}
 	// Both last good, as after a charter gave a domain back: the last by the order loses its routes.
-	out = Merge(c, []*Namespace{d, more}, nil)
-	if len(out.Held) != 1 || out.Held[0].Namespace != "settlement" || !slices.Equal(out.Held[0].Cut, []string{"route payouts"}) {
-		t.Errorf("held %v", out.Held)
+	out = Merge(c, []*File{d, more}, nil)
+	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "settlement" || !slices.Equal(out.Withheld[0].RemovedRules, []string{"route payouts"}) {
+		t.Errorf("held %v", out.Withheld)
 	}
 }
 
 func TestPoliciesHaveOneEncoding(t *testing.T) {
 	c, texts := shipped(t)
-	set := []*Namespace{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}
+	set := []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}
 	p := Merge(c, nil, set).Policy
 	text := p.Encode()
 	back, err := Decode(text)
@@ -209,8 +209,8 @@
 // Each row changes the example. What it holds back, what goes on, and why are stated.
 func TestWhoIsHeld(t *testing.T) {
 	c, texts := shipped(t)
-	base := Merge(c, nil, []*Namespace{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}).Good
-	up := func(name, to string, change ...string) *Namespace {
+	base := Merge(c, nil, []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}).Accepted
+	up := func(name, to string, change ...string) *File {
 		from := map[string]string{"dispatch": "number = 7", "settlement": "number = 12", "booking-desks": "number = 3"}[name]
 		return parse(t, texts[name], append([]string{from, "number = " + to}, change...)...)
 	}
@@ -218,60 +218,60 @@
 	vip := []string{`path_prefix = "/book"`, `path_prefix = "/book/vip/x"`}
 	for _, k := range []struct {
 		name  string
-		offer []*Namespace
+		offer []*File
 		held  string // namespace:number that holds
 		why   any
-		kind  Kind
+		kind  ConflictKind
 		on    map[string]uint64
 	}{
 		{"nothing new", base, "", nil, "", map[string]uint64{"dispatch": 7, "settlement": 12, "booking-desks": 3}},
-		{"the giver reaches over the delegate's", []*Namespace{up("dispatch", "8", across...), up("settlement", "13")}, "dispatch:7", new(Clash), Contradiction,
+		{"the giver reaches over the delegate's", []*File{up("dispatch", "8", across...), up("settlement", "13")}, "dispatch:7", new(ConflictError), Contradiction,
 			map[string]uint64{"dispatch": 7, "settlement": 13}},
-		{"both changed, one alone is the cause", []*Namespace{up("dispatch", "8", across...), up("booking-desks", "4", `weight = 9.0`, `weight = 8.0`)}, "dispatch:7", new(Clash), Contradiction,
+		{"both changed, one alone is the cause", []*File{up("dispatch", "8", across...), up("booking-desks", "4", `weight = 9.0`, `weight = 8.0`)}, "dispatch:7", new(ConflictError), Contradiction,
 			map[string]uint64{"dispatch": 7, "booking-desks": 4}},
-		{"both changed, and meet only as both are new", []*Namespace{up("dispatch", "8", "cap = 3000", "cap = 1250"), up("booking-desks", "4", "min = 1200", "min = 1300")}, "booking-desks:3",
-			new(Clash), CapUnderMin, map[string]uint64{"dispatch": 8, "booking-desks": 3}},
-		{"both changed, and don't meet", []*Namespace{up("dispatch", "8", across...), up("booking-desks", "4", vip...)}, "", nil, "",
+		{"both changed, and meet only as both are new", []*File{up("dispatch", "8", "cap = 3000", "cap = 1250"), up("booking-desks", "4", "min = 1200", "min = 1300")}, "booking-desks:3",
+			new(ConflictError), CapBelowMinimum, map[string]uint64{"dispatch": 8, "booking-desks": 3}},
+		{"both changed, and don't meet", []*File{up("dispatch", "8", across...), up("booking-desks", "4", vip...)}, "", nil, "",
 			map[string]uint64{"dispatch": 8, "booking-desks": 4}},
-		{"out of its domain", []*Namespace{up("settlement", "13", `host = "pay.kigali.example.org"`, `host = "*.kigali.example.org"`), up("dispatch", "9")}, "settlement:12",
-			new(OutsideDomain), "", map[string]uint64{"dispatch": 9, "settlement": 12}},
-		{"too high a minimum", []*Namespace{up("settlement", "13", "min = 2400", "min = 5400"), up("booking-desks", "4", "min = 1200", "min = 1000")}, "settlement:12", new(MinimumsExceedWhole), Minimums,
+		{"out of its domain", []*File{up("settlement", "13", `host = "pay.kigali.example.org"`, `host = "*.kigali.example.org"`), up("dispatch", "9")}, "settlement:12",
+			new(OutsideDomainError), "", map[string]uint64{"dispatch": 9, "settlement": 12}},
+		{"too high a minimum", []*File{up("settlement", "13", "min = 2400", "min = 5400"), up("booking-desks", "4", "min = 1200", "min = 1000")}, "settlement:12", new(MinimumsExceedLimitError), MinimumsExceedLimit,
 			map[string]uint64{"booking-desks": 4, "settlement": 12}},
-		{"a cap under a minimum", []*Namespace{up("dispatch", "8", "cap = 3000", "cap = 1000")}, "dispatch:7", new(Clash), CapUnderMin, map[string]uint64{"dispatch": 7}},
-		{"a service that is led to goes", []*Namespace{up("dispatch", "8", "[[service]]\nname = \"dispatch\"", "[[service]]\nname = \"dispatch\"\nremoved = true",
+		{"a cap under a minimum", []*File{up("dispatch", "8", "cap = 3000", "cap = 1000")}, "dispatch:7", new(ConflictError), CapBelowMinimum, map[string]uint64{"dispatch": 7}},
+		{"a service that is led to goes", []*File{up("dispatch", "8", "[[service]]\nname = \"dispatch\"", "[[service]]\nname = \"dispatch\"\nremoved = true",
 			"name = \"all\"\nhost = \"dispatch.kigali.example.org\"\nto = [{ service = \"dispatch\" }]", "name = \"all\"\nhost = \"dispatch.kigali.example.org\"\nto = [{ service = \"desks\" }]",
-			"to = [{ service = \"dispatch\" }]", "to = [{ service = \"desks\" }]")}, "dispatch:7", new(Clash), Removed, map[string]uint64{"dispatch": 7}},
-		{"a route to nowhere", []*Namespace{up("settlement", "13", `to = [{ service = "settlement" }]`, `to = [{ service = "setlement" }]`)}, "settlement:12", new(Clash), Removed,
+			"to = [{ service = \"dispatch\" }]", "to = [{ service = \"desks\" }]")}, "dispatch:7", new(ConflictError), ServiceRemoved, map[string]uint64{"dispatch": 7}},
+		{"a route to nowhere", []*File{up("settlement", "13", `to = [{ service = "settlement" }]`, `to = [{ service = "setlement" }]`)}, "settlement:12", new(ConflictError), ServiceRemoved,
 			map[string]uint64{"settlement": 12}},
-		{"a service of another", []*Namespace{up("settlement", "13", "[[route]]", "[[service]]\nname = \"desks\"\nkinds = [\"x\"]\n[[route]]")}, "settlement:12", new(Clash), Said,
+		{"a service of another", []*File{up("settlement", "13", "[[route]]", "[[service]]\nname = \"desks\"\nkinds = [\"x\"]\n[[route]]")}, "settlement:12", new(ConflictError), InconsistentDefinition,
 			map[string]uint64{"settlement": 12}},
-		{"a number used before", []*Namespace{up("settlement", "12", "cap = 6000", "cap = 5000")}, "settlement:12", new(VersionTaken), "", map[string]uint64{"settlement": 12}},
-		{"an older number", []*Namespace{up("settlement", "11", "cap = 6000", "cap = 5000")}, "settlement:12", new(VersionTaken), "", map[string]uint64{"settlement": 12}},
-		{"one number, two contents", []*Namespace{up("settlement", "13", "cap = 6000", "cap = 5000"), up("settlement", "13")}, "settlement:12", new(VersionTaken), "",
+		{"a number used before", []*File{up("settlement", "12", "cap = 6000", "cap = 5000")}, "settlement:12", new(VersionTakenError), "", map[string]uint64{"settlement": 12}},
+		{"an older number", []*File{up("settlement", "11", "cap = 6000", "cap = 5000")}, "settlement:12", new(VersionTakenError), "", map[string]uint64{"settlement": 12}},
+		{"one number, two contents", []*File{up("settlement", "13", "cap = 6000", "cap = 5000"), up("settlement", "13")}, "settlement:12", new(VersionTakenError), "",
 			map[string]uint64{"settlement": 12}},
-		{"a file that can't be read", []*Namespace{Unreadable("settlement", FileError{Path: "s.toml", Line: 3, Err: errors.New("no TOML")}), up("dispatch", "8")}, "settlement:12",
+		{"a file that can't be read", []*File{UnreadableFile("settlement", FileError{Path: "s.toml", Line: 3, Err: errors.New("no TOML")}), up("dispatch", "8")}, "settlement:12",
 			new(FileError), "", map[string]uint64{"settlement": 12, "dispatch": 8}},
-		{"a namespace of nobody", []*Namespace{parse(t, strings.Replace(texts["settlement"], `namespace = "settlement"`, `namespace = "nobody"`, 1)), up("dispatch", "8")}, "nobody:0",
-			new(UnknownNamespace), "", map[string]uint64{"settlement": 12, "dispatch": 8}},
+		{"a namespace of nobody", []*File{parse(t, strings.Replace(texts["settlement"], `namespace = "settlement"`, `namespace = "nobody"`, 1)), up("dispatch", "8")}, "nobody:0",
+			new(UnknownNamespaceError), "", map[string]uint64{"settlement": 12, "dispatch": 8}},
 	} {
 		out := Merge(c, base, k.offer)
 		var held []string
-		for _, h := range out.Held {
-			held = append(held, h.Namespace+":"+string(rune('0'+h.Holds/10))+string(rune('0'+h.Holds%10)))
+		for _, h := range out.Withheld {
+			held = append(held, h.Namespace+":"+string(rune('0'+h.Active/10))+string(rune('0'+h.Active%10)))
 			if k.why != nil && (!errors.As(error(h), k.why) || operatorerror.Of(h) == "") {
 				t.Errorf("%s: %v is no %T", k.name, h, k.why)
 			}
 		}
 		got := strings.ReplaceAll(strings.Join(held, " "), ":0", ":")
 		if got != k.held {
-			t.Errorf("%s: held %q, want %q: %v", k.name, got, k.held, out.Held)
+			t.Errorf("%s: held %q, want %q: %v", k.name, got, k.held, out.Withheld)
 		}
-		for _, n := range out.Good {
+		for _, n := range out.Accepted {
 			if want, there := k.on[n.Name]; there && n.Number != want {
 				t.Errorf("%s: %s goes on with %d, want %d", k.name, n.Name, n.Number, want)
 			}
 		}
-		if k.kind != "" && (len(out.Conflicts) == 0 || out.Conflicts[0].Kind != k.kind || out.Conflicts[0].Held == "") {
+		if k.kind != "" && (len(out.Conflicts) == 0 || out.Conflicts[0].Kind != k.kind || out.Conflicts[0].Withheld == "") {
 			t.Errorf("%s: conflicts %v, want %s", k.name, out.Conflicts, k.kind)
 		}
 		if k.kind == Contradiction {
@@ -280,7 +280,7 @@
 				t.Errorf("%s: the request is %+v", k.name, q)
 			}
 		}
-		if left := Check(c, out.Good, out.Good); slices.ContainsFunc(left, func(x Conflict) bool { return x.Kind.Holds() }) {
+		if left := Check(c, out.Accepted, out.Accepted); slices.ContainsFunc(left, func(x Conflict) bool { return x.Kind.Withholds() }) {
 			t.Errorf("%s: what goes on conflicts: %v", k.name, left)
 		}
 		if len(out.Policy.Routes) != 4 && k.name != "both changed, and don't meet" {
@@ -292,70 +292,70 @@
 // A charter that takes a part of a domain back takes the rules in it, and no other; given again, they hold again.
 func TestACharterTakesBack(t *testing.T) {
 	c, texts := shipped(t)
-	set := []*Namespace{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}
+	set := []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}
 	base := Merge(c, nil, set)
-	narrow, err := ParseCharter("c", []byte(strings.Replace(texts["charter"], `path_prefixes = ["/book"]`, `path_prefixes = ["/books"]`, 1)))
+	narrow, err := ParseDeclaration("c", []byte(strings.Replace(texts["charter"], `path_prefixes = ["/book"]`, `path_prefixes = ["/books"]`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := Merge(narrow, base.Good, nil)
-	if len(out.Held) != 1 || out.Held[0].Namespace != "booking-desks" || !slices.Equal(out.Held[0].Cut, []string{"route book"}) || !errors.As(error(out.Held[0]), new(OutsideDomain)) {
-		t.Errorf("held %v", out.Held)
+	out := Merge(narrow, base.Accepted, nil)
+	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "booking-desks" || !slices.Equal(out.Withheld[0].RemovedRules, []string{"route book"}) || !errors.As(error(out.Withheld[0]), new(OutsideDomainError)) {
+		t.Errorf("held %v", out.Withheld)
 	}
 	if e, _ := out.Policy.Explain(&route.Request{Host: "n.desks.kigali.example.org", Path: "/book", Class: "booking"}); e.Route == nil || e.Route.Name != "dispatch/desks" {
 		t.Errorf("the giver's rule does not hold again: %+v", e.Route)
 	}
-	if again := Merge(c, out.Good, nil); again.Hash != base.Hash || len(again.Held) != 0 {
-		t.Errorf("given again: held %v", again.Held)
+	if again := Merge(c, out.Accepted, nil); again.Hash != base.Hash || len(again.Withheld) != 0 {
+		t.Errorf("given again: held %v", again.Withheld)
 	}
 	// Taken from a namespace that offers a new file in the same moment: the new one is outside as well.
-	out = Merge(narrow, base.Good, []*Namespace{parse(t, texts["booking-desks"], "number = 3", "number = 4")})
-	if len(out.Held) != 1 || out.Held[0].Offered != 4 || out.Held[0].Holds != 3 {
-		t.Errorf("held %v", out.Held)
+	out = Merge(narrow, base.Accepted, []*File{parse(t, texts["booking-desks"], "number = 3", "number = 4")})
+	if len(out.Withheld) != 1 || out.Withheld[0].Submitted != 4 || out.Withheld[0].Active != 3 {
+		t.Errorf("held %v", out.Withheld)
 	}
 	// A charter that lowers a whole cuts the minimum of the last by the order.
-	low, err := ParseCharter("c", []byte(strings.Replace(texts["charter"], "whole = 12000", "whole = 9000", 1)))
+	low, err := ParseDeclaration("c", []byte(strings.Replace(texts["charter"], "whole = 12000", "whole = 9000", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	out = Merge(low, base.Good, nil)
-	if len(out.Held) != 1 || out.Held[0].Namespace != "booking-desks" || !errors.As(error(out.Held[0]), new(MinimumsExceedWhole)) {
-		t.Errorf("held %v", out.Held)
+	out = Merge(low, base.Accepted, nil)
+	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "booking-desks" || !errors.As(error(out.Withheld[0]), new(MinimumsExceedLimitError)) {
+		t.Errorf("held %v", out.Withheld)
 	}
 	// A namespace that the charter no longer has: routes of others to its service are cut, not left to lead nowhere.
 	gone := strings.ReplaceAll(texts["charter"], `"dispatch"`, `"despatch"`)
-	c2, err := ParseCharter("c", []byte(gone))
+	c2, err := ParseDeclaration("c", []byte(gone))
 	if err != nil {
 		t.Fatal(err)
 	}
-	out = Merge(c2, base.Good, nil)
-	if len(out.Held) != 2 || out.Held[0].Namespace != "booking-desks" || out.Held[1].Namespace != "dispatch" || !slices.Equal(out.Held[0].Cut, []string{"route book"}) {
-		t.Errorf("held %v", out.Held)
+	out = Merge(c2, base.Accepted, nil)
+	if len(out.Withheld) != 2 || out.Withheld[0].Namespace != "booking-desks" || out.Withheld[1].Namespace != "dispatch" || !slices.Equal(out.Withheld[0].RemovedRules, []string{"route book"}) {
+		t.Errorf("held %v", out.Withheld)
 	}
 }
 
 func TestOrderAndRepeatsChangeNothing(t *testing.T) {
 	c, texts := shipped(t)
 	d, s, b := parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])
-	want := Merge(c, nil, []*Namespace{d, s, b})
-	for _, set := range [][]*Namespace{{b, s, d}, {s, s, b, d, d}, {s, b, parse(t, texts["dispatch"]), d}} {
-		if got := Merge(c, nil, set); got.Hash != want.Hash || len(got.Held) > 0 {
-			t.Errorf("another policy: %v", got.Held)
+	want := Merge(c, nil, []*File{d, s, b})
+	for _, set := range [][]*File{{b, s, d}, {s, s, b, d, d}, {s, b, parse(t, texts["dispatch"]), d}} {
+		if got := Merge(c, nil, set); got.Hash != want.Hash || len(got.Withheld) > 0 {
+			t.Errorf("another policy: %v", got.Withheld)
 		}
 	}
 	// In groups: what has no conflict may come in any parts.
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
-		var good []*Namespace
+		var good []*File
 		order := rng.Perm(3)
 		if slices.Index(order, 2) < slices.Index(order, 0) {
 			continue // the desks lead to a service of dispatch, and are rightly held until it is there
 		}
 		for _, i := range order {
-			good = Merge(c, good, []*Namespace{[]*Namespace{d, s, b}[i]}).Good
+			good = Merge(c, good, []*File{[]*File{d, s, b}[i]}).Accepted
 		}
 		if got := Merge(c, good, nil); got.Hash != want.Hash {
-			t.Errorf("another policy: %v", got.Held)
+			t.Errorf("another policy: %v", got.Withheld)
 		}
 	}
 }
--- a/internal/policy/namespace/policy.go
+++ b/internal/policy/namespace/policy.go
@@ -32,19 +32,19 @@
 
 // Value is a setting with the rules that made it: of several that say the same, all.
 type Value[T comparable] struct {
-	Is   T        `json:"is"`
-	From []Source `json:"from"`
+	Value   T        `json:"is"`
+	Sources []Source `json:"from"`
 }
 
 // join puts what one rule says to what others said: the one that better prefers stays. It is commutative,
 // associative and idempotent as long as better is a total order.
 func join[T comparable](v *Value[T], is T, from Source, better func(a, b T) bool) *Value[T] {
 	switch {
-	case v == nil || is != v.Is && better(is, v.Is):
+	case v == nil || is != v.Value && better(is, v.Value):
 		return &Value[T]{is, []Source{from}}
-	case is == v.Is:
-		if i, there := slices.BinarySearchFunc(v.From, from, compareSources); !there {
-			v.From = slices.Insert(v.From, i, from)
+	case is == v.Value:
+		if i, there := slices.BinarySearchFunc(v.Sources, from, compareSources); !there {
+			v.Sources = slices.Insert(v.Sources, i, from)
 		}
 	}
 	return v
@@ -52,45 +52,45 @@
 
 // Policy is the rules of all namespaces, joined. All lists are sorted; it has one encoding.
 type Policy struct {
-	Form      int               `json:"form"` // 1
-	Services  []PolicyService   `json:"services"`
-	Routes    []PolicyRoute     `json:"routes"`
-	Classes   []PolicyClass     `json:"classes"`
-	Shares    []PolicyShare     `json:"shares"`
-	Blocks    []PolicyBlock     `json:"blocks"`
-	Orders    []PolicyOrder     `json:"orders"`
-	Staleness []PolicyStaleness `json:"staleness"`
+	Format          int                    `json:"form"` // 1
+	Services        []PolicyService        `json:"services"`
+	Routes          []PolicyRoute          `json:"routes"`
+	Classes         []PolicyClass          `json:"classes"`
+	Shares          []PolicyShare          `json:"shares"`
+	Blocks          []PolicyBlock          `json:"blocks"`
+	Overrides       []PolicyOverride       `json:"orders"`
+	StalenessBounds []PolicyStalenessBound `json:"staleness"`
 
-	table *route.Table      // of the routes, where the policy was read; nothing changes it then
-	files map[string]origin // that rules come from, likewise
+	table *route.Table          // of the routes, where the policy was read; nothing changes it then
+	files map[string]fileOrigin // that rules come from, likewise
 }
 
 // PolicyService is a service that routes may lead to.
 type PolicyService struct {
 	Service
-	From []Source `json:"from"`
+	Sources []Source `json:"from"`
 }
 
 // PolicyRoute is a route under the name namespace/name.
 type PolicyRoute struct {
 	Route
-	From Source `json:"from"`
+	Source Source `json:"from"`
 }
 
 // PolicyClass is what all say of a class; nil where nobody does.
 type PolicyClass struct {
-	Name   string                `json:"name"`
-	Aim    *Value[time.Duration] `json:"aim,omitempty"`
-	GiveUp *Value[time.Duration] `json:"give_up,omitempty"`
-	Effect *Value[string]        `json:"effect,omitempty"`
-	Worth  *Value[float64]       `json:"worth,omitempty"`
-	Late   *Value[float64]       `json:"late,omitempty"`
+	Name             string                `json:"name"`
+	LatencyObjective *Value[time.Duration] `json:"aim,omitempty"`
+	Deadline         *Value[time.Duration] `json:"give_up,omitempty"`
+	Effect           *Value[string]        `json:"effect,omitempty"`
+	PriorityWeight   *Value[float64]       `json:"worth,omitempty"`
+	LateFraction     *Value[float64]       `json:"late,omitempty"`
 }
 
 // PolicyShare is a namespace's part of a budget, in its units.
 type PolicyShare struct {
-	Budget    string          `json:"budget"`
-	Whole     int64           `json:"whole"`
+	Quota     string          `json:"budget"`
+	Limit     int64           `json:"whole"`
 	Namespace string          `json:"namespace"`
 	Min       *Value[int64]   `json:"min,omitempty"`
 	Cap       *Value[int64]   `json:"cap,omitempty"`
@@ -100,80 +100,80 @@
 // PolicyBlock is a block under the name namespace/name.
 type PolicyBlock struct {
 	Block
-	From Source `json:"from"`
+	Source Source `json:"from"`
 }
 
-// PolicyOrder is an order under the name namespace/name.
-type PolicyOrder struct {
-	Order
-	From Source `json:"from"`
+// PolicyOverride is an order under the name namespace/name.
+type PolicyOverride struct {
+	Override
+	Source Source `json:"from"`
 }
 
-// PolicyStaleness is how stale the view may be at which a route is used.
-type PolicyStaleness struct {
-	Route string         `json:"route"`
-	Bears *Value[string] `json:"bears"`
+// PolicyStalenessBound is how stale the view may be at which a route is used.
+type PolicyStalenessBound struct {
+	Route    string         `json:"route"`
+	MaxLevel *Value[string] `json:"bears"`
 }
 
-func (n *Namespace) source(id string) Source { return Source{n.Name, n.Number, id} }
+func (n *File) source(id string) Source { return Source{n.Name, n.Number, id} }
 
 func less[T cmp.Ordered](a, b T) bool { return a < b }
 
 // assemble joins namespaces without conflicts; in whichever order they are, the policy is the same.
-func assemble(c *Charter, active []*Namespace) *Policy {
-	p := &Policy{Form: 1}
+func assemble(c *Declaration, active []*File) *Policy {
+	p := &Policy{Format: 1}
 	services := map[string]*PolicyService{}
 	classes := map[string]*PolicyClass{}
 	shares := map[[2]string]*PolicyShare{}
 	bears := map[string]*Value[string]{}
 	routes := map[string]bool{}
-	stricter := func(a, b string) bool { return slices.Index(Levels(), a) < slices.Index(Levels(), b) }
+	stricter := func(a, b string) bool { return slices.Index(StalenessLevels(), a) < slices.Index(StalenessLevels(), b) }
 	for _, n := range active {
 		for i := range n.Services {
 			s := &n.Services[i]
 			if s.Removed {
 				continue
 			}
-			have := at0(services, s.Name)
+			have := getOrCreate(services, s.Name)
 			have.Service = *s
-			have.From = append(have.From, n.source(s.id()))
+			have.Sources = append(have.Sources, n.source(s.id()))
 		}
 		for i := range n.Routes {
 			r := n.Routes[i]
 			from := n.source(r.id())
 			r.Name = n.Name + "/" + r.Name
 			routes[r.Name] = true
-			if r.Bears != "" {
-				bears[r.Name] = join(bears[r.Name], r.Bears, from, stricter)
-				r.Bears = ""
+			if r.MaxStaleness != "" {
+				bears[r.Name] = join(bears[r.Name], r.MaxStaleness, from, stricter)
+				r.MaxStaleness = ""
 			}
 			p.Routes = append(p.Routes, PolicyRoute{r, from})
 		}
 		for i := range n.Classes {
 			x := &n.Classes[i]
-			from, have := n.source(x.id()), at0(classes, x.Name)
+			from, have := n.source(x.id()), getOrCreate(classes, x.Name)
 			have.Name = x.Name
-			if x.Aim > 0 {
-				have.Aim = join(have.Aim, time.Duration(x.Aim), from, less)
+			if x.LatencyObjective > 0 {
+				have.LatencyObjective = join(have.LatencyObjective, time.Duration(x.LatencyObjective), from, less)
 			}
-			if x.GiveUp > 0 {
-				have.GiveUp = join(have.GiveUp, time.Duration(x.GiveUp), from, less)
+			if x.Deadline > 0 {
+				have.Deadline = join(have.Deadline, time.Duration(x.Deadline), from, less)
 			}
 			if x.Effect != "" {
 				have.Effect = join(have.Effect, x.Effect, from, func(a, b string) bool { return a > b }) // unsafe wins
 			}
-			if x.Worth != nil {
-				have.Worth = join(have.Worth, *x.Worth, from, less)
+			if x.PriorityWeight != nil {
+				have.PriorityWeight = join(have.PriorityWeight, *x.PriorityWeight, from, less)
 			}
-			if x.Late != nil {
-				have.Late = join(have.Late, *x.Late, from, less)
+			if x.LateFraction != nil {
+				have.LateFraction = join(have.LateFraction, *x.LateFraction, from, less)
 			}
 		}
-		for i := range n.Budgets {
-			b := &n.Budgets[i]
-			who := cmp.Or(b.For, n.Name)
-			from, have := n.source(b.id()), at0(shares, [2]string{b.Budget, who})
-			have.Budget, have.Namespace, have.Whole = b.Budget, who, c.wholes[b.Budget]
+		for i := range n.Quotas {
+			b := &n.Quotas[i]
+			who := cmp.Or(b.Namespace, n.Name)
+			from, have := n.source(b.id()), getOrCreate(shares, [2]string{b.Quota, who})
+			have.Quota, have.Namespace, have.Limit = b.Quota, who, c.limits[b.Quota]
 			if b.Cap > 0 {
 				have.Cap = join(have.Cap, b.Cap, from, less)
 			}
@@ -190,19 +190,19 @@
 			b.Name = n.Name + "/" + b.Name
 			p.Blocks = append(p.Blocks, PolicyBlock{b, from})
 		}
-		for i := range n.Orders {
-			o := n.Orders[i]
+		for i := range n.Overrides {
+			o := n.Overrides[i]
 			from := n.source(o.id())
 			o.Name = n.Name + "/" + o.Name
-			p.Orders = append(p.Orders, PolicyOrder{o, from})
+			p.Overrides = append(p.Overrides, PolicyOverride{o, from})
 		}
-		for i := range n.Staleness {
-			s := &n.Staleness[i]
-			bears[s.Route] = join(bears[s.Route], s.Bears, n.source(s.id()), stricter)
+		for i := range n.StalenessBounds {
+			s := &n.StalenessBounds[i]
+			bears[s.Route] = join(bears[s.Route], s.MaxLevel, n.source(s.id()), stricter)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
-		slices.SortFunc(services[name].From, compareSources)
+		slices.SortFunc(services[name].Sources, compareSources)
 		p.Services = append(p.Services, *services[name])
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
@@ -213,19 +213,19 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(bears)) {
 		if routes[name] {
-			p.Staleness = append(p.Staleness, PolicyStaleness{name, bears[name]})
+			p.StalenessBounds = append(p.StalenessBounds, PolicyStalenessBound{name, bears[name]})
 		}
 	}
 	slices.SortFunc(p.Shares, func(a, b PolicyShare) int {
-		return cmp.Or(strings.Compare(a.Budget, b.Budget), strings.Compare(a.Namespace, b.Namespace))
+		return cmp.Or(strings.Compare(a.Quota, b.Quota), strings.Compare(a.Namespace, b.Namespace))
 	})
 	slices.SortFunc(p.Routes, func(a, b PolicyRoute) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(p.Blocks, func(a, b PolicyBlock) int { return strings.Compare(a.Name, b.Name) })
-	slices.SortFunc(p.Orders, func(a, b PolicyOrder) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(p.Overrides, func(a, b PolicyOverride) int { return strings.Compare(a.Name, b.Name) })
 	return p
 }
 
-func at0[K comparable, T any](m map[K]*T, key K) *T {
+func getOrCreate[K comparable, T any](m map[K]*T, key K) *T {
 	v := m[key]
 	if v == nil {
 		v = new(T)
@@ -260,8 +260,8 @@
 	if err := d.Decode(p); err != nil {
 		return nil, fmt.Errorf("policy: %w", err)
 	}
-	if p.Form != 1 {
-		return nil, fmt.Errorf("policy: form %d; this program reads 1", p.Form)
+	if p.Format != 1 {
+		return nil, fmt.Errorf("policy: form %d; this program reads 1", p.Format)
 	}
 	for i := range p.Routes {
 		if err := weighted(&p.Routes[i].Route); err != nil {
@@ -277,22 +277,22 @@
 	return p, nil
 }
 
-// BudgetShares are the namespaces' shares of a budget in the form of package budget.
-func (p *Policy) BudgetShares(name string) map[string]processquota.Share {
+// QuotaShares are the namespaces' shares of a budget in the form of package budget.
+func (p *Policy) QuotaShares(name string) map[string]processquota.Share {
 	out := map[string]processquota.Share{}
 	for _, s := range p.Shares {
-		if s.Budget != name {
+		if s.Quota != name {
 			continue
 		}
 		var b processquota.Share
 		if s.Min != nil {
-			b.Min = s.Min.Is
+			b.Min = s.Min.Value
 		}
 		if s.Cap != nil {
-			b.Cap = s.Cap.Is
+			b.Cap = s.Cap.Value
 		}
 		if s.Weight != nil {
-			b.Weight = s.Weight.Is
+			b.Weight = s.Weight.Value
 		}
 		out[s.Namespace] = b
 	}
@@ -329,12 +329,12 @@
 
 // Explanation is what a policy does with a request, and by whose rules.
 type Explanation struct {
-	Verdict route.Verdict
-	Route   *PolicyRoute // nil if none is found
-	Blocks  []PolicyBlock
-	Class   *PolicyClass     // nil if nobody says anything of it
-	Bears   *PolicyStaleness // of the route; nil if nobody says anything of it
-	Reasons []route.Reason   // why that route, and what became of the others
+	Verdict   route.Verdict
+	Route     *PolicyRoute // nil if none is found
+	Blocks    []PolicyBlock
+	Class     *PolicyClass          // nil if nobody says anything of it
+	Staleness *PolicyStalenessBound // of the route; nil if nobody says anything of it
+	Reasons   []route.Reason        // why that route, and what became of the others
 }
 
 // Explain tells what becomes of a request. It goes through all rules: it is for people, not for requests.
@@ -349,9 +349,9 @@
 	if r != nil {
 		i, _ := slices.BinarySearchFunc(p.Routes, r.Name, func(x PolicyRoute, name string) int { return strings.Compare(x.Name, name) })
 		out.Route = &p.Routes[i]
-		for k := range p.Staleness {
-			if p.Staleness[k].Route == r.Name {
-				out.Bears = &p.Staleness[k]
+		for k := range p.StalenessBounds {
+			if p.StalenessBounds[k].Route == r.Name {
+				out.Staleness = &p.StalenessBounds[k]
 			}
 		}
 	}
