--- a/internal/policy/namespace/region.go
+++ b/internal/policy/namespace/region.go
@@ -40,37 +40,37 @@
 	return "", false
 }
 
-// place is a pattern of paths: one path, or all under a prefix by segment. "/" as a prefix is any.
-type place struct {
+// pathPattern is a pattern of paths: one path, or all under a prefix by segment. "/" as a prefix is any.
+type pathPattern struct {
 	path  string
 	exact bool
 }
 
-func (m *Match) place() place {
+func (m *Match) place() pathPattern {
 	switch {
 	case m.Path != "":
-		return place{m.Path, true}
+		return pathPattern{m.Path, true}
 	case m.PathPrefix != "":
-		return place{m.PathPrefix, false}
+		return pathPattern{m.PathPrefix, false}
 	}
-	return place{"/", false}
+	return pathPattern{"/", false}
 }
 
-func (a place) within(b place) bool {
+func (a pathPattern) within(b pathPattern) bool {
 	if b.exact {
 		return a == b
 	}
 	return b.path == "/" || a.path == b.path || strings.HasPrefix(a.path, b.path+"/")
 }
 
-func placeMeet(a, b place) (place, bool) {
+func placeMeet(a, b pathPattern) (pathPattern, bool) {
 	switch {
 	case a.within(b):
 		return a, true
 	case b.within(a):
 		return b, true
 	}
-	return place{}, false
+	return pathPattern{}, false
 }
 
 // listWithin tells whether each value of a is one of b. An empty list is any value, of which there is no end.
@@ -142,7 +142,7 @@
 // matches tells whether a request is one of m's. The host has neither port nor capitals.
 func (m *Match) matches(q *route.Request) bool {
 	has := func(list []string, v string) bool { return len(list) == 0 || slices.Contains(list, v) }
-	return hostWithin(q.Host, m.Host) && (place{q.Path, true}).within(m.place()) &&
+	return hostWithin(q.Host, m.Host) && (pathPattern{q.Path, true}).within(m.place()) &&
 		has(m.Methods, q.Method) && has(m.Classes, q.Class) && has(m.Tenants, q.Tenant)
 }
 
@@ -196,25 +196,25 @@
 	PathPrefixes []string `toml:"path_prefixes"`
 	Classes      []string `toml:"classes"`
 	Tenants      []string `toml:"tenants"`
-	Budgets      []string `toml:"budgets"`
+	Quotas       []string `toml:"budgets"`
 	Zones        []string `toml:"zones"`
 	Settings     []string `toml:"settings"` // of Settings()
 }
 
 // The settings that a domain may name.
 const (
-	SetRoute     = "route"     // where requests lead: the owner alone
-	SetClass     = "class"     // settings of classes: aim, give_up, effect and late the strictest, worth the owner alone
-	SetBudget    = "budget"    // minimums sum within the whole, caps the strictest, weights the owner alone
-	SetBlock     = "block"     // all of them
-	SetOrder     = "order"     // all of them, unless two contradict
-	SetStaleness = "staleness" // the strictest
-	SetService   = "service"   // the owner alone
+	SettingRoute     = "route"     // where requests lead: the owner alone
+	SettingClass     = "class"     // settings of classes: aim, give_up, effect and late the strictest, worth the owner alone
+	SettingQuota     = "budget"    // minimums sum within the whole, caps the strictest, weights the owner alone
+	SettingBlock     = "block"     // all of them
+	SettingOverride  = "order"     // all of them, unless two contradict
+	SettingStaleness = "staleness" // the strictest
+	SettingService   = "service"   // the owner alone
 )
 
 // Settings are the names of all settings.
 func Settings() []string {
-	return []string{SetBlock, SetBudget, SetClass, SetOrder, SetRoute, SetService, SetStaleness}
+	return []string{SettingBlock, SettingQuota, SettingClass, SettingOverride, SettingRoute, SettingService, SettingStaleness}
 }
 
 func (d *Domain) check() error {
@@ -233,7 +233,7 @@
 			return fmt.Errorf("settings: %q is none of %s", s, strings.Join(Settings(), ", "))
 		}
 	}
-	for _, list := range [][]string{d.Classes, d.Tenants, d.Budgets, d.Zones} {
+	for _, list := range [][]string{d.Classes, d.Tenants, d.Quotas, d.Zones} {
 		if slices.Contains(list, "") {
 			return fmt.Errorf("classes, tenants, budgets or zones: one is empty")
 		}
@@ -251,7 +251,7 @@
 	switch {
 	case len(d.Hosts) > 0 && !anyOf(d.Hosts, func(h string) bool { return hostWithin(m.Host, h) }):
 		return fmt.Sprintf("host %q", m.Host), false
-	case len(d.PathPrefixes) > 0 && !anyOf(d.PathPrefixes, func(x string) bool { return p.within(place{x, false}) }):
+	case len(d.PathPrefixes) > 0 && !anyOf(d.PathPrefixes, func(x string) bool { return p.within(pathPattern{x, false}) }):
 		return fmt.Sprintf("path %q", p.path), false
 	case !listWithin(m.Classes, d.Classes):
 		return fmt.Sprintf("classes %q", m.Classes), false
@@ -285,7 +285,7 @@
 	for _, l := range []struct {
 		what string
 		a, b []string
-	}{{"budget", d.Budgets, o.Budgets}, {"zone", d.Zones, o.Zones}, {"setting", d.Settings, o.Settings}} {
+	}{{"budget", d.Quotas, o.Quotas}, {"zone", d.Zones, o.Zones}, {"setting", d.Settings, o.Settings}} {
 		for _, v := range l.a {
 			if !named(l.b, v) {
 				return fmt.Sprintf("%s %q", l.what, v), false
@@ -299,18 +299,18 @@
 func (d *Domain) meet(o *Domain) (settings []string, q *route.Request) {
 	both := func(s string) bool { return slices.Contains(d.Settings, s) && slices.Contains(o.Settings, s) }
 	if r, ok := d.meetRequests(o); ok {
-		for _, s := range []string{SetBlock, SetRoute, SetStaleness} {
+		for _, s := range []string{SettingBlock, SettingRoute, SettingStaleness} {
 			if both(s) {
 				settings, q = append(settings, s), &r
 			}
 		}
 	}
-	if _, _, some := listMeet(d.Classes, o.Classes); some && both(SetClass) {
-		settings = append(settings, SetClass)
+	if _, _, some := listMeet(d.Classes, o.Classes); some && both(SettingClass) {
+		settings = append(settings, SettingClass)
 	}
 	zones := func(a, b []string) bool { return anyOf(a, func(z string) bool { return named(b, z) }) }
-	if both(SetOrder) && (zones(d.Zones, o.Zones) || zones(o.Zones, d.Zones)) {
-		settings = append(settings, SetOrder)
+	if both(SettingOverride) && (zones(d.Zones, o.Zones) || zones(o.Zones, d.Zones)) {
+		settings = append(settings, SettingOverride)
 	}
 	slices.Sort(settings)
 	return settings, q
@@ -329,10 +329,10 @@
 	}) {
 		return route.Request{}, false
 	}
-	var p place
+	var p pathPattern
 	if !each(d.PathPrefixes, "/", func(a string) bool {
 		return each(o.PathPrefixes, "/", func(b string) bool {
-			m, ok := placeMeet(place{a, false}, place{b, false})
+			m, ok := placeMeet(pathPattern{a, false}, pathPattern{b, false})
 			p = m
 			return ok
 		})
--- a/internal/policy/namespace/slow_test.go
+++ b/internal/policy/namespace/slow_test.go
@@ -117,9 +117,9 @@
 }
 
 // slowUnder tells whether a route stands in what the other delegated, straight or through others, from the charter alone.
-func slowUnder(c *Charter, name, other string, m *Match) bool {
+func slowUnder(c *Declaration, name, other string, m *Match) bool {
 	for _, d := range c.Delegations {
-		if d.To != name || !slices.Contains(d.Settings, SetRoute) || !none(minus(mask(m), domainMask(&d.Domain))) {
+		if d.To != name || !slices.Contains(d.Settings, SettingRoute) || !none(minus(mask(m), domainMask(&d.Domain))) {
 			continue
 		}
 		if d.From == other {
@@ -145,13 +145,13 @@
 }
 
 // slow finds what Check finds, each as kind and rules.
-func slow(c *Charter, set []*Namespace) map[string]bool {
+func slow(c *Declaration, set []*File) map[string]bool {
 	clear(ofMatch)
 	clear(ofDomain)
 	out := map[string]bool{}
-	add := func(k Kind, rules ...Source) { out[fmt.Sprint(k, sources(rules...))] = true }
+	add := func(k ConflictKind, rules ...Source) { out[fmt.Sprint(k, sources(rules...))] = true }
 	type one struct {
-		n *Namespace
+		n *File
 		r *Route
 	}
 	var routes []one
@@ -198,24 +198,24 @@
 			}
 		}
 		if none(left) {
-			add(Unmatched, a.n.source(a.r.id()))
+			add(UnreachableRule, a.n.source(a.r.id()))
 		}
 		for _, to := range a.r.To {
 			if !offered[to.Service] || gone[to.Service] {
-				add(Removed, a.n.source(a.r.id()))
+				add(ServiceRemoved, a.n.source(a.r.id()))
 			}
 		}
 	}
 	for i, a := range set {
 		for _, b := range set[:i] {
-			for x := range a.Orders {
-				for y := range b.Orders {
+			for x := range a.Overrides {
+				for y := range b.Overrides {
 					for m := range moments {
 						at := begin.Add(time.Duration(m) * time.Hour)
-						o, p := &a.Orders[x], &b.Orders[y]
-						in := func(o *Order) bool { return !at.Before(o.From) && (o.Until.IsZero() || at.Before(o.Until)) }
-						if o.Server == p.Server && o.Do != p.Do && in(o) && in(p) {
-							add(Orders, a.source(o.id()), b.source(p.id()))
+						o, p := &a.Overrides[x], &b.Overrides[y]
+						in := func(o *Override) bool { return !at.Before(o.From) && (o.Until.IsZero() || at.Before(o.Until)) }
+						if o.Server == p.Server && o.Action != p.Action && in(o) && in(p) {
+							add(ContradictoryOverrides, a.source(o.id()), b.source(p.id()))
 						}
 					}
 				}
@@ -225,18 +225,18 @@
 	var mins []Source
 	sum := int64(0)
 	for _, n := range set {
-		for i := range n.Budgets {
-			sum += n.Budgets[i].Min
-			mins = append(mins, n.source(n.Budgets[i].id()))
+		for i := range n.Quotas {
+			sum += n.Quotas[i].Min
+			mins = append(mins, n.source(n.Quotas[i].id()))
 		}
 	}
-	if sum > c.wholes["w"] {
-		add(Minimums, mins...)
+	if sum > c.limits["w"] {
+		add(MinimumsExceedLimit, mins...)
 	}
 	for i := range c.Namespaces {
 		for k := range i {
 			if slowOverlap(c, c.Namespaces[i].Name, c.Namespaces[k].Name) {
-				add(Overlap, Source{Namespace: c.Namespaces[i].Name, Rule: "charter"}, Source{Namespace: c.Namespaces[k].Name, Rule: "charter"})
+				add(DomainOverlap, Source{Namespace: c.Namespaces[i].Name, Rule: "charter"}, Source{Namespace: c.Namespaces[k].Name, Rule: "charter"})
 			}
 		}
 	}
@@ -244,10 +244,10 @@
 }
 
 // slowOverlap walks each part of two domains back to its root: parts that meet must have one of the two on the other's way.
-func slowOverlap(c *Charter, a, b string) bool {
+func slowOverlap(c *Declaration, a, b string) bool {
 	for _, x := range ways(c, a, nil, nil) {
 		for _, y := range ways(c, b, nil, nil) {
-			if common(domainMask(x.domain), domainMask(y.domain)) && !slices.Contains(x.above, b) && !slices.Contains(y.above, a) {
+			if common(domainMask(x.domain), domainMask(y.domain)) && !slices.Contains(x.delegators, b) && !slices.Contains(y.delegators, a) {
 				return true
 			}
 		}
@@ -256,14 +256,14 @@
 }
 
 // ways are a namespace's parts, each with those it came through. A part came through all that its giver's part did, if it lies in that.
-func ways(c *Charter, name string, part *Domain, through []string) (out []seat) {
+func ways(c *Declaration, name string, part *Domain, through []string) (out []domainPart) {
 	for i := range c.Namespaces {
 		if h := &c.Namespaces[i]; h.Name == name && len(h.Settings) > 0 && (part == nil || none(minus(domainMask(part), domainMask(&h.Domain)))) {
 			d := &h.Domain
 			if part != nil {
 				d = part
 			}
-			out = append(out, seat{d, slices.Clone(through)})
+			out = append(out, domainPart{d, slices.Clone(through)})
 		}
 	}
 	for i := range c.Delegations {
@@ -284,9 +284,9 @@
 func (c Conflict) key() string {
 	rules := c.Rules
 	switch c.Kind {
-	case Unmatched:
+	case UnreachableRule:
 		rules = rules[:1]
-	case Removed:
+	case ServiceRemoved:
 		rules = slices.DeleteFunc(slices.Clone(rules), func(s Source) bool { return !strings.HasPrefix(s.Rule, "route ") })
 	}
 	return fmt.Sprint(c.Kind, rules)
@@ -297,7 +297,7 @@
 func one[T any](d drawer, list []T) T { return list[d.IntN(len(list))] }
 
 func (d drawer) domain(settings ...string) Domain {
-	out := Domain{Budgets: []string{"*"}, Zones: []string{"*"}, Settings: settings}
+	out := Domain{Quotas: []string{"*"}, Zones: []string{"*"}, Settings: settings}
 	if d.IntN(3) > 0 {
 		out.Hosts = slices.Compact([]string{one(d, drawnHosts[1:]), one(d, drawnHosts[1:])})
 	}
@@ -312,11 +312,11 @@
 
 var drawnNames = []string{"k", "l", "m", "n"}
 
-func (d drawer) charter() *Charter {
+func (d drawer) charter() *Declaration {
 	for {
-		c := &Charter{Version: 1, Budgets: []Whole{{"w", 10}}}
+		c := &Declaration{Version: 1, Quotas: []Quota{{"w", 10}}}
 		for i, name := range drawnNames {
-			h := Holder{Name: name, Owner: "o"}
+			h := DeclaredNamespace{Name: name, Owner: "o"}
 			if i == 0 || d.IntN(3) == 0 {
 				h.Domain = d.domain("route", "block", "service", "budget", "staleness")
 			}
@@ -329,7 +329,7 @@
 		if c.check("c", nil) == nil {
 			// Orders are for all: they need no domain of requests.
 			for _, name := range drawnNames {
-				c.seats[name] = append(c.seats[name], seat{&Domain{Zones: []string{"*"}, Settings: []string{SetOrder}}, drawnNames})
+				c.parts[name] = append(c.parts[name], domainPart{&Domain{Zones: []string{"*"}, Settings: []string{SettingOverride}}, drawnNames})
 			}
 			return c
 		}
@@ -347,8 +347,8 @@
 }
 
 // file draws a namespace's file that keeps to its domain.
-func (d drawer) file(c *Charter, name string, number uint64) *Namespace {
-	n := &Namespace{Version: 1, Name: name, Number: number, path: name}
+func (d drawer) file(c *Declaration, name string, number uint64) *File {
+	n := &File{Version: 1, Name: name, Number: number, path: name}
 	for i := range d.IntN(5) {
 		r := Route{Name: fmt.Sprint("r", i), To: []Target{{Service: one(d, drawnServices)}}}
 		d.match(&r.Match)
@@ -360,13 +360,13 @@
 		n.Blocks = append(n.Blocks, b)
 	}
 	if d.IntN(2) == 0 {
-		n.Orders = []Order{{Name: "o", Server: one(d, drawnServices), Zone: "1", Do: one(d, []string{"detach", "attach"}),
+		n.Overrides = []Override{{Name: "o", Server: one(d, drawnServices), Zone: "1", Action: one(d, []string{"detach", "attach"}),
 			From: begin.Add(time.Duration(d.IntN(4)) * time.Hour), Until: begin.Add(time.Duration(4+d.IntN(3)) * time.Hour)}}
 		if d.IntN(2) == 0 {
-			n.Orders[0].Until = n.Orders[0].From.Add(time.Hour)
+			n.Overrides[0].Until = n.Overrides[0].From.Add(time.Hour)
 		}
 	}
-	n.Budgets = []Share{{Budget: "w", Min: int64(1 + d.IntN(4))}}
+	n.Quotas = []QuotaShare{{Quota: "w", Min: int64(1 + d.IntN(4))}}
 	for _, s := range drawnServices {
 		if name == "k" || d.IntN(4) == 0 {
 			n.Services = append(n.Services, Service{Name: s, Removed: d.IntN(20) == 0})
@@ -383,17 +383,17 @@
 }
 
 // compareWithSlow tells what a way of checking found too much or too little of a set, or without a request that holds.
-func compareWithSlow(c *Charter, set []*Namespace, found []Conflict) (wrong []string) {
+func compareWithSlow(c *Declaration, set []*File, found []Conflict) (wrong []string) {
 	want, got := slow(c, set), map[string]bool{}
 	for _, x := range found {
-		if x.Kind == Said {
+		if x.Kind == InconsistentDefinition {
 			continue // a comparison of texts, with a table test
 		}
 		got[x.key()] = true
 		if !want[x.key()] {
 			wrong = append(wrong, "found, but is none: "+x.String())
 		}
-		if (x.Kind == Contradiction || x.Kind == Unmatched) && x.Request == nil {
+		if (x.Kind == Contradiction || x.Kind == UnreachableRule) && x.Request == nil {
 			wrong = append(wrong, "no request: "+x.String())
 		}
 		for _, s := range x.Rules {
@@ -409,14 +409,14 @@
 						m = &n.Blocks[i].Match
 					}
 				}
-				if n.Name != s.Namespace || m == nil || x.Kind == Unmatched && s != x.Rules[0] && s != x.Rules[1] {
+				if n.Name != s.Namespace || m == nil || x.Kind == UnreachableRule && s != x.Rules[0] && s != x.Rules[1] {
 					continue
 				}
 				table, err := route.Compile([]route.Rule{m.rule("", []route.Target{{Service: "s", Weight: 1}})}, "")
 				if err != nil {
 					panic(err)
 				}
-				if _, v := table.Lookup(x.Request); v != route.Found && !(x.Kind == Unmatched && len(x.Rules) > 2) {
+				if _, v := table.Lookup(x.Request); v != route.Found && !(x.Kind == UnreachableRule && len(x.Rules) > 2) {
 					wrong = append(wrong, "its request does not match "+s.String()+": "+x.String())
 				}
 			}
@@ -433,7 +433,7 @@
 const drawnSets = 1000
 
 // drawSet draws each set once: nothing changes them.
-func drawSet(i int) (*Charter, []*Namespace) {
+func drawSet(i int) (*Declaration, []*File) {
 	if drawn[i].c == nil {
 		drawn[i].c, drawn[i].set = drawAnew(i)
 	}
@@ -441,14 +441,14 @@
 }
 
 var drawn [drawnSets]struct {
-	c   *Charter
-	set []*Namespace
+	c   *Declaration
+	set []*File
 }
 
-func drawAnew(i int) (*Charter, []*Namespace) {
+func drawAnew(i int) (*Declaration, []*File) {
 	d := drawer{rand.New(rand.NewPCG(uint64(i), 24))}
 	c := d.charter()
-	var set []*Namespace
+	var set []*File
 	for _, name := range drawnNames {
 		set = append(set, d.file(c, name, 1))
 	}
@@ -456,7 +456,7 @@
 }
 
 func TestConflictsAreThoseOfTheSlowSearch(t *testing.T) {
-	kinds, advices := map[Kind]int{}, map[Kind]string{}
+	kinds, advices := map[ConflictKind]int{}, map[ConflictKind]string{}
 	bad := 0
 	for i := range drawnSets {
 		c, set := drawSet(i)
@@ -473,7 +473,7 @@
 		}
 	}
 	t.Logf("%d sets: %v", drawnSets, kinds)
-	for _, k := range []Kind{Contradiction, Orders, Minimums, Removed, Overlap, Unmatched} {
+	for _, k := range []ConflictKind{Contradiction, ContradictoryOverrides, MinimumsExceedLimit, ServiceRemoved, DomainOverlap, UnreachableRule} {
 		if kinds[k] < 20 {
 			t.Errorf("%s was drawn %d times only", k, kinds[k])
 		}
--- a/internal/policy/routetable/bench_test.go
+++ b/internal/policy/routetable/bench_test.go
@@ -19,14 +19,14 @@
 // weight in its third route.
 func large(routes int, versions map[int]uint64) *namespace.Policy {
 	rng := rand.New(rand.NewPCG(uint64(routes), 33))
-	p := &namespace.Policy{Form: 1}
+	p := &namespace.Policy{Format: 1}
 	teams, services := (routes+12)/13, max(1, routes/9)
 	number := func(team int) uint64 { return max(1, versions[team]) }
 	one := 1.0
 	for i := range services {
 		s := namespace.PolicyService{}
 		s.Name = fmt.Sprintf("service-%05d", i)
-		s.From = []namespace.Source{
+		s.Sources = []namespace.Source{
 			{Namespace: fmt.Sprintf("team-%05d", i%teams), Number: number(i % teams), Rule: "service " + s.Name},
 		}
 		p.Services = append(p.Services, s)
@@ -52,7 +52,7 @@
 		if i%13 == 2 || i%4 == 0 {
 			r.To = append(r.To, namespace.Target{Service: fmt.Sprintf("service-%05d", at+1), Weight: weight})
 		}
-		r.From = namespace.Source{
+		r.Source = namespace.Source{
 			Namespace: fmt.Sprintf("team-%05d", team),
 			Number:    number(team),
 			Rule:      fmt.Sprintf("route route-%02d", i%13),
@@ -62,10 +62,10 @@
 	for team := range teams {
 		ns := fmt.Sprintf("team-%05d", team)
 		from := []namespace.Source{{Namespace: ns, Number: number(team), Rule: "class c"}}
-		worth := &namespace.Value[float64]{Is: 1, From: from}
-		p.Classes = append(p.Classes, namespace.PolicyClass{Name: "class-" + ns, Worth: worth})
-		least := &namespace.Value[int64]{Is: 5, From: from}
-		share := namespace.PolicyShare{Budget: "attempts", Whole: 1 << 30, Namespace: ns, Min: least}
+		worth := &namespace.Value[float64]{Value: 1, Sources: from}
+		p.Classes = append(p.Classes, namespace.PolicyClass{Name: "class-" + ns, PriorityWeight: worth})
+		least := &namespace.Value[int64]{Value: 5, Sources: from}
+		share := namespace.PolicyShare{Quota: "attempts", Limit: 1 << 30, Namespace: ns, Min: least}
 		p.Shares = append(p.Shares, share)
 	}
 	return p
@@ -100,7 +100,7 @@
 				t.Fatalf("%d items set, %d removed", len(set), len(removed))
 			}
 			sum := 0
-			for _, piece := range to.Lacks(from) {
+			for _, piece := range to.ChunksNotIn(from) {
 				sum += len(piece)
 			}
 			most[routes] = max(most[routes], sum)
@@ -132,7 +132,7 @@
 				built = must(p.Tree())
 			}
 			count, longest := 0, 0
-			for _, piece := range built.Pieces() {
+			for _, piece := range built.Chunks() {
 				count++
 				longest = max(longest, len(piece))
 			}
@@ -168,7 +168,7 @@
 			var bytes, count, most int
 			for _, p := range next {
 				sum := 0
-				for _, piece := range must(p.Tree()).Lacks(from) {
+				for _, piece := range must(p.Tree()).ChunksNotIn(from) {
 					sum += len(piece)
 					count++
 				}
@@ -176,7 +176,7 @@
 			}
 			to := must(next[0].Tree())
 			for b.Loop() {
-				for range to.Lacks(from) {
+				for range to.ChunksNotIn(from) {
 				}
 			}
 			b.ReportMetric(float64(bytes)/float64(len(next)), "B/change")
@@ -202,8 +202,8 @@
 		}
 		text := q.Encode()
 		assemble := func(b *testing.B) *merkle.Tree {
-			a := merkle.Assemble(to.Root(), from)
-			for _, piece := range to.Lacks(from) {
+			a := merkle.NewAssembly(to.Root(), from)
+			for _, piece := range to.ChunksNotIn(from) {
 				if err := a.Add(piece); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/policy/routetable/routes.go
+++ b/internal/policy/routetable/routes.go
@@ -62,7 +62,7 @@
 		return nil, InvalidRulesError{Kind: "routes", Err: err}
 	}
 	blocks := r.Blocks
-	if diff.Blocks {
+	if diff.BlocksChanged {
 		if blocks, err = compileBlocks(p); err != nil {
 			return nil, err
 		}
@@ -93,7 +93,7 @@
 			sticky[route] = by
 		}
 	}
-	for _, route := range diff.RoutesGone {
+	for _, route := range diff.RemovedRoutes {
 		set(route, "")
 	}
 	for i := range diff.Routes {
--- a/internal/policy/routetable/routes_test.go
+++ b/internal/policy/routetable/routes_test.go
@@ -21,7 +21,7 @@
 var services = []string{"s0", "s1", "s2", "s3"}
 
 func (d generator) policy() *namespace.Policy {
-	p := &namespace.Policy{Form: 1}
+	p := &namespace.Policy{Format: 1}
 	number := uint64(1 + d.IntN(2))
 	weight := 1.0
 	for i := range 8 {
@@ -29,7 +29,7 @@
 		if d.IntN(3) == 0 {
 			continue
 		}
-		r := namespace.PolicyRoute{From: namespace.Source{Namespace: "a", Number: number, Rule: "route " + name}}
+		r := namespace.PolicyRoute{Source: namespace.Source{Namespace: "a", Number: number, Rule: "route " + name}}
 		r.Name, r.Path = "a/"+name, fmt.Sprint("/", i)
 		r.Sticky = []string{"", "tenant", "request"}[d.IntN(3)]
 		for k, s := range services {
@@ -44,7 +44,7 @@
 			continue
 		}
 		b := namespace.PolicyBlock{
-			From: namespace.Source{Namespace: "a", Number: number, Rule: fmt.Sprint("block b", i)},
+			Source: namespace.Source{Namespace: "a", Number: number, Rule: fmt.Sprint("block b", i)},
 		}
 		b.Name, b.Path = fmt.Sprint("a/b", i), fmt.Sprint("/", d.IntN(4)+4*i)
 		p.Blocks = append(p.Blocks, b)
@@ -101,7 +101,7 @@
 			lacks = "s3"
 		}
 		has := func(s string) bool { return s != lacks }
-		was := &namespace.Policy{Form: 1}
+		was := &namespace.Policy{Format: 1}
 		now, err := Build(was, fallback, has)
 		if err != nil {
 			t.Fatal(err)
@@ -144,18 +144,18 @@
 }
 
 func TestTiedBlocksAreRejected(t *testing.T) {
-	p := &namespace.Policy{Form: 1}
+	p := &namespace.Policy{Format: 1}
 	now, err := Build(p, "", func(string) bool { return true })
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 2 {
-		b := namespace.PolicyBlock{From: namespace.Source{Namespace: "a", Number: 1, Rule: fmt.Sprint("block b", i)}}
+		b := namespace.PolicyBlock{Source: namespace.Source{Namespace: "a", Number: 1, Rule: fmt.Sprint("block b", i)}}
 		b.Name, b.Path = fmt.Sprint("a/b", i), "/x"
 		p.Blocks = append(p.Blocks, b)
 	}
 	_, err = Build(p, "", func(string) bool { return true })
-	_, again := now.Update(p, &namespace.Diff{Blocks: true}, func(string) bool { return true })
+	_, again := now.Update(p, &namespace.Diff{BlocksChanged: true}, func(string) bool { return true })
 	for _, err := range []error{err, again} {
 		if bad := (InvalidRulesError{}); !errors.As(err, &bad) || bad.Kind != "blocks" ||
 			!strings.Contains(err.Error(), "ties") || operatorerror.Of(err) == "" {
--- a/internal/policy/store/bisect.go
+++ b/internal/policy/store/bisect.go
@@ -41,7 +41,7 @@
 		files:       map[string]submittedFile{},
 		tree:        tree,
 	}
-	for _, n := range outcome.Good {
+	for _, n := range outcome.Accepted {
 		policy.files[n.Name] = active.files[n.Name]
 		if f, ok := submitted[n.Name]; ok && f.number == n.Number {
 			policy.files[n.Name] = f
--- a/internal/policy/store/merge.go
+++ b/internal/policy/store/merge.go
@@ -20,7 +20,7 @@
 	Submitted    uint64   `json:"offered"` // number of the file that is held back
 	Active       uint64   `json:"holds"`   // number of the file that stays in force; 0 is none
 	Author       string   `json:"by,omitempty"`
-	RemovedItems []string `json:"cut,omitempty"`
+	RemovedRules []string `json:"cut,omitempty"`
 	Reason       string   `json:"why"` // with an example request, where a conflict is about requests
 	Advice       string   `json:"help"`
 }
@@ -30,7 +30,7 @@
 func (m *StateMachine) mergeFiles(
 	declaration submittedFile, accepted, submitted map[string]submittedFile, previous *merkle.Tree,
 ) (namespace.Outcome, *merkle.Tree, error) {
-	parsed, err := namespace.ParseCharter("charter", []byte(declaration.text))
+	parsed, err := namespace.ParseDeclaration("charter", []byte(declaration.text))
 	if err != nil {
 		return namespace.Outcome{}, nil, err
 	}
@@ -52,8 +52,8 @@
 }
 
 // parseFiles parses files in the order of their namespaces, and caches the results by text.
-func (m *StateMachine) parseFiles(files map[string]submittedFile) ([]*namespace.Namespace, error) {
-	var all []*namespace.Namespace
+func (m *StateMachine) parseFiles(files map[string]submittedFile) ([]*namespace.File, error) {
+	var all []*namespace.File
 	for _, name := range slices.Sorted(maps.Keys(files)) {
 		text := files[name].text
 		parsed := m.parsedFiles[text]
@@ -63,7 +63,7 @@
 				return nil, err
 			}
 			if m.parsedFiles == nil {
-				m.parsedFiles = map[string]*namespace.Namespace{}
+				m.parsedFiles = map[string]*namespace.File{}
 			}
 			m.parsedFiles[text] = parsed
 		}
@@ -85,7 +85,7 @@
 }
 
 func (m *StateMachine) pruneParsedFiles() {
-	needed := map[string]*namespace.Namespace{}
+	needed := map[string]*namespace.File{}
 	for _, files := range []map[string]submittedFile{m.state.accepted, m.state.pending, m.state.active().files} {
 		for _, f := range files {
 			if parsed := m.parsedFiles[f.text]; parsed != nil {
@@ -109,7 +109,7 @@
 	if enforceLimits && tree.Size() > MaxPolicyBytes {
 		return TooLargeError{"the merged policy", tree.Size(), MaxPolicyBytes}
 	}
-	if m.mutated(holdEverything) && len(outcome.Held) > 0 {
+	if m.mutated(holdEverything) && len(outcome.Withheld) > 0 {
 		pending := s.pending
 		*s = *m.cloneState()
 		s.pending = pending
@@ -117,7 +117,7 @@
 	}
 	s.mergeCount++
 	s.reportConflicts(&outcome)
-	s.acceptFiles(outcome.Good, tree)
+	s.acceptFiles(outcome.Accepted, tree)
 	return nil
 }
 
@@ -132,17 +132,17 @@
 // reportConflicts replaces the reports of held files and conflicts by those of a merge.
 func (s *state) reportConflicts(outcome *namespace.Outcome) {
 	s.withheldFiles = nil
-	for _, held := range outcome.Held {
+	for _, held := range outcome.Withheld {
 		author := s.accepted[held.Namespace].author
-		if pending, ok := s.pending[held.Namespace]; ok && held.Offered == pending.number {
+		if pending, ok := s.pending[held.Namespace]; ok && held.Submitted == pending.number {
 			author = pending.author
 		}
 		s.withheldFiles = append(s.withheldFiles, WithheldFile{
 			Namespace:    held.Namespace,
-			Submitted:    held.Offered,
-			Active:       held.Holds,
+			Submitted:    held.Submitted,
+			Active:       held.Active,
 			Author:       author,
-			RemovedItems: held.Cut,
+			RemovedRules: held.RemovedRules,
 			Reason:       truncate(held.Error()),
 			Advice:       operatorerror.Of(held),
 		})
@@ -154,7 +154,7 @@
 }
 
 // acceptFiles moves pending files that a merge accepted to the accepted ones, and makes the merged policy the head.
-func (s *state) acceptFiles(accepted []*namespace.Namespace, tree *merkle.Tree) {
+func (s *state) acceptFiles(accepted []*namespace.File, tree *merkle.Tree) {
 	merged := retainedPolicy{
 		version:     s.head.version,
 		declaration: s.declaration,
--- a/internal/policy/store/restore.go
+++ b/internal/policy/store/restore.go
@@ -82,9 +82,9 @@
 
 // decodePolicies assembles the retained policies and the head. Trees share what is the same with the one before.
 func (s *state) decodePolicies(in *snapshot, files *fileDecoder) error {
-	chunks := map[merkle.Name][]byte{}
+	chunks := map[merkle.Hash][]byte{}
 	for _, chunk := range in.Chunks {
-		chunks[merkle.NameOf(chunk)] = chunk
+		chunks[merkle.HashOf(chunk)] = chunk
 	}
 	var previous *merkle.Tree
 	decode := func(p snapshotPolicy) (retainedPolicy, error) {
@@ -114,14 +114,14 @@
 }
 
 // assembleTree assembles the tree of a root from chunks, and from another tree as far as they are the same.
-func assembleTree(root string, chunks map[merkle.Name][]byte, previous *merkle.Tree) (*merkle.Tree, error) {
-	name, err := merkle.ParseName(root)
+func assembleTree(root string, chunks map[merkle.Hash][]byte, previous *merkle.Tree) (*merkle.Tree, error) {
+	name, err := merkle.ParseHash(root)
 	if err != nil {
 		return nil, err
 	}
-	assembly := merkle.Assemble(name, previous)
+	assembly := merkle.NewAssembly(name, previous)
 	for {
-		wanted := assembly.Wants(chunksPerStep)
+		wanted := assembly.Missing(chunksPerStep)
 		if len(wanted) == 0 {
 			return assembly.Tree()
 		}
@@ -145,9 +145,9 @@
 }
 
 func newFileDecoder(in *snapshot) (*fileDecoder, error) {
-	texts := map[merkle.Name]string{}
+	texts := map[merkle.Hash]string{}
 	for _, text := range in.Texts {
-		texts[merkle.NameOf(text)] = string(text)
+		texts[merkle.HashOf(text)] = string(text)
 	}
 	d := &fileDecoder{files: make([]submittedFile, 0, len(in.Files))}
 	for _, f := range in.Files {
--- a/internal/policy/store/rollout_test.go
+++ b/internal/policy/store/rollout_test.go
@@ -361,7 +361,7 @@
 	}
 	inForce := map[string]uint64{}
 	for _, r := range policyOf(t, b, s.Active).Services {
-		for _, from := range r.From {
+		for _, from := range r.Sources {
 			inForce[from.Namespace] = from.Number
 		}
 	}
--- a/internal/policy/store/snapshot.go
+++ b/internal/policy/store/snapshot.go
@@ -50,7 +50,7 @@
 // snapshotFile is a declaration or a file. Its text is named by its hash.
 type snapshotFile struct {
 	Namespace   string      `json:"Namespace"` // empty for a declaration
-	Text        merkle.Name `json:"Text"`
+	Text        merkle.Hash `json:"Text"`
 	Author      string      `json:"By"`
 	Number      uint64      `json:"Number"`
 	MergeNumber uint64      `json:"At"`
@@ -136,14 +136,14 @@
 
 // fileTable collects all declarations and files of a state, each once and in one order.
 type fileTable struct {
-	names   map[string]merkle.Name // hashes by text
+	names   map[string]merkle.Hash // hashes by text
 	list    []snapshotFile
 	indexOf map[snapshotFile]int // in list
 	texts   [][]byte             // in the order of their first files
 }
 
 func newFileTable(s *state) *fileTable {
-	t := &fileTable{names: map[string]merkle.Name{}, indexOf: map[snapshotFile]int{}}
+	t := &fileTable{names: map[string]merkle.Hash{}, indexOf: map[snapshotFile]int{}}
 	texts := map[snapshotFile]string{}
 	add := func(namespace string, f submittedFile) { texts[t.file(namespace, f)] = f.text }
 	addAll := func(files map[string]submittedFile) {
@@ -159,7 +159,7 @@
 		addAll(p.files)
 	}
 	t.list = slices.SortedFunc(maps.Keys(texts), snapshotFile.compare)
-	written := map[merkle.Name]bool{}
+	written := map[merkle.Hash]bool{}
 	for i, f := range t.list {
 		t.indexOf[f] = i
 		if !written[f.Text] {
@@ -173,7 +173,7 @@
 func (t *fileTable) file(namespace string, f submittedFile) snapshotFile {
 	name, ok := t.names[f.text]
 	if !ok {
-		name = merkle.NameOf([]byte(f.text))
+		name = merkle.HashOf([]byte(f.text))
 		t.names[f.text] = name
 	}
 	return snapshotFile{namespace, name, f.author, f.number, f.mergeNumber}
@@ -202,7 +202,7 @@
 // chunkTable collects the chunks of trees, each once. Only what differs from the tree before is visited.
 type chunkTable struct {
 	previous *merkle.Tree
-	written  map[merkle.Name]bool
+	written  map[merkle.Hash]bool
 	list     [][]byte
 }
 
@@ -211,9 +211,9 @@
 		return
 	}
 	if t.written == nil {
-		t.written = map[merkle.Name]bool{}
+		t.written = map[merkle.Hash]bool{}
 	}
-	for name, chunk := range tree.Lacks(t.previous) {
+	for name, chunk := range tree.ChunksNotIn(t.previous) {
 		if !t.written[name] {
 			t.written[name] = true
 			t.list = append(t.list, chunk)
--- a/internal/policy/store/statemachine.go
+++ b/internal/policy/store/statemachine.go
@@ -13,9 +13,9 @@
 	mutations mutation
 
 	// The caches below are no part of the state: equal commands give equal results with and without them.
-	cachedStatus *Status                         // nil if the state has changed since
-	parsedFiles  map[string]*namespace.Namespace // by text
-	unchunked    map[string]string               // encoded policies by root; empty is one that is too long
+	cachedStatus *Status                    // nil if the state has changed since
+	parsedFiles  map[string]*namespace.File // by text
+	unchunked    map[string]string          // encoded policies by root; empty is one that is too long
 }
 
 // New returns an empty state machine whose generations begin at generation. A fleet that is bootstrapped again numbers
@@ -60,7 +60,7 @@
 	if err := checkSizes("the charter", c.Text, c.Author); err != nil {
 		return err
 	}
-	if _, err := namespace.ParseCharter("charter", []byte(c.Text)); err != nil {
+	if _, err := namespace.ParseDeclaration("charter", []byte(c.Text)); err != nil {
 		return err
 	}
 	next := m.cloneState()
@@ -82,20 +82,20 @@
 		return err
 	}
 	name := parsed.Name
-	declaration, err := namespace.ParseCharter("charter", []byte(m.state.declaration.text))
+	declaration, err := namespace.ParseDeclaration("charter", []byte(m.state.declaration.text))
 	if err != nil {
 		return err
 	}
-	declared := func(h namespace.Holder) bool { return h.Name == name }
+	declared := func(h namespace.DeclaredNamespace) bool { return h.Name == name }
 	if !slices.ContainsFunc(declaration.Namespaces, declared) {
-		return namespace.UnknownNamespace{Namespace: name}
+		return namespace.UnknownNamespaceError{Namespace: name}
 	}
 	if m.state.accepted[name].text == c.Text || m.state.pending[name].text == c.Text {
 		return nil // a repeated submission
 	}
 	highest := m.state.highestNumbers[name]
 	if parsed.Number <= highest && !m.mutated(allowReusedNumbers) {
-		return namespace.VersionTaken{Namespace: name, Offered: parsed.Number, Holds: highest}
+		return namespace.VersionTakenError{Namespace: name, Submitted: parsed.Number, Active: highest}
 	}
 	next := m.cloneState()
 	next.highestNumbers[name] = max(parsed.Number, highest)
--- a/internal/policy/store/statemachine_test.go
+++ b/internal/policy/store/statemachine_test.go
@@ -232,7 +232,7 @@
 func TestDeclarationWithdrawsHost(t *testing.T) {
 	b := newWithTwoTeams(t, 0)
 	apply(t, b, Command{SetDeclaration: &SetDeclaration{Text: declarationText("y.org")}})
-	if s := b.Status(); headRoutes(t, b) != "alpha/r/a" || len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "beta" || len(s.WithheldFiles[0].RemovedItems) != 1 {
+	if s := b.Status(); headRoutes(t, b) != "alpha/r/a" || len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "beta" || len(s.WithheldFiles[0].RemovedRules) != 1 {
 		t.Errorf("%s, %+v", headRoutes(t, b), s.WithheldFiles)
 	}
 	apply(t, b, Command{SetDeclaration: &SetDeclaration{Text: declarationText("x.org")}})
@@ -255,7 +255,7 @@
 	if s := b.Status(); s.Active.Epoch != good.Epoch || s.Active.Generation != 1 || s.Stopped != nil || s.Candidate.Epoch != 0 {
 		t.Errorf("%+v", s)
 	}
-	if err := b.Apply(submitCommand(policyFile("alpha", 2, "x.org", "/bad"))); !errors.As(err, &namespace.VersionTaken{}) {
+	if err := b.Apply(submitCommand(policyFile("alpha", 2, "x.org", "/bad"))); !errors.As(err, &namespace.VersionTakenError{}) {
 		t.Error(err)
 	}
 	apply(t, b, submitCommand(policyFile("gamma", 1, "g.org", "/g")))
@@ -275,7 +275,7 @@
 		{Command{SetDeclaration: &SetDeclaration{Text: "x", Author: strings.Repeat("a", 200)}}, new(TooLargeError)},
 		{Command{SetDeclaration: &SetDeclaration{Text: "version = 9"}}, new(namespace.FileError)},
 		{submitCommand("version = 1"), new(namespace.FileError)},
-		{submitCommand(policyFile("delta", 1, "x.org", "/")), new(namespace.UnknownNamespace)},
+		{submitCommand(policyFile("delta", 1, "x.org", "/")), new(namespace.UnknownNamespaceError)},
 		{Command{Rollback: &Rollback{Epoch: 99}}, new(EpochNotRetainedError)},
 	} {
 		b := newWithTwoTeams(t, 0)
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -150,16 +150,16 @@
 func TestAPolicyThatFollowsOnAnotherIsNotBuiltAnew(t *testing.T) {
 	weight := 1.0
 	policy := func(number uint64, path, service string) *namespace.Policy {
-		p := &namespace.Policy{Form: 1}
+		p := &namespace.Policy{Format: 1}
 		for _, name := range []string{"a", "b"} {
-			r := namespace.PolicyRoute{From: namespace.Source{Namespace: "n", Number: number, Rule: "route " + name}}
+			r := namespace.PolicyRoute{Source: namespace.Source{Namespace: "n", Number: number, Rule: "route " + name}}
 			r.Name, r.Path, r.To = "n/"+name, "/"+name, []namespace.Target{{Service: "one", Weight: &weight}}
 			if name == "b" {
 				r.Path, r.To = path, []namespace.Target{{Service: service, Weight: &weight}}
 			}
 			p.Routes = append(p.Routes, r)
 		}
-		b := namespace.PolicyBlock{From: namespace.Source{Namespace: "n", Number: number, Rule: "block c"}}
+		b := namespace.PolicyBlock{Source: namespace.Source{Namespace: "n", Number: number, Rule: "block c"}}
 		b.Name, b.Path = "n/c", "/c"
 		p.Blocks = append(p.Blocks, b)
 		return p
@@ -169,7 +169,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next := &client.InstalledPolicy{Offer: rollout.Version{Generation: 1, Epoch: p.Routes[0].From.Number, Hash: to.Root().String()}, Policy: p}
+		next := &client.InstalledPolicy{Offer: rollout.Version{Generation: 1, Epoch: p.Routes[0].Source.Number, Hash: to.Root().String()}, Policy: p}
 		if was != nil {
 			from, err := was.Policy.Tree()
 			if err != nil {
