--- a/internal/policy/store/bench_test.go
+++ b/internal/policy/store/bench_test.go
@@ -6,114 +6,126 @@
 	"testing"
 )
 
-// largeDeclaration is a charter of teams, and the file of one with so many routes and tenants of each.
-func largeDeclaration(teams int) string {
-	var c strings.Builder
-	c.WriteString("version = 1\n")
+// routesPerTeam is how many routes each file of a benchmark has.
+const routesPerTeam = 20
+
+// largeDeclaration declares namespaces t0, t1, ..., each with a host of its own.
+func largeDeclaration(teams int) Command {
+	var text strings.Builder
+	text.WriteString("version = 1\n")
 	for i := range teams {
-		fmt.Fprintf(&c, "[[namespace]]\nname = \"t%d\"\nowner = \"o\"\nhosts = [\"t%d.org\"]\nsettings = [\"route\", \"service\"]\n", i, i)
+		fmt.Fprintf(&text, "[[namespace]]\nname = \"t%d\"\nowner = \"o\"\nhosts = [\"t%d.org\"]\n"+
+			"settings = [\"route\", \"service\"]\n", i, i)
 	}
-	return c.String()
+	return declareCommand(text.String())
 }
 
-func largeFile(team, number, routes, tenants int) string {
-	var t strings.Builder
-	fmt.Fprintf(&t, "version = 1\nnamespace = \"t%d\"\nnumber = %d\n[[service]]\nname = \"s%d\"\n", team, number, team)
-	for r := range routes {
-		fmt.Fprintf(&t, "[[route]]\nname = \"r%d\"\nhost = \"t%d.org\"\npath_prefix = \"/p%d\"\nto = [{ service = \"s%d\" }]\n", r, team, r, team)
+// largeFile is the file of a team with so many tenants in each route. Its number changes only the first route.
+func largeFile(team, number, tenants int) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "version = 1\nnamespace = \"t%d\"\nnumber = %d\n[[service]]\nname = \"s%d\"\n",
+		team, number, team)
+	for r := range routesPerTeam {
+		fmt.Fprintf(&text, "[[route]]\nname = \"r%d\"\nhost = \"t%d.org\"\npath_prefix = \"/p%d\"\n"+
+			"to = [{ service = \"s%d\" }]\n", r, team, r, team)
 		if r == 0 {
-			fmt.Fprintf(&t, "sticky = %q\n", []string{"key", "tenant"}[number%2]) // what is new in the file
+			fmt.Fprintf(&text, "sticky = %q\n", []string{"key", "tenant"}[number%2])
 		}
 		if tenants > 0 {
-			t.WriteString("tenants = [")
+			text.WriteString("tenants = [")
 			for i := range tenants {
-				fmt.Fprintf(&t, "\"tenant-%d-%d-%d\", ", team, r, i)
+				fmt.Fprintf(&text, "\"tenant-%d-%d-%d\", ", team, r, i)
 			}
-			t.WriteString("]\n")
+			text.WriteString("]\n")
 		}
 	}
-	return t.String()
+	return text.String()
+}
+
+func mustApply(b *testing.B, m *StateMachine, c Command) {
+	b.Helper()
+	if err := m.Apply(c); err != nil {
+		b.Fatal(err)
+	}
+}
+
+func completeCandidate(b *testing.B, m *StateMachine) {
+	b.Helper()
+	candidate := m.Status().Candidate
+	if candidate.Epoch == 0 {
+		return
+	}
+	mustApply(b, m, resultCommand(RolloutResult{
+		Generation: candidate.Generation, Epoch: candidate.Epoch, Completed: true,
+	}))
+}
+
+// addLargeFiles submits the files of all teams with one merge: submitted by themselves, each would merge all.
+func addLargeFiles(b *testing.B, m *StateMachine, teams, tenants int) {
+	b.Helper()
+	s := m.cloneState()
+	for i := range teams {
+		s.pending[fmt.Sprint("t", i)] = submittedFile{text: largeFile(i, 1, tenants), number: 1}
+	}
+	if err := m.mergeAndCommit(s); err != nil {
+		b.Fatal(err)
+	}
 }
 
-// BenchmarkApply is one offer, with its train coming through: for so long the log's goroutine does nothing else. Fifty teams with twenty
-// routes each, and the target: 13,000 routes with 150,000 tenants.
+// BenchmarkApply is one submission and the completion of its rollout, for which the log's goroutine is busy.
 func BenchmarkApply(b *testing.B) {
-	for _, size := range []struct{ teams, routes, tenants int }{{50, 20, 0}, {200, 20, 0}, {160, 20, 12}, {320, 20, 12}, {650, 20, 12}} {
-		b.Run(fmt.Sprintf("routes=%d/tenants=%d", size.teams*size.routes, size.teams*size.routes*size.tenants), func(b *testing.B) {
-			book := New(0)
-			do := func(c Command) {
-				if err := book.Apply(c); err != nil {
-					b.Fatal(err)
-				}
-			}
-			done := func() {
-				if s := book.Status(); s.Candidate.Epoch != 0 {
-					do(Command{RolloutResult: &RolloutResult{Generation: s.Candidate.Generation, Epoch: s.Candidate.Epoch, Completed: true}})
-				}
-			}
-			do(Command{SetDeclaration: &SetDeclaration{Text: largeDeclaration(size.teams)}})
-			done()
-			// Files of a snapshot come at once: each by itself would merge all for each.
-			s := book.cloneState()
-			for i := range size.teams {
-				s.pending[fmt.Sprint("t", i)] = submittedFile{text: largeFile(i, 1, size.routes, size.tenants), number: 1}
-			}
-			if err := book.mergeAndCommit(s); err != nil {
-				b.Fatal(err)
-			}
-			done()
-			n := 1
+	for _, size := range []struct{ teams, tenants int }{{50, 0}, {200, 0}, {160, 12}, {320, 12}, {650, 12}} {
+		routes := size.teams * routesPerTeam
+		b.Run(fmt.Sprintf("routes=%d/tenants=%d", routes, routes*size.tenants), func(b *testing.B) {
+			m := New(0)
+			mustApply(b, m, largeDeclaration(size.teams))
+			completeCandidate(b, m)
+			addLargeFiles(b, m, size.teams, size.tenants)
+			completeCandidate(b, m)
+			number := 1
 			for b.Loop() {
-				n++
-				do(Command{SubmitFile: &SubmitFile{Text: largeFile(7, n, size.routes, size.tenants)}})
-				done()
+				number++
+				mustApply(b, m, submitCommand(largeFile(7, number, size.tenants)))
+				completeCandidate(b, m)
 			}
-			text, err := book.Snapshot()
+			snapshot, err := m.Snapshot()
 			if err != nil {
 				b.Fatal(err)
 			}
-			b.ReportMetric(float64(len(text)), "snapshot-bytes")
-			b.ReportMetric(float64(book.state.head.tree.Size()), "policy-bytes")
+			b.ReportMetric(float64(len(snapshot)), "snapshot-bytes")
+			b.ReportMetric(float64(m.state.head.tree.Size()), "policy-bytes")
 		})
 	}
 }
 
-// BenchmarkSnapshot writes and reads the state of the target, with sixteen policies kept.
+// BenchmarkSnapshot writes and reads the state of a large fleet with all policies retained that can be.
 func BenchmarkSnapshot(b *testing.B) {
-	book := New(0)
-	if err := book.Apply(Command{SetDeclaration: &SetDeclaration{Text: largeDeclaration(650)}}); err != nil {
-		b.Fatal(err)
-	}
-	s := book.cloneState()
-	for i := range 650 {
-		s.pending[fmt.Sprint("t", i)] = submittedFile{text: largeFile(i, 1, 20, 12), number: 1}
-	}
-	if err := book.mergeAndCommit(s); err != nil {
-		b.Fatal(err)
-	}
-	for n := range 20 {
-		st := book.Status()
-		for _, c := range []Command{{RolloutResult: &RolloutResult{Generation: st.Candidate.Generation, Epoch: st.Candidate.Epoch, Completed: true}}, {SubmitFile: &SubmitFile{Text: largeFile(7, n+2, 20, 12)}}} {
-			if err := book.Apply(c); err != nil {
-				b.Fatal(err)
-			}
-		}
+	const (
+		teams   = 650
+		tenants = 12
+	)
+	m := New(0)
+	mustApply(b, m, largeDeclaration(teams))
+	addLargeFiles(b, m, teams, tenants)
+	for i := range 20 {
+		completeCandidate(b, m)
+		mustApply(b, m, submitCommand(largeFile(7, i+2, tenants)))
 	}
-	text, err := book.Snapshot()
+	snapshot, err := m.Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Run("write", func(b *testing.B) {
 		for b.Loop() {
-			if _, err := book.Snapshot(); err != nil {
+			if _, err := m.Snapshot(); err != nil {
 				b.Fatal(err)
 			}
 		}
-		b.ReportMetric(float64(len(text)), "snapshot-bytes")
+		b.ReportMetric(float64(len(snapshot)), "snapshot-bytes")
 	})
 	b.Run("read", func(b *testing.B) {
 		for b.Loop() {
-			if err := New(0).Restore(text); err != nil {
+			if err := New(0).Restore(snapshot); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/policy/store/merge.go
+++ b/internal/policy/store/merge.go
@@ -13,8 +13,8 @@
 // parsedFilesSlack is how many parsed files the cache may hold beyond twice those of the state.
 const parsedFilesSlack = 64
 
-// WithheldFile reports a namespace's file that is held back, in part or whole. Reasons are texts and not errors, so that
-// the state has the same bytes on every server.
+// WithheldFile reports a namespace's file that is held back, in part or whole. Reasons are texts and not errors, so
+// that the state has the same bytes on every server.
 type WithheldFile struct {
 	Namespace    string   `json:"namespace"`
 	Submitted    uint64   `json:"offered"` // number of the file that is held back
--- a/internal/policy/store/snapshot_test.go
+++ b/internal/policy/store/snapshot_test.go
@@ -12,121 +12,144 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// A snapshot of before trains and pieces (written by the release of then: alpha's second file goes out, beta's is held) goes on under
-// the same epochs.
+// A snapshot of a release without batches and chunks goes on under the same epochs. In it alpha's second file is being
+// rolled out and beta's is withheld.
 func TestRestoreLegacySnapshot(t *testing.T) {
-	old, err := os.ReadFile("testdata/form1.json")
+	legacy, err := os.ReadFile("testdata/form1.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := New(0)
-	if err := b.Restore(old); err != nil {
+	m := New(0)
+	if err := m.Restore(legacy); err != nil {
 		t.Fatal(err)
 	}
-	s := b.Status()
-	if s.Active.Epoch != 3 || s.Candidate.Epoch != 5 || s.Head != s.Candidate || len(s.WithheldFiles) != 1 || !slices.Equal(changeNames(s.Batch), []string{"alpha2", "gamma1"}) || len(s.Queued) != 0 {
+	s := m.Status()
+	if s.Active.Epoch != 3 || s.Candidate.Epoch != 5 || s.Head != s.Candidate || len(s.WithheldFiles) != 1 {
 		t.Fatalf("%+v", s)
 	}
-	if got := routesOf(t, b, s.Active); got != "alpha/r/a beta/r/b" {
-		t.Error(got)
+	if !slices.Equal(changeNames(s.Batch), []string{"alpha2", "gamma1"}) || len(s.Queued) != 0 {
+		t.Fatalf("%+v", s)
 	}
-	x, err := b.Snapshot()
-	if err != nil {
-		t.Fatal(err)
+	if got := routesOf(t, m, s.Active); got != "alpha/r/a beta/r/b" {
+		t.Error(got)
 	}
-	c := New(0)
-	if err := c.Restore(x); err != nil {
+	snapshot := snapshotOf(t, m)
+	restored := New(0)
+	if err := restored.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if y, _ := c.Snapshot(); !bytes.Equal(x, y) {
-		t.Error("it comes back as another")
-	}
-	// Its train stops: the two are tried apart, and what was held comes in.
-	endRollout(t, c, false)
-	for s := c.Status(); s.Candidate.Epoch != 0 && s.Stopped == nil; s = c.Status() {
-		endRollout(t, c, !strings.Contains(routesOf(t, c, s.Candidate), "alpha/r/c"))
-	}
-	if s := c.Status(); routesOf(t, c, s.Active) != "alpha/r/a beta/r/c gamma/r/g" || !slices.Equal(failedChangeNames(c), []string{"alpha2"}) {
-		t.Errorf("%s: %+v", routesOf(t, c, s.Active), s)
+	if !bytes.Equal(snapshot, snapshotOf(t, restored)) {
+		t.Error("a restored snapshot is written differently")
 	}
+	checkLegacyBisection(t, restored)
 	for _, damage := range []string{"s-beta", `"form":1`, "/c"} {
-		if err := New(0).Restore(bytes.ReplaceAll(old, []byte(damage), []byte("x"+damage[1:]))); !errors.As(err, new(InvalidCommandError)) {
+		damaged := bytes.ReplaceAll(legacy, []byte(damage), []byte("x"+damage[1:]))
+		if err := New(0).Restore(damaged); !errors.As(err, new(InvalidCommandError)) {
 			t.Errorf("damaged at %s: %v", damage, err)
 		}
 	}
 }
 
-// Entries of before trains, when each offer took the place of the one on its way, come to the policy that they came to then, under its epoch;
-// and a judgement that is told again changes nothing.
+// checkLegacyBisection stops the rollout: its two changes are tried apart, and the withheld file is accepted.
+func checkLegacyBisection(t *testing.T, m *StateMachine) {
+	t.Helper()
+	endRollout(t, m, false)
+	for s := m.Status(); s.Candidate.Epoch != 0 && s.Stopped == nil; s = m.Status() {
+		endRollout(t, m, !strings.Contains(routesOf(t, m, s.Candidate), "alpha/r/c"))
+	}
+	got := routesOf(t, m, m.Status().Active)
+	if got != "alpha/r/a beta/r/c gamma/r/g" || !slices.Equal(failedChangeNames(m), []string{"alpha2"}) {
+		t.Errorf("%s: %+v", got, m.Status())
+	}
+}
+
+// Log entries of releases in which each submission displaced the candidate give the policy and the epoch that they
+// gave then, and a repeated result changes nothing.
 func TestApplyLegacyEntries(t *testing.T) {
-	b := New(0)
-	apply(t, b, Command{SetDeclaration: &SetDeclaration{Text: declarationText("x.org")}}, submitCommand(policyFile("alpha", 1, "x.org", "/a")), submitCommand(policyFile("beta", 1, "x.org", "/b")),
-		Command{RolloutResult: &RolloutResult{Epoch: 3, Completed: true}})
-	if s := b.Status(); s.Active.Epoch != 3 || s.Candidate.Epoch != 0 || s.Head != s.Active || routesOf(t, b, s.Active) != "alpha/r/a beta/r/b" {
+	m := New(0)
+	apply(t, m,
+		declareCommand(declarationText("x.org")),
+		submitCommand(policyFile("alpha", 1, "x.org", "/a")),
+		submitCommand(policyFile("beta", 1, "x.org", "/b")),
+		resultCommand(RolloutResult{Epoch: 3, Completed: true}),
+	)
+	s := m.Status()
+	if s.Active.Epoch != 3 || s.Candidate.Epoch != 0 || s.Head != s.Active {
 		t.Fatalf("%+v", s)
 	}
-	apply(t, b, submitCommand(policyFile("alpha", 2, "x.org", "/a2")), submitCommand(policyFile("beta", 2, "x.org", "/b2")), Command{RolloutResult: &RolloutResult{Epoch: 5, Reason: "w", Advice: "h"}})
-	s := b.Status()
+	if got := routesOf(t, m, s.Active); got != "alpha/r/a beta/r/b" {
+		t.Fatalf("%s: %+v", got, s)
+	}
+	apply(t, m,
+		submitCommand(policyFile("alpha", 2, "x.org", "/a2")),
+		submitCommand(policyFile("beta", 2, "x.org", "/b2")),
+		resultCommand(RolloutResult{Epoch: 5, Reason: "w", Advice: "h"}),
+	)
+	s = m.Status()
 	if s.Active.Epoch != 3 || s.Candidate.Epoch != 6 || !slices.Equal(changeNames(s.Batch), []string{"alpha2"}) {
 		t.Fatalf("%+v", s)
 	}
-	before, _ := b.Snapshot()
+	before := snapshotOf(t, m)
 	for epoch := range uint64(6) {
-		for _, done := range []bool{true, false} {
-			apply(t, b, Command{RolloutResult: &RolloutResult{Epoch: epoch, Completed: done, Reason: "w", Advice: "h"}})
+		for _, completed := range []bool{true, false} {
+			result := RolloutResult{Epoch: epoch, Completed: completed, Reason: "w", Advice: "h"}
+			apply(t, m, resultCommand(result))
 		}
 	}
-	if after, _ := b.Snapshot(); !bytes.Equal(before, after) {
-		t.Errorf("late judgements changed something: %+v, %+v", s, b.Status())
+	if !bytes.Equal(before, snapshotOf(t, m)) {
+		t.Errorf("late results changed something: %+v, %+v", s, m.Status())
 	}
 }
 
-// What is at hand of files that were read is no part of the state.
 func TestParseCacheDoesNotChangeState(t *testing.T) {
-	a, b := newWithTwoTeams(t, 0), newWithTwoTeams(t, skipParseCache)
-	for _, c := range []Command{submitCommand(policyFile("alpha", 2, "x.org", "/c")), submitCommand(policyFile("beta", 2, "x.org", "/c")), {SetDeclaration: &SetDeclaration{Text: declarationText("y.org")}}} {
-		apply(t, a, c)
-		apply(t, b, c)
-		x, _ := a.Snapshot()
-		y, _ := b.Snapshot()
-		if !bytes.Equal(x, y) {
-			t.Error("they differ")
+	cached := newWithTwoTeams(t, 0)
+	uncached := newWithTwoTeams(t, skipParseCache)
+	for _, c := range []Command{
+		submitCommand(policyFile("alpha", 2, "x.org", "/c")),
+		submitCommand(policyFile("beta", 2, "x.org", "/c")),
+		declareCommand(declarationText("y.org")),
+	} {
+		apply(t, cached, c)
+		apply(t, uncached, c)
+		if !bytes.Equal(snapshotOf(t, cached), snapshotOf(t, uncached)) {
+			t.Error("the states differ")
 		}
 	}
 }
 
-// Policies share what is the same, also after a snapshot was read; an old proxy gets the text, while it fits.
+// Proxies that take no chunks get the encoding, as long as it fits.
 func TestUnchunked(t *testing.T) {
-	b := newWithTwoTeams(t, 0)
-	s := b.Status()
-	text, ok := b.Unchunked(s.Active)
-	if !ok || text != string(policyOf(t, b, s.Active).Encode()) {
+	m := newWithTwoTeams(t, 0)
+	active := m.Status().Active
+	text, ok := m.Unchunked(active)
+	if !ok || text != string(policyOf(t, m, active).Encode()) {
 		t.Errorf("%v %s", ok, text)
 	}
-	if _, ok := b.Unchunked(rollout.Version{Generation: 9, Epoch: s.Active.Epoch, Hash: s.Active.Hash}); ok {
-		t.Error("one that is not kept was given")
+	if _, ok := m.Unchunked(rollout.Version{Generation: 9, Epoch: active.Epoch, Hash: active.Hash}); ok {
+		t.Error("a version that is not retained was returned")
 	}
-	if tree, ok := b.TreeByRoot(s.Active.Hash); !ok || tree.Root().String() != s.Active.Hash {
-		t.Error("it is not found by its root")
+	if tree, ok := m.TreeByRoot(active.Hash); !ok || tree.Root().String() != active.Hash {
+		t.Error("the tree is not found by its root")
 	}
-	if _, ok := b.TreeByRoot("none"); ok {
-		t.Error("what is not kept was found")
+	if _, ok := m.TreeByRoot("none"); ok {
+		t.Error("a root that is not retained was found")
 	}
-	for i, name := range []string{"alpha", "beta", "gamma"} { // two fit, three don't
+	for i, name := range []string{"alpha", "beta", "gamma"} { // two long files fit, three do not
 		host := []string{"x.org", "x.org", "g.org"}[i]
-		apply(t, b, submitCommand(policyFile(name, 2, host, "/"+name)+"tenants = [\""+tenantList()+"end\"]\n"))
-		completeRollouts(t, b)
-		if _, ok := b.Unchunked(b.Status().Active); ok != (i < 2) {
-			t.Errorf("%d long files: whole: %v", i+1, ok)
+		text := policyFile(name, 2, host, "/"+name) + "tenants = [\"" + tenantList() + "end\"]\n"
+		apply(t, m, submitCommand(text))
+		completeRollouts(t, m)
+		if _, ok := m.Unchunked(m.Status().Active); ok != (i < 2) {
+			t.Errorf("%d long files fit: %v", i+1, ok)
 		}
 	}
 }
 
 // tenantList is 2,000 tenants, some 190 KB, for the inside of a list.
 func tenantList() string {
-	var b strings.Builder
+	var list strings.Builder
 	for i := range 2000 {
-		fmt.Fprintf(&b, "%s%d\", \"", strings.Repeat("t", 85), i)
+		fmt.Fprintf(&list, "%s%d\", \"", strings.Repeat("t", 85), i)
 	}
-	return b.String()
+	return list.String()
 }
--- a/internal/policy/store/statemachine_test.go
+++ b/internal/policy/store/statemachine_test.go
@@ -13,8 +13,8 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// declarationText has two teams on one host, and a third elsewhere; with the last argument beta has only a part.
-func declarationText(beta string) string {
+// declarationText declares alpha and beta on one host, or beta on another one, and gamma elsewhere.
+func declarationText(betaHost string) string {
 	return `version = 1
 [[namespace]]
 name = "alpha"
@@ -24,7 +24,7 @@
 [[namespace]]
 name = "beta"
 owner = "b"
-hosts = ["` + beta + `"]
+hosts = ["` + betaHost + `"]
 settings = ["route", "service"]
 [[namespace]]
 name = "gamma"
@@ -34,280 +34,329 @@
 `
 }
 
-// policyFile is a file with one route for a path.
+// policyFile is the file of a namespace with one route for a path.
 func policyFile(name string, number int, host, path string) string {
-	return fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n[[service]]\nname = \"s-%s\"\n[[route]]\nname = \"r\"\nhost = %q\npath_prefix = %q\nto = [{ service = \"s-%s\" }]\n",
+	return fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n[[service]]\nname = \"s-%s\"\n"+
+		"[[route]]\nname = \"r\"\nhost = %q\npath_prefix = %q\nto = [{ service = \"s-%s\" }]\n",
 		name, number, name, host, path, name)
 }
 
+func declareCommand(text string) Command { return Command{SetDeclaration: &SetDeclaration{Text: text}} }
+
 func submitCommand(text string) Command {
 	return Command{SubmitFile: &SubmitFile{Text: text, Author: "t"}}
 }
 
-func apply(t *testing.T, b *StateMachine, all ...Command) {
+func rollbackCommand(epoch uint64) Command { return Command{Rollback: &Rollback{Epoch: epoch}} }
+
+func resultCommand(result RolloutResult) Command { return Command{RolloutResult: &result} }
+
+func apply(t *testing.T, m *StateMachine, commands ...Command) {
 	t.Helper()
-	for _, c := range all {
-		if err := b.Apply(c); err != nil {
+	for _, c := range commands {
+		if err := m.Apply(c); err != nil {
 			t.Fatalf("%v: %s", err, operatorerror.Of(err))
 		}
 	}
 }
 
-func newWithTwoTeams(t *testing.T, f mutation) *StateMachine {
-	b := New(0)
-	b.mutations = f
-	apply(t, b, Command{SetDeclaration: &SetDeclaration{Text: declarationText("x.org")}}, submitCommand(policyFile("alpha", 1, "x.org", "/a")), submitCommand(policyFile("beta", 1, "x.org", "/b")))
-	completeRollouts(t, b)
-	return b
+func snapshotOf(t *testing.T, m *StateMachine) []byte {
+	t.Helper()
+	data, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
 }
 
-// completeRollouts has all trains come through.
-func completeRollouts(t *testing.T, b *StateMachine) {
+// newWithTwoTeams has a file of alpha and one of beta in force.
+func newWithTwoTeams(t *testing.T, mutations mutation) *StateMachine {
+	t.Helper()
+	m := New(0)
+	m.mutations = mutations
+	apply(t, m,
+		declareCommand(declarationText("x.org")),
+		submitCommand(policyFile("alpha", 1, "x.org", "/a")),
+		submitCommand(policyFile("beta", 1, "x.org", "/b")),
+	)
+	completeRollouts(t, m)
+	return m
+}
+
+// completeRollouts has all rollouts complete until nothing waits.
+func completeRollouts(t *testing.T, m *StateMachine) {
 	t.Helper()
 	for range 20 {
-		if b.Status().Candidate.Epoch == 0 {
+		if m.Status().Candidate.Epoch == 0 {
 			return
 		}
-		endRollout(t, b, true)
+		endRollout(t, m, true)
 	}
-	t.Fatalf("trains without an end: %+v", b.Status())
+	t.Fatalf("the rollouts do not end: %+v", m.Status())
 }
 
-// endRollout ends the train that is on its way.
-func endRollout(t *testing.T, b *StateMachine, done bool) {
+// endRollout ends the rollout of the candidate.
+func endRollout(t *testing.T, m *StateMachine, completed bool) {
 	t.Helper()
-	s := b.Status()
-	j := RolloutResult{Generation: s.Candidate.Generation, Epoch: s.Candidate.Epoch, Completed: done}
-	if !done {
-		j.Reason, j.Advice = fmt.Sprintf("worse in epoch %d", j.Epoch), "mend it"
+	candidate := m.Status().Candidate
+	result := RolloutResult{Generation: candidate.Generation, Epoch: candidate.Epoch, Completed: completed}
+	if !completed {
+		result.Reason = fmt.Sprintf("worse in epoch %d", result.Epoch)
+		result.Advice = "mend it"
 	}
-	apply(t, b, Command{RolloutResult: &j})
-}
-
-func headRoutes(t *testing.T, b *StateMachine) string {
-	t.Helper()
-	return routesOf(t, b, b.Status().Head)
+	apply(t, m, resultCommand(result))
 }
 
-func policyOf(t *testing.T, b *StateMachine, o rollout.Version) *namespace.Policy {
+func policyOf(t *testing.T, m *StateMachine, version rollout.Version) *namespace.Policy {
 	t.Helper()
-	tree, ok := b.Tree(o)
-	if !ok || tree.Root().String() != o.Hash {
-		t.Fatalf("%+v is not kept as it is told", o)
+	tree, ok := m.Tree(version)
+	if !ok || tree.Root().String() != version.Hash {
+		t.Fatalf("%+v is not retained under its hash", version)
 	}
-	p, err := namespace.FromTree(tree)
+	policy, err := namespace.FromTree(tree)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return policy
 }
 
-func routesOf(t *testing.T, b *StateMachine, o rollout.Version) string {
+func routesOf(t *testing.T, m *StateMachine, version rollout.Version) string {
 	t.Helper()
-	p := policyOf(t, b, o)
-	var out []string
-	for _, r := range p.Routes {
-		out = append(out, r.Name+r.PathPrefix)
+	var routes []string
+	for _, r := range policyOf(t, m, version).Routes {
+		routes = append(routes, r.Name+r.PathPrefix)
 	}
-	return strings.Join(out, " ")
+	return strings.Join(routes, " ")
 }
 
-// What must never happen, each with the guard that prevents it taken out.
+func headRoutes(t *testing.T, m *StateMachine) string {
+	t.Helper()
+	return routesOf(t, m, m.Status().Head)
+}
+
+// Each invariant holds, and is violated once the safeguard against its violation is switched off.
 func TestMutationsAreDetected(t *testing.T) {
-	for name, k := range map[string]struct {
-		flaw mutation
-		run  func(t *testing.T, b *StateMachine) error
+	for name, test := range map[string]struct {
+		mutation mutation
+		check    func(t *testing.T, m *StateMachine) error
 	}{
-		"a file that is late takes its namespace back": {allowReusedNumbers, func(t *testing.T, b *StateMachine) error {
-			apply(t, b, submitCommand(policyFile("alpha", 3, "x.org", "/a3")))
-			err := b.Apply(submitCommand(policyFile("alpha", 2, "x.org", "/a2")))
-			if !strings.Contains(headRoutes(t, b), "/a3") {
-				return fmt.Errorf("%s: %v", headRoutes(t, b), err)
+		"a late file does not replace a newer one": {allowReusedNumbers, func(t *testing.T, m *StateMachine) error {
+			apply(t, m, submitCommand(policyFile("alpha", 3, "x.org", "/a3")))
+			err := m.Apply(submitCommand(policyFile("alpha", 2, "x.org", "/a2")))
+			if !strings.Contains(headRoutes(t, m), "/a3") {
+				return fmt.Errorf("%s: %w", headRoutes(t, m), errors.Join(err, errors.New("the newer file is gone")))
 			}
 			return nil
 		}},
-		"one team's file stops another's": {holdEverything, func(t *testing.T, b *StateMachine) error {
-			_ = b.Apply(submitCommand(policyFile("beta", 2, "x.org", "/a")))
-			_ = b.Apply(submitCommand(policyFile("gamma", 1, "g.org", "/")))
-			if got := headRoutes(t, b); !strings.Contains(got, "gamma/r") || !strings.Contains(got, "beta/r/b") {
+		"one team's file does not stop another's": {holdEverything, func(t *testing.T, m *StateMachine) error {
+			_ = m.Apply(submitCommand(policyFile("beta", 2, "x.org", "/a")))
+			_ = m.Apply(submitCommand(policyFile("gamma", 1, "g.org", "/")))
+			if got := headRoutes(t, m); !strings.Contains(got, "gamma/r") || !strings.Contains(got, "beta/r/b") {
 				return errors.New(got)
 			}
 			return nil
 		}},
-		"going back is no word that goes before": {keepGeneration, func(t *testing.T, b *StateMachine) error {
-			was := b.Status().Active
-			apply(t, b, Command{Rollback: &Rollback{Epoch: b.Status().RetainedEpochs[0]}})
-			if now := b.Status().Active; !now.NewerThan(was) {
-				return fmt.Errorf("%+v does not go before %+v", now, was)
+		"a rollback gives a newer version": {keepGeneration, func(t *testing.T, m *StateMachine) error {
+			before := m.Status()
+			apply(t, m, rollbackCommand(before.RetainedEpochs[0]))
+			if after := m.Status().Active; !after.NewerThan(before.Active) {
+				return fmt.Errorf("%+v is not newer than %+v", after, before.Active)
 			}
 			return nil
 		}},
 	} {
-		if err := k.run(t, newWithTwoTeams(t, 0)); err != nil {
+		if err := test.check(t, newWithTwoTeams(t, 0)); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if err := k.run(t, newWithTwoTeams(t, k.flaw)); err == nil {
-			t.Errorf("not convicted without its guard: %s", name)
+		if err := test.check(t, newWithTwoTeams(t, test.mutation)); err == nil {
+			t.Errorf("not detected without its safeguard: %s", name)
 		}
 	}
 }
 
-// randomCommands is a run of commands, good and bad.
-func randomCommands(rng *rand.Rand, n int) (all []Command) {
-	all = append(all, Command{SetDeclaration: &SetDeclaration{Text: declarationText("x.org")}})
-	for i := range n {
+// randomCommands draws valid and invalid commands.
+func randomCommands(rng *rand.Rand, count int) []Command {
+	commands := []Command{declareCommand(declarationText("x.org"))}
+	for i := range count {
 		name := []string{"alpha", "beta", "gamma", "delta"}[rng.IntN(4)]
 		switch rng.IntN(9) {
 		case 0:
-			all = append(all, Command{SetDeclaration: &SetDeclaration{Text: declarationText([]string{"x.org", "y.org"}[rng.IntN(2)])}})
+			host := []string{"x.org", "y.org"}[rng.IntN(2)]
+			commands = append(commands, declareCommand(declarationText(host)))
 		case 1:
-			all = append(all, Command{Rollback: &Rollback{Epoch: uint64(rng.IntN(n))}})
+			commands = append(commands, rollbackCommand(uint64(rng.IntN(count))))
 		case 2:
-			all = append(all, Command{RolloutResult: &RolloutResult{Epoch: uint64(i), Completed: rng.IntN(2) == 0, Reason: "w", ProxyCount: i}})
+			commands = append(commands, resultCommand(RolloutResult{
+				Epoch: uint64(i), Completed: rng.IntN(2) == 0, Reason: "w", ProxyCount: i,
+			}))
 		case 3:
-			all = append(all, Command{RolloutResult: &RolloutResult{Epoch: uint64(i), Completed: rng.IntN(4) != 0, Reason: "w"}})
+			commands = append(commands, resultCommand(RolloutResult{
+				Epoch: uint64(i), Completed: rng.IntN(4) != 0, Reason: "w",
+			}))
 		case 4:
-			all = append(all, submitCommand("not = a file"))
+			commands = append(commands, submitCommand("not = a file"))
 		default:
-			all = append(all, submitCommand(policyFile(name, 1+rng.IntN(i+1), []string{"x.org", "g.org"}[rng.IntN(2)], "/"+string(rune('a'+rng.IntN(3))))))
+			number := 1 + rng.IntN(i+1)
+			host := []string{"x.org", "g.org"}[rng.IntN(2)]
+			path := "/" + string(rune('a'+rng.IntN(3)))
+			commands = append(commands, submitCommand(policyFile(name, number, host, path)))
 		}
 	}
-	return all
+	return commands
 }
 
-// The same commands give the same bytes, over a snapshot in between too; and no epoch falls unless the order rises.
+// Equal commands give equal bytes, also with a snapshot restored in between, and no epoch falls without a rollback.
 func TestStateIsDeterministic(t *testing.T) {
 	for seed := range uint64(40) {
-		a, b := New(0), New(0)
-		held := 0
+		a := New(0)
+		b := New(0)
+		withheld := 0
 		for i, c := range randomCommands(rand.New(rand.NewPCG(seed, 1)), 40) {
 			before := a.Status()
-			if c.RolloutResult != nil { // of what is on its way, mostly
-				j := *c.RolloutResult
-				if j.Epoch%4 != 0 {
-					j.Generation, j.Epoch = before.Candidate.Generation, before.Candidate.Epoch
+			if c.RolloutResult != nil { // of the candidate, mostly
+				result := *c.RolloutResult
+				if result.Epoch%4 != 0 {
+					result.Generation = before.Candidate.Generation
+					result.Epoch = before.Candidate.Epoch
 				}
-				c.RolloutResult = &j
+				c.RolloutResult = &result
 			}
-			errA, errB := a.Apply(c), b.Apply(c)
+			errA := a.Apply(c)
+			errB := b.Apply(c)
 			if fmt.Sprint(errA) != fmt.Sprint(errB) {
 				t.Fatalf("seed %d: %v and %v", seed, errA, errB)
 			}
-			x, _ := a.Snapshot()
-			y, _ := b.Snapshot()
-			if !bytes.Equal(x, y) {
-				t.Fatalf("seed %d, command %d: they differ", seed, i)
+			snapshot := snapshotOf(t, a)
+			if !bytes.Equal(snapshot, snapshotOf(t, b)) {
+				t.Fatalf("seed %d, command %d: the states differ", seed, i)
 			}
 			if i%5 == 0 {
 				b = New(0)
-				if err := b.Restore(x); err != nil {
+				if err := b.Restore(snapshot); err != nil {
 					t.Fatal(err)
 				}
 			}
-			s := a.Status()
-			for _, h := range s.WithheldFiles {
-				if h.Advice == "" || h.Reason == "" {
-					t.Fatalf("%+v", h)
-				}
-			}
-			held += len(s.WithheldFiles)
-			newest := max(before.Candidate.Epoch, before.Active.Epoch, before.Head.Epoch)
-			if after := max(s.Candidate.Epoch, s.Active.Epoch, s.Head.Epoch); after < newest && c.Rollback == nil {
-				t.Fatalf("seed %d: epoch %d after %d without a word", seed, after, newest)
-			}
-			if s.Active != before.Active && before.Active.Epoch != 0 && !s.Active.NewerThan(before.Active) {
-				t.Fatalf("seed %d: %+v after %+v", seed, s.Active, before.Active)
-			}
-			if len(s.RetainedEpochs) > MaxRetainedPolicies {
-				t.Fatal(s.RetainedEpochs)
-			}
+			withheld += len(a.Status().WithheldFiles)
+			checkTransition(t, seed, c, before, a.Status())
 		}
-		if held == 0 {
-			t.Errorf("seed %d: nothing was ever held", seed)
+		if withheld == 0 {
+			t.Errorf("seed %d: no file was ever withheld", seed)
 		}
 	}
 }
 
-// A charter that takes a domain back cuts what is outside it, tells why, and holds nobody else; given back, the rule is there again.
+// checkTransition checks what must hold of the status before and after any command.
+func checkTransition(t *testing.T, seed uint64, c Command, before, after Status) {
+	t.Helper()
+	for _, f := range after.WithheldFiles {
+		if f.Advice == "" || f.Reason == "" {
+			t.Fatalf("%+v", f)
+		}
+	}
+	newest := func(s Status) uint64 { return max(s.Candidate.Epoch, s.Active.Epoch, s.Head.Epoch) }
+	if newest(after) < newest(before) && c.Rollback == nil {
+		t.Fatalf("seed %d: epoch %d after %d without a rollback", seed, newest(after), newest(before))
+	}
+	if after.Active != before.Active && before.Active.Epoch != 0 && !after.Active.NewerThan(before.Active) {
+		t.Fatalf("seed %d: %+v after %+v", seed, after.Active, before.Active)
+	}
+	if len(after.RetainedEpochs) > MaxRetainedPolicies {
+		t.Fatal(after.RetainedEpochs)
+	}
+}
+
+// A declaration that withdraws a host removes the rules for it, reports that, and withholds nobody else's. Granted
+// again, the rules are in force again.
 func TestDeclarationWithdrawsHost(t *testing.T) {
-	b := newWithTwoTeams(t, 0)
-	apply(t, b, Command{SetDeclaration: &SetDeclaration{Text: declarationText("y.org")}})
-	if s := b.Status(); headRoutes(t, b) != "alpha/r/a" || len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "beta" || len(s.WithheldFiles[0].RemovedRules) != 1 {
-		t.Errorf("%s, %+v", headRoutes(t, b), s.WithheldFiles)
+	m := newWithTwoTeams(t, 0)
+	apply(t, m, declareCommand(declarationText("y.org")))
+	withheld := m.Status().WithheldFiles
+	if headRoutes(t, m) != "alpha/r/a" || len(withheld) != 1 {
+		t.Fatalf("%s, %+v", headRoutes(t, m), withheld)
+	}
+	if withheld[0].Namespace != "beta" || len(withheld[0].RemovedRules) != 1 {
+		t.Errorf("%s, %+v", headRoutes(t, m), withheld)
 	}
-	apply(t, b, Command{SetDeclaration: &SetDeclaration{Text: declarationText("x.org")}})
-	if s := b.Status(); headRoutes(t, b) != "alpha/r/a beta/r/b" || len(s.WithheldFiles) != 0 {
-		t.Errorf("%s, %+v", headRoutes(t, b), s.WithheldFiles)
+	apply(t, m, declareCommand(declarationText("x.org")))
+	withheld = m.Status().WithheldFiles
+	if headRoutes(t, m) != "alpha/r/a beta/r/b" || len(withheld) != 0 {
+		t.Errorf("%s, %+v", headRoutes(t, m), withheld)
 	}
 }
 
-// Back puts files back, drops what waits, and the file that was gone back from does not come again by itself.
+// A rollback restores the files and drops what is pending; the file that was rolled back does not return by itself.
 func TestRollback(t *testing.T) {
-	b := newWithTwoTeams(t, 0)
-	good := b.Status().Active
-	apply(t, b, submitCommand(policyFile("alpha", 2, "x.org", "/bad")))
-	next := b.Status().Candidate
-	endRollout(t, b, false)
-	if s := b.Status(); s.Stopped == nil || s.Active != good {
+	m := newWithTwoTeams(t, 0)
+	good := m.Status().Active
+	apply(t, m, submitCommand(policyFile("alpha", 2, "x.org", "/bad")))
+	candidate := m.Status().Candidate
+	endRollout(t, m, false)
+	if s := m.Status(); s.Stopped == nil || s.Active != good {
 		t.Fatalf("%+v", s)
 	}
-	apply(t, b, Command{Rollback: &Rollback{Epoch: good.Epoch, Author: "on call"}}, Command{Rollback: &Rollback{Epoch: good.Epoch, Author: "on call"}})
-	if s := b.Status(); s.Active.Epoch != good.Epoch || s.Active.Generation != 1 || s.Stopped != nil || s.Candidate.Epoch != 0 {
+	rollback := Command{Rollback: &Rollback{Epoch: good.Epoch, Author: "on call"}}
+	apply(t, m, rollback, rollback)
+	s := m.Status()
+	if s.Active.Epoch != good.Epoch || s.Active.Generation != 1 || s.Stopped != nil || s.Candidate.Epoch != 0 {
 		t.Errorf("%+v", s)
 	}
-	if err := b.Apply(submitCommand(policyFile("alpha", 2, "x.org", "/bad"))); !errors.As(err, &namespace.VersionTakenError{}) {
+	err := m.Apply(submitCommand(policyFile("alpha", 2, "x.org", "/bad")))
+	if !errors.As(err, &namespace.VersionTakenError{}) {
 		t.Error(err)
 	}
-	apply(t, b, submitCommand(policyFile("gamma", 1, "g.org", "/g")))
-	if s := b.Status(); headRoutes(t, b) != "alpha/r/a beta/r/b gamma/r/g" || s.Candidate.Epoch <= next.Epoch {
-		t.Errorf("%s, %+v", headRoutes(t, b), s)
+	apply(t, m, submitCommand(policyFile("gamma", 1, "g.org", "/g")))
+	s = m.Status()
+	if headRoutes(t, m) != "alpha/r/a beta/r/b gamma/r/g" || s.Candidate.Epoch <= candidate.Epoch {
+		t.Errorf("%s, %+v", headRoutes(t, m), s)
 	}
 }
 
 func TestRejectedCommandChangesNothing(t *testing.T) {
-	for _, k := range []struct {
-		c    Command
-		want any
+	for _, test := range []struct {
+		command Command
+		want    any
 	}{
 		{Command{}, new(InvalidCommandError)},
 		{Command{Rollback: &Rollback{}, RolloutResult: &RolloutResult{}}, new(InvalidCommandError)},
 		{submitCommand(strings.Repeat("#", MaxFileBytes+1)), new(TooLargeError)},
 		{Command{SetDeclaration: &SetDeclaration{Text: "x", Author: strings.Repeat("a", 200)}}, new(TooLargeError)},
-		{Command{SetDeclaration: &SetDeclaration{Text: "version = 9"}}, new(namespace.FileError)},
+		{declareCommand("version = 9"), new(namespace.FileError)},
 		{submitCommand("version = 1"), new(namespace.FileError)},
 		{submitCommand(policyFile("delta", 1, "x.org", "/")), new(namespace.UnknownNamespaceError)},
-		{Command{Rollback: &Rollback{Epoch: 99}}, new(EpochNotRetainedError)},
+		{rollbackCommand(99), new(EpochNotRetainedError)},
 	} {
-		b := newWithTwoTeams(t, 0)
-		before, _ := b.Snapshot()
-		err := b.Apply(k.c)
-		after, _ := b.Snapshot()
-		if !errors.As(err, k.want) || operatorerror.Of(err) == "" || !bytes.Equal(before, after) {
-			t.Errorf("%+v: %v", k.c, err)
+		m := newWithTwoTeams(t, 0)
+		before := snapshotOf(t, m)
+		err := m.Apply(test.command)
+		if !errors.As(err, test.want) || operatorerror.Of(err) == "" || !bytes.Equal(before, snapshotOf(t, m)) {
+			t.Errorf("%+v: %v", test.command, err)
 		}
 	}
 	if err := New(0).Apply(submitCommand("x")); !errors.As(err, new(NoDeclarationError)) {
 		t.Error(err)
 	}
-	b := newWithTwoTeams(t, 0)
-	x, _ := b.Snapshot()
-	if err := New(0).Restore(x); err != nil {
+	snapshot := snapshotOf(t, newWithTwoTeams(t, 0))
+	if err := New(0).Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	// Whichever text or piece is damaged, it is found.
+	checkDamageIsDetected(t, snapshot, []byte("s-beta"))
+}
+
+// checkDamageIsDetected damages each place of a snapshot at which a text or a chunk has a word.
+func checkDamageIsDetected(t *testing.T, snapshot, word []byte) {
+	t.Helper()
 	for at := 0; ; at++ {
-		next := bytes.Index(x[at:], []byte("s-beta"))
+		next := bytes.Index(snapshot[at:], word)
 		if next < 0 {
-			break
+			return
 		}
 		at += next
-		y := bytes.Clone(x)
-		y[at+3] ^= 1
-		c := newWithTwoTeams(t, 0)
-		err := c.Restore(y)
-		z, _ := c.Snapshot()
-		if !errors.As(err, new(InvalidCommandError)) || !bytes.Equal(x, z) {
-			t.Errorf("a snapshot damaged at %d of %d: %v", at, len(x), err)
+		damaged := bytes.Clone(snapshot)
+		damaged[at+3] ^= 1
+		m := newWithTwoTeams(t, 0)
+		err := m.Restore(damaged)
+		if !errors.As(err, new(InvalidCommandError)) || !bytes.Equal(snapshot, snapshotOf(t, m)) {
+			t.Errorf("a snapshot damaged at %d of %d: %v", at, len(snapshot), err)
 		}
 	}
 }
