--- a/internal/controlplane/client/fetch_test.go
+++ b/internal/controlplane/client/fetch_test.go
@@ -40,8 +40,8 @@
 				t.Errorf("a changed route took %d bytes", n)
 			}
 		}
-		if proxy.diffs != 5 {
-			t.Errorf("%d of 5 changes were made of what was there", proxy.diffs)
+		if n := proxy.diffs.Load(); n != 5 {
+			t.Errorf("%d of 5 changes were made of what was there", n)
 		}
 		chunksBefore := proxy.chunksAccepted.Load()
 		server.locked(func() { server.down = true })
@@ -65,7 +65,7 @@
 			t.Error("nothing was kept")
 		}
 		next.awaitOffer(t, "what is offered now", last)
-		if n := next.chunksAccepted.Load(); n > whole/4 || next.diffs != 1 {
+		if n := next.chunksAccepted.Load(); n > whole/4 || next.diffs.Load() != 1 {
 			t.Errorf("a kept policy that no server knows was no base: %d chunks; all are %d", n, whole)
 		}
 		next.stopAndCheck(t)
@@ -141,7 +141,7 @@
 			server.offerPolicy(1, version, policyVersion(1000, version))
 			time.Sleep(5 * time.Second)
 		}
-		if proxy.installed == 0 {
+		if proxy.installed.Load() == 0 {
 			t.Errorf("nothing got through while it changed: %d chunks", proxy.chunksAccepted.Load())
 		}
 		proxy.awaitOffer(t, "the last", server.offerPolicy(1, version, policyVersion(1000, version)))
--- a/internal/controlplane/client/testserver_test.go
+++ b/internal/controlplane/client/testserver_test.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"net/http/httptest"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -190,8 +191,8 @@
 type testProxy struct {
 	*PolicyClient
 	server     *testServer
-	installed  int
-	diffs      int             // policies that were made of the one before
+	installed  atomic.Int64
+	diffs      atomic.Int64    // policies that were made of the one before
 	restored   rollout.Version // what the process before had kept
 	last       rollout.Version
 	violations []string
@@ -223,9 +224,9 @@
 			p.violations = append(p.violations, fmt.Sprintf(format, args...))
 		}
 	}
-	p.installed++
+	p.installed.Add(1)
 	if policy.Diff != nil {
-		p.diffs++
+		p.diffs.Add(1)
 	}
 	root := ""
 	if tree, err := policy.Policy.Tree(); err == nil {
