--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -148,7 +148,8 @@
 	e.Post(func() {
 		a.stopTimeout()
 		if a.ctx.Err() != nil { // it timed out meanwhile
-			e.log.Info("streamed response came after its attempt's deadline", "cause", context.Cause(a.ctx), "uploading", r.Uploading())
+			e.log.Info("streamed response came after its attempt's deadline",
+				"cause", context.Cause(a.ctx), "uploading", r.Uploading())
 			s.End(ErrAbandoned)
 			return
 		}
@@ -160,7 +161,8 @@
 // streamStarted takes a streamed response whose first byte has come: it is the request's result.
 func (e *Engine) streamStarted(r *Request, a *inFlightAttempt, s Stream) {
 	if r.ended {
-		e.log.Info("streamed response of a superseded attempt dropped", "attempt", a.number, "streaming", r.stream != nil)
+		e.log.Info("streamed response of a superseded attempt dropped",
+			"attempt", a.number, "streaming", r.stream != nil)
 		s.End(ErrAbandoned)
 		return
 	}
