--- a/internal/idempotency/guard/guard_test.go
+++ b/internal/idempotency/guard/guard_test.go
@@ -15,14 +15,27 @@
 	"lapisspread/internal/idempotency"
 )
 
-func settings(lost time.Duration) idempotency.Settings {
-	return idempotency.Settings{Window: idempotency.MinWindow, UncertainWindow: idempotency.MinWindow, MaxEntries: 100, MaxBytes: 1 << 20, LostAt: lost}
+func settings(lostAt time.Duration) idempotency.Settings {
+	return idempotency.Settings{
+		Window:          idempotency.MinWindow,
+		UncertainWindow: idempotency.MinWindow,
+		MaxEntries:      100,
+		MaxBytes:        1 << 20,
+		LostAt:          lostAt,
+	}
 }
 
-func newGuard(t *testing.T, path string, lost time.Duration) *Guard {
+// newGuard returns an open guard; lostAt is below 0 for the first process.
+
+func newGuard(t *testing.T, path string, lostAt time.Duration) *Guard {
 	t.Helper()
-	began := time.Now().Add(-30 * time.Hour) // a clock that began long before
-	g, err := New(Options{Ledger: settings(lost), Path: path, Now: func() time.Duration { return time.Since(began) }, WriteTimeout: 500 * time.Millisecond})
+	began := time.Now().Add(-30 * time.Hour) // the guard's clock began long before
+	g, err := New(Options{
+		Ledger:       settings(lostAt),
+		Path:         path,
+		Now:          func() time.Duration { return time.Since(began) },
+		WriteTimeout: 500 * time.Millisecond,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,10 +45,25 @@
 	return g
 }
 
+func mustClose(t *testing.T, g *Guard) {
+	t.Helper()
+	if err := g.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
 func key(n int) idempotency.Key { return idempotency.Key{Origin: "a", ID: uint32(n)} }
 
-// Many who send the same at once, and after it: it runs once and all have the one answer.
-func TestOnce(t *testing.T) {
+// mustNotRun is the work of a request that must be rejected.
+func mustNotRun(t *testing.T) Work {
+	return func() ([]byte, Outcome) {
+		t.Error("it ran")
+		return nil, Answered
+	}
+}
+
+// A request that many callers send at once, and again later, runs once, and all get its answer.
+func TestRequestsRunOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", -1)
 		var ran atomic.Int64
@@ -48,7 +76,8 @@
 					time.Sleep(100 * time.Millisecond)
 					return fmt.Append(nil, i%10), Answered
 				})
-				if string(answer) != fmt.Sprint(i%10) || v != idempotency.Begin && v != idempotency.Join && v != idempotency.Answered {
+				known := v == idempotency.Begin || v == idempotency.Join || v == idempotency.Answered
+				if string(answer) != fmt.Sprint(i%10) || !known {
 					t.Errorf("%d: %q, %v", i, answer, v)
 				}
 			})
@@ -59,25 +88,29 @@
 			t.Errorf("%d ran; %+v", ran.Load(), r)
 		}
 		time.Sleep(idempotency.MinWindow + time.Second)
-		if _, _, v := g.Do(t.Context(), key(1), false, func() ([]byte, Outcome) { return nil, NeverRan }); v != idempotency.Begin {
+		refused := func() ([]byte, Outcome) { return nil, NeverRan }
+		if _, _, v := g.Do(t.Context(), key(1), false, refused); v != idempotency.Begin {
 			t.Errorf("after the window: %v", v)
 		}
 	})
 }
 
-// What never ran may come again; of what may have run nobody runs it again, also after a panic; who waits for another's
-// answer has an end when his client gives up.
-func TestEnds(t *testing.T) {
+// A request that never ran is new when it comes again. One that may have run, also after a panic, does not run again.
+// A caller that waits for another's answer returns when its client gives up.
+func TestOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", -1)
 		refused := func() ([]byte, Outcome) { return []byte("3004"), NeverRan }
 		for range 2 {
-			if answer, end, v := g.Do(t.Context(), key(1), false, refused); string(answer) != "3004" || end != NeverRan || v != idempotency.Begin {
-				t.Errorf("%q %v %v", answer, end, v)
+			answer, outcome, v := g.Do(t.Context(), key(1), false, refused)
+			if string(answer) != "3004" || outcome != NeverRan || v != idempotency.Begin {
+				t.Errorf("%q %v %v", answer, outcome, v)
 			}
 		}
-		if answer, end, _ := g.Do(t.Context(), key(2), false, func() ([]byte, Outcome) { return []byte("5012"), Unknown }); string(answer) != "5012" || end != Unknown {
-			t.Errorf("%q %v", answer, end)
+		unknown := func() ([]byte, Outcome) { return []byte("5012"), Unknown }
+		answer, outcome, _ := g.Do(t.Context(), key(2), false, unknown)
+		if string(answer) != "5012" || outcome != Unknown {
+			t.Errorf("%q %v", answer, outcome)
 		}
 		func() {
 			defer func() { _ = recover() }()
@@ -88,71 +121,85 @@
 				t.Errorf("%v again: %v", k, v)
 			}
 		}
-		go g.Do(t.Context(), key(4), false, func() ([]byte, Outcome) { time.Sleep(time.Minute); return []byte("late"), Answered })
+		go g.Do(t.Context(), key(4), false, func() ([]byte, Outcome) {
+			time.Sleep(time.Minute)
+			return []byte("late"), Answered
+		})
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
-		if answer, _, v := g.Do(ctx, key(4), true, refused); v != idempotency.MayHaveRun || answer != nil || time.Since(began) != time.Second {
+		answer, _, v := g.Do(ctx, key(4), true, refused)
+		if v != idempotency.MayHaveRun || answer != nil || time.Since(began) != time.Second {
 			t.Errorf("%q %v after %v", answer, v, time.Since(began))
 		}
 		time.Sleep(time.Minute)
-		if answer, _, v := g.Do(t.Context(), key(4), true, refused); v != idempotency.Answered || string(answer) != "late" {
+		answer, _, v = g.Do(t.Context(), key(4), true, refused)
+		if v != idempotency.Answered || string(answer) != "late" {
 			t.Errorf("%q %v", answer, v)
 		}
 	})
 }
 
-// Without a disk a process that is new can't know what the one before had in hand.
-func TestMemoryAloneForgets(t *testing.T) {
+// Without a store a new process does not know what the one before had in flight.
+func TestWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", 0)
 		run := func() ([]byte, Outcome) { return []byte("x"), Answered }
 		if _, _, v := g.Do(t.Context(), key(1), true, run); v != idempotency.MayHaveRun {
-			t.Errorf("a repeat right after the start: %v", v)
+			t.Errorf("a retransmission right after the start: %v", v)
 		}
 		if _, _, v := g.Do(t.Context(), key(2), false, run); v != idempotency.Begin {
-			t.Errorf("a new one: %v", v)
+			t.Errorf("a first transmission: %v", v)
 		}
 		time.Sleep(idempotency.MinWindow)
 		if _, _, v := g.Do(t.Context(), key(3), true, run); v != idempotency.Begin {
-			t.Errorf("a repeat after the window: %v", v)
+			t.Errorf("a retransmission after the window: %v", v)
 		}
 	})
 }
 
-// With a disk the next process knows: an answer is given again, what was in hand may have run. It waits for the process
-// that has the file yet; until then nothing unsafe is taken.
-func TestTheNextProcessKnows(t *testing.T) {
+// With a store the next process replays answers, and what was in flight may have run. It waits for the process that
+// still has the file open, and rejects all requests until then.
+func TestNextProcessReadsTheStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects.db")
 	g := newGuard(t, path, -1)
-	if answer, _, v := g.Do(t.Context(), key(1), true, func() ([]byte, Outcome) { return []byte("paid"), Answered }); v != idempotency.Begin || string(answer) != "paid" {
-		t.Fatalf("%q %v: a repeat of what a whole ledger does not know is new", answer, v)
+	pay := func() ([]byte, Outcome) { return []byte("paid"), Answered }
+	if answer, _, v := g.Do(t.Context(), key(1), true, pay); v != idempotency.Begin || string(answer) != "paid" {
+		t.Fatalf("%q %v: a retransmission that a complete ledger does not know is new", answer, v)
 	}
 	g.Do(t.Context(), key(2), false, func() ([]byte, Outcome) { return []byte("3004"), NeverRan })
-	inHand, release := make(chan struct{}), make(chan struct{})
-	go g.Do(t.Context(), key(3), false, func() ([]byte, Outcome) { close(inHand); <-release; return []byte("later"), Answered })
-	<-inHand
+	inFlight, release := make(chan struct{}), make(chan struct{})
+	go g.Do(t.Context(), key(3), false, func() ([]byte, Outcome) {
+		close(inFlight)
+		<-release
+		return []byte("later"), Answered
+	})
+	<-inFlight
 	began := time.Now()
 	next, err := New(Options{Ledger: settings(0), Path: path, Now: func() time.Duration { return time.Since(began) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, v := next.Do(t.Context(), key(9), false, func() ([]byte, Outcome) { t.Error("it ran"); return nil, Answered }); v != idempotency.Full || next.Report().Ready {
+	if _, _, v := next.Do(t.Context(), key(9), false, mustNotRun(t)); v != idempotency.Full || next.Report().Ready {
 		t.Errorf("before the file is read: %v", v)
 	}
 	opened := make(chan error, 1)
 	go func() { opened <- next.Open(t.Context()) }()
 	time.Sleep(20 * time.Millisecond)
-	// The old one dies with a request in hand.
+	// The old process dies with a request in flight.
 	if err := g.store.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-opened; err != nil {
 		t.Fatal(err)
 	}
-	defer next.Close()
-	for n, want := range map[int]idempotency.Verdict{1: idempotency.Answered, 2: idempotency.Begin, 3: idempotency.MayHaveRun} {
+	defer mustClose(t, next)
+	for n, want := range map[int]idempotency.Verdict{
+		1: idempotency.Answered,
+		2: idempotency.Begin,
+		3: idempotency.MayHaveRun,
+	} {
 		answer, _, v := next.Do(t.Context(), key(n), true, func() ([]byte, Outcome) { return []byte("new"), Answered })
 		if v != want || n == 1 && string(answer) != "paid" {
 			t.Errorf("%d: %q %v, want %v", n, answer, v, want)
@@ -161,12 +208,14 @@
 	close(release)
 }
 
-// A ledger that is gone, or that an older copy of was put back: a repeat of what it does not know may have run, for a window from when
-// that was found, in later processes too; what is new begins.
-func TestALedgerThatWasLost(t *testing.T) {
+// After the ledger was deleted or restored from an older copy, an unknown retransmission may have run. That holds for
+// one window from when the loss was found, in later processes too. A first transmission is new.
+func TestLostLedger(t *testing.T) {
 	for name, lose := range map[string]func(path string, old []byte) error{
-		"gone":                    func(path string, _ []byte) error { return os.Remove(path) },
-		"gone with all beside it": func(path string, _ []byte) error { return errors.Join(os.Remove(path), os.Remove(path+".seq")) },
+		"gone": func(path string, _ []byte) error { return os.Remove(path) },
+		"gone with all beside it": func(path string, _ []byte) error {
+			return errors.Join(os.Remove(path), os.Remove(path+".seq"))
+		},
 		"an older copy":           func(path string, old []byte) error { return os.WriteFile(path, old, 0o600) },
 		"what it is held against": func(path string, _ []byte) error { return os.Remove(path + ".seq") },
 		"nothing":                 func(string, []byte) error { return nil },
@@ -175,21 +224,22 @@
 			synctest.Test(t, func(t *testing.T) {
 				path := filepath.Join(t.TempDir(), "effects.db")
 				pay := func() ([]byte, Outcome) { return []byte("paid"), Answered }
-				next := func(first time.Duration) *Guard { // after a kill, for all that the files show
-					g := newGuard(t, path, first)
-					t.Cleanup(func() { g.Close() })
+				refused := func() ([]byte, Outcome) { return nil, NeverRan }
+				next := func(lostAt time.Duration) *Guard { // its files are those after a kill
+					g := newGuard(t, path, lostAt)
+					t.Cleanup(func() { mustClose(t, g) })
 					return g
 				}
 				g := next(-1)
 				g.Do(t.Context(), key(1), false, pay)
-				g.Close()
+				mustClose(t, g)
 				old, err := os.ReadFile(path)
 				if err != nil {
 					t.Fatal(err)
 				}
 				g = next(0)
 				g.Do(t.Context(), key(2), false, pay)
-				g.Close()
+				mustClose(t, g)
 				if err := lose(path, old); err != nil {
 					t.Fatal(err)
 				}
@@ -200,18 +250,18 @@
 				for i := range 2 {
 					g = next(0)
 					if _, _, v := g.Do(t.Context(), key(2), true, pay); v == idempotency.Begin {
-						t.Errorf("process %d: what was paid begins again", i)
+						t.Errorf("process %d: a paid request begins again", i)
 					}
 					if _, _, v := g.Do(t.Context(), key(10+i), true, pay); v != unknown {
-						t.Errorf("process %d: a repeat of what is not known: %v, want %v", i, v, unknown)
+						t.Errorf("process %d: an unknown retransmission: %v, want %v", i, v, unknown)
 					}
-					if _, _, v := g.Do(t.Context(), key(20+i), false, func() ([]byte, Outcome) { return nil, NeverRan }); v != idempotency.Begin {
-						t.Errorf("process %d: a new one: %v", i, v)
+					if _, _, v := g.Do(t.Context(), key(20+i), false, refused); v != idempotency.Begin {
+						t.Errorf("process %d: a first transmission: %v", i, v)
 					}
 					if _, _, v := g.Do(t.Context(), key(20+i), true, pay); v != idempotency.Begin {
-						t.Errorf("process %d: a repeat of what this process has turned away: %v", i, v)
+						t.Errorf("process %d: a retransmission of a request that this process rejected: %v", i, v)
 					}
-					g.Close()
+					mustClose(t, g)
 					time.Sleep(idempotency.MinWindow / 3)
 				}
 				time.Sleep(idempotency.MinWindow)
@@ -224,8 +274,8 @@
 	}
 }
 
-// A disk that fails: what is unsafe is not begun, and what was begun has its answer all the same.
-func TestADiskThatFails(t *testing.T) {
+// When the disk fails, no request begins, and one that has begun still gets its answer.
+func TestFailingDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects.db")
 	g := newGuard(t, path, 0)
 	answer, _, v := g.Do(t.Context(), key(1), false, func() ([]byte, Outcome) {
@@ -237,7 +287,7 @@
 	if string(answer) != "paid" || v != idempotency.Begin || g.Report().DiskErrors != 1 {
 		t.Errorf("%q %v %+v", answer, v, g.Report())
 	}
-	if _, _, v := g.Do(t.Context(), key(2), false, func() ([]byte, Outcome) { t.Error("it ran"); return nil, Answered }); v != idempotency.Full {
+	if _, _, v := g.Do(t.Context(), key(2), false, mustNotRun(t)); v != idempotency.Full {
 		t.Errorf("%v", v)
 	}
 	if answer, _, v := g.Do(t.Context(), key(1), false, nil); v != idempotency.Answered || string(answer) != "paid" {
--- a/internal/idempotency/ledger_test.go
+++ b/internal/idempotency/ledger_test.go
@@ -1,6 +1,7 @@
 package idempotency
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -9,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func ledger(t testing.TB, s Settings) *Ledger {
+func newLedger(t testing.TB, s Settings) *Ledger {
 	t.Helper()
 	l, err := New(s)
 	if err != nil {
@@ -18,7 +19,7 @@
 	return l
 }
 
-func TestSettings(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for want, s := range map[string]Settings{
 		"window":    {Window: time.Minute, MaxEntries: 1, MaxBytes: 1},
 		"entries":   {Window: MinWindow, UncertainWindow: MinWindow, MaxBytes: 1},
@@ -30,8 +31,14 @@
 	}
 }
 
-func TestARepeatGetsTheSameAnswer(t *testing.T) {
-	l := ledger(t, Settings{Window: MinWindow, UncertainWindow: 2 * MinWindow, MaxEntries: 10, MaxBytes: 100, LostAt: -1})
+func TestRetransmissionGetsTheSameAnswer(t *testing.T) {
+	l := newLedger(t, Settings{
+		Window:          MinWindow,
+		UncertainWindow: 2 * MinWindow,
+		MaxEntries:      10,
+		MaxBytes:        100,
+		LostAt:          -1,
+	})
 	k := Key{"partner.example", 7}
 	for i, step := range []struct {
 		at   time.Duration
@@ -42,9 +49,9 @@
 		{time.Second, nil, Join},
 		{2 * time.Second, func() { l.Complete(2*time.Second, k, []byte("2001")) }, Answered},
 		{MinWindow, nil, Answered},
-		{MinWindow + 2*time.Second, nil, Begin}, // the identifier is another request's by now
+		{MinWindow + 2*time.Second, nil, Begin}, // by now the identifier is another request's
 		{MinWindow + 3*time.Second, func() { l.MarkUncertain(MinWindow+3*time.Second, k) }, MayHaveRun},
-		{2*MinWindow + 4*time.Second, nil, MayHaveRun}, // for longer than an answer
+		{2*MinWindow + 4*time.Second, nil, MayHaveRun}, // remembered for longer than an answer
 		{3*MinWindow + 4*time.Second, nil, Begin},
 		{3*MinWindow + 4*time.Second, func() { l.Cancel(k) }, Begin},
 	} {
@@ -57,28 +64,39 @@
 		}
 	}
 	if v, _ := l.Admit(0, Key{strings.Repeat("x", 256), 1}, false); v != KeyTooLong {
-		t.Errorf("a name without a bound: %v", v)
+		t.Errorf("an origin of 256 bytes: %v", v)
 	}
 }
 
-// After a restart that has forgotten, a repeat of what is not known may have run, for a window; what is new may begin.
-func TestAfterARestart(t *testing.T) {
-	l := ledger(t, Settings{Window: MinWindow, UncertainWindow: MinWindow, MaxEntries: 10, MaxBytes: 100, LostAt: time.Minute})
+// For one window after the entries of an earlier process were lost, an unknown retransmission may have run, and a
+// first transmission is new.
+func TestRetransmissionAfterEntriesWereLost(t *testing.T) {
+	l := newLedger(t, Settings{
+		Window:          MinWindow,
+		UncertainWindow: MinWindow,
+		MaxEntries:      10,
+		MaxBytes:        100,
+		LostAt:          time.Minute,
+	})
 	if v, _ := l.Admit(time.Minute, Key{"a", 1}, true); v != MayHaveRun {
-		t.Errorf("a repeat: %v", v)
+		t.Errorf("a retransmission: %v", v)
 	}
 	if v, _ := l.Admit(time.Minute, Key{"a", 2}, false); v != Begin {
-		t.Errorf("a new one: %v", v)
+		t.Errorf("a first transmission: %v", v)
 	}
 	if v, _ := l.Admit(time.Minute+MinWindow, Key{"a", 1}, true); v != Begin {
-		t.Errorf("a window later: %v", v)
+		t.Errorf("a retransmission one window later: %v", v)
 	}
 }
 
 func TestRestore(t *testing.T) {
-	l := ledger(t, Settings{Window: MinWindow, UncertainWindow: MinWindow, MaxEntries: 3, MaxBytes: 8, LostAt: -1})
-	err := l.Restore(0, []Record{{Key: Key{"a", 1}}, {Key: Key{"a", 2}}, {Key: Key{"a", 1}, Completed: true, Answer: []byte("paid")},
-		{Key: Key{"a", 3}, Completed: true, Answer: []byte("too long to keep")}})
+	l := newLedger(t, Settings{Window: MinWindow, UncertainWindow: MinWindow, MaxEntries: 3, MaxBytes: 8, LostAt: -1})
+	err := l.Restore(0, []Record{
+		{Key: Key{"a", 1}},
+		{Key: Key{"a", 2}},
+		{Key: Key{"a", 1}, Completed: true, Answer: []byte("paid")},
+		{Key: Key{"a", 3}, Completed: true, Answer: []byte("too long to keep")},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,65 +105,73 @@
 			t.Errorf("%d: %v, want %v", id, v, want)
 		}
 	}
-	if err := l.Restore(0, []Record{{Key: Key{"b", 1}}}); err == nil || !strings.Contains(err.Error(), "room for 3") {
-		t.Errorf("more than there is room for: %v", err)
+	err = l.Restore(0, []Record{{Key: Key{"b", 1}}})
+	if !errors.Is(err, RestoreLimitError{Records: 1, MaxEntries: 3}) || !strings.Contains(err.Error(), "room for 3") {
+		t.Errorf("more records than fit: %v", err)
 	}
 }
 
-// Any order of events keeps the promises of the package: beside a memory that forgets nothing.
+// Any order of events keeps the invariants of the package: the ledger is compared with a model that forgets nothing.
 func TestNeverTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Settings{Window: MinWindow, UncertainWindow: MinWindow * time.Duration(rapid.IntRange(1, 3).Draw(t, "uncertain")), MaxEntries: rapid.IntRange(1, 8).Draw(t, "entries"), MaxBytes: rapid.IntRange(1, 60).Draw(t, "bytes"), LostAt: -1}
+		s := Settings{
+			Window:          MinWindow,
+			UncertainWindow: MinWindow * time.Duration(rapid.IntRange(1, 3).Draw(t, "uncertain")),
+			MaxEntries:      rapid.IntRange(1, 8).Draw(t, "entries"),
+			MaxBytes:        rapid.IntRange(1, 60).Draw(t, "bytes"),
+			LostAt:          -1,
+		}
 		l, err := New(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		type memory struct {
-			open   bool
-			ended  time.Duration
-			answer string
+		type modelEntry struct {
+			inFlight bool
+			ended    time.Duration
+			answer   string // "lost" if its outcome is unknown
 		}
-		all := map[Key]*memory{}
+		model := map[Key]*modelEntry{}
 		now := time.Duration(0)
 		for n := range rapid.IntRange(1, 150).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 90).Draw(t, "seconds")) * time.Second
 			k := Key{"o", uint32(rapid.IntRange(0, 9).Draw(t, "id"))}
-			m := all[k]
+			m := model[k]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1, 2:
 				v, answer := l.Admit(now, k, rapid.Bool().Draw(t, "T"))
-				fresh := m == nil || !m.open && now >= m.ended+s.Window
+				fresh := m == nil || !m.inFlight && now >= m.ended+s.Window
 				if m != nil && m.answer == "lost" {
 					fresh = now >= m.ended+s.UncertainWindow
 				}
-				known := m != nil && (m.open || now < m.ended+s.UncertainWindow) // an answer that is too long to be kept counts as lost
+				// An answer that is too long to be kept counts as lost.
+				remembered := m != nil && (m.inFlight || now < m.ended+s.UncertainWindow)
 				switch {
 				case v == Begin && !fresh:
 					t.Fatalf("%v begins again at %v: %+v", k, now, m)
-				case v == Join && (m == nil || !m.open):
+				case v == Join && (m == nil || !m.inFlight):
 					t.Fatalf("%v joins nothing", k)
-				case v == Answered && (m == nil || m.open || m.answer != string(answer)):
+				case v == Answered && (m == nil || m.inFlight || m.answer != string(answer)):
 					t.Fatalf("%v has the answer %q: %+v", k, answer, m)
-				case v == MayHaveRun && !known, v == Full && !fresh:
+				case v == MayHaveRun && !remembered, v == Full && !fresh:
 					t.Fatalf("%v: %v: %+v", k, v, m)
 				case v == Begin:
-					all[k] = &memory{open: true}
+					model[k] = &modelEntry{inFlight: true}
 				}
 			case 3:
-				if m != nil && m.open {
+				if m != nil && m.inFlight {
 					answer := fmt.Sprint("answer ", n)
 					l.Complete(now, k, []byte(answer))
-					*m = memory{ended: now, answer: answer}
+					*m = modelEntry{ended: now, answer: answer}
 				}
 			case 4:
-				if m != nil && m.open {
+				if m != nil && m.inFlight {
 					l.MarkUncertain(now, k)
-					*m = memory{ended: now, answer: "lost"}
+					*m = modelEntry{ended: now, answer: "lost"}
 				}
 			default:
-				if m != nil && m.open {
+				if m != nil && m.inFlight {
 					l.Cancel(k)
-					delete(all, k)
+					delete(model, k)
 				}
 			}
 			entries, bytes := l.Len()
@@ -156,8 +182,14 @@
 	})
 }
 
-func BenchmarkComeAndEnd(b *testing.B) {
-	l := ledger(b, Settings{Window: MinWindow, UncertainWindow: MinWindow, MaxEntries: 1 << 20, MaxBytes: 1 << 28, LostAt: -1})
+func BenchmarkAdmitAndComplete(b *testing.B) {
+	l := newLedger(b, Settings{
+		Window:          MinWindow,
+		UncertainWindow: MinWindow,
+		MaxEntries:      1 << 20,
+		MaxBytes:        1 << 28,
+		LostAt:          -1,
+	})
 	answer := make([]byte, 180)
 	i := uint32(0)
 	b.ReportAllocs()
--- /dev/null
+++ b/internal/idempotency/store/committer.go
@@ -0,0 +1,122 @@
+package store
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"runtime"
+
+	"go.etcd.io/bbolt"
+
+	"lapisspread/internal/idempotency"
+)
+
+// maxBatch is the most records of one transaction.
+const maxBatch = 512
+
+// write is one record that waits for the committer.
+type write struct {
+	record idempotency.Record
+	remove bool
+	done   chan error // with room for the result, so that the committer never blocks
+}
+
+// submit queues a write and waits for its result.
+func (s *Store) submit(ctx context.Context, w *write) error {
+	select {
+	case s.queue <- w:
+	case <-s.stop:
+		return ErrClosed
+	case <-ctx.Done():
+		return context.Cause(ctx)
+	}
+	select {
+	case err := <-w.done:
+		return err
+	case <-s.done:
+		// The committer may have answered just before it returned.
+		select {
+		case err := <-w.done:
+			return err
+		default:
+			return ErrClosed
+		}
+	case <-ctx.Done():
+		return context.Cause(ctx)
+	}
+}
+
+// runCommitter commits the writes that wait, one transaction at a time, until the store is closed.
+func (s *Store) runCommitter() {
+	defer close(s.done)
+	batch := make([]*write, 0, maxBatch)
+	for {
+		batch = s.nextBatch(batch[:0])
+		if len(batch) == 0 {
+			return
+		}
+		err := s.commit(batch)
+		s.commits.Add(1)
+		for _, w := range batch {
+			w.done <- err
+		}
+	}
+}
+
+// nextBatch waits for a write and takes all that wait with it; none if the store is closed.
+func (s *Store) nextBatch(batch []*write) []*write {
+	select {
+	case w := <-s.queue:
+		batch = append(batch, w)
+	case <-s.stop:
+		return batch
+	}
+	runtime.Gosched() // goroutines that are about to submit share the flush
+	for len(batch) < maxBatch {
+		select {
+		case w := <-s.queue:
+			batch = append(batch, w)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
+
+// commit makes one transaction of a batch, and then records it in the witness.
+func (s *Store) commit(batch []*write) error {
+	err := s.db.Update(func(tx *bbolt.Tx) error {
+		return errors.Join(s.apply(tx, batch), s.advanceSequence(tx))
+	})
+	if err == nil {
+		err = s.writeWitness()
+	}
+	if err != nil {
+		return fmt.Errorf("effects: writing: %w", err)
+	}
+	return nil
+}
+
+// apply puts a batch into a transaction, and deletes entries that have expired.
+func (s *Store) apply(tx *bbolt.Tx, batch []*write) error {
+	entries := tx.Bucket(entriesBucket)
+	now := s.now()
+	for _, w := range batch {
+		key := encodeKey(w.record.Key)
+		var err error
+		switch {
+		case w.remove:
+			err = entries.Delete(key)
+		case w.record.Completed:
+			err = putExpiring(tx, key, stateCompleted, now.Add(s.window), w.record.Answer)
+		case w.record.Uncertain:
+			err = putExpiring(tx, key, stateUncertain, now.Add(s.uncertainWindow), nil)
+		default:
+			err = entries.Put(key, encodeValue(stateIntent, now, nil))
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return deleteExpired(tx, now)
+}
--- a/internal/idempotency/store/frozen_test.go
+++ b/internal/idempotency/store/frozen_test.go
@@ -15,15 +15,18 @@
 
 // The files under testdata were written by the program of c8fad44 with
 // go test ./internal/effects/store -run TestFrozenLedger -write-frozen
-// The next process reads what one of an older version has written down, and goes on from there.
+// A file of an older version is read, and further writes continue it.
 func TestFrozenLedger(t *testing.T) {
 	const kept = "testdata/ledger"
 	began := time.Unix(1_735_689_600, 0)
-	ended := idempotency.Record{Key: idempotency.Key{Origin: "a.example", ID: 7}, Completed: true, Answer: []byte("paid")}
-	lost := idempotency.Record{Key: idempotency.Key{Origin: "b.example", ID: 1 << 31}, Uncertain: true, Answer: []byte{}}
+	endedKey := idempotency.Key{Origin: "a.example", ID: 7}
+	ended := idempotency.Record{Key: endedKey, Completed: true, Answer: []byte("paid")}
+	lostKey := idempotency.Key{Origin: "b.example", ID: 1 << 31}
+	lost := idempotency.Record{Key: lostKey, Uncertain: true, Answer: []byte{}}
 	intent := idempotency.Record{Key: idempotency.Key{Origin: "c.example", ID: 9}}
 	if *writeFrozen {
-		s, _, err := Open(kept, Options{Window: window, UncertainWindow: uncertain, Now: func() time.Time { return began }})
+		now := func() time.Time { return began }
+		s, _, err := Open(kept, Options{Window: window, UncertainWindow: uncertain, Now: now})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,16 +54,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// An intent of a process that has ended may have run.
+	// A request whose process died with the intent on disk may have run.
 	unfinished := idempotency.Record{Key: intent.Key, Uncertain: true, Answer: []byte{}}
 	if want := []idempotency.Record{unfinished, ended, lost}; !reflect.DeepEqual(records, want) {
 		t.Errorf("got %+v\nwant %+v", records, want)
 	}
 	if !s.LostAt().Equal(began) {
-		t.Errorf("it lacked something at %v, want %v", s.LostAt(), began)
+		t.Errorf("entries were lost at %v, want %v", s.LostAt(), began)
 	}
-	if s.seq != 5 {
-		t.Errorf("transaction %d, want 5", s.seq)
+	if s.sequence != 5 {
+		t.Errorf("transaction %d, want 5", s.sequence)
 	}
 	next := idempotency.Record{Key: intent.Key, Completed: true, Answer: []byte("late")}
 	if err := s.Write(t.Context(), next); err != nil {
@@ -73,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	if want := []idempotency.Record{ended, next, lost}; !reflect.DeepEqual(records, want) {
 		t.Errorf("after a write: %+v\nwant %+v", records, want)
 	}
--- /dev/null
+++ b/internal/idempotency/store/layout.go
@@ -0,0 +1,172 @@
+package store
+
+import (
+	"bytes"
+	"cmp"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"lapisspread/internal/idempotency"
+)
+
+// The names of buckets and keys in the file.
+var (
+	entriesBucket = []byte("effects")
+	expiryBucket  = []byte("order")
+	metaBucket    = []byte("meta")
+	sequenceKey   = []byte("seq")
+	lostAtKey     = []byte("lost")
+)
+
+// The states of an entry in the file.
+const (
+	stateIntent    = 1
+	stateCompleted = 2
+	stateUncertain = 3
+)
+
+// Lengths in bytes.
+const (
+	timeLength   = 8
+	headerLength = 1 + timeLength // of a value: its state and its time
+	idLength     = 4
+	// shownBytes is how much of a broken value an error shows.
+	shownBytes = 16
+)
+
+// maxExpiredPerCommit is the most expired entries that one transaction deletes, so that none takes long.
+const maxExpiredPerCommit = 2048
+
+// errBadKey is returned for bytes that are not a key of the entries bucket.
+var errBadKey = errors.New("no key")
+
+// encodeKey returns the key of a request in the entries bucket.
+func encodeKey(key idempotency.Key) []byte {
+	b := make([]byte, 0, len(key.Origin)+1+idLength)
+	b = append(b, key.Origin...)
+	b = append(b, 0)
+	return binary.BigEndian.AppendUint32(b, key.ID)
+}
+
+// decodeKey is the inverse of encodeKey.
+func decodeKey(b []byte) (idempotency.Key, error) {
+	originLength := len(b) - 1 - idLength
+	if originLength < 0 || b[originLength] != 0 {
+		return idempotency.Key{}, errBadKey
+	}
+	id := binary.BigEndian.Uint32(b[originLength+1:])
+	return idempotency.Key{Origin: string(b[:originLength]), ID: id}, nil
+}
+
+// encodeValue returns a value of the entries bucket.
+func encodeValue(state byte, at time.Time, answer []byte) []byte {
+	v := make([]byte, 0, headerLength+len(answer))
+	v = append(v, state)
+	v = binary.BigEndian.AppendUint64(v, uint64(at.UnixNano()))
+	return append(v, answer...)
+}
+
+// validValue reports whether a value of the entries bucket has a known state and is long enough.
+func validValue(v []byte) bool {
+	return len(v) >= headerLength && v[0] >= stateIntent && v[0] <= stateUncertain
+}
+
+// putExpiring writes an entry, and when it expires.
+func putExpiring(tx *bbolt.Tx, key []byte, state byte, expiresAt time.Time, answer []byte) error {
+	v := encodeValue(state, expiresAt, answer)
+	expiryKey := slices.Concat(v[1:headerLength], key)
+	if err := tx.Bucket(expiryBucket).Put(expiryKey, nil); err != nil {
+		return err
+	}
+	return tx.Bucket(entriesBucket).Put(key, v)
+}
+
+// deleteExpired deletes entries that have expired, maxExpiredPerCommit at most.
+func deleteExpired(tx *bbolt.Tx, now time.Time) error {
+	entries, expiries := tx.Bucket(entriesBucket), tx.Bucket(expiryBucket)
+	var expired [][]byte
+	cursor := expiries.Cursor()
+	for k, _ := cursor.First(); k != nil && len(expired) < maxExpiredPerCommit; k, _ = cursor.Next() {
+		if len(k) < timeLength || int64(binary.BigEndian.Uint64(k)) >= now.UnixNano() {
+			break
+		}
+		expired = append(expired, bytes.Clone(k))
+	}
+	for _, k := range expired {
+		if err := expiries.Delete(k); err != nil {
+			return err
+		}
+		expiresAt, key := k[:timeLength], k[timeLength:]
+		// A different time is that of a newer entry: the identifier may be another request's by now.
+		if v := entries.Get(key); v != nil && bytes.Equal(v[1:headerLength], expiresAt) {
+			if err := entries.Delete(key); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// datedRecord is a record and the time in its value.
+type datedRecord struct {
+	unixNano int64
+	record   idempotency.Record
+}
+
+// load returns the records that have not expired, ordered by their times. It creates the buckets of a new file, and
+// rewrites each intent as uncertain: the process that wrote it has died.
+func (s *Store) load() ([]idempotency.Record, error) {
+	var all []datedRecord
+	now := s.now()
+	err := s.db.Update(func(tx *bbolt.Tx) error {
+		for _, name := range [][]byte{entriesBucket, expiryBucket} {
+			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
+				return err
+			}
+		}
+		var intents [][]byte
+		err := tx.Bucket(entriesBucket).ForEach(func(k, v []byte) error {
+			key, err := decodeKey(k)
+			if err != nil || !validValue(v) {
+				return fmt.Errorf("a record that makes no sense: %x: %x", k, v[:min(len(v), shownBytes)])
+			}
+			at := int64(binary.BigEndian.Uint64(v[1:]))
+			// Without this a request that ran long ago could run again: the window of an intent begins now.
+			if v[0] == stateIntent {
+				intents = append(intents, bytes.Clone(k))
+			} else if at < now.UnixNano() {
+				return nil
+			}
+			all = append(all, datedRecord{at, idempotency.Record{
+				Key:       key,
+				Completed: v[0] == stateCompleted,
+				Uncertain: v[0] != stateCompleted,
+				Answer:    bytes.Clone(v[headerLength:]),
+			}})
+			return nil
+		})
+		if err != nil {
+			return err
+		}
+		for _, key := range intents {
+			if err := putExpiring(tx, key, stateUncertain, now.Add(s.uncertainWindow), nil); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	slices.SortStableFunc(all, func(a, b datedRecord) int { return cmp.Compare(a.unixNano, b.unixNano) })
+	records := make([]idempotency.Record, len(all))
+	for i, d := range all {
+		records[i] = d.record
+	}
+	return records, nil
+}
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -23,28 +23,44 @@
 	uncertain = time.Hour
 )
 
+// open opens a store and returns its records by key.
 func open(t testing.TB, path string, now func() time.Time) (*Store, map[idempotency.Key]idempotency.Record) {
 	t.Helper()
 	s, records, err := Open(path, Options{Window: window, UncertainWindow: uncertain, Now: now})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.Close() })
-	by := map[idempotency.Key]idempotency.Record{}
+	t.Cleanup(func() { mustClose(t, s) })
+	byKey := map[idempotency.Key]idempotency.Record{}
 	for _, r := range records {
-		by[r.Key] = r
+		byKey[r.Key] = r
 	}
-	return s, by
+	return s, byKey
 }
 
-func TestWhatIsWrittenIsThere(t *testing.T) {
+func mustClose(t testing.TB, s *Store) {
+	t.Helper()
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestRecordsSurviveReopening(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects")
 	ctx := t.Context()
 	clock := time.Unix(1_800_000_000, 0)
 	now := func() time.Time { return clock }
 	s, _ := open(t, path, now)
-	a, b, c := idempotency.Key{Origin: "a", ID: 1}, idempotency.Key{Origin: "a", ID: 2}, idempotency.Key{Origin: "b\x00c", ID: 1}
-	for _, r := range []idempotency.Record{{Key: a}, {Key: b}, {Key: a, Completed: true, Answer: []byte("paid")}, {Key: c}} {
+	a := idempotency.Key{Origin: "a", ID: 1}
+	b := idempotency.Key{Origin: "a", ID: 2}
+	c := idempotency.Key{Origin: "b\x00c", ID: 1}
+	y := idempotency.Key{Origin: "y", ID: 9}
+	for _, r := range []idempotency.Record{
+		{Key: a},
+		{Key: b},
+		{Key: a, Completed: true, Answer: []byte("paid")},
+		{Key: c},
+	} {
 		if err := s.Write(ctx, r); err != nil {
 			t.Fatal(err)
 		}
@@ -59,32 +75,33 @@
 		t.Fatal(err)
 	}
 	if err := s.Write(ctx, idempotency.Record{Key: a}); !errors.Is(err, ErrClosed) {
-		t.Errorf("after its end: %v", err)
+		t.Errorf("after Close: %v", err)
 	}
-	s, by := open(t, path, now)
-	if len(by) != 2 || !by[a].Completed || string(by[a].Answer) != "paid" || by[b].Completed {
-		t.Errorf("%+v", by)
+	s, byKey := open(t, path, now)
+	if len(byKey) != 2 || !byKey[a].Completed || string(byKey[a].Answer) != "paid" || byKey[b].Completed {
+		t.Errorf("%+v", byKey)
 	}
-	clock = clock.Add(window + time.Second) // what has ended grows old; of an intent without an end the time begins when it is found
+	// The window of a is over; that of b began when its intent was found.
+	clock = clock.Add(window + time.Second)
 	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "z", ID: 9}}); err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
-	s, by = open(t, path, now)
-	if len(by) != 2 || by[a].Completed || !by[b].Uncertain {
-		t.Errorf("a window later: %+v", by)
+	mustClose(t, s)
+	s, byKey = open(t, path, now)
+	if len(byKey) != 2 || byKey[a].Completed || !byKey[b].Uncertain {
+		t.Errorf("one window later: %+v", byKey)
 	}
 	clock = clock.Add(uncertain + time.Second)
-	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "y", ID: 9}, Uncertain: true}); err != nil {
+	if err := s.Write(ctx, idempotency.Record{Key: y, Uncertain: true}); err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
-	if _, by = open(t, path, now); len(by) != 1 || !by[idempotency.Key{Origin: "y", ID: 9}].Uncertain {
-		t.Errorf("long after: %+v", by)
+	mustClose(t, s)
+	if _, byKey = open(t, path, now); len(byKey) != 1 || !byKey[y].Uncertain {
+		t.Errorf("after the uncertain window: %+v", byKey)
 	}
 }
 
-func TestAFileThatIsNone(t *testing.T) {
+func TestOpenRejectsOtherFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects")
 	if err := os.WriteFile(path, []byte(strings.Repeat("no database ", 2000)), 0o600); err != nil {
 		t.Fatal(err)
@@ -94,8 +111,8 @@
 	}
 }
 
-// A disk that takes no more is told to all who wait, and what was there stays.
-func TestADiskThatIsFull(t *testing.T) {
+// A full disk is reported to all callers that wait, and earlier records stay.
+func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects")
 	s, _ := open(t, path, nil)
 	k := idempotency.Key{Origin: "a", ID: 1}
@@ -105,21 +122,25 @@
 	if size, err := s.Size(); err != nil || size == 0 {
 		t.Errorf("%d bytes, %v", size, err)
 	}
-	s.db.MaxSize = 64 << 10 // as if the disk ended there
+	s.db.MaxSize = 64 << 10 // stands in for a full disk
 	var failed error
 	for i := uint32(2); i < 2000 && failed == nil; i++ {
-		failed = s.Write(t.Context(), idempotency.Record{Key: idempotency.Key{Origin: "a", ID: i}, Completed: true, Answer: make([]byte, 4000)})
+		failed = s.Write(t.Context(), idempotency.Record{
+			Key:       idempotency.Key{Origin: "a", ID: i},
+			Completed: true,
+			Answer:    make([]byte, 4000),
+		})
 	}
 	if failed == nil {
-		t.Fatal("a full disk is not told")
+		t.Fatal("a full disk is not reported")
 	}
-	s.Close()
-	if _, by := open(t, path, nil); by[k].Key != k {
-		t.Error("what was there is gone")
+	mustClose(t, s)
+	if _, byKey := open(t, path, nil); byKey[k].Key != k {
+		t.Error("an earlier record is missing")
 	}
 }
 
-// Records that wait together share a flush: many at once take far less than one after the other.
+// Records that wait together share a transaction.
 func TestGroupCommit(t *testing.T) {
 	s, _ := open(t, filepath.Join(t.TempDir(), "effects"), nil)
 	var all sync.WaitGroup
@@ -136,30 +157,31 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "a", ID: 1}}); !errors.Is(err, context.Canceled) && err != nil {
-		t.Errorf("given up: %v", err)
+	err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "a", ID: 1}})
+	if err != nil && !errors.Is(err, context.Canceled) {
+		t.Errorf("with a canceled context: %v", err)
 	}
 }
 
-// crashes is how many kills TestKills makes; a longer trial: EFFECTS_KILLS=200 go test ./internal/effects/store -run Kills
-func crashes() int {
+// killRounds is how many kills TestKills makes. A longer trial:
+// EFFECTS_KILLS=200 go test ./internal/idempotency/store -run Kills
+func killRounds() int {
 	if n, err := strconv.Atoi(os.Getenv("EFFECTS_KILLS")); err == nil {
 		return n
 	}
 	return 12
 }
 
-// A process that is killed at any moment has on disk all that it was told is there, and after it no claim can begin a
-// second time.
+// A process that is killed at any moment has on disk all that was confirmed to it, and no claim begins a second time.
 func TestKills(t *testing.T) {
 	if path := os.Getenv("EFFECTS_CHILD"); path != "" {
-		claims(path)
+		writeClaims(path)
 		return
 	}
 	rng := rand.New(rand.NewPCG(11, 12))
 	path := filepath.Join(t.TempDir(), "effects")
-	told := map[idempotency.Key]string{} // "intent", or the answer
-	for round := range crashes() {
+	confirmed := map[idempotency.Key]string{} // "intent", or the answer
+	for round := range killRounds() {
 		c := exec.Command(os.Args[0], "-test.run=^TestKills$")
 		c.Env = append(os.Environ(), "EFFECTS_CHILD="+path, "EFFECTS_ROUND="+strconv.Itoa(round))
 		out, err := c.StdoutPipe()
@@ -173,44 +195,52 @@
 		after := 1 + rng.IntN(300)
 		for n := 0; lines.Scan(); n++ {
 			if n == after {
-				c.Process.Kill()
+				if err := c.Process.Kill(); err != nil {
+					t.Error(err)
+				}
 			}
 			var id uint32
 			var what string
-			if _, err := fmt.Sscanf(lines.Text(), "told %d %s", &id, &what); err == nil {
-				told[idempotency.Key{Origin: "a", ID: id}] = what
+			if _, err := fmt.Sscanf(lines.Text(), "confirmed %d %s", &id, &what); err == nil {
+				confirmed[idempotency.Key{Origin: "a", ID: id}] = what
 			}
 		}
-		c.Wait()
+		_ = c.Wait() // it was killed
 		s, records, err := Open(path, Options{Window: window})
 		if err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
-		l, err := idempotency.New(idempotency.Settings{Window: window, UncertainWindow: window, MaxEntries: 1 << 20, MaxBytes: 1 << 24, LostAt: -1})
+		l, err := idempotency.New(idempotency.Settings{
+			Window:          window,
+			UncertainWindow: window,
+			MaxEntries:      1 << 20,
+			MaxBytes:        1 << 24,
+			LostAt:          -1,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := l.Restore(0, records); err != nil {
 			t.Fatal(err)
 		}
-		for k, what := range told {
+		for k, what := range confirmed {
 			v, answer := l.Admit(time.Second, k, false)
 			switch {
 			case v == idempotency.Begin:
-				t.Fatalf("round %d: %v was told to be %s, and would begin again", round, k, what)
+				t.Fatalf("round %d: %v was confirmed as %s, and would begin again", round, k, what)
 			case what != "intent" && (v != idempotency.Answered || string(answer) != what):
 				t.Fatalf("round %d: %v has the answer %s: %v %q", round, k, what, v, answer)
 			}
 		}
-		s.Close()
+		mustClose(t, s)
 	}
-	if len(told) < 20*crashes() {
-		t.Errorf("%d claims in %d rounds: there was nothing to kill", len(told), crashes())
+	if len(confirmed) < 20*killRounds() {
+		t.Errorf("%d claims in %d rounds: there was nothing to kill", len(confirmed), killRounds())
 	}
 }
 
-// claims is the child's part: claims in hand of many goroutines, each told only once it is on disk.
-func claims(path string) {
+// writeClaims is the child process: many goroutines write claims, and each prints a claim once it is confirmed.
+func writeClaims(path string) {
 	s, _, err := Open(path, Options{Window: window})
 	if err != nil {
 		fmt.Println(err)
@@ -218,10 +248,10 @@
 	}
 	round, _ := strconv.Atoi(os.Getenv("EFFECTS_ROUND"))
 	var mu sync.Mutex
-	say := func(id uint32, what string) {
+	report := func(id uint32, what string) {
 		mu.Lock()
 		defer mu.Unlock()
-		fmt.Printf("told %d %s\n", id, what)
+		fmt.Printf("confirmed %d %s\n", id, what)
 	}
 	for g := range uint32(16) {
 		go func() {
@@ -231,31 +261,33 @@
 				if s.Write(context.Background(), idempotency.Record{Key: k}) != nil {
 					return
 				}
-				say(id, "intent")
+				report(id, "intent")
 				answer := fmt.Sprint("paid-", id)
-				if s.Write(context.Background(), idempotency.Record{Key: k, Completed: true, Answer: []byte(answer)}) != nil {
+				r := idempotency.Record{Key: k, Completed: true, Answer: []byte(answer)}
+				if s.Write(context.Background(), r) != nil {
 					return
 				}
-				say(id, answer)
+				report(id, answer)
 			}
 		}()
 	}
-	time.Sleep(20 * time.Second) // its end, should nobody kill it
+	time.Sleep(20 * time.Second) // it ends by itself if it is not killed
 }
 
 func BenchmarkClaim(b *testing.B) {
-	for _, at := range []int{1, 64} {
-		b.Run(fmt.Sprint(at, " at once"), func(b *testing.B) {
+	for _, writers := range []int{1, 64} {
+		b.Run(fmt.Sprint(writers, " at once"), func(b *testing.B) {
 			s, _ := open(b, filepath.Join(b.TempDir(), "effects"), nil)
 			var all sync.WaitGroup
-			for g := range at {
+			for g := range writers {
 				all.Go(func() {
-					for i := range b.N/at + 1 {
+					for i := range b.N/writers + 1 {
 						k := idempotency.Key{Origin: "a", ID: uint32(g)<<24 | uint32(i)}
 						if err := s.Write(context.Background(), idempotency.Record{Key: k}); err != nil {
 							b.Error(err)
 						}
-						if err := s.Write(context.Background(), idempotency.Record{Key: k, Completed: true, Answer: make([]byte, 180)}); err != nil {
+						completed := idempotency.Record{Key: k, Completed: true, Answer: make([]byte, 180)}
+						if err := s.Write(context.Background(), completed); err != nil {
 							b.Error(err)
 						}
 					}
@@ -266,8 +298,8 @@
 	}
 }
 
-// BenchmarkRecovery opens a file of many claims that have ended, as a process does that starts: EFFECTS_ENTRIES=1000000 go test
-// -run - -bench Recovery -benchtime 3x ./internal/effects/store.
+// BenchmarkRecovery opens a file of many completed claims, as a process does when it starts:
+// EFFECTS_ENTRIES=1000000 go test -run - -bench Recovery -benchtime 3x ./internal/idempotency/store
 func BenchmarkRecovery(b *testing.B) {
 	entries := 20_000
 	if n, err := strconv.Atoi(os.Getenv("EFFECTS_ENTRIES")); err == nil {
@@ -278,14 +310,16 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	answer := make([]byte, 280) // about that of a claim
+	answer := make([]byte, 280) // about the length of a claim's answer
 	began := time.Now()
 	var all sync.WaitGroup
 	const writers = 512
 	for w := range writers {
 		all.Go(func() {
 			for i := w; i < entries; i += writers {
-				if err := s.Write(b.Context(), idempotency.Record{Key: idempotency.Key{Origin: "claims.partner.example", ID: uint32(i)}, Completed: true, Answer: answer}); err != nil {
+				key := idempotency.Key{Origin: "claims.partner.example", ID: uint32(i)}
+				err := s.Write(b.Context(), idempotency.Record{Key: key, Completed: true, Answer: answer})
+				if err != nil {
 					b.Error(err)
 					return
 				}
@@ -306,7 +340,7 @@
 		if err != nil || len(records) != entries {
 			b.Fatalf("%d records, %v", len(records), err)
 		}
-		s.Close()
+		mustClose(b, s)
 	}
 	b.ReportMetric(float64(size)/float64(entries), "disk-B/entry")
 	b.ReportMetric(float64(entries)/wrote.Seconds(), "writes/s")
