--- a/cmd/faultlab/soak.go
+++ b/cmd/faultlab/soak.go
@@ -121,8 +121,8 @@
 				a := netip.AddrFrom4([4]byte{byte(1 + i>>24), byte(i >> 16), byte(i >> 8), byte(i)})
 				id := arrive(d, now, a)
 				if id != 0 && i%4 == 0 { // one in four is a client that is served
-					d.Request(now, id)
-					d.Answered(now, id, true)
+					d.RequestReceived(now, id)
+					d.RequestDone(now, id, true)
 				}
 			}
 			took := time.Since(began)
@@ -131,7 +131,7 @@
 			r := d.Report(time.Duration(count) * 50 * time.Microsecond)
 			mb := (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / (1 << 20)
 			fmt.Fprintf(cmd.OutOrStdout(), "%d addresses: %.0f ns each; %.1f MB held; %d of %d places taken, %d closed to make room, %d turned away\n", count,
-				float64(took.Nanoseconds())/float64(count), mb, r.Open, r.Places, r.Refused["room"], r.Refused["full"]+r.Refused["rate"])
+				float64(took.Nanoseconds())/float64(count), mb, r.Open, r.MaxConns, r.Rejected["room"], r.Rejected["full"]+r.Rejected["rate"])
 			if mb > most {
 				return fmt.Errorf("%w: %.1f MB are held; %.1f are the most", errBroken, mb, most)
 			}
@@ -145,14 +145,14 @@
 	return c
 }
 
-func arrive(d *admission.Door, now time.Duration, a netip.Addr) admission.ID {
+func arrive(d *admission.ConnLimiter, now time.Duration, a netip.Addr) admission.ID {
 	v := d.Arrive(now, a, false)
 	for range 4 {
-		if v.Closes == 0 {
+		if v.Evict == 0 {
 			break
 		}
-		d.Gone(now, v.Closes, true)
+		d.Remove(now, v.Evict, true)
 		v = d.Arrive(now, a, true)
 	}
-	return v.Taken
+	return v.Admitted
 }
--- a/cmd/lapisspread/admission.go
+++ b/cmd/lapisspread/admission.go
@@ -27,21 +27,21 @@
 			if err != nil {
 				return err
 			}
-			s, err := f.Settings(listener.Room{Places: checkedPlaces}, 0)
+			s, err := f.Settings(listener.Capacity{Conns: checkedPlaces}, 0)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			places := "all places that the process has"
-			if f.Connections.Places != 0 {
-				places = fmt.Sprintf("%d places at most", s.Places)
+			if f.Connections.MaxConns != 0 {
+				places = fmt.Sprintf("%d places at most", s.MaxConns)
 			}
 			requests := "requests in hand are not bounded here"
 			if r := f.Requests; r != nil {
-				requests = fmt.Sprintf("%d requests in hand", r.InHand)
+				requests = fmt.Sprintf("%d requests in hand", r.MaxInFlight)
 			}
 			printf(cmd.OutOrStdout(),
 				"%s: good: %s, %.0f %% of them for known clients, %d prefixes known from the start; %s\n",
-				args[0], places, 100*s.Reserve, len(s.Listed), requests)
+				args[0], places, 100*s.KnownReserve, len(s.KnownPrefixes), requests)
 			return nil
 		},
 	})
--- a/internal/admission/door_test.go
+++ b/internal/admission/connlimiter_test.go
@@ -17,7 +17,7 @@
 	return netip.AddrFrom4([4]byte{byte(a), byte(b), byte(c), byte(d)})
 }
 
-func newDoor(t testing.TB, s Settings) *Door {
+func newDoor(t testing.TB, s Settings) *ConnLimiter {
 	t.Helper()
 	d, err := New(s)
 	if err != nil {
@@ -27,34 +27,34 @@
 }
 
 // knock has a connection arrive, and closes whom the door names, unless spare says that something stands to be read.
-func knock(d *Door, now time.Duration, a netip.Addr, gone func(ID), spare func(ID) bool) (ID, Reason) {
+func knock(d *ConnLimiter, now time.Duration, a netip.Addr, gone func(ID), spare func(ID) bool) (ID, Reason) {
 	v := d.Arrive(now, a, false)
 	for range 4 {
-		if v.Closes == 0 {
+		if v.Evict == 0 {
 			break
 		}
-		if spare != nil && spare(v.Closes) {
-			d.Spare(now, v.Closes)
+		if spare != nil && spare(v.Evict) {
+			d.EvictionRefused(now, v.Evict)
 		} else {
-			d.Gone(now, v.Closes, true)
-			gone(v.Closes)
+			d.Remove(now, v.Evict, true)
+			gone(v.Evict)
 		}
 		v = d.Arrive(now, a, true)
 	}
-	return v.Taken, v.Why
+	return v.Admitted, v.Reason
 }
 
 func TestErrorsNameTheSetting(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
-		"places: 0":     func(s *Settings) { s.Places = 0 },
-		"reserve: 0.95": func(s *Settings) { s.Reserve = 0.95 },
-		"grace: 1m":     func(s *Settings) { s.Grace = time.Minute },
+		"places: 0":     func(s *Settings) { s.MaxConns = 0 },
+		"reserve: 0.95": func(s *Settings) { s.KnownReserve = 0.95 },
+		"grace: 1m":     func(s *Settings) { s.GracePeriod = time.Minute },
 		"half_life: 0s": func(s *Settings) { s.HalfLife = 0 },
-		"earned: 0":     func(s *Settings) { s.Earned = 0 },
-		"rate: -1":      func(s *Settings) { s.Rate = -1 },
-		"short: 2":      func(s *Settings) { s.Short = 2 },
-		"tracked: 0":    func(s *Settings) { s.Tracked = 0 },
-		"known[0]":      func(s *Settings) { s.Listed = make([]netip.Prefix, 1) },
+		"earned: 0":     func(s *Settings) { s.MaxCredit = 0 },
+		"rate: -1":      func(s *Settings) { s.MaxConnRate = -1 },
+		"short: 2":      func(s *Settings) { s.ScarceBelow = 2 },
+		"tracked: 0":    func(s *Settings) { s.MaxTracked = 0 },
+		"known[0]":      func(s *Settings) { s.KnownPrefixes = make([]netip.Prefix, 1) },
 	} {
 		s := Defaults(100)
 		change(&s)
@@ -78,13 +78,13 @@
 
 // play runs honest clients beside a flood for some time, in steps of a millisecond. Flooders' connections never send a
 // whole request.
-func play(d *Door, clients []*honest, flood func(now time.Duration) []netip.Addr, span time.Duration) {
+func play(d *ConnLimiter, clients []*honest, flood func(now time.Duration) []netip.Addr, span time.Duration) {
 	by := map[ID]*honest{}
 	gone := func(id ID) {
 		if h := by[id]; h != nil {
 			if h.stage == 1 { // closed before it could show anything
 				h.lost++
-				h.why[Room]++
+				h.why[Evicted]++
 			}
 			h.id, h.stage = 0, 0
 			delete(by, id)
@@ -116,11 +116,11 @@
 				if h.stage == 3 {
 					h.tries++
 				}
-				d.Begin(now, h.id)
-				d.Request(now, h.id)
+				d.RequestStarted(now, h.id)
+				d.RequestReceived(now, h.id)
 				h.stage, h.next = 2, now+30*ms
 			case 2:
-				d.Answered(now, h.id, true)
+				d.RequestDone(now, h.id, true)
 				h.stage, h.next = 3, now+h.think
 			}
 		}
@@ -180,7 +180,7 @@
 			if part, why := lost(shared); part > 0.03 {
 				t.Errorf("those behind one address lost %.1f %%: %v", 100*part, why)
 			}
-			if open, _ := d.Open(); open > 200 {
+			if open, _ := d.Usage(); open > 200 {
 				t.Errorf("%d connections in 200 places", open)
 			}
 		})
@@ -190,7 +190,7 @@
 // Whom places are refused at the height of a flood is as any other soon after it.
 func TestNobodyIsLockedOutForGood(t *testing.T) {
 	s := Defaults(100)
-	s.Rate = 50
+	s.MaxConnRate = 50
 	d := newDoor(t, s)
 	bad := ip(10, 0, 0, 1)
 	var held []ID
@@ -199,12 +199,12 @@
 			held = append(held, id)
 		}
 	}
-	if _, why := knock(d, 2*time.Second, bad, func(ID) {}, nil); why != Rate {
+	if _, why := knock(d, 2*time.Second, bad, func(ID) {}, nil); why != RateExceeded {
 		t.Fatalf("at its height: %v", why)
 	}
 	for i := range 90 { // the places stay short
 		if i < len(held) && i >= 10 {
-			d.Gone(2*time.Second, held[i], false)
+			d.Remove(2*time.Second, held[i], false)
 		}
 	}
 	for i := range 70 {
@@ -221,7 +221,7 @@
 	if err := d.Block(0, net, time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	for at, want := range map[time.Duration]Reason{0: Blocked, 59 * time.Second: Blocked, time.Minute: None} {
+	for at, want := range map[time.Duration]Reason{0: Blocked, 59 * time.Second: Blocked, time.Minute: NoReason} {
 		if _, why := knock(d, at, ip(10, 1, 2, 3), func(ID) {}, nil); why != want {
 			t.Errorf("at %v: %v", at, why)
 		}
@@ -235,9 +235,9 @@
 	if !d.Unblock(net) || d.Unblock(net) || d.Blocked(0, ip(10, 1, 2, 3)) {
 		t.Error("unblocking")
 	}
-	for i := range mostBlocks + 1 {
+	for i := range maxBlocks + 1 {
 		err := d.Block(0, netip.PrefixFrom(ip(20, 0, i/256, i%256), 32), time.Minute)
-		if (err != nil) != (i == mostBlocks) {
+		if (err != nil) != (i == maxBlocks) {
 			t.Fatalf("block %d: %v", i, err)
 		}
 	}
@@ -252,22 +252,22 @@
 	var ids []ID
 	for i := range 30 {
 		id, _ := knock(d, 0, ip(10, 0, i, 1), func(ID) {}, nil)
-		d.Request(0, id)
+		d.RequestReceived(0, id)
 		ids = append(ids, id)
 	}
-	if err := d.Change(0, Defaults(10)); err != nil {
+	if err := d.Reconfigure(0, Defaults(10)); err != nil {
 		t.Fatal(err)
 	}
-	if id, why := knock(d, ms, ip(10, 1, 0, 1), func(id ID) { t.Error("one with a request in hand was closed") }, nil); id != 0 || why != Full {
+	if id, why := knock(d, ms, ip(10, 1, 0, 1), func(id ID) { t.Error("one with a request in hand was closed") }, nil); id != 0 || why != NoCapacity {
 		t.Errorf("31 of 10: %v", why)
 	}
 	for _, id := range ids {
-		d.Gone(ms, id, false)
+		d.Remove(ms, id, false)
 	}
 	if id, _ := knock(d, ms, ip(10, 1, 0, 1), func(ID) {}, nil); id == 0 {
 		t.Error("nobody is taken with all places free")
 	}
-	if err := d.Change(0, Settings{}); err == nil {
+	if err := d.Reconfigure(0, Settings{}); err == nil {
 		t.Error("a bad change was taken")
 	}
 }
@@ -276,10 +276,10 @@
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Defaults(rapid.IntRange(1, 40).Draw(t, "places"))
-		s.Reserve = rapid.Float64Range(0, 0.9).Draw(t, "reserve")
-		s.Rate, s.Tracked = 1e6, 4
-		s.Earned = rapid.IntRange(1, 20).Draw(t, "earned")
-		s.Listed = []netip.Prefix{netip.MustParsePrefix("10.0.9.0/24")}
+		s.KnownReserve = rapid.Float64Range(0, 0.9).Draw(t, "reserve")
+		s.MaxConnRate, s.MaxTracked = 1e6, 4
+		s.MaxCredit = rapid.IntRange(1, 20).Draw(t, "earned")
+		s.KnownPrefixes = []netip.Prefix{netip.MustParsePrefix("10.0.9.0/24")}
 		d, err := New(s)
 		if err != nil {
 			t.Fatal(err)
@@ -319,18 +319,18 @@
 				if rng.IntN(5) == 0 {
 					a = ip(10, 0, 9, rng.IntN(3))
 				}
-				_, known := d.Open()
-				free := s.Places - len(open)
+				_, known := d.Usage()
+				free := s.MaxConns - len(open)
 				is := d.isKnown(now, d.tiers[0].prefix(a), a)
 				closed, over, spared := 0, 0.0, false
 				for _, tier := range d.tiers {
 					tier.refresh(now)
-					if g := tier.top(); g != nil {
-						over = max(over, g.over)
+					if g := tier.worst(); g != nil {
+						over = max(over, g.excess)
 					}
 				}
 				oldest := time.Duration(0)
-				if e := d.silent.Front(); e != nil {
+				if e := d.unproven.Front(); e != nil {
 					oldest = now - e.Value.(*conn).since
 				}
 				id, why := knock(d, now, a, func(id ID) {
@@ -340,7 +340,7 @@
 						t.Fatal("one that it does not hold is to be closed")
 					case c.busy:
 						t.Fatal("one with a request in hand was closed")
-					case now-c.came < s.Grace && over <= graceOver && oldest >= s.Grace && closed == 1 && !spared:
+					case now-c.came < s.GracePeriod && over <= graceExcess && oldest >= s.GracePeriod && closed == 1 && !spared:
 						t.Fatal("one was closed within the grace, and another was older")
 					}
 					drop(id)
@@ -349,10 +349,10 @@
 					spared = spared || spare
 					return spare
 				})
-				kept := max(0, int(s.Reserve*float64(s.Places))-known)
+				kept := max(0, int(s.KnownReserve*float64(s.MaxConns))-known)
 				switch {
-				case id == 0 && is && known < int(s.Reserve*float64(s.Places)):
-					t.Fatalf("a known client was turned away (%v) with %d known ones of a reserve of %v of %d", why, known, s.Reserve, s.Places)
+				case id == 0 && is && known < int(s.KnownReserve*float64(s.MaxConns)):
+					t.Fatalf("a known client was turned away (%v) with %d known ones of a reserve of %v of %d", why, known, s.KnownReserve, s.MaxConns)
 				case id == 0 && free > kept:
 					t.Fatalf("turned away (%v) with %d free and %d kept for known clients", why, free, kept)
 				case closed > 0 && free > kept:
@@ -366,38 +366,38 @@
 				}
 			case 4:
 				if id, c := pick(); c != nil {
-					d.Begin(now, id)
-					d.Request(now, id)
+					d.RequestStarted(now, id)
+					d.RequestReceived(now, id)
 					c.busy = true
 				}
 			case 5, 6:
 				if id, c := pick(); c != nil && c.busy {
-					d.Answered(now, id, rng.IntN(4) > 0)
-					c.busy, c.came = false, now-s.Grace // the grace is for those that come
+					d.RequestDone(now, id, rng.IntN(4) > 0)
+					c.busy, c.came = false, now-s.GracePeriod // the grace is for those that come
 				}
 			case 7:
 				if id, c := pick(); c != nil {
-					d.Gone(now, id, false)
+					d.Remove(now, id, false)
 					drop(id)
 				}
 			default:
-				d.Gone(now, ID(rng.IntN(1000)+100000), false) // strangers' numbers change nothing
-				d.Answered(now, ID(rng.IntN(1000)+100000), true)
+				d.Remove(now, ID(rng.IntN(1000)+100000), false) // strangers' numbers change nothing
+				d.RequestDone(now, ID(rng.IntN(1000)+100000), true)
 			}
-			all, known := d.Open()
-			if all != len(open) || all > s.Places || known > all {
-				t.Fatalf("%d open, %d known, %d by our count, %d places", all, known, len(open), s.Places)
+			all, known := d.Usage()
+			if all != len(open) || all > s.MaxConns || known > all {
+				t.Fatalf("%d open, %d known, %d by our count, %d places", all, known, len(open), s.MaxConns)
 			}
 		}
 		for _, id := range ids {
-			d.Gone(now, id, false)
+			d.Remove(now, id, false)
 		}
 		for i, tier := range d.tiers {
-			if len(tier.byOver) != 0 || len(tier.groups) != tier.resting.Len() || tier.resting.Len() > s.Tracked {
-				t.Fatalf("tier %d: with nobody there %d in the heap, %d groups, %d resting of %d", i, len(tier.byOver), len(tier.groups), tier.resting.Len(), s.Tracked)
+			if len(tier.byExcess) != 0 || len(tier.groups) != tier.resting.Len() || tier.resting.Len() > s.MaxTracked {
+				t.Fatalf("tier %d: with nobody there %d in the heap, %d groups, %d resting of %d", i, len(tier.byExcess), len(tier.groups), tier.resting.Len(), s.MaxTracked)
 			}
 		}
-		if all, known := d.Open(); all != 0 || known != 0 || d.idle[0].Len()+d.idle[1].Len()+d.silent.Len() != 0 {
+		if all, known := d.Usage(); all != 0 || known != 0 || d.idle[0].Len()+d.idle[1].Len()+d.unproven.Len() != 0 {
 			t.Fatalf("places leak: %d, %d, idle %d and %d", all, known, d.idle[0].Len(), d.idle[1].Len())
 		}
 	})
@@ -447,22 +447,22 @@
 // Memory is bounded whatever the number of addresses.
 func TestManyAddresses(t *testing.T) {
 	s := Defaults(500)
-	s.Tracked = 1000
+	s.MaxTracked = 1000
 	d := newDoor(t, s)
 	for i := range 300_000 {
 		now := time.Duration(i) * 100 * time.Microsecond
 		id, _ := knock(d, now, ip(10+i>>24, i>>16, i>>8, i), func(ID) {}, nil)
 		if id != 0 && i%3 == 0 { // some of them earn something
-			d.Request(now, id)
-			d.Answered(now, id, true)
+			d.RequestReceived(now, id)
+			d.RequestDone(now, id, true)
 		}
 	}
 	for i, tier := range d.tiers {
-		if n := len(tier.groups); n > s.Places+s.Tracked {
+		if n := len(tier.groups); n > s.MaxConns+s.MaxTracked {
 			t.Errorf("tier %d: %d groups", i, n)
 		}
 	}
-	if r := d.Report(30 * time.Second); len(r.Top) > mostTop || r.Open > 500 || r.Refused["room"] == 0 {
+	if r := d.Report(30 * time.Second); len(r.Top) > maxBusiest || r.Open > 500 || r.Rejected["room"] == 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -475,7 +475,7 @@
 		knock(d, now, ip(10, 9, 9, 9), func(ID) {}, nil)
 	}
 	r := d.Report(400 * ms)
-	if len(r.Top) == 0 || r.Top[0].Prefix != "10.9.9.9/32" || r.Top[0].Rate < 200 || r.Top[0].Refused == 0 {
+	if len(r.Top) == 0 || r.Top[0].Prefix != "10.9.9.9/32" || r.Top[0].Rate < 200 || r.Top[0].Rejected == 0 {
 		t.Errorf("%+v", r.Top[:min(3, len(r.Top))])
 	}
 }
@@ -498,7 +498,7 @@
 // gets one body in; nothing that ends leaves anything behind.
 func TestBytesOfAnAddress(t *testing.T) {
 	s := Defaults(100)
-	s.Bytes, s.Listed = 1<<20, []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}
+	s.MaxBodyBytes, s.KnownPrefixes = 1<<20, []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}
 	d, err := New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -514,39 +514,39 @@
 	for range 12 { // three quarters: there is room yet, anybody may hold it
 		id := take(ip(10, 0, 0, 1))
 		held = append(held, id)
-		if !d.Hold(0, id, 64<<10) {
+		if !d.AcquireBody(0, id, 64<<10) {
 			t.Fatal("refused while there was room")
 		}
 	}
-	if d.Hold(0, take(ip(10, 0, 0, 1)), 64<<10) {
+	if d.AcquireBody(0, take(ip(10, 0, 0, 1)), 64<<10) {
 		t.Error("one address has more than its part while bytes are short")
 	}
 	other := take(ip(10, 1, 0, 1))
-	if !d.Hold(0, other, 100<<10) {
+	if !d.AcquireBody(0, other, 100<<10) {
 		t.Error("an address that holds nothing is refused its first")
 	}
-	d.Answered(0, other, true) // and has earned room for one more beside its part
-	if !d.Hold(0, other, 64<<10) || !d.Hold(0, take(ip(10, 1, 0, 1)), 200<<10) {
+	d.RequestDone(0, other, true) // and has earned room for one more beside its part
+	if !d.AcquireBody(0, other, 64<<10) || !d.AcquireBody(0, take(ip(10, 1, 0, 1)), 200<<10) {
 		t.Error("what was earned does not count")
 	}
-	d.set.BytesPart = 0.01 // so little that its net has too much by itself
-	if neighbour := take(ip(10, 0, 0, 77)); !d.Hold(0, neighbour, 10<<10) || d.Hold(0, neighbour, 100<<10) {
+	d.settings.MaxBodyPart = 0.01 // so little that its net has too much by itself
+	if neighbour := take(ip(10, 0, 0, 77)); !d.AcquireBody(0, neighbour, 10<<10) || d.AcquireBody(0, neighbour, 100<<10) {
 		t.Error("an address is refused its first for its neighbours, or has all that it asks for")
 	}
-	if known := take(ip(10, 9, 0, 1)); !d.Hold(0, known, 300<<10) || !d.Hold(0, known, 300<<10) {
+	if known := take(ip(10, 9, 0, 1)); !d.AcquireBody(0, known, 300<<10) || !d.AcquireBody(0, known, 300<<10) {
 		t.Error("a listed address is bounded")
 	}
-	if r := d.Report(0); r.Crowded != 2 || r.Bytes != int64(12*64+64+200+10+600)<<10 {
+	if r := d.Report(0); r.BodyRejections != 2 || r.Bytes != int64(12*64+64+200+10+600)<<10 {
 		t.Errorf("%+v", r)
 	}
 	for i, id := range held {
 		if i%2 == 0 {
-			d.Answered(0, id, false)
+			d.RequestDone(0, id, false)
 		}
-		d.Gone(0, id, false)
+		d.Remove(0, id, false)
 	}
 	for id := range d.conns {
-		d.Gone(0, id, false)
+		d.Remove(0, id, false)
 	}
 	if d.bytes != 0 || d.tiers[0].groups[d.tiers[0].prefix(ip(10, 1, 0, 1))].bytes != 0 {
 		t.Errorf("%d bytes are left", d.bytes)
--- a/internal/admission/groups.go
+++ b/internal/admission/groups.go
@@ -15,28 +15,28 @@
 	unproven list.List // of *conn, the one that came first in front
 	open     int
 	bytes    int64   // of bodies in hand
-	earned   float64 // requests served, fading, as of at
-	at       time.Duration
+	served   float64 // requests served, fading, as of at
+	servedAt time.Duration
 
-	place int     // in the heap of those with unproven connections, -1 outside
-	over  float64 // what the heap goes by: unproven beyond what was earned, as of the last look
-	kept  *list.Element
+	heapIndex      int     // in the heap of those with unproven connections, -1 outside
+	excess         float64 // what the heap goes by: unproven beyond what was earned, as of the last look
+	restingElement *list.Element
 }
 
 // tier holds the groups of one width of prefix.
 type tier struct {
 	bits4, bits6 int
-	times        float64 // how many times as much as an address a group may do
-	half         time.Duration
-	most         float64 // earned at most
-	tracked      int
+	factor       float64 // how many times as much as an address a group may do
+	halfLife     time.Duration
+	maxCredit    float64 // earned at most
+	maxResting   int
 	groups       map[netip.Prefix]*group
-	byOver       overHeap
+	byExcess     excessHeap
 	resting      list.List // of *group: that hold nothing and have earned something; the longest unused in front
 }
 
 func newTier(bits4, bits6 int, times float64) *tier {
-	return &tier{bits4: bits4, bits6: bits6, times: times, groups: map[netip.Prefix]*group{}}
+	return &tier{bits4: bits4, bits6: bits6, factor: times, groups: map[netip.Prefix]*group{}}
 }
 
 func (t *tier) prefix(a netip.Addr) netip.Prefix {
@@ -56,7 +56,7 @@
 func (t *tier) group(p netip.Prefix) *group {
 	g := t.groups[p]
 	if g == nil {
-		g = &group{prefix: p, place: -1}
+		g = &group{prefix: p, heapIndex: -1}
 		t.groups[p] = g
 	}
 	return g
@@ -64,63 +64,63 @@
 
 // served is how many requests of a group were served of late.
 func (t *tier) served(now time.Duration, g *group) float64 {
-	if span := now - g.at; span > 0 {
-		g.earned *= math.Exp2(-float64(span) / float64(t.half))
-		g.at = now
+	if span := now - g.servedAt; span > 0 {
+		g.served *= math.Exp2(-float64(span) / float64(t.halfLife))
+		g.servedAt = now
 	}
-	return g.earned
+	return g.served
 }
 
-// has is how many connections that have shown nothing a group has earned by that.
-func (t *tier) has(now time.Duration, g *group) float64 {
+// credit is how many connections that have shown nothing a group has earned by that.
+func (t *tier) credit(now time.Duration, g *group) float64 {
 	earned := t.served(now, g)
 	if g.listed {
-		return t.most
+		return t.maxCredit
 	}
-	return min(earned, t.most)
+	return min(earned, t.maxCredit)
 }
 
-// look brings a group's place in the heap up to date.
-func (t *tier) look(now time.Duration, g *group) {
+// update brings a group's place in the heap up to date.
+func (t *tier) update(now time.Duration, g *group) {
 	n := g.unproven.Len()
 	if n == 0 {
-		if g.place >= 0 {
-			heap.Remove(&t.byOver, g.place)
+		if g.heapIndex >= 0 {
+			heap.Remove(&t.byExcess, g.heapIndex)
 		}
 		return
 	}
-	g.over = (float64(n) - t.has(now, g)) / t.times
-	if g.place < 0 {
-		heap.Push(&t.byOver, g)
+	g.excess = (float64(n) - t.credit(now, g)) / t.factor
+	if g.heapIndex < 0 {
+		heap.Push(&t.byExcess, g)
 	} else {
-		heap.Fix(&t.byOver, g.place)
+		heap.Fix(&t.byExcess, g.heapIndex)
 	}
 }
 
 // refresh looks at all: earnings fade without an event.
 func (t *tier) refresh(now time.Duration) {
-	for _, g := range t.byOver {
-		g.over = (float64(g.unproven.Len()) - t.has(now, g)) / t.times
+	for _, g := range t.byExcess {
+		g.excess = (float64(g.unproven.Len()) - t.credit(now, g)) / t.factor
 	}
-	heap.Init(&t.byOver)
+	heap.Init(&t.byExcess)
 }
 
-// join enters a connection, as unproven.
-func (t *tier) join(now time.Duration, g *group, c *conn) *list.Element {
-	if g.kept != nil {
-		t.resting.Remove(g.kept)
-		g.kept = nil
+// addConn enters a connection, as unproven.
+func (t *tier) addConn(now time.Duration, g *group, c *conn) *list.Element {
+	if g.restingElement != nil {
+		t.resting.Remove(g.restingElement)
+		g.restingElement = nil
 	}
 	g.open++
 	e := g.unproven.PushBack(c)
-	t.look(now, g)
+	t.update(now, g)
 	return e
 }
 
-// leave takes a connection off. A group that holds none is forgotten, or rests while it has earned something.
-func (t *tier) leave(now time.Duration, g *group) {
+// removeConn takes a connection off. A group that holds none is forgotten, or rests while it has earned something.
+func (t *tier) removeConn(now time.Duration, g *group) {
 	g.open--
-	t.look(now, g)
+	t.update(now, g)
 	if g.open > 0 {
 		return
 	}
@@ -128,61 +128,61 @@
 		delete(t.groups, g.prefix)
 		return
 	}
-	g.kept = t.resting.PushBack(g)
-	for t.resting.Len() > t.tracked {
+	g.restingElement = t.resting.PushBack(g)
+	for t.resting.Len() > t.maxResting {
 		old := t.resting.Remove(t.resting.Front()).(*group)
 		delete(t.groups, old.prefix)
 	}
 }
 
-// earn counts a request that was served.
-func (t *tier) earn(now time.Duration, g *group) {
-	g.earned = t.served(now, g) + 1
-	t.look(now, g)
+// addServed counts a request that was served.
+func (t *tier) addServed(now time.Duration, g *group) {
+	g.served = t.served(now, g) + 1
+	t.update(now, g)
 }
 
-// top is the group with the most unproven connections beyond what it has earned, or nil.
-func (t *tier) top() *group {
-	if len(t.byOver) == 0 {
+// worst is the group with the most unproven connections beyond what it has earned, or nil.
+func (t *tier) worst() *group {
+	if len(t.byExcess) == 0 {
 		return nil
 	}
-	return t.byOver[0]
+	return t.byExcess[0]
 }
 
-// overHeap has the group that is over by most in front; of equals the one whose first connection came first.
-type overHeap []*group
+// excessHeap has the group that is over by most in front; of equals the one whose first connection came first.
+type excessHeap []*group
 
-func (h overHeap) Len() int { return len(h) }
-func (h overHeap) Less(i, j int) bool {
-	if h[i].over != h[j].over {
-		return h[i].over > h[j].over
+func (h excessHeap) Len() int { return len(h) }
+func (h excessHeap) Less(i, j int) bool {
+	if h[i].excess != h[j].excess {
+		return h[i].excess > h[j].excess
 	}
-	return first(h[i]) < first(h[j])
+	return firstArrival(h[i]) < firstArrival(h[j])
 }
 
-func first(g *group) time.Duration {
+func firstArrival(g *group) time.Duration {
 	if e := g.unproven.Front(); e != nil {
 		return e.Value.(*conn).since
 	}
 	return math.MaxInt64
 }
 
-func (h overHeap) Swap(i, j int) {
+func (h excessHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-func (h *overHeap) Push(x any) {
+func (h *excessHeap) Push(x any) {
 	g := x.(*group)
-	g.place = len(*h)
+	g.heapIndex = len(*h)
 	*h = append(*h, g)
 }
 
-func (h *overHeap) Pop() any {
+func (h *excessHeap) Pop() any {
 	old := *h
 	g := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	g.place = -1
+	g.heapIndex = -1
 	return g
 }
--- a/internal/admission/requests_test.go
+++ b/internal/admission/requestlimiter_test.go
@@ -12,17 +12,17 @@
 )
 
 func TestRequestSettings(t *testing.T) {
-	good := RequestSettings{InHand: 10, RetryAfter: time.Second}
+	good := RequestSettings{MaxInFlight: 10, RetryAfter: time.Second}
 	for want, change := range map[string]func(*RequestSettings){
-		"in_hand":        func(s *RequestSettings) { s.InHand = 0 },
-		"per_tenant":     func(s *RequestSettings) { s.PerTenant = 2 },
-		"per_connection": func(s *RequestSettings) { s.PerConn = -1 },
-		"least":          func(s *RequestSettings) { s.Adaptive, s.Least = true, 11 },
+		"in_hand":        func(s *RequestSettings) { s.MaxInFlight = 0 },
+		"per_tenant":     func(s *RequestSettings) { s.MaxTenantPart = 2 },
+		"per_connection": func(s *RequestSettings) { s.MaxPerConn = -1 },
+		"least":          func(s *RequestSettings) { s.Adaptive, s.MinInFlight = true, 11 },
 		"retry_after":    func(s *RequestSettings) { s.RetryAfter = 0 },
 	} {
 		s := good
 		change(&s)
-		if _, err := NewRequests(s, nil, 1, 1); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := NewRequestLimiter(s, nil, 1, 1); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
@@ -31,13 +31,13 @@
 // No bound is exceeded and nothing leaks; who is refused is told a time, and not all the same.
 func TestRequestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := RequestSettings{InHand: rapid.IntRange(1, 30).Draw(t, "in hand"), PerTenant: rapid.Float64Range(0, 1).Draw(t, "per tenant"),
-			PerConn: rapid.IntRange(0, 3).Draw(t, "per connection"), RetryAfter: time.Second}
+		s := RequestSettings{MaxInFlight: rapid.IntRange(1, 30).Draw(t, "in hand"), MaxTenantPart: rapid.Float64Range(0, 1).Draw(t, "per tenant"),
+			MaxPerConn: rapid.IntRange(0, 3).Draw(t, "per connection"), RetryAfter: time.Second}
 		gate, err := processquota.NewGate([]processquota.GateClass{{PriorityWeight: 1, HoldTime: 1}, {PriorityWeight: 9, HoldTime: 1}}, []float64{1, 2})
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := NewRequests(s, gate, 2, 1)
+		r, err := NewRequestLimiter(s, gate, 2, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,7 +47,7 @@
 		for range 300 {
 			tenant := rapid.IntRange(0, 1).Draw(t, "tenant")
 			if len(held) > 0 && rapid.IntRange(0, 2).Draw(t, "ends") == 0 {
-				r.Done(held[0], time.Millisecond)
+				r.Release(held[0], time.Millisecond)
 				held = held[1:]
 				continue
 			}
@@ -58,9 +58,9 @@
 					mine++
 				}
 			}
-			why, after := r.Take(rapid.IntRange(0, 1).Draw(t, "class"), tenant, ofConn)
+			why, after := r.Acquire(rapid.IntRange(0, 1).Draw(t, "class"), tenant, ofConn)
 			if why == "" {
-				if len(held) >= s.InHand || s.PerConn > 0 && ofConn >= s.PerConn || s.PerTenant > 0 && float64(mine+1) > max(1, s.PerTenant*float64(s.InHand)) {
+				if len(held) >= s.MaxInFlight || s.MaxPerConn > 0 && ofConn >= s.MaxPerConn || s.MaxTenantPart > 0 && float64(mine+1) > max(1, s.MaxTenantPart*float64(s.MaxInFlight)) {
 					t.Fatalf("one more was taken: %d in hand, %d of the tenant, %d of the connection", len(held), mine, ofConn)
 				}
 				held = append(held, tenant)
@@ -76,7 +76,7 @@
 			t.Fatalf("%d were refused, and told %d times", refused, len(waits))
 		}
 		for _, h := range held {
-			r.Done(h, 0)
+			r.Release(h, 0)
 		}
 		if _, n := r.Limit(); n != 0 {
 			t.Fatalf("%d are still booked", n)
@@ -86,7 +86,7 @@
 
 // The adaptive limit finds what a server with a queue can do, and rises again as the server does.
 func TestAdaptive(t *testing.T) {
-	r, err := NewRequests(RequestSettings{InHand: 400, Adaptive: true, Least: 4, RetryAfter: time.Second}, nil, 1, 1)
+	r, err := NewRequestLimiter(RequestSettings{MaxInFlight: 400, Adaptive: true, MinInFlight: 4, RetryAfter: time.Second}, nil, 1, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,16 +96,16 @@
 		held := 0
 		for range rounds {
 			for range 2 {
-				if why, _ := r.Take(0, 0, 0); why == "" {
+				if why, _ := r.Acquire(0, 0, 0); why == "" {
 					held++
 				}
 			}
 			took := 0.020 * max(1, float64(held)/at) * (0.9 + 0.2*rng.Float64())
-			r.Done(0, time.Duration(took*float64(time.Second)))
+			r.Release(0, time.Duration(took*float64(time.Second)))
 			held--
 		}
 		for ; held > 0; held-- {
-			r.Done(0, 0)
+			r.Release(0, 0)
 		}
 		limit, _ := r.Limit()
 		return limit
--- a/internal/admission/sketch.go
+++ b/internal/admission/sketch.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	sketchRows  = 4
-	sketchWidth = 8192 // cells a row, a power of two
-	sketchHalf  = time.Second
+	sketchRows     = 4
+	sketchWidth    = 8192 // cells a row, a power of two
+	sketchHalfLife = time.Second
 )
 
 // sketch counts what fades, for any number of addresses, in 128 kB: a count-min sketch with conservative update
 // (Estan and Varghese 2002; Cormode and Muthukrishnan 2005) whose counts halve each second. An estimate is never too
 // low; it is too high by more than error() with a chance of e^-4, under 2 %.
 type sketch struct {
-	seed  uint64
-	cells [sketchRows][sketchWidth]float32 // as of scale
-	total float64
-	scale float64 // what one counts for now: it grows, in place of all cells' shrinking
-	at    time.Duration
+	seed    uint64
+	cells   [sketchRows][sketchWidth]float32 // as of scale
+	total   float64
+	scale   float64 // what one counts for now: it grows, in place of all cells' shrinking
+	fadedAt time.Duration
 }
 
 func newSketch(seed uint64) *sketch { return &sketch{seed: seed, scale: 1} }
 
-// rescale is where counts are brought back to a scale of 1, before float32 is left.
-const rescale = 1 << 40
+// maxScale is where counts are brought back to a scale of 1, before float32 is left.
+const maxScale = 1 << 40
 
 func (s *sketch) fade(now time.Duration) {
-	if now <= s.at {
+	if now <= s.fadedAt {
 		return
 	}
-	s.scale *= math.Exp2(min(float64(now-s.at)/float64(sketchHalf), 120)) // after that nothing is left
-	s.at = now
-	if s.scale < rescale {
+	s.scale *= math.Exp2(min(float64(now-s.fadedAt)/float64(sketchHalfLife), 120)) // after that nothing is left
+	s.fadedAt = now
+	if s.scale < maxScale {
 		return
 	}
 	for r := range s.cells {
@@ -76,7 +76,7 @@
 
 // rate makes a count a rate a second: what a steady one would have come to.
 func (s *sketch) rate(count float64) float64 {
-	return count * math.Ln2 / sketchHalf.Seconds()
+	return count * math.Ln2 / sketchHalfLife.Seconds()
 }
 
 // error is what an estimate may be too high by.
--- a/internal/listener/door.go
+++ b/internal/listener/connlimiter.go
@@ -24,29 +24,29 @@
 	Evict() bool
 }
 
-// evictTries bounds the search for a place.
-const evictTries = 8
+// maxEvictions bounds the search for a place.
+const maxEvictions = 8
 
-// Door is the connections that a process holds for its clients. It is for any goroutine.
-type Door struct {
+// ConnLimiter is the connections that a process holds for its clients. It is for any goroutine.
+type ConnLimiter struct {
 	now  func() time.Duration // a clock that only goes forward: a step of the machine's moves nothing
 	path string               // of the blocks; empty keeps them in this process alone
 
-	mu     sync.Mutex
-	rules  *admission.Door
-	conns  map[admission.ID]Conn
-	asked  map[admission.ID]bool      // are being closed to make room
-	blocks map[netip.Prefix]time.Time // until when, by the machine's clock: for the next process
-	file   *File
-	room   Room
-	halved bool
-	seed   uint64
+	mu       sync.Mutex
+	rules    *admission.ConnLimiter
+	conns    map[admission.ID]Conn
+	evicting map[admission.ID]bool      // are being closed to make room
+	blocks   map[netip.Prefix]time.Time // until when, by the machine's clock: for the next process
+	file     *File
+	capacity Capacity
+	halved   bool
+	seed     uint64
 
-	short atomic.Int64 // connections closed for want of descriptors
+	descriptorShortages atomic.Int64 // connections closed for want of descriptors
 }
 
 // New makes a door for a process with so much room for clients. Blocks are kept at path: see Restore.
-func New(f *File, room Room, seed uint64, now func() time.Duration, path string) (*Door, error) {
+func New(f *File, room Capacity, seed uint64, now func() time.Duration, path string) (*ConnLimiter, error) {
 	s, err := f.Settings(room, seed)
 	if err != nil {
 		return nil, err
@@ -55,34 +55,34 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Door{now: now, path: path, rules: rules, conns: map[admission.ID]Conn{}, asked: map[admission.ID]bool{}, blocks: map[netip.Prefix]time.Time{}, file: f, room: room, seed: seed}, nil
+	return &ConnLimiter{now: now, path: path, rules: rules, conns: map[admission.ID]Conn{}, evicting: map[admission.ID]bool{}, blocks: map[netip.Prefix]time.Time{}, file: f, capacity: room, seed: seed}, nil
 }
 
-// Change takes in other settings. Whom it holds it holds on to; a bad change changes nothing.
-func (d *Door) Change(f *File) error {
+// Reconfigure takes in other settings. Whom it holds it holds on to; a bad change changes nothing.
+func (d *ConnLimiter) Reconfigure(f *File) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.change(f, d.halved)
+	return d.reconfigure(f, d.halved)
 }
 
-// Halve has it keep to half of the room, or to all of it again: for as long as two processes share the limits.
-func (d *Door) Halve(half bool) error {
+// UseHalf has it keep to half of the room, or to all of it again: for as long as two processes share the limits.
+func (d *ConnLimiter) UseHalf(half bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.change(d.file, half)
+	return d.reconfigure(d.file, half)
 }
 
-// change brings the rules to a file. The lock is held.
-func (d *Door) change(f *File, half bool) error {
-	room := d.room
+// reconfigure brings the rules to a file. The lock is held.
+func (d *ConnLimiter) reconfigure(f *File, half bool) error {
+	room := d.capacity
 	if half {
-		room.Places, room.Bytes = max(1, room.Places/2), room.Bytes/2
+		room.Conns, room.BodyBytes = max(1, room.Conns/2), room.BodyBytes/2
 	}
 	s, err := f.Settings(room, d.seed)
 	if err != nil {
 		return err
 	}
-	if err := d.rules.Change(d.now(), s); err != nil {
+	if err := d.rules.Reconfigure(d.now(), s); err != nil {
 		return err
 	}
 	d.file, d.halved = f, half
@@ -91,32 +91,32 @@
 
 // Arrive decides on a connection that has been accepted. Where it is taken it is named by the number, until Gone; else
 // the reason is told, and it is for the caller to close.
-func (d *Door) Arrive(from net.Addr, c Conn) (admission.ID, admission.Reason) {
+func (d *ConnLimiter) Arrive(from net.Addr, c Conn) (admission.ID, admission.Reason) {
 	a := addrOf(from)
-	for try := range evictTries + 1 {
+	for try := range maxEvictions + 1 {
 		d.mu.Lock()
 		now := d.now()
 		v := d.rules.Arrive(now, a, try > 0)
-		if v.Taken != 0 {
-			d.conns[v.Taken] = c
+		if v.Admitted != 0 {
+			d.conns[v.Admitted] = c
 		}
-		if v.Closes == 0 {
+		if v.Evict == 0 {
 			d.mu.Unlock()
-			return v.Taken, v.Why
+			return v.Admitted, v.Reason
 		}
-		victim := d.conns[v.Closes]
-		d.asked[v.Closes] = true
+		victim := d.conns[v.Evict]
+		d.evicting[v.Evict] = true
 		d.mu.Unlock()
 		if victim != nil && victim.Evict() {
-			d.Gone(v.Closes)
+			d.Remove(v.Evict)
 			continue
 		}
 		d.mu.Lock()
-		delete(d.asked, v.Closes)
-		d.rules.Spare(now, v.Closes)
+		delete(d.evicting, v.Evict)
+		d.rules.EvictionRefused(now, v.Evict)
 		d.mu.Unlock()
 	}
-	return 0, admission.Full
+	return 0, admission.NoCapacity
 }
 
 func addrOf(from net.Addr) netip.Addr {
@@ -127,44 +127,48 @@
 	return netip.Addr{}
 }
 
-// Begin notes the first byte of a request.
-func (d *Door) Begin(id admission.ID) { d.tell(func(now time.Duration) { d.rules.Begin(now, id) }) }
+// RequestStarted notes the first byte of a request.
+func (d *ConnLimiter) RequestStarted(id admission.ID) {
+	d.locked(func(now time.Duration) { d.rules.RequestStarted(now, id) })
+}
 
-// Request notes a request's whole head: its connection is kept until Answered.
-func (d *Door) Request(id admission.ID) { d.tell(func(now time.Duration) { d.rules.Request(now, id) }) }
+// RequestReceived notes a request's whole head: its connection is kept until Answered.
+func (d *ConnLimiter) RequestReceived(id admission.ID) {
+	d.locked(func(now time.Duration) { d.rules.RequestReceived(now, id) })
+}
 
-// Hold counts bytes of a request's body until Answered or Gone, or tells that the address may hold no more.
-func (d *Door) Hold(id admission.ID, bytes int64) bool {
+// AcquireBody counts bytes of a request's body until Answered or Gone, or tells that the address may hold no more.
+func (d *ConnLimiter) AcquireBody(id admission.ID, bytes int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.rules.Hold(d.now(), id, bytes)
+	return d.rules.AcquireBody(d.now(), id, bytes)
 }
 
-// Short is how many connections were closed for want of descriptors.
-func (d *Door) Short() int64 { return d.short.Load() }
+// DescriptorShortages is how many connections were closed for want of descriptors.
+func (d *ConnLimiter) DescriptorShortages() int64 { return d.descriptorShortages.Load() }
 
-// Answered notes a request's end, and whether it was served.
-func (d *Door) Answered(id admission.ID, served bool) {
-	d.tell(func(now time.Duration) { d.rules.Answered(now, id, served) })
+// RequestDone notes a request's end, and whether it was served.
+func (d *ConnLimiter) RequestDone(id admission.ID, served bool) {
+	d.locked(func(now time.Duration) { d.rules.RequestDone(now, id, served) })
 }
 
-// Gone notes that a connection is closed.
-func (d *Door) Gone(id admission.ID) {
+// Remove notes that a connection is closed.
+func (d *ConnLimiter) Remove(id admission.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rules.Gone(d.now(), id, d.asked[id])
+	d.rules.Remove(d.now(), id, d.evicting[id])
 	delete(d.conns, id)
-	delete(d.asked, id)
+	delete(d.evicting, id)
 }
 
-func (d *Door) tell(what func(now time.Duration)) {
+func (d *ConnLimiter) locked(what func(now time.Duration)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	what(d.now())
 }
 
 // Report is how the door stands.
-func (d *Door) Report() admission.Report {
+func (d *ConnLimiter) Report() admission.Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rules.Report(d.now())
@@ -172,7 +176,7 @@
 
 // Block turns an address or a net away for a time. The block holds in this process also where an error says that it could
 // not be written down.
-func (d *Door) Block(p netip.Prefix, span time.Duration) error {
+func (d *ConnLimiter) Block(p netip.Prefix, span time.Duration) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.rules.Block(d.now(), p, span); err != nil {
@@ -183,7 +187,7 @@
 }
 
 // Unblock ends a block. An error says that there was none, or that it could not be written down.
-func (d *Door) Unblock(p netip.Prefix) error {
+func (d *ConnLimiter) Unblock(p netip.Prefix) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.rules.Unblock(p) {
@@ -194,7 +198,7 @@
 }
 
 // save writes the blocks that hold, whole or not at all. The lock is held.
-func (d *Door) save() error {
+func (d *ConnLimiter) save() error {
 	if d.path == "" {
 		return nil
 	}
@@ -220,7 +224,7 @@
 }
 
 // Restore takes in the blocks that a process before has left; those that have run out meanwhile are dropped.
-func (d *Door) Restore() error {
+func (d *ConnLimiter) Restore() error {
 	if d.path == "" {
 		return nil
 	}
@@ -239,10 +243,10 @@
 	defer d.mu.Unlock()
 	var errs []error
 	for name, until := range left {
-		p, err := Prefix(name)
+		p, err := ParsePrefix(name)
 		if span := time.Until(until); err == nil && span > 0 {
 			// Danger: the machine's clock may have stepped; no block lasts past the longest.
-			if err = d.rules.Block(d.now(), p, min(span, admission.LongestBlock)); err == nil {
+			if err = d.rules.Block(d.now(), p, min(span, admission.MaxBlockDuration)); err == nil {
 				d.blocks[p] = until
 			}
 		}
--- a/internal/listener/door_test.go
+++ b/internal/listener/connlimiter_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := f.Settings(Room{Places: 600}, 1); err != nil || s.Places != 600 || len(s.Listed) != 2 {
+	if s, err := f.Settings(Capacity{Conns: 600}, 1); err != nil || s.MaxConns != 600 || len(s.KnownPrefixes) != 2 {
 		t.Errorf("%+v, %v", s, err) // never more than the process has
 	}
 }
@@ -62,14 +62,14 @@
 	return true
 }
 
-func testDoor(t *testing.T, places int, path string) (*Door, *time.Duration) {
+func testDoor(t *testing.T, places int, path string) (*ConnLimiter, *time.Duration) {
 	t.Helper()
 	f, err := Parse("a.toml", []byte("version = 1\n[connections]\nreserve = 0.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := new(time.Duration)
-	d, err := New(f, Room{Places: places}, 1, func() time.Duration { return *now }, path)
+	d, err := New(f, Capacity{Conns: places}, 1, func() time.Duration { return *now }, path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	for i := range 3 {
 		s := &stub{stays: i == 0}
 		id, _ := d.Arrive(from(i), s)
-		s.gone = func() { d.Gone(id) }
+		s.gone = func() { d.Remove(id) }
 		all = append(all, s)
 		*now += time.Second
 	}
@@ -96,14 +96,14 @@
 		t.Errorf("closed: %v %v %v", all[0].closed, all[1].closed, all[2].closed)
 	}
 	r := d.Report()
-	if r.Open != 3 || r.Refused["room"] != 1 || r.Counts.Spared != 1 {
+	if r.Open != 3 || r.Rejected["room"] != 1 || r.Counts.Spared != 1 {
 		t.Errorf("%+v", r)
 	}
 	for _, s := range all {
 		s.stays = true
 	}
 	*now += time.Second
-	if id, why := d.Arrive(from(10), &stub{}); id != 0 && why == admission.Full {
+	if id, why := d.Arrive(from(10), &stub{}); id != 0 && why == admission.NoCapacity {
 		t.Errorf("%v %v", id, why)
 	}
 }
@@ -187,7 +187,7 @@
 	s.mu.Lock()
 	calls := s.calls
 	s.mu.Unlock()
-	if passed := time.Since(began); calls > 2+int(passed/shortRest) {
+	if passed := time.Since(began); calls > 2+int(passed/acceptRetryInterval) {
 		t.Errorf("%d calls in %v: it spins", calls, passed)
 	}
 	for range 40 { // those that come meanwhile may be closed; one that comes later is taken
@@ -201,7 +201,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if took := time.Since(began); took < 20*shortRest {
+			if took := time.Since(began); took < 20*acceptRetryInterval {
 				t.Errorf("taken after %v", took)
 			}
 			l.Close()
@@ -227,16 +227,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(d.Halve(true), d.Change(f)); err != nil {
+	if err := errors.Join(d.UseHalf(true), d.Reconfigure(f)); err != nil {
 		t.Fatal(err)
 	}
-	if r := d.Report(); r.Places != 2 || r.Open != 4 {
-		t.Errorf("%d of %d places", r.Open, r.Places)
+	if r := d.Report(); r.MaxConns != 2 || r.Open != 4 {
+		t.Errorf("%d of %d places", r.Open, r.MaxConns)
 	}
 	if id, _ := d.Arrive(from(9), &stub{stays: true}); id != 0 {
 		t.Error("one more is taken")
 	}
-	if err := d.Halve(false); err != nil || d.Report().Places != 4 {
-		t.Errorf("%v, %d places", err, d.Report().Places)
+	if err := d.UseHalf(false); err != nil || d.Report().MaxConns != 4 {
+		t.Errorf("%v, %d places", err, d.Report().MaxConns)
 	}
 }
--- a/internal/listener/file.go
+++ b/internal/listener/file.go
@@ -22,33 +22,33 @@
 
 // Connections are who holds a place.
 type Connections struct {
-	Places    int                `toml:"places"`  // the process's for clients if left out, and never more than these
-	Reserve   *float64           `toml:"reserve"` // part of the places that only known clients may have
-	Grace     *strictconfig.Span `toml:"grace"`   // for so long one that has shown nothing is not closed to make room
-	HalfLife  *strictconfig.Span `toml:"half_life"`
-	Earned    int                `toml:"earned"`
-	Rate      *float64           `toml:"rate"`       // new connections a second of one address, while places are short
-	BytesPart *float64           `toml:"bytes_part"` // of the bytes of bodies that one address may hold while they are short
-	Short     *float64           `toml:"short"`      // places are short while less than this part of them is free
-	Tracked   int                `toml:"tracked"`
-	Known     []string           `toml:"known"` // addresses or prefixes that are known from the start
+	MaxConns      int                `toml:"places"`  // the process's for clients if left out, and never more than these
+	KnownReserve  *float64           `toml:"reserve"` // part of the places that only known clients may have
+	GracePeriod   *strictconfig.Span `toml:"grace"`   // for so long one that has shown nothing is not closed to make room
+	HalfLife      *strictconfig.Span `toml:"half_life"`
+	MaxCredit     int                `toml:"earned"`
+	MaxConnRate   *float64           `toml:"rate"`       // new connections a second of one address, while places are short
+	MaxBodyPart   *float64           `toml:"bytes_part"` // of the bytes of bodies that one address may hold while they are short
+	ScarceBelow   *float64           `toml:"short"`      // places are short while less than this part of them is free
+	MaxTracked    int                `toml:"tracked"`
+	KnownPrefixes []string           `toml:"known"` // addresses or prefixes that are known from the start
 }
 
 // Requests are how many requests are in hand.
 type Requests struct {
-	InHand     int               `toml:"in_hand"`
-	PerTenant  float64           `toml:"per_tenant"`
-	Adaptive   bool              `toml:"adaptive"`
-	Least      int               `toml:"least"`
-	RetryAfter strictconfig.Span `toml:"retry_after"` // 1s if left out
+	MaxInFlight   int               `toml:"in_hand"`
+	MaxTenantPart float64           `toml:"per_tenant"`
+	Adaptive      bool              `toml:"adaptive"`
+	MinInFlight   int               `toml:"least"`
+	RetryAfter    strictconfig.Span `toml:"retry_after"` // 1s if left out
 }
 
-// mostFile is the longest file that is read, in bytes.
-const mostFile = 1 << 20
+// maxFileBytes is the longest file that is read, in bytes.
+const maxFileBytes = 1 << 20
 
 // Load reads a file. Errors name the file, the line where there is one, and the key.
 func Load(path string) (*File, error) {
-	return strictconfig.Load(path, "the admission's settings", mostFile, Parse)
+	return strictconfig.Load(path, "the admission's settings", maxFileBytes, Parse)
 }
 
 // Parse reads the text of a file.
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("%s: version: %d; this program reads %d", path, f.Version, Version)
 	}
 	var errs []error
-	if _, err := f.Settings(Room{Places: 1 << 20}, 0); err != nil { // whether the rest makes sense does not hang on the process's places
+	if _, err := f.Settings(Capacity{Conns: 1 << 20}, 0); err != nil { // whether the rest makes sense does not hang on the process's places
 		errs = append(errs, fmt.Errorf("connections: %w", err))
 	}
 	if f.Requests != nil {
@@ -69,7 +69,7 @@
 			f.Requests.RetryAfter = strictconfig.Span(time.Second)
 		}
 		s := f.RequestSettings()
-		if err := s.Check(); err != nil {
+		if err := s.Validate(); err != nil {
 			errs = append(errs, fmt.Errorf("requests: %w", err))
 		}
 	}
@@ -79,64 +79,64 @@
 	return f, nil
 }
 
-// Room is what a process has for its clients.
-type Room struct {
-	Places int
-	Bytes  int64 // of the bodies of all requests in hand
+// Capacity is what a process has for its clients.
+type Capacity struct {
+	Conns     int
+	BodyBytes int64 // of the bodies of all requests in hand
 }
 
 // Settings are those of the connections, for a process with so much room.
-func (f *File) Settings(room Room, seed uint64) (admission.Settings, error) {
+func (f *File) Settings(room Capacity, seed uint64) (admission.Settings, error) {
 	c := &f.Connections
-	places := room.Places
-	if c.Places != 0 {
-		places = min(c.Places, places)
+	places := room.Conns
+	if c.MaxConns != 0 {
+		places = min(c.MaxConns, places)
 	}
 	s := admission.Defaults(places)
-	s.Seed, s.Bytes = seed, room.Bytes
-	if c.BytesPart != nil {
-		s.BytesPart = *c.BytesPart
+	s.Seed, s.MaxBodyBytes = seed, room.BodyBytes
+	if c.MaxBodyPart != nil {
+		s.MaxBodyPart = *c.MaxBodyPart
 	}
-	if c.Reserve != nil {
-		s.Reserve = *c.Reserve
+	if c.KnownReserve != nil {
+		s.KnownReserve = *c.KnownReserve
 	}
-	if c.Grace != nil {
-		s.Grace = time.Duration(*c.Grace)
+	if c.GracePeriod != nil {
+		s.GracePeriod = time.Duration(*c.GracePeriod)
 	}
 	if c.HalfLife != nil {
 		s.HalfLife = time.Duration(*c.HalfLife)
 	}
-	if c.Earned != 0 {
-		s.Earned = c.Earned
+	if c.MaxCredit != 0 {
+		s.MaxCredit = c.MaxCredit
 	}
-	if c.Rate != nil {
-		s.Rate = *c.Rate
+	if c.MaxConnRate != nil {
+		s.MaxConnRate = *c.MaxConnRate
 	}
-	if c.Short != nil {
-		s.Short = *c.Short
+	if c.ScarceBelow != nil {
+		s.ScarceBelow = *c.ScarceBelow
 	}
-	if c.Tracked != 0 {
-		s.Tracked = c.Tracked
+	if c.MaxTracked != 0 {
+		s.MaxTracked = c.MaxTracked
 	}
-	for i, text := range c.Known {
-		p, err := Prefix(text)
+	for i, text := range c.KnownPrefixes {
+		p, err := ParsePrefix(text)
 		if err != nil {
 			return s, fmt.Errorf("known[%d]: %w", i, err)
 		}
-		s.Listed = append(s.Listed, p)
+		s.KnownPrefixes = append(s.KnownPrefixes, p)
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 // RequestSettings are those of the requests, where there are some.
 func (f *File) RequestSettings() admission.RequestSettings {
 	r := f.Requests
-	return admission.RequestSettings{InHand: r.InHand, PerTenant: r.PerTenant, Adaptive: r.Adaptive, Least: r.Least,
+	return admission.RequestSettings{MaxInFlight: r.MaxInFlight, MaxTenantPart: r.MaxTenantPart, Adaptive: r.Adaptive, MinInFlight: r.MinInFlight,
 		RetryAfter: time.Duration(r.RetryAfter)}
 }
 
-// Prefix reads an address, or a prefix such as 10.0.0.0/8.
-func Prefix(text string) (netip.Prefix, error) {
+// ParsePrefix reads an address, or a prefix such as 10.0.0.0/8.
+func ParsePrefix(text string) (netip.Prefix, error) {
 	if p, err := netip.ParsePrefix(text); err == nil {
 		return p.Masked(), nil
 	}
--- a/internal/listener/frozen_test.go
+++ b/internal/listener/frozen_test.go
@@ -56,13 +56,13 @@
 	}
 }
 
-func openFrozen(t *testing.T, path string) *Door {
+func openFrozen(t *testing.T, path string) *ConnLimiter {
 	t.Helper()
 	f, err := Parse("a.toml", []byte("version = 1\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := New(f, Room{Places: 100, Bytes: 1 << 20}, 1, func() time.Duration { return time.Hour }, path)
+	d, err := New(f, Capacity{Conns: 100, BodyBytes: 1 << 20}, 1, func() time.Duration { return time.Hour }, path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -111,7 +111,7 @@
 	all.Wait()
 	r := s.proxy.conns.door.Report()
 	t.Logf("%+v", r.Counts)
-	if r.Open > r.Places || r.Refused["room"]+r.Refused["full"] == 0 || len(r.Top) == 0 {
+	if r.Open > r.MaxConns || r.Rejected["room"]+r.Rejected["full"] == 0 || len(r.Top) == 0 {
 		t.Errorf("%+v", r)
 	}
 	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
@@ -151,7 +151,7 @@
 			t.Fatal(err)
 		}
 		err := s.proxy.rereadDoor()
-		if r, _ := op.Admission(); (err == nil) != (want == 7) || want == 7 && r.(doorReport).Places != want {
+		if r, _ := op.Admission(); (err == nil) != (want == 7) || want == 7 && r.(doorReport).MaxConns != want {
 			t.Errorf("%q: %v, %+v", text, err, r)
 		}
 	}
@@ -206,7 +206,7 @@
 		slow = append(slow, c)
 	}
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
-		if refused = int(s.proxy.conns.door.Report().Crowded); refused > 0 {
+		if refused = int(s.proxy.conns.door.Report().BodyRejections); refused > 0 {
 			break
 		}
 		if time.Since(begun) > patience {
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -38,8 +38,8 @@
 	ends     time.Duration // and a short one must be out by then
 	duckFrom time.Time     // lame duck since then; zero if it is none
 
-	door     *listener.Door // who gets a place; nil is whoever comes, for whom nothing was heard of for longest
-	told     int            // who were turned away with an answer in the second of toldAt
+	door     *listener.ConnLimiter // who gets a place; nil is whoever comes, for whom nothing was heard of for longest
+	told     int                   // who were turned away with an answer in the second of toldAt
 	toldAt   time.Time
 	turnAway []byte
 }
@@ -204,7 +204,7 @@
 			c.since = time.Now()
 		}
 		if c.waiting && c.conns.door != nil {
-			c.conns.door.Begin(c.id)
+			c.conns.door.RequestStarted(c.id)
 		}
 		c.waiting, c.fresh = false, false
 	}
@@ -279,7 +279,7 @@
 		delete(c.conns.all, c)
 		c.conns.mu.Unlock()
 		if c.conns.door != nil {
-			c.conns.door.Gone(c.id)
+			c.conns.door.Remove(c.id)
 		}
 	})
 	return err
@@ -354,12 +354,12 @@
 // begin tells the door of a whole request's head.
 func (c *clientConn) begin() {
 	if c != nil {
-		c.conns.door.Request(c.id)
+		c.conns.door.RequestReceived(c.id)
 	}
 }
 
 // hold counts a body against the client's address, or tells that it may hold no more.
-func (c *clientConn) hold(bytes int64) bool { return c == nil || c.conns.door.Hold(c.id, bytes) }
+func (c *clientConn) hold(bytes int64) bool { return c == nil || c.conns.door.AcquireBody(c.id, bytes) }
 
 // noteServed has the request in hand count for its client.
 func (c *clientConn) noteServed() {
@@ -379,7 +379,7 @@
 	served := c.served
 	c.served = false
 	c.mu.Unlock()
-	c.conns.door.Answered(c.id, served)
+	c.conns.door.RequestDone(c.id, served)
 }
 
 // add enters a connection, or gives nil if there is no place for it: if all are taken, the one that has been
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -319,7 +319,7 @@
 		}
 	}
 	if svc.requests != nil {
-		if why, after = svc.requests.Take(class, tenant, 0); why != "" {
+		if why, after = svc.requests.Acquire(class, tenant, 0); why != "" {
 			if svc.gate != nil {
 				s.limits.Release(t.ask)
 			}
@@ -332,7 +332,7 @@
 // end gives it back; took is how long an answer that served took, 0 for any other end.
 func (t *ticket) end(took time.Duration) {
 	if t.svc.requests != nil {
-		t.svc.requests.Done(t.tenant, took)
+		t.svc.requests.Release(t.tenant, took)
 	}
 	if t.svc.gate != nil {
 		t.s.limits.Release(t.ask)
@@ -362,7 +362,7 @@
 // peerConn is a peer's connection as the door has it: once we have answered who it is, it is one that is in use.
 type peerConn struct {
 	net.Conn
-	door  *listener.Door
+	door  *listener.ConnLimiter
 	id    admission.ID
 	known atomic.Bool
 	once  sync.Once
@@ -371,7 +371,7 @@
 func (c *peerConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if err == nil && !c.known.Swap(true) {
-		c.door.Request(c.id)
+		c.door.RequestReceived(c.id)
 	}
 	return n, err
 }
@@ -387,6 +387,6 @@
 
 func (c *peerConn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(func() { c.door.Gone(c.id) })
+	c.once.Do(func() { c.door.Remove(c.id) })
 	return err
 }
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -115,9 +115,9 @@
 		Memory *memoryReport `json:"memory,omitempty"`
 	}{guardedsource.Report{CallStats: guardedsource.CallStats{Calls: 1, Failed: 2, Deferred: 3}, ConsecutiveFailures: 4, SuspectLists: 5, Retained: 6, Returned: 7,
 		Dropped: 8, Missing: 9}, &memoryReport{Recalled: "yes", AgeS: 1.5, Written: 2, Failed: 3, Why: "disk"}}
-	door := doorReport{Report: admission.Report{Places: 1, Open: 2, Known: 3, Waiting: 4, Bytes: 5, Crowded: 6,
-		Refused: map[string]int64{"full": 7}, Blocks: map[string]int{"10.0.0.0/8": 8},
-		Top: []admission.Standing{{Prefix: "10.0.0.1", Open: 1, Unproven: 2, Earned: 3.5, Bytes: 4, Rate: 5.5, Refused: 6}}},
+	door := doorReport{Report: admission.Report{MaxConns: 1, Open: 2, Known: 3, Idle: 4, Bytes: 5, BodyRejections: 6,
+		Rejected: map[string]int64{"full": 7}, Blocks: map[string]int{"10.0.0.0/8": 8},
+		Top: []admission.AddressReport{{Prefix: "10.0.0.1", Open: 1, Unproven: 2, Credit: 3.5, Bytes: 4, Rate: 5.5, Rejected: 6}}},
 		Short: 9, Requests: map[string]bound{"orders": {Limit: 10, InHand: 11}}}
 	ledger := guard.Report{Ready: true, Durable: true, Entries: 1, Bytes: 2, InFlight: 3, Started: 4, Joined: 5, Replayed: 6,
 		MayHaveRun: 7, Full: 8, DiskErrors: 9, Flushes: 10, FileBytes: 11}
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -98,7 +98,7 @@
 	if o.conns.door == nil {
 		return nil, errNoDoor
 	}
-	r := doorReport{Report: o.conns.door.Report(), Short: o.conns.door.Short()}
+	r := doorReport{Report: o.conns.door.Report(), Short: o.conns.door.DescriptorShortages()}
 	if now := o.services.now.Load(); now != nil {
 		for name, svc := range now.byName {
 			if svc.requests == nil {
@@ -183,7 +183,7 @@
 	if o.conns.door == nil {
 		return netip.Prefix{}, errNoDoor
 	}
-	return listener.Prefix(text)
+	return listener.ParsePrefix(text)
 }
 
 // order writes down that a backend is out by hand, or no more, and has the loop look.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -115,7 +115,7 @@
 		p.services.halve(shared)
 		p.conns.setShared(shared)
 		if p.conns.door != nil {
-			if err := p.conns.door.Halve(shared); err != nil {
+			if err := p.conns.door.UseHalf(shared); err != nil {
 				p.log.Error("the old admission stays", "err", err)
 			}
 		}
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	d, err := listener.New(file, listener.Room{Places: clientPlaces(&p.cfg), Bytes: bodyRoom(&p.cfg)}, p.cfg.Seed, engine.NewClock().Now, p.store.Path("blocks"))
+	d, err := listener.New(file, listener.Capacity{Conns: clientPlaces(&p.cfg), BodyBytes: bodyRoom(&p.cfg)}, p.cfg.Seed, engine.NewClock().Now, p.store.Path("blocks"))
 	if err != nil {
 		return err
 	}
@@ -236,7 +236,7 @@
 	if err != nil {
 		return err
 	}
-	return p.conns.door.Change(file)
+	return p.conns.door.Reconfigure(file)
 }
 
 func (p *Proxy) serve(ctx context.Context, accepting net.Listener) error {
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -44,9 +44,9 @@
 	roster  *roster
 	gate    *processquota.Gate // of its share of the process; nil for the only one
 
-	requests *listener.InHand       // bounds those in hand; nil is no bound
-	sight    *freshness.ServiceView // nil weighs nothing
-	diameter *upstream.Upstream     // where its servers speak that; nil is HTTP
+	requests *listener.RequestLimiter // bounds those in hand; nil is no bound
+	sight    *freshness.ServiceView   // nil weighs nothing
+	diameter *upstream.Upstream       // where its servers speak that; nil is HTTP
 
 	inHand atomic.Int64 // requests that hold it
 	ending atomic.Bool  // it takes no more
@@ -425,7 +425,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if svc.requests, err = listener.NewInHand(*s.requests, gate, len(module.Tenants), seed); err != nil {
+		if svc.requests, err = listener.NewRequestLimiter(*s.requests, gate, len(module.Tenants), seed); err != nil {
 			return nil, err
 		}
 	}
