--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -932,7 +932,7 @@
 }
 
 func limitsOf(_ context.Context, g *rig, n int) ([]is, error) {
-	f := &services.File{Version: 1, Limits: services.Limits{Lend: .75, Recall: services.Span(3 * time.Second)}}
+	f := &services.File{Version: 1, Limits: services.Limits{LendRatio: .75, RecallDelay: services.Duration(3 * time.Second)}}
 	for i := range n {
 		f.Services = append(f.Services, services.Service{Name: fmt.Sprint("s", i), Share: services.Share{Min: .5 / float64(n), Cap: 1, Weight: 1}})
 	}
--- a/cmd/lapisspread/routes.go
+++ b/cmd/lapisspread/routes.go
@@ -36,7 +36,7 @@
 				return err
 			}
 			printf(cmd.OutOrStdout(), "%s: good: %d services, %d routes\n",
-				args[0], len(s.File.Services), s.Table.Rules())
+				args[0], len(s.File.Services), s.Table.RuleCount())
 			return nil
 		},
 	}
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -163,7 +163,7 @@
 	reply.QueryNonce = 5
 	reply.KnownVersion = StoreVersion{StoreID: 8, WriteSeq: 3}
 	err := core.Step(reply)
-	if !errors.As(err, &StoreRolledBackError{}) || core.Err() == nil || operatorerror.Of(err) == "" {
+	if !errors.As(err, &StoreRolledBackError{}) || core.Err() == nil || operatorerror.AdviceOf(err) == "" {
 		t.Errorf("lost store: %v", err)
 	}
 }
--- a/internal/consensus/node/cluster_test.go
+++ b/internal/consensus/node/cluster_test.go
@@ -169,7 +169,7 @@
 	}
 	if c.keys != nil {
 		config.Transport = nil
-		config.TLS = c.keys[m.id].Client("steward")
+		config.TLS = c.keys[m.id].ClientConfig("steward")
 	}
 	m.Node, err = node.Start(config)
 	if err != nil {
@@ -180,7 +180,7 @@
 	c.must(err)
 	m.server = &http.Server{Handler: m.Handler()}
 	if c.keys != nil {
-		m.server.TLSConfig = c.keys[m.id].Server()
+		m.server.TLSConfig = c.keys[m.id].ServerConfig()
 		m.server.ErrorLog = log.New(io.Discard, "", 0)
 		go func() { _ = m.server.ServeTLS(listener, "", "") }() // ends with stop
 	} else {
--- a/internal/consensus/node/node_test.go
+++ b/internal/consensus/node/node_test.go
@@ -82,7 +82,7 @@
 	ctx, cancel = context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_, err = old.Propose(ctx, []byte("LOST"))
-	if !errors.As(err, &consensus.NoQuorumError{}) || operatorerror.Of(err) == "" {
+	if !errors.As(err, &consensus.NoQuorumError{}) || operatorerror.AdviceOf(err) == "" {
 		t.Errorf("a minority returns %v", err)
 	}
 	canceled, cancelNow := context.WithCancel(context.Background())
@@ -171,7 +171,7 @@
 	m := c.members[1]
 	c.stop(m)
 	c.must(os.Truncate(m.storePath, 6000))
-	if err := c.start(m); !errors.As(err, &storage.DamagedError{}) || operatorerror.Of(err) == "" {
+	if err := c.start(m); !errors.As(err, &storage.DamagedError{}) || operatorerror.AdviceOf(err) == "" {
 		t.Errorf("got %v", err)
 	}
 	c.propose(nil, "b")
--- a/internal/consensus/storage/storage_test.go
+++ b/internal/consensus/storage/storage_test.go
@@ -179,7 +179,7 @@
 				}
 			}
 			_, _, err := storage.Open(path, c.fleet, c.epoch, c.id)
-			if !errors.As(err, c.want) || operatorerror.Of(err) == "" {
+			if !errors.As(err, c.want) || operatorerror.AdviceOf(err) == "" {
 				t.Errorf("got %v, want a %T", err, c.want)
 			}
 		})
@@ -261,7 +261,7 @@
 		large := entry(i+2, 1, strings.Repeat("x", 20_000))
 		batch := consensus.Batch{WriteSeq: i + 1, Sync: true, Entries: []*pb.Entry{large}}
 		if err := s.Write(&batch); err != nil {
-			if !errors.As(err, &storage.DiskFullError{}) || operatorerror.Of(err) == "" {
+			if !errors.As(err, &storage.DiskFullError{}) || operatorerror.AdviceOf(err) == "" {
 				t.Errorf("got %v", err)
 			}
 			fmt.Println("refused after", i)
--- a/internal/controlplane/api/config.go
+++ b/internal/controlplane/api/config.go
@@ -30,7 +30,7 @@
 	// MaxDrift is the fraction by which any clock of the fleet may run fast or slow. Default .001.
 	MaxDrift float64 `toml:"drift"`
 	// MaxLifetime bounds every lease. A server that may have lost state waits this long before it takes part.
-	MaxLifetime strictconfig.Span `toml:"longest"`
+	MaxLifetime strictconfig.Duration `toml:"longest"`
 	// StateDir is the directory where a proxy persists its floors. Without it a proxy has no floors.
 	StateDir string `toml:"state"`
 	// Servers are the control-plane servers, an odd number.
@@ -62,13 +62,13 @@
 	// RouteByPolicy has proxies route by the policy as soon as they know all services that it routes to.
 	RouteByPolicy bool `toml:"routes"`
 	// StepDuration is the shortest duration of a rollout step. Default 2.5s.
-	StepDuration strictconfig.Span `toml:"step"`
+	StepDuration strictconfig.Duration `toml:"step"`
 	// WatchDuration is how long the fleet is watched for a regression after a rollout. Default 1m.
-	WatchDuration strictconfig.Span `toml:"watch"`
+	WatchDuration strictconfig.Duration `toml:"watch"`
 	// MinRequests is how many requests each side of a comparison needs. Default 1000.
 	MinRequests int64 `toml:"enough"`
 	// SilenceTimeout is the time without a report after which a proxy counts as failed. Default 10s.
-	SilenceTimeout strictconfig.Span `toml:"silent"`
+	SilenceTimeout strictconfig.Duration `toml:"silent"`
 }
 
 // Quota is a limit that the whole fleet shares; see quotalease.Quota.
@@ -81,7 +81,7 @@
 	// Burst is in attempts; it should be at least the number of proxies.
 	Burst float64 `toml:"burst"`
 	// LeaseDuration is the duration of each lease. Default 3s.
-	LeaseDuration strictconfig.Span `toml:"lease"`
+	LeaseDuration strictconfig.Duration `toml:"lease"`
 	// Floors are attempts per second that a proxy may spend without a lease, by the proxy's name.
 	Floors map[string]float64 `toml:"floors"`
 	// Members are the shares of proxies, by name.
--- a/internal/controlplane/api/config_frozen_test.go
+++ b/internal/controlplane/api/config_frozen_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	in := func(name string) string { return filepath.Join("testdata", name) }
-	want := &api.Config{Version: 1, Fleet: "north", MaxDrift: .002, MaxLifetime: strictconfig.Span(12 * time.Second),
+	want := &api.Config{Version: 1, Fleet: "north", MaxDrift: .002, MaxLifetime: strictconfig.Duration(12 * time.Second),
 		StateDir: "/var/lib/x",
 		Servers:  []api.Server{{Name: "s1", ID: 7, Address: "127.0.0.1:7401"}},
 		Quotas: []api.Quota{{Name: "attempts", Filter: api.AttemptFilter{
@@ -26,20 +26,20 @@
 			Class:    "booking",
 			Tenant:   "t1",
 		}, Limit: 1000, Burst: 100,
-			LeaseDuration: strictconfig.Span(2 * time.Second), Floors: map[string]float64{"p1": 50},
+			LeaseDuration: strictconfig.Duration(2 * time.Second), Floors: map[string]float64{"p1": 50},
 			Members:      map[string]api.QuotaShare{"p1": {Min: 1, Cap: 200, Weight: 3}},
 			DefaultShare: api.QuotaShare{Cap: 300, Weight: 2}}},
 		TLS: &api.TLSFiles{Certificate: in("c.pem"), Key: in("k.pem"), CA: in("ca.pem")},
-		Policy: api.PolicySettings{RouteByPolicy: true, StepDuration: strictconfig.Span(3 * time.Second),
-			WatchDuration: strictconfig.Span(50 * time.Second), MinRequests: 900,
-			SilenceTimeout: strictconfig.Span(9 * time.Second)},
+		Policy: api.PolicySettings{RouteByPolicy: true, StepDuration: strictconfig.Duration(3 * time.Second),
+			WatchDuration: strictconfig.Duration(50 * time.Second), MinRequests: 900,
+			SilenceTimeout: strictconfig.Duration(9 * time.Second)},
 		OwnershipFile: in("charter.toml"), NamespaceFiles: []string{in("a.toml")},
-		Freshness: &api.FreshnessSettings{Enforce: true, WatchInterval: strictconfig.Span(20 * time.Second),
-			MaxTransit: strictconfig.Span(200 * time.Millisecond), SilentWatchRate: .01, StaleAnswerRate: .001,
+		Freshness: &api.FreshnessSettings{Enforce: true, WatchInterval: strictconfig.Duration(20 * time.Second),
+			MaxTransit: strictconfig.Duration(200 * time.Millisecond), SilentWatchRate: .01, StaleAnswerRate: .001,
 			Levels: api.FreshnessLevels{Confirmed: .99, Fresh: .9, Ageing: .7, Doubtful: .3, Margin: .005,
-				RiseDelay:       strictconfig.Span(3 * time.Second),
-				ConfirmedWithin: strictconfig.Span(11 * time.Second)},
-			ServerKinds: map[string]api.ChangePrior{"pay-1": {Changes: 2, Exposure: strictconfig.Span(time.Hour)}}}}
+				RiseDelay:       strictconfig.Duration(3 * time.Second),
+				ConfirmedWithin: strictconfig.Duration(11 * time.Second)},
+			ServerKinds: map[string]api.ChangePrior{"pay-1": {Changes: 2, Exposure: strictconfig.Duration(time.Hour)}}}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read\n%+v, want\n%+v", got, want)
 	}
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	at := filepath.Join(filepath.Dir(exampleFile), "fleet")
-	want := &api.Config{Version: 1, Fleet: "kigali", MaxDrift: .001, MaxLifetime: strictconfig.Span(10 * time.Second),
+	want := &api.Config{Version: 1, Fleet: "kigali", MaxDrift: .001, MaxLifetime: strictconfig.Duration(10 * time.Second),
 		StateDir: "/var/lib/lapisspread",
 		Servers: []api.Server{{
 			Name:    "s1",
@@ -69,14 +69,14 @@
 				Filter:        api.AttemptFilter{Attempts: "attempts"},
 				Limit:         12000,
 				Burst:         1200,
-				LeaseDuration: strictconfig.Span(3 * time.Second),
+				LeaseDuration: strictconfig.Duration(3 * time.Second),
 			},
 			{
 				Name:          "retries",
 				Filter:        api.AttemptFilter{Attempts: "retries"},
 				Limit:         1200,
 				Burst:         240,
-				LeaseDuration: strictconfig.Span(3 * time.Second),
+				LeaseDuration: strictconfig.Duration(3 * time.Second),
 			}},
 		OwnershipFile: filepath.Join(at, "charter.toml"),
 		NamespaceFiles: []string{
@@ -84,7 +84,7 @@
 			filepath.Join(at, "booking-desks.toml"),
 		},
 		Freshness: &api.FreshnessSettings{
-			MaxTransit: strictconfig.Span(250 * time.Millisecond),
+			MaxTransit: strictconfig.Duration(250 * time.Millisecond),
 			Levels:     api.FreshnessLevels{Fresh: .95, Ageing: .8, Doubtful: .4},
 		}}
 	if !reflect.DeepEqual(got, want) || !reflect.DeepEqual(got.Freshness, want.Freshness) {
--- a/internal/controlplane/api/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -78,7 +78,7 @@
 	if errors.As(err, &remote) {
 		return remote
 	}
-	return RemoteError{Code: codeOf(err), Message: err.Error(), Help: operatorerror.Of(err)}
+	return RemoteError{Code: codeOf(err), Message: err.Error(), Help: operatorerror.AdviceOf(err)}
 }
 
 func codeOf(err error) string {
@@ -94,7 +94,7 @@
 
 // WithAdvice appends an error's advice to its text, for a terminal. Nil stays nil.
 func WithAdvice(err error) error {
-	advice := operatorerror.Of(err)
+	advice := operatorerror.AdviceOf(err)
 	if err == nil || advice == "" {
 		return err
 	}
--- a/internal/controlplane/api/freshness.go
+++ b/internal/controlplane/api/freshness.go
@@ -13,9 +13,9 @@
 	// Enforce has attempts go only where the list is fresh enough for them. Without it freshness is only reported.
 	Enforce bool `toml:"act"`
 	// WatchInterval is the expected time between two answers of a watch. Default: how long the watch is held open.
-	WatchInterval strictconfig.Span `toml:"beat"`
+	WatchInterval strictconfig.Duration `toml:"beat"`
 	// MaxTransit is the longest time that a message takes if it is not late. Default 250ms.
-	MaxTransit strictconfig.Span `toml:"transit"`
+	MaxTransit strictconfig.Duration `toml:"transit"`
 	// SilentWatchRate is the expected rate per second of watches that fall silent. Default 1/200.
 	SilentWatchRate float64 `toml:"silence"`
 	// StaleAnswerRate is the expected rate per second at which discovery begins to answer with old lists. Default
@@ -36,15 +36,15 @@
 	// Margin is how far above a threshold the probability must be for the level to rise again. Default .01.
 	Margin float64 `toml:"margin"`
 	// RiseDelay is how long it must stay there. Default 2s.
-	RiseDelay strictconfig.Span `toml:"rest"`
+	RiseDelay strictconfig.Duration `toml:"rest"`
 	// ConfirmedWithin is how recently an entry must have answered to count as confirmed. Default 10s.
-	ConfirmedWithin strictconfig.Span `toml:"within"`
+	ConfirmedWithin strictconfig.Duration `toml:"within"`
 }
 
 // ChangePrior is the prior change rate of one server of a kind: Changes per Exposure.
 type ChangePrior struct {
-	Changes  float64           `toml:"changes"`
-	Exposure strictconfig.Span `toml:"in"`
+	Changes  float64               `toml:"changes"`
+	Exposure strictconfig.Duration `toml:"in"`
 }
 
 // ListSource is the name of the only staleness source of an endpoint list: the list's watch.
--- a/internal/controlplane/api/tls.go
+++ b/internal/controlplane/api/tls.go
@@ -37,7 +37,7 @@
 	if keys == nil {
 		return t
 	}
-	t.TLSClientConfig = keys.Client("") // servers are named by address; any certificate of the CA will do
+	t.TLSClientConfig = keys.ClientConfig("") // servers are named by address; any certificate of the CA will do
 	return tlsTransport{t}
 }
 
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -23,12 +23,12 @@
 
 // testFile is the configuration of a fleet with two quotas and a server at each address.
 func testFile(stateDir string, addresses ...string) *api.Config {
-	leaseDuration := strictconfig.Span(3 * time.Second)
+	leaseDuration := strictconfig.Duration(3 * time.Second)
 	file := &api.Config{
 		Version:     1,
 		Fleet:       "north",
 		MaxDrift:    .001,
-		MaxLifetime: strictconfig.Span(10 * time.Second),
+		MaxLifetime: strictconfig.Duration(10 * time.Second),
 		StateDir:    stateDir,
 		Quotas: []api.Quota{
 			{
@@ -138,7 +138,7 @@
 		merkle.MalformedChunkError{},
 		merkle.IncompleteError{},
 	} {
-		if operatorerror.Of(err) == "" || strings.TrimSpace(err.Error()) == "" {
+		if operatorerror.AdviceOf(err) == "" || strings.TrimSpace(err.Error()) == "" {
 			t.Errorf("%T", err)
 		}
 	}
--- a/internal/controlplane/client/connection.go
+++ b/internal/controlplane/client/connection.go
@@ -157,7 +157,7 @@
 	}
 	fault.Count++
 	fault.Error = err.Error()
-	fault.Advice = operatorerror.Of(err)
+	fault.Advice = operatorerror.AdviceOf(err)
 	log := now-fault.loggedAt >= faultLogInterval
 	if log {
 		fault.loggedAt = now
@@ -165,7 +165,7 @@
 	count := fault.Count
 	c.mu.Unlock()
 	if log {
-		advice := cmp.Or(operatorerror.Of(err), "none")
+		advice := cmp.Or(operatorerror.AdviceOf(err), "none")
 		c.config.Logger.Warn("control-plane client fault", "err", err, "advice", advice, "count", count)
 	}
 }
--- a/internal/controlplane/client/floorclaim.go
+++ b/internal/controlplane/client/floorclaim.go
@@ -41,7 +41,7 @@
 	return &floorClaim{
 		path: path,
 		name: name,
-		file: durable.File{Path: path, Kind: "lapisspread-floors", Form: floorsFormat},
+		file: durable.File{Path: path, Kind: "lapisspread-floors", Version: floorsFormat},
 	}
 }
 
--- a/internal/controlplane/client/frozen_test.go
+++ b/internal/controlplane/client/frozen_test.go
@@ -152,7 +152,7 @@
 	if current := p.Current(); current.Offer != want || current.Policy.Hash() != want.Hash {
 		t.Errorf("%+v, want %+v", current, want)
 	}
-	older := durable.File{Path: filepath.Join(dir, "policy-p1"), Kind: "lapisspread-policy", Form: 1}
+	older := durable.File{Path: filepath.Join(dir, "policy-p1"), Kind: "lapisspread-policy", Version: 1}
 	var kept struct {
 		Offer struct {
 			Order, Epoch uint64
--- a/internal/controlplane/client/policystore.go
+++ b/internal/controlplane/client/policystore.go
@@ -77,8 +77,8 @@
 
 func newPolicyStore(dir, name string) *policyStore {
 	return &policyStore{
-		journal:  durable.Journal{Path: filepath.Join(dir, "pieces-"+name), Kind: "lapisspread-pieces", Form: 1},
-		textFile: durable.File{Path: filepath.Join(dir, "policy-"+name), Kind: "lapisspread-policy", Form: 1},
+		journal:  durable.Journal{Path: filepath.Join(dir, "pieces-"+name), Kind: "lapisspread-pieces", Version: 1},
+		textFile: durable.File{Path: filepath.Join(dir, "policy-"+name), Kind: "lapisspread-policy", Version: 1},
 	}
 }
 
@@ -195,7 +195,7 @@
 	}
 	if s.tree != nil && s.journal.Size() < int64(journalFactor*content.tree.Size()+journalSlackBytes) {
 		err := s.appendChange(content, record)
-		if !errors.Is(err, durable.ErrOther) {
+		if !errors.Is(err, durable.ErrModified) {
 			return err
 		}
 	}
@@ -229,7 +229,7 @@
 
 // keepsNewer reports whether another process has kept a version that the offer does not go before.
 func (s *policyStore) keepsNewer(offer rollout.Version) bool {
-	if s.journal.Same() {
+	if s.journal.Unmodified() {
 		return false
 	}
 	kept, _, _ := s.readJournal() // what can't be read is written anew
--- a/internal/controlplane/freshness/monitor.go
+++ b/internal/controlplane/freshness/monitor.go
@@ -170,7 +170,7 @@
 
 // adviceOf returns an error's advice, or "none".
 func adviceOf(err error) string {
-	if advice := operatorerror.Of(err); advice != "" {
+	if advice := operatorerror.AdviceOf(err); advice != "" {
 		return advice
 	}
 	return "none"
--- a/internal/controlplane/freshness/worker.go
+++ b/internal/controlplane/freshness/worker.go
@@ -203,7 +203,7 @@
 		report := RouteReport{Name: route, Level: level.String(), Confidence: confidence, Servers: state.routes[route]}
 		if fault != nil {
 			report.Fault = fault.Error()
-			report.Advice = operatorerror.Of(fault)
+			report.Advice = operatorerror.AdviceOf(fault)
 		}
 		next.report.Routes = append(next.report.Routes, report)
 		w.logLevel(state, route, level, fault)
@@ -221,7 +221,7 @@
 	state.levels[route] = level
 	log := w.config.Logger.With("list", state.list.name, "route", route, "level", level.String())
 	if fault != nil {
-		log.Warn("endpoint list is stale", "err", fault, "advice", operatorerror.Of(fault))
+		log.Warn("endpoint list is stale", "err", fault, "advice", operatorerror.AdviceOf(fault))
 	} else if previous <= staleness.Doubtful {
 		log.Info("endpoint list is fresh again")
 	}
--- a/internal/controlplane/server/chunks_test.go
+++ b/internal/controlplane/server/chunks_test.go
@@ -94,7 +94,7 @@
 			trees := []*merkle.Tree{policyWithRoutes(b, routes, 1)}
 			first := lead.publishTrees(trees...)
 			file := *cluster.config
-			file.Policy.SilenceTimeout = strictconfig.Span(250 * time.Millisecond) // 20 reports per second
+			file.Policy.SilenceTimeout = strictconfig.Duration(250 * time.Millisecond) // 20 reports per second
 			file.Servers = []api.Server{lead.self}
 			var n byteCounter
 			via := n.transport()
--- a/internal/controlplane/server/rollout_sim_test.go
+++ b/internal/controlplane/server/rollout_sim_test.go
@@ -120,7 +120,7 @@
 	sim.t.Helper()
 	sim.leastKnown = false
 	if err := sim.store.Apply(c); err != nil {
-		sim.t.Fatalf("%v: %s", err, operatorerror.Of(err))
+		sim.t.Fatalf("%v: %s", err, operatorerror.AdviceOf(err))
 	}
 }
 
@@ -261,7 +261,7 @@
 	}
 	if reason != nil {
 		sim.uncommitted.Reason = reason.Error()
-		sim.uncommitted.Advice = operatorerror.Of(reason)
+		sim.uncommitted.Advice = operatorerror.AdviceOf(reason)
 	}
 }
 
--- a/internal/controlplane/server/rollouts.go
+++ b/internal/controlplane/server/rollouts.go
@@ -100,7 +100,7 @@
 	}
 	if reason := progress.stopReason; reason != nil {
 		verdict.Reason = reason.Error()
-		verdict.Advice = operatorerror.Of(reason)
+		verdict.Advice = operatorerror.AdviceOf(reason)
 		s.warn("rollout stopped", reason)
 	}
 	if err := s.proposePolicyCommand(ctx, current, store.Command{RolloutResult: &verdict}); err != nil {
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -122,7 +122,7 @@
 	tasks.Go(func() { s.runRollouts(taskCtx) })
 	if s.tlsKeys != nil {
 		tasks.Go(func() { api.WatchTLSKeys(taskCtx, s.tlsKeys, s.config.Logger) })
-		listener = tls.NewListener(listener, s.tlsKeys.Server())
+		listener = tls.NewListener(listener, s.tlsKeys.ServerConfig())
 	}
 	err := s.serveHTTP(ctx, listener)
 	cancel()
@@ -192,5 +192,5 @@
 
 // warn logs an error together with its advice.
 func (s *Server) warn(message string, err error) {
-	s.config.Logger.Warn(message, "err", err, "advice", operatorerror.Of(err))
+	s.config.Logger.Warn(message, "err", err, "advice", operatorerror.AdviceOf(err))
 }
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -61,18 +61,18 @@
 func newClusterWithTLS(t testing.TB, by *api.TLSFiles) *testCluster {
 	cluster := &testCluster{t: t, client: &http.Client{}}
 	cluster.config = &api.Config{Version: 1, Policy: api.PolicySettings{
-		StepDuration:   strictconfig.Span(400 * time.Millisecond),
-		WatchDuration:  strictconfig.Span(400 * time.Millisecond),
+		StepDuration:   strictconfig.Duration(400 * time.Millisecond),
+		WatchDuration:  strictconfig.Duration(400 * time.Millisecond),
 		MinRequests:    100,
-		SilenceTimeout: strictconfig.Span(2 * time.Second),
-	}, Fleet: "north", MaxDrift: .001, MaxLifetime: strictconfig.Span(600 * time.Millisecond),
+		SilenceTimeout: strictconfig.Duration(2 * time.Second),
+	}, Fleet: "north", MaxDrift: .001, MaxLifetime: strictconfig.Duration(600 * time.Millisecond),
 		Quotas: []api.Quota{
 			{
 				Name:          "attempts",
 				Filter:        api.AttemptFilter{Attempts: "attempts"},
 				Limit:         1000,
 				Burst:         100,
-				LeaseDuration: strictconfig.Span(600 * time.Millisecond),
+				LeaseDuration: strictconfig.Duration(600 * time.Millisecond),
 			},
 		}}
 	cluster.config.TLS = by
@@ -239,7 +239,7 @@
 	cluster.t.Helper()
 	cluster.until(what, func() bool {
 		for _, h := range []*testHolder{a, b} {
-			if err := cluster.requestLease(h); err != nil && operatorerror.Of(err) == "" {
+			if err := cluster.requestLease(h); err != nil && operatorerror.AdviceOf(err) == "" {
 				cluster.t.Errorf("an error without advice: %v", err)
 			}
 			x, y := a.granted(), b.granted()
@@ -269,7 +269,7 @@
 	cluster.requestBothUntil(
 		"a minority grants nothing, and leases end", a, b, func(a, b float64) bool { return a+b == 0 }, 1000,
 	)
-	if err := cluster.requestLease(a); err == nil || operatorerror.Of(err) == "" || a.granted() != 0 {
+	if err := cluster.requestLease(a); err == nil || operatorerror.AdviceOf(err) == "" || a.granted() != 0 {
 		t.Errorf("a minority says %v, and gives %v", err, a.granted())
 	}
 	cluster.start(lead)
--- a/internal/diameter/claim/file.go
+++ b/internal/diameter/claim/file.go
@@ -18,21 +18,21 @@
 
 // File is deploy/diameter.toml.
 type File struct {
-	Version      int               `toml:"version"` // 1
-	Host         string            `toml:"host"`    // our Origin-Host
-	Realm        string            `toml:"realm"`   // our Origin-Realm
-	Realms       []string          `toml:"realms"`  // Destination-Realms that are served; ours if left out
-	Listen       string            `toml:"listen"`  // for peers
-	Applications []uint32          `toml:"applications"`
-	Dictionary   string            `toml:"dictionary"` // a file of the site's AVPs and commands, beside this one
-	Watchdog     strictconfig.Span `toml:"watchdog"`
-	Handshake    strictconfig.Span `toml:"handshake"`
-	Goodbye      strictconfig.Span `toml:"goodbye"`
-	Limits       Limits            `toml:"limits"`
-	TLS          *TLS              `toml:"tls"`
-	Peers        []Peer            `toml:"peer"`
-	Commands     []Command         `toml:"command"`
-	Ledger       Ledger            `toml:"ledger"`
+	Version      int                   `toml:"version"` // 1
+	Host         string                `toml:"host"`    // our Origin-Host
+	Realm        string                `toml:"realm"`   // our Origin-Realm
+	Realms       []string              `toml:"realms"`  // Destination-Realms that are served; ours if left out
+	Listen       string                `toml:"listen"`  // for peers
+	Applications []uint32              `toml:"applications"`
+	Dictionary   string                `toml:"dictionary"` // a file of the site's AVPs and commands, beside this one
+	Watchdog     strictconfig.Duration `toml:"watchdog"`
+	Handshake    strictconfig.Duration `toml:"handshake"`
+	Goodbye      strictconfig.Duration `toml:"goodbye"`
+	Limits       Limits                `toml:"limits"`
+	TLS          *TLS                  `toml:"tls"`
+	Peers        []Peer                `toml:"peer"`
+	Commands     []Command             `toml:"command"`
+	Ledger       Ledger                `toml:"ledger"`
 }
 
 // Limits bound what peers may hold.
@@ -62,24 +62,24 @@
 
 // Command is a kind of request that is taken.
 type Command struct {
-	Name            string            `toml:"command"` // by its name in the dictionary
-	RequestType     *uint32           `toml:"request_type"`
-	RequestedAction *uint32           `toml:"requested_action"`
-	Class           string            `toml:"class"`
-	GiveUp          strictconfig.Span `toml:"give_up"`
-	Deadline        string            `toml:"deadline"` // an Unsigned32 AVP by name: ms that the client waits, if that is less
-	Path            string            `toml:"path"`     // of the HTTP request
+	Name            string                `toml:"command"` // by its name in the dictionary
+	RequestType     *uint32               `toml:"request_type"`
+	RequestedAction *uint32               `toml:"requested_action"`
+	Class           string                `toml:"class"`
+	GiveUp          strictconfig.Duration `toml:"give_up"`
+	Deadline        string                `toml:"deadline"` // an Unsigned32 AVP by name: ms that the client waits, if that is less
+	Path            string                `toml:"path"`     // of the HTTP request
 
 	deadline *diameter.Definition
 }
 
 // Ledger is what is remembered so that nothing runs twice.
 type Ledger struct {
-	Window    strictconfig.Span `toml:"window"`
-	Uncertain strictconfig.Span `toml:"uncertain"` // for which claims are remembered of which nobody knows how they ended
-	Entries   int               `toml:"entries"`
-	Bytes     int               `toml:"bytes"` // of the answers that are kept
-	File      string            `toml:"file"`  // in the state directory; without it, or without that, it is memory alone
+	Window    strictconfig.Duration `toml:"window"`
+	Uncertain strictconfig.Duration `toml:"uncertain"` // for which claims are remembered of which nobody knows how they ended
+	Entries   int                   `toml:"entries"`
+	Bytes     int                   `toml:"bytes"` // of the answers that are kept
+	File      string                `toml:"file"`  // in the state directory; without it, or without that, it is memory alone
 }
 
 // mostFile is the longest file that is read, in bytes.
@@ -146,10 +146,10 @@
 		f.Applications = []uint32{4}
 	}
 	if f.Ledger.Window == 0 {
-		f.Ledger.Window = strictconfig.Span(idempotency.MinWindow)
+		f.Ledger.Window = strictconfig.Duration(idempotency.MinWindow)
 	}
 	if f.Ledger.Uncertain == 0 {
-		f.Ledger.Uncertain = max(strictconfig.Span(time.Hour), f.Ledger.Window)
+		f.Ledger.Uncertain = max(strictconfig.Duration(time.Hour), f.Ledger.Window)
 	}
 	if f.Ledger.Entries == 0 {
 		f.Ledger.Entries = 20_000
@@ -158,11 +158,11 @@
 		f.Ledger.Bytes = 4 << 20
 	}
 	for _, d := range []struct {
-		at *strictconfig.Span
+		at *strictconfig.Duration
 		to time.Duration
 	}{{&f.Watchdog, 30 * time.Second}, {&f.Handshake, 3 * time.Second}, {&f.Goodbye, time.Second}} {
 		if *d.at == 0 {
-			*d.at = strictconfig.Span(d.to)
+			*d.at = strictconfig.Duration(d.to)
 		}
 	}
 	for _, d := range []struct{ at, to *int }{{&f.Limits.Peers, ptr(64)}, {&f.Limits.Handshakes, ptr(16)}, {&f.Limits.InHand, ptr(256)}, {&f.Limits.Queue, ptr(256 << 10)}} {
--- a/internal/discovery/guardedsource/file.go
+++ b/internal/discovery/guardedsource/file.go
@@ -42,23 +42,23 @@
 
 // GuardConfig says when a full list is suspect: see listguard.GuardSettings.
 type GuardConfig struct {
-	MaxMissingRatio *float64          `toml:"shrink"` // 0.3 if left out
-	MinMissing      int               `toml:"least"`  // 2 if left out
-	RetainFor       strictconfig.Span `toml:"hold"`   // 30s if left out
+	MaxMissingRatio *float64              `toml:"shrink"` // 0.3 if left out
+	MinMissing      int                   `toml:"least"`  // 2 if left out
+	RetainFor       strictconfig.Duration `toml:"hold"`   // 30s if left out
 }
 
 // PacingConfig says how calls to discovery are spread: see listguard.PacingSettings.
 type PacingConfig struct {
-	CallsPerSecond float64           `toml:"rate"` // of all proxies together
-	MaxBackoff     strictconfig.Span `toml:"most"` // 10s if left out
-	WatchTimeout   strictconfig.Span `toml:"hold"` // 20s if left out
+	CallsPerSecond float64               `toml:"rate"` // of all proxies together
+	MaxBackoff     strictconfig.Duration `toml:"most"` // 10s if left out
+	WatchTimeout   strictconfig.Duration `toml:"hold"` // 20s if left out
 }
 
 // SnapshotConfig says where a proxy writes a snapshot of what it has learned, for the process that starts in its place.
 type SnapshotConfig struct {
-	Directory string            `toml:"folder"` // the one for temporary files if left out
-	Interval  strictconfig.Span `toml:"every"`  // 1s if left out
-	MaxAge    strictconfig.Span `toml:"most"`   // of a snapshot that is restored; 1h if left out
+	Directory string                `toml:"folder"` // the one for temporary files if left out
+	Interval  strictconfig.Duration `toml:"every"`  // 1s if left out
+	MaxAge    strictconfig.Duration `toml:"most"`   // of a snapshot that is restored; 1h if left out
 }
 
 // Load reads a settings file. Errors name the file, the line where there is one, and the key.
@@ -124,7 +124,7 @@
 }
 
 // spanOr returns a span, or a default for one that was left out.
-func spanOr(span strictconfig.Span, absent time.Duration) time.Duration {
+func spanOr(span strictconfig.Duration, absent time.Duration) time.Duration {
 	if span == 0 {
 		return absent
 	}
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -24,20 +24,20 @@
 
 // Why there is no value.
 var (
-	ErrDamaged = errors.New("it is damaged")
-	ErrNewer   = errors.New("a newer program has written it")
+	ErrDamaged      = errors.New("it is damaged")
+	ErrNewerVersion = errors.New("a newer program has written it")
 )
 
-// most is the longest file that is read, in bytes.
-const most = 64 << 20
+// maxFileBytes is the longest file that is read, in bytes.
+const maxFileBytes = 64 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // File is where the value is kept. Its methods are for one goroutine of one process at a time.
 type File struct {
-	Path string
-	Kind string // what the value is of, without blanks
-	Form int    // of the value, from 1 on; a higher one is not read
+	Path    string
+	Kind    string // what the value is of, without blanks
+	Version int    // of the value, from 1 on; a higher one is not read
 }
 
 // header is the file's first line: kind, form, length of the value in bytes and its checksum.
@@ -53,7 +53,7 @@
 	if err != nil {
 		return fmt.Errorf("durable: %w", err)
 	}
-	_, err = fmt.Fprintf(next, header+"%s", f.Kind, f.Form, len(text), crc32.Checksum(text, castagnoli), text)
+	_, err = fmt.Fprintf(next, header+"%s", f.Kind, f.Version, len(text), crc32.Checksum(text, castagnoli), text)
 	if closed := next.Close(); err == nil {
 		err = closed
 	}
@@ -75,7 +75,7 @@
 		return fmt.Errorf("durable: %w", err)
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, most+1))
+	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
 		return fmt.Errorf("durable: %w", err)
 	}
@@ -87,8 +87,8 @@
 	if _, err := fmt.Sscanf(head, strings.TrimSuffix(header, "\n"), &kind, &form, &length, &sum); err != nil || !found || kind != f.Kind || form < 1 {
 		return fail(ErrDamaged)
 	}
-	if form > f.Form {
-		return fail(fmt.Errorf("%w: form %d, this one reads up to %d", ErrNewer, form, f.Form))
+	if form > f.Version {
+		return fail(fmt.Errorf("%w: form %d, this one reads up to %d", ErrNewerVersion, form, f.Version))
 	}
 	if length != len(body) || sum != crc32.Checksum([]byte(body), castagnoli) {
 		return fail(ErrDamaged)
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -13,7 +13,7 @@
 type value struct{ Names []string }
 
 func open(t *testing.T) *File {
-	return &File{Path: filepath.Join(t.TempDir(), "state"), Kind: "names", Form: 2}
+	return &File{Path: filepath.Join(t.TempDir(), "state"), Kind: "names", Version: 2}
 }
 
 func TestWhatWasSavedIsLoaded(t *testing.T) {
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 		got := value{}
-		if err := f.Load(&got); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) || got.Names != nil {
+		if err := f.Load(&got); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewerVersion) || got.Names != nil {
 			t.Fatalf("%q gives %v, %v", text, got, err)
 		}
 	}
@@ -80,8 +80,8 @@
 	if err := f.Save(value{}); err != nil {
 		t.Fatal(err)
 	}
-	older := &File{Path: f.Path, Kind: f.Kind, Form: 1}
-	if err := older.Load(&value{}); !errors.Is(err, ErrNewer) {
+	older := &File{Path: f.Path, Kind: f.Kind, Version: 1}
+	if err := older.Load(&value{}); !errors.Is(err, ErrNewerVersion) {
 		t.Fatal(err)
 	}
 	if err := older.Save(value{}); err != nil { // what is remembered is no more than a hint
--- a/internal/durable/journal.go
+++ b/internal/durable/journal.go
@@ -14,8 +14,8 @@
 	"slices"
 )
 
-// MostRecord is the longest record of a Journal, in bytes.
-const MostRecord = 1 << 20
+// MaxRecordBytes is the longest record of a Journal, in bytes.
+const MaxRecordBytes = 1 << 20
 
 // Journal keeps records of one process on disk for the next: they are appended, and now and then written anew in one step, so
 // that a change costs what changed. Each has a checksum; what is damaged is left out by itself, and the records around it are still
@@ -23,18 +23,18 @@
 //
 // Weighed: a File for each record (thousands of them), and a database of pages (see File). Like a File it is not flushed.
 type Journal struct {
-	Path string
-	Kind string // what the records are of, without blanks
-	Form int    // of the records, from 1 on; a higher one is not read
+	Path    string
+	Kind    string // what the records are of, without blanks
+	Version int    // of the records, from 1 on; a higher one is not read
 
 	size int64 // after this one's last write or read; 0 is none
 }
 
-// ErrOther is what Append says if another process has written the journal since, or it is gone: it is to be read or written anew.
-var ErrOther = errors.New("another process has written it")
+// ErrModified is what Append says if another process has written the journal since, or it is gone: it is to be read or written anew.
+var ErrModified = errors.New("another process has written it")
 
 // Each record has a head: a mark to find the next one by after damage, the length in bytes, and the checksum of length and record.
-const recordHead = 2 + 4 + 4
+const recordHeaderLength = 2 + 4 + 4
 
 var recordMark = []byte{0xd9, 0x1c}
 
@@ -54,7 +54,7 @@
 	if err != nil {
 		return fmt.Errorf("durable: %w", err)
 	}
-	text := fmt.Appendf(nil, "%s %d\n", j.Kind, j.Form)
+	text := fmt.Appendf(nil, "%s %d\n", j.Kind, j.Version)
 	size := int64(0)
 	flush := func(least int) {
 		if err == nil && len(text) >= least {
@@ -65,7 +65,7 @@
 		}
 	}
 	for r := range records {
-		if len(r) > MostRecord {
+		if len(r) > MaxRecordBytes {
 			err = errors.Join(err, errTooLong)
 			break
 		}
@@ -87,29 +87,29 @@
 	return nil
 }
 
-var errTooLong = fmt.Errorf("a record of over %d bytes", MostRecord)
+var errTooLong = fmt.Errorf("a record of over %d bytes", MaxRecordBytes)
 
 // Append adds records after those that this one has read or written. ErrOther is that the file isn't what it was: nothing is added.
 func (j *Journal) Append(records ...[]byte) error {
 	if j.size == 0 {
-		return fmt.Errorf("durable: %s: %w", j.Path, ErrOther)
+		return fmt.Errorf("durable: %s: %w", j.Path, ErrModified)
 	}
 	var text []byte
 	for _, r := range records {
-		if len(r) > MostRecord {
+		if len(r) > MaxRecordBytes {
 			return fmt.Errorf("durable: %s: %w", j.Path, errTooLong)
 		}
 		text = appendRecord(text, r)
 	}
 	file, err := os.OpenFile(j.Path, os.O_WRONLY|os.O_APPEND, 0)
 	if errors.Is(err, os.ErrNotExist) {
-		err = ErrOther
+		err = ErrModified
 	}
 	if err != nil {
 		return fmt.Errorf("durable: %s: %w", j.Path, err)
 	}
 	if info, stat := file.Stat(); stat != nil || info.Size() != j.size {
-		return errors.Join(fmt.Errorf("durable: %s: %w", j.Path, cmp.Or(stat, ErrOther)), file.Close())
+		return errors.Join(fmt.Errorf("durable: %s: %w", j.Path, cmp.Or(stat, ErrModified)), file.Close())
 	}
 	n, err := file.Write(text)
 	if err = errors.Join(err, file.Close()); err != nil {
@@ -123,8 +123,8 @@
 // Size is how long the file is, in bytes, after this one's last write or read; 0 is not known.
 func (j *Journal) Size() int64 { return j.size }
 
-// Same tells whether the file is still as long as this one has left or found it.
-func (j *Journal) Same() bool {
+// Unmodified tells whether the file is still as long as this one has left or found it.
+func (j *Journal) Unmodified() bool {
 	info, err := os.Stat(j.Path)
 	return err == nil && j.size > 0 && info.Size() == j.size
 }
@@ -138,7 +138,7 @@
 		return nil, 0, fmt.Errorf("durable: %w", err)
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, most+1))
+	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
 		return nil, 0, fmt.Errorf("durable: %w", err)
 	}
@@ -146,16 +146,16 @@
 	head, rest, found := bytes.Cut(text, []byte("\n"))
 	var kind string
 	var form int
-	if _, err := fmt.Sscanf(string(head[:min(len(head), 128)]), "%s %d", &kind, &form); err != nil || !found || kind != j.Kind || form < 1 || len(text) > most {
+	if _, err := fmt.Sscanf(string(head[:min(len(head), 128)]), "%s %d", &kind, &form); err != nil || !found || kind != j.Kind || form < 1 || len(text) > maxFileBytes {
 		return nil, 0, fail(ErrDamaged)
 	}
-	if form > j.Form {
-		return nil, 0, fail(fmt.Errorf("%w: form %d, this one reads up to %d", ErrNewer, form, j.Form))
+	if form > j.Version {
+		return nil, 0, fail(fmt.Errorf("%w: form %d, this one reads up to %d", ErrNewerVersion, form, j.Version))
 	}
 	for len(rest) > 0 {
 		if r, ok := firstRecord(rest); ok {
 			records = append(records, slices.Clip(r))
-			rest = rest[recordHead+len(r):]
+			rest = rest[recordHeaderLength+len(r):]
 			continue
 		}
 		next := bytes.Index(rest[1:], recordMark)
@@ -173,14 +173,14 @@
 
 // firstRecord is the record that a text begins with.
 func firstRecord(text []byte) ([]byte, bool) {
-	if len(text) < recordHead || !bytes.HasPrefix(text, recordMark) {
+	if len(text) < recordHeaderLength || !bytes.HasPrefix(text, recordMark) {
 		return nil, false
 	}
 	n := binary.BigEndian.Uint32(text[2:])
-	if n > MostRecord || int(n) > len(text)-recordHead {
+	if n > MaxRecordBytes || int(n) > len(text)-recordHeaderLength {
 		return nil, false
 	}
-	r := text[recordHead : recordHead+int(n)]
+	r := text[recordHeaderLength : recordHeaderLength+int(n)]
 	sum := crc32.Update(crc32.Checksum(text[2:6], castagnoli), castagnoli, r)
 	return r, sum == binary.BigEndian.Uint32(text[6:])
 }
--- a/internal/durable/journal_test.go
+++ b/internal/durable/journal_test.go
@@ -11,7 +11,7 @@
 )
 
 func journal(t *testing.T) *Journal {
-	return &Journal{Path: filepath.Join(t.TempDir(), "records"), Kind: "names", Form: 2}
+	return &Journal{Path: filepath.Join(t.TempDir(), "records"), Kind: "names", Version: 2}
 }
 
 func records(names ...string) (all [][]byte) {
@@ -24,7 +24,7 @@
 // loaded are the records that another process finds.
 func (j *Journal) loaded(t *testing.T) (names []string, lost int) {
 	t.Helper()
-	next := Journal{Path: j.Path, Kind: j.Kind, Form: j.Form}
+	next := Journal{Path: j.Path, Kind: j.Kind, Version: j.Version}
 	all, lost, err := next.Load()
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 	if _, _, err := j.Load(); !errors.Is(err, fs.ErrNotExist) {
 		t.Fatalf("before the first: %v", err)
 	}
-	if err := j.Append(records("x")...); !errors.Is(err, ErrOther) {
+	if err := j.Append(records("x")...); !errors.Is(err, ErrModified) {
 		t.Fatalf("appended to nothing: %v", err)
 	}
 	if err := j.Rewrite(slices.Values(records("a", "", "b"))); err != nil {
@@ -52,20 +52,20 @@
 	if got, lost := j.loaded(t); fmt.Sprint(got) != "[a  b c d]" || lost != 0 {
 		t.Fatalf("%q, %d bytes lost", got, lost)
 	}
-	next := Journal{Path: j.Path, Kind: j.Kind, Form: j.Form}
+	next := Journal{Path: j.Path, Kind: j.Kind, Version: j.Version}
 	if _, _, err := next.Load(); err != nil {
 		t.Fatal(err)
 	}
 	if err := next.Append(records("e")...); err != nil {
 		t.Fatal(err)
 	}
-	if err := j.Append(records("f")...); !errors.Is(err, ErrOther) {
+	if err := j.Append(records("f")...); !errors.Is(err, ErrModified) {
 		t.Errorf("it did not see the other process: %v", err)
 	}
-	if err := j.Append(make([]byte, MostRecord+1)); err == nil {
+	if err := j.Append(make([]byte, MaxRecordBytes+1)); err == nil {
 		t.Error("a record of any length was taken")
 	}
-	if err := j.Rewrite(slices.Values([][]byte{make([]byte, MostRecord+1)})); err == nil {
+	if err := j.Rewrite(slices.Values([][]byte{make([]byte, MaxRecordBytes+1)})); err == nil {
 		t.Error("a record of any length was taken")
 	}
 	if got, _ := j.loaded(t); fmt.Sprint(got) != "[a  b c d e]" {
@@ -74,8 +74,8 @@
 	if left, err := os.ReadDir(filepath.Dir(j.Path)); err != nil || len(left) != 1 {
 		t.Fatalf("%v files, %v", len(left), err)
 	}
-	newer := Journal{Path: j.Path, Kind: j.Kind, Form: 1}
-	if _, _, err := newer.Load(); !errors.Is(err, ErrNewer) {
+	newer := Journal{Path: j.Path, Kind: j.Kind, Version: 1}
+	if _, _, err := newer.Load(); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("a newer form: %v", err)
 	}
 }
@@ -113,7 +113,7 @@
 		if len(got) < least || len(got) < len(names) && lost == 0 && len(text) == len(whole) {
 			t.Fatalf("%d records, %d bytes lost", len(got), lost)
 		}
-		next := Journal{Path: j.Path, Kind: j.Kind, Form: j.Form}
+		next := Journal{Path: j.Path, Kind: j.Kind, Version: j.Version}
 		if _, _, err := next.Load(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/faultlab/clustertest/fleet_test.go
+++ b/internal/faultlab/clustertest/fleet_test.go
@@ -23,7 +23,7 @@
 // shared is a budget of all attempts that is less than what is sent, and no floors.
 func shared() *liverun.FleetOptions {
 	return &liverun.FleetOptions{Longest: lease, Tokens: true, Budgets: []api.Quota{
-		{Name: "attempts", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 40, Burst: 20, LeaseDuration: strictconfig.Span(lease)}}}
+		{Name: "attempts", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 40, Burst: 20, LeaseDuration: strictconfig.Duration(lease)}}}
 }
 
 // floors is one with a part of it fixed by name for the first proxy.
--- a/internal/faultlab/experiment/experiment_test.go
+++ b/internal/faultlab/experiment/experiment_test.go
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	c, err := services.Parse("services.toml", []byte(f.Variants[0].Services[0]))
-	if err != nil || len(c.File.Services) != 200 || c.Table.Rules() != 1 {
+	if err != nil || len(c.File.Services) != 200 || c.Table.RuleCount() != 1 {
 		t.Errorf("%v: %+v", err, c)
 	}
 	if _, err := Parse("x", []byte("name='a'\n[[variant]]\nname='v'\nmany=9999\n")); err == nil {
--- a/internal/faultlab/experiment/file.go
+++ b/internal/faultlab/experiment/file.go
@@ -16,7 +16,7 @@
 )
 
 // Span is a time in the file.
-type Span = strictconfig.Span
+type Span = strictconfig.Duration
 
 // File is an experiment. What is left out is as on the operators' usual day: see world.Default.
 type File struct {
--- a/internal/faultlab/liverun/drawn_test.go
+++ b/internal/faultlab/liverun/drawn_test.go
@@ -15,7 +15,7 @@
 	s := small()
 	s.Duration, s.Proxies = 3*time.Minute, 3
 	o := &FleetOptions{Longest: time.Second, Tokens: true, Budgets: []api.Quota{
-		{Name: "attempts", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 30, Burst: 15, LeaseDuration: strictconfig.Span(time.Second)}}}
+		{Name: "attempts", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 30, Burst: 15, LeaseDuration: strictconfig.Duration(time.Second)}}}
 	res, err := Play(t.Context(), &s, Options{Binary: testbinary.Proxy(t), Fabric: true, Fleet: o, Script: func(f *Fleet) error {
 		d := &drawn{Fleet: f, rng: rand.New(rand.NewPCG(1, 1)), lease: time.Second}
 		for _, one := range drawnFaults {
--- a/internal/faultlab/liverun/steward_test.go
+++ b/internal/faultlab/liverun/steward_test.go
@@ -47,7 +47,7 @@
 	s := small()
 	s.Duration = 2 * time.Minute
 	o := &FleetOptions{Longest: time.Second, Tokens: true, Deaf: true, Budgets: []api.Quota{
-		{Name: "attempts", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 10, Burst: 5, LeaseDuration: strictconfig.Span(time.Second)}}}
+		{Name: "attempts", Filter: api.AttemptFilter{Attempts: "attempts"}, Limit: 10, Burst: 5, LeaseDuration: strictconfig.Duration(time.Second)}}}
 	res, err := Play(t.Context(), &s, Options{Binary: testbinary.Proxy(t), Fabric: true, Fleet: o, Script: func(f *Fleet) error {
 		a := &asker{begun: time.Now(), r: f.r, client: &http.Client{Transport: &http.Transport{}},
 			Holder: quotalease.NewHolder(quotalease.HolderSettings{FleetID: fleetName, HolderID: quotalease.HolderID{Holder: "n0", Incarnation: 1}, MaxDrift: .001})}
--- a/internal/listener/file.go
+++ b/internal/listener/file.go
@@ -22,25 +22,25 @@
 
 // Connections are who holds a place.
 type Connections struct {
-	MaxConns      int                `toml:"places"`  // the process's for clients if left out, and never more than these
-	KnownReserve  *float64           `toml:"reserve"` // part of the places that only known clients may have
-	GracePeriod   *strictconfig.Span `toml:"grace"`   // for so long one that has shown nothing is not closed to make room
-	HalfLife      *strictconfig.Span `toml:"half_life"`
-	MaxCredit     int                `toml:"earned"`
-	MaxConnRate   *float64           `toml:"rate"`       // new connections a second of one address, while places are short
-	MaxBodyPart   *float64           `toml:"bytes_part"` // of the bytes of bodies that one address may hold while they are short
-	ScarceBelow   *float64           `toml:"short"`      // places are short while less than this part of them is free
-	MaxTracked    int                `toml:"tracked"`
-	KnownPrefixes []string           `toml:"known"` // addresses or prefixes that are known from the start
+	MaxConns      int                    `toml:"places"`  // the process's for clients if left out, and never more than these
+	KnownReserve  *float64               `toml:"reserve"` // part of the places that only known clients may have
+	GracePeriod   *strictconfig.Duration `toml:"grace"`   // for so long one that has shown nothing is not closed to make room
+	HalfLife      *strictconfig.Duration `toml:"half_life"`
+	MaxCredit     int                    `toml:"earned"`
+	MaxConnRate   *float64               `toml:"rate"`       // new connections a second of one address, while places are short
+	MaxBodyPart   *float64               `toml:"bytes_part"` // of the bytes of bodies that one address may hold while they are short
+	ScarceBelow   *float64               `toml:"short"`      // places are short while less than this part of them is free
+	MaxTracked    int                    `toml:"tracked"`
+	KnownPrefixes []string               `toml:"known"` // addresses or prefixes that are known from the start
 }
 
 // Requests are how many requests are in hand.
 type Requests struct {
-	MaxInFlight   int               `toml:"in_hand"`
-	MaxTenantPart float64           `toml:"per_tenant"`
-	Adaptive      bool              `toml:"adaptive"`
-	MinInFlight   int               `toml:"least"`
-	RetryAfter    strictconfig.Span `toml:"retry_after"` // 1s if left out
+	MaxInFlight   int                   `toml:"in_hand"`
+	MaxTenantPart float64               `toml:"per_tenant"`
+	Adaptive      bool                  `toml:"adaptive"`
+	MinInFlight   int                   `toml:"least"`
+	RetryAfter    strictconfig.Duration `toml:"retry_after"` // 1s if left out
 }
 
 // maxFileBytes is the longest file that is read, in bytes.
@@ -66,7 +66,7 @@
 	}
 	if f.Requests != nil {
 		if f.Requests.RetryAfter == 0 {
-			f.Requests.RetryAfter = strictconfig.Span(time.Second)
+			f.Requests.RetryAfter = strictconfig.Duration(time.Second)
 		}
 		s := f.RequestSettings()
 		if err := s.Validate(); err != nil {
--- a/internal/operatorerror/advice.go
+++ b/internal/operatorerror/advice.go
@@ -15,9 +15,9 @@
 	Advice() string
 }
 
-// Of is the advice of an error and of all that it wraps, each once, in the order in which they are found; empty if
+// AdviceOf is the advice of an error and of all that it wraps, each once, in the order in which they are found; empty if
 // there is none.
-func Of(err error) string {
+func AdviceOf(err error) string {
 	var all []string
 	seen := map[string]bool{}
 	var walk func(error)
--- a/internal/operatorerror/advice_test.go
+++ b/internal/operatorerror/advice_test.go
@@ -20,10 +20,10 @@
 
 func TestAdviceIsFoundOnceInAllThatIsWrapped(t *testing.T) {
 	err := fmt.Errorf("both: %w", errors.Join(full{fmt.Errorf("of: %w", cut{"a"})}, cut{"b"}))
-	if got, want := operatorerror.Of(err), "Make room. Mend the link."; got != want {
+	if got, want := operatorerror.AdviceOf(err), "Make room. Mend the link."; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	if got := operatorerror.Of(errors.New("plain")); got != "" {
+	if got := operatorerror.AdviceOf(errors.New("plain")); got != "" {
 		t.Errorf("a plain error gives %q", got)
 	}
 }
--- a/internal/policy/merkle/pieces_test.go
+++ b/internal/policy/merkle/pieces_test.go
@@ -179,7 +179,7 @@
 	malformed := NewAssembly(bad, nil).Add([]byte("x"))
 	for err, as := range map[error]any{long: new(TooLongError), value: new(TooLongError), twice: new(DuplicateKeyError), name: new(InvalidHashError),
 		missing: new(IncompleteError), wrong: new(UnexpectedChunkError), malformed: new(MalformedChunkError)} {
-		if err == nil || !errors.As(err, as) || operatorerror.Of(err) == "" {
+		if err == nil || !errors.As(err, as) || operatorerror.AdviceOf(err) == "" {
 			t.Errorf("%v is no %T, or says nothing", err, as)
 		}
 	}
--- a/internal/policy/namespace/charter.go
+++ b/internal/policy/namespace/charter.go
@@ -151,7 +151,7 @@
 	for i, b := range c.Quotas {
 		key := fmt.Sprintf("budget[%d]", i)
 		_, twice := c.limits[b.Name]
-		bad(!strictconfig.PlainName(b.Name) || twice, key+".name", fmt.Errorf("%q: wanted small letters, digits and dashes, once", b.Name))
+		bad(!strictconfig.ValidName(b.Name) || twice, key+".name", fmt.Errorf("%q: wanted small letters, digits and dashes, once", b.Name))
 		bad(b.Limit < 0, key+".whole", fmt.Errorf("%d is negative", b.Limit))
 		c.limits[b.Name] = b.Limit
 	}
@@ -168,7 +168,7 @@
 		h := &c.Namespaces[i]
 		key := fmt.Sprintf("namespace[%d]", i)
 		_, twice := c.parts[h.Name]
-		bad(!strictconfig.PlainName(h.Name) || twice, key+".name", fmt.Errorf("%q: wanted small letters, digits and dashes, once", h.Name))
+		bad(!strictconfig.ValidName(h.Name) || twice, key+".name", fmt.Errorf("%q: wanted small letters, digits and dashes, once", h.Name))
 		bad(h.Owner == "", key+".owner", errors.New("none is given"))
 		domain(key, &h.Domain)
 		c.parts[h.Name] = nil
--- a/internal/policy/namespace/charter_test.go
+++ b/internal/policy/namespace/charter_test.go
@@ -103,7 +103,7 @@
 			continue
 		}
 		var file FileError
-		if !errors.As(err, &file) || operatorerror.Of(err) == "" {
+		if !errors.As(err, &file) || operatorerror.AdviceOf(err) == "" {
 			t.Errorf("%s: %T has no place or no advice", k.to, err)
 		}
 		if k.as != nil && !errors.As(err, k.as) {
--- a/internal/policy/namespace/file.go
+++ b/internal/policy/namespace/file.go
@@ -62,12 +62,12 @@
 
 // Class is settings of a class of requests. What is left out is left to others.
 type Class struct {
-	Name             string            `toml:"name" json:"name"`
-	LatencyObjective strictconfig.Span `toml:"aim" json:"aim,omitempty"`
-	Deadline         strictconfig.Span `toml:"give_up" json:"give_up,omitempty"`
-	Effect           string            `toml:"effect" json:"effect,omitempty"` // safe, or unsafe: must never run twice
-	PriorityWeight   *float64          `toml:"worth" json:"worth,omitempty"`
-	LateFraction     *float64          `toml:"late" json:"late,omitempty"` // share of the worth that a late answer earns, 0 to 1
+	Name             string                `toml:"name" json:"name"`
+	LatencyObjective strictconfig.Duration `toml:"aim" json:"aim,omitempty"`
+	Deadline         strictconfig.Duration `toml:"give_up" json:"give_up,omitempty"`
+	Effect           string                `toml:"effect" json:"effect,omitempty"` // safe, or unsafe: must never run twice
+	PriorityWeight   *float64              `toml:"worth" json:"worth,omitempty"`
+	LateFraction     *float64              `toml:"late" json:"late,omitempty"` // share of the worth that a late answer earns, 0 to 1
 }
 
 // QuotaShare is a namespace's part of a budget, in the budget's units; or a cap that it sets on one it delegated to.
@@ -138,7 +138,7 @@
 		}
 	}
 	bad(n.Version != FileVersion, "version", "%d; this program reads %d", n.Version, FileVersion)
-	bad(!strictconfig.PlainName(n.Name), "namespace", "%q: wanted small letters, digits and dashes", n.Name)
+	bad(!strictconfig.ValidName(n.Name), "namespace", "%q: wanted small letters, digits and dashes", n.Name)
 	bad(n.Number == 0, "number", "left out or 0")
 	if total := n.Rules(); total > maxRules {
 		bad(true, "", "%d rules; %d are the most", total, maxRules)
@@ -164,7 +164,7 @@
 	}
 	for i := range n.Services {
 		s, key := &n.Services[i], fmt.Sprintf("service[%d]", i)
-		bad(!strictconfig.PlainName(s.Name), key+".name", "%q: wanted small letters, digits and dashes", s.Name)
+		bad(!strictconfig.ValidName(s.Name), key+".name", "%q: wanted small letters, digits and dashes", s.Name)
 		bad(s.Discovery != "" && !strings.Contains(s.Discovery, ":"), key+".discovery", "%q is no host:port", s.Discovery)
 		bad(!slices.Contains([]string{"", "http", "diameter"}, s.Upstream), key+".upstream", "%q is neither http nor diameter", s.Upstream)
 		slices.Sort(s.Kinds)
@@ -173,7 +173,7 @@
 	}
 	for i := range n.Routes {
 		r, key := &n.Routes[i], fmt.Sprintf("route[%d]", i)
-		bad(!strictconfig.PlainName(r.Name), key+".name", "%q: wanted small letters, digits and dashes", r.Name)
+		bad(!strictconfig.ValidName(r.Name), key+".name", "%q: wanted small letters, digits and dashes", r.Name)
 		match(key, &r.Match)
 		bad(!slices.Contains([]string{"", "key", "tenant", "request"}, r.Sticky), key+".sticky", "%q is none of key, tenant, request", r.Sticky)
 		if r.MaxStaleness != "" {
@@ -212,13 +212,13 @@
 	}
 	for i := range n.Blocks {
 		b, key := &n.Blocks[i], fmt.Sprintf("block[%d]", i)
-		bad(!strictconfig.PlainName(b.Name), key+".name", "%q: wanted small letters, digits and dashes", b.Name)
+		bad(!strictconfig.ValidName(b.Name), key+".name", "%q: wanted small letters, digits and dashes", b.Name)
 		match(key, &b.Match)
 		enter(key, "block "+b.Name, b)
 	}
 	for i := range n.Overrides {
 		o, key := &n.Overrides[i], fmt.Sprintf("order[%d]", i)
-		bad(!strictconfig.PlainName(o.Name), key+".name", "%q: wanted small letters, digits and dashes", o.Name)
+		bad(!strictconfig.ValidName(o.Name), key+".name", "%q: wanted small letters, digits and dashes", o.Name)
 		bad(o.Server == "" || o.Zone == "", key+".server", "server or zone is not given")
 		bad(o.Action != "detach" && o.Action != "attach", key+".do", "%q is neither detach nor attach", o.Action)
 		// Danger: a time without offset means another moment on another machine, and so would the policy's hash.
--- a/internal/policy/namespace/items.go
+++ b/internal/policy/namespace/items.go
@@ -383,7 +383,7 @@
 		for i := range d.Routes {
 			rules[i] = d.Routes[i].rule()
 		}
-		if table, err = table.With(rules, d.RemovedRoutes); err != nil {
+		if table, err = table.WithChanges(rules, d.RemovedRoutes); err != nil {
 			return nil, nil, fmt.Errorf("policy: %w", err)
 		}
 	}
--- a/internal/policy/namespace/items_test.go
+++ b/internal/policy/namespace/items_test.go
@@ -94,8 +94,8 @@
 		t.Fatal(err)
 	}
 	got, err := p.Table()
-	if err != nil || got.Rules() != want.Rules() || !slices.Equal(got.Services(), want.Services()) {
-		t.Fatalf("%v: a table of %d rules to %v, not of %d to %v", err, got.Rules(), got.Services(), want.Rules(), want.Services())
+	if err != nil || got.RuleCount() != want.RuleCount() || !slices.Equal(got.Services(), want.Services()) {
+		t.Fatalf("%v: a table of %d rules to %v, not of %d to %v", err, got.RuleCount(), got.Services(), want.RuleCount(), want.Services())
 	}
 	for i := range p.Routes {
 		for _, spare := range []spare{"x", "y"} {
@@ -185,7 +185,7 @@
 		if err == nil {
 			t.Errorf("%s%s: read whole, there was nothing wrong", k.set.Key, k.gone)
 		}
-		if wrong := (InvalidItemError{}); errors.As(err, &wrong) && operatorerror.Of(err) == "" {
+		if wrong := (InvalidItemError{}); errors.As(err, &wrong) && operatorerror.AdviceOf(err) == "" {
 			t.Errorf("%v says nothing", err)
 		}
 	}
--- a/internal/policy/namespace/merge_test.go
+++ b/internal/policy/namespace/merge_test.go
@@ -81,7 +81,7 @@
 			t.Errorf("%+v: bears %+v", k.q, e.Staleness)
 		}
 	}
-	if e, _ := out.Policy.Explain(&route.Request{Host: "else.org", Path: "/"}); e.Verdict != route.WrongHost || e.Route != nil {
+	if e, _ := out.Policy.Explain(&route.Request{Host: "else.org", Path: "/"}); e.Verdict != route.UnknownHost || e.Route != nil {
 		t.Errorf("a host of nobody: %+v", e)
 	}
 }
@@ -200,7 +200,7 @@
 		text := strings.Replace(texts["dispatch"], k.from, k.to, 1)
 		_, err := Parse("f.toml", []byte(text))
 		var file FileError
-		if err == nil || !strings.Contains(err.Error(), k.want) || !errors.As(err, &file) || operatorerror.Of(err) == "" {
+		if err == nil || !strings.Contains(err.Error(), k.want) || !errors.As(err, &file) || operatorerror.AdviceOf(err) == "" {
 			t.Errorf("%s: %v, want %q", k.to, err, k.want)
 		}
 	}
@@ -258,7 +258,7 @@
 		var held []string
 		for _, h := range out.Withheld {
 			held = append(held, h.Namespace+":"+string(rune('0'+h.Active/10))+string(rune('0'+h.Active%10)))
-			if k.why != nil && (!errors.As(error(h), k.why) || operatorerror.Of(h) == "") {
+			if k.why != nil && (!errors.As(error(h), k.why) || operatorerror.AdviceOf(h) == "") {
 				t.Errorf("%s: %v is no %T", k.name, h, k.why)
 			}
 		}
--- a/internal/policy/namespace/policy.go
+++ b/internal/policy/namespace/policy.go
@@ -334,7 +334,7 @@
 	Blocks    []PolicyBlock
 	Class     *PolicyClass          // nil if nobody says anything of it
 	Staleness *PolicyStalenessBound // of the route; nil if nobody says anything of it
-	Reasons   []route.Reason        // why that route, and what became of the others
+	Reasons   []route.Explanation   // why that route, and what became of the others
 }
 
 // Explain tells what becomes of a request. It goes through all rules: it is for people, not for requests.
--- a/internal/policy/namespace/slow_test.go
+++ b/internal/policy/namespace/slow_test.go
@@ -463,7 +463,7 @@
 		found := Check(c, nil, set)
 		for _, x := range found {
 			kinds[x.Kind]++
-			advices[x.Kind] = operatorerror.Of(x.Err())
+			advices[x.Kind] = operatorerror.AdviceOf(x.Err())
 		}
 		for _, w := range compareWithSlow(c, set, found) {
 			t.Errorf("set %d: %s", i, w)
--- a/internal/policy/rollout/fleet_scenarios_test.go
+++ b/internal/policy/rollout/fleet_scenarios_test.go
@@ -194,7 +194,7 @@
 				break
 			}
 		}
-		if state, why := l.rollout.State(); state != Stopped || operatorerror.Of(why) == "" || l.countAtEpoch(2) > 90 {
+		if state, why := l.rollout.State(); state != Stopped || operatorerror.AdviceOf(why) == "" || l.countAtEpoch(2) > 90 {
 			t.Errorf("seed %d: %v, and %d had it", seed, state, l.countAtEpoch(2))
 		}
 	}
@@ -292,7 +292,7 @@
 		return l.rollout.State()
 	}
 	var not NotAdoptedError
-	if state, err := play(0, 5); state != Stopped || !errors.As(err, &not) || operatorerror.Of(err) == "" {
+	if state, err := play(0, 5); state != Stopped || !errors.As(err, &not) || operatorerror.AdviceOf(err) == "" {
 		t.Errorf("%v %v", state, err)
 	}
 	if state, err := play(0, 1); state != Done {
--- a/internal/policy/rollout/regression_test.go
+++ b/internal/policy/rollout/regression_test.go
@@ -32,7 +32,7 @@
 		}
 		if err := a.Tick(now); err != nil {
 			var w RegressionError
-			if !errors.As(err, &w) || operatorerror.Of(err) == "" {
+			if !errors.As(err, &w) || operatorerror.AdviceOf(err) == "" {
 				panic(err)
 			}
 			told, when = append(told, w), append(when, now)
--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -219,7 +219,7 @@
 	}
 	state, err := r.State()
 	var harm HarmDetectedError
-	if state != Stopped || !errors.As(err, &harm) || operatorerror.Of(err) == "" {
+	if state != Stopped || !errors.As(err, &harm) || operatorerror.AdviceOf(err) == "" {
 		t.Fatalf("%v %v", state, err)
 	}
 	if !strings.Contains(err.Error(), "20.00% of requests go bad") {
--- a/internal/policy/rollout/version_test.go
+++ b/internal/policy/rollout/version_test.go
@@ -41,7 +41,7 @@
 			return "a damaged policy was adopted"
 		case err != nil && has != before:
 			return "a rejected version changed something"
-		case err != nil && operatorerror.Of(err) == "":
+		case err != nil && operatorerror.AdviceOf(err) == "":
 			return "an error without advice"
 		case at == [2]uint64{o.Generation, o.Epoch} && o.Hash != has.Hash && !errors.As(err, new(EpochConflictError)):
 			return "one epoch, two contents, and no error"
--- a/internal/policy/routetable/routes.go
+++ b/internal/policy/routetable/routes.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Routes{Table: table.Otherwise(fallback), StickyBy: map[string]string{}, Blocks: blocks, fallback: fallback}
+	r := &Routes{Table: table.WithFallback(fallback), StickyBy: map[string]string{}, Blocks: blocks, fallback: fallback}
 	for i := range p.Routes {
 		if by := p.Routes[i].Sticky; by != "" {
 			r.StickyBy[p.Routes[i].Name] = by
@@ -68,7 +68,7 @@
 		}
 	}
 	return &Routes{
-		Table:    table.Otherwise(r.fallback),
+		Table:    table.WithFallback(r.fallback),
 		StickyBy: r.updateSticky(diff),
 		Blocks:   blocks,
 		fallback: r.fallback,
--- a/internal/policy/routetable/routes_test.go
+++ b/internal/policy/routetable/routes_test.go
@@ -124,7 +124,7 @@
 			if err != nil || wantErr != nil {
 				if fmt.Sprint(err) != fmt.Sprint(wantErr) || !errors.As(
 					err, new(MissingServicesError),
-				) || operatorerror.Of(err) == "" {
+				) || operatorerror.AdviceOf(err) == "" {
 					t.Fatalf("seed %d, step %d: %v, Build: %v", seed, step, err, wantErr)
 				}
 				rejected++
@@ -158,7 +158,7 @@
 	_, again := now.Update(p, &namespace.Diff{BlocksChanged: true}, func(string) bool { return true })
 	for _, err := range []error{err, again} {
 		if bad := (InvalidRulesError{}); !errors.As(err, &bad) || bad.Kind != "blocks" ||
-			!strings.Contains(err.Error(), "ties") || operatorerror.Of(err) == "" {
+			!strings.Contains(err.Error(), "ties") || operatorerror.AdviceOf(err) == "" {
 			t.Errorf("%v", err)
 		}
 	}
--- a/internal/policy/store/merge.go
+++ b/internal/policy/store/merge.go
@@ -144,7 +144,7 @@
 			Author:       author,
 			RemovedRules: held.RemovedRules,
 			Reason:       truncate(held.Error()),
-			Advice:       operatorerror.Of(held),
+			Advice:       operatorerror.AdviceOf(held),
 		})
 	}
 	s.conflicts = nil
--- a/internal/policy/store/rollout_test.go
+++ b/internal/policy/store/rollout_test.go
@@ -160,7 +160,7 @@
 	m := newWithTenTeams(t, 0)
 	apply(t, m, submitTeam(9, 2, "/9a"))
 	apply(t, m, submitTeam(0, 2, "/0a"), submitTeam(0, 5, "/0b"))
-	if err := m.Apply(submitTeam(0, 3, "/0c")); operatorerror.Of(err) == "" {
+	if err := m.Apply(submitTeam(0, 3, "/0c")); operatorerror.AdviceOf(err) == "" {
 		t.Errorf("a lower number: %v", err)
 	}
 	if s := m.Status(); !slices.Equal(changeNames(s.Queued), []string{"t05"}) {
--- a/internal/policy/store/statemachine_test.go
+++ b/internal/policy/store/statemachine_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	for _, c := range commands {
 		if err := m.Apply(c); err != nil {
-			t.Fatalf("%v: %s", err, operatorerror.Of(err))
+			t.Fatalf("%v: %s", err, operatorerror.AdviceOf(err))
 		}
 	}
 }
@@ -328,7 +328,7 @@
 		m := newWithTwoTeams(t, 0)
 		before := snapshotOf(t, m)
 		err := m.Apply(test.command)
-		if !errors.As(err, test.want) || operatorerror.Of(err) == "" || !bytes.Equal(before, snapshotOf(t, m)) {
+		if !errors.As(err, test.want) || operatorerror.AdviceOf(err) == "" || !bytes.Equal(before, snapshotOf(t, m)) {
 			t.Errorf("%+v: %v", test.command, err)
 		}
 	}
--- a/internal/processquota/limiter/limiter.go
+++ b/internal/processquota/limiter/limiter.go
@@ -120,9 +120,9 @@
 		shares := withLeaving(f.Shares(k.total), l.leaving)
 		var err error
 		if *k.pool == nil {
-			*k.pool, err = processquota.NewPool(f.Terms(k.total), shares)
+			*k.pool, err = processquota.NewPool(f.PoolSettings(k.total), shares)
 		} else {
-			err = (*k.pool).Reconfigure(f.Terms(k.total), shares)
+			err = (*k.pool).Reconfigure(f.PoolSettings(k.total), shares)
 		}
 		if err != nil {
 			return fmt.Errorf("limits: %w", err)
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -110,7 +110,7 @@
 	s := d.settings()
 	s.Watchdog, s.Reopen, s.Reconnect, s.Queue, s.Handshake = watchdogLeast, serversWell, serversBack, 1<<20, module.Capabilities.ConnectTimeout
 	if d.keys != nil {
-		s.TLS = func() *tls.Config { return d.keys.Client("") }
+		s.TLS = func() *tls.Config { return d.keys.ClientConfig("") }
 	}
 	n, err := node.New(s)
 	if err != nil {
@@ -162,7 +162,7 @@
 		if err == nil {
 			l = &peerListener{Listener: l, conns: d.p.conns}
 			if d.keys != nil {
-				l = tls.NewListener(l, d.keys.Server())
+				l = tls.NewListener(l, d.keys.ServerConfig())
 			}
 			d.mu.Lock()
 			defer d.mu.Unlock()
@@ -215,7 +215,7 @@
 		d.p.own.ReloadsFailed.Add(1)
 		return
 	}
-	d.p.log.Info("the certificate was read anew", "holds_for", d.keys.Left().Round(time.Hour))
+	d.p.log.Info("the certificate was read anew", "holds_for", d.keys.Remaining().Round(time.Hour))
 }
 
 // route finds a request's service, within its limits.
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -210,7 +210,7 @@
 	}
 	defer l.Close()
 	server := &diameterpeer.Server{Host: "n1.example", Realm: "pay.example.org"}
-	go server.Serve(tls.NewListener(l, serverKeys.Server()))
+	go server.Serve(tls.NewListener(l, serverKeys.ServerConfig()))
 	defer server.Drop()
 	s := newStage(t, strings.Replace(twoServices, `name = "settlement"`, "name = \"settlement\"\nupstream = \"diameter\"", 1),
 		func(c *Config) { c.Diameter, c.StateDir = path, dir })
@@ -223,7 +223,7 @@
 		}
 		c := diameterClient(t, addr, 1)
 		c.Dial = func(ctx context.Context) (net.Conn, error) {
-			return (&tls.Dialer{Config: keys.Client("proxy.kigali.example")}).DialContext(ctx, "tcp", addr)
+			return (&tls.Dialer{Config: keys.ClientConfig("proxy.kigali.example")}).DialContext(ctx, "tcp", addr)
 		}
 		return c
 	}
@@ -241,7 +241,7 @@
 		t.Fatal(err)
 	}
 	s.proxy.diameter.reread()
-	if left := s.proxy.diameter.keys.Left(); left < 98*time.Hour {
+	if left := s.proxy.diameter.keys.Remaining(); left < 98*time.Hour {
 		t.Errorf("%v left after the change", left)
 	}
 	if o := client(theirs).Claim(t.Context(), 1); o.Code != diameter.Success {
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -53,7 +53,7 @@
 func TestFrozenMemoryFile(t *testing.T) {
 	const kept = "testdata/memory"
 	if *writeFrozen {
-		f := durable.File{Path: kept, Kind: "lapisspread-memory", Form: memoryForm}
+		f := durable.File{Path: kept, Kind: "lapisspread-memory", Version: memoryForm}
 		if err := f.Save(frozenMemory()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -46,7 +46,7 @@
 
 // openMemory reads what the process before has left; what can't be used is not, and the report says why.
 func openMemory(path string, every, most time.Duration) *memory {
-	m := &memory{file: &durable.File{Path: path, Kind: "lapisspread-memory", Form: memoryForm}, every: every, most: most, now: engine.NewClock().Now}
+	m := &memory{file: &durable.File{Path: path, Kind: "lapisspread-memory", Version: memoryForm}, every: every, most: most, now: engine.NewClock().Now}
 	var before learned
 	switch err := m.file.Load(&before); {
 	case errors.Is(err, fs.ErrNotExist):
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -195,7 +195,7 @@
 		return "", err
 	}
 	now := s.now.Load()
-	return fmt.Sprintf("%d services, %d routes", len(now.byName), now.table.Rules()), nil
+	return fmt.Sprintf("%d services, %d routes", len(now.byName), now.table.RuleCount()), nil
 }
 
 // reload takes in a new address of discovery, if it is given, and the file of services. A bad one changes nothing.
@@ -287,7 +287,7 @@
 			s.limits.RemoveLeaving(name)
 		})
 	}
-	s.p.log.Info("services", "services", len(next.byName), "routes", next.table.Rules(), "new", len(began))
+	s.p.log.Info("services", "services", len(next.byName), "routes", next.table.RuleCount(), "new", len(began))
 	return nil
 }
 
@@ -312,7 +312,7 @@
 // totals are what the services share: what the file says, and else what the process has.
 func (s *services) totals(l *config.Limits) limiter.Totals {
 	c := &s.p.cfg
-	t := limiter.Totals{Requests: l.InHand, Bytes: l.Bytes, Conns: int64(s.backendPlaces()), Attempts: l.Attempts}
+	t := limiter.Totals{Requests: l.MaxInFlight, Bytes: l.MaxBodyBytes, Conns: int64(s.backendPlaces()), Attempts: l.MaxAttemptRate}
 	if t.Requests == 0 {
 		t.Requests = int64(openSockets * float64(c.Sockets))
 	}
@@ -345,11 +345,11 @@
 			if c.Effect == "safe" {
 				effect = decision.Idempotent
 			}
-			m.Classes = append(m.Classes, decision.Class{Name: plain(c.Name), LatencyObjective: time.Duration(c.Aim), ClientTimeout: time.Duration(c.GiveUp), Idempotency: effect,
-				DeduplicationScope: decision.ScopeAll, LateValueShare: c.Late, PriorityWeight: c.Worth})
+			m.Classes = append(m.Classes, decision.Class{Name: plain(c.Name), LatencyObjective: time.Duration(c.LatencyObjective), ClientTimeout: time.Duration(c.Timeout), Idempotency: effect,
+				DeduplicationScope: decision.ScopeAll, LateValueShare: c.LateValue, PriorityWeight: c.PriorityWeight})
 		}
 	}
-	m.RetryBudgetRatio = spec.Repeats
+	m.RetryBudgetRatio = spec.RetryRatio
 	m.Capabilities.MaxOpenRequests = max(1, int(spec.Share.Cap*float64(m.Capabilities.MaxOpenRequests)))
 	return m
 }
@@ -580,9 +580,9 @@
 	rule, verdict := n.table.Lookup(q)
 	switch verdict {
 	case route.Found:
-	case route.WrongHost:
+	case route.UnknownHost:
 		return nil, &rejection{status: http.StatusMisdirectedRequest, text: verdict.String()}
-	case route.Unclear:
+	case route.AmbiguousPath:
 		return nil, malformed("%v", verdict)
 	default:
 		return nil, &rejection{status: http.StatusNotFound, text: verdict.String()}
--- a/internal/quotalease/statemachine_test.go
+++ b/internal/quotalease/statemachine_test.go
@@ -243,7 +243,7 @@
 	if err == nil || !errors.As(err, r.want) {
 		t.Fatalf("%v, not a %T", err, r.want)
 	}
-	if operatorerror.Of(err) == "" {
+	if operatorerror.AdviceOf(err) == "" {
 		t.Errorf("%v has no advice", err)
 	}
 	if after, _ := log.Outstanding("r"); after != before {
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Reason is what became of one rule in a lookup.
-type Reason struct {
+// Explanation is what became of one rule in a lookup.
+type Explanation struct {
 	Rule    *Rule
 	Matches bool
 	Why     string // it does not match, or lost
@@ -16,13 +16,13 @@
 
 // Explain tells which rule a request gets and why, and what of the others. It looks at each rule by itself, apart
 // from the table: the first reason is the winner's, those that match and lost follow, then the rest.
-func (t *Table) Explain(q *Request) []Reason {
-	var out []Reason
+func (t *Table) Explain(q *Request) []Explanation {
+	var out []Explanation
 	for _, r := range t.rules {
 		why := r.mismatch(q)
-		out = append(out, Reason{r, why == "", why})
+		out = append(out, Explanation{r, why == "", why})
 	}
-	slices.SortStableFunc(out, func(a, b Reason) int {
+	slices.SortStableFunc(out, func(a, b Explanation) int {
 		if a.Matches != b.Matches {
 			if a.Matches {
 				return -1
@@ -45,23 +45,23 @@
 	}
 	if t.fallback != nil {
 		why := "the default: no rule matches"
-		matches := Clear(q.Path)
-		last := Reason{t.fallback, matches, why}
+		matches := UnambiguousPath(q.Path)
+		last := Explanation{t.fallback, matches, why}
 		if len(out) > 0 && out[0].Matches {
 			last.Why = "the default goes last"
 			return append(out, last)
 		}
-		return append([]Reason{last}, out...)
+		return append([]Explanation{last}, out...)
 	}
 	return out
 }
 
 // mismatch says why a rule does not match; empty if it does.
 func (r *Rule) mismatch(q *Request) string {
-	if !Clear(q.Path) {
-		return Unclear.String()
+	if !UnambiguousPath(q.Path) {
+		return AmbiguousPath.String()
 	}
-	var room [mostHost + 1]byte
+	var room [maxHostBytes + 1]byte
 	host := string(hostOf(&room, q.Host))
 	if suffix, wild := strings.CutPrefix(r.Host, "*."); wild {
 		if !strings.HasSuffix(host, "."+suffix) {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -52,10 +52,10 @@
 
 // The verdicts.
 const (
-	Found     Verdict = iota
-	NoRoute           // no rule matches (404, RFC 9110, section 15.5.5)
-	WrongHost         // no rule is for that host (421, section 15.5.20)
-	Unclear           // a path that may be read in two ways (400)
+	Found         Verdict = iota
+	NoRoute               // no rule matches (404, RFC 9110, section 15.5.5)
+	UnknownHost           // no rule is for that host (421, section 15.5.20)
+	AmbiguousPath         // a path that may be read in two ways (400)
 )
 
 func (v Verdict) String() string {
@@ -65,33 +65,33 @@
 // Table is compiled rules. Any number of goroutines may use it.
 type Table struct {
 	rules    []*Rule
-	hosts    spread[string, *paths]
-	suffixes spread[string, *paths] // by what follows "*."
-	any      *paths
+	hosts    sharedMap[string, *hostRules]
+	suffixes sharedMap[string, *hostRules] // by what follows "*."
+	any      *hostRules
 	fallback *Rule // takes what no other matches; nil is none
 	expanded int   // combinations of methods, classes and tenants
 }
 
-type paths struct {
-	exact, prefix spread[string, *leaf]
-	any           *leaf
-	by            *edit
+type hostRules struct {
+	exact, prefix sharedMap[string, *pathRules]
+	any           *pathRules
+	by            *revision
 }
 
-// leaf is the rules of one host and path. They are found by what else they ask for, most asked for first.
-type leaf struct {
-	asks []asks
-	by   *edit
+// pathRules is the rules of one host and path. They are found by what else they ask for, most asked for first.
+type pathRules struct {
+	groups []ruleGroup
+	by     *revision
 }
 
-type asks struct {
-	flags flags
-	rules spread[string, *Rule] // by what key gives
+type ruleGroup struct {
+	flags criteria
+	rules sharedMap[string, *Rule] // by what key gives
 }
 
 // key is what a leaf's rules are found by: of one thing that is asked for itself, of several all of them, each but the last with its
 // length before it. Room is for several; more is taken if it doesn't do.
-func (f flags) key(method, class, tenant string, room []byte) (one string, several []byte) {
+func (f criteria) key(method, class, tenant string, room []byte) (one string, several []byte) {
 	switch f {
 	case 0:
 		return "", nil
@@ -114,30 +114,30 @@
 	return "", room
 }
 
-// flags say what a rule asks for beside host and path. A higher value goes first.
-type flags uint8
+// criteria say what a rule asks for beside host and path. A higher value goes first.
+type criteria uint8
 
 const (
-	byMethod flags = 1 << iota
+	byMethod criteria = 1 << iota
 	byClass
 	byTenant
 )
 
 // Bounds on rules: a slip should say so, not fill the memory.
 const (
-	MostRules    = 200_000
-	mostExpanded = 2_000_000 // combinations of methods, classes and tenants
-	mostHost     = 253       // RFC 1035, section 2.3.4, without the trailing dot
+	MaxRules     = 200_000
+	maxExpanded  = 2_000_000 // combinations of methods, classes and tenants
+	maxHostBytes = 253       // RFC 1035, section 2.3.4, without the trailing dot
 )
 
 // Compile makes a table. Fallback names the service that takes what no rule matches; empty is none. Errors name
 // the rule, by its place and name, and all that is wrong is told at once.
 func Compile(rules []Rule, fallback string) (*Table, error) {
-	if len(rules) > MostRules {
-		return nil, fmt.Errorf("%d rules; %d are the most", len(rules), MostRules)
+	if len(rules) > MaxRules {
+		return nil, fmt.Errorf("%d rules; %d are the most", len(rules), MaxRules)
 	}
-	t := &Table{rules: make([]*Rule, len(rules)), any: &paths{}}
-	e := &edit{}
+	t := &Table{rules: make([]*Rule, len(rules)), any: &hostRules{}}
+	e := &revision{}
 	var errs []error
 	names := map[string]int{}
 	places := map[*Rule]int{}
@@ -156,8 +156,8 @@
 			continue
 		}
 		t.expanded += r.combinations()
-		if t.expanded > mostExpanded {
-			return nil, fmt.Errorf("route[%d] %q: the rules come to more than %d combinations of methods, classes and tenants", i, r.Name, mostExpanded)
+		if t.expanded > maxExpanded {
+			return nil, fmt.Errorf("route[%d] %q: the rules come to more than %d combinations of methods, classes and tenants", i, r.Name, maxExpanded)
 		}
 		if other := t.add(e, r); other != nil {
 			errs = append(errs, fmt.Errorf("route[%d] %q: ties with route[%d] %q: a request can match both, and neither goes before the other",
@@ -167,11 +167,11 @@
 	if len(errs) > 0 {
 		return nil, errors.Join(errs...)
 	}
-	return t.Otherwise(fallback), nil
+	return t.WithFallback(fallback), nil
 }
 
-// Otherwise gives the same table with another service for what no rule matches; empty is none.
-func (t *Table) Otherwise(fallback string) *Table {
+// WithFallback gives the same table with another service for what no rule matches; empty is none.
+func (t *Table) WithFallback(fallback string) *Table {
 	next := *t
 	next.fallback = nil
 	if fallback != "" {
@@ -180,9 +180,9 @@
 	return &next
 }
 
-// With gives the table with rules set, by their names, and without those gone. A rule that is there keeps its place, a new one goes
+// WithChanges gives the table with rules set, by their names, and without those gone. A rule that is there keeps its place, a new one goes
 // to the end. The verdicts and errors are those of Compile of the outcome; what did not change is shared. The table stays as it is.
-func (t *Table) With(set []Rule, gone []string) (*Table, error) {
+func (t *Table) WithChanges(set []Rule, gone []string) (*Table, error) {
 	type change struct {
 		rule *Rule // nil: gone
 		done bool
@@ -203,7 +203,7 @@
 	delete(changes, "")
 	next := &Table{rules: make([]*Rule, 0, len(t.rules)+len(set)), hosts: t.hosts.share(), suffixes: t.suffixes.share(), any: t.any,
 		fallback: t.fallback, expanded: t.expanded}
-	e := &edit{}
+	e := &revision{}
 	for _, r := range t.rules {
 		c := changes[r.Name]
 		if c == nil {
@@ -235,7 +235,7 @@
 		}
 	}
 	next.rules = append(next.rules, unnamed...)
-	if len(unnamed) > 0 || len(next.rules) > MostRules {
+	if len(unnamed) > 0 || len(next.rules) > MaxRules {
 		return whole()
 	}
 	for i := range set {
@@ -243,7 +243,7 @@
 		if r.check() != nil {
 			return whole()
 		}
-		if next.expanded += r.combinations(); next.expanded > mostExpanded || next.add(e, r) != nil {
+		if next.expanded += r.combinations(); next.expanded > maxExpanded || next.add(e, r) != nil {
 			return whole()
 		}
 	}
@@ -262,9 +262,9 @@
 		return errors.New("path and path_prefix are both given")
 	case r.Host != "" && !plainHost(host):
 		return fmt.Errorf("host: %q is neither a host name in small letters nor *. and one", r.Host)
-	case r.Path != "" && !Clear(r.Path):
+	case r.Path != "" && !UnambiguousPath(r.Path):
 		return fmt.Errorf("path: %q does not begin with /, or has empty or dot segments", r.Path)
-	case r.PathPrefix != "" && (!Clear(r.PathPrefix) || r.PathPrefix != "/" && strings.HasSuffix(r.PathPrefix, "/")):
+	case r.PathPrefix != "" && (!UnambiguousPath(r.PathPrefix) || r.PathPrefix != "/" && strings.HasSuffix(r.PathPrefix, "/")):
 		return fmt.Errorf("path_prefix: %q does not begin with /, ends with it, or has empty or dot segments", r.PathPrefix)
 	case len(r.To) == 0:
 		return errors.New("to: no service is named")
@@ -293,7 +293,7 @@
 }
 
 func plainHost(h string) bool {
-	if h == "" || len(h) > mostHost || strings.HasPrefix(h, ".") || strings.HasSuffix(h, ".") || strings.Contains(h, "..") {
+	if h == "" || len(h) > maxHostBytes || strings.HasPrefix(h, ".") || strings.HasSuffix(h, ".") || strings.Contains(h, "..") {
 		return false
 	}
 	for i := range len(h) {
@@ -305,9 +305,9 @@
 	return true
 }
 
-// Clear tells whether a path can be read in one way only: it begins with a slash and has neither empty nor dot
+// UnambiguousPath tells whether a path can be read in one way only: it begins with a slash and has neither empty nor dot
 // segments (RFC 3986, section 3.3), except that it may end with a slash.
-func Clear(path string) bool {
+func UnambiguousPath(path string) bool {
 	if path == "" || path[0] != '/' {
 		return false
 	}
@@ -326,8 +326,8 @@
 }
 
 // flags say what a rule asks for.
-func (r *Rule) flags() flags {
-	var f flags
+func (r *Rule) flags() criteria {
+	var f criteria
 	if len(r.Methods) > 0 {
 		f |= byMethod
 	}
@@ -341,17 +341,17 @@
 }
 
 // leafOf is the rules of a rule's host and path, for an edit to change.
-func (t *Table) leafOf(e *edit, r *Rule) *leaf {
-	own := func(p *paths) *paths {
+func (t *Table) leafOf(e *revision, r *Rule) *pathRules {
+	own := func(p *hostRules) *hostRules {
 		switch {
 		case p == nil:
-			return &paths{by: e}
+			return &hostRules{by: e}
 		case p.by != e:
-			return &paths{p.exact.share(), p.prefix.share(), p.any, e}
+			return &hostRules{p.exact.share(), p.prefix.share(), p.any, e}
 		}
 		return p
 	}
-	var p *paths
+	var p *hostRules
 	if suffix, wild := strings.CutPrefix(r.Host, "*."); wild {
 		old, _ := t.suffixes.get(suffix, hashOfString)
 		if p = own(old); p != old {
@@ -366,7 +366,7 @@
 		p = own(t.any)
 		t.any = p
 	}
-	in := func(m *spread[string, *leaf], path string) *leaf {
+	in := func(m *sharedMap[string, *pathRules], path string) *pathRules {
 		old, _ := m.get(path, hashOfString)
 		l := old.own(e)
 		if l != old {
@@ -385,16 +385,16 @@
 }
 
 // own gives a leaf for an edit to change.
-func (l *leaf) own(e *edit) *leaf {
+func (l *pathRules) own(e *revision) *pathRules {
 	switch {
 	case l == nil:
-		return &leaf{by: e}
+		return &pathRules{by: e}
 	case l.by == e:
 		return l
 	}
-	next := &leaf{make([]asks, len(l.asks)), e}
-	for i := range l.asks {
-		next.asks[i] = asks{l.asks[i].flags, l.asks[i].rules.share()}
+	next := &pathRules{make([]ruleGroup, len(l.groups)), e}
+	for i := range l.groups {
+		next.groups[i] = ruleGroup{l.groups[i].flags, l.groups[i].rules.share()}
 	}
 	return next
 }
@@ -418,18 +418,18 @@
 	}
 }
 
-func (l *leaf) place(f flags) (int, bool) {
-	return slices.BinarySearchFunc(l.asks, f, func(a asks, f flags) int { return int(f) - int(a.flags) })
+func (l *pathRules) place(f criteria) (int, bool) {
+	return slices.BinarySearchFunc(l.groups, f, func(a ruleGroup, f criteria) int { return int(f) - int(a.flags) })
 }
 
 // add enters a rule and gives one that it ties with, or nil.
-func (t *Table) add(e *edit, r *Rule) (tie *Rule) {
+func (t *Table) add(e *revision, r *Rule) (tie *Rule) {
 	l, f := t.leafOf(e, r), r.flags()
 	k, there := l.place(f)
 	if !there {
-		l.asks = slices.Insert(l.asks, k, asks{flags: f})
+		l.groups = slices.Insert(l.groups, k, ruleGroup{flags: f})
 	}
-	m := &l.asks[k].rules
+	m := &l.groups[k].rules
 	r.keys(func(key string) bool {
 		if tie, _ = m.get(key, hashOfString); tie == nil {
 			m.set(e, key, r, hashOfString)
@@ -440,10 +440,10 @@
 }
 
 // remove takes a rule out that is there, and what is empty without it.
-func (t *Table) remove(e *edit, r *Rule) {
+func (t *Table) remove(e *revision, r *Rule) {
 	l, f := t.leafOf(e, r), r.flags()
 	k, _ := l.place(f)
-	m := &l.asks[k].rules
+	m := &l.groups[k].rules
 	r.keys(func(key string) bool {
 		m.remove(e, key, hashOfString)
 		return true
@@ -451,7 +451,7 @@
 	if m.n > 0 {
 		return
 	}
-	if l.asks = slices.Delete(l.asks, k, k+1); len(l.asks) > 0 {
+	if l.groups = slices.Delete(l.groups, k, k+1); len(l.groups) > 0 {
 		return
 	}
 	hosts, host := &t.hosts, r.Host
@@ -484,10 +484,10 @@
 
 // Lookup finds the rule for a request. It allocates nothing.
 func (t *Table) Lookup(q *Request) (*Rule, Verdict) {
-	if !Clear(q.Path) {
-		return nil, Unclear
+	if !UnambiguousPath(q.Path) {
+		return nil, AmbiguousPath
 	}
-	var room [mostHost + 1]byte
+	var room [maxHostBytes + 1]byte
 	host := hostOf(&room, q.Host)
 	known := false
 	if p := hostAt(&t.hosts, host); p != nil {
@@ -518,15 +518,15 @@
 		return t.fallback, Found
 	}
 	if !known && t.any.empty() {
-		return nil, WrongHost
+		return nil, UnknownHost
 	}
 	return nil, NoRoute
 }
 
-func (p *paths) empty() bool { return p.any == nil && p.exact.n == 0 && p.prefix.n == 0 }
+func (p *hostRules) empty() bool { return p.any == nil && p.exact.n == 0 && p.prefix.n == 0 }
 
 // hostAt is get for a host, which is no string yet.
-func hostAt(s *spread[string, *paths], host []byte) *paths {
+func hostAt(s *sharedMap[string, *hostRules], host []byte) *hostRules {
 	switch len(s.parts) {
 	case 0:
 		return nil
@@ -537,7 +537,7 @@
 }
 
 // leafAt is get for a path, without a call in the way where there is one part.
-func leafAt(s *spread[string, *leaf], path string) *leaf {
+func leafAt(s *sharedMap[string, *pathRules], path string) *pathRules {
 	switch len(s.parts) {
 	case 0:
 		return nil
@@ -548,12 +548,12 @@
 }
 
 // hostOf writes a host without port, trailing dot and case into room. One that is too long is no host.
-func hostOf(room *[mostHost + 1]byte, host string) []byte {
+func hostOf(room *[maxHostBytes + 1]byte, host string) []byte {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && strings.IndexByte(host[i:], ']') < 0 {
 		host = host[:i]
 	}
 	host = strings.TrimSuffix(host, ".")
-	if len(host) > mostHost {
+	if len(host) > maxHostBytes {
 		return nil
 	}
 	for i := range len(host) {
@@ -566,7 +566,7 @@
 	return room[:len(host)]
 }
 
-func (p *paths) find(q *Request) *Rule {
+func (p *hostRules) find(q *Request) *Rule {
 	if l := leafAt(&p.exact, q.Path); l != nil {
 		if r := l.find(q); r != nil {
 			return r
@@ -594,10 +594,10 @@
 	return nil
 }
 
-func (l *leaf) find(q *Request) *Rule {
+func (l *pathRules) find(q *Request) *Rule {
 	var room [128]byte
-	for i := range l.asks {
-		a := &l.asks[i]
+	for i := range l.groups {
+		a := &l.groups[i]
 		one, several := a.flags.key(q.Method, q.Class, q.Tenant, room[:0])
 		part := a.rules.parts[0] // there is one: no rule, no asks
 		if n := len(a.rules.parts); n > 1 {
@@ -675,5 +675,5 @@
 	return slices.Compact(names)
 }
 
-// Rules gives how many rules the table holds, without the default.
-func (t *Table) Rules() int { return len(t.rules) }
+// RuleCount gives how many rules the table holds, without the default.
+func (t *Table) RuleCount() int { return len(t.rules) }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -69,9 +69,9 @@
 		host, path string
 		want       Verdict
 	}{
-		{"a.org", "/x/y", Found}, {"a.org", "/y", NoRoute}, {"b.org", "/x", WrongHost}, {"", "/x", WrongHost},
-		{"a.org", "/x/../y", Unclear}, {"a.org", "//x", Unclear}, {"a.org", "/x/./y", Unclear}, {"a.org", "*", Unclear}, {"a.org", "", Unclear},
-		{strings.Repeat("a", 300) + ".org", "/x", WrongHost},
+		{"a.org", "/x/y", Found}, {"a.org", "/y", NoRoute}, {"b.org", "/x", UnknownHost}, {"", "/x", UnknownHost},
+		{"a.org", "/x/../y", AmbiguousPath}, {"a.org", "//x", AmbiguousPath}, {"a.org", "/x/./y", AmbiguousPath}, {"a.org", "*", AmbiguousPath}, {"a.org", "", AmbiguousPath},
+		{strings.Repeat("a", 300) + ".org", "/x", UnknownHost},
 	} {
 		if _, v := table.Lookup(&Request{Host: k.host, Path: k.path}); v != k.want {
 			t.Errorf("%s %s: %v, want %v", k.host, k.path, v, k.want)
--- a/internal/route/spread.go
+++ b/internal/route/spread.go
@@ -2,16 +2,16 @@
 
 import "hash/maphash"
 
-// spread is a map of which another version can be made at the cost of what changes: its entries are spread over parts by their
+// sharedMap is a map of which another version can be made at the cost of what changes: its entries are spread over parts by their
 // hash, and versions share the parts that are the same.
-type spread[K comparable, V any] struct {
-	parts []map[K]V // a power of two of them, or none
-	by    []*edit   // which made each
-	n     int       // entries
+type sharedMap[K comparable, V any] struct {
+	parts []map[K]V   // a power of two of them, or none
+	by    []*revision // which made each
+	n     int         // entries
 }
 
-// edit is the making of one table. What it made it may change; all else is shared.
-type edit struct{ _ byte }
+// revision is the making of one table. What it made it may change; all else is shared.
+type revision struct{ _ byte }
 
 // partEntries is how many entries a part holds about, half or twice as many at times.
 const partEntries = 256
@@ -21,18 +21,18 @@
 func hashOfString(s string) uint64 { return maphash.String(seed, s) }
 
 // share gives the same entries to another version.
-func (s *spread[K, V]) share() spread[K, V] {
-	return spread[K, V]{append([]map[K]V(nil), s.parts...), append([]*edit(nil), s.by...), s.n}
+func (s *sharedMap[K, V]) share() sharedMap[K, V] {
+	return sharedMap[K, V]{append([]map[K]V(nil), s.parts...), append([]*revision(nil), s.by...), s.n}
 }
 
-func (s *spread[K, V]) index(k K, hash func(K) uint64) int {
+func (s *sharedMap[K, V]) index(k K, hash func(K) uint64) int {
 	if len(s.parts) <= 1 {
 		return 0
 	}
 	return int(hash(k) & uint64(len(s.parts)-1))
 }
 
-func (s *spread[K, V]) get(k K, hash func(K) uint64) (v V, there bool) {
+func (s *sharedMap[K, V]) get(k K, hash func(K) uint64) (v V, there bool) {
 	if s.n > 0 {
 		v, there = s.parts[s.index(k, hash)][k]
 	}
@@ -40,9 +40,9 @@
 }
 
 // own gives the part of a key, for an edit to change.
-func (s *spread[K, V]) own(e *edit, k K, hash func(K) uint64) map[K]V {
+func (s *sharedMap[K, V]) own(e *revision, k K, hash func(K) uint64) map[K]V {
 	if len(s.parts) == 0 {
-		s.parts, s.by = []map[K]V{{}}, []*edit{e}
+		s.parts, s.by = []map[K]V{{}}, []*revision{e}
 	}
 	i := s.index(k, hash)
 	if s.by[i] != e {
@@ -55,7 +55,7 @@
 	return s.parts[i]
 }
 
-func (s *spread[K, V]) set(e *edit, k K, v V, hash func(K) uint64) {
+func (s *sharedMap[K, V]) set(e *revision, k K, v V, hash func(K) uint64) {
 	m := s.own(e, k, hash)
 	before := len(m)
 	m[k] = v
@@ -63,7 +63,7 @@
 	if s.n <= 2*partEntries*len(s.parts) {
 		return
 	}
-	wider := spread[K, V]{parts: make([]map[K]V, 4*len(s.parts)), by: make([]*edit, 4*len(s.parts)), n: s.n}
+	wider := sharedMap[K, V]{parts: make([]map[K]V, 4*len(s.parts)), by: make([]*revision, 4*len(s.parts)), n: s.n}
 	for i := range wider.parts {
 		wider.parts[i], wider.by[i] = map[K]V{}, e
 	}
@@ -75,7 +75,7 @@
 	*s = wider
 }
 
-func (s *spread[K, V]) remove(e *edit, k K, hash func(K) uint64) {
+func (s *sharedMap[K, V]) remove(e *revision, k K, hash func(K) uint64) {
 	if _, there := s.get(k, hash); there {
 		delete(s.own(e, k, hash), k)
 		s.n--
--- a/internal/route/with_test.go
+++ b/internal/route/with_test.go
@@ -76,8 +76,8 @@
 			}
 		}
 	}
-	if a.Rules() != b.Rules() || !slices.Equal(a.Services(), b.Services()) || a.expanded != b.expanded {
-		return fmt.Sprintf("%d rules to %v and %d to %v", a.Rules(), a.Services(), b.Rules(), b.Services())
+	if a.RuleCount() != b.RuleCount() || !slices.Equal(a.Services(), b.Services()) || a.expanded != b.expanded {
+		return fmt.Sprintf("%d rules to %v and %d to %v", a.RuleCount(), a.Services(), b.RuleCount(), b.Services())
 	}
 	return ""
 }
@@ -118,7 +118,7 @@
 			}
 			next := outcome(rules, set, gone)
 			want, wantErr := Compile(next, fallback)
-			got, err := now.With(set, gone)
+			got, err := now.WithChanges(set, gone)
 			if wrong := sameTable(now, was); wrong != "" {
 				t.Fatalf("seed %d, step %d: the table before was changed: %s", seed, step, wrong)
 			}
@@ -192,7 +192,7 @@
 			has[i] = step + 1
 			set = append(set, made(i, step+1))
 		}
-		if now, err = now.With(set, gone); err != nil {
+		if now, err = now.WithChanges(set, gone); err != nil {
 			t.Fatal(err)
 		}
 		check := func(table *Table, i, number int) {
@@ -221,9 +221,9 @@
 		t.Fatal(err)
 	}
 	full := *now
-	full.expanded = mostExpanded // as if the others stood in it too
+	full.expanded = maxExpanded // as if the others stood in it too
 	b := Rule{Name: "b", Host: "b.org", Methods: words, Tenants: words, To: to("a")}
-	if _, err := full.With([]Rule{b}, []string{"a"}); err != nil {
+	if _, err := full.WithChanges([]Rule{b}, []string{"a"}); err != nil {
 		t.Errorf("in place of the other: %v", err)
 	}
 	many := make([]string, 1500)
@@ -231,17 +231,17 @@
 		many[i] = fmt.Sprint(i)
 	}
 	b.Methods, b.Tenants = many, many
-	if _, err := now.With([]Rule{b}, nil); err == nil || !strings.Contains(err.Error(), "combinations") {
+	if _, err := now.WithChanges([]Rule{b}, nil); err == nil || !strings.Contains(err.Error(), "combinations") {
 		t.Errorf("too many combinations: %v", err)
 	}
-	rules := make([]Rule, MostRules)
+	rules := make([]Rule, MaxRules)
 	for i := range rules {
 		rules[i] = Rule{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.org", i), To: to("a")}
 	}
-	if _, err := now.With(rules, nil); err == nil || !strings.Contains(err.Error(), "are the most") {
+	if _, err := now.WithChanges(rules, nil); err == nil || !strings.Contains(err.Error(), "are the most") {
 		t.Errorf("too many rules: %v", err)
 	}
-	if now, err = now.With(rules, []string{"a"}); err != nil || now.Rules() != MostRules {
+	if now, err = now.WithChanges(rules, []string{"a"}); err != nil || now.RuleCount() != MaxRules {
 		t.Errorf("as many as may be: %v", err)
 	}
 }
@@ -254,7 +254,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := table.With([]Rule{r}, nil); err != nil {
+				if _, err := table.WithChanges([]Rule{r}, nil); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -18,8 +18,8 @@
 // Version is the form of the file that this program reads.
 const Version = 1
 
-// Span is a time in the file.
-type Span = strictconfig.Span
+// Duration is a time in the file.
+type Duration = strictconfig.Duration
 
 // File is the whole configuration.
 type File struct {
@@ -32,24 +32,24 @@
 
 // Service is a pool with decisions of its own.
 type Service struct {
-	Name      string   `toml:"name"`
-	Discovery string   `toml:"discovery"` // host:port; left out, the list of the process's own discovery is used
-	Kinds     []string `toml:"kinds"`     // of the list, only these kinds of machine; all if left out
-	Cells     []int    `toml:"cells"`     // and only these cells
-	Classes   []Class  `toml:"class"`     // left out, those of the process's settings
-	Upstream  string   `toml:"upstream"`  // what its servers speak: "http", which is also what it is if left out, or "diameter"
-	Share     Share    `toml:"share"`
-	Repeats   float64  `toml:"repeats"` // further attempts, as a share of first tries, 0 to 1; a tenth if left out
+	Name       string   `toml:"name"`
+	Discovery  string   `toml:"discovery"` // host:port; left out, the list of the process's own discovery is used
+	Kinds      []string `toml:"kinds"`     // of the list, only these kinds of machine; all if left out
+	Cells      []int    `toml:"cells"`     // and only these cells
+	Classes    []Class  `toml:"class"`     // left out, those of the process's settings
+	Upstream   string   `toml:"upstream"`  // what its servers speak: "http", which is also what it is if left out, or "diameter"
+	Share      Share    `toml:"share"`
+	RetryRatio float64  `toml:"repeats"` // further attempts, as a share of first tries, 0 to 1; a tenth if left out
 }
 
 // Class is a kind of request of a service.
 type Class struct {
-	Name   string  `toml:"name"`
-	Aim    Span    `toml:"aim"`     // an answer within it earns its whole worth
-	GiveUp Span    `toml:"give_up"` // how long clients wait
-	Effect string  `toml:"effect"`  // "safe" may be repeated, "unsafe" must never run twice
-	Worth  float64 `toml:"worth"`
-	Late   float64 `toml:"late"` // share of the worth that a later answer earns, 0 to 1
+	Name             string   `toml:"name"`
+	LatencyObjective Duration `toml:"aim"`     // an answer within it earns its whole worth
+	Timeout          Duration `toml:"give_up"` // how long clients wait
+	Effect           string   `toml:"effect"`  // "safe" may be repeated, "unsafe" must never run twice
+	PriorityWeight   float64  `toml:"worth"`
+	LateValue        float64  `toml:"late"` // share of the worth that a later answer earns, 0 to 1
 }
 
 // Share is a service's part of the process's limits. Minimums are parts of the total, and all services' together
@@ -62,11 +62,11 @@
 
 // Limits are the process's own, shared by its services.
 type Limits struct {
-	InHand   int64   `toml:"in_hand"`  // requests
-	Bytes    int64   `toml:"bytes"`    // of bodies in hand
-	Attempts float64 `toml:"attempts"` // a second: requests taken, and further attempts; no limit if left out
-	Lend     float64 `toml:"lend"`     // part of an idle minimum that is lent; 0.75 if left out
-	Recall   Span    `toml:"recall"`   // within which what is lent comes back; 3s if left out
+	MaxInFlight    int64    `toml:"in_hand"`  // requests
+	MaxBodyBytes   int64    `toml:"bytes"`    // of bodies in hand
+	MaxAttemptRate float64  `toml:"attempts"` // a second: requests taken, and further attempts; no limit if left out
+	LendRatio      float64  `toml:"lend"`     // part of an idle minimum that is lent; 0.75 if left out
+	RecallDelay    Duration `toml:"recall"`   // within which what is lent comes back; 3s if left out
 }
 
 // Route is a rule: see package route for the order of precedence.
@@ -90,8 +90,8 @@
 
 // Bounds on a file.
 const (
-	MostServices = 256
-	mostBytes    = 16 << 20 // of the file
+	MaxServices  = 256
+	maxFileBytes = 16 << 20 // of the file
 )
 
 // Config is a file that was read and found good.
@@ -102,7 +102,7 @@
 
 // Load reads a file and checks it whole.
 func Load(path string) (*Config, error) {
-	text, err := strictconfig.ReadFile(path, "the services", mostBytes)
+	text, err := strictconfig.ReadFile(path, "the services", maxFileBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 
 // Parse reads the text of a file.
 func Parse(path string, text []byte) (*Config, error) {
-	f := &File{Limits: Limits{Lend: 0.75, Recall: Span(3 * time.Second)}}
+	f := &File{Limits: Limits{LendRatio: 0.75, RecallDelay: Duration(3 * time.Second)}}
 	if err := strictconfig.Decode(path, text, f); err != nil {
 		return nil, err
 	}
@@ -133,16 +133,16 @@
 		return nil, fmt.Errorf("version: %d; this program reads %d", f.Version, Version)
 	}
 	bad(len(f.Services) == 0, "service: none is given")
-	bad(len(f.Services) > MostServices, "service: %d; %d are the most", len(f.Services), MostServices)
+	bad(len(f.Services) > MaxServices, "service: %d; %d are the most", len(f.Services), MaxServices)
 	names := map[string]bool{}
 	for i := range f.Services {
 		s := &f.Services[i]
 		at := fmt.Sprintf("service[%d] %q", i, s.Name)
-		bad(!strictconfig.PlainName(s.Name), "%s: name: wanted small letters, digits and dashes", at)
+		bad(!strictconfig.ValidName(s.Name), "%s: name: wanted small letters, digits and dashes", at)
 		bad(names[s.Name], "%s: name: it is there twice", at)
 		names[s.Name] = true
 		bad(s.Discovery != "" && !strings.Contains(s.Discovery, ":"), "%s: discovery: %q is no host:port", at, s.Discovery)
-		bad(!(s.Repeats >= 0 && s.Repeats <= 1), "%s: repeats: %v is not within 0 and 1", at, s.Repeats)
+		bad(!(s.RetryRatio >= 0 && s.RetryRatio <= 1), "%s: repeats: %v is not within 0 and 1", at, s.RetryRatio)
 		if s.Share.Cap == 0 {
 			s.Share.Cap = 1
 		}
@@ -153,16 +153,16 @@
 			at := fmt.Sprintf("%s: class[%d] %q", at, k, c.Name)
 			bad(c.Name == "" || classes[c.Name], "%s: name: missing or there twice", at)
 			classes[c.Name] = true
-			bad(c.Aim <= 0 || c.GiveUp < c.Aim, "%s: aim %v and give_up %v: wanted 0 < aim <= give_up", at, time.Duration(c.Aim), time.Duration(c.GiveUp))
+			bad(c.LatencyObjective <= 0 || c.Timeout < c.LatencyObjective, "%s: aim %v and give_up %v: wanted 0 < aim <= give_up", at, time.Duration(c.LatencyObjective), time.Duration(c.Timeout))
 			bad(c.Effect != "safe" && c.Effect != "unsafe", "%s: effect: %q is neither safe nor unsafe", at, c.Effect)
-			bad(!(c.Worth >= 0) || !(c.Late >= 0 && c.Late <= 1), "%s: worth %v or late %v is out of range", at, c.Worth, c.Late)
+			bad(!(c.PriorityWeight >= 0) || !(c.LateValue >= 0 && c.LateValue <= 1), "%s: worth %v or late %v is out of range", at, c.PriorityWeight, c.LateValue)
 		}
 	}
 	l := &f.Limits
-	bad(l.InHand < 0 || l.Bytes < 0, "limits: in_hand or bytes is negative")
-	bad(!(l.Attempts >= 0) || math.IsInf(l.Attempts, 0), "limits: attempts: %v a second", l.Attempts)
-	bad(!(l.Lend >= 0 && l.Lend <= 1), "limits: lend: %v is not within 0 and 1", l.Lend)
-	bad(l.Recall <= 0, "limits: recall: %v must be above 0", time.Duration(l.Recall))
+	bad(l.MaxInFlight < 0 || l.MaxBodyBytes < 0, "limits: in_hand or bytes is negative")
+	bad(!(l.MaxAttemptRate >= 0) || math.IsInf(l.MaxAttemptRate, 0), "limits: attempts: %v a second", l.MaxAttemptRate)
+	bad(!(l.LendRatio >= 0 && l.LendRatio <= 1), "limits: lend: %v is not within 0 and 1", l.LendRatio)
+	bad(l.RecallDelay <= 0, "limits: recall: %v must be above 0", time.Duration(l.RecallDelay))
 	if sum := f.minimums(); sum > 1+1e-9 {
 		errs = append(errs, fmt.Errorf("share: the minimums of all services come to %.3f; 1 is all there is", sum))
 	}
@@ -217,7 +217,7 @@
 	return out
 }
 
-// Terms are the terms on which the services share so many units.
-func (f *File) Terms(total int64) processquota.PoolSettings {
-	return processquota.PoolSettings{Total: total, Recall: time.Duration(f.Limits.Recall), Lend: f.Limits.Lend}
+// PoolSettings are the terms on which the services share so many units.
+func (f *File) PoolSettings(total int64) processquota.PoolSettings {
+	return processquota.PoolSettings{Total: total, Recall: time.Duration(f.Limits.RecallDelay), Lend: f.Limits.LendRatio}
 }
--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -56,7 +56,7 @@
 	if r, _ := c.Table.Lookup(&route.Request{Host: "else", Path: "/x"}); r.Pick(7) != "dispatch" {
 		t.Errorf("default: %v", r)
 	}
-	p, err := processquota.NewPool(c.File.Terms(300), c.File.Shares(300))
+	p, err := processquota.NewPool(c.File.PoolSettings(300), c.File.Shares(300))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/staleness/mapping_test.go
+++ b/internal/staleness/mapping_test.go
@@ -42,7 +42,7 @@
 			m := testMap(t)
 			err := m.Report(c.at, c.r)
 			var lie ClaimCannotBeTrue
-			if got := errors.As(err, &lie); got != c.lies || got && (lie.Edge != "e" || operatorerror.Of(err) == "") {
+			if got := errors.As(err, &lie); got != c.lies || got && (lie.Edge != "e" || operatorerror.AdviceOf(err) == "") {
 				t.Errorf("%v", err)
 			}
 			if marked := m.Mark("e") != nil; marked != c.lies {
--- a/internal/staleness/view_test.go
+++ b/internal/staleness/view_test.go
@@ -104,7 +104,7 @@
 		t.Errorf("ended at %v by %v", last, seen)
 	}
 	var blind EdgeBlind
-	if err := v.Trouble(3600*sec, "r"); !errors.As(err, &blind) || !blind.Known || operatorerror.Of(err) == "" {
+	if err := v.Trouble(3600*sec, "r"); !errors.As(err, &blind) || !blind.Known || operatorerror.AdviceOf(err) == "" {
 		t.Errorf("trouble: %v", err)
 	}
 	must(t, v.Heard(3600*sec, "list", News{Version: 2, Whole: true, Changed: servers(10)}))
--- a/internal/strictconfig/strict.go
+++ b/internal/strictconfig/strict.go
@@ -12,16 +12,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Span is a time in a file: "500ms", "2s", "1m30s".
-type Span time.Duration
+// Duration is a time in a file: "500ms", "2s", "1m30s".
+type Duration time.Duration
 
 // UnmarshalText reads a span.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is no span of time such as \"500ms\" or \"2s\"", text)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
@@ -51,8 +51,8 @@
 	return parse(path, text)
 }
 
-// PlainName tells whether a name is of small letters, digits and hyphens, 64 at most.
-func PlainName(name string) bool {
+// ValidName tells whether a name is of small letters, digits and hyphens, 64 at most.
+func ValidName(name string) bool {
 	if name == "" || len(name) > 64 {
 		return false
 	}
--- a/internal/tlskeys/tlskeys.go
+++ b/internal/tlskeys/tlskeys.go
@@ -17,12 +17,12 @@
 
 // Keys are what the files say. They are for any goroutine.
 type Keys struct {
-	files Files
-	now   func() time.Time
-	held  atomic.Pointer[held]
+	files   Files
+	now     func() time.Time
+	current atomic.Pointer[credentials]
 }
 
-type held struct {
+type credentials struct {
 	pair tls.Certificate
 	ca   *x509.CertPool
 }
@@ -59,26 +59,26 @@
 	if !ca.AppendCertsFromPEM(text) {
 		return fmt.Errorf("%s: no certificate in it", k.files.CA)
 	}
-	k.held.Store(&held{pair, ca})
+	k.current.Store(&credentials{pair, ca})
 	return nil
 }
 
-// Left is for how long our certificate holds yet.
-func (k *Keys) Left() time.Duration { return k.held.Load().pair.Leaf.NotAfter.Sub(k.now()) }
+// Remaining is for how long our certificate holds yet.
+func (k *Keys) Remaining() time.Duration { return k.current.Load().pair.Leaf.NotAfter.Sub(k.now()) }
 
-// Server is for connections that come. Each has the keys as they are when it comes.
-func (k *Keys) Server() *tls.Config {
+// ServerConfig is for connections that come. Each has the keys as they are when it comes.
+func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		h := k.held.Load()
+		h := k.current.Load()
 		return &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{h.pair}, ClientAuth: tls.RequireAndVerifyClientCert,
 			ClientCAs: h.ca, Time: k.now}, nil
 	}}
 }
 
-// Client is for a connection that is made to a server whose certificate must have that name. Without a name any is taken whose
+// ClientConfig is for a connection that is made to a server whose certificate must have that name. Without a name any is taken whose
 // certificate one of ours has signed: servers are found by a register that names no hosts.
-func (k *Keys) Client(name string) *tls.Config {
-	h := k.held.Load()
+func (k *Keys) ClientConfig(name string) *tls.Config {
+	h := k.current.Load()
 	c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{h.pair}, RootCAs: h.ca, ServerName: name, Time: k.now}
 	if name == "" {
 		c.InsecureSkipVerify = true // of the name alone: the chain is checked here
@@ -100,18 +100,18 @@
 // Watch reads the files again at each tick where they have changed, and warns of an expiry that is near, until stop is
 // closed.
 func (k *Keys) Watch(tick <-chan time.Time, stop <-chan struct{}, changed func(error), warn func(left time.Duration)) {
-	seen := k.stamp()
+	seen := k.fileStamp()
 	for {
 		select {
 		case <-tick:
 		case <-stop:
 			return
 		}
-		if at := k.stamp(); at != seen {
+		if at := k.fileStamp(); at != seen {
 			seen = at
 			changed(k.Reload())
 		}
-		if left := k.Left(); left < nearExpiry {
+		if left := k.Remaining(); left < nearExpiry {
 			warn(left)
 		}
 	}
@@ -120,8 +120,8 @@
 // nearExpiry is how long before its end a certificate is warned of.
 const nearExpiry = 14 * 24 * time.Hour
 
-// stamp changes with the files.
-func (k *Keys) stamp() string {
+// fileStamp changes with the files.
+func (k *Keys) fileStamp() string {
 	var text string
 	for _, name := range []string{k.files.Certificate, k.files.Key, k.files.CA} {
 		info, err := os.Stat(name)
--- a/internal/tlskeys/tlskeys_test.go
+++ b/internal/tlskeys/tlskeys_test.go
@@ -62,48 +62,48 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := meet(server.Server(), client.Client("server.example")); err != nil {
+	if err := meet(server.ServerConfig(), client.ClientConfig("server.example")); err != nil {
 		t.Error(err)
 	}
-	if err := meet(server.Server(), client.Client("other.example")); err == nil || !strings.Contains(err.Error(), "other.example") {
+	if err := meet(server.ServerConfig(), client.ClientConfig("other.example")); err == nil || !strings.Contains(err.Error(), "other.example") {
 		t.Errorf("another name: %v", err)
 	}
 	stranger, err := Load(files(other.Issue(t, "client.example", time.Hour)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := meet(server.Server(), client.Client("")); err != nil {
+	if err := meet(server.ServerConfig(), client.ClientConfig("")); err != nil {
 		t.Errorf("any name: %v", err)
 	}
-	if err := meet(stranger.Server(), client.Client("")); err == nil || !strings.Contains(err.Error(), "unknown authority") {
+	if err := meet(stranger.ServerConfig(), client.ClientConfig("")); err == nil || !strings.Contains(err.Error(), "unknown authority") {
 		t.Errorf("any name of a stranger: %v", err)
 	}
-	trusting := stranger.Client("server.example")
-	trusting.RootCAs = client.Client("").RootCAs
-	if err := meet(server.Server(), trusting); err == nil || !strings.Contains(err.Error(), "unknown authority") {
+	trusting := stranger.ClientConfig("server.example")
+	trusting.RootCAs = client.ClientConfig("").RootCAs
+	if err := meet(server.ServerConfig(), trusting); err == nil || !strings.Contains(err.Error(), "unknown authority") {
 		t.Errorf("a stranger: %v", err)
 	}
-	if err := meet(server.Server(), &tls.Config{RootCAs: trusting.RootCAs, ServerName: "server.example"}); err == nil {
+	if err := meet(server.ServerConfig(), &tls.Config{RootCAs: trusting.RootCAs, ServerName: "server.example"}); err == nil {
 		t.Error("one without a certificate is taken")
 	}
-	held := server.Server()
+	held := server.ServerConfig()
 	server.now = func() time.Time { return time.Now().Add(2 * time.Hour) }
-	if err := meet(held, client.Client("server.example")); err == nil || !strings.Contains(err.Error(), "expired") {
+	if err := meet(held, client.ClientConfig("server.example")); err == nil || !strings.Contains(err.Error(), "expired") {
 		t.Errorf("an expired one: %v", err)
 	}
 	// A new certificate under the same name of file, and one that is of no use.
 	if err := ca.Replace(t, mine, "client.example", 48*time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	before := client.Left()
-	if err := client.Reload(); err != nil || client.Left() < before+time.Hour {
-		t.Errorf("%v, %v left", err, client.Left())
+	before := client.Remaining()
+	if err := client.Reload(); err != nil || client.Remaining() < before+time.Hour {
+		t.Errorf("%v, %v left", err, client.Remaining())
 	}
 	if err := os.WriteFile(mine.Certificate, []byte("nothing"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := client.Reload(); err == nil || !strings.Contains(err.Error(), mine.Certificate) || client.Left() < before {
-		t.Errorf("a bad file: %v, %v left", err, client.Left())
+	if err := client.Reload(); err == nil || !strings.Contains(err.Error(), mine.Certificate) || client.Remaining() < before {
+		t.Errorf("a bad file: %v, %v left", err, client.Remaining())
 	}
 }
 
@@ -148,8 +148,8 @@
 		t.Fatal(err)
 	}
 	tick <- time.Now()
-	if err := <-changes; err != nil || k.Left() < 999*time.Hour {
-		t.Errorf("%v, %v left", err, k.Left())
+	if err := <-changes; err != nil || k.Remaining() < 999*time.Hour {
+		t.Errorf("%v, %v left", err, k.Remaining())
 	}
 	close(stop)
 	<-ended
