--- a/internal/consensus/node/cluster_test.go
+++ b/internal/consensus/node/cluster_test.go
@@ -19,6 +19,7 @@
 	"lapisspread/internal/consensus"
 	"lapisspread/internal/consensus/node"
 	"lapisspread/internal/consensus/storage"
+	"lapisspread/internal/faultlab/loopbackaddr"
 	"lapisspread/internal/tlskeys"
 )
 
@@ -124,10 +125,9 @@
 		m := &member{id: id, storePath: filepath.Join(dir, fmt.Sprint(id))}
 		c.members = append(c.members, m)
 		c.must(storage.Bootstrap(m.storePath, "f", 1, m.id, []uint64{1, 2, 3}))
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		address, err := loopbackaddr.Addr()
 		c.must(err)
-		m.address = listener.Addr().String()
-		c.must(listener.Close())
+		m.address = address
 		c.urls[m.id] = "http://" + m.address
 		if keys != nil {
 			c.urls[m.id] = "https://" + m.address
