--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -100,7 +100,7 @@
 	Failed           map[string]int64     `json:"failed"`
 	Goroutines       int                  `json:"goroutines"`
 	InFlight         int64                `json:"in_flight"`
-	Limits           map[string]any       `json:"limits"`
+	Limits           any                  `json:"limits"`
 	InvalidLists     int64                `json:"lists_bad"`
 	Rejected         map[string]int64     `json:"refused"`
 	ReloadsFailed    int64                `json:"reloads_failed"`
@@ -111,7 +111,7 @@
 
 // MarshalTotals returns the sums over several services in the form of one, on one line, with each service's own
 // counters and the use of the process's limits beside them. Reloads and invalid lists are those of own.
-func MarshalTotals(own *Counters, services map[string]*Counters, limits map[string]any) ([]byte, error) {
+func MarshalTotals(own *Counters, services map[string]*Counters, limits any) ([]byte, error) {
 	t := totals{
 		Goroutines:    runtime.NumGoroutine(),
 		Limits:        limits,
--- a/internal/processquota/gate.go
+++ b/internal/processquota/gate.go
@@ -6,116 +6,141 @@
 	"slices"
 )
 
-// Gate decides whose requests a service takes as its share of the process runs short: those that are worth most for
-// the time that they hold a place, of tenants that hold less than their part. While there is room enough it lets
-// everyone in.
+// ReserveRatio is the part of a service's capacity in which a Gate admits by density.
+const ReserveRatio = 0.15
+
+// Gate decides which requests a service admits as its part of the process's capacity runs short: those of the classes
+// with the most value for the time that they hold a unit (their density), of tenants that use less than their part.
 //
-// It promises, whatever comes in whatever order:
+// Whatever arrives in whatever order:
 //
-//   - While more than the reserve is free, everyone gets in.
-//   - In the reserve the class of the greatest density gets in to the last place, for each tenant that holds less
-//     than its part; the less dense a class, the earlier it is refused.
-//   - In the reserve a tenant that holds its part already makes way, if another has requests in hand. A tenant alone
-//     has all.
-//   - A tenant under its part, with the densest class, is refused only where nothing is free.
+//   - While more than the reserve is free, every request is admitted.
+//   - Within the reserve, the class of the greatest density is admitted to the last unit, for each tenant below its
+//     part; the lower a class's density, the earlier it is rejected.
+//   - Within the reserve, a tenant that uses its part is rejected if another tenant has requests in flight. A tenant
+//     that is alone may use all.
+//   - A tenant below its part, with the class of the greatest density, is rejected only if nothing is free.
+//
+// It is not safe for concurrent use.
 type Gate struct {
-	ranks   []float64 // by class: the part of the classes that are less dense, 1 for the densest
+	ranks   []float64 // by class: the part of the other densities that are lower, 1 for the greatest
 	weights []float64 // by tenant
-	inUse   []int64   // by tenant
+	inUse   []int64   // by tenant: requests in flight
 }
 
-// GateClass is what of a class a gate goes by.
+// GateClass is what a Gate knows of a class of requests.
 type GateClass struct {
-	PriorityWeight float64 // of an answer in time
-	HoldTime       float64 // for how long a request holds its place, in any unit: its aim will do
+	PriorityWeight float64 // of an answer in time, in any unit
+	HoldTime       float64 // how long a request holds its unit, in any unit; its latency objective will do
 }
 
-// ReserveRatio is the part of a service's places that is kept for what is worth most.
-const ReserveRatio = 0.15
-
-// NewGate makes a gate. weights are the tenants' parts; who has none counts as having the mean of the others. Errors
-// name the class or the tenant by its place.
+// NewGate returns a gate. weights are the parts of the tenants; a weight of 0 counts as the mean of the others. Its
+// error names the invalid class or tenant by its index.
 func NewGate(classes []GateClass, weights []float64) (*Gate, error) {
-	g := &Gate{weights: slices.Clone(weights), inUse: make([]int64, max(1, len(weights)))}
-	density := make([]float64, len(classes))
+	densities := make([]float64, len(classes))
 	for i, c := range classes {
 		if !(c.PriorityWeight >= 0) || !(c.HoldTime > 0) || math.IsInf(c.PriorityWeight+c.HoldTime, 0) {
 			return nil, fmt.Errorf("class %d: worth %v, holds %v", i, c.PriorityWeight, c.HoldTime)
 		}
-		density[i] = c.PriorityWeight / c.HoldTime
+		densities[i] = c.PriorityWeight / c.HoldTime
+	}
+	tenantWeights, err := fillWeights(weights)
+	if err != nil {
+		return nil, err
 	}
-	sum, n := 0.0, 0
+	return &Gate{
+		ranks:   ranks(densities),
+		weights: tenantWeights,
+		inUse:   make([]int64, len(tenantWeights)),
+	}, nil
+}
+
+// fillWeights replaces weights of 0 by the mean of the others. Without any tenant there is one.
+func fillWeights(weights []float64) ([]float64, error) {
+	sum := 0.0
+	given := 0
 	for i, w := range weights {
 		if !(w >= 0) || math.IsInf(w, 0) {
 			return nil, fmt.Errorf("tenant %d: weight %v", i, w)
 		}
 		if w > 0 {
-			sum, n = sum+w, n+1
+			sum += w
+			given++
 		}
 	}
-	for i, w := range g.weights {
+	if len(weights) == 0 {
+		return []float64{defaultWeight}, nil
+	}
+	mean := float64(defaultWeight)
+	if given > 0 {
+		mean = sum / float64(given)
+	}
+	filled := slices.Clone(weights)
+	for i, w := range filled {
 		if w == 0 {
-			g.weights[i] = 1
-			if n > 0 {
-				g.weights[i] = sum / float64(n)
-			}
+			filled[i] = mean
 		}
 	}
-	if len(g.weights) == 0 {
-		g.weights = []float64{1}
-	}
-	distinct := slices.Compact(slices.Sorted(slices.Values(density)))
-	for _, d := range density {
+	return filled, nil
+}
+
+// ranks returns each density's place among all different ones, from 0 for the lowest to 1 for the greatest.
+func ranks(densities []float64) []float64 {
+	distinct := slices.Compact(slices.Sorted(slices.Values(densities)))
+	out := make([]float64, 0, len(densities))
+	for _, density := range densities {
 		rank := 1.0
 		if len(distinct) > 1 {
-			at, _ := slices.BinarySearch(distinct, d)
-			rank = float64(at) / float64(len(distinct)-1)
+			index, _ := slices.BinarySearch(distinct, density)
+			rank = float64(index) / float64(len(distinct)-1)
 		}
-		g.ranks = append(g.ranks, rank)
+		out = append(out, rank)
 	}
-	return g, nil
+	return out
 }
 
-// Admits tells whether a request of a class and a tenant may have one of the room that the service has left, of
-// used+room places that are its own now.
-func (g *Gate) Admits(used, room int64, class, tenant int) bool {
-	if room <= 0 {
+// Admits reports whether a request may have one of the units that the service has available, of used+available units
+// that it may hold now. It changes nothing: call Enter for a request that is admitted.
+func (g *Gate) Admits(used, available int64, class, tenant int) bool {
+	if available <= 0 {
 		return false
 	}
-	places := float64(used + room)
-	kept := ReserveRatio * places
-	if float64(room) > kept {
+	capacity := float64(used + available)
+	reserve := ReserveRatio * capacity
+	if float64(available) > reserve {
 		return true
 	}
-	// The deeper into the reserve, the denser it must be: at its last place only the densest.
-	depth := 1 - float64(room-1)/kept
-	if class < 0 || class >= len(g.ranks) || g.ranks[class] < min(depth, 1) {
+	// At the last unit of the reserve only the greatest density is admitted.
+	requiredRank := min(1-float64(available-1)/reserve, 1)
+	if class < 0 || class >= len(g.ranks) || g.ranks[class] < requiredRank {
 		return false
 	}
-	mine := g.tenantIndex(tenant)
-	active, others := g.weights[mine], false
-	for t, held := range g.inUse {
-		if t != mine && held > 0 {
-			active, others = active+g.weights[t], true
+	own := g.tenantIndex(tenant)
+	activeWeight := g.weights[own]
+	othersActive := false
+	for t, inUse := range g.inUse {
+		if t != own && inUse > 0 {
+			activeWeight += g.weights[t]
+			othersActive = true
 		}
 	}
-	return !others || float64(g.inUse[mine]) < g.weights[mine]/active*places
+	return !othersActive || float64(g.inUse[own]) < g.weights[own]/activeWeight*capacity
 }
 
-// Enter counts a request that was let in, and Leave one that has ended.
+// Enter counts a request that was admitted; Leave must follow when it ends.
 func (g *Gate) Enter(tenant int) { g.inUse[g.tenantIndex(tenant)]++ }
 
-// Leave ends what Enter began.
+// Leave counts a request that has ended.
 func (g *Gate) Leave(tenant int) {
 	if t := g.tenantIndex(tenant); g.inUse[t] > 0 {
 		g.inUse[t]--
 	}
 }
 
-// tenantIndex keeps a number within those that there are: strangers count with the first.
-func (g *Gate) tenantIndex(t int) int {
-	if t < 0 || t >= len(g.inUse) {
+// tenantIndex maps an unknown tenant to the first.
+func (g *Gate) tenantIndex(tenant int) int {
+	if tenant < 0 || tenant >= len(g.inUse) {
 		return 0
 	}
-	return t
+	return tenant
 }
--- a/internal/processquota/gate_test.go
+++ b/internal/processquota/gate_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-func TestGateKeepsTheLastPlacesForWhatIsWorthMost(t *testing.T) {
-	// An old booking is worth as much as a payout but holds its place for eight times as long.
+func TestGateReservesCapacityForTheGreatestDensity(t *testing.T) {
+	// The third class has the weight of the second but holds its unit for eight times as long.
 	g, err := NewGate([]GateClass{{2, 250}, {10, 500}, {10, 4000}}, []float64{3, 1})
 	if err != nil {
 		t.Fatal(err)
@@ -48,29 +48,32 @@
 			}
 		}
 	}
-	for range 90 { // the second tenant's part is a quarter, if the first is there
+	for range 90 { // the second tenant's part is a quarter while the first is active
 		g.Enter(1)
 	}
 	if !g.Admits(90, 10, 1, 1) {
-		t.Error("a tenant alone was refused with room left")
+		t.Error("a tenant that is alone was rejected with units available")
 	}
 	g.Enter(0)
 	if g.Admits(91, 9, 1, 1) || !g.Admits(91, 9, 1, 0) {
-		t.Error("in the reserve, the tenant over its part goes before the other")
+		t.Error("in the reserve, the tenant above its part goes before the other")
 	}
 	if !g.Admits(91, 9, 1, 7) {
-		t.Error("a tenant that nobody knows counts with the first")
+		t.Error("an unknown tenant does not count as the first")
 	}
 }
 
-// Any order of comings and goings keeps the promises of Gate, and those of the pool beneath it.
-func TestGatePromises(t *testing.T) {
+// Any order of events keeps the invariants of Gate, and those of the pool beneath it.
+func TestGateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nc, nt := rapid.IntRange(1, 5).Draw(t, "classes"), rapid.IntRange(1, 4).Draw(t, "tenants")
 		var classes []GateClass
 		best := 0
 		for i := range nc {
-			classes = append(classes, GateClass{float64(rapid.IntRange(1, 10).Draw(t, "worth")), float64(rapid.IntRange(1, 9).Draw(t, "holds"))})
+			classes = append(classes, GateClass{
+				PriorityWeight: float64(rapid.IntRange(1, 10).Draw(t, "weight")),
+				HoldTime:       float64(rapid.IntRange(1, 9).Draw(t, "hold time")),
+			})
 			if classes[i].PriorityWeight/classes[i].HoldTime > classes[best].PriorityWeight/classes[best].HoldTime {
 				best = i
 			}
@@ -85,16 +88,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		total := int64(rapid.IntRange(1, 60).Draw(t, "places"))
+		total := int64(rapid.IntRange(1, 60).Draw(t, "total"))
 		p, err := NewPool(PoolSettings{Total: total, Lend: 1}, map[string]Share{"s": {}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		held := make([]int64, nt)
+		inUse := make([]int64, nt)
 		for range 200 {
 			class, tenant := rapid.IntRange(0, nc-1).Draw(t, "class"), rapid.IntRange(0, nt-1).Draw(t, "tenant")
-			if held[tenant] > 0 && rapid.IntRange(0, 2).Draw(t, "goes") == 0 {
-				held[tenant]--
+			if inUse[tenant] > 0 && rapid.IntRange(0, 2).Draw(t, "leaves") == 0 {
+				inUse[tenant]--
 				g.Leave(tenant)
 				if err := p.Release("s", 1); err != nil {
 					t.Fatal(err)
@@ -102,74 +105,80 @@
 				continue
 			}
 			_, used := p.Total()
-			room := p.Available(0, "s")
-			got := g.Admits(used, room, class, tenant)
+			available := p.Available(0, "s")
+			got := g.Admits(used, available, class, tenant)
 			others := false
-			for i, n := range held {
+			for i, n := range inUse {
 				others = others || i != tenant && n > 0
 			}
-			switch under := float64(held[tenant]) < weights[tenant]/sum*float64(total); {
-			case got && room <= 0:
-				t.Fatal("let in where nothing is free")
-			case !got && float64(room) > ReserveRatio*float64(total):
-				t.Fatalf("refused with %d of %d free", room, total)
-			case !got && room > 0 && class == best && (under || !others):
-				t.Fatalf("the densest class of a tenant that holds %d was refused with %d of %d free", held[tenant], room, total)
+			switch under := float64(inUse[tenant]) < weights[tenant]/sum*float64(total); {
+			case got && available <= 0:
+				t.Fatal("admitted with nothing available")
+			case !got && float64(available) > ReserveRatio*float64(total):
+				t.Fatalf("rejected with %d of %d available", available, total)
+			case !got && available > 0 && class == best && (under || !others):
+				t.Fatalf("the densest class of a tenant that uses %d was rejected with %d of %d available",
+					inUse[tenant], available, total)
 			}
-			if !got && g.Admits(used, room, best, tenant) && classes[class] == classes[best] {
+			if !got && g.Admits(used, available, best, tenant) && classes[class] == classes[best] {
 				t.Fatal("two classes of the same density are not treated alike")
 			}
 			if got {
 				if !p.Acquire(0, "s", 1) {
-					t.Fatal("the pool refused what it said it had")
+					t.Fatal("the pool rejected what it said was available")
 				}
 				g.Enter(tenant)
-				held[tenant]++
+				inUse[tenant]++
 			}
 		}
 	})
 }
 
-// Room says exactly what Take gives, at any state.
-func TestRoomIsWhatTakeGives(t *testing.T) {
+// Available returns exactly what Acquire gives, in any state.
+func TestAvailableIsWhatAcquireGives(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
-		terms := PoolSettings{Total: int64(rapid.IntRange(1, 30).Draw(t, "total")), Recall: 100 * ms, Lend: rapid.Float64Range(0, 1).Draw(t, "lend")}
-		shares, left := map[string]Share{}, terms.Total
+		settings := PoolSettings{
+			Total:  int64(rapid.IntRange(1, 30).Draw(t, "total")),
+			Recall: 100 * ms,
+			Lend:   rapid.Float64Range(0, 1).Draw(t, "lend"),
+		}
+		shares, left := map[string]Share{}, settings.Total
 		for _, n := range names {
 			m := int64(rapid.IntRange(0, int(left)/2).Draw(t, "min"))
 			left -= m
 			shares[n] = Share{Min: m, Weight: float64(rapid.IntRange(1, 4).Draw(t, "weight"))}
 		}
-		type act struct {
-			who string
-			n   int64
+		type event struct {
+			member string
+			n      int64 // acquired, or released if negative
 		}
-		var acts []act
-		for range rapid.IntRange(0, 25).Draw(t, "acts") {
-			acts = append(acts, act{rapid.SampledFrom(names).Draw(t, "who"), int64(rapid.IntRange(-4, 9).Draw(t, "n"))})
+		var events []event
+		for range rapid.IntRange(0, 25).Draw(t, "events") {
+			member := rapid.SampledFrom(names).Draw(t, "member")
+			events = append(events, event{member, int64(rapid.IntRange(-4, 9).Draw(t, "n"))})
 		}
 		build := func() *Pool {
-			p, err := NewPool(terms, shares)
+			p, err := NewPool(settings, shares)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, a := range acts {
-				if a.n < 0 {
-					_ = p.Release(a.who, -a.n)
+			for _, e := range events {
+				if e.n < 0 {
+					_ = p.Release(e.member, -e.n) // it may not hold them
 				} else {
-					p.Acquire(0, a.who, a.n)
+					p.Acquire(0, e.member, e.n)
 				}
 			}
 			return p
 		}
-		who := rapid.SampledFrom(names).Draw(t, "asks")
-		room := build().Available(0, who)
-		if room > 0 && !build().Acquire(0, who, room) {
-			t.Fatalf("%s was told %d and did not get it", who, room)
+		member := rapid.SampledFrom(names).Draw(t, "acquires")
+		available := build().Available(0, member)
+		if available > 0 && !build().Acquire(0, member, available) {
+			t.Fatalf("%d are available to %s, which did not get them", available, member)
 		}
-		if build().Acquire(0, who, room+1) {
-			t.Fatalf("%s was told %d and got one more", who, room)
+		if build().Acquire(0, member, available+1) {
+			t.Fatalf("%d are available to %s, which got one more", available, member)
 		}
 	})
 }
--- a/internal/processquota/pool_test.go
+++ b/internal/processquota/pool_test.go
@@ -1,6 +1,7 @@
 package processquota
 
 import (
+	"errors"
 	"math"
 	"math/rand/v2"
 	"strings"
@@ -12,9 +13,9 @@
 
 const ms = time.Millisecond
 
-func pool(t *testing.T, terms PoolSettings, shares map[string]Share) *Pool {
+func newPool(t *testing.T, settings PoolSettings, shares map[string]Share) *Pool {
 	t.Helper()
-	p, err := NewPool(terms, shares)
+	p, err := NewPool(settings, shares)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,18 +44,21 @@
 }
 
 func TestLendingAndRecall(t *testing.T) {
-	p := pool(t, PoolSettings{Total: 10, Recall: time.Second, Lend: 0.5}, map[string]Share{"pay": {Min: 4}, "dispatch": {Min: 4}})
+	p := newPool(t, PoolSettings{Total: 10, Recall: time.Second, Lend: 0.5},
+		map[string]Share{"pay": {Min: 4}, "dispatch": {Min: 4}})
 	n := 0
 	for p.Acquire(0, "dispatch", 1) {
 		n++
 	}
-	if n != 8 { // all but the half of pay's minimum that is never lent
+	if n != 8 { // all but the part of pay's minimum that is never lent
 		t.Errorf("dispatch took %d of 10, want 8", n)
 	}
-	if !p.Acquire(0, "pay", 1) || !p.Acquire(0, "pay", 1) || p.Acquire(0, "pay", 1) {
-		t.Error("pay has not just its unlent two")
+	for i, want := range []bool{true, true, false} {
+		if got := p.Acquire(0, "pay", 1); got != want {
+			t.Errorf("unit %d of the two of pay that are never lent: %v", i, got)
+		}
 	}
-	// As dispatch gives back, pay goes first: it asks, and is under its minimum.
+	// What dispatch releases goes to pay first, which waits and is under its minimum.
 	if err := p.Release("dispatch", 1); err != nil {
 		t.Fatal(err)
 	}
@@ -62,33 +66,34 @@
 		t.Error("dispatch took what pay is owed")
 	}
 	if !p.Acquire(ms, "pay", 1) {
-		t.Error("pay did not get what came back")
+		t.Error("pay did not get what was released")
 	}
-	// Nobody has asked for pay's last unit for longer than the recall time: it is lent again.
+	// Pay has not acquired for longer than the recall time: its last unit is lent again.
 	if err := p.Release("dispatch", 1); err != nil {
 		t.Fatal(err)
 	}
 	if !p.Acquire(ms+2*time.Second, "dispatch", 1) {
-		t.Error("what nobody wants is not lent")
+		t.Error("an idle unit is not lent")
 	}
-	if err := p.Release("pay", 9); err == nil {
-		t.Error("pay gave back what it does not hold")
+	var releaseErr ReleaseError
+	if err := p.Release("pay", 9); !errors.As(err, &releaseErr) || releaseErr.Units != 9 {
+		t.Errorf("pay released what it does not hold: %v", err)
 	}
 }
 
-func TestChangesUnderUse(t *testing.T) {
-	p := pool(t, PoolSettings{Total: 10, Lend: 1}, map[string]Share{"a": {}, "b": {}})
+func TestReconfigureUnderUse(t *testing.T) {
+	p := newPool(t, PoolSettings{Total: 10, Lend: 1}, map[string]Share{"a": {}, "b": {}})
 	for range 8 {
 		p.Acquire(0, "a", 1)
 	}
 	if err := p.Reconfigure(PoolSettings{Total: 4}, map[string]Share{"b": {Min: 2, Cap: 2}, "c": {}}); err != nil {
 		t.Fatal(err)
 	}
-	if p.Acquire(0, "a", 1) || p.Acquire(0, "b", 1) { // a is gone; what it holds is over the new total
-		t.Error("something was taken over the new total")
+	if p.Acquire(0, "a", 1) || p.Acquire(0, "b", 1) { // a is removed; what it holds is above the new total
+		t.Error("a unit was acquired above the new total")
 	}
 	if err := p.Reconfigure(PoolSettings{Total: 1}, map[string]Share{"b": {Min: 2}}); err == nil {
-		t.Error("a bad change was taken")
+		t.Error("an invalid configuration was accepted")
 	}
 	if err := p.Release("a", 8); err != nil {
 		t.Fatal(err)
@@ -97,25 +102,29 @@
 		t.Error("a is still a member")
 	}
 	if !p.Acquire(0, "b", 2) || p.Acquire(0, "b", 1) || !p.Acquire(0, "c", 2) {
-		t.Error("after the change")
+		t.Error("after Reconfigure")
 	}
 }
 
-// hold is a unit or more that is out.
+// hold is a number of units in use.
 type hold struct {
 	name  string
 	n     int64
 	until time.Duration
 }
 
-// Any order of events keeps the promises of the package.
-func TestPromises(t *testing.T) {
+// Any order of events keeps the invariants of Pool.
+func TestPoolInvariants(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		recall := 100 * ms
-		terms := PoolSettings{Total: int64(rapid.IntRange(6, 40).Draw(t, "total")), Recall: recall, Lend: rapid.Float64Range(0, 1).Draw(t, "lend")}
+		settings := PoolSettings{
+			Total:  int64(rapid.IntRange(6, 40).Draw(t, "total")),
+			Recall: recall,
+			Lend:   rapid.Float64Range(0, 1).Draw(t, "lend"),
+		}
 		shares := map[string]Share{}
-		left := terms.Total
+		left := settings.Total
 		for _, n := range names {
 			m := int64(rapid.IntRange(0, int(left)/2).Draw(t, "min "+n))
 			left -= m
@@ -125,19 +134,19 @@
 			}
 			shares[n] = s
 		}
-		p, err := NewPool(terms, shares)
+		p, err := NewPool(settings, shares)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var holds []hold
 		used := map[string]int64{}
-		asking := map[string]time.Duration{} // since when a member asks at every step and is refused
+		waiting := map[string]time.Duration{} // since when a member acquires in vain at every step
 		now := time.Duration(0)
 		greedy := map[string]bool{}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "events"), 1))
 		for step := range 150 {
 			now += 5 * ms
-			kept := holds[:0]
+			remaining := holds[:0]
 			for _, h := range holds {
 				if h.until <= now {
 					if err := p.Release(h.name, h.n); err != nil {
@@ -145,14 +154,14 @@
 					}
 					used[h.name] -= h.n
 				} else {
-					kept = append(kept, h)
+					remaining = append(remaining, h)
 				}
 			}
-			holds = kept
+			holds = remaining
 			if step%20 == 0 {
 				for _, n := range names {
 					greedy[n] = rng.IntN(2) == 0
-					delete(asking, n)
+					delete(waiting, n)
 				}
 			}
 			for _, i := range rng.Perm(len(names)) {
@@ -161,14 +170,15 @@
 					continue
 				}
 				s := shares[n]
-				unlent := s.Min - int64(terms.Lend*float64(s.Min))
-				refused := false
-				for range terms.Total {
+				neverLent := s.Min - int64(settings.Lend*float64(s.Min))
+				rejected := false
+				for range settings.Total {
 					got := p.Acquire(now, n, 1)
 					if !got {
-						refused = true
-						if used[n] < unlent {
-							t.Fatalf("%s holds %d and was refused; %d of its %d are never lent", n, used[n], unlent, s.Min)
+						rejected = true
+						if used[n] < neverLent {
+							t.Fatalf("%s holds %d and was rejected; %d of its %d are never lent",
+								n, used[n], neverLent, s.Min)
 						}
 						break
 					}
@@ -176,49 +186,52 @@
 					d := time.Duration(1+rng.IntN(int(recall/ms))) * ms
 					holds = append(holds, hold{n, 1, now + d})
 				}
-				if refused && used[n] < s.Min {
-					if since, there := asking[n]; !there {
-						asking[n] = now
+				if rejected && used[n] < s.Min {
+					if since, found := waiting[n]; !found {
+						waiting[n] = now
 					} else if now-since > recall+5*ms {
-						t.Fatalf("%s has asked since %v and holds %d of its %d at %v", n, since, used[n], s.Min, now)
+						t.Fatalf("%s has waited since %v and holds %d of its %d at %v", n, since, used[n], s.Min, now)
 					}
 				} else {
-					delete(asking, n)
+					delete(waiting, n)
 				}
 			}
 			total, all := p.Total()
 			if all > total {
-				t.Fatalf("%d of %d are taken", all, total)
+				t.Fatalf("%d of %d are in use", all, total)
 			}
 			for n, u := range p.Usage(now) {
 				if u.Used != used[n] || u.Cap > 0 && u.Used > u.Cap {
-					t.Fatalf("%s: %+v, %d by our count", n, u, used[n])
+					t.Fatalf("%s: %+v, %d by the test's count", n, u, used[n])
 				}
 			}
 		}
 	})
 }
 
-// Two that always ask come to their weighted shares, whoever was first.
+// Two members that always acquire reach their weighted shares, whoever was first.
 func TestWeights(t *testing.T) {
-	p := pool(t, PoolSettings{Total: 100, Recall: 100 * ms, Lend: 1}, map[string]Share{"a": {Weight: 3}, "b": {Weight: 1}})
+	p := newPool(t, PoolSettings{Total: 100, Recall: 100 * ms, Lend: 1},
+		map[string]Share{"a": {Weight: 3}, "b": {Weight: 1}})
 	var holds []hold
 	used := map[string]int64{}
 	for step := range 200 {
 		now := time.Duration(step) * 10 * ms
-		kept := holds[:0]
+		remaining := holds[:0]
 		for _, h := range holds {
 			if h.until <= now {
-				p.Release(h.name, 1)
+				if err := p.Release(h.name, 1); err != nil {
+					t.Fatal(err)
+				}
 				used[h.name]--
 			} else {
-				kept = append(kept, h)
+				remaining = append(remaining, h)
 			}
 		}
-		holds = kept
-		for _, n := range []string{"b", "a"} { // b asks first
+		holds = remaining
+		for _, n := range []string{"b", "a"} { // b acquires first
 			if n == "a" && step < 20 {
-				continue // and has had all to itself for a while
+				continue // and is alone for a while
 			}
 			for k := 0; p.Acquire(now, n, 1); k++ {
 				used[n]++
@@ -230,85 +243,3 @@
 		t.Errorf("a holds %d, b %d; their weights are 3 and 1", used["a"], used["b"])
 	}
 }
-
-func TestRateKeepsItsPromises(t *testing.T) {
-	names := []string{"a", "b", "c"}
-	rapid.Check(t, func(t *rapid.T) {
-		total := float64(rapid.IntRange(30, 300).Draw(t, "total"))
-		burst := 200 * ms
-		shares := map[string]RateShare{}
-		for _, n := range names {
-			shares[n] = RateShare{Min: total / 3 * rapid.Float64Range(0, 1).Draw(t, "min "+n)}
-		}
-		r, err := NewRateLimiter(total, burst, shares)
-		if err != nil {
-			t.Fatal(err)
-		}
-		taken := map[string]int{}
-		all := 0.0
-		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
-		steady := rapid.SampledFrom(names).Draw(t, "steady") // takes its minimum evenly, the others all they can
-		next := 0.0
-		end := 5 * time.Second
-		for now := time.Duration(0); now < end; now += 2 * ms {
-			for _, i := range rng.Perm(len(names)) {
-				n := names[i]
-				if n == steady {
-					if now > 0 {
-						next += shares[n].Min * 0.002
-					}
-					for ; next >= 1; next-- {
-						ok, after := r.Acquire(now, n)
-						if !ok {
-							t.Fatalf("%s takes its minimum of %.1f a second evenly and was refused at %v, for %v", n, shares[n].Min, now, after)
-						}
-						taken[n]++
-						all++
-					}
-					continue
-				}
-				for range 3 {
-					if ok, _ := r.Acquire(now, n); ok {
-						taken[n]++
-						all++
-					}
-				}
-			}
-		}
-		most := total*end.Seconds() + 2*total*burst.Seconds() + 5
-		if all > most {
-			t.Fatalf("%v were taken, at most %v may be", all, most)
-		}
-	})
-}
-
-func TestRateCapsAndChanges(t *testing.T) {
-	r, err := NewRateLimiter(100, time.Second, map[string]RateShare{"a": {Min: 10, Cap: 20}, "b": {}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	count := func(name string, from, to time.Duration) int {
-		n := 0
-		for now := from; now < to; now += ms {
-			for ok, _ := r.Acquire(now, name); ok; ok, _ = r.Acquire(now, name) {
-				n++
-			}
-		}
-		return n
-	}
-	if n := count("a", 0, 10*time.Second); n < 195 || n > 225 {
-		t.Errorf("a took %d in 10 s; its cap is 20 a second", n)
-	}
-	if ok, after := r.Acquire(10*time.Second, "nobody"); ok || after != 0 {
-		t.Error("a stranger took")
-	}
-	if err := r.Reconfigure(5, time.Second, map[string]RateShare{"a": {Min: 10}}); err == nil {
-		t.Error("minimums over the total were taken")
-	}
-	if err := r.Reconfigure(50, time.Second, map[string]RateShare{"a": {Min: 5}}); err != nil {
-		t.Fatal(err)
-	}
-	if n := count("a", 20*time.Second, 30*time.Second); n < 480 || n > 610 {
-		t.Errorf("a took %d in 10 s, alone at 50 a second", n)
-	}
-}
--- a/internal/processquota/ratelimiter.go
+++ b/internal/processquota/ratelimiter.go
@@ -3,42 +3,55 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"math"
 	"slices"
 	"time"
 )
 
-// RateShare is what a member of a Rate is promised, in units a second.
+const (
+	// sumTolerance is by how much the sum of all minimums may exceed the total, relative to it, because of rounding.
+	sumTolerance = 1e-9
+	// roundingError is what the sum of many small refills may be off by, in units.
+	roundingError = 1e-6
+	// sharedReserve is the part of the shared bucket that is kept for members that borrowed less of late.
+	sharedReserve = 0.5
+)
+
+// RateShare is what a member of a RateLimiter is promised, in units per second.
 type RateShare struct {
-	Min    float64 // that it has whenever it wants it
-	Cap    float64 // that it may have at most; 0 is no cap but the total
-	Weight float64 // of what the others leave idle; 0 counts as 1
+	Min    float64 // that it gets whenever it wants them
+	Cap    float64 // the most that it may get; 0 is no cap but the total
+	Weight float64 // of its part of what the others leave idle; 0 counts as 1
 }
 
-// RateLimiter shares so many units a second: each member has a bucket that fills at its minimum, and what overflows, with
-// what is over all minimums, fills a common one that each may take from, up to its cap.
+// RateLimiter divides a number of units per second. Each member has a token bucket that fills at its minimum. What
+// overflows, and what is above all minimums, fills a shared bucket from which each member may borrow, up to its cap.
 //
-// It promises that over any span no more than the total times the span and one burst is taken, and that a member
-// which takes no more than its minimum, evenly, is never refused.
+// In any period no more units are acquired than the total times the period and one burst. A member that acquires its
+// minimum at an even pace is never rejected. It is not safe for concurrent use.
 type RateLimiter struct {
-	total        float64
+	total        float64 // units per second
 	burst        time.Duration
 	members      map[string]*rateMember
-	order        []*rateMember
+	order        []*rateMember // by name
 	sharedTokens float64
 	refilledAt   time.Duration
-	started      bool
+	started      bool // refilledAt is set
 }
 
+// rateMember is one member of a RateLimiter. Its buckets are in units.
 type rateMember struct {
-	name             string
-	share            RateShare
-	minTokens        float64 // of its minimum
-	capTokens        float64 // what its cap still allows
-	recentlyBorrowed float64 // of the common bucket of late, by weight
+	name      string
+	share     RateShare
+	minTokens float64 // the bucket that fills at its minimum
+	capTokens float64 // the bucket that fills at its cap
+	// recentlyBorrowed is what it borrowed from the shared bucket, divided by its weight; it decays within a burst.
+	recentlyBorrowed float64
 }
 
-// NewRateLimiter makes a rate of so many units a second, of which each bucket holds as many as come in a burst.
+// NewRateLimiter returns a limiter of total units per second. Each bucket holds what flows in within burst, and one
+// unit more. Its error names each invalid member or field.
 func NewRateLimiter(total float64, burst time.Duration, shares map[string]RateShare) (*RateLimiter, error) {
 	r := &RateLimiter{members: map[string]*rateMember{}}
 	if err := r.Reconfigure(total, burst, shares); err != nil {
@@ -47,8 +60,42 @@
 	return r, nil
 }
 
-// Reconfigure sets other figures. What was saved up stays, within the new bounds. A bad change changes nothing.
+// Reconfigure sets new rates and shares. Tokens in the buckets stay, up to the new sizes. On an error, which names
+// each invalid member or field, nothing changes.
 func (r *RateLimiter) Reconfigure(total float64, burst time.Duration, shares map[string]RateShare) error {
+	names := slices.Sorted(maps.Keys(shares))
+	minSum, err := validateRates(total, burst, names, shares)
+	if err != nil {
+		return err
+	}
+	r.total = total
+	r.burst = burst
+	previous := r.members
+	r.members = map[string]*rateMember{}
+	r.order = nil
+	for _, name := range names {
+		share := shares[name]
+		if share.Weight == 0 {
+			share.Weight = defaultWeight
+		}
+		m := previous[name]
+		if m == nil { // a new member starts with full buckets
+			m = &rateMember{name: name, minTokens: math.Inf(1), capTokens: math.Inf(1)}
+		}
+		m.share = share
+		m.minTokens = min(m.minTokens, r.bucketSize(share.Min))
+		m.capTokens = min(m.capTokens, r.bucketSize(m.maxRate(r)))
+		r.members[name] = m
+		r.order = append(r.order, m)
+	}
+	r.sharedTokens = min(r.sharedTokens, r.bucketSize(r.total-minSum))
+	return nil
+}
+
+// validateRates returns the sum of all minimums, or an error that names each invalid member or field.
+func validateRates(
+	total float64, burst time.Duration, names []string, shares map[string]RateShare,
+) (minSum float64, err error) {
 	var errs []error
 	if !(total > 0) || math.IsInf(total, 0) {
 		errs = append(errs, fmt.Errorf("total: %v a second", total))
@@ -56,46 +103,22 @@
 	if burst <= 0 {
 		errs = append(errs, fmt.Errorf("burst: %v", burst))
 	}
-	names := make([]string, 0, len(shares))
-	sum := 0.0
-	for n, s := range shares {
-		names = append(names, n)
-		sum += max(0, s.Min)
-		if !(s.Min >= 0 && s.Cap >= 0 && s.Weight >= 0) || s.Cap > 0 && s.Cap < s.Min || math.IsInf(s.Min+s.Cap+s.Weight, 0) {
-			errs = append(errs, fmt.Errorf("%s: min %v, cap %v, weight %v", n, s.Min, s.Cap, s.Weight))
+	for _, name := range names {
+		s := shares[name]
+		minSum += max(0, s.Min)
+		negative := !(s.Min >= 0 && s.Cap >= 0 && s.Weight >= 0)
+		if negative || s.Cap > 0 && s.Cap < s.Min || math.IsInf(s.Min+s.Cap+s.Weight, 0) {
+			errs = append(errs, fmt.Errorf("%s: min %v, cap %v, weight %v", name, s.Min, s.Cap, s.Weight))
 		}
 	}
-	if sum > total*(1+1e-9) {
-		errs = append(errs, fmt.Errorf("the minimums come to %v a second, the total is %v", sum, total))
+	if minSum > total*(1+sumTolerance) {
+		errs = append(errs, fmt.Errorf("the minimums come to %v a second, the total is %v", minSum, total))
 	}
-	if len(errs) > 0 {
-		return errors.Join(errs...)
-	}
-	slices.Sort(names)
-	r.total, r.burst = total, burst
-	old := r.members
-	r.members, r.order = map[string]*rateMember{}, nil
-	for _, n := range names {
-		s := shares[n]
-		if s.Weight == 0 {
-			s.Weight = 1
-		}
-		m := old[n]
-		if m == nil {
-			m = &rateMember{name: n, minTokens: math.Inf(1), capTokens: math.Inf(1)}
-		}
-		m.share = s
-		m.minTokens = min(m.minTokens, r.bucketSize(s.Min))
-		m.capTokens = min(m.capTokens, r.bucketSize(m.maxRate(r)))
-		r.members[n] = m
-		r.order = append(r.order, m)
-	}
-	r.sharedTokens = min(r.sharedTokens, r.bucketSize(r.total-sum))
-	return nil
+	return minSum, errors.Join(errs...)
 }
 
-// bucketSize is what a bucket that fills at a rate holds at most: one unit and
-// a burst, so that who comes up to a burst late loses nothing.
+// bucketSize returns what a bucket that fills at a rate holds: the burst, and one unit more so that a member which
+// acquires late within a burst loses nothing.
 func (r *RateLimiter) bucketSize(rate float64) float64 {
 	if rate <= 0 {
 		return 0
@@ -103,6 +126,7 @@
 	return 1 + rate*r.burst.Seconds()
 }
 
+// maxRate returns the most that a member may get, in units per second.
 func (m *rateMember) maxRate(r *RateLimiter) float64 {
 	if m.share.Cap > 0 {
 		return m.share.Cap
@@ -110,39 +134,37 @@
 	return r.total
 }
 
-// refill brings all buckets to now.
+// refill fills all buckets up to now.
 func (r *RateLimiter) refill(now time.Duration) {
 	if !r.started {
-		r.started, r.refilledAt = true, now
+		r.started = true
+		r.refilledAt = now
 	}
-	span := (now - r.refilledAt).Seconds()
-	if span <= 0 {
+	elapsed := (now - r.refilledAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
 	r.refilledAt = now
-	left := r.total * span
+	unassigned := r.total * elapsed
 	for _, m := range r.order {
-		got := m.share.Min * span
-		left -= got
-		full := r.bucketSize(m.share.Min)
-		if over := m.minTokens + got - full; over > 0 {
-			m.minTokens = full
-			left += over
+		inflow := m.share.Min * elapsed
+		unassigned -= inflow
+		size := r.bucketSize(m.share.Min)
+		if overflow := m.minTokens + inflow - size; overflow > 0 {
+			m.minTokens = size
+			unassigned += overflow
 		} else {
-			m.minTokens += got
+			m.minTokens += inflow
 		}
-		m.capTokens = min(m.capTokens+m.maxRate(r)*span, r.bucketSize(m.maxRate(r)))
-		m.recentlyBorrowed *= math.Exp(-span / r.burst.Seconds())
+		m.capTokens = min(m.capTokens+m.maxRate(r)*elapsed, r.bucketSize(m.maxRate(r)))
+		m.recentlyBorrowed *= math.Exp(-elapsed / r.burst.Seconds())
 	}
-	r.sharedTokens = min(r.sharedTokens+max(0, left), r.bucketSize(r.total))
+	r.sharedTokens = min(r.sharedTokens+max(0, unassigned), r.bucketSize(r.total))
 }
 
-// roundingError is what sums of many small spans may be off by.
-const roundingError = 1e-6
-
-// Acquire takes a unit for a member, or tells that there is none for it now, and when there will be one of its
-// minimum (0 if that is never).
-func (r *RateLimiter) Acquire(now time.Duration, name string) (ok bool, after time.Duration) {
+// Acquire takes one unit for a member. If there is none now, retryAfter is when there will be one of its minimum, or
+// under its cap if that rejects it; 0 is not known.
+func (r *RateLimiter) Acquire(now time.Duration, name string) (ok bool, retryAfter time.Duration) {
 	m := r.members[name]
 	if m == nil {
 		return false, 0
@@ -150,7 +172,7 @@
 	r.refill(now)
 	switch {
 	case m.capTokens < 1-roundingError:
-		return false, time.Duration((1 - m.capTokens) / m.maxRate(r) * float64(time.Second))
+		return false, refillTime(m.capTokens, m.maxRate(r))
 	case m.minTokens >= 1-roundingError:
 		m.minTokens--
 	case r.sharedTokens >= 1 && r.mayBorrow(m):
@@ -158,26 +180,32 @@
 		m.recentlyBorrowed += 1 / m.share.Weight
 	default:
 		if m.share.Min > 0 {
-			after = time.Duration((1 - m.minTokens) / m.share.Min * float64(time.Second))
+			retryAfter = refillTime(m.minTokens, m.share.Min)
 		}
-		return false, after
+		return false, retryAfter
 	}
 	m.capTokens--
 	return true, 0
 }
 
-// mayBorrow keeps the last half of the common bucket for those that have taken less of it, by weight.
+// refillTime returns how long a bucket takes to hold one token, at a rate per second.
+func refillTime(tokens, rate float64) time.Duration {
+	return time.Duration((1 - tokens) / rate * float64(time.Second))
+}
+
+// mayBorrow keeps the last part of the shared bucket, sharedReserve, for members that borrowed no more than the mean
+// of late, by weight.
 func (r *RateLimiter) mayBorrow(m *rateMember) bool {
-	if r.sharedTokens > r.bucketSize(r.total)/2 || len(r.order) == 1 {
+	if r.sharedTokens > r.bucketSize(r.total)*sharedReserve || len(r.order) == 1 {
 		return true
 	}
 	sum := 0.0
-	n := 0
-	for _, o := range r.order {
-		if o.recentlyBorrowed > 0 || o == m {
-			sum += o.recentlyBorrowed
-			n++
+	borrowers := 0
+	for _, other := range r.order {
+		if other.recentlyBorrowed > 0 || other == m {
+			sum += other.recentlyBorrowed
+			borrowers++
 		}
 	}
-	return m.recentlyBorrowed <= sum/float64(n)+1
+	return m.recentlyBorrowed <= sum/float64(borrowers)+1
 }
--- a/internal/proxy/services_trouble_test.go
+++ b/internal/proxy/services_trouble_test.go
@@ -150,7 +150,7 @@
 // again when the other has gone.
 func TestAChangeAmidAnUpgrade(t *testing.T) {
 	s := newStage(t, twoServices, nil)
-	conns := func() int64 { return s.proxy.services.limits.Report()["connections"].(map[string]any)["total"].(int64) }
+	conns := func() int64 { return s.proxy.services.limits.Report().Conns.Total }
 	whole := conns()
 	s.proxy.services.halve(true)
 	if !s.reload(strings.ReplaceAll(twoServices, "settlement", "payouts")) {
