--- a/internal/policy/merkle/assembly.go
+++ b/internal/policy/merkle/assembly.go
@@ -1,376 +1,264 @@
 package merkle
 
-import (
-	"bytes"
-	"crypto/sha256"
-	"encoding/binary"
-	"math/bits"
-	"slices"
-)
+import "slices"
 
-// Assembly puts content together from pieces, as one who fetches them by name does. It takes a piece only if it is wanted, has
-// the hash that it is wanted by, and can stand where it is wanted. What is there in a tree at hand is not wanted. One goroutine
-// at a time may use it.
+// Assembly puts the tree of a root together from chunks, which may come from anybody and in any order. It accepts a
+// chunk only if its hash is missing and if the chunk can stand where it is missing; what an existing tree has is never
+// missing. Calls on one Assembly are serialized by the caller.
 type Assembly struct {
 	root      Hash
-	existing  *Tree
+	existing  *Tree // nil: nothing exists
 	top       *subtree
-	wanted    map[Hash][]slot
-	order     []Hash          // of wanted, oldest first; those that came are still in it
-	chunks    map[Hash][]byte // that came: one may stand in several places
-	done      *Tree
+	missing   map[Hash][]slot
+	order     []Hash          // of missing, oldest first; hashes that have arrived since are still in it
+	segments  map[Hash][]byte // segments and lists that arrived: one may stand in several places
+	assembled *Tree           // nil until all chunks have arrived
 	mutations mutation
 }
 
-// mutation is a guard taken out, to see that the tests convict.
-type mutation uint8
-
-const (
-	skipHashCheck     mutation = 1 << iota // a piece is taken for the oldest that is wanted, whatever its hash
-	skipPlaceCheck                         // keys may stand anywhere
-	skipShapeCheck                         // leaves and nodes may be of any size
-	skipCompleteCheck                      // a tree is given before all is there
-)
-
-// subtree is a subtree on its way.
+// subtree is a part of the tree that is being assembled.
 type subtree struct {
-	done     *node // from the tree at hand, or put together
-	hash     Hash
-	children *[fanout]*subtree
-	leaf     []incomingItem
-	kind     byte // 0: it did not come yet
+	assembled *node // from the existing tree, or joined; nil until then
+	hash      Hash
+	kind      byte              // 0: its chunk has not arrived
+	items     []incomingItem    // of a leaf
+	children  *[fanout]*subtree // of an inner node
 }
 
+// incomingItem is an item of a leaf that arrived.
 type incomingItem struct {
 	item
-	have  map[Hash][]byte // chunks and lists of its value, as they come; nil if it stands in the leaf
-	named int             // names that its lists hold
+	segments map[Hash][]byte // segments and lists of the value that arrived; nil if the value is complete
+	listed   int             // hashes in the lists that arrived
 }
 
-// slot is where a piece is wanted: a subtree, or a chunk of a value.
+// slot is a place in which a chunk is missing: a subtree, or a segment or list of a value.
 type slot struct {
-	part     *subtree
-	existing *node // the subtree at hand in the same place
-	place    Hash  // the digits that lead here, depth of them
+	subtree  *subtree
+	existing *node // what the existing tree has in the same place
+	position Hash  // the digits that lead to the subtree, as many as its depth
 	depth    int
 
-	value            *incomingItem
-	existingSegments map[Hash][]byte // chunks at hand of the same key
-	level            int
+	value            *incomingItem   // nil if the place is a subtree
+	existingSegments map[Hash][]byte // of the value that the existing tree has under the same key
+	level            int             // of lists above
 }
 
-// NewAssembly begins the content of a root. Has is what is at hand already; nil is nothing.
-func NewAssembly(root Hash, has *Tree) *Assembly {
-	a := &Assembly{root: root, existing: has, top: &subtree{hash: root}, wanted: map[Hash][]slot{}, chunks: map[Hash][]byte{}}
-	s := slot{part: a.top}
-	if has != nil {
-		s.existing = has.top
+// NewAssembly starts the assembly of the tree of a root, from an existing tree if that is not nil.
+func NewAssembly(root Hash, existing *Tree) *Assembly {
+	a := &Assembly{
+		root:     root,
+		existing: existing,
+		top:      &subtree{hash: root},
+		missing:  map[Hash][]slot{},
+		segments: map[Hash][]byte{},
 	}
-	a.want(root, s)
+	a.request(root, slot{subtree: a.top, existing: existing.root()})
 	return a
 }
 
-// Missing gives the names of at most so many pieces that are missing, oldest first; which names they hold is known only when they
-// come, so that more may be wanted then. None is wanted when all is there.
-func (a *Assembly) Missing(most int) []Hash {
-	a.order = slices.DeleteFunc(a.order, func(n Hash) bool { return a.wanted[n] == nil })
-	return slices.Clone(a.order[:min(max(most, 0), len(a.order))])
+// Missing returns the hashes of at most limit missing chunks, oldest first. More may be missing once these have
+// arrived. It returns none when the tree is complete.
+func (a *Assembly) Missing(limit int) []Hash {
+	a.order = slices.DeleteFunc(a.order, func(hash Hash) bool { return a.missing[hash] == nil })
+	return slices.Clone(a.order[:min(max(limit, 0), len(a.order))])
 }
 
-// want enters a place where a piece belongs, unless it is at hand.
-func (a *Assembly) want(n Hash, s slot) {
-	if s.value == nil && s.existing != nil && s.existing.hash == n {
-		s.part.done = s.existing
+// request notes a place in which a chunk belongs, and fills it if the chunk exists.
+func (a *Assembly) request(hash Hash, s slot) {
+	if s.value == nil && s.existing != nil && s.existing.hash == hash {
+		s.subtree.assembled = s.existing
 		return
 	}
-	if s.value != nil {
-		if _, there := s.value.have[n]; there {
-			return
-		}
-		piece, there := s.existingSegments[n]
-		if !there {
-			piece, there = a.chunks[n]
-		}
-		if there && a.chunk(piece, n, s) == "" {
-			return
-		}
+	if s.value != nil && a.fillFromExisting(hash, s) {
+		return
+	}
+	if a.missing[hash] == nil {
+		a.order = append(a.order, hash)
+	}
+	a.missing[hash] = append(a.missing[hash], s)
+}
+
+// fillFromExisting fills the place of a segment or list from the existing value or from another value, if it can.
+func (a *Assembly) fillFromExisting(hash Hash, s slot) bool {
+	if _, ok := s.value.segments[hash]; ok {
+		return true
 	}
-	if a.wanted[n] == nil {
-		a.order = append(a.order, n)
+	chunk, ok := s.existingSegments[hash]
+	if !ok {
+		chunk, ok = a.segments[hash]
 	}
-	a.wanted[n] = append(a.wanted[n], s)
+	return ok && a.addSegment(chunk, hash, s)
 }
 
-// Add takes a piece that is wanted. The piece is kept, not copied. Errors are WrongPiece and Malformed; neither changes anything.
-func (a *Assembly) Add(piece []byte) error {
-	if len(piece) == 0 || len(piece) > MaxChunkBytes {
-		return UnexpectedChunkError{Bytes: len(piece)}
+// Add accepts a missing chunk and keeps its bytes. It returns an UnexpectedChunkError or a MalformedChunkError; neither
+// changes anything.
+func (a *Assembly) Add(chunk []byte) error {
+	if len(chunk) == 0 || len(chunk) > MaxChunkBytes {
+		return UnexpectedChunkError{Bytes: len(chunk)}
 	}
-	n := HashOf(piece)
-	if a.mutations&skipHashCheck != 0 && a.wanted[n] == nil {
-		if w := a.Missing(1); len(w) > 0 {
-			n = w[0]
+	hash := HashOf(chunk)
+	if a.mutated(skipHashCheck) && a.missing[hash] == nil {
+		if oldest := a.Missing(1); len(oldest) > 0 {
+			hash = oldest[0]
 		}
 	}
-	slots := a.wanted[n]
+	slots := a.missing[hash]
 	if slots == nil {
-		return UnexpectedChunkError{n, len(piece)}
+		return UnexpectedChunkError{hash, len(chunk)}
 	}
-	for i := range slots { // all is looked at before anything is taken
-		if why := a.check(piece, &slots[i]); why != "" {
-			return MalformedChunkError{n, why}
+	for i := range slots { // every place is checked before any is filled
+		if fault := a.chunkFault(chunk, &slots[i]); fault != "" {
+			return MalformedChunkError{hash, fault}
 		}
 	}
-	delete(a.wanted, n)
+	delete(a.missing, hash)
 	for _, s := range slots {
-		if s.value != nil {
-			a.chunks[n] = piece
-			a.chunk(piece, n, s)
+		if s.value == nil {
+			a.addSubtree(chunk, s)
 			continue
 		}
-		a.subtree(piece, s)
+		a.segments[hash] = chunk
+		a.addSegment(chunk, hash, s)
 	}
 	return nil
 }
 
-// check says why a piece can't stand in a place; empty if it can.
-func (a *Assembly) check(piece []byte, s *slot) string {
-	if s.value != nil {
-		return s.chunkWrong(piece)
+// addSubtree fills the place of a subtree with a chunk that was checked, and requests what it refers to.
+func (a *Assembly) addSubtree(chunk []byte, s slot) {
+	s.subtree.kind = chunk[0]
+	if s.subtree.kind == kindLeaf {
+		a.addLeaf(chunk, s.subtree)
+		return
 	}
-	switch piece[0] {
-	case kindLeaf:
-		items, ok := decodeLeaf(piece)
-		if !ok {
-			return "it is no leaf in the one form that leaves have"
-		}
-		if len(items) == 0 && s.depth > 0 {
-			return "an empty leaf below the root"
-		}
-		size := 0
-		var last Hash
-		for i := range items {
-			at := place(items[i].key)
-			if a.mutations&skipPlaceCheck == 0 {
-				for d := range s.depth {
-					if at.digit(d) != s.place.digit(d) {
-						return "a key of another place"
-					}
-				}
-				if i > 0 && bytes.Compare(last[:], at[:]) >= 0 {
-					return "keys out of order"
-				}
-			}
-			last = at
-			size += items[i].bytes()
-		}
-		if !isLeaf(len(items), size) && a.mutations&skipShapeCheck == 0 {
-			return "a leaf that should be a node"
-		}
-		return ""
-	case kindNode:
-		_, names, ok := decodeNode(piece)
-		if !ok {
-			return "it is no node in the one form that nodes have"
-		}
-		if s.depth >= maxDepth || len(names) == 0 {
-			return "a node deeper than keys can lie"
+	bitmap, hashes, _ := decodeNode(chunk)
+	s.subtree.children = new([fanout]*subtree)
+	for digit := range fanout {
+		if bitmap>>digit&1 == 0 {
+			continue
 		}
-		return ""
+		child := &subtree{hash: hashes[0]}
+		s.subtree.children[digit] = child
+		inner := slot{subtree: child, existing: s.existing.child(digit), position: s.position, depth: s.depth + 1}
+		inner.position.setDigit(s.depth, digit)
+		a.request(child.hash, inner)
+		hashes = hashes[1:]
 	}
-	return "neither leaf nor node"
 }
 
-func (s *slot) chunkWrong(piece []byte) string {
-	switch piece[0] {
-	case kindSegment:
-		if len(piece) < 2 || len(piece)-1 > maxSegmentBytes {
-			return "a chunk that is empty or too long"
-		}
-		return ""
-	case kindSegmentList:
-		names, ok := listHashes(piece)
-		switch {
-		case !ok:
-			return "it is no list in the one form that lists have"
-		case s.level >= maxListLevels || s.value.named+len(names) > 2*(s.value.segmented.total/minSegmentBytes+1):
-			return "more chunks than the value can have"
+// addLeaf requests the segmented values of a leaf, except those that the existing tree has.
+func (a *Assembly) addLeaf(chunk []byte, leaf *subtree) {
+	leaf.items, _ = decodeLeaf(chunk)
+	for i := range leaf.items {
+		it := &leaf.items[i]
+		if it.segments == nil {
+			continue
 		}
-		return ""
-	}
-	return "neither chunk nor list"
-}
-
-// subtree puts a piece that was checked into its place.
-func (a *Assembly) subtree(piece []byte, s slot) {
-	p := s.part
-	p.kind = piece[0]
-	if p.kind == kindLeaf {
-		p.leaf, _ = decodeLeaf(piece)
-		for i := range p.leaf {
-			it := &p.leaf[i]
-			if it.have == nil {
+		s := slot{value: it}
+		if old := a.existing.find(it.key); old != nil && old.segmented != nil {
+			if old.sameValue(&it.item) {
+				it.segmented = old.segmented
+				it.segments = nil
 				continue
 			}
-			inner := slot{value: it}
-			if o := a.existing.find(it.key); o != nil && o.segmented != nil {
-				if o.equal(&it.item) {
-					it.segmented, it.have = o.segmented, nil
-					continue
-				}
-				inner.existingSegments = o.segmented.byHash()
-			}
-			a.want(it.segmented.root, inner)
-		}
-		return
-	}
-	there, names, _ := decodeNode(piece)
-	p.children = new([fanout]*subtree)
-	for i := range p.children {
-		if there>>i&1 == 0 {
-			continue
+			s.existingSegments = old.segmented.byHash()
 		}
-		p.children[i] = &subtree{hash: names[0]}
-		inner := slot{part: p.children[i], existing: s.existing.counterpart(i), place: s.place, depth: s.depth + 1}
-		inner.place[s.depth/digitsPerByte] |= byte(i) << (digitBits * (digitsPerByte - 1 - s.depth%digitsPerByte))
-		a.want(names[0], inner)
-		names = names[1:]
+		a.request(it.segmented.root, s)
 	}
 }
 
-// chunk puts a chunk or a list into its value; it says why it can't.
-func (a *Assembly) chunk(piece []byte, n Hash, s slot) string {
-	if why := s.chunkWrong(piece); why != "" {
-		return why
+// addSegment adds a segment or a list to its value, and requests what a list names. It returns false if the chunk
+// cannot be one. The check is made here, too: another place of the same chunk may have used up the bound on lists.
+func (a *Assembly) addSegment(chunk []byte, hash Hash, s slot) bool {
+	if s.segmentFault(chunk) != "" {
+		return false
 	}
-	s.value.have[n] = piece
-	if piece[0] == kindSegmentList {
-		names, _ := listHashes(piece)
-		s.value.named += len(names)
-		for _, n := range names {
-			inner := s
-			inner.level++
-			a.want(n, inner)
-		}
+	s.value.segments[hash] = chunk
+	if chunk[0] != kindSegmentList {
+		return true
+	}
+	hashes, _ := decodeList(chunk)
+	s.value.listed += len(hashes)
+	for _, h := range hashes {
+		inner := s
+		inner.level++
+		a.request(h, inner)
 	}
-	return ""
+	return true
 }
 
-// Tree gives the content once all is there. Errors are Incomplete, and Malformed if what came together has not the one shape that
-// its content has.
+// Tree returns the tree once all chunks have arrived. It returns an IncompleteError until then, and a
+// MalformedChunkError if the chunks have not the one shape that their content has.
 func (a *Assembly) Tree() (*Tree, error) {
-	if a.done != nil {
-		return a.done, nil
+	if a.assembled != nil {
+		return a.assembled, nil
 	}
-	if len(a.wanted) > 0 && a.mutations&skipCompleteCheck == 0 {
-		return nil, IncompleteError{a.root, len(a.wanted)}
+	if len(a.missing) > 0 && !a.mutated(skipCompleteCheck) {
+		return nil, IncompleteError{a.root, len(a.missing)}
 	}
 	top, err := a.join(a.top)
 	if err != nil {
 		return nil, err
 	}
-	t := treeOf(top)
-	if t.Root() != a.root && a.mutations == 0 { // no other guard hangs on it
+	t := newTree(top)
+	if t.Root() != a.root && a.mutations == 0 { // with a mutation, the check must be detected by itself
 		return nil, MalformedChunkError{a.root, "what came together has another root"}
 	}
-	a.done = t
+	a.assembled = t
 	return t, nil
 }
 
-// join makes a subtree of what came.
-func (a *Assembly) join(p *subtree) (*node, error) {
+// join makes the node of a subtree.
+func (a *Assembly) join(s *subtree) (*node, error) {
 	switch {
-	case p == nil || p.done == nil && p.kind == 0:
+	case s == nil || s.assembled == nil && s.kind == 0:
 		return nil, nil
-	case p.done != nil:
-		return p.done, nil
-	case p.kind == kindLeaf:
-		items := make([]item, len(p.leaf))
-		for i := range p.leaf {
-			it := &p.leaf[i]
-			if it.have != nil {
-				top := it.segmented.root
-				value, ok := joinSegments(top, it.segmented.total, it.have)
-				if !ok && a.mutations&skipCompleteCheck == 0 {
-					return nil, MalformedChunkError{top, "chunks that don't come to their value"}
-				}
-				if it.segmented = splitValue(value); it.segmented.root != top && a.mutations&(skipShapeCheck|skipCompleteCheck) == 0 {
-					return nil, MalformedChunkError{top, "a value that is cut elsewhere than where it says itself"}
-				}
-			}
-			items[i] = it.item
-		}
-		p.done = newLeaf(items)
-		return p.done, nil
+	case s.assembled != nil:
+		return s.assembled, nil
+	case s.kind == kindLeaf:
+		return a.joinLeaf(s)
 	}
-	kids := new([fanout]*node)
-	for i, k := range p.children {
+	children := new([fanout]*node)
+	for digit, child := range s.children {
 		var err error
-		if kids[i], err = a.join(k); err != nil {
+		if children[digit], err = a.join(child); err != nil {
 			return nil, err
 		}
 	}
-	n := newNode(kids)
-	if isLeaf(n.count, n.bytes) && a.mutations&(skipShapeCheck|skipCompleteCheck) == 0 {
-		return nil, MalformedChunkError{p.hash, "a node that should be a leaf"}
+	n := newNode(children)
+	if isLeafSized(n.count, n.itemBytes) && !a.mutated(skipShapeCheck|skipCompleteCheck) {
+		return nil, MalformedChunkError{s.hash, "a node that should be a leaf"}
 	}
-	p.done = n
+	s.assembled = n
 	return n, nil
 }
 
-// decodeLeaf reads a leaf; ok is false unless it is written in the one form that it has.
-func decodeLeaf(piece []byte) (items []incomingItem, ok bool) {
-	rest := piece[1:]
-	number := func(most int) int {
-		n, size := binary.Uvarint(rest)
-		if size <= 0 || n > uint64(most) || uvarintLen(int(n)) != size {
-			ok = false
-			return 0
-		}
-		rest = rest[size:]
-		return int(n)
-	}
-	take := func(n int) []byte {
-		if n > len(rest) {
-			ok = false
-			return nil
-		}
-		out := rest[:n:n]
-		rest = rest[n:]
-		return out
-	}
-	for ok = true; ok && len(rest) > 0; {
-		var i incomingItem
-		i.key = string(take(number(MaxKeyBytes)))
-		tag := take(1)
-		switch {
-		case !ok:
-		case tag[0] == valueInline:
-			i.value = take(number(maxInlineBytes))
-		case tag[0] == valueSegmented:
-			total := number(MaxValueBytes)
-			top := take(sha256.Size)
-			if !ok || total <= maxInlineBytes {
-				return nil, false
+// joinLeaf makes a leaf and joins its segmented values.
+func (a *Assembly) joinLeaf(s *subtree) (*node, error) {
+	items := make([]item, len(s.items))
+	for i := range s.items {
+		it := &s.items[i]
+		if it.segments != nil {
+			if err := a.joinValue(it); err != nil {
+				return nil, err
 			}
-			i.have = map[Hash][]byte{}
-			i.segmented = &segmentedValue{total: total, root: Hash(top)}
-		default:
-			return nil, false
 		}
-		items = append(items, i)
+		items[i] = it.item
 	}
-	return items, ok
+	s.assembled = newLeaf(items)
+	return s.assembled, nil
 }
 
-// decodeNode reads a node: which there are and their names.
-func decodeNode(piece []byte) (there uint16, names []Hash, ok bool) {
-	if len(piece) < 3 || (len(piece)-3)%sha256.Size != 0 {
-		return 0, nil, false
+// joinValue joins a segmented value. Split again, it must have the same segments.
+func (a *Assembly) joinValue(it *incomingItem) error {
+	root := it.segmented.root
+	value, ok := joinSegments(root, it.segmented.total, it.segments)
+	if !ok && !a.mutated(skipCompleteCheck) {
+		return MalformedChunkError{root, "chunks that don't come to their value"}
 	}
-	there = binary.BigEndian.Uint16(piece[1:])
-	for rest := piece[3:]; len(rest) > 0; rest = rest[sha256.Size:] {
-		names = append(names, Hash(rest))
+	it.segmented = splitValue(value)
+	if it.segmented.root != root && !a.mutated(skipShapeCheck|skipCompleteCheck) {
+		return MalformedChunkError{root, "a value that is cut elsewhere than where it says itself"}
 	}
-	return there, names, bits.OnesCount16(there) == len(names) && int(there)>>fanout == 0
+	return nil
 }
--- a/internal/policy/merkle/assembly_test.go
+++ b/internal/policy/merkle/assembly_test.go
@@ -5,341 +5,252 @@
 	"errors"
 	"fmt"
 	"maps"
+	"math"
 	"math/rand/v2"
 	"slices"
 	"testing"
 )
 
-// bend gives a subtree with one part of it bent, as one who makes content wrong would; nil if there is nothing to bend there.
-type bend func(d drawer, n *node, depth int) *node
+// Bounds of the random assemblies.
+const (
+	randomAssemblies = 300
+	maxAssemblySteps = 100_000
+	randomChunks     = 30_000
+	distortionSeeds  = 60
+	firstDistortSeed = 1000
+	maxChangeWithin  = 4 * MaxChunkBytes // bytes that a change within a long value may cost
+)
+
+// assemblyRun assembles a tree out of chunks of which some are damaged, cut off, foreign or malformed.
+type assemblyRun struct {
+	t          *testing.T
+	random     randomContent
+	seed       uint64
+	content    map[string][]byte
+	tree       *Tree
+	distortion string // how the tree is malformed; empty if it is not
+	foreign    [][]byte
+	chunks     map[Hash][]byte
+	assembly   *Assembly
+
+	violations []string
+	rejected   int  // chunks that were rejected
+	completed  bool // a tree was returned
+}
 
-// bent bends a tree somewhere, and names what is above it anew; nil if that can't be done.
-func (d drawer) bent(n *node, depth int, b bend) *node {
-	if n.children == nil || d.IntN(4) == 0 {
-		return b(d, n, depth)
+func newAssemblyRun(t *testing.T, seed uint64, mutations mutation) *assemblyRun {
+	t.Helper()
+	d := newRandomContent(seed)
+	content := d.content(40 + d.IntN(80))
+	r := &assemblyRun{t: t, random: d, seed: seed, content: content}
+	previous := mustBuild(t, d.items(content))
+	foreignContent := maps.Clone(content)
+	for range 1 + d.IntN(3) {
+		d.change(content)
+		d.change(foreignContent)
 	}
-	at := d.IntN(fanout)
-	for i := range fanout {
-		k := (at + i) % fanout
-		if n.children[k] == nil {
-			continue
-		}
-		if other := d.bent(n.children[k], depth+1, b); other != nil {
-			kids := *n.children
-			kids[k] = other
-			return newNode(&kids)
+	r.tree = mustBuild(t, d.items(content))
+	foreign := mustBuild(t, d.items(foreignContent))
+	if names := slices.Sorted(maps.Keys(distortions)); d.IntN(2) == 0 {
+		name := names[d.IntN(len(names))]
+		top := d.distort(r.tree.top, 0, distortions[name].distort)
+		if top != nil && top.hash != r.tree.top.hash {
+			r.distortion = name
+			r.tree = &Tree{top: top}
 		}
 	}
-	return b(d, n, depth)
+	existing := []*Tree{nil, previous, foreign}[d.IntN(3)]
+	r.assembly = NewAssembly(r.tree.Root(), existing)
+	r.assembly.mutations = mutations
+	r.chunks = maps.Collect(r.tree.Chunks())
+	r.foreign = slices.SortedFunc(maps.Values(maps.Collect(foreign.Chunks())), bytes.Compare)
+	return r
 }
 
-// bends are ways to make content wrong, each with the guard that alone is against it.
-var bends = map[string]struct {
-	guard mutation
-	bend  bend
-}{
-	"children that change places": {skipPlaceCheck, func(d drawer, n *node, _ int) *node {
-		if n.children == nil {
-			return nil
-		}
-		i, j := d.IntN(fanout), d.IntN(fanout)
-		if n.children[i] == n.children[j] {
-			return nil
-		}
-		kids := *n.children
-		kids[i], kids[j] = kids[j], kids[i]
-		return newNode(&kids)
-	}},
-	"a leaf out of order": {skipPlaceCheck, func(_ drawer, n *node, _ int) *node {
-		if len(n.items) < 2 {
-			return nil
-		}
-		items := slices.Clone(n.items)
-		slices.Reverse(items)
-		return newLeaf(items)
-	}},
-	"a leaf with an item twice": {skipPlaceCheck, func(_ drawer, n *node, _ int) *node {
-		if len(n.items) == 0 || 2*n.bytes > MaxLeafBytes {
-			return nil
-		}
-		return newLeaf([]item{n.items[0], n.items[0]})
-	}},
-	"a node that should be a leaf": {skipShapeCheck, func(_ drawer, n *node, depth int) *node {
-		if len(n.items) == 0 {
-			return nil
-		}
-		at := place(n.items[0].key)
-		for i := range n.items {
-			if p := place(n.items[i].key); p.digit(depth) != at.digit(depth) {
-				return nil
-			}
-		}
-		kids := new([fanout]*node)
-		kids[at.digit(depth)] = n
-		return newNode(kids)
-	}},
-	"a leaf that should be a node": {skipShapeCheck, func(_ drawer, n *node, _ int) *node {
-		if n.children == nil || n.bytes > MaxChunkBytes/2 {
-			return nil
-		}
-		var items []item
-		n.each(func(i *item) bool { items = append(items, *i); return true })
-		return newLeaf(items)
-	}},
-	"a value that is cut elsewhere": {skipShapeCheck, func(_ drawer, n *node, _ int) *node {
-		for i := range n.items {
-			l := n.items[i].segmented
-			if l == nil {
-				continue
-			}
-			value := l.value()
-			names := []byte{}
-			cutting := &segmentedValue{total: l.total, chunks: []hashedChunk{{}}}
-			for rest := value; len(rest) > 0; {
-				p := newChunk(kindSegment, rest[:min(len(rest), 999)])
-				rest = rest[len(p.data)-1:]
-				names = append(names, p.hash[:]...)
-				cutting.chunks = append(cutting.chunks, p)
-			}
-			cutting.chunks[0] = newChunk(kindSegmentList, names)
-			cutting.root = cutting.chunks[0].hash
-			items := slices.Clone(n.items)
-			items[i].segmented = cutting
-			return newLeaf(items)
-		}
-		return nil
-	}},
-	"a value that is shorter than told": {0, func(_ drawer, n *node, _ int) *node {
-		for i := range n.items {
-			if l := n.items[i].segmented; l != nil {
-				other := *l
-				other.total++
-				items := slices.Clone(n.items)
-				items[i].segmented = &other
-				return newLeaf(items)
-			}
-		}
-		return nil
-	}},
-	"an empty leaf below the root": {0, func(_ drawer, n *node, _ int) *node {
-		if n.children == nil {
-			return nil
-		}
-		kids := *n.children
-		for i, k := range kids {
-			if k == nil {
-				kids[i] = emptyLeaf
-				return newNode(&kids)
-			}
-		}
-		return nil
-	}},
+func (r *assemblyRun) violated(violation bool, format string, args ...any) {
+	if violation {
+		r.violations = append(r.violations, fmt.Sprintf("seed %d: ", r.seed)+fmt.Sprintf(format, args...))
+	}
 }
 
-// play has one proxy put content together out of what several send, some of it damaged, cut off, foreign or made wrong, and gives all
-// that must never happen.
-func play(seed uint64, flaws mutation) (crimes []string, wrong, whole int) {
-	say := func(is bool, format string, args ...any) {
-		if is {
-			crimes = append(crimes, fmt.Sprintf("seed %d: ", seed)+fmt.Sprintf(format, args...))
+// run adds chunks until a tree is returned, malformed content is rejected, or an invariant is violated.
+func (r *assemblyRun) run() {
+	for range maxAssemblySteps {
+		missing := r.assembly.Missing(1 + r.random.IntN(8))
+		if r.checkTree(missing) || len(r.violations) > 0 {
+			return
 		}
-	}
-	d := draw(seed)
-	content := map[string][]byte{}
-	for len(content) < 40+d.IntN(80) {
-		content[d.key()] = d.value()
-	}
-	must := func(t *Tree, err error) *Tree {
-		if err != nil {
-			panic(err)
+		chunk := r.drawChunk(r.chunks[missing[r.random.IntN(len(missing))]])
+		if r.add(chunk) || len(r.violations) > 0 {
+			return
 		}
-		return t
 	}
-	was := must(Build(d.items(content)))
-	other := maps.Clone(content)
-	for range 1 + d.IntN(3) {
-		d.change(content)
-		d.change(other)
+	r.violated(true, "it never ends")
+}
+
+// checkTree reports whether the run is over: a tree was returned or its content rejected.
+func (r *assemblyRun) checkTree(missing []Hash) bool {
+	tree, err := r.assembly.Tree()
+	var incomplete IncompleteError
+	switch {
+	case errors.As(err, &incomplete):
+		r.violated(len(missing) == 0 || incomplete.Missing < len(missing), "%v, and %d are missing", err, len(missing))
+		return false
+	case err != nil:
+		r.violated(r.distortion == "", "well-formed content is rejected: %v", err)
+		return true
 	}
-	is, foreign := must(Build(d.items(content))), must(Build(d.items(other)))
-	kind := ""
-	if names := slices.Sorted(maps.Keys(bends)); d.IntN(2) == 0 {
-		kind = names[d.IntN(len(names))]
-		top := d.bent(is.top, 0, bends[kind].bend)
-		if top == nil || top.hash == is.top.hash {
-			kind = ""
-		} else {
-			is = &Tree{top: top}
-		}
+	r.completed = true
+	built, err := Build(slices.Collect(tree.Items()))
+	r.violated(len(missing) > 0, "a tree while %d chunks are missing", len(missing))
+	r.violated(r.distortion != "", "accepted: %s", r.distortion)
+	r.violated(tree.Root() != r.tree.Root(), "a tree of another root")
+	r.violated(err != nil || built.Root() != r.tree.Root(), "content of another root")
+	if r.distortion == "" {
+		fault := contentFault(tree, r.content)
+		r.violated(fault != "", "%s", fault)
 	}
-	has := []*Tree{nil, was, foreign}[d.IntN(3)]
-	a := NewAssembly(is.Root(), has)
-	a.mutations = flaws
-	all := maps.Collect(is.Chunks())
-	strangers := slices.SortedFunc(maps.Values(maps.Collect(foreign.Chunks())), bytes.Compare)
-	for range 100_000 {
-		wants := a.Missing(1 + d.IntN(8))
-		t, err := a.Tree()
-		switch missing := (IncompleteError{}); {
-		case err == nil:
-			whole++
-			built, err := Build(slices.Collect(t.Items()))
-			say(len(wants) > 0, "a tree while %d pieces are missing", len(wants))
-			say(kind != "", "taken: %s", kind)
-			say(t.Root() != is.Root(), "a tree of another root")
-			say(err != nil || built.Root() != is.Root(), "content of another root")
-			if kind == "" {
-				bad := holds(t, content)
-				say(bad != "", "%s", bad)
-			}
-			return crimes, wrong, whole
-		case errors.As(err, &missing):
-			say(len(wants) == 0 || missing.Missing < len(wants), "%v, and %d are wanted", err, len(wants))
-		default:
-			say(kind == "", "well made content is refused: %v", err)
-			return crimes, wrong, whole
-		}
-		if len(crimes) > 0 {
-			return crimes, wrong, whole
-		}
-		right := all[wants[d.IntN(len(wants))]]
-		piece := right
-		switch d.IntN(8) {
-		case 0:
-			piece = bytes.Clone(right)
-			piece[d.IntN(len(piece))] ^= 1 << d.IntN(8)
-		case 1:
-			piece = right[:d.IntN(len(right))]
-		case 2:
-			piece = strangers[d.IntN(len(strangers))]
-		case 3:
-			piece = append(bytes.Clone(right), 0)
-		case 4:
-			piece = make([]byte, d.IntN(2*MaxChunkBytes))
-		}
-		wanted := slices.Contains(a.Missing(1<<30), HashOf(piece))
-		before := len(a.Missing(1 << 30))
-		err = a.Add(bytes.Clone(piece))
-		malformed := MalformedChunkError{}
-		say(err == nil && !wanted, "a piece was taken that nothing wanted")
-		say(errors.As(err, new(UnexpectedChunkError)) && wanted, "a piece was refused that was wanted: %v", err)
-		say(err != nil && len(a.Missing(1<<30)) != before, "a piece that was refused changed what is wanted")
-		if errors.As(err, &malformed) {
-			say(kind == "", "well made content is refused: %v", err)
-			return crimes, wrong, whole
-		}
-		if err != nil {
-			wrong++
-		}
-		if len(crimes) > 0 {
-			return crimes, wrong, whole
-		}
+	return true
+}
+
+// drawChunk returns the right chunk, or one that is damaged, cut off, foreign, too long or random.
+func (r *assemblyRun) drawChunk(right []byte) []byte {
+	d := r.random
+	switch d.IntN(8) {
+	case 0:
+		damaged := bytes.Clone(right)
+		damaged[d.IntN(len(damaged))] ^= 1 << d.IntN(8)
+		return damaged
+	case 1:
+		return right[:d.IntN(len(right))]
+	case 2:
+		return r.foreign[d.IntN(len(r.foreign))]
+	case 3:
+		return append(bytes.Clone(right), 0)
+	case 4:
+		return make([]byte, d.IntN(2*MaxChunkBytes))
 	}
-	say(true, "it never ends")
-	return crimes, wrong, whole
+	return right
 }
 
-const plays = 300
+// add adds a chunk. It reports whether the run is over because malformed content was rejected.
+func (r *assemblyRun) add(chunk []byte) bool {
+	before := r.assembly.Missing(math.MaxInt)
+	isMissing := slices.Contains(before, HashOf(chunk))
+	err := r.assembly.Add(bytes.Clone(chunk))
+	after := r.assembly.Missing(math.MaxInt)
+	r.violated(err == nil && !isMissing, "a chunk was accepted that was not missing")
+	r.violated(errors.As(err, new(UnexpectedChunkError)) && isMissing, "a missing chunk was rejected: %v", err)
+	r.violated(err != nil && len(after) != len(before), "a rejected chunk changed what is missing")
+	if errors.As(err, new(MalformedChunkError)) {
+		r.violated(r.distortion == "", "well-formed content is rejected: %v", err)
+		return true
+	}
+	if err != nil {
+		r.rejected++
+	}
+	return false
+}
 
-func TestDrawnAssemblies(t *testing.T) {
-	wrong, whole := 0, 0
-	for seed := range uint64(plays) {
-		crimes, w, n := play(seed, 0)
-		wrong, whole = wrong+w, whole+n
-		for _, c := range crimes {
-			t.Error(c)
+func TestRandomAssemblies(t *testing.T) {
+	rejected := 0
+	completed := 0
+	for seed := range uint64(randomAssemblies) {
+		r := newAssemblyRun(t, seed, 0)
+		r.run()
+		rejected += r.rejected
+		if r.completed {
+			completed++
+		}
+		for _, violation := range r.violations {
+			t.Error(violation)
 		}
 	}
-	t.Logf("%d plays, %d came whole, %d pieces refused", plays, whole, wrong)
-	if whole < plays/3 || plays-whole < plays/5 || wrong < plays {
-		t.Error("the draw is too tame")
+	t.Logf("%d assemblies, %d completed, %d chunks rejected", randomAssemblies, completed, rejected)
+	incomplete := randomAssemblies - completed
+	if completed < randomAssemblies/3 || incomplete < randomAssemblies/5 || rejected < randomAssemblies {
+		t.Error("the random assemblies are too tame")
 	}
 }
 
-// The check of the drawn plays convicts each guard that is taken out.
-func TestEachGuardOfAnAssemblyIsNeeded(t *testing.T) {
-	for name, flaws := range map[string]mutation{"no hash": skipHashCheck, "no place": skipPlaceCheck, "no split": skipShapeCheck, "not whole": skipCompleteCheck} {
-		var crimes []string
+// The random assemblies detect each check that is switched off.
+func TestRandomAssembliesDetectMutations(t *testing.T) {
+	for name, mutations := range map[string]mutation{
+		"no hash check":     skipHashCheck,
+		"no place check":    skipPlaceCheck,
+		"no shape check":    skipShapeCheck,
+		"no complete check": skipCompleteCheck,
+	} {
+		var violations []string
 		seed := uint64(0)
-		for ; len(crimes) == 0 && seed < plays; seed++ {
-			crimes, _, _ = play(seed, flaws)
+		for ; len(violations) == 0 && seed < randomAssemblies; seed++ {
+			r := newAssemblyRun(t, seed, mutations)
+			r.run()
+			violations = r.violations
 		}
-		if len(crimes) == 0 {
-			t.Errorf("%s: not convicted", name)
+		if len(violations) == 0 {
+			t.Errorf("%s: not detected", name)
 			continue
 		}
-		t.Logf("%s: convicted by play %d: %s", name, seed, crimes[0])
+		t.Logf("%s: detected by assembly %d: %s", name, seed, violations[0])
 	}
 }
 
-// Each way to make content wrong is met, and refused even where only its own guard is there against it.
-func TestContentThatIsMadeWrongIsRefused(t *testing.T) {
-	for name, b := range bends {
-		met, taken := 0, 0
-		for seed := range uint64(60) {
-			d := draw(seed + 1000)
-			content := map[string][]byte{}
-			for len(content) < 60 {
-				content[d.key()] = d.value()
-			}
-			good, err := Build(d.items(content))
-			if err != nil {
-				t.Fatal(err)
-			}
-			top := d.bent(good.top, 0, b.bend)
+// Each distortion occurs and is rejected, and is accepted once its only check is switched off.
+func TestDistortedContentIsRejected(t *testing.T) {
+	for name, distorted := range distortions {
+		occurred := 0
+		accepted := 0
+		for seed := range uint64(distortionSeeds) {
+			d := newRandomContent(seed + firstDistortSeed)
+			good := mustBuild(t, d.items(d.content(60)))
+			top := d.distort(good.top, 0, distorted.distort)
 			if top == nil || top.hash == good.top.hash {
 				continue
 			}
-			met++
-			for _, flaws := range []mutation{0, b.guard} {
-				a := NewAssembly(top.hash, nil)
-				a.mutations = flaws
-				var refused error
-				for _, piece := range (&Tree{top: top}).Chunks() {
-					if err := a.Add(piece); err != nil && refused == nil {
-						refused = err
-					}
-				}
-				if _, err := a.Tree(); refused == nil {
-					refused = err
-				}
-				switch {
-				case refused == nil && flaws == 0:
-					t.Errorf("%s, seed %d: taken", name, seed)
-				case refused == nil:
-					taken++
-				}
+			occurred++
+			if assembleAll(top, 0) == nil {
+				t.Errorf("%s, seed %d: accepted", name, seed)
+			}
+			if assembleAll(top, distorted.check) == nil {
+				accepted++
 			}
 		}
-		t.Logf("%s: met %d times, taken without its guard %d times", name, met, taken)
-		if met < 5 || b.guard != 0 && taken == 0 {
-			t.Errorf("%s: met %d times, and taken without its guard %d times", name, met, taken)
+		t.Logf("%s: occurred %d times, accepted without its check %d times", name, occurred, accepted)
+		if occurred < 5 || distorted.check != 0 && accepted == 0 {
+			t.Errorf("%s: occurred %d times, and accepted without its check %d times", name, occurred, accepted)
+		}
+	}
+}
+
+// assembleAll adds all chunks of a subtree in order and returns the first error.
+func assembleAll(top *node, mutations mutation) error {
+	a := NewAssembly(top.hash, nil)
+	a.mutations = mutations
+	var first error
+	for _, chunk := range (&Tree{top: top}).Chunks() {
+		if err := a.Add(chunk); err != nil && first == nil {
+			first = err
 		}
 	}
+	if _, err := a.Tree(); first == nil {
+		first = err
+	}
+	return first
 }
 
-// Whatever stands in a key or a value, no piece is over its bound, and it comes back.
-func TestNoPieceIsTooLong(t *testing.T) {
-	d := draw(7)
+// Whatever stands in a key or a value, no chunk is over its bound, and the content is reassembled.
+func TestChunksAreBounded(t *testing.T) {
+	d := newRandomContent(7)
 	random := make([]byte, 3<<20)
 	for i := range random {
 		random[i] = byte(d.Uint32())
 	}
-	never := make([]byte, MaxValueBytes) // a value in which no chunk ends by itself
-	if n := segmentEnd(never); n != maxSegmentBytes {
-		t.Fatalf("a chunk of zeros ends at %d", n)
+	zeros := make([]byte, MaxValueBytes) // a value in which no segment ends before its bound
+	if n := segmentEnd(zeros); n != maxSegmentBytes {
+		t.Fatalf("a segment of zeros ends at %d", n)
 	}
-	var small []byte // one in which each chunk ends as early as it may
-	for len(small) < 200<<10 {
-		ends := make([]byte, minSegmentBytes)
-		for segmentEnd(append(slices.Clone(ends), 0)) != minSegmentBytes {
-			for i := range 8 {
-				ends[len(ends)-1-i] = byte(d.Uint32())
-			}
-		}
-		small = append(small, ends...)
-	}
-	content := map[string][]byte{"random": random, "never": never, "small": small, "none": nil}
+	content := map[string][]byte{"random": random, "zeros": zeros, "short": shortSegments(d), "none": nil}
 	for i := range 20 {
 		key := make([]byte, MaxKeyBytes-i)
 		for k := range key {
@@ -348,114 +259,116 @@
 		content[string(key)] = random[:maxInlineBytes-i%2]
 		content[fmt.Sprint("inline ", i)] = random[:maxInlineBytes-10+i]
 	}
-	tree, err := Build(d.items(content))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if wrong := holds(tree, content); wrong != "" {
-		t.Fatal(wrong)
+	tree := mustBuild(t, d.items(content))
+	if fault := contentFault(tree, content); fault != "" {
+		t.Fatal(fault)
 	}
-	a := NewAssembly(tree.Root(), nil)
-	for _, piece := range tree.Chunks() {
-		if err := a.Add(piece); err != nil {
-			t.Fatal(err)
-		}
-	}
-	got, err := a.Tree()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if wrong := holds(got, content); wrong != "" {
-		t.Fatal(wrong)
+	if fault := reassemblyFault(nil, tree, content); fault != "" {
+		t.Fatal(fault)
 	}
 	longest := 0
-	for _, piece := range tree.Chunks() {
-		longest = max(longest, len(piece))
+	for _, chunk := range tree.Chunks() {
+		longest = max(longest, len(chunk))
 	}
-	t.Logf("the longest of all pieces is %d bytes", longest)
+	t.Logf("the longest of all chunks is %d bytes", longest)
 }
 
-// A change within a long value costs the chunks about it, wherever it is.
-func TestAChangeWithinALongValue(t *testing.T) {
+// shortSegments is a value in which each segment ends as early as it may.
+func shortSegments(d randomContent) []byte {
+	var value []byte
+	for len(value) < 200<<10 {
+		segment := make([]byte, minSegmentBytes)
+		for segmentEnd(append(slices.Clone(segment), 0)) != minSegmentBytes {
+			for i := range 8 {
+				segment[len(segment)-1-i] = byte(d.Uint32())
+			}
+		}
+		value = append(value, segment...)
+	}
+	return value
+}
+
+// A change within a long value costs the segments about it, wherever it is.
+func TestChangeWithinLongValue(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 30))
 	value := make([]byte, 1<<20)
 	for i := range value {
 		value[i] = byte(rng.Uint32())
 	}
-	was, err := Build([]Item{{"long", value}})
-	if err != nil {
-		t.Fatal(err)
-	}
+	before := mustBuild(t, []Item{{"long", value}})
 	most := 0
 	for range 30 {
 		at := rng.IntN(len(value))
-		is, err := was.With([]Item{{"long", slices.Concat(value[:at], []byte("tenant"), value[at:])}}, nil)
+		changed := slices.Concat(value[:at], []byte("tenant"), value[at:])
+		after, err := before.With([]Item{{"long", changed}}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sum := 0
-		for _, piece := range is.ChunksNotIn(was) {
-			sum += len(piece)
+		for _, chunk := range after.ChunksNotIn(before) {
+			sum += len(chunk)
 		}
 		most = max(most, sum)
 	}
-	t.Logf("at most %d bytes of %d", most, was.Size())
-	if most > 4*MaxChunkBytes {
-		t.Errorf("a change within took %d bytes of %d", most, was.Size())
+	t.Logf("at most %d bytes of %d", most, before.Size())
+	if most > maxChangeWithin {
+		t.Errorf("a change within took %d bytes of %d", most, before.Size())
 	}
 }
 
-// Bytes of any kind under their right name end in a tree of that root, or are refused; nothing else becomes of them.
-func TestPiecesOfAnyBytes(t *testing.T) {
-	d := draw(9)
-	content := map[string][]byte{}
-	for len(content) < 60 {
-		content[d.key()] = d.value()
-	}
-	tree, err := Build(d.items(content))
-	if err != nil {
-		t.Fatal(err)
-	}
+// Arbitrary bytes under their right hash give a tree of that root, or are rejected.
+func TestArbitraryChunks(t *testing.T) {
+	d := newRandomContent(9)
+	tree := mustBuild(t, d.items(d.content(60)))
 	all := slices.SortedFunc(maps.Values(maps.Collect(tree.Chunks())), bytes.Compare)
-	taken := 0
-	for i := range 30_000 {
-		piece := bytes.Clone(all[d.IntN(len(all))])
-		for range d.IntN(3) {
-			switch at := d.IntN(max(1, min(len(piece), 1<<d.IntN(10)))); {
-			case len(piece) == 0:
-			case d.IntN(2) == 0:
-				piece[at] = byte(d.IntN(256))
-			case d.IntN(2) == 0:
-				piece = piece[:at]
-			default:
-				piece = slices.Insert(piece, at, byte(d.IntN(8)))
-			}
-		}
-		root, pieces := HashOf(piece), [][]byte{piece}
-		if d.IntN(3) == 0 { // as a chunk or a list of a value
-			long := &segmentedValue{total: maxInlineBytes + 1 + d.IntN(5000), root: root}
-			leaf := newLeaf([]item{{key: "k", segmented: long}})
-			root, pieces = leaf.hash, [][]byte{leaf.chunk, piece}
+	accepted := 0
+	for i := range randomChunks {
+		chunk := d.mutateChunk(all[d.IntN(len(all))])
+		root := HashOf(chunk)
+		chunks := [][]byte{chunk}
+		if d.IntN(3) == 0 { // as a segment or a list of a value
+			value := &segmentedValue{total: maxInlineBytes + 1 + d.IntN(5000), root: root}
+			leaf := newLeaf([]item{{key: "k", segmented: value}})
+			root = leaf.hash
+			chunks = [][]byte{leaf.chunk, chunk}
 		}
 		a := NewAssembly(root, nil)
-		for _, piece := range pieces {
-			err = a.Add(piece)
+		var addErr error
+		for _, c := range chunks {
+			addErr = a.Add(c)
 		}
-		got, missing := a.Tree()
-		if err != nil && missing == nil {
-			t.Fatalf("piece %d: %x is refused, and there is a tree: %v", i, piece, err)
+		got, treeErr := a.Tree()
+		if addErr != nil && treeErr == nil {
+			t.Fatalf("chunk %d: %x is rejected, and there is a tree: %v", i, chunk, addErr)
 		}
-		if missing != nil {
+		if treeErr != nil {
 			continue
 		}
-		taken++
+		accepted++
 		again, err := Build(slices.Collect(got.Items()))
 		if err != nil || again.Root() != root {
-			t.Fatalf("piece %d: %x: a tree of another root: %v", i, piece, err)
+			t.Fatalf("chunk %d: %x: a tree of another root: %v", i, chunk, err)
 		}
 	}
-	t.Logf("%d taken", taken)
-	if taken < 100 {
-		t.Error("the draw is too wild")
+	t.Logf("%d accepted", accepted)
+	if accepted < 100 {
+		t.Error("the mutated chunks are too wild")
+	}
+}
+
+// mutateChunk changes, inserts or cuts off some bytes, mostly near the beginning.
+func (d randomContent) mutateChunk(chunk []byte) []byte {
+	chunk = bytes.Clone(chunk)
+	for range d.IntN(3) {
+		switch at := d.IntN(max(1, min(len(chunk), 1<<d.IntN(10)))); {
+		case len(chunk) == 0:
+		case d.IntN(2) == 0:
+			chunk[at] = byte(d.IntN(256))
+		case d.IntN(2) == 0:
+			chunk = chunk[:at]
+		default:
+			chunk = slices.Insert(chunk, at, byte(d.IntN(8)))
+		}
 	}
+	return chunk
 }
--- /dev/null
+++ b/internal/policy/merkle/check.go
@@ -0,0 +1,154 @@
+package merkle
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+)
+
+// chunkFault returns why a chunk cannot stand in a place, or an empty text.
+func (a *Assembly) chunkFault(chunk []byte, s *slot) string {
+	if s.value != nil {
+		return s.segmentFault(chunk)
+	}
+	switch chunk[0] {
+	case kindLeaf:
+		return a.leafFault(chunk, s)
+	case kindNode:
+		_, hashes, ok := decodeNode(chunk)
+		if !ok {
+			return "it is no node in the one form that nodes have"
+		}
+		if s.depth >= maxDepth || len(hashes) == 0 {
+			return "a node deeper than keys can lie"
+		}
+		return ""
+	}
+	return "neither leaf nor node"
+}
+
+// leafFault returns why a leaf cannot stand in a place, or an empty text.
+func (a *Assembly) leafFault(chunk []byte, s *slot) string {
+	items, ok := decodeLeaf(chunk)
+	if !ok {
+		return "it is no leaf in the one form that leaves have"
+	}
+	if len(items) == 0 && s.depth > 0 {
+		return "an empty leaf below the root"
+	}
+	itemBytes := 0
+	var previous Hash
+	for i := range items {
+		position := positionOf(items[i].key)
+		if !a.mutated(skipPlaceCheck) {
+			if !samePrefix(&position, &s.position, s.depth) {
+				return "a key of another place"
+			}
+			if i > 0 && bytes.Compare(previous[:], position[:]) >= 0 {
+				return "keys out of order"
+			}
+		}
+		previous = position
+		itemBytes += items[i].encodedBytes()
+	}
+	if !isLeafSized(len(items), itemBytes) && !a.mutated(skipShapeCheck) {
+		return "a leaf that should be a node"
+	}
+	return ""
+}
+
+// samePrefix reports whether two positions have their first digits in common.
+func samePrefix(a, b *Hash, digits int) bool {
+	for depth := range digits {
+		if a.digit(depth) != b.digit(depth) {
+			return false
+		}
+	}
+	return true
+}
+
+// segmentFault returns why a chunk cannot be a segment or list of the slot's value, or an empty text. The bound on the
+// hashes in lists keeps a malformed value from requesting chunks without end.
+func (s *slot) segmentFault(chunk []byte) string {
+	switch chunk[0] {
+	case kindSegment:
+		if len(chunk) < 2 || len(chunk)-1 > maxSegmentBytes {
+			return "a chunk that is empty or too long"
+		}
+		return ""
+	case kindSegmentList:
+		hashes, ok := decodeList(chunk)
+		if !ok {
+			return "it is no list in the one form that lists have"
+		}
+		maxListed := 2 * (s.value.segmented.total/minSegmentBytes + 1)
+		if s.level >= maxListLevels || s.value.listed+len(hashes) > maxListed {
+			return "more chunks than the value can have"
+		}
+		return ""
+	}
+	return "neither chunk nor list"
+}
+
+// decodeLeaf returns the items of a leaf, and false unless the chunk is their one encoding.
+func decodeLeaf(chunk []byte) ([]incomingItem, bool) {
+	r := leafReader{rest: chunk[1:]}
+	var items []incomingItem
+	for len(r.rest) > 0 {
+		items = append(items, r.item())
+		if r.malformed {
+			return nil, false
+		}
+	}
+	return items, true
+}
+
+// leafReader reads the items of a leaf. After a fault it reads zeros.
+type leafReader struct {
+	rest      []byte
+	malformed bool
+}
+
+func (r *leafReader) item() incomingItem {
+	var i incomingItem
+	i.key = string(r.bytes(r.length(MaxKeyBytes)))
+	encoding := r.bytes(1)
+	switch {
+	case r.malformed:
+	case encoding[0] == valueInline:
+		i.value = r.bytes(r.length(maxInlineBytes))
+	case encoding[0] == valueSegmented:
+		total := r.length(MaxValueBytes)
+		root := r.bytes(sha256.Size)
+		if r.malformed || total <= maxInlineBytes {
+			r.malformed = true
+			return i
+		}
+		i.segments = map[Hash][]byte{}
+		i.segmented = &segmentedValue{total: total, root: Hash(root)}
+	default:
+		r.malformed = true
+	}
+	return i
+}
+
+// length reads a number of bytes in its shortest encoding.
+func (r *leafReader) length(limit int) int {
+	n, size := binary.Uvarint(r.rest)
+	if size <= 0 || n > uint64(limit) || uvarintLen(int(n)) != size {
+		r.malformed = true
+		return 0
+	}
+	r.rest = r.rest[size:]
+	return int(n)
+}
+
+func (r *leafReader) bytes(count int) []byte {
+	if count > len(r.rest) {
+		r.malformed = true
+		return nil
+	}
+	taken := r.rest[:count:count]
+	r.rest = r.rest[count:]
+	return taken
+}
--- /dev/null
+++ b/internal/policy/merkle/distort_test.go
@@ -0,0 +1,155 @@
+package merkle
+
+import "slices"
+
+// distortion returns a subtree that is malformed in one way, as a faulty writer would make it, or nil if the subtree
+// has nothing to distort.
+type distortion func(d randomContent, n *node, depth int) *node
+
+// distort distorts a random subtree and rehashes what is above it. It returns nil if nothing can be distorted.
+func (d randomContent) distort(n *node, depth int, distorted distortion) *node {
+	if n.children == nil || d.IntN(4) == 0 {
+		return distorted(d, n, depth)
+	}
+	first := d.IntN(fanout)
+	for i := range fanout {
+		digit := (first + i) % fanout
+		if n.children[digit] == nil {
+			continue
+		}
+		if child := d.distort(n.children[digit], depth+1, distorted); child != nil {
+			children := *n.children
+			children[digit] = child
+			return newNode(&children)
+		}
+	}
+	return distorted(d, n, depth)
+}
+
+// distortions are the ways to make content wrong, each with the only check that rejects it; 0 if several do.
+var distortions = map[string]struct {
+	check   mutation
+	distort distortion
+}{
+	"children swapped":               {skipPlaceCheck, swapChildren},
+	"a leaf out of order":            {skipPlaceCheck, reverseLeaf},
+	"a leaf with a duplicate item":   {skipPlaceCheck, duplicateItem},
+	"a node that should be a leaf":   {skipShapeCheck, splitLeaf},
+	"a leaf that should be a node":   {skipShapeCheck, mergeNode},
+	"a value split elsewhere":        {skipShapeCheck, splitElsewhere},
+	"a value shorter than its total": {0, lengthenTotal},
+	"an empty leaf below the root":   {0, addEmptyLeaf},
+}
+
+func swapChildren(d randomContent, n *node, _ int) *node {
+	if n.children == nil {
+		return nil
+	}
+	i := d.IntN(fanout)
+	j := d.IntN(fanout)
+	if n.children[i] == n.children[j] {
+		return nil
+	}
+	children := *n.children
+	children[i], children[j] = children[j], children[i]
+	return newNode(&children)
+}
+
+func reverseLeaf(_ randomContent, n *node, _ int) *node {
+	if len(n.items) < 2 {
+		return nil
+	}
+	items := slices.Clone(n.items)
+	slices.Reverse(items)
+	return newLeaf(items)
+}
+
+func duplicateItem(_ randomContent, n *node, _ int) *node {
+	if len(n.items) == 0 || 2*n.itemBytes > MaxLeafBytes {
+		return nil
+	}
+	return newLeaf([]item{n.items[0], n.items[0]})
+}
+
+func splitLeaf(_ randomContent, n *node, depth int) *node {
+	if len(n.items) == 0 {
+		return nil
+	}
+	first := positionOf(n.items[0].key)
+	for i := range n.items {
+		if position := positionOf(n.items[i].key); position.digit(depth) != first.digit(depth) {
+			return nil
+		}
+	}
+	children := new([fanout]*node)
+	children[first.digit(depth)] = n
+	return newNode(children)
+}
+
+func mergeNode(_ randomContent, n *node, _ int) *node {
+	if n.children == nil || n.itemBytes > MaxChunkBytes/2 {
+		return nil
+	}
+	var items []item
+	n.each(func(i *item) bool {
+		items = append(items, *i)
+		return true
+	})
+	return newLeaf(items)
+}
+
+// firstSegmented returns the index of the first item of a leaf with a segmented value, or -1.
+func firstSegmented(n *node) int {
+	return slices.IndexFunc(n.items, func(i item) bool { return i.segmented != nil })
+}
+
+// withSegments returns a leaf with other segments for one item.
+func withSegments(n *node, index int, value *segmentedValue) *node {
+	items := slices.Clone(n.items)
+	items[index].segmented = value
+	return newLeaf(items)
+}
+
+func splitElsewhere(_ randomContent, n *node, _ int) *node {
+	const segmentBytes = 999
+	index := firstSegmented(n)
+	if index < 0 {
+		return nil
+	}
+	old := n.items[index].segmented
+	var hashes []byte
+	value := &segmentedValue{total: old.total, chunks: []hashedChunk{{}}}
+	for rest := old.join(); len(rest) > 0; {
+		chunk := newChunk(kindSegment, rest[:min(len(rest), segmentBytes)])
+		rest = rest[len(chunk.data)-1:]
+		hashes = append(hashes, chunk.hash[:]...)
+		value.chunks = append(value.chunks, chunk)
+	}
+	value.chunks[0] = newChunk(kindSegmentList, hashes)
+	value.root = value.chunks[0].hash
+	return withSegments(n, index, value)
+}
+
+func lengthenTotal(_ randomContent, n *node, _ int) *node {
+	index := firstSegmented(n)
+	if index < 0 {
+		return nil
+	}
+	value := *n.items[index].segmented
+	value.total++
+	return withSegments(n, index, &value)
+}
+
+func addEmptyLeaf(_ randomContent, n *node, _ int) *node {
+	if n.children == nil {
+		return nil
+	}
+	children := *n.children
+	for digit, child := range children {
+		if child == nil {
+			children[digit] = emptyLeaf
+			return newNode(&children)
+		}
+	}
+	return nil
+}
--- a/internal/policy/merkle/errors.go
+++ b/internal/policy/merkle/errors.go
@@ -2,81 +2,110 @@
 
 import "fmt"
 
-// UnexpectedChunkError says that a piece came that nothing asked for: damaged on its way, of other content, or there already.
+// The texts, codes and advice of this package's errors are for operators and for other releases. They use the words
+// of the operators' pages: piece for chunk, name for hash, steward for control-plane server.
+
+// UnexpectedChunkError is returned for a chunk that is not missing: it is damaged, of other content, or a duplicate.
 type UnexpectedChunkError struct {
-	Hash  Hash // by what came
+	Hash  Hash // of what arrived
 	Bytes int
 }
 
+// Error implements error.
 func (e UnexpectedChunkError) Error() string {
 	return fmt.Sprintf("a piece of %d bytes comes to the name %v, which is not wanted", e.Bytes, e.Hash)
 }
 
-// Advice is what an operator can do.
+// Code returns the name of this error in messages between processes.
+func (UnexpectedChunkError) Code() string { return "pieces.WrongPiece" }
+
+// Advice returns the operator's next step.
 func (UnexpectedChunkError) Advice() string {
-	return "Nothing was taken from it; the piece is asked for again. If it goes on, look at the link and at the steward that sent it."
+	return "Nothing was taken from it; the piece is asked for again. " +
+		"If it goes on, look at the link and at the steward that sent it."
 }
 
-// IncompleteError says that pieces are missing still.
+// IncompleteError is returned while chunks are missing.
 type IncompleteError struct {
 	Root    Hash
-	Missing int // whose names are known; more may follow
+	Missing int // chunks whose hashes are known; more may follow
 }
 
+// Error implements error.
 func (e IncompleteError) Error() string {
 	return fmt.Sprintf("%d or more pieces of %v are missing", e.Missing, e.Root)
 }
 
-// Advice is what an operator can do.
+// Code returns the name of this error in messages between processes.
+func (IncompleteError) Code() string { return "pieces.Incomplete" }
+
+// Advice returns the operator's next step.
 func (IncompleteError) Advice() string {
-	return "What was in force stays so; the rest is fetched from any steward. If it goes on, see whether the stewards can be reached."
+	return "What was in force stays so; the rest is fetched from any steward. " +
+		"If it goes on, see whether the stewards can be reached."
 }
 
-// MalformedChunkError says that a piece has the name that was asked for, but can't stand where it was asked for.
+// MalformedChunkError is returned for a chunk that has a missing hash but cannot stand where it is missing.
 type MalformedChunkError struct {
 	Hash   Hash
 	Reason string
 }
 
+// Error implements error.
 func (e MalformedChunkError) Error() string { return fmt.Sprintf("piece %v: %s", e.Hash, e.Reason) }
 
-// Advice is what an operator can do.
+// Code returns the name of this error in messages between processes.
+func (MalformedChunkError) Code() string { return "pieces.Malformed" }
+
+// Advice returns the operator's next step.
 func (MalformedChunkError) Advice() string {
-	return "Whoever made this content made it wrong, or it was made by a newer program. Nothing of it is taken. Offer the policy again, " +
-		"and see that stewards and proxies run programs that know each other."
+	return "Whoever made this content made it wrong, or it was made by a newer program. Nothing of it is taken. " +
+		"Offer the policy again, and see that stewards and proxies run programs that know each other."
 }
 
-// TooLongError says that a key or a value is over its bound.
+// TooLongError is returned for a key or a value that is over its bound.
 type TooLongError struct {
 	What  string // key or value
 	Key   string
 	Bytes int
-	Limit int
+	Limit int // in bytes
 }
 
+// Error implements error.
 func (e TooLongError) Error() string {
 	return fmt.Sprintf("%s of %q: %d bytes; %d are the most", e.What, e.Key, e.Bytes, e.Limit)
 }
 
-// Advice is what an operator can do.
+// Code returns the name of this error in messages between processes.
+func (TooLongError) Code() string { return "pieces.TooLong" }
+
+// Advice returns the operator's next step.
 func (TooLongError) Advice() string { return "Split the rule that is named into several." }
 
-// DuplicateKeyError says that one key was named twice.
+// DuplicateKeyError is returned for a key that is given twice.
 type DuplicateKeyError struct{ Key string }
 
+// Error implements error.
 func (e DuplicateKeyError) Error() string { return fmt.Sprintf("%q is there twice", e.Key) }
 
-// Advice is what an operator can do.
+// Code returns the name of this error in messages between processes.
+func (DuplicateKeyError) Code() string { return "pieces.Twice" }
+
+// Advice returns the operator's next step.
 func (DuplicateKeyError) Advice() string { return "Take one of the two out." }
 
-// InvalidHashError says that a text names no piece.
+// InvalidHashError is returned for a text that is no hash.
 type InvalidHashError struct{ Text string }
 
+// Error implements error.
 func (e InvalidHashError) Error() string {
 	return fmt.Sprintf("%.80q names no piece: wanted 64 hexadecimal digits", e.Text)
 }
 
-// Advice is what an operator can do.
+// Code returns the name of this error in messages between processes.
+func (InvalidHashError) Code() string { return "pieces.WrongName" }
+
+// Advice returns the operator's next step.
 func (InvalidHashError) Advice() string {
 	return "See that stewards and proxies run programs that know each other."
 }
--- /dev/null
+++ b/internal/policy/merkle/node.go
@@ -0,0 +1,246 @@
+package merkle
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"iter"
+	"math/bits"
+	"slices"
+)
+
+// The kinds of chunks. Each chunk begins with its kind, so that no chunk of one kind has the hash of one of another.
+const (
+	kindLeaf        = 1 // items in the order of their positions
+	kindNode        = 2 // a bitmap of children, two bytes, big endian, the lowest bit for digit 0; then their hashes
+	kindSegment     = 3 // a part of a value
+	kindSegmentList = 4 // hashes of segments, or of lists, in order
+)
+
+// nodeHeaderBytes is the kind and the bitmap of a node's chunk.
+const nodeHeaderBytes = 3
+
+// node is a leaf or an inner node. It is immutable.
+type node struct {
+	hash      Hash
+	chunk     []byte
+	items     []item         // of a leaf
+	children  *[fanout]*node // of an inner node; nil where there is none
+	count     int            // items in the subtree
+	itemBytes int            // that the items come to in leaves
+	size      int            // bytes of all chunks of the subtree
+}
+
+// isLeafSized reports whether a subtree of so many items, of so many bytes, is a leaf.
+func isLeafSized(count, itemBytes int) bool { return count <= 1 || itemBytes <= MaxLeafBytes }
+
+// newLeaf makes a leaf of items that are in order.
+func newLeaf(items []item) *node {
+	n := &node{count: len(items), items: slices.Clone(items)}
+	for i := range items {
+		n.itemBytes += items[i].encodedBytes()
+	}
+	n.chunk = make([]byte, 1, 1+n.itemBytes)
+	n.chunk[0] = kindLeaf
+	for i := range n.items {
+		it := &n.items[i]
+		n.chunk = it.appendTo(n.chunk)
+		if it.segmented != nil {
+			n.size += it.segmented.size
+			continue
+		}
+		// The value refers to the chunk, so that it is held once.
+		end := len(n.chunk)
+		it.value = n.chunk[end-len(it.value) : end : end]
+	}
+	n.size += len(n.chunk)
+	n.hash = HashOf(n.chunk)
+	return n
+}
+
+// newNode makes an inner node.
+func newNode(children *[fanout]*node) *node {
+	n := &node{children: children}
+	var bitmap uint16
+	chunk := make([]byte, nodeHeaderBytes, nodeHeaderBytes+fanout*sha256.Size)
+	for digit, child := range children {
+		if child == nil {
+			continue
+		}
+		bitmap |= 1 << digit
+		chunk = append(chunk, child.hash[:]...)
+		n.count += child.count
+		n.itemBytes += child.itemBytes
+		n.size += child.size
+	}
+	chunk[0] = kindNode
+	binary.BigEndian.PutUint16(chunk[1:], bitmap)
+	n.chunk = slices.Clip(chunk)
+	n.size += len(n.chunk)
+	n.hash = HashOf(n.chunk)
+	return n
+}
+
+// decodeNode returns the bitmap of children and their hashes, and false if the chunk is malformed.
+func decodeNode(chunk []byte) (uint16, []Hash, bool) {
+	if len(chunk) < nodeHeaderBytes || (len(chunk)-nodeHeaderBytes)%sha256.Size != 0 {
+		return 0, nil, false
+	}
+	bitmap := binary.BigEndian.Uint16(chunk[1:])
+	var hashes []Hash
+	for rest := chunk[nodeHeaderBytes:]; len(rest) > 0; rest = rest[sha256.Size:] {
+		hashes = append(hashes, Hash(rest))
+	}
+	return bitmap, hashes, bits.OnesCount16(bitmap) == len(hashes)
+}
+
+// each yields all items of the subtree in order until yield returns false.
+func (n *node) each(yield func(*item) bool) bool {
+	if n == nil {
+		return true
+	}
+	for i := range n.items {
+		if !yield(&n.items[i]) {
+			return false
+		}
+	}
+	if n.children == nil {
+		return true
+	}
+	for _, child := range n.children {
+		if !child.each(yield) {
+			return false
+		}
+	}
+	return true
+}
+
+// child returns what a subtree has below a digit. A leaf is its own child: what stood in a leaf may stand in a deeper
+// one of another version.
+func (n *node) child(digit int) *node {
+	if n == nil || n.children == nil {
+		return n
+	}
+	return n.children[digit]
+}
+
+// change sets the item at a position, or removes it if item is nil.
+type change struct {
+	position Hash
+	item     *item
+}
+
+func (c change) removes() bool { return c.item == nil }
+
+// buildSubtree makes the subtree of the items of changes, which are in order and belong below a node at a depth.
+func buildSubtree(changes []change, depth int) *node {
+	if len(changes) == 0 {
+		return nil
+	}
+	itemBytes := 0
+	for i := range changes {
+		itemBytes += changes[i].item.encodedBytes()
+	}
+	if isLeafSized(len(changes), itemBytes) {
+		items := make([]item, len(changes))
+		for i := range changes {
+			items[i] = *changes[i].item
+		}
+		return newLeaf(items)
+	}
+	children := new([fanout]*node)
+	for part := range splitByDigit(changes, depth) {
+		children[part[0].position.digit(depth)] = buildSubtree(part, depth+1)
+	}
+	return newNode(children)
+}
+
+// splitByDigit yields the parts of ordered changes that have one digit at a depth in common.
+func splitByDigit(changes []change, depth int) iter.Seq[[]change] {
+	return func(yield func([]change) bool) {
+		for len(changes) > 0 {
+			digit := changes[0].position.digit(depth)
+			end := 1
+			for end < len(changes) && changes[end].position.digit(depth) == digit {
+				end++
+			}
+			if !yield(changes[:end]) {
+				return
+			}
+			changes = changes[end:]
+		}
+	}
+}
+
+// apply returns the subtree with ordered changes made, or itself if they change nothing.
+func (n *node) apply(changes []change, depth int) *node {
+	switch {
+	case len(changes) == 0:
+		return n
+	case n == nil:
+		return buildSubtree(slices.DeleteFunc(slices.Clone(changes), change.removes), depth)
+	case n.children == nil:
+		return n.applyToLeaf(changes, depth)
+	}
+	children := *n.children
+	changed := false
+	for part := range splitByDigit(changes, depth) {
+		digit := part[0].position.digit(depth)
+		children[digit] = n.children[digit].apply(part, depth+1)
+		changed = changed || children[digit] != n.children[digit]
+	}
+	if !changed {
+		return n
+	}
+	return joinChildren(&children)
+}
+
+// applyToLeaf merges the items of a leaf with changes.
+func (n *node) applyToLeaf(changes []change, depth int) *node {
+	var merged []change
+	for i := range n.items {
+		position := positionOf(n.items[i].key)
+		for len(changes) > 0 && bytes.Compare(changes[0].position[:], position[:]) < 0 {
+			merged = append(merged, changes[0])
+			changes = changes[1:]
+		}
+		if len(changes) > 0 && changes[0].position == position {
+			merged = append(merged, changes[0])
+			changes = changes[1:]
+			continue
+		}
+		merged = append(merged, change{position, &n.items[i]})
+	}
+	merged = append(merged, changes...)
+	result := buildSubtree(slices.DeleteFunc(merged, change.removes), depth)
+	if result != nil && result.hash == n.hash {
+		return n
+	}
+	return result
+}
+
+// joinChildren makes the subtree of children: none, a leaf or an inner node, as their items come to.
+func joinChildren(children *[fanout]*node) *node {
+	count := 0
+	itemBytes := 0
+	for _, child := range children {
+		if child != nil {
+			count += child.count
+			itemBytes += child.itemBytes
+		}
+	}
+	switch {
+	case count == 0:
+		return nil
+	case !isLeafSized(count, itemBytes):
+		return newNode(children)
+	}
+	var items []item
+	for _, child := range children {
+		child.each(func(i *item) bool {
+			items = append(items, *i)
+			return true
+		})
+	}
+	return newLeaf(items)
+}
