--- a/internal/consensus/node/cluster_test.go
+++ b/internal/consensus/node/cluster_test.go
@@ -178,13 +178,14 @@
 	}
 	listener, err := net.Listen("tcp", m.address)
 	c.must(err)
-	m.server = &http.Server{Handler: m.Handler()}
+	server := &http.Server{Handler: m.Handler()}
+	m.server = server // a later start puts another one here: the goroutines below keep to this one
 	if c.keys != nil {
-		m.server.TLSConfig = c.keys[m.id].ServerConfig()
-		m.server.ErrorLog = log.New(io.Discard, "", 0)
-		go func() { _ = m.server.ServeTLS(listener, "", "") }() // ends with stop
+		server.TLSConfig = c.keys[m.id].ServerConfig()
+		server.ErrorLog = log.New(io.Discard, "", 0)
+		go func() { _ = server.ServeTLS(listener, "", "") }() // ends with stop
 	} else {
-		go func() { _ = m.server.Serve(listener) }() // ends with stop
+		go func() { _ = server.Serve(listener) }() // ends with stop
 	}
 	return nil
 }
