--- a/internal/controlplane/server/frozen_test.go
+++ b/internal/controlplane/server/frozen_test.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"os"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -28,52 +27,64 @@
 
 var frozenKey = quotalease.HolderID{Holder: "p1", Incarnation: 7}
 
-// frozenEntries are log entries of each kind: quotas, leases, policies, and rejected commands.
-func frozenEntries(t *testing.T) (all [][]byte) {
+// frozenEntries returns log entries of each kind: quotas, leases, policies, and rejected commands.
+func frozenEntries(t *testing.T) [][]byte {
 	t.Helper()
-	add := func(mark string, c any) {
-		text, err := json.Marshal(c)
+	const maxLifetime = 600 * time.Millisecond
+	var entries [][]byte
+	add := func(prefix string, command any) {
+		text, err := json.Marshal(command)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, append([]byte(mark), text...))
-	}
-	add(
-		"",
-		quotalease.Command{
-			Bootstrap: &quotalease.Bootstrap{
-				FleetID:     "north",
-				Epoch:       1,
-				MaxDrift:    .001,
-				MaxLifetime: 600 * time.Millisecond,
-			},
+		entries = append(entries, append([]byte(prefix), text...))
+	}
+	addQuota := func(command quotalease.Command) { add("", command) }
+	addPolicy := func(command store.Command) { add(string(rune(policyEntryMarker)), command) }
+
+	addQuota(quotalease.Command{Bootstrap: &quotalease.Bootstrap{
+		FleetID:     "north",
+		Epoch:       1,
+		MaxDrift:    .001,
+		MaxLifetime: maxLifetime,
+	}})
+	addQuota(quotalease.Command{Expire: &quotalease.Expire{Token: quotalease.Token{Epoch: 1, Index: 1}}})
+	addQuota(quotalease.Command{SetQuotas: &quotalease.SetQuotas{
+		Version: 1,
+		Config: quotalease.FleetConfig{
+			FleetID:     "north",
+			MaxDrift:    .001,
+			MaxLifetime: maxLifetime,
+			Quotas: []quotalease.Quota{{
+				Name:          "attempts",
+				Kind:          quotalease.Rate,
+				Limit:         1000,
+				Burst:         100,
+				LeaseDuration: maxLifetime,
+				Floors:        map[string]float64{"p1": 50},
+			}},
 		},
-	)
-	add("", quotalease.Command{Expire: &quotalease.Expire{Token: quotalease.Token{Epoch: 1, Index: 1}}})
-	add("", quotalease.Command{SetQuotas: &quotalease.SetQuotas{Version: 1,
-		Config: quotalease.FleetConfig{FleetID: "north", MaxDrift: .001, MaxLifetime: 600 * time.Millisecond,
-			Quotas: []quotalease.Quota{
-				{
-					Name:          "attempts",
-					Kind:          quotalease.Rate,
-					Limit:         1000,
-					Burst:         100,
-					LeaseDuration: 600 * time.Millisecond,
-					Floors:        map[string]float64{"p1": 50},
-				},
-			}}}})
-	add("", quotalease.Command{Batch: []quotalease.Command{{Grant: &quotalease.Lease{FleetID: "north", Epoch: 1,
-		HolderID: frozenKey, Quota: "attempts", Kind: quotalease.Rate,
-		Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20), Duration: 600 * time.Millisecond,
-		RequestSeq: 3, ConfigVersion: 1}}}})
-	add("", quotalease.Command{})
-	mark := string(rune(policyEntryMarker))
-	add(mark, store.Command{SetDeclaration: &store.SetDeclaration{Text: ownershipText("x.org"), Author: "op"}})
-	add(mark, offerCommand("alpha", 1, "/a"))
-	add(mark, store.Command{RolloutResult: &store.RolloutResult{Generation: 1 << 32, Epoch: 1, Completed: true, ProxyCount: 3}})
-	add(mark, offerCommand("beta", 1, "/a"))
-	add(mark, store.Command{Rollback: &store.Rollback{Epoch: 99}})
-	return all
+	}})
+	addQuota(quotalease.Command{Batch: []quotalease.Command{{Grant: &quotalease.Lease{
+		FleetID:       "north",
+		Epoch:         1,
+		HolderID:      frozenKey,
+		Quota:         "attempts",
+		Kind:          quotalease.Rate,
+		Amount:        quotalease.FromUnits(200),
+		Burst:         quotalease.FromUnits(20),
+		Duration:      maxLifetime,
+		RequestSeq:    3,
+		ConfigVersion: 1,
+	}}}})
+	addQuota(quotalease.Command{})
+	addPolicy(store.Command{SetDeclaration: &store.SetDeclaration{Text: ownershipText("x.org"), Author: "op"}})
+	addPolicy(offerCommand("alpha", 1, "/a"))
+	completed := &store.RolloutResult{Generation: 1 << 32, Epoch: 1, Completed: true, ProxyCount: 3}
+	addPolicy(store.Command{RolloutResult: completed})
+	addPolicy(offerCommand("beta", 1, "/a"))
+	addPolicy(store.Command{Rollback: &store.Rollback{Epoch: 99}})
+	return entries
 }
 
 func hexLines(all [][]byte) []byte {
@@ -135,40 +146,57 @@
 
 func checkFrozenState(t *testing.T, m *stateMachine) {
 	t.Helper()
-	st := m.policyStatus()
-	base := rollout.Version{
-		Generation: 1 << 32,
-		Epoch:      1,
-		Hash:       "8a10529ffc3691e232af7149e3151bf480492604b19e6b0281d70bdc53a370ae",
-	}
-	next := rollout.Version{
-		Generation: 1 << 32,
-		Epoch:      2,
-		Hash:       "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389",
-	}
-	if st.Active != base || st.Candidate != next || st.Head != next || st.Stopped != nil || st.ProxyCount != 3 ||
-		!slices.Equal(st.RetainedEpochs, []uint64{1, 2}) ||
-		!slices.Equal(
-			st.Batch, []store.Change{{Namespace: "alpha", Number: 1, Author: "alpha"}},
-		) || len(st.Queued) != 0 || len(st.FailedChanges) != 0 {
-		t.Errorf("policies: read %+v", st)
-	}
-	if len(st.WithheldFiles) != 1 || st.WithheldFiles[0].Namespace != "beta" || st.WithheldFiles[0].Submitted != 1 || st.WithheldFiles[0].Active != 0 ||
-		st.WithheldFiles[0].Author != "beta" {
-		t.Errorf("held back: read %+v", st.WithheldFiles)
-	}
-	want := quotalease.Reply{FleetID: "north", Epoch: 1, HolderID: frozenKey, ConfigVersion: 1,
-		Leases: []quotalease.Lease{{FleetID: "north", Epoch: 1, HolderID: frozenKey, Quota: "attempts",
-			Kind: quotalease.Rate, Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20),
-			Duration: 600 * time.Millisecond, RequestSeq: 3, ConfigVersion: 1, Token: quotalease.Token{Epoch: 1,
-				Index: 4}}},
+	version := func(epoch uint64, hash string) rollout.Version {
+		return rollout.Version{Generation: 1 << 32, Epoch: epoch, Hash: hash}
+	}
+	candidate := version(2, "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389")
+	got := m.policyStatus()
+	if len(got.WithheldFiles) != 1 {
+		t.Fatalf("policies: read %+v", got)
+	}
+	withheld := got.WithheldFiles[0]
+	if withheld.Namespace != "beta" || withheld.Submitted != 1 || withheld.Active != 0 || withheld.Author != "beta" {
+		t.Errorf("withheld: read %+v", withheld)
+	}
+	want := store.Status{
+		Active:         version(1, "8a10529ffc3691e232af7149e3151bf480492604b19e6b0281d70bdc53a370ae"),
+		Candidate:      candidate,
+		Head:           candidate,
+		Batch:          []store.Change{{Namespace: "alpha", Number: 1, Author: "alpha"}},
+		WithheldFiles:  got.WithheldFiles,
+		Conflicts:      got.Conflicts,
+		RetainedEpochs: []uint64{1, 2},
+		ProxyCount:     3,
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("policies: read\n%+v, want\n%+v", got, want)
+	}
+	reply := quotalease.Reply{
+		FleetID:       "north",
+		Epoch:         1,
+		HolderID:      frozenKey,
+		ConfigVersion: 1,
+		Leases: []quotalease.Lease{{
+			FleetID:       "north",
+			Epoch:         1,
+			HolderID:      frozenKey,
+			Quota:         "attempts",
+			Kind:          quotalease.Rate,
+			Amount:        quotalease.FromUnits(200),
+			Burst:         quotalease.FromUnits(20),
+			Duration:      600 * time.Millisecond,
+			RequestSeq:    3,
+			ConfigVersion: 1,
+			Token:         quotalease.Token{Epoch: 1, Index: 4},
+		}},
 		Floors: map[string]quotalease.Floor{
 			"attempts": {Kind: quotalease.Rate, Amount: quotalease.FromUnits(50), Burst: quotalease.FromUnits(5)},
-		}}
-	if got := m.quotas.ReplyTo(frozenKey); !reflect.DeepEqual(got, want) {
-		t.Errorf("grants: read\n%+v, want\n%+v", got, want)
+		},
+	}
+	if got := m.quotas.ReplyTo(frozenKey); !reflect.DeepEqual(got, reply) {
+		t.Errorf("leases: read\n%+v, want\n%+v", got, reply)
 	}
 	if _, epoch, err := m.quotas.Bootstrapped(); err != nil || epoch != 1 {
-		t.Errorf("founded: read %d, %v", epoch, err)
+		t.Errorf("bootstrapped: read %d, %v", epoch, err)
 	}
 }
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -26,8 +26,8 @@
 }
 
 func namespaceText(name string, number int, path string) string {
-	return fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n[[service]]\nname = \"s-%s\"\n[[route]]\nname = \"r\"\n"+
-		"host = \"x.org\"\npath_prefix = %q\nto = [{ service = \"s-%s\" }]\n",
+	return fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n[[service]]\nname = \"s-%s\"\n"+
+		"[[route]]\nname = \"r\"\nhost = \"x.org\"\npath_prefix = %q\nto = [{ service = \"s-%s\" }]\n",
 		name, number, name, path, name)
 }
 
@@ -61,24 +61,24 @@
 func (p *proxyFleet) reportAll() {
 	p.t.Helper()
 	for i, name := range p.names {
-		h := p.versions[name]
+		current := p.versions[name]
 		p.sequence++
-		bad := p.badRequests(h.Version().Epoch)
+		bad := p.badRequests(current.Version().Epoch)
 		in := api.PolicyReport{
 			Fleet:         "north",
 			Proxy:         name,
 			Sequence:      p.sequence,
-			Current:       h.Version(),
+			Current:       current.Version(),
 			Good:          100 - bad,
 			Bad:           bad,
 			AcceptsChunks: i%2 == 0,
 		}
-		for _, o := range p.config.Servers {
+		for _, server := range p.config.Servers {
 			var reply api.PolicyReply
-			if p.call(o.Address, api.PathPolicyReport, in, &reply) != nil {
+			if p.call(server.Address, api.PathPolicyReport, in, &reply) != nil {
 				continue
 			}
-			before := h.Version()
+			before := current.Version()
 			if reply.Chunked != in.AcceptsChunks || len(reply.Text) > 0 && in.AcceptsChunks ||
 				len(reply.Chunks) > 0 && !in.AcceptsChunks {
 				p.t.Fatalf(
@@ -89,10 +89,10 @@
 			if in.AcceptsChunks {
 				p.fetchChunks(name, reply)
 			} else {
-				_ = h.AdoptText(reply.Target, reply.Text)
+				_ = current.AdoptText(reply.Target, reply.Text)
 			}
-			if h.Version() != before && !h.Version().NewerThan(before) {
-				p.t.Fatalf("%s went from %+v to %+v", name, before, h.Version())
+			if current.Version() != before && !current.Version().NewerThan(before) {
+				p.t.Fatalf("%s went from %+v to %+v", name, before, current.Version())
 			}
 			break
 		}
@@ -107,12 +107,12 @@
 	}
 	root, err := merkle.ParseHash(reply.Target.Hash)
 	p.noError(err)
-	a := merkle.NewAssembly(root, p.trees[name])
-	for _, piece := range reply.Chunks {
-		p.noError(a.Add(piece))
+	assembly := merkle.NewAssembly(root, p.trees[name])
+	for _, chunk := range reply.Chunks {
+		p.noError(assembly.Add(chunk))
 	}
 	for range 100 {
-		names := a.Missing(api.MaxChunkNames)
+		names := assembly.Missing(api.MaxChunkNames)
 		if len(names) == 0 {
 			break
 		}
@@ -126,11 +126,11 @@
 		if p.call(address, api.PathPolicyChunks, in, &out) != nil {
 			continue
 		}
-		for _, piece := range out.Chunks {
-			p.noError(a.Add(piece))
+		for _, chunk := range out.Chunks {
+			p.noError(assembly.Add(chunk))
 		}
 	}
-	tree, err := a.Tree()
+	tree, err := assembly.Tree()
 	if err != nil {
 		return // continued with the next report
 	}
@@ -201,8 +201,9 @@
 		}
 		return true
 	})
-	if h := cluster.policyStatus(0).WithheldFiles[0]; !strings.Contains(h.Reason, "x.org") || h.Advice == "" || h.Active != 1 {
-		t.Errorf("the request is not written out: %+v", h)
+	withheld := cluster.policyStatus(0).WithheldFiles[0]
+	if !strings.Contains(withheld.Reason, "x.org") || withheld.Advice == "" || withheld.Active != 1 {
+		t.Errorf("the request is not written out: %+v", withheld)
 	}
 	var texts [3][]byte
 	for i := range 3 {
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -58,40 +58,48 @@
 
 func newCluster(t testing.TB) *testCluster { return newClusterWithTLS(t, nil) }
 
-func newClusterWithTLS(t testing.TB, by *api.TLSFiles) *testCluster {
-	cluster := &testCluster{t: t, client: &http.Client{}}
-	cluster.config = &api.Config{Version: 1, Policy: api.PolicySettings{
-		StepDuration:   strictconfig.Duration(400 * time.Millisecond),
-		WatchDuration:  strictconfig.Duration(400 * time.Millisecond),
-		MinRequests:    100,
-		SilenceTimeout: strictconfig.Duration(2 * time.Second),
-	}, Fleet: "north", MaxDrift: .001, MaxLifetime: strictconfig.Duration(600 * time.Millisecond),
-		Quotas: []api.Quota{
-			{
-				Name:          "attempts",
-				Filter:        api.AttemptFilter{Attempts: "attempts"},
-				Limit:         1000,
-				Burst:         100,
-				LeaseDuration: strictconfig.Duration(600 * time.Millisecond),
-			},
-		}}
-	cluster.config.TLS = by
+// newClusterConfig returns a configuration with short leases and steps, and no servers yet.
+func newClusterConfig(files *api.TLSFiles) *api.Config {
+	const lease = strictconfig.Duration(600 * time.Millisecond)
+	const step = strictconfig.Duration(400 * time.Millisecond)
+	return &api.Config{
+		Version:     api.FileVersion,
+		Fleet:       "north",
+		MaxDrift:    .001,
+		MaxLifetime: lease,
+		TLS:         files,
+		Quotas: []api.Quota{{
+			Name:          "attempts",
+			Filter:        api.AttemptFilter{Attempts: api.AllAttempts},
+			Limit:         1000,
+			Burst:         100,
+			LeaseDuration: lease,
+		}},
+		Policy: api.PolicySettings{
+			StepDuration:   step,
+			WatchDuration:  step,
+			MinRequests:    100,
+			SilenceTimeout: strictconfig.Duration(2 * time.Second),
+		},
+	}
+}
+
+func newClusterWithTLS(t testing.TB, files *api.TLSFiles) *testCluster {
+	cluster := &testCluster{t: t, client: &http.Client{}, config: newClusterConfig(files)}
 	keys, err := cluster.config.LoadTLSKeys()
 	cluster.noError(err)
 	cluster.client.Transport = api.NewTransport(keys)
-	var held []net.Listener
+	var reserved []net.Listener
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		cluster.noError(err)
-		held = append(held, l)
-		cluster.config.Servers = append(
-			cluster.config.Servers,
-			api.Server{Name: fmt.Sprint("s", i+1), ID: uint64(i + 1), Address: l.Addr().String()},
-		)
+		reserved = append(reserved, l)
+		self := api.Server{Name: fmt.Sprint("s", i+1), ID: uint64(i + 1), Address: l.Addr().String()}
+		cluster.config.Servers = append(cluster.config.Servers, self)
 		cluster.stateDirs[i] = t.TempDir()
 	}
 	for i := range 3 {
-		cluster.noError(held[i].Close())
+		cluster.noError(reserved[i].Close())
 		cluster.start(i)
 	}
 	t.Cleanup(func() {
--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -198,8 +198,8 @@
 	return targeted
 }
 
-// checkHarmfulStop plays epoch 6, under which a fifth of the requests is bad, until it stops. It returns the proxies that
-// have it.
+// checkHarmfulStop plays epoch 6, under which a fifth of the requests is bad, until it stops. It returns the proxies
+// that have it.
 func checkHarmfulStop(t *testing.T, r *Rollout, names []string) (now time.Duration, first []string) {
 	t.Helper()
 	first = targetedAt(r, names, 6)
