--- a/internal/controlplane/api/policy_messages.go
+++ b/internal/controlplane/api/policy_messages.go
@@ -77,7 +77,7 @@
 	ProxyCount   int          `json:"Proxies"` // proxies that report
 	Updated      int          `json:"Have"`    // proxies that run the newest version
 	Rejected     int          `json:"Refused"` // proxies that cannot adopt it
-	// Behind are some of the proxies that run an older version than the base: sorted, at most MaxBehindNames.
+	// Behind are some of the proxies that run an older version than the active one: sorted, at most MaxBehindNames.
 	Behind           []string `json:"Behind" cbor:"Behind,omitempty"`
 	BehindCount      int      `json:"Late" cbor:"Late,omitempty"`
 	LegacyCount      int      `json:"Older" cbor:"Older,omitempty"` // proxies that do not accept chunks
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -388,7 +388,7 @@
 					number++
 					had := has[name]
 					if had.Epoch == 0 {
-						had = baseVersion(st)
+						had = activeVersion(st)
 					}
 					r.rollout.Report(now, rollout.Report{Proxy: name, Sequence: number, Current: had, Good: 100})
 					if o := r.target(name, st); o.NewerThan(has[name]) {
--- a/internal/controlplane/server/rollout_driver.go
+++ b/internal/controlplane/server/rollout_driver.go
@@ -29,8 +29,8 @@
 	mu sync.Mutex // never held over I/O
 
 	rollout         *rollout.Rollout // nil until syncWithLog
-	base            rollout.Version  // of rollout
-	next            rollout.Version  // that rollout has started; zero if none
+	active          rollout.Version  // of rollout
+	candidate       rollout.Version  // that rollout has started; zero if none
 	rolloutSince    time.Duration    // when rollout was made
 	nextMemberCheck time.Duration
 	proxies         map[string]*proxyState // by name
@@ -63,9 +63,9 @@
 	d.regression = rollout.RegressionError{}
 }
 
-// baseVersion returns the version that all proxies have. In a fleet without a policy it has no epoch, and the
+// activeVersion returns the version that all proxies have. In a fleet without a policy it has no epoch, and the
 // generation of the current Raft epoch.
-func baseVersion(status store.Status) rollout.Version {
+func activeVersion(status store.Status) rollout.Version {
 	if status.Active.Epoch == 0 {
 		return rollout.Version{Generation: status.Candidate.Generation}
 	}
@@ -77,14 +77,14 @@
 	if d.regressions == nil {
 		d.regressions = rollout.NewRegressionWatch(settings)
 	}
-	completed := d.rollout != nil && d.next != (rollout.Version{}) && status.Active == d.next
+	completed := d.rollout != nil && d.candidate != (rollout.Version{}) && status.Active == d.candidate
 	if completed {
-		if d.base != status.Active {
+		if d.active != status.Active {
 			d.regressions.RolloutCompleted(now, status.Active.Epoch)
 		}
-		d.base = status.Active
+		d.active = status.Active
 	}
-	if d.rollout == nil || d.base != baseVersion(status) {
+	if d.rollout == nil || d.active != activeVersion(status) {
 		if !d.startOver(now, settings, status) {
 			return
 		}
@@ -93,16 +93,16 @@
 		d.removeSilent(now, settings)
 	}
 	if d.mayStart(now, settings, status) {
-		next := status.Candidate
-		if d.rollout.Start(now, next.Epoch, next.Hash, next.Epoch) == nil {
-			d.next = next
+		candidate := status.Candidate
+		if d.rollout.Start(now, candidate.Epoch, candidate.Hash, candidate.Epoch) == nil {
+			d.candidate = candidate
 		}
 	}
 }
 
-// startOver replaces the rollout by one from the committed base.
+// startOver replaces the rollout by one from the active version.
 func (d *rolloutDriver) startOver(now time.Duration, settings rollout.Settings, status store.Status) bool {
-	fresh, err := rollout.New(settings, baseVersion(status))
+	fresh, err := rollout.New(settings, activeVersion(status))
 	if err != nil {
 		return false // cannot happen: Config.Validate has checked the settings
 	}
@@ -110,8 +110,8 @@
 		d.proxies = map[string]*proxyState{}
 	}
 	d.rollout = fresh
-	d.base = baseVersion(status)
-	d.next = rollout.Version{}
+	d.active = activeVersion(status)
+	d.candidate = rollout.Version{}
 	d.rolloutSince = now
 	d.nextMemberCheck = now
 	return true
@@ -129,11 +129,11 @@
 	d.rollout.SetMembers(now, slices.Sorted(maps.Keys(d.proxies)))
 }
 
-// mayStart reports whether the next version can start to roll out. A new leader does not know its proxies: taking the
+// mayStart reports whether the candidate can start to roll out. A new leader does not know its proxies: taking the
 // first ones to report for the whole fleet would give the version to all at once. It waits for nine in ten of the
 // proxies that the last rollout knew, or for the silence timeout.
 func (d *rolloutDriver) mayStart(now time.Duration, settings rollout.Settings, status store.Status) bool {
-	if status.Candidate.Epoch == 0 || status.Candidate == d.next || status.Stopped != nil {
+	if status.Candidate.Epoch == 0 || status.Candidate == d.candidate || status.Stopped != nil {
 		return false
 	}
 	known := status.ProxyCount > 0 && 10*len(d.proxies) >= 9*status.ProxyCount
@@ -186,8 +186,8 @@
 	d.syncWithLog(now, settings, status)
 
 	current := report.Current
-	if base := baseVersion(status); base.Epoch == 0 && base.NewerThan(current) {
-		current = base // a policy of an earlier Raft epoch counts as none
+	if active := activeVersion(status); active.Epoch == 0 && active.NewerThan(current) {
+		current = active // a policy of an earlier Raft epoch counts as none
 	}
 	if report.Sequence > proxy.lastSequence {
 		proxy.lastSequence = report.Sequence
@@ -222,7 +222,7 @@
 func (d *rolloutDriver) target(name string, status store.Status) rollout.Version {
 	target := d.rollout.Target(name)
 	state, _ := d.rollout.State()
-	uncommitted := state == rollout.Done && d.next != status.Active
+	uncommitted := state == rollout.Done && d.candidate != status.Active
 	if uncommitted && !d.announceBeforeCommit {
 		target = status.Active
 	}
--- a/internal/controlplane/server/rollout_sim_test.go
+++ b/internal/controlplane/server/rollout_sim_test.go
@@ -248,14 +248,14 @@
 	driver.syncWithLog(sim.now, sim.settings, status)
 	driver.advance(sim.now)
 	state, reason := driver.rollout.State()
-	current := driver.next == status.Candidate && driver.next.Epoch != 0 && status.Stopped == nil
+	current := driver.candidate == status.Candidate && driver.candidate.Epoch != 0 && status.Stopped == nil
 	ended := state == rollout.Done || state == rollout.Stopped
 	if !current || !ended || sim.uncommitted != nil {
 		return
 	}
 	sim.uncommitted = &store.RolloutResult{
-		Generation: driver.next.Generation,
-		Epoch:      driver.next.Epoch,
+		Generation: driver.candidate.Generation,
+		Epoch:      driver.candidate.Epoch,
 		Completed:  state == rollout.Done,
 		ProxyCount: len(driver.proxies),
 	}
--- a/internal/controlplane/server/rollouts.go
+++ b/internal/controlplane/server/rollouts.go
@@ -25,15 +25,15 @@
 // rolloutProgress is the state of the rollout after an advance.
 type rolloutProgress struct {
 	status     store.Status // at the advance
-	next       rollout.Version
+	candidate  rollout.Version
 	proxies    int // that are known
 	state      rollout.State
 	stopReason error // if state is rollout.Stopped
 }
 
-// ended reports whether the rollout of the committed next version has just ended.
+// ended reports whether the rollout of the committed candidate has just ended.
 func (p *rolloutProgress) ended() bool {
-	if p.next != p.status.Candidate || p.next.Epoch == 0 || p.status.Stopped != nil {
+	if p.candidate != p.status.Candidate || p.candidate.Epoch == 0 || p.status.Stopped != nil {
 		return false
 	}
 	return p.state == rollout.Done || p.state == rollout.Stopped
@@ -55,10 +55,10 @@
 			continue
 		}
 		progress := s.advanceRollout(current)
-		if progress.next != announced && progress.next == progress.status.Candidate && progress.next.Epoch > 0 {
-			announced = progress.next
+		if progress.candidate != announced && progress.candidate == progress.status.Candidate && progress.candidate.Epoch > 0 {
+			announced = progress.candidate
 			s.config.Logger.Info("rollout started",
-				"epoch", progress.next.Epoch, "changes", progress.status.Batch, "proxies", progress.proxies)
+				"epoch", progress.candidate.Epoch, "changes", progress.status.Batch, "proxies", progress.proxies)
 		}
 		if progress.ended() {
 			s.endRollout(ctx, current, progress)
@@ -77,7 +77,7 @@
 	state, stopReason := driver.rollout.State()
 	progress := rolloutProgress{
 		status:     status,
-		next:       driver.next,
+		candidate:  driver.candidate,
 		proxies:    len(driver.proxies),
 		state:      state,
 		stopReason: stopReason,
@@ -93,8 +93,8 @@
 // endRollout commits how a rollout ended. If that fails, the next advance tries again.
 func (s *Server) endRollout(ctx context.Context, current *replica, progress rolloutProgress) {
 	verdict := store.RolloutResult{
-		Generation: progress.next.Generation,
-		Epoch:      progress.next.Epoch,
+		Generation: progress.candidate.Generation,
+		Epoch:      progress.candidate.Epoch,
 		Completed:  progress.state == rollout.Done,
 		ProxyCount: progress.proxies,
 	}
@@ -108,7 +108,7 @@
 		return
 	}
 	s.config.Logger.Info("rollout ended",
-		"epoch", progress.next.Epoch, "state", progress.state.String(), "changes", progress.status.Batch)
+		"epoch", progress.candidate.Epoch, "state", progress.state.String(), "changes", progress.status.Batch)
 	s.logNewFaults(progress.status.FailedChanges, current.state.policyStatus().FailedChanges)
 }
 
