--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -909,14 +909,14 @@
 func viewOf(_ context.Context, g *rig, servers int) ([]is, error) {
 	changes := make([]staleness.Change, servers)
 	for i := range changes {
-		changes[i] = staleness.Change{Entry: staleness.Entry{Name: fmt.Sprintf("dispatch-%05d", i), Kind: "std-1", Route: fmt.Sprint("s", i%max(1, servers/perService)), Start: 1}}
+		changes[i] = staleness.Change{Entry: staleness.Entry{Name: fmt.Sprintf("dispatch-%05d", i), Kind: "std-1", Route: fmt.Sprint("s", i%max(1, servers/perService)), Incarnation: 1}}
 	}
 	var v *staleness.View
 	var err error
 	now := time.Second
 	bytes := heapOf(func() any {
 		if v, err = staleness.New((&api.FreshnessSettings{}).StalenessSettings(time.Second)); err == nil {
-			err = v.Heard(now, api.ListSource, staleness.News{Version: 1, Whole: true, Changed: changes})
+			err = v.ApplyUpdate(now, api.ListSource, staleness.Update{Version: 1, Complete: true, Changes: changes})
 		}
 		return v
 	})
@@ -925,7 +925,7 @@
 	}
 	tick := g.cost(func() {
 		now += 100 * time.Millisecond
-		_ = v.Quiet(now, api.ListSource)
+		_ = v.RecordHeartbeat(now, api.ListSource)
 		v.Tick(now)
 	})
 	return []is{{"held, each", "B", bytes / float64(servers)}, {"a tick", "ms", millis(tick)}, {"ten ticks a second", "% core", millis(tick)}}, nil
--- a/internal/controlplane/api/freshness.go
+++ b/internal/controlplane/api/freshness.go
@@ -54,19 +54,19 @@
 func (f *FreshnessSettings) StalenessSettings(watchInterval time.Duration) staleness.Settings {
 	interval := cmp.Or(time.Duration(f.WatchInterval), watchInterval)
 	s := staleness.Settings{
-		Sources: []staleness.SourceSettings{{Name: ListSource, Beat: interval}},
-		Transit: time.Duration(f.MaxTransit),
-		Silence: f.SilentWatchRate,
-		Lies:    f.StaleAnswerRate,
-		Kinds:   map[string]staleness.Prior{},
+		Sources:         []staleness.SourceSettings{{Name: ListSource, HeartbeatInterval: interval}},
+		MaxTransit:      time.Duration(f.MaxTransit),
+		SilentWatchRate: f.SilentWatchRate,
+		StaleAnswerRate: f.StaleAnswerRate,
+		Kinds:           map[string]staleness.Prior{},
 		Levels: staleness.Thresholds{
-			Confirmed: f.Levels.Confirmed,
-			Fresh:     f.Levels.Fresh,
-			Ageing:    f.Levels.Ageing,
-			Doubtful:  f.Levels.Doubtful,
-			Margin:    f.Levels.Margin,
-			Rest:      time.Duration(f.Levels.RiseDelay),
-			Within:    time.Duration(f.Levels.ConfirmedWithin),
+			Confirmed:       f.Levels.Confirmed,
+			Fresh:           f.Levels.Fresh,
+			Ageing:          f.Levels.Ageing,
+			Doubtful:        f.Levels.Doubtful,
+			Margin:          f.Levels.Margin,
+			RiseDelay:       time.Duration(f.Levels.RiseDelay),
+			ConfirmedWithin: time.Duration(f.Levels.ConfirmedWithin),
 		},
 	}
 	for kind, prior := range f.ServerKinds {
--- a/internal/controlplane/freshness/list.go
+++ b/internal/controlplane/freshness/list.go
@@ -26,18 +26,18 @@
 	published     atomic.Pointer[publishedState]
 
 	mu           sync.Mutex
-	activeSource *observedSource // the source that was called last; what others still send is ignored
-	latestFrom   *observedSource // the source of latest
-	latest       staleness.News  // the whole list as last heard
-	lastHeard    time.Duration   // 0 is never
-	initialAge   time.Duration   // of latest at initialAt, before anything was heard; negative is unknown
+	activeSource *observedSource  // the source that was called last; what others still send is ignored
+	latestFrom   *observedSource  // the source of latest
+	latest       staleness.Update // the whole list as last heard
+	lastHeard    time.Duration    // 0 is never
+	initialAge   time.Duration    // of latest at initialAt, before anything was heard; negative is unknown
 	initialAt    time.Duration
 	pending      pendingUpdate
 }
 
 // pendingUpdate is what the worker has not taken yet.
 type pendingUpdate struct {
-	staleness.News
+	staleness.Update
 	at          time.Duration
 	heard       bool  // the source has answered
 	changed     bool  // it has sent a list or changes, not only that nothing changed
@@ -62,12 +62,12 @@
 
 // dropRemoved makes latest a whole list, without entries that are gone. The caller holds mu.
 func (l *List) dropRemoved() {
-	l.latest.Whole = true
-	l.latest.Changed = slices.DeleteFunc(l.latest.Changed, func(c staleness.Change) bool { return c.Gone })
+	l.latest.Complete = true
+	l.latest.Changes = slices.DeleteFunc(l.latest.Changes, func(c staleness.Change) bool { return c.Removed })
 }
 
 // update records what a source has sent. Fetched means that it answers a call, not a watch.
-func (l *List) update(source *observedSource, news staleness.News, fetched bool) {
+func (l *List) update(source *observedSource, news staleness.Update, fetched bool) {
 	now := l.monitor.clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +75,7 @@
 		return
 	}
 	reported := engine.EndpointList{Version: uint32(news.Version)}
-	if (fetched || !news.Whole) && l.latestFrom == source && reported.OlderThan(uint32(l.latest.Version)) {
+	if (fetched || !news.Complete) && l.latestFrom == source && reported.OlderThan(uint32(l.latest.Version)) {
 		return // an answer that was overtaken by a newer one; the engine drops it too
 	}
 	l.latestFrom = source
@@ -87,10 +87,10 @@
 	if pending.heard {
 		pending.merged++
 	}
-	if news.Whole || len(news.Changed) > 0 {
+	if news.Complete || len(news.Changes) > 0 {
 		pending.changed = true
 	}
-	mergeNews(&pending.News, news)
+	mergeNews(&pending.Update, news)
 	pending.at = now
 	pending.heard = true
 	pending.watchBroken = false
@@ -124,35 +124,35 @@
 
 // restartState returns the whole list for a new worker, and how old it was at a time; a negative age is unknown. It
 // includes the pending update.
-func (l *List) restartState() (news staleness.News, at, age time.Duration) {
+func (l *List) restartState() (news staleness.Update, at, age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = pendingUpdate{}
 	news = l.latest
-	news.Changed = slices.Clone(news.Changed)
-	news.Whole = true
+	news.Changes = slices.Clone(news.Changes)
+	news.Complete = true
 	if l.lastHeard == 0 {
 		return news, l.initialAt, l.initialAge
 	}
 	settings := l.monitor.config.Freshness.StalenessSettings(l.watchInterval)
-	return news, l.lastHeard, settings.Transit + l.watchInterval
+	return news, l.lastHeard, settings.MaxTransit + l.watchInterval
 }
 
 // entries returns what is listed, as last heard.
 func (l *List) entries() []staleness.Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.latest.Changed)
+	return slices.Clone(l.latest.Changes)
 }
 
 // newsFromList converts a list. An endpoint that drains takes no new requests, so it counts as gone.
-func newsFromList(list engine.EndpointList) staleness.News {
-	news := staleness.News{Version: uint64(list.Version), Whole: list.Full}
+func newsFromList(list engine.EndpointList) staleness.Update {
+	news := staleness.Update{Version: uint64(list.Version), Complete: list.Full}
 	for i := range list.Endpoints {
 		e := &list.Endpoints[i]
-		news.Changed = append(news.Changed, staleness.Change{
-			Gone:  e.State != decision.Ready,
-			Entry: staleness.Entry{Name: e.ID, Kind: e.Kind, Route: routeOf(e.Kind), Start: incarnation(e)},
+		news.Changes = append(news.Changes, staleness.Change{
+			Removed: e.State != decision.Ready,
+			Entry:   staleness.Entry{Name: e.ID, Kind: e.Kind, Route: routeOf(e.Kind), Incarnation: incarnation(e)},
 		})
 	}
 	return news
@@ -175,17 +175,17 @@
 }
 
 // mergeNews merges later news into earlier ones.
-func mergeNews(into *staleness.News, later staleness.News) {
-	if later.Whole {
+func mergeNews(into *staleness.Update, later staleness.Update) {
+	if later.Complete {
 		*into = later
-		into.Changed = slices.Clone(later.Changed)
+		into.Changes = slices.Clone(later.Changes)
 		return
 	}
-	replaced := make(map[string]bool, len(later.Changed))
-	for _, change := range later.Changed {
+	replaced := make(map[string]bool, len(later.Changes))
+	for _, change := range later.Changes {
 		replaced[change.Name] = true
 	}
-	into.Changed = slices.DeleteFunc(into.Changed, func(c staleness.Change) bool { return replaced[c.Name] })
-	into.Changed = append(into.Changed, later.Changed...)
+	into.Changes = slices.DeleteFunc(into.Changes, func(c staleness.Change) bool { return replaced[c.Name] })
+	into.Changes = append(into.Changes, later.Changes...)
 	into.Version = later.Version
 }
--- a/internal/controlplane/freshness/monitor_test.go
+++ b/internal/controlplane/freshness/monitor_test.go
@@ -170,7 +170,7 @@
 
 func (f *fixture) confidence(server string) float32 {
 	s := f.view.list.Load().published.Load()
-	c, _ := s.snapshot.Entry(s.endpoints[engine.BackendID(server)].handle, staleness.Safe)
+	c, _ := s.snapshot.Entry(s.endpoints[engine.BackendID(server)].handle, staleness.Idempotent)
 	return c
 }
 
@@ -320,8 +320,8 @@
 	cancel()
 	<-ended
 	r := l.lists["r"]
-	if n := r.takePending(); len(n.Changed) != 7 || !n.Whole || n.merged != 999 || n.Version != 999 {
-		t.Errorf("%d changes wait, whole %v, %d merged, version %d", len(n.Changed), n.Whole, n.merged, n.Version)
+	if n := r.takePending(); len(n.Changes) != 7 || !n.Complete || n.merged != 999 || n.Version != 999 {
+		t.Errorf("%d changes wait, whole %v, %d merged, version %d", len(n.Changes), n.Complete, n.merged, n.Version)
 	}
 	sight := l.ForService(classes)
 	for range observationQueueSize + 10 {
--- a/internal/controlplane/freshness/service_view.go
+++ b/internal/controlplane/freshness/service_view.go
@@ -12,7 +12,7 @@
 // ServiceView is one service's view of the endpoint list that it follows. It implements engine.Freshness.
 type ServiceView struct {
 	monitor       *Monitor
-	effectByClass []staleness.Effect
+	effectByClass []staleness.Idempotency
 	list          atomic.Pointer[List]
 }
 
@@ -27,14 +27,14 @@
 	return v
 }
 
-func effectOf(idempotency decision.Idempotency) staleness.Effect {
+func effectOf(idempotency decision.Idempotency) staleness.Idempotency {
 	switch idempotency {
 	case decision.Idempotent:
-		return staleness.Safe
+		return staleness.Idempotent
 	case decision.IdempotentByKey:
-		return staleness.Keyed
+		return staleness.IdempotentByKey
 	}
-	return staleness.Once
+	return staleness.NotIdempotent
 }
 
 // Follow switches to the list of a name. A name without a list leaves the view without one.
@@ -60,7 +60,7 @@
 	if class < 0 || !v.monitor.config.Freshness.Enforce {
 		return listed, true
 	}
-	effect := staleness.Once
+	effect := staleness.NotIdempotent
 	if class < len(v.effectByClass) {
 		effect = v.effectByClass[class]
 	}
@@ -71,13 +71,13 @@
 	return listed, allowed
 }
 
-func (v *ServiceView) allowed(state *publishedState, listed *endpoint, effect staleness.Effect) bool {
+func (v *ServiceView) allowed(state *publishedState, listed *endpoint, effect staleness.Idempotency) bool {
 	if state == nil || v.monitor.clock()-state.snapshot.At > maxSnapshotAge {
 		v.monitor.counters.staleLookups.Add(1)
-		return effect != staleness.Once
+		return effect != staleness.NotIdempotent
 	}
 	if listed == nil { // retained while the list is in doubt, or draining
-		return effect != staleness.Once && state.mayBeListed
+		return effect != staleness.NotIdempotent && state.mayBeListed
 	}
 	_, allowed := state.snapshot.Entry(listed.handle, effect)
 	return allowed
--- a/internal/controlplane/freshness/source.go
+++ b/internal/controlplane/freshness/source.go
@@ -52,8 +52,8 @@
 	switch {
 	case err == nil:
 		news := newsFromList(list)
-		news.Whole = true
-		news.Asked = asked
+		news.Complete = true
+		news.RequestedAt = asked
 		s.list.update(s, news, true)
 	case ctx.Err() == nil:
 		s.list.sourceFailed(s, false)
--- a/internal/controlplane/freshness/worker.go
+++ b/internal/controlplane/freshness/worker.go
@@ -97,7 +97,7 @@
 		w.notBefore = now
 		w.counters.suspensions.Add(1)
 		for _, state := range w.lists {
-			state.view.Stopped(now, gap)
+			state.view.RecordSuspension(now, gap)
 		}
 	}
 	w.updateLists(now)
@@ -130,9 +130,9 @@
 		// These fail for an unknown source only, and the view was made with this one.
 		if observed.refused {
 			evidence := staleness.Evidence{Kind: staleness.Refused, Entry: from.name}
-			_ = state.view.Contradicted(now, api.ListSource, evidence)
+			_ = state.view.RecordContradiction(now, api.ListSource, evidence)
 		} else {
-			_ = state.view.Confirmed(now, api.ListSource, from.name)
+			_ = state.view.RecordConfirmation(now, api.ListSource, from.name)
 		}
 	}
 }
@@ -144,11 +144,11 @@
 		panic(err) // the settings were checked when the file was read
 	}
 	news, at, age := list.restartState()
-	_ = view.Heard(now, api.ListSource, news)
+	_ = view.ApplyUpdate(now, api.ListSource, news)
 	if age >= 0 {
 		age += now - at
 	}
-	view.Restarted(now, age)
+	view.Restore(now, age)
 	w.lists[list] = &listState{list: list, view: view, indexStale: true, levels: map[string]staleness.Level{}}
 }
 
@@ -159,17 +159,17 @@
 	at := min(max(update.at, w.notBefore), now)
 	if update.changed {
 		state.indexStale = true
-		if err := state.view.Heard(at, api.ListSource, update.News); err != nil {
+		if err := state.view.ApplyUpdate(at, api.ListSource, update.Update); err != nil {
 			w.config.Logger.Warn("endpoint list contradicts itself", "err", err, "advice", adviceOf(err))
 		}
 	} else if update.heard {
-		_ = state.view.Quiet(at, api.ListSource)
+		_ = state.view.RecordHeartbeat(at, api.ListSource)
 	}
 	if update.callFailed {
-		_ = state.view.Failed(now, api.ListSource, staleness.FailTimeout)
+		_ = state.view.RecordFailure(now, api.ListSource, staleness.CallTimedOut)
 	}
 	if update.watchBroken {
-		_ = state.view.Failed(now, api.ListSource, staleness.FailBroken)
+		_ = state.view.RecordFailure(now, api.ListSource, staleness.WatchBroken)
 	}
 }
 
@@ -199,7 +199,7 @@
 	for _, route := range slices.Sorted(maps.Keys(state.routes)) {
 		level, confidence := next.snapshot.Route(state.view.RouteIndex(route))
 		best = max(best, level)
-		fault := state.view.Trouble(now, route)
+		fault := state.view.Fault(now, route)
 		report := RouteReport{Name: route, Level: level.String(), Confidence: confidence, Servers: state.routes[route]}
 		if fault != nil {
 			report.Fault = fault.Error()
--- a/internal/staleness/allow.go
+++ b/internal/staleness/allow.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Effect is what running a request twice does.
-type Effect uint8
+// Idempotency is what running a request twice does.
+type Idempotency uint8
 
 // The effect classes.
 const (
-	Safe  Effect = iota // may be repeated
-	Keyed               // the server knows the key of a repeat
-	Once                // must never run twice
+	Idempotent      Idempotency = iota // may be repeated
+	IdempotentByKey                    // the server knows the key of a repeat
+	NotIdempotent                      // must never run twice
 )
 
-// Allowance is what may be done with a request.
-type Allowance uint8
+// Permission is what may be done with a request.
+type Permission uint8
 
 const (
-	// FloorOrRefuse answers at once with Retry-After, or serves from the floor. The zero value.
-	FloorOrRefuse Allowance = iota
-	// ConfirmedSinceOnly sends only to servers that answered as believed since the doubt began.
-	ConfirmedSinceOnly
-	// Any sends to any listed server.
-	Any
+	// FloorOrReject answers at once with Retry-After, or serves from the floor. The zero value.
+	FloorOrReject Permission = iota
+	// ConfirmedOnly sends only to servers that answered as believed since the doubt began.
+	ConfirmedOnly
+	// AnyEndpoint sends to any listed server.
+	AnyEndpoint
 )
 
-var allowances = [...][3]Allowance{
+var permissions = [...][3]Permission{
 	//           Safe                Keyed               Once
-	Blind:     {FloorOrRefuse, FloorOrRefuse, FloorOrRefuse},
-	Doubtful:  {Any, Any, ConfirmedSinceOnly},
-	Ageing:    {Any, Any, Any},
-	Fresh:     {Any, Any, Any},
-	Confirmed: {Any, Any, Any},
+	Blind:     {FloorOrReject, FloorOrReject, FloorOrReject},
+	Doubtful:  {AnyEndpoint, AnyEndpoint, ConfirmedOnly},
+	Ageing:    {AnyEndpoint, AnyEndpoint, AnyEndpoint},
+	Fresh:     {AnyEndpoint, AnyEndpoint, AnyEndpoint},
+	Confirmed: {AnyEndpoint, AnyEndpoint, AnyEndpoint},
 }
 
-// Allows is what a level allows a request of an effect class. What is out of range gets the least.
-func Allows(l Level, e Effect) Allowance {
-	if int(l) >= len(allowances) || int(e) >= len(allowances[0]) {
-		return FloorOrRefuse
+// PermissionFor is what a level allows a request of an effect class. What is out of range gets the least.
+func PermissionFor(l Level, e Idempotency) Permission {
+	if int(l) >= len(permissions) || int(e) >= len(permissions[0]) {
+		return FloorOrReject
 	}
-	return allowances[l][e]
+	return permissions[l][e]
 }
 
-// AskFor is what of a demand an edge asks the stewards for at a level: what it can't use well is others'. At Blind nothing beyond
+// QuotaRequest is what of a demand an edge asks the stewards for at a level: what it can't use well is others'. At Blind nothing beyond
 // the tenth with which it probes and comes back.
-func AskFor(l Level, demand float64) float64 {
+func QuotaRequest(l Level, demand float64) float64 {
 	switch {
 	case l >= Ageing:
 		return demand
@@ -58,7 +58,7 @@
 func (v *View) RetryAfter() time.Duration {
 	most := time.Duration(0)
 	for _, s := range v.sources {
-		most = max(most, 2*s.gaps.Usual())
+		most = max(most, 2*s.gaps.Percentile90())
 	}
 	return min(max(most, time.Second), 30*time.Second)
 }
--- a/internal/staleness/calibrate/world.go
+++ b/internal/staleness/calibrate/world.go
@@ -118,7 +118,7 @@
 			w.names = append(w.names, fmt.Sprintf("s%02d", len(w.names)))
 		}
 	}
-	set.View.Sources = []staleness.SourceSettings{{Name: list, Beat: beat}}
+	set.View.Sources = []staleness.SourceSettings{{Name: list, HeartbeatInterval: beat}}
 	for i := range set.Edges {
 		v, err := staleness.New(set.View)
 		if err != nil {
@@ -247,7 +247,7 @@
 			if forgotten := e.rng.Float64() < .1; !e.known || forgotten {
 				age = -1
 			}
-			e.view.Restarted(now, age)
+			e.view.Restore(now, age)
 			e.queue, e.nextBeat, e.last = nil, -1, now
 			e.answer, e.calls = -1, now+between(e.rng, 0, 250*time.Millisecond)
 			if e.rng.Float64() < .4 { // a register that has more to do than this
@@ -255,7 +255,7 @@
 			}
 			e.heard = now
 		} else {
-			e.view.Stopped(now, now-e.stoppedA)
+			e.view.RecordSuspension(now, now-e.stoppedA)
 			e.last = max(e.last, now)
 			for i := range e.queue {
 				e.queue[i].arrives = max(e.queue[i].arrives, now+time.Duration(i+1)*50*time.Millisecond)
@@ -320,12 +320,12 @@
 		e.lied = m.lie
 		switch m.kind {
 		case 0:
-			if err := e.view.Quiet(now, list); err != nil {
+			if err := e.view.RecordHeartbeat(now, list); err != nil {
 				return err
 			}
 			continue
 		case 1:
-			n := staleness.News{Version: m.version, Changed: []staleness.Change{w.change(m.slot, m.state[0])}}
+			n := staleness.Update{Version: m.version, Changes: []staleness.Change{w.change(m.slot, m.state[0])}}
 			e.held[m.slot] = m.state[0]
 			if m.prev != e.version { // one was lost: ask for all
 				e.calls = min(now, e.calls)
@@ -334,15 +334,15 @@
 				}
 			}
 			e.version = m.version
-			if err := e.view.Heard(now, list, n); err != nil {
+			if err := e.view.ApplyUpdate(now, list, n); err != nil {
 				return err
 			}
 		case 2:
-			n := staleness.News{Version: m.version, Whole: true, Asked: m.asked}
+			n := staleness.Update{Version: m.version, Complete: true, RequestedAt: m.asked}
 			for i, s := range m.state {
 				e.held[i] = s
 				if s != 0 {
-					n.Changed = append(n.Changed, w.change(i, s))
+					n.Changes = append(n.Changes, w.change(i, s))
 				}
 			}
 			older := m.version < e.version
@@ -353,7 +353,7 @@
 			if e.nextBeat < 0 {
 				e.nextBeat = now
 			}
-			if err := e.view.Heard(now, list, n); err != nil {
+			if err := e.view.ApplyUpdate(now, list, n); err != nil {
 				return err
 			}
 		}
@@ -363,14 +363,14 @@
 
 func (w *world) change(i int, start uint64) staleness.Change {
 	s := w.servers[i]
-	return staleness.Change{Entry: staleness.Entry{Name: w.names[i], Kind: kinds[s.kind].name, Route: kinds[s.kind].name, Start: start}, Gone: start == 0}
+	return staleness.Change{Entry: staleness.Entry{Name: w.names[i], Kind: kinds[s.kind].name, Route: kinds[s.kind].name, Incarnation: start}, Removed: start == 0}
 }
 
 // call makes the edge's calls: at the start, after a silence, after a lost push, once a minute; and hears the steward.
 func (w *world) call(e *edge, now time.Duration) error {
 	if e.nextBeat >= 0 && now < w.out { // the register's end closes
 		e.nextBeat, e.queue = -1, nil
-		if err := e.view.Failed(now, list, staleness.FailBroken); err != nil {
+		if err := e.view.RecordFailure(now, list, staleness.WatchBroken); err != nil {
 			return err
 		}
 		e.calls = now + between(e.rng, 0, 2*time.Second)
@@ -396,7 +396,7 @@
 	if e.answer >= 0 && now >= e.answer {
 		e.answer, e.calls = -1, now+between(e.rng, time.Second, 3*time.Second)
 		if e.heard >= 0 {
-			if err := e.view.Failed(now, list, staleness.FailTimeout); err != nil {
+			if err := e.view.RecordFailure(now, list, staleness.CallTimedOut); err != nil {
 				return err
 			}
 		}
@@ -405,12 +405,12 @@
 		e.steward = now + time.Second
 		if w.version == e.version && e.lost < 0 {
 			e.behind, e.gen, e.lied = 0, now, false
-			return e.view.Confirmed(now, list, "")
+			return e.view.RecordConfirmation(now, list, "")
 		}
 		if e.behind++; e.behind == 2 && e.calls < 0 {
 			e.calls = now
 		}
-		return e.view.Contradicted(now, list, staleness.Evidence{Kind: staleness.LaterNumber, Version: w.version})
+		return e.view.RecordContradiction(now, list, staleness.Evidence{Kind: staleness.LaterVersion, Version: w.version})
 	}
 	return nil
 }
@@ -425,13 +425,13 @@
 	w.res.attempt(p, math.Exp(-.005*max(0, now-e.heard).Seconds()), right, now-e.heard > 3*beat/2 && e.nextBeat >= 0)
 	switch {
 	case right && e.rng.Float64() < .005:
-		return e.view.Contradicted(now, list, staleness.Evidence{Kind: staleness.Refused, Entry: w.names[i]})
+		return e.view.RecordContradiction(now, list, staleness.Evidence{Kind: staleness.Refused, Entry: w.names[i]})
 	case right:
-		return e.view.Confirmed(now, list, w.names[i])
+		return e.view.RecordConfirmation(now, list, w.names[i])
 	case w.servers[i].start == 0:
-		return e.view.Contradicted(now, list, staleness.Evidence{Kind: staleness.Refused, Entry: w.names[i]})
+		return e.view.RecordContradiction(now, list, staleness.Evidence{Kind: staleness.Refused, Entry: w.names[i]})
 	}
-	return e.view.Contradicted(now, list, staleness.Evidence{Kind: staleness.OtherStart, Entry: w.names[i]})
+	return e.view.RecordContradiction(now, list, staleness.Evidence{Kind: staleness.OtherIncarnation, Entry: w.names[i]})
 }
 
 // age compares the bound with the age of information (when was what is held, as a whole, known to be the truth), and with the age of
--- a/internal/staleness/codes.go
+++ b/internal/staleness/codes.go
@@ -3,19 +3,19 @@
 // Codes of this package's errors in messages between processes. A code stays as it is when its type gets another name.
 
 // Code is the name of the error in messages between processes.
-func (BadSettings) Code() string { return "staleness.BadSettings" }
+func (InvalidSettingsError) Code() string { return "staleness.BadSettings" }
 
 // Code is the name of the error in messages between processes.
-func (ClaimCannotBeTrue) Code() string { return "staleness.ClaimCannotBeTrue" }
+func (ImplausibleClaimError) Code() string { return "staleness.ClaimCannotBeTrue" }
 
 // Code is the name of the error in messages between processes.
-func (EdgeBlind) Code() string { return "staleness.EdgeBlind" }
+func (RouteBlindError) Code() string { return "staleness.EdgeBlind" }
 
 // Code is the name of the error in messages between processes.
-func (NameTaken) Code() string { return "staleness.NameTaken" }
+func (NameTakenError) Code() string { return "staleness.NameTaken" }
 
 // Code is the name of the error in messages between processes.
-func (UnknownSource) Code() string { return "staleness.UnknownSource" }
+func (UnknownSourceError) Code() string { return "staleness.UnknownSource" }
 
 // Code is the name of the error in messages between processes.
-func (ViewDoubtful) Code() string { return "staleness.ViewDoubtful" }
+func (RouteDoubtfulError) Code() string { return "staleness.ViewDoubtful" }
--- a/internal/staleness/levels.go
+++ b/internal/staleness/levels.go
@@ -27,10 +27,10 @@
 	// Confirmed, Fresh, Ageing, Doubtful are the least chances of these levels; .98, .95, .8, .4.
 	Confirmed, Fresh, Ageing, Doubtful float64
 	// Margin above a level's chance is needed to come back to it, for Rest: levels fall at once and rise slowly; .01, 2 s.
-	Margin float64
-	Rest   time.Duration
+	Margin    float64
+	RiseDelay time.Duration
 	// Within is how long ago an entry may have answered to count as confirmed, of at least half of a route's entries; 10 s.
-	Within time.Duration
+	ConfirmedWithin time.Duration
 }
 
 func (t *Thresholds) fill() error {
@@ -42,27 +42,27 @@
 			*f.v = f.d
 		}
 	}
-	if t.Rest == 0 {
-		t.Rest = 2 * time.Second
+	if t.RiseDelay == 0 {
+		t.RiseDelay = 2 * time.Second
 	}
-	if t.Within == 0 {
-		t.Within = 10 * time.Second
+	if t.ConfirmedWithin == 0 {
+		t.ConfirmedWithin = 10 * time.Second
 	}
 	var errs []error
 	if !(0 < t.Doubtful && t.Doubtful < t.Ageing && t.Ageing < t.Fresh && t.Fresh <= t.Confirmed && t.Confirmed < 1) {
-		errs = append(errs, BadSettings{"levels", "must be 0 < doubtful < ageing < fresh <= confirmed < 1"})
+		errs = append(errs, InvalidSettingsError{"levels", "must be 0 < doubtful < ageing < fresh <= confirmed < 1"})
 	}
 	if !(t.Margin > 0 && t.Confirmed+t.Margin < 1) {
-		errs = append(errs, BadSettings{"levels.margin", "must be above 0, and below 1 with the highest level"})
+		errs = append(errs, InvalidSettingsError{"levels.margin", "must be above 0, and below 1 with the highest level"})
 	}
-	if t.Rest < 0 || t.Within < 0 {
-		errs = append(errs, BadSettings{"levels.rest", "rest and within must not be negative"})
+	if t.RiseDelay < 0 || t.ConfirmedWithin < 0 {
+		errs = append(errs, InvalidSettingsError{"levels.rest", "rest and within must not be negative"})
 	}
 	return errors.Join(errs...)
 }
 
-// of is the level of a chance, raised by a margin that the chance must exceed.
-func (t *Thresholds) of(p, margin float64, confirmed bool) Level {
+// levelOf is the level of a chance, raised by a margin that the chance must exceed.
+func (t *Thresholds) levelOf(p, margin float64, confirmed bool) Level {
 	switch {
 	case p >= t.Confirmed+margin && confirmed:
 		return Confirmed
@@ -77,38 +77,38 @@
 }
 
 type routeState struct {
-	name    string
-	entries []*entry
-	level   Level
-	p       float64
-	better  time.Duration // since when the chance is good enough for a better level; never if it is not
-	worth   float64       // of a request, times requests a second
-	id      int
-	doubt   time.Duration // when the level became Doubtful or worse; never if it is not
+	name           string
+	entries        []*trackedEntry
+	level          Level
+	confidence     float64
+	betterSince    time.Duration // since when the chance is good enough for a better level; never if it is not
+	priorityWeight float64       // of a request, times requests a second
+	index          int
+	doubtfulSince  time.Duration // when the level became Doubtful or worse; never if it is not
 }
 
 func (v *View) route(name string) *routeState {
-	r := v.byRoute[name]
+	r := v.routeByName[name]
 	if r == nil {
-		r = &routeState{name: name, better: never, doubt: 0, worth: 1, id: len(v.byID)}
-		v.byID = append(v.byID, r)
-		v.byRoute[name] = r
+		r = &routeState{name: name, betterSince: never, doubtfulSince: 0, priorityWeight: 1, index: len(v.routeByIndex)}
+		v.routeByIndex = append(v.routeByIndex, r)
+		v.routeByName[name] = r
 		i, _ := slices.BinarySearchFunc(v.routes, name, func(a *routeState, n string) int { return cmpString(a.name, n) })
 		v.routes = slices.Insert(v.routes, i, r)
 	}
 	return r
 }
 
-// weighRoute brings a route's chance and level up to now. The chance is that of an entry drawn from the route, times that of each
+// evaluateRoute brings a route's chance and level up to now. The chance is that of an entry drawn from the route, times that of each
 // source that bears on all routes.
-func (v *View) weighRoute(r *routeState, now time.Duration) {
+func (v *View) evaluateRoute(r *routeState, now time.Duration) {
 	p, confirmed, unknown := 0.0, 0, false
 	for _, e := range r.entries {
-		v.advance(e.src, now)
-		unknown = unknown || !e.src.known
-		e.p = v.chance(e, now)
-		p += e.p
-		if e.confirmed >= now-v.set.Levels.Within {
+		v.advance(e.source, now)
+		unknown = unknown || !e.source.known
+		e.confidence = v.confidence(e, now)
+		p += e.confidence
+		if e.confirmedAt >= now-v.settings.Levels.ConfirmedWithin {
 			confirmed++
 		}
 	}
@@ -116,82 +116,82 @@
 		p /= float64(n)
 	}
 	for _, s := range v.sources {
-		if s.set.Bears {
-			p *= v.Confidence(now, s.set.Name)
+		if s.settings.AffectsAllRoutes {
+			p *= v.Confidence(now, s.settings.Name)
 			unknown = unknown || !s.known
 		}
 	}
-	r.p = p
-	t := &v.set.Levels
+	r.confidence = p
+	t := &v.settings.Levels
 	sure := 2*confirmed >= len(r.entries)
-	down, up := t.of(p, 0, sure), t.of(p, t.Margin, sure)
+	down, up := t.levelOf(p, 0, sure), t.levelOf(p, t.Margin, sure)
 	if unknown { // is not fresh, however many answered
 		down, up = min(down, Doubtful), min(up, Doubtful)
 	}
 	switch {
 	case down < r.level:
-		r.level, r.better = down, never
+		r.level, r.betterSince = down, never
 	case up > r.level:
-		if r.better == never {
-			r.better = now
+		if r.betterSince == never {
+			r.betterSince = now
 		}
-		if now-r.better >= t.Rest {
-			r.level, r.better = up, never
+		if now-r.betterSince >= t.RiseDelay {
+			r.level, r.betterSince = up, never
 		}
 	default:
-		r.better = never
+		r.betterSince = never
 	}
 	if r.level > Doubtful {
-		r.doubt = never
-	} else if r.doubt == never {
-		r.doubt = now
+		r.doubtfulSince = never
+	} else if r.doubtfulSince == never {
+		r.doubtfulSince = now
 	}
 }
 
 // Route is the level of a route now, and the chance that acting on it is right. A route that nobody told of is blind.
 func (v *View) Route(now time.Duration, name string) (Level, float64) {
-	r := v.byRoute[name]
+	r := v.routeByName[name]
 	if r == nil {
 		return Blind, 0
 	}
-	v.weighRoute(r, now)
-	return r.level, r.p
+	v.evaluateRoute(r, now)
+	return r.level, r.confidence
 }
 
-// Trouble is what an operator is told of a route: EdgeBlind, ViewDoubtful, or nil. It uses the level that was weighed last.
-func (v *View) Trouble(now time.Duration, name string) error {
-	r := v.byRoute[name]
+// Fault is what an operator is told of a route: EdgeBlind, ViewDoubtful, or nil. It uses the level that was weighed last.
+func (v *View) Fault(now time.Duration, name string) error {
+	r := v.routeByName[name]
 	if r == nil {
-		return EdgeBlind{Route: name}
+		return RouteBlindError{Route: name}
 	}
 	switch r.level {
 	case Blind:
-		b := EdgeBlind{Route: name}
+		b := RouteBlindError{Route: name}
 		if len(r.entries) > 0 {
-			b.Age, b.Known = v.Age(now, r.entries[0].src.set.Name)
+			b.Age, b.Known = v.Age(now, r.entries[0].source.settings.Name)
 		}
 		return b
 	case Doubtful:
-		return ViewDoubtful{Route: name, Chance: r.p}
+		return RouteDoubtfulError{Route: name, Confidence: r.confidence}
 	}
 	return nil
 }
 
-// MayUse tells whether a request of an effect class may go to an entry of a route now, by the level weighed last.
-func (v *View) MayUse(route, name string, effect Effect) bool {
-	r, e := v.byRoute[route], v.entries[name]
+// Permits tells whether a request of an effect class may go to an entry of a route now, by the level weighed last.
+func (v *View) Permits(route, name string, effect Idempotency) bool {
+	r, e := v.routeByName[route], v.entries[name]
 	if r == nil || e == nil || e.Route != route {
 		return false
 	}
-	return v.allowed(r, e, effect)
+	return v.permits(r, e, effect)
 }
 
-func (v *View) allowed(r *routeState, e *entry, effect Effect) bool {
-	switch Allows(r.level, effect) {
-	case Any:
+func (v *View) permits(r *routeState, e *trackedEntry, effect Idempotency) bool {
+	switch PermissionFor(r.level, effect) {
+	case AnyEndpoint:
 		return true
-	case ConfirmedSinceOnly:
-		return e.odds == 1 && e.confirmed >= r.doubt
+	case ConfirmedOnly:
+		return e.odds == 1 && e.confirmedAt >= r.doubtfulSince
 	}
 	return false
 }
--- a/internal/staleness/phi.go
+++ b/internal/staleness/phi.go
@@ -13,75 +13,79 @@
 	gapWindow = 64 // gaps that are remembered
 	// gapPrior is the weight, in gaps, of the exponential prior: some news will come later than all before it.
 	gapPrior = 0.25
-	// gapBlur is the mean of what a gap may be longer than one that was seen, by the usual one.
-	gapBlur   = .1
-	leastBeat = 10 * time.Millisecond
+	// gapBlurFraction is the mean of what a gap may be longer than one that was seen, by the usual one.
+	gapBlurFraction      = .1
+	minHeartbeatInterval = 10 * time.Millisecond
 )
 
-// Gaps is an accrual detector on the gaps between the news of one source: phi as in Hayashibara, Défago, Yared and Katayama,
+// GapDetector is an accrual detector on the gaps between the news of one source: phi as in Hayashibara, Défago, Yared and Katayama,
 // "The phi accrual failure detector" (SRDS 2004), with the gaps' own distribution in place of the normal one as in Satzger,
 // Pietzowski, Trumler and Ungerer, "A new adaptive accrual failure detector for dependable distributed systems" (SAC 2007): the
 // gaps of a watch are a mixture (beats and changes), which a normal one does not fit. The tail beyond what was seen is exponential.
-type Gaps struct {
-	ring   [gapWindow]float64 // seconds, in the order in which they came
-	sorted [gapWindow]float64
-	n, at  int
-	prior  float64 // seconds
+type GapDetector struct {
+	ring            [gapWindow]float64 // seconds, in the order in which they came
+	sorted          [gapWindow]float64
+	count, next     int
+	expectedSeconds float64 // seconds
 }
 
-// NewGaps begins with an expected gap, which counts as a quarter of a gap seen.
-func NewGaps(expected time.Duration) *Gaps { return &Gaps{prior: max(expected, leastBeat).Seconds()} }
+// NewGapDetector begins with an expected gap, which counts as a quarter of a gap seen.
+func NewGapDetector(expected time.Duration) *GapDetector {
+	return &GapDetector{expectedSeconds: max(expected, minHeartbeatInterval).Seconds()}
+}
 
-// Seen adds a gap. Gaps of a watch that is thought dead, or of a stop of one's own, are not to be added: they'd teach that long
+// Observe adds a gap. Gaps of a watch that is thought dead, or of a stop of one's own, are not to be added: they'd teach that long
 // silence is usual.
-func (g *Gaps) Seen(gap time.Duration) {
+func (g *GapDetector) Observe(gap time.Duration) {
 	s := max(0, gap.Seconds())
-	if g.n == gapWindow {
-		old := g.ring[g.at]
-		i, _ := slices.BinarySearch(g.sorted[:g.n], old)
-		copy(g.sorted[i:], g.sorted[i+1:g.n])
-		g.n--
+	if g.count == gapWindow {
+		old := g.ring[g.next]
+		i, _ := slices.BinarySearch(g.sorted[:g.count], old)
+		copy(g.sorted[i:], g.sorted[i+1:g.count])
+		g.count--
 	}
-	i, _ := slices.BinarySearch(g.sorted[:g.n], s)
-	copy(g.sorted[i+1:g.n+1], g.sorted[i:g.n])
-	g.sorted[i], g.ring[g.at] = s, s
-	g.n++
-	g.at = (g.at + 1) % gapWindow
+	i, _ := slices.BinarySearch(g.sorted[:g.count], s)
+	copy(g.sorted[i+1:g.count+1], g.sorted[i:g.count])
+	g.sorted[i], g.ring[g.next] = s, s
+	g.count++
+	g.next = (g.next + 1) % gapWindow
 }
 
-// Usual is the gap that nine of ten did not exceed.
-func (g *Gaps) Usual() time.Duration {
-	if g.n < 4 {
-		return time.Duration(g.prior * float64(time.Second))
+// Percentile90 is the gap that nine of ten did not exceed.
+func (g *GapDetector) Percentile90() time.Duration {
+	if g.count < 4 {
+		return time.Duration(g.expectedSeconds * float64(time.Second))
 	}
-	return max(leastBeat, time.Duration(g.sorted[g.n*9/10]*float64(time.Second)))
+	return max(minHeartbeatInterval, time.Duration(g.sorted[g.count*9/10]*float64(time.Second)))
 }
 
-// Least is the gap that nine of ten exceeded.
-func (g *Gaps) Least() time.Duration {
-	if g.n < 4 {
+// Percentile10 is the gap that nine of ten exceeded.
+func (g *GapDetector) Percentile10() time.Duration {
+	if g.count < 4 {
 		return 0
 	}
-	return time.Duration(g.sorted[g.n/10] * float64(time.Second))
+	return time.Duration(g.sorted[g.count/10] * float64(time.Second))
 }
 
-// Later is the chance that a live watch is silent for longer than s.
-func (g *Gaps) Later(s time.Duration) float64 {
+// SilenceProbability is the chance that a live watch is silent for longer than s.
+func (g *GapDetector) SilenceProbability(s time.Duration) float64 {
 	x := s.Seconds()
 	if x <= 0 {
 		return 1
 	}
-	i, _ := slices.BinarySearch(g.sorted[:g.n], x)
-	usual := max(g.prior/4, g.Usual().Seconds())
-	sum := float64(g.n-i) + gapPrior*math.Exp(-x/usual)
+	i, _ := slices.BinarySearch(g.sorted[:g.count], x)
+	usual := max(g.expectedSeconds/4, g.Percentile90().Seconds())
+	sum := float64(g.count-i) + gapPrior*math.Exp(-x/usual)
 	// Danger: without a blur a message that is a little later than the latest of 64 would make the watch look dead.
 	for _, gap := range g.sorted[:i] {
-		if late := (x - gap) / (gapBlur * usual); late < 12 {
+		if late := (x - gap) / (gapBlurFraction * usual); late < 12 {
 			sum += math.Exp(-late)
 		}
 	}
-	return sum / (float64(g.n) + gapPrior)
+	return sum / (float64(g.count) + gapPrior)
 }
 
 // Phi is -log10 of Later.
-func (g *Gaps) Phi(s time.Duration) float64 { return -math.Log10(max(g.Later(s), 1e-300)) }
+func (g *GapDetector) Phi(s time.Duration) float64 {
+	return -math.Log10(max(g.SilenceProbability(s), 1e-300))
+}
--- a/internal/staleness/phi_test.go
+++ b/internal/staleness/phi_test.go
@@ -23,12 +23,12 @@
 
 func TestPhiNeverFallsWithSilenceAndIsSmallWithinTheCadence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := NewGaps(time.Second)
+		g := NewGapDetector(time.Second)
 		for _, ms := range rapid.SliceOfN(rapid.IntRange(1, 5000), 0, 200).Draw(t, "gaps") {
-			g.Seen(time.Duration(ms) * time.Millisecond)
+			g.Observe(time.Duration(ms) * time.Millisecond)
 		}
-		if g.Later(0) != 1 {
-			t.Fatalf("silence of nothing has chance %v", g.Later(0))
+		if g.SilenceProbability(0) != 1 {
+			t.Fatalf("silence of nothing has chance %v", g.SilenceProbability(0))
 		}
 		last := 0.0
 		for s := time.Duration(0); s < 20*time.Second; s += 137 * time.Millisecond {
@@ -38,31 +38,31 @@
 			}
 			last = phi
 		}
-		if g.n > 3 && g.Phi(g.Usual()/2) > 1.5 {
-			t.Fatalf("phi %v within the cadence", g.Phi(g.Usual()/2))
+		if g.count > 3 && g.Phi(g.Percentile90()/2) > 1.5 {
+			t.Fatalf("phi %v within the cadence", g.Phi(g.Percentile90()/2))
 		}
 	})
 }
 
 func TestARateIsLearnedWhateverThePrior(t *testing.T) {
 	for _, prior := range []Prior{{0.5, time.Second}, {0.5, time.Hour}, DefaultPrior} {
-		r := NewRate(prior, 2)
+		r := NewChangeRate(prior, 2)
 		for i := range 20_000 { // 50 entries, one change each 10 s
 			n := 0
 			if i%10 == 0 {
 				n = 1
 			}
-			r.Lived(time.Second, 50, n)
+			r.Observe(time.Second, 50, n)
 		}
-		if got := r.Long(); math.Abs(got-.002) > .0005 {
+		if got := r.LongTerm(); math.Abs(got-.002) > .0005 {
 			t.Errorf("prior %v: %v a second, want .002", prior, got)
 		}
-		before := r.Now()
-		r.Lived(time.Second, 50, 25)
-		if r.Now() < 5*before {
-			t.Errorf("a burst lifts the rate from %v to %v only", before, r.Now())
+		before := r.Current()
+		r.Observe(time.Second, 50, 25)
+		if r.Current() < 5*before {
+			t.Errorf("a burst lifts the rate from %v to %v only", before, r.Current())
 		}
-		if r.Same(r.Hazard(time.Minute)) >= r.Same(r.Hazard(time.Second)) {
+		if r.Survival(r.Hazard(time.Minute)) >= r.Survival(r.Hazard(time.Second)) {
 			t.Error("the chance to be the same does not fall with time")
 		}
 	}
--- a/internal/staleness/rates.go
+++ b/internal/staleness/rates.go
@@ -25,61 +25,65 @@
 
 )
 
-// Rate is how often entries of one kind change. Changes come in bursts (releases), so there is a long rate and a short one, which
+// ChangeRate is how often entries of one kind change. Changes come in bursts (releases), so there is a long rate and a short one, which
 // is taken to fade back: a self-exciting process (Hawkes, Biometrika 1971) with one exponential.
-type Rate struct {
-	prior          Prior
-	n, t           float64 // long counts: changes, and seconds of entries
-	bn, bt         float64 // of the burst
-	trials, passed float64 // while nothing is heard: entries that were found wrong; hazard that right ones came through
-	spread         float64 // shape of what multiplies the rate while nothing is heard
+type ChangeRate struct {
+	prior                       Prior
+	longChanges, longExposure   float64 // long counts: changes, and seconds of entries
+	burstChanges, burstExposure float64 // of the burst
+	trialChanges, trialHazard   float64 // while nothing is heard: entries that were found wrong; hazard that right ones came through
+	shape                       float64 // shape of what multiplies the rate while nothing is heard
 }
 
-// NewRate begins with a prior. spread is the shape of the Gamma (mean 1) by which the true rate of the next span differs from what
+// NewChangeRate begins with a prior. spread is the shape of the Gamma (mean 1) by which the true rate of the next span differs from what
 // was learned; small for releases that come from nowhere.
-func NewRate(p Prior, spread float64) *Rate { return &Rate{prior: p, spread: spread} }
+func NewChangeRate(p Prior, spread float64) *ChangeRate { return &ChangeRate{prior: p, shape: spread} }
 
-// Lived adds time in which so many entries were followed live, and the changes of them.
-func (r *Rate) Lived(d time.Duration, entries, changes int) {
+// Observe adds time in which so many entries were followed live, and the changes of them.
+func (r *ChangeRate) Observe(d time.Duration, entries, changes int) {
 	s := max(0, d.Seconds())
 	if s > 0 {
 		f, b := math.Exp(-s/longMemory.Seconds()), math.Exp(-s/burstMemory.Seconds())
-		r.n, r.t, r.bn, r.bt = r.n*f, r.t*f, r.bn*b, r.bt*b
+		r.longChanges, r.longExposure, r.burstChanges, r.burstExposure = r.longChanges*f, r.longExposure*f, r.burstChanges*b, r.burstExposure*b
 	}
 	e := s * float64(entries)
-	r.n, r.t = r.n+float64(changes), r.t+e
-	r.bn, r.bt = r.bn+float64(changes), r.bt+e
+	r.longChanges, r.longExposure = r.longChanges+float64(changes), r.longExposure+e
+	r.burstChanges, r.burstExposure = r.burstChanges+float64(changes), r.burstExposure+e
 }
 
-// Long is changes a second of one entry, over a long time.
-func (r *Rate) Long() float64 { return (r.prior.Changes + r.n) / (r.prior.Exposure.Seconds() + r.t) }
+// LongTerm is changes a second of one entry, over a long time.
+func (r *ChangeRate) LongTerm() float64 {
+	return (r.prior.Changes + r.longChanges) / (r.prior.Exposure.Seconds() + r.longExposure)
+}
 
-// Now is the same in the last seconds.
-func (r *Rate) Now() float64 { return (r.Long()*burstPrior + r.bn) / (burstPrior + r.bt) }
+// Current is the same in the last seconds.
+func (r *ChangeRate) Current() float64 {
+	return (r.LongTerm()*burstPrior + r.burstChanges) / (burstPrior + r.burstExposure)
+}
 
 // Hazard is the changes expected of one entry in the next span.
-func (r *Rate) Hazard(d time.Duration) float64 {
+func (r *ChangeRate) Hazard(d time.Duration) float64 {
 	s := d.Seconds()
 	if s <= 0 {
 		return 0
 	}
-	long := r.Long()
-	return max(0, long*s+(r.Now()-long)*burstMemory.Seconds()*-math.Expm1(-s/burstMemory.Seconds()))
+	long := r.LongTerm()
+	return max(0, long*s+(r.Current()-long)*burstMemory.Seconds()*-math.Expm1(-s/burstMemory.Seconds()))
 }
 
-// Same is the chance that an entry came through a hazard unchanged.
-func (r *Rate) Same(hazard float64) float64 {
-	return math.Exp(-(r.spread + r.trials) * math.Log1p(hazard/(r.spread+r.passed)))
+// Survival is the chance that an entry came through a hazard unchanged.
+func (r *ChangeRate) Survival(hazard float64) float64 {
+	return math.Exp(-(r.shape + r.trialChanges) * math.Log1p(hazard/(r.shape+r.trialHazard)))
 }
 
-// Trial notes that an entry which went through a hazard while nothing was heard was found changed or not.
-func (r *Rate) Trial(hazard, changed float64) {
-	r.trials += changed
-	r.passed += hazard
+// ObserveTrial notes that an entry which went through a hazard while nothing was heard was found changed or not.
+func (r *ChangeRate) ObserveTrial(hazard, changed float64) {
+	r.trialChanges += changed
+	r.trialHazard += hazard
 }
 
 // fade lets trials of d ago count less.
-func (r *Rate) fade(d time.Duration) {
+func (r *ChangeRate) fade(d time.Duration) {
 	f := math.Exp(-d.Seconds() / trialMemory.Seconds())
-	r.trials, r.passed = r.trials*f, r.passed*f
+	r.trialChanges, r.trialHazard = r.trialChanges*f, r.trialHazard*f
 }
--- a/internal/staleness/settings.go
+++ b/internal/staleness/settings.go
@@ -11,44 +11,44 @@
 
 // SourceSettings are one source of a view: the register's list, the policy, the grants, health and delays of servers.
 type SourceSettings struct {
-	Name string
-	Beat time.Duration // expected gap between news while all is well
+	Name              string
+	HeartbeatInterval time.Duration // expected gap between news while all is well
 	// Bears makes the source one value instead of a list: an entry of the source's name and kind, on which every route depends.
-	Bears bool
+	AffectsAllRoutes bool
 }
 
 // Settings of a view. The zero value of each field but Sources stands for the default.
 type Settings struct {
-	Sources []SourceSettings
-	Kinds   map[string]Prior // of kinds of entries; others have DefaultPrior
-	Spread  float64          // see NewRate; 3
-	Silence float64          // watches that fall silent, a second, before any was seen; 1/200
-	Lies    float64          // registers that begin to answer with what is old, a second; 1/1500
-	Cure    float64          // such that are well again, a second; 1/15
-	Transit time.Duration    // what a message takes at most that is not late; 250 ms
+	Sources                 []SourceSettings
+	Kinds                   map[string]Prior // of kinds of entries; others have DefaultPrior
+	RateShape               float64          // see NewRate; 3
+	SilentWatchRate         float64          // watches that fall silent, a second, before any was seen; 1/200
+	StaleAnswerRate         float64          // registers that begin to answer with what is old, a second; 1/1500
+	StaleAnswerRecoveryRate float64          // such that are well again, a second; 1/15
+	MaxTransit              time.Duration    // what a message takes at most that is not late; 250 ms
 	// LieDoubt is the weight of a lie from which the bound of age counts it. Danger: nobody can tell a lie from quiet before
 	// something contradicts it, so a bound that always allowed for one would say minutes and mean nothing; 0.05
-	LieDoubt float64
-	Levels   Thresholds
+	StaleAnswerThreshold float64
+	Levels               Thresholds
 
-	without term // of the estimate, left out: for the trial of the calibration
+	omitted estimateTerm // of the estimate, left out: for the trial of the calibration
 }
 
-// term is a part of the estimate.
-type term int
+// estimateTerm is a part of the estimate.
+type estimateTerm int
 
 const (
-	termNone term = iota
+	termNone estimateTerm = iota
 	termPhi
 	termRate
 	termEvidence
-	termStop
+	termSuspension
 	termRestart
 )
 
 // Without is a flawed copy of the settings, for the trial of the calibration: phi, rate, evidence, stop or restart is left out.
 func (s Settings) Without(name string) Settings {
-	s.without = map[string]term{"phi": termPhi, "rate": termRate, "evidence": termEvidence, "stop": termStop, "restart": termRestart}[name]
+	s.omitted = map[string]estimateTerm{"phi": termPhi, "rate": termRate, "evidence": termEvidence, "stop": termSuspension, "restart": termRestart}[name]
 	return s
 }
 
@@ -58,33 +58,33 @@
 			*f = v
 		}
 	}
-	set(&s.Spread, 3)
-	set(&s.Silence, 1./200)
-	set(&s.Lies, 1./1500)
-	set(&s.Cure, 1./15)
-	set(&s.LieDoubt, .05)
-	if s.Transit == 0 {
-		s.Transit = 250 * time.Millisecond
+	set(&s.RateShape, 3)
+	set(&s.SilentWatchRate, 1./200)
+	set(&s.StaleAnswerRate, 1./1500)
+	set(&s.StaleAnswerRecoveryRate, 1./15)
+	set(&s.StaleAnswerThreshold, .05)
+	if s.MaxTransit == 0 {
+		s.MaxTransit = 250 * time.Millisecond
 	}
 	var errs []error
 	bad := func(wrong bool, field, format string, args ...any) {
 		if wrong {
-			errs = append(errs, BadSettings{field, fmt.Sprintf(format, args...)})
+			errs = append(errs, InvalidSettingsError{field, fmt.Sprintf(format, args...)})
 		}
 	}
 	for _, f := range []struct {
 		name string
 		v    float64
-	}{{"spread", s.Spread}, {"silence", s.Silence}, {"lies", s.Lies}, {"cure", s.Cure}} {
+	}{{"spread", s.RateShape}, {"silence", s.SilentWatchRate}, {"lies", s.StaleAnswerRate}, {"cure", s.StaleAnswerRecoveryRate}} {
 		bad(!(f.v > 0 && f.v <= 1000), f.name, "%v is not above 0 and at most 1000", f.v)
 	}
-	bad(!(s.LieDoubt > 0 && s.LieDoubt < 1), "lie_doubt", "%v is not within 0 and 1", s.LieDoubt)
-	bad(s.Transit < 0 || s.Transit > time.Minute, "transit", "%v is not within 0s and 1m", s.Transit)
+	bad(!(s.StaleAnswerThreshold > 0 && s.StaleAnswerThreshold < 1), "lie_doubt", "%v is not within 0 and 1", s.StaleAnswerThreshold)
+	bad(s.MaxTransit < 0 || s.MaxTransit > time.Minute, "transit", "%v is not within 0s and 1m", s.MaxTransit)
 	bad(len(s.Sources) == 0, "sources", "there is none")
 	seen := map[string]bool{}
 	for _, src := range s.Sources {
 		bad(src.Name == "" || seen[src.Name], "sources", "%q is empty or named twice", src.Name)
-		bad(src.Beat < leastBeat || src.Beat > time.Hour, "sources."+src.Name+".beat", "%v is not within %v and 1h", src.Beat, leastBeat)
+		bad(src.HeartbeatInterval < minHeartbeatInterval || src.HeartbeatInterval > time.Hour, "sources."+src.Name+".beat", "%v is not within %v and 1h", src.HeartbeatInterval, minHeartbeatInterval)
 		seen[src.Name] = true
 	}
 	for _, k := range slices.Sorted(maps.Keys(s.Kinds)) {
--- a/internal/staleness/snapshot.go
+++ b/internal/staleness/snapshot.go
@@ -8,10 +8,10 @@
 func (h Handle) slot() uint32       { return uint32(h) }
 func (h Handle) generation() uint32 { return uint32(h >> 32) }
 
-func (v *View) place(e *entry) {
+func (v *View) assignHandle(e *trackedEntry) {
 	var slot uint32
-	if n := len(v.free); n > 0 {
-		slot, v.free = v.free[n-1], v.free[:n-1]
+	if n := len(v.freeSlots); n > 0 {
+		slot, v.freeSlots = v.freeSlots[n-1], v.freeSlots[:n-1]
 		v.slots[slot] = e
 		v.generations[slot]++
 	} else {
@@ -31,23 +31,23 @@
 
 // RouteIndex is the index of a route in each Snapshot from now on, -1 if nobody told of it.
 func (v *View) RouteIndex(name string) int {
-	if r := v.byRoute[name]; r != nil {
-		return r.id
+	if r := v.routeByName[name]; r != nil {
+		return r.index
 	}
 	return -1
 }
 
-// RouteLook is a route in a snapshot.
-type RouteLook struct {
-	Chance float32
-	Level  Level
-	allow  [3]Allowance
+// routeSnapshot is a route in a snapshot.
+type routeSnapshot struct {
+	confidence  float32
+	level       Level
+	permissions [3]Permission
 }
 
-type entryLook struct {
+type entrySnapshot struct {
 	generation uint32
-	chance     float32
-	may        [3]bool
+	confidence float32
+	permitted  [3]bool
 }
 
 // Snapshot is what a request looks at: built once a tick, never changed, free to be read by many at once. Looks allocate nothing and
@@ -55,32 +55,32 @@
 type Snapshot struct {
 	At         time.Duration
 	RetryAfter time.Duration
-	routes     []RouteLook
-	entries    []entryLook
+	routes     []routeSnapshot
+	entries    []entrySnapshot
 }
 
 // Tick brings all routes up to now and builds a snapshot.
 func (v *View) Tick(now time.Duration) *Snapshot {
-	s := &Snapshot{At: now, RetryAfter: v.RetryAfter(), routes: make([]RouteLook, len(v.byID)), entries: make([]entryLook, len(v.slots))}
+	s := &Snapshot{At: now, RetryAfter: v.RetryAfter(), routes: make([]routeSnapshot, len(v.routeByIndex)), entries: make([]entrySnapshot, len(v.slots))}
 	for _, r := range v.routes {
-		v.weighRoute(r, now)
-		look := RouteLook{Chance: float32(r.p), Level: r.level}
-		for e := range look.allow {
-			look.allow[e] = Allows(r.level, Effect(e))
+		v.evaluateRoute(r, now)
+		look := routeSnapshot{confidence: float32(r.confidence), level: r.level}
+		for e := range look.permissions {
+			look.permissions[e] = PermissionFor(r.level, Idempotency(e))
 		}
-		s.routes[r.id] = look
+		s.routes[r.index] = look
 	}
 	for i, e := range v.slots {
 		if e == nil {
 			continue
 		}
-		look := entryLook{generation: e.handle.generation()}
-		if r := v.byRoute[e.Route]; r == nil || e.Route == "" {
-			look.chance = float32(v.Confidence(now, e.Name))
+		look := entrySnapshot{generation: e.handle.generation()}
+		if r := v.routeByName[e.Route]; r == nil || e.Route == "" {
+			look.confidence = float32(v.Confidence(now, e.Name))
 		} else {
-			look.chance = float32(e.p) // weighed just now
-			for effect := range look.may {
-				look.may[effect] = v.allowed(r, e, Effect(effect))
+			look.confidence = float32(e.confidence) // weighed just now
+			for effect := range look.permitted {
+				look.permitted[effect] = v.permits(r, e, Idempotency(effect))
 			}
 		}
 		s.entries[i] = look
@@ -94,19 +94,19 @@
 		return Blind, 0
 	}
 	r := &s.routes[index]
-	return r.Level, r.Chance
+	return r.level, r.confidence
 }
 
-// Allows is what a route allows a request of an effect class.
-func (s *Snapshot) Allows(index int, e Effect) Allowance {
+// Permission is what a route allows a request of an effect class.
+func (s *Snapshot) Permission(index int, e Idempotency) Permission {
 	if uint(index) >= uint(len(s.routes)) || int(e) >= 3 {
-		return FloorOrRefuse
+		return FloorOrReject
 	}
-	return s.routes[index].allow[e]
+	return s.routes[index].permissions[e]
 }
 
 // Entry is the chance that an entry is as believed, and whether a request of an effect class may go to it.
-func (s *Snapshot) Entry(h Handle, e Effect) (chance float32, may bool) {
+func (s *Snapshot) Entry(h Handle, e Idempotency) (chance float32, may bool) {
 	if uint(h.slot()) >= uint(len(s.entries)) || int(e) >= 3 {
 		return 0, false
 	}
@@ -114,5 +114,5 @@
 	if l.generation != h.generation() || h == 0 {
 		return 0, false
 	}
-	return l.chance, l.may[e]
+	return l.confidence, l.permitted[e]
 }
