--- /dev/null
+++ b/internal/admission/report.go
@@ -0,0 +1,78 @@
+package admission
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// AddressReport is the state of one address, as the admin protocol shows it.
+type AddressReport struct {
+	Prefix   string  `json:"address"`
+	Open     int     `json:"open"` // connections
+	Unproven int     `json:"unproven"`
+	Credit   float64 `json:"earned"`
+	Bytes    int64   `json:"bytes"`        // of bodies of requests in flight
+	Rate     float64 `json:"new_a_second"` // of new connections
+	Rejected int64   `json:"refused"`
+}
+
+// Report is the state of a ConnLimiter, as the admin protocol shows it.
+type Report struct {
+	MaxConns       int              `json:"places"`
+	Open           int              `json:"open"`
+	Known          int              `json:"known"`
+	Idle           int              `json:"waiting"`
+	Bytes          int64            `json:"bytes"` // of bodies of requests in flight
+	BodyRejections int64            `json:"bytes_refused"`
+	Counts         Counts           `json:"-"`
+	Rejected       map[string]int64 `json:"refused"` // by the name of the reason
+	Blocks         map[string]int   `json:"blocks"`  // seconds left, by prefix
+	Top            []AddressReport  `json:"top"`     // by rate, the greatest first
+}
+
+// Report returns the limiter's state.
+func (l *ConnLimiter) Report(now time.Duration) Report {
+	l.rates.decay(now)
+	r := Report{
+		MaxConns:       l.settings.MaxConns,
+		Open:           len(l.conns),
+		Known:          l.known,
+		Idle:           l.idle[idleUnknown].Len() + l.idle[idleKnown].Len(),
+		Bytes:          l.bodyBytes,
+		BodyRejections: l.counts.BodyRejections,
+		Counts:         l.counts,
+		Rejected:       map[string]int64{},
+		Blocks:         map[string]int{},
+	}
+	for reason := Blocked; reason < reasonCount; reason++ {
+		r.Rejected[reason.String()] = l.counts.Rejected[reason]
+	}
+	for p, left := range l.Blocks(now) {
+		r.Blocks[p.String()] = int(left / time.Second)
+	}
+	for _, a := range l.busiest.addresses {
+		r.Top = append(r.Top, l.reportAddress(now, a))
+	}
+	slices.SortFunc(r.Top, func(a, b AddressReport) int {
+		return cmp.Or(cmp.Compare(b.Rate, a.Rate), cmp.Compare(a.Prefix, b.Prefix))
+	})
+	return r
+}
+
+// reportAddress returns the state of one of the busiest addresses.
+func (l *ConnLimiter) reportAddress(now time.Duration, a busyAddress) AddressReport {
+	r := AddressReport{
+		Prefix:   a.prefix.String(),
+		Rate:     l.rates.rate(l.rates.estimate(l.rates.key(a.prefix))),
+		Rejected: a.rejected,
+	}
+	hosts := l.tiers[hostTier]
+	if g := hosts.groups[a.prefix]; g != nil {
+		r.Open = g.open
+		r.Unproven = g.unproven.Len()
+		r.Credit = hosts.credit(now, g)
+		r.Bytes = g.bodyBytes
+	}
+	return r
+}
--- a/internal/admission/requestlimiter_test.go
+++ b/internal/admission/requestlimiter_test.go
@@ -11,7 +11,7 @@
 	"lapisspread/internal/processquota"
 )
 
-func TestRequestSettings(t *testing.T) {
+func TestNewRequestLimiterRejectsInvalidSettings(t *testing.T) {
 	good := RequestSettings{MaxInFlight: 10, RetryAfter: time.Second}
 	for want, change := range map[string]func(*RequestSettings){
 		"in_hand":        func(s *RequestSettings) { s.MaxInFlight = 0 },
@@ -28,12 +28,17 @@
 	}
 }
 
-// No bound is exceeded and nothing leaks; who is refused is told a time, and not all the same.
+// No bound is exceeded and nothing leaks. Rejected clients get different times to retry after.
 func TestRequestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := RequestSettings{MaxInFlight: rapid.IntRange(1, 30).Draw(t, "in hand"), MaxTenantPart: rapid.Float64Range(0, 1).Draw(t, "per tenant"),
-			MaxPerConn: rapid.IntRange(0, 3).Draw(t, "per connection"), RetryAfter: time.Second}
-		gate, err := processquota.NewGate([]processquota.GateClass{{PriorityWeight: 1, HoldTime: 1}, {PriorityWeight: 9, HoldTime: 1}}, []float64{1, 2})
+		s := RequestSettings{
+			MaxInFlight:   rapid.IntRange(1, 30).Draw(t, "in flight"),
+			MaxTenantPart: rapid.Float64Range(0, 1).Draw(t, "per tenant"),
+			MaxPerConn:    rapid.IntRange(0, 3).Draw(t, "per connection"),
+			RetryAfter:    time.Second,
+		}
+		classes := []processquota.GateClass{{PriorityWeight: 1, HoldTime: 1}, {PriorityWeight: 9, HoldTime: 1}}
+		gate, err := processquota.NewGate(classes, []float64{1, 2})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,70 +46,77 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var held []int // tenants
+		var inFlight []int // tenants
 		waits := map[time.Duration]bool{}
-		refused := 0
+		rejected := 0
 		for range 300 {
 			tenant := rapid.IntRange(0, 1).Draw(t, "tenant")
-			if len(held) > 0 && rapid.IntRange(0, 2).Draw(t, "ends") == 0 {
-				r.Release(held[0], time.Millisecond)
-				held = held[1:]
+			if len(inFlight) > 0 && rapid.IntRange(0, 2).Draw(t, "ends") == 0 {
+				r.Release(inFlight[0], time.Millisecond)
+				inFlight = inFlight[1:]
 				continue
 			}
 			ofConn := rapid.IntRange(0, 4).Draw(t, "of the connection")
-			mine := 0
-			for _, h := range held {
-				if h == tenant {
-					mine++
+			ofTenant := 0
+			for _, other := range inFlight {
+				if other == tenant {
+					ofTenant++
 				}
 			}
-			why, after := r.Acquire(rapid.IntRange(0, 1).Draw(t, "class"), tenant, ofConn)
-			if why == "" {
-				if len(held) >= s.MaxInFlight || s.MaxPerConn > 0 && ofConn >= s.MaxPerConn || s.MaxTenantPart > 0 && float64(mine+1) > max(1, s.MaxTenantPart*float64(s.MaxInFlight)) {
-					t.Fatalf("one more was taken: %d in hand, %d of the tenant, %d of the connection", len(held), mine, ofConn)
+			reason, retryAfter := r.Acquire(rapid.IntRange(0, 1).Draw(t, "class"), tenant, ofConn)
+			if reason == "" {
+				overTotal := len(inFlight) >= s.MaxInFlight
+				overConn := s.MaxPerConn > 0 && ofConn >= s.MaxPerConn
+				maxOfTenant := max(1, s.MaxTenantPart*float64(s.MaxInFlight))
+				overTenant := s.MaxTenantPart > 0 && float64(ofTenant+1) > maxOfTenant
+				if overTotal || overConn || overTenant {
+					t.Fatalf("one more was admitted: %d in flight, %d of the tenant, %d of the connection",
+						len(inFlight), ofTenant, ofConn)
 				}
-				held = append(held, tenant)
+				inFlight = append(inFlight, tenant)
 				continue
 			}
-			if after < s.RetryAfter || after > 2*s.RetryAfter {
-				t.Fatalf("come back after %v", after)
+			if retryAfter < s.RetryAfter || retryAfter > 2*s.RetryAfter {
+				t.Fatalf("retry after %v", retryAfter)
 			}
-			waits[after] = true
-			refused++
+			waits[retryAfter] = true
+			rejected++
 		}
-		if refused > 20 && len(waits) < refused/2 {
-			t.Fatalf("%d were refused, and told %d times", refused, len(waits))
+		if rejected > 20 && len(waits) < rejected/2 {
+			t.Fatalf("%d were rejected, with %d different times", rejected, len(waits))
 		}
-		for _, h := range held {
-			r.Release(h, 0)
+		for _, tenant := range inFlight {
+			r.Release(tenant, 0)
 		}
 		if _, n := r.Limit(); n != 0 {
-			t.Fatalf("%d are still booked", n)
+			t.Fatalf("%d are still in flight", n)
 		}
 	})
 }
 
-// The adaptive limit finds what a server with a queue can do, and rises again as the server does.
-func TestAdaptive(t *testing.T) {
-	r, err := NewRequestLimiter(RequestSettings{MaxInFlight: 400, Adaptive: true, MinInFlight: 4, RetryAfter: time.Second}, nil, 1, 1)
+// The adaptive limit follows the capacity of a server with a queue, down and up again.
+func TestAdaptiveLimit(t *testing.T) {
+	s := RequestSettings{MaxInFlight: 400, Adaptive: true, MinInFlight: 4, RetryAfter: time.Second}
+	r, err := NewRequestLimiter(s, nil, 1, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(5, 6))
-	// A server of so many at once: an answer takes 20 ms, and longer as more are in hand. Two come for each that ends.
-	serve := func(at float64, rounds int) int {
-		held := 0
+	// The latency of the server is 20 ms up to its capacity, and in proportion to the requests in flight above it. Two
+	// requests arrive for each that ends.
+	serve := func(capacity float64, rounds int) int {
+		inFlight := 0
 		for range rounds {
 			for range 2 {
-				if why, _ := r.Acquire(0, 0, 0); why == "" {
-					held++
+				if reason, _ := r.Acquire(0, 0, 0); reason == "" {
+					inFlight++
 				}
 			}
-			took := 0.020 * max(1, float64(held)/at) * (0.9 + 0.2*rng.Float64())
-			r.Release(0, time.Duration(took*float64(time.Second)))
-			held--
+			latency := 0.020 * max(1, float64(inFlight)/capacity) * (0.9 + 0.2*rng.Float64())
+			r.Release(0, time.Duration(latency*float64(time.Second)))
+			inFlight--
 		}
-		for ; held > 0; held-- {
+		for ; inFlight > 0; inFlight-- {
 			r.Release(0, 0)
 		}
 		limit, _ := r.Limit()
@@ -114,7 +126,7 @@
 		t.Errorf("a server of 40: the limit is %d", limit)
 	}
 	if limit := serve(10, 8000); limit > 60 {
-		t.Errorf("a server that has sunk to 10: the limit is %d", limit)
+		t.Errorf("a server that fell to 10: the limit is %d", limit)
 	}
 	if limit := serve(200, 20000); limit < 100 {
 		t.Errorf("a server of 200 again: the limit is %d", limit)
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -1,21 +1,3 @@
-// Package admission decides which connections a process holds: who is taken, who is turned away, and who is closed to
-// make room. It is pure: no I/O, no goroutine, no clock; callers give the time and see to it that one at a time calls.
-//
-// What a Door promises, whatever comes in whatever order:
-//
-//   - It holds no more connections than it has places.
-//   - A connection with a whole request in hand is never closed to make room.
-//   - While more places are free than are kept for known clients, everyone is taken, but for who is blocked by hand and,
-//     where places are short, addresses over their rate of new connections.
-//   - A known client is taken while known clients hold less than the reserve.
-//   - An address that holds no bytes of bodies may hold those of one request; while there is room, any may hold any.
-//   - Who is closed is of the address or net with the most unproven connections beyond what it has earned, or, while all of
-//     these are within the grace, the one of all that came first.
-//   - Nothing is for ever: earnings and rates fade, blocks have an expiry. An address that stops flooding is as any other
-//     after Settings.HalfLife times eight at the latest.
-//   - An event costs O(log places), and memory is bounded by Settings alone, whatever the number of addresses.
-//
-// Why it is so: docs/admission-design.md.
 package admission
 
 import (
@@ -25,92 +7,111 @@
 	"time"
 )
 
-// ID names a connection that a Door holds; 0 is none.
-type ID uint64
+const (
+	// NetworkFactor is how many times as much as an address its network may do.
+	NetworkFactor = 8
+	// BytesPerServedRequest is how many bytes of bodies an address may hold for each request of it that was served of
+	// late, beside Settings.MaxBodyPart: many good clients may share one address.
+	BytesPerServedRequest = 64 << 10
+	// MaxBlockDuration is the longest duration of a block.
+	MaxBlockDuration = 7 * 24 * time.Hour
+	// KnownThreshold is how many served requests, after decay, make an address a known client.
+	KnownThreshold = 3
+)
+
+// Bounds of Settings.
+const (
+	maxConnsLimit    = 1 << 20
+	maxTrackedLimit  = 1 << 20
+	maxKnownReserve  = 0.9
+	maxGracePeriod   = 10 * time.Second
+	minHalfLife      = time.Second
+	maxHalfLife      = time.Hour
+	maxConnRateLimit = 1e6 // per second
+	maxKnownPrefixes = 4096
+)
 
-// Settings are what a Door goes by.
+// Settings configure a ConnLimiter.
 type Settings struct {
-	MaxConns     int           // connections that it may hold
-	KnownReserve float64       // part of them that only known clients may have, 0 to 0.9
-	GracePeriod  time.Duration // for so long an unproven connection is not closed while another is older
-	HalfLife     time.Duration // of what an address has earned
-	MaxCredit    int           // what one address can have earned at most, in connections that have shown nothing yet
-	MaxConnRate  float64       // new connections a second of one address, while places are short; a net has NetTimes as many
-	ScarceBelow  float64       // places are short while less than this part is free, beside the reserve; 0 to 1
-	// Bytes is the room for the bodies of all requests in hand; 0 is no bound. While less than Short of it is free, an
-	// address may hold no more than BytesPart of it, 0 to 1, and EarnedBytes for each request served of late.
-	MaxBodyBytes  int64
-	MaxBodyPart   float64
-	KnownPrefixes []netip.Prefix // addresses that are known from the start; they count as having earned Earned
-	MaxTracked    int            // addresses, and nets, whose earnings are remembered while they hold no connection
-	Seed          uint64         // of the hashes: who chooses addresses must not know it
+	// MaxConns is the most connections that it holds.
+	MaxConns int
+	// KnownReserve is the part of MaxConns that is reserved for known clients, 0 to 0.9.
+	KnownReserve float64
+	// GracePeriod is how long an unproven connection is not evicted while another is older.
+	GracePeriod time.Duration
+	// HalfLife is that of the credit of an address.
+	HalfLife time.Duration
+	// MaxCredit is the most credit of one address, in unproven connections.
+	MaxCredit int
+	// MaxConnRate is how many new connections per second an address may open while connections are scarce. A network
+	// may open NetworkFactor times as many.
+	MaxConnRate float64
+	// ScarceBelow is the free part of MaxConns, beside the reserve, below which connections are scarce; 0 to 1. It is
+	// also the free part of MaxBodyBytes below which bytes are scarce.
+	ScarceBelow float64
+	// MaxBodyBytes is the most bytes of bodies of all requests in flight; 0 is no bound.
+	MaxBodyBytes int64
+	// MaxBodyPart is the part of MaxBodyBytes that an address may hold while bytes are scarce, 0 to 1.
+	MaxBodyPart float64
+	// KnownPrefixes are addresses that are known clients from the start, with MaxCredit.
+	KnownPrefixes []netip.Prefix
+	// MaxTracked is how many addresses, and how many networks, without a connection are remembered for their credit.
+	MaxTracked int
+	// Seed is that of the hashes. It must be secret from clients, who could choose colliding addresses.
+	Seed uint64
 }
 
-// NetworkFactor is how many times as much as an address a net may do before it counts as a flooder.
-const NetworkFactor = 8
-
-// BytesPerServedRequest is how many bytes of bodies an address may hold for each request of its that was served of late: those of
-// many good clients behind one address add up.
-const BytesPerServedRequest = 64 << 10
-
-// MaxBlockDuration is how long a block by hand lasts at most.
-const MaxBlockDuration = 7 * 24 * time.Hour
-
-// KnownThreshold is how many requests served, fading, make an address a known one.
-const KnownThreshold = 3
-
-// Defaults are settings for so many places.
-func Defaults(places int) Settings {
-	return Settings{MaxConns: places, KnownReserve: 0.25, GracePeriod: 5 * time.Millisecond, HalfLife: 30 * time.Second, MaxCredit: max(8, places/16),
-		MaxConnRate: 200, ScarceBelow: 0.25, MaxBodyPart: 0.25, MaxTracked: 8192}
+// Defaults returns the settings for a number of connections.
+func Defaults(maxConns int) Settings {
+	return Settings{
+		MaxConns:     maxConns,
+		KnownReserve: 0.25,
+		GracePeriod:  5 * time.Millisecond,
+		HalfLife:     30 * time.Second,
+		MaxCredit:    max(8, maxConns/16),
+		MaxConnRate:  200,
+		ScarceBelow:  0.25,
+		MaxBodyPart:  0.25,
+		MaxTracked:   8192,
+	}
 }
 
-// Validate tells what makes no sense, by the field's name.
+// Validate returns an error that names each invalid setting by its key in the file, or nil.
 func (s *Settings) Validate() error {
-	var errs []error
-	bad := func(wrong bool, format string, args ...any) {
-		if wrong {
-			errs = append(errs, fmt.Errorf(format, args...))
-		}
-	}
-	bad(s.MaxConns < 1 || s.MaxConns > 1<<20, "places: %d is not within 1 and %d", s.MaxConns, 1<<20)
-	bad(!(s.KnownReserve >= 0 && s.KnownReserve <= 0.9), "reserve: %v is not within 0 and 0.9", s.KnownReserve)
-	bad(s.GracePeriod < 0 || s.GracePeriod > 10*time.Second, "grace: %v is not within 0s and 10s", s.GracePeriod)
-	bad(s.HalfLife < time.Second || s.HalfLife > time.Hour, "half_life: %v is not within 1s and 1h", s.HalfLife)
-	bad(s.MaxCredit < 1, "earned: %d must be above 0", s.MaxCredit)
-	bad(!(s.MaxConnRate > 0 && s.MaxConnRate <= 1e6), "rate: %v is not within 0 and 1000000 a second", s.MaxConnRate)
-	bad(!(s.ScarceBelow >= 0 && s.ScarceBelow <= 1), "short: %v is not within 0 and 1", s.ScarceBelow)
-	bad(s.MaxBodyBytes < 0, "bytes: %d is negative", s.MaxBodyBytes)
-	bad(!(s.MaxBodyPart >= 0 && s.MaxBodyPart <= 1), "bytes_part: %v is not within 0 and 1", s.MaxBodyPart)
-	bad(s.MaxTracked < 1 || s.MaxTracked > 1<<20, "tracked: %d is not within 1 and %d", s.MaxTracked, 1<<20)
-	bad(len(s.KnownPrefixes) > 4096, "known: %d prefixes; 4096 are the most", len(s.KnownPrefixes))
+	var errs validationErrors
+	errs.addIf(s.MaxConns < 1 || s.MaxConns > maxConnsLimit,
+		"places: %d is not within 1 and %d", s.MaxConns, maxConnsLimit)
+	errs.addIf(!(s.KnownReserve >= 0 && s.KnownReserve <= maxKnownReserve),
+		"reserve: %v is not within 0 and %v", s.KnownReserve, maxKnownReserve)
+	errs.addIf(s.GracePeriod < 0 || s.GracePeriod > maxGracePeriod,
+		"grace: %v is not within 0s and %v", s.GracePeriod, maxGracePeriod)
+	errs.addIf(s.HalfLife < minHalfLife || s.HalfLife > maxHalfLife,
+		"half_life: %v is not within 1s and 1h", s.HalfLife)
+	errs.addIf(s.MaxCredit < 1, "earned: %d must be above 0", s.MaxCredit)
+	errs.addIf(!(s.MaxConnRate > 0 && s.MaxConnRate <= maxConnRateLimit),
+		"rate: %v is not within 0 and 1000000 a second", s.MaxConnRate)
+	errs.addIf(!isRatio(s.ScarceBelow), "short: %v is not within 0 and 1", s.ScarceBelow)
+	errs.addIf(s.MaxBodyBytes < 0, "bytes: %d is negative", s.MaxBodyBytes)
+	errs.addIf(!isRatio(s.MaxBodyPart), "bytes_part: %v is not within 0 and 1", s.MaxBodyPart)
+	errs.addIf(s.MaxTracked < 1 || s.MaxTracked > maxTrackedLimit,
+		"tracked: %d is not within 1 and %d", s.MaxTracked, maxTrackedLimit)
+	errs.addIf(len(s.KnownPrefixes) > maxKnownPrefixes,
+		"known: %d prefixes; %d are the most", len(s.KnownPrefixes), maxKnownPrefixes)
 	for i, p := range s.KnownPrefixes {
-		bad(!p.IsValid(), "known[%d]: no prefix", i)
+		errs.addIf(!p.IsValid(), "known[%d]: no prefix", i)
 	}
 	return errors.Join(errs...)
 }
 
-// Reason says why a connection is not taken, or was closed.
-type Reason uint8
-
-// The reasons.
-const (
-	NoReason     Reason = iota
-	Blocked             // by hand
-	RateExceeded        // its address or net brings too many, and places are short
-	NoCapacity          // no place is free for it and nobody can be closed
-	Evicted             // closed to make room
-	reasons
-)
+// validationErrors collects what is invalid.
+type validationErrors []error
 
-func (r Reason) String() string {
-	return [...]string{"none", "blocked", "rate", "full", "room"}[r]
+// addIf adds an error if a setting is invalid.
+func (e *validationErrors) addIf(invalid bool, format string, args ...any) {
+	if invalid {
+		*e = append(*e, fmt.Errorf(format, args...))
+	}
 }
 
-// Verdict is what becomes of a connection that arrives: it is taken, under an ID, or turned away for a reason, or it
-// may be taken once another is closed.
-type Verdict struct {
-	Admitted ID
-	Evict    ID // tell Gone of it and ask again, or Spare if it must not be closed
-	Reason   Reason
-}
+// isRatio reports whether a value is within 0 and 1.
+func isRatio(v float64) bool { return v >= 0 && v <= 1 }
--- a/internal/admission/sketch.go
+++ b/internal/admission/sketch.go
@@ -10,32 +10,39 @@
 
 const (
 	sketchRows     = 4
-	sketchWidth    = 8192 // cells a row, a power of two
+	sketchWidth    = 8192 // cells per row, a power of two
 	sketchHalfLife = time.Second
+	// maxScale is the scale above which all cells are divided by it, before they leave the range of float32.
+	maxScale = 1 << 40
+	// maxDecayHalfLives bounds the exponent of one decay; after so many half-lives nothing is left.
+	maxDecayHalfLives = 120
+	// rowHashBits is by how many bits the hash is shifted for each row.
+	rowHashBits = 16
 )
 
-// sketch counts what fades, for any number of addresses, in 128 kB: a count-min sketch with conservative update
-// (Estan and Varghese 2002; Cormode and Muthukrishnan 2005) whose counts halve each second. An estimate is never too
-// low; it is too high by more than error() with a chance of e^-4, under 2 %.
+// sketch counts events of any number of keys in 128 kB: a count-min sketch with conservative update (Estan and
+// Varghese 2002; Cormode and Muthukrishnan 2005) whose counts halve each second. An estimate is never too low; the
+// probability that it is too high by more than errorBound is e^-4, under 2 %.
 type sketch struct {
-	seed    uint64
-	cells   [sketchRows][sketchWidth]float32 // as of scale
-	total   float64
-	scale   float64 // what one counts for now: it grows, in place of all cells' shrinking
-	fadedAt time.Duration
+	seed  uint64
+	cells [sketchRows][sketchWidth]float32 // in units of scale
+	total float64                          // of all counts, in units of scale
+	// scale is what one event counts for at decayedAt. It grows in place of the decay of all cells.
+	scale     float64
+	decayedAt time.Duration
 }
 
+// newSketch returns an empty sketch. The seed must be secret from whoever chooses the keys.
 func newSketch(seed uint64) *sketch { return &sketch{seed: seed, scale: 1} }
 
-// maxScale is where counts are brought back to a scale of 1, before float32 is left.
-const maxScale = 1 << 40
-
-func (s *sketch) fade(now time.Duration) {
-	if now <= s.fadedAt {
+// decay halves all counts for each half-life since the last call.
+func (s *sketch) decay(now time.Duration) {
+	if now <= s.decayedAt {
 		return
 	}
-	s.scale *= math.Exp2(min(float64(now-s.fadedAt)/float64(sketchHalfLife), 120)) // after that nothing is left
-	s.fadedAt = now
+	halfLives := float64(now-s.decayedAt) / float64(sketchHalfLife)
+	s.scale *= math.Exp2(min(halfLives, maxDecayHalfLives))
+	s.decayedAt = now
 	if s.scale < maxScale {
 		return
 	}
@@ -48,45 +55,50 @@
 	s.scale = 1
 }
 
-// key hashes a prefix.
+// key returns the hash of a prefix.
 func (s *sketch) key(p netip.Prefix) uint64 {
-	var b [17]byte
-	a := p.Addr().As16()
-	copy(b[:], a[:])
-	b[16] = byte(p.Bits())
+	const addressLength = 16
+	var b [addressLength + 1]byte
+	address := p.Addr().As16()
+	copy(b[:], address[:])
+	b[addressLength] = byte(p.Bits())
 	return xxh3.HashSeed(b[:], s.seed)
 }
 
-// add counts one more, and gives the estimate with it.
+// cell returns a key's cell in a row.
+func (s *sketch) cell(row int, key uint64) *float32 {
+	return &s.cells[row][(key>>(rowHashBits*row))%sketchWidth]
+}
+
+// add counts one event, and returns the estimate with it.
 func (s *sketch) add(now time.Duration, key uint64) float64 {
-	s.fade(now)
-	low := float32(math.Inf(1))
-	var at [sketchRows]*float32
-	for r := range at {
-		at[r] = &s.cells[r][(key>>(16*r))%sketchWidth]
-		low = min(low, *at[r])
+	s.decay(now)
+	lowest := float32(math.Inf(1))
+	for r := range sketchRows {
+		lowest = min(lowest, *s.cell(r, key))
 	}
-	low += float32(s.scale)
-	for _, c := range at {
-		*c = max(*c, low)
+	lowest += float32(s.scale)
+	for r := range sketchRows {
+		c := s.cell(r, key)
+		*c = max(*c, lowest)
 	}
 	s.total += s.scale
-	return float64(low) / s.scale
+	return float64(lowest) / s.scale
 }
 
-// rate makes a count a rate a second: what a steady one would have come to.
-func (s *sketch) rate(count float64) float64 {
-	return count * math.Ln2 / sketchHalfLife.Seconds()
-}
-
-// error is what an estimate may be too high by.
-func (s *sketch) error() float64 { return math.E * s.total / s.scale / sketchWidth }
-
-// estimate is a key's count now.
+// estimate returns a key's count as of the last decay.
 func (s *sketch) estimate(key uint64) float64 {
-	low := float32(math.Inf(1))
+	lowest := float32(math.Inf(1))
 	for r := range sketchRows {
-		low = min(low, s.cells[r][(key>>(16*r))%sketchWidth])
+		lowest = min(lowest, *s.cell(r, key))
 	}
-	return float64(low) / s.scale
+	return float64(lowest) / s.scale
 }
+
+// rate returns the events per second that a count corresponds to, if they are steady.
+func (s *sketch) rate(count float64) float64 {
+	return count * math.Ln2 / sketchHalfLife.Seconds()
+}
+
+// errorBound returns by how much an estimate may be too high.
+func (s *sketch) errorBound() float64 { return math.E * s.total / s.scale / sketchWidth }
