--- a/internal/listener/connlimiter_test.go
+++ b/internal/listener/connlimiter_test.go
@@ -39,125 +39,127 @@
 		t.Fatal(err)
 	}
 	if s, err := f.Settings(Capacity{Conns: 600}, 1); err != nil || s.MaxConns != 600 || len(s.KnownPrefixes) != 2 {
-		t.Errorf("%+v, %v", s, err) // never more than the process has
+		t.Errorf("%+v, %v; want no more connections than the process has", s, err)
 	}
 }
 
-// stub is a connection that may be closed, or not.
+// stub is a connection that can be evicted, or refuses.
 type stub struct {
-	mu     sync.Mutex
-	closed bool
-	stays  bool
-	gone   func()
+	mu       sync.Mutex
+	closed   bool
+	refuses  bool
+	onClosed func()
 }
 
 func (s *stub) Evict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stays || s.closed {
+	if s.refuses || s.closed {
 		return false
 	}
 	s.closed = true
-	s.gone()
+	s.onClosed()
 	return true
 }
 
-func testDoor(t *testing.T, places int, path string) (*ConnLimiter, *time.Duration) {
+// newConnLimiter returns a limiter without a reserve, and its clock.
+func newConnLimiter(t *testing.T, maxConns int, blocksPath string) (*ConnLimiter, *time.Duration) {
 	t.Helper()
 	f, err := Parse("a.toml", []byte("version = 1\n[connections]\nreserve = 0.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := new(time.Duration)
-	d, err := New(f, Capacity{Conns: places}, 1, func() time.Duration { return *now }, path)
+	l, err := New(f, Capacity{Conns: maxConns}, 1, func() time.Duration { return *now }, blocksPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d, now
+	return l, now
 }
 
 func from(last int) net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(last)), Port: 1} }
 
-// One that must not be closed is passed over; what the door has closed is counted once, whoever tells of it first.
-func TestWhoMustNotBeClosedIsPassedOver(t *testing.T) {
-	d, now := testDoor(t, 3, "")
-	var all []*stub
+// A connection that refuses its eviction is passed over. One that is evicted is counted once, whoever removes it first.
+func TestRefusedEvictionIsPassedOver(t *testing.T) {
+	l, now := newConnLimiter(t, 3, "")
+	var stubs []*stub
 	for i := range 3 {
-		s := &stub{stays: i == 0}
-		id, _ := d.Arrive(from(i), s)
-		s.gone = func() { d.Remove(id) }
-		all = append(all, s)
+		s := &stub{refuses: i == 0}
+		id, _ := l.Arrive(from(i), s)
+		s.onClosed = func() { l.Remove(id) }
+		stubs = append(stubs, s)
 		*now += time.Second
 	}
-	if id, why := d.Arrive(from(9), &stub{stays: true}); id == 0 {
-		t.Fatalf("turned away: %v", why)
+	if id, reason := l.Arrive(from(9), &stub{refuses: true}); id == 0 {
+		t.Fatalf("rejected: %v", reason)
 	}
-	if all[0].closed || !all[1].closed || all[2].closed {
-		t.Errorf("closed: %v %v %v", all[0].closed, all[1].closed, all[2].closed)
+	if stubs[0].closed || !stubs[1].closed || stubs[2].closed {
+		t.Errorf("closed: %v %v %v", stubs[0].closed, stubs[1].closed, stubs[2].closed)
 	}
-	r := d.Report()
+	r := l.Report()
 	if r.Open != 3 || r.Rejected["room"] != 1 || r.Counts.Spared != 1 {
 		t.Errorf("%+v", r)
 	}
-	for _, s := range all {
-		s.stays = true
+	for _, s := range stubs {
+		s.refuses = true
 	}
 	*now += time.Second
-	if id, why := d.Arrive(from(10), &stub{}); id != 0 && why == admission.NoCapacity {
-		t.Errorf("%v %v", id, why)
+	if id, reason := l.Arrive(from(10), &stub{}); id != 0 && reason == admission.NoCapacity {
+		t.Errorf("%v %v", id, reason)
 	}
 }
 
-// Blocks outlive the process; those that have run out do not, and a broken file is told.
-func TestBlocksOutliveTheProcess(t *testing.T) {
+// The next process restores the blocks that have not expired, and reports a damaged file.
+func TestBlocksAreRestored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "blocks")
-	d, _ := testDoor(t, 3, path)
-	if err := d.Restore(); err != nil {
+	l, _ := newConnLimiter(t, 3, path)
+	if err := l.Restore(); err != nil {
 		t.Fatal(err)
 	}
 	long, short := netip.MustParsePrefix("127.0.1.0/24"), netip.MustParsePrefix("127.0.2.0/24")
 	for p, span := range map[netip.Prefix]time.Duration{long: time.Hour, short: time.Nanosecond} {
-		if err := d.Block(p, span); err != nil {
+		if err := l.Block(p, span); err != nil {
 			t.Fatal(err)
 		}
 	}
-	next, _ := testDoor(t, 3, path)
+	next, _ := newConnLimiter(t, 3, path)
 	if err := next.Restore(); err != nil {
 		t.Fatal(err)
 	}
-	if _, why := next.Arrive(from(1), &stub{}); why != admission.Blocked {
-		t.Errorf("in the next process: %v", why)
+	if _, reason := next.Arrive(from(1), &stub{}); reason != admission.Blocked {
+		t.Errorf("in the next process: %v", reason)
 	}
-	if err := next.Unblock(short); err == nil {
-		t.Error("a block that had run out is there")
+	var notBlocked NotBlockedError
+	if err := next.Unblock(short); !errors.As(err, &notBlocked) {
+		t.Error("an expired block was restored")
 	}
 	if err := next.Unblock(long); err != nil {
 		t.Error(err)
 	}
-	if id, why := next.Arrive(from(1), &stub{}); id == 0 {
-		t.Errorf("unblocked: %v", why)
+	if id, reason := next.Arrive(from(1), &stub{}); id == 0 {
+		t.Errorf("unblocked: %v", reason)
 	}
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := next.Restore(); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("a broken file: %v", err)
+		t.Errorf("a damaged file: %v", err)
 	}
 }
 
-// short is a listener whose process has no descriptor left for a while.
-type short struct {
+// shortListener is a listener whose first accepts fail for want of a descriptor.
+type shortListener struct {
 	net.Listener
-	mu    sync.Mutex
-	left  int
-	calls int
+	mu       sync.Mutex
+	failures int // left
+	calls    int
 }
 
-func (s *short) Accept() (net.Conn, error) {
+func (s *shortListener) Accept() (net.Conn, error) {
 	s.mu.Lock()
 	s.calls++
-	if s.left > 0 {
-		s.left--
+	if s.failures > 0 {
+		s.failures--
 		s.mu.Unlock()
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
@@ -165,23 +167,23 @@
 	return s.Listener.Accept()
 }
 
-// Without descriptors accepting neither spins nor stops for good, and other errors are told.
-func TestNoDescriptorIsLeft(t *testing.T) {
+// Without descriptors Accept neither spins nor stops for good, and it returns other errors.
+func TestDescriptorShortage(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &short{Listener: inner, left: 20}
-	d, _ := testDoor(t, 3, "")
-	l := d.NewListener(s, slog.New(slog.DiscardHandler))
-	came := make(chan error, 1)
+	s := &shortListener{Listener: inner, failures: 20}
+	l, _ := newConnLimiter(t, 3, "")
+	accepting := l.NewListener(s, slog.New(slog.DiscardHandler))
+	accepted := make(chan error, 1)
 	began := time.Now()
 	go func() {
-		c, err := l.Accept()
+		c, err := accepting.Accept()
 		if err == nil {
-			c.Close()
+			err = c.Close()
 		}
-		came <- err
+		accepted <- err
 	}()
 	time.Sleep(10 * time.Millisecond)
 	s.mu.Lock()
@@ -190,53 +192,55 @@
 	if passed := time.Since(began); calls > 2+int(passed/acceptRetryInterval) {
 		t.Errorf("%d calls in %v: it spins", calls, passed)
 	}
-	for range 40 { // those that come meanwhile may be closed; one that comes later is taken
+	for range 40 { // connections during the shortage may be closed; a later one is accepted
 		c, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		select {
-		case err := <-came:
+		case err := <-accepted:
 			if err != nil {
 				t.Fatal(err)
 			}
 			if took := time.Since(began); took < 20*acceptRetryInterval {
-				t.Errorf("taken after %v", took)
+				t.Errorf("accepted after %v", took)
 			}
-			l.Close()
-			if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-				t.Errorf("after its end: %v", err)
+			if err := accepting.Close(); err != nil {
+				t.Error(err)
+			}
+			if _, err := accepting.Accept(); !errors.Is(err, net.ErrClosed) {
+				t.Errorf("after Close: %v", err)
 			}
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	t.Error("nobody is taken any more")
+	t.Error("no connection is accepted any more")
 }
 
-// While two processes share the limits each keeps to half, also through a change; whom it holds beyond that it keeps.
-func TestHalfOfTheRoom(t *testing.T) {
-	d, _ := testDoor(t, 4, "")
+// While two processes share the limits each keeps to half, also after Reconfigure. Connections beyond that go on.
+func TestUseHalf(t *testing.T) {
+	l, _ := newConnLimiter(t, 4, "")
 	for i := range 4 {
-		if id, why := d.Arrive(from(i), &stub{stays: true}); id == 0 {
-			t.Fatalf("turned away: %v", why)
+		if id, reason := l.Arrive(from(i), &stub{refuses: true}); id == 0 {
+			t.Fatalf("rejected: %v", reason)
 		}
 	}
 	f, err := Parse("a.toml", []byte("version = 1\n[connections]\nreserve = 0.5\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(d.UseHalf(true), d.Reconfigure(f)); err != nil {
+	if err := errors.Join(l.UseHalf(true), l.Reconfigure(f)); err != nil {
 		t.Fatal(err)
 	}
-	if r := d.Report(); r.MaxConns != 2 || r.Open != 4 {
-		t.Errorf("%d of %d places", r.Open, r.MaxConns)
+	if r := l.Report(); r.MaxConns != 2 || r.Open != 4 {
+		t.Errorf("%d of %d connections", r.Open, r.MaxConns)
 	}
-	if id, _ := d.Arrive(from(9), &stub{stays: true}); id != 0 {
-		t.Error("one more is taken")
+	if id, _ := l.Arrive(from(9), &stub{refuses: true}); id != 0 {
+		t.Error("one more is admitted")
 	}
-	if err := d.UseHalf(false); err != nil || d.Report().MaxConns != 4 {
-		t.Errorf("%v, %d places", err, d.Report().MaxConns)
+	if err := l.UseHalf(false); err != nil || l.Report().MaxConns != 4 {
+		t.Errorf("%v, %d connections", err, l.Report().MaxConns)
 	}
 }
--- a/internal/listener/file.go
+++ b/internal/listener/file.go
@@ -10,31 +10,39 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// Version is the form of the file that this program reads.
-const Version = 1
+const (
+	// Version is the format of the file that this program reads.
+	Version = 1
+	// maxFileBytes is the length of the longest file that is read.
+	maxFileBytes = 1 << 20
+	// defaultRetryAfter is Requests.RetryAfter if it is left out.
+	defaultRetryAfter = time.Second
+	// validationConns is the capacity with which a file is checked: no process has more.
+	validationConns = 1 << 20
+)
 
-// File is deploy/admission.toml. What is left out is as admission.Defaults has it.
+// File is the schema of deploy/admission.toml. A key that is left out has the value of admission.Defaults.
 type File struct {
 	Version     int         `toml:"version"` // 1
 	Connections Connections `toml:"connections"`
-	Requests    *Requests   `toml:"requests"` // left out, requests are not bounded here
+	Requests    *Requests   `toml:"requests"` // left out, requests in flight are not bounded here
 }
 
-// Connections are who holds a place.
+// Connections configure admission.Settings, which explains each value.
 type Connections struct {
-	MaxConns      int                    `toml:"places"`  // the process's for clients if left out, and never more than these
-	KnownReserve  *float64               `toml:"reserve"` // part of the places that only known clients may have
-	GracePeriod   *strictconfig.Duration `toml:"grace"`   // for so long one that has shown nothing is not closed to make room
+	MaxConns      int                    `toml:"places"` // left out or greater, the process's capacity for clients
+	KnownReserve  *float64               `toml:"reserve"`
+	GracePeriod   *strictconfig.Duration `toml:"grace"`
 	HalfLife      *strictconfig.Duration `toml:"half_life"`
 	MaxCredit     int                    `toml:"earned"`
-	MaxConnRate   *float64               `toml:"rate"`       // new connections a second of one address, while places are short
-	MaxBodyPart   *float64               `toml:"bytes_part"` // of the bytes of bodies that one address may hold while they are short
-	ScarceBelow   *float64               `toml:"short"`      // places are short while less than this part of them is free
+	MaxConnRate   *float64               `toml:"rate"` // per second
+	MaxBodyPart   *float64               `toml:"bytes_part"`
+	ScarceBelow   *float64               `toml:"short"`
 	MaxTracked    int                    `toml:"tracked"`
-	KnownPrefixes []string               `toml:"known"` // addresses or prefixes that are known from the start
+	KnownPrefixes []string               `toml:"known"` // addresses or prefixes
 }
 
-// Requests are how many requests are in hand.
+// Requests configure admission.RequestSettings, which explains each value.
 type Requests struct {
 	MaxInFlight   int                   `toml:"in_hand"`
 	MaxTenantPart float64               `toml:"per_tenant"`
@@ -43,15 +51,12 @@
 	RetryAfter    strictconfig.Duration `toml:"retry_after"` // 1s if left out
 }
 
-// maxFileBytes is the longest file that is read, in bytes.
-const maxFileBytes = 1 << 20
-
-// Load reads a file. Errors name the file, the line where there is one, and the key.
+// Load reads and checks a file. Its errors name the file, the line if there is one, and the key.
 func Load(path string) (*File, error) {
 	return strictconfig.Load(path, "the admission's settings", maxFileBytes, Parse)
 }
 
-// Parse reads the text of a file.
+// Parse reads and checks the text of a file; the path is for errors only.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{}
 	if err := strictconfig.Decode(path, text, f); err != nil {
@@ -61,12 +66,13 @@
 		return nil, fmt.Errorf("%s: version: %d; this program reads %d", path, f.Version, Version)
 	}
 	var errs []error
-	if _, err := f.Settings(Capacity{Conns: 1 << 20}, 0); err != nil { // whether the rest makes sense does not hang on the process's places
+	// Whether a file is valid must not depend on the capacity of the process.
+	if _, err := f.Settings(Capacity{Conns: validationConns}, 0); err != nil {
 		errs = append(errs, fmt.Errorf("connections: %w", err))
 	}
 	if f.Requests != nil {
 		if f.Requests.RetryAfter == 0 {
-			f.Requests.RetryAfter = strictconfig.Duration(time.Second)
+			f.Requests.RetryAfter = strictconfig.Duration(defaultRetryAfter)
 		}
 		s := f.RequestSettings()
 		if err := s.Validate(); err != nil {
@@ -82,39 +88,28 @@
 // Capacity is what a process has for its clients.
 type Capacity struct {
 	Conns     int
-	BodyBytes int64 // of the bodies of all requests in hand
+	BodyBytes int64 // of the bodies of all requests in flight; 0 is no bound
 }
 
-// Settings are those of the connections, for a process with so much room.
-func (f *File) Settings(room Capacity, seed uint64) (admission.Settings, error) {
+// Settings returns the settings of the connections, for a process with a capacity. Its error names each invalid key.
+func (f *File) Settings(capacity Capacity, seed uint64) (admission.Settings, error) {
 	c := &f.Connections
-	places := room.Conns
+	maxConns := capacity.Conns
 	if c.MaxConns != 0 {
-		places = min(c.MaxConns, places)
-	}
-	s := admission.Defaults(places)
-	s.Seed, s.MaxBodyBytes = seed, room.BodyBytes
-	if c.MaxBodyPart != nil {
-		s.MaxBodyPart = *c.MaxBodyPart
-	}
-	if c.KnownReserve != nil {
-		s.KnownReserve = *c.KnownReserve
-	}
-	if c.GracePeriod != nil {
-		s.GracePeriod = time.Duration(*c.GracePeriod)
-	}
-	if c.HalfLife != nil {
-		s.HalfLife = time.Duration(*c.HalfLife)
-	}
+		maxConns = min(c.MaxConns, maxConns)
+	}
+	s := admission.Defaults(maxConns)
+	s.Seed = seed
+	s.MaxBodyBytes = capacity.BodyBytes
+	setIfGiven(&s.MaxBodyPart, c.MaxBodyPart)
+	setIfGiven(&s.KnownReserve, c.KnownReserve)
+	setIfGiven(&s.GracePeriod, (*time.Duration)(c.GracePeriod))
+	setIfGiven(&s.HalfLife, (*time.Duration)(c.HalfLife))
+	setIfGiven(&s.MaxConnRate, c.MaxConnRate)
+	setIfGiven(&s.ScarceBelow, c.ScarceBelow)
 	if c.MaxCredit != 0 {
 		s.MaxCredit = c.MaxCredit
 	}
-	if c.MaxConnRate != nil {
-		s.MaxConnRate = *c.MaxConnRate
-	}
-	if c.ScarceBelow != nil {
-		s.ScarceBelow = *c.ScarceBelow
-	}
 	if c.MaxTracked != 0 {
 		s.MaxTracked = c.MaxTracked
 	}
@@ -128,11 +123,23 @@
 	return s, s.Validate()
 }
 
-// RequestSettings are those of the requests, where there are some.
+// setIfGiven sets a value that the file gives.
+func setIfGiven[T any](to, given *T) {
+	if given != nil {
+		*to = *given
+	}
+}
+
+// RequestSettings returns the settings of the requests; File.Requests must be given.
 func (f *File) RequestSettings() admission.RequestSettings {
 	r := f.Requests
-	return admission.RequestSettings{MaxInFlight: r.MaxInFlight, MaxTenantPart: r.MaxTenantPart, Adaptive: r.Adaptive, MinInFlight: r.MinInFlight,
-		RetryAfter: time.Duration(r.RetryAfter)}
+	return admission.RequestSettings{
+		MaxInFlight:   r.MaxInFlight,
+		MaxTenantPart: r.MaxTenantPart,
+		Adaptive:      r.Adaptive,
+		MinInFlight:   r.MinInFlight,
+		RetryAfter:    time.Duration(r.RetryAfter),
+	}
 }
 
 // ParsePrefix reads an address, or a prefix such as 10.0.0.0/8.
@@ -140,10 +147,10 @@
 	if p, err := netip.ParsePrefix(text); err == nil {
 		return p.Masked(), nil
 	}
-	a, err := netip.ParseAddr(text)
+	address, err := netip.ParseAddr(text)
 	if err != nil {
 		return netip.Prefix{}, fmt.Errorf("%.64q is no address and no prefix", text)
 	}
-	a = a.Unmap()
-	return netip.PrefixFrom(a, a.BitLen()), nil
+	address = address.Unmap()
+	return netip.PrefixFrom(address, address.BitLen()), nil
 }
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -11,45 +11,60 @@
 )
 
 const (
-	acceptRetryInterval    = 5 * time.Millisecond // between two accepts while no descriptor is left
-	descriptorReleaseDelay = time.Millisecond     // and once one was closed, whose descriptor comes back a moment later
-	logInterval            = time.Second          // a line in the log about it
+	// acceptRetryInterval is the pause between two accepts while no file descriptor is left.
+	acceptRetryInterval = 5 * time.Millisecond
+	// descriptorReleaseDelay is how long the kernel may take to release the descriptor of a closed connection.
+	descriptorReleaseDelay = time.Millisecond
+	// logInterval is the least time between two log lines about a shortage.
+	logInterval = time.Second
 )
 
-// Listener goes on accepting when the process, or the machine, has no descriptor left: whoever is idle makes place. Where
-// nobody is, it gives up a descriptor that it holds for that, takes the connection and closes it at once, so that it does
-// not stand in the queue for good. It rests a little, so that nothing spins. Requests in hand go on meanwhile.
+// Listener goes on accepting while the process, or the machine, has no file descriptor left. It evicts an idle
+// connection to make room. If there is none, it gives up a spare descriptor, accepts one connection with it and closes
+// that at once, so that the client does not wait in the queue forever. It pauses in between, so that it does not spin.
 type Listener struct {
 	net.Listener
 	log        *slog.Logger
-	evictIdle  func() bool // closes a connection that is idle, if there is one
-	onRejected func()      // one was closed for want of descriptors
+	evictIdle  func() bool
+	onRejected func()
 
 	mu       sync.Mutex
-	spare    *os.File
+	spare    *os.File // a descriptor to accept with during a shortage; nil if it could not be opened
 	loggedAt time.Time
 }
 
-// NewListener wraps a listener. It holds one descriptor more.
-func (d *ConnLimiter) NewListener(l net.Listener, log *slog.Logger) *Listener {
-	return NewListener(l, log, func() bool { return false }, func() { d.descriptorShortages.Add(1) })
+// NewListener wraps a listener, and counts the connections that it closes in DescriptorShortages. The limiter's own
+// evictions do not help it. It holds one descriptor more until Close.
+func (l *ConnLimiter) NewListener(inner net.Listener, log *slog.Logger) *Listener {
+	noneIdle := func() bool { return false }
+	return NewListener(inner, log, noneIdle, func() { l.descriptorShortages.Add(1) })
 }
 
-// NewListener wraps a listener where there is no door: free closes a connection that is idle, or tells that none is, and
-// count is called for each that is turned away.
-func NewListener(l net.Listener, log *slog.Logger, free func() bool, count func()) *Listener {
-	out := &Listener{Listener: l, log: log, evictIdle: free, onRejected: count}
-	out.openSpare()
-	return out
+// NewListener wraps a listener. evictIdle closes an idle connection and reports whether there was one; onRejected is
+// called for each connection that is closed at once. Accept calls both, and they must not block. It holds one
+// descriptor more until Close.
+func NewListener(inner net.Listener, log *slog.Logger, evictIdle func() bool, onRejected func()) *Listener {
+	l := &Listener{Listener: inner, log: log, evictIdle: evictIdle, onRejected: onRejected}
+	l.openSpare()
+	return l
 }
 
+// openSpare opens the spare descriptor. Without one, clients wait in the queue during a shortage.
 func (l *Listener) openSpare() {
 	if l.spare == nil {
-		l.spare, _ = os.Open(os.DevNull) // without it, whoever comes stands in the queue
+		l.spare, _ = os.Open(os.DevNull)
 	}
 }
 
-// Accept waits for a connection.
+// closeSpare releases the spare descriptor.
+func (l *Listener) closeSpare() {
+	if l.spare != nil {
+		_ = l.spare.Close() // nothing was written to it
+		l.spare = nil
+	}
+}
+
+// Accept blocks until a connection arrives. It returns all errors but those of a descriptor shortage.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -59,46 +74,52 @@
 		if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) {
 			return nil, err
 		}
-		l.rejectOne(err)
+		l.relieveShortage(err)
 	}
 }
 
-// rejectOne takes one connection off the queue by the spare descriptor.
-func (l *Listener) rejectOne(why error) {
+// relieveShortage evicts an idle connection, or rejects the one that waits for longest.
+func (l *Listener) relieveShortage(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if time.Since(l.loggedAt) >= logInterval {
 		l.loggedAt = time.Now()
-		l.log.Error("no descriptor is left for clients", "err", why)
+		l.log.Error("no descriptor is left for clients", "err", err)
 	}
 	if l.evictIdle() {
 		time.Sleep(descriptorReleaseDelay)
 		return
 	}
 	if l.spare != nil {
-		l.spare.Close()
-		l.spare = nil
-		if t, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
-			t.SetDeadline(time.Now().Add(acceptRetryInterval)) // whoever stood there may have left
-			if c, err := l.Listener.Accept(); err == nil {
-				c.Close()
-				l.onRejected()
-			}
-			t.SetDeadline(time.Time{})
-		}
+		l.closeSpare()
+		l.rejectOne()
 	}
 	time.Sleep(acceptRetryInterval)
 	l.openSpare()
 }
 
-// Close ends the listener and gives its descriptor back.
+// rejectOne accepts a connection with the spare's descriptor and closes it. The deadline is for a client that has left
+// meanwhile.
+func (l *Listener) rejectOne() {
+	d, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
+	if !ok {
+		return
+	}
+	if err := d.SetDeadline(time.Now().Add(acceptRetryInterval)); err != nil {
+		return // it is closed
+	}
+	if c, err := l.Listener.Accept(); err == nil {
+		_ = c.Close() // it is rejected either way
+		l.onRejected()
+	}
+	_ = d.SetDeadline(time.Time{}) // it fails on a closed listener only
+}
+
+// Close closes the listener and releases its spare descriptor.
 func (l *Listener) Close() error {
 	err := l.Listener.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.spare != nil {
-		l.spare.Close()
-		l.spare = nil
-	}
+	l.closeSpare()
 	return err
 }
--- a/internal/listener/requestlimiter.go
+++ b/internal/listener/requestlimiter.go
@@ -8,14 +8,16 @@
 	"lapisspread/internal/processquota"
 )
 
-// RequestLimiter bounds the requests in hand of one service. It is for any goroutine.
+// RequestLimiter bounds the requests in flight of one service. It is safe for concurrent use.
 type RequestLimiter struct {
 	mu    sync.Mutex
 	rules *admission.RequestLimiter
 }
 
-// NewRequestLimiter makes the bounds of a service with so many tenants.
-func NewRequestLimiter(s admission.RequestSettings, gate *processquota.Gate, tenants int, seed uint64) (*RequestLimiter, error) {
+// NewRequestLimiter returns a limiter for a service with a number of tenants; see admission.NewRequestLimiter.
+func NewRequestLimiter(
+	s admission.RequestSettings, gate *processquota.Gate, tenants int, seed uint64,
+) (*RequestLimiter, error) {
 	rules, err := admission.NewRequestLimiter(s, gate, tenants, seed)
 	if err != nil {
 		return nil, err
@@ -23,23 +25,24 @@
 	return &RequestLimiter{rules: rules}, nil
 }
 
-// Acquire takes a request, or says why not and when it may come back.
-func (r *RequestLimiter) Acquire(class, tenant, ofConn int) (why string, after time.Duration) {
+// Acquire admits a request, or returns the reason and after how long the client may retry. Release must follow for a
+// request that was admitted.
+func (r *RequestLimiter) Acquire(class, tenant, ofConn int) (reason string, retryAfter time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rules.Acquire(class, tenant, ofConn)
 }
 
-// Limit is how many may be in hand now, and how many are.
-func (r *RequestLimiter) Limit() (limit, inHand int) {
+// Limit returns how many requests may be in flight now, and how many are.
+func (r *RequestLimiter) Limit() (limit, inFlight int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rules.Limit()
 }
 
-// Release ends what Take began; took is how long an answer that served took, 0 for any other end.
-func (r *RequestLimiter) Release(tenant int, took time.Duration) {
+// Release ends a request that Acquire admitted. latency is that of an answer that was served, 0 for any other end.
+func (r *RequestLimiter) Release(tenant int, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rules.Release(tenant, took)
+	r.rules.Release(tenant, latency)
 }
