--- a/internal/durable/durable_test.go
+++ b/internal/durable/file_test.go
@@ -12,12 +12,12 @@
 
 type value struct{ Names []string }
 
-func open(t *testing.T) *File {
+func newFile(t *testing.T) *File {
 	return &File{Path: filepath.Join(t.TempDir(), "state"), Kind: "names", Version: 2}
 }
 
-func TestWhatWasSavedIsLoaded(t *testing.T) {
-	f := open(t)
+func TestLoadReturnsWhatWasSaved(t *testing.T) {
+	f := newFile(t)
 	var got value
 	if err := f.Load(&got); !errors.Is(err, fs.ErrNotExist) {
 		t.Fatalf("before the first: %v", err)
@@ -31,24 +31,24 @@
 		}
 	}
 	if err := f.Save(math.NaN()); err == nil {
-		t.Fatal("a value that has no form in JSON was saved")
+		t.Fatal("a value that JSON cannot represent was saved")
 	}
 	if left, err := os.ReadDir(filepath.Dir(f.Path)); err != nil || len(left) != 1 {
 		t.Fatalf("%v files, %v", len(left), err)
 	}
 }
 
-// Each bit of a file may flip, and it may end anywhere: what is loaded is then nothing.
-func TestNoDamageIsTakenForAValue(t *testing.T) {
-	f := open(t)
+// Whichever bit of a file is flipped, and wherever it is cut off, Load returns no value.
+func TestLoadRejectsDamagedFiles(t *testing.T) {
+	f := newFile(t)
 	if err := f.Save(value{[]string{"node-1", "node-2"}}); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(f.Path)
+	intact, err := os.ReadFile(f.Path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	try := func(text []byte) {
+	checkRejected := func(text []byte) {
 		t.Helper()
 		if err := os.WriteFile(f.Path, text, 0o600); err != nil {
 			t.Fatal(err)
@@ -58,25 +58,27 @@
 			t.Fatalf("%q gives %v, %v", text, got, err)
 		}
 	}
-	for n := range whole {
-		try(whole[:n])
+	header := intact[:bytes.IndexByte(intact, '\n')]
+	for n := range intact {
+		checkRejected(intact[:n])
 		for bit := range 8 {
-			bad := bytes.Clone(whole)
-			bad[n] ^= 1 << bit
-			if bytes.EqualFold(bad[:bytes.IndexByte(append(bad, '\n'), '\n')], whole[:bytes.IndexByte(whole, '\n')]) {
+			damaged := bytes.Clone(intact)
+			damaged[n] ^= 1 << bit
+			if bytes.EqualFold(damaged[:bytes.IndexByte(append(damaged, '\n'), '\n')], header) {
 				continue // the same checksum in other letters
 			}
-			if form := bytes.Fields(bad); n == bytes.IndexByte(whole, ' ')+1 && string(form[1]) == "1" {
-				continue // an older form, which this program would read
+			version := bytes.Fields(damaged)
+			if n == bytes.IndexByte(intact, ' ')+1 && string(version[1]) == "1" {
+				continue // an older version, which is read
 			}
-			try(bad)
+			checkRejected(damaged)
 		}
 	}
-	try(append(bytes.Clone(whole), ' '))
+	checkRejected(append(bytes.Clone(intact), ' '))
 }
 
-func TestANewerFormIsNotRead(t *testing.T) {
-	f := open(t)
+func TestLoadRejectsNewerVersions(t *testing.T) {
+	f := newFile(t)
 	if err := f.Save(value{}); err != nil {
 		t.Fatal(err)
 	}
@@ -84,10 +86,10 @@
 	if err := older.Load(&value{}); !errors.Is(err, ErrNewerVersion) {
 		t.Fatal(err)
 	}
-	if err := older.Save(value{}); err != nil { // what is remembered is no more than a hint
+	if err := older.Save(value{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Load(&value{}); err != nil {
-		t.Fatalf("an older form: %v", err)
+		t.Fatalf("an older version: %v", err)
 	}
 }
--- a/internal/durable/journal.go
+++ b/internal/durable/journal.go
@@ -7,89 +7,107 @@
 	"errors"
 	"fmt"
 	"hash/crc32"
-	"io"
+	"io/fs"
 	"iter"
 	"os"
-	"path/filepath"
 	"slices"
 )
 
-// MaxRecordBytes is the longest record of a Journal, in bytes.
-const MaxRecordBytes = 1 << 20
+const (
+	// MaxRecordBytes is the length of the longest record of a Journal.
+	MaxRecordBytes = 1 << 20
+	// writeBufferBytes is how much Rewrite writes at a time.
+	writeBufferBytes = 1 << 18
+	// maxHeaderBytes is how much of the first line is parsed.
+	maxHeaderBytes = 128
+)
 
-// Journal keeps records of one process on disk for the next: they are appended, and now and then written anew in one step, so
-// that a change costs what changed. Each has a checksum; what is damaged is left out by itself, and the records around it are still
-// read. Its methods are for one goroutine of one process at a time; where another process writes beside this one, Append says so.
-//
-// Weighed: a File for each record (thousands of them), and a database of pages (see File). Like a File it is not flushed.
-type Journal struct {
-	Path    string
-	Kind    string // what the records are of, without blanks
-	Version int    // of the records, from 1 on; a higher one is not read
+// The head of each record: the mark, by which the next record is found after damage, the length in bytes, and the
+// checksum of length and record.
+const (
+	markLength         = 2
+	lengthEnd          = markLength + 4
+	recordHeaderLength = lengthEnd + 4
+)
 
-	size int64 // after this one's last write or read; 0 is none
-}
+var recordMark = []byte{0xd9, 0x1c}
 
-// ErrModified is what Append says if another process has written the journal since, or it is gone: it is to be read or written anew.
+// ErrModified is returned by Journal.Append if another process has written the journal since this one did, or it was
+// removed. Nothing is appended; read or rewrite it first.
 var ErrModified = errors.New("another process has written it")
 
-// Each record has a head: a mark to find the next one by after damage, the length in bytes, and the checksum of length and record.
-const recordHeaderLength = 2 + 4 + 4
+// RecordTooLongError is returned for a record of more than MaxRecordBytes.
+type RecordTooLongError struct{}
 
-var recordMark = []byte{0xd9, 0x1c}
+// Error implements error.
+func (RecordTooLongError) Error() string {
+	return fmt.Sprintf("a record of over %d bytes", MaxRecordBytes)
+}
+
+// Journal is a sequence of records on disk. A change costs as much as what changed. Each record has a checksum: a
+// damaged one is left out, and those around it are still read. It is not safe for concurrent use, neither by
+// goroutines nor by processes; Append detects another process.
+type Journal struct {
+	Path    string
+	Kind    string // names the type of the records, without blanks
+	Version int    // of the records' format, from 1 on; higher ones are not read
 
+	size int64 // of the file after the last write or read; 0 is not known
+}
+
+// appendRecord appends a record with its head to a buffer.
 func appendRecord(to, record []byte) []byte {
-	at := len(to)
+	start := len(to)
 	to = append(to, recordMark...)
 	to = binary.BigEndian.AppendUint32(to, uint32(len(record)))
-	sum := crc32.Update(crc32.Checksum(to[at+2:], castagnoli), castagnoli, record)
-	to = binary.BigEndian.AppendUint32(to, sum)
+	to = binary.BigEndian.AppendUint32(to, recordChecksum(to[start+markLength:], record))
 	return append(to, record...)
 }
 
-// Rewrite puts records in the place of all before, in one step.
+// recordChecksum returns the checksum of a record and its encoded length.
+func recordChecksum(length, record []byte) uint32 {
+	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, record)
+}
+
+// Rewrite replaces all records in one step.
 func (j *Journal) Rewrite(records iter.Seq[[]byte]) error {
 	j.size = 0
-	next, err := os.CreateTemp(filepath.Dir(j.Path), filepath.Base(j.Path)+".*")
+	next, err := createNext(j.Path)
 	if err != nil {
-		return fmt.Errorf("durable: %w", err)
-	}
-	text := fmt.Appendf(nil, "%s %d\n", j.Kind, j.Version)
-	size := int64(0)
-	flush := func(least int) {
-		if err == nil && len(text) >= least {
-			var n int
-			n, err = next.Write(text)
-			size += int64(n)
-			text = text[:0]
-		}
-	}
-	for r := range records {
-		if len(r) > MaxRecordBytes {
-			err = errors.Join(err, errTooLong)
-			break
-		}
-		text = appendRecord(text, r)
-		flush(1 << 18)
+		return err
 	}
-	flush(0)
-	if closed := next.Close(); err == nil {
-		err = closed
-	}
-	if err == nil {
-		err = os.Rename(next.Name(), j.Path)
-	}
-	if err != nil {
-		os.Remove(next.Name())
+	size, err := writeRecords(next, fmt.Appendf(nil, "%s %d\n", j.Kind, j.Version), records)
+	if err := replace(j.Path, next, err); err != nil {
 		return fmt.Errorf("durable: %s: %w", j.Path, err)
 	}
 	j.size = size
 	return nil
 }
 
-var errTooLong = fmt.Errorf("a record of over %d bytes", MaxRecordBytes)
+// writeRecords writes a header and records, and returns how many bytes these are.
+func writeRecords(file *os.File, header []byte, records iter.Seq[[]byte]) (size int64, err error) {
+	buffer := header
+	for r := range records {
+		if len(r) > MaxRecordBytes {
+			return size, RecordTooLongError{}
+		}
+		buffer = appendRecord(buffer, r)
+		if len(buffer) < writeBufferBytes {
+			continue
+		}
+		n, err := file.Write(buffer)
+		size += int64(n)
+		if err != nil {
+			return size, err
+		}
+		buffer = buffer[:0]
+	}
+	n, err := file.Write(buffer)
+	return size + int64(n), err
+}
 
-// Append adds records after those that this one has read or written. ErrOther is that the file isn't what it was: nothing is added.
+// Append adds records after those that this Journal has read or written. It returns ErrModified if the file is not
+// what it was then, and a RecordTooLongError for a record that is too long; nothing is added in both cases.
 func (j *Journal) Append(records ...[]byte) error {
 	if j.size == 0 {
 		return fmt.Errorf("durable: %s: %w", j.Path, ErrModified)
@@ -97,90 +115,102 @@
 	var text []byte
 	for _, r := range records {
 		if len(r) > MaxRecordBytes {
-			return fmt.Errorf("durable: %s: %w", j.Path, errTooLong)
+			return fmt.Errorf("durable: %s: %w", j.Path, RecordTooLongError{})
 		}
 		text = appendRecord(text, r)
 	}
 	file, err := os.OpenFile(j.Path, os.O_WRONLY|os.O_APPEND, 0)
-	if errors.Is(err, os.ErrNotExist) {
+	if errors.Is(err, fs.ErrNotExist) {
 		err = ErrModified
 	}
 	if err != nil {
 		return fmt.Errorf("durable: %s: %w", j.Path, err)
 	}
-	if info, stat := file.Stat(); stat != nil || info.Size() != j.size {
-		return errors.Join(fmt.Errorf("durable: %s: %w", j.Path, cmp.Or(stat, ErrModified)), file.Close())
+	if info, statErr := file.Stat(); statErr != nil || info.Size() != j.size {
+		err := fmt.Errorf("durable: %s: %w", j.Path, cmp.Or(statErr, ErrModified))
+		return errors.Join(err, file.Close())
 	}
 	n, err := file.Write(text)
 	if err = errors.Join(err, file.Close()); err != nil {
-		j.size = 0 // half a record may be there: the next write is of all
+		j.size = 0 // a part of a record may be on disk: all must be rewritten
 		return fmt.Errorf("durable: %s: %w", j.Path, err)
 	}
 	j.size += int64(n)
 	return nil
 }
 
-// Size is how long the file is, in bytes, after this one's last write or read; 0 is not known.
+// Size returns the length of the file in bytes after the last write or read of this Journal; 0 is not known.
 func (j *Journal) Size() int64 { return j.size }
 
-// Unmodified tells whether the file is still as long as this one has left or found it.
+// Unmodified reports whether the file still has the length that this Journal has read or written.
 func (j *Journal) Unmodified() bool {
 	info, err := os.Stat(j.Path)
 	return err == nil && j.size > 0 && info.Size() == j.size
 }
 
-// Load reads the records that are whole, in the order in which they were written. Lost is how many bytes between them could not be read: a
-// cut end, or damage. Where nothing was written the error is fs.ErrNotExist, else ErrDamaged (nothing can be read) or ErrNewer.
+// Load returns the undamaged records in the order in which they were written. lost is how many bytes between them are
+// cut off or damaged; Append then returns ErrModified until the next Rewrite. The error is fs.ErrNotExist if nothing
+// was written, ErrDamaged if nothing can be read, or ErrNewerVersion.
 func (j *Journal) Load() (records [][]byte, lost int, err error) {
 	j.size = 0
-	file, err := os.Open(j.Path)
+	text, err := readFile(j.Path)
 	if err != nil {
-		return nil, 0, fmt.Errorf("durable: %w", err)
+		return nil, 0, err
 	}
-	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
+	body, err := j.cutHeader(text)
 	if err != nil {
-		return nil, 0, fmt.Errorf("durable: %w", err)
+		return nil, 0, fmt.Errorf("durable: %s: %w", j.Path, err)
 	}
-	fail := func(why error) error { return fmt.Errorf("durable: %s: %w", j.Path, why) }
-	head, rest, found := bytes.Cut(text, []byte("\n"))
+	records, lost = decodeRecords(body)
+	if lost == 0 {
+		j.size = int64(len(text))
+	}
+	return records, lost, nil
+}
+
+// cutHeader checks the header of a file and returns what follows it.
+func (j *Journal) cutHeader(text []byte) ([]byte, error) {
+	head, body, found := bytes.Cut(text, []byte("\n"))
 	var kind string
-	var form int
-	if _, err := fmt.Sscanf(string(head[:min(len(head), 128)]), "%s %d", &kind, &form); err != nil || !found || kind != j.Kind || form < 1 || len(text) > maxFileBytes {
-		return nil, 0, fail(ErrDamaged)
+	var version int
+	_, err := fmt.Sscanf(string(head[:min(len(head), maxHeaderBytes)]), "%s %d", &kind, &version)
+	if err != nil || !found || len(text) > maxFileBytes {
+		return nil, ErrDamaged
 	}
-	if form > j.Version {
-		return nil, 0, fail(fmt.Errorf("%w: form %d, this one reads up to %d", ErrNewerVersion, form, j.Version))
+	if err := checkHeader(kind, j.Kind, version, j.Version); err != nil {
+		return nil, err
 	}
-	for len(rest) > 0 {
-		if r, ok := firstRecord(rest); ok {
+	return body, nil
+}
+
+// decodeRecords returns the undamaged records of a text, and how many bytes are of none.
+func decodeRecords(text []byte) (records [][]byte, lost int) {
+	for len(text) > 0 {
+		if r, ok := firstRecord(text); ok {
 			records = append(records, slices.Clip(r))
-			rest = rest[recordHeaderLength+len(r):]
+			text = text[recordHeaderLength+len(r):]
 			continue
 		}
-		next := bytes.Index(rest[1:], recordMark)
+		next := bytes.Index(text[1:], recordMark)
 		if next < 0 {
-			next = len(rest) - 1
+			next = len(text) - 1
 		}
 		lost += 1 + next
-		rest = rest[1+next:]
+		text = text[1+next:]
 	}
-	if lost == 0 {
-		j.size = int64(len(text)) // after damage all is to be written anew
-	}
-	return records, lost, nil
+	return records, lost
 }
 
-// firstRecord is the record that a text begins with.
-func firstRecord(text []byte) ([]byte, bool) {
+// firstRecord returns the record that a text begins with; ok is false if it begins with none that is undamaged.
+func firstRecord(text []byte) (record []byte, ok bool) {
 	if len(text) < recordHeaderLength || !bytes.HasPrefix(text, recordMark) {
 		return nil, false
 	}
-	n := binary.BigEndian.Uint32(text[2:])
-	if n > MaxRecordBytes || int(n) > len(text)-recordHeaderLength {
+	length := binary.BigEndian.Uint32(text[markLength:])
+	if length > MaxRecordBytes || int(length) > len(text)-recordHeaderLength {
 		return nil, false
 	}
-	r := text[recordHeaderLength : recordHeaderLength+int(n)]
-	sum := crc32.Update(crc32.Checksum(text[2:6], castagnoli), castagnoli, r)
-	return r, sum == binary.BigEndian.Uint32(text[6:])
+	record = text[recordHeaderLength : recordHeaderLength+int(length)]
+	checksum := binary.BigEndian.Uint32(text[lengthEnd:])
+	return record, checksum == recordChecksum(text[markLength:lengthEnd], record)
 }
--- a/internal/durable/journal_test.go
+++ b/internal/durable/journal_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func journal(t *testing.T) *Journal {
+func newJournal(t *testing.T) *Journal {
 	return &Journal{Path: filepath.Join(t.TempDir(), "records"), Kind: "names", Version: 2}
 }
 
@@ -21,11 +21,13 @@
 	return all
 }
 
-// loaded are the records that another process finds.
-func (j *Journal) loaded(t *testing.T) (names []string, lost int) {
+// reopen returns the journal as another process opens it.
+func reopen(j *Journal) *Journal { return &Journal{Path: j.Path, Kind: j.Kind, Version: j.Version} }
+
+// load returns the records that another process reads.
+func load(t *testing.T, j *Journal) (names []string, lost int) {
 	t.Helper()
-	next := Journal{Path: j.Path, Kind: j.Kind, Version: j.Version}
-	all, lost, err := next.Load()
+	all, lost, err := reopen(j).Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,8 +37,8 @@
 	return names, lost
 }
 
-func TestAJournalGivesBackWhatWasWritten(t *testing.T) {
-	j := journal(t)
+func TestJournalReturnsWhatWasWritten(t *testing.T) {
+	j := newJournal(t)
 	if _, _, err := j.Load(); !errors.Is(err, fs.ErrNotExist) {
 		t.Fatalf("before the first: %v", err)
 	}
@@ -49,10 +51,10 @@
 	if err := j.Append(records("c", "d")...); err != nil {
 		t.Fatal(err)
 	}
-	if got, lost := j.loaded(t); fmt.Sprint(got) != "[a  b c d]" || lost != 0 {
+	if got, lost := load(t, j); fmt.Sprint(got) != "[a  b c d]" || lost != 0 {
 		t.Fatalf("%q, %d bytes lost", got, lost)
 	}
-	next := Journal{Path: j.Path, Kind: j.Kind, Version: j.Version}
+	next := reopen(j)
 	if _, _, err := next.Load(); err != nil {
 		t.Fatal(err)
 	}
@@ -60,30 +62,31 @@
 		t.Fatal(err)
 	}
 	if err := j.Append(records("f")...); !errors.Is(err, ErrModified) {
-		t.Errorf("it did not see the other process: %v", err)
+		t.Errorf("another process was not detected: %v", err)
 	}
-	if err := j.Append(make([]byte, MaxRecordBytes+1)); err == nil {
-		t.Error("a record of any length was taken")
+	var tooLong RecordTooLongError
+	if err := next.Append(make([]byte, MaxRecordBytes+1)); !errors.As(err, &tooLong) {
+		t.Errorf("appending a record that is too long: %v", err)
 	}
-	if err := j.Rewrite(slices.Values([][]byte{make([]byte, MaxRecordBytes+1)})); err == nil {
-		t.Error("a record of any length was taken")
+	if err := j.Rewrite(slices.Values([][]byte{make([]byte, MaxRecordBytes+1)})); !errors.As(err, &tooLong) {
+		t.Errorf("rewriting a record that is too long: %v", err)
 	}
-	if got, _ := j.loaded(t); fmt.Sprint(got) != "[a  b c d e]" {
-		t.Errorf("what was refused has changed it: %q", got)
+	if got, _ := load(t, j); fmt.Sprint(got) != "[a  b c d e]" {
+		t.Errorf("a rejected write has changed the file: %q", got)
 	}
 	if left, err := os.ReadDir(filepath.Dir(j.Path)); err != nil || len(left) != 1 {
 		t.Fatalf("%v files, %v", len(left), err)
 	}
 	newer := Journal{Path: j.Path, Kind: j.Kind, Version: 1}
 	if _, _, err := newer.Load(); !errors.Is(err, ErrNewerVersion) {
-		t.Errorf("a newer form: %v", err)
+		t.Errorf("a newer version: %v", err)
 	}
 }
 
-// Each bit may flip, and the file may end anywhere: what is loaded is then some of what was written, in order, and never anything else.
-// One flipped bit costs at most the record that it is in.
-func TestNoDamageIsTakenForARecord(t *testing.T) {
-	j := journal(t)
+// Whichever bit is flipped, and wherever the file is cut off, Load returns some of the records that were written, in
+// order, and nothing else. One flipped bit loses no record but the one that it is in.
+func TestLoadLeavesOutDamagedRecords(t *testing.T) {
+	j := newJournal(t)
 	var names []string
 	for i := range 12 {
 		names = append(names, fmt.Sprintf("record %02d %.*s", i, i, "\xd9\x1c\xd9\x1c\xd9\x1c\xd9\x1c"))
@@ -91,44 +94,44 @@
 	if err := j.Rewrite(slices.Values(records(names...))); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(j.Path)
+	intact, err := os.ReadFile(j.Path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	head := slices.Index(whole, '\n') + 1
-	try := func(text []byte, least int) {
+	bodyStart := slices.Index(intact, '\n') + 1
+	check := func(text []byte, minRecords int) {
 		t.Helper()
 		if err := os.WriteFile(j.Path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		got, lost := j.loaded(t)
+		got, lost := load(t, j)
 		at := 0
 		for _, g := range got {
 			i := slices.Index(names[at:], g)
 			if i < 0 {
-				t.Fatalf("%q was never written, or not there", g)
+				t.Fatalf("%q was never written, or is out of order", g)
 			}
 			at += i + 1
 		}
-		if len(got) < least || len(got) < len(names) && lost == 0 && len(text) == len(whole) {
+		if len(got) < minRecords || len(got) < len(names) && lost == 0 && len(text) == len(intact) {
 			t.Fatalf("%d records, %d bytes lost", len(got), lost)
 		}
-		next := Journal{Path: j.Path, Kind: j.Kind, Version: j.Version}
+		next := reopen(j)
 		if _, _, err := next.Load(); err != nil {
 			t.Fatal(err)
 		}
 		if err := next.Append(records("z")...); (err == nil) != (lost == 0) {
-			t.Fatalf("%d bytes lost, and appended to: %v", lost, err)
+			t.Fatalf("%d bytes lost, and Append returned %v", lost, err)
 		}
 	}
-	for i := head; i < len(whole); i++ {
+	for i := bodyStart; i < len(intact); i++ {
 		for bit := range 8 {
-			text := slices.Clone(whole)
+			text := slices.Clone(intact)
 			text[i] ^= 1 << bit
-			try(text, len(names)-1)
+			check(text, len(names)-1)
 		}
 	}
-	for n := head; n < len(whole); n++ {
-		try(whole[:n], 0)
+	for n := bodyStart; n < len(intact); n++ {
+		check(intact[:n], 0)
 	}
 }
--- a/internal/listener/connlimiter_test.go
+++ b/internal/listener/connlimiter_test.go
@@ -20,21 +20,25 @@
 	if f, err := Load(filepath.Join("..", "..", "deploy", "admission.toml")); err != nil || f.Requests != nil {
 		t.Errorf("the example: %+v, %v", f, err)
 	}
+	const (
+		connections = "version = 1\n[connections]\n"
+		requests    = "version = 1\n[requests]\n"
+	)
 	for text, want := range map[string]string{
-		"version = 2":                                                                       "version: 2",
-		"version = 1\n[connections]\nplace = 4":                                             `a.toml:3: unknown key "connections.place"`,
-		"version = 1\n[connections]\nreserve = 2.0":                                         "connections: reserve: 2",
-		"version = 1\n[connections]\ngrace = \"soon\"":                                      "a.toml:3",
-		"version = 1\n[connections]\nknown = [\"here\"]":                                    `connections: known[0]: "here" is no address`,
-		"version = 1\n[requests]\nin_hand = 0":                                              "requests: in_hand: 0",
-		"version = 1\n[requests]\nin_hand = 9\nadaptive = true":                             "requests: least: 0",
-		"version = 1\n[connections]\nrate = 0.0\n[requests]\nin_hand = 9\nper_tenant = 2.0": "rate: 0",
+		"version = 2":                             "version: 2",
+		connections + "place = 4":                 `a.toml:3: unknown key "connections.place"`,
+		connections + "reserve = 2.0":             "connections: reserve: 2",
+		connections + "grace = \"soon\"":          "a.toml:3",
+		connections + "known = [\"here\"]":        `connections: known[0]: "here" is no address`,
+		requests + "in_hand = 0":                  "requests: in_hand: 0",
+		requests + "in_hand = 9\nadaptive = true": "requests: least: 0",
+		connections + "rate = 0.0\n[requests]\nin_hand = 9\nper_tenant = 2.0": "rate: 0",
 	} {
 		if _, err := Parse("a.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	f, err := Parse("a.toml", []byte("version = 1\n[connections]\nplaces = 9000\nknown = [\"127.0.0.0/8\", \"::1\"]\n"))
+	f, err := Parse("a.toml", []byte(connections+"places = 9000\nknown = [\"127.0.0.0/8\", \"::1\"]\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/listener/frozen_test.go
+++ b/internal/listener/frozen_test.go
@@ -11,7 +11,8 @@
 
 var writeFrozen = flag.Bool("write-frozen", false, "write testdata/blocks instead of reading it")
 
-// testdata/blocks was written by the program of c8fad44 with go test ./internal/door -run TestFrozenBlocks -write-frozen
+// testdata/blocks was written by the program of c8fad44 with
+// go test ./internal/door -run TestFrozenBlocks -write-frozen
 // Blocks that an older version persisted are restored, and further changes continue the file.
 func TestFrozenBlocks(t *testing.T) {
 	until := time.Date(2100, 1, 1, 0, 0, 0, 500, time.UTC)
