--- /dev/null
+++ b/internal/policy/namespace/assemble.go
@@ -0,0 +1,181 @@
+package namespace
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+)
+
+// policyBuilder merges the rules of files that have no conflict. The outcome does not depend on the order of the files.
+type policyBuilder struct {
+	declaration *Declaration
+	policy      *Policy
+	services    map[string]*PolicyService
+	classes     map[string]*PolicyClass
+	shares      map[shareKey]*PolicyShare
+	bounds      map[string]*Value[string] // of staleness, by route
+	routes      map[string]bool           // that there are
+}
+
+// shareKey names a namespace's share of a quota.
+type shareKey struct{ quota, namespace string }
+
+// assemble merges files into a policy.
+func assemble(d *Declaration, files []*File) *Policy {
+	b := policyBuilder{
+		declaration: d,
+		policy:      &Policy{Format: policyFormat},
+		services:    map[string]*PolicyService{},
+		classes:     map[string]*PolicyClass{},
+		shares:      map[shareKey]*PolicyShare{},
+		bounds:      map[string]*Value[string]{},
+		routes:      map[string]bool{},
+	}
+	for _, f := range files {
+		b.addServices(f)
+		b.addRoutes(f)
+		b.addClasses(f)
+		b.addQuotas(f)
+		b.addBlocks(f)
+		b.addOverrides(f)
+		b.addStalenessBounds(f)
+	}
+	return b.build()
+}
+
+// getOrCreate returns the value of a key, and enters a zero value if there is none.
+func getOrCreate[K comparable, T any](values map[K]*T, key K) *T {
+	value := values[key]
+	if value == nil {
+		value = new(T)
+		values[key] = value
+	}
+	return value
+}
+
+func (b *policyBuilder) addServices(f *File) {
+	for i := range f.Services {
+		s := &f.Services[i]
+		if s.Removed {
+			continue
+		}
+		merged := getOrCreate(b.services, s.Name)
+		merged.Service = *s
+		merged.Sources = append(merged.Sources, f.source(s.id()))
+	}
+}
+
+func (b *policyBuilder) addRoutes(f *File) {
+	for i := range f.Routes {
+		r := f.Routes[i]
+		source := f.source(r.id())
+		r.Name = f.Name + "/" + r.Name
+		b.routes[r.Name] = true
+		if r.MaxStaleness != "" {
+			b.bounds[r.Name] = mergeValue(b.bounds[r.Name], r.MaxStaleness, source, strictestLevel)
+			r.MaxStaleness = ""
+		}
+		b.policy.Routes = append(b.policy.Routes, PolicyRoute{r, source})
+	}
+}
+
+func (b *policyBuilder) addClasses(f *File) {
+	for i := range f.Classes {
+		c := &f.Classes[i]
+		source := f.source(c.id())
+		merged := getOrCreate(b.classes, c.Name)
+		merged.Name = c.Name
+		if c.LatencyObjective > 0 {
+			objective := time.Duration(c.LatencyObjective)
+			merged.LatencyObjective = mergeValue(merged.LatencyObjective, objective, source, lower)
+		}
+		if c.Deadline > 0 {
+			merged.Deadline = mergeValue(merged.Deadline, time.Duration(c.Deadline), source, lower)
+		}
+		if c.Effect != "" {
+			merged.Effect = mergeValue(merged.Effect, c.Effect, source, unsafeEffect)
+		}
+		if c.PriorityWeight != nil {
+			merged.PriorityWeight = mergeValue(merged.PriorityWeight, *c.PriorityWeight, source, lower)
+		}
+		if c.LateFraction != nil {
+			merged.LateFraction = mergeValue(merged.LateFraction, *c.LateFraction, source, lower)
+		}
+	}
+}
+
+func (b *policyBuilder) addQuotas(f *File) {
+	for i := range f.Quotas {
+		s := &f.Quotas[i]
+		source := f.source(s.id())
+		namespace := cmp.Or(s.Namespace, f.Name)
+		merged := getOrCreate(b.shares, shareKey{s.Quota, namespace})
+		merged.Quota = s.Quota
+		merged.Namespace = namespace
+		merged.Limit = b.declaration.limits[s.Quota]
+		if s.Cap > 0 {
+			merged.Cap = mergeValue(merged.Cap, s.Cap, source, lower)
+		}
+		if s.Min > 0 {
+			merged.Min = mergeValue(merged.Min, s.Min, source, lower)
+		}
+		if s.Weight > 0 {
+			merged.Weight = mergeValue(merged.Weight, s.Weight, source, lower)
+		}
+	}
+}
+
+func (b *policyBuilder) addBlocks(f *File) {
+	for i := range f.Blocks {
+		block := f.Blocks[i]
+		source := f.source(block.id())
+		block.Name = f.Name + "/" + block.Name
+		b.policy.Blocks = append(b.policy.Blocks, PolicyBlock{block, source})
+	}
+}
+
+func (b *policyBuilder) addOverrides(f *File) {
+	for i := range f.Overrides {
+		o := f.Overrides[i]
+		source := f.source(o.id())
+		o.Name = f.Name + "/" + o.Name
+		b.policy.Overrides = append(b.policy.Overrides, PolicyOverride{o, source})
+	}
+}
+
+func (b *policyBuilder) addStalenessBounds(f *File) {
+	for i := range f.StalenessBounds {
+		bound := &f.StalenessBounds[i]
+		b.bounds[bound.Route] = mergeValue(
+			b.bounds[bound.Route], bound.MaxLevel, f.source(bound.id()), strictestLevel)
+	}
+}
+
+// build sorts all lists. Bounds of routes that are not there are left out.
+func (b *policyBuilder) build() *Policy {
+	p := b.policy
+	for _, name := range slices.Sorted(maps.Keys(b.services)) {
+		slices.SortFunc(b.services[name].Sources, compareSources)
+		p.Services = append(p.Services, *b.services[name])
+	}
+	for _, name := range slices.Sorted(maps.Keys(b.classes)) {
+		p.Classes = append(p.Classes, *b.classes[name])
+	}
+	for _, s := range b.shares {
+		p.Shares = append(p.Shares, *s)
+	}
+	for _, name := range slices.Sorted(maps.Keys(b.bounds)) {
+		if b.routes[name] {
+			p.StalenessBounds = append(p.StalenessBounds, PolicyStalenessBound{name, b.bounds[name]})
+		}
+	}
+	slices.SortFunc(p.Shares, func(a, b PolicyShare) int {
+		return cmp.Or(strings.Compare(a.Quota, b.Quota), strings.Compare(a.Namespace, b.Namespace))
+	})
+	slices.SortFunc(p.Routes, func(a, b PolicyRoute) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(p.Blocks, func(a, b PolicyBlock) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(p.Overrides, func(a, b PolicyOverride) int { return strings.Compare(a.Name, b.Name) })
+	return p
+}
--- /dev/null
+++ b/internal/policy/namespace/contradiction.go
@@ -0,0 +1,120 @@
+package namespace
+
+import (
+	"cmp"
+	"slices"
+)
+
+// maxConflictsPerRoute is how many conflicts of a route with the routes of one namespace are listed: two teams that
+// write thousands of routes across each other's would fill the memory.
+const maxConflictsPerRoute = 8
+
+// contradictionsOf returns the routes of two files that meet, lead elsewhere, and have no order by a delegation.
+func (f *finder) contradictionsOf(a, b *File) []Conflict {
+	names := [2]string{a.Name, b.Name}
+	mayMeet, known := f.mayMeet[names]
+	if !known {
+		mayMeet = f.declaration.routesMayMeet(a.Name, b.Name)
+		f.mayMeet[names] = mayMeet
+	}
+	if !mayMeet {
+		return nil
+	}
+	key := [2]*File{a, b}
+	if found, ok := f.contradictions[key]; ok {
+		return found
+	}
+	// Each pair of routes is compared once, at the host of the inner one; equal hosts count for the first search.
+	first := contradictionSearch{finder: f, inner: b, outer: a, equalHosts: true}
+	second := contradictionSearch{finder: f, inner: a, outer: b}
+	found := append(first.run(), second.run()...)
+	f.contradictions[key] = found
+	return found
+}
+
+// contradictionSearch compares the routes of one file with those of another whose hosts contain theirs.
+type contradictionSearch struct {
+	finder     *finder
+	inner      *File
+	outer      *File
+	equalHosts bool // hosts that are equal are compared, too
+	found      []Conflict
+}
+
+func (s *contradictionSearch) run() []Conflict {
+	index := s.finder.indexOf(s.outer)
+	for i := range s.inner.Routes {
+		s.compareRoute(&s.inner.Routes[i], index)
+	}
+	return s.found
+}
+
+// compareRoute compares a route with those of the outer file. Where the hosts differ, the route has precedence, so a
+// delegation to its namespace settles all pairs at once: a rule for everything is not compared with each below it.
+func (s *contradictionSearch) compareRoute(r *Route, index routeIndex) {
+	delegated := s.finder.declaration.delegated(s.inner.Name, s.outer.Name, SettingRoute, &r.Match)
+	var with []int
+	eachOuterHost(r.Host, func(host string) {
+		equal := host == r.Host
+		if equal && !s.equalHosts || !equal && delegated || len(with) == maxConflictsPerRoute {
+			return
+		}
+		tree := index[host]
+		if tree == nil {
+			return
+		}
+		tree.eachMeeting(&r.Match, func(id int) bool {
+			conflict, ok := s.compare(r, &s.outer.Routes[id], delegated)
+			if !ok || slices.Contains(with, id) {
+				return true
+			}
+			with = append(with, id)
+			conflict.More = len(with) == maxConflictsPerRoute
+			s.found = append(s.found, conflict)
+			return !conflict.More
+		})
+	})
+}
+
+// compare compares two routes. Delegated tells whether the inner one is within what the outer namespace delegated.
+// Routes go together if they lead alike, or if the delegate's has precedence; of equal precedence they never do.
+func (s *contradictionSearch) compare(inner, outer *Route, delegated bool) (Conflict, bool) {
+	request, ok := inner.intersect(&outer.Match)
+	if !ok {
+		return Conflict{}, false
+	}
+	innerPrecedence := inner.precedence()
+	outerPrecedence := outer.precedence()
+	order := slices.Compare(innerPrecedence[:], outerPrecedence[:])
+	text := "neither goes before the other"
+	if order != 0 {
+		if inner.leadsLike(outer) || order > 0 && delegated {
+			return Conflict{}, false
+		}
+		outerDelegated := s.finder.declaration.delegated(s.outer.Name, s.inner.Name, SettingRoute, &outer.Match)
+		switch {
+		case order < 0 && outerDelegated:
+			return Conflict{}, false
+		case order < 0 && delegated || order > 0 && outerDelegated:
+			text = "they lead apart, and the giver's goes before that of the namespace it delegated to"
+		default:
+			text = "they lead apart, and no delegation puts one first"
+		}
+	}
+	return Conflict{
+		Kind:    Contradiction,
+		Rules:   sources(s.inner.source(inner.id()), s.outer.source(outer.id())),
+		Request: &request,
+		Text:    text,
+	}, true
+}
+
+// defaultSticky is what an empty Route.Sticky means.
+const defaultSticky = "key"
+
+// leadsLike reports whether two routes lead to the same services in the same way.
+func (r *Route) leadsLike(other *Route) bool {
+	equal := func(a, b Target) bool { return a.Service == b.Service && *a.Weight == *b.Weight }
+	return cmp.Or(r.Sticky, defaultSticky) == cmp.Or(other.Sticky, defaultSticky) &&
+		slices.EqualFunc(r.To, other.To, equal)
+}
--- /dev/null
+++ b/internal/policy/namespace/domaincheck.go
@@ -0,0 +1,108 @@
+package namespace
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// domainChecker finds the rules of a file that are outside the domain of its namespace.
+type domainChecker struct {
+	declaration *Declaration
+	file        *File
+	outside     map[string]OutsideDomainError // by rule ID
+}
+
+// outside returns the rules of a file that its namespace may not set, by their IDs.
+func (d *Declaration) outside(f *File) map[string]OutsideDomainError {
+	c := domainChecker{d, f, map[string]OutsideDomainError{}}
+	for i := range f.Services {
+		c.check(f.Services[i].id(), SettingService, func(*Domain) string { return "" })
+	}
+	for i := range f.Routes {
+		r := &f.Routes[i]
+		c.check(r.id(), SettingRoute, func(domain *Domain) string { return domain.excess(&r.Match) })
+	}
+	for i := range f.Blocks {
+		b := &f.Blocks[i]
+		c.check(b.id(), SettingBlock, func(domain *Domain) string { return domain.excess(&b.Match) })
+	}
+	for i := range f.Classes {
+		class := &f.Classes[i]
+		c.check(class.id(), SettingClass, class.excess)
+	}
+	for i := range f.Quotas {
+		s := &f.Quotas[i]
+		c.check(s.id(), SettingQuota, func(domain *Domain) string { return c.quotaExcess(s, domain) })
+	}
+	for i := range f.Overrides {
+		o := &f.Overrides[i]
+		c.check(o.id(), SettingOverride, o.excess)
+	}
+	for i := range f.StalenessBounds {
+		b := &f.StalenessBounds[i]
+		c.check(b.id(), SettingStaleness, func(*Domain) string { return c.stalenessExcess(b) })
+	}
+	return c.outside
+}
+
+// check notes a rule that no part of the domain contains. Excess returns what of the rule is not in a part, or an empty
+// text.
+func (c *domainChecker) check(id, setting string, excess func(*Domain) string) {
+	reason := "it may not set " + setting
+	for _, part := range c.declaration.parts[c.file.Name] {
+		if !slices.Contains(part.domain.Settings, setting) {
+			continue
+		}
+		over := excess(part.domain)
+		if over == "" {
+			return
+		}
+		reason = over
+	}
+	c.outside[id] = OutsideDomainError{c.file.Name, id, reason}
+}
+
+func (c *Class) excess(domain *Domain) string {
+	if len(domain.Classes) == 0 || slices.Contains(domain.Classes, c.Name) {
+		return ""
+	}
+	return fmt.Sprintf("class %q", c.Name)
+}
+
+func (o *Override) excess(domain *Domain) string {
+	if includesName(domain.Zones, o.Zone) {
+		return ""
+	}
+	return fmt.Sprintf("zone %q", o.Zone)
+}
+
+func (c *domainChecker) quotaExcess(s *QuotaShare, domain *Domain) string {
+	if s.Namespace != "" && !slices.Contains(c.declaration.delegatorsOf(s.Namespace), c.file.Name) {
+		return fmt.Sprintf("it delegates nothing to %q", s.Namespace)
+	}
+	if _, ok := c.declaration.limits[s.Quota]; ok && includesName(domain.Quotas, s.Quota) {
+		return ""
+	}
+	return fmt.Sprintf("budget %q", s.Quota)
+}
+
+// stalenessExcess allows bounds on the namespace's own routes and on those of its delegates.
+func (c *domainChecker) stalenessExcess(b *StalenessBound) string {
+	owner, _, _ := strings.Cut(b.Route, "/")
+	if owner == c.file.Name || slices.Contains(c.declaration.delegatorsOf(owner), c.file.Name) {
+		return ""
+	}
+	return fmt.Sprintf("route %s", b.Route)
+}
+
+// domainErrors returns all rules outside a domain as errors of the file, ordered by their IDs.
+func (f *File) domainErrors(outside map[string]OutsideDomainError) error {
+	var errs []error
+	for _, id := range slices.Sorted(maps.Keys(outside)) {
+		errs = append(errs, keyError(f.path, f.lines, f.ruleKeys[id], outside[id]))
+	}
+	return errors.Join(errs...)
+}
--- /dev/null
+++ b/internal/policy/namespace/filecheck.go
@@ -0,0 +1,218 @@
+package namespace
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"sort"
+	"strings"
+	"time"
+
+	"lapisspread/internal/route"
+)
+
+// fileChecker checks what needs no declaration, and sorts what has no order.
+type fileChecker struct {
+	*File
+	errs *keyErrors
+}
+
+// check checks the file, sorts its lists and enters its rules.
+func (f *File) check() error {
+	c := fileChecker{f, &keyErrors{path: f.path, lines: f.lines}}
+	c.errs.addIf(f.Version != FileVersion, "version", "%d; this program reads %d", f.Version, FileVersion)
+	c.errs.addPlainName("namespace", f.Name)
+	c.errs.addIf(f.Number == 0, "number", "left out or 0")
+	if total := f.Rules(); total > maxRules {
+		c.errs.addIf(true, "", "%d rules; %d are the most", total, maxRules)
+		return errors.Join(c.errs.list...)
+	}
+	f.ruleTexts = map[string]string{}
+	f.ruleKeys = map[string]string{}
+	c.checkServices()
+	c.checkRoutes()
+	c.checkClasses()
+	c.checkQuotas()
+	c.checkBlocks()
+	c.checkOverrides()
+	c.checkStalenessBounds()
+	c.errs.addIf(f.combinations() > maxCombinations, "route",
+		"they come to %d combinations of methods, classes and tenants; %d are the most",
+		f.combinations(), maxCombinations)
+	if len(c.errs.list) == 0 {
+		c.checkContradictions()
+	}
+	return errors.Join(c.errs.list...)
+}
+
+// enter enters a rule whose values are final.
+func (c *fileChecker) enter(key, id string, rule any) {
+	text, err := json.Marshal(rule)
+	if err != nil {
+		c.errs.add(key, err)
+	}
+	_, duplicate := c.ruleTexts[id]
+	c.errs.addIf(duplicate, key, "%s is there twice", id)
+	c.ruleTexts[id] = string(text)
+	c.ruleKeys[id] = key
+}
+
+func (c *fileChecker) checkStalenessLevel(key, level string) {
+	c.errs.addIf(!slices.Contains(StalenessLevels(), level), key+".bears",
+		"%q is none of %s", level, strings.Join(StalenessLevels(), ", "))
+}
+
+func (c *fileChecker) checkMatch(key string, m *Match) {
+	if err := m.validate(); err != nil {
+		c.errs.add(key, err)
+	}
+	for _, list := range m.lists() {
+		slices.Sort(list)
+	}
+}
+
+func (c *fileChecker) checkServices() {
+	for i := range c.Services {
+		s := &c.Services[i]
+		key := fmt.Sprintf("service[%d]", i)
+		c.errs.addPlainName(key+".name", s.Name)
+		c.errs.addIf(s.Discovery != "" && !strings.Contains(s.Discovery, ":"), key+".discovery",
+			"%q is no host:port", s.Discovery)
+		c.errs.addIf(!slices.Contains([]string{"", "http", "diameter"}, s.Upstream), key+".upstream",
+			"%q is neither http nor diameter", s.Upstream)
+		slices.Sort(s.Kinds)
+		slices.Sort(s.Cells)
+		c.enter(key, s.id(), s)
+	}
+}
+
+func (c *fileChecker) checkRoutes() {
+	for i := range c.Routes {
+		r := &c.Routes[i]
+		key := fmt.Sprintf("route[%d]", i)
+		c.errs.addPlainName(key+".name", r.Name)
+		c.checkMatch(key, &r.Match)
+		c.errs.addIf(!slices.Contains([]string{"", "key", "tenant", "request"}, r.Sticky), key+".sticky",
+			"%q is none of key, tenant, request", r.Sticky)
+		if r.MaxStaleness != "" {
+			c.checkStalenessLevel(key, r.MaxStaleness)
+		}
+		r.normalizeTargets()
+		_, err := route.Compile([]route.Rule{(&Match{}).rule("", r.targets())}, "")
+		c.errs.addIf(err != nil, key+".to", "no service, one twice, or weights that are negative or all 0")
+		c.enter(key, r.id(), r)
+	}
+}
+
+// normalizeTargets sets default weights and sorts the targets.
+func (r *Route) normalizeTargets() {
+	for i := range r.To {
+		if r.To[i].Weight == nil {
+			weight := 1.0
+			r.To[i].Weight = &weight
+		}
+	}
+	slices.SortFunc(r.To, func(a, b Target) int { return strings.Compare(a.Service, b.Service) })
+}
+
+func (c *fileChecker) checkClasses() {
+	for i := range c.Classes {
+		class := &c.Classes[i]
+		key := fmt.Sprintf("class[%d]", i)
+		c.errs.addIf(class.Name == "", key+".name", "none is given")
+		objective := time.Duration(class.LatencyObjective)
+		deadline := time.Duration(class.Deadline)
+		c.errs.addIf(objective < 0 || deadline < 0 || deadline > 0 && deadline < objective, key+".aim",
+			"aim %v and give_up %v: wanted 0 < aim <= give_up", objective, deadline)
+		c.errs.addIf(!slices.Contains([]string{"", effectSafe, effectUnsafe}, class.Effect), key+".effect",
+			"%q is neither safe nor unsafe", class.Effect)
+		weight := class.PriorityWeight
+		c.errs.addIf(weight != nil && (!(*weight >= 0) || math.IsInf(*weight, 0)), key+".worth", "out of range")
+		late := class.LateFraction
+		c.errs.addIf(late != nil && !(*late >= 0 && *late <= 1), key+".late", "not within 0 and 1")
+		c.enter(key, class.id(), class)
+	}
+}
+
+func (c *fileChecker) checkQuotas() {
+	for i := range c.Quotas {
+		s := &c.Quotas[i]
+		key := fmt.Sprintf("budget[%d]", i)
+		if s.Namespace == c.Name {
+			s.Namespace = ""
+		}
+		c.errs.addIf(s.Min < 0 || s.Cap < 0 || s.Cap > 0 && s.Cap < s.Min, key+".min",
+			"min %d and cap %d: wanted 0 <= min <= cap", s.Min, s.Cap)
+		c.errs.addIf(!(s.Weight >= 0) || math.IsInf(s.Weight, 0), key+".weight", "%v", s.Weight)
+		c.errs.addIf(s.Namespace != "" && (s.Min != 0 || s.Weight != 0), key+".for",
+			"for another namespace only a cap may be set")
+		c.enter(key, s.id(), s)
+	}
+}
+
+func (c *fileChecker) checkBlocks() {
+	for i := range c.Blocks {
+		b := &c.Blocks[i]
+		key := fmt.Sprintf("block[%d]", i)
+		c.errs.addPlainName(key+".name", b.Name)
+		c.checkMatch(key, &b.Match)
+		c.enter(key, b.id(), b)
+	}
+}
+
+func (c *fileChecker) checkOverrides() {
+	for i := range c.Overrides {
+		o := &c.Overrides[i]
+		key := fmt.Sprintf("order[%d]", i)
+		c.errs.addPlainName(key+".name", o.Name)
+		c.errs.addIf(o.Server == "" || o.Zone == "", key+".server", "server or zone is not given")
+		c.errs.addIf(o.Action != actionDetach && o.Action != actionAttach, key+".do",
+			"%q is neither detach nor attach", o.Action)
+		// A time without an offset is another time on another machine, and would give the policy another hash.
+		c.errs.addIf(o.From.Location() == time.Local || o.Until.Location() == time.Local, key+".from",
+			"a time needs its offset, as 2026-12-01T06:00:00Z")
+		o.From = o.From.UTC()
+		o.Until = o.Until.UTC()
+		c.errs.addIf(!o.Until.IsZero() && !o.From.Before(o.Until), key+".until", "it is not after from")
+		c.enter(key, o.id(), o)
+	}
+}
+
+func (c *fileChecker) checkStalenessBounds() {
+	for i := range c.StalenessBounds {
+		b := &c.StalenessBounds[i]
+		key := fmt.Sprintf("staleness[%d]", i)
+		if !strings.Contains(b.Route, "/") {
+			b.Route = c.Name + "/" + b.Route
+		}
+		c.checkStalenessLevel(key, b.MaxLevel)
+		c.enter(key, b.id(), b)
+	}
+}
+
+// checkContradictions finds routes of equal precedence and overrides that contradict each other within the file.
+func (c *fileChecker) checkContradictions() {
+	rules := make([]route.Rule, len(c.Routes))
+	for i := range c.Routes {
+		rules[i] = c.Routes[i].rule(c.Routes[i].Name, c.Routes[i].targets())
+	}
+	if _, err := route.Compile(rules, ""); err != nil {
+		// The first route at fault is the last of the shortest list that does not compile.
+		first := sort.Search(len(rules), func(i int) bool {
+			_, err := route.Compile(rules[:i+1], "")
+			return err != nil
+		})
+		_, fault, _ := strings.Cut(err.Error(), ": ")
+		fault, _, _ = strings.Cut(fault, "\n")
+		c.errs.add(fmt.Sprintf("route[%d]", first), errors.New(fault))
+	}
+	for i := range c.Overrides {
+		for k := range i {
+			if _, ok := c.Overrides[i].contradicts(&c.Overrides[k]); ok {
+				c.errs.addIf(true, fmt.Sprintf("order[%d]", i), "contradicts order[%d] %q", k, c.Overrides[k].Name)
+			}
+		}
+	}
+}
--- a/internal/policy/namespace/items_test.go
+++ b/internal/policy/namespace/items_test.go
@@ -98,8 +98,8 @@
 		t.Fatalf("%v: a table of %d rules to %v, not of %d to %v", err, got.RuleCount(), got.Services(), want.RuleCount(), want.Services())
 	}
 	for i := range p.Routes {
-		for _, spare := range []spare{"x", "y"} {
-			q := spare.fresh(&p.Routes[i].Match)
+		for _, spare := range []unnamedLabel{"x", "y"} {
+			q := spare.exampleRequest(&p.Routes[i].Match)
 			x, v := got.Lookup(&q)
 			y, w := want.Lookup(&q)
 			if v != w || (x == nil) != (y == nil) || x != nil && (x.Name != y.Name || !slices.Equal(x.To, y.To)) {
--- a/internal/policy/namespace/merge.go
+++ b/internal/policy/namespace/merge.go
@@ -2,362 +2,325 @@
 
 import (
 	"cmp"
-	"errors"
 	"maps"
 	"slices"
 	"strings"
 )
 
-// Outcome is what a merge gives.
+// Outcome is the result of a merge.
 type Outcome struct {
 	Policy    *Policy
-	Hash      string
-	Withheld  []WithheldError // by name
+	Hash      string          // of the policy
+	Withheld  []WithheldError // by namespace
 	Conflicts []Conflict
-	Accepted  []*File // the last good files from now on, by name: the next merge's lastGood
+	Accepted  []*File // by namespace: what the next merge takes as accepted
 }
 
-// participant is how a namespace stands in a merge.
+// Merge merges submitted files over the last accepted ones. A file that is invalid or that brings a conflict is
+// withheld, and its namespace goes on with its last accepted file; nobody else waits. The outcome depends on the files
+// alone, not on the order in which they are given:
+//
+//   - Of the namespaces in a conflict, one is withheld that added or changed a rule of it and whose last accepted file
+//     would not have the conflict. If that holds for several, it is the last by precedence: those nearer to the root of
+//     the delegations come first, then it is by name.
+//   - If none did (the declaration has changed), the rule of the last one by precedence is removed from its accepted
+//     file. It returns with the first merge in which it conflicts with nothing.
+//   - So the policy has no conflict that withholds a file. The others are in Outcome.Conflicts.
+//
+// A namespace that submits nothing goes on with its last accepted file.
+func Merge(d *Declaration, accepted, submitted []*File) Outcome {
+	return merge(d, accepted, submitted, 0)
+}
+
+func merge(d *Declaration, accepted, submitted []*File, mutations mutation) Outcome {
+	m := newMerger(d, mutations)
+	m.addAccepted(accepted)
+	submissions := m.addSubmitted(submitted)
+	m.rank(accepted, submitted)
+	inForce := m.chooseFiles(submissions)
+	f := newFinder(d, inForce)
+	for found := f.withholding(m.activeFiles()); len(found) > 0; found = f.withholding(m.activeFiles()) {
+		sortConflicts(found)
+		m.report(found)
+		if m.mutated(acceptAll) {
+			break
+		}
+		m.settle(found)
+	}
+	if !m.mutated(noReinstatement) {
+		m.reinstate(f)
+	}
+	m.report(f.reported(m.activeFiles()))
+	return m.outcome()
+}
+
+// merger is the state of one merge.
+type merger struct {
+	declaration  *Declaration
+	mutations    mutation
+	participants map[string]*participant
+	unknown      map[string]*WithheldError // files of namespaces that the declaration does not have
+	names        []string                  // of participants, by precedence
+	ranks        map[string]int            // in names
+	conflicts    []Conflict
+	reported     map[string]bool // conflicts, by their texts
+}
+
+// participant is a namespace in a merge. A file is nil where there is none.
 type participant struct {
 	name         string
-	lastAccepted *File // as it was offered; nil is none
-	withinDomain *File // last, without what is outside its domain now
-	submitted    *File // nil is none, or one that may not be taken up
-	displaced    *File // an offer that was held for a conflict
-	active       *File // nil is none
-	removedRules map[string]bool
+	lastAccepted *File           // as it was submitted
+	withinDomain *File           // lastAccepted without the rules that are outside the domain now
+	submitted    *File           // what may be accepted
+	displaced    *File           // what was submitted and withheld for a conflict
+	active       *File           // what takes part in the policy
+	removedRules map[string]bool // IDs of rules of lastAccepted that do not
 	withheld     *WithheldError
 }
 
-// Merge joins what namespaces offer with the last good files of the rest. A file that is bad, or that brings a conflict
-// in, is held back, and its namespace goes on with its last good one; nobody else waits. What decides hangs on the
-// files alone, not on the order in which they are given:
-//
-//   - Of the namespaces in a conflict one is held that brought a rule of it in or changed one, and whose last good file
-//     would not have it. If that holds for several, the last by this order: those that are nearer to the root of the
-//     delegations go first, then by name.
-//   - If none did (the charter was changed), the rule of the last by that order is cut out of its last good file, and
-//     comes back with the first merge that it conflicts with nothing in.
-//   - So the policy has no conflict that holds; those that are only told are in Conflicts.
-//
-// A namespace that offers nothing goes on with its last good file.
-func Merge(c *Declaration, lastGood, offered []*File) Outcome { return merge(c, lastGood, offered, 0) }
-
-func merge(c *Declaration, lastGood, offered []*File, flaws mutation) Outcome {
-	var out Outcome
-	all := map[string]*participant{}
-	for _, h := range c.Namespaces {
-		all[h.Name] = &participant{name: h.Name, removedRules: map[string]bool{}}
+func newMerger(d *Declaration, mutations mutation) *merger {
+	m := &merger{
+		declaration:  d,
+		mutations:    mutations,
+		participants: map[string]*participant{},
+		unknown:      map[string]*WithheldError{},
+		ranks:        map[string]int{},
+		reported:     map[string]bool{},
+	}
+	for _, n := range d.Namespaces {
+		m.participants[n.Name] = &participant{name: n.Name, removedRules: map[string]bool{}}
 	}
-	unknown := map[string]*WithheldError{}
-	for _, n := range lastGood {
-		s := all[n.Name]
-		if s == nil {
-			unknown[n.Name] = &WithheldError{Namespace: n.Name, Submitted: n.Number, Cause: UnknownNamespaceError{n.Name}}
+	return m
+}
+
+// addAccepted notes the last accepted file of each namespace.
+func (m *merger) addAccepted(files []*File) {
+	for _, f := range files {
+		p := m.participants[f.Name]
+		if p == nil {
+			m.unknown[f.Name] = unknownNamespace(f)
 			continue
 		}
-		if s.lastAccepted == nil || n.Number > s.lastAccepted.Number || n.Number == s.lastAccepted.Number && n.digest() < s.lastAccepted.digest() {
-			s.lastAccepted = n
+		if p.lastAccepted == nil || f.newerThan(p.lastAccepted) {
+			p.lastAccepted = f
 		}
 	}
-	files := map[string][]*File{}
-	for _, n := range offered {
-		if all[n.Name] == nil {
-			h := unknown[n.Name]
-			if h == nil || n.Number > h.Submitted {
-				unknown[n.Name] = &WithheldError{Namespace: n.Name, Submitted: n.Number, Cause: UnknownNamespaceError{n.Name}}
-			}
+}
+
+// newerThan orders files of one namespace. Of two with one number the texts decide, so that their order does not.
+func (f *File) newerThan(other *File) bool {
+	return f.Number > other.Number || f.Number == other.Number && f.rulesText() < other.rulesText()
+}
+
+func unknownNamespace(f *File) *WithheldError {
+	return &WithheldError{Namespace: f.Name, Submitted: f.Number, Cause: UnknownNamespaceError{f.Name}}
+}
+
+// addSubmitted returns the submitted files by namespace.
+func (m *merger) addSubmitted(files []*File) map[string][]*File {
+	submissions := map[string][]*File{}
+	for _, f := range files {
+		if m.participants[f.Name] != nil {
+			submissions[f.Name] = append(submissions[f.Name], f)
 			continue
 		}
-		files[n.Name] = append(files[n.Name], n)
+		if withheld := m.unknown[f.Name]; withheld == nil || f.Number > withheld.Submitted {
+			m.unknown[f.Name] = unknownNamespace(f)
+		}
 	}
-	names := slices.SortedFunc(maps.Keys(all), func(a, b string) int {
-		return cmp.Or(cmp.Compare(c.depth[a], c.depth[b]), strings.Compare(a, b))
+	return submissions
+}
+
+// rank orders the namespaces by precedence.
+func (m *merger) rank(accepted, submitted []*File) {
+	depth := m.declaration.depth
+	m.names = slices.SortedFunc(maps.Keys(m.participants), func(a, b string) int {
+		return cmp.Or(cmp.Compare(depth[a], depth[b]), strings.Compare(a, b))
 	})
-	if flaws&arrivalOrder != 0 {
-		names = nil
-		for _, n := range append(slices.Clone(offered), lastGood...) {
-			if all[n.Name] != nil && !slices.Contains(names, n.Name) {
-				names = append(names, n.Name)
+	if m.mutated(arrivalOrder) {
+		m.names = nil
+		for _, f := range append(slices.Clone(submitted), accepted...) {
+			if m.participants[f.Name] != nil && !slices.Contains(m.names, f.Name) {
+				m.names = append(m.names, f.Name)
 			}
 		}
 	}
-	place := map[string]int{}
-	var before []*File
-	for i, name := range names {
-		place[name] = i
-		s := all[name]
-		if s.lastAccepted != nil {
-			s.withinDomain = s.lastAccepted
-			if outside := c.outside(s.lastAccepted); len(outside) > 0 {
-				for id := range outside {
-					s.removedRules[id] = true
-				}
-				s.hold(s.lastAccepted.Number, s.lastAccepted.domainErrors(outside))
-				s.withinDomain = s.lastAccepted.without(s.removedRules)
-			}
-			before = append(before, s.withinDomain)
-		}
-		s.active = s.withinDomain
-		s.choose(c, files[name])
-		if s.submitted != nil {
-			s.active = s.submitted
-		}
+	for i, name := range m.names {
+		m.ranks[name] = i
 	}
-	f := newFinder(c, before)
-	told := map[string]bool{}
-	tell := func(list []Conflict) {
-		for _, x := range list {
-			if key := x.String(); !told[key] {
-				told[key] = true
-				out.Conflicts = append(out.Conflicts, x)
-			}
+}
+
+// chooseFiles chooses the active file of each namespace, before conflicts are looked at. It returns the files that are
+// in force without the submitted ones.
+func (m *merger) chooseFiles(submissions map[string][]*File) []*File {
+	var inForce []*File
+	for _, name := range m.names {
+		p := m.participants[name]
+		if p.lastAccepted != nil {
+			p.removeOutside(m.declaration)
+			inForce = append(inForce, p.withinDomain)
 		}
-	}
-	for found := f.holding(active(names, all)); len(found) > 0; found = f.holding(active(names, all)) {
-		sortConflicts(found)
-		tell(found)
-		if flaws&acceptAll != 0 {
-			break
+		p.active = p.withinDomain
+		p.choose(m.declaration, submissions[name])
+		if p.submitted != nil {
+			p.active = p.submitted
 		}
-		settle(found, all, place, flaws)
-	}
-	if flaws&noReinstatement == 0 {
-		reinstate(f, names, all)
 	}
-	set := active(names, all)
-	tell(f.telling(set))
-	out.Policy = assemble(c, set)
-	out.Hash = out.Policy.Hash()
-	for i := range out.Conflicts {
-		x := &out.Conflicts[i]
-		for _, r := range x.Rules {
-			s := all[r.Namespace]
-			if x.Kind.Withholds() && s != nil && s.withheld != nil && (x.Withheld == "" || place[s.name] > place[x.Withheld]) {
-				x.Withheld = s.name
-			}
-		}
-	}
-	for _, name := range names {
-		s := all[name]
-		switch {
-		case s.submitted != nil:
-			out.Accepted = append(out.Accepted, s.submitted)
-		case s.lastAccepted != nil:
-			out.Accepted = append(out.Accepted, s.lastAccepted)
-		}
-		if s.withheld != nil {
-			s.withheld.RemovedRules = slices.Sorted(maps.Keys(s.removedRules))
-			s.withheld.Active = 0
-			if s.active != nil {
-				s.withheld.Active = s.active.Number
-			}
-			out.Withheld = append(out.Withheld, *s.withheld)
-		}
+	return inForce
+}
+
+// removeOutside removes the rules of the last accepted file that are outside the domain of a changed declaration.
+func (p *participant) removeOutside(d *Declaration) {
+	p.withinDomain = p.lastAccepted
+	outside := d.outside(p.lastAccepted)
+	if len(outside) == 0 {
+		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(unknown)) {
-		out.Withheld = append(out.Withheld, *unknown[name])
+	for id := range outside {
+		p.removedRules[id] = true
 	}
-	slices.SortFunc(out.Withheld, func(a, b WithheldError) int { return strings.Compare(a.Namespace, b.Namespace) })
-	slices.SortFunc(out.Accepted, func(a, b *File) int { return strings.Compare(a.Name, b.Name) })
-	sortConflicts(out.Conflicts)
-	return out
+	p.withhold(p.lastAccepted.Number, p.lastAccepted.domainErrors(outside))
+	p.withinDomain = p.lastAccepted.without(p.removedRules)
 }
 
-// reinstate takes up again what was held for a conflict with a file that was itself held later. So in the end each file
-// that is held would bring a conflict in.
-func reinstate(f *finder, names []string, all map[string]*participant) {
-	for again := true; again; {
-		again = false
-		for _, name := range names {
-			s := all[name]
-			if s.displaced == nil {
-				continue
-			}
-			was := *s
-			s.active, s.submitted, s.displaced, s.withheld, s.removedRules = s.displaced, s.displaced, nil, nil, map[string]bool{}
-			if len(f.holding(active(names, all))) > 0 {
-				*s = was
-				continue
-			}
-			again = true
+// choose takes the submitted file with the highest number, if it may be accepted.
+func (p *participant) choose(d *Declaration, files []*File) {
+	unreadable := p.withholdUnreadable(files)
+	highest, ambiguous := highestNumber(files)
+	switch {
+	case highest == nil:
+		return
+	case ambiguous:
+		p.withhold(highest.Number, VersionTakenError{p.name, highest.Number, highest.Number})
+		return
+	case p.lastAccepted != nil && highest.Number <= p.lastAccepted.Number:
+		if highest.Number < p.lastAccepted.Number || !highest.sameRules(p.lastAccepted) {
+			p.withhold(highest.Number, VersionTakenError{p.name, highest.Number, p.lastAccepted.Number})
 		}
+		return
+	}
+	if outside := d.outside(highest); len(outside) > 0 {
+		p.withhold(highest.Number, highest.domainErrors(outside))
+		return
+	}
+	p.submitted = highest
+	p.removedRules = map[string]bool{}
+	if !unreadable {
+		p.withheld = nil // what was outside the domain is replaced
 	}
 }
 
-// mutation is a guard taken out, to see that the tests convict.
-type mutation uint8
-
-const (
-	acceptAll         mutation = 1 << iota // conflicts are told, nobody is held
-	withholdAll                            // all that brought a rule in are held
-	arrivalOrder                           // the order of arrival decides
-	noReinstatement                        // what was held stays held
-	withholdUnchanged                      // the one that changed nothing is held as well as others
-)
-
-func active(names []string, all map[string]*participant) []*File {
-	var set []*File
-	for _, name := range names {
-		if a := all[name].active; a != nil {
-			set = append(set, a)
+// withholdUnreadable reports the unreadable file whose error is the least, so that their order does not matter.
+func (p *participant) withholdUnreadable(files []*File) bool {
+	var errs []string
+	for _, f := range files {
+		if f.readError == nil {
+			continue
+		}
+		errs = append(errs, f.readError.Error())
+		if p.withheld == nil || f.readError.Error() == slices.Min(errs) {
+			p.withhold(0, f.readError)
 		}
 	}
-	return set
+	return len(errs) > 0
 }
 
-// choose takes the highest of the files that are offered, if it may be taken up.
-func (s *participant) choose(c *Declaration, files []*File) {
-	var top *File
-	var unread []string
-	twice := false
-	for _, n := range files {
+// highestNumber returns the readable file with the highest number, and whether another one has that number and other
+// rules.
+func highestNumber(files []*File) (*File, bool) {
+	var highest *File
+	ambiguous := false
+	for _, f := range files {
 		switch {
-		case n.readError != nil:
-			unread = append(unread, n.readError.Error())
-			if s.withheld == nil || n.readError.Error() == slices.Min(unread) {
-				s.hold(0, n.readError)
-			}
-		case top == nil || n.Number > top.Number:
-			top, twice = n, false
-		case n.Number == top.Number && !n.same(top):
-			twice = true
-		}
-	}
-	switch {
-	case top == nil:
-	case twice:
-		s.hold(top.Number, VersionTakenError{s.name, top.Number, top.Number})
-	case s.lastAccepted != nil && (top.Number < s.lastAccepted.Number || top.Number == s.lastAccepted.Number && !top.same(s.lastAccepted)):
-		s.hold(top.Number, VersionTakenError{s.name, top.Number, s.lastAccepted.Number})
-	case s.lastAccepted != nil && top.Number == s.lastAccepted.Number:
-	default:
-		if outside := c.outside(top); len(outside) > 0 {
-			s.hold(top.Number, top.domainErrors(outside))
-			return
-		}
-		s.submitted = top
-		s.removedRules = map[string]bool{}
-		if len(unread) == 0 {
-			s.withheld = nil // what was outside in the last one is of no matter now
+		case f.readError != nil:
+		case highest == nil || f.Number > highest.Number:
+			highest = f
+			ambiguous = false
+		case f.Number == highest.Number && !f.sameRules(highest):
+			ambiguous = true
 		}
 	}
+	return highest, ambiguous
 }
 
-func (s *participant) hold(number uint64, why error) {
-	s.withheld = &WithheldError{Namespace: s.name, Submitted: number, Cause: why}
-}
-
-// domainErrors gives all rules outside a domain as errors of the file, in the order of their ids.
-func (n *File) domainErrors(outside map[string]OutsideDomainError) error {
-	var errs []error
-	for _, id := range slices.Sorted(maps.Keys(outside)) {
-		errs = append(errs, keyError(n.path, n.lines, n.ruleKeys[id], outside[id]))
-	}
-	return errors.Join(errs...)
+func (p *participant) withhold(number uint64, cause error) {
+	p.withheld = &WithheldError{Namespace: p.name, Submitted: number, Cause: cause}
 }
 
-// brought tells whether a namespace brought a rule in, changed it, or took it away; for minimums, whether it raised it.
-func (s *participant) brought(k ConflictKind, id string) bool {
-	if s.submitted == nil || s.removedRules[id] {
-		return false
-	}
-	if s.lastAccepted == nil {
-		return true
-	}
-	if k == TooManyCombinations {
-		return s.active.combinations() > s.lastAccepted.combinations()
-	}
-	if k == MinimumsExceedLimit {
-		return s.active.minimum(id) > s.lastAccepted.minimum(id)
+// activeFiles returns the files that take part in the policy, by precedence.
+func (m *merger) activeFiles() []*File {
+	var files []*File
+	for _, name := range m.names {
+		if active := m.participants[name].active; active != nil {
+			files = append(files, active)
+		}
 	}
-	return s.active.ruleTexts[id] != s.lastAccepted.ruleTexts[id]
+	return files
 }
 
-func (n *File) minimum(id string) int64 {
-	for i := range n.Quotas {
-		if n.Quotas[i].id() == id {
-			return n.Quotas[i].Min
+// report adds conflicts to the outcome, each once.
+func (m *merger) report(conflicts []Conflict) {
+	for _, c := range conflicts {
+		text := c.String()
+		if !m.reported[text] {
+			m.reported[text] = true
+			m.conflicts = append(m.conflicts, c)
 		}
 	}
-	return 0
 }
 
-// settle holds back one namespace, the first by the order among those that must be; if there is none, it cuts rules.
-func settle(found []Conflict, all map[string]*participant, place map[string]int, flaws mutation) {
-	last := func(x *Conflict, ok func(s *participant, id string) bool) (*participant, string) {
-		var who *participant
-		var id string
-		for _, r := range x.Rules {
-			s := all[r.Namespace]
-			if s != nil && ok(s, r.Rule) && (who == nil || place[s.name] > place[who.name]) {
-				who, id = s, r.Rule
-			}
+// outcome collects the results, in an order that does not depend on that of the files.
+func (m *merger) outcome() Outcome {
+	policy := assemble(m.declaration, m.activeFiles())
+	m.nameWithheld()
+	out := Outcome{Policy: policy, Hash: policy.Hash(), Conflicts: m.conflicts}
+	for _, name := range m.names {
+		p := m.participants[name]
+		switch {
+		case p.submitted != nil:
+			out.Accepted = append(out.Accepted, p.submitted)
+		case p.lastAccepted != nil:
+			out.Accepted = append(out.Accepted, p.lastAccepted)
 		}
-		return who, id
-	}
-	// A namespace that is held may take others' conflicts with it: only the first is held now, the rest is looked at anew.
-	var first *participant
-	var why int
-	losers := make([]*participant, len(found))
-	for i := range found {
-		x := &found[i]
-		losers[i], _ = last(x, func(s *participant, id string) bool {
-			return s.brought(x.Kind, id) || flaws&withholdUnchanged != 0 && s.submitted != nil
-		})
-		if s := losers[i]; s != nil && (first == nil || place[s.name] < place[first.name]) {
-			first, why = s, i
+		if p.withheld != nil {
+			out.Withheld = append(out.Withheld, p.withheldError())
 		}
 	}
-	if first != nil && flaws&withholdAll != 0 {
-		for _, r := range found[why].Rules {
-			if s := all[r.Namespace]; s != first && s.submitted != nil {
-				s.hold(s.submitted.Number, found[why].Err())
-				s.submitted, s.active = nil, s.withinDomain
-			}
-		}
+	for _, name := range slices.Sorted(maps.Keys(m.unknown)) {
+		out.Withheld = append(out.Withheld, *m.unknown[name])
 	}
-	if first != nil {
-		first.hold(first.submitted.Number, found[why].Err())
-		first.displaced = first.submitted
-		first.submitted, first.active, first.removedRules = nil, first.withinDomain, map[string]bool{}
-		if first.lastAccepted != nil {
-			for id := range first.lastAccepted.ruleTexts {
-				if _, stays := first.withinDomain.ruleTexts[id]; !stays {
-					first.removedRules[id] = true
-				}
-			}
-		}
-		return
+	slices.SortFunc(out.Withheld, func(a, b WithheldError) int { return strings.Compare(a.Namespace, b.Namespace) })
+	slices.SortFunc(out.Accepted, func(a, b *File) int { return strings.Compare(a.Name, b.Name) })
+	sortConflicts(out.Conflicts)
+	return out
+}
+
+// withheldError is what is reported of a namespace of which something was withheld.
+func (p *participant) withheldError() WithheldError {
+	withheld := *p.withheld
+	withheld.RemovedRules = slices.Sorted(maps.Keys(p.removedRules))
+	withheld.Active = 0
+	if p.active != nil {
+		withheld.Active = p.active.Number
 	}
-	type rule struct{ namespace, id string }
-	cut := map[rule]bool{}
-	for i := range found {
-		x := &found[i]
-		// One that has lost a rule in this round is settled, or comes up again in the next.
-		if slices.ContainsFunc(x.Rules, func(r Source) bool { return cut[rule{r.Namespace, r.Rule}] }) {
+	return withheld
+}
+
+// nameWithheld names the namespace that was withheld for each conflict: of several, the last by precedence.
+func (m *merger) nameWithheld() {
+	for i := range m.conflicts {
+		c := &m.conflicts[i]
+		if !c.Kind.Withholds() {
 			continue
 		}
-		who, id := last(x, func(s *participant, id string) bool {
-			return s.active != nil && (s.active.ruleTexts[id] != "" || x.Kind == TooManyCombinations) &&
-				(x.Kind != ServiceRemoved || strings.HasPrefix(id, "route "))
-		})
-		cut[rule{who.name, id}] = true
-		if x.Kind != TooManyCombinations && !x.More {
-			who.removedRules[id] = true
-		} else {
-			// What is not listed can't be cut one by one.
-			for i := range who.active.Routes {
-				who.removedRules[who.active.Routes[i].id()] = true
+		for _, r := range c.Rules {
+			p := m.participants[r.Namespace]
+			if p == nil || p.withheld == nil {
+				continue
+			}
+			if c.Withheld == "" || m.ranks[p.name] > m.ranks[c.Withheld] {
+				c.Withheld = p.name
 			}
-		}
-		if who.withheld == nil {
-			who.hold(who.active.Number, x.Err())
-		}
-	}
-	for _, s := range all {
-		if s.active != nil && slices.ContainsFunc(slices.Collect(maps.Keys(cut)), func(r rule) bool { return r.namespace == s.name }) {
-			s.active = s.active.without(s.removedRules)
 		}
 	}
 }
--- a/internal/policy/namespace/drawn_test.go
+++ b/internal/policy/namespace/randommerge_test.go
@@ -211,8 +211,8 @@
 		wrong := 0
 		for i := range 300 {
 			c, set := drawSet(i)
-			found := newFinder(flawed(c), nil).holding(set)
-			for _, w := range compareWithSlow(c, set, append(found, newFinder(c, nil).telling(set)...)) {
+			found := newFinder(flawed(c), nil).withholding(set)
+			for _, w := range compareWithSlow(c, set, append(found, newFinder(c, nil).reported(set)...)) {
 				if strings.Contains(w, string(Contradiction)) {
 					wrong++
 				}
--- /dev/null
+++ b/internal/policy/namespace/rulecheck.go
@@ -0,0 +1,234 @@
+package namespace
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// maxCombinations is how many combinations of a method, a class and a tenant all routes may list. It is well below
+// what package route takes.
+const maxCombinations = 400_000
+
+// allRoutes stands for all routes of a namespace in a conflict.
+const allRoutes = "all routes"
+
+// definition is what one namespace sets for something that one owner sets alone.
+type definition struct {
+	source Source
+	text   string
+}
+
+// inconsistentDefinitions finds services, and priority weights of classes, that two namespaces set differently.
+func inconsistentDefinitions(set []*File) []Conflict {
+	definitions := map[string][]definition{}
+	for _, f := range set {
+		for i := range f.Services {
+			id := f.Services[i].id()
+			definitions[id] = append(definitions[id], definition{f.source(id), f.ruleTexts[id]})
+		}
+		for i := range f.Classes {
+			c := &f.Classes[i]
+			if c.PriorityWeight == nil {
+				continue
+			}
+			text := fmt.Sprintf("worth %v", *c.PriorityWeight)
+			definitions[c.id()] = append(definitions[c.id()], definition{f.source(c.id()), text})
+		}
+	}
+	var conflicts []Conflict
+	for _, id := range slices.Sorted(maps.Keys(definitions)) {
+		for i, b := range definitions[id] {
+			for _, a := range definitions[id][:i] {
+				if a.text == b.text {
+					continue
+				}
+				conflicts = append(conflicts, Conflict{
+					Kind:  InconsistentDefinition,
+					Rules: sources(a.source, b.source),
+					Text:  fmt.Sprintf("%s and %s", a.text, b.text),
+				})
+			}
+		}
+	}
+	return conflicts
+}
+
+// sourcedOverride is an override with the rule that it comes from.
+type sourcedOverride struct {
+	source   Source
+	override *Override
+}
+
+// contradictoryOverrides finds overrides of one server that contradict each other at one time.
+func contradictoryOverrides(set []*File) []Conflict {
+	byServer := map[string][]sourcedOverride{}
+	for _, f := range set {
+		for i := range f.Overrides {
+			o := &f.Overrides[i]
+			byServer[o.Server] = append(byServer[o.Server], sourcedOverride{f.source(o.id()), o})
+		}
+	}
+	var conflicts []Conflict
+	for _, server := range slices.Sorted(maps.Keys(byServer)) {
+		for i, b := range byServer[server] {
+			for _, a := range byServer[server][:i] {
+				at, ok := a.override.contradicts(b.override)
+				if !ok {
+					continue
+				}
+				conflicts = append(conflicts, Conflict{
+					Kind:  ContradictoryOverrides,
+					Rules: sources(a.source, b.source),
+					Time:  &at,
+					Text:  "server " + server + " shall be in and out",
+				})
+			}
+		}
+	}
+	return conflicts
+}
+
+// quotaConflicts finds minimums that sum to more than the limit, and caps below a minimum.
+func (f *finder) quotaConflicts(set []*File) []Conflict {
+	return append(f.excessiveMinimums(set), capsBelowMinimum(set)...)
+}
+
+func (f *finder) excessiveMinimums(set []*File) []Conflict {
+	sums := map[string]int64{}
+	rules := map[string][]Source{}
+	for _, file := range set {
+		for i := range file.Quotas {
+			s := &file.Quotas[i]
+			if s.Min > 0 {
+				sums[s.Quota] += s.Min
+				rules[s.Quota] = append(rules[s.Quota], file.source(s.id()))
+			}
+		}
+	}
+	var conflicts []Conflict
+	for _, quota := range slices.Sorted(maps.Keys(sums)) {
+		limit := f.declaration.limits[quota]
+		if sums[quota] <= limit {
+			continue
+		}
+		cause := MinimumsExceedLimitError{quota, sums[quota], limit}
+		conflicts = append(conflicts, Conflict{
+			Kind: MinimumsExceedLimit, Rules: sources(rules[quota]...), Text: cause.Error(), cause: cause,
+		})
+	}
+	return conflicts
+}
+
+// sourcedCap is a cap that a delegator sets on a delegate, with the rule that it comes from.
+type sourcedCap struct {
+	source Source
+	cap    int64
+}
+
+func capsBelowMinimum(set []*File) []Conflict {
+	caps := map[shareKey][]sourcedCap{}
+	for _, f := range set {
+		for i := range f.Quotas {
+			if s := &f.Quotas[i]; s.Namespace != "" {
+				key := shareKey{s.Quota, s.Namespace}
+				caps[key] = append(caps[key], sourcedCap{f.source(s.id()), s.Cap})
+			}
+		}
+	}
+	var conflicts []Conflict
+	for _, f := range set {
+		for i := range f.Quotas {
+			s := &f.Quotas[i]
+			if s.Namespace != "" {
+				continue
+			}
+			for _, c := range caps[shareKey{s.Quota, f.Name}] {
+				if c.cap == 0 || c.cap >= s.Min {
+					continue
+				}
+				conflicts = append(conflicts, Conflict{
+					Kind:  CapBelowMinimum,
+					Rules: sources(c.source, f.source(s.id())),
+					Text:  fmt.Sprintf("cap %d is under minimum %d", c.cap, s.Min),
+				})
+			}
+		}
+	}
+	return conflicts
+}
+
+// tooManyCombinations finds that all routes together would not compile. Each file is small enough by itself.
+func tooManyCombinations(set []*File) []Conflict {
+	sum := 0
+	var rules []Source
+	for _, f := range set {
+		if n := f.combinations(); n > 0 {
+			sum += n
+			rules = append(rules, f.source(allRoutes))
+		}
+	}
+	if sum <= maxCombinations {
+		return nil
+	}
+	text := fmt.Sprintf("%d combinations of methods, classes and tenants; %d are the most", sum, maxCombinations)
+	return []Conflict{{Kind: TooManyCombinations, Rules: sources(rules...), Text: text}}
+}
+
+// removedServices finds routes to services that are not there, with the rules that removed them.
+func (f *finder) removedServices(set []*File) []Conflict {
+	defined := map[string]bool{}
+	removed := map[string][]Source{}
+	for _, file := range set {
+		for i := range file.Services {
+			if s := &file.Services[i]; s.Removed {
+				removed[s.Name] = append(removed[s.Name], file.source(s.id()))
+			} else {
+				defined[s.Name] = true
+			}
+		}
+	}
+	var conflicts []Conflict
+	for _, file := range set {
+		for i := range file.Routes {
+			r := &file.Routes[i]
+			for _, to := range r.To {
+				if defined[to.Service] && len(removed[to.Service]) == 0 {
+					continue
+				}
+				removers := removed[to.Service]
+				if len(removers) == 0 {
+					removers = f.formerDefinitions(to.Service, set)
+				}
+				conflicts = append(conflicts, removedService(to.Service, removers, file, r))
+			}
+		}
+	}
+	return conflicts
+}
+
+// formerDefinitions returns the rules that define a service in the files in force, as sources of a new set.
+func (f *finder) formerDefinitions(service string, set []*File) []Source {
+	var former []Source
+	for _, s := range f.activeServices[service] {
+		i := slices.IndexFunc(set, func(file *File) bool { return file.Name == s.Namespace })
+		if i >= 0 {
+			former = append(former, set[i].source(s.Rule))
+		}
+	}
+	return former
+}
+
+func removedService(service string, removers []Source, file *File, r *Route) Conflict {
+	text := fmt.Sprintf("nobody offers service %q", service)
+	if len(removers) > 0 {
+		text = fmt.Sprintf("service %q is removed", service)
+	}
+	request, _ := r.intersect(&r.Match)
+	return Conflict{
+		Kind:    ServiceRemoved,
+		Rules:   sources(append(slices.Clone(removers), file.source(r.id()))...),
+		Request: &request,
+		Text:    text,
+	}
+}
--- /dev/null
+++ b/internal/policy/namespace/rulelist.go
@@ -0,0 +1,281 @@
+package namespace
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	"lapisspread/internal/policy/merkle"
+)
+
+// ruleList is one of a policy's lists of rules, as items.
+type ruleList interface {
+	// ruleKind returns the kind of the rules, as in their keys.
+	ruleKind() string
+	// eachSource calls f with each source of all rules. F does not change it.
+	eachSource(p *Policy, f func(*Source))
+	// addItems adds the items of all rules.
+	addItems(p *Policy, add func(key string, v any) error) error
+	// apply replaces the list by one with changes. The list itself is not changed.
+	apply(p *Policy, c *itemChanges) error
+}
+
+// typedRules is the list of rules of one type, sorted by name.
+type typedRules[T any] struct {
+	kind string
+	of   func(*Policy) *[]T
+	name func(*T) string
+	// sources calls f with each source of a rule. With own, the rule gets copies of its sources first, so that f may
+	// change them.
+	sources func(rule *T, own bool, f func(*Source))
+	// note enters a change into a diff, if that has rules of this type. Changed is nil for a removed rule.
+	note func(d *Diff, changed *T, name string)
+}
+
+func (l *typedRules[T]) ruleKind() string { return l.kind }
+
+func (l *typedRules[T]) key(rule *T) string { return ruleKey(l.kind, l.name(rule)) }
+
+func (l *typedRules[T]) eachSource(p *Policy, f func(*Source)) {
+	rules := *l.of(p)
+	for i := range rules {
+		l.sources(&rules[i], false, f)
+	}
+}
+
+func (l *typedRules[T]) addItems(p *Policy, add func(string, any) error) error {
+	rules := *l.of(p)
+	for i := range rules {
+		if i > 0 && l.name(&rules[i-1]) >= l.name(&rules[i]) {
+			return InvalidItemError{l.key(&rules[i]), errors.New("it is there twice, or out of order")}
+		}
+		rule := rules[i]
+		l.sources(&rule, true, func(s *Source) { s.Number = 0 })
+		if err := add(l.key(&rule), &rule); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// ruleChange sets a rule, or removes it if rule is nil.
+type ruleChange[T any] struct {
+	name string
+	rule *T
+}
+
+func (l *typedRules[T]) apply(p *Policy, c *itemChanges) error {
+	rules := *l.of(p)
+	changes, err := l.changes(rules, c)
+	if err != nil {
+		return err
+	}
+	owned := len(changes) > 0
+	if owned {
+		if rules, err = l.merge(rules, changes, c); err != nil {
+			return err
+		}
+	}
+	*l.of(p) = l.renumber(rules, owned, c)
+	return nil
+}
+
+// changes returns the changes of the list, sorted by name.
+func (l *typedRules[T]) changes(rules []T, c *itemChanges) ([]ruleChange[T], error) {
+	var changes []ruleChange[T]
+	for _, item := range c.set[l.kind] {
+		rule, err := l.decode(item, c)
+		if err != nil {
+			return nil, err
+		}
+		changes = append(changes, ruleChange[T]{l.name(rule), rule})
+	}
+	for _, key := range c.removed[l.kind] {
+		if i := l.find(rules, key); i >= 0 {
+			changes = append(changes, ruleChange[T]{name: l.name(&rules[i])})
+		}
+	}
+	slices.SortFunc(changes, func(a, b ruleChange[T]) int { return strings.Compare(a.name, b.name) })
+	return changes, nil
+}
+
+// decode decodes a rule, and sets the numbers of its sources.
+func (l *typedRules[T]) decode(item merkle.Item, c *itemChanges) (*T, error) {
+	rule := new(T)
+	if err := decodeJSON(item.Value, rule); err != nil {
+		return nil, InvalidItemError{item.Key, err}
+	}
+	if key := l.key(rule); key != item.Key {
+		return nil, InvalidItemError{item.Key, fmt.Errorf("it holds the rule of %.100q", key)}
+	}
+	var err error
+	l.sources(rule, false, func(s *Source) {
+		number := c.files[s.Namespace].number
+		if s.Number != 0 || number == 0 {
+			err = InvalidItemError{item.Key, fmt.Errorf(
+				"the number of the file of %q stands in the wrong place or nowhere", s.Namespace)}
+		}
+		s.Number = number
+		c.countSource(s.Namespace, 1)
+	})
+	return rule, err
+}
+
+// search returns the index of a name, or where it would stand.
+func (l *typedRules[T]) search(rules []T, name string) (int, bool) {
+	return slices.BinarySearchFunc(rules, name, func(rule T, name string) int {
+		return strings.Compare(l.name(&rule), name)
+	})
+}
+
+// find returns the index of the rule with a key, or -1. A name that is too long for a key is found by the key alone.
+func (l *typedRules[T]) find(rules []T, key string) int {
+	_, name := splitKey(key)
+	if i, found := l.search(rules, name); found {
+		return i
+	}
+	return slices.IndexFunc(rules, func(rule T) bool { return l.key(&rule) == key })
+}
+
+// merge returns a new list with changes made. It notes them in the diff.
+func (l *typedRules[T]) merge(rules []T, changes []ruleChange[T], c *itemChanges) ([]T, error) {
+	merged := make([]T, 0, len(rules)+len(changes))
+	for i, change := range changes {
+		if i > 0 && changes[i-1].name == change.name {
+			return nil, InvalidItemError{l.kind + " " + change.name, errors.New("it is there twice")}
+		}
+		index, found := l.search(rules, change.name)
+		merged = append(merged, rules[:index]...)
+		rules = rules[index:]
+		if found {
+			l.sources(&rules[0], false, func(s *Source) { c.countSource(s.Namespace, -1) })
+			rules = rules[1:]
+		}
+		if change.rule != nil {
+			merged = append(merged, *change.rule)
+		}
+		if l.note != nil {
+			l.note(c.diff, change.rule, change.name)
+		}
+	}
+	merged = append(merged, rules...)
+	if len(merged) == 0 {
+		return nil, nil // an empty list has one encoding
+	}
+	return merged, nil
+}
+
+// renumber sets the numbers of sources whose file has another number now. It copies the list first unless it is owned.
+func (l *typedRules[T]) renumber(rules []T, owned bool, c *itemChanges) []T {
+	if len(c.renumbered) == 0 {
+		return rules
+	}
+	for i := range rules {
+		stale := false
+		l.sources(&rules[i], false, func(s *Source) { stale = stale || c.isStale(s) })
+		if !stale {
+			continue
+		}
+		if !owned {
+			rules = slices.Clone(rules)
+			owned = true
+		}
+		l.sources(&rules[i], true, func(s *Source) { s.Number = c.files[s.Namespace].number })
+	}
+	return rules
+}
+
+// valueSources calls f with each source of a value, if there is one.
+func valueSources[T comparable](v **Value[T], own bool, f func(*Source)) {
+	if *v == nil {
+		return
+	}
+	if own {
+		*v = &Value[T]{(*v).Value, slices.Clone((*v).Sources)}
+	}
+	for i := range (*v).Sources {
+		f(&(*v).Sources[i])
+	}
+}
+
+// ruleLists are all lists of a policy, in the order of its encoding.
+var ruleLists = []ruleList{
+	&typedRules[PolicyService]{
+		kind:    "service",
+		of:      func(p *Policy) *[]PolicyService { return &p.Services },
+		name:    func(s *PolicyService) string { return s.Name },
+		sources: serviceSources,
+	},
+	&typedRules[PolicyRoute]{
+		kind:    "route",
+		of:      func(p *Policy) *[]PolicyRoute { return &p.Routes },
+		name:    func(r *PolicyRoute) string { return r.Name },
+		sources: func(r *PolicyRoute, _ bool, f func(*Source)) { f(&r.Source) },
+		note:    noteRoute,
+	},
+	&typedRules[PolicyClass]{
+		kind:    "class",
+		of:      func(p *Policy) *[]PolicyClass { return &p.Classes },
+		name:    func(c *PolicyClass) string { return c.Name },
+		sources: classSources,
+	},
+	&typedRules[PolicyShare]{
+		kind:    "share",
+		of:      func(p *Policy) *[]PolicyShare { return &p.Shares },
+		name:    func(s *PolicyShare) string { return s.Quota + " " + s.Namespace },
+		sources: shareSources,
+	},
+	&typedRules[PolicyBlock]{
+		kind:    "block",
+		of:      func(p *Policy) *[]PolicyBlock { return &p.Blocks },
+		name:    func(b *PolicyBlock) string { return b.Name },
+		sources: func(b *PolicyBlock, _ bool, f func(*Source)) { f(&b.Source) },
+		note:    func(d *Diff, _ *PolicyBlock, _ string) { d.BlocksChanged = true },
+	},
+	&typedRules[PolicyOverride]{
+		kind:    "order",
+		of:      func(p *Policy) *[]PolicyOverride { return &p.Overrides },
+		name:    func(o *PolicyOverride) string { return o.Name },
+		sources: func(o *PolicyOverride, _ bool, f func(*Source)) { f(&o.Source) },
+	},
+	&typedRules[PolicyStalenessBound]{
+		kind: "staleness",
+		of:   func(p *Policy) *[]PolicyStalenessBound { return &p.StalenessBounds },
+		name: func(b *PolicyStalenessBound) string { return b.Route },
+		sources: func(b *PolicyStalenessBound, own bool, f func(*Source)) {
+			valueSources(&b.MaxLevel, own, f)
+		},
+	},
+}
+
+func serviceSources(s *PolicyService, own bool, f func(*Source)) {
+	if own {
+		s.Sources = slices.Clone(s.Sources)
+	}
+	for i := range s.Sources {
+		f(&s.Sources[i])
+	}
+}
+
+func classSources(c *PolicyClass, own bool, f func(*Source)) {
+	valueSources(&c.LatencyObjective, own, f)
+	valueSources(&c.Deadline, own, f)
+	valueSources(&c.Effect, own, f)
+	valueSources(&c.PriorityWeight, own, f)
+	valueSources(&c.LateFraction, own, f)
+}
+
+func shareSources(s *PolicyShare, own bool, f func(*Source)) {
+	valueSources(&s.Min, own, f)
+	valueSources(&s.Cap, own, f)
+	valueSources(&s.Weight, own, f)
+}
+
+func noteRoute(d *Diff, changed *PolicyRoute, name string) {
+	if changed == nil {
+		d.RemovedRoutes = append(d.RemovedRoutes, name)
+		return
+	}
+	d.Routes = append(d.Routes, *changed)
+}
