--- a/internal/tlskeys/tlskeys.go
+++ b/internal/tlskeys/tlskeys.go
@@ -1,5 +1,6 @@
-// Package tlskeys holds a certificate, its key and those who sign the peers' certificates, for TLS in which both sides show
-// one. They are read from files, and read again without a connection being dropped.
+// Package tlskeys holds the certificate and key of a process, and the certificates of the authorities that sign its
+// peers', for TLS in which both sides present a certificate (mutual TLS). The files can be read again at any time
+// without closing a connection.
 package tlskeys
 
 import (
@@ -12,94 +13,157 @@
 	"time"
 )
 
-// Files name what is read, in PEM.
-type Files struct{ Certificate, Key, CA string }
+const (
+	// minVersion is the oldest version of TLS that is negotiated.
+	minVersion = tls.VersionTLS12
+	// expiryWarning is how long before its expiry Watch warns of a certificate.
+	expiryWarning = 14 * 24 * time.Hour
+)
+
+// Files are the paths of PEM files.
+type Files struct {
+	Certificate string
+	Key         string
+	CA          string // the certificates of the authorities
+}
 
-// Keys are what the files say. They are for any goroutine.
+// Errors of this package, which errors.Is finds.
+var (
+	// ErrExpired is returned for a certificate that has expired.
+	ErrExpired = errors.New("has expired")
+	// ErrNotYetValid is returned for a certificate that is valid from a later time on.
+	ErrNotYetValid = errors.New("holds from")
+	// ErrNoCertificate is returned for a file of authorities without a certificate.
+	ErrNoCertificate = errors.New("no certificate in it")
+	// ErrNoPeerCertificate is returned in the handshake with a server that presents no certificate.
+	ErrNoPeerCertificate = errors.New("the server shows no certificate")
+)
+
+// Keys are the certificates of a process. All methods are safe for concurrent use.
 type Keys struct {
 	files   Files
 	now     func() time.Time
 	current atomic.Pointer[credentials]
 }
 
+// credentials are the content of the files.
 type credentials struct {
-	pair tls.Certificate
-	ca   *x509.CertPool
+	certificate tls.Certificate
+	authorities *x509.CertPool
 }
 
-// Load reads the files. An error names the file.
+// Load reads the files. Its error names the file.
 func Load(f Files) (*Keys, error) {
 	k := &Keys{files: f, now: time.Now}
 	return k, k.Reload()
 }
 
-// Reload reads the files anew. Bad ones change nothing: connections that are there go on, and new ones have the old keys.
+// Reload reads the files again, for new connections. On an error, which names the file, nothing changes.
 func (k *Keys) Reload() error {
-	pair, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
+	certificate, err := k.loadCertificate()
 	if err != nil {
-		return fmt.Errorf("certificate %s with key %s: %w", k.files.Certificate, k.files.Key, err)
-	}
-	if pair.Leaf == nil {
-		if pair.Leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
-			return fmt.Errorf("certificate %s: %w", k.files.Certificate, err)
-		}
-	}
-	now := k.now()
-	if now.After(pair.Leaf.NotAfter) {
-		return fmt.Errorf("certificate %s has expired on %s", k.files.Certificate, pair.Leaf.NotAfter.Format(time.DateOnly))
-	}
-	if now.Before(pair.Leaf.NotBefore) {
-		return fmt.Errorf("certificate %s holds from %s on", k.files.Certificate, pair.Leaf.NotBefore.Format(time.DateOnly))
+		return err
 	}
 	text, err := os.ReadFile(k.files.CA)
 	if err != nil {
 		return fmt.Errorf("who signs: %w", err)
 	}
-	ca := x509.NewCertPool()
-	if !ca.AppendCertsFromPEM(text) {
-		return fmt.Errorf("%s: no certificate in it", k.files.CA)
+	authorities := x509.NewCertPool()
+	if !authorities.AppendCertsFromPEM(text) {
+		return fmt.Errorf("%s: %w", k.files.CA, ErrNoCertificate)
 	}
-	k.current.Store(&credentials{pair, ca})
+	k.current.Store(&credentials{certificate: certificate, authorities: authorities})
 	return nil
 }
 
-// Remaining is for how long our certificate holds yet.
-func (k *Keys) Remaining() time.Duration { return k.current.Load().pair.Leaf.NotAfter.Sub(k.now()) }
+// loadCertificate reads the certificate and its key, and checks that it is valid now.
+func (k *Keys) loadCertificate() (tls.Certificate, error) {
+	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
+	if err != nil {
+		return tls.Certificate{}, fmt.Errorf("certificate %s with key %s: %w", k.files.Certificate, k.files.Key, err)
+	}
+	if certificate.Leaf == nil {
+		certificate.Leaf, err = x509.ParseCertificate(certificate.Certificate[0])
+		if err != nil {
+			return tls.Certificate{}, fmt.Errorf("certificate %s: %w", k.files.Certificate, err)
+		}
+	}
+	now := k.now()
+	leaf := certificate.Leaf
+	if now.After(leaf.NotAfter) {
+		return tls.Certificate{}, fmt.Errorf("certificate %s %w on %s",
+			k.files.Certificate, ErrExpired, leaf.NotAfter.Format(time.DateOnly))
+	}
+	if now.Before(leaf.NotBefore) {
+		return tls.Certificate{}, fmt.Errorf("certificate %s %w %s on",
+			k.files.Certificate, ErrNotYetValid, leaf.NotBefore.Format(time.DateOnly))
+	}
+	return certificate, nil
+}
+
+// Remaining returns how long the process's certificate is still valid.
+func (k *Keys) Remaining() time.Duration {
+	return k.current.Load().certificate.Leaf.NotAfter.Sub(k.now())
+}
 
-// ServerConfig is for connections that come. Each has the keys as they are when it comes.
+// ServerConfig returns the configuration of a server. Each connection uses the certificates that are loaded when it
+// arrives, and its client must present one of a known authority.
 func (k *Keys) ServerConfig() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		h := k.current.Load()
-		return &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{h.pair}, ClientAuth: tls.RequireAndVerifyClientCert,
-			ClientCAs: h.ca, Time: k.now}, nil
-	}}
+	return &tls.Config{
+		MinVersion: minVersion,
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
+			c := k.current.Load()
+			return &tls.Config{
+				MinVersion:   minVersion,
+				Certificates: []tls.Certificate{c.certificate},
+				ClientAuth:   tls.RequireAndVerifyClientCert,
+				ClientCAs:    c.authorities,
+				Time:         k.now,
+			}, nil
+		},
+	}
 }
 
-// ClientConfig is for a connection that is made to a server whose certificate must have that name. Without a name any is taken whose
-// certificate one of ours has signed: servers are found by a register that names no hosts.
+// ClientConfig returns the configuration of one connection to a server whose certificate must be for a name. Without
+// a name, any certificate of a known authority is accepted: discovery lists servers by address, without host names.
 func (k *Keys) ClientConfig(name string) *tls.Config {
-	h := k.current.Load()
-	c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{h.pair}, RootCAs: h.ca, ServerName: name, Time: k.now}
+	c := k.current.Load()
+	config := &tls.Config{
+		MinVersion:   minVersion,
+		Certificates: []tls.Certificate{c.certificate},
+		RootCAs:      c.authorities,
+		ServerName:   name,
+		Time:         k.now,
+	}
 	if name == "" {
-		c.InsecureSkipVerify = true // of the name alone: the chain is checked here
-		c.VerifyConnection = func(s tls.ConnectionState) error {
-			if len(s.PeerCertificates) == 0 {
-				return errors.New("the server shows no certificate")
-			}
-			inner := x509.NewCertPool()
-			for _, cert := range s.PeerCertificates[1:] {
-				inner.AddCert(cert)
-			}
-			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: h.ca, Intermediates: inner, CurrentTime: k.now()})
-			return err
-		}
+		config.InsecureSkipVerify = true // VerifyConnection checks the chain, all but the name
+		config.VerifyConnection = func(s tls.ConnectionState) error { return k.verifyChain(s, c.authorities) }
 	}
-	return c
+	return config
 }
 
-// Watch reads the files again at each tick where they have changed, and warns of an expiry that is near, until stop is
-// closed.
-func (k *Keys) Watch(tick <-chan time.Time, stop <-chan struct{}, changed func(error), warn func(left time.Duration)) {
+// verifyChain checks that a server's certificate is of a known authority.
+func (k *Keys) verifyChain(s tls.ConnectionState, authorities *x509.CertPool) error {
+	if len(s.PeerCertificates) == 0 {
+		return ErrNoPeerCertificate
+	}
+	intermediates := x509.NewCertPool()
+	for _, certificate := range s.PeerCertificates[1:] {
+		intermediates.AddCert(certificate)
+	}
+	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{
+		Roots:         authorities,
+		Intermediates: intermediates,
+		CurrentTime:   k.now(),
+	})
+	return err
+}
+
+// Watch checks the files at each tick until stop is closed. After a change it reloads them and calls changed with the
+// result; while the certificate expires within 14 days it calls warn. It blocks, and calls both in its goroutine.
+func (k *Keys) Watch(
+	tick <-chan time.Time, stop <-chan struct{}, changed func(error), warn func(remaining time.Duration),
+) {
 	seen := k.fileStamp()
 	for {
 		select {
@@ -107,29 +171,26 @@
 		case <-stop:
 			return
 		}
-		if at := k.fileStamp(); at != seen {
-			seen = at
+		if stamp := k.fileStamp(); stamp != seen {
+			seen = stamp
 			changed(k.Reload())
 		}
-		if left := k.Remaining(); left < nearExpiry {
-			warn(left)
+		if remaining := k.Remaining(); remaining < expiryWarning {
+			warn(remaining)
 		}
 	}
 }
 
-// nearExpiry is how long before its end a certificate is warned of.
-const nearExpiry = 14 * 24 * time.Hour
-
-// fileStamp changes with the files.
+// fileStamp returns the sizes and modification times of the files, as a text to compare.
 func (k *Keys) fileStamp() string {
-	var text string
-	for _, name := range []string{k.files.Certificate, k.files.Key, k.files.CA} {
-		info, err := os.Stat(name)
-		if errors.Is(err, os.ErrNotExist) || err != nil {
-			text += "-;"
+	var stamp string
+	for _, path := range []string{k.files.Certificate, k.files.Key, k.files.CA} {
+		info, err := os.Stat(path)
+		if err != nil {
+			stamp += "-;"
 			continue
 		}
-		text += fmt.Sprint(info.Size(), info.ModTime().UnixNano(), ";")
+		stamp += fmt.Sprint(info.Size(), info.ModTime().UnixNano(), ";")
 	}
-	return text
+	return stamp
 }
--- a/internal/tlskeys/tlskeys_test.go
+++ b/internal/tlskeys/tlskeys_test.go
@@ -13,45 +13,46 @@
 	"lapisspread/internal/tlskeys/tlstest"
 )
 
-// meet has a client and a server shake hands and pass a byte each way.
-func meet(server, client *tls.Config) error {
+// handshake connects a client to a server, and passes a byte each way.
+func handshake(server, client *tls.Config) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	done := make(chan error, 1)
 	go func() {
-		b, err := l.Accept()
+		accepted, err := l.Accept()
 		if err != nil {
 			done <- err
 			return
 		}
-		s := tls.Server(b, server)
-		defer s.Close()
+		s := tls.Server(accepted, server)
+		defer func() { _ = s.Close() }()
 		_, err = io.CopyN(s, s, 1)
 		done <- err
 	}()
-	a, err := net.Dial("tcp", l.Addr().String())
+	dialed, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		return err
 	}
-	defer a.Close()
-	c := tls.Client(a, client)
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	_, err = c.Write([]byte{7})
+	c := tls.Client(dialed, client)
+	err = c.SetDeadline(time.Now().Add(10 * time.Second))
+	if err == nil {
+		_, err = c.Write([]byte{7})
+	}
 	if err == nil {
 		_, err = c.Read(make([]byte, 1))
 	}
-	a.Close()
+	_ = dialed.Close() // ends the server's side too
 	return errors.Join(err, <-done)
 }
 
 func files(c tlstest.Files) Files { return Files{c.Certificate, c.Key, c.CA} }
 
-// Both sides must show a certificate of one who signs for both, in its time and of the right name; files that are replaced
-// hold for the next connection.
-func TestBothSidesShowACertificate(t *testing.T) {
+// Both sides must present a certificate of a known authority that is valid now and for the right name. Files that are
+// replaced apply to the next connection.
+func TestMutualTLS(t *testing.T) {
 	ca, other := tlstest.NewCA(t), tlstest.NewCA(t)
 	server, err := Load(files(ca.Issue(t, "server.example", time.Hour)))
 	if err != nil {
@@ -62,36 +63,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := meet(server.ServerConfig(), client.ClientConfig("server.example")); err != nil {
+	if err := handshake(server.ServerConfig(), client.ClientConfig("server.example")); err != nil {
 		t.Error(err)
 	}
-	if err := meet(server.ServerConfig(), client.ClientConfig("other.example")); err == nil || !strings.Contains(err.Error(), "other.example") {
+	err = handshake(server.ServerConfig(), client.ClientConfig("other.example"))
+	if err == nil || !strings.Contains(err.Error(), "other.example") {
 		t.Errorf("another name: %v", err)
 	}
 	stranger, err := Load(files(other.Issue(t, "client.example", time.Hour)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := meet(server.ServerConfig(), client.ClientConfig("")); err != nil {
+	if err := handshake(server.ServerConfig(), client.ClientConfig("")); err != nil {
 		t.Errorf("any name: %v", err)
 	}
-	if err := meet(stranger.ServerConfig(), client.ClientConfig("")); err == nil || !strings.Contains(err.Error(), "unknown authority") {
-		t.Errorf("any name of a stranger: %v", err)
+	err = handshake(stranger.ServerConfig(), client.ClientConfig(""))
+	if err == nil || !strings.Contains(err.Error(), "unknown authority") {
+		t.Errorf("any name of an unknown authority: %v", err)
 	}
 	trusting := stranger.ClientConfig("server.example")
 	trusting.RootCAs = client.ClientConfig("").RootCAs
-	if err := meet(server.ServerConfig(), trusting); err == nil || !strings.Contains(err.Error(), "unknown authority") {
-		t.Errorf("a stranger: %v", err)
+	err = handshake(server.ServerConfig(), trusting)
+	if err == nil || !strings.Contains(err.Error(), "unknown authority") {
+		t.Errorf("an unknown authority: %v", err)
 	}
-	if err := meet(server.ServerConfig(), &tls.Config{RootCAs: trusting.RootCAs, ServerName: "server.example"}); err == nil {
-		t.Error("one without a certificate is taken")
+	anonymous := &tls.Config{RootCAs: trusting.RootCAs, ServerName: "server.example"}
+	if err := handshake(server.ServerConfig(), anonymous); err == nil {
+		t.Error("a client without a certificate is accepted")
 	}
-	held := server.ServerConfig()
+	config := server.ServerConfig()
 	server.now = func() time.Time { return time.Now().Add(2 * time.Hour) }
-	if err := meet(held, client.ClientConfig("server.example")); err == nil || !strings.Contains(err.Error(), "expired") {
-		t.Errorf("an expired one: %v", err)
+	err = handshake(config, client.ClientConfig("server.example"))
+	if err == nil || !strings.Contains(err.Error(), "expired") {
+		t.Errorf("an expired certificate: %v", err)
 	}
-	// A new certificate under the same name of file, and one that is of no use.
+	// A new certificate in the same file, and then an invalid one.
 	if err := ca.Replace(t, mine, "client.example", 48*time.Hour); err != nil {
 		t.Fatal(err)
 	}
@@ -102,12 +108,13 @@
 	if err := os.WriteFile(mine.Certificate, []byte("nothing"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := client.Reload(); err == nil || !strings.Contains(err.Error(), mine.Certificate) || client.Remaining() < before {
-		t.Errorf("a bad file: %v, %v left", err, client.Remaining())
+	err = client.Reload()
+	if err == nil || !strings.Contains(err.Error(), mine.Certificate) || client.Remaining() < before {
+		t.Errorf("an invalid file: %v, %v left", err, client.Remaining())
 	}
 }
 
-func TestWhatIsWrongIsNamed(t *testing.T) {
+func TestLoadNamesWhatIsInvalid(t *testing.T) {
 	ca := tlstest.NewCA(t)
 	good := files(ca.Issue(t, "a.example", time.Hour))
 	old := files(ca.Issue(t, "a.example", -time.Minute))
@@ -126,7 +133,7 @@
 	}
 }
 
-// Files that change are read again without being told, and an expiry that is near is warned of.
+// Watch reloads files that change, and warns of a certificate that expires soon.
 func TestWatch(t *testing.T) {
 	ca := tlstest.NewCA(t)
 	mine := ca.Issue(t, "a.example", time.Hour)
@@ -134,7 +141,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tick, stop, changes, warnings := make(chan time.Time), make(chan struct{}), make(chan error, 9), make(chan time.Duration, 9)
+	tick := make(chan time.Time)
+	stop := make(chan struct{})
+	changes := make(chan error, 9)
+	warnings := make(chan time.Duration, 9)
 	ended := make(chan struct{})
 	go func() {
 		k.Watch(tick, stop, func(err error) { changes <- err }, func(left time.Duration) { warnings <- left })
@@ -154,6 +164,6 @@
 	close(stop)
 	<-ended
 	if len(warnings) != 0 {
-		t.Error("warned of one that holds for long")
+		t.Error("warned of a certificate that is valid for long")
 	}
 }
