--- /dev/null
+++ b/internal/staleness/age.go
@@ -0,0 +1,118 @@
+package staleness
+
+import (
+	"math"
+	"time"
+)
+
+// Age is an upper bound on how old the content of a source is: it was current at some moment that is not longer ago.
+// If known is false nobody can tell, and the bound has no meaning. This is the age of information of Kaul, Yates and
+// Gruteser (INFOCOM 2012).
+func (v *View) Age(now time.Duration, name string) (bound time.Duration, known bool) {
+	s := v.sourceByName[name]
+	if s == nil || !s.ageKnown {
+		return 0, false
+	}
+	v.advance(s, now)
+	transit := v.settings.MaxTransit
+	bound = now - s.currentAt + transit
+	// While a later version is known elsewhere, what arrives here does not make the content current.
+	if s.supersededSince != never && s.confirmedAt != never {
+		bound = max(bound, now-s.confirmedAt+transit)
+	}
+	weight := 0.0
+	for _, h := range s.filter.stale {
+		weight += h.weight
+		if weight > v.settings.StaleAnswerThreshold {
+			bound = max(bound, now-h.at+transit)
+			break
+		}
+	}
+	return bound, true
+}
+
+// RecordSuspension notes that this process did not run for the gap before now (SIGSTOP, a suspended machine), which
+// callers see as a jump of the clock between two ticks. Silence in the gap says nothing about the watch, and what
+// arrives right after it was sent during the gap.
+func (v *View) RecordSuspension(now, gap time.Duration) {
+	if gap <= 0 || v.settings.omitted == termSuspension {
+		return
+	}
+	for _, s := range v.sources {
+		if !s.ageKnown || s.heardAt == never {
+			continue
+		}
+		v.advance(s, now-gap)
+		s.filter.silence(max(s.currentAt, now-gap), now)
+		s.backlogCurrentAt = s.currentAt - s.heartbeatGaps.Percentile90()
+		if s.heartbeatAt != never {
+			s.backlogCurrentAt = s.heartbeatAt - s.heartbeatDelay
+		}
+		s.drainingBacklog = true
+		s.resumedAt = now
+		s.forgetHeartbeats()
+		s.heardAt = now
+		s.advancedTo = now
+	}
+}
+
+func (s *trackedSource) forgetHeartbeats() {
+	s.heartbeatAt = never
+	s.heartbeatDelay = 0
+}
+
+// Restore begins with content that an earlier process kept savedAge ago; negative if the age is unknown. What was
+// learned of rates and gaps stays.
+func (v *View) Restore(now, savedAge time.Duration) {
+	for _, s := range v.sources {
+		if v.settings.omitted == termRestart {
+			s.restoreAsCurrent(now)
+		} else {
+			s.restore(now, savedAge)
+		}
+	}
+	for _, e := range v.entryOrder {
+		e.confirmedAt = never
+		e.checkedAt = never
+		e.odds = 1
+	}
+}
+
+func (s *trackedSource) restore(now, savedAge time.Duration) {
+	s.ageKnown = savedAge >= 0
+	s.heardAt = never
+	s.forgetHeartbeats()
+	s.drainingBacklog = false
+	s.currentAt = now - max(0, savedAge)
+	s.advancedTo = now
+	s.confirmedAt = s.currentAt
+	s.supersededSince = never
+	s.knownVersion = 0
+	s.filter.collapse(s.currentAt)
+	if !s.ageKnown {
+		s.filter.assumeUnknownAge(now)
+	}
+}
+
+// restoreAsCurrent takes restored content for current.
+func (s *trackedSource) restoreAsCurrent(now time.Duration) {
+	s.ageKnown = true
+	s.heardAt = now
+	s.advancedTo = now
+	s.currentAt = now
+	s.filter = filter{live: 1}
+}
+
+const (
+	minAssumedAge = time.Second
+	maxAssumedAge = time.Hour
+)
+
+// assumeUnknownAge spreads the weight over ages from a second to an hour, younger ones likelier.
+func (f *filter) assumeUnknownAge(now time.Duration) {
+	f.silent = f.silent[:0]
+	for age := maxAssumedAge; age >= minAssumedAge; age /= 2 {
+		f.silent = append(f.silent, hypothesis{at: now - age, weight: 1 / math.Sqrt(age.Seconds())})
+	}
+	f.normalize()
+}
--- a/internal/staleness/evidence.go
+++ b/internal/staleness/evidence.go
@@ -5,36 +5,99 @@
 	"time"
 )
 
-// recordLaterVersion weighs that somebody knows a later version: either a push is under way, or this view does not follow.
-func (v *View) recordLaterVersion(s *trackedSource, now time.Duration, version uint64) {
-	if version != 0 && version <= s.version {
-		return
-	}
-	s.knownVersion = max(s.knownVersion, version)
-	live := .01 // a push that is under way for so long is a late one
-	if s.supersededSince == never || now-s.supersededSince < s.gaps.Percentile90()/2 {
-		all := 0.0
-		for _, k := range s.kindOrder {
-			all += k.rate.Current() * float64(k.entries)
-		}
-		live = .002 + min(.5, all*.1)
+// FailureKind is how a call or a watch failed.
+type FailureKind int
+
+const (
+	// WatchBroken is a watch that has ended: nothing arrives until there is a new one.
+	WatchBroken FailureKind = iota
+	// CallTimedOut is a call beside the watch that got no answer.
+	CallTimedOut
+)
+
+// EvidenceKind is what contradicts a view.
+type EvidenceKind int
+
+const (
+	// Refused is a listed server that refuses the connection or rejects a request as not its own. Servers that are as
+	// believed sometimes do so too.
+	Refused EvidenceKind = iota
+	// OtherIncarnation is another process at an entry's address.
+	OtherIncarnation
+	// TokenRejected is a server that knows a later fencing token than the one that was sent.
+	TokenRejected
+	// LaterVersion is a control-plane server or peer that knows a later version. It contradicts the source, not an
+	// entry.
+	LaterVersion
+
+	evidenceKinds = 4
+)
+
+// Evidence contradicts a view.
+type Evidence struct {
+	Kind    EvidenceKind
+	Entry   string // empty for LaterVersion
+	Version uint64 // that the other party knows, for LaterVersion; 0 if it did not say
+}
+
+const (
+	// falseContradiction is the probability that an entry that is as believed shows another incarnation.
+	falseContradiction = 1e-9
+	// falseTokenRejection is the probability that an entry that is as believed rejects a token.
+	falseTokenRejection = .005
+	// minOdds is the least factor of an entry's odds.
+	minOdds = 1e-9
+	// liveForTrials is the probability of a live source from which attempts tell how late changes arrive.
+	liveForTrials = .8
+	// timeoutFactor weighs a live or stale source after a call timed out; a silent one stays as likely.
+	timeoutFactor = .05
+	// minSourceSurvival bounds what a confirmation can take from a hypothesis.
+	minSourceSurvival = 1e-6
+	// maxSourceHazard bounds the exponent of a source's survival.
+	maxSourceHazard = 20
+)
+
+const (
+	// lateUpdateFactor weighs a live source whose update has been missing for half a usual gap.
+	lateUpdateFactor = .01
+	// minUpdateInTransit is the least probability that a later version is an update on its way.
+	minUpdateInTransit = .002
+	// maxUpdateInTransit bounds what the change rate adds to it.
+	maxUpdateInTransit = .5
+	// transitSeconds is the mean time that an update is on its way.
+	transitSeconds = .1
+	// staleSourceWeight is the weight of the hypothesis that the source answers with stale data, if there is none yet.
+	staleSourceWeight = .01
+	// maxStaleAge bounds the age of that hypothesis.
+	maxStaleAge = time.Minute
+)
+
+// RecordFailure notes a call or a watch that failed. The error is UnknownSourceError.
+func (v *View) RecordFailure(now time.Duration, name string, how FailureKind) error {
+	s, err := v.source(name)
+	if err != nil || !s.ageKnown {
+		return err
 	}
-	if s.supersededSince == never {
-		s.supersededSince = now
+	v.advance(s, now)
+	if v.settings.omitted == termEvidence {
+		return nil
 	}
-	if len(s.filter.stale) == 0 {
-		s.filter.stale = addHypothesis(s.filter.stale, max(s.currentAt, now-time.Minute), .01, now)
+	if how == WatchBroken {
+		s.filter.silence(now, now)
+		return nil
 	}
-	s.filter.update(live, func(hypothesis, bool) float64 { return 1 })
-}
-
-// falseRefusalProbability is the chance that a server which is as believed refuses.
-func (v *View) falseRefusalProbability() float64 {
-	return (.5 + max(0, v.falseRefusals)) / (50 + v.confirmations)
+	s.filter.update(timeoutFactor, func(_ hypothesis, silent bool) float64 {
+		if silent {
+			return 1
+		}
+		return timeoutFactor
+	})
+	return nil
 }
 
-// RecordContradiction weighs evidence against the view. Evidence about an entry that is not listed is nothing.
-func (v *View) RecordContradiction(now time.Duration, name string, ev Evidence) error {
+// RecordContradiction weighs evidence against the view. Evidence about an entry that is not listed is ignored. The
+// error is UnknownSourceError.
+func (v *View) RecordContradiction(now time.Duration, name string, evidence Evidence) error {
 	s, err := v.source(name)
 	if err != nil {
 		return err
@@ -43,59 +106,102 @@
 	if v.settings.omitted == termEvidence {
 		return nil
 	}
-	if ev.Kind == LaterVersion {
-		if s.known {
-			v.recordLaterVersion(s, now, ev.Version)
+	if evidence.Kind == LaterVersion {
+		if s.ageKnown {
+			v.recordLaterVersion(s, now, evidence.Version)
 		}
 		return nil
 	}
-	e := v.entries[ev.Entry]
-	if e == nil || e.source != s {
-		return nil
-	}
-	right := 1e-9 // the chance of this evidence if the entry is as believed
-	switch ev.Kind {
-	case Refused:
-		right = v.falseRefusalProbability()
-	case TokenRejected:
-		right = .005
+	if e := v.entries[evidence.Entry]; e != nil && e.source == s {
+		v.contradictEntry(e, now, evidence.Kind)
 	}
-	wrong := (.5 + v.contradictions[ev.Kind]) / (1 + v.contradictions[Refused] + v.contradictions[OtherIncarnation] + v.contradictions[TokenRejected]) // if it is not
-	if e.odds == 1 {                                                                                                                                   // only the first says something about the source: the next are the same fact
-		e.falseAlarm, e.unfollowedSurvival = applyOdds(v.confidence(e, now), right/wrong), v.survivalUnfollowed(e, now)
-		v.contradictions[ev.Kind] += 1 - e.falseAlarm
-		if ev.Kind == Refused {
+	return nil
+}
+
+func (v *View) contradictEntry(e *trackedEntry, now time.Duration, kind EvidenceKind) {
+	ifUnchanged := v.contradictionIfUnchanged(kind)
+	ifChanged := v.contradictionIfChanged(kind)
+	if e.odds == 1 { // further contradictions of an entry repeat the first: they tell nothing new about the source
+		e.falseAlarm = applyOdds(v.confidence(e, now), ifUnchanged/ifChanged)
+		e.unfollowedSurvival = v.survivalUnfollowed(e, now)
+		v.contradictions[kind] += 1 - e.falseAlarm
+		if kind == Refused {
 			v.falseRefusals += e.falseAlarm
 		}
-		v.observeAttempt(e, now, func(same float64) float64 { return right*same + wrong*(1-same) }, 1-e.falseAlarm)
+		likelihood := func(survival float64) float64 { return ifUnchanged*survival + ifChanged*(1-survival) }
+		v.observeAttempt(e, now, likelihood, 1-e.falseAlarm)
 	}
-	right /= wrong
-	e.odds = max(1e-9, e.odds*right)
+	e.odds = max(minOdds, e.odds*(ifUnchanged/ifChanged))
 	e.checkedAt = now
-	return nil
 }
 
-// observeAttempt weighs what an attempt told of the source, and of the rate.
-func (v *View) observeAttempt(e *trackedEntry, now time.Duration, of func(same float64) float64, wrong float64) {
+// contradictionIfUnchanged is the probability of a contradiction by an entry that is as believed.
+func (v *View) contradictionIfUnchanged(kind EvidenceKind) float64 {
+	switch kind {
+	case Refused:
+		return (.5 + max(0, v.falseRefusals)) / (50 + v.confirmations)
+	case TokenRejected:
+		return falseTokenRejection
+	}
+	return falseContradiction
+}
+
+// contradictionIfChanged is the probability that a changed entry shows itself by this kind of contradiction.
+func (v *View) contradictionIfChanged(kind EvidenceKind) float64 {
+	total := 1 + v.contradictions[Refused] + v.contradictions[OtherIncarnation] + v.contradictions[TokenRejected]
+	return (.5 + v.contradictions[kind]) / total
+}
+
+// observeAttempt updates the source's filter and the change rate with the outcome of an attempt. likelihood is the
+// probability of the outcome as a function of the entry's survival; changed is the probability that the entry changed.
+func (v *View) observeAttempt(
+	e *trackedEntry, now time.Duration, likelihood func(survival float64) float64, changed float64,
+) {
 	s := e.source
-	if s.filter.live > .8 {
-		s.wrongWhileLive += wrong
+	if s.filter.live > liveForTrials {
+		s.wrongWhileLive += changed
 		s.hazardWhileLive += e.kind.rate.Current()
 	}
-	hazard, dead := 0.0, 0.0
-	s.filter.update(of(v.survivalLive(e, now)), func(g hypothesis, _ bool) float64 {
-		q, h := v.survival(e, now, g.at)
-		hazard += g.weight * h
-		dead += g.weight
-		return of(q)
+	hazard, unfollowed := 0.0, 0.0
+	s.filter.update(likelihood(v.survivalLive(e, now)), func(h hypothesis, _ bool) float64 {
+		survival, passed := v.survival(e, now, h.at)
+		hazard += h.weight * passed
+		unfollowed += h.weight
+		return likelihood(survival)
 	})
-	if dead > .5 {
-		e.kind.rate.ObserveTrial(hazard*(1-wrong/2), wrong*dead)
+	if unfollowed > probablySilent {
+		e.kind.rate.ObserveTrial(hazard*(1-changed/2), changed*unfollowed)
 	}
 }
 
-// RecordConfirmation notes that an entry answered as believed: the same process, the token taken. With an empty entry, a steward or peer that
-// knows the source by another way said that what is held is what it knows.
+// recordLaterVersion weighs that another party knows a later version: an update is on its way, or the source is not
+// followed.
+func (v *View) recordLaterVersion(s *trackedSource, now time.Duration, version uint64) {
+	if version != 0 && version <= s.version {
+		return
+	}
+	s.knownVersion = max(s.knownVersion, version)
+	live := lateUpdateFactor
+	if s.supersededSince == never || now-s.supersededSince < s.gaps.Percentile90()/2 {
+		changesPerSecond := 0.0
+		for _, k := range s.kindOrder {
+			changesPerSecond += k.rate.Current() * float64(k.entries)
+		}
+		live = minUpdateInTransit + min(maxUpdateInTransit, changesPerSecond*transitSeconds)
+	}
+	if s.supersededSince == never {
+		s.supersededSince = now
+	}
+	if len(s.filter.stale) == 0 {
+		at := max(s.currentAt, now-maxStaleAge)
+		s.filter.stale = addHypothesis(s.filter.stale, at, staleSourceWeight, now)
+	}
+	s.filter.update(live, func(hypothesis, bool) float64 { return 1 })
+}
+
+// RecordConfirmation notes that an entry answered as believed: the same process, which accepted the token. With an
+// empty entry, a control-plane server or peer that knows the source by another way holds the same version. The error
+// is UnknownSourceError.
 func (v *View) RecordConfirmation(now time.Duration, name, entry string) error {
 	s, err := v.source(name)
 	if err != nil {
@@ -106,43 +212,50 @@
 		return nil
 	}
 	if entry == "" {
-		if s.known {
+		if s.ageKnown {
 			v.confirmSource(s, now)
 		}
 		return nil
 	}
-	e := v.entries[entry]
-	if e == nil || e.source != s {
-		return nil
+	if e := v.entries[entry]; e != nil && e.source == s {
+		v.confirmEntry(e, now)
 	}
-	if e.odds != 1 { // now it is known
+	return nil
+}
+
+func (v *View) confirmEntry(e *trackedEntry, now time.Duration) {
+	if e.odds != 1 { // the earlier contradiction was a false alarm
 		v.falseRefusals += 1 - e.falseAlarm
 	}
 	v.confirmations++
-	v.observeAttempt(e, now, func(same float64) float64 { return same }, 0)
-	e.confirmedAt, e.checkedAt, e.odds = now, now, 1
-	return nil
+	v.observeAttempt(e, now, func(survival float64) float64 { return survival }, 0)
+	e.confirmedAt = now
+	e.checkedAt = now
+	e.odds = 1
 }
 
-// confirmSource weighs that what is held is the truth of now, whether this view follows or not.
+// confirmSource notes that the content is current, whether the source is followed or not.
 func (v *View) confirmSource(s *trackedSource, now time.Duration) {
-	s.filter.update(1, func(g hypothesis, _ bool) float64 {
-		p := 1.0
+	s.filter.update(1, func(h hypothesis, _ bool) float64 {
+		survival := 1.0
 		for _, k := range s.kindOrder {
-			p *= math.Exp(-min(20, k.rate.Hazard(now-g.at)*float64(k.entries)))
+			survival *= math.Exp(-min(maxSourceHazard, k.rate.Hazard(now-h.at)*float64(k.entries)))
 		}
-		return max(p, 1e-6)
+		return max(survival, minSourceSurvival)
 	})
-	for _, gs := range [2][]hypothesis{s.filter.silent, s.filter.stale} {
-		for i := range gs {
-			gs[i].at = now
+	for _, hypotheses := range s.filter.unfollowed() {
+		for i := range hypotheses {
+			hypotheses[i].at = now
 		}
 	}
-	s.currentAt = max(s.currentAt, now-v.settings.MaxTransit)
-	s.confirmedAt, s.supersededSince, s.knownVersion = now, never, 0
+	sentAt := now - v.settings.MaxTransit
+	s.currentAt = max(s.currentAt, sentAt)
+	s.confirmedAt = now
+	s.supersededSince = never
+	s.knownVersion = 0
 	for _, e := range v.entryOrder {
 		if e.source == s {
-			e.confirmedAt = max(e.confirmedAt, now-v.settings.MaxTransit)
+			e.confirmedAt = max(e.confirmedAt, sentAt)
 		}
 	}
 }
--- a/internal/staleness/filter.go
+++ b/internal/staleness/filter.go
@@ -6,143 +6,180 @@
 )
 
 const (
-	maxHypotheses = 14 // moments at which the view may have stopped to follow, per cause
-	minWeight     = 1e-9
+	// maxHypotheses bounds the hypotheses per cause.
+	maxHypotheses = 14
+	// minWeight is the weight at which a hypothesis is dropped.
+	minWeight = 1e-9
+	// minTotal is the total weight below which what was observed is impossible under every cause.
+	minTotal = 1e-200
+	// staleAfterChanges is the part of the stale weight that remains when changes arrive: a stale source may send them.
+	staleAfterChanges = .05
+	// mergeAgeSeconds keeps the merge cost of very recent hypotheses finite.
+	mergeAgeSeconds = .1
+	// minMergeWeight makes the merge cost of hypotheses without weight depend on their distance in time.
+	minMergeWeight = 1e-12
 )
 
-// hypothesis is that the view holds the truth of one moment and nothing newer.
+// hypothesis is that a view holds the truth of one moment and nothing newer.
 type hypothesis struct {
 	at     time.Duration
 	weight float64
 }
 
-// filter is the posterior over what a source's view is worth now: it follows (live), nothing comes any more (silent: a dead watch, a
-// one-way cut, an outage), or answers come and are old (frozen: a register that lies or lags). It is the plain Bayes filter of
-// a chain with hazards into silent and frozen and one out of frozen, on a small number of moments.
+// filter is the posterior over the state of a source. It is the Bayes filter of a Markov chain with transitions from
+// live to silent, from live to stale and from stale back to live, over a bounded number of moments. The weights sum to
+// 1.
 type filter struct {
-	live          float64
-	silent, stale []hypothesis
+	live   float64      // the source is followed
+	silent []hypothesis // nothing arrives: a dead watch, a one-way partition, an outage; by time
+	stale  []hypothesis // answers arrive and carry old data; by time
 }
 
+// transitionRates are the filter's hazards, per second.
+type transitionRates struct {
+	silence  float64 // live to silent
+	stale    float64 // live to stale
+	recovery float64 // stale to live
+}
+
+// unfollowed is the hypotheses under which the source is not followed.
+func (f *filter) unfollowed() [2][]hypothesis { return [2][]hypothesis{f.silent, f.stale} }
+
 func (f *filter) total() float64 {
-	s := f.live
-	for _, g := range f.silent {
-		s += g.weight
+	total := f.live
+	for _, h := range f.silent {
+		total += h.weight
 	}
-	for _, g := range f.stale {
-		s += g.weight
+	for _, h := range f.stale {
+		total += h.weight
 	}
-	return s
+	return total
 }
 
-// update multiplies each weight by the chance of what was just seen, and brings the sum back to 1.
-func (f *filter) update(live float64, at func(g hypothesis, silent bool) float64) {
+// update multiplies each weight by the likelihood of an observation and normalizes.
+func (f *filter) update(live float64, likelihood func(h hypothesis, silent bool) float64) {
 	f.live *= live
 	for i := range f.silent {
-		f.silent[i].weight *= at(f.silent[i], true)
+		f.silent[i].weight *= likelihood(f.silent[i], true)
 	}
 	for i := range f.stale {
-		f.stale[i].weight *= at(f.stale[i], false)
+		f.stale[i].weight *= likelihood(f.stale[i], false)
 	}
 	f.normalize()
 }
 
 func (f *filter) normalize() {
-	s := f.total()
-	if !(s > 1e-200) { // what was seen has no chance at all: nothing is known
+	total := f.total()
+	if !(total > minTotal) { // also if total is not a number
 		return
 	}
-	f.live /= s
-	f.silent, f.stale = normalizeHypotheses(f.silent, s), normalizeHypotheses(f.stale, s)
+	f.live /= total
+	f.silent = normalizeHypotheses(f.silent, total)
+	f.stale = normalizeHypotheses(f.stale, total)
 }
 
-func normalizeHypotheses(gs []hypothesis, s float64) []hypothesis {
-	keep := gs[:0]
-	for _, g := range gs {
-		if g.weight /= s; g.weight > minWeight {
-			keep = append(keep, g)
+// normalizeHypotheses divides weights by their total and drops what is too light, in place.
+func normalizeHypotheses(hypotheses []hypothesis, total float64) []hypothesis {
+	kept := hypotheses[:0]
+	for _, h := range hypotheses {
+		h.weight /= total
+		if h.weight > minWeight {
+			kept = append(kept, h)
 		}
 	}
-	return keep
+	return kept
 }
 
-// addHypothesis puts a guess at the end (they are ordered by time) and joins the two that are next to each other and matter least.
-func addHypothesis(gs []hypothesis, at time.Duration, w float64, now time.Duration) []hypothesis {
-	if w <= 0 {
-		return gs
+// addHypothesis appends a hypothesis, which must not be earlier than the others. Beyond maxHypotheses it merges the two
+// neighbors whose merge changes least.
+func addHypothesis(hypotheses []hypothesis, at time.Duration, weight float64, now time.Duration) []hypothesis {
+	if weight <= 0 {
+		return hypotheses
 	}
-	gs = append(gs, hypothesis{at, w})
-	if len(gs) <= maxHypotheses {
-		return gs
+	hypotheses = append(hypotheses, hypothesis{at: at, weight: weight})
+	if len(hypotheses) <= maxHypotheses {
+		return hypotheses
 	}
-	best, cost := 0, math.Inf(1)
-	for i := 0; i+1 < len(gs); i++ {
-		a, b := gs[i], gs[i+1]
-		c := (a.weight*b.weight/(a.weight+b.weight) + 1e-12) * math.Log1p((b.at-a.at).Seconds()/(.1+(now-b.at).Seconds()))
-		if c < cost {
-			best, cost = i, c
+	cheapest, minCost := 0, math.Inf(1)
+	for i := 0; i+1 < len(hypotheses); i++ {
+		if cost := mergeCost(hypotheses[i], hypotheses[i+1], now); cost < minCost {
+			cheapest, minCost = i, cost
 		}
 	}
-	a, b := gs[best], gs[best+1]
-	w = a.weight + b.weight
-	gs[best] = hypothesis{a.at + time.Duration(float64(b.at-a.at)*b.weight/w), w}
-	return append(gs[:best+1], gs[best+2:]...)
+	hypotheses[cheapest] = merged(hypotheses[cheapest], hypotheses[cheapest+1])
+	return append(hypotheses[:cheapest+1], hypotheses[cheapest+2:]...)
+}
+
+// mergeCost grows with the weights and with the distance in time, relative to the age.
+func mergeCost(earlier, later hypothesis, now time.Duration) float64 {
+	weight := earlier.weight*later.weight/(earlier.weight+later.weight) + minMergeWeight
+	distance := (later.at - earlier.at).Seconds() / (mergeAgeSeconds + (now - later.at).Seconds())
+	return weight * math.Log1p(distance)
+}
+
+func merged(earlier, later hypothesis) hypothesis {
+	weight := earlier.weight + later.weight
+	offset := time.Duration(float64(later.at-earlier.at) * later.weight / weight)
+	return hypothesis{at: earlier.at + offset, weight: weight}
 }
 
-// advance lets time go by in which nothing was heard. still is the chance that a live watch would be silent through it; silence and lies
-// are hazards a second, cure is how fast lies end.
-func (f *filter) advance(from, to time.Duration, still, silence, lies, cure float64) {
-	d := (to - from).Seconds()
-	if d <= 0 {
+// advance lets a time pass in which nothing arrived. stillSilent is the probability that a live watch is silent
+// throughout.
+func (f *filter) advance(from, to time.Duration, stillSilent float64, rates transitionRates) {
+	seconds := (to - from).Seconds()
+	if seconds <= 0 {
 		return
 	}
-	mid := from + (to-from)/2
+	middle := from + (to-from)/2
 	live := f.live
-	ps, pl := -math.Expm1(-silence*d), -math.Expm1(-lies*d)
-	pc := -math.Expm1(-cure * d)
-	back := 0.0
+	toSilent := -math.Expm1(-rates.silence * seconds)
+	toStale := -math.Expm1(-rates.stale * seconds)
+	toLive := -math.Expm1(-rates.recovery * seconds)
+	recovered := 0.0
 	for i := range f.stale {
-		back += f.stale[i].weight * pc
-		f.stale[i].weight *= (1 - pc) * still
+		recovered += f.stale[i].weight * toLive
+		f.stale[i].weight *= (1 - toLive) * stillSilent
 	}
-	f.live = (live*(1-ps)*(1-pl) + back) * still
-	f.silent = addHypothesis(f.silent, mid, live*ps*(1+still)/2, to)
-	f.stale = addHypothesis(f.stale, mid, live*(1-ps)*pl*still, to)
+	f.live = (live*(1-toSilent)*(1-toStale) + recovered) * stillSilent
+	f.silent = addHypothesis(f.silent, middle, live*toSilent*(1+stillSilent)/2, to)
+	f.stale = addHypothesis(f.stale, middle, live*(1-toSilent)*toStale*stillSilent, to)
 	f.normalize()
 }
 
-// received is news: the silent are refuted. Changes refute a frozen register too, up to a part that goes on with an old one.
+// received refutes a silent watch, and if the message carried changes most of the weight of stale answers.
 func (f *filter) received(changes bool) {
-	for _, g := range f.silent {
-		f.live += g.weight
+	for _, h := range f.silent {
+		f.live += h.weight
 	}
 	f.silent = f.silent[:0]
 	if changes {
 		for i := range f.stale {
-			f.live += f.stale[i].weight * .95
-			f.stale[i].weight *= .05
+			f.live += f.stale[i].weight * (1 - staleAfterChanges)
+			f.stale[i].weight *= staleAfterChanges
 		}
 	}
 	f.normalize()
 }
 
-// silence puts what was live into silent since then.
+// silence turns what was live into silent since the moment at.
 func (f *filter) silence(at, now time.Duration) {
 	f.silent = addHypothesis(f.silent, at, f.live, now)
 	f.live = 0
 	f.normalize()
 }
 
-// collapse says that the view is the truth of one moment, for sure.
+// collapse puts all weight on the hypothesis that the view holds the truth of one moment.
 func (f *filter) collapse(at time.Duration) {
-	f.live, f.silent, f.stale = 0, append(f.silent[:0], hypothesis{at, 1}), f.stale[:0]
+	f.live = 0
+	f.silent = append(f.silent[:0], hypothesis{at: at, weight: 1})
+	f.stale = f.stale[:0]
 }
 
-// silentWeight is the weight of silent.
+// silentWeight is the probability that the watch is silent.
 func (f *filter) silentWeight() float64 {
-	s := 0.0
-	for _, g := range f.silent {
-		s += g.weight
+	weight := 0.0
+	for _, h := range f.silent {
+		weight += h.weight
 	}
-	return s
+	return weight
 }
--- /dev/null
+++ b/internal/staleness/fleet_map.go
@@ -0,0 +1,284 @@
+package staleness
+
+import (
+	"cmp"
+	"errors"
+	"maps"
+	"math"
+	"slices"
+	"time"
+)
+
+// MapSettings are a control-plane server's settings of a FleetMap.
+type MapSettings struct {
+	MaxTransit     time.Duration // the longest time that a report takes; later ones must not be recorded
+	ReportInterval time.Duration // between two reports of a proxy
+	ClockDrift     float64       // of one monotonic clock against another, as a fraction such as .001
+	ClockJitter    time.Duration // error of reading a clock; smaller contradictions are no fault
+}
+
+const (
+	// maxSupersededVersions is the number of earlier versions that are remembered per source.
+	maxSupersededVersions = 256
+	// reportsToClear is the number of plausible reports in a row that clear a proxy's faults.
+	reportsToClear = 3
+	// silentAfterReports is the number of report intervals after which a proxy's last report no longer counts.
+	silentAfterReports = 3
+	// trustPerInterval is the part of a reported confidence that still counts after one report interval.
+	trustPerInterval = .9
+)
+
+// supersededVersion is a version that was replaced.
+type supersededVersion struct {
+	version uint64
+	at      time.Duration // from then on a later version was current
+}
+
+// proxyState is the last report of a proxy and the faults in it.
+type proxyState struct {
+	report           Report
+	receivedAt       time.Duration
+	faults           []error
+	plausibleReports int           // in a row
+	firstClock       time.Duration // the proxy's clock in the report with which its pace is compared
+	firstClockAt     time.Duration // when that report arrived
+}
+
+// compareClockFrom begins to compare the pace of a proxy's clock.
+func (p *proxyState) compareClockFrom(clock, now time.Duration) {
+	p.firstClock = clock
+	p.firstClockAt = now
+}
+
+// FleetMap is a control-plane server's knowledge of the views of all proxies. The time that its methods take is the
+// server's monotonic clock. It must not be used by two goroutines at once.
+type FleetMap struct {
+	settings   MapSettings
+	current    map[string]uint64              // version by source
+	superseded map[string][]supersededVersion // by source, in order of versions
+	proxies    map[string]*proxyState
+}
+
+// NewFleetMap makes a map that knows nothing. Errors are InvalidSettingsError, joined.
+func NewFleetMap(settings MapSettings) (*FleetMap, error) {
+	var c settingsCheck
+	c.reject(settings.MaxTransit <= 0, "transit", "must be above 0")
+	c.reject(settings.ReportInterval <= 0, "every", "must be above 0")
+	c.reject(!(settings.ClockDrift >= 0 && settings.ClockDrift < 1), "drift", "must be within 0 and 1")
+	c.reject(settings.ClockJitter < 0, "jitter", "must not be negative")
+	if err := errors.Join(c.errs...); err != nil {
+		return nil, err
+	}
+	return &FleetMap{
+		settings:   settings,
+		current:    map[string]uint64{},
+		superseded: map[string][]supersededVersion{},
+		proxies:    map[string]*proxyState{},
+	}, nil
+}
+
+// RecordVersion notes that a version of a source is current now, so that earlier ones are superseded. Learning it late
+// makes claims look better, never worse.
+func (m *FleetMap) RecordVersion(now time.Duration, source string, version uint64) {
+	previous, known := m.current[source]
+	if known && version <= previous {
+		return
+	}
+	if known {
+		superseded := append(m.superseded[source], supersededVersion{version: previous, at: now})
+		m.superseded[source] = superseded[max(0, len(superseded)-maxSupersededVersions):]
+	}
+	m.current[source] = version
+}
+
+// supersededAt is when the server learned that a version was no longer current.
+func (m *FleetMap) supersededAt(source string, version uint64) (at time.Duration, superseded bool) {
+	versions := m.superseded[source]
+	i, _ := slices.BinarySearchFunc(versions, version, func(s supersededVersion, version uint64) int {
+		return cmp.Compare(s.version, version)
+	})
+	if i == len(versions) {
+		return 0, false
+	}
+	return versions[i].at, true
+}
+
+// RecordReport takes in a proxy's report. Errors are ImplausibleClaimError, joined. After one the proxy counts as
+// unknown until three plausible reports in a row.
+func (m *FleetMap) RecordReport(now time.Duration, report Report) error {
+	p := m.proxies[report.Proxy]
+	if p == nil {
+		p = &proxyState{}
+		p.compareClockFrom(report.Clock, now)
+		m.proxies[report.Proxy] = p
+	} else if p.report.Incarnation != report.Incarnation {
+		p.compareClockFrom(report.Clock, now)
+	}
+	var errs []error
+	if err := m.checkClock(p, now, report); err != nil {
+		errs = append(errs, err)
+		p.compareClockFrom(report.Clock, now)
+	}
+	for _, claim := range report.Sources {
+		if err := m.checkSource(now, report.Proxy, claim); err != nil {
+			errs = append(errs, err)
+		}
+	}
+	report.Sources = slices.Clone(report.Sources)
+	report.Routes = slices.Clone(report.Routes)
+	p.report = report
+	p.receivedAt = now
+	if len(errs) > 0 {
+		p.faults = errs
+		p.plausibleReports = 0
+		return errors.Join(errs...)
+	}
+	p.plausibleReports++
+	if p.plausibleReports >= reportsToClear {
+		p.faults = nil
+	}
+	return nil
+}
+
+// checkClock compares the pace of a proxy's clock with the server's. A clock that stands still makes every age look
+// smaller, and nothing else shows it.
+func (m *FleetMap) checkClock(p *proxyState, now time.Duration, report Report) error {
+	elapsed := now - p.firstClockAt
+	deviation := (report.Clock - p.firstClock - elapsed).Abs()
+	allowed := m.settings.MaxTransit + m.settings.ClockJitter + time.Duration(m.settings.ClockDrift*float64(elapsed))
+	if deviation <= allowed {
+		return nil
+	}
+	return ImplausibleClaimError{Proxy: report.Proxy, Excess: deviation, Reason: "its clock does not keep pace"}
+}
+
+// checkSource compares the claimed age of a version with the time at which the version was superseded.
+func (m *FleetMap) checkSource(now time.Duration, proxy string, claim SourceClaim) error {
+	if !claim.Known {
+		return nil
+	}
+	fault := ImplausibleClaimError{
+		Proxy:      proxy,
+		Source:     claim.Source,
+		Version:    claim.Version,
+		ClaimedAge: claim.MaxAge,
+	}
+	if claim.MaxAge < 0 {
+		fault.Excess = -claim.MaxAge
+		fault.Reason = "no age is negative"
+		return fault
+	}
+	at, superseded := m.supersededAt(claim.Source, claim.Version)
+	minAge := now - m.settings.MaxTransit - at
+	if !superseded || minAge <= claim.MaxAge+m.settings.ClockJitter {
+		return nil
+	}
+	fault.Excess = minAge
+	fault.Reason = "that version was superseded before"
+	return fault
+}
+
+// Fault is why a proxy counts as unknown: ImplausibleClaimError, joined, or nil.
+func (m *FleetMap) Fault(proxy string) error {
+	if p := m.proxies[proxy]; p != nil {
+		return errors.Join(p.faults...)
+	}
+	return nil
+}
+
+// Forget drops a proxy that has left the fleet.
+func (m *FleetMap) Forget(proxy string) { delete(m.proxies, proxy) }
+
+// trusted is a proxy's state if its last report counts, or nil.
+func (m *FleetMap) trusted(now time.Duration, proxy string) *proxyState {
+	p := m.proxies[proxy]
+	if p == nil || len(p.faults) > 0 || now-p.receivedAt > silentAfterReports*m.settings.ReportInterval {
+		return nil
+	}
+	return p
+}
+
+// AgeRange bounds how old a proxy's content of a source is. If Known is false nothing is known.
+type AgeRange struct {
+	Known    bool
+	Min, Max time.Duration
+}
+
+// Age is how old a proxy's content of a source is. Min is above 0 only at the moment of the report, because the proxy
+// may have received an update since.
+func (m *FleetMap) Age(now time.Duration, proxy, source string) AgeRange {
+	p := m.trusted(now, proxy)
+	if p == nil {
+		return AgeRange{}
+	}
+	i := slices.IndexFunc(p.report.Sources, func(claim SourceClaim) bool {
+		return claim.Source == source && claim.Known
+	})
+	if i < 0 {
+		return AgeRange{}
+	}
+	claim := p.report.Sources[i]
+	sinceReport := time.Duration(float64(now-p.receivedAt) * (1 + m.settings.ClockDrift))
+	age := AgeRange{Known: true, Max: claim.MaxAge + m.settings.MaxTransit + sinceReport}
+	if at, superseded := m.supersededAt(source, claim.Version); superseded && now == p.receivedAt {
+		age.Min = max(0, now-m.settings.MaxTransit-at)
+	}
+	return age
+}
+
+// ProxyRoute is a route at a proxy.
+type ProxyRoute struct {
+	Proxy string
+	Known bool
+	Level Level // as reported; without meaning if Known is false
+	// MinConfidence and MaxConfidence bound the probability that acting on the route's list there is right.
+	MinConfidence, MaxConfidence float64
+}
+
+// Route is a route at all proxies, by the proxy's name. A proxy that reported nothing of the route, has faults or has
+// fallen silent is not Known. The bounds widen with the time since the report.
+func (m *FleetMap) Route(now time.Duration, route string) []ProxyRoute {
+	var all []ProxyRoute
+	for _, name := range slices.Sorted(maps.Keys(m.proxies)) {
+		entry := ProxyRoute{Proxy: name, MaxConfidence: 1}
+		if p := m.trusted(now, name); p != nil {
+			m.applyClaims(&entry, p, now, route)
+		}
+		all = append(all, entry)
+	}
+	return all
+}
+
+// applyClaims takes what a proxy's report says of a route.
+func (m *FleetMap) applyClaims(entry *ProxyRoute, p *proxyState, now time.Duration, route string) {
+	intervals := (now - p.receivedAt + m.settings.MaxTransit).Seconds() / m.settings.ReportInterval.Seconds()
+	slack := 1 - math.Pow(trustPerInterval, intervals)
+	for _, claim := range p.report.Routes {
+		if claim.Route != route {
+			continue
+		}
+		entry.Known = true
+		entry.Level = claim.Level
+		entry.MinConfidence = claim.Confidence * (1 - slack)
+		entry.MaxConfidence = claim.Confidence + (1-claim.Confidence)*slack
+	}
+}
+
+// LevelCounts are the numbers of proxies by the level of a route, and of those of which nothing is known.
+type LevelCounts struct {
+	Unknown int
+	ByLevel [Confirmed + 1]int
+}
+
+// Count counts proxies by the level of a route.
+func (m *FleetMap) Count(now time.Duration, route string) LevelCounts {
+	var counts LevelCounts
+	for _, p := range m.Route(now, route) {
+		if p.Known {
+			counts.ByLevel[min(p.Level, Confirmed)]++
+		} else {
+			counts.Unknown++
+		}
+	}
+	return counts
+}
--- /dev/null
+++ b/internal/staleness/gaps.go
@@ -0,0 +1,107 @@
+package staleness
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// gapWindow is the number of gaps that are remembered.
+	gapWindow = 64
+	// minGaps is the number of gaps from which percentiles are taken from them.
+	minGaps = 4
+	// gapPrior is the weight, in gaps, of the exponential prior: some gap will be longer than all before it.
+	gapPrior = 0.25
+	// gapBlurFraction is by how much a gap may exceed one that was observed, on average, as a part of the usual gap.
+	gapBlurFraction = .1
+	// maxBlurs is the excess, in blurs, beyond which an observed gap no longer counts.
+	maxBlurs = 12
+	// minHeartbeatInterval is the least interval between messages.
+	minHeartbeatInterval = 10 * time.Millisecond
+	// minStillSilent keeps quotients of silence probabilities finite.
+	minStillSilent = 1e-250
+	// minPhiProbability keeps Phi finite.
+	minPhiProbability = 1e-300
+)
+
+// GapDetector is an accrual failure detector on the gaps between the messages of one source: phi as in Hayashibara,
+// Défago, Yared and Katayama, "The phi accrual failure detector" (SRDS 2004). It takes the empirical distribution of
+// the gaps as in Satzger, Pietzowski, Trumler and Ungerer, "A new adaptive accrual failure detector for dependable
+// distributed systems" (SAC 2007), because the gaps of a watch are a mixture of heartbeats and changes, which no normal
+// distribution fits. The tail beyond the observed gaps is exponential.
+type GapDetector struct {
+	ring            [gapWindow]float64 // seconds, in order of arrival
+	sorted          [gapWindow]float64
+	count           int
+	next            int // index in ring
+	expectedSeconds float64
+}
+
+// NewGapDetector begins with an expected gap, which counts as a quarter of an observed one.
+func NewGapDetector(expected time.Duration) *GapDetector {
+	return &GapDetector{expectedSeconds: max(expected, minHeartbeatInterval).Seconds()}
+}
+
+// Observe adds a gap. Gaps of a watch that is thought silent, or of a suspension of this process, must not be added:
+// long silences would seem usual.
+func (g *GapDetector) Observe(gap time.Duration) {
+	seconds := max(0, gap.Seconds())
+	if g.count == gapWindow {
+		oldest := g.ring[g.next]
+		i, _ := slices.BinarySearch(g.sorted[:g.count], oldest)
+		copy(g.sorted[i:], g.sorted[i+1:g.count])
+		g.count--
+	}
+	i, _ := slices.BinarySearch(g.sorted[:g.count], seconds)
+	copy(g.sorted[i+1:g.count+1], g.sorted[i:g.count])
+	g.sorted[i] = seconds
+	g.ring[g.next] = seconds
+	g.count++
+	g.next = (g.next + 1) % gapWindow
+}
+
+// Percentile90 is the usual gap: nine of ten did not exceed it. It is the expected gap until enough were observed.
+func (g *GapDetector) Percentile90() time.Duration {
+	if g.count < minGaps {
+		return time.Duration(g.expectedSeconds * float64(time.Second))
+	}
+	return max(minHeartbeatInterval, time.Duration(g.sorted[g.count*9/10]*float64(time.Second)))
+}
+
+// Percentile10 is the gap that nine of ten exceeded, or 0 until enough were observed.
+func (g *GapDetector) Percentile10() time.Duration {
+	if g.count < minGaps {
+		return 0
+	}
+	return time.Duration(g.sorted[g.count/10] * float64(time.Second))
+}
+
+// SilenceProbability is the probability that a live watch is silent for longer than a silence.
+func (g *GapDetector) SilenceProbability(silence time.Duration) float64 {
+	seconds := silence.Seconds()
+	if seconds <= 0 {
+		return 1
+	}
+	shorter, _ := slices.BinarySearch(g.sorted[:g.count], seconds)
+	usual := max(g.expectedSeconds/4, g.Percentile90().Seconds())
+	longer := float64(g.count-shorter) + gapPrior*math.Exp(-seconds/usual)
+	// Without the blur a message slightly later than all observed ones would make the watch look silent.
+	for _, gap := range g.sorted[:shorter] {
+		if blurs := (seconds - gap) / (gapBlurFraction * usual); blurs < maxBlurs {
+			longer += math.Exp(-blurs)
+		}
+	}
+	return longer / (float64(g.count) + gapPrior)
+}
+
+// stillSilent is the probability that a live watch that was silent for a time stays so until a longer time.
+func (g *GapDetector) stillSilent(from, to time.Duration) float64 {
+	until := max(g.SilenceProbability(to), minStillSilent)
+	return min(1, until/max(g.SilenceProbability(from), minStillSilent))
+}
+
+// Phi is -log10 of SilenceProbability.
+func (g *GapDetector) Phi(silence time.Duration) float64 {
+	return -math.Log10(max(g.SilenceProbability(silence), minPhiProbability))
+}
--- /dev/null
+++ b/internal/staleness/permission.go
@@ -0,0 +1,71 @@
+package staleness
+
+import "time"
+
+// Idempotency is what running a request twice does.
+type Idempotency uint8
+
+// The classes of idempotency.
+const (
+	Idempotent      Idempotency = iota // may run any number of times
+	IdempotentByKey                    // the server recognizes a repeat by its idempotency key
+	NotIdempotent                      // must not run twice
+
+	idempotencyClasses = 3
+)
+
+// Permission is where a request may go.
+type Permission uint8
+
+const (
+	// FloorOrReject rejects at once with Retry-After, or serves from the static floor of the quota. The zero value.
+	FloorOrReject Permission = iota
+	// ConfirmedOnly sends only to servers that answered as believed since the level became Doubtful.
+	ConfirmedOnly
+	// AnyEndpoint sends to any listed server.
+	AnyEndpoint
+)
+
+// permissions by level and idempotency class: Idempotent, IdempotentByKey, NotIdempotent.
+var permissions = [...][idempotencyClasses]Permission{
+	Blind:     {FloorOrReject, FloorOrReject, FloorOrReject},
+	Doubtful:  {AnyEndpoint, AnyEndpoint, ConfirmedOnly},
+	Ageing:    {AnyEndpoint, AnyEndpoint, AnyEndpoint},
+	Fresh:     {AnyEndpoint, AnyEndpoint, AnyEndpoint},
+	Confirmed: {AnyEndpoint, AnyEndpoint, AnyEndpoint},
+}
+
+// PermissionFor is what a level permits for a request. Values out of range get FloorOrReject.
+func PermissionFor(level Level, idempotency Idempotency) Permission {
+	if int(level) >= len(permissions) || int(idempotency) >= idempotencyClasses {
+		return FloorOrReject
+	}
+	return permissions[level][idempotency]
+}
+
+// QuotaRequest is how much of its demand a proxy requests of a fleet-wide quota at a level: what it cannot use well is
+// left to others. At Blind it keeps a tenth, with which it probes and recovers.
+func QuotaRequest(level Level, demand float64) float64 {
+	switch {
+	case level >= Ageing:
+		return demand
+	case level == Doubtful:
+		return demand / 2
+	}
+	return demand / 10
+}
+
+const (
+	minRetryAfter = time.Second
+	maxRetryAfter = 30 * time.Second
+)
+
+// RetryAfter is the time after which a rejected request may be worth a retry: two usual gaps of the slowest source,
+// within 1 s and 30 s.
+func (v *View) RetryAfter() time.Duration {
+	longest := time.Duration(0)
+	for _, s := range v.sources {
+		longest = max(longest, 2*s.gaps.Percentile90())
+	}
+	return min(max(longest, minRetryAfter), maxRetryAfter)
+}
--- /dev/null
+++ b/internal/staleness/receive.go
@@ -0,0 +1,133 @@
+package staleness
+
+import "time"
+
+const (
+	// longGapFactor times the usual gap is a long one: its length says little about the rhythm of the source.
+	longGapFactor = 3
+	// silentCertainty is the probability from which a watch counts as silent.
+	silentCertainty = .9
+	// probablySilent is the probability from which the source is more likely silent than not.
+	probablySilent = .5
+	// heartbeatsToTrust is how many regular heartbeats in a row show that none was queued: a backlog does not keep the
+	// rhythm for so long.
+	heartbeatsToTrust = 3
+)
+
+// message is what arrived from a source.
+type message struct {
+	requestedAt time.Duration  // when the call was sent that the message answers; used for a complete list only
+	changes     map[string]int // by kind of entry
+	changed     bool
+	complete    bool // a complete list
+	heartbeat   bool // no changes
+}
+
+// RecordHeartbeat takes in a heartbeat, or an answer without changes. The error is UnknownSourceError.
+func (v *View) RecordHeartbeat(now time.Duration, name string) error {
+	s, err := v.source(name)
+	if err != nil {
+		return err
+	}
+	v.receive(s, now, message{requestedAt: now, heartbeat: true})
+	return nil
+}
+
+// receive updates what is known of a source with a message that arrived now.
+func (v *View) receive(s *trackedSource, now time.Duration, m message) {
+	v.advance(s, now)
+	silentWeight := s.filter.silentWeight()
+	usualHeartbeatGap := s.heartbeatGaps.Percentile90()
+	if s.heardAt != never {
+		s.learnGap(now-s.heardAt, silentWeight, m.complete)
+	}
+	for _, k := range s.kindOrder {
+		if n := m.changes[k.name]; n > 0 {
+			k.rate.Observe(0, 0, n)
+		}
+		if silentWeight > probablySilent {
+			k.rate.resetTrials()
+		}
+	}
+	switch {
+	case m.complete:
+		s.receiveCompleteList(now, m.requestedAt, usualHeartbeatGap)
+	case s.drainingBacklog && now-s.heardAt < usualHeartbeatGap/2:
+		s.receiveBacklog(now, m.heartbeat)
+	case m.heartbeat:
+		s.receiveHeartbeat(now, usualHeartbeatGap)
+	default: // messages keep their order, so a change is at least as recent as the message before it
+		s.drainingBacklog = false
+	}
+	s.filter.received(m.changed)
+	if s.drainingBacklog {
+		s.filter.silence(s.currentAt, now)
+	}
+	if !s.ageKnown {
+		s.filter = filter{live: 1}
+	}
+	s.ageKnown = true
+	s.heardAt = now
+	s.advancedTo = now
+}
+
+// learnGap learns from the time since the previous message. silentWeight is the probability that the watch was silent.
+func (s *trackedSource) learnGap(gap time.Duration, silentWeight float64, complete bool) {
+	if s.ageKnown {
+		for _, k := range s.kindOrder {
+			k.rate.Observe(gap, k.entries, 0)
+		}
+	}
+	// A watch that sends again after a short gap was not silent. Only a new watch or a long gap counts as a silence.
+	silent := 0.0
+	if complete || gap > longGapFactor*s.gaps.Percentile90() {
+		silent = silentWeight
+	}
+	if !s.drainingBacklog && !complete && silent < silentCertainty {
+		s.gaps.Observe(gap)
+	}
+	s.silentWatches += silent
+	s.watchedSeconds += gap.Seconds() * (1 - silent)
+}
+
+func (s *trackedSource) receiveCompleteList(now, requestedAt, usualGap time.Duration) {
+	s.currentAt = max(s.currentAt, requestedAt)
+	s.drainingBacklog = s.drainingBacklog && requestedAt < s.resumedAt
+	if now-s.heartbeatAt > 2*usualGap { // a new watch begins
+		s.heartbeatAt = never
+		s.heartbeatDelay = 0
+	}
+}
+
+// receiveBacklog takes in a message that was queued while this process was suspended. A queued heartbeat is later than
+// the one before it by the smallest usual gap at least.
+func (s *trackedSource) receiveBacklog(now time.Duration, heartbeat bool) {
+	if !heartbeat {
+		return
+	}
+	s.backlogCurrentAt = min(now, s.backlogCurrentAt+s.heartbeatGaps.Percentile10())
+	s.currentAt = max(s.currentAt, s.backlogCurrentAt)
+}
+
+// receiveHeartbeat estimates how late a heartbeat is, and so at which moment the source's content was current.
+func (s *trackedSource) receiveHeartbeat(now, usualGap time.Duration) {
+	s.drainingBacklog = false
+	gap := now - s.heartbeatAt
+	if s.heartbeatAt == never || gap > longGapFactor*usualGap { // the first of a row: its delay is unknown
+		s.heartbeatDelay = min(2*usualGap, now-s.currentAt)
+	} else {
+		s.heartbeatDelay = max(0, s.heartbeatDelay+gap-usualGap)
+		s.regularHeartbeats++
+		if gap < usualGap*4/5 || gap > usualGap*6/5 {
+			s.regularHeartbeats = 0
+		}
+		if s.regularHeartbeats >= heartbeatsToTrust {
+			s.heartbeatDelay = 0
+		}
+		if s.heartbeatDelay == 0 || gap < usualGap*3/2 {
+			s.heartbeatGaps.Observe(gap)
+		}
+	}
+	s.currentAt = max(s.currentAt, now-s.heartbeatDelay)
+	s.heartbeatAt = now
+}
--- /dev/null
+++ b/internal/staleness/report.go
@@ -0,0 +1,27 @@
+package staleness
+
+import "time"
+
+// Report is what a proxy claims of its view.
+type Report struct {
+	Proxy       string
+	Incarnation uint64        // of the process; each has a clock of its own
+	Clock       time.Duration // the proxy's monotonic clock
+	Sources     []SourceClaim
+	Routes      []RouteClaim
+}
+
+// SourceClaim is what a proxy claims of a source: it holds Version, which was current at most MaxAge ago.
+type SourceClaim struct {
+	Source  string
+	Version uint64
+	MaxAge  time.Duration
+	Known   bool // whether MaxAge is known
+}
+
+// RouteClaim is what a proxy claims of a route.
+type RouteClaim struct {
+	Route      string
+	Level      Level
+	Confidence float64 // the probability that acting on the route's list is right
+}
--- a/internal/staleness/settings.go
+++ b/internal/staleness/settings.go
@@ -1,6 +1,7 @@
 package staleness
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"maps"
@@ -9,32 +10,44 @@
 	"time"
 )
 
-// SourceSettings are one source of a view: the register's list, the policy, the grants, health and delays of servers.
+// SourceSettings describe one source of a view, such as a discovery watch or the policy.
 type SourceSettings struct {
-	Name              string
-	HeartbeatInterval time.Duration // expected gap between news while all is well
-	// Bears makes the source one value instead of a list: an entry of the source's name and kind, on which every route depends.
+	Name string
+	// HeartbeatInterval is the expected time between two messages, 10ms to 1h.
+	HeartbeatInterval time.Duration
+	// AffectsAllRoutes makes the source one value instead of a list: a single entry of the source's name and kind, on
+	// which every route depends.
 	AffectsAllRoutes bool
 }
 
-// Settings of a view. The zero value of each field but Sources stands for the default.
+// Settings of a view. The zero value of each field but Sources stands for its default.
 type Settings struct {
-	Sources                 []SourceSettings
-	Kinds                   map[string]Prior // of kinds of entries; others have DefaultPrior
-	RateShape               float64          // see NewRate; 3
-	SilentWatchRate         float64          // watches that fall silent, a second, before any was seen; 1/200
-	StaleAnswerRate         float64          // registers that begin to answer with what is old, a second; 1/1500
-	StaleAnswerRecoveryRate float64          // such that are well again, a second; 1/15
-	MaxTransit              time.Duration    // what a message takes at most that is not late; 250 ms
-	// LieDoubt is the weight of a lie from which the bound of age counts it. Danger: nobody can tell a lie from quiet before
-	// something contradicts it, so a bound that always allowed for one would say minutes and mean nothing; 0.05
+	Sources []SourceSettings
+	// Kinds are prior change rates by kind of entry. Other kinds have DefaultPrior.
+	Kinds map[string]Prior
+	// RateShape is the shape of the change rates; see NewChangeRate. Default 3.
+	RateShape float64
+	// SilentWatchRate is the expected rate per second at which a watch falls silent, before any was observed. Default
+	// 1/200.
+	SilentWatchRate float64
+	// StaleAnswerRate is the expected rate per second at which a source begins to answer with stale data. Default
+	// 1/1500.
+	StaleAnswerRate float64
+	// StaleAnswerRecoveryRate is the expected rate per second at which it ends to do so. Default 1/15.
+	StaleAnswerRecoveryRate float64
+	// MaxTransit is the longest time that a message takes if it is not late. Default 250ms.
+	MaxTransit time.Duration
+	// StaleAnswerThreshold is the probability of stale answers from which Age counts them, 0 to 1. Nothing tells them
+	// from a quiet source until something contradicts them, so a bound that always counted them would be minutes.
+	// Default .05.
 	StaleAnswerThreshold float64
-	Levels               Thresholds
+	// Levels are the thresholds of the levels.
+	Levels Thresholds
 
-	omitted estimateTerm // of the estimate, left out: for the trial of the calibration
+	omitted estimateTerm
 }
 
-// estimateTerm is a part of the estimate.
+// estimateTerm is a part of the estimate that the calibration can omit.
 type estimateTerm int
 
 const (
@@ -46,51 +59,79 @@
 	termRestart
 )
 
-// Without is a flawed copy of the settings, for the trial of the calibration: phi, rate, evidence, stop or restart is left out.
-func (s Settings) Without(name string) Settings {
-	s.omitted = map[string]estimateTerm{"phi": termPhi, "rate": termRate, "evidence": termEvidence, "stop": termSuspension, "restart": termRestart}[name]
+var termByName = map[string]estimateTerm{
+	"phi":      termPhi,
+	"rate":     termRate,
+	"evidence": termEvidence,
+	"stop":     termSuspension,
+	"restart":  termRestart,
+}
+
+// Without is a copy of the settings in which a term of the estimate is omitted, for the calibration: phi, rate,
+// evidence, stop or restart. Other names omit nothing.
+func (s Settings) Without(term string) Settings {
+	s.omitted = termByName[term]
 	return s
 }
 
-func (s *Settings) fill() error {
-	set := func(f *float64, v float64) {
-		if *f == 0 {
-			*f = v
-		}
-	}
-	set(&s.RateShape, 3)
-	set(&s.SilentWatchRate, 1./200)
-	set(&s.StaleAnswerRate, 1./1500)
-	set(&s.StaleAnswerRecoveryRate, 1./15)
-	set(&s.StaleAnswerThreshold, .05)
-	if s.MaxTransit == 0 {
-		s.MaxTransit = 250 * time.Millisecond
-	}
-	var errs []error
-	bad := func(wrong bool, field, format string, args ...any) {
-		if wrong {
-			errs = append(errs, InvalidSettingsError{field, fmt.Sprintf(format, args...)})
-		}
-	}
-	for _, f := range []struct {
-		name string
-		v    float64
-	}{{"spread", s.RateShape}, {"silence", s.SilentWatchRate}, {"lies", s.StaleAnswerRate}, {"cure", s.StaleAnswerRecoveryRate}} {
-		bad(!(f.v > 0 && f.v <= 1000), f.name, "%v is not above 0 and at most 1000", f.v)
+const (
+	// maxRate bounds the rates in settings, per second.
+	maxRate              = 1000
+	maxTransit           = time.Minute
+	maxHeartbeatInterval = time.Hour
+)
+
+// settingsCheck collects the faults of settings.
+type settingsCheck struct{ errs []error }
+
+func (c *settingsCheck) reject(invalid bool, field, format string, args ...any) {
+	if invalid {
+		c.errs = append(c.errs, InvalidSettingsError{field, fmt.Sprintf(format, args...)})
 	}
-	bad(!(s.StaleAnswerThreshold > 0 && s.StaleAnswerThreshold < 1), "lie_doubt", "%v is not within 0 and 1", s.StaleAnswerThreshold)
-	bad(s.MaxTransit < 0 || s.MaxTransit > time.Minute, "transit", "%v is not within 0s and 1m", s.MaxTransit)
-	bad(len(s.Sources) == 0, "sources", "there is none")
+}
+
+// rate rejects what is not a positive rate; the condition is negated so that it also rejects what is not a number.
+func (c *settingsCheck) rate(field string, value float64) {
+	c.reject(!(value > 0 && value <= maxRate), field, "%v is not above 0 and at most 1000", value)
+}
+
+// fill sets the defaults and checks all fields.
+func (s *Settings) fill() error {
+	s.RateShape = cmp.Or(s.RateShape, 3)
+	s.SilentWatchRate = cmp.Or(s.SilentWatchRate, 1./200)
+	s.StaleAnswerRate = cmp.Or(s.StaleAnswerRate, 1./1500)
+	s.StaleAnswerRecoveryRate = cmp.Or(s.StaleAnswerRecoveryRate, 1./15)
+	s.StaleAnswerThreshold = cmp.Or(s.StaleAnswerThreshold, .05)
+	s.MaxTransit = cmp.Or(s.MaxTransit, 250*time.Millisecond)
+	var c settingsCheck
+	c.rate("spread", s.RateShape)
+	c.rate("silence", s.SilentWatchRate)
+	c.rate("lies", s.StaleAnswerRate)
+	c.rate("cure", s.StaleAnswerRecoveryRate)
+	c.reject(!(s.StaleAnswerThreshold > 0 && s.StaleAnswerThreshold < 1),
+		"lie_doubt", "%v is not within 0 and 1", s.StaleAnswerThreshold)
+	c.reject(s.MaxTransit < 0 || s.MaxTransit > maxTransit, "transit", "%v is not within 0s and 1m", s.MaxTransit)
+	c.sources(s.Sources)
+	c.kinds(s.Kinds)
+	return errors.Join(append(c.errs, s.Levels.fill())...)
+}
+
+func (c *settingsCheck) sources(sources []SourceSettings) {
+	c.reject(len(sources) == 0, "sources", "there is none")
 	seen := map[string]bool{}
-	for _, src := range s.Sources {
-		bad(src.Name == "" || seen[src.Name], "sources", "%q is empty or named twice", src.Name)
-		bad(src.HeartbeatInterval < minHeartbeatInterval || src.HeartbeatInterval > time.Hour, "sources."+src.Name+".beat", "%v is not within %v and 1h", src.HeartbeatInterval, minHeartbeatInterval)
-		seen[src.Name] = true
+	for _, source := range sources {
+		c.reject(source.Name == "" || seen[source.Name], "sources", "%q is empty or named twice", source.Name)
+		interval := source.HeartbeatInterval
+		c.reject(interval < minHeartbeatInterval || interval > maxHeartbeatInterval,
+			"sources."+source.Name+".beat", "%v is not within %v and 1h", interval, minHeartbeatInterval)
+		seen[source.Name] = true
 	}
-	for _, k := range slices.Sorted(maps.Keys(s.Kinds)) {
-		p := s.Kinds[k]
-		bad(!(p.Changes > 0) || math.IsInf(p.Changes, 0) || p.Exposure <= 0, "kinds."+k, "changes %v in %v: both must be above 0", p.Changes, p.Exposure)
+}
+
+func (c *settingsCheck) kinds(kinds map[string]Prior) {
+	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
+		prior := kinds[kind]
+		c.reject(!(prior.Changes > 0) || math.IsInf(prior.Changes, 0) || prior.Exposure <= 0,
+			"kinds."+kind, "changes %v in %v: both must be above 0", prior.Changes, prior.Exposure)
 	}
-	errs = append(errs, s.Levels.fill())
-	return errors.Join(errs...)
 }
--- a/internal/staleness/snapshot.go
+++ b/internal/staleness/snapshot.go
@@ -2,23 +2,39 @@
 
 import "time"
 
-// Handle names a listed entry for looks at a Snapshot. It is never used again for another entry of the same slot.
+// Handle names a listed entry in a Snapshot: a slot, and the slot's generation so that a handle never finds a later
+// entry. 0 names none.
 type Handle uint64
 
+// generationShift is the position of the generation in a Handle.
+const generationShift = 32
+
+func newHandle(slot, generation uint32) Handle {
+	return Handle(generation)<<generationShift | Handle(slot)
+}
+
 func (h Handle) slot() uint32       { return uint32(h) }
-func (h Handle) generation() uint32 { return uint32(h >> 32) }
+func (h Handle) generation() uint32 { return uint32(h >> generationShift) }
 
+// assignHandle gives an entry a free slot, or a new one.
 func (v *View) assignHandle(e *trackedEntry) {
-	var slot uint32
-	if n := len(v.freeSlots); n > 0 {
-		slot, v.freeSlots = v.freeSlots[n-1], v.freeSlots[:n-1]
-		v.slots[slot] = e
-		v.generations[slot]++
-	} else {
-		slot = uint32(len(v.slots))
-		v.slots, v.generations = append(v.slots, e), append(v.generations, 1)
+	if len(v.freeSlots) == 0 {
+		v.freeSlots = append(v.freeSlots, uint32(len(v.slots)))
+		v.slots = append(v.slots, nil)
+		v.generations = append(v.generations, 0)
 	}
-	e.handle = Handle(v.generations[slot])<<32 | Handle(slot)
+	last := len(v.freeSlots) - 1
+	slot := v.freeSlots[last]
+	v.freeSlots = v.freeSlots[:last]
+	v.slots[slot] = e
+	v.generations[slot]++
+	e.handle = newHandle(slot, v.generations[slot])
+}
+
+func (v *View) releaseHandle(e *trackedEntry) {
+	slot := e.handle.slot()
+	v.slots[slot] = nil
+	v.freeSlots = append(v.freeSlots, slot)
 }
 
 // Handle is the handle of a listed entry, 0 if there is none. It ends when the entry changes.
@@ -29,7 +45,7 @@
 	return 0
 }
 
-// RouteIndex is the index of a route in each Snapshot from now on, -1 if nobody told of it.
+// RouteIndex is the index of a route in each later Snapshot, -1 if no source told of it.
 func (v *View) RouteIndex(name string) int {
 	if r := v.routeByName[name]; r != nil {
 		return r.index
@@ -37,58 +53,71 @@
 	return -1
 }
 
-// routeSnapshot is a route in a snapshot.
 type routeSnapshot struct {
 	confidence  float32
 	level       Level
-	permissions [3]Permission
+	permissions [idempotencyClasses]Permission
 }
 
 type entrySnapshot struct {
 	generation uint32
 	confidence float32
-	permitted  [3]bool
+	permitted  [idempotencyClasses]bool
 }
 
-// Snapshot is what a request looks at: built once a tick, never changed, free to be read by many at once. Looks allocate nothing and
-// take no lock; what they don't find is blind.
+// Snapshot is what requests read. It never changes, so any number of goroutines may read it at once; its methods
+// neither allocate nor lock. What it does not contain is Blind.
 type Snapshot struct {
-	At         time.Duration
-	RetryAfter time.Duration
+	At         time.Duration // when it was made
+	RetryAfter time.Duration // see View.RetryAfter
 	routes     []routeSnapshot
 	entries    []entrySnapshot
 }
 
-// Tick brings all routes up to now and builds a snapshot.
+// Tick brings all routes up to now and makes a snapshot.
 func (v *View) Tick(now time.Duration) *Snapshot {
-	s := &Snapshot{At: now, RetryAfter: v.RetryAfter(), routes: make([]routeSnapshot, len(v.routeByIndex)), entries: make([]entrySnapshot, len(v.slots))}
+	s := &Snapshot{
+		At:         now,
+		RetryAfter: v.RetryAfter(),
+		routes:     make([]routeSnapshot, len(v.routeByIndex)),
+		entries:    make([]entrySnapshot, len(v.slots)),
+	}
 	for _, r := range v.routes {
 		v.evaluateRoute(r, now)
-		look := routeSnapshot{confidence: float32(r.confidence), level: r.level}
-		for e := range look.permissions {
-			look.permissions[e] = PermissionFor(r.level, Idempotency(e))
-		}
-		s.routes[r.index] = look
+		s.routes[r.index] = r.snapshot()
 	}
-	for i, e := range v.slots {
-		if e == nil {
-			continue
+	for slot, e := range v.slots {
+		if e != nil {
+			s.entries[slot] = v.entrySnapshot(e, now)
 		}
-		look := entrySnapshot{generation: e.handle.generation()}
-		if r := v.routeByName[e.Route]; r == nil || e.Route == "" {
-			look.confidence = float32(v.Confidence(now, e.Name))
-		} else {
-			look.confidence = float32(e.confidence) // weighed just now
-			for effect := range look.permitted {
-				look.permitted[effect] = v.permits(r, e, Idempotency(effect))
-			}
-		}
-		s.entries[i] = look
 	}
 	return s
 }
 
-// Route is a route's level and chance.
+func (r *routeState) snapshot() routeSnapshot {
+	s := routeSnapshot{confidence: float32(r.confidence), level: r.level}
+	for class := range s.permissions {
+		s.permissions[class] = PermissionFor(r.level, Idempotency(class))
+	}
+	return s
+}
+
+// entrySnapshot uses the evaluation of the entry's route, which must be that of now.
+func (v *View) entrySnapshot(e *trackedEntry, now time.Duration) entrySnapshot {
+	s := entrySnapshot{generation: e.handle.generation()}
+	r := v.routeByName[e.Route]
+	if r == nil || e.Route == "" {
+		s.confidence = float32(v.Confidence(now, e.Name))
+		return s
+	}
+	s.confidence = float32(e.confidence)
+	for class := range s.permitted {
+		s.permitted[class] = r.permits(e, Idempotency(class))
+	}
+	return s
+}
+
+// Route is a route's level, and the probability that acting on its list is right.
 func (s *Snapshot) Route(index int) (Level, float32) {
 	if uint(index) >= uint(len(s.routes)) {
 		return Blind, 0
@@ -97,22 +126,22 @@
 	return r.level, r.confidence
 }
 
-// Permission is what a route allows a request of an effect class.
-func (s *Snapshot) Permission(index int, e Idempotency) Permission {
-	if uint(index) >= uint(len(s.routes)) || int(e) >= 3 {
+// Permission is what a route permits for a request.
+func (s *Snapshot) Permission(index int, idempotency Idempotency) Permission {
+	if uint(index) >= uint(len(s.routes)) || idempotency >= idempotencyClasses {
 		return FloorOrReject
 	}
-	return s.routes[index].permissions[e]
+	return s.routes[index].permissions[idempotency]
 }
 
-// Entry is the chance that an entry is as believed, and whether a request of an effect class may go to it.
-func (s *Snapshot) Entry(h Handle, e Idempotency) (chance float32, may bool) {
-	if uint(h.slot()) >= uint(len(s.entries)) || int(e) >= 3 {
+// Entry is the probability that an entry is as believed, and whether a request may go to it.
+func (s *Snapshot) Entry(h Handle, idempotency Idempotency) (confidence float32, permitted bool) {
+	if uint(h.slot()) >= uint(len(s.entries)) || idempotency >= idempotencyClasses {
 		return 0, false
 	}
-	l := &s.entries[h.slot()]
-	if l.generation != h.generation() || h == 0 {
+	e := &s.entries[h.slot()]
+	if e.generation != h.generation() || h == 0 {
 		return 0, false
 	}
-	return l.confidence, l.permitted[e]
+	return e.confidence, e.permitted[idempotency]
 }
