--- /dev/null
+++ b/internal/staleness/change_rate_test.go
@@ -0,0 +1,31 @@
+package staleness
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestChangeRateConvergesFromAnyPrior(t *testing.T) {
+	for _, prior := range []Prior{{0.5, time.Second}, {0.5, time.Hour}, DefaultPrior} {
+		r := NewChangeRate(prior, 2)
+		for i := range 20_000 { // 50 entries, one change each 10 s
+			changes := 0
+			if i%10 == 0 {
+				changes = 1
+			}
+			r.Observe(time.Second, 50, changes)
+		}
+		if got := r.LongTerm(); math.Abs(got-.002) > .0005 {
+			t.Errorf("prior %v: %v per second, want .002", prior, got)
+		}
+		before := r.Current()
+		r.Observe(time.Second, 50, 25)
+		if r.Current() < 5*before {
+			t.Errorf("a burst raises the rate from %v to %v only", before, r.Current())
+		}
+		if r.Survival(r.Hazard(time.Minute)) >= r.Survival(r.Hazard(time.Second)) {
+			t.Error("the survival does not fall with time")
+		}
+	}
+}
--- a/internal/staleness/fleet_map_test.go
+++ b/internal/staleness/fleet_map_test.go
@@ -10,123 +10,150 @@
 	"pgregory.net/rapid"
 )
 
-func testMap(t testing.TB) *FleetMap {
+// newTestMap knows that version 1 of the list was superseded by version 2 at 10 s.
+func newTestMap(t testing.TB) *FleetMap {
 	t.Helper()
-	m, err := NewFleetMap(MapSettings{MaxTransit: 200 * time.Millisecond, ReportInterval: sec, ClockDrift: .001, ClockJitter: 20 * time.Millisecond})
+	m, err := NewFleetMap(MapSettings{
+		MaxTransit:     200 * time.Millisecond,
+		ReportInterval: sec,
+		ClockDrift:     .001,
+		ClockJitter:    20 * time.Millisecond,
+	})
 	must(t, err)
 	m.RecordVersion(0, "list", 1)
 	m.RecordVersion(10*sec, "list", 2)
 	return m
 }
 
-func report(edge string, clock time.Duration, version uint64, bound time.Duration) Report {
-	return Report{Proxy: edge, Incarnation: 1, Clock: clock, Sources: []SourceClaim{{Source: "list", Version: version, MaxAge: bound, Known: true}},
-		Routes: []RouteClaim{{Route: "r", Level: Fresh, Confidence: .97}}}
+// newReport is a report of proxy e, which holds a version of the list that is at most maxAge old.
+func newReport(clock time.Duration, version uint64, maxAge time.Duration) Report {
+	return Report{
+		Proxy:       "e",
+		Incarnation: 1,
+		Clock:       clock,
+		Sources:     []SourceClaim{{Source: "list", Version: version, MaxAge: maxAge, Known: true}},
+		Routes:      []RouteClaim{{Route: "r", Level: Fresh, Confidence: .97}},
+	}
 }
 
-func TestAClaimThatCannotBeTrueIsMarked(t *testing.T) {
-	for name, c := range map[string]struct {
-		at   time.Duration
-		r    Report
-		lies bool
+func TestRecordReportRejectsImplausibleClaims(t *testing.T) {
+	unknownAge := Report{Proxy: "e", Sources: []SourceClaim{{Source: "list", Version: 1}}}
+	for name, test := range map[string]struct {
+		at          time.Duration
+		report      Report
+		implausible bool
 	}{
-		"the current version":           {20 * sec, report("e", 5*sec, 2, sec), false},
-		"an old one, said to be old":    {20 * sec, report("e", 5*sec, 1, 10*sec), false},
-		"an old one, said to be new":    {20 * sec, report("e", 5*sec, 1, 9*sec), true},
-		"just superseded, on its way":   {10*sec + 100*time.Millisecond, report("e", 5*sec, 1, 0), false},
-		"one that the steward has not":  {20 * sec, report("e", 5*sec, 3, sec), false},
-		"a negative age":                {20 * sec, report("e", 5*sec, 2, -1), true},
-		"an age that is said not known": {20 * sec, Report{Proxy: "e", Sources: []SourceClaim{{Source: "list", Version: 1}}}, false},
+		"current version":                   {20 * sec, newReport(5*sec, 2, sec), false},
+		"superseded, claimed to be old":     {20 * sec, newReport(5*sec, 1, 10*sec), false},
+		"superseded, claimed to be recent":  {20 * sec, newReport(5*sec, 1, 9*sec), true},
+		"superseded while on its way":       {10*sec + 100*time.Millisecond, newReport(5*sec, 1, 0), false},
+		"later than what the server knows":  {20 * sec, newReport(5*sec, 3, sec), false},
+		"negative age":                      {20 * sec, newReport(5*sec, 2, -1), true},
+		"age that is reported as not known": {20 * sec, unknownAge, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := testMap(t)
-			err := m.RecordReport(c.at, c.r)
-			var lie ImplausibleClaimError
-			if got := errors.As(err, &lie); got != c.lies || got && (lie.Proxy != "e" || operatorerror.AdviceOf(err) == "") {
+			m := newTestMap(t)
+			err := m.RecordReport(test.at, test.report)
+			var fault ImplausibleClaimError
+			got := errors.As(err, &fault)
+			if got != test.implausible || got && (fault.Proxy != "e" || operatorerror.AdviceOf(err) == "") {
 				t.Errorf("%v", err)
 			}
-			if marked := m.Fault("e") != nil; marked != c.lies {
-				t.Errorf("marked %v", marked)
+			if faulty := m.Fault("e") != nil; faulty != test.implausible {
+				t.Errorf("fault %v", faulty)
 			}
 		})
 	}
 }
 
-func TestALyingClockIsMarkedAndAMarkIsLifted(t *testing.T) {
-	m := testMap(t)
+func TestSlowClockIsAFaultUntilReportsArePlausible(t *testing.T) {
+	m := newTestMap(t)
 	now, clock := 20*sec, 100*sec
-	for range 20 { // a clock that stands still half of the time: all that it says of ages looks new
-		must(t, nilOrLie(m.RecordReport(now, report("e", clock, 2, sec))))
-		now, clock = now+sec, clock+sec/2
+	for range 20 { // a clock at half pace makes all ages look smaller
+		must(t, ignoreImplausible(m.RecordReport(now, newReport(clock, 2, sec))))
+		now += sec
+		clock += sec / 2
 	}
 	if m.Fault("e") == nil {
-		t.Fatal("a clock at half pace is not marked")
+		t.Fatal("a clock at half pace is no fault")
 	}
-	if c := m.Count(now, "r"); c.Unknown != 1 || c.ByLevel[Fresh] != 0 {
-		t.Errorf("a marked edge counts as %v", c)
+	if counts := m.Count(now, "r"); counts.Unknown != 1 || counts.ByLevel[Fresh] != 0 {
+		t.Errorf("a faulty proxy counts as %v", counts)
 	}
 	for range 10 {
-		must(t, nilOrLie(m.RecordReport(now, report("e", clock, 2, sec))))
-		now, clock = now+sec, clock+sec
+		must(t, ignoreImplausible(m.RecordReport(now, newReport(clock, 2, sec))))
+		now += sec
+		clock += sec
 	}
 	if err := m.Fault("e"); err != nil {
-		t.Errorf("still marked: %v", err)
+		t.Errorf("still a fault: %v", err)
 	}
-	if c := m.Count(now-sec, "r"); c.ByLevel[Fresh] != 1 {
-		t.Errorf("counts as %v", c)
+	if counts := m.Count(now-sec, "r"); counts.ByLevel[Fresh] != 1 {
+		t.Errorf("counts as %v", counts)
 	}
-	if c := m.Count(now+10*sec, "r"); c.Unknown != 1 || m.Age(now+10*sec, "e", "list").Known {
-		t.Errorf("an edge that has gone silent counts as %v", c)
+	if counts := m.Count(now+10*sec, "r"); counts.Unknown != 1 || m.Age(now+10*sec, "e", "list").Known {
+		t.Errorf("a proxy that has fallen silent counts as %v", counts)
 	}
-	if m.Age(now, "nobody", "list").Known || m.Age(now, "e", "grants").Known {
-		t.Error("an age is known that nobody told")
+	if m.Age(now, "nobody", "list").Known || m.Age(now, "e", "leases").Known {
+		t.Error("an age is known that nobody reported")
 	}
 }
 
-func nilOrLie(err error) error {
+func ignoreImplausible(err error) error {
 	if errors.As(err, new(ImplausibleClaimError)) {
 		return nil
 	}
 	return err
 }
 
-// An edge that tells the truth with its errors is never marked, and its true age lies within the map's bounds.
-func TestTheTruthIsNeverMarked(t *testing.T) {
+// A proxy that reports truly within the errors of clocks and transit never has a fault, and its true age lies within
+// the map's bounds.
+func TestTrueReportsAreNeverFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, err := NewFleetMap(MapSettings{MaxTransit: sec, ReportInterval: sec, ClockDrift: .01, ClockJitter: 10 * time.Millisecond})
+		m, err := NewFleetMap(MapSettings{
+			MaxTransit:     sec,
+			ReportInterval: sec,
+			ClockDrift:     .01,
+			ClockJitter:    10 * time.Millisecond,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
+		milliseconds := func(least, most int, label string) time.Duration {
+			return time.Duration(rapid.IntRange(least, most).Draw(t, label)) * time.Millisecond
+		}
 		drift := rapid.Float64Range(-.009, .009).Draw(t, "drift")
 		m.RecordVersion(0, "list", 1)
-		changed := []time.Duration{0}
+		currentSince := []time.Duration{0} // by version, from 1
 		now := time.Duration(0)
-		for range rapid.IntRange(1, 50).Draw(t, "n") {
-			now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
+		for range rapid.IntRange(1, 50).Draw(t, "steps") {
+			now += milliseconds(1, 3000, "elapsed")
 			if rapid.Bool().Draw(t, "change") {
-				changed = append(changed, now)
-				m.RecordVersion(now+time.Duration(rapid.IntRange(0, 500).Draw(t, "late"))*time.Millisecond, "list", uint64(len(changed)))
+				currentSince = append(currentSince, now)
+				m.RecordVersion(now+milliseconds(0, 500, "late"), "list", uint64(len(currentSince)))
 			}
-			v := rapid.IntRange(1, len(changed)).Draw(t, "held")
-			age := time.Duration(0) // since the held version was the truth
-			if v < len(changed) {
-				age = now - changed[v]
+			version := rapid.IntRange(1, len(currentSince)).Draw(t, "version")
+			age := time.Duration(0) // since the version was superseded
+			if version < len(currentSince) {
+				age = now - currentSince[version]
 			}
-			bound := age + time.Duration(rapid.IntRange(0, 1000).Draw(t, "slack"))*time.Millisecond
-			way := time.Duration(rapid.IntRange(0, 999).Draw(t, "way")) * time.Millisecond
+			maxAge := age + milliseconds(0, 1000, "slack")
+			transit := milliseconds(0, 999, "transit")
 			clock := time.Duration(float64(now) * (1 + drift))
-			if err := m.RecordReport(now+way, report("e", clock, uint64(v), bound)); err != nil {
-				t.Fatalf("marked: %v", err)
+			arrival := now + transit
+			if err := m.RecordReport(arrival, newReport(clock, uint64(version), maxAge)); err != nil {
+				t.Fatalf("fault: %v", err)
 			}
-			s := m.Age(now+way, "e", "list")
-			if !s.Known || age+way < s.Min || age+way > s.Max+time.Duration(float64(way)*.01) {
-				t.Fatalf("age %v is not within %v", age+way, s)
+			bounds := m.Age(arrival, "e", "list")
+			drifted := time.Duration(float64(transit) * .01)
+			if !bounds.Known || age+transit < bounds.Min || age+transit > bounds.Max+drifted {
+				t.Fatalf("age %v is not within %v", age+transit, bounds)
 			}
 		}
 	})
 }
 
-func TestMapSettingsAreChecked(t *testing.T) {
+func TestNewFleetMapRejectsInvalidSettings(t *testing.T) {
 	if _, err := NewFleetMap(MapSettings{ClockDrift: 2, ClockJitter: -1}); !errors.As(err, new(InvalidSettingsError)) {
 		t.Error(err)
 	}
--- /dev/null
+++ b/internal/staleness/permission_test.go
@@ -0,0 +1,24 @@
+package staleness
+
+import "testing"
+
+func TestPermissionsByLevel(t *testing.T) {
+	for level := Blind; level <= Confirmed+1; level++ {
+		for idempotency := Idempotent; idempotency <= NotIdempotent+1; idempotency++ {
+			want := AnyEndpoint
+			switch {
+			case level == Blind || level > Confirmed || idempotency > NotIdempotent:
+				want = FloorOrReject
+			case level == Doubtful && idempotency == NotIdempotent:
+				want = ConfirmedOnly
+			}
+			if got := PermissionFor(level, idempotency); got != want {
+				t.Errorf("%v, idempotency %d: %d, want %d", level, idempotency, got, want)
+			}
+		}
+		requested := QuotaRequest(level, 100)
+		if level > Blind && requested < QuotaRequest(level-1, 100) || QuotaRequest(Blind, 100) >= 100 {
+			t.Errorf("%v requests %v", level, requested)
+		}
+	}
+}
