--- a/internal/policy/namespace/bench_test.go
+++ b/internal/policy/namespace/bench_test.go
@@ -7,147 +7,248 @@
 	"testing"
 )
 
-// fleet is a charter of so many teams with so many rules each, and their files. Operations has a rule over everything; each
-// team has a host of its own, and a part of a host that all share, by tenant; every tenth one delegates to the next.
-// Changed teams also write a route that their giver or their delegate has in another way.
-func fleet(tb testing.TB, teams, rules, changed int, nowhere bool) (*Declaration, []*File, []*File) {
+// benchmarkFleet is a declaration of many teams with many rules, and their files.
+type benchmarkFleet struct {
+	declaration *Declaration
+	files       []*File
+	changed     []*File // new files of the first teams
+}
+
+// mostSettings is all settings but the class, as a TOML list.
+const mostSettings = `["route", "block", "budget", "order", "service", "staleness"]`
+
+// newBenchmarkFleet makes a fleet in which operations has rules for everything, and each team has a host of its own and
+// a part of a host that all share, by tenant. Every tenth team delegates to the next. Changed teams also write a route
+// that their delegator or their delegate has differently; with noService, one that leads to no service, too.
+func newBenchmarkFleet(t testing.TB, teams, rules, changed int, noService bool) *benchmarkFleet {
+	t.Helper()
+	fleet := &benchmarkFleet{declaration: mustParseDeclaration(t, benchmarkDeclaration(teams))}
+	fleet.files = append(fleet.files, benchmarkFile(t, "operations", 1, `[[service]]
+name = "s"
+[[route]]
+name = "all"
+to = [{ service = "s" }]
+[[route]]
+name = "health"
+path = "/health"
+to = [{ service = "s" }]
+`))
+	for team := range teams {
+		name := fmt.Sprint("team-", team)
+		body := benchmarkRules(team, rules)
+		fleet.files = append(fleet.files, benchmarkFile(t, name, 1, body))
+		if team >= changed {
+			continue
+		}
+		if noService {
+			body += benchmarkRoute("nowhere", fmt.Sprintf("team-%d.org", team), `path = "/nowhere"`, "none")
+		}
+		body += benchmarkRoute("new", fmt.Sprintf("team-%d.org", team), `path = "/lent/x"`, fmt.Sprint("s", team))
+		fleet.changed = append(fleet.changed, benchmarkFile(t, name, 2, body))
+	}
+	return fleet
+}
+
+func benchmarkFile(t testing.TB, name string, number int, body string) *File {
+	t.Helper()
+	return mustParse(t, fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n%s", name, number, body))
+}
+
+func benchmarkRoute(name, host, match, service string) string {
+	return fmt.Sprintf("[[route]]\nname = %q\nhost = %q\n%s\nto = [{ service = %q }]\n", name, host, match, service)
+}
+
+func benchmarkDeclaration(teams int) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "version = 1\n[[budget]]\nname = \"attempts\"\nwhole = %d\n[[namespace]]\nname = \"operations\"\nowner = \"o\"\nbudgets = [\"*\"]\nzones = [\"*\"]\n"+
-		"settings = [\"route\", \"block\", \"budget\", \"order\", \"service\", \"staleness\"]\n", teams*100)
+	fmt.Fprintf(&text, `version = 1
+[[budget]]
+name = "attempts"
+whole = %d
+[[namespace]]
+name = "operations"
+owner = "o"
+budgets = ["*"]
+zones = ["*"]
+settings = %s
+`, teams*100, mostSettings)
 	for i := range teams {
-		fmt.Fprintf(&text, "[[namespace]]\nname = \"team-%d\"\nowner = \"t\"\nclasses = [\"class-%d\"]\nsettings = [\"class\"]\n", i, i)
-		fmt.Fprintf(&text, "[[delegation]]\nfrom = \"operations\"\nto = \"team-%d\"\nhosts = [\"team-%d.org\", \"*.team-%d.org\"]\nbudgets = [\"attempts\"]\nzones = [\"z%d\"]\n"+
-			"settings = [\"route\", \"block\", \"budget\", \"order\", \"service\", \"staleness\"]\n", i, i, i, i)
-		fmt.Fprintf(&text, "[[delegation]]\nfrom = \"operations\"\nto = \"team-%d\"\nhosts = [\"shared.org\"]\ntenants = [\"tenant-%d\"]\nsettings = [\"route\"]\n", i, i)
+		fmt.Fprintf(&text, `[[namespace]]
+name = "team-%[1]d"
+owner = "t"
+classes = ["class-%[1]d"]
+settings = ["class"]
+[[delegation]]
+from = "operations"
+to = "team-%[1]d"
+hosts = ["team-%[1]d.org", "*.team-%[1]d.org"]
+budgets = ["attempts"]
+zones = ["z%[1]d"]
+settings = %[2]s
+[[delegation]]
+from = "operations"
+to = "team-%[1]d"
+hosts = ["shared.org"]
+tenants = ["tenant-%[1]d"]
+settings = ["route"]
+`, i, mostSettings)
 		if i%10 == 0 {
-			fmt.Fprintf(&text, "[[delegation]]\nfrom = \"team-%d\"\nto = \"team-%d\"\nhosts = [\"team-%d.org\"]\npath_prefixes = [\"/lent\"]\nsettings = [\"route\"]\n", i, i+1, i)
+			fmt.Fprintf(&text, `[[delegation]]
+from = "team-%[1]d"
+to = "team-%[2]d"
+hosts = ["team-%[1]d.org"]
+path_prefixes = ["/lent"]
+settings = ["route"]
+`, i, i+1)
 		}
 	}
-	c, err := ParseDeclaration("charter.toml", []byte(text.String()))
-	if err != nil {
-		tb.Fatal(err)
-	}
-	file := func(name string, number int, body string) *File {
-		n, err := Parse(name, []byte(fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n%s", name, number, body)))
-		if err != nil {
-			tb.Fatal(err)
-		}
-		return n
+	return text.String()
+}
+
+// benchmarkRules is the rules of a team: one of each other kind, and routes.
+func benchmarkRules(team, rules int) string {
+	const otherRules = 6
+	var text strings.Builder
+	fmt.Fprintf(&text, `[[service]]
+name = "s%[1]d"
+[[class]]
+name = "class-%[1]d"
+aim = "1s"
+[[budget]]
+name = "attempts"
+min = 50
+[[block]]
+name = "b"
+host = "team-%[1]d.org"
+path_prefix = "/old"
+[[order]]
+name = "o"
+server = "d-%[1]d"
+zone = "z%[1]d"
+do = "detach"
+`, team)
+	service := fmt.Sprint("s", team)
+	if team%10 == 1 {
+		text.WriteString(benchmarkRoute("lent", fmt.Sprintf("team-%d.org", team-1), `path_prefix = "/lent"`, service))
 	}
-	all := []*File{file("operations", 1, "[[service]]\nname = \"s\"\n[[route]]\nname = \"all\"\nto = [{ service = \"s\" }]\n[[route]]\nname = \"health\"\npath = \"/health\"\nto = [{ service = \"s\" }]\n")}
-	var next []*File
-	for i := range teams {
-		var b strings.Builder
-		fmt.Fprintf(&b, "[[service]]\nname = \"s%d\"\n[[class]]\nname = \"class-%d\"\naim = \"1s\"\n[[budget]]\nname = \"attempts\"\nmin = 50\n", i, i)
-		fmt.Fprintf(&b, "[[block]]\nname = \"b\"\nhost = \"team-%d.org\"\npath_prefix = \"/old\"\n[[order]]\nname = \"o\"\nserver = \"d-%d\"\nzone = \"z%d\"\ndo = \"detach\"\n", i, i, i)
-		if i%10 == 1 {
-			fmt.Fprintf(&b, "[[route]]\nname = \"lent\"\nhost = \"team-%d.org\"\npath_prefix = \"/lent\"\nto = [{ service = \"s%d\" }]\n", i-1, i)
-		}
-		for k := range rules - 6 {
-			host, more := fmt.Sprintf("team-%d.org", i), ""
-			switch k % 4 {
-			case 1:
-				host = fmt.Sprintf("*.team-%d.org", i)
-			case 2:
-				host, more = "shared.org", fmt.Sprintf("tenants = [\"tenant-%d\"]\n", i)
-			case 3:
-				more = "methods = [\"POST\", \"PUT\"]\nclasses = [\"c\", \"d\"]\n"
-			}
-			fmt.Fprintf(&b, "[[route]]\nname = \"r%d\"\nhost = %q\npath_prefix = \"/api/v%d/p%d\"\n%sto = [{ service = \"s%d\" }]\n", k, host, k%7, k/4*4, more, i)
-		}
-		all = append(all, file(fmt.Sprintf("team-%d", i), 1, b.String()))
-		if i < changed && nowhere {
-			fmt.Fprintf(&b, "[[route]]\nname = \"nowhere\"\nhost = \"team-%d.org\"\npath = \"/nowhere\"\nto = [{ service = \"none\" }]\n", i)
-		}
-		if i < changed {
-			fmt.Fprintf(&b, "[[route]]\nname = \"new\"\nhost = \"team-%d.org\"\npath = \"/lent/x\"\nto = [{ service = \"s%d\" }]\n", i, i)
-			next = append(next, file(fmt.Sprintf("team-%d", i), 2, b.String()))
+	for i := range rules - otherRules {
+		host := fmt.Sprintf("team-%d.org", team)
+		match := fmt.Sprintf("path_prefix = \"/api/v%d/p%d\"", i%7, i/4*4)
+		switch i % 4 {
+		case 1:
+			host = "*." + host
+		case 2:
+			host = "shared.org"
+			match += fmt.Sprintf("\ntenants = [\"tenant-%d\"]", team)
+		case 3:
+			match += "\nmethods = [\"POST\", \"PUT\"]\nclasses = [\"c\", \"d\"]"
 		}
+		text.WriteString(benchmarkRoute(fmt.Sprint("r", i), host, match, service))
 	}
-	return c, all, next
+	return text.String()
 }
 
-// What the benchmarks merge must be what they say it is.
-func TestTheBenchedFleet(t *testing.T) {
-	c, all, next := fleet(t, 20, 40, 20, false)
-	first := Merge(c, nil, all)
+// The fleet of the benchmarks merges without a conflict, and its changed files as they should.
+func TestBenchmarkFleet(t *testing.T) {
+	fleet := newBenchmarkFleet(t, 20, 40, 20, false)
+	first := Merge(fleet.declaration, nil, fleet.files)
 	if len(first.Withheld) > 0 || len(first.Conflicts) > 0 {
-		t.Fatalf("held %v, conflicts %v", first.Withheld, first.Conflicts)
+		t.Fatalf("withheld %v, conflicts %v", first.Withheld, first.Conflicts)
 	}
-	out := Merge(c, first.Accepted, next)
+	out := Merge(fleet.declaration, first.Accepted, fleet.changed)
 	if len(out.Withheld) != 2 || out.Withheld[0].Namespace != "team-0" || out.Withheld[1].Namespace != "team-10" {
-		t.Errorf("held %v", out.Withheld)
+		t.Errorf("withheld %v", out.Withheld)
 	}
 }
 
 func BenchmarkMerge(b *testing.B) {
-	for _, k := range []struct {
-		name    string
-		changed int
-		nowhere bool
-	}{{"first", 0, false}, {"one changed", 1, false}, {"all changed, 10 held", 100, false}, {"all changed, all held", 100, true}} {
-		b.Run(k.name, func(b *testing.B) {
-			c, all, next := fleet(b, 100, 100, k.changed, k.nowhere)
-			good, offered := all, next
-			if k.changed == 0 {
-				good, offered = nil, all
+	for _, bench := range []struct {
+		name      string
+		changed   int
+		noService bool
+	}{
+		{"first", 0, false},
+		{"one changed", 1, false},
+		{"all changed, 10 withheld", 100, false},
+		{"all changed, all withheld", 100, true},
+	} {
+		b.Run(bench.name, func(b *testing.B) {
+			fleet := newBenchmarkFleet(b, 100, 100, bench.changed, bench.noService)
+			accepted := fleet.files
+			submitted := fleet.changed
+			if bench.changed == 0 {
+				accepted = nil
+				submitted = fleet.files
 			}
-			total := 0
-			for _, n := range all {
-				total += n.Rules()
+			rules := 0
+			for _, f := range fleet.files {
+				rules += f.Rules()
 			}
-			held := 0
+			withheld := 0
 			for b.Loop() {
-				held = len(Merge(c, good, offered).Withheld)
+				withheld = len(Merge(fleet.declaration, accepted, submitted).Withheld)
 			}
-			b.ReportMetric(float64(total), "rules")
-			b.ReportMetric(float64(held), "held")
+			b.ReportMetric(float64(rules), "rules")
+			b.ReportMetric(float64(withheld), "withheld")
 		})
 	}
 }
 
-// across is two teams whose domains overlap by the charter's mistake, one with routes by path, the other by tenant: each
-// of one meets each of the other.
-func across(tb testing.TB, n int) (*Declaration, []*File) {
-	c, err := ParseDeclaration("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\nowner = \"a\"\nsettings = [\"route\", \"service\"]\n[[namespace]]\nname = \"b\"\nowner = \"b\"\nsettings = [\"route\", \"service\"]\n"))
-	if err != nil {
-		tb.Fatal(err)
-	}
-	a := &File{Version: 1, Name: "a", Number: 1, Services: []Service{{Name: "s"}}}
-	b := &File{Version: 1, Name: "b", Number: 1, Services: []Service{{Name: "r"}}}
-	for i := range n {
-		a.Routes = append(a.Routes, Route{Name: fmt.Sprint("r", i), Match: Match{Path: fmt.Sprint("/x/", i)}, To: []Target{{Service: "s"}}})
-		b.Routes = append(b.Routes, Route{Name: fmt.Sprint("r", i), Match: Match{Host: "*.org", Tenants: []string{fmt.Sprint("t", i)}}, To: []Target{{Service: "r"}}})
-	}
-	for _, x := range []*File{a, b} {
-		if err := x.check(); err != nil {
-			tb.Fatal(err)
+// contradictoryTeams is two teams whose domains overlap by a fault of the declaration. One has routes by path, the
+// other by tenant, and each of one meets each of the other.
+func contradictoryTeams(t testing.TB, routes int) (*Declaration, []*File) {
+	t.Helper()
+	d := mustParseDeclaration(t, `version = 1
+[[namespace]]
+name = "a"
+owner = "a"
+settings = ["route", "service"]
+[[namespace]]
+name = "b"
+owner = "b"
+settings = ["route", "service"]
+`)
+	a := &File{Version: FileVersion, Name: "a", Number: 1, Services: []Service{{Name: "s"}}}
+	b := &File{Version: FileVersion, Name: "b", Number: 1, Services: []Service{{Name: "r"}}}
+	for i := range routes {
+		name := fmt.Sprint("r", i)
+		byPath := Match{Path: fmt.Sprint("/x/", i)}
+		byTenant := Match{Host: "*.org", Tenants: []string{fmt.Sprint("t", i)}}
+		a.Routes = append(a.Routes, Route{Name: name, Match: byPath, To: []Target{{Service: "s"}}})
+		b.Routes = append(b.Routes, Route{Name: name, Match: byTenant, To: []Target{{Service: "r"}}})
+	}
+	for _, f := range []*File{a, b} {
+		if err := f.check(); err != nil {
+			t.Fatal(err)
 		}
 	}
-	return c, []*File{a, b}
+	return d, []*File{a, b}
 }
 
-// Two teams that conflict in millions of pairs stop nobody and fill no memory.
-func TestTeamsAcrossEachOther(t *testing.T) {
-	c, set := across(t, 100)
-	third := Merge(c, set[:1], set[1:])
-	if len(third.Withheld) != 1 || third.Withheld[0].Namespace != "b" || len(third.Policy.Routes) != 100 {
-		t.Errorf("%d held, %d routes", len(third.Withheld), len(third.Policy.Routes))
-	}
-	if n := len(third.Conflicts); n > 101*maxConflictsPerRoute || !slices.ContainsFunc(third.Conflicts, func(x Conflict) bool { return x.More }) {
+// Two teams whose routes contradict each other in many pairs stop nobody and fill no memory.
+func TestManyContradictionsAreBounded(t *testing.T) {
+	const routes = 100
+	d, set := contradictoryTeams(t, routes)
+	out := Merge(d, set[:1], set[1:])
+	wantWithheld(t, out, "b", nil)
+	if len(out.Policy.Routes) != routes {
+		t.Errorf("%d routes", len(out.Policy.Routes))
+	}
+	hasMore := slices.ContainsFunc(out.Conflicts, func(c Conflict) bool { return c.More })
+	if n := len(out.Conflicts); n > (routes+1)*maxConflictsPerRoute || !hasMore {
 		t.Errorf("%d conflicts listed", n)
 	}
-	// With neither changed, as after a slip of the charter, the last by the order loses its routes.
-	both := Merge(c, set, nil)
-	if len(both.Withheld) != 1 || both.Withheld[0].Namespace != "b" || len(both.Policy.Routes) != 100 || len(both.Accepted) != 2 {
-		t.Errorf("%v held, %d routes", len(both.Withheld), len(both.Policy.Routes))
+	// With neither changed, as after a fault of the declaration, the last by precedence loses its routes.
+	out = Merge(d, set, nil)
+	wantWithheld(t, out, "b", nil)
+	if len(out.Policy.Routes) != routes || len(out.Accepted) != 2 {
+		t.Errorf("%d routes, %d files accepted", len(out.Policy.Routes), len(out.Accepted))
 	}
 }
 
-func BenchmarkAcross(b *testing.B) {
-	c, set := across(b, 5000)
+func BenchmarkManyContradictions(b *testing.B) {
+	d, set := contradictoryTeams(b, 5000)
 	for b.Loop() {
-		if out := Merge(c, set, nil); len(out.Withheld) != 1 {
+		if out := Merge(d, set, nil); len(out.Withheld) != 1 {
 			b.Fatal(out.Withheld)
 		}
 	}
@@ -157,7 +258,7 @@
 	var text strings.Builder
 	text.WriteString("version = 1\nnamespace = \"x\"\nnumber = 1\n")
 	for i := range 10_000 {
-		fmt.Fprintf(&text, "[[route]]\nname = \"r%d\"\nhost = \"h%d.org\"\npath_prefix = \"/api\"\nto = [{ service = \"s\" }]\n", i, i)
+		text.WriteString(benchmarkRoute(fmt.Sprint("r", i), fmt.Sprintf("h%d.org", i), `path_prefix = "/api"`, "s"))
 	}
 	for b.Loop() {
 		if _, err := Parse("x", []byte(text.String())); err != nil {
@@ -167,10 +268,10 @@
 }
 
 func BenchmarkHash(b *testing.B) {
-	c, all, _ := fleet(b, 100, 100, 0, false)
-	p := Merge(c, nil, all).Policy
-	b.SetBytes(int64(len(p.Encode())))
+	fleet := newBenchmarkFleet(b, 100, 100, 0, false)
+	policy := Merge(fleet.declaration, nil, fleet.files).Policy
+	b.SetBytes(int64(len(policy.Encode())))
 	for b.Loop() {
-		p.Hash()
+		policy.Hash()
 	}
 }
--- a/internal/policy/namespace/contradiction.go
+++ b/internal/policy/namespace/contradiction.go
@@ -21,15 +21,15 @@
 		return nil
 	}
 	key := [2]*File{a, b}
-	if found, ok := f.contradictions[key]; ok {
-		return found
+	if conflicts, ok := f.contradictions[key]; ok {
+		return conflicts
 	}
 	// Each pair of routes is compared once, at the host of the inner one; equal hosts count for the first search.
 	first := contradictionSearch{finder: f, inner: b, outer: a, equalHosts: true}
 	second := contradictionSearch{finder: f, inner: a, outer: b}
-	found := append(first.run(), second.run()...)
-	f.contradictions[key] = found
-	return found
+	conflicts := append(first.run(), second.run()...)
+	f.contradictions[key] = conflicts
+	return conflicts
 }
 
 // contradictionSearch compares the routes of one file with those of another whose hosts contain theirs.
@@ -38,7 +38,7 @@
 	inner      *File
 	outer      *File
 	equalHosts bool // hosts that are equal are compared, too
-	found      []Conflict
+	conflicts  []Conflict
 }
 
 func (s *contradictionSearch) run() []Conflict {
@@ -46,7 +46,7 @@
 	for i := range s.inner.Routes {
 		s.compareRoute(&s.inner.Routes[i], index)
 	}
-	return s.found
+	return s.conflicts
 }
 
 // compareRoute compares a route with those of the outer file. Where the hosts differ, the route has precedence, so a
@@ -70,7 +70,7 @@
 			}
 			with = append(with, id)
 			conflict.More = len(with) == maxConflictsPerRoute
-			s.found = append(s.found, conflict)
+			s.conflicts = append(s.conflicts, conflict)
 			return !conflict.More
 		})
 	})
--- a/internal/policy/namespace/errors.go
+++ b/internal/policy/namespace/errors.go
@@ -129,7 +129,8 @@
 // Advice returns the team's next step.
 func (OutsideDomainError) Advice() string {
 	return "Narrow the rule to the namespace's domain, " +
-		"or ask the domain's owner to delegate that part in the charter. A rule must lie within one part of the domain; one that spans two is written twice."
+		"or ask the domain's owner to delegate that part in the charter. " +
+		"A rule must lie within one part of the domain; one that spans two is written twice."
 }
 
 // DelegationCycleError is returned for delegations that lead back to where they began.
--- a/internal/policy/namespace/exhaustive_test.go
+++ b/internal/policy/namespace/exhaustive_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"strings"
 	"testing"
@@ -12,242 +11,351 @@
 	"lapisspread/internal/route"
 )
 
-// The slow search: every request over a small alphabet, through tables of package route that hold one rule each. The alphabet has
-// a word that no rule names (f) in each place, so what it does not show does not exist.
-
-var (
-	drawnHosts    = []string{"", "a", "*.a", "b.a", "*.b.a", "b"}
-	drawnPaths    = []string{"", "=/x", "=/x/", "/", "/x", "/x/y"} // with = it is exact
-	drawnMethods  = [][]string{nil, nil, {"GET"}, {"GET", "POST"}, {"POST"}}
-	drawnClasses  = [][]string{nil, nil, {"c"}}
-	drawnTenants  = [][]string{nil, nil, {"t"}, {"t", "u"}, {"u"}}
-	everyRequest  []route.Request
-	masks         = map[string][]uint64{}
-	ofMatch       = map[*Match][]uint64{} // of one set
-	ofDomain      = map[*Domain][]uint64{}
-	moments       = 8
-	begin         = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	drawnServices = []string{"s", "r"}
-)
+// The exhaustive search looks at every request over a small alphabet, with tables of package route that have one rule
+// each. The alphabet has a word that no rule names (f) in each place, so a conflict that it does not show does not
+// exist.
+
+// exhaustiveKinds are the kinds of conflicts that the exhaustive search finds.
+var exhaustiveKinds = []ConflictKind{
+	Contradiction, ContradictoryOverrides, MinimumsExceedLimit, ServiceRemoved, DomainOverlap, UnreachableRule,
+}
+
+// exhaustiveHours are the hours after randomStart at which overrides are compared.
+const exhaustiveHours = 8
 
-func init() {
-	for _, h := range []string{"a", "b", "f", "b.a", "f.a", "f.b.a"} {
-		for _, p := range []string{"/", "/f", "/x", "/x/", "/x/f", "/x/y", "/x/y/f"} {
-			for _, m := range []string{"GET", "POST", "f"} {
-				for _, c := range []string{"c", "f"} {
-					for _, t := range []string{"t", "u", "f"} {
-						everyRequest = append(everyRequest, route.Request{Host: h, Path: p, Method: m, Class: c, Tenant: t})
+// everyRequest is all requests over the alphabet.
+var everyRequest = func() []route.Request {
+	var all []route.Request
+	for _, host := range []string{"a", "b", "f", "b.a", "f.a", "f.b.a"} {
+		for _, path := range []string{"/", "/f", "/x", "/x/", "/x/f", "/x/y", "/x/y/f"} {
+			for _, method := range []string{"GET", "POST", "f"} {
+				for _, class := range []string{"c", "f"} {
+					for _, tenant := range []string{"t", "u", "f"} {
+						all = append(all, route.Request{
+							Host: host, Path: path, Method: method, Class: class, Tenant: tenant,
+						})
 					}
 				}
 			}
 		}
 	}
+	return all
+}()
+
+// requestSet is a set of requests: one bit for each of everyRequest.
+type requestSet []uint64
+
+// matchSets caches the requests of matches, by their texts.
+var matchSets = map[string]requestSet{}
+
+func newRequestSet() requestSet { return make(requestSet, len(everyRequest)/64+1) }
+
+func (s requestSet) has(i int) bool { return s[i/64]&(1<<(i%64)) != 0 }
+
+func (s requestSet) empty() bool {
+	return !slices.ContainsFunc(s, func(word uint64) bool { return word != 0 })
 }
 
-// mask is all requests of a match, as package route sees it.
-func mask(m *Match) []uint64 {
-	if v, there := ofMatch[m]; there {
-		return v
+func (s requestSet) minus(other requestSet) requestSet {
+	rest := slices.Clone(s)
+	for i := range rest {
+		rest[i] &^= other[i]
 	}
-	ofMatch[m] = maskOf(m)
-	return ofMatch[m]
+	return rest
 }
 
-func maskOf(m *Match) []uint64 {
-	key := fmt.Sprintf("%+v", *m)
-	if v, there := masks[key]; there {
-		return v
-	}
-	table, err := route.Compile([]route.Rule{m.rule("", []route.Target{{Service: "s", Weight: 1}})}, "")
-	if err != nil {
-		panic(err)
-	}
-	v := make([]uint64, len(everyRequest)/64+1)
+func (s requestSet) within(other requestSet) bool { return s.minus(other).empty() }
+
+// common returns a request that is in both sets, or nil.
+func (s requestSet) common(other requestSet) *route.Request {
 	for i := range everyRequest {
-		if _, verdict := table.Lookup(&everyRequest[i]); verdict == route.Found {
-			v[i/64] |= 1 << (i % 64)
+		if s.has(i) && other.has(i) {
+			return &everyRequest[i]
 		}
 	}
-	masks[key] = v
-	return v
+	return nil
 }
 
-// common calls f with what is in both, and gives whether there is any.
-func common(a, b []uint64) bool {
-	for i := range a {
-		if a[i]&b[i] != 0 {
+func (s requestSet) intersects(other requestSet) bool {
+	for i := range s {
+		if s[i]&other[i] != 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func minus(a, b []uint64) []uint64 {
-	out := slices.Clone(a)
-	for i := range out {
-		out[i] &^= b[i]
+// tableOf returns a table with one rule for a match.
+func tableOf(m *Match) *route.Table {
+	table, err := route.Compile([]route.Rule{m.probeRule("")}, "")
+	if err != nil {
+		panic(err)
+	}
+	return table
+}
+
+// requestsOf returns all requests of a match, as package route sees it.
+func requestsOf(m *Match) requestSet {
+	key := fmt.Sprintf("%+v", *m)
+	if set, ok := matchSets[key]; ok {
+		return set
 	}
-	return out
+	table := tableOf(m)
+	set := newRequestSet()
+	for i := range everyRequest {
+		if _, verdict := table.Lookup(&everyRequest[i]); verdict == route.Found {
+			set[i/64] |= 1 << (i % 64)
+		}
+	}
+	matchSets[key] = set
+	return set
+}
+
+// exhaustiveSearch finds the conflicts of a set of files, each as a text of its kind and rules.
+type exhaustiveSearch struct {
+	declaration *Declaration
+	files       []*File
+	matches     map[*Match]requestSet
+	domains     map[*Domain]requestSet
+	found       map[string]bool
+}
+
+func searchExhaustively(d *Declaration, files []*File) map[string]bool {
+	s := &exhaustiveSearch{
+		declaration: d,
+		files:       files,
+		matches:     map[*Match]requestSet{},
+		domains:     map[*Domain]requestSet{},
+		found:       map[string]bool{},
+	}
+	s.searchRoutes()
+	s.searchServices()
+	s.searchOverrides()
+	s.searchMinimums()
+	s.searchOverlaps()
+	return s.found
 }
 
-func none(a []uint64) bool { return !slices.ContainsFunc(a, func(w uint64) bool { return w != 0 }) }
+func (s *exhaustiveSearch) add(kind ConflictKind, rules ...Source) {
+	s.found[fmt.Sprint(kind, sources(rules...))] = true
+}
+
+func (s *exhaustiveSearch) requests(m *Match) requestSet {
+	set, ok := s.matches[m]
+	if !ok {
+		set = requestsOf(m)
+		s.matches[m] = set
+	}
+	return set
+}
 
-// domainMasks are the requests of each of a domain's parts.
-func domainMask(d *Domain) []uint64 {
-	if v, there := ofDomain[d]; there {
-		return v
+// domainRequests returns the requests of all parts of a domain.
+func (s *exhaustiveSearch) domainRequests(d *Domain) requestSet {
+	if set, ok := s.domains[d]; ok {
+		return set
 	}
-	out := make([]uint64, len(everyRequest)/64+1)
-	hosts, paths := d.Hosts, d.PathPrefixes
+	set := newRequestSet()
+	hosts := d.Hosts
 	if hosts == nil {
 		hosts = []string{""}
 	}
-	if paths == nil {
-		paths = []string{""}
+	prefixes := d.PathPrefixes
+	if prefixes == nil {
+		prefixes = []string{""}
 	}
-	for _, h := range hosts {
-		for _, p := range paths {
-			for i, w := range maskOf(&Match{Host: h, PathPrefix: p, Classes: d.Classes, Tenants: d.Tenants}) {
-				out[i] |= w
+	for _, host := range hosts {
+		for _, prefix := range prefixes {
+			part := requestsOf(&Match{Host: host, PathPrefix: prefix, Classes: d.Classes, Tenants: d.Tenants})
+			for i, word := range part {
+				set[i] |= word
 			}
 		}
 	}
-	ofDomain[d] = out
-	return out
+	s.domains[d] = set
+	return set
 }
 
-// slowUnder tells whether a route stands in what the other delegated, straight or through others, from the charter alone.
-func slowUnder(c *Declaration, name, other string, m *Match) bool {
-	for _, d := range c.Delegations {
-		if d.To != name || !slices.Contains(d.Settings, SettingRoute) || !none(minus(mask(m), domainMask(&d.Domain))) {
+// delegated reports whether a route is within what another namespace delegated, directly or through others.
+func (s *exhaustiveSearch) delegated(to, from string, m *Match) bool {
+	for i := range s.declaration.Delegations {
+		d := &s.declaration.Delegations[i]
+		if d.To != to || !slices.Contains(d.Settings, SettingRoute) {
 			continue
 		}
-		if d.From == other {
-			return true
+		if !s.requests(m).within(s.domainRequests(&d.Domain)) {
+			continue
 		}
-		if slowUnder(c, d.From, other, m) {
+		if d.From == from || s.delegated(d.From, from, m) {
 			return true
 		}
 	}
 	return false
 }
 
-// goesFirst tells which of two routes package route takes for a request: 1, -1, or 0 if they tie.
-func goesFirst(a, b *Route, q *route.Request) int {
-	table, err := route.Compile([]route.Rule{a.Match.rule("a", a.targets()), b.Match.rule("b", b.targets())}, "")
+// ownedRoute is a route with the file that it is of.
+type ownedRoute struct {
+	file  *File
+	route *Route
+}
+
+func (r ownedRoute) source() Source { return r.file.source(r.route.id()) }
+
+// compareByTable returns 1 if package route chooses the first of two routes for a request, -1 if the second, and 0 if
+// they are of equal precedence.
+func compareByTable(a, b *Route, request *route.Request) int {
+	table, err := route.Compile([]route.Rule{a.rule("a", a.targets()), b.rule("b", b.targets())}, "")
 	if err != nil {
 		return 0
 	}
-	if r, _ := table.Lookup(q); r.Name == "a" {
+	if chosen, _ := table.Lookup(request); chosen.Name == "a" {
 		return 1
 	}
 	return -1
 }
 
-// slow finds what Check finds, each as kind and rules.
-func slow(c *Declaration, set []*File) map[string]bool {
-	clear(ofMatch)
-	clear(ofDomain)
-	out := map[string]bool{}
-	add := func(k ConflictKind, rules ...Source) { out[fmt.Sprint(k, sources(rules...))] = true }
-	type one struct {
-		n *File
-		r *Route
-	}
-	var routes []one
+// searchRoutes finds contradictions and unreachable routes.
+func (s *exhaustiveSearch) searchRoutes() {
+	var routes []ownedRoute
 	var blocks []*Match
-	offered, gone := map[string]bool{}, map[string]bool{}
-	for _, n := range set {
-		for i := range n.Routes {
-			routes = append(routes, one{n, &n.Routes[i]})
-		}
-		for i := range n.Blocks {
-			blocks = append(blocks, &n.Blocks[i].Match)
+	for _, f := range s.files {
+		for i := range f.Routes {
+			routes = append(routes, ownedRoute{f, &f.Routes[i]})
 		}
-		for i := range n.Services {
-			offered[n.Services[i].Name] = true
-			gone[n.Services[i].Name] = gone[n.Services[i].Name] || n.Services[i].Removed
+		for i := range f.Blocks {
+			blocks = append(blocks, &f.Blocks[i].Match)
 		}
 	}
 	for i, a := range routes {
-		left := mask(&a.r.Match)
+		left := s.requests(&a.route.Match)
 		for _, m := range blocks {
-			left = minus(left, mask(m))
+			left = left.minus(s.requests(m))
 		}
 		for k, b := range routes {
-			if i == k || !common(mask(&a.r.Match), mask(&b.r.Match)) {
+			if i == k {
 				continue
 			}
-			var q *route.Request
-			for x := range everyRequest {
-				if mask(&a.r.Match)[x/64]&mask(&b.r.Match)[x/64]&(1<<(x%64)) != 0 {
-					q = &everyRequest[x]
-					break
-				}
-			}
-			first := goesFirst(a.r, b.r, q)
-			if first < 0 {
-				left = minus(left, mask(&b.r.Match))
-			}
-			if k > i || a.n == b.n {
+			request := s.requests(&a.route.Match).common(s.requests(&b.route.Match))
+			if request == nil {
 				continue
 			}
-			if first == 0 || !(first > 0 && slowUnder(c, a.n.Name, b.n.Name, &a.r.Match) || first < 0 && slowUnder(c, b.n.Name, a.n.Name, &b.r.Match)) &&
-				fmt.Sprint(a.r.targets()) != fmt.Sprint(b.r.targets()) {
-				add(Contradiction, a.n.source(a.r.id()), b.n.source(b.r.id()))
+			order := compareByTable(a.route, b.route, request)
+			if order < 0 {
+				left = left.minus(s.requests(&b.route.Match))
+			}
+			if k < i && a.file != b.file && s.contradict(a, b, order) {
+				s.add(Contradiction, a.source(), b.source())
 			}
 		}
-		if none(left) {
-			add(UnreachableRule, a.n.source(a.r.id()))
+		if left.empty() {
+			s.add(UnreachableRule, a.source())
 		}
-		for _, to := range a.r.To {
-			if !offered[to.Service] || gone[to.Service] {
-				add(ServiceRemoved, a.n.source(a.r.id()))
+	}
+}
+
+// contradict reports whether two routes that meet contradict each other.
+func (s *exhaustiveSearch) contradict(a, b ownedRoute, order int) bool {
+	if order == 0 {
+		return true
+	}
+	if fmt.Sprint(a.route.targets()) == fmt.Sprint(b.route.targets()) {
+		return false
+	}
+	if order > 0 {
+		return !s.delegated(a.file.Name, b.file.Name, &a.route.Match)
+	}
+	return !s.delegated(b.file.Name, a.file.Name, &b.route.Match)
+}
+
+// searchServices finds routes to services that are not there.
+func (s *exhaustiveSearch) searchServices() {
+	defined := map[string]bool{}
+	removed := map[string]bool{}
+	for _, f := range s.files {
+		for _, service := range f.Services {
+			defined[service.Name] = true
+			removed[service.Name] = removed[service.Name] || service.Removed
+		}
+	}
+	for _, f := range s.files {
+		for i := range f.Routes {
+			for _, to := range f.Routes[i].To {
+				if !defined[to.Service] || removed[to.Service] {
+					s.add(ServiceRemoved, f.source(f.Routes[i].id()))
+				}
 			}
 		}
 	}
-	for i, a := range set {
-		for _, b := range set[:i] {
+}
+
+// inForce reports whether an override is in force at a time.
+func inForce(o *Override, at time.Time) bool {
+	return !at.Before(o.From) && (o.Until.IsZero() || at.Before(o.Until))
+}
+
+func (s *exhaustiveSearch) searchOverrides() {
+	for i, a := range s.files {
+		for _, b := range s.files[:i] {
 			for x := range a.Overrides {
 				for y := range b.Overrides {
-					for m := range moments {
-						at := begin.Add(time.Duration(m) * time.Hour)
-						o, p := &a.Overrides[x], &b.Overrides[y]
-						in := func(o *Override) bool { return !at.Before(o.From) && (o.Until.IsZero() || at.Before(o.Until)) }
-						if o.Server == p.Server && o.Action != p.Action && in(o) && in(p) {
-							add(ContradictoryOverrides, a.source(o.id()), b.source(p.id()))
-						}
+					if overridesContradict(&a.Overrides[x], &b.Overrides[y]) {
+						s.add(ContradictoryOverrides,
+							a.source(a.Overrides[x].id()), b.source(b.Overrides[y].id()))
 					}
 				}
 			}
 		}
 	}
-	var mins []Source
+}
+
+func overridesContradict(a, b *Override) bool {
+	if a.Server != b.Server || a.Action == b.Action {
+		return false
+	}
+	for hour := range exhaustiveHours {
+		at := randomStart.Add(time.Duration(hour) * time.Hour)
+		if inForce(a, at) && inForce(b, at) {
+			return true
+		}
+	}
+	return false
+}
+
+func (s *exhaustiveSearch) searchMinimums() {
+	var rules []Source
 	sum := int64(0)
-	for _, n := range set {
-		for i := range n.Quotas {
-			sum += n.Quotas[i].Min
-			mins = append(mins, n.source(n.Quotas[i].id()))
+	for _, f := range s.files {
+		for i := range f.Quotas {
+			sum += f.Quotas[i].Min
+			rules = append(rules, f.source(f.Quotas[i].id()))
 		}
 	}
-	if sum > c.limits["w"] {
-		add(MinimumsExceedLimit, mins...)
+	if sum > s.declaration.limits[randomQuota] {
+		s.add(MinimumsExceedLimit, rules...)
 	}
-	for i := range c.Namespaces {
+}
+
+func (s *exhaustiveSearch) searchOverlaps() {
+	namespaces := s.declaration.Namespaces
+	for i := range namespaces {
 		for k := range i {
-			if slowOverlap(c, c.Namespaces[i].Name, c.Namespaces[k].Name) {
-				add(DomainOverlap, Source{Namespace: c.Namespaces[i].Name, Rule: "charter"}, Source{Namespace: c.Namespaces[k].Name, Rule: "charter"})
+			if !s.overlap(namespaces[i].Name, namespaces[k].Name) {
+				continue
 			}
+			s.add(DomainOverlap,
+				Source{Namespace: namespaces[i].Name, Rule: declarationRule},
+				Source{Namespace: namespaces[k].Name, Rule: declarationRule})
 		}
 	}
-	return out
 }
 
-// slowOverlap walks each part of two domains back to its root: parts that meet must have one of the two on the other's way.
-func slowOverlap(c *Declaration, a, b string) bool {
-	for _, x := range ways(c, a, nil, nil) {
-		for _, y := range ways(c, b, nil, nil) {
-			if common(domainMask(x.domain), domainMask(y.domain)) && !slices.Contains(x.delegators, b) && !slices.Contains(y.delegators, a) {
+// overlap reports whether two domains have parts that intersect, of which neither came through the other namespace.
+func (s *exhaustiveSearch) overlap(a, b string) bool {
+	for _, x := range s.parts(a, nil, nil) {
+		for _, y := range s.parts(b, nil, nil) {
+			if slices.Contains(x.delegators, b) || slices.Contains(y.delegators, a) {
+				continue
+			}
+			if s.domainRequests(x.domain).intersects(s.domainRequests(y.domain)) {
 				return true
 			}
 		}
@@ -255,231 +363,137 @@
 	return false
 }
 
-// ways are a namespace's parts, each with those it came through. A part came through all that its giver's part did, if it lies in that.
-func ways(c *Declaration, name string, part *Domain, through []string) (out []domainPart) {
-	for i := range c.Namespaces {
-		if h := &c.Namespaces[i]; h.Name == name && len(h.Settings) > 0 && (part == nil || none(minus(domainMask(part), domainMask(&h.Domain)))) {
-			d := &h.Domain
-			if part != nil {
-				d = part
-			}
-			out = append(out, domainPart{d, slices.Clone(through)})
+// parts returns the parts of a namespace's domain that contain a part, or all of them, each with the namespaces that it
+// came through up to its root. A part came through all that its delegator's part did, if it is within that.
+func (s *exhaustiveSearch) parts(name string, part *Domain, through []string) []domainPart {
+	var all []domainPart
+	contains := func(d *Domain) bool {
+		return part == nil || s.domainRequests(part).within(s.domainRequests(d))
+	}
+	partOr := func(d *Domain) *Domain {
+		if part == nil {
+			return d
 		}
+		return part
 	}
-	for i := range c.Delegations {
-		d := &c.Delegations[i]
-		if d.To != name || part != nil && !none(minus(domainMask(part), domainMask(&d.Domain))) {
-			continue
+	for i := range s.declaration.Namespaces {
+		n := &s.declaration.Namespaces[i]
+		if n.Name == name && len(n.Settings) > 0 && contains(&n.Domain) {
+			all = append(all, domainPart{partOr(&n.Domain), slices.Clone(through)})
 		}
-		p := part
-		if p == nil {
-			p = &d.Domain
+	}
+	for i := range s.declaration.Delegations {
+		d := &s.declaration.Delegations[i]
+		if d.To == name && contains(&d.Domain) {
+			delegators := append(slices.Clone(through), d.From)
+			all = append(all, s.parts(d.From, partOr(&d.Domain), delegators)...)
 		}
-		out = append(out, ways(c, d.From, p, append(slices.Clone(through), d.From))...)
 	}
-	return out
+	return all
 }
 
-// key is a conflict in the slow search's form.
-func (c Conflict) key() string {
+// exhaustiveKey is a conflict in the form of the exhaustive search.
+func (c Conflict) exhaustiveKey() string {
 	rules := c.Rules
 	switch c.Kind {
 	case UnreachableRule:
 		rules = rules[:1]
 	case ServiceRemoved:
-		rules = slices.DeleteFunc(slices.Clone(rules), func(s Source) bool { return !strings.HasPrefix(s.Rule, "route ") })
+		notRoute := func(s Source) bool { return !strings.HasPrefix(s.Rule, routeIDPrefix) }
+		rules = slices.DeleteFunc(slices.Clone(rules), notRoute)
 	}
 	return fmt.Sprint(c.Kind, rules)
 }
 
-type drawer struct{ *rand.Rand }
-
-func one[T any](d drawer, list []T) T { return list[d.IntN(len(list))] }
-
-func (d drawer) domain(settings ...string) Domain {
-	out := Domain{Quotas: []string{"*"}, Zones: []string{"*"}, Settings: settings}
-	if d.IntN(3) > 0 {
-		out.Hosts = slices.Compact([]string{one(d, drawnHosts[1:]), one(d, drawnHosts[1:])})
-	}
-	if d.IntN(3) == 0 {
-		out.PathPrefixes = []string{one(d, drawnPaths[3:])}
-	}
-	if d.IntN(5) == 0 {
-		out.Tenants = one(d, drawnTenants[2:])
-	}
-	return out
-}
-
-var drawnNames = []string{"k", "l", "m", "n"}
-
-func (d drawer) charter() *Declaration {
-	for {
-		c := &Declaration{Version: 1, Quotas: []Quota{{"w", 10}}}
-		for i, name := range drawnNames {
-			h := DeclaredNamespace{Name: name, Owner: "o"}
-			if i == 0 || d.IntN(3) == 0 {
-				h.Domain = d.domain("route", "block", "service", "budget", "staleness")
-			}
-			c.Namespaces = append(c.Namespaces, h)
-		}
-		for range d.IntN(5) {
-			i := d.IntN(3)
-			c.Delegations = append(c.Delegations, Delegation{drawnNames[i], drawnNames[i+1+d.IntN(3-i)], d.domain("route", "block", "service", "budget")})
+// compareWithExhaustive returns which conflicts were found too much, were not found, or have no valid request.
+func compareWithExhaustive(d *Declaration, files []*File, found []Conflict) []string {
+	var differences []string
+	want := searchExhaustively(d, files)
+	got := map[string]bool{}
+	for _, c := range found {
+		if c.Kind == InconsistentDefinition {
+			continue // compares texts, and has a test of its own
 		}
-		if c.check("c", nil) == nil {
-			// Orders are for all: they need no domain of requests.
-			for _, name := range drawnNames {
-				c.parts[name] = append(c.parts[name], domainPart{&Domain{Zones: []string{"*"}, Settings: []string{SettingOverride}}, drawnNames})
-			}
-			return c
+		got[c.exhaustiveKey()] = true
+		if !want[c.exhaustiveKey()] {
+			differences = append(differences, "found, but is none: "+c.String())
 		}
+		differences = append(differences, requestFaults(c, files)...)
 	}
-}
-
-func (d drawer) match(m *Match) {
-	m.Host = one(d, drawnHosts)
-	if p := one(d, drawnPaths); strings.HasPrefix(p, "=") {
-		m.Path = p[1:]
-	} else {
-		m.PathPrefix = p
+	for key := range want {
+		if !got[key] {
+			differences = append(differences, "not found: "+key)
+		}
 	}
-	m.Methods, m.Classes, m.Tenants = slices.Clone(one(d, drawnMethods)), slices.Clone(one(d, drawnClasses)), slices.Clone(one(d, drawnTenants))
+	return differences
 }
 
-// file draws a namespace's file that keeps to its domain.
-func (d drawer) file(c *Declaration, name string, number uint64) *File {
-	n := &File{Version: 1, Name: name, Number: number, path: name}
-	for i := range d.IntN(5) {
-		r := Route{Name: fmt.Sprint("r", i), To: []Target{{Service: one(d, drawnServices)}}}
-		d.match(&r.Match)
-		n.Routes = append(n.Routes, r)
-	}
-	for i := range d.IntN(3) {
-		b := Block{Name: fmt.Sprint("b", i)}
-		d.match(&b.Match)
-		n.Blocks = append(n.Blocks, b)
-	}
-	if d.IntN(2) == 0 {
-		n.Overrides = []Override{{Name: "o", Server: one(d, drawnServices), Zone: "1", Action: one(d, []string{"detach", "attach"}),
-			From: begin.Add(time.Duration(d.IntN(4)) * time.Hour), Until: begin.Add(time.Duration(4+d.IntN(3)) * time.Hour)}}
-		if d.IntN(2) == 0 {
-			n.Overrides[0].Until = n.Overrides[0].From.Add(time.Hour)
+// requestFaults returns which rules of a conflict do not match its request. Of an unreachable rule that several others
+// take, each takes only a part.
+func requestFaults(c Conflict, files []*File) []string {
+	if (c.Kind == Contradiction || c.Kind == UnreachableRule) && c.Request == nil {
+		return []string{"no request: " + c.String()}
+	}
+	var faults []string
+	for i, s := range c.Rules {
+		m := findMatch(files, s)
+		if m == nil || c.Kind == UnreachableRule && (i > 1 || len(c.Rules) > 2) {
+			continue
 		}
-	}
-	n.Quotas = []QuotaShare{{Quota: "w", Min: int64(1 + d.IntN(4))}}
-	for _, s := range drawnServices {
-		if name == "k" || d.IntN(4) == 0 {
-			n.Services = append(n.Services, Service{Name: s, Removed: d.IntN(20) == 0})
+		if _, verdict := tableOf(m).Lookup(c.Request); verdict != route.Found {
+			faults = append(faults, "its request does not match "+s.String()+": "+c.String())
 		}
 	}
-	if n.check() != nil {
-		return d.file(c, name, number)
-	}
-	outside := map[string]bool{}
-	for id := range c.outside(n) {
-		outside[id] = true
-	}
-	return n.without(outside)
+	return faults
 }
 
-// compareWithSlow tells what a way of checking found too much or too little of a set, or without a request that holds.
-func compareWithSlow(c *Declaration, set []*File, found []Conflict) (wrong []string) {
-	want, got := slow(c, set), map[string]bool{}
-	for _, x := range found {
-		if x.Kind == InconsistentDefinition {
-			continue // a comparison of texts, with a table test
-		}
-		got[x.key()] = true
-		if !want[x.key()] {
-			wrong = append(wrong, "found, but is none: "+x.String())
-		}
-		if (x.Kind == Contradiction || x.Kind == UnreachableRule) && x.Request == nil {
-			wrong = append(wrong, "no request: "+x.String())
-		}
-		for _, s := range x.Rules {
-			for _, n := range set {
-				var m *Match
-				for i := range n.Routes {
-					if n.Routes[i].id() == s.Rule {
-						m = &n.Routes[i].Match
-					}
-				}
-				for i := range n.Blocks {
-					if n.Blocks[i].id() == s.Rule {
-						m = &n.Blocks[i].Match
-					}
-				}
-				if n.Name != s.Namespace || m == nil || x.Kind == UnreachableRule && s != x.Rules[0] && s != x.Rules[1] {
-					continue
-				}
-				table, err := route.Compile([]route.Rule{m.rule("", []route.Target{{Service: "s", Weight: 1}})}, "")
-				if err != nil {
-					panic(err)
-				}
-				if _, v := table.Lookup(x.Request); v != route.Found && !(x.Kind == UnreachableRule && len(x.Rules) > 2) {
-					wrong = append(wrong, "its request does not match "+s.String()+": "+x.String())
-				}
+// findMatch returns the match of a route or block, or nil.
+func findMatch(files []*File, s Source) *Match {
+	for _, f := range files {
+		if f.Name != s.Namespace {
+			continue
+		}
+		for i := range f.Routes {
+			if f.Routes[i].id() == s.Rule {
+				return &f.Routes[i].Match
 			}
 		}
-	}
-	for key := range want {
-		if !got[key] {
-			wrong = append(wrong, "not found: "+key)
+		for i := range f.Blocks {
+			if f.Blocks[i].id() == s.Rule {
+				return &f.Blocks[i].Match
+			}
 		}
 	}
-	return wrong
-}
-
-const drawnSets = 1000
-
-// drawSet draws each set once: nothing changes them.
-func drawSet(i int) (*Declaration, []*File) {
-	if drawn[i].c == nil {
-		drawn[i].c, drawn[i].set = drawAnew(i)
-	}
-	return drawn[i].c, slices.Clone(drawn[i].set)
-}
-
-var drawn [drawnSets]struct {
-	c   *Declaration
-	set []*File
-}
-
-func drawAnew(i int) (*Declaration, []*File) {
-	d := drawer{rand.New(rand.NewPCG(uint64(i), 24))}
-	c := d.charter()
-	var set []*File
-	for _, name := range drawnNames {
-		set = append(set, d.file(c, name, 1))
-	}
-	return c, set
+	return nil
 }
 
-func TestConflictsAreThoseOfTheSlowSearch(t *testing.T) {
-	kinds, advices := map[ConflictKind]int{}, map[ConflictKind]string{}
-	bad := 0
-	for i := range drawnSets {
-		c, set := drawSet(i)
-		found := Check(c, nil, set)
-		for _, x := range found {
-			kinds[x.Kind]++
-			advices[x.Kind] = operatorerror.AdviceOf(x.Err())
-		}
-		for _, w := range compareWithSlow(c, set, found) {
-			t.Errorf("set %d: %s", i, w)
-			if bad++; bad > 10 {
+func TestConflictsMatchExhaustiveSearch(t *testing.T) {
+	const maxFaults = 10
+	counts := map[ConflictKind]int{}
+	advices := map[ConflictKind]string{}
+	faults := 0
+	for i := range randomSetCount {
+		d, files := randomSet(i)
+		found := Check(d, nil, files)
+		for _, c := range found {
+			counts[c.Kind]++
+			advices[c.Kind] = operatorerror.AdviceOf(c.Err())
+		}
+		for _, difference := range compareWithExhaustive(d, files, found) {
+			t.Errorf("set %d: %s", i, difference)
+			if faults++; faults > maxFaults {
 				t.FailNow()
 			}
 		}
 	}
-	t.Logf("%d sets: %v", drawnSets, kinds)
-	for _, k := range []ConflictKind{Contradiction, ContradictoryOverrides, MinimumsExceedLimit, ServiceRemoved, DomainOverlap, UnreachableRule} {
-		if kinds[k] < 20 {
-			t.Errorf("%s was drawn %d times only", k, kinds[k])
+	t.Logf("%d sets: %v", randomSetCount, counts)
+	for _, kind := range exhaustiveKinds {
+		if counts[kind] < 20 {
+			t.Errorf("%s occurred only %d times", kind, counts[kind])
 		}
-		for other, text := range advices {
-			if text == "" || other != k && text == advices[k] {
-				t.Errorf("%s and %s have one advice: %q", k, other, text)
+		for other, advice := range advices {
+			if advice == "" || other != kind && advice == advices[kind] {
+				t.Errorf("%s and %s have the same advice: %q", kind, other, advice)
 			}
 		}
 	}
--- a/internal/policy/namespace/file.go
+++ b/internal/policy/namespace/file.go
@@ -69,7 +69,7 @@
 	Deadline         strictconfig.Duration `toml:"give_up" json:"give_up,omitempty"`
 	Effect           string                `toml:"effect" json:"effect,omitempty"` // effectSafe or effectUnsafe
 	PriorityWeight   *float64              `toml:"worth" json:"worth,omitempty"`
-	LateFraction     *float64              `toml:"late" json:"late,omitempty"` // of the weight, for a late reply; 0 to 1
+	LateFraction     *float64              `toml:"late" json:"late,omitempty"` // of the weight; 0 to 1
 }
 
 // The effects of requests: a safe one may run twice, an unsafe one must never.
--- a/internal/policy/namespace/merge_test.go
+++ b/internal/policy/namespace/merge_test.go
@@ -1,360 +1,313 @@
 package namespace
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
-	"reflect"
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"lapisspread/internal/operatorerror"
-	"lapisspread/internal/processquota"
 	"lapisspread/internal/route"
 )
 
-// shipped reads the example; change replaces text in one of its files.
-func shipped(t testing.TB, change ...string) (*Declaration, map[string]string) {
-	t.Helper()
-	texts := map[string]string{}
-	for _, name := range []string{"charter", "dispatch", "settlement", "booking-desks"} {
-		text, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "fleet", name+".toml"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		texts[name] = string(text)
+// quotedList is a TOML list of some values.
+func quotedList(count int) string {
+	var values []string
+	for i := range count {
+		values = append(values, fmt.Sprintf("%q", fmt.Sprint("v", i)))
 	}
-	c, err := ParseDeclaration("charter.toml", []byte(texts["charter"]))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return c, texts
+	return "[" + strings.Join(values, ", ") + "]"
 }
 
-func parse(t testing.TB, text string, change ...string) *File {
-	t.Helper()
-	for i := 0; i < len(change); i += 2 {
-		if !strings.Contains(text, change[i]) {
-			t.Fatalf("%q is not in the text", change[i])
-		}
-		text = strings.Replace(text, change[i], change[i+1], 1)
+// Files that are small enough by themselves can be too much together. Then the one that grew is withheld.
+func TestTooManyCombinations(t *testing.T) {
+	example := newExampleFleet(t)
+	const (
+		methods = 40
+		tenants = 50
+	)
+	lists := "\nmethods = " + quotedList(methods) + "\ntenants = " + quotedList(tenants) + "\n"
+	dispatchHost := `host = "dispatch.kigali.example.org"`
+	classes := "classes = " + quotedList(maxCombinations*6/10/(methods*tenants))
+	dispatch := example.renumbered("dispatch", "8", dispatchHost, dispatchHost+lists+classes)
+	payHost := `host = "pay.kigali.example.org"`
+	small := example.renumbered("settlement", "13", payHost, payHost+lists)
+	grown := strings.Replace(lists, "methods = ", "methods = "+quotedList(maxCombinations/200)+" # ", 1)
+	large := example.renumbered("settlement", "14", payHost, payHost+grown)
+
+	out := Merge(example.declaration, nil, []*File{dispatch, small})
+	if len(out.Withheld) != 0 {
+		t.Fatal(out.Withheld)
 	}
-	n, err := Parse("f.toml", []byte(text))
-	if err != nil {
-		t.Fatal(err)
+	out = Merge(example.declaration, out.Accepted, []*File{large})
+	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "settlement" || out.Withheld[0].Active != 13 {
+		t.Errorf("withheld %v", out.Withheld)
 	}
-	return n
-}
-
-func TestTheShippedFilesAreGood(t *testing.T) {
-	c, texts := shipped(t)
-	set := []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}
-	out := Merge(c, nil, set)
-	if len(out.Withheld) != 0 || len(out.Conflicts) != 0 {
-		t.Fatalf("held %v, conflicts %v", out.Withheld, out.Conflicts)
+	if out.Conflicts[0].Kind != TooManyCombinations {
+		t.Errorf("conflicts %v", out.Conflicts)
 	}
-	for _, k := range []struct {
-		q           route.Request
-		route, give string
-		bears       string
-		blocks      int
-	}{
-		{route.Request{Host: "N1.desks.kigali.example.org:80", Path: "/book/7", Class: "booking"}, "booking-desks/book", "4s", "ageing", 0},
-		{route.Request{Host: "n1.desks.kigali.example.org", Path: "/book/7", Class: "list"}, "dispatch/desks", "", "", 0},
-		{route.Request{Host: "dispatch.kigali.example.org", Path: "/v0/x"}, "dispatch/all", "", "doubtful", 1},
-		{route.Request{Host: "pay.kigali.example.org", Path: "/", Class: "driver-payout"}, "settlement/payouts", "2s", "fresh", 0},
-	} {
-		e, err := out.Policy.Explain(&k.q)
-		if err != nil || e.Route == nil || e.Route.Name != k.route || len(e.Blocks) != k.blocks || e.Reasons[0].Rule.Name != k.route {
-			t.Errorf("%+v: %+v %v", k.q, e, err)
-			continue
-		}
-		if k.give != "" && e.Class.Deadline.Value.String() != k.give {
-			t.Errorf("%+v: gives up after %v", k.q, e.Class.Deadline)
-		}
-		if (e.Staleness != nil) != (k.bears != "") || e.Staleness != nil && e.Staleness.MaxLevel.Value != k.bears {
-			t.Errorf("%+v: bears %+v", k.q, e.Staleness)
-		}
+	if _, err := out.Policy.Table(); err != nil {
+		t.Error(err)
 	}
-	if e, _ := out.Policy.Explain(&route.Request{Host: "else.org", Path: "/"}); e.Verdict != route.UnknownHost || e.Route != nil {
-		t.Errorf("a host of nobody: %+v", e)
+	// If both were accepted, as after a declaration granted a domain again, the last by precedence loses its routes.
+	out = Merge(example.declaration, []*File{dispatch, large}, nil)
+	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "settlement" {
+		t.Fatalf("withheld %v", out.Withheld)
+	}
+	if !slices.Equal(out.Withheld[0].RemovedRules, []string{"route payouts"}) {
+		t.Errorf("withheld %v", out.Withheld)
 	}
 }
 
-func TestEachSettingJoinsInItsWay(t *testing.T) {
-	c, texts := shipped(t)
-	set := []*File{parse(t, texts["booking-desks"], `effect = "unsafe"`, `effect = "safe"`),
-		parse(t, texts["dispatch"], `give_up = "4s"`, "give_up = \"4s\"\naim = \"800ms\"\neffect = \"unsafe\"\nlate = 0.5",
-			"name = \"all\"\n", "name = \"all\"\nsticky = \"key\"\n")}
-	out := Merge(c, nil, set)
-	if len(out.Withheld) != 0 {
-		t.Fatal(out.Withheld)
-	}
-	b := out.Policy.Classes[0]
-	own, given := Source{"booking-desks", 3, "class booking"}, Source{"dispatch", 7, "class booking"}
-	for name, k := range map[string]struct{ got, want any }{
-		"aim: both say it":       {b.LatencyObjective, &Value[time.Duration]{800 * time.Millisecond, []Source{own, given}}},
-		"give_up: the strictest": {b.Deadline, &Value[time.Duration]{4 * time.Second, []Source{given}}},
-		"effect: never twice":    {b.Effect, &Value[string]{"unsafe", []Source{given}}},
-		"worth: the owner":       {b.PriorityWeight, &Value[float64]{4, []Source{own}}},
-		"late: who says it":      {b.LateFraction, &Value[float64]{0.5, []Source{given}}},
-		"share": {out.Policy.Shares[0], PolicyShare{"attempts", 12000, "booking-desks", &Value[int64]{1200, []Source{{"booking-desks", 3, "budget attempts"}}},
-			&Value[int64]{3000, []Source{{"dispatch", 7, "budget attempts booking-desks"}}}, &Value[float64]{1, []Source{{"booking-desks", 3, "budget attempts"}}}}},
-	} {
-		if !reflect.DeepEqual(k.got, k.want) {
-			t.Errorf("%s: %+v, want %+v", name, k.got, k.want)
+// withholdTest submits files over those of the example.
+type withholdTest struct {
+	name      string
+	submitted []*File
+	withheld  string // namespace:active number; empty is none
+	cause     any    // the type of the cause
+	kind      ConflictKind
+	active    map[string]uint64 // numbers of files that are accepted
+	routes    int               // of the policy
+}
+
+func withholdTests(t *testing.T, example *exampleFleet) []withholdTest {
+	t.Helper()
+	const exampleRoutes = 4
+	files := func(f ...*File) []*File { return f }
+	unreadable := UnreadableFile("settlement", FileError{Path: "s.toml", Line: 3, Err: errors.New("no TOML")})
+	// The delegator's route is for requests that the delegate's is for, too.
+	across := []string{"[[route]]\nname = \"desks\"", "[[route]]\nname = \"grab\"\n" +
+		"host = \"*.desks.kigali.example.org\"\npath_prefix = \"/book/vip\"\n" +
+		"to = [{ service = \"dispatch\" }]\n[[route]]\nname = \"desks\""}
+	narrowed := []string{`path_prefix = "/book"`, `path_prefix = "/book/vip/x"`}
+	toDispatch := "to = [{ service = \"dispatch\" }]"
+	toDesks := "to = [{ service = \"desks\" }]"
+	allRoute := "name = \"all\"\nhost = \"dispatch.kigali.example.org\"\n"
+	removed := []string{
+		"[[service]]\nname = \"dispatch\"", "[[service]]\nname = \"dispatch\"\nremoved = true",
+		allRoute + toDispatch, allRoute + toDesks,
+		toDispatch, toDesks,
+	}
+	tests := []withholdTest{
+		{name: "nothing new", submitted: example.files(),
+			active: map[string]uint64{"dispatch": 7, "settlement": 12, "booking-desks": 3}},
+		{name: "the delegator reaches over the delegate's",
+			submitted: files(example.renumbered("dispatch", "8", across...), example.renumbered("settlement", "13")),
+			withheld:  "dispatch:7", cause: new(ConflictError), kind: Contradiction,
+			active: map[string]uint64{"dispatch": 7, "settlement": 13}},
+		{name: "both changed, one alone is the cause",
+			submitted: files(example.renumbered("dispatch", "8", across...),
+				example.renumbered("booking-desks", "4", `weight = 9.0`, `weight = 8.0`)),
+			withheld: "dispatch:7", cause: new(ConflictError), kind: Contradiction,
+			active: map[string]uint64{"dispatch": 7, "booking-desks": 4}},
+		{name: "both changed, and conflict only as both are new",
+			submitted: files(example.renumbered("dispatch", "8", "cap = 3000", "cap = 1250"),
+				example.renumbered("booking-desks", "4", "min = 1200", "min = 1300")),
+			withheld: "booking-desks:3", cause: new(ConflictError), kind: CapBelowMinimum,
+			active: map[string]uint64{"dispatch": 8, "booking-desks": 3}},
+		{name: "both changed, and do not conflict",
+			submitted: files(example.renumbered("dispatch", "8", across...),
+				example.renumbered("booking-desks", "4", narrowed...)),
+			active: map[string]uint64{"dispatch": 8, "booking-desks": 4}, routes: exampleRoutes + 1},
+		{name: "outside its domain",
+			submitted: files(
+				example.renumbered("settlement", "13",
+					`host = "pay.kigali.example.org"`, `host = "*.kigali.example.org"`),
+				example.renumbered("dispatch", "9")),
+			withheld: "settlement:12", cause: new(OutsideDomainError),
+			active: map[string]uint64{"dispatch": 9, "settlement": 12}},
+		{name: "too high a minimum",
+			submitted: files(example.renumbered("settlement", "13", "min = 2400", "min = 5400"),
+				example.renumbered("booking-desks", "4", "min = 1200", "min = 1000")),
+			withheld: "settlement:12", cause: new(MinimumsExceedLimitError), kind: MinimumsExceedLimit,
+			active: map[string]uint64{"booking-desks": 4, "settlement": 12}},
+		{name: "a cap below a minimum",
+			submitted: files(example.renumbered("dispatch", "8", "cap = 3000", "cap = 1000")),
+			withheld:  "dispatch:7", cause: new(ConflictError), kind: CapBelowMinimum,
+			active: map[string]uint64{"dispatch": 7}},
+		{name: "a service is removed that a route leads to",
+			submitted: files(example.renumbered("dispatch", "8", removed...)),
+			withheld:  "dispatch:7", cause: new(ConflictError), kind: ServiceRemoved,
+			active: map[string]uint64{"dispatch": 7}},
+		{name: "a route to no service",
+			submitted: files(example.renumbered("settlement", "13",
+				`to = [{ service = "settlement" }]`, `to = [{ service = "setlement" }]`)),
+			withheld: "settlement:12", cause: new(ConflictError), kind: ServiceRemoved,
+			active: map[string]uint64{"settlement": 12}},
+		{name: "a service of another namespace",
+			submitted: files(example.renumbered("settlement", "13",
+				"[[route]]", "[[service]]\nname = \"desks\"\nkinds = [\"x\"]\n[[route]]")),
+			withheld: "settlement:12", cause: new(ConflictError), kind: InconsistentDefinition,
+			active: map[string]uint64{"settlement": 12}},
+		{name: "a number used before",
+			submitted: files(example.renumbered("settlement", "12", "cap = 6000", "cap = 5000")),
+			withheld:  "settlement:12", cause: new(VersionTakenError), active: map[string]uint64{"settlement": 12}},
+		{name: "an older number",
+			submitted: files(example.renumbered("settlement", "11", "cap = 6000", "cap = 5000")),
+			withheld:  "settlement:12", cause: new(VersionTakenError), active: map[string]uint64{"settlement": 12}},
+		{name: "one number, two contents",
+			submitted: files(example.renumbered("settlement", "13", "cap = 6000", "cap = 5000"),
+				example.renumbered("settlement", "13")),
+			withheld: "settlement:12", cause: new(VersionTakenError), active: map[string]uint64{"settlement": 12}},
+		{name: "a file that cannot be read",
+			submitted: files(unreadable, example.renumbered("dispatch", "8")),
+			withheld:  "settlement:12", cause: new(FileError),
+			active: map[string]uint64{"settlement": 12, "dispatch": 8}},
+		{name: "an unknown namespace",
+			submitted: files(
+				example.file("settlement", `namespace = "settlement"`, `namespace = "nobody"`),
+				example.renumbered("dispatch", "8")),
+			withheld: "nobody:0", cause: new(UnknownNamespaceError),
+			active: map[string]uint64{"settlement": 12, "dispatch": 8}},
+	}
+	for i := range tests {
+		if tests[i].routes == 0 {
+			tests[i].routes = exampleRoutes
 		}
 	}
+	return tests
 }
 
-func TestSharesAreABudgetsOwn(t *testing.T) {
-	c, texts := shipped(t)
-	p := Merge(c, nil, []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}).Policy
-	pool, err := processquota.NewPool(processquota.PoolSettings{Total: 12000, Recall: time.Second, Lend: 0.5}, p.QuotaShares("attempts"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := map[string]processquota.Share{"dispatch": {Min: 6000, Weight: 3}, "settlement": {Min: 2400, Cap: 6000, Weight: 1}, "booking-desks": {Min: 1200, Cap: 3000, Weight: 1}}
-	for name, use := range pool.Usage(0) {
-		if use.Share != want[name] {
-			t.Errorf("%s: %+v, want %+v", name, use.Share, want[name])
-		}
+// Each test changes the example, and states what is withheld, why, and what goes on.
+func TestWithheldFiles(t *testing.T) {
+	example := newExampleFleet(t)
+	accepted := Merge(example.declaration, nil, example.files()).Accepted
+	for _, test := range withholdTests(t, example) {
+		t.Run(test.name, func(t *testing.T) {
+			out := Merge(example.declaration, accepted, test.submitted)
+			test.check(t, out)
+			for _, c := range Check(example.declaration, out.Accepted, out.Accepted) {
+				if c.Kind.Withholds() {
+					t.Errorf("what goes on conflicts: %v", c)
+				}
+			}
+		})
 	}
 }
 
-// Files that are small enough one by one can be too much for one table: then the one that grew is held.
-func TestTooManyRoutesTogether(t *testing.T) {
-	c, texts := shipped(t)
-	list := func(n int) string {
-		var names []string
-		for i := range n {
-			names = append(names, fmt.Sprintf("%q", fmt.Sprint("v", i)))
+func (test *withholdTest) check(t *testing.T, out Outcome) {
+	t.Helper()
+	var withheld []string
+	for _, w := range out.Withheld {
+		withheld = append(withheld, fmt.Sprintf("%s:%d", w.Namespace, w.Active))
+		if test.cause != nil && (!errors.As(error(w), test.cause) || operatorerror.AdviceOf(w) == "") {
+			t.Errorf("%v is no %T", w, test.cause)
 		}
-		return "[" + strings.Join(names, ", ") + "]"
 	}
-	many := "\nmethods = " + list(40) + "\ntenants = " + list(50) + "\n"
-	d := parse(t, texts["dispatch"], "number = 7", "number = 8", `host = "dispatch.kigali.example.org"`, `host = "dispatch.kigali.example.org"`+many+"classes = "+list(maxCombinations*6/10/(40*50)))
-	s := parse(t, texts["settlement"], "number = 12", "number = 13", `host = "pay.kigali.example.org"`, `host = "pay.kigali.example.org"`+many)
-	more := parse(t, texts["settlement"], "number = 12", "number = 14", `host = "pay.kigali.example.org"`, `host = "pay.kigali.example.org"`+strings.Replace(many, "methods = ", "methods = "+list(maxCombinations/200)+" # ", 1))
-	out := Merge(c, nil, []*File{d, s})
-	if len(out.Withheld) != 0 {
-		t.Fatal(out.Withheld)
+	if got := strings.Join(withheld, " "); got != test.withheld {
+		t.Errorf("withheld %q, want %q: %v", got, test.withheld, out.Withheld)
 	}
-	out = Merge(c, out.Accepted, []*File{more})
-	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "settlement" || out.Withheld[0].Active != 13 || out.Conflicts[0].Kind != TooManyCombinations {
-		t.Errorf("held %v", out.Withheld)
+	for _, f := range out.Accepted {
+		if want, ok := test.active[f.Name]; ok && f.Number != want {
+			t.Errorf("%s goes on with %d, want %d", f.Name, f.Number, want)
+		}
 	}
-	if _, err := out.Policy.Table(); err != nil {
-		t.Error(err)
+	if len(out.Policy.Routes) != test.routes {
+		t.Errorf("%d routes, want %d", len(out.Policy.Routes), test.routes)
+	}
+	if test.kind == "" {
+		return
+	}
+	if len(out.Conflicts) == 0 || out.Conflicts[0].Kind != test.kind || out.Conflicts[0].Withheld == "" {
+		t.Fatalf("conflicts %v, want %s", out.Conflicts, test.kind)
 	}
-	// Both last good, as after a charter gave a domain back: the last by the order loses its routes.
-	out = Merge(c, []*File{d, more}, nil)
-	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "settlement" || !slices.Equal(out.Withheld[0].RemovedRules, []string{"route payouts"}) {
-		t.Errorf("held %v", out.Withheld)
+	if test.kind == Contradiction {
+		wantPrefix(t, out.Conflicts[0].Request, "/book/vip")
 	}
 }
 
-func TestPoliciesHaveOneEncoding(t *testing.T) {
-	c, texts := shipped(t)
-	set := []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}
-	p := Merge(c, nil, set).Policy
-	text := p.Encode()
-	back, err := Decode(text)
-	if err != nil || !bytes.Equal(back.Encode(), text) || back.Hash() != p.Hash() {
-		t.Fatalf("read back: %v", err)
+// wantWithheld checks that one namespace has something withheld, with a cause of a type if that is not nil.
+func wantWithheld(t *testing.T, out Outcome, namespace string, cause any) {
+	t.Helper()
+	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != namespace {
+		t.Fatalf("withheld %v", out.Withheld)
 	}
-	for _, bad := range []string{"", "{}", string(text) + " ", " " + string(text), strings.Replace(string(text), `"form":1`, `"form":2`, 1),
-		strings.Replace(string(text), `"form":1`, `"form":1,"x":1`, 1), strings.Replace(string(text), `"weight":9`, `"weight":9.0`, 1),
-		strings.Replace(string(text), `"path_prefix":"/book"`, `"path_prefix":"book"`, 1), strings.Replace(string(text), `"weight":9`, `"weight":null`, 1)} {
-		if _, err := Decode([]byte(bad)); err == nil {
-			t.Errorf("%.80s was read", bad)
-		}
+	if cause != nil && !errors.As(error(out.Withheld[0]), cause) {
+		t.Errorf("%v is no %T", out.Withheld[0], cause)
 	}
 }
 
-func TestBadFilesNameFileLineAndKey(t *testing.T) {
-	_, texts := shipped(t)
-	for _, k := range []struct{ from, to, want string }{
-		{"version = 1", "version = 3", "f.toml:2: version: 3"},
-		{"number = 7", "", "f.toml: number: left out"},
-		{`min = 6000`, `mins = 6000`, `unknown key "budget.mins"`},
-		{`bears = "doubtful"`, `bears = "old"`, `f.toml:13: route[0].bears: "old" is none of confirmed, fresh, ageing, doubtful, blind`},
-		{`host = "dispatch.kigali.example.org"`, `host = "Dispatch"`, `f.toml:9: route[0]: host`},
-		{`to = [{ service = "dispatch" }]`, `to = []`, "f.toml:12: route[0].to: no service"},
-		{`name = "desks"`, `name = "all"`, "f.toml:15: route[1]: route all is there twice"},
-		{`host = "*.desks.kigali.example.org"`, `host = "dispatch.kigali.example.org"`, `f.toml:15: route[1]: ties with route[0] "all"`},
-		{`effect = "safe"`, `effect = "maybe"`, "class[1].effect"},
-		{`aim = "300ms"`, `aim = "3s"`, "class[1].aim: aim 3s and give_up 1s"},
-		{`cap = 3000`, `min = 3000`, "for another namespace only a cap"},
-		{`do = "detach"`, `do = "stop"`, `order[0].do: "stop" is neither`},
-		{`until = 2026-12-01T08:00:00Z`, `until = 2026-12-01T05:00:00Z`, "order[0].until: it is not after from"},
-		{`from = 2026-12-01T06:00:00Z`, `from = 2026-12-01T06:00:00`, "order[0].from: a time needs its offset"},
-		{`[[order]]`, "[[order]]\nname = \"x\"\nserver = \"d-17\"\nzone = \"2\"\ndo = \"attach\"\n[[order]]", `order[1]: contradicts order[0] "x"`},
-		{`path_prefix = "/v0"`, `path_prefix = "v0"`, "block[0]: path_prefix"},
-	} {
-		text := strings.Replace(texts["dispatch"], k.from, k.to, 1)
-		_, err := Parse("f.toml", []byte(text))
-		var file FileError
-		if err == nil || !strings.Contains(err.Error(), k.want) || !errors.As(err, &file) || operatorerror.AdviceOf(err) == "" {
-			t.Errorf("%s: %v, want %q", k.to, err, k.want)
-		}
+// A declaration that withdraws a part of a domain removes the rules in it, and no others; granted again, they return.
+func TestDeclarationWithdrawsDomain(t *testing.T) {
+	example := newExampleFleet(t)
+	base := Merge(example.declaration, nil, example.files())
+	narrowed := example.declarationWith(`path_prefixes = ["/book"]`, `path_prefixes = ["/books"]`)
+	out := Merge(narrowed, base.Accepted, nil)
+	wantWithheld(t, out, "booking-desks", new(OutsideDomainError))
+	if !slices.Equal(out.Withheld[0].RemovedRules, []string{"route book"}) {
+		t.Errorf("withheld %v", out.Withheld)
+	}
+	request := route.Request{Host: "n.desks.kigali.example.org", Path: "/book", Class: "booking"}
+	if e, _ := out.Policy.Explain(&request); e.Route == nil || e.Route.Name != "dispatch/desks" {
+		t.Errorf("the delegator's rule is not in force: %+v", e.Route)
+	}
+	if again := Merge(example.declaration, out.Accepted, nil); again.Hash != base.Hash || len(again.Withheld) != 0 {
+		t.Errorf("granted again: withheld %v", again.Withheld)
+	}
+	// A file that is submitted at the same time is outside the domain as well.
+	out = Merge(narrowed, base.Accepted, []*File{example.renumbered("booking-desks", "4")})
+	wantWithheld(t, out, "booking-desks", nil)
+	if out.Withheld[0].Submitted != 4 || out.Withheld[0].Active != 3 {
+		t.Errorf("withheld %v", out.Withheld)
 	}
 }
 
-// Each row changes the example. What it holds back, what goes on, and why are stated.
-func TestWhoIsHeld(t *testing.T) {
-	c, texts := shipped(t)
-	base := Merge(c, nil, []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}).Accepted
-	up := func(name, to string, change ...string) *File {
-		from := map[string]string{"dispatch": "number = 7", "settlement": "number = 12", "booking-desks": "number = 3"}[name]
-		return parse(t, texts[name], append([]string{from, "number = " + to}, change...)...)
-	}
-	across := []string{"[[route]]\nname = \"desks\"", "[[route]]\nname = \"grab\"\nhost = \"*.desks.kigali.example.org\"\npath_prefix = \"/book/vip\"\nto = [{ service = \"dispatch\" }]\n[[route]]\nname = \"desks\""}
-	vip := []string{`path_prefix = "/book"`, `path_prefix = "/book/vip/x"`}
-	for _, k := range []struct {
-		name  string
-		offer []*File
-		held  string // namespace:number that holds
-		why   any
-		kind  ConflictKind
-		on    map[string]uint64
-	}{
-		{"nothing new", base, "", nil, "", map[string]uint64{"dispatch": 7, "settlement": 12, "booking-desks": 3}},
-		{"the giver reaches over the delegate's", []*File{up("dispatch", "8", across...), up("settlement", "13")}, "dispatch:7", new(ConflictError), Contradiction,
-			map[string]uint64{"dispatch": 7, "settlement": 13}},
-		{"both changed, one alone is the cause", []*File{up("dispatch", "8", across...), up("booking-desks", "4", `weight = 9.0`, `weight = 8.0`)}, "dispatch:7", new(ConflictError), Contradiction,
-			map[string]uint64{"dispatch": 7, "booking-desks": 4}},
-		{"both changed, and meet only as both are new", []*File{up("dispatch", "8", "cap = 3000", "cap = 1250"), up("booking-desks", "4", "min = 1200", "min = 1300")}, "booking-desks:3",
-			new(ConflictError), CapBelowMinimum, map[string]uint64{"dispatch": 8, "booking-desks": 3}},
-		{"both changed, and don't meet", []*File{up("dispatch", "8", across...), up("booking-desks", "4", vip...)}, "", nil, "",
-			map[string]uint64{"dispatch": 8, "booking-desks": 4}},
-		{"out of its domain", []*File{up("settlement", "13", `host = "pay.kigali.example.org"`, `host = "*.kigali.example.org"`), up("dispatch", "9")}, "settlement:12",
-			new(OutsideDomainError), "", map[string]uint64{"dispatch": 9, "settlement": 12}},
-		{"too high a minimum", []*File{up("settlement", "13", "min = 2400", "min = 5400"), up("booking-desks", "4", "min = 1200", "min = 1000")}, "settlement:12", new(MinimumsExceedLimitError), MinimumsExceedLimit,
-			map[string]uint64{"booking-desks": 4, "settlement": 12}},
-		{"a cap under a minimum", []*File{up("dispatch", "8", "cap = 3000", "cap = 1000")}, "dispatch:7", new(ConflictError), CapBelowMinimum, map[string]uint64{"dispatch": 7}},
-		{"a service that is led to goes", []*File{up("dispatch", "8", "[[service]]\nname = \"dispatch\"", "[[service]]\nname = \"dispatch\"\nremoved = true",
-			"name = \"all\"\nhost = \"dispatch.kigali.example.org\"\nto = [{ service = \"dispatch\" }]", "name = \"all\"\nhost = \"dispatch.kigali.example.org\"\nto = [{ service = \"desks\" }]",
-			"to = [{ service = \"dispatch\" }]", "to = [{ service = \"desks\" }]")}, "dispatch:7", new(ConflictError), ServiceRemoved, map[string]uint64{"dispatch": 7}},
-		{"a route to nowhere", []*File{up("settlement", "13", `to = [{ service = "settlement" }]`, `to = [{ service = "setlement" }]`)}, "settlement:12", new(ConflictError), ServiceRemoved,
-			map[string]uint64{"settlement": 12}},
-		{"a service of another", []*File{up("settlement", "13", "[[route]]", "[[service]]\nname = \"desks\"\nkinds = [\"x\"]\n[[route]]")}, "settlement:12", new(ConflictError), InconsistentDefinition,
-			map[string]uint64{"settlement": 12}},
-		{"a number used before", []*File{up("settlement", "12", "cap = 6000", "cap = 5000")}, "settlement:12", new(VersionTakenError), "", map[string]uint64{"settlement": 12}},
-		{"an older number", []*File{up("settlement", "11", "cap = 6000", "cap = 5000")}, "settlement:12", new(VersionTakenError), "", map[string]uint64{"settlement": 12}},
-		{"one number, two contents", []*File{up("settlement", "13", "cap = 6000", "cap = 5000"), up("settlement", "13")}, "settlement:12", new(VersionTakenError), "",
-			map[string]uint64{"settlement": 12}},
-		{"a file that can't be read", []*File{UnreadableFile("settlement", FileError{Path: "s.toml", Line: 3, Err: errors.New("no TOML")}), up("dispatch", "8")}, "settlement:12",
-			new(FileError), "", map[string]uint64{"settlement": 12, "dispatch": 8}},
-		{"a namespace of nobody", []*File{parse(t, strings.Replace(texts["settlement"], `namespace = "settlement"`, `namespace = "nobody"`, 1)), up("dispatch", "8")}, "nobody:0",
-			new(UnknownNamespaceError), "", map[string]uint64{"settlement": 12, "dispatch": 8}},
-	} {
-		out := Merge(c, base, k.offer)
-		var held []string
-		for _, h := range out.Withheld {
-			held = append(held, h.Namespace+":"+string(rune('0'+h.Active/10))+string(rune('0'+h.Active%10)))
-			if k.why != nil && (!errors.As(error(h), k.why) || operatorerror.AdviceOf(h) == "") {
-				t.Errorf("%s: %v is no %T", k.name, h, k.why)
-			}
-		}
-		got := strings.ReplaceAll(strings.Join(held, " "), ":0", ":")
-		if got != k.held {
-			t.Errorf("%s: held %q, want %q: %v", k.name, got, k.held, out.Withheld)
-		}
-		for _, n := range out.Accepted {
-			if want, there := k.on[n.Name]; there && n.Number != want {
-				t.Errorf("%s: %s goes on with %d, want %d", k.name, n.Name, n.Number, want)
-			}
-		}
-		if k.kind != "" && (len(out.Conflicts) == 0 || out.Conflicts[0].Kind != k.kind || out.Conflicts[0].Withheld == "") {
-			t.Errorf("%s: conflicts %v, want %s", k.name, out.Conflicts, k.kind)
-		}
-		if k.kind == Contradiction {
-			q := out.Conflicts[0].Request
-			if q == nil || !strings.HasPrefix(q.Path, "/book/vip") {
-				t.Errorf("%s: the request is %+v", k.name, q)
-			}
-		}
-		if left := Check(c, out.Accepted, out.Accepted); slices.ContainsFunc(left, func(x Conflict) bool { return x.Kind.Withholds() }) {
-			t.Errorf("%s: what goes on conflicts: %v", k.name, left)
-		}
-		if len(out.Policy.Routes) != 4 && k.name != "both changed, and don't meet" {
-			t.Errorf("%s: %d routes", k.name, len(out.Policy.Routes))
-		}
-	}
+// A declaration that lowers a limit removes the minimum of the last namespace by precedence.
+func TestDeclarationLowersLimit(t *testing.T) {
+	example := newExampleFleet(t)
+	accepted := Merge(example.declaration, nil, example.files()).Accepted
+	lowered := example.declarationWith("whole = 12000", "whole = 9000")
+	wantWithheld(t, Merge(lowered, accepted, nil), "booking-desks", new(MinimumsExceedLimitError))
 }
 
-// A charter that takes a part of a domain back takes the rules in it, and no other; given again, they hold again.
-func TestACharterTakesBack(t *testing.T) {
-	c, texts := shipped(t)
-	set := []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])}
-	base := Merge(c, nil, set)
-	narrow, err := ParseDeclaration("c", []byte(strings.Replace(texts["charter"], `path_prefixes = ["/book"]`, `path_prefixes = ["/books"]`, 1)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	out := Merge(narrow, base.Accepted, nil)
-	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "booking-desks" || !slices.Equal(out.Withheld[0].RemovedRules, []string{"route book"}) || !errors.As(error(out.Withheld[0]), new(OutsideDomainError)) {
-		t.Errorf("held %v", out.Withheld)
-	}
-	if e, _ := out.Policy.Explain(&route.Request{Host: "n.desks.kigali.example.org", Path: "/book", Class: "booking"}); e.Route == nil || e.Route.Name != "dispatch/desks" {
-		t.Errorf("the giver's rule does not hold again: %+v", e.Route)
-	}
-	if again := Merge(c, out.Accepted, nil); again.Hash != base.Hash || len(again.Withheld) != 0 {
-		t.Errorf("given again: held %v", again.Withheld)
-	}
-	// Taken from a namespace that offers a new file in the same moment: the new one is outside as well.
-	out = Merge(narrow, base.Accepted, []*File{parse(t, texts["booking-desks"], "number = 3", "number = 4")})
-	if len(out.Withheld) != 1 || out.Withheld[0].Submitted != 4 || out.Withheld[0].Active != 3 {
-		t.Errorf("held %v", out.Withheld)
-	}
-	// A charter that lowers a whole cuts the minimum of the last by the order.
-	low, err := ParseDeclaration("c", []byte(strings.Replace(texts["charter"], "whole = 12000", "whole = 9000", 1)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	out = Merge(low, base.Accepted, nil)
-	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "booking-desks" || !errors.As(error(out.Withheld[0]), new(MinimumsExceedLimitError)) {
-		t.Errorf("held %v", out.Withheld)
-	}
-	// A namespace that the charter no longer has: routes of others to its service are cut, not left to lead nowhere.
-	gone := strings.ReplaceAll(texts["charter"], `"dispatch"`, `"despatch"`)
-	c2, err := ParseDeclaration("c", []byte(gone))
-	if err != nil {
-		t.Fatal(err)
-	}
-	out = Merge(c2, base.Accepted, nil)
-	if len(out.Withheld) != 2 || out.Withheld[0].Namespace != "booking-desks" || out.Withheld[1].Namespace != "dispatch" || !slices.Equal(out.Withheld[0].RemovedRules, []string{"route book"}) {
-		t.Errorf("held %v", out.Withheld)
+// If a declaration drops a namespace, routes of others to its services are removed.
+func TestDeclarationDropsNamespace(t *testing.T) {
+	example := newExampleFleet(t)
+	accepted := Merge(example.declaration, nil, example.files()).Accepted
+	renamed := strings.ReplaceAll(example.texts[exampleDeclaration], `"dispatch"`, `"despatch"`)
+	out := Merge(mustParseDeclaration(t, renamed), accepted, nil)
+	var names []string
+	for _, w := range out.Withheld {
+		names = append(names, w.Namespace)
+	}
+	if !slices.Equal(names, []string{"booking-desks", "dispatch"}) {
+		t.Fatalf("withheld %v", out.Withheld)
+	}
+	if !slices.Equal(out.Withheld[0].RemovedRules, []string{"route book"}) {
+		t.Errorf("withheld %v", out.Withheld)
 	}
 }
 
-func TestOrderAndRepeatsChangeNothing(t *testing.T) {
-	c, texts := shipped(t)
-	d, s, b := parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])
-	want := Merge(c, nil, []*File{d, s, b})
-	for _, set := range [][]*File{{b, s, d}, {s, s, b, d, d}, {s, b, parse(t, texts["dispatch"]), d}} {
-		if got := Merge(c, nil, set); got.Hash != want.Hash || len(got.Withheld) > 0 {
+func TestOrderAndDuplicatesDoNotMatter(t *testing.T) {
+	example := newExampleFleet(t)
+	dispatch := example.file("dispatch")
+	settlement := example.file("settlement")
+	desks := example.file("booking-desks")
+	want := Merge(example.declaration, nil, []*File{dispatch, settlement, desks})
+	for _, set := range [][]*File{
+		{desks, settlement, dispatch},
+		{settlement, settlement, desks, dispatch, dispatch},
+		{settlement, desks, example.file("dispatch"), dispatch},
+	} {
+		if got := Merge(example.declaration, nil, set); got.Hash != want.Hash || len(got.Withheld) > 0 {
 			t.Errorf("another policy: %v", got.Withheld)
 		}
 	}
-	// In groups: what has no conflict may come in any parts.
+	// What has no conflict may be submitted in any parts.
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
-		var good []*File
 		order := rng.Perm(3)
 		if slices.Index(order, 2) < slices.Index(order, 0) {
-			continue // the desks lead to a service of dispatch, and are rightly held until it is there
+			continue // the desks lead to a service of dispatch, and are withheld until it is there
 		}
+		var accepted []*File
 		for _, i := range order {
-			good = Merge(c, good, []*File{[]*File{d, s, b}[i]}).Accepted
+			submitted := []*File{dispatch, settlement, desks}[i]
+			accepted = Merge(example.declaration, accepted, []*File{submitted}).Accepted
 		}
-		if got := Merge(c, good, nil); got.Hash != want.Hash {
+		if got := Merge(example.declaration, accepted, nil); got.Hash != want.Hash {
 			t.Errorf("another policy: %v", got.Withheld)
 		}
 	}
--- a/internal/policy/namespace/randommerge_test.go
+++ b/internal/policy/namespace/randommerge_test.go
@@ -10,273 +10,317 @@
 	"testing"
 )
 
-// change draws what namespaces offer after a first merge: some new files, some with one rule changed, some nothing.
-func (d drawer) change(c *Declaration, good []*File) []*File {
-	var out []*File
-	for _, name := range drawnNames {
-		i := slices.IndexFunc(good, func(n *File) bool { return n.Name == name })
-		switch d.IntN(3) {
-		case 0:
-			out = append(out, d.file(c, name, 2))
-		case 1:
-			if i >= 0 && len(good[i].Routes) > 0 {
-				n := good[i].without(map[string]bool{good[i].Routes[d.IntN(len(good[i].Routes))].id(): true})
-				n.Number = 2
-				out = append(out, n)
-			}
-		}
+// mergeChecker checks one outcome of a merge.
+type mergeChecker struct {
+	declaration *Declaration
+	before      Outcome // of the merge before
+	submitted   []*File
+	got         Outcome
+	violations  []string
+}
+
+func (c *mergeChecker) violated(violation bool, format string, args ...any) {
+	if violation {
+		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
-	return out
 }
 
-// held is what is wrong with an outcome beside what was offered; base is the merge before.
-func heldWrong(c *Declaration, base Outcome, offered []*File, got Outcome) (wrong []string) {
-	bad := func(is bool, format string, args ...any) {
-		if is {
-			wrong = append(wrong, fmt.Sprintf(format, args...))
-		}
+// checkOutcome returns all that is wrong with an outcome.
+func checkOutcome(d *Declaration, before Outcome, submitted []*File, got Outcome) []string {
+	c := &mergeChecker{declaration: d, before: before, submitted: submitted, got: got}
+	inForce := c.filesInForce()
+	c.checkPolicy(inForce)
+	for _, w := range got.Withheld {
+		c.checkWithheld(w, inForce)
 	}
-	holds := func(n *File) *File {
-		cut := map[string]bool{}
-		for _, h := range got.Withheld {
-			if h.Namespace == n.Name {
-				for _, id := range h.RemovedRules {
-					cut[id] = true
-				}
+	for _, f := range submitted {
+		accepted := slices.ContainsFunc(got.Accepted, func(a *File) bool {
+			return a.Name == f.Name && a.Number == f.Number
+		})
+		reported := slices.ContainsFunc(got.Withheld, func(w WithheldError) bool { return w.Namespace == f.Name })
+		c.violated(!accepted && !reported, "%s is withheld and not reported", f.Name)
+	}
+	return c.violations
+}
+
+// filesInForce returns the accepted files without the rules that are reported as removed.
+func (c *mergeChecker) filesInForce() []*File {
+	var files []*File
+	for _, f := range c.got.Accepted {
+		removed := map[string]bool{}
+		for _, w := range c.got.Withheld {
+			if w.Namespace != f.Name {
+				continue
+			}
+			for _, id := range w.RemovedRules {
+				removed[id] = true
 			}
 		}
-		return n.without(cut)
-	}
-	var set []*File
-	for _, n := range got.Accepted {
-		set = append(set, holds(n))
-	}
-	for _, x := range Check(c, nil, set) {
-		bad(x.Kind.Withholds(), "what holds conflicts: %v", x)
+		files = append(files, f.without(removed))
 	}
-	bad(assemble(c, set).Hash() != got.Hash, "the policy is not what holds")
-	if _, err := got.Policy.Table(); err != nil {
-		bad(true, "the policy has no table: %v", err)
-	}
-	// All that any namespace brings, at once, has these conflicts; who is in none and in none that follows is never held.
-	in := map[string]bool{}
-	for _, x := range got.Conflicts {
-		for _, r := range x.Rules {
-			in[r.Namespace] = in[r.Namespace] || x.Kind.Withholds()
-		}
+	return files
+}
+
+func (c *mergeChecker) checkPolicy(inForce []*File) {
+	for _, conflict := range Check(c.declaration, nil, inForce) {
+		c.violated(conflict.Kind.Withholds(), "what is in force conflicts: %v", conflict)
 	}
-	for _, h := range got.Withheld {
-		bad(!in[h.Namespace], "%s is held and in no conflict", h.Namespace)
-		i := slices.IndexFunc(offered, func(n *File) bool { return n.Name == h.Namespace })
-		if i < 0 {
-			bad(len(base.Withheld) == 0, "%s is held and changed nothing", h.Namespace)
-			continue
-		}
-		if h.Active >= h.Submitted || len(h.RemovedRules) > 0 {
-			continue
-		}
-		with := slices.DeleteFunc(slices.Clone(set), func(n *File) bool { return n.Name == h.Namespace })
-		found := Check(c, nil, append(with, offered[i]))
-		bad(!slices.ContainsFunc(found, func(x Conflict) bool { return x.Kind.Withholds() }), "%s is held for nothing", h.Namespace)
+	c.violated(assemble(c.declaration, inForce).Hash() != c.got.Hash, "the policy is not what is in force")
+	_, err := c.got.Policy.Table()
+	c.violated(err != nil, "the policy has no table: %v", err)
+}
+
+// checkWithheld checks that a namespace is withheld only for a conflict that its file would bring.
+func (c *mergeChecker) checkWithheld(w WithheldError, inForce []*File) {
+	takesPart := slices.ContainsFunc(c.got.Conflicts, func(conflict Conflict) bool {
+		inRules := func(s Source) bool { return s.Namespace == w.Namespace }
+		return conflict.Kind.Withholds() && slices.ContainsFunc(conflict.Rules, inRules)
+	})
+	c.violated(!takesPart, "%s is withheld and in no conflict", w.Namespace)
+	i := slices.IndexFunc(c.submitted, func(f *File) bool { return f.Name == w.Namespace })
+	if i < 0 {
+		c.violated(len(c.before.Withheld) == 0, "%s is withheld and changed nothing", w.Namespace)
+		return
 	}
-	for _, n := range offered {
-		there := slices.ContainsFunc(got.Accepted, func(g *File) bool { return g.Name == n.Name && g.Number == n.Number })
-		told := slices.ContainsFunc(got.Withheld, func(h WithheldError) bool { return h.Namespace == n.Name })
-		bad(!there && !told, "%s is held and not told", n.Name)
+	if w.Active >= w.Submitted || len(w.RemovedRules) > 0 {
+		return
 	}
-	return wrong
+	others := slices.DeleteFunc(slices.Clone(inForce), func(f *File) bool { return f.Name == w.Namespace })
+	found := Check(c.declaration, nil, append(others, c.submitted[i]))
+	withholds := func(conflict Conflict) bool { return conflict.Kind.Withholds() }
+	c.violated(!slices.ContainsFunc(found, withholds), "%s is withheld without a conflict", w.Namespace)
 }
 
-// orders4 are all orders of four, or none.
-func orders4(all bool) (out [][4]int) {
-	if !all {
-		return nil
-	}
+// permutations returns all orders of a set of four.
+func permutations(set []*File) [][]*File {
+	var all [][]*File
 	for i := range 256 {
-		o := [4]int{i & 3, i >> 2 & 3, i >> 4 & 3, i >> 6}
-		if 1<<o[0]|1<<o[1]|1<<o[2]|1<<o[3] == 15 {
-			out = append(out, o)
+		a, b, c, d := i&3, i>>2&3, i>>4&3, i>>6
+		if 1<<a|1<<b|1<<c|1<<d == 15 {
+			all = append(all, []*File{set[a], set[b], set[c], set[d]})
 		}
 	}
-	return out
+	return all
 }
 
-// play draws a set and a change of it, merges both with flaws, and gives all that is wrong.
-func play(i int, flaws mutation) (wrong []string, held int) {
-	c, set := drawSet(i)
-	base := merge(c, nil, set, flaws)
-	wrong = heldWrong(c, Outcome{}, set, base) // all are new at once
-	for _, order := range orders4(i%50 == 0) {
-		if again := merge(c, nil, []*File{set[order[0]], set[order[1]], set[order[2]], set[order[3]]}, flaws); again.Hash != base.Hash ||
-			!reflect.DeepEqual(again.Withheld, base.Withheld) {
-			wrong = append(wrong, "another order gives another outcome at first")
+// runRandomMerge merges a random set and a change of it. It returns all that is wrong, and how many were withheld.
+func runRandomMerge(i int, mutations mutation) ([]string, int) {
+	d, set := randomSet(i)
+	first := merge(d, nil, set, mutations)
+	violations := checkOutcome(d, Outcome{}, set, first)
+	if i%50 == 0 {
+		for _, order := range permutations(set) {
+			again := merge(d, nil, order, mutations)
+			if again.Hash != first.Hash || !reflect.DeepEqual(again.Withheld, first.Withheld) {
+				violations = append(violations, "another order gives another outcome at first")
+			}
 		}
 	}
-	held = len(base.Withheld)
-	d := drawer{rand.New(rand.NewPCG(uint64(i), 25))}
-	if len(base.Withheld) > 0 {
-		base = merge(c, base.Accepted, nil, 0) // what held nothing is not offered again
+	withheld := len(first.Withheld)
+	r := randomRules{rand.New(rand.NewPCG(uint64(i), 25))}
+	before := first
+	if len(first.Withheld) > 0 {
+		before = merge(d, first.Accepted, nil, 0) // what was withheld is not submitted again
 	}
-	offered := d.change(c, base.Accepted)
-	got := merge(c, base.Accepted, offered, flaws)
-	wrong = append(wrong, heldWrong(c, base, offered, got)...)
-	d.Shuffle(len(offered), func(a, b int) { offered[a], offered[b] = offered[b], offered[a] })
-	good := slices.Clone(base.Accepted)
-	d.Shuffle(len(good), func(a, b int) { good[a], good[b] = good[b], good[a] })
-	again := merge(c, good, append(offered, offered[:len(offered)/2]...), flaws)
-	if again.Hash != got.Hash || !reflect.DeepEqual(again.Withheld, got.Withheld) || !reflect.DeepEqual(again.Conflicts, got.Conflicts) {
-		wrong = append(wrong, "another order gives another outcome")
+	submitted := r.change(d, before.Accepted)
+	got := merge(d, before.Accepted, submitted, mutations)
+	violations = append(violations, checkOutcome(d, before, submitted, got)...)
+	r.Shuffle(len(submitted), func(a, b int) { submitted[a], submitted[b] = submitted[b], submitted[a] })
+	accepted := slices.Clone(before.Accepted)
+	r.Shuffle(len(accepted), func(a, b int) { accepted[a], accepted[b] = accepted[b], accepted[a] })
+	repeated := append(submitted, submitted[:len(submitted)/2]...)
+	again := merge(d, accepted, repeated, mutations)
+	if again.Hash != got.Hash || !reflect.DeepEqual(again.Withheld, got.Withheld) ||
+		!reflect.DeepEqual(again.Conflicts, got.Conflicts) {
+		violations = append(violations, "another order gives another outcome")
 	}
-	return wrong, held + len(got.Withheld)
+	return violations, withheld + len(got.Withheld)
 }
 
-func TestMergesOfDrawnSets(t *testing.T) {
-	held := 0
-	for i := range drawnSets {
-		wrong, n := play(i, 0)
-		held += n
-		for _, w := range wrong {
-			t.Fatalf("set %d: %s", i, w)
+func TestRandomMerges(t *testing.T) {
+	withheld := 0
+	for i := range randomSetCount {
+		violations, n := runRandomMerge(i, 0)
+		withheld += n
+		for _, violation := range violations {
+			t.Fatalf("set %d: %s", i, violation)
 		}
 	}
-	t.Logf("%d sets, %d namespaces held", drawnSets, held)
-	if held < drawnSets/10 {
-		t.Errorf("%d namespaces were held only: the draw is too tame", held)
+	t.Logf("%d sets, %d files withheld", randomSetCount, withheld)
+	if withheld < randomSetCount/10 {
+		t.Errorf("only %d files were withheld: the random sets are too tame", withheld)
 	}
 }
 
-// Associative: what has no conflict gives the same bytes in whichever parts it is taken up. The services' namespace comes first,
-// for a route to a service that is not there yet is rightly held.
-func TestPartsGiveTheWhole(t *testing.T) {
-	whole := 0
+// What has no conflict gives the same bytes in whichever parts it is merged. The namespace of the services comes first,
+// because a route to a service that is not there is withheld.
+func TestMergeInPartsGivesTheSame(t *testing.T) {
+	compared := 0
 	for i := range 300 {
-		c, set := drawSet(i)
-		want := Merge(c, nil, set)
+		d, set := randomSet(i)
+		want := Merge(d, nil, set)
 		if len(want.Withheld) > 0 {
 			continue
 		}
-		whole++
+		compared++
 		rest := set[1:]
-		rand.New(rand.NewPCG(uint64(i), 27)).Shuffle(len(rest), func(a, b int) { rest[a], rest[b] = rest[b], rest[a] })
-		got := Merge(c, Merge(c, nil, set[:1]).Accepted, rest[:1+i%2])
-		got = Merge(c, got.Accepted, rest[1+i%2:])
+		rng := rand.New(rand.NewPCG(uint64(i), 27))
+		rng.Shuffle(len(rest), func(a, b int) { rest[a], rest[b] = rest[b], rest[a] })
+		got := Merge(d, Merge(d, nil, set[:1]).Accepted, rest[:1+i%2])
+		got = Merge(d, got.Accepted, rest[1+i%2:])
 		if got.Hash != want.Hash || len(got.Withheld) > 0 {
-			t.Fatalf("set %d: in parts another policy, held %v", i, got.Withheld)
+			t.Fatalf("set %d: in parts another policy, withheld %v", i, got.Withheld)
 		}
 	}
-	t.Logf("%d sets without conflict", whole)
-	if whole < 100 {
-		t.Errorf("%d sets only have no conflict", whole)
+	t.Logf("%d sets without conflict", compared)
+	if compared < 100 {
+		t.Errorf("only %d sets have no conflict", compared)
 	}
 }
 
-// The checks above are tried: each guard taken out is convicted.
-func TestRemovedGuardsAreConvicted(t *testing.T) {
-	for name, flaws := range map[string]mutation{"take all": acceptAll, "hold all": withholdAll, "order of arrival": arrivalOrder, "no return": noReinstatement | withholdUnchanged, "hold whoever changed": noReinstatement} {
-		convicted := ""
-		for i := 0; i < drawnSets && convicted == ""; i++ {
-			if wrong, _ := play(i, flaws); len(wrong) > 0 {
-				convicted = fmt.Sprintf("set %d: %s", i, wrong[0])
+// The random merges detect each rule of Merge that is switched off.
+func TestRandomMergesDetectMutations(t *testing.T) {
+	for name, mutations := range map[string]mutation{
+		"accept all":         acceptAll,
+		"withhold all":       withholdAll,
+		"order of arrival":   arrivalOrder,
+		"no reinstatement":   noReinstatement,
+		"withhold unchanged": noReinstatement | withholdUnchanged,
+	} {
+		detected := ""
+		for i := 0; i < randomSetCount && detected == ""; i++ {
+			if violations, _ := runRandomMerge(i, mutations); len(violations) > 0 {
+				detected = fmt.Sprintf("set %d: %s", i, violations[0])
 			}
 		}
-		t.Logf("%s: %s", name, convicted)
-		if convicted == "" {
-			t.Errorf("%s: not convicted in %d sets", name, drawnSets)
+		t.Logf("%s: %s", name, detected)
+		if detected == "" {
+			t.Errorf("%s: not detected in %d sets", name, randomSetCount)
 		}
 	}
-	// The comparison with the slow search: a finder that leaves out each kind, or has one too many.
-	for _, k := range []ConflictKind{Contradiction, ContradictoryOverrides, MinimumsExceedLimit, ServiceRemoved, DomainOverlap, UnreachableRule} {
-		missed := false
-		for i := 0; i < drawnSets && !missed; i++ {
-			c, set := drawSet(i)
-			found := slices.DeleteFunc(Check(c, nil, set), func(x Conflict) bool { return x.Kind == k })
-			missed = len(compareWithSlow(c, set, found)) > 0
+}
+
+// The exhaustive search detects a finder that leaves out a kind of conflicts.
+func TestExhaustiveSearchDetectsMissingKinds(t *testing.T) {
+	for _, kind := range exhaustiveKinds {
+		detected := false
+		for i := 0; i < randomSetCount && !detected; i++ {
+			d, set := randomSet(i)
+			found := slices.DeleteFunc(Check(d, nil, set), func(c Conflict) bool { return c.Kind == kind })
+			detected = len(compareWithExhaustive(d, set, found)) > 0
 		}
-		if !missed {
-			t.Errorf("a finder without %s is not convicted", k)
+		if !detected {
+			t.Errorf("a finder without %s is not detected", kind)
 		}
 	}
-	// One that knows no delegations, and one that takes each delegation for a leave to go first.
-	for name, flawed := range map[string]func(*Declaration) *Declaration{
-		"no delegations": func(c *Declaration) *Declaration { f := *c; f.delegationsTo = nil; return &f },
-		"any delegation": func(c *Declaration) *Declaration {
-			f := *c
-			f.delegationsTo = map[string][]*Delegation{}
-			for _, d := range c.Delegations {
-				f.delegationsTo[d.To] = append(f.delegationsTo[d.To], &Delegation{d.From, d.To, Domain{Settings: d.Settings}})
+}
+
+// The exhaustive search detects a finder that knows no delegations, and one that takes each for a delegation of all.
+func TestExhaustiveSearchDetectsWrongDelegations(t *testing.T) {
+	for name, mutate := range map[string]func(*Declaration) *Declaration{
+		"no delegations": func(d *Declaration) *Declaration {
+			mutated := *d
+			mutated.delegationsTo = nil
+			return &mutated
+		},
+		"delegations of all": func(d *Declaration) *Declaration {
+			mutated := *d
+			mutated.delegationsTo = map[string][]*Delegation{}
+			for _, delegation := range d.Delegations {
+				wide := &Delegation{delegation.From, delegation.To, Domain{Settings: delegation.Settings}}
+				mutated.delegationsTo[wide.To] = append(mutated.delegationsTo[wide.To], wide)
 			}
-			return &f
+			return &mutated
 		},
 	} {
-		wrong := 0
+		detected := 0
 		for i := range 300 {
-			c, set := drawSet(i)
-			found := newFinder(flawed(c), nil).withholding(set)
-			for _, w := range compareWithSlow(c, set, append(found, newFinder(c, nil).reported(set)...)) {
-				if strings.Contains(w, string(Contradiction)) {
-					wrong++
+			d, set := randomSet(i)
+			found := newFinder(mutate(d), nil).withholding(set)
+			found = append(found, newFinder(d, nil).reported(set)...)
+			for _, difference := range compareWithExhaustive(d, set, found) {
+				if strings.Contains(difference, string(Contradiction)) {
+					detected++
 				}
 			}
 		}
-		t.Logf("%s: %d wrong", name, wrong)
-		if wrong == 0 {
-			t.Errorf("a finder with %s is not convicted", name)
+		t.Logf("%s: %d differences", name, detected)
+		if detected == 0 {
+			t.Errorf("a finder with %s is not detected", name)
 		}
 	}
 }
 
-// Whatever a file has in it, it is read or refused with its name, and what was read merges without harm to the others.
+// damage changes, removes or repeats some bytes of a text.
+func damage(rng *rand.Rand, text []byte) []byte {
+	for range 1 + rng.IntN(3) {
+		i := rng.IntN(len(text))
+		k := rng.IntN(len(text))
+		start := min(i, k)
+		rest := len(text) - start
+		switch rng.IntN(4) {
+		case 0:
+			text[i] = text[k]
+		case 1:
+			text = slices.Delete(text, start, start+min(rest, 1+rng.IntN(8)))
+		case 2:
+			text = slices.Insert(text, i, text[start:start+min(rest, 40)]...)
+		default:
+			text[i] = byte(rng.IntN(256))
+		}
+	}
+	return text
+}
+
+// A damaged file is parsed or rejected with its name, and a parsed one merges without harm to the others.
 func TestDamagedFiles(t *testing.T) {
-	c, texts := shipped(t)
-	base := Merge(c, nil, []*File{parse(t, texts["dispatch"]), parse(t, texts["settlement"]), parse(t, texts["booking-desks"])})
+	example := newExampleFleet(t)
+	accepted := Merge(example.declaration, nil, example.files()).Accepted
 	rng := rand.New(rand.NewPCG(7, 26))
-	read, refused := 0, 0
+	parsed := 0
+	rejected := 0
 	for range 1000 {
-		name := []string{"dispatch", "settlement", "booking-desks", "charter"}[rng.IntN(4)]
-		text := []byte(texts[name])
-		for range 1 + rng.IntN(3) {
-			i, k := rng.IntN(len(text)), rng.IntN(len(text))
-			switch rng.IntN(4) {
-			case 0:
-				text[i] = text[k]
-			case 1:
-				text = slices.Delete(text, min(i, k), min(i, k)+min(len(text)-min(i, k), 1+rng.IntN(8)))
-			case 2:
-				text = slices.Insert(text, i, text[min(i, k):min(i, k)+min(len(text)-min(i, k), 40)]...)
-			default:
-				text[i] = byte(rng.IntN(256))
-			}
+		name := []string{"dispatch", "settlement", "booking-desks", exampleDeclaration}[rng.IntN(4)]
+		text := damage(rng, []byte(example.texts[name]))
+		err := mergeDamaged(t, example, accepted, name, text)
+		if err == nil {
+			parsed++
+			continue
 		}
-		var err error
-		var n *File
-		if name == "charter" {
-			var other *Declaration
-			if other, err = ParseDeclaration("x.toml", text); err == nil {
-				Merge(other, base.Accepted, nil)
-			}
-		} else if n, err = Parse("x.toml", text); err == nil {
-			out := Merge(c, base.Accepted, []*File{n})
-			if len(out.Accepted) != 3 {
-				t.Fatalf("%d go on after:\n%s", len(out.Accepted), text)
-			}
-			for _, h := range out.Withheld {
-				if h.Namespace != n.Name {
-					t.Fatalf("%v, but %s offered:\n%s", h, n.Name, text)
-				}
-			}
+		rejected++
+		var file FileError
+		if !errors.As(err, &file) || file.Path != "x.toml" || file.Err == nil {
+			t.Fatalf("%v has no place:\n%s", err, text)
 		}
-		if err != nil {
-			refused++
-			var file FileError
-			if !errors.As(err, &file) || file.Path != "x.toml" || file.Err == nil {
-				t.Fatalf("%v does not say where:\n%s", err, text)
-			}
-			continue
+	}
+	t.Logf("%d parsed, %d rejected", parsed, rejected)
+	if parsed < 40 || rejected < 40 {
+		t.Errorf("the damage is too tame: %d parsed, %d rejected", parsed, rejected)
+	}
+}
+
+// mergeDamaged merges a damaged file or declaration, or returns the error of its parser.
+func mergeDamaged(t *testing.T, example *exampleFleet, accepted []*File, name string, text []byte) error {
+	t.Helper()
+	if name == exampleDeclaration {
+		d, err := ParseDeclaration("x.toml", text)
+		if err == nil {
+			Merge(d, accepted, nil)
 		}
-		read++
+		return err
 	}
-	t.Logf("%d read, %d refused", read, refused)
-	if read < 40 || refused < 40 {
-		t.Errorf("the draw is too tame: %d read, %d refused", read, refused)
+	f, err := Parse("x.toml", text)
+	if err != nil {
+		return err
+	}
+	out := Merge(example.declaration, accepted, []*File{f})
+	if len(out.Accepted) != len(accepted) {
+		t.Fatalf("%d go on after:\n%s", len(out.Accepted), text)
+	}
+	for _, w := range out.Withheld {
+		if w.Namespace != f.Name {
+			t.Fatalf("%v, but %s submitted:\n%s", w, f.Name, text)
+		}
 	}
+	return nil
 }
--- a/internal/policy/namespace/settle.go
+++ b/internal/policy/namespace/settle.go
@@ -7,23 +7,23 @@
 
 // settle withholds one file, of the first namespace by precedence among those that lose a conflict: others may have
 // lost only to that file, and are looked at again. If nobody loses one, it removes rules.
-func (m *merger) settle(found []Conflict) {
-	if loser, conflict := m.firstLoser(found); loser != nil {
+func (m *merger) settle(conflicts []Conflict) {
+	if loser, conflict := m.firstLoser(conflicts); loser != nil {
 		if m.mutated(withholdAll) {
 			m.withholdOthers(loser, conflict)
 		}
 		loser.withholdSubmitted(conflict)
 		return
 	}
-	m.removeRules(found)
+	m.removeRules(conflicts)
 }
 
 // firstLoser returns the first namespace by precedence that loses one of the conflicts, with that conflict.
-func (m *merger) firstLoser(found []Conflict) (*participant, *Conflict) {
+func (m *merger) firstLoser(conflicts []Conflict) (*participant, *Conflict) {
 	var first *participant
 	var conflict *Conflict
-	for i := range found {
-		c := &found[i]
+	for i := range conflicts {
+		c := &conflicts[i]
 		loser, _ := m.lastOf(c, func(p *participant, id string) bool {
 			return p.caused(c.Kind, id) || m.mutated(withholdUnchanged) && p.submitted != nil
 		})
@@ -105,11 +105,11 @@
 
 // removeRules removes one rule for each conflict, of the last namespace by precedence. A conflict of which a rule is
 // already removed is settled, or is found again.
-func (m *merger) removeRules(found []Conflict) {
+func (m *merger) removeRules(conflicts []Conflict) {
 	removed := map[ruleRef]bool{}
 	affected := map[string]bool{}
-	for i := range found {
-		c := &found[i]
+	for i := range conflicts {
+		c := &conflicts[i]
 		isRemoved := func(r Source) bool { return removed[ruleRef{r.Namespace, r.Rule}] }
 		if slices.ContainsFunc(c.Rules, isRemoved) {
 			continue
