--- a/internal/controlplane/api/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -13,6 +13,9 @@
 // Error implements error.
 func (e UnknownServerError) Error() string { return fmt.Sprintf("the fleet has no steward %q", e.Name) }
 
+// Code returns the name of this error in messages between processes.
+func (UnknownServerError) Code() string { return "fleet.UnknownSteward" }
+
 // Advice implements operatorerror.Error.
 func (UnknownServerError) Advice() string { return "Name one of the stewards in the fleet's file." }
 
@@ -22,6 +25,9 @@
 // Error implements error.
 func (e MalformedMessageError) Error() string { return "a message that can't be read: " + e.Reason }
 
+// Code returns the name of this error in messages between processes.
+func (MalformedMessageError) Code() string { return "fleet.BadMessage" }
+
 // Advice implements operatorerror.Error.
 func (MalformedMessageError) Advice() string {
 	return "See that nothing but proxies and stewards of one release speaks to the stewards' addresses."
@@ -41,6 +47,9 @@
 // Unwrap returns the cause.
 func (e ServerUnreachableError) Unwrap() error { return e.Err }
 
+// Code returns the name of this error in messages between processes.
+func (ServerUnreachableError) Code() string { return "fleet.Unreachable" }
+
 // Advice implements operatorerror.Error.
 func (ServerUnreachableError) Advice() string {
 	return "See whether the steward runs and whether the network leads to it; proxies ask the others, and go on with " +
--- a/internal/controlplane/freshness/errors.go
+++ b/internal/controlplane/freshness/errors.go
@@ -8,6 +8,9 @@
 // Error implements error.
 func (e WorkerDiedError) Error() string { return "the duty of the view died: " + e.Reason }
 
+// Code returns the name of this error in messages between processes.
+func (WorkerDiedError) Code() string { return "fleetview.DutyDied" }
+
 // Advice implements operatorerror.Error.
 func (WorkerDiedError) Advice() string {
 	return "It was begun anew on the list as last heard; file the log line with its cause. If it goes on, take " +
@@ -22,6 +25,9 @@
 	return fmt.Sprintf("the duty of the view has not moved for %v", e.For)
 }
 
+// Code returns the name of this error in messages between processes.
+func (WorkerStuckError) Code() string { return "fleetview.DutyStuck" }
+
 // Advice implements operatorerror.Error.
 func (WorkerStuckError) Advice() string {
 	return "Look at the machine's load; another duty was begun in its place."
@@ -38,6 +44,9 @@
 	return fmt.Sprintf("register %q is not weighed: %d are the most", e.Name, e.Max)
 }
 
+// Code returns the name of this error in messages between processes.
+func (TooManyListsError) Code() string { return "fleetview.TooManyRegisters" }
+
 // Advice implements operatorerror.Error.
 func (TooManyListsError) Advice() string {
 	return "Have services share registers, or start the process anew: it keeps the views of all that it ever followed."
--- a/internal/controlplane/server/errors.go
+++ b/internal/controlplane/server/errors.go
@@ -15,6 +15,9 @@
 	return fmt.Sprintf("two processes on two machines go by the floors of %s", e.Holder)
 }
 
+// Code returns the name of this error in messages between processes.
+func (DuplicateFloorClaimError) Code() string { return "steward.FloorsTwice" }
+
 // Advice implements operatorerror.Error.
 func (DuplicateFloorClaimError) Advice() string {
 	return "Stop one of the two, or give it a name of its own: until then its floors are spent twice. " +
@@ -30,6 +33,9 @@
 		e.Epoch, store.MaxUnchunkedBytes)
 }
 
+// Code returns the name of this error in messages between processes.
+func (ChunksRequiredError) Code() string { return "steward.NeedsPieces" }
+
 // Advice implements operatorerror.Error.
 func (ChunksRequiredError) Advice() string {
 	return "The proxy goes on with the policy that it has. Replace it by one of this release, which takes policies " +
--- a/internal/controlplane/server/propose.go
+++ b/internal/controlplane/server/propose.go
@@ -72,8 +72,9 @@
 		return err
 	}
 	status := current.state.policyStatus()
-	s.config.Logger.Info("policy command of an operator applied", "active_epoch", status.Active.Epoch,
-		"candidate_epoch", status.Candidate.Epoch, "generation", status.Active.Generation, "withheld", len(status.WithheldFiles))
+	s.config.Logger.Info("policy command of an operator applied",
+		"active_epoch", status.Active.Epoch, "candidate_epoch", status.Candidate.Epoch,
+		"generation", status.Active.Generation, "withheld", len(status.WithheldFiles))
 	return nil
 }
 
--- a/internal/controlplane/server/rollouts.go
+++ b/internal/controlplane/server/rollouts.go
@@ -31,9 +31,14 @@
 	stopReason error // if state is rollout.Stopped
 }
 
+// started reports whether the committed candidate is being rolled out.
+func (p *rolloutProgress) started() bool {
+	return p.candidate == p.status.Candidate && p.candidate.Epoch > 0
+}
+
 // ended reports whether the rollout of the committed candidate has just ended.
 func (p *rolloutProgress) ended() bool {
-	if p.candidate != p.status.Candidate || p.candidate.Epoch == 0 || p.status.Stopped != nil {
+	if !p.started() || p.status.Stopped != nil {
 		return false
 	}
 	return p.state == rollout.Done || p.state == rollout.Stopped
@@ -55,7 +60,7 @@
 			continue
 		}
 		progress := s.advanceRollout(current)
-		if progress.candidate != announced && progress.candidate == progress.status.Candidate && progress.candidate.Epoch > 0 {
+		if progress.candidate != announced && progress.started() {
 			announced = progress.candidate
 			s.config.Logger.Info("rollout started",
 				"epoch", progress.candidate.Epoch, "changes", progress.status.Batch, "proxies", progress.proxies)
--- a/internal/faultlab/capacity/run.go
+++ b/internal/faultlab/capacity/run.go
@@ -317,18 +317,12 @@
 	}
 }
 
-// bad tells whether the book itself says no, so that saying it again changes nothing.
-func bad(err error) bool {
-	name := api.RemoteErrorOf(err).Code
-	return strings.HasPrefix(name, "policybook.") || strings.HasPrefix(name, "namespace.")
-}
-
 // give gives the stewards an operator's word until it is taken or the book says no.
 func (r *run) give(ctx context.Context, c store.Command) error {
 	var no error
 	err := again(ctx, "an operator's word", func() error {
 		err := r.file.SendPolicyCommand(ctx, r.operator, c)
-		if err != nil && bad(err) {
+		if err != nil && api.IsFinalPolicyError(err) {
 			no = err
 			return nil
 		}
--- a/internal/policy/rollout/errors.go
+++ b/internal/policy/rollout/errors.go
@@ -14,6 +14,9 @@
 		e.Offered.Epoch, e.Offered.Generation, e.Current.Epoch, e.Current.Generation)
 }
 
+// Code returns the name of this error in messages between processes.
+func (StaleVersionError) Code() string { return "rollout.OldEpoch" }
+
 // Advice implements operatorerror.Error.
 func (e StaleVersionError) Advice() string {
 	return "A late word, or a steward that was cut off: nothing to do. To go back on purpose, tell the stewards to."
@@ -30,6 +33,9 @@
 	return fmt.Sprintf("epoch %d is held with hash %.12s, and offered with %.12s", e.Epoch, e.Current, e.Other)
 }
 
+// Code returns the name of this error in messages between processes.
+func (EpochConflictError) Code() string { return "rollout.EpochTwice" }
+
 // Advice implements operatorerror.Error.
 func (e EpochConflictError) Advice() string {
 	return "Two stewards number policies apart from each other, as after a founding anew. " +
@@ -45,6 +51,9 @@
 	return fmt.Sprintf("the policy's hash is %.12s, %.12s was offered", e.Actual, e.Expected)
 }
 
+// Code returns the name of this error in messages between processes.
+func (HashMismatchError) Code() string { return "rollout.WrongContent" }
+
 // Advice implements operatorerror.Error.
 func (e HashMismatchError) Advice() string {
 	return "The policy was damaged or cut on its way; it is fetched again. If it goes on, look at the steward " +
@@ -72,6 +81,9 @@
 	return text
 }
 
+// Code returns the name of this error in messages between processes.
+func (HarmDetectedError) Code() string { return "rollout.RolloutStopped" }
+
 // Advice implements operatorerror.Error.
 func (e HarmDetectedError) Advice() string {
 	return "Proxies that have the new policy keep it and no more get it. Tell the fleet to go back, or offer a " +
@@ -93,6 +105,9 @@
 	return fmt.Sprintf(format, e.Epoch, e.Step+1, e.Pending, e.Targeted, e.Waited.Round(time.Second))
 }
 
+// Code returns the name of this error in messages between processes.
+func (NotAdoptedError) Code() string { return "rollout.RolloutNotTaken" }
+
 // Advice implements operatorerror.Error.
 func (e NotAdoptedError) Advice() string {
 	return "FLEET on such a proxy's console says why. Mostly its file of services lacks a service that the policy " +
@@ -117,6 +132,9 @@
 	return text
 }
 
+// Code returns the name of this error in messages between processes.
+func (RegressionError) Code() string { return "rollout.WorseAfter" }
+
 // Advice implements operatorerror.Error.
 func (e RegressionError) Advice() string {
 	return "All proxies have it, so nothing goes back by itself. See what else began then. If it is the policy, tell " +
--- a/internal/policy/routetable/errors.go
+++ b/internal/policy/routetable/errors.go
@@ -20,6 +20,9 @@
 	return text + strings.Join(e.Names, ", ")
 }
 
+// Code returns the name of this error in messages between processes.
+func (MissingServicesError) Code() string { return "policyroutes.MissingServices" }
+
 // Advice implements operatorerror.Error.
 func (MissingServicesError) Advice() string {
 	return "Enter the services in the proxy's file of services and have it read again; " +
@@ -38,6 +41,9 @@
 // Unwrap returns the cause.
 func (e InvalidRulesError) Unwrap() error { return e.Err }
 
+// Code returns the name of this error in messages between processes.
+func (InvalidRulesError) Code() string { return "policyroutes.BadRoutes" }
+
 // Advice implements operatorerror.Error.
 func (InvalidRulesError) Advice() string {
 	return "The routes before go on. Have the teams whose rules are named mend them, and offer their files again."
