--- a/internal/staleness/calibrate/calibrate_test.go
+++ b/internal/staleness/calibrate/calibrate_test.go
@@ -52,8 +52,9 @@
 	}
 	e := &r.Estimate
 	check(math.Abs(top.Bias()) > maxBias, "silent watch: .9 and above has bias %+.4f", top.Bias())
-	check(e.HeldWithoutStaleAnswers() < .999, "bound holds in %.4f without stale answers", e.HeldWithoutStaleAnswers())
-	check(e.HeldAgainstMissed() < .999, "bound holds in %.4f against missed changes", e.HeldAgainstMissed())
+	coverage := e.CoverageWithoutStaleAnswers()
+	check(coverage < .999, "bound holds in %.4f without stale answers", coverage)
+	check(e.CoverageOfMissed() < .999, "bound holds in %.4f against missed changes", e.CoverageOfMissed())
 	check(e.MedianRatio() > 2, "median bound is %.2f times the age", e.MedianRatio())
 	check(e.BrierSum >= r.Baseline.BrierSum, "no better than the baseline")
 	return all
@@ -68,7 +69,7 @@
 	if r.Attempts < 12_000 || r.SilentWatch.Deciles[9].Attempts < 1000 || r.Estimate.Ages < 5_000 {
 		t.Errorf("too little was tried: %d attempts", r.Attempts)
 	}
-	if r.Baseline.Held() > .99 {
+	if r.Baseline.Coverage() > .99 {
 		t.Error("the baseline's bound holds: the simulation has too few faults")
 	}
 }
@@ -126,7 +127,7 @@
 		r := play(t, 31, 40, 3000*time.Second, staleness.Settings{}.Without(term))
 		found := violations(r, false)
 		t.Logf("without %s: worst decile %.3f, bound holds %.5f, missed changes %.5f: %v",
-			term, r.Estimate.WorstBias(), r.Estimate.Held(), r.Estimate.HeldAgainstMissed(), found)
+			term, r.Estimate.WorstBias(), r.Estimate.Coverage(), r.Estimate.CoverageOfMissed(), found)
 		if len(found) == 0 {
 			t.Errorf("without %s: no violation", term)
 		}
--- a/internal/staleness/calibrate/doc.go
+++ b/internal/staleness/calibrate/doc.go
@@ -3,6 +3,6 @@
 // The simulation runs in virtual time and is a pure function of its seed.
 //
 // Run plays one simulation and adds to a Result, which compares what the estimate said with the truth. A second,
-// simple rule is measured on the same attempts as a baseline: it knows the mean change rate, which no proxy would know,
+// simple rule is scored on the same attempts as a baseline: it knows the mean change rate, which no proxy would know,
 // and the time since the last message.
 package calibrate
--- a/internal/staleness/calibrate/result.go
+++ b/internal/staleness/calibrate/result.go
@@ -35,11 +35,11 @@
 	Deciles  [deciles]Decile
 	BrierSum float64 // sum of squared errors of the probabilities (Brier, 1950)
 
-	Ages         int // bounds of the age that were checked
-	AgesHeld     int // bounds that held against the age of information
-	MissedHeld   int // bounds that held against the age of the first missed change
-	StaleAnswers int // bounds that failed against the age of information while discovery answered with an old list
-	ratios       []float64
+	Ages          int // bounds of the age that were checked
+	AgesCovered   int // bounds that held against the age of information
+	MissedCovered int // bounds that held against the age of the first missed change
+	StaleAnswers  int // bounds that failed against the age of information while discovery answered with an old list
+	ratios        []float64
 }
 
 // Result is the outcome of simulations.
@@ -94,12 +94,12 @@
 	s.Ages++
 	switch {
 	case a.information <= bound:
-		s.AgesHeld++
+		s.AgesCovered++
 	case a.staleAnswer:
 		s.StaleAnswers++
 	}
 	if a.missed <= bound {
-		s.MissedHeld++
+		s.MissedCovered++
 	}
 	if a.information > 0 {
 		s.ratios = append(s.ratios, float64(bound)/float64(a.information))
@@ -122,16 +122,16 @@
 	return worst
 }
 
-// Held is the part of bounds that held against the age of information.
-func (s *Score) Held() float64 { return float64(s.AgesHeld) / float64(max(1, s.Ages)) }
+// Coverage is the part of bounds that held against the age of information.
+func (s *Score) Coverage() float64 { return float64(s.AgesCovered) / float64(max(1, s.Ages)) }
 
-// HeldWithoutStaleAnswers is the same without the bounds that a stale discovery service made wrong.
-func (s *Score) HeldWithoutStaleAnswers() float64 {
-	return float64(s.AgesHeld) / float64(max(1, s.Ages-s.StaleAnswers))
+// CoverageWithoutStaleAnswers is the same without the bounds that a stale discovery service made wrong.
+func (s *Score) CoverageWithoutStaleAnswers() float64 {
+	return float64(s.AgesCovered) / float64(max(1, s.Ages-s.StaleAnswers))
 }
 
-// HeldAgainstMissed is the part of bounds that held against the age of the first missed change.
-func (s *Score) HeldAgainstMissed() float64 { return float64(s.MissedHeld) / float64(max(1, s.Ages)) }
+// CoverageOfMissed is the part of bounds that held against the age of the first missed change.
+func (s *Score) CoverageOfMissed() float64 { return float64(s.MissedCovered) / float64(max(1, s.Ages)) }
 
 // MedianRatio is the median of bound divided by age of information; infinite without any.
 func (s *Score) MedianRatio() float64 {
--- a/internal/staleness/calibrate/table.go
+++ b/internal/staleness/calibrate/table.go
@@ -31,7 +31,7 @@
 
 func (r *Result) writeScore(b *strings.Builder, name string, s *Score) {
 	fmt.Fprintf(b, "%-6s worst tenth %.3f, Brier %.5f, bound holds %.5f (outside of lies %.5f, missed changes %.5f), ",
-		name, s.WorstBias(), s.BrierSum/float64(max(1, r.Attempts)), s.Held(), s.HeldWithoutStaleAnswers(),
-		s.HeldAgainstMissed())
+		name, s.WorstBias(), s.BrierSum/float64(max(1, r.Attempts)), s.Coverage(), s.CoverageWithoutStaleAnswers(),
+		s.CoverageOfMissed())
 	fmt.Fprintf(b, "median bound/age %.2f\n", s.MedianRatio())
 }
--- a/internal/staleness/probes.go
+++ b/internal/staleness/probes.go
@@ -16,8 +16,8 @@
 const (
 	// probeCeiling is the confidence above which nothing is probed.
 	probeCeiling = .99
-	// goneProbeWeight has entries that are probably gone probed now and then.
-	goneProbeWeight = .05
+	// removedProbeWeight has entries that are probably removed probed now and then.
+	removedProbeWeight = .05
 	// minUnknownGain is the least gain of a call for a source of unknown age.
 	minUnknownGain = 1
 )
@@ -61,7 +61,7 @@
 		weight := v.weightOf(e)
 		atRisk[s.settings.Name] += weight * (1 - confidence) * (1 - s.followed())
 		if !s.settings.AffectsAllRoutes && now-e.probedAt >= s.gaps.Percentile90() {
-			gain := weight * (1 - confidence) * (confidence + goneProbeWeight)
+			gain := weight * (1 - confidence) * (confidence + removedProbeWeight)
 			probes = append(probes, PlannedProbe{Source: s.settings.Name, Entry: e.Name, Gain: gain})
 		}
 	}
