--- a/internal/route/with_test.go
+++ b/internal/route/change_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// drawer draws rules out of few values, so that they meet.
+// drawer draws rules from few values, so that they match the same requests.
 type drawer struct{ *rand.Rand }
 
 func (d drawer) some() (out []string) {
@@ -21,8 +21,15 @@
 }
 
 func (d drawer) rule(name string) Rule {
-	r := Rule{Name: name, Host: hosts[d.IntN(4)], To: to(fmt.Sprint("s", d.IntN(4))), Methods: d.some(), Classes: d.some(), Tenants: d.some()}
-	path := pathsOf[d.IntN(3)]
+	r := Rule{
+		Name:    name,
+		Host:    hosts[d.IntN(4)],
+		To:      to(fmt.Sprint("s", d.IntN(4))),
+		Methods: d.some(),
+		Classes: d.some(),
+		Tenants: d.some(),
+	}
+	path := paths[d.IntN(3)]
 	switch d.IntN(3) {
 	case 0:
 		r.Path = path
@@ -32,8 +39,9 @@
 	return r
 }
 
-// outcome is what With makes of rules: changed ones keep their place, new ones go to the end, and so do those without a name of their own.
-func outcome(rules, set []Rule, gone []string) []Rule {
+// changedRules returns what WithChanges makes of rules: changed ones keep their place, new ones go to the end, and so
+// do those without a name of their own.
+func changedRules(rules, set []Rule, removed []string) []Rule {
 	own := map[string]*Rule{}
 	var rest []Rule
 	for i, r := range set {
@@ -46,11 +54,11 @@
 	var out []Rule
 	done := map[string]bool{}
 	for _, r := range rules {
-		switch new := own[r.Name]; {
-		case new != nil:
-			out = append(out, *new)
+		switch changed := own[r.Name]; {
+		case changed != nil:
+			out = append(out, *changed)
 			done[r.Name] = true
-		case !slices.Contains(gone, r.Name):
+		case !slices.Contains(removed, r.Name):
 			out = append(out, r)
 		}
 	}
@@ -62,15 +70,19 @@
 	return append(out, rest...)
 }
 
-// sameTable says on which request two tables differ; empty is none.
-func sameTable(a, b *Table) string {
-	for _, host := range askHosts {
-		for _, path := range pathsOf {
+// difference returns in which request two tables differ; empty if they do not.
+func difference(a, b *Table) string {
+	for _, host := range requestHosts {
+		for _, path := range paths {
 			for i := range 27 {
 				q := Request{Host: host, Path: path, Method: words[i%3], Class: words[i/3%3], Tenant: words[i/9]}
 				x, v := a.Lookup(&q)
 				y, w := b.Lookup(&q)
-				if v != w || (x == nil) != (y == nil) || x != nil && (x.Name != y.Name || x.To[0].Service != y.To[0].Service) {
+				same := v == w && (x == nil) == (y == nil)
+				if same && x != nil {
+					same = x.Name == y.Name && x.To[0].Service == y.To[0].Service
+				}
+				if !same {
 					return fmt.Sprintf("%+v: %v %v, and %v %v", q, x, v, y, w)
 				}
 			}
@@ -82,9 +94,10 @@
 	return ""
 }
 
-// A table with changes is the table of the outcome, in verdicts and in errors, and the one before stays as it was.
-func TestWithAgreesWithCompile(t *testing.T) {
-	refused, taken := 0, 0
+// A table with changes equals the compiled changed rules, in verdicts and in errors, and the earlier table stays as it
+// was.
+func TestWithChangesAgreesWithCompile(t *testing.T) {
+	rejected, accepted := 0, 0
 	for seed := range uint64(100) {
 		d := drawer{rand.New(rand.NewPCG(seed, 31))}
 		fallback := []string{"", "rest"}[d.IntN(2)]
@@ -95,7 +108,7 @@
 		}
 		for step := range 8 {
 			var set []Rule
-			var gone []string
+			var removed []string
 			for range d.IntN(7) {
 				r := d.rule(fmt.Sprint(d.IntN(25)))
 				switch d.IntN(60) {
@@ -110,40 +123,40 @@
 				set = append(set, r)
 			}
 			for range d.IntN(4) {
-				gone = append(gone, fmt.Sprint(d.IntN(30))) // what is set as well stays
+				removed = append(removed, fmt.Sprint(d.IntN(30))) // what is set as well stays
 			}
 			was, err := Compile(rules, fallback)
 			if err != nil {
 				t.Fatal(err)
 			}
-			next := outcome(rules, set, gone)
+			next := changedRules(rules, set, removed)
 			want, wantErr := Compile(next, fallback)
-			got, err := now.WithChanges(set, gone)
-			if wrong := sameTable(now, was); wrong != "" {
+			got, err := now.WithChanges(set, removed)
+			if wrong := difference(now, was); wrong != "" {
 				t.Fatalf("seed %d, step %d: the table before was changed: %s", seed, step, wrong)
 			}
 			if wantErr != nil || err != nil {
 				if fmt.Sprint(err) != fmt.Sprint(wantErr) {
-					t.Fatalf("seed %d, step %d: %v, and of the outcome %v", seed, step, err, wantErr)
+					t.Fatalf("seed %d, step %d: %v, and of Compile %v", seed, step, err, wantErr)
 				}
-				refused++
+				rejected++
 				continue
 			}
-			if wrong := sameTable(got, want); wrong != "" {
+			if wrong := difference(got, want); wrong != "" {
 				t.Fatalf("seed %d, step %d: %s", seed, step, wrong)
 			}
 			rules, now = next, got
-			taken++
+			accepted++
 		}
 	}
-	t.Logf("%d taken, %d refused", taken, refused)
-	if taken < 300 || refused < 50 {
-		t.Error("the draw is too tame")
+	t.Logf("%d accepted, %d rejected", accepted, rejected)
+	if accepted < 300 || rejected < 50 {
+		t.Error("the drawn changes are too alike")
 	}
 }
 
-// Maps of any size share what did not change: tenants of one path, hosts, and paths of one host by the thousand.
-func TestWithOfLargeTables(t *testing.T) {
+// Tables of any size share what did not change: thousands of tenants of one path, of hosts, and of paths of one host.
+func TestWithChangesOfLargeTables(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 30))
 	made := func(i, number int) Rule {
 		r := Rule{Name: fmt.Sprint(i), To: to(fmt.Sprint("s", number))}
@@ -176,7 +189,7 @@
 	has := map[int]int{}
 	for step := range 60 {
 		var set []Rule
-		var gone []string
+		var removed []string
 		last := now
 		before := map[int]int{}
 		for range 200 {
@@ -186,19 +199,23 @@
 			}
 			before[i] = has[i]
 			if has[i] = 0; rng.IntN(4) == 0 {
-				gone = append(gone, fmt.Sprint(i))
+				removed = append(removed, fmt.Sprint(i))
 				continue
 			}
 			has[i] = step + 1
 			set = append(set, made(i, step+1))
 		}
-		if now, err = now.WithChanges(set, gone); err != nil {
+		if now, err = now.WithChanges(set, removed); err != nil {
 			t.Fatal(err)
 		}
 		check := func(table *Table, i, number int) {
 			t.Helper()
 			r, v := table.Lookup(ask(i))
-			if (v == Found) != (number > 0) || number > 0 && (r.Name != fmt.Sprint(i) || r.To[0].Service != fmt.Sprint("s", number)) {
+			same := (v == Found) == (number > 0)
+			if same && number > 0 {
+				same = r.Name == fmt.Sprint(i) && r.To[0].Service == fmt.Sprint("s", number)
+			}
+			if !same {
 				t.Fatalf("step %d, rule %d: %v %v, want number %d", step, i, r, v, number)
 			}
 		}
@@ -214,14 +231,14 @@
 	}
 }
 
-func TestWithHoldsTheBounds(t *testing.T) {
+func TestWithChangesKeepsTheBounds(t *testing.T) {
 	words := []string{"x", "y", "z"}
 	now, err := Compile([]Rule{{Name: "a", Host: "a.org", Methods: words, Tenants: words, To: to("a")}}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	full := *now
-	full.expanded = maxExpanded // as if the others stood in it too
+	full.expanded = maxExpanded // as if it had more rules
 	b := Rule{Name: "b", Host: "b.org", Methods: words, Tenants: words, To: to("a")}
 	if _, err := full.WithChanges([]Rule{b}, []string{"a"}); err != nil {
 		t.Errorf("in place of the other: %v", err)
@@ -246,9 +263,9 @@
 	}
 }
 
-func BenchmarkWith(b *testing.B) {
+func BenchmarkWithChanges(b *testing.B) {
 	for _, n := range []int{1000, 4000, 13_000, 26_000} {
-		table := many(n)
+		table := manyRules(n)
 		r := *table.rules[n/2]
 		r.To = to("other")
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -267,7 +284,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				many(n)
+				manyRules(n)
 			}
 		})
 	}
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -3,24 +3,25 @@
 import (
 	"cmp"
 	"fmt"
+	"math"
 	"slices"
 	"strings"
 )
 
-// Explanation is what became of one rule in a lookup.
+// Explanation says how one rule fared in a lookup.
 type Explanation struct {
 	Rule    *Rule
 	Matches bool
-	Why     string // it does not match, or lost
+	Why     string // why it won, was not first, or does not match
 }
 
-// Explain tells which rule a request gets and why, and what of the others. It looks at each rule by itself, apart
-// from the table: the first reason is the winner's, those that match and lost follow, then the rest.
+// Explain returns how each rule fares for a request: the winner first, then the other rules that match, in the order
+// of precedence, then the rest. It compares the rules one by one, without the index.
 func (t *Table) Explain(q *Request) []Explanation {
 	var out []Explanation
 	for _, r := range t.rules {
 		why := r.mismatch(q)
-		out = append(out, Explanation{r, why == "", why})
+		out = append(out, Explanation{Rule: r, Matches: why == "", Why: why})
 	}
 	slices.SortStableFunc(out, func(a, b Explanation) int {
 		if a.Matches != b.Matches {
@@ -40,13 +41,11 @@
 		case i == 0:
 			out[i].Why = "first of those that match"
 		default:
-			out[i].Why = "matches, but " + lost(out[0].Rule, out[i].Rule)
+			out[i].Why = "matches, but " + whyFirst(out[0].Rule, out[i].Rule)
 		}
 	}
 	if t.fallback != nil {
-		why := "the default: no rule matches"
-		matches := UnambiguousPath(q.Path)
-		last := Explanation{t.fallback, matches, why}
+		last := Explanation{Rule: t.fallback, Matches: UnambiguousPath(q.Path), Why: "the default: no rule matches"}
 		if len(out) > 0 && out[0].Matches {
 			last.Why = "the default goes last"
 			return append(out, last)
@@ -56,14 +55,14 @@
 	return out
 }
 
-// mismatch says why a rule does not match; empty if it does.
+// mismatch returns why a rule does not match; empty if it does.
 func (r *Rule) mismatch(q *Request) string {
 	if !UnambiguousPath(q.Path) {
 		return AmbiguousPath.String()
 	}
-	var room [maxHostBytes + 1]byte
-	host := string(hostOf(&room, q.Host))
-	if suffix, wild := strings.CutPrefix(r.Host, "*."); wild {
+	var buffer hostBuffer
+	host := string(normalizeHost(&buffer, q.Host))
+	if suffix, ok := r.hostSuffix(); ok {
 		if !strings.HasSuffix(host, "."+suffix) {
 			return fmt.Sprintf("host %q does not end with .%s", host, suffix)
 		}
@@ -88,43 +87,49 @@
 	return ""
 }
 
-// rank is a rule's place in the order of precedence; compared field by field, more goes first.
-func (r *Rule) rank() [4]int {
-	var k [4]int
-	if suffix, wild := strings.CutPrefix(r.Host, "*."); wild {
-		k[0] = 1 + len(suffix)
+// rank is a rule's place in the order of precedence. It is compared field by field; the greater value goes first.
+type rank struct {
+	host     int // 0 any, else 1 and the length of the suffix, or exactRank
+	path     int // 0 any, else the length of the prefix and 1, or exactRank
+	criteria criteria
+}
+
+// exactRank is above that of any suffix or prefix.
+const exactRank = math.MaxInt
+
+// rank returns a rule's place in the order of precedence.
+func (r *Rule) rank() rank {
+	k := rank{criteria: r.criteria()}
+	if suffix, ok := r.hostSuffix(); ok {
+		k.host = 1 + len(suffix)
 	} else if r.Host != "" {
-		k[0] = 1 << 20
+		k.host = exactRank
 	}
 	if r.Path != "" {
-		k[1] = 1 << 30
+		k.path = exactRank
 	} else if r.PathPrefix != "" {
-		k[1] = 1 + len(r.PathPrefix)
-	}
-	if len(r.Tenants) > 0 {
-		k[2] |= int(byTenant)
-	}
-	if len(r.Classes) > 0 {
-		k[2] |= int(byClass)
-	}
-	if len(r.Methods) > 0 {
-		k[2] |= int(byMethod)
+		k.path = 1 + len(r.PathPrefix)
 	}
 	return k
 }
 
+// compare returns a positive number if a goes before b, 0 if neither goes before the other.
 func compare(a, b *Rule) int {
 	x, y := a.rank(), b.rank()
-	return slices.CompareFunc(x[:], y[:], cmp.Compare[int])
+	return cmp.Or(
+		cmp.Compare(x.host, y.host),
+		cmp.Compare(x.path, y.path),
+		cmp.Compare(x.criteria, y.criteria),
+	)
 }
 
-// lost says by what one rule goes before another.
-func lost(winner, loser *Rule) string {
+// whyFirst says why one rule goes before another.
+func whyFirst(winner, loser *Rule) string {
 	x, y := winner.rank(), loser.rank()
 	switch {
-	case x[0] != y[0]:
+	case x.host != y.host:
 		return fmt.Sprintf("the host of %q is more exact", winner.Name)
-	case x[1] != y[1]:
+	case x.path != y.path:
 		return fmt.Sprintf("the path of %q is more exact", winner.Name)
 	}
 	return fmt.Sprintf("%q asks for more", winner.Name)
--- /dev/null
+++ b/internal/route/lookup.go
@@ -0,0 +1,115 @@
+package route
+
+import (
+	"slices"
+	"strings"
+)
+
+// Verdict says how a lookup ended.
+type Verdict uint8
+
+// The verdicts, with the status of the response (RFC 9110, section 15.5).
+const (
+	Found         Verdict = iota
+	NoRoute               // no rule matches (404)
+	UnknownHost           // no rule is for that host (421)
+	AmbiguousPath         // the path can be read in two ways (400)
+)
+
+// String returns the verdict in words, for operators.
+func (v Verdict) String() string {
+	return [...]string{"found", "no route", "no rule is for that host", "a path that may be read in two ways"}[v]
+}
+
+// Lookup returns the rule for a request; nil unless the verdict is Found. It allocates nothing.
+func (t *Table) Lookup(q *Request) (*Rule, Verdict) {
+	if !UnambiguousPath(q.Path) {
+		return nil, AmbiguousPath
+	}
+	var buffer hostBuffer
+	host := normalizeHost(&buffer, q.Host)
+	knownHost := false
+	if h := t.hosts.getBytes(host); h != nil {
+		knownHost = true
+		if r := h.find(q); r != nil {
+			return r, Found
+		}
+	}
+	if t.suffixes.count > 0 {
+		for rest := host; ; {
+			dot := slices.Index(rest, '.')
+			if dot < 0 {
+				break
+			}
+			rest = rest[dot+1:]
+			if h := t.suffixes.getBytes(rest); h != nil {
+				knownHost = true
+				if r := h.find(q); r != nil {
+					return r, Found
+				}
+			}
+		}
+	}
+	if r := t.any.find(q); r != nil {
+		return r, Found
+	}
+	if t.fallback != nil {
+		return t.fallback, Found
+	}
+	if !knownHost && t.any.isEmpty() {
+		return nil, UnknownHost
+	}
+	return nil, NoRoute
+}
+
+// find returns the first rule of a host that matches: by the exact path, by prefixes from the longest on, or by any
+// path.
+func (h *hostRules) find(q *Request) *Rule {
+	if p, _ := h.exact.get(q.Path); p != nil {
+		if r := p.find(q); r != nil {
+			return r
+		}
+	}
+	if h.prefix.count > 0 {
+		for rest := q.Path; rest != ""; {
+			if rest != "/" {
+				rest = strings.TrimSuffix(rest, "/")
+			}
+			if p, _ := h.prefix.get(rest); p != nil {
+				if r := p.find(q); r != nil {
+					return r
+				}
+			}
+			if rest == "/" {
+				break
+			}
+			rest = rest[:strings.LastIndexByte(rest, '/')+1]
+		}
+	}
+	if h.any != nil {
+		return h.any.find(q)
+	}
+	return nil
+}
+
+// keyBufferBytes is the length of joined keys that need no allocation.
+const keyBufferBytes = 128
+
+// find returns the first rule of a host and path that matches.
+func (p *pathRules) find(q *Request) *Rule {
+	var buffer [keyBufferBytes]byte
+	for i := range p.groups {
+		g := &p.groups[i]
+		single, joined := g.criteria.key(q.Method, q.Class, q.Tenant, buffer[:0])
+		var r *Rule
+		if joined != nil {
+			r = g.rules.getBytes(joined)
+		} else {
+			r, _ = g.rules.get(single)
+		}
+		if r != nil {
+			return r
+		}
+	}
+	return nil
+}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -1,6 +1,7 @@
 package route
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"strings"
@@ -22,7 +23,10 @@
 		{Name: "path", Path: "/v1/pay", To: to("g")},
 		{Name: "class", PathPrefix: "/v1", Classes: []string{"payout", "close"}, To: to("h")},
 		{Name: "tenant", PathPrefix: "/v1", Tenants: []string{"moto"}, To: to("i")},
-		{Name: "tenant and method", PathPrefix: "/v1", Tenants: []string{"moto"}, Methods: []string{"POST"}, To: to("j")},
+		{
+			Name: "tenant and method", PathPrefix: "/v1",
+			Tenants: []string{"moto"}, Methods: []string{"POST"}, To: to("j"),
+		},
 		{Name: "host and path", Host: "pay.example.org", Path: "/x", To: to("k")},
 	}, "")
 	if err != nil {
@@ -37,7 +41,7 @@
 		{Request{Host: "pay.example.org.", Path: "/v1"}, "host"}, // the host goes before the path
 		{Request{Host: "a.example.org", Path: "/v1"}, "suffix"},
 		{Request{Host: "a.b.kigali.example.org", Path: "/"}, "longer suffix"},
-		{Request{Host: "example.org", Path: "/"}, "any"}, // a suffix asks for something before it
+		{Request{Host: "example.org", Path: "/"}, "any"}, // a suffix does not match its own name
 		{Request{Host: "[::1]:80", Path: "/v1/x"}, "prefix"},
 		{Request{Path: "/v1/pay"}, "path"},
 		{Request{Path: "/v1/pay/"}, "longer prefix"},
@@ -59,7 +63,7 @@
 	}
 }
 
-func TestMisses(t *testing.T) {
+func TestLookupVerdicts(t *testing.T) {
 	rules := []Rule{{Name: "a", Host: "a.org", PathPrefix: "/x", To: to("a")}}
 	table, err := Compile(rules, "")
 	if err != nil {
@@ -70,7 +74,8 @@
 		want       Verdict
 	}{
 		{"a.org", "/x/y", Found}, {"a.org", "/y", NoRoute}, {"b.org", "/x", UnknownHost}, {"", "/x", UnknownHost},
-		{"a.org", "/x/../y", AmbiguousPath}, {"a.org", "//x", AmbiguousPath}, {"a.org", "/x/./y", AmbiguousPath}, {"a.org", "*", AmbiguousPath}, {"a.org", "", AmbiguousPath},
+		{"a.org", "/x/../y", AmbiguousPath}, {"a.org", "//x", AmbiguousPath}, {"a.org", "/x/./y", AmbiguousPath},
+		{"a.org", "*", AmbiguousPath}, {"a.org", "", AmbiguousPath},
 		{strings.Repeat("a", 300) + ".org", "/x", UnknownHost},
 	} {
 		if _, v := table.Lookup(&Request{Host: k.host, Path: k.path}); v != k.want {
@@ -82,7 +87,7 @@
 		t.Fatal(err)
 	}
 	if r, v := table.Lookup(&Request{Host: "b.org", Path: "/"}); v != Found || r.Pick(1) != "rest" {
-		t.Errorf("default: %v %v", r, v)
+		t.Errorf("fallback: %v %v", r, v)
 	}
 }
 
@@ -106,23 +111,24 @@
 		{Rule{Name: "x", Classes: []string{"b", "c"}, To: to("a")}, `route[1] "x": ties with route[0] "first"`},
 	} {
 		_, err := Compile([]Rule{{Name: "first", Classes: []string{"a", "b"}, To: to("s")}, k.rule}, "")
-		if err == nil || !strings.Contains(err.Error(), k.want) {
+		var ruleErr RuleError
+		if !errors.As(err, &ruleErr) || ruleErr.Index != 1 || !strings.Contains(err.Error(), k.want) {
 			t.Errorf("%+v: %v, want %q", k.rule, err, k.want)
 		}
 	}
 }
 
-// drawn makes rules and requests out of few values, so that they meet.
+// Rules and requests are drawn from few values, so that they match each other.
 var (
-	hosts    = []string{"", "a.org", "*.org", "*.a.org", "b.a.org", "*.b.a.org", "c.b.a.org"}
-	pathsOf  = []string{"/", "/a", "/a/b", "/a/b/c", "/ab", "/a/", "/b"}
-	words    = []string{"x", "y", "z"}
-	askHosts = []string{"", "org", "a.org", "b.a.org", "c.b.a.org", "C.B.A.ORG:1", "d.org", "x.y.a.org."}
+	hosts        = []string{"", "a.org", "*.org", "*.a.org", "b.a.org", "*.b.a.org", "c.b.a.org"}
+	paths        = []string{"/", "/a", "/a/b", "/a/b/c", "/ab", "/a/", "/b"}
+	words        = []string{"x", "y", "z"}
+	requestHosts = []string{"", "org", "a.org", "b.a.org", "c.b.a.org", "C.B.A.ORG:1", "d.org", "x.y.a.org."}
 )
 
 func drawRule(t *rapid.T, i int) Rule {
 	r := Rule{Name: fmt.Sprint(i), Host: rapid.SampledFrom(hosts).Draw(t, "host"), To: to(fmt.Sprint(i))}
-	path := rapid.SampledFrom(pathsOf).Draw(t, "path")
+	path := rapid.SampledFrom(paths).Draw(t, "path")
 	switch rapid.IntRange(0, 2).Draw(t, "kind") {
 	case 0:
 		r.Path = path
@@ -136,8 +142,8 @@
 	return r
 }
 
-// The table finds what a walk over all rules finds: the only one of the highest rank that matches.
-func TestLookupAgreesWithAWalkOverAllRules(t *testing.T) {
+// Lookup returns what a comparison of all rules finds: the only one of the highest rank that matches.
+func TestLookupAgreesWithComparingAllRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var rules []Rule
 		for i := range rapid.IntRange(0, 25).Draw(t, "rules") {
@@ -151,9 +157,13 @@
 			t.Fatal(err)
 		}
 		for range 20 {
-			q := Request{Host: rapid.SampledFrom(askHosts).Draw(t, "host"), Path: rapid.SampledFrom(pathsOf).Draw(t, "path"),
-				Method: rapid.SampledFrom(words).Draw(t, "method"), Class: rapid.SampledFrom(words).Draw(t, "class"),
-				Tenant: rapid.SampledFrom(words).Draw(t, "tenant")}
+			q := Request{
+				Host:   rapid.SampledFrom(requestHosts).Draw(t, "host"),
+				Path:   rapid.SampledFrom(paths).Draw(t, "path"),
+				Method: rapid.SampledFrom(words).Draw(t, "method"),
+				Class:  rapid.SampledFrom(words).Draw(t, "class"),
+				Tenant: rapid.SampledFrom(words).Draw(t, "tenant"),
+			}
 			var want *Rule
 			tied := false
 			for i := range rules {
@@ -202,10 +212,16 @@
 	}
 }
 
-func many(n int) *Table {
+// manyRules returns a table of n rules, five hosts to a path.
+func manyRules(n int) *Table {
 	rules := make([]Rule, n)
 	for i := range rules {
-		rules[i] = Rule{Name: fmt.Sprint(i), Host: fmt.Sprintf("h%d.example.org", i%(n/5+1)), PathPrefix: fmt.Sprintf("/v%d/pay", i/(n/5+1)), To: to("s")}
+		rules[i] = Rule{
+			Name:       fmt.Sprint(i),
+			Host:       fmt.Sprintf("h%d.example.org", i%(n/5+1)),
+			PathPrefix: fmt.Sprintf("/v%d/pay", i/(n/5+1)),
+			To:         to("s"),
+		}
 	}
 	t, err := Compile(rules, "rest")
 	if err != nil {
@@ -215,23 +231,30 @@
 }
 
 func TestLookupAllocatesNothing(t *testing.T) {
-	table := many(1000)
+	table := manyRules(1000)
 	q := Request{Host: "H7.example.org:8443", Path: "/v0/pay/x/y", Method: "POST", Class: "c", Tenant: "t"}
 	if n := testing.AllocsPerRun(100, func() { r, _ := table.Lookup(&q); r.Pick(1) }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
-// What a rule asks for must not cost a lookup what it is long.
-func TestLookupOfAllThatIsAskedForAllocatesNothing(t *testing.T) {
+// Lookups by several criteria allocate nothing either, whatever the length of the values.
+func TestLookupBySeveralCriteriaAllocatesNothing(t *testing.T) {
 	some := []string{"a", "b"}
-	table, err := Compile([]Rule{{Name: "all", Methods: some, Classes: some, Tenants: some, To: to("s")}, {Name: "two", Classes: some, Tenants: some, To: to("s")},
-		{Name: "one", Tenants: some, To: to("s")}}, "rest")
+	table, err := Compile([]Rule{
+		{Name: "all", Methods: some, Classes: some, Tenants: some, To: to("s")},
+		{Name: "two", Classes: some, Tenants: some, To: to("s")},
+		{Name: "one", Tenants: some, To: to("s")},
+	}, "rest")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, q := range []Request{{Path: "/", Method: "b", Class: "a", Tenant: "b"}, {Path: "/", Method: "PUT", Class: "b", Tenant: "a"},
-		{Path: "/", Method: "PUT", Class: "c", Tenant: "a"}, {Path: "/", Method: "PUT", Class: strings.Repeat("c", 40), Tenant: strings.Repeat("t", 60)}} {
+	for _, q := range []Request{
+		{Path: "/", Method: "b", Class: "a", Tenant: "b"},
+		{Path: "/", Method: "PUT", Class: "b", Tenant: "a"},
+		{Path: "/", Method: "PUT", Class: "c", Tenant: "a"},
+		{Path: "/", Method: "PUT", Class: strings.Repeat("c", 40), Tenant: strings.Repeat("t", 60)},
+	} {
 		if n := testing.AllocsPerRun(100, func() { table.Lookup(&q) }); n != 0 {
 			t.Errorf("%+v: %v allocations", q, n)
 		}
@@ -240,7 +263,7 @@
 
 func BenchmarkLookup(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		table := many(n)
+		table := manyRules(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			q := Request{Host: "h1.example.org", Path: "/v0/pay/x", Method: "POST", Class: "c", Tenant: "t"}
@@ -251,12 +274,18 @@
 	}
 }
 
-// Rules that ask for tenants, classes and methods, of one host and path by the thousand.
+// BenchmarkLookupByTenant looks up among thousands of rules of one host and path, by tenant and class.
 func BenchmarkLookupByTenant(b *testing.B) {
 	for _, n := range []int{10, 1000, 13_000} {
 		rules := make([]Rule, n)
 		for i := range rules {
-			rules[i] = Rule{Name: fmt.Sprint(i), Host: "h.example.org", PathPrefix: "/v1", Tenants: []string{fmt.Sprintf("tenant-%07d", i)}, To: to("s")}
+			rules[i] = Rule{
+				Name:       fmt.Sprint(i),
+				Host:       "h.example.org",
+				PathPrefix: "/v1",
+				Tenants:    []string{fmt.Sprintf("tenant-%07d", i)},
+				To:         to("s"),
+			}
 			if i%2 == 0 {
 				rules[i].Classes = []string{"c"}
 			}
@@ -269,7 +298,8 @@
 			b.ReportAllocs()
 			qs := make([]Request, 64)
 			for i := range qs {
-				qs[i] = Request{Host: "h.example.org", Path: "/v1/x", Method: "POST", Class: "c", Tenant: fmt.Sprintf("tenant-%07d", i*n/64)}
+				tenant := fmt.Sprintf("tenant-%07d", i*n/64)
+				qs[i] = Request{Host: "h.example.org", Path: "/v1/x", Method: "POST", Class: "c", Tenant: tenant}
 			}
 			i := 0
 			for b.Loop() {
