--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -10,7 +10,7 @@
 	"lapisspread/internal/route"
 )
 
-const good = `version = 1
+const validFile = `version = 1
 default = "dispatch"
 
 [limits]
@@ -44,8 +44,8 @@
 to = [{ service = "dispatch", weight = 9.0 }, { service = "settlement", weight = 1.0 }]
 `
 
-func TestAGoodFile(t *testing.T) {
-	c, err := Parse("services.toml", []byte(good))
+func TestParseValidFile(t *testing.T) {
+	c, err := Parse("services.toml", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 		t.Errorf("%v %v", r, v)
 	}
 	if r, _ := c.Table.Lookup(&route.Request{Host: "else", Path: "/x"}); r.Pick(7) != "dispatch" {
-		t.Errorf("default: %v", r)
+		t.Errorf("the default service: %v", r)
 	}
 	p, err := processquota.NewPool(c.File.PoolSettings(300), c.File.Shares(300))
 	if err != nil {
@@ -79,16 +79,20 @@
 		{`name = "settlement"`, `name = "dispatch"`, "it is there twice"},
 		{`name = "settlement"`, `name = "Pay Out"`, "name: wanted small letters"},
 		{`default = "dispatch"`, `default = "none"`, `default: there is no service "none"`},
-		{`{ service = "settlement" }`, `{ service = "setlement" }`, `route[0] "payouts": to[0]: there is no service "setlement"`},
+		{
+			`{ service = "settlement" }`, `{ service = "setlement" }`,
+			`route[0] "payouts": to[0]: there is no service "setlement"`,
+		},
 		{`sticky = "tenant"`, `sticky = "luck"`, `sticky: "luck"`},
 		{`classes = ["trip-close"]`, `host = "pay.kigali.example.org"`, `route[1] "moving": ties with route[0] "payouts"`},
 	} {
-		_, err := Parse("s.toml", []byte(strings.Replace(good, k.from, k.to, 1)))
+		_, err := Parse("s.toml", []byte(strings.Replace(validFile, k.from, k.to, 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), "s.toml") || !strings.Contains(err.Error(), k.want) {
 			t.Errorf("%s: %v, want %q", k.to, err, k.want)
 		}
 	}
-	if _, err := Parse("s.toml", []byte("version = 1\n")); err == nil || !strings.Contains(err.Error(), "nothing would be served") {
+	_, err := Parse("s.toml", []byte("version = 1\n"))
+	if err == nil || !strings.Contains(err.Error(), "nothing would be served") {
 		t.Errorf("an empty file: %v", err)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil {
@@ -96,8 +100,8 @@
 	}
 }
 
-// The file that is shipped as an example must be good.
-func TestTheShippedFileIsGood(t *testing.T) {
+// The example that is shipped must be valid.
+func TestShippedFileIsValid(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "services.toml")
 	if _, err := os.Stat(path); err != nil {
 		t.Fatal(err)
