--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -84,7 +84,10 @@
 			`route[0] "payouts": to[0]: there is no service "setlement"`,
 		},
 		{`sticky = "tenant"`, `sticky = "luck"`, `sticky: "luck"`},
-		{`classes = ["trip-close"]`, `host = "pay.kigali.example.org"`, `route[1] "moving": ties with route[0] "payouts"`},
+		{
+			`classes = ["trip-close"]`, `host = "pay.kigali.example.org"`,
+			`route[1] "moving": ties with route[0] "payouts"`,
+		},
 	} {
 		_, err := Parse("s.toml", []byte(strings.Replace(validFile, k.from, k.to, 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), "s.toml") || !strings.Contains(err.Error(), k.want) {
