--- a/cmd/faultlab/measures.go
+++ b/cmd/faultlab/measures.go
@@ -558,7 +558,7 @@
 		return decision.Config{}, err
 	}
 	c, err := proxy.CheckConfig(path, func(string) string { return "" })
-	return c.Module, err
+	return c.Decision, err
 }
 
 // alarm is a module's timer.
--- a/cmd/lapisspread/main.go
+++ b/cmd/lapisspread/main.go
@@ -115,9 +115,9 @@
 				return err
 			}
 			printf(cmd.OutOrStdout(), "%s: good: proxy %q, %d classes, %d tenants, %d backends known\n",
-				args[0], c.Name, len(c.Module.Classes), len(c.Module.Tenants), len(c.Known.Endpoints))
-			if c.KnownBad != nil {
-				printf(cmd.OutOrStdout(), "%v; it is served without, and discovery is asked\n", c.KnownBad)
+				args[0], c.Name, len(c.Decision.Classes), len(c.Decision.Tenants), len(c.InitialEndpoints.Endpoints))
+			if c.InitialEndpointsError != nil {
+				printf(cmd.OutOrStdout(), "%v; it is served without, and discovery is asked\n", c.InitialEndpointsError)
 			}
 			return nil
 		},
--- a/cmd/lapisspread/serve.go
+++ b/cmd/lapisspread/serve.go
@@ -81,7 +81,7 @@
 	cfg.Services = f.services
 	cfg.Admission = f.admission
 	cfg.Diameter = f.diameter
-	cfg.Comeback = f.listGuard
+	cfg.ListGuard = f.listGuard
 	cfg.Fleet = f.fleet
 }
 
--- a/internal/faultlab/baselineproxy/plainproxy.go
+++ b/internal/faultlab/baselineproxy/plainproxy.go
@@ -57,10 +57,10 @@
 // New makes a plain proxy from the configuration that a proxy is told.
 func New(policy string, cfg proxy.Config) *Proxy {
 	p := &Proxy{policy: policy, cfg: cfg, unsafe: map[string]bool{}, backends: map[string]*backend{}, count: map[string]int{}}
-	for _, c := range cfg.Module.Classes {
+	for _, c := range cfg.Decision.Classes {
 		p.unsafe[c.Name] = c.Idempotency == 0
 	}
-	p.net = &http.Transport{DialContext: (&net.Dialer{Timeout: cfg.Module.Capabilities.ConnectTimeout}).DialContext, MaxIdleConnsPerHost: 64,
+	p.net = &http.Transport{DialContext: (&net.Dialer{Timeout: cfg.Decision.Capabilities.ConnectTimeout}).DialContext, MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 30 * time.Second}
 	p.forward = &httputil.ReverseProxy{Transport: p, Rewrite: func(r *httputil.ProxyRequest) { r.Out.URL.Scheme, r.Out.URL.Host = "http", "backend" },
 		ErrorHandler: func(w http.ResponseWriter, r *http.Request, err error) {
--- a/internal/faultlab/baselineproxy/plainproxy_test.go
+++ b/internal/faultlab/baselineproxy/plainproxy_test.go
@@ -17,8 +17,8 @@
 func before(t *testing.T, policy string, handlers ...http.HandlerFunc) *Proxy {
 	t.Helper()
 	cfg := proxy.Config{}
-	cfg.Module.Classes = []decision.Class{{Name: "safe", Idempotency: decision.Idempotent}, {Name: "payout"}}
-	cfg.Module.Capabilities.ConnectTimeout = time.Second
+	cfg.Decision.Classes = []decision.Class{{Name: "safe", Idempotency: decision.Idempotent}, {Name: "payout"}}
+	cfg.Decision.Capabilities.ConnectTimeout = time.Second
 	p := New(policy, cfg)
 	for i, h := range handlers {
 		s := httptest.NewServer(h)
--- /dev/null
+++ b/internal/proxy/adminbackend.go
@@ -0,0 +1,207 @@
+package proxy
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"slices"
+	"time"
+
+	"lapisspread/internal/admission"
+	"lapisspread/internal/discovery/guardedsource"
+	"lapisspread/internal/listener"
+	"lapisspread/internal/metrics"
+	"lapisspread/internal/processquota/limiter"
+)
+
+// Errors of calls that ask for what the proxy was started without.
+var (
+	errNoAdmission    = errors.New("admission is off: the proxy was started without --admission")
+	errNoDiameter     = errors.New("no Diameter is spoken: the proxy was started without --diameter")
+	errNoListGuard    = errors.New("the rules of coming back are off: the proxy was started without --comeback")
+	errNoControlPlane = errors.New("no budgets of a fleet hold: the proxy was started without --fleet")
+	errNoFreshness    = errors.New("the view is not weighed: the proxy was started without --fleet, " +
+		"or the fleet's file has no table view")
+)
+
+// adminBackend is the proxy as package admin uses it. None of its methods waits for an engine's loop.
+type adminBackend struct{ *Proxy }
+
+// Serving reports whether clients are served.
+func (o adminBackend) Serving() bool { return o.ready.Load() }
+
+// Counters returns what INFO shows: the counters of the only service, or of all together and by service.
+func (o adminBackend) Counters() json.Marshaler { return o.services.countersReport() }
+
+// StartDraining has clients sent away, while new connections are still accepted.
+func (o adminBackend) StartDraining() { o.conns.setOperatorDrain(true) }
+
+// StopDraining ends StartDraining.
+func (o adminBackend) StopDraining() { o.conns.setOperatorDrain(false) }
+
+// Detach takes a backend out of use until Attach, for this process and the next ones.
+func (o adminBackend) Detach(id string) error { return o.setDetached(id, true) }
+
+// Attach ends Detach.
+func (o adminBackend) Attach(id string) error { return o.setDetached(id, false) }
+
+// ReloadRoutes reloads the file of services, without the process's own settings that SIGHUP reloads too.
+func (o adminBackend) ReloadRoutes() (string, error) {
+	text, err := o.services.reloadRoutes()
+	if err != nil {
+		if o.services.hasRoutes() {
+			o.counters.ReloadsFailed.Add(1)
+		}
+		return "", err
+	}
+	o.counters.ReloadsOK.Add(1)
+	return text, nil
+}
+
+// admissionReport is what ADMISSION shows.
+type admissionReport struct {
+	admission.Report
+	ClosedWithoutDescriptors int64                   `json:"closed_without_descriptors"`
+	Requests                 map[string]requestLimit `json:"requests,omitempty"` // by service
+}
+
+// requestLimit is a service's limit on its requests in flight.
+type requestLimit struct {
+	Limit    int `json:"limit"`
+	InFlight int `json:"in_hand"`
+}
+
+// Admission reports who holds client connections and why the last ones were rejected.
+func (o adminBackend) Admission() (any, error) {
+	if o.conns.admission == nil {
+		return nil, errNoAdmission
+	}
+	r := admissionReport{Report: o.conns.admission.Report(), ClosedWithoutDescriptors: o.conns.admission.DescriptorShortages()}
+	now := o.services.current.Load()
+	if now == nil {
+		return r, nil
+	}
+	for name, svc := range now.byName {
+		if svc.requestLimiter == nil {
+			continue
+		}
+		if r.Requests == nil {
+			r.Requests = map[string]requestLimit{}
+		}
+		var limit requestLimit
+		limit.Limit, limit.InFlight = svc.requestLimiter.Limit()
+		r.Requests[name] = limit
+	}
+	return r, nil
+}
+
+// Diameter reports the Diameter peers and the state of the idempotency ledger.
+func (o adminBackend) Diameter() (any, error) {
+	if o.diameter == nil {
+		return nil, errNoDiameter
+	}
+	return o.diameter.report(), nil
+}
+
+// ListGuard reports which endpoints are retained against the endpoint list, and how the calls for it went.
+func (o adminBackend) ListGuard() (any, error) {
+	if o.listGuard == nil {
+		return nil, errNoListGuard
+	}
+	r := struct {
+		guardedsource.Report
+		Memory *snapshotReport `json:"memory,omitempty"`
+	}{Report: o.listGuard.Report()}
+	if o.snapshots != nil {
+		r.Memory = o.snapshots.status()
+	}
+	return r, nil
+}
+
+// QuotaLeases reports this proxy's leases, and the state of its connection to the control plane.
+func (o adminBackend) QuotaLeases() (any, error) {
+	quotas := o.quotaClient.Load()
+	if quotas == nil {
+		return nil, errNoControlPlane
+	}
+	r := quotas.Status()
+	if policies := o.policyClient.Load(); policies != nil {
+		status := policies.PolicyStatus()
+		r.Policy = &status
+	}
+	return r, nil
+}
+
+// Freshness reports how old this proxy's endpoint lists may be.
+func (o adminBackend) Freshness() (any, error) {
+	monitor := o.freshness.Load()
+	if monitor == nil {
+		return nil, errNoFreshness
+	}
+	return monitor.Report(), nil
+}
+
+// Block rejects connections from an address or a prefix for the given time.
+func (o adminBackend) Block(prefix string, span time.Duration) error {
+	p, err := o.parsePrefix(prefix)
+	if err != nil {
+		return err
+	}
+	return o.conns.admission.Block(p, span)
+}
+
+// Unblock ends a Block.
+func (o adminBackend) Unblock(prefix string) error {
+	p, err := o.parsePrefix(prefix)
+	if err != nil {
+		return err
+	}
+	return o.conns.admission.Unblock(p)
+}
+
+func (o adminBackend) parsePrefix(text string) (netip.Prefix, error) {
+	if o.conns.admission == nil {
+		return netip.Prefix{}, errNoAdmission
+	}
+	return listener.ParsePrefix(text)
+}
+
+// setDetached stores that a backend is detached or attached, and notifies the engines. A failure to store it is only
+// logged: it holds for this process all the same.
+func (o adminBackend) setDetached(id string, detached bool) error {
+	// The previous process may have known a backend that this one has never seen.
+	if !o.services.knowsEndpoint(id) && !slices.Contains(o.store.Detached(), id) {
+		return fmt.Errorf("no backend %.64q was ever listed", id)
+	}
+	if err := o.store.SetDetached(id, detached); err != nil {
+		o.log.Error("detached state could not be stored for the next process", "backend", id, "err", err)
+	}
+	o.services.notifyAll()
+	return nil
+}
+
+// countersReport returns the counters of the only service, or of all together and by service.
+func (s *serviceSet) countersReport() json.Marshaler {
+	now := s.current.Load()
+	if now == nil || now.only != nil {
+		return s.proxy.counters
+	}
+	return combinedCounters{process: s.proxy.counters, byName: now.byName, limits: s.limits}
+}
+
+// combinedCounters is the counters of several services.
+type combinedCounters struct {
+	process *metrics.Counters
+	byName  map[string]*service
+	limits  *limiter.Limits
+}
+
+// MarshalJSON returns the totals in the form of one service's counters, with each service's own beside them.
+func (a combinedCounters) MarshalJSON() ([]byte, error) {
+	services := map[string]*metrics.Counters{}
+	for name, svc := range a.byName {
+		services[name] = svc.counters
+	}
+	return metrics.MarshalTotals(a.process, services, a.limits.Report())
+}
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -62,7 +62,7 @@
 				select {
 				case <-stop:
 					for _, c := range mine {
-						c.Close()
+						_ = c.Close()
 					}
 					return
 				case <-time.After(4 * time.Millisecond):
@@ -72,10 +72,10 @@
 				if err != nil {
 					continue
 				}
-				io.WriteString(c, "POST /api HTTP/1.1\r\nHost: x")
+				_, _ = io.WriteString(c, "POST /api HTTP/1.1\r\nHost: x")
 				opened.Add(1)
 				if mine = append(mine, c); len(mine) > 100 {
-					mine[0].Close()
+					_ = mine[0].Close()
 					mine = mine[1:]
 				}
 			}
@@ -109,13 +109,13 @@
 	}
 	close(stop)
 	all.Wait()
-	r := s.proxy.conns.door.Report()
+	r := s.proxy.conns.admission.Report()
 	t.Logf("%+v", r.Counts)
 	if r.Open > r.MaxConns || r.Rejected["room"]+r.Rejected["full"] == 0 || len(r.Top) == 0 {
 		t.Errorf("%+v", r)
 	}
 	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		if r = s.proxy.conns.door.Report(); r.Open <= 60 {
+		if r = s.proxy.conns.admission.Report(); r.Open <= 60 {
 			break
 		}
 		if time.Since(begun) > patience {
@@ -127,7 +127,7 @@
 // Blocks by hand turn an address away with an answer, and end; SIGHUP takes in other settings, and no bad ones.
 func TestBlocksAndChanges(t *testing.T) {
 	s := guarded(t, "", 128)
-	op := operator{s.proxy}
+	op := adminBackend{s.proxy}
 	if err := op.Block("127.3.0.0/16", time.Hour); err != nil {
 		t.Fatal(err)
 	}
@@ -150,15 +150,15 @@
 		if err := os.WriteFile(s.proxy.cfg.Admission, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		err := s.proxy.rereadDoor()
-		if r, _ := op.Admission(); (err == nil) != (want == 7) || want == 7 && r.(doorReport).MaxConns != want {
+		err := s.proxy.reloadAdmission()
+		if r, _ := op.Admission(); (err == nil) != (want == 7) || want == 7 && r.(admissionReport).MaxConns != want {
 			t.Errorf("%q: %v, %+v", text, err, r)
 		}
 	}
-	if _, err := (operator{&Proxy{conns: newClientConns(1)}}).Admission(); err == nil {
+	if _, err := (adminBackend{&Proxy{conns: newClientConns(1)}}).Admission(); err == nil {
 		t.Error("without admission")
 	}
-	if a := netip.MustParsePrefix("127.3.0.0/16"); s.proxy.conns.door.Unblock(a) == nil {
+	if a := netip.MustParsePrefix("127.3.0.0/16"); s.proxy.conns.admission.Unblock(a) == nil {
 		t.Error("a block is there yet")
 	}
 }
@@ -201,27 +201,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x.org\r\nX-Request-Id: slow-%d\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 5000\r\nContent-Length: %d\r\n\r\nx", i, bodyBytes)
+		defer func() { _ = c.Close() }()
+		_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x.org\r\nX-Request-Id: slow-%d\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 5000\r\nContent-Length: %d\r\n\r\nx", i, maxBufferedBody)
 		slow = append(slow, c)
 	}
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
-		if refused = int(s.proxy.conns.door.Report().BodyRejections); refused > 0 {
+		if refused = int(s.proxy.conns.admission.Report().BodyRejections); refused > 0 {
 			break
 		}
 		if time.Since(begun) > patience {
-			t.Fatalf("no body was refused: %+v", s.proxy.conns.door.Report())
+			t.Fatalf("no body was refused: %+v", s.proxy.conns.admission.Report())
 		}
 	}
 	if status, body := s.ask(clientAt(t, "127.6.0.1"), "x.org", "/api", "hand-in", 5000); status != 200 {
 		t.Errorf("another address: %d %q", status, body)
 	}
 	for _, c := range slow {
-		c.Close()
+		_ = c.Close()
 	}
-	for begun := time.Now(); s.proxy.conns.door.Report().Bytes > 0; time.Sleep(time.Millisecond) {
+	for begun := time.Now(); s.proxy.conns.admission.Report().Bytes > 0; time.Sleep(time.Millisecond) {
 		if time.Since(begun) > patience {
-			t.Fatalf("bytes are left: %+v", s.proxy.conns.door.Report())
+			t.Fatalf("bytes are left: %+v", s.proxy.conns.admission.Report())
 		}
 	}
 	if status, body := s.ask(clientAt(t, "127.5.0.1"), "x.org", "/api", "hand-in", 5000); status != 200 {
@@ -238,22 +238,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { ended <- admin.New(operator{p}, slog.New(slog.DiscardHandler)).Serve(ctx, l) }()
-	defer func() { cancel(); <-ended }()
+	go func() { ended <- admin.New(adminBackend{p}, slog.New(slog.DiscardHandler)).Serve(ctx, l) }()
+	defer func() {
+		cancel()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	}()
 	for call, want := range map[string]string{"ADMISSION": `"top":[{"address":"127.`, "BLOCK 127.1.0.0/16 1m": "200 127.1.0.0/16", "PING": "200 serving"} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
-		fmt.Fprintf(c, "%s\n", call)
+		_ = c.SetDeadline(time.Now().Add(patience))
+		_, _ = fmt.Fprintf(c, "%s\n", call)
 		line, err := bufio.NewReader(c).ReadString('\n')
 		if err != nil || !strings.Contains(line, want) {
 			t.Errorf("%s: %.200q, %v", call, line, err)
 		}
-		c.Close()
+		_ = c.Close()
 	}
-	if len(p.conns.door.Report().Blocks) != 1 {
+	if len(p.conns.admission.Report().Blocks) != 1 {
 		t.Error("the block does not hold")
 	}
 }
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -17,7 +17,7 @@
 // may take its time. What it gives is that answer, once the exchange is over.
 func readLong(m *message) func() []byte {
 	var text []byte
-	m.begin = func(d *download) bool {
+	m.startStream = func(d *download) bool {
 		var err error
 		text, err = io.ReadAll(d)
 		d.End(err)
@@ -105,7 +105,7 @@
 					say(nc, c.says)
 					said <- true
 					if c.then == "reset" {
-						nc.(*net.TCPConn).SetLinger(0)
+						_ = nc.(*net.TCPConn).SetLinger(0)
 					}
 					if c.then != "" {
 						return
@@ -118,7 +118,7 @@
 			if c.want == decision.Timeout { // of what never ends, its time is all that ends it
 				go func() {
 					<-said
-					time.Sleep(4 * holdAnswer) // less makes no difference
+					time.Sleep(4 * responseHoldback) // less makes no difference
 					end(context.DeadlineExceeded)
 				}()
 			}
--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/proxy/rawsocket"
 )
 
 const patience = 20 * time.Second // for what must come about; no test takes near as long
@@ -26,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go serveRaw(listener, serve)
 	return listener.Addr().String()
 }
@@ -39,7 +40,7 @@
 			return
 		}
 		go func() {
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			serve(n, c, bufio.NewReader(c))
 		}()
 	}
@@ -55,7 +56,7 @@
 	return err == nil
 }
 
-func say(c net.Conn, text string) { io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n")) }
+func say(c net.Conn, text string) { _, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n")) }
 
 const served = "HTTP/1.1 200 OK\nContent-Length: 4\n\nfine"
 
@@ -64,7 +65,7 @@
 	p := newPool(16, patience, 2*patience)
 	p.Update(List{Endpoints: []Member{{ID: "a", Addr: addr, State: decision.Ready}}})
 	t.Cleanup(func() { p.Update(List{Full: true}) })
-	return p, p.find(backendID("a"))
+	return p, p.lookup(backendID("a"))
 }
 
 func testMessage(method string, body []byte) *message {
@@ -94,11 +95,11 @@
 			decision.Reset},
 		"reset after the last byte": {func(_ int, c net.Conn, in *bufio.Reader) {
 			readWhole(in)
-			c.(*net.TCPConn).SetLinger(0)
+			_ = c.(*net.TCPConn).SetLinger(0)
 		}, decision.Reset},
 		"answer cut short": {answer("HTTP/1.1 200 OK\nContent-Length: 9\n\nfine"), decision.Reset},
 		"no HTTP":          {answer("what?\n\n"), decision.Reset},
-		"answer too long": {answer("HTTP/1.1 200 OK\nContent-Length: 65537\n\n" + strings.Repeat("x", bodyBytes+1)),
+		"answer too long": {answer("HTTP/1.1 200 OK\nContent-Length: 65537\n\n" + strings.Repeat("x", maxBufferedBody+1)),
 			decision.Reset},
 		"two lengths":       {answer("HTTP/1.1 200 OK\nContent-Length: 4\nContent-Length: 4\n\nfine"), decision.Reset},
 		"length and chunks": {answer("HTTP/1.1 200 OK\nContent-Length: 4\nTransfer-Encoding: chunked\n\n4\nfine\n0\n\n"), decision.Reset},
@@ -158,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener.Close()
+	_ = listener.Close()
 	p, b := testPool(t, listener.Addr().String())
 	if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.ConnectFailed {
 		t.Errorf("result %v, want ConnectFailed", result)
@@ -174,7 +175,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer syscall.Close(fd)
+	defer func() { _ = syscall.Close(fd) }()
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +192,7 @@
 		if err != nil {
 			break
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 	}
 	p, b := testPool(t, addr)
 	p.connectTimeout = 50 * time.Millisecond
@@ -208,8 +209,8 @@
 // A request whose last byte did not go out has not run, even if its first ones did.
 func TestBrokenBeforeTheLastByte(t *testing.T) {
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		in.ReadByte()
-		c.(*net.TCPConn).SetLinger(0)
+		_, _ = in.ReadByte()
+		_ = c.(*net.TCPConn).SetLinger(0)
 	})
 	p, b := testPool(t, addr)
 	dial := p.dialer
@@ -231,7 +232,7 @@
 	for name, want := range map[string]decision.Result{"time-out": decision.Timeout, "cancel": decision.Cancelled} {
 		t.Run(name, func(t *testing.T) {
 			came, closed := make(chan bool, 1), make(chan bool, 1)
-			p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
+			p, b := testPool(t, rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
 				came <- readWhole(in)
 				readWhole(in) // returns at the connection's end
 				closed <- true
@@ -266,7 +267,7 @@
 func TestOneAttemptIsOneSend(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		var requests atomic.Int32
-		p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
+		p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 			for readWhole(in) && requests.Add(1)%2 == 1 {
 				say(c, served)
 			}
@@ -286,7 +287,7 @@
 
 func TestConnectionsAreKept(t *testing.T) {
 	var conns atomic.Int32
-	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
+	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		conns.Add(1)
 		for readWhole(in) {
 			say(c, served)
@@ -303,7 +304,7 @@
 	if n := conns.Load(); n != 1 {
 		t.Fatalf("%d connections for two requests in turn", n)
 	}
-	p.retire(time.Now().Add(p.idleFor)) // it has been idle for long
+	p.closeExpired(time.Now().Add(p.idleTimeout)) // it has been idle for long
 	if p.open != 0 {
 		t.Errorf("%d connections after all were retired", p.open)
 	}
@@ -319,7 +320,7 @@
 
 // The backend closes a connection while it is idle: the next attempt takes another one, and no harm is done.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
+	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if readWhole(in) {
 			say(c, served)
 		}
@@ -330,7 +331,7 @@
 		}
 		for start := time.Now(); ; time.Sleep(time.Millisecond) { // until the close has been noticed
 			p.mu.Lock()
-			open := len(b.idle) > 0 && b.idle[0].quiet()
+			open := len(b.idle) > 0 && b.idle[0].isSilent()
 			p.mu.Unlock()
 			if !open {
 				break
@@ -355,38 +356,38 @@
 	send := func(idle time.Duration, want decision.Result, connsWant int32) {
 		t.Helper()
 		for _, c := range b.idle {
-			c.idleAt = time.Now().Add(-idle)
+			c.idleSince = time.Now().Add(-idle)
 		}
 		if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != want || conns.Load() != connsWant {
 			t.Fatalf("idle for %v: result %v on %d connections, want %v on %d", idle, result, conns.Load(), want, connsWant)
 		}
 	}
-	p.soon = patience // whatever the machine's pace
+	p.staleWindow = patience // whatever the machine's pace
 	send(0, decision.OK, 1)
 	send(10*time.Second, decision.Reset, 1)
-	if p.limit > 6*time.Second {
-		t.Errorf("after one that had been idle for 10 s broke, the limit is %v", p.limit)
+	if p.reuseLimit > 6*time.Second {
+		t.Errorf("after one that had been idle for 10 s broke, the limit is %v", p.reuseLimit)
 	}
-	p.limitAt = time.Now().Add(time.Hour)
+	p.reuseLimitAt = time.Now().Add(time.Hour)
 	send(6*time.Second, decision.OK, 2)
 	send(time.Second, decision.OK, 2)
-	p.broke(0)
-	p.limitAt = time.Now().Add(time.Hour)
+	p.noteBrokenIdleConn(0)
+	p.reuseLimitAt = time.Now().Add(time.Hour)
 	send(time.Second, decision.OK, 3)
-	p.limitAt = time.Now().Add(-time.Hour)
-	send(p.idleFor-patience/4, decision.OK, 3)
+	p.reuseLimitAt = time.Now().Add(-time.Hour)
+	send(p.idleTimeout-patience/4, decision.OK, 3)
 }
 
 func TestSocketsAreBounded(t *testing.T) {
 	came, leave := make(chan bool, 8), make(chan bool)
-	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
+	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for readWhole(in) {
 			came <- true
 			<-leave
 			say(c, served)
 		}
 	}))
-	p.most = 2
+	p.maxOpen = 2
 	results := make(chan decision.Result, 2)
 	for range 2 {
 		go func() {
@@ -399,7 +400,7 @@
 	if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.NotSent {
 		t.Errorf("with no socket left: result %v, want Moot", result)
 	}
-	if result := p.probe(t.Context(), b); result != decision.NotSent {
+	if result := p.checkHealth(t.Context(), b); result != decision.NotSent {
 		t.Errorf("a probe with no socket left: result %v, want Moot", result)
 	}
 	close(leave)
@@ -413,7 +414,7 @@
 		readWhole(in)
 		say(c, served)
 	})}}})
-	if result, _ := p.exchange(t.Context(), p.find(backendID("b")), testMessage("GET", nil)); result != decision.OK {
+	if result, _ := p.exchange(t.Context(), p.lookup(backendID("b")), testMessage("GET", nil)); result != decision.OK {
 		t.Errorf("with idle connections elsewhere: result %v", result)
 	}
 }
@@ -427,7 +428,7 @@
 	}
 	for _, idle := range []int{1, 2} {
 		p, b := testPool(t, rawBackend(t, serveAll))
-		p.most = idle
+		p.maxOpen = idle
 		var conns []*conn
 		for range idle {
 			c, err := p.dial(t.Context(), b)
@@ -440,10 +441,10 @@
 			p.putIdle(b, c)
 		}
 		p.Update(List{Endpoints: []Member{{ID: "b", State: decision.Ready, Addr: rawBackend(t, serveAll)}}})
-		if result, _ := p.exchange(t.Context(), p.find(backendID("b")), testMessage("GET", nil)); result != decision.OK {
+		if result, _ := p.exchange(t.Context(), p.lookup(backendID("b")), testMessage("GET", nil)); result != decision.OK {
 			t.Errorf("%d idle: result %v", idle, result)
 		}
-		if silent(conns[0].Conn) || idle > 1 && !silent(conns[1].Conn) || p.open != idle || len(b.idle) != idle-1 {
+		if rawsocket.Silent(conns[0].Conn) || idle > 1 && !rawsocket.Silent(conns[1].Conn) || p.open != idle || len(b.idle) != idle-1 {
 			t.Errorf("%d idle: %d open, %d left idle", idle, p.open, len(b.idle))
 		}
 	}
@@ -483,7 +484,7 @@
 				}
 				c := b.idle[0]
 				behind <- true
-				for start := time.Now(); c.quiet(); time.Sleep(time.Millisecond) {
+				for start := time.Now(); c.isSilent(); time.Sleep(time.Millisecond) {
 					if time.Since(start) > patience {
 						t.Fatal("what came was not noticed")
 					}
@@ -521,7 +522,7 @@
 		t.Errorf("what was in hand: result %v", result)
 	}
 	leave <- true
-	if result, _ := p.exchange(t.Context(), p.find(backendID("new")), testMessage("GET", nil)); result != decision.OK {
+	if result, _ := p.exchange(t.Context(), p.lookup(backendID("new")), testMessage("GET", nil)); result != decision.OK {
 		t.Errorf("result %v", result)
 	}
 	if n := conns.Load(); n != 2 {
@@ -583,7 +584,7 @@
 			say(c, "HTTP/1.1 200 OK\nContent-Length: 0\n\n")
 		}
 	}))
-	if result := p.probe(t.Context(), b); result != decision.OK {
+	if result := p.checkHealth(t.Context(), b); result != decision.OK {
 		t.Errorf("result %v", result)
 	}
 	if path := within(t, paths, "no probe came"); path != "GET /ping" {
@@ -597,7 +598,7 @@
 		readWhole(in)
 	}))
 	p.connectTimeout = 300 * time.Millisecond
-	if result := p.probe(t.Context(), b); result != decision.Timeout {
+	if result := p.checkHealth(t.Context(), b); result != decision.Timeout {
 		t.Errorf("result %v, want Timeout", result)
 	}
 }
--- /dev/null
+++ b/internal/proxy/backendpool.go
@@ -0,0 +1,240 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"lapisspread/decision"
+	"lapisspread/internal/engine"
+)
+
+var (
+	errNoSockets     = errors.New("no socket is left for another backend connection")
+	errBackendClosed = errors.New("the backend takes nothing new")
+	errStaleConn     = errors.New("something has come on the connection, or its end")
+	errSendTooLate   = errors.New("the attempt may not be made any more")
+)
+
+// pool holds the connections to all backends of a service, within a limit on their number. It is the engine's upstream
+// for HTTP. All methods may be called by any goroutine.
+type pool struct {
+	dialer         func(ctx context.Context, network, addr string) (net.Conn, error)
+	connectTimeout time.Duration
+	idleTimeout    time.Duration // after which an idle connection is closed
+	staleWindow    time.Duration // see staleConnWindow
+	attempts       *atomic.Int64 // counts the requests that were written whole
+	fleetHeaders   bool          // attempts carry the control plane's headers, or none
+	quota          *connQuota    // of the connections of all services; nil if the service has all of them
+
+	mu       sync.Mutex
+	backends map[decision.BackendID]*backend
+	open     int // connections, with those being dialed
+	maxOpen  int
+
+	reuseLimit   time.Duration // how long a connection may have been idle to be reused, as of reuseLimitAt
+	reuseLimitAt time.Time
+}
+
+// backend is one backend's address and idle connections. The pool's lock guards it.
+type backend struct {
+	addr      string
+	addrEpoch int // counts changes of the address: connections of an earlier one are not kept
+	draining  bool
+	idle      []*conn // the one used last comes last
+}
+
+func newPool(maxOpen int, connectTimeout, idleTimeout time.Duration) *pool {
+	return &pool{
+		dialer:         new(net.Dialer).DialContext,
+		connectTimeout: connectTimeout,
+		idleTimeout:    idleTimeout / idleTimeoutDivisor,
+		staleWindow:    staleConnWindow,
+		attempts:       new(atomic.Int64),
+		backends:       map[decision.BackendID]*backend{},
+		maxOpen:        maxOpen,
+		reuseLimit:     idleTimeout / idleTimeoutDivisor,
+	}
+}
+
+// Update takes in an endpoint list. A backend that drains, is removed or moves to another address loses its idle
+// connections, and attempts that wait for a connection to it are not sent any more.
+func (p *pool) Update(list List) {
+	closeAll(p.update(list))
+}
+
+// update returns the connections that are to be closed.
+func (p *pool) update(list List) (stale []*conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	listed := map[decision.BackendID]bool{}
+	for _, m := range list.Endpoints {
+		id := backendID(m.ID)
+		listed[id] = true
+		b := p.backends[id]
+		if m.State == decision.Removed {
+			stale = append(stale, p.remove(id)...)
+			continue
+		}
+		if b == nil {
+			b = &backend{addr: m.Addr}
+			p.backends[id] = b
+		}
+		b.draining = m.State == decision.Draining
+		moved := m.Addr != "" && m.Addr != b.addr
+		if moved || b.draining {
+			stale = append(stale, b.idle...)
+			b.idle = nil
+		}
+		if moved {
+			b.addr = m.Addr
+			b.addrEpoch++
+		}
+	}
+	if list.Full {
+		for id := range p.backends {
+			if !listed[id] {
+				stale = append(stale, p.remove(id)...)
+			}
+		}
+	}
+	return stale
+}
+
+// remove forgets a backend and returns its idle connections. The lock must be held.
+func (p *pool) remove(id decision.BackendID) []*conn {
+	b := p.backends[id]
+	if b == nil {
+		return nil
+	}
+	delete(p.backends, id)
+	b.draining = true // for attempts that still refer to it
+	return b.idle
+}
+
+func closeAll(conns []*conn) {
+	for _, c := range conns {
+		_ = c.Close()
+	}
+}
+
+// Find returns the backend of that ID, or nil.
+func (p *pool) Find(id decision.BackendID) engine.Backend {
+	if b := p.lookup(id); b != nil {
+		return poolBackend{pool: p, backend: b}
+	}
+	return nil // an interface that holds a nil backend would not be nil
+}
+
+func (p *pool) lookup(id decision.BackendID) *backend {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.backends[id]
+}
+
+// Release closes a backend's idle connections.
+func (p *pool) Release(id decision.BackendID) {
+	p.mu.Lock()
+	var stale []*conn
+	if b := p.backends[id]; b != nil {
+		stale = b.idle
+		b.idle = nil
+	}
+	p.mu.Unlock()
+	closeAll(stale)
+}
+
+// setMaxOpen sets how many connections there may be. Connections beyond that are not closed for it.
+func (p *pool) setMaxOpen(maxOpen int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.maxOpen = maxOpen
+}
+
+// reserve counts a connection that is about to be dialed. At the limit it closes the connection that was idle for
+// longest, of any backend; it reports false if there is none.
+func (p *pool) reserve() bool {
+	var evicted *conn
+	defer func() {
+		if evicted != nil {
+			_ = evicted.Close() // without the lock, which a close takes
+		}
+	}()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.open >= p.maxOpen {
+		from := p.longestIdle()
+		if from == nil {
+			return false
+		}
+		evicted = from.idle[0]
+		from.dropIdle(0)
+	}
+	if p.quota != nil && !p.quota.acquire() {
+		return false
+	}
+	p.open++
+	return true
+}
+
+// longestIdle returns the backend whose first idle connection was idle for longest, or nil. The lock must be held.
+func (p *pool) longestIdle() *backend {
+	var found *backend
+	for _, b := range p.backends {
+		if len(b.idle) > 0 && (found == nil || b.idle[0].idleSince.Before(found.idle[0].idleSince)) {
+			found = b
+		}
+	}
+	return found
+}
+
+// releaseReservation undoes reserve.
+func (p *pool) releaseReservation() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.open--
+	if p.quota != nil {
+		p.quota.release()
+	}
+}
+
+// dial makes a new connection within connectTimeout.
+func (p *pool) dial(ctx context.Context, b *backend) (*conn, error) {
+	p.mu.Lock()
+	addr := b.addr
+	addrEpoch := b.addrEpoch
+	p.mu.Unlock()
+	if !p.reserve() {
+		return nil, errNoSockets
+	}
+	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
+	defer cancel()
+	nc, err := p.dialer(ctx, "tcp", addr)
+	if err != nil {
+		p.releaseReservation()
+		return nil, err
+	}
+	return newConn(nc, addrEpoch, p.releaseReservation), nil
+}
+
+// checkSendable returns why a request's first byte must not be written to a connection. It is called right before the
+// write: since the connection was chosen the backend may have begun to drain or have moved, the client may have left,
+// and bytes that came on the connection would be taken for the response.
+func (p *pool) checkSendable(ctx context.Context, b *backend, c *conn) error {
+	if ctx.Err() != nil {
+		return context.Cause(ctx)
+	}
+	p.mu.Lock()
+	closed := b.draining || b.addrEpoch != c.addrEpoch
+	p.mu.Unlock()
+	switch {
+	case closed:
+		return errBackendClosed
+	case !c.isSilent():
+		return errStaleConn
+	}
+	return nil
+}
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"fmt"
 	"io"
+	"lapisspread/internal/proxy/rawsocket"
 	"math"
 	"math/rand/v2"
 	"net"
@@ -80,9 +81,9 @@
 
 // kill ends the process: its connections are reset. The lock must be held.
 func (s *station) kill() {
-	s.listener.Close()
+	_ = s.listener.Close()
 	for c := range s.conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -127,7 +128,7 @@
 		case 4:
 			time.Sleep(30 * time.Millisecond)
 		case 5:
-			in.Peek(1) // nothing comes of it
+			_, _ = in.Peek(1) // nothing comes of it
 			return
 		}
 		say(c, served)
@@ -174,7 +175,7 @@
 			now := from == fmt.Sprint(version&math.MaxUint32)
 			w.mu.Unlock()
 			if !now {
-				io.WriteString(to, text)
+				_, _ = io.WriteString(to, text)
 				return
 			}
 			select {
@@ -186,7 +187,7 @@
 	}))}
 	t.Cleanup(func() { c.CloseClientConnections(); c.Close() })
 	p := startProxy(t, listText(version, true, all()...), c, func(cfg *Config) {
-		cfg.Module.PolledDiscovery, cfg.Module.Capabilities.HealthChecks, cfg.Module.Capabilities.HedgedRequests = false, true, true
+		cfg.Decision.PolledDiscovery, cfg.Decision.Capabilities.HealthChecks, cfg.Decision.Capabilities.HedgedRequests = false, true, true
 	})
 	end := time.Now().Add(span)
 	var running sync.WaitGroup
@@ -295,16 +296,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, c := clientPair(t, newClientConns(4))
-			defer c.Close()
-			c.waiting, c.fresh = k.waiting, k.fresh
+			defer func() { _ = c.Close() }()
+			c.idle, c.unused = k.waiting, k.fresh
 			if k.sent {
-				io.WriteString(client, "GET / HTTP/1.1\r\n")
-				for silent(c.Conn) {
+				_, _ = io.WriteString(client, "GET / HTTP/1.1\r\n")
+				for rawsocket.Silent(c.Conn) {
 					time.Sleep(time.Millisecond)
 				}
 			}
-			c.SetReadDeadline(time.Now().Add(-time.Second))
-			if n, err := c.Read(make([]byte, 64)); (n > 0) != k.read || !k.read && !timedOut(err) {
+			_ = c.SetReadDeadline(time.Now().Add(-time.Second))
+			if n, err := c.Read(make([]byte, 64)); (n > 0) != k.read || !k.read && !isTimeout(err) {
 				t.Errorf("%d bytes read, %v", n, err)
 			}
 		})
--- /dev/null
+++ b/internal/proxy/clientconn.go
@@ -0,0 +1,358 @@
+package proxy
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"lapisspread/internal/admission"
+	"lapisspread/internal/proxy/httpframe"
+	"lapisspread/internal/proxy/rawsocket"
+)
+
+const (
+	idleCloseDelay    = 5 * time.Millisecond // silence after which an idle connection may be closed
+	newConnCloseDelay = time.Second          // the same for a connection on which nothing has ever arrived
+
+	maxReadAheadBytes   = maxHeaderBytes // that are buffered behind the request in flight; more end the connection
+	readAheadChunkBytes = 1 << 10
+)
+
+// clientConn is one client's connection. It stands between the socket and net/http, and knows at any time whether the
+// connection is between two requests, so that it can be closed or evicted without losing a request.
+type clientConn struct {
+	net.Conn
+	registry    *clientConns
+	admissionID admission.ID // set if the registry has admission control
+	finishOnce  sync.Once
+
+	mu               sync.Mutex
+	idle             bool      // a request has ended and no byte of the next one has been read
+	unused           bool      // no byte has been read at all
+	stateSince       time.Time // start of the idle or unused time, or of the request in flight
+	closed           bool
+	handling         bool // net/http has a whole head and is not done with the request
+	served           bool // the request in flight was answered with success
+	scanner          httpframe.Scanner
+	buffered         []byte // bytes of later requests: net/http gets one request at a time, after its framing is known
+	requestInFlight  bool   // net/http has the last byte of a request and is not done with it
+	responseStarted  bool   // part of the response to the request in flight has been written
+	readAheadOverrun bool   // more than maxReadAheadBytes came behind a request
+	lingering        bool   // the last response is on its way out; no further request is served
+}
+
+// Read returns bytes up to the end of a request. While a request is in flight it blocks until the client closes the
+// connection or net/http interrupts it with a deadline, and returns no bytes.
+func (c *clientConn) Read(p []byte) (int, error) {
+	c.mu.Lock()
+	if c.requestInFlight {
+		c.mu.Unlock()
+		return 0, c.watchForClose()
+	}
+	if c.readAheadOverrun { // the next bytes were discarded
+		c.mu.Unlock()
+		return 0, io.EOF
+	}
+	if n := copy(p, c.buffered); n > 0 {
+		defer c.mu.Unlock()
+		c.buffered = c.buffered[n:]
+		return c.recordRead(p[:n], nil)
+	}
+	c.mu.Unlock()
+	n, err := c.readSocket(p)
+	if n > 0 || !isTimeout(err) {
+		return n, err
+	}
+	c.mu.Lock()
+	between := c.idle || c.unused
+	c.mu.Unlock()
+	if !between || rawsocket.Silent(c.Conn) {
+		return n, err
+	}
+	// A process that was not scheduled sees the idle timeout and a request at once: closing would lose that request.
+	_ = c.SetReadDeadline(time.Now().Add(headerTimeout))
+	return c.readSocket(p)
+}
+
+// watchForClose buffers what the client sends behind the request in flight, and returns once the client has closed the
+// connection, net/http is done with the request, or the buffer is full.
+//
+// net/http detects a client's close by a read of one byte, and stops looking once it has that byte. Without the buffer
+// a client that sent something behind its request and left would not be noticed.
+func (c *clientConn) watchForClose() error {
+	raw, err := rawsocket.Conn(c.Conn)
+	if err != nil {
+		return err
+	}
+	var chunk []byte
+	for full := false; err == nil && !full; {
+		failed := raw.Read(func(fd uintptr) bool {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			// A client that has its response may send its next request before net/http is done with this one.
+			full = c.responseStarted && len(c.buffered)+readAheadChunkBytes > maxReadAheadBytes
+			if full {
+				return true
+			}
+			if chunk == nil {
+				chunk = make([]byte, readAheadChunkBytes)
+			}
+			var n int
+			n, err = rawsocket.Read(fd, chunk)
+			if errors.Is(err, syscall.EAGAIN) {
+				err = nil
+				return false
+			}
+			switch {
+			case err != nil:
+				err = readError(os.NewSyscallError("read", err), c)
+			case n == 0:
+				err = io.EOF
+			default:
+				c.readAhead(chunk[:n])
+			}
+			return true
+		})
+		if failed != nil { // net/http is done with the request, or the connection is closed
+			return readError(failed, c)
+		}
+	}
+	return err
+}
+
+// readAhead buffers bytes that came behind the request in flight. The lock must be held.
+func (c *clientConn) readAhead(b []byte) {
+	if c.readAheadOverrun || len(c.buffered)+len(b) > maxReadAheadBytes {
+		c.readAheadOverrun = true
+		c.buffered = nil
+		return
+	}
+	c.buffered = append(c.buffered, b...)
+}
+
+// readSocket reads from the socket under the lock. Otherwise bytes could be in neither the socket nor the buffer while
+// another goroutine checks for silence, and a request that came in time would be closed as idle.
+func (c *clientConn) readSocket(p []byte) (n int, err error) {
+	raw, err := rawsocket.Conn(c.Conn)
+	if err != nil {
+		return 0, err
+	}
+	failed := raw.Read(func(fd uintptr) bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		n, err = rawsocket.Read(fd, p)
+		if errors.Is(err, syscall.EAGAIN) {
+			return false
+		}
+		switch {
+		case err != nil:
+			err = readError(os.NewSyscallError("read", err), c)
+		case n == 0 && len(p) > 0:
+			err = io.EOF
+		}
+		n, err = c.recordRead(p[:max(0, n)], err)
+		return true
+	})
+	if failed != nil { // the deadline has passed, or the connection is closed
+		return 0, readError(failed, c)
+	}
+	return n, err
+}
+
+// readError has the form that net.Conn's Read gives its errors: net/http sends no error response to a client that it
+// knows by it to be gone.
+func readError(err error, c net.Conn) error {
+	return &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
+}
+
+// recordRead updates the state by bytes that were read, and returns how many of them belong to the current request.
+// The lock must be held. Bytes that arrive after the connection was closed between two requests are dropped: the client
+// sends such a request again on another connection, and it must not run twice.
+func (c *clientConn) recordRead(b []byte, err error) (int, error) {
+	if c.closed {
+		return 0, net.ErrClosed
+	}
+	if len(b) > 0 && (c.idle || c.unused) {
+		if !c.unused { // the time of a first request counts from the connection's start
+			c.stateSince = time.Now()
+		}
+		if c.idle && c.registry.admission != nil {
+			c.registry.admission.RequestStarted(c.admissionID)
+		}
+		c.idle = false
+		c.unused = false
+	}
+	n := c.scanner.Scan(b)
+	c.requestInFlight = c.requestInFlight || len(b) > 0 && c.scanner.BetweenRequests()
+	if n < len(b) {
+		c.buffered = append(slices.Clone(b[n:]), c.buffered...)
+	}
+	return n, err
+}
+
+// Write sends part of a response.
+func (c *clientConn) Write(p []byte) (int, error) {
+	c.mu.Lock()
+	c.responseStarted = true
+	c.mu.Unlock()
+	return c.Conn.Write(p)
+}
+
+// nextFraming returns the framing of the request that net/http handles now. It may be called once a request.
+func (c *clientConn) nextFraming() (httpframe.Framing, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.handling = true
+	return c.scanner.NextFraming()
+}
+
+// Evict closes the connection to make room for another, and reports whether it did. A connection stays if a whole head
+// has been read from it or something has arrived that is not read yet.
+func (c *clientConn) Evict() bool {
+	c.mu.Lock()
+	hasRequest := c.handling || c.scanner.HeadComplete()
+	evicted := !c.closed && (c.lingering || !hasRequest && (c.nothingToRead() || c.clientLeft()))
+	c.closed = c.closed || evicted
+	c.mu.Unlock()
+	if evicted {
+		_ = c.Close()
+	}
+	return evicted
+}
+
+// nothingToRead reports whether the connection is open and nothing has arrived. The lock must be held.
+func (c *clientConn) nothingToRead() bool { return len(c.buffered) == 0 && rawsocket.Silent(c.Conn) }
+
+// clientLeft reports whether the client has closed the connection and nothing is left to be read. The lock must be
+// held.
+func (c *clientConn) clientLeft() bool { return len(c.buffered) == 0 && rawsocket.PeerClosed(c.Conn) }
+
+// Close closes the connection. A close over unread bytes resets the connection, and the part of the response that has
+// not reached the client would be lost; with unread bytes only the sending is ended, and the rest after lingerTimeout.
+// The unread bytes are not served: the client sends such a request again elsewhere.
+func (c *clientConn) Close() error {
+	c.mu.Lock()
+	linger := c.responseStarted && !c.closed && !c.lingering && c.hasUnread()
+	c.lingering = c.lingering || linger
+	c.mu.Unlock()
+	if linger && c.CloseWrite() == nil {
+		time.AfterFunc(c.registry.lingerTimeout, func() { _ = c.finish() })
+		return nil
+	}
+	return c.finish()
+}
+
+// hasUnread reports whether bytes have arrived that are not read. The lock must be held.
+func (c *clientConn) hasUnread() bool {
+	return len(c.buffered) > 0 || !rawsocket.Silent(c.Conn) && !rawsocket.PeerClosed(c.Conn)
+}
+
+// CloseWrite ends the sending. net/http calls it before it closes a connection that it has not read to the end.
+func (c *clientConn) CloseWrite() error {
+	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return w.CloseWrite()
+	}
+	return errors.ErrUnsupported
+}
+
+// finish closes the socket and removes the connection from the registry.
+func (c *clientConn) finish() error {
+	err := c.Conn.Close()
+	c.finishOnce.Do(func() {
+		c.registry.remove(c)
+		if c.registry.admission != nil {
+			c.registry.admission.Remove(c.admissionID)
+		}
+	})
+	return err
+}
+
+// closeIfIdle closes the connection if it is between requests and nothing has arrived on it. An unused connection gets
+// more time: its first request is most likely on its way.
+func (c *clientConn) closeIfIdle(now time.Time) {
+	c.mu.Lock()
+	silence := now.Sub(c.stateSince)
+	due := c.idle && silence >= idleCloseDelay || c.unused && silence >= newConnCloseDelay
+	closed := due && !c.closed && c.nothingToRead()
+	c.closed = c.closed || closed
+	c.mu.Unlock()
+	if closed {
+		_ = c.Close()
+	}
+}
+
+// evictIfIdle closes the connection to make room for another, if it is between requests and nothing has arrived on it.
+// A connection that stays counts as idle from now on, so that the next search finds another one.
+func (c *clientConn) evictIfIdle() bool {
+	c.mu.Lock()
+	evicted := c.lingering || (c.idle || c.unused) && c.nothingToRead()
+	c.closed = c.closed || evicted
+	c.stateSince = time.Now()
+	c.mu.Unlock()
+	if evicted {
+		_ = c.Close()
+	}
+	return evicted
+}
+
+// requestStart returns the time from which the request in flight counts.
+func (c *clientConn) requestStart() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.stateSince
+}
+
+// setIdle is called as net/http takes up a request (false) or is done with one (true).
+func (c *clientConn) setIdle(idle bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if idle != c.idle {
+		c.idle = idle
+		c.stateSince = time.Now()
+	}
+	if idle {
+		c.handling = false
+		c.requestInFlight = false
+		c.responseStarted = false
+	}
+}
+
+// requestStarted tells admission control that a whole head has arrived. c may be nil.
+func (c *clientConn) requestStarted() {
+	if c != nil {
+		c.registry.admission.RequestReceived(c.admissionID)
+	}
+}
+
+// reserveBytes counts a body against the client's address, and reports whether the address may hold so much. c may be
+// nil.
+func (c *clientConn) reserveBytes(bytes int64) bool {
+	return c == nil || c.registry.admission.AcquireBody(c.admissionID, bytes)
+}
+
+// markServed has the request in flight count in its client's favour. c may be nil.
+func (c *clientConn) markServed() {
+	if c == nil {
+		return
+	}
+	c.mu.Lock()
+	c.served = true
+	c.mu.Unlock()
+}
+
+// requestEnded tells admission control of the request's end. c may be nil.
+func (c *clientConn) requestEnded() {
+	if c == nil {
+		return
+	}
+	c.mu.Lock()
+	served := c.served
+	c.served = false
+	c.mu.Unlock()
+	c.registry.admission.RequestDone(c.admissionID, served)
+}
--- /dev/null
+++ b/internal/proxy/clientconns.go
@@ -0,0 +1,238 @@
+package proxy
+
+import (
+	"context"
+	"maps"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"lapisspread/internal/listener"
+)
+
+const (
+	maxEvictAttempts       = 4    // bounds the search for an idle connection, whose cost grows with their number
+	maxRejectionsPerSecond = 1000 // connections beyond that are closed without a response: a flood need not be answered
+)
+
+// clientConns is the set of all clients' connections, within a limit on their number.
+type clientConns struct {
+	mu            sync.Mutex
+	open          map[*clientConn]bool
+	maxOpen       int
+	shared        bool          // another process of this proxy has client connections too
+	lingerTimeout time.Duration // for the last response on a connection with unread bytes
+
+	draining           bool          // the process is ending
+	lateAfter          time.Duration // by the front end's clock: requests that arrive after it count as late
+	drainEnd           time.Duration // by the front end's clock: responses to late requests must be out by then
+	operatorDrainSince time.Time     // when an operator had the clients sent away; zero if none did
+
+	admission         *listener.ConnLimiter // decides who gets a place; nil evicts the connection that was idle for longest
+	rejectionsSent    int                   // within the second that began at rejectionWindow
+	rejectionWindow   time.Time
+	rejectionResponse []byte
+}
+
+func newClientConns(maxOpen int) *clientConns {
+	return &clientConns{open: map[*clientConn]bool{}, maxOpen: maxOpen, lingerTimeout: rejectReadTimeout}
+}
+
+// admit registers a connection, or returns nil if there is no place for it. Without admission control a full registry
+// evicts the connection that was unused for longest, else the one that was idle for longest, but none with a request
+// begun.
+func (s *clientConns) admit(nc net.Conn) *clientConn {
+	c := &clientConn{Conn: nc, registry: s, unused: true, stateSince: time.Now()}
+	if s.admission != nil {
+		id, _ := s.admission.Arrive(nc.RemoteAddr(), c)
+		if id == 0 {
+			s.rejectConn(nc)
+			return nil
+		}
+		c.admissionID = id
+		s.mu.Lock()
+		s.open[c] = true
+		s.mu.Unlock()
+		return c
+	}
+	for range maxEvictAttempts {
+		if s.tryAdd(c, s.idleLimit()) {
+			return c
+		}
+		victim := s.longestIdle()
+		if victim == nil {
+			break
+		}
+		victim.evictIfIdle()
+	}
+	if s.tryAdd(c, s.maxOpen) {
+		return c
+	}
+	return nil
+}
+
+// tryAdd registers a connection if fewer than limit are open.
+func (s *clientConns) tryAdd(c *clientConn, limit int) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.open) >= limit {
+		return false
+	}
+	s.open[c] = true
+	return true
+}
+
+func (s *clientConns) remove(c *clientConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.open, c)
+}
+
+// idleLimit is how many connections there may be while one of them is idle. During a hot restart two processes share
+// the descriptors, and idle clients must not fill the places of both.
+func (s *clientConns) idleLimit() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.shared {
+		return s.maxOpen / 2
+	}
+	return s.maxOpen
+}
+
+// setShared says whether another process of this proxy has clients too. Idle connections beyond the half are closed.
+func (s *clientConns) setShared(shared bool) {
+	s.mu.Lock()
+	s.shared = shared
+	s.mu.Unlock()
+	limit := s.idleLimit()
+	for s.count() > limit {
+		if !s.evictIdle() {
+			return
+		}
+	}
+}
+
+func (s *clientConns) count() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.open)
+}
+
+// evictIdle closes the connection that was unused or idle for longest, and reports whether there was one.
+func (s *clientConns) evictIdle() bool {
+	for range maxEvictAttempts {
+		victim := s.longestIdle()
+		if victim == nil {
+			return false
+		}
+		if victim.evictIfIdle() {
+			return true
+		}
+	}
+	return false
+}
+
+// longestIdle returns the connection to evict first, or nil: unused and lingering ones come before idle ones.
+func (s *clientConns) longestIdle() *clientConn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var victim *clientConn
+	var victimFirst bool
+	var victimSince time.Time
+	for c := range s.open {
+		c.mu.Lock()
+		first := c.unused || c.lingering
+		evictable := (c.idle || first) && !c.closed
+		better := victim == nil || first && !victimFirst || first == victimFirst && c.stateSince.Before(victimSince)
+		if evictable && better {
+			victim = c
+			victimFirst = first
+			victimSince = c.stateSince
+		}
+		c.mu.Unlock()
+	}
+	return victim
+}
+
+// rejectConn sends a short rejection that fits into the send buffer of a new connection, unless too many were sent.
+func (s *clientConns) rejectConn(nc net.Conn) {
+	s.mu.Lock()
+	if now := time.Now(); now.Sub(s.rejectionWindow) >= time.Second {
+		s.rejectionsSent = 0
+		s.rejectionWindow = now
+	}
+	s.rejectionsSent++
+	send := s.rejectionsSent <= maxRejectionsPerSecond
+	s.mu.Unlock()
+	if send {
+		_ = nc.SetWriteDeadline(time.Now().Add(idleCloseDelay))
+		_, _ = nc.Write(s.rejectionResponse)
+	}
+}
+
+// snapshot returns all connections.
+func (s *clientConns) snapshot() []*clientConn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Collect(maps.Keys(s.open))
+}
+
+// connContextKey is the key of a request's connection in its context.
+type connContextKey struct{}
+
+// withConn is the server's ConnContext.
+func withConn(ctx context.Context, nc net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, nc)
+}
+
+// connOf returns the connection of a request, or nil if it did not come by a clientListener.
+func connOf(r *http.Request) *clientConn {
+	c, _ := r.Context().Value(connContextKey{}).(*clientConn)
+	return c
+}
+
+// admittedConn returns the connection of a request if there is admission control, else nil.
+func (s *clientConns) admittedConn(r *http.Request) *clientConn {
+	if s.admission == nil {
+		return nil
+	}
+	return connOf(r)
+}
+
+// state is the server's ConnState. A connection is idle once net/http is done with a request. By then net/http may
+// have read into the next one; it then calls again with StateActive.
+func (s *clientConns) state(nc net.Conn, state http.ConnState) {
+	c, ours := nc.(*clientConn)
+	if !ours {
+		return
+	}
+	switch state {
+	case http.StateIdle:
+		c.setIdle(true)
+	case http.StateActive:
+		c.setIdle(false)
+	}
+}
+
+// clientListener accepts no more connections than there are descriptors for. It never waits for a place: silent
+// connections would shut out all others.
+type clientListener struct {
+	net.Listener
+	conns *clientConns
+}
+
+// Accept waits for the next connection that gets a place.
+func (l *clientListener) Accept() (net.Conn, error) {
+	for {
+		nc, err := l.Listener.Accept()
+		if err != nil {
+			return nil, err
+		}
+		if c := l.conns.admit(nc); c != nil {
+			return c, nil
+		}
+		_ = nc.Close()
+	}
+}
--- /dev/null
+++ b/internal/proxy/clientresponse.go
@@ -0,0 +1,187 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+
+	"lapisspread/internal/engine"
+	"lapisspread/internal/metrics"
+)
+
+// copyChunkBytes is how much of a streamed body is passed on at a time.
+const copyChunkBytes = 32 << 10
+
+// response is a request's final response, held whole.
+type response struct {
+	status     int
+	retryAfter time.Duration
+	body       []byte
+}
+
+// responseFor puts an engine's result into HTTP.
+func responseFor(r engine.Result) response {
+	switch {
+	case r.Outcome == engine.Served:
+		body, _ := r.Response.([]byte)
+		return response{status: http.StatusOK, body: body}
+	case r.Outcome == engine.Rejected:
+		return response{status: http.StatusServiceUnavailable, retryAfter: r.RetryAfter}
+	case r.TimedOut:
+		return response{status: http.StatusGatewayTimeout}
+	}
+	return response{status: http.StatusBadGateway}
+}
+
+// outcomeForStatus returns what a response of that status counts as.
+func outcomeForStatus(status int) metrics.Outcome {
+	switch status {
+	case http.StatusOK:
+		return metrics.Served
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return metrics.Rejected
+	}
+	return metrics.Failed
+}
+
+// writeResult sends a request's result to its client. It panics with http.ErrAbortHandler if a streamed response breaks
+// off, so that net/http closes the connection and the client can tell.
+func (f *httpFrontend) writeResult(w http.ResponseWriter, req *request, result engine.Result) {
+	f.closeIfDraining(w)
+	c := http.NewResponseController(w)
+	if upload := req.message.upload; upload != nil && !upload.stop() { // the rest of the body is not needed
+		w.Header().Set("Connection", "close")
+		_ = c.SetReadDeadline(time.Now().Add(rejectReadTimeout))
+	}
+	stream, streamed := result.Stream.(*download)
+	if !streamed {
+		resp := responseFor(result)
+		req.countOutcome(outcomeForStatus(resp.status))
+		_ = c.SetWriteDeadline(time.Now().Add(f.writeTimeout))
+		writeResponse(w, resp)
+		return
+	}
+	// The end of a drain could cut off a long response to a late request.
+	if f.conns.isLate(f.clock.Now() - req.service.clock.Now() + req.ReceivedAt()) {
+		stream.End(errAbandoned)
+		req.countOutcome(metrics.Failed)
+		writeResponse(w, response{status: http.StatusBadGateway})
+		return
+	}
+	err := streamResponse(w, stream, f.writeTimeout)
+	stream.End(err)
+	if err != nil {
+		req.countOutcome(metrics.Failed)
+		f.log.Warn("streamed response broke off", "err", err)
+		if req.http10 && stream.length < 0 {
+			resetClientConn(w)
+		}
+		panic(http.ErrAbortHandler)
+	}
+	req.countOutcome(metrics.Served)
+}
+
+// rejectRequest rejects a request whose class is known, and counts it.
+func (f *httpFrontend) rejectRequest(w http.ResponseWriter, req *request, err error) {
+	req.countOutcome(outcomeForStatus(f.reject(w, err)))
+}
+
+// reject sends an error response at once and closes the connection, since the bytes behind it can't be trusted. It
+// returns the status. net/http would read the body to its end before it sends the response; full duplex prevents that.
+func (f *httpFrontend) reject(w http.ResponseWriter, err error) int {
+	status := http.StatusBadRequest
+	retryAfter := time.Second
+	if r := (*rejection)(nil); errors.As(err, &r) {
+		status = r.status
+		retryAfter = max(retryAfter, r.retryAfter)
+	}
+	f.log.Warn("request rejected", "status", status, "err", err)
+	c := http.NewResponseController(w)
+	_ = c.EnableFullDuplex()
+	_ = c.SetReadDeadline(time.Now().Add(rejectReadTimeout))
+	_ = c.SetWriteDeadline(time.Now().Add(f.writeTimeout))
+	if caps := &f.cfg.Decision.Capabilities; status == http.StatusServiceUnavailable && caps.RetryAfter {
+		setRetryAfter(w.Header(), min(retryAfter, caps.MaxRetryAfter))
+	}
+	w.Header().Set("Connection", "close")
+	http.Error(w, err.Error(), status)
+	return status
+}
+
+// setRetryAfter sets the Retry-After header in seconds, unless after is 0.
+func setRetryAfter(h http.Header, after time.Duration) {
+	if after > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+	}
+}
+
+// writeResponse sends a response. A write error means that the client's connection is gone, and nobody is left to tell.
+func writeResponse(w http.ResponseWriter, resp response) {
+	h := w.Header()
+	switch resp.status {
+	case http.StatusOK:
+		h.Set("Content-Type", "application/octet-stream")
+	default:
+		resp.body = []byte(http.StatusText(resp.status) + "\n")
+		h.Set("Content-Type", "text/plain; charset=utf-8")
+		setRetryAfter(h, resp.retryAfter)
+	}
+	h.Set("Content-Length", strconv.Itoa(len(resp.body)))
+	w.WriteHeader(resp.status)
+	_, _ = w.Write(resp.body)
+}
+
+// streamResponse passes a long response on as it arrives, with timeout for each chunk. An error means that the client
+// does not have all of it.
+func streamResponse(w http.ResponseWriter, d *download, timeout time.Duration) error {
+	h := w.Header()
+	h.Set("Content-Type", "application/octet-stream")
+	if d.length >= 0 {
+		h.Set("Content-Length", fmt.Sprint(d.length))
+	}
+	c := http.NewResponseController(w)
+	w.WriteHeader(http.StatusOK)
+	chunk := make([]byte, copyChunkBytes)
+	for left := d.length; ; {
+		n, err := d.body.Read(chunk)
+		_ = c.SetWriteDeadline(time.Now().Add(timeout))
+		if n > 0 {
+			if _, failed := w.Write(chunk[:n]); failed != nil {
+				return fmt.Errorf("writing an answer: %w", failed)
+			}
+		}
+		left -= int64(n)
+		switch {
+		case errors.Is(err, io.EOF) && (d.length < 0 || left == 0):
+			return nil
+		case errors.Is(err, io.EOF):
+			return io.ErrUnexpectedEOF
+		case err != nil:
+			return fmt.Errorf("reading an answer: %w", err)
+		}
+		if err := c.Flush(); err != nil {
+			return fmt.Errorf("writing an answer: %w", err)
+		}
+	}
+}
+
+// resetClientConn ends a client's connection by a reset. A response that ends with the connection would look complete
+// if it broke off by a plain close.
+func resetClientConn(w http.ResponseWriter) {
+	nc, _, err := http.NewResponseController(w).Hijack()
+	if err != nil {
+		return
+	}
+	defer func() { _ = nc.Close() }()
+	socket := nc
+	if c, ours := nc.(*clientConn); ours {
+		socket = c.Conn
+	}
+	if tcp, ok := socket.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
+	}
+}
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -49,16 +49,16 @@
 	}{
 		"for one that comes, by the door, new": {true, func(c *clientConn) { c.Evict() }},
 		"for one that comes, by the door":      {false, func(c *clientConn) { c.Evict() }},
-		"for one that comes, new":              {true, func(c *clientConn) { c.evict() }},
-		"for one that comes":                   {false, func(c *clientConn) { c.evict() }},
-		"as the proxy ends, new":               {true, func(c *clientConn) { c.closeWaiting(time.Now()) }},
-		"as the proxy ends":                    {false, func(c *clientConn) { c.closeWaiting(time.Now()) }},
+		"for one that comes, new":              {true, func(c *clientConn) { c.evictIfIdle() }},
+		"for one that comes":                   {false, func(c *clientConn) { c.evictIfIdle() }},
+		"as the proxy ends, new":               {true, func(c *clientConn) { c.closeIfIdle(time.Now()) }},
+		"as the proxy ends":                    {false, func(c *clientConn) { c.closeIfIdle(time.Now()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, c := clientPair(t, newClientConns(4))
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			h := heldUp{c.Conn.(*net.TCPConn), make(chan struct{}), make(chan struct{})}
-			c.Conn, c.fresh, c.waiting, c.since = h, x.fresh, !x.fresh, long
+			c.Conn, c.unused, c.idle, c.stateSince = h, x.fresh, !x.fresh, long
 			const text = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 			if _, err := client.Write([]byte(text)); err != nil {
 				t.Fatal(err)
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -132,10 +132,10 @@
 			t.Errorf("%s: refused: %v", c.to, err)
 			continue
 		}
-		if bodyRoom(&cfg) < 1<<20 || clientPlaces(&cfg) < 19 {
-			t.Errorf("%s: no room: %d bytes, %d places", c.to, bodyRoom(&cfg), clientPlaces(&cfg))
+		if bodyMemoryLimit(&cfg) < 1<<20 || maxClientConns(&cfg) < 19 {
+			t.Errorf("%s: no room: %d bytes, %d places", c.to, bodyMemoryLimit(&cfg), maxClientConns(&cfg))
 		}
-		if _, err := decision.New(cfg.Module, 1, nil); err != nil {
+		if _, err := decision.New(cfg.Decision, 1, nil); err != nil {
 			t.Errorf("%s: %v", c.to, err)
 		}
 	}
@@ -189,14 +189,14 @@
 			continue
 		}
 		served++
-		if _, err := decision.New(cfg.Module, 1, nil); err != nil {
+		if _, err := decision.New(cfg.Decision, 1, nil); err != nil {
 			t.Errorf("seed %d: taken, and can't be served: %v\n%s", seed, err, text)
 		}
-		if _, err := gateOf(&cfg.Module); err != nil {
+		if _, err := newGate(&cfg.Decision); err != nil {
 			t.Errorf("seed %d: taken, and can't share: %v\n%s", seed, err, text)
 		}
-		if n := len(cfg.Module.Classes); n != len(cfg.Names.Classes) || len(cfg.Module.Tenants) > len(cfg.Names.Tenants) {
-			t.Errorf("seed %d: %d classes and %d tenants, of names %q", seed, n, len(cfg.Module.Tenants), cfg.Names)
+		if n := len(cfg.Decision.Classes); n != len(cfg.Names.Classes) || len(cfg.Decision.Tenants) > len(cfg.Names.Tenants) {
+			t.Errorf("seed %d: %d classes and %d tenants, of names %q", seed, n, len(cfg.Decision.Tenants), cfg.Names)
 		}
 	}
 	if served < 100 {
@@ -213,22 +213,22 @@
 		t.Fatal(err)
 	}
 	known := List{Version: 1, Full: true}
-	cfg.Known, cfg.Discovery = known, "127.0.0.1:1"
+	cfg.InitialEndpoints, cfg.Discovery = known, "127.0.0.1:1"
 	c := newCatalog(t)
-	p := startProxy(t, listText(1, true), c, func(to *Config) { cfg.Discovery, cfg.pace = to.Discovery, to.pace; *to = cfg })
+	p := startProxy(t, listText(1, true), c, func(to *Config) { cfg.Discovery, cfg.timing = to.Discovery, to.timing; *to = cfg })
 	within(t, c.queries, "no watch")
-	svc := p.proxy.services.now.Load().only
+	svc := p.proxy.services.current.Load().only
 	for name, want := range map[string]int{"close trip": 0, "close_trip": 1, "close,trip": 1} {
-		if got, known := named(svc.classes, name); !known || got != want {
+		if got, known := lookupName(svc.classes, name); !known || got != want {
 			t.Errorf("class %q is number %d, %v", name, got, known)
 		}
 	}
 	for name, want := range map[string]int{"a,b": 0, "a_b": 1, "c d": 2, "c_d": 2} {
-		if got, known := named(svc.tenants, name); !known || got != want {
+		if got, known := lookupName(svc.tenants, name); !known || got != want {
 			t.Errorf("tenant %q is number %d, %v", name, got, known)
 		}
 	}
-	if _, known := named(svc.classes, "open trip"); known {
+	if _, known := lookupName(svc.classes, "open trip"); known {
 		t.Error("a class that there is not")
 	}
 }
@@ -247,8 +247,8 @@
 	if !strings.Contains(p.logs.String(), "the list that the configuration knows can't be read") {
 		t.Errorf("the log says nothing of it:\n%s", p.logs.String())
 	}
-	if cfg, err := parseConfig(configText(`{"generation":1,"instances":[{}]}`)); err != nil || cfg.KnownBad == nil || len(cfg.Known.Endpoints) > 0 {
-		t.Errorf("known %+v, bad %v, error %v", cfg.Known, cfg.KnownBad, err)
+	if cfg, err := parseConfig(configText(`{"generation":1,"instances":[{}]}`)); err != nil || cfg.InitialEndpointsError == nil || len(cfg.InitialEndpoints.Endpoints) > 0 {
+		t.Errorf("known %+v, bad %v, error %v", cfg.InitialEndpoints, cfg.InitialEndpointsError, err)
 	}
 }
 
@@ -259,8 +259,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if cfg.pace.hold < time.Second || cfg.pace.hold > 20*time.Second {
-			t.Errorf("AskEvery %s: held for %v", every, cfg.pace.hold)
+		if cfg.timing.watchHold < time.Second || cfg.timing.watchHold > 20*time.Second {
+			t.Errorf("AskEvery %s: held for %v", every, cfg.timing.watchHold)
 		}
 	}
 }
--- a/internal/proxy/conformance_test.go
+++ b/internal/proxy/conformance_test.go
@@ -22,18 +22,18 @@
 func TestHTTPFrontEndConforms(t *testing.T) {
 	enginetest.Frontend{
 		Start: func(t *testing.T, e *engine.Engine) enginetest.Client {
-			cfg := Config{MemoryMB: 64, Sockets: 1024, Module: enginetest.Config()}
+			cfg := Config{MemoryMB: 64, Sockets: 1024, Decision: enginetest.Config()}
 			svcs := newServices(New(cfg, slog.New(slog.DiscardHandler)))
-			only := &service{engine: e, clock: e.Clock(), module: cfg.Module, classes: map[string]int{"safe": 0, "unsafe": 1},
-				figures: metrics.New([]string{"safe", "unsafe"})}
-			svcs.now.Store(&installed{only: only, byName: map[string]*service{"": only}})
+			only := &service{engine: e, clock: e.Clock(), module: cfg.Decision, classes: map[string]int{"safe": 0, "unsafe": 1},
+				counters: metrics.New([]string{"safe", "unsafe"})}
+			svcs.current.Store(&routingState{only: only, byName: map[string]*service{"": only}})
 			f := newFrontend(svcs, &cfg, slog.New(slog.DiscardHandler), newClientConns(512))
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			go f.serve(l)
-			t.Cleanup(func() { f.server.Close() })
+			go func() { _ = f.serve(l) }()
+			t.Cleanup(func() { _ = f.server.Close() })
 			return func(ctx context.Context, id, class string, timeout time.Duration) (engine.Outcome, []byte, error) {
 				req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr().String()+"/api", strings.NewReader("body"))
 				if err != nil {
@@ -45,7 +45,7 @@
 				if err != nil {
 					return 0, nil, err
 				}
-				defer resp.Body.Close()
+				defer func() { _ = resp.Body.Close() }()
 				body, err := io.ReadAll(resp.Body)
 				switch {
 				case err != nil:
@@ -81,9 +81,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { l.Close() })
+			t.Cleanup(func() { _ = l.Close() })
 			if b == enginetest.RefusesConnections {
-				l.Close()
+				_ = l.Close()
 			}
 			go serveRaw(l, func(_ int, c net.Conn, in *bufio.Reader) { behave(c, in, b, answers[b]) })
 			p := newPool(64, 2*time.Second, time.Minute)
@@ -105,17 +105,17 @@
 		if err != nil {
 			return
 		}
-		io.Copy(io.Discard, req.Body)
+		_, _ = io.Copy(io.Discard, req.Body)
 		switch b {
 		case enginetest.ClosesBeforeResponse:
 			return
 		case enginetest.Stalls:
-			in.Peek(1) // until the other side closes
+			_, _ = in.Peek(1) // until the other side closes
 			return
 		case enginetest.ServesSlowly:
 			time.Sleep(20 * time.Millisecond)
 		}
-		io.WriteString(c, answer)
+		_, _ = io.WriteString(c, answer)
 		if b == enginetest.ClosesDuringResponse {
 			return
 		}
--- /dev/null
+++ b/internal/proxy/controlplane.go
@@ -0,0 +1,60 @@
+package proxy
+
+import (
+	"context"
+	"sync"
+
+	"lapisspread/internal/controlplane/api"
+	"lapisspread/internal/controlplane/client"
+	"lapisspread/internal/controlplane/freshness"
+)
+
+// joinControlPlane starts the clients of the control plane: quota leases, and the freshness monitor if the fleet's file
+// asks for it. They run until leave is called, which waits for them.
+func (p *Proxy) joinControlPlane() (leave func(), err error) {
+	file, err := api.Load(p.cfg.Fleet)
+	if err != nil {
+		return nil, err
+	}
+	keys, err := file.LoadTLSKeys()
+	if err != nil {
+		return nil, err
+	}
+	config := func() client.Config {
+		return client.Config{File: file, ProxyName: p.cfg.Name, Logger: p.log, Transport: api.NewTransport(keys)}
+	}
+	quotas := client.NewQuotaClient(config())
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { quotas.Run(ctx) })
+	if keys != nil {
+		running.Go(func() { api.WatchTLSKeys(ctx, keys, p.log) })
+	}
+	p.quotaClient.Store(quotas)
+	if file.Freshness != nil {
+		monitor := freshness.New(freshness.Config{Freshness: file.Freshness, Logger: p.log})
+		running.Go(func() { monitor.Run(ctx) })
+		p.freshness.Store(monitor)
+	}
+	p.services.policyRoutes = file.Policy.RouteByPolicy // no service runs yet
+	p.policyClient.Store(client.NewPolicyClient(config(), p.services.installPolicy))
+	leave = func() {
+		cancel()
+		running.Wait()
+	}
+	return leave, nil
+}
+
+// runPolicyClient installs the policies that the control plane offers until ctx ends. The state before the first policy
+// is installed too: requests are counted under it, to compare with.
+func (p *Proxy) runPolicyClient(ctx context.Context) {
+	policies := p.policyClient.Load()
+	if policies == nil {
+		return
+	}
+	if err := p.services.installPolicy(policies.Current()); err != nil {
+		p.log.Error("requests are not counted for the policy", "err", err)
+	}
+	policies.Restore()
+	policies.Run(ctx)
+}
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -12,6 +13,7 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/proxy/rawsocket"
 )
 
 // hookedConn is a connection to a backend that has a test act at a point in an attempt's way.
@@ -57,7 +59,7 @@
 
 // untilNoted waits until something stands to be read on a connection, or its end.
 func untilNoted(t *testing.T, c net.Conn) {
-	for start := time.Now(); silent(c); time.Sleep(time.Millisecond) {
+	for start := time.Now(); rawsocket.Silent(c); time.Sleep(time.Millisecond) {
 		if time.Since(start) > patience {
 			t.Error("what came was not noticed")
 			return
@@ -67,8 +69,8 @@
 
 // testUpload is a long body that has come whole.
 func testUpload() *upload {
-	return &upload{ahead: make([]byte, bodyBytes), length: bodyBytes + 4, began: time.Now(), rest: strings.NewReader("rest"),
-		limit: func(time.Time) error { return nil }, whole: func() {}, failed: make(chan error, 1)}
+	return &upload{prefix: make([]byte, maxBufferedBody), length: maxBufferedBody + 4, startedAt: time.Now(), remainder: strings.NewReader("rest"),
+		setReadDeadline: func(time.Time) error { return nil }, onComplete: func() {}, failed: make(chan error, 1)}
 }
 
 // What comes on an idle connection after it was chosen for a request, and before the request's first byte, is no answer
@@ -77,10 +79,10 @@
 	for name, act := range map[string]func(net.Conn){
 		"a second answer":   func(c net.Conn) { say(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong") },
 		"an error":          func(c net.Conn) { say(c, "HTTP/1.1 500 Oh\nContent-Length: 0\n\n") },
-		"half a line":       func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
-		"the close":         func(c net.Conn) { c.Close() },
-		"a reset":           func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"noise and a close": func(c net.Conn) { io.WriteString(c, "\x00\x01"); c.Close() },
+		"half a line":       func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 2") },
+		"the close":         func(c net.Conn) { _ = c.Close() },
+		"a reset":           func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
+		"noise and a close": func(c net.Conn) { _, _ = io.WriteString(c, "\x00\x01"); _ = c.Close() },
 	} {
 		for _, long := range []bool{false, true} {
 			kind := map[bool]string{false: "short body", true: "long body"}[long]
@@ -134,7 +136,7 @@
 		t.Run(name, func(t *testing.T) {
 			for range 20 { // without the look the request goes out in most
 				got := make(chan string, 2)
-				addr := rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
+				addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 					for {
 						req, err := http.ReadRequest(in)
 						if err != nil {
@@ -270,7 +272,7 @@
 		t.Run(name, func(t *testing.T) {
 			text := served
 			if long {
-				text = "HTTP/1.1 200 OK\nContent-Length: 65537\n\n" + strings.Repeat("x", bodyBytes+1)
+				text = "HTTP/1.1 200 OK\nContent-Length: 65537\n\n" + strings.Repeat("x", maxBufferedBody+1)
 			}
 			for range 20 { // a long one's two ends come out in any order
 				addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
@@ -287,7 +289,7 @@
 					}
 				})
 				m := testMessage("POST", []byte("x"))
-				m.begin = func(d *download) bool {
+				m.startStream = func(d *download) bool {
 					_, err := io.ReadAll(d)
 					giveUp()
 					d.End(err)
@@ -319,7 +321,7 @@
 				say(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong")
 				continue
 			}
-			io.Copy(io.Discard, req.Body)
+			_, _ = io.Copy(io.Discard, req.Body)
 			say(c, served)
 		}
 	}))
@@ -328,7 +330,7 @@
 	}
 	ctx, end := context.WithCancelCause(t.Context())
 	probed := make(chan decision.Result, 1)
-	go func() { probed <- p.probe(ctx, b) }()
+	go func() { probed <- p.checkHealth(ctx, b) }()
 	within(t, came, "no probe came")
 	end(context.DeadlineExceeded)
 	if result := within(t, probed, "no end"); result != decision.Timeout {
@@ -349,7 +351,7 @@
 	came, die := make(chan bool), make(chan bool)
 	var requests atomic.Int32
 	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
-		defer c.(*net.TCPConn).SetLinger(0)
+		defer func() { _ = c.(*net.TCPConn).SetLinger(0) }()
 		for i := 0; readWhole(in); i++ {
 			requests.Add(1)
 			if n == 1 || n == 2 {
@@ -408,34 +410,34 @@
 			now := time.Now()
 			taken := func(age time.Duration) bool {
 				near, far := net.Pipe()
-				defer far.Close()
+				defer func() { _ = far.Close() }()
 				p.open++
-				c := newConn(near, 0, p.unreserve)
-				c.idleAt = time.Now().Add(-age)
+				c := newConn(near, 0, p.releaseReservation)
+				c.idleSince = time.Now().Add(-age)
 				b.idle = []*conn{c}
 				got, err := p.takeIdle(b)
 				if err != nil || p.open != map[bool]int{true: 1, false: 0}[got != nil] {
 					t.Errorf("age %v: %v with %d open", age, err, p.open)
 				}
 				if got != nil {
-					got.Close()
+					_ = got.Close()
 				}
 				return got != nil
 			}
-			if taken(told / idlePart) {
+			if taken(told / idleTimeoutDivisor) {
 				t.Error("one was taken that the backend may be about to close")
 			}
-			if told >= 10*time.Second && !taken(told/idlePart-told/10) {
+			if told >= 10*time.Second && !taken(told/idleTimeoutDivisor-told/10) {
 				t.Error("one was not taken that is fresh enough")
 			}
 			for _, age := range []time.Duration{0, told / 4, told / 2, 2 * told} {
-				p.broke(age)
-				if p.limit > told/idlePart || age > leastIdle*limitCut && p.limit > max(age/limitCut, leastIdle) {
-					t.Errorf("one broke at the age of %v: the limit is %v", age, p.limit)
+				p.noteBrokenIdleConn(age)
+				if p.reuseLimit > told/idleTimeoutDivisor || age > minIdleLimit*idleLimitDivisor && p.reuseLimit > max(age/idleLimitDivisor, minIdleLimit) {
+					t.Errorf("one broke at the age of %v: the limit is %v", age, p.reuseLimit)
 				}
 			}
-			p.limitAt = now.Add(-64 * limitBack)
-			if told >= 10*time.Second && !taken(told/idlePart-told/10) {
+			p.reuseLimitAt = now.Add(-64 * idleLimitDoubling)
+			if told >= 10*time.Second && !taken(told/idleTimeoutDivisor-told/10) {
 				t.Error("the limit has not come back")
 			}
 		})
@@ -446,12 +448,12 @@
 // just chosen; and one on which bytes come as it is closed is nobody's.
 func TestWhatIsChosenIsNotClosed(t *testing.T) {
 	for name, act := range map[string]func(*pool){
-		"retire":  func(p *pool) { p.retire(time.Now().Add(2 * p.idleFor)) },
+		"retire":  func(p *pool) { p.closeExpired(time.Now().Add(2 * p.idleTimeout)) },
 		"release": func(p *pool) { p.Release(backendID("a")) },
 		"evict": func(p *pool) {
-			p.limitOpen(1)
+			p.setMaxOpen(1)
 			if p.reserve() {
-				p.unreserve()
+				p.releaseReservation()
 			}
 		},
 		"the same list": func(p *pool) {
@@ -485,7 +487,7 @@
 			}
 			c := b.idle[0]
 			act(p) // now it is idle
-			if left := len(b.idle); p.open != left || left == 0 && silent(c.Conn) {
+			if left := len(b.idle); p.open != left || left == 0 && rawsocket.Silent(c.Conn) {
 				t.Errorf("%d idle, %d open", left, p.open)
 			}
 		})
@@ -501,20 +503,20 @@
 		got <- n
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), func(c *Config) {
-		c.Module.Capabilities.ConnectTimeout = patience
+		c.Decision.Capabilities.ConnectTimeout = patience
 	})
 	resp, err := http.Get("http://" + p.addr + "/_health") // it serves
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
-	pool := p.proxy.services.now.Load().byName[""].pool
+	_ = resp.Body.Close()
+	pool := p.proxy.services.current.Load().byName[""].pool
 	dialing, given := make(chan bool, 1), make(chan bool, 1)
 	pool.mu.Lock()
 	pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialing <- true
 		<-ctx.Done()
-		given <- context.Cause(ctx) == context.Canceled
+		given <- errors.Is(context.Cause(ctx), context.Canceled)
 		return net.Dial(network, addr)
 	}
 	pool.mu.Unlock()
@@ -522,9 +524,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: leaves\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 60000\r\nContent-Length: 0\r\n\r\n")
+	_, _ = io.WriteString(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: leaves\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 60000\r\nContent-Length: 0\r\n\r\n")
 	within(t, dialing, "nothing was dialled")
-	c.Close()
+	_ = c.Close()
 	if !within(t, given, "the attempt was not given up") {
 		t.Error("it was given up for its time alone")
 	}
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -21,7 +21,7 @@
 
 func (n narrow) Accept() (net.Conn, error) {
 	n.conns.mu.Lock()
-	full := len(n.conns.all) >= n.most
+	full := len(n.conns.open) >= n.most
 	n.conns.mu.Unlock()
 	if full {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
@@ -40,7 +40,7 @@
 	var turnedAway atomic.Int32
 	l := &clientListener{listener.NewListener(narrow{inner, conns, 3}, slog.New(slog.DiscardHandler), conns.evictIdle,
 		func() { turnedAway.Add(1) }), conns}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	taken := make(chan net.Conn, 64)
 	go func() {
 		for {
@@ -54,7 +54,7 @@
 	for range 20 {
 		client := silentConns(t, inner.Addr().String(), 1)[0]
 		c := within(t, taken, "a client that comes is not taken")
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		if got, want := c.RemoteAddr().String(), client.LocalAddr().String(); got != want {
 			t.Fatalf("%s is taken, want %s", got, want)
 		}
@@ -69,7 +69,7 @@
 	conns := newClientConns(8)
 	begin := func(client net.Conn, c *clientConn) {
 		t.Helper()
-		io.WriteString(client, "G")
+		_, _ = io.WriteString(client, "G")
 		if _, err := c.Read(make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
@@ -77,21 +77,21 @@
 	for range 8 {
 		clientPair(t, conns)
 	}
-	if n := conns.number(); n != 8 {
+	if n := conns.count(); n != 8 {
 		t.Fatalf("%d connections alone, want 8", n)
 	}
 	conns.setShared(true)
-	if n := conns.number(); n != 4 {
+	if n := conns.count(); n != 4 {
 		t.Errorf("%d idle connections beside another process, want 4", n)
 	}
 	for i := range 8 { // each takes the place of an idle one, as long as there are some
 		begin(clientPair(t, conns))
-		if n := conns.number(); n != max(4, i+1) {
+		if n := conns.count(); n != max(4, i+1) {
 			t.Errorf("%d connections, %d of them in use, want %d", n, i+1, max(4, i+1))
 		}
 	}
 	conns.setShared(false)
-	if n := conns.number(); n != 8 {
+	if n := conns.count(); n != 8 {
 		t.Errorf("%d connections in use once alone, want 8", n)
 	}
 }
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -92,7 +92,7 @@
 	if o := client.Claim(t.Context(), 1); o.Code != diameter.UnableToComply || o.Tries != 1 { // in time: the client gives up once
 		t.Errorf("%+v", o)
 	}
-	report, err := operator{s.proxy}.Diameter()
+	report, err := adminBackend{s.proxy}.Diameter()
 	if err != nil || report.(map[string]any)["requests"].(map[string]int64)["served"] != 3 {
 		t.Errorf("%v, %v", report, err)
 	}
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	go server.Serve(l)
 	defer server.Drop()
 	text := strings.Replace(twoServices, `name = "settlement"`, "name = \"settlement\"\nupstream = \"diameter\"", 1)
@@ -183,7 +183,7 @@
 	if err := New(cfg, nil).openDiameter(); err == nil || !strings.Contains(err.Error(), `command[0]: class: there is none by the name of "nothing"`) {
 		t.Errorf("a class that is not there: %v", err)
 	}
-	if _, err := (operator{New(cfg, nil)}).Diameter(); err == nil {
+	if _, err := (adminBackend{New(cfg, nil)}).Diameter(); err == nil {
 		t.Error("without Diameter")
 	}
 }
@@ -208,7 +208,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	server := &diameterpeer.Server{Host: "n1.example", Realm: "pay.example.org"}
 	go server.Serve(tls.NewListener(l, serverKeys.ServerConfig()))
 	defer server.Drop()
@@ -240,7 +240,7 @@
 	if err := ca.Replace(t, ours, "proxy.kigali.example", 99*time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	s.proxy.diameter.reread()
+	s.proxy.diameter.reload()
 	if left := s.proxy.diameter.keys.Remaining(); left < 98*time.Hour {
 		t.Errorf("%v left after the change", left)
 	}
--- /dev/null
+++ b/internal/proxy/diameterpeer.go
@@ -0,0 +1,66 @@
+package proxy
+
+import (
+	"net"
+	"sync"
+	"sync/atomic"
+
+	"lapisspread/internal/admission"
+	"lapisspread/internal/listener"
+)
+
+// peerListener accepts connections of Diameter peers under admission control, as for all other clients.
+type peerListener struct {
+	net.Listener
+	conns *clientConns
+}
+
+// Accept waits for the next connection that gets a place.
+func (l *peerListener) Accept() (net.Conn, error) {
+	for {
+		nc, err := l.Listener.Accept()
+		if err != nil || l.conns.admission == nil {
+			return nc, err
+		}
+		c := &peerConn{Conn: nc, admission: l.conns.admission}
+		if c.id, _ = c.admission.Arrive(nc.RemoteAddr(), c); c.id != 0 {
+			return c, nil
+		}
+		_ = nc.Close()
+	}
+}
+
+// peerConn is a peer's connection under admission control. It counts as in use once the peer's capabilities exchange
+// was answered.
+type peerConn struct {
+	net.Conn
+	admission *listener.ConnLimiter
+	id        admission.ID
+	answered  atomic.Bool
+	once      sync.Once
+}
+
+// Write sends bytes to the peer.
+func (c *peerConn) Write(p []byte) (int, error) {
+	n, err := c.Conn.Write(p)
+	if err == nil && !c.answered.Swap(true) {
+		c.admission.RequestReceived(c.id)
+	}
+	return n, err
+}
+
+// Evict closes the connection to make room for another, unless the peer has been answered, and reports whether it did.
+func (c *peerConn) Evict() bool {
+	if c.answered.Load() {
+		return false
+	}
+	_ = c.Close()
+	return true
+}
+
+// Close closes the connection and gives its place back, once.
+func (c *peerConn) Close() error {
+	err := c.Conn.Close()
+	c.once.Do(func() { c.admission.Remove(c.id) })
+	return err
+}
--- /dev/null
+++ b/internal/proxy/diameterrequest.go
@@ -0,0 +1,109 @@
+package proxy
+
+import (
+	"fmt"
+	"net/http"
+	"net/url"
+	"time"
+
+	"lapisspread/decision"
+	"lapisspread/internal/diameter"
+	"lapisspread/internal/diameter/claim"
+	"lapisspread/internal/diameter/frontend"
+	"lapisspread/internal/diameter/upstream"
+	"lapisspread/internal/engine"
+	"lapisspread/internal/metrics"
+	"lapisspread/internal/route"
+)
+
+// diameterOutcomes is what an engine's outcome counts as.
+var diameterOutcomes = map[engine.Outcome]metrics.Outcome{
+	engine.Served:   metrics.Served,
+	engine.Rejected: metrics.Rejected,
+	engine.Failed:   metrics.Failed,
+}
+
+// requestID identifies a Diameter request for its backends and for routes that split by request.
+func requestID(a *claim.Ask) string { return fmt.Sprintf("%s/%08x", a.Name.Origin, a.Name.ID) }
+
+// route finds the service for a Diameter request and admits the request within the service's limits.
+func (d *diameterService) route(a *claim.Ask, bytes int64) (*frontend.Service, error) {
+	s := d.p.services
+	svc, policy, err := s.acquireService(func(now *routingState) (*service, error) {
+		q := route.Request{Host: a.Realm, Path: a.Path, Method: http.MethodPost, Class: a.Class, Tenant: a.Tenant}
+		return now.lookup(&q, func() string { return a.Session }, requestID(a))
+	})
+	if err != nil {
+		policy.CountRequest(false)
+		return nil, &frontend.Turned{What: err.Error(), Code: diameter.UnableToDeliver}
+	}
+	class, known := svc.classes[a.Class]
+	if !known {
+		svc.release()
+		what := fmt.Sprintf("the service knows no class %q", a.Class)
+		return nil, &frontend.Turned{What: what, Code: diameter.UnableToDeliver}
+	}
+	tenant := svc.tenants[a.Tenant]
+	ticket, rejected := s.admit(svc, class, tenant, bytes)
+	if rejected != nil {
+		svc.counters.CountRequest(class, metrics.Rejected)
+		policy.CountRequest(false)
+		svc.release()
+		return nil, &frontend.Turned{What: rejected.message, After: max(rejected.retryAfter, time.Second)}
+	}
+	svc.counters.InFlight.Add(1)
+	var servedIn time.Duration
+	out := &frontend.Service{
+		Engine: svc.engine,
+		Class:  class,
+		Tenant: tenant,
+		Unsafe: svc.module.Classes[class].Idempotency != decision.Idempotent,
+		Ended: func(end engine.Outcome, took time.Duration) {
+			servedIn = took
+			policy.CountRequest(end == engine.Served)
+			svc.counters.CountRequest(class, diameterOutcomes[end])
+		},
+		Leave: func() {
+			svc.counters.InFlight.Add(-1)
+			ticket.release(servedIn)
+			svc.release()
+		},
+		Message: d.httpMessage,
+	}
+	if svc.diameter != nil {
+		out.Message = func(_ *claim.Ask, wire diameter.Message) (engine.Message, error) {
+			return upstream.NewMessage(wire), nil
+		}
+	}
+	return out, nil
+}
+
+// httpMessage turns a Diameter request into one for an HTTP server: its AVPs as one JSON object, by their names.
+func (d *diameterService) httpMessage(a *claim.Ask, wire diameter.Message) (engine.Message, error) {
+	body, err := d.rules.Dictionary().JSON(wire.AVPs())
+	if err != nil {
+		return nil, err
+	}
+	if len(body) > maxBufferedBody {
+		return nil, fmt.Errorf("a claim of %d bytes; %d are the most", len(body), maxBufferedBody)
+	}
+	id := requestID(a)
+	if len(id) > maxRequestIDBytes {
+		id = fmt.Sprintf("%016x/%08x", hashName(a.Name.Origin), a.Name.ID)
+	}
+	h := http.Header{
+		"Content-Type":     {"application/json"},
+		"X-Request-Id":     {id},
+		"Idempotency-Key":  {id},
+		"X-Priority-Class": {a.Class},
+		"User-Agent":       nil,
+	}
+	if a.Tenant != "" {
+		h.Set("X-Tenant-Id", a.Tenant)
+	}
+	if a.Repeat {
+		h.Set("X-Retried", "1")
+	}
+	target := url.URL{Path: a.Path, RawQuery: "key=" + url.QueryEscape(a.Session)}
+	return &message{method: http.MethodPost, host: a.Realm, url: target, header: h, body: body}, nil
+}
--- /dev/null
+++ b/internal/proxy/download.go
@@ -0,0 +1,145 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"sync"
+	"time"
+)
+
+// download is a long response that is streamed to the client. The goroutine that takes it reads it, and calls End.
+type download struct {
+	length    int64 // Content-Length in bytes; -1 if there is none
+	body      io.Reader
+	closeBody func()
+	result    chan error // buffered; receives the argument of End
+}
+
+func newDownload(length int64, body io.Reader) *download {
+	return &download{length: length, body: body, closeBody: func() {}, result: make(chan error, 1)}
+}
+
+// Read reads the response.
+func (d *download) Read(p []byte) (int, error) { return d.body.Read(p) }
+
+// End says how the reading of the response went. It does not block.
+func (d *download) End(err error) {
+	select {
+	case d.result <- err:
+	default:
+	}
+}
+
+// boundedReader reads a response's body with a deadline for each chunk, a minimum mean rate and maxBodyBytes in all, so
+// that a trickling response ends. Only the time spent waiting here counts, not the client's.
+type boundedReader struct {
+	source    io.Reader
+	conn      *conn
+	readBytes int64
+	waited    time.Duration
+}
+
+// Read reads the next chunk.
+func (l *boundedReader) Read(p []byte) (int, error) {
+	startedAt := time.Now()
+	left := readStallTimeout + time.Duration(float64(l.readBytes)/minBodyRate*float64(time.Second)) - l.waited
+	l.conn.limitRead(startedAt.Add(min(left, readStallTimeout)))
+	n, err := l.source.Read(p)
+	l.waited += time.Since(startedAt)
+	l.readBytes += int64(n)
+	if l.readBytes > maxBodyBytes {
+		return n, fmt.Errorf("%w: more than %d bytes", errInvalidResponse, maxBodyBytes)
+	}
+	return n, err
+}
+
+// prefetcher reads ahead of its reader, up to maxBufferedBody, so that it can be seen whether a response of unknown
+// length ends soon.
+type prefetcher struct {
+	mu      sync.Mutex
+	changed sync.Cond
+	buf     []byte
+	err     error // that ended the source; io.EOF after the last byte
+	closed  bool
+}
+
+// startPrefetch begins to read. The goroutine ends with the source's error, or after close with its current read.
+func startPrefetch(source io.Reader) *prefetcher {
+	p := &prefetcher{}
+	p.changed.L = &p.mu
+	go p.run(source)
+	return p
+}
+
+func (p *prefetcher) run(source io.Reader) {
+	chunk := make([]byte, copyChunkBytes)
+	for {
+		n, err := source.Read(chunk)
+		if !p.add(chunk[:n], err) {
+			return
+		}
+	}
+}
+
+// add takes in what was read, and blocks while the buffer is full. It reports whether to read on.
+func (p *prefetcher) add(chunk []byte, err error) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.buf = append(p.buf, chunk...)
+	p.err = err
+	p.changed.Broadcast()
+	for err == nil && len(p.buf) > maxBufferedBody && !p.closed {
+		p.changed.Wait()
+	}
+	return err == nil && !p.closed
+}
+
+// waitForEnd blocks until the source has ended, the buffer is full or the timeout has passed. If the whole body is
+// there by then it is returned, with complete set.
+func (p *prefetcher) waitForEnd(timeout time.Duration) (body []byte, complete bool, err error) {
+	timedOut := false
+	timer := time.AfterFunc(timeout, func() {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		timedOut = true
+		p.changed.Broadcast()
+	})
+	defer timer.Stop()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for p.err == nil && len(p.buf) <= maxBufferedBody && !timedOut {
+		p.changed.Wait()
+	}
+	switch {
+	case p.err != nil && !errors.Is(p.err, io.EOF):
+		return nil, false, p.err
+	case p.err != nil && len(p.buf) <= maxBufferedBody:
+		return p.buf, true, nil
+	}
+	return nil, false, nil
+}
+
+// Read returns buffered bytes, and blocks until there are some or the source has ended.
+func (p *prefetcher) Read(b []byte) (int, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for len(p.buf) == 0 && p.err == nil {
+		p.changed.Wait()
+	}
+	if len(p.buf) == 0 {
+		return 0, p.err
+	}
+	n := copy(b, p.buf)
+	p.buf = append(p.buf[:0], p.buf[n:]...)
+	p.changed.Broadcast()
+	return n, nil
+}
+
+// close ends the prefetching. A read in progress ends with the connection.
+func (p *prefetcher) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	p.changed.Broadcast()
+}
--- a/internal/proxy/effects_test.go
+++ b/internal/proxy/effects_test.go
@@ -17,7 +17,7 @@
 // once more, what has a window for that only within it, and what may not is answered as failed. Each run is counted.
 func TestWhatBreaksIsRepeatedWhereItMay(t *testing.T) {
 	const window = 300 * time.Millisecond
-	reset := func(nc net.Conn) { nc.(*net.TCPConn).SetLinger(0) }
+	reset := func(nc net.Conn) { _ = nc.(*net.TCPConn).SetLinger(0) }
 	for way, end := range map[string]func(net.Conn){
 		"reset":                   reset,
 		"closed":                  func(net.Conn) {},
@@ -53,7 +53,7 @@
 						if err != nil {
 							return
 						}
-						io.Copy(io.Discard, req.Body)
+						_, _ = io.Copy(io.Discard, req.Body)
 						mu.Lock()
 						ids = append(ids, req.Header.Get("X-Request-ID"))
 						first := len(ids) == 1
@@ -67,7 +67,7 @@
 				}
 				p := startProxy(t, listText(1, true, memberText("a", rawBackend(t, serve), "active"), memberText("b", rawBackend(t, serve), "active")),
 					newCatalog(t), func(cfg *Config) {
-						class := &cfg.Module.Classes[0]
+						class := &cfg.Decision.Classes[0]
 						class.Idempotency, class.DeduplicationScope, class.DeduplicationWindow = c.effect, c.group, c.window
 					})
 				runs := 1
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -44,7 +45,7 @@
 	go func() { ended <- s.Run(ctx, l) }()
 	end = func() {
 		cancel()
-		if err := <-ended; err != nil && err != http.ErrServerClosed {
+		if err := <-ended; err != nil && !errors.Is(err, http.ErrServerClosed) {
 			t.Error(err)
 		}
 		ended <- nil
@@ -102,7 +103,7 @@
 	for range 20 {
 		mustAnswer(t, http.StatusServiceUnavailable)(p.ask(t, "hand-in", 10000, "homework"))
 	}
-	r, err := operator{p.proxy}.QuotaLeases()
+	r, err := adminBackend{p.proxy}.QuotaLeases()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +119,7 @@
 	if h := within(t, got, "the backend got nothing").Header; h.Get("X-Fleet-Token") != "" {
 		t.Errorf("%v", h)
 	}
-	if _, err := (operator{p.proxy}).QuotaLeases(); err == nil || !strings.Contains(err.Error(), "--fleet") {
+	if _, err := (adminBackend{p.proxy}).QuotaLeases(); err == nil || !strings.Contains(err.Error(), "--fleet") {
 		t.Errorf("the console says %v", err)
 	}
 }
@@ -129,7 +130,7 @@
 	path, _ := oneSteward(t, 20, 2, fmt.Sprintf("[tls]\ncertificate = %q\nkey = %q\nca = %q\n", files.Certificate, files.Key, files.CA))
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, make(chan *http.Request, 1)), "active")), newCatalog(t), func(c *Config) { c.Fleet = path })
 	for by := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		r, err := operator{p.proxy}.QuotaLeases() // an error until the proxy has joined it
+		r, err := adminBackend{p.proxy}.QuotaLeases() // an error until the proxy has joined it
 		report, _ := r.(client.Status)
 		if report.Answered > 0 && report.Policy != nil && report.Policy.Answered > 0 {
 			return
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -33,8 +33,8 @@
 // frozenTime is when the kept values were taken: 2025-01-01 00:00:00 UTC.
 const frozenTime = 1_735_689_600 * time.Second
 
-func frozenMemory() learned {
-	return learned{
+func frozenMemory() persistedState {
+	return persistedState{
 		Lists: map[string]guardedsource.CachedList{"10.0.0.1:8500": {AnsweredAt: frozenTime, Endpoints: engine.EndpointList{Version: 41, Full: true,
 			Endpoints: []engine.Endpoint{
 				{ID: "s-1", Addr: "10.0.1.1:80", Zone: "z1", Kind: "large", Cell: 3, State: decision.Ready, Weight: 1.5,
@@ -53,27 +53,27 @@
 func TestFrozenMemoryFile(t *testing.T) {
 	const kept = "testdata/memory"
 	if *writeFrozen {
-		f := durable.File{Path: kept, Kind: "lapisspread-memory", Version: memoryForm}
+		f := durable.File{Path: kept, Kind: "lapisspread-memory", Version: snapshotFormat}
 		if err := f.Save(frozenMemory()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m := openMemory(kept, time.Second, 1<<62)
+	m := openSnapshotStore(kept, time.Second, 1<<62)
 	want := frozenMemory()
-	if m.report.Recalled != "yes" || !reflect.DeepEqual(m.before, want) {
-		t.Fatalf("%q: got %+v\nwant %+v", m.report.Recalled, m.before, want)
+	if m.report.Recalled != "yes" || !reflect.DeepEqual(m.previous, want) {
+		t.Fatalf("%q: got %+v\nwant %+v", m.report.Recalled, m.previous, want)
 	}
 	again := filepath.Join(t.TempDir(), "memory")
 	m.file.Path = again
-	if err := m.file.Save(m.before); err != nil {
+	if err := m.file.Save(m.previous); err != nil {
 		t.Fatal(err)
 	}
 	compareWithKept(t, kept, readFile(t, again), false)
-	list := m.known("10.0.0.1:8500", List{Version: 40, Full: true})
-	if list.Version != 41 || len(list.Endpoints) != 2 || m.age("10.0.0.1:8500") <= 0 {
+	list := m.initialList("10.0.0.1:8500", List{Version: 40, Full: true})
+	if list.Version != 41 || len(list.Endpoints) != 2 || m.listAge("10.0.0.1:8500") <= 0 {
 		t.Errorf("the list to start with: %+v", list)
 	}
-	if got := m.recall("orders"); got == nil || got.RequestRate != 12.5 || m.recall("orders") != nil {
+	if got := m.takeSnapshot("orders"); got == nil || got.RequestRate != 12.5 || m.takeSnapshot("orders") != nil {
 		t.Errorf("recalled %+v, which can be had once", got)
 	}
 }
@@ -112,17 +112,17 @@
 	peers := []node.Status{{Host: "a.example", Addr: "10.0.0.9:3868", State: "open", Well: true, InHand: 1, Outstanding: 2}, {}}
 	comeback := struct {
 		guardedsource.Report
-		Memory *memoryReport `json:"memory,omitempty"`
+		Memory *snapshotReport `json:"memory,omitempty"`
 	}{guardedsource.Report{CallStats: guardedsource.CallStats{Calls: 1, Failed: 2, Deferred: 3}, ConsecutiveFailures: 4, SuspectLists: 5, Retained: 6, Returned: 7,
-		Dropped: 8, Missing: 9}, &memoryReport{Recalled: "yes", AgeS: 1.5, Written: 2, Failed: 3, Why: "disk"}}
-	door := doorReport{Report: admission.Report{MaxConns: 1, Open: 2, Known: 3, Idle: 4, Bytes: 5, BodyRejections: 6,
+		Dropped: 8, Missing: 9}, &snapshotReport{Recalled: "yes", AgeS: 1.5, Written: 2, Failed: 3, LastFailure: "disk"}}
+	door := admissionReport{Report: admission.Report{MaxConns: 1, Open: 2, Known: 3, Idle: 4, Bytes: 5, BodyRejections: 6,
 		Rejected: map[string]int64{"full": 7}, Blocks: map[string]int{"10.0.0.0/8": 8},
 		Top: []admission.AddressReport{{Prefix: "10.0.0.1", Open: 1, Unproven: 2, Credit: 3.5, Bytes: 4, Rate: 5.5, Rejected: 6}}},
-		Short: 9, Requests: map[string]bound{"orders": {Limit: 10, InHand: 11}}}
+		ClosedWithoutDescriptors: 9, Requests: map[string]requestLimit{"orders": {Limit: 10, InFlight: 11}}}
 	ledger := guard.Report{Ready: true, Durable: true, Entries: 1, Bytes: 2, InFlight: 3, Started: 4, Joined: 5, Replayed: 6,
 		MayHaveRun: 7, Full: 8, DiskErrors: 9, Flushes: 10, FileBytes: 11}
 	var all bytes.Buffer
-	for _, report := range []any{own, peers, comeback, memoryReport{}, door, doorReport{}, ledger} {
+	for _, report := range []any{own, peers, comeback, snapshotReport{}, door, admissionReport{}, ledger} {
 		text, err := json.Marshal(report)
 		if err != nil {
 			t.Fatal(err)
@@ -146,7 +146,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := admin.New(operator{p.proxy}, slog.New(slog.DiscardHandler))
+	server := admin.New(adminBackend{p.proxy}, slog.New(slog.DiscardHandler))
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(t.Context(), listener) }()
 	t.Cleanup(func() {
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,12 +19,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.StateDir, cfg.PassedSocket, cfg.pace = dir, "3", untilTold
+	cfg.StateDir, cfg.PassedSocket, cfg.timing = dir, "3", untilTold
 	file, err := held.File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	listener, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer func() { _ = held.Close() }()
 	came, release := make(chan bool, 1), make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for {
@@ -48,7 +49,7 @@
 			if err != nil {
 				return
 			}
-			io.Copy(io.Discard, req.Body)
+			_, _ = io.Copy(io.Discard, req.Body)
 			if req.Method == "POST" {
 				came <- true
 				<-release
@@ -82,8 +83,8 @@
 	comes(20)
 	before.ending(t)
 	comes(20)
-	idle.SetReadDeadline(time.Now().Add(patience))
-	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // the old process is past taking connections
+	_ = idle.SetReadDeadline(time.Now().Add(patience))
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the old process is past taking connections
 		t.Errorf("the idle connection: %v, want its end", err)
 	}
 	select { // it must never end with that request in hand
@@ -102,7 +103,7 @@
 
 // A process is ready whatever discovery does: it need not have heard a list, nor know a server.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	silent := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { io.Copy(io.Discard, in) })
+	silent := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	closing := rawBackend(t, func(int, net.Conn, *bufio.Reader) {})
 	for name, discovery := range map[string]string{"silent": silent, "refused": "127.0.0.1:1", "closing": closing} {
 		for _, known := range []string{listText(1, true), listText(1, true, memberText("a", silent, "active")), "null"} {
@@ -110,8 +111,8 @@
 				t.Parallel()
 				p := startProxy(t, known, newCatalog(t), func(c *Config) { c.Discovery = discovery })
 				conn := silentConns(t, p.addr, 1)[0]
-				io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
-				conn.SetReadDeadline(time.Now().Add(patience))
+				_, _ = io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
+				_ = conn.SetReadDeadline(time.Now().Add(patience))
 				resp, body := mustAnswer(t, 200)(readAnswer(bufio.NewReader(conn)))
 				if strings.TrimSpace(body) != "ok" || resp.Close {
 					t.Errorf("%q, closes %v", body, resp.Close)
--- a/internal/proxy/late_test.go
+++ b/internal/proxy/late_test.go
@@ -76,13 +76,13 @@
 // it never ran.
 func TestARepeatIsNotWrittenPastItsWindow(t *testing.T) {
 	small := func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
+		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}
 	listener, err := (&net.ListenConfig{Control: small}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	read, whole := make(chan bool), make(chan bool, 1)
 	go serveRaw(listener, func(_ int, _ net.Conn, in *bufio.Reader) {
 		<-read
@@ -93,11 +93,11 @@
 	p.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err == nil {
-			c.(*net.TCPConn).SetWriteBuffer(4096)
+			_ = c.(*net.TCPConn).SetWriteBuffer(4096)
 		}
 		return c, err
 	}
-	a := engine.Attempt{Message: testMessage("POST", make([]byte, bodyBytes)), Timeout: patience,
+	a := engine.Attempt{Message: testMessage("POST", make([]byte, maxBufferedBody)), Timeout: patience,
 		MaySend: func() (time.Time, bool) { return time.Now().Add(30 * time.Millisecond), true }}
 	ended := make(chan decision.Result, 1)
 	go func() {
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -20,14 +20,14 @@
 	behind string
 	leave  func(c *net.TCPConn)
 }{
-	"closes":                       {"", func(c *net.TCPConn) { c.Close() }},
-	"resets":                       {"", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-	"ends its sending":             {"", func(c *net.TCPConn) { c.CloseWrite() }},
-	"closes, a byte behind":        {"G", func(c *net.TCPConn) { c.Close() }},
-	"closes, a request behind":     {hidden, func(c *net.TCPConn) { c.Close() }},
-	"closes, more than is held":    {strings.Repeat("x", 5*heldBytes), func(c *net.TCPConn) { c.Close() }},
-	"resets, a request behind":     {hidden, func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-	"ends its sending, bytes left": {hidden, func(c *net.TCPConn) { c.CloseWrite() }},
+	"closes":                       {"", func(c *net.TCPConn) { _ = c.Close() }},
+	"resets":                       {"", func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }},
+	"ends its sending":             {"", func(c *net.TCPConn) { _ = c.CloseWrite() }},
+	"closes, a byte behind":        {"G", func(c *net.TCPConn) { _ = c.Close() }},
+	"closes, a request behind":     {hidden, func(c *net.TCPConn) { _ = c.Close() }},
+	"closes, more than is held":    {strings.Repeat("x", 5*maxReadAheadBytes), func(c *net.TCPConn) { _ = c.Close() }},
+	"resets, a request behind":     {hidden, func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }},
+	"ends its sending, bytes left": {hidden, func(c *net.TCPConn) { _ = c.CloseWrite() }},
 }
 
 // leaver sends a request and what comes behind it.
@@ -37,8 +37,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: l%d\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: 19000\r\n\r\n%s", lastAsked.Add(1), class, behind)
+	t.Cleanup(func() { _ = c.Close() })
+	_, _ = fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: l%d\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: 19000\r\n\r\n%s", lastAsked.Add(1), class, behind)
 	return c.(*net.TCPConn)
 }
 
@@ -46,13 +46,13 @@
 func (p *running) only(t *testing.T) *pool {
 	t.Helper()
 	eventually(t, "it does not serve", p.proxy.ready.Load)
-	return p.proxy.services.now.Load().only.pool
+	return p.proxy.services.current.Load().only.pool
 }
 
 // inFlight waits until so many requests are in hand.
 func (p *running) inFlight(t *testing.T, n int64) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%d requests in hand, want %d", p.proxy.own.InFlight.Load(), n), func() bool { return p.proxy.own.InFlight.Load() == n })
+	eventually(t, fmt.Sprintf("%d requests in hand, want %d", p.proxy.counters.InFlight.Load(), n), func() bool { return p.proxy.counters.InFlight.Load() == n })
 }
 
 func eventually(t *testing.T, missing string, so func() bool) {
@@ -127,8 +127,8 @@
 					say(c, "HTTP/1.1 503 Service Unavailable\nX-Not-Processed: 1\nContent-Length: 0\nConnection: close\n\n")
 				})
 				p := startProxy(t, listText(1, true, memberText("a", addr, "active"), memberText("b", addr, "active")), newCatalog(t), func(c *Config) {
-					c.Module.Capabilities.Cancel = cancel
-					c.Module.Capabilities.ConnectTimeout = patience
+					c.Decision.Capabilities.Cancel = cancel
+					c.Decision.Capabilities.ConnectTimeout = patience
 				})
 				pool := p.only(t)
 				dial, dials := pool.dialer, 0
@@ -149,7 +149,7 @@
 				}
 				c := leaver(t, p, "fetch-work", "G")
 				within(t, dialling, "no connection is made")
-				c.Close()
+				_ = c.Close()
 				p.inFlight(t, 0)
 				close(comeUp)
 				within(t, up, "no connection came up")
@@ -181,7 +181,7 @@
 		"cancelled": {func(cancel context.CancelCauseFunc, _ *message) { cancel(context.Canceled) }, decision.Cancelled},
 		"overdue":   {func(cancel context.CancelCauseFunc, _ *message) { cancel(context.DeadlineExceeded) }, decision.ConnectFailed},
 		"not wanted": {func(_ context.CancelCauseFunc, m *message) {
-			m.may = func() (time.Time, bool) { return time.Time{}, false }
+			m.sendAllowed = func() (time.Time, bool) { return time.Time{}, false }
 		}, decision.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -222,10 +222,10 @@
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
 	c := leaver(t, p, "hand-in", "")
 	within(t, came, "the backend got nothing")
-	c.CloseWrite()
-	c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.CloseWrite()
+	_ = c.SetReadDeadline(time.Now().Add(patience))
 	text, err := io.ReadAll(c)
-	if strings.HasPrefix(string(text), "HTTP/1.1 200") || timedOut(err) {
+	if strings.HasPrefix(string(text), "HTTP/1.1 200") || isTimeout(err) {
 		t.Errorf("read %q, %v", text, err)
 	}
 }
@@ -235,18 +235,18 @@
 func TestALongRequestRightBehindAnAnswerIsServed(t *testing.T) {
 	conns := newClientConns(4)
 	client, c := clientPair(t, conns)
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	in := make([]byte, 4096)
-	io.WriteString(client, "GET / HTTP/1.1\r\n\r\n")
+	_, _ = io.WriteString(client, "GET / HTTP/1.1\r\n\r\n")
 	if n, err := c.Read(in); err != nil || string(in[:n]) != "GET / HTTP/1.1\r\n\r\n" {
 		t.Fatalf("read %q, %v", in[:n], err)
 	}
 	if _, err := io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	next := fmt.Sprintf("PUT / HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", 4*heldBytes, strings.Repeat("x", 4*heldBytes))
-	go io.WriteString(client, next)
-	c.SetReadDeadline(time.Now().Add(patience))
+	next := fmt.Sprintf("PUT / HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", 4*maxReadAheadBytes, strings.Repeat("x", 4*maxReadAheadBytes))
+	go func() { _, _ = io.WriteString(client, next) }()
+	_ = c.SetReadDeadline(time.Now().Add(patience))
 	if _, err := c.Read(in[:1]); err != nil { // the server's look for the client's end
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/proxy/limits.go
@@ -0,0 +1,147 @@
+package proxy
+
+import (
+	"net/http"
+	"time"
+
+	"lapisspread/decision"
+	"lapisspread/internal/processquota"
+	"lapisspread/internal/processquota/limiter"
+	config "lapisspread/internal/services"
+)
+
+const (
+	reservedSockets      = 32      // descriptors for all but connections of clients and backends
+	clientSocketFraction = 0.6     // of the other descriptors, for clients: one too few there loses a request
+	openRequestFraction  = 1.0 / 3 // of all descriptors: the limit on open requests
+	bodyMemoryFraction   = 1.0 / 8 // of the memory, for the bodies of all requests in flight
+)
+
+// bodyMemoryLimit returns how many bytes the bodies of all requests in flight may have.
+func bodyMemoryLimit(c *Config) int64 {
+	return int64(bodyMemoryFraction * float64(c.MemoryMB) * (1 << 20))
+}
+
+// maxClientConns returns how many connections clients may have open.
+func maxClientConns(c *Config) int {
+	return int(clientSocketFraction * float64(c.Sockets-reservedSockets))
+}
+
+// maxOpenRequests returns how many requests may be open.
+func maxOpenRequests(c *Config) int { return int(openRequestFraction * float64(c.Sockets)) }
+
+// maxBackendConns returns how many connections to backends may be open.
+func (s *serviceSet) maxBackendConns() int {
+	limit := s.proxy.cfg.Sockets - reservedSockets - maxClientConns(&s.proxy.cfg)
+	if s.halfCapacity {
+		limit /= 2
+	}
+	return limit
+}
+
+// setHalfCapacity has all services keep to half of the connections, or to all of them again.
+func (s *serviceSet) setHalfCapacity(half bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.halfCapacity = half
+	now := s.current.Load()
+	for _, svc := range now.byName {
+		svc.pool.setMaxOpen(s.maxBackendConns())
+	}
+	if now.only != nil {
+		return
+	}
+	if err := s.limits.Resize(s.processLimits(&now.limits)); err != nil {
+		s.proxy.log.Error("keeping the old service limits", "err", err)
+	}
+}
+
+// processLimits returns what the services share: what their file sets, and else what the process has.
+func (s *serviceSet) processLimits(l *config.Limits) limiter.Totals {
+	totals := limiter.Totals{
+		Requests: l.MaxInFlight,
+		Bytes:    l.MaxBodyBytes,
+		Conns:    int64(s.maxBackendConns()),
+		Attempts: l.MaxAttemptRate,
+	}
+	if totals.Requests == 0 {
+		totals.Requests = int64(maxOpenRequests(&s.proxy.cfg))
+	}
+	if totals.Bytes == 0 {
+		totals.Bytes = bodyMemoryLimit(&s.proxy.cfg)
+	}
+	return totals
+}
+
+// newGate makes the gate that decides which requests get the last of a service's quota.
+func newGate(m *decision.Config) (*processquota.Gate, error) {
+	var classes []processquota.GateClass
+	for _, c := range m.Classes {
+		classes = append(classes, processquota.GateClass{
+			PriorityWeight: c.PriorityWeight,
+			HoldTime:       max(c.LatencyObjective, time.Millisecond).Seconds(),
+		})
+	}
+	var weights []float64
+	for _, t := range m.Tenants {
+		weights = append(weights, t.Share)
+	}
+	return processquota.NewGate(classes, weights)
+}
+
+// ticket is a request that is admitted within its service's limits.
+type ticket struct {
+	services *serviceSet
+	service  *service
+	limits   limiter.Request
+	tenant   int
+}
+
+// admit admits a request within the limits of its service, or rejects it. The caller must release the ticket.
+func (s *serviceSet) admit(svc *service, class, tenant int, bytes int64) (ticket, *rejection) {
+	t := ticket{services: s, service: svc, tenant: tenant, limits: limiter.Request{
+		Service: svc.name,
+		Gate:    svc.gate,
+		Class:   class,
+		Tenant:  tenant,
+		Bytes:   bytes,
+	}}
+	if svc.gate != nil {
+		if reason, retryAfter := s.limits.Acquire(t.limits); reason != "" {
+			return ticket{}, overLimit(reason, retryAfter)
+		}
+	}
+	if svc.requestLimiter != nil {
+		if reason, retryAfter := svc.requestLimiter.Acquire(class, tenant, 0); reason != "" {
+			if svc.gate != nil {
+				s.limits.Release(t.limits)
+			}
+			return ticket{}, overLimit(reason, retryAfter)
+		}
+	}
+	return t, nil
+}
+
+func overLimit(reason string, retryAfter time.Duration) *rejection {
+	return &rejection{status: http.StatusServiceUnavailable, message: reason, retryAfter: retryAfter}
+}
+
+// release gives the request's part of the limits back. servedIn is the time to a successful response, and 0 for any
+// other end.
+func (t *ticket) release(servedIn time.Duration) {
+	if t.service.requestLimiter != nil {
+		t.service.requestLimiter.Release(t.tenant, servedIn)
+	}
+	if t.service.gate != nil {
+		t.services.limits.Release(t.limits)
+	}
+}
+
+// connQuota is a service's part of the connections to backends.
+type connQuota struct {
+	limits  *limiter.Limits
+	service string
+}
+
+func (q *connQuota) acquire() bool { return q.limits.AcquireConn(q.service) }
+func (q *connQuota) release()      { q.limits.ReleaseConn(q.service) }
--- a/internal/proxy/linger_test.go
+++ b/internal/proxy/linger_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"fmt"
 	"io"
+	"lapisspread/internal/proxy/rawsocket"
 	"net"
 	"net/http"
 	"strings"
@@ -15,18 +16,18 @@
 func unreadBehind(t *testing.T, conns *clientConns, answer string) (client net.Conn, c *clientConn) {
 	t.Helper()
 	client, c = clientPair(t, conns)
-	client.(*net.TCPConn).SetReadBuffer(64 << 10)
+	_ = client.(*net.TCPConn).SetReadBuffer(64 << 10)
 	const request = "GET / HTTP/1.1\r\n\r\n"
-	io.WriteString(client, request+hidden)
+	_, _ = io.WriteString(client, request+hidden)
 	if _, err := io.ReadFull(c, make([]byte, len(request))); err != nil {
 		t.Fatal(err)
 	}
-	c.Conn.(*net.TCPConn).SetWriteBuffer(1 << 20)
+	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(1 << 20)
 	if _, err := io.WriteString(c, answer); err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(client, hidden) // so that something stands unread in the socket itself
-	eventually(t, "nothing comes", func() bool { return !silent(c.Conn) })
+	_, _ = io.WriteString(client, hidden) // so that something stands unread in the socket itself
+	eventually(t, "nothing comes", func() bool { return !rawsocket.Silent(c.Conn) })
 	return client, c
 }
 
@@ -35,29 +36,29 @@
 func TestACloseOverUnreadBytesLosesNoAnswer(t *testing.T) {
 	answer := strings.Repeat("0123456789abcdef", 16<<10)
 	conns := newClientConns(4)
-	conns.linger = patience
+	conns.lingerTimeout = patience
 	client, c := unreadBehind(t, conns, answer)
-	c.Close()
-	client.SetReadDeadline(time.Now().Add(patience))
+	_ = c.Close()
+	_ = client.SetReadDeadline(time.Now().Add(patience))
 	if got, err := io.ReadAll(client); err != nil || string(got) != answer {
 		t.Errorf("%d bytes of %d came, %v", len(got), len(answer), err)
 	}
-	if !conns.all[c] {
+	if !conns.open[c] {
 		t.Error("its place is given away though its descriptor is not")
 	}
-	if !conns.evictIdle() || conns.all[c] {
+	if !conns.evictIdle() || conns.open[c] {
 		t.Error("it makes no place")
 	}
 	client, c = unreadBehind(t, conns, "short")
-	c.Close()
-	if !c.Evict() || conns.all[c] {
+	_ = c.Close()
+	if !c.Evict() || conns.open[c] {
 		t.Error("it makes no place at the door")
 	}
-	client.Close()
-	conns.linger = time.Millisecond
+	_ = client.Close()
+	conns.lingerTimeout = time.Millisecond
 	_, c = unreadBehind(t, conns, "short")
-	c.Close()
-	eventually(t, "it is never closed", func() bool { return len(conns.list()) == 0 })
+	_ = c.Close()
+	eventually(t, "it is never closed", func() bool { return len(conns.snapshot()) == 0 })
 }
 
 // A client sends requests one behind the other while the proxy ends: the one in hand is answered whole, and then the
@@ -76,12 +77,12 @@
 	within(t, came, "the backend got nothing")
 	p.ending(t)
 	close(release)
-	c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(patience))
 	in := bufio.NewReader(c)
 	if resp, _ := mustAnswer(t, http.StatusOK)(readAnswer(in)); !resp.Close {
 		t.Error("the answer leaves its connection open")
 	}
-	if rest, err := io.ReadAll(in); len(rest) > 0 || timedOut(err) {
+	if rest, err := io.ReadAll(in); len(rest) > 0 || isTimeout(err) {
 		t.Errorf("after the last answer: %q, %v", rest, err)
 	}
 	p.ended(t)
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -22,8 +22,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		t.Cleanup(func() { _ = c.Close() })
+		_ = c.SetDeadline(time.Now().Add(patience))
 		return c, bufio.NewReader(c)
 	}
 	kept, keptIn := dial()
@@ -36,7 +36,7 @@
 			t.Fatal("closed in ordinary service")
 		}
 	}
-	o := operator{p.proxy}
+	o := adminBackend{p.proxy}
 	o.StartDraining()
 	if resp, _ := mustAnswer(t, 200)(askOn(used, usedIn, "hand-in", 9000, "x")); !resp.Close {
 		t.Error("the answer of a lame duck does not close its connection")
@@ -64,16 +64,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: f\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 9000\r\nContent-Length: 5\r\n\r\nhal")
-	c.(*net.TCPConn).CloseWrite()
+	defer func() { _ = c.Close() }()
+	_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: f\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 9000\r\nContent-Length: 5\r\n\r\nhal")
+	_ = c.(*net.TCPConn).CloseWrite()
 	mustAnswer(t, 400)(readAnswer(bufio.NewReader(c)))
 	want := `{"served":{"fetch-work":0,"hand-in":3},"refused":{"fetch-work":0,"hand-in":0},"failed":{"fetch-work":0,"hand-in":1},` +
 		`"attempts":3,"in_flight":0,"backends_known":1,"backends_excluded":0,"reloads_ok":0,"reloads_failed":1,"lists_bad":0}`
 	p.proxy.ReloadFailed(errors.New("no such file"))
 	text := ""
 	for start := time.Now(); text != want; time.Sleep(time.Millisecond) { // they may lag a little
-		b, err := operator{p.proxy}.Counters().MarshalJSON()
+		b, err := adminBackend{p.proxy}.Counters().MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 func TestOutcomeOf(t *testing.T) {
 	for status, want := range map[int]metrics.Outcome{200: metrics.Served, 429: metrics.Rejected, 503: metrics.Rejected,
 		502: metrics.Failed, 504: metrics.Failed, 400: metrics.Failed, 413: metrics.Failed} {
-		if got := outcomeOf(status); got != want {
+		if got := outcomeForStatus(status); got != want {
 			t.Errorf("%d counts as %v, want %v", status, got, want)
 		}
 	}
@@ -94,15 +94,15 @@
 
 // Only what was listed can be taken out, also long after it has left; of very many names the oldest are forgotten.
 func TestTheRosterIsBounded(t *testing.T) {
-	r := newRoster()
+	r := newEndpointNames()
 	r.add(List{Endpoints: []Member{{ID: "first"}}})
-	if !r.listed("first") || r.listed("other") {
+	if !r.contains("first") || r.contains("other") {
 		t.Error("it does not know what was listed")
 	}
-	for i := range mostNames {
+	for i := range maxKnownNames {
 		r.add(List{Endpoints: []Member{{ID: fmt.Sprint(i)}}})
 	}
-	if r.listed("first") || !r.listed("0") || len(r.names) != mostNames || len(r.order) != mostNames {
+	if r.contains("first") || !r.contains("0") || len(r.names) != maxKnownNames || len(r.order) != maxKnownNames {
 		t.Errorf("%d names are remembered", len(r.names))
 	}
 }
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -60,7 +60,7 @@
 		}
 	}
 	report := func() client.Status {
-		r, err := operator{s.proxy}.QuotaLeases()
+		r, err := adminBackend{s.proxy}.QuotaLeases()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -184,18 +184,18 @@
 	}
 	services := map[string]*service{"one": {}, "two": {}}
 	first := taken(nil, policy(1, "/b", "one"))
-	n := installed{byName: services}
-	if err := n.decideBy(first, true); err != nil {
+	n := routingState{byName: services}
+	if err := n.applyPolicy(first, true); err != nil {
 		t.Fatal(err)
 	}
 	next := n
-	if err := next.decideBy(taken(first, policy(2, "/x", "two")), true); err != nil {
+	if err := next.applyPolicy(taken(first, policy(2, "/x", "two")), true); err != nil {
 		t.Fatal(err)
 	}
 	if next.blocks != n.blocks {
 		t.Error("blocks that did not change were built again")
 	}
-	finds := func(n *installed, path string) string {
+	finds := func(n *routingState, path string) string {
 		if r, v := n.table.Lookup(&route.Request{Path: path}); v == route.Found {
 			return r.To[0].Service
 		}
@@ -206,18 +206,18 @@
 	}
 	missing := routetable.MissingServicesError{}
 	again := n
-	if err := again.decideBy(taken(first, policy(2, "/x", "three")), true); !errors.As(err, &missing) || missing.Names[0] != "three" {
+	if err := again.applyPolicy(taken(first, policy(2, "/x", "three")), true); !errors.As(err, &missing) || missing.Names[0] != "three" {
 		t.Errorf("a route to a service that is not there: %v", err)
 	}
-	reloaded := installed{byName: map[string]*service{"two": {}}, policy: nil}
-	if err := reloaded.decideBy(next.policy, true); !errors.As(err, &missing) || missing.Names[0] != "one" {
+	reloaded := routingState{byName: map[string]*service{"two": {}}, policy: nil}
+	if err := reloaded.applyPolicy(next.policy, true); !errors.As(err, &missing) || missing.Names[0] != "one" {
 		t.Errorf("a route that did not change, to a service that is no longer there: %v", err)
 	}
 	// A diff against another policy than the one that holds is none.
 	strange := n
 	odd := taken(first, policy(2, "/x", "two"))
 	odd.Base.Epoch = 7
-	if err := strange.decideBy(odd, true); err != nil || strange.blocks == n.blocks || finds(&strange, "/x") != "two" {
+	if err := strange.applyPolicy(odd, true); err != nil || strange.blocks == n.blocks || finds(&strange, "/x") != "two" {
 		t.Errorf("%v: built on what it does not follow on", err)
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"lapisspread/decision"
+	"lapisspread/internal/proxy/rawsocket"
 )
 
 // settings are those of a site with a safe and an unsafe class. Discovery is asked.
@@ -48,7 +49,7 @@
 		c.queries <- r.URL.RawQuery
 		select {
 		case list := <-c.lists:
-			io.WriteString(w, list)
+			_, _ = io.WriteString(w, list)
 		case <-r.Context().Done():
 		}
 	}))
@@ -93,7 +94,7 @@
 }
 
 // untilTold gives no call up: the catalogues here give each list to one call.
-var untilTold = pace{hold: time.Minute, slack: time.Minute, fetch: time.Minute}
+var untilTold = discoveryTiming{watchHold: time.Minute, slack: time.Minute, fetchTimeout: time.Minute}
 
 func startProxy(t *testing.T, known string, c *catalog, change func(*Config)) *running {
 	t.Helper()
@@ -102,7 +103,7 @@
 		t.Fatal(err)
 	}
 	cfg.Discovery = strings.TrimPrefix(c.URL, "http://")
-	cfg.pace = untilTold
+	cfg.timing = untilTold
 	if change != nil {
 		change(&cfg)
 	}
@@ -138,7 +139,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	return askOn(c, bufio.NewReader(c), class, timeoutMs, body)
 }
 
@@ -224,7 +225,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
+	_ = resp.Body.Close()
 	if resp.StatusCode != 200 {
 		t.Errorf("health: status %d", resp.StatusCode)
 	}
@@ -253,7 +254,7 @@
 		"timeout no count":     {change(2, "X-Timeout-Ms: soon"), "ok", 400},
 		"negative timeout":     {change(2, "X-Timeout-Ms: -5"), "ok", 400},
 		"huge timeout":         {change(2, "X-Timeout-Ms: 99999999999999999999"), "ok", 400},
-		"body too long":        {change(3, fmt.Sprintf("Content-Length: %d", mostBytes+1)), strings.Repeat("x", bodyBytes+1), 413},
+		"body too long":        {change(3, fmt.Sprintf("Content-Length: %d", maxBodyBytes+1)), strings.Repeat("x", maxBufferedBody+1), 413},
 		"chunks that are none": {change(3, "Transfer-Encoding: chunked"), "2\r\nok\r\nzz\r\n\r\n", 400},
 		"huge length":          {change(3, "Content-Length: 60000000"), "ok", 413},
 		"negative length":      {change(3, "Content-Length: -2"), "ok", 400},
@@ -266,8 +267,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer conn.Close()
-			io.WriteString(conn, "POST /api HTTP/1.1\r\nHost: s\r\n"+strings.Join(c.lines, "\r\n")+"\r\n\r\n"+c.body)
+			defer func() { _ = conn.Close() }()
+			_, _ = io.WriteString(conn, "POST /api HTTP/1.1\r\nHost: s\r\n"+strings.Join(c.lines, "\r\n")+"\r\n\r\n"+c.body)
 			mustAnswer(t, c.status)(readAnswer(bufio.NewReader(conn)))
 		})
 	}
@@ -281,7 +282,7 @@
 // An unsafe request that may have run is neither sent again nor refused.
 func TestUnsafeIsNotRepeated(t *testing.T) {
 	got := make(chan bool, 8)
-	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) { got <- readWhole(in) })
+	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { got <- readWhole(in) })
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
 	mustAnswer(t, http.StatusBadGateway)(p.ask(t, "hand-in", 10000, "homework"))
 	if n := len(got); n != 1 {
@@ -314,13 +315,13 @@
 }
 
 // testServices is one service that does not run yet, before the servers of a list.
-func testServices(t *testing.T, known List) *services {
+func testServices(t *testing.T, known List) *serviceSet {
 	t.Helper()
 	cfg, err := parseConfig(configText(listText(1, true)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Known, cfg.Discovery = known, "127.0.0.1:1"
+	cfg.InitialEndpoints, cfg.Discovery = known, "127.0.0.1:1"
 	return New(cfg, slog.New(slog.DiscardHandler)).services
 }
 
@@ -391,9 +392,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: r1\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 15000\r\nContent-Length: 1\r\n\r\nx")
+	_, _ = fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: r1\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 15000\r\nContent-Length: 1\r\n\r\nx")
 	within(t, came, "the backend got nothing")
-	c.Close()
+	_ = c.Close()
 	within(t, closed, "the attempt went on after the client had left")
 }
 
@@ -433,20 +434,20 @@
 		select {
 		case <-news:
 			if strings.HasPrefix(r.URL.RawQuery, "from=41&") {
-				io.WriteString(w, list)
+				_, _ = io.WriteString(w, list)
 				return
 			}
 		default:
 		}
 		if strings.HasSuffix(r.URL.RawQuery, "&hold_ms=1") {
-			io.WriteString(w, listText(41, false))
+			_, _ = io.WriteString(w, listText(41, false))
 			return
 		}
 		<-r.Context().Done() // nothing is closed
 	}))}
 	t.Cleanup(func() { c.CloseClientConnections(); c.Close() })
 	p := startProxy(t, listText(41, true), c, func(cfg *Config) {
-		cfg.pace = pace{hold: 10 * time.Millisecond, slack: 10 * time.Millisecond, fetch: time.Minute}
+		cfg.timing = discoveryTiming{watchHold: 10 * time.Millisecond, slack: 10 * time.Millisecond, fetchTimeout: time.Minute}
 	})
 	for i := range 6 {
 		want := "from=41&hold_ms=1"
@@ -459,6 +460,7 @@
 	}
 	close(news)
 	for !strings.HasPrefix(within(t, queries, "the watch has ended"), "from=43&") {
+		continue
 	}
 	mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
 }
@@ -513,7 +515,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer idle.Close()
+	defer func() { _ = idle.Close() }()
 	type result struct {
 		resp *http.Response
 		err  error
@@ -528,7 +530,7 @@
 	p.stop()
 	go ask() // comes while it ends
 	within(t, came, "a request that came while the proxy ends was not taken")
-	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // closed once no more connections come
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // closed once no more connections come
 		t.Errorf("the idle connection: %v, want its end", err)
 	}
 	close(leave)
@@ -554,11 +556,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	if client, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { client.Close() })
+	t.Cleanup(func() { _ = client.Close() })
 	taken, err := (&clientListener{listener, conns}).Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -570,7 +572,7 @@
 func TestClosedBetweenRequestsServesNoMore(t *testing.T) {
 	conns := newClientConns(4)
 	client, c := clientPair(t, conns)
-	client.Write([]byte("GET / HTTP/1.1\r\n"))
+	_, _ = client.Write([]byte("GET / HTTP/1.1\r\n"))
 	if n, err := c.Read(make([]byte, 4)); n != 4 || err != nil {
 		t.Fatalf("read %d, %v", n, err)
 	}
@@ -593,7 +595,7 @@
 	if conns.closeIdle(later) != 0 {
 		t.Error("not closed between two requests")
 	}
-	client.Write([]byte("more"))
+	_, _ = client.Write([]byte("more"))
 	if n, err := c.Read(make([]byte, 4)); n != 0 || err == nil {
 		t.Errorf("read %d bytes more, %v", n, err)
 	}
@@ -608,7 +610,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		conns = append(conns, c)
 	}
 	return conns
@@ -647,7 +649,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	conns := newClientConns(3)
 	l := &clientListener{listener, conns}
 	accept := func() (*clientConn, net.Conn) {
@@ -656,7 +658,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { client.Close() })
+		t.Cleanup(func() { _ = client.Close() })
 		c, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -665,7 +667,7 @@
 	}
 	begin := func(c *clientConn, client net.Conn) {
 		t.Helper()
-		client.Write([]byte("G"))
+		_, _ = client.Write([]byte("G"))
 		if _, err := c.Read(make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
@@ -673,12 +675,12 @@
 	open := func(want ...*clientConn) {
 		t.Helper()
 		for _, c := range want {
-			if !conns.all[c] {
+			if !conns.open[c] {
 				t.Error("the wrong connection made place")
 			}
 		}
-		if len(conns.all) != len(want) {
-			t.Errorf("%d connections, want %d", len(conns.all), len(want))
+		if len(conns.open) != len(want) {
+			t.Errorf("%d connections, want %d", len(conns.open), len(want))
 		}
 	}
 	busy, b := accept()
@@ -693,7 +695,7 @@
 	fifth, g := accept()
 	open(busy, fourth, fifth)
 	begin(fifth, g)
-	if conns.add(idle.Conn) != nil {
+	if conns.admit(idle.Conn) != nil {
 		t.Error("a connection with a request begun made place")
 	}
 }
@@ -704,37 +706,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
-	const most = 4 * evictTries
+	defer func() { _ = listener.Close() }()
+	const most = 4 * maxEvictAttempts
 	conns := newClientConns(most)
 	l := &clientListener{listener, conns}
 	for _, client := range silentConns(t, listener.Addr().String(), most) {
-		client.Write([]byte("G"))
+		_, _ = client.Write([]byte("G"))
 		c, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		for start := time.Now(); silent(c.(*clientConn).Conn); time.Sleep(time.Millisecond) {
+		defer func() { _ = c.Close() }()
+		for start := time.Now(); rawsocket.Silent(c.(*clientConn).Conn); time.Sleep(time.Millisecond) {
 			if time.Since(start) > patience {
 				t.Fatal("the byte did not come")
 			}
 		}
-		c.(*clientConn).since = time.Time{}
+		c.(*clientConn).stateSince = time.Time{}
 	}
-	for c := range conns.all {
-		if conns.add(c.Conn) != nil {
+	for c := range conns.open {
+		if conns.admit(c.Conn) != nil {
 			t.Error("a connection with something to read made place")
 		}
 		break
 	}
 	tried := 0
-	for c := range conns.all {
-		if !c.since.IsZero() {
+	for c := range conns.open {
+		if !c.stateSince.IsZero() {
 			tried++
 		}
 	}
-	if tried > evictTries {
+	if tried > maxEvictAttempts {
 		t.Errorf("%d of %d connections were tried", tried, most)
 	}
 }
@@ -752,9 +754,9 @@
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
 	request := strings.Replace(hidden, "hidden", "same", 1)
 	conns := silentConns(t, p.addr, 3)
-	io.WriteString(conns[0], request)
+	_, _ = io.WriteString(conns[0], request)
 	within(t, came, "the first request did not come")
-	io.WriteString(conns[1], request)
+	_, _ = io.WriteString(conns[1], request)
 	in := bufio.NewReader(conns[1])
 	if resp, _ := mustAnswer(t, 409)(readAnswer(in)); !resp.Close {
 		t.Error("the connection stays open after a rejection")
@@ -764,7 +766,7 @@
 	mustAnswer(t, 200)(readAnswer(bufio.NewReader(conns[0])))
 	for start := time.Now(); ; time.Sleep(time.Millisecond) { // the id is free again soon after the answer
 		c := silentConns(t, p.addr, 1)[0]
-		io.WriteString(c, request)
+		_, _ = io.WriteString(c, request)
 		resp, _, err := readAnswer(bufio.NewReader(c))
 		if err != nil {
 			t.Fatal(err)
@@ -783,17 +785,17 @@
 // A rejection comes at once, also if its body is never sent, and bodies in hand are bounded in all.
 func TestBodiesInHandAreBounded(t *testing.T) {
 	svcs := testServices(t, List{})
-	f := newFrontend(svcs, &svcs.p.cfg, slog.New(slog.DiscardHandler), newClientConns(8))
-	f.mostBytes = 100
-	if err := f.enter("a", 60); err != nil {
+	f := newFrontend(svcs, &svcs.proxy.cfg, slog.New(slog.DiscardHandler), newClientConns(8))
+	f.maxReservedBytes = 100
+	if err := f.reserve("a", 60); err != nil {
 		t.Fatal(err)
 	}
 	r := (*rejection)(nil)
-	if err := f.enter("b", 60); !errors.As(err, &r) || r.status != 503 {
+	if err := f.reserve("b", 60); !errors.As(err, &r) || r.status != 503 {
 		t.Errorf("too many bytes: %v", err)
 	}
-	f.leave("a", 60)
-	if err := f.enter("b", 60); err != nil {
+	f.release("a", 60)
+	if err := f.reserve("b", 60); err != nil {
 		t.Errorf("after the first had left: %v", err)
 	}
 }
@@ -809,9 +811,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := silentConns(t, p.addr, 1)[0]
-			io.WriteString(c, text)
-			c.SetReadDeadline(time.Now().Add(patience)) // by itself the server would wait for good
-			if _, err := io.Copy(io.Discard, c); timedOut(err) {
+			_, _ = io.WriteString(c, text)
+			_ = c.SetReadDeadline(time.Now().Add(patience)) // by itself the server would wait for good
+			if _, err := io.Copy(io.Discard, c); isTimeout(err) {
 				t.Error("it is not turned away")
 			}
 		})
@@ -836,12 +838,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := c.Module
+	m := c.Decision
 	if m.Classes[1].Name != "hand-in" || m.Classes[1].Idempotency != decision.NotIdempotent || m.Classes[0].Idempotency != decision.Idempotent ||
 		!m.PolledDiscovery || m.Capabilities.ConnectTimeout != 250*time.Millisecond || m.Constraints.OverloadFactor != 2.5 {
 		t.Errorf("settings %+v", m)
 	}
-	if c.Known.Version != 41 || c.Seed != 0x8c1f30d27a5be964 || c.Kinds[1] != "slow-5" || c.Zones[0] != "dc one" {
+	if c.InitialEndpoints.Version != 41 || c.Seed != 0x8c1f30d27a5be964 || c.Kinds[1] != "slow-5" || c.Zones[0] != "dc one" {
 		t.Errorf("configuration %+v", c)
 	}
 	for name, text := range map[string]string{
@@ -861,7 +863,7 @@
 func TestPushedListsAreWatched(t *testing.T) {
 	got := make(chan *http.Request, 8)
 	c := newCatalog(t)
-	p := startProxy(t, listText(1, true), c, func(cfg *Config) { cfg.Module.PolledDiscovery = false })
+	p := startProxy(t, listText(1, true), c, func(cfg *Config) { cfg.Decision.PolledDiscovery = false })
 	within(t, c.queries, "no watch")
 	c.lists <- listText(2, true, memberText("a", countingBackend(t, got), "active"))
 	within(t, c.queries, "no second call")
@@ -893,11 +895,11 @@
 				if err != nil {
 					break
 				}
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				in := bufio.NewReader(c)
 				for i := range requests {
 					id = fmt.Sprintf("%d-%d-%d", n, answered, i)
-					fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: %s\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 10000\r\n\r\n", id)
+					_, _ = fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: %s\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 10000\r\n\r\n", id)
 					resp, _, err := readAnswer(in)
 					if err != nil {
 						if _, sent := seen.Load(id); sent {
@@ -941,7 +943,7 @@
 	svcs := testServices(t, list)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
-	if err := svcs.start(ctx, &svcs.p.cfg); err != nil {
+	if err := svcs.start(ctx, &svcs.proxy.cfg); err != nil {
 		t.Fatal(err)
 	}
 	go func() { svcs.wait(); close(ended) }()
@@ -950,10 +952,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFrontend(svcs, &svcs.p.cfg, slog.New(slog.DiscardHandler), newClientConns(8))
+	f := newFrontend(svcs, &svcs.proxy.cfg, slog.New(slog.DiscardHandler), newClientConns(8))
 	f.bodyTimeout, f.writeTimeout = short, short
-	go f.serve(listener)
-	defer f.server.Close()
+	go func() { _ = f.serve(listener) }()
+	defer func() { _ = f.server.Close() }()
 	p := &running{addr: listener.Addr().String()}
 	for _, class := range []string{"hand-in", "fetch-work"} {
 		mustAnswer(t, 200)(p.ask(t, class, 10000, ""))
@@ -962,7 +964,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	io.WriteString(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: r1\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 9000\r\nContent-Length: 9\r\n\r\n")
+	defer func() { _ = c.Close() }()
+	_, _ = io.WriteString(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: r1\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 9000\r\nContent-Length: 9\r\n\r\n")
 	mustAnswer(t, 408)(readAnswer(bufio.NewReader(c)))
 }
--- /dev/null
+++ b/internal/proxy/requestbody.go
@@ -0,0 +1,125 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"time"
+)
+
+const (
+	maxBodyBytes            = 32 << 20  // the longest body of a request or a response
+	maxBufferedBody         = 64 << 10  // the longest body that is held whole
+	streamedBodyReservation = 128 << 10 // memory that counts for a longer body, which is streamed
+	bodyGrowBytes           = 512       // by which the buffer for a body grows at least
+
+	bodyStallTimeout = 2500 * time.Millisecond // without a byte of a request's body, after which it is given up
+	bodyGracePeriod  = 5 * time.Second         // before minBodyRate applies
+	minBodyRate      = 16 << 10                // bytes a second that a body must reach on the average
+)
+
+// bodyReservation returns the memory to reserve for a body of that Content-Length; negative is unknown.
+func bodyReservation(contentLength int64) int64 {
+	if contentLength < 0 || contentLength > maxBufferedBody {
+		return streamedBodyReservation
+	}
+	return contentLength
+}
+
+// bodyReadDeadline returns by when the next byte of a body must arrive: within bodyStallTimeout, and so that the mean
+// rate doesn't fall under minBodyRate.
+func bodyReadDeadline(now, startedAt time.Time, readBytes int64) time.Time {
+	slowest := startedAt.Add(bodyGracePeriod + time.Duration(float64(readBytes)/minBodyRate*float64(time.Second)))
+	if stall := now.Add(bodyStallTimeout); stall.Before(slowest) {
+		return stall
+	}
+	return slowest
+}
+
+// readBody reads a short body whole. Of a long one it reads what may be buffered; the rest is read by the attempt that
+// sends it.
+func (f *httpFrontend) readBody(w http.ResponseWriter, r *http.Request, req *request) error {
+	deadlines := http.NewResponseController(w)
+	startedAt := time.Now()
+	if c := connOf(r); c != nil {
+		startedAt = c.requestStart()
+	}
+	prefix, complete, err := f.readPrefix(deadlines, r, startedAt)
+	if err != nil {
+		return bodyReadError(err)
+	}
+	if complete {
+		_ = deadlines.SetReadDeadline(time.Time{})
+		req.message.body = prefix
+		return nil
+	}
+	_ = deadlines.EnableFullDuplex() // the response may come before the body's end
+	req.message.upload = newUpload(deadlines, r, req, prefix, startedAt)
+	return nil
+}
+
+// readPrefix reads a body up to its end or to maxBufferedBody bytes, and reports whether that was all of it.
+func (f *httpFrontend) readPrefix(deadlines *http.ResponseController, r *http.Request, startedAt time.Time) (
+	body []byte, complete bool, err error,
+) {
+	deadline := startedAt.Add(f.bodyTimeout)
+	body = make([]byte, 0, max(0, min(r.ContentLength, maxBufferedBody)))
+	for len(body) < maxBufferedBody {
+		if len(body) == cap(body) {
+			if r.ContentLength >= 0 && int64(len(body)) == r.ContentLength {
+				break
+			}
+			body = slices.Grow(body, bodyGrowBytes)
+		}
+		_ = deadlines.SetReadDeadline(deadline)
+		n, err := r.Body.Read(body[len(body):min(cap(body), maxBufferedBody)])
+		body = body[:len(body)+n]
+		if errors.Is(err, io.EOF) {
+			return body, true, nil
+		}
+		if err != nil {
+			return nil, false, err
+		}
+		if n > 0 {
+			deadline = bodyReadDeadline(time.Now(), startedAt, int64(len(body)))
+		}
+	}
+	return body, r.ContentLength == int64(len(body)), nil
+}
+
+// newUpload makes the upload of a body of which prefix has been read. Its end makes the engine set the deadline.
+func newUpload(
+	deadlines *http.ResponseController, r *http.Request, req *request, prefix []byte, startedAt time.Time,
+) *upload {
+	svc := req.service
+	return &upload{
+		prefix:          prefix,
+		length:          r.ContentLength,
+		startedAt:       startedAt,
+		remainder:       r.Body,
+		readBytes:       int64(len(prefix)),
+		setReadDeadline: deadlines.SetReadDeadline,
+		failed:          make(chan error, 1),
+		onComplete: func() {
+			_ = deadlines.SetReadDeadline(time.Time{})
+			now := svc.clock.Now()
+			svc.counters.InFlight.Add(1)
+			// In a goroutine: the upload's lock is held here, and the engine may ask for it.
+			go svc.engine.Post(func() { svc.engine.BodyComplete(&req.Request, now) })
+		},
+	}
+}
+
+// bodyReadError returns the rejection for a body that could not be read.
+func bodyReadError(err error) error {
+	if r := (*rejection)(nil); errors.As(err, &r) {
+		return r
+	}
+	status := http.StatusBadRequest
+	if isTimeout(err) {
+		status = http.StatusRequestTimeout
+	}
+	return &rejection{status: status, message: fmt.Sprintf("reading the body: %v", err)}
+}
--- /dev/null
+++ b/internal/proxy/serve.go
@@ -0,0 +1,211 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"lapisspread/internal/discovery/guardedsource"
+	"lapisspread/internal/engine"
+	"lapisspread/internal/listener"
+)
+
+// Files in the state directory.
+const (
+	blocksFile   = "blocks" // prefixes that an operator has blocked
+	snapshotFile = "memory" // what the process has learned
+)
+
+// serve runs the proxy on a listening socket until ctx ends, drains it and waits for all goroutines.
+func (p *Proxy) serve(ctx context.Context, accepting net.Listener) error {
+	p.recoverState()
+	accepting, leave, err := p.prepare(accepting)
+	defer leave() // after all that uses the control plane's quotas has ended
+	if err != nil {
+		return closeAfter(accepting, err)
+	}
+	inner, cancel := context.WithCancel(context.Background())
+	if err := p.services.start(inner, &p.cfg); err != nil {
+		cancel()
+		return closeAfter(accepting, err)
+	}
+	front := newFrontend(p.services, &p.cfg, p.log, p.conns)
+	p.log.Info("serving", "listen", accepting.Addr().String(), "backends", len(p.cfg.InitialEndpoints.Endpoints))
+	var running sync.WaitGroup
+	p.runBackground(inner, &running)
+	err = p.serveClients(ctx, front, accepting)
+	cancel()
+	running.Wait()
+	p.services.wait()
+	return err
+}
+
+// closeAfter closes the listener after an error that kept the proxy from serving.
+func closeAfter(accepting net.Listener, err error) error {
+	_ = accepting.Close()
+	return fmt.Errorf("settings: %w", err)
+}
+
+// recoverState reads what the process before has left, and logs what could not be read.
+func (p *Proxy) recoverState() {
+	if _, err := p.store.Refresh(); err != nil {
+		p.log.Error("state of the previous process is unreadable", "err", err)
+	}
+	if err := p.cfg.InitialEndpointsError; err != nil {
+		const message = "the list that the configuration knows can't be read: discovery is asked for all"
+		p.log.Error(message, "err", err)
+	}
+}
+
+// prepare opens what the configuration asks for before the services start. The caller must call leave after they have
+// ended. The listener and leave are valid with an error too.
+func (p *Proxy) prepare(accepting net.Listener) (_ net.Listener, leave func(), err error) {
+	leave = func() {}
+	p.cfg.Decision.Capabilities.MaxOpenRequests = maxOpenRequests(&p.cfg)
+	if p.cfg.Admission != "" {
+		if err := p.openAdmission(); err != nil {
+			return accepting, leave, err
+		}
+		accepting = p.conns.admission.NewListener(accepting, p.log)
+	} else {
+		// net/http sleeps for up to a second when a descriptor is missing, and all clients would wait meanwhile.
+		accepting = listener.NewListener(accepting, p.log, p.conns.evictIdle, func() {})
+	}
+	if p.cfg.Fleet != "" {
+		end, err := p.joinControlPlane()
+		if err != nil {
+			return accepting, leave, err
+		}
+		leave = end
+	}
+	if err := p.openListGuard(); err != nil {
+		return accepting, leave, err
+	}
+	if p.cfg.Diameter != "" {
+		if err := p.openDiameter(); err != nil {
+			return accepting, leave, err
+		}
+	}
+	return accepting, leave, nil
+}
+
+// openAdmission reads the settings of admission control.
+func (p *Proxy) openAdmission() error {
+	file, err := listener.Load(p.cfg.Admission)
+	if err != nil {
+		return err
+	}
+	room := listener.Capacity{Conns: maxClientConns(&p.cfg), BodyBytes: bodyMemoryLimit(&p.cfg)}
+	control, err := listener.New(file, room, p.cfg.Seed, engine.NewClock().Now, p.store.Path(blocksFile))
+	if err != nil {
+		return err
+	}
+	if err := control.Restore(); err != nil {
+		p.log.Error("blocks of the previous process are not fully readable", "err", err)
+	}
+	if file.Requests != nil {
+		settings := file.RequestSettings()
+		p.services.requests = &settings
+	}
+	p.conns.mu.Lock()
+	defer p.conns.mu.Unlock()
+	p.conns.admission = control
+	p.conns.rejectionResponse = p.rejectionResponse()
+	return nil
+}
+
+// rejectionResponse returns the response to connections that get no place.
+func (p *Proxy) rejectionResponse() []byte {
+	const head = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n"
+	caps := &p.cfg.Decision.Capabilities
+	if !caps.RetryAfter {
+		return []byte(head + "\r\n")
+	}
+	h := http.Header{}
+	setRetryAfter(h, min(time.Second, caps.MaxRetryAfter))
+	return fmt.Appendf(nil, "%sRetry-After: %s\r\n\r\n", head, h.Get("Retry-After"))
+}
+
+// reloadAdmission takes in new settings of admission control. The limits on requests in flight hold from a service's
+// start on.
+func (p *Proxy) reloadAdmission() error {
+	if p.cfg.Admission == "" || p.conns.admission == nil {
+		return nil
+	}
+	file, err := listener.Load(p.cfg.Admission)
+	if err != nil {
+		return err
+	}
+	return p.conns.admission.Reconfigure(file)
+}
+
+// openListGuard reads the settings of the list guard, and what the process before has learned.
+func (p *Proxy) openListGuard() error {
+	if p.cfg.ListGuard == "" {
+		return nil
+	}
+	file, err := guardedsource.Load(p.cfg.ListGuard)
+	if err != nil {
+		return err
+	}
+	seed := p.cfg.Seed ^ uint64(backendID(p.cfg.Name)) // proxies with one seed must not poll in step
+	instances := max(1, p.cfg.Decision.Instances)
+	guard := guardedsource.NewCoordinator(file, instances, seed, engine.NewClock().Now, p.log)
+	p.listGuard = guard.LimitBackoff(p.cfg.timing.maxBackoff)
+	path := p.store.Path(snapshotFile)
+	if file.Snapshot == nil || path == "" {
+		return nil
+	}
+	p.snapshots = openSnapshotStore(path, file.SnapshotInterval(), file.SnapshotMaxAge())
+	p.cfg.InitialEndpoints = p.snapshots.initialList(p.cfg.Discovery, p.cfg.InitialEndpoints)
+	report := p.snapshots.status()
+	p.log.Info("snapshot of the previous process", "recalled", report.Recalled, "age_s", report.AgeS)
+	return nil
+}
+
+// runBackground starts all that runs beside the front end until ctx ends.
+func (p *Proxy) runBackground(ctx context.Context, running *sync.WaitGroup) {
+	running.Go(func() { p.runPolicyClient(ctx) })
+	running.Go(func() { p.runReloads(ctx) })
+	running.Go(func() { p.conns.runOperatorDrain(ctx) })
+	runSharing := p.trackSharing()
+	running.Go(func() { runSharing(ctx) })
+	running.Go(func() {
+		p.store.Watch(ctx, storePollInterval, p.services.notifyAll, func(err error) {
+			p.log.Error("state of the other process is unreadable", "err", err)
+		})
+	})
+	if p.diameter != nil {
+		running.Go(func() { p.diameter.run(ctx) })
+	}
+	if p.snapshots != nil {
+		running.Go(func() { p.snapshots.run(ctx, p) })
+	}
+}
+
+// serveClients runs the front end until ctx ends and drains it then, or until the listener fails.
+func (p *Proxy) serveClients(ctx context.Context, front *httpFrontend, accepting net.Listener) error {
+	served := make(chan error, 1)
+	go func() { served <- front.serve(accepting) }()
+	p.ready.Store(true)
+	if err := p.store.MarkServing(); err != nil {
+		p.log.Error("previous process could not be notified", "err", err)
+	}
+	select {
+	case err := <-served:
+		_ = accepting.Close()
+		return err
+	case <-ctx.Done():
+	}
+	p.ready.Store(false)
+	var draining sync.WaitGroup
+	if p.diameter != nil { // the engines must outlive both front ends
+		draining.Go(p.diameter.drain)
+	}
+	front.drain(accepting, p.cfg.PassedSocket != "" && p.store.Superseded())
+	draining.Wait()
+	return <-served
+}
--- a/internal/proxy/services_test.go
+++ b/internal/proxy/services_test.go
@@ -48,12 +48,12 @@
 		s.first[kind] = &atomic.Pointer[string]{}
 		b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			s.first[kind].CompareAndSwap(nil, &r.URL.Path)
-			io.Copy(io.Discard, r.Body)
+			_, _ = io.Copy(io.Discard, r.Body)
 			if r.URL.Path == "/api/long" {
-				w.Write(make([]byte, 2*bodyBytes))
+				_, _ = w.Write(make([]byte, 2*maxBufferedBody))
 				w.(http.Flusher).Flush()
 				<-s.release
-				io.WriteString(w, "end")
+				_, _ = io.WriteString(w, "end")
 				return
 			}
 			select {
@@ -62,7 +62,7 @@
 				return
 			}
 			s.served[kind].Add(1)
-			io.WriteString(w, kind)
+			_, _ = io.WriteString(w, kind)
 		}))
 		t.Cleanup(b.Close)
 		s.backend[kind] = strings.TrimPrefix(b.URL, "http://")
@@ -73,12 +73,12 @@
 		if r.URL.Query().Has("from") {
 			select {
 			case list := <-s.lists:
-				io.WriteString(w, list)
+				_, _ = io.WriteString(w, list)
 			case <-r.Context().Done():
 			}
 			return
 		}
-		io.WriteString(w, list)
+		_, _ = io.WriteString(w, list)
 	}))
 	t.Cleanup(func() { s.catalog.CloseClientConnections(); s.catalog.Close() })
 	s.write(services)
@@ -88,7 +88,7 @@
 	}
 	cfg.Discovery = strings.TrimPrefix(s.catalog.URL, "http://")
 	cfg.Services = s.file
-	cfg.pace = untilTold
+	cfg.timing = untilTold
 	if change != nil {
 		change(&cfg)
 	}
@@ -127,13 +127,13 @@
 func (s *stage) reload(text string) (ok bool) {
 	s.t.Helper()
 	s.write(text)
-	failed, before := s.proxy.own.ReloadsFailed.Load(), s.proxy.services.now.Load()
+	failed, before := s.proxy.counters.ReloadsFailed.Load(), s.proxy.services.current.Load()
 	s.proxy.Reload(s.proxy.cfg)
 	for start := time.Now(); ; time.Sleep(200 * time.Microsecond) {
 		switch {
-		case s.proxy.services.now.Load() != before:
+		case s.proxy.services.current.Load() != before:
 			return true
-		case s.proxy.own.ReloadsFailed.Load() != failed:
+		case s.proxy.counters.ReloadsFailed.Load() != failed:
 			return false
 		case time.Since(start) > patience:
 			s.t.Fatal("the reload was not taken in")
@@ -158,7 +158,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, err.Error()
@@ -211,7 +211,7 @@
 		}
 		Limits map[string]struct{ Total, Used int64 }
 	}
-	text, err := json.Marshal(s.proxy.services.figures())
+	text, err := json.Marshal(s.proxy.services.countersReport())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -325,12 +325,12 @@
 
 // Of a list the service sees its part; what moves out of it is gone.
 func TestSelectedLists(t *testing.T) {
-	sel := selected{spec: twoKinds()}
-	got := sel.pick(List{Full: true, Endpoints: []Member{{ID: "a", Kind: "fast-5", Cell: 1}, {ID: "b", Kind: "slow-5", Cell: 1}, {ID: "c", Kind: "fast-5", Cell: 2}}})
+	sel := filteredSource{spec: twoKinds()}
+	got := sel.filter(List{Full: true, Endpoints: []Member{{ID: "a", Kind: "fast-5", Cell: 1}, {ID: "b", Kind: "slow-5", Cell: 1}, {ID: "c", Kind: "fast-5", Cell: 2}}})
 	if len(got.Endpoints) != 1 || got.Endpoints[0].ID != "a" {
 		t.Errorf("whole list: %+v", got)
 	}
-	got = sel.pick(List{Endpoints: []Member{{ID: "a", Kind: "slow-5", Cell: 1, State: 1}}})
+	got = sel.filter(List{Endpoints: []Member{{ID: "a", Kind: "slow-5", Cell: 1, State: 1}}})
 	if len(got.Endpoints) != 1 || got.Endpoints[0].State != 0 {
 		t.Errorf("a change: %+v", got)
 	}
--- a/internal/proxy/services_trouble_test.go
+++ b/internal/proxy/services_trouble_test.go
@@ -23,7 +23,7 @@
 name = "all"
 path_prefix = "/api"
 to = [{ service = "dispatch" }]
-`, func(c *Config) { c.Module.Capabilities.HealthChecks = true })
+`, func(c *Config) { c.Decision.Capabilities.HealthChecks = true })
 	if status, body := s.ask(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 || body != "fast-5" {
 		t.Fatalf("before: %d %q", status, body)
 	}
@@ -40,7 +40,7 @@
 	if !s.reload(strings.Replace(twoServices, `kinds = ["slow-5"]`, `kinds = ["no-such"]`, 1)) {
 		t.Fatal("a service without servers was not taken")
 	}
-	if took := time.Since(began); took < vetFor {
+	if took := time.Since(began); took < readinessWait {
 		t.Errorf("it began after %v", took)
 	}
 }
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
-	l.Close()
+	_ = l.Close()
 	s := newStage(t, strings.Replace(twoServices, `kinds = ["slow-5"]`, fmt.Sprintf("discovery = %q", addr), 1), nil)
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -71,10 +71,10 @@
 			<-r.Context().Done()
 			return
 		}
-		io.WriteString(w, list)
+		_, _ = io.WriteString(w, list)
 	})}
-	go back.Serve(l)
-	defer back.Close()
+	go func() { _ = back.Serve(l) }()
+	defer func() { _ = back.Close() }()
 	for start := time.Now(); ; {
 		if status, body := s.ask(client, "pay.example.org", "/api", "hand-in", 1000); status == 200 && body == "slow-5" {
 			break
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if !s.reload(strings.ReplaceAll(twoServices, "settlement", "payouts")) {
 		t.Fatal("the change was not taken")
 	}
@@ -123,7 +123,7 @@
 	}
 	close(s.release)
 	body, err := io.ReadAll(resp.Body)
-	if err != nil || !strings.HasSuffix(string(body), "end") || len(body) != 2*bodyBytes+3 {
+	if err != nil || !strings.HasSuffix(string(body), "end") || len(body) != 2*maxBufferedBody+3 {
 		t.Errorf("%d bytes, %v", len(body), err)
 	}
 }
@@ -131,7 +131,7 @@
 // What goes wrong in one engine, a panic or an event that does not end, is not the other service's trouble.
 func TestOneEnginesTroubleStaysThere(t *testing.T) {
 	s := newStage(t, twoServices, nil)
-	sick := s.proxy.services.now.Load().byName["settlement"]
+	sick := s.proxy.services.current.Load().byName["settlement"]
 	stalled := make(chan struct{})
 	sick.engine.Post(func() { panic("out of order") })
 	sick.engine.Post(func() { <-stalled })
@@ -152,19 +152,19 @@
 	s := newStage(t, twoServices, nil)
 	conns := func() int64 { return s.proxy.services.limits.Report().Conns.Total }
 	whole := conns()
-	s.proxy.services.halve(true)
+	s.proxy.services.setHalfCapacity(true)
 	if !s.reload(strings.ReplaceAll(twoServices, "settlement", "payouts")) {
 		t.Fatal("the change was not taken")
 	}
 	if got := conns(); got != whole/2 {
 		t.Errorf("%d connections of %d while limits are shared", got, whole)
 	}
-	for _, svc := range s.proxy.services.now.Load().byName {
-		if got := svc.pool.most; got != int(whole/2) {
+	for _, svc := range s.proxy.services.current.Load().byName {
+		if got := svc.pool.maxOpen; got != int(whole/2) {
 			t.Errorf("%s: %d connections", svc.name, got)
 		}
 	}
-	s.proxy.services.halve(false)
+	s.proxy.services.setHalfCapacity(false)
 	if got := conns(); got != whole {
 		t.Errorf("%d connections of %d after the upgrade", got, whole)
 	}
@@ -173,7 +173,7 @@
 // The console reads the file anew, tells what holds then, and where a file is bad, why, and the old one stays.
 func TestRoutesByTheConsole(t *testing.T) {
 	s := newStage(t, twoServices, nil)
-	op := operator{s.proxy}
+	op := adminBackend{s.proxy}
 	s.write(strings.ReplaceAll(twoServices, "settlement", "payouts"))
 	if text, err := op.ReloadRoutes(); err != nil || text != "2 services, 2 routes" {
 		t.Errorf("%q, %v", text, err)
@@ -182,7 +182,7 @@
 	if _, err := op.ReloadRoutes(); err == nil || !strings.Contains(err.Error(), "services.toml") || !strings.Contains(err.Error(), "cap 7") {
 		t.Errorf("a bad file: %v", err)
 	}
-	if s.proxy.services.now.Load().byName["payouts"] == nil || s.proxy.own.ReloadsFailed.Load() != 1 {
+	if s.proxy.services.current.Load().byName["payouts"] == nil || s.proxy.counters.ReloadsFailed.Load() != 1 {
 		t.Error("the file before does not hold")
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"fmt"
 	"io"
+	"lapisspread/internal/proxy/rawsocket"
 	"log/slog"
 	"net"
 	"net/http"
@@ -82,7 +83,7 @@
 			}
 			p := startProxy(t, known, catalog, func(c *Config) {
 				if s.dials >= 0 {
-					c.Module.Capabilities.ConnectTimeout = patience
+					c.Decision.Capabilities.ConnectTimeout = patience
 				}
 			})
 			pool := p.only(t)
@@ -98,19 +99,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			request := fmt.Sprintf(head, lastAsked.Add(1)) + "homework"
 			cut := s.cut
 			if cut <= 0 {
 				cut += len(request)
 			}
-			io.WriteString(c, request[:cut])
+			_, _ = io.WriteString(c, request[:cut])
 			switch {
 			case cut < len(request):
 				eventually(t, "nothing is read", func() bool {
-					for _, c := range p.proxy.conns.list() {
+					for _, c := range p.proxy.conns.snapshot() {
 						c.mu.Lock()
-						begun := !c.fresh
+						begun := !c.unused
 						c.mu.Unlock()
 						return begun
 					}
@@ -125,13 +126,13 @@
 				p.inFlight(t, 1)
 			}
 			p.ending(t)
-			io.WriteString(c, request[cut:])
+			_, _ = io.WriteString(c, request[cut:])
 			close(open)
 			close(release)
 			if !s.list {
 				catalog.lists <- listText(2, true, members...)
 			}
-			c.SetReadDeadline(time.Now().Add(patience))
+			_ = c.SetReadDeadline(time.Now().Add(patience))
 			resp, body := mustAnswer(t, 200)(readAnswer(bufio.NewReader(c)))
 			if body != text {
 				t.Errorf("%d bytes of %d came", len(body), len(text))
@@ -154,7 +155,7 @@
 			if err != nil {
 				return
 			}
-			io.Copy(io.Discard, req.Body)
+			_, _ = io.Copy(io.Discard, req.Body)
 			told <- req.Header.Get("X-Timeout-Ms")
 		}
 	})
@@ -164,7 +165,7 @@
 	}
 	svcs := testServices(t, list)
 	ctx, cancel := context.WithCancel(t.Context())
-	if err := svcs.start(ctx, &svcs.p.cfg); err != nil {
+	if err := svcs.start(ctx, &svcs.proxy.cfg); err != nil {
 		t.Fatal(err)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -172,10 +173,10 @@
 		t.Fatal(err)
 	}
 	conns := newClientConns(8)
-	f := newFrontend(svcs, &svcs.p.cfg, slog.New(slog.DiscardHandler), conns)
+	f := newFrontend(svcs, &svcs.proxy.cfg, slog.New(slog.DiscardHandler), conns)
 	conns.setDraining(f.clock.Now()-ago, most)
-	go f.serve(listener)
-	t.Cleanup(func() { f.server.Close(); cancel(); svcs.wait() })
+	go func() { _ = f.serve(listener) }()
+	t.Cleanup(func() { _ = f.server.Close(); cancel(); svcs.wait() })
 	return &running{addr: listener.Addr().String()}
 }
 
@@ -184,7 +185,7 @@
 func TestLateInADrain(t *testing.T) {
 	told := make(chan string, 64)
 	const left = 300 * time.Millisecond
-	p := drainingFront(t, acceptOn+time.Second, acceptOn+time.Second+left, told)
+	p := drainingFront(t, drainAcceptPeriod+time.Second, drainAcceptPeriod+time.Second+left, told)
 	resp, _, err := p.ask(t, "hand-in", 59000, "homework")
 	if err != nil || resp.StatusCode == 200 {
 		t.Fatalf("answer %v, %v", resp, err)
@@ -194,7 +195,7 @@
 			t.Errorf("an attempt is waited for %d ms, %v: past the end", ms, err)
 		}
 	}
-	p = drainingFront(t, time.Minute, drainRoom, told)
+	p = drainingFront(t, time.Minute, drainMargin, told)
 	if resp, _ := mustAnswer(t, http.StatusServiceUnavailable)(p.ask(t, "hand-in", 59000, "homework")); !resp.Close {
 		t.Error("the refusal leaves its connection open")
 	}
@@ -208,15 +209,15 @@
 	conns := newClientConns(8)
 	open := func(text string, read int) (net.Conn, *clientConn) {
 		client, c := clientPair(t, conns)
-		t.Cleanup(func() { c.Close() })
-		io.WriteString(client, text)
+		t.Cleanup(func() { _ = c.Close() })
+		_, _ = io.WriteString(client, text)
 		if read > 0 {
 			if _, err := io.ReadFull(c, make([]byte, read)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if read < len(text) {
-			eventually(t, "nothing comes", func() bool { return !silent(c.Conn) })
+			eventually(t, "nothing comes", func() bool { return !rawsocket.Silent(c.Conn) })
 		}
 		return client, c
 	}
@@ -226,14 +227,14 @@
 	_, body := open("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf", len("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"))
 	_, half := open("GET / HT", 8)
 	_, silent := open("", 0)
-	conns.closeUnread()
+	conns.closeWithoutRequest()
 	for name, x := range map[string]struct {
 		c     *clientConn
 		stays bool
 	}{"in hand": {inHand, true}, "unread": {unread, true}, "body half read": {body, true}, "half a head": {half, false}, "silent": {silent, false}} {
 		conns.mu.Lock()
-		if conns.all[x.c] != x.stays {
-			t.Errorf("%s: stays %v, want %v", name, conns.all[x.c], x.stays)
+		if conns.open[x.c] != x.stays {
+			t.Errorf("%s: stays %v, want %v", name, conns.open[x.c], x.stays)
 		}
 		conns.mu.Unlock()
 	}
--- a/internal/proxy/slopes_test.go
+++ b/internal/proxy/slopes_test.go
@@ -39,10 +39,10 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			part := selected{nil, config.Service{Kinds: []string{"kind-0007"}}}
+			part := filteredSource{nil, config.Service{Kinds: []string{"kind-0007"}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				if got := part.pick(list); len(got.Endpoints) != 38 {
+				if got := part.filter(list); len(got.Endpoints) != 38 {
 					b.Fatal(len(got.Endpoints))
 				}
 			}
--- /dev/null
+++ b/internal/proxy/snapshotstore.go
@@ -0,0 +1,194 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"io/fs"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"lapisspread/decision"
+	"lapisspread/internal/discovery/guardedsource"
+	"lapisspread/internal/durable"
+	"lapisspread/internal/engine"
+)
+
+// Kind and format of the snapshot file.
+const (
+	snapshotKind   = "lapisspread-memory"
+	snapshotFormat = 1
+)
+
+// What a snapshotReport says of the previous process's snapshot, unless that is an error's text.
+const (
+	recalledYes     = "yes"
+	recalledNone    = "none"
+	recalledExpired = "it is too old, or of a time that has not come"
+)
+
+// persistedState is what a process has learned that the next one can use.
+type persistedState struct {
+	Lists    map[string]guardedsource.CachedList `json:"lists"`    // by the address of discovery
+	Services map[string]decision.Snapshot        `json:"services"` // by name; the only service has an empty one
+}
+
+// snapshotStore writes what this process has learned to a file, and holds what the previous one has written. All
+// methods may be called by any goroutine.
+type snapshotStore struct {
+	file     *durable.File
+	interval time.Duration // between two writes
+	maxAge   time.Duration // of what is recalled
+	now      func() time.Duration
+
+	mu       sync.Mutex
+	previous persistedState
+	report   snapshotReport
+}
+
+// snapshotReport is the state of a snapshotStore for operators.
+type snapshotReport struct {
+	Recalled    string  `json:"recalled"` // "yes", "none", or why the previous process's snapshot can't be used
+	AgeS        float64 `json:"age_s"`    // of what was recalled, in seconds as the process started
+	Written     int64   `json:"written"`
+	Failed      int64   `json:"failed"`
+	LastFailure string  `json:"last_failure,omitempty"`
+}
+
+// openSnapshotStore reads the previous process's snapshot. What can't be used is dropped, and the report says why.
+func openSnapshotStore(path string, interval, maxAge time.Duration) *snapshotStore {
+	m := &snapshotStore{
+		file:     &durable.File{Path: path, Kind: snapshotKind, Version: snapshotFormat},
+		interval: interval,
+		maxAge:   maxAge,
+		now:      engine.NewClock().Now,
+	}
+	var previous persistedState
+	switch err := m.file.Load(&previous); {
+	case errors.Is(err, fs.ErrNotExist):
+		m.report.Recalled = recalledNone
+	case err != nil:
+		m.report.Recalled = err.Error()
+	default:
+		m.previous = previous
+		m.report.Recalled = recalledYes
+		m.dropExpired()
+	}
+	return m
+}
+
+// dropExpired drops what is older than maxAge, or of a time in the future: the machine's clock was set back.
+func (m *snapshotStore) dropExpired() {
+	now := m.now()
+	expired := func(at time.Duration) bool { return at > now || now-at > m.maxAge }
+	for addr, list := range m.previous.Lists {
+		if expired(list.AnsweredAt) {
+			delete(m.previous.Lists, addr)
+		}
+	}
+	dropped := false
+	newest := time.Duration(0)
+	for name, snapshot := range m.previous.Services {
+		if expired(snapshot.TakenAt) {
+			delete(m.previous.Services, name)
+			dropped = true
+		} else {
+			newest = max(newest, snapshot.TakenAt)
+		}
+	}
+	if newest > 0 {
+		m.report.AgeS = (now - newest).Seconds()
+	} else if dropped {
+		m.report.Recalled = recalledExpired
+	}
+}
+
+// initialList returns the endpoint list to start with: the configured one, or the previous process's if its version is
+// not lower. The configured one may be hours old, and its endpoints gone.
+func (m *snapshotStore) initialList(addr string, configured List) List {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	kept, found := m.previous.Lists[addr]
+	if found && len(kept.Endpoints.Endpoints) > 0 && !kept.Endpoints.OlderThan(configured.Version) {
+		return kept.Endpoints
+	}
+	return configured
+}
+
+// listAge returns how old the previous process's endpoint list of an address is; negative is unknown. m may be nil.
+func (m *snapshotStore) listAge(addr string) time.Duration {
+	if m == nil {
+		return -1
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if kept, found := m.previous.Lists[addr]; found && kept.AnsweredAt > 0 {
+		return m.now() - kept.AnsweredAt
+	}
+	return -1
+}
+
+// takeSnapshot returns what the previous process's service of that name had learned, or nil. It does so once: a later
+// service of that name is another one.
+func (m *snapshotStore) takeSnapshot(name string) *decision.Snapshot {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	snapshot, found := m.previous.Services[name]
+	if !found {
+		return nil
+	}
+	delete(m.previous.Services, name)
+	return &snapshot
+}
+
+// run writes what the process has learned once an interval until ctx ends, unless a later process does that. The first
+// write comes at a random time, since many proxies may share a disk.
+func (m *snapshotStore) run(ctx context.Context, p *Proxy) {
+	timer := time.NewTimer(m.interval/2 + rand.N(m.interval))
+	defer timer.Stop()
+	for {
+		select {
+		case <-timer.C:
+		case <-ctx.Done():
+			return
+		}
+		timer.Reset(m.interval)
+		if !p.store.Superseded() {
+			m.write(p)
+		}
+	}
+}
+
+// write saves the state of all services, and logs a failure unless it is the same as the last one.
+func (m *snapshotStore) write(p *Proxy) {
+	now := p.services.current.Load()
+	if now == nil {
+		return
+	}
+	state := persistedState{Lists: p.listGuard.CachedLists(), Services: map[string]decision.Snapshot{}}
+	for name, svc := range now.byName {
+		if snapshot, ok := svc.engine.Snapshot(); ok {
+			state.Services[name] = snapshot
+		}
+	}
+	err := m.file.Save(state)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err == nil {
+		m.report.Written++
+		return
+	}
+	m.report.Failed++
+	if m.report.LastFailure != err.Error() {
+		p.log.Error("snapshot could not be written", "err", err)
+	}
+	m.report.LastFailure = err.Error()
+}
+
+// status returns the report for operators.
+func (m *snapshotStore) status() *snapshotReport {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	report := m.report
+	return &report
+}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -32,22 +32,22 @@
 		case r.URL.Query().Get("framing") == "chunks":
 		case r.URL.Query().Get("framing") == "end":
 			c, out, _ := http.NewResponseController(w).Hijack()
-			defer c.Close()
-			fmt.Fprintf(out, "HTTP/1.1 200 OK\r\n\r\n%s", body)
-			out.Flush()
+			defer func() { _ = c.Close() }()
+			_, _ = fmt.Fprintf(out, "HTTP/1.1 200 OK\r\n\r\n%s", body)
+			_ = out.Flush()
 			return
 		default:
 			w.Header().Set("Content-Length", fmt.Sprint(len(body)))
 		}
 		for len(body) > 0 {
 			n := min(len(body), 50_000)
-			w.Write(body[:n])
+			_, _ = w.Write(body[:n])
 			body = body[n:]
 			w.(http.Flusher).Flush()
 		}
 	})}
-	go server.Serve(listener)
-	t.Cleanup(func() { server.Close() })
+	go func() { _ = server.Serve(listener) }()
+	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
@@ -62,10 +62,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
+				defer func() { _ = c.Close() }()
+				_ = c.SetDeadline(time.Now().Add(patience))
 				in := bufio.NewReader(c)
-				for _, n := range []int{0, 5, bodyBytes - 1, bodyBytes, bodyBytes + 1, 3 << 20} {
+				for _, n := range []int{0, 5, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3 << 20} {
 					head := fmt.Sprintf("POST /api?framing=%s HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 10000\r\n",
 						framing, lastAsked.Add(1))
 					wrote := make(chan error, 1)
@@ -74,10 +74,10 @@
 						if sent == "length" {
 							_, err = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head, n, text[:n])
 						} else {
-							fmt.Fprintf(c, "%sTransfer-Encoding: chunked\r\n\r\n", head)
+							_, _ = fmt.Fprintf(c, "%sTransfer-Encoding: chunked\r\n\r\n", head)
 							for at := 0; at < n; at += 70_000 {
 								piece := text[at:min(n, at+70_000)]
-								fmt.Fprintf(c, "%x;ext=1\r\n%s\r\n", len(piece), piece)
+								_, _ = fmt.Fprintf(c, "%x;ext=1\r\n%s\r\n", len(piece), piece)
 							}
 							_, err = io.WriteString(c, "0\r\nX-Sum: 1\r\n\r\n")
 						}
@@ -106,7 +106,7 @@
 			more := make(chan bool)
 			addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 				if readWhole(in) {
-					io.WriteString(c, head)
+					_, _ = io.WriteString(c, head)
 					<-more
 				}
 			})
@@ -115,9 +115,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
-			fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 9000\r\n\r\n", lastAsked.Add(1))
+			defer func() { _ = c.Close() }()
+			_ = c.SetDeadline(time.Now().Add(patience))
+			_, _ = fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 9000\r\n\r\n", lastAsked.Add(1))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				t.Fatal(err)
@@ -147,7 +147,7 @@
 						say(nc, "HTTP/1.1 200 OK\n\nabc")
 						<-begun
 						if !whole {
-							nc.(*net.TCPConn).SetLinger(0)
+							_ = nc.(*net.TCPConn).SetLinger(0)
 						}
 					}
 				})
@@ -156,9 +156,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
-				fmt.Fprintf(c, "GET /api HTTP/%s\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 9000\r\n\r\n", version, lastAsked.Add(1))
+				defer func() { _ = c.Close() }()
+				_ = c.SetDeadline(time.Now().Add(patience))
+				_, _ = fmt.Fprintf(c, "GET /api HTTP/%s\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 9000\r\n\r\n", version, lastAsked.Add(1))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
 					t.Fatal(err)
@@ -181,7 +181,7 @@
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
 			say(c, "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n")
-			io.Copy(io.Discard, in)
+			_, _ = io.Copy(io.Discard, in)
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
@@ -189,13 +189,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 9000\r\nContent-Length: %d\r\n\r\n",
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(patience))
+	_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: hand-in\r\n"+
+		"X-Timeout-Ms: 9000\r\nContent-Length: %d\r\n\r\n",
 		lastAsked.Add(1), 8<<20)
 	go func() {
-		piece := make([]byte, copyBytes)
-		for range 8 << 20 / copyBytes {
+		piece := make([]byte, copyChunkBytes)
+		for range 8 << 20 / copyChunkBytes {
 			if _, err := c.Write(piece); err != nil {
 				return
 			}
@@ -212,23 +213,23 @@
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		<-last
 		say(c, served)
-		io.Copy(io.Discard, in)
+		_, _ = io.Copy(io.Discard, in)
 	}))
 	c, err := p.dial(t.Context(), b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	body := strings.NewReader("all of it")
-	u := &upload{length: 9, began: time.Now(), rest: io.MultiReader(body), limit: func(time.Time) error { return nil },
-		whole: func() { // the last byte is out, and the answer is there before the next look for more
+	u := &upload{length: 9, startedAt: time.Now(), remainder: io.MultiReader(body), setReadDeadline: func(time.Time) error { return nil },
+		onComplete: func() { // the last byte is out, and the answer is there before the next look for more
 			close(last)
-			for start := time.Now(); c.quiet() && time.Since(start) < patience; {
+			for start := time.Now(); c.isSilent() && time.Since(start) < patience; {
 				time.Sleep(time.Millisecond)
 			}
 		}, failed: make(chan error, 1)}
-	req := testMessage("POST", nil).request("a")
-	if _, whole, err := c.writeStreamed(req, u); !whole {
+	req := testMessage("POST", nil).newRequest("a")
+	if _, whole, err := c.writeStreamedRequest(req, u); !whole {
 		t.Fatalf("not whole: %v", err)
 	}
 }
@@ -241,12 +242,12 @@
 			say(c, "HTTP/1.1 200 OK\nContent-Length: 100000\n\nabc")
 			close(first)
 			<-rest
-			io.WriteString(c, strings.Repeat("x", 100000-3))
+			_, _ = io.WriteString(c, strings.Repeat("x", 100000-3))
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), func(c *Config) {
-		for i := range c.Module.Classes { // so that the last deadline is soon past
-			c.Module.Classes[i].ClientTimeout = 10 * time.Millisecond
+		for i := range c.Decision.Classes { // so that the last deadline is soon past
+			c.Decision.Classes[i].ClientTimeout = 10 * time.Millisecond
 		}
 	})
 	type result struct {
@@ -263,7 +264,7 @@
 	select {
 	case err := <-p.done:
 		t.Fatalf("ended with an answer on its way: %v", err)
-	case <-time.After(acceptOn + drainRoom + 500*time.Millisecond):
+	case <-time.After(drainAcceptPeriod + drainMargin + 500*time.Millisecond):
 	}
 	close(rest)
 	if r := <-got; r.err != nil || len(r.body) != 100000 {
@@ -299,12 +300,12 @@
 					return
 				}
 				if say(nc, c.says); c.says == "" {
-					nc.(*net.TCPConn).CloseWrite()
+					_ = nc.(*net.TCPConn).CloseWrite()
 				}
-				io.Copy(io.Discard, in)
+				_, _ = io.Copy(io.Discard, in)
 			}), func(_ int, h *hookedConn) { to = h })
 			u := testUpload()
-			u.length, u.rest = -1, readerFunc(func(p []byte) (int, error) {
+			u.length, u.remainder = -1, readerFunc(func(_ []byte) (int, error) {
 				untilNoted(t, to)
 				return 1, nil
 			})
@@ -330,9 +331,9 @@
 		"left":       func(u *upload) error { go u.stop(); return os.ErrDeadlineExceeded },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, b := testPool(t, rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { io.Copy(io.Discard, in) }))
+			p, b := testPool(t, rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) }))
 			u := testUpload()
-			u.rest = readerFunc(func([]byte) (int, error) { return 0, leave(u) })
+			u.remainder = readerFunc(func([]byte) (int, error) { return 0, leave(u) })
 			m := testMessage("POST", nil)
 			m.upload = u
 			if result, _ := p.exchange(t.Context(), b, m); result != decision.Cancelled {
@@ -351,7 +352,10 @@
 	read := func(piece int, every, client time.Duration) (n int64, took time.Duration, err error) {
 		near, far := net.Pipe()
 		done := make(chan bool)
-		defer func() { near.Close(); <-done }()
+		defer func() {
+			_ = near.Close()
+			<-done
+		}()
 		go func() {
 			defer close(done)
 			for sent := make([]byte, piece); ; time.Sleep(every) {
@@ -360,12 +364,12 @@
 				}
 			}
 		}()
-		l := &limited{from: near, c: newConn(near, 0, func() {})}
+		l := &boundedReader{source: near, conn: newConn(near, 0, func() {})}
 		began := time.Now()
-		for p := make([]byte, copyBytes); err == nil && time.Since(began) < 2*time.Hour; time.Sleep(client) {
+		for p := make([]byte, copyChunkBytes); err == nil && time.Since(began) < 2*time.Hour; time.Sleep(client) {
 			_, err = l.Read(p)
 		}
-		return l.read, time.Since(began), err
+		return l.readBytes, time.Since(began), err
 	}
 	for name, c := range map[string]struct {
 		piece         int
@@ -373,17 +377,17 @@
 		most          time.Duration // until it is given up
 		whole         bool          // not before all bytes that an answer may have
 	}{
-		"a flood":                {copyBytes, 0, 0, time.Second, true},
-		"a trickle":              {1, readStall - time.Second, 0, 2 * readStall, false},
-		"many a small piece":     {16, 100 * time.Millisecond, 0, 2 * readStall, false},
-		"a silence":              {16, time.Hour, 0, 2 * readStall, false},
-		"at a fair pace":         {copyBytes, time.Second, 0, time.Hour, true},
-		"to a client that rests": {copyBytes, 0, time.Second, time.Hour, true},
+		"a flood":                {copyChunkBytes, 0, 0, time.Second, true},
+		"a trickle":              {1, readStallTimeout - time.Second, 0, 2 * readStallTimeout, false},
+		"many a small piece":     {16, 100 * time.Millisecond, 0, 2 * readStallTimeout, false},
+		"a silence":              {16, time.Hour, 0, 2 * readStallTimeout, false},
+		"at a fair pace":         {copyChunkBytes, time.Second, 0, time.Hour, true},
+		"to a client that rests": {copyChunkBytes, 0, time.Second, time.Hour, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n, took, err := read(c.piece, c.every, c.client)
-				if took > c.most || (n > mostBytes) != c.whole || c.whole != errors.Is(err, errSpoilt) || c.whole == timedOut(err) {
+				if took > c.most || (n > maxBodyBytes) != c.whole || c.whole != errors.Is(err, errInvalidResponse) || c.whole == isTimeout(err) {
 					t.Errorf("%d bytes in %v, then %v", n, took, err)
 				}
 			})
--- a/internal/proxy/view_test.go
+++ b/internal/proxy/view_test.go
@@ -28,7 +28,7 @@
 	var last any
 	for by := time.Now().Add(60 * time.Second); time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
 		var err error
-		if last, err = (operator{p.proxy}).Freshness(); err != nil {
+		if last, err = (adminBackend{p.proxy}).Freshness(); err != nil {
 			continue // it starts yet
 		}
 		if r := last.(freshness.Report); len(r.Lists) == 1 && len(r.Lists[0].Routes) > 0 && yes(r.Lists[0]) {
@@ -86,7 +86,7 @@
 	mustAnswer(t, 200)(p.ask(t, "hand-in", 10000, "homework"))
 	plain := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
 	mustAnswer(t, 200)(plain.ask(t, "hand-in", 10000, "homework"))
-	if _, err := (operator{plain.proxy}).Freshness(); err == nil || !strings.Contains(err.Error(), "--fleet") {
+	if _, err := (adminBackend{plain.proxy}).Freshness(); err == nil || !strings.Contains(err.Error(), "--fleet") {
 		t.Errorf("the console says %v", err)
 	}
 }
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -67,7 +67,7 @@
 		return
 	}
 	for c := range d.conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -99,7 +99,7 @@
 			d.calls++
 			d.mu.Unlock()
 			defer d.mu.Lock()
-			return nil, errors.Join(pause(ctx, slack), errors.New("i/o timeout"))
+			return nil, errors.Join(sleep(ctx, slack), errors.New("i/o timeout"))
 		}
 		ours, theirs := net.Pipe()
 		d.conns[theirs] = true
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close(); d.turn(reset) })
+	t.Cleanup(func() { _ = l.Close(); d.turn(reset) })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -125,8 +125,8 @@
 			d.mu.Lock()
 			if d.now == refused {
 				d.calls++
-				c.(*net.TCPConn).SetLinger(0)
-				c.Close()
+				_ = c.(*net.TCPConn).SetLinger(0)
+				_ = c.Close()
 			} else {
 				d.conns[c] = true
 				go d.serve(c)
@@ -142,7 +142,7 @@
 		d.mu.Lock()
 		delete(d.conns, c)
 		d.mu.Unlock()
-		c.Close()
+		_ = c.Close()
 	}()
 	in := bufio.NewReader(c)
 	for {
@@ -156,18 +156,20 @@
 		d.mu.Unlock()
 		query := req.URL.Query()
 		member := func() string { return strings.Join(append([]string{memberText("a", d.addr, state)}, d.more...), ",") }
-		ok := func(text string) { fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text) }
+		ok := func(text string) {
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+		}
 		switch now {
 		case hung, void:
-			in.Peek(1) // until the proxy gives it up
+			_, _ = in.Peek(1) // until the proxy gives it up
 			return
 		case turned:
-			io.WriteString(c, "HTTP/1.1 503 Later\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 503 Later\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
 			continue
 		case reset:
 			return
 		case half:
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"generation\":9,")
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"generation\":9,")
 			return
 		case garbled:
 			ok("<html>")
@@ -176,7 +178,7 @@
 			ok(listText(3, false))
 			continue
 		case endless:
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for err == nil {
 				_, err = fmt.Fprintf(c, "1000\r\n%4096s\r\n", "")
 			}
@@ -187,7 +189,7 @@
 		if query.Get("from") == strconv.Itoa(version) {
 			hold, _ := strconv.Atoi(query.Get("hold_ms"))
 			gone := make(chan struct{})
-			go func() { in.Peek(1); close(gone) }()
+			go func() { _, _ = in.Peek(1); close(gone) }()
 			var changes []string
 			select {
 			case <-time.After(time.Duration(hold) * time.Millisecond):
@@ -266,24 +268,24 @@
 }
 
 func learns(t *testing.T, m decision.Config, what trouble, by string, phase int) {
-	p := paceFor(&m)
-	down := p.hold + 3*time.Second + time.Duration(phase)*770*time.Millisecond
+	p := timingFor(&m)
+	down := p.watchHold + 3*time.Second + time.Duration(phase)*770*time.Millisecond
 	reg, up := newTroubled(), &learner{}
 	log := slog.New(slog.DiscardHandler)
-	d := newDiscovery("register.test:1", p, log)
+	d := newDiscoveryClient("register.test:1", p, log)
 	d.dial = reg.dial(p.slack)
 	known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
 	var asked engine.Source = d
 	switch by {
 	case "hub":
-		asked = discovery.NewRegistry(p.rest, func(string) engine.Source { return d }).Subscribe(d.addr, known)
+		asked = discovery.NewRegistry(p.maxBackoff, func(string) engine.Source { return d }).Subscribe(d.addr, known)
 	case "comeback":
 		f, err := guardedsource.Parse("comeback.toml", []byte("version = 1\n[calls]\nrate = 4.0\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := guardedsource.NewCoordinator(f, m.Instances, uint64(phase), engine.NewClock().Now, log).LimitBackoff(p.rest).Wrap("", d, known)
-		d.hold = func() time.Duration { return w.WatchTimeout(p.hold) }
+		w := guardedsource.NewCoordinator(f, m.Instances, uint64(phase), engine.NewClock().Now, log).LimitBackoff(p.maxBackoff).Wrap("", d, known)
+		d.watchHold = func() time.Duration { return w.WatchTimeout(p.watchHold) }
 		down += 20 * time.Second // which is how long it holds them
 		asked = w
 	}
@@ -319,7 +321,7 @@
 	if took := up.at.Sub(back); up.at.IsZero() || took > most {
 		t.Errorf("down for %v, with %d calls meanwhile: the drain is learnt after %v, %v at most", down, made, took, most)
 	}
-	rest := max(p.rest, 50*time.Millisecond)
+	rest := max(p.maxBackoff, 50*time.Millisecond)
 	if bound := 20 + 4*int(down/rest); made > bound {
 		t.Errorf("%d calls in %v, the rest is %v at most", made, down, rest)
 	}
@@ -331,7 +333,7 @@
 		m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
 			Constraints: decision.Constraints{DrainGrace: 250 * time.Millisecond}, Capabilities: decision.Capabilities{MaxAttempts: 1}}
 		reg, up := newTroubled(), &learner{}
-		d := newDiscovery("register.test:1", paceFor(&m), slog.New(slog.DiscardHandler))
+		d := newDiscoveryClient("register.test:1", timingFor(&m), slog.New(slog.DiscardHandler))
 		d.dial = reg.dial(time.Second)
 		known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
 		e, err := engine.New(engine.Options{Decision: m, InitialEndpoints: known, Upstream: up, Source: d})
@@ -366,12 +368,12 @@
 		"past changes": listText(3, false, memberText("a", "127.0.0.1:1", "active"))} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDiscovery("register.test:1", pace{hold: time.Second, slack: time.Second, fetch: time.Second}, slog.New(slog.DiscardHandler))
+				d := newDiscoveryClient("register.test:1", discoveryTiming{watchHold: time.Second, slack: time.Second, fetchTimeout: time.Second}, slog.New(slog.DiscardHandler))
 				calls := 0 // of one goroutine at a time
 				d.dial = func(context.Context, string, string) (net.Conn, error) {
 					ours, theirs := net.Pipe()
 					go func() {
-						defer theirs.Close()
+						defer func() { _ = theirs.Close() }()
 						in := bufio.NewReader(theirs)
 						for {
 							req, err := http.ReadRequest(in)
@@ -379,14 +381,14 @@
 								return
 							}
 							if calls++; calls > 5000 {
-								in.Peek(1)
+								_, _ = in.Peek(1)
 								return
 							}
 							text := answer
 							if !req.URL.Query().Has("from") {
 								text = listText(7, true)
 							}
-							fmt.Fprintf(theirs, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+							_, _ = fmt.Fprintf(theirs, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 						}
 					}()
 					return ours, nil
@@ -425,16 +427,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	second, written := make(chan struct{}), make(chan struct{})
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		in := bufio.NewReader(c)
-		answer := func(text string) { fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text) }
+		answer := func(text string) {
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+		}
 		if _, err := http.ReadRequest(in); err != nil {
 			return
 		}
@@ -442,11 +446,11 @@
 		<-second
 		answer(listText(8, false)) // it stands there before the call is made
 		close(written)
-		io.Copy(io.Discard, in)
+		_, _ = io.Copy(io.Discard, in)
 	}()
-	d := newDiscovery(l.Addr().String(), pace{slack: patience}, slog.New(slog.DiscardHandler))
+	d := newDiscoveryClient(l.Addr().String(), discoveryTiming{slack: patience}, slog.New(slog.DiscardHandler))
 	defer d.Close()
-	d.late = patience
+	d.lateReadGrace = patience
 	stands, goOn, dials := make(chan struct{}, 100), make(chan struct{}, 1), 0
 	d.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dials++
@@ -468,7 +472,7 @@
 		time.Sleep(600 * time.Millisecond) // the call's time is up
 		close(goOn)
 	}()
-	list, err := d.call(t.Context(), watchQuery(7, lookHold), 300*time.Millisecond)
+	list, err := d.call(t.Context(), watchQuery(7, probeHold), 300*time.Millisecond)
 	if err != nil || list.Version != 8 || dials != 1 {
 		t.Errorf("%+v, %v; %d connections", list, err, dials)
 	}
@@ -476,8 +480,8 @@
 
 // pushed has a proxy watch an agent on its machine at the pace of its settings.
 func pushed(cfg *Config) {
-	cfg.Module.PolledDiscovery = false
-	cfg.pace = paceFor(&cfg.Module)
+	cfg.Decision.PolledDiscovery = false
+	cfg.timing = timingFor(&cfg.Decision)
 }
 
 // drains are two servers, and a register that names both, the first of them a draining one after drain.
@@ -538,8 +542,8 @@
 			}
 			reg.turn(well)
 			p.avoids(t, onA)
-			if bad := p.proxy.own.InvalidLists.Load() > 0; bad != (what == half || what == garbled || what == endless) {
-				t.Errorf("%d bad lists are counted", p.proxy.own.InvalidLists.Load())
+			if bad := p.proxy.counters.InvalidLists.Load() > 0; bad != (what == half || what == garbled || what == endless) {
+				t.Errorf("%d bad lists are counted", p.proxy.counters.InvalidLists.Load())
 			}
 		})
 	}
@@ -549,28 +553,28 @@
 // one named, whatever its number, and what others still say counts no more.
 func TestReloadsCross(t *testing.T) {
 	for name, play := range map[string]func(p *running, to func(*troubled), last, other *troubled){
-		"twice in a row": func(p *running, to func(*troubled), last, other *troubled) { to(other); to(last) },
-		"there and back": func(p *running, to func(*troubled), last, other *troubled) { to(last); to(other); to(last) },
-		"the same again": func(p *running, to func(*troubled), last, other *troubled) { to(last); to(last) },
-		"refused at first": func(p *running, to func(*troubled), last, other *troubled) {
+		"twice in a row": func(_ *running, to func(*troubled), last, other *troubled) { to(other); to(last) },
+		"there and back": func(_ *running, to func(*troubled), last, other *troubled) { to(last); to(other); to(last) },
+		"the same again": func(_ *running, to func(*troubled), last, _ *troubled) { to(last); to(last) },
+		"refused at first": func(_ *running, to func(*troubled), last, _ *troubled) {
 			last.turn(refused)
 			to(last)
-			awaits(p, last)
+			awaits(last)
 			last.turn(well)
 		},
-		"hung at first": func(p *running, to func(*troubled), last, other *troubled) {
+		"hung at first": func(_ *running, to func(*troubled), last, _ *troubled) {
 			last.turn(hung)
 			to(last)
-			awaits(p, last)
+			awaits(last)
 			last.turn(well)
 		},
-		"garbled at first": func(p *running, to func(*troubled), last, other *troubled) {
+		"garbled at first": func(_ *running, to func(*troubled), last, _ *troubled) {
 			last.turn(garbled)
 			to(last)
-			awaits(p, last)
+			awaits(last)
 			last.turn(well)
 		},
-		"the old one is cut": func(p *running, to func(*troubled), last, other *troubled) { other.turn(reset); to(last) },
+		"the old one is cut": func(_ *running, to func(*troubled), last, other *troubled) { other.turn(reset); to(last) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -618,7 +622,7 @@
 			m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
 				Constraints: decision.Constraints{DrainGrace: 250 * time.Millisecond}, Capabilities: decision.Capabilities{MaxAttempts: 1}}
 			at := func(addr string) *discoveryClient {
-				return newDiscovery(addr, paceFor(&m), slog.New(slog.DiscardHandler))
+				return newDiscoveryClient(addr, timingFor(&m), slog.New(slog.DiscardHandler))
 			}
 			e, err := engine.New(engine.Options{Decision: m, Seed: seed, InitialEndpoints: known, Upstream: &learner{}, Source: at(a)})
 			if err != nil {
@@ -647,7 +651,8 @@
 }
 
 // awaits waits until a register was called twice.
-func awaits(p *running, r *troubled) {
-	for start := time.Now(); r.made() < 2 && time.Since(start) < patience; time.Sleep(time.Millisecond) {
+func awaits(r *troubled) {
+	for start := time.Now(); r.made() < 2 && time.Since(start) < patience; {
+		time.Sleep(time.Millisecond)
 	}
 }
