--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -20,8 +20,8 @@
 	"lapisspread/internal/admin"
 )
 
-// guarded is a stage that admits by a file.
-func guarded(t *testing.T, text string, sockets int) *stage {
+// newAdmissionStage starts a stage with admission control by the given settings.
+func newAdmissionStage(t *testing.T, text string, sockets int) *stage {
 	path := filepath.Join(t.TempDir(), "admission.toml")
 	if err := os.WriteFile(path, []byte("version = 1\n"+text), 0o600); err != nil {
 		t.Fatal(err)
@@ -29,27 +29,27 @@
 	return newStage(t, twoServices, func(c *Config) { c.Sockets, c.Admission, c.MemoryMB = sockets, path, 32 })
 }
 
-func clientAt(t *testing.T, from string) *http.Client {
+func clientFrom(t *testing.T, from string) *http.Client {
 	d := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 	c := &http.Client{Transport: &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 8}}
 	t.Cleanup(c.CloseIdleConnections)
 	return c
 }
 
-// A flood of half heads from many addresses takes no place from those that ask for something, on connections that they
-// keep and on new ones; and a request in hand outlives it.
-func TestAFloodOfHalfHeads(t *testing.T) {
-	s := guarded(t, "", 128) // 57 places
-	kept := clientAt(t, "127.0.0.1")
+// A flood of incomplete heads from many addresses takes no place from clients that send requests, on reused connections
+// and on new ones, and doesn't end a request in flight.
+func TestFloodOfIncompleteHeadsLeavesRoomForClients(t *testing.T) {
+	s := newAdmissionStage(t, "", 128) // 57 places
+	kept := clientFrom(t, "127.0.0.1")
 	for range 4 {
-		if status, body := s.ask(kept, "x.org", "/api", "hand-in", 5000); status != 200 {
+		if status, body := s.request(kept, "x.org", "/api", "hand-in", 5000); status != 200 {
 			t.Fatalf("before: %d %q", status, body)
 		}
 	}
 	s.stall["slow-5"].Store(1200)
 	inHand := make(chan int, 1)
 	go func() {
-		status, _ := s.ask(clientAt(t, "127.0.7.7"), "pay.example.org", "/api", "hand-in", 5000)
+		status, _ := s.request(clientFrom(t, "127.0.7.7"), "pay.example.org", "/api", "hand-in", 5000)
 		inHand <- status
 	}()
 	var all sync.WaitGroup
@@ -67,7 +67,8 @@
 					return
 				case <-time.After(4 * time.Millisecond):
 				}
-				d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 1, byte(k), byte(i%100))}, Timeout: time.Second}
+				d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 1, byte(k), byte(i%100))},
+					Timeout: time.Second}
 				c, err := d.Dial("tcp4", s.addr)
 				if err != nil {
 					continue
@@ -87,14 +88,14 @@
 		}
 	}
 	for i := range 40 {
-		if status, body := s.ask(kept, "x.org", "/api", "hand-in", 5000); status != 200 {
+		if status, body := s.request(kept, "x.org", "/api", "hand-in", 5000); status != 200 {
 			t.Errorf("on a kept connection: %d %q", status, body)
 		}
-		// Danger: who is new, and held up between its connect and its head for longer than the grace, is as any of the flood,
-		// and may be closed for others; admission promises nothing else. It comes again, and is served at last.
-		stranger := clientAt(t, fmt.Sprintf("127.2.%d.1", i))
+		// Danger: who is new, and held up between its connect and its head for longer than the grace, is as any of the
+		// flood, and may be closed for others; admission promises nothing else. It comes again, and is served at last.
+		stranger := clientFrom(t, fmt.Sprintf("127.2.%d.1", i))
 		for begun := time.Now(); ; {
-			status, body := s.ask(stranger, "x.org", "/api", "hand-in", 5000)
+			status, body := s.request(stranger, "x.org", "/api", "hand-in", 5000)
 			if status == 200 {
 				break
 			}
@@ -103,7 +104,7 @@
 			}
 		}
 	}
-	askConsoleAmid(t, s.proxy)
+	checkAdminDuringFlood(t, s.proxy)
 	if status := <-inHand; status != 200 {
 		t.Errorf("the request that was in hand: %d", status)
 	}
@@ -124,17 +125,18 @@
 	}
 }
 
-// Blocks by hand turn an address away with an answer, and end; SIGHUP takes in other settings, and no bad ones.
-func TestBlocksAndChanges(t *testing.T) {
-	s := guarded(t, "", 128)
+// An operator's block rejects an address with a response, and expires. SIGHUP takes in new settings, and keeps the old
+// ones if the new are invalid.
+func TestAdmissionBlocksAndReload(t *testing.T) {
+	s := newAdmissionStage(t, "", 128)
 	op := adminBackend{s.proxy}
 	if err := op.Block("127.3.0.0/16", time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := s.ask(clientAt(t, "127.3.0.9"), "x.org", "/api", "hand-in", 5000); status == 200 {
+	if status, _ := s.request(clientFrom(t, "127.3.0.9"), "x.org", "/api", "hand-in", 5000); status == 200 {
 		t.Error("a blocked address was served")
 	}
-	if status, _ := s.ask(clientAt(t, "127.4.0.9"), "x.org", "/api", "hand-in", 5000); status != 200 {
+	if status, _ := s.request(clientFrom(t, "127.4.0.9"), "x.org", "/api", "hand-in", 5000); status != 200 {
 		t.Errorf("another address: %d", status)
 	}
 	if err := op.Block("nobody", time.Hour); err == nil || !strings.Contains(err.Error(), "nobody") {
@@ -143,10 +145,11 @@
 	if err := op.Unblock("127.3.0.0/16"); err != nil {
 		t.Error(err)
 	}
-	if status, _ := s.ask(clientAt(t, "127.3.0.9"), "x.org", "/api", "hand-in", 5000); status != 200 {
+	if status, _ := s.request(clientFrom(t, "127.3.0.9"), "x.org", "/api", "hand-in", 5000); status != 200 {
 		t.Errorf("after the block: %d", status)
 	}
-	for text, want := range map[string]int{"version = 1\n[connections]\nplaces = 7\n": 7, "version = 1\n[connections]\nplaces = -7\n": 57} {
+	for text, want := range map[string]int{"version = 1\n[connections]\nplaces = 7\n": 7,
+		"version = 1\n[connections]\nplaces = -7\n": 57} {
 		if err := os.WriteFile(s.proxy.cfg.Admission, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -163,16 +166,16 @@
 	}
 }
 
-// Requests in hand are bounded where the file says so: who is refused is told when to come back.
-func TestRequestsInHandAreBounded(t *testing.T) {
-	s := guarded(t, "[requests]\nin_hand = 4\nretry_after = \"1s\"\n", 512)
+// Requests in flight are limited where the file says so, and a rejection has a Retry-After.
+func TestRequestsInFlightAreLimited(t *testing.T) {
+	s := newAdmissionStage(t, "[requests]\nin_hand = 4\nretry_after = \"1s\"\n", 512)
 	s.stall["fast-5"].Store(300)
 	var all sync.WaitGroup
 	var served, refused atomic.Int64
-	client := clientAt(t, "127.0.0.1")
+	client := clientFrom(t, "127.0.0.1")
 	for range 12 {
 		all.Go(func() {
-			switch status, _ := s.ask(client, "x.org", "/api", "hand-in", 5000); status {
+			switch status, _ := s.request(client, "x.org", "/api", "hand-in", 5000); status {
 			case 200:
 				served.Add(1)
 			case 503:
@@ -184,15 +187,15 @@
 	if served.Load() < 4 || served.Load()+refused.Load() != 12 || refused.Load() < 4 {
 		t.Errorf("%d served, %d refused", served.Load(), refused.Load())
 	}
-	if status, _ := s.ask(client, "x.org", "/api", "hand-in", 5000); status != 200 {
+	if status, _ := s.request(client, "x.org", "/api", "hand-in", 5000); status != 200 {
 		t.Errorf("after all: %d", status)
 	}
 }
 
-// Slow bodies from one address do not use up the bytes of all: others are served, and so is that address once it has
-// given some back.
-func TestSlowBodiesOfOneAddress(t *testing.T) {
-	s := guarded(t, "[connections]\nshort = 0.6\n", 512)
+// Slow bodies of one address don't use up the memory of all: other clients are served, and so is that address once it
+// has released some.
+func TestSlowBodiesOfOneAddressAreLimited(t *testing.T) {
+	s := newAdmissionStage(t, "[connections]\nshort = 0.6\n", 512)
 	var slow []net.Conn
 	refused := 0
 	for i := range 60 { // 64 would fill the room
@@ -202,7 +205,9 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x.org\r\nX-Request-Id: slow-%d\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 5000\r\nContent-Length: %d\r\n\r\nx", i, maxBufferedBody)
+		_, _ = fmt.Fprintf(c,
+			"POST /api HTTP/1.1\r\nHost: x.org\r\nX-Request-Id: slow-%d\r\nX-Priority-Class: hand-in\r\n"+
+				"X-Timeout-Ms: 5000\r\nContent-Length: %d\r\n\r\nx", i, maxBufferedBody)
 		slow = append(slow, c)
 	}
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
@@ -213,7 +218,7 @@
 			t.Fatalf("no body was refused: %+v", s.proxy.conns.admission.Report())
 		}
 	}
-	if status, body := s.ask(clientAt(t, "127.6.0.1"), "x.org", "/api", "hand-in", 5000); status != 200 {
+	if status, body := s.request(clientFrom(t, "127.6.0.1"), "x.org", "/api", "hand-in", 5000); status != 200 {
 		t.Errorf("another address: %d %q", status, body)
 	}
 	for _, c := range slow {
@@ -224,13 +229,14 @@
 			t.Fatalf("bytes are left: %+v", s.proxy.conns.admission.Report())
 		}
 	}
-	if status, body := s.ask(clientAt(t, "127.5.0.1"), "x.org", "/api", "hand-in", 5000); status != 200 {
+	if status, body := s.request(clientFrom(t, "127.5.0.1"), "x.org", "/api", "hand-in", 5000); status != 200 {
 		t.Errorf("the same address after it: %d %q", status, body)
 	}
 }
 
-// askConsoleAmid has an operator look at a flood and turn a part of it away: the console has places of its own.
-func askConsoleAmid(t *testing.T, p *Proxy) {
+// checkAdminDuringFlood has an operator read the admission report and block a part of the flood: admin connections
+// don't compete with clients for places.
+func checkAdminDuringFlood(t *testing.T, p *Proxy) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -245,7 +251,8 @@
 			t.Error(err)
 		}
 	}()
-	for call, want := range map[string]string{"ADMISSION": `"top":[{"address":"127.`, "BLOCK 127.1.0.0/16 1m": "200 127.1.0.0/16", "PING": "200 serving"} {
+	for call, want := range map[string]string{"ADMISSION": `"top":[{"address":"127.`,
+		"BLOCK 127.1.0.0/16 1m": "200 127.1.0.0/16", "PING": "200 serving"} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -20,7 +20,7 @@
 
 const patience = 20 * time.Second // for what must come about; no test takes near as long
 
-// rawBackend answers connections by hand: serve gets each with its number, from 0.
+// rawBackend serves connections by hand: serve gets each with its number, from 0.
 func rawBackend(t *testing.T, serve func(n int, c net.Conn, in *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,7 +32,7 @@
 	return listener.Addr().String()
 }
 
-// serveRaw has serve answer each connection until the listener is closed.
+// serveRaw calls serve for each connection until the listener is closed.
 func serveRaw(l net.Listener, serve func(n int, c net.Conn, in *bufio.Reader)) {
 	for n := 0; ; n++ {
 		c, err := l.Accept()
@@ -46,8 +46,8 @@
 	}
 }
 
-// readWhole reads a request with its body; false is the connection's end.
-func readWhole(in *bufio.Reader) bool {
+// readRequest reads a request with its body, and returns false at the connection's end.
+func readRequest(in *bufio.Reader) bool {
 	req, err := http.ReadRequest(in)
 	if err != nil {
 		return false
@@ -56,7 +56,9 @@
 	return err == nil
 }
 
-func say(c net.Conn, text string) { _, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n")) }
+func writeText(c net.Conn, text string) {
+	_, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
+}
 
 const served = "HTTP/1.1 200 OK\nContent-Length: 4\n\nfine"
 
@@ -73,11 +75,11 @@
 		header: http.Header{"X-Request-Id": {"1"}}, body: body}
 }
 
-func TestOutcomes(t *testing.T) {
+func TestAttemptResults(t *testing.T) {
 	answer := func(text string) func(int, net.Conn, *bufio.Reader) {
 		return func(_ int, c net.Conn, in *bufio.Reader) {
-			if readWhole(in) {
-				say(c, text)
+			if readRequest(in) {
+				writeText(c, text)
 			}
 		}
 	}
@@ -85,37 +87,41 @@
 		serve func(int, net.Conn, *bufio.Reader)
 		want  decision.Result
 	}{
-		"served":                {answer(served), decision.OK},
-		"error":                 {answer("HTTP/1.1 500 Oh\nContent-Length: 0\n\n"), decision.Error},
-		"not found":             {answer("HTTP/1.1 404 No\nContent-Length: 0\n\n"), decision.Error},
-		"503 turned away":       {answer("HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n"), decision.Rejected},
-		"504 turned away":       {answer("HTTP/1.1 504 Late\nX-Not-Processed: 1\nContent-Length: 0\n\n"), decision.Rejected},
+		"served":    {answer(served), decision.OK},
+		"error":     {answer("HTTP/1.1 500 Oh\nContent-Length: 0\n\n"), decision.Error},
+		"not found": {answer("HTTP/1.1 404 No\nContent-Length: 0\n\n"), decision.Error},
+		"503 turned away": {answer("HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n"),
+			decision.Rejected},
+		"504 turned away": {answer("HTTP/1.1 504 Late\nX-Not-Processed: 1\nContent-Length: 0\n\n"),
+			decision.Rejected},
 		"503 and no word of it": {answer("HTTP/1.1 503 Full\nContent-Length: 0\n\n"), decision.Error},
-		"broken after the last byte": {func(_ int, _ net.Conn, in *bufio.Reader) { readWhole(in) },
+		"broken after the last byte": {func(_ int, _ net.Conn, in *bufio.Reader) { readRequest(in) },
 			decision.Reset},
 		"reset after the last byte": {func(_ int, c net.Conn, in *bufio.Reader) {
-			readWhole(in)
+			readRequest(in)
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}, decision.Reset},
 		"answer cut short": {answer("HTTP/1.1 200 OK\nContent-Length: 9\n\nfine"), decision.Reset},
 		"no HTTP":          {answer("what?\n\n"), decision.Reset},
-		"answer too long": {answer("HTTP/1.1 200 OK\nContent-Length: 65537\n\n" + strings.Repeat("x", maxBufferedBody+1)),
+		"answer too long": {answer("HTTP/1.1 200 OK\nContent-Length: 65537\n\n" + strings.Repeat("x",
+			maxBufferedBody+1)),
 			decision.Reset},
-		"two lengths":       {answer("HTTP/1.1 200 OK\nContent-Length: 4\nContent-Length: 4\n\nfine"), decision.Reset},
-		"length and chunks": {answer("HTTP/1.1 200 OK\nContent-Length: 4\nTransfer-Encoding: chunked\n\n4\nfine\n0\n\n"), decision.Reset},
-		"negative length":   {answer("HTTP/1.1 200 OK\nContent-Length: -4\n\nfine"), decision.Reset},
-		"ends by the end":   {answer("HTTP/1.1 200 OK\n\nfine"), decision.OK},
-		"chunks":            {answer("HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n4\nfine\n0\n\n"), decision.OK},
-		"1xx ahead":         {answer("HTTP/1.1 103 Hints\nLink: x\n\nHTTP/1.1 100 Go\n\n" + served), decision.OK},
+		"two lengths": {answer("HTTP/1.1 200 OK\nContent-Length: 4\nContent-Length: 4\n\nfine"), decision.Reset},
+		"length and chunks": {answer("HTTP/1.1 200 OK\nContent-Length: 4\nTransfer-Encoding: chunked\n\n4\nfine\n" +
+			"0\n\n"), decision.Reset},
+		"negative length": {answer("HTTP/1.1 200 OK\nContent-Length: -4\n\nfine"), decision.Reset},
+		"ends by the end": {answer("HTTP/1.1 200 OK\n\nfine"), decision.OK},
+		"chunks":          {answer("HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n4\nfine\n0\n\n"), decision.OK},
+		"1xx ahead":       {answer("HTTP/1.1 103 Hints\nLink: x\n\nHTTP/1.1 100 Go\n\n" + served), decision.OK},
 		"1xx for ever": {func(_ int, c net.Conn, in *bufio.Reader) {
-			for readWhole(in); ; {
+			for readRequest(in); ; {
 				if _, err := io.WriteString(c, "HTTP/1.1 103 Hints\r\n\r\n"); err != nil {
 					return
 				}
 			}
 		}, decision.Reset},
 		"a head without end": {func(_ int, c net.Conn, in *bufio.Reader) {
-			for readWhole(in); ; {
+			for readRequest(in); ; {
 				if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 512)); err != nil {
 					return
 				}
@@ -123,14 +129,14 @@
 		}, decision.Reset},
 		// The connection stays open: what can't be an answer must not be waited for.
 		"3 GB announced": {func(_ int, c net.Conn, in *bufio.Reader) {
-			readWhole(in)
-			say(c, "HTTP/1.1 200 OK\nContent-Length: 3000000000\n\nfine")
-			readWhole(in)
+			readRequest(in)
+			writeText(c, "HTTP/1.1 200 OK\nContent-Length: 3000000000\n\nfine")
+			readRequest(in)
 		}, decision.Reset},
 		"noise and an open connection": {func(_ int, c net.Conn, in *bufio.Reader) {
-			readWhole(in)
-			say(c, "\x00\x01\n\n")
-			readWhole(in)
+			readRequest(in)
+			writeText(c, "\x00\x01\n\n")
+			readRequest(in)
 		}, decision.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -138,7 +144,7 @@
 			m := testMessage("POST", []byte("work"))
 			read := func() []byte { return nil }
 			if name != "answer too long" { // which must not be asked for
-				read = readLong(m)
+				read = readStreamed(m)
 			}
 			result, body := p.exchange(t.Context(), b, m)
 			if long := read(); long != nil {
@@ -154,7 +160,7 @@
 	}
 }
 
-func TestRefusedConnectionNeverRan(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +175,7 @@
 	}
 }
 
-// A machine that vanished lets no connection come up: the settings' limit ends the wait, not the attempt's.
+// Connecting to a machine that drops all packets ends after the configured connect timeout, not after the attempt's.
 func TestConnectTimeout(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -206,8 +212,8 @@
 	}
 }
 
-// A request whose last byte did not go out has not run, even if its first ones did.
-func TestBrokenBeforeTheLastByte(t *testing.T) {
+// A request whose last byte was not sent has not run, even if its first ones were.
+func TestConnectionBrokenBeforeLastByte(t *testing.T) {
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		_, _ = in.ReadByte()
 		_ = c.(*net.TCPConn).SetLinger(0)
@@ -233,8 +239,8 @@
 		t.Run(name, func(t *testing.T) {
 			came, closed := make(chan bool, 1), make(chan bool, 1)
 			p, b := testPool(t, rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
-				came <- readWhole(in)
-				readWhole(in) // returns at the connection's end
+				came <- readRequest(in)
+				readRequest(in) // returns at the connection's end
 				closed <- true
 			}))
 			ctx, cancel := context.WithCancel(t.Context())
@@ -263,13 +269,13 @@
 	}
 }
 
-// http.Transport would send both of these again by itself on a connection that it finds stale.
-func TestOneAttemptIsOneSend(t *testing.T) {
+// http.Transport would send both of these again by itself on a stale connection.
+func TestAttemptIsSentOnce(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		var requests atomic.Int32
 		p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-			for readWhole(in) && requests.Add(1)%2 == 1 {
-				say(c, served)
+			for readRequest(in) && requests.Add(1)%2 == 1 {
+				writeText(c, served)
 			}
 		}))
 		m := testMessage(method, nil)
@@ -285,12 +291,12 @@
 	}
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	var conns atomic.Int32
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		conns.Add(1)
-		for readWhole(in) {
-			say(c, served)
+		for readRequest(in) {
+			writeText(c, served)
 		}
 	}))
 	send := func() {
@@ -318,11 +324,11 @@
 	}
 }
 
-// The backend closes a connection while it is idle: the next attempt takes another one, and no harm is done.
+// The backend closes a connection while it is idle: the next attempt takes another one.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		if readWhole(in) {
-			say(c, served)
+		if readRequest(in) {
+			writeText(c, served)
 		}
 	}))
 	for i := range 3 {
@@ -343,14 +349,14 @@
 	}
 }
 
-// A backend gives up connections without a word: what has been idle for as long as the one that broke is not
-// taken, and after some time without trouble it is again.
-func TestIdleLimitFollowsWhatBreaks(t *testing.T) {
+// A backend closes idle connections early: a connection that was idle as long as the one that broke is not reused, and
+// the limit recovers after some time.
+func TestReuseLimitFollowsBrokenConnections(t *testing.T) {
 	var conns atomic.Int32
 	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
 		conns.Add(1)
-		for i := 0; readWhole(in) && (n > 0 || i == 0); i++ {
-			say(c, served)
+		for i := 0; readRequest(in) && (n > 0 || i == 0); i++ {
+			writeText(c, served)
 		}
 	}))
 	send := func(idle time.Duration, want decision.Result, connsWant int32) {
@@ -358,8 +364,10 @@
 		for _, c := range b.idle {
 			c.idleSince = time.Now().Add(-idle)
 		}
-		if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != want || conns.Load() != connsWant {
-			t.Fatalf("idle for %v: result %v on %d connections, want %v on %d", idle, result, conns.Load(), want, connsWant)
+		if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != want ||
+			conns.Load() != connsWant {
+			t.Fatalf("idle for %v: result %v on %d connections, want %v on %d", idle, result, conns.Load(), want,
+				connsWant)
 		}
 	}
 	p.staleWindow = patience // whatever the machine's pace
@@ -378,13 +386,13 @@
 	send(p.idleTimeout-patience/4, decision.OK, 3)
 }
 
-func TestSocketsAreBounded(t *testing.T) {
+func TestBackendConnectionsAreLimited(t *testing.T) {
 	came, leave := make(chan bool, 8), make(chan bool)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for readWhole(in) {
+		for readRequest(in) {
 			came <- true
 			<-leave
-			say(c, served)
+			writeText(c, served)
 		}
 	}))
 	p.maxOpen = 2
@@ -410,20 +418,21 @@
 		}
 	}
 	// Both are idle now, and make room for one to another backend.
-	p.Update(List{Endpoints: []Member{{ID: "b", State: decision.Ready, Addr: rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		readWhole(in)
-		say(c, served)
+	p.Update(List{Endpoints: []Member{{ID: "b", State: decision.Ready, Addr: rawBackend(t, func(_ int, c net.Conn,
+		in *bufio.Reader) {
+		readRequest(in)
+		writeText(c, served)
 	})}}})
 	if result, _ := p.exchange(t.Context(), p.lookup(backendID("b")), testMessage("GET", nil)); result != decision.OK {
 		t.Errorf("with idle connections elsewhere: result %v", result)
 	}
 }
 
-// With no socket left, the longest idle connection is closed, and it alone.
+// Without a free socket the connection that was idle for longest is closed, and no other.
 func TestLongestIdleIsEvicted(t *testing.T) {
 	serveAll := func(_ int, c net.Conn, in *bufio.Reader) {
-		for readWhole(in) {
-			say(c, served)
+		for readRequest(in) {
+			writeText(c, served)
 		}
 	}
 	for _, idle := range []int{1, 2} {
@@ -441,17 +450,19 @@
 			p.putIdle(b, c)
 		}
 		p.Update(List{Endpoints: []Member{{ID: "b", State: decision.Ready, Addr: rawBackend(t, serveAll)}}})
-		if result, _ := p.exchange(t.Context(), p.lookup(backendID("b")), testMessage("GET", nil)); result != decision.OK {
+		if result, _ := p.exchange(t.Context(), p.lookup(backendID("b")), testMessage("GET",
+			nil)); result != decision.OK {
 			t.Errorf("%d idle: result %v", idle, result)
 		}
-		if rawsocket.Silent(conns[0].Conn) || idle > 1 && !rawsocket.Silent(conns[1].Conn) || p.open != idle || len(b.idle) != idle-1 {
+		if rawsocket.Silent(conns[0].Conn) || idle > 1 && !rawsocket.Silent(conns[1].Conn) || p.open != idle ||
+			len(b.idle) != idle-1 {
 			t.Errorf("%d idle: %d open, %d left idle", idle, p.open, len(b.idle))
 		}
 	}
 }
 
-// What comes behind a good answer is nobody's answer, whether it comes with it or while the connection is idle.
-func TestNothingBehindAnAnswerIsServed(t *testing.T) {
+// Bytes behind a valid response are discarded, whether they come with it or while the connection is idle.
+func TestBytesBehindResponseAreNotServed(t *testing.T) {
 	const second = "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong"
 	for name, late := range map[string]bool{"at once": false, "while idle": true} {
 		t.Run(name, func(t *testing.T) {
@@ -459,15 +470,15 @@
 			var conns atomic.Int32
 			p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
 				conns.Add(1)
-				for readWhole(in) {
+				for readRequest(in) {
 					if !late {
-						say(c, served+second)
+						writeText(c, served+second)
 						continue
 					}
-					say(c, served)
+					writeText(c, served)
 					if n == 0 {
 						<-behind
-						say(c, second)
+						writeText(c, second)
 					}
 				}
 			}))
@@ -497,16 +508,16 @@
 	}
 }
 
-// A new id at the address of one that has gone gets none of its connections, also not one that was in use then.
+// A new ID at the address of a removed backend gets none of that one's connections, not even one that was in use then.
 func TestNewIDGetsNewConnections(t *testing.T) {
 	var conns atomic.Int32
 	came, leave := make(chan bool, 2), make(chan bool, 2)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		conns.Add(1)
-		for readWhole(in) {
+		for readRequest(in) {
 			came <- true
 			<-leave
-			say(c, served)
+			writeText(c, served)
 		}
 	})
 	p, b := testPool(t, addr)
@@ -522,7 +533,8 @@
 		t.Errorf("what was in hand: result %v", result)
 	}
 	leave <- true
-	if result, _ := p.exchange(t.Context(), p.lookup(backendID("new")), testMessage("GET", nil)); result != decision.OK {
+	if result, _ := p.exchange(t.Context(), p.lookup(backendID("new")), testMessage("GET",
+		nil)); result != decision.OK {
 		t.Errorf("result %v", result)
 	}
 	if n := conns.Load(); n != 2 {
@@ -530,7 +542,7 @@
 	}
 }
 
-// A drain that is told while a connection is being made takes effect before anything is sent on it.
+// A drain during a connect takes effect before anything is sent.
 func TestDrainWhileConnecting(t *testing.T) {
 	for name, change := range map[string]Member{
 		"drains": {ID: "a", State: decision.Draining},
@@ -540,9 +552,9 @@
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
 			p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-				for readWhole(in) {
+				for readRequest(in) {
 					requests.Add(1)
-					say(c, served)
+					writeText(c, served)
 				}
 			}))
 			dial := p.dialer
@@ -562,8 +574,8 @@
 
 func TestDrainClosesIdleConnections(t *testing.T) {
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for readWhole(in) {
-			say(c, served)
+		for readRequest(in) {
+			writeText(c, served)
 		}
 	}))
 	p.exchange(t.Context(), b, testMessage("GET", nil))
@@ -576,12 +588,12 @@
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	paths := make(chan string, 1)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if req, err := http.ReadRequest(in); err == nil {
 			paths <- req.Method + " " + req.URL.Path
-			say(c, "HTTP/1.1 200 OK\nContent-Length: 0\n\n")
+			writeText(c, "HTTP/1.1 200 OK\nContent-Length: 0\n\n")
 		}
 	}))
 	if result := p.checkHealth(t.Context(), b); result != decision.OK {
@@ -592,10 +604,10 @@
 	}
 }
 
-func TestProbeOfASilentBackendTimesOut(t *testing.T) {
+func TestHealthCheckOfSilentBackendTimesOut(t *testing.T) {
 	p, b := testPool(t, rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
-		readWhole(in)
-		readWhole(in)
+		readRequest(in)
+		readRequest(in)
 	}))
 	p.connectTimeout = 300 * time.Millisecond
 	if result := p.checkHealth(t.Context(), b); result != decision.Timeout {
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// station stands in for a server that drains, leaves, returns, starts again elsewhere and answers in every way, while
-// requests come.
-type station struct {
+// churningBackend is a backend that drains, is removed, returns, restarts at another address and responds in every way,
+// while requests come.
+type churningBackend struct {
 	*churn
 	name, state string
 	addr        string
@@ -27,7 +27,7 @@
 	away        time.Time // since when the list says that it is not active; zero while it does
 }
 
-// churn is what the stations share.
+// churn is what the backends share.
 type churn struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -41,8 +41,8 @@
 // long is past the rule's 500 ms; what this machine was seen to add comes on top.
 const long = 1000 * time.Millisecond
 
-// lateness is by how much this machine wakes a sleeper late, at most, as far as was seen. Danger: on a busy machine a time
-// that is over says nothing of the proxy.
+// lateness is how late this machine wakes a sleeper, at most, as far as was seen: on a busy machine a deadline that has
+// passed says nothing of the proxy.
 type lateness struct{ worst atomic.Int64 }
 
 func watchLateness(t *testing.T) *lateness {
@@ -63,13 +63,13 @@
 	return l
 }
 
-// most is a bound and what the machine may add where some twenty wake-ups follow each other.
+// most returns a bound with what the machine may add where some twenty wake-ups follow each other.
 func (l *lateness) most(bound time.Duration) time.Duration {
 	return bound + 20*time.Duration(l.worst.Load())
 }
 
-// open starts the station where nobody has known it. The lock must be held.
-func (s *station) open(t *testing.T) {
+// open starts the backend at an address that was not used before. The lock must be held.
+func (s *churningBackend) open(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Error(err)
@@ -80,14 +80,14 @@
 }
 
 // kill ends the process: its connections are reset. The lock must be held.
-func (s *station) kill() {
+func (s *churningBackend) kill() {
 	_ = s.listener.Close()
 	for c := range s.conns {
 		_ = c.Close()
 	}
 }
 
-func (s *station) serve(_ int, c net.Conn, in *bufio.Reader) {
+func (s *churningBackend) serve(_ int, c net.Conn, in *bufio.Reader) {
 	s.mu.Lock()
 	s.conns[c] = true
 	s.mu.Unlock()
@@ -97,13 +97,14 @@
 			return
 		}
 		if req.URL.Path == "/ping" {
-			say(c, served)
+			writeText(c, served)
 			continue
 		}
 		s.mu.Lock()
 		s.reached++
 		if !s.away.IsZero() && time.Since(s.away) > s.machine.most(long) {
-			s.late = append(s.late, fmt.Sprintf("%s got %s %v after it was listed as %s", s.name, req.Header.Get("X-Request-ID"), time.Since(s.away), s.state))
+			s.late = append(s.late, fmt.Sprintf("%s got %s %v after it was listed as %s", s.name,
+				req.Header.Get("X-Request-ID"), time.Since(s.away), s.state))
 		}
 		does := s.rng.IntN(16)
 		if s.tame {
@@ -115,15 +116,15 @@
 		s.mu.Unlock()
 		switch does {
 		case 0:
-			say(c, "HTTP/1.1 503 Busy\nX-Not-Processed: 1\nContent-Length: 0\n\n")
+			writeText(c, "HTTP/1.1 503 Busy\nX-Not-Processed: 1\nContent-Length: 0\n\n")
 			continue
 		case 1:
-			say(c, "HTTP/1.1 500 Error\nContent-Length: 0\n\n")
+			writeText(c, "HTTP/1.1 500 Error\nContent-Length: 0\n\n")
 			continue
 		case 2:
 			return
 		case 3:
-			say(c, "HTTP/1.1 200 OK\nContent-Length: 40\n\nfi")
+			writeText(c, "HTTP/1.1 200 OK\nContent-Length: 40\n\nfi")
 			return
 		case 4:
 			time.Sleep(30 * time.Millisecond)
@@ -131,18 +132,18 @@
 			_, _ = in.Peek(1) // nothing comes of it
 			return
 		}
-		say(c, served)
+		writeText(c, served)
 	}
 }
 
-// Under load the list changes all the time, in every way; each request gets one whole answer in time, what may not run
-// twice does not, and a server that is listed as leaving or gone is left alone.
-func TestListChangesUnderLoad(t *testing.T) {
+// While the endpoint list changes in every way under load, each request gets one whole response in time, a request that
+// is not idempotent runs once at most, and a draining or removed backend gets no new one.
+func TestEndpointListChangesUnderLoad(t *testing.T) {
 	const span, clients = 3500 * time.Millisecond, 12
 	w := &churn{machine: watchLateness(t), rng: rand.New(rand.NewPCG(1, 2)), ran: map[string]int{}}
-	var stations []*station
+	var stations []*churningBackend
 	for i := range 5 {
-		s := &station{churn: w, name: fmt.Sprint("s", i), state: "active"}
+		s := &churningBackend{churn: w, name: fmt.Sprint("s", i), state: "active"}
 		s.open(t)
 		stations = append(stations, s)
 	}
@@ -153,7 +154,7 @@
 			s.kill()
 		}
 	}()
-	entry := func(s *station) string { return memberText(s.name, s.addr, s.state) }
+	entry := func(s *churningBackend) string { return memberText(s.name, s.addr, s.state) }
 	all := func() (list []string) {
 		for _, s := range stations {
 			if s.state != "left" {
@@ -239,7 +240,7 @@
 			for time.Now().Before(end) {
 				class, timeout := []string{"fetch-work", "hand-in"}[rng.IntN(2)], 100+rng.IntN(900)
 				began := time.Now()
-				resp, body, err := p.ask(t, class, timeout, []string{"", "body"}[rng.IntN(2)])
+				resp, body, err := p.request(t, class, timeout, []string{"", "body"}[rng.IntN(2)])
 				took := time.Since(began)
 				if err != nil {
 					t.Errorf("client %d: no whole answer: %v", n, err)
@@ -273,7 +274,7 @@
 	}
 	w.mu.Unlock()
 	for try := 0; ; try++ { // once all is well, all is served
-		resp, _, err := p.ask(t, "fetch-work", 2000, "")
+		resp, _, err := p.request(t, "fetch-work", 2000, "")
 		if err == nil && resp.StatusCode == 200 {
 			break
 		}
@@ -284,9 +285,9 @@
 	}
 }
 
-// A process that had no processor for a moment finds the time of an idle connection up and a request in it at once: the
-// request goes first. Without one the time holds, and in the midst of a request it always does.
-func TestARequestThatCameInTimeGoesBeforeTheIdleTimeOut(t *testing.T) {
+// A process that was not scheduled sees the idle timeout and a request at once: the request is served. Without a
+// request the timeout holds, and within one it always does.
+func TestRequestInTimeWinsOverIdleTimeout(t *testing.T) {
 	for name, k := range map[string]struct{ sent, waiting, fresh, read bool }{
 		"between requests":       {true, true, false, true},
 		"before the first":       {true, false, true, true},
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// heldUp is a socket whose reader loses the processor between taking bytes out and telling of them.
-type heldUp struct {
+// gatedConn is a socket whose reader is stopped between reading bytes and recording them.
+type gatedConn struct {
 	*net.TCPConn
 	taken, goOn chan struct{}
 }
 
-func (h heldUp) stop() {
+func (h gatedConn) stop() {
 	h.taken <- struct{}{}
 	<-h.goOn
 }
 
-func (h heldUp) Read(p []byte) (int, error) {
+func (h gatedConn) Read(p []byte) (int, error) {
 	n, err := h.TCPConn.Read(p)
 	h.stop()
 	return n, err
 }
 
-func (h heldUp) SyscallConn() (syscall.RawConn, error) {
+func (h gatedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := h.TCPConn.SyscallConn()
-	return heldUpRaw{raw, h}, err
+	return gatedRawConn{raw, h}, err
 }
 
-type heldUpRaw struct {
+type gatedRawConn struct {
 	syscall.RawConn
-	h heldUp
+	h gatedConn
 }
 
-func (r heldUpRaw) Read(f func(fd uintptr) bool) error {
+func (r gatedRawConn) Read(f func(fd uintptr) bool) error {
 	err := r.RawConn.Read(f)
 	r.h.stop()
 	return err
 }
 
-// A request that has come in time is not taken for silence while the one who reads it is held up.
-func TestARequestBeingReadIsNoSilence(t *testing.T) {
+// A request that has come in time does not count as silence while its reader is stopped.
+func TestRequestBeingReadIsNotIdle(t *testing.T) {
 	long := time.Now().Add(-time.Hour)
 	for name, x := range map[string]struct {
 		fresh bool
@@ -57,7 +57,7 @@
 		t.Run(name, func(t *testing.T) {
 			client, c := clientPair(t, newClientConns(4))
 			defer func() { _ = c.Close() }()
-			h := heldUp{c.Conn.(*net.TCPConn), make(chan struct{}), make(chan struct{})}
+			h := gatedConn{c.Conn.(*net.TCPConn), make(chan struct{}), make(chan struct{})}
 			c.Conn, c.unused, c.idle, c.stateSince = h, x.fresh, !x.fresh, long
 			const text = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 			if _, err := client.Write([]byte(text)); err != nil {
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -16,8 +16,8 @@
 	"lapisspread/decision"
 )
 
-// changed is the text of a good configuration with something replaced in it.
-func changed(t *testing.T, from, to string) string {
+// editedConfig returns a valid configuration with a part replaced.
+func editedConfig(t *testing.T, from, to string) string {
 	t.Helper()
 	text := string(configText("null"))
 	if !strings.Contains(text, from) {
@@ -26,8 +26,8 @@
 	return strings.Replace(text, from, to, 1)
 }
 
-// load reads a configuration as the start does.
-func load(t *testing.T, text string, env ...string) (Config, string, error) {
+// loadConfigText loads a configuration as at the start.
+func loadConfigText(t *testing.T, text string, env ...string) (Config, string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -41,8 +41,8 @@
 	return c, path, err
 }
 
-// What can't be served is refused at the start and at a reload, with the file, the field's path in it and the reason.
-func TestWhatCantBeServedIsRefusedByFileAndField(t *testing.T) {
+// An invalid configuration is rejected at the start and at a reload, with the file, the field's path and the reason.
+func TestInvalidConfigNamesFileAndField(t *testing.T) {
 	for _, c := range []struct{ from, to, field, reason string }{
 		{`{"name"`, `{"name`, "", "invalid"},
 		{`"127.0.0.1:0"`, `""`, "listen", "must be given"},
@@ -70,15 +70,17 @@
 		{`"DrainGrace":250.0`, `"DrainGrace":-250.0`, "settings.Obligations.DrainGrace", "negative"},
 		{`"Cold":23000.0`, `"Cold":1e300`, "settings.Obligations.Cold", "not a span"},
 		{`"Effect":"fragile"`, `"Effect":"brittle"`, "settings.Services.1.Effect", "one of fragile"},
-		{`"Effect":"fragile","Group":"all"`, `"Effect":"dedup","Group":"half"`, "settings.Services.1.Group", "one of cell"},
+		{`"Effect":"fragile","Group":"all"`, `"Effect":"dedup","Group":"half"`, "settings.Services.1.Group",
+			"one of cell"},
 		{`"hand-in","Aim":8000.0`, `"hand-in","Aim":0`, "settings.Services.1.Aim", "above 0"},
 		{`"GiveUp":20000.0,"Effect":"fragile"`, `"Effect":"fragile"`, "settings.Services.1.GiveUp", "above 0"},
 		{`"hand-in"`, `"fetch-work"`, "settings.Services.1.Name", `"fetch-work" is the name of Services.0 too`},
 	} {
-		text := changed(t, c.from, c.to)
-		_, path, err := load(t, text)
+		text := editedConfig(t, c.from, c.to)
+		_, path, err := loadConfigText(t, text)
 		bad := (*ConfigError)(nil)
-		if !errors.As(err, &bad) || bad.File != path || bad.Field != c.field || !strings.Contains(bad.Err.Error(), c.reason) {
+		if !errors.As(err, &bad) || bad.File != path || bad.Field != c.field || !strings.Contains(bad.Err.Error(),
+			c.reason) {
 			t.Errorf("%s: error %v, want one for %s: %s", c.to, err, c.field, c.reason)
 		}
 		if err != nil && (!strings.Contains(err.Error(), path+": "+c.field) || strings.Contains(err.Error(), "\n")) {
@@ -91,13 +93,14 @@
 			t.Errorf("%s: taken at a reload", c.to)
 		}
 	}
-	if _, _, err := load(t, changed(t, `"127.0.0.1:0"`, `""`), "BALANCER_PASSED_SOCKET", "3"); err != nil {
+	if _, _, err := loadConfigText(t, editedConfig(t, `"127.0.0.1:0"`, `""`), "BALANCER_PASSED_SOCKET",
+		"3"); err != nil {
 		t.Errorf("where the socket is passed no address is needed: %v", err)
 	}
 }
 
-// A refusal to start fails a whole day: what can be served is. Keys that are new, absent or told oddly are no reason.
-func TestWhatCanBeServedIs(t *testing.T) {
+// Unknown, missing and oddly written keys are no reason to reject a configuration.
+func TestUnusualConfigIsServed(t *testing.T) {
 	for _, c := range []struct{ from, to string }{
 		{`"WorthBy":"work"`, `"WorthBy":"mood","Brand":{"New":[1,{"a":null}],"":5,"a=b":1,"x\ny":2},"Kinds.0":3`},
 		{`"WorthBy":"work",`, ``},
@@ -127,7 +130,7 @@
 		{`"known":null`, `"known":{"generation":1,"instances":[{}]}`},
 		{`"known":null,`, ``},
 	} {
-		cfg, _, err := load(t, changed(t, c.from, c.to))
+		cfg, _, err := loadConfigText(t, editedConfig(t, c.from, c.to))
 		if err != nil {
 			t.Errorf("%s: refused: %v", c.to, err)
 			continue
@@ -141,9 +144,10 @@
 	}
 }
 
-// A tree of settings of which each part may be missing, of another kind, or extreme, is refused by field or can be served.
-func TestDrawnSettingsAreServedOrRefusedByField(t *testing.T) {
-	odd := []any{nil, true, "", "words, and more", -1, 0, 1e-9, 0.5, 1e9, 1e300, []any{}, []any{1, "a"}, []any{map[string]any{"Name": "a"}}, map[string]any{"Name": "b"}}
+// Settings of which each part may be missing, of another type or extreme are either rejected by field or served.
+func TestRandomSettingsAreServedOrRejectedByField(t *testing.T) {
+	odd := []any{nil, true, "", "words, and more", -1, 0, 1e-9, 0.5, 1e9, 1e300, []any{}, []any{1, "a"},
+		[]any{map[string]any{"Name": "a"}}, map[string]any{"Name": "b"}}
 	served := 0
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 27))
@@ -181,7 +185,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg, err := parseConfig(fmt.Appendf(nil, `{"name":"n0","seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, text))
+		cfg, err := parseConfig(fmt.Appendf(nil,
+			`{"name":"n0","seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, text))
 		if err != nil {
 			if bad := (*ConfigError)(nil); !errors.As(err, &bad) || !strings.HasPrefix(bad.Field, "settings") {
 				t.Errorf("seed %d: no field: %v", seed, err)
@@ -195,7 +200,8 @@
 		if _, err := newGate(&cfg.Decision); err != nil {
 			t.Errorf("seed %d: taken, and can't share: %v\n%s", seed, err, text)
 		}
-		if n := len(cfg.Decision.Classes); n != len(cfg.Names.Classes) || len(cfg.Decision.Tenants) > len(cfg.Names.Tenants) {
+		if n := len(cfg.Decision.Classes); n != len(cfg.Names.Classes) ||
+			len(cfg.Decision.Tenants) > len(cfg.Names.Tenants) {
 			t.Errorf("seed %d: %d classes and %d tenants, of names %q", seed, n, len(cfg.Decision.Tenants), cfg.Names)
 		}
 	}
@@ -204,8 +210,9 @@
 	}
 }
 
-// Names that differ by a space or a comma only are two: one may be repeated, the other must never run twice.
-func TestNamesThatDifferByASpaceAreTwo(t *testing.T) {
+// Class names that differ by a space or a comma only are two classes: one may be retried, the other must never run
+// twice.
+func TestNamesDifferingByASpaceAreDistinct(t *testing.T) {
 	text := strings.NewReplacer(`"fetch-work"`, `"close trip"`, `"hand-in"`, `"close_trip"`, `"Tenants":[]`,
 		`"Tenants":[{"Name":"a,b","Share":0.5},{"Name":"a_b","Share":0.4},{"Name":"c d","Share":0.1}]`).Replace(string(configText("null")))
 	cfg, err := parseConfig([]byte(text))
@@ -215,7 +222,11 @@
 	known := List{Version: 1, Full: true}
 	cfg.InitialEndpoints, cfg.Discovery = known, "127.0.0.1:1"
 	c := newCatalog(t)
-	p := startProxy(t, listText(1, true), c, func(to *Config) { cfg.Discovery, cfg.timing = to.Discovery, to.timing; *to = cfg })
+	p := startProxy(t, listText(1, true), c, func(to *Config) {
+		cfg.Discovery, cfg.timing = to.Discovery,
+			to.timing
+		*to = cfg
+	})
 	within(t, c.queries, "no watch")
 	svc := p.proxy.services.current.Load().only
 	for name, want := range map[string]int{"close trip": 0, "close_trip": 1, "close,trip": 1} {
@@ -233,29 +244,31 @@
 	}
 }
 
-// A list that can't be read is no reason not to serve: discovery is asked, and what it says is served.
-func TestABadKnownListIsServedWithout(t *testing.T) {
+// The proxy serves without an invalid initial list, and fetches the list from discovery.
+func TestInvalidInitialListIsIgnored(t *testing.T) {
 	got := make(chan *http.Request, 8)
 	c := newCatalog(t)
-	p := startProxy(t, `{"generation":7,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"active"},{}]}`, c, nil)
+	p := startProxy(t,
+		`{"generation":7,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"active"},{}]}`, c, nil)
 	if q := within(t, c.queries, "discovery is not asked"); strings.HasPrefix(q, "from=7&") {
 		t.Errorf("asked for %q, as if the list that can't be read were known", q)
 	}
 	c.lists <- listText(8, true, memberText("a", countingBackend(t, got), "active"))
 	within(t, c.queries, "no watch after the list")
-	mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 	if !strings.Contains(p.logs.String(), "the list that the configuration knows can't be read") {
 		t.Errorf("the log says nothing of it:\n%s", p.logs.String())
 	}
-	if cfg, err := parseConfig(configText(`{"generation":1,"instances":[{}]}`)); err != nil || cfg.InitialEndpointsError == nil || len(cfg.InitialEndpoints.Endpoints) > 0 {
+	if cfg, err := parseConfig(configText(`{"generation":1,"instances":[{}]}`)); err != nil ||
+		cfg.InitialEndpointsError == nil || len(cfg.InitialEndpoints.Endpoints) > 0 {
 		t.Errorf("known %+v, bad %v, error %v", cfg.InitialEndpoints, cfg.InitialEndpointsError, err)
 	}
 }
 
-// The calls for the list come in time whatever the settings say of how old an answer may grow.
-func TestThePaceOfCallsStaysWithinBounds(t *testing.T) {
+// Calls for the endpoint list come in time for every configured age of an answer.
+func TestDiscoveryTimingStaysWithinBounds(t *testing.T) {
 	for _, every := range []string{"0", "1", "1e12"} {
-		cfg, err := parseConfig([]byte(changed(t, `"AskEvery":10000.0`, `"AskEvery":`+every)))
+		cfg, err := parseConfig([]byte(editedConfig(t, `"AskEvery":10000.0`, `"AskEvery":`+every)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/conformance_test.go
+++ b/internal/proxy/conformance_test.go
@@ -24,7 +24,8 @@
 		Start: func(t *testing.T, e *engine.Engine) enginetest.Client {
 			cfg := Config{MemoryMB: 64, Sockets: 1024, Decision: enginetest.Config()}
 			svcs := newServices(New(cfg, slog.New(slog.DiscardHandler)))
-			only := &service{engine: e, clock: e.Clock(), module: cfg.Decision, classes: map[string]int{"safe": 0, "unsafe": 1},
+			only := &service{engine: e, clock: e.Clock(), module: cfg.Decision, classes: map[string]int{"safe": 0,
+				"unsafe": 1},
 				counters: metrics.New([]string{"safe", "unsafe"})}
 			svcs.current.Store(&routingState{only: only, byName: map[string]*service{"": only}})
 			f := newFrontend(svcs, &cfg, slog.New(slog.DiscardHandler), newClientConns(512))
@@ -35,11 +36,13 @@
 			go func() { _ = f.serve(l) }()
 			t.Cleanup(func() { _ = f.server.Close() })
 			return func(ctx context.Context, id, class string, timeout time.Duration) (engine.Outcome, []byte, error) {
-				req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr().String()+"/api", strings.NewReader("body"))
+				req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr().String()+"/api",
+					strings.NewReader("body"))
 				if err != nil {
 					return 0, nil, err
 				}
-				req.Header = http.Header{"X-Request-Id": {id}, "X-Priority-Class": {class}, "X-Timeout-Ms": {fmt.Sprint(timeout.Milliseconds())}}
+				req.Header = http.Header{"X-Request-Id": {id}, "X-Priority-Class": {class},
+					"X-Timeout-Ms": {fmt.Sprint(timeout.Milliseconds())}}
 				client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 				resp, err := client.Do(req)
 				if err != nil {
@@ -67,9 +70,10 @@
 
 func TestHTTPUpstreamConforms(t *testing.T) {
 	answers := map[enginetest.Behaviour]string{
-		enginetest.Serves:               "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answer",
-		enginetest.ServesSlowly:         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answer",
-		enginetest.SendsTrailingBytes:   "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answerHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
+		enginetest.Serves:       "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answer",
+		enginetest.ServesSlowly: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answer",
+		enginetest.SendsTrailingBytes: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answerHTTP/1.1 200 " +
+			"OK\r\nContent-Length: 1\r\n\r\nx",
 		enginetest.ReturnsErrors:        "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n",
 		enginetest.RejectsRequests:      "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
 		enginetest.ClosesDuringResponse: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe",
@@ -88,7 +92,8 @@
 			go serveRaw(l, func(_ int, c net.Conn, in *bufio.Reader) { behave(c, in, b, answers[b]) })
 			p := newPool(64, 2*time.Second, time.Minute)
 			t.Cleanup(func() { p.Update(List{Full: true}) })
-			return p, List{Version: 1, Full: true, Endpoints: []Member{{ID: "a", Addr: l.Addr().String(), State: decision.Ready}}}
+			return p, List{Version: 1, Full: true, Endpoints: []Member{{ID: "a", Addr: l.Addr().String(),
+				State: decision.Ready}}}
 		},
 		Message: func() engine.Message { return testMessage("POST", []byte("body")) },
 		Body: func(answer any) []byte {
@@ -98,7 +103,7 @@
 	}.Test(t)
 }
 
-// behave is a server's side of a connection.
+// behave is a backend's side of a connection.
 func behave(c net.Conn, in *bufio.Reader, b enginetest.Behaviour, answer string) {
 	for {
 		req, err := http.ReadRequest(in)
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -16,14 +16,14 @@
 	"lapisspread/internal/proxy/rawsocket"
 )
 
-// hookedConn is a connection to a backend that has a test act at a point in an attempt's way.
+// hookedConn is a connection to a backend that calls the test at a point of an attempt.
 type hookedConn struct {
 	*net.TCPConn
 	chosen func()    // for an attempt, of which nothing is written yet
 	came   func(int) // so many bytes were read, and are not yet handed over
 }
 
-// RemoteAddr is asked once for each attempt, between the choice of the connection and the first byte.
+// RemoteAddr is called once for each attempt, between the choice of the connection and the first byte.
 func (c *hookedConn) RemoteAddr() net.Addr {
 	if c.chosen != nil {
 		c.chosen()
@@ -39,8 +39,8 @@
 	return n, err
 }
 
-// hooked is a pool whose connections pass through with, in the order in which they come up.
-func hooked(t *testing.T, addr string, with func(n int, c *hookedConn)) (*pool, *backend) {
+// hookedPool returns a pool whose connections pass through with, in the order in which they are made.
+func hookedPool(t *testing.T, addr string, with func(n int, c *hookedConn)) (*pool, *backend) {
 	t.Helper()
 	p, b := testPool(t, addr)
 	dial, n := p.dialer, 0
@@ -57,8 +57,8 @@
 	return p, b
 }
 
-// untilNoted waits until something stands to be read on a connection, or its end.
-func untilNoted(t *testing.T, c net.Conn) {
+// waitUntilSeen waits until bytes or the peer's close have arrived on a connection.
+func waitUntilSeen(t *testing.T, c net.Conn) {
 	for start := time.Now(); rawsocket.Silent(c); time.Sleep(time.Millisecond) {
 		if time.Since(start) > patience {
 			t.Error("what came was not noticed")
@@ -67,18 +67,19 @@
 	}
 }
 
-// testUpload is a long body that has come whole.
+// testUpload returns a long body that is complete.
 func testUpload() *upload {
-	return &upload{prefix: make([]byte, maxBufferedBody), length: maxBufferedBody + 4, startedAt: time.Now(), remainder: strings.NewReader("rest"),
+	return &upload{prefix: make([]byte, maxBufferedBody), length: maxBufferedBody + 4, startedAt: time.Now(),
+		remainder:       strings.NewReader("rest"),
 		setReadDeadline: func(time.Time) error { return nil }, onComplete: func() {}, failed: make(chan error, 1)}
 }
 
-// What comes on an idle connection after it was chosen for a request, and before the request's first byte, is no answer
-// to it; nor is the connection's end a break. Nothing was written, so also what may not be repeated goes out on another one.
-func TestWhatComesAsAConnectionIsTakenIsNoAnswer(t *testing.T) {
+// Bytes that arrive on an idle connection between its choice and the request's first byte are no response, and its
+// close is no failure: nothing was sent, so another connection is used even for a request that is not idempotent.
+func TestBytesArrivingAsConnectionIsTakenAreNoResponse(t *testing.T) {
 	for name, act := range map[string]func(net.Conn){
-		"a second answer":   func(c net.Conn) { say(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong") },
-		"an error":          func(c net.Conn) { say(c, "HTTP/1.1 500 Oh\nContent-Length: 0\n\n") },
+		"a second answer":   func(c net.Conn) { writeText(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong") },
+		"an error":          func(c net.Conn) { writeText(c, "HTTP/1.1 500 Oh\nContent-Length: 0\n\n") },
 		"half a line":       func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 2") },
 		"the close":         func(c net.Conn) { _ = c.Close() },
 		"a reset":           func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
@@ -90,20 +91,20 @@
 				cross, reuse := make(chan bool, 1), false
 				var requests [2]atomic.Int32
 				addr := rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
-					for i := 0; readWhole(in); i++ {
+					for i := 0; readRequest(in); i++ {
 						requests[min(n, 1)].Add(1)
-						say(c, served)
+						writeText(c, served)
 						if n == 0 && i == 0 {
 							<-cross
 							act(c)
 						}
 					}
 				})
-				p, b := hooked(t, addr, func(n int, c *hookedConn) {
+				p, b := hookedPool(t, addr, func(n int, c *hookedConn) {
 					c.chosen = func() {
 						if n == 0 && reuse {
 							cross <- true
-							untilNoted(t, c)
+							waitUntilSeen(t, c)
 						}
 					}
 				})
@@ -129,8 +130,9 @@
 	}
 }
 
-// Who has left gets nothing sent: not on a connection that comes up late, and not on an idle one chosen just then.
-func TestNothingIsWrittenForWhoHasLeft(t *testing.T) {
+// Nothing is sent for a client that has left, neither on a connection that comes up late nor on an idle one taken just
+// then.
+func TestNothingIsSentForClientThatLeft(t *testing.T) {
 	for _, idle := range []bool{false, true} {
 		name := map[bool]string{false: "late connection", true: "idle connection"}[idle]
 		t.Run(name, func(t *testing.T) {
@@ -144,12 +146,12 @@
 							return
 						}
 						got <- req.URL.Path
-						say(c, served)
+						writeText(c, served)
 					}
 				})
 				ctx, leave := context.WithCancel(t.Context())
 				now := !idle
-				p, b := hooked(t, addr, func(_ int, c *hookedConn) {
+				p, b := hookedPool(t, addr, func(_ int, c *hookedConn) {
 					if now {
 						leave() // after it has come up
 					}
@@ -180,8 +182,8 @@
 	}
 }
 
-// A connection that comes up long after its client left is closed with no byte written and no longer counted.
-func TestALateConnectionIsLetGo(t *testing.T) {
+// A connection that comes up after its client left is closed without a byte, and is not counted any more.
+func TestLateConnectionIsNotUsed(t *testing.T) {
 	got := make(chan int, 1)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, _ *bufio.Reader) {
 		n, _ := c.Read(make([]byte, 1))
@@ -213,8 +215,8 @@
 	}
 }
 
-// A change of the list that comes between the choice of an idle connection and the request's first byte takes effect.
-func TestAChangeBetweenChoiceAndSend(t *testing.T) {
+// A change of the endpoint list between the choice of an idle connection and the request's first byte takes effect.
+func TestBackendChangeBetweenChoiceAndSend(t *testing.T) {
 	for name, c := range map[string]struct {
 		state decision.BackendState
 		moved bool
@@ -228,9 +230,9 @@
 			var old, other atomic.Int32
 			count := func(requests *atomic.Int32) string {
 				return rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-					for readWhole(in) {
+					for readRequest(in) {
 						requests.Add(1)
-						say(c, served)
+						writeText(c, served)
 					}
 				})
 			}
@@ -238,7 +240,7 @@
 			elsewhere := count(&other)
 			var p *pool
 			reuse := false
-			p, b := hooked(t, member.Addr, func(n int, h *hookedConn) {
+			p, b := hookedPool(t, member.Addr, func(n int, h *hookedConn) {
 				h.chosen = func() {
 					if n == 0 && reuse {
 						p.Update(List{Endpoints: []Member{member}})
@@ -265,9 +267,9 @@
 	}
 }
 
-// An attempt that is given up in the moment in which its answer's last byte has come ends one way or the other; its
-// connection, on which the time-out stands, carries nothing more.
-func TestGivenUpAtTheLastByte(t *testing.T) {
+// An attempt that is cancelled just as the response's last byte arrives ends in either way, but its connection, on
+// which a deadline is set, is not reused.
+func TestCancelAtLastByte(t *testing.T) {
 	for name, long := range map[string]bool{"held whole": false, "passed on": true} {
 		t.Run(name, func(t *testing.T) {
 			text := served
@@ -276,12 +278,12 @@
 			}
 			for range 20 { // a long one's two ends come out in any order
 				addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-					for readWhole(in) {
-						say(c, text)
+					for readRequest(in) {
+						writeText(c, text)
 					}
 				})
 				ctx, giveUp := context.WithCancel(t.Context())
-				p, b := hooked(t, addr, func(_ int, c *hookedConn) {
+				p, b := hookedPool(t, addr, func(_ int, c *hookedConn) {
 					c.came = func(n int) {
 						if n > 0 && !long {
 							giveUp()
@@ -306,8 +308,8 @@
 	}
 }
 
-// A probe that was given up, its answer on the way, leaves nothing behind for the request that comes next.
-func TestALateProbeAnswerIsNobodys(t *testing.T) {
+// A cancelled health check with its response on the way does not affect the next request.
+func TestLateHealthCheckResponseIsDiscarded(t *testing.T) {
 	came, late := make(chan bool, 1), make(chan bool)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for {
@@ -318,11 +320,11 @@
 			if req.URL.Path == "/ping" {
 				came <- true
 				<-late
-				say(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong")
+				writeText(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong")
 				continue
 			}
 			_, _ = io.Copy(io.Discard, req.Body)
-			say(c, served)
+			writeText(c, served)
 		}
 	}))
 	if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK {
@@ -337,7 +339,8 @@
 		t.Fatalf("the probe: result %v", result)
 	}
 	close(late)
-	if result, body := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK || string(body) != "fine" {
+	if result, body := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK ||
+		string(body) != "fine" {
 		t.Errorf("result %v, body %q", result, body)
 	}
 	if p.open != 1 {
@@ -345,14 +348,14 @@
 	}
 }
 
-// A server restarted at its address has reset its idle connections: nothing of its old life is used, and what may not be
-// repeated goes out once, to the new one. What was out in the old life ends as a reset.
-func TestARestartAtTheSameAddress(t *testing.T) {
+// A backend that restarts at its address resets its idle connections: none of them is reused, and a request that is not
+// idempotent is sent once, to the new process. A request in flight ends as a reset.
+func TestBackendRestartAtSameAddress(t *testing.T) {
 	came, die := make(chan bool), make(chan bool)
 	var requests atomic.Int32
 	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
 		defer func() { _ = c.(*net.TCPConn).SetLinger(0) }()
-		for i := 0; readWhole(in); i++ {
+		for i := 0; readRequest(in); i++ {
 			requests.Add(1)
 			if n == 1 || n == 2 {
 				came <- true
@@ -361,7 +364,7 @@
 					return // with an attempt out
 				}
 			}
-			say(c, served)
+			writeText(c, served)
 			if n == 0 || n == 2 {
 				<-die // while it is idle
 				return
@@ -387,7 +390,7 @@
 	if result := within(t, out, "no end"); result != decision.Reset {
 		t.Errorf("what was out: result %v, want Reset", result)
 	}
-	untilNoted(t, idle.Conn)
+	waitUntilSeen(t, idle.Conn)
 	before := requests.Load()
 	go func() { out <- send() }()
 	within(t, came, "no request came to the new life")
@@ -399,10 +402,11 @@
 	}
 }
 
-// However long the settings let a connection stand idle, none is taken that has stood for longer than a half of that, and
-// one that broke lowers the limit for a while, never for good.
-func TestIdleLimitsOfManySettings(t *testing.T) {
-	for _, told := range []time.Duration{0, time.Millisecond, 100 * time.Millisecond, time.Second, 10 * time.Second, time.Hour} {
+// For every configured idle timeout a connection is reused within half of it only, and one that broke lowers the limit
+// for a while, never for good.
+func TestReuseLimitsOfManySettings(t *testing.T) {
+	for _, told := range []time.Duration{0, time.Millisecond, 100 * time.Millisecond, time.Second, 10 * time.Second,
+		time.Hour} {
 		t.Run(told.String(), func(t *testing.T) {
 			p := newPool(16, patience, told)
 			b := &backend{}
@@ -432,7 +436,8 @@
 			}
 			for _, age := range []time.Duration{0, told / 4, told / 2, 2 * told} {
 				p.noteBrokenIdleConn(age)
-				if p.reuseLimit > told/idleTimeoutDivisor || age > minIdleLimit*idleLimitDivisor && p.reuseLimit > max(age/idleLimitDivisor, minIdleLimit) {
+				if p.reuseLimit > told/idleTimeoutDivisor || age > minIdleLimit*idleLimitDivisor &&
+					p.reuseLimit > max(age/idleLimitDivisor, minIdleLimit) {
 					t.Errorf("one broke at the age of %v: the limit is %v", age, p.reuseLimit)
 				}
 			}
@@ -444,9 +449,9 @@
 	}
 }
 
-// What closes idle connections, for their age, for want of a socket or by the module's word, does not reach one that was
-// just chosen; and one on which bytes come as it is closed is nobody's.
-func TestWhatIsChosenIsNotClosed(t *testing.T) {
+// Closing idle connections, for their age, for lack of sockets or by the engine's order, does not affect one that was
+// just taken; and one on which bytes arrive as it is closed is not reused.
+func TestTakenConnectionIsNotClosed(t *testing.T) {
 	for name, act := range map[string]func(*pool){
 		"retire":  func(p *pool) { p.closeExpired(time.Now().Add(2 * p.idleTimeout)) },
 		"release": func(p *pool) { p.Release(backendID("a")) },
@@ -464,10 +469,10 @@
 			var conns atomic.Int32
 			var p *pool
 			reuse := false
-			p, b := hooked(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
+			p, b := hookedPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 				conns.Add(1)
-				for readWhole(in) {
-					say(c, served)
+				for readRequest(in) {
+					writeText(c, served)
 				}
 			}), func(_ int, c *hookedConn) {
 				c.chosen = func() {
@@ -494,9 +499,9 @@
 	}
 }
 
-// A client leaves while its first attempt's connection is being made. It comes up all the same, late: nothing is written to
-// it, and nothing of it remains.
-func TestAClientThatLeavesDuringTheDial(t *testing.T) {
+// A client leaves while its first attempt connects. The connection comes up late: nothing is sent on it, and nothing of
+// it remains.
+func TestClientLeavesDuringDial(t *testing.T) {
 	got := make(chan int, 1)
 	addr := rawBackend(t, func(_ int, c net.Conn, _ *bufio.Reader) {
 		n, _ := c.Read(make([]byte, 1))
@@ -524,7 +529,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: leaves\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 60000\r\nContent-Length: 0\r\n\r\n")
+	_, _ = io.WriteString(c,
+		"POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: leaves\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: "+
+			"60000\r\nContent-Length: 0\r\n\r\n")
 	within(t, dialing, "nothing was dialled")
 	_ = c.Close()
 	if !within(t, given, "the attempt was not given up") {
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -12,7 +12,7 @@
 	"lapisspread/internal/listener"
 )
 
-// narrow is a listener whose process has descriptors for so many clients.
+// narrow is a listener of a process with descriptors for only so many clients.
 type narrow struct {
 	net.Listener
 	conns *clientConns
@@ -29,9 +29,9 @@
 	return n.Listener.Accept()
 }
 
-// Where descriptors run out before the places do, idle clients make place for those that come, and nobody that comes is
-// closed.
-func TestIdleClientsMakePlaceWhereDescriptorsRunOut(t *testing.T) {
+// Where descriptors run out before the configured limit, idle clients are evicted for new ones, and no new one is
+// rejected.
+func TestIdleClientsAreEvictedWhenDescriptorsRunOut(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -64,8 +64,9 @@
 	}
 }
 
-// In an upgrade two processes share the descriptors: idle clients fill half of the places in each, those in use all of them.
-func TestIdleClientsKeepToHalfOfThePlacesInAnUpgrade(t *testing.T) {
+// During a hot restart two processes share the descriptors: idle clients fill half of the places of each, clients in
+// use all of them.
+func TestIdleClientsKeepToHalfDuringHotRestart(t *testing.T) {
 	conns := newClientConns(8)
 	begin := func(client net.Conn, c *clientConn) {
 		t.Helper()
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -41,7 +41,7 @@
 file = "effects.db"
 `
 
-// freeAddr is an address that nobody listens at, nor connects from.
+// freeAddr returns an address that nobody listens at or connects from.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := loopbackaddr.Addr()
@@ -51,7 +51,7 @@
 	return addr
 }
 
-// diameterStage is a stage that speaks Diameter too, and a client of it.
+// diameterStage starts a stage that speaks Diameter too, and returns a client of it.
 func diameterStage(t *testing.T, services string, change func(*Config)) (*stage, *diameterpeer.Client) {
 	t.Helper()
 	dir, addr := t.TempDir(), freeAddr(t)
@@ -69,7 +69,8 @@
 }
 
 func diameterClient(t *testing.T, addr string, action uint32) *diameterpeer.Client {
-	c := &diameterpeer.Client{Host: "claims.partner.example", Realm: "partner.example", To: "pay.example.org", Action: action, GiveUp: 3 * time.Second,
+	c := &diameterpeer.Client{Host: "claims.partner.example", Realm: "partner.example", To: "pay.example.org",
+		Action: action, GiveUp: 3 * time.Second,
 		Tries: 1000, Rest: 20 * time.Millisecond, Dial: func(ctx context.Context) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "tcp", addr)
 		}}
@@ -77,7 +78,7 @@
 	return c
 }
 
-// A Diameter client reaches HTTP servers, by the routes; what a server has begun and never ends may have run.
+// Diameter requests reach HTTP servers by the routes; a request that a server never answers may have run.
 func TestDiameterClientsReachHTTPServers(t *testing.T) {
 	s, client := diameterStage(t, twoServices, nil)
 	for range 3 {
@@ -89,7 +90,8 @@
 		t.Errorf("asked for %v", path)
 	}
 	s.stall["slow-5"].Store(60_000)
-	if o := client.Claim(t.Context(), 1); o.Code != diameter.UnableToComply || o.Tries != 1 { // in time: the client gives up once
+	// in time: the client gives up once
+	if o := client.Claim(t.Context(), 1); o.Code != diameter.UnableToComply || o.Tries != 1 {
 		t.Errorf("%+v", o)
 	}
 	report, err := adminBackend{s.proxy}.Diameter()
@@ -101,11 +103,13 @@
 	}
 }
 
-// Servers that speak Diameter, over a whole service: no claim runs twice, and the HTTP front end says that it can't go there.
+// With servers that speak Diameter no request runs twice, and the HTTP front end says that it can't reach them.
 func TestDiameterServers(t *testing.T) {
-	server := &diameterpeer.Server{Host: "n1.pay.example", Realm: "pay.example.org", Act: func(n int64) diameterpeer.Act {
-		return [...]diameterpeer.Act{diameterpeer.Serve, diameterpeer.Busy, diameterpeer.Twice, diameterpeer.Slowly, diameterpeer.Stray}[n%5]
-	}}
+	server := &diameterpeer.Server{Host: "n1.pay.example", Realm: "pay.example.org",
+		Act: func(n int64) diameterpeer.Act {
+			return [...]diameterpeer.Act{diameterpeer.Serve, diameterpeer.Busy, diameterpeer.Twice, diameterpeer.Slowly,
+				diameterpeer.Stray}[n%5]
+		}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -131,13 +135,14 @@
 			t.Errorf("%v ran %d times", name, n)
 		}
 	}
-	if status, body := s.ask(clientAt(t, "127.0.0.1"), "pay.example.org", "/api", "hand-in", 2000); status != 501 || !strings.Contains(body, "Diameter") {
+	if status, body := s.request(clientFrom(t, "127.0.0.1"), "pay.example.org", "/api", "hand-in",
+		2000); status != 501 || !strings.Contains(body, "Diameter") {
 		t.Errorf("by HTTP: %d %q", status, body)
 	}
 }
 
-// Without the state directory, or with one, a process that ends lets the next one have the address and the ledger.
-func TestTheNextProcessHasTheLedger(t *testing.T) {
+// With and without a state directory the next process gets the address, and the ledger where there is one.
+func TestNextProcessReadsLedger(t *testing.T) {
 	s, client := diameterStage(t, twoServices, nil)
 	first := client.Claim(t.Context(), 5)
 	if first.Code != diameter.Success {
@@ -170,9 +175,10 @@
 	}
 }
 
-func TestBadDiameterFiles(t *testing.T) {
+func TestInvalidDiameterFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "d.toml")
-	if err := os.WriteFile(path, []byte(strings.NewReplacer(`"ADDR"`, `"127.0.0.1:0"`, `"hand-in"`, `"nothing"`).Replace(diameterFile)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(strings.NewReplacer(`"ADDR"`, `"127.0.0.1:0"`, `"hand-in"`,
+		`"nothing"`).Replace(diameterFile)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cfg, err := parseConfig(configText(listText(1, true)))
@@ -180,7 +186,8 @@
 		t.Fatal(err)
 	}
 	cfg.Diameter = path
-	if err := New(cfg, nil).openDiameter(); err == nil || !strings.Contains(err.Error(), `command[0]: class: there is none by the name of "nothing"`) {
+	if err := New(cfg, nil).openDiameter(); err == nil || !strings.Contains(err.Error(),
+		`command[0]: class: there is none by the name of "nothing"`) {
 		t.Errorf("a class that is not there: %v", err)
 	}
 	if _, err := (adminBackend{New(cfg, nil)}).Diameter(); err == nil {
@@ -188,15 +195,18 @@
 	}
 }
 
-// With TLS both sides show a certificate; a peer whose certificate has another name is told so, and a server without one of
-// ours is not asked.
+// With TLS both sides show a certificate; a peer whose certificate has another name is rejected, and a server without a
+// valid certificate gets no request.
 func TestDiameterOverTLS(t *testing.T) {
 	ca := tlstest.NewCA(t)
-	ours, theirs, other := ca.Issue(t, "proxy.kigali.example", time.Hour), ca.Issue(t, "claims.partner.example", time.Hour), ca.Issue(t, "x.example", time.Hour)
+	ours, theirs, other := ca.Issue(t, "proxy.kigali.example", time.Hour), ca.Issue(t, "claims.partner.example",
+		time.Hour), ca.Issue(t, "x.example", time.Hour)
 	dir, addr := t.TempDir(), freeAddr(t)
 	path := filepath.Join(dir, "diameter.toml")
-	text := strings.NewReplacer("ADDR", addr, "[ledger]", fmt.Sprintf("[tls]\ncertificate = %q\nkey = %q\nca = %q\n[ledger]", ours.Certificate, ours.Key, ours.CA),
-		`realm = "partner.example"`, "host = \"claims.partner.example\"\nrealm = \"partner.example\"\ncertificate = \"claims.partner.example\"").Replace(diameterFile)
+	text := strings.NewReplacer("ADDR", addr, "[ledger]",
+		fmt.Sprintf("[tls]\ncertificate = %q\nkey = %q\nca = %q\n[ledger]", ours.Certificate, ours.Key, ours.CA),
+		`realm = "partner.example"`, "host = \"claims.partner.example\"\nrealm = \"partner.example\"\ncertificate "+
+			"= \"claims.partner.example\"").Replace(diameterFile)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -212,7 +222,8 @@
 	server := &diameterpeer.Server{Host: "n1.example", Realm: "pay.example.org"}
 	go server.Serve(tls.NewListener(l, serverKeys.ServerConfig()))
 	defer server.Drop()
-	s := newStage(t, strings.Replace(twoServices, `name = "settlement"`, "name = \"settlement\"\nupstream = \"diameter\"", 1),
+	s := newStage(t, strings.Replace(twoServices, `name = "settlement"`,
+		"name = \"settlement\"\nupstream = \"diameter\"", 1),
 		func(c *Config) { c.Diameter, c.StateDir = path, dir })
 	s.lists <- listText(2, true, memberText("id-fast", s.backend["fast-5"], "active"),
 		strings.Replace(memberText("id-slow", l.Addr().String(), "active"), `"fast-5"`, `"slow-5"`, 1))
@@ -249,8 +260,8 @@
 	}
 }
 
-// A claim that is in hand at the end of the process has its answer, also when it takes longer than all that HTTP waits for.
-func TestAnEndWaitsForClaims(t *testing.T) {
+// A request in flight at the end of the process gets its response, even after all HTTP requests have ended.
+func TestDrainWaitsForDiameterRequests(t *testing.T) {
 	s, client := diameterStage(t, twoServices, nil)
 	s.stall["slow-5"].Store(1600)
 	outcome := make(chan diameterpeer.Outcome, 1)
@@ -261,7 +272,8 @@
 		}
 	}
 	s.stop()
-	if o := <-outcome; o.Code != diameter.Success || o.Unknown { // its first try may have come before the ledger was read
+	// its first try may have come before the ledger was read
+	if o := <-outcome; o.Code != diameter.Success || o.Unknown {
 		t.Errorf("%+v", o)
 	}
 }
--- a/internal/proxy/effects_test.go
+++ b/internal/proxy/effects_test.go
@@ -13,19 +13,24 @@
 	"lapisspread/decision"
 )
 
-// A connection that breaks after a request's last byte, soon or late, before or in its answer: what may run twice is sent
-// once more, what has a window for that only within it, and what may not is answered as failed. Each run is counted.
-func TestWhatBreaksIsRepeatedWhereItMay(t *testing.T) {
+// A connection breaks after a request's last byte, before or within the response: an idempotent request is sent again,
+// one with a deduplication window only within that, and any other fails. Each run is counted.
+func TestFailedAttemptIsRetriedWhereAllowed(t *testing.T) {
 	const window = 300 * time.Millisecond
 	reset := func(nc net.Conn) { _ = nc.(*net.TCPConn).SetLinger(0) }
 	for way, end := range map[string]func(net.Conn){
-		"reset":                   reset,
-		"closed":                  func(net.Conn) {},
-		"reset in the head":       func(nc net.Conn) { say(nc, "HTTP/1.1 200 OK\nContent-Le"); reset(nc) },
-		"closed in the body":      func(nc net.Conn) { say(nc, "HTTP/1.1 200 OK\nContent-Length: 9\n\nfine") },
-		"reset long after":        func(nc net.Conn) { time.Sleep(2 * window); reset(nc) }, // the window is over for sure
-		"spoilt":                  func(nc net.Conn) { say(nc, "HTTP/1.0 200 OK\nTransfer-Encoding: chunked\n\n4\nfine\n0\n\n") },
-		"turned away, but spoilt": func(nc net.Conn) { say(nc, "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 65537\n\nfine") },
+		"reset":              reset,
+		"closed":             func(net.Conn) {},
+		"reset in the head":  func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Le"); reset(nc) },
+		"closed in the body": func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Length: 9\n\nfine") },
+		"reset long after":   func(nc net.Conn) { time.Sleep(2 * window); reset(nc) }, // the window is over for sure
+		"spoilt": func(nc net.Conn) {
+			writeText(nc,
+				"HTTP/1.0 200 OK\nTransfer-Encoding: chunked\n\n4\nfine\n0\n\n")
+		},
+		"turned away, but spoilt": func(nc net.Conn) {
+			writeText(nc, "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 65537\n\nfine")
+		},
 	} {
 		for _, c := range []struct {
 			name   string
@@ -37,7 +42,8 @@
 			{"unsafe", decision.NotIdempotent, decision.ScopeAll, time.Minute, 502},
 			{"safe", decision.Idempotent, decision.ScopeAll, 0, 200},
 			{"keyed, within its window", decision.IdempotentByKey, decision.ScopeZone, time.Minute, 200},
-			{"keyed, past its window", decision.IdempotentByKey, decision.ScopeAll, window, 503}, // a client's repeat is harmless
+			// a client's repeat is harmless
+			{"keyed, past its window", decision.IdempotentByKey, decision.ScopeAll, window, 503},
 			{"keyed in a zone, past its window", decision.IdempotentByKey, decision.ScopeZone, window, 502},
 		} {
 			if c.window == window && way != "reset long after" {
@@ -62,16 +68,18 @@
 							end(nc)
 							return
 						}
-						say(nc, served)
+						writeText(nc, served)
 					}
 				}
-				p := startProxy(t, listText(1, true, memberText("a", rawBackend(t, serve), "active"), memberText("b", rawBackend(t, serve), "active")),
+				p := startProxy(t, listText(1, true, memberText("a", rawBackend(t, serve), "active"), memberText("b",
+					rawBackend(t, serve), "active")),
 					newCatalog(t), func(cfg *Config) {
 						class := &cfg.Decision.Classes[0]
 						class.Idempotency, class.DeduplicationScope, class.DeduplicationWindow = c.effect, c.group, c.window
 					})
 				runs := 1
-				if _, body := mustAnswer(t, c.status)(p.ask(t, "fetch-work", 9000, "")); c.status == http.StatusOK {
+				if _, body := mustRespond(t, c.status)(p.request(t, "fetch-work", 9000,
+					"")); c.status == http.StatusOK {
 					if runs = 2; body != "fine" {
 						t.Errorf("body %q", body)
 					}
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -18,15 +18,17 @@
 	"lapisspread/internal/tlskeys/tlstest"
 )
 
-// oneSteward has a steward divide a budget, and gives the fleet's file, with more at its end, and what ends the steward.
-func oneSteward(t *testing.T, whole, burst float64, more ...string) (path string, end func()) {
+// startControlPlane starts one control-plane server that divides a quota, and returns the fleet's file, with more at
+// its end, and a function that ends the server.
+func startControlPlane(t *testing.T, whole, burst float64, more ...string) (path string, end func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
 	path = filepath.Join(dir, "fleet.toml")
-	text := fmt.Sprintf("version = 1\nfleet = \"north\"\nlongest = \"1s\"\nstate = %q\n[[stewards]]\nname = \"s1\"\nnumber = 1\naddress = %q\n"+
+	text := fmt.Sprintf("version = 1\nfleet = \"north\"\nlongest = \"1s\"\nstate = %q\n[[stewards]]\nname = "+
+		"\"s1\"\nnumber = 1\naddress = %q\n"+
 		"[[budgets]]\nname = \"attempts\"\nof = { counts = \"attempts\" }\nwhole = %f\nburst = %f\nlease = \"1s\"\n",
 		filepath.Join(dir, "proxy"), l.Addr().String(), whole, burst) + strings.Join(more, "")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -36,7 +38,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := server.New(server.Config{Fleet: f, Name: "s1", StateDir: t.TempDir(), TickInterval: 20 * time.Millisecond})
+	s, err := server.New(server.Config{Fleet: f, Name: "s1", StateDir: t.TempDir(),
+		TickInterval: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,14 +73,16 @@
 	}
 }
 
-func TestAttemptsDrawOnTheFleetsBudget(t *testing.T) {
-	path, end := oneSteward(t, 20, 2)
+func TestAttemptsUseFleetQuota(t *testing.T) {
+	path, end := startControlPlane(t, 20, 2)
 	got := make(chan *http.Request, 1024)
-	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), func(c *Config) { c.Fleet = path })
+	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t),
+		func(c *Config) { c.Fleet = path })
 	begun := time.Now()
 	served, refused := 0, 0
-	for by := time.Now().Add(30 * time.Second); (served < 30 || refused < 30) && time.Now().Before(by); time.Sleep(2 * time.Millisecond) {
-		resp, _, err := p.ask(t, "hand-in", 10000, "homework")
+	for by := time.Now().Add(30 * time.Second); (served < 30 || refused < 30) &&
+		time.Now().Before(by); time.Sleep(2 * time.Millisecond) {
+		resp, _, err := p.request(t, "hand-in", 10000, "homework")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,21 +106,22 @@
 	end()
 	time.Sleep(1100 * time.Millisecond) // the lease
 	for range 20 {
-		mustAnswer(t, http.StatusServiceUnavailable)(p.ask(t, "hand-in", 10000, "homework"))
+		mustRespond(t, http.StatusServiceUnavailable)(p.request(t, "hand-in", 10000, "homework"))
 	}
 	r, err := adminBackend{p.proxy}.QuotaLeases()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report := r.(client.Status); len(got) > 0 || report.Quotas["attempts"].Granted > 0 || len(report.Faults) == 0 || report.Faults[0].Advice == "" {
+	if report := r.(client.Status); len(got) > 0 || report.Quotas["attempts"].Granted > 0 || len(report.Faults) == 0 ||
+		report.Faults[0].Advice == "" {
 		t.Errorf("without stewards: %d sent, %+v", len(got), report)
 	}
 }
 
-func TestWithoutAFleetNothingIsDrawn(t *testing.T) {
+func TestNoQuotaWithoutControlPlane(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
-	mustAnswer(t, 200)(p.ask(t, "hand-in", 10000, "homework"))
+	mustRespond(t, 200)(p.request(t, "hand-in", 10000, "homework"))
 	if h := within(t, got, "the backend got nothing").Header; h.Get("X-Fleet-Token") != "" {
 		t.Errorf("%v", h)
 	}
@@ -124,11 +130,13 @@
 	}
 }
 
-// Where the fleet's file asks for TLS, budgets and policies both go by it.
-func TestTheFleetGoesByTLS(t *testing.T) {
+// Where the fleet's file configures TLS, quotas and policies both use it.
+func TestControlPlaneUsesTLS(t *testing.T) {
 	files := tlstest.NewCA(t).Issue(t, "steward", time.Hour)
-	path, _ := oneSteward(t, 20, 2, fmt.Sprintf("[tls]\ncertificate = %q\nkey = %q\nca = %q\n", files.Certificate, files.Key, files.CA))
-	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, make(chan *http.Request, 1)), "active")), newCatalog(t), func(c *Config) { c.Fleet = path })
+	path, _ := startControlPlane(t, 20, 2, fmt.Sprintf("[tls]\ncertificate = %q\nkey = %q\nca = %q\n",
+		files.Certificate, files.Key, files.CA))
+	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, make(chan *http.Request, 1)), "active")),
+		newCatalog(t), func(c *Config) { c.Fleet = path })
 	for by := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		r, err := adminBackend{p.proxy}.QuotaLeases() // an error until the proxy has joined it
 		report, _ := r.(client.Status)
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -35,13 +35,16 @@
 
 func frozenMemory() persistedState {
 	return persistedState{
-		Lists: map[string]guardedsource.CachedList{"10.0.0.1:8500": {AnsweredAt: frozenTime, Endpoints: engine.EndpointList{Version: 41, Full: true,
-			Endpoints: []engine.Endpoint{
-				{ID: "s-1", Addr: "10.0.1.1:80", Zone: "z1", Kind: "large", Cell: 3, State: decision.Ready, Weight: 1.5,
-					Started: frozenTime - time.Hour},
-				{ID: "s-2", Addr: "10.0.1.2:80", Zone: "z2", Kind: "small", Cell: 4, State: decision.Draining, Weight: 0.5,
-					Started: frozenTime - time.Minute},
-			}}}},
+		Lists: map[string]guardedsource.CachedList{"10.0.0.1:8500": {AnsweredAt: frozenTime,
+			Endpoints: engine.EndpointList{Version: 41, Full: true,
+				Endpoints: []engine.Endpoint{
+					{ID: "s-1", Addr: "10.0.1.1:80", Zone: "z1", Kind: "large", Cell: 3, State: decision.Ready,
+						Weight:  1.5,
+						Started: frozenTime - time.Hour},
+					{ID: "s-2", Addr: "10.0.1.2:80", Zone: "z2", Kind: "small", Cell: 4, State: decision.Draining,
+						Weight:  0.5,
+						Started: frozenTime - time.Minute},
+				}}}},
 		Services: map[string]decision.Snapshot{"orders": {TakenAt: frozenTime, RequestRate: 12.5, SharedLimit: 64,
 			Classes: []decision.ClassSnapshot{{Name: "hand-in", LatencySums: [5]float64{1, 2, 3, 4, 5}}},
 			Backends: []decision.BackendSnapshot{{ID: engine.BackendID("s-1"), Started: frozenTime - time.Hour,
@@ -49,7 +52,7 @@
 	}
 }
 
-// The next process reads what one of an older version has learned, and writes it in the same form.
+// The next process reads the snapshot of an older version, and writes it in the same form.
 func TestFrozenMemoryFile(t *testing.T) {
 	const kept = "testdata/memory"
 	if *writeFrozen {
@@ -99,27 +102,33 @@
 	}
 }
 
-// The reports that the console shows keep their keys and their order.
+// The reports that operators read keep their keys and their order.
 func TestFrozenReports(t *testing.T) {
 	own := metrics.New([]string{"fetch-work", "hand-in"})
 	own.CountRequest(0, metrics.Served)
 	own.CountRequest(1, metrics.Rejected)
 	own.CountRequest(1, metrics.Failed)
-	for i, counter := range []interface{ Store(int64) }{&own.Attempts, &own.InFlight, &own.BackendsKnown, &own.BackendsExcluded,
+	for i, counter := range []interface{ Store(int64) }{&own.Attempts, &own.InFlight, &own.BackendsKnown,
+		&own.BackendsExcluded,
 		&own.ReloadsOK, &own.ReloadsFailed, &own.InvalidLists} {
 		counter.Store(int64(i + 11))
 	}
-	peers := []node.Status{{Host: "a.example", Addr: "10.0.0.9:3868", State: "open", Well: true, InHand: 1, Outstanding: 2}, {}}
+	peers := []node.Status{{Host: "a.example", Addr: "10.0.0.9:3868", State: "open", Well: true, InHand: 1,
+		Outstanding: 2}, {}}
 	comeback := struct {
 		guardedsource.Report
 		Memory *snapshotReport `json:"memory,omitempty"`
-	}{guardedsource.Report{CallStats: guardedsource.CallStats{Calls: 1, Failed: 2, Deferred: 3}, ConsecutiveFailures: 4, SuspectLists: 5, Retained: 6, Returned: 7,
+	}{guardedsource.Report{CallStats: guardedsource.CallStats{Calls: 1, Failed: 2, Deferred: 3}, ConsecutiveFailures: 4,
+		SuspectLists: 5, Retained: 6, Returned: 7,
 		Dropped: 8, Missing: 9}, &snapshotReport{Recalled: "yes", AgeS: 1.5, Written: 2, Failed: 3, LastFailure: "disk"}}
-	door := admissionReport{Report: admission.Report{MaxConns: 1, Open: 2, Known: 3, Idle: 4, Bytes: 5, BodyRejections: 6,
-		Rejected: map[string]int64{"full": 7}, Blocks: map[string]int{"10.0.0.0/8": 8},
-		Top: []admission.AddressReport{{Prefix: "10.0.0.1", Open: 1, Unproven: 2, Credit: 3.5, Bytes: 4, Rate: 5.5, Rejected: 6}}},
+	door := admissionReport{Report: admission.Report{MaxConns: 1, Open: 2, Known: 3, Idle: 4, Bytes: 5,
+		BodyRejections: 6,
+		Rejected:       map[string]int64{"full": 7}, Blocks: map[string]int{"10.0.0.0/8": 8},
+		Top: []admission.AddressReport{{Prefix: "10.0.0.1", Open: 1, Unproven: 2, Credit: 3.5, Bytes: 4, Rate: 5.5,
+			Rejected: 6}}},
 		ClosedWithoutDescriptors: 9, Requests: map[string]requestLimit{"orders": {Limit: 10, InFlight: 11}}}
-	ledger := guard.Report{Ready: true, Durable: true, Entries: 1, Bytes: 2, InFlight: 3, Started: 4, Joined: 5, Replayed: 6,
+	ledger := guard.Report{Ready: true, Durable: true, Entries: 1, Bytes: 2, InFlight: 3, Started: 4, Joined: 5,
+		Replayed:   6,
 		MayHaveRun: 7, Full: 8, DiskErrors: 9, Flushes: 10, FileBytes: 11}
 	var all bytes.Buffer
 	for _, report := range []any{own, peers, comeback, snapshotReport{}, door, admissionReport{}, ledger} {
@@ -137,11 +146,11 @@
 	compareWithKept(t, "testdata/reports.txt", append(all.Bytes(), append(sum, '\n')...), *writeFrozen)
 }
 
-// The console's replies of a proxy that runs stay as they are.
+// The admin replies of a running proxy stay as they are.
 func TestFrozenConsoleReplies(t *testing.T) {
 	got := make(chan *http.Request, 64)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
-	mustAnswer(t, 200)(p.ask(t, "hand-in", 9000, "x"))
+	mustRespond(t, 200)(p.request(t, "hand-in", 9000, "x"))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -155,7 +164,8 @@
 		}
 	})
 	var all bytes.Buffer
-	for _, call := range []string{"PING", "ADMISSION", "DIAMETER", "COMEBACK", "FLEET", "VIEW", "ROUTES", "DETACH a", "ATTACH a",
+	for _, call := range []string{"PING", "ADMISSION", "DIAMETER", "COMEBACK", "FLEET", "VIEW", "ROUTES", "DETACH a",
+		"ATTACH a",
 		"DETACH unknown", "ATTACH unknown", "BLOCK 10.0.0.1 1h", "UNBLOCK 10.0.0.1", "LAMEDUCK", "REJOIN", "PING now", "OTHER"} {
 		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// sharing starts a process of a proxy on a socket that is passed from one to the next.
-func sharing(t *testing.T, held *net.TCPListener, dir, known string) *running {
+// startSharing starts a process of a proxy on a socket that is passed from one process to the next.
+func startSharing(t *testing.T, held *net.TCPListener, dir, known string) *running {
 	t.Helper()
 	cfg, err := parseConfig(configText(known))
 	if err != nil {
@@ -34,9 +34,9 @@
 	return p
 }
 
-// A process hands over with a request in hand, while clients keep coming at the socket that both read from: the request is
-// answered by the old one, and whoever comes is served by one of them.
-func TestAHandOverWithARequestInTheOldProcess(t *testing.T) {
+// During a hot restart with a request in flight, and clients that keep connecting to the shared socket, the old process
+// answers the request and each new client is served by one of the two.
+func TestHotRestartWithRequestInOldProcess(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -54,15 +54,15 @@
 				came <- true
 				<-release
 			}
-			say(c, served)
+			writeText(c, served)
 		}
 	})
 	known, dir := listText(1, true, memberText("a", addr, "active")), t.TempDir()
-	before := sharing(t, held.(*net.TCPListener), dir, known)
+	before := startSharing(t, held.(*net.TCPListener), dir, known)
 	idle := silentConns(t, before.addr, 1)[0]
 	answered := make(chan error, 1)
 	go func() {
-		resp, body, err := before.ask(t, "hand-in", 19000, "homework")
+		resp, body, err := before.request(t, "hand-in", 19000, "homework")
 		if err == nil && (resp.StatusCode != 200 || body != "fine" || !resp.Close) {
 			err = fmt.Errorf("status %d, %q, closes %v", resp.StatusCode, body, resp.Close)
 		}
@@ -72,10 +72,10 @@
 	comes := func(n int) {
 		t.Helper()
 		for range n {
-			mustAnswer(t, 200)(before.ask(t, "fetch-work", 19000, ""))
+			mustRespond(t, 200)(before.request(t, "fetch-work", 19000, ""))
 		}
 	}
-	after := sharing(t, held.(*net.TCPListener), dir, known)
+	after := startSharing(t, held.(*net.TCPListener), dir, known)
 	eventually(t, "the old process is not told of the new one", before.proxy.store.Superseded)
 	if after.proxy.store.Superseded() {
 		t.Error("the new process takes the old one for its successor")
@@ -101,19 +101,20 @@
 	comes(20)
 }
 
-// A process is ready whatever discovery does: it need not have heard a list, nor know a server.
+// A process is ready without discovery: it need not have an endpoint list, nor know a backend.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	silent := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	closing := rawBackend(t, func(int, net.Conn, *bufio.Reader) {})
 	for name, discovery := range map[string]string{"silent": silent, "refused": "127.0.0.1:1", "closing": closing} {
-		for _, known := range []string{listText(1, true), listText(1, true, memberText("a", silent, "active")), "null"} {
+		for _, known := range []string{listText(1, true), listText(1, true, memberText("a", silent, "active")),
+			"null"} {
 			t.Run(name+" "+known, func(t *testing.T) {
 				t.Parallel()
 				p := startProxy(t, known, newCatalog(t), func(c *Config) { c.Discovery = discovery })
 				conn := silentConns(t, p.addr, 1)[0]
 				_, _ = io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
 				_ = conn.SetReadDeadline(time.Now().Add(patience))
-				resp, body := mustAnswer(t, 200)(readAnswer(bufio.NewReader(conn)))
+				resp, body := mustRespond(t, 200)(readFinalResponse(bufio.NewReader(conn)))
 				if strings.TrimSpace(body) != "ok" || resp.Close {
 					t.Errorf("%q, closes %v", body, resp.Close)
 				}
--- a/internal/proxy/late_test.go
+++ b/internal/proxy/late_test.go
@@ -13,9 +13,9 @@
 	"lapisspread/internal/engine"
 )
 
-// A connection comes up after its attempt may not be made any more: not a byte goes out on it, and it is told that nothing was
-// sent. The look is after the dial, not before it.
-func TestNothingGoesOutOnAConnectionThatComesUpTooLate(t *testing.T) {
+// A connection comes up after its attempt is no longer allowed: not a byte is sent, and the result says so. The check
+// comes after the dial.
+func TestNothingIsSentOnLateConnection(t *testing.T) {
 	heard := make(chan int64, 1)
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
 		n, _ := io.Copy(io.Discard, in)
@@ -35,7 +35,10 @@
 	} {
 		late = false
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second) // should it go out
-		a := engine.Attempt{Message: m, Timeout: time.Second, MaySend: func() (time.Time, bool) { return time.Time{}, !late }}
+		a := engine.Attempt{Message: m, Timeout: time.Second, MaySend: func() (time.Time, bool) {
+			return time.Time{},
+				!late
+		}}
 		if result, _ := p.Find(backendID("a")).Exchange(ctx, a); result != decision.NotSent {
 			t.Errorf("%s: ended as %v", name, result)
 		}
@@ -49,13 +52,13 @@
 	}
 }
 
-// An idle connection is at hand, and the attempt may not be made any more: it is not tried on another connection either.
-func TestAnAttemptThatMayNotBeMadeIsNotTriedElsewhere(t *testing.T) {
+// An attempt that is no longer allowed is not moved from an idle connection to another one.
+func TestDisallowedAttemptIsNotSentElsewhere(t *testing.T) {
 	asked := make(chan bool, 8)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for readWhole(in) {
+		for readRequest(in) {
 			asked <- true
-			say(c, served)
+			writeText(c, served)
 		}
 	})
 	p, b := testPool(t, addr)
@@ -63,7 +66,11 @@
 		t.Fatalf("at first: %v", result)
 	}
 	looks := 0
-	a := engine.Attempt{Message: testMessage("GET", nil), Timeout: time.Second, MaySend: func() (time.Time, bool) { looks++; return time.Time{}, false }}
+	a := engine.Attempt{Message: testMessage("GET", nil), Timeout: time.Second, MaySend: func() (time.Time,
+		bool) {
+		looks++
+		return time.Time{}, false
+	}}
 	if result, _ := p.Find(backendID("a")).Exchange(t.Context(), a); result != decision.NotSent || looks != 1 {
 		t.Errorf("ended as %v after %d looks", result, looks)
 	}
@@ -72,11 +79,14 @@
 	}
 }
 
-// A repeat is being written as its window ends, to a backend that does not read: its last byte does not go out after that, and
-// it never ran.
-func TestARepeatIsNotWrittenPastItsWindow(t *testing.T) {
+// The window of a retry ends while it is being written to a backend that does not read: its last byte is not sent after
+// that, and the request never ran.
+func TestRetryIsNotWrittenPastItsDeadline(t *testing.T) {
 	small := func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
+		return raw.Control(func(fd uintptr) {
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF,
+				4096)
+		})
 	}
 	listener, err := (&net.ListenConfig{Control: small}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,7 +96,7 @@
 	read, whole := make(chan bool), make(chan bool, 1)
 	go serveRaw(listener, func(_ int, _ net.Conn, in *bufio.Reader) {
 		<-read
-		whole <- readWhole(in)
+		whole <- readRequest(in)
 	})
 	p, _ := testPool(t, listener.Addr().String())
 	dial := p.dialer
@@ -120,13 +130,13 @@
 	}
 }
 
-// The bound is for the request's bytes alone: the answer may take longer.
-func TestAnAnswerMayComeAfterTheWindow(t *testing.T) {
+// The deadline is for the request's bytes alone: the response may take longer.
+func TestResponseMayComeAfterSendDeadline(t *testing.T) {
 	over := make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		if readWhole(in) {
+		if readRequest(in) {
 			<-over
-			say(c, served)
+			writeText(c, served)
 		}
 	})
 	p, _ := testPool(t, addr)
@@ -136,7 +146,8 @@
 		return by, true
 	}
 	a := engine.Attempt{Message: testMessage("POST", []byte("body")), Timeout: patience, MaySend: may}
-	if result, body := p.Find(backendID("a")).Exchange(t.Context(), a); result != decision.OK || string(body.([]byte)) != "fine" {
+	if result, body := p.Find(backendID("a")).Exchange(t.Context(), a); result != decision.OK ||
+		string(body.([]byte)) != "fine" {
 		t.Errorf("ended as %v", result)
 	}
 }
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -30,29 +30,31 @@
 	"ends its sending, bytes left": {hidden, func(c *net.TCPConn) { _ = c.CloseWrite() }},
 }
 
-// leaver sends a request and what comes behind it.
-func leaver(t *testing.T, p *running, class, behind string) *net.TCPConn {
+// leavingClient sends a request and the bytes behind it.
+func leavingClient(t *testing.T, p *running, class, behind string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_, _ = fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: l%d\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: 19000\r\n\r\n%s", lastAsked.Add(1), class, behind)
+	_, _ = fmt.Fprintf(c,
+		"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: l%d\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: 19000\r\n\r\n%s", lastAsked.Add(1), class, behind)
 	return c.(*net.TCPConn)
 }
 
-// only is the pool of a proxy with one service, once it serves.
-func (p *running) only(t *testing.T) *pool {
+// onlyPool returns the pool of a proxy with one service, once it serves.
+func (p *running) onlyPool(t *testing.T) *pool {
 	t.Helper()
 	eventually(t, "it does not serve", p.proxy.ready.Load)
 	return p.proxy.services.current.Load().only.pool
 }
 
-// inFlight waits until so many requests are in hand.
+// inFlight waits until so many requests are in flight.
 func (p *running) inFlight(t *testing.T, n int64) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%d requests in hand, want %d", p.proxy.counters.InFlight.Load(), n), func() bool { return p.proxy.counters.InFlight.Load() == n })
+	eventually(t, fmt.Sprintf("%d requests in hand, want %d", p.proxy.counters.InFlight.Load(), n),
+		func() bool { return p.proxy.counters.InFlight.Load() == n })
 }
 
 func eventually(t *testing.T, missing string, so func() bool) {
@@ -64,19 +66,19 @@
 	}
 }
 
-// A client that has left is noticed whatever stands unread behind its request: its attempt is called off.
-func TestALeaverIsNoticed(t *testing.T) {
+// A client's close is noticed whatever unread bytes stand behind its request: its attempt is cancelled.
+func TestClientCloseIsNoticed(t *testing.T) {
 	for name, way := range ways {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			came, closed := make(chan bool, 1), make(chan bool, 1)
 			addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
-				came <- readWhole(in)
-				readWhole(in)
+				came <- readRequest(in)
+				readRequest(in)
 				closed <- true
 			})
 			p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
-			c := leaver(t, p, "hand-in", way.behind)
+			c := leavingClient(t, p, "hand-in", way.behind)
 			within(t, came, "the backend got nothing")
 			way.leave(c)
 			within(t, closed, "the attempt went on after the client had left")
@@ -84,22 +86,23 @@
 	}
 }
 
-// A client leaves while no server takes its request: when one comes up nothing is sent to it. Whoever stayed is served.
-func TestALeaverInTheQueueIsNotSentOn(t *testing.T) {
+// A client leaves while its request is queued for lack of a backend: nothing is sent once a backend comes up. Clients
+// that stayed are served.
+func TestQueuedRequestOfClientThatLeftIsNotSent(t *testing.T) {
 	for name, way := range ways {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			got := make(chan *http.Request, 8)
 			catalog := newCatalog(t)
 			p := startProxy(t, listText(1, true), catalog, nil)
-			c := leaver(t, p, "fetch-work", way.behind)
+			c := leavingClient(t, p, "fetch-work", way.behind)
 			p.inFlight(t, 1)
-			stays := leaver(t, p, "fetch-work", "")
+			stays := leavingClient(t, p, "fetch-work", "")
 			p.inFlight(t, 2)
 			way.leave(c)
 			p.inFlight(t, 1)
 			catalog.lists <- listText(2, true, memberText("a", countingBackend(t, got), "active"))
-			mustAnswer(t, 200)(readAnswer(bufio.NewReader(stays)))
+			mustRespond(t, 200)(readFinalResponse(bufio.NewReader(stays)))
 			if len(got) != 1 {
 				t.Errorf("%d requests were sent on, want the one whose client stayed", len(got))
 			}
@@ -107,9 +110,9 @@
 	}
 }
 
-// A client leaves while the connection for its first or a further attempt is being made, which comes up at last: nothing is
-// sent on it, also where the settings know no cancelling, and the connection is kept.
-func TestALeaverIsNotSentOnByALateConnection(t *testing.T) {
+// A client leaves while the connection for its first or a further attempt is being made, which comes up at last:
+// nothing is sent on it, also where the settings know no cancelling, and the connection is kept.
+func TestLateConnectionDoesNotSendForClientThatLeft(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		for n, state := range []string{"first", "further"} {
 			t.Run(fmt.Sprintf("%s attempt, cancelling %v", state, cancel), func(t *testing.T) {
@@ -123,14 +126,16 @@
 					mu.Lock()
 					requests++
 					mu.Unlock()
-					readWhole(in)
-					say(c, "HTTP/1.1 503 Service Unavailable\nX-Not-Processed: 1\nContent-Length: 0\nConnection: close\n\n")
+					readRequest(in)
+					writeText(c, "HTTP/1.1 503 Service Unavailable\nX-Not-Processed: 1\nContent-Length: 0\n"+
+						"Connection: close\n\n")
 				})
-				p := startProxy(t, listText(1, true, memberText("a", addr, "active"), memberText("b", addr, "active")), newCatalog(t), func(c *Config) {
-					c.Decision.Capabilities.Cancel = cancel
-					c.Decision.Capabilities.ConnectTimeout = patience
-				})
-				pool := p.only(t)
+				p := startProxy(t, listText(1, true, memberText("a", addr, "active"), memberText("b", addr, "active")),
+					newCatalog(t), func(c *Config) {
+						c.Decision.Capabilities.Cancel = cancel
+						c.Decision.Capabilities.ConnectTimeout = patience
+					})
+				pool := p.onlyPool(t)
 				dial, dials := pool.dialer, 0
 				dialling, comeUp, up := make(chan bool, 8), make(chan bool), make(chan net.Conn, 8)
 				pool.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
@@ -147,7 +152,7 @@
 					up <- c
 					return c, err
 				}
-				c := leaver(t, p, "fetch-work", "G")
+				c := leavingClient(t, p, "fetch-work", "G")
 				within(t, dialling, "no connection is made")
 				_ = c.Close()
 				p.inFlight(t, 0)
@@ -173,13 +178,15 @@
 }
 
 // An attempt that was given up, or that nobody wants, while its connection was made is not sent.
-func TestNothingIsSentOnceGivenUp(t *testing.T) {
+func TestNothingIsSentAfterCancel(t *testing.T) {
 	for name, x := range map[string]struct {
 		give   func(cancel context.CancelCauseFunc, m *message)
 		result decision.Result
 	}{
-		"cancelled": {func(cancel context.CancelCauseFunc, _ *message) { cancel(context.Canceled) }, decision.Cancelled},
-		"overdue":   {func(cancel context.CancelCauseFunc, _ *message) { cancel(context.DeadlineExceeded) }, decision.ConnectFailed},
+		"cancelled": {func(cancel context.CancelCauseFunc, _ *message) { cancel(context.Canceled) },
+			decision.Cancelled},
+		"overdue": {func(cancel context.CancelCauseFunc, _ *message) { cancel(context.DeadlineExceeded) },
+			decision.ConnectFailed},
 		"not wanted": {func(_ context.CancelCauseFunc, m *message) {
 			m.sendAllowed = func() (time.Time, bool) { return time.Time{}, false }
 		}, decision.NotSent},
@@ -213,14 +220,14 @@
 }
 
 // Who has only ended its sending reads no answer that no server gave.
-func TestALeaverReadsNoMadeUpAnswer(t *testing.T) {
+func TestHalfClosedClientReadsNoEmptyResponse(t *testing.T) {
 	came := make(chan bool, 1)
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
-		came <- readWhole(in)
-		readWhole(in)
+		came <- readRequest(in)
+		readRequest(in)
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
-	c := leaver(t, p, "hand-in", "")
+	c := leavingClient(t, p, "hand-in", "")
 	within(t, came, "the backend got nothing")
 	_ = c.CloseWrite()
 	_ = c.SetReadDeadline(time.Now().Add(patience))
@@ -230,9 +237,9 @@
 	}
 }
 
-// A client that has its answer and sends a long next request at once is served that too, whole, though the server has not
-// done with the first.
-func TestALongRequestRightBehindAnAnswerIsServed(t *testing.T) {
+// A client that has its answer and sends a long next request at once is served that too, whole, though the server has
+// not done with the first.
+func TestLongPipelinedRequestIsServed(t *testing.T) {
 	conns := newClientConns(4)
 	client, c := clientPair(t, conns)
 	defer func() { _ = c.Close() }()
@@ -244,7 +251,8 @@
 	if _, err := io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	next := fmt.Sprintf("PUT / HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", 4*maxReadAheadBytes, strings.Repeat("x", 4*maxReadAheadBytes))
+	next := fmt.Sprintf("PUT / HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", 4*maxReadAheadBytes, strings.Repeat("x",
+		4*maxReadAheadBytes))
 	go func() { _, _ = io.WriteString(client, next) }()
 	_ = c.SetReadDeadline(time.Now().Add(patience))
 	if _, err := c.Read(in[:1]); err != nil { // the server's look for the client's end
--- a/internal/proxy/linger_test.go
+++ b/internal/proxy/linger_test.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// unreadBehind is a connection whose answer does not fit into the sockets' buffers and has bytes unread behind its request.
-func unreadBehind(t *testing.T, conns *clientConns, answer string) (client net.Conn, c *clientConn) {
+// connWithUnreadBytes is a connection whose answer does not fit into the sockets' buffers and has bytes unread behind
+// its request.
+func connWithUnreadBytes(t *testing.T, conns *clientConns, answer string) (client net.Conn, c *clientConn) {
 	t.Helper()
 	client, c = clientPair(t, conns)
 	_ = client.(*net.TCPConn).SetReadBuffer(64 << 10)
@@ -31,13 +32,13 @@
 	return client, c
 }
 
-// A connection is closed while bytes stand unread on it: its last answer comes whole all the same, and then its end. A client
-// that comes takes its place at once.
-func TestACloseOverUnreadBytesLosesNoAnswer(t *testing.T) {
+// A connection is closed while bytes stand unread on it: its last answer comes whole all the same, and then its end. A
+// client that comes takes its place at once.
+func TestCloseWithUnreadBytesLosesNoResponse(t *testing.T) {
 	answer := strings.Repeat("0123456789abcdef", 16<<10)
 	conns := newClientConns(4)
 	conns.lingerTimeout = patience
-	client, c := unreadBehind(t, conns, answer)
+	client, c := connWithUnreadBytes(t, conns, answer)
 	_ = c.Close()
 	_ = client.SetReadDeadline(time.Now().Add(patience))
 	if got, err := io.ReadAll(client); err != nil || string(got) != answer {
@@ -49,37 +50,37 @@
 	if !conns.evictIdle() || conns.open[c] {
 		t.Error("it makes no place")
 	}
-	client, c = unreadBehind(t, conns, "short")
+	client, c = connWithUnreadBytes(t, conns, "short")
 	_ = c.Close()
 	if !c.Evict() || conns.open[c] {
 		t.Error("it makes no place at the door")
 	}
 	_ = client.Close()
 	conns.lingerTimeout = time.Millisecond
-	_, c = unreadBehind(t, conns, "short")
+	_, c = connWithUnreadBytes(t, conns, "short")
 	_ = c.Close()
 	eventually(t, "it is never closed", func() bool { return len(conns.snapshot()) == 0 })
 }
 
 // A client sends requests one behind the other while the proxy ends: the one in hand is answered whole, and then the
 // connection ends without one byte of an answer that is not whole. The next request is not sent on.
-func TestTheEndCrossesRequestsBehindOneAnother(t *testing.T) {
+func TestDrainCrossesPipelinedRequests(t *testing.T) {
 	came, release := make(chan bool, 8), make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for readWhole(in) {
+		for readRequest(in) {
 			came <- true
 			<-release
-			say(c, served)
+			writeText(c, served)
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
-	c := leaver(t, p, "fetch-work", fmt.Sprintf("%s%s", hidden, strings.Replace(hidden, "hidden", "third", 1)))
+	c := leavingClient(t, p, "fetch-work", fmt.Sprintf("%s%s", hidden, strings.Replace(hidden, "hidden", "third", 1)))
 	within(t, came, "the backend got nothing")
 	p.ending(t)
 	close(release)
 	_ = c.SetReadDeadline(time.Now().Add(patience))
 	in := bufio.NewReader(c)
-	if resp, _ := mustAnswer(t, http.StatusOK)(readAnswer(in)); !resp.Close {
+	if resp, _ := mustRespond(t, http.StatusOK)(readFinalResponse(in)); !resp.Close {
 		t.Error("the answer leaves its connection open")
 	}
 	if rest, err := io.ReadAll(in); len(rest) > 0 || isTimeout(err) {
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -14,7 +14,7 @@
 )
 
 // A lame duck answers what comes, closes each connection after it, also the idle ones, and can come back.
-func TestLameDuck(t *testing.T) {
+func TestOperatorDrain(t *testing.T) {
 	got := make(chan *http.Request, 64)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
 	dial := func() (net.Conn, *bufio.Reader) {
@@ -32,42 +32,44 @@
 		c  net.Conn
 		in *bufio.Reader
 	}{{kept, keptIn}, {used, usedIn}} {
-		if resp, _ := mustAnswer(t, 200)(askOn(c.c, c.in, "hand-in", 9000, "x")); resp.Close {
+		if resp, _ := mustRespond(t, 200)(requestOn(c.c, c.in, "hand-in", 9000, "x")); resp.Close {
 			t.Fatal("closed in ordinary service")
 		}
 	}
 	o := adminBackend{p.proxy}
 	o.StartDraining()
-	if resp, _ := mustAnswer(t, 200)(askOn(used, usedIn, "hand-in", 9000, "x")); !resp.Close {
+	if resp, _ := mustRespond(t, 200)(requestOn(used, usedIn, "hand-in", 9000, "x")); !resp.Close {
 		t.Error("the answer of a lame duck does not close its connection")
 	}
 	if _, err := keptIn.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v, want its end", err)
 	}
 	late, lateIn := dial()
-	mustAnswer(t, 200)(askOn(late, lateIn, "hand-in", 9000, "x"))
+	mustRespond(t, 200)(requestOn(late, lateIn, "hand-in", 9000, "x"))
 	o.StopDraining()
 	again, againIn := dial()
-	if resp, _ := mustAnswer(t, 200)(askOn(again, againIn, "hand-in", 9000, "x")); resp.Close {
+	if resp, _ := mustRespond(t, 200)(requestOn(again, againIn, "hand-in", 9000, "x")); resp.Close {
 		t.Error("back at work, it still closes connections")
 	}
 }
 
 // The figures count what clients were answered, and what was written to backends.
-func TestFiguresFollowTheAnswers(t *testing.T) {
+func TestCountersFollowResponses(t *testing.T) {
 	got := make(chan *http.Request, 64)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
 	for range 3 {
-		mustAnswer(t, 200)(p.ask(t, "hand-in", 9000, "x"))
+		mustRespond(t, 200)(p.request(t, "hand-in", 9000, "x"))
 	}
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: f\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 9000\r\nContent-Length: 5\r\n\r\nhal")
+	_, _ = fmt.Fprintf(c,
+		"POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: f\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 9000\r\n"+
+			"Content-Length: 5\r\n\r\nhal")
 	_ = c.(*net.TCPConn).CloseWrite()
-	mustAnswer(t, 400)(readAnswer(bufio.NewReader(c)))
+	mustRespond(t, 400)(readFinalResponse(bufio.NewReader(c)))
 	want := `{"served":{"fetch-work":0,"hand-in":3},"refused":{"fetch-work":0,"hand-in":0},"failed":{"fetch-work":0,"hand-in":1},` +
 		`"attempts":3,"in_flight":0,"backends_known":1,"backends_excluded":0,"reloads_ok":0,"reloads_failed":1,"lists_bad":0}`
 	p.proxy.ReloadFailed(errors.New("no such file"))
@@ -83,7 +85,7 @@
 	}
 }
 
-func TestOutcomeOf(t *testing.T) {
+func TestOutcomeForStatus(t *testing.T) {
 	for status, want := range map[int]metrics.Outcome{200: metrics.Served, 429: metrics.Rejected, 503: metrics.Rejected,
 		502: metrics.Failed, 504: metrics.Failed, 400: metrics.Failed, 413: metrics.Failed} {
 		if got := outcomeForStatus(status); got != want {
@@ -93,7 +95,7 @@
 }
 
 // Only what was listed can be taken out, also long after it has left; of very many names the oldest are forgotten.
-func TestTheRosterIsBounded(t *testing.T) {
+func TestEndpointNamesAreBounded(t *testing.T) {
 	r := newEndpointNames()
 	r.add(List{Endpoints: []Member{{ID: "first"}}})
 	if !r.contains("first") || r.contains("other") {
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -30,19 +30,21 @@
 
 // policyRules leads a host to a service, with a block of a path.
 func policyRules(number int, service, more string) string {
-	return fmt.Sprintf("version = 1\nnamespace = \"alpha\"\nnumber = %d\n[[service]]\nname = %q\n[[route]]\nname = \"r\"\nhost = \"p.example.org\"\nto = [{ service = %q }]\n%s",
+	return fmt.Sprintf("version = 1\nnamespace = \"alpha\"\nnumber = %d\n[[service]]\nname = %q\n[[route]]\nname "+
+		"= \"r\"\nhost = \"p.example.org\"\nto = [{ service = %q }]\n%s",
 		number, service, service, more)
 }
 
-// A policy leads requests once it is taken up, its blocks hold, attempts carry its epoch, and one whose services are not there changes
-// nothing; the file of services goes on until then, and a reload keeps the policy.
-func TestRequestsAreDecidedUnderAPolicy(t *testing.T) {
-	path, _ := oneSteward(t, 1000, 100)
+// A policy leads requests once it is taken up, its blocks hold, attempts carry its epoch, and one whose services are
+// not there changes nothing; the file of services goes on until then, and a reload keeps the policy.
+func TestRequestsAreRoutedByPolicy(t *testing.T) {
+	path, _ := startControlPlane(t, 1000, 100)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text = append(text, "[policy]\nroutes = true\nstep = \"100ms\"\nwatch = \"100ms\"\nenough = 1\nsilent = \"500ms\"\n"...)
+	text = append(text,
+		"[policy]\nroutes = true\nstep = \"100ms\"\nwatch = \"100ms\"\nenough = 1\nsilent = \"500ms\"\n"...)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -74,9 +76,11 @@
 			}
 		}
 	}
-	asked := func(path string) (status int, body string) { // 503 is the budget, of which nothing is asked for before there is demand
+	// 503 is the budget, of which nothing is asked for before there is demand
+	asked := func(path string) (status int, body string) {
 		for range 300 {
-			if status, body = s.ask(httpClient, "p.example.org", path, "fetch-work", 5000); status != http.StatusServiceUnavailable {
+			if status, body = s.request(httpClient, "p.example.org", path, "fetch-work",
+				5000); status != http.StatusServiceUnavailable {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -85,7 +89,8 @@
 	}
 	before, _ := asked("/x")
 	order(store.Command{SetDeclaration: &store.SetDeclaration{Text: policyCharter}})
-	order(store.Command{SubmitFile: &store.SubmitFile{Text: policyRules(1, "settlement", "[[block]]\nname = \"no\"\nhost = \"p.example.org\"\npath_prefix = \"/no\"\n")}})
+	order(store.Command{SubmitFile: &store.SubmitFile{Text: policyRules(1, "settlement",
+		"[[block]]\nname = \"no\"\nhost = \"p.example.org\"\npath_prefix = \"/no\"\n")}})
 	until("the policy holds", func() bool { p := report().Policy; return p.Epoch == 2 && len(p.Hash) == 64 })
 	if status, body := asked("/x"); status != 200 || body != "slow-5" {
 		t.Errorf("%d %q under the policy, %d before", status, body, before)
@@ -99,7 +104,8 @@
 	if status, body := asked("/x"); status != 200 || body != "slow-5" {
 		t.Errorf("after a reload: %d %q", status, body)
 	}
-	if s.reload(strings.Replace(strings.ReplaceAll(twoServices, "\"settlement\"", "\"other\""), "other-5", "slow-5", 1)) {
+	if s.reload(strings.Replace(strings.ReplaceAll(twoServices, "\"settlement\"", "\"other\""), "other-5", "slow-5",
+		1)) {
 		t.Error("a file without a service that the policy leads to was taken in")
 	}
 	order(store.Command{SubmitFile: &store.SubmitFile{Text: policyRules(2, "nowhere", "")}})
@@ -116,21 +122,23 @@
 	}
 }
 
-func TestAttemptsCarryTheEpoch(t *testing.T) {
-	path, _ := oneSteward(t, 1000, 100)
+func TestAttemptsCarryPolicyEpoch(t *testing.T) {
+	path, _ := startControlPlane(t, 1000, 100)
 	got := make(chan *http.Request, 4096)
-	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), func(c *Config) { c.Fleet = path })
+	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t),
+		func(c *Config) { c.Fleet = path })
 	f, err := api.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	if err := f.SendPolicyCommand(context.Background(), client, store.Command{SetDeclaration: &store.SetDeclaration{Text: policyCharter}}); err != nil {
+	if err := f.SendPolicyCommand(context.Background(), client,
+		store.Command{SetDeclaration: &store.SetDeclaration{Text: policyCharter}}); err != nil {
 		t.Fatal(err)
 	}
 	for by := time.Now().Add(60 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if _, _, err := p.ask(t, "hand-in", 10000, "homework"); err != nil {
+		if _, _, err := p.request(t, "hand-in", 10000, "homework"); err != nil {
 			t.Fatal(err)
 		}
 		epoch := ""
@@ -146,8 +154,9 @@
 	}
 }
 
-// What did not change since the policy before is taken over; with other services, or after another policy, all is looked at anew.
-func TestAPolicyThatFollowsOnAnotherIsNotBuiltAnew(t *testing.T) {
+// What did not change since the policy before is taken over; with other services, or after another policy, all is
+// looked at anew.
+func TestPolicyUpdateIsIncremental(t *testing.T) {
 	weight := 1.0
 	policy := func(number uint64, path, service string) *namespace.Policy {
 		p := &namespace.Policy{Format: 1}
@@ -169,7 +178,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next := &client.InstalledPolicy{Offer: rollout.Version{Generation: 1, Epoch: p.Routes[0].Source.Number, Hash: to.Root().String()}, Policy: p}
+		next := &client.InstalledPolicy{Offer: rollout.Version{Generation: 1, Epoch: p.Routes[0].Source.Number,
+			Hash: to.Root().String()}, Policy: p}
 		if was != nil {
 			from, err := was.Policy.Tree()
 			if err != nil {
@@ -201,12 +211,14 @@
 		}
 		return ""
 	}
-	if finds(&next, "/x") != "two" || finds(&next, "/b") != "" || finds(&next, "/a") != "one" || finds(&n, "/b") != "one" {
+	if finds(&next, "/x") != "two" || finds(&next, "/b") != "" || finds(&next, "/a") != "one" || finds(&n,
+		"/b") != "one" {
 		t.Error("the routes are not those of the policy")
 	}
 	missing := routetable.MissingServicesError{}
 	again := n
-	if err := again.applyPolicy(taken(first, policy(2, "/x", "three")), true); !errors.As(err, &missing) || missing.Names[0] != "three" {
+	if err := again.applyPolicy(taken(first, policy(2, "/x", "three")), true); !errors.As(err, &missing) ||
+		missing.Names[0] != "three" {
 		t.Errorf("a route to a service that is not there: %v", err)
 	}
 	reloaded := routingState{byName: map[string]*service{"two": {}}, policy: nil}
@@ -217,7 +229,8 @@
 	strange := n
 	odd := taken(first, policy(2, "/x", "two"))
 	odd.Base.Epoch = 7
-	if err := strange.applyPolicy(odd, true); err != nil || strange.blocks == n.blocks || finds(&strange, "/x") != "two" {
+	if err := strange.applyPolicy(odd, true); err != nil || strange.blocks == n.blocks || finds(&strange,
+		"/x") != "two" {
 		t.Errorf("%v: built on what it does not follow on", err)
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -36,7 +36,7 @@
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, known, settings)
 }
 
-// catalog stands in for discovery: each list put in is the answer to one watch.
+// catalog is a stand-in for discovery: each list put in is the answer to one watch.
 type catalog struct {
 	*httptest.Server
 	lists   chan string
@@ -132,34 +132,35 @@
 	return p
 }
 
-// ask sends a request by a client that never sends again by itself.
-func (p *running) ask(t *testing.T, class string, timeoutMs int, body string) (*http.Response, string, error) {
+// request sends a request by a client that never retries by itself.
+func (p *running) request(t *testing.T, class string, timeoutMs int, body string) (*http.Response, string, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		return nil, "", err
 	}
 	defer func() { _ = c.Close() }()
-	return askOn(c, bufio.NewReader(c), class, timeoutMs, body)
+	return requestOn(c, bufio.NewReader(c), class, timeoutMs, body)
 }
 
 // lastAsked is the number in the id of the request asked last.
 var lastAsked atomic.Int64
 
-func askOn(c net.Conn, in *bufio.Reader, class string, timeoutMs int, body string) (*http.Response, string, error) {
+func requestOn(c net.Conn, in *bufio.Reader, class string, timeoutMs int, body string) (*http.Response, string, error) {
 	method := "GET"
 	if class == "hand-in" {
 		method = "POST"
 	}
-	_, err := fmt.Fprintf(c, "%s /api?key=7f%%33 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: r%d\r\nX-Priority-Class: %s\r\n"+
-		"X-Timeout-Ms: %d\r\nX-Cost: 1000\r\nContent-Length: %d\r\n\r\n%s", method, lastAsked.Add(1), class, timeoutMs, len(body), body)
+	_, err := fmt.Fprintf(c,
+		"%s /api?key=7f%%33 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: r%d\r\nX-Priority-Class: %s\r\n"+
+			"X-Timeout-Ms: %d\r\nX-Cost: 1000\r\nContent-Length: %d\r\n\r\n%s", method, lastAsked.Add(1), class, timeoutMs, len(body), body)
 	if err != nil {
 		return nil, "", err
 	}
-	return readAnswer(in)
+	return readFinalResponse(in)
 }
 
-func readAnswer(in *bufio.Reader) (*http.Response, string, error) {
+func readFinalResponse(in *bufio.Reader) (*http.Response, string, error) {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return nil, "", err
@@ -168,7 +169,7 @@
 	return resp, string(text), err
 }
 
-func mustAnswer(t *testing.T, status int) func(*http.Response, string, error) (*http.Response, string) {
+func mustRespond(t *testing.T, status int) func(*http.Response, string, error) (*http.Response, string) {
 	t.Helper()
 	return func(resp *http.Response, body string, err error) (*http.Response, string) {
 		t.Helper()
@@ -182,7 +183,7 @@
 	}
 }
 
-// countingBackend serves every request and notes it.
+// countingBackend serves every request and records it.
 func countingBackend(t *testing.T, got chan<- *http.Request) string {
 	return rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for {
@@ -196,7 +197,7 @@
 			}
 			req.Body = io.NopCloser(strings.NewReader(string(body)))
 			got <- req
-			say(c, served)
+			writeText(c, served)
 		}
 	})
 }
@@ -204,12 +205,13 @@
 func TestServed(t *testing.T) {
 	got := make(chan *http.Request, 8)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
-	_, body := mustAnswer(t, 200)(p.ask(t, "hand-in", 10000, "homework"))
+	_, body := mustRespond(t, 200)(p.request(t, "hand-in", 10000, "homework"))
 	if body != "fine" {
 		t.Errorf("body %q", body)
 	}
 	req := within(t, got, "the backend got nothing")
-	if req.Method != "POST" || req.RequestURI != "/api?key=7f%33" || req.Host != "service.internal" || !strings.HasPrefix(req.Header.Get("X-Request-ID"), "r") {
+	if req.Method != "POST" || req.RequestURI != "/api?key=7f%33" || req.Host != "service.internal" ||
+		!strings.HasPrefix(req.Header.Get("X-Request-ID"), "r") {
 		t.Errorf("the backend got %s %s, host %s, head %v", req.Method, req.RequestURI, req.Host, req.Header)
 	}
 	if text, _ := io.ReadAll(req.Body); string(text) != "homework" {
@@ -231,8 +233,9 @@
 	}
 }
 
-// hidden is a request that stands in the body of another.
-const hidden = "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: hidden\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 9000\r\n\r\n"
+// hidden is a request within the body of another one.
+const hidden = "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: hidden\r\nX-Priority-Class: fetch-work\r\n" +
+	"X-Timeout-Ms: 9000\r\n\r\n"
 
 func TestMalformedRequestsGetNoAttempt(t *testing.T) {
 	got := make(chan *http.Request, 8)
@@ -248,19 +251,21 @@
 		body   string
 		status int
 	}{
-		"no id":                {change(0, "X-Other: 1"), "ok", 400},
-		"unknown class":        {change(1, "X-Priority-Class: checkout"), "ok", 400},
-		"no timeout":           {change(2, "X-Other: 1"), "ok", 400},
-		"timeout no count":     {change(2, "X-Timeout-Ms: soon"), "ok", 400},
-		"negative timeout":     {change(2, "X-Timeout-Ms: -5"), "ok", 400},
-		"huge timeout":         {change(2, "X-Timeout-Ms: 99999999999999999999"), "ok", 400},
-		"body too long":        {change(3, fmt.Sprintf("Content-Length: %d", maxBodyBytes+1)), strings.Repeat("x", maxBufferedBody+1), 413},
+		"no id":            {change(0, "X-Other: 1"), "ok", 400},
+		"unknown class":    {change(1, "X-Priority-Class: checkout"), "ok", 400},
+		"no timeout":       {change(2, "X-Other: 1"), "ok", 400},
+		"timeout no count": {change(2, "X-Timeout-Ms: soon"), "ok", 400},
+		"negative timeout": {change(2, "X-Timeout-Ms: -5"), "ok", 400},
+		"huge timeout":     {change(2, "X-Timeout-Ms: 99999999999999999999"), "ok", 400},
+		"body too long": {change(3, fmt.Sprintf("Content-Length: %d", maxBodyBytes+1)), strings.Repeat("x",
+			maxBufferedBody+1), 413},
 		"chunks that are none": {change(3, "Transfer-Encoding: chunked"), "2\r\nok\r\nzz\r\n\r\n", 400},
 		"huge length":          {change(3, "Content-Length: 60000000"), "ok", 413},
 		"negative length":      {change(3, "Content-Length: -2"), "ok", 400},
 		"two ids":              {change(0, "X-Request-ID: r1\r\nX-Request-ID: r2"), "ok", 400},
-		"a hidden request":     {change(3, "Content-Length: 5\r\nTransfer-Encoding: chunked"), "0\r\n\r\n" + hidden, 400},
-		"less than it says":    {change(3, "Content-Length: 9"), "ok", 408},
+		"a hidden request": {change(3, "Content-Length: 5\r\nTransfer-Encoding: chunked"), "0\r\n\r\n" + hidden,
+			400},
+		"less than it says": {change(3, "Content-Length: 9"), "ok", 408},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, err := net.Dial("tcp", p.addr)
@@ -268,8 +273,9 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = conn.Close() }()
-			_, _ = io.WriteString(conn, "POST /api HTTP/1.1\r\nHost: s\r\n"+strings.Join(c.lines, "\r\n")+"\r\n\r\n"+c.body)
-			mustAnswer(t, c.status)(readAnswer(bufio.NewReader(conn)))
+			_, _ = io.WriteString(conn, "POST /api HTTP/1.1\r\nHost: s\r\n"+strings.Join(c.lines,
+				"\r\n")+"\r\n\r\n"+c.body)
+			mustRespond(t, c.status)(readFinalResponse(bufio.NewReader(conn)))
 		})
 	}
 	select {
@@ -279,42 +285,42 @@
 	}
 }
 
-// An unsafe request that may have run is neither sent again nor refused.
-func TestUnsafeIsNotRepeated(t *testing.T) {
+// A request that is not idempotent and may have run is neither retried nor rejected as not processed.
+func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	got := make(chan bool, 8)
-	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { got <- readWhole(in) })
+	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { got <- readRequest(in) })
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
-	mustAnswer(t, http.StatusBadGateway)(p.ask(t, "hand-in", 10000, "homework"))
+	mustRespond(t, http.StatusBadGateway)(p.request(t, "hand-in", 10000, "homework"))
 	if n := len(got); n != 1 {
 		t.Errorf("the backend got %d requests", n)
 	}
 }
 
-// A refusal says when to come again: no backend can be reached, so nothing has run.
-func TestRefusal(t *testing.T) {
+// A rejection has a Retry-After: no backend can be reached, so nothing has run.
+func TestRejection(t *testing.T) {
 	p := startProxy(t, listText(1, true), newCatalog(t), nil)
-	resp, _ := mustAnswer(t, http.StatusServiceUnavailable)(p.ask(t, "hand-in", 600, "homework"))
+	resp, _ := mustRespond(t, http.StatusServiceUnavailable)(p.request(t, "hand-in", 600, "homework"))
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err != nil || s <= 0 || s > 2 {
 		t.Errorf("Retry-After %q", resp.Header.Get("Retry-After"))
 	}
 }
 
-// A silent backend: the answer still comes before the client's time is up.
+// With a silent backend the response still comes before the client's deadline.
 func TestDeadline(t *testing.T) {
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
-		for readWhole(in) {
+		for readRequest(in) {
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
 	began := time.Now()
 	const timeout = 1500
-	mustAnswer(t, http.StatusGatewayTimeout)(p.ask(t, "hand-in", timeout, "homework"))
+	mustRespond(t, http.StatusGatewayTimeout)(p.request(t, "hand-in", timeout, "homework"))
 	if took := time.Since(began); took < timeout/4*time.Millisecond {
 		t.Errorf("given up after %v of %d ms", took, timeout)
 	}
 }
 
-// testServices is one service that does not run yet, before the servers of a list.
+// testServices returns one service that does not run yet, with the endpoints of a list.
 func testServices(t *testing.T, known List) *serviceSet {
 	t.Helper()
 	cfg, err := parseConfig(configText(listText(1, true)))
@@ -325,8 +331,8 @@
 	return New(cfg, slog.New(slog.DiscardHandler)).services
 }
 
-// A new configuration names another discovery. What the old one still says counts no more; the new one's
-// list does, though its versions are lower; and the backends' connections live on.
+// A new configuration names another discovery address. Answers of the old one don't count any more; the new one's list
+// does, though its versions are lower, and the connections to the backends stay open.
 func TestReload(t *testing.T) {
 	onA, onB := make(chan *http.Request, 64), make(chan *http.Request, 64)
 	a, b := countingBackend(t, onA), countingBackend(t, onB)
@@ -342,13 +348,13 @@
 		t.Errorf("the new discovery is asked for %q, want the whole list", q)
 	}
 	before.lists <- listText(50, true) // late
-	mustAnswer(t, 200)(p.ask(t, "hand-in", 10000, "homework"))
+	mustRespond(t, 200)(p.request(t, "hand-in", 10000, "homework"))
 	after.lists <- listText(3, true, memberText("a", a, "leaving"), memberText("b", b, "active"))
 	if q := within(t, after.queries, "no watch after the list"); !strings.HasPrefix(q, "from=3&") {
 		t.Errorf("the new watch asks for %q", q)
 	}
 	for range 10 {
-		mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+		mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 	}
 	if len(onA) != 1 || len(onB) != 10 {
 		t.Errorf("%d requests to the draining backend, %d to the other", len(onA), len(onB))
@@ -360,8 +366,8 @@
 	}
 }
 
-// The new discovery fails at first: it is asked again for the whole list.
-func TestReloadIsTriedAgain(t *testing.T) {
+// The new discovery address fails at first: the whole list is fetched again.
+func TestReloadIsRetried(t *testing.T) {
 	got := make(chan *http.Request, 64)
 	before, after := newCatalog(t), newCatalog(t)
 	p := startProxy(t, listText(41, true), before, nil)
@@ -376,15 +382,15 @@
 	}
 	after.lists <- listText(3, true, memberText("a", countingBackend(t, got), "active"))
 	within(t, after.queries, "no watch after the list")
-	mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 }
 
-// The client leaves: the attempt is called off, and the request is forgotten.
+// The client leaves: the attempt is cancelled, and the request is forgotten.
 func TestClientGone(t *testing.T) {
 	came, closed := make(chan bool, 1), make(chan bool, 1)
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
-		came <- readWhole(in)
-		readWhole(in)
+		came <- readRequest(in)
+		readRequest(in)
 		closed <- true
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
@@ -392,13 +398,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: r1\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 15000\r\nContent-Length: 1\r\n\r\nx")
+	_, _ = fmt.Fprint(c,
+		"POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: r1\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 15000\r\n"+
+			"Content-Length: 1\r\n\r\nx")
 	within(t, came, "the backend got nothing")
 	_ = c.Close()
 	within(t, closed, "the attempt went on after the client had left")
 }
 
-// After a drain was told, and its watch armed anew, nothing goes to that backend.
+// After a drain was notified, and the watch was renewed, nothing is sent to that backend.
 func TestDrainIsKept(t *testing.T) {
 	onA, onB := make(chan *http.Request, 64), make(chan *http.Request, 64)
 	a, b := countingBackend(t, onA), countingBackend(t, onB)
@@ -413,15 +421,15 @@
 	}
 	// The list was handed to the loop before the second call began.
 	for range 20 {
-		mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+		mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 	}
 	if len(onA) != 0 || len(onB) != 20 {
 		t.Errorf("%d requests to the draining backend, %d to the other", len(onA), len(onB))
 	}
 }
 
-// A watch that has fallen silent is begun anew: first by a call that is not to be held, to learn whether discovery answers.
-func TestSilentWatchIsBegunAnew(t *testing.T) {
+// A watch without an answer is restarted, first by a call without a hold that shows whether discovery answers.
+func TestSilentWatchIsRestarted(t *testing.T) {
 	got := make(chan *http.Request, 8)
 	list := listText(43, true, memberText("a", countingBackend(t, got), "active"))
 	queries, news := make(chan string), make(chan struct{})
@@ -447,7 +455,8 @@
 	}))}
 	t.Cleanup(func() { c.CloseClientConnections(); c.Close() })
 	p := startProxy(t, listText(41, true), c, func(cfg *Config) {
-		cfg.timing = discoveryTiming{watchHold: 10 * time.Millisecond, slack: 10 * time.Millisecond, fetchTimeout: time.Minute}
+		cfg.timing = discoveryTiming{watchHold: 10 * time.Millisecond, slack: 10 * time.Millisecond,
+			fetchTimeout: time.Minute}
 	})
 	for i := range 6 {
 		want := "from=41&hold_ms=1"
@@ -462,11 +471,11 @@
 	for !strings.HasPrefix(within(t, queries, "the watch has ended"), "from=43&") {
 		continue
 	}
-	mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 }
 
-// A bad list is a failed call, and the module asks again; the list it has stands.
-func TestBadListIsAFailedCall(t *testing.T) {
+// An invalid list counts as a failed call, and the engine polls again; it keeps the list that it has.
+func TestInvalidListIsFailedCall(t *testing.T) {
 	got := make(chan *http.Request, 8)
 	c := newCatalog(t)
 	p := startProxy(t, listText(41, true, memberText("a", countingBackend(t, got), "active")), c, nil)
@@ -475,7 +484,7 @@
 	if q := within(t, c.queries, "discovery was not asked again"); !strings.HasPrefix(q, "from=41&") {
 		t.Errorf("after a bad list it asks for %q", q)
 	}
-	mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 	if !strings.Contains(p.logs.String(), "odd") {
 		t.Error("the log does not say what was wrong with the list")
 	}
@@ -488,7 +497,8 @@
 		"no id":         listText(1, true, memberText("", "127.0.0.1:1", "active")),
 		"no address":    listText(1, true, memberText("a", "", "active")),
 		"bad lifecycle": listText(1, true, memberText("a", "127.0.0.1:1", "resting")),
-		"bad start":     strings.Replace(listText(1, true, memberText("a", "127.0.0.1:1", "active")), `"startedAtMs":0`, `"startedAtMs":1e300`, 1),
+		"bad start": strings.Replace(listText(1, true, memberText("a", "127.0.0.1:1", "active")), `"startedAtMs":0`,
+			`"startedAtMs":1e300`, 1),
 	} {
 		if list, err := parseList([]byte(text)); err == nil {
 			t.Errorf("%s: taken as %+v", name, list)
@@ -500,14 +510,14 @@
 	}
 }
 
-// At SIGTERM what was taken is finished, and connections that still come are served.
-func TestEndInOrder(t *testing.T) {
+// At SIGTERM requests in flight are finished, and connections that still come are served.
+func TestGracefulShutdown(t *testing.T) {
 	came, leave := make(chan bool, 8), make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for readWhole(in) {
+		for readRequest(in) {
 			came <- true
 			<-leave
-			say(c, served)
+			writeText(c, served)
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
@@ -522,7 +532,7 @@
 	}
 	results := make(chan result, 2)
 	ask := func() {
-		resp, _, err := p.ask(t, "hand-in", 15000, "homework")
+		resp, _, err := p.request(t, "hand-in", 15000, "homework")
 		results <- result{resp, err}
 	}
 	go ask()
@@ -549,7 +559,7 @@
 	p.done <- nil
 }
 
-// clientPair is a client's connection from both of its ends.
+// clientPair returns both ends of a client's connection.
 func clientPair(t *testing.T, conns *clientConns) (client net.Conn, c *clientConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -568,7 +578,7 @@
 	return client, taken.(*clientConn)
 }
 
-// Bytes that cross the close of an idle connection are not served: their client sends them again elsewhere.
+// Bytes that arrive as an idle connection is closed are not served: the client sends them again elsewhere.
 func TestClosedBetweenRequestsServesNoMore(t *testing.T) {
 	conns := newClientConns(4)
 	client, c := clientPair(t, conns)
@@ -601,7 +611,7 @@
 	}
 }
 
-// silentConns opens connections that say nothing, until no place is left for clients.
+// silentConns opens connections that send nothing, until no place is left for clients.
 func silentConns(t *testing.T, addr string, n int) []net.Conn {
 	t.Helper()
 	var conns []net.Conn
@@ -616,35 +626,36 @@
 	return conns
 }
 
-// Silent connections take all places and more: the usual clients are served all the same, at once on a new
-// connection and on one with a request begun.
-func TestSilentConnectionsMakePlace(t *testing.T) {
+// Silent connections take all places and more: other clients are still served at once, on a new connection and on one
+// with a request begun.
+func TestUnusedConnectionsAreEvicted(t *testing.T) {
 	came, leave := make(chan bool, 8), make(chan bool, 8)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for readWhole(in) {
+		for readRequest(in) {
 			came <- true
 			<-leave
-			say(c, served)
+			writeText(c, served)
 		}
 	})
-	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), func(c *Config) { c.Sockets = 64 })
+	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t),
+		func(c *Config) { c.Sockets = 64 })
 	answered := make(chan error, 1)
 	go func() {
-		_, _, err := p.ask(t, "hand-in", 15000, "homework")
+		_, _, err := p.request(t, "hand-in", 15000, "homework")
 		answered <- err
 	}()
 	within(t, came, "the first request did not come")
 	silentConns(t, p.addr, 80) // four times as many as there are places
 	leave <- true
 	leave <- true
-	mustAnswer(t, 200)(p.ask(t, "fetch-work", 15000, ""))
+	mustRespond(t, 200)(p.request(t, "fetch-work", 15000, ""))
 	if err := within(t, answered, "no answer"); err != nil {
 		t.Errorf("the request in hand lost its connection: %v", err)
 	}
 }
 
-// The silent ones go first, then the idle ones; one with a request begun stays.
-func TestWhoMakesPlace(t *testing.T) {
+// Unused connections are evicted first, then idle ones; one with a request begun stays.
+func TestEvictionOrder(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -700,8 +711,8 @@
 	}
 }
 
-// The search for a place is bounded: where all have something to read, it does not try each of them.
-func TestSearchForAPlaceIsBounded(t *testing.T) {
+// The search for a connection to evict is bounded: where all have unread bytes, it does not try each of them.
+func TestEvictionSearchIsBounded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -741,14 +752,14 @@
 	}
 }
 
-// The id of a request in hand is not served a second time; the first one is left alone.
-func TestIDInHand(t *testing.T) {
+// A request with the ID of one in flight is rejected, and the first one is not affected.
+func TestDuplicateRequestID(t *testing.T) {
 	came, leave := make(chan bool, 8), make(chan bool, 8)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for readWhole(in) {
+		for readRequest(in) {
 			came <- true
 			<-leave
-			say(c, served)
+			writeText(c, served)
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
@@ -758,21 +769,21 @@
 	within(t, came, "the first request did not come")
 	_, _ = io.WriteString(conns[1], request)
 	in := bufio.NewReader(conns[1])
-	if resp, _ := mustAnswer(t, 409)(readAnswer(in)); !resp.Close {
+	if resp, _ := mustRespond(t, 409)(readFinalResponse(in)); !resp.Close {
 		t.Error("the connection stays open after a rejection")
 	}
 	leave <- true
 	leave <- true
-	mustAnswer(t, 200)(readAnswer(bufio.NewReader(conns[0])))
+	mustRespond(t, 200)(readFinalResponse(bufio.NewReader(conns[0])))
 	for start := time.Now(); ; time.Sleep(time.Millisecond) { // the id is free again soon after the answer
 		c := silentConns(t, p.addr, 1)[0]
 		_, _ = io.WriteString(c, request)
-		resp, _, err := readAnswer(bufio.NewReader(c))
+		resp, _, err := readFinalResponse(bufio.NewReader(c))
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Danger: on a busy machine the first answer was late, and the only server's limit is down: the module may refuse one whose
-		// id was found free.
+		// Danger: on a busy machine the first answer was late, and the only server's limit is down: the module may
+		// refuse one whose id was found free.
 		if resp.StatusCode == 200 || resp.StatusCode == 503 {
 			break
 		}
@@ -782,8 +793,8 @@
 	}
 }
 
-// A rejection comes at once, also if its body is never sent, and bodies in hand are bounded in all.
-func TestBodiesInHandAreBounded(t *testing.T) {
+// A rejection comes at once, even if the body is never sent, and the memory for bodies in flight is limited.
+func TestBodyMemoryIsLimited(t *testing.T) {
 	svcs := testServices(t, List{})
 	f := newFrontend(svcs, &svcs.proxy.cfg, slog.New(slog.DiscardHandler), newClientConns(8))
 	f.maxReservedBytes = 100
@@ -800,8 +811,8 @@
 	}
 }
 
-// Head and body share one time, which counts from the first byte, or from a new connection's start.
-func TestSlowRequestsAreTurnedAway(t *testing.T) {
+// Head and body share one timeout, which counts from the first byte, or from a new connection's start.
+func TestSlowRequestsAreRejected(t *testing.T) {
 	p := startProxy(t, listText(1, true), newCatalog(t), nil)
 	for name, text := range map[string]string{
 		"silence":   "",
@@ -820,7 +831,7 @@
 	}
 }
 
-func TestIDsComeFromTheText(t *testing.T) {
+func TestBackendIDsComeFromNames(t *testing.T) {
 	// Fixed values: other proxies, and this one after a restart, must find the same.
 	if id := backendID("s-5be2a07c"); id != 0x4caec46a {
 		t.Errorf("backend id %#x", id)
@@ -839,11 +850,14 @@
 		t.Fatal(err)
 	}
 	m := c.Decision
-	if m.Classes[1].Name != "hand-in" || m.Classes[1].Idempotency != decision.NotIdempotent || m.Classes[0].Idempotency != decision.Idempotent ||
-		!m.PolledDiscovery || m.Capabilities.ConnectTimeout != 250*time.Millisecond || m.Constraints.OverloadFactor != 2.5 {
+	if m.Classes[1].Name != "hand-in" || m.Classes[1].Idempotency != decision.NotIdempotent ||
+		m.Classes[0].Idempotency != decision.Idempotent ||
+		!m.PolledDiscovery || m.Capabilities.ConnectTimeout != 250*time.Millisecond ||
+		m.Constraints.OverloadFactor != 2.5 {
 		t.Errorf("settings %+v", m)
 	}
-	if c.InitialEndpoints.Version != 41 || c.Seed != 0x8c1f30d27a5be964 || c.Kinds[1] != "slow-5" || c.Zones[0] != "dc one" {
+	if c.InitialEndpoints.Version != 41 || c.Seed != 0x8c1f30d27a5be964 || c.Kinds[1] != "slow-5" ||
+		c.Zones[0] != "dc one" {
 		t.Errorf("configuration %+v", c)
 	}
 	for name, text := range map[string]string{
@@ -859,7 +873,7 @@
 	}
 }
 
-// Where lists are pushed the module does not ask for them: the proxy watches by itself.
+// Where discovery pushes lists the engine does not poll for them: the proxy watches by itself.
 func TestPushedListsAreWatched(t *testing.T) {
 	got := make(chan *http.Request, 8)
 	c := newCatalog(t)
@@ -867,12 +881,12 @@
 	within(t, c.queries, "no watch")
 	c.lists <- listText(2, true, memberText("a", countingBackend(t, got), "active"))
 	within(t, c.queries, "no second call")
-	mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 }
 
-// Clients that go on using their connections while the proxy ends: what gets no answer has not been sent on
-// to a backend, so that coming again elsewhere is harmless.
-func TestNothingIsLostAtTheEnd(t *testing.T) {
+// Clients go on using their connections while the proxy shuts down: a request without a response was not sent to a
+// backend, so the client may send it again.
+func TestShutdownLosesNoRequest(t *testing.T) {
 	const clients, requests = 8, 4000
 	var seen sync.Map
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
@@ -882,7 +896,7 @@
 				return
 			}
 			seen.Store(req.Header.Get("X-Request-ID"), true)
-			say(c, served)
+			writeText(c, served)
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
@@ -899,8 +913,10 @@
 				in := bufio.NewReader(c)
 				for i := range requests {
 					id = fmt.Sprintf("%d-%d-%d", n, answered, i)
-					_, _ = fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: %s\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 10000\r\n\r\n", id)
-					resp, _, err := readAnswer(in)
+					_, _ = fmt.Fprintf(c,
+						"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: %s\r\nX-Priority-Class: fetch-work\r\n"+
+							"X-Timeout-Ms: 10000\r\n\r\n", id)
+					resp, _, err := readFinalResponse(in)
 					if err != nil {
 						if _, sent := seen.Load(id); sent {
 							t.Errorf("request %s went to a backend and got no answer: %v", id, err)
@@ -927,13 +943,13 @@
 	p.done <- nil
 }
 
-// The server's own time-outs end neither a request in hand nor its answer; only a body that never ends.
-func TestTimeoutsOfTheServer(t *testing.T) {
+// The HTTP server's own timeouts end neither a request in flight nor its response; only a body that never ends.
+func TestServerTimeouts(t *testing.T) {
 	const short = 100 * time.Millisecond
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for readWhole(in) {
+		for readRequest(in) {
 			time.Sleep(4 * short)
-			say(c, served)
+			writeText(c, served)
 		}
 	})
 	list, err := parseList([]byte(listText(1, true, memberText("a", addr, "active"))))
@@ -958,13 +974,15 @@
 	defer func() { _ = f.server.Close() }()
 	p := &running{addr: listener.Addr().String()}
 	for _, class := range []string{"hand-in", "fetch-work"} {
-		mustAnswer(t, 200)(p.ask(t, class, 10000, ""))
+		mustRespond(t, 200)(p.request(t, class, 10000, ""))
 	}
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_, _ = io.WriteString(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: r1\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 9000\r\nContent-Length: 9\r\n\r\n")
-	mustAnswer(t, 408)(readAnswer(bufio.NewReader(c)))
+	_, _ = io.WriteString(c,
+		"POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: r1\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 9000\r\n"+
+			"Content-Length: 9\r\n\r\n")
+	mustRespond(t, 408)(readFinalResponse(bufio.NewReader(c)))
 }
--- a/internal/proxy/services_test.go
+++ b/internal/proxy/services_test.go
@@ -40,7 +40,8 @@
 
 func newStage(t *testing.T, services string, change func(*Config)) *stage {
 	t.Helper()
-	s := &stage{t: t, file: filepath.Join(t.TempDir(), "services.toml"), served: map[string]*atomic.Int64{}, stall: map[string]*atomic.Int64{},
+	s := &stage{t: t, file: filepath.Join(t.TempDir(), "services.toml"), served: map[string]*atomic.Int64{},
+		stall: map[string]*atomic.Int64{},
 		lists: make(chan string), release: make(chan struct{}), backend: map[string]string{}, first: map[string]*atomic.Pointer[string]{}}
 	var members []string
 	for _, kind := range []string{"fast-5", "slow-5"} {
@@ -66,7 +67,8 @@
 		}))
 		t.Cleanup(b.Close)
 		s.backend[kind] = strings.TrimPrefix(b.URL, "http://")
-		members = append(members, strings.Replace(memberText("id-"+kind[:4], strings.TrimPrefix(b.URL, "http://"), "active"), `"fast-5"`, fmt.Sprintf("%q", kind), 1))
+		members = append(members, strings.Replace(memberText("id-"+kind[:4], strings.TrimPrefix(b.URL, "http://"),
+			"active"), `"fast-5"`, fmt.Sprintf("%q", kind), 1))
 	}
 	list := listText(1, true, members...)
 	s.catalog = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -123,7 +125,7 @@
 	}
 }
 
-// reload installs a file and waits until it was taken in, or was found bad.
+// reload installs a file and waits until it was taken in, or rejected as invalid.
 func (s *stage) reload(text string) (ok bool) {
 	s.t.Helper()
 	s.write(text)
@@ -141,8 +143,8 @@
 	}
 }
 
-// ask sends a request and gives the status and the body.
-func (s *stage) ask(client *http.Client, host, path, class string, timeout int) (int, string) {
+// request sends a request and returns the status and the body.
+func (s *stage) request(client *http.Client, host, path, class string, timeout int) (int, string) {
 	method := "POST"
 	if class == "fetch-work" {
 		method = "GET"
@@ -153,7 +155,8 @@
 		return 0, ""
 	}
 	req.Host = host
-	req.Header = http.Header{"X-Request-Id": {fmt.Sprint("r", s.ids.Add(1))}, "X-Priority-Class": {class}, "X-Timeout-Ms": {fmt.Sprint(timeout)}}
+	req.Header = http.Header{"X-Request-Id": {fmt.Sprint("r", s.ids.Add(1))}, "X-Priority-Class": {class},
+		"X-Timeout-Ms": {fmt.Sprint(timeout)}}
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, err.Error()
@@ -185,7 +188,7 @@
 to = [{ service = "dispatch" }]
 `
 
-func TestRequestsGoToTheirService(t *testing.T) {
+func TestRequestsAreRouted(t *testing.T) {
 	s := newStage(t, twoServices, nil)
 	for _, k := range []struct {
 		host, path, class string
@@ -198,7 +201,7 @@
 		{"x.org", "/api/../other", "hand-in", 400, ""},
 		{"x.org", "/api", "unheard-of", 400, ""},
 	} {
-		status, body := s.ask(http.DefaultClient, k.host, k.path, k.class, 5000)
+		status, body := s.request(http.DefaultClient, k.host, k.path, k.class, 5000)
 		if status != k.status || k.body != "" && body != k.body {
 			t.Errorf("%s%s: %d %q, want %d %q", k.host, k.path, status, body, k.status, k.body)
 		}
@@ -218,7 +221,8 @@
 	if err := json.Unmarshal(text, &info); err != nil {
 		t.Fatal(err)
 	}
-	if info.Served["hand-in"] != 2 || info.Services["settlement"].Served["hand-in"] != 1 || info.Services["dispatch"].Known != 1 {
+	if info.Served["hand-in"] != 2 || info.Services["settlement"].Served["hand-in"] != 1 ||
+		info.Services["dispatch"].Known != 1 {
 		t.Errorf("INFO: %s", text)
 	}
 	if info.Limits["requests"].Used != 0 || info.Limits["bytes"].Used != 0 || info.Limits["requests"].Total == 0 {
@@ -226,8 +230,8 @@
 	}
 }
 
-// A pool that hangs wholly takes its share and no more: the other service is served at once.
-func TestAPoolThatHangsDoesNotStarveTheOther(t *testing.T) {
+// A service whose backends all hang uses its quota and no more: the other service is served at once.
+func TestHangingServiceDoesNotStarveOthers(t *testing.T) {
 	s := newStage(t, twoServices, func(c *Config) { c.Sockets = 300 })
 	s.stall["slow-5"].Store(60_000)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
@@ -236,7 +240,7 @@
 	refused, ended := atomic.Int64{}, atomic.Int64{}
 	for range 90 { // half of 100 requests in hand is its cap
 		all.Go(func() {
-			if status, _ := s.ask(client, "pay.example.org", "/api", "hand-in", 6000); status == 503 {
+			if status, _ := s.request(client, "pay.example.org", "/api", "hand-in", 6000); status == 503 {
 				refused.Add(1)
 			}
 			ended.Add(1)
@@ -249,7 +253,7 @@
 	}
 	hung := ended.Load() < 90
 	for range 30 {
-		if status, body := s.ask(client, "x.org", "/api", "hand-in", 5000); status != 200 {
+		if status, body := s.request(client, "x.org", "/api", "hand-in", 5000); status != 200 {
 			t.Fatalf("dispatch: %d %q", status, body)
 		}
 	}
@@ -262,8 +266,8 @@
 	}
 }
 
-// Routes change and services come and go under load: no request is lost, and nothing is left behind.
-func TestChangesUnderLoadLoseNothing(t *testing.T) {
+// Routes change, and services are added and removed, under load: no request is lost, and nothing is left behind.
+func TestReloadsUnderLoadLoseNothing(t *testing.T) {
 	s := newStage(t, twoServices, nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	defer client.CloseIdleConnections()
@@ -280,7 +284,7 @@
 				default:
 				}
 				host := []string{"pay.example.org", "x.org"}[i%2]
-				if status, body := s.ask(client, host, "/api", "hand-in", 5000); status != 200 {
+				if status, body := s.request(client, host, "/api", "hand-in", 5000); status != 200 {
 					t.Errorf("lost at %s: %d %q", host, status, body)
 					return
 				}
@@ -290,7 +294,8 @@
 	}
 	variants := []string{
 		twoServices,
-		strings.Replace(twoServices, `to = [{ service = "settlement" }]`, `to = [{ service = "settlement", weight = 1.0 }, { service = "dispatch", weight = 3.0 }]`, 1),
+		strings.Replace(twoServices, `to = [{ service = "settlement" }]`,
+			`to = [{ service = "settlement", weight = 1.0 }, { service = "dispatch", weight = 3.0 }]`, 1),
 		strings.ReplaceAll(twoServices, "settlement", "payouts"), // another name: another service
 		strings.Replace(twoServices, "cap = 0.5", "cap = 0.6", 1),
 	}
@@ -305,7 +310,7 @@
 	if s.reload(strings.Replace(twoServices, "version = 1", "version = 9", 1)) {
 		t.Error("a bad file was taken")
 	}
-	if status, _ := s.ask(client, "pay.example.org", "/api", "hand-in", 5000); status != 200 {
+	if status, _ := s.request(client, "pay.example.org", "/api", "hand-in", 5000); status != 200 {
 		t.Errorf("after a bad file: %d", status)
 	}
 	close(stop)
@@ -323,10 +328,11 @@
 	}
 }
 
-// Of a list the service sees its part; what moves out of it is gone.
-func TestSelectedLists(t *testing.T) {
+// A service sees its part of a list; endpoints that move out of it are removed.
+func TestFilteredSource(t *testing.T) {
 	sel := filteredSource{spec: twoKinds()}
-	got := sel.filter(List{Full: true, Endpoints: []Member{{ID: "a", Kind: "fast-5", Cell: 1}, {ID: "b", Kind: "slow-5", Cell: 1}, {ID: "c", Kind: "fast-5", Cell: 2}}})
+	got := sel.filter(List{Full: true, Endpoints: []Member{{ID: "a", Kind: "fast-5", Cell: 1}, {ID: "b", Kind: "slow-5",
+		Cell: 1}, {ID: "c", Kind: "fast-5", Cell: 2}}})
 	if len(got.Endpoints) != 1 || got.Endpoints[0].ID != "a" {
 		t.Errorf("whole list: %+v", got)
 	}
--- a/internal/proxy/services_trouble_test.go
+++ b/internal/proxy/services_trouble_test.go
@@ -16,21 +16,23 @@
 	return strings.Replace(memberText(id, addr, state), `"fast-5"`, fmt.Sprintf("%q", kind), 1)
 }
 
-// A service that a change brings is probed before the routes lead to it; one whose register or servers are not there
-// begins all the same, soon.
-func TestANewServiceIsProbedFirst(t *testing.T) {
+// A service that a reload adds checks the health of its backends before requests are routed to it; one whose discovery
+// or backends are down starts all the same, soon.
+func TestNewServiceChecksHealthFirst(t *testing.T) {
 	s := newStage(t, strings.Split(twoServices, "[[service]]\nname = \"settlement\"")[0]+`[[route]]
 name = "all"
 path_prefix = "/api"
 to = [{ service = "dispatch" }]
 `, func(c *Config) { c.Decision.Capabilities.HealthChecks = true })
-	if status, body := s.ask(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 || body != "fast-5" {
+	if status, body := s.request(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 ||
+		body != "fast-5" {
 		t.Fatalf("before: %d %q", status, body)
 	}
 	if !s.reload(twoServices) {
 		t.Fatal("the change was not taken")
 	}
-	if status, body := s.ask(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 || body != "slow-5" {
+	if status, body := s.request(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 ||
+		body != "slow-5" {
 		t.Errorf("after: %d %q", status, body)
 	}
 	if p := s.first["slow-5"].Load(); p == nil || *p == "/api" {
@@ -45,8 +47,8 @@
 	}
 }
 
-// A register that is down for one service only is that service's trouble alone, and ends when it is back.
-func TestOneServicesRegisterIsDown(t *testing.T) {
+// A discovery address that is down affects only the service that uses it, until it is back.
+func TestDiscoveryOfOneServiceIsDown(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -56,10 +58,10 @@
 	s := newStage(t, strings.Replace(twoServices, `kinds = ["slow-5"]`, fmt.Sprintf("discovery = %q", addr), 1), nil)
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	if status, _ := s.ask(client, "pay.example.org", "/api", "hand-in", 400); status != 503 {
+	if status, _ := s.request(client, "pay.example.org", "/api", "hand-in", 400); status != 503 {
 		t.Errorf("with nobody known: %d", status)
 	}
-	if status, body := s.ask(client, "x.org", "/api", "hand-in", 5000); status != 200 {
+	if status, body := s.request(client, "x.org", "/api", "hand-in", 5000); status != 200 {
 		t.Errorf("the other service: %d %q", status, body)
 	}
 	list := listText(9, true, memberOf("id-slow", s.backend["slow-5"], "slow-5", "active"))
@@ -76,7 +78,8 @@
 	go func() { _ = back.Serve(l) }()
 	defer func() { _ = back.Close() }()
 	for start := time.Now(); ; {
-		if status, body := s.ask(client, "pay.example.org", "/api", "hand-in", 1000); status == 200 && body == "slow-5" {
+		if status, body := s.request(client, "pay.example.org", "/api", "hand-in", 1000); status == 200 &&
+			body == "slow-5" {
 			break
 		}
 		if time.Since(start) > patience {
@@ -85,14 +88,15 @@
 	}
 }
 
-// Two services that share a server both give it nothing new once it drains.
-func TestASharedServerDrainsForBoth(t *testing.T) {
+// Two services that share a backend both send it no new request once it drains.
+func TestSharedBackendDrainsForBothServices(t *testing.T) {
 	s := newStage(t, strings.NewReplacer(`kinds = ["fast-5"]`, "", `kinds = ["slow-5"]`, "").Replace(twoServices), nil)
 	s.lists <- listText(2, false, memberOf("id-slow", s.backend["slow-5"], "slow-5", "leaving"))
 	time.Sleep(500 * time.Millisecond)
 	before := s.served["slow-5"].Load()
 	for i := range 20 {
-		if status, body := s.ask(http.DefaultClient, []string{"x.org", "pay.example.org"}[i%2], "/api", "hand-in", 5000); status != 200 || body != "fast-5" {
+		if status, body := s.request(http.DefaultClient, []string{"x.org", "pay.example.org"}[i%2], "/api", "hand-in",
+			5000); status != 200 || body != "fast-5" {
 			t.Errorf("%d %q", status, body)
 		}
 	}
@@ -101,8 +105,8 @@
 	}
 }
 
-// A change that removes the service whose long answer is on its way lets it come to its end.
-func TestALongAnswerOutlivesItsService(t *testing.T) {
+// A reload that removes a service lets its long response in flight come to its end.
+func TestLongResponseOutlivesItsService(t *testing.T) {
 	s := newStage(t, twoServices, nil)
 	req, err := http.NewRequest("POST", "http://"+s.addr+"/api/long", nil)
 	if err != nil {
@@ -118,7 +122,8 @@
 	if !s.reload(strings.ReplaceAll(twoServices, "settlement", "payouts")) {
 		t.Fatal("the change was not taken")
 	}
-	if status, body := s.ask(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 || body != "slow-5" {
+	if status, body := s.request(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 ||
+		body != "slow-5" {
 		t.Errorf("the service in its place: %d %q", status, body)
 	}
 	close(s.release)
@@ -128,27 +133,27 @@
 	}
 }
 
-// What goes wrong in one engine, a panic or an event that does not end, is not the other service's trouble.
-func TestOneEnginesTroubleStaysThere(t *testing.T) {
+// A panic or an endless event in one engine does not affect the other service.
+func TestFaultOfOneServiceStaysThere(t *testing.T) {
 	s := newStage(t, twoServices, nil)
 	sick := s.proxy.services.current.Load().byName["settlement"]
 	stalled := make(chan struct{})
 	sick.engine.Post(func() { panic("out of order") })
 	sick.engine.Post(func() { <-stalled })
 	for range 20 {
-		if status, body := s.ask(http.DefaultClient, "x.org", "/api", "hand-in", 5000); status != 200 {
+		if status, body := s.request(http.DefaultClient, "x.org", "/api", "hand-in", 5000); status != 200 {
 			t.Fatalf("%d %q", status, body)
 		}
 	}
 	close(stalled)
-	if status, body := s.ask(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 {
+	if status, body := s.request(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 {
 		t.Errorf("after it: %d %q", status, body)
 	}
 }
 
-// In the midst of an upgrade, when two processes share the limits, a change keeps to this one's half; and it has all
-// again when the other has gone.
-func TestAChangeAmidAnUpgrade(t *testing.T) {
+// During a hot restart, when two processes share the limits, a reload keeps to this process's half; it has all again
+// when the other process is gone.
+func TestReloadDuringHotRestart(t *testing.T) {
 	s := newStage(t, twoServices, nil)
 	conns := func() int64 { return s.proxy.services.limits.Report().Conns.Total }
 	whole := conns()
@@ -170,8 +175,9 @@
 	}
 }
 
-// The console reads the file anew, tells what holds then, and where a file is bad, why, and the old one stays.
-func TestRoutesByTheConsole(t *testing.T) {
+// An operator's reload reads the file again and returns a summary; an invalid file is rejected with the reason, and the
+// old one stays.
+func TestRoutesReloadedByOperator(t *testing.T) {
 	s := newStage(t, twoServices, nil)
 	op := adminBackend{s.proxy}
 	s.write(strings.ReplaceAll(twoServices, "settlement", "payouts"))
@@ -179,7 +185,8 @@
 		t.Errorf("%q, %v", text, err)
 	}
 	s.write(strings.Replace(twoServices, "cap = 0.5", "cap = 7.0", 1))
-	if _, err := op.ReloadRoutes(); err == nil || !strings.Contains(err.Error(), "services.toml") || !strings.Contains(err.Error(), "cap 7") {
+	if _, err := op.ReloadRoutes(); err == nil || !strings.Contains(err.Error(), "services.toml") ||
+		!strings.Contains(err.Error(), "cap 7") {
 		t.Errorf("a bad file: %v", err)
 	}
 	if s.proxy.services.current.Load().byName["payouts"] == nil || s.proxy.counters.ReloadsFailed.Load() != 1 {
@@ -187,9 +194,9 @@
 	}
 }
 
-// Attempts a second are shared: a service that asks for all of them leaves the other its part, and who is refused is
-// told to come again.
-func TestAttemptsAreShared(t *testing.T) {
+// Attempts a second are shared: a service that uses all it can get leaves the other its part, and a rejection has a
+// Retry-After.
+func TestAttemptQuotaIsShared(t *testing.T) {
 	s := newStage(t, strings.Replace(twoServices, "version = 1", "version = 1\n[limits]\nattempts = 100.0", 1), nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	defer client.CloseIdleConnections()
@@ -205,7 +212,7 @@
 					return
 				default:
 				}
-				switch status, _ := s.ask(client, "pay.example.org", "/api", "hand-in", 5000); status {
+				switch status, _ := s.request(client, "pay.example.org", "/api", "hand-in", 5000); status {
 				case 200:
 					served.Add(1)
 				case 503:
@@ -216,7 +223,7 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	for range 20 { // 20 a second: well within its 40
-		if status, body := s.ask(client, "x.org", "/api", "hand-in", 5000); status != 200 {
+		if status, body := s.request(client, "x.org", "/api", "hand-in", 5000); status != 200 {
 			t.Errorf("dispatch: %d %q", status, body)
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -32,10 +32,11 @@
 	p.done <- nil
 }
 
-// The process is told to end while a request stands in each of its states: it is answered whole, by the backend's answer,
-// and the answer closes the connection.
-func TestTheEndCrossesARequest(t *testing.T) {
-	const head = "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: e%d\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 19000\r\nContent-Length: 8\r\n\r\n"
+// The process is told to end while a request is in each of its states: it gets its backend's whole response, which
+// closes the connection.
+func TestDrainCrossesRequest(t *testing.T) {
+	const head = "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: e%d\r\nX-Priority-Class: fetch-work\r\n" +
+		"X-Timeout-Ms: 19000\r\nContent-Length: 8\r\n\r\n"
 	const short, long = 32 << 10, 16 << 20
 	states := map[string]struct {
 		list     bool // known from the start
@@ -63,18 +64,20 @@
 			var attempts, dials atomic.Int32
 			text := strings.Repeat("y", max(s.length, 1))
 			addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-				if !readWhole(in) {
+				if !readRequest(in) {
 					return
 				}
 				if attempts.Add(1) == 1 && s.full {
-					say(c, "HTTP/1.1 503 Service Unavailable\nX-Not-Processed: 1\nContent-Length: 0\nConnection: close\n\n")
+					writeText(c, "HTTP/1.1 503 Service Unavailable\nX-Not-Processed: 1\nContent-Length: 0\n"+
+						"Connection: close\n\n")
 					return
 				}
 				came <- true
 				if s.hold {
 					<-release
 				}
-				say(c, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\nConnection: close\n\n%s", len(text), text))
+				writeText(c, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\nConnection: close\n\n%s", len(text),
+					text))
 			})
 			members := []string{memberText("a", addr, "active"), memberText("b", addr, "active")}
 			catalog, known := newCatalog(t), listText(1, true)
@@ -86,7 +89,7 @@
 					c.Decision.Capabilities.ConnectTimeout = patience
 				}
 			})
-			pool := p.only(t)
+			pool := p.onlyPool(t)
 			dial, dialling := pool.dialer, make(chan bool, 8)
 			pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if s.dials >= 0 && int(dials.Add(1)) > s.dials {
@@ -133,7 +136,7 @@
 				catalog.lists <- listText(2, true, members...)
 			}
 			_ = c.SetReadDeadline(time.Now().Add(patience))
-			resp, body := mustAnswer(t, 200)(readAnswer(bufio.NewReader(c)))
+			resp, body := mustRespond(t, 200)(readFinalResponse(bufio.NewReader(c)))
 			if body != text {
 				t.Errorf("%d bytes of %d came", len(body), len(text))
 			}
@@ -145,9 +148,9 @@
 	}
 }
 
-// drainingFront is a front end that was told to end so long ago, before a backend that never answers and notes what it is
-// told of the time.
-func drainingFront(t *testing.T, ago, most time.Duration, told chan<- string) *running {
+// newDrainingFrontend returns a front end that began to drain so long ago, before a backend that never responds and
+// records the timeout that it is sent.
+func newDrainingFrontend(t *testing.T, ago, most time.Duration, told chan<- string) *running {
 	t.Helper()
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
 		for {
@@ -180,13 +183,13 @@
 	return &running{addr: listener.Addr().String()}
 }
 
-// What comes so late in a drain that its own deadline lies past the process's end is answered before that, and what comes
-// later still is refused at once and never sent on.
-func TestLateInADrain(t *testing.T) {
+// A request that comes so late in a drain that its own deadline lies past the process's end is answered before that;
+// one that comes later still is rejected at once and never sent.
+func TestLateRequestInDrain(t *testing.T) {
 	told := make(chan string, 64)
 	const left = 300 * time.Millisecond
-	p := drainingFront(t, drainAcceptPeriod+time.Second, drainAcceptPeriod+time.Second+left, told)
-	resp, _, err := p.ask(t, "hand-in", 59000, "homework")
+	p := newDrainingFrontend(t, drainAcceptPeriod+time.Second, drainAcceptPeriod+time.Second+left, told)
+	resp, _, err := p.request(t, "hand-in", 59000, "homework")
 	if err != nil || resp.StatusCode == 200 {
 		t.Fatalf("answer %v, %v", resp, err)
 	}
@@ -195,8 +198,9 @@
 			t.Errorf("an attempt is waited for %d ms, %v: past the end", ms, err)
 		}
 	}
-	p = drainingFront(t, time.Minute, drainMargin, told)
-	if resp, _ := mustAnswer(t, http.StatusServiceUnavailable)(p.ask(t, "hand-in", 59000, "homework")); !resp.Close {
+	p = newDrainingFrontend(t, time.Minute, drainMargin, told)
+	if resp, _ := mustRespond(t, http.StatusServiceUnavailable)(p.request(t, "hand-in", 59000,
+		"homework")); !resp.Close {
 		t.Error("the refusal leaves its connection open")
 	}
 	if len(told) != 0 {
@@ -204,8 +208,9 @@
 	}
 }
 
-// At a drain's end what never became a request goes; a whole request in hand stays, and so does one that stands unread.
-func TestTheDrainsEndLeavesRequestsAlone(t *testing.T) {
+// At the end of a drain connections without a whole head are closed; a whole request in flight stays, and so does one
+// that is not read yet.
+func TestEndOfDrainKeepsRequests(t *testing.T) {
 	conns := newClientConns(8)
 	open := func(text string, read int) (net.Conn, *clientConn) {
 		client, c := clientPair(t, conns)
@@ -224,14 +229,16 @@
 	whole := "GET / HTTP/1.1\r\n\r\n"
 	_, inHand := open(whole, len(whole))
 	_, unread := open(whole, 0)
-	_, body := open("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf", len("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"))
+	_, body := open("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf",
+		len("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"))
 	_, half := open("GET / HT", 8)
 	_, silent := open("", 0)
 	conns.closeWithoutRequest()
 	for name, x := range map[string]struct {
 		c     *clientConn
 		stays bool
-	}{"in hand": {inHand, true}, "unread": {unread, true}, "body half read": {body, true}, "half a head": {half, false}, "silent": {silent, false}} {
+	}{"in hand": {inHand, true}, "unread": {unread, true}, "body half read": {body, true}, "half a head": {half,
+		false}, "silent": {silent, false}} {
 		conns.mu.Lock()
 		if conns.open[x.c] != x.stays {
 			t.Errorf("%s: stays %v, want %v", name, conns.open[x.c], x.stays)
--- a/internal/proxy/slopes_test.go
+++ b/internal/proxy/slopes_test.go
@@ -9,17 +9,19 @@
 	config "lapisspread/internal/services"
 )
 
-// listOf is a register's whole list of so many servers, a kind for each 38 of them.
+// listOf returns a whole list of so many endpoints, with one kind for each 38 of them.
 func listOf(servers int) string {
 	var all []string
 	for i := range servers {
-		text := memberText(fmt.Sprintf("dispatch-r%d-z%02d-%05d", i%7, i%22, i), fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255), "active")
+		text := memberText(fmt.Sprintf("dispatch-r%d-z%02d-%05d", i%7, i%22, i), fmt.Sprintf("10.%d.%d.%d:8080",
+			i>>16&255, i>>8&255, i&255), "active")
 		all = append(all, strings.Replace(text, `"fast-5"`, fmt.Sprintf(`"kind-%04d"`, i/38), 1))
 	}
 	return listText(1, true, all...)
 }
 
-// BenchmarkList is a whole list that is read, and then looked through by the services that take a kind of it each. list-B is its length.
+// BenchmarkList parses a whole list and filters it for the services that take one kind each.
+// The metric list-B is the length of the list in bytes.
 func BenchmarkList(b *testing.B) {
 	for _, servers := range []int{1000, 4000, 13_000, 26_000, 53_000} {
 		b.Run(fmt.Sprintf("read=%d", servers), func(b *testing.B) {
@@ -50,7 +52,7 @@
 	}
 }
 
-// BenchmarkUpdate is what a service's connections do with a whole list.
+// BenchmarkUpdate takes a whole list into a service's pool.
 func BenchmarkUpdate(b *testing.B) {
 	for _, servers := range []int{38, 150, 600, 2400} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -16,7 +16,7 @@
 	"lapisspread/decision"
 )
 
-// echoBackend answers each request with its body, in pieces and with the framing that the path asks for.
+// echoBackend answers each request with its body, in chunks and with the framing that the path names.
 func echoBackend(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,8 +51,8 @@
 	return listener.Addr().String()
 }
 
-// Bodies and answers of any length and framing come through unchanged, several on one connection.
-func TestLongBodiesAndAnswersPassThrough(t *testing.T) {
+// Bodies of any length and framing pass unchanged, several on one connection.
+func TestLongBodiesAreStreamed(t *testing.T) {
 	p := startProxy(t, listText(1, true, memberText("a", echoBackend(t), "active")), newCatalog(t), nil)
 	text := strings.Repeat("0123456789abcde\n", 3<<20/16)
 	for _, framing := range []string{"length", "chunks", "end"} {
@@ -66,7 +66,8 @@
 				_ = c.SetDeadline(time.Now().Add(patience))
 				in := bufio.NewReader(c)
 				for _, n := range []int{0, 5, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3 << 20} {
-					head := fmt.Sprintf("POST /api?framing=%s HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 10000\r\n",
+					head := fmt.Sprintf("POST /api?framing=%s HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\n"+
+						"X-Priority-Class: hand-in\r\nX-Timeout-Ms: 10000\r\n",
 						framing, lastAsked.Add(1))
 					wrote := make(chan error, 1)
 					go func() {
@@ -83,7 +84,7 @@
 						}
 						wrote <- err
 					}()
-					_, got := mustAnswer(t, 200)(readAnswer(in))
+					_, got := mustRespond(t, 200)(readFinalResponse(in))
 					if got != text[:n] {
 						t.Fatalf("%d bytes came back as %d others", n, len(got))
 					}
@@ -96,8 +97,8 @@
 	}
 }
 
-// A long answer is passed on as it comes: its first bytes don't wait for its last.
-func TestALongAnswerIsNotHeldBack(t *testing.T) {
+// A long response is passed on as it comes: its first bytes don't wait for its last.
+func TestLongResponseIsNotHeldBack(t *testing.T) {
 	for name, head := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nabc",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -105,7 +106,7 @@
 		t.Run(name, func(t *testing.T) {
 			more := make(chan bool)
 			addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-				if readWhole(in) {
+				if readRequest(in) {
 					_, _ = io.WriteString(c, head)
 					<-more
 				}
@@ -117,7 +118,9 @@
 			}
 			defer func() { _ = c.Close() }()
 			_ = c.SetDeadline(time.Now().Add(patience))
-			_, _ = fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 9000\r\n\r\n", lastAsked.Add(1))
+			_, _ = fmt.Fprintf(c,
+				"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\n"+
+					"X-Timeout-Ms: 9000\r\n\r\n", lastAsked.Add(1))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				t.Fatal(err)
@@ -134,17 +137,17 @@
 	}
 }
 
-// An answer of no told length that breaks off after its beginning was passed on: a reset of the backend's is no end, and
-// the client can tell, also one of HTTP/1.0, for which a close would be the end.
-func TestAResetOnTheWayIsNoEnd(t *testing.T) {
+// A response of unknown length breaks off after its beginning was passed on: the backend's reset is not the end of the
+// body, and the client can tell, even one of HTTP/1.0, for which a close would be the end.
+func TestResetDuringResponseIsNoEnd(t *testing.T) {
 	for _, version := range []string{"1.1", "1.0"} {
 		for _, whole := range []bool{true, false} {
 			t.Run(fmt.Sprintf("HTTP/%s, whole %v", version, whole), func(t *testing.T) {
 				t.Parallel()
 				begun := make(chan bool)
 				addr := rawBackend(t, func(_ int, nc net.Conn, in *bufio.Reader) {
-					if readWhole(in) {
-						say(nc, "HTTP/1.1 200 OK\n\nabc")
+					if readRequest(in) {
+						writeText(nc, "HTTP/1.1 200 OK\n\nabc")
 						<-begun
 						if !whole {
 							_ = nc.(*net.TCPConn).SetLinger(0)
@@ -158,7 +161,9 @@
 				}
 				defer func() { _ = c.Close() }()
 				_ = c.SetDeadline(time.Now().Add(patience))
-				_, _ = fmt.Fprintf(c, "GET /api HTTP/%s\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 9000\r\n\r\n", version, lastAsked.Add(1))
+				_, _ = fmt.Fprintf(c,
+					"GET /api HTTP/%s\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\n"+
+						"X-Timeout-Ms: 9000\r\n\r\n", version, lastAsked.Add(1))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
 					t.Fatal(err)
@@ -176,11 +181,11 @@
 	}
 }
 
-// A long body that the backend turns away early gets its answer while it is being sent.
-func TestABodyTurnedAwayEarlyIsAnswered(t *testing.T) {
+// A long body that the backend rejects early gets its response while it is being sent.
+func TestBodyRejectedEarlyGetsResponse(t *testing.T) {
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
-			say(c, "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n")
+			writeText(c, "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n")
 			_, _ = io.Copy(io.Discard, in)
 		}
 	})
@@ -202,17 +207,17 @@
 			}
 		}
 	}()
-	if resp, _ := mustAnswer(t, 503)(readAnswer(bufio.NewReader(c))); resp.Header.Get("Retry-After") == "" {
+	if resp, _ := mustRespond(t, 503)(readFinalResponse(bufio.NewReader(c))); resp.Header.Get("Retry-After") == "" {
 		t.Error("it does not say when to come back")
 	}
 }
 
-// A backend that answers as soon as it has the last byte of a long body has not answered early.
-func TestAnAnswerRightAfterTheLastByteIsNotEarly(t *testing.T) {
+// A backend that responds as soon as it has the last byte of a long body has not responded early.
+func TestResponseAfterLastByteIsNotEarly(t *testing.T) {
 	last := make(chan bool)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		<-last
-		say(c, served)
+		writeText(c, served)
 		_, _ = io.Copy(io.Discard, in)
 	}))
 	c, err := p.dial(t.Context(), b)
@@ -221,7 +226,8 @@
 	}
 	defer func() { _ = c.Close() }()
 	body := strings.NewReader("all of it")
-	u := &upload{length: 9, startedAt: time.Now(), remainder: io.MultiReader(body), setReadDeadline: func(time.Time) error { return nil },
+	u := &upload{length: 9, startedAt: time.Now(), remainder: io.MultiReader(body),
+		setReadDeadline: func(time.Time) error { return nil },
 		onComplete: func() { // the last byte is out, and the answer is there before the next look for more
 			close(last)
 			for start := time.Now(); c.isSilent() && time.Since(start) < patience; {
@@ -234,12 +240,12 @@
 	}
 }
 
-// At its end a proxy waits for a long answer that is on its way, past all deadlines.
-func TestTheEndWaitsForALongAnswer(t *testing.T) {
+// A drain waits for a long response that is being streamed, past all deadlines.
+func TestDrainWaitsForLongResponse(t *testing.T) {
 	first, rest := make(chan bool), make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		if readWhole(in) {
-			say(c, "HTTP/1.1 200 OK\nContent-Length: 100000\n\nabc")
+		if readRequest(in) {
+			writeText(c, "HTTP/1.1 200 OK\nContent-Length: 100000\n\nabc")
 			close(first)
 			<-rest
 			_, _ = io.WriteString(c, strings.Repeat("x", 100000-3))
@@ -256,7 +262,7 @@
 	}
 	got := make(chan result, 1)
 	go func() {
-		_, body, err := p.ask(t, "fetch-work", 9000, "")
+		_, body, err := p.request(t, "fetch-work", 9000, "")
 		got <- result{body, err}
 	}()
 	<-first
@@ -273,14 +279,14 @@
 	p.done <- <-p.done
 }
 
-// readerFunc reads the rest of a body.
+// readerFunc reads the remainder of a body.
 type readerFunc func([]byte) (int, error)
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// What a backend says while a long body is on its way is read; what is no whole answer leaves it at a body that broke off
+// A response that comes while a long body is being sent is read; an incomplete one counts as a body that broke off
 // before its last byte, which has not run.
-func TestAnAnswerBeforeTheBodysEnd(t *testing.T) {
+func TestResponseBeforeBodyEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		says string
 		want decision.Result
@@ -295,18 +301,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var to *hookedConn
-			p, b := hooked(t, rawBackend(t, func(_ int, nc net.Conn, in *bufio.Reader) {
+			p, b := hookedPool(t, rawBackend(t, func(_ int, nc net.Conn, in *bufio.Reader) {
 				if _, err := http.ReadRequest(in); err != nil {
 					return
 				}
-				if say(nc, c.says); c.says == "" {
+				if writeText(nc, c.says); c.says == "" {
 					_ = nc.(*net.TCPConn).CloseWrite()
 				}
 				_, _ = io.Copy(io.Discard, in)
 			}), func(_ int, h *hookedConn) { to = h })
 			u := testUpload()
 			u.length, u.remainder = -1, readerFunc(func(_ []byte) (int, error) {
-				untilNoted(t, to)
+				waitUntilSeen(t, to)
 				return 1, nil
 			})
 			if name == "half a line" {
@@ -324,14 +330,17 @@
 	}
 }
 
-// A client that fails its body, or has left, says nothing of the backend that the body was on its way to.
-func TestABodyThatFailsIsNotTheBackends(t *testing.T) {
+// A client that fails its body, or has left, does not count against the backend.
+func TestFailedClientBodyDoesNotCountAgainstBackend(t *testing.T) {
 	for name, leave := range map[string]func(*upload) error{
 		"breaks off": func(*upload) error { return io.ErrUnexpectedEOF },
 		"left":       func(u *upload) error { go u.stop(); return os.ErrDeadlineExceeded },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, b := testPool(t, rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) }))
+			p, b := testPool(t, rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
+				_, _ = io.Copy(io.Discard,
+					in)
+			}))
 			u := testUpload()
 			u.remainder = readerFunc(func([]byte) (int, error) { return 0, leave(u) })
 			m := testMessage("POST", nil)
@@ -346,9 +355,9 @@
 	}
 }
 
-// An answer that never ends is bounded, however it goes on: by its bytes, by the time without any, and by the time that all
-// of it is waited for. Who reads it slowly has all the time.
-func TestAnAnswerWithoutEndIsBounded(t *testing.T) {
+// An endless response is bounded by its bytes, by the time without any, and by the time that is waited for all of it. A
+// client may read it slowly.
+func TestEndlessResponseIsBounded(t *testing.T) {
 	read := func(piece int, every, client time.Duration) (n int64, took time.Duration, err error) {
 		near, far := net.Pipe()
 		done := make(chan bool)
@@ -387,7 +396,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n, took, err := read(c.piece, c.every, c.client)
-				if took > c.most || (n > maxBodyBytes) != c.whole || c.whole != errors.Is(err, errInvalidResponse) || c.whole == isTimeout(err) {
+				if took > c.most || (n > maxBodyBytes) != c.whole || c.whole != errors.Is(err, errInvalidResponse) ||
+					c.whole == isTimeout(err) {
 					t.Errorf("%d bytes in %v, then %v", n, took, err)
 				}
 			})
--- a/internal/proxy/view_test.go
+++ b/internal/proxy/view_test.go
@@ -12,18 +12,19 @@
 	"lapisspread/internal/controlplane/freshness"
 )
 
-// viewFile is a fleet's file with a view, without budgets.
-func viewFile(t *testing.T, act bool) string {
+// freshnessFile is a fleet's file with freshness monitoring, without quotas.
+func freshnessFile(t *testing.T, act bool) string {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
-	text := fmt.Sprintf("version = 1\nfleet = \"north\"\nlongest = \"1s\"\n[[stewards]]\nname = \"s1\"\nnumber = 1\naddress = \"127.0.0.1:1\"\n[view]\nact = %v\n", act)
+	text := fmt.Sprintf("version = 1\nfleet = \"north\"\nlongest = \"1s\"\n[[stewards]]\nname = \"s1\"\nnumber = "+
+		"1\naddress = \"127.0.0.1:1\"\n[view]\nact = %v\n", act)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-// viewOfProxy waits for a snapshot that is as told.
-func viewOfProxy(t *testing.T, p *running, what string, yes func(r freshness.ListReport) bool) freshness.Report {
+// waitForFreshness waits for a report that satisfies yes.
+func waitForFreshness(t *testing.T, p *running, what string, yes func(r freshness.ListReport) bool) freshness.Report {
 	t.Helper()
 	var last any
 	for by := time.Now().Add(60 * time.Second); time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
@@ -39,24 +40,30 @@
 	return freshness.Report{}
 }
 
-// What must never run twice goes nowhere while nobody knows how old the list is, then only to whom answered since, and at last to all.
-func TestAttemptsGoByTheView(t *testing.T) {
+// A request that must not run twice is sent nowhere while the age of the list is unknown, then only to backends that
+// have responded since, and at last to all.
+func TestAttemptsFollowFreshness(t *testing.T) {
 	atA, atB := make(chan *http.Request, 256), make(chan *http.Request, 256)
 	a, b := memberText("a", countingBackend(t, atA), "active"), memberText("b", countingBackend(t, atB), "active")
 	c := newCatalog(t)
-	p := startProxy(t, listText(1, true, a, b), c, func(cfg *Config) { cfg.Fleet = viewFile(t, true) })
-	viewOfProxy(t, p, "doubtful", func(r freshness.ListReport) bool { return r.Age == "unknown" && r.Routes[0].Level == "doubtful" })
-	resp, _ := mustAnswer(t, http.StatusServiceUnavailable)(p.ask(t, "hand-in", 10000, "homework"))
+	p := startProxy(t, listText(1, true, a, b), c, func(cfg *Config) { cfg.Fleet = freshnessFile(t, true) })
+	waitForFreshness(t, p, "doubtful", func(r freshness.ListReport) bool {
+		return r.Age == "unknown" &&
+			r.Routes[0].Level == "doubtful"
+	})
+	resp, _ := mustRespond(t, http.StatusServiceUnavailable)(p.request(t, "hand-in", 10000, "homework"))
 	if resp.Header.Get("Retry-After") == "" || len(atA)+len(atB) > 0 {
 		t.Errorf("Retry-After %q, %d at the servers", resp.Header.Get("Retry-After"), len(atA)+len(atB))
 	}
-	mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 	mine, other := atA, atB
 	if len(atB) > 0 {
 		mine, other = atB, atA
 	}
-	for by := time.Now().Add(30 * time.Second); len(mine) < 21 && time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
-		resp, _, err := p.ask(t, "hand-in", 10000, "homework") // refused where the module has no repeat left for another server
+	for by := time.Now().Add(30 * time.Second); len(mine) < 21 &&
+		time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
+		// refused where the module has no repeat left for another server
+		resp, _, err := p.request(t, "hand-in", 10000, "homework")
 		if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
 			t.Fatal(resp, err)
 		}
@@ -65,27 +72,29 @@
 		t.Errorf("%d at the one that answered, %d at the other", len(mine), len(other))
 	}
 	c.lists <- listText(2, true, a, b)
-	r := viewOfProxy(t, p, "fresh", func(r freshness.ListReport) bool {
+	r := waitForFreshness(t, p, "fresh", func(r freshness.ListReport) bool {
 		return r.Routes[0].Level == "fresh" || r.Routes[0].Level == "confirmed"
 	})
-	if r.ForbiddenAttempts["once"] == 0 || r.Lists[0].Age == "unknown" || r.Lists[0].Routes[0].Servers != 2 || r.Lists[0].Routes[0].Name != "fast-5" {
+	if r.ForbiddenAttempts["once"] == 0 || r.Lists[0].Age == "unknown" || r.Lists[0].Routes[0].Servers != 2 ||
+		r.Lists[0].Routes[0].Name != "fast-5" {
 		t.Errorf("%+v", r)
 	}
 	for range 50 {
-		mustAnswer(t, 200)(p.ask(t, "hand-in", 10000, "homework"))
+		mustRespond(t, 200)(p.request(t, "hand-in", 10000, "homework"))
 	}
 	if len(other) == 0 {
 		t.Error("trusted again, and yet nothing goes to the other")
 	}
 }
 
-func TestWithoutActTheViewIsOnlyShown(t *testing.T) {
+func TestFreshnessIsOnlyReportedWithoutAct(t *testing.T) {
 	got := make(chan *http.Request, 256)
-	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), func(cfg *Config) { cfg.Fleet = viewFile(t, false) })
-	viewOfProxy(t, p, "doubtful", func(r freshness.ListReport) bool { return r.Routes[0].Level == "doubtful" })
-	mustAnswer(t, 200)(p.ask(t, "hand-in", 10000, "homework"))
+	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t),
+		func(cfg *Config) { cfg.Fleet = freshnessFile(t, false) })
+	waitForFreshness(t, p, "doubtful", func(r freshness.ListReport) bool { return r.Routes[0].Level == "doubtful" })
+	mustRespond(t, 200)(p.request(t, "hand-in", 10000, "homework"))
 	plain := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
-	mustAnswer(t, 200)(plain.ask(t, "hand-in", 10000, "homework"))
+	mustRespond(t, 200)(plain.request(t, "hand-in", 10000, "homework"))
 	if _, err := (adminBackend{plain.proxy}).Freshness(); err == nil || !strings.Contains(err.Error(), "--fleet") {
 		t.Errorf("the console says %v", err)
 	}
