--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -23,27 +23,27 @@
 	"lapisspread/internal/engine"
 )
 
-// trouble is what befalls calls for the list.
-type trouble string
+// discoveryFault is what happens to calls for the list.
+type discoveryFault string
 
 const (
-	well      trouble = "well"
-	refused   trouble = "refused"       // no connection
-	void      trouble = "no connection" // it never comes up
-	hung      trouble = "hung"          // it comes up, and nothing is ever said on it
-	turned    trouble = "turned away"   // come again in a minute
-	reset     trouble = "reset"
-	half      trouble = "half a list"
-	garbled   trouble = "garbled"
-	unordered trouble = "past changes"
-	slow      trouble = "slow" // 3 s to each answer
-	endless   trouble = "endless"
+	well      discoveryFault = "well"
+	refused   discoveryFault = "refused"       // no connection
+	void      discoveryFault = "no connection" // it never comes up
+	hung      discoveryFault = "hung"          // it comes up, and nothing is ever said on it
+	turned    discoveryFault = "turned away"   // come again in a minute
+	reset     discoveryFault = "reset"
+	half      discoveryFault = "half a list"
+	garbled   discoveryFault = "garbled"
+	unordered discoveryFault = "past changes"
+	slow      discoveryFault = "slow" // 3 s to each answer
+	endless   discoveryFault = "endless"
 )
 
-// troubled stands in for discovery within the process, so that time may be the bubble's.
-type troubled struct {
+// faultyDiscovery is a stand-in for discovery within the process, so that it can run in a synctest bubble.
+type faultyDiscovery struct {
 	mu      sync.Mutex
-	now     trouble
+	now     discoveryFault
 	version int
 	state   string // of its one server
 	changed chan struct{}
@@ -54,12 +54,13 @@
 	more []string // further ones, of which it never tells anything else
 }
 
-func newTroubled() *troubled {
-	return &troubled{addr: "127.0.0.1:1", now: well, version: 7, state: "active", changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+func newTroubled() *faultyDiscovery {
+	return &faultyDiscovery{addr: "127.0.0.1:1", now: well, version: 7, state: "active", changed: make(chan struct{}),
+		conns: map[net.Conn]bool{}}
 }
 
-// turn has other trouble begin. What is open then ends, or is never heard of again.
-func (d *troubled) turn(now trouble) {
+// turn begins another fault. Open calls end, or are never answered.
+func (d *faultyDiscovery) turn(now discoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	was := d.now
@@ -71,15 +72,15 @@
 	}
 }
 
-// made is how many calls there were.
-func (d *troubled) made() int {
+// made returns how many calls there were.
+func (d *faultyDiscovery) made() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// drain tells that its server leaves.
-func (d *troubled) drain(version int) {
+// drain has the list say that its backend drains.
+func (d *faultyDiscovery) drain(version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version, d.state = version, "leaving"
@@ -87,7 +88,7 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *troubled) dial(slack time.Duration) func(ctx context.Context, _, _ string) (net.Conn, error) {
+func (d *faultyDiscovery) dial(slack time.Duration) func(ctx context.Context, _, _ string) (net.Conn, error) {
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -108,8 +109,8 @@
 	}
 }
 
-// listen serves on a socket, and tells its address.
-func (d *troubled) listen(t *testing.T) string {
+// listen serves on a socket, and returns its address.
+func (d *faultyDiscovery) listen(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -137,7 +138,7 @@
 	return l.Addr().String()
 }
 
-func (d *troubled) serve(c net.Conn) {
+func (d *faultyDiscovery) serve(c net.Conn) {
 	defer func() {
 		d.mu.Lock()
 		delete(d.conns, c)
@@ -155,7 +156,10 @@
 		now, version, state, changed := d.now, d.version, d.state, d.changed
 		d.mu.Unlock()
 		query := req.URL.Query()
-		member := func() string { return strings.Join(append([]string{memberText("a", d.addr, state)}, d.more...), ",") }
+		member := func() string {
+			return strings.Join(append([]string{memberText("a", d.addr, state)}, d.more...),
+				",")
+		}
 		ok := func(text string) {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		}
@@ -218,13 +222,13 @@
 	}
 }
 
-// learner is an upstream that notes when it learns that its server drains.
-type learner struct {
+// recordingUpstream is an upstream that records when it learns that its backend drains.
+type recordingUpstream struct {
 	mu sync.Mutex
 	at time.Time
 }
 
-func (l *learner) Update(list List) {
+func (l *recordingUpstream) Update(list List) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range list.Endpoints {
@@ -233,44 +237,46 @@
 		}
 	}
 }
-func (l *learner) Find(decision.BackendID) engine.Backend { return nil }
-func (l *learner) Release(decision.BackendID)             {}
+func (l *recordingUpstream) Find(decision.BackendID) engine.Backend { return nil }
+func (l *recordingUpstream) Release(decision.BackendID)             {}
 
-// Whatever call for the list has failed, been refused or been given up, and for however long: a drain is learnt well within the
-// 6 s after which it counts as told from when discovery can be reached, and within its grace where lists are pushed. What that
-// takes in calls is bounded too.
-func TestADrainIsLearntSoonAfterAnyTrouble(t *testing.T) {
+// Whatever call for the list has failed, and for however long: a drain is learnt well within 6 s of discovery being
+// back, and within its grace period where lists are pushed. The number of calls is bounded too.
+func TestDrainIsLearntSoonAfterFault(t *testing.T) {
 	for _, onRequest := range []bool{true, false} {
 		for _, other := range []struct{ asked, connect, grace time.Duration }{
-			{2 * time.Second, 30 * time.Millisecond, 500 * time.Millisecond}, {60 * time.Second, time.Second, 250 * time.Millisecond}} {
+			{2 * time.Second, 30 * time.Millisecond, 500 * time.Millisecond}, {60 * time.Second, time.Second,
+				250 * time.Millisecond}} {
 			m := decision.Config{Instances: 24, Tick: 2 * time.Millisecond, PolledDiscovery: onRequest,
-				Classes:     []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
-				Constraints: decision.Constraints{MaxListAge: other.asked, DrainGrace: other.grace}, Capabilities: decision.Capabilities{ConnectTimeout: other.connect, MaxAttempts: 1}}
-			for _, what := range []trouble{refused, void, hung, turned, reset, half, garbled, unordered, slow} {
+				Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
+				Constraints: decision.Constraints{MaxListAge: other.asked,
+					DrainGrace: other.grace}, Capabilities: decision.Capabilities{ConnectTimeout: other.connect, MaxAttempts: 1}}
+			for _, what := range []discoveryFault{refused, void, hung, turned, reset, half, garbled, unordered, slow} {
 				for _, by := range []string{"alone", "hub", "comeback"} {
-					t.Run(fmt.Sprintf("on request %v/asked every %v/%s/%s", onRequest, other.asked, what, by), func(t *testing.T) {
-						t.Parallel()
-						phases := 1
-						switch { // where it matters when in a call the trouble ends
-						case by == "comeback" && !onRequest:
-							return
-						case onRequest && by == "alone" && (what == hung || what == void || what == slow):
-							phases = 8
-						}
-						for phase := range phases {
-							synctest.Test(t, func(t *testing.T) { learns(t, m, what, by, phase) })
-						}
-					})
+					t.Run(fmt.Sprintf("on request %v/asked every %v/%s/%s", onRequest, other.asked, what, by),
+						func(t *testing.T) {
+							t.Parallel()
+							phases := 1
+							switch { // where it matters when in a call the trouble ends
+							case by == "comeback" && !onRequest:
+								return
+							case onRequest && by == "alone" && (what == hung || what == void || what == slow):
+								phases = 8
+							}
+							for phase := range phases {
+								synctest.Test(t, func(t *testing.T) { expectLearnt(t, m, what, by, phase) })
+							}
+						})
 				}
 			}
 		}
 	}
 }
 
-func learns(t *testing.T, m decision.Config, what trouble, by string, phase int) {
+func expectLearnt(t *testing.T, m decision.Config, what discoveryFault, by string, phase int) {
 	p := timingFor(&m)
 	down := p.watchHold + 3*time.Second + time.Duration(phase)*770*time.Millisecond
-	reg, up := newTroubled(), &learner{}
+	reg, up := newTroubled(), &recordingUpstream{}
 	log := slog.New(slog.DiscardHandler)
 	d := newDiscoveryClient("register.test:1", p, log)
 	d.dial = reg.dial(p.slack)
@@ -284,12 +290,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := guardedsource.NewCoordinator(f, m.Instances, uint64(phase), engine.NewClock().Now, log).LimitBackoff(p.maxBackoff).Wrap("", d, known)
+		w := guardedsource.NewCoordinator(f, m.Instances, uint64(phase), engine.NewClock().Now,
+			log).LimitBackoff(p.maxBackoff).Wrap("", d, known)
 		d.watchHold = func() time.Duration { return w.WatchTimeout(p.watchHold) }
 		down += 20 * time.Second // which is how long it holds them
 		asked = w
 	}
-	e, err := engine.New(engine.Options{Decision: m, Seed: uint64(phase), InitialEndpoints: known, Upstream: up, Source: asked, Log: log})
+	e, err := engine.New(engine.Options{Decision: m, Seed: uint64(phase), InitialEndpoints: known, Upstream: up,
+		Source: asked, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -319,7 +327,8 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if took := up.at.Sub(back); up.at.IsZero() || took > most {
-		t.Errorf("down for %v, with %d calls meanwhile: the drain is learnt after %v, %v at most", down, made, took, most)
+		t.Errorf("down for %v, with %d calls meanwhile: the drain is learnt after %v, %v at most", down, made, took,
+			most)
 	}
 	rest := max(p.maxBackoff, 50*time.Millisecond)
 	if bound := 20 + 4*int(down/rest); made > bound {
@@ -327,12 +336,13 @@
 	}
 }
 
-// A register that has begun anew counts from the start: its whole list is asked for, and its changes are no past ones.
-func TestARegisterThatCountsAnewIsBelieved(t *testing.T) {
+// Discovery that restarts its versions is asked for the whole list, and its changes don't count as old ones.
+func TestDiscoveryVersionRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
+		m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c",
+			LatencyObjective: time.Second, ClientTimeout: time.Second}},
 			Constraints: decision.Constraints{DrainGrace: 250 * time.Millisecond}, Capabilities: decision.Capabilities{MaxAttempts: 1}}
-		reg, up := newTroubled(), &learner{}
+		reg, up := newTroubled(), &recordingUpstream{}
 		d := newDiscoveryClient("register.test:1", timingFor(&m), slog.New(slog.DiscardHandler))
 		d.dial = reg.dial(time.Second)
 		known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
@@ -362,13 +372,14 @@
 	})
 }
 
-// Discovery that answers each watch at once, with nothing new, is not asked as fast as the wire goes; news is told at once.
+// Discovery that answers each watch at once without news is polled with pauses; news is taken in at once.
 func TestAnswersWithoutNewsArePaced(t *testing.T) {
 	for name, answer := range map[string]string{"no changes": listText(7, false), "the same list": listText(7, true),
 		"past changes": listText(3, false, memberText("a", "127.0.0.1:1", "active"))} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDiscoveryClient("register.test:1", discoveryTiming{watchHold: time.Second, slack: time.Second, fetchTimeout: time.Second}, slog.New(slog.DiscardHandler))
+				d := newDiscoveryClient("register.test:1", discoveryTiming{watchHold: time.Second, slack: time.Second,
+					fetchTimeout: time.Second}, slog.New(slog.DiscardHandler))
 				calls := 0 // of one goroutine at a time
 				d.dial = func(context.Context, string, string) (net.Conn, error) {
 					ours, theirs := net.Pipe()
@@ -388,7 +399,8 @@
 							if !req.URL.Query().Has("from") {
 								text = listText(7, true)
 							}
-							_, _ = fmt.Fprintf(theirs, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+							_, _ = fmt.Fprintf(theirs, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text),
+								text)
 						}
 					}()
 					return ours, nil
@@ -408,7 +420,7 @@
 	}
 }
 
-// stoppedReader is a socket whose reader stands still before each read, as all of a stopped process does, until it is let go.
+// stoppedReader is a socket whose reader stops before each read, as in a stopped process, until it is released.
 type stoppedReader struct {
 	*net.TCPConn
 	stands, goOn chan struct{}
@@ -420,9 +432,9 @@
 	return c.TCPConn.Read(p)
 }
 
-// A process that was stopped (SIGSTOP) past its call's time finds the time up and the answer in its socket. It is no silence: the
-// answer counts, and the call is not made again.
-func TestAnAnswerThatWaitsIsNoSilence(t *testing.T) {
+// A process that was stopped past its call's timeout finds the answer in its socket: the answer counts, and the call is
+// not repeated.
+func TestUnreadAnswerIsNoTimeout(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -478,14 +490,14 @@
 	}
 }
 
-// pushed has a proxy watch an agent on its machine at the pace of its settings.
+// pushed has a proxy watch an agent on its machine with the timing of its settings.
 func pushed(cfg *Config) {
 	cfg.Decision.PolledDiscovery = false
 	cfg.timing = timingFor(&cfg.Decision)
 }
 
-// drains are two servers, and a register that names both, the first of them a draining one after drain.
-func drains(t *testing.T) (reg *troubled, known string, onA, onB chan *http.Request) {
+// startDraining returns two backends, and a discovery that lists both, the first as draining after drain.
+func startDraining(t *testing.T) (reg *faultyDiscovery, known string, onA, onB chan *http.Request) {
 	onA, onB = make(chan *http.Request, 1024), make(chan *http.Request, 1024)
 	reg = newTroubled()
 	reg.addr = countingBackend(t, onA)
@@ -493,31 +505,32 @@
 	return reg, listText(7, true, memberText("a", reg.addr, "active"), reg.more[0]), onA, onB
 }
 
-// avoids waits until a proxy has learnt that a server drains, and sends it nothing from then on.
-func (p *running) avoids(t *testing.T, on chan *http.Request) {
+// expectAvoided waits until a proxy has learnt that a backend drains, and checks that nothing is sent to it from then
+// on.
+func (p *running) expectAvoided(t *testing.T, on chan *http.Request) {
 	t.Helper()
 	for start := time.Now(); !strings.Contains(p.logs.String(), "state=draining"); time.Sleep(time.Millisecond) {
 		if time.Since(start) > patience {
 			t.Fatal("the drain is not learnt")
 		}
 	}
-	mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, "")) // the list was logged just before it was handed on
+	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, "")) // the list was logged just before it was handed on
 	before := len(on)
 	for range 20 {
-		mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+		mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 	}
 	if n := len(on) - before; n != 0 {
 		t.Errorf("%d requests to the draining server", n)
 	}
 }
 
-// A server begins to drain while the watch is silent, cut or turned away, or what comes is no list. The last good list holds
-// meanwhile and all are served; the drain is learnt once discovery is well, and then nothing new goes there.
-func TestADrainThatWasMissed(t *testing.T) {
-	for _, what := range []trouble{hung, refused, reset, turned, half, garbled, unordered, endless} {
+// A backend begins to drain while the watch is silent, cut or rejected, or gets invalid lists. The last valid list
+// holds meanwhile and all requests are served; the drain is learnt once discovery is back.
+func TestMissedDrain(t *testing.T) {
+	for _, what := range []discoveryFault{hung, refused, reset, turned, half, garbled, unordered, endless} {
 		t.Run(string(what), func(t *testing.T) {
 			t.Parallel()
-			reg, known, onA, _ := drains(t)
+			reg, known, onA, _ := startDraining(t)
 			addr := reg.listen(t)
 			p := startProxy(t, known, newCatalog(t), func(cfg *Config) { pushed(cfg); cfg.Discovery = addr })
 			until := func(made int) {
@@ -533,7 +546,7 @@
 			began, before := time.Now(), reg.made()
 			reg.drain(9)
 			until(before + 2)
-			mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+			mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 			if strings.Contains(p.logs.String(), "state=draining") {
 				t.Error("the drain is learnt from what is no list")
 			}
@@ -541,56 +554,70 @@
 				t.Errorf("%d calls in %v", made, time.Since(began))
 			}
 			reg.turn(well)
-			p.avoids(t, onA)
-			if bad := p.proxy.counters.InvalidLists.Load() > 0; bad != (what == half || what == garbled || what == endless) {
+			p.expectAvoided(t, onA)
+			if bad := p.proxy.counters.InvalidLists.Load() > 0; bad != (what == half || what == garbled ||
+				what == endless) {
 				t.Errorf("%d bad lists are counted", p.proxy.counters.InvalidLists.Load())
 			}
 		})
 	}
 }
 
-// SIGHUP once and again, back to where it was, and to a register that can't be used yet: what holds at last is the list of the last
-// one named, whatever its number, and what others still say counts no more.
+// SIGHUP several times in a row, back to the old address or to one that can't be used yet: the list of the last address
+// holds at last, whatever its version, and answers of others don't count.
 func TestReloadsCross(t *testing.T) {
-	for name, play := range map[string]func(p *running, to func(*troubled), last, other *troubled){
-		"twice in a row": func(_ *running, to func(*troubled), last, other *troubled) { to(other); to(last) },
-		"there and back": func(_ *running, to func(*troubled), last, other *troubled) { to(last); to(other); to(last) },
-		"the same again": func(_ *running, to func(*troubled), last, _ *troubled) { to(last); to(last) },
-		"refused at first": func(_ *running, to func(*troubled), last, _ *troubled) {
+	for name, play := range map[string]func(p *running, to func(*faultyDiscovery), last, other *faultyDiscovery){
+		"twice in a row": func(_ *running, to func(*faultyDiscovery), last,
+			other *faultyDiscovery) {
+			to(other)
+			to(last)
+		},
+		"there and back": func(_ *running, to func(*faultyDiscovery), last, other *faultyDiscovery) {
+			to(last)
+			to(other)
+			to(last)
+		},
+		"the same again": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) { to(last); to(last) },
+		"refused at first": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) {
 			last.turn(refused)
 			to(last)
-			awaits(last)
+			awaitSecondCall(last)
 			last.turn(well)
 		},
-		"hung at first": func(_ *running, to func(*troubled), last, _ *troubled) {
+		"hung at first": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) {
 			last.turn(hung)
 			to(last)
-			awaits(last)
+			awaitSecondCall(last)
 			last.turn(well)
 		},
-		"garbled at first": func(_ *running, to func(*troubled), last, _ *troubled) {
+		"garbled at first": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) {
 			last.turn(garbled)
 			to(last)
-			awaits(last)
+			awaitSecondCall(last)
 			last.turn(well)
 		},
-		"the old one is cut": func(_ *running, to func(*troubled), last, other *troubled) { other.turn(reset); to(last) },
+		"the old one is cut": func(_ *running, to func(*faultyDiscovery), last,
+			other *faultyDiscovery) {
+			other.turn(reset)
+			to(last)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			other, known, onA, _ := drains(t) // which says nothing but that all are well, under higher numbers
+			other, known, onA, _ := startDraining(t) // which says nothing but that all are well, under higher numbers
 			other.version = 900
 			last := newTroubled()
 			last.addr, last.more, last.version, last.state = other.addr, other.more, 3, "leaving"
-			addrs := map[*troubled]string{other: other.listen(t), last: last.listen(t)}
-			p := startProxy(t, strings.Replace(known, `"generation":7`, `"generation":900`, 1), newCatalog(t), func(cfg *Config) { pushed(cfg); cfg.Discovery = addrs[other] })
-			mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
-			play(p, func(r *troubled) {
+			addrs := map[*faultyDiscovery]string{other: other.listen(t), last: last.listen(t)}
+			p := startProxy(t, strings.Replace(known, `"generation":7`, `"generation":900`, 1), newCatalog(t),
+				func(cfg *Config) { pushed(cfg); cfg.Discovery = addrs[other] })
+			mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
+			play(p, func(r *faultyDiscovery) {
 				cfg := p.proxy.cfg
 				cfg.Discovery = addrs[r]
 				p.proxy.Reload(cfg)
 			}, last, other)
-			p.avoids(t, onA)
+			p.expectAvoided(t, onA)
 			// The old one speaks up, under a higher number.
 			other.mu.Lock()
 			other.version = 950
@@ -598,11 +625,12 @@
 			other.changed = make(chan struct{})
 			other.mu.Unlock()
 			before, asked := len(onA), last.made()
-			for start := time.Now(); last.made() < asked+2; time.Sleep(20 * time.Millisecond) { // it goes on to be watched
+			// it goes on to be watched
+			for start := time.Now(); last.made() < asked+2; time.Sleep(20 * time.Millisecond) {
 				if time.Since(start) > patience {
 					t.Fatal("the new register is watched no more")
 				}
-				mustAnswer(t, 200)(p.ask(t, "fetch-work", 10000, ""))
+				mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 			}
 			if n := len(onA) - before; n != 0 {
 				t.Errorf("%d requests to the draining server, which only the old register calls ready", n)
@@ -611,20 +639,22 @@
 	}
 }
 
-// Two moves of one moment, by each of some chances: the later one holds, however the times that they draw lie.
-func TestTheLaterOfTwoMovesHolds(t *testing.T) {
+// Two reloads at one moment, through different ways: the later one wins, whatever random times they draw.
+func TestLastOfTwoReloadsWins(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			first, second, third := newTroubled(), newTroubled(), newTroubled()
 			a, b, c := first.listen(t), second.listen(t), third.listen(t)
 			known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
-			m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
+			m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c",
+				LatencyObjective: time.Second, ClientTimeout: time.Second}},
 				Constraints: decision.Constraints{DrainGrace: 250 * time.Millisecond}, Capabilities: decision.Capabilities{MaxAttempts: 1}}
 			at := func(addr string) *discoveryClient {
 				return newDiscoveryClient(addr, timingFor(&m), slog.New(slog.DiscardHandler))
 			}
-			e, err := engine.New(engine.Options{Decision: m, Seed: seed, InitialEndpoints: known, Upstream: &learner{}, Source: at(a)})
+			e, err := engine.New(engine.Options{Decision: m, Seed: seed, InitialEndpoints: known,
+				Upstream: &recordingUpstream{}, Source: at(a)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -642,7 +672,8 @@
 			addr := make(chan string)
 			e.Post(func() { addr <- e.Source().Addr() })
 			if now, n := <-addr, second.made(); now != c || n != 0 || skipped.ctx.Err() == nil {
-				t.Errorf("%s is asked, want %s; the one between was asked %d times, and is closed: %v", now, c, n, skipped.ctx.Err() != nil)
+				t.Errorf("%s is asked, want %s; the one between was asked %d times, and is closed: %v", now, c, n,
+					skipped.ctx.Err() != nil)
 			}
 			cancel()
 			<-ended
@@ -650,8 +681,8 @@
 	}
 }
 
-// awaits waits until a register was called twice.
-func awaits(r *troubled) {
+// awaitSecondCall waits until discovery was called twice.
+func awaitSecondCall(r *faultyDiscovery) {
 	for start := time.Now(); r.made() < 2 && time.Since(start) < patience; {
 		time.Sleep(time.Millisecond)
 	}
