--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -91,8 +91,8 @@
 		if status, body := s.request(kept, "x.org", "/api", "hand-in", 5000); status != 200 {
 			t.Errorf("on a kept connection: %d %q", status, body)
 		}
-		// Danger: who is new, and held up between its connect and its head for longer than the grace, is as any of the
-		// flood, and may be closed for others; admission promises nothing else. It comes again, and is served at last.
+		// A new client that is delayed between its connect and its head for longer than the grace period can't be told
+		// from the flood and may be evicted. It connects again and is served at last.
 		stranger := clientFrom(t, fmt.Sprintf("127.2.%d.1", i))
 		for begun := time.Now(); ; {
 			status, body := s.request(stranger, "x.org", "/api", "hand-in", 5000)
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -99,12 +99,12 @@
 			decision.Reset},
 		"half a trailer": {"POST", "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n4\nfine\n0\nX: ",
 			"close", decision.Reset},
-		// Of no told length: a reset is no end.
+		// Of unknown length: a reset is not the end of the body.
 		"ends by a reset":      {"POST", "HTTP/1.1 200 OK\n\nfine", "reset", decision.Reset},
 		"ends by a reset, old": {"POST", "HTTP/1.0 200 OK\n\nfine", "reset", decision.Reset},
 		"ends by its end":      {"POST", "HTTP/1.1 200 OK\nConnection: close\n\nfine", "close", decision.OK},
 		"ends by its end, old": {"POST", "HTTP/1.0 200 OK\n\nfine", "close", decision.OK},
-		// Good ones with more than is theirs.
+		// Valid ones with bytes behind them.
 		"longer than told":      {"POST", served + "r than that", "", decision.OK},
 		"a body where none is":  {"POST", "HTTP/1.1 204 None\nContent-Length: 4\n\nfine", "", decision.Error},
 		"a body of what stayed": {"POST", "HTTP/1.1 304 Same\n\nfine", "", decision.Error},
--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -127,7 +127,7 @@
 				}
 			}
 		}, decision.Reset},
-		// The connection stays open: what can't be an answer must not be waited for.
+		// The connection stays open: the proxy must not wait for what can't become a response.
 		"3 GB announced": {func(_ int, c net.Conn, in *bufio.Reader) {
 			readRequest(in)
 			writeText(c, "HTTP/1.1 200 OK\nContent-Length: 3000000000\n\nfine")
@@ -143,7 +143,7 @@
 			p, b := testPool(t, rawBackend(t, c.serve))
 			m := testMessage("POST", []byte("work"))
 			read := func() []byte { return nil }
-			if name != "answer too long" { // which must not be asked for
+			if name != "answer too long" { // a HEAD response has no body
 				read = readStreamed(m)
 			}
 			result, body := p.exchange(t.Context(), b, m)
@@ -370,7 +370,7 @@
 				connsWant)
 		}
 	}
-	p.staleWindow = patience // whatever the machine's pace
+	p.staleWindow = patience // on a machine of any speed
 	send(0, decision.OK, 1)
 	send(10*time.Second, decision.Reset, 1)
 	if p.reuseLimit > 6*time.Second {
@@ -404,7 +404,7 @@
 		}()
 		within(t, came, "no request came")
 	}
-	// It says nothing of the backend: it must not count as one that cannot be reached, for requests or probes.
+	// A lack of sockets must not count against the backend, for requests or health checks.
 	if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.NotSent {
 		t.Errorf("with no socket left: result %v, want Moot", result)
 	}
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -31,14 +31,14 @@
 type churn struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
-	tame    bool           // all answers are good
+	tame    bool           // all responses are valid
 	ran     map[string]int // POST requests that came whole and may have run, by id
 	late    []string       // what came long after its server drained
 	machine *lateness
 	reached int
 }
 
-// long is past the rule's 500 ms; what this machine was seen to add comes on top.
+// long is past the rule's 500 ms; the lateness of this machine is added.
 const long = 1000 * time.Millisecond
 
 // lateness is how late this machine wakes a sleeper, at most, as far as was seen: on a busy machine a deadline that has
@@ -163,7 +163,7 @@
 		}
 		return list
 	}
-	// The list's number wraps. Who holds the last list gets the last change, who holds another gets the whole.
+	// The list's version wraps. A watch from the last version gets the last change, any other gets the whole list.
 	version, change, changed := math.MaxUint32-5, "", make(chan struct{})
 	c := &catalog{Server: httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, r *http.Request) {
 		from := r.URL.Query().Get("from")
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -86,7 +86,7 @@
 		if err != nil && (!strings.Contains(err.Error(), path+": "+c.field) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%s: the error is no line with file and field: %v", c.to, err)
 		}
-		if c.field == "listen" { // which a reload does not ask for
+		if c.field == "listen" { // a reload does not check it
 			continue
 		}
 		if _, err := ReloadConfig(func(name string) string { return map[string]string{"BALANCER_CONFIG": path}[name] }); err == nil {
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -192,7 +192,7 @@
 	dialing, up := make(chan bool), make(chan bool)
 	p.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
-		<-up // the network's pace: it does not know who has left
+		<-up // the dial ends in its own time, not with the client
 		return net.Dial(network, addr)
 	}
 	ctx, leave := context.WithCancel(t.Context())
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -85,7 +85,7 @@
 	if n := conns.count(); n != 4 {
 		t.Errorf("%d idle connections beside another process, want 4", n)
 	}
-	for i := range 8 { // each takes the place of an idle one, as long as there are some
+	for i := range 8 { // each evicts an idle one, while there are some
 		begin(clientPair(t, conns))
 		if n := conns.count(); n != max(4, i+1) {
 			t.Errorf("%d connections, %d of them in use, want %d", n, i+1, max(4, i+1))
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -90,7 +90,7 @@
 		t.Errorf("asked for %v", path)
 	}
 	s.stall["slow-5"].Store(60_000)
-	// in time: the client gives up once
+	// within the client's timeout, which passes once
 	if o := client.Claim(t.Context(), 1); o.Code != diameter.UnableToComply || o.Tries != 1 {
 		t.Errorf("%+v", o)
 	}
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -87,7 +87,7 @@
 	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the old process is past taking connections
 		t.Errorf("the idle connection: %v, want its end", err)
 	}
-	select { // it must never end with that request in hand
+	select { // it must not end with that request in flight
 	case err := <-before.done:
 		before.done <- err
 		t.Errorf("the old process has ended before its request has, with %v", err)
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -110,8 +110,7 @@
 	}
 }
 
-// A client leaves while the connection for its first or a further attempt is being made, which comes up at last:
-// nothing is sent on it, also where the settings know no cancelling, and the connection is kept.
+// A client leaves while its attempt's connection is being made: nothing is sent once it comes up.
 func TestLateConnectionDoesNotSendForClientThatLeft(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		for n, state := range []string{"first", "further"} {
@@ -177,7 +176,7 @@
 	}
 }
 
-// An attempt that was given up, or that nobody wants, while its connection was made is not sent.
+// An attempt that was cancelled while its connection was being made is not sent.
 func TestNothingIsSentAfterCancel(t *testing.T) {
 	for name, x := range map[string]struct {
 		give   func(cancel context.CancelCauseFunc, m *message)
@@ -219,7 +218,7 @@
 	}
 }
 
-// Who has only ended its sending reads no answer that no server gave.
+// A client that has closed only its sending reads no response that no backend gave.
 func TestHalfClosedClientReadsNoEmptyResponse(t *testing.T) {
 	came := make(chan bool, 1)
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
@@ -237,8 +236,8 @@
 	}
 }
 
-// A client that has its answer and sends a long next request at once is served that too, whole, though the server has
-// not done with the first.
+// A client that has its response and sends a long next request at once has that served too, whole, though net/http has
+// not finished the first one yet.
 func TestLongPipelinedRequestIsServed(t *testing.T) {
 	conns := newClientConns(4)
 	client, c := clientPair(t, conns)
--- a/internal/proxy/linger_test.go
+++ b/internal/proxy/linger_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// connWithUnreadBytes is a connection whose answer does not fit into the sockets' buffers and has bytes unread behind
-// its request.
+// connWithUnreadBytes returns a connection whose response does not fit into the sockets' buffers, with unread bytes
+// behind its request.
 func connWithUnreadBytes(t *testing.T, conns *clientConns, answer string) (client net.Conn, c *clientConn) {
 	t.Helper()
 	client, c = clientPair(t, conns)
@@ -32,8 +32,8 @@
 	return client, c
 }
 
-// A connection is closed while bytes stand unread on it: its last answer comes whole all the same, and then its end. A
-// client that comes takes its place at once.
+// A connection is closed with unread bytes: its last response arrives whole, and then its end. A new client gets its
+// place at once.
 func TestCloseWithUnreadBytesLosesNoResponse(t *testing.T) {
 	answer := strings.Repeat("0123456789abcdef", 16<<10)
 	conns := newClientConns(4)
@@ -62,8 +62,8 @@
 	eventually(t, "it is never closed", func() bool { return len(conns.snapshot()) == 0 })
 }
 
-// A client sends requests one behind the other while the proxy ends: the one in hand is answered whole, and then the
-// connection ends without one byte of an answer that is not whole. The next request is not sent on.
+// A client sends requests one behind the other while the proxy drains: the one in flight gets a whole response, and
+// then the connection ends without a partial response. The next request is not sent to a backend.
 func TestDrainCrossesPipelinedRequests(t *testing.T) {
 	came, release := make(chan bool, 8), make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -13,7 +13,8 @@
 	"lapisspread/internal/metrics"
 )
 
-// A lame duck answers what comes, closes each connection after it, also the idle ones, and can come back.
+// During an operator's drain requests are served, each response closes its connection, idle connections are closed, and
+// the drain can be ended.
 func TestOperatorDrain(t *testing.T) {
 	got := make(chan *http.Request, 64)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
@@ -53,7 +54,7 @@
 	}
 }
 
-// The figures count what clients were answered, and what was written to backends.
+// The counters count the responses to clients, and the requests written to backends.
 func TestCountersFollowResponses(t *testing.T) {
 	got := make(chan *http.Request, 64)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -76,7 +76,7 @@
 			}
 		}
 	}
-	// 503 is the budget, of which nothing is asked for before there is demand
+	// 503 is the quota, which is not leased before there is demand
 	asked := func(path string) (status int, body string) {
 		for range 300 {
 			if status, body = s.request(httpClient, "p.example.org", path, "fetch-work",
@@ -154,8 +154,8 @@
 	}
 }
 
-// What did not change since the policy before is taken over; with other services, or after another policy, all is
-// looked at anew.
+// Routes that did not change since the previous policy are taken over; with other services, or after another policy,
+// all are built again.
 func TestPolicyUpdateIsIncremental(t *testing.T) {
 	weight := 1.0
 	policy := func(number uint64, path, service string) *namespace.Policy {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -21,7 +21,7 @@
 	"lapisspread/internal/proxy/rawsocket"
 )
 
-// settings are those of a site with a safe and an unsafe class. Discovery is asked.
+// settings are those of a site with an idempotent class and one that is not. Discovery is polled.
 const settings = `{"Balancers":1,"Rank":0,"Zone":0,"Tick":5.0,"Discovery":"on_request","FailureDomains":["dc one"],
  "Kinds":["fast-5","slow-5"],"WorthBy":"work","Tenants":[],"Feedback":{"How":"off","Names":[]},
  "Caps":{"Cancel":true,"ConnIdle":15000.0,"ConnectTimeout":250.0,"MaxAttempts":6,"MaxRetryAfter":2000.0,
@@ -143,7 +143,7 @@
 	return requestOn(c, bufio.NewReader(c), class, timeoutMs, body)
 }
 
-// lastAsked is the number in the id of the request asked last.
+// lastAsked is the number in the ID of the last request.
 var lastAsked atomic.Int64
 
 func requestOn(c net.Conn, in *bufio.Reader, class string, timeoutMs int, body string) (*http.Response, string, error) {
@@ -645,7 +645,7 @@
 		answered <- err
 	}()
 	within(t, came, "the first request did not come")
-	silentConns(t, p.addr, 80) // four times as many as there are places
+	silentConns(t, p.addr, 80) // four times the limit
 	leave <- true
 	leave <- true
 	mustRespond(t, 200)(p.request(t, "fetch-work", 15000, ""))
@@ -775,15 +775,15 @@
 	leave <- true
 	leave <- true
 	mustRespond(t, 200)(readFinalResponse(bufio.NewReader(conns[0])))
-	for start := time.Now(); ; time.Sleep(time.Millisecond) { // the id is free again soon after the answer
+	for start := time.Now(); ; time.Sleep(time.Millisecond) { // the ID is free again soon after the response
 		c := silentConns(t, p.addr, 1)[0]
 		_, _ = io.WriteString(c, request)
 		resp, _, err := readFinalResponse(bufio.NewReader(c))
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Danger: on a busy machine the first answer was late, and the only server's limit is down: the module may
-		// refuse one whose id was found free.
+		// On a busy machine the first response was late and the only backend's limit is low: the engine may reject a
+		// request whose ID was found free.
 		if resp.StatusCode == 200 || resp.StatusCode == 503 {
 			break
 		}
--- a/internal/proxy/services_test.go
+++ b/internal/proxy/services_test.go
@@ -32,10 +32,10 @@
 	stall   map[string]*atomic.Int64 // ms that a kind takes
 	ids     atomic.Int64
 	stop    context.CancelFunc // as SIGTERM does
-	lists   chan string        // answers to the register's watch
-	release chan struct{}      // lets long answers end
+	lists   chan string        // answers to the discovery watch
+	release chan struct{}      // ends long responses
 	backend map[string]string
-	first   map[string]*atomic.Pointer[string] // the path that a kind was asked for first
+	first   map[string]*atomic.Pointer[string] // the path of the first request to a kind
 }
 
 func newStage(t *testing.T, services string, change func(*Config)) *stage {
@@ -238,7 +238,7 @@
 	defer client.CloseIdleConnections()
 	var all sync.WaitGroup
 	refused, ended := atomic.Int64{}, atomic.Int64{}
-	for range 90 { // half of 100 requests in hand is its cap
+	for range 90 { // its cap is half of 100 requests in flight
 		all.Go(func() {
 			if status, _ := s.request(client, "pay.example.org", "/api", "hand-in", 6000); status == 503 {
 				refused.Add(1)
@@ -271,7 +271,7 @@
 	s := newStage(t, twoServices, nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	defer client.CloseIdleConnections()
-	s.stall["slow-5"].Store(20) // so that requests are in hand as their service goes
+	s.stall["slow-5"].Store(20) // so that requests are in flight as their service is removed
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	var served atomic.Int64
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -42,9 +42,9 @@
 		list     bool // known from the start
 		dials    int  // that come up by themselves; -1 is all
 		cut      int  // bytes of the request that come before, if not 0
-		full     bool // the first attempt is turned away, else
-		hold     bool // its answer waits
-		length   int  // of the answer, which is not read before
+		full     bool // the first attempt is rejected, else
+		hold     bool // its response waits
+		length   int  // of the response, which is not read before
 		inFlight bool
 	}{
 		"its head half read":                 {list: true, dials: -1, cut: 20},
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -129,7 +129,7 @@
 			if _, err := io.ReadFull(resp.Body, begin); err != nil || string(begin) != "abc" {
 				t.Errorf("%q, %v", begin, err)
 			}
-			close(more) // the backend breaks off: the client must be able to tell
+			close(more) // the backend breaks off, and the client must be able to tell
 			if _, err := io.ReadAll(resp.Body); err == nil {
 				t.Error("the answer seems whole")
 			}
@@ -228,7 +228,7 @@
 	body := strings.NewReader("all of it")
 	u := &upload{length: 9, startedAt: time.Now(), remainder: io.MultiReader(body),
 		setReadDeadline: func(time.Time) error { return nil },
-		onComplete: func() { // the last byte is out, and the answer is there before the next look for more
+		onComplete: func() { // the response arrives before the next read of the body
 			close(last)
 			for start := time.Now(); c.isSilent() && time.Since(start) < patience; {
 				time.Sleep(time.Millisecond)
@@ -383,8 +383,8 @@
 	for name, c := range map[string]struct {
 		piece         int
 		every, client time.Duration
-		most          time.Duration // until it is given up
-		whole         bool          // not before all bytes that an answer may have
+		most          time.Duration // until the response is given up
+		whole         bool          // not before maxBodyBytes
 	}{
 		"a flood":                {copyChunkBytes, 0, 0, time.Second, true},
 		"a trickle":              {1, readStallTimeout - time.Second, 0, 2 * readStallTimeout, false},
--- a/internal/proxy/view_test.go
+++ b/internal/proxy/view_test.go
@@ -62,7 +62,7 @@
 	}
 	for by := time.Now().Add(30 * time.Second); len(mine) < 21 &&
 		time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
-		// refused where the module has no repeat left for another server
+		// rejected where the retry budget has no attempt for another backend
 		resp, _, err := p.request(t, "hand-in", 10000, "homework")
 		if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
 			t.Fatal(resp, err)
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -30,13 +30,13 @@
 	well      discoveryFault = "well"
 	refused   discoveryFault = "refused"       // no connection
 	void      discoveryFault = "no connection" // it never comes up
-	hung      discoveryFault = "hung"          // it comes up, and nothing is ever said on it
-	turned    discoveryFault = "turned away"   // come again in a minute
+	hung      discoveryFault = "hung"          // it comes up, and nothing is ever sent on it
+	turned    discoveryFault = "turned away"   // Retry-After of a minute
 	reset     discoveryFault = "reset"
 	half      discoveryFault = "half a list"
 	garbled   discoveryFault = "garbled"
 	unordered discoveryFault = "past changes"
-	slow      discoveryFault = "slow" // 3 s to each answer
+	slow      discoveryFault = "slow" // each answer takes 3 s
 	endless   discoveryFault = "endless"
 )
 
@@ -51,7 +51,7 @@
 	calls   int
 
 	addr string   // of its server
-	more []string // further ones, of which it never tells anything else
+	more []string // further entries that never change
 }
 
 func newTroubled() *faultyDiscovery {
@@ -212,7 +212,7 @@
 			if !silent {
 				ok(listText(version, false, changes...))
 			}
-			<-gone // the next call, or that this one is given up
+			<-gone // the next call, or the end of this one
 			if silent {
 				return
 			}
@@ -257,7 +257,7 @@
 						func(t *testing.T) {
 							t.Parallel()
 							phases := 1
-							switch { // where it matters when in a call the trouble ends
+							switch { // where the time of the fault's end within a call matters
 							case by == "comeback" && !onRequest:
 								return
 							case onRequest && by == "alone" && (what == hung || what == void || what == slow):
@@ -541,7 +541,7 @@
 					}
 				}
 			}
-			until(2) // the one that shows that it answers, and a watch
+			until(2) // the probing call, and a watch
 			reg.turn(what)
 			began, before := time.Now(), reg.made()
 			reg.drain(9)
@@ -618,7 +618,7 @@
 				p.proxy.Reload(cfg)
 			}, last, other)
 			p.expectAvoided(t, onA)
-			// The old one speaks up, under a higher number.
+			// The old one answers with a higher version.
 			other.mu.Lock()
 			other.version = 950
 			close(other.changed)
@@ -668,7 +668,7 @@
 					t.Fatal("the last one is not asked")
 				}
 			}
-			time.Sleep(600 * time.Millisecond) // a move that was not taken back would be made in this time
+			time.Sleep(600 * time.Millisecond) // a reload that was not cancelled would take effect in this time
 			addr := make(chan string)
 			e.Post(func() { addr <- e.Source().Addr() })
 			if now, n := <-addr, second.made(); now != c || n != 0 || skipped.ctx.Err() == nil {
