--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -277,3 +277,32 @@
 		}
 	}
 }
+
+func TestConfig(t *testing.T) {
+	c, err := parseConfig(configText(listText(41, true, memberText("a", "127.0.0.1:9", "active"))))
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := c.Decision
+	if m.Classes[1].Name != "hand-in" || m.Classes[1].Idempotency != decision.NotIdempotent ||
+		m.Classes[0].Idempotency != decision.Idempotent ||
+		!m.PolledDiscovery || m.Capabilities.ConnectTimeout != 250*time.Millisecond ||
+		m.Constraints.OverloadFactor != 2.5 {
+		t.Errorf("settings %+v", m)
+	}
+	if c.InitialEndpoints.Version != 41 || c.Seed != 0x8c1f30d27a5be964 || c.Kinds[1] != "slow-5" ||
+		c.Zones[0] != "dc one" {
+		t.Errorf("configuration %+v", c)
+	}
+	for name, text := range map[string]string{
+		"no JSON":      "{",
+		"bad seed":     strings.Replace(string(configText("null")), "8c1f30d27a5be964", "xyz", 1),
+		"no limits":    strings.Replace(string(configText("null")), `"sockets":1024`, `"sockets":0`, 1),
+		"bad settings": strings.Replace(string(configText("null")), `"Tick":5.0`, `"Tick":"often"`, 1),
+		"no connects":  strings.Replace(string(configText("null")), `"ConnectTimeout":250.0,`, "", 1),
+	} {
+		if _, err := parseConfig([]byte(text)); err == nil {
+			t.Errorf("%s: taken", name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/faultydiscovery_test.go
@@ -0,0 +1,232 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// discoveryFault is what happens to calls for the list.
+type discoveryFault string
+
+const (
+	well      discoveryFault = "well"
+	refused   discoveryFault = "refused"       // no connection
+	void      discoveryFault = "no connection" // it never comes up
+	hung      discoveryFault = "hung"          // it comes up, and nothing is ever sent on it
+	turned    discoveryFault = "turned away"   // Retry-After of a minute
+	reset     discoveryFault = "reset"
+	half      discoveryFault = "half a list"
+	garbled   discoveryFault = "garbled"
+	unordered discoveryFault = "past changes"
+	slow      discoveryFault = "slow" // each answer takes 3 s
+	endless   discoveryFault = "endless"
+)
+
+// faultyDiscovery is a stand-in for discovery within the process, so that it can run in a synctest bubble.
+type faultyDiscovery struct {
+	mu      sync.Mutex
+	now     discoveryFault
+	version int
+	state   string // of its one server
+	changed chan struct{}
+	conns   map[net.Conn]bool
+	calls   int
+
+	addr string   // of its server
+	more []string // further entries that never change
+}
+
+func newTroubled() *faultyDiscovery {
+	return &faultyDiscovery{addr: "127.0.0.1:1", now: well, version: 7, state: "active", changed: make(chan struct{}),
+		conns: map[net.Conn]bool{}}
+}
+
+// turn begins another fault. Open calls end, or are never answered.
+func (d *faultyDiscovery) turn(now discoveryFault) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	was := d.now
+	if d.now = now; now == hung || now == void || was == hung && now == well {
+		return
+	}
+	for c := range d.conns {
+		_ = c.Close()
+	}
+}
+
+// made returns how many calls there were.
+func (d *faultyDiscovery) made() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.calls
+}
+
+// drain has the list say that its backend drains.
+func (d *faultyDiscovery) drain(version int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version, d.state = version, "leaving"
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+func (d *faultyDiscovery) dial(slack time.Duration) func(ctx context.Context, _, _ string) (net.Conn, error) {
+	return func(ctx context.Context, _, _ string) (net.Conn, error) {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		switch d.now {
+		case refused:
+			d.calls++
+			return nil, syscall.ECONNREFUSED
+		case void:
+			d.calls++
+			d.mu.Unlock()
+			defer d.mu.Lock()
+			return nil, errors.Join(sleep(ctx, slack), errors.New("i/o timeout"))
+		}
+		ours, theirs := net.Pipe()
+		d.conns[theirs] = true
+		go d.serve(theirs)
+		return ours, nil
+	}
+}
+
+// listen serves on a socket, and returns its address.
+func (d *faultyDiscovery) listen(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close(); d.turn(reset) })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			d.mu.Lock()
+			if d.now == refused {
+				d.calls++
+				_ = c.(*net.TCPConn).SetLinger(0)
+				_ = c.Close()
+			} else {
+				d.conns[c] = true
+				go d.serve(c)
+			}
+			d.mu.Unlock()
+		}
+	}()
+	return l.Addr().String()
+}
+
+func (d *faultyDiscovery) serve(c net.Conn) {
+	defer func() {
+		d.mu.Lock()
+		delete(d.conns, c)
+		d.mu.Unlock()
+		_ = c.Close()
+	}()
+	in := bufio.NewReader(c)
+	for {
+		req, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		d.mu.Lock()
+		d.calls++
+		now, version, state, changed := d.now, d.version, d.state, d.changed
+		d.mu.Unlock()
+		query := req.URL.Query()
+		member := func() string {
+			return strings.Join(append([]string{memberText("a", d.addr, state)}, d.more...),
+				",")
+		}
+		ok := func(text string) {
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+		}
+		switch now {
+		case hung, void:
+			_, _ = in.Peek(1) // until the proxy gives it up
+			return
+		case turned:
+			_, _ = io.WriteString(c, "HTTP/1.1 503 Later\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
+			continue
+		case reset:
+			return
+		case half:
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"generation\":9,")
+			return
+		case garbled:
+			ok("<html>")
+			continue
+		case unordered:
+			ok(listText(3, false))
+			continue
+		case endless:
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+			for err == nil {
+				_, err = fmt.Fprintf(c, "1000\r\n%4096s\r\n", "")
+			}
+			return
+		case slow:
+			time.Sleep(3 * time.Second)
+		}
+		if query.Get("from") == strconv.Itoa(version) {
+			hold, _ := strconv.Atoi(query.Get("hold_ms"))
+			gone := make(chan struct{})
+			go func() { _, _ = in.Peek(1); close(gone) }()
+			var changes []string
+			select {
+			case <-time.After(time.Duration(hold) * time.Millisecond):
+			case <-gone:
+				return
+			case <-changed:
+				changes = append(changes, "") // as of now
+			}
+			d.mu.Lock()
+			silent := d.now == hung || d.now == void
+			version, state = d.version, d.state
+			d.mu.Unlock()
+			if changes != nil {
+				changes[0] = member()
+			}
+			if !silent {
+				ok(listText(version, false, changes...))
+			}
+			<-gone // the next call, or the end of this one
+			if silent {
+				return
+			}
+			continue
+		}
+		ok(listText(version, !query.Has("from"), member()))
+	}
+}
+
+// startDraining returns two backends, and a discovery that lists both, the first as draining after drain.
+func startDraining(t *testing.T) (reg *faultyDiscovery, known string, onA, onB chan *http.Request) {
+	onA, onB = make(chan *http.Request, 1024), make(chan *http.Request, 1024)
+	reg = newTroubled()
+	reg.addr = countingBackend(t, onA)
+	reg.more = []string{memberText("b", countingBackend(t, onB), "active")}
+	return reg, listText(7, true, memberText("a", reg.addr, "active"), reg.more[0]), onA, onB
+}
+
+// awaitSecondCall waits until discovery was called twice.
+func awaitSecondCall(r *faultyDiscovery) {
+	for start := time.Now(); r.made() < 2 && time.Since(start) < patience; {
+		time.Sleep(time.Millisecond)
+	}
+}
--- /dev/null
+++ b/internal/proxy/harness_test.go
@@ -0,0 +1,198 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// settings are those of a site with an idempotent class and one that is not. Discovery is polled.
+const settings = `{"Balancers":1,"Rank":0,"Zone":0,"Tick":5.0,"Discovery":"on_request","FailureDomains":["dc one"],
+ "Kinds":["fast-5","slow-5"],"WorthBy":"work","Tenants":[],"Feedback":{"How":"off","Names":[]},
+ "Caps":{"Cancel":true,"ConnIdle":15000.0,"ConnectTimeout":250.0,"MaxAttempts":6,"MaxRetryAfter":2000.0,
+  "Probes":false,"RetryAfter":true,"SecondCopies":false,"StreamsPerConn":1},
+ "Obligations":{"AnswerSlack":20.0,"AskEvery":10000.0,"Cold":23000.0,"DrainGrace":250.0,"Fall":2000.0,"FallMultiple":2.5,"StartCapacity":0.13},
+ "Services":[
+  {"Name":"fetch-work","Aim":8000.0,"GiveUp":20000.0,"Effect":"retryable","Group":"all","Value":3.0,"Window":5000.0},
+  {"Name":"hand-in","Aim":8000.0,"GiveUp":20000.0,"Effect":"fragile","Group":"all","Value":8.0,"Window":5000.0}]}`
+
+func configText(known string) []byte {
+	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+ "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, known, settings)
+}
+
+// catalog is a stand-in for discovery: each list put in is the answer to one watch.
+type catalog struct {
+	*httptest.Server
+	lists   chan string
+	queries chan string
+}
+
+func newCatalog(t *testing.T) *catalog {
+	c := &catalog{lists: make(chan string, 8), queries: make(chan string, 64)}
+	c.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		c.queries <- r.URL.RawQuery
+		select {
+		case list := <-c.lists:
+			_, _ = io.WriteString(w, list)
+		case <-r.Context().Done():
+		}
+	}))
+	t.Cleanup(func() { c.CloseClientConnections(); c.Close() })
+	return c
+}
+
+func listText(generation int, full bool, members ...string) string {
+	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, full, strings.Join(members, ","))
+}
+
+func memberText(id, addr, state string) string {
+	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"dc one","machineType":"fast-5","cell":0,"lifecycle":%q,"weight":1.0,"startedAtMs":0}`,
+		id, addr, state)
+}
+
+// running is a proxy under test.
+type running struct {
+	addr string
+	stop context.CancelFunc
+	done chan error
+	logs *lockedBuffer
+
+	proxy *Proxy
+}
+
+type lockedBuffer struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (b *lockedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
+}
+
+func (b *lockedBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
+}
+
+// untilTold gives no call up: the catalogues here give each list to one call.
+var untilTold = discoveryTiming{watchHold: time.Minute, slack: time.Minute, fetchTimeout: time.Minute}
+
+func startProxy(t *testing.T, known string, c *catalog, change func(*Config)) *running {
+	t.Helper()
+	cfg, err := parseConfig(configText(known))
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg.Discovery = strings.TrimPrefix(c.URL, "http://")
+	cfg.timing = untilTold
+	if change != nil {
+		change(&cfg)
+	}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return serveOn(t, cfg, listener)
+}
+
+// serveOn runs a proxy on a listener until the test ends.
+func serveOn(t *testing.T, cfg Config, listener net.Listener) *running {
+	t.Helper()
+	logs := &lockedBuffer{}
+	ctx, stop := context.WithCancel(context.Background())
+	p := &running{addr: listener.Addr().String(), stop: stop, done: make(chan error, 1), logs: logs}
+	p.proxy = New(cfg, slog.New(slog.NewTextHandler(logs, nil)))
+	go func() { p.done <- p.proxy.serve(ctx, listener) }()
+	t.Cleanup(func() {
+		stop()
+		if err := <-p.done; err != nil {
+			t.Errorf("serve: %v", err)
+		}
+		p.done <- nil
+	})
+	return p
+}
+
+// request sends a request by a client that never retries by itself.
+func (p *running) request(t *testing.T, class string, timeoutMs int, body string) (*http.Response, string, error) {
+	t.Helper()
+	c, err := net.Dial("tcp", p.addr)
+	if err != nil {
+		return nil, "", err
+	}
+	defer func() { _ = c.Close() }()
+	return requestOn(c, bufio.NewReader(c), class, timeoutMs, body)
+}
+
+// lastAsked is the number in the ID of the last request.
+var lastAsked atomic.Int64
+
+func requestOn(c net.Conn, in *bufio.Reader, class string, timeoutMs int, body string) (*http.Response, string, error) {
+	method := "GET"
+	if class == "hand-in" {
+		method = "POST"
+	}
+	_, err := fmt.Fprintf(c,
+		"%s /api?key=7f%%33 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: r%d\r\nX-Priority-Class: %s\r\n"+
+			"X-Timeout-Ms: %d\r\nX-Cost: 1000\r\nContent-Length: %d\r\n\r\n%s", method, lastAsked.Add(1), class, timeoutMs, len(body), body)
+	if err != nil {
+		return nil, "", err
+	}
+	return readFinalResponse(in)
+}
+
+func readFinalResponse(in *bufio.Reader) (*http.Response, string, error) {
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil {
+		return nil, "", err
+	}
+	text, err := io.ReadAll(resp.Body)
+	return resp, string(text), err
+}
+
+func mustRespond(t *testing.T, status int) func(*http.Response, string, error) (*http.Response, string) {
+	t.Helper()
+	return func(resp *http.Response, body string, err error) (*http.Response, string) {
+		t.Helper()
+		if err != nil {
+			t.Fatalf("no answer: %v", err)
+		}
+		if resp.StatusCode != status {
+			t.Fatalf("status %d, want %d", resp.StatusCode, status)
+		}
+		return resp, body
+	}
+}
+
+// countingBackend serves every request and records it.
+func countingBackend(t *testing.T, got chan<- *http.Request) string {
+	return rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
+		for {
+			req, err := http.ReadRequest(in)
+			if err != nil {
+				return
+			}
+			body, err := io.ReadAll(req.Body)
+			if err != nil {
+				return
+			}
+			req.Body = io.NopCloser(strings.NewReader(string(body)))
+			got <- req
+			writeText(c, served)
+		}
+	})
+}
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"lapisspread/internal/proxy/rawsocket"
@@ -11,6 +12,7 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -246,3 +248,111 @@
 		conns.mu.Unlock()
 	}
 }
+
+// At SIGTERM requests in flight are finished, and connections that still come are served.
+func TestGracefulShutdown(t *testing.T) {
+	came, leave := make(chan bool, 8), make(chan bool)
+	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
+		for readRequest(in) {
+			came <- true
+			<-leave
+			writeText(c, served)
+		}
+	})
+	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
+	idle, err := net.Dial("tcp", p.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = idle.Close() }()
+	type result struct {
+		resp *http.Response
+		err  error
+	}
+	results := make(chan result, 2)
+	ask := func() {
+		resp, _, err := p.request(t, "hand-in", 15000, "homework")
+		results <- result{resp, err}
+	}
+	go ask()
+	within(t, came, "the first request did not come")
+	p.stop()
+	go ask() // comes while it ends
+	within(t, came, "a request that came while the proxy ends was not taken")
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // closed once no more connections come
+		t.Errorf("the idle connection: %v, want its end", err)
+	}
+	close(leave)
+	for range 2 {
+		r := within(t, results, "no answer")
+		if r.err != nil {
+			t.Fatal(r.err)
+		}
+		if r.resp.StatusCode != 200 || !r.resp.Close {
+			t.Errorf("status %d, connection closes: %v", r.resp.StatusCode, r.resp.Close)
+		}
+	}
+	if err := within(t, p.done, "the proxy did not end"); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+	p.done <- nil
+}
+
+// Clients go on using their connections while the proxy shuts down: a request without a response was not sent to a
+// backend, so the client may send it again.
+func TestShutdownLosesNoRequest(t *testing.T) {
+	const clients, requests = 8, 4000
+	var seen sync.Map
+	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
+		for {
+			req, err := http.ReadRequest(in)
+			if err != nil {
+				return
+			}
+			seen.Store(req.Header.Get("X-Request-ID"), true)
+			writeText(c, served)
+		}
+	})
+	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
+	var running sync.WaitGroup
+	for n := range clients {
+		running.Go(func() {
+			id, answered := "", 0
+			for range 2 { // a client opens a new connection while it can
+				c, err := net.Dial("tcp", p.addr)
+				if err != nil {
+					break
+				}
+				defer func() { _ = c.Close() }()
+				in := bufio.NewReader(c)
+				for i := range requests {
+					id = fmt.Sprintf("%d-%d-%d", n, answered, i)
+					_, _ = fmt.Fprintf(c,
+						"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: %s\r\nX-Priority-Class: fetch-work\r\n"+
+							"X-Timeout-Ms: 10000\r\n\r\n", id)
+					resp, _, err := readFinalResponse(in)
+					if err != nil {
+						if _, sent := seen.Load(id); sent {
+							t.Errorf("request %s went to a backend and got no answer: %v", id, err)
+						}
+						break
+					}
+					if answered++; answered == 1 && n == 0 {
+						p.stop()
+					}
+					if resp.Close {
+						break
+					}
+				}
+			}
+			if answered == 0 {
+				t.Errorf("client %d got no answer at all", n)
+			}
+		})
+	}
+	running.Wait()
+	if err := within(t, p.done, "the proxy did not end"); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+	p.done <- nil
+}
