--- a/internal/proxy/adminbackend.go
+++ b/internal/proxy/adminbackend.go
@@ -77,7 +77,10 @@
 	if o.conns.admission == nil {
 		return nil, errNoAdmission
 	}
-	r := admissionReport{Report: o.conns.admission.Report(), ClosedWithoutDescriptors: o.conns.admission.DescriptorShortages()}
+	r := admissionReport{
+		Report:                   o.conns.admission.Report(),
+		ClosedWithoutDescriptors: o.conns.admission.DescriptorShortages(),
+	}
 	now := o.services.current.Load()
 	if now == nil {
 		return r, nil
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -158,7 +158,7 @@
 	stopInterrupt := context.AfterFunc(ctx, c.interrupt)
 	req := m.newRequest(c.RemoteAddr().String())
 	sent, err := p.send(ctx, b, c, m, req)
-	if sent.whole && !m.healthCheck {
+	if sent.complete && !m.healthCheck {
 		p.attempts.Add(1)
 	}
 	if err == nil || errors.Is(err, errEarlyResponse) {
@@ -166,8 +166,8 @@
 			c.limitRead(time.Now().Add(p.connectTimeout))
 		}
 		received, failed := p.receive(ctx, c, m, req)
-		if failed == nil && (sent.whole || received.status != http.StatusOK) {
-			reusable := stopInterrupt() && received.reusable && sent.whole
+		if failed == nil && (sent.complete || received.status != http.StatusOK) {
+			reusable := stopInterrupt() && received.reusable && sent.complete
 			if !reusable {
 				_ = c.Close()
 			} else {
@@ -191,8 +191,8 @@
 
 // transmission is how much of a request was written.
 type transmission struct {
-	bytes int
-	whole bool
+	bytes    int
+	complete bool
 }
 
 // send writes a message if it may be written. An upload can't be sent again once bytes behind its prefix were read.
@@ -207,12 +207,12 @@
 	var sent transmission
 	switch {
 	case m.upload != nil:
-		sent.bytes, sent.whole, err = c.writeStreamedRequest(req, m.upload)
+		sent.bytes, sent.complete, err = c.writeStreamedRequest(req, m.upload)
 	case deadline.IsZero():
-		sent.bytes, sent.whole, err = c.writeRequest(req)
+		sent.bytes, sent.complete, err = c.writeRequest(req)
 	default:
 		c.limitWrite(deadline)
-		sent.bytes, sent.whole, err = c.writeRequest(req)
+		sent.bytes, sent.complete, err = c.writeRequest(req)
 		c.limitWrite(time.Time{})
 	}
 	return sent, err
@@ -284,7 +284,7 @@
 		return decision.Cancelled, untouched
 	case errors.Is(err, errBodyConsumed), errors.Is(err, errSendTooLate):
 		return decision.NotSent, false
-	case !sent.whole: // the backend can't have run it
+	case !sent.complete: // the backend can't have run it
 		return decision.ConnectFailed, untouched
 	case cause != nil:
 		return decision.Timeout, false
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -30,7 +30,7 @@
 	drainEnd           time.Duration // by the front end's clock: responses to late requests must be out by then
 	operatorDrainSince time.Time     // when an operator had the clients sent away; zero if none did
 
-	admission         *listener.ConnLimiter // decides who gets a place; nil evicts the connection that was idle for longest
+	admission         *listener.ConnLimiter // nil admits all and evicts the one that was idle for longest
 	rejectionsSent    int                   // within the second that began at rejectionWindow
 	rejectionWindow   time.Time
 	rejectionResponse []byte
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -20,7 +20,7 @@
 	envStateDir     = "TMPDIR"
 )
 
-// Config is all that a proxy is told at its start. The zero value of an optional file is "not used".
+// Config is all that a proxy is told at its start. Optional files are empty if not used.
 type Config struct {
 	Name      string
 	Listen    string // address for clients
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -131,7 +131,8 @@
 			s.limits.RemoveLeaving(name)
 		})
 	}
-	s.proxy.log.Info("services loaded", "services", len(next.byName), "routes", next.table.RuleCount(), "new", len(started))
+	s.proxy.log.Info("services loaded",
+		"services", len(next.byName), "routes", next.table.RuleCount(), "new", len(started))
 	return nil
 }
 
@@ -292,7 +293,7 @@
 	return false
 }
 
-// notifyAll has all services read anew which backends an operator has detached.
+// notifyAll has all services read again which backends an operator has detached.
 func (s *serviceSet) notifyAll() {
 	now := s.current.Load()
 	if now == nil {
