--- a/internal/proxy/adminbackend_test.go
+++ b/internal/proxy/adminbackend_test.go
@@ -40,7 +40,7 @@
 	o := adminBackend{p.proxy}
 	o.StartDraining()
 	if resp, _ := mustRespond(t, 200)(requestOn(used, usedIn, "hand-in", 9000, "x")); !resp.Close {
-		t.Error("the answer of a lame duck does not close its connection")
+		t.Error("a response during a drain does not close its connection")
 	}
 	if _, err := keptIn.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v, want its end", err)
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -106,7 +106,7 @@
 	}
 	checkAdminDuringFlood(t, s.proxy)
 	if status := <-inHand; status != 200 {
-		t.Errorf("the request that was in hand: %d", status)
+		t.Errorf("the request in flight: %d", status)
 	}
 	close(stop)
 	all.Wait()
--- a/internal/proxy/backendpool_test.go
+++ b/internal/proxy/backendpool_test.go
@@ -251,7 +251,7 @@
 	p.Update(List{Full: true, Endpoints: []Member{{ID: "new", Addr: addr, State: decision.Ready}}})
 	leave <- true
 	if result := within(t, done, "no answer"); result != decision.OK {
-		t.Errorf("what was in hand: result %v", result)
+		t.Errorf("the request in flight: result %v", result)
 	}
 	leave <- true
 	if result, _ := p.exchange(t.Context(), p.lookup(backendID("new")), testMessage("GET",
--- a/internal/proxy/backendresponse_test.go
+++ b/internal/proxy/backendresponse_test.go
@@ -70,16 +70,16 @@
 			decision.Reset},
 		"shorter than told":        {"POST", "HTTP/1.1 200 OK\nContent-Length: 9\n\nfine", "close", decision.Reset},
 		"shorter than told, reset": {"POST", "HTTP/1.1 200 OK\nContent-Length: 9\n\nfine", "reset", decision.Reset},
-		"turned away, cut": {"POST", "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 9\n\nfine",
+		"rejected, cut": {"POST", "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 9\n\nfine",
 			"close", decision.Reset},
-		"turned away at a length": {"POST", "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 65537\n\nfine",
+		"rejected at a length": {"POST", "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 65537\n\nfine",
 			"", decision.Error},
-		"turned away without end": {"POST", strings.Replace(endless, "%s", "503 Full\nX-Not-Processed: 1", 1), "",
+		"rejected without end": {"POST", strings.Replace(endless, "%s", "503 Full\nX-Not-Processed: 1", 1), "",
 			decision.Timeout},
-		"turned away, end not told": {"POST", "HTTP/1.1 503 Full\nX-Not-Processed: 1\n\nfine", "", decision.Timeout},
-		"turned away, reset":        {"POST", "HTTP/1.1 503 Full\nX-Not-Processed: 1\n\nfine", "reset", decision.Reset},
-		"an error without end":      {"POST", strings.Replace(endless, "%s", "500 Oh", 1), "", decision.Error},
-		"an error, end not told":    {"POST", "HTTP/1.1 500 Oh\n\nfine", "", decision.Error},
+		"rejected, end not told": {"POST", "HTTP/1.1 503 Full\nX-Not-Processed: 1\n\nfine", "", decision.Timeout},
+		"rejected, reset":        {"POST", "HTTP/1.1 503 Full\nX-Not-Processed: 1\n\nfine", "reset", decision.Reset},
+		"an error without end":   {"POST", strings.Replace(endless, "%s", "500 Oh", 1), "", decision.Error},
+		"an error, end not told": {"POST", "HTTP/1.1 500 Oh\n\nfine", "", decision.Error},
 		// Encodings.
 		"no encoding": {"POST", "HTTP/1.1 200 OK\nTransfer-Encoding: identity\n\nfine", "close",
 			decision.Reset},
@@ -162,7 +162,7 @@
 				t.Errorf("the next: result %v, body %q", result, body)
 			}
 			if n := conns.Load(); n != 2 {
-				t.Errorf("%d connections: that of what was spoilt was used again", n)
+				t.Errorf("%d connections: that of an invalid response was used again", n)
 			}
 		})
 	}
--- a/internal/proxy/clientclose_test.go
+++ b/internal/proxy/clientclose_test.go
@@ -53,7 +53,7 @@
 // inFlight waits until so many requests are in flight.
 func (p *running) inFlight(t *testing.T, n int64) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%d requests in hand, want %d", p.proxy.counters.InFlight.Load(), n),
+	eventually(t, fmt.Sprintf("%d requests in flight, want %d", p.proxy.counters.InFlight.Load(), n),
 		func() bool { return p.proxy.counters.InFlight.Load() == n })
 }
 
--- a/internal/proxy/clientconns_test.go
+++ b/internal/proxy/clientconns_test.go
@@ -101,7 +101,7 @@
 	leave <- true
 	mustRespond(t, 200)(p.request(t, "fetch-work", 15000, ""))
 	if err := within(t, answered, "no answer"); err != nil {
-		t.Errorf("the request in hand lost its connection: %v", err)
+		t.Errorf("the request in flight lost its connection: %v", err)
 	}
 }
 
--- a/internal/proxy/controlplane_test.go
+++ b/internal/proxy/controlplane_test.go
@@ -114,7 +114,7 @@
 	}
 	if report := r.(client.Status); len(got) > 0 || report.Quotas["attempts"].Granted > 0 || len(report.Faults) == 0 ||
 		report.Faults[0].Advice == "" {
-		t.Errorf("without stewards: %d sent, %+v", len(got), report)
+		t.Errorf("without a control plane: %d sent, %+v", len(got), report)
 	}
 }
 
@@ -144,7 +144,7 @@
 			return
 		}
 		if time.Now().After(by) {
-			t.Fatalf("a steward never answers: %v, %+v, policy %+v", err, report, report.Policy)
+			t.Fatalf("the control plane never answers: %v, %+v, policy %+v", err, report, report.Policy)
 		}
 	}
 }
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -163,7 +163,7 @@
 	}
 	s.proxy.diameter.drain()
 	if o := <-inHand; o.Code != diameter.Success || o.Unknown {
-		t.Errorf("in hand at the end: %+v", o)
+		t.Errorf("in flight at the end: %+v", o)
 	}
 	if o := client.Claim(t.Context(), 7); o.Code != diameter.Success {
 		t.Errorf("by the next process: %+v", o)
--- a/internal/proxy/discoverywatch_test.go
+++ b/internal/proxy/discoverywatch_test.go
@@ -50,7 +50,7 @@
 				Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
 				Constraints: decision.Constraints{MaxListAge: other.asked,
 					DrainGrace: other.grace}, Capabilities: decision.Capabilities{ConnectTimeout: other.connect, MaxAttempts: 1}}
-			for _, what := range []discoveryFault{refused, void, hung, turned, reset, half, garbled, unordered, slow} {
+			for _, what := range []discoveryFault{refused, void, hung, rejecting, reset, half, garbled, unordered, slow} {
 				for _, by := range []string{"alone", "hub", "comeback"} {
 					t.Run(fmt.Sprintf("on request %v/asked every %v/%s/%s", onRequest, other.asked, what, by),
 						func(t *testing.T) {
@@ -317,7 +317,7 @@
 // A backend begins to drain while the watch is silent, cut or rejected, or gets invalid lists. The last valid list
 // holds meanwhile and all requests are served; the drain is learnt once discovery is back.
 func TestMissedDrain(t *testing.T) {
-	for _, what := range []discoveryFault{hung, refused, reset, turned, half, garbled, unordered, endless} {
+	for _, what := range []discoveryFault{hung, refused, reset, rejecting, half, garbled, unordered, endless} {
 		t.Run(string(what), func(t *testing.T) {
 			t.Parallel()
 			reg, known, onA, _ := startDraining(t)
--- a/internal/proxy/faultydiscovery_test.go
+++ b/internal/proxy/faultydiscovery_test.go
@@ -24,7 +24,7 @@
 	refused   discoveryFault = "refused"       // no connection
 	void      discoveryFault = "no connection" // it never comes up
 	hung      discoveryFault = "hung"          // it comes up, and nothing is ever sent on it
-	turned    discoveryFault = "turned away"   // Retry-After of a minute
+	rejecting discoveryFault = "rejected"      // Retry-After of a minute
 	reset     discoveryFault = "reset"
 	half      discoveryFault = "half a list"
 	garbled   discoveryFault = "garbled"
@@ -160,7 +160,7 @@
 		case hung, void:
 			_, _ = in.Peek(1) // until the proxy gives it up
 			return
-		case turned:
+		case rejecting:
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Later\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
 			continue
 		case reset:
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -227,7 +227,7 @@
 			_, _ = io.WriteString(c, text)
 			_ = c.SetReadDeadline(time.Now().Add(patience)) // by itself the server would wait for good
 			if _, err := io.Copy(io.Discard, c); isTimeout(err) {
-				t.Error("it is not turned away")
+				t.Error("it is not rejected")
 			}
 		})
 	}
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -24,11 +24,11 @@
 		"reset in the head":  func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Le"); reset(nc) },
 		"closed in the body": func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Length: 9\n\nfine") },
 		"reset long after":   func(nc net.Conn) { time.Sleep(2 * window); reset(nc) }, // the window is over for sure
-		"spoilt": func(nc net.Conn) {
+		"invalid": func(nc net.Conn) {
 			writeText(nc,
 				"HTTP/1.0 200 OK\nTransfer-Encoding: chunked\n\n4\nfine\n0\n\n")
 		},
-		"turned away, but spoilt": func(nc net.Conn) {
+		"rejected, but invalid": func(nc net.Conn) {
 			writeText(nc, "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 65537\n\nfine")
 		},
 	} {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -239,7 +239,7 @@
 	for name, x := range map[string]struct {
 		c     *clientConn
 		stays bool
-	}{"in hand": {inHand, true}, "unread": {unread, true}, "body half read": {body, true}, "half a head": {half,
+	}{"in flight": {inHand, true}, "unread": {unread, true}, "body half read": {body, true}, "half a head": {half,
 		false}, "silent": {silent, false}} {
 		conns.mu.Lock()
 		if conns.open[x.c] != x.stays {
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -291,7 +291,7 @@
 		says string
 		want decision.Result
 	}{
-		"turned away":    {"HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n", decision.Rejected},
+		"rejected":       {"HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n", decision.Rejected},
 		"error":          {"HTTP/1.1 500 Oh\nContent-Length: 2\n\nno", decision.Error},
 		"too long":       {"HTTP/1.1 413 Long\nTransfer-Encoding: chunked\n\n2\nno\n0\n\n", decision.Error},
 		"served already": {served, decision.ConnectFailed}, // it can't have been
