--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/attemptraces_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -14,73 +15,16 @@
 	"lapisspread/decision"
 )
 
-// hookedConn is a connection to a backend that has a test act at a point in an attempt's way.
-type hookedConn struct {
-	*net.TCPConn
-	chosen func()    // for an attempt, of which nothing is written yet
-	came   func(int) // so many bytes were read, and are not yet handed over
-}
-
-// RemoteAddr is asked once for each attempt, between the choice of the connection and the first byte.
-func (c *hookedConn) RemoteAddr() net.Addr {
-	if c.chosen != nil {
-		c.chosen()
-	}
-	return c.TCPConn.RemoteAddr()
-}
-
-func (c *hookedConn) Read(p []byte) (int, error) {
-	n, err := c.TCPConn.Read(p)
-	if c.came != nil {
-		c.came(n)
-	}
-	return n, err
-}
-
-// hooked is a pool whose connections pass through with, in the order in which they come up.
-func hooked(t *testing.T, addr string, with func(n int, c *hookedConn)) (*pool, *backend) {
-	t.Helper()
-	p, b := testPool(t, addr)
-	dial, n := p.dialer, 0
-	p.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		c, err := dial(ctx, network, addr)
-		if err != nil {
-			return nil, err
-		}
-		h := &hookedConn{TCPConn: c.(*net.TCPConn)}
-		with(n, h)
-		n++
-		return h, nil
-	}
-	return p, b
-}
-
-// untilNoted waits until something stands to be read on a connection, or its end.
-func untilNoted(t *testing.T, c net.Conn) {
-	for start := time.Now(); silent(c); time.Sleep(time.Millisecond) {
-		if time.Since(start) > patience {
-			t.Error("what came was not noticed")
-			return
-		}
-	}
-}
-
-// testUpload is a long body that has come whole.
-func testUpload() *upload {
-	return &upload{ahead: make([]byte, bodyBytes), length: bodyBytes + 4, began: time.Now(), rest: strings.NewReader("rest"),
-		limit: func(time.Time) error { return nil }, whole: func() {}, failed: make(chan error, 1)}
-}
-
-// What comes on an idle connection after it was chosen for a request, and before the request's first byte, is no answer
-// to it; nor is the connection's end a break. Nothing was written, so also what may not be repeated goes out on another one.
-func TestWhatComesAsAConnectionIsTakenIsNoAnswer(t *testing.T) {
+// Bytes that arrive on an idle connection between its choice and the request's first byte are no response, and its
+// close is no failure: nothing was sent, so another connection is used even for a request that is not idempotent.
+func TestBytesArrivingAsConnectionIsTakenAreNoResponse(t *testing.T) {
 	for name, act := range map[string]func(net.Conn){
-		"a second answer":   func(c net.Conn) { say(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong") },
-		"an error":          func(c net.Conn) { say(c, "HTTP/1.1 500 Oh\nContent-Length: 0\n\n") },
-		"half a line":       func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
-		"the close":         func(c net.Conn) { c.Close() },
-		"a reset":           func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"noise and a close": func(c net.Conn) { io.WriteString(c, "\x00\x01"); c.Close() },
+		"a second answer":   func(c net.Conn) { writeText(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong") },
+		"an error":          func(c net.Conn) { writeText(c, "HTTP/1.1 500 Oh\nContent-Length: 0\n\n") },
+		"half a line":       func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 2") },
+		"the close":         func(c net.Conn) { _ = c.Close() },
+		"a reset":           func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
+		"noise and a close": func(c net.Conn) { _, _ = io.WriteString(c, "\x00\x01"); _ = c.Close() },
 	} {
 		for _, long := range []bool{false, true} {
 			kind := map[bool]string{false: "short body", true: "long body"}[long]
@@ -88,20 +32,20 @@
 				cross, reuse := make(chan bool, 1), false
 				var requests [2]atomic.Int32
 				addr := rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
-					for i := 0; readWhole(in); i++ {
+					for i := 0; readRequest(in); i++ {
 						requests[min(n, 1)].Add(1)
-						say(c, served)
+						writeText(c, served)
 						if n == 0 && i == 0 {
 							<-cross
 							act(c)
 						}
 					}
 				})
-				p, b := hooked(t, addr, func(n int, c *hookedConn) {
+				p, b := hookedPool(t, addr, func(n int, c *hookedConn) {
 					c.chosen = func() {
 						if n == 0 && reuse {
 							cross <- true
-							untilNoted(t, c)
+							waitUntilSeen(t, c)
 						}
 					}
 				})
@@ -127,14 +71,15 @@
 	}
 }
 
-// Who has left gets nothing sent: not on a connection that comes up late, and not on an idle one chosen just then.
-func TestNothingIsWrittenForWhoHasLeft(t *testing.T) {
+// Nothing is sent for a client that has left, neither on a connection that comes up late nor on an idle one taken just
+// then.
+func TestNothingIsSentForClientThatLeft(t *testing.T) {
 	for _, idle := range []bool{false, true} {
 		name := map[bool]string{false: "late connection", true: "idle connection"}[idle]
 		t.Run(name, func(t *testing.T) {
 			for range 20 { // without the look the request goes out in most
 				got := make(chan string, 2)
-				addr := rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
+				addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 					for {
 						req, err := http.ReadRequest(in)
 						if err != nil {
@@ -142,12 +87,12 @@
 							return
 						}
 						got <- req.URL.Path
-						say(c, served)
+						writeText(c, served)
 					}
 				})
 				ctx, leave := context.WithCancel(t.Context())
 				now := !idle
-				p, b := hooked(t, addr, func(_ int, c *hookedConn) {
+				p, b := hookedPool(t, addr, func(_ int, c *hookedConn) {
 					if now {
 						leave() // after it has come up
 					}
@@ -178,8 +123,8 @@
 	}
 }
 
-// A connection that comes up long after its client left is closed with no byte written and no longer counted.
-func TestALateConnectionIsLetGo(t *testing.T) {
+// A connection that comes up after its client left is closed without a byte, and is not counted any more.
+func TestLateConnectionIsNotUsed(t *testing.T) {
 	got := make(chan int, 1)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, _ *bufio.Reader) {
 		n, _ := c.Read(make([]byte, 1))
@@ -188,7 +133,7 @@
 	dialing, up := make(chan bool), make(chan bool)
 	p.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
-		<-up // the network's pace: it does not know who has left
+		<-up // the dial ends in its own time, not with the client
 		return net.Dial(network, addr)
 	}
 	ctx, leave := context.WithCancel(t.Context())
@@ -211,8 +156,8 @@
 	}
 }
 
-// A change of the list that comes between the choice of an idle connection and the request's first byte takes effect.
-func TestAChangeBetweenChoiceAndSend(t *testing.T) {
+// A change of the endpoint list between the choice of an idle connection and the request's first byte takes effect.
+func TestBackendChangeBetweenChoiceAndSend(t *testing.T) {
 	for name, c := range map[string]struct {
 		state decision.BackendState
 		moved bool
@@ -226,9 +171,9 @@
 			var old, other atomic.Int32
 			count := func(requests *atomic.Int32) string {
 				return rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-					for readWhole(in) {
+					for readRequest(in) {
 						requests.Add(1)
-						say(c, served)
+						writeText(c, served)
 					}
 				})
 			}
@@ -236,7 +181,7 @@
 			elsewhere := count(&other)
 			var p *pool
 			reuse := false
-			p, b := hooked(t, member.Addr, func(n int, h *hookedConn) {
+			p, b := hookedPool(t, member.Addr, func(n int, h *hookedConn) {
 				h.chosen = func() {
 					if n == 0 && reuse {
 						p.Update(List{Endpoints: []Member{member}})
@@ -263,23 +208,23 @@
 	}
 }
 
-// An attempt that is given up in the moment in which its answer's last byte has come ends one way or the other; its
-// connection, on which the time-out stands, carries nothing more.
-func TestGivenUpAtTheLastByte(t *testing.T) {
+// An attempt that is cancelled just as the response's last byte arrives ends in either way, but its connection, on
+// which a deadline is set, is not reused.
+func TestCancelAtLastByte(t *testing.T) {
 	for name, long := range map[string]bool{"held whole": false, "passed on": true} {
 		t.Run(name, func(t *testing.T) {
 			text := served
 			if long {
-				text = "HTTP/1.1 200 OK\nContent-Length: 65537\n\n" + strings.Repeat("x", bodyBytes+1)
+				text = "HTTP/1.1 200 OK\nContent-Length: 65537\n\n" + strings.Repeat("x", maxBufferedBody+1)
 			}
 			for range 20 { // a long one's two ends come out in any order
 				addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-					for readWhole(in) {
-						say(c, text)
+					for readRequest(in) {
+						writeText(c, text)
 					}
 				})
 				ctx, giveUp := context.WithCancel(t.Context())
-				p, b := hooked(t, addr, func(_ int, c *hookedConn) {
+				p, b := hookedPool(t, addr, func(_ int, c *hookedConn) {
 					c.came = func(n int) {
 						if n > 0 && !long {
 							giveUp()
@@ -287,7 +232,7 @@
 					}
 				})
 				m := testMessage("POST", []byte("x"))
-				m.begin = func(d *download) bool {
+				m.startStream = func(d *download) bool {
 					_, err := io.ReadAll(d)
 					giveUp()
 					d.End(err)
@@ -304,8 +249,8 @@
 	}
 }
 
-// A probe that was given up, its answer on the way, leaves nothing behind for the request that comes next.
-func TestALateProbeAnswerIsNobodys(t *testing.T) {
+// A cancelled health check with its response on the way does not affect the next request.
+func TestLateHealthCheckResponseIsDiscarded(t *testing.T) {
 	came, late := make(chan bool, 1), make(chan bool)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for {
@@ -316,11 +261,11 @@
 			if req.URL.Path == "/ping" {
 				came <- true
 				<-late
-				say(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong")
+				writeText(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong")
 				continue
 			}
-			io.Copy(io.Discard, req.Body)
-			say(c, served)
+			_, _ = io.Copy(io.Discard, req.Body)
+			writeText(c, served)
 		}
 	}))
 	if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK {
@@ -328,14 +273,15 @@
 	}
 	ctx, end := context.WithCancelCause(t.Context())
 	probed := make(chan decision.Result, 1)
-	go func() { probed <- p.probe(ctx, b) }()
+	go func() { probed <- p.checkHealth(ctx, b) }()
 	within(t, came, "no probe came")
 	end(context.DeadlineExceeded)
 	if result := within(t, probed, "no end"); result != decision.Timeout {
 		t.Fatalf("the probe: result %v", result)
 	}
 	close(late)
-	if result, body := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK || string(body) != "fine" {
+	if result, body := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK ||
+		string(body) != "fine" {
 		t.Errorf("result %v, body %q", result, body)
 	}
 	if p.open != 1 {
@@ -343,14 +289,14 @@
 	}
 }
 
-// A server restarted at its address has reset its idle connections: nothing of its old life is used, and what may not be
-// repeated goes out once, to the new one. What was out in the old life ends as a reset.
-func TestARestartAtTheSameAddress(t *testing.T) {
+// A backend that restarts at its address resets its idle connections: none of them is reused, and a request that is not
+// idempotent is sent once, to the new process. A request in flight ends as a reset.
+func TestBackendRestartAtSameAddress(t *testing.T) {
 	came, die := make(chan bool), make(chan bool)
 	var requests atomic.Int32
 	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
-		defer c.(*net.TCPConn).SetLinger(0)
-		for i := 0; readWhole(in); i++ {
+		defer func() { _ = c.(*net.TCPConn).SetLinger(0) }()
+		for i := 0; readRequest(in); i++ {
 			requests.Add(1)
 			if n == 1 || n == 2 {
 				came <- true
@@ -359,7 +305,7 @@
 					return // with an attempt out
 				}
 			}
-			say(c, served)
+			writeText(c, served)
 			if n == 0 || n == 2 {
 				<-die // while it is idle
 				return
@@ -385,7 +331,7 @@
 	if result := within(t, out, "no end"); result != decision.Reset {
 		t.Errorf("what was out: result %v, want Reset", result)
 	}
-	untilNoted(t, idle.Conn)
+	waitUntilSeen(t, idle.Conn)
 	before := requests.Load()
 	go func() { out <- send() }()
 	within(t, came, "no request came to the new life")
@@ -397,124 +343,29 @@
 	}
 }
 
-// However long the settings let a connection stand idle, none is taken that has stood for longer than a half of that, and
-// one that broke lowers the limit for a while, never for good.
-func TestIdleLimitsOfManySettings(t *testing.T) {
-	for _, told := range []time.Duration{0, time.Millisecond, 100 * time.Millisecond, time.Second, 10 * time.Second, time.Hour} {
-		t.Run(told.String(), func(t *testing.T) {
-			p := newPool(16, patience, told)
-			b := &backend{}
-			p.backends[1] = b
-			now := time.Now()
-			taken := func(age time.Duration) bool {
-				near, far := net.Pipe()
-				defer far.Close()
-				p.open++
-				c := newConn(near, 0, p.unreserve)
-				c.idleAt = time.Now().Add(-age)
-				b.idle = []*conn{c}
-				got, err := p.takeIdle(b)
-				if err != nil || p.open != map[bool]int{true: 1, false: 0}[got != nil] {
-					t.Errorf("age %v: %v with %d open", age, err, p.open)
-				}
-				if got != nil {
-					got.Close()
-				}
-				return got != nil
-			}
-			if taken(told / idlePart) {
-				t.Error("one was taken that the backend may be about to close")
-			}
-			if told >= 10*time.Second && !taken(told/idlePart-told/10) {
-				t.Error("one was not taken that is fresh enough")
-			}
-			for _, age := range []time.Duration{0, told / 4, told / 2, 2 * told} {
-				p.broke(age)
-				if p.limit > told/idlePart || age > leastIdle*limitCut && p.limit > max(age/limitCut, leastIdle) {
-					t.Errorf("one broke at the age of %v: the limit is %v", age, p.limit)
-				}
-			}
-			p.limitAt = now.Add(-64 * limitBack)
-			if told >= 10*time.Second && !taken(told/idlePart-told/10) {
-				t.Error("the limit has not come back")
-			}
-		})
-	}
-}
-
-// What closes idle connections, for their age, for want of a socket or by the module's word, does not reach one that was
-// just chosen; and one on which bytes come as it is closed is nobody's.
-func TestWhatIsChosenIsNotClosed(t *testing.T) {
-	for name, act := range map[string]func(*pool){
-		"retire":  func(p *pool) { p.retire(time.Now().Add(2 * p.idleFor)) },
-		"release": func(p *pool) { p.Release(backendID("a")) },
-		"evict": func(p *pool) {
-			p.limitOpen(1)
-			if p.reserve() {
-				p.unreserve()
-			}
-		},
-		"the same list": func(p *pool) {
-			p.Update(List{Full: true, Endpoints: []Member{{ID: "a", State: decision.Ready}}})
-		},
-	} {
-		t.Run(name, func(t *testing.T) {
-			var conns atomic.Int32
-			var p *pool
-			reuse := false
-			p, b := hooked(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-				conns.Add(1)
-				for readWhole(in) {
-					say(c, served)
-				}
-			}), func(_ int, c *hookedConn) {
-				c.chosen = func() {
-					if reuse {
-						act(p)
-					}
-				}
-			})
-			for range 2 {
-				if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK {
-					t.Errorf("result %v", result)
-				}
-				reuse = true
-			}
-			if n := conns.Load(); n != 1 || p.open != 1 {
-				t.Errorf("%d connections, %d open", n, p.open)
-			}
-			c := b.idle[0]
-			act(p) // now it is idle
-			if left := len(b.idle); p.open != left || left == 0 && silent(c.Conn) {
-				t.Errorf("%d idle, %d open", left, p.open)
-			}
-		})
-	}
-}
-
-// A client leaves while its first attempt's connection is being made. It comes up all the same, late: nothing is written to
-// it, and nothing of it remains.
-func TestAClientThatLeavesDuringTheDial(t *testing.T) {
+// A client leaves while its first attempt connects. The connection comes up late: nothing is sent on it, and nothing of
+// it remains.
+func TestClientLeavesDuringDial(t *testing.T) {
 	got := make(chan int, 1)
 	addr := rawBackend(t, func(_ int, c net.Conn, _ *bufio.Reader) {
 		n, _ := c.Read(make([]byte, 1))
 		got <- n
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), func(c *Config) {
-		c.Module.Capabilities.ConnectTimeout = patience
+		c.Decision.Capabilities.ConnectTimeout = patience
 	})
 	resp, err := http.Get("http://" + p.addr + "/_health") // it serves
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
-	pool := p.proxy.services.now.Load().byName[""].pool
+	_ = resp.Body.Close()
+	pool := p.proxy.services.current.Load().byName[""].pool
 	dialing, given := make(chan bool, 1), make(chan bool, 1)
 	pool.mu.Lock()
 	pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialing <- true
 		<-ctx.Done()
-		given <- context.Cause(ctx) == context.Canceled
+		given <- errors.Is(context.Cause(ctx), context.Canceled)
 		return net.Dial(network, addr)
 	}
 	pool.mu.Unlock()
@@ -522,9 +373,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: leaves\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 60000\r\nContent-Length: 0\r\n\r\n")
+	_, _ = io.WriteString(c,
+		"POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: leaves\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: "+
+			"60000\r\nContent-Length: 0\r\n\r\n")
 	within(t, dialing, "nothing was dialled")
-	c.Close()
+	_ = c.Close()
 	if !within(t, given, "the attempt was not given up") {
 		t.Error("it was given up for its time alone")
 	}
--- a/internal/proxy/services_test.go
+++ b/internal/proxy/services_test.go
@@ -32,15 +32,16 @@
 	stall   map[string]*atomic.Int64 // ms that a kind takes
 	ids     atomic.Int64
 	stop    context.CancelFunc // as SIGTERM does
-	lists   chan string        // answers to the register's watch
-	release chan struct{}      // lets long answers end
+	lists   chan string        // answers to the discovery watch
+	release chan struct{}      // ends long responses
 	backend map[string]string
-	first   map[string]*atomic.Pointer[string] // the path that a kind was asked for first
+	first   map[string]*atomic.Pointer[string] // the path of the first request to a kind
 }
 
 func newStage(t *testing.T, services string, change func(*Config)) *stage {
 	t.Helper()
-	s := &stage{t: t, file: filepath.Join(t.TempDir(), "services.toml"), served: map[string]*atomic.Int64{}, stall: map[string]*atomic.Int64{},
+	s := &stage{t: t, file: filepath.Join(t.TempDir(), "services.toml"), served: map[string]*atomic.Int64{},
+		stall: map[string]*atomic.Int64{},
 		lists: make(chan string), release: make(chan struct{}), backend: map[string]string{}, first: map[string]*atomic.Pointer[string]{}}
 	var members []string
 	for _, kind := range []string{"fast-5", "slow-5"} {
@@ -48,12 +49,12 @@
 		s.first[kind] = &atomic.Pointer[string]{}
 		b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			s.first[kind].CompareAndSwap(nil, &r.URL.Path)
-			io.Copy(io.Discard, r.Body)
+			_, _ = io.Copy(io.Discard, r.Body)
 			if r.URL.Path == "/api/long" {
-				w.Write(make([]byte, 2*bodyBytes))
+				_, _ = w.Write(make([]byte, 2*maxBufferedBody))
 				w.(http.Flusher).Flush()
 				<-s.release
-				io.WriteString(w, "end")
+				_, _ = io.WriteString(w, "end")
 				return
 			}
 			select {
@@ -62,23 +63,24 @@
 				return
 			}
 			s.served[kind].Add(1)
-			io.WriteString(w, kind)
+			_, _ = io.WriteString(w, kind)
 		}))
 		t.Cleanup(b.Close)
 		s.backend[kind] = strings.TrimPrefix(b.URL, "http://")
-		members = append(members, strings.Replace(memberText("id-"+kind[:4], strings.TrimPrefix(b.URL, "http://"), "active"), `"fast-5"`, fmt.Sprintf("%q", kind), 1))
+		members = append(members, strings.Replace(memberText("id-"+kind[:4], strings.TrimPrefix(b.URL, "http://"),
+			"active"), `"fast-5"`, fmt.Sprintf("%q", kind), 1))
 	}
 	list := listText(1, true, members...)
 	s.catalog = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("from") {
 			select {
 			case list := <-s.lists:
-				io.WriteString(w, list)
+				_, _ = io.WriteString(w, list)
 			case <-r.Context().Done():
 			}
 			return
 		}
-		io.WriteString(w, list)
+		_, _ = io.WriteString(w, list)
 	}))
 	t.Cleanup(func() { s.catalog.CloseClientConnections(); s.catalog.Close() })
 	s.write(services)
@@ -88,7 +90,7 @@
 	}
 	cfg.Discovery = strings.TrimPrefix(s.catalog.URL, "http://")
 	cfg.Services = s.file
-	cfg.pace = untilTold
+	cfg.timing = untilTold
 	if change != nil {
 		change(&cfg)
 	}
@@ -123,17 +125,17 @@
 	}
 }
 
-// reload installs a file and waits until it was taken in, or was found bad.
+// reload installs a file and waits until it was taken in, or rejected as invalid.
 func (s *stage) reload(text string) (ok bool) {
 	s.t.Helper()
 	s.write(text)
-	failed, before := s.proxy.own.ReloadsFailed.Load(), s.proxy.services.now.Load()
+	failed, before := s.proxy.counters.ReloadsFailed.Load(), s.proxy.services.current.Load()
 	s.proxy.Reload(s.proxy.cfg)
 	for start := time.Now(); ; time.Sleep(200 * time.Microsecond) {
 		switch {
-		case s.proxy.services.now.Load() != before:
+		case s.proxy.services.current.Load() != before:
 			return true
-		case s.proxy.own.ReloadsFailed.Load() != failed:
+		case s.proxy.counters.ReloadsFailed.Load() != failed:
 			return false
 		case time.Since(start) > patience:
 			s.t.Fatal("the reload was not taken in")
@@ -141,8 +143,8 @@
 	}
 }
 
-// ask sends a request and gives the status and the body.
-func (s *stage) ask(client *http.Client, host, path, class string, timeout int) (int, string) {
+// request sends a request and returns the status and the body.
+func (s *stage) request(client *http.Client, host, path, class string, timeout int) (int, string) {
 	method := "POST"
 	if class == "fetch-work" {
 		method = "GET"
@@ -153,12 +155,13 @@
 		return 0, ""
 	}
 	req.Host = host
-	req.Header = http.Header{"X-Request-Id": {fmt.Sprint("r", s.ids.Add(1))}, "X-Priority-Class": {class}, "X-Timeout-Ms": {fmt.Sprint(timeout)}}
+	req.Header = http.Header{"X-Request-Id": {fmt.Sprint("r", s.ids.Add(1))}, "X-Priority-Class": {class},
+		"X-Timeout-Ms": {fmt.Sprint(timeout)}}
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, err.Error()
@@ -185,7 +188,7 @@
 to = [{ service = "dispatch" }]
 `
 
-func TestRequestsGoToTheirService(t *testing.T) {
+func TestRequestsAreRouted(t *testing.T) {
 	s := newStage(t, twoServices, nil)
 	for _, k := range []struct {
 		host, path, class string
@@ -198,7 +201,7 @@
 		{"x.org", "/api/../other", "hand-in", 400, ""},
 		{"x.org", "/api", "unheard-of", 400, ""},
 	} {
-		status, body := s.ask(http.DefaultClient, k.host, k.path, k.class, 5000)
+		status, body := s.request(http.DefaultClient, k.host, k.path, k.class, 5000)
 		if status != k.status || k.body != "" && body != k.body {
 			t.Errorf("%s%s: %d %q, want %d %q", k.host, k.path, status, body, k.status, k.body)
 		}
@@ -211,14 +214,15 @@
 		}
 		Limits map[string]struct{ Total, Used int64 }
 	}
-	text, err := json.Marshal(s.proxy.services.figures())
+	text, err := json.Marshal(s.proxy.services.countersReport())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal(text, &info); err != nil {
 		t.Fatal(err)
 	}
-	if info.Served["hand-in"] != 2 || info.Services["settlement"].Served["hand-in"] != 1 || info.Services["dispatch"].Known != 1 {
+	if info.Served["hand-in"] != 2 || info.Services["settlement"].Served["hand-in"] != 1 ||
+		info.Services["dispatch"].Known != 1 {
 		t.Errorf("INFO: %s", text)
 	}
 	if info.Limits["requests"].Used != 0 || info.Limits["bytes"].Used != 0 || info.Limits["requests"].Total == 0 {
@@ -226,17 +230,17 @@
 	}
 }
 
-// A pool that hangs wholly takes its share and no more: the other service is served at once.
-func TestAPoolThatHangsDoesNotStarveTheOther(t *testing.T) {
+// A service whose backends all hang uses its quota and no more: the other service is served at once.
+func TestHangingServiceDoesNotStarveOthers(t *testing.T) {
 	s := newStage(t, twoServices, func(c *Config) { c.Sockets = 300 })
 	s.stall["slow-5"].Store(60_000)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	defer client.CloseIdleConnections()
 	var all sync.WaitGroup
 	refused, ended := atomic.Int64{}, atomic.Int64{}
-	for range 90 { // half of 100 requests in hand is its cap
+	for range 90 { // its cap is half of 100 requests in flight
 		all.Go(func() {
-			if status, _ := s.ask(client, "pay.example.org", "/api", "hand-in", 6000); status == 503 {
+			if status, _ := s.request(client, "pay.example.org", "/api", "hand-in", 6000); status == 503 {
 				refused.Add(1)
 			}
 			ended.Add(1)
@@ -249,7 +253,7 @@
 	}
 	hung := ended.Load() < 90
 	for range 30 {
-		if status, body := s.ask(client, "x.org", "/api", "hand-in", 5000); status != 200 {
+		if status, body := s.request(client, "x.org", "/api", "hand-in", 5000); status != 200 {
 			t.Fatalf("dispatch: %d %q", status, body)
 		}
 	}
@@ -262,12 +266,12 @@
 	}
 }
 
-// Routes change and services come and go under load: no request is lost, and nothing is left behind.
-func TestChangesUnderLoadLoseNothing(t *testing.T) {
+// Routes change, and services are added and removed, under load: no request is lost, and nothing is left behind.
+func TestReloadsUnderLoadLoseNothing(t *testing.T) {
 	s := newStage(t, twoServices, nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	defer client.CloseIdleConnections()
-	s.stall["slow-5"].Store(20) // so that requests are in hand as their service goes
+	s.stall["slow-5"].Store(20) // so that requests are in flight as their service is removed
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	var served atomic.Int64
@@ -280,7 +284,7 @@
 				default:
 				}
 				host := []string{"pay.example.org", "x.org"}[i%2]
-				if status, body := s.ask(client, host, "/api", "hand-in", 5000); status != 200 {
+				if status, body := s.request(client, host, "/api", "hand-in", 5000); status != 200 {
 					t.Errorf("lost at %s: %d %q", host, status, body)
 					return
 				}
@@ -290,7 +294,8 @@
 	}
 	variants := []string{
 		twoServices,
-		strings.Replace(twoServices, `to = [{ service = "settlement" }]`, `to = [{ service = "settlement", weight = 1.0 }, { service = "dispatch", weight = 3.0 }]`, 1),
+		strings.Replace(twoServices, `to = [{ service = "settlement" }]`,
+			`to = [{ service = "settlement", weight = 1.0 }, { service = "dispatch", weight = 3.0 }]`, 1),
 		strings.ReplaceAll(twoServices, "settlement", "payouts"), // another name: another service
 		strings.Replace(twoServices, "cap = 0.5", "cap = 0.6", 1),
 	}
@@ -305,7 +310,7 @@
 	if s.reload(strings.Replace(twoServices, "version = 1", "version = 9", 1)) {
 		t.Error("a bad file was taken")
 	}
-	if status, _ := s.ask(client, "pay.example.org", "/api", "hand-in", 5000); status != 200 {
+	if status, _ := s.request(client, "pay.example.org", "/api", "hand-in", 5000); status != 200 {
 		t.Errorf("after a bad file: %d", status)
 	}
 	close(stop)
@@ -323,14 +328,15 @@
 	}
 }
 
-// Of a list the service sees its part; what moves out of it is gone.
-func TestSelectedLists(t *testing.T) {
-	sel := selected{spec: twoKinds()}
-	got := sel.pick(List{Full: true, Endpoints: []Member{{ID: "a", Kind: "fast-5", Cell: 1}, {ID: "b", Kind: "slow-5", Cell: 1}, {ID: "c", Kind: "fast-5", Cell: 2}}})
+// A service sees its part of a list; endpoints that move out of it are removed.
+func TestFilteredSource(t *testing.T) {
+	sel := filteredSource{spec: twoKinds()}
+	got := sel.filter(List{Full: true, Endpoints: []Member{{ID: "a", Kind: "fast-5", Cell: 1}, {ID: "b", Kind: "slow-5",
+		Cell: 1}, {ID: "c", Kind: "fast-5", Cell: 2}}})
 	if len(got.Endpoints) != 1 || got.Endpoints[0].ID != "a" {
 		t.Errorf("whole list: %+v", got)
 	}
-	got = sel.pick(List{Endpoints: []Member{{ID: "a", Kind: "slow-5", Cell: 1, State: 1}}})
+	got = sel.filter(List{Endpoints: []Member{{ID: "a", Kind: "slow-5", Cell: 1, State: 1}}})
 	if len(got.Endpoints) != 1 || got.Endpoints[0].State != 0 {
 		t.Errorf("a change: %+v", got)
 	}
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -3,13 +3,16 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
+	"lapisspread/internal/proxy/rawsocket"
 	"log/slog"
 	"net"
 	"net/http"
 	"strconv"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -31,18 +34,19 @@
 	p.done <- nil
 }
 
-// The process is told to end while a request stands in each of its states: it is answered whole, by the backend's answer,
-// and the answer closes the connection.
-func TestTheEndCrossesARequest(t *testing.T) {
-	const head = "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: e%d\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 19000\r\nContent-Length: 8\r\n\r\n"
+// The process is told to end while a request is in each of its states: it gets its backend's whole response, which
+// closes the connection.
+func TestDrainCrossesRequest(t *testing.T) {
+	const head = "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: e%d\r\nX-Priority-Class: fetch-work\r\n" +
+		"X-Timeout-Ms: 19000\r\nContent-Length: 8\r\n\r\n"
 	const short, long = 32 << 10, 16 << 20
 	states := map[string]struct {
 		list     bool // known from the start
 		dials    int  // that come up by themselves; -1 is all
 		cut      int  // bytes of the request that come before, if not 0
-		full     bool // the first attempt is turned away, else
-		hold     bool // its answer waits
-		length   int  // of the answer, which is not read before
+		full     bool // the first attempt is rejected, else
+		hold     bool // its response waits
+		length   int  // of the response, which is not read before
 		inFlight bool
 	}{
 		"its head half read":                 {list: true, dials: -1, cut: 20},
@@ -62,18 +66,20 @@
 			var attempts, dials atomic.Int32
 			text := strings.Repeat("y", max(s.length, 1))
 			addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-				if !readWhole(in) {
+				if !readRequest(in) {
 					return
 				}
 				if attempts.Add(1) == 1 && s.full {
-					say(c, "HTTP/1.1 503 Service Unavailable\nX-Not-Processed: 1\nContent-Length: 0\nConnection: close\n\n")
+					writeText(c, "HTTP/1.1 503 Service Unavailable\nX-Not-Processed: 1\nContent-Length: 0\n"+
+						"Connection: close\n\n")
 					return
 				}
 				came <- true
 				if s.hold {
 					<-release
 				}
-				say(c, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\nConnection: close\n\n%s", len(text), text))
+				writeText(c, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\nConnection: close\n\n%s", len(text),
+					text))
 			})
 			members := []string{memberText("a", addr, "active"), memberText("b", addr, "active")}
 			catalog, known := newCatalog(t), listText(1, true)
@@ -82,10 +88,10 @@
 			}
 			p := startProxy(t, known, catalog, func(c *Config) {
 				if s.dials >= 0 {
-					c.Module.Capabilities.ConnectTimeout = patience
+					c.Decision.Capabilities.ConnectTimeout = patience
 				}
 			})
-			pool := p.only(t)
+			pool := p.onlyPool(t)
 			dial, dialling := pool.dialer, make(chan bool, 8)
 			pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if s.dials >= 0 && int(dials.Add(1)) > s.dials {
@@ -98,19 +104,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			request := fmt.Sprintf(head, lastAsked.Add(1)) + "homework"
 			cut := s.cut
 			if cut <= 0 {
 				cut += len(request)
 			}
-			io.WriteString(c, request[:cut])
+			_, _ = io.WriteString(c, request[:cut])
 			switch {
 			case cut < len(request):
 				eventually(t, "nothing is read", func() bool {
-					for _, c := range p.proxy.conns.list() {
+					for _, c := range p.proxy.conns.snapshot() {
 						c.mu.Lock()
-						begun := !c.fresh
+						begun := !c.unused
 						c.mu.Unlock()
 						return begun
 					}
@@ -125,14 +131,14 @@
 				p.inFlight(t, 1)
 			}
 			p.ending(t)
-			io.WriteString(c, request[cut:])
+			_, _ = io.WriteString(c, request[cut:])
 			close(open)
 			close(release)
 			if !s.list {
 				catalog.lists <- listText(2, true, members...)
 			}
-			c.SetReadDeadline(time.Now().Add(patience))
-			resp, body := mustAnswer(t, 200)(readAnswer(bufio.NewReader(c)))
+			_ = c.SetReadDeadline(time.Now().Add(patience))
+			resp, body := mustRespond(t, 200)(readFinalResponse(bufio.NewReader(c)))
 			if body != text {
 				t.Errorf("%d bytes of %d came", len(body), len(text))
 			}
@@ -144,9 +150,9 @@
 	}
 }
 
-// drainingFront is a front end that was told to end so long ago, before a backend that never answers and notes what it is
-// told of the time.
-func drainingFront(t *testing.T, ago, most time.Duration, told chan<- string) *running {
+// newDrainingFrontend returns a front end that began to drain so long ago, before a backend that never responds and
+// records the timeout that it is sent.
+func newDrainingFrontend(t *testing.T, ago, most time.Duration, told chan<- string) *running {
 	t.Helper()
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
 		for {
@@ -154,7 +160,7 @@
 			if err != nil {
 				return
 			}
-			io.Copy(io.Discard, req.Body)
+			_, _ = io.Copy(io.Discard, req.Body)
 			told <- req.Header.Get("X-Timeout-Ms")
 		}
 	})
@@ -164,7 +170,7 @@
 	}
 	svcs := testServices(t, list)
 	ctx, cancel := context.WithCancel(t.Context())
-	if err := svcs.start(ctx, &svcs.p.cfg); err != nil {
+	if err := svcs.start(ctx, &svcs.proxy.cfg); err != nil {
 		t.Fatal(err)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -172,20 +178,20 @@
 		t.Fatal(err)
 	}
 	conns := newClientConns(8)
-	f := newFrontend(svcs, &svcs.p.cfg, slog.New(slog.DiscardHandler), conns)
+	f := newFrontend(svcs, &svcs.proxy.cfg, slog.New(slog.DiscardHandler), conns)
 	conns.setDraining(f.clock.Now()-ago, most)
-	go f.serve(listener)
-	t.Cleanup(func() { f.server.Close(); cancel(); svcs.wait() })
+	go func() { _ = f.serve(listener) }()
+	t.Cleanup(func() { _ = f.server.Close(); cancel(); svcs.wait() })
 	return &running{addr: listener.Addr().String()}
 }
 
-// What comes so late in a drain that its own deadline lies past the process's end is answered before that, and what comes
-// later still is refused at once and never sent on.
-func TestLateInADrain(t *testing.T) {
+// A request that comes so late in a drain that its own deadline lies past the process's end is answered before that;
+// one that comes later still is rejected at once and never sent.
+func TestLateRequestInDrain(t *testing.T) {
 	told := make(chan string, 64)
 	const left = 300 * time.Millisecond
-	p := drainingFront(t, acceptOn+time.Second, acceptOn+time.Second+left, told)
-	resp, _, err := p.ask(t, "hand-in", 59000, "homework")
+	p := newDrainingFrontend(t, drainAcceptPeriod+time.Second, drainAcceptPeriod+time.Second+left, told)
+	resp, _, err := p.request(t, "hand-in", 59000, "homework")
 	if err != nil || resp.StatusCode == 200 {
 		t.Fatalf("answer %v, %v", resp, err)
 	}
@@ -194,8 +200,9 @@
 			t.Errorf("an attempt is waited for %d ms, %v: past the end", ms, err)
 		}
 	}
-	p = drainingFront(t, time.Minute, drainRoom, told)
-	if resp, _ := mustAnswer(t, http.StatusServiceUnavailable)(p.ask(t, "hand-in", 59000, "homework")); !resp.Close {
+	p = newDrainingFrontend(t, time.Minute, drainMargin, told)
+	if resp, _ := mustRespond(t, http.StatusServiceUnavailable)(p.request(t, "hand-in", 59000,
+		"homework")); !resp.Close {
 		t.Error("the refusal leaves its connection open")
 	}
 	if len(told) != 0 {
@@ -203,38 +210,149 @@
 	}
 }
 
-// At a drain's end what never became a request goes; a whole request in hand stays, and so does one that stands unread.
-func TestTheDrainsEndLeavesRequestsAlone(t *testing.T) {
+// At the end of a drain connections without a whole head are closed; a whole request in flight stays, and so does one
+// that is not read yet.
+func TestEndOfDrainKeepsRequests(t *testing.T) {
 	conns := newClientConns(8)
 	open := func(text string, read int) (net.Conn, *clientConn) {
 		client, c := clientPair(t, conns)
-		t.Cleanup(func() { c.Close() })
-		io.WriteString(client, text)
+		t.Cleanup(func() { _ = c.Close() })
+		_, _ = io.WriteString(client, text)
 		if read > 0 {
 			if _, err := io.ReadFull(c, make([]byte, read)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if read < len(text) {
-			eventually(t, "nothing comes", func() bool { return !silent(c.Conn) })
+			eventually(t, "nothing comes", func() bool { return !rawsocket.Silent(c.Conn) })
 		}
 		return client, c
 	}
 	whole := "GET / HTTP/1.1\r\n\r\n"
 	_, inHand := open(whole, len(whole))
 	_, unread := open(whole, 0)
-	_, body := open("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf", len("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"))
+	_, body := open("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf",
+		len("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"))
 	_, half := open("GET / HT", 8)
 	_, silent := open("", 0)
-	conns.closeUnread()
+	conns.closeWithoutRequest()
 	for name, x := range map[string]struct {
 		c     *clientConn
 		stays bool
-	}{"in hand": {inHand, true}, "unread": {unread, true}, "body half read": {body, true}, "half a head": {half, false}, "silent": {silent, false}} {
+	}{"in flight": {inHand, true}, "unread": {unread, true}, "body half read": {body, true}, "half a head": {half,
+		false}, "silent": {silent, false}} {
 		conns.mu.Lock()
-		if conns.all[x.c] != x.stays {
-			t.Errorf("%s: stays %v, want %v", name, conns.all[x.c], x.stays)
+		if conns.open[x.c] != x.stays {
+			t.Errorf("%s: stays %v, want %v", name, conns.open[x.c], x.stays)
 		}
 		conns.mu.Unlock()
 	}
 }
+
+// At SIGTERM requests in flight are finished, and connections that still come are served.
+func TestGracefulShutdown(t *testing.T) {
+	came, leave := make(chan bool, 8), make(chan bool)
+	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
+		for readRequest(in) {
+			came <- true
+			<-leave
+			writeText(c, served)
+		}
+	})
+	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
+	idle, err := net.Dial("tcp", p.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = idle.Close() }()
+	type result struct {
+		resp *http.Response
+		err  error
+	}
+	results := make(chan result, 2)
+	ask := func() {
+		resp, _, err := p.request(t, "hand-in", 15000, "homework")
+		results <- result{resp, err}
+	}
+	go ask()
+	within(t, came, "the first request did not come")
+	p.stop()
+	go ask() // comes while it ends
+	within(t, came, "a request that came while the proxy ends was not taken")
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // closed once no more connections come
+		t.Errorf("the idle connection: %v, want its end", err)
+	}
+	close(leave)
+	for range 2 {
+		r := within(t, results, "no answer")
+		if r.err != nil {
+			t.Fatal(r.err)
+		}
+		if r.resp.StatusCode != 200 || !r.resp.Close {
+			t.Errorf("status %d, connection closes: %v", r.resp.StatusCode, r.resp.Close)
+		}
+	}
+	if err := within(t, p.done, "the proxy did not end"); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+	p.done <- nil
+}
+
+// Clients go on using their connections while the proxy shuts down: a request without a response was not sent to a
+// backend, so the client may send it again.
+func TestShutdownLosesNoRequest(t *testing.T) {
+	const clients, requests = 8, 4000
+	var seen sync.Map
+	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
+		for {
+			req, err := http.ReadRequest(in)
+			if err != nil {
+				return
+			}
+			seen.Store(req.Header.Get("X-Request-ID"), true)
+			writeText(c, served)
+		}
+	})
+	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
+	var running sync.WaitGroup
+	for n := range clients {
+		running.Go(func() {
+			id, answered := "", 0
+			for range 2 { // a client opens a new connection while it can
+				c, err := net.Dial("tcp", p.addr)
+				if err != nil {
+					break
+				}
+				defer func() { _ = c.Close() }()
+				in := bufio.NewReader(c)
+				for i := range requests {
+					id = fmt.Sprintf("%d-%d-%d", n, answered, i)
+					_, _ = fmt.Fprintf(c,
+						"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: %s\r\nX-Priority-Class: fetch-work\r\n"+
+							"X-Timeout-Ms: 10000\r\n\r\n", id)
+					resp, _, err := readFinalResponse(in)
+					if err != nil {
+						if _, sent := seen.Load(id); sent {
+							t.Errorf("request %s went to a backend and got no answer: %v", id, err)
+						}
+						break
+					}
+					if answered++; answered == 1 && n == 0 {
+						p.stop()
+					}
+					if resp.Close {
+						break
+					}
+				}
+			}
+			if answered == 0 {
+				t.Errorf("client %d got no answer at all", n)
+			}
+		})
+	}
+	running.Wait()
+	if err := within(t, p.done, "the proxy did not end"); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+	p.done <- nil
+}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/streaming_test.go
@@ -16,7 +16,7 @@
 	"lapisspread/decision"
 )
 
-// echoBackend answers each request with its body, in pieces and with the framing that the path asks for.
+// echoBackend answers each request with its body, in chunks and with the framing that the path names.
 func echoBackend(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,27 +32,27 @@
 		case r.URL.Query().Get("framing") == "chunks":
 		case r.URL.Query().Get("framing") == "end":
 			c, out, _ := http.NewResponseController(w).Hijack()
-			defer c.Close()
-			fmt.Fprintf(out, "HTTP/1.1 200 OK\r\n\r\n%s", body)
-			out.Flush()
+			defer func() { _ = c.Close() }()
+			_, _ = fmt.Fprintf(out, "HTTP/1.1 200 OK\r\n\r\n%s", body)
+			_ = out.Flush()
 			return
 		default:
 			w.Header().Set("Content-Length", fmt.Sprint(len(body)))
 		}
 		for len(body) > 0 {
 			n := min(len(body), 50_000)
-			w.Write(body[:n])
+			_, _ = w.Write(body[:n])
 			body = body[n:]
 			w.(http.Flusher).Flush()
 		}
 	})}
-	go server.Serve(listener)
-	t.Cleanup(func() { server.Close() })
+	go func() { _ = server.Serve(listener) }()
+	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-// Bodies and answers of any length and framing come through unchanged, several on one connection.
-func TestLongBodiesAndAnswersPassThrough(t *testing.T) {
+// Bodies of any length and framing pass unchanged, several on one connection.
+func TestLongBodiesAreStreamed(t *testing.T) {
 	p := startProxy(t, listText(1, true, memberText("a", echoBackend(t), "active")), newCatalog(t), nil)
 	text := strings.Repeat("0123456789abcde\n", 3<<20/16)
 	for _, framing := range []string{"length", "chunks", "end"} {
@@ -62,11 +62,12 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
+				defer func() { _ = c.Close() }()
+				_ = c.SetDeadline(time.Now().Add(patience))
 				in := bufio.NewReader(c)
-				for _, n := range []int{0, 5, bodyBytes - 1, bodyBytes, bodyBytes + 1, 3 << 20} {
-					head := fmt.Sprintf("POST /api?framing=%s HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 10000\r\n",
+				for _, n := range []int{0, 5, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3 << 20} {
+					head := fmt.Sprintf("POST /api?framing=%s HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\n"+
+						"X-Priority-Class: hand-in\r\nX-Timeout-Ms: 10000\r\n",
 						framing, lastAsked.Add(1))
 					wrote := make(chan error, 1)
 					go func() {
@@ -74,16 +75,16 @@
 						if sent == "length" {
 							_, err = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head, n, text[:n])
 						} else {
-							fmt.Fprintf(c, "%sTransfer-Encoding: chunked\r\n\r\n", head)
+							_, _ = fmt.Fprintf(c, "%sTransfer-Encoding: chunked\r\n\r\n", head)
 							for at := 0; at < n; at += 70_000 {
 								piece := text[at:min(n, at+70_000)]
-								fmt.Fprintf(c, "%x;ext=1\r\n%s\r\n", len(piece), piece)
+								_, _ = fmt.Fprintf(c, "%x;ext=1\r\n%s\r\n", len(piece), piece)
 							}
 							_, err = io.WriteString(c, "0\r\nX-Sum: 1\r\n\r\n")
 						}
 						wrote <- err
 					}()
-					_, got := mustAnswer(t, 200)(readAnswer(in))
+					_, got := mustRespond(t, 200)(readFinalResponse(in))
 					if got != text[:n] {
 						t.Fatalf("%d bytes came back as %d others", n, len(got))
 					}
@@ -96,8 +97,8 @@
 	}
 }
 
-// A long answer is passed on as it comes: its first bytes don't wait for its last.
-func TestALongAnswerIsNotHeldBack(t *testing.T) {
+// A long response is passed on as it comes: its first bytes don't wait for its last.
+func TestLongResponseIsNotHeldBack(t *testing.T) {
 	for name, head := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nabc",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -105,8 +106,8 @@
 		t.Run(name, func(t *testing.T) {
 			more := make(chan bool)
 			addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-				if readWhole(in) {
-					io.WriteString(c, head)
+				if readRequest(in) {
+					_, _ = io.WriteString(c, head)
 					<-more
 				}
 			})
@@ -115,9 +116,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
-			fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 9000\r\n\r\n", lastAsked.Add(1))
+			defer func() { _ = c.Close() }()
+			_ = c.SetDeadline(time.Now().Add(patience))
+			_, _ = fmt.Fprintf(c,
+				"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\n"+
+					"X-Timeout-Ms: 9000\r\n\r\n", lastAsked.Add(1))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				t.Fatal(err)
@@ -126,7 +129,7 @@
 			if _, err := io.ReadFull(resp.Body, begin); err != nil || string(begin) != "abc" {
 				t.Errorf("%q, %v", begin, err)
 			}
-			close(more) // the backend breaks off: the client must be able to tell
+			close(more) // the backend breaks off, and the client must be able to tell
 			if _, err := io.ReadAll(resp.Body); err == nil {
 				t.Error("the answer seems whole")
 			}
@@ -134,20 +137,20 @@
 	}
 }
 
-// An answer of no told length that breaks off after its beginning was passed on: a reset of the backend's is no end, and
-// the client can tell, also one of HTTP/1.0, for which a close would be the end.
-func TestAResetOnTheWayIsNoEnd(t *testing.T) {
+// A response of unknown length breaks off after its beginning was passed on: the backend's reset is not the end of the
+// body, and the client can tell, even one of HTTP/1.0, for which a close would be the end.
+func TestResetDuringResponseIsNoEnd(t *testing.T) {
 	for _, version := range []string{"1.1", "1.0"} {
 		for _, whole := range []bool{true, false} {
 			t.Run(fmt.Sprintf("HTTP/%s, whole %v", version, whole), func(t *testing.T) {
 				t.Parallel()
 				begun := make(chan bool)
 				addr := rawBackend(t, func(_ int, nc net.Conn, in *bufio.Reader) {
-					if readWhole(in) {
-						say(nc, "HTTP/1.1 200 OK\n\nabc")
+					if readRequest(in) {
+						writeText(nc, "HTTP/1.1 200 OK\n\nabc")
 						<-begun
 						if !whole {
-							nc.(*net.TCPConn).SetLinger(0)
+							_ = nc.(*net.TCPConn).SetLinger(0)
 						}
 					}
 				})
@@ -156,9 +159,11 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
-				fmt.Fprintf(c, "GET /api HTTP/%s\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\nX-Timeout-Ms: 9000\r\n\r\n", version, lastAsked.Add(1))
+				defer func() { _ = c.Close() }()
+				_ = c.SetDeadline(time.Now().Add(patience))
+				_, _ = fmt.Fprintf(c,
+					"GET /api HTTP/%s\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\n"+
+						"X-Timeout-Ms: 9000\r\n\r\n", version, lastAsked.Add(1))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
 					t.Fatal(err)
@@ -176,12 +181,12 @@
 	}
 }
 
-// A long body that the backend turns away early gets its answer while it is being sent.
-func TestABodyTurnedAwayEarlyIsAnswered(t *testing.T) {
+// A long body that the backend rejects early gets its response while it is being sent.
+func TestBodyRejectedEarlyGetsResponse(t *testing.T) {
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
-			say(c, "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n")
-			io.Copy(io.Discard, in)
+			writeText(c, "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n")
+			_, _ = io.Copy(io.Discard, in)
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
@@ -189,64 +194,66 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: 9000\r\nContent-Length: %d\r\n\r\n",
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(patience))
+	_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: hand-in\r\n"+
+		"X-Timeout-Ms: 9000\r\nContent-Length: %d\r\n\r\n",
 		lastAsked.Add(1), 8<<20)
 	go func() {
-		piece := make([]byte, copyBytes)
-		for range 8 << 20 / copyBytes {
+		piece := make([]byte, copyChunkBytes)
+		for range 8 << 20 / copyChunkBytes {
 			if _, err := c.Write(piece); err != nil {
 				return
 			}
 		}
 	}()
-	if resp, _ := mustAnswer(t, 503)(readAnswer(bufio.NewReader(c))); resp.Header.Get("Retry-After") == "" {
+	if resp, _ := mustRespond(t, 503)(readFinalResponse(bufio.NewReader(c))); resp.Header.Get("Retry-After") == "" {
 		t.Error("it does not say when to come back")
 	}
 }
 
-// A backend that answers as soon as it has the last byte of a long body has not answered early.
-func TestAnAnswerRightAfterTheLastByteIsNotEarly(t *testing.T) {
+// A backend that responds as soon as it has the last byte of a long body has not responded early.
+func TestResponseAfterLastByteIsNotEarly(t *testing.T) {
 	last := make(chan bool)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		<-last
-		say(c, served)
-		io.Copy(io.Discard, in)
+		writeText(c, served)
+		_, _ = io.Copy(io.Discard, in)
 	}))
 	c, err := p.dial(t.Context(), b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	body := strings.NewReader("all of it")
-	u := &upload{length: 9, began: time.Now(), rest: io.MultiReader(body), limit: func(time.Time) error { return nil },
-		whole: func() { // the last byte is out, and the answer is there before the next look for more
+	u := &upload{length: 9, startedAt: time.Now(), remainder: io.MultiReader(body),
+		setReadDeadline: func(time.Time) error { return nil },
+		onComplete: func() { // the response arrives before the next read of the body
 			close(last)
-			for start := time.Now(); c.quiet() && time.Since(start) < patience; {
+			for start := time.Now(); c.isSilent() && time.Since(start) < patience; {
 				time.Sleep(time.Millisecond)
 			}
 		}, failed: make(chan error, 1)}
-	req := testMessage("POST", nil).request("a")
-	if _, whole, err := c.writeStreamed(req, u); !whole {
+	req := testMessage("POST", nil).newRequest("a")
+	if _, whole, err := c.writeStreamedRequest(req, u); !whole {
 		t.Fatalf("not whole: %v", err)
 	}
 }
 
-// At its end a proxy waits for a long answer that is on its way, past all deadlines.
-func TestTheEndWaitsForALongAnswer(t *testing.T) {
+// A drain waits for a long response that is being streamed, past all deadlines.
+func TestDrainWaitsForLongResponse(t *testing.T) {
 	first, rest := make(chan bool), make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		if readWhole(in) {
-			say(c, "HTTP/1.1 200 OK\nContent-Length: 100000\n\nabc")
+		if readRequest(in) {
+			writeText(c, "HTTP/1.1 200 OK\nContent-Length: 100000\n\nabc")
 			close(first)
 			<-rest
-			io.WriteString(c, strings.Repeat("x", 100000-3))
+			_, _ = io.WriteString(c, strings.Repeat("x", 100000-3))
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), func(c *Config) {
-		for i := range c.Module.Classes { // so that the last deadline is soon past
-			c.Module.Classes[i].ClientTimeout = 10 * time.Millisecond
+		for i := range c.Decision.Classes { // so that the last deadline is soon past
+			c.Decision.Classes[i].ClientTimeout = 10 * time.Millisecond
 		}
 	})
 	type result struct {
@@ -255,7 +262,7 @@
 	}
 	got := make(chan result, 1)
 	go func() {
-		_, body, err := p.ask(t, "fetch-work", 9000, "")
+		_, body, err := p.request(t, "fetch-work", 9000, "")
 		got <- result{body, err}
 	}()
 	<-first
@@ -263,7 +270,7 @@
 	select {
 	case err := <-p.done:
 		t.Fatalf("ended with an answer on its way: %v", err)
-	case <-time.After(acceptOn + drainRoom + 500*time.Millisecond):
+	case <-time.After(drainAcceptPeriod + drainMargin + 500*time.Millisecond):
 	}
 	close(rest)
 	if r := <-got; r.err != nil || len(r.body) != 100000 {
@@ -272,19 +279,19 @@
 	p.done <- <-p.done
 }
 
-// readerFunc reads the rest of a body.
+// readerFunc reads the remainder of a body.
 type readerFunc func([]byte) (int, error)
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// What a backend says while a long body is on its way is read; what is no whole answer leaves it at a body that broke off
+// A response that comes while a long body is being sent is read; an incomplete one counts as a body that broke off
 // before its last byte, which has not run.
-func TestAnAnswerBeforeTheBodysEnd(t *testing.T) {
+func TestResponseBeforeBodyEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		says string
 		want decision.Result
 	}{
-		"turned away":    {"HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n", decision.Rejected},
+		"rejected":       {"HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n", decision.Rejected},
 		"error":          {"HTTP/1.1 500 Oh\nContent-Length: 2\n\nno", decision.Error},
 		"too long":       {"HTTP/1.1 413 Long\nTransfer-Encoding: chunked\n\n2\nno\n0\n\n", decision.Error},
 		"served already": {served, decision.ConnectFailed}, // it can't have been
@@ -294,18 +301,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var to *hookedConn
-			p, b := hooked(t, rawBackend(t, func(_ int, nc net.Conn, in *bufio.Reader) {
+			p, b := hookedPool(t, rawBackend(t, func(_ int, nc net.Conn, in *bufio.Reader) {
 				if _, err := http.ReadRequest(in); err != nil {
 					return
 				}
-				if say(nc, c.says); c.says == "" {
-					nc.(*net.TCPConn).CloseWrite()
+				if writeText(nc, c.says); c.says == "" {
+					_ = nc.(*net.TCPConn).CloseWrite()
 				}
-				io.Copy(io.Discard, in)
+				_, _ = io.Copy(io.Discard, in)
 			}), func(_ int, h *hookedConn) { to = h })
 			u := testUpload()
-			u.length, u.rest = -1, readerFunc(func(p []byte) (int, error) {
-				untilNoted(t, to)
+			u.length, u.remainder = -1, readerFunc(func(_ []byte) (int, error) {
+				waitUntilSeen(t, to)
 				return 1, nil
 			})
 			if name == "half a line" {
@@ -323,16 +330,19 @@
 	}
 }
 
-// A client that fails its body, or has left, says nothing of the backend that the body was on its way to.
-func TestABodyThatFailsIsNotTheBackends(t *testing.T) {
+// A client that fails its body, or has left, does not count against the backend.
+func TestFailedClientBodyDoesNotCountAgainstBackend(t *testing.T) {
 	for name, leave := range map[string]func(*upload) error{
 		"breaks off": func(*upload) error { return io.ErrUnexpectedEOF },
 		"left":       func(u *upload) error { go u.stop(); return os.ErrDeadlineExceeded },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, b := testPool(t, rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { io.Copy(io.Discard, in) }))
+			p, b := testPool(t, rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
+				_, _ = io.Copy(io.Discard,
+					in)
+			}))
 			u := testUpload()
-			u.rest = readerFunc(func([]byte) (int, error) { return 0, leave(u) })
+			u.remainder = readerFunc(func([]byte) (int, error) { return 0, leave(u) })
 			m := testMessage("POST", nil)
 			m.upload = u
 			if result, _ := p.exchange(t.Context(), b, m); result != decision.Cancelled {
@@ -345,13 +355,16 @@
 	}
 }
 
-// An answer that never ends is bounded, however it goes on: by its bytes, by the time without any, and by the time that all
-// of it is waited for. Who reads it slowly has all the time.
-func TestAnAnswerWithoutEndIsBounded(t *testing.T) {
+// An endless response is bounded by its bytes, by the time without any, and by the time that is waited for all of it. A
+// client may read it slowly.
+func TestEndlessResponseIsBounded(t *testing.T) {
 	read := func(piece int, every, client time.Duration) (n int64, took time.Duration, err error) {
 		near, far := net.Pipe()
 		done := make(chan bool)
-		defer func() { near.Close(); <-done }()
+		defer func() {
+			_ = near.Close()
+			<-done
+		}()
 		go func() {
 			defer close(done)
 			for sent := make([]byte, piece); ; time.Sleep(every) {
@@ -360,30 +373,31 @@
 				}
 			}
 		}()
-		l := &limited{from: near, c: newConn(near, 0, func() {})}
+		l := &boundedReader{source: near, conn: newConn(near, 0, func() {})}
 		began := time.Now()
-		for p := make([]byte, copyBytes); err == nil && time.Since(began) < 2*time.Hour; time.Sleep(client) {
+		for p := make([]byte, copyChunkBytes); err == nil && time.Since(began) < 2*time.Hour; time.Sleep(client) {
 			_, err = l.Read(p)
 		}
-		return l.read, time.Since(began), err
+		return l.readBytes, time.Since(began), err
 	}
 	for name, c := range map[string]struct {
 		piece         int
 		every, client time.Duration
-		most          time.Duration // until it is given up
-		whole         bool          // not before all bytes that an answer may have
+		most          time.Duration // until the response is given up
+		whole         bool          // not before maxBodyBytes
 	}{
-		"a flood":                {copyBytes, 0, 0, time.Second, true},
-		"a trickle":              {1, readStall - time.Second, 0, 2 * readStall, false},
-		"many a small piece":     {16, 100 * time.Millisecond, 0, 2 * readStall, false},
-		"a silence":              {16, time.Hour, 0, 2 * readStall, false},
-		"at a fair pace":         {copyBytes, time.Second, 0, time.Hour, true},
-		"to a client that rests": {copyBytes, 0, time.Second, time.Hour, true},
+		"a flood":                {copyChunkBytes, 0, 0, time.Second, true},
+		"a trickle":              {1, readStallTimeout - time.Second, 0, 2 * readStallTimeout, false},
+		"many a small piece":     {16, 100 * time.Millisecond, 0, 2 * readStallTimeout, false},
+		"a silence":              {16, time.Hour, 0, 2 * readStallTimeout, false},
+		"at a fair pace":         {copyChunkBytes, time.Second, 0, time.Hour, true},
+		"to a client that rests": {copyChunkBytes, 0, time.Second, time.Hour, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n, took, err := read(c.piece, c.every, c.client)
-				if took > c.most || (n > mostBytes) != c.whole || c.whole != errors.Is(err, errSpoilt) || c.whole == timedOut(err) {
+				if took > c.most || (n > maxBodyBytes) != c.whole || c.whole != errors.Is(err, errInvalidResponse) ||
+					c.whole == isTimeout(err) {
 					t.Errorf("%d bytes in %v, then %v", n, took, err)
 				}
 			})
