--- a/internal/controlplane/freshness/list.go
+++ b/internal/controlplane/freshness/list.go
@@ -52,7 +52,7 @@
 		name:          name,
 		monitor:       m,
 		watchInterval: min(max(watchInterval, minWatchInterval), maxWatchInterval),
-		latest:        newsFromList(known),
+		latest:        updateFromList(known),
 		initialAge:    age,
 		initialAt:     m.clock(),
 	}
@@ -67,19 +67,19 @@
 }
 
 // update records what a source has sent. Fetched means that it answers a call, not a watch.
-func (l *List) update(source *observedSource, news staleness.Update, fetched bool) {
+func (l *List) update(source *observedSource, update staleness.Update, fetched bool) {
 	now := l.monitor.clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.activeSource != source {
 		return
 	}
-	reported := engine.EndpointList{Version: uint32(news.Version)}
-	if (fetched || !news.Complete) && l.latestFrom == source && reported.OlderThan(uint32(l.latest.Version)) {
+	reported := engine.EndpointList{Version: uint32(update.Version)}
+	if (fetched || !update.Complete) && l.latestFrom == source && reported.OlderThan(uint32(l.latest.Version)) {
 		return // an answer that was overtaken by a newer one; the engine drops it too
 	}
 	l.latestFrom = source
-	mergeNews(&l.latest, news)
+	mergeUpdate(&l.latest, update)
 	l.dropRemoved()
 	l.lastHeard = now
 
@@ -87,10 +87,10 @@
 	if pending.heard {
 		pending.merged++
 	}
-	if news.Complete || len(news.Changes) > 0 {
+	if update.Complete || len(update.Changes) > 0 {
 		pending.changed = true
 	}
-	mergeNews(&pending.Update, news)
+	mergeUpdate(&pending.Update, update)
 	pending.at = now
 	pending.heard = true
 	pending.watchBroken = false
@@ -124,18 +124,18 @@
 
 // restartState returns the whole list for a new worker, and how old it was at a time; a negative age is unknown. It
 // includes the pending update.
-func (l *List) restartState() (news staleness.Update, at, age time.Duration) {
+func (l *List) restartState() (update staleness.Update, at, age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = pendingUpdate{}
-	news = l.latest
-	news.Changes = slices.Clone(news.Changes)
-	news.Complete = true
+	update = l.latest
+	update.Changes = slices.Clone(update.Changes)
+	update.Complete = true
 	if l.lastHeard == 0 {
-		return news, l.initialAt, l.initialAge
+		return update, l.initialAt, l.initialAge
 	}
 	settings := l.monitor.config.Freshness.StalenessSettings(l.watchInterval)
-	return news, l.lastHeard, settings.MaxTransit + l.watchInterval
+	return update, l.lastHeard, settings.MaxTransit + l.watchInterval
 }
 
 // entries returns what is listed, as last heard.
@@ -145,17 +145,17 @@
 	return slices.Clone(l.latest.Changes)
 }
 
-// newsFromList converts a list. An endpoint that drains takes no new requests, so it counts as gone.
-func newsFromList(list engine.EndpointList) staleness.Update {
-	news := staleness.Update{Version: uint64(list.Version), Complete: list.Full}
+// updateFromList converts a list. An endpoint that drains takes no new requests, so it counts as gone.
+func updateFromList(list engine.EndpointList) staleness.Update {
+	update := staleness.Update{Version: uint64(list.Version), Complete: list.Full}
 	for i := range list.Endpoints {
 		e := &list.Endpoints[i]
-		news.Changes = append(news.Changes, staleness.Change{
+		update.Changes = append(update.Changes, staleness.Change{
 			Removed: e.State != decision.Ready,
 			Entry:   staleness.Entry{Name: e.ID, Kind: e.Kind, Route: routeOf(e.Kind), Incarnation: incarnation(e)},
 		})
 	}
-	return news
+	return update
 }
 
 // incarnation identifies the process that answers for an endpoint, by when it started and where.
@@ -174,8 +174,8 @@
 	return kind
 }
 
-// mergeNews merges later news into earlier ones.
-func mergeNews(into *staleness.Update, later staleness.Update) {
+// mergeUpdate merges a later update into an earlier one.
+func mergeUpdate(into *staleness.Update, later staleness.Update) {
 	if later.Complete {
 		*into = later
 		into.Changes = slices.Clone(later.Changes)
--- a/internal/controlplane/freshness/monitor.go
+++ b/internal/controlplane/freshness/monitor.go
@@ -141,7 +141,11 @@
 }
 
 // effectNames are the keys of Report.ForbiddenAttempts.
-var effectNames = [3]string{staleness.Idempotent: "safe", staleness.IdempotentByKey: "keyed", staleness.NotIdempotent: "once"}
+var effectNames = [3]string{
+	staleness.Idempotent:      "safe",
+	staleness.IdempotentByKey: "keyed",
+	staleness.NotIdempotent:   "once",
+}
 
 // Report returns the current state. It does not wait for the worker.
 func (m *Monitor) Report() Report {
--- a/internal/controlplane/freshness/source.go
+++ b/internal/controlplane/freshness/source.go
@@ -51,10 +51,10 @@
 	list, err := s.Source.Fetch(ctx)
 	switch {
 	case err == nil:
-		news := newsFromList(list)
-		news.Complete = true
-		news.RequestedAt = asked
-		s.list.update(s, news, true)
+		update := updateFromList(list)
+		update.Complete = true
+		update.RequestedAt = asked
+		s.list.update(s, update, true)
 	case ctx.Err() == nil:
 		s.list.sourceFailed(s, false)
 	}
@@ -65,7 +65,7 @@
 func (s *observedSource) Watch(ctx context.Context, from uint32, handle func(engine.EndpointList)) error {
 	s.activate()
 	err := s.Source.Watch(ctx, from, func(list engine.EndpointList) {
-		s.list.update(s, newsFromList(list), false)
+		s.list.update(s, updateFromList(list), false)
 		handle(list)
 	})
 	if ctx.Err() == nil {
--- a/internal/policy/rollout/fleet_scenarios_test.go
+++ b/internal/policy/rollout/fleet_scenarios_test.go
@@ -194,7 +194,8 @@
 				break
 			}
 		}
-		if state, why := l.rollout.State(); state != Stopped || operatorerror.AdviceOf(why) == "" || l.countAtEpoch(2) > 90 {
+		state, reason := l.rollout.State()
+		if state != Stopped || operatorerror.AdviceOf(reason) == "" || l.countAtEpoch(2) > 90 {
 			t.Errorf("seed %d: %v, and %d had it", seed, state, l.countAtEpoch(2))
 		}
 	}
