--- a/internal/controlplane/freshness/worker.go
+++ b/internal/controlplane/freshness/worker.go
@@ -143,8 +143,8 @@
 	if err != nil {
 		panic(err) // the settings were checked when the file was read
 	}
-	news, at, age := list.restartState()
-	_ = view.ApplyUpdate(now, api.ListSource, news)
+	update, at, age := list.restartState()
+	_ = view.ApplyUpdate(now, api.ListSource, update)
 	if age >= 0 {
 		age += now - at
 	}
