--- a/internal/staleness/age.go
+++ b/internal/staleness/age.go
@@ -6,8 +6,7 @@
 )
 
 // Age is an upper bound on how old the content of a source is: it was current at some moment that is not longer ago.
-// If known is false nobody can tell, and the bound has no meaning. This is the age of information of Kaul, Yates and
-// Gruteser (INFOCOM 2012).
+// If known is false the bound has no meaning. It is the age of information of Kaul, Yates and Gruteser (INFOCOM 2012).
 func (v *View) Age(now time.Duration, name string) (bound time.Duration, known bool) {
 	s := v.sourceByName[name]
 	if s == nil || !s.ageKnown {
--- a/internal/staleness/confidence.go
+++ b/internal/staleness/confidence.go
@@ -16,7 +16,7 @@
 	maxCertainty = 1 - 1e-6
 )
 
-// Confidence is the probability that an entry is as believed, so that acting on it now is right. It is 0 for an entry
+// Confidence is the probability that an entry is as listed, so that acting on it now is right. It is 0 for an entry
 // that is not listed.
 func (v *View) Confidence(now time.Duration, name string) float64 {
 	e := v.entries[name]
@@ -122,7 +122,7 @@
 	return factor * probability / (factor*probability + 1 - probability)
 }
 
-// confidence is the probability that an entry is as believed, by the filter as it stands.
+// confidence is the probability that an entry is as listed, by the filter as it stands.
 func (v *View) confidence(e *trackedEntry, now time.Duration) float64 {
 	f := &e.source.filter
 	confidence := f.live * applyOdds(v.survivalLive(e, now), e.odds)
--- a/internal/staleness/doc.go
+++ b/internal/staleness/doc.go
@@ -18,7 +18,7 @@
 //
 // # Results
 //
-// View.Confidence is the probability that an entry is as believed, View.Age an upper bound on the age of a source's
+// View.Confidence is the probability that an entry is as listed, View.Age an upper bound on the age of a source's
 // content. View.Route sums up a route as a Level, which falls at once and rises after a delay, and PermissionFor says
 // what a level permits for a request. View.Tick puts all of it into a Snapshot, which many goroutines may read at once.
 //
--- a/internal/staleness/evidence.go
+++ b/internal/staleness/evidence.go
@@ -41,13 +41,13 @@
 }
 
 const (
-	// falseContradiction is the probability that an entry that is as believed shows another incarnation.
+	// falseContradiction is the probability that an entry that is as listed shows another incarnation.
 	falseContradiction = 1e-9
-	// falseTokenRejection is the probability that an entry that is as believed rejects a token.
+	// falseTokenRejection is the probability that an entry that is as listed rejects a token.
 	falseTokenRejection = .005
 	// minOdds is the least factor of an entry's odds.
 	minOdds = 1e-9
-	// liveForTrials is the probability of a live source from which attempts tell how late changes arrive.
+	// liveForTrials is the probability of a live source from which attempts show how late changes arrive.
 	liveForTrials = .8
 	// timeoutFactor weighs a live or stale source after a call timed out; a silent one stays as likely.
 	timeoutFactor = .05
@@ -121,7 +121,7 @@
 func (v *View) contradictEntry(e *trackedEntry, now time.Duration, kind EvidenceKind) {
 	ifUnchanged := v.contradictionIfUnchanged(kind)
 	ifChanged := v.contradictionIfChanged(kind)
-	if e.odds == 1 { // further contradictions of an entry repeat the first: they tell nothing new about the source
+	if e.odds == 1 { // further contradictions of an entry repeat the first: they show nothing new about the source
 		e.falseAlarm = applyOdds(v.confidence(e, now), ifUnchanged/ifChanged)
 		e.unfollowedSurvival = v.survivalUnfollowed(e, now)
 		v.contradictions[kind] += 1 - e.falseAlarm
@@ -135,7 +135,7 @@
 	e.checkedAt = now
 }
 
-// contradictionIfUnchanged is the probability of a contradiction by an entry that is as believed.
+// contradictionIfUnchanged is the probability of a contradiction by an entry that is as listed.
 func (v *View) contradictionIfUnchanged(kind EvidenceKind) float64 {
 	switch kind {
 	case Refused:
@@ -199,7 +199,7 @@
 	s.filter.update(live, func(hypothesis, bool) float64 { return 1 })
 }
 
-// RecordConfirmation notes that an entry answered as believed: the same process, which accepted the token. With an
+// RecordConfirmation notes that an entry answered as listed: the same process, which accepted the token. With an
 // empty entry, a control-plane server or peer that knows the source by another way holds the same version. The error
 // is UnknownSourceError.
 func (v *View) RecordConfirmation(now time.Duration, name, entry string) error {
--- a/internal/staleness/permission.go
+++ b/internal/staleness/permission.go
@@ -20,7 +20,7 @@
 const (
 	// FloorOrReject rejects at once with Retry-After, or serves from the static floor of the quota. The zero value.
 	FloorOrReject Permission = iota
-	// ConfirmedOnly sends only to servers that answered as believed since the level became Doubtful.
+	// ConfirmedOnly sends only to servers that answered as listed since the level became Doubtful.
 	ConfirmedOnly
 	// AnyEndpoint sends to any listed server.
 	AnyEndpoint
--- a/internal/staleness/route.go
+++ b/internal/staleness/route.go
@@ -93,8 +93,8 @@
 	r.betterSince = never
 }
 
-// Route is the level of a route now, and the probability that acting on its list is right. A route of which no source
-// told is Blind.
+// Route is the level of a route now, and the probability that acting on its list is right. A route that no source has
+// named is Blind.
 func (v *View) Route(now time.Duration, name string) (Level, float64) {
 	r := v.routeByName[name]
 	if r == nil {
@@ -104,7 +104,7 @@
 	return r.level, r.confidence
 }
 
-// Fault is what an operator is told of a route: RouteBlindError, RouteDoubtfulError, or nil. It uses the level of the
+// Fault is what an operator must know of a route: RouteBlindError, RouteDoubtfulError, or nil. It uses the level of the
 // last evaluation.
 func (v *View) Fault(now time.Duration, name string) error {
 	r := v.routeByName[name]
--- a/internal/staleness/snapshot.go
+++ b/internal/staleness/snapshot.go
@@ -45,7 +45,7 @@
 	return 0
 }
 
-// RouteIndex is the index of a route in each later Snapshot, -1 if no source told of it.
+// RouteIndex is the index of a route in each later Snapshot, -1 if no source named it.
 func (v *View) RouteIndex(name string) int {
 	if r := v.routeByName[name]; r != nil {
 		return r.index
@@ -134,7 +134,7 @@
 	return s.routes[index].permissions[idempotency]
 }
 
-// Entry is the probability that an entry is as believed, and whether a request may go to it.
+// Entry is the probability that an entry is as listed, and whether a request may go to it.
 func (s *Snapshot) Entry(h Handle, idempotency Idempotency) (confidence float32, permitted bool) {
 	if uint(h.slot()) >= uint(len(s.entries)) || idempotency >= idempotencyClasses {
 		return 0, false
--- a/internal/staleness/view.go
+++ b/internal/staleness/view.go
@@ -17,20 +17,20 @@
 	entries int
 }
 
-// trackedEntry is a listed entry with what its server's answers told.
+// trackedEntry is a listed entry with what its server's answers showed.
 type trackedEntry struct {
 	Entry
 	source      *trackedSource
 	kind        *entryKind
-	confirmedAt time.Duration // last answer as believed
-	checkedAt   time.Duration // last attempt whose outcome told something
+	confirmedAt time.Duration // last answer as listed
+	checkedAt   time.Duration // last attempt that confirmed or contradicted the entry
 	probedAt    time.Duration // last probe that PlanProbes gave out
 	// odds is the factor by which contradictions since the last confirmation multiplied the odds that the entry is as
 	// believed; 1 without any.
 	odds float64
-	// falseAlarm is the probability, at the first contradiction, that the entry was as believed nevertheless.
+	// falseAlarm is the probability, at the first contradiction, that the entry was as listed nevertheless.
 	falseAlarm float64
-	// unfollowedSurvival is the probability, before the first contradiction, that the entry was as believed if the
+	// unfollowedSurvival is the probability, before the first contradiction, that the entry was as listed if the
 	// source is not followed.
 	unfollowedSurvival float64
 	confidence         float64 // at the last evaluation of its route
@@ -82,8 +82,8 @@
 	entries    map[string]*trackedEntry
 	entryOrder []*trackedEntry // by name
 
-	falseRefusals  float64                // expected refusals by servers that were as believed
-	confirmations  float64                // answers by servers as believed
+	falseRefusals  float64                // expected refusals by servers that were as listed
+	confirmations  float64                // answers by servers as listed
 	contradictions [evidenceKinds]float64 // expected contradictions by changed entries
 
 	routes       []*routeState // by name
