--- a/internal/staleness/confidence.go
+++ b/internal/staleness/confidence.go
@@ -10,6 +10,10 @@
 	maxAdvance = 50 * time.Millisecond
 	// maxAdvanceSteps bounds the steps of one advance after a long time.
 	maxAdvanceSteps = 32
+	// priorSilentWatches is the weight of Settings.SilentWatchRate, in silent watches.
+	priorSilentWatches = .5
+	// priorDelaySeconds is the mean delay of a change, with the weight of one change, before any was observed.
+	priorDelaySeconds = .2
 	// minHypothesisWeight is the weight below which a hypothesis does not change a confidence.
 	minHypothesisWeight = 1e-5
 	// maxCertainty keeps a probability below 1, so that evidence can contradict it.
@@ -61,15 +65,17 @@
 	}
 }
 
-// silentWatchRate is the learned rate, per second, at which the source's watch falls silent. The setting counts as
-// half a silent watch.
+// silentWatchRate is the learned rate, per second, at which the source's watch falls silent.
 func (v *View) silentWatchRate(s *trackedSource) float64 {
-	return (.5 + s.silentWatches) / (.5/v.settings.SilentWatchRate + s.watchedSeconds)
+	priorSeconds := priorSilentWatches / v.settings.SilentWatchRate
+	return (priorSilentWatches + s.silentWatches) / (priorSeconds + s.watchedSeconds)
 }
 
 // meanDelay is for how many seconds an entry of a live view is wrong before its change arrives, on average over all
 // changes, including those that never arrive.
-func (s *trackedSource) meanDelay() float64 { return (.2 + s.wrongWhileLive) / (1 + s.hazardWhileLive) }
+func (s *trackedSource) meanDelay() float64 {
+	return (priorDelaySeconds + s.wrongWhileLive) / (1 + s.hazardWhileLive)
+}
 
 // survival is the probability that an entry is unchanged if the content is that of the moment at, and the cumulative
 // hazard that it went through.
--- a/internal/staleness/evidence.go
+++ b/internal/staleness/evidence.go
@@ -45,6 +45,11 @@
 	falseContradiction = 1e-9
 	// falseTokenRejection is the probability that an entry that is as listed rejects a token.
 	falseTokenRejection = .005
+	// priorFalseRefusals of priorConfirmations is the part of answers that are false refusals before any was observed.
+	priorFalseRefusals = .5
+	priorConfirmations = 50
+	// priorContradictions is the weight of each kind of contradiction before any was observed.
+	priorContradictions = .5
 	// minOdds is the least factor of an entry's odds.
 	minOdds = 1e-9
 	// liveForTrials is the probability of a live source from which attempts show how late changes arrive.
@@ -139,7 +144,7 @@
 func (v *View) contradictionIfUnchanged(kind EvidenceKind) float64 {
 	switch kind {
 	case Refused:
-		return (.5 + max(0, v.falseRefusals)) / (50 + v.confirmations)
+		return (priorFalseRefusals + max(0, v.falseRefusals)) / (priorConfirmations + v.confirmations)
 	case TokenRejected:
 		return falseTokenRejection
 	}
@@ -149,7 +154,7 @@
 // contradictionIfChanged is the probability that a changed entry shows itself by this kind of contradiction.
 func (v *View) contradictionIfChanged(kind EvidenceKind) float64 {
 	total := 1 + v.contradictions[Refused] + v.contradictions[OtherIncarnation] + v.contradictions[TokenRejected]
-	return (.5 + v.contradictions[kind]) / total
+	return (priorContradictions + v.contradictions[kind]) / total
 }
 
 // observeAttempt updates the source's filter and the change rate with the outcome of an attempt. likelihood is the
