--- a/internal/policy/merkle/diff.go
+++ b/internal/policy/merkle/diff.go
@@ -96,7 +96,7 @@
 		}
 		return
 	}
-	// One of the two is a leaf or missing, so few items differ in shape: all are compared.
+	// One of the two is a leaf or missing: their items are compared one by one.
 	old := map[string]*item{}
 	from.each(func(i *item) bool {
 		old[i.key] = i
--- a/internal/policy/merkle/node.go
+++ b/internal/policy/merkle/node.go
@@ -49,7 +49,7 @@
 			n.size += it.segmented.size
 			continue
 		}
-		// The value refers to the chunk, so that it is held once.
+		// The value refers to the chunk, so that it is in memory once.
 		end := len(n.chunk)
 		it.value = n.chunk[end-len(it.value) : end : end]
 	}
--- a/internal/policy/merkle/segment.go
+++ b/internal/policy/merkle/segment.go
@@ -31,15 +31,15 @@
 
 // segmentedValue is a value in segments.
 type segmentedValue struct {
-	total  int  // bytes of the value
-	root   Hash // of the only segment, or of the topmost list
-	size   int  // bytes of all chunks
+	total int  // bytes of the value
+	root  Hash // of the only segment, or of the topmost list
+	size  int  // bytes of all chunks
+	// chunks are the segments and lists. The root is first, and each stands after the one that names it. A chunk that
+	// is named twice stands there twice.
 	chunks []hashedChunk
 }
 
-// The chunks of a segmentedValue begin with the root, and each stands after the one that names it. A chunk that is
-// named twice stands there twice.
-
+// hashedChunk is a chunk with its hash.
 type hashedChunk struct {
 	hash Hash
 	data []byte
--- a/internal/policy/merkle/tree.go
+++ b/internal/policy/merkle/tree.go
@@ -72,7 +72,7 @@
 		it := newItem(i)
 		if it.segmented != nil {
 			if old := t.find(i.Key); old != nil && old.sameValue(it) {
-				it.segmented = old.segmented // held once
+				it.segmented = old.segmented // in memory once
 			}
 		}
 		changes = append(changes, change{positionOf(i.Key), it})
--- a/internal/policy/store/bisect.go
+++ b/internal/policy/store/bisect.go
@@ -108,7 +108,7 @@
 }
 
 // excludeChanges takes failed changes out of the head and reports them. What their teams have submitted since stays,
-// and files that were held back are merged again. With no change to exclude, everything since the active policy is
+// and withheld files are merged again. With no change to exclude, everything since the active policy is
 // dropped.
 func (m *StateMachine) excludeChanges(s *state, failed []trackedChange) {
 	active := s.active()
@@ -136,7 +136,7 @@
 	s.accepted = accepted
 	s.pending = submitted
 	if len(submitted) > 0 && len(pending) > 0 {
-		// Files that were accepted are merged before those that were held back, so that they keep precedence.
+		// Files that were accepted are merged before withheld ones, so that they keep precedence.
 		if m.updateHead(s, false) != nil {
 			s.pending = map[string]submittedFile{}
 		}
--- a/internal/policy/store/doc.go
+++ b/internal/policy/store/doc.go
@@ -5,8 +5,8 @@
 // The fleet has one ownership declaration (in the operators' pages: the charter), which says what each team's
 // namespace may set, and one policy file for each namespace. Merging the files under the declaration gives the policy
 // that proxies follow. The state machine holds the declaration, the last accepted file of each namespace, the files
-// that are held back because they conflict, and the merged policies with their versions. Package namespace decides
-// what conflicts and who is held back; package rollout decides whether a rollout harms.
+// that are withheld because they conflict, and the merged policies with their versions. Package namespace decides
+// what conflicts and whose file is withheld; package rollout decides whether a rollout harms.
 //
 // # Three policies
 //
--- a/internal/policy/store/errors.go
+++ b/internal/policy/store/errors.go
@@ -19,7 +19,7 @@
 	return "Give the fleet its charter first: lapisspread fleet charter."
 }
 
-// TooLargeError is returned for a command that would exceed a bound on what is held.
+// TooLargeError is returned for a command that would exceed a bound on what is stored.
 type TooLargeError struct {
 	What  string
 	Bytes int
--- a/internal/policy/store/merge.go
+++ b/internal/policy/store/merge.go
@@ -13,11 +13,11 @@
 // parsedFilesSlack is how many parsed files the cache may hold beyond twice those of the state.
 const parsedFilesSlack = 64
 
-// WithheldFile reports a namespace's file that is held back, in part or whole. Reasons are texts and not errors, so
+// WithheldFile reports a namespace's file that is withheld, all or in part. Reasons are texts and not errors, so
 // that the state has the same bytes on every server.
 type WithheldFile struct {
 	Namespace    string   `json:"namespace"`
-	Submitted    uint64   `json:"offered"` // number of the file that is held back
+	Submitted    uint64   `json:"offered"` // number of the file that is withheld
 	Active       uint64   `json:"holds"`   // number of the file that stays in force; 0 is none
 	Author       string   `json:"by,omitempty"`
 	RemovedRules []string `json:"cut,omitempty"`
@@ -109,7 +109,7 @@
 	if enforceLimits && tree.Size() > MaxPolicyBytes {
 		return TooLargeError{"the merged policy", tree.Size(), MaxPolicyBytes}
 	}
-	if m.mutated(holdEverything) && len(outcome.Withheld) > 0 {
+	if m.mutated(withholdEverything) && len(outcome.Withheld) > 0 {
 		pending := s.pending
 		*s = *m.cloneState()
 		s.pending = pending
@@ -129,7 +129,7 @@
 	return total
 }
 
-// reportConflicts replaces the reports of held files and conflicts by those of a merge.
+// reportConflicts replaces the reports of withheld files and of conflicts by those of a merge.
 func (s *state) reportConflicts(outcome *namespace.Outcome) {
 	s.withheldFiles = nil
 	for _, held := range outcome.Withheld {
--- a/internal/policy/store/mutation.go
+++ b/internal/policy/store/mutation.go
@@ -5,7 +5,7 @@
 
 const (
 	allowReusedNumbers mutation = 1 << iota // the number of a file may be used again
-	holdEverything                          // one held file stops all others
+	withholdEverything                      // one withheld file stops all others
 	keepGeneration                          // a rollback does not raise the generation
 	displaceCandidate                       // a submission replaces the candidate
 	skipBisection                           // all changes of a stopped batch fail
--- a/internal/policy/store/state.go
+++ b/internal/policy/store/state.go
@@ -41,7 +41,7 @@
 	declaration submittedFile
 	// accepted are the files that the head was merged from, and those of namespaces that the declaration dropped.
 	accepted       map[string]submittedFile
-	pending        map[string]submittedFile // held back; accepted in a later merge once nothing conflicts
+	pending        map[string]submittedFile // withheld; accepted in a later merge once nothing conflicts
 	highestNumbers map[string]uint64        // the highest file number that each namespace has used
 	withheldFiles  []WithheldFile
 	conflicts      []string
--- a/internal/policy/store/statemachine.go
+++ b/internal/policy/store/statemachine.go
@@ -36,7 +36,7 @@
 
 // Apply carries a command out. An error changes nothing: NoDeclarationError, TooLargeError, InvalidCommandError,
 // EpochNotRetainedError, or one of package namespace for a file or a declaration that is invalid by itself. A file
-// that is held back is no error: see WithheldFile.
+// that is withheld is no error: see WithheldFile.
 func (m *StateMachine) Apply(c Command) error {
 	if fields := c.fields(); fields != 1 {
 		return InvalidCommandError{fmt.Sprintf("it says %d things", fields)}
--- a/internal/policy/store/statemachine_test.go
+++ b/internal/policy/store/statemachine_test.go
@@ -148,7 +148,7 @@
 			}
 			return nil
 		}},
-		"one team's file does not stop another's": {holdEverything, func(t *testing.T, m *StateMachine) error {
+		"one team's file does not stop another's": {withholdEverything, func(t *testing.T, m *StateMachine) error {
 			_ = m.Apply(submitCommand(policyFile("beta", 2, "x.org", "/a")))
 			_ = m.Apply(submitCommand(policyFile("gamma", 1, "g.org", "/")))
 			if got := headRoutes(t, m); !strings.Contains(got, "gamma/r") || !strings.Contains(got, "beta/r/b") {
