--- a/internal/idempotency/guard/guard_test.go
+++ b/internal/idempotency/guard/guard_test.go
@@ -15,7 +15,7 @@
 	"lapisspread/internal/idempotency"
 )
 
-func settings(lostAt time.Duration) idempotency.Settings {
+func testSettings(lostAt time.Duration) idempotency.Settings {
 	return idempotency.Settings{
 		Window:          idempotency.MinWindow,
 		UncertainWindow: idempotency.MinWindow,
@@ -31,7 +31,7 @@
 	t.Helper()
 	began := time.Now().Add(-30 * time.Hour) // the guard's clock began long before
 	g, err := New(Options{
-		Ledger:       settings(lostAt),
+		Ledger:       testSettings(lostAt),
 		Path:         path,
 		Now:          func() time.Duration { return time.Since(began) },
 		WriteTimeout: 500 * time.Millisecond,
@@ -177,7 +177,8 @@
 	})
 	<-inFlight
 	began := time.Now()
-	next, err := New(Options{Ledger: settings(0), Path: path, Now: func() time.Duration { return time.Since(began) }})
+	now := func() time.Duration { return time.Since(began) }
+	next, err := New(Options{Ledger: testSettings(0), Path: path, Now: now})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,7 +297,7 @@
 	if err := os.WriteFile(path, []byte("no database"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	broken, err := New(Options{Ledger: settings(0), Path: path, Now: func() time.Duration { return 0 }})
+	broken, err := New(Options{Ledger: testSettings(0), Path: path, Now: func() time.Duration { return 0 }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/processquota/gate_test.go
+++ b/internal/processquota/gate_test.go
@@ -66,10 +66,10 @@
 // Any order of events keeps the invariants of Gate, and those of the pool beneath it.
 func TestGateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nc, nt := rapid.IntRange(1, 5).Draw(t, "classes"), rapid.IntRange(1, 4).Draw(t, "tenants")
+		classCount, tenantCount := rapid.IntRange(1, 5).Draw(t, "classes"), rapid.IntRange(1, 4).Draw(t, "tenants")
 		var classes []GateClass
 		best := 0
-		for i := range nc {
+		for i := range classCount {
 			classes = append(classes, GateClass{
 				PriorityWeight: float64(rapid.IntRange(1, 10).Draw(t, "weight")),
 				HoldTime:       float64(rapid.IntRange(1, 9).Draw(t, "hold time")),
@@ -80,7 +80,7 @@
 		}
 		var weights []float64
 		sum := 0.0
-		for range nt {
+		for range tenantCount {
 			weights = append(weights, float64(rapid.IntRange(1, 5).Draw(t, "weight")))
 			sum += weights[len(weights)-1]
 		}
@@ -93,9 +93,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		inUse := make([]int64, nt)
+		inUse := make([]int64, tenantCount)
 		for range 200 {
-			class, tenant := rapid.IntRange(0, nc-1).Draw(t, "class"), rapid.IntRange(0, nt-1).Draw(t, "tenant")
+			class := rapid.IntRange(0, classCount-1).Draw(t, "class")
+			tenant := rapid.IntRange(0, tenantCount-1).Draw(t, "tenant")
 			if inUse[tenant] > 0 && rapid.IntRange(0, 2).Draw(t, "leaves") == 0 {
 				inUse[tenant]--
 				g.Leave(tenant)
--- a/internal/processquota/limiter/limiter_test.go
+++ b/internal/processquota/limiter/limiter_test.go
@@ -9,7 +9,7 @@
 	"lapisspread/internal/services"
 )
 
-func file(t *testing.T, text string) *services.File {
+func parseFile(t *testing.T, text string) *services.File {
 	t.Helper()
 	c, err := services.Parse("test.toml", []byte("version = 1\ndefault = \"a\"\n"+text))
 	if err != nil {
@@ -18,7 +18,7 @@
 	return c.File
 }
 
-const two = `
+const twoServices = `
 [[service]]
 name = "a"
 share = { min = 0.5, weight = 3.0 }
@@ -32,7 +32,7 @@
 	now := time.Duration(0)
 	l := New(func() time.Duration { return now })
 	totals := Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 100}
-	if err := l.Reconfigure(file(t, two), totals, nil); err != nil {
+	if err := l.Reconfigure(parseFile(t, twoServices), totals, nil); err != nil {
 		t.Fatal(err)
 	}
 	reasons := map[string]int{}
@@ -59,7 +59,7 @@
 // Limits that are lowered below what is in use admit nothing new until the use is below them, and lose no count.
 func TestLimitsLoweredBelowUse(t *testing.T) {
 	l := New(func() time.Duration { return 0 })
-	if err := l.Reconfigure(file(t, two), Totals{Requests: 100, Bytes: 1000, Conns: 50}, nil); err != nil {
+	if err := l.Reconfigure(parseFile(t, twoServices), Totals{Requests: 100, Bytes: 1000, Conns: 50}, nil); err != nil {
 		t.Fatal(err)
 	}
 	var inFlight []Request
@@ -73,7 +73,7 @@
 	if len(inFlight) < 50 {
 		t.Fatalf("%d in flight", len(inFlight))
 	}
-	if err := l.Reconfigure(file(t, two), Totals{Requests: 10, Bytes: 1000, Conns: 50}, nil); err != nil {
+	if err := l.Reconfigure(parseFile(t, twoServices), Totals{Requests: 10, Bytes: 1000, Conns: 50}, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i, a := range inFlight {
@@ -87,7 +87,7 @@
 	if _, used := l.RequestUsage(); used != 0 {
 		t.Errorf("%d are still in use", used)
 	}
-	bad := *file(t, two)
+	bad := *parseFile(t, twoServices)
 	bad.Services[0].Share.Min = 0.9
 	err := l.Reconfigure(&bad, Totals{Requests: 10}, []string{"a"})
 	if err == nil || !strings.Contains(err.Error(), "minimums") {
@@ -103,14 +103,14 @@
 	now := time.Duration(0)
 	l := New(func() time.Duration { return now })
 	totals := Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 1000}
-	if err := l.Reconfigure(file(t, two), totals, nil); err != nil {
+	if err := l.Reconfigure(parseFile(t, twoServices), totals, nil); err != nil {
 		t.Fatal(err)
 	}
 	a := Request{Service: "b", Bytes: 7}
 	if reason, _ := l.Acquire(a); reason != "" {
 		t.Fatal(reason)
 	}
-	if err := l.Reconfigure(file(t, "[[service]]\nname = \"a\"\n"), totals, []string{"b"}); err != nil {
+	if err := l.Reconfigure(parseFile(t, "[[service]]\nname = \"a\"\n"), totals, []string{"b"}); err != nil {
 		t.Fatal(err)
 	}
 	now += time.Second
@@ -131,7 +131,7 @@
 	now := time.Duration(0)
 	l := New(func() time.Duration { return now })
 	totals := Totals{Requests: 100, Bytes: 1000, Conns: 10, Attempts: 60}
-	if err := l.Reconfigure(file(t, two), totals, nil); err != nil {
+	if err := l.Reconfigure(parseFile(t, twoServices), totals, nil); err != nil {
 		t.Fatal(err)
 	}
 	gate, err := processquota.NewGate([]processquota.GateClass{
--- a/internal/route/change_test.go
+++ b/internal/route/change_test.go
@@ -24,7 +24,7 @@
 	r := Rule{
 		Name:    name,
 		Host:    hosts[d.IntN(4)],
-		To:      to(fmt.Sprint("s", d.IntN(4))),
+		To:      targetOf(fmt.Sprint("s", d.IntN(4))),
 		Methods: d.some(),
 		Classes: d.some(),
 		Tenants: d.some(),
@@ -159,7 +159,7 @@
 func TestWithChangesOfLargeTables(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 30))
 	made := func(i, number int) Rule {
-		r := Rule{Name: fmt.Sprint(i), To: to(fmt.Sprint("s", number))}
+		r := Rule{Name: fmt.Sprint(i), To: targetOf(fmt.Sprint("s", number))}
 		switch i % 3 {
 		case 0:
 			r.Host, r.Path = "shared.org", "/v1"
@@ -233,13 +233,13 @@
 
 func TestWithChangesKeepsTheBounds(t *testing.T) {
 	words := []string{"x", "y", "z"}
-	now, err := Compile([]Rule{{Name: "a", Host: "a.org", Methods: words, Tenants: words, To: to("a")}}, "")
+	now, err := Compile([]Rule{{Name: "a", Host: "a.org", Methods: words, Tenants: words, To: targetOf("a")}}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	full := *now
 	full.expanded = maxExpanded // as if it had more rules
-	b := Rule{Name: "b", Host: "b.org", Methods: words, Tenants: words, To: to("a")}
+	b := Rule{Name: "b", Host: "b.org", Methods: words, Tenants: words, To: targetOf("a")}
 	if _, err := full.WithChanges([]Rule{b}, []string{"a"}); err != nil {
 		t.Errorf("in place of the other: %v", err)
 	}
@@ -253,7 +253,7 @@
 	}
 	rules := make([]Rule, MaxRules)
 	for i := range rules {
-		rules[i] = Rule{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.org", i), To: to("a")}
+		rules[i] = Rule{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.org", i), To: targetOf("a")}
 	}
 	if _, err := now.WithChanges(rules, nil); err == nil || !strings.Contains(err.Error(), "are the most") {
 		t.Errorf("too many rules: %v", err)
@@ -267,7 +267,7 @@
 	for _, n := range []int{1000, 4000, 13_000, 26_000} {
 		table := manyRules(n)
 		r := *table.rules[n/2]
-		r.To = to("other")
+		r.To = targetOf("other")
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -10,24 +10,24 @@
 	"pgregory.net/rapid"
 )
 
-func to(s string) []Target { return []Target{{s, 1}} }
+func targetOf(s string) []Target { return []Target{{s, 1}} }
 
 func TestPrecedence(t *testing.T) {
 	table, err := Compile([]Rule{
-		{Name: "any", To: to("a")},
-		{Name: "host", Host: "pay.example.org", To: to("b")},
-		{Name: "suffix", Host: "*.example.org", To: to("c")},
-		{Name: "longer suffix", Host: "*.kigali.example.org", To: to("d")},
-		{Name: "prefix", PathPrefix: "/v1", To: to("e")},
-		{Name: "longer prefix", PathPrefix: "/v1/pay", To: to("f")},
-		{Name: "path", Path: "/v1/pay", To: to("g")},
-		{Name: "class", PathPrefix: "/v1", Classes: []string{"payout", "close"}, To: to("h")},
-		{Name: "tenant", PathPrefix: "/v1", Tenants: []string{"moto"}, To: to("i")},
+		{Name: "any", To: targetOf("a")},
+		{Name: "host", Host: "pay.example.org", To: targetOf("b")},
+		{Name: "suffix", Host: "*.example.org", To: targetOf("c")},
+		{Name: "longer suffix", Host: "*.kigali.example.org", To: targetOf("d")},
+		{Name: "prefix", PathPrefix: "/v1", To: targetOf("e")},
+		{Name: "longer prefix", PathPrefix: "/v1/pay", To: targetOf("f")},
+		{Name: "path", Path: "/v1/pay", To: targetOf("g")},
+		{Name: "class", PathPrefix: "/v1", Classes: []string{"payout", "close"}, To: targetOf("h")},
+		{Name: "tenant", PathPrefix: "/v1", Tenants: []string{"moto"}, To: targetOf("i")},
 		{
 			Name: "tenant and method", PathPrefix: "/v1",
-			Tenants: []string{"moto"}, Methods: []string{"POST"}, To: to("j"),
+			Tenants: []string{"moto"}, Methods: []string{"POST"}, To: targetOf("j"),
 		},
-		{Name: "host and path", Host: "pay.example.org", Path: "/x", To: to("k")},
+		{Name: "host and path", Host: "pay.example.org", Path: "/x", To: targetOf("k")},
 	}, "")
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 }
 
 func TestLookupVerdicts(t *testing.T) {
-	rules := []Rule{{Name: "a", Host: "a.org", PathPrefix: "/x", To: to("a")}}
+	rules := []Rule{{Name: "a", Host: "a.org", PathPrefix: "/x", To: targetOf("a")}}
 	table, err := Compile(rules, "")
 	if err != nil {
 		t.Fatal(err)
@@ -96,21 +96,21 @@
 		rule Rule
 		want string
 	}{
-		{Rule{Name: "x", Host: "Pay.org", To: to("a")}, `route[1] "x": host: "Pay.org"`},
-		{Rule{Name: "x", Host: "*.", To: to("a")}, `host: "*."`},
-		{Rule{Name: "x", Host: "a..b", To: to("a")}, `host: "a..b"`},
-		{Rule{Name: "x", Path: "/a", PathPrefix: "/b", To: to("a")}, "both given"},
-		{Rule{Name: "x", Path: "a", To: to("a")}, `path: "a"`},
-		{Rule{Name: "x", PathPrefix: "/a/", To: to("a")}, `path_prefix: "/a/"`},
+		{Rule{Name: "x", Host: "Pay.org", To: targetOf("a")}, `route[1] "x": host: "Pay.org"`},
+		{Rule{Name: "x", Host: "*.", To: targetOf("a")}, `host: "*."`},
+		{Rule{Name: "x", Host: "a..b", To: targetOf("a")}, `host: "a..b"`},
+		{Rule{Name: "x", Path: "/a", PathPrefix: "/b", To: targetOf("a")}, "both given"},
+		{Rule{Name: "x", Path: "a", To: targetOf("a")}, `path: "a"`},
+		{Rule{Name: "x", PathPrefix: "/a/", To: targetOf("a")}, `path_prefix: "/a/"`},
 		{Rule{Name: "x"}, "to: no service"},
 		{Rule{Name: "x", To: []Target{{"a", 0}}}, "all weights are 0"},
 		{Rule{Name: "x", To: []Target{{"a", -1}}}, "weight -1"},
 		{Rule{Name: "x", To: []Target{{"a", 1}, {"a", 1}}}, "there twice"},
-		{Rule{Name: "x", Classes: []string{"c", "c"}, To: to("a")}, "classes"},
-		{Rule{Name: "first", PathPrefix: "/other", To: to("a")}, "route[0] has it too"},
-		{Rule{Name: "x", Classes: []string{"b", "c"}, To: to("a")}, `route[1] "x": ties with route[0] "first"`},
+		{Rule{Name: "x", Classes: []string{"c", "c"}, To: targetOf("a")}, "classes"},
+		{Rule{Name: "first", PathPrefix: "/other", To: targetOf("a")}, "route[0] has it too"},
+		{Rule{Name: "x", Classes: []string{"b", "c"}, To: targetOf("a")}, `route[1] "x": ties with route[0] "first"`},
 	} {
-		_, err := Compile([]Rule{{Name: "first", Classes: []string{"a", "b"}, To: to("s")}, k.rule}, "")
+		_, err := Compile([]Rule{{Name: "first", Classes: []string{"a", "b"}, To: targetOf("s")}, k.rule}, "")
 		var ruleErr RuleError
 		if !errors.As(err, &ruleErr) || ruleErr.Index != 1 || !strings.Contains(err.Error(), k.want) {
 			t.Errorf("%+v: %v, want %q", k.rule, err, k.want)
@@ -127,7 +127,7 @@
 )
 
 func drawRule(t *rapid.T, i int) Rule {
-	r := Rule{Name: fmt.Sprint(i), Host: rapid.SampledFrom(hosts).Draw(t, "host"), To: to(fmt.Sprint(i))}
+	r := Rule{Name: fmt.Sprint(i), Host: rapid.SampledFrom(hosts).Draw(t, "host"), To: targetOf(fmt.Sprint(i))}
 	path := rapid.SampledFrom(paths).Draw(t, "path")
 	switch rapid.IntRange(0, 2).Draw(t, "kind") {
 	case 0:
@@ -220,7 +220,7 @@
 			Name:       fmt.Sprint(i),
 			Host:       fmt.Sprintf("h%d.example.org", i%(n/5+1)),
 			PathPrefix: fmt.Sprintf("/v%d/pay", i/(n/5+1)),
-			To:         to("s"),
+			To:         targetOf("s"),
 		}
 	}
 	t, err := Compile(rules, "rest")
@@ -242,9 +242,9 @@
 func TestLookupBySeveralCriteriaAllocatesNothing(t *testing.T) {
 	some := []string{"a", "b"}
 	table, err := Compile([]Rule{
-		{Name: "all", Methods: some, Classes: some, Tenants: some, To: to("s")},
-		{Name: "two", Classes: some, Tenants: some, To: to("s")},
-		{Name: "one", Tenants: some, To: to("s")},
+		{Name: "all", Methods: some, Classes: some, Tenants: some, To: targetOf("s")},
+		{Name: "two", Classes: some, Tenants: some, To: targetOf("s")},
+		{Name: "one", Tenants: some, To: targetOf("s")},
 	}, "rest")
 	if err != nil {
 		t.Fatal(err)
@@ -284,7 +284,7 @@
 				Host:       "h.example.org",
 				PathPrefix: "/v1",
 				Tenants:    []string{fmt.Sprintf("tenant-%07d", i)},
-				To:         to("s"),
+				To:         targetOf("s"),
 			}
 			if i%2 == 0 {
 				rules[i].Classes = []string{"c"}
