--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -188,7 +188,9 @@
 	}))}
 	t.Cleanup(func() { c.CloseClientConnections(); c.Close() })
 	p := startProxy(t, listText(version, true, all()...), c, func(cfg *Config) {
-		cfg.Decision.PolledDiscovery, cfg.Decision.Capabilities.HealthChecks, cfg.Decision.Capabilities.HedgedRequests = false, true, true
+		cfg.Decision.PolledDiscovery = false
+		cfg.Decision.Capabilities.HealthChecks = true
+		cfg.Decision.Capabilities.HedgedRequests = true
 	})
 	end := time.Now().Add(span)
 	var running sync.WaitGroup
--- a/internal/proxy/clientclose_test.go
+++ b/internal/proxy/clientclose_test.go
@@ -39,7 +39,8 @@
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	_, _ = fmt.Fprintf(c,
-		"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: l%d\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: 19000\r\n\r\n%s", lastAsked.Add(1), class, behind)
+		"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: l%d\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: 19000\r\n\r\n%s",
+		lastAsked.Add(1), class, behind)
 	return c.(*net.TCPConn)
 }
 
--- a/internal/proxy/discoverywatch_test.go
+++ b/internal/proxy/discoverywatch_test.go
@@ -49,7 +49,8 @@
 			m := decision.Config{Instances: 24, Tick: 2 * time.Millisecond, PolledDiscovery: onRequest,
 				Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
 				Constraints: decision.Constraints{MaxListAge: other.asked,
-					DrainGrace: other.grace}, Capabilities: decision.Capabilities{ConnectTimeout: other.connect, MaxAttempts: 1}}
+					DrainGrace: other.grace},
+				Capabilities: decision.Capabilities{ConnectTimeout: other.connect, MaxAttempts: 1}}
 			for _, what := range []discoveryFault{refused, void, hung, rejecting, reset, half, garbled, unordered, slow} {
 				for _, by := range []string{"alone", "hub", "comeback"} {
 					t.Run(fmt.Sprintf("on request %v/asked every %v/%s/%s", onRequest, other.asked, what, by),
@@ -140,7 +141,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c",
 			LatencyObjective: time.Second, ClientTimeout: time.Second}},
-			Constraints: decision.Constraints{DrainGrace: 250 * time.Millisecond}, Capabilities: decision.Capabilities{MaxAttempts: 1}}
+			Constraints:  decision.Constraints{DrainGrace: 250 * time.Millisecond},
+			Capabilities: decision.Capabilities{MaxAttempts: 1}}
 		reg, up := newTroubled(), &recordingUpstream{}
 		d := newDiscoveryClient("register.test:1", timingFor(&m), slog.New(slog.DiscardHandler))
 		d.dial = reg.dial(time.Second)
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -166,7 +166,8 @@
 	var all bytes.Buffer
 	for _, call := range []string{"PING", "ADMISSION", "DIAMETER", "COMEBACK", "FLEET", "VIEW", "ROUTES", "DETACH a",
 		"ATTACH a",
-		"DETACH unknown", "ATTACH unknown", "BLOCK 10.0.0.1 1h", "UNBLOCK 10.0.0.1", "LAMEDUCK", "REJOIN", "PING now", "OTHER"} {
+		"DETACH unknown", "ATTACH unknown", "BLOCK 10.0.0.1 1h", "UNBLOCK 10.0.0.1", "LAMEDUCK",
+		"REJOIN", "PING now", "OTHER"} {
 		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -148,7 +148,8 @@
 	}
 	_, err := fmt.Fprintf(c,
 		"%s /api?key=7f%%33 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: r%d\r\nX-Priority-Class: %s\r\n"+
-			"X-Timeout-Ms: %d\r\nX-Cost: 1000\r\nContent-Length: %d\r\n\r\n%s", method, lastAsked.Add(1), class, timeoutMs, len(body), body)
+			"X-Timeout-Ms: %d\r\nX-Cost: 1000\r\nContent-Length: %d\r\n\r\n%s",
+		method, lastAsked.Add(1), class, timeoutMs, len(body), body)
 	if err != nil {
 		return nil, "", err
 	}
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -99,7 +99,8 @@
 			known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
 			m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c",
 				LatencyObjective: time.Second, ClientTimeout: time.Second}},
-				Constraints: decision.Constraints{DrainGrace: 250 * time.Millisecond}, Capabilities: decision.Capabilities{MaxAttempts: 1}}
+				Constraints:  decision.Constraints{DrainGrace: 250 * time.Millisecond},
+				Capabilities: decision.Capabilities{MaxAttempts: 1}}
 			at := func(addr string) *discoveryClient {
 				return newDiscoveryClient(addr, timingFor(&m), slog.New(slog.DiscardHandler))
 			}
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -75,7 +75,9 @@
 					rawBackend(t, serve), "active")),
 					newCatalog(t), func(cfg *Config) {
 						class := &cfg.Decision.Classes[0]
-						class.Idempotency, class.DeduplicationScope, class.DeduplicationWindow = c.effect, c.group, c.window
+						class.Idempotency = c.effect
+						class.DeduplicationScope = c.group
+						class.DeduplicationWindow = c.window
 					})
 				runs := 1
 				if _, body := mustRespond(t, c.status)(p.request(t, "fetch-work", 9000,
--- a/internal/proxy/services_test.go
+++ b/internal/proxy/services_test.go
@@ -42,7 +42,8 @@
 	t.Helper()
 	s := &stage{t: t, file: filepath.Join(t.TempDir(), "services.toml"), served: map[string]*atomic.Int64{},
 		stall: map[string]*atomic.Int64{},
-		lists: make(chan string), release: make(chan struct{}), backend: map[string]string{}, first: map[string]*atomic.Pointer[string]{}}
+		lists: make(chan string), release: make(chan struct{}), backend: map[string]string{},
+		first: map[string]*atomic.Pointer[string]{}}
 	var members []string
 	for _, kind := range []string{"fast-5", "slow-5"} {
 		s.served[kind], s.stall[kind] = &atomic.Int64{}, &atomic.Int64{}
