--- a/internal/engine/enginetest/script.go
+++ b/internal/engine/enginetest/script.go
@@ -118,19 +118,35 @@
 			<-timer.C
 			break
 		}
-		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-			return decision.Timeout, nil
-		}
-		return decision.Cancelled, nil
+		return resultOfEnd(ctx), nil
 	}
 	if step.Stream != nil {
-		a.StartStream(step.Stream())
-		<-ctx.Done()
-		return decision.OK, nil
+		return stream(ctx, a, step.Stream()), nil
 	}
 	return step.Result, step.Response
 }
 
+// stream passes a streamed response on until the attempt's context ends. A response that came too late is no success:
+// the engine would take it for a complete one without a body.
+func stream(ctx context.Context, a engine.Attempt, s engine.Stream) decision.Result {
+	if !a.StartStream(s) {
+		return decision.Cancelled
+	}
+	<-ctx.Done()
+	if result := resultOfEnd(ctx); result == decision.Timeout {
+		return result
+	}
+	return decision.OK
+}
+
+// resultOfEnd is the result of an attempt whose context has ended.
+func resultOfEnd(ctx context.Context) decision.Result {
+	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+		return decision.Timeout
+	}
+	return decision.Cancelled
+}
+
 // silentSource is a source that never delivers a list.
 type silentSource struct{}
 
