--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -143,7 +143,7 @@
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 	s.config.Logger.Info("control-plane server is serving",
-		"fleet", s.config.Fleet.Fleet, "server", s.self.Name, "address", listener.Addr().String())
+		"fleet", s.config.Fleet.Fleet, "address", listener.Addr().String())
 	select {
 	case err := <-served:
 		return err
