--- a/decision/activeset.go
+++ b/decision/activeset.go
@@ -12,30 +12,43 @@
 	// minActiveTargets: two to compare after one is lost.
 	activeShareOfInterval = 0.5
 	minActiveTargets      = 3
+
+	// localities is the number of values of Balancer.locality: the proxy's own zone, and elsewhere.
+	localities = 2
 )
 
-// selectActive sets which listed targets this proxy uses: all if keys choose, else as many healthy ones, in
-// its own zone and elsewhere, as it has requests in a part of the check interval. The order stays as others
-// come and go. It also sets the span over which measurements decay, which follows the request rate.
+// selectActive brings what follows the request rate up to date: the span over which measurements decay, and
+// the active targets.
 func (b *Balancer) selectActive() {
 	// A long silence in the mean would hide the present rate for thousands of requests.
 	for b.now-b.countedSince > maxRateSpan {
 		b.decayRequestRate()
 	}
 	rate := b.requestRate()
-	wanted := max(minActiveTargets, math.Ceil(rate*b.checkInterval.Seconds()*activeShareOfInterval))
+	b.decaySpan = b.decaySpanFor(rate) // goes by the targets that were active until now
+	b.chooseActive(b.wantedTargets(rate))
+}
+
+// wantedTargets is how many healthy targets of each locality this proxy uses at a rate of requests a second:
+// all if keys choose the target, else as many as it has requests in a part of the check interval.
+func (b *Balancer) wantedTargets(rate float64) float64 {
 	if b.config.KeyAffinity {
-		wanted = float64(len(b.listed))
+		return float64(len(b.listed))
 	}
-	b.decaySpan = b.decaySpanFor(rate)
+	return max(minActiveTargets, math.Ceil(rate*b.checkInterval.Seconds()*activeShareOfInterval))
+}
+
+// chooseActive makes the first listed targets of each locality active, up to wanted healthy ones; unhealthy
+// ones before these are active too. The order of the others stays as some come and go.
+func (b *Balancer) chooseActive(wanted float64) {
 	b.active = b.active[:0]
-	left := [2]float64{wanted, wanted} // by locality
+	left := [localities]float64{wanted, wanted}
 	for _, t := range b.listed {
 		if left[b.locality(t)] < 1 {
 			continue
 		}
 		b.active = append(b.active, t)
-		t.limit.unit = max(1, float64(len(b.listed))/(2*wanted)) / float64(b.config.Instances)
+		t.limit.unit = b.limitUnit(wanted)
 		if t.limit.ceiling == 0 {
 			t.limit = newConcurrencyLimit(t.limit.unit, targetLimitBackoff, 0)
 		}
@@ -45,6 +58,12 @@
 	}
 }
 
+// limitUnit is this proxy's part of one request in flight at a target, if all proxies want as many targets of
+// each locality: a target is active at only a share of the proxies where there are more than they want.
+func (b *Balancer) limitUnit(wanted float64) float64 {
+	return max(1, float64(len(b.listed))/(localities*wanted)) / float64(b.config.Instances)
+}
+
 // decaySpanFor is the span over which measurements decay at a rate of requests a second. A proxy that meets
 // each backend only now and then must not forget a slow one before it comes to it again.
 func (b *Balancer) decaySpanFor(rate float64) time.Duration {
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -33,15 +33,15 @@
 	countedSince time.Duration
 
 	// Latency (latency.go).
-	decaySpan             time.Duration // over which measurements decay
-	latencyByClass        []linearFit   // ms over ms of expected work
-	tailByClass           []quantile    // ms, of a request of mean work
-	meanSamples           float64       // requests that overall means are taken over by now
-	meanLatency           float64       // ms, of a request of any class
-	meanWork              float64       // ms, of a request of any class
-	medianRatio           float64       // of the active targets' latency ratios
-	medianRatioByLocality [2]float64    // in the own zone, and elsewhere
-	longestLatency        float64       // ms, of late
+	decaySpan             time.Duration       // over which measurements decay
+	latencyByClass        []linearFit         // ms over ms of expected work
+	tailByClass           []quantile          // ms, of a request of mean work
+	meanSamples           float64             // requests that overall means are taken over by now
+	meanLatency           float64             // ms, of a request of any class
+	meanWork              float64             // ms, of a request of any class
+	medianRatio           float64             // of the active targets' latency ratios
+	medianRatioByLocality [localities]float64 // in the own zone, and elsewhere
+	longestLatency        float64             // ms, of recent attempts; it decays with each answer
 
 	// Value (valuation.go).
 	totalTally      tally
@@ -65,8 +65,8 @@
 	ratioBuffer []float64
 }
 
-// New makes a Balancer for one proxy; equal seeds draw alike. Settings that can't be served give a
-// *SettingError.
+// New makes a Balancer for one proxy. seed seeds its random choices: equal seeds give equal choices. The
+// error is a *SettingError that names a setting that can't be served.
 func New(config Config, seed uint64, host Host) (*Balancer, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 		latencyByClass:        make([]linearFit, classes),
 		tailByClass:           make([]quantile, classes),
 		medianRatio:           1,
-		medianRatioByLocality: [2]float64{1, 1},
+		medianRatioByLocality: [localities]float64{1, 1},
 		tallyByClass:          make([]tally, classes),
 		tallyByTenant:         make([]tally, tenants),
 		trafficByTenant:       make([]decayingSum, tenants),
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -93,9 +93,9 @@
 	c.inFlight++
 	c.load += a.loadWeight
 	c.lastSent = now
-	u := reservation{limit: c, loadAtSend: max(before, c.meanLoad(now))}
-	u.lateAt = now + fromMillis(lateAfter)
-	a.reservations = append(a.reservations, u)
+	reserved := reservation{limit: c, loadAtSend: max(before, c.meanLoad(now))}
+	reserved.lateAt = now + fromMillis(lateAfter)
+	a.reservations = append(a.reservations, reserved)
 }
 
 // release takes the load of an attempt off.
@@ -119,16 +119,16 @@
 
 // startWaiting counts the load of an attempt whose body has gone by, and moves the time from which it is
 // late.
-func (u *reservation) startWaiting(a *attempt, now time.Duration) {
-	u.limit.meanLoad(now)
-	u.limit.load += a.loadWeight
-	u.lateAt = u.lateAt + now - a.waitingSince
-	u.loadAtSend = u.limit.load
+func (reserved *reservation) startWaiting(a *attempt, now time.Duration) {
+	reserved.limit.meanLoad(now)
+	reserved.limit.load += a.loadWeight
+	reserved.lateAt = reserved.lateAt + now - a.waitingSince
+	reserved.loadAtSend = reserved.limit.load
 }
 
 // isLate reports whether an attempt is late by now; one whose body is on its way is not.
-func (a *attempt) isLate(u *reservation, now time.Duration) bool {
-	return !a.uploading && now >= u.lateAt
+func (a *attempt) isLate(reserved *reservation, now time.Duration) bool {
+	return !a.uploading && now >= reserved.lateAt
 }
 
 // lateAfter is after how many ms an attempt to any target counts as late.
@@ -145,15 +145,16 @@
 // server answers all late, so its limit must not wait for the answers.
 func (b *Balancer) adjustLimits(a *attempt, result Result) {
 	for i := range a.reservations {
-		u := &a.reservations[i]
-		c := u.limit
-		if !u.late && (a.isLate(u, b.now) || result == Rejected) {
+		reserved := &a.reservations[i]
+		c := reserved.limit
+		if !reserved.late && (a.isLate(reserved, b.now) || result == Rejected) {
 			// The ceiling is cut, not the load: an attempt that was late alone is no sign of an overload.
-			u.late = true
+			reserved.late = true
 			c.ceiling = max(c.unit, c.ceiling*c.backoffFactor)
 			// A proxy that starts under load would double its limits far past what overloads a server.
 			c.growthStep /= 2
-		} else if result == OK && !u.late && u.loadAtSend > c.ceiling*limitUtilization*minLimitScale {
+		} else if result == OK && !reserved.late &&
+			reserved.loadAtSend > c.ceiling*limitUtilization*minLimitScale {
 			grow := max(c.growthStep, c.ceiling*(1-c.backoffFactor)/increasesPerBackoff)
 			if c != &b.sharedLimit { // this least growth there would let every second attempt be late
 				grow = max(grow, targetLimitGrowth*c.unit/min(1, c.ceiling))
--- a/decision/discovery.go
+++ b/decision/discovery.go
@@ -6,12 +6,13 @@
 const (
 	maxBackoffDoublings = 4
 
-	// With polled discovery, all that the register has counts as known listFreshnessBound after it could be
-	// reached again. A wait may take that over listBackoffDivisor: the next call may need time too.
+	// With polled discovery, all that the discovery service has counts as known listFreshnessBound after
+	// it could be reached again. A wait may be that time divided by listBackoffDivisor: the next call may
+	// need time too.
 	listFreshnessBound = 6 * time.Second
 	listBackoffDivisor = 4
 
-	// Where the list is pushed, a wait may take a drain's grace period over drainGraceDivisor.
+	// Where the list is pushed, a wait may be a drain's grace period divided by drainGraceDivisor.
 	drainGraceDivisor = 4
 
 	minListBackoff = 10 * time.Millisecond
@@ -19,8 +20,9 @@
 
 // MaxListBackoff is the longest wait between two calls for the endpoint list once one has failed. Where the
 // list is pushed, an agent on this machine has it: calls cost nothing, and what the agent has counts as
-// known at once, so the wait is a part of a drain's grace period. Where it is polled, what the register has
-// counts as known at a fixed time after it could be reached, however seldom it is polled otherwise.
+// known at once, so the wait is a part of a drain's grace period. Where it is polled, what the
+// discovery service has counts as known at a fixed time after it could be reached, however seldom it is
+// polled otherwise.
 func (c *Config) MaxListBackoff() time.Duration {
 	if !c.PolledDiscovery {
 		return max(c.Constraints.DrainGrace/drainGraceDivisor, minListBackoff)
--- a/decision/events.go
+++ b/decision/events.go
@@ -32,11 +32,13 @@
 
 // Backend is an entry of the endpoint list.
 type Backend struct {
-	ID               BackendID
-	Zone, Kind, Cell int
-	State            BackendState
-	Weight           float64       // see Config.Weights
-	Started          time.Duration // clock time of its last start; 0 is long ago
+	ID      BackendID
+	Zone    int // compared with Config.Zone
+	Kind    int // of machine: slow start expects those of one kind and zone to serve alike
+	Cell    int // within which repeats are dropped, see ScopeCell
+	State   BackendState
+	Weight  float64       // see Config.Weights
+	Started time.Duration // clock time of its last start; 0 is long ago
 }
 
 // UpdateKind says how an EndpointUpdate is to be read.
@@ -53,7 +55,7 @@
 // EndpointUpdate is what discovery says of the backends.
 type EndpointUpdate struct {
 	Kind     UpdateKind
-	Version  uint32
+	Version  uint32 // of the list; no rule reads it
 	Backends []Backend
 }
 
@@ -81,16 +83,16 @@
 	Attempt      int // its number, from 0
 	Backend      BackendID
 	Result       Result
-	Latency      time.Duration
-	Final        bool // the client has its answer; if not set, a final answer is still owed
-	BodyConsumed bool // the request's body can't be sent again: there can be no further attempt
+	Latency      time.Duration // since the attempt was sent; no rule reads it
+	Final        bool          // the client has its answer; if not set, a final answer is still owed
+	BodyConsumed bool          // the request's body can't be sent again: there can be no further attempt
 }
 
 // HealthCheckResult is the end of a health check.
 type HealthCheckResult struct {
 	Backend BackendID
 	Result  Result
-	Latency time.Duration
+	Latency time.Duration // no rule reads it
 }
 
 // FirstByte says that a streamed answer has begun: one of a streamed class, or a long one.
@@ -98,7 +100,7 @@
 	ID      RequestID
 	Attempt int // its number, from 0
 	Backend BackendID
-	Latency time.Duration
+	Latency time.Duration // since the attempt was sent; no rule reads it
 }
 
 // PeerMessage comes from another proxy.
--- a/decision/latency.go
+++ b/decision/latency.go
@@ -27,7 +27,7 @@
 	// meanRequests is how many requests overall means are taken over.
 	meanRequests = 256
 
-	// longestDecay is the share by which the longest latency of late sinks with each answer.
+	// longestDecay is the share by which the longest recent latency sinks with each answer.
 	longestDecay = 1.0 / meanRequests
 
 	// Until there are answers, a class is expected to take initialLatencyShare of its objective. A
@@ -87,9 +87,9 @@
 }
 
 // typicalLatency is the latency of a request by overall mean and median ratio, in ms, at most the longest
-// of late. Right after all latencies jump, the mean is learned anew already while the ratios are to the
-// mean of before; their product would be hundreds of times what anything takes, and a proxy of many would
-// send next to nothing.
+// of recent attempts. Right after all latencies jump, the mean follows already while the ratios are
+// still to the mean of before; their product would be hundreds of times what anything takes, and one proxy
+// among many would send next to nothing.
 func (b *Balancer) typicalLatency() float64 {
 	return min(b.meanLatency*b.medianRatio, b.longestLatency)
 }
@@ -116,7 +116,7 @@
 	}
 }
 
-// recordLongest takes a latency in ms into the longest of late.
+// recordLongest takes a latency in ms into the longest of recent attempts.
 func (b *Balancer) recordLongest(latency float64) {
 	b.longestLatency = max(b.longestLatency*(1-longestDecay), latency)
 }
@@ -148,7 +148,8 @@
 }
 
 // learnHint lets a class without answers expect a latency that equals the expected work, if its first
-// request carries it.
+// request carries it: it learns two points of that line, whose mean is a quarter of the objective, as it is
+// without a hint (initialLatencyShare).
 func (b *Balancer) learnHint(class int, work time.Duration) {
 	fit := &b.latencyByClass[class]
 	if work <= 0 || fit.weight != 0 {
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -13,7 +13,8 @@
 	lossDecayFactor = 4
 	lossFloor       = 0.1
 
-	// A restart is suspected once nothing was answered for a check interval over restartSilenceDivisor.
+	// A restart is suspected once nothing was answered for a check interval divided by
+	// restartSilenceDivisor.
 	restartSilenceDivisor = 2
 )
 
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -48,9 +48,7 @@
 // otherProxiesShare is the share of the other proxies in all requests.
 func (b *Balancer) otherProxiesShare() float64 { return 1 - 1/float64(b.config.Instances) }
 
-// refillSlowStart sets the rate of each backend that warms up and adds the tokens that are due. The rate is
-// the share that it has at least of what similar ones serve of this proxy's requests, or some more than it
-// serves itself. All proxies together stay within what it can bear.
+// refillSlowStart sets the rate of each backend that warms up and adds the tokens that are due.
 func (b *Balancer) refillSlowStart() {
 	window := max(b.config.Constraints.OverloadWindow, minOverloadWindow).Seconds()
 	for _, t := range b.active {
@@ -58,14 +56,7 @@
 		if !warmingUp {
 			continue
 		}
-		least := b.meanWork / window / float64(b.config.Instances) // a request a window teaches enough
-		expected := b.similarServedRate(t) * share
-		own := t.recentWork.perSecond(b.now, b.config.Constraints.OverloadWindow)
-		rate := max(expected, own)
-		if b.usesSharedLimit() { // among many proxies, chance makes the larger of the two too large at each
-			rate = (expected + own) / 2
-		}
-		t.slowStartRate = max(rate*slowStartSafety*b.config.Constraints.OverloadFactor, least)
+		t.slowStartRate = b.slowStartRateOf(t, share, window)
 		added := t.slowStartRate * (b.now - t.tokensUpdatedAt).Seconds()
 		most := t.slowStartRate * slowStartBurst * window / b.meanRequestWork()
 		t.slowStartTokens = min(t.slowStartTokens+added/b.meanRequestWork(), most)
@@ -73,6 +64,21 @@
 	}
 }
 
+// slowStartRateOf is the work in ms a second that a backend may be sent while it has a share of its capacity;
+// window is the overload window in seconds. The rate is that share of what similar backends serve of this
+// proxy's requests, or some more than the backend serves itself. All proxies together stay within what it can
+// bear.
+func (b *Balancer) slowStartRateOf(t *target, share, window float64) float64 {
+	least := b.meanWork / window / float64(b.config.Instances) // a request a window teaches enough
+	expected := b.similarServedRate(t) * share
+	own := t.recentWork.perSecond(b.now, b.config.Constraints.OverloadWindow)
+	rate := max(expected, own)
+	if b.usesSharedLimit() { // among many proxies, chance makes the larger of the two too large at each
+		rate = (expected + own) / 2
+	}
+	return max(rate*slowStartSafety*b.config.Constraints.OverloadFactor, least)
+}
+
 // similarServedRate is the mean work in ms a second that warm backends of the same kind and zone serve, or
 // all warm ones if there is none.
 func (b *Balancer) similarServedRate(t *target) float64 {
--- a/decision/statistics.go
+++ b/decision/statistics.go
@@ -48,10 +48,14 @@
 // mean is the points' mean y. There must be a point.
 func (f *linearFit) mean() float64 { return f.sumY / f.weight }
 
+// minRelativeSpread is the share of the sum of x*x below which the spread of the points' x is taken for a
+// rounding error.
+const minRelativeSpread = 1e-9
+
 // predict is the line's y at x. The line never falls, and it is flat if the points lie at one x.
 func (f *linearFit) predict(x float64) float64 {
 	slope, spread := 0.0, f.sumXX-f.sumX*f.sumX/f.weight
-	if spread > 1e-9*f.sumXX {
+	if spread > minRelativeSpread*f.sumXX {
 		slope = max(0, (f.sumXY-f.sumX*f.sumY/f.weight)/spread)
 	}
 	return f.mean() + slope*(x-f.sumX/f.weight)
