--- a/internal/discovery/guardedsource/coordinator.go
+++ b/internal/discovery/guardedsource/coordinator.go
@@ -47,15 +47,16 @@
 	Deferred int64 `json:"told_to_come_back_later"` // failed with a time after which to retry
 }
 
-// Report is what the console's COMEBACK shows.
+// Report is what the console's COMEBACK command shows: the calls of all discovery services, and what their guards have
+// done.
 type Report struct {
 	CallStats
-	ConsecutiveFailures int   `json:"failed_in_a_row"`
-	SuspectLists        int64 `json:"lists_doubted"`
+	ConsecutiveFailures int   `json:"failed_in_a_row"` // of the discovery service that has the most
+	SuspectLists        int64 `json:"lists_doubted"`   // this and the next three: see listguard.GuardStats
 	Retained            int64 `json:"servers_kept"`
 	Returned            int64 `json:"servers_back"`
 	Dropped             int64 `json:"servers_dropped"`
-	Missing             int   `json:"servers_missing_now"`
+	Missing             int   `json:"servers_missing_now"` // see listguard.Guard.Missing
 }
 
 // NewCoordinator makes the coordinator of one of so many proxies. The seed must differ between processes; now is a
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -9,7 +9,8 @@
 	"lapisspread/internal/engine"
 )
 
-// ErrUnsubscribed ends the calls of a subscription that was closed.
+// ErrUnsubscribed ends the calls of a subscription that was closed. Its text, which stays as it is,
+// calls the Registry a register and a Subscription a follower.
 var ErrUnsubscribed = errors.New("register: the follower has left")
 
 // Registry has the discovery services that somebody subscribes to, by address. It is safe for concurrent use.
@@ -22,7 +23,7 @@
 }
 
 // NewRegistry makes an empty registry. open is called for the first subscription to an address; its source is closed
-// with the last one. maxBackoff bounds the pause after a failed call.
+// with the last one. maxBackoff bounds the pause after a failed call; with 0 there is none.
 func NewRegistry(maxBackoff time.Duration, open func(addr string) engine.Source) *Registry {
 	return &Registry{open: open, maxBackoff: maxBackoff, byAddr: map[string]*sharedWatch{}}
 }
@@ -80,7 +81,8 @@
 	return s.watch.endpoints.snapshot(), s.watch.endpoints.known
 }
 
-// Close ends the subscription's calls, and with the last subscription the source's own.
+// Close ends the subscription's calls with ErrUnsubscribed, and with the last subscription the source's own. Calls
+// after the first do nothing.
 func (s *Subscription) Close() {
 	s.closeOnce.Do(func() {
 		s.cancel(ErrUnsubscribed)
@@ -89,7 +91,8 @@
 }
 
 // Fetch returns the full list: the one at hand while the watch is healthy, else by one call for all that ask at the
-// same time. It blocks until then, or until ctx or the subscription ends.
+// same time. It blocks until that call has ended, or until ctx or the subscription ends. The error is the call's, the
+// cause of ctx, or ErrUnsubscribed.
 func (s *Subscription) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	list, call := s.watch.listOrFetch()
 	if call == nil {
@@ -107,7 +110,8 @@
 
 // Watch calls deliver with each change until the shared watch fails, or until ctx or the subscription ends; before that
 // with the full list, unless nothing has changed since an earlier Watch has delivered it. The version is ignored: a
-// discovery service that was restarted counts its versions from the beginning.
+// discovery service that was restarted counts its versions from the beginning. The error is never nil: it is the shared
+// watch's, the cause of ctx, or ErrUnsubscribed.
 func (s *Subscription) Watch(ctx context.Context, _ uint32, deliver func(engine.EndpointList)) error {
 	w, err := s.watch.addWatcher(s)
 	if err != nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,7 +12,8 @@
 // initialBackoff is the pause after the first failed call, unless maxBackoff is shorter.
 const initialBackoff = 50 * time.Millisecond
 
-// errWatchEnded is the failure of a source's watch that has ended without an error.
+// errWatchEnded is the failure of a source's watch that has ended without an error. Its text, which logs show
+// and which stays as it is, calls the Registry a register.
 var errWatchEnded = errors.New("register: the watch has ended")
 
 // sharedWatch is one discovery service with its subscribers.
@@ -73,7 +74,8 @@
 	return engine.EndpointList{}, w.fetching
 }
 
-// fetch makes a call after a delay. It outlives each of those who wait for it; the source's Close ends it.
+// fetch makes a call after a delay. It outlives each of those who wait for it: the source's Close ends the call, but
+// not the delay, which is no longer than maxBackoff.
 func (w *sharedWatch) fetch(call *fetchCall, delay time.Duration) {
 	if delay > 0 {
 		time.Sleep(delay)
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -112,10 +112,11 @@
 	return ok
 }
 
-// maySend is the Attempt's MaySend. Any goroutine may call it.
+// maySend answers Attempt.MaySend for one attempt of a request: whether its first byte may be sent now, and by when
+// its last must be, zero if that does not matter. Any goroutine may call it.
 func (e *Engine) maySend(r *Request, number int) (by time.Time, ok bool) {
 	classes := e.opts.Decision.Classes
-	class := min(max(r.Class, 0), len(classes)-1)
+	class := min(max(r.Class, 0), len(classes)-1) // as the decision module takes a class that is out of range
 	end, ok := r.guard.begin(number, e.clock.Now(), retryWindow(classes[class]))
 	if end == 0 {
 		return time.Time{}, ok
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -89,8 +89,9 @@
 // Clock is the clock that deadlines go by. Any goroutine may call it.
 func (e *Engine) Clock() Clock { return e.clock }
 
-// Post hands an event to the loop. Any goroutine but the loop's own may call it; it blocks while the queue is full.
-// After the loop has ended events are dropped.
+// Post hands an event to the loop, which handles events in the order in which they were posted. It blocks while
+// eventBuffer events wait, so the loop's own goroutine must not call it: it would wait for itself. Once the loop has
+// ended, events may be dropped without notice.
 func (e *Engine) Post(event func()) {
 	select {
 	case e.events <- event:
@@ -99,7 +100,8 @@
 }
 
 // Snapshot returns what the decision module has learned, for the process that comes next; ok is false if the loop ends
-// first. Any goroutine but the loop's own may call it; it blocks until the loop has come to it.
+// first. Any goroutine but the loop's own may call it, which would wait for itself; it blocks until the loop has
+// come to it.
 func (e *Engine) Snapshot() (snapshot decision.Snapshot, ok bool) {
 	taken := make(chan decision.Snapshot, 1)
 	e.Post(func() { taken <- e.decider.Snapshot(e.clock.Now()) })
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -27,12 +27,12 @@
 	Freshness Freshness
 	// Detached names the backends that an operator has detached; nil is none.
 	Detached func() []string
-	// DetachedChanged receives when Detached has changed.
+	// DetachedChanged receives when Detached has changed; nil is never.
 	DetachedChanged <-chan struct{}
 	// OnEndpoints is called with each list before the decision module is; may be nil.
 	OnEndpoints func(EndpointList)
-	// OnBackendCount is called with how many backends are listed and how many of them are excluded from traffic, every
-	// backendCountInterval; may be nil.
+	// OnBackendCount is called with how many backends are listed and how many of them are excluded from traffic, ten
+	// times a second and whenever an operator's order has changed them; may be nil.
 	OnBackendCount func(known, excluded int)
 }
 
--- a/internal/engine/readiness.go
+++ b/internal/engine/readiness.go
@@ -33,8 +33,9 @@
 }
 
 // CheckReadiness has the decision module check the health of the backends that the first requests would go to, and
-// returns how many of them were checked and how many passed. It blocks until each has passed or failed, or until ctx
-// ends; before a list has come it waits for that. Any goroutine but the loop's own may call it.
+// returns how many of these checks have passed so far, of how many that were started. It blocks until each has passed
+// or failed, or until ctx ends; before a list has come it waits for that. Once the loop has ended it returns 0, 0. Any
+// goroutine but the loop's own may call it, which would wait for itself.
 func (e *Engine) CheckReadiness(ctx context.Context) (passed, checked int) {
 	check := &readinessCheck{done: make(chan struct{})}
 	e.Post(func() {
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -26,7 +26,7 @@
 type Result struct {
 	Outcome    Outcome
 	RetryAfter time.Duration // Rejected: when the client may come again; 0 is none
-	TimedOut   bool          // Failed: the last attempt ran into its timeout
+	TimedOut   bool          // Failed: the last attempt ran into its timeout, or the deadline has passed
 	MayHaveRun bool          // an attempt may have run, or may still
 	ClientGone bool          // the client had left; nobody waits for this
 	Response   any           // Served: the response as the Upstream returned it; nil if Stream is set
@@ -56,7 +56,7 @@
 	guard    sendGuard
 }
 
-// Init readies a request for Submit.
+// Init readies a request for Submit. It must be called once, before Result.
 func (r *Request) Init() { r.result = make(chan Result, 1) }
 
 // Abandon notes that the client has left: no attempt that is about to be sent goes out any more. Any goroutine may call
@@ -82,7 +82,8 @@
 	return false
 }
 
-// Submit takes a request that a client has sent. It is called within an event.
+// Submit takes a request that a client has sent. It is called within an event, once for each request. The result of a
+// request whose deadline has passed is there when it returns.
 func (e *Engine) Submit(r *Request) {
 	now := e.clock.Now()
 	r.id = e.newRequestID()
@@ -109,7 +110,7 @@
 	})
 }
 
-// newRequestID returns an ID that no request in flight has; the counter wraps.
+// newRequestID returns an ID that no request in flight has. The counter wraps: an ID comes back after 2^32 requests.
 func (e *Engine) newRequestID() decision.RequestID {
 	for {
 		e.lastRequestID++
