--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -74,7 +74,7 @@
 	setDefault(&c.CompactionBytes, defaultCompactionBytes)
 }
 
-// validate tells all that is wrong with a Config whose defaults are set.
+// validate returns all that is wrong with a Config whose defaults are set, nil if nothing is.
 func (c *Config) validate() error {
 	var errs []error
 	if c.ID == 0 || c.ID > math.MaxInt64 {
--- a/internal/consensus/digestchain.go
+++ b/internal/consensus/digestchain.go
@@ -46,7 +46,7 @@
 
 func (c *digestChain) lastIndex() uint64 { return c.base + uint64(len(c.links)) - 1 }
 
-// lookup gives an entry's term and the digest of the log up to it. It is not ok if the chain doesn't reach there.
+// lookup gives an entry's term and the digest of the log up to it. ok is false if the chain doesn't reach there.
 func (c *digestChain) lookup(index uint64) (term, digest uint64, ok bool) {
 	if index < c.base || index > c.lastIndex() {
 		return 0, 0, false
--- a/internal/consensus/node/config.go
+++ b/internal/consensus/node/config.go
@@ -31,7 +31,9 @@
 	StorePath string
 	// Peers are the base addresses of the other servers, such as "https://10.0.0.1:7400". An entry for ID is
 	// ignored.
-	Peers   map[uint64]string
+	Peers map[uint64]string
+	// Machine is called by Start, and then by the goroutine that owns the Core. It must not block: heartbeats and
+	// messages wait for it.
 	Machine consensus.Machine
 	// Silence is the longest lease that the Machine grants. After a start the server waits for so long for all
 	// others to confirm its store, and after a truncation of its log in any case.
--- a/internal/consensus/node/node.go
+++ b/internal/consensus/node/node.go
@@ -43,7 +43,8 @@
 	closeErr    error
 }
 
-// Start opens the store and runs the Node. The errors are those of Config, storage.Open and consensus.New.
+// Start opens the store and runs the Node, until Close. The errors are those of Config, storage.Open and
+// consensus.New; the store is closed then.
 func Start(config Config) (*Node, error) {
 	config.applyDefaults()
 	if err := config.validate(); err != nil {
@@ -84,8 +85,9 @@
 	return n, nil
 }
 
-// Close stops the Node without a message to the others, and closes the store. It waits for the Node's goroutines;
-// calls that are under way return ErrClosed.
+// Close stops the Node without a message to the others, and closes the store. It waits for the Node's goroutines, a
+// write that is under way included; calls that are under way return ErrClosed. The error is that of closing the store.
+// Calls after the first return the same.
 func (n *Node) Close() error {
 	n.closeOnce.Do(func() {
 		n.cancel()
@@ -96,7 +98,7 @@
 	return n.closeErr
 }
 
-// Status tells how the server stands, or how it last stood before Close.
+// Status returns the server's state, or the last one before Close. It waits for the goroutine of the Core.
 func (n *Node) Status() consensus.Status {
 	var status consensus.Status
 	if err := n.onRaftLoop(context.Background(), func() { status = n.core.Status() }); err != nil {
--- a/internal/consensus/node/peer.go
+++ b/internal/consensus/node/peer.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// nextBatch waits for a message, and takes what else is queued. It is not ok once the Node is closed.
+// nextBatch waits for a message, and takes what else is queued. ok is false once the Node is closed.
 func (p *peer) nextBatch() (b batch, ok bool) {
 	select {
 	case m := <-p.queue:
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -15,7 +15,8 @@
 	Index uint64
 	// Data is what Machine.Apply returned.
 	Data []byte
-	Err  error
+	// Err is nil if the request was carried out; else UndecidedError, or what Err of the Core returns.
+	Err error
 }
 
 // requestHeaderBytes is the length of what stands before a command in its entry, and of a read's context: the nonce
@@ -29,7 +30,7 @@
 	return append(data, command...)
 }
 
-// decodeProposal is not ok for an entry without a command.
+// decodeProposal splits what encodeProposal made; ok is false for an entry without a command.
 func decodeProposal(data []byte) (nonce, requestID uint64, command []byte, ok bool) {
 	if len(data) < requestHeaderBytes {
 		return 0, 0, nil, false
@@ -37,7 +38,7 @@
 	return binary.BigEndian.Uint64(data), binary.BigEndian.Uint64(data[8:]), data[requestHeaderBytes:], true
 }
 
-// checkAccepting tells why no request is taken now: what Err returns, SilentError, NotLeaderError or QueueFullError.
+// checkAccepting returns why no request is taken now, nil if one is: what Err returns, SilentError, NotLeaderError or QueueFullError.
 func (c *Core) checkAccepting() error {
 	if c.failure != nil {
 		return c.failure
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -2,7 +2,7 @@
 
 import pb "go.etcd.io/raft/v3/raftpb"
 
-// StoreVersion tells how far a server's store has come. Each message carries its sender's version, and the receiver
+// StoreVersion is how far a server's store has come. Each message carries its sender's version, and the receiver
 // has it on disk before anything that rests on the message goes out.
 type StoreVersion struct {
 	// StoreID is a random number, drawn when the store was made.
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -10,7 +10,7 @@
 // roleSilent stands in Status.Role in place of a role of Raft while the server is silent.
 const roleSilent = "StateSilent"
 
-// Status of a server.
+// Status is the state of a server; entries are named by their index.
 type Status struct {
 	ID uint64
 	// Leader is the server that this one takes for the leader; 0 is none.
@@ -43,7 +43,7 @@
 	Err error
 }
 
-// Status tells how the server stands.
+// Status returns the server's state as of the last call of one of Core's methods. It may be called after a failure too.
 func (c *Core) Status() Status {
 	raftStatus := c.raft.Status()
 	status := Status{
--- a/internal/consensus/step.go
+++ b/internal/consensus/step.go
@@ -24,7 +24,7 @@
 	c.outbox = append(c.outbox, m)
 }
 
-// Step takes a message of another server. An error tells why the message was dropped: FleetMismatchError,
+// Step takes a message of another server. The error is why the message was dropped: FleetMismatchError,
 // SilentError, one of the Raft library, or what Err returns too, after which the server stops taking part.
 func (c *Core) Step(m Message) (err error) {
 	switch {
@@ -54,7 +54,7 @@
 	}
 }
 
-// stepRaft hands a message to the Raft library once nothing speaks against it.
+// stepRaft hands a message to the Raft library, unless this server is silent or the message contradicts the log here.
 func (c *Core) stepRaft(m Message) error {
 	r := m.Raft
 	if r == nil || r.GetFrom() != m.From || r.GetTo() != m.To {
--- a/internal/discovery/listguard/guard.go
+++ b/internal/discovery/listguard/guard.go
@@ -10,11 +10,12 @@
 	"lapisspread/internal/engine"
 )
 
-// GuardSettings say when a full list is suspect.
+// GuardSettings say when a full list is suspect: if it newly lacks more than MaxMissingRatio of the ready endpoints, and
+// at least MinMissing of them.
 type GuardSettings struct {
-	MaxMissingRatio float64       // a list that newly lacks more than this part of the ready endpoints, 0 to 1,
-	MinMissing      int           // and at least so many
-	RetainFor       time.Duration // for how long what it lacks is retained, from the first list that lacks it on
+	MaxMissingRatio float64       // 0 or more, below 1
+	MinMissing      int           // 1 or more
+	RetainFor       time.Duration // 1s to 1h; how long an endpoint stays from the first list on that lacks it
 }
 
 // Validate returns an error that names the settings that make no sense by their keys in the settings file.
@@ -36,7 +37,7 @@
 type guardedEndpoint struct {
 	engine.Endpoint
 	missing bool          // the last full list lacks it
-	since   time.Duration // it is missing
+	since   time.Duration // when it was first missing
 }
 
 // Guard retains endpoints that discovery has lost. A discovery service that restarts with an empty store delivers a
--- a/internal/quotalease/acknowledge.go
+++ b/internal/quotalease/acknowledge.go
@@ -3,8 +3,8 @@
 // acknowledgement is an Ack or a Release.
 type acknowledgement struct {
 	Ack
-	ended bool // the holder will not use the lease of Token either
-	all   bool // nor by any lease of this quota
+	ended bool // the holder will not use the lease of Token again either
+	all   bool // it will use no lease of this quota again
 }
 
 // ackBatch acknowledges each quota of a batch.
@@ -25,7 +25,8 @@
 }
 
 // acknowledge drops the leases that a holder will never use again. Units in flight above the amount of the lease
-// that it uses began under older leases; they stay counted as a residual for the longest hold time.
+// that it uses began under older leases; they stay counted as a residual for the longest hold time. The error is a
+// StaleEpochError, or a StaleTokenError for an acknowledgement that is older than the last one.
 func (m *StateMachine) acknowledge(ack acknowledgement, result *ApplyResult) error {
 	if ack.Epoch > m.epoch {
 		return StaleEpochError{Got: m.epoch, Have: ack.Epoch}
@@ -37,7 +38,7 @@
 	}
 	// An older acknowledgement that arrives late must not replace the units in flight of a newer one.
 	if ack.RequestSeq <= entry.LastAck {
-		have := Token{Epoch: m.epoch, Index: entry.LastAck}
+		have := Token{Epoch: m.epoch, Index: entry.LastAck} // the index is a request's number here, not a log index
 		return StaleTokenError{Holder: ack.Holder, Quota: ack.Quota, Got: ack.Token, Have: have}
 	}
 	remaining, used := m.leasesAfter(ack, entry)
--- a/internal/quotalease/allocator.go
+++ b/internal/quotalease/allocator.go
@@ -25,7 +25,7 @@
 	timers      timerHeap
 	due         []Expiry // expired, but still counted by the state machine
 	requesters  map[HolderID]*requester
-	onlyFreed   bool // the last plan only freed room
+	onlyFreed   bool // the last plan only freed room; the next one grants, even if there is more to free
 }
 
 // NewAllocator returns the allocator of a server that starts now. It stays silent for a time: StartupSilence of the
@@ -57,8 +57,8 @@
 	}
 }
 
-// HandleRequest takes a request for the next plan. It returns an error of this package if the servers must not
-// answer it. A request that is older than the last one of its process is dropped without an error.
+// HandleRequest takes a request for the next plan. It returns NotBootstrappedError, FleetMismatchError or
+// StaleEpochError if the servers must not answer it. A request that is older than the last one of its process is dropped without an error.
 func (a *Allocator) HandleRequest(now time.Duration, request Request) error {
 	state := a.state
 	switch {
@@ -117,14 +117,14 @@
 	return append(commands, a.grantCommands(now, pending)...)
 }
 
-// forgetSilent forgets processes that have not been heard of for the longest lifetime.
+// forgetSilent forgets processes that have sent no request for the longest lifetime.
 func (a *Allocator) forgetSilent(now time.Duration) {
 	maps.DeleteFunc(a.requesters, func(_ HolderID, from *requester) bool {
 		return now-from.heardAt > a.state.maxLifetime
 	})
 }
 
-// dropSettledExpiries drops what is no longer counted.
+// dropSettledExpiries drops the due expiries that the state machine no longer counts.
 func (a *Allocator) dropSettledExpiries() {
 	a.due = slices.DeleteFunc(a.due, func(expiry Expiry) bool { return !a.state.isPending(expiry) })
 }
--- a/internal/quotalease/divide.go
+++ b/internal/quotalease/divide.go
@@ -56,8 +56,8 @@
 	weight  []float64
 	low     []float64 // the minimum, no more than is demanded
 	high    []float64 // what is demanded, no more than the cap
-	due     []float64
-	most    []float64 // the cap
+	due     []float64 // what the holder should have
+	ceiling []float64 // the cap, or the total without one
 	sumLow  float64
 	sumHigh float64
 }
@@ -67,7 +67,7 @@
 	values := make([]float64, 5*n) // one allocation for all
 	d := &division{
 		kind: quota.Kind, total: total, demands: demands, order: make([]int, n),
-		weight: values[:n], low: values[n : 2*n], high: values[2*n : 3*n], due: values[3*n : 4*n], most: values[4*n:],
+		weight: values[:n], low: values[n : 2*n], high: values[2*n : 3*n], due: values[3*n : 4*n], ceiling: values[4*n:],
 	}
 	for i := range d.order {
 		d.order[i] = i
@@ -76,11 +76,11 @@
 	for at, i := range d.order {
 		share := quota.shareOf(demands[i].Holder)
 		d.weight[at] = share.Weight
-		d.most[at] = total
+		d.ceiling[at] = total
 		if share.Cap > 0 {
-			d.most[at] = min(total, float64(FromUnits(share.Cap)))
+			d.ceiling[at] = min(total, float64(FromUnits(share.Cap)))
 		}
-		d.high[at] = min(max(0, float64(demands[i].Wanted)), d.most[at])
+		d.high[at] = min(max(0, float64(demands[i].Wanted)), d.ceiling[at])
 		d.low[at] = min(float64(FromUnits(share.Min)), d.high[at])
 		d.sumLow += d.low[at]
 		d.sumHigh += d.high[at]
@@ -136,17 +136,18 @@
 	}
 }
 
-// excess returns what a process has now over its due, 0 if that is outside the hysteresis.
+// excess returns by how much what a process has now exceeds its due, below 0 if it has less; 0 if the difference is
+// outside the hysteresis.
 func (d *division) excess(at int) float64 {
-	current := min(float64(d.demands[d.order[at]].Current), d.most[at])
+	current := min(float64(d.demands[d.order[at]].Current), d.ceiling[at])
 	if current <= 0 || math.Abs(current-d.due[at]) > hysteresis*d.due[at] {
 		return 0
 	}
 	return max(current, d.low[at]) - d.due[at]
 }
 
-// applyHysteresis lets those near their due keep what they have. What the ones keep above it comes from what is
-// spare and from those who would get a little more, so the sum does not fall.
+// applyHysteresis lets those near their due keep what they have. What some keep above their due comes from what is
+// spare, and from others who have a little less than their due and stay there, so the sum does not fall.
 func (d *division) applyHysteresis() {
 	sum := 0.0
 	above := 0.0
--- a/internal/quotalease/drift.go
+++ b/internal/quotalease/drift.go
@@ -9,7 +9,8 @@
 // other clock of that drift: the server's clock may be fast by the drift and the other one slow by it.
 func DriftMargin(maxDrift float64) float64 { return (1 + maxDrift) / (1 - maxDrift) }
 
-// withDriftMargin stretches a duration by DriftMargin, rounded up.
+// withDriftMargin stretches a duration by DriftMargin, rounded up. The nanosecond more is for the rounding of the
+// product itself.
 func withDriftMargin(duration time.Duration, maxDrift float64) time.Duration {
 	return time.Duration(math.Ceil(float64(duration)*DriftMargin(maxDrift))) + 1
 }
--- a/internal/quotalease/expiry.go
+++ b/internal/quotalease/expiry.go
@@ -47,7 +47,8 @@
 	return len(a.timers) > 0 && a.timers[0].at <= now
 }
 
-// NextExpiry returns when the next timer ends, for the caller's own timer; false if nothing is counted.
+// NextExpiry returns when the next timer ends, for the caller's own timer: 0 if an expiry waits for its command to be
+// committed, false if nothing is counted.
 func (a *Allocator) NextExpiry() (time.Duration, bool) {
 	if len(a.due) > 0 {
 		return 0, true
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -76,7 +76,8 @@
 	revalidationFailures uint64
 }
 
-// NewHolder returns the holder of a process that has nothing but, once it has the claim to them, its floors.
+// NewHolder returns the holder of a process that has no lease yet. It may spend nothing until HandleReply has taken
+// one, but for its floors once SetFloorClaim has claimed them.
 func NewHolder(settings HolderSettings) *Holder {
 	h := &Holder{settings: settings, configVersion: settings.ConfigVersion, quotas: map[string]*quotaState{}}
 	for _, name := range slices.Sorted(maps.Keys(settings.Floors)) {
@@ -146,7 +147,7 @@
 }
 
 // Acquire admits a number of units of a quota now, or rejects them with ExhaustedError, LeaseExpiredError or
-// NoLeaseError. The token goes with the attempt, to servers that have a Fence; the zero token is that of a floor.
+// NoLeaseError; the last is also the answer to a number below 0 and after ReleaseAll. The token goes with the attempt, to servers that have a Fence; the zero token is that of a floor.
 // Units in flight must be given back by Release, at the end of their hold time at the latest. Acquire allocates
 // nothing for a known quota.
 func (h *Holder) Acquire(now time.Duration, quotaName string, units int64) (Token, error) {
@@ -232,8 +233,9 @@
 // RevalidationFailures returns how many attempts Revalidate has rejected.
 func (h *Holder) RevalidationFailures() uint64 { return h.revalidationFailures }
 
-// Release gives back units in flight that Acquire admitted with a token. It returns UnknownQuotaError, or
-// InvalidCommandError if more is given back than is in flight. It does nothing for a rate.
+// Release gives back units in flight that Acquire admitted with a token. It returns UnknownQuotaError for a quota that
+// this holder does not know or a number below 0, or InvalidCommandError if more is given back than is in flight. It
+// does nothing for a rate.
 func (h *Holder) Release(quotaName string, token Token, units int64) error {
 	quota := h.quotas[quotaName]
 	if quota == nil || units < 0 {
--- a/internal/quotalease/holderreply.go
+++ b/internal/quotalease/holderreply.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// HandleReply takes a reply to a request that was sent at sentAt. It returns what it refuses, as errors of this
-// package; the rest is taken. It does not matter how late a reply arrives, how often, and in what order.
+// HandleReply takes a reply to a request that was sent at sentAt, both times by the holder's monotonic clock. It
+// returns what it refuses, as errors of this package that are joined; the rest is taken. It does not matter how late a reply arrives, how often, and in what order.
 func (h *Holder) HandleReply(sentAt, now time.Duration, reply Reply) error {
 	if err := h.checkSender(reply.FleetID, reply.HolderID, reply.Epoch); err != nil {
 		return err
--- a/internal/quotalease/holderrequest.go
+++ b/internal/quotalease/holderrequest.go
@@ -26,8 +26,9 @@
 	idleRequestInterval = time.Second
 )
 
-// SetDemand sets what the process wants of a quota, in units with its floor, for callers that know better than what
-// was attempted. It also names a quota that was never attempted.
+// SetDemand sets what the process wants of a quota, its floor included, in units a second or units in flight, for callers
+// that know better than what was attempted. From then on the demand is not measured. It also makes a quota known that
+// was never attempted, so that the next request names it.
 func (h *Holder) SetDemand(quotaName string, units float64) {
 	quota := h.quotaState(quotaName, 0)
 	quota.wanted = units * float64(Unit)
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -40,9 +40,10 @@
 	return commands
 }
 
-// planQuota plans one quota: all processes that request or hold of it are weighed, and those with a pending request
-// are granted. A share that grows gets what is free at the moment, and the rest at later requests, as others take
-// up that theirs shrank. The grant to pending[i] is appended to grants[i].
+// planQuota plans one quota. The division counts all processes that request units of it or hold a lease; grants go to
+// those with a pending request only. A share that grows gets what is free at the moment, and the rest at later
+// requests, once the holders whose shares shrank have acknowledged smaller leases. The grant to pending[i] is appended
+// to grants[i].
 func (a *Allocator) planQuota(now time.Duration, quota *Quota, pending []*requester, grants [][]QuotaGrant) {
 	demands := a.demandsOf(now, quota)
 	amounts := Divide(quota, demands)
@@ -67,8 +68,8 @@
 }
 
 // demandsOf returns what each process demands of a quota, in the order of the processes. A new leader has not heard
-// of everybody: who holds leases and was not heard of counts as demanding what it has, until it requests or its
-// leases expire.
+// from all of them: a process that holds a lease and has sent no recent request counts as demanding what it has, until
+// it requests or its leases expire.
 func (a *Allocator) demandsOf(now time.Duration, quota *Quota) []Demand {
 	ledger := a.state.ledgerOf(quota.Name)
 	var demands []Demand
