--- a/internal/consensus/storage/record.go
+++ b/internal/consensus/storage/record.go
@@ -10,7 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The buckets of a store, and the keys of bucket "meta".
+// The buckets of a store, and the keys of bucket "meta". The keys are part of the format and stay as they are; some
+// differ from the names in the code.
 var (
 	metaBucket  = []byte("meta")
 	logBucket   = []byte("log")
@@ -45,7 +46,7 @@
 	return bucket.Put(key, append(record, value...))
 }
 
-// verifyRecord returns a copy of a record's value, which outlives the transaction. It is not ok if the checksum is
+// verifyRecord returns a copy of a record's value, which outlives the transaction. ok is false if the checksum is
 // wrong.
 func verifyRecord(key, record []byte) (value []byte, ok bool) {
 	if len(record) < checksumBytes || binary.BigEndian.Uint64(record) != checksum(key, record[checksumBytes:]) {
--- a/internal/consensus/storage/storage.go
+++ b/internal/consensus/storage/storage.go
@@ -28,7 +28,7 @@
 	fileMode = 0o600
 )
 
-// Identity tells whose store it is. It never changes.
+// Identity is whose store it is. It never changes.
 type Identity struct {
 	// Format is the form of the records.
 	Format uint64 `cbor:"Format"`
@@ -113,8 +113,9 @@
 }
 
 // Open opens the store of a server, counts the start, and returns what the store holds. The errors are
-// MissingError, LockedError, FleetMismatchError, NodeMismatchError, NewerFormatError, DamagedError and
-// DiskFullError. It may block for lockTimeout.
+// MissingError, LockedError, FleetMismatchError, NodeMismatchError, NewerFormatError, DamagedError, DiskFullError,
+// and that of the system where the file may not be read. It waits up to lockTimeout (3 s) for another process to
+// close the store.
 func Open(path, fleet string, epoch, id uint64) (*Store, consensus.State, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil, consensus.State{}, MissingError{path}
@@ -134,7 +135,7 @@
 	return s, state, nil
 }
 
-// countStart has the store's version on disk tell of this start.
+// countStart counts this start in the store's version, on disk, and draws its nonce.
 func (s *Store) countStart() (consensus.StoreVersion, error) {
 	s.version.Incarnation++
 	s.version.Nonce = randomID()
@@ -190,10 +191,10 @@
 	return false
 }
 
-// Identity tells whose store it is.
+// Identity returns whose store it is.
 func (s *Store) Identity() Identity { return s.identity }
 
-// Close writes what was deferred, and closes the file.
+// Close writes what was deferred, and closes the file. The errors are those of Write and of the file.
 func (s *Store) Close() error {
 	var err error
 	if !s.deferred.Empty() {
--- a/internal/discovery/guardedsource/source_test.go
+++ b/internal/discovery/guardedsource/source_test.go
@@ -95,11 +95,11 @@
 		go func() { ended <- s.Watch(ctx, 0, func(l engine.EndpointList) { delivered <- l }) }()
 		r.lists <- fullList("a")
 		if l := <-delivered; len(l.Endpoints) != 3 {
-			t.Errorf("delivered %v", l.Endpoints)
+			t.Errorf("delivered %v after the first list that lacks two of three, want all three", l.Endpoints)
 		}
 		r.lists <- fullList("a")
 		if l := <-delivered; len(l.Endpoints) != 3 {
-			t.Errorf("delivered %v", l.Endpoints)
+			t.Errorf("delivered %v after the second list that lacks two of three, want all three", l.Endpoints)
 		}
 		moved := &scriptedSource{lists: make(chan engine.EndpointList, 1)}
 		moved.lists <- fullList("a")
@@ -107,17 +107,17 @@
 			t.Errorf("at another address: %v, %v", l.Endpoints, err)
 		}
 		if r := c.Report(); r.SuspectLists != 1 || r.Retained != 2 || r.Missing != 2 {
-			t.Errorf("%+v", r)
+			t.Errorf("%+v, want one suspect list, two endpoints retained and missing", r)
 		}
 		if l := <-delivered; len(l.Endpoints) != 1 || time.Since(r.began) == 0 {
 			t.Errorf("after the retention: %v", l.Endpoints)
 		}
 		if r := c.Report(); r.Dropped != 2 || r.Missing != 0 {
-			t.Errorf("%+v", r)
+			t.Errorf("%+v after the retention, want two endpoints dropped and none missing", r)
 		}
 		cancel()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
-			t.Error(err)
+			t.Errorf("a cancelled watch ended with %v", err)
 		}
 	})
 }
@@ -139,7 +139,7 @@
 			}
 		}
 		if l, err := s.Fetch(t.Context()); err != nil || len(l.Endpoints) != 1 {
-			t.Errorf("%v, %v", l, err)
+			t.Errorf("the third call returned %v, %v, want one endpoint", l, err)
 		}
 		if len(r.calls) != 3 {
 			t.Fatalf("calls at %v", r.calls)
@@ -150,7 +150,7 @@
 			t.Errorf("calls at %v", r.calls)
 		}
 		if r := c.Report(); r.Calls != 3 || r.Failed != 2 || r.Deferred != 1 || r.ConsecutiveFailures != 0 {
-			t.Errorf("%+v", r)
+			t.Errorf("%+v, want three calls, two failed and one of them deferred", r)
 		}
 		if h := s.WatchTimeout(time.Hour); h < 15*time.Second || h > 20*time.Second {
 			t.Errorf("a watch is held for %v", h)
@@ -162,12 +162,13 @@
 			t.Error("a failed call is reported as good")
 		}
 		if _, err := s.Fetch(ctx); !errors.Is(err, context.DeadlineExceeded) || len(r.calls) != 4 {
-			t.Errorf("%v, %d calls", err, len(r.calls))
+			t.Errorf("a call whose turn comes after its deadline ended with %v; %d calls were made, want 4", err, len(r.calls))
 		}
 	})
 }
 
-func TestFile(t *testing.T) {
+// An error names the key, or the file, that makes no sense.
+func TestSettingsErrorsNameTheKey(t *testing.T) {
 	for want, text := range map[string]string{
 		`comeback.toml:3: unknown key "list.shrunk"`: "version = 1\n[list]\nshrunk = 1\n",
 		"version: 2":                           "version = 2\n",
@@ -179,9 +180,16 @@
 		"no span of time":                      "version = 1\n[list]\nhold = \"long\"\n",
 	} {
 		if _, err := Parse("comeback.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want one with %q", text, err, want)
 		}
 	}
+	if _, err := Load("nowhere.toml"); err == nil || !strings.Contains(err.Error(), "nowhere.toml") {
+		t.Errorf("a file that is not there: got error %v, want one with its name", err)
+	}
+}
+
+// The settings file that is deployed is valid, and Describe says what it comes to.
+func TestDeployedSettingsAreDescribed(t *testing.T) {
 	f, err := Load("../../../deploy/comeback.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -191,7 +199,4 @@
 			t.Errorf("%q lacks %q", f.Describe(), want)
 		}
 	}
-	if _, err := Load("nowhere.toml"); err == nil || !strings.Contains(err.Error(), "nowhere.toml") {
-		t.Error(err)
-	}
 }
--- a/internal/discovery/listguard/guard_test.go
+++ b/internal/discovery/listguard/guard_test.go
@@ -132,7 +132,8 @@
 	l, changed := g.Expire(32 * second)
 	want := GuardStats{SuspectLists: 1, Retained: 3, Dropped: 3}
 	if !changed || len(l.Endpoints) != 0 || !l.Full || g.Stats() != want {
-		t.Errorf("%v %+v %+v", changed, l, g.Stats())
+		t.Errorf("once they have expired: changed %v, list %+v, counted %+v; want an empty full list and %+v",
+			changed, l, g.Stats(), want)
 	}
 }
 
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -245,7 +245,8 @@
 	within(t, ended, "the loop did not end")
 }
 
-func TestClock(t *testing.T) {
+// The clock counts from the Unix epoch, never goes back, and Time keeps its distances.
+func TestClockCountsFromTheEpoch(t *testing.T) {
 	c := NewClock()
 	a := c.Now()
 	b := c.Now()
--- a/internal/quotalease/fence_test.go
+++ b/internal/quotalease/fence_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestFence(t *testing.T) {
+// A token passes unless a higher one of its holder and quota has passed, or one no lower was forgotten for want of room.
+func TestFenceRejectsStaleTokens(t *testing.T) {
 	fence := NewFence(2)
 	for i, tt := range []struct {
 		holder string
@@ -33,7 +34,7 @@
 		}
 		err := fence.Admit(tt.holder, tt.quota, token)
 		if (err == nil) != tt.passes || err != nil && !errors.As(err, new(StaleTokenError)) {
-			t.Errorf("%d: %+v: %v", i, tt, err)
+			t.Errorf("step %d: %+v: got error %v, want a StaleTokenError unless it passes", i, tt, err)
 		}
 	}
 }
