--- a/internal/discovery/listguard/guard.go
+++ b/internal/discovery/listguard/guard.go
@@ -98,6 +98,7 @@
 		g.update(list)
 		return list
 	}
+	g.removeExpectedAbsences(list)
 	lacking := g.findLacking(list)
 	suspect := g.isSuspect(lacking)
 	if suspect {
@@ -137,41 +138,54 @@
 	ready int // ready endpoints before the list, named or not
 }
 
-// findLacking compares a full list with what is known. It removes endpoints whose absence is no surprise: those that
+// removeExpectedAbsences removes endpoints that a full list does not name and whose absence is no surprise: those that
 // were draining, and those whose address another endpoint has now, which would get their requests under a wrong name.
-func (g *Guard) findLacking(list engine.EndpointList) lackingEndpoints {
-	named := map[string]bool{}
+func (g *Guard) removeExpectedAbsences(list engine.EndpointList) {
+	named := namedBy(list)
 	addrs := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
-		named[endpoint.ID] = true
 		if endpoint.State != decision.Removed {
 			addrs[endpoint.Addr] = true
 		}
 	}
-	var lacking lackingEndpoints
 	for _, id := range slices.Clone(g.order) {
 		endpoint := g.known[id]
-		switch {
-		case addrs[endpoint.Addr] && !named[id]:
+		if !named[id] && (addrs[endpoint.Addr] || endpoint.State != decision.Ready) {
 			g.remove(id)
-		case endpoint.State != decision.Ready:
-			if !named[id] {
-				g.remove(id)
-			}
-		default:
-			lacking.ready++
-			if named[id] {
-				continue
-			}
-			lacking.ids = append(lacking.ids, id)
-			if !endpoint.missing {
-				lacking.fresh++
-			}
+		}
+	}
+}
+
+// findLacking returns the ready endpoints that a full list does not name.
+func (g *Guard) findLacking(list engine.EndpointList) lackingEndpoints {
+	named := namedBy(list)
+	var lacking lackingEndpoints
+	for _, id := range g.order {
+		endpoint := g.known[id]
+		if endpoint.State != decision.Ready {
+			continue
+		}
+		lacking.ready++
+		if named[id] {
+			continue
+		}
+		lacking.ids = append(lacking.ids, id)
+		if !endpoint.missing {
+			lacking.fresh++
 		}
 	}
 	return lacking
 }
 
+// namedBy is the set of the IDs that a list names, in whatever state.
+func namedBy(list engine.EndpointList) map[string]bool {
+	named := map[string]bool{}
+	for _, endpoint := range list.Endpoints {
+		named[endpoint.ID] = true
+	}
+	return named
+}
+
 // isSuspect reports whether a list newly lacks too many ready endpoints.
 func (g *Guard) isSuspect(lacking lackingEndpoints) bool {
 	return lacking.fresh >= g.settings.MinMissing &&
