--- a/decision/activeset.go
+++ b/decision/activeset.go
@@ -75,7 +75,8 @@
 	return max(span, fromMillis(enough))
 }
 
-// countRequest takes a request into the request rate. Over so few requests that they come within a check
+// countRequest counts a request in the request rate, and halves the count once it covers meanRequests and
+// decayIntervals check intervals. Over so few requests that they come within a check
 // interval, the rate would seem a fraction of what it is, and a proxy with much traffic would use too few
 // backends.
 func (b *Balancer) countRequest() {
--- a/decision/anyconfig_test.go
+++ b/decision/anyconfig_test.go
@@ -102,7 +102,7 @@
 	end := s.now + span
 	for steps := 0; len(s.queue) > 0 && s.queue[0].at <= end; steps++ {
 		if steps > 200_000 {
-			t.Fatal("it spins")
+			t.Fatalf("over 200000 events within %v: the Balancer sets timers without end", span)
 		}
 		e := heap.Pop(&s.queue).(scheduledEvent)
 		s.now = max(s.now, e.at)
--- a/decision/hedging.go
+++ b/decision/hedging.go
@@ -13,7 +13,7 @@
 	}
 }
 
-// hedgeOrReplace answers to an attempt that takes too long, as far as the retry budget goes: by a hedged
+// hedgeOrReplace responds to an attempt that takes too long, as far as the retry budget goes: by a hedged
 // request beside it or, where only one may be in flight, by cancelling it in favour of a retry. The latter
 // is for idempotent requests to targets that have answered nothing since.
 func (b *Balancer) hedgeOrReplace(a *attempt) {
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -43,10 +43,7 @@
 	b.queue = nil
 	rest := waiting
 	defer func() { b.queue = append(b.queue, rest...) }()
-	for _, r := range waiting {
-		r.rank = b.marginalGain(r)
-	}
-	slices.SortStableFunc(waiting, func(x, y *request) int { return cmp.Compare(y.rank, x.rank) })
+	b.sortByGain(waiting)
 	misses, most := 0, b.queueCapacity()
 	for i, r := range waiting {
 		rest = waiting[i+1:]
@@ -72,6 +69,14 @@
 	}
 }
 
+// sortByGain ranks requests by their marginal gain and puts the greatest first; equals keep their order.
+func (b *Balancer) sortByGain(waiting []*request) {
+	for _, r := range waiting {
+		r.rank = b.marginalGain(r)
+	}
+	slices.SortStableFunc(waiting, func(x, y *request) int { return cmp.Compare(y.rank, x.rank) })
+}
+
 // queueCapacity is how many requests may wait at this proxy. Of many proxies each holds its part only: their
 // queues together must not grow with their number.
 func (b *Balancer) queueCapacity() int {
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -10,7 +10,7 @@
 	b.Request(second, Request{ID: 1, Class: notIdempotent, Deadline: 2 * second})
 	b.Timer(2*second-100*milli, dispatchToken)
 	if got := h.take("send", "reject", "fail"); len(got) != 1 || got[0].verb != "reject" {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v, want one rejection before the deadline", got)
 	}
 }
 
@@ -20,7 +20,7 @@
 	b.UpdateEndpoints(second+50*milli, EndpointUpdate{Kind: UpdateDelta, Backends: list(1)})
 	b.Timer(second+60*milli, dispatchToken)
 	if got := h.take("send", "reject", "fail"); len(got) != 1 || got[0].verb != "send" {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v, want the queued request to be sent", got)
 	}
 }
 
@@ -31,7 +31,7 @@
 		b.Request(second, Request{ID: RequestID(i), Deadline: 4 * second})
 	}
 	if n := len(b.queue); n > queuedPerTarget*4 {
-		t.Errorf("%d wait", n)
+		t.Errorf("%d of 2000 requests wait, want %d at most", n, queuedPerTarget*4)
 	}
 }
 
@@ -48,7 +48,7 @@
 		b.Request(b.now, Request{ID: id + 1, Class: idempotent, Deadline: b.now + 3*second})
 	}
 	if n := len(b.queue); n == 0 || n > 50 {
-		t.Errorf("%d wait", n)
+		t.Errorf("%d of 200 requests wait at one of 100 proxies, want 1 to 50", n)
 	}
 }
 
--- a/decision/snapshot.go
+++ b/decision/snapshot.go
@@ -8,7 +8,8 @@
 // Snapshot is what a Balancer has learned, for one that starts in its place. Times are of the caller's
 // clock, which must go on over the restart. Requests are not part of it: they are lost with the process.
 // Nor are tails, tallies and means: they would make the successor shed by how it was before the clients
-// that wait for it came together.
+// that wait for it came together. The JSON keys are those that earlier releases have written and stay as they
+// are.
 type Snapshot struct {
 	TakenAt     time.Duration     `json:"at"`
 	RequestRate float64           `json:"rate"`  // a second
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -78,7 +78,7 @@
 	}
 	if truncated {
 		c.truncations++
-		c.acknowledgedIndex = 0
+		c.acknowledgedIndex = 0 // of the new log nothing is acknowledged yet; observeCommit raises it to what is committed
 		c.beginTruncationSilence()
 	}
 	c.collectMessages(raftReady.Messages)
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -149,7 +149,8 @@
 // Acquire admits a number of units of a quota now, or rejects them with ExhaustedError, LeaseExpiredError or
 // NoLeaseError; the last is also the answer to a number below 0 and after ReleaseAll. The token goes with the attempt, to servers that have a Fence; the zero token is that of a floor.
 // Units in flight must be given back by Release, at the end of their hold time at the latest. Acquire allocates
-// nothing for a known quota.
+// nothing for a known quota. The number of units must not exceed what a quota can have (unitsLimit, 1e9): it is not
+// checked, and a far larger one overflows an Amount.
 func (h *Holder) Acquire(now time.Duration, quotaName string, units int64) (Token, error) {
 	quota := h.quotas[quotaName]
 	if quota == nil {
