--- a/decision/frozenconfigs_test.go
+++ b/decision/frozenconfigs_test.go
@@ -14,7 +14,8 @@
 const frozenSums = 250
 
 // TestTranscriptsKeepTheirSums reaches the rules that the two kept transcripts don't: it compares the SHA-256 sums of
-// transcripts under random configurations.
+// transcripts under random configurations. A line that differs begins with its seed; playTranscript with that seed and
+// configuration, printed before and after a change, shows which decision has changed.
 func TestTranscriptsKeepTheirSums(t *testing.T) {
 	var sums bytes.Buffer
 	for seed := range uint64(frozenSums) {
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -10,6 +10,8 @@
 	"lapisspread/internal/operatorerror"
 )
 
+// No command whose reply a client has had is lost, whatever fails and even if stores are rolled back. A failure names the
+// seed of the simulation, which repeats it. Too little is tried if a change keeps the faults from happening.
 func TestNoAcknowledgedCommandIsLost(t *testing.T) {
 	var ended, applied, rolledBack, compacted int
 	for seed := range uint64(90) {
@@ -37,10 +39,13 @@
 	t.Logf("%d operations ended, %d commands applied, %d servers found an old store, %d had made a snapshot",
 		ended, applied, rolledBack, compacted)
 	if ended < 1200 || rolledBack < 8 || compacted < 60 {
-		t.Errorf("the simulations try too little: %d, %d, %d", ended, rolledBack, compacted)
+		t.Errorf("the simulations try too little: %d operations ended, want 1200; %d servers found an old store, "+
+			"want 8; %d had made a snapshot, want 60", ended, rolledBack, compacted)
 	}
 }
 
+// No lease that was granted is forgotten before it has expired, even if a store is rolled back while those who know so
+// are away.
 func TestNoGrantIsForgottenWhileInForce(t *testing.T) {
 	var truncations, conflicts, withoutMajority int
 	seeds := []uint64{85} // whose snapshot comes of another leader of a term that both histories have
@@ -70,10 +75,12 @@
 	t.Logf("%d logs were truncated, %d servers found a conflict, %d fleets have no majority left",
 		truncations, conflicts, withoutMajority)
 	if truncations < 3 || conflicts < 20 {
-		t.Error("the simulations try too little")
+		t.Errorf("the simulations try too little: %d logs were truncated, want 3; %d servers found a conflict, want 20",
+			truncations, conflicts)
 	}
 }
 
+// Without one of the guards the simulation finds a violation: what it checks above would be noticed if it failed.
 func TestMutationsAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		firstSeed uint64 // to save time
@@ -116,6 +123,7 @@
 	return Message{Fleet: "f", Epoch: 1, From: 1, To: 2, Kind: kind, SenderVersion: sender}
 }
 
+// What a Core does not take it returns a typed error for.
 func TestLimitsAreTypedErrors(t *testing.T) {
 	config := Config{Fleet: "f", Epoch: 1, ID: 1, Nonce: 5, MaxPendingRequests: 3, MaxCommandBytes: 10}
 	core := newTestCore(t, config, bootstrappedState([]uint64{1}, 9))
--- a/internal/consensus/storage/frozen_test.go
+++ b/internal/consensus/storage/frozen_test.go
@@ -254,7 +254,8 @@
 	}
 }
 
-func TestGoOnFromFrozenStore(t *testing.T) {
+// A server opens a store that an earlier release has written, and continues from it.
+func TestServerContinuesFromFrozenStore(t *testing.T) {
 	path := frozenCopy(t)
 	s, state, err := storage.Open(path, "north", 7, 2)
 	if err != nil {
--- a/internal/discovery/listguard/guard_test.go
+++ b/internal/discovery/listguard/guard_test.go
@@ -58,7 +58,8 @@
 	return strings.Join(out, " ")
 }
 
-func TestGuard(t *testing.T) {
+// Each step applies a list and compares which endpoints the guard believes in afterwards.
+func TestGuardRetainsOnlyUnexpectedlyMissing(t *testing.T) {
 	type step struct {
 		at   time.Duration
 		list engine.EndpointList
