--- a/internal/discovery/listguard/guard.go
+++ b/internal/discovery/listguard/guard.go
@@ -10,11 +10,12 @@
 	"lapisspread/internal/engine"
 )
 
-// GuardSettings say when a full list is suspect.
+// GuardSettings say when a full list is suspect: if it newly lacks more than MaxMissingRatio of the ready endpoints, and
+// at least MinMissing of them.
 type GuardSettings struct {
-	MaxMissingRatio float64       // a list that newly lacks more than this part of the ready endpoints, 0 to 1,
-	MinMissing      int           // and at least so many
-	RetainFor       time.Duration // for how long what it lacks is retained, from the first list that lacks it on
+	MaxMissingRatio float64       // 0 or more, below 1
+	MinMissing      int           // 1 or more
+	RetainFor       time.Duration // 1s to 1h; how long an endpoint stays from the first list on that lacks it
 }
 
 // Validate returns an error that names the settings that make no sense by their keys in the settings file.
@@ -36,7 +37,7 @@
 type guardedEndpoint struct {
 	engine.Endpoint
 	missing bool          // the last full list lacks it
-	since   time.Duration // it is missing
+	since   time.Duration // when it was first missing
 }
 
 // Guard retains endpoints that discovery has lost. A discovery service that restarts with an empty store delivers a
@@ -97,6 +98,7 @@
 		g.update(list)
 		return list
 	}
+	g.removeExpectedAbsences(list)
 	lacking := g.findLacking(list)
 	suspect := g.isSuspect(lacking)
 	if suspect {
@@ -136,41 +138,54 @@
 	ready int // ready endpoints before the list, named or not
 }
 
-// findLacking compares a full list with what is known. It removes endpoints whose absence is no surprise: those that
+// removeExpectedAbsences removes endpoints that a full list does not name and whose absence is no surprise: those that
 // were draining, and those whose address another endpoint has now, which would get their requests under a wrong name.
-func (g *Guard) findLacking(list engine.EndpointList) lackingEndpoints {
-	named := map[string]bool{}
+func (g *Guard) removeExpectedAbsences(list engine.EndpointList) {
+	named := namedBy(list)
 	addrs := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
-		named[endpoint.ID] = true
 		if endpoint.State != decision.Removed {
 			addrs[endpoint.Addr] = true
 		}
 	}
-	var lacking lackingEndpoints
 	for _, id := range slices.Clone(g.order) {
 		endpoint := g.known[id]
-		switch {
-		case addrs[endpoint.Addr] && !named[id]:
+		if !named[id] && (addrs[endpoint.Addr] || endpoint.State != decision.Ready) {
 			g.remove(id)
-		case endpoint.State != decision.Ready:
-			if !named[id] {
-				g.remove(id)
-			}
-		default:
-			lacking.ready++
-			if named[id] {
-				continue
-			}
-			lacking.ids = append(lacking.ids, id)
-			if !endpoint.missing {
-				lacking.fresh++
-			}
+		}
+	}
+}
+
+// findLacking returns the ready endpoints that a full list does not name.
+func (g *Guard) findLacking(list engine.EndpointList) lackingEndpoints {
+	named := namedBy(list)
+	var lacking lackingEndpoints
+	for _, id := range g.order {
+		endpoint := g.known[id]
+		if endpoint.State != decision.Ready {
+			continue
+		}
+		lacking.ready++
+		if named[id] {
+			continue
+		}
+		lacking.ids = append(lacking.ids, id)
+		if !endpoint.missing {
+			lacking.fresh++
 		}
 	}
 	return lacking
 }
 
+// namedBy is the set of the IDs that a list names, in whatever state.
+func namedBy(list engine.EndpointList) map[string]bool {
+	named := map[string]bool{}
+	for _, endpoint := range list.Endpoints {
+		named[endpoint.ID] = true
+	}
+	return named
+}
+
 // isSuspect reports whether a list newly lacks too many ready endpoints.
 func (g *Guard) isSuspect(lacking lackingEndpoints) bool {
 	return lacking.fresh >= g.settings.MinMissing &&
