--- a/internal/admission/tier.go
+++ b/internal/admission/tier.go
@@ -179,11 +179,11 @@
 	if h[i].excess != h[j].excess {
 		return h[i].excess > h[j].excess
 	}
-	return h[i].firstArrival() < h[j].firstArrival()
+	return h[i].oldestUnprovenSince() < h[j].oldestUnprovenSince()
 }
 
-// firstArrival returns when the oldest unproven connection became unproven.
-func (g *group) firstArrival() time.Duration {
+// oldestUnprovenSince returns when the oldest unproven connection became unproven.
+func (g *group) oldestUnprovenSince() time.Duration {
 	if e := g.unproven.Front(); e != nil {
 		return e.Value.(*conn).since
 	}
--- a/internal/controlplane/client/bucket.go
+++ b/internal/controlplane/client/bucket.go
@@ -31,7 +31,7 @@
 	incarnation  uint64  // of the worker's holder; 0 for a floor
 	token        quotalease.Token
 	tokenText    string       // the token as it goes out with attempts
-	emptyAt      atomic.Int64 // by the client's clock, in nanoseconds; closedBucket is that it gives nothing any more
+	emptyAt      atomic.Int64 // by the client's clock, in nanoseconds; closedBucket after close
 }
 
 const (
@@ -85,7 +85,7 @@
 	}
 }
 
-// close has no unit be taken any more.
+// close makes every later take fail.
 func (b *bucket) close() { b.emptyAt.Store(closedBucket) }
 
 // sameAs reports whether both are of one lease.
--- a/internal/controlplane/client/connection.go
+++ b/internal/controlplane/client/connection.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// beginGeneration has no worker before count any more.
+// beginGeneration returns the number of a new worker generation. Workers of earlier generations are no longer current,
+// so what they would publish or install is dropped.
 func (c *connection) beginGeneration() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/client/demand.go
+++ b/internal/controlplane/client/demand.go
@@ -14,14 +14,14 @@
 	demandSurge = 1.25
 	// minSurgeDemand is the demand in units a second below which a surge is not told from chance.
 	minSurgeDemand = 1
-	// demandDecayParts is how many parts the way to a lower demand has, of which the requested one falls by one at
-	// each request.
-	demandDecayParts = 3
+	// demandDecayDivisor sets how fast the requested demand falls: each request closes one part in so many of the gap
+	// to a lower measured demand, because a short lull must not give the lease away.
+	demandDecayDivisor = 3
 	// negligibleDemand is requested as 0, in units a second.
 	negligibleDemand = .01
-	// initialDemandParts is the part of a quota's limit that is requested before anything is known of the demand,
-	// so that the first requests find something.
-	initialDemandParts = 50
+	// initialDemandDivisor sets the part of a quota's limit, one in so many, that is requested before the demand is
+	// known, so that the first requests find something.
+	initialDemandDivisor = 50
 )
 
 // demandMeter measures the demand for each quota from what was attempted. Only its worker uses it.
@@ -34,7 +34,7 @@
 func newDemandMeter(now time.Duration, quotas map[string]*quota) demandMeter {
 	requested := map[string]float64{}
 	for name, q := range quotas {
-		requested[name] = max(q.limit/initialDemandParts, float64(q.attempted.Load()))
+		requested[name] = max(q.limit/initialDemandDivisor, float64(q.attempted.Load()))
 	}
 	return demandMeter{quotas: quotas, requested: requested, measuredAt: now}
 }
@@ -64,7 +64,7 @@
 	for name, q := range d.quotas {
 		measured := demandHeadroom * float64(q.attempted.Swap(0)) / since.Seconds()
 		before := d.requested[name]
-		demand := max(measured, before-(before-measured)/demandDecayParts)
+		demand := max(measured, before-(before-measured)/demandDecayDivisor)
 		if demand < negligibleDemand {
 			demand = 0
 		}
--- a/internal/controlplane/client/fetcher.go
+++ b/internal/controlplane/client/fetcher.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// adjustReportBytes has replies to reports carry less over a link on which they take too long, and more again after.
+// adjustReportBytes lowers the limit on chunks in replies to reports while a link is slow, and raises it again after.
 func (f *fetcher) adjustReportBytes(slow bool) {
 	switch {
 	case slow && f.reportBytes == 0:
@@ -77,7 +77,7 @@
 
 // fetch goes on with the content of an offer: from the chunks that came with it, from those that came before, and
 // from those that servers give by name. It returns nil while some are missing; the next report goes on. The error
-// is a merkle.Malformed if the content can't be put together, else that of the last server that was asked.
+// is a merkle.MalformedChunkError if the content can't be put together, else that of the last server that was asked.
 func (f *fetcher) fetch(ctx context.Context, reply api.PolicyReply) (*merkle.Tree, error) {
 	if err := f.begin(reply); err != nil {
 		return nil, err
@@ -150,7 +150,8 @@
 	return false
 }
 
-// suspendServer has the server not be asked for at least a time. The time differs between proxies.
+// suspendServer defers the next request to the current server by a random time between least and 1.5 times that, so
+// that proxies do not retry in step.
 func (f *fetcher) suspendServer(least time.Duration) {
 	f.retryAt[f.serverIndex] = f.client.clock() + time.Duration(float64(least)*(1+rand.Float64()/2))
 }
--- a/internal/controlplane/client/policystore.go
+++ b/internal/controlplane/client/policystore.go
@@ -23,8 +23,8 @@
 	tree *merkle.Tree
 }
 
-// contentFromText makes the content of a version from its text. Errors are rollout.WrongContent and those of package
-// namespace.
+// contentFromText makes the content of a version from its text. Errors are rollout.HashMismatchError and those of
+// package namespace.
 func contentFromText(offer rollout.Version, text []byte) (policyContent, error) {
 	if err := rollout.NewCurrentVersion(rollout.Version{}).AdoptText(offer, text); err != nil {
 		return policyContent{}, err
--- a/internal/controlplane/client/policyworker.go
+++ b/internal/controlplane/client/policyworker.go
@@ -22,8 +22,8 @@
 	// reportJitter is the part by which the time between two reports is randomized, so that a fleet does not report
 	// in step.
 	reportJitter = .2
-	// minPauseParts is the part of the report interval that is left between two reports in any case.
-	minPauseParts = 8
+	// minPauseDivisor sets the least pause between two reports: the report interval divided by it.
+	minPauseDivisor = 8
 	// reportTimeout bounds one call.
 	reportTimeout = 2 * time.Second
 	// unreadableRetryInterval is the time until content that can't be read is fetched again.
@@ -73,7 +73,7 @@
 	if err == nil && w.fetcher.canFetch() {
 		pause = 0
 	}
-	return max(pause, w.interval/minPauseParts)
+	return max(pause, w.interval/minPauseDivisor)
 }
 
 // sendReport sends a report to one server and handles what the server offers. After an error the next report goes
--- a/internal/controlplane/client/quotaworker.go
+++ b/internal/controlplane/client/quotaworker.go
@@ -52,7 +52,7 @@
 
 	serverIndex      int // of the server that is called next
 	requestInterval  time.Duration
-	nextRequestAt    time.Duration // after a failure
+	nextRequestAt    time.Duration // the end of the backoff after a failure; 0 after a success
 	retryBackoff     *backoff.ExponentialBackOff
 	persistedVersion uint64 // of the floors that are on disk
 
@@ -111,7 +111,7 @@
 	return w
 }
 
-// newIncarnation draws a number that no other process ever has.
+// newIncarnation draws a random number, not 0, that tells this worker's holder from all others of the same name.
 func newIncarnation() uint64 {
 	var b [8]byte
 	_, _ = crand.Read(b[:]) // never fails
@@ -227,7 +227,7 @@
 	w.client.setServer(address)
 }
 
-// scheduleRetry has the next request wait for the backoff.
+// scheduleRetry defers the next request until the end of the backoff.
 func (w *quotaWorker) scheduleRetry() {
 	w.requestInterval = 0
 	w.nextRequestAt = w.client.clock() + w.retryBackoff.NextBackOff()
@@ -242,8 +242,8 @@
 	return max(timeout, minCallTimeout)
 }
 
-// callServer sends the holder's request to a server and publishes what comes of the reply. An error says that
-// nothing of the reply was taken.
+// callServer sends the holder's request to a server and publishes the leases and floors that the holder has after the
+// reply. After an error the holder has taken nothing from the reply.
 func (w *quotaWorker) callServer(ctx context.Context, address string) error {
 	c := w.client
 	ctx, cancel := context.WithTimeout(ctx, w.callTimeout())
--- a/internal/controlplane/client/testserver_test.go
+++ b/internal/controlplane/client/testserver_test.go
@@ -100,7 +100,7 @@
 	return s.offer
 }
 
-// forgetTrees has the server know no tree any more.
+// forgetTrees removes all trees from the server.
 func (s *testServer) forgetTrees() {
 	s.locked(func() { s.distributor = distribution.New(distribution.DefaultSettings()) })
 }
--- a/internal/controlplane/freshness/monitor.go
+++ b/internal/controlplane/freshness/monitor.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	snapshotInterval     = 100 * time.Millisecond
-	maxSnapshotAge       = 2 * time.Second // older snapshots are not used
-	observationQueueSize = 1024
-	maxLists             = 64
-	minWatchInterval     = 10 * time.Millisecond
+	snapshotInterval     = 100 * time.Millisecond // between two snapshots
+	maxSnapshotAge       = 2 * time.Second        // older snapshots are not used
+	observationQueueSize = 1024                   // observations that wait for the worker; further ones are dropped
+	maxLists             = 64                     // lists are never removed, so this bounds the memory
+	minWatchInterval     = 10 * time.Millisecond  // Wrap's watchInterval is cut to this range
 	maxWatchInterval     = time.Hour
-	shutdownGrace        = time.Second // for the worker
+	shutdownGrace        = time.Second // time for the worker to return after its context ended
 )
 
 // Config configures a Monitor.
@@ -57,7 +57,7 @@
 	workerDeaths        atomic.Int64
 	workerStalls        atomic.Int64
 	staleLookups        atomic.Int64
-	forbiddenAttempts   [3]atomic.Int64 // by staleness.Effect
+	forbiddenAttempts   [3]atomic.Int64 // by staleness.Idempotency
 }
 
 // New returns a monitor without lists. The caller must call Run.
@@ -97,12 +97,14 @@
 	}
 }
 
+// workerDied counts and logs a panic of the worker. The supervisor calls it.
 func (m *Monitor) workerDied(cause any, stack []byte) {
 	m.counters.workerDeaths.Add(1)
 	err := WorkerDiedError{Reason: fmt.Sprint(cause)}
 	m.config.Logger.Error("freshness worker died", "err", err, "advice", err.Advice(), "stack", string(stack))
 }
 
+// workerStuck counts and logs that the worker has sent no heartbeat since a time ago. The supervisor calls it.
 func (m *Monitor) workerStuck(since time.Duration) {
 	m.counters.workerStalls.Add(1)
 	err := WorkerStuckError{For: since}
@@ -140,8 +142,8 @@
 	ForbiddenAttempts   map[string]int64 `json:"attempts_forbidden"`
 }
 
-// effectNames are the keys of Report.ForbiddenAttempts.
-var effectNames = [3]string{
+// idempotencyKeys are the keys of Report.ForbiddenAttempts: the classes of idempotency in the console's protocol.
+var idempotencyKeys = [3]string{
 	staleness.Idempotent:      "safe",
 	staleness.IdempotentByKey: "keyed",
 	staleness.NotIdempotent:   "once",
@@ -159,8 +161,8 @@
 		StaleLookups:        m.counters.staleLookups.Load(),
 		ForbiddenAttempts:   map[string]int64{},
 	}
-	for effect, name := range effectNames {
-		report.ForbiddenAttempts[name] = m.counters.forbiddenAttempts[effect].Load()
+	for idempotency, name := range idempotencyKeys {
+		report.ForbiddenAttempts[name] = m.counters.forbiddenAttempts[idempotency].Load()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controlplane/freshness/service_view.go
+++ b/internal/controlplane/freshness/service_view.go
@@ -11,9 +11,9 @@
 
 // ServiceView is one service's view of the endpoint list that it follows. It implements engine.Freshness.
 type ServiceView struct {
-	monitor       *Monitor
-	effectByClass []staleness.Idempotency
-	list          atomic.Pointer[List]
+	monitor            *Monitor
+	idempotencyByClass []staleness.Idempotency
+	list               atomic.Pointer[List]
 }
 
 var _ engine.Freshness = (*ServiceView)(nil)
@@ -22,12 +22,13 @@
 func (m *Monitor) ForService(classes []decision.Class) *ServiceView {
 	v := &ServiceView{monitor: m}
 	for _, class := range classes {
-		v.effectByClass = append(v.effectByClass, effectOf(class.Idempotency))
+		v.idempotencyByClass = append(v.idempotencyByClass, idempotencyOf(class.Idempotency))
 	}
 	return v
 }
 
-func effectOf(idempotency decision.Idempotency) staleness.Idempotency {
+// idempotencyOf converts the idempotency of a request class. An unknown value counts as not idempotent.
+func idempotencyOf(idempotency decision.Idempotency) staleness.Idempotency {
 	switch idempotency {
 	case decision.Idempotent:
 		return staleness.Idempotent
@@ -60,26 +61,28 @@
 	if class < 0 || !v.monitor.config.Freshness.Enforce {
 		return listed, true
 	}
-	effect := staleness.NotIdempotent
-	if class < len(v.effectByClass) {
-		effect = v.effectByClass[class]
+	idempotency := staleness.NotIdempotent
+	if class < len(v.idempotencyByClass) {
+		idempotency = v.idempotencyByClass[class]
 	}
-	allowed := v.allowed(state, listed, effect)
+	allowed := v.allowed(state, listed, idempotency)
 	if !allowed {
-		v.monitor.counters.forbiddenAttempts[effect].Add(1)
+		v.monitor.counters.forbiddenAttempts[idempotency].Add(1)
 	}
 	return listed, allowed
 }
 
-func (v *ServiceView) allowed(state *publishedState, listed *endpoint, effect staleness.Idempotency) bool {
+// allowed reports whether a published state permits an attempt. A nil state, or one with an old snapshot, counts as
+// unknown; listed is nil for a backend that the list does not have.
+func (v *ServiceView) allowed(state *publishedState, listed *endpoint, idempotency staleness.Idempotency) bool {
 	if state == nil || v.monitor.clock()-state.snapshot.At > maxSnapshotAge {
 		v.monitor.counters.staleLookups.Add(1)
-		return effect != staleness.NotIdempotent
+		return idempotency != staleness.NotIdempotent
 	}
 	if listed == nil { // retained while the list is in doubt, or draining
-		return effect != staleness.NotIdempotent && state.mayBeListed
+		return idempotency != staleness.NotIdempotent && state.mayBeListed
 	}
-	_, allowed := state.snapshot.Entry(listed.handle, effect)
+	_, allowed := state.snapshot.Entry(listed.handle, idempotency)
 	return allowed
 }
 
--- a/internal/controlplane/freshness/worker.go
+++ b/internal/controlplane/freshness/worker.go
@@ -66,6 +66,8 @@
 	levels     map[string]staleness.Level
 }
 
+// runWorker applies input as it arrives and publishes a snapshot each snapshotInterval. It blocks until ctx ends; the
+// supervisor calls it.
 func (m *Monitor) runWorker(ctx context.Context, generation uint64) {
 	w := &worker{Monitor: m, generation: generation, lists: map[*List]*listState{}, lastStep: m.clock()}
 	nextSnapshot := w.lastStep
@@ -105,6 +107,7 @@
 	return now
 }
 
+// updateLists applies what each list's source has sent, and starts to track lists that are new.
 func (w *worker) updateLists(now time.Duration) {
 	w.mu.Lock()
 	order := slices.Clone(w.order)
@@ -186,6 +189,7 @@
 	}
 }
 
+// snapshot evaluates a list's routes and returns the state to publish. It logs routes whose level has changed.
 func (w *worker) snapshot(state *listState, now time.Duration) *publishedState {
 	next := &publishedState{
 		snapshot:  state.view.Tick(now),
