--- a/internal/admission/conn.go
+++ b/internal/admission/conn.go
@@ -18,7 +18,7 @@
 type conn struct {
 	id              ID
 	state           state
-	since           time.Duration // when it entered its state
+	since           time.Duration // when it entered its state, ended a request in it, or was last spared
 	known           bool          // it is held as a known client
 	proven          bool          // a request of it was served
 	bodyBytes       int64         // of its request
--- a/internal/admission/connlimiter.go
+++ b/internal/admission/connlimiter.go
@@ -45,11 +45,11 @@
 	rates       *sketch // new connections, by prefix
 	conns       map[ID]*conn
 	lastID      ID
-	bodyBytes   int64                    // of all requests in flight
-	known       int                      // connections that are held as known clients
-	idle        [idleListCount]list.List // of *conn, ordered by when they became idle
-	unproven    list.List                // of *conn, ordered by arrival
-	blocks      map[netip.Prefix]time.Duration
+	bodyBytes   int64                          // of all requests in flight
+	known       int                            // connections that are held as known clients
+	idle        [idleListCount]list.List       // of *conn, ordered by when they became idle
+	unproven    list.List                      // of *conn, in the order in which they became unproven
+	blocks      map[netip.Prefix]time.Duration // when each block ends
 	refreshedAt time.Duration
 	busiest     busiestAddresses
 	counts      Counts
@@ -110,8 +110,9 @@
 // Usage returns how many connections are held, and how many of them as known clients.
 func (l *ConnLimiter) Usage() (all, known int) { return len(l.conns), l.known }
 
-// Arrive decides on a connection from an address. If the verdict names a connection to evict, nothing is held yet:
-// the caller closes that one and calls Arrive again, with again set.
+// Arrive decides on a connection from an address. If the verdict names a connection to evict, nothing is held yet: the
+// caller closes that connection, reports it by Remove or EvictionRefused, and calls Arrive with again set. Such a
+// further call is not counted as another arrival, neither in Counts nor for the rate.
 func (l *ConnLimiter) Arrive(now time.Duration, address netip.Addr, again bool) Verdict {
 	if now-l.refreshedAt >= refreshInterval {
 		l.refreshedAt = now
--- a/internal/admission/requestlimiter.go
+++ b/internal/admission/requestlimiter.go
@@ -24,8 +24,9 @@
 	MaxTenantPart float64
 	// MaxPerConn is the most requests in flight of one connection; 0 is no bound.
 	MaxPerConn int
-	// Adaptive lowers the limit from MaxInFlight as latency rises, down to MinInFlight, and raises it again.
-	Adaptive    bool
+	// Adaptive lowers the limit from MaxInFlight as latency rises, and raises it again.
+	Adaptive bool
+	// MinInFlight is the least limit if it is adaptive, 1 to MaxInFlight; else it is not used.
 	MinInFlight int
 	// RetryAfter is the least time after which rejected clients may retry. Each gets a random time up to twice as
 	// long, so that they do not retry in step.
@@ -75,8 +76,9 @@
 	}, nil
 }
 
-// Acquire admits a request, or returns the reason and after how long the client may retry. ofConn is how many requests
-// its connection has in flight. Release must follow for a request that was admitted.
+// Acquire admits a request, which an empty reason says, or returns the reason and after how long the client may retry.
+// class and tenant are indexes of the service's classes and tenants; ofConn is how many requests the connection has in
+// flight. Release must follow for a request that was admitted.
 func (r *RequestLimiter) Acquire(class, tenant, ofConn int) (reason string, retryAfter time.Duration) {
 	if reason := r.rejection(class, tenant, ofConn); reason != "" {
 		return reason, r.retryAfter()
--- a/internal/admission/tier.go
+++ b/internal/admission/tier.go
@@ -15,7 +15,7 @@
 type group struct {
 	prefix    netip.Prefix
 	listed    bool      // in Settings.KnownPrefixes
-	unproven  list.List // of *conn, ordered by arrival
+	unproven  list.List // of *conn, in the order in which they became unproven
 	open      int       // connections
 	bodyBytes int64     // of requests in flight
 
@@ -30,7 +30,7 @@
 	restingElement *list.Element
 }
 
-// oldestUnproven returns the group's unproven connection that arrived first; there must be one.
+// oldestUnproven returns the first connection of g.unproven, the next to evict; there must be one.
 func (g *group) oldestUnproven() *conn { return g.unproven.Front().Value.(*conn) }
 
 // tier holds the groups of one length of prefix.
@@ -134,8 +134,8 @@
 	return e
 }
 
-// removeConn removes a connection, which is in no list any more, from a group. A group without connections is
-// forgotten, or rests while it has credit.
+// removeConn removes a connection from a group; removeFromLists must have run for it. A group without connections is
+// forgotten, or is kept in resting while it has credit.
 func (t *tier) removeConn(now time.Duration, g *group) {
 	g.open--
 	t.update(now, g)
@@ -182,7 +182,8 @@
 	return h[i].oldestUnprovenSince() < h[j].oldestUnprovenSince()
 }
 
-// oldestUnprovenSince returns when the oldest unproven connection became unproven.
+// oldestUnprovenSince returns the time conn.since of the first connection of g.unproven; without one, a time after all
+// others.
 func (g *group) oldestUnprovenSince() time.Duration {
 	if e := g.unproven.Front(); e != nil {
 		return e.Value.(*conn).since
--- a/internal/admission/verdict.go
+++ b/internal/admission/verdict.go
@@ -25,8 +25,8 @@
 type Verdict struct {
 	// Admitted is its ID if it is admitted.
 	Admitted ID
-	// Evict is a connection to close first. Call Remove once it is closed, or EvictionRefused if it must not be
-	// closed, and then Arrive again.
+	// Evict is a connection to close first. The caller calls Remove once it is closed, or EvictionRefused if it must
+	// not be closed, and then Arrive again.
 	Evict ID
 	// Reason says why it is rejected, or Evicted if Evict is set.
 	Reason Reason
--- a/internal/listener/connlimiter.go
+++ b/internal/listener/connlimiter.go
@@ -17,7 +17,7 @@
 	Evict() bool
 }
 
-// maxEvictions bounds how many connections one arrival tries to evict.
+// maxEvictions bounds how many connections one arrival tries to evict: each attempt takes the lock of all arrivals.
 const maxEvictions = 8
 
 // ConnLimiter decides on the client connections of a process. It is safe for concurrent use.
@@ -29,11 +29,11 @@
 	mu       sync.Mutex
 	rules    *admission.ConnLimiter
 	conns    map[admission.ID]Conn
-	evicting map[admission.ID]bool
+	evicting map[admission.ID]bool      // named by a verdict's Evict: their Remove counts as an eviction
 	blocks   map[netip.Prefix]time.Time // when they expire, by the wall clock, for the next process
 	file     *File
 	capacity Capacity
-	half     bool // it keeps to half of capacity
+	half     bool // the settings in force are for half of capacity
 
 	descriptorShortages atomic.Int64
 }
@@ -98,8 +98,9 @@
 	return nil
 }
 
-// Arrive decides on a connection that was accepted. If it is admitted, the ID names it until Remove. Otherwise the ID
-// is 0, the reason says why, and the caller closes it.
+// Arrive decides on a connection that was accepted, and evicts others if it needs room for it. If it is admitted, the
+// ID names it until Remove. Otherwise the ID is 0, the reason says why, and the caller closes it. Arrive calls
+// Conn.Evict of other connections on the caller's goroutine, so the caller must hold no lock that Evict takes.
 func (l *ConnLimiter) Arrive(from net.Addr, c Conn) (admission.ID, admission.Reason) {
 	address := addressOf(from)
 	for attempt := range maxEvictions + 1 {
--- a/internal/listener/requestlimiter.go
+++ b/internal/listener/requestlimiter.go
@@ -25,8 +25,9 @@
 	return &RequestLimiter{rules: rules}, nil
 }
 
-// Acquire admits a request, or returns the reason and after how long the client may retry. Release must follow for a
-// request that was admitted.
+// Acquire admits a request, which an empty reason says, or returns the reason and after how long the client may retry;
+// see admission.RequestLimiter.Acquire. It does not wait for a request to end. Release must follow for a request that
+// was admitted.
 func (r *RequestLimiter) Acquire(class, tenant, ofConn int) (reason string, retryAfter time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
