--- a/internal/idempotency/guard/guard.go
+++ b/internal/idempotency/guard/guard.go
@@ -42,7 +42,7 @@
 	Now func() time.Duration
 	// Log receives the log lines; nil discards them.
 	Log *slog.Logger
-	// WriteTimeout bounds each write to disk; a slower disk counts as failed. 0 is 2 s.
+	// WriteTimeout bounds each write to disk; a slower write counts as failed. 0 is defaultWriteTimeout, 2 s.
 	WriteTimeout time.Duration
 }
 
@@ -96,50 +96,66 @@
 //
 // The verdict says what was done. With idempotency.Begin, work ran here; with Join it ran for another caller, whose
 // end Do waits for; with both the outcome says how it ended. With Answered the answer is that of an earlier copy.
-// With any other verdict there is no answer. Ctx ends when the client gives up: then Do no longer waits for another
-// caller or for the disk, but still for work.
+// With any other verdict there is no answer. The outcome has a meaning with Begin and Join only. Ctx ends when the
+// client gives up: then Do no longer waits for another caller or for the disk, but still for work.
 func (g *Guard) Do(
 	ctx context.Context, key idempotency.Key, retransmitted bool, work Work,
 ) (answer []byte, outcome Outcome, verdict idempotency.Verdict) {
+	a := g.admit(key, retransmitted)
+	switch a.verdict {
+	case idempotency.Begin:
+		g.Counts.Started.Add(1)
+		g.run(ctx, key, a.call, a.store, work)
+		return a.call.result(a.verdict)
+	case idempotency.Join:
+		g.Counts.Joined.Add(1)
+		return a.call.wait(ctx)
+	case idempotency.Answered:
+		g.Counts.Replayed.Add(1)
+	case idempotency.MayHaveRun:
+		g.Counts.MayHaveRun.Add(1)
+	default:
+		g.Counts.Full.Add(1)
+	}
+	return a.answer, a.outcome, a.verdict
+}
+
+// admitResult is what the guard decided on a request that arrived.
+type admitResult struct {
+	verdict idempotency.Verdict
+	answer  []byte       // with idempotency.Answered
+	call    *call        // with idempotency.Begin and idempotency.Join
+	store   *store.Store // nil without a path
+	outcome Outcome      // with all other verdicts
+}
+
+// admit decides on a request. With idempotency.Begin its call is in flight, and the caller must pass it to run.
+func (g *Guard) admit(key idempotency.Key, retransmitted bool) admitResult {
 	g.mu.Lock()
+	defer g.mu.Unlock()
 	if g.ledger == nil {
 		if !retransmitted && len(g.firstTransmissions) < g.options.Ledger.MaxEntries {
 			g.firstTransmissions = append(g.firstTransmissions, key)
 		}
-		g.mu.Unlock()
-		g.Counts.Full.Add(1)
-		return nil, NeverRan, idempotency.Full
+		return admitResult{verdict: idempotency.Full, outcome: NeverRan}
 	}
-	verdict, answer = g.ledger.Admit(g.options.Now(), key, retransmitted)
+	verdict, answer := g.ledger.Admit(g.options.Now(), key, retransmitted)
 	c := g.inFlight[key]
 	if verdict == idempotency.Begin {
 		c = &call{done: make(chan struct{}), outcome: Unknown}
 		g.inFlight[key] = c
 	}
-	s := g.store
-	g.mu.Unlock()
+	return admitResult{verdict: verdict, answer: answer, call: c, store: g.store, outcome: Unknown}
+}
 
-	switch verdict {
-	case idempotency.Begin:
-		g.Counts.Started.Add(1)
-		g.run(ctx, key, c, s, work)
-		return c.result(verdict)
-	case idempotency.Join:
-		g.Counts.Joined.Add(1)
-		select {
-		case <-c.done:
-			return c.result(verdict)
-		case <-ctx.Done():
-			return nil, Unknown, idempotency.MayHaveRun
-		}
-	case idempotency.Answered:
-		g.Counts.Replayed.Add(1)
-	case idempotency.MayHaveRun:
-		g.Counts.MayHaveRun.Add(1)
-	default:
-		g.Counts.Full.Add(1)
+// wait returns the result of a call that runs for another caller. If ctx ends first, the request may have run.
+func (c *call) wait(ctx context.Context) ([]byte, Outcome, idempotency.Verdict) {
+	select {
+	case <-c.done:
+		return c.result(idempotency.Join)
+	case <-ctx.Done():
+		return nil, Unknown, idempotency.MayHaveRun
 	}
-	return answer, Unknown, verdict
 }
 
 // result is what callers of a call that has ended get.
--- a/internal/idempotency/store/layout.go
+++ b/internal/idempotency/store/layout.go
@@ -118,6 +118,39 @@
 	record   idempotency.Record
 }
 
+// decodeEntry is the inverse of encodeKey and encodeValue. An intent gives an uncertain record.
+func decodeEntry(k, v []byte) (datedRecord, error) {
+	key, err := decodeKey(k)
+	if err != nil || !validValue(v) {
+		return datedRecord{}, fmt.Errorf("a record that makes no sense: %x: %x", k, v[:min(len(v), shownBytes)])
+	}
+	return datedRecord{int64(binary.BigEndian.Uint64(v[1:])), idempotency.Record{
+		Key:       key,
+		Completed: v[0] == stateCompleted,
+		Uncertain: v[0] != stateCompleted,
+		Answer:    bytes.Clone(v[headerLength:]),
+	}}, nil
+}
+
+// readEntries returns the entries that have not expired, and the keys of those that are intents. It returns an intent
+// however old it is: if it were dropped, a request that may have run could run again.
+func readEntries(tx *bbolt.Tx, now time.Time) (entries []datedRecord, intents [][]byte, err error) {
+	err = tx.Bucket(entriesBucket).ForEach(func(k, v []byte) error {
+		entry, err := decodeEntry(k, v)
+		if err != nil {
+			return err
+		}
+		if v[0] == stateIntent {
+			intents = append(intents, bytes.Clone(k))
+		} else if entry.unixNano < now.UnixNano() {
+			return nil
+		}
+		entries = append(entries, entry)
+		return nil
+	})
+	return entries, intents, err
+}
+
 // load returns the records that have not expired, ordered by their times. It creates the buckets of a new file, and
 // rewrites each intent as uncertain: the process that wrote it has died.
 func (s *Store) load() ([]idempotency.Record, error) {
@@ -129,30 +162,12 @@
 				return err
 			}
 		}
-		var intents [][]byte
-		err := tx.Bucket(entriesBucket).ForEach(func(k, v []byte) error {
-			key, err := decodeKey(k)
-			if err != nil || !validValue(v) {
-				return fmt.Errorf("a record that makes no sense: %x: %x", k, v[:min(len(v), shownBytes)])
-			}
-			at := int64(binary.BigEndian.Uint64(v[1:]))
-			// Without this a request that ran long ago could run again: the window of an intent begins now.
-			if v[0] == stateIntent {
-				intents = append(intents, bytes.Clone(k))
-			} else if at < now.UnixNano() {
-				return nil
-			}
-			all = append(all, datedRecord{at, idempotency.Record{
-				Key:       key,
-				Completed: v[0] == stateCompleted,
-				Uncertain: v[0] != stateCompleted,
-				Answer:    bytes.Clone(v[headerLength:]),
-			}})
-			return nil
-		})
+		entries, intents, err := readEntries(tx, now)
 		if err != nil {
 			return err
 		}
+		all = entries
+		// The window of a request of unknown outcome begins now: nobody could look its outcome up before.
 		for _, key := range intents {
 			if err := putExpiring(tx, key, stateUncertain, now.Add(s.uncertainWindow), nil); err != nil {
 				return err
