--- a/internal/controlplane/api/validate.go
+++ b/internal/controlplane/api/validate.go
@@ -9,6 +9,7 @@
 	"lapisspread/internal/staleness"
 )
 
+// maxServerID is the greatest ID of a server.
 const maxServerID = 1 << 31
 
 // problems collects everything that is wrong with a file, so that one reading tells all of it.
--- a/internal/controlplane/server/state_machine.go
+++ b/internal/controlplane/server/state_machine.go
@@ -17,6 +17,10 @@
 	"lapisspread/internal/quotalease"
 )
 
+// generationBits is how many bits the number of rollbacks has in a policy's generation. The epoch of the fleet is above
+// them, so a new epoch begins above all generations of earlier ones.
+const generationBits = 32
+
 // policyEntryMarker is the first byte of log entries and snapshots that concern policies. Entries and snapshots that
 // concern quotas only are JSON and begin with a brace.
 const policyEntryMarker = 0x01
@@ -66,7 +70,7 @@
 		clock:     clock,
 		quotas:    quotas,
 		allocator: quotalease.NewAllocator(clock(), 0, quotas),
-		policies:  store.New(epoch << 32), // above all generations of earlier epochs
+		policies:  store.New(epoch << generationBits),
 		chunks:    distribution.New(distribution.DefaultSettings()),
 		encodings: map[string]encodedPolicy{},
 	}
--- a/internal/policy/rollout/doc.go
+++ b/internal/policy/rollout/doc.go
@@ -10,10 +10,11 @@
 // # The test
 //
 // Which proxies get the new version first is drawn at random, so a difference between the two sides can only come from
-// the version or from chance. At the end of each step a randomisation test (Fisher 1935) on the proxies' shares of bad
-// requests tells how likely chance is: had the version no effect, every other draw would have been as likely. The test
-// supposes nothing about how requests depend on each other within a proxy. All tests of a rollout together stop
-// a harmless version with a probability of at most Settings.ErrorRate.
+// the version or from chance. Each step has a number of looks (interim analyses; Settings.LooksPerStep), one of them at
+// its end. At each look a randomisation test (Fisher 1935) on the proxies' shares of bad requests tells how likely
+// chance is: had the version no effect, every other draw would have been as likely. The test supposes nothing about how
+// requests depend on each other within a proxy. All tests of a rollout together stop a harmless version with
+// a probability of at most Settings.ErrorRate.
 //
 // A proxy that is silent or has left counts as if all its requests had failed: a version that kills its proxies must
 // not look good for that.
--- a/internal/policy/rollout/rollout.go
+++ b/internal/policy/rollout/rollout.go
@@ -16,6 +16,15 @@
 	Bad      int64 // requests that were rejected, failed or late
 }
 
+const (
+	// initialReportInterval is taken for the time between two reports until some have arrived, unless
+	// reportsPerSilence of them would not fit in Settings.SilenceTimeout.
+	initialReportInterval = time.Second
+	reportsPerSilence     = 5
+	// reportIntervalSmoothing sets the weight of one report, one in so many, in the smoothed time between two.
+	reportIntervalSmoothing = 64
+)
+
 // State is the state of a rollout.
 type State uint8
 
@@ -74,9 +83,9 @@
 	late         bool // it joined after the draw
 	hasLeft      bool
 	drawOrder    uint64
-	memberUpdate uint64 // the last SetMembers that named it
-	sequence     uint64 // of its last report
-	heardInStep  time.Duration
+	memberUpdate uint64        // the last SetMembers that named it
+	sequence     uint64        // of its last report
+	heardInStep  time.Duration // of its last report, of joining or of the step's start, whichever is latest
 	lastReport   time.Duration // 0 is never
 	adopted      bool          // it has reported in this step under the version that it is to have
 	good, bad    int64         // requests in this step, under the version that it is to have
@@ -94,7 +103,7 @@
 		highestEpoch:   base.Epoch,
 		looksPerStep:   settings.LooksPerStep,
 		errorRate:      settings.ErrorRate,
-		reportInterval: min(time.Second, settings.SilenceTimeout/5),
+		reportInterval: min(initialReportInterval, settings.SilenceTimeout/reportsPerSilence),
 		proxies:        map[string]*proxy{},
 		departed:       map[string]*proxy{},
 	}, nil
@@ -144,6 +153,7 @@
 	return nil
 }
 
+// clearTargeted gives all proxies the base version as their target.
 func (r *Rollout) clearTargeted() {
 	for _, p := range r.proxies {
 		p.targeted = false
@@ -172,7 +182,8 @@
 		return
 	}
 	if p.lastReport > 0 {
-		r.reportInterval += (min(now-p.lastReport, r.settings.SilenceTimeout) - r.reportInterval) / 64
+		interval := min(now-p.lastReport, r.settings.SilenceTimeout)
+		r.reportInterval += (interval - r.reportInterval) / reportIntervalSmoothing
 	}
 	p.sequence = report.Sequence
 	p.heardInStep = now
--- a/internal/policy/rollout/steps.go
+++ b/internal/policy/rollout/steps.go
@@ -23,6 +23,14 @@
 	maxCombinations = 1e300
 )
 
+// Constants of the hashes that order the draw.
+const (
+	fnvOffsetBasis     = 14695981039346656037 // FNV-1a of 64 bits
+	fnvPrime           = 1099511628211
+	splitMixMultiplier = 0xbf58476d1ce4e5b9 // the finaliser of SplitMix64
+	splitMixLastFactor = 0x94d049bb133111eb
+)
+
 // startStep starts a step. The figures of both sides begin anew, so that they cover the same time.
 func (r *Rollout) startStep(now time.Duration) {
 	r.stepStart = now
@@ -94,12 +102,12 @@
 
 // drawOrderOf returns a proxy's place in the draw: FNV-1a over seed and name, spread by the finaliser of SplitMix64.
 func (r *Rollout) drawOrderOf(name string) uint64 {
-	hash := uint64(14695981039346656037) ^ r.seed
+	hash := uint64(fnvOffsetBasis) ^ r.seed
 	for i := range len(name) {
-		hash = (hash ^ uint64(name[i])) * 1099511628211
+		hash = (hash ^ uint64(name[i])) * fnvPrime
 	}
-	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
-	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
+	hash = (hash ^ hash>>30) * splitMixMultiplier
+	hash = (hash ^ hash>>27) * splitMixLastFactor
 	return hash ^ hash>>31
 }
 
--- a/internal/staleness/confidence.go
+++ b/internal/staleness/confidence.go
@@ -6,10 +6,16 @@
 )
 
 const (
-	// maxAdvance is the time that may pass before a filter is advanced, to bound the cost of frequent looks.
+	// maxAdvance is the longest time that may pass before a filter is advanced. Callers that ask more often get the
+	// filter as it stands, which bounds their cost.
 	maxAdvance = 50 * time.Millisecond
 	// maxAdvanceSteps bounds the steps of one advance after a long time.
 	maxAdvanceSteps = 32
+	// minAdvanceDivisor sets the part of the usual gap that must pass before a filter is advanced, if that is less
+	// than maxAdvance.
+	minAdvanceDivisor = 20
+	// stepsPerGap is how many steps of an advance the usual gap between two messages has.
+	stepsPerGap = 4
 	// priorSilentWatches is the weight of Settings.SilentWatchRate, in silent watches.
 	priorSilentWatches = .5
 	// priorDelaySeconds is the mean delay of a change, with the weight of one change, before any was observed.
@@ -33,7 +39,7 @@
 
 // advance brings a source's filter up to now: the silence since the last step makes a silent watch more likely.
 func (v *View) advance(s *trackedSource, now time.Duration) {
-	if now-s.advancedTo < min(s.gaps.Percentile90()/20, maxAdvance) {
+	if now-s.advancedTo < min(s.gaps.Percentile90()/minAdvanceDivisor, maxAdvance) {
 		return
 	}
 	if s.heardAt == never { // only restored content, which is not followed anyway
@@ -42,7 +48,7 @@
 	}
 	step := max(
 		(now-s.advancedTo+maxAdvanceSteps-1)/maxAdvanceSteps,
-		min(now-s.advancedTo, s.gaps.Percentile90()/4))
+		min(now-s.advancedTo, s.gaps.Percentile90()/stepsPerGap))
 	rates := transitionRates{
 		silence:  v.silentWatchRate(s),
 		stale:    v.settings.StaleAnswerRate,
