--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -32,8 +32,8 @@
 	sendAllowed func() (deadline time.Time, allowed bool)
 }
 
-// sendDeadline returns until when the message's last byte may be sent, zero being at any time. The error says that its
-// first byte may not be sent any more.
+// sendDeadline returns the time by which the message's last byte must be sent; the zero time is no deadline. It returns
+// errSendTooLate if not even the first byte may be sent.
 func (m *message) sendDeadline() (time.Time, error) {
 	if m.sendAllowed == nil {
 		return time.Time{}, nil
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -335,7 +335,7 @@
 	return c == nil || c.registry.admission.AcquireBody(c.admissionID, bytes)
 }
 
-// markServed has the request in flight count in its client's favour. c may be nil.
+// markServed records that the request in flight was served, for which requestEnded credits its client. c may be nil.
 func (c *clientConn) markServed() {
 	if c == nil {
 		return
--- a/internal/proxy/clientdrain.go
+++ b/internal/proxy/clientdrain.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// operatorDrainInterval is how often idle connections are looked for while an operator has the clients sent away.
+// operatorDrainInterval is the time between two searches for idle connections during an operator's drain.
 const operatorDrainInterval = 20 * time.Millisecond
 
 // closeIdle closes the connections that are between requests, and returns how many remain.
@@ -23,8 +23,9 @@
 	}
 }
 
-// setDraining begins the end of the process: responses close their connections from now on, and the ones to late
-// requests must be out within timeout. now is the front end's clock.
+// setDraining begins the drain at the end of the process: responses close their connections from now on, and responses
+// to late requests must be sent within timeout. A request is late if it arrives more than drainAcceptPeriod after now,
+// which is the front end's clock.
 func (s *clientConns) setDraining(now, timeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,15 +49,15 @@
 	return s.drainEnd - now, s.draining && now > s.lateAfter
 }
 
-// isDraining reports whether clients are sent away, because the process ends or an operator said so.
+// isDraining reports whether responses close their connections, because the process ends or an operator drains it.
 func (s *clientConns) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining || !s.operatorDrainSince.IsZero()
 }
 
-// setOperatorDrain has clients sent away, or taken again. Unlike at the end of the process new connections are
-// accepted: health checks of the proxy come by them, and the way back must be open.
+// setOperatorDrain begins or ends an operator's drain. Unlike at the end of the process, new connections are accepted:
+// health checks of the proxy need them, and clients must be able to return once the drain is over.
 func (s *clientConns) setOperatorDrain(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/discoveryclient.go
+++ b/internal/proxy/discoveryclient.go
@@ -76,6 +76,7 @@
 	return d
 }
 
+// dialCounting dials a connection that counts the bytes read from it.
 func (d *discoveryClient) dialCounting(ctx context.Context, network, addr string) (net.Conn, error) {
 	nc, err := d.dial(ctx, network, addr)
 	if err != nil {
--- a/internal/proxy/endpointsource.go
+++ b/internal/proxy/endpointsource.go
@@ -35,7 +35,7 @@
 // its name where it moves to another address.
 func freshnessName(source string) string { return cmp.Or(source, "discovery") }
 
-// followFreshness has a service's freshness be that of its source at an address.
+// followFreshness makes a service judge freshness by the list of its source at an address.
 func (s *service) followFreshness(addr string) {
 	switch {
 	case s.freshness == nil:
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -247,8 +247,7 @@
 	}
 }
 
-// closeIfDraining has the connection closed after this response while clients are sent away, and reports whether they
-// are.
+// closeIfDraining reports whether the proxy drains, and if so makes this response close its connection.
 func (f *httpFrontend) closeIfDraining(w http.ResponseWriter) bool {
 	draining := f.conns.isDraining()
 	if draining {
--- a/internal/proxy/idleconns.go
+++ b/internal/proxy/idleconns.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxIdlePerBackend  = 32
+	maxIdlePerBackend  = 32                    // connections; further ones are closed after their response
 	idleSettleTime     = 10 * time.Millisecond // that a connection should rest before it is reused
 	idleTimeoutDivisor = 2                     // connections are closed after this part of the configured idle timeout
 
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -12,7 +12,7 @@
 
 const (
 	reservedSockets      = 32      // descriptors for all but connections of clients and backends
-	clientSocketFraction = 0.6     // of the other descriptors, for clients: one too few there loses a request
+	clientSocketFraction = 0.6     // of the other descriptors, for clients: without one a client's request is lost
 	openRequestFraction  = 1.0 / 3 // of all descriptors: the limit on open requests
 	bodyMemoryFraction   = 1.0 / 8 // of the memory, for the bodies of all requests in flight
 )
@@ -39,7 +39,7 @@
 	return limit
 }
 
-// setHalfCapacity has all services keep to half of the connections, or to all of them again.
+// setHalfCapacity limits all services to half of the connections, or to all of them again.
 func (s *serviceSet) setHalfCapacity(half bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +89,7 @@
 	return processquota.NewGate(classes, weights)
 }
 
-// ticket is a request that is admitted within its service's limits.
+// ticket is a request that was admitted within its service's limits and holds its part of them until release.
 type ticket struct {
 	services *serviceSet
 	service  *service
@@ -122,6 +122,7 @@
 	return t, nil
 }
 
+// overLimit returns a rejection with status 503 for a request beyond a limit.
 func overLimit(reason string, retryAfter time.Duration) *rejection {
 	return &rejection{status: http.StatusServiceUnavailable, message: reason, retryAfter: retryAfter}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -57,9 +57,9 @@
 	return p
 }
 
-// Reload has the proxy take in a new configuration, and does not wait for that. It may be called before, during and
-// after Run, by one goroutine at a time. Only the address of discovery and the files that the configuration names can
-// change.
+// Reload queues a new configuration, in place of one that still waits, and returns before it is applied. It may be
+// called before, during and after Run, by one goroutine at a time. Only the address of discovery and the files that the
+// configuration names can change.
 func (p *Proxy) Reload(cfg Config) {
 	select {
 	case <-p.reloads: // an older one
@@ -74,6 +74,7 @@
 	p.reloadFailed("keeping the old configuration", err)
 }
 
+// reloadFailed counts and logs a part of a new configuration that was not applied; message says what stays in force.
 func (p *Proxy) reloadFailed(message string, err error) {
 	p.log.Error(message, "err", err)
 	p.counters.ReloadsFailed.Add(1)
@@ -97,8 +98,8 @@
 	}
 }
 
-// trackSharing halves the process's limits while another process of this proxy runs beside it: once before it returns,
-// and by the returned function until that one's ctx ends.
+// trackSharing halves the process's limits while another process of this proxy runs beside it. It sets them once before
+// it returns; the returned function blocks and adjusts them until its ctx ends.
 func (p *Proxy) trackSharing() (run func(ctx context.Context)) {
 	shared := p.isShared()
 	p.setShared(shared)
@@ -122,6 +123,7 @@
 // isShared reports whether another process of this proxy runs.
 func (p *Proxy) isShared() bool { return !p.store.OnlyProcess() || p.store.Superseded() }
 
+// setShared halves the limits of services, client connections and admission, or restores them.
 func (p *Proxy) setShared(shared bool) {
 	p.services.setHalfCapacity(shared)
 	p.conns.setShared(shared)
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -205,8 +205,8 @@
 	checks.Wait()
 }
 
-// installPolicy has requests routed by a policy from now on, all of it or none. Requests in flight keep the policy that
-// they were routed by.
+// installPolicy routes requests by a policy from now on. After an error none of it is in force. Requests in flight keep
+// the policy that they were routed by.
 func (s *serviceSet) installPolicy(policy *client.InstalledPolicy) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
