--- a/internal/controlplane/client/floorclaim_test.go
+++ b/internal/controlplane/client/floorclaim_test.go
@@ -13,11 +13,11 @@
 	path := filepath.Join(t.TempDir(), "floors-p1")
 	first, second := newFloorClaim(path, "p1"), newFloorClaim(path, "p1")
 	if ok, err := first.tryLock(); !ok || err != nil {
-		t.Fatal(ok, err)
+		t.Fatalf("a free lock was not taken: %v, %v", ok, err)
 	}
 	var claimed quotalease.FloorClaimedError
 	if ok, err := second.tryLock(); ok || !errors.As(err, &claimed) {
-		t.Fatal(ok, err)
+		t.Fatalf("a held lock was taken or gives another error: %v, %v", ok, err)
 	}
 	floor := quotalease.Floor{Kind: quotalease.Rate, Amount: quotalease.Unit, Burst: quotalease.Unit}
 	floors := map[string]quotalease.Floor{"all": floor}
@@ -26,7 +26,7 @@
 	}
 	first.release()
 	if ok, err := second.tryLock(); !ok || err != nil {
-		t.Fatal(ok, err)
+		t.Fatalf("a released lock was not taken: %v, %v", ok, err)
 	}
 	defer second.release()
 	if version, loaded, err := second.load(); version != 2 || loaded["all"] != floor || err != nil {
--- a/internal/controlplane/client/frozen_test.go
+++ b/internal/controlplane/client/frozen_test.go
@@ -95,7 +95,7 @@
 	}
 	held, err := c.tryLock()
 	if err != nil || !held {
-		t.Fatal(held, err)
+		t.Fatalf("the lock beside the kept floors was not taken: %v, %v", held, err)
 	}
 	defer c.release()
 	delete(floors, "held")
--- a/internal/controlplane/server/chunks_test.go
+++ b/internal/controlplane/server/chunks_test.go
@@ -370,14 +370,14 @@
 	for i := range maxProxies {
 		report := api.PolicyReport{Proxy: fmt.Sprint("p", i), Sequence: 1, Current: st.Active}
 		if _, err := r.report(0, set, st, report); err != nil {
-			t.Fatal(i, err)
+			t.Fatalf("proxy %d of %d is rejected: %v", i, maxProxies, err)
 		}
 	}
 	_, err := r.report(0, set, st, api.PolicyReport{Proxy: "one more", Sequence: 1})
 	if api.RemoteErrorOf(err).Help == "" || len(r.proxies) != maxProxies {
-		t.Error(err)
+		t.Errorf("a proxy beyond the bound: error %v, %d proxies known, want advice and %d", err, len(r.proxies), maxProxies)
 	}
 	if maxProxies < 2*4700 {
-		t.Error("not twice the fleet")
+		t.Errorf("maxProxies is %d, less than twice a fleet of 4700", maxProxies)
 	}
 }
--- a/internal/policy/rollout/fleet_scenarios_test.go
+++ b/internal/policy/rollout/fleet_scenarios_test.go
@@ -174,7 +174,7 @@
 		}
 	}
 	if state := l.runUntilEnd(time.Minute); state != Done {
-		t.Error(state)
+		t.Errorf("the replacing version ends as %v, want %v", state, Done)
 	}
 }
 
@@ -325,7 +325,7 @@
 		return state, l.countAtEpoch(2)
 	}
 	if state, _ := play(0, 12, 0); state != Done {
-		t.Error(state)
+		t.Errorf("with 12 busy proxies of 300 a harmless version ends as %v, want %v", state, Done)
 	}
 	if state, had := play(0, 12, 0.5); state != Stopped || had > 150 {
 		t.Errorf("%v, and %d had it", state, had)
--- a/internal/policy/store/rollout_test.go
+++ b/internal/policy/store/rollout_test.go
@@ -168,7 +168,7 @@
 	}
 	completeRollouts(t, m)
 	if got := routesOf(t, m, m.Status().Active); !strings.Contains(got, "/0b") || strings.Contains(got, "/0a") {
-		t.Error(got)
+		t.Errorf("want the later of two submissions, /0b, in force: %s", got)
 	}
 	// A mended file that is queued replaces the harmful one, and harmless changes with it go on.
 	apply(t, m, submitHarmful(1, 2, "/1a"))
@@ -188,7 +188,7 @@
 	got := routesOf(t, m, s.Active)
 	for _, want := range []string{"t0/r/same", "t1/r/1", "/2a"} {
 		if !strings.Contains(got, want) {
-			t.Error(got)
+			t.Errorf("route %s is not in force: %s", want, got)
 		}
 	}
 	if len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "t1" || s.WithheldFiles[0].Reason == "" {
@@ -217,7 +217,7 @@
 	}
 	completeRollouts(t, m)
 	if got := routesOf(t, m, m.Status().Active); !strings.Contains(got, "t0/r/0 ") {
-		t.Error(got)
+		t.Errorf("want the route before the reverted change, t0/r/0, in force: %s", got)
 	}
 	// An operator's rollback drops what is queued and what is being rolled out.
 	active := m.Status().Active
--- a/internal/policy/store/snapshot_test.go
+++ b/internal/policy/store/snapshot_test.go
@@ -31,7 +31,7 @@
 		t.Fatalf("%+v", s)
 	}
 	if got := routesOf(t, m, s.Active); got != "alpha/r/a beta/r/b" {
-		t.Error(got)
+		t.Errorf("routes of the active policy: %s", got)
 	}
 	snapshot := snapshotOf(t, m)
 	restored := New(0)
--- a/internal/proxy/freshness_test.go
+++ b/internal/proxy/freshness_test.go
@@ -65,7 +65,7 @@
 		// rejected where the retry budget has no attempt for another backend
 		resp, _, err := p.request(t, "hand-in", 10000, "homework")
 		if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
-			t.Fatal(resp, err)
+			t.Fatalf("want 200, or 503 for lack of a retry: %v, %v", resp, err)
 		}
 	}
 	if len(other) > 0 || len(mine) < 21 {
