--- a/cmd/lapisspread/admission.go
+++ b/cmd/lapisspread/admission.go
@@ -11,6 +11,7 @@
 // checkedPlaces is the capacity of the process for which a file is checked.
 const checkedPlaces = 1 << 16
 
+// admissionCommand is "admission", whose only command checks a file of package listener.
 func admissionCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "admission",
--- a/cmd/lapisspread/diameter.go
+++ b/cmd/lapisspread/diameter.go
@@ -9,6 +9,7 @@
 	"lapisspread/internal/diameter/claim"
 )
 
+// diameterCommand is "diameter", whose only command checks a file of package diameter/claim.
 func diameterCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "diameter",
--- a/cmd/lapisspread/fleet.go
+++ b/cmd/lapisspread/fleet.go
@@ -16,6 +16,7 @@
 // setRetryInterval is the time between two attempts of "fleet set --wait".
 const setRetryInterval = 200 * time.Millisecond
 
+// fleetCommand is "fleet": the commands of operators, which call the control-plane servers of a fleet.
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "fleet",
@@ -55,6 +56,7 @@
 	return api.WithAdvice(do(fleet, client))
 }
 
+// fleetCheckCommand is "fleet check". It reads files only, and fails if it has a finding.
 func fleetCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "check FILE",
@@ -83,6 +85,7 @@
 	}
 }
 
+// bootstrapCommand is "fleet found": it bootstraps all servers under an epoch; see api.Config.Bootstrap.
 func bootstrapCommand() *cobra.Command {
 	var epoch uint64
 	c := &cobra.Command{
@@ -106,6 +109,7 @@
 	return c
 }
 
+// setQuotasCommand is "fleet set": it replaces the quotas; see api.Config.SetQuotas.
 func setQuotasCommand() *cobra.Command {
 	var version uint64
 	var removedHolders []string
@@ -138,6 +142,7 @@
 	return c
 }
 
+// statusCommand is "fleet status": it shows the status of each server.
 func statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status FILE",
--- a/cmd/lapisspread/fleet_server.go
+++ b/cmd/lapisspread/fleet_server.go
@@ -25,6 +25,7 @@
 	listen    string
 }
 
+// fleetServerCommand is "steward": it runs a control-plane server and blocks until SIGTERM or an interrupt.
 func fleetServerCommand() *cobra.Command {
 	var flags serverFlags
 	c := &cobra.Command{
--- a/cmd/lapisspread/list_guard.go
+++ b/cmd/lapisspread/list_guard.go
@@ -6,6 +6,7 @@
 	"lapisspread/internal/discovery/guardedsource"
 )
 
+// listGuardCommand is "comeback", whose only command checks a file of package discovery/guardedsource.
 func listGuardCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "comeback",
--- a/cmd/lapisspread/main.go
+++ b/cmd/lapisspread/main.go
@@ -43,6 +43,8 @@
 	return exitFailed
 }
 
+// rootCommand returns the command line. Names of commands and flags are an interface to operators: some are older than
+// the names in the code, which the comments of the commands relate to them.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "lapisspread",
@@ -74,6 +76,7 @@
 	return root
 }
 
+// serveCommand is "serve": it runs the proxy and blocks until SIGTERM.
 func serveCommand() *cobra.Command {
 	var profile string
 	var files serveFiles
@@ -98,6 +101,7 @@
 	return c
 }
 
+// configCommand is "config", whose only command checks a proxy's configuration.
 func configCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "config",
@@ -125,6 +129,7 @@
 	return c
 }
 
+// versionCommand is "version".
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
@@ -158,6 +163,7 @@
 	return fmt.Sprintf("%s%s%s %s", info.Main.Version, revision, dirty, info.GoVersion)
 }
 
+// noArguments returns a usageError if a command line has arguments.
 func noArguments(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("%s: there is no command or argument %q", cmd.CommandPath(), args[0])}
--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// ownershipCommand is "fleet charter": it replaces the ownership declaration; see store.SetDeclaration.
 func ownershipCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "charter FILE CHARTER.toml",
@@ -64,6 +65,8 @@
 	return showPolicy(cmd, fleet, client)
 }
 
+// offerCommand is "fleet offer": it submits the files of namespaces; see store.SubmitFile. A file that is rejected does
+// not keep the ones after it from being submitted.
 func offerCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "offer FILE NAMESPACE.toml...",
@@ -98,6 +101,7 @@
 	return fleet.SendPolicyCommand(cmd.Context(), client, command)
 }
 
+// rollbackCommand is "fleet back": it rolls the policy back to a retained epoch; see store.Rollback.
 func rollbackCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "back FILE --epoch N",
@@ -118,6 +122,7 @@
 	return c
 }
 
+// policyCommand is "fleet policy": it shows the state of the policy and of its rollout.
 func policyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "policy FILE",
--- a/cmd/lapisspread/routes.go
+++ b/cmd/lapisspread/routes.go
@@ -14,6 +14,7 @@
 // maxShownMismatches bounds the routes that do not match which "routes explain" prints without --all.
 const maxShownMismatches = 10
 
+// routesCommand is "routes": commands on a file of services and routes.
 func routesCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "routes",
@@ -25,6 +26,7 @@
 	return c
 }
 
+// routesCheckCommand is "routes check".
 func routesCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
@@ -42,6 +44,7 @@
 	}
 }
 
+// routesExplainCommand is "routes explain": it shows which rule a request matches.
 func routesExplainCommand() *cobra.Command {
 	var request route.Request
 	var all bool
