--- a/internal/controlplane/api/messages.go
+++ b/internal/controlplane/api/messages.go
@@ -16,9 +16,9 @@
 type BootstrapRequest struct {
 	Fleet            string   `json:"Fleet"`
 	Epoch            uint64   `json:"Epoch"`
-	MaxDrift         float64  `json:"Drift"`
-	MaxLifetimeNanos int64    `json:"Longest"`
-	ServerIDs        []uint64 `json:"Members"`
+	MaxDrift         float64  `json:"Drift"`   // of clocks, as a fraction; see quotalease.Config
+	MaxLifetimeNanos int64    `json:"Longest"` // of leases
+	ServerIDs        []uint64 `json:"Members"` // of all servers of the fleet
 	// ServerID is the server that the request is meant for: a wrong address must not create a log under a wrong ID.
 	ServerID uint64 `json:"ID"`
 }
--- a/internal/controlplane/server/allocator.go
+++ b/internal/controlplane/server/allocator.go
@@ -205,6 +205,7 @@
 	return nil
 }
 
+// plan returns the commands that the allocator wants committed now, none if nothing is due.
 func (s *Server) plan(state *stateMachine) []quotalease.Command {
 	state.quotaMu.Lock()
 	defer state.quotaMu.Unlock()
@@ -229,6 +230,7 @@
 	s.reply(request, reply, nil)
 }
 
+// reply ends a request, with a reply or an error, and counts it.
 func (s *Server) reply(request leaseRequest, reply quotalease.Reply, err error) {
 	if err == nil {
 		s.counters.answered.Add(1)
@@ -238,6 +240,7 @@
 	request.reply <- leaseReply{reply: reply, err: err} // never blocks: it is the only reply
 }
 
+// replyAll rejects requests with an error.
 func (s *Server) replyAll(requests []leaseRequest, err error) {
 	for _, request := range requests {
 		s.reply(request, quotalease.Reply{}, err)
--- a/internal/controlplane/server/http.go
+++ b/internal/controlplane/server/http.go
@@ -74,12 +74,14 @@
 	}
 }
 
+// noReply adapts a method without a reply to one with an empty reply.
 func noReply[Request any](
 	method func(context.Context, Request) error,
 ) func(context.Context, Request) (struct{}, error) {
 	return func(ctx context.Context, request Request) (struct{}, error) { return struct{}{}, method(ctx, request) }
 }
 
+// withoutContext adapts a method that does not block, and so needs no context.
 func withoutContext[Request, Reply any](
 	method func(Request) (Reply, error),
 ) func(context.Context, Request) (Reply, error) {
@@ -95,6 +97,7 @@
 	return true
 }
 
+// writeReply answers a request with status 200, or with 409 and a RemoteError if err is not nil.
 func (s *Server) writeReply(w http.ResponseWriter, reply any, err error) {
 	if err != nil {
 		api.WriteReply(w, http.StatusConflict, s.remoteError(err))
--- a/internal/controlplane/server/replica.go
+++ b/internal/controlplane/server/replica.go
@@ -107,6 +107,7 @@
 	return nil
 }
 
+// sameBootstrap reports whether two bootstraps agree in the epoch and the bounds of leases. Members are not compared.
 func sameBootstrap(a, b api.BootstrapRequest) bool {
 	return a.Epoch == b.Epoch && a.MaxLifetimeNanos == b.MaxLifetimeNanos && a.MaxDrift == b.MaxDrift
 }
--- a/internal/controlplane/server/rollout_driver.go
+++ b/internal/controlplane/server/rollout_driver.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxProxies          = 16384 // that one rollout knows
-	maxProxyNameBytes   = 128
+	maxProxies          = 16384       // that one rollout knows; reports of further ones are rejected
+	maxProxyNameBytes   = 128         // reports with a longer name are rejected
 	memberCheckInterval = time.Second // between two removals of proxies that are gone
 	// removalTimeouts is after how many silence timeouts a proxy is removed.
 	removalTimeouts = 3
--- a/internal/controlplane/server/state_machine.go
+++ b/internal/controlplane/server/state_machine.go
@@ -90,6 +90,7 @@
 	return reply
 }
 
+// applyQuotaCommand applies a log entry about quotas, in JSON, and tells this server's allocator. It takes quotaMu.
 func (m *stateMachine) applyQuotaCommand(index uint64, text []byte) applyOutcome {
 	var command quotalease.Command
 	if json.Unmarshal(text, &command) != nil {
@@ -106,6 +107,7 @@
 	}
 }
 
+// applyPolicyCommand applies a log entry about policies, in JSON, and publishes the result. It takes policyMu.
 func (m *stateMachine) applyPolicyCommand(text []byte) applyOutcome {
 	var command store.Command
 	if json.Unmarshal(text, &command) != nil {
@@ -131,6 +133,7 @@
 	m.published.Store(view)
 }
 
+// policyStatus returns the status after the last entry that was published. It takes no lock.
 func (m *stateMachine) policyStatus() store.Status { return m.published.Load().status }
 
 // Snapshot implements consensus.Machine. Without policies a snapshot is that of the quotas alone, which releases from
--- a/internal/staleness/evidence.go
+++ b/internal/staleness/evidence.go
@@ -123,6 +123,7 @@
 	return nil
 }
 
+// contradictEntry lowers the odds of an entry. Its first contradiction also counts against its source.
 func (v *View) contradictEntry(e *trackedEntry, now time.Duration, kind EvidenceKind) {
 	ifUnchanged := v.contradictionIfUnchanged(kind)
 	ifChanged := v.contradictionIfChanged(kind)
@@ -228,6 +229,7 @@
 	return nil
 }
 
+// confirmEntry restores the odds of an entry that answered as listed, and counts in favor of its source.
 func (v *View) confirmEntry(e *trackedEntry, now time.Duration) {
 	if e.odds != 1 { // the earlier contradiction was a false alarm
 		v.falseRefusals += 1 - e.falseAlarm
--- a/internal/staleness/receive.go
+++ b/internal/staleness/receive.go
@@ -12,6 +12,9 @@
 	// heartbeatsToTrust is how many regular heartbeats in a row show that none was queued: a backlog does not keep the
 	// rhythm for so long.
 	heartbeatsToTrust = 3
+	// A regular heartbeat follows the one before it after minRegularFifths to maxRegularFifths fifths of the usual gap.
+	minRegularFifths = 4
+	maxRegularFifths = 6
 )
 
 // message is what arrived from a source.
@@ -90,6 +93,7 @@
 	s.watchedSeconds += gap.Seconds() * (1 - silent)
 }
 
+// receiveCompleteList takes in the answer to a call, whose content was current when the call was sent or later.
 func (s *trackedSource) receiveCompleteList(now, requestedAt, usualGap time.Duration) {
 	s.currentAt = max(s.currentAt, requestedAt)
 	s.drainingBacklog = s.drainingBacklog && requestedAt < s.resumedAt
@@ -118,7 +122,7 @@
 	} else {
 		s.heartbeatDelay = max(0, s.heartbeatDelay+gap-usualGap)
 		s.regularHeartbeats++
-		if gap < usualGap*4/5 || gap > usualGap*6/5 {
+		if gap < usualGap*minRegularFifths/5 || gap > usualGap*maxRegularFifths/5 {
 			s.regularHeartbeats = 0
 		}
 		if s.regularHeartbeats >= heartbeatsToTrust {
