--- a/internal/controlplane/server/state_machine.go
+++ b/internal/controlplane/server/state_machine.go
@@ -17,6 +17,10 @@
 	"lapisspread/internal/quotalease"
 )
 
+// generationBits is how many bits the number of rollbacks has in a policy's generation. The epoch of the fleet is above
+// them, so a new epoch begins above all generations of earlier ones.
+const generationBits = 32
+
 // policyEntryMarker is the first byte of log entries and snapshots that concern policies. Entries and snapshots that
 // concern quotas only are JSON and begin with a brace.
 const policyEntryMarker = 0x01
@@ -66,7 +70,7 @@
 		clock:     clock,
 		quotas:    quotas,
 		allocator: quotalease.NewAllocator(clock(), 0, quotas),
-		policies:  store.New(epoch << 32), // above all generations of earlier epochs
+		policies:  store.New(epoch << generationBits),
 		chunks:    distribution.New(distribution.DefaultSettings()),
 		encodings: map[string]encodedPolicy{},
 	}
@@ -86,6 +90,7 @@
 	return reply
 }
 
+// applyQuotaCommand applies a log entry about quotas, in JSON, and tells this server's allocator. It takes quotaMu.
 func (m *stateMachine) applyQuotaCommand(index uint64, text []byte) applyOutcome {
 	var command quotalease.Command
 	if json.Unmarshal(text, &command) != nil {
@@ -102,6 +107,7 @@
 	}
 }
 
+// applyPolicyCommand applies a log entry about policies, in JSON, and publishes the result. It takes policyMu.
 func (m *stateMachine) applyPolicyCommand(text []byte) applyOutcome {
 	var command store.Command
 	if json.Unmarshal(text, &command) != nil {
@@ -127,6 +133,7 @@
 	m.published.Store(view)
 }
 
+// policyStatus returns the status after the last entry that was published. It takes no lock.
 func (m *stateMachine) policyStatus() store.Status { return m.published.Load().status }
 
 // Snapshot implements consensus.Machine. Without policies a snapshot is that of the quotas alone, which releases from
