--- a/cmd/faultlab/kills.go
+++ b/cmd/faultlab/kills.go
@@ -25,6 +25,8 @@
 		n    int
 		seed uint64
 		file string
+
+		other string // the program of another build
 	}
 	c := &cobra.Command{
 		Use:   "kills",
@@ -44,16 +46,17 @@
 					return usageError{fmt.Errorf("--comeback: %w", err)}
 				}
 			}
-			return kills(cmd.Context(), cmd, o.n, o.seed, string(text))
+			return kills(cmd.Context(), cmd, o.n, o.seed, string(text), o.other)
 		},
 	}
 	c.Flags().IntVar(&o.n, "n", 200, "so many times")
 	c.Flags().Uint64Var(&o.seed, "seed", 1, "what chance comes from")
 	c.Flags().StringVar(&o.file, "comeback", "", "the file of coming back that the proxies go by (default one that remembers ten times a second)")
+	c.Flags().StringVar(&o.other, "other-proxy", "", otherProxyUsage)
 	return c
 }
 
-func kills(ctx context.Context, cmd *cobra.Command, n int, seed uint64, text string) error {
+func kills(ctx context.Context, cmd *cobra.Command, n int, seed uint64, text, other string) error {
 	f, err := named("comeback")
 	if err != nil {
 		return err
@@ -65,7 +68,7 @@
 		return err
 	}
 	defer os.RemoveAll(tmp)
-	opts := liverun.Options{Comeback: text}
+	opts := liverun.Options{Comeback: text, OtherBinary: other}
 	if opts.Binary, err = findProxy(ctx, tmp); err != nil {
 		return err
 	}
--- a/cmd/faultlab/payouts.go
+++ b/cmd/faultlab/payouts.go
@@ -79,6 +79,7 @@
 		},
 	}
 	c.Flags().StringVar(&p.Binary, "proxy", "", "a proxy's program; built from the tree if left out")
+	c.Flags().StringVar(&p.Other, "other-proxy", "", otherProxyUsage)
 	c.Flags().IntVar(&p.Claims, "claims", 20000, "claims in all")
 	c.Flags().Float64Var(&p.Rate, "rate", 300, "claims a second")
 	c.Flags().IntVar(&p.Clients, "clients", 8, "peers that they come from")
--- a/cmd/faultlab/run.go
+++ b/cmd/faultlab/run.go
@@ -27,6 +27,7 @@
 	json     string
 	out      string
 	proxy    string
+	other    string // the program of another build, which runs beside proxy
 	policy   string
 	rate     float64
 	verbose  bool
@@ -72,6 +73,7 @@
 	c.Flags().StringVar(&o.json, "json", "", "write the summary to this file too")
 	c.Flags().StringVar(&o.out, "out", "", "folder of the report (default faultlab-report/NAME-SEED)")
 	c.Flags().StringVar(&o.proxy, "proxy", "", "the proxy's program (default: lapisspread, built from this tree or beside this program)")
+	c.Flags().StringVar(&o.other, "other-proxy", "", otherProxyUsage)
 	c.Flags().StringVar(&o.policy, "policy", baseline.Module, "what decides: module is the real proxy, others a plain one; see faultlab list")
 	c.Flags().Float64Var(&o.rate, "rate", 0, "first tries a second")
 	c.Flags().StringVar(&o.profile, "cpu-profile", "", "have each proxy write a CPU profile to this file, with its name behind")
@@ -79,6 +81,9 @@
 	return c
 }
 
+// otherProxyUsage describes the flag of the commands that can play two builds side by side.
+const otherProxyUsage = "the program of another build: half of the processes run it, and each process is replaced by one of the other build"
+
 // runOne plays one experiment on sockets and writes its report.
 func runOne(ctx context.Context, out io.Writer, f *experiment.File, o runOptions) error {
 	s, err := playLive(ctx, out, f, o, 1)
@@ -131,7 +136,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(tmp)
-	opts := liverun.Options{Binary: o.proxy, HalfOpen: f.World.HalfOpen, Slow: f.World.Slow, Progress: shower(out), Services: o.services,
+	opts := liverun.Options{Binary: o.proxy, OtherBinary: o.other, HalfOpen: f.World.HalfOpen, Slow: f.World.Slow, Progress: shower(out), Services: o.services,
 		Sockets: f.World.Sockets, Clients: f.World.Clients, Crowd: f.World.Crowd, Admission: o.admission, Comeback: o.comeback, Sample: o.sample}
 	if fl := f.FloodNamed(o.flood); fl != nil {
 		opts.Flood = &liverun.Flood{Kind: fl.Kind, Connections: fl.Connections, Addresses: fl.Addresses, Shared: fl.Shared, At: time.Duration(fl.At),
@@ -145,6 +150,9 @@
 		}
 	}
 	if o.policy != baseline.Module {
+		if o.other != "" {
+			return nil, usageError{errors.New("--other-proxy needs the real proxy: --policy " + baseline.Module)}
+		}
 		if _, err := baseline.Named(o.policy); err != nil {
 			return nil, err
 		}
--- a/internal/faultlab/liverun/child.go
+++ b/internal/faultlab/liverun/child.go
@@ -35,14 +35,15 @@
 
 	order sync.Mutex // one end in order at a time
 
-	mu    sync.Mutex
-	procs []*process // the last one is the newest
-	ended bool       // no more are started
-	deads int        // times its process was killed on purpose
-	dying bool       // it is being killed, or was, and no other process has been started
-	kills int        // by a time line
-	last  time.Time  // a process that was to end in order had to be killed
-	usage Usage      // of those that have ended
+	mu     sync.Mutex
+	procs  []*process // the last one is the newest
+	ended  bool       // no more are started
+	deads  int        // times its process was killed on purpose
+	starts int        // processes that were started
+	dying  bool       // it is being killed, or was, and no other process has been started
+	kills  int        // by a time line
+	last   time.Time  // a process that was to end in order had to be killed
+	usage  Usage      // of those that have ended
 }
 
 type process struct {
@@ -276,9 +277,11 @@
 	if c.r.opts.FleetFile != "" || c.r.opts.Fleet != nil && !c.r.opts.Fleet.Deaf {
 		args = append(args, "--fleet", c.filePath("fleet"))
 	}
-	p.cmd = exec.Command(c.r.opts.Binary, args...)
+	binary := Alternate(c.r.opts.Binary, c.r.opts.OtherBinary, c.no+c.starts)
+	c.starts++
+	p.cmd = exec.Command(binary, args...)
 	if c.r.opts.Flood != nil { // here the limit is the machine's, whatever the program thinks of it
-		p.cmd = exec.Command("/bin/sh", append([]string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(c.r.opts.Sockets), c.r.opts.Binary}, args...)...)
+		p.cmd = exec.Command("/bin/sh", append([]string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(c.r.opts.Sockets), binary}, args...)...)
 	}
 	p.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY=",
 		"BALANCER_CONSOLE="+p.console, "BALANCER_PASSED_SOCKET=", "TMPDIR="+c.state)
@@ -288,12 +291,22 @@
 	}
 	p.cmd.Env = append(p.cmd.Env, c.r.opts.Env...)
 	if err := c.r.launch(p, func() { c.over(p) }); err != nil {
-		return nil, fmt.Errorf("proxy %d: starting %s: %w", c.no, c.r.opts.Binary, err)
+		return nil, fmt.Errorf("proxy %d: starting %s: %w", c.no, binary, err)
 	}
 	c.procs, c.dying = append(c.procs, p), false
 	return p, nil
 }
 
+// Alternate returns the program that the n-th process of a sequence runs: programs of two builds take turns, and without
+// another build it is always the same one. The first process of slot k of a fleet is number k, and each one that replaces it
+// has the next number, so that neighbours run different builds and so do a process and its successor.
+func Alternate(binary, other string, n int) string {
+	if other == "" || n%2 == 0 {
+		return binary
+	}
+	return other
+}
+
 // launch starts a process and keeps the end of its log. Over is called once it has ended, before done closes.
 func (r *Run) launch(p *process, over func()) error {
 	// A group of its own, so that Ctrl-C at the terminal reaches the laboratory alone, and an end with ours.
--- a/internal/faultlab/liverun/run.go
+++ b/internal/faultlab/liverun/run.go
@@ -45,6 +45,10 @@
 	Flood    *Flood        // nil is none
 	Fabric   bool          // lead all ways between processes through relays, also where no fault is on them
 
+	// OtherBinary is the program of another build; empty means that all processes run Binary. With it both builds run side
+	// by side: see Alternate.
+	OtherBinary string
+
 	Sample func(Sample) // told once a second; may be nil
 
 	// Script plays faults by what it sees, in place of a time line or beside one. The load ends with it, at the latest with the
--- a/internal/faultlab/liverun/steward.go
+++ b/internal/faultlab/liverun/steward.go
@@ -32,9 +32,10 @@
 	state string
 	other atomic.Pointer[string] // who answers proxies in its place; nil is itself
 
-	mu   sync.Mutex
-	proc *process // the last one
-	over bool     // no more are started
+	mu     sync.Mutex
+	proc   *process // the last one
+	over   bool     // no more are started
+	starts int      // processes that were started
 }
 
 // startStewards starts all stewards and has them divide the budgets.
@@ -174,7 +175,9 @@
 		return errors.New("the run is over")
 	}
 	p := &process{done: make(chan struct{})}
-	p.cmd = exec.Command(s.r.opts.Binary, "steward", "--fleet", filepath.Join(s.r.tmp, "fleet-"+s.name()+".toml"), "--name", stewardName(s.no),
+	binary := Alternate(s.r.opts.Binary, s.r.opts.OtherBinary, s.no+s.starts)
+	s.starts++
+	p.cmd = exec.Command(binary, "steward", "--fleet", filepath.Join(s.r.tmp, "fleet-"+s.name()+".toml"), "--name", stewardName(s.no),
 		"--state", s.state, "--listen", s.addr)
 	p.cmd.Env = append(os.Environ(), s.r.opts.Env...)
 	if err := s.r.launch(p, func() { s.ended(p) }); err != nil {
--- a/internal/faultlab/payouts/payouts.go
+++ b/internal/faultlab/payouts/payouts.go
@@ -31,6 +31,7 @@
 // Plan is what is played.
 type Plan struct {
 	Binary  string // of the proxy
+	Other   string // the program of another build, with which Binary takes turns at each start; empty is none
 	Claims  int
 	Rate    float64 // claims a second
 	Clients int     // peers that they come from
@@ -353,13 +354,14 @@
 	}
 	p := &proc{done: make(chan struct{}), console: at}
 	s.mu.Lock()
+	binary := liverun.Alternate(s.plan.Binary, s.plan.Other, s.started)
 	s.started++
 	name := fmt.Sprintf("log-%d", s.started)
 	s.mu.Unlock()
 	if p.log, err = os.Create(filepath.Join(s.tmp, name)); err != nil {
 		return err
 	}
-	p.cmd = exec.Command(s.plan.Binary, "serve", "--services", filepath.Join(s.tmp, "services.toml"), "--diameter", filepath.Join(s.tmp, "diameter.toml"))
+	p.cmd = exec.Command(binary, "serve", "--services", filepath.Join(s.tmp, "services.toml"), "--diameter", filepath.Join(s.tmp, "diameter.toml"))
 	p.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+filepath.Join(s.tmp, "config.json"), "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY=",
 		"BALANCER_PASSED_SOCKET=", "BALANCER_CONSOLE="+p.console, "TMPDIR="+filepath.Join(s.tmp, "state"))
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
@@ -381,7 +383,7 @@
 		close(p.done)
 	}()
 	if err := <-started; err != nil {
-		return fmt.Errorf("starting %s: %w", s.plan.Binary, err)
+		return fmt.Errorf("starting %s: %w", binary, err)
 	}
 	s.mu.Lock()
 	s.procs = append(s.procs, p)
