--- a/internal/admission/blocks.go
+++ b/internal/admission/blocks.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// maxBlocks is the most blocks at a time.
+// maxBlocks is the maximum number of blocks at a time.
 const maxBlocks = 1024
 
-// InvalidBlockError is returned by ConnLimiter.Block for a block that it cannot set.
+// InvalidBlockError is returned by ConnLimiter.Block for an invalid block, and when no more blocks can be set.
 type InvalidBlockError struct{ Reason string }
 
 // Error implements error.
 func (e InvalidBlockError) Error() string { return "admission: " + e.Reason }
 
-// Block rejects new connections of an address or network for a duration, MaxBlockDuration at most. Connections that
-// are held go on. Its error is an InvalidBlockError.
+// Block rejects new connections from an address or network for a duration of at most MaxBlockDuration. Open connections
+// stay open. It returns an InvalidBlockError if the prefix or the duration is invalid, or if maxBlocks blocks exist.
 func (l *ConnLimiter) Block(now time.Duration, p netip.Prefix, duration time.Duration) error {
 	switch {
 	case !p.IsValid():
-		return InvalidBlockError{"no address or prefix"}
+		return InvalidBlockError{"invalid address or prefix"}
 	case duration <= 0 || duration > MaxBlockDuration:
 		return InvalidBlockError{
-			fmt.Sprintf("a block lasts for above 0s and at most %v, not %v", MaxBlockDuration, duration),
+			fmt.Sprintf("block duration %v is not above 0s and at most %v", duration, MaxBlockDuration),
 		}
 	}
-	for q, until := range l.blocks {
+	for blocked, until := range l.blocks {
 		if until <= now {
-			delete(l.blocks, q)
+			delete(l.blocks, blocked)
 		}
 	}
 	p = p.Masked()
 	if _, exists := l.blocks[p]; !exists && len(l.blocks) >= maxBlocks {
-		return InvalidBlockError{fmt.Sprintf("there are %d blocks; that is the most", maxBlocks)}
+		return InvalidBlockError{fmt.Sprintf("the maximum of %d blocks is reached", maxBlocks)}
 	}
 	l.blocks[p] = now + duration
 	return nil
 }
 
-// Unblock ends a block, and reports whether there was one.
+// Unblock removes the block of exactly this address or network, and reports whether there was one.
 func (l *ConnLimiter) Unblock(p netip.Prefix) bool {
 	_, exists := l.blocks[p.Masked()]
 	delete(l.blocks, p.Masked())
 	return exists
 }
 
-// Blocked reports whether a block holds for an address.
+// Blocked reports whether an address is in a block that has not expired.
 func (l *ConnLimiter) Blocked(now time.Duration, address netip.Addr) bool {
 	if len(l.blocks) == 0 {
 		return false
@@ -64,7 +64,7 @@
 	return false
 }
 
-// Blocks returns the blocks that hold, with the time that each has left.
+// Blocks returns the remaining duration of each block that has not expired.
 func (l *ConnLimiter) Blocks(now time.Duration) map[netip.Prefix]time.Duration {
 	out := map[netip.Prefix]time.Duration{}
 	for p, until := range l.blocks {
--- a/internal/admission/busiest.go
+++ b/internal/admission/busiest.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// maxBusiest is how many addresses are listed as the busiest.
+// maxBusiest is the maximum number of addresses in the list of the busiest addresses.
 const maxBusiest = 32
 
-// busiestAddresses are the addresses with the most new connections, by the counts of the sketch.
+// busiestAddresses lists the addresses with the highest counts of new connections, as estimated by the sketch.
 type busiestAddresses struct {
 	addresses []busyAddress
 }
 
-// busyAddress is one address among the busiest.
+// busyAddress is an entry of busiestAddresses.
 type busyAddress struct {
 	prefix    netip.Prefix
-	count     float64 // of new connections, as of updatedAt
+	count     float64 // new connections, decayed until updatedAt
 	updatedAt time.Duration
-	rejected  int64 // since it is listed
+	rejected  int64 // connections rejected or evicted since the address was listed
 }
 
-// record lists an address that opened a connection, in place of the least busy one if it has a greater count.
+// record updates the count of an address that opened a connection. An address that is not listed is added; if the list
+// is full, it replaces the listed address with the lowest count, provided that its own count is higher.
 func (b *busiestAddresses) record(now time.Duration, p netip.Prefix, count float64) {
 	replace, lowest := -1, count
 	for i := range b.addresses {
@@ -46,7 +47,7 @@
 	}
 }
 
-// reject counts a rejection of an address, if it is listed.
+// reject counts a rejection or eviction of a connection from an address, if the address is listed.
 func (b *busiestAddresses) reject(p netip.Prefix) {
 	for i := range b.addresses {
 		if b.addresses[i].prefix == p {
--- a/internal/admission/conn.go
+++ b/internal/admission/conn.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// state is what a connection does.
+// state is the state of a connection.
 type state uint8
 
 const (
-	stateUnproven state = iota // no request of it was served yet
-	stateIdle                  // it was served, and is between two requests
-	stateBusy                  // a whole request is in flight, or a request has begun on one that was served
+	stateUnproven state = iota // no request on it has been served yet
+	stateIdle                  // a request on it was served, and no request is in flight
+	stateBusy                  // a whole request is in flight, or a proven connection has received part of a request
 )
 
 // conn is a connection that a ConnLimiter holds.
 type conn struct {
 	id              ID
 	state           state
-	since           time.Duration // when it entered its state, ended a request in it, or was last spared
-	known           bool          // it is held as a known client
-	proven          bool          // a request of it was served
-	bodyBytes       int64         // of its request
+	since           time.Duration // when it last entered its state, ended a request, or refused an eviction
+	known           bool          // counted as a connection of a known client
+	proven          bool          // a request on it was served
+	bodyBytes       int64         // body bytes of its request in flight
 	groups          [tierCount]*group
 	unprovenInGroup [tierCount]*list.Element // in group.unproven, while it is unproven
 	unprovenInAll   *list.Element            // in ConnLimiter.unproven, while it is unproven
 	idleElement     *list.Element            // in ConnLimiter.idle, while it is idle
 }
 
-// idleList returns the index of its list of idle connections.
+// idleList returns the index in ConnLimiter.idle of the list for this connection.
 func (c *conn) idleList() int {
 	if c.known {
 		return idleKnown
@@ -36,22 +36,24 @@
 	return idleUnknown
 }
 
-// RequestStarted records the first byte of a request. An unproven connection stays unproven: it proves nothing.
+// RequestStarted records that the first byte of a request was received. An unproven connection stays unproven, because
+// a first byte does not show that the client is legitimate.
 func (l *ConnLimiter) RequestStarted(now time.Duration, id ID) {
 	if c := l.conns[id]; c != nil && c.state == stateIdle {
 		l.setState(now, c, stateBusy)
 	}
 }
 
-// RequestReceived records the whole head of a request. The connection is not evicted before RequestDone.
+// RequestReceived records that the whole head of a request was received. The connection is not evicted before
+// RequestDone.
 func (l *ConnLimiter) RequestReceived(now time.Duration, id ID) {
 	if c := l.conns[id]; c != nil {
 		l.setState(now, c, stateBusy)
 	}
 }
 
-// AcquireBody counts bytes of the body of a connection's request, until RequestDone or Remove. It reports whether the
-// address may hold them; if not, nothing is counted.
+// AcquireBody reserves memory, in bytes, for the body of the request in flight on a connection, until RequestDone or
+// Remove. It reports whether the client's address may hold the bytes; if not, nothing is reserved.
 func (l *ConnLimiter) AcquireBody(now time.Duration, id ID, bytes int64) bool {
 	c := l.conns[id]
 	if c == nil || bytes <= 0 {
@@ -60,8 +62,8 @@
 	if l.bodyLimited(c, bytes) {
 		for i, g := range c.groups {
 			t := l.tiers[i]
-			part := l.settings.MaxBodyPart * float64(l.settings.MaxBodyBytes) * t.factor
-			if float64(g.bodyBytes+bytes) > part+BytesPerServedRequest*t.served(now, g) {
+			share := l.settings.MaxBodyPart * float64(l.settings.MaxBodyBytes) * t.factor
+			if float64(g.bodyBytes+bytes) > share+BytesPerServedRequest*t.served(now, g) {
 				l.counts.BodyRejections++
 				return false
 			}
@@ -71,8 +73,9 @@
 	return true
 }
 
-// bodyLimited reports whether the bytes of an address are limited: they are scarce, and the address holds some. An
-// address that holds none may always have one body, however long; otherwise a long one could never pass.
+// bodyLimited reports whether the bytes of an address are limited: bytes are scarce, and the address already holds
+// some. An address that holds none may always hold one body of any length; otherwise a long body could never be
+// accepted.
 func (l *ConnLimiter) bodyLimited(c *conn, bytes int64) bool {
 	host := c.groups[hostTier]
 	if host.listed || host.bodyBytes == 0 || l.settings.MaxBodyBytes == 0 {
@@ -82,7 +85,7 @@
 	return total-float64(l.bodyBytes+bytes) < l.settings.ScarceBelow*total
 }
 
-// addBody changes how many bytes a connection holds.
+// addBody adds body bytes to the counts of a connection, its groups and the limiter; a negative number releases bytes.
 func (l *ConnLimiter) addBody(c *conn, bytes int64) {
 	l.bodyBytes += bytes
 	c.bodyBytes += bytes
@@ -91,7 +94,8 @@
 	}
 }
 
-// RequestDone records the end of a request. Only one that was served earns credit and proves the connection.
+// RequestDone records the end of a request and releases its body bytes. Only a request that was served earns credit for
+// the address and proves the connection.
 func (l *ConnLimiter) RequestDone(now time.Duration, id ID, served bool) {
 	c := l.conns[id]
 	if c == nil {
@@ -117,11 +121,11 @@
 	}
 }
 
-// setState moves a connection to a state, and into the lists of that state.
+// setState changes the state of a connection, and moves it to the eviction lists of that state.
 func (l *ConnLimiter) setState(now time.Duration, c *conn, s state) {
 	c.since = now
 	if c.state == s {
-		if s == stateIdle && c.idleElement == nil { // it has become a known client's
+		if s == stateIdle && c.idleElement == nil { // RequestDone removed it from the list of unknown clients
 			c.idleElement = l.idle[c.idleList()].PushBack(c)
 		}
 		return
@@ -140,7 +144,7 @@
 	}
 }
 
-// removeFromIdle takes a connection out of its list of idle ones.
+// removeFromIdle removes a connection from its list of idle connections, if it is in one.
 func (l *ConnLimiter) removeFromIdle(c *conn) {
 	if c.idleElement != nil {
 		l.idle[c.idleList()].Remove(c.idleElement)
@@ -148,7 +152,7 @@
 	}
 }
 
-// removeFromLists takes a connection out of all lists of candidates for eviction.
+// removeFromLists removes a connection from all lists of eviction candidates.
 func (l *ConnLimiter) removeFromLists(now time.Duration, c *conn) {
 	l.removeFromIdle(c)
 	if c.unprovenInAll != nil {
--- a/internal/admission/connlimiter.go
+++ b/internal/admission/connlimiter.go
@@ -17,12 +17,12 @@
 
 // Indexes of the lists of idle connections.
 const (
-	idleUnknown = iota // of clients that are not known
-	idleKnown
+	idleUnknown = iota // connections of clients that are not known
+	idleKnown          // connections of known clients
 	idleListCount
 )
 
-// Prefix lengths, in bits, of an address and of its network.
+// Prefix lengths in bits: an address (host) and its network, for IPv4 and IPv6.
 const (
 	hostBits4    = 32
 	hostBits6    = 64
@@ -31,40 +31,41 @@
 )
 
 const (
-	// refreshInterval is how often the excess of all groups is recomputed, because credit decays without an event.
+	// refreshInterval is the minimum time between two recomputations of the excess of all groups. Credit decays even
+	// when no event recomputes it.
 	refreshInterval = time.Second
-	// connRatePerServedRequest is how many new connections per second an address may open for each request served of
-	// late, beside Settings.MaxConnRate: many good clients may share one address with a flooder.
+	// connRatePerServedRequest is the rate of new connections, per second, that an address may open for each recently
+	// served request, in addition to Settings.MaxConnRate: many legitimate clients may share an address with a flooder.
 	connRatePerServedRequest = 10
 )
 
-// ConnLimiter decides which connections a process holds. It is not safe for concurrent use.
+// ConnLimiter decides which connections a process admits and evicts. It is not safe for concurrent use.
 type ConnLimiter struct {
 	settings    Settings
 	tiers       [tierCount]*tier
-	rates       *sketch // new connections, by prefix
+	rates       *sketch // decaying counts of new connections, by prefix
 	conns       map[ID]*conn
 	lastID      ID
-	bodyBytes   int64                          // of all requests in flight
-	known       int                            // connections that are held as known clients
-	idle        [idleListCount]list.List       // of *conn, ordered by when they became idle
-	unproven    list.List                      // of *conn, in the order in which they became unproven
-	blocks      map[netip.Prefix]time.Duration // when each block ends
+	bodyBytes   int64                          // body bytes of all requests in flight
+	known       int                            // connections that count as known clients'
+	idle        [idleListCount]list.List       // of *conn, the longest idle first
+	unproven    list.List                      // of *conn, the longest unproven first
+	blocks      map[netip.Prefix]time.Duration // the time at which each block ends
 	refreshedAt time.Duration
 	busiest     busiestAddresses
 	counts      Counts
 }
 
-// Counts are the events of a ConnLimiter since it was created.
+// Counts holds the number of events of each kind since a ConnLimiter was created.
 type Counts struct {
 	Arrived        int64
 	Admitted       int64
-	Rejected       [reasonCount]int64 // by reason; Evicted counts evictions
-	BodyRejections int64              // requests whose address may hold no more bytes
-	Spared         int64              // connections that were to be evicted and had bytes to be read
+	Rejected       [reasonCount]int64 // by reason; the entry of Evicted counts evictions
+	BodyRejections int64              // AcquireBody calls rejected because the address may hold no more bytes
+	Spared         int64              // evictions refused because the connection had unread bytes
 }
 
-// New returns a limiter without connections. Its error names each invalid setting.
+// New returns a limiter without connections. The error names each invalid setting by its key.
 func New(s Settings) (*ConnLimiter, error) {
 	l := &ConnLimiter{
 		tiers: [tierCount]*tier{
@@ -81,8 +82,9 @@
 	return l, nil
 }
 
-// Reconfigure sets other settings, but for the seed. It keeps the connections that it holds; with more than MaxConns
-// it admits none until enough were removed. On an error, which names each invalid setting, nothing changes.
+// Reconfigure replaces the settings, except that the seed of New stays in use. Open connections stay open; if there are
+// more than the new MaxConns, no connection is admitted until enough are removed. On an error nothing changes; the
+// error names each invalid setting by its key.
 func (l *ConnLimiter) Reconfigure(now time.Duration, s Settings) error {
 	if err := s.Validate(); err != nil {
 		return fmt.Errorf("admission: %w", err)
@@ -92,7 +94,7 @@
 	for i, t := range l.tiers {
 		t.halfLife = s.HalfLife
 		t.maxCredit = float64(s.MaxCredit) * t.factor
-		t.maxResting = s.MaxTracked
+		t.maxUnconnected = s.MaxTracked
 		for _, g := range t.groups {
 			g.listed = i == hostTier && slices.ContainsFunc(s.KnownPrefixes, g.prefix.Overlaps)
 		}
@@ -107,13 +109,14 @@
 	return slices.ContainsFunc(l.settings.KnownPrefixes, func(p netip.Prefix) bool { return p.Contains(address) })
 }
 
-// Usage returns how many connections are held, and how many of them as known clients.
+// Usage returns the number of open connections, and how many of them count as known clients'.
 func (l *ConnLimiter) Usage() (all, known int) { return len(l.conns), l.known }
 
-// Arrive decides on a connection from an address. If the verdict names a connection to evict, nothing is held yet: the
-// caller closes that connection, reports it by Remove or EvictionRefused, and calls Arrive with again set. Such a
-// further call is not counted as another arrival, neither in Counts nor for the rate.
-func (l *ConnLimiter) Arrive(now time.Duration, address netip.Addr, again bool) Verdict {
+// Arrive decides on a new connection from an address. If the verdict names a connection to evict, the new connection
+// is not admitted yet: the caller tries to close the named connection, reports the result by Remove or
+// EvictionRefused, and calls Arrive with repeated set. A repeated call does not count as another arrival, neither in
+// Counts nor for the rate.
+func (l *ConnLimiter) Arrive(now time.Duration, address netip.Addr, repeated bool) Verdict {
 	if now-l.refreshedAt >= refreshInterval {
 		l.refreshedAt = now
 		for _, t := range l.tiers {
@@ -121,7 +124,7 @@
 		}
 	}
 	prefixes := l.prefixes(address)
-	if !again {
+	if !repeated {
 		l.counts.Arrived++
 	}
 	if l.Blocked(now, address) {
@@ -129,7 +132,7 @@
 	}
 	free := l.settings.MaxConns - len(l.conns)
 	reserved := l.reservedFree()
-	if !again {
+	if !repeated {
 		rates := l.countArrival(now, prefixes)
 		scarce := float64(free-reserved) < l.settings.ScarceBelow*float64(l.settings.MaxConns)
 		if scarce && !l.isListed(address) && l.exceedsRate(now, prefixes, rates) {
@@ -146,7 +149,7 @@
 	return l.reject(prefixes, NoCapacity)
 }
 
-// prefixes returns an address and its network, by tier.
+// prefixes returns the prefixes of an address and its network, indexed by tier.
 func (l *ConnLimiter) prefixes(address netip.Addr) [tierCount]netip.Prefix {
 	var p [tierCount]netip.Prefix
 	for i, t := range l.tiers {
@@ -155,7 +158,7 @@
 	return p
 }
 
-// countArrival counts a new connection, and returns the counts of its address and network with it.
+// countArrival counts a new connection, and returns the updated counts of its address and network, indexed by tier.
 func (l *ConnLimiter) countArrival(now time.Duration, prefixes [tierCount]netip.Prefix) [tierCount]float64 {
 	var counts [tierCount]float64
 	for i, p := range prefixes {
@@ -165,15 +168,15 @@
 	return counts
 }
 
-// reject counts a rejection.
-func (l *ConnLimiter) reject(prefixes [tierCount]netip.Prefix, why Reason) Verdict {
-	l.counts.Rejected[why]++
+// reject counts a rejected connection and returns the verdict for it.
+func (l *ConnLimiter) reject(prefixes [tierCount]netip.Prefix, reason Reason) Verdict {
+	l.counts.Rejected[reason]++
 	l.busiest.reject(prefixes[hostTier])
-	return Verdict{Reason: why}
+	return Verdict{Reason: reason}
 }
 
-// exceedsRate reports whether an address or its network opens more connections per second than it may. The error
-// bound of the estimate is in the client's favor.
+// exceedsRate reports whether an address or its network opens more connections per second than permitted. The counts
+// are estimates that may be too high, so their error bound is subtracted.
 func (l *ConnLimiter) exceedsRate(
 	now time.Duration, prefixes [tierCount]netip.Prefix, counts [tierCount]float64,
 ) bool {
@@ -191,8 +194,8 @@
 	return false
 }
 
-// isKnown reports whether one more connection from an address counts as a known client's: the address must have more
-// credit than unproven connections. Otherwise an address that was good once could flood the reserve.
+// isKnown reports whether a new connection from an address counts as a known client's. The address must also have more
+// credit than unproven connections: otherwise an address that once earned credit could fill the reserve with a flood.
 func (l *ConnLimiter) isKnown(now time.Duration, address netip.Addr) bool {
 	t := l.tiers[hostTier]
 	g := t.groups[t.prefix(address)]
@@ -203,12 +206,12 @@
 	return (g.listed || t.served(now, g) >= KnownThreshold) && credit > float64(g.unproven.Len())
 }
 
-// reservedFree returns how many of the free connections are reserved for known clients.
+// reservedFree returns how many more connections are reserved for known clients.
 func (l *ConnLimiter) reservedFree() int {
 	return max(0, int(l.settings.KnownReserve*float64(l.settings.MaxConns))-l.known)
 }
 
-// admit holds a new connection, as unproven.
+// admit adds a new connection in the unproven state, and returns its ID.
 func (l *ConnLimiter) admit(
 	now time.Duration, address netip.Addr, prefixes [tierCount]netip.Prefix, known bool,
 ) ID {
@@ -229,7 +232,8 @@
 	return c.id
 }
 
-// Remove ends a connection that is closed, for whatever reason; evicted says that it made room for another.
+// Remove removes a connection that was closed, for any reason; evicted says that it was closed because a verdict named
+// it for eviction. An unknown ID is ignored.
 func (l *ConnLimiter) Remove(now time.Duration, id ID, evicted bool) {
 	c := l.conns[id]
 	if c == nil {
--- a/internal/admission/eviction.go
+++ b/internal/admission/eviction.go
@@ -3,33 +3,34 @@
 import "time"
 
 const (
-	// graceExcess is how many unproven connections beyond its credit deny an address the grace period. Otherwise a
-	// flood so fast that all of its connections are within the grace period would hold all connections.
+	// graceExcess is the excess above which the unproven connections of an address or network lose the grace period.
+	// Otherwise a flood so fast that all of its connections are within the grace period would hold all connections.
 	graceExcess = 8
-	// unprovenDivisor sets the part of all connections, one in so many, that unproven connections have before they
-	// evict each other; below it they evict idle connections of unknown clients.
+	// unprovenDivisor defines the share of unproven connections: MaxConns/unprovenDivisor. Below this share, a new
+	// connection evicts an idle connection of an unknown client instead of an unproven one.
 	unprovenDivisor = 8
 )
 
-// victim returns the connection to evict for one that arrives, or nil. In this order it is:
+// victim returns the connection to evict for a new connection, or nil if none may be evicted; known says whether the
+// new connection is a known client's. The victim is the first of:
 //
-//  1. an unproven connection of the group with the most of them beyond its credit, or the oldest of all while that
-//     group's are within the grace period,
-//  2. the unknown client's connection that is idle for longest,
-//  3. only for a known client: an unproven connection that is past the grace period, then the known client's
-//     connection that is idle for longest.
+//  1. the oldest unproven connection of the group with the most unproven connections beyond its credit; while the
+//     connections of that group are within the grace period, the oldest unproven connection of all,
+//  2. the connection of an unknown client that has been idle for longest,
+//  3. only for a known client: an unproven connection past its grace period, then the connection of a known client that
+//     has been idle for longest.
 func (l *ConnLimiter) victim(now time.Duration, known bool) *conn {
-	if worst := l.worstGroup(); worst != nil {
-		oldest := worst.oldestUnproven()
-		if l.pastGrace(now, oldest) || worst.excess > graceExcess {
+	if g := l.maxExcessGroup(); g != nil {
+		oldest := g.oldestUnproven()
+		if l.pastGrace(now, oldest) || g.excess > graceExcess {
 			return oldest
 		}
-		// Otherwise idle connections could hold nearly everything while new ones evict each other before they can
-		// be served.
-		first := l.unproven.Front().Value.(*conn)
+		// Below their share, new connections evict idle ones instead. Otherwise idle connections could occupy nearly
+		// all capacity while new connections evict each other before they can be served.
+		oldestOfAll := l.unproven.Front().Value.(*conn)
 		unprovenHaveShare := l.unproven.Len() >= l.settings.MaxConns/unprovenDivisor
-		if l.pastGrace(now, first) || unprovenHaveShare || l.idle[idleUnknown].Len() == 0 {
-			return first
+		if l.pastGrace(now, oldestOfAll) || unprovenHaveShare || l.idle[idleUnknown].Len() == 0 {
+			return oldestOfAll
 		}
 	}
 	if e := l.idle[idleUnknown].Front(); e != nil {
@@ -38,7 +39,7 @@
 	if !known {
 		return nil
 	}
-	if g := l.tiers[hostTier].worst(); g != nil {
+	if g := l.tiers[hostTier].maxExcessGroup(); g != nil {
 		if oldest := g.oldestUnproven(); l.pastGrace(now, oldest) {
 			return oldest
 		}
@@ -49,24 +50,24 @@
 	return nil
 }
 
-// worstGroup returns the address or network with the most unproven connections beyond its credit; nil if none has any.
-func (l *ConnLimiter) worstGroup() *group {
-	var worst *group
+// maxExcessGroup returns the address or network with the greatest excess above 0, or nil if there is none.
+func (l *ConnLimiter) maxExcessGroup() *group {
+	var greatest *group
 	for _, t := range l.tiers {
-		if g := t.worst(); g != nil && g.excess > 0 && (worst == nil || g.excess > worst.excess) {
-			worst = g
+		if g := t.maxExcessGroup(); g != nil && g.excess > 0 && (greatest == nil || g.excess > greatest.excess) {
+			greatest = g
 		}
 	}
-	return worst
+	return greatest
 }
 
-// pastGrace reports whether an unproven connection may be evicted while another is older.
+// pastGrace reports whether the grace period of an unproven connection has ended.
 func (l *ConnLimiter) pastGrace(now time.Duration, c *conn) bool {
 	return now-c.since >= l.settings.GracePeriod
 }
 
-// EvictionRefused records that the connection of a verdict's Evict was not closed, because it has bytes to be read. It
-// becomes the last candidate of its lists.
+// EvictionRefused records that the connection named by Verdict.Evict was not closed because it has unread bytes. It
+// moves to the end of its eviction lists.
 func (l *ConnLimiter) EvictionRefused(now time.Duration, id ID) {
 	c := l.conns[id]
 	if c == nil {
--- a/internal/admission/flood_test.go
+++ b/internal/admission/flood_test.go
@@ -8,143 +8,150 @@
 	"time"
 )
 
-// honest is a client that sends a request 5 ms after it connected, and more on the same connection.
-type honest struct {
-	addr  netip.Addr
-	think time.Duration
-	next  time.Duration
-	id    ID
-	stage stage
+// legitimateClient simulates a client that sends a request 5 ms after it connected, and further requests on the same
+// connection.
+type legitimateClient struct {
+	addr      netip.Addr
+	thinkTime time.Duration // between an answer and the next request, or between two connection attempts
+	nextEvent time.Duration // when the client acts again
+	id        ID            // of its connection; 0 while disconnected
+	stage     clientStage
 
-	attempts, lost int
-	reasons        map[Reason]int // of the lost ones
+	requests, lost int
+	lossReasons    map[Reason]int // number of lost requests by reason
 }
 
-// stage is what an honest client does.
-type stage int
+// clientStage is the stage of a simulated client in its life cycle.
+type clientStage int
 
 const (
-	away stage = iota
+	disconnected clientStage = iota
 	connected
 	requesting
 	idle
 )
 
-// play runs honest clients beside a flood for some time, in steps of a millisecond. Flooders' connections never send a
-// whole request.
-func play(l *ConnLimiter, clients []*honest, flood func(now time.Duration) []netip.Addr, span time.Duration) {
-	byID := map[ID]*honest{}
-	evicted := func(id ID) {
-		if h := byID[id]; h != nil {
-			if h.stage == connected { // before it could send a request
-				h.lost++
-				h.reasons[Evicted]++
+// simulateFlood runs legitimate clients and a flood for a duration, in steps of a millisecond. flood returns the
+// addresses that connect in a step; their connections never send a whole request.
+func simulateFlood(
+	l *ConnLimiter, clients []*legitimateClient, flood func(now time.Duration) []netip.Addr, duration time.Duration,
+) {
+	byID := map[ID]*legitimateClient{}
+	onEvict := func(id ID) {
+		if c := byID[id]; c != nil {
+			if c.stage == connected { // evicted before it could send its request
+				c.lost++
+				c.lossReasons[Evicted]++
 			}
-			h.id, h.stage = 0, away
+			c.id, c.stage = 0, disconnected
 			delete(byID, id)
 		}
 	}
-	for now := time.Duration(0); now < span; now += ms {
+	for now := time.Duration(0); now < duration; now += ms {
 		if flood != nil {
 			for _, a := range flood(now) {
-				connect(l, now, a, evicted, nil)
+				connect(l, now, a, onEvict, nil)
 			}
 		}
-		for _, h := range clients {
-			if now < h.next {
+		for _, c := range clients {
+			if now < c.nextEvent {
 				continue
 			}
-			switch h.stage {
-			case away:
-				h.attempts++
-				id, reason := connect(l, now, h.addr, evicted, nil)
+			switch c.stage {
+			case disconnected:
+				c.requests++
+				id, reason := connect(l, now, c.addr, onEvict, nil)
 				if id == 0 {
-					h.lost++
-					h.reasons[reason]++
-					h.next = now + h.think
+					c.lost++
+					c.lossReasons[reason]++
+					c.nextEvent = now + c.thinkTime
 					continue
 				}
-				h.id = id
-				byID[id] = h
-				h.stage, h.next = connected, now+5*ms
+				c.id = id
+				byID[id] = c
+				c.stage, c.nextEvent = connected, now+5*ms
 			case connected, idle:
-				if h.stage == idle {
-					h.attempts++
+				if c.stage == idle {
+					c.requests++
 				}
-				l.RequestStarted(now, h.id)
-				l.RequestReceived(now, h.id)
-				h.stage, h.next = requesting, now+30*ms
+				l.RequestStarted(now, c.id)
+				l.RequestReceived(now, c.id)
+				c.stage, c.nextEvent = requesting, now+30*ms
 			case requesting:
-				l.RequestDone(now, h.id, true)
-				h.stage, h.next = idle, now+h.think
+				l.RequestDone(now, c.id, true)
+				c.stage, c.nextEvent = idle, now+c.thinkTime
 			}
 		}
 	}
 }
 
-func clients(n int, addr func(i int) netip.Addr, think time.Duration) []*honest {
-	var out []*honest
+// newClients returns n clients whose first requests are spread evenly over one think time.
+func newClients(n int, addr func(i int) netip.Addr, thinkTime time.Duration) []*legitimateClient {
+	var clients []*legitimateClient
 	for i := range n {
-		out = append(out, &honest{
-			addr:    addr(i),
-			think:   think,
-			next:    time.Duration(i) * think / time.Duration(n),
-			reasons: map[Reason]int{},
+		clients = append(clients, &legitimateClient{
+			addr:        addr(i),
+			thinkTime:   thinkTime,
+			nextEvent:   time.Duration(i) * thinkTime / time.Duration(n),
+			lossReasons: map[Reason]int{},
 		})
 	}
-	return out
+	return clients
 }
 
-// lost returns the part of the clients' requests that were lost, and their reasons.
-func lost(all []*honest) (part float64, reasons map[Reason]int) {
+// lossRatio returns the ratio of lost requests to all requests of the clients, and the number of lost requests by
+// reason.
+func lossRatio(clients []*legitimateClient) (ratio float64, reasons map[Reason]int) {
 	reasons = map[Reason]int{}
-	attempts, lost := 0, 0
-	for _, h := range all {
-		attempts += h.attempts
-		lost += h.lost
-		for r, n := range h.reasons {
+	requests, lost := 0, 0
+	for _, c := range clients {
+		requests += c.requests
+		lost += c.lost
+		for r, n := range c.lossReasons {
 			reasons[r] += n
 		}
 	}
-	return float64(lost) / float64(max(1, attempts)), reasons
+	return float64(lost) / float64(max(1, requests)), reasons
 }
 
-// Floods of every shape leave honest clients their connections: those that keep them, those that connect anew, and
-// many behind one address.
+// During a connection flood, legitimate clients can still connect and keep their connections: clients that keep a
+// connection open, clients that reconnect, and many clients that share one address.
 func TestFloods(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		name  string
 		flood func(now time.Duration) []netip.Addr
 	}{
-		{"one address, 6,000 a second", func(time.Duration) []netip.Addr {
+		{"6000 connections per second from one address", func(time.Duration) []netip.Addr {
 			return slices.Repeat([]netip.Addr{ip(10, 0, 0, 1)}, 6)
 		}},
-		{"a thousand addresses of four nets", func(now time.Duration) []netip.Addr {
+		{"1000 addresses in four networks", func(now time.Duration) []netip.Addr {
 			i := int(now / ms)
 			return []netip.Addr{ip(10, 0, i%4, i%250), ip(10, 0, i%4, (i+125)%250)}
 		}},
-		{"each from an address of its own", func(time.Duration) []netip.Addr {
-			drawn := func() netip.Addr { return ip(11, rng.IntN(256), rng.IntN(256), rng.IntN(256)) }
-			return []netip.Addr{drawn(), drawn()}
+		{"a random address for each connection", func(time.Duration) []netip.Addr {
+			randomAddr := func() netip.Addr { return ip(11, rng.IntN(256), rng.IntN(256), rng.IntN(256)) }
+			return []netip.Addr{randomAddr(), randomAddr()}
 		}},
-		{"from behind the same address as honest ones", func(time.Duration) []netip.Addr {
+		{"an address shared with legitimate clients", func(time.Duration) []netip.Addr {
 			return []netip.Addr{ip(172, 16, 0, 1), ip(172, 16, 0, 1)}
 		}},
 	} {
-		t.Run(k.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			l := newConnLimiter(t, Defaults(200))
-			all := clients(60, func(i int) netip.Addr { return ip(192, 168, i, 1) }, 400*ms)
-			shared := clients(60, func(int) netip.Addr { return ip(172, 16, 0, 1) }, 400*ms)
-			play(l, append(all, shared...), k.flood, 4*time.Second)
-			if part, reasons := lost(all); part > 0 {
-				t.Errorf("honest clients lost %.1f %%: %v", 100*part, reasons)
+			separate := newClients(60, func(i int) netip.Addr { return ip(192, 168, i, 1) }, 400*ms)
+			shared := newClients(60, func(int) netip.Addr { return ip(172, 16, 0, 1) }, 400*ms)
+			simulateFlood(l, append(separate, shared...), tc.flood, 4*time.Second)
+			if ratio, reasons := lossRatio(separate); ratio > 0 {
+				t.Errorf("clients with an address each lost %.1f %% of requests, want none; lost by reason: %v",
+					100*ratio, reasons)
 			}
-			if part, reasons := lost(shared); part > 0.03 {
-				t.Errorf("those behind one address lost %.1f %%: %v", 100*part, reasons)
+			if ratio, reasons := lossRatio(shared); ratio > 0.03 {
+				t.Errorf("clients behind one address lost %.1f %% of requests, want at most 3 %%; lost by reason: %v",
+					100*ratio, reasons)
 			}
 			if open, _ := l.Usage(); open > 200 {
-				t.Errorf("%d connections of at most 200", open)
+				t.Errorf("Usage: %d open connections, want at most 200", open)
 			}
 		})
 	}
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Any sequence of events keeps the invariants of ConnLimiter.
+// Random sequences of events must keep the invariants of ConnLimiter that the package comment lists.
 func TestConnLimiterInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Defaults(rapid.IntRange(1, 40).Draw(t, "connections"))
@@ -19,11 +19,11 @@
 		s.KnownPrefixes = []netip.Prefix{netip.MustParsePrefix("10.0.9.0/24")}
 		l, err := New(s)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New(%+v): %v", s, err)
 		}
 		type modelConn struct {
-			busy    bool
-			arrived time.Duration
+			busy       bool
+			graceSince time.Duration // when its grace period started
 		}
 		open := map[ID]*modelConn{}
 		var ids []ID
@@ -34,17 +34,17 @@
 			if rng.IntN(50) == 0 {
 				now += time.Minute
 			}
-			pick := func() (ID, *modelConn) {
+			randomConn := func() (ID, *modelConn) {
 				if len(ids) == 0 {
 					return 0, nil
 				}
 				id := ids[rng.IntN(len(ids))]
 				return id, open[id]
 			}
-			drop := func(id ID) {
+			forget := func(id ID) {
 				delete(open, id)
-				for i, o := range ids {
-					if o == id {
+				for i, other := range ids {
+					if other == id {
 						ids = append(ids[:i], ids[i+1:]...)
 						return
 					}
@@ -58,71 +58,75 @@
 				}
 				_, known := l.Usage()
 				free := s.MaxConns - len(open)
-				isKnown := l.isKnown(now, a)
-				evictions, refusedAny := 0, false
-				excess := 0.0
+				addressKnown := l.isKnown(now, a)
+				evictions, anyRefused := 0, false
+				maxExcess := 0.0
 				for _, tier := range l.tiers {
 					tier.refresh(now)
-					if g := tier.worst(); g != nil {
-						excess = max(excess, g.excess)
+					if g := tier.maxExcessGroup(); g != nil {
+						maxExcess = max(maxExcess, g.excess)
 					}
 				}
-				oldest := time.Duration(0)
+				oldestAge := time.Duration(0) // of an unproven connection
 				if e := l.unproven.Front(); e != nil {
-					oldest = now - e.Value.(*conn).since
+					oldestAge = now - e.Value.(*conn).since
 				}
 				id, reason := connect(l, now, a, func(id ID) {
 					evictions++
 					c := open[id]
 					switch {
 					case c == nil:
-						t.Fatal("the victim is not held")
+						t.Fatalf("Arrive evicts connection %d, which is not open", id)
 					case c.busy:
-						t.Fatal("a connection with a request in flight was evicted")
+						t.Fatalf("Arrive evicts connection %d, which has a request in flight", id)
 					}
-					inGrace := now-c.arrived < s.GracePeriod && excess <= graceExcess
-					if inGrace && oldest >= s.GracePeriod && evictions == 1 && !refusedAny {
-						t.Fatal("a connection was evicted within its grace period, and another was older")
+					inGrace := now-c.graceSince < s.GracePeriod && maxExcess <= graceExcess
+					if inGrace && oldestAge >= s.GracePeriod && evictions == 1 && !anyRefused {
+						t.Fatalf("Arrive evicts connection %d of age %v (grace period %v) before one of age %v",
+							id, now-c.graceSince, s.GracePeriod, oldestAge)
 					}
-					drop(id)
+					forget(id)
 				}, func(ID) bool {
 					refuse := rng.IntN(4) == 0
-					refusedAny = refusedAny || refuse
+					anyRefused = anyRefused || refuse
 					return refuse
 				})
 				reserve := int(s.KnownReserve * float64(s.MaxConns))
 				reserved := max(0, reserve-known)
 				switch {
-				case id == 0 && isKnown && known < reserve:
-					t.Fatalf("a known client was rejected (%v) with %d known ones of a reserve of %v of %d",
-						reason, known, s.KnownReserve, s.MaxConns)
+				case id == 0 && addressKnown && known < reserve:
+					t.Fatalf("Arrive of a known client: rejected with reason %v, want admitted: "+
+						"known clients hold %d connections, and %d of %d are reserved for them",
+						reason, known, reserve, s.MaxConns)
 				case id == 0 && free > reserved:
-					t.Fatalf("rejected (%v) with %d free and %d reserved for known clients", reason, free, reserved)
+					t.Fatalf("Arrive: rejected with reason %v, want admitted: "+
+						"%d connections are free, %d of them reserved for known clients", reason, free, reserved)
 				case evictions > 0 && free > reserved:
-					t.Fatal("a connection was evicted with capacity left")
+					t.Fatalf("Arrive evicted %d connections, want 0: "+
+						"%d connections are free, %d of them reserved for known clients", evictions, free, reserved)
 				case id != 0:
 					if open[id] != nil {
-						t.Fatal("an ID was given twice")
+						t.Fatalf("Arrive admitted a connection with ID %d, which an open connection has", id)
 					}
-					open[id] = &modelConn{arrived: now}
+					open[id] = &modelConn{graceSince: now}
 					ids = append(ids, id)
 				}
 			case 4:
-				if id, c := pick(); c != nil {
+				if id, c := randomConn(); c != nil {
 					l.RequestStarted(now, id)
 					l.RequestReceived(now, id)
 					c.busy = true
 				}
 			case 5, 6:
-				if id, c := pick(); c != nil && c.busy {
+				if id, c := randomConn(); c != nil && c.busy {
 					l.RequestDone(now, id, rng.IntN(4) > 0)
 					c.busy = false
-					c.arrived = now - s.GracePeriod // only new connections have one
+					c.graceSince = now - s.GracePeriod // a finished request ends the grace period
 				}
 			case 7:
-				if id, c := pick(); c != nil {
+				if id, c := randomConn(); c != nil {
 					l.Remove(now, id, false)
-					drop(id)
+					forget(id)
 				}
 			default:
 				l.Remove(now, ID(rng.IntN(1000)+100000), false) // unknown IDs change nothing
@@ -130,23 +134,27 @@
 			}
 			all, known := l.Usage()
 			if all != len(open) || all > s.MaxConns || known > all {
-				t.Fatalf("%d open, %d known, %d by the test's count, %d at most", all, known, len(open), s.MaxConns)
+				t.Fatalf("Usage = %d connections, %d known; want %d connections (MaxConns %d), and no more known ones",
+					all, known, len(open), s.MaxConns)
 			}
 		}
 		for _, id := range ids {
 			l.Remove(now, id, false)
 		}
 		for i, tier := range l.tiers {
-			inHeap, groups, resting := len(tier.byExcess), len(tier.groups), tier.resting.Len()
-			if inHeap != 0 || groups != resting || resting > s.MaxTracked {
-				t.Fatalf("tier %d: without connections %d in the heap, %d groups, %d resting of %d",
-					i, inHeap, groups, resting, s.MaxTracked)
+			inHeap, groups, unconnected := len(tier.byExcess), len(tier.groups), tier.unconnected.Len()
+			if inHeap != 0 || groups != unconnected || unconnected > s.MaxTracked {
+				t.Fatalf("tier %d after all connections were removed: %d groups in the heap, want 0; "+
+					"%d groups of which %d are in the unconnected list, want all, and at most MaxTracked %d",
+					i, inHeap, groups, unconnected, s.MaxTracked)
 			}
 		}
 		all, known := l.Usage()
 		idleUnknown, idleKnown := l.idle[idleUnknown].Len(), l.idle[idleKnown].Len()
 		if all != 0 || known != 0 || idleUnknown+idleKnown+l.unproven.Len() != 0 {
-			t.Fatalf("connections leak: %d, %d, idle %d and %d", all, known, idleUnknown, idleKnown)
+			t.Fatalf("after all connections were removed: %d connections, %d known, %d idle of unknown clients, "+
+				"%d idle of known clients, %d unproven, want 0 of each",
+				all, known, idleUnknown, idleKnown, l.unproven.Len())
 		}
 	})
 }
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// AddressReport is the state of one address, as the admin protocol shows it.
+// AddressReport is the state of one address, as encoded in the admin protocol.
 type AddressReport struct {
 	Prefix   string  `json:"address"`
-	Open     int     `json:"open"` // connections
+	Open     int     `json:"open"` // open connections
 	Unproven int     `json:"unproven"`
 	Credit   float64 `json:"earned"`
-	Bytes    int64   `json:"bytes"`        // of bodies of requests in flight
-	Rate     float64 `json:"new_a_second"` // of new connections
-	Rejected int64   `json:"refused"`
+	Bytes    int64   `json:"bytes"`        // body bytes of requests in flight
+	Rate     float64 `json:"new_a_second"` // new connections per second
+	Rejected int64   `json:"refused"`      // connections rejected or evicted since the address was listed
 }
 
-// Report is the state of a ConnLimiter, as the admin protocol shows it.
+// Report is the state of a ConnLimiter, as encoded in the admin protocol.
 type Report struct {
 	MaxConns       int              `json:"places"`
 	Open           int              `json:"open"`
 	Known          int              `json:"known"`
 	Idle           int              `json:"waiting"`
-	Bytes          int64            `json:"bytes"` // of bodies of requests in flight
+	Bytes          int64            `json:"bytes"` // body bytes of requests in flight
 	BodyRejections int64            `json:"bytes_refused"`
 	Counts         Counts           `json:"-"`
-	Rejected       map[string]int64 `json:"refused"` // by the name of the reason
-	Blocks         map[string]int   `json:"blocks"`  // seconds left, by prefix
-	Top            []AddressReport  `json:"top"`     // by rate, the greatest first
+	Rejected       map[string]int64 `json:"refused"` // by Reason.String
+	Blocks         map[string]int   `json:"blocks"`  // remaining seconds, by prefix
+	Top            []AddressReport  `json:"top"`     // the busiest addresses, the highest rate first
 }
 
 // Report returns the limiter's state.
@@ -48,8 +48,8 @@
 	for reason := Blocked; reason < reasonCount; reason++ {
 		r.Rejected[reason.String()] = l.counts.Rejected[reason]
 	}
-	for p, left := range l.Blocks(now) {
-		r.Blocks[p.String()] = int(left / time.Second)
+	for p, remaining := range l.Blocks(now) {
+		r.Blocks[p.String()] = int(remaining / time.Second)
 	}
 	for _, a := range l.busiest.addresses {
 		r.Top = append(r.Top, l.reportAddress(now, a))
--- a/internal/admission/requestlimiter.go
+++ b/internal/admission/requestlimiter.go
@@ -10,57 +10,58 @@
 	"lapisspread/internal/processquota"
 )
 
-// maxRetryAfter is the longest RequestSettings.RetryAfter.
+// maxRetryAfter is the maximum of RequestSettings.RetryAfter.
 const maxRetryAfter = time.Hour
 
-// retryAfterStream separates the random numbers of RequestLimiter from others of the same seed.
+// retryAfterStream is the PCG stream of RequestLimiter; other users of the same seed have other streams.
 const retryAfterStream = 3
 
 // RequestSettings configure a RequestLimiter.
 type RequestSettings struct {
-	// MaxInFlight is the most requests in flight.
+	// MaxInFlight is the maximum number of requests in flight.
 	MaxInFlight int
-	// MaxTenantPart is the part of them that one tenant may have, 0 to 1; 0 is no bound but the gate's.
+	// MaxTenantPart is the share of the limit that one tenant may use, 0 to 1. With 0 only the gate limits tenants.
 	MaxTenantPart float64
-	// MaxPerConn is the most requests in flight of one connection; 0 is no bound.
+	// MaxPerConn is the maximum number of requests in flight per connection; 0 means unlimited.
 	MaxPerConn int
-	// Adaptive lowers the limit from MaxInFlight as latency rises, and raises it again.
+	// Adaptive lowers the limit below MaxInFlight while latency is high, and raises it again when latency falls.
 	Adaptive bool
-	// MinInFlight is the least limit if it is adaptive, 1 to MaxInFlight; else it is not used.
+	// MinInFlight is the lower bound of an adaptive limit, 1 to MaxInFlight; unused if Adaptive is false.
 	MinInFlight int
-	// RetryAfter is the least time after which rejected clients may retry. Each gets a random time up to twice as
-	// long, so that they do not retry in step.
+	// RetryAfter is the minimum time after which rejected clients may retry. Each client gets a random time between
+	// RetryAfter and twice that, so that clients do not retry at the same moment.
 	RetryAfter time.Duration
 }
 
-// Validate returns an error that names each invalid setting by its key in the file, or nil.
+// Validate returns an error that names each invalid setting by its key in the settings file, or nil.
 func (s *RequestSettings) Validate() error {
 	var errs validationErrors
 	errs.addIf(s.MaxInFlight < 1, "in_hand: %d must be above 0", s.MaxInFlight)
-	errs.addIf(!isRatio(s.MaxTenantPart), "per_tenant: %v is not within 0 and 1", s.MaxTenantPart)
+	errs.addIf(!isRatio(s.MaxTenantPart), "per_tenant: %v is not between 0 and 1", s.MaxTenantPart)
 	errs.addIf(s.MaxPerConn < 0, "per_connection: %d is negative", s.MaxPerConn)
 	errs.addIf(s.Adaptive && (s.MinInFlight < 1 || s.MinInFlight > s.MaxInFlight),
-		"least: %d is not within 1 and in_hand", s.MinInFlight)
+		"least: %d is not between 1 and in_hand", s.MinInFlight)
 	errs.addIf(s.RetryAfter <= 0 || s.RetryAfter > maxRetryAfter,
-		"retry_after: %v is not within 0s and 1h", s.RetryAfter)
+		"retry_after: %v is not above 0s and at most 1h", s.RetryAfter)
 	return errors.Join(errs...)
 }
 
-// RequestLimiter bounds the requests in flight of one service: of all, by tenant and by connection. While few more are
-// permitted, a processquota.Gate decides who gets them. It is not safe for concurrent use.
+// RequestLimiter bounds the requests in flight of one service: in total, per tenant and per connection. When the total
+// is close to the limit, a processquota.Gate decides which classes and tenants may use the remaining capacity. It is
+// not safe for concurrent use.
 type RequestLimiter struct {
 	settings      RequestSettings
 	gate          *processquota.Gate
 	rng           *rand.Rand
 	inFlight      int
 	tenants       []int   // requests in flight, by tenant
-	limit         float64 // of requests in flight; MaxInFlight unless it is adaptive
-	bestLatency   float64 // in seconds, rising slowly; 0 before the first answer
-	recentLatency float64 // in seconds
+	limit         float64 // of requests in flight; constantly MaxInFlight unless Adaptive is set
+	bestLatency   float64 // in seconds; lowest latency, raised slightly by each answer; 0 before the first
+	recentLatency float64 // in seconds; exponentially weighted average
 }
 
-// NewRequestLimiter returns a limiter for a number of tenants; without a gate every class and tenant gets the last
-// requests. Its error names each invalid setting.
+// NewRequestLimiter returns a limiter for a number of tenants. With a nil gate, all classes and tenants may use the
+// capacity up to the limit. The error names each invalid setting by its key.
 func NewRequestLimiter(
 	s RequestSettings, gate *processquota.Gate, tenants int, seed uint64,
 ) (*RequestLimiter, error) {
@@ -76,11 +77,11 @@
 	}, nil
 }
 
-// Acquire admits a request, which an empty reason says, or returns the reason and after how long the client may retry.
-// class and tenant are indexes of the service's classes and tenants; ofConn is how many requests the connection has in
-// flight. Release must follow for a request that was admitted.
-func (r *RequestLimiter) Acquire(class, tenant, ofConn int) (reason string, retryAfter time.Duration) {
-	if reason := r.rejection(class, tenant, ofConn); reason != "" {
+// Acquire admits a request and returns an empty reason, or rejects it and returns the reason and the time after which
+// the client may retry. class and tenant are indexes of the service's classes and tenants; connInFlight is the number
+// of requests in flight on the client's connection. The caller must call Release once for each admitted request.
+func (r *RequestLimiter) Acquire(class, tenant, connInFlight int) (reason string, retryAfter time.Duration) {
+	if reason := r.rejection(class, tenant, connInFlight); reason != "" {
 		return reason, r.retryAfter()
 	}
 	r.inFlight++
@@ -91,31 +92,32 @@
 	return "", 0
 }
 
-// rejection returns why a request is rejected; empty if it is not.
-func (r *RequestLimiter) rejection(class, tenant, ofConn int) string {
+// rejection returns the reason to reject a request, or "" if it may be admitted.
+func (r *RequestLimiter) rejection(class, tenant, connInFlight int) string {
 	s := &r.settings
 	limit := int(r.limit)
-	ofTenant := r.tenants[r.tenantIndex(tenant)]
+	tenantInFlight := r.tenants[r.tenantIndex(tenant)]
 	switch {
-	case s.MaxPerConn > 0 && ofConn >= s.MaxPerConn:
-		return "the connection has too many requests in hand"
-	case s.MaxTenantPart > 0 && float64(ofTenant+1) > max(1, s.MaxTenantPart*float64(limit)):
-		return "the tenant has too many requests in hand"
+	case s.MaxPerConn > 0 && connInFlight >= s.MaxPerConn:
+		return "the connection has too many requests in flight"
+	case s.MaxTenantPart > 0 && float64(tenantInFlight+1) > max(1, s.MaxTenantPart*float64(limit)):
+		return "the tenant has too many requests in flight"
 	case r.inFlight >= limit:
-		return "too many requests are in hand"
+		return "too many requests are in flight"
 	case r.gate != nil && !r.gate.Admits(int64(r.inFlight), int64(limit-r.inFlight), class, tenant):
-		return "the last places are kept for what is worth more, and for tenants that hold less"
+		return "the remaining capacity is reserved for higher priorities and for tenants with fewer requests in flight"
 	}
 	return ""
 }
 
-// retryAfter returns after how long a rejected client may retry.
+// retryAfter returns a random time, from RetryAfter to twice that, after which a rejected client may retry.
 func (r *RequestLimiter) retryAfter() time.Duration {
 	jitter := time.Duration(r.rng.Int64N(int64(r.settings.RetryAfter) + 1))
 	return r.settings.RetryAfter + jitter
 }
 
-// Release ends a request that Acquire admitted. latency is that of an answer that was served, 0 for any other end.
+// Release records the end of a request that Acquire admitted. latency is the time to its answer, or 0 if it ended
+// without one.
 func (r *RequestLimiter) Release(tenant int, latency time.Duration) {
 	if r.inFlight > 0 {
 		r.inFlight--
@@ -132,21 +134,22 @@
 }
 
 const (
-	// bestLatencyDrift is by which part an answer raises the best latency, which need not stay reachable.
+	// bestLatencyDrift is the ratio by which each answer raises the best latency, so that a best latency which the
+	// service can no longer reach is forgotten.
 	bestLatencyDrift = 2e-5
 	// latencySmoothing is the weight of one answer in the recent latency.
 	latencySmoothing = 0.05
-	// latencyTolerance is how many times the best latency the recent one may be before the limit falls.
+	// latencyTolerance is the ratio of recent to best latency above which the limit falls.
 	latencyTolerance = 1.5
 	// limitSmoothing is the weight of one answer in the limit.
 	limitSmoothing = 0.05
-	// minGradient bounds how fast the limit falls.
+	// minGradient is the lower bound of the gradient, which bounds how fast the limit falls.
 	minGradient = 0.5
 )
 
-// adapt moves the limit with the gradient of latency, in seconds, like Gradient2 of Netflix's concurrency-limits. While
-// the recent latency is within the tolerance of the best one, the limit rises by its square root; above it, the limit
-// falls in proportion.
+// adapt adjusts the limit to the latency of an answer, in seconds, like Gradient2 of Netflix's concurrency-limits.
+// While the ratio of recent to best latency is within latencyTolerance, the limit moves towards its value plus its
+// square root. Above the tolerance, the value in that sum is multiplied by latencyTolerance divided by the ratio.
 func (r *RequestLimiter) adapt(latency float64) {
 	if r.bestLatency == 0 {
 		r.bestLatency = latency
@@ -155,18 +158,18 @@
 	r.bestLatency = min(r.bestLatency*(1+bestLatencyDrift), latency)
 	r.recentLatency += (latency - r.recentLatency) * latencySmoothing
 	if float64(r.inFlight) < r.limit/2 && r.recentLatency <= latencyTolerance*r.bestLatency {
-		return // the limit holds nobody back
+		return // less than half of the limit is used, so it restricts no request
 	}
 	gradient := min(1, max(minGradient, latencyTolerance*r.bestLatency/r.recentLatency))
-	next := r.limit*gradient + math.Sqrt(r.limit)
-	smoothed := r.limit + (next-r.limit)*limitSmoothing
+	target := r.limit*gradient + math.Sqrt(r.limit)
+	smoothed := r.limit + (target-r.limit)*limitSmoothing
 	r.limit = min(float64(r.settings.MaxInFlight), max(float64(r.settings.MinInFlight), smoothed))
 }
 
-// Limit returns how many requests may be in flight now, and how many are.
+// Limit returns the current limit of requests in flight, and the number of requests in flight.
 func (r *RequestLimiter) Limit() (limit, inFlight int) { return int(r.limit), r.inFlight }
 
-// tenantIndex maps an unknown tenant to the first.
+// tenantIndex returns a tenant's index in r.tenants; an index out of range is counted as tenant 0.
 func (r *RequestLimiter) tenantIndex(tenant int) int {
 	if tenant < 0 || tenant >= len(r.tenants) {
 		return 0
--- a/internal/admission/requestlimiter_test.go
+++ b/internal/admission/requestlimiter_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestNewRequestLimiterRejectsInvalidSettings(t *testing.T) {
-	good := RequestSettings{MaxInFlight: 10, RetryAfter: time.Second}
+	valid := RequestSettings{MaxInFlight: 10, RetryAfter: time.Second}
 	for want, change := range map[string]func(*RequestSettings){
 		"in_hand":        func(s *RequestSettings) { s.MaxInFlight = 0 },
 		"per_tenant":     func(s *RequestSettings) { s.MaxTenantPart = 2 },
@@ -20,15 +20,16 @@
 		"least":          func(s *RequestSettings) { s.Adaptive, s.MinInFlight = true, 11 },
 		"retry_after":    func(s *RequestSettings) { s.RetryAfter = 0 },
 	} {
-		s := good
+		s := valid
 		change(&s)
 		if _, err := NewRequestLimiter(s, nil, 1, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("NewRequestLimiter with an invalid setting: error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
-// No bound is exceeded and nothing leaks. Rejected clients get different times to retry after.
+// Acquire exceeds no bound, and after all releases no request counts as in flight. Rejected clients get different
+// retry delays.
 func TestRequestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := RequestSettings{
@@ -40,56 +41,58 @@
 		classes := []processquota.GateClass{{PriorityWeight: 1, HoldTime: 1}, {PriorityWeight: 9, HoldTime: 1}}
 		gate, err := processquota.NewGate(classes, []float64{1, 2})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("NewGate: %v", err)
 		}
 		r, err := NewRequestLimiter(s, gate, 2, 1)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("NewRequestLimiter(%+v): %v", s, err)
 		}
-		var inFlight []int // tenants
-		waits := map[time.Duration]bool{}
+		var inFlight []int // the tenant of each request in flight
+		delays := map[time.Duration]bool{}
 		rejected := 0
 		for range 300 {
 			tenant := rapid.IntRange(0, 1).Draw(t, "tenant")
-			if len(inFlight) > 0 && rapid.IntRange(0, 2).Draw(t, "ends") == 0 {
+			if len(inFlight) > 0 && rapid.IntRange(0, 2).Draw(t, "request ends if 0") == 0 {
 				r.Release(inFlight[0], time.Millisecond)
 				inFlight = inFlight[1:]
 				continue
 			}
-			ofConn := rapid.IntRange(0, 4).Draw(t, "of the connection")
-			ofTenant := 0
+			connInFlight := rapid.IntRange(0, 4).Draw(t, "in flight on the connection")
+			tenantInFlight := 0
 			for _, other := range inFlight {
 				if other == tenant {
-					ofTenant++
+					tenantInFlight++
 				}
 			}
-			reason, retryAfter := r.Acquire(rapid.IntRange(0, 1).Draw(t, "class"), tenant, ofConn)
+			reason, retryAfter := r.Acquire(rapid.IntRange(0, 1).Draw(t, "class"), tenant, connInFlight)
 			if reason == "" {
 				overTotal := len(inFlight) >= s.MaxInFlight
-				overConn := s.MaxPerConn > 0 && ofConn >= s.MaxPerConn
-				maxOfTenant := max(1, s.MaxTenantPart*float64(s.MaxInFlight))
-				overTenant := s.MaxTenantPart > 0 && float64(ofTenant+1) > maxOfTenant
+				overConn := s.MaxPerConn > 0 && connInFlight >= s.MaxPerConn
+				maxPerTenant := max(1, s.MaxTenantPart*float64(s.MaxInFlight))
+				overTenant := s.MaxTenantPart > 0 && float64(tenantInFlight+1) > maxPerTenant
 				if overTotal || overConn || overTenant {
-					t.Fatalf("one more was admitted: %d in flight, %d of the tenant, %d of the connection",
-						len(inFlight), ofTenant, ofConn)
+					t.Fatalf("Acquire = admitted with %d in flight, %d of the tenant (maximum %.1f) and "+
+						"%d of the connection, want rejected; settings %+v", len(inFlight), tenantInFlight, maxPerTenant, connInFlight, s)
 				}
 				inFlight = append(inFlight, tenant)
 				continue
 			}
 			if retryAfter < s.RetryAfter || retryAfter > 2*s.RetryAfter {
-				t.Fatalf("retry after %v", retryAfter)
+				t.Fatalf("Acquire rejected a request with retry delay %v, want %v to %v",
+					retryAfter, s.RetryAfter, 2*s.RetryAfter)
 			}
-			waits[retryAfter] = true
+			delays[retryAfter] = true
 			rejected++
 		}
-		if rejected > 20 && len(waits) < rejected/2 {
-			t.Fatalf("%d were rejected, with %d different times", rejected, len(waits))
+		if rejected > 20 && len(delays) < rejected/2 {
+			t.Fatalf("%d rejected requests got %d different retry delays, want at least %d",
+				rejected, len(delays), rejected/2)
 		}
 		for _, tenant := range inFlight {
 			r.Release(tenant, 0)
 		}
 		if _, n := r.Limit(); n != 0 {
-			t.Fatalf("%d are still in flight", n)
+			t.Fatalf("Limit after all requests were released: %d in flight, want 0", n)
 		}
 	})
 }
@@ -99,11 +102,12 @@
 	s := RequestSettings{MaxInFlight: 400, Adaptive: true, MinInFlight: 4, RetryAfter: time.Second}
 	r, err := NewRequestLimiter(s, nil, 1, 1)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("NewRequestLimiter: %v", err)
 	}
 	rng := rand.New(rand.NewPCG(5, 6))
-	// The latency of the server is 20 ms up to its capacity, and in proportion to the requests in flight above it. Two
-	// requests arrive for each that ends.
+	// serve simulates a server and returns the limit at the end. The server's latency is 20 ms up to its capacity of
+	// concurrent requests, and grows in proportion to the requests in flight above it. In each round two requests
+	// arrive and one ends.
 	serve := func(capacity float64, rounds int) int {
 		inFlight := 0
 		for range rounds {
@@ -123,12 +127,12 @@
 		return limit
 	}
 	if limit := serve(40, 8000); limit < 30 || limit > 130 {
-		t.Errorf("a server of 40: the limit is %d", limit)
+		t.Errorf("limit for a server of capacity 40 is %d, want 30 to 130", limit)
 	}
 	if limit := serve(10, 8000); limit > 60 {
-		t.Errorf("a server that fell to 10: the limit is %d", limit)
+		t.Errorf("limit after the capacity fell to 10 is %d, want at most 60", limit)
 	}
 	if limit := serve(200, 20000); limit < 100 {
-		t.Errorf("a server of 200 again: the limit is %d", limit)
+		t.Errorf("limit after the capacity rose to 200 is %d, want at least 100", limit)
 	}
 }
--- a/internal/admission/sketch.go
+++ b/internal/admission/sketch.go
@@ -12,30 +12,31 @@
 	sketchRows     = 4
 	sketchWidth    = 8192 // cells per row, a power of two
 	sketchHalfLife = time.Second
-	// maxScale is the scale above which all cells are divided by it, before they leave the range of float32.
+	// maxScale is the value of sketch.scale from which all cells are divided by the scale, before they exceed the range
+	// of float32.
 	maxScale = 1 << 40
-	// maxDecayHalfLives bounds the exponent of one decay; after so many half-lives nothing is left.
+	// maxDecayHalfLives bounds the exponent of one decay; after that many half-lives all counts are practically 0.
 	maxDecayHalfLives = 120
-	// rowHashBits is by how many bits the hash is shifted for each row.
+	// rowHashBits is the number of bits by which the hash is shifted from row to row.
 	rowHashBits = 16
 )
 
 // sketch counts events of any number of keys in 128 kB: a count-min sketch with conservative update (Estan and
-// Varghese 2002; Cormode and Muthukrishnan 2005) whose counts halve each second. An estimate is never too low; the
+// Varghese 2002; Cormode and Muthukrishnan 2005) whose counts halve every second. An estimate is never too low; the
 // probability that it is too high by more than errorBound is e^-4, under 2 %.
 type sketch struct {
 	seed  uint64
-	cells [sketchRows][sketchWidth]float32 // in units of scale
-	total float64                          // of all counts, in units of scale
-	// scale is what one event counts for at decayedAt. It grows in place of the decay of all cells.
+	cells [sketchRows][sketchWidth]float32 // counts multiplied by scale
+	total float64                          // the sum of all counts, multiplied by scale
+	// scale is the weight of one event at decayedAt. Its growth stands in for dividing all cells at each decay.
 	scale     float64
-	decayedAt time.Duration
+	decayedAt time.Duration // when the counts last decayed
 }
 
-// newSketch returns an empty sketch. The seed must be secret from whoever chooses the keys.
+// newSketch returns an empty sketch. The seed must be secret from those who choose the keys.
 func newSketch(seed uint64) *sketch { return &sketch{seed: seed, scale: 1} }
 
-// decay halves all counts for each half-life since the last call.
+// decay halves all counts for each half-life since the last call, in proportion for parts of a half-life.
 func (s *sketch) decay(now time.Duration) {
 	if now <= s.decayedAt {
 		return
@@ -55,7 +56,7 @@
 	s.scale = 1
 }
 
-// key returns the hash of a prefix.
+// key returns the seeded hash of a prefix, which is its key in the sketch.
 func (s *sketch) key(p netip.Prefix) uint64 {
 	const addressLength = 16
 	var b [addressLength + 1]byte
@@ -70,7 +71,7 @@
 	return &s.cells[row][(key>>(rowHashBits*row))%sketchWidth]
 }
 
-// add counts one event, and returns the estimate with it.
+// add counts one event of a key, and returns the estimated count including it.
 func (s *sketch) add(now time.Duration, key uint64) float64 {
 	s.decay(now)
 	lowest := float32(math.Inf(1))
@@ -86,7 +87,7 @@
 	return float64(lowest) / s.scale
 }
 
-// estimate returns a key's count as of the last decay.
+// estimate returns the estimated count of a key as of the last decay.
 func (s *sketch) estimate(key uint64) float64 {
 	lowest := float32(math.Inf(1))
 	for r := range sketchRows {
@@ -95,10 +96,10 @@
 	return float64(lowest) / s.scale
 }
 
-// rate returns the events per second that a count corresponds to, if they are steady.
+// rate converts a decaying count to events per second, assuming a constant rate of events.
 func (s *sketch) rate(count float64) float64 {
 	return count * math.Ln2 / sketchHalfLife.Seconds()
 }
 
-// errorBound returns by how much an estimate may be too high.
+// errorBound returns the amount by which an estimate exceeds the exact count with a probability of at most e^-4.
 func (s *sketch) errorBound() float64 { return math.E * s.total / s.scale / sketchWidth }
--- a/internal/admission/tier.go
+++ b/internal/admission/tier.go
@@ -8,50 +8,50 @@
 	"time"
 )
 
-// minRememberedCredit is how many served requests, after decay, keep a group without connections remembered.
+// minRememberedCredit is the number of served requests, after decay, from which on a group without connections is kept.
 const minRememberedCredit = 0.5
 
-// group is an address, or a network, that has connections or credit.
+// group holds the counts of an address or network that has open connections or credit.
 type group struct {
 	prefix    netip.Prefix
 	listed    bool      // in Settings.KnownPrefixes
-	unproven  list.List // of *conn, in the order in which they became unproven
-	open      int       // connections
-	bodyBytes int64     // of requests in flight
+	unproven  list.List // of *conn, the longest unproven first
+	open      int       // open connections
+	bodyBytes int64     // body bytes of requests in flight
 
-	servedRequests float64 // after decay, as of servedAt
-	servedAt       time.Duration
+	servedRequests float64       // number of served requests, decayed until servedAt
+	servedAt       time.Duration // when servedRequests was last updated
 
-	// heapIndex is its place in tier.byExcess; -1 without unproven connections.
+	// heapIndex is the index of the group in tier.byExcess; -1 without unproven connections.
 	heapIndex int
-	// excess is how many unproven connections it has beyond its credit, divided by tier.factor, as of the last update.
+	// excess is the number of unproven connections beyond the credit, divided by tier.factor, as of the last update.
 	excess float64
-	// restingElement is its place in tier.resting; nil while it has connections.
-	restingElement *list.Element
+	// unconnectedElement is the element of the group in tier.unconnected; nil while it has connections.
+	unconnectedElement *list.Element
 }
 
-// oldestUnproven returns the first connection of g.unproven, the next to evict; there must be one.
+// oldestUnproven returns the first connection of g.unproven, which is evicted first. The list must not be empty.
 func (g *group) oldestUnproven() *conn { return g.unproven.Front().Value.(*conn) }
 
-// tier holds the groups of one length of prefix.
+// tier holds the groups of one prefix length: all addresses, or all networks.
 type tier struct {
-	bits4      int     // length of prefixes of IPv4
-	bits6      int     // length of prefixes of IPv6
-	factor     float64 // how many times as much as an address a group may do
-	halfLife   time.Duration
-	maxCredit  float64
-	maxResting int
-	groups     map[netip.Prefix]*group
-	byExcess   excessHeap // the groups with unproven connections
-	resting    list.List  // of *group without connections that have credit; the longest unused in front
-}
-
-// newTier returns a tier without groups. ConnLimiter.Reconfigure sets the rest.
+	bits4          int     // prefix length of IPv4
+	bits6          int     // prefix length of IPv6
+	factor         float64 // ratio of the limits of a group to those of one address
+	halfLife       time.Duration
+	maxCredit      float64 // of one group, in unproven connections
+	maxUnconnected int     // maximum length of unconnected
+	groups         map[netip.Prefix]*group
+	byExcess       excessHeap // the groups with unproven connections
+	unconnected    list.List  // of *group that have credit but no connections, the longest unconnected first
+}
+
+// newTier returns a tier without groups. ConnLimiter.Reconfigure sets the half-life and the maximums.
 func newTier(bits4, bits6 int, factor float64) *tier {
 	return &tier{bits4: bits4, bits6: bits6, factor: factor, groups: map[netip.Prefix]*group{}}
 }
 
-// prefix returns an address's prefix. All invalid addresses have the same.
+// prefix returns the prefix of an address in this tier. All invalid addresses have the same prefix.
 func (t *tier) prefix(address netip.Addr) netip.Prefix {
 	address = address.Unmap().WithZone("")
 	bits := t.bits4
@@ -65,7 +65,7 @@
 	return p
 }
 
-// group returns the group of a prefix, a new one if there is none.
+// group returns the group of a prefix, and creates it if it does not exist.
 func (t *tier) group(p netip.Prefix) *group {
 	g := t.groups[p]
 	if g == nil {
@@ -75,7 +75,7 @@
 	return g
 }
 
-// served returns how many requests of a group were served, after decay.
+// served returns the number of served requests of a group, decayed until now.
 func (t *tier) served(now time.Duration, g *group) float64 {
 	if elapsed := now - g.servedAt; elapsed > 0 {
 		g.servedRequests *= math.Exp2(-float64(elapsed) / float64(t.halfLife))
@@ -84,7 +84,7 @@
 	return g.servedRequests
 }
 
-// credit returns how many unproven connections a group may have before they are in excess.
+// credit returns the number of unproven connections that a group may have without excess.
 func (t *tier) credit(now time.Duration, g *group) float64 {
 	served := t.served(now, g)
 	if g.listed {
@@ -93,12 +93,12 @@
 	return min(served, t.maxCredit)
 }
 
-// excess returns how many unproven connections a group has beyond its credit, divided by the tier's factor.
+// excess returns the number of unproven connections beyond a group's credit, divided by the tier's factor.
 func (t *tier) excess(now time.Duration, g *group) float64 {
 	return (float64(g.unproven.Len()) - t.credit(now, g)) / t.factor
 }
 
-// update recomputes a group's excess and its place in the heap.
+// update recomputes a group's excess and its position in the heap.
 func (t *tier) update(now time.Duration, g *group) {
 	if g.unproven.Len() == 0 {
 		if g.heapIndex >= 0 {
@@ -122,11 +122,11 @@
 	heap.Init(&t.byExcess)
 }
 
-// addConn adds a connection to a group, as unproven.
+// addConn adds an unproven connection to a group, and returns its element in group.unproven.
 func (t *tier) addConn(now time.Duration, g *group, c *conn) *list.Element {
-	if g.restingElement != nil {
-		t.resting.Remove(g.restingElement)
-		g.restingElement = nil
+	if g.unconnectedElement != nil {
+		t.unconnected.Remove(g.unconnectedElement)
+		g.unconnectedElement = nil
 	}
 	g.open++
 	e := g.unproven.PushBack(c)
@@ -134,8 +134,8 @@
 	return e
 }
 
-// removeConn removes a connection from a group; removeFromLists must have run for it. A group without connections is
-// forgotten, or is kept in resting while it has credit.
+// removeConn removes a connection from a group; ConnLimiter.removeFromLists must have been called for it. A group whose
+// last connection is removed is deleted, or moved to t.unconnected if it has credit.
 func (t *tier) removeConn(now time.Duration, g *group) {
 	g.open--
 	t.update(now, g)
@@ -146,29 +146,29 @@
 		delete(t.groups, g.prefix)
 		return
 	}
-	g.restingElement = t.resting.PushBack(g)
-	for t.resting.Len() > t.maxResting {
-		oldest := t.resting.Remove(t.resting.Front()).(*group)
+	g.unconnectedElement = t.unconnected.PushBack(g)
+	for t.unconnected.Len() > t.maxUnconnected {
+		oldest := t.unconnected.Remove(t.unconnected.Front()).(*group)
 		delete(t.groups, oldest.prefix)
 	}
 }
 
-// addServed counts a request that was served.
+// addServed counts a served request of a group.
 func (t *tier) addServed(now time.Duration, g *group) {
 	g.servedRequests = t.served(now, g) + 1
 	t.update(now, g)
 }
 
-// worst returns the group with the greatest excess; nil if there are no unproven connections.
-func (t *tier) worst() *group {
+// maxExcessGroup returns the group with the greatest excess, or nil if there are no unproven connections.
+func (t *tier) maxExcessGroup() *group {
 	if len(t.byExcess) == 0 {
 		return nil
 	}
 	return t.byExcess[0]
 }
 
-// excessHeap is a heap.Interface with the greatest excess in front; among equals, the group whose first unproven
-// connection is the oldest.
+// excessHeap implements heap.Interface. The group with the greatest excess is first; among groups of equal excess, the
+// group with the longest unproven connection is first.
 type excessHeap []*group
 
 // Len implements heap.Interface.
@@ -182,8 +182,8 @@
 	return h[i].oldestUnprovenSince() < h[j].oldestUnprovenSince()
 }
 
-// oldestUnprovenSince returns the time conn.since of the first connection of g.unproven; without one, a time after all
-// others.
+// oldestUnprovenSince returns conn.since of the first connection of g.unproven, or the maximum duration if g has no
+// unproven connection.
 func (g *group) oldestUnprovenSince() time.Duration {
 	if e := g.unproven.Front(); e != nil {
 		return e.Value.(*conn).since
--- a/internal/admission/verdict.go
+++ b/internal/admission/verdict.go
@@ -1,33 +1,33 @@
 package admission
 
-// ID names a connection that a ConnLimiter holds; 0 is none.
+// ID identifies an open connection of a ConnLimiter; 0 means no connection.
 type ID uint64
 
-// Reason says why a connection was rejected or evicted.
+// Reason is the reason for rejecting or evicting a connection.
 type Reason uint8
 
-// The reasons.
+// Reasons of verdicts and in Counts.Rejected.
 const (
-	NoReason     Reason = iota
-	Blocked             // an operator blocked its address
-	RateExceeded        // its address or network opens too many connections while they are scarce
-	NoCapacity          // nothing is free for it, and no connection can be evicted
-	Evicted             // it was evicted to make room
+	NoReason     Reason = iota // the connection was admitted
+	Blocked                    // its address is in a block
+	RateExceeded               // too many new connections of its address or network while connections are scarce
+	NoCapacity                 // no connection is free for it, and none can be evicted
+	Evicted                    // an open connection was, or is to be, evicted to admit another
 	reasonCount
 )
 
-// String returns the reason's name in reports.
+// String returns the name of the reason in reports.
 func (r Reason) String() string {
 	return [...]string{"none", "blocked", "rate", "full", "room"}[r]
 }
 
-// Verdict says what to do with a connection that arrives. If neither Admitted nor Evict is set, it is rejected.
+// Verdict is the decision on a new connection. If neither Admitted nor Evict is set, it is rejected.
 type Verdict struct {
-	// Admitted is its ID if it is admitted.
+	// Admitted is the ID of the new connection if it is admitted, else 0.
 	Admitted ID
-	// Evict is a connection to close first. The caller calls Remove once it is closed, or EvictionRefused if it must
-	// not be closed, and then Arrive again.
+	// Evict is the ID of an open connection to close first, or 0. The caller calls Remove once it is closed, or
+	// EvictionRefused if it must not be closed, and then Arrive with repeated set.
 	Evict ID
-	// Reason says why it is rejected, or Evicted if Evict is set.
+	// Reason is the reason for the rejection; Evicted if Evict is set, NoReason if the connection is admitted.
 	Reason Reason
 }
