--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -1,16 +1,16 @@
-// Package idempotency is the outcome ledger of requests that must never run twice. It remembers which of them have
-// begun and how they ended, so that a client which sends one again gets the outcome of the first: its answer, or a
-// wait for the one in flight, or the statement that it may have run.
+// Package idempotency implements a ledger of the outcomes of requests that must never run twice. It remembers which
+// requests were started and how they ended. A client that sends a request again gets the outcome of the first copy:
+// its answer, after a wait if it is still in flight, or the information that the request may have run.
 //
-// # Names of requests
+// # Identity of requests
 //
-// A request is known by its sender and its end-to-end identifier (Key). No other request of that sender has the
-// same identifier for at least four minutes, across restarts of the sender too (RFC 6733, sections 3 and 6.2). That
-// holds whether a copy carries the flag of a potential retransmission (the T flag) or not.
+// A request is identified by its sender and its end-to-end identifier (Key). The sender uses the identifier for no
+// other request for at least four minutes, even if it restarts (RFC 6733, sections 3 and 6.2). Copies of a request have
+// the same Key, with or without the flag of a potential retransmission (the T flag).
 //
 // # Life of an entry
 //
-//	            Admit: Begin
+//	         Admit returns Begin
 //	                 │
 //	             in flight ── Cancel ──> forgotten
 //	             │       │
@@ -24,16 +24,17 @@
 //
 // # Invariants
 //
-// Whatever arrives in whatever order:
+// For any sequence of calls:
 //
-//   - Admit returns Begin once for a request, within the window and for as long as its intent is remembered.
-//   - An entry is not forgotten before its window has passed since it ended. When the ledger is full, new requests
-//     are rejected.
-//   - An entry whose outcome is unknown is reported as MayHaveRun and never as Begin.
+//   - Admit returns Begin at most once for a request while the ledger remembers it.
+//   - An entry is remembered while its request is in flight, and for its window after the request ended. When the
+//     ledger is full, new requests are rejected.
+//   - For an entry whose outcome is unknown, Admit returns MayHaveRun and never Begin.
 //   - Memory is bounded by Settings.MaxEntries and Settings.MaxBytes.
 //
 // # Use
 //
 // A Ledger is pure: no I/O, no goroutine, no clock. Callers pass the time, as a duration on a monotonic clock, and
-// serialize all calls. Package store keeps a ledger on disk; package guard joins both and runs the requests.
+// serialize all calls. Package store persists a ledger on disk. Package guard combines a ledger with a store, and runs
+// the requests.
 package idempotency
--- a/internal/idempotency/guard/guard.go
+++ b/internal/idempotency/guard/guard.go
@@ -1,8 +1,8 @@
-// Package guard runs each request that must never run twice at most once. It joins an idempotency ledger, its store on
-// disk and the callers that wait for a request in flight. With a store, the intent is on disk before a request begins,
-// and its answer is on disk before anybody gets it.
+// Package guard runs requests that must never run twice at most once. It combines an idempotency ledger with its store
+// on disk, and lets further copies of a request in flight wait for its answer. With a store, the intent of a request is
+// written to disk before the request runs, and its answer before a caller gets it.
 //
-// Create a Guard with New, call Open once, pass each request to Do, and Close the guard when all of them have ended.
+// Create a Guard with New, call Open once, pass each request to Do, and call Close when all calls of Do have returned.
 package guard
 
 import (
@@ -15,61 +15,62 @@
 	"lapisspread/internal/idempotency/store"
 )
 
-// Outcome says how a request ended that Do ran.
+// Outcome is the result of running a request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Answered Outcome = iota // it has an answer, and every further copy gets that
-	NeverRan                // it has not run and will not: its next copy is new
-	Unknown                 // it may have run
+	Answered Outcome = iota // the request has an answer, which every further copy gets
+	NeverRan                // the request has not run and will not run; its next copy is new
+	Unknown                 // the request may have run
 )
 
-// Work runs a request. A Guard calls it once at most; its answer goes to all callers that sent the request.
+// Work runs a request. A Guard calls it at most once; all callers that pass the request get its answer.
 type Work func() (answer []byte, outcome Outcome)
 
-// defaultWriteTimeout is Options.WriteTimeout if that is 0.
+// defaultWriteTimeout is used if Options.WriteTimeout is 0.
 const defaultWriteTimeout = 2 * time.Second
 
 // Options configure a Guard.
 type Options struct {
-	// Ledger configures the ledger. A negative LostAt says that no earlier process had a ledger; any other value is
-	// replaced by the time of New.
+	// Ledger configures the ledger. A negative LostAt means that no earlier process had a ledger; any other value is
+	// replaced by the time at which New is called.
 	Ledger idempotency.Settings
-	// Path is the file of the store; empty keeps the ledger in memory only.
+	// Path is the path of the store's file; with an empty path the ledger is kept only in memory.
 	Path string
-	// Now is a monotonic clock.
+	// Now returns the time of a monotonic clock.
 	Now func() time.Duration
 	// Log receives the log lines; nil discards them.
 	Log *slog.Logger
-	// WriteTimeout bounds each write to disk; a slower write counts as failed. 0 is defaultWriteTimeout, 2 s.
+	// WriteTimeout is the maximum duration of a write to disk; a slower write counts as failed. 0 means 2 s.
 	WriteTimeout time.Duration
 }
 
-// Guard runs requests once at most. It is safe for concurrent use.
+// Guard runs requests at most once. It is safe for concurrent use.
 type Guard struct {
-	// Counts are updated by Do.
+	// Counts holds the number of events of each kind. Do updates it.
 	Counts Counts
 
 	options Options
 
 	mu     sync.Mutex
-	ledger *idempotency.Ledger // nil until the store is read
-	// firstTransmissions arrived without the T flag before the store was read, and were rejected.
+	ledger *idempotency.Ledger // nil until the store is loaded, and after Close
+	// firstTransmissions are the requests that arrived without the T flag before the store was loaded, and were
+	// therefore rejected.
 	firstTransmissions []idempotency.Key
-	store              *store.Store // nil without a path, and until it is read
+	store              *store.Store // nil without a path, until it is loaded, and after Close
 	inFlight           map[idempotency.Key]*call
 }
 
-// call is a request in flight. Its fields are set before done is closed.
+// call is a request in flight. Its other fields are set before done is closed.
 type call struct {
 	done     chan struct{}
 	answer   []byte
 	outcome  Outcome
-	rejected bool // its intent could not be written, so it did not begin
+	rejected bool // the intent could not be written, so work was not called
 }
 
-// New returns a guard. With a path, Do rejects all requests until Open has read the store. Its error names the
+// New returns a guard. With a path, Do rejects all requests until Open has loaded the store. The error names each
 // invalid setting.
 func New(o Options) (*Guard, error) {
 	if o.Log == nil {
@@ -79,7 +80,7 @@
 		o.WriteTimeout = defaultWriteTimeout
 	}
 	if o.Ledger.LostAt >= 0 {
-		o.Ledger.LostAt = o.Now() // the clock need not begin at 0
+		o.Ledger.LostAt = o.Now() // the clock need not start at 0
 	}
 	g := &Guard{options: o, inFlight: map[idempotency.Key]*call{}}
 	ledger, err := idempotency.New(o.Ledger)
@@ -92,12 +93,14 @@
 	return g, nil
 }
 
-// Do calls work unless the request was sent before, and returns the request's answer. retransmitted is the T flag.
+// Do calls work unless a copy of the request arrived before, and returns the answer. retransmitted is the T flag of the
+// request.
 //
-// The verdict says what was done. With idempotency.Begin, work ran here; with Join it ran for another caller, whose
-// end Do waits for; with both the outcome says how it ended. With Answered the answer is that of an earlier copy.
-// With any other verdict there is no answer. The outcome has a meaning with Begin and Join only. Ctx ends when the
-// client gives up: then Do no longer waits for another caller or for the disk, but still for work.
+// With the verdict idempotency.Begin, Do called work; with Join, Do waited until another caller had run the same
+// request. With both, the answer and the outcome are the results of work; with other verdicts the outcome has no
+// meaning. With Answered, the answer is that of an earlier copy. With the remaining verdicts there is no answer.
+//
+// ctx should end when the client gives up. Do then stops waiting for another caller or for the disk, but not for work.
 func (g *Guard) Do(
 	ctx context.Context, key idempotency.Key, retransmitted bool, work Work,
 ) (answer []byte, outcome Outcome, verdict idempotency.Verdict) {
@@ -120,7 +123,7 @@
 	return a.answer, a.outcome, a.verdict
 }
 
-// admitResult is what the guard decided on a request that arrived.
+// admitResult is the decision of Guard.admit on a request.
 type admitResult struct {
 	verdict idempotency.Verdict
 	answer  []byte       // with idempotency.Answered
@@ -129,7 +132,7 @@
 	outcome Outcome      // with all other verdicts
 }
 
-// admit decides on a request. With idempotency.Begin its call is in flight, and the caller must pass it to run.
+// admit decides on a request. With idempotency.Begin, the caller must pass the call to run.
 func (g *Guard) admit(key idempotency.Key, retransmitted bool) admitResult {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -148,7 +151,8 @@
 	return admitResult{verdict: verdict, answer: answer, call: c, store: g.store, outcome: Unknown}
 }
 
-// wait returns the result of a call that runs for another caller. If ctx ends first, the request may have run.
+// wait waits for a call that another caller runs, and returns its result. If ctx ends first, the verdict is
+// idempotency.MayHaveRun.
 func (c *call) wait(ctx context.Context) ([]byte, Outcome, idempotency.Verdict) {
 	select {
 	case <-c.done:
@@ -158,7 +162,7 @@
 	}
 }
 
-// result is what callers of a call that has ended get.
+// result returns the results of Do for a call that has ended.
 func (c *call) result(verdict idempotency.Verdict) ([]byte, Outcome, idempotency.Verdict) {
 	if c.rejected {
 		return nil, NeverRan, idempotency.Full
@@ -166,8 +170,8 @@
 	return c.answer, c.outcome, verdict
 }
 
-// run persists a request's intent, runs it, and persists how it ended. It ends the call whatever work does: after a
-// panic its outcome is unknown.
+// run persists the intent of a request, calls work, and persists the outcome. It ends the call even if work panics; the
+// outcome is then unknown.
 func (g *Guard) run(ctx context.Context, key idempotency.Key, c *call, s *store.Store, work Work) {
 	defer g.end(key, c)
 	if s != nil {
@@ -175,6 +179,7 @@
 			return s.Write(ctx, idempotency.Record{Key: key})
 		})
 		if err != nil {
+			// The request is rejected, because without its intent on disk it could run again after a restart.
 			g.options.Log.Error("an intent could not be written: the request is not begun", "err", err)
 			c.outcome = NeverRan
 			c.rejected = true
@@ -185,7 +190,7 @@
 	if s == nil {
 		return
 	}
-	// The write may go on after run has returned, so it gets copies.
+	// The write may continue after run has returned, so it gets copies.
 	answer, outcome := c.answer, c.outcome
 	err := g.persist(ctx, func(ctx context.Context) error {
 		switch outcome {
@@ -197,12 +202,14 @@
 			return s.Write(ctx, idempotency.Record{Key: key, Uncertain: true})
 		}
 	})
-	if err != nil { // the answer is valid; after a restart this request is one that may have run
+	if err != nil {
+		// The outcome of the request could not be written. The answer is valid, but after a restart the outcome of this
+		// request is unknown.
 		g.options.Log.Error("an end could not be written", "err", err)
 	}
 }
 
-// end records a call's outcome in the ledger and wakes the callers that wait for it.
+// end records the outcome of a call in the ledger, and wakes the callers that wait for it.
 func (g *Guard) end(key idempotency.Key, c *call) {
 	g.mu.Lock()
 	if g.ledger != nil {
@@ -220,8 +227,8 @@
 	close(c.done)
 }
 
-// persist calls write, and waits for it until ctx ends. The write itself goes on until WriteTimeout: an outcome that
-// reaches the disk late is better than none.
+// persist calls write and waits for it until ctx ends. After that the write continues, at most until WriteTimeout,
+// because an outcome that reaches the disk late is better than none.
 func (g *Guard) persist(ctx context.Context, write func(ctx context.Context) error) error {
 	done := make(chan error, 1)
 	go func() {
--- a/internal/idempotency/guard/guard_test.go
+++ b/internal/idempotency/guard/guard_test.go
@@ -25,22 +25,21 @@
 	}
 }
 
-// newGuard returns an open guard; lostAt is below 0 for the first process.
-
+// newGuard returns a guard whose Open has succeeded. lostAt is negative for the first process.
 func newGuard(t *testing.T, path string, lostAt time.Duration) *Guard {
 	t.Helper()
-	began := time.Now().Add(-30 * time.Hour) // the guard's clock began long before
+	clockStart := time.Now().Add(-30 * time.Hour) // the clock does not start with the guard
 	g, err := New(Options{
 		Ledger:       testSettings(lostAt),
 		Path:         path,
-		Now:          func() time.Duration { return time.Since(began) },
+		Now:          func() time.Duration { return time.Since(clockStart) },
 		WriteTimeout: 500 * time.Millisecond,
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	if err := g.Open(context.Background()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open of the store %q: %v", path, err)
 	}
 	return g
 }
@@ -48,21 +47,21 @@
 func mustClose(t *testing.T, g *Guard) {
 	t.Helper()
 	if err := g.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("Close: %v", err)
 	}
 }
 
 func key(n int) idempotency.Key { return idempotency.Key{Origin: "a", ID: uint32(n)} }
 
-// mustNotRun is the work of a request that must be rejected.
+// mustNotRun returns the work of a request that must be rejected; the test fails if it is called.
 func mustNotRun(t *testing.T) Work {
 	return func() ([]byte, Outcome) {
-		t.Error("it ran")
+		t.Error("Do called work of a request that must be rejected")
 		return nil, Answered
 	}
 }
 
-// A request that many callers send at once, and again later, runs once, and all get its answer.
+// A request that many callers send concurrently, and again later, runs once, and all callers get its answer.
 func TestRequestsRunOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", -1)
@@ -76,49 +75,53 @@
 					time.Sleep(100 * time.Millisecond)
 					return fmt.Append(nil, i%10), Answered
 				})
-				known := v == idempotency.Begin || v == idempotency.Join || v == idempotency.Answered
-				if string(answer) != fmt.Sprint(i%10) || !known {
-					t.Errorf("%d: %q, %v", i, answer, v)
+				hasAnswer := v == idempotency.Begin || v == idempotency.Join || v == idempotency.Answered
+				if string(answer) != fmt.Sprint(i%10) || !hasAnswer {
+					t.Errorf("Do number %d = answer %q, verdict %v; want \"%d\" and begin, join or answered",
+						i, answer, v, i%10)
 				}
 			})
 		}
 		all.Wait()
 		r := g.Report()
 		if ran.Load() != 10 || r.Started != 10 || r.Joined == 0 || r.Replayed == 0 || r.InFlight != 0 {
-			t.Errorf("%d ran; %+v", ran.Load(), r)
+			t.Errorf("work was called %d times, want 10; Report = %+v, "+
+				"want 10 started, some joined, some replayed, none in flight", ran.Load(), r)
 		}
 		time.Sleep(idempotency.MinWindow + time.Second)
-		refused := func() ([]byte, Outcome) { return nil, NeverRan }
-		if _, _, v := g.Do(t.Context(), key(1), false, refused); v != idempotency.Begin {
-			t.Errorf("after the window: %v", v)
+		rejecting := func() ([]byte, Outcome) { return nil, NeverRan }
+		if _, _, v := g.Do(t.Context(), key(1), false, rejecting); v != idempotency.Begin {
+			t.Errorf("Do after the window = %v, want %v", v, idempotency.Begin)
 		}
 	})
 }
 
-// A request that never ran is new when it comes again. One that may have run, also after a panic, does not run again.
-// A caller that waits for another's answer returns when its client gives up.
+// A request that never ran is new when it is sent again. A request that may have run, for example because work
+// panicked, does not run again. A caller that waits for the answer of another caller returns when its client gives up.
 func TestOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", -1)
-		refused := func() ([]byte, Outcome) { return []byte("3004"), NeverRan }
+		rejecting := func() ([]byte, Outcome) { return []byte("3004"), NeverRan }
 		for range 2 {
-			answer, outcome, v := g.Do(t.Context(), key(1), false, refused)
+			answer, outcome, v := g.Do(t.Context(), key(1), false, rejecting)
 			if string(answer) != "3004" || outcome != NeverRan || v != idempotency.Begin {
-				t.Errorf("%q %v %v", answer, outcome, v)
+				t.Errorf("Do of a request that never ran = answer %q, outcome %d, verdict %v; want \"3004\", %d, %v",
+					answer, outcome, v, NeverRan, idempotency.Begin)
 			}
 		}
 		unknown := func() ([]byte, Outcome) { return []byte("5012"), Unknown }
 		answer, outcome, _ := g.Do(t.Context(), key(2), false, unknown)
 		if string(answer) != "5012" || outcome != Unknown {
-			t.Errorf("%q %v", answer, outcome)
+			t.Errorf("Do of a request that may have run = answer %q, outcome %d; want \"5012\", %d",
+				answer, outcome, Unknown)
 		}
 		func() {
 			defer func() { _ = recover() }()
-			g.Do(t.Context(), key(3), false, func() ([]byte, Outcome) { panic("a wrong handler") })
+			g.Do(t.Context(), key(3), false, func() ([]byte, Outcome) { panic("handler failed") })
 		}()
 		for _, k := range []idempotency.Key{key(2), key(3)} {
-			if _, _, v := g.Do(t.Context(), k, false, refused); v != idempotency.MayHaveRun {
-				t.Errorf("%v again: %v", k, v)
+			if _, _, v := g.Do(t.Context(), k, false, rejecting); v != idempotency.MayHaveRun {
+				t.Errorf("second Do of %v, which may have run = %v, want %v", k, v, idempotency.MayHaveRun)
 			}
 		}
 		go g.Do(t.Context(), key(4), false, func() ([]byte, Outcome) {
@@ -128,45 +131,49 @@
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		began := time.Now()
-		answer, _, v := g.Do(ctx, key(4), true, refused)
-		if v != idempotency.MayHaveRun || answer != nil || time.Since(began) != time.Second {
-			t.Errorf("%q %v after %v", answer, v, time.Since(began))
+		startedAt := time.Now()
+		answer, _, v := g.Do(ctx, key(4), true, rejecting)
+		if waited := time.Since(startedAt); v != idempotency.MayHaveRun || answer != nil || waited != time.Second {
+			t.Errorf("Do whose context ends after 1s = answer %q, verdict %v after %v; want no answer, %v after 1s",
+				answer, v, waited, idempotency.MayHaveRun)
 		}
 		time.Sleep(time.Minute)
-		answer, _, v = g.Do(t.Context(), key(4), true, refused)
+		answer, _, v = g.Do(t.Context(), key(4), true, rejecting)
 		if v != idempotency.Answered || string(answer) != "late" {
-			t.Errorf("%q %v", answer, v)
+			t.Errorf("Do after the first copy ended = answer %q, verdict %v; want \"late\", %v",
+				answer, v, idempotency.Answered)
 		}
 	})
 }
 
-// Without a store a new process does not know what the one before had in flight.
+// Without a store, a new process does not know which requests the earlier process ran. For one window it answers
+// retransmissions as MayHaveRun.
 func TestWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", 0)
 		run := func() ([]byte, Outcome) { return []byte("x"), Answered }
 		if _, _, v := g.Do(t.Context(), key(1), true, run); v != idempotency.MayHaveRun {
-			t.Errorf("a retransmission right after the start: %v", v)
+			t.Errorf("Do of a retransmission right after the start = %v, want %v", v, idempotency.MayHaveRun)
 		}
 		if _, _, v := g.Do(t.Context(), key(2), false, run); v != idempotency.Begin {
-			t.Errorf("a first transmission: %v", v)
+			t.Errorf("Do of a first transmission = %v, want %v", v, idempotency.Begin)
 		}
 		time.Sleep(idempotency.MinWindow)
 		if _, _, v := g.Do(t.Context(), key(3), true, run); v != idempotency.Begin {
-			t.Errorf("a retransmission after the window: %v", v)
+			t.Errorf("Do of a retransmission after the window = %v, want %v", v, idempotency.Begin)
 		}
 	})
 }
 
-// With a store the next process replays answers, and what was in flight may have run. It waits for the process that
-// still has the file open, and rejects all requests until then.
+// With a store, the next process returns the answers of the earlier process, and answers requests that were in flight
+// as MayHaveRun. Its Open waits for the earlier process to close the file, and until then Do rejects all requests.
 func TestNextProcessReadsTheStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects.db")
 	g := newGuard(t, path, -1)
 	pay := func() ([]byte, Outcome) { return []byte("paid"), Answered }
 	if answer, _, v := g.Do(t.Context(), key(1), true, pay); v != idempotency.Begin || string(answer) != "paid" {
-		t.Fatalf("%q %v: a retransmission that a complete ledger does not know is new", answer, v)
+		t.Fatalf("Do of a retransmission missing in a complete ledger = answer %q, verdict %v; want \"paid\", %v",
+			answer, v, idempotency.Begin)
 	}
 	g.Do(t.Context(), key(2), false, func() ([]byte, Outcome) { return []byte("3004"), NeverRan })
 	inFlight, release := make(chan struct{}), make(chan struct{})
@@ -176,24 +183,25 @@
 		return []byte("later"), Answered
 	})
 	<-inFlight
-	began := time.Now()
-	now := func() time.Duration { return time.Since(began) }
+	clockStart := time.Now()
+	now := func() time.Duration { return time.Since(clockStart) }
 	next, err := New(Options{Ledger: testSettings(0), Path: path, Now: now})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New of the next process: %v", err)
 	}
 	if _, _, v := next.Do(t.Context(), key(9), false, mustNotRun(t)); v != idempotency.Full || next.Report().Ready {
-		t.Errorf("before the file is read: %v", v)
+		t.Errorf("before Open: Do = %v and Report.Ready = %t, want %v and false",
+			v, next.Report().Ready, idempotency.Full)
 	}
 	opened := make(chan error, 1)
 	go func() { opened <- next.Open(t.Context()) }()
 	time.Sleep(20 * time.Millisecond)
 	// The old process dies with a request in flight.
 	if err := g.store.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("closing the store of the old process: %v", err)
 	}
 	if err := <-opened; err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open of the next process: %v", err)
 	}
 	defer mustClose(t, next)
 	for n, want := range map[int]idempotency.Verdict{
@@ -203,30 +211,36 @@
 	} {
 		answer, _, v := next.Do(t.Context(), key(n), true, func() ([]byte, Outcome) { return []byte("new"), Answered })
 		if v != want || n == 1 && string(answer) != "paid" {
-			t.Errorf("%d: %q %v, want %v", n, answer, v, want)
+			t.Errorf("Do of request %d in the next process = answer %q, verdict %v; want %v (request 1 with \"paid\")",
+				n, answer, v, want)
 		}
 	}
 	close(release)
 }
 
-// After the ledger was deleted or restored from an older copy, an unknown retransmission may have run. That holds for
-// one window from when the loss was found, in later processes too. A first transmission is new.
+// After the ledger was deleted or restored from an older copy, a retransmission without an entry is answered as
+// MayHaveRun. This holds for one window from when the loss was found, in later processes too. A first transmission is
+// new.
 func TestLostLedger(t *testing.T) {
-	for name, lose := range map[string]func(path string, old []byte) error{
-		"gone": func(path string, _ []byte) error { return os.Remove(path) },
-		"gone with all beside it": func(path string, _ []byte) error {
+	const nothingLost = "nothing lost"
+	for name, loseFiles := range map[string]func(path string, olderCopy []byte) error{
+		"ledger deleted": func(path string, _ []byte) error { return os.Remove(path) },
+		"ledger and witness deleted": func(path string, _ []byte) error {
 			return errors.Join(os.Remove(path), os.Remove(path+".seq"))
 		},
-		"an older copy":           func(path string, old []byte) error { return os.WriteFile(path, old, 0o600) },
-		"what it is held against": func(path string, _ []byte) error { return os.Remove(path + ".seq") },
-		"nothing":                 func(string, []byte) error { return nil },
+		"ledger restored from an older copy": func(path string, olderCopy []byte) error {
+			return os.WriteFile(path, olderCopy, 0o600)
+		},
+		"witness deleted": func(path string, _ []byte) error { return os.Remove(path + ".seq") },
+		nothingLost:       func(string, []byte) error { return nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				path := filepath.Join(t.TempDir(), "effects.db")
 				pay := func() ([]byte, Outcome) { return []byte("paid"), Answered }
-				refused := func() ([]byte, Outcome) { return nil, NeverRan }
-				next := func(lostAt time.Duration) *Guard { // its files are those after a kill
+				rejecting := func() ([]byte, Outcome) { return nil, NeverRan }
+				// next opens the guard of the next process; the files are as after a kill of the earlier process.
+				next := func(lostAt time.Duration) *Guard {
 					g := newGuard(t, path, lostAt)
 					t.Cleanup(func() { mustClose(t, g) })
 					return g
@@ -234,33 +248,35 @@
 				g := next(-1)
 				g.Do(t.Context(), key(1), false, pay)
 				mustClose(t, g)
-				old, err := os.ReadFile(path)
+				olderCopy, err := os.ReadFile(path)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("copying the ledger: %v", err)
 				}
 				g = next(0)
 				g.Do(t.Context(), key(2), false, pay)
 				mustClose(t, g)
-				if err := lose(path, old); err != nil {
-					t.Fatal(err)
+				if err := loseFiles(path, olderCopy); err != nil {
+					t.Fatalf("deleting or restoring files: %v", err)
 				}
-				unknown := idempotency.MayHaveRun
-				if name == "nothing" {
-					unknown = idempotency.Begin
+				wantWithoutEntry := idempotency.MayHaveRun
+				if name == nothingLost {
+					wantWithoutEntry = idempotency.Begin
 				}
 				for i := range 2 {
 					g = next(0)
 					if _, _, v := g.Do(t.Context(), key(2), true, pay); v == idempotency.Begin {
-						t.Errorf("process %d: a paid request begins again", i)
+						t.Errorf("process %d: Do of a completed request = %v, want any other verdict", i, v)
 					}
-					if _, _, v := g.Do(t.Context(), key(10+i), true, pay); v != unknown {
-						t.Errorf("process %d: an unknown retransmission: %v, want %v", i, v, unknown)
+					if _, _, v := g.Do(t.Context(), key(10+i), true, pay); v != wantWithoutEntry {
+						t.Errorf("process %d: Do of a retransmission without an entry = %v, want %v",
+							i, v, wantWithoutEntry)
 					}
-					if _, _, v := g.Do(t.Context(), key(20+i), false, refused); v != idempotency.Begin {
-						t.Errorf("process %d: a first transmission: %v", i, v)
+					if _, _, v := g.Do(t.Context(), key(20+i), false, rejecting); v != idempotency.Begin {
+						t.Errorf("process %d: Do of a first transmission = %v, want %v", i, v, idempotency.Begin)
 					}
 					if _, _, v := g.Do(t.Context(), key(20+i), true, pay); v != idempotency.Begin {
-						t.Errorf("process %d: a retransmission of a request that this process rejected: %v", i, v)
+						t.Errorf("process %d: Do of a retransmission after a rejected first copy = %v, want %v",
+							i, v, idempotency.Begin)
 					}
 					mustClose(t, g)
 					time.Sleep(idempotency.MinWindow / 3)
@@ -268,40 +284,43 @@
 				time.Sleep(idempotency.MinWindow)
 				g = next(0)
 				if _, _, v := g.Do(t.Context(), key(30), true, pay); v != idempotency.Begin {
-					t.Errorf("after the window: %v", v)
+					t.Errorf("Do of a retransmission after the window = %v, want %v", v, idempotency.Begin)
 				}
 			})
 		})
 	}
 }
 
-// When the disk fails, no request begins, and one that has begun still gets its answer.
+// When writes to disk fail, no new request runs, and a request that is running still gets its answer.
 func TestFailingDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects.db")
 	g := newGuard(t, path, 0)
 	answer, _, v := g.Do(t.Context(), key(1), false, func() ([]byte, Outcome) {
 		if err := g.store.Close(); err != nil {
-			t.Error(err)
+			t.Errorf("closing the store: %v", err)
 		}
 		return []byte("paid"), Answered
 	})
 	if string(answer) != "paid" || v != idempotency.Begin || g.Report().DiskErrors != 1 {
-		t.Errorf("%q %v %+v", answer, v, g.Report())
+		t.Errorf("Do whose work closes the store = answer %q, verdict %v, %d disk errors; want \"paid\", %v, 1",
+			answer, v, g.Report().DiskErrors, idempotency.Begin)
 	}
 	if _, _, v := g.Do(t.Context(), key(2), false, mustNotRun(t)); v != idempotency.Full {
-		t.Errorf("%v", v)
+		t.Errorf("Do of a new request with a failed store = %v, want %v", v, idempotency.Full)
 	}
 	if answer, _, v := g.Do(t.Context(), key(1), false, nil); v != idempotency.Answered || string(answer) != "paid" {
-		t.Errorf("%q %v", answer, v)
+		t.Errorf("Do of a completed request with a failed store = answer %q, verdict %v; want \"paid\", %v",
+			answer, v, idempotency.Answered)
 	}
 	if err := os.WriteFile(path, []byte("no database"), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing a file that is not a database: %v", err)
 	}
 	broken, err := New(Options{Ledger: testSettings(0), Path: path, Now: func() time.Duration { return 0 }})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New for a file that is not a database: %v", err)
 	}
 	if err := broken.Open(t.Context()); err == nil || broken.Report().Ready {
-		t.Errorf("a broken file: %v", err)
+		t.Errorf("Open of a file that is not a database: error %v, ready %t; want an error, not ready",
+			err, broken.Report().Ready)
 	}
 }
--- a/internal/idempotency/guard/open.go
+++ b/internal/idempotency/guard/open.go
@@ -10,12 +10,13 @@
 	"lapisspread/internal/idempotency/store"
 )
 
-// lockRetryInterval is the pause before a store that another process has open is tried again.
+// lockRetryInterval is the pause between attempts to open a store that another process has open.
 const lockRetryInterval = 100 * time.Millisecond
 
-// Open reads the store, after which Do runs requests. It waits for the store, until ctx ends, while another process
-// has it open: during a hot restart the old process keeps it until all its requests have ended. If the store cannot
-// be read, Open returns an error and Do goes on rejecting all requests, because nobody knows what has run.
+// Open loads the store, after which Do runs requests. While another process has the store open, Open waits until ctx
+// ends: during a hot restart the old process keeps the store open until all of its requests have ended. If the store
+// cannot be loaded, Open returns an error, and Do continues to reject all requests, because it is not known which
+// requests have run.
 func (g *Guard) Open(ctx context.Context) error {
 	if g.options.Path == "" {
 		return nil
@@ -36,20 +37,20 @@
 		select {
 		case <-time.After(lockRetryInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("the ledger of effects: %w", errors.Join(context.Cause(ctx), err))
+			return fmt.Errorf("opening the idempotency ledger: %w", errors.Join(context.Cause(ctx), err))
 		}
 	}
 }
 
-// restore builds the ledger from what the store holds. On an error it closes the store.
+// restore builds the ledger from the records of the store. On an error it closes the store.
 func (g *Guard) restore(s *store.Store, records []idempotency.Record) error {
 	settings := g.options.Ledger
-	settings.LostAt = -1 // the store has all entries, unless it was lost
+	settings.LostAt = -1 // the store has all entries, unless s.LostAt says otherwise
 	if lostAt := s.LostAt(); !lostAt.IsZero() {
 		settings.LostAt = max(0, g.options.Now()-time.Since(lostAt))
 		if g.options.Now()-settings.LostAt < settings.Window {
 			g.options.Log.Warn("the ledger of effects lacks what was known before: "+
-				"repeats of what it does not know are answered as may have run", "since", lostAt)
+				"retransmissions of requests without an entry are answered as may have run", "since", lostAt)
 		}
 	}
 	ledger, err := idempotency.New(settings)
@@ -67,11 +68,11 @@
 	}
 	g.firstTransmissions = nil
 	g.mu.Unlock()
-	g.options.Log.Info("the ledger of effects is read", "entries", len(records))
+	g.options.Log.Info("idempotency ledger loaded", "entries", len(records))
 	return nil
 }
 
-// Close closes the store. All requests must have ended; later ones are rejected.
+// Close closes the store. All calls of Do must have returned; later calls reject their requests.
 func (g *Guard) Close() error {
 	g.mu.Lock()
 	s := g.store
--- a/internal/idempotency/guard/report.go
+++ b/internal/idempotency/guard/report.go
@@ -2,22 +2,22 @@
 
 import "sync/atomic"
 
-// Counts are the events of a Guard since it was created.
+// Counts holds the number of events of each kind since a Guard was created.
 type Counts struct {
-	Started    atomic.Int64 // requests that ran, or were rejected because their intent could not be written
-	Joined     atomic.Int64 // copies that waited for one in flight
-	Replayed   atomic.Int64 // copies that got an earlier answer
-	MayHaveRun atomic.Int64 // requests of unknown outcome
-	Full       atomic.Int64 // requests that were rejected, and have not run
-	DiskErrors atomic.Int64 // writes that failed or took too long
+	Started    atomic.Int64 // new requests, including those rejected because their intent could not be written
+	Joined     atomic.Int64 // copies that waited for another copy in flight
+	Replayed   atomic.Int64 // copies that got the answer of an earlier copy
+	MayHaveRun atomic.Int64 // copies of a request whose outcome is unknown
+	Full       atomic.Int64 // requests rejected without having run, also because the store was not loaded
+	DiskErrors atomic.Int64 // writes that failed, took longer than WriteTimeout, or whose client gave up
 }
 
-// Report is a Guard's state and counts, as the admin protocol shows them.
+// Report is the state of a Guard and its counts, as encoded in the admin protocol.
 type Report struct {
-	Ready      bool  `json:"ready"` // the ledger is read, and requests run
-	Durable    bool  `json:"durable"`
-	Entries    int   `json:"entries"`
-	Bytes      int   `json:"bytes"` // of answers
+	Ready      bool  `json:"ready"`   // the ledger is loaded, and requests can run
+	Durable    bool  `json:"durable"` // the ledger is persisted on disk
+	Entries    int   `json:"entries"` // number of remembered requests
+	Bytes      int   `json:"bytes"`   // total length of remembered answers
 	InFlight   int   `json:"in_hand"`
 	Started    int64 `json:"begun"`
 	Joined     int64 `json:"joined"`
@@ -25,8 +25,8 @@
 	MayHaveRun int64 `json:"may_have_run"`
 	Full       int64 `json:"full"`
 	DiskErrors int64 `json:"disk_errors"`
-	Flushes    int64 `json:"flushes"`
-	FileBytes  int64 `json:"file_bytes"`
+	Flushes    int64 `json:"flushes"`    // transactions written to disk
+	FileBytes  int64 `json:"file_bytes"` // size of the store's file
 }
 
 // Report returns the guard's state and counts.
@@ -40,7 +40,7 @@
 	g.mu.Unlock()
 	if s != nil {
 		r.Flushes = s.Commits()
-		r.FileBytes, _ = s.Size() // stays 0 if it cannot be read
+		r.FileBytes, _ = s.Size() // 0 if the size cannot be read
 	}
 	r.Started = g.Counts.Started.Load()
 	r.Joined = g.Counts.Joined.Load()
--- a/internal/idempotency/ledger.go
+++ b/internal/idempotency/ledger.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Key names a request.
+// Key identifies a request.
 type Key struct {
-	Origin string // the sender that sent it first
-	ID     uint32 // its end-to-end identifier
+	Origin string // identity of the original sender
+	ID     uint32 // end-to-end identifier, chosen by the original sender
 }
 
-// Verdict says what to do with a request that arrives.
+// Verdict is the decision on a request that arrives.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Begin      Verdict = iota // it is new: it may run, once its intent is persisted
-	Join                      // it is in flight: its answer will be that of the first copy
-	Answered                  // it has completed: its answer is returned
-	MayHaveRun                // its outcome is unknown: it must not run again
-	Full                      // the ledger is full: it must not run now, and has not run
-	KeyTooLong                // its Key.Origin is longer than a DiameterIdentity may be
+	Begin      Verdict = iota // the request is new, and may run once its intent is persisted
+	Join                      // another copy is in flight, whose answer is also the answer of this one
+	Answered                  // the request has completed, and its answer is returned
+	MayHaveRun                // the outcome of the request is unknown, and it must not run again
+	Full                      // the ledger is full; the request has not run, and must not run now
+	KeyTooLong                // Key.Origin is longer than the maximum length of a DiameterIdentity
 )
 
 // String returns the verdict's name in logs.
@@ -31,26 +31,26 @@
 	return [...]string{"begin", "join", "answered", "may-have-run", "full", "too-long"}[v]
 }
 
-// maxOriginBytes is the longest Key.Origin: the length of a DiameterIdentity.
+// maxOriginBytes is the maximum length of Key.Origin, which is that of a DiameterIdentity.
 const maxOriginBytes = 255
 
-// state is how far a request has come.
+// state is the state of an entry.
 type state uint8
 
 const (
 	inFlight  state = iota
-	completed       // it has an answer
-	uncertain       // its process died, or its answer was lost
+	completed       // the request has an answer
+	uncertain       // the outcome is unknown: the process died, or the answer was lost
 )
 
-// entry is a request that the ledger remembers.
+// entry is the entry of one request in a Ledger.
 type entry struct {
 	key    Key
 	state  state
 	answer []byte
-	// expiresAt is when it may be forgotten; unset while it is in flight.
+	// expiresAt is the time from which on the entry is deleted; unset while the request is in flight.
 	expiresAt time.Duration
-	// element is its place in Ledger.completed or Ledger.uncertain; nil while it is in flight.
+	// element is the element of the entry in Ledger.completed or Ledger.uncertain; nil while the request is in flight.
 	element *list.Element
 }
 
@@ -60,25 +60,25 @@
 	entries   map[Key]*entry
 	completed list.List // of *entry, ordered by expiresAt
 	uncertain list.List // of *entry, ordered by expiresAt
-	bytes     int       // of all answers
-	// firstTransmissions are the requests that arrived here as first transmissions while Settings.LostAt is less
-	// than a window ago. No earlier process had them, so a retransmission of one of them is new.
+	bytes     int       // total length of all answers
+	// firstTransmissions are the requests that arrived without the T flag within one window after Settings.LostAt. No
+	// earlier process can have run them, so a retransmission of one of them is admitted as new.
 	firstTransmissions map[Key]bool
 }
 
-// New returns an empty ledger. Its error names the invalid setting.
+// New returns an empty ledger. The error names each invalid setting.
 func New(s Settings) (*Ledger, error) {
 	if err := s.Validate(); err != nil {
-		return nil, fmt.Errorf("effects: %w", err)
+		return nil, fmt.Errorf("idempotency: %w", err)
 	}
 	return &Ledger{settings: s, entries: map[Key]*entry{}, firstTransmissions: map[Key]bool{}}, nil
 }
 
-// Len returns how many requests are remembered, and how many bytes of answers.
+// Len returns the number of entries, and the total length of their answers in bytes.
 func (l *Ledger) Len() (entries, bytes int) { return len(l.entries), l.bytes }
 
-// Admit decides on a request that arrives; retransmitted is its T flag. The answer is set with Answered only. After
-// Begin the request is in flight, and Complete, MarkUncertain or Cancel must follow.
+// Admit decides on a request that arrives; retransmitted is its T flag. The answer is set only with Answered, and must
+// not be modified. After Begin the request is in flight until the caller calls Complete, MarkUncertain or Cancel.
 func (l *Ledger) Admit(now time.Duration, key Key, retransmitted bool) (Verdict, []byte) {
 	l.expire(now)
 	if len(key.Origin) > maxOriginBytes {
@@ -102,7 +102,7 @@
 	return Begin, nil
 }
 
-// verdict is what a further copy of a remembered request gets.
+// verdict returns the decision on a further copy of the request, and its answer if it has completed.
 func (e *entry) verdict() (Verdict, []byte) {
 	switch e.state {
 	case inFlight:
@@ -114,53 +114,54 @@
 	}
 }
 
-// mayLackEntries reports whether requests that an earlier process ran may still be retransmitted.
+// mayLackEntries reports whether requests that an earlier process ran, and whose entries are lost, may still be
+// retransmitted.
 func (l *Ledger) mayLackEntries(now time.Duration) bool {
 	return l.settings.LostAt >= 0 && now < l.settings.LostAt+l.settings.Window
 }
 
-// NoteFirstTransmission records that a request arrived without the T flag, also if it was then rejected: its
-// retransmission is new.
+// NoteFirstTransmission records that a request arrived without the T flag, so that its retransmission is admitted as
+// new. Admit calls it; callers call it for requests that they rejected without Admit.
 func (l *Ledger) NoteFirstTransmission(key Key) {
 	if len(l.firstTransmissions) < l.settings.MaxEntries {
 		l.firstTransmissions[key] = true
 	}
 }
 
-// Complete records a request's answer, of which it keeps a copy for the window. An answer beyond Settings.MaxBytes
-// is not kept; its request then counts as of unknown outcome.
+// Complete records the answer of a request, and keeps a copy of it for Settings.Window. If the answers would exceed
+// Settings.MaxBytes, this answer is not kept, and the outcome of the request counts as unknown.
 func (l *Ledger) Complete(now time.Duration, key Key, answer []byte) {
 	e := l.entries[key]
 	if e == nil || e.state == completed {
 		return
 	}
 	if l.bytes+len(answer) > l.settings.MaxBytes {
-		l.end(now, e, uncertain)
+		l.finish(now, e, uncertain)
 		return
 	}
 	e.answer = bytes.Clone(answer)
 	l.bytes += len(answer)
-	l.end(now, e, completed)
+	l.finish(now, e, completed)
 }
 
-// MarkUncertain records that the outcome of a request in flight will not be known.
+// MarkUncertain records that the outcome of a request in flight is unknown and will stay so.
 func (l *Ledger) MarkUncertain(now time.Duration, key Key) {
 	if e := l.entries[key]; e != nil && e.state == inFlight {
-		l.end(now, e, uncertain)
+		l.finish(now, e, uncertain)
 	}
 }
 
-// Cancel forgets a request in flight that has not run and will not. Its next copy is new.
+// Cancel deletes the entry of a request in flight that has not run and will not run. Its next copy is new.
 func (l *Ledger) Cancel(key Key) {
 	if e := l.entries[key]; e != nil && e.state == inFlight {
 		delete(l.entries, key)
 	}
 }
 
-// end moves an entry to a state in which it expires. All entries of one list have the same window, so appending
-// keeps the list ordered.
-func (l *Ledger) end(now time.Duration, e *entry, s state) {
-	if e.element != nil { // only an uncertain entry ends twice: its answer was found
+// finish changes the state of an entry to completed or uncertain, and sets its expiry time. All entries of one list
+// have the same window, so appending keeps the list ordered.
+func (l *Ledger) finish(now time.Duration, e *entry, s state) {
+	if e.element != nil { // only an uncertain entry is finished twice, when its answer arrives later
 		l.uncertain.Remove(e.element)
 	}
 	e.state = s
@@ -173,15 +174,15 @@
 	e.element = l.completed.PushBack(e)
 }
 
-// expire forgets the entries whose window has passed.
+// expire deletes the entries whose window has passed.
 func (l *Ledger) expire(now time.Duration) {
-	for _, ended := range []*list.List{&l.completed, &l.uncertain} {
-		for element := ended.Front(); element != nil; element = ended.Front() {
+	for _, finished := range []*list.List{&l.completed, &l.uncertain} {
+		for element := finished.Front(); element != nil; element = finished.Front() {
 			e := element.Value.(*entry)
 			if e.expiresAt > now {
 				break
 			}
-			ended.Remove(element)
+			finished.Remove(element)
 			l.bytes -= len(e.answer)
 			delete(l.entries, e.key)
 		}
--- a/internal/idempotency/ledger_test.go
+++ b/internal/idempotency/ledger_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	l, err := New(s)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New(%+v): %v", s, err)
 	}
 	return l
 }
@@ -26,7 +26,7 @@
 		"uncertain": {Window: MinWindow, UncertainWindow: time.Minute, MaxEntries: 1, MaxBytes: 1},
 	} {
 		if _, err := New(s); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("New(%+v): error %v, want one that contains %q", s, err, want)
 		}
 	}
 }
@@ -41,35 +41,36 @@
 	})
 	k := Key{"partner.example", 7}
 	for i, step := range []struct {
-		at   time.Duration
-		do   func()
-		want Verdict
+		at     time.Duration
+		before func() // called before Admit
+		want   Verdict
 	}{
 		{0, nil, Begin},
 		{time.Second, nil, Join},
 		{2 * time.Second, func() { l.Complete(2*time.Second, k, []byte("2001")) }, Answered},
 		{MinWindow, nil, Answered},
-		{MinWindow + 2*time.Second, nil, Begin}, // by now the identifier is another request's
+		{MinWindow + 2*time.Second, nil, Begin}, // the window is over: the identifier belongs to a new request
 		{MinWindow + 3*time.Second, func() { l.MarkUncertain(MinWindow+3*time.Second, k) }, MayHaveRun},
-		{2*MinWindow + 4*time.Second, nil, MayHaveRun}, // remembered for longer than an answer
+		{2*MinWindow + 4*time.Second, nil, MayHaveRun}, // the uncertain window is longer than that of an answer
 		{3*MinWindow + 4*time.Second, nil, Begin},
 		{3*MinWindow + 4*time.Second, func() { l.Cancel(k) }, Begin},
 	} {
-		if step.do != nil {
-			step.do()
+		if step.before != nil {
+			step.before()
 		}
 		v, answer := l.Admit(step.at, k, i%2 == 1)
 		if v != step.want || v == Answered && string(answer) != "2001" {
-			t.Errorf("step %d: %v %q, want %v", i, v, answer, step.want)
+			t.Errorf("step %d: Admit after %v = %v with answer %q, want %v (with answer \"2001\" if answered)",
+				i, step.at, v, answer, step.want)
 		}
 	}
 	if v, _ := l.Admit(0, Key{strings.Repeat("x", 256), 1}, false); v != KeyTooLong {
-		t.Errorf("an origin of 256 bytes: %v", v)
+		t.Errorf("Admit with an origin of 256 bytes = %v, want %v", v, KeyTooLong)
 	}
 }
 
-// For one window after the entries of an earlier process were lost, an unknown retransmission may have run, and a
-// first transmission is new.
+// For one window after the entries of an earlier process were lost, a retransmission without an entry may have run. A
+// first transmission is always new.
 func TestRetransmissionAfterEntriesWereLost(t *testing.T) {
 	l := newLedger(t, Settings{
 		Window:          MinWindow,
@@ -79,13 +80,13 @@
 		LostAt:          time.Minute,
 	})
 	if v, _ := l.Admit(time.Minute, Key{"a", 1}, true); v != MayHaveRun {
-		t.Errorf("a retransmission: %v", v)
+		t.Errorf("Admit of a retransmission at the time of the loss = %v, want %v", v, MayHaveRun)
 	}
 	if v, _ := l.Admit(time.Minute, Key{"a", 2}, false); v != Begin {
-		t.Errorf("a first transmission: %v", v)
+		t.Errorf("Admit of a first transmission at the time of the loss = %v, want %v", v, Begin)
 	}
 	if v, _ := l.Admit(time.Minute+MinWindow, Key{"a", 1}, true); v != Begin {
-		t.Errorf("a retransmission one window later: %v", v)
+		t.Errorf("Admit of a retransmission one window after the loss = %v, want %v", v, Begin)
 	}
 }
 
@@ -98,20 +99,22 @@
 		{Key: Key{"a", 3}, Completed: true, Answer: []byte("too long to keep")},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Restore of 3 requests with MaxEntries 3: %v", err)
 	}
 	for id, want := range map[uint32]Verdict{1: Answered, 2: MayHaveRun, 3: MayHaveRun, 4: Full} {
 		if v, _ := l.Admit(time.Second, Key{"a", id}, false); v != want {
-			t.Errorf("%d: %v, want %v", id, v, want)
+			t.Errorf("Admit of request %d after Restore = %v, want %v", id, v, want)
 		}
 	}
 	err = l.Restore(0, []Record{{Key: Key{"b", 1}}})
-	if !errors.Is(err, RestoreLimitError{Records: 1, MaxEntries: 3}) || !strings.Contains(err.Error(), "room for 3") {
-		t.Errorf("more records than fit: %v", err)
+	wantErr := RestoreLimitError{Records: 1, MaxEntries: 3}
+	if !errors.Is(err, wantErr) || !strings.Contains(err.Error(), "at most 3 entries") {
+		t.Errorf("Restore of a fourth request with MaxEntries 3: error %v, want %v", err, wantErr)
 	}
 }
 
-// Any order of events keeps the invariants of the package: the ledger is compared with a model that forgets nothing.
+// Random sequences of calls must keep the invariants of the package comment. The ledger is compared with a model that
+// never deletes an entry.
 func TestNeverTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Settings{
@@ -123,12 +126,12 @@
 		}
 		l, err := New(s)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New(%+v): %v", s, err)
 		}
 		type modelEntry struct {
 			inFlight bool
-			ended    time.Duration
-			answer   string // "lost" if its outcome is unknown
+			endedAt  time.Duration
+			answer   string // "lost" if the outcome is unknown
 		}
 		model := map[Key]*modelEntry{}
 		now := time.Duration(0)
@@ -136,24 +139,24 @@
 			now += time.Duration(rapid.IntRange(0, 90).Draw(t, "seconds")) * time.Second
 			k := Key{"o", uint32(rapid.IntRange(0, 9).Draw(t, "id"))}
 			m := model[k]
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0, 1, 2:
 				v, answer := l.Admit(now, k, rapid.Bool().Draw(t, "T"))
-				fresh := m == nil || !m.inFlight && now >= m.ended+s.Window
+				mayBegin := m == nil || !m.inFlight && now >= m.endedAt+s.Window
 				if m != nil && m.answer == "lost" {
-					fresh = now >= m.ended+s.UncertainWindow
+					mayBegin = now >= m.endedAt+s.UncertainWindow
 				}
 				// An answer that is too long to be kept counts as lost.
-				remembered := m != nil && (m.inFlight || now < m.ended+s.UncertainWindow)
+				remembered := m != nil && (m.inFlight || now < m.endedAt+s.UncertainWindow)
 				switch {
-				case v == Begin && !fresh:
-					t.Fatalf("%v begins again at %v: %+v", k, now, m)
+				case v == Begin && !mayBegin:
+					t.Fatalf("Admit(%v) at %v = begin, but the model has an unexpired entry %+v", k, now, m)
 				case v == Join && (m == nil || !m.inFlight):
-					t.Fatalf("%v joins nothing", k)
+					t.Fatalf("Admit(%v) at %v = join, but the model has no such request in flight", k, now)
 				case v == Answered && (m == nil || m.inFlight || m.answer != string(answer)):
-					t.Fatalf("%v has the answer %q: %+v", k, answer, m)
-				case v == MayHaveRun && !remembered, v == Full && !fresh:
-					t.Fatalf("%v: %v: %+v", k, v, m)
+					t.Fatalf("Admit(%v) at %v = answered with %q, but the model has %+v", k, now, answer, m)
+				case v == MayHaveRun && !remembered, v == Full && !mayBegin:
+					t.Fatalf("Admit(%v) at %v = %v, but the model has %+v", k, now, v, m)
 				case v == Begin:
 					model[k] = &modelEntry{inFlight: true}
 				}
@@ -161,12 +164,12 @@
 				if m != nil && m.inFlight {
 					answer := fmt.Sprint("answer ", n)
 					l.Complete(now, k, []byte(answer))
-					*m = modelEntry{ended: now, answer: answer}
+					*m = modelEntry{endedAt: now, answer: answer}
 				}
 			case 4:
 				if m != nil && m.inFlight {
 					l.MarkUncertain(now, k)
-					*m = modelEntry{ended: now, answer: "lost"}
+					*m = modelEntry{endedAt: now, answer: "lost"}
 				}
 			default:
 				if m != nil && m.inFlight {
@@ -176,7 +179,8 @@
 			}
 			entries, bytes := l.Len()
 			if entries > s.MaxEntries || bytes > s.MaxBytes {
-				t.Fatalf("%d entries of %d, %d bytes of %d", entries, s.MaxEntries, bytes, s.MaxBytes)
+				t.Fatalf("Len = %d entries and %d bytes, want at most %d and %d",
+					entries, bytes, s.MaxEntries, s.MaxBytes)
 			}
 		}
 	})
@@ -198,7 +202,7 @@
 		now := time.Duration(i) * time.Millisecond
 		k := Key{"partner.example", i}
 		if v, _ := l.Admit(now, k, false); v != Begin {
-			b.Fatal(v)
+			b.Fatalf("Admit(%v) = %v, want %v", k, v, Begin)
 		}
 		l.Complete(now, k, answer)
 	}
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Record is one persisted step of a request: the intent to run it, its answer, or that its outcome will not be known.
-// A record that is neither Completed nor Uncertain is an intent.
+// Record is a persisted state of a request: the intent to run it, its answer (Completed), or the fact that its outcome
+// is unknown (Uncertain). A record that is neither Completed nor Uncertain is an intent.
 type Record struct {
 	Key       Key
 	Completed bool
 	Uncertain bool
-	Answer    []byte // of a completed request
+	Answer    []byte // the answer of a completed request
 }
 
-// RestoreLimitError is returned by Restore for more entries than the ledger may remember.
+// RestoreLimitError is returned by Restore if the records have more requests than Settings.MaxEntries.
 type RestoreLimitError struct {
-	Records    int // to be restored
+	Records    int // number of records passed to Restore
 	MaxEntries int
 }
 
 // Error implements error.
 func (e RestoreLimitError) Error() string {
-	return fmt.Sprintf("effects: %d entries were written down; there is room for %d", e.Records, e.MaxEntries)
+	return fmt.Sprintf("idempotency: restoring %d records: the ledger holds at most %d entries",
+		e.Records, e.MaxEntries)
 }
 
-// Restore takes in the records of an earlier process, in the order in which they were persisted. A request with an
-// intent and no answer is of unknown outcome. If the records do not fit, it returns a RestoreLimitError, and the
-// ledger must not be used: it would let a forgotten request run again.
+// Restore adds the records of an earlier process, in the order in which they were persisted. The outcome of a request
+// with an intent and no answer is unknown. If the records have more requests than Settings.MaxEntries, Restore returns
+// a RestoreLimitError; the ledger must then not be used, because it would let a request that it lacks run again.
 func (l *Ledger) Restore(now time.Duration, records []Record) error {
 	for _, r := range records {
 		e := l.entries[r.Key]
@@ -37,7 +38,7 @@
 			}
 			e = &entry{key: r.Key}
 			l.entries[r.Key] = e
-			l.end(now, e, uncertain)
+			l.finish(now, e, uncertain)
 		}
 		if r.Completed && e.state != completed {
 			l.Complete(now, r.Key, r.Answer)
--- a/internal/idempotency/settings.go
+++ b/internal/idempotency/settings.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// MinWindow is the least time for which a completed request must be remembered: end-to-end identifiers stay unique
-// for four minutes, across restarts too (RFC 6733, section 3).
+// MinWindow is the minimum of Settings.Window: end-to-end identifiers stay unique for at least four minutes, even if
+// the sender restarts (RFC 6733, section 3).
 const MinWindow = 4 * time.Minute
 
 // Settings configure a Ledger.
 type Settings struct {
-	// Window is how long a completed request is remembered; at least MinWindow.
+	// Window is the time for which a completed request is remembered; at least MinWindow.
 	Window time.Duration
-	// UncertainWindow is how long a request of unknown outcome is remembered; at least Window. It is longer because
-	// somebody has to look the outcome up elsewhere.
+	// UncertainWindow is the time for which a request of unknown outcome is remembered; at least Window. It is longer
+	// because an operator has to find out the outcome from another system.
 	UncertainWindow time.Duration
-	// MaxEntries is the most requests that are remembered; at least 1.
+	// MaxEntries is the maximum number of requests that are remembered; at least 1.
 	MaxEntries int
-	// MaxBytes is the most bytes of answers that are kept; at least 1.
+	// MaxBytes is the maximum total length in bytes of the answers that are kept; at least 1.
 	MaxBytes int
-	// LostAt is when the ledger began without the entries of an earlier process, on the callers' clock. For one
-	// Window after it, a retransmission that the ledger does not know may have run. Below 0 nothing was lost: the
-	// ledger is durable, or there was no earlier process.
+	// LostAt is the time, on the callers' clock, at which the ledger started without the entries of an earlier process.
+	// For one Window after it, a retransmission without an entry may have run. A negative value means that no entries
+	// were lost: the ledger is durable, or there was no earlier process.
 	LostAt time.Duration
 }
 
@@ -31,10 +31,10 @@
 func (s *Settings) Validate() error {
 	var errs []error
 	if s.Window < MinWindow {
-		errs = append(errs, fmt.Errorf("window: %v is under %v", s.Window, MinWindow))
+		errs = append(errs, fmt.Errorf("window: %v is below the minimum of %v", s.Window, MinWindow))
 	}
 	if s.UncertainWindow < s.Window {
-		errs = append(errs, fmt.Errorf("uncertain: %v is under the window, %v", s.UncertainWindow, s.Window))
+		errs = append(errs, fmt.Errorf("uncertain: %v is below the window of %v", s.UncertainWindow, s.Window))
 	}
 	if s.MaxEntries < 1 || s.MaxBytes < 1 {
 		errs = append(errs, fmt.Errorf("entries %d and bytes %d must be above 0", s.MaxEntries, s.MaxBytes))
--- a/internal/idempotency/store/committer.go
+++ b/internal/idempotency/store/committer.go
@@ -11,14 +11,14 @@
 	"lapisspread/internal/idempotency"
 )
 
-// maxBatch is the most records of one transaction.
+// maxBatch is the maximum number of records in one transaction.
 const maxBatch = 512
 
-// write is one record that waits for the committer.
+// write is one record that waits to be committed.
 type write struct {
 	record idempotency.Record
-	remove bool
-	done   chan error // with room for the result, so that the committer never blocks
+	remove bool       // delete the intent of record.Key instead of writing the record
+	done   chan error // buffered for the result, so that the committer never blocks
 }
 
 // submit queues a write and waits for its result.
@@ -34,7 +34,7 @@
 	case err := <-w.done:
 		return err
 	case <-s.done:
-		// The committer may have answered just before it returned.
+		// The committer may have sent the result just before it returned.
 		select {
 		case err := <-w.done:
 			return err
@@ -46,7 +46,7 @@
 	}
 }
 
-// runCommitter commits the writes that wait, one transaction at a time, until the store is closed.
+// runCommitter commits the queued writes, one transaction at a time, until the store is closed.
 func (s *Store) runCommitter() {
 	defer close(s.done)
 	batch := make([]*write, 0, maxBatch)
@@ -63,7 +63,8 @@
 	}
 }
 
-// nextBatch waits for a write and takes all that wait with it; none if the store is closed.
+// nextBatch waits for a write, and returns it with all other queued writes up to maxBatch. It appends to batch, and
+// appends nothing if the store is closed.
 func (s *Store) nextBatch(batch []*write) []*write {
 	select {
 	case w := <-s.queue:
@@ -71,7 +72,7 @@
 	case <-s.stop:
 		return batch
 	}
-	runtime.Gosched() // goroutines that are about to submit share the flush
+	runtime.Gosched() // lets goroutines that are about to submit a write share the flush
 	for len(batch) < maxBatch {
 		select {
 		case w := <-s.queue:
@@ -83,7 +84,7 @@
 	return batch
 }
 
-// commit makes one transaction of a batch, and then records it in the witness.
+// commit writes a batch in one transaction, and then records the number of the transaction in the witness.
 func (s *Store) commit(batch []*write) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		return errors.Join(s.apply(tx, batch), s.advanceSequence(tx))
@@ -92,12 +93,12 @@
 		err = s.writeWitness()
 	}
 	if err != nil {
-		return fmt.Errorf("effects: writing: %w", err)
+		return fmt.Errorf("idempotency store: committing a transaction: %w", err)
 	}
 	return nil
 }
 
-// apply puts a batch into a transaction, and deletes entries that have expired.
+// apply writes a batch within a transaction, and deletes entries that have expired.
 func (s *Store) apply(tx *bbolt.Tx, batch []*write) error {
 	entries := tx.Bucket(entriesBucket)
 	now := s.now()
--- a/internal/idempotency/store/layout.go
+++ b/internal/idempotency/store/layout.go
@@ -33,19 +33,19 @@
 // Lengths in bytes.
 const (
 	timeLength   = 8
-	headerLength = 1 + timeLength // of a value: its state and its time
+	headerLength = 1 + timeLength // the state and time at the start of a value
 	idLength     = 4
-	// shownBytes is how much of a broken value an error shows.
-	shownBytes = 16
+	// maxShownBytes is the maximum number of bytes of a corrupt value in an error.
+	maxShownBytes = 16
 )
 
-// maxExpiredPerCommit is the most expired entries that one transaction deletes, so that none takes long.
+// maxExpiredPerCommit is the maximum number of expired entries that one transaction deletes, which bounds its duration.
 const maxExpiredPerCommit = 2048
 
-// errBadKey is returned for bytes that are not a key of the entries bucket.
-var errBadKey = errors.New("no key")
+// errBadKey is returned for bytes that are not a valid key of the entries bucket.
+var errBadKey = errors.New("invalid key")
 
-// encodeKey returns the key of a request in the entries bucket.
+// encodeKey returns the key in the entries bucket for a request.
 func encodeKey(key idempotency.Key) []byte {
 	b := make([]byte, 0, len(key.Origin)+1+idLength)
 	b = append(b, key.Origin...)
@@ -63,7 +63,7 @@
 	return idempotency.Key{Origin: string(b[:originLength]), ID: id}, nil
 }
 
-// encodeValue returns a value of the entries bucket.
+// encodeValue returns the value in the entries bucket for a state, a time and an answer.
 func encodeValue(state byte, at time.Time, answer []byte) []byte {
 	v := make([]byte, 0, headerLength+len(answer))
 	v = append(v, state)
@@ -71,12 +71,12 @@
 	return append(v, answer...)
 }
 
-// validValue reports whether a value of the entries bucket has a known state and is long enough.
+// validValue reports whether a value of the entries bucket has a valid state and the minimum length.
 func validValue(v []byte) bool {
 	return len(v) >= headerLength && v[0] >= stateIntent && v[0] <= stateUncertain
 }
 
-// putExpiring writes an entry, and when it expires.
+// putExpiring writes an entry to the entries bucket, and its expiry time to the expiry bucket.
 func putExpiring(tx *bbolt.Tx, key []byte, state byte, expiresAt time.Time, answer []byte) error {
 	v := encodeValue(state, expiresAt, answer)
 	expiryKey := slices.Concat(v[1:headerLength], key)
@@ -86,7 +86,7 @@
 	return tx.Bucket(entriesBucket).Put(key, v)
 }
 
-// deleteExpired deletes entries that have expired, maxExpiredPerCommit at most.
+// deleteExpired deletes entries that have expired, at most maxExpiredPerCommit.
 func deleteExpired(tx *bbolt.Tx, now time.Time) error {
 	entries, expiries := tx.Bucket(entriesBucket), tx.Bucket(expiryBucket)
 	var expired [][]byte
@@ -102,7 +102,7 @@
 			return err
 		}
 		expiresAt, key := k[:timeLength], k[timeLength:]
-		// A different time is that of a newer entry: the identifier may be another request's by now.
+		// An entry with a different time is newer, possibly of another request with the same identifier, and is kept.
 		if v := entries.Get(key); v != nil && bytes.Equal(v[1:headerLength], expiresAt) {
 			if err := entries.Delete(key); err != nil {
 				return err
@@ -112,17 +112,17 @@
 	return nil
 }
 
-// datedRecord is a record and the time in its value.
+// datedRecord is a record and the time stored in its value.
 type datedRecord struct {
 	unixNano int64
 	record   idempotency.Record
 }
 
-// decodeEntry is the inverse of encodeKey and encodeValue. An intent gives an uncertain record.
+// decodeEntry is the inverse of encodeKey and encodeValue, except that an intent is returned as an uncertain record.
 func decodeEntry(k, v []byte) (datedRecord, error) {
 	key, err := decodeKey(k)
 	if err != nil || !validValue(v) {
-		return datedRecord{}, fmt.Errorf("a record that makes no sense: %x: %x", k, v[:min(len(v), shownBytes)])
+		return datedRecord{}, fmt.Errorf("corrupt record: key %x, value %x", k, v[:min(len(v), maxShownBytes)])
 	}
 	return datedRecord{int64(binary.BigEndian.Uint64(v[1:])), idempotency.Record{
 		Key:       key,
@@ -132,8 +132,8 @@
 	}}, nil
 }
 
-// readEntries returns the entries that have not expired, and the keys of those that are intents. It returns an intent
-// however old it is: if it were dropped, a request that may have run could run again.
+// readEntries returns the entries that have not expired, and the keys of those that are intents. An intent never
+// expires: if it were dropped, a request that may have run could run again.
 func readEntries(tx *bbolt.Tx, now time.Time) (entries []datedRecord, intents [][]byte, err error) {
 	err = tx.Bucket(entriesBucket).ForEach(func(k, v []byte) error {
 		entry, err := decodeEntry(k, v)
@@ -151,8 +151,8 @@
 	return entries, intents, err
 }
 
-// load returns the records that have not expired, ordered by their times. It creates the buckets of a new file, and
-// rewrites each intent as uncertain: the process that wrote it has died.
+// load returns the records that have not expired, ordered by the times in their values. It creates missing buckets, and
+// rewrites each intent as uncertain, because the process that wrote it ended before the outcome was persisted.
 func (s *Store) load() ([]idempotency.Record, error) {
 	var all []datedRecord
 	now := s.now()
@@ -167,7 +167,7 @@
 			return err
 		}
 		all = entries
-		// The window of a request of unknown outcome begins now: nobody could look its outcome up before.
+		// The uncertain window of these requests starts now, because only now the outcome is found to be unknown.
 		for _, key := range intents {
 			if err := putExpiring(tx, key, stateUncertain, now.Add(s.uncertainWindow), nil); err != nil {
 				return err
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// lockTimeout is how long Open waits for another process to release the file.
+	// lockTimeout is the maximum time that Open waits for another process to release the file.
 	lockTimeout = 3 * time.Second
 	fileMode    = 0o600
-	// witnessSuffix is appended to the path of the ledger.
+	// witnessSuffix is appended to the path of the ledger to get the path of the witness.
 	witnessSuffix = ".seq"
 )
 
-// Errors of a store, which errors.Is finds.
+// Errors of a store, to be tested for with errors.Is.
 var (
-	// ErrClosed is returned once the store is closed.
-	ErrClosed = errors.New("effects: the store is closed")
+	// ErrClosed is returned by Write and Delete once the store is closed.
+	ErrClosed = errors.New("idempotency store: the store is closed")
 	// ErrLocked is returned by Open while another process has the file open.
-	ErrLocked = errors.New("effects: another process holds the store")
+	ErrLocked = errors.New("idempotency store: another process has the file open")
 )
 
-// Store is the file of one ledger. It is safe for concurrent use.
+// Store persists one ledger in a file. It is safe for concurrent use.
 type Store struct {
 	db              *bbolt.DB
 	window          time.Duration
@@ -39,7 +39,7 @@
 	now             func() time.Time
 	witness         *os.File // holds the number of the last committed transaction
 	lostAt          time.Time
-	sequence        uint64 // of the last transaction; only the committer changes it
+	sequence        uint64 // number of the last transaction; written only by Open and the committer
 
 	commits atomic.Int64
 
@@ -51,19 +51,21 @@
 
 // Options configure Open.
 type Options struct {
-	// Window is how long a completed request is kept.
+	// Window is the time for which a completed request is kept.
 	Window time.Duration
-	// UncertainWindow is how long a request of unknown outcome is kept; Window if that is longer.
+	// UncertainWindow is the time for which a request of unknown outcome is kept. If it is shorter than Window, Window
+	// is used.
 	UncertainWindow time.Duration
-	// Now is the wall clock; nil is time.Now.
+	// Now returns the wall-clock time; nil means time.Now.
 	Now func() time.Time
-	// FirstProcess says that no earlier process can have had a ledger: a new file lacks nothing.
+	// FirstProcess says that no earlier process can have had a ledger, so that a new file does not count as a loss of
+	// entries.
 	FirstProcess bool
 }
 
-// Open opens or creates the file, and returns the records that have not expired in the order of their times. It
-// waits up to 3 s for another process to release the file, then returns ErrLocked. A file that is not a ledger is an
-// error. The caller must Close the store.
+// Open opens or creates the file, and returns the records that have not expired, ordered by their times: completed and
+// uncertain ones by expiry, intents by when they were written. While another process has the file open, it waits up to
+// 3 s and then returns ErrLocked. It returns an error if the file is not a ledger. The caller must call Close.
 func Open(path string, o Options) (*Store, []idempotency.Record, error) {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -73,7 +75,7 @@
 		return nil, nil, fmt.Errorf("%s: %w", path, ErrLocked)
 	}
 	if err != nil {
-		return nil, nil, fmt.Errorf("effects: %s: %w", path, err)
+		return nil, nil, fmt.Errorf("idempotency store: %s: %w", path, err)
 	}
 	s := &Store{
 		db:              db,
@@ -89,24 +91,24 @@
 		err = s.openWitness(path+witnessSuffix, o.FirstProcess)
 	}
 	if err != nil {
-		return nil, nil, errors.Join(fmt.Errorf("effects: %s: %w", path, err), db.Close())
+		return nil, nil, errors.Join(fmt.Errorf("idempotency store: %s: %w", path, err), db.Close())
 	}
 	go s.runCommitter()
 	return s, records, nil
 }
 
-// LostAt returns when the ledger was last found, by this or an earlier Open, to lack entries of an earlier process;
-// the zero time is never.
+// LostAt returns the time at which this or an earlier Open last found that the ledger lacks entries of an earlier
+// process, or the zero time if that never happened.
 func (s *Store) LostAt() time.Time { return s.lostAt }
 
-// Write returns once a record is on disk; it shares the transaction of other calls that wait. After an error it is
-// not known whether the record is on disk: a request that was to begin must not, and one that has run must be taken
-// as of unknown outcome.
+// Write writes a record, and returns nil once it is on disk. Concurrent calls share a transaction. It returns ErrClosed
+// after Close, and the cause of ctx if that ends first. After an error the record may or may not be on disk: a request
+// whose intent was to be written must not run, and the outcome of a request that has run counts as unknown.
 func (s *Store) Write(ctx context.Context, r idempotency.Record) error {
 	return s.submit(ctx, &write{record: r, done: make(chan error, 1)})
 }
 
-// Delete removes the intent of a request that has not run and will not. It returns as Write does.
+// Delete removes the intent of a request that has not run and will not run. It blocks and returns errors like Write.
 func (s *Store) Delete(ctx context.Context, key idempotency.Key) error {
 	return s.submit(ctx, &write{record: idempotency.Record{Key: key}, remove: true, done: make(chan error, 1)})
 }
@@ -121,10 +123,12 @@
 	return n, err
 }
 
-// Commits returns how many transactions were made for records; records that wait together share one.
+// Commits returns the number of transactions for records, including those that failed. Concurrent calls of Write and
+// Delete share a transaction.
 func (s *Store) Commits() int64 { return s.commits.Load() }
 
-// Close ends the store. Calls that wait return ErrClosed. A second Close does nothing.
+// Close closes the store, after the transaction in progress. Other waiting calls return ErrClosed. A second Close does
+// nothing and returns nil.
 func (s *Store) Close() error {
 	var err error
 	s.closeOnce.Do(func() {
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -23,12 +23,12 @@
 	uncertain = time.Hour
 )
 
-// open opens a store and returns its records by key.
+// open opens a store that is closed when the test ends, and returns its records by key.
 func open(t testing.TB, path string, now func() time.Time) (*Store, map[idempotency.Key]idempotency.Record) {
 	t.Helper()
 	s, records, err := Open(path, Options{Window: window, UncertainWindow: uncertain, Now: now})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open(%s): %v", path, err)
 	}
 	t.Cleanup(func() { mustClose(t, s) })
 	byKey := map[idempotency.Key]idempotency.Record{}
@@ -41,7 +41,7 @@
 func mustClose(t testing.TB, s *Store) {
 	t.Helper()
 	if err := s.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("Close: %v", err)
 	}
 }
 
@@ -62,108 +62,108 @@
 		{Key: c},
 	} {
 		if err := s.Write(ctx, r); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Write(%+v): %v", r, err)
 		}
 	}
 	if err := s.Delete(ctx, c); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Delete(%v): %v", c, err)
 	}
 	if _, _, err := Open(path, Options{Window: window}); err == nil {
-		t.Error("a file that is in use was opened")
+		t.Error("Open of a file that another store has open = nil, want an error")
 	}
 	if err := s.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Close: %v", err)
 	}
 	if err := s.Write(ctx, idempotency.Record{Key: a}); !errors.Is(err, ErrClosed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("Write after Close = %v, want %v", err, ErrClosed)
 	}
 	s, byKey := open(t, path, now)
 	if len(byKey) != 2 || !byKey[a].Completed || string(byKey[a].Answer) != "paid" || byKey[b].Completed {
-		t.Errorf("%+v", byKey)
+		t.Errorf("records after reopening: %+v, want %v completed with \"paid\", and %v not completed", byKey, a, b)
 	}
-	// The window of a is over; that of b began when its intent was found.
+	// The window of a has passed. The uncertain window of b started when its intent was found on reopening.
 	clock = clock.Add(window + time.Second)
 	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "z", ID: 9}}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write one window later: %v", err)
 	}
 	mustClose(t, s)
 	s, byKey = open(t, path, now)
 	if len(byKey) != 2 || byKey[a].Completed || !byKey[b].Uncertain {
-		t.Errorf("one window later: %+v", byKey)
+		t.Errorf("records one window later: %+v, want %v uncertain, the intent z, and not %v", byKey, b, a)
 	}
 	clock = clock.Add(uncertain + time.Second)
 	if err := s.Write(ctx, idempotency.Record{Key: y, Uncertain: true}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write after the uncertain window: %v", err)
 	}
 	mustClose(t, s)
 	if _, byKey = open(t, path, now); len(byKey) != 1 || !byKey[y].Uncertain {
-		t.Errorf("after the uncertain window: %+v", byKey)
+		t.Errorf("records after the uncertain window: %+v, want only %v uncertain", byKey, y)
 	}
 }
 
 func TestOpenRejectsOtherFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects")
 	if err := os.WriteFile(path, []byte(strings.Repeat("no database ", 2000)), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing a file that is not a database: %v", err)
 	}
 	if _, _, err := Open(path, Options{Window: window}); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("%v", err)
+		t.Errorf("Open of a file that is not a database: error %v, want one that contains the path %s", err, path)
 	}
 }
 
-// A full disk is reported to all callers that wait, and earlier records stay.
+// Write returns an error when the disk is full, and earlier records stay readable.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "effects")
 	s, _ := open(t, path, nil)
 	k := idempotency.Key{Origin: "a", ID: 1}
 	if err := s.Write(t.Context(), idempotency.Record{Key: k}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write(%v) before the disk is full: %v", k, err)
 	}
 	if size, err := s.Size(); err != nil || size == 0 {
-		t.Errorf("%d bytes, %v", size, err)
+		t.Errorf("Size = %d, %v, want more than 0 and no error", size, err)
 	}
-	s.db.MaxSize = 64 << 10 // stands in for a full disk
-	var failed error
-	for i := uint32(2); i < 2000 && failed == nil; i++ {
-		failed = s.Write(t.Context(), idempotency.Record{
+	s.db.MaxSize = 64 << 10 // simulates a full disk
+	var writeErr error
+	for i := uint32(2); i < 2000 && writeErr == nil; i++ {
+		writeErr = s.Write(t.Context(), idempotency.Record{
 			Key:       idempotency.Key{Origin: "a", ID: i},
 			Completed: true,
 			Answer:    make([]byte, 4000),
 		})
 	}
-	if failed == nil {
-		t.Fatal("a full disk is not reported")
+	if writeErr == nil {
+		t.Fatal("Write to a full disk = nil, want an error")
 	}
 	mustClose(t, s)
 	if _, byKey := open(t, path, nil); byKey[k].Key != k {
-		t.Error("an earlier record is missing")
+		t.Errorf("the record of %v, written before the disk was full, is missing after reopening", k)
 	}
 }
 
-// Records that wait together share a transaction.
+// Concurrent calls of Write share transactions.
 func TestGroupCommit(t *testing.T) {
 	s, _ := open(t, filepath.Join(t.TempDir(), "effects"), nil)
 	var all sync.WaitGroup
 	for i := range uint32(400) {
 		all.Go(func() {
 			if err := s.Write(t.Context(), idempotency.Record{Key: idempotency.Key{Origin: "a", ID: i}}); err != nil {
-				t.Error(err)
+				t.Errorf("Write of record %d: %v", i, err)
 			}
 		})
 	}
 	all.Wait()
 	if n := s.Commits(); n > 200 {
-		t.Errorf("%d transactions for 400 records that waited together", n)
+		t.Errorf("%d transactions for 400 concurrent writes, want at most 200", n)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "a", ID: 1}})
 	if err != nil && !errors.Is(err, context.Canceled) {
-		t.Errorf("with a canceled context: %v", err)
+		t.Errorf("Write with a canceled context = %v, want nil or %v", err, context.Canceled)
 	}
 }
 
-// killRounds is how many kills TestKills makes. A longer trial:
+// killRounds returns how many times TestKills kills its child process. A run with more kills:
 // EFFECTS_KILLS=200 go test ./internal/idempotency/store -run Kills
 func killRounds() int {
 	if n, err := strconv.Atoi(os.Getenv("EFFECTS_KILLS")); err == nil {
@@ -172,7 +172,8 @@
 	return 12
 }
 
-// A process that is killed at any moment has on disk all that was confirmed to it, and no claim begins a second time.
+// If a process is killed at any time, all records that Write confirmed are on disk, and Admit does not begin their
+// requests again. The test kills a child process, which runs writeClaims, at random times.
 func TestKills(t *testing.T) {
 	if path := os.Getenv("EFFECTS_CHILD"); path != "" {
 		writeClaims(path)
@@ -180,35 +181,35 @@
 	}
 	rng := rand.New(rand.NewPCG(11, 12))
 	path := filepath.Join(t.TempDir(), "effects")
-	confirmed := map[idempotency.Key]string{} // "intent", or the answer
+	confirmed := map[idempotency.Key]string{} // "intent" or the answer, by request
 	for round := range killRounds() {
-		c := exec.Command(os.Args[0], "-test.run=^TestKills$")
-		c.Env = append(os.Environ(), "EFFECTS_CHILD="+path, "EFFECTS_ROUND="+strconv.Itoa(round))
-		out, err := c.StdoutPipe()
+		child := exec.Command(os.Args[0], "-test.run=^TestKills$")
+		child.Env = append(os.Environ(), "EFFECTS_CHILD="+path, "EFFECTS_ROUND="+strconv.Itoa(round))
+		stdout, err := child.StdoutPipe()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("round %d: pipe for the child's output: %v", round, err)
 		}
-		if err := c.Start(); err != nil {
-			t.Fatal(err)
+		if err := child.Start(); err != nil {
+			t.Fatalf("round %d: starting the child process: %v", round, err)
 		}
-		lines := bufio.NewScanner(out)
-		after := 1 + rng.IntN(300)
+		lines := bufio.NewScanner(stdout)
+		killAfter := 1 + rng.IntN(300) // lines of output
 		for n := 0; lines.Scan(); n++ {
-			if n == after {
-				if err := c.Process.Kill(); err != nil {
-					t.Error(err)
+			if n == killAfter {
+				if err := child.Process.Kill(); err != nil {
+					t.Errorf("round %d: killing the child process: %v", round, err)
 				}
 			}
 			var id uint32
-			var what string
-			if _, err := fmt.Sscanf(lines.Text(), "confirmed %d %s", &id, &what); err == nil {
-				confirmed[idempotency.Key{Origin: "a", ID: id}] = what
+			var intentOrAnswer string
+			if _, err := fmt.Sscanf(lines.Text(), "confirmed %d %s", &id, &intentOrAnswer); err == nil {
+				confirmed[idempotency.Key{Origin: "a", ID: id}] = intentOrAnswer
 			}
 		}
-		_ = c.Wait() // it was killed
+		_ = child.Wait() // returns an error, because the child was killed
 		s, records, err := Open(path, Options{Window: window})
 		if err != nil {
-			t.Fatalf("round %d: %v", round, err)
+			t.Fatalf("round %d: Open after the kill: %v", round, err)
 		}
 		l, err := idempotency.New(idempotency.Settings{
 			Window:          window,
@@ -218,28 +219,31 @@
 			LostAt:          -1,
 		})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("round %d: idempotency.New: %v", round, err)
 		}
 		if err := l.Restore(0, records); err != nil {
-			t.Fatal(err)
+			t.Fatalf("round %d: Restore of %d records: %v", round, len(records), err)
 		}
-		for k, what := range confirmed {
+		for k, intentOrAnswer := range confirmed {
 			v, answer := l.Admit(time.Second, k, false)
 			switch {
 			case v == idempotency.Begin:
-				t.Fatalf("round %d: %v was confirmed as %s, and would begin again", round, k, what)
-			case what != "intent" && (v != idempotency.Answered || string(answer) != what):
-				t.Fatalf("round %d: %v has the answer %s: %v %q", round, k, what, v, answer)
+				t.Fatalf("round %d: Admit(%v) = begin, but %q of this request was confirmed", round, k, intentOrAnswer)
+			case intentOrAnswer != "intent" && (v != idempotency.Answered || string(answer) != intentOrAnswer):
+				t.Fatalf("round %d: Admit(%v) = %v with answer %q, want answered with %q",
+					round, k, v, answer, intentOrAnswer)
 			}
 		}
 		mustClose(t, s)
 	}
 	if len(confirmed) < 20*killRounds() {
-		t.Errorf("%d claims in %d rounds: there was nothing to kill", len(confirmed), killRounds())
+		t.Errorf("%d requests were confirmed in %d rounds, want at least 20 a round: the child was killed too early",
+			len(confirmed), killRounds())
 	}
 }
 
-// writeClaims is the child process: many goroutines write claims, and each prints a claim once it is confirmed.
+// writeClaims runs in the child process of TestKills. Its goroutines write the intents and answers of requests, and
+// print each record once Write has confirmed it.
 func writeClaims(path string) {
 	s, _, err := Open(path, Options{Window: window})
 	if err != nil {
@@ -248,10 +252,10 @@
 	}
 	round, _ := strconv.Atoi(os.Getenv("EFFECTS_ROUND"))
 	var mu sync.Mutex
-	report := func(id uint32, what string) {
+	printConfirmed := func(id uint32, intentOrAnswer string) {
 		mu.Lock()
 		defer mu.Unlock()
-		fmt.Printf("confirmed %d %s\n", id, what)
+		fmt.Printf("confirmed %d %s\n", id, intentOrAnswer)
 	}
 	for g := range uint32(16) {
 		go func() {
@@ -261,22 +265,22 @@
 				if s.Write(context.Background(), idempotency.Record{Key: k}) != nil {
 					return
 				}
-				report(id, "intent")
+				printConfirmed(id, "intent")
 				answer := fmt.Sprint("paid-", id)
 				r := idempotency.Record{Key: k, Completed: true, Answer: []byte(answer)}
 				if s.Write(context.Background(), r) != nil {
 					return
 				}
-				report(id, answer)
+				printConfirmed(id, answer)
 			}
 		}()
 	}
-	time.Sleep(20 * time.Second) // it ends by itself if it is not killed
+	time.Sleep(20 * time.Second) // the child exits after this time if it is not killed
 }
 
 func BenchmarkClaim(b *testing.B) {
 	for _, writers := range []int{1, 64} {
-		b.Run(fmt.Sprint(writers, " at once"), func(b *testing.B) {
+		b.Run(fmt.Sprint(writers, " concurrent writers"), func(b *testing.B) {
 			s, _ := open(b, filepath.Join(b.TempDir(), "effects"), nil)
 			var all sync.WaitGroup
 			for g := range writers {
@@ -284,11 +288,11 @@
 					for i := range b.N/writers + 1 {
 						k := idempotency.Key{Origin: "a", ID: uint32(g)<<24 | uint32(i)}
 						if err := s.Write(context.Background(), idempotency.Record{Key: k}); err != nil {
-							b.Error(err)
+							b.Errorf("Write of the intent of %v: %v", k, err)
 						}
 						completed := idempotency.Record{Key: k, Completed: true, Answer: make([]byte, 180)}
 						if err := s.Write(context.Background(), completed); err != nil {
-							b.Error(err)
+							b.Errorf("Write of the answer of %v: %v", k, err)
 						}
 					}
 				})
@@ -298,7 +302,7 @@
 	}
 }
 
-// BenchmarkRecovery opens a file of many completed claims, as a process does when it starts:
+// BenchmarkRecovery measures Open of a file with many completed requests, as when a process starts:
 // EFFECTS_ENTRIES=1000000 go test -run - -bench Recovery -benchtime 3x ./internal/idempotency/store
 func BenchmarkRecovery(b *testing.B) {
 	entries := 20_000
@@ -308,10 +312,10 @@
 	path := filepath.Join(b.TempDir(), "effects")
 	s, _, err := Open(path, Options{Window: time.Hour})
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("Open of a new file: %v", err)
 	}
-	answer := make([]byte, 280) // about the length of a claim's answer
-	began := time.Now()
+	answer := make([]byte, 280) // about the length of the answer to a claim request
+	startedAt := time.Now()
 	var all sync.WaitGroup
 	const writers = 512
 	for w := range writers {
@@ -320,29 +324,29 @@
 				key := idempotency.Key{Origin: "claims.partner.example", ID: uint32(i)}
 				err := s.Write(b.Context(), idempotency.Record{Key: key, Completed: true, Answer: answer})
 				if err != nil {
-					b.Error(err)
+					b.Errorf("Write of record %d: %v", i, err)
 					return
 				}
 			}
 		})
 	}
 	all.Wait()
-	wrote := time.Since(began)
+	writeTime := time.Since(startedAt)
 	size, err := s.Size()
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("Size: %v", err)
 	}
 	if err := s.Close(); err != nil {
-		b.Fatal(err)
+		b.Fatalf("Close: %v", err)
 	}
 	for b.Loop() {
 		s, records, err := Open(path, Options{Window: time.Hour})
 		if err != nil || len(records) != entries {
-			b.Fatalf("%d records, %v", len(records), err)
+			b.Fatalf("Open = %d records, error %v, want %d records", len(records), err, entries)
 		}
 		mustClose(b, s)
 	}
 	b.ReportMetric(float64(size)/float64(entries), "disk-B/entry")
-	b.ReportMetric(float64(entries)/wrote.Seconds(), "writes/s")
+	b.ReportMetric(float64(entries)/writeTime.Seconds(), "writes/s")
 	b.ReportMetric(float64(entries), "entries")
 }
--- a/internal/idempotency/store/witness.go
+++ b/internal/idempotency/store/witness.go
@@ -13,15 +13,15 @@
 // sequenceLength is the length of the witness in bytes.
 const sequenceLength = 8
 
-// openWitness compares the ledger with its witness, and sets lostAt if the ledger lacks entries. It persists lostAt,
-// because what was lost may be retransmitted to a later process too.
+// openWitness opens the witness and compares the ledger with it. It sets lostAt if the ledger lacks entries. lostAt is
+// persisted, because requests whose entries were lost may be retransmitted to a later process too.
 func (s *Store) openWitness(path string, firstProcess bool) error {
 	var err error
 	if s.witness, err = os.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode); err != nil {
 		return err
 	}
-	var witnessed [sequenceLength]byte
-	n, err := s.witness.ReadAt(witnessed[:], 0)
+	var witnessSequence [sequenceLength]byte
+	n, err := s.witness.ReadAt(witnessSequence[:], 0)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return errors.Join(err, s.witness.Close())
 	}
@@ -31,7 +31,7 @@
 			return err
 		}
 		sequence, found := getNumber(meta, sequenceKey)
-		lacksEntries := !found || n < sequenceLength || sequence < binary.BigEndian.Uint64(witnessed[:])
+		lacksEntries := !found || n < sequenceLength || sequence < binary.BigEndian.Uint64(witnessSequence[:])
 		if at, found := getNumber(meta, lostAtKey); found {
 			s.lostAt = time.Unix(0, int64(at))
 		}
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// advanceSequence gives a transaction its number. It skips numbers of transactions that were not committed.
+// advanceSequence assigns the next number to a transaction. Numbers of transactions that failed are not used again.
 func (s *Store) advanceSequence(tx *bbolt.Tx) error {
 	meta := tx.Bucket(metaBucket)
 	committed, _ := getNumber(meta, sequenceKey)
@@ -58,14 +58,15 @@
 	return putNumber(meta, sequenceKey, s.sequence)
 }
 
-// writeWitness records the number of the last committed transaction. It must run after the commit: else a kill
-// between both would make a complete ledger look as if it lacked entries.
+// writeWitness writes the number of the last committed transaction to the witness. It must be called after the commit:
+// if the witness were written first and the process killed before the commit, a complete ledger would seem to lack
+// entries.
 func (s *Store) writeWitness() error {
 	_, err := s.witness.WriteAt(binary.BigEndian.AppendUint64(nil, s.sequence), 0)
 	return err
 }
 
-// getNumber reads a number of the meta bucket; found is false if there is none.
+// getNumber reads a number from the meta bucket; found is false if the key has no valid number.
 func getNumber(b *bbolt.Bucket, key []byte) (n uint64, found bool) {
 	v := b.Get(key)
 	if len(v) != sequenceLength {
@@ -74,7 +75,7 @@
 	return binary.BigEndian.Uint64(v), true
 }
 
-// putNumber writes a number of the meta bucket.
+// putNumber writes a number to the meta bucket.
 func putNumber(b *bbolt.Bucket, key []byte, n uint64) error {
 	return b.Put(key, binary.BigEndian.AppendUint64(nil, n))
 }
