--- a/internal/admission/conn.go
+++ b/internal/admission/conn.go
@@ -14,7 +14,7 @@
 	stateBusy                  // a whole request is in flight, or a proven connection has received part of a request
 )
 
-// conn is a connection that a ConnLimiter holds.
+// conn is the state of one open connection in a ConnLimiter.
 type conn struct {
 	id              ID
 	state           state
--- a/internal/admission/connlimiter_test.go
+++ b/internal/admission/connlimiter_test.go
@@ -10,6 +10,7 @@
 
 const ms = time.Millisecond
 
+// ip returns the IPv4 address a.b.c.d; only the low 8 bits of each number are used.
 func ip(a, b, c, d int) netip.Addr {
 	return netip.AddrFrom4([4]byte{byte(a), byte(b), byte(c), byte(d)})
 }
@@ -81,7 +82,7 @@
 	if _, reason := connect(l, 2*time.Second, flooder, ignoreEviction, nil); reason != RateExceeded {
 		t.Fatalf("Arrive of the flooding address after 2 s of flood: reason %v, want %v", reason, RateExceeded)
 	}
-	for i := range 90 { // connections stay scarce
+	for i := range 90 { // close some connections, so few that connections stay scarce
 		if i < len(open) && i >= 10 {
 			l.Remove(2*time.Second, open[i], false)
 		}
@@ -107,7 +108,7 @@
 	if err := l.Reconfigure(0, Defaults(10)); err != nil {
 		t.Fatalf("Reconfigure from 50 to 10 connections: %v", err)
 	}
-	onEvict := func(ID) { t.Error("a connection with a request in flight was evicted") }
+	onEvict := func(id ID) { t.Errorf("Arrive evicts connection %d, which has a request in flight", id) }
 	if id, reason := connect(l, ms, ip(10, 1, 0, 1), onEvict, nil); id != 0 || reason != NoCapacity {
 		t.Errorf("Arrive with 30 open and MaxConns 10: ID %d, reason %v, want ID 0, reason %v", id, reason, NoCapacity)
 	}
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,4 +1,4 @@
-// Package admission decides which client connections a process keeps, and which requests it admits.
+// Package admission decides which client connections a process accepts and keeps, and which requests it admits.
 //
 //   - ConnLimiter decides on connections: which are admitted, rejected, or evicted to admit others.
 //   - RequestLimiter bounds the requests in flight of one service, optionally adapting to latency.
--- a/internal/admission/eviction.go
+++ b/internal/admission/eviction.go
@@ -6,8 +6,9 @@
 	// graceExcess is the excess above which the unproven connections of an address or network lose the grace period.
 	// Otherwise a flood so fast that all of its connections are within the grace period would hold all connections.
 	graceExcess = 8
-	// unprovenDivisor defines the share of unproven connections: MaxConns/unprovenDivisor. Below this share, a new
-	// connection evicts an idle connection of an unknown client instead of an unproven one.
+	// unprovenDivisor defines the share of unproven connections: MaxConns/unprovenDivisor. While there are fewer, all
+	// within their grace period, a new connection evicts an idle connection of an unknown client instead of an unproven
+	// one.
 	unprovenDivisor = 8
 )
 
@@ -25,8 +26,8 @@
 		if l.pastGrace(now, oldest) || g.excess > graceExcess {
 			return oldest
 		}
-		// Below their share, new connections evict idle ones instead. Otherwise idle connections could occupy nearly
-		// all capacity while new connections evict each other before they can be served.
+		// While unproven connections hold less than their share, an idle connection is evicted instead. Otherwise idle
+		// connections could occupy nearly all capacity while new ones evict each other before they can be served.
 		oldestOfAll := l.unproven.Front().Value.(*conn)
 		unprovenHaveShare := l.unproven.Len() >= l.settings.MaxConns/unprovenDivisor
 		if l.pastGrace(now, oldestOfAll) || unprovenHaveShare || l.idle[idleUnknown].Len() == 0 {
--- a/internal/admission/requestlimiter.go
+++ b/internal/admission/requestlimiter.go
@@ -20,7 +20,8 @@
 type RequestSettings struct {
 	// MaxInFlight is the maximum number of requests in flight.
 	MaxInFlight int
-	// MaxTenantPart is the share of the limit that one tenant may use, 0 to 1. With 0 only the gate limits tenants.
+	// MaxTenantPart is the share of the limit, 0 to 1, that one tenant may use; at least one request is always
+	// permitted. With 0 only the gate limits tenants.
 	MaxTenantPart float64
 	// MaxPerConn is the maximum number of requests in flight per connection; 0 means unlimited.
 	MaxPerConn int
@@ -116,8 +117,8 @@
 	return r.settings.RetryAfter + jitter
 }
 
-// Release records the end of a request that Acquire admitted. latency is the time to its answer, or 0 if it ended
-// without one.
+// Release records the end of a request that Acquire admitted. latency is the time until its answer if the
+// request was served, and 0 for any other end.
 func (r *RequestLimiter) Release(tenant int, latency time.Duration) {
 	if r.inFlight > 0 {
 		r.inFlight--
--- a/internal/admission/requestlimiter_test.go
+++ b/internal/admission/requestlimiter_test.go
@@ -52,7 +52,7 @@
 		rejected := 0
 		for range 300 {
 			tenant := rapid.IntRange(0, 1).Draw(t, "tenant")
-			if len(inFlight) > 0 && rapid.IntRange(0, 2).Draw(t, "request ends if 0") == 0 {
+			if len(inFlight) > 0 && rapid.IntRange(0, 2).Draw(t, "end a request if 0") == 0 {
 				r.Release(inFlight[0], time.Millisecond)
 				inFlight = inFlight[1:]
 				continue
@@ -72,7 +72,8 @@
 				overTenant := s.MaxTenantPart > 0 && float64(tenantInFlight+1) > maxPerTenant
 				if overTotal || overConn || overTenant {
 					t.Fatalf("Acquire = admitted with %d in flight, %d of the tenant (maximum %.1f) and "+
-						"%d of the connection, want rejected; settings %+v", len(inFlight), tenantInFlight, maxPerTenant, connInFlight, s)
+						"%d of the connection, want rejected; settings %+v",
+						len(inFlight), tenantInFlight, maxPerTenant, connInFlight, s)
 				}
 				inFlight = append(inFlight, tenant)
 				continue
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -15,7 +15,7 @@
 	BytesPerServedRequest = 64 << 10
 	// MaxBlockDuration is the maximum duration of a block.
 	MaxBlockDuration = 7 * 24 * time.Hour
-	// KnownThreshold is the number of served requests, after decay, from which on an address is a known client.
+	// KnownThreshold is the minimum number of served requests, after decay, that makes an address a known client.
 	KnownThreshold = 3
 )
 
@@ -58,7 +58,7 @@
 	// MaxBodyPart is the share of MaxBodyBytes, 0 to 1, that an address may hold while bytes are scarce. For a network
 	// it is multiplied by NetworkFactor.
 	MaxBodyPart float64
-	// KnownPrefixes lists networks whose addresses are always known clients with a credit of MaxCredit.
+	// KnownPrefixes lists networks whose addresses are known clients from the start, with a credit of MaxCredit.
 	KnownPrefixes []netip.Prefix
 	// MaxTracked is the maximum number of addresses, and of networks, whose credit is remembered while they have no
 	// open connection.
--- a/internal/admission/tier.go
+++ b/internal/admission/tier.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// minRememberedCredit is the number of served requests, after decay, from which on a group without connections is kept.
+// minRememberedCredit is the minimum number of served requests, after decay, for which a group without connections is
+// kept.
 const minRememberedCredit = 0.5
 
 // group holds the counts of an address or network that has open connections or credit.
--- a/internal/idempotency/guard/guard.go
+++ b/internal/idempotency/guard/guard.go
@@ -18,7 +18,7 @@
 // Outcome is the result of running a request.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes that Work returns.
 const (
 	Answered Outcome = iota // the request has an answer, which every further copy gets
 	NeverRan                // the request has not run and will not run; its next copy is new
--- a/internal/idempotency/guard/guard_test.go
+++ b/internal/idempotency/guard/guard_test.go
@@ -28,7 +28,7 @@
 // newGuard returns a guard whose Open has succeeded. lostAt is negative for the first process.
 func newGuard(t *testing.T, path string, lostAt time.Duration) *Guard {
 	t.Helper()
-	clockStart := time.Now().Add(-30 * time.Hour) // the clock does not start with the guard
+	clockStart := time.Now().Add(-30 * time.Hour) // the guard's clock started long before the guard
 	g, err := New(Options{
 		Ledger:       testSettings(lostAt),
 		Path:         path,
@@ -66,9 +66,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", -1)
 		var ran atomic.Int64
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range 300 {
-			all.Go(func() {
+			wg.Go(func() {
 				time.Sleep(time.Duration(i) * time.Millisecond)
 				answer, _, v := g.Do(t.Context(), key(i%10), i >= 10, func() ([]byte, Outcome) {
 					ran.Add(1)
@@ -82,7 +82,7 @@
 				}
 			})
 		}
-		all.Wait()
+		wg.Wait()
 		r := g.Report()
 		if ran.Load() != 10 || r.Started != 10 || r.Joined == 0 || r.Replayed == 0 || r.InFlight != 0 {
 			t.Errorf("work was called %d times, want 10; Report = %+v, "+
@@ -196,7 +196,7 @@
 	opened := make(chan error, 1)
 	go func() { opened <- next.Open(t.Context()) }()
 	time.Sleep(20 * time.Millisecond)
-	// The old process dies with a request in flight.
+	// Closing the store of the old process simulates its death with a request in flight.
 	if err := g.store.Close(); err != nil {
 		t.Fatalf("closing the store of the old process: %v", err)
 	}
--- a/internal/idempotency/ledger.go
+++ b/internal/idempotency/ledger.go
@@ -16,7 +16,7 @@
 // Verdict is the decision on a request that arrives.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of Ledger.Admit.
 const (
 	Begin      Verdict = iota // the request is new, and may run once its intent is persisted
 	Join                      // another copy is in flight, whose answer is also the answer of this one
@@ -48,7 +48,7 @@
 	key    Key
 	state  state
 	answer []byte
-	// expiresAt is the time from which on the entry is deleted; unset while the request is in flight.
+	// expiresAt is the time after which the entry is deleted; unset while the request is in flight.
 	expiresAt time.Duration
 	// element is the element of the entry in Ledger.completed or Ledger.uncertain; nil while the request is in flight.
 	element *list.Element
--- a/internal/idempotency/store/layout.go
+++ b/internal/idempotency/store/layout.go
@@ -167,7 +167,8 @@
 			return err
 		}
 		all = entries
-		// The uncertain window of these requests starts now, because only now the outcome is found to be unknown.
+		// The uncertain window of these requests starts now: no operator could look up their outcome earlier, because
+		// only now it is found to be unknown.
 		for _, key := range intents {
 			if err := putExpiring(tx, key, stateUncertain, now.Add(s.uncertainWindow), nil); err != nil {
 				return err
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -101,9 +101,10 @@
 // process, or the zero time if that never happened.
 func (s *Store) LostAt() time.Time { return s.lostAt }
 
-// Write writes a record, and returns nil once it is on disk. Concurrent calls share a transaction. It returns ErrClosed
-// after Close, and the cause of ctx if that ends first. After an error the record may or may not be on disk: a request
-// whose intent was to be written must not run, and the outcome of a request that has run counts as unknown.
+// Write writes a record, and returns nil once it is on disk. Concurrent calls share a transaction, and all of them get
+// its error, for example of a full disk. Write returns ErrClosed after Close, and the cause of ctx if ctx ends first.
+// After an error the record may or may not be on disk: a request whose intent was to be written must not run, and the
+// outcome of a request that has run counts as unknown.
 func (s *Store) Write(ctx context.Context, r idempotency.Record) error {
 	return s.submit(ctx, &write{record: r, done: make(chan error, 1)})
 }
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -143,15 +143,15 @@
 // Concurrent calls of Write share transactions.
 func TestGroupCommit(t *testing.T) {
 	s, _ := open(t, filepath.Join(t.TempDir(), "effects"), nil)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range uint32(400) {
-		all.Go(func() {
+		wg.Go(func() {
 			if err := s.Write(t.Context(), idempotency.Record{Key: idempotency.Key{Origin: "a", ID: i}}); err != nil {
 				t.Errorf("Write of record %d: %v", i, err)
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	if n := s.Commits(); n > 200 {
 		t.Errorf("%d transactions for 400 concurrent writes, want at most 200", n)
 	}
@@ -282,9 +282,9 @@
 	for _, writers := range []int{1, 64} {
 		b.Run(fmt.Sprint(writers, " concurrent writers"), func(b *testing.B) {
 			s, _ := open(b, filepath.Join(b.TempDir(), "effects"), nil)
-			var all sync.WaitGroup
+			var wg sync.WaitGroup
 			for g := range writers {
-				all.Go(func() {
+				wg.Go(func() {
 					for i := range b.N/writers + 1 {
 						k := idempotency.Key{Origin: "a", ID: uint32(g)<<24 | uint32(i)}
 						if err := s.Write(context.Background(), idempotency.Record{Key: k}); err != nil {
@@ -297,7 +297,7 @@
 					}
 				})
 			}
-			all.Wait()
+			wg.Wait()
 		})
 	}
 }
@@ -316,10 +316,10 @@
 	}
 	answer := make([]byte, 280) // about the length of the answer to a claim request
 	startedAt := time.Now()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	const writers = 512
 	for w := range writers {
-		all.Go(func() {
+		wg.Go(func() {
 			for i := w; i < entries; i += writers {
 				key := idempotency.Key{Origin: "claims.partner.example", ID: uint32(i)}
 				err := s.Write(b.Context(), idempotency.Record{Key: key, Completed: true, Answer: answer})
@@ -330,7 +330,7 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	writeTime := time.Since(startedAt)
 	size, err := s.Size()
 	if err != nil {
