--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -8,10 +8,10 @@
 
 // AddressReport is the state of one address, as encoded in the admin protocol.
 type AddressReport struct {
-	Prefix   string  `json:"address"`
-	Open     int     `json:"open"` // open connections
-	Unproven int     `json:"unproven"`
-	Credit   float64 `json:"earned"`
+	Prefix   string  `json:"address"`      // an IPv4 /32 or IPv6 /64
+	Open     int     `json:"open"`         // open connections
+	Unproven int     `json:"unproven"`     // open connections on which no request was served yet
+	Credit   float64 `json:"earned"`       // in unproven connections
 	Bytes    int64   `json:"bytes"`        // body bytes of requests in flight
 	Rate     float64 `json:"new_a_second"` // new connections per second
 	Rejected int64   `json:"refused"`      // connections rejected or evicted since the address was listed
@@ -20,11 +20,11 @@
 // Report is the state of a ConnLimiter, as encoded in the admin protocol.
 type Report struct {
 	MaxConns       int              `json:"places"`
-	Open           int              `json:"open"`
-	Known          int              `json:"known"`
-	Idle           int              `json:"waiting"`
-	Bytes          int64            `json:"bytes"` // body bytes of requests in flight
-	BodyRejections int64            `json:"bytes_refused"`
+	Open           int              `json:"open"`          // open connections
+	Known          int              `json:"known"`         // open connections that count as known clients'
+	Idle           int              `json:"waiting"`       // proven connections without a request in flight
+	Bytes          int64            `json:"bytes"`         // body bytes of requests in flight
+	BodyRejections int64            `json:"bytes_refused"` // AcquireBody calls rejected
 	Counts         Counts           `json:"-"`
 	Rejected       map[string]int64 `json:"refused"` // by Reason.String
 	Blocks         map[string]int   `json:"blocks"`  // remaining seconds, by prefix
--- a/internal/admission/verdict.go
+++ b/internal/admission/verdict.go
@@ -9,7 +9,7 @@
 // Reasons of verdicts and in Counts.Rejected.
 const (
 	NoReason     Reason = iota // the connection was admitted
-	Blocked                    // its address is in a block
+	Blocked                    // an operator blocked its address or network
 	RateExceeded               // too many new connections of its address or network while connections are scarce
 	NoCapacity                 // no connection is free for it, and none can be evicted
 	Evicted                    // an open connection was, or is to be, evicted to admit another
