--- a/internal/admission/requestlimiter.go
+++ b/internal/admission/requestlimiter.go
@@ -93,20 +93,21 @@
 	return "", 0
 }
 
-// rejection returns the reason to reject a request, or "" if it may be admitted.
+// rejection returns the reason to reject a request, or "" if it may be admitted. The reason is the body of the
+// response that the client gets, so its text stays as it is.
 func (r *RequestLimiter) rejection(class, tenant, connInFlight int) string {
 	s := &r.settings
 	limit := int(r.limit)
 	tenantInFlight := r.tenants[r.tenantIndex(tenant)]
 	switch {
 	case s.MaxPerConn > 0 && connInFlight >= s.MaxPerConn:
-		return "the connection has too many requests in flight"
+		return "the connection has too many requests in hand"
 	case s.MaxTenantPart > 0 && float64(tenantInFlight+1) > max(1, s.MaxTenantPart*float64(limit)):
-		return "the tenant has too many requests in flight"
+		return "the tenant has too many requests in hand"
 	case r.inFlight >= limit:
-		return "too many requests are in flight"
+		return "too many requests are in hand"
 	case r.gate != nil && !r.gate.Admits(int64(r.inFlight), int64(limit-r.inFlight), class, tenant):
-		return "the remaining capacity is reserved for higher priorities and for tenants with fewer requests in flight"
+		return "the last places are kept for what is worth more, and for tenants that hold less"
 	}
 	return ""
 }
