--- a/internal/processquota/gate_test.go
+++ b/internal/processquota/gate_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestGateErrors(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		classes []GateClass
 		weights []float64
 		want    string
@@ -19,8 +19,10 @@
 		{[]GateClass{{math.Inf(1), 1}}, nil, "class 0"},
 		{nil, []float64{1, -1}, "tenant 1"},
 	} {
-		if _, err := NewGate(k.classes, k.weights); err == nil || !strings.Contains(err.Error(), k.want) {
-			t.Errorf("%+v: %v", k, err)
+		_, err := NewGate(test.classes, test.weights)
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("NewGate(classes %+v, weights %v): error %v, want one that contains %q",
+				test.classes, test.weights, err, test.want)
 		}
 	}
 }
@@ -29,11 +31,11 @@
 	// The third class has the weight of the second but holds its unit for eight times as long.
 	g, err := NewGate([]GateClass{{2, 250}, {10, 500}, {10, 4000}}, []float64{3, 1})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("NewGate with three classes and two tenants: %v", err)
 	}
-	for _, k := range []struct {
-		used, room int64
-		want       [3]bool
+	for _, test := range []struct {
+		used, available int64
+		want            [3]bool // by class
 	}{
 		{0, 100, [3]bool{true, true, true}},
 		{80, 20, [3]bool{true, true, true}},
@@ -42,56 +44,60 @@
 		{99, 1, [3]bool{false, true, false}},
 		{100, 0, [3]bool{}},
 	} {
-		for class, want := range k.want {
-			if got := g.Admits(k.used, k.room, class, 0); got != want {
-				t.Errorf("%d used, %d left, class %d: %v", k.used, k.room, class, got)
+		for class, want := range test.want {
+			if got := g.Admits(test.used, test.available, class, 0); got != want {
+				t.Errorf("Admits(%d used, %d available, class %d, tenant 0) = %v, want %v",
+					test.used, test.available, class, got, want)
 			}
 		}
 	}
-	for range 90 { // the second tenant's part is a quarter while the first is active
+	for range 90 { // the second tenant's share is a quarter of the capacity while the first tenant is active
 		g.Enter(1)
 	}
 	if !g.Admits(90, 10, 1, 1) {
-		t.Error("a tenant that is alone was rejected with units available")
+		t.Error("Admits(90 used, 10 available, class 1, tenant 1) = false while no other tenant is active, want true")
 	}
 	g.Enter(0)
-	if g.Admits(91, 9, 1, 1) || !g.Admits(91, 9, 1, 0) {
-		t.Error("in the reserve, the tenant above its part goes before the other")
+	aboveShare, belowShare := g.Admits(91, 9, 1, 1), g.Admits(91, 9, 1, 0)
+	if aboveShare || !belowShare {
+		t.Errorf("Admits(91 used, 9 available, class 1) = %v for the tenant above its share and %v for the one below, "+
+			"want false and true", aboveShare, belowShare)
 	}
 	if !g.Admits(91, 9, 1, 7) {
-		t.Error("an unknown tenant does not count as the first")
+		t.Error("Admits(91 used, 9 available, class 1, unknown tenant 7) = false, want true as for tenant 0")
 	}
 }
 
-// Any order of events keeps the invariants of Gate, and those of the pool beneath it.
+// The invariants of Gate hold for any sequence of requests, with a Pool that provides the units.
 func TestGateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classCount, tenantCount := rapid.IntRange(1, 5).Draw(t, "classes"), rapid.IntRange(1, 4).Draw(t, "tenants")
 		var classes []GateClass
-		best := 0
+		densest := 0 // index of the class of the highest density
 		for i := range classCount {
 			classes = append(classes, GateClass{
 				PriorityWeight: float64(rapid.IntRange(1, 10).Draw(t, "weight")),
 				HoldTime:       float64(rapid.IntRange(1, 9).Draw(t, "hold time")),
 			})
-			if classes[i].PriorityWeight/classes[i].HoldTime > classes[best].PriorityWeight/classes[best].HoldTime {
-				best = i
+			densestClass := classes[densest]
+			if classes[i].PriorityWeight/classes[i].HoldTime > densestClass.PriorityWeight/densestClass.HoldTime {
+				densest = i
 			}
 		}
 		var weights []float64
-		sum := 0.0
+		weightSum := 0.0
 		for range tenantCount {
 			weights = append(weights, float64(rapid.IntRange(1, 5).Draw(t, "weight")))
-			sum += weights[len(weights)-1]
+			weightSum += weights[len(weights)-1]
 		}
 		g, err := NewGate(classes, weights)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("NewGate(classes %+v, weights %v): %v", classes, weights, err)
 		}
 		total := int64(rapid.IntRange(1, 60).Draw(t, "total"))
 		p, err := NewPool(PoolSettings{Total: total, Lend: 1}, map[string]Share{"s": {}})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("NewPool with a total of %d and one member: %v", total, err)
 		}
 		inUse := make([]int64, tenantCount)
 		for range 200 {
@@ -101,32 +107,36 @@
 				inUse[tenant]--
 				g.Leave(tenant)
 				if err := p.Release("s", 1); err != nil {
-					t.Fatal(err)
+					t.Fatalf("Pool.Release of one unit in use: %v", err)
 				}
 				continue
 			}
 			_, used := p.Total()
 			available := p.Available(0, "s")
 			got := g.Admits(used, available, class, tenant)
-			others := false
+			othersActive := false
 			for i, n := range inUse {
-				others = others || i != tenant && n > 0
+				othersActive = othersActive || i != tenant && n > 0
 			}
-			switch under := float64(inUse[tenant]) < weights[tenant]/sum*float64(total); {
+			switch belowShare := float64(inUse[tenant]) < weights[tenant]/weightSum*float64(total); {
 			case got && available <= 0:
-				t.Fatal("admitted with nothing available")
+				t.Fatalf("Admits(%d used, %d available, class %d, tenant %d) = true, want false without a free unit",
+					used, available, class, tenant)
 			case !got && float64(available) > ReserveRatio*float64(total):
-				t.Fatalf("rejected with %d of %d available", available, total)
-			case !got && available > 0 && class == best && (under || !others):
-				t.Fatalf("the densest class of a tenant that uses %d was rejected with %d of %d available",
-					inUse[tenant], available, total)
+				t.Fatalf("Admits(%d used, %d available, class %d, tenant %d) = false, "+
+					"want true while more than the reserve is free", used, available, class, tenant)
+			case !got && available > 0 && class == densest && (belowShare || !othersActive):
+				t.Fatalf("Admits(%d used, %d available, class %d, tenant %d) = false, want true for the class of the "+
+					"highest density: tenant has %d in flight, below its share %v, other tenants active %v",
+					used, available, class, tenant, inUse[tenant], belowShare, othersActive)
 			}
-			if !got && g.Admits(used, available, best, tenant) && classes[class] == classes[best] {
-				t.Fatal("two classes of the same density are not treated alike")
+			if !got && g.Admits(used, available, densest, tenant) && classes[class] == classes[densest] {
+				t.Fatalf("Admits(%d used, %d available, tenant %d) = false for class %d and true for class %d, "+
+					"want the same for equal densities", used, available, tenant, class, densest)
 			}
 			if got {
 				if !p.Acquire(0, "s", 1) {
-					t.Fatal("the pool rejected what it said was available")
+					t.Fatalf("Pool.Acquire(1) = false, want true: Available returned %d", available)
 				}
 				g.Enter(tenant)
 				inUse[tenant]++
@@ -135,7 +145,7 @@
 	})
 }
 
-// Available returns exactly what Acquire gives, in any state.
+// In any state of a pool, Acquire succeeds for the number that Available returns and fails for one unit more.
 func TestAvailableIsWhatAcquireGives(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -144,29 +154,29 @@
 			Recall: 100 * ms,
 			Lend:   rapid.Float64Range(0, 1).Draw(t, "lend"),
 		}
-		shares, left := map[string]Share{}, settings.Total
-		for _, n := range names {
-			m := int64(rapid.IntRange(0, int(left)/2).Draw(t, "min"))
-			left -= m
-			shares[n] = Share{Min: m, Weight: float64(rapid.IntRange(1, 4).Draw(t, "weight"))}
+		shares, unassigned := map[string]Share{}, settings.Total
+		for _, name := range names {
+			minimum := int64(rapid.IntRange(0, int(unassigned)/2).Draw(t, "min"))
+			unassigned -= minimum
+			shares[name] = Share{Min: minimum, Weight: float64(rapid.IntRange(1, 4).Draw(t, "weight"))}
 		}
 		type event struct {
 			member string
-			n      int64 // acquired, or released if negative
+			n      int64 // units to acquire, or to release if negative
 		}
 		var events []event
 		for range rapid.IntRange(0, 25).Draw(t, "events") {
 			member := rapid.SampledFrom(names).Draw(t, "member")
 			events = append(events, event{member, int64(rapid.IntRange(-4, 9).Draw(t, "n"))})
 		}
-		build := func() *Pool {
+		poolAfterEvents := func() *Pool {
 			p, err := NewPool(settings, shares)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("NewPool(settings %+v, shares %+v): %v", settings, shares, err)
 			}
 			for _, e := range events {
 				if e.n < 0 {
-					_ = p.Release(e.member, -e.n) // it may not hold them
+					_ = p.Release(e.member, -e.n) // fails if the member holds fewer units
 				} else {
 					p.Acquire(0, e.member, e.n)
 				}
@@ -174,12 +184,12 @@
 			return p
 		}
 		member := rapid.SampledFrom(names).Draw(t, "acquires")
-		available := build().Available(0, member)
-		if available > 0 && !build().Acquire(0, member, available) {
-			t.Fatalf("%d are available to %s, which did not get them", available, member)
+		available := poolAfterEvents().Available(0, member)
+		if available > 0 && !poolAfterEvents().Acquire(0, member, available) {
+			t.Fatalf("Acquire(%s, %d units) = false, want true: Available returned %d", member, available, available)
 		}
-		if build().Acquire(0, member, available+1) {
-			t.Fatalf("%d are available to %s, which got one more", available, member)
+		if poolAfterEvents().Acquire(0, member, available+1) {
+			t.Fatalf("Acquire(%s, %d units) = true, want false: Available returned %d", member, available+1, available)
 		}
 	})
 }
--- a/internal/processquota/limiter/report.go
+++ b/internal/processquota/limiter/report.go
@@ -6,23 +6,24 @@
 	"lapisspread/internal/processquota"
 )
 
-// Report is the use of all limits, as the admin protocol shows it. Its keys are in the order of their names.
+// Report is the use of all limits, as the admin protocol shows it. The fields are sorted by their JSON keys.
 type Report struct {
-	AttemptsPerSecond float64               `json:"attempts_a_second,omitempty"` // 0 is no limit
+	AttemptsPerSecond float64               `json:"attempts_a_second,omitempty"` // total limit; 0 means no limit
 	Bytes             PoolReport            `json:"bytes"`
 	Conns             PoolReport            `json:"connections"`
 	Rejected          map[string]rejections `json:"refused"` // by service
 	Requests          PoolReport            `json:"requests"`
 }
 
-// PoolReport is the use of one pool.
+// PoolReport is the use of one pool, in units: requests, bytes or connections.
 type PoolReport struct {
-	ByService map[string]int64 `json:"by_service"` // units in use
+	ByService map[string]int64 `json:"by_service"` // units in use, by service
 	Total     int64            `json:"total"`
 	Used      int64            `json:"used"`
 }
 
-// Report returns the totals, what each service uses, and its rejections; nil for one service.
+// Report returns the totals, the units in use by each service, and the rejections of each service. It returns nil
+// before the first Reconfigure.
 func (l *Limits) Report() *Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/processquota/pool_test.go
+++ b/internal/processquota/pool_test.go
@@ -17,28 +17,33 @@
 	t.Helper()
 	p, err := NewPool(settings, shares)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("NewPool(settings %+v, shares %+v): %v", settings, shares, err)
 	}
 	return p
 }
 
 func TestErrorsNameTheField(t *testing.T) {
-	good := PoolSettings{Total: 10, Lend: 0.5}
-	for _, k := range []struct {
-		terms  PoolSettings
-		shares map[string]Share
-		want   string
+	validSettings := PoolSettings{Total: 10, Lend: 0.5}
+	for _, test := range []struct {
+		settings PoolSettings
+		shares   map[string]Share
+		want     string
 	}{
 		{PoolSettings{Total: -1}, nil, "total: -1"},
 		{PoolSettings{Lend: 2}, nil, "lend: 2"},
 		{PoolSettings{Recall: -1}, nil, "recall"},
-		{good, map[string]Share{"a": {Min: -1}}, "a: min -1"},
-		{good, map[string]Share{"a": {Min: 5, Cap: 4}}, "a: cap 4 is under min 5"},
-		{good, map[string]Share{"a": {Weight: math.NaN()}}, "a: weight NaN"},
-		{good, map[string]Share{"a": {Min: 6}, "b": {Min: 5}}, "the minimums come to 11, the total is 10"},
+		{validSettings, map[string]Share{"a": {Min: -1}}, "a: min -1"},
+		{validSettings, map[string]Share{"a": {Min: 5, Cap: 4}}, "a: cap 4 is below min 5"},
+		{validSettings, map[string]Share{"a": {Weight: math.NaN()}}, "a: weight NaN"},
+		{
+			validSettings, map[string]Share{"a": {Min: 6}, "b": {Min: 5}},
+			"the sum of the minimums, 11, exceeds the total of 10",
+		},
 	} {
-		if _, err := NewPool(k.terms, k.shares); err == nil || !strings.Contains(err.Error(), k.want) {
-			t.Errorf("%+v %+v: %v", k.terms, k.shares, err)
+		_, err := NewPool(test.settings, test.shares)
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("NewPool(settings %+v, shares %+v): error %v, want one that contains %q",
+				test.settings, test.shares, err, test.want)
 		}
 	}
 }
@@ -46,38 +51,39 @@
 func TestLendingAndRecall(t *testing.T) {
 	p := newPool(t, PoolSettings{Total: 10, Recall: time.Second, Lend: 0.5},
 		map[string]Share{"pay": {Min: 4}, "dispatch": {Min: 4}})
-	n := 0
+	acquired := 0
 	for p.Acquire(0, "dispatch", 1) {
-		n++
+		acquired++
 	}
-	if n != 8 { // all but the part of pay's minimum that is never lent
-		t.Errorf("dispatch took %d of 10, want 8", n)
+	if acquired != 8 { // all but the part of pay's minimum that is never lent
+		t.Errorf("dispatch acquired %d of 10 units, want 8", acquired)
 	}
 	for i, want := range []bool{true, true, false} {
 		if got := p.Acquire(0, "pay", 1); got != want {
-			t.Errorf("unit %d of the two of pay that are never lent: %v", i, got)
+			t.Errorf("Acquire(pay, 1 unit), call %d = %v, want %v: two units of its minimum are never lent",
+				i+1, got, want)
 		}
 	}
-	// What dispatch releases goes to pay first, which waits and is under its minimum.
+	// A unit that dispatch releases is kept for pay, which is waiting and below its minimum.
 	if err := p.Release("dispatch", 1); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Release(dispatch, 1 unit) while pay waits: %v", err)
 	}
 	if p.Acquire(ms, "dispatch", 1) {
-		t.Error("dispatch took what pay is owed")
+		t.Error("Acquire(dispatch, 1 unit) = true, want false: the released unit is kept for pay")
 	}
 	if !p.Acquire(ms, "pay", 1) {
-		t.Error("pay did not get what was released")
+		t.Error("Acquire(pay, 1 unit) = false, want true: dispatch released a unit that is kept for pay")
 	}
-	// Pay has not acquired for longer than the recall time: its last unit is lent again.
+	// Pay has not acquired for longer than the recall time, so the last unit of its minimum is lent again.
 	if err := p.Release("dispatch", 1); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Release(dispatch, 1 unit) while pay is idle: %v", err)
 	}
 	if !p.Acquire(ms+2*time.Second, "dispatch", 1) {
-		t.Error("an idle unit is not lent")
+		t.Error("Acquire(dispatch, 1 unit) after the recall time = false, want true: pay's unused unit is lent")
 	}
 	var releaseErr ReleaseError
 	if err := p.Release("pay", 9); !errors.As(err, &releaseErr) || releaseErr.Units != 9 {
-		t.Errorf("pay released what it does not hold: %v", err)
+		t.Errorf("Release(pay, 9 units), more than it holds: error %v, want a ReleaseError with 9 units", err)
 	}
 }
 
@@ -87,33 +93,39 @@
 		p.Acquire(0, "a", 1)
 	}
 	if err := p.Reconfigure(PoolSettings{Total: 4}, map[string]Share{"b": {Min: 2, Cap: 2}, "c": {}}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Reconfigure to a total of 4, without member a: %v", err)
 	}
-	if p.Acquire(0, "a", 1) || p.Acquire(0, "b", 1) { // a is removed; what it holds is above the new total
-		t.Error("a unit was acquired above the new total")
+	if p.Acquire(0, "a", 1) || p.Acquire(0, "b", 1) { // a is removed and holds 8 units, more than the new total
+		t.Error("Acquire of 1 unit for a or b = true, want false: a holds 8 units and the new total is 4")
 	}
 	if err := p.Reconfigure(PoolSettings{Total: 1}, map[string]Share{"b": {Min: 2}}); err == nil {
-		t.Error("an invalid configuration was accepted")
+		t.Error("Reconfigure to a total of 1 and a minimum of 2 succeeded, want an error")
 	}
 	if err := p.Release("a", 8); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Release(a, 8 units) by the removed member: %v", err)
 	}
-	if _, there := p.Usage(0)["a"]; there {
-		t.Error("a is still a member")
+	if usage, found := p.Usage(0)["a"]; found {
+		t.Errorf("Usage after the removed member a released all units has a: %+v, want no entry", usage)
 	}
-	if !p.Acquire(0, "b", 2) || p.Acquire(0, "b", 1) || !p.Acquire(0, "c", 2) {
-		t.Error("after Reconfigure")
+	if !p.Acquire(0, "b", 2) {
+		t.Error("Acquire(b, 2 units) after Reconfigure = false, want true: its minimum is 2")
+	}
+	if p.Acquire(0, "b", 1) {
+		t.Error("Acquire(b, 1 unit) with 2 units held = true, want false: its cap is 2")
+	}
+	if !p.Acquire(0, "c", 2) {
+		t.Error("Acquire(c, 2 units) = false, want true: 2 of the total of 4 are free")
 	}
 }
 
-// hold is a number of units in use.
+// hold is a number of units that a member holds until a given time.
 type hold struct {
-	name  string
-	n     int64
-	until time.Duration
+	member string
+	units  int64
+	until  time.Duration
 }
 
-// Any order of events keeps the invariants of Pool.
+// The invariants of Pool hold for any sequence of calls.
 func TestPoolInvariants(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -124,92 +136,95 @@
 			Lend:   rapid.Float64Range(0, 1).Draw(t, "lend"),
 		}
 		shares := map[string]Share{}
-		left := settings.Total
-		for _, n := range names {
-			m := int64(rapid.IntRange(0, int(left)/2).Draw(t, "min "+n))
-			left -= m
-			s := Share{Min: m, Weight: float64(rapid.IntRange(1, 5).Draw(t, "weight "+n))}
-			if rapid.Bool().Draw(t, "capped "+n) {
-				s.Cap = m + int64(rapid.IntRange(0, 10).Draw(t, "cap "+n))
+		unassigned := settings.Total
+		for _, name := range names {
+			minimum := int64(rapid.IntRange(0, int(unassigned)/2).Draw(t, "min "+name))
+			unassigned -= minimum
+			share := Share{Min: minimum, Weight: float64(rapid.IntRange(1, 5).Draw(t, "weight "+name))}
+			if rapid.Bool().Draw(t, "capped "+name) {
+				share.Cap = minimum + int64(rapid.IntRange(0, 10).Draw(t, "cap "+name))
 			}
-			shares[n] = s
+			shares[name] = share
 		}
 		p, err := NewPool(settings, shares)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("NewPool(settings %+v, shares %+v): %v", settings, shares, err)
 		}
 		var holds []hold
 		used := map[string]int64{}
-		waiting := map[string]time.Duration{} // since when a member acquires in vain at every step
+		// waitingSince is, by member, the first of the consecutive steps at which it was rejected below its minimum.
+		waitingSince := map[string]time.Duration{}
 		now := time.Duration(0)
-		greedy := map[string]bool{}
+		active := map[string]bool{} // members that acquire as many units as they can at each step
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "events"), 1))
 		for step := range 150 {
 			now += 5 * ms
 			remaining := holds[:0]
 			for _, h := range holds {
 				if h.until <= now {
-					if err := p.Release(h.name, h.n); err != nil {
-						t.Fatal(err)
+					if err := p.Release(h.member, h.units); err != nil {
+						t.Fatalf("Release(%s, %d held units): %v", h.member, h.units, err)
 					}
-					used[h.name] -= h.n
+					used[h.member] -= h.units
 				} else {
 					remaining = append(remaining, h)
 				}
 			}
 			holds = remaining
 			if step%20 == 0 {
-				for _, n := range names {
-					greedy[n] = rng.IntN(2) == 0
-					delete(waiting, n)
+				for _, name := range names {
+					active[name] = rng.IntN(2) == 0
+					delete(waitingSince, name)
 				}
 			}
 			for _, i := range rng.Perm(len(names)) {
-				n := names[i]
-				if !greedy[n] {
+				name := names[i]
+				if !active[name] {
 					continue
 				}
-				s := shares[n]
-				neverLent := s.Min - int64(settings.Lend*float64(s.Min))
+				share := shares[name]
+				neverLent := share.Min - int64(settings.Lend*float64(share.Min))
 				rejected := false
 				for range settings.Total {
-					got := p.Acquire(now, n, 1)
-					if !got {
+					acquired := p.Acquire(now, name, 1)
+					if !acquired {
 						rejected = true
-						if used[n] < neverLent {
-							t.Fatalf("%s holds %d and was rejected; %d of its %d are never lent",
-								n, used[n], neverLent, s.Min)
+						if used[name] < neverLent {
+							t.Fatalf("Acquire(%s, 1 unit) with %d held = false, want true: "+
+								"%d units of its minimum of %d are never lent", name, used[name], neverLent, share.Min)
 						}
 						break
 					}
-					used[n]++
-					d := time.Duration(1+rng.IntN(int(recall/ms))) * ms
-					holds = append(holds, hold{n, 1, now + d})
+					used[name]++
+					holdTime := time.Duration(1+rng.IntN(int(recall/ms))) * ms
+					holds = append(holds, hold{name, 1, now + holdTime})
 				}
-				if rejected && used[n] < s.Min {
-					if since, found := waiting[n]; !found {
-						waiting[n] = now
+				if rejected && used[name] < share.Min {
+					if since, found := waitingSince[name]; !found {
+						waitingSince[name] = now
 					} else if now-since > recall+5*ms {
-						t.Fatalf("%s has waited since %v and holds %d of its %d at %v", n, since, used[n], s.Min, now)
+						t.Fatalf("at %v %s holds %d of its minimum of %d units and has waited since %v, "+
+							"want its whole minimum after %v", now, name, used[name], share.Min, since, recall)
 					}
 				} else {
-					delete(waiting, n)
+					delete(waitingSince, name)
 				}
 			}
-			total, all := p.Total()
-			if all > total {
-				t.Fatalf("%d of %d are in use", all, total)
+			total, totalUsed := p.Total()
+			if totalUsed > total {
+				t.Fatalf("Total() reports %d units in use, want at most %d", totalUsed, total)
 			}
-			for n, u := range p.Usage(now) {
-				if u.Used != used[n] || u.Cap > 0 && u.Used > u.Cap {
-					t.Fatalf("%s: %+v, %d by the test's count", n, u, used[n])
+			for name, usage := range p.Usage(now) {
+				if usage.Used != used[name] || usage.Cap > 0 && usage.Used > usage.Cap {
+					t.Fatalf("Usage() of %s = %+v, want %d units in use and no more than its cap",
+						name, usage, used[name])
 				}
 			}
 		}
 	})
 }
 
-// Two members that always acquire reach their weighted shares, whoever was first.
+// Two members that acquire continuously reach their weighted shares, regardless of which one starts first.
 func TestWeights(t *testing.T) {
 	p := newPool(t, PoolSettings{Total: 100, Recall: 100 * ms, Lend: 1},
 		map[string]Share{"a": {Weight: 3}, "b": {Weight: 1}})
@@ -220,26 +235,27 @@
 		remaining := holds[:0]
 		for _, h := range holds {
 			if h.until <= now {
-				if err := p.Release(h.name, 1); err != nil {
-					t.Fatal(err)
+				if err := p.Release(h.member, 1); err != nil {
+					t.Fatalf("Release(%s, 1 held unit) at step %d: %v", h.member, step, err)
 				}
-				used[h.name]--
+				used[h.member]--
 			} else {
 				remaining = append(remaining, h)
 			}
 		}
 		holds = remaining
-		for _, n := range []string{"b", "a"} { // b acquires first
-			if n == "a" && step < 20 {
-				continue // and is alone for a while
+		for _, name := range []string{"b", "a"} { // at each step b acquires before a
+			if name == "a" && step < 20 {
+				continue // during the first 20 steps only b acquires
 			}
-			for k := 0; p.Acquire(now, n, 1); k++ {
-				used[n]++
-				holds = append(holds, hold{n, 1, now + time.Duration(50+(k*37)%50)*ms})
+			for i := 0; p.Acquire(now, name, 1); i++ {
+				used[name]++
+				holds = append(holds, hold{name, 1, now + time.Duration(50+(i*37)%50)*ms})
 			}
 		}
 	}
 	if used["a"] < 65 || used["b"] < 20 {
-		t.Errorf("a holds %d, b %d; their weights are 3 and 1", used["a"], used["b"])
+		t.Errorf("a holds %d and b %d of 100 units, want at least 65 and 20: their weights are 3 and 1",
+			used["a"], used["b"])
 	}
 }
--- a/internal/processquota/ratelimiter.go
+++ b/internal/processquota/ratelimiter.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// sumTolerance is by how much the sum of all minimums may exceed the total, relative to it, because of rounding.
+	// sumTolerance is the ratio of the total by which the sum of all minimums may exceed it because of rounding.
 	sumTolerance = 1e-9
-	// roundingError is what the sum of many small refills may be off by, in units.
+	// roundingError is the maximum rounding error, in units, of a sum of many small refills.
 	roundingError = 1e-6
-	// sharedReserve is the part of the shared bucket that is kept for members that borrowed less of late.
+	// sharedReserve is the ratio of the shared bucket that is reserved for members that recently borrowed little.
 	sharedReserve = 0.5
 )
 
-// RateShare is what a member of a RateLimiter is promised, in units per second.
+// RateShare holds the limits of one member of a RateLimiter.
 type RateShare struct {
-	Min    float64 // that it gets whenever it wants them
-	Cap    float64 // the most that it may get; 0 is no cap but the total
-	Weight float64 // of its part of what the others leave idle; 0 counts as 1
+	Min    float64 // units per second that are guaranteed to the member
+	Cap    float64 // maximum units per second; 0 means no limit except the total
+	Weight float64 // its relative share of the rate that other members leave unused; 0 counts as 1
 }
 
-// RateLimiter divides a number of units per second. Each member has a token bucket that fills at its minimum. What
-// overflows, and what is above all minimums, fills a shared bucket from which each member may borrow, up to its cap.
+// RateLimiter divides a rate, in units per second, among members. Each member has a token bucket that fills at its
+// minimum rate. Overflow of these buckets, and the rate above all minimums, fill a shared bucket from which each member
+// may borrow, up to its cap.
 //
-// In any period no more units are acquired than the total times the period and one burst. A member that acquires its
-// minimum at an even pace is never rejected. It is not safe for concurrent use.
+// In any period, no more units are acquired than the total rate times the period, plus one burst. A member that
+// acquires at its minimum rate, evenly spaced, is never rejected. It is not safe for concurrent use.
 type RateLimiter struct {
 	total        float64 // units per second
 	burst        time.Duration
@@ -37,21 +38,22 @@
 	order        []*rateMember // by name
 	sharedTokens float64
 	refilledAt   time.Duration
-	started      bool // refilledAt is set
+	started      bool // whether refilledAt is set
 }
 
-// rateMember is one member of a RateLimiter. Its buckets are in units.
+// rateMember is one member of a RateLimiter. The levels of its buckets are in units.
 type rateMember struct {
 	name      string
 	share     RateShare
-	minTokens float64 // the bucket that fills at its minimum
-	capTokens float64 // the bucket that fills at its cap
-	// recentlyBorrowed is what it borrowed from the shared bucket, divided by its weight; it decays within a burst.
+	minTokens float64 // level of the bucket that fills at the member's minimum rate
+	capTokens float64 // level of the bucket that fills at the member's cap
+	// recentlyBorrowed is the number of units borrowed from the shared bucket, divided by the weight. It decays
+	// exponentially with the time constant RateLimiter.burst.
 	recentlyBorrowed float64
 }
 
-// NewRateLimiter returns a limiter of total units per second. Each bucket holds what flows in within burst, and one
-// unit more. Its error names each invalid member or field.
+// NewRateLimiter returns a limiter of total units per second. The capacity of each bucket is its inflow during burst
+// plus one unit. Its error names each invalid member or field.
 func NewRateLimiter(total float64, burst time.Duration, shares map[string]RateShare) (*RateLimiter, error) {
 	r := &RateLimiter{members: map[string]*rateMember{}}
 	if err := r.Reconfigure(total, burst, shares); err != nil {
@@ -60,8 +62,8 @@
 	return r, nil
 }
 
-// Reconfigure sets new rates and shares. Tokens in the buckets stay, up to the new sizes. On an error, which names
-// each invalid member or field, nothing changes.
+// Reconfigure sets a new total, in units per second, a new burst and new shares. Tokens in the buckets are kept up to
+// the new capacities. On an error, which names each invalid member or field, nothing changes.
 func (r *RateLimiter) Reconfigure(total float64, burst time.Duration, shares map[string]RateShare) error {
 	names := slices.Sorted(maps.Keys(shares))
 	minSum, err := validateRates(total, burst, names, shares)
@@ -98,27 +100,29 @@
 ) (minSum float64, err error) {
 	var errs []error
 	if !(total > 0) || math.IsInf(total, 0) {
-		errs = append(errs, fmt.Errorf("total: %v a second", total))
+		errs = append(errs, fmt.Errorf("total: %v per second must be finite and above 0", total))
 	}
 	if burst <= 0 {
-		errs = append(errs, fmt.Errorf("burst: %v", burst))
+		errs = append(errs, fmt.Errorf("burst: %v must be above 0", burst))
 	}
 	for _, name := range names {
 		s := shares[name]
 		minSum += max(0, s.Min)
 		negative := !(s.Min >= 0 && s.Cap >= 0 && s.Weight >= 0)
 		if negative || s.Cap > 0 && s.Cap < s.Min || math.IsInf(s.Min+s.Cap+s.Weight, 0) {
-			errs = append(errs, fmt.Errorf("%s: min %v, cap %v, weight %v", name, s.Min, s.Cap, s.Weight))
+			errs = append(errs, fmt.Errorf("%s: min %v, cap %v and weight %v must be finite and not negative, "+
+				"and the cap 0 or at least the min", name, s.Min, s.Cap, s.Weight))
 		}
 	}
 	if minSum > total*(1+sumTolerance) {
-		errs = append(errs, fmt.Errorf("the minimums come to %v a second, the total is %v", minSum, total))
+		errs = append(errs, fmt.Errorf("the sum of the minimums, %v per second, exceeds the total of %v",
+			minSum, total))
 	}
 	return minSum, errors.Join(errs...)
 }
 
-// bucketSize returns what a bucket that fills at a rate holds: the burst, and one unit more so that a member which
-// acquires late within a burst loses nothing.
+// bucketSize returns the capacity of a bucket that fills at rate units per second: its inflow during burst, plus one
+// unit so that a member that acquires late within a burst loses no tokens.
 func (r *RateLimiter) bucketSize(rate float64) float64 {
 	if rate <= 0 {
 		return 0
@@ -126,7 +130,7 @@
 	return 1 + rate*r.burst.Seconds()
 }
 
-// maxRate returns the most that a member may get, in units per second.
+// maxRate returns the maximum rate of a member in units per second: its cap, or the limiter's total if it has no cap.
 func (m *rateMember) maxRate(r *RateLimiter) float64 {
 	if m.share.Cap > 0 {
 		return m.share.Cap
@@ -134,7 +138,7 @@
 	return r.total
 }
 
-// refill fills all buckets up to now.
+// refill adds to all buckets the tokens for the time since the previous refill.
 func (r *RateLimiter) refill(now time.Duration) {
 	if !r.started {
 		r.started = true
@@ -162,8 +166,8 @@
 	r.sharedTokens = min(r.sharedTokens+max(0, unassigned), r.bucketSize(r.total))
 }
 
-// Acquire takes one unit for a member. If there is none now, retryAfter is when there will be one of its minimum, or
-// under its cap if that rejects it; 0 is not known.
+// Acquire takes one unit for a member and reports whether it did. If not, retryAfter is the time until the bucket that
+// rejected the member, of its cap or else of its minimum, holds one token; 0 means that it is not known.
 func (r *RateLimiter) Acquire(now time.Duration, name string) (ok bool, retryAfter time.Duration) {
 	m := r.members[name]
 	if m == nil {
@@ -188,13 +192,14 @@
 	return true, 0
 }
 
-// refillTime returns how long a bucket takes to hold one token, at a rate per second.
+// refillTime returns how long a bucket with the given tokens takes to hold one token, at rate tokens per second.
 func refillTime(tokens, rate float64) time.Duration {
 	return time.Duration((1 - tokens) / rate * float64(time.Second))
 }
 
-// mayBorrow keeps the last part of the shared bucket, sharedReserve, for members that borrowed no more than the mean
-// of late, by weight.
+// mayBorrow reports whether a member may borrow from the shared bucket. The last part of the bucket, sharedReserve, is
+// reserved for members whose recent borrowing, relative to their weights, is at most one unit above the mean of all
+// borrowers.
 func (r *RateLimiter) mayBorrow(m *rateMember) bool {
 	if r.sharedTokens > r.bucketSize(r.total)*sharedReserve || len(r.order) == 1 {
 		return true
