--- a/internal/processquota/doc.go
+++ b/internal/processquota/doc.go
@@ -9,13 +9,13 @@
 //
 // # Members
 //
-// Each service is a member with a minimum, a cap and a weight (Share). The minimum is guaranteed to the member. Its
-// unused units are lent to other members, up to the ratio PoolSettings.Lend. The units that remain after all minimums
-// are divided by weight.
+// Each service is a member with a minimum, a cap and a weight (Share). The minimum is guaranteed to the member. The
+// unused units of a minimum are lent to other members, up to the fraction PoolSettings.Lend of the minimum. The units
+// above all minimums are divided by weight.
 //
 // # Invariants of a Pool
 //
-//   - Acquire exceeds neither the total nor a member's cap.
+//   - Acquire never makes the units in use exceed the total or a member's cap.
 //   - A member can always acquire the part of its minimum that is never lent, without waiting.
 //   - A member that keeps acquiring holds its whole minimum after PoolSettings.Recall, provided that no unit is held
 //     for longer than that.
--- a/internal/processquota/gate.go
+++ b/internal/processquota/gate.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// ReserveRatio is the ratio of a service's capacity that is its reserve. Once no more than the reserve is free, a Gate
+// ReserveRatio is the fraction of a service's capacity that is its reserve. Once no more than the reserve is free, a Gate
 // admits requests by density.
 const ReserveRatio = 0.15
 
--- a/internal/processquota/limiter/limiter_test.go
+++ b/internal/processquota/limiter/limiter_test.go
@@ -19,6 +19,8 @@
 	return parsed.File
 }
 
+// twoServices configures service a with a minimum of half of each limit, and service b with a minimum of a fifth and a
+// cap of half.
 const twoServices = `
 [[service]]
 name = "a"
--- a/internal/processquota/pool.go
+++ b/internal/processquota/pool.go
@@ -23,7 +23,7 @@
 type PoolSettings struct {
 	Total  int64         // number of units in the pool
 	Recall time.Duration // longest time that a unit is held, after which a waiting member has its minimum
-	Lend   float64       // ratio of a member's minimum that is lent while unused, 0 to 1
+	Lend   float64       // fraction of a member's minimum that is lent while unused, 0 to 1
 }
 
 // Pool is a fixed number of units that members acquire and release. It is not safe for concurrent use.
--- a/internal/processquota/ratelimiter.go
+++ b/internal/processquota/ratelimiter.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// sumTolerance is the ratio of the total by which the sum of all minimums may exceed it because of rounding.
+	// sumTolerance is the fraction of the total by which the sum of all minimums may exceed it because of rounding.
 	sumTolerance = 1e-9
 	// roundingError is the maximum rounding error, in units, of a sum of many small refills.
 	roundingError = 1e-6
-	// sharedReserve is the ratio of the shared bucket that is reserved for members that recently borrowed little.
+	// sharedReserve is the fraction of the shared bucket that is reserved for members that recently borrowed little.
 	sharedReserve = 0.5
 )
 
@@ -138,7 +138,7 @@
 	return r.total
 }
 
-// refill adds to all buckets the tokens for the time since the previous refill.
+// refill adds to all buckets the tokens for the time from the previous refill to now.
 func (r *RateLimiter) refill(now time.Duration) {
 	if !r.started {
 		r.started = true
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -1,30 +1,31 @@
 package route
 
-// ruleChange is what WithChanges does to the rule of one name.
+// ruleChange is the change that WithChanges makes to the rule of one name.
 type ruleChange struct {
-	rule *Rule // that replaces it; nil removes it
-	done bool
+	rule    *Rule // the replacement; nil removes the rule
+	applied bool
 }
 
-// WithChanges returns the table with some rules set, by their names, and without those in removed. A rule that exists
-// keeps its place; a new one goes to the end. The result, and the error, is that of Compile of the changed rules, but
-// it costs only what changes. The table itself stays as it is.
+// WithChanges returns a copy of the table in which the rules in set replace those of the same names or are added, and
+// the rules named in removed are removed. A rule whose name is in both is set, not removed. A replaced rule keeps its
+// position in the list of rules; a new rule is appended. The result and the error are the same as those of Compile for
+// the changed list, but only the changed parts of the index are copied. The receiver is not changed.
 func (t *Table) WithChanges(set []Rule, removed []string) (*Table, error) {
 	changes, unnamed := changesByName(set, removed)
 	next := &Table{
-		rules:    make([]*Rule, 0, len(t.rules)+len(set)),
-		hosts:    t.hosts.share(),
-		suffixes: t.suffixes.share(),
-		any:      t.any,
-		fallback: t.fallback,
-		expanded: t.expanded,
+		rules:        make([]*Rule, 0, len(t.rules)+len(set)),
+		hosts:        t.hosts.shallowCopy(),
+		suffixes:     t.suffixes.shallowCopy(),
+		anyHost:      t.anyHost,
+		fallback:     t.fallback,
+		combinations: t.combinations,
 	}
 	rev := &revision{}
 	next.applyToExisting(rev, t.rules, changes)
 	for i := range set {
-		if c := changes[set[i].Name]; c != nil && !c.done {
+		if c := changes[set[i].Name]; c != nil && !c.applied {
 			next.rules = append(next.rules, c.rule)
-			c.done = true
+			c.applied = true
 		}
 	}
 	next.rules = append(next.rules, unnamed...)
@@ -36,16 +37,16 @@
 		if r.validate() != nil {
 			return next.recompile()
 		}
-		next.expanded += r.combinations()
-		if next.expanded > maxExpanded || next.add(rev, r) != nil {
+		next.combinations += r.combinationCount()
+		if next.combinations > maxCombinations || next.add(rev, r) != nil {
 			return next.recompile()
 		}
 	}
 	return next, nil
 }
 
-// changesByName returns the changes by name. Rules without a name of their own are apart: their names are empty, or
-// those of an earlier rule in set.
+// changesByName returns the changes by rule name. It returns rules without a unique name separately as unnamed: their
+// names are empty, or are those of an earlier rule in set.
 func changesByName(set []Rule, removed []string) (changes map[string]*ruleChange, unnamed []*Rule) {
 	changes = make(map[string]*ruleChange, len(set)+len(removed))
 	for _, name := range removed {
@@ -63,7 +64,8 @@
 	return changes, unnamed
 }
 
-// applyToExisting appends the existing rules, changed in place, and takes those that change out of the index.
+// applyToExisting appends the existing rules to t.rules, with replacements at their positions and without removed
+// rules. It removes the previous versions of changed rules from the index.
 func (t *Table) applyToExisting(rev *revision, existing []*Rule, changes map[string]*ruleChange) {
 	for _, r := range existing {
 		c := changes[r.Name]
@@ -71,17 +73,17 @@
 			t.rules = append(t.rules, r)
 			continue
 		}
-		if c.rule != nil && !c.done {
+		if c.rule != nil && !c.applied {
 			t.rules = append(t.rules, c.rule)
 		}
-		c.done = true
-		t.expanded -= r.combinations()
+		c.applied = true
+		t.combinations -= r.combinationCount()
 		t.remove(rev, r)
 	}
 }
 
-// recompile compiles the table's rules, whose index is incomplete. It is for changes with an error, so that the error
-// names all that is invalid.
+// recompile compiles the table's list of rules, ignoring the index, which may be incomplete. WithChanges calls it if a
+// change is invalid, so that the error names each invalid rule.
 func (t *Table) recompile() (*Table, error) {
 	rules := make([]Rule, len(t.rules))
 	for i, r := range t.rules {
--- a/internal/route/change_test.go
+++ b/internal/route/change_test.go
@@ -8,29 +8,31 @@
 	"testing"
 )
 
-// drawer draws rules from few values, so that they match the same requests.
-type drawer struct{ *rand.Rand }
+// ruleGenerator generates random rules from a small set of values, so that several rules match the same request.
+type ruleGenerator struct{ *rand.Rand }
 
-func (d drawer) some() (out []string) {
-	for _, w := range words {
-		if d.IntN(5) == 0 {
-			out = append(out, w)
+// randomValues returns each of criterionValues with a probability of one in five.
+func (g ruleGenerator) randomValues() (out []string) {
+	for _, value := range criterionValues {
+		if g.IntN(5) == 0 {
+			out = append(out, value)
 		}
 	}
 	return out
 }
 
-func (d drawer) rule(name string) Rule {
+// randomRule returns a random valid rule with the given name.
+func (g ruleGenerator) randomRule(name string) Rule {
 	r := Rule{
 		Name:    name,
-		Host:    hosts[d.IntN(4)],
-		To:      targetOf(fmt.Sprint("s", d.IntN(4))),
-		Methods: d.some(),
-		Classes: d.some(),
-		Tenants: d.some(),
+		Host:    ruleHosts[g.IntN(4)],
+		To:      singleTarget(fmt.Sprint("s", g.IntN(4))),
+		Methods: g.randomValues(),
+		Classes: g.randomValues(),
+		Tenants: g.randomValues(),
 	}
-	path := paths[d.IntN(3)]
-	switch d.IntN(3) {
+	path := paths[g.IntN(3)]
+	switch g.IntN(3) {
 	case 0:
 		r.Path = path
 	case 1:
@@ -39,127 +41,140 @@
 	return r
 }
 
-// changedRules returns what WithChanges makes of rules: changed ones keep their place, new ones go to the end, and so
-// do those without a name of their own.
+// changedRules is the reference implementation of WithChanges for a list of rules: changed rules keep their positions,
+// and new rules are appended, followed by those without a unique name.
 func changedRules(rules, set []Rule, removed []string) []Rule {
-	own := map[string]*Rule{}
-	var rest []Rule
+	setByName := map[string]*Rule{}
+	var unnamed []Rule
 	for i, r := range set {
-		if r.Name == "" || own[r.Name] != nil {
-			rest = append(rest, r)
+		if r.Name == "" || setByName[r.Name] != nil {
+			unnamed = append(unnamed, r)
 		} else {
-			own[r.Name] = &set[i]
+			setByName[r.Name] = &set[i]
 		}
 	}
 	var out []Rule
-	done := map[string]bool{}
+	replaced := map[string]bool{}
 	for _, r := range rules {
-		switch changed := own[r.Name]; {
+		switch changed := setByName[r.Name]; {
 		case changed != nil:
 			out = append(out, *changed)
-			done[r.Name] = true
+			replaced[r.Name] = true
 		case !slices.Contains(removed, r.Name):
 			out = append(out, r)
 		}
 	}
 	for i := range set {
-		if r := &set[i]; own[r.Name] == r && !done[r.Name] {
+		if r := &set[i]; setByName[r.Name] == r && !replaced[r.Name] {
 			out = append(out, *r)
 		}
 	}
-	return append(out, rest...)
+	return append(out, unnamed...)
 }
 
-// difference returns in which request two tables differ; empty if they do not.
-func difference(a, b *Table) string {
+// tableDifference describes the first difference of two tables in their lookups, numbers of rules, services or
+// combinations; it is empty if they do not differ.
+func tableDifference(a, b *Table) string {
 	for _, host := range requestHosts {
 		for _, path := range paths {
 			for i := range 27 {
-				q := Request{Host: host, Path: path, Method: words[i%3], Class: words[i/3%3], Tenant: words[i/9]}
-				x, v := a.Lookup(&q)
-				y, w := b.Lookup(&q)
-				same := v == w && (x == nil) == (y == nil)
-				if same && x != nil {
-					same = x.Name == y.Name && x.To[0].Service == y.To[0].Service
+				q := Request{
+					Host: host, Path: path,
+					Method: criterionValues[i%3], Class: criterionValues[i/3%3], Tenant: criterionValues[i/9],
+				}
+				ruleA, verdictA := a.Lookup(&q)
+				ruleB, verdictB := b.Lookup(&q)
+				same := verdictA == verdictB && (ruleA == nil) == (ruleB == nil)
+				if same && ruleA != nil {
+					same = ruleA.Name == ruleB.Name && ruleA.To[0].Service == ruleB.To[0].Service
 				}
 				if !same {
-					return fmt.Sprintf("%+v: %v %v, and %v %v", q, x, v, y, w)
+					return fmt.Sprintf("Lookup(%+v) = rule %+v, verdict %q in the first table, "+
+						"rule %+v, verdict %q in the second", q, ruleA, verdictA, ruleB, verdictB)
 				}
 			}
 		}
 	}
-	if a.RuleCount() != b.RuleCount() || !slices.Equal(a.Services(), b.Services()) || a.expanded != b.expanded {
-		return fmt.Sprintf("%d rules to %v and %d to %v", a.RuleCount(), a.Services(), b.RuleCount(), b.Services())
+	if a.RuleCount() != b.RuleCount() || !slices.Equal(a.Services(), b.Services()) || a.combinations != b.combinations {
+		return fmt.Sprintf("the first table has %d rules, services %v and %d combinations of criteria, "+
+			"the second %d, %v and %d", a.RuleCount(), a.Services(), a.combinations,
+			b.RuleCount(), b.Services(), b.combinations)
 	}
 	return ""
 }
 
-// A table with changes equals the compiled changed rules, in verdicts and in errors, and the earlier table stays as it
-// was.
+// WithChanges returns the same lookups and the same errors as Compile of the changed rules, and does not change its
+// receiver.
 func TestWithChangesAgreesWithCompile(t *testing.T) {
 	rejected, accepted := 0, 0
 	for seed := range uint64(100) {
-		d := drawer{rand.New(rand.NewPCG(seed, 31))}
-		fallback := []string{"", "rest"}[d.IntN(2)]
+		g := ruleGenerator{rand.New(rand.NewPCG(seed, 31))}
+		fallback := []string{"", "rest"}[g.IntN(2)]
 		var rules []Rule
-		now, err := Compile(rules, fallback)
+		table, err := Compile(rules, fallback)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("seed %d: Compile without rules, fallback %q: %v", seed, fallback, err)
 		}
 		for step := range 8 {
 			var set []Rule
 			var removed []string
-			for range d.IntN(7) {
-				r := d.rule(fmt.Sprint(d.IntN(25)))
-				switch d.IntN(60) {
+			for range g.IntN(7) {
+				r := g.randomRule(fmt.Sprint(g.IntN(25)))
+				switch g.IntN(60) {
 				case 0:
 					r.To = nil
 				case 1:
 					r.Name = ""
 				}
-				if d.IntN(20) > 0 && slices.ContainsFunc(set, func(s Rule) bool { return s.Name == r.Name }) {
+				if g.IntN(20) > 0 && slices.ContainsFunc(set, func(s Rule) bool { return s.Name == r.Name }) {
 					continue
 				}
 				set = append(set, r)
 			}
-			for range d.IntN(4) {
-				removed = append(removed, fmt.Sprint(d.IntN(30))) // what is set as well stays
+			for range g.IntN(4) {
+				removed = append(removed, fmt.Sprint(g.IntN(30))) // a rule that is also in set is not removed
 			}
-			was, err := Compile(rules, fallback)
+			original, err := Compile(rules, fallback)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("seed %d, step %d: Compile of the rules before the change: %v", seed, step, err)
 			}
-			next := changedRules(rules, set, removed)
-			want, wantErr := Compile(next, fallback)
-			got, err := now.WithChanges(set, removed)
-			if wrong := difference(now, was); wrong != "" {
-				t.Fatalf("seed %d, step %d: the table before was changed: %s", seed, step, wrong)
+			nextRules := changedRules(rules, set, removed)
+			want, wantErr := Compile(nextRules, fallback)
+			got, err := table.WithChanges(set, removed)
+			if difference := tableDifference(table, original); difference != "" {
+				t.Fatalf("seed %d, step %d: WithChanges changed its receiver (first table, original second): %s",
+					seed, step, difference)
 			}
 			if wantErr != nil || err != nil {
 				if fmt.Sprint(err) != fmt.Sprint(wantErr) {
-					t.Fatalf("seed %d, step %d: %v, and of Compile %v", seed, step, err, wantErr)
+					t.Fatalf("seed %d, step %d: WithChanges returned error %v, want that of Compile: %v",
+						seed, step, err, wantErr)
 				}
 				rejected++
 				continue
 			}
-			if wrong := difference(got, want); wrong != "" {
-				t.Fatalf("seed %d, step %d: %s", seed, step, wrong)
+			if difference := tableDifference(got, want); difference != "" {
+				t.Fatalf("seed %d, step %d: WithChanges (first table) differs from Compile (second table): %s",
+					seed, step, difference)
 			}
-			rules, now = next, got
+			rules, table = nextRules, got
 			accepted++
 		}
 	}
-	t.Logf("%d accepted, %d rejected", accepted, rejected)
+	t.Logf("WithChanges accepted %d and rejected %d changes", accepted, rejected)
 	if accepted < 300 || rejected < 50 {
-		t.Error("the drawn changes are too alike")
+		t.Errorf("WithChanges accepted %d and rejected %d random changes, want at least 300 and 50 to test both cases",
+			accepted, rejected)
 	}
 }
 
-// Tables of any size share what did not change: thousands of tenants of one path, of hosts, and of paths of one host.
+// Lookups in a large table are correct after WithChanges, and the previous table is unchanged. The table has thousands
+// of tenants of one path, thousands of hosts, and thousands of paths of one host.
 func TestWithChangesOfLargeTables(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 30))
-	made := func(i, number int) Rule {
-		r := Rule{Name: fmt.Sprint(i), To: targetOf(fmt.Sprint("s", number))}
+	// newRule returns rule i in the given version, which is part of the name of its service.
+	newRule := func(i, version int) Rule {
+		r := Rule{Name: fmt.Sprint(i), To: singleTarget(fmt.Sprint("s", version))}
 		switch i % 3 {
 		case 0:
 			r.Host, r.Path = "shared.org", "/v1"
@@ -173,7 +188,8 @@
 		}
 		return r
 	}
-	ask := func(i int) *Request {
+	// requestFor returns a request that only rule i matches.
+	requestFor := func(i int) *Request {
 		switch i % 3 {
 		case 0:
 			return &Request{Host: "shared.org", Path: "/v1", Tenant: fmt.Sprint("t", i, "-", 3)}
@@ -182,97 +198,103 @@
 		}
 		return &Request{Host: "paths.org", Path: fmt.Sprint("/p", i, "/x")}
 	}
-	now, err := Compile(nil, "")
+	table, err := Compile(nil, "")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Compile without rules: %v", err)
 	}
-	has := map[int]int{}
+	versions := map[int]int{} // by rule: its current version, 0 if it is not in the table
 	for step := range 60 {
 		var set []Rule
 		var removed []string
-		last := now
-		before := map[int]int{}
+		previousTable := table
+		previousVersions := map[int]int{} // of the rules that change
 		for range 200 {
 			i := rng.IntN(6000)
-			if _, seen := before[i]; seen {
+			if _, changed := previousVersions[i]; changed {
 				continue
 			}
-			before[i] = has[i]
-			if has[i] = 0; rng.IntN(4) == 0 {
+			previousVersions[i] = versions[i]
+			if versions[i] = 0; rng.IntN(4) == 0 {
 				removed = append(removed, fmt.Sprint(i))
 				continue
 			}
-			has[i] = step + 1
-			set = append(set, made(i, step+1))
+			versions[i] = step + 1
+			set = append(set, newRule(i, step+1))
 		}
-		if now, err = now.WithChanges(set, removed); err != nil {
-			t.Fatal(err)
+		if table, err = table.WithChanges(set, removed); err != nil {
+			t.Fatalf("step %d: WithChanges(%d rules set, %d removed): %v", step, len(set), len(removed), err)
 		}
-		check := func(table *Table, i, number int) {
+		checkVersion := func(name string, table *Table, i, version int) {
 			t.Helper()
-			r, v := table.Lookup(ask(i))
-			same := (v == Found) == (number > 0)
-			if same && number > 0 {
-				same = r.Name == fmt.Sprint(i) && r.To[0].Service == fmt.Sprint("s", number)
+			r, verdict := table.Lookup(requestFor(i))
+			same := (verdict == Found) == (version > 0)
+			if same && version > 0 {
+				same = r.Name == fmt.Sprint(i) && r.To[0].Service == fmt.Sprint("s", version)
 			}
 			if !same {
-				t.Fatalf("step %d, rule %d: %v %v, want number %d", step, i, r, v, number)
+				t.Fatalf("step %d: Lookup for rule %d in the %s table = rule %+v, verdict %q, want service s%d "+
+					"(s0: no rule)", step, i, name, r, verdict, version)
 			}
 		}
-		for i, number := range has {
-			check(now, i, number)
+		for i, version := range versions {
+			checkVersion("changed", table, i, version)
 		}
-		for i, number := range before {
-			check(last, i, number)
+		for i, version := range previousVersions {
+			checkVersion("previous", previousTable, i, version)
 		}
 	}
-	if len(now.hosts.parts) == 1 {
-		t.Error("the table is too small for what it tries")
+	if len(table.hosts.parts) == 1 {
+		t.Error("the map of hosts has 1 part, want several so that the test covers the sharing of parts")
 	}
 }
 
 func TestWithChangesKeepsTheBounds(t *testing.T) {
-	words := []string{"x", "y", "z"}
-	now, err := Compile([]Rule{{Name: "a", Host: "a.org", Methods: words, Tenants: words, To: targetOf("a")}}, "")
+	values := []string{"x", "y", "z"}
+	a := Rule{Name: "a", Host: "a.org", Methods: values, Tenants: values, To: singleTarget("a")}
+	table, err := Compile([]Rule{a}, "")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Compile with 1 rule of 9 combinations: %v", err)
 	}
-	full := *now
-	full.expanded = maxExpanded // as if it had more rules
-	b := Rule{Name: "b", Host: "b.org", Methods: words, Tenants: words, To: targetOf("a")}
+	full := *table
+	full.combinations = maxCombinations // as if the table had more rules
+	b := Rule{Name: "b", Host: "b.org", Methods: values, Tenants: values, To: singleTarget("a")}
 	if _, err := full.WithChanges([]Rule{b}, []string{"a"}); err != nil {
-		t.Errorf("in place of the other: %v", err)
+		t.Errorf("WithChanges of a full table, replacing a rule by one with as many combinations: %v", err)
 	}
-	many := make([]string, 1500)
-	for i := range many {
-		many[i] = fmt.Sprint(i)
+	manyValues := make([]string, 1500)
+	for i := range manyValues {
+		manyValues[i] = fmt.Sprint(i)
 	}
-	b.Methods, b.Tenants = many, many
-	if _, err := now.WithChanges([]Rule{b}, nil); err == nil || !strings.Contains(err.Error(), "combinations") {
-		t.Errorf("too many combinations: %v", err)
+	b.Methods, b.Tenants = manyValues, manyValues
+	if _, err := table.WithChanges([]Rule{b}, nil); err == nil || !strings.Contains(err.Error(), "combinations") {
+		t.Errorf("WithChanges with a rule of 1500*1500 combinations: error %v, want one that contains %q",
+			err, "combinations")
 	}
 	rules := make([]Rule, MaxRules)
 	for i := range rules {
-		rules[i] = Rule{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.org", i), To: targetOf("a")}
+		rules[i] = Rule{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.org", i), To: singleTarget("a")}
 	}
-	if _, err := now.WithChanges(rules, nil); err == nil || !strings.Contains(err.Error(), "are the most") {
-		t.Errorf("too many rules: %v", err)
+	_, err = table.WithChanges(rules, nil)
+	if err == nil || !strings.Contains(err.Error(), "rules exceed the maximum") {
+		t.Errorf("WithChanges to MaxRules+1 rules: error %v, want one that contains \"rules exceed the maximum\"", err)
 	}
-	if now, err = now.WithChanges(rules, []string{"a"}); err != nil || now.RuleCount() != MaxRules {
-		t.Errorf("as many as may be: %v", err)
+	if table, err = table.WithChanges(rules, []string{"a"}); err != nil {
+		t.Errorf("WithChanges to MaxRules rules: %v", err)
+	} else if table.RuleCount() != MaxRules {
+		t.Errorf("RuleCount() after WithChanges = %d, want MaxRules, %d", table.RuleCount(), MaxRules)
 	}
 }
 
 func BenchmarkWithChanges(b *testing.B) {
 	for _, n := range []int{1000, 4000, 13_000, 26_000} {
-		table := manyRules(n)
+		table := tableWithRules(n)
 		r := *table.rules[n/2]
-		r.To = targetOf("other")
+		r.To = singleTarget("other")
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := table.WithChanges([]Rule{r}, nil); err != nil {
-					b.Fatal(err)
+					b.Fatalf("WithChanges of 1 of %d rules: %v", n, err)
 				}
 			}
 		})
@@ -284,7 +306,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				manyRules(n)
+				tableWithRules(n)
 			}
 		})
 	}
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -8,19 +8,20 @@
 	"strings"
 )
 
-// Explanation says how one rule fared in a lookup.
+// Explanation is the result of comparing one rule with a request.
 type Explanation struct {
 	Rule    *Rule
 	Matches bool
-	Why     string // why it won, was not first, or does not match
+	Why     string // why it applies, why another rule has precedence, or why it does not match
 }
 
-// Explain returns how each rule fares for a request: the winner first, then the other rules that match, in the order
-// of precedence, then the rest. It compares the rules one by one, without the index.
+// Explain returns the result for each rule: first the rule that applies, then the other rules that match, in the order
+// of precedence, then the rest. The fallback, if there is one, is last, or first if no rule matches. Explain compares
+// the rules one by one, without the index.
 func (t *Table) Explain(q *Request) []Explanation {
 	var out []Explanation
 	for _, r := range t.rules {
-		why := r.mismatch(q)
+		why := r.mismatchReason(q)
 		out = append(out, Explanation{Rule: r, Matches: why == "", Why: why})
 	}
 	slices.SortStableFunc(out, func(a, b Explanation) int {
@@ -33,30 +34,30 @@
 		if !a.Matches {
 			return 0
 		}
-		return -compare(a.Rule, b.Rule)
+		return -comparePrecedence(a.Rule, b.Rule)
 	})
 	for i := range out {
 		switch {
 		case !out[i].Matches:
 		case i == 0:
-			out[i].Why = "first of those that match"
+			out[i].Why = "first in precedence of the rules that match"
 		default:
-			out[i].Why = "matches, but " + whyFirst(out[0].Rule, out[i].Rule)
+			out[i].Why = "matches, but " + precedenceReason(out[0].Rule, out[i].Rule)
 		}
 	}
 	if t.fallback != nil {
-		last := Explanation{Rule: t.fallback, Matches: UnambiguousPath(q.Path), Why: "the default: no rule matches"}
+		fallback := Explanation{Rule: t.fallback, Matches: UnambiguousPath(q.Path), Why: "the default: no rule matches"}
 		if len(out) > 0 && out[0].Matches {
-			last.Why = "the default goes last"
-			return append(out, last)
+			fallback.Why = "the default applies only if no rule matches"
+			return append(out, fallback)
 		}
-		return append([]Explanation{last}, out...)
+		return append([]Explanation{fallback}, out...)
 	}
 	return out
 }
 
-// mismatch returns why a rule does not match; empty if it does.
-func (r *Rule) mismatch(q *Request) string {
+// mismatchReason returns why a rule does not match a request; empty if it matches.
+func (r *Rule) mismatchReason(q *Request) string {
 	if !UnambiguousPath(q.Path) {
 		return AmbiguousPath.String()
 	}
@@ -75,29 +76,30 @@
 	if p := r.PathPrefix; p != "" && p != "/" && q.Path != p && !strings.HasPrefix(q.Path, p+"/") {
 		return fmt.Sprintf("path %q is not under %s", q.Path, p)
 	}
-	for _, c := range []struct {
-		name  string
-		list  []string
-		value string
+	for _, criterion := range []struct {
+		name   string
+		values []string
+		value  string
 	}{{"method", r.Methods, q.Method}, {"class", r.Classes, q.Class}, {"tenant", r.Tenants, q.Tenant}} {
-		if len(c.list) > 0 && !slices.Contains(c.list, c.value) {
-			return fmt.Sprintf("%s %q is none of %s", c.name, c.value, strings.Join(c.list, ", "))
+		if len(criterion.values) > 0 && !slices.Contains(criterion.values, criterion.value) {
+			return fmt.Sprintf("%s %q is none of %s",
+				criterion.name, criterion.value, strings.Join(criterion.values, ", "))
 		}
 	}
 	return ""
 }
 
-// rank is a rule's place in the order of precedence. It is compared field by field; the greater value goes first.
+// rank is a rule's precedence. Ranks are compared field by field, and the greater value has precedence.
 type rank struct {
-	host     int // 0 any, else 1 and the length of the suffix, or exactRank
-	path     int // 0 any, else the length of the prefix and 1, or exactRank
+	host     int // 0 for any host, 1 plus the length of the suffix, or exactRank
+	path     int // 0 for any path, 1 plus the length of the prefix, or exactRank
 	criteria criteria
 }
 
-// exactRank is above that of any suffix or prefix.
+// exactRank is the rank of an exact host or path, above that of any suffix or prefix.
 const exactRank = math.MaxInt
 
-// rank returns a rule's place in the order of precedence.
+// rank returns a rule's precedence.
 func (r *Rule) rank() rank {
 	k := rank{criteria: r.criteria()}
 	if suffix, ok := r.hostSuffix(); ok {
@@ -113,24 +115,25 @@
 	return k
 }
 
-// compare returns a positive number if a goes before b, 0 if neither goes before the other.
-func compare(a, b *Rule) int {
-	x, y := a.rank(), b.rank()
+// comparePrecedence returns a positive number if a has precedence over b, a negative one if b has precedence over a,
+// and 0 if their precedence is equal.
+func comparePrecedence(a, b *Rule) int {
+	rankA, rankB := a.rank(), b.rank()
 	return cmp.Or(
-		cmp.Compare(x.host, y.host),
-		cmp.Compare(x.path, y.path),
-		cmp.Compare(x.criteria, y.criteria),
+		cmp.Compare(rankA.host, rankB.host),
+		cmp.Compare(rankA.path, rankB.path),
+		cmp.Compare(rankA.criteria, rankB.criteria),
 	)
 }
 
-// whyFirst says why one rule goes before another.
-func whyFirst(winner, loser *Rule) string {
-	x, y := winner.rank(), loser.rank()
+// precedenceReason returns why one rule has precedence over another.
+func precedenceReason(winner, loser *Rule) string {
+	winnerRank, loserRank := winner.rank(), loser.rank()
 	switch {
-	case x.host != y.host:
-		return fmt.Sprintf("the host of %q is more exact", winner.Name)
-	case x.path != y.path:
-		return fmt.Sprintf("the path of %q is more exact", winner.Name)
+	case winnerRank.host != loserRank.host:
+		return fmt.Sprintf("the host of %q is more specific", winner.Name)
+	case winnerRank.path != loserRank.path:
+		return fmt.Sprintf("the path of %q is more specific", winner.Name)
 	}
-	return fmt.Sprintf("%q asks for more", winner.Name)
+	return fmt.Sprintf("%q matches by criteria of higher precedence", winner.Name)
 }
--- a/internal/route/index.go
+++ b/internal/route/index.go
@@ -5,64 +5,69 @@
 	"slices"
 )
 
-// hostRules are the rules of one host.
+// hostRules are the rules of one host, or of one host suffix, by path.
 type hostRules struct {
-	exact  sharedMap[*pathRules]
-	prefix sharedMap[*pathRules]
-	any    *pathRules
-	madeBy *revision
+	exact     sharedMap[*pathRules] // by path
+	prefix    sharedMap[*pathRules] // by path prefix
+	anyPath   *pathRules            // nil if there are none
+	createdBy *revision
 }
 
-// isEmpty reports whether a host has no rules.
-func (h *hostRules) isEmpty() bool { return h.any == nil && h.exact.count == 0 && h.prefix.count == 0 }
+// isEmpty reports whether there are no rules for the host.
+func (h *hostRules) isEmpty() bool {
+	return h.anyPath == nil && h.exact.count == 0 && h.prefix.count == 0
+}
 
-// ownedBy returns rules that a revision may change: these, or a copy.
-func (h *hostRules) ownedBy(rev *revision) *hostRules {
+// writableIn returns host rules that the revision may change: h itself if the revision created it, else a copy. A nil h
+// counts as empty.
+func (h *hostRules) writableIn(rev *revision) *hostRules {
 	switch {
 	case h == nil:
-		return &hostRules{madeBy: rev}
-	case h.madeBy == rev:
+		return &hostRules{createdBy: rev}
+	case h.createdBy == rev:
 		return h
 	}
-	return &hostRules{exact: h.exact.share(), prefix: h.prefix.share(), any: h.any, madeBy: rev}
+	return &hostRules{exact: h.exact.shallowCopy(), prefix: h.prefix.shallowCopy(), anyPath: h.anyPath, createdBy: rev}
 }
 
 // pathRules are the rules of one host and path, grouped by their other criteria in the order of precedence.
 type pathRules struct {
-	groups []ruleGroup
-	madeBy *revision
+	groups    []ruleGroup
+	createdBy *revision
 }
 
-// ruleGroup is the rules with the same criteria, by criteria.key.
+// ruleGroup holds the rules that have the same criteria, by the keys that criteria.key returns.
 type ruleGroup struct {
 	criteria criteria
 	rules    sharedMap[*Rule]
 }
 
-// ownedBy returns rules that a revision may change: these, or a copy.
-func (p *pathRules) ownedBy(rev *revision) *pathRules {
+// writableIn returns path rules that the revision may change: p itself if the revision created it, else a copy. A nil p
+// counts as empty.
+func (p *pathRules) writableIn(rev *revision) *pathRules {
 	switch {
 	case p == nil:
-		return &pathRules{madeBy: rev}
-	case p.madeBy == rev:
+		return &pathRules{createdBy: rev}
+	case p.createdBy == rev:
 		return p
 	}
-	next := &pathRules{groups: make([]ruleGroup, len(p.groups)), madeBy: rev}
+	next := &pathRules{groups: make([]ruleGroup, len(p.groups)), createdBy: rev}
 	for i := range p.groups {
 		g := &p.groups[i]
-		next.groups[i] = ruleGroup{criteria: g.criteria, rules: g.rules.share()}
+		next.groups[i] = ruleGroup{criteria: g.criteria, rules: g.rules.shallowCopy()}
 	}
 	return next
 }
 
-// groupIndex returns the index of the group with some criteria, or where it belongs.
+// groupIndex returns the index of the group with the given criteria or, if there is none, the index at which to insert
+// it.
 func (p *pathRules) groupIndex(c criteria) (index int, found bool) {
 	return slices.BinarySearchFunc(p.groups, c, func(g ruleGroup, c criteria) int {
 		return int(c) - int(g.criteria)
 	})
 }
 
-// criteria are what a rule matches beside host and path. The greater value has precedence.
+// criteria is the set of properties that a rule matches besides host and path. The greater value has precedence.
 type criteria uint8
 
 const (
@@ -71,7 +76,7 @@
 	byTenant
 )
 
-// criteria returns what a rule matches beside host and path.
+// criteria returns the set of properties that a rule matches besides host and path.
 func (r *Rule) criteria() criteria {
 	var c criteria
 	if len(r.Methods) > 0 {
@@ -86,8 +91,9 @@
 	return c
 }
 
-// key returns the key of a group's rules for some values. Of one criterion it is the value itself, as single. Of
-// several it is all values, each but the last after its length; these are appended to buffer and returned as joined.
+// key returns the key of a rule in its ruleGroup for the given values. For no criterion or one, the key is the empty
+// string or the value itself, and is returned as single. For several criteria, the key is the concatenation of their
+// values, each preceded by its length except the tenant; it is appended to buffer and returned as joined.
 func (c criteria) key(method, class, tenant string, buffer []byte) (single string, joined []byte) {
 	switch c {
 	case 0:
@@ -111,13 +117,14 @@
 	return "", buffer
 }
 
-// eachKey calls visit with the key of each combination of values that a rule matches, until visit returns false.
+// eachKey calls visit with the key of each combination of methods, classes and tenants of a rule, until visit returns
+// false.
 func (r *Rule) eachKey(visit func(key string) bool) {
 	c := r.criteria()
 	var buffer []byte
-	for _, method := range orEmpty(r.Methods) {
-		for _, class := range orEmpty(r.Classes) {
-			for _, tenant := range orEmpty(r.Tenants) {
+	for _, method := range valuesOrEmpty(r.Methods) {
+		for _, class := range valuesOrEmpty(r.Classes) {
+			for _, tenant := range valuesOrEmpty(r.Tenants) {
 				key, joined := c.key(method, class, tenant, buffer[:0])
 				if joined != nil {
 					key = string(joined)
@@ -131,15 +138,15 @@
 	}
 }
 
-// orEmpty returns one empty value for a criterion that a rule does not have.
-func orEmpty(values []string) []string {
+// valuesOrEmpty returns the values of a criterion, or one empty value if the rule does not have the criterion.
+func valuesOrEmpty(values []string) []string {
 	if len(values) == 0 {
 		return []string{""}
 	}
 	return values
 }
 
-// hostMap returns the map that a rule's host is in, and its key; nil for a rule of any host.
+// hostMap returns the map for a rule's host, and the key in it; hosts is nil if the rule matches any host.
 func (t *Table) hostMap(r *Rule) (hosts *sharedMap[*hostRules], key string) {
 	if suffix, ok := r.hostSuffix(); ok {
 		return &t.suffixes, suffix
@@ -150,7 +157,7 @@
 	return &t.hosts, r.Host
 }
 
-// pathMap returns the map that a rule's path is in, and its key; nil for a rule of any path.
+// pathMap returns the map for a rule's path, and the key in it; paths is nil if the rule matches any path.
 func (h *hostRules) pathMap(r *Rule) (paths *sharedMap[*pathRules], key string) {
 	switch {
 	case r.Path != "":
@@ -161,40 +168,43 @@
 	return nil, ""
 }
 
-// pathRulesOf returns the rules of a rule's host and path, for a revision to change.
-func (t *Table) pathRulesOf(rev *revision, r *Rule) *pathRules {
-	h := t.hostRulesOf(rev, r)
+// writablePathRules returns the path rules for a rule's host and path, which the revision may change. It creates them
+// if there are none.
+func (t *Table) writablePathRules(rev *revision, r *Rule) *pathRules {
+	h := t.writableHostRules(rev, r)
 	paths, key := h.pathMap(r)
 	if paths == nil {
-		h.any = h.any.ownedBy(rev)
-		return h.any
+		h.anyPath = h.anyPath.writableIn(rev)
+		return h.anyPath
 	}
 	existing, _ := paths.get(key)
-	owned := existing.ownedBy(rev)
-	if owned != existing {
-		paths.set(rev, key, owned)
+	writable := existing.writableIn(rev)
+	if writable != existing {
+		paths.set(rev, key, writable)
 	}
-	return owned
+	return writable
 }
 
-// hostRulesOf returns the rules of a rule's host, for a revision to change.
-func (t *Table) hostRulesOf(rev *revision, r *Rule) *hostRules {
+// writableHostRules returns the host rules for a rule's host, which the revision may change. It creates them if there
+// are none.
+func (t *Table) writableHostRules(rev *revision, r *Rule) *hostRules {
 	hosts, key := t.hostMap(r)
 	if hosts == nil {
-		t.any = t.any.ownedBy(rev)
-		return t.any
+		t.anyHost = t.anyHost.writableIn(rev)
+		return t.anyHost
 	}
 	existing, _ := hosts.get(key)
-	owned := existing.ownedBy(rev)
-	if owned != existing {
-		hosts.set(rev, key, owned)
+	writable := existing.writableIn(rev)
+	if writable != existing {
+		hosts.set(rev, key, writable)
 	}
-	return owned
+	return writable
 }
 
-// add puts a rule into the index. It returns a rule that it ties with, or nil.
-func (t *Table) add(rev *revision, r *Rule) (tie *Rule) {
-	p := t.pathRulesOf(rev, r)
+// add adds a rule to the index and returns nil. If an existing rule has the same precedence and one request can match
+// both, it returns the existing rule, and the index may have only some of the entries of the added rule.
+func (t *Table) add(rev *revision, r *Rule) (conflict *Rule) {
+	p := t.writablePathRules(rev, r)
 	c := r.criteria()
 	i, found := p.groupIndex(c)
 	if !found {
@@ -202,17 +212,17 @@
 	}
 	rules := &p.groups[i].rules
 	r.eachKey(func(key string) bool {
-		if tie, _ = rules.get(key); tie == nil {
+		if conflict, _ = rules.get(key); conflict == nil {
 			rules.set(rev, key, r)
 		}
-		return tie == nil
+		return conflict == nil
 	})
-	return tie
+	return conflict
 }
 
-// remove takes a rule out of the index, and all levels that are empty without it. The rule must be in the index.
+// remove removes a rule from the index, and then each level that is empty. The rule must be in the index.
 func (t *Table) remove(rev *revision, r *Rule) {
-	p := t.pathRulesOf(rev, r)
+	p := t.writablePathRules(rev, r)
 	i, _ := p.groupIndex(r.criteria())
 	rules := &p.groups[i].rules
 	r.eachKey(func(key string) bool {
@@ -226,11 +236,11 @@
 	if len(p.groups) > 0 {
 		return
 	}
-	h := t.hostRulesOf(rev, r)
+	h := t.writableHostRules(rev, r)
 	if paths, key := h.pathMap(r); paths != nil {
 		paths.remove(rev, key)
 	} else {
-		h.any = nil
+		h.anyPath = nil
 	}
 	if hosts, key := t.hostMap(r); hosts != nil && h.isEmpty() {
 		hosts.remove(rev, key)
--- a/internal/route/lookup.go
+++ b/internal/route/lookup.go
@@ -5,23 +5,24 @@
 	"strings"
 )
 
-// Verdict says how a lookup ended.
+// Verdict is the result of a lookup.
 type Verdict uint8
 
-// The verdicts, with the status of the response (RFC 9110, section 15.5).
+// The verdicts, each but Found with the HTTP status code of the response in parentheses (RFC 9110, section 15.5).
 const (
-	Found         Verdict = iota
-	NoRoute               // no rule matches (404)
-	UnknownHost           // no rule is for that host (421)
-	AmbiguousPath         // the path can be read in two ways (400)
+	Found         Verdict = iota // a rule matches, or there is a fallback
+	NoRoute                      // no rule matches (404)
+	UnknownHost                  // no rule matches the host (421)
+	AmbiguousPath                // the path can be interpreted in two ways; see UnambiguousPath (400)
 )
 
-// String returns the verdict in words, for operators.
+// String returns the verdict as text for operators and for error responses.
 func (v Verdict) String() string {
 	return [...]string{"found", "no route", "no rule is for that host", "a path that may be read in two ways"}[v]
 }
 
-// Lookup returns the rule for a request; nil unless the verdict is Found. It allocates nothing.
+// Lookup returns the rule for a request, which may be the fallback; it is nil unless the verdict is Found. It allocates
+// nothing.
 func (t *Table) Lookup(q *Request) (*Rule, Verdict) {
 	if !UnambiguousPath(q.Path) {
 		return nil, AmbiguousPath
@@ -50,20 +51,20 @@
 			}
 		}
 	}
-	if r := t.any.find(q); r != nil {
+	if r := t.anyHost.find(q); r != nil {
 		return r, Found
 	}
 	if t.fallback != nil {
 		return t.fallback, Found
 	}
-	if !knownHost && t.any.isEmpty() {
+	if !knownHost && t.anyHost.isEmpty() {
 		return nil, UnknownHost
 	}
 	return nil, NoRoute
 }
 
-// find returns the first rule of a host that matches: by the exact path, by prefixes from the longest on, or by any
-// path.
+// find returns the host's matching rule of the highest precedence: it tries the exact path, then prefixes from the
+// longest to the shortest, then the rules for any path. It returns nil if none matches.
 func (h *hostRules) find(q *Request) *Rule {
 	if p, _ := h.exact.get(q.Path); p != nil {
 		if r := p.find(q); r != nil {
@@ -86,16 +87,16 @@
 			rest = rest[:strings.LastIndexByte(rest, '/')+1]
 		}
 	}
-	if h.any != nil {
-		return h.any.find(q)
+	if h.anyPath != nil {
+		return h.anyPath.find(q)
 	}
 	return nil
 }
 
-// keyBufferBytes is the length of joined keys that need no allocation.
+// keyBufferBytes is the maximum length of a joined key for which a lookup allocates no memory.
 const keyBufferBytes = 128
 
-// find returns the first rule of a host and path that matches.
+// find returns the matching rule of the highest precedence for a host and path; nil if none matches.
 func (p *pathRules) find(q *Request) *Rule {
 	var buffer [keyBufferBytes]byte
 	for i := range p.groups {
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -5,11 +5,11 @@
 // maxHostBytes is the length of the longest host name (RFC 1035, section 2.3.4), without the trailing dot.
 const maxHostBytes = 253
 
-// hostBuffer has room for any host.
+// hostBuffer has room for a normalized host name of any valid length.
 type hostBuffer [maxHostBytes + 1]byte
 
-// normalizeHost writes a request's host without port, trailing dot and case into a buffer. A host that is too long
-// becomes an empty one.
+// normalizeHost writes a request's host in lowercase, without port and trailing dot, into buffer and returns the
+// written part. It returns nil for a host that is too long.
 func normalizeHost(buffer *hostBuffer, host string) []byte {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && strings.IndexByte(host[i:], ']') < 0 {
 		host = host[:i]
@@ -45,7 +45,7 @@
 	return true
 }
 
-// UnambiguousPath reports whether a path can be read in one way only: it begins with a slash and has neither empty nor
+// UnambiguousPath reports whether a path has only one interpretation: it begins with a slash and has neither empty nor
 // dot segments (RFC 3986, section 3.3), except that it may end with a slash.
 func UnambiguousPath(path string) bool {
 	if path == "" || path[0] != '/' {
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -5,9 +5,9 @@
 	"math/bits"
 )
 
-// Pick returns the service for a request of a rule, by the hash of what the request is sticky to. The same hash gives
-// the same service, and when a weight grows, hashes move to that service only (weighted rendezvous hashing: Wang and
-// Ravishankar, 2005).
+// Pick returns the rule's service for a request. hash is the hash of the request's stickiness value, for example of its
+// tenant. Equal hashes give the same service, and when a target's weight grows, hashes move only to that target
+// (weighted rendezvous hashing: Wang and Ravishankar, 2005).
 func (r *Rule) Pick(hash uint64) string {
 	if len(r.To) == 1 {
 		return r.To[0].Service
@@ -18,21 +18,21 @@
 		if to.Weight <= 0 {
 			continue
 		}
-		if cost := -math.Log(unitInterval(mix(hash^nameHash(to.Service)))) / to.Weight; cost < lowestCost {
+		if cost := -math.Log(unitInterval(mixBits(hash^nameHash(to.Service)))) / to.Weight; cost < lowestCost {
 			best, lowestCost = to.Service, cost
 		}
 	}
 	return best
 }
 
-// unitInterval maps a hash to a number above 0 and below 1, by the 53 bits that a float64 can represent.
+// unitInterval maps a hash to a number above 0 and below 1. It uses the upper 53 bits, the precision of a float64.
 func unitInterval(hash uint64) float64 {
 	const mantissaBits = 53
 	return (float64(hash>>(64-mantissaBits)) + 0.5) / (1 << mantissaBits)
 }
 
-// mix spreads a hash over all bits (the finalizer of SplitMix64).
-func mix(x uint64) uint64 {
+// mixBits makes each bit of the result depend on all bits of x (the finalizer of SplitMix64).
+func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -40,13 +40,13 @@
 	return x ^ x>>31
 }
 
-// Parameters of FNV-1a with 64 bits.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// nameHash returns a hash of a service's name: FNV-1a, which needs no allocation, rotated.
+// nameHash returns the rotated FNV-1a hash of a service's name. It allocates nothing.
 func nameHash(name string) uint64 {
 	const rotation = 17
 	h := uint64(fnvOffset)
--- a/internal/route/sharedmap.go
+++ b/internal/route/sharedmap.go
@@ -6,37 +6,39 @@
 	"slices"
 )
 
-// partEntries is how many entries a part of a sharedMap has, within a factor of two.
-const partEntries = 256
+// targetPartEntries is the mean number of entries per part of a sharedMap, within a factor of two, once it has several
+// parts.
+const targetPartEntries = 256
 
-// growth is by which factor the number of parts grows.
-const growth = 4
+// growthFactor is the factor by which the number of parts grows.
+const growthFactor = 4
 
-// hashSeed is that of all maps in the process.
+// hashSeed is the hash seed of all sharedMaps in the process.
 var hashSeed = maphash.MakeSeed()
 
-// sharedMap is a map of which another version can be made at the cost of what changes. Its entries are divided into
-// parts by their hash, and versions share the parts in which they do not differ.
+// sharedMap is a copy-on-write map. Its entries are divided into parts by the hashes of their keys. A copy shares all
+// parts with the original until it changes them, so a changed copy costs only the parts that change.
 type sharedMap[V any] struct {
-	parts  []map[string]V // a power of two of them, or none
-	madeBy []*revision    // the revision that made each part
-	count  int            // of all entries
+	parts     []map[string]V // their number is a power of two, or 0
+	createdBy []*revision    // by part: the revision that created it
+	count     int            // number of entries in all parts
 }
 
-// revision is the making of one table. It may change the parts that it made; all others are shared.
+// revision identifies the construction of one table. Code that runs for a revision may change the parts that this
+// revision created; all other parts may be shared with other tables.
 type revision struct {
-	_ byte // revisions are compared by address, so they must not be of size 0
+	_ byte // revisions are compared by address, and variables of size 0 may have the same address
 }
 
-// share returns the same entries for another version.
-func (s *sharedMap[V]) share() sharedMap[V] {
-	return sharedMap[V]{parts: slices.Clone(s.parts), madeBy: slices.Clone(s.madeBy), count: s.count}
+// shallowCopy returns a copy that shares all parts with s.
+func (s *sharedMap[V]) shallowCopy() sharedMap[V] {
+	return sharedMap[V]{parts: slices.Clone(s.parts), createdBy: slices.Clone(s.createdBy), count: s.count}
 }
 
-// partIndex returns the index of a hash's part. There must be parts.
+// partIndex returns the index of the part for a hash. The map must have at least one part.
 func (s *sharedMap[V]) partIndex(hash uint64) int { return int(hash & uint64(len(s.parts)-1)) }
 
-// index returns the index of a key's part. There must be parts.
+// index returns the index of the part for a key. The map must have at least one part.
 func (s *sharedMap[V]) index(key string) int {
 	if len(s.parts) == 1 {
 		return 0
@@ -44,7 +46,7 @@
 	return s.partIndex(maphash.String(hashSeed, key))
 }
 
-// get returns the value of a key.
+// get returns the value of a key, and whether the key is in the map.
 func (s *sharedMap[V]) get(key string) (value V, found bool) {
 	if s.count > 0 {
 		value, found = s.parts[s.index(key)][key]
@@ -52,7 +54,8 @@
 	return value, found
 }
 
-// getBytes returns the value of a key that is no string yet, without an allocation; the zero value if there is none.
+// getBytes returns the value of a key, or the zero value if the key is not in the map. It does not allocate, unlike get
+// with the key converted to a string.
 func (s *sharedMap[V]) getBytes(key []byte) V {
 	switch len(s.parts) {
 	case 0:
@@ -64,53 +67,54 @@
 	return s.parts[s.partIndex(maphash.Bytes(hashSeed, key))][string(key)]
 }
 
-// ownedPart returns the part of a key, for a revision to change.
-func (s *sharedMap[V]) ownedPart(rev *revision, key string) map[string]V {
+// writablePart returns the part for a key, which the revision may change. If another revision created the part, it is
+// first replaced by a copy.
+func (s *sharedMap[V]) writablePart(rev *revision, key string) map[string]V {
 	if len(s.parts) == 0 {
 		s.parts = []map[string]V{{}}
-		s.madeBy = []*revision{rev}
+		s.createdBy = []*revision{rev}
 	}
 	i := s.index(key)
-	if s.madeBy[i] != rev {
+	if s.createdBy[i] != rev {
 		part := make(map[string]V, len(s.parts[i])+1)
 		maps.Copy(part, s.parts[i])
 		s.parts[i] = part
-		s.madeBy[i] = rev
+		s.createdBy[i] = rev
 	}
 	return s.parts[i]
 }
 
-// set sets the value of a key, and divides the map into more parts when they have grown too large.
+// set sets the value of a key, and divides the map into more parts if they have become too large on average.
 func (s *sharedMap[V]) set(rev *revision, key string, value V) {
-	part := s.ownedPart(rev, key)
-	before := len(part)
+	part := s.writablePart(rev, key)
+	previousLength := len(part)
 	part[key] = value
-	s.count += len(part) - before
-	if s.count > 2*partEntries*len(s.parts) {
+	s.count += len(part) - previousLength
+	if s.count > 2*targetPartEntries*len(s.parts) {
 		s.grow(rev)
 	}
 }
 
-// grow divides the map into more parts.
+// grow multiplies the number of parts by growthFactor and redistributes the entries.
 func (s *sharedMap[V]) grow(rev *revision) {
-	length := growth * len(s.parts)
-	wider := sharedMap[V]{parts: make([]map[string]V, length), madeBy: make([]*revision, length), count: s.count}
-	for i := range wider.parts {
-		wider.parts[i] = map[string]V{}
-		wider.madeBy[i] = rev
+	length := growthFactor * len(s.parts)
+	grown := sharedMap[V]{parts: make([]map[string]V, length), createdBy: make([]*revision, length), count: s.count}
+	for i := range grown.parts {
+		grown.parts[i] = map[string]V{}
+		grown.createdBy[i] = rev
 	}
 	for _, part := range s.parts {
 		for key, value := range part {
-			wider.parts[wider.index(key)][key] = value
+			grown.parts[grown.index(key)][key] = value
 		}
 	}
-	*s = wider
+	*s = grown
 }
 
-// remove removes a key.
+// remove removes a key; it does nothing if the key is not in the map.
 func (s *sharedMap[V]) remove(rev *revision, key string) {
 	if _, found := s.get(key); found {
-		delete(s.ownedPart(rev, key), key)
+		delete(s.writablePart(rev, key), key)
 		s.count--
 	}
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -6,34 +6,35 @@
 	"slices"
 )
 
-// Bounds of a table, so that a mistake in the rules is an error instead of exhausting the memory.
+// Limits on the size of a table: a mistake in the rules causes an error instead of exhausting the memory.
 const (
-	// MaxRules is the most rules of a table.
+	// MaxRules is the maximum number of rules in a table.
 	MaxRules = 200_000
-	// maxExpanded is the most combinations of methods, classes and tenants of all rules.
-	maxExpanded = 2_000_000
+	// maxCombinations is the maximum number of combinations of methods, classes and tenants, summed over all rules.
+	maxCombinations = 2_000_000
 )
 
-// fallbackName is the name of the rule that stands for the fallback.
+// fallbackName is the name of the rule that represents the fallback.
 const fallbackName = "default"
 
-// Table is an index of rules. It never changes, and is safe for concurrent use.
+// Table is an immutable index of rules. It is safe for concurrent use.
 type Table struct {
-	rules    []*Rule
-	hosts    sharedMap[*hostRules]
-	suffixes sharedMap[*hostRules] // by what follows the wildcard
-	any      *hostRules
-	fallback *Rule // for requests that no rule matches; nil is none
-	expanded int   // combinations of methods, classes and tenants
+	rules        []*Rule
+	hosts        sharedMap[*hostRules] // by exact host
+	suffixes     sharedMap[*hostRules] // by the part of the host after the wildcard
+	anyHost      *hostRules            // the rules without a host; never nil
+	fallback     *Rule                 // for requests that no rule matches; nil if there is none
+	combinations int                   // number of combinations of methods, classes and tenants of all rules
 }
 
-// Compile returns a table of rules. fallback names the service for requests that no rule matches; empty is none. The
-// error joins a RuleError for each rule that is invalid or in conflict with an earlier one.
+// Compile returns a table of rules. fallback names the service for requests that no rule matches; empty means none. The
+// error joins a RuleError for each rule that is invalid or conflicts with an earlier rule. If there are more than
+// MaxRules rules, or too many combinations of methods, classes and tenants, Compile returns only that error.
 func Compile(rules []Rule, fallback string) (*Table, error) {
 	if len(rules) > MaxRules {
-		return nil, fmt.Errorf("%d rules; %d are the most", len(rules), MaxRules)
+		return nil, fmt.Errorf("%d rules exceed the maximum of %d", len(rules), MaxRules)
 	}
-	t := &Table{rules: make([]*Rule, len(rules)), any: &hostRules{}}
+	t := &Table{rules: make([]*Rule, len(rules)), anyHost: &hostRules{}}
 	rev := &revision{}
 	var errs []error
 	indexByName := map[string]int{}
@@ -45,17 +46,17 @@
 		indexes[r] = i
 		fail := func(err error) { errs = append(errs, RuleError{Index: i, Name: r.Name, Err: err}) }
 		if first, exists := indexByName[r.Name]; exists && r.Name != "" {
-			fail(fmt.Errorf("name: route[%d] has it too", first))
+			fail(fmt.Errorf("name: route[%d] has the same name", first))
 		}
 		indexByName[r.Name] = i
 		if err := r.validate(); err != nil {
 			fail(err)
 			continue
 		}
-		t.expanded += r.combinations()
-		if t.expanded > maxExpanded {
+		t.combinations += r.combinationCount()
+		if t.combinations > maxCombinations {
 			return nil, RuleError{Index: i, Name: r.Name, Err: fmt.Errorf(
-				"the rules come to more than %d combinations of methods, classes and tenants", maxExpanded)}
+				"the rules have more than %d combinations of methods, classes and tenants", maxCombinations)}
 		}
 		if other := t.add(rev, r); other != nil {
 			fail(TieError{OtherIndex: indexes[other], OtherName: other.Name})
@@ -67,7 +68,8 @@
 	return t.WithFallback(fallback), nil
 }
 
-// WithFallback returns the same table with another service for requests that no rule matches; empty is none.
+// WithFallback returns a copy of the table with another fallback, the service for requests that no rule matches; empty
+// means none.
 func (t *Table) WithFallback(fallback string) *Table {
 	next := *t
 	next.fallback = nil
@@ -77,14 +79,14 @@
 	return &next
 }
 
-// Services returns the names of all services that rules send to, sorted.
+// Services returns the names of all services that are targets of rules or the fallback, sorted.
 func (t *Table) Services() []string {
 	var names []string
-	all := t.rules
+	rules := t.rules
 	if t.fallback != nil {
-		all = append(slices.Clip(all), t.fallback)
+		rules = append(slices.Clip(rules), t.fallback)
 	}
-	for _, r := range all {
+	for _, r := range rules {
 		for _, to := range r.To {
 			names = append(names, to.Service)
 		}
@@ -93,5 +95,5 @@
 	return slices.Compact(names)
 }
 
-// RuleCount returns how many rules the table has, without the fallback.
+// RuleCount returns the number of rules in the table, without the fallback.
 func (t *Table) RuleCount() int { return len(t.rules) }
