--- a/internal/processquota/gate.go
+++ b/internal/processquota/gate.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// ReserveRatio is the fraction of a service's capacity that is its reserve. Once no more than the reserve is free, a Gate
-// admits requests by density.
+// ReserveRatio is the fraction of a service's capacity that is its reserve. When no more than the reserve is free, a
+// Gate admits requests by density.
 const ReserveRatio = 0.15
 
 // Gate decides which requests a service admits when its share of the process's capacity is nearly used up. It prefers
--- a/internal/processquota/pool_test.go
+++ b/internal/processquota/pool_test.go
@@ -152,7 +152,8 @@
 		}
 		var holds []hold
 		used := map[string]int64{}
-		// waitingSince is, by member, the first of the consecutive steps at which it was rejected below its minimum.
+		// waitingSince is, by member, the time of the first of the consecutive steps at which it was rejected below its
+		// minimum.
 		waitingSince := map[string]time.Duration{}
 		now := time.Duration(0)
 		active := map[string]bool{} // members that acquire as many units as they can at each step
--- a/internal/processquota/ratelimiter_test.go
+++ b/internal/processquota/ratelimiter_test.go
@@ -79,7 +79,7 @@
 	if acquired := acquireAll("a", 0, 10*time.Second); acquired < 195 || acquired > 225 {
 		t.Errorf("a acquired %d units in 10 s, want 195 to 225: its cap is 20 per second", acquired)
 	}
-	if ok, retryAfter := r.Acquire(10*time.Second, "unknown"); ok || retryAfter != 0 {
+	if ok, retryAfter := r.Acquire(10*time.Second, "nobody"); ok || retryAfter != 0 {
 		t.Errorf("Acquire of an unknown member = %v, retry after %v, want false and 0", ok, retryAfter)
 	}
 	if err := r.Reconfigure(5, time.Second, map[string]RateShare{"a": {Min: 10}}); err == nil {
