--- a/internal/quotalease/config.go
+++ b/internal/quotalease/config.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Kind says what a quota counts.
+// Kind is what a quota counts.
 type Kind uint8
 
 const (
@@ -30,88 +30,90 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Share is what a holder is entitled to of a quota.
+// Share is the part of a quota that a holder is entitled to, in units.
 type Share struct {
-	// Min is units that the holder gets whenever it requests them, after one lease duration at most.
+	// Min is the number of units that the holder gets whenever it requests them, within one lease duration.
 	Min float64 `json:"Min"`
-	// Cap is the most units that the holder may have; 0 is no cap but the limit.
+	// Cap is the maximum number of units that the holder may have; 0 means only the limit applies.
 	Cap float64 `json:"Cap"`
-	// Weight is the holder's weight in what is left over all minimums; 0 counts as 1.
+	// Weight is the holder's weight in the division of the units above all minimums; 0 counts as 1.
 	Weight float64 `json:"Weight"`
 }
 
-// Quota is one limit that all holders of the fleet share.
+// Quota is a limit that all holders of the fleet share.
 type Quota struct {
 	Name string `json:"Name"`
 	Kind Kind   `json:"Kind"`
 	// Limit is units a second of a Rate, and units in flight at once of InFlight.
 	Limit float64 `json:"Whole"`
-	// Burst is the units that all token buckets together may hold; for a Rate only. A holder whose part of it is under
-	// one unit can spend nothing, so it should be at least the number of holders that spend at once.
+	// Burst is the number of units that all token buckets together may hold; for a Rate only. A holder whose part of
+	// the burst is below one unit can spend nothing, so the burst should be at least the number of holders that spend
+	// at the same time.
 	Burst float64 `json:"Burst"`
-	// LeaseDuration is for how long each lease runs.
+	// LeaseDuration is the duration of each lease.
 	LeaseDuration time.Duration `json:"Lease"`
-	// MaxHoldTime is the longest that one unit is in flight; for InFlight only.
+	// MaxHoldTime is the maximum time that one unit is in flight; for InFlight only.
 	MaxHoldTime time.Duration `json:"Life"`
-	// Floors are units that a holder has by its name, without a lease. They are part of the limit.
+	// Floors are the units that a holder may use without a lease, by the holder's name. They are part of the limit.
 	Floors map[string]float64 `json:"Floors"`
-	// Members are the shares by holder.
+	// Members are the shares of single holders, by the holder's name.
 	Members map[string]Share `json:"Members"`
-	// DefaultShare is the share of each holder that Members does not name. It has no minimum.
+	// DefaultShare is the share of each holder that is not in Members. Its Min must be 0.
 	DefaultShare Share `json:"Others"`
 }
 
-// FleetConfig is all quotas of a fleet, and what must hold for all leases of an epoch.
+// FleetConfig holds all quotas of a fleet and the bounds that apply to all leases of an epoch.
 type FleetConfig struct {
 	FleetID string `json:"ID"`
-	// MaxDrift is the part by which any clock of the fleet may be wrong, such as .001.
+	// MaxDrift is the fraction by which any clock of the fleet may run fast or slow, for example .001.
 	MaxDrift float64 `json:"Drift"`
-	// MaxLifetime bounds LeaseDuration plus MaxHoldTime of every quota. Whoever may have forgotten leases waits for
-	// it.
+	// MaxLifetime is the upper bound of LeaseDuration plus MaxHoldTime of every quota. A server that may have lost
+	// leases waits this long before it takes part.
 	MaxLifetime time.Duration `json:"Longest"`
 	Quotas      []Quota       `json:"Budgets"`
 }
 
 const (
-	driftLimit  = .1  // the largest MaxDrift
-	unitsLimit  = 1e9 // the most units of a limit, a burst or a share
+	driftLimit  = .1  // maximum of MaxDrift
+	unitsLimit  = 1e9 // maximum number of units of a limit, a burst or a share
 	minDuration = time.Millisecond
 )
 
-// problems collects what is wrong with a configuration.
+// problems collects the errors of a configuration. prefix is put before each message.
 type problems struct {
 	prefix string
 	errs   []error
 }
 
+// addIf adds an error if wrong is true.
 func (p *problems) addIf(wrong bool, format string, args ...any) {
 	if wrong {
 		p.errs = append(p.errs, errors.New(p.prefix+fmt.Sprintf(format, args...)))
 	}
 }
 
-// Check returns all that is wrong with the configuration, by quota and field, nil if nothing is.
+// Check returns all errors of the configuration, joined, each with its quota and field, or nil if it is valid.
 func (f *FleetConfig) Check() error {
 	var wrong problems
 	wrong.addIf(f.FleetID == "", "fleet: has no name")
-	wrong.addIf(!validDrift(f.MaxDrift), "drift: %v is not within 0 and %v", f.MaxDrift, driftLimit)
+	wrong.addIf(!validDrift(f.MaxDrift), "drift: %v is not between 0 and %v", f.MaxDrift, driftLimit)
 	wrong.addIf(f.MaxLifetime < minDuration, "longest: %v is under %v", f.MaxLifetime, minDuration)
 	seen := map[string]bool{}
 	for i := range f.Quotas {
 		quota := &f.Quotas[i]
-		wrong.addIf(seen[quota.Name], "%s: named twice", quota.Name)
+		wrong.addIf(seen[quota.Name], "%s: two budgets have this name", quota.Name)
 		seen[quota.Name] = true
 		if err := quota.Check(); err != nil {
 			wrong.errs = append(wrong.errs, err)
 		}
 		wrong.addIf(quota.LeaseDuration+quota.MaxHoldTime > f.MaxLifetime,
-			"%s: lease %v and life %v come to more than longest, %v",
+			"%s: lease %v plus life %v is more than longest, %v",
 			quota.Name, quota.LeaseDuration, quota.MaxHoldTime, f.MaxLifetime)
 	}
 	return errors.Join(wrong.errs...)
 }
 
-// Quota returns the quota of a name, nil if there is none.
+// Quota returns the quota with a name, or nil if there is none.
 func (f *FleetConfig) Quota(name string) *Quota {
 	for i := range f.Quotas {
 		if f.Quotas[i].Name == name {
@@ -125,30 +127,30 @@
 
 func validNumber(x float64) bool { return x >= 0 && x <= unitsLimit }
 
-// validUnits reports whether x is a number of units of this quota. Units in flight are whole.
+// validUnits reports whether x is a valid number of units of this quota. Units in flight are whole numbers.
 func (q *Quota) validUnits(x float64) bool {
 	return validNumber(x) && (q.Kind != InFlight || x == math.Floor(x))
 }
 
-// Check returns all that is wrong with one quota, by its name and the field, nil if nothing is.
+// Check returns all errors of one quota, joined, each with its name and field, or nil if it is valid.
 func (q *Quota) Check() error {
 	wrong := problems{prefix: q.Name + ": "}
 	wrong.addIf(q.Name == "", "a budget has no name")
 	wrong.addIf(q.Kind != Rate && q.Kind != InFlight, "kind: %v is neither rate nor in-hand", q.Kind)
-	wrong.addIf(!q.validUnits(q.Limit) || q.Limit == 0, "whole: %v units", q.Limit)
+	wrong.addIf(!q.validUnits(q.Limit) || q.Limit == 0, "whole: %v units is not a valid limit", q.Limit)
 	wrong.addIf(q.LeaseDuration < minDuration, "lease: %v is under %v", q.LeaseDuration, minDuration)
 	switch q.Kind {
 	case Rate:
-		wrong.addIf(!validNumber(q.Burst) || q.Burst < 1, "burst: %v units; a rate needs 1 at least", q.Burst)
-		wrong.addIf(q.MaxHoldTime != 0, "life: a rate has none")
+		wrong.addIf(!validNumber(q.Burst) || q.Burst < 1, "burst: %v units; a rate needs at least 1", q.Burst)
+		wrong.addIf(q.MaxHoldTime != 0, "life: must be 0 for a rate")
 	case InFlight:
-		wrong.addIf(q.Burst != 0, "burst: work in hand has none")
+		wrong.addIf(q.Burst != 0, "burst: must be 0 for in-hand")
 		wrong.addIf(q.MaxHoldTime < minDuration, "life: %v is under %v", q.MaxHoldTime, minDuration)
 	}
 	floors := q.checkFloors(&wrong)
 	sum := q.checkShares(&wrong, floors)
 	wrong.addIf(!(sum <= q.Limit),
-		"floors (%v) and minimums (%v) come to more than the whole, %v", floors, sum-floors, q.Limit)
+		"floors (%v) and minimums (%v) sum to more than the whole, %v", floors, sum-floors, q.Limit)
 	return errors.Join(wrong.errs...)
 }
 
@@ -156,39 +158,39 @@
 func (q *Quota) checkFloors(wrong *problems) (sum float64) {
 	for _, holder := range slices.Sorted(maps.Keys(q.Floors)) {
 		units := q.Floors[holder]
-		wrong.addIf(holder == "" || !q.validUnits(units), "floor of %q: %v units", holder, units)
+		wrong.addIf(holder == "" || !q.validUnits(units),
+			"floor of %q: %v is not a valid number of units", holder, units)
 		if q.Kind == Rate && q.validUnits(units) && units > 0 {
 			burst := q.Burst * units / q.Limit
 			wrong.addIf(burst < 1,
-				"floor of %q: its part of the burst is %.3g, under the one unit that it needs to spend any",
-				holder, burst)
+				"floor of %q: its part of the burst is %.3g units; below 1 unit nothing can be spent", holder, burst)
 		}
 		sum += max(0, units)
 	}
 	return sum
 }
 
-// checkShares checks all shares and returns the sum of the floors and of all minimums in units.
+// checkShares checks all shares. It returns floors, the sum of all floors, plus the sum of all minimums, in units.
 func (q *Quota) checkShares(wrong *problems, floors float64) (sum float64) {
 	sum = floors
 	for _, holder := range slices.Sorted(maps.Keys(q.Members)) {
 		share := q.Members[holder]
 		wrong.addIf(holder == "", "a member has no name")
 		wrong.addIf(!q.validUnits(share.Min) || !q.validUnits(share.Cap),
-			"member %s: min %v or cap %v", holder, share.Min, share.Cap)
+			"member %s: min %v or cap %v is not a valid number of units", holder, share.Min, share.Cap)
 		wrong.addIf(share.Cap > 0 && share.Cap < share.Min,
 			"member %s: cap %v is under min %v", holder, share.Cap, share.Min)
-		wrong.addIf(!validNumber(share.Weight), "member %s: weight %v", holder, share.Weight)
+		wrong.addIf(!validNumber(share.Weight), "member %s: weight %v is not valid", holder, share.Weight)
 		sum += max(0, share.Min)
 	}
 	other := q.DefaultShare
-	wrong.addIf(other.Min != 0, "others: a minimum needs a name")
+	wrong.addIf(other.Min != 0, "others: a minimum can be set only for a named member")
 	wrong.addIf(!q.validUnits(other.Cap) || !validNumber(other.Weight),
-		"others: cap %v or weight %v", other.Cap, other.Weight)
+		"others: cap %v or weight %v is not valid", other.Cap, other.Weight)
 	return sum
 }
 
-// shareOf returns what a holder is entitled to.
+// shareOf returns the share of a holder, with a weight of at least the default 1.
 func (q *Quota) shareOf(holder string) Share {
 	share, named := q.Members[holder]
 	if !named {
@@ -200,7 +202,7 @@
 	return share
 }
 
-// floorOf returns the part of limit and burst that a holder has by its name.
+// floorOf returns the floor of a holder and the part of the burst that comes with it, 0 if it has none.
 func (q *Quota) floorOf(holder string) (amount, burst Amount) {
 	units := q.Floors[holder]
 	if q.Kind == Rate {
@@ -209,7 +211,7 @@
 	return FromUnits(units), burst
 }
 
-// unreserved returns the limit less all floors, in millionths of a unit.
+// unreserved returns the limit minus all floors, in millionths of a unit.
 func (q *Quota) unreserved() float64 {
 	left := FromUnits(q.Limit)
 	for _, units := range q.Floors {
