--- a/internal/quotalease/allocator_test.go
+++ b/internal/quotalease/allocator_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testCluster is one server and some holders, without any fault between them.
+// testCluster is one control-plane server and its holders, connected without faults.
 type testCluster struct {
 	*testLog
 	allocator *Allocator
@@ -14,7 +14,7 @@
 	now       time.Duration
 }
 
-// newTestCluster has a holder for each letter of names.
+// newTestCluster returns a cluster with one holder for each letter of names.
 func newTestCluster(t testing.TB, names string) *testCluster {
 	cluster := &testCluster{testLog: newTestLog(t, nil)}
 	cluster.allocator = NewAllocator(0, 0, cluster.StateMachine)
@@ -24,29 +24,31 @@
 	return cluster
 }
 
+// join adds a holder to the cluster. It has no lease yet.
 func (c *testCluster) join(name string) *Holder {
-	holder := NewHolder(HolderSettings{FleetID: "f", HolderID: processOf(name), MaxDrift: .01})
+	holder := NewHolder(HolderSettings{FleetID: "f", HolderID: holderID(name), MaxDrift: .01})
 	c.holders = append(c.holders, holder)
 	return holder
 }
 
-// request has a holder send its next request.
+// request passes the holder's next request to the allocator.
 func (c *testCluster) request(holder *Holder) {
 	c.Helper()
 	if err := c.allocator.HandleRequest(c.now, holder.NextRequest(c.now)); err != nil {
-		c.Fatal(err)
+		c.Fatalf("HandleRequest(next request of holder %s) = %v, want no error", holder.settings.Holder, err)
 	}
 }
 
-// reply has a holder take the server's reply.
+// reply passes the server's reply to the holder.
 func (c *testCluster) reply(holder *Holder) {
 	c.Helper()
 	if err := holder.HandleReply(c.now, c.now, c.ReplyTo(holder.settings.HolderID)); err != nil {
-		c.Fatal(err)
+		c.Fatalf("HandleReply(the server's reply) of holder %s = %v, want no error", holder.settings.Holder, err)
 	}
 }
 
-// applyPlans commits and applies all that the allocator plans now.
+// applyPlans applies every command that the allocator plans at the current time. A plan that only frees capacity
+// comes before the plan that grants it, so several plans are needed.
 func (c *testCluster) applyPlans() {
 	c.Helper()
 	for range 3 {
@@ -56,12 +58,13 @@
 		}
 		result, err := c.try(Command{Batch: commands})
 		if err != nil {
-			c.Fatal(err)
+			c.Fatalf("Apply(the commands of Plan) = error %v, want no error", err)
 		}
 		c.allocator.ObserveApplied(c.now, result)
 	}
 }
 
+// exchange runs one request of a holder, the commands that it leads to, and the reply.
 func (c *testCluster) exchange(holder *Holder) {
 	c.Helper()
 	c.request(holder)
@@ -69,6 +72,7 @@
 	c.reply(holder)
 }
 
+// exchangeRounds runs one exchange of every holder in each round. A round takes 300 ms.
 func (c *testCluster) exchangeRounds(rounds int) {
 	c.Helper()
 	for range rounds {
@@ -79,10 +83,11 @@
 	}
 }
 
+// wantLeased checks the units that a holder has leased, to within 0.01 units.
 func (c *testCluster) wantLeased(holder *Holder, quota string, want float64) {
 	c.Helper()
 	if got := holder.Status(c.now, quota).Amount.Units(); math.Abs(got-want) > .01 {
-		c.Errorf("%s has %v of %s, not %v", holder.settings.Holder, got, quota, want)
+		c.Errorf("holder %s: Status(quota %s).Amount = %v units, want %v", holder.settings.Holder, quota, got, want)
 	}
 }
 
@@ -92,33 +97,34 @@
 	b := cluster.holders[1]
 	a.SetDemand("r", 20)
 	cluster.exchangeRounds(3)
-	cluster.wantLeased(a, "r", 10) // what is idle is lent
+	cluster.wantLeased(a, "r", 10) // b requests nothing, so a gets the whole limit
 	if interval := a.RequestInterval(); interval != time.Second/3 {
-		t.Errorf("requests each %v", interval)
+		t.Errorf("RequestInterval() with a lease of 1s = %v, want 1s/3", interval)
 	}
 	if end, found := cluster.allocator.NextExpiry(); !found || end <= cluster.now-time.Second {
-		t.Errorf("next expiry at %v, %v", end, found)
+		t.Errorf("NextExpiry() = %v, %v; want a time after %v, true", end, found, cluster.now-time.Second)
 	}
 	b.SetDemand("r", 20)
 	cluster.exchangeRounds(5)
-	cluster.wantLeased(a, "r", 5) // a join takes from renewals
+	cluster.wantLeased(a, "r", 5) // the renewals of a shrink in favor of b
 	cluster.wantLeased(b, "r", 5)
 	a.ReleaseAll()
 	cluster.holders = cluster.holders[1:]
 	cluster.request(a)
 	cluster.applyPlans()
 	cluster.exchangeRounds(2)
-	cluster.wantLeased(b, "r", 10) // a leave gives back at once
+	cluster.wantLeased(b, "r", 10) // a released its leases, so b gets them without waiting
 	joined := cluster.join("c")
 	joined.SetDemand("r", 4)
 	cluster.exchangeRounds(4)
 	cluster.wantLeased(b, "r", 6)
-	cluster.holders = []*Holder{b} // c dies
+	cluster.holders = []*Holder{b} // c stops without releasing its lease
 	cluster.exchangeRounds(7)
 	cluster.wantLeased(b, "r", 10)
 }
 
-// A server that starts is silent; one that takes over counts everything from its own time.
+// A server that starts plans nothing during its startup silence. A server that takes over restarts all expiry timers
+// from its own current time.
 func TestAllocatorIsSilentAndRestartsTimers(t *testing.T) {
 	cluster := newTestCluster(t, "ab")
 	a := cluster.holders[0]
@@ -131,7 +137,8 @@
 	cluster.request(b)
 	last := cluster.now + silence - 1
 	if commands := cluster.allocator.Plan(last); commands != nil || !cluster.allocator.Silent(last) {
-		t.Errorf("planned in its silence: %v", commands)
+		t.Errorf("last nanosecond of the startup silence: Plan() = %d commands, Silent() = %v; want 0 commands, true",
+			len(commands), cluster.allocator.Silent(last))
 	}
 	cluster.now += time.Second / 2 // within the lease by the holder's clock
 	cluster.allocator = NewAllocator(cluster.now, 0, cluster.StateMachine)
--- a/internal/quotalease/bench_test.go
+++ b/internal/quotalease/bench_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// BenchmarkAcquire measures Acquire and Release of one unit under a large lease of a rate or of units in flight.
 func BenchmarkAcquire(b *testing.B) {
 	for _, quota := range []string{"r", "h"} {
 		b.Run(quota, func(b *testing.B) {
@@ -34,12 +35,13 @@
 	}
 }
 
+// BenchmarkDivide measures 50 divisions of a quota among 1000 holders.
 func BenchmarkDivide(b *testing.B) {
 	quota := rateQuota()
 	var demands []Demand
 	for i := range 1000 {
 		demands = append(demands, Demand{
-			HolderID: processOf(fmt.Sprintf("proxy-%04d", i)),
+			HolderID: holderID(fmt.Sprintf("proxy-%04d", i)),
 			Wanted:   FromUnits(float64(i%7) / 10),
 			Current:  FromUnits(float64(i%5) / 10),
 		})
@@ -51,7 +53,7 @@
 	}
 }
 
-// benchmarkConfig has fifty rates.
+// benchmarkConfig returns a configuration with 50 rate quotas.
 func benchmarkConfig() FleetConfig {
 	config := FleetConfig{FleetID: "f", MaxDrift: .01, MaxLifetime: 10 * time.Second}
 	for i := range 50 {
@@ -62,7 +64,7 @@
 	return config
 }
 
-// planLogged applies what is planned now and returns the bytes of log that it takes.
+// planLogged applies what the allocator plans and returns the size of these log commands in bytes, as JSON.
 func (c *testCluster) planLogged() (logged int) {
 	for range 2 {
 		commands := c.allocator.Plan(c.now)
@@ -71,19 +73,20 @@
 		}
 		data, err := json.Marshal(commands)
 		if err != nil {
-			c.Fatal(err)
+			c.Fatalf("json.Marshal(the commands of Plan) = error %v, want no error", err)
 		}
 		logged += len(data)
 		result, err := c.try(Command{Batch: commands})
 		if err != nil {
-			c.Fatal(err)
+			c.Fatalf("Apply(the commands of Plan) = error %v, want no error", err)
 		}
 		c.allocator.ObserveApplied(c.now, result)
 	}
 	return logged
 }
 
-// One round of requests of a whole fleet: heard, planned, and applied by one server.
+// BenchmarkRound measures one round of requests of a whole fleet: one server receives the requests, plans, applies
+// the commands and replies.
 func BenchmarkRound(b *testing.B) {
 	for _, holders := range []int{30, 300, 1000} {
 		b.Run(fmt.Sprintf("%d holders x 50 budgets", holders), func(b *testing.B) {
--- a/internal/quotalease/divide_test.go
+++ b/internal/quotalease/divide_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 )
 
+// withMember returns a change of a quota that sets the share of holder a.
 func withMember(share Share) func(*Quota) {
 	return func(quota *Quota) { quota.Members = map[string]Share{"a": share} }
 }
@@ -18,20 +19,20 @@
 	for _, tt := range []struct {
 		name    string
 		change  func(*Quota)
-		demands string // by holder: wanted, or wanted/current
-		amounts string
+		demands string // see parseDemands
+		amounts string // the expected units of each holder, in the order of the demands
 	}{
-		{"all fits", nil, "a=30 b=20", "30 20"},
-		{"idle is lent", nil, "a=10 b=200 c=200", "10 45 45"},
-		{"by weight", withMember(Share{Weight: 3}), "a=200 b=200", "75 25"},
-		{"minimums first", withMember(Share{Min: 70}), "a=200 b=200 c=200", "70 15 15"},
-		{"an idle minimum is lent", withMember(Share{Min: 70}), "a=10 b=200", "10 90"},
-		{"cap", withMember(Share{Cap: 5}), "a=200 b=200", "5 95"},
-		{"floors first", func(q *Quota) { q.Floors = map[string]float64{"z": 60} }, "a=200 b=200", "20 20"},
-		{"a small difference moves nothing", nil, "a=51/48 b=200/52", "48 52"},
-		{"a large difference moves", nil, "a=200/20 b=200/80", "50 50"},
-		{"nobody keeps what a new one needs", nil, "a=200/50 b=200/50 c=200", "33.33333 33.33333 33.33333"},
-		{"whole units", func(q *Quota) {
+		{"demands within the limit", nil, "a=30 b=20", "30 20"},
+		{"unused share goes to other holders", nil, "a=10 b=200 c=200", "10 45 45"},
+		{"shares by weight", withMember(Share{Weight: 3}), "a=200 b=200", "75 25"},
+		{"minimum before the weighted shares", withMember(Share{Min: 70}), "a=200 b=200 c=200", "70 15 15"},
+		{"unused minimum goes to other holders", withMember(Share{Min: 70}), "a=10 b=200", "10 90"},
+		{"cap of a holder", withMember(Share{Cap: 5}), "a=200 b=200", "5 95"},
+		{"floors reduce the limit", func(q *Quota) { q.Floors = map[string]float64{"z": 60} }, "a=200 b=200", "20 20"},
+		{"difference within the hysteresis", nil, "a=51/48 b=200/52", "48 52"},
+		{"difference above the hysteresis", nil, "a=200/20 b=200/80", "50 50"},
+		{"new holder reduces the shares of the others", nil, "a=200/50 b=200/50 c=200", "33.33333 33.33333 33.33333"},
+		{"whole units in flight", func(q *Quota) {
 			q.Kind = InFlight
 			q.Limit = 8
 		}, "a=50 b=50 c=50", "3 3 2"},
@@ -45,13 +46,14 @@
 			var want float64
 			_, _ = fmt.Sscan(strings.Fields(tt.amounts)[i], &want)
 			if math.Abs(amount.Units()-want) > 1e-4 {
-				t.Errorf("%s: %s gets %v, not %v", tt.name, demands[i].Holder, amount.Units(), want)
+				t.Errorf("%s: Divide(demands %s) gives holder %s %v units, want %v",
+					tt.name, tt.demands, demands[i].Holder, amount.Units(), want)
 			}
 		}
 	}
 }
 
-// parseDemands reads fields such as a=51/48: holder a wants 51 units and has 48. Without a slash it has none.
+// parseDemands reads fields such as a=51/48: holder a wants 51 units and has 48 leased. Without a slash it has none.
 func parseDemands(text string) (demands []Demand) {
 	for _, field := range strings.Fields(text) {
 		var wanted, current float64
@@ -63,7 +65,7 @@
 	return demands
 }
 
-// drawDivision draws a quota and demands. Some of these are of two processes of one name.
+// drawDivision draws a quota and demands. Two successive demands are of two processes with the same holder's name.
 func drawDivision(t *rapid.T) (*Quota, []Demand) {
 	quota := rateQuota()
 	inFlight := rapid.Bool().Draw(t, "in flight")
@@ -102,7 +104,7 @@
 	return quota, demands
 }
 
-// Never above the limit or a cap, nothing unused that is demanded, and any order of demands gives the same.
+// No amount exceeds the limit or a cap, no demanded unit stays unused, and the order of the demands has no effect.
 func TestDivideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota, demands := drawDivision(t)
@@ -114,23 +116,26 @@
 			checkAmount(t, quota, &demands[i], amount)
 		}
 		total := Amount(quota.unreserved())
-		slack := Amount(len(amounts) + 1) // of rounding
+		slack := Amount(len(amounts) + 1) // for rounding
 		if quota.Kind == InFlight {
 			slack *= Unit
 		}
 		if sum > total || sum < min(total, demanded)-slack {
-			t.Fatalf("sum %v of %v where %v is demanded", sum, total, demanded)
+			t.Fatalf("Divide() gives %v units in all, want %v, the smaller of the free limit %v and the demand %v",
+				sum.Units(), min(total, demanded).Units(), total.Units(), demanded.Units())
 		}
 		reversed := slices.Clone(demands)
 		slices.Reverse(reversed)
 		for i, amount := range Divide(quota, reversed) {
 			if want := amounts[len(amounts)-1-i]; amount != want {
-				t.Fatalf("another order gives %v, not %v", amount, want)
+				t.Fatalf("Divide() with the demands reversed gives %s %v units, want %v as in the original order",
+					reversed[i].Holder, amount.Units(), want.Units())
 			}
 		}
 	})
 }
 
+// demandWithinCap returns what a holder wants, limited by its cap.
 func demandWithinCap(quota *Quota, demand *Demand) Amount {
 	if limit := FromUnits(quota.shareOf(demand.Holder).Cap); limit > 0 {
 		return min(demand.Wanted, limit)
@@ -138,21 +143,24 @@
 	return demand.Wanted
 }
 
+// checkAmount checks one amount of Divide against the cap, the demand and the unit size.
 func checkAmount(t *rapid.T, quota *Quota, demand *Demand, amount Amount) {
 	if limit := FromUnits(quota.shareOf(demand.Holder).Cap); limit > 0 && amount > limit {
-		t.Fatalf("%v over the cap %v", amount, limit)
+		t.Fatalf("Divide() gives holder %s %v units, want at most its cap of %v",
+			demand.Holder, amount.Units(), limit.Units())
 	}
 	kept := amount <= demand.Current
 	if amount > demand.Wanted+Unit && !kept {
-		t.Fatalf("%v where %v is wanted and %v was had", amount, demand.Wanted, demand.Current)
+		t.Fatalf("Divide() gives holder %s %v units, want at most its demand of %v plus 1 or its current %v",
+			demand.Holder, amount.Units(), demand.Wanted.Units(), demand.Current.Units())
 	}
 	if quota.Kind == InFlight && amount%Unit != 0 {
-		t.Fatalf("%v is not whole units", amount)
+		t.Fatalf("Divide() gives holder %s %v units in flight, want a whole number", demand.Holder, amount.Units())
 	}
 }
 
-// Without current amounts, nobody is below its weighted part while another one that is above its minimum is above
-// its own.
+// Without current amounts, the division is max-min fair: a holder whose demand is not met has no smaller amount per
+// weight than any holder above its minimum.
 func TestDivideIsMaxMin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota, demands := drawDivision(t)
@@ -168,22 +176,25 @@
 		amounts := Divide(quota, demands)
 		for i, amount := range amounts {
 			share := quota.shareOf(demands[i].Holder)
-			full := amount >= demands[i].Wanted-1 || share.Cap > 0 && amount >= FromUnits(share.Cap)-1
-			if full {
+			satisfied := amount >= demands[i].Wanted-1 || share.Cap > 0 && amount >= FromUnits(share.Cap)-1
+			if satisfied {
 				continue
 			}
 			for j, other := range amounts {
 				otherShare := quota.shareOf(demands[j].Holder)
 				below := amount.Units()/share.Weight < other.Units()/otherShare.Weight-1e-5
 				if below && other > FromUnits(otherShare.Min)+1 {
-					t.Fatalf("%v has %v while %v has %v", demands[i], amount, demands[j], other)
+					t.Fatalf("Divide() gives holder %s (wants %v, weight %v) %v units and holder %s (weight %v) %v; "+
+						"want no less per weight than a holder above its minimum of %v",
+						demands[i].Holder, demands[i].Wanted.Units(), share.Weight, amount.Units(),
+						demands[j].Holder, otherShare.Weight, other.Units(), otherShare.Min)
 				}
 			}
 		}
 	})
 }
 
-// With its own outcome as the current amounts, it moves nobody.
+// Once its own result has been the current amounts twice, Divide no longer changes any amount.
 func TestDivideSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota, demands := drawDivision(t)
@@ -198,7 +209,9 @@
 		}
 		for i, amount := range Divide(quota, demands) {
 			if moved := amount - demands[i].Current; moved > slack || moved < -slack {
-				t.Fatalf("%v goes on moving, to %v", demands[i], amount)
+				t.Fatalf("third Divide() on its own result changes the amount of holder %s from %v to %v units, "+
+					"want at most %v of change",
+					demands[i].Holder, demands[i].Current.Units(), amount.Units(), slack.Units())
 			}
 		}
 	})
--- a/internal/quotalease/example_test.go
+++ b/internal/quotalease/example_test.go
@@ -7,8 +7,8 @@
 	"lapisspread/internal/quotalease"
 )
 
-// A server bootstraps a fleet, sets a quota, and leases a part of it to a proxy. The log, the messages and the
-// clocks are the caller's; here one counter is the log, and all share one clock.
+// A server bootstraps a fleet, sets a quota, and leases a part of it to a proxy. The caller provides the log, the
+// transport of the messages and the clocks; here a counter stands for the log, and all processes share one clock.
 func Example() {
 	state := quotalease.NewStateMachine()
 	allocator := quotalease.NewAllocator(0, 0, state)
@@ -19,7 +19,7 @@
 			index++
 			result, err := state.Apply(index, command)
 			if err != nil {
-				fmt.Println("rejected:", err)
+				fmt.Println("command rejected:", err)
 			}
 			allocator.ObserveApplied(now, result)
 		}
@@ -28,7 +28,7 @@
 	commit(quotalease.Command{Bootstrap: &quotalease.Bootstrap{
 		FleetID: "fleet", Epoch: 1, MaxDrift: .001, MaxLifetime: 3 * time.Second,
 	}})
-	now += quotalease.StartupSilence(3*time.Second, .001) // leases of an earlier epoch expire meanwhile
+	now += quotalease.StartupSilence(3*time.Second, .001) // by then all leases of an earlier epoch have expired
 	commit(allocator.Plan(now)...)
 	commit(quotalease.Command{SetQuotas: &quotalease.SetQuotas{Version: 1, Config: quotalease.FleetConfig{
 		FleetID: "fleet", MaxDrift: .001, MaxLifetime: 3 * time.Second,
@@ -42,26 +42,26 @@
 	holder.SetDemand("attempts", 40)
 	sentAt := now
 	if err := allocator.HandleRequest(now, holder.NextRequest(now)); err != nil {
-		fmt.Println("not answered:", err)
+		fmt.Println("request rejected:", err)
 	}
 	commit(allocator.Plan(now)...)
 	if err := holder.HandleReply(sentAt, now, state.ReplyTo(id)); err != nil {
-		fmt.Println("refused:", err)
+		fmt.Println("reply refused:", err)
 	}
 
-	fmt.Println("units a second:", holder.Status(now, "attempts").Amount.Units())
+	fmt.Println("leased units a second:", holder.Status(now, "attempts").Amount.Units())
 	_, err := holder.Acquire(now, "attempts", 1)
-	fmt.Println("at once:", err)
+	fmt.Println("immediately after the lease arrives:", err)
 	now += 100 * time.Millisecond
 	_, err = holder.Acquire(now, "attempts", 1)
-	fmt.Println("a little later:", err)
+	fmt.Println("100 ms later:", err)
 	now += 3 * time.Second
 	_, err = holder.Acquire(now, "attempts", 1)
-	fmt.Println("after the lease:", err)
+	fmt.Println("after the lease has expired:", err)
 
 	// Output:
-	// units a second: 40
-	// at once: what is granted of budget attempts is spent
-	// a little later: <nil>
-	// after the lease: the grant of budget attempts has ended
+	// leased units a second: 40
+	// immediately after the lease arrives: what is granted of budget attempts is spent
+	// 100 ms later: <nil>
+	// after the lease has expired: the grant of budget attempts has ended
 }
--- a/internal/quotalease/fence_test.go
+++ b/internal/quotalease/fence_test.go
@@ -5,21 +5,22 @@
 	"testing"
 )
 
-// A token passes unless a higher one of its holder and quota has passed, or one no lower was forgotten for want of room.
+// A token is rejected if a higher token of the same holder and quota was admitted before. If the fence has no entry of
+// this holder and quota, the token is rejected unless it is higher than all tokens that were evicted at the capacity.
 func TestFenceRejectsStaleTokens(t *testing.T) {
 	fence := NewFence(2)
 	for i, tt := range []struct {
 		holder string
 		quota  string
-		index  uint64 // of the token; 0 is the zero token
-		passes bool
+		index  uint64 // of the token; 0 means the zero token
+		admit  bool   // the expected result
 	}{
 		{"a", "r", 5, true},
 		{"a", "r", 5, true},
 		{"a", "r", 4, false},
 		{"a", "h", 3, true},
 		{"a", "r", 0, true},
-		{"b", "r", 9, true}, // the lowest, 3, is forgotten
+		{"b", "r", 9, true}, // evicts the entry with the lowest token, 1.3
 		{"a", "h", 3, false},
 		{"a", "r", 4, false},
 		{"a", "r", 6, true},
@@ -33,8 +34,13 @@
 			token = Token{}
 		}
 		err := fence.Admit(tt.holder, tt.quota, token)
-		if (err == nil) != tt.passes || err != nil && !errors.As(err, new(StaleTokenError)) {
-			t.Errorf("step %d: %+v: got error %v, want a StaleTokenError unless it passes", i, tt, err)
+		if (err == nil) != tt.admit || err != nil && !errors.As(err, new(StaleTokenError)) {
+			want := "no error"
+			if !tt.admit {
+				want = "a StaleTokenError"
+			}
+			t.Errorf("step %d: Admit(holder %s, quota %s, token %v) = error %v, want %s",
+				i, tt.holder, tt.quota, token, err, want)
 		}
 	}
 }
--- a/internal/quotalease/frozen_test.go
+++ b/internal/quotalease/frozen_test.go
@@ -16,31 +16,33 @@
 	"lapisspread/internal/operatorerror"
 )
 
-// The files under testdata are the bytes that commit c8fad44 stores and sends. They were written at that commit by
-// WRITE_FROZEN=1 go test -run TestFrozen ./internal/grant and must never be written again: a change of them is a
-// change of the stored log, of a snapshot, or of a message.
+// The files under testdata are golden files of the formats that are stored and sent. They were written at commit
+// c8fad44 by WRITE_FROZEN=1 go test -run TestFrozen ./internal/grant and must never be written again: a difference
+// means that the format of the stored log, of a snapshot or of a message has changed.
 const (
-	frozenLog            = "testdata/log.jsonl"      // one log command a line, as JSON
-	frozenVerdicts       = "testdata/verdicts.txt"   // what each command of the log did
-	frozenHalfway        = "testdata/snapshot.json"  // after frozenHalfwayIndex commands
-	frozenRebootstrapped = "testdata/refounded.json" // after all commands
-	frozenMessages       = "testdata/messages.txt"   // a name, an encoding and bytes in hexadecimal, one message a line
-	frozenErrors         = "testdata/errors.txt"     // each error's name in a message, its text and its advice
+	frozenLog            = "testdata/log.jsonl"      // one log command per line, as JSON
+	frozenResults        = "testdata/verdicts.txt"   // the result of each command of the log, see describeResult
+	frozenHalfway        = "testdata/snapshot.json"  // the snapshot after frozenHalfwayIndex commands
+	frozenRebootstrapped = "testdata/refounded.json" // the snapshot after all commands
+	frozenMessages       = "testdata/messages.txt"   // per line a message: name, encoding, bytes in hexadecimal
+	frozenErrors         = "testdata/errors.txt"     // the code, the text and the advice of each error
 
 	frozenHalfwayIndex = 17
 )
 
-func frozenConfig(whole float64, floors map[string]float64) FleetConfig {
+// frozenConfig returns the configuration of the golden files with a limit and floors of the quota "r".
+func frozenConfig(limit float64, floors map[string]float64) FleetConfig {
 	return FleetConfig{FleetID: "f", MaxDrift: .01, MaxLifetime: 10 * time.Second, Quotas: []Quota{
 		{
-			Name: "r", Kind: Rate, Limit: whole, Burst: 10, LeaseDuration: time.Second, Floors: floors,
+			Name: "r", Kind: Rate, Limit: limit, Burst: 10, LeaseDuration: time.Second, Floors: floors,
 			Members: map[string]Share{"a": {Min: 1, Cap: 8, Weight: 2}}, DefaultShare: Share{Cap: 9, Weight: 1},
 		},
 		{Name: "h", Kind: InFlight, Limit: 10, LeaseDuration: time.Second, MaxHoldTime: 2 * time.Second},
 	}}
 }
 
-// frozenCommands has each kind of command with each of its fields set at least once.
+// frozenCommands returns the commands of the golden log: each kind of command, with each of its fields set at least
+// once. The last one is a second bootstrap.
 func frozenCommands() []Command {
 	token := func(index uint64) Token { return Token{Epoch: 1, Index: index} }
 	return []Command{
@@ -48,66 +50,67 @@
 		{Expire: &Expire{Token: token(1)}},
 		{SetQuotas: &SetQuotas{Version: 1, Config: frozenConfig(10, map[string]float64{"a": 4, "z": 1})}},
 		{Grant: &Lease{
-			FleetID: "f", Epoch: 1, HolderID: processOf("a"), Quota: "r", Kind: Rate, Amount: 2 * Unit, Burst: 2 * Unit,
+			FleetID: "f", Epoch: 1, HolderID: holderID("a"), Quota: "r", Kind: Rate, Amount: 2 * Unit, Burst: 2 * Unit,
 			Duration: time.Second, RequestSeq: 1,
 		}},
-		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: processOf("b"), RequestSeq: 1, Grants: []QuotaGrant{
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: holderID("b"), RequestSeq: 1, Grants: []QuotaGrant{
 			{Quota: "r", Amount: 2500000, Burst: 2 * Unit},
 			{Quota: "h", Amount: 5 * Unit},
 			{Quota: "unknown", Amount: Unit},
 		}}},
-		{AckBatch: &AckBatch{Epoch: 1, HolderID: processOf("b"), RequestSeq: 2, Acks: []QuotaAck{
+		{AckBatch: &AckBatch{Epoch: 1, HolderID: holderID("b"), RequestSeq: 2, Acks: []QuotaAck{
 			{Quota: "h", Token: token(5), InFlight: 2 * Unit},
 			{Quota: "r", Token: token(5), Ended: true},
 		}}},
 		{Batch: []Command{
 			{Grant: &Lease{
-				FleetID: "f", Epoch: 1, HolderID: processOf("a"), Quota: "r", Kind: Rate, Amount: Unit, Burst: Unit,
+				FleetID: "f", Epoch: 1, HolderID: holderID("a"), Quota: "r", Kind: Rate, Amount: Unit, Burst: Unit,
 				Duration: time.Second, RequestSeq: 2,
 			}},
-			{ObserveConfig: &ObserveConfig{HolderID: processOf("a"), SeenVersion: 1, FloorsVersion: 1}},
-			{Ack: &Ack{Epoch: 2, HolderID: processOf("a"), Quota: "r", RequestSeq: 1}},
+			{ObserveConfig: &ObserveConfig{HolderID: holderID("a"), SeenVersion: 1, FloorsVersion: 1}},
+			{Ack: &Ack{Epoch: 2, HolderID: holderID("a"), Quota: "r", RequestSeq: 1}},
 		}},
 		{Ack: &Ack{
-			Epoch: 1, HolderID: processOf("a"), Quota: "r", RequestSeq: 2, Token: token(7), InFlight: 300000,
+			Epoch: 1, HolderID: holderID("a"), Quota: "r", RequestSeq: 2, Token: token(7), InFlight: 300000,
 		}},
-		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: processOf("c"), RequestSeq: 1, Grants: []QuotaGrant{
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: holderID("c"), RequestSeq: 1, Grants: []QuotaGrant{
 			{Quota: "h", Amount: 3 * Unit},
 		}}},
 		{Release: &Release{Ack: Ack{
-			Epoch: 1, HolderID: processOf("c"), Quota: "h", RequestSeq: 1, Token: token(9), InFlight: Unit,
+			Epoch: 1, HolderID: holderID("c"), Quota: "h", RequestSeq: 1, Token: token(9), InFlight: Unit,
 		}}},
 		{SetQuotas: &SetQuotas{
 			Version: 2, Config: frozenConfig(9, map[string]float64{"a": 3}), RemovedHolders: []string{"z"},
 		}},
-		{ObserveConfig: &ObserveConfig{HolderID: processOf("a"), SeenVersion: 2, FloorsVersion: 1}},
-		{Expire: &Expire{HolderID: processOf("b"), Quota: "h", Token: token(5)}},
+		{ObserveConfig: &ObserveConfig{HolderID: holderID("a"), SeenVersion: 2, FloorsVersion: 1}},
+		{Expire: &Expire{HolderID: holderID("b"), Quota: "h", Token: token(5)}},
 		{},
-		{Ack: &Ack{Epoch: 1, HolderID: processOf("d"), Quota: "r", RequestSeq: 1, Token: token(500)}},
-		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: processOf("d"), RequestSeq: 2, Grants: []QuotaGrant{
+		{Ack: &Ack{Epoch: 1, HolderID: holderID("d"), Quota: "r", RequestSeq: 1, Token: token(500)}},
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: holderID("d"), RequestSeq: 2, Grants: []QuotaGrant{
 			{Quota: "r", Amount: 1500000, Burst: Unit},
 			{Quota: "h", Amount: 4 * Unit},
 		}}},
-		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: processOf("e"), RequestSeq: 1, Grants: []QuotaGrant{
+		{GrantBatch: &GrantBatch{FleetID: "f", Epoch: 1, HolderID: holderID("e"), RequestSeq: 1, Grants: []QuotaGrant{
 			{Quota: "r", Amount: 9 * Unit, Burst: Unit},
 		}}},
-		{AckBatch: &AckBatch{Epoch: 1, HolderID: processOf("d"), RequestSeq: 3, All: true, Acks: []QuotaAck{
+		{AckBatch: &AckBatch{Epoch: 1, HolderID: holderID("d"), RequestSeq: 3, All: true, Acks: []QuotaAck{
 			{Quota: "h", Token: token(502), InFlight: 2 * Unit, Ended: true},
 		}}},
 		{Release: &Release{
-			Ack: Ack{Epoch: 1, HolderID: processOf("a"), Quota: "r", RequestSeq: 3, Token: token(7)}, All: true,
+			Ack: Ack{Epoch: 1, HolderID: holderID("a"), Quota: "r", RequestSeq: 3, Token: token(7)}, All: true,
 		}},
 		{Bootstrap: &Bootstrap{FleetID: "f", Epoch: 2, MaxDrift: .02, MaxLifetime: 20 * time.Second}},
 	}
 }
 
-// frozenMessage is a value as it is sent or kept on disk. empty gives a pointer to its type.
+// frozenMessage is a value that is sent or stored on disk. newValue returns a pointer to a zero value of its type.
 type frozenMessage struct {
 	name, encoding string
 	value          any
-	empty          func() any
+	newValue       func() any
 }
 
+// frozenMessageList returns the messages of the golden file, in its order.
 func frozenMessageList() []frozenMessage {
 	key := HolderID{Holder: "a", Incarnation: 7}
 	floor := Floor{Kind: InFlight, Amount: 3 * Unit, Burst: Unit, MaxHoldTime: 2 * time.Second}
@@ -136,6 +139,7 @@
 	}
 }
 
+// encodeFrozen encodes a value as "json" or "cbor".
 func encodeFrozen(t *testing.T, encoding string, value any) []byte {
 	t.Helper()
 	encode := json.Marshal
@@ -144,35 +148,37 @@
 	}
 	data, err := encode(value)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encoding a %T as %s = error %v, want no error", value, encoding, err)
 	}
 	return data
 }
 
-// frozen gives the bytes of a file. With WRITE_FROZEN and bytes of now it writes them first.
-func frozen(t *testing.T, path string, now []byte) []byte {
+// frozen returns the content of a golden file. If WRITE_FROZEN is set and current is not nil, it first writes current
+// to the file.
+func frozen(t *testing.T, path string, current []byte) []byte {
 	t.Helper()
-	if now != nil && os.Getenv("WRITE_FROZEN") != "" {
-		if err := os.WriteFile(path, now, 0o644); err != nil {
-			t.Fatal(err)
+	if current != nil && os.Getenv("WRITE_FROZEN") != "" {
+		if err := os.WriteFile(path, current, 0o644); err != nil {
+			t.Fatalf("cannot write the golden file: %v", err)
 		}
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("cannot read the golden file: %v", err)
 	}
 	return data
 }
 
-// verdict describes what a command did, in words that names of types and fields do not change.
-func verdict(applied ApplyResult, err error) string {
+// describeResult returns the result of a command as a line of text that does not depend on the names of types and
+// fields.
+func describeResult(applied ApplyResult, err error) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "token=%v", applied.Token)
 	for _, item := range applied.Started {
 		fmt.Fprintf(&out, " item=%s/%d,%s,%v,%v", item.Holder, item.Incarnation, item.Quota, item.Token, item.Duration)
 	}
-	for _, refused := range applied.Rejected {
-		fmt.Fprintf(&out, " refused=%q", refused)
+	for _, rejected := range applied.Rejected {
+		fmt.Fprintf(&out, " refused=%q", rejected)
 	}
 	if err != nil {
 		fmt.Fprintf(&out, " error=%q", err)
@@ -180,145 +186,153 @@
 	return out.String() + "\n"
 }
 
+// snapshotOf returns the snapshot of a state machine.
 func snapshotOf(t *testing.T, m *StateMachine) []byte {
 	t.Helper()
 	data, err := m.Snapshot()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Snapshot() = error %v, want no error", err)
 	}
 	return data
 }
 
 func TestFrozenLogDecodesAndEncodesUnchanged(t *testing.T) {
 	commands := frozenCommands()
-	var now bytes.Buffer
+	var encoded bytes.Buffer
 	for _, command := range commands {
-		now.Write(append(encodeFrozen(t, "json", command), '\n'))
+		encoded.Write(append(encodeFrozen(t, "json", command), '\n'))
 	}
-	kept := frozen(t, frozenLog, now.Bytes())
-	if !bytes.Equal(kept, now.Bytes()) {
-		t.Errorf("the log is now\n%s\nand was\n%s", now.Bytes(), kept)
+	stored := frozen(t, frozenLog, encoded.Bytes())
+	if !bytes.Equal(stored, encoded.Bytes()) {
+		t.Errorf("the encoded log commands are\n%s\nwant, as in %s:\n%s", encoded.Bytes(), frozenLog, stored)
 	}
-	for i, line := range bytes.Split(bytes.TrimSpace(kept), []byte("\n")) {
+	for i, line := range bytes.Split(bytes.TrimSpace(stored), []byte("\n")) {
 		var command Command
 		if err := json.Unmarshal(line, &command); err != nil || !reflect.DeepEqual(command, commands[i]) {
-			t.Errorf("command %d is read as %s, error %v", i+1, encodeFrozen(t, "json", command), err)
+			t.Errorf("json.Unmarshal(line %d of %s) = command %s, error %v; want command %s, no error", i+1, frozenLog,
+				encodeFrozen(t, "json", command), err, encodeFrozen(t, "json", commands[i]))
 		}
 	}
 }
 
-// replayFrozen applies entries of the kept log, from the index after from up to to, and returns what they did.
-func replayFrozen(t *testing.T, m *StateMachine, from, to int) (verdicts string) {
+// replayFrozen applies the entries of the golden log with the indices first+1 to last. It returns their results, one
+// per line.
+func replayFrozen(t *testing.T, m *StateMachine, first, last int) (results string) {
 	t.Helper()
 	lines := bytes.Split(bytes.TrimSpace(frozen(t, frozenLog, nil)), []byte("\n"))
-	for i := from; i < to; i++ {
+	for i := first; i < last; i++ {
 		var command Command
 		if err := json.Unmarshal(lines[i], &command); err != nil {
-			t.Fatal(err)
+			t.Fatalf("json.Unmarshal(line %d of %s) = error %v, want no error", i+1, frozenLog, err)
 		}
-		verdicts += verdict(m.Apply(uint64(i+1), command))
+		results += describeResult(m.Apply(uint64(i+1), command))
 	}
-	return verdicts
+	return results
 }
 
-// wantFrozenSnapshot compares the state with a kept snapshot, and returns that.
+// wantFrozenSnapshot compares the snapshot of a state machine with a golden file. It returns the content of the file.
 func wantFrozenSnapshot(t *testing.T, path string, m *StateMachine) []byte {
 	t.Helper()
 	got := snapshotOf(t, m)
-	kept := frozen(t, path, got)
-	if !bytes.Equal(got, kept) {
-		t.Errorf("the snapshot is now\n%s\nand was\n%s", got, kept)
+	stored := frozen(t, path, got)
+	if !bytes.Equal(got, stored) {
+		t.Errorf("Snapshot() =\n%s\nwant, as in %s:\n%s", got, path, stored)
 	}
-	return kept
+	return stored
 }
 
 func TestFrozenLogReplaysToTheKeptSnapshots(t *testing.T) {
 	length := len(frozenCommands())
 	machine := NewStateMachine()
-	verdicts := replayFrozen(t, machine, 0, frozenHalfwayIndex)
+	results := replayFrozen(t, machine, 0, frozenHalfwayIndex)
 	halfway := wantFrozenSnapshot(t, frozenHalfway, machine)
-	tail := replayFrozen(t, machine, frozenHalfwayIndex, length)
-	verdicts += tail
-	if kept := frozen(t, frozenVerdicts, []byte(verdicts)); string(kept) != verdicts {
-		t.Errorf("the commands now do\n%s\nand did\n%s", verdicts, kept)
+	secondHalf := replayFrozen(t, machine, frozenHalfwayIndex, length)
+	results += secondHalf
+	if stored := frozen(t, frozenResults, []byte(results)); string(stored) != results {
+		t.Errorf("results of the commands of %s:\n%s\nwant, as in %s:\n%s", frozenLog, results, frozenResults, stored)
 	}
 	wantFrozenSnapshot(t, frozenRebootstrapped, machine)
 
 	restored := NewStateMachine()
 	if err := restored.Restore(halfway); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Restore(%s) = error %v, want no error", frozenHalfway, err)
 	}
 	wantFrozenSnapshot(t, frozenHalfway, restored)
 	wantFrozenState(t, restored)
-	if got := replayFrozen(t, restored, frozenHalfwayIndex, length); got != tail {
-		t.Errorf("after the snapshot the commands do\n%s\nand did\n%s", got, tail)
+	if got := replayFrozen(t, restored, frozenHalfwayIndex, length); got != secondHalf {
+		t.Errorf("results of the commands after Restore(%s):\n%s\nwant, as without the restore:\n%s",
+			frozenHalfway, got, secondHalf)
 	}
 	wantFrozenSnapshot(t, frozenRebootstrapped, restored)
 }
 
-// wantFrozenState compares what the kept snapshot holds with the values at the time that it was kept.
+// wantFrozenState checks a state that was restored from the halfway snapshot against the values that its commands
+// set.
 func wantFrozenState(t *testing.T, m *StateMachine) {
 	t.Helper()
 	if fleetID, epoch, err := m.Bootstrapped(); fleetID != "f" || epoch != 1 || err != nil {
-		t.Errorf("bootstrapped: fleet %q, epoch %d, %v", fleetID, epoch, err)
+		t.Errorf("Bootstrapped() = fleet %q, epoch %d, error %v; want fleet f, epoch 1, no error", fleetID, epoch, err)
 	}
 	wantConfig := frozenConfig(9, map[string]float64{"a": 3})
 	if config, version := m.Config(); version != 2 || !reflect.DeepEqual(config, wantConfig) {
-		t.Errorf("configuration: version %d, %+v", version, config)
+		t.Errorf("Config() = %+v, version %d; want %+v, version 2", config, version, wantConfig)
 	}
 	if m.AppliedIndex() != frozenHalfwayIndex {
-		t.Errorf("index %d", m.AppliedIndex())
+		t.Errorf("AppliedIndex() = %d, want %d", m.AppliedIndex(), frozenHalfwayIndex)
 	}
 	for quota, want := range map[string]usage{
 		"r": {amount: 6500000, burst: 6 * Unit},
 		"h": {amount: 5 * Unit},
 	} {
 		if amount, burst := m.Outstanding(quota); amount != want.amount || burst != want.burst {
-			t.Errorf("%s: %d outstanding, burst %d, not %v", quota, amount, burst, want)
+			t.Errorf("Outstanding(quota %s) = %v units, burst %v; want %v units, burst %v",
+				quota, amount.Units(), burst.Units(), want.amount.Units(), want.burst.Units())
 		}
 	}
 	want := Reply{
-		FleetID: "f", Epoch: 1, HolderID: processOf("a"), ConfigVersion: 2,
+		FleetID: "f", Epoch: 1, HolderID: holderID("a"), ConfigVersion: 2,
 		Leases: []Lease{{
-			FleetID: "f", Epoch: 1, HolderID: processOf("a"), Quota: "r", Kind: Rate, Amount: Unit, Burst: Unit,
+			FleetID: "f", Epoch: 1, HolderID: holderID("a"), Quota: "r", Kind: Rate, Amount: Unit, Burst: Unit,
 			Duration: time.Second, RequestSeq: 2, ConfigVersion: 1, Token: Token{Epoch: 1, Index: 7},
 		}},
 		Floors: map[string]Floor{"r": {Kind: Rate, Amount: 3 * Unit, Burst: 3333333}},
 	}
 	if got := m.ReplyTo(want.HolderID); !reflect.DeepEqual(got, want) {
-		t.Errorf("a is told %+v, not %+v", got, want)
+		t.Errorf("ReplyTo(holder a) = %+v, want %+v", got, want)
 	}
 }
 
 func TestFrozenMessagesDecodeAndEncodeUnchanged(t *testing.T) {
 	messages := frozenMessageList()
-	var now strings.Builder
+	var encoded strings.Builder
 	for _, m := range messages {
-		fmt.Fprintf(&now, "%s %s %s\n", m.name, m.encoding, hex.EncodeToString(encodeFrozen(t, m.encoding, m.value)))
+		data := encodeFrozen(t, m.encoding, m.value)
+		fmt.Fprintf(&encoded, "%s %s %s\n", m.name, m.encoding, hex.EncodeToString(data))
 	}
-	kept := string(frozen(t, frozenMessages, []byte(now.String())))
-	if kept != now.String() {
-		t.Errorf("messages are now\n%s\nand were\n%s", now.String(), kept)
+	stored := string(frozen(t, frozenMessages, []byte(encoded.String())))
+	if stored != encoded.String() {
+		t.Errorf("the encoded messages are\n%s\nwant, as in %s:\n%s", encoded.String(), frozenMessages, stored)
 	}
-	for i, line := range strings.Split(strings.TrimSpace(kept), "\n") {
+	for i, line := range strings.Split(strings.TrimSpace(stored), "\n") {
 		m := messages[i]
 		data, err := hex.DecodeString(strings.Fields(line)[2])
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("line %d of %s: the third field is not hexadecimal: %v", i+1, frozenMessages, err)
 		}
 		decode := json.Unmarshal
 		if m.encoding == "cbor" {
 			decode = cbor.Unmarshal
 		}
-		got := m.empty()
+		got := m.newValue()
 		err = decode(data, got)
 		if value := reflect.ValueOf(got).Elem().Interface(); err != nil || !reflect.DeepEqual(value, m.value) {
-			t.Errorf("%s is read as %+v, error %v", m.name, value, err)
+			t.Errorf("decoding message %s as %s = %+v, error %v; want %+v, no error",
+				m.name, m.encoding, value, err, m.value)
 		}
 	}
 }
 
-// codedError is an error with all that operators and other processes see of it.
+// codedError is an error with the advice that operators see and the code that other processes see.
 type codedError interface {
 	operatorerror.Error
 	Code() string
@@ -326,7 +340,7 @@
 
 func TestFrozenErrorTexts(t *testing.T) {
 	key := HolderID{Holder: "a", Incarnation: 7}
-	var now strings.Builder
+	var texts strings.Builder
 	for _, err := range []codedError{
 		InvalidCommandError{Reason: "why"},
 		FloorClaimedError{Holder: "a"},
@@ -344,9 +358,10 @@
 		ExhaustedError{Quota: "r"},
 		BootstrapPendingError{MaxLifetime: time.Second},
 	} {
-		fmt.Fprintf(&now, "%s\n\t%s\n\t%s\n", err.Code(), err, err.Advice())
+		fmt.Fprintf(&texts, "%s\n\t%s\n\t%s\n", err.Code(), err, err.Advice())
 	}
-	if kept := string(frozen(t, frozenErrors, []byte(now.String()))); kept != now.String() {
-		t.Errorf("errors now say\n%s\nand said\n%s", now.String(), kept)
+	if stored := string(frozen(t, frozenErrors, []byte(texts.String()))); stored != texts.String() {
+		t.Errorf("codes, texts and advice of the errors are\n%s\nwant, as in %s:\n%s",
+			texts.String(), frozenErrors, stored)
 	}
 }
--- a/internal/quotalease/main_test.go
+++ b/internal/quotalease/main_test.go
@@ -2,17 +2,18 @@
 
 import (
 	"flag"
+	"fmt"
 	"os"
 	"testing"
 )
 
-// TestMain fixes the seed of the random tests unless one is given, so that each run has the same verdict.
+// TestMain sets a fixed seed for the property-based tests unless a flag sets one, so that runs are repeatable.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "24", "rapid.nofailfile": "true"} {
 		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
 			if err := flag.Set(name, value); err != nil {
-				panic(err)
+				panic(fmt.Sprintf("cannot set the flag -%s to %s: %v", name, value, err))
 			}
 		}
 	}
--- a/internal/quotalease/modelcheck/modelcheck_test.go
+++ b/internal/quotalease/modelcheck/modelcheck_test.go
@@ -8,6 +8,7 @@
 	"lapisspread/internal/quotalease/internal/mutation"
 )
 
+// rateSettings returns the settings of a fleet with a rate quota.
 func rateSettings() Settings {
 	return Settings{
 		Holders: 4, Servers: 3, Kind: quotalease.Rate, Limit: 20, Burst: 8, LeaseDuration: time.Second, MaxDrift: .05,
@@ -15,6 +16,7 @@
 	}
 }
 
+// inFlightSettings returns the settings of a fleet with a quota of units in flight.
 func inFlightSettings() Settings {
 	return Settings{
 		Holders: 4, Servers: 3, Kind: quotalease.InFlight, Limit: 12, LeaseDuration: time.Second,
@@ -22,8 +24,8 @@
 	}
 }
 
-// fourfold returns four times the default rates of faults.
-func fourfold() map[Fault]int {
+// quadrupledFaultRates returns four times the default fault rates.
+func quadrupledFaultRates() map[Fault]int {
 	rates := map[Fault]int{}
 	for fault, rate := range defaultFaultRates {
 		rates[fault] = 4 * rate
@@ -31,8 +33,8 @@
 	return rates
 }
 
-// Never more than the limit, and all of it in the end; with the default rates of faults, with four times as many,
-// and in a larger fleet.
+// Random runs never exceed the limit, and once all faults are repaired the limit is granted again: with the default
+// fault rates, with four times these rates, and in a larger fleet.
 func TestRandomRunsNeverExceedTheLimit(t *testing.T) {
 	for name, s := range map[string]Settings{"rate": rateSettings(), "in flight": inFlightSettings()} {
 		for seed := range uint64(6) {
@@ -44,18 +46,19 @@
 				s.Holders = 8
 				s.Servers = 5
 			case seed%2 == 1:
-				s.FaultRates = fourfold()
+				s.FaultRates = quadrupledFaultRates()
 			}
 			result := RunRandom(s, seed, 1000)
 			if result.Violation != "" || result.GrantedShare < enoughGranted {
-				t.Errorf("%s, seed %d: %v", name, seed, result)
+				t.Errorf("RunRandom(%s, seed %d) = %v; want no violation and GrantedShare of at least %v",
+					name, seed, result, enoughGranted)
 			}
 			t.Logf("%s, seed %d: %v", name, seed, result)
 		}
 	}
 }
 
-// Rates of faults that meet a safeguard soon.
+// Fault rates with which a run without a safeguard violates the invariant within few seeds.
 var (
 	demandShifts   = map[Fault]int{ProxyCutOff: 40, DemandShifted: 100}
 	cutOffs        = map[Fault]int{ProxyCutOff: 60, DemandShifted: 60}
@@ -66,7 +69,7 @@
 	}
 )
 
-// Without any one safeguard a run violates the invariant; with all of them the same run does not.
+// Without one of the safeguards some run violates the invariant; with all safeguards the same run does not.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	quick := rateSettings()
 	quick.MaxMoment = quick.LeaseDuration / 100
@@ -76,23 +79,23 @@
 		settings  Settings
 		faults    map[Fault]int
 		mutations mutation.Set
-		firstSeed uint64 // seeds below do not violate the invariant
+		firstSeed uint64 // lower seeds do not violate the invariant
 	}{
-		{"the drift margin of a lease", quick, proxyDeaths, mutation.Set{NoDriftMargin: true}, 22},
-		{"the lease counted from the request", rateSettings(), proxyDeaths, mutation.Set{LeaseFromReply: true}, 0},
-		{"the empty bucket", rateSettings(), cutOffs, mutation.Set{FullBucketOnLease: true}, 0},
-		{"the order of tokens", quick, demandShifts, mutation.Set{AnyTokenOrder: true}, 49},
-		{"commit before reply", rateSettings(), serverCutOffs, mutation.Set{ReplyBeforeCommit: true}, 0},
-		{"silence after a start", rateSettings(), restoredStores, mutation.Set{NoStartupSilence: true}, 5},
+		{"drift margin of a lease", quick, proxyDeaths, mutation.Set{NoDriftMargin: true}, 22},
+		{"lease duration counted from the request", rateSettings(), proxyDeaths, mutation.Set{LeaseFromReply: true}, 0},
+		{"token bucket empty on a new lease", rateSettings(), cutOffs, mutation.Set{FullBucketOnLease: true}, 0},
+		{"leases refused in decreasing token order", quick, demandShifts, mutation.Set{AnyTokenOrder: true}, 49},
+		{"commit before the reply", rateSettings(), serverCutOffs, mutation.Set{ReplyBeforeCommit: true}, 0},
+		{"silence after a server start", rateSettings(), restoredStores, mutation.Set{NoStartupSilence: true}, 5},
 		{
-			"silence after a truncation", rateSettings(), restoredStores,
+			"silence after a truncation of the log", rateSettings(), restoredStores,
 			mutation.Set{NoSilenceAfterTruncation: true}, 31,
 		},
-		{"the largest of all leases", rateSettings(), cutOffs, mutation.Set{CountNewestLeaseOnly: true}, 0},
-		{"only older leases are dropped by an ack", rateSettings(), cutOffs, mutation.Set{AckDropsNewest: true}, 0},
-		{"the limit in the state machine", rateSettings(), cutOffs, mutation.Set{NoLimitCheck: true}, 0},
+		{"largest of all leases counted", rateSettings(), cutOffs, mutation.Set{CountNewestLeaseOnly: true}, 0},
+		{"acknowledgement drops only older leases", rateSettings(), cutOffs, mutation.Set{AckDropsNewest: true}, 0},
+		{"limit check in the state machine", rateSettings(), cutOffs, mutation.Set{NoLimitCheck: true}, 0},
 		{
-			"the hold time of units in flight", inFlightSettings(), cutOffs,
+			"hold time of units in flight", inFlightSettings(), cutOffs,
 			mutation.Set{ForgetInFlightAtLeaseEnd: true}, 0,
 		},
 	} {
@@ -105,7 +108,8 @@
 	}
 }
 
-// wantViolation finds a seed that violates the invariant with the mutations, and does not without them.
+// wantViolation searches 60 seeds from firstSeed for a run that violates the invariant with the mutations. It checks
+// that the same run without mutations does not.
 func wantViolation(t *testing.T, s Settings, mutations mutation.Set, firstSeed uint64) {
 	t.Helper()
 	for seed := firstSeed; seed < firstSeed+60; seed++ {
@@ -114,16 +118,18 @@
 		if result.Violation == "" {
 			continue
 		}
-		t.Logf("seed %d, moment %d: %s", seed, result.Moments, result.Violation)
+		t.Logf("violation with seed %d after %d moments: %s", seed, result.Moments, result.Violation)
 		s.mutations = mutation.Set{}
-		if sound := RunRandom(s, seed, 2000); sound.Violation != "" {
-			t.Errorf("with the safeguard: %v", sound)
+		if unmutated := RunRandom(s, seed, 2000); unmutated.Violation != "" {
+			t.Errorf("RunRandom(seed %d) with all safeguards = %v, want no violation", seed, unmutated)
 		}
 		return
 	}
-	t.Error("no violation was found")
+	t.Errorf("RunRandom() without the safeguard found no violation with seeds %d to %d, want one",
+		firstSeed, firstSeed+59)
 }
 
+// smallSettings returns the settings of a fleet that is small enough for Explore.
 func smallSettings() Settings {
 	return Settings{
 		Holders: 2, Servers: 3, Kind: quotalease.Rate, Limit: 2, Burst: 2, LeaseDuration: time.Second, MaxDrift: .05,
@@ -139,13 +145,14 @@
 	} {
 		result := Explore(smallSettings(), bounds)
 		if result.Violation != "" || !result.Complete {
-			t.Errorf("%+v: %+v", bounds, result)
+			t.Errorf("Explore(bounds %+v) = %+v; want no violation and every state visited", bounds, result)
 		}
-		t.Logf("%+v: %d states, %d transitions, depth %d", bounds, result.States, result.Transitions, result.Depth)
+		t.Logf("Explore(bounds %+v): %d states, %d transitions, depth %d",
+			bounds, result.States, result.Transitions, result.Depth)
 	}
 }
 
-// The exploration finds the shortest way in which a system without a safeguard violates the invariant.
+// Explore finds a shortest sequence of transitions by which a system without a safeguard violates the invariant.
 func TestExplorationFindsMutations(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
@@ -154,16 +161,16 @@
 		bounds    Bounds
 	}{
 		{
-			"the drift margin of a lease", mutation.Set{NoDriftMargin: true},
+			"drift margin of a lease", mutation.Set{NoDriftMargin: true},
 			Bounds{RequestsPerProxy: 1, Ticks: 2, Tick: halfLease},
 		},
 		{
-			"the lease counted from the request", mutation.Set{LeaseFromReply: true},
+			"lease duration counted from the request", mutation.Set{LeaseFromReply: true},
 			Bounds{RequestsPerProxy: 1, Ticks: 3, Tick: halfLease},
 		},
-		{"commit before reply", mutation.Set{ReplyBeforeCommit: true}, Bounds{RequestsPerProxy: 1, Elections: 1}},
+		{"commit before the reply", mutation.Set{ReplyBeforeCommit: true}, Bounds{RequestsPerProxy: 1, Elections: 1}},
 		{
-			"the limit in the state machine", mutation.Set{NoLimitCheck: true},
+			"limit check in the state machine", mutation.Set{NoLimitCheck: true},
 			Bounds{RequestsPerProxy: 1, Tick: halfLease},
 		},
 	} {
@@ -171,23 +178,27 @@
 		s.mutations = tt.mutations
 		result := Explore(s, tt.bounds)
 		if result.Violation == "" {
-			t.Errorf("%s: no violation in %d states", tt.safeguard, result.States)
+			t.Errorf("Explore() without the safeguard %q found no violation in %d states, want one",
+				tt.safeguard, result.States)
 		}
-		t.Logf("%s: %s: %q", tt.safeguard, result.Violation, result.Trace)
+		t.Logf("without the safeguard %q: violation %s, by the transitions %q",
+			tt.safeguard, result.Violation, result.Trace)
 		s.mutations = mutation.Set{}
-		if sound := Explore(s, tt.bounds); sound.Violation != "" || !sound.Complete {
-			t.Errorf("%s, with it: %+v", tt.safeguard, sound)
+		if unmutated := Explore(s, tt.bounds); unmutated.Violation != "" || !unmutated.Complete {
+			t.Errorf("Explore() with the safeguard %q = %+v; want no violation and every state visited",
+				tt.safeguard, unmutated)
 		}
 	}
 }
 
-// Larger spaces than a test has time for, and the safeguards that need them.
+// BenchmarkExplore explores state spaces that are too large for a test, and checks the safeguards whose violations
+// are only found in spaces of that size.
 func BenchmarkExplore(b *testing.B) {
 	for _, tt := range []struct {
 		name      string
 		mutations mutation.Set
 		bounds    Bounds
-		broken    bool
+		violates  bool // the exploration must find a violation
 	}{
 		{
 			"sound/2 asks, 1 tick", mutation.Set{},
@@ -224,11 +235,11 @@
 				s := smallSettings()
 				s.mutations = tt.mutations
 				result := Explore(s, tt.bounds)
-				if (result.Violation != "") != tt.broken {
-					b.Fatalf("%+v", result)
+				if (result.Violation != "") != tt.violates {
+					b.Fatalf("Explore(bounds %+v) = %+v, want a violation: %v", tt.bounds, result, tt.violates)
 				}
 				complete := 0.0
-				if result.Complete && !tt.broken {
+				if result.Complete && !tt.violates {
 					complete = 1
 				}
 				b.ReportMetric(float64(result.States), "states")
@@ -239,7 +250,7 @@
 	}
 }
 
-// Long random runs of many systems, one for each iteration: -benchtime 2000x plays 2,000.
+// BenchmarkRandomRuns runs one long random run of a different system per iteration: -benchtime 2000x runs 2,000.
 func BenchmarkRandomRuns(b *testing.B) {
 	seed := uint64(1000)
 	moments := 0
@@ -248,7 +259,8 @@
 		s := settingsOfSeed(seed)
 		result := RunRandom(s, seed, 3000)
 		if result.Violation != "" || result.GrantedShare < enoughGranted {
-			b.Errorf("%+v, seed %d: %v", s, seed, result)
+			b.Errorf("RunRandom(settings %+v, seed %d) = %v; want no violation and GrantedShare of at least %v",
+				s, seed, result, enoughGranted)
 		}
 		seed++
 		moments += result.Moments
@@ -258,7 +270,8 @@
 	b.ReportMetric(slowest.Seconds(), "longest-healed-s")
 }
 
-// settingsOfSeed varies the kind of quota, the size of the fleet and the faults.
+// settingsOfSeed returns settings that vary with the seed: kind of quota, size of the fleet, fault rates, and either
+// short moments or no floor.
 func settingsOfSeed(seed uint64) Settings {
 	s := rateSettings()
 	if seed%2 == 1 {
@@ -268,7 +281,7 @@
 	s.Servers = 3 + 2*int(seed/2%2)
 	switch seed % 12 / 2 {
 	case 1, 4:
-		s.FaultRates = fourfold()
+		s.FaultRates = quadrupledFaultRates()
 	case 2:
 		s.MaxMoment = s.LeaseDuration / 100
 	case 3:
--- a/internal/quotalease/statemachine_test.go
+++ b/internal/quotalease/statemachine_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"testing"
@@ -12,7 +13,8 @@
 	"lapisspread/internal/operatorerror"
 )
 
-// testConfig has a rate "r" and a quota of units in flight "h".
+// testConfig returns a configuration with the rate quota "r" and the in-flight quota "h", both with a limit of 10.
+// change, which may be nil, modifies it.
 func testConfig(change func(*FleetConfig)) FleetConfig {
 	config := FleetConfig{FleetID: "f", MaxDrift: .01, MaxLifetime: 10 * time.Second, Quotas: []Quota{
 		{Name: "r", Kind: Rate, Limit: 10, Burst: 10, LeaseDuration: time.Second},
@@ -24,14 +26,14 @@
 	return config
 }
 
-// testLog is a state machine that commands are applied to one after another.
+// testLog is a state machine to which commands are applied under successive log indices.
 type testLog struct {
 	testing.TB
 	*StateMachine
-	requests uint64
+	requests uint64 // the number of grant commands so far, each for a new request
 }
 
-// newTestLog returns a log that is bootstrapped, past its waiting time and configured.
+// newTestLog returns a log that is bootstrapped and configured, with the waiting time after the bootstrap over.
 func newTestLog(t testing.TB, change func(*FleetConfig)) *testLog {
 	log := &testLog{TB: t, StateMachine: NewStateMachine()}
 	log.mustApply(bootstrapCommand(1, 10*time.Second))
@@ -40,20 +42,32 @@
 	return log
 }
 
-// try applies a command under the next index.
+// try applies a command under the next index and returns the error if it is rejected.
 func (l *testLog) try(command Command) (ApplyResult, error) {
 	return l.Apply(l.AppliedIndex()+1, command)
 }
 
+// mustApply applies a command that must be accepted and returns its token.
 func (l *testLog) mustApply(command Command) Token {
 	l.Helper()
 	result, err := l.try(command)
 	if err != nil {
-		l.Fatal(err)
+		l.Fatalf("Apply(%s) = error %v, want no error", commandText(l, command), err)
 	}
 	return result.Token
 }
 
+// commandText returns a command as it is stored in the log.
+func commandText(t testing.TB, command Command) []byte {
+	t.Helper()
+	text, err := json.Marshal(command)
+	if err != nil {
+		t.Fatalf("json.Marshal(command) = error %v, want no error", err)
+	}
+	return text
+}
+
+// setQuotas applies testConfig, as modified by change, under a configuration version.
 func (l *testLog) setQuotas(version uint64, change func(*FleetConfig), removedHolders ...string) {
 	l.Helper()
 	l.mustApply(setQuotasCommand(version, change, removedHolders...))
@@ -65,12 +79,12 @@
 	return l.mustApply(l.grantCommand(holder, quota, units, nil))
 }
 
-// grantCommand answers a new request. change may be nil.
+// grantCommand returns a grant that answers a new request. change, which may be nil, modifies the lease.
 func (l *testLog) grantCommand(holder, quotaName string, units float64, change func(*Lease)) Command {
 	l.requests++
 	quota := l.config.Quota(quotaName)
 	lease := &Lease{
-		FleetID: "f", Epoch: 1, HolderID: processOf(holder), Quota: quotaName, Kind: quota.Kind,
+		FleetID: "f", Epoch: 1, HolderID: holderID(holder), Quota: quotaName, Kind: quota.Kind,
 		Amount: FromUnits(units), Duration: quota.LeaseDuration, MaxHoldTime: quota.MaxHoldTime, RequestSeq: l.requests,
 	}
 	if quota.Kind == Rate {
@@ -82,15 +96,16 @@
 	return Command{Grant: lease}
 }
 
+// wantOutstanding checks how many units of a quota are outstanding, floors included.
 func (l *testLog) wantOutstanding(quota string, want float64) {
 	l.Helper()
 	if got, _ := l.Outstanding(quota); got != FromUnits(want) {
-		l.Errorf("%v units of %s are outstanding, not %v", got.Units(), quota, want)
+		l.Errorf("Outstanding(quota %s) = %v units, want %v", quota, got.Units(), want)
 	}
 }
 
-// processOf is the first incarnation of a name.
-func processOf(holder string) HolderID { return HolderID{Holder: holder, Incarnation: 1} }
+// holderID returns the identity of the first process (incarnation 1) with a holder's name.
+func holderID(holder string) HolderID { return HolderID{Holder: holder, Incarnation: 1} }
 
 func bootstrapCommand(epoch uint64, maxLifetime time.Duration) Command {
 	return Command{Bootstrap: &Bootstrap{FleetID: "f", Epoch: epoch, MaxDrift: .01, MaxLifetime: maxLifetime}}
@@ -100,9 +115,10 @@
 	return Command{SetQuotas: &SetQuotas{Version: version, Config: testConfig(change), RemovedHolders: removedHolders}}
 }
 
+// ackOf returns an acknowledgement by the first incarnation of a holder, with inFlight units in flight.
 func ackOf(holder, quota string, seq uint64, token Token, inFlight float64) Ack {
 	return Ack{
-		Epoch: 1, HolderID: processOf(holder), Quota: quota, RequestSeq: seq, Token: token,
+		Epoch: 1, HolderID: holderID(holder), Quota: quota, RequestSeq: seq, Token: token,
 		InFlight: FromUnits(inFlight),
 	}
 }
@@ -113,47 +129,49 @@
 }
 
 func expireCommand(holder, quota string, token Token) Command {
-	return Command{Expire: &Expire{HolderID: processOf(holder), Quota: quota, Token: token}}
+	return Command{Expire: &Expire{HolderID: holderID(holder), Quota: quota, Token: token}}
 }
 
 func observeCommand(holder string, seen, floors uint64) Command {
-	observed := &ObserveConfig{HolderID: processOf(holder), SeenVersion: seen, FloorsVersion: floors}
+	observed := &ObserveConfig{HolderID: holderID(holder), SeenVersion: seen, FloorsVersion: floors}
 	return Command{ObserveConfig: observed}
 }
 
+// withFloors returns a change of testConfig that sets the floors of quota "r", in units by holder.
 func withFloors(floors map[string]float64) func(*FleetConfig) {
 	return func(config *FleetConfig) { config.Quotas[0].Floors = floors }
 }
 
-// rejection is a command that a state machine must reject, with what comes before it in the log.
+// rejection is a case of a command that the state machine must reject.
 type rejection struct {
-	name    string
-	want    any // a pointer to the type of error
+	name string
+	want any // a pointer to the expected error type, for errors.As
+	// command applies the commands that come before in the log, and returns the one that must be rejected.
 	command func(log *testLog) Command
 }
 
 var overLimitRejections = []rejection{
-	{"over the limit", new(LimitExceededError), func(log *testLog) Command {
+	{"amount above the limit", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 6)
 		return log.grantCommand("b", "r", 5, nil)
 	}},
-	{"over the burst", new(LimitExceededError), func(log *testLog) Command {
+	{"burst above the limit of the burst", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 6)
 		return log.grantCommand("b", "r", 4, func(lease *Lease) { lease.Burst = FromUnits(5) })
 	}},
-	{"lowered, not yet taken up", new(LimitExceededError), func(log *testLog) Command {
+	{"smaller lease granted but not acknowledged", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 6)
 		log.mustGrant("a", "r", 2)
 		return log.grantCommand("b", "r", 5, nil)
 	}},
-	{"lowered, raised, the raise acknowledged only in part", new(LimitExceededError), func(log *testLog) Command {
+	{"smaller lease acknowledged, larger one not yet", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 6)
 		low := log.mustGrant("a", "r", 2)
 		log.mustGrant("a", "r", 5)
 		log.mustApply(ackCommand("a", "r", 1, low, 0))
 		return log.grantCommand("b", "r", 6, nil)
 	}},
-	{"another incarnation", new(LimitExceededError), func(log *testLog) Command {
+	{"new incarnation beside the lease of the previous one", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 6)
 		return log.grantCommand("a", "r", 6, func(lease *Lease) { lease.Incarnation = 2 })
 	}},
@@ -163,58 +181,60 @@
 		log.mustApply(ackCommand("a", "h", 1, low, 5))
 		return log.grantCommand("b", "h", 6, nil)
 	}},
-	{"units in flight after a release", new(LimitExceededError), func(log *testLog) Command {
+	{"units still in flight after a release", new(LimitExceededError), func(log *testLog) Command {
 		token := log.mustGrant("a", "h", 6)
 		log.mustApply(Command{Release: &Release{Ack: ackOf("a", "h", 1, token, 3)}})
 		return log.grantCommand("b", "h", 8, nil)
 	}},
-	{"a floor that has no room yet", new(LimitExceededError), func(log *testLog) Command {
+	{"floor that does not fit beside the outstanding leases", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 8)
 		return setQuotasCommand(2, withFloors(map[string]float64{"b": 3}))
 	}},
 }
 
 var staleRejections = []rejection{
-	{"an acknowledgement older than another", new(StaleTokenError), func(log *testLog) Command {
+	{"acknowledgement of an older request than the last one", new(StaleTokenError), func(log *testLog) Command {
 		log.mustGrant("a", "h", 6)
 		low := log.mustGrant("a", "h", 2)
 		log.mustApply(ackCommand("a", "h", 5, low, 5))
 		return ackCommand("a", "h", 4, low, 0)
 	}},
-	{"a request that was answered", new(StaleTokenError), func(log *testLog) Command {
+	{"request that a lease already answers", new(StaleTokenError), func(log *testLog) Command {
 		command := log.grantCommand("a", "r", 6, nil)
 		log.mustApply(command)
 		return command
 	}},
-	{"an older epoch", new(StaleEpochError), func(log *testLog) Command {
+	{"older epoch", new(StaleEpochError), func(log *testLog) Command {
 		log.mustApply(bootstrapCommand(2, 10*time.Second))
 		return log.grantCommand("a", "r", 1, nil)
 	}},
-	{"a proxy knows a newer configuration", new(StaleConfigError), func(log *testLog) Command {
+	{"holder has seen a newer configuration", new(StaleConfigError), func(log *testLog) Command {
 		log.mustApply(observeCommand("a", 7, 0))
 		return log.grantCommand("a", "r", 1, nil)
 	}},
-	{"an older configuration", new(StaleConfigError), func(*testLog) Command { return setQuotasCommand(1, nil) }},
+	{"configuration version already in use", new(StaleConfigError), func(*testLog) Command {
+		return setQuotasCommand(1, nil)
+	}},
 }
 
 var invalidRejections = []rejection{
-	{"another fleet", new(FleetMismatchError), func(log *testLog) Command {
+	{"grant for another fleet", new(FleetMismatchError), func(log *testLog) Command {
 		return log.grantCommand("a", "r", 1, func(lease *Lease) { lease.FleetID = "g" })
 	}},
-	{"the waiting time after a bootstrap", new(BootstrapPendingError), func(log *testLog) Command {
+	{"grant during the waiting time after a bootstrap", new(BootstrapPendingError), func(log *testLog) Command {
 		log.mustApply(bootstrapCommand(2, 10*time.Second))
 		return log.grantCommand("a", "r", 1, func(lease *Lease) { lease.Epoch = 2 })
 	}},
-	{"bootstrapped again with a shorter lifetime", new(InvalidCommandError), func(*testLog) Command {
+	{"second bootstrap with a shorter lifetime", new(InvalidCommandError), func(*testLog) Command {
 		return bootstrapCommand(2, time.Second)
 	}},
-	{"no such quota", new(UnknownQuotaError), func(log *testLog) Command {
+	{"quota not configured", new(UnknownQuotaError), func(log *testLog) Command {
 		return log.grantCommand("a", "r", 1, func(lease *Lease) { lease.Quota = "x" })
 	}},
-	{"a longer lease", new(InvalidCommandError), func(log *testLog) Command {
+	{"lease longer than the quota's lease duration", new(InvalidCommandError), func(log *testLog) Command {
 		return log.grantCommand("a", "r", 1, func(lease *Lease) { lease.Duration *= 2 })
 	}},
-	{"another kind while leases are outstanding", new(InvalidCommandError), func(log *testLog) Command {
+	{"change of kind while leases are outstanding", new(InvalidCommandError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 8)
 		return setQuotasCommand(2, func(config *FleetConfig) {
 			config.Quotas[0].Name = "h"
@@ -231,23 +251,25 @@
 	}
 	_, err := NewStateMachine().Apply(1, Command{ObserveConfig: &ObserveConfig{}})
 	if !errors.As(err, new(NotBootstrappedError)) {
-		t.Errorf("an empty state machine: %v", err)
+		t.Errorf("Apply(ObserveConfig) on an empty state machine = error %v, want a NotBootstrappedError", err)
 	}
 }
 
+// check applies the command to a new log, which must reject it with the expected error and keep what is outstanding.
 func (r rejection) check(t *testing.T) {
 	log := newTestLog(t, nil)
 	command := r.command(log)
 	before, _ := log.Outstanding("r")
 	_, err := log.try(command)
 	if err == nil || !errors.As(err, r.want) {
-		t.Fatalf("%v, not a %T", err, r.want)
+		t.Fatalf("Apply(%s) = error %v, want an error of type %T", commandText(t, command), err, r.want)
 	}
 	if operatorerror.AdviceOf(err) == "" {
-		t.Errorf("%v has no advice", err)
+		t.Errorf("AdviceOf(error %q) is empty, want a text for the operator", err)
 	}
 	if after, _ := log.Outstanding("r"); after != before {
-		t.Errorf("rejected, and %v outstanding, not %v", after, before)
+		t.Errorf("Outstanding(quota r) after the rejected command = %v units, want %v as before",
+			after.Units(), before.Units())
 	}
 }
 
@@ -258,7 +280,7 @@
 	log.wantOutstanding("r", 6)
 	log.mustApply(ackCommand("a", "r", 1, second, 0))
 	log.wantOutstanding("r", 2)
-	log.mustApply(expireCommand("a", "r", first)) // it was acknowledged away before
+	log.mustApply(expireCommand("a", "r", first)) // the acknowledgement has already dropped it
 	log.wantOutstanding("r", 2)
 	log.mustApply(expireCommand("a", "r", second))
 	log.wantOutstanding("r", 0)
@@ -268,13 +290,14 @@
 	log.wantOutstanding("h", 3)
 	log.mustApply(ackCommand("a", "h", 2, token, 1))
 	log.wantOutstanding("h", 1)
-	log.mustApply(expireCommand("a", "h", residual)) // a lower residual has replaced it
+	log.mustApply(expireCommand("a", "h", residual)) // a smaller residual has replaced it
 	log.wantOutstanding("h", 1)
 	log.mustApply(expireCommand("a", "h", log.PendingExpiries()[0].Token))
 	log.wantOutstanding("h", 0)
 }
 
-// A lower limit rejects renewals above itself, and admits those that fit beside what is still outstanding.
+// After the limit is lowered, renewals must fit the lower limit by themselves, even while older leases above it are
+// outstanding.
 func TestLowerLimitHoldsOnceOlderLeasesExpired(t *testing.T) {
 	log := newTestLog(t, nil)
 	tokenA := log.mustGrant("a", "r", 5)
@@ -283,7 +306,7 @@
 	log.mustGrant("a", "r", 3)
 	log.mustGrant("b", "r", 3)
 	if _, err := log.try(log.grantCommand("b", "r", 4, nil)); !errors.As(err, new(LimitExceededError)) {
-		t.Errorf("more than the lower limit was granted anew: %v", err)
+		t.Errorf("Apply(grants of 3 and 4 units under a limit of 6) = error %v, want a LimitExceededError", err)
 	}
 	log.wantOutstanding("r", 10)
 	log.mustApply(expireCommand("a", "r", tokenA))
@@ -302,18 +325,19 @@
 	log.wantOutstanding("r", 3)
 	log.setQuotas(3, withFloors(map[string]float64{"a": 1}), "b")
 	log.wantOutstanding("r", 1)
-	if got := log.ReplyTo(processOf("a")).Floors["r"].Amount; got != FromUnits(1) {
-		t.Errorf("a is told a floor of %v", got.Units())
+	if got := log.ReplyTo(holderID("a")).Floors["r"].Amount; got != FromUnits(1) {
+		t.Errorf("ReplyTo(holder a).Floors[r].Amount = %v units, want 1", got.Units())
 	}
 }
 
-// A store put back from an older copy would give tokens again that holders know: it learns of them and goes above.
+// A store that was restored from an older copy could issue the same tokens twice. An acknowledgement with a token
+// above its log raises all later tokens above that one.
 func TestTokensGoAboveWhatHoldersKnow(t *testing.T) {
 	log := newTestLog(t, nil)
 	known := Token{Epoch: 1, Index: 500}
 	log.mustApply(ackCommand("a", "r", 1, known, 0))
 	if got := log.mustGrant("a", "r", 1); got.Compare(known) <= 0 {
-		t.Errorf("%v was granted after 1.500", got)
+		t.Errorf("grant after an acknowledgement of token 1.500: token %v, want a token above 1.500", got)
 	}
 }
 
@@ -336,37 +360,40 @@
 	return Command{Ack: &ack}
 }
 
-// Whatever is applied, in whatever order: no more than the limit is outstanding, tokens grow, and a state machine
-// that was restored goes on as the one that its snapshot was taken from.
+// After any sequence of commands, no more than the limit is outstanding and tokens have grown strictly, and a state
+// machine restored from a snapshot behaves like the original.
 func TestStateMachineUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := newTestLog(t, func(config *FleetConfig) { config.Quotas[1].Floors = map[string]float64{"a": 2} })
 		restored := NewStateMachine()
 		if err := restored.Restore(snapshotOf(t, log.StateMachine)); err != nil {
-			rt.Fatal(err)
+			rt.Fatalf("Restore(snapshot of the configured state) = %v, want no error", err)
 		}
 		last := Token{}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			command := drawCommand(rt, log)
 			result, err := log.try(command)
 			if result.Token.Compare(last) <= 0 {
-				rt.Fatalf("token %v after %v", result.Token, last)
+				rt.Fatalf("Apply(%s): token %v, want one above the last token %v",
+					commandText(t, command), result.Token, last)
 			}
 			last = result.Token
-			if _, again := restored.Apply(log.AppliedIndex(), command); fmt.Sprint(again) != fmt.Sprint(err) {
-				rt.Fatalf("restored: %v, else %v", again, err)
+			if _, got := restored.Apply(log.AppliedIndex(), command); fmt.Sprint(got) != fmt.Sprint(err) {
+				rt.Fatalf("Apply(%s) on the restored state machine = error %v, want %v as on the original",
+					commandText(t, command), got, err)
 			}
 			for _, quota := range log.config.Quotas {
 				amount, burst := log.Outstanding(quota.Name)
 				if amount > FromUnits(quota.Limit) || burst > FromUnits(quota.Burst) {
-					rt.Fatalf("%s: %v outstanding, burst %v", quota.Name, amount.Units(), burst.Units())
+					rt.Fatalf("Outstanding(quota %s) = %v units, burst %v; want at most %v, burst %v",
+						quota.Name, amount.Units(), burst.Units(), quota.Limit, quota.Burst)
 				}
 			}
 		}
 		want := snapshotOf(t, log.StateMachine)
 		for name, other := range map[string]*StateMachine{"restored": restored, "cloned": log.Clone()} {
 			if got := snapshotOf(t, other); !bytes.Equal(got, want) {
-				rt.Fatalf("the %s state is\n%s\nnot\n%s", name, got, want)
+				rt.Fatalf("Snapshot() of the %s state machine:\n%s\nwant, as of the original:\n%s", name, got, want)
 			}
 		}
 	})
