--- a/internal/quotalease/acknowledge.go
+++ b/internal/quotalease/acknowledge.go
@@ -1,13 +1,13 @@
 package quotalease
 
-// acknowledgement is an Ack or a Release.
+// acknowledgement is an Ack, or a Release if ended is set.
 type acknowledgement struct {
 	Ack
-	ended bool // the holder will not use the lease of Token again either
-	all   bool // it will use no lease of this quota again
+	ended bool // the holder will not use the lease of Token again
+	all   bool // the holder will not use any lease of this quota again
 }
 
-// ackBatch acknowledges each quota of a batch.
+// ackBatch applies each acknowledgement of a batch and adds the rejected ones to result.Rejected.
 func (m *StateMachine) ackBatch(batch *AckBatch, result *ApplyResult) {
 	for _, one := range batch.Acks {
 		ack := acknowledgement{
@@ -24,9 +24,9 @@
 	}
 }
 
-// acknowledge drops the leases that a holder will never use again. Units in flight above the amount of the lease
-// that it uses began under older leases; they stay counted as a residual for the longest hold time. The error is a
-// StaleEpochError, or a StaleTokenError for an acknowledgement that is older than the last one.
+// acknowledge drops the leases that a holder will never use again. Units in flight above the amount of its current
+// lease were acquired under older leases; they stay counted as a residual for the longest hold time. It returns a
+// StaleEpochError, or a StaleTokenError for an acknowledgement that is not newer than the last one.
 func (m *StateMachine) acknowledge(ack acknowledgement, result *ApplyResult) error {
 	if ack.Epoch > m.epoch {
 		return StaleEpochError{Got: m.epoch, Have: ack.Epoch}
@@ -36,13 +36,13 @@
 	if entry == nil {
 		return nil
 	}
-	// An older acknowledgement that arrives late must not replace the units in flight of a newer one.
+	// A late, older acknowledgement must not replace the units in flight of a newer one.
 	if ack.RequestSeq <= entry.LastAck {
-		have := Token{Epoch: m.epoch, Index: entry.LastAck} // the index is a request's number here, not a log index
+		have := Token{Epoch: m.epoch, Index: entry.LastAck} // the error shows a request number here, not a log index
 		return StaleTokenError{Holder: ack.Holder, Quota: ack.Quota, Got: ack.Token, Have: have}
 	}
 	remaining, used := m.leasesAfter(ack, entry)
-	// Never count more in flight than the leases allowed: a residual must not raise the total.
+	// A residual must not raise the total, so never count more units in flight than the leases allowed.
 	inFlight := min(ack.InFlight.roundUp(), entry.maxUsage(m.mutations).amount)
 	if len(remaining) == len(entry.Leases) && inFlight >= entry.Residual {
 		return nil
@@ -61,16 +61,16 @@
 	return nil
 }
 
-// raiseTokens keeps new tokens above one that a holder knows. If this log never gave that token, its store is an older
-// copy, and the holder would refuse new leases as stale.
+// raiseTokens ensures that new tokens are above one that a holder has received. If this log never issued that token,
+// its store was restored from an older copy, and the holder would refuse new leases with lower tokens as stale.
 func (m *StateMachine) raiseTokens(holderToken Token) {
 	if holderToken.Epoch == m.epoch && holderToken.Index > m.appliedIndex+m.tokenOffset {
 		m.tokenOffset = holderToken.Index - m.appliedIndex
 	}
 }
 
-// leasesAfter returns the leases that stay counted after an acknowledgement, and the amount of the one that the
-// holder uses, 0 if that one is gone.
+// leasesAfter returns the leases that stay counted after an acknowledgement, and the amount of the lease that the
+// holder currently uses, 0 if that lease is not counted.
 func (m *StateMachine) leasesAfter(ack acknowledgement, entry *holderEntry) (remaining []Lease, used Amount) {
 	remaining = make([]Lease, 0, len(entry.Leases))
 	for _, lease := range entry.Leases {
@@ -78,8 +78,8 @@
 		if order < 0 || ack.ended && order == 0 || ack.all || m.mutations.AckDropsNewest {
 			continue
 		}
-		// If older leases had a longer hold time, units of them may be among those in flight; then all count as
-		// residual.
+		// If an older lease had a longer hold time, units in flight may come from it. Then all of them count as
+		// residual, for the longer time.
 		if order == 0 && lease.MaxHoldTime == entry.MaxHoldTime {
 			used = lease.Amount
 		}
--- a/internal/quotalease/allocator.go
+++ b/internal/quotalease/allocator.go
@@ -6,30 +6,33 @@
 	"time"
 )
 
-// requester is a process that sends requests, with its latest one.
+// requester is the latest request of a holder process and its state.
 type requester struct {
 	Request
-	heardAt time.Duration
-	pending bool // the request is not answered by leases yet
+	heardAt time.Duration // when the request arrived, by the server's clock
+	pending bool          // no plan has granted leases for the request yet
 }
 
-// Allocator is what a server keeps beside the log and never shares: when, by its own clock, each lease has
-// certainly expired, and the latest request of each process. Every server keeps timers from when it applied an
-// entry, so any of them can lead; one that restarts starts all timers from the beginning. A wrong plan is harmless,
-// because the state machine rejects it. Only its Expire commands are trusted.
+// Allocator is the local, unreplicated state of a control-plane server: for each lease, the time by the server's own
+// clock at which it has expired for certain, and the latest request of each holder process. It plans the commands that
+// a leader proposes. Every server starts a timer when it applies a log entry, so that any of them can become the
+// leader; a server that restarts also restarts all timers with their full durations. The StateMachine checks the
+// planned commands and rejects those that would exceed a limit. Only Expire commands are not checked: the state machine
+// has no clock, so it relies on these timers.
 //
-// Calls do not block, and must not run concurrently with each other or with calls of the StateMachine.
+// Calls do not block. They must not run concurrently with each other or with calls of the StateMachine.
 type Allocator struct {
 	state       *StateMachine
-	silentUntil time.Duration
+	silentUntil time.Duration // the end of the startup silence, by the server's clock
 	timers      timerHeap
-	due         []Expiry // expired, but still counted by the state machine
+	due         []Expiry // expired, but the state machine still counts them as outstanding
 	requesters  map[HolderID]*requester
-	onlyFreed   bool // the last plan only freed room; the next one grants, even if there is more to free
+	onlyFreed   bool // the last plan only freed capacity; the next one grants even if it can free more
 }
 
-// NewAllocator returns the allocator of a server that starts now. It stays silent for a time: StartupSilence of the
-// longest lifetime that was ever configured, or 0 if the caller keeps that silence itself.
+// NewAllocator returns the allocator of a server that starts at now. silence is how long the server must not take part
+// (see Silent): the StartupSilence of the longest lifetime that was ever configured, or 0 if the caller ensures that
+// silence itself.
 func NewAllocator(now, silence time.Duration, state *StateMachine) *Allocator {
 	a := &Allocator{state: state, silentUntil: now + silence, requesters: map[HolderID]*requester{}}
 	if state.mutations.NoStartupSilence {
@@ -39,26 +42,28 @@
 	return a
 }
 
-// Silent reports whether the server must not take part yet: neither vote, nor confirm entries, nor lead.
+// Silent reports whether the startup silence lasts: until then the server must not vote, confirm entries or lead.
 func (a *Allocator) Silent(now time.Duration) bool { return now < a.silentUntil }
 
-// RestartTimers counts all that the state machine has outstanding from now on, in full. It is called after
-// StateMachine.Restore.
+// RestartTimers restarts the timers of all that the state machine counts as outstanding, with their full durations. The
+// caller must call it after StateMachine.Restore.
 func (a *Allocator) RestartTimers(now time.Duration) {
 	a.timers = nil
 	a.due = nil
 	a.ObserveApplied(now, ApplyResult{Started: a.state.PendingExpiries()})
 }
 
-// ObserveApplied begins the timers of a command that was applied now. It is called after each StateMachine.Apply.
+// ObserveApplied starts the timers of a command that was applied at now. The caller must call it after each
+// StateMachine.Apply.
 func (a *Allocator) ObserveApplied(now time.Duration, result ApplyResult) {
 	for _, expiry := range result.Started {
 		a.startExpiry(now, expiry)
 	}
 }
 
-// HandleRequest takes a request for the next plan. It returns NotBootstrappedError, FleetMismatchError or
-// StaleEpochError if the servers must not answer it. A request that is older than the last one of its process is dropped without an error.
+// HandleRequest stores a request for the next plan. It returns NotBootstrappedError, FleetMismatchError or
+// StaleEpochError if the servers must not answer it. It ignores, without an error, a request that is not newer than the
+// last one of its process.
 func (a *Allocator) HandleRequest(now time.Duration, request Request) error {
 	state := a.state
 	switch {
@@ -80,7 +85,7 @@
 	return nil
 }
 
-// HasWork reports whether a plan may have commands.
+// HasWork reports whether Plan may return commands: an expiry or a request is pending.
 func (a *Allocator) HasWork(now time.Duration) bool {
 	if len(a.due) > 0 || a.timerDue(now) {
 		return true
@@ -93,9 +98,10 @@
 	return false
 }
 
-// Plan returns what the leader proposes now: first what frees room (acknowledgements and expiries), then, in the
-// next plan, leases for those who requested. What is not committed is proposed again: expiries in the next plan,
-// the rest when the holder requests again.
+// Plan returns the commands that the leader must propose at now. A plan that frees capacity (acknowledgements and
+// expiries) comes first; the next plan grants leases for the pending requests. Plan repeats commands that were not
+// committed: expiries in the next plan, the others once the holder sends its next request. It returns nil during the
+// startup silence and before the fleet is bootstrapped.
 func (a *Allocator) Plan(now time.Duration) []Command {
 	if a.Silent(now) || a.state.epoch == 0 {
 		return nil
@@ -117,19 +123,20 @@
 	return append(commands, a.grantCommands(now, pending)...)
 }
 
-// forgetSilent forgets processes that have sent no request for the longest lifetime.
+// forgetSilent removes processes that have sent no request for the longest lifetime.
 func (a *Allocator) forgetSilent(now time.Duration) {
 	maps.DeleteFunc(a.requesters, func(_ HolderID, from *requester) bool {
 		return now-from.heardAt > a.state.maxLifetime
 	})
 }
 
-// dropSettledExpiries drops the due expiries that the state machine no longer counts.
+// dropSettledExpiries removes the expiries that the state machine no longer counts as outstanding.
 func (a *Allocator) dropSettledExpiries() {
 	a.due = slices.DeleteFunc(a.due, func(expiry Expiry) bool { return !a.state.isPending(expiry) })
 }
 
-// ackCommands returns what a request says and the state machine does not know.
+// ackCommands returns the commands for the acknowledgements and configuration versions of a request that would change
+// the state machine.
 func (a *Allocator) ackCommands(from *requester) []Command {
 	var commands []Command
 	state := a.state
@@ -153,7 +160,7 @@
 	return commands
 }
 
-// adoptsFloors reports whether a request frees a floor that was lowered.
+// adoptsFloors reports whether a request adopts a configuration version with which an older, larger floor is freed.
 func (a *Allocator) adoptsFloors(from *requester) bool {
 	for _, ledger := range a.state.ledgers {
 		if floors := ledger.floors[from.Holder]; len(floors) > 1 && floors[1].ConfigVersion <= from.FloorsVersion {
@@ -163,11 +170,11 @@
 	return false
 }
 
-// changesState reports whether what a request says of one quota would change the state.
+// changesState reports whether the acknowledgement of one quota in a request would change the state machine.
 func (a *Allocator) changesState(from *requester, one *QuotaRequest) bool {
 	state := a.state
 	if one.Token.Epoch == state.epoch && one.Token.Index > state.appliedIndex+state.tokenOffset {
-		return true // a token that this log never gave: new ones must go above it
+		return true // this log never issued the token, so later tokens must be above it
 	}
 	entry := state.entryOf(one.Quota, from.HolderID)
 	if entry == nil || from.Seq <= entry.LastAck {
@@ -185,7 +192,7 @@
 	return false
 }
 
-// Clone returns a copy beside a copy of its state machine, for model checking.
+// Clone returns a copy that uses state, a copy of its state machine. It is for model checking.
 func (a *Allocator) Clone(state *StateMachine) *Allocator {
 	copied := *a
 	copied.state = state
--- a/internal/quotalease/amount.go
+++ b/internal/quotalease/amount.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Amount is a number of units in millionths. Sums of amounts are exact, so all servers compute the same result.
+// Amount is a number of units, stored in millionths. Sums are exact integers, so all servers compute the same result.
 type Amount int64
 
-// Unit is one unit: one attempt of a rate, or one unit in flight.
+// Unit is the Amount of one unit: one attempt under a Rate, or one unit in flight under InFlight.
 const Unit Amount = 1e6
 
-// maxAmount bounds an amount so that sums of many cannot overflow.
+// maxAmount is the upper bound of FromUnits. It leaves room for sums within an int64.
 const maxAmount = 1e18
 
-// FromUnits converts units to an amount, rounding down. NaN and numbers below 0 give 0.
+// FromUnits converts units to an Amount and rounds down. It returns 0 for NaN and for negative numbers.
 func FromUnits(units float64) Amount {
 	if !(units > 0) {
 		return 0
@@ -28,13 +28,13 @@
 // roundUp rounds up to whole units.
 func (a Amount) roundUp() Amount { return (a + Unit - 1).roundDown() }
 
-// usage is an amount together with its burst.
+// usage is an amount together with the size of its token bucket.
 type usage struct {
 	amount Amount
 	burst  Amount
 }
 
-// atLeast raises each of both values to that of other.
+// atLeast returns the larger amount and the larger burst of u and other.
 func (u usage) atLeast(other usage) usage {
 	return usage{amount: max(u.amount, other.amount), burst: max(u.burst, other.burst)}
 }
--- a/internal/quotalease/command.go
+++ b/internal/quotalease/command.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Command is an entry of the replicated log, as JSON: exactly one field is set. The names of the fields in the log
-// differ from those here (see the tags), because the log outlives a release.
+// Command is an entry of the replicated log, stored as JSON. Exactly one field is set. The tags keep the field names of
+// logs that earlier releases wrote.
 type Command struct {
 	Bootstrap     *Bootstrap     `json:"Found,omitempty"`
 	SetQuotas     *SetQuotas     `json:"SetBudgets,omitempty"`
@@ -14,13 +14,14 @@
 	ObserveConfig *ObserveConfig `json:"Know,omitempty"`
 	GrantBatch    *GrantBatch    `json:"Grants,omitempty"`
 	AckBatch      *AckBatch      `json:"Words,omitempty"`
-	// Batch is applied in order; each command is accepted or rejected by itself.
+	// Batch is applied in order; each command is accepted or rejected on its own.
 	Batch []Command `json:"Batch,omitempty"`
 }
 
-// Bootstrap is an operator's command: from now on this log is the fleet's, under an epoch above all earlier ones.
-// No lease is granted and no configuration is set until MaxLifetime has passed. MaxLifetime and MaxDrift must be at
-// least those of the bootstrap before.
+// Bootstrap is an operator's command that starts a new epoch of the fleet with this log. Epoch must be above all
+// earlier ones. The state machine grants no lease and accepts no configuration until MaxLifetime has passed, because
+// leases of an earlier epoch may still be in use. MaxLifetime and MaxDrift must be at least those of the previous
+// bootstrap.
 type Bootstrap struct {
 	FleetID     string        `json:"Fleet"`
 	Epoch       uint64        `json:"Epoch"`
@@ -28,17 +29,18 @@
 	MaxLifetime time.Duration `json:"Longest"`
 }
 
-// SetQuotas is a new configuration, under a version above all earlier ones. A lower limit holds once the last lease
-// under the version before has expired. A floor that is lowered stays counted until its holder says that it has
-// adopted the new version.
+// SetQuotas sets a new configuration. Version must be above all earlier ones. A lower limit takes full effect once the
+// last lease of the previous version has expired. A lowered floor stays counted at its old size until its holder
+// reports that it has adopted the new version.
 type SetQuotas struct {
 	Version uint64      `json:"Version"`
 	Config  FleetConfig `json:"Fleet"`
-	// RemovedHolders are holders whose floors, as an operator vouches, nobody will spend again.
+	// RemovedHolders are the names of holders whose floors no process will use again, as confirmed by an operator.
+	// These floors are freed at once.
 	RemovedHolders []string `json:"Gone,omitempty"`
 }
 
-// Lease is a part of a quota for one process, for a length of time.
+// Lease grants a part of a quota to one process for a limited time.
 type Lease struct {
 	FleetID string `json:"Fleet"`
 	Epoch   uint64 `json:"Epoch"`
@@ -49,10 +51,11 @@
 	Amount Amount `json:"Amount"`
 	// Burst is the size of the token bucket; 0 for InFlight.
 	Burst Amount `json:"Burst"`
-	// Duration is counted by the holder from when it sent the request that the lease answers.
+	// Duration is how long the lease lasts. The holder counts it from when it sent request RequestSeq.
 	Duration    time.Duration `json:"Lease"`
 	MaxHoldTime time.Duration `json:"Life"`
-	// RequestSeq is the number of the request that the lease answers. It was sent before the lease was committed.
+	// RequestSeq is the number of the request that the lease answers. The holder sent it before the lease was
+	// committed.
 	RequestSeq uint64 `json:"Ask"`
 	// ConfigVersion is set by the state machine.
 	ConfigVersion uint64 `json:"Version"`
@@ -60,7 +63,7 @@
 	Token Token `json:"Token"`
 }
 
-// tokenOrZero returns the token of a lease, the zero token of none.
+// tokenOrZero returns the token of the lease, or the zero token if l is nil.
 func (l *Lease) tokenOrZero() Token {
 	if l == nil {
 		return Token{}
@@ -68,15 +71,15 @@
 	return l.Token
 }
 
-// Expire says that something has certainly expired by a server's clock: a lease, a residual of units in flight, or the
-// waiting time after a bootstrap.
+// Expire reports that, by a server's clock, a lease, a residual of units in flight or the waiting time after a
+// bootstrap has expired for certain. Token identifies which.
 type Expire struct {
 	HolderID
 	Quota string `json:"Budget"`
 	Token Token  `json:"Token"`
 }
 
-// Ack says that a holder uses the lease of Token, will never use an older one, and had InFlight units in flight
+// Ack reports that a holder uses the lease of Token, will never use an older one, and had InFlight units in flight
 // when it sent request RequestSeq.
 type Ack struct {
 	Epoch uint64 `json:"Epoch"`
@@ -87,16 +90,16 @@
 	InFlight   Amount `json:"Held"`
 }
 
-// Release says that a holder will never again use the lease of Token or an older one, and had InFlight units in
-// flight when it sent request RequestSeq. With All it will use no lease of this quota at all.
+// Release reports that a holder will never again use the lease of Token or an older one, and had InFlight units in
+// flight when it sent request RequestSeq. If All is set, the holder will not use any lease of this quota again.
 type Release struct {
 	Ack
 	All bool `json:"All"`
 }
 
 // GrantBatch grants leases of many quotas to one process, in answer to one request, each with the quota's lease
-// duration. They are accepted or rejected one by one. An Allocator proposes this form, because it is shorter than a
-// Lease for each.
+// duration. Each grant is accepted or rejected on its own. An Allocator proposes this form because it takes less space
+// in the log than one Lease per quota.
 type GrantBatch struct {
 	FleetID string `json:"Fleet"`
 	Epoch   uint64 `json:"Epoch"`
@@ -105,15 +108,15 @@
 	Grants     []QuotaGrant `json:"Parts"`
 }
 
-// QuotaGrant is one lease of a GrantBatch.
+// QuotaGrant is the lease of one quota in a GrantBatch.
 type QuotaGrant struct {
 	Quota  string `json:"b"`
 	Amount Amount `json:"a"`
 	Burst  Amount `json:"u,omitempty"`
 }
 
-// AckBatch acknowledges many quotas of one process in answer to one request: each as an Ack, or as a Release where
-// Ended or All is set.
+// AckBatch acknowledges the leases of many quotas of one process, as reported by one request. Each quota is treated as
+// an Ack, or as a Release where Ended or All is set.
 type AckBatch struct {
 	Epoch uint64 `json:"Epoch"`
 	HolderID
@@ -122,7 +125,7 @@
 	Acks       []QuotaAck `json:"Parts"`
 }
 
-// QuotaAck is one acknowledgement of an AckBatch.
+// QuotaAck is the acknowledgement of one quota in an AckBatch.
 type QuotaAck struct {
 	Quota    string `json:"b"`
 	Token    Token  `json:"t"`
@@ -130,18 +133,19 @@
 	Ended    bool   `json:"e,omitempty"`
 }
 
-// ObserveConfig says which configurations a process knows.
+// ObserveConfig reports which configuration versions a process has received.
 type ObserveConfig struct {
 	HolderID
-	// SeenVersion is the newest configuration version that the process saw.
+	// SeenVersion is the newest configuration version that the process has received.
 	SeenVersion uint64 `json:"Seen"`
-	// FloorsVersion is the version whose floors it has adopted; 0 without the claim to the floors of its name.
+	// FloorsVersion is the version whose floors the process has adopted; 0 if it has no claim to the floors of its
+	// name.
 	FloorsVersion uint64 `json:"Floors"`
 }
 
-// Expiry is something that stays counted until it has expired: the waiting time after a bootstrap (Quota is empty),
-// a lease, or a residual of units in flight. Each server counts Duration, with DriftMargin, from when it applied
-// the command.
+// Expiry is something that the state machine counts until it expires: the waiting time after a bootstrap (Quota is
+// empty), a lease, or a residual of units in flight. Each server starts a timer of Duration, extended by DriftMargin,
+// when it applies the command.
 type Expiry struct {
 	HolderID
 	Quota    string
@@ -149,12 +153,12 @@
 	Duration time.Duration
 }
 
-// ApplyResult is what a command did.
+// ApplyResult is the result of a log entry.
 type ApplyResult struct {
 	// Token is the fencing token of the log entry.
 	Token Token
-	// Started are the expiries that the command began. The caller passes them to Allocator.ObserveApplied.
+	// Started are the expiries for which timers must start. The caller passes the result to Allocator.ObserveApplied.
 	Started []Expiry
-	// Rejected are the reasons for each rejected part of a Batch, a GrantBatch or an AckBatch.
+	// Rejected has an error for each rejected part of a Batch, a GrantBatch or an AckBatch.
 	Rejected []error
 }
--- a/internal/quotalease/divide.go
+++ b/internal/quotalease/divide.go
@@ -6,28 +6,30 @@
 	"slices"
 )
 
-// hysteresis is the part of its due by which a holder's amount may differ before it is moved. Measured demand
-// varies by a few percent, and each move costs an empty token bucket at the other end.
+// hysteresis is the fraction of its allocation by which a holder's current amount may differ without being changed.
+// Measured demand varies by a few percent, and units that move to another holder arrive there with an empty token
+// bucket.
 const hysteresis = .1
 
-// roundingSlack is in millionths of a unit: a floating-point error must not cost a whole unit.
+// roundingSlack, in millionths of a unit, is added before rounding down, so that a floating-point error does not cost a
+// whole unit.
 const roundingSlack = 1e-3
 
-// Demand is what one process demands of a quota, and what it has now.
+// Demand is what one process requests of a quota and what it has leased.
 type Demand struct {
 	HolderID
-	// Wanted is units a second, or units in flight.
+	// Wanted is the requested units a second, or units in flight.
 	Wanted Amount
-	// Current is the amount of its newest lease; 0 is none.
+	// Current is the amount of its newest lease, 0 if it has none.
 	Current Amount
 }
 
-// Divide returns how much each process should have, in the order of the demands. It is weighted max-min fairness
-// over what each demands (progressive filling; Bertsekas and Gallager, Data Networks, 6.5.2): minimums first,
-// nobody above its cap or its demand; what is idle goes to those who demand it. Floors come off the limit first.
-// Who is within hysteresis of its due keeps what it has, as far as that fits; the sum does not fall by that. The
-// outcome does not depend on the order of the demands. The amounts never sum to more than the limit less all
-// floors.
+// Divide returns how much of a quota each process should have, in the order of the demands. It computes weighted
+// max-min fairness (progressive filling; Bertsekas and Gallager, Data Networks, 6.5.2) over the limit minus all
+// floors: minimums are served first, no process gets more than its cap or its demand, and units that a process does
+// not demand go to others. A process whose current amount is within hysteresis of its allocation keeps that amount as
+// far as it fits; this does not lower the sum. The result does not depend on the order of the demands. The amounts
+// never sum to more than the limit minus all floors.
 func Divide(quota *Quota, demands []Demand) []Amount {
 	amounts := make([]Amount, len(demands))
 	total := quota.unreserved()
@@ -46,28 +48,30 @@
 	return amounts
 }
 
-// division is one run of Divide. Its slices are in the order of the holders; all amounts are in millionths of a unit.
+// division is the working state of one call of Divide. Its slices are sorted by holder; all amounts are in millionths
+// of a unit.
 type division struct {
 	kind    Kind
-	total   float64
+	total   float64 // the limit minus all floors
 	demands []Demand
-	order   []int // the index in demands and in the outcome
+	order   []int // for each position in the slices below, the index in demands and in the result
 
 	weight  []float64
-	low     []float64 // the minimum, no more than is demanded
-	high    []float64 // what is demanded, no more than the cap
-	due     []float64 // what the holder should have
-	ceiling []float64 // the cap, or the total without one
+	low     []float64 // the minimum, at most the demand
+	high    []float64 // the demand, at most the cap
+	due     []float64 // the amount that the holder should have
+	ceiling []float64 // the cap, or total if there is no cap
 	sumLow  float64
 	sumHigh float64
 }
 
 func newDivision(quota *Quota, demands []Demand, total float64) *division {
 	n := len(demands)
-	values := make([]float64, 5*n) // one allocation for all
+	values := make([]float64, 5*n) // one memory allocation for all slices
 	d := &division{
 		kind: quota.Kind, total: total, demands: demands, order: make([]int, n),
-		weight: values[:n], low: values[n : 2*n], high: values[2*n : 3*n], due: values[3*n : 4*n], ceiling: values[4*n:],
+		weight: values[:n], low: values[n : 2*n], high: values[2*n : 3*n], due: values[3*n : 4*n],
+		ceiling: values[4*n:],
 	}
 	for i := range d.order {
 		d.order[i] = i
@@ -88,8 +92,8 @@
 	return d
 }
 
-// scaleMinimums makes minimums fit whose sum is above the total: two processes of one name may both demand its
-// minimum.
+// scaleMinimums scales the minimums down if their sum is above the total. That happens when two processes with the same
+// holder's name both demand its minimum.
 func (d *division) scaleMinimums() {
 	if d.sumLow <= d.total {
 		return
@@ -99,14 +103,14 @@
 	}
 }
 
-// levelTurn is a level from which on the growth of the sum per level changes by slope.
+// levelTurn is a level at which the slope of the sum of all allocations over the level changes by slope.
 type levelTurn struct {
 	level float64
 	slope float64
 }
 
-// fillLevel raises one level for all until the total is used: each gets level times weight, at least its low and at
-// most its high.
+// fillLevel finds the common level at which the total is used up. Each holder gets the level times its weight, but at
+// least its minimum and at most its demand.
 func (d *division) fillLevel() {
 	turns := make([]levelTurn, 0, 2*len(d.due))
 	sum := 0.0
@@ -136,8 +140,8 @@
 	}
 }
 
-// excess returns by how much what a process has now exceeds its due, below 0 if it has less; 0 if the difference is
-// outside the hysteresis.
+// excess returns the current amount of a process minus its allocation, or 0 if the difference is outside the
+// hysteresis. It is negative if the process has less than its allocation.
 func (d *division) excess(at int) float64 {
 	current := min(float64(d.demands[d.order[at]].Current), d.ceiling[at])
 	if current <= 0 || math.Abs(current-d.due[at]) > hysteresis*d.due[at] {
@@ -146,8 +150,9 @@
 	return max(current, d.low[at]) - d.due[at]
 }
 
-// applyHysteresis lets those near their due keep what they have. What some keep above their due comes from what is
-// spare, and from others who have a little less than their due and stay there, so the sum does not fall.
+// applyHysteresis lets holders whose current amount is near their allocation keep that amount. What some keep above
+// their allocation comes from unallocated units, and from holders that stay slightly below their allocation, so the sum
+// does not fall.
 func (d *division) applyHysteresis() {
 	sum := 0.0
 	above := 0.0
@@ -175,8 +180,8 @@
 	}
 }
 
-// roundAmounts brings what is due to whole millionths, or to whole units for units in flight; there what is left
-// over goes to those with the largest remainder, by name among equals.
+// roundAmounts rounds the allocations down to whole millionths, or to whole units for units in flight. Units in flight
+// that rounding leaves over go to the holders with the largest remainders, in the order of the holders among equals.
 func (d *division) roundAmounts(amounts []Amount) {
 	left := Amount(d.total)
 	if d.kind == InFlight {
@@ -205,11 +210,12 @@
 	}
 }
 
-// burstRounding keeps the bursts in proportion from summing to more than there is, by a floating-point error.
+// burstRounding is a factor slightly below 1, so that floating-point errors cannot make the bursts sum to more than the
+// burst of the quota.
 const burstRounding = 1 - 1e-12
 
-// divideBurst divides the burst that floors leave: one unit for each that gets anything, as far as they go, and the
-// rest in proportion to the amounts.
+// divideBurst divides the burst of a quota minus the bursts of its floors: one unit for each holder with an amount
+// above 0 (less if they do not suffice), and the rest in proportion to the amounts.
 func divideBurst(quota *Quota, amounts []Amount) []Amount {
 	bursts := make([]Amount, len(amounts))
 	if quota.Kind != Rate {
--- a/internal/quotalease/errors.go
+++ b/internal/quotalease/errors.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// The errors of this package have types of their own, which errors.As finds. Their texts and codes are for
-// operators and for other releases and use the words of the operators' pages: budget for quota, grant for lease,
-// whole for limit, steward for control-plane server, work in hand for units in flight.
+// Each error of this package has its own type, for errors.As. The texts and codes are read by operators and by other
+// releases, and use the terms of the operators' documentation: budget for quota, grant for lease, whole for limit,
+// steward for control-plane server, work in hand for units in flight.
 
-// NotBootstrappedError is returned for everything before an operator has bootstrapped the fleet.
+// NotBootstrappedError is returned for every command and request until an operator has bootstrapped the fleet.
 type NotBootstrappedError struct{}
 
 // Error implements error.
@@ -24,10 +24,10 @@
 		"store went first."
 }
 
-// LeaseExpiredError is returned for a quota whose lease has expired, and for a lease that arrives after its end.
+// LeaseExpiredError is returned for a quota whose lease has expired, and for a lease that arrives after it expired.
 type LeaseExpiredError struct {
 	Quota string
-	Ago   time.Duration // since its end, by the holder's clock; 0 if it is not known
+	Ago   time.Duration // time since the lease expired, by the holder's clock; 0 if it is not known
 }
 
 // Error implements error.
@@ -46,7 +46,7 @@
 	return "Look at the way from this proxy to the stewards: replies are lost or take longer than a lease."
 }
 
-// NoLeaseError is returned for a quota that a holder has no lease of.
+// NoLeaseError is returned for a quota for which the holder has never had a lease.
 type NoLeaseError struct{ Quota string }
 
 // Error implements error.
@@ -61,7 +61,8 @@
 		"burst is at least the number of proxies."
 }
 
-// ExhaustedError is returned when a lease has nothing left at the moment. It is no fault.
+// ExhaustedError is returned when all units of a lease or floor are in use or spent at the moment. It is expected under
+// load and does not indicate a fault.
 type ExhaustedError struct{ Quota string }
 
 // Error implements error.
@@ -77,8 +78,7 @@
 	return "Nothing, if the whole is meant to be the limit; else raise the budget."
 }
 
-// LimitExceededError is returned for a command after which the fleet could spend more than a quota's limit, or its
-// burst.
+// LimitExceededError is returned for a command that would let the fleet spend more than a quota's limit or burst.
 type LimitExceededError struct {
 	Quota string
 	// Dimension is "whole" for the limit, or "burst".
@@ -103,7 +103,7 @@
 		"lease, then set both."
 }
 
-// FleetMismatchError is returned for a command or a message of another fleet.
+// FleetMismatchError is returned for a command or message of a different fleet.
 type FleetMismatchError struct{ Ours, Theirs string }
 
 // Error implements error.
@@ -119,7 +119,7 @@
 	return "Correct the addresses of the stewards in the fleet's file."
 }
 
-// HolderMismatchError is returned for a reply or a lease of another process.
+// HolderMismatchError is returned for a reply or lease that is addressed to a different process.
 type HolderMismatchError struct{ Ours, Theirs HolderID }
 
 // Error implements error.
@@ -136,7 +136,7 @@
 	return "Once after a restart it is no fault; else see that no two proxies have one name."
 }
 
-// StaleTokenError is returned for a fencing token or a request that a newer one has replaced.
+// StaleTokenError is returned for a fencing token or a request that is older than the last one.
 type StaleTokenError struct {
 	Holder, Quota string
 	Got, Have     Token
@@ -156,7 +156,8 @@
 		"steward with an older store."
 }
 
-// StaleEpochError is returned for a command or a message of an earlier bootstrap.
+// StaleEpochError is returned for a command or message of an earlier epoch, and by a server whose own epoch is older
+// than that of the sender.
 type StaleEpochError struct{ Got, Have uint64 }
 
 // Error implements error.
@@ -172,8 +173,8 @@
 	return "A steward of an earlier founding still runs or came back: stop it for good."
 }
 
-// StaleConfigError is returned for a configuration that is not newer than the last, and by a state machine that has
-// heard of a newer configuration than its own: its store is an older copy.
+// StaleConfigError is returned for a configuration that is not newer than the last one. It is also returned while a
+// holder has reported a newer configuration than the state machine has, because then the store is an older copy.
 type StaleConfigError struct{ Have, Seen uint64 }
 
 // Error implements error.
@@ -206,7 +207,7 @@
 	return "Wait; nothing can shorten it, for grants of the time before may still be spent."
 }
 
-// UnknownQuotaError is returned for a quota that the fleet does not have.
+// UnknownQuotaError is returned for a quota that is not configured.
 type UnknownQuotaError struct{ Quota string }
 
 // Error implements error.
@@ -220,7 +221,7 @@
 	return "Name one of the budgets in the fleet's file, or add it."
 }
 
-// FloorClaimedError is returned when another process of the machine has the claim to the floors of a name.
+// FloorClaimedError is returned when another process on the machine has the claim to the floors of a holder's name.
 type FloorClaimedError struct{ Holder string }
 
 // Error implements error.
@@ -236,7 +237,7 @@
 	return "During an upgrade it passes; else stop the second process of that name or give it a name of its own."
 }
 
-// InvalidCommandError is returned for a command or a call that cannot be carried out as it is.
+// InvalidCommandError is returned for a command or call with invalid arguments.
 type InvalidCommandError struct{ Reason string }
 
 // Error implements error.
@@ -251,6 +252,7 @@
 		"these: make them one release."
 }
 
+// invalidCommand returns an InvalidCommandError with a formatted reason.
 func invalidCommand(format string, args ...any) InvalidCommandError {
 	return InvalidCommandError{Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/quotalease/expiry.go
+++ b/internal/quotalease/expiry.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// expiryTimer is when something has certainly expired, by the server's clock.
+// expiryTimer is an Expiry and the time, by the server's clock, at which it has expired for certain.
 type expiryTimer struct {
 	at time.Duration
 	Expiry
 }
 
-// timerHeap is a heap of timers, the first to end on top.
+// timerHeap is a min-heap of timers by the time at which they end.
 type timerHeap []expiryTimer
 
 // Len implements heap.Interface.
@@ -33,7 +33,7 @@
 	return last
 }
 
-// startExpiry begins the timer of an expiry.
+// startExpiry starts the timer of an expiry, with the margin for clock drift.
 func (a *Allocator) startExpiry(now time.Duration, expiry Expiry) {
 	duration := withDriftMargin(expiry.Duration, a.state.maxDrift)
 	if a.state.mutations.NoDriftMargin {
@@ -42,13 +42,13 @@
 	heap.Push(&a.timers, expiryTimer{at: now + duration, Expiry: expiry})
 }
 
-// timerDue reports whether a timer has ended.
+// timerDue reports whether at least one timer has ended.
 func (a *Allocator) timerDue(now time.Duration) bool {
 	return len(a.timers) > 0 && a.timers[0].at <= now
 }
 
-// NextExpiry returns when the next timer ends, for the caller's own timer: 0 if an expiry waits for its command to be
-// committed, false if nothing is counted.
+// NextExpiry returns the time at which the caller should call Plan for the next expiry, by the server's clock. The time
+// is 0 if an Expire command is still to be committed. The result is false if no timer runs.
 func (a *Allocator) NextExpiry() (time.Duration, bool) {
 	if len(a.due) > 0 {
 		return 0, true
@@ -59,7 +59,7 @@
 	return a.timers[0].at, true
 }
 
-// expireCommands returns a command for all that has expired and is still counted by the state machine.
+// expireCommands returns an Expire command for each expiry that has ended and that the state machine still counts.
 func (a *Allocator) expireCommands(now time.Duration) []Command {
 	for a.timerDue(now) {
 		a.due = append(a.due, heap.Pop(&a.timers).(expiryTimer).Expiry)
--- a/internal/quotalease/fence.go
+++ b/internal/quotalease/fence.go
@@ -5,19 +5,19 @@
 	"container/heap"
 )
 
-// Fence is for a server that receives attempts with fencing tokens. It remembers the highest token of each holder
-// and quota. An attempt with an older one was admitted by a process that was stopped meanwhile, or that another one
-// has replaced; the server rejects it as not processed. (Fencing tokens: Kleppmann, "How to do distributed
-// locking", 2016.)
+// Fence checks the fencing tokens of attempts in a server that receives them. It stores the highest token of each
+// holder and quota, and rejects an attempt with a lower one: the process that admitted it was paused in the meantime,
+// or was replaced by another process. The server reports such an attempt as not processed. (Fencing tokens: Kleppmann,
+// "How to do distributed locking", 2016.)
 //
-// Its memory is bounded: beyond the capacity it forgets the lowest token, and rejects whoever it does not know with
-// a token no higher. So it never admits one too many, and a holder that was forgotten passes again with its next
-// lease.
+// Its memory is bounded: at capacity it evicts the entry with the lowest token. For a holder and quota without an entry
+// it rejects every token that is not above the highest evicted one. So it never admits a stale attempt, and an evicted
+// holder is admitted again with its next lease.
 type Fence struct {
 	capacity  int
 	entries   map[fenceKey]*fenceEntry
 	byToken   fenceHeap
-	forgotten Token // the highest of those forgotten
+	forgotten Token // the highest token that was evicted
 }
 
 type fenceKey struct {
@@ -28,10 +28,10 @@
 type fenceEntry struct {
 	fenceKey
 	highest   Token
-	heapIndex int
+	heapIndex int // the position in Fence.byToken
 }
 
-// fenceHeap is a heap of entries, the lowest token on top.
+// fenceHeap is a min-heap of entries by token.
 type fenceHeap []*fenceEntry
 
 // Len implements heap.Interface.
@@ -63,12 +63,13 @@
 	return last
 }
 
-// NewFence returns a fence that remembers up to capacity pairs of holder and quota, at least one.
+// NewFence returns a fence that stores the tokens of up to capacity pairs of holder and quota, at least one pair.
 func NewFence(capacity int) *Fence {
 	return &Fence{capacity: max(1, capacity), entries: map[fenceKey]*fenceEntry{}}
 }
 
-// Admit admits an attempt, or returns StaleTokenError. The zero token, of a floor, is always admitted.
+// Admit returns nil if the attempt is admitted, or StaleTokenError. The zero token marks units of a floor and is always
+// admitted.
 func (f *Fence) Admit(holder, quota string, token Token) error {
 	if token == (Token{}) {
 		return nil
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// remember adds an entry, and forgets the one with the lowest token if there is no room.
+// remember adds an entry. At capacity it first evicts the entry with the lowest token.
 func (f *Fence) remember(key fenceKey, token Token) {
 	if len(f.entries) >= f.capacity {
 		lowest := heap.Pop(&f.byToken).(*fenceEntry)
--- a/internal/quotalease/fingerprint.go
+++ b/internal/quotalease/fingerprint.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// fingerprint collects all that decides what a value does next, for model checking: equal fingerprints, equal futures.
+// fingerprint encodes the state of a value that decides its future behavior, for model checking: values with equal
+// fingerprints behave alike.
 type fingerprint []byte
 
 func (f *fingerprint) numbers(values ...int64) {
@@ -28,13 +29,14 @@
 	}
 }
 
-// AppendState appends all that decides what the allocator does next, beside its state machine.
+// AppendState appends an encoding of the state that decides the future behavior of the allocator, without its state
+// machine. It is for model checking.
 func (a *Allocator) AppendState(out []byte) []byte {
 	state := fingerprint(out)
 	state.numbers(int64(a.silentUntil))
 	state.flag(a.onlyFreed)
 	state.numbers(int64(len(a.timers)), int64(len(a.due)))
-	timers := slices.Clone(a.timers) // the order of a heap depends on its past
+	timers := slices.Clone(a.timers) // the slice order of a heap depends on the order of insertions
 	slices.SortFunc(timers, func(x, y expiryTimer) int {
 		return cmp.Or(cmp.Compare(x.at, y.at), x.Token.Compare(y.Token), x.Compare(y.HolderID),
 			cmp.Compare(x.Quota, y.Quota))
@@ -54,7 +56,8 @@
 	return state
 }
 
-// AppendState appends all that decides what the holder does next.
+// AppendState appends an encoding of the state that decides the future behavior of the holder. It is for model
+// checking.
 func (h *Holder) AppendState(out []byte) []byte {
 	state := fingerprint(out)
 	state.numbers(int64(h.settings.Incarnation), int64(h.epoch), int64(h.configVersion), int64(h.adoptedFloors),
--- a/internal/quotalease/grant.go
+++ b/internal/quotalease/grant.go
@@ -1,6 +1,6 @@
 package quotalease
 
-// grant counts a lease as outstanding and begins its expiry, or rejects it.
+// grant counts a lease as outstanding and adds its expiry to result, or rejects it with an error.
 func (m *StateMachine) grant(lease Lease, result *ApplyResult) error {
 	quota := m.config.Quota(lease.Quota)
 	if err := m.checkGrant(&lease, quota); err != nil {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// checkGrant rejects a lease that does not fit the fleet, the epoch or the quota. quota is nil if it is not
+// checkGrant rejects a lease that does not match the fleet, the epoch or the quota. quota is nil if it is not
 // configured.
 func (m *StateMachine) checkGrant(lease *Lease, quota *Quota) error {
 	switch {
@@ -46,7 +46,7 @@
 	case quota == nil:
 		return UnknownQuotaError{Quota: lease.Quota}
 	case !quota.fits(lease):
-		return invalidCommand("a grant of %s for %q is not of this budget's kind, lease or life",
+		return invalidCommand("the grant of %s for %q does not match this budget's kind, lease or life",
 			lease.Quota, lease.Holder)
 	case lease.Amount < 0 || lease.Burst < 0:
 		return invalidAmounts(lease)
@@ -56,19 +56,21 @@
 	return nil
 }
 
-// fits reports whether a lease has the quota's kind and durations, and names a holder.
+// fits reports whether a lease has the quota's kind and hold time, at most its lease duration, and a holder's name.
 func (q *Quota) fits(lease *Lease) bool {
 	return lease.Kind == q.Kind && lease.Duration > 0 && lease.Duration <= q.LeaseDuration &&
 		lease.MaxHoldTime == q.MaxHoldTime && lease.Holder != ""
 }
 
+// invalidAmounts returns the error for an amount or burst that the kind of quota does not allow.
 func invalidAmounts(lease *Lease) error {
-	return invalidCommand("amount %d, burst %d", lease.Amount, lease.Burst)
+	return invalidCommand("a grant of %s has an invalid amount (%d) or burst (%d), in millionths of a unit",
+		lease.Quota, lease.Amount, lease.Burst)
 }
 
-// checkLimit rejects a lease after which more would be outstanding than the quota allows. After a limit was
-// lowered, more than the limit may be outstanding: then the total must not grow, and what was granted under the
-// current configuration must fit by itself. So the lower limit holds once the last older lease has expired.
+// checkLimit rejects a lease with which more would be outstanding than the quota allows. After the limit was lowered,
+// more than the limit may be outstanding: then the total must not grow, and the leases of the current configuration
+// alone must fit the limit. So the lower limit takes full effect once the last older lease has expired.
 func (m *StateMachine) checkLimit(quota *Quota, ledger *quotaLedger, entry *holderEntry, lease Lease) error {
 	granted := usage{amount: lease.Amount, burst: lease.Burst}
 	total, current := m.sumsWith(ledger, entry, granted)
@@ -86,7 +88,7 @@
 	return nil
 }
 
-// sumsWith returns the ledger's total and current sums as they would be with one more lease of an entry.
+// sumsWith returns the ledger's total and current sums as they would be with an additional lease of granted for entry.
 func (m *StateMachine) sumsWith(ledger *quotaLedger, entry *holderEntry, granted usage) (total, current usage) {
 	before := entry.maxUsage(m.mutations)
 	currentBefore := entry.usageSince(m.configVersion, m.mutations)
@@ -105,14 +107,15 @@
 	return total, current
 }
 
-// unreservedUsage returns limit and burst less all floors that are counted.
+// unreservedUsage returns the limit and the burst minus all floors that are counted.
 func (q *Quota) unreservedUsage(ledger *quotaLedger) usage {
 	limit := usage{amount: FromUnits(q.Limit), burst: FromUnits(q.Burst)}
 	limit.sub(ledger.reserved)
 	return limit
 }
 
-// grantBatch grants each part of a batch with the quota's kind and durations.
+// grantBatch grants each lease of a batch with the quota's kind and durations. Rejected leases are added to
+// result.Rejected.
 func (m *StateMachine) grantBatch(batch *GrantBatch, result *ApplyResult) {
 	for _, one := range batch.Grants {
 		lease := Lease{
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -8,76 +8,77 @@
 	"lapisspread/internal/quotalease/internal/mutation"
 )
 
-// HolderSettings are those of one process of a proxy.
+// HolderSettings are the settings of the Holder of one proxy process.
 type HolderSettings struct {
 	FleetID string
-	// HolderID must have an incarnation that no other process of that name ever has.
+	// HolderID must have an incarnation that no other process with the same name ever uses.
 	HolderID
-	// MaxDrift is at least that of the fleet's bootstrap.
+	// MaxDrift must be at least that of the fleet's bootstrap.
 	MaxDrift float64
-	// ConfigVersion and Floors are what the process, or the one before it, received last and keeps on disk. An
-	// older copy of them must not be put back: a floor in it may be another holder's by now.
+	// ConfigVersion and Floors are the last result of Holder.Floors that this process or its predecessor stored on
+	// disk. They must not be restored from an older copy, because a floor in it may belong to another holder since.
 	ConfigVersion uint64
 	Floors        map[string]Floor
 }
 
-// requestHistory is how many requests a holder remembers. A reply to an older one is too late.
+// requestHistory is the number of past requests that a holder keeps. Leases that answer older requests are refused.
 const requestHistory = 64
 
+// sentRequest is a past request of a Holder.
 type sentRequest struct {
 	seq    uint64
-	sentAt time.Duration
+	sentAt time.Duration // by the holder's clock
 }
 
-// quotaState is what a process has of one quota.
+// quotaState is the state of one quota in a Holder: its lease, its floor and its measured demand.
 type quotaState struct {
 	name string
 	kind Kind
 
-	lease        Lease
-	active       bool // the lease has not expired
+	lease        Lease // the newest lease, expired or not
+	active       bool  // the lease has not expired
 	expiresAt    time.Duration
-	highestToken Token // of all leases that were taken
+	highestToken Token // of all accepted leases
 	bucket       tokenBucket
-	inFlight     Amount // under leases
+	inFlight     Amount // units in flight that leases admitted
 
 	floor         Floor
 	floorBucket   tokenBucket
-	floorInFlight Amount
+	floorInFlight Amount // units in flight that the floor admitted
 
-	attempted    Amount // since the last measurement of the demand
-	rejected     Amount // since then, of units in flight
-	peakInFlight Amount // since then
-	wanted       float64
-	wantedIsSet  bool // by the caller, not measured
+	attempted    Amount  // units that callers tried to acquire since the last measurement of the demand
+	rejected     Amount  // units in flight that were rejected since that measurement
+	peakInFlight Amount  // maximum of units in flight since that measurement
+	wanted       float64 // the demand, in millionths of a unit
+	wantedIsSet  bool    // the demand was set by SetDemand and is not measured
 
-	// The errors are made once, so that a rejection allocates nothing.
+	// The errors are created once, so that a rejection allocates no memory.
 	errExhausted error
 	errExpired   error
 	errNoLease   error
 }
 
-// Holder is the lease holder in a proxy: it makes requests, takes the leases of the replies, and admits or rejects
-// each unit. Calls do not block, and must not run concurrently with each other.
+// Holder is the lease holder in a proxy: it creates the requests to the control-plane servers, accepts the leases of
+// their replies, and admits or rejects each unit. Calls do not block, and must not run concurrently with each other.
 type Holder struct {
 	settings      HolderSettings
 	epoch         uint64
-	configVersion uint64 // of the floors
-	adoptedFloors uint64 // the version whose floors it has fully adopted
+	configVersion uint64 // the version of the floors that it received
+	adoptedFloors uint64 // the version of the floors that it observes with all units in flight
 	seq           uint64
-	sentRequests  [requestHistory]sentRequest // by number, modulo the length
+	sentRequests  [requestHistory]sentRequest // indexed by request number modulo the length
 	measuredAt    time.Duration               // when the demand was last measured
 	quotas        map[string]*quotaState
-	floorClaim    bool
-	claimedAt     time.Duration
-	leaving       bool
+	floorClaim    bool          // this process may use the floors of its name
+	claimedAt     time.Duration // when the claim was set
+	leaving       bool          // ReleaseAll was called
 	mutations     mutation.Set
 
 	revalidationFailures uint64
 }
 
-// NewHolder returns the holder of a process that has no lease yet. It may spend nothing until HandleReply has taken
-// one, but for its floors once SetFloorClaim has claimed them.
+// NewHolder returns a holder without leases. It rejects all units until HandleReply has accepted a lease, except units
+// of its floors once SetFloorClaim has set the claim to them.
 func NewHolder(settings HolderSettings) *Holder {
 	h := &Holder{settings: settings, configVersion: settings.ConfigVersion, quotas: map[string]*quotaState{}}
 	for _, name := range slices.Sorted(maps.Keys(settings.Floors)) {
@@ -87,10 +88,10 @@
 	return h
 }
 
-// SetMutations takes safeguards out, so that a checker of the invariant can be tested.
+// SetMutations disables safeguards, to test that the model checker finds the resulting violations.
 func (h *Holder) SetMutations(mutations mutation.Set) { h.mutations = mutations }
 
-// quotaState returns the state of a quota; it makes one if there is none.
+// quotaState returns the state of a quota. It creates the state if there is none.
 func (h *Holder) quotaState(name string, kind Kind) *quotaState {
 	quota := h.quotas[name]
 	if quota == nil {
@@ -108,13 +109,14 @@
 	return quota
 }
 
-// slowdown is by how much token buckets fill more slowly, so that a clock that is fast by the drift fills no more
-// than it should.
+// slowdown returns the factor by which token buckets refill more slowly, so that a clock that is fast by the maximum
+// drift does not refill them faster than the rate.
 func (h *Holder) slowdown() float64 { return 1 + h.settings.MaxDrift }
 
-// SetFloorClaim sets whether this process alone, on its machine, has the claim to the floors of its name. Callers
-// call it when that changes. What the process before spent last is not known: a rate begins with an empty bucket,
-// and units in flight are admitted only when all that the process before may have begun is over.
+// SetFloorClaim sets whether this process has the exclusive claim to the floors of its name. The caller must ensure
+// that no other process with this name has the claim, and call SetFloorClaim when the claim changes. What the previous
+// process spent is not known, so the bucket of a rate starts empty, and units in flight are admitted only after the
+// maximum hold time, when all units that the previous process had in flight have ended.
 func (h *Holder) SetFloorClaim(now time.Duration, claimed bool) {
 	if claimed && !h.floorClaim {
 		h.claimedAt = now
@@ -125,12 +127,13 @@
 	h.floorClaim = claimed
 }
 
-// floorSettled reports whether units in flight that the process before began on this floor are over.
+// floorSettled reports whether all units in flight that the previous process acquired from this floor have ended.
 func (h *Holder) floorSettled(now time.Duration, floor *Floor) bool {
 	return now-h.claimedAt >= withDriftMargin(floor.MaxHoldTime, h.settings.MaxDrift)
 }
 
-// ReleaseAll ends everything: nothing more is admitted, and the next request gives all leases back.
+// ReleaseAll ends the use of all leases and floors: no more units are admitted, and the next request releases all
+// leases.
 func (h *Holder) ReleaseAll() {
 	h.leaving = true
 	for _, quota := range h.quotas {
@@ -138,7 +141,7 @@
 	}
 }
 
-// leaseActive reports whether there is a lease that has not expired.
+// leaseActive reports whether there is a lease that has not expired at now.
 func (q *quotaState) leaseActive(now time.Duration) bool {
 	if q.active && now >= q.expiresAt {
 		q.active = false
@@ -146,11 +149,12 @@
 	return q.active
 }
 
-// Acquire admits a number of units of a quota now, or rejects them with ExhaustedError, LeaseExpiredError or
-// NoLeaseError; the last is also the answer to a number below 0 and after ReleaseAll. The token goes with the attempt, to servers that have a Fence; the zero token is that of a floor.
-// Units in flight must be given back by Release, at the end of their hold time at the latest. Acquire allocates
-// nothing for a known quota. The number of units must not exceed what a quota can have (unitsLimit, 1e9): it is not
-// checked, and a far larger one overflows an Amount.
+// Acquire admits a number of units of a quota at now, or rejects them with ExhaustedError, LeaseExpiredError or
+// NoLeaseError. It also returns NoLeaseError for a negative number and after ReleaseAll. The caller sends the token
+// with the attempt, to servers that have a Fence; the zero token means that the units come from a floor. Units in
+// flight must be returned with Release, at the latest at the end of their maximum hold time. Acquire allocates no
+// memory for a quota that has state. units must not exceed the maximum of a quota (unitsLimit, 1e9); this is not
+// checked, and a far larger number overflows an Amount.
 func (h *Holder) Acquire(now time.Duration, quotaName string, units int64) (Token, error) {
 	quota := h.quotas[quotaName]
 	if quota == nil {
@@ -168,7 +172,7 @@
 	return quota.acquireRate(now, amount, hasFloor, h.slowdown())
 }
 
-// acquireRate admits from the floor's bucket first, then from the lease's.
+// acquireRate takes the amount from the floor's token bucket if it suffices, else from the lease's.
 func (q *quotaState) acquireRate(now time.Duration, amount Amount, hasFloor bool, slowdown float64) (Token, error) {
 	if hasFloor {
 		q.floorBucket.refill(now, q.floor.Amount, q.floor.Burst, slowdown)
@@ -186,7 +190,7 @@
 	return q.highestToken, nil
 }
 
-// acquireInFlight admits up to the floor's amount first, then up to the lease's.
+// acquireInFlight counts the amount under the floor if it fits there, else under the lease.
 func (q *quotaState) acquireInFlight(now time.Duration, amount Amount, hasFloor bool) (Token, error) {
 	switch {
 	case hasFloor && q.floorInFlight+amount <= q.floor.Amount:
@@ -205,7 +209,7 @@
 	return q.highestToken, nil
 }
 
-// noLeaseError returns why there is nothing to spend without an active lease.
+// noLeaseError returns the error of Acquire when there is no active lease.
 func (q *quotaState) noLeaseError(hasFloor bool) error {
 	switch {
 	case hasFloor:
@@ -216,9 +220,10 @@
 	return q.errExpired
 }
 
-// Revalidate checks a lease once more just before an attempt is sent, because the process may have been stopped since
-// Acquire. It returns the token to send, or LeaseExpiredError; then the attempt must not be sent. It cannot see a stop
-// between this check and the network; a Fence rejects that attempt once a newer token of the holder has reached it.
+// Revalidate checks the lease again immediately before an attempt is sent, because the process may have been paused
+// since Acquire. It returns the token to send, or LeaseExpiredError, in which case the attempt must not be sent. It
+// cannot detect a pause between this check and the network; a Fence rejects such an attempt once it has admitted a
+// newer token of the holder.
 func (h *Holder) Revalidate(now time.Duration, quotaName string, token Token) (Token, error) {
 	if token == (Token{}) {
 		return token, nil
@@ -234,9 +239,9 @@
 // RevalidationFailures returns how many attempts Revalidate has rejected.
 func (h *Holder) RevalidationFailures() uint64 { return h.revalidationFailures }
 
-// Release gives back units in flight that Acquire admitted with a token. It returns UnknownQuotaError for a quota that
-// this holder does not know or a number below 0, or InvalidCommandError if more is given back than is in flight. It
-// does nothing for a rate.
+// Release returns units in flight that Acquire admitted with a token. It returns UnknownQuotaError for a quota without
+// state in this holder or for a negative number, and InvalidCommandError if more units are released than are in flight.
+// It does nothing for a rate.
 func (h *Holder) Release(quotaName string, token Token, units int64) error {
 	quota := h.quotas[quotaName]
 	if quota == nil || units < 0 {
@@ -251,13 +256,13 @@
 	}
 	amount := Amount(units) * Unit
 	if amount > *inFlight {
-		return InvalidCommandError{Reason: "more is given back of " + quotaName + " than is in hand"}
+		return InvalidCommandError{Reason: "more units of " + quotaName + " are given back than are in hand"}
 	}
 	*inFlight -= amount
 	return nil
 }
 
-// Clone returns a copy that can be changed without changing the original, for model checking.
+// Clone returns an independent copy. It is for model checking.
 func (h *Holder) Clone() *Holder {
 	copied := *h
 	copied.quotas = make(map[string]*quotaState, len(h.quotas))
--- a/internal/quotalease/holderreply.go
+++ b/internal/quotalease/holderreply.go
@@ -7,8 +7,10 @@
 	"time"
 )
 
-// HandleReply takes a reply to a request that was sent at sentAt, both times by the holder's monotonic clock. It
-// returns what it refuses, as errors of this package that are joined; the rest is taken. It does not matter how late a reply arrives, how often, and in what order.
+// HandleReply applies a reply that arrived at now to a request that was sent at sentAt, both by the holder's monotonic
+// clock. It refuses the whole reply with FleetMismatchError, HolderMismatchError or StaleEpochError. Otherwise it
+// returns the errors of the leases that it refuses, joined, and applies the rest. Late, repeated and reordered replies
+// are safe.
 func (h *Holder) HandleReply(sentAt, now time.Duration, reply Reply) error {
 	if err := h.checkSender(reply.FleetID, reply.HolderID, reply.Epoch); err != nil {
 		return err
@@ -29,7 +31,7 @@
 	return errors.Join(errs...)
 }
 
-// checkSender refuses what is for another fleet or process, or of an earlier epoch.
+// checkSender refuses a reply or lease that is for a different fleet or process, or of an earlier epoch.
 func (h *Holder) checkSender(fleetID string, id HolderID, epoch uint64) error {
 	switch {
 	case fleetID != h.settings.FleetID:
@@ -42,7 +44,7 @@
 	return nil
 }
 
-// takeLease uses a lease from now on, or refuses it.
+// takeLease makes a lease the current one, or refuses it with an error.
 func (h *Holder) takeLease(sentAt, now time.Duration, lease *Lease) error {
 	if err := h.checkSender(lease.FleetID, lease.HolderID, lease.Epoch); err != nil {
 		return err
@@ -56,14 +58,14 @@
 	case order < 0:
 		return StaleTokenError{Holder: lease.Holder, Quota: lease.Quota, Got: lease.Token, Have: quota.highestToken}
 	case order == 0:
-		return nil // it was taken from an earlier reply
+		return nil // an earlier reply had the same lease
 	}
 	expiresAt, err := h.expiryOf(sentAt, now, lease)
 	if err != nil {
 		return err
 	}
 	if !quota.leaseActive(now) {
-		// What the process had may have been leased to others since, so its part arrives with an empty bucket.
+		// The former content of the bucket may have been leased to others since, so it starts empty.
 		quota.bucket = tokenBucket{filledAt: now}
 	}
 	quota.bucket.refill(now, quota.lease.Amount, quota.lease.Burst, h.slowdown())
@@ -79,9 +81,9 @@
 	return nil
 }
 
-// expiryOf returns when a lease expires, or LeaseExpiredError. The lease is counted from the request that it
-// answers, not from the one that this reply answers: a server repeats the same lease in later replies, and its
-// own timer began when the lease was committed.
+// expiryOf returns when a lease expires by the holder's clock, or LeaseExpiredError. The duration is counted from the
+// request that the lease answers, not from the one that the reply answers: a server repeats the same lease in later
+// replies, and its own timer started when it applied the lease.
 func (h *Holder) expiryOf(sentAt, now time.Duration, lease *Lease) (time.Duration, error) {
 	request := h.sentRequests[lease.RequestSeq%requestHistory]
 	if request.seq != lease.RequestSeq || lease.RequestSeq == 0 {
@@ -97,7 +99,8 @@
 	return expiresAt, nil
 }
 
-// adoptFloors uses the floors of a newer version. A floor that grew keeps its level: what it gained arrives empty.
+// adoptFloors replaces the floors by those of a reply. The token bucket of a floor that grew keeps its level, so the
+// additional burst starts empty.
 func (h *Holder) adoptFloors(now time.Duration, reply Reply) {
 	h.configVersion = reply.ConfigVersion
 	for _, name := range slices.Sorted(maps.Keys(reply.Floors)) {
@@ -114,7 +117,8 @@
 	}
 }
 
-// Floors returns what a caller keeps on disk before its next request, for the next process of its name.
+// Floors returns the floors and their configuration version. The caller must store them on disk before it sends the
+// next request, for the next process with the same name (HolderSettings.ConfigVersion and Floors).
 func (h *Holder) Floors() (version uint64, floors map[string]Floor) {
 	floors = map[string]Floor{}
 	for name, quota := range h.quotas {
--- a/internal/quotalease/holderrequest.go
+++ b/internal/quotalease/holderrequest.go
@@ -8,34 +8,36 @@
 )
 
 const (
-	// demandHeadroom is by how much more is requested than was attempted: demand that grows must be seen to grow.
+	// demandHeadroom is the factor by which a holder requests more than was attempted. Without it, a holder whose
+	// attempts are limited by its lease could not show that its demand grows.
 	demandHeadroom = 1.2
-	// demandDecay is the divisor of the difference by which the measured demand falls at each measurement. It rises
-	// at once.
+	// demandDecay controls how fast the demand falls: each measurement lowers it by the difference to the measured
+	// value divided by demandDecay. A higher measured value is used at once.
 	demandDecay = 3
-	// minDemandSpan is the shortest time over which demand is measured: one attempt within a millisecond is not a
-	// demand of a thousand a second.
+	// minDemandSpan is the minimum time over which demand is measured, so that one attempt within a millisecond does
+	// not count as a demand of a thousand units a second.
 	minDemandSpan = 20 * time.Millisecond
-	// minDemand is the least that counts as a demand, in units a second or units in flight.
+	// minDemand is the minimum demand, of units a second or units in flight. A lower demand counts as 0.
 	minDemand = Unit / 100
 
-	// requestsPerLease is how often a holder requests within the shortest lease: two replies may be lost and
-	// nothing ends.
+	// requestsPerLease is the number of requests within the duration of the shortest lease. With 3, two successive
+	// replies may be lost before a lease expires.
 	requestsPerLease = 3
-	// idleRequestInterval holds while there is no lease.
+	// idleRequestInterval is the request interval while there is no active lease.
 	idleRequestInterval = time.Second
 )
 
-// SetDemand sets what the process wants of a quota, its floor included, in units a second or units in flight, for callers
-// that know better than what was attempted. From then on the demand is not measured. It also makes a quota known that
-// was never attempted, so that the next request names it.
+// SetDemand sets the demand of the process for a quota, its floor included, in units a second or units in flight. It is
+// for callers that can predict the demand better than the holder can measure it from attempts; from then on the holder
+// does not measure it. It also creates the state of a quota that was never attempted, so that the next request includes
+// it.
 func (h *Holder) SetDemand(quotaName string, units float64) {
 	quota := h.quotaState(quotaName, 0)
 	quota.wanted = units * float64(Unit)
 	quota.wantedIsSet = true
 }
 
-// measureDemand measures what was attempted in the time since the last measurement.
+// measureDemand updates the demand from the attempts in span, the time since the last measurement.
 func (q *quotaState) measureDemand(span time.Duration) {
 	if !q.wantedIsSet {
 		seen := float64(q.attempted) / span.Seconds()
@@ -53,8 +55,9 @@
 	q.peakInFlight = q.inFlight + q.floorInFlight
 }
 
-// NextRequest returns the next request: what the process wants, and the tokens of the leases that it uses. The
-// caller sends it at once, because a lease is counted from now. It calls NextRequest again after RequestInterval.
+// NextRequest returns the next request: what the process wants, and the tokens of the leases that it uses. The caller
+// must send it at once, because the duration of a lease that answers it is counted from now. The caller calls
+// NextRequest again after RequestInterval.
 func (h *Holder) NextRequest(now time.Duration) Request {
 	h.seq++
 	h.sentRequests[h.seq%requestHistory] = sentRequest{seq: h.seq, sentAt: now}
@@ -64,7 +67,7 @@
 	}
 	span := now - h.measuredAt
 	measure := span >= minDemandSpan
-	floorsSettled := true // no more is in flight than each floor allows, even if it was lowered
+	floorsSettled := true // the units in flight of each floor fit its current, possibly lowered amount
 	for _, name := range slices.Sorted(maps.Keys(h.quotas)) {
 		quota := h.quotas[name]
 		quota.leaseActive(now)
@@ -86,6 +89,7 @@
 	return request
 }
 
+// quotaRequest returns the part of a request for one quota.
 func (h *Holder) quotaRequest(name string, quota *quotaState) QuotaRequest {
 	request := QuotaRequest{Quota: name, Token: quota.highestToken, Ended: !quota.active, InFlight: quota.inFlight}
 	if h.leaving {
@@ -98,7 +102,7 @@
 	return request
 }
 
-// RequestInterval returns how often to request.
+// RequestInterval returns the time to wait before the next request.
 func (h *Holder) RequestInterval() time.Duration {
 	var shortest time.Duration
 	for _, quota := range h.quotas {
--- a/internal/quotalease/holderstatus.go
+++ b/internal/quotalease/holderstatus.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// HolderStatus is what a process may still spend of a quota at a moment.
+// HolderStatus is what a process may spend of a quota at a point in time.
 type HolderStatus struct {
-	// Token is that of the lease, zero if there is none.
+	// Token is the token of the active lease, the zero token if there is none.
 	Token Token
-	// Amount is that of the lease, 0 if there is none.
+	// Amount is the amount of the active lease, 0 if there is none.
 	Amount Amount
-	// Floor is the amount of the floor, 0 if it may not be spent.
+	// Floor is the amount of the floor, 0 if the process may not use it.
 	Floor Amount
-	// Level is that of both token buckets.
+	// Level is the sum of the levels of the token buckets of the floor and of the lease.
 	Level Amount
-	// InFlight is under leases, whether they have expired or not.
-	InFlight      Amount
+	// InFlight is the units in flight that leases admitted, even if those have expired.
+	InFlight Amount
+	// FloorInFlight is the units in flight that the floor admitted.
 	FloorInFlight Amount
-	// Remaining is the time until the lease expires.
+	// Remaining is the time until the active lease expires, 0 if there is none.
 	Remaining     time.Duration
 	Epoch         uint64
 	ConfigVersion uint64
 }
 
-// Status returns how a quota stands. It changes nothing that could be spent.
+// Status returns the status of a quota at now. It does not change what may be spent.
 func (h *Holder) Status(now time.Duration, quotaName string) HolderStatus {
 	status := HolderStatus{Epoch: h.epoch, ConfigVersion: h.configVersion}
 	quota := h.quotas[quotaName]
--- a/internal/quotalease/ledger.go
+++ b/internal/quotalease/ledger.go
@@ -8,16 +8,16 @@
 	"lapisspread/internal/quotalease/internal/mutation"
 )
 
-// holderEntry is what one process has of a quota.
+// holderEntry is what one process has outstanding of a quota.
 type holderEntry struct {
 	HolderID
-	// Leases are those neither acknowledged as replaced nor expired, in the order of their tokens.
+	// Leases are the leases that are neither acknowledged as replaced nor expired, in the order of their tokens.
 	Leases []Lease `json:"Grants"`
-	// Residual is units in flight beyond the amount of the acknowledged lease.
+	// Residual is the units in flight if they exceed the amount of the acknowledged lease, else 0.
 	Residual Amount `json:"Rest"`
-	// ResidualToken identifies the residual for its expiry.
+	// ResidualToken identifies the residual in its Expire command.
 	ResidualToken Token `json:"RestBy"`
-	// MaxHoldTime is the longest of any unit that may be in flight.
+	// MaxHoldTime is the maximum hold time of any unit that may be in flight.
 	MaxHoldTime time.Duration `json:"Life"`
 	// LastAck is the number of the request of the last acknowledgement.
 	LastAck uint64 `json:"Seq"`
@@ -25,8 +25,8 @@
 	LastGrant uint64 `json:"Ask"`
 }
 
-// maxUsage returns what the process may still spend. It uses one lease at a time, and the servers cannot know
-// which of these, so the largest counts.
+// maxUsage returns the maximum that the process may still spend. The process uses one lease at a time and the servers
+// cannot determine which one, so the largest counts.
 func (e *holderEntry) maxUsage(mutations mutation.Set) usage {
 	most := usage{amount: e.Residual}
 	if mutations.CountNewestLeaseOnly && len(e.Leases) > 0 {
@@ -39,7 +39,7 @@
 	return most
 }
 
-// usageSince returns the largest of the leases that were granted under a configuration version.
+// usageSince returns the largest amount and burst of the leases that were granted under a configuration version.
 func (e *holderEntry) usageSince(version uint64, mutations mutation.Set) usage {
 	if mutations.CountNewestLeaseOnly {
 		return e.maxUsage(mutations)
@@ -53,7 +53,7 @@
 	return most
 }
 
-// newestLease returns the last lease, nil if there is none. The receiver may be nil.
+// newestLease returns the newest lease, or nil if there is none. The receiver may be nil.
 func (e *holderEntry) newestLease() *Lease {
 	if e == nil || len(e.Leases) == 0 {
 		return nil
@@ -61,17 +61,18 @@
 	return &e.Leases[len(e.Leases)-1]
 }
 
-// versionedFloor is a floor as of a configuration version.
+// versionedFloor is the floor of a holder as set by a configuration version.
 type versionedFloor struct {
 	ConfigVersion uint64 `json:"Version"`
 	Amount        Amount `json:"Amount"`
 	Burst         Amount `json:"Burst"`
 }
 
-// quotaLedger is all that is outstanding of one quota, whether it is still configured or not.
+// quotaLedger records what is outstanding of one quota, even if the quota is no longer configured.
 type quotaLedger struct {
 	entries map[HolderID]*holderEntry
-	// floors are, by holder, those that it may still use, oldest first. The slices are never changed in place.
+	// floors are the floors that each holder may still use, by the holder's name, oldest first. Clones of a ledger
+	// share the slices, so they are never modified in place.
 	floors   map[string][]versionedFloor
 	total    usage // sum of maxUsage of all entries
 	current  usage // sum of usageSince of all entries, under the current configuration version
@@ -82,7 +83,7 @@
 	return &quotaLedger{entries: map[HolderID]*holderEntry{}, floors: map[string][]versionedFloor{}}
 }
 
-// sortedEntries returns all entries in the order of their holders.
+// sortedEntries returns all entries, sorted by holder.
 func (l *quotaLedger) sortedEntries() []*holderEntry {
 	return slices.SortedFunc(maps.Values(l.entries), func(a, b *holderEntry) int {
 		return a.Compare(b.HolderID)
@@ -96,8 +97,8 @@
 	l.current = usage{}
 }
 
-// setFloors adds the floors of a configuration to those that holders may still use. quota is nil if it is no longer
-// configured.
+// setFloors adds the floors of a configuration to those that holders may still use, and removes all floors of
+// removedHolders first. quota is nil if it is no longer configured.
 func (l *quotaLedger) setFloors(quota *Quota, version uint64, removedHolders []string) {
 	for _, holder := range removedHolders {
 		delete(l.floors, holder)
@@ -124,11 +125,12 @@
 	l.sumFloors()
 }
 
+// sameSize reports whether both floors have the same amount and burst.
 func (f versionedFloor) sameSize(other versionedFloor) bool {
 	return f.Amount == other.Amount && f.Burst == other.Burst
 }
 
-// adoptFloors drops the floors of a holder that are older than the version that it has adopted.
+// adoptFloors drops the floors of a holder that are older than the one of the version that it has adopted.
 func (l *quotaLedger) adoptFloors(holder string, version uint64) {
 	known := l.floors[holder]
 	adopted := 0
@@ -149,7 +151,7 @@
 	l.sumFloors()
 }
 
-// sumFloors computes reserved: of each holder the largest floor that it may still use.
+// sumFloors sets reserved to the sum, over all holders, of the largest floor that the holder may still use.
 func (l *quotaLedger) sumFloors() {
 	l.reserved = usage{}
 	for _, floors := range l.floors {
@@ -161,7 +163,7 @@
 	}
 }
 
-// clone copies the ledger. The copy shares only what is never changed in place.
+// clone returns a copy that shares only data that is never modified in place.
 func (l *quotaLedger) clone() *quotaLedger {
 	copied := *l
 	copied.entries = make(map[HolderID]*holderEntry, len(l.entries))
--- a/internal/quotalease/message.go
+++ b/internal/quotalease/message.go
@@ -2,53 +2,56 @@
 
 import "time"
 
-// Request is what a process sends to the servers, as CBOR. It may arrive late, repeatedly and out of order.
+// Request is the message from a holder process to the servers, encoded as CBOR. It may arrive late, repeatedly and out
+// of order.
 type Request struct {
 	FleetID string `json:"Fleet"`
-	// Epoch is the highest that the process knows.
+	// Epoch is the highest epoch that the process has received.
 	Epoch uint64 `json:"Epoch"`
 	HolderID
 	// Seq numbers the requests of a process, from 1.
 	Seq uint64 `json:"Seq"`
-	// SeenVersion is the newest configuration version that the process saw.
+	// SeenVersion is the newest configuration version that the process has received.
 	SeenVersion uint64 `json:"Seen"`
-	// FloorsVersion is the version whose floors it has adopted; 0 without the claim to them.
+	// FloorsVersion is the version whose floors the process has adopted; 0 if it has no claim to them.
 	FloorsVersion uint64 `json:"Floors"`
-	// Leaving says that the process will spend nothing more.
+	// Leaving reports that the process has stopped spending and releases all leases.
 	Leaving bool           `json:"Leaving"`
 	Quotas  []QuotaRequest `json:"Wants"`
 }
 
-// QuotaRequest is what a process requests of a quota, beyond its floor, and what it holds of it.
+// QuotaRequest is what a process requests of a quota in addition to its floor, and what it uses of the quota.
 type QuotaRequest struct {
 	Quota string `json:"Budget"`
-	// Wanted is units a second, or units in flight.
+	// Wanted is the requested units a second, or units in flight.
 	Wanted Amount `json:"Units"`
-	// Token is the newest that the process took. It will never use an older lease.
+	// Token is that of the newest lease that the process accepted. The process will never use an older lease.
 	Token Token `json:"Token"`
-	// Ended says that the process will never again use that lease either.
+	// Ended reports that the process will not use the lease of Token again.
 	Ended bool `json:"Ended"`
-	// InFlight is the units in flight now, under leases.
+	// InFlight is the units in flight that leases admitted, at the time of the request.
 	InFlight Amount `json:"Held"`
 }
 
-// Reply is what a server sends to a holder, as CBOR: all that the holder has by this server's state machine. It may
-// arrive late, repeatedly and out of order.
+// Reply is the message from a server to a holder process, encoded as CBOR: all leases and floors of the holder in the
+// server's state machine. It may arrive late, repeatedly and out of order.
 type Reply struct {
 	FleetID string `json:"Fleet"`
 	Epoch   uint64 `json:"Epoch"`
 	HolderID
 	ConfigVersion uint64 `json:"Version"`
-	// Leases are the newest of each quota.
+	// Leases has the newest lease of each quota.
 	Leases []Lease `json:"Grants"`
-	// Floors are those of the holder's name, by quota.
+	// Floors are the floors of the holder's name, by quota.
 	Floors map[string]Floor `json:"Floors"`
 }
 
-// Floor is what a holder has of a quota by its name, without a lease.
+// Floor is the part of a quota that belongs to a holder's name and needs no lease.
 type Floor struct {
-	Kind        Kind          `json:"Kind"`
-	Amount      Amount        `json:"Amount"`
+	Kind Kind `json:"Kind"`
+	// Amount is units a second of a Rate, and units in flight at once of InFlight.
+	Amount Amount `json:"Amount"`
+	// Burst is the size of the token bucket; 0 for InFlight.
 	Burst       Amount        `json:"Burst"`
 	MaxHoldTime time.Duration `json:"Life"`
 }
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// grantCommands plans the leases of all quotas that pending requests name, one GrantBatch for each process.
+// grantCommands plans the leases of all quotas in the pending requests. It returns one GrantBatch for each process that
+// gets a lease.
 func (a *Allocator) grantCommands(now time.Duration, pending []*requester) []Command {
 	requested := map[string]bool{}
 	for _, from := range pending {
@@ -40,10 +41,10 @@
 	return commands
 }
 
-// planQuota plans one quota. The division counts all processes that request units of it or hold a lease; grants go to
-// those with a pending request only. A share that grows gets what is free at the moment, and the rest at later
-// requests, once the holders whose shares shrank have acknowledged smaller leases. The grant to pending[i] is appended
-// to grants[i].
+// planQuota plans the grants of one quota and appends the grant for pending[i] to grants[i]. The division includes all
+// processes that request units of the quota or hold a lease; only those with a pending request get a grant. A process
+// whose allocation grows gets the units that are free now, and the rest at later requests, once the holders whose
+// allocations shrank have acknowledged smaller leases.
 func (a *Allocator) planQuota(now time.Duration, quota *Quota, pending []*requester, grants [][]QuotaGrant) {
 	demands := a.demandsOf(now, quota)
 	amounts := Divide(quota, demands)
@@ -67,9 +68,9 @@
 	}
 }
 
-// demandsOf returns what each process demands of a quota, in the order of the processes. A new leader has not heard
-// from all of them: a process that holds a lease and has sent no recent request counts as demanding what it has, until
-// it requests or its leases expire.
+// demandsOf returns the demand of each process for a quota, sorted by holder. A new leader has not received requests
+// from all processes yet: a process that holds a lease and has sent no recent request counts with a demand equal to
+// its lease, until it sends a request or its leases expire.
 func (a *Allocator) demandsOf(now time.Duration, quota *Quota) []Demand {
 	ledger := a.state.ledgerOf(quota.Name)
 	var demands []Demand
@@ -95,13 +96,14 @@
 	return demands
 }
 
-// recent reports whether the process sent a request within a lease duration. Otherwise it has stopped, or cannot
+// recent reports whether the request arrived within the last lease duration. If not, the process has stopped or cannot
 // reach the servers.
 func (r *requester) recent(now time.Duration, quota *Quota) bool {
 	return now-r.heardAt <= quota.LeaseDuration
 }
 
-// changesLease reports whether a lease would change what a process has. newest is nil if it has no lease.
+// changesLease reports whether to propose a grant to a process: it would renew or change the newest lease. newest is
+// nil if the process has no lease.
 func changesLease(newest *Lease, granted usage, requestSeq uint64) bool {
 	if newest == nil {
 		return granted.amount > 0
@@ -112,11 +114,11 @@
 	return newest.Amount != 0 || granted.amount != 0
 }
 
-// freeCapacity is what a plan can still grant of a quota: the ledger's sums with all that is planned so far.
+// freeCapacity computes what a plan can still grant of a quota, from the ledger's sums plus the grants planned so far.
 type freeCapacity struct {
 	ledger  *quotaLedger
 	state   *StateMachine
-	limit   usage // less all floors
+	limit   usage // the limit and burst of the quota minus all floors
 	total   usage
 	current usage
 }
@@ -128,7 +130,7 @@
 	}
 }
 
-// usagesOf returns what a process has outstanding, in all and under the current configuration.
+// usagesOf returns what a process has outstanding: in total, and under the current configuration version.
 func (c *freeCapacity) usagesOf(id HolderID) (own, ownCurrent usage) {
 	entry := c.ledger.entries[id]
 	if entry == nil {
@@ -137,8 +139,8 @@
 	return entry.maxUsage(c.state.mutations), entry.usageSince(c.state.configVersion, c.state.mutations)
 }
 
-// fit returns the part of a process's due share that the state machine would accept now; nothing if that part could
-// not be spent.
+// fit returns the part of a process's allocation that the state machine would accept now. For a rate it returns the
+// zero usage if the burst of that part is too small to spend a unit.
 func (c *freeCapacity) fit(quota *Quota, due usage, id HolderID) usage {
 	own, ownCurrent := c.usagesOf(id)
 	amount := grantable(c.limit.amount, c.total.amount, own.amount, c.current.amount, ownCurrent.amount)
@@ -154,15 +156,16 @@
 	return granted
 }
 
-// grantable returns the most that a process can be granted so that neither the total grows above the limit (or above
-// what it is, if that is more), nor what is granted under the current configuration.
+// grantable returns the maximum that can be granted to a process such that the leases of the current configuration stay
+// within the limit and the total does not grow above the limit, or above its present value if that is higher. own and
+// ownCurrent are the parts of total and current that the process has.
 func grantable(limit, total, own, current, ownCurrent Amount) Amount {
 	byTotal := max(limit, total) - total + own
 	byCurrent := limit - current + ownCurrent
 	return max(0, min(byTotal, byCurrent))
 }
 
-// take counts a planned lease.
+// take adds a planned lease to the sums.
 func (c *freeCapacity) take(id HolderID, granted usage) {
 	own, ownCurrent := c.usagesOf(id)
 	c.total.sub(own)
--- a/internal/quotalease/reconfigure.go
+++ b/internal/quotalease/reconfigure.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// setQuotas takes a new configuration, or rejects it and changes nothing.
+// setQuotas applies a new configuration, or rejects it with an error and changes nothing.
 func (m *StateMachine) setQuotas(command *SetQuotas) error {
 	if err := m.checkConfig(command); err != nil {
 		return err
@@ -24,7 +24,8 @@
 	return nil
 }
 
-// checkConfig rejects a configuration that does not fit the fleet, the bootstrap or the version before.
+// checkConfig rejects a configuration that is invalid, is for another fleet, exceeds the bounds of the bootstrap or
+// does not have a newer version.
 func (m *StateMachine) checkConfig(command *SetQuotas) error {
 	config := &command.Config
 	known := max(m.configVersion, m.seenVersion)
@@ -36,7 +37,7 @@
 	case command.Version <= known:
 		return StaleConfigError{Have: command.Version, Seen: known}
 	case config.MaxDrift > m.maxDrift || config.MaxLifetime > m.maxLifetime:
-		return invalidCommand("drift %v or longest %v is above what the fleet was founded with",
+		return invalidCommand("drift %v or longest %v is above the value that the fleet was founded with",
 			config.MaxDrift, config.MaxLifetime)
 	}
 	if err := config.Check(); err != nil {
@@ -45,8 +46,8 @@
 	return nil
 }
 
-// reconfigured returns a copy of the ledger of a quota with the floors of a new configuration, or an error if that
-// cannot be taken yet.
+// reconfigured returns a copy of the ledger of a quota with the floors of a new configuration, or an error if the
+// configuration cannot be applied while current leases or floors are outstanding.
 func (m *StateMachine) reconfigured(name string, command *SetQuotas) (*quotaLedger, error) {
 	next := command.Config.Quota(name)
 	previous := m.config.Quota(name)
@@ -59,7 +60,7 @@
 	}
 	kindChanges := next != nil && previous != nil && next.Kind != previous.Kind
 	if kindChanges && (len(ledger.entries) > 0 || len(ledger.floors) > 0) {
-		return nil, invalidCommand("%s: its kind cannot change while grants or floors of it are out", name)
+		return nil, invalidCommand("%s: its kind cannot change while grants or floors of it are outstanding", name)
 	}
 	ledger.setFloors(next, command.Version, command.RemovedHolders)
 	if next == nil {
@@ -68,8 +69,8 @@
 	return ledger, next.checkReserved(ledger, reserved)
 }
 
-// checkReserved rejects floors that grew above what leases leave of the limit. A floor is its holder's from the
-// commit on, and leases make room only as they expire.
+// checkReserved rejects floors that have grown and do not fit beside the outstanding leases. The holder may use a floor
+// from the commit on, while leases free capacity only when they expire.
 func (q *Quota) checkReserved(ledger *quotaLedger, before usage) error {
 	floors := ledger.reserved
 	limit := FromUnits(q.Limit)
--- a/internal/quotalease/snapshot.go
+++ b/internal/quotalease/snapshot.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// snapshot is the form of a StateMachine in a snapshot of the log.
+// snapshot is the JSON form of a StateMachine in a snapshot of the log.
 type snapshot struct {
 	FleetID        string                    `json:"Fleet"`
 	Epoch          uint64                    `json:"Epoch"`
@@ -21,13 +21,13 @@
 	Ledgers        map[string]ledgerSnapshot `json:"Ledgers"`
 }
 
-// ledgerSnapshot is the form of a quotaLedger. Its sums are computed on restore.
+// ledgerSnapshot is the JSON form of a quotaLedger. Its sums are not stored; Restore computes them.
 type ledgerSnapshot struct {
 	Entries []*holderEntry              `json:"Entries"`
 	Floors  map[string][]versionedFloor `json:"Floors"`
 }
 
-// Snapshot returns the state as JSON. Equal states give equal bytes.
+// Snapshot returns the state as JSON. Equal states have equal snapshots. The error is one of encoding/json.
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	state := snapshot{
 		FleetID:        m.fleetID,
@@ -52,8 +52,8 @@
 	return data, nil
 }
 
-// Restore replaces the state by a snapshot. On an error nothing has changed. The caller must notify its Allocator
-// afterwards (Allocator.RestartTimers).
+// Restore replaces the state by that of a snapshot. It returns an error and changes nothing if the snapshot is
+// malformed or its configuration is invalid. Afterwards the caller must call Allocator.RestartTimers.
 func (m *StateMachine) Restore(data []byte) error {
 	var state snapshot
 	if err := json.Unmarshal(data, &state); err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// restoreLedger rebuilds a ledger with its sums.
+// restoreLedger returns the ledger of a snapshot, with its sums computed.
 func (m *StateMachine) restoreLedger(saved ledgerSnapshot) *quotaLedger {
 	ledger := newQuotaLedger()
 	for _, entry := range saved.Entries {
@@ -100,7 +100,7 @@
 	return ledger
 }
 
-// Clone returns a copy that can be changed without changing the original, for model checking.
+// Clone returns an independent copy. It is for model checking.
 func (m *StateMachine) Clone() *StateMachine {
 	copied := *m
 	copied.ledgers = make(map[string]*quotaLedger, len(m.ledgers))
--- a/internal/quotalease/statemachine.go
+++ b/internal/quotalease/statemachine.go
@@ -8,25 +8,27 @@
 	"lapisspread/internal/quotalease/internal/mutation"
 )
 
-// StateMachine is the replicated state behind the log: what may be spent of each quota, and by whom. Equal logs
-// give equal states. It trusts no proposer: it rejects whatever would break a limit. Only Expire is taken on trust,
-// because the state machine has no clock.
+// StateMachine is the replicated state of the log: the leases and floors of each quota and the holders that may use
+// them. Equal logs produce equal states. It checks every command itself, whichever server proposed it, and rejects
+// commands that would exceed a limit. Only Expire commands are not checked, because the state machine has no clock.
+//
+// Calls do not block, and must not run concurrently with each other.
 type StateMachine struct {
 	fleetID     string
 	epoch       uint64 // 0 before the first bootstrap
 	maxDrift    float64
 	maxLifetime time.Duration
 
-	// bootstrapToken is that of a bootstrap whose waiting time is not over, zero otherwise. Nothing is granted
-	// meanwhile.
+	// bootstrapToken is the token of the last bootstrap until its waiting time is over, then the zero token. During the
+	// waiting time no lease is granted.
 	bootstrapToken Token
 	appliedIndex   uint64
-	// tokenOffset is by how much tokens are above the log index. It is above 0 after an older store was put back:
-	// holders know higher tokens than this log has given.
+	// tokenOffset is the difference between the index of a token and the log index. It is above 0 after a store was
+	// restored from an older copy and a holder reported a token above those that this log has issued.
 	tokenOffset uint64
 
 	configVersion uint64
-	seenVersion   uint64 // the newest configuration version that a holder knows
+	seenVersion   uint64 // the newest configuration version that a holder has reported
 	config        FleetConfig
 	ledgers       map[string]*quotaLedger // by quota
 
@@ -36,10 +38,10 @@
 // NewStateMachine returns the state of an empty log.
 func NewStateMachine() *StateMachine { return &StateMachine{ledgers: map[string]*quotaLedger{}} }
 
-// SetMutations takes safeguards out, so that a checker of the invariant can be tested.
+// SetMutations disables safeguards, to test that the model checker finds the resulting violations.
 func (m *StateMachine) SetMutations(mutations mutation.Set) { m.mutations = mutations }
 
-// Bootstrapped returns the fleet and the epoch of its bootstrap, or NotBootstrappedError.
+// Bootstrapped returns the name of the fleet and the epoch of its last bootstrap, or NotBootstrappedError.
 func (m *StateMachine) Bootstrapped() (fleetID string, epoch uint64, err error) {
 	if m.epoch == 0 {
 		return "", 0, NotBootstrappedError{}
@@ -47,14 +49,14 @@
 	return m.fleetID, m.epoch, nil
 }
 
-// Config returns the configuration and its version.
+// Config returns the current configuration and its version, 0 if none was set.
 func (m *StateMachine) Config() (FleetConfig, uint64) { return m.config, m.configVersion }
 
-// AppliedIndex returns the index of the last command that was applied.
+// AppliedIndex returns the log index of the last command that was applied.
 func (m *StateMachine) AppliedIndex() uint64 { return m.appliedIndex }
 
-// Outstanding returns what all holders together may still spend of a quota, with all floors, and what all of their
-// token buckets may hold.
+// Outstanding returns the amount of a quota that all holders together may still spend, floors included, and the sum of
+// the bursts of their token buckets. Both are 0 for an unknown quota.
 func (m *StateMachine) Outstanding(quota string) (amount, burst Amount) {
 	ledger := m.ledgers[quota]
 	if ledger == nil {
@@ -63,11 +65,13 @@
 	return ledger.total.amount + ledger.reserved.amount, ledger.total.burst + ledger.reserved.burst
 }
 
-// Apply applies a command of the log. What is rejected changes nothing but the index; the error has one of this
-// package's types. Indices must grow.
+// Apply applies the command at a log index. index must be above that of the last call. A rejected command changes only
+// the applied index, and the error has one of this package's types. Errors of the parts of a Batch, a GrantBatch or an
+// AckBatch are in ApplyResult.Rejected instead.
 func (m *StateMachine) Apply(index uint64, command Command) (ApplyResult, error) {
 	if index <= m.appliedIndex {
-		return ApplyResult{}, invalidCommand("index %d was applied, %d is the last", index, m.appliedIndex)
+		return ApplyResult{}, invalidCommand("log index %d is not above the last applied index %d",
+			index, m.appliedIndex)
 	}
 	m.appliedIndex = index
 	var result ApplyResult
@@ -89,7 +93,7 @@
 	return Token{Epoch: m.epoch, Index: m.appliedIndex + m.tokenOffset}
 }
 
-// applyOne applies a command that is no Batch, or one command of a Batch.
+// applyOne applies a command that is not a Batch, or a single command of a Batch.
 func (m *StateMachine) applyOne(command Command, result *ApplyResult) error {
 	if command.Bootstrap != nil {
 		return m.bootstrap(command.Bootstrap, result)
@@ -121,7 +125,7 @@
 	return nil
 }
 
-// bootstrap begins an epoch. All leases of the epochs before have expired once the waiting time is over.
+// bootstrap starts a new epoch and its waiting time, after which all leases of earlier epochs have expired.
 func (m *StateMachine) bootstrap(command *Bootstrap, result *ApplyResult) error {
 	switch {
 	case m.epoch > 0 && command.FleetID != m.fleetID:
@@ -129,10 +133,10 @@
 	case command.Epoch <= m.epoch:
 		return StaleEpochError{Got: command.Epoch, Have: m.epoch}
 	case command.FleetID == "" || !validDrift(command.MaxDrift) || command.MaxLifetime < minDuration:
-		return invalidCommand("fleet %q, drift %v, longest %v",
+		return invalidCommand("fleet %q, drift %v or longest %v is not valid",
 			command.FleetID, command.MaxDrift, command.MaxLifetime)
 	case command.MaxLifetime < m.maxLifetime || command.MaxDrift < m.maxDrift:
-		return invalidCommand("longest %v or drift %v is less than held before",
+		return invalidCommand("longest %v or drift %v is less than that of the previous founding",
 			command.MaxLifetime, command.MaxDrift)
 	}
 	m.fleetID = command.FleetID
@@ -147,10 +151,12 @@
 	return nil
 }
 
-// waitingAfterBootstrap reports whether leases of an earlier epoch may not have expired yet.
+// waitingAfterBootstrap reports whether the waiting time after a bootstrap lasts: leases of an earlier epoch may not
+// have expired yet.
 func (m *StateMachine) waitingAfterBootstrap() bool { return m.bootstrapToken != Token{} }
 
-// expire drops what a server says has expired. What was acknowledged away meanwhile is no longer there.
+// expire drops the lease, residual or waiting time that a server reports as expired. It does nothing if an
+// acknowledgement has already dropped it.
 func (m *StateMachine) expire(command *Expire) {
 	if command.Token == m.bootstrapToken && command.Quota == "" {
 		m.bootstrapToken = Token{}
@@ -171,8 +177,8 @@
 	})
 }
 
-// observeConfig notes which configurations a process knows. Nothing is granted while a holder knows a newer version
-// than this state machine: its store is an older copy.
+// observeConfig records which configuration versions a process has received and adopted. No lease is granted while a
+// holder has reported a newer version than this state machine has, because then its store is an older copy.
 func (m *StateMachine) observeConfig(observed *ObserveConfig) {
 	m.seenVersion = max(m.seenVersion, observed.SeenVersion)
 	if observed.FloorsVersion == 0 {
@@ -183,7 +189,7 @@
 	}
 }
 
-// ledgerOf returns the ledger of a quota; it makes one if there is none.
+// ledgerOf returns the ledger of a quota. It creates the ledger if there is none.
 func (m *StateMachine) ledgerOf(quota string) *quotaLedger {
 	ledger := m.ledgers[quota]
 	if ledger == nil {
@@ -193,7 +199,7 @@
 	return ledger
 }
 
-// entryOf returns what a process has of a quota, nil if it has nothing.
+// entryOf returns the entry of a process in the ledger of a quota, or nil if there is none.
 func (m *StateMachine) entryOf(quota string, id HolderID) *holderEntry {
 	if ledger := m.ledgers[quota]; ledger != nil {
 		return ledger.entries[id]
@@ -201,8 +207,8 @@
 	return nil
 }
 
-// updateEntry runs update, which changes the entry, and keeps the sums of the ledger. An entry that is empty
-// afterwards is removed.
+// updateEntry calls update, which modifies the entry, and updates the sums of the ledger. It removes an entry that is
+// empty afterwards.
 func (m *StateMachine) updateEntry(ledger *quotaLedger, entry *holderEntry, update func()) {
 	ledger.total.sub(entry.maxUsage(m.mutations))
 	ledger.current.sub(entry.usageSince(m.configVersion, m.mutations))
@@ -214,7 +220,7 @@
 	}
 }
 
-// quotaNames returns the names of all quotas that a configuration has or of which something is outstanding, sorted.
+// quotaNames returns the sorted names of all quotas in config and of all quotas that have a ledger.
 func (m *StateMachine) quotaNames(config *FleetConfig) []string {
 	names := slices.Collect(maps.Keys(m.ledgers))
 	for i := range config.Quotas {
@@ -224,8 +230,8 @@
 	return slices.Compact(names)
 }
 
-// ReplyTo returns all that one process has. Servers must call it only on a state of committed entries: a lease that is
-// sent before it is committed may never be counted.
+// ReplyTo returns the reply to a process, with all its leases and floors. Servers must call it only on a state of
+// committed entries: a lease that is sent before its entry is committed may never be counted as outstanding.
 func (m *StateMachine) ReplyTo(id HolderID) Reply {
 	reply := Reply{FleetID: m.fleetID, Epoch: m.epoch, HolderID: id, ConfigVersion: m.configVersion}
 	for _, name := range m.quotaNames(&m.config) {
@@ -248,8 +254,8 @@
 	return reply
 }
 
-// PendingExpiries returns all that is counted until it expires. A server that starts with this state must count each
-// in full.
+// PendingExpiries returns the expiries of all that the state machine counts as outstanding. A server that starts with
+// this state must start a timer with the full duration for each.
 func (m *StateMachine) PendingExpiries() []Expiry {
 	var pending []Expiry
 	if m.waitingAfterBootstrap() {
@@ -268,8 +274,8 @@
 	return pending
 }
 
-// leaseExpiry returns the expiry of a lease. Units in flight may have begun just before its end, so it counts for
-// the hold time too.
+// leaseExpiry returns the expiry of a lease. Units in flight may be acquired just before the lease ends, so it counts
+// for its duration plus the maximum hold time.
 func (m *StateMachine) leaseExpiry(lease *Lease) Expiry {
 	duration := lease.Duration + lease.MaxHoldTime
 	if m.mutations.ForgetInFlightAtLeaseEnd {
@@ -278,11 +284,12 @@
 	return Expiry{HolderID: lease.HolderID, Quota: lease.Quota, Token: lease.Token, Duration: duration}
 }
 
+// residualExpiry returns the expiry of the entry's residual, after the maximum hold time.
 func (e *holderEntry) residualExpiry(quota string) Expiry {
 	return Expiry{HolderID: e.HolderID, Quota: quota, Token: e.ResidualToken, Duration: e.MaxHoldTime}
 }
 
-// isPending reports whether something is still counted.
+// isPending reports whether the state machine still counts what the expiry is for.
 func (m *StateMachine) isPending(expiry Expiry) bool {
 	if expiry.Quota == "" {
 		return m.waitingAfterBootstrap() && m.bootstrapToken == expiry.Token
