--- a/internal/quotalease/modelcheck/cluster.go
+++ b/internal/quotalease/modelcheck/cluster.go
@@ -8,54 +8,55 @@
 	"lapisspread/internal/quotalease"
 )
 
-// logEntry is an entry of a log. Its id is a hash of it and of all entries before it.
+// logEntry is an entry of a Raft log. Its id is a hash of the entry and of all entries before it.
 type logEntry struct {
 	term    uint64
 	id      uint64
 	command quotalease.Command
 }
 
-// server is a control-plane server. Its log and term are durable, unless its store is exchanged.
+// server is a control-plane server. Its log and term survive a restart, unless its store is lost or restored from an
+// older copy.
 type server struct {
 	driftingClock
 	id        int
 	up        bool
-	log       []logEntry // shared between copies of a cluster: never changed in place
+	log       []logEntry // shared between clones of a cluster, so never modified in place
 	term      uint64
 	leader    bool
-	match     []int           // of a leader: how many entries each server has confirmed in its term
-	contact   []time.Duration // and when each confirmed last, by the leader's clock
-	confirmed int             // entries that it confirmed to a leader, or committed as one
-	commit    int
-	applied   int
+	match     []int           // on a leader: the number of log entries that each server has confirmed in this term
+	contact   []time.Duration // on a leader: when each server last confirmed, by the leader's clock
+	confirmed int             // number of entries that it confirmed to a leader, or committed as leader
+	commit    int             // number of committed entries
+	applied   int             // number of applied entries
 	state     *quotalease.StateMachine
 	allocator *quotalease.Allocator
-	requests  map[quotalease.HolderID]*request // the latest of each process
+	requests  map[quotalease.HolderID]*request // the latest request of each process
 }
 
-// request is a request on the network.
+// request is a holder's request on the network.
 type request struct {
 	id     uint64
-	from   int
+	from   int           // index of the proxy
 	sentAt time.Duration // by the sender's clock
 	quotalease.Request
 }
 
-// reply is a reply on the network.
+// reply is a server's reply on the network.
 type reply struct {
 	id     uint64
-	to     int
-	sentAt time.Duration // of the request, by the holder's clock
+	to     int           // index of the proxy
+	sentAt time.Duration // when the request was sent, by the holder's clock
 	quotalease.Reply
 }
 
-// inFlightWork is a unit in flight.
+// inFlightWork is one unit in flight.
 type inFlightWork struct {
 	token quotalease.Token
-	until time.Duration // by its process's clock, or by true time when the process has stopped
+	until time.Duration // when it ends, by its process's clock, or by true time once the process has stopped
 }
 
-// proxy is a proxy with the lease holder of its current process.
+// proxy is a proxy with the lease holder of its current process, which stops and is replaced under the same name.
 type proxy struct {
 	driftingClock
 	quotalease.HolderID
@@ -64,7 +65,7 @@
 	inFlight []inFlightWork
 }
 
-// cluster is one state of the whole system.
+// cluster is the state of the whole modelled system at one time.
 type cluster struct {
 	settings     Settings
 	now          time.Duration // true time
@@ -72,23 +73,23 @@
 	proxies      []*proxy
 	requests     []*request
 	replies      []*reply
-	cutLinks     map[[2]int]bool // from one server to another
-	version      uint64          // the highest configuration version that was ever committed
-	epoch        uint64
-	incarnations uint64  // how many processes there were
-	demandUnits  float64 // that each process wants
-
-	orphanedWork []inFlightWork    // of processes that have stopped
-	limits       []configuredLimit // all that still count; the last is the newest
-	sharedBucket float64           // level of one bucket for the whole quota, which all that is spent must fit
-	filledAt     time.Duration
-	spentUnits   float64
-	violation    string // what broke the invariant first, "" if nothing did
+	cutLinks     map[[2]int]bool // by the indices of two servers
+	version      uint64          // the highest configuration version that was ever applied by a server
+	epoch        uint64          // of the last bootstrap that an operator proposed
+	incarnations uint64          // number of proxy processes started so far
+	demandUnits  float64         // demand of each process, in units
+
+	orphanedWork []inFlightWork    // units in flight of processes that have stopped
+	limits       []configuredLimit // the limits that still count, the newest last
+	sharedBucket float64           // level of a token bucket of the whole quota: all units spent are taken from it
+	filledAt     time.Duration     // when sharedBucket was last refilled
+	spentUnits   float64           // units acquired by all processes so far
+	violation    string            // the first violation of the invariant, "" if there is none
 }
 
-// newCluster returns a fleet that is bootstrapped, with all servers past their silence and the first one leading.
-// rate says how wrong the clock of the i-th process is, as a part of the drift: -1 is slowest, 1 fastest; servers
-// come first.
+// newCluster returns a bootstrapped fleet in which no server is silent and the first one is the leader. rate returns
+// the error of the i-th process's clock as a fraction of the maximum drift, from -1 (slowest) to 1 (fastest); the
+// servers come before the proxies.
 func newCluster(s Settings, rate func(i int) float64) *cluster {
 	c := &cluster{settings: s, cutLinks: map[[2]int]bool{}, demandUnits: 2 * s.Limit, epoch: 1}
 	for i := range s.Servers {
@@ -103,7 +104,7 @@
 	waitingTime := &quotalease.Expire{Token: quotalease.Token{Epoch: 1, Index: 1}}
 	c.append(leader, quotalease.Command{Expire: waitingTime})
 	c.append(leader, s.setQuotas(1, s.Limit, s.Burst))
-	for range 2 { // once for the entries, once for their commit
+	for range 2 { // the first round replicates the entries, the second one their commit
 		for _, follower := range c.servers[1:] {
 			c.replicate(leader, follower)
 		}
@@ -117,7 +118,7 @@
 	return c
 }
 
-// startProxy starts a process of the i-th proxy, with the floors that the process before kept on disk.
+// startProxy starts a process of the i-th proxy with the floors that its previous process stored on disk.
 func (c *cluster) startProxy(i int) {
 	p := c.proxies[i]
 	c.incarnations++
@@ -133,7 +134,7 @@
 	p.up = true
 }
 
-// stopProxy ends a process. Its units in flight go on elsewhere, until their hold time is over.
+// stopProxy stops a process. Its units stay in flight until their hold time ends.
 func (c *cluster) stopProxy(i int) {
 	p := c.proxies[i]
 	p.up = false
@@ -146,7 +147,7 @@
 	p.inFlight = nil
 }
 
-// startServer starts a server with what its store holds, silent for a time.
+// startServer starts a server with its stored log and term. The server stays silent for the duration silence.
 func (c *cluster) startServer(s *server, silence time.Duration) {
 	s.up = true
 	s.leader = false
@@ -159,8 +160,8 @@
 	s.allocator = quotalease.NewAllocator(s.at(c.now), silence, s.state)
 }
 
-// restartServer starts a server with the first entries of its log: all of them, or those of an older copy of its
-// store.
+// restartServer restarts a server with the first entries of its log: all of them, or fewer if an older copy of its
+// store was restored.
 func (c *cluster) restartServer(s *server, entries int) {
 	if entries < len(s.log) {
 		s.log = s.log[:entries:entries]
@@ -169,11 +170,12 @@
 	c.startServer(s, c.startupSilence())
 }
 
+// startupSilence returns how long a server stays silent after its start.
 func (c *cluster) startupSilence() time.Duration {
 	return quotalease.StartupSilence(c.settings.maxLifetime(), c.settings.MaxDrift)
 }
 
-// clone returns a copy that shares what never changes.
+// clone returns a copy that shares only data that is never modified in place.
 func (c *cluster) clone() *cluster {
 	copied := *c
 	copied.servers = make([]*server, len(c.servers))
--- a/internal/quotalease/modelcheck/explore.go
+++ b/internal/quotalease/modelcheck/explore.go
@@ -8,27 +8,27 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Bounds say which small system is explored. All that can happen within them is.
+// Bounds limit the events of an exploration. Explore visits every state that is reachable within them.
 type Bounds struct {
 	RequestsPerProxy int
-	Ticks            int           // of time
-	Tick             time.Duration // how long one is
+	Ticks            int           // number of times that the clock advances
+	Tick             time.Duration // by which the clock advances each time
 	Elections        int
-	Restarts         int // of servers: with their store, with its first half, or with none
-	MaxStates        int // at which it stops; 0 is no bound
+	Restarts         int // of servers, with their whole log, its first half, or an empty log
+	MaxStates        int // maximum number of states; 0 means no maximum
 }
 
-// Result is what an exploration came to.
+// Result is the result of Explore.
 type Result struct {
 	States      int
-	Transitions int // that were tried
-	Depth       int
-	Complete    bool     // every state within the bounds was seen
-	Violation   string   // what broke, "" if nothing did
-	Trace       []string // the shortest way to it
+	Transitions int      // number of transitions taken, also to states that were visited before
+	Depth       int      // number of transitions from the first state to the last one expanded
+	Complete    bool     // MaxStates was not reached, so every state within the bounds was visited
+	Violation   string   // description of the violation, "" if there was none
+	Trace       []string // a shortest sequence of transitions that leads to the violation
 }
 
-// searchNode is a state, with what is used up of the bounds.
+// searchNode is a state with the number of events that led to it, as limited by Bounds.
 type searchNode struct {
 	*cluster
 	requestsSent []int
@@ -38,25 +38,25 @@
 	depth        int
 }
 
-// transition is how a state was reached.
+// transition describes how a state was reached.
 type transition struct {
-	parent int // index of the state before
-	by     string
+	parent int    // index of the previous state in search.nodes; -1 for the first state
+	by     string // description of the event
 }
 
-// search is a breadth-first search.
+// search is the working state of a breadth-first search.
 type search struct {
 	bounds Bounds
 	seen   map[xxh3.Uint128]bool
-	nodes  []*searchNode // in the order of their discovery; nil once visited
+	nodes  []*searchNode // in the order of their discovery; nil once expanded
 	steps  []transition  // how each node was reached
 	buffer []byte
 	result Result
 }
 
-// Explore visits all states of a system within bounds, breadth first. Messages stay on the network for good: each
-// may come at any time, any number of times, in any order, or never. Clocks are as bad as they may be: those of
-// servers fast, those of proxies slow.
+// Explore visits all states of a system within bounds, breadth first, and stops at the first violation. Messages stay
+// on the network forever: each may arrive at any time, any number of times, in any order, or never. Clocks have the
+// worst drift that is allowed: those of servers are fast, those of proxies slow.
 func Explore(s Settings, bounds Bounds) Result {
 	first := &searchNode{
 		cluster:      newCluster(s, func(i int) float64 { return worstClock(i < s.Servers) }),
@@ -71,13 +71,13 @@
 		node.successors(bounds, func(by string, next *searchNode) bool {
 			return e.visit(next, transition{parent: at, by: by})
 		})
-		e.nodes[at] = nil // so that its memory is freed
+		e.nodes[at] = nil // frees the memory of the state
 	}
 	e.result.States = len(e.seen)
 	return e.result
 }
 
-// worstClock returns the rate of a clock as a part of the drift.
+// worstClock returns the worst error of a clock as a fraction of the maximum drift: fast for servers, slow for proxies.
 func worstClock(ofServer bool) float64 {
 	if ofServer {
 		return 1
@@ -85,7 +85,7 @@
 	return -1
 }
 
-// add notes a state unless it was seen or there are too many. It reports whether the state is new.
+// add adds a state unless it was visited before or MaxStates is reached. It reports whether the state was added.
 func (e *search) add(node *searchNode, step transition) bool {
 	var hash xxh3.Uint128
 	e.buffer, hash = node.hash(e.buffer)
@@ -102,10 +102,10 @@
 	return true
 }
 
-// visit checks a state and adds it. It reports whether the search goes on.
+// visit checks the invariant in a state and adds the state. It reports whether the search must continue.
 func (e *search) visit(next *searchNode, step transition) bool {
 	e.result.Transitions++
-	violation := next.checkInvariant() // before the hash, because it ends leases that have expired
+	violation := next.checkInvariant() // before the state is hashed, because it marks expired leases as inactive
 	if !e.add(next, step) || violation == "" {
 		return true
 	}
@@ -117,7 +117,7 @@
 	return false
 }
 
-// expansion tries all transitions from a state until the caller has enough.
+// expansion generates the successors of a state until yield returns false.
 type expansion struct {
 	from   *searchNode
 	bounds Bounds
@@ -125,7 +125,7 @@
 	done   bool
 }
 
-// successors yields every state that can be next, until yield returns false.
+// successors calls yield for every state that one event can lead to, until yield returns false.
 func (n *searchNode) successors(bounds Bounds, yield func(by string, next *searchNode) bool) {
 	x := &expansion{from: n, bounds: bounds, yield: yield}
 	for i := range n.proxies {
@@ -134,7 +134,7 @@
 				next.requestsSent[i]++
 				next.sendRequest(i)
 				return true
-			}, "%s sends a request", holderName(i))
+			}, "holder %s sends a request", holderName(i))
 		}
 	}
 	for i, s := range n.servers {
@@ -148,7 +148,7 @@
 			x.try(func(next *searchNode) bool {
 				next.deliverReply(next.replies[j])
 				return true
-			}, "%s takes token %v", holderName(r.to), r.Leases[0].Token)
+			}, "holder %s receives a reply with the lease of token %v", holderName(r.to), r.Leases[0].Token)
 		}
 	}
 	if n.ticks < bounds.Ticks {
@@ -157,11 +157,12 @@
 			next.now += bounds.Tick
 			next.stepDownWithoutQuorum()
 			return true
-		}, "time passes")
+		}, "the clock advances by %v", bounds.Tick)
 	}
 }
 
-// try yields the state after a transition, unless that does nothing.
+// try applies an event to a copy of the state and yields the copy, unless do returns false because the event changes
+// nothing. format and args describe the event.
 func (x *expansion) try(do func(next *searchNode) bool, format string, args ...any) {
 	if x.done {
 		return
@@ -173,7 +174,7 @@
 	if !do(&next) {
 		return
 	}
-	// Whatever can be replied is on the network at once: as it may come late or never, no behavior is lost by that.
+	// Every possible reply is put on the network at once. A reply may arrive late or never, so no behavior is missed.
 	for _, s := range next.servers {
 		for _, p := range next.proxies {
 			if r := s.requests[p.HolderID]; r != nil {
@@ -184,7 +185,7 @@
 	x.done = !x.yield(fmt.Sprintf(format, args...), &next)
 }
 
-// tryServer tries what a server can do.
+// tryServer tries the events of a server: those of a leader, an election and a restart.
 func (x *expansion) tryServer(i int, s *server) {
 	if s.leader {
 		x.tryLeader(i, s)
@@ -193,7 +194,7 @@
 		x.try(func(next *searchNode) bool {
 			next.elections++
 			return next.electLeader(next.servers[i])
-		}, "%d is elected", i)
+		}, "server %d is elected", i)
 	}
 	if x.from.restarts >= x.bounds.Restarts {
 		return
@@ -203,22 +204,22 @@
 			next.restarts++
 			next.restartServer(next.servers[i], entries)
 			return true
-		}, "%d restarts with %d of %d entries", i, entries, len(s.log))
+		}, "server %d restarts with %d of %d log entries", i, entries, len(s.log))
 	}
 }
 
-// tryLeader tries what a leader can do: take a request, propose its plan, replicate its log.
+// tryLeader tries the events of a leader: it receives a request, proposes its plan, or replicates its log.
 func (x *expansion) tryLeader(i int, s *server) {
 	for j, r := range x.from.requests {
 		if had := s.requests[r.HolderID]; had == nil || had.Seq < r.Seq {
 			x.try(func(next *searchNode) bool {
 				return next.deliverRequest(next.servers[i], next.requests[j])
-			}, "%d takes request %d of %s", i, r.Seq, holderName(r.from))
+			}, "server %d receives request %d of holder %s", i, r.Seq, holderName(r.from))
 		}
 	}
-	// What is not committed would be proposed again and again without a bound.
+	// A plan is proposed again until it is committed, so the uncommitted entries must be bounded.
 	if len(s.log)-s.commit < 2 && s.allocator.HasWork(s.at(x.from.now)) {
-		x.try(func(next *searchNode) bool { return next.proposePlan(next.servers[i]) }, "%d proposes", i)
+		x.try(func(next *searchNode) bool { return next.proposePlan(next.servers[i]) }, "server %d proposes a plan", i)
 	}
 	for f, follower := range x.from.servers {
 		upToDate := s.match[f] == len(s.log) && follower.commit == s.commit && follower.confirmed == len(s.log)
@@ -226,10 +227,10 @@
 			continue
 		}
 		if f > 1 && x.bounds.Elections == 0 && x.bounds.Restarts == 0 {
-			continue // no other server will lead, so it is enough that one follows
+			continue // no other server becomes the leader, so one follower is sufficient for a majority
 		}
 		x.try(func(next *searchNode) bool {
 			return next.replicate(next.servers[i], next.servers[f])
-		}, "%d replicates to %d", i, f)
+		}, "server %d replicates to server %d", i, f)
 	}
 }
--- a/internal/quotalease/modelcheck/fault.go
+++ b/internal/quotalease/modelcheck/fault.go
@@ -6,25 +6,25 @@
 	"lapisspread/internal/quotalease"
 )
 
-// Fault is a kind of fault that a random run injects. The order of the constants is that in which they are drawn:
-// another order gives other runs of the same seeds.
+// Fault is a kind of fault that a random run injects. Runs draw the faults in the order of the constants, so a
+// different order changes the runs of all seeds.
 type Fault int
 
-// The faults, and what repairs them.
+// The kinds of events that a random run injects. LinksRepaired ends the ServersCutOff faults.
 const (
-	LinksRepaired Fault = iota
-	DemandShifted
-	OlderStoreRestored // a server restarts with an older copy of its store
-	ProxyCutOff
+	LinksRepaired      Fault = iota
+	DemandShifted            // the demands of all proxies change
+	OlderStoreRestored       // a server restarts with an older copy of its store
+	ProxyCutOff              // a proxy cannot reach any server
 	ProxyKilled
-	ProxyReplaced
+	ProxyReplaced // a new process starts under the name of a stopped one
 	ProxyPaused
 	ServerRestarted
 	ServerKilled
 	ServerPaused
-	ServersCutOff // one server from another
+	ServersCutOff // two servers cannot reach each other
 	StoreLost     // a server restarts with an empty store
-	LimitChanged
+	LimitChanged  // an operator changes the limit
 
 	faultCount int = iota
 )
@@ -37,7 +37,7 @@
 	LimitChanged: "limit changed",
 }
 
-// String returns the fault in words.
+// String returns a short description of the fault.
 func (f Fault) String() string {
 	if f < 0 || int(f) >= faultCount {
 		return fmt.Sprintf("fault %d", int(f))
@@ -45,23 +45,23 @@
 	return faultNames[f]
 }
 
-// faultDraws is the number of moments that rates of faults are for.
+// faultDraws is the number of steps of a run to which fault rates refer.
 const faultDraws = 4000
 
-// defaultFaultRates are how often each fault is drawn in faultDraws moments.
+// defaultFaultRates are the average numbers of each fault in faultDraws steps.
 var defaultFaultRates = map[Fault]int{
 	ServerKilled: 10, ServerRestarted: 15, OlderStoreRestored: 10, StoreLost: 3, ServerPaused: 12, ProxyPaused: 20,
 	ProxyKilled: 15, ProxyReplaced: 25, ProxyCutOff: 15, ServersCutOff: 12, LinksRepaired: 23, LimitChanged: 6,
 	DemandShifted: 10,
 }
 
-// Pauses and cut-offs last up to these numbers of lease durations.
+// Maximum durations of pauses and of proxy cut-offs, in lease durations.
 const (
 	maxPauseLeases  = 3
 	maxCutOffLeases = 4
 )
 
-// injectFault draws whether something goes wrong at this moment, and what.
+// injectFault draws whether a fault happens in this step, and which one.
 func (r *randomRun) injectFault() {
 	rates := r.settings.FaultRates
 	if rates == nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// applyFault applies a fault to a server and a proxy that are drawn.
+// applyFault applies a fault to a random server or proxy.
 func (r *randomRun) applyFault(fault Fault) {
 	s := r.servers[r.rng.IntN(len(r.servers))]
 	i := r.rng.IntN(len(r.proxies))
@@ -118,15 +118,15 @@
 	}
 }
 
-// changeLimit has an operator set the limit at a leader that knows the newest configuration: to the configured one, or
-// to a part of it.
+// changeLimit has an operator set the limit, if the server is a leader that has applied the newest configuration. The
+// new limit is the one of the settings or a fraction of it.
 func (r *randomRun) changeLimit(s *server) {
 	if !s.up || !s.leader {
 		return
 	}
 	part := .5 + r.rng.Float64()/2
 	if r.settings.Kind == quotalease.InFlight {
-		part = .5 // units in flight are whole
+		part = .5 // units in flight must be whole numbers
 	}
 	if r.chance(.5) {
 		part = 1
@@ -136,7 +136,7 @@
 	}
 }
 
-// repairAll ends all faults.
+// repairAll ends all faults: it reconnects everything, and starts the proxies and servers that are down.
 func (r *randomRun) repairAll() {
 	r.repaired = true
 	clear(r.cutLinks)
--- a/internal/quotalease/modelcheck/invariant.go
+++ b/internal/quotalease/modelcheck/invariant.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// levelTolerance and sumTolerance are in units, for floating-point errors.
+	// Tolerances for floating-point errors, in units.
 	levelTolerance = 1e-3
 	sumTolerance   = 1e-6
 )
 
-// configuredLimit is a limit under which something was granted. It counts until that must have expired, by true time.
+// configuredLimit is a limit under which leases were granted. It counts until the last of these leases has expired for
+// certain.
 type configuredLimit struct {
 	units float64
 	burst float64
-	until time.Duration
+	until time.Duration // true time until which the limit counts
 }
 
-// recordLimit notes the limit of a leader that may just have committed leases.
+// recordLimit records the limit of a leader that may just have committed leases.
 func (c *cluster) recordLimit(leader *server) {
 	config, _ := leader.state.Config()
 	if len(config.Quotas) == 0 {
 		return
 	}
-	longest := time.Duration(float64(c.settings.maxLifetime()) / (1 - c.settings.MaxDrift)) // by a slow clock
+	longest := time.Duration(float64(c.settings.maxLifetime()) / (1 - c.settings.MaxDrift)) // by the slowest clock
 	limit := configuredLimit{
 		units: config.Quotas[0].Limit, burst: config.Quotas[0].Burst, until: c.now + longest + time.Millisecond,
 	}
@@ -37,7 +38,8 @@
 	c.limits = append(c.limits, limit)
 }
 
-// maxLimit returns the largest limit that counts now. The floor counts always, because nobody takes it back.
+// maxLimit returns the largest limit and burst that count at the current time. The floor always counts, because no
+// configuration removes it.
 func (c *cluster) maxLimit() (units, burst float64) {
 	units = c.settings.Floor
 	burst = c.settings.Burst * c.settings.Floor / c.settings.Limit
@@ -50,14 +52,15 @@
 	return units, burst
 }
 
-// fillSharedBucket fills the one bucket that all that is spent must fit.
+// fillSharedBucket refills the shared token bucket from which all spent units are taken.
 func (c *cluster) fillSharedBucket() {
 	units, burst := c.maxLimit()
 	c.sharedBucket = min(burst, c.sharedBucket+units*(c.now-c.filledAt).Seconds())
 	c.filledAt = c.now
 }
 
-// acquire has a process spend what it can, up to a number of units.
+// acquire has the i-th proxy acquire units until one is rejected, at most the given number. It records a violation if
+// the proxies together spend more than the limit and the burst allow.
 func (c *cluster) acquire(i, most int) {
 	p := c.proxies[i]
 	for range most {
@@ -74,13 +77,14 @@
 		c.fillSharedBucket()
 		c.sharedBucket--
 		if c.sharedBucket < -levelTolerance {
-			c.recordViolation("%s spends beyond the limit and its burst, by %.3f units",
+			c.recordViolation("holder %s acquired a unit beyond the limit and the burst, by %.3f units",
 				p.HolderID.Holder, -c.sharedBucket)
 		}
 	}
 }
 
-// releaseWork gives back units whose hold time is over, and a few more, the oldest first.
+// releaseWork releases the units in flight of the i-th proxy whose hold time has ended, plus unended ones, oldest
+// first, until few units are released.
 func (c *cluster) releaseWork(i, few int) {
 	p := c.proxies[i]
 	now := p.at(c.now)
@@ -90,20 +94,20 @@
 		}
 		few--
 		if err := p.Release(quotaName, unit.token, 1); err != nil {
-			c.recordViolation("%v", err)
+			c.recordViolation("holder %s: Release of a unit in flight failed: %v", p.HolderID.Holder, err)
 		}
 		return true
 	})
 }
 
-// recordViolation notes what broke, unless something broke before.
+// recordViolation records a violation of the invariant, unless one was recorded before.
 func (c *cluster) recordViolation(format string, args ...any) {
 	if c.violation == "" {
 		c.violation = fmt.Sprintf("at %v: ", c.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// outstanding returns all that processes may spend now or have in flight, in units.
+// outstanding returns the units that all processes may spend at the current time or have in flight.
 func (c *cluster) outstanding() (sum float64) {
 	for _, p := range c.proxies {
 		leased, floor := p.inFlightUnits(c.now)
@@ -122,7 +126,7 @@
 	return sum
 }
 
-// inFlightUnits returns the units in flight under leases and of the floor.
+// inFlightUnits returns the units in flight that leases admitted, and those that the floor admitted.
 func (p *proxy) inFlightUnits(now time.Duration) (leased, floor float64) {
 	for _, unit := range p.inFlight {
 		switch {
@@ -136,11 +140,11 @@
 	return leased, floor
 }
 
-// checkInvariant returns what is broken, "" if nothing is.
+// checkInvariant returns the first violation of the invariant so far, "" if there is none.
 func (c *cluster) checkInvariant() string {
 	units, _ := c.maxLimit()
 	if sum := c.outstanding(); sum > units+sumTolerance {
-		c.recordViolation("%.6f may be spent of a limit of %v", sum, units)
+		c.recordViolation("%.6f units are outstanding, above the limit of %v", sum, units)
 	}
 	return c.violation
 }
--- a/internal/quotalease/modelcheck/network.go
+++ b/internal/quotalease/modelcheck/network.go
@@ -8,7 +8,7 @@
 	"lapisspread/internal/quotalease"
 )
 
-// sendRequest has a process make a request; it is on the network from now on.
+// sendRequest puts the next request of the i-th proxy on the network.
 func (c *cluster) sendRequest(i int) {
 	p := c.proxies[i]
 	now := p.at(c.now)
@@ -17,7 +17,8 @@
 	c.requests = append(c.requests, r)
 }
 
-// deliverRequest has a server take a request; a leader plans. It reports whether the server took it.
+// deliverRequest passes a request to a server; a leader then proposes its plan. It reports whether the server accepted
+// the request.
 func (c *cluster) deliverRequest(s *server, r *request) bool {
 	if !s.up || s.allocator.HandleRequest(s.at(c.now), r.Request) != nil {
 		return false
@@ -29,7 +30,7 @@
 	return true
 }
 
-// proposePlan has a leader append its plan to its log. It reports whether there was one.
+// proposePlan appends the plan of a leader to its log. It reports whether the plan had commands.
 func (c *cluster) proposePlan(s *server) bool {
 	if !s.up || !s.leader {
 		return false
@@ -42,15 +43,15 @@
 	return true
 }
 
-// runOperator does what operators do at a leader whose log lacks their commands: they bootstrap the fleet again and
-// set its quotas.
+// runOperator models an operator at a leader whose log lacks the operator's commands: the operator bootstraps the fleet
+// again and sets its quotas.
 func (c *cluster) runOperator(s *server) {
 	if !s.up || !s.leader {
 		return
 	}
 	for _, entry := range s.log[s.commit:] {
 		if entry.command.Bootstrap != nil || entry.command.SetQuotas != nil {
-			return // appended, not committed yet
+			return // already proposed, but not committed yet
 		}
 	}
 	_, epoch, err := s.state.Bootstrapped()
@@ -64,7 +65,7 @@
 	}
 }
 
-// sendReply has a server answer a request. Equal replies are on the network once.
+// sendReply puts the reply of a server to a request on the network, unless an equal reply is there already.
 func (c *cluster) sendReply(s *server, r *request) {
 	state := s.state
 	if c.settings.mutations.ReplyBeforeCommit {
@@ -83,15 +84,16 @@
 	c.replies = append(c.replies, out)
 }
 
-// uncommittedState returns the state with all entries of the log.
+// uncommittedState returns a copy of the state with all log entries applied, committed or not.
 func (s *server) uncommittedState() *quotalease.StateMachine {
 	state := s.state.Clone()
 	for i := s.applied; i < len(s.log); i++ {
-		_, _ = state.Apply(uint64(i+1), s.log[i].command) // what it rejects changes nothing
+		_, _ = state.Apply(uint64(i+1), s.log[i].command) // a rejected command changes nothing
 	}
 	return state
 }
 
+// hash returns a hash of the content that distinguishes replies to one process.
 func (r *reply) hash() uint64 {
 	data := binary.AppendVarint(nil, int64(r.sentAt))
 	for _, lease := range r.Leases {
@@ -101,7 +103,7 @@
 	return xxh3.Hash(binary.AppendUvarint(data, r.ConfigVersion))
 }
 
-// deliverReply has a process take a reply. What the holder refuses of it is no failure.
+// deliverReply passes a reply to its process. A refusal by the holder is not an error of the model.
 func (c *cluster) deliverReply(r *reply) {
 	if p := c.proxies[r.to]; p.up {
 		_ = p.HandleReply(r.sentAt, p.at(c.now), r.Reply)
--- a/internal/quotalease/modelcheck/raft.go
+++ b/internal/quotalease/modelcheck/raft.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"encoding/json"
+	"fmt"
 	"time"
 
 	"github.com/zeebo/xxh3"
@@ -10,10 +11,13 @@
 	"lapisspread/internal/quotalease"
 )
 
+// silent reports whether the startup silence of a server lasts.
 func (c *cluster) silent(s *server) bool { return s.allocator.Silent(s.at(c.now)) }
 
+// majority returns the number of servers that form a quorum.
 func (c *cluster) majority() int { return c.settings.Servers/2 + 1 }
 
+// connected reports whether two servers can reach each other.
 func (c *cluster) connected(a, b int) bool {
 	return !c.cutLinks[[2]int{a, b}] && !c.cutLinks[[2]int{b, a}]
 }
@@ -27,11 +31,11 @@
 	return term, length
 }
 
-// append adds a command to a leader's log.
+// append appends a command to the log of a leader.
 func (c *cluster) append(leader *server, command quotalease.Command) {
 	data, err := json.Marshal(command)
 	if err != nil {
-		panic(err) // commands are plain data
+		panic(fmt.Sprintf("cannot encode a command: %v", err)) // commands are plain data
 	}
 	previous := uint64(0)
 	if n := len(leader.log); n > 0 {
@@ -44,7 +48,8 @@
 	leader.match[leader.id] = len(leader.log)
 }
 
-// lead makes a server the leader of its term, as if each other server had confirmed at a time by its clock.
+// lead makes a server the leader of its term. contact is the time, by its clock, at which the other servers count as
+// having last confirmed.
 func (c *cluster) lead(s *server, contact time.Duration) {
 	s.leader = true
 	s.match = make([]int, c.settings.Servers)
@@ -54,9 +59,9 @@
 	}
 }
 
-// electLeader has a server ask for votes; others vote for it if its log is no older than theirs. (Ongaro and
-// Ousterhout, In Search of an Understandable Consensus Algorithm, 2014, 5.2 and 5.4; with a pre-vote, so nothing
-// changes in vain.) It reports whether the server was elected.
+// electLeader has a server request votes. Other servers vote for it if its log is at least as up to date as theirs.
+// (Ongaro and Ousterhout, In Search of an Understandable Consensus Algorithm, 2014, 5.2 and 5.4; with a pre-vote, so a
+// failed election changes no state.) It reports whether the server was elected.
 func (c *cluster) electLeader(candidate *server) bool {
 	if !candidate.up || candidate.leader || c.silent(candidate) {
 		return false
@@ -76,11 +81,12 @@
 		voter.leader = false
 	}
 	c.lead(candidate, candidate.at(c.now))
-	// With an entry of its own term the leader commits all entries before it.
+	// Committing an entry of its own term lets the leader commit all entries before it.
 	c.append(candidate, quotalease.Command{Batch: []quotalease.Command{}})
 	return true
 }
 
+// votesFor reports whether voter votes for candidate.
 func (c *cluster) votesFor(voter, candidate *server) bool {
 	if !voter.up || c.silent(voter) || !c.connected(candidate.id, voter.id) || voter.term > candidate.term {
 		return false
@@ -90,7 +96,8 @@
 	return ownTerm < term || ownTerm == term && ownLength <= length
 }
 
-// replicate sends a follower the leader's log, and the leader its confirmation. It reports whether anything happened.
+// replicate copies the leader's log to a follower and passes the follower's confirmation to the leader. It reports
+// whether a message was exchanged.
 func (c *cluster) replicate(leader, follower *server) bool {
 	if !leader.up || !leader.leader || leader == follower || !follower.up {
 		return false
@@ -106,8 +113,9 @@
 	follower.term = leader.term
 	follower.leader = false
 	if follower.truncatedBy(leader) {
-		// A store was put back: what the follower confirmed, and what may have been committed with that, is no
-		// longer in the log. As after a start, it confirms nothing until the leases of those entries have expired.
+		// A store was lost or restored from an older copy: entries that the follower confirmed, and that may have been
+		// committed, are no longer in the log. As after a start, the follower confirms nothing until the leases of
+		// those entries have expired.
 		follower.log = leader.log
 		silence := c.startupSilence()
 		if c.settings.mutations.NoSilenceAfterTruncation {
@@ -120,7 +128,7 @@
 	follower.confirmed = len(leader.log)
 	leader.match[follower.id] = len(leader.log)
 	leader.contact[follower.id] = leader.at(c.now)
-	// The follower learns of the commit with the next message.
+	// The follower receives the commit index of this round with the next message.
 	follower.commit = max(follower.commit, min(leader.commit, len(follower.log)))
 	c.advanceCommit(leader)
 	c.applyCommitted(leader)
@@ -135,7 +143,8 @@
 	return n > 0 && (len(leader.log) < n || leader.log[n-1].id != s.log[n-1].id)
 }
 
-// advanceCommit commits the entries of the leader's term that a majority has confirmed.
+// advanceCommit commits the entries that a majority has confirmed, up to the last one, which must be of the leader's
+// term.
 func (c *cluster) advanceCommit(leader *server) {
 	for n := len(leader.log); n > leader.commit && leader.log[n-1].term == leader.term; n-- {
 		confirmations := 0
@@ -152,22 +161,22 @@
 	}
 }
 
-// applyCommitted applies all committed entries.
+// applyCommitted applies all committed entries to the state machine of a server.
 func (c *cluster) applyCommitted(s *server) {
 	for s.applied < s.commit {
 		command := s.log[s.applied].command
 		s.applied++
 		if command.SetQuotas != nil && s.leader {
-			c.recordLimit(s) // entries before it in the log were granted under the configuration before
+			c.recordLimit(s) // earlier entries granted leases under the previous configuration
 		}
-		result, _ := s.state.Apply(uint64(s.applied), command) // what it rejects changes nothing
+		result, _ := s.state.Apply(uint64(s.applied), command) // a rejected command changes nothing
 		s.allocator.ObserveApplied(s.at(c.now), result)
 		_, version := s.state.Config()
 		c.version = max(c.version, version)
 	}
 }
 
-// stepDownWithoutQuorum has leaders step down that a majority has not confirmed for the longest lifetime.
+// stepDownWithoutQuorum has each leader step down if no majority has confirmed it within the longest lifetime.
 func (c *cluster) stepDownWithoutQuorum() {
 	for _, s := range c.servers {
 		if !s.leader || !s.up {
--- a/internal/quotalease/modelcheck/random.go
+++ b/internal/quotalease/modelcheck/random.go
@@ -8,56 +8,57 @@
 	"time"
 )
 
-// RandomResult is what a random run came to.
+// RandomResult is the result of RunRandom.
 type RandomResult struct {
-	Violation    string        // what broke, "" if nothing did
-	Moments      int           // that were checked
-	GrantedShare float64       // of the smaller of limit and demand, once all faults are repaired
-	RecoveryTime time.Duration // after the repair until GrantedShare was reached
-	SpentUnits   float64
-	Faults       map[Fault]int // how often each was injected
+	Violation    string        // description of the violation, "" if there was none
+	Moments      int           // number of steps, each followed by a check of the invariant
+	GrantedShare float64       // outstanding units as a fraction of the smaller of limit and demand, after the repair
+	RecoveryTime time.Duration // from the repair until GrantedShare reached enoughGranted
+	SpentUnits   float64       // units that all proxies acquired
+	Faults       map[Fault]int // number of injected faults by kind
 }
 
 // String returns the result in one line.
 func (r RandomResult) String() string {
-	return fmt.Sprintf("%d moments, faults %v, spent %.0f, granted %.3f after %v, found %q",
+	return fmt.Sprintf("%d steps, faults %v, %.0f units spent, granted share %.3f after %v, violation %q",
 		r.Moments, r.Faults, r.SpentUnits, r.GrantedShare, r.RecoveryTime, r.Violation)
 }
 
-// enoughGranted is the part of what could be granted that counts as recovered.
+// enoughGranted is the GrantedShare from which on a run counts as recovered.
 const enoughGranted = .98
 
-// randomSeed is the second part of the seed of every run.
+// randomSeed is the second word of the random seed of every run.
 const randomSeed = 24
 
-// Chances of what happens at a moment while faults are injected.
+// Probabilities of the events of one step while faults are injected.
 const (
-	acquireChance    = .5
-	electionChance   = .002
-	noLeaderChance   = .2 // of an election by one server, while there is no leader
-	replicateChance  = .8 // of one leader to one follower
-	replyChance      = .3
-	leaderChance     = .8 // that a request goes to a leader
-	deliveryChance   = .4
-	lossChance       = .02
-	repeatChance     = .05
-	cutOffKeepChance = .9 // that a message of a proxy that is cut off is not lost
+	acquireChance    = .5   // that a proxy acquires units
+	electionChance   = .002 // that a server starts an election at any time
+	noLeaderChance   = .2   // that a server starts an election while there is no leader
+	replicateChance  = .8   // that a leader replicates to a follower
+	replyChance      = .3   // that a server replies to the latest request of a proxy
+	leaderChance     = .8   // that a request goes to a leader
+	deliveryChance   = .4   // that a message is delivered in this step
+	lossChance       = .02  // that an undelivered message is lost
+	repeatChance     = .05  // that a delivered message is delivered again later
+	cutOffKeepChance = .9   // that a message from or to a proxy that is cut off is not lost
 )
 
-// randomRun plays a cluster by chance.
+// randomRun is the state of a random run of a cluster.
 type randomRun struct {
 	*cluster
 	rng               *rand.Rand
-	nextRequest       []time.Duration // of each proxy
+	nextRequest       []time.Duration // when each proxy sends its next request
 	serverPausedUntil []time.Duration
 	proxyPausedUntil  []time.Duration
-	cutOffUntil       []time.Duration // of each proxy, from all servers
+	cutOffUntil       []time.Duration // until when each proxy cannot reach any server
 	faults            map[Fault]int
-	repaired          bool // links lose and delay nothing
+	repaired          bool // repairAll was called: messages are delivered at once
 }
 
-// RunRandom plays a cluster for a number of moments with faults, then repairs all and plays on until what was lost
-// must be granted again. Equal arguments give equal runs.
+// RunRandom runs a cluster for a number of steps with random faults. Then it repairs all faults and continues until
+// GrantedShare reaches enoughGranted or a deadline has passed. It stops at the first violation. Equal arguments give
+// equal runs.
 func RunRandom(s Settings, seed uint64, moments int) RandomResult {
 	r := newRandomRun(s, seed)
 	result := RandomResult{Faults: r.faults}
@@ -97,23 +98,25 @@
 	}
 }
 
-// grantedShare returns the part of the smaller of limit and demand that is outstanding.
+// grantedShare returns the outstanding units as a fraction of the smaller of limit and demand.
 func (r *randomRun) grantedShare() float64 {
 	limit := r.limits[len(r.limits)-1]
 	if limit.until < r.now {
-		return 0 // nothing is granted under any limit
+		return 0 // no lease is outstanding under any limit
 	}
 	demand := float64(r.settings.Holders) * r.demandUnits
 	return r.outstanding() / min(limit.units, demand)
 }
 
+// chance returns true with a probability.
 func (r *randomRun) chance(probability float64) bool { return r.rng.Float64() < probability }
 
+// between returns a random duration between low and high.
 func (r *randomRun) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(r.rng.Float64()*float64(high-low))
 }
 
-// step lets a little time pass and everybody do what it does.
+// step advances the time by a random amount, runs every proxy and server that is not paused, and delivers messages.
 func (r *randomRun) step() {
 	r.now += r.between(time.Microsecond, cmp.Or(r.settings.MaxMoment, r.settings.LeaseDuration/20))
 	r.stepDownWithoutQuorum()
@@ -133,6 +136,7 @@
 	r.replies = deliver(r, r.replies, func(q *reply) int { return q.to }, r.deliverReply)
 }
 
+// stepProxy has a proxy send its request if it is due, acquire units and release some.
 func (r *randomRun) stepProxy(i int) {
 	if r.nextRequest[i] <= r.now {
 		r.nextRequest[i] = r.now + r.between(r.settings.LeaseDuration/5, r.settings.LeaseDuration/3)
@@ -144,6 +148,8 @@
 	r.releaseWork(i, r.rng.IntN(3)-1)
 }
 
+// stepServer has a server start an election, propose, replicate, apply and reply. hasLeader reports whether any server
+// is a leader.
 func (r *randomRun) stepServer(s *server, hasLeader bool) {
 	if r.chance(electionChance) || !hasLeader && r.chance(noLeaderChance) {
 		r.electLeader(s)
@@ -163,7 +169,7 @@
 	}
 }
 
-// deliverToServer brings a request to a server, most often to a leader.
+// deliverToServer delivers a request to a server, usually to a leader. It does nothing if that server is paused.
 func (r *randomRun) deliverToServer(q *request) {
 	to := r.servers[r.rng.IntN(len(r.servers))]
 	for _, s := range r.servers {
@@ -176,8 +182,8 @@
 	}
 }
 
-// deliver brings some messages to their receivers, in any order. It returns those that stay on the network: some
-// are lost, some come again later. proxyOf returns the proxy that a message is from or to.
+// deliver passes some of the messages to to, in random order. It returns the messages that stay on the network: some
+// are lost, some are delivered again later. proxyOf returns the index of the proxy that a message is from or to.
 func deliver[M any](r *randomRun, messages []M, proxyOf func(M) int, to func(M)) []M {
 	r.rng.Shuffle(len(messages), func(i, j int) { messages[i], messages[j] = messages[j], messages[i] })
 	var staying []M
--- a/internal/quotalease/modelcheck/statehash.go
+++ b/internal/quotalease/modelcheck/statehash.go
@@ -7,7 +7,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// appendState appends all that decides what the cluster does next: equal bytes, equal futures.
+// appendState appends an encoding of the state that decides the future behavior of the cluster: clusters with equal
+// encodings behave alike.
 func (c *cluster) appendState(out []byte) []byte {
 	out = appendNumbers(out, int(c.now), len(c.requests), len(c.replies))
 	for _, s := range c.servers {
@@ -24,7 +25,8 @@
 	return c.appendMessages(out)
 }
 
-// appendState leaves out the state machine: it follows from the log and how much of it is applied.
+// appendState appends an encoding of the state of a server. It omits the state machine, which is determined by the log
+// and the number of applied entries.
 func (s *server) appendState(out []byte) []byte {
 	out = appendNumbers(out, number(s.up), int(s.term), number(s.leader), s.commit, s.applied, len(s.log), s.confirmed)
 	if n := len(s.log); n > 0 {
@@ -39,7 +41,7 @@
 	return s.allocator.AppendState(out)
 }
 
-// appendMessages appends the messages on the network, in whatever order they were sent.
+// appendMessages appends the ids of the messages on the network, sorted, so that the order of sending has no effect.
 func (c *cluster) appendMessages(out []byte) []byte {
 	ids := make([]uint64, 0, len(c.requests)+len(c.replies))
 	for _, r := range c.requests {
@@ -55,7 +57,8 @@
 	return out
 }
 
-// hash returns the hash of a node's state with what is used up of the bounds. buffer is used again.
+// hash returns a hash of the node's state and of its counts of events. It writes the encoding to buffer and returns the
+// buffer for reuse.
 func (n *searchNode) hash(buffer []byte) ([]byte, xxh3.Uint128) {
 	buffer = n.appendState(buffer[:0])
 	for _, sent := range n.requestsSent {
@@ -65,6 +68,7 @@
 	return buffer, xxh3.Hash128(buffer)
 }
 
+// appendNumbers appends integers as varints.
 func appendNumbers(out []byte, values ...int) []byte {
 	for _, value := range values {
 		out = binary.AppendVarint(out, int64(value))
@@ -72,6 +76,7 @@
 	return out
 }
 
+// number returns 1 for true and 0 for false.
 func number(flag bool) int {
 	if flag {
 		return 1
