--- a/internal/quotalease/acknowledge.go
+++ b/internal/quotalease/acknowledge.go
@@ -9,13 +9,13 @@
 
 // ackBatch applies each acknowledgement of a batch and adds the rejected ones to result.Rejected.
 func (m *StateMachine) ackBatch(batch *AckBatch, result *ApplyResult) {
-	for _, one := range batch.Acks {
+	for _, quotaAck := range batch.Acks {
 		ack := acknowledgement{
 			Ack: Ack{
-				Epoch: batch.Epoch, HolderID: batch.HolderID, Quota: one.Quota, RequestSeq: batch.RequestSeq,
-				Token: one.Token, InFlight: one.InFlight,
+				Epoch: batch.Epoch, HolderID: batch.HolderID, Quota: quotaAck.Quota, RequestSeq: batch.RequestSeq,
+				Token: quotaAck.Token, InFlight: quotaAck.InFlight,
 			},
-			ended: one.Ended || batch.All,
+			ended: quotaAck.Ended || batch.All,
 			all:   batch.All,
 		}
 		if err := m.acknowledge(ack, result); err != nil {
--- a/internal/quotalease/allocator.go
+++ b/internal/quotalease/allocator.go
@@ -9,8 +9,8 @@
 // requester is the latest request of a holder process and its state.
 type requester struct {
 	Request
-	heardAt time.Duration // when the request arrived, by the server's clock
-	pending bool          // no plan has granted leases for the request yet
+	receivedAt time.Duration // when the request arrived, by the server's clock
+	pending    bool          // no plan has granted leases for the request yet
 }
 
 // Allocator is the local, unreplicated state of a control-plane server: for each lease, the time by the server's own
@@ -22,12 +22,12 @@
 //
 // Calls do not block. They must not run concurrently with each other or with calls of the StateMachine.
 type Allocator struct {
-	state       *StateMachine
-	silentUntil time.Duration // the end of the startup silence, by the server's clock
-	timers      timerHeap
-	due         []Expiry // expired, but the state machine still counts them as outstanding
-	requesters  map[HolderID]*requester
-	onlyFreed   bool // the last plan only freed capacity; the next one grants even if it can free more
+	state             *StateMachine
+	silentUntil       time.Duration // the end of the startup silence, by the server's clock
+	timers            timerHeap
+	expired           []Expiry // expired, but the state machine still counts them as outstanding
+	requesters        map[HolderID]*requester
+	lastPlanOnlyFreed bool // the last plan only freed capacity; the next one grants even if it can free more
 }
 
 // NewAllocator returns the allocator of a server that starts at now. silence is how long the server must not take part
@@ -49,7 +49,7 @@
 // caller must call it after StateMachine.Restore.
 func (a *Allocator) RestartTimers(now time.Duration) {
 	a.timers = nil
-	a.due = nil
+	a.expired = nil
 	a.ObserveApplied(now, ApplyResult{Started: a.state.PendingExpiries()})
 }
 
@@ -74,24 +74,24 @@
 	case request.Epoch > state.epoch:
 		return StaleEpochError{Got: state.epoch, Have: request.Epoch}
 	}
-	from := a.requesters[request.HolderID]
-	if from == nil {
-		from = &requester{}
-		a.requesters[request.HolderID] = from
+	sender := a.requesters[request.HolderID]
+	if sender == nil {
+		sender = &requester{}
+		a.requesters[request.HolderID] = sender
 	}
-	if request.Seq > from.Seq {
-		*from = requester{Request: request, heardAt: now, pending: true}
+	if request.Seq > sender.Seq {
+		*sender = requester{Request: request, receivedAt: now, pending: true}
 	}
 	return nil
 }
 
 // HasWork reports whether Plan may return commands: an expiry or a request is pending.
 func (a *Allocator) HasWork(now time.Duration) bool {
-	if len(a.due) > 0 || a.timerDue(now) {
+	if len(a.expired) > 0 || a.timerDue(now) {
 		return true
 	}
-	for _, from := range a.requesters {
-		if from.pending {
+	for _, sender := range a.requesters {
+		if sender.pending {
 			return true
 		}
 	}
@@ -107,51 +107,53 @@
 		return nil
 	}
 	commands := a.expireCommands(now)
-	a.forgetSilent(now)
+	a.dropInactive(now)
 	var pending []*requester
 	for _, id := range slices.SortedFunc(maps.Keys(a.requesters), HolderID.Compare) {
-		if from := a.requesters[id]; from.pending {
-			pending = append(pending, from)
-			commands = append(commands, a.ackCommands(from)...)
+		if sender := a.requesters[id]; sender.pending {
+			pending = append(pending, sender)
+			commands = append(commands, a.ackCommands(sender)...)
 		}
 	}
-	if len(commands) > 0 && !a.onlyFreed {
-		a.onlyFreed = true
+	if len(commands) > 0 && !a.lastPlanOnlyFreed {
+		a.lastPlanOnlyFreed = true
 		return commands
 	}
-	a.onlyFreed = false
+	a.lastPlanOnlyFreed = false
 	return append(commands, a.grantCommands(now, pending)...)
 }
 
-// forgetSilent removes processes that have sent no request for the longest lifetime.
-func (a *Allocator) forgetSilent(now time.Duration) {
-	maps.DeleteFunc(a.requesters, func(_ HolderID, from *requester) bool {
-		return now-from.heardAt > a.state.maxLifetime
+// dropInactive removes the requests of processes that have sent no request for the longest lifetime.
+func (a *Allocator) dropInactive(now time.Duration) {
+	maps.DeleteFunc(a.requesters, func(_ HolderID, sender *requester) bool {
+		return now-sender.receivedAt > a.state.maxLifetime
 	})
 }
 
 // dropSettledExpiries removes the expiries that the state machine no longer counts as outstanding.
 func (a *Allocator) dropSettledExpiries() {
-	a.due = slices.DeleteFunc(a.due, func(expiry Expiry) bool { return !a.state.isPending(expiry) })
+	a.expired = slices.DeleteFunc(a.expired, func(expiry Expiry) bool { return !a.state.isPending(expiry) })
 }
 
 // ackCommands returns the commands for the acknowledgements and configuration versions of a request that would change
 // the state machine.
-func (a *Allocator) ackCommands(from *requester) []Command {
+func (a *Allocator) ackCommands(sender *requester) []Command {
 	var commands []Command
 	state := a.state
-	seesNewer := from.SeenVersion > state.seenVersion && from.SeenVersion > state.configVersion
-	if seesNewer || a.adoptsFloors(from) {
+	seesNewer := sender.SeenVersion > state.seenVersion && sender.SeenVersion > state.configVersion
+	if seesNewer || a.adoptsFloors(sender) {
 		observed := &ObserveConfig{
-			HolderID: from.HolderID, SeenVersion: from.SeenVersion, FloorsVersion: from.FloorsVersion,
+			HolderID: sender.HolderID, SeenVersion: sender.SeenVersion, FloorsVersion: sender.FloorsVersion,
 		}
 		commands = append(commands, Command{ObserveConfig: observed})
 	}
-	batch := AckBatch{Epoch: state.epoch, HolderID: from.HolderID, RequestSeq: from.Seq, All: from.Leaving}
-	for i := range from.Quotas {
-		if one := &from.Quotas[i]; a.changesState(from, one) {
-			ack := QuotaAck{Quota: one.Quota, Token: one.Token, InFlight: one.InFlight, Ended: one.Ended}
-			batch.Acks = append(batch.Acks, ack)
+	batch := AckBatch{Epoch: state.epoch, HolderID: sender.HolderID, RequestSeq: sender.Seq, All: sender.Leaving}
+	for i := range sender.Quotas {
+		if quotaRequest := &sender.Quotas[i]; a.changesState(sender, quotaRequest) {
+			batch.Acks = append(batch.Acks, QuotaAck{
+				Quota: quotaRequest.Quota, Token: quotaRequest.Token,
+				InFlight: quotaRequest.InFlight, Ended: quotaRequest.Ended,
+			})
 		}
 	}
 	if len(batch.Acks) > 0 {
@@ -161,9 +163,9 @@
 }
 
 // adoptsFloors reports whether a request adopts a configuration version with which an older, larger floor is freed.
-func (a *Allocator) adoptsFloors(from *requester) bool {
+func (a *Allocator) adoptsFloors(sender *requester) bool {
 	for _, ledger := range a.state.ledgers {
-		if floors := ledger.floors[from.Holder]; len(floors) > 1 && floors[1].ConfigVersion <= from.FloorsVersion {
+		if floors := ledger.floors[sender.Holder]; len(floors) > 1 && floors[1].ConfigVersion <= sender.FloorsVersion {
 			return true
 		}
 	}
@@ -171,21 +173,21 @@
 }
 
 // changesState reports whether the acknowledgement of one quota in a request would change the state machine.
-func (a *Allocator) changesState(from *requester, one *QuotaRequest) bool {
+func (a *Allocator) changesState(sender *requester, quotaRequest *QuotaRequest) bool {
 	state := a.state
-	if one.Token.Epoch == state.epoch && one.Token.Index > state.appliedIndex+state.tokenOffset {
+	if quotaRequest.Token.Epoch == state.epoch && quotaRequest.Token.Index > state.appliedIndex+state.tokenOffset {
 		return true // this log never issued the token, so later tokens must be above it
 	}
-	entry := state.entryOf(one.Quota, from.HolderID)
-	if entry == nil || from.Seq <= entry.LastAck {
+	entry := state.entryOf(quotaRequest.Quota, sender.HolderID)
+	if entry == nil || sender.Seq <= entry.LastAck {
 		return false
 	}
-	if one.InFlight.roundUp() < entry.Residual {
+	if quotaRequest.InFlight.roundUp() < entry.Residual {
 		return true
 	}
 	for i := range entry.Leases {
-		order := entry.Leases[i].Token.Compare(one.Token)
-		if order < 0 || one.Ended && order == 0 || from.Leaving {
+		order := entry.Leases[i].Token.Compare(quotaRequest.Token)
+		if order < 0 || quotaRequest.Ended && order == 0 || sender.Leaving {
 			return true
 		}
 	}
@@ -197,11 +199,11 @@
 	copied := *a
 	copied.state = state
 	copied.timers = slices.Clone(a.timers)
-	copied.due = slices.Clone(a.due)
+	copied.expired = slices.Clone(a.expired)
 	copied.requesters = make(map[HolderID]*requester, len(a.requesters))
-	for id, from := range a.requesters {
-		one := *from
-		copied.requesters[id] = &one
+	for id, sender := range a.requesters {
+		copiedRequester := *sender
+		copied.requesters[id] = &copiedRequester
 	}
 	return &copied
 }
--- a/internal/quotalease/amount.go
+++ b/internal/quotalease/amount.go
@@ -34,8 +34,8 @@
 	burst  Amount
 }
 
-// atLeast returns the larger amount and the larger burst of u and other.
-func (u usage) atLeast(other usage) usage {
+// maxWith returns the larger amount and the larger burst of u and other.
+func (u usage) maxWith(other usage) usage {
 	return usage{amount: max(u.amount, other.amount), burst: max(u.burst, other.burst)}
 }
 
--- a/internal/quotalease/divide.go
+++ b/internal/quotalease/divide.go
@@ -38,8 +38,8 @@
 	}
 	d := newDivision(quota, demands, total)
 	d.scaleMinimums()
-	if d.sumHigh <= total {
-		copy(d.due, d.high)
+	if d.sumDemanded <= total {
+		copy(d.allocated, d.demanded)
 	} else {
 		d.fillLevel()
 	}
@@ -56,13 +56,13 @@
 	demands []Demand
 	order   []int // for each position in the slices below, the index in demands and in the result
 
-	weight  []float64
-	low     []float64 // the minimum, at most the demand
-	high    []float64 // the demand, at most the cap
-	due     []float64 // the amount that the holder should have
-	ceiling []float64 // the cap, or total if there is no cap
-	sumLow  float64
-	sumHigh float64
+	weights     []float64
+	minimums    []float64 // the minimum, at most the demand
+	demanded    []float64 // the demand, at most the cap
+	allocated   []float64 // the amount that the holder should have
+	caps        []float64 // the cap, or total if there is no cap
+	sumMinimums float64
+	sumDemanded float64
 }
 
 func newDivision(quota *Quota, demands []Demand, total float64) *division {
@@ -70,24 +70,24 @@
 	values := make([]float64, 5*n) // one memory allocation for all slices
 	d := &division{
 		kind: quota.Kind, total: total, demands: demands, order: make([]int, n),
-		weight: values[:n], low: values[n : 2*n], high: values[2*n : 3*n], due: values[3*n : 4*n],
-		ceiling: values[4*n:],
+		weights: values[:n], minimums: values[n : 2*n], demanded: values[2*n : 3*n], allocated: values[3*n : 4*n],
+		caps: values[4*n:],
 	}
 	for i := range d.order {
 		d.order[i] = i
 	}
 	slices.SortFunc(d.order, func(x, y int) int { return demands[x].Compare(demands[y].HolderID) })
-	for at, i := range d.order {
+	for rank, i := range d.order {
 		share := quota.shareOf(demands[i].Holder)
-		d.weight[at] = share.Weight
-		d.ceiling[at] = total
+		d.weights[rank] = share.Weight
+		d.caps[rank] = total
 		if share.Cap > 0 {
-			d.ceiling[at] = min(total, float64(FromUnits(share.Cap)))
+			d.caps[rank] = min(total, float64(FromUnits(share.Cap)))
 		}
-		d.high[at] = min(max(0, float64(demands[i].Wanted)), d.ceiling[at])
-		d.low[at] = min(float64(FromUnits(share.Min)), d.high[at])
-		d.sumLow += d.low[at]
-		d.sumHigh += d.high[at]
+		d.demanded[rank] = min(max(0, float64(demands[i].Wanted)), d.caps[rank])
+		d.minimums[rank] = min(float64(FromUnits(share.Min)), d.demanded[rank])
+		d.sumMinimums += d.minimums[rank]
+		d.sumDemanded += d.demanded[rank]
 	}
 	return d
 }
@@ -95,59 +95,60 @@
 // scaleMinimums scales the minimums down if their sum is above the total. That happens when two processes with the same
 // holder's name both demand its minimum.
 func (d *division) scaleMinimums() {
-	if d.sumLow <= d.total {
+	if d.sumMinimums <= d.total {
 		return
 	}
-	for at := range d.low {
-		d.low[at] *= d.total / d.sumLow
+	for rank := range d.minimums {
+		d.minimums[rank] *= d.total / d.sumMinimums
 	}
 }
 
-// levelTurn is a level at which the slope of the sum of all allocations over the level changes by slope.
-type levelTurn struct {
+// levelBreakpoint is a common level at which a holder reaches its minimum or its demand.
+type levelBreakpoint struct {
 	level float64
-	slope float64
+	slope float64 // change, at this level, in the rate at which the sum of all allocations grows with the level
 }
 
 // fillLevel finds the common level at which the total is used up. Each holder gets the level times its weight, but at
 // least its minimum and at most its demand.
 func (d *division) fillLevel() {
-	turns := make([]levelTurn, 0, 2*len(d.due))
+	breakpoints := make([]levelBreakpoint, 0, 2*len(d.allocated))
 	sum := 0.0
-	for at := range d.due {
-		sum += d.low[at]
-		turns = append(turns, levelTurn{level: d.low[at] / d.weight[at], slope: d.weight[at]})
-		turns = append(turns, levelTurn{level: d.high[at] / d.weight[at], slope: -d.weight[at]})
+	for rank := range d.allocated {
+		sum += d.minimums[rank]
+		weight := d.weights[rank]
+		breakpoints = append(breakpoints, levelBreakpoint{level: d.minimums[rank] / weight, slope: weight})
+		breakpoints = append(breakpoints, levelBreakpoint{level: d.demanded[rank] / weight, slope: -weight})
 	}
-	slices.SortFunc(turns, func(x, y levelTurn) int {
+	slices.SortFunc(breakpoints, func(x, y levelBreakpoint) int {
 		return cmp.Or(cmp.Compare(x.level, y.level), cmp.Compare(x.slope, y.slope))
 	})
 	level := 0.0
 	slope := 0.0
-	for _, turn := range turns {
-		if slope > 0 && sum+slope*(turn.level-level) >= d.total {
+	for _, point := range breakpoints {
+		if slope > 0 && sum+slope*(point.level-level) >= d.total {
 			break
 		}
-		sum += max(0, slope) * (turn.level - level)
-		level = turn.level
-		slope += turn.slope
+		sum += max(0, slope) * (point.level - level)
+		level = point.level
+		slope += point.slope
 	}
 	if slope > 0 {
 		level += max(0, d.total-sum) / slope
 	}
-	for at := range d.due {
-		d.due[at] = min(d.high[at], max(d.low[at], level*d.weight[at]))
+	for rank := range d.allocated {
+		d.allocated[rank] = min(d.demanded[rank], max(d.minimums[rank], level*d.weights[rank]))
 	}
 }
 
 // excess returns the current amount of a process minus its allocation, or 0 if the difference is outside the
 // hysteresis. It is negative if the process has less than its allocation.
-func (d *division) excess(at int) float64 {
-	current := min(float64(d.demands[d.order[at]].Current), d.ceiling[at])
-	if current <= 0 || math.Abs(current-d.due[at]) > hysteresis*d.due[at] {
+func (d *division) excess(rank int) float64 {
+	current := min(float64(d.demands[d.order[rank]].Current), d.caps[rank])
+	if current <= 0 || math.Abs(current-d.allocated[rank]) > hysteresis*d.allocated[rank] {
 		return 0
 	}
-	return max(current, d.low[at]) - d.due[at]
+	return max(current, d.minimums[rank]) - d.allocated[rank]
 }
 
 // applyHysteresis lets holders whose current amount is near their allocation keep that amount. What some keep above
@@ -157,25 +158,25 @@
 	sum := 0.0
 	above := 0.0
 	below := 0.0
-	for at := range d.due {
-		sum += d.due[at]
-		above += max(0, d.excess(at))
-		below += max(0, -d.excess(at))
+	for rank := range d.allocated {
+		sum += d.allocated[rank]
+		above += max(0, d.excess(rank))
+		below += max(0, -d.excess(rank))
 	}
 	if above == 0 {
 		return
 	}
 	spare := max(0, d.total-sum)
-	kept := min(1, (spare+below)/above)
-	yielded := 0.0
+	keptPart := min(1, (spare+below)/above)
+	yieldedPart := 0.0
 	if below > 0 {
-		yielded = min(1, max(0, above*kept-spare)/below)
+		yieldedPart = min(1, max(0, above*keptPart-spare)/below)
 	}
-	for at := range d.due {
-		if excess := d.excess(at); excess > 0 {
-			d.due[at] += excess * kept
+	for rank := range d.allocated {
+		if excess := d.excess(rank); excess > 0 {
+			d.allocated[rank] += excess * keptPart
 		} else {
-			d.due[at] += excess * yielded
+			d.allocated[rank] += excess * yieldedPart
 		}
 	}
 }
@@ -183,30 +184,30 @@
 // roundAmounts rounds the allocations down to whole millionths, or to whole units for units in flight. Units in flight
 // that rounding leaves over go to the holders with the largest remainders, in the order of the holders among equals.
 func (d *division) roundAmounts(amounts []Amount) {
-	left := Amount(d.total)
+	remaining := Amount(d.total)
 	if d.kind == InFlight {
-		left = left.roundDown()
+		remaining = remaining.roundDown()
 	}
 	var remainders []int
-	for at, i := range d.order {
-		amount := Amount(d.due[at] + roundingSlack)
+	for rank, i := range d.order {
+		amount := Amount(d.allocated[rank] + roundingSlack)
 		if d.kind == InFlight {
 			amount = amount.roundDown()
-			if d.due[at]-float64(amount) > 1 {
-				remainders = append(remainders, at)
+			if d.allocated[rank]-float64(amount) > 1 {
+				remainders = append(remainders, rank)
 			}
 		}
-		amounts[i] = max(0, min(amount, left))
-		left -= amounts[i]
+		amounts[i] = max(0, min(amount, remaining))
+		remaining -= amounts[i]
 	}
-	remainder := func(at int) float64 { return d.due[at] - float64(amounts[d.order[at]]) }
+	remainder := func(rank int) float64 { return d.allocated[rank] - float64(amounts[d.order[rank]]) }
 	slices.SortStableFunc(remainders, func(x, y int) int { return cmp.Compare(remainder(y), remainder(x)) })
-	for _, at := range remainders {
-		if left < Unit {
+	for _, rank := range remainders {
+		if remaining < Unit {
 			break
 		}
-		amounts[d.order[at]] += Unit
-		left -= Unit
+		amounts[d.order[rank]] += Unit
+		remaining -= Unit
 	}
 }
 
@@ -221,10 +222,10 @@
 	if quota.Kind != Rate {
 		return bursts
 	}
-	left := FromUnits(quota.Burst)
+	remaining := FromUnits(quota.Burst)
 	for holder := range quota.Floors {
 		_, burst := quota.floorOf(holder)
-		left -= burst
+		remaining -= burst
 	}
 	holders := Amount(0)
 	sum := 0.0
@@ -234,11 +235,11 @@
 			sum += float64(amount)
 		}
 	}
-	if holders == 0 || left <= 0 {
+	if holders == 0 || remaining <= 0 {
 		return bursts
 	}
-	base := min(Unit, left/holders)
-	rest := float64(left - base*holders)
+	base := min(Unit, remaining/holders)
+	rest := float64(remaining - base*holders)
 	for i, amount := range amounts {
 		if amount > 0 {
 			bursts[i] = base + Amount(rest*float64(amount)/sum*burstRounding)
--- a/internal/quotalease/expiry.go
+++ b/internal/quotalease/expiry.go
@@ -7,7 +7,7 @@
 
 // expiryTimer is an Expiry and the time, by the server's clock, at which it has expired for certain.
 type expiryTimer struct {
-	at time.Duration
+	endsAt time.Duration
 	Expiry
 }
 
@@ -18,7 +18,7 @@
 func (h timerHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Less(i, j int) bool { return h[i].endsAt < h[j].endsAt }
 
 // Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
@@ -39,34 +39,34 @@
 	if a.state.mutations.NoDriftMargin {
 		duration = expiry.Duration
 	}
-	heap.Push(&a.timers, expiryTimer{at: now + duration, Expiry: expiry})
+	heap.Push(&a.timers, expiryTimer{endsAt: now + duration, Expiry: expiry})
 }
 
 // timerDue reports whether at least one timer has ended.
 func (a *Allocator) timerDue(now time.Duration) bool {
-	return len(a.timers) > 0 && a.timers[0].at <= now
+	return len(a.timers) > 0 && a.timers[0].endsAt <= now
 }
 
 // NextExpiry returns the time at which the caller should call Plan for the next expiry, by the server's clock. The time
 // is 0 if an Expire command is still to be committed. The result is false if no timer runs.
 func (a *Allocator) NextExpiry() (time.Duration, bool) {
-	if len(a.due) > 0 {
+	if len(a.expired) > 0 {
 		return 0, true
 	}
 	if len(a.timers) == 0 {
 		return 0, false
 	}
-	return a.timers[0].at, true
+	return a.timers[0].endsAt, true
 }
 
 // expireCommands returns an Expire command for each expiry that has ended and that the state machine still counts.
 func (a *Allocator) expireCommands(now time.Duration) []Command {
 	for a.timerDue(now) {
-		a.due = append(a.due, heap.Pop(&a.timers).(expiryTimer).Expiry)
+		a.expired = append(a.expired, heap.Pop(&a.timers).(expiryTimer).Expiry)
 	}
 	a.dropSettledExpiries()
 	var commands []Command
-	for _, expiry := range a.due {
+	for _, expiry := range a.expired {
 		command := &Expire{HolderID: expiry.HolderID, Quota: expiry.Quota, Token: expiry.Token}
 		commands = append(commands, Command{Expire: command})
 	}
--- a/internal/quotalease/fence.go
+++ b/internal/quotalease/fence.go
@@ -14,10 +14,10 @@
 // it rejects every token that is not above the highest evicted one. So it never admits a stale attempt, and an evicted
 // holder is admitted again with its next lease.
 type Fence struct {
-	capacity  int
-	entries   map[fenceKey]*fenceEntry
-	byToken   fenceHeap
-	forgotten Token // the highest token that was evicted
+	capacity       int
+	entries        map[fenceKey]*fenceEntry
+	byToken        fenceHeap
+	highestEvicted Token // the highest token that was evicted
 }
 
 type fenceKey struct {
@@ -77,10 +77,10 @@
 	key := fenceKey{holder: holder, quota: quota}
 	entry := f.entries[key]
 	if entry == nil {
-		if token.Compare(f.forgotten) <= 0 {
-			return StaleTokenError{Holder: holder, Quota: quota, Got: token, Have: f.forgotten}
+		if token.Compare(f.highestEvicted) <= 0 {
+			return StaleTokenError{Holder: holder, Quota: quota, Got: token, Have: f.highestEvicted}
 		}
-		f.remember(key, token)
+		f.add(key, token)
 		return nil
 	}
 	switch order := token.Compare(entry.highest); {
@@ -93,12 +93,12 @@
 	return nil
 }
 
-// remember adds an entry. At capacity it first evicts the entry with the lowest token.
-func (f *Fence) remember(key fenceKey, token Token) {
+// add adds an entry. At capacity it first evicts the entry with the lowest token.
+func (f *Fence) add(key fenceKey, token Token) {
 	if len(f.entries) >= f.capacity {
 		lowest := heap.Pop(&f.byToken).(*fenceEntry)
 		delete(f.entries, lowest.fenceKey)
-		f.forgotten = lowest.highest
+		f.highestEvicted = lowest.highest
 	}
 	entry := &fenceEntry{fenceKey: key, highest: token}
 	f.entries[key] = entry
--- a/internal/quotalease/grant.go
+++ b/internal/quotalease/grant.go
@@ -73,27 +73,28 @@
 // alone must fit the limit. So the lower limit takes full effect once the last older lease has expired.
 func (m *StateMachine) checkLimit(quota *Quota, ledger *quotaLedger, entry *holderEntry, lease Lease) error {
 	granted := usage{amount: lease.Amount, burst: lease.Burst}
-	total, current := m.sumsWith(ledger, entry, granted)
+	total, current := m.sumsWithGrant(ledger, entry, granted)
 	limit := quota.unreservedUsage(ledger)
-	outgrows := total.amount > max(limit.amount, ledger.total.amount)
-	if outgrows || current.amount > limit.amount && granted.amount > 0 {
+	totalExceeded := total.amount > max(limit.amount, ledger.total.amount)
+	if totalExceeded || current.amount > limit.amount && granted.amount > 0 {
 		return LimitExceededError{Quota: quota.Name, Dimension: "whole", Limit: FromUnits(quota.Limit),
 			Outstanding: ledger.total.amount + ledger.reserved.amount, Requested: granted.amount}
 	}
-	outgrows = total.burst > max(limit.burst, ledger.total.burst)
-	if outgrows || current.burst > limit.burst && granted.burst > 0 {
+	totalExceeded = total.burst > max(limit.burst, ledger.total.burst)
+	if totalExceeded || current.burst > limit.burst && granted.burst > 0 {
 		return LimitExceededError{Quota: quota.Name, Dimension: "burst", Limit: FromUnits(quota.Burst),
 			Outstanding: ledger.total.burst + ledger.reserved.burst, Requested: granted.burst}
 	}
 	return nil
 }
 
-// sumsWith returns the ledger's total and current sums as they would be with an additional lease of granted for entry.
-func (m *StateMachine) sumsWith(ledger *quotaLedger, entry *holderEntry, granted usage) (total, current usage) {
+// sumsWithGrant returns the ledger's total and current sums as they would be with an additional lease of granted for
+// entry.
+func (m *StateMachine) sumsWithGrant(ledger *quotaLedger, entry *holderEntry, granted usage) (total, current usage) {
 	before := entry.maxUsage(m.mutations)
 	currentBefore := entry.usageSince(m.configVersion, m.mutations)
-	after := before.atLeast(granted)
-	currentAfter := currentBefore.atLeast(granted)
+	after := before.maxWith(granted)
+	currentAfter := currentBefore.maxWith(granted)
 	if m.mutations.CountNewestLeaseOnly {
 		after = granted
 		currentAfter = granted
@@ -117,12 +118,12 @@
 // grantBatch grants each lease of a batch with the quota's kind and durations. Rejected leases are added to
 // result.Rejected.
 func (m *StateMachine) grantBatch(batch *GrantBatch, result *ApplyResult) {
-	for _, one := range batch.Grants {
+	for _, quotaGrant := range batch.Grants {
 		lease := Lease{
 			FleetID: batch.FleetID, Epoch: batch.Epoch, HolderID: batch.HolderID, RequestSeq: batch.RequestSeq,
-			Quota: one.Quota, Amount: one.Amount, Burst: one.Burst,
+			Quota: quotaGrant.Quota, Amount: quotaGrant.Amount, Burst: quotaGrant.Burst,
 		}
-		if quota := m.config.Quota(one.Quota); quota != nil {
+		if quota := m.config.Quota(quotaGrant.Quota); quota != nil {
 			lease.Kind = quota.Kind
 			lease.Duration = quota.LeaseDuration
 			lease.MaxHoldTime = quota.MaxHoldTime
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -50,7 +50,7 @@
 	rejected     Amount  // units in flight that were rejected since that measurement
 	peakInFlight Amount  // maximum of units in flight since that measurement
 	wanted       float64 // the demand, in millionths of a unit
-	wantedIsSet  bool    // the demand was set by SetDemand and is not measured
+	wantedFixed  bool    // the demand was set by SetDemand and is not measured
 
 	// The errors are created once, so that a rejection allocates no memory.
 	errExhausted error
@@ -127,8 +127,8 @@
 	h.floorClaim = claimed
 }
 
-// floorSettled reports whether all units in flight that the previous process acquired from this floor have ended.
-func (h *Holder) floorSettled(now time.Duration, floor *Floor) bool {
+// floorAvailable reports whether all units in flight that the previous process acquired from this floor have ended.
+func (h *Holder) floorAvailable(now time.Duration, floor *Floor) bool {
 	return now-h.claimedAt >= withDriftMargin(floor.MaxHoldTime, h.settings.MaxDrift)
 }
 
@@ -167,7 +167,7 @@
 	quota.attempted += amount
 	hasFloor := h.floorClaim && quota.floor.Amount > 0
 	if quota.kind == InFlight {
-		return quota.acquireInFlight(now, amount, hasFloor && h.floorSettled(now, &quota.floor))
+		return quota.acquireInFlight(now, amount, hasFloor && h.floorAvailable(now, &quota.floor))
 	}
 	return quota.acquireRate(now, amount, hasFloor, h.slowdown())
 }
@@ -267,8 +267,8 @@
 	copied := *h
 	copied.quotas = make(map[string]*quotaState, len(h.quotas))
 	for name, quota := range h.quotas {
-		one := *quota
-		copied.quotas[name] = &one
+		copiedQuota := *quota
+		copied.quotas[name] = &copiedQuota
 	}
 	return &copied
 }
--- a/internal/quotalease/holder_test.go
+++ b/internal/quotalease/holder_test.go
@@ -160,7 +160,7 @@
 	}
 	holder.SetDemand("r", 1)
 	cluster.exchange(holder)
-	holder.quotas["r"].wantedIsSet = false
+	holder.quotas["r"].wantedFixed = false
 	for i := range 60 {
 		cluster.now += 10 * time.Millisecond
 		_, _ = holder.Acquire(cluster.now, "r", int64(i%2)) // rejected attempts count as demand
--- a/internal/quotalease/holderreply.go
+++ b/internal/quotalease/holderreply.go
@@ -12,7 +12,7 @@
 // returns the errors of the leases that it refuses, joined, and applies the rest. Late, repeated and reordered replies
 // are safe.
 func (h *Holder) HandleReply(sentAt, now time.Duration, reply Reply) error {
-	if err := h.checkSender(reply.FleetID, reply.HolderID, reply.Epoch); err != nil {
+	if err := h.checkAddressee(reply.FleetID, reply.HolderID, reply.Epoch); err != nil {
 		return err
 	}
 	if h.leaving {
@@ -21,7 +21,7 @@
 	h.epoch = reply.Epoch
 	var errs []error
 	for i := range reply.Leases {
-		if err := h.takeLease(sentAt, now, &reply.Leases[i]); err != nil {
+		if err := h.acceptLease(sentAt, now, &reply.Leases[i]); err != nil {
 			errs = append(errs, err)
 		}
 	}
@@ -31,8 +31,8 @@
 	return errors.Join(errs...)
 }
 
-// checkSender refuses a reply or lease that is for a different fleet or process, or of an earlier epoch.
-func (h *Holder) checkSender(fleetID string, id HolderID, epoch uint64) error {
+// checkAddressee refuses a reply or lease that is for a different fleet or process, or of an earlier epoch.
+func (h *Holder) checkAddressee(fleetID string, id HolderID, epoch uint64) error {
 	switch {
 	case fleetID != h.settings.FleetID:
 		return FleetMismatchError{Ours: h.settings.FleetID, Theirs: fleetID}
@@ -44,9 +44,9 @@
 	return nil
 }
 
-// takeLease makes a lease the current one, or refuses it with an error.
-func (h *Holder) takeLease(sentAt, now time.Duration, lease *Lease) error {
-	if err := h.checkSender(lease.FleetID, lease.HolderID, lease.Epoch); err != nil {
+// acceptLease makes a lease the current one, or refuses it with an error.
+func (h *Holder) acceptLease(sentAt, now time.Duration, lease *Lease) error {
+	if err := h.checkAddressee(lease.FleetID, lease.HolderID, lease.Epoch); err != nil {
 		return err
 	}
 	quota := h.quotaState(lease.Quota, lease.Kind)
@@ -69,7 +69,7 @@
 		quota.bucket = tokenBucket{filledAt: now}
 	}
 	quota.bucket.refill(now, quota.lease.Amount, quota.lease.Burst, h.slowdown())
-	quota.bucket.cutTo(lease.Burst)
+	quota.bucket.limitTo(lease.Burst)
 	if h.mutations.FullBucketOnLease {
 		quota.bucket.level = float64(lease.Burst)
 	}
@@ -112,7 +112,7 @@
 	for name, quota := range h.quotas {
 		floor := reply.Floors[name]
 		quota.floorBucket.refill(now, quota.floor.Amount, quota.floor.Burst, h.slowdown())
-		quota.floorBucket.cutTo(floor.Burst)
+		quota.floorBucket.limitTo(floor.Burst)
 		quota.floor = floor
 	}
 }
--- a/internal/quotalease/holderrequest.go
+++ b/internal/quotalease/holderrequest.go
@@ -34,18 +34,18 @@
 func (h *Holder) SetDemand(quotaName string, units float64) {
 	quota := h.quotaState(quotaName, 0)
 	quota.wanted = units * float64(Unit)
-	quota.wantedIsSet = true
+	quota.wantedFixed = true
 }
 
 // measureDemand updates the demand from the attempts in span, the time since the last measurement.
 func (q *quotaState) measureDemand(span time.Duration) {
-	if !q.wantedIsSet {
-		seen := float64(q.attempted) / span.Seconds()
+	if !q.wantedFixed {
+		measured := float64(q.attempted) / span.Seconds()
 		if q.kind == InFlight {
-			seen = float64(q.peakInFlight + min(q.rejected, q.peakInFlight+Unit))
+			measured = float64(q.peakInFlight + min(q.rejected, q.peakInFlight+Unit))
 		}
-		seen *= demandHeadroom
-		q.wanted = max(seen, q.wanted-(q.wanted-seen)/demandDecay)
+		measured *= demandHeadroom
+		q.wanted = max(measured, q.wanted-(q.wanted-measured)/demandDecay)
 		if q.wanted < float64(minDemand) {
 			q.wanted = 0
 		}
@@ -67,7 +67,7 @@
 	}
 	span := now - h.measuredAt
 	measure := span >= minDemandSpan
-	floorsSettled := true // the units in flight of each floor fit its current, possibly lowered amount
+	withinFloors := true // the units in flight of each floor fit its current, possibly lowered amount
 	for _, name := range slices.Sorted(maps.Keys(h.quotas)) {
 		quota := h.quotas[name]
 		quota.leaseActive(now)
@@ -75,9 +75,9 @@
 			quota.measureDemand(span)
 		}
 		request.Quotas = append(request.Quotas, h.quotaRequest(name, quota))
-		floorsSettled = floorsSettled && quota.floorInFlight <= quota.floor.Amount
+		withinFloors = withinFloors && quota.floorInFlight <= quota.floor.Amount
 	}
-	if floorsSettled {
+	if withinFloors {
 		h.adoptedFloors = h.configVersion
 	}
 	if h.floorClaim {
--- a/internal/quotalease/holderstatus.go
+++ b/internal/quotalease/holderstatus.go
@@ -31,7 +31,7 @@
 	}
 	status.InFlight = quota.inFlight
 	status.FloorInFlight = quota.floorInFlight
-	if h.floorClaim && (quota.kind == Rate || h.floorSettled(now, &quota.floor)) {
+	if h.floorClaim && (quota.kind == Rate || h.floorAvailable(now, &quota.floor)) {
 		quota.floorBucket.refill(now, quota.floor.Amount, quota.floor.Burst, h.slowdown())
 		status.Floor = quota.floor.Amount
 		status.Level = Amount(quota.floorBucket.level)
--- a/internal/quotalease/ledger.go
+++ b/internal/quotalease/ledger.go
@@ -28,15 +28,15 @@
 // maxUsage returns the maximum that the process may still spend. The process uses one lease at a time and the servers
 // cannot determine which one, so the largest counts.
 func (e *holderEntry) maxUsage(mutations mutation.Set) usage {
-	most := usage{amount: e.Residual}
+	largest := usage{amount: e.Residual}
 	if mutations.CountNewestLeaseOnly && len(e.Leases) > 0 {
 		newest := e.newestLease()
 		return usage{amount: newest.Amount, burst: newest.Burst}
 	}
 	for i := range e.Leases {
-		most = most.atLeast(usage{amount: e.Leases[i].Amount, burst: e.Leases[i].Burst})
+		largest = largest.maxWith(usage{amount: e.Leases[i].Amount, burst: e.Leases[i].Burst})
 	}
-	return most
+	return largest
 }
 
 // usageSince returns the largest amount and burst of the leases that were granted under a configuration version.
@@ -44,13 +44,13 @@
 	if mutations.CountNewestLeaseOnly {
 		return e.maxUsage(mutations)
 	}
-	var most usage
+	var largest usage
 	for i := range e.Leases {
 		if e.Leases[i].ConfigVersion == version {
-			most = most.atLeast(usage{amount: e.Leases[i].Amount, burst: e.Leases[i].Burst})
+			largest = largest.maxWith(usage{amount: e.Leases[i].Amount, burst: e.Leases[i].Burst})
 		}
 	}
-	return most
+	return largest
 }
 
 // newestLease returns the newest lease, or nil if there is none. The receiver may be nil.
@@ -113,14 +113,14 @@
 		if quota != nil {
 			next.Amount, next.Burst = quota.floorOf(holder)
 		}
-		known := l.floors[holder]
-		if len(known) == 0 && next.Amount == 0 {
+		heldFloors := l.floors[holder]
+		if len(heldFloors) == 0 && next.Amount == 0 {
 			continue
 		}
-		if len(known) > 0 && known[len(known)-1].sameSize(next) {
+		if len(heldFloors) > 0 && heldFloors[len(heldFloors)-1].sameSize(next) {
 			continue
 		}
-		l.floors[holder] = append(slices.Clone(known), next)
+		l.floors[holder] = append(slices.Clone(heldFloors), next)
 	}
 	l.sumFloors()
 }
@@ -132,20 +132,20 @@
 
 // adoptFloors drops the floors of a holder that are older than the one of the version that it has adopted.
 func (l *quotaLedger) adoptFloors(holder string, version uint64) {
-	known := l.floors[holder]
+	heldFloors := l.floors[holder]
 	adopted := 0
-	for i, floor := range known {
+	for i, floor := range heldFloors {
 		if floor.ConfigVersion <= version {
 			adopted = i
 		}
 	}
-	removed := len(known) == 1 && known[0].Amount == 0 && known[0].ConfigVersion <= version
+	removed := len(heldFloors) == 1 && heldFloors[0].Amount == 0 && heldFloors[0].ConfigVersion <= version
 	if adopted == 0 && !removed {
 		return
 	}
-	known = slices.Clone(known[adopted:])
-	l.floors[holder] = known
-	if len(known) == 1 && known[0].Amount == 0 {
+	heldFloors = slices.Clone(heldFloors[adopted:])
+	l.floors[holder] = heldFloors
+	if len(heldFloors) == 1 && heldFloors[0].Amount == 0 {
 		delete(l.floors, holder)
 	}
 	l.sumFloors()
@@ -155,11 +155,11 @@
 func (l *quotaLedger) sumFloors() {
 	l.reserved = usage{}
 	for _, floors := range l.floors {
-		var most usage
+		var largest usage
 		for _, floor := range floors {
-			most = most.atLeast(usage{amount: floor.Amount, burst: floor.Burst})
+			largest = largest.maxWith(usage{amount: floor.Amount, burst: floor.Burst})
 		}
-		l.reserved.add(most)
+		l.reserved.add(largest)
 	}
 }
 
--- a/internal/quotalease/modelcheck/cluster.go
+++ b/internal/quotalease/modelcheck/cluster.go
@@ -19,41 +19,41 @@
 // older copy.
 type server struct {
 	driftingClock
-	id        int
-	up        bool
-	log       []logEntry // shared between clones of a cluster, so never modified in place
-	term      uint64
-	leader    bool
-	match     []int           // on a leader: the number of log entries that each server has confirmed in this term
-	contact   []time.Duration // on a leader: when each server last confirmed, by the leader's clock
-	confirmed int             // number of entries that it confirmed to a leader, or committed as leader
-	commit    int             // number of committed entries
-	applied   int             // number of applied entries
-	state     *quotalease.StateMachine
-	allocator *quotalease.Allocator
-	requests  map[quotalease.HolderID]*request // the latest request of each process
+	id           int
+	running      bool
+	log          []logEntry // shared between clones of a cluster, so never modified in place
+	term         uint64
+	leader       bool
+	matchLengths []int           // on a leader: the number of log entries that each server has confirmed in this term
+	lastContact  []time.Duration // on a leader: when each server last confirmed, by the leader's clock
+	confirmed    int             // number of entries that it confirmed to a leader, or committed as leader
+	commit       int             // number of committed entries
+	applied      int             // number of applied entries
+	state        *quotalease.StateMachine
+	allocator    *quotalease.Allocator
+	requests     map[quotalease.HolderID]*request // the latest request of each process
 }
 
 // request is a holder's request on the network.
 type request struct {
-	id     uint64
-	from   int           // index of the proxy
-	sentAt time.Duration // by the sender's clock
+	id         uint64
+	proxyIndex int           // index of the proxy
+	sentAt     time.Duration // by the sender's clock
 	quotalease.Request
 }
 
 // reply is a server's reply on the network.
 type reply struct {
-	id     uint64
-	to     int           // index of the proxy
-	sentAt time.Duration // when the request was sent, by the holder's clock
+	id         uint64
+	proxyIndex int           // index of the proxy
+	sentAt     time.Duration // when the request was sent, by the holder's clock
 	quotalease.Reply
 }
 
-// inFlightWork is one unit in flight.
-type inFlightWork struct {
-	token quotalease.Token
-	until time.Duration // when it ends, by its process's clock, or by true time once the process has stopped
+// inFlightUnit is one unit in flight.
+type inFlightUnit struct {
+	token  quotalease.Token
+	endsAt time.Duration // when it ends, by its process's clock, or by true time once the process has stopped
 }
 
 // proxy is a proxy with the lease holder of its current process, which stops and is replaced under the same name.
@@ -61,8 +61,8 @@
 	driftingClock
 	quotalease.HolderID
 	*quotalease.Holder
-	up       bool
-	inFlight []inFlightWork
+	running  bool
+	inFlight []inFlightUnit
 }
 
 // cluster is the state of the whole modelled system at one time.
@@ -79,12 +79,12 @@
 	incarnations uint64          // number of proxy processes started so far
 	demandUnits  float64         // demand of each process, in units
 
-	orphanedWork []inFlightWork    // units in flight of processes that have stopped
-	limits       []configuredLimit // the limits that still count, the newest last
-	sharedBucket float64           // level of a token bucket of the whole quota: all units spent are taken from it
-	filledAt     time.Duration     // when sharedBucket was last refilled
-	spentUnits   float64           // units acquired by all processes so far
-	violation    string            // the first violation of the invariant, "" if there is none
+	orphanedUnits []inFlightUnit    // units in flight of processes that have stopped
+	limits        []configuredLimit // the limits that still count, the newest last
+	sharedBucket  float64           // level of a token bucket of the whole quota: all units spent are taken from it
+	filledAt      time.Duration     // when sharedBucket was last refilled
+	spentUnits    float64           // units acquired by all processes so far
+	violation     string            // the first violation of the invariant, "" if there is none
 }
 
 // newCluster returns a bootstrapped fleet in which no server is silent and the first one is the leader. rate returns
@@ -94,12 +94,12 @@
 	c := &cluster{settings: s, cutLinks: map[[2]int]bool{}, demandUnits: 2 * s.Limit, epoch: 1}
 	for i := range s.Servers {
 		clock := driftingClock{rate: 1 + s.MaxDrift*rate(i), offset: time.Hour * time.Duration(i)}
-		c.servers = append(c.servers, &server{driftingClock: clock, id: i, up: true})
+		c.servers = append(c.servers, &server{driftingClock: clock, id: i, running: true})
 		c.startServer(c.servers[i], 0)
 	}
 	leader := c.servers[0]
 	leader.term = 1
-	c.lead(leader, 0)
+	c.makeLeader(leader, 0)
 	c.append(leader, s.bootstrap(1))
 	waitingTime := &quotalease.Expire{Token: quotalease.Token{Epoch: 1, Index: 1}}
 	c.append(leader, quotalease.Command{Expire: waitingTime})
@@ -129,19 +129,19 @@
 	}
 	p.Holder = quotalease.NewHolder(settings)
 	p.SetMutations(c.settings.mutations)
-	p.SetFloorClaim(p.at(c.now), true)
+	p.SetFloorClaim(p.clockTime(c.now), true)
 	p.SetDemand(quotaName, c.demandUnits)
-	p.up = true
+	p.running = true
 }
 
 // stopProxy stops a process. Its units stay in flight until their hold time ends.
 func (c *cluster) stopProxy(i int) {
 	p := c.proxies[i]
-	p.up = false
+	p.running = false
 	for _, unit := range p.inFlight {
-		left := float64(unit.until-p.at(c.now)) / p.rate
+		left := float64(unit.endsAt-p.clockTime(c.now)) / p.rate
 		if left > 0 {
-			c.orphanedWork = append(c.orphanedWork, inFlightWork{until: c.now + time.Duration(left)})
+			c.orphanedUnits = append(c.orphanedUnits, inFlightUnit{endsAt: c.now + time.Duration(left)})
 		}
 	}
 	p.inFlight = nil
@@ -149,7 +149,7 @@
 
 // startServer starts a server with its stored log and term. The server stays silent for the duration silence.
 func (c *cluster) startServer(s *server, silence time.Duration) {
-	s.up = true
+	s.running = true
 	s.leader = false
 	s.confirmed = 0
 	s.commit = 0
@@ -157,7 +157,7 @@
 	s.requests = map[quotalease.HolderID]*request{}
 	s.state = quotalease.NewStateMachine()
 	s.state.SetMutations(c.settings.mutations)
-	s.allocator = quotalease.NewAllocator(s.at(c.now), silence, s.state)
+	s.allocator = quotalease.NewAllocator(s.clockTime(c.now), silence, s.state)
 }
 
 // restartServer restarts a server with the first entries of its log: all of them, or fewer if an older copy of its
@@ -191,15 +191,15 @@
 	}
 	copied.requests = slices.Clone(c.requests)
 	copied.replies = slices.Clone(c.replies)
-	copied.orphanedWork = slices.Clone(c.orphanedWork)
+	copied.orphanedUnits = slices.Clone(c.orphanedUnits)
 	copied.limits = slices.Clone(c.limits)
 	return &copied
 }
 
 func (s *server) clone() *server {
 	copied := *s
-	copied.match = slices.Clone(s.match)
-	copied.contact = slices.Clone(s.contact)
+	copied.matchLengths = slices.Clone(s.matchLengths)
+	copied.lastContact = slices.Clone(s.lastContact)
 	copied.state = s.state.Clone()
 	copied.allocator = s.allocator.Clone(copied.state)
 	copied.requests = maps.Clone(s.requests)
--- a/internal/quotalease/modelcheck/explore.go
+++ b/internal/quotalease/modelcheck/explore.go
@@ -41,7 +41,7 @@
 // transition describes how a state was reached.
 type transition struct {
 	parent int    // index of the previous state in search.nodes; -1 for the first state
-	by     string // description of the event
+	event  string // description of the event
 }
 
 // search is the working state of a breadth-first search.
@@ -59,27 +59,28 @@
 // worst drift that is allowed: those of servers are fast, those of proxies slow.
 func Explore(s Settings, bounds Bounds) Result {
 	first := &searchNode{
-		cluster:      newCluster(s, func(i int) float64 { return worstClock(i < s.Servers) }),
+		cluster:      newCluster(s, func(i int) float64 { return worstDrift(i < s.Servers) }),
 		requestsSent: make([]int, s.Holders),
 	}
 	first.demandUnits = s.Limit
 	e := &search{bounds: bounds, seen: map[xxh3.Uint128]bool{}, result: Result{Complete: true}}
 	e.add(first, transition{parent: -1})
-	for at := 0; at < len(e.nodes) && e.result.Violation == ""; at++ {
-		node := e.nodes[at]
+	for index := 0; index < len(e.nodes) && e.result.Violation == ""; index++ {
+		node := e.nodes[index]
 		e.result.Depth = node.depth
-		node.successors(bounds, func(by string, next *searchNode) bool {
-			return e.visit(next, transition{parent: at, by: by})
+		node.successors(bounds, func(event string, next *searchNode) bool {
+			return e.visit(next, transition{parent: index, event: event})
 		})
-		e.nodes[at] = nil // frees the memory of the state
+		e.nodes[index] = nil // frees the memory of the state
 	}
 	e.result.States = len(e.seen)
 	return e.result
 }
 
-// worstClock returns the worst error of a clock as a fraction of the maximum drift: fast for servers, slow for proxies.
-func worstClock(ofServer bool) float64 {
-	if ofServer {
+// worstDrift returns the worst error of a clock as a fraction of the maximum drift: fast for servers, slow for
+// proxies.
+func worstDrift(isServer bool) float64 {
+	if isServer {
 		return 1
 	}
 	return -1
@@ -111,7 +112,7 @@
 	}
 	e.result.Violation = violation
 	for i := len(e.steps) - 1; i > 0; i = e.steps[i].parent {
-		e.result.Trace = append(e.result.Trace, e.steps[i].by)
+		e.result.Trace = append(e.result.Trace, e.steps[i].event)
 	}
 	slices.Reverse(e.result.Trace)
 	return false
@@ -121,12 +122,12 @@
 type expansion struct {
 	from   *searchNode
 	bounds Bounds
-	yield  func(by string, next *searchNode) bool
+	yield  func(event string, next *searchNode) bool
 	done   bool
 }
 
 // successors calls yield for every state that one event can lead to, until yield returns false.
-func (n *searchNode) successors(bounds Bounds, yield func(by string, next *searchNode) bool) {
+func (n *searchNode) successors(bounds Bounds, yield func(event string, next *searchNode) bool) {
 	x := &expansion{from: n, bounds: bounds, yield: yield}
 	for i := range n.proxies {
 		if n.requestsSent[i] < bounds.RequestsPerProxy {
@@ -138,17 +139,17 @@
 		}
 	}
 	for i, s := range n.servers {
-		if s.up {
+		if s.running {
 			x.tryServer(i, s)
 		}
 	}
 	for j, r := range n.replies {
-		p := n.proxies[r.to]
-		if len(r.Leases) > 0 && r.Leases[0].Token != p.Status(p.at(n.now), quotaName).Token {
+		p := n.proxies[r.proxyIndex]
+		if len(r.Leases) > 0 && r.Leases[0].Token != p.Status(p.clockTime(n.now), quotaName).Token {
 			x.try(func(next *searchNode) bool {
 				next.deliverReply(next.replies[j])
 				return true
-			}, "holder %s receives a reply with the lease of token %v", holderName(r.to), r.Leases[0].Token)
+			}, "holder %s receives a reply with the lease of token %v", holderName(r.proxyIndex), r.Leases[0].Token)
 		}
 	}
 	if n.ticks < bounds.Ticks {
@@ -161,9 +162,9 @@
 	}
 }
 
-// try applies an event to a copy of the state and yields the copy, unless do returns false because the event changes
-// nothing. format and args describe the event.
-func (x *expansion) try(do func(next *searchNode) bool, format string, args ...any) {
+// try applies an event to a copy of the state and yields the copy, unless applyEvent returns false because the event
+// changes nothing. format and args describe the event.
+func (x *expansion) try(applyEvent func(next *searchNode) bool, format string, args ...any) {
 	if x.done {
 		return
 	}
@@ -171,7 +172,7 @@
 	next.cluster = x.from.clone()
 	next.requestsSent = slices.Clone(x.from.requestsSent)
 	next.depth++
-	if !do(&next) {
+	if !applyEvent(&next) {
 		return
 	}
 	// Every possible reply is put on the network at once. A reply may arrive late or never, so no behavior is missed.
@@ -211,18 +212,18 @@
 // tryLeader tries the events of a leader: it receives a request, proposes its plan, or replicates its log.
 func (x *expansion) tryLeader(i int, s *server) {
 	for j, r := range x.from.requests {
-		if had := s.requests[r.HolderID]; had == nil || had.Seq < r.Seq {
+		if last := s.requests[r.HolderID]; last == nil || last.Seq < r.Seq {
 			x.try(func(next *searchNode) bool {
 				return next.deliverRequest(next.servers[i], next.requests[j])
-			}, "server %d receives request %d of holder %s", i, r.Seq, holderName(r.from))
+			}, "server %d receives request %d of holder %s", i, r.Seq, holderName(r.proxyIndex))
 		}
 	}
 	// A plan is proposed again until it is committed, so the uncommitted entries must be bounded.
-	if len(s.log)-s.commit < 2 && s.allocator.HasWork(s.at(x.from.now)) {
+	if len(s.log)-s.commit < 2 && s.allocator.HasWork(s.clockTime(x.from.now)) {
 		x.try(func(next *searchNode) bool { return next.proposePlan(next.servers[i]) }, "server %d proposes a plan", i)
 	}
 	for f, follower := range x.from.servers {
-		upToDate := s.match[f] == len(s.log) && follower.commit == s.commit && follower.confirmed == len(s.log)
+		upToDate := s.matchLengths[f] == len(s.log) && follower.commit == s.commit && follower.confirmed == len(s.log)
 		if upToDate {
 			continue
 		}
--- a/internal/quotalease/modelcheck/fault.go
+++ b/internal/quotalease/modelcheck/fault.go
@@ -45,10 +45,10 @@
 	return faultNames[f]
 }
 
-// faultDraws is the number of steps of a run to which fault rates refer.
-const faultDraws = 4000
+// faultRateSteps is the number of steps of a run to which fault rates refer.
+const faultRateSteps = 4000
 
-// defaultFaultRates are the average numbers of each fault in faultDraws steps.
+// defaultFaultRates are the average numbers of each fault in faultRateSteps steps.
 var defaultFaultRates = map[Fault]int{
 	ServerKilled: 10, ServerRestarted: 15, OlderStoreRestored: 10, StoreLost: 3, ServerPaused: 12, ProxyPaused: 20,
 	ProxyKilled: 15, ProxyReplaced: 25, ProxyCutOff: 15, ServersCutOff: 12, LinksRepaired: 23, LimitChanged: 6,
@@ -67,7 +67,7 @@
 	if rates == nil {
 		rates = defaultFaultRates
 	}
-	draw := r.rng.IntN(faultDraws)
+	draw := r.rng.IntN(faultRateSteps)
 	for fault := range Fault(faultCount) {
 		draw -= rates[fault]
 		if draw < 0 {
@@ -85,7 +85,7 @@
 	lease := r.settings.LeaseDuration
 	switch fault {
 	case ServerKilled:
-		s.up = false
+		s.running = false
 		s.leader = false
 	case ServerRestarted:
 		r.restartServer(s, len(s.log))
@@ -121,7 +121,7 @@
 // changeLimit has an operator set the limit, if the server is a leader that has applied the newest configuration. The
 // new limit is the one of the settings or a fraction of it.
 func (r *randomRun) changeLimit(s *server) {
-	if !s.up || !s.leader {
+	if !s.running || !s.leader {
 		return
 	}
 	part := .5 + r.rng.Float64()/2
@@ -144,13 +144,13 @@
 	clear(r.proxyPausedUntil)
 	clear(r.cutOffUntil)
 	for i, p := range r.proxies {
-		if !p.up {
+		if !p.running {
 			r.startProxy(i)
 		}
 		p.SetDemand(quotaName, r.demandUnits)
 	}
 	for _, s := range r.servers {
-		if !s.up {
+		if !s.running {
 			r.restartServer(s, len(s.log))
 		}
 	}
--- a/internal/quotalease/modelcheck/invariant.go
+++ b/internal/quotalease/modelcheck/invariant.go
@@ -17,9 +17,9 @@
 // configuredLimit is a limit under which leases were granted. It counts until the last of these leases has expired for
 // certain.
 type configuredLimit struct {
-	units float64
-	burst float64
-	until time.Duration // true time until which the limit counts
+	units  float64
+	burst  float64
+	endsAt time.Duration // true time until which the limit counts
 }
 
 // recordLimit records the limit of a leader that may just have committed leases.
@@ -30,10 +30,10 @@
 	}
 	longest := time.Duration(float64(c.settings.maxLifetime()) / (1 - c.settings.MaxDrift)) // by the slowest clock
 	limit := configuredLimit{
-		units: config.Quotas[0].Limit, burst: config.Quotas[0].Burst, until: c.now + longest + time.Millisecond,
+		units: config.Quotas[0].Limit, burst: config.Quotas[0].Burst, endsAt: c.now + longest + time.Millisecond,
 	}
 	c.limits = slices.DeleteFunc(slices.Clone(c.limits), func(old configuredLimit) bool {
-		return old.units == limit.units || old.until < c.now
+		return old.units == limit.units || old.endsAt < c.now
 	})
 	c.limits = append(c.limits, limit)
 }
@@ -44,7 +44,7 @@
 	units = c.settings.Floor
 	burst = c.settings.Burst * c.settings.Floor / c.settings.Limit
 	for _, limit := range c.limits {
-		if limit.until >= c.now {
+		if limit.endsAt >= c.now {
 			units = max(units, limit.units)
 			burst = max(burst, limit.burst)
 		}
@@ -61,17 +61,17 @@
 
 // acquire has the i-th proxy acquire units until one is rejected, at most the given number. It records a violation if
 // the proxies together spend more than the limit and the burst allow.
-func (c *cluster) acquire(i, most int) {
+func (c *cluster) acquire(i, maxUnits int) {
 	p := c.proxies[i]
-	for range most {
-		now := p.at(c.now)
+	for range maxUnits {
+		now := p.clockTime(c.now)
 		token, err := p.Acquire(now, quotaName, 1)
 		if err != nil {
 			return
 		}
 		c.spentUnits++
 		if c.settings.Kind == quotalease.InFlight {
-			p.inFlight = append(p.inFlight, inFlightWork{token: token, until: now + c.settings.MaxHoldTime})
+			p.inFlight = append(p.inFlight, inFlightUnit{token: token, endsAt: now + c.settings.MaxHoldTime})
 			continue
 		}
 		c.fillSharedBucket()
@@ -83,16 +83,16 @@
 	}
 }
 
-// releaseWork releases the units in flight of the i-th proxy whose hold time has ended, plus unended ones, oldest
-// first, until few units are released.
-func (c *cluster) releaseWork(i, few int) {
+// releaseUnits releases the units in flight of the i-th proxy whose hold time has ended. It also releases other units,
+// oldest first, until minUnits are released in all.
+func (c *cluster) releaseUnits(i, minUnits int) {
 	p := c.proxies[i]
-	now := p.at(c.now)
-	p.inFlight = slices.DeleteFunc(slices.Clone(p.inFlight), func(unit inFlightWork) bool {
-		if unit.until > now && few <= 0 {
+	now := p.clockTime(c.now)
+	p.inFlight = slices.DeleteFunc(slices.Clone(p.inFlight), func(unit inFlightUnit) bool {
+		if unit.endsAt > now && minUnits <= 0 {
 			return false
 		}
-		few--
+		minUnits--
 		if err := p.Release(quotaName, unit.token, 1); err != nil {
 			c.recordViolation("holder %s: Release of a unit in flight failed: %v", p.HolderID.Holder, err)
 		}
@@ -111,15 +111,15 @@
 func (c *cluster) outstanding() (sum float64) {
 	for _, p := range c.proxies {
 		leased, floor := p.inFlightUnits(c.now)
-		if p.up {
-			status := p.Status(p.at(c.now), quotaName)
+		if p.running {
+			status := p.Status(p.clockTime(c.now), quotaName)
 			leased = max(leased, status.Amount.Units())
 			floor = max(floor, status.Floor.Units())
 		}
 		sum += leased + floor
 	}
-	for _, unit := range c.orphanedWork {
-		if unit.until > c.now {
+	for _, unit := range c.orphanedUnits {
+		if unit.endsAt > c.now {
 			sum++
 		}
 	}
@@ -130,7 +130,7 @@
 func (p *proxy) inFlightUnits(now time.Duration) (leased, floor float64) {
 	for _, unit := range p.inFlight {
 		switch {
-		case unit.until <= p.at(now):
+		case unit.endsAt <= p.clockTime(now):
 		case unit.token == quotalease.Token{}:
 			floor++
 		default:
--- a/internal/quotalease/modelcheck/modelcheck_test.go
+++ b/internal/quotalease/modelcheck/modelcheck_test.go
@@ -72,7 +72,7 @@
 // Without one of the safeguards some run violates the invariant; with all safeguards the same run does not.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	quick := rateSettings()
-	quick.MaxMoment = quick.LeaseDuration / 100
+	quick.MaxStepTime = quick.LeaseDuration / 100
 	quick.MaxDrift = .1
 	for _, tt := range []struct {
 		safeguard string
@@ -118,7 +118,7 @@
 		if result.Violation == "" {
 			continue
 		}
-		t.Logf("violation with seed %d after %d moments: %s", seed, result.Moments, result.Violation)
+		t.Logf("violation with seed %d after %d steps: %s", seed, result.Steps, result.Violation)
 		s.mutations = mutation.Set{}
 		if unmutated := RunRandom(s, seed, 2000); unmutated.Violation != "" {
 			t.Errorf("RunRandom(seed %d) with all safeguards = %v, want no violation", seed, unmutated)
@@ -253,7 +253,7 @@
 // BenchmarkRandomRuns runs one long random run of a different system per iteration: -benchtime 2000x runs 2,000.
 func BenchmarkRandomRuns(b *testing.B) {
 	seed := uint64(1000)
-	moments := 0
+	steps := 0
 	var slowest time.Duration
 	for b.Loop() {
 		s := settingsOfSeed(seed)
@@ -263,15 +263,15 @@
 				s, seed, result, enoughGranted)
 		}
 		seed++
-		moments += result.Moments
+		steps += result.Steps
 		slowest = max(slowest, result.RecoveryTime)
 	}
-	b.ReportMetric(float64(moments), "moments")
+	b.ReportMetric(float64(steps), "moments")
 	b.ReportMetric(slowest.Seconds(), "longest-healed-s")
 }
 
 // settingsOfSeed returns settings that vary with the seed: kind of quota, size of the fleet, fault rates, and either
-// short moments or no floor.
+// short steps or no floor.
 func settingsOfSeed(seed uint64) Settings {
 	s := rateSettings()
 	if seed%2 == 1 {
@@ -283,7 +283,7 @@
 	case 1, 4:
 		s.FaultRates = quadrupledFaultRates()
 	case 2:
-		s.MaxMoment = s.LeaseDuration / 100
+		s.MaxStepTime = s.LeaseDuration / 100
 	case 3:
 		s.Floor = 0
 	}
--- a/internal/quotalease/modelcheck/network.go
+++ b/internal/quotalease/modelcheck/network.go
@@ -11,8 +11,8 @@
 // sendRequest puts the next request of the i-th proxy on the network.
 func (c *cluster) sendRequest(i int) {
 	p := c.proxies[i]
-	now := p.at(c.now)
-	r := &request{from: i, sentAt: now, Request: p.NextRequest(now)}
+	now := p.clockTime(c.now)
+	r := &request{proxyIndex: i, sentAt: now, Request: p.NextRequest(now)}
 	r.id = r.Incarnation<<32 | r.Seq
 	c.requests = append(c.requests, r)
 }
@@ -20,7 +20,7 @@
 // deliverRequest passes a request to a server; a leader then proposes its plan. It reports whether the server accepted
 // the request.
 func (c *cluster) deliverRequest(s *server, r *request) bool {
-	if !s.up || s.allocator.HandleRequest(s.at(c.now), r.Request) != nil {
+	if !s.running || s.allocator.HandleRequest(s.clockTime(c.now), r.Request) != nil {
 		return false
 	}
 	if last := s.requests[r.HolderID]; last == nil || last.Seq < r.Seq {
@@ -32,10 +32,10 @@
 
 // proposePlan appends the plan of a leader to its log. It reports whether the plan had commands.
 func (c *cluster) proposePlan(s *server) bool {
-	if !s.up || !s.leader {
+	if !s.running || !s.leader {
 		return false
 	}
-	commands := s.allocator.Plan(s.at(c.now))
+	commands := s.allocator.Plan(s.clockTime(c.now))
 	if len(commands) == 0 {
 		return false
 	}
@@ -46,7 +46,7 @@
 // runOperator models an operator at a leader whose log lacks the operator's commands: the operator bootstraps the fleet
 // again and sets its quotas.
 func (c *cluster) runOperator(s *server) {
-	if !s.up || !s.leader {
+	if !s.running || !s.leader {
 		return
 	}
 	for _, entry := range s.log[s.commit:] {
@@ -71,13 +71,13 @@
 	if c.settings.mutations.ReplyBeforeCommit {
 		state = s.uncommittedState()
 	}
-	if _, _, err := state.Bootstrapped(); !s.up || err != nil {
+	if _, _, err := state.Bootstrapped(); !s.running || err != nil {
 		return
 	}
-	out := &reply{to: r.from, sentAt: r.sentAt, Reply: state.ReplyTo(r.HolderID)}
+	out := &reply{proxyIndex: r.proxyIndex, sentAt: r.sentAt, Reply: state.ReplyTo(r.HolderID)}
 	out.id = out.hash()
 	for _, sent := range c.replies {
-		if sent.id == out.id && sent.to == out.to && sent.HolderID == out.HolderID {
+		if sent.id == out.id && sent.proxyIndex == out.proxyIndex && sent.HolderID == out.HolderID {
 			return
 		}
 	}
@@ -105,7 +105,7 @@
 
 // deliverReply passes a reply to its process. A refusal by the holder is not an error of the model.
 func (c *cluster) deliverReply(r *reply) {
-	if p := c.proxies[r.to]; p.up {
-		_ = p.HandleReply(r.sentAt, p.at(c.now), r.Reply)
+	if p := c.proxies[r.proxyIndex]; p.running {
+		_ = p.HandleReply(r.sentAt, p.clockTime(c.now), r.Reply)
 	}
 }
--- a/internal/quotalease/modelcheck/raft.go
+++ b/internal/quotalease/modelcheck/raft.go
@@ -12,7 +12,7 @@
 )
 
 // silent reports whether the startup silence of a server lasts.
-func (c *cluster) silent(s *server) bool { return s.allocator.Silent(s.at(c.now)) }
+func (c *cluster) silent(s *server) bool { return s.allocator.Silent(s.clockTime(c.now)) }
 
 // majority returns the number of servers that form a quorum.
 func (c *cluster) majority() int { return c.settings.Servers/2 + 1 }
@@ -45,17 +45,17 @@
 	data = binary.AppendUvarint(data, leader.term)
 	entry := logEntry{term: leader.term, id: xxh3.Hash(data), command: command}
 	leader.log = append(leader.log[:len(leader.log):len(leader.log)], entry)
-	leader.match[leader.id] = len(leader.log)
+	leader.matchLengths[leader.id] = len(leader.log)
 }
 
-// lead makes a server the leader of its term. contact is the time, by its clock, at which the other servers count as
-// having last confirmed.
-func (c *cluster) lead(s *server, contact time.Duration) {
+// makeLeader makes a server the leader of its term. lastContact is the time, by its clock, at which the other servers
+// count as having last confirmed.
+func (c *cluster) makeLeader(s *server, lastContact time.Duration) {
 	s.leader = true
-	s.match = make([]int, c.settings.Servers)
-	s.contact = make([]time.Duration, c.settings.Servers)
-	for i := range s.contact {
-		s.contact[i] = contact
+	s.matchLengths = make([]int, c.settings.Servers)
+	s.lastContact = make([]time.Duration, c.settings.Servers)
+	for i := range s.lastContact {
+		s.lastContact[i] = lastContact
 	}
 }
 
@@ -63,7 +63,7 @@
 // (Ongaro and Ousterhout, In Search of an Understandable Consensus Algorithm, 2014, 5.2 and 5.4; with a pre-vote, so a
 // failed election changes no state.) It reports whether the server was elected.
 func (c *cluster) electLeader(candidate *server) bool {
-	if !candidate.up || candidate.leader || c.silent(candidate) {
+	if !candidate.running || candidate.leader || c.silent(candidate) {
 		return false
 	}
 	var votes []*server
@@ -80,7 +80,7 @@
 		voter.term = candidate.term
 		voter.leader = false
 	}
-	c.lead(candidate, candidate.at(c.now))
+	c.makeLeader(candidate, candidate.clockTime(c.now))
 	// Committing an entry of its own term lets the leader commit all entries before it.
 	c.append(candidate, quotalease.Command{Batch: []quotalease.Command{}})
 	return true
@@ -88,7 +88,7 @@
 
 // votesFor reports whether voter votes for candidate.
 func (c *cluster) votesFor(voter, candidate *server) bool {
-	if !voter.up || c.silent(voter) || !c.connected(candidate.id, voter.id) || voter.term > candidate.term {
+	if !voter.running || c.silent(voter) || !c.connected(candidate.id, voter.id) || voter.term > candidate.term {
 		return false
 	}
 	term, length := candidate.lastEntry()
@@ -99,7 +99,7 @@
 // replicate copies the leader's log to a follower and passes the follower's confirmation to the leader. It reports
 // whether a message was exchanged.
 func (c *cluster) replicate(leader, follower *server) bool {
-	if !leader.up || !leader.leader || leader == follower || !follower.up {
+	if !leader.running || !leader.leader || leader == follower || !follower.running {
 		return false
 	}
 	if c.silent(follower) || !c.connected(leader.id, follower.id) {
@@ -126,8 +126,8 @@
 	}
 	follower.log = leader.log
 	follower.confirmed = len(leader.log)
-	leader.match[follower.id] = len(leader.log)
-	leader.contact[follower.id] = leader.at(c.now)
+	leader.matchLengths[follower.id] = len(leader.log)
+	leader.lastContact[follower.id] = leader.clockTime(c.now)
 	// The follower receives the commit index of this round with the next message.
 	follower.commit = max(follower.commit, min(leader.commit, len(follower.log)))
 	c.advanceCommit(leader)
@@ -148,8 +148,8 @@
 func (c *cluster) advanceCommit(leader *server) {
 	for n := len(leader.log); n > leader.commit && leader.log[n-1].term == leader.term; n-- {
 		confirmations := 0
-		for _, match := range leader.match {
-			if match >= n {
+		for _, matchLength := range leader.matchLengths {
+			if matchLength >= n {
 				confirmations++
 			}
 		}
@@ -170,7 +170,7 @@
 			c.recordLimit(s) // earlier entries granted leases under the previous configuration
 		}
 		result, _ := s.state.Apply(uint64(s.applied), command) // a rejected command changes nothing
-		s.allocator.ObserveApplied(s.at(c.now), result)
+		s.allocator.ObserveApplied(s.clockTime(c.now), result)
 		_, version := s.state.Config()
 		c.version = max(c.version, version)
 	}
@@ -179,12 +179,12 @@
 // stepDownWithoutQuorum has each leader step down if no majority has confirmed it within the longest lifetime.
 func (c *cluster) stepDownWithoutQuorum() {
 	for _, s := range c.servers {
-		if !s.leader || !s.up {
+		if !s.leader || !s.running {
 			continue
 		}
 		recent := 1
-		for i, contact := range s.contact {
-			if i != s.id && s.at(c.now)-contact <= c.settings.maxLifetime() {
+		for i, lastContact := range s.lastContact {
+			if i != s.id && s.clockTime(c.now)-lastContact <= c.settings.maxLifetime() {
 				recent++
 			}
 		}
--- a/internal/quotalease/modelcheck/random.go
+++ b/internal/quotalease/modelcheck/random.go
@@ -11,7 +11,7 @@
 // RandomResult is the result of RunRandom.
 type RandomResult struct {
 	Violation    string        // description of the violation, "" if there was none
-	Moments      int           // number of steps, each followed by a check of the invariant
+	Steps        int           // number of steps, each followed by a check of the invariant
 	GrantedShare float64       // outstanding units as a fraction of the smaller of limit and demand, after the repair
 	RecoveryTime time.Duration // from the repair until GrantedShare reached enoughGranted
 	SpentUnits   float64       // units that all proxies acquired
@@ -21,7 +21,7 @@
 // String returns the result in one line.
 func (r RandomResult) String() string {
 	return fmt.Sprintf("%d steps, faults %v, %.0f units spent, granted share %.3f after %v, violation %q",
-		r.Moments, r.Faults, r.SpentUnits, r.GrantedShare, r.RecoveryTime, r.Violation)
+		r.Steps, r.Faults, r.SpentUnits, r.GrantedShare, r.RecoveryTime, r.Violation)
 }
 
 // enoughGranted is the GrantedShare from which on a run counts as recovered.
@@ -59,10 +59,10 @@
 // RunRandom runs a cluster for a number of steps with random faults. Then it repairs all faults and continues until
 // GrantedShare reaches enoughGranted or a deadline has passed. It stops at the first violation. Equal arguments give
 // equal runs.
-func RunRandom(s Settings, seed uint64, moments int) RandomResult {
+func RunRandom(s Settings, seed uint64, steps int) RandomResult {
 	r := newRandomRun(s, seed)
 	result := RandomResult{Faults: r.faults}
-	for ; result.Moments < moments; result.Moments++ {
+	for ; result.Steps < steps; result.Steps++ {
 		r.injectFault()
 		r.step()
 		if result.Violation = r.checkInvariant(); result.Violation != "" {
@@ -73,7 +73,7 @@
 	repairedAt := r.now
 	deadline := repairedAt + 5*r.startupSilence() + 20*s.LeaseDuration
 	for result.GrantedShare < enoughGranted && r.now < deadline {
-		result.Moments++
+		result.Steps++
 		r.step()
 		if result.Violation = r.checkInvariant(); result.Violation != "" {
 			return result
@@ -101,7 +101,7 @@
 // grantedShare returns the outstanding units as a fraction of the smaller of limit and demand.
 func (r *randomRun) grantedShare() float64 {
 	limit := r.limits[len(r.limits)-1]
-	if limit.until < r.now {
+	if limit.endsAt < r.now {
 		return 0 // no lease is outstanding under any limit
 	}
 	demand := float64(r.settings.Holders) * r.demandUnits
@@ -118,25 +118,25 @@
 
 // step advances the time by a random amount, runs every proxy and server that is not paused, and delivers messages.
 func (r *randomRun) step() {
-	r.now += r.between(time.Microsecond, cmp.Or(r.settings.MaxMoment, r.settings.LeaseDuration/20))
+	r.now += r.between(time.Microsecond, cmp.Or(r.settings.MaxStepTime, r.settings.LeaseDuration/20))
 	r.stepDownWithoutQuorum()
 	r.fillSharedBucket()
 	for i, p := range r.proxies {
-		if p.up && r.proxyPausedUntil[i] <= r.now {
+		if p.running && r.proxyPausedUntil[i] <= r.now {
 			r.stepProxy(i)
 		}
 	}
-	hasLeader := slices.ContainsFunc(r.servers, func(s *server) bool { return s.up && s.leader })
+	hasLeader := slices.ContainsFunc(r.servers, func(s *server) bool { return s.running && s.leader })
 	for i, s := range r.servers {
-		if s.up && r.serverPausedUntil[i] <= r.now {
+		if s.running && r.serverPausedUntil[i] <= r.now {
 			r.stepServer(s, hasLeader)
 		}
 	}
-	r.requests = deliver(r, r.requests, func(q *request) int { return q.from }, r.deliverToServer)
-	r.replies = deliver(r, r.replies, func(q *reply) int { return q.to }, r.deliverReply)
+	r.requests = deliver(r, r.requests, func(q *request) int { return q.proxyIndex }, r.deliverToServer)
+	r.replies = deliver(r, r.replies, func(q *reply) int { return q.proxyIndex }, r.deliverReply)
 }
 
-// stepProxy has a proxy send its request if it is due, acquire units and release some.
+// stepProxy has a proxy send its request if it is time to, acquire units and release some.
 func (r *randomRun) stepProxy(i int) {
 	if r.nextRequest[i] <= r.now {
 		r.nextRequest[i] = r.now + r.between(r.settings.LeaseDuration/5, r.settings.LeaseDuration/3)
@@ -145,7 +145,7 @@
 	if r.chance(acquireChance) {
 		r.acquire(i, 1+r.rng.IntN(4))
 	}
-	r.releaseWork(i, r.rng.IntN(3)-1)
+	r.releaseUnits(i, r.rng.IntN(3)-1)
 }
 
 // stepServer has a server start an election, propose, replicate, apply and reply. hasLeader reports whether any server
--- a/internal/quotalease/modelcheck/settings.go
+++ b/internal/quotalease/modelcheck/settings.go
@@ -24,9 +24,9 @@
 	MaxDrift      float64
 	Floor         float64 // units of the floor of the first holder; 0 means no floor
 
-	// MaxMoment is the maximum time of one step of a random run; 0 means a twentieth of the lease duration.
-	MaxMoment time.Duration
-	// FaultRates are the average numbers of each fault in faultDraws steps; nil means defaultFaultRates.
+	// MaxStepTime is the maximum time of one step of a random run; 0 means a twentieth of the lease duration.
+	MaxStepTime time.Duration
+	// FaultRates are the average numbers of each fault in faultRateSteps steps; nil means defaultFaultRates.
 	FaultRates map[Fault]int
 
 	mutations mutation.Set
@@ -70,7 +70,7 @@
 	offset time.Duration // what the clock shows at true time 0
 }
 
-// at returns what the clock shows at the true time now.
-func (c driftingClock) at(now time.Duration) time.Duration {
-	return c.offset + time.Duration(float64(now)*c.rate)
+// clockTime returns what the clock shows at a true time.
+func (c driftingClock) clockTime(trueTime time.Duration) time.Duration {
+	return c.offset + time.Duration(float64(trueTime)*c.rate)
 }
--- a/internal/quotalease/modelcheck/statehash.go
+++ b/internal/quotalease/modelcheck/statehash.go
@@ -28,14 +28,15 @@
 // appendState appends an encoding of the state of a server. It omits the state machine, which is determined by the log
 // and the number of applied entries.
 func (s *server) appendState(out []byte) []byte {
-	out = appendNumbers(out, number(s.up), int(s.term), number(s.leader), s.commit, s.applied, len(s.log), s.confirmed)
+	out = appendNumbers(out, boolToInt(s.running), int(s.term), boolToInt(s.leader), s.commit, s.applied, len(s.log),
+		s.confirmed)
 	if n := len(s.log); n > 0 {
 		out = binary.AppendUvarint(out, s.log[n-1].id)
 	}
 	if s.leader {
-		out = appendNumbers(out, s.match...)
-		for _, contact := range s.contact {
-			out = appendNumbers(out, int(contact))
+		out = appendNumbers(out, s.matchLengths...)
+		for _, lastContact := range s.lastContact {
+			out = appendNumbers(out, int(lastContact))
 		}
 	}
 	return s.allocator.AppendState(out)
@@ -48,7 +49,7 @@
 		ids = append(ids, r.id)
 	}
 	for _, r := range c.replies {
-		ids = append(ids, r.id+uint64(r.to))
+		ids = append(ids, r.id+uint64(r.proxyIndex))
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
@@ -76,8 +77,8 @@
 	return out
 }
 
-// number returns 1 for true and 0 for false.
-func number(flag bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(flag bool) int {
 	if flag {
 		return 1
 	}
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -9,14 +9,14 @@
 // gets a lease.
 func (a *Allocator) grantCommands(now time.Duration, pending []*requester) []Command {
 	requested := map[string]bool{}
-	for _, from := range pending {
-		from.pending = false
-		if from.Leaving {
-			delete(a.requesters, from.HolderID)
+	for _, sender := range pending {
+		sender.pending = false
+		if sender.Leaving {
+			delete(a.requesters, sender.HolderID)
 			continue
 		}
-		for i := range from.Quotas {
-			requested[from.Quotas[i].Quota] = true
+		for i := range sender.Quotas {
+			requested[sender.Quotas[i].Quota] = true
 		}
 	}
 	state := a.state
@@ -30,11 +30,11 @@
 		}
 	}
 	var commands []Command
-	for i, from := range pending {
+	for i, sender := range pending {
 		if len(grants[i]) > 0 {
 			commands = append(commands, Command{GrantBatch: &GrantBatch{
-				FleetID: state.fleetID, Epoch: state.epoch, HolderID: from.HolderID,
-				RequestSeq: from.Seq, Grants: grants[i],
+				FleetID: state.fleetID, Epoch: state.epoch, HolderID: sender.HolderID,
+				RequestSeq: sender.Seq, Grants: grants[i],
 			}})
 		}
 	}
@@ -50,19 +50,19 @@
 	amounts := Divide(quota, demands)
 	bursts := divideBurst(quota, amounts)
 	free := newFreeCapacity(quota, a.state.ledgerOf(quota.Name), a.state)
-	for i, from := range pending {
-		at, found := slices.BinarySearchFunc(demands, from.HolderID, func(demand Demand, id HolderID) int {
+	for i, sender := range pending {
+		index, found := slices.BinarySearchFunc(demands, sender.HolderID, func(demand Demand, id HolderID) int {
 			return demand.Compare(id)
 		})
-		if !found || from.Leaving {
+		if !found || sender.Leaving {
 			continue
 		}
-		due := usage{amount: amounts[at], burst: bursts[at]}
-		granted := free.fit(quota, due, from.HolderID)
-		if !changesLease(free.ledger.entries[from.HolderID].newestLease(), granted, from.Seq) {
+		allocated := usage{amount: amounts[index], burst: bursts[index]}
+		granted := free.fit(quota, allocated, sender.HolderID)
+		if !changesLease(free.ledger.entries[sender.HolderID].newestLease(), granted, sender.Seq) {
 			continue
 		}
-		free.take(from.HolderID, granted)
+		free.take(sender.HolderID, granted)
 		grant := QuotaGrant{Quota: quota.Name, Amount: granted.amount, Burst: granted.burst}
 		grants[i] = append(grants[i], grant)
 	}
@@ -74,12 +74,12 @@
 func (a *Allocator) demandsOf(now time.Duration, quota *Quota) []Demand {
 	ledger := a.state.ledgerOf(quota.Name)
 	var demands []Demand
-	for id, from := range a.requesters {
-		if !from.recent(now, quota) {
+	for id, sender := range a.requesters {
+		if !sender.recent(now, quota) {
 			continue
 		}
-		if i := slices.IndexFunc(from.Quotas, func(q QuotaRequest) bool { return q.Quota == quota.Name }); i >= 0 {
-			demand := Demand{HolderID: id, Wanted: from.Quotas[i].Wanted}
+		if i := slices.IndexFunc(sender.Quotas, func(q QuotaRequest) bool { return q.Quota == quota.Name }); i >= 0 {
+			demand := Demand{HolderID: id, Wanted: sender.Quotas[i].Wanted}
 			if lease := ledger.entries[id].newestLease(); lease != nil {
 				demand.Current = lease.Amount
 			}
@@ -88,7 +88,7 @@
 	}
 	for id, entry := range ledger.entries {
 		lease := entry.newestLease()
-		if from := a.requesters[id]; lease != nil && (from == nil || !from.recent(now, quota)) {
+		if sender := a.requesters[id]; lease != nil && (sender == nil || !sender.recent(now, quota)) {
 			demands = append(demands, Demand{HolderID: id, Wanted: lease.Amount, Current: lease.Amount})
 		}
 	}
@@ -99,7 +99,7 @@
 // recent reports whether the request arrived within the last lease duration. If not, the process has stopped or cannot
 // reach the servers.
 func (r *requester) recent(now time.Duration, quota *Quota) bool {
-	return now-r.heardAt <= quota.LeaseDuration
+	return now-r.receivedAt <= quota.LeaseDuration
 }
 
 // changesLease reports whether to propose a grant to a process: it would renew or change the newest lease. newest is
@@ -141,16 +141,16 @@
 
 // fit returns the part of a process's allocation that the state machine would accept now. For a rate it returns the
 // zero usage if the burst of that part is too small to spend a unit.
-func (c *freeCapacity) fit(quota *Quota, due usage, id HolderID) usage {
+func (c *freeCapacity) fit(quota *Quota, allocated usage, id HolderID) usage {
 	own, ownCurrent := c.usagesOf(id)
 	amount := grantable(c.limit.amount, c.total.amount, own.amount, c.current.amount, ownCurrent.amount)
 	burst := grantable(c.limit.burst, c.total.burst, own.burst, c.current.burst, ownCurrent.burst)
-	granted := usage{amount: min(due.amount, amount), burst: min(due.burst, burst)}
+	granted := usage{amount: min(allocated.amount, amount), burst: min(allocated.burst, burst)}
 	if quota.Kind == InFlight {
 		granted.amount = granted.amount.roundDown()
 		return granted
 	}
-	if granted.burst < min(Unit, due.burst) {
+	if granted.burst < min(Unit, allocated.burst) {
 		return usage{}
 	}
 	return granted
@@ -169,7 +169,7 @@
 func (c *freeCapacity) take(id HolderID, granted usage) {
 	own, ownCurrent := c.usagesOf(id)
 	c.total.sub(own)
-	c.total.add(own.atLeast(granted))
+	c.total.add(own.maxWith(granted))
 	c.current.sub(ownCurrent)
-	c.current.add(ownCurrent.atLeast(granted))
+	c.current.add(ownCurrent.maxWith(granted))
 }
--- a/internal/quotalease/reconfigure.go
+++ b/internal/quotalease/reconfigure.go
@@ -28,14 +28,14 @@
 // does not have a newer version.
 func (m *StateMachine) checkConfig(command *SetQuotas) error {
 	config := &command.Config
-	known := max(m.configVersion, m.seenVersion)
+	newestVersion := max(m.configVersion, m.seenVersion)
 	switch {
 	case config.FleetID != m.fleetID:
 		return FleetMismatchError{Ours: m.fleetID, Theirs: config.FleetID}
 	case m.waitingAfterBootstrap():
 		return BootstrapPendingError{MaxLifetime: m.maxLifetime}
-	case command.Version <= known:
-		return StaleConfigError{Have: command.Version, Seen: known}
+	case command.Version <= newestVersion:
+		return StaleConfigError{Have: command.Version, Seen: newestVersion}
 	case config.MaxDrift > m.maxDrift || config.MaxLifetime > m.maxLifetime:
 		return invalidCommand("drift %v or longest %v is above the value that the fleet was founded with",
 			config.MaxDrift, config.MaxLifetime)
--- a/internal/quotalease/statemachine.go
+++ b/internal/quotalease/statemachine.go
@@ -77,10 +77,10 @@
 	var result ApplyResult
 	var err error
 	if command.Batch == nil {
-		err = m.applyOne(command, &result)
+		err = m.applySingle(command, &result)
 	}
-	for _, one := range command.Batch {
-		if err := m.applyOne(one, &result); err != nil {
+	for _, part := range command.Batch {
+		if err := m.applySingle(part, &result); err != nil {
 			result.Rejected = append(result.Rejected, err)
 		}
 	}
@@ -93,8 +93,8 @@
 	return Token{Epoch: m.epoch, Index: m.appliedIndex + m.tokenOffset}
 }
 
-// applyOne applies a command that is not a Batch, or a single command of a Batch.
-func (m *StateMachine) applyOne(command Command, result *ApplyResult) error {
+// applySingle applies a command that is not a Batch, or a single command of a Batch.
+func (m *StateMachine) applySingle(command Command, result *ApplyResult) error {
 	if command.Bootstrap != nil {
 		return m.bootstrap(command.Bootstrap, result)
 	}
--- a/internal/quotalease/tokenbucket.go
+++ b/internal/quotalease/tokenbucket.go
@@ -26,5 +26,5 @@
 	return true
 }
 
-// cutTo reduces the level to at most burst.
-func (b *tokenBucket) cutTo(burst Amount) { b.level = min(b.level, float64(burst)) }
+// limitTo reduces the level to at most burst.
+func (b *tokenBucket) limitTo(burst Amount) { b.level = min(b.level, float64(burst)) }
