--- a/internal/quotalease/amount.go
+++ b/internal/quotalease/amount.go
@@ -8,7 +8,7 @@
 // Unit is the Amount of one unit: one attempt under a Rate, or one unit in flight under InFlight.
 const Unit Amount = 1e6
 
-// maxAmount is the upper bound of FromUnits. It leaves room for sums within an int64.
+// maxAmount is the upper bound of FromUnits, so that sums of several amounts cannot overflow an int64.
 const maxAmount = 1e18
 
 // FromUnits converts units to an Amount and rounds down. It returns 0 for NaN and for negative numbers.
--- a/internal/quotalease/command.go
+++ b/internal/quotalease/command.go
@@ -143,9 +143,9 @@
 	FloorsVersion uint64 `json:"Floors"`
 }
 
-// Expiry is something that the state machine counts until it expires: the waiting time after a bootstrap (Quota is
-// empty), a lease, or a residual of units in flight. Each server starts a timer of Duration, extended by DriftMargin,
-// when it applies the command.
+// Expiry identifies something that the state machine counts until it expires: the waiting time after a bootstrap
+// (Quota is empty), a lease, or a residual of units in flight. Each server starts a timer of Duration, extended by
+// DriftMargin, when it applies the command.
 type Expiry struct {
 	HolderID
 	Quota    string
--- a/internal/quotalease/config.go
+++ b/internal/quotalease/config.go
@@ -15,7 +15,7 @@
 const (
 	// Rate counts units a second, with a burst.
 	Rate Kind = iota + 1
-	// InFlight counts units held at once, each for at most Quota.MaxHoldTime.
+	// InFlight counts units in flight at once, each for at most Quota.MaxHoldTime.
 	InFlight
 )
 
@@ -74,9 +74,9 @@
 }
 
 const (
-	driftLimit  = .1  // maximum of MaxDrift
-	unitsLimit  = 1e9 // maximum number of units of a limit, a burst or a share
-	minDuration = time.Millisecond
+	driftLimit  = .1               // maximum of MaxDrift
+	unitsLimit  = 1e9              // maximum number of units of a limit, a burst or a share
+	minDuration = time.Millisecond // minimum of MaxLifetime, LeaseDuration and MaxHoldTime
 )
 
 // problems collects the errors of a configuration. prefix is put before each message.
@@ -85,32 +85,32 @@
 	errs   []error
 }
 
-// addIf adds an error if wrong is true.
-func (p *problems) addIf(wrong bool, format string, args ...any) {
-	if wrong {
+// addIf adds an error if invalid is true.
+func (p *problems) addIf(invalid bool, format string, args ...any) {
+	if invalid {
 		p.errs = append(p.errs, errors.New(p.prefix+fmt.Sprintf(format, args...)))
 	}
 }
 
 // Check returns all errors of the configuration, joined, each with its quota and field, or nil if it is valid.
 func (f *FleetConfig) Check() error {
-	var wrong problems
-	wrong.addIf(f.FleetID == "", "fleet: has no name")
-	wrong.addIf(!validDrift(f.MaxDrift), "drift: %v is not between 0 and %v", f.MaxDrift, driftLimit)
-	wrong.addIf(f.MaxLifetime < minDuration, "longest: %v is under %v", f.MaxLifetime, minDuration)
+	var found problems
+	found.addIf(f.FleetID == "", "fleet: has no name")
+	found.addIf(!validDrift(f.MaxDrift), "drift: %v is not between 0 and %v", f.MaxDrift, driftLimit)
+	found.addIf(f.MaxLifetime < minDuration, "longest: %v is under %v", f.MaxLifetime, minDuration)
 	seen := map[string]bool{}
 	for i := range f.Quotas {
 		quota := &f.Quotas[i]
-		wrong.addIf(seen[quota.Name], "%s: two budgets have this name", quota.Name)
+		found.addIf(seen[quota.Name], "%s: two budgets have this name", quota.Name)
 		seen[quota.Name] = true
 		if err := quota.Check(); err != nil {
-			wrong.errs = append(wrong.errs, err)
+			found.errs = append(found.errs, err)
 		}
-		wrong.addIf(quota.LeaseDuration+quota.MaxHoldTime > f.MaxLifetime,
+		found.addIf(quota.LeaseDuration+quota.MaxHoldTime > f.MaxLifetime,
 			"%s: lease %v plus life %v is more than longest, %v",
 			quota.Name, quota.LeaseDuration, quota.MaxHoldTime, f.MaxLifetime)
 	}
-	return errors.Join(wrong.errs...)
+	return errors.Join(found.errs...)
 }
 
 // Quota returns the quota with a name, or nil if there is none.
@@ -123,8 +123,10 @@
 	return nil
 }
 
+// validDrift reports whether drift is a valid maximum clock drift.
 func validDrift(drift float64) bool { return drift >= 0 && drift <= driftLimit }
 
+// validNumber reports whether x is a valid number of units, or a valid weight.
 func validNumber(x float64) bool { return x >= 0 && x <= unitsLimit }
 
 // validUnits reports whether x is a valid number of units of this quota. Units in flight are whole numbers.
@@ -134,35 +136,35 @@
 
 // Check returns all errors of one quota, joined, each with its name and field, or nil if it is valid.
 func (q *Quota) Check() error {
-	wrong := problems{prefix: q.Name + ": "}
-	wrong.addIf(q.Name == "", "a budget has no name")
-	wrong.addIf(q.Kind != Rate && q.Kind != InFlight, "kind: %v is neither rate nor in-hand", q.Kind)
-	wrong.addIf(!q.validUnits(q.Limit) || q.Limit == 0, "whole: %v units is not a valid limit", q.Limit)
-	wrong.addIf(q.LeaseDuration < minDuration, "lease: %v is under %v", q.LeaseDuration, minDuration)
+	found := problems{prefix: q.Name + ": "}
+	found.addIf(q.Name == "", "a budget has no name")
+	found.addIf(q.Kind != Rate && q.Kind != InFlight, "kind: %v is neither rate nor in-hand", q.Kind)
+	found.addIf(!q.validUnits(q.Limit) || q.Limit == 0, "whole: %v units is not a valid limit", q.Limit)
+	found.addIf(q.LeaseDuration < minDuration, "lease: %v is under %v", q.LeaseDuration, minDuration)
 	switch q.Kind {
 	case Rate:
-		wrong.addIf(!validNumber(q.Burst) || q.Burst < 1, "burst: %v units; a rate needs at least 1", q.Burst)
-		wrong.addIf(q.MaxHoldTime != 0, "life: must be 0 for a rate")
+		found.addIf(!validNumber(q.Burst) || q.Burst < 1, "burst: %v units; a rate needs at least 1", q.Burst)
+		found.addIf(q.MaxHoldTime != 0, "life: must be 0 for a rate")
 	case InFlight:
-		wrong.addIf(q.Burst != 0, "burst: must be 0 for in-hand")
-		wrong.addIf(q.MaxHoldTime < minDuration, "life: %v is under %v", q.MaxHoldTime, minDuration)
+		found.addIf(q.Burst != 0, "burst: must be 0 for in-hand")
+		found.addIf(q.MaxHoldTime < minDuration, "life: %v is under %v", q.MaxHoldTime, minDuration)
 	}
-	floors := q.checkFloors(&wrong)
-	sum := q.checkShares(&wrong, floors)
-	wrong.addIf(!(sum <= q.Limit),
+	floors := q.checkFloors(&found)
+	sum := q.checkShares(&found, floors)
+	found.addIf(!(sum <= q.Limit),
 		"floors (%v) and minimums (%v) sum to more than the whole, %v", floors, sum-floors, q.Limit)
-	return errors.Join(wrong.errs...)
+	return errors.Join(found.errs...)
 }
 
 // checkFloors checks all floors and returns their sum in units.
-func (q *Quota) checkFloors(wrong *problems) (sum float64) {
+func (q *Quota) checkFloors(found *problems) (sum float64) {
 	for _, holder := range slices.Sorted(maps.Keys(q.Floors)) {
 		units := q.Floors[holder]
-		wrong.addIf(holder == "" || !q.validUnits(units),
+		found.addIf(holder == "" || !q.validUnits(units),
 			"floor of %q: %v is not a valid number of units", holder, units)
 		if q.Kind == Rate && q.validUnits(units) && units > 0 {
 			burst := q.Burst * units / q.Limit
-			wrong.addIf(burst < 1,
+			found.addIf(burst < 1,
 				"floor of %q: its part of the burst is %.3g units; below 1 unit nothing can be spent", holder, burst)
 		}
 		sum += max(0, units)
@@ -170,27 +172,28 @@
 	return sum
 }
 
-// checkShares checks all shares. It returns floors, the sum of all floors, plus the sum of all minimums, in units.
-func (q *Quota) checkShares(wrong *problems, floors float64) (sum float64) {
+// checkShares checks all shares. floors is the sum of all floors. It returns the sum of all floors and all minimums, in
+// units.
+func (q *Quota) checkShares(found *problems, floors float64) (sum float64) {
 	sum = floors
 	for _, holder := range slices.Sorted(maps.Keys(q.Members)) {
 		share := q.Members[holder]
-		wrong.addIf(holder == "", "a member has no name")
-		wrong.addIf(!q.validUnits(share.Min) || !q.validUnits(share.Cap),
+		found.addIf(holder == "", "a member has no name")
+		found.addIf(!q.validUnits(share.Min) || !q.validUnits(share.Cap),
 			"member %s: min %v or cap %v is not a valid number of units", holder, share.Min, share.Cap)
-		wrong.addIf(share.Cap > 0 && share.Cap < share.Min,
+		found.addIf(share.Cap > 0 && share.Cap < share.Min,
 			"member %s: cap %v is under min %v", holder, share.Cap, share.Min)
-		wrong.addIf(!validNumber(share.Weight), "member %s: weight %v is not valid", holder, share.Weight)
+		found.addIf(!validNumber(share.Weight), "member %s: weight %v is not valid", holder, share.Weight)
 		sum += max(0, share.Min)
 	}
 	other := q.DefaultShare
-	wrong.addIf(other.Min != 0, "others: a minimum can be set only for a named member")
-	wrong.addIf(!q.validUnits(other.Cap) || !validNumber(other.Weight),
+	found.addIf(other.Min != 0, "others: a minimum can be set only for a named member")
+	found.addIf(!q.validUnits(other.Cap) || !validNumber(other.Weight),
 		"others: cap %v or weight %v is not valid", other.Cap, other.Weight)
 	return sum
 }
 
-// shareOf returns the share of a holder, with a weight of at least the default 1.
+// shareOf returns the share of a holder, with the default weight 1 if the weight is 0.
 func (q *Quota) shareOf(holder string) Share {
 	share, named := q.Members[holder]
 	if !named {
@@ -213,9 +216,9 @@
 
 // unreserved returns the limit minus all floors, in millionths of a unit.
 func (q *Quota) unreserved() float64 {
-	left := FromUnits(q.Limit)
+	remaining := FromUnits(q.Limit)
 	for _, units := range q.Floors {
-		left -= FromUnits(units)
+		remaining -= FromUnits(units)
 	}
-	return float64(max(0, left))
+	return float64(max(0, remaining))
 }
--- a/internal/quotalease/divide_test.go
+++ b/internal/quotalease/divide_test.go
@@ -121,8 +121,9 @@
 			slack *= Unit
 		}
 		if sum > total || sum < min(total, demanded)-slack {
-			t.Fatalf("Divide() gives %v units in all, want %v, the smaller of the free limit %v and the demand %v",
-				sum.Units(), min(total, demanded).Units(), total.Units(), demanded.Units())
+			t.Fatalf("Divide() gives %v units in all, want at most the limit minus floors of %v and at least %v "+
+				"(the smaller of that and the demand of %v, less a rounding tolerance)",
+				sum.Units(), total.Units(), (min(total, demanded) - slack).Units(), demanded.Units())
 		}
 		reversed := slices.Clone(demands)
 		slices.Reverse(reversed)
--- a/internal/quotalease/errors.go
+++ b/internal/quotalease/errors.go
@@ -156,8 +156,8 @@
 		"steward with an older store."
 }
 
-// StaleEpochError is returned for a command or message of an earlier epoch, and by a server whose own epoch is older
-// than that of the sender.
+// StaleEpochError is returned for a command or message of an earlier epoch, and for a request or
+// acknowledgement whose epoch is newer than the server's own.
 type StaleEpochError struct{ Got, Have uint64 }
 
 // Error implements error.
--- a/internal/quotalease/fence.go
+++ b/internal/quotalease/fence.go
@@ -20,11 +20,13 @@
 	highestEvicted Token // the highest token that was evicted
 }
 
+// fenceKey identifies an entry of a Fence.
 type fenceKey struct {
 	holder string
 	quota  string
 }
 
+// fenceEntry is the highest admitted token of a holder and quota.
 type fenceEntry struct {
 	fenceKey
 	highest   Token
--- a/internal/quotalease/frozen_test.go
+++ b/internal/quotalease/frozen_test.go
@@ -17,8 +17,8 @@
 )
 
 // The files under testdata are golden files of the formats that are stored and sent. They were written at commit
-// c8fad44 by WRITE_FROZEN=1 go test -run TestFrozen ./internal/grant and must never be written again: a difference
-// means that the format of the stored log, of a snapshot or of a message has changed.
+// c8fad44 by WRITE_FROZEN=1 go test -run TestFrozen ./internal/grant, the former path of this package, and must never
+// be written again: a difference means that the format of the stored log, of a snapshot or of a message has changed.
 const (
 	frozenLog            = "testdata/log.jsonl"      // one log command per line, as JSON
 	frozenResults        = "testdata/verdicts.txt"   // the result of each command of the log, see describeResult
--- a/internal/quotalease/grant.go
+++ b/internal/quotalease/grant.go
@@ -92,7 +92,7 @@
 // entry.
 func (m *StateMachine) sumsWithGrant(ledger *quotaLedger, entry *holderEntry, granted usage) (total, current usage) {
 	before := entry.maxUsage(m.mutations)
-	currentBefore := entry.usageSince(m.configVersion, m.mutations)
+	currentBefore := entry.usageUnder(m.configVersion, m.mutations)
 	after := before.maxWith(granted)
 	currentAfter := currentBefore.maxWith(granted)
 	if m.mutations.CountNewestLeaseOnly {
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -47,7 +47,7 @@
 	floorInFlight Amount // units in flight that the floor admitted
 
 	attempted    Amount  // units that callers tried to acquire since the last measurement of the demand
-	rejected     Amount  // units in flight that were rejected since that measurement
+	rejected     Amount  // units of an InFlight quota that were rejected since that measurement
 	peakInFlight Amount  // maximum of units in flight since that measurement
 	wanted       float64 // the demand, in millionths of a unit
 	wantedFixed  bool    // the demand was set by SetDemand and is not measured
@@ -64,7 +64,7 @@
 	settings      HolderSettings
 	epoch         uint64
 	configVersion uint64 // the version of the floors that it received
-	adoptedFloors uint64 // the version of the floors that it observes with all units in flight
+	adoptedFloors uint64 // the last version of the floors that covered all units in flight
 	seq           uint64
 	sentRequests  [requestHistory]sentRequest // indexed by request number modulo the length
 	measuredAt    time.Duration               // when the demand was last measured
@@ -114,7 +114,7 @@
 func (h *Holder) slowdown() float64 { return 1 + h.settings.MaxDrift }
 
 // SetFloorClaim sets whether this process has the exclusive claim to the floors of its name. The caller must ensure
-// that no other process with this name has the claim, and call SetFloorClaim when the claim changes. What the previous
+// that no other process on its machine has the claim, and call SetFloorClaim when the claim changes. What the previous
 // process spent is not known, so the bucket of a rate starts empty, and units in flight are admitted only after the
 // maximum hold time, when all units that the previous process had in flight have ended.
 func (h *Holder) SetFloorClaim(now time.Duration, claimed bool) {
--- a/internal/quotalease/ledger.go
+++ b/internal/quotalease/ledger.go
@@ -39,8 +39,8 @@
 	return largest
 }
 
-// usageSince returns the largest amount and burst of the leases that were granted under a configuration version.
-func (e *holderEntry) usageSince(version uint64, mutations mutation.Set) usage {
+// usageUnder returns the largest amount and burst of the leases that were granted under a configuration version.
+func (e *holderEntry) usageUnder(version uint64, mutations mutation.Set) usage {
 	if mutations.CountNewestLeaseOnly {
 		return e.maxUsage(mutations)
 	}
@@ -75,7 +75,7 @@
 	// share the slices, so they are never modified in place.
 	floors   map[string][]versionedFloor
 	total    usage // sum of maxUsage of all entries
-	current  usage // sum of usageSince of all entries, under the current configuration version
+	current  usage // sum of usageUnder the current configuration version, of all entries
 	reserved usage // sum of all floors
 }
 
--- a/internal/quotalease/modelcheck/cluster.go
+++ b/internal/quotalease/modelcheck/cluster.go
@@ -73,7 +73,7 @@
 	proxies      []*proxy
 	requests     []*request
 	replies      []*reply
-	cutLinks     map[[2]int]bool // by the indices of two servers
+	cutLinks     map[[2]int]bool // server pairs (by index) whose link is cut
 	version      uint64          // the highest configuration version that was ever applied by a server
 	epoch        uint64          // of the last bootstrap that an operator proposed
 	incarnations uint64          // number of proxy processes started so far
@@ -139,9 +139,9 @@
 	p := c.proxies[i]
 	p.running = false
 	for _, unit := range p.inFlight {
-		left := float64(unit.endsAt-p.clockTime(c.now)) / p.rate
-		if left > 0 {
-			c.orphanedUnits = append(c.orphanedUnits, inFlightUnit{endsAt: c.now + time.Duration(left)})
+		remaining := float64(unit.endsAt-p.clockTime(c.now)) / p.rate
+		if remaining > 0 {
+			c.orphanedUnits = append(c.orphanedUnits, inFlightUnit{endsAt: c.now + time.Duration(remaining)})
 		}
 	}
 	p.inFlight = nil
@@ -184,10 +184,10 @@
 	}
 	copied.proxies = make([]*proxy, len(c.proxies))
 	for i, p := range c.proxies {
-		one := *p
-		one.Holder = p.Clone()
-		one.inFlight = slices.Clone(p.inFlight)
-		copied.proxies[i] = &one
+		copiedProxy := *p
+		copiedProxy.Holder = p.Clone()
+		copiedProxy.inFlight = slices.Clone(p.inFlight)
+		copied.proxies[i] = &copiedProxy
 	}
 	copied.requests = slices.Clone(c.requests)
 	copied.replies = slices.Clone(c.replies)
--- a/internal/quotalease/modelcheck/explore.go
+++ b/internal/quotalease/modelcheck/explore.go
@@ -120,7 +120,7 @@
 
 // expansion generates the successors of a state until yield returns false.
 type expansion struct {
-	from   *searchNode
+	node   *searchNode
 	bounds Bounds
 	yield  func(event string, next *searchNode) bool
 	done   bool
@@ -128,7 +128,7 @@
 
 // successors calls yield for every state that one event can lead to, until yield returns false.
 func (n *searchNode) successors(bounds Bounds, yield func(event string, next *searchNode) bool) {
-	x := &expansion{from: n, bounds: bounds, yield: yield}
+	x := &expansion{node: n, bounds: bounds, yield: yield}
 	for i := range n.proxies {
 		if n.requestsSent[i] < bounds.RequestsPerProxy {
 			x.try(func(next *searchNode) bool {
@@ -168,9 +168,9 @@
 	if x.done {
 		return
 	}
-	next := *x.from
-	next.cluster = x.from.clone()
-	next.requestsSent = slices.Clone(x.from.requestsSent)
+	next := *x.node
+	next.cluster = x.node.clone()
+	next.requestsSent = slices.Clone(x.node.requestsSent)
 	next.depth++
 	if !applyEvent(&next) {
 		return
@@ -191,13 +191,13 @@
 	if s.leader {
 		x.tryLeader(i, s)
 	}
-	if x.from.elections < x.bounds.Elections {
+	if x.node.elections < x.bounds.Elections {
 		x.try(func(next *searchNode) bool {
 			next.elections++
 			return next.electLeader(next.servers[i])
 		}, "server %d is elected", i)
 	}
-	if x.from.restarts >= x.bounds.Restarts {
+	if x.node.restarts >= x.bounds.Restarts {
 		return
 	}
 	for _, entries := range slices.Compact([]int{len(s.log), len(s.log) / 2, 0}) {
@@ -211,7 +211,7 @@
 
 // tryLeader tries the events of a leader: it receives a request, proposes its plan, or replicates its log.
 func (x *expansion) tryLeader(i int, s *server) {
-	for j, r := range x.from.requests {
+	for j, r := range x.node.requests {
 		if last := s.requests[r.HolderID]; last == nil || last.Seq < r.Seq {
 			x.try(func(next *searchNode) bool {
 				return next.deliverRequest(next.servers[i], next.requests[j])
@@ -219,10 +219,10 @@
 		}
 	}
 	// A plan is proposed again until it is committed, so the uncommitted entries must be bounded.
-	if len(s.log)-s.commit < 2 && s.allocator.HasWork(s.clockTime(x.from.now)) {
+	if len(s.log)-s.commit < 2 && s.allocator.HasWork(s.clockTime(x.node.now)) {
 		x.try(func(next *searchNode) bool { return next.proposePlan(next.servers[i]) }, "server %d proposes a plan", i)
 	}
-	for f, follower := range x.from.servers {
+	for f, follower := range x.node.servers {
 		upToDate := s.matchLengths[f] == len(s.log) && follower.commit == s.commit && follower.confirmed == len(s.log)
 		if upToDate {
 			continue
--- a/internal/quotalease/modelcheck/modelcheck_test.go
+++ b/internal/quotalease/modelcheck/modelcheck_test.go
@@ -71,9 +71,9 @@
 
 // Without one of the safeguards some run violates the invariant; with all safeguards the same run does not.
 func TestEachSafeguardIsNeeded(t *testing.T) {
-	quick := rateSettings()
-	quick.MaxStepTime = quick.LeaseDuration / 100
-	quick.MaxDrift = .1
+	shortSteps := rateSettings()
+	shortSteps.MaxStepTime = shortSteps.LeaseDuration / 100
+	shortSteps.MaxDrift = .1
 	for _, tt := range []struct {
 		safeguard string
 		settings  Settings
@@ -81,10 +81,10 @@
 		mutations mutation.Set
 		firstSeed uint64 // lower seeds do not violate the invariant
 	}{
-		{"drift margin of a lease", quick, proxyDeaths, mutation.Set{NoDriftMargin: true}, 22},
+		{"drift margin of a lease", shortSteps, proxyDeaths, mutation.Set{NoDriftMargin: true}, 22},
 		{"lease duration counted from the request", rateSettings(), proxyDeaths, mutation.Set{LeaseFromReply: true}, 0},
 		{"token bucket empty on a new lease", rateSettings(), cutOffs, mutation.Set{FullBucketOnLease: true}, 0},
-		{"leases refused in decreasing token order", quick, demandShifts, mutation.Set{AnyTokenOrder: true}, 49},
+		{"leases refused in decreasing token order", shortSteps, demandShifts, mutation.Set{AnyTokenOrder: true}, 49},
 		{"commit before the reply", rateSettings(), serverCutOffs, mutation.Set{ReplyBeforeCommit: true}, 0},
 		{"silence after a server start", rateSettings(), restoredStores, mutation.Set{NoStartupSilence: true}, 5},
 		{
@@ -195,7 +195,7 @@
 // are only found in spaces of that size.
 func BenchmarkExplore(b *testing.B) {
 	for _, tt := range []struct {
-		name      string
+		name      string // "sound" means with all safeguards; an ask is a request of each proxy
 		mutations mutation.Set
 		bounds    Bounds
 		violates  bool // the exploration must find a violation
@@ -250,7 +250,7 @@
 	}
 }
 
-// BenchmarkRandomRuns runs one long random run of a different system per iteration: -benchtime 2000x runs 2,000.
+// BenchmarkRandomRuns runs one long random run of a different system per iteration: -benchtime 2000x makes 2,000 runs.
 func BenchmarkRandomRuns(b *testing.B) {
 	seed := uint64(1000)
 	steps := 0
--- a/internal/quotalease/modelcheck/random.go
+++ b/internal/quotalease/modelcheck/random.go
@@ -171,20 +171,20 @@
 
 // deliverToServer delivers a request to a server, usually to a leader. It does nothing if that server is paused.
 func (r *randomRun) deliverToServer(q *request) {
-	to := r.servers[r.rng.IntN(len(r.servers))]
+	receiver := r.servers[r.rng.IntN(len(r.servers))]
 	for _, s := range r.servers {
 		if s.leader && (r.repaired || r.chance(leaderChance)) {
-			to = s
+			receiver = s
 		}
 	}
-	if r.serverPausedUntil[to.id] <= r.now {
-		r.deliverRequest(to, q)
+	if r.serverPausedUntil[receiver.id] <= r.now {
+		r.deliverRequest(receiver, q)
 	}
 }
 
-// deliver passes some of the messages to to, in random order. It returns the messages that stay on the network: some
-// are lost, some are delivered again later. proxyOf returns the index of the proxy that a message is from or to.
-func deliver[M any](r *randomRun, messages []M, proxyOf func(M) int, to func(M)) []M {
+// deliver passes some of the messages to receive, in random order. It returns the messages that stay on the network:
+// some are lost, some are delivered again later. proxyOf returns the index of the proxy that a message is from or to.
+func deliver[M any](r *randomRun, messages []M, proxyOf func(M) int, receive func(M)) []M {
 	r.rng.Shuffle(len(messages), func(i, j int) { messages[i], messages[j] = messages[j], messages[i] })
 	var staying []M
 	for _, message := range messages {
@@ -196,7 +196,7 @@
 			continue
 		}
 		if (r.repaired || r.chance(deliveryChance)) && r.proxyPausedUntil[i] <= r.now {
-			to(message)
+			receive(message)
 			if r.chance(repeatChance) {
 				staying = append(staying, message)
 			}
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -62,7 +62,7 @@
 		if !changesLease(free.ledger.entries[sender.HolderID].newestLease(), granted, sender.Seq) {
 			continue
 		}
-		free.take(sender.HolderID, granted)
+		free.addGrant(sender.HolderID, granted)
 		grant := QuotaGrant{Quota: quota.Name, Amount: granted.amount, Burst: granted.burst}
 		grants[i] = append(grants[i], grant)
 	}
@@ -136,7 +136,7 @@
 	if entry == nil {
 		return usage{}, usage{}
 	}
-	return entry.maxUsage(c.state.mutations), entry.usageSince(c.state.configVersion, c.state.mutations)
+	return entry.maxUsage(c.state.mutations), entry.usageUnder(c.state.configVersion, c.state.mutations)
 }
 
 // fit returns the part of a process's allocation that the state machine would accept now. For a rate it returns the
@@ -165,8 +165,8 @@
 	return max(0, min(byTotal, byCurrent))
 }
 
-// take adds a planned lease to the sums.
-func (c *freeCapacity) take(id HolderID, granted usage) {
+// addGrant adds a planned lease to the sums.
+func (c *freeCapacity) addGrant(id HolderID, granted usage) {
 	own, ownCurrent := c.usagesOf(id)
 	c.total.sub(own)
 	c.total.add(own.maxWith(granted))
--- a/internal/quotalease/snapshot.go
+++ b/internal/quotalease/snapshot.go
@@ -27,7 +27,7 @@
 	Floors  map[string][]versionedFloor `json:"Floors"`
 }
 
-// Snapshot returns the state as JSON. Equal states have equal snapshots. The error is one of encoding/json.
+// Snapshot returns the state as JSON. Equal states have equal snapshots. The error wraps one of encoding/json.
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	state := snapshot{
 		FleetID:        m.fleetID,
@@ -91,7 +91,7 @@
 	for _, entry := range saved.Entries {
 		ledger.entries[entry.HolderID] = entry
 		ledger.total.add(entry.maxUsage(m.mutations))
-		ledger.current.add(entry.usageSince(m.configVersion, m.mutations))
+		ledger.current.add(entry.usageUnder(m.configVersion, m.mutations))
 	}
 	if saved.Floors != nil {
 		ledger.floors = saved.Floors
--- a/internal/quotalease/statemachine.go
+++ b/internal/quotalease/statemachine.go
@@ -211,10 +211,10 @@
 // empty afterwards.
 func (m *StateMachine) updateEntry(ledger *quotaLedger, entry *holderEntry, update func()) {
 	ledger.total.sub(entry.maxUsage(m.mutations))
-	ledger.current.sub(entry.usageSince(m.configVersion, m.mutations))
+	ledger.current.sub(entry.usageUnder(m.configVersion, m.mutations))
 	update()
 	ledger.total.add(entry.maxUsage(m.mutations))
-	ledger.current.add(entry.usageSince(m.configVersion, m.mutations))
+	ledger.current.add(entry.usageUnder(m.configVersion, m.mutations))
 	if len(entry.Leases) == 0 && entry.Residual == 0 {
 		delete(ledger.entries, entry.HolderID)
 	}
