--- a/internal/quotalease/allocator_test.go
+++ b/internal/quotalease/allocator_test.go
@@ -83,11 +83,12 @@
 	}
 }
 
-// wantLeased checks the units that a holder has leased, to within 0.01 units.
-func (c *testCluster) wantLeased(holder *Holder, quota string, want float64) {
+// wantLeased checks the units that a holder has leased, to within 0.01 units. step describes the event before.
+func (c *testCluster) wantLeased(holder *Holder, quota string, want float64, step string) {
 	c.Helper()
 	if got := holder.Status(c.now, quota).Amount.Units(); math.Abs(got-want) > .01 {
-		c.Errorf("holder %s: Status(quota %s).Amount = %v units, want %v", holder.settings.Holder, quota, got, want)
+		c.Errorf("%s: Status(quota %s).Amount of holder %s = %v units, want %v",
+			step, quota, holder.settings.Holder, got, want)
 	}
 }
 
@@ -97,7 +98,7 @@
 	b := cluster.holders[1]
 	a.SetDemand("r", 20)
 	cluster.exchangeRounds(3)
-	cluster.wantLeased(a, "r", 10) // b requests nothing, so a gets the whole limit
+	cluster.wantLeased(a, "r", 10, "holder b requests nothing")
 	if interval := a.RequestInterval(); interval != time.Second/3 {
 		t.Errorf("RequestInterval() with a lease of 1s = %v, want 1s/3", interval)
 	}
@@ -106,21 +107,21 @@
 	}
 	b.SetDemand("r", 20)
 	cluster.exchangeRounds(5)
-	cluster.wantLeased(a, "r", 5) // the renewals of a shrink in favor of b
-	cluster.wantLeased(b, "r", 5)
+	cluster.wantLeased(a, "r", 5, "holder b requests 20 units, so the renewals of holder a shrink")
+	cluster.wantLeased(b, "r", 5, "holder b requests 20 units")
 	a.ReleaseAll()
 	cluster.holders = cluster.holders[1:]
 	cluster.request(a)
 	cluster.applyPlans()
 	cluster.exchangeRounds(2)
-	cluster.wantLeased(b, "r", 10) // a released its leases, so b gets them without waiting
+	cluster.wantLeased(b, "r", 10, "holder a released its leases, which need not expire first")
 	joined := cluster.join("c")
 	joined.SetDemand("r", 4)
 	cluster.exchangeRounds(4)
-	cluster.wantLeased(b, "r", 6)
+	cluster.wantLeased(b, "r", 6, "holder c joined and wants 4 units")
 	cluster.holders = []*Holder{b} // c stops without releasing its lease
 	cluster.exchangeRounds(7)
-	cluster.wantLeased(b, "r", 10)
+	cluster.wantLeased(b, "r", 10, "the lease of holder c, which stopped, expired")
 }
 
 // A server that starts plans nothing during its startup silence. A server that takes over restarts all expiry timers
@@ -144,8 +145,8 @@
 	cluster.allocator = NewAllocator(cluster.now, 0, cluster.StateMachine)
 	cluster.now += withDriftMargin(time.Second, .01) - 1
 	cluster.applyPlans()
-	cluster.wantOutstanding("r", 10)
+	cluster.wantOutstanding("r", 10, "1ns before the restarted timer of the lease ends")
 	cluster.now++
 	cluster.applyPlans()
-	cluster.wantOutstanding("r", 0)
+	cluster.wantOutstanding("r", 0, "the restarted timer of the lease ended")
 }
--- a/internal/quotalease/holder_test.go
+++ b/internal/quotalease/holder_test.go
@@ -18,7 +18,7 @@
 		config.Quotas[0].Burst = 6
 	})
 	cluster.exchangeRounds(5)
-	cluster.wantOutstanding("r", 6)
+	cluster.wantOutstanding("r", 6, "the limit was lowered to 6")
 	cluster.setQuotas(3, withFloors(map[string]float64{"a": 4}))
 	a.SetFloorClaim(cluster.now, true)
 	cluster.exchangeRounds(4)
@@ -128,16 +128,16 @@
 	}
 	b.SetDemand("h", 10)
 	cluster.exchangeRounds(3)
-	cluster.wantLeased(a, "h", 5)
-	cluster.wantLeased(b, "h", 0) // a still has ten in flight
-	cluster.wantOutstanding("h", 10)
+	cluster.wantLeased(a, "h", 5, "holder b requests 10 units")
+	cluster.wantLeased(b, "h", 0, "holder b requests 10 units while holder a has 10 in flight")
+	cluster.wantOutstanding("h", 10, "holder b requests 10 units while holder a has 10 in flight")
 	for i, token := range tokens[:7] {
 		if err := a.Release("h", token, 1); err != nil {
 			t.Fatalf("Release(quota h, 1) number %d of 7, with 10 units in flight before = %v, want no error", i+1, err)
 		}
 	}
 	cluster.exchangeRounds(2)
-	cluster.wantLeased(b, "h", 5)
+	cluster.wantLeased(b, "h", 5, "holder a released 7 units")
 	if err := a.Release("h", tokens[0], 4); !errors.As(err, new(InvalidCommandError)) {
 		t.Errorf("Release(quota h, 4) with 3 units in flight = error %v, want an InvalidCommandError", err)
 	}
--- a/internal/quotalease/statemachine_test.go
+++ b/internal/quotalease/statemachine_test.go
@@ -96,11 +96,11 @@
 	return Command{Grant: lease}
 }
 
-// wantOutstanding checks how many units of a quota are outstanding, floors included.
-func (l *testLog) wantOutstanding(quota string, want float64) {
+// wantOutstanding checks how many units of a quota are outstanding, floors included. step describes the event before.
+func (l *testLog) wantOutstanding(quota string, want float64, step string) {
 	l.Helper()
 	if got, _ := l.Outstanding(quota); got != FromUnits(want) {
-		l.Errorf("Outstanding(quota %s) = %v units, want %v", quota, got.Units(), want)
+		l.Errorf("%s: Outstanding(quota %s) = %v units, want %v", step, quota, got.Units(), want)
 	}
 }
 
@@ -277,23 +277,23 @@
 	log := newTestLog(t, nil)
 	first := log.mustGrant("a", "r", 6)
 	second := log.mustGrant("a", "r", 2)
-	log.wantOutstanding("r", 6)
+	log.wantOutstanding("r", 6, "leases of 6 and then 2 units were granted")
 	log.mustApply(ackCommand("a", "r", 1, second, 0))
-	log.wantOutstanding("r", 2)
+	log.wantOutstanding("r", 2, "the smaller lease was acknowledged")
 	log.mustApply(expireCommand("a", "r", first)) // the acknowledgement has already dropped it
-	log.wantOutstanding("r", 2)
+	log.wantOutstanding("r", 2, "the larger, already dropped lease expired")
 	log.mustApply(expireCommand("a", "r", second))
-	log.wantOutstanding("r", 0)
+	log.wantOutstanding("r", 0, "the smaller lease expired")
 
 	token := log.mustGrant("a", "h", 6)
 	residual := log.mustApply(Command{Release: &Release{Ack: ackOf("a", "h", 1, token, 3)}})
-	log.wantOutstanding("h", 3)
+	log.wantOutstanding("h", 3, "a release with 3 units in flight")
 	log.mustApply(ackCommand("a", "h", 2, token, 1))
-	log.wantOutstanding("h", 1)
+	log.wantOutstanding("h", 1, "an acknowledgement with 1 unit in flight")
 	log.mustApply(expireCommand("a", "h", residual)) // a smaller residual has replaced it
-	log.wantOutstanding("h", 1)
+	log.wantOutstanding("h", 1, "the replaced residual expired")
 	log.mustApply(expireCommand("a", "h", log.PendingExpiries()[0].Token))
-	log.wantOutstanding("h", 0)
+	log.wantOutstanding("h", 0, "the last residual expired")
 }
 
 // After the limit is lowered, renewals must fit the lower limit by themselves, even while older leases above it are
@@ -308,23 +308,23 @@
 	if _, err := log.try(log.grantCommand("b", "r", 4, nil)); !errors.As(err, new(LimitExceededError)) {
 		t.Errorf("Apply(grants of 3 and 4 units under a limit of 6) = error %v, want a LimitExceededError", err)
 	}
-	log.wantOutstanding("r", 10)
+	log.wantOutstanding("r", 10, "renewals of 3 units beside older leases of 5")
 	log.mustApply(expireCommand("a", "r", tokenA))
 	log.mustApply(expireCommand("b", "r", tokenB))
-	log.wantOutstanding("r", 6)
+	log.wantOutstanding("r", 6, "the older leases expired")
 }
 
 func TestFloorsCountUntilTheirHolderAdoptsLess(t *testing.T) {
 	log := newTestLog(t, withFloors(map[string]float64{"a": 4, "b": 2}))
-	log.wantOutstanding("r", 6)
+	log.wantOutstanding("r", 6, "floors of 4 and 2 units were set")
 	log.setQuotas(2, withFloors(map[string]float64{"a": 1}))
-	log.wantOutstanding("r", 6)
+	log.wantOutstanding("r", 6, "the floors were lowered to 1 and 0 units")
 	log.mustApply(observeCommand("a", 1, 1))
-	log.wantOutstanding("r", 6)
+	log.wantOutstanding("r", 6, "holder a adopted the first configuration version")
 	log.mustApply(observeCommand("a", 2, 2))
-	log.wantOutstanding("r", 3)
+	log.wantOutstanding("r", 3, "holder a adopted the second configuration version")
 	log.setQuotas(3, withFloors(map[string]float64{"a": 1}), "b")
-	log.wantOutstanding("r", 1)
+	log.wantOutstanding("r", 1, "holder b was removed")
 	if got := log.ReplyTo(holderID("a")).Floors["r"].Amount; got != FromUnits(1) {
 		t.Errorf("ReplyTo(holder a).Floors[r].Amount = %v units, want 1", got.Units())
 	}
