--- a/internal/quotalease/modelcheck/invariant.go
+++ b/internal/quotalease/modelcheck/invariant.go
@@ -9,40 +9,42 @@
 )
 
 const (
-	// levelTolerance and sumTolerance are in units, for floating-point errors.
+	// Tolerances for floating-point errors, in units.
 	levelTolerance = 1e-3
 	sumTolerance   = 1e-6
 )
 
-// configuredLimit is a limit under which something was granted. It counts until that must have expired, by true time.
+// configuredLimit is a limit under which leases were granted. It counts until the last of these leases has expired for
+// certain.
 type configuredLimit struct {
-	units float64
-	burst float64
-	until time.Duration
+	units  float64
+	burst  float64
+	endsAt time.Duration // true time until which the limit counts
 }
 
-// recordLimit notes the limit of a leader that may just have committed leases.
+// recordLimit records the limit of a leader that may just have committed leases.
 func (c *cluster) recordLimit(leader *server) {
 	config, _ := leader.state.Config()
 	if len(config.Quotas) == 0 {
 		return
 	}
-	longest := time.Duration(float64(c.settings.maxLifetime()) / (1 - c.settings.MaxDrift)) // by a slow clock
+	longest := time.Duration(float64(c.settings.maxLifetime()) / (1 - c.settings.MaxDrift)) // by the slowest clock
 	limit := configuredLimit{
-		units: config.Quotas[0].Limit, burst: config.Quotas[0].Burst, until: c.now + longest + time.Millisecond,
+		units: config.Quotas[0].Limit, burst: config.Quotas[0].Burst, endsAt: c.now + longest + time.Millisecond,
 	}
 	c.limits = slices.DeleteFunc(slices.Clone(c.limits), func(old configuredLimit) bool {
-		return old.units == limit.units || old.until < c.now
+		return old.units == limit.units || old.endsAt < c.now
 	})
 	c.limits = append(c.limits, limit)
 }
 
-// maxLimit returns the largest limit that counts now. The floor counts always, because nobody takes it back.
+// maxLimit returns the largest limit and burst that count at the current time. The floor always counts, because no
+// configuration removes it.
 func (c *cluster) maxLimit() (units, burst float64) {
 	units = c.settings.Floor
 	burst = c.settings.Burst * c.settings.Floor / c.settings.Limit
 	for _, limit := range c.limits {
-		if limit.until >= c.now {
+		if limit.endsAt >= c.now {
 			units = max(units, limit.units)
 			burst = max(burst, limit.burst)
 		}
@@ -50,83 +52,85 @@
 	return units, burst
 }
 
-// fillSharedBucket fills the one bucket that all that is spent must fit.
+// fillSharedBucket refills the shared token bucket from which all spent units are taken.
 func (c *cluster) fillSharedBucket() {
 	units, burst := c.maxLimit()
 	c.sharedBucket = min(burst, c.sharedBucket+units*(c.now-c.filledAt).Seconds())
 	c.filledAt = c.now
 }
 
-// acquire has a process spend what it can, up to a number of units.
-func (c *cluster) acquire(i, most int) {
+// acquire has the i-th proxy acquire units until one is rejected, at most the given number. It records a violation if
+// the proxies together spend more than the limit and the burst allow.
+func (c *cluster) acquire(i, maxUnits int) {
 	p := c.proxies[i]
-	for range most {
-		now := p.at(c.now)
+	for range maxUnits {
+		now := p.clockTime(c.now)
 		token, err := p.Acquire(now, quotaName, 1)
 		if err != nil {
 			return
 		}
 		c.spentUnits++
 		if c.settings.Kind == quotalease.InFlight {
-			p.inFlight = append(p.inFlight, inFlightWork{token: token, until: now + c.settings.MaxHoldTime})
+			p.inFlight = append(p.inFlight, inFlightUnit{token: token, endsAt: now + c.settings.MaxHoldTime})
 			continue
 		}
 		c.fillSharedBucket()
 		c.sharedBucket--
 		if c.sharedBucket < -levelTolerance {
-			c.recordViolation("%s spends beyond the limit and its burst, by %.3f units",
+			c.recordViolation("holder %s acquired a unit beyond the limit and the burst, by %.3f units",
 				p.HolderID.Holder, -c.sharedBucket)
 		}
 	}
 }
 
-// releaseWork gives back units whose hold time is over, and a few more, the oldest first.
-func (c *cluster) releaseWork(i, few int) {
+// releaseUnits releases the units in flight of the i-th proxy whose hold time has ended. It also releases other units,
+// oldest first, until minUnits are released in all.
+func (c *cluster) releaseUnits(i, minUnits int) {
 	p := c.proxies[i]
-	now := p.at(c.now)
-	p.inFlight = slices.DeleteFunc(slices.Clone(p.inFlight), func(unit inFlightWork) bool {
-		if unit.until > now && few <= 0 {
+	now := p.clockTime(c.now)
+	p.inFlight = slices.DeleteFunc(slices.Clone(p.inFlight), func(unit inFlightUnit) bool {
+		if unit.endsAt > now && minUnits <= 0 {
 			return false
 		}
-		few--
+		minUnits--
 		if err := p.Release(quotaName, unit.token, 1); err != nil {
-			c.recordViolation("%v", err)
+			c.recordViolation("holder %s: Release of a unit in flight failed: %v", p.HolderID.Holder, err)
 		}
 		return true
 	})
 }
 
-// recordViolation notes what broke, unless something broke before.
+// recordViolation records a violation of the invariant, unless one was recorded before.
 func (c *cluster) recordViolation(format string, args ...any) {
 	if c.violation == "" {
 		c.violation = fmt.Sprintf("at %v: ", c.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// outstanding returns all that processes may spend now or have in flight, in units.
+// outstanding returns the units that all processes may spend at the current time or have in flight.
 func (c *cluster) outstanding() (sum float64) {
 	for _, p := range c.proxies {
 		leased, floor := p.inFlightUnits(c.now)
-		if p.up {
-			status := p.Status(p.at(c.now), quotaName)
+		if p.running {
+			status := p.Status(p.clockTime(c.now), quotaName)
 			leased = max(leased, status.Amount.Units())
 			floor = max(floor, status.Floor.Units())
 		}
 		sum += leased + floor
 	}
-	for _, unit := range c.orphanedWork {
-		if unit.until > c.now {
+	for _, unit := range c.orphanedUnits {
+		if unit.endsAt > c.now {
 			sum++
 		}
 	}
 	return sum
 }
 
-// inFlightUnits returns the units in flight under leases and of the floor.
+// inFlightUnits returns the units in flight that leases admitted, and those that the floor admitted.
 func (p *proxy) inFlightUnits(now time.Duration) (leased, floor float64) {
 	for _, unit := range p.inFlight {
 		switch {
-		case unit.until <= p.at(now):
+		case unit.endsAt <= p.clockTime(now):
 		case unit.token == quotalease.Token{}:
 			floor++
 		default:
@@ -136,11 +140,11 @@
 	return leased, floor
 }
 
-// checkInvariant returns what is broken, "" if nothing is.
+// checkInvariant returns the first violation of the invariant so far, "" if there is none.
 func (c *cluster) checkInvariant() string {
 	units, _ := c.maxLimit()
 	if sum := c.outstanding(); sum > units+sumTolerance {
-		c.recordViolation("%.6f may be spent of a limit of %v", sum, units)
+		c.recordViolation("%.6f units are outstanding, above the limit of %v", sum, units)
 	}
 	return c.violation
 }
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// grantCommands plans the leases of all quotas that pending requests name, one GrantBatch for each process.
+// grantCommands plans the leases of all quotas in the pending requests. It returns one GrantBatch for each process that
+// gets a lease.
 func (a *Allocator) grantCommands(now time.Duration, pending []*requester) []Command {
 	requested := map[string]bool{}
-	for _, from := range pending {
-		from.pending = false
-		if from.Leaving {
-			delete(a.requesters, from.HolderID)
+	for _, sender := range pending {
+		sender.pending = false
+		if sender.Leaving {
+			delete(a.requesters, sender.HolderID)
 			continue
 		}
-		for i := range from.Quotas {
-			requested[from.Quotas[i].Quota] = true
+		for i := range sender.Quotas {
+			requested[sender.Quotas[i].Quota] = true
 		}
 	}
 	state := a.state
@@ -29,56 +30,56 @@
 		}
 	}
 	var commands []Command
-	for i, from := range pending {
+	for i, sender := range pending {
 		if len(grants[i]) > 0 {
 			commands = append(commands, Command{GrantBatch: &GrantBatch{
-				FleetID: state.fleetID, Epoch: state.epoch, HolderID: from.HolderID,
-				RequestSeq: from.Seq, Grants: grants[i],
+				FleetID: state.fleetID, Epoch: state.epoch, HolderID: sender.HolderID,
+				RequestSeq: sender.Seq, Grants: grants[i],
 			}})
 		}
 	}
 	return commands
 }
 
-// planQuota plans one quota. The division counts all processes that request units of it or hold a lease; grants go to
-// those with a pending request only. A share that grows gets what is free at the moment, and the rest at later
-// requests, once the holders whose shares shrank have acknowledged smaller leases. The grant to pending[i] is appended
-// to grants[i].
+// planQuota plans the grants of one quota and appends the grant for pending[i] to grants[i]. The division includes all
+// processes that request units of the quota or hold a lease; only those with a pending request get a grant. A process
+// whose allocation grows gets the units that are free now, and the rest at later requests, once the holders whose
+// allocations shrank have acknowledged smaller leases.
 func (a *Allocator) planQuota(now time.Duration, quota *Quota, pending []*requester, grants [][]QuotaGrant) {
 	demands := a.demandsOf(now, quota)
 	amounts := Divide(quota, demands)
 	bursts := divideBurst(quota, amounts)
 	free := newFreeCapacity(quota, a.state.ledgerOf(quota.Name), a.state)
-	for i, from := range pending {
-		at, found := slices.BinarySearchFunc(demands, from.HolderID, func(demand Demand, id HolderID) int {
+	for i, sender := range pending {
+		index, found := slices.BinarySearchFunc(demands, sender.HolderID, func(demand Demand, id HolderID) int {
 			return demand.Compare(id)
 		})
-		if !found || from.Leaving {
+		if !found || sender.Leaving {
 			continue
 		}
-		due := usage{amount: amounts[at], burst: bursts[at]}
-		granted := free.fit(quota, due, from.HolderID)
-		if !changesLease(free.ledger.entries[from.HolderID].newestLease(), granted, from.Seq) {
+		allocated := usage{amount: amounts[index], burst: bursts[index]}
+		granted := free.fit(quota, allocated, sender.HolderID)
+		if !changesLease(free.ledger.entries[sender.HolderID].newestLease(), granted, sender.Seq) {
 			continue
 		}
-		free.take(from.HolderID, granted)
+		free.addGrant(sender.HolderID, granted)
 		grant := QuotaGrant{Quota: quota.Name, Amount: granted.amount, Burst: granted.burst}
 		grants[i] = append(grants[i], grant)
 	}
 }
 
-// demandsOf returns what each process demands of a quota, in the order of the processes. A new leader has not heard
-// from all of them: a process that holds a lease and has sent no recent request counts as demanding what it has, until
-// it requests or its leases expire.
+// demandsOf returns the demand of each process for a quota, sorted by holder. A new leader has not received requests
+// from all processes yet: a process that holds a lease and has sent no recent request counts with a demand equal to
+// its lease, until it sends a request or its leases expire.
 func (a *Allocator) demandsOf(now time.Duration, quota *Quota) []Demand {
 	ledger := a.state.ledgerOf(quota.Name)
 	var demands []Demand
-	for id, from := range a.requesters {
-		if !from.recent(now, quota) {
+	for id, sender := range a.requesters {
+		if !sender.recent(now, quota) {
 			continue
 		}
-		if i := slices.IndexFunc(from.Quotas, func(q QuotaRequest) bool { return q.Quota == quota.Name }); i >= 0 {
-			demand := Demand{HolderID: id, Wanted: from.Quotas[i].Wanted}
+		if i := slices.IndexFunc(sender.Quotas, func(q QuotaRequest) bool { return q.Quota == quota.Name }); i >= 0 {
+			demand := Demand{HolderID: id, Wanted: sender.Quotas[i].Wanted}
 			if lease := ledger.entries[id].newestLease(); lease != nil {
 				demand.Current = lease.Amount
 			}
@@ -87,7 +88,7 @@
 	}
 	for id, entry := range ledger.entries {
 		lease := entry.newestLease()
-		if from := a.requesters[id]; lease != nil && (from == nil || !from.recent(now, quota)) {
+		if sender := a.requesters[id]; lease != nil && (sender == nil || !sender.recent(now, quota)) {
 			demands = append(demands, Demand{HolderID: id, Wanted: lease.Amount, Current: lease.Amount})
 		}
 	}
@@ -95,13 +96,14 @@
 	return demands
 }
 
-// recent reports whether the process sent a request within a lease duration. Otherwise it has stopped, or cannot
+// recent reports whether the request arrived within the last lease duration. If not, the process has stopped or cannot
 // reach the servers.
 func (r *requester) recent(now time.Duration, quota *Quota) bool {
-	return now-r.heardAt <= quota.LeaseDuration
+	return now-r.receivedAt <= quota.LeaseDuration
 }
 
-// changesLease reports whether a lease would change what a process has. newest is nil if it has no lease.
+// changesLease reports whether to propose a grant to a process: it would renew or change the newest lease. newest is
+// nil if the process has no lease.
 func changesLease(newest *Lease, granted usage, requestSeq uint64) bool {
 	if newest == nil {
 		return granted.amount > 0
@@ -112,11 +114,11 @@
 	return newest.Amount != 0 || granted.amount != 0
 }
 
-// freeCapacity is what a plan can still grant of a quota: the ledger's sums with all that is planned so far.
+// freeCapacity computes what a plan can still grant of a quota, from the ledger's sums plus the grants planned so far.
 type freeCapacity struct {
 	ledger  *quotaLedger
 	state   *StateMachine
-	limit   usage // less all floors
+	limit   usage // the limit and burst of the quota minus all floors
 	total   usage
 	current usage
 }
@@ -128,45 +130,46 @@
 	}
 }
 
-// usagesOf returns what a process has outstanding, in all and under the current configuration.
+// usagesOf returns what a process has outstanding: in total, and under the current configuration version.
 func (c *freeCapacity) usagesOf(id HolderID) (own, ownCurrent usage) {
 	entry := c.ledger.entries[id]
 	if entry == nil {
 		return usage{}, usage{}
 	}
-	return entry.maxUsage(c.state.mutations), entry.usageSince(c.state.configVersion, c.state.mutations)
+	return entry.maxUsage(c.state.mutations), entry.usageUnder(c.state.configVersion, c.state.mutations)
 }
 
-// fit returns the part of a process's due share that the state machine would accept now; nothing if that part could
-// not be spent.
-func (c *freeCapacity) fit(quota *Quota, due usage, id HolderID) usage {
+// fit returns the part of a process's allocation that the state machine would accept now. For a rate it returns the
+// zero usage if the burst of that part is too small to spend a unit.
+func (c *freeCapacity) fit(quota *Quota, allocated usage, id HolderID) usage {
 	own, ownCurrent := c.usagesOf(id)
 	amount := grantable(c.limit.amount, c.total.amount, own.amount, c.current.amount, ownCurrent.amount)
 	burst := grantable(c.limit.burst, c.total.burst, own.burst, c.current.burst, ownCurrent.burst)
-	granted := usage{amount: min(due.amount, amount), burst: min(due.burst, burst)}
+	granted := usage{amount: min(allocated.amount, amount), burst: min(allocated.burst, burst)}
 	if quota.Kind == InFlight {
 		granted.amount = granted.amount.roundDown()
 		return granted
 	}
-	if granted.burst < min(Unit, due.burst) {
+	if granted.burst < min(Unit, allocated.burst) {
 		return usage{}
 	}
 	return granted
 }
 
-// grantable returns the most that a process can be granted so that neither the total grows above the limit (or above
-// what it is, if that is more), nor what is granted under the current configuration.
+// grantable returns the maximum that can be granted to a process such that the leases of the current configuration stay
+// within the limit and the total does not grow above the limit, or above its present value if that is higher. own and
+// ownCurrent are the parts of total and current that the process has.
 func grantable(limit, total, own, current, ownCurrent Amount) Amount {
 	byTotal := max(limit, total) - total + own
 	byCurrent := limit - current + ownCurrent
 	return max(0, min(byTotal, byCurrent))
 }
 
-// take counts a planned lease.
-func (c *freeCapacity) take(id HolderID, granted usage) {
+// addGrant adds a planned lease to the sums.
+func (c *freeCapacity) addGrant(id HolderID, granted usage) {
 	own, ownCurrent := c.usagesOf(id)
 	c.total.sub(own)
-	c.total.add(own.atLeast(granted))
+	c.total.add(own.maxWith(granted))
 	c.current.sub(ownCurrent)
-	c.current.add(ownCurrent.atLeast(granted))
+	c.current.add(ownCurrent.maxWith(granted))
 }
