--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -11,36 +11,36 @@
 	"lapisspread/internal/wire"
 )
 
-// inputBufferBytes is the size of the buffer for batches that are read.
+// inputBufferBytes is the size of the read buffer in front of the input, in bytes.
 const inputBufferBytes = 64 << 10
 
-// adapter hosts instances of the decision module, by the simulator's number of each.
+// adapter runs instances of the decision module. The map's key is the number that the simulator gives to the instance.
 type adapter struct {
 	instances map[uint16]*decision.Balancer
 	reply     wire.Reply
 }
 
-// panicError is a panic in the decision module, which the protocol has a record for.
+// panicError reports a panic in the decision module. The protocol has a record for it, see wire.Actions.ReportFailure.
 type panicError struct {
 	instance uint16
 	value    any
 }
 
-// Error implements error, on one line.
+// Error implements error. The text is one line.
 func (e *panicError) Error() string {
 	return fmt.Sprintf("instance %d: the decision code failed: %v", e.instance, e.value)
 }
 
-// unknownInstanceError is an event for an instance that does not exist.
+// unknownInstanceError reports an event for an instance that does not exist.
 type unknownInstanceError struct{ instance uint16 }
 
-// Error implements error, on one line.
+// Error implements error. The text is one line.
 func (e *unknownInstanceError) Error() string {
 	return fmt.Sprintf("instance %d was never initialised", e.instance)
 }
 
-// serve answers each batch with a reply until the input ends. It blocks until then. A reply is written completely or
-// not at all.
+// serve answers each batch of in with a reply on out. It blocks until the first error or until the input ends, which is
+// not an error between two batches. A reply is written with one call of out.Write, and only once its batch has been handled.
 func serve(in io.Reader, out io.Writer) error {
 	in = bufio.NewReaderSize(in, inputBufferBytes)
 	a := &adapter{instances: map[uint16]*decision.Balancer{}}
@@ -61,24 +61,24 @@
 	}
 }
 
-// answer handles a batch and writes its reply. After a panic in the decision module the reply holds nothing but the
-// failure, and the panic is the error.
+// answer handles a batch and writes its reply. After a panic in the decision module the reply contains only the failure
+// record, and answer returns the *panicError.
 func (a *adapter) answer(batch wire.Batch, out io.Writer) error {
 	a.reply.Reset(batch.Seq)
-	handled := batch.Each(func(event *wire.Event) error { return a.deliverRecovering(batch, event) })
+	handleErr := batch.Each(func(event *wire.Event) error { return a.deliverRecovering(batch, event) })
 	var failure *panicError
 	switch {
-	case handled == nil:
-	case errors.As(handled, &failure): // what the batch had decided so far is void
+	case handleErr == nil:
+	case errors.As(handleErr, &failure): // the actions decided so far in this batch are discarded
 		a.reply.Reset(batch.Seq)
 		wire.Actions{Reply: &a.reply, Instance: failure.instance}.ReportFailure(failure.Error())
 	default:
-		return handled
+		return handleErr
 	}
 	if _, err := out.Write(a.reply.Bytes()); err != nil {
 		return fmt.Errorf("batch %d: writing the reply: %w", batch.Seq, err)
 	}
-	return handled
+	return handleErr
 }
 
 // deliverRecovering delivers an event and turns a panic into a *panicError.
@@ -91,7 +91,7 @@
 	return a.deliver(batch, event)
 }
 
-// deliver hands an event to its instance, whose actions go into the reply.
+// deliver passes an event to its instance, which writes its actions to the reply.
 func (a *adapter) deliver(batch wire.Batch, event *wire.Event) error {
 	now := batch.Now
 	if event.Code == wire.Init {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// start makes an instance by its settings; one of the same number gives way.
+// start creates an instance from the settings of an init event and replaces any instance with the same number.
 func (a *adapter) start(now time.Duration, event *wire.Event) error {
 	config, err := wire.ParseSettings(string(event.Settings))
 	if err != nil {
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -10,47 +10,49 @@
 )
 
 const (
-	// batchHeaderBytes is the length of a batch's header.
+	// batchHeaderBytes is the length of a batch's header, in bytes.
 	batchHeaderBytes = 20
-	// readStepBytes is how much is read at a time: a stated length is not believed before the bytes are there.
+	// readStepBytes is the maximum number of bytes that are read at a time. The buffer grows as bytes arrive, so that
+	// a wrong length in the header does not allocate memory for bytes that never come.
 	readStepBytes = 1 << 20
 )
 
-// Errors that a batch may be wrong by, wrapped in a *RecordError.
+// Errors of a malformed batch. Batch.Each returns them wrapped in a *RecordError.
 var (
 	ErrShortRecord   = errors.New("record goes past the end of the frame")
-	ErrNoInstance    = errors.New("no instance named before it")
+	ErrNoInstance    = errors.New("no instance record before it")
 	ErrUnknownRecord = errors.New("unknown record code")
 	ErrNotFinite     = errors.New("a number is not finite")
 )
 
-// RecordError says which record of a batch is wrong, or was not handled.
+// RecordError reports the record of a batch that is malformed or whose handler returned an error.
 type RecordError struct {
 	Batch  uint32
-	Record uint32 // counts from 0
-	Offset int    // of the record in the body, in bytes
+	Record uint32 // index of the record in the batch, from 0
+	Offset int    // offset of the record in the body, in bytes
 	Code   EventCode
 	Err    error
 }
 
-// Error implements error, on one line.
+// Error implements error. The text is one line.
 func (e *RecordError) Error() string {
 	return fmt.Sprintf("batch %d, record %d at byte %d (code %d): %v", e.Batch, e.Record, e.Offset, e.Code, e.Err)
 }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the decoding error or the handler's error.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// Batch is a frame of events, all at one time.
+// Batch is a frame of events that all happened at the same time.
 type Batch struct {
 	Seq     uint32
-	Now     time.Duration // the simulator's clock
+	Now     time.Duration // time of the events on the simulator's clock
 	records uint32
 	body    []byte
 }
 
-// ReadBatch reads a batch into buf, which it returns, grown if it had to be. It blocks until the whole batch is there.
-// The error is io.EOF only if the input ended between batches.
+// ReadBatch reads a batch into buf and returns the batch and the buffer, which it grows if needed. The batch refers to
+// the buffer. ReadBatch blocks until the whole batch has been read. The error is io.EOF only if the input ended between
+// batches.
 func ReadBatch(r io.Reader, buf []byte) (Batch, []byte, error) {
 	var header [batchHeaderBytes]byte
 	if n, err := io.ReadFull(r, header[:]); errors.Is(err, io.EOF) {
@@ -76,7 +78,7 @@
 	return b, buf, nil
 }
 
-// readBody reads size bytes into buf and returns it, with how many bytes came.
+// readBody reads size bytes into buf. It returns the buffer and the number of bytes that were read.
 func readBody(r io.Reader, buf []byte, size int) (body []byte, read int, err error) {
 	buf = buf[:0]
 	for len(buf) < size {
@@ -93,8 +95,8 @@
 	return buf, size, nil
 }
 
-// Each decodes the events in order and calls handle with each. It stops at the first error and returns it as a
-// *RecordError; a batch whose body is longer than its records is an error too.
+// Each decodes the events in order and calls handle for each one. It stops at the first decoding error or error of
+// handle and returns it as a *RecordError. Bytes after the last record are an error too, which is not a *RecordError.
 func (b Batch) Each(handle func(*Event) error) error {
 	d := decoder{data: b.body}
 	var event Event
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -6,13 +6,14 @@
 	"lapisspread/decision"
 )
 
-// ParseSettings reads the settings text of an instance. Unknown keys are ignored; absent ones have defaults: nothing is
-// capable, a class is not idempotent, lists are pushed and a count is 1. Unknown words are the default where they only
-// weigh, and for the deduplication scope of a class without deduplication. An error is a *LineError.
+// ParseSettings parses the settings text of an instance. Unknown keys are ignored. Absent keys have defaults: every
+// capability is off, a class is not idempotent, endpoint lists are pushed, and Balancers, Caps.MaxAttempts and
+// Caps.StreamsPerConn are 1. An unknown word is read as the default for settings that only influence weights, and for
+// the deduplication scope of a class without deduplication; for other settings it is an error. Errors are *LineError.
 //
-// These keys are ignored because no decision uses them: Caps.MaxOpen (requests over it never arrive), Caps.CpuUsPerS
-// and Caps.CpuUsPerRequest (a decision looks at few backends), Feedback (load reports are skipped). Weights=rough
-// counts as nominal.
+// These keys are ignored because no decision uses them: Caps.MaxOpen (requests over this limit never arrive),
+// Caps.CpuUsPerS and Caps.CpuUsPerRequest (a decision looks at few backends), and Feedback (load reports are skipped).
+// Weights=rough is read as nominal.
 func ParseSettings(text string) (decision.Config, error) {
 	s, err := splitLines(text)
 	if err != nil {
@@ -133,7 +134,8 @@
 		class.Idempotency = decision.Idempotent
 	}
 	scope := s.text(prefix + "Group")
-	if class.Idempotency == decision.IdempotentByKey { // of an unknown scope nobody knows where duplicates are dropped
+	// A class with deduplication needs a known scope: with an unknown one it is unclear which backends drop duplicates.
+	if class.Idempotency == decision.IdempotentByKey {
 		scope = s.choice(prefix+"Group", "cell", "zone", "all")
 	}
 	switch scope {
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -9,21 +9,21 @@
 	"lapisspread/decision"
 )
 
-// maxMillis bounds times, so that sums of a few stay within a time.Duration.
+// maxMillis is the maximum absolute value of a time, in milliseconds. Sums of a few times then fit a time.Duration.
 const maxMillis = 1e12
 
-// decoder reads the fields of a batch's records. After the first error it reads zeros.
+// decoder reads the fields of a batch's records. After the first error, which it keeps in err, all fields read as zero.
 type decoder struct {
 	data     []byte
 	pos      int
 	err      error
-	backends []decision.Backend // of the last list; reused
+	backends []decision.Backend // buffer of the last decoded list, reused for the next one
 }
 
-// zeros is what is read after an error, as long as any number is.
+// zeros holds the bytes that are returned after an error; the longest number field has 8 bytes.
 var zeros [8]byte
 
-// bytes takes the next n bytes.
+// bytes returns the next n bytes. After an error it returns zeros, or nil if n is larger than a number field.
 func (d *decoder) bytes(n int) []byte {
 	if d.err == nil && n > len(d.data)-d.pos {
 		d.err = ErrShortRecord
@@ -53,21 +53,22 @@
 	return float32(v)
 }
 
-// millis reads a time.
+// millis reads a time that is encoded as milliseconds in a float64.
 func (d *decoder) millis() time.Duration {
 	v, err := durationFromMillis(math.Float64frombits(d.uint64()))
 	d.fail(err)
 	return v
 }
 
-// fail notes an error, unless there was one before; nil is none.
+// fail records err if it is the first error. A nil err changes nothing.
 func (d *decoder) fail(err error) {
 	if d.err == nil {
 		d.err = err
 	}
 }
 
-// durationFromMillis converts milliseconds, rounded to the simulator's microseconds.
+// durationFromMillis converts milliseconds and rounds them to microseconds, the resolution of the simulator's clock.
+// It returns an error for NaN and for values beyond maxMillis.
 func durationFromMillis(millis float64) (time.Duration, error) {
 	if math.IsNaN(millis) || math.Abs(millis) > maxMillis {
 		return 0, fmt.Errorf("time %v ms is out of range", millis)
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -6,12 +6,12 @@
 	"lapisspread/decision"
 )
 
-// EventCode is an event's record code.
+// EventCode is the record code of an event.
 type EventCode uint8
 
-// The events, with the protocol's name of each.
+// The event codes. Each comment starts with the name that the protocol gives to the record.
 const (
-	Init                EventCode = 1  // init: a new instance
+	Init                EventCode = 1  // init: starts a new instance
 	EndpointsChanged    EventCode = 2  // membership
 	RequestArrived      EventCode = 3  // ask
 	FirstByteReceived   EventCode = 4  // headers
@@ -20,11 +20,12 @@
 	TimerFired          EventCode = 7  // elapsed
 	HealthChecked       EventCode = 8  // probed
 	PeerMessageReceived EventCode = 9  // neighbour_says
-	Destroy             EventCode = 10 // destroy: the instance is gone
-	selectInstance      EventCode = 11 // to: what follows is for this instance
+	Destroy             EventCode = 10 // destroy: the instance was removed
+	selectInstance      EventCode = 11 // to: the events after it are for this instance
 )
 
-// Event is one decoded event. Code says which fields are set; slices are valid until the next event is decoded.
+// Event is one decoded event. Only the fields that belong to Code are valid; each comment names the event code of its
+// field. Slices are valid until the next event is decoded.
 type Event struct {
 	Code        EventCode
 	Instance    uint16
@@ -40,16 +41,16 @@
 	PeerMessage decision.PeerMessage       // PeerMessageReceived
 }
 
-// The bits of a request's flags.
+// The bits of a request's flags byte. Each comment is the name that the protocol gives to the bit.
 const (
 	expectedWorkValid = 1 << iota // hint_valid
 	markedRetry                   // client_repeat
 )
 
-// endpointBytes is the length of one endpoint of a list.
+// endpointBytes is the encoded length of one endpoint of a list, in bytes.
 const endpointBytes = 23
 
-// resultByCode has the results by their code.
+// resultByCode maps the protocol's result codes to results.
 var resultByCode = [...]decision.Result{
 	decision.Error,
 	decision.OK,
@@ -61,10 +62,10 @@
 	decision.NotSent,
 }
 
-// stateByCode has a backend's states by their code.
+// stateByCode maps the protocol's availability codes to backend states.
 var stateByCode = [...]decision.BackendState{decision.Removed, decision.Ready, decision.Draining}
 
-// updateKindByCode has the kinds of a list by their code.
+// updateKindByCode maps the protocol's list modes to kinds of update.
 var updateKindByCode = [...]decision.UpdateKind{
 	decision.UpdateDelta,
 	decision.UpdateFull,
@@ -156,7 +157,8 @@
 	return resultByCode[code]
 }
 
-// skipLoadReport skips the numbers that a backend reports of its load: no decision uses them.
+// skipLoadReport skips the load figures that a backend reports (a count byte and that many float32 values), because no
+// decision uses them.
 func (d *decoder) skipLoadReport() {
 	const numberBytes = 4
 	d.bytes(numberBytes * int(d.uint8()))
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -9,16 +9,16 @@
 	"lapisspread/decision"
 )
 
-// testdata/settings.txt has every key of the settings that the program of c8fad44 reads, written by hand; each keeps
-// its name and its meaning.
+// Guards the names and the meanings of the settings keys: testdata/settings.txt was written by hand and has every key
+// that the program at commit c8fad44 reads.
 func TestFrozenSettings(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.txt")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the stored settings: %v", err)
 	}
 	got, err := ParseSettings(string(text))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ParseSettings(testdata/settings.txt) failed: %v", err)
 	}
 	want := decision.Config{
 		Instances:          3,
@@ -98,6 +98,6 @@
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got  %+v\nwant %+v", got, want)
+		t.Errorf("ParseSettings(testdata/settings.txt):\n got %+v\nwant %+v", got, want)
 	}
 }
--- a/internal/wire/protocol_test.go
+++ b/internal/wire/protocol_test.go
@@ -15,8 +15,8 @@
 	"lapisspread/decision"
 )
 
-// raw joins little-endian fields; an int is one byte.
-func raw(fields ...any) []byte {
+// encode concatenates fields as little-endian bytes. An int is encoded as one byte.
+func encode(fields ...any) []byte {
 	var buf bytes.Buffer
 	for _, f := range fields {
 		switch v := f.(type) {
@@ -35,13 +35,14 @@
 	return buf.Bytes()
 }
 
-// batch builds a frame around a body.
+// batch builds the frame of a batch: a header followed by body.
 func batch(seq uint32, clock float64, records uint32, body []byte) []byte {
-	return raw(seq, clock, uint32(len(body)), records, body)
+	return encode(seq, clock, uint32(len(body)), records, body)
 }
 
-// events decodes a frame. Slices are copied, since they are valid for one event only.
-func events(t testing.TB, data []byte) ([]Event, error) {
+// decodeEvents decodes all events of one frame. The backend slices are copied because the decoder reuses them for the
+// next event.
+func decodeEvents(t testing.TB, data []byte) ([]Event, error) {
 	t.Helper()
 	b, _, err := ReadBatch(bytes.NewReader(data), nil)
 	if err != nil {
@@ -59,9 +60,9 @@
 
 const ms = time.Millisecond
 
-// Each event is decoded by its layout.
+// Each event record is decoded into the fields of its type. The cases have the protocol's names of the records.
 func TestEventLayouts(t *testing.T) {
-	row := raw(uint32(70), uint16(2), uint16(1), uint16(9), 1, float32(1.5), 8000.25)
+	row := encode(uint32(70), uint16(2), uint16(1), uint16(9), 1, float32(1.5), 8000.25)
 	backend := decision.Backend{
 		ID:      70,
 		Zone:    2,
@@ -86,35 +87,35 @@
 		got    func(Event) any
 		want   any
 	}{
-		{"init", raw(1, uint64(77), uint32(3), "a=b"), func(e Event) any { return string(e.Settings) }, "a=b"},
-		{"membership", raw(2, 1, uint32(5), uint32(1), row), func(e Event) any { return e.Endpoints },
+		{"init", encode(1, uint64(77), uint32(3), "a=b"), func(e Event) any { return string(e.Settings) }, "a=b"},
+		{"membership", encode(2, 1, uint32(5), uint32(1), row), func(e Event) any { return e.Endpoints },
 			decision.EndpointUpdate{Kind: decision.UpdateFull, Version: 5, Backends: []decision.Backend{backend}}},
-		{"a failed list", raw(2, 3, uint32(5), uint32(0)),
+		{"membership with a failed list", encode(2, 3, uint32(5), uint32(0)),
 			func(e Event) any { return e.Endpoints.Kind }, decision.UpdateFailed},
-		{"ask", raw(3, uint32(9), 12.5, 900.0, 3, 2, uint64(1<<60), uint32(4)),
+		{"ask", encode(3, uint32(9), 12.5, 900.0, 3, 2, uint64(1<<60), uint32(4)),
 			func(e Event) any { return e.Request }, request},
-		{"ask without a valid hint", raw(3, uint32(9), 12.5, 900.0, 0, 2, uint64(0), uint32(0)),
+		{"ask without a valid hint", encode(3, uint32(9), 12.5, 900.0, 0, 2, uint64(0), uint32(0)),
 			func(e Event) any { return e.Request.ExpectedWork }, time.Duration(0)},
-		{"headers", raw(4, uint32(9), 1, uint32(70), 3.0), func(e Event) any { return e.FirstByte },
+		{"headers", encode(4, uint32(9), 1, uint32(70), 3.0), func(e Event) any { return e.FirstByte },
 			decision.FirstByte{ID: 9, Attempt: 1, Backend: 70, Latency: 3 * ms}},
-		{"returned", raw(5, uint32(9), 1, uint32(70), 4, 3.0, 1, 2, float32(1), float32(2)),
+		{"returned", encode(5, uint32(9), 1, uint32(70), 4, 3.0, 1, 2, float32(1), float32(2)),
 			func(e Event) any { return e.Outcome }, decision.Outcome{ID: 9, Attempt: 1, Backend: 70,
 				Result: decision.ConnectFailed, Latency: 3 * ms, Final: true}},
-		{"aborted", raw(6, uint32(9)), func(e Event) any { return e.RequestID }, decision.RequestID(9)},
-		{"elapsed", raw(7, uint64(1)<<63), func(e Event) any { return e.TimerToken }, uint64(1) << 63},
-		{"probed", raw(8, uint32(70), 1, 1.5, 0), func(e Event) any { return e.HealthCheck },
+		{"aborted", encode(6, uint32(9)), func(e Event) any { return e.RequestID }, decision.RequestID(9)},
+		{"elapsed", encode(7, uint64(1)<<63), func(e Event) any { return e.TimerToken }, uint64(1) << 63},
+		{"probed", encode(8, uint32(70), 1, 1.5, 0), func(e Event) any { return e.HealthCheck },
 			decision.HealthCheckResult{Backend: 70, Result: decision.OK, Latency: 1500 * time.Microsecond}},
-		{"neighbour_says", raw(9, uint16(2), uint16(2), "hi"),
+		{"neighbour_says", encode(9, uint16(2), uint16(2), "hi"),
 			func(e Event) any { return string(e.PeerMessage.Body) }, "hi"},
-		{"destroy", raw(10), func(e Event) any { return e.Code }, Destroy},
+		{"destroy", encode(10), func(e Event) any { return e.Code }, Destroy},
 	} {
-		evs, err := events(t, batch(1, 5, 2, raw(11, uint16(3), c.record)))
-		if err != nil || len(evs) != 1 || evs[0].Instance != 3 {
-			t.Errorf("%s: %d events, error %v", c.name, len(evs), err)
+		events, err := decodeEvents(t, batch(1, 5, 2, encode(11, uint16(3), c.record)))
+		if err != nil || len(events) != 1 || events[0].Instance != 3 {
+			t.Errorf("%s record: decoded events %+v, error %v, want one event for instance 3", c.name, events, err)
 			continue
 		}
-		if got := c.got(evs[0]); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: got %+v, want %+v", c.name, got, c.want)
+		if got := c.got(events[0]); !reflect.DeepEqual(got, c.want) {
+			t.Errorf("%s record: decoded value = %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
@@ -123,147 +124,153 @@
 	want := []decision.Result{decision.Error, decision.OK, decision.Rejected, decision.Timeout, decision.ConnectFailed,
 		decision.Reset, decision.Cancelled, decision.NotSent}
 	for code, result := range want {
-		evs, err := events(t, batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), code, 0.0, 0)))
-		if err != nil || evs[0].HealthCheck.Result != result {
-			t.Errorf("code %d: %v, error %v", code, evs, err)
+		events, err := decodeEvents(t, batch(1, 0, 2, encode(11, uint16(0), 8, uint32(1), code, 0.0, 0)))
+		if err != nil || events[0].HealthCheck.Result != result {
+			t.Errorf("health check with result code %d: decoded events %+v, error %v, want result %v",
+				code, events, err, result)
 		}
 	}
 }
 
 func TestMalformedBatchErrorsSayWhere(t *testing.T) {
-	good := raw(11, uint16(3), 7, uint64(1))
+	good := encode(11, uint16(3), 7, uint64(1))
 	for _, c := range []struct {
 		name string
 		data []byte
 		want string
 	}{
-		{"half a header", batch(1, 0, 0, nil)[:7], "header has 7 of 20"},
-		{"half a body", batch(1, 0, 2, good)[:25], "5 of 12 bytes"},
-		{"bytes too many", batch(4, 0, 1, good), "batch 4, byte 3: wrong length"},
-		{"a record too many", batch(1, 0, 3, good), "record 2 at byte 12"},
-		{"unknown record", batch(1, 0, 2, raw(11, uint16(3), 99)), "record 1 at byte 3 (code 99): unknown"},
-		{"no instance", batch(1, 0, 1, raw(7, uint64(1))), "no instance"},
-		{"unknown outcome", batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), 8, 0.0, 0)), "unknown outcome 8"},
-		{"unknown mode", batch(1, 0, 2, raw(11, uint16(0), 2, 4, uint32(0), uint32(0))), "unknown list mode"},
-		{"a list that is not there", batch(1, 0, 2, raw(11, uint16(0), 2, 1, uint32(0), uint32(1<<31))),
+		{"truncated header", batch(1, 0, 0, nil)[:7], "header has 7 of 20"},
+		{"truncated body", batch(1, 0, 2, good)[:25], "5 of 12 bytes"},
+		{"bytes after the last record", batch(4, 0, 1, good), "batch 4, byte 3: wrong length"},
+		{"record count larger than the body", batch(1, 0, 3, good), "record 2 at byte 12"},
+		{"unknown record code", batch(1, 0, 2, encode(11, uint16(3), 99)), "record 1 at byte 3 (code 99): unknown"},
+		{"event before any instance record", batch(1, 0, 1, encode(7, uint64(1))), "no instance"},
+		{"unknown result code", batch(1, 0, 2, encode(11, uint16(0), 8, uint32(1), 8, 0.0, 0)), "unknown outcome 8"},
+		{"unknown endpoint list mode", batch(1, 0, 2, encode(11, uint16(0), 2, 4, uint32(0), uint32(0))),
+			"unknown list mode"},
+		{"endpoint count larger than the body", batch(1, 0, 2, encode(11, uint16(0), 2, 1, uint32(0), uint32(1<<31))),
 			"past the end"},
-		{"a text that is not there", batch(1, 0, 2, raw(11, uint16(0), 1, uint64(0), uint32(1<<31))), "past the end"},
-		{"a clock that is no number", batch(1, math.NaN(), 0, nil), "clock"},
-		{"a time out of range", batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), 1, 1e300, 0)), "out of range"},
+		{"settings length larger than the body", batch(1, 0, 2, encode(11, uint16(0), 1, uint64(0), uint32(1<<31))),
+			"past the end"},
+		{"clock is NaN", batch(1, math.NaN(), 0, nil), "clock"},
+		{"latency out of range", batch(1, 0, 2, encode(11, uint16(0), 8, uint32(1), 1, 1e300, 0)), "out of range"},
 	} {
-		_, err := events(t, c.data)
+		_, err := decodeEvents(t, c.data)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", c.name, err, c.want)
+			t.Errorf("%s: decoding the batch: error %v, want one line containing %q", c.name, err, c.want)
 		}
 	}
 	if _, _, err := ReadBatch(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
-		t.Errorf("end of input between frames: %v", err)
+		t.Errorf("ReadBatch at the end of the input: error %v, want io.EOF", err)
 	}
 }
 
 func TestBatchOfMegabytes(t *testing.T) {
-	body := raw(11, uint16(0))
-	one := raw(7, uint64(5))
+	body := encode(11, uint16(0))
+	timerFired := encode(7, uint64(5))
 	const n = 400_000
 	for range n {
-		body = append(body, one...)
+		body = append(body, timerFired...)
 	}
-	evs, err := events(t, batch(1, 0, n+1, body))
-	if err != nil || len(evs) != n {
-		t.Errorf("%d events, error %v", len(evs), err)
+	events, err := decodeEvents(t, batch(1, 0, n+1, body))
+	if err != nil || len(events) != n {
+		t.Errorf("decoding a batch of %d bytes: %d events, error %v, want %d events", len(body), len(events), err, n)
 	}
 }
 
-// Each action is encoded by its layout.
+// Each action is encoded as the record of its type. The cases have the protocol's names of the records.
 func TestActionLayouts(t *testing.T) {
 	var r Reply
 	for _, c := range []struct {
 		name string
-		do   func(decision.Host)
+		call func(decision.Host)
 		want []byte
 	}{
 		{"transmit", func(h decision.Host) { h.Send(9, 70, 1500*time.Microsecond) },
-			raw(1, uint32(9), uint32(70), 1.5)},
-		{"reject", func(h decision.Host) { h.Reject(9, 240*ms) }, raw(2, uint32(9), 240.0)},
-		{"end_failed", func(h decision.Host) { h.Fail(9) }, raw(3, uint32(9))},
-		{"abort_attempt", func(h decision.Host) { h.Cancel(9, 2) }, raw(4, uint32(9), 2)},
-		{"notify_me", func(h decision.Host) { h.StartTimer(500*ms, 77) }, raw(5, 500.0, uint64(77))},
-		{"sample", func(h decision.Host) { h.CheckHealth(70) }, raw(6, uint32(70))},
-		{"release", func(h decision.Host) { h.ReleaseIdleConnections(70) }, raw(7, uint32(70))},
+			encode(1, uint32(9), uint32(70), 1.5)},
+		{"reject", func(h decision.Host) { h.Reject(9, 240*ms) }, encode(2, uint32(9), 240.0)},
+		{"end_failed", func(h decision.Host) { h.Fail(9) }, encode(3, uint32(9))},
+		{"abort_attempt", func(h decision.Host) { h.Cancel(9, 2) }, encode(4, uint32(9), 2)},
+		{"notify_me", func(h decision.Host) { h.StartTimer(500*ms, 77) }, encode(5, 500.0, uint64(77))},
+		{"sample", func(h decision.Host) { h.CheckHealth(70) }, encode(6, uint32(70))},
+		{"release", func(h decision.Host) { h.ReleaseIdleConnections(70) }, encode(7, uint32(70))},
 		{"signal", func(h decision.Host) { h.SendToPeer(decision.AllPeers, []byte("hi")) },
-			raw(8, uint32(1<<32-1), uint16(2), "hi")},
-		{"say_log", func(h decision.Host) { h.Log("x") }, raw(9, uint16(1), "x")},
-		{"broken", func(h decision.Host) { h.(Actions).ReportFailure("x") }, raw(10, uint16(1), "x")},
+			encode(8, uint32(1<<32-1), uint16(2), "hi")},
+		{"say_log", func(h decision.Host) { h.Log("x") }, encode(9, uint16(1), "x")},
+		{"broken", func(h decision.Host) { h.(Actions).ReportFailure("x") }, encode(10, uint16(1), "x")},
 		{"observe", func(h decision.Host) {
 			h.WatchEndpoints(true)
 			h.WatchEndpoints(false)
-		}, raw(11, 1, 11, 0)},
-		{"resolve", func(h decision.Host) { h.FetchEndpoints() }, raw(12)},
+		}, encode(11, 1, 11, 0)},
+		{"resolve", func(h decision.Host) { h.FetchEndpoints() }, encode(12)},
 	} {
 		r.Reset(6)
-		c.do(Actions{Reply: &r, Instance: 3})
+		c.call(Actions{Reply: &r, Instance: 3})
 		got := r.Bytes()
 		records := uint32(2)
 		if c.name == "observe" {
 			records = 3
 		}
-		body := raw(13, uint16(3), c.want)
-		if want := raw(uint32(6), records, uint32(len(body)), body); !bytes.Equal(got, want) {
-			t.Errorf("%s:\n got %x\nwant %x", c.name, got, want)
+		body := encode(13, uint16(3), c.want)
+		if want := encode(uint32(6), records, uint32(len(body)), body); !bytes.Equal(got, want) {
+			t.Errorf("reply with action %s:\n got %x\nwant %x", c.name, got, want)
 		}
 	}
 	r.Reset(7)
-	if got := r.Bytes(); !bytes.Equal(got, raw(uint32(7), uint32(0), uint32(0))) {
-		t.Errorf("empty reply: %x", got)
+	if got := r.Bytes(); !bytes.Equal(got, encode(uint32(7), uint32(0), uint32(0))) {
+		t.Errorf("reply without actions = %x, want a header with sequence number 7 and no records", got)
 	}
 	r.Reset(8)
 	Actions{&r, 1}.FetchEndpoints()
 	Actions{&r, 2}.FetchEndpoints()
 	Actions{&r, 1}.FetchEndpoints()
-	if got := r.Bytes()[12:]; !bytes.Equal(got, raw(13, uint16(1), 12, 13, uint16(2), 12, 13, uint16(1), 12)) {
-		t.Errorf("interleaved instances: %x", got)
+	want := encode(13, uint16(1), 12, 13, uint16(2), 12, 13, uint16(1), 12)
+	if got := r.Bytes()[12:]; !bytes.Equal(got, want) {
+		t.Errorf("body of a reply with actions of instances 1, 2, 1 = %x, want %x", got, want)
 	}
 }
 
 func FuzzBatches(f *testing.F) {
-	f.Add(batch(1, 5, 2, raw(11, uint16(3), 7, uint64(1))))
-	f.Add(batch(1, 5, 2, raw(11, uint16(3), 1, uint64(1), uint32(3), "a=b")))
-	f.Add(batch(1, 5, 2, raw(11, uint16(0), 2, 1, uint32(0), uint32(1<<31))))
+	f.Add(batch(1, 5, 2, encode(11, uint16(3), 7, uint64(1))))
+	f.Add(batch(1, 5, 2, encode(11, uint16(3), 1, uint64(1), uint32(3), "a=b")))
+	f.Add(batch(1, 5, 2, encode(11, uint16(0), 2, 1, uint32(0), uint32(1<<31))))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		_, err := events(t, data)
+		_, err := decodeEvents(t, data)
 		if err != nil && !errors.Is(err, io.EOF) && strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than one line: %q", err)
+			t.Errorf("error of a malformed batch has more than one line: %q", err)
 		}
 	})
 }
 
-// unhex reads the protocol page's notation: hex digits with blanks, a record's name after three of them.
-func unhex(t *testing.T, lines ...string) []byte {
+// decodeHex decodes the notation of the examples on the protocol page: hex digits, separated by spaces, and after three
+// spaces the name of the record, which is ignored.
+func decodeHex(t *testing.T, lines ...string) []byte {
 	t.Helper()
 	var out []byte
 	for _, l := range lines {
 		l, _, _ = strings.Cut(l, "   ")
 		b, err := hex.DecodeString(strings.ReplaceAll(l, " ", ""))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decoding the hex digits %q: %v", l, err)
 		}
 		out = append(out, b...)
 	}
 	return out
 }
 
-// The examples of the protocol page, byte for byte.
+// The examples on the protocol page are decoded to the values that the page gives for them.
 func TestProtocolPageExamples(t *testing.T) {
-	evs, err := events(t, unhex(t, "0c000000", "00000000206ec040", "37000000", "05000000", "0b 0300   to",
+	events, err := decodeEvents(t, decodeHex(t, "0c000000", "00000000206ec040", "37000000", "05000000", "0b 0300   to",
 		"03 c4913a5d 0000000000002840 0000000020e6c040 01 00 640ad2557c3bf091 00000000   ask",
 		"07 4d00000000000000   elapsed", "0b 0500   to", "06 192b6f0e   aborted"))
-	if err != nil || len(evs) != 3 {
-		t.Fatalf("%d events, error %v", len(evs), err)
+	if err != nil || len(events) != 3 {
+		t.Fatalf("decoding the example batch: %d events, error %v, want 3 events", len(events), err)
 	}
-	ask := decision.Request{ID: 0x5d3a91c4, ExpectedWork: 12 * ms, Deadline: 8652250 * time.Microsecond,
+	request := decision.Request{ID: 0x5d3a91c4, ExpectedWork: 12 * ms, Deadline: 8652250 * time.Microsecond,
 		Key: 0x91f03b7c55d20a64}
-	if evs[0].Instance != 3 || evs[0].Request != ask || evs[1].TimerToken != 77 || evs[2].Instance != 5 {
-		t.Errorf("got %+v", evs)
+	if events[0].Instance != 3 || events[0].Request != request || events[1].TimerToken != 77 || events[2].Instance != 5 {
+		t.Errorf("events of the example batch = %+v, want request %+v of instance 3, timer token 77, "+
+			"and an event of instance 5", events, request)
 	}
 	var r Reply
 	r.Reset(12)
@@ -271,11 +278,11 @@
 	Actions{&r, 3}.StartTimer(500*ms, 77)
 	Actions{&r, 5}.Log("two servers know")
 	if got := r.Bytes(); got[4] != 5 {
-		t.Errorf("%d records, want 5", got[4])
+		t.Errorf("reply with three actions of two instances has %d records, want 5", got[4])
 	}
 	for _, c := range []struct {
 		record string
-		same   func(Event) bool
+		match  func(Event) bool // whether the event has the values of the example
 	}{
 		{"02 02 29000000 02000000 074a1203 0000 0000 0000 01 0000803f 0000000000000000 " +
 			"f211902c 0100 0000 0000 01 0000c03f 0000000000d4b740   membership", func(e Event) bool {
@@ -297,9 +304,9 @@
 		}},
 		{"0a   destroy", func(e Event) bool { return e.Code == Destroy }},
 	} {
-		evs, err := events(t, batch(1, 5, 2, unhex(t, "0b 0300", c.record)))
-		if err != nil || len(evs) != 1 || !c.same(evs[0]) {
-			t.Errorf("%s: %+v, error %v", c.record, evs, err)
+		events, err := decodeEvents(t, batch(1, 5, 2, decodeHex(t, "0b 0300", c.record)))
+		if err != nil || len(events) != 1 || !c.match(events[0]) {
+			t.Errorf("decoding example record %q = %+v, error %v, want the values on the protocol page", c.record, events, err)
 		}
 	}
 }
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -8,7 +8,7 @@
 	"lapisspread/decision"
 )
 
-// The actions' record codes, with the protocol's name of each.
+// The record codes of the actions. Each comment starts with the name that the protocol gives to the record.
 const (
 	actionSend               = 1  // transmit
 	actionReject             = 2  // reject
@@ -22,20 +22,21 @@
 	actionReportFailure      = 10 // broken
 	actionWatchEndpoints     = 11 // observe
 	actionFetchEndpoints     = 12 // resolve
-	actionSelectInstance     = 13 // on_behalf: what follows is of this instance
+	actionSelectInstance     = 13 // on_behalf: the actions after it are of this instance
 )
 
 const (
-	// noInstance is Reply's instance before the first instance record.
+	// noInstance is the value of Reply.instance before the first instance record.
 	noInstance = -1
-	// replyHeaderBytes is the length of a reply's header.
+	// replyHeaderBytes is the length of a reply's header, in bytes.
 	replyHeaderBytes = 12
-	// replyRecordsOffset and replyLengthOffset are where the header has the number of records and the body's length.
+	// replyRecordsOffset and replyLengthOffset are the offsets in the header, in bytes, of the number of records and of
+	// the body's length.
 	replyRecordsOffset = 4
 	replyLengthOffset  = 8
-	// maxTextBytes bounds a log line and a failure's reason; what is longer is cut.
+	// maxTextBytes is the maximum length of a log line or of a failure's reason. Longer texts are truncated.
 	maxTextBytes = 1<<16 - 1
-	// maxPeerMessageBytes bounds a message to a peer; what is longer is cut.
+	// maxPeerMessageBytes is the maximum length of a message to a peer. Longer messages are truncated.
 	maxPeerMessageBytes = 256
 )
 
@@ -43,10 +44,10 @@
 type Reply struct {
 	buf      []byte
 	records  uint32
-	instance int // of the last instance record; noInstance before the first
+	instance int // named by the last instance record; noInstance before the first one
 }
 
-// Reset begins the reply to a batch.
+// Reset starts a new, empty reply to the batch with sequence number seq.
 func (r *Reply) Reset(seq uint32) {
 	r.buf = binary.LittleEndian.AppendUint32(r.buf[:0], seq)
 	r.buf = append(r.buf, make([]byte, replyHeaderBytes-len(r.buf))...)
@@ -54,7 +55,7 @@
 	r.instance = noInstance
 }
 
-// Bytes returns the whole frame. It is valid until the next action or Reset.
+// Bytes returns the encoded reply with its header. The slice is valid until the next action or Reset.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.buf[replyRecordsOffset:], r.records)
 	binary.LittleEndian.PutUint32(r.buf[replyLengthOffset:], uint32(len(r.buf)-replyHeaderBytes))
@@ -69,7 +70,8 @@
 
 var _ decision.Host = Actions{}
 
-// begin begins a record, after one that names the instance if the last record was another's.
+// begin writes the code of a record. Before it, it writes an instance record if the last record belonged to another
+// instance.
 func (a Actions) begin(code byte) {
 	r := a.Reply
 	if r.instance != int(a.Instance) {
@@ -90,7 +92,7 @@
 	a.uint64(math.Float64bits(float64(d) / float64(time.Millisecond)))
 }
 
-// bytes writes at most limit bytes, after their number.
+// bytes writes the length of b as a uint16 and then b, truncated to limit bytes.
 func (a Actions) bytes(b []byte, limit int) {
 	b = b[:min(len(b), limit)]
 	a.Reply.buf = binary.LittleEndian.AppendUint16(a.Reply.buf, uint16(len(b)))
@@ -170,7 +172,7 @@
 	a.bytes([]byte(line), maxTextBytes)
 }
 
-// ReportFailure says that the decision module has failed.
+// ReportFailure writes a record that reports a failure of the decision module, with its reason.
 func (a Actions) ReportFailure(reason string) {
 	a.begin(actionReportFailure)
 	a.bytes([]byte(reason), maxTextBytes)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,34 +11,37 @@
 	"lapisspread/decision"
 )
 
-// maxListLength bounds a list's stated length: an index has at most four bytes in a frame, and no list is longer.
+// maxListLength is the maximum length that a settings text may state for a list. An index has at most four
+// bytes in a frame, and no list is longer than this.
 const maxListLength = 4096
 
-// LineError says which line of a settings text is wrong.
+// LineError reports the line of a settings text that is malformed or has an invalid value.
 type LineError struct {
-	Line int // counts from 1
+	Line int // line number, from 1
 	Err  error
 }
 
-// Error implements error, on one line.
+// Error implements error. The text is one line.
 func (e *LineError) Error() string { return fmt.Sprintf("settings line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong: a *decision.SettingError if the line has a key.
+// Unwrap returns the cause, which is a *decision.SettingError unless the line is not of the form
+// key=value.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// settings are the lines of a settings text, by key. Its methods read one value each, with the default for a key that
-// is not there; the first value that is wrong is kept in err.
+// settings holds the lines of a settings text by key. Each of its methods reads one value and returns a default if the
+// key is absent. The first invalid value is kept as an error in err.
 type settings struct {
 	lines map[string]settingLine
 	err   error
 }
 
 type settingLine struct {
-	number int // counts from 1
+	number int // line number, from 1
 	value  string
 }
 
-// splitLines parses the text's lines, each key=value. The last one of a key counts.
+// splitLines parses the lines of a settings text, which have the form key=value. If a key is repeated, the last line
+// is used.
 func splitLines(text string) (*settings, error) {
 	s := &settings{lines: map[string]settingLine{}}
 	number := 0
@@ -51,14 +54,14 @@
 		key, value, found := strings.Cut(line, "=")
 		key = strings.TrimSpace(key)
 		if !found || key == "" {
-			return nil, &LineError{Line: number, Err: fmt.Errorf("%q is not path=value", line)}
+			return nil, &LineError{Line: number, Err: fmt.Errorf("%q is not of the form key=value", line)}
 		}
 		s.lines[key] = settingLine{number: number, value: strings.TrimSpace(value)}
 	}
 	return s, nil
 }
 
-// reject notes that a key's value is wrong. Only the first one is kept.
+// reject records that the value of key is invalid; want says what was expected. Only the first error is kept.
 func (s *settings) reject(key, want string) {
 	if s.err != nil {
 		return
@@ -83,7 +86,7 @@
 	return n
 }
 
-// duration reads milliseconds; the default is 0.
+// duration reads a value in milliseconds; the default is 0.
 func (s *settings) duration(key string) time.Duration {
 	d, err := durationFromMillis(s.number(key, 0))
 	if err != nil {
@@ -112,7 +115,7 @@
 
 func (s *settings) boolean(key string) bool { return s.choice(key, "false", "true") == "true" }
 
-// choice reads one of the words, the first of which is the default.
+// choice reads a value that must be one of words. The first word is the default.
 func (s *settings) choice(key string, words ...string) string {
 	line, found := s.lines[key]
 	if !found {
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -21,7 +21,7 @@
 		"Tenants.count=1", "Tenants.0.Name=t", "Tenants.0.QuotaPerS=12.5", "Brand.New=what", "",
 	}, "\n"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ParseSettings of valid settings failed: %v", err)
 	}
 	want := decision.Config{
 		Instances:        3,
@@ -63,7 +63,7 @@
 		},
 	}
 	if !reflect.DeepEqual(c, want) {
-		t.Errorf("got  %+v\nwant %+v", c, want)
+		t.Errorf("ParseSettings of valid settings:\n got %+v\nwant %+v", c, want)
 	}
 }
 
@@ -84,30 +84,34 @@
 	} {
 		_, err := ParseSettings(c.text)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: error %v, want %q in it", c.text, err, c.want)
+			t.Errorf("ParseSettings(%q): error %v, want one containing %q", c.text, err, c.want)
 		}
-		_, field, named := strings.Cut(c.want, ": ")
-		if bad := (*decision.SettingError)(nil); named && (!errors.As(err, &bad) || bad.Field != field) {
-			t.Errorf("%q: error %v, want one for the field %s", c.text, err, field)
+		_, field, hasField := strings.Cut(c.want, ": ")
+		if bad := (*decision.SettingError)(nil); hasField && (!errors.As(err, &bad) || bad.Field != field) {
+			t.Errorf("ParseSettings(%q): error %v, want a *decision.SettingError for the field %s", c.text, err, field)
 		}
 	}
 }
 
-// An unknown word is no error where it only weighs.
+// An unknown word is read as the default, without an error, for settings that only influence weights and for the
+// deduplication scope of a class without deduplication.
 func TestUnknownWordsThatOnlyWeighAreDefaults(t *testing.T) {
 	c, err := ParseSettings("Weights=guessed\nWorthBy=mood\nFeedback.How=by_post\nServices.count=2\n" +
 		"Services.0.Effect=retryable\nServices.0.Group=galaxy\nServices.1.Effect=fragile\nServices.1.Group=galaxy")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ParseSettings of settings with unknown words failed: %v", err)
 	}
 	if c.Weights != decision.WeightNone || c.WeightByWork {
-		t.Errorf("weights: %+v", c)
+		t.Errorf("Weights = %v, WeightByWork = %v for unknown words, want %v and false",
+			c.Weights, c.WeightByWork, decision.WeightNone)
 	}
 	if c.Classes[0].Idempotency != decision.Idempotent || c.Classes[1].Idempotency != decision.NotIdempotent {
-		t.Errorf("idempotency: %+v", c.Classes)
+		t.Errorf("Idempotency of the classes = %v, %v, want %v, %v", c.Classes[0].Idempotency,
+			c.Classes[1].Idempotency, decision.Idempotent, decision.NotIdempotent)
 	}
 	if c.Classes[1].DeduplicationScope != decision.ScopeCell {
-		t.Errorf("scope: %+v", c.Classes[1])
+		t.Errorf("DeduplicationScope of a class without deduplication = %v for an unknown word, want %v",
+			c.Classes[1].DeduplicationScope, decision.ScopeCell)
 	}
 }
 
@@ -117,7 +121,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := ParseSettings(text)
 		if err == nil && len(c.Classes) > maxListLength {
-			t.Error("a list longer than the bound")
+			t.Errorf("ParseSettings(%q) returned %d classes, want at most %d", text, len(c.Classes), maxListLength)
 		}
 	})
 }
