--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -40,7 +40,8 @@
 }
 
 // serve answers each batch of in with a reply on out. It blocks until the first error or until the input ends, which is
-// not an error between two batches. A reply is written with one call of out.Write, and only once its batch has been handled.
+// not an error between two batches. A reply is written with one call of out.Write, and only once its batch has been
+// handled.
 func serve(in io.Reader, out io.Writer) error {
 	in = bufio.NewReaderSize(in, inputBufferBytes)
 	a := &adapter{instances: map[uint16]*decision.Balancer{}}
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -7,27 +7,28 @@
 	"lapisspread/decision"
 )
 
-// inFlightAttempt is an attempt that the decision module has ordered.
+// inFlightAttempt is an attempt that the decision module has started with Send. It stays in Request.attempts after it
+// has ended.
 type inFlightAttempt struct {
-	number    int // counts the request's attempts from 0
+	number    int // index of the attempt in the request, from 0
 	backend   decision.BackendID
 	startedAt time.Duration
 	permit    Permit
 	ctx       context.Context
 	stop      context.CancelCauseFunc
-	timeout   *time.Timer // nil while the request's body is on its way
+	timeout   *time.Timer // nil while the request's body is being uploaded
 
 	ended  bool
-	result decision.Result // once it has ended
+	result decision.Result // valid once ended is set
 }
 
-// cancel ends the attempt and its timeout.
+// cancel cancels the attempt's context and stops its timeout.
 func (a *inFlightAttempt) cancel() {
 	a.stopTimeout()
 	a.stop(context.Canceled)
 }
 
-// setTimeout ends the attempt after a time.
+// setTimeout cancels the attempt's context with context.DeadlineExceeded after a time.
 func (a *inFlightAttempt) setTimeout(after time.Duration) {
 	a.timeout = time.AfterFunc(after, func() { a.stop(context.DeadlineExceeded) })
 }
@@ -38,8 +39,8 @@
 	}
 }
 
-// Send starts an attempt at a backend that ends at until; 0 is the request's deadline. An attempt that may not be made
-// ends as decision.NotSent.
+// Send starts an attempt at a backend that times out at until; if until is 0, it times out at the request's deadline.
+// An attempt that may not be made ends with decision.NotSent in a later event.
 func (h host) Send(id decision.RequestID, to decision.BackendID, until time.Duration) {
 	r := h.requests[id]
 	if r == nil {
@@ -74,10 +75,10 @@
 	})
 }
 
-// attemptEnd is when an attempt ends at the latest, for one that the decision module wants to end at until.
+// attemptEnd returns when an attempt times out, given the time until that the decision module has set for it.
 func (r *Request) attemptEnd(now, until time.Duration) time.Duration {
 	switch {
-	case r.Uploading(): // the backend gets this; the timeout is set once the body is complete
+	case r.Uploading(): // sent to the backend; the attempt's own timeout is set once the body is complete
 		return now + r.Timeout
 	case until <= 0 || until > r.Deadline:
 		return r.Deadline
@@ -85,8 +86,8 @@
 	return until
 }
 
-// admitAttempt reports whether an attempt may be made, and takes what it costs: a retry of AllowRetry and a unit of
-// Quota. The attempt counts as in flight already.
+// admitAttempt reports whether an attempt may be made. It consumes a retry from AllowRetry and a unit from Quota, where
+// they are needed. The request's inFlight count must already include the attempt.
 func (e *Engine) admitAttempt(r *Request, a *inFlightAttempt) bool {
 	capabilities := &e.opts.Decision.Capabilities
 	switch {
@@ -112,19 +113,20 @@
 	return ok
 }
 
-// maySend answers Attempt.MaySend for one attempt of a request: whether its first byte may be sent now, and by when
-// its last must be, zero if that does not matter. Any goroutine may call it.
+// maySend implements Attempt.MaySend for one attempt of a request. It reports whether the first byte may be sent now,
+// and the time by which the last byte must be sent; a zero time means no limit. Any goroutine may call it.
 func (e *Engine) maySend(r *Request, number int) (by time.Time, ok bool) {
 	classes := e.opts.Decision.Classes
-	class := min(max(r.Class, 0), len(classes)-1) // as the decision module takes a class that is out of range
-	end, ok := r.guard.begin(number, e.clock.Now(), retryWindow(classes[class]))
+	// The decision module clamps a class that is out of range in the same way.
+	class := min(max(r.Class, 0), len(classes)-1)
+	end, ok := r.guard.startSend(number, e.clock.Now(), retryWindow(classes[class]))
 	if end == 0 {
 		return time.Time{}, ok
 	}
 	return e.clock.Time(end), ok
 }
 
-// exchange carries an attempt out; it blocks until that has ended.
+// exchange carries out an attempt and blocks until the attempt has ended.
 func (e *Engine) exchange(a *inFlightAttempt, class int, backend Backend, attempt Attempt) (decision.Result, any) {
 	if e.opts.Quota != nil && e.opts.Quota.Expired(a.permit) {
 		return decision.NotSent, nil
@@ -132,23 +134,24 @@
 	if e.opts.Freshness == nil {
 		return backend.Exchange(a.ctx, attempt)
 	}
-	seen, ok := e.opts.Freshness.CheckAttempt(a.backend, class) // again: the process may have been stopped since
+	// Checked again, because the process may have been stopped for a while since admitAttempt.
+	check, ok := e.opts.Freshness.CheckAttempt(a.backend, class)
 	if !ok {
 		return decision.NotSent, nil
 	}
 	result, response := backend.Exchange(a.ctx, attempt)
-	e.opts.Freshness.AttemptEnded(seen, result)
+	e.opts.Freshness.AttemptEnded(check, result)
 	return result, response
 }
 
-// startStream is the Attempt's StartStream. The attempt's own goroutine calls it.
+// startStream implements Attempt.StartStream. The goroutine that carries out the attempt calls it.
 func (e *Engine) startStream(r *Request, a *inFlightAttempt, s Stream) bool {
 	if a.ctx.Err() != nil {
 		return false
 	}
 	e.Post(func() {
 		a.stopTimeout()
-		if a.ctx.Err() != nil { // it timed out meanwhile
+		if a.ctx.Err() != nil { // the attempt timed out before this event was handled
 			e.log.Info("streamed response came after its attempt's deadline",
 				"cause", context.Cause(a.ctx), "uploading", r.Uploading())
 			s.End(ErrAbandoned)
@@ -159,7 +162,8 @@
 	return true
 }
 
-// streamStarted takes a streamed response whose first byte has come: it is the request's result.
+// streamStarted makes a streamed response, whose first byte has arrived, the result of the request. If the request has
+// ended, it drops the response.
 func (e *Engine) streamStarted(r *Request, a *inFlightAttempt, s Stream) {
 	if r.ended {
 		e.log.Info("streamed response of a superseded attempt dropped",
@@ -178,7 +182,8 @@
 	})
 }
 
-// attemptEnded takes the end of an attempt. A response ends its request, unless that has ended before.
+// attemptEnded handles the end of an attempt and reports it to the decision module. A response ends the request, unless
+// the request has already ended.
 func (e *Engine) attemptEnded(r *Request, number int, result decision.Result, response any) {
 	now := e.clock.Now()
 	a := r.attempts[number]
@@ -204,7 +209,7 @@
 	})
 }
 
-// Cancel cancels an attempt; its outcome comes as an event.
+// Cancel cancels an attempt. Its outcome is reported by a later event.
 func (h host) Cancel(id decision.RequestID, number int) {
 	if r := h.requests[id]; r != nil && number >= 0 && number < len(r.attempts) {
 		r.attempts[number].cancel()
--- a/internal/engine/detached.go
+++ b/internal/engine/detached.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// backendCountInterval is how often the counts of backends are published.
+// backendCountInterval is the interval at which the counts of backends are published.
 const backendCountInterval = 100 * time.Millisecond
 
-// applyDetached tells the decision module which backends an operator has detached or attached since the last call.
+// applyDetached passes to the decision module the backends that an operator has detached or attached since the last
+// call.
 func (e *Engine) applyDetached() {
 	now := e.clock.Now()
 	detached := map[string]bool{}
@@ -24,10 +25,11 @@
 	e.reportBackendCount()
 }
 
-// reportBackendCount publishes how many backends are known and excluded.
+// reportBackendCount publishes how many backends are listed and how many of them are excluded from traffic.
 func (e *Engine) reportBackendCount() { e.opts.OnBackendCount(e.decider.CountBackends()) }
 
-// scheduleBackendCount publishes the counts again and again: a backend's health changes without an event.
+// scheduleBackendCount publishes the counts now and then once per backendCountInterval, because the health of a backend
+// can change without an event.
 func (e *Engine) scheduleBackendCount() {
 	e.reportBackendCount()
 	e.startTimerAt(e.clock.Now()+backendCountInterval, e.scheduleBackendCount)
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -8,50 +8,51 @@
 	"lapisspread/decision"
 )
 
-// sourceSwitchSpread is the time over which the proxies of a fleet that get another source together switch to it.
-// The old one must answer for that long.
+// sourceSwitchSpread is the interval over which the proxies of a fleet switch to a new source if they get it at the
+// same time. The old source must stay available for that long.
 const sourceSwitchSpread = 500 * time.Millisecond
 
-// EndpointList is what discovery says of the backends: all of them, or those that have changed.
+// EndpointList is a list of backends from discovery: all backends, or only those that have changed.
 type EndpointList struct {
 	Version   uint32     `json:"Version"`
-	Full      bool       `json:"Full"` // all of them
+	Full      bool       `json:"Full"` // whether the list has all backends
 	Endpoints []Endpoint `json:"Members"`
 }
 
-// OlderThan reports whether the list is older than a version. Versions wrap: a plain comparison would drop all changes
-// after the highest one.
+// OlderThan reports whether the list is older than a version. Versions wrap around: a plain comparison would treat
+// every change after the highest version as old and drop it.
 func (l EndpointList) OlderThan(version uint32) bool { return int32(l.Version-version) < 0 }
 
-// Endpoint is a backend as discovery names it.
+// Endpoint is a backend in an EndpointList.
 type Endpoint struct {
 	ID      string                `json:"ID"`
 	Addr    string                `json:"Addr"`
 	Zone    string                `json:"Zone"`
-	Kind    string                `json:"Kind"` // of machine
+	Kind    string                `json:"Kind"` // kind of machine
 	Cell    int                   `json:"Cell"`
 	State   decision.BackendState `json:"State"`
 	Weight  float64               `json:"Weight"`
 	Started time.Duration         `json:"Started"` // since the Unix epoch
 }
 
-// BackendID derives a backend's ID from its name alone: it is the same at every proxy and after every restart, which
-// key affinity relies on.
+// BackendID derives a backend's ID from its name only, so that the ID is the same at every proxy and after every
+// restart. Key affinity relies on this.
 func BackendID(name string) decision.BackendID {
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(name)) // a Hash does not fail
+	_, _ = hash.Write([]byte(name)) // writes to a hash.Hash do not fail
 	return decision.BackendID(hash.Sum32())
 }
 
-// Source delivers the endpoint list. Its methods are called from goroutines of their own.
+// Source delivers the endpoint list. Fetch and Watch are called from worker goroutines and may block; the engine
+// calls Addr and Close in its own goroutine.
 type Source interface {
-	// Addr is the address of the discovery service.
+	// Addr returns the address of the discovery service.
 	Addr() string
 	// Fetch polls the full list once. It may block until ctx ends.
 	Fetch(ctx context.Context) (EndpointList, error)
-	// Watch calls deliver with each change after a version, until the watch fails or ctx ends.
+	// Watch calls deliver for each change after the version from. It blocks until the watch fails or ctx ends.
 	Watch(ctx context.Context, from uint32, deliver func(EndpointList)) error
-	// Close ends all calls.
+	// Close ends all calls that are in flight.
 	Close()
 }
 
@@ -61,8 +62,8 @@
 	decision.Removed:  "gone",
 }
 
-// applyEndpoints hands a list to the upstream and to the decision module, in this order: what the module sends next
-// goes by it.
+// applyEndpoints passes a list to the upstream and then to the decision module. The order matters: the module may send
+// attempts to the new backends at once.
 func (e *Engine) applyEndpoints(list EndpointList, kind decision.UpdateKind) {
 	e.listVersion = list.Version
 	if kind != decision.UpdateDelta {
@@ -91,16 +92,16 @@
 	}
 }
 
-// indexOf returns a name's number; unknown names share the number after the last.
+// indexOf returns the index of a name; all unknown names share the index after the last one.
 func (e *Engine) indexOf(numbers map[string]int, name string) int {
-	if n, known := numbers[name]; known {
+	if n, found := numbers[name]; found {
 		return n
 	}
 	e.log.Warn("unknown zone or machine kind in the endpoint list", "name", name)
 	return len(numbers)
 }
 
-// endpointsReceived takes a list of the source. Changes that are older than the list at hand are dropped.
+// endpointsReceived applies a list from the source. Changes that are older than the current list are dropped.
 func (e *Engine) endpointsReceived(list EndpointList) {
 	switch {
 	case list.Full:
@@ -111,13 +112,13 @@
 	}
 }
 
-// endpointsFailed takes the failure of a call to the source.
+// endpointsFailed reports a failed call to the source to the decision module.
 func (e *Engine) endpointsFailed(err error) {
 	e.log.Warn("polling the endpoint list failed", "err", err)
 	e.decider.UpdateEndpoints(e.clock.Now(), decision.EndpointUpdate{Kind: decision.UpdateFailed})
 }
 
-// WatchEndpoints starts a watch in place of the one before, or ends it.
+// WatchEndpoints ends the current watch and, if on is set, starts a new one.
 func (h host) WatchEndpoints(on bool) {
 	h.stopWatch()
 	h.watchGeneration++
@@ -142,16 +143,16 @@
 	})
 }
 
-// watch is one watch of a source; a fetch of the full list goes before it if that is not known.
+// watch is one watch of a source. If no full list has come from the source, the watch fetches it first.
 type watch struct {
 	engine     *Engine
 	source     Source
 	generation int
 	listKnown  bool
-	from       uint32 // the version that changes are wanted after
+	from       uint32 // changes after this version are delivered
 }
 
-// run blocks until the watch fails or ctx ends.
+// run carries out the watch. It blocks until the watch fails or ctx ends.
 func (w *watch) run(ctx context.Context) error {
 	deliver := func(list EndpointList) { w.post(func() { w.engine.endpointsReceived(list) }) }
 	from := w.from
@@ -166,7 +167,7 @@
 	return w.source.Watch(ctx, from, deliver)
 }
 
-// post posts an event that counts only while no other watch has taken this one's place.
+// post posts an event that is ignored if another watch has replaced this one in the meantime.
 func (w *watch) post(event func()) {
 	w.engine.Post(func() {
 		if w.generation == w.engine.watchGeneration {
@@ -182,7 +183,7 @@
 		list, err := source.Fetch(h.ctx)
 		h.Post(func() {
 			switch {
-			case source != h.source: // a late response of one that was replaced
+			case source != h.source: // a late response of a source that was replaced
 			case err != nil:
 				h.endpointsFailed(err)
 			case !h.listKnown || !list.OlderThan(h.listVersion):
@@ -192,8 +193,9 @@
 	})
 }
 
-// SwitchSource has the engine use another source a little later, at random within sourceSwitchSpread: it keeps a fleet
-// whose configurations are replaced together from polling the new one in the same moment. It is called within an event.
+// SwitchSource makes the engine use another source after a random delay of up to sourceSwitchSpread. The delay keeps a
+// fleet whose configurations are replaced together from polling the new source at the same moment. It must be called
+// within an event.
 func (e *Engine) SwitchSource(source Source) {
 	if e.nextSource != nil {
 		e.nextSource.Close()
@@ -207,7 +209,8 @@
 	})
 }
 
-// Source is the source in use, or the one that SwitchSource has set. It is called within an event.
+// Source returns the source that a pending SwitchSource has set, or else the source in use. It must be called within an
+// event.
 func (e *Engine) Source() Source {
 	if e.nextSource != nil {
 		return e.nextSource
@@ -215,8 +218,9 @@
 	return e.source
 }
 
-// useSource turns to another source. Backends, their health and all requests in flight live on; what calls of the old
-// source still bring is dropped. Versions of the new one are its own, so its full list is fetched first.
+// useSource replaces the source. Backends, their health and all requests in flight are kept; late results of calls to
+// the old source are dropped. The versions of the two sources are unrelated, so the full list of the new one is fetched
+// first.
 func (e *Engine) useSource(source Source) {
 	old := e.source
 	e.log.Info("discovery address changed", "from", old.Addr(), "to", source.Addr())
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -10,10 +10,10 @@
 	"lapisspread/decision"
 )
 
-// eventBuffer is how many posted events may wait before Post blocks.
+// eventBuffer is the maximum number of posted events that wait before Post blocks.
 const eventBuffer = 256
 
-// Engine runs one service. Its fields belong to the goroutine of Run, but for opts, clock, log, events, done and
+// Engine runs one service. Only the goroutine of Run may use its fields, except opts, clock, log, events, done and
 // workers, which any goroutine may use.
 type Engine struct {
 	opts    Options
@@ -22,16 +22,16 @@
 	decider decider
 	random  *rand.Rand
 
-	events   chan func()
-	done     chan struct{}   // closed when the loop has ended
-	workers  sync.WaitGroup  // goroutines started by startWorker
-	ctx      context.Context // of the loop and of all workers
-	deferred []func()        // events that follow the one being handled
-	lastTurn time.Duration   // when the loop last came round
+	events         chan func()
+	done           chan struct{}   // closed when the loop has ended
+	workers        sync.WaitGroup  // goroutines started by startWorker
+	ctx            context.Context // context of the loop and of all workers
+	deferred       []func()        // events to handle right after the current one
+	lastStallCheck time.Duration   // when refreshAfterStall last ran
 
 	timers        timerHeap
 	timerSequence uint64
-	pendingTokens map[uint64]int // timers that the decision module has set, by token
+	pendingTokens map[uint64]int // number of pending timers of the decision module, by token
 
 	requests      map[decision.RequestID]*Request
 	lastRequestID decision.RequestID
@@ -42,17 +42,17 @@
 	listVersion     uint32
 	listKnown       bool // a full list came from source, or source is the first one
 	stopWatch       context.CancelFunc
-	watchGeneration int // counts watches, so that events of an earlier one are distinguished
+	watchGeneration int // number of the current watch; events of earlier watches are ignored
 	zoneNumbers     map[string]int
 	kindNumbers     map[string]int
-	detached        map[string]bool // names of the backends that the decision module has as detached
+	detached        map[string]bool // names of the backends that are detached in the decision module
 
 	readinessChecks  []*readinessCheck
-	currentReadiness *readinessCheck // the one whose health checks the decision module is starting just now
+	currentReadiness *readinessCheck // set while CheckHealthNow starts the health checks of this readiness check
 }
 
-// New makes an engine, which does nothing until Run. An error is a *decision.SettingError that names the setting of
-// Options.Decision that makes no sense.
+// New returns an engine, which does nothing until Run is called. The error is a *decision.SettingError that names the
+// invalid setting in Options.Decision.
 func New(opts Options) (*Engine, error) {
 	opts.setDefaults()
 	e := &Engine{
@@ -78,6 +78,7 @@
 	return e, nil
 }
 
+// indexByName maps each name to its index in names.
 func indexByName(names []string) map[string]int {
 	index := map[string]int{}
 	for i, name := range names {
@@ -86,12 +87,12 @@
 	return index
 }
 
-// Clock is the clock that deadlines go by. Any goroutine may call it.
+// Clock returns the clock that deadlines refer to. Any goroutine may call it.
 func (e *Engine) Clock() Clock { return e.clock }
 
-// Post hands an event to the loop, which handles events in the order in which they were posted. It blocks while
-// eventBuffer events wait, so the loop's own goroutine must not call it: it would wait for itself. Once the loop has
-// ended, events may be dropped without notice.
+// Post queues an event for the loop, which handles events in the order in which they were posted. It blocks while
+// eventBuffer events are queued, so the loop's own goroutine must not call it: that would be a deadlock. Once the loop
+// has ended, events may be dropped silently.
 func (e *Engine) Post(event func()) {
 	select {
 	case e.events <- event:
@@ -99,9 +100,9 @@
 	}
 }
 
-// Snapshot returns what the decision module has learned, for the process that comes next; ok is false if the loop ends
-// first. Any goroutine but the loop's own may call it, which would wait for itself; it blocks until the loop has
-// come to it.
+// Snapshot returns what the decision module has learned, for the process that replaces this one. It blocks until the
+// loop has handled the call; ok is false if the loop ends first. Any goroutine except the loop's own may call it: in
+// the loop's goroutine the call would be a deadlock.
 func (e *Engine) Snapshot() (snapshot decision.Snapshot, ok bool) {
 	taken := make(chan decision.Snapshot, 1)
 	e.Post(func() { taken <- e.decider.Snapshot(e.clock.Now()) })
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,8 +10,8 @@
 	"lapisspread/decision"
 )
 
-// stuckUpstream is an upstream with one backend, "a", at which no attempt ends by itself, and a source that never
-// delivers a list.
+// stuckUpstream is an upstream and a source. Attempts at its only backend, "a", end only when they time out or are
+// cancelled, and the source never delivers a list.
 type stuckUpstream struct{}
 
 func (stuckUpstream) Update(EndpointList)        {}
@@ -44,6 +44,7 @@
 	return ctx.Err()
 }
 
+// message is a request message whose body has not been consumed.
 type message struct{}
 
 func (message) Consumed() bool { return false }
@@ -71,43 +72,43 @@
 	}
 }
 
-// testEndpoints is a full list with the one backend of stuckUpstream.
+// testEndpoints returns a full list with the only backend of stuckUpstream.
 func testEndpoints() EndpointList {
 	return EndpointList{Full: true, Endpoints: []Endpoint{{ID: "a", Addr: "a:1", State: decision.Ready}}}
 }
 
-// testEngine makes an engine that does not run: the test handles its events.
+// testEngine returns an engine whose loop does not run: the test handles its events itself.
 func testEngine(t *testing.T) *Engine {
 	t.Helper()
 	e, err := New(Options{Decision: testConfig(), Seed: 1, Upstream: stuckUpstream{}, Source: stuckUpstream{}})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New failed: %v", err)
 	}
 	e.ctx = t.Context()
 	e.decider.Start(e.clock.Now())
 	return e
 }
 
-// testRequest makes a request of the class that is not idempotent.
+// testRequest returns a request of the class that is not idempotent.
 func testRequest(e *Engine) *Request {
 	r := &Request{Class: 1, Deadline: e.clock.Now() + time.Minute, Message: message{}}
 	r.Init()
 	return r
 }
 
-// within receives a value, and fails the test if none comes.
-func within[T any](t *testing.T, from <-chan T, missing string) T {
+// receive returns a value from ch. If none arrives within 20 s, it fails the test with the text failure.
+func receive[T any](t *testing.T, ch <-chan T, failure string) T {
 	t.Helper()
 	select {
-	case v := <-from:
+	case v := <-ch:
 		return v
 	case <-time.After(20 * time.Second):
-		t.Fatal(missing)
+		t.Fatal(failure)
 		panic("unreachable")
 	}
 }
 
-// A request that the decision module does not end is ended by the engine after its deadline, once.
+// If the decision module does not end a request, the engine ends it after its deadline, with exactly one result.
 func TestRequestEndsAfterDeadlineGrace(t *testing.T) {
 	e := testEngine(t)
 	r := testRequest(e)
@@ -116,8 +117,8 @@
 		r.id = 1
 		e.expireRequest(r)
 	})
-	if a := within(t, r.result, "no answer"); a.Outcome != Failed {
-		t.Errorf("ended as %v", a.Outcome)
+	if got := receive(t, r.result, "expireRequest delivered no result"); got.Outcome != Failed {
+		t.Errorf("outcome after expireRequest = %v, want %v", got.Outcome, Failed)
 	}
 	e.handle(func() {
 		host{e}.Reject(1, 0)
@@ -126,22 +127,22 @@
 		e.ClientGone(r)
 	})
 	if len(r.result) != 0 || len(e.requests) != 0 {
-		t.Error("a second answer, or a request that was not released")
+		t.Errorf("after the result was read: %d further results, %d requests held, want none", len(r.result), len(e.requests))
 	}
 }
 
-// An attempt that may not be made ends as NotSent, in a later event, and nothing is sent.
+// An attempt that may not be made is not sent: its end as NotSent is queued as a deferred event.
 func TestAttemptsThatMayNotBeSent(t *testing.T) {
 	e := testEngine(t)
 	for name, send := range map[string]func(*Request){
-		"unknown backend": func(*Request) { host{e}.Send(1, BackendID("b"), 0) },
-		"past time":       func(*Request) { host{e}.Send(1, BackendID("a"), e.clock.Now()-1) },
-		"request over": func(r *Request) {
+		"unknown backend":         func(*Request) { host{e}.Send(1, BackendID("b"), 0) },
+		"attempt end in the past": func(*Request) { host{e}.Send(1, BackendID("a"), e.clock.Now()-1) },
+		"request has ended": func(r *Request) {
 			r.ended = true
 			r.inFlight = 1
 			host{e}.Send(1, BackendID("a"), 0)
 		},
-		"hedged request": func(r *Request) {
+		"hedged request without the capability": func(r *Request) {
 			r.inFlight = 1
 			host{e}.Send(1, BackendID("a"), 0)
 		},
@@ -151,7 +152,7 @@
 		e.requests[1] = r
 		send(r)
 		if len(e.deferred) != 1 {
-			t.Errorf("%s: %d events follow, want one", name, len(e.deferred))
+			t.Errorf("%s: Send deferred %d events, want 1 with the attempt's end", name, len(e.deferred))
 		}
 		e.deferred = nil
 		r.attempts[0].cancel()
@@ -161,44 +162,45 @@
 func TestPanicEndsOneEventOnly(t *testing.T) {
 	e := testEngine(t)
 	ran := false
-	e.handle(func() { panic("the decisions failed") })
+	e.handle(func() { panic("decision module failed") })
 	e.handle(func() { ran = true })
 	if !ran {
-		t.Error("no event was handled after a panic")
+		t.Error("the event after a panicking event was not handled")
 	}
 }
 
-// A timer of the decision module whose event fails fires again, and one that was set again does not fire twice.
+// A timer of the decision module fires again after its event has panicked. If the module has already set the timer
+// again, the engine does not set it a second time.
 func TestTimerSurvivesAPanic(t *testing.T) {
 	e := testEngine(t)
 	balancer := e.decider
-	fire := func() (fired int) {
+	// fire fires all timers once.
+	fire := func() {
 		due := e.timers
 		e.timers = nil
 		for _, timer := range due {
-			fired++
 			e.handle(timer.event)
 		}
-		return fired
 	}
 	if fire(); len(e.timers) == 0 {
-		t.Fatal("the decision module sets no timers")
+		t.Fatal("the decision module has set no timers after its start")
 	}
 	want := len(e.timers)
-	e.decider = nil // each event fails
+	e.decider = nil // every event of a timer panics
 	for range 3 {
 		if fire(); len(e.timers) != want {
-			t.Fatalf("%d timers after a failure, want %d", len(e.timers), want)
+			t.Fatalf("%d timers after their events have panicked, want %d", len(e.timers), want)
 		}
 	}
 	e.decider = balancer
 	before := e.timerSequence
 	if fire(); e.timerSequence == before {
-		t.Error("the decision module's timers were not set again after the failures")
+		t.Error("the decision module set no timer when its timers fired after the panics")
 	}
 }
 
-// A request that has ended leaves nothing behind, whatever its deadline.
+// A request that has ended is released at once, even if its deadline is an hour away: the engine keeps neither the
+// request, its message nor its expiry timer.
 func TestEndedRequestsAreReleased(t *testing.T) {
 	e := testEngine(t)
 	r := testRequest(e)
@@ -208,11 +210,12 @@
 	host{e}.Reject(r.id, 0)
 	e.ClientGone(r)
 	if len(e.requests) != 0 || r.Message != nil || r.expiry.index >= 0 {
-		t.Errorf("%d requests are held, message %v, expiry's index %d", len(e.requests), r.Message, r.expiry.index)
+		t.Errorf("after the request's end: %d requests held, message %v, expiry timer's heap index %d, want 0, nil and -1",
+			len(e.requests), r.Message, r.expiry.index)
 	}
 	for _, timer := range e.timers[min(timers, len(e.timers)):] {
 		if timer.due > e.clock.Now()+time.Minute {
-			t.Error("a timer waits for the deadline of a request that has ended")
+			t.Errorf("a timer of the ended request is due at %v, which is more than a minute away", timer.due)
 		}
 	}
 }
@@ -225,40 +228,41 @@
 		e.Run(ctx)
 		close(ended)
 	}()
-	type firing struct{ wanted, at time.Duration }
+	type firing struct{ due, firedAt time.Duration }
 	fired := make(chan firing, 8)
 	e.Post(func() {
 		for _, ms := range []time.Duration{40, 10, 0, 25} {
-			wanted := e.Clock().Now() + ms*time.Millisecond
-			e.startTimerAt(wanted, func() { fired <- firing{wanted, e.clock.Now()} })
+			due := e.Clock().Now() + ms*time.Millisecond
+			e.startTimerAt(due, func() { fired <- firing{due, e.clock.Now()} })
 		}
 	})
 	last := time.Duration(0)
 	for range 4 {
-		f := within(t, fired, "a timer did not fire")
-		if f.at < f.wanted || f.wanted < last {
-			t.Errorf("wanted at %v after %v, fired at %v", f.wanted, last, f.at)
+		f := receive(t, fired, "a timer did not fire within 20 s")
+		if f.firedAt < f.due || f.due < last {
+			t.Errorf("timer due at %v fired at %v, after one due at %v; want order of due times and none early",
+				f.due, f.firedAt, last)
 		}
-		last = f.wanted
+		last = f.due
 	}
 	cancel()
-	within(t, ended, "the loop did not end")
+	receive(t, ended, "Run did not return after its context ended")
 }
 
-// The clock counts from the Unix epoch, never goes back, and Time keeps its distances.
+// The clock counts from the Unix epoch and does not go back, and Time preserves intervals.
 func TestClockCountsFromTheEpoch(t *testing.T) {
 	c := NewClock()
 	a := c.Now()
 	b := c.Now()
 	if b < a || a < time.Duration(time.Now().Add(-time.Hour).UnixNano()) {
-		t.Errorf("the clock shows %v, then %v", a, b)
+		t.Errorf("Now() = %v, then %v, want the time since the Unix epoch, not decreasing", a, b)
 	}
 	if d := c.Time(a + time.Second).Sub(c.Time(a)); d != time.Second {
-		t.Errorf("a second on the clock is %v", d)
+		t.Errorf("Time(now+1s) - Time(now) = %v, want 1s", d)
 	}
 }
 
-// A list's version wraps like any counter of 32 bits: the one after the highest is newer, not older.
+// The version of an endpoint list wraps around at 32 bits: version 0 is newer than the highest version.
 func TestEndpointListVersionWraps(t *testing.T) {
 	for _, c := range []struct {
 		current  uint32
@@ -279,7 +283,8 @@
 		draining := Endpoint{ID: "a", State: decision.Draining}
 		e.endpointsReceived(EndpointList{Version: c.received, Endpoints: []Endpoint{draining}})
 		if applied != c.applied {
-			t.Errorf("changes of version %d to a list of version %d are applied: %v", c.received, c.current, applied)
+			t.Errorf("delta with version %d applied to a list with version %d = %v, want %v",
+				c.received, c.current, applied, c.applied)
 		}
 	}
 }
--- a/internal/engine/healthcheck.go
+++ b/internal/engine/healthcheck.go
@@ -6,7 +6,7 @@
 	"lapisspread/decision"
 )
 
-// CheckHealth starts a health check of a backend. One that is not there gets decision.NotSent.
+// CheckHealth starts a health check of a backend. For an unknown backend the result is decision.NotSent.
 func (h host) CheckHealth(id decision.BackendID) {
 	startedAt := h.clock.Now()
 	backend := h.opts.Upstream.Find(id)
@@ -19,7 +19,7 @@
 		now := h.clock.Now()
 		h.decider.HealthChecked(now, decision.HealthCheckResult{Backend: id, Result: result, Latency: now - startedAt})
 		if check != nil {
-			check.add(result)
+			check.addResult(result)
 		}
 	}
 	if backend == nil {
@@ -32,13 +32,13 @@
 	})
 }
 
-// checkHealth carries a health check out; it blocks until that has ended.
+// checkHealth carries out a health check and blocks until the check has ended.
 func (e *Engine) checkHealth(ctx context.Context, id decision.BackendID, backend Backend) decision.Result {
 	if e.opts.Freshness == nil {
 		return backend.CheckHealth(ctx)
 	}
-	seen, _ := e.opts.Freshness.CheckAttempt(id, healthCheckClass) // which may always be made
+	check, _ := e.opts.Freshness.CheckAttempt(id, healthCheckClass) // ignored result: a health check is always allowed
 	result := backend.CheckHealth(ctx)
-	e.opts.Freshness.AttemptEnded(seen, result)
+	e.opts.Freshness.AttemptEnded(check, result)
 	return result
 }
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -7,10 +7,10 @@
 	"lapisspread/decision"
 )
 
-// timerRetryDelay is the shortest time after which a timer whose event has failed fires again.
+// timerRetryDelay is the minimum delay before a timer whose event has panicked fires again.
 const timerRetryDelay = 100 * time.Millisecond
 
-// decider is the decision module as the engine calls it; *decision.Balancer is the one.
+// decider is the interface through which the engine calls the decision module. *decision.Balancer implements it.
 type decider interface {
 	Start(now time.Duration)
 	UpdateEndpoints(now time.Duration, update decision.EndpointUpdate)
@@ -29,20 +29,21 @@
 	Restore(now time.Duration, snapshot decision.Snapshot)
 }
 
-// host carries out the decision module's actions. None of its methods blocks, and what they cause comes as later
-// events. Methods that belong to one concern stand in that concern's file.
+// host implements decision.Host: it carries out the decision module's actions. None of its methods blocks, and their
+// results are reported by later events. Methods for attempts, health checks and endpoints are in the files for these.
 type host struct{ *Engine }
 
 var _ decision.Host = host{}
 
-// Reject ends a request that did not run: a repeat is harmless. retryAfter is passed to the client; 0 is none.
+// Reject ends a request that did not run, so that the client may safely repeat it. retryAfter is passed to the client;
+// 0 means that the client gets no such delay.
 func (h host) Reject(id decision.RequestID, retryAfter time.Duration) {
 	if r := h.requests[id]; r != nil {
 		h.complete(r, Result{Outcome: Rejected, RetryAfter: retryAfter})
 	}
 }
 
-// Fail ends a request without a promise whether it has run.
+// Fail ends a request that may or may not have run.
 func (h host) Fail(id decision.RequestID) {
 	if r := h.requests[id]; r != nil {
 		h.complete(r, Result{Outcome: Failed, TimedOut: r.timedOut})
@@ -54,13 +55,13 @@
 	h.startWorker(func() { h.opts.Upstream.Release(id) })
 }
 
-// SendToPeer does nothing: proxies do not gossip.
+// SendToPeer does nothing: proxies do not exchange messages with each other.
 func (h host) SendToPeer(uint32, []byte) {}
 
-// StartTimer has the decision module's Timer called after a delay, always in a later event.
+// StartTimer calls the decision module's Timer after a delay, always in a later event.
 //
-// A panic in that call would end for good what the module does by a timer that sets itself again. So unless the module
-// has set the token again by then, the timer fires once more.
+// Some timers of the module set themselves again each time they fire. A panic in the call of Timer would stop such a
+// timer for good. So after a panic the timer is set again, unless the module has already set a timer with this token.
 func (h host) StartTimer(delay time.Duration, token uint64) {
 	h.pendingTokens[token]++
 	h.startTimerAt(h.clock.Now()+max(delay, 0), func() {
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -8,20 +8,21 @@
 	"lapisspread/decision"
 )
 
-// idleWake is how long the loop sleeps while no timer is set.
-const idleWake = time.Hour
+// maxIdleSleep is how long the loop sleeps while no timer is set.
+const maxIdleSleep = time.Hour
 
-// Run handles events until ctx ends, and returns once all that it has started has ended. It is called once.
+// Run handles events until ctx ends, and returns once all workers that it has started have ended. It must be called
+// only once.
 func (e *Engine) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	e.ctx = ctx
-	e.lastTurn = e.clock.Now()
-	e.handle(e.begin)
-	wake := time.NewTimer(idleWake)
+	e.lastStallCheck = e.clock.Now()
+	e.handle(e.startUp)
+	wake := time.NewTimer(maxIdleSleep)
 	defer wake.Stop()
 	for ctx.Err() == nil {
-		e.turn(ctx, wake)
+		e.runOnce(ctx, wake)
 	}
 	cancel()
 	close(e.done)
@@ -32,29 +33,29 @@
 	}
 }
 
-// begin is the loop's first event.
-func (e *Engine) begin() {
+// startUp is the first event that the loop handles.
+func (e *Engine) startUp() {
 	e.decider.Start(e.clock.Now())
 	if e.opts.Snapshot != nil {
 		e.decider.Restore(e.clock.Now(), *e.opts.Snapshot)
 	}
 	e.applyDetached() // before the list, so that nothing is sent to a detached backend
 	e.applyEndpoints(e.opts.InitialEndpoints, decision.UpdateCached)
-	if !e.opts.Decision.PolledDiscovery { // pushed lists need no action of the decision module
+	if !e.opts.Decision.PolledDiscovery { // pushed lists are watched without an action of the decision module
 		host{e}.WatchEndpoints(true)
 	}
 	e.scheduleBackendCount()
 }
 
-// turn fires the timers that are due and handles at most one event. It blocks until there is one, a timer is due or
-// ctx ends.
-func (e *Engine) turn(ctx context.Context, wake *time.Timer) {
+// runOnce is one iteration of the loop: it fires the timers that are due and handles at most one posted event. It
+// blocks until an event arrives, a timer is due or ctx ends.
+func (e *Engine) runOnce(ctx context.Context, wake *time.Timer) {
 	e.refreshAfterStall()
 	e.fireTimers()
 	if len(e.timers) > 0 {
 		wake.Reset(e.timers[0].due - e.clock.Now())
 	}
-	select { // an operator's order goes before all else
+	select { // an operator's detach or attach is handled before any other event
 	case <-e.opts.DetachedChanged:
 		e.handle(e.applyDetached)
 	default:
@@ -81,8 +82,8 @@
 	}
 }
 
-// recoverPanic runs an event and reports whether it returned. It keeps a panic in the decisions from ending all
-// requests in flight: the request concerned ends at its deadline at the latest.
+// recoverPanic runs an event and reports whether it returned without a panic. It keeps a panic in the decision module
+// from ending all requests in flight; the request that caused the panic ends at its deadline at the latest.
 func (e *Engine) recoverPanic(event func()) (ok bool) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -93,20 +94,21 @@
 	return true
 }
 
-// startWorker runs work that may block in a goroutine of its own, which Run waits for.
+// startWorker runs work that may block in a new goroutine. Run waits for the goroutine before it returns.
 func (e *Engine) startWorker(work func()) { e.workers.Go(work) }
 
-// refreshAfterStall fetches the endpoint list once the loop has stood still for long, because the process was stopped
-// or had no processor. It keeps a request that has waited from going out before the drain notice that waits beside it.
+// refreshAfterStall fetches the endpoint list if the loop has not run for a long time, because the process was stopped
+// or got no CPU time. Otherwise a request that arrived during the stall could be sent to a backend before the loop
+// handles the drain notice for that backend, which arrived during the stall too.
 //
-// The list is fetched only where lists are pushed, since a poll has a price, and waited for no longer than
-// MaxListBackoff; then the loop goes on with the list that it has. It stops the loop while it waits.
+// The list is fetched only if lists are pushed, since each poll has a cost. The call blocks the loop until the list has
+// arrived, for at most MaxListBackoff; after that the loop continues with the list that it has.
 func (e *Engine) refreshAfterStall() {
 	now := e.clock.Now()
-	stall := now - e.lastTurn
-	e.lastTurn = now
+	stall := now - e.lastStallCheck
+	e.lastStallCheck = now
 	config := &e.opts.Decision
-	// The timer of scheduleBackendCount has an idle loop come round well within this.
+	// Also an idle loop runs at least once within this time, because of the timer of scheduleBackendCount.
 	if config.PolledDiscovery || stall < max(config.Constraints.DrainGrace/2, 2*backendCountInterval) {
 		return
 	}
@@ -117,10 +119,11 @@
 	case !e.listKnown || !list.OlderThan(e.listVersion):
 		e.handle(func() { e.endpointsReceived(list) })
 	}
-	e.lastTurn = e.clock.Now()
+	e.lastStallCheck = e.clock.Now()
 }
 
-// fetchWithin fetches the list and blocks until it is there, at most for timeout, whatever the source does.
+// fetchWithin fetches the list. It blocks until the list has arrived or for timeout, even if the source ignores the
+// context.
 func (e *Engine) fetchWithin(timeout time.Duration) (EndpointList, error) {
 	type response struct {
 		list EndpointList
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -6,33 +6,34 @@
 	"lapisspread/decision"
 )
 
-// Options are what an engine is made of. Decision, Upstream and Source must be set; the other fields have defaults. The
-// functions are called by the engine's goroutine and must not block.
+// Options configure an engine. Decision, Upstream and Source must be set; the other fields have defaults. The functions
+// are called by the engine's goroutine and must not block.
 type Options struct {
 	Decision         decision.Config    // settings of the decision module
-	Seed             uint64             // of the decision module's and the engine's random choices
-	InitialEndpoints EndpointList       // the list to start with, until discovery has delivered one
-	Snapshot         *decision.Snapshot // what the process before has learned; nil starts without
+	Seed             uint64             // seed of the random choices of the decision module and the engine
+	InitialEndpoints EndpointList       // the list in use until discovery has delivered one
+	Snapshot         *decision.Snapshot // learned state of the previous process; nil means none
 	Zones            []string           // names of the zones, in the order in which the decision module numbers them
-	Kinds            []string           // names of the kinds of machine, likewise
+	Kinds            []string           // names of the kinds of machine, in the order of the module's numbers
 	Upstream         Upstream
 	Source           Source
-	Log              *slog.Logger // nil discards
+	Log              *slog.Logger // nil discards all log lines
 
-	// AllowRetry is called before each attempt after a request's first; nil allows all.
+	// AllowRetry is called before each attempt except a request's first one, and reports whether the attempt may be
+	// made; nil allows all.
 	AllowRetry func() bool
 	// Quota is called before each attempt; nil allows all.
 	Quota Quota
 	// Freshness is called before each attempt; nil allows all.
 	Freshness Freshness
-	// Detached names the backends that an operator has detached; nil is none.
+	// Detached returns the names of the backends that an operator has detached; nil means none.
 	Detached func() []string
-	// DetachedChanged receives when Detached has changed; nil is never.
+	// DetachedChanged delivers a value when the result of Detached has changed; nil means that it never changes.
 	DetachedChanged <-chan struct{}
-	// OnEndpoints is called with each list before the decision module is; may be nil.
+	// OnEndpoints is called with each list before the decision module gets it; may be nil.
 	OnEndpoints func(EndpointList)
-	// OnBackendCount is called with how many backends are listed and how many of them are excluded from traffic, ten
-	// times a second and whenever an operator's order has changed them; may be nil.
+	// OnBackendCount is called with the number of listed backends and the number of those that are excluded from
+	// traffic, ten times a second and whenever an operator has detached or attached backends; may be nil.
 	OnBackendCount func(known, excluded int)
 }
 
--- a/internal/engine/quota_test.go
+++ b/internal/engine/quota_test.go
@@ -7,20 +7,21 @@
 	"lapisspread/decision"
 )
 
-// scriptedQuota allows attempts or not, and finds at the last moment that a permit has expired.
+// scriptedQuota is a Quota with fixed answers, which records the calls of Acquire.
 type scriptedQuota struct {
-	allows  bool
-	expired bool
-	firsts  []bool // what it was told of each attempt
+	allowed bool   // what Acquire returns
+	expired bool   // what Expired returns
+	firsts  []bool // argument first of each call of Acquire
 }
 
 func (q *scriptedQuota) Acquire(_, _ int, first bool) (Permit, bool) {
 	q.firsts = append(q.firsts, first)
-	return Permit{Token: "t"}, q.allows
+	return Permit{Token: "t"}, q.allowed
 }
 func (q *scriptedQuota) Expired(Permit) bool { return q.expired }
 
-// tokenRecorder is a backend that records the tokens that reach it, and rejects all attempts.
+// tokenRecorder is an upstream and its only backend. It records the lease tokens of the attempts that reach it and
+// rejects all attempts.
 type tokenRecorder struct {
 	stuckUpstream
 	tokens chan string
@@ -32,7 +33,8 @@
 	return decision.Rejected, nil
 }
 
-// What a quota does not allow is never sent and ends as NotSent; what it allows bears its token.
+// The quota is called for each attempt. An attempt that it does not allow is not sent and ends as NotSent; an attempt
+// that it allows is sent with the permit's token.
 func TestQuotaIsAskedBeforeEachAttempt(t *testing.T) {
 	for _, c := range []struct {
 		quota scriptedQuota
@@ -40,8 +42,8 @@
 		want  decision.Result
 	}{
 		{scriptedQuota{}, false, decision.NotSent},
-		{scriptedQuota{allows: true, expired: true}, false, decision.NotSent},
-		{scriptedQuota{allows: true}, true, decision.Rejected},
+		{scriptedQuota{allowed: true, expired: true}, false, decision.NotSent},
+		{scriptedQuota{allowed: true}, true, decision.Rejected},
 	} {
 		backend := tokenRecorder{tokens: make(chan string, 8)}
 		quota := c.quota
@@ -53,7 +55,7 @@
 			Quota:    &quota,
 		})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New failed: %v", err)
 		}
 		e.ctx = t.Context()
 		e.decider.Start(e.clock.Now())
@@ -62,22 +64,24 @@
 		e.requests[1] = r
 		for n := range 2 {
 			host{e}.Send(1, BackendID("a"), 0)
-			if c.quota.allows {
-				within(t, e.events, "no outcome")()
+			if c.quota.allowed {
+				receive(t, e.events, "the attempt posted no event with its end")()
 			} else if len(e.deferred) == 1 {
 				e.deferred[0]()
 				e.deferred = nil
 			}
 			if a := r.attempts[n]; !a.ended || a.result != c.want || (len(backend.tokens) == n+1) != c.sent {
-				t.Errorf("%+v: attempt %d ended as %v, %d were sent", c.quota, n, a.result, len(backend.tokens))
+				t.Errorf("quota allows %v, permit expired %v: attempt %d ended %v with result %v, %d attempts sent, "+
+					"want result %v and sent %v", c.quota.allowed, c.quota.expired, n, a.ended, a.result,
+					len(backend.tokens), c.want, c.sent)
 			}
 		}
 		if len(quota.firsts) != 2 || !quota.firsts[0] || quota.firsts[1] {
-			t.Errorf("the quota was asked about %v", quota.firsts)
+			t.Errorf("argument first of the calls of Acquire = %v, want [true false]", quota.firsts)
 		}
 		for range len(backend.tokens) {
 			if token := <-backend.tokens; token != "t" {
-				t.Errorf("token %q", token)
+				t.Errorf("lease token sent to the backend = %q, want %q", token, "t")
 			}
 		}
 	}
--- a/internal/engine/race_test.go
+++ b/internal/engine/race_test.go
@@ -6,7 +6,7 @@
 	"lapisspread/decision"
 )
 
-// engineWithAttempt makes an engine with one request of a class whose first attempt is in flight.
+// engineWithAttempt returns an engine and a request of the class with index class, whose first attempt is in flight.
 func engineWithAttempt(t *testing.T, class int) (*Engine, *Request) {
 	t.Helper()
 	e := testEngine(t)
@@ -17,60 +17,61 @@
 	r.Class = class
 	e.handle(func() { e.Submit(r) })
 	if r.inFlight != 1 {
-		t.Fatalf("%d attempts are in flight, want one", r.inFlight)
+		t.Fatalf("%d attempts in flight after Submit, want 1", r.inFlight)
 	}
 	return e, r
 }
 
-// A response, the deadline, a client that leaves or a rejection come in the same moment, in either order: the first one
-// is the result, and the other changes nothing.
+// Two of these events happen at almost the same time: a response, the deadline, the client's departure or a rejection.
+// The first one decides the result, and the second one has no effect.
 func TestDeadlineRacesResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		first, second func(*Engine, *Request)
 		want          Outcome
 	}{
-		"the response first": {
+		"response before deadline": {
 			func(e *Engine, r *Request) { e.attemptEnded(r, 0, decision.OK, "response") },
 			func(e *Engine, r *Request) { e.expireRequest(r) }, Served},
-		"the deadline first": {
+		"deadline before response": {
 			func(e *Engine, r *Request) { e.expireRequest(r) },
 			func(e *Engine, r *Request) { e.attemptEnded(r, 0, decision.OK, "response") }, Failed},
-		"the client leaves first": {
+		"client leaves before response": {
 			func(e *Engine, r *Request) { e.ClientGone(r) },
 			func(e *Engine, r *Request) { e.attemptEnded(r, 0, decision.OK, "response") }, Failed},
-		"a rejection first": {
+		"rejection before response": {
 			func(e *Engine, r *Request) { host{e}.Reject(r.id, 0) },
 			func(e *Engine, r *Request) { e.attemptEnded(r, 0, decision.OK, "response") }, Rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, r := engineWithAttempt(t, 0)
 			e.handle(func() { c.first(e, r) })
-			if a := within(t, r.result, "no result"); a.Outcome != c.want {
-				t.Errorf("ended as %v, want %v", a.Outcome, c.want)
+			if got := receive(t, r.result, "no result after the first event"); got.Outcome != c.want {
+				t.Errorf("outcome after the first event = %v, want %v", got.Outcome, c.want)
 			}
-			second := make(chan bool)
-			go func() { e.handle(func() { c.second(e, r) }); close(second) }()
-			// The result channel is empty again: a second result would not block.
-			within(t, second, "a second result waits for a reader")
+			secondHandled := make(chan bool)
+			go func() { e.handle(func() { c.second(e, r) }); close(secondHandled) }()
+			// The result channel is empty again, so a second result would not block.
+			receive(t, secondHandled, "handling the second event blocked for 20 s")
 			select {
-			case a := <-r.result:
-				t.Errorf("a second result: %v", a.Outcome)
+			case got := <-r.result:
+				t.Errorf("second result with outcome %v after the second event, want none", got.Outcome)
 			default:
 			}
 			if len(e.requests) != 0 {
-				t.Errorf("%d requests are still held", len(e.requests))
+				t.Errorf("%d requests held after both events, want 0", len(e.requests))
 			}
 		})
 	}
 }
 
-// No further attempt is sent for a client that leaves as its attempt fails, in whichever order the two are told.
+// When the client leaves at almost the same time as its attempt fails, no further attempt is started after both events,
+// in either order.
 func TestNoAttemptAfterClientGone(t *testing.T) {
 	leave := func(e *Engine, r *Request) { e.ClientGone(r) }
 	fail := func(e *Engine, r *Request) { e.attemptEnded(r, 0, decision.ConnectFailed, nil) }
 	for name, order := range map[string][2]func(*Engine, *Request){
-		"leaves, then fails": {leave, fail},
-		"fails, then leaves": {fail, leave},
+		"client leaves before attempt fails": {leave, fail},
+		"attempt fails before client leaves": {fail, leave},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, r := engineWithAttempt(t, 0)
@@ -78,11 +79,11 @@
 			sent := len(r.attempts)
 			e.handle(func() { order[1](e, r) })
 			if len(r.attempts) > sent {
-				t.Error("an attempt began after the client had left")
+				t.Errorf("%d attempts after the second event, want %d as before it", len(r.attempts), sent)
 			}
 			for i, a := range r.attempts {
 				if a.ctx.Err() == nil {
-					t.Errorf("attempt %d goes on", i)
+					t.Errorf("attempt %d was not cancelled after the client had left", i)
 				}
 			}
 		})
--- a/internal/engine/readiness.go
+++ b/internal/engine/readiness.go
@@ -7,35 +7,35 @@
 	"lapisspread/decision"
 )
 
-// readinessCheck is a call of CheckReadiness that waits for its health checks.
+// readinessCheck is the state of one call of CheckReadiness.
 type readinessCheck struct {
 	started bool
-	checked int           // health checks that were started
-	passed  int           // of these, how many have succeeded
-	pending int           // of these, how many have not ended; one more while they are being started
-	done    chan struct{} // closed when none is pending
+	checked int           // number of health checks that were started
+	passed  int           // number of health checks that have succeeded
+	pending int           // number of health checks that have not ended, plus 1 while they are being started
+	done    chan struct{} // closed when pending drops to 0
 }
 
-// add counts the result of one health check.
-func (c *readinessCheck) add(result decision.Result) {
+// addResult counts the result of one health check.
+func (c *readinessCheck) addResult(result decision.Result) {
 	if result == decision.OK {
 		c.passed++
 	}
-	c.end()
+	c.decrementPending()
 }
 
-// end counts one pending health check less.
-func (c *readinessCheck) end() {
+// decrementPending subtracts 1 from pending and closes done when no health check is pending.
+func (c *readinessCheck) decrementPending() {
 	c.pending--
 	if c.pending == 0 {
 		close(c.done)
 	}
 }
 
-// CheckReadiness has the decision module check the health of the backends that the first requests would go to, and
-// returns how many of these checks have passed so far, of how many that were started. It blocks until each has passed
-// or failed, or until ctx ends; before a list has come it waits for that. Once the loop has ended it returns 0, 0. Any
-// goroutine but the loop's own may call it, which would wait for itself.
+// CheckReadiness makes the decision module check the health of the backends that the first requests would go to. It
+// returns how many of these checks have passed so far and how many were started. It blocks until all of them have ended
+// or until ctx ends; if there is no endpoint list yet, it first waits for one. Once the loop has ended it returns 0, 0.
+// Any goroutine except the loop's own may call it: in the loop's goroutine the call would be a deadlock.
 func (e *Engine) CheckReadiness(ctx context.Context) (passed, checked int) {
 	check := &readinessCheck{done: make(chan struct{})}
 	e.Post(func() {
@@ -49,8 +49,8 @@
 	}
 	removed := make(chan struct{})
 	e.Post(func() {
-		isThis := func(other *readinessCheck) bool { return other == check }
-		e.readinessChecks = slices.DeleteFunc(e.readinessChecks, isThis)
+		isCheck := func(other *readinessCheck) bool { return other == check }
+		e.readinessChecks = slices.DeleteFunc(e.readinessChecks, isCheck)
 		passed = check.passed
 		checked = check.checked
 		close(removed)
@@ -63,7 +63,7 @@
 	}
 }
 
-// startReadinessCheck starts the health checks, once there are backends to check.
+// startReadinessCheck starts the health checks of a readiness check, unless they were started or there are no backends.
 func (e *Engine) startReadinessCheck(check *readinessCheck) {
 	if check.started {
 		return
@@ -72,11 +72,11 @@
 		return
 	}
 	check.started = true
-	check.pending = 1 // for this call
+	check.pending = 1 // keeps done open until all health checks are started
 	e.currentReadiness = check
-	defer func() { // a panic of the decision module must not have later health checks counted for this one
+	defer func() { // deferred, so that after a panic of the decision module later health checks are not counted here
 		e.currentReadiness = nil
-		check.end()
+		check.decrementPending()
 	}()
 	e.decider.CheckHealthNow(e.clock.Now())
 }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -6,7 +6,8 @@
 	"lapisspread/decision"
 )
 
-// deadlineGrace is how long after a request's deadline the engine ends it if the decision module has not.
+// deadlineGrace is the time after a request's deadline at which the engine ends the request if the decision module has
+// not done so.
 const deadlineGrace = 5 * time.Millisecond
 
 // Outcome is how a request ended.
@@ -14,23 +15,23 @@
 
 // The outcomes.
 const (
-	Failed   Outcome = iota // nothing is known or promised
-	Rejected                // it did not run: a repeat is harmless
-	Served
+	Failed   Outcome = iota // the request may or may not have run
+	Rejected                // the request did not run, so that the client may safely repeat it
+	Served                  // the request has a response
 )
 
-// String returns the outcome's name, as the console and the logs show it.
+// String returns the outcome's name as shown in the console and the logs.
 func (o Outcome) String() string { return [...]string{"failed", "refused", "served"}[o] }
 
 // Result is the one result of a request.
 type Result struct {
 	Outcome    Outcome
-	RetryAfter time.Duration // Rejected: when the client may come again; 0 is none
-	TimedOut   bool          // Failed: the last attempt ran into its timeout, or the deadline has passed
-	MayHaveRun bool          // an attempt may have run, or may still
-	ClientGone bool          // the client had left; nobody waits for this
+	RetryAfter time.Duration // Rejected: delay after which the client may retry; 0 is none
+	TimedOut   bool          // Failed: the last attempt timed out, or the deadline has passed
+	MayHaveRun bool          // an attempt may have run, or may still run
+	ClientGone bool          // the client has left and does not wait for the result
 	Response   any           // Served: the response as the Upstream returned it; nil if Stream is set
-	Stream     Stream        // Served: a response whose body is on its way
+	Stream     Stream        // Served: a response whose body is still being received
 }
 
 // Request is a request between a front end and the engine. A front end fills in the exported fields, calls Init, hands
@@ -41,38 +42,39 @@
 	Tenant       int           // index into Options.Decision.Tenants
 	Key          uint64        // for idempotency and affinity; 0 is none
 	ExpectedWork time.Duration // the client's hint; 0 is none
-	MarkedRetry  bool          // the client says that it has sent this before
+	MarkedRetry  bool          // the client has marked the request as a retry
 	Timeout      time.Duration // from the last byte of the request to its deadline
-	Deadline     time.Duration // by the engine's clock; 0 while the body is on its way
+	Deadline     time.Duration // on the engine's clock; 0 while the body is being uploaded
 
 	id       decision.RequestID
-	result   chan Result // of capacity 1
+	result   chan Result // has capacity 1, so that the engine never blocks on it
 	attempts []*inFlightAttempt
 	inFlight int // attempts that have not ended
 	ended    bool
-	timedOut bool // the last attempt that has ended did by its timeout
+	timedOut bool // the attempt that ended last timed out
 	expiry   *timer
-	stream   Stream // the response, if that is streamed
+	stream   Stream // the response if it is streamed, else nil
 	guard    sendGuard
 }
 
-// Init readies a request for Submit. It must be called once, before Result.
+// Init prepares a request for Submit. It must be called once, before Result.
 func (r *Request) Init() { r.result = make(chan Result, 1) }
 
-// Abandon notes that the client has left: no attempt that is about to be sent goes out any more. Any goroutine may call
-// it, ahead of the ClientGone that it posts.
+// Abandon records that the client has left, so that no further attempt is sent. Any goroutine may call it, before it
+// posts a call of ClientGone.
 func (r *Request) Abandon() { r.guard.close() }
 
-// Result delivers the one result.
+// Result returns the channel that delivers the request's only result.
 func (r *Request) Result() <-chan Result { return r.result }
 
-// ReceivedAt is when the request's last byte came, by the engine's clock. It holds once the result is there.
+// ReceivedAt returns when the last byte of the request arrived, on the engine's clock. It is valid once the result has
+// been delivered.
 func (r *Request) ReceivedAt() time.Duration { return r.Deadline - r.Timeout }
 
-// Uploading reports whether the body is still on its way.
+// Uploading reports whether the body is still being received from the client.
 func (r *Request) Uploading() bool { return r.Deadline == 0 }
 
-// mayHaveRun reports whether an attempt may have run or may still.
+// mayHaveRun reports whether an attempt may have run or may still run.
 func (r *Request) mayHaveRun() bool {
 	for _, a := range r.attempts {
 		if !a.ended || !a.result.NeverRan() {
@@ -82,15 +84,15 @@
 	return false
 }
 
-// Submit takes a request that a client has sent. It is called within an event, once for each request. The result of a
-// request whose deadline has passed is there when it returns.
+// Submit starts handling a request that a client has sent. It must be called within an event, once for each request. If
+// the request's deadline has passed, the result is available when Submit returns.
 func (e *Engine) Submit(r *Request) {
 	now := e.clock.Now()
 	r.id = e.newRequestID()
 	e.requests[r.id] = r
 	deadline := r.Deadline
 	switch {
-	case r.Uploading(): // as if its last byte had come; BodyComplete corrects it
+	case r.Uploading(): // provisional, as if the last byte had just arrived; BodyComplete sets the real deadline
 		deadline = now + r.Timeout
 	case now >= r.Deadline:
 		e.complete(r, Result{Outcome: Failed, TimedOut: true})
@@ -110,7 +112,8 @@
 	})
 }
 
-// newRequestID returns an ID that no request in flight has. The counter wraps: an ID comes back after 2^32 requests.
+// newRequestID returns an ID that no request in flight has. The counter wraps around: IDs are reused after 2^32
+// requests.
 func (e *Engine) newRequestID() decision.RequestID {
 	for {
 		e.lastRequestID++
@@ -120,8 +123,8 @@
 	}
 }
 
-// BodyComplete notes that the last byte of a streamed body was read at a time: the request's timeout counts from there.
-// It is called within an event.
+// BodyComplete records that the last byte of a streamed body was read at the time at: the request's timeout counts from
+// then. It must be called within an event.
 func (e *Engine) BodyComplete(r *Request, at time.Duration) {
 	if r.ended || !r.Uploading() {
 		return
@@ -137,8 +140,8 @@
 	e.decider.BodyComplete(now, r.id, r.Deadline)
 }
 
-// ClientGone notes that the client has left. It is called within an event, also after the request's end: a streamed
-// response ends then.
+// ClientGone records that the client has left. It must be called within an event. It may also be called after the
+// request has ended: it then ends a streamed response.
 func (e *Engine) ClientGone(r *Request) {
 	if r.stream != nil {
 		r.stream.End(ErrAbandoned)
@@ -150,12 +153,13 @@
 	e.decider.ClientGone(e.clock.Now(), r.id)
 }
 
-// scheduleExpiry has the request end soon after its deadline.
+// scheduleExpiry sets a timer that ends the request deadlineGrace after its deadline.
 func (e *Engine) scheduleExpiry(r *Request) {
 	r.expiry = e.startTimerAt(r.Deadline+deadlineGrace, func() { e.expireRequest(r) })
 }
 
-// expireRequest ends a request that is still open after its deadline: it is owed a result whatever went wrong.
+// expireRequest ends a request that is still open after its deadline, so that each request gets a result even if the
+// decision module does not end it.
 func (e *Engine) expireRequest(r *Request) {
 	if r.ended {
 		return
@@ -165,7 +169,7 @@
 	e.decider.ClientGone(e.clock.Now(), r.id)
 }
 
-// complete delivers the result, once.
+// complete ends a request and delivers its result. If the request has already ended, it does nothing.
 func (e *Engine) complete(r *Request, result Result) {
 	if r.ended {
 		return
@@ -178,7 +182,7 @@
 	e.release(r)
 }
 
-// release drops a request that has ended, once its attempts have.
+// release removes a request from the engine's state once the request and all its attempts have ended.
 func (e *Engine) release(r *Request) {
 	if r.ended && r.inFlight == 0 {
 		delete(e.requests, r.id)
--- a/internal/engine/sendguard.go
+++ b/internal/engine/sendguard.go
@@ -8,10 +8,11 @@
 	"lapisspread/decision"
 )
 
-// unlimitedRetryWindow is the window of a class whose attempts may be sent at any time.
+// unlimitedRetryWindow is the retry window of a class whose attempts may be sent at any time.
 const unlimitedRetryWindow time.Duration = math.MaxInt64
 
-// retryWindow is how long after an attempt that may have run the next one of a class may be sent; 0 is never.
+// retryWindow returns for how long after an attempt that may have run another attempt of the request may be sent; 0
+// means that it must never be sent.
 func retryWindow(c decision.Class) time.Duration {
 	switch c.Idempotency {
 	case decision.Idempotent:
@@ -22,20 +23,20 @@
 	return 0
 }
 
-// sendGuard keeps which attempts of a request have been sent, for the goroutines that carry them out. It is safe for
-// concurrent use.
+// sendGuard records which attempts of a request have been sent, and decides whether another one may be sent. The
+// goroutines that carry out the attempts share it. It is safe for concurrent use.
 //
-// It guards against an attempt that is sent too late: the decision module orders a retry within its window, but the
-// connection may come up after it, or after the request's end.
+// It prevents an attempt from being sent too late: the decision module starts a retry within the retry window, but the
+// connection may be established after the window or the request has ended.
 type sendGuard struct {
 	mu     sync.Mutex
 	closed bool            // the request has ended or its client has left
-	sentAt []time.Duration // by attempt, when its first byte was sent; 0 if it was not or is proved not to have run
+	sentAt []time.Duration // by attempt: when its first byte was sent; 0 if it was not sent or did not run
 }
 
-// begin reports whether an attempt may be sent now, and notes that it is. Its last byte must be sent before by; 0 is
-// no limit. window is the class's retryWindow.
-func (g *sendGuard) begin(attempt int, now, window time.Duration) (by time.Duration, ok bool) {
+// startSend reports whether an attempt may be sent now, and if so records it as sent. Its last byte must be sent before
+// by; 0 means no limit. window is the retryWindow of the request's class.
+func (g *sendGuard) startSend(attempt int, now, window time.Duration) (by time.Duration, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
@@ -54,7 +55,8 @@
 	return by, true
 }
 
-// windowEnd is when the earliest window of the other attempts that may have run ends; 0 if there is none.
+// windowEnd returns the earliest end of the retry windows of all other attempts that may have run, or 0 if there are no
+// such attempts.
 func (g *sendGuard) windowEnd(attempt int, window time.Duration) time.Duration {
 	var end time.Duration
 	for i, sentAt := range g.sentAt {
@@ -68,7 +70,7 @@
 	return end
 }
 
-// attemptEnded notes how an attempt ended: one that never ran sets no limit to the others.
+// attemptEnded records how an attempt ended. An attempt that never ran does not limit the other attempts.
 func (g *sendGuard) attemptEnded(attempt int, result decision.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,7 +79,7 @@
 	}
 }
 
-// close lets nothing more be sent.
+// close forbids all further sends.
 func (g *sendGuard) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/engine/sendguard_test.go
+++ b/internal/engine/sendguard_test.go
@@ -10,18 +10,18 @@
 	"lapisspread/decision"
 )
 
-// slowUpstream has backends whose connections come up when a test says so.
+// slowUpstream is an upstream whose connections are established only when the test calls dialedAttempt.connect.
 type slowUpstream struct {
 	stuckUpstream
-	dialed chan *dialedAttempt
+	dialed chan *dialedAttempt // attempts that have started to connect
 }
 
 // dialedAttempt is an attempt that waits for its connection.
 type dialedAttempt struct {
 	attempt Attempt
-	up      chan decision.Result // the connection comes up; the attempt ends so if it is sent
-	sent    chan bool
-	by      time.Time // until when it may be sent
+	up      chan decision.Result // establishes the connection; if the attempt is sent, it ends with this result
+	sent    chan bool            // reports whether the attempt was sent
+	by      time.Time            // the time until which the attempt may be sent; zero is no limit
 }
 
 func (u *slowUpstream) Find(decision.BackendID) Backend { return u }
@@ -39,20 +39,22 @@
 	return result, "response"
 }
 
-// connect has the connection come up and reports whether the attempt was sent.
+// connect establishes the connection and reports whether the attempt was sent. If so, the attempt ends with result.
 func (d *dialedAttempt) connect(result decision.Result) bool {
 	d.up <- result
 	return <-d.sent
 }
 
-// shortWindow is the deduplication window of the tests' class.
+// shortWindow is the deduplication window of the class in TestConnectionAfterRetryWindow.
 const shortWindow = 40 * time.Millisecond
 
-// lateConnectionTest is a test of one request whose connections come up late.
+// lateConnectionTest is the body of a test with one request. The test receives the attempts from dialed and establishes
+// their connections.
 type lateConnectionTest func(t *testing.T, e *Engine, r *Request, dialed <-chan *dialedAttempt)
 
-// lateConnections runs a test with an engine, two such backends and one request of a class, on a clock of its own.
-func lateConnections(t *testing.T, class decision.Class, hedged bool, do lateConnectionTest) {
+// runLateConnectionTest runs a test in a synctest bubble with an engine, two backends of a slowUpstream and one
+// submitted request of a class.
+func runLateConnectionTest(t *testing.T, class decision.Class, hedged bool, test lateConnectionTest) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig()
 		class.Name = "c"
@@ -64,17 +66,17 @@
 		cfg.Capabilities.HedgedRequests = hedged
 		cfg.Capabilities.Cancel = false
 		upstream := &slowUpstream{dialed: make(chan *dialedAttempt)}
-		known := testEndpoints()
-		known.Endpoints = append(known.Endpoints, Endpoint{ID: "b", Addr: "b:1", State: decision.Ready})
+		endpoints := testEndpoints()
+		endpoints.Endpoints = append(endpoints.Endpoints, Endpoint{ID: "b", Addr: "b:1", State: decision.Ready})
 		e, err := New(Options{
 			Decision:         cfg,
 			Seed:             1,
-			InitialEndpoints: known,
+			InitialEndpoints: endpoints,
 			Upstream:         upstream,
 			Source:           stuckUpstream{},
 		})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New failed: %v", err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan bool)
@@ -85,13 +87,13 @@
 		r := &Request{Message: message{}, Timeout: 2 * time.Second, Deadline: e.Clock().Now() + 2*time.Second}
 		r.Init()
 		e.Post(func() { e.Submit(r) })
-		do(t, e, r, upstream.dialed)
+		test(t, e, r, upstream.dialed)
 		cancel()
 		<-ended
 	})
 }
 
-// A retry whose connection comes up after the retry window is not sent, and the request ends then.
+// A retry whose connection is established after the retry window has ended is not sent, and the request ends at once.
 func TestConnectionAfterRetryWindow(t *testing.T) {
 	keyed := decision.Class{
 		Idempotency:         decision.IdempotentByKey,
@@ -101,47 +103,50 @@
 	idempotent := decision.Class{Idempotency: decision.Idempotent}
 	for name, c := range map[string]struct {
 		class   decision.Class
-		first   decision.Result
-		dial    time.Duration
-		sent    bool
-		limited bool // the retry has a time until which it may be sent
+		first   decision.Result // result of the first attempt
+		dial    time.Duration   // time that the retry takes to connect
+		sent    bool            // whether the retry is sent
+		limited bool            // whether there is a time until which the retry may be sent
 	}{
-		"before its end":                      {keyed, decision.Reset, shortWindow - time.Millisecond, true, true},
-		"at its end":                          {keyed, decision.Reset, shortWindow, false, true},
-		"long after":                          {keyed, decision.Error, time.Second, false, true},
-		"long after one that never ran":       {keyed, decision.Rejected, time.Second, true, false},
-		"long after one that did not connect": {keyed, decision.ConnectFailed, time.Second, true, false},
-		"and the class is idempotent":         {idempotent, decision.Reset, time.Second, true, false},
-		"and the class is not idempotent":     {decision.Class{}, decision.Rejected, time.Second, true, false},
+		"connected before the window ends":            {keyed, decision.Reset, shortWindow - time.Millisecond, true, true},
+		"connected when the window ends":              {keyed, decision.Reset, shortWindow, false, true},
+		"connected long after the window":             {keyed, decision.Error, time.Second, false, true},
+		"connected late, first attempt rejected":      {keyed, decision.Rejected, time.Second, true, false},
+		"connected late, first attempt not connected": {keyed, decision.ConnectFailed, time.Second, true, false},
+		"connected late, idempotent class":            {idempotent, decision.Reset, time.Second, true, false},
+		"connected late, class not idempotent":        {decision.Class{}, decision.Rejected, time.Second, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lateConnections(t, c.class, false, func(t *testing.T, e *Engine, r *Request, dialed <-chan *dialedAttempt) {
+			runLateConnectionTest(t, c.class, false, func(t *testing.T, e *Engine, r *Request, dialed <-chan *dialedAttempt) {
 				first := <-dialed
-				time.Sleep(30 * time.Millisecond) // the window counts from the send, not from the order
+				time.Sleep(30 * time.Millisecond) // the window starts when the attempt is sent, not when it is ordered
 				if !first.connect(c.first) || !first.by.IsZero() {
-					t.Fatalf("the first is not sent, or only until %v", first.by)
+					t.Fatalf("first attempt was not sent, or has the send limit %v; want it sent without a limit", first.by)
 				}
-				began := e.Clock().Now()
+				firstSentAt := e.Clock().Now()
 				second := <-dialed
 				time.Sleep(c.dial)
 				sent := second.connect(decision.OK)
 				if sent != c.sent {
-					t.Errorf("%v after the first the retry is sent: %v", e.Clock().Now()-began, sent)
+					t.Errorf("retry connected %v after the first attempt was sent: sent = %v, want %v",
+						e.Clock().Now()-firstSentAt, sent, c.sent)
 				}
-				want := e.Clock().Time(began + shortWindow)
+				want := e.Clock().Time(firstSentAt + shortWindow)
 				if sent && (second.by.IsZero() == c.limited || c.limited && !second.by.Equal(want)) {
-					t.Errorf("it may be sent until %v, want %v", second.by, want)
+					t.Errorf("retry may be sent until %v, want %v if limited = %v, else no limit", second.by, want, c.limited)
 				}
-				before := time.Now()
-				if result := <-r.Result(); sent != (result.Outcome == Served) || time.Since(before) > 0 {
-					t.Errorf("ended as %v, %v after the connection came up", result.Outcome, time.Since(before))
+				connectedAt := time.Now()
+				if result := <-r.Result(); sent != (result.Outcome == Served) || time.Since(connectedAt) > 0 {
+					t.Errorf("retry sent = %v: outcome %v, %v after the connection; want served only if sent, and no delay",
+						sent, result.Outcome, time.Since(connectedAt))
 				}
 			})
 		})
 	}
 }
 
-// The first attempt connects after its hedge was sent: then the first is the retry.
+// The first attempt connects after its hedged request was sent. It then counts as the retry: it is sent only before the
+// deduplication window of the hedged request has ended.
 func TestFirstAttemptConnectsAfterHedge(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		class := decision.Class{
@@ -149,58 +154,60 @@
 			DeduplicationScope:  decision.ScopeAll,
 			DeduplicationWindow: time.Second,
 		}
-		lateConnections(t, class, true, func(t *testing.T, _ *Engine, r *Request, dialed <-chan *dialedAttempt) {
+		runLateConnectionTest(t, class, true, func(t *testing.T, _ *Engine, r *Request, dialed <-chan *dialedAttempt) {
 			first := <-dialed
-			second := <-dialed // the hedge
+			second := <-dialed // the hedged request
 			if !second.connect(decision.Reset) {
-				t.Fatal("the hedge is not sent")
+				t.Fatal("the hedged request was not sent")
 			}
 			time.Sleep(time.Second - time.Millisecond)
 			if late {
 				time.Sleep(time.Millisecond)
 			}
 			if sent := first.connect(decision.OK); sent == late {
-				t.Errorf("late: %v; the first is sent: %v", late, sent)
+				t.Errorf("first attempt connected after the window = %v: sent = %v, want %v", late, sent, !late)
 			}
 			if result := <-r.Result(); late == (result.Outcome == Served) {
-				t.Errorf("late: %v; ended as %v", late, result.Outcome)
+				t.Errorf("first attempt connected after the window = %v: outcome %v, want served only before the window ends",
+					late, result.Outcome)
 			}
 		})
 	}
 }
 
-// A connection comes up after the request's end, where attempts can't be cancelled: nothing is sent any more.
+// If a connection is established after the request has ended, the attempt is not sent, even without the capability to
+// cancel attempts.
 func TestConnectionAfterRequestEnd(t *testing.T) {
 	for name, end := range map[string]lateConnectionTest{
-		"the client has left": func(_ *testing.T, e *Engine, r *Request, _ <-chan *dialedAttempt) {
+		"client has left": func(_ *testing.T, e *Engine, r *Request, _ <-chan *dialedAttempt) {
 			e.Post(func() { e.ClientGone(r) })
 		},
-		"its hedge was served": func(t *testing.T, _ *Engine, _ *Request, dialed <-chan *dialedAttempt) {
+		"hedged request was served": func(t *testing.T, _ *Engine, _ *Request, dialed <-chan *dialedAttempt) {
 			if d := <-dialed; !d.connect(decision.OK) {
-				t.Error("the hedge is not sent")
+				t.Error("the hedged request was not sent")
 			}
 		},
-		"its deadline is past": func(t *testing.T, _ *Engine, _ *Request, dialed <-chan *dialedAttempt) {
+		"deadline has passed": func(t *testing.T, _ *Engine, _ *Request, dialed <-chan *dialedAttempt) {
 			d := <-dialed
 			time.Sleep(3 * time.Second)
 			if d.connect(decision.OK) {
-				t.Error("the hedge is sent")
+				t.Error("the hedged request was sent after the deadline")
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			class := decision.Class{Idempotency: decision.Idempotent}
-			lateConnections(t, class, true, func(t *testing.T, e *Engine, r *Request, dialed <-chan *dialedAttempt) {
+			runLateConnectionTest(t, class, true, func(t *testing.T, e *Engine, r *Request, dialed <-chan *dialedAttempt) {
 				first := <-dialed
 				end(t, e, r, dialed)
 				<-r.Result()
 				if first.connect(decision.OK) {
-					t.Error("it is sent")
+					t.Error("the first attempt was sent after the request had ended")
 				}
 				synctest.Wait()
 				select {
 				case result := <-r.Result():
-					t.Errorf("a second result: %v", result.Outcome)
+					t.Errorf("second result with outcome %v, want only one result", result.Outcome)
 				default:
 				}
 			})
@@ -208,33 +215,33 @@
 	}
 }
 
-// Of a request that is not idempotent only one attempt is sent until that is proved not to have run.
+// For a request that is not idempotent, a second attempt is sent only after the first one is known not to have run.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	var g sendGuard
-	if _, ok := g.begin(0, 1, retryWindow(decision.Class{})); !ok {
-		t.Fatal("the first is not sent")
+	if _, ok := g.startSend(0, 1, retryWindow(decision.Class{})); !ok {
+		t.Fatal("startSend(attempt 0) = false, want true for the first attempt")
 	}
-	if _, ok := g.begin(0, 2, 0); !ok {
-		t.Error("nor on another connection, when nothing had been written")
+	if _, ok := g.startSend(0, 2, 0); !ok {
+		t.Error("startSend(attempt 0) = false on a second connection, want true for the same attempt")
 	}
-	if _, ok := g.begin(1, 3, 0); ok {
-		t.Error("a second is sent beside it")
+	if _, ok := g.startSend(1, 3, 0); ok {
+		t.Error("startSend(attempt 1) = true while attempt 0 is in flight, want false")
 	}
 	g.attemptEnded(0, decision.Reset)
-	if _, ok := g.begin(1, 4, 0); ok {
-		t.Error("a second is sent after a reset")
+	if _, ok := g.startSend(1, 4, 0); ok {
+		t.Error("startSend(attempt 1) = true after attempt 0 ended as Reset, want false")
 	}
 	g.attemptEnded(0, decision.ConnectFailed)
-	if _, ok := g.begin(1, 5, 0); !ok {
-		t.Error("a second is not sent though the first never ran")
+	if _, ok := g.startSend(1, 5, 0); !ok {
+		t.Error("startSend(attempt 1) = false after attempt 0 ended as ConnectFailed, want true")
 	}
 	idempotent := decision.Class{Idempotency: decision.Idempotent, DeduplicationWindow: time.Second}
 	if got := retryWindow(idempotent); got != math.MaxInt64 {
-		t.Errorf("an idempotent class may be retried for %v", got)
+		t.Errorf("retryWindow of an idempotent class = %v, want %v (unlimited)", got, unlimitedRetryWindow)
 	}
 }
 
-// A request whose deadline is past, or is now, is not sent and gets its one result at once.
+// A request whose deadline has passed when it is submitted is not sent and gets its only result at once.
 func TestRequestPastItsDeadline(t *testing.T) {
 	for _, left := range []time.Duration{-time.Hour, -time.Second, 0} {
 		e := testEngine(t)
@@ -245,13 +252,15 @@
 		select {
 		case result := <-r.Result():
 			if result.Outcome != Failed || !result.TimedOut || result.MayHaveRun {
-				t.Errorf("%v left: %+v", left, result)
+				t.Errorf("submitted with %v to the deadline: outcome %v, TimedOut %v, MayHaveRun %v, want %v, true, false",
+					left, result.Outcome, result.TimedOut, result.MayHaveRun, Failed)
 			}
 		default:
-			t.Errorf("%v left: no result", left)
+			t.Errorf("submitted with %v to the deadline: no result after Submit", left)
 		}
 		if len(r.attempts) != 0 || len(e.requests) != 0 {
-			t.Errorf("%v left: %d attempts, %d requests held", left, len(r.attempts), len(e.requests))
+			t.Errorf("submitted with %v to the deadline: %d attempts, %d requests held, want none",
+				left, len(r.attempts), len(e.requests))
 		}
 	}
 }
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -10,7 +10,7 @@
 	"lapisspread/decision"
 )
 
-// fetchOnlySource delivers nothing by its watch; fetch is what its Fetch does.
+// fetchOnlySource is a source whose watch never delivers a list and whose Fetch calls fetch.
 type fetchOnlySource struct {
 	stuckUpstream
 	fetch func(ctx context.Context) (EndpointList, error)
@@ -18,7 +18,7 @@
 
 func (s fetchOnlySource) Fetch(ctx context.Context) (EndpointList, error) { return s.fetch(ctx) }
 
-// servingUpstream serves each attempt and records the backend that it was made at.
+// servingUpstream serves each attempt and records the backend that the attempt was sent to.
 type servingUpstream struct {
 	stuckUpstream
 	sent chan decision.BackendID
@@ -35,9 +35,9 @@
 	return decision.OK, nil
 }
 
-// A process that stood still (SIGSTOP, no processor) has a request waiting, and beside it the change that its backend
-// drains. The change goes first. Where no list is to be had, or discovery is polled, the request is sent all the same,
-// and soon.
+// After the event loop has stalled (SIGSTOP, no CPU time), a request and a list that drains its backend have both
+// arrived. The list must be applied before the request is sent. If no list can be fetched, or discovery is polled, the
+// request is still sent, without a long delay.
 func TestEndpointsGoBeforeRequestsAfterStall(t *testing.T) {
 	endpoint := func(id string, s decision.BackendState) Endpoint {
 		return Endpoint{ID: id, Addr: id + ":1", State: s, Weight: 1}
@@ -48,32 +48,32 @@
 		endpoint("b", decision.Ready),
 	}}
 	for name, c := range map[string]struct {
-		stall  time.Duration
-		polled bool
+		stall  time.Duration // how long the loop is blocked
+		polled bool          // whether discovery is polled
 		fetch  func(ctx context.Context) (EndpointList, error)
-		want   string
+		want   string // backend that must get the request
 	}{
-		"a change": {time.Second, false, func(context.Context) (EndpointList, error) {
+		"list drains the backend": {time.Second, false, func(context.Context) (EndpointList, error) {
 			return drained, nil
 		}, "b"},
-		"a silent source": {time.Second, false, func(ctx context.Context) (EndpointList, error) {
+		"source does not respond": {time.Second, false, func(ctx context.Context) (EndpointList, error) {
 			<-ctx.Done()
 			return EndpointList{}, ctx.Err()
 		}, "a"},
-		"no source": {time.Second, false, func(context.Context) (EndpointList, error) {
+		"source fails": {time.Second, false, func(context.Context) (EndpointList, error) {
 			return EndpointList{}, errors.New("refused")
 		}, "a"},
-		"an older list": {time.Second, false, func(context.Context) (EndpointList, error) {
+		"fetched list is older": {time.Second, false, func(context.Context) (EndpointList, error) {
 			older := drained
 			older.Version = 0
 			return older, nil
 		}, "a"},
 		"polled discovery": {time.Second, true, func(context.Context) (EndpointList, error) {
-			t.Error("the list is fetched")
+			t.Error("the list was fetched, want no fetch with polled discovery")
 			return drained, nil
 		}, "a"},
-		"no stall": {20 * time.Millisecond, false, func(context.Context) (EndpointList, error) {
-			t.Error("the list is fetched")
+		"stall too short": {20 * time.Millisecond, false, func(context.Context) (EndpointList, error) {
+			t.Error("the list was fetched, want no fetch after a stall of 20 ms")
 			return drained, nil
 		}, "a"},
 	} {
@@ -92,7 +92,7 @@
 					Source:           fetchOnlySource{fetch: c.fetch},
 				})
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("New failed: %v", err)
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				ended := make(chan struct{})
@@ -102,22 +102,22 @@
 				}()
 				time.Sleep(time.Second)
 				r := testRequest(e)
-				stopped := make(chan struct{})
+				stallStarted := make(chan struct{})
 				e.Post(func() {
-					close(stopped)
+					close(stallStarted)
 					time.Sleep(c.stall)
 				})
-				<-stopped
+				<-stallStarted
 				e.Post(func() { e.Submit(r) })
-				woken := time.Now().Add(c.stall)
-				if a := <-r.Result(); a.Outcome != Served {
-					t.Errorf("ended as %v", a.Outcome)
+				stallEnd := time.Now().Add(c.stall)
+				if got := <-r.Result(); got.Outcome != Served {
+					t.Errorf("outcome = %v, want %v", got.Outcome, Served)
 				}
 				if to := <-up.sent; to != BackendID(c.want) {
-					t.Errorf("sent to the wrong backend, want %s", c.want)
+					t.Errorf("request sent to backend ID %d, want %d (%s)", to, BackendID(c.want), c.want)
 				}
-				if late := time.Since(woken); late > cfg.Constraints.DrainGrace/2 {
-					t.Errorf("held up for %v", late)
+				if delay := time.Since(stallEnd); delay > cfg.Constraints.DrainGrace/2 {
+					t.Errorf("request ended %v after the stall, want at most %v", delay, cfg.Constraints.DrainGrace/2)
 				}
 				cancel()
 				<-ended
--- a/internal/engine/timer.go
+++ b/internal/engine/timer.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// timer is an event that is due at a time of the engine's clock.
+// timer is an event that is due at a time on the engine's clock.
 type timer struct {
 	due      time.Duration
 	sequence uint64 // orders timers that are due at the same time
 	event    func()
-	index    int // in the heap; -1 once it is out of it
+	index    int // index in the heap; -1 once the timer was removed from it
 }
 
 // timerHeap is a heap.Interface whose first element is the timer that is due next.
@@ -48,7 +48,8 @@
 	return last
 }
 
-// startTimerAt has an event handled at a time, or as soon after it as the loop can.
+// startTimerAt schedules an event for a time. The loop handles it at that time or as soon as possible after it, and
+// never before.
 func (e *Engine) startTimerAt(due time.Duration, event func()) *timer {
 	e.timerSequence++
 	t := &timer{due: due, sequence: e.timerSequence, event: event}
@@ -56,14 +57,16 @@
 	return t
 }
 
-// stopTimer removes a timer that has not fired, and with it all that its event refers to; t may be nil.
+// stopTimer removes a timer that has not fired, so that the objects its event refers to can be garbage collected; t may
+// be nil.
 func (e *Engine) stopTimer(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&e.timers, t.index)
 	}
 }
 
-// fireTimers runs the timers that are due; those that they set wait for the next turn.
+// fireTimers handles the events of the timers that are due. Timers that these events set fire in the next iteration of
+// the loop at the earliest.
 func (e *Engine) fireTimers() {
 	now := e.clock.Now()
 	newest := e.timerSequence
--- a/internal/engine/upstream.go
+++ b/internal/engine/upstream.go
@@ -8,25 +8,27 @@
 	"lapisspread/decision"
 )
 
-// ErrAbandoned ends a Stream that nobody waits for any more: the client has left or the request is over.
-var ErrAbandoned = errors.New("nobody wants the answer any more")
+// ErrAbandoned is passed to Stream.End if the response is no longer needed because the client has left or the request
+// has ended.
+var ErrAbandoned = errors.New("response no longer needed: the client has left or the request has ended")
 
 // Upstream carries out attempts at the backends of a service.
 type Upstream interface {
-	// Update takes in an endpoint list, before the decision module does. The engine's goroutine calls it; it must not
-	// block.
+	// Update applies an endpoint list. The engine's goroutine calls it before the decision module gets the list; it must
+	// not block.
 	Update(EndpointList)
-	// Find returns the backend with an ID, nil if there is none. The engine's goroutine calls it; it must not block.
+	// Find returns the backend with an ID, or nil if there is none. The engine's goroutine calls it; it must not block.
 	Find(decision.BackendID) Backend
 	// Release closes a backend's idle connections. It may block.
 	Release(id decision.BackendID)
 }
 
-// Backend is one backend of an Upstream. Its methods are called from goroutines of their own and block until the
-// attempt is over or ctx ends; context.Cause is context.DeadlineExceeded on a timeout and context.Canceled otherwise.
+// Backend is one backend of an Upstream. Its methods are called from worker goroutines and block until the attempt or
+// the health check has ended or ctx ends; context.Cause is context.DeadlineExceeded on a timeout and context.Canceled
+// otherwise.
 type Backend interface {
-	// Exchange carries out one attempt and returns how it ended. With decision.OK it returns the response too, unless
-	// that was handed to Attempt.StartStream.
+	// Exchange carries out one attempt and returns its result. With decision.OK it also returns the response, unless the
+	// response was passed to Attempt.StartStream.
 	Exchange(ctx context.Context, a Attempt) (decision.Result, any)
 	// CheckHealth carries out one health check.
 	CheckHealth(ctx context.Context) decision.Result
@@ -35,19 +37,21 @@
 // Attempt is one attempt to send a request's message.
 type Attempt struct {
 	Message Message
-	// Timeout is how long the response is waited for; it is passed to the backend.
+	// Timeout is the time within which the response must arrive; it is passed to the backend.
 	Timeout time.Duration
-	// LeaseToken is the Permit's token, for the backend; empty is none.
+	// LeaseToken is the token of the attempt's Permit, which is sent to the backend; empty means none.
 	LeaseToken string
-	// StartStream takes a streamed response that has begun. It returns false if it is too late for it.
+	// StartStream takes over a streamed response whose first byte has arrived. It returns false if the attempt has
+	// already ended.
 	StartStream func(Stream) bool
-	// MaySend is called just before the first byte is sent, on each connection that is tried: whether the attempt may
-	// still be made, and unless by is zero, until when its last byte may be sent. It guards against an attempt whose
-	// connection comes up after the request has ended or the retry window is over. nil allows all.
+	// MaySend is called on each connection that is tried, just before the first byte is sent. It reports whether the
+	// attempt may still be sent and, unless by is zero, the time until which its last byte may be sent. It prevents a
+	// send on a connection that is established after the request or the retry window has ended. nil allows all sends.
 	MaySend func() (by time.Time, ok bool)
 }
 
-// SendAllowed calls MaySend. Backends call it right before they write.
+// SendAllowed calls MaySend, or allows the send without a limit if MaySend is nil. Backends call it right before they
+// write the request.
 func (a Attempt) SendAllowed() (by time.Time, ok bool) {
 	if a.MaySend == nil {
 		return time.Time{}, true
@@ -55,41 +59,43 @@
 	return a.MaySend()
 }
 
-// Message is a request as the front end and its Upstream know it; the engine hands it on.
+// Message is a request in the form that the front end and the Upstream share. The engine passes it on unread.
 type Message interface {
-	// Consumed reports whether the body has been read and can't be sent again: there can be no further attempt.
+	// Consumed reports whether the body has been read and can't be sent again, so that no further attempt is possible.
 	Consumed() bool
 }
 
-// Stream is a response whose body is still on its way.
+// Stream is a response whose body is still being received.
 type Stream interface {
-	// End says how it went; a nil error is a complete response. Whoever holds the stream calls it once.
+	// End reports how the stream has ended: a nil error means that the response was delivered completely. The current
+	// owner of the stream must call it exactly once.
 	End(err error)
 }
 
 // Permit allows one attempt under a Quota.
 type Permit struct {
 	Token   string        // sent to the backend
-	Expires time.Duration // by the clock of the Quota
+	Expires time.Duration // on the clock of the Quota
 }
 
-// Quota is a limit beyond this process that attempts draw on. Its methods neither block nor allocate.
+// Quota limits attempts across processes. Its methods neither block nor allocate.
 type Quota interface {
 	// Acquire takes one unit for an attempt of a class and a tenant; first marks a request's first attempt. It returns
-	// false if the attempt must not be made. A unit that was taken is spent, whatever becomes of the attempt.
+	// false if the attempt must not be made. A unit that was taken is used up, whatever the
+	// attempt's result.
 	Acquire(class, tenant int, first bool) (Permit, bool)
-	// Expired is called just before the attempt is made and reports that the permit is not valid any more.
+	// Expired is called just before the attempt is made and reports whether the permit is no longer valid.
 	Expired(Permit) bool
 }
 
-// healthCheckClass is the class that stands for a health check in Freshness.CheckAttempt.
+// healthCheckClass is the class that is passed to Freshness.CheckAttempt for a health check.
 const healthCheckClass = -1
 
-// Freshness says how far the endpoint list may be trusted. Its methods neither block nor allocate.
+// Freshness decides whether the endpoint list is recent enough for an attempt. Its methods neither block nor allocate.
 type Freshness interface {
 	// CheckAttempt reports whether an attempt of a class may go to a backend now; a class below 0 is a health check,
-	// which always may. seen is to be passed to AttemptEnded.
-	CheckAttempt(to decision.BackendID, class int) (seen any, ok bool)
-	// AttemptEnded takes the result of an attempt or a health check. The goroutine that carried it out calls it.
-	AttemptEnded(seen any, result decision.Result)
+	// which always may. The caller passes check to AttemptEnded.
+	CheckAttempt(to decision.BackendID, class int) (check any, ok bool)
+	// AttemptEnded records the result of an attempt or a health check. The goroutine that carried it out calls it.
+	AttemptEnded(check any, result decision.Result)
 }
