--- a/internal/engine/enginetest/doc.go
+++ b/internal/engine/enginetest/doc.go
@@ -1,4 +1,5 @@
-// Package enginetest is a conformance kit for what an engine works with: any front end can be run against Frontend, any
-// upstream against Upstream, as connections are against golang.org/x/net/nettest. The kit causes what they must bear:
-// responses, cancels and deadlines that race, streams that break off, attempts that end after their request.
+// Package enginetest has conformance tests for the front ends and upstreams that an engine works with: Frontend tests a
+// front end and Upstream an upstream, as golang.org/x/net/nettest tests connections. The tests create the situations
+// that an implementation must handle: races between responses, cancels and deadlines, streams that break off, and
+// attempts that end after their request.
 package enginetest
--- a/internal/engine/enginetest/script.go
+++ b/internal/engine/enginetest/script.go
@@ -13,10 +13,10 @@
 	"lapisspread/internal/engine"
 )
 
-// stepTimeout is longer than any step of the kit takes on a machine that is merely busy.
+// stepTimeout is longer than any step of a test takes, even on a busy machine.
 const stepTimeout = 20 * time.Second
 
-// Classes are the request classes of the engines that the kit makes: "safe" is idempotent, "unsafe" is not.
+// Classes are the request classes of the engines that this package creates: "safe" is idempotent, "unsafe" is not.
 var Classes = []decision.Class{
 	{
 		Name: "safe", Idempotency: decision.Idempotent, PriorityWeight: 1, LateValueShare: 0.5,
@@ -28,7 +28,7 @@
 	},
 }
 
-// Config returns the settings of the engines that the kit makes.
+// Config returns the settings of the engines that this package creates.
 func Config() decision.Config {
 	return decision.Config{
 		Instances:        1,
@@ -59,30 +59,31 @@
 
 // Step is what a scripted backend does with one attempt.
 type Step struct {
-	Delay         time.Duration        // passes first
-	Result        decision.Result      // ends the attempt
-	Response      any                  // with decision.OK
-	Stream        func() engine.Stream // begins a streamed response instead; nil is none
-	IgnoresCancel bool                 // the attempt goes on after its context has ended
+	Delay         time.Duration        // time before the attempt ends or its stream starts
+	Result        decision.Result      // result of the attempt
+	Response      any                  // response, with the result decision.OK
+	Stream        func() engine.Stream // if set, makes a streamed response, used in place of Result and Response
+	IgnoresCancel bool                 // whether the attempt waits for Delay even after its context has ended
 }
 
-// Script is an upstream whose backends do what Next says. It is safe for concurrent use.
+// Script is an upstream whose backends handle each attempt by the Step that Next returns. It is safe for concurrent
+// use.
 type Script struct {
-	// Next returns what becomes of attempt n; attempts count from 0.
+	// Next returns the step for attempt n; attempts count from 0. It may be called concurrently.
 	Next func(n int, a engine.Attempt) Step
 
 	mu       sync.Mutex
 	attempts int
 }
 
-// Attempts returns how many attempts there were.
+// Attempts returns the number of attempts so far.
 func (s *Script) Attempts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.attempts
 }
 
-// List names the script's backends.
+// List returns the full list of the script's backends.
 func (s *Script) List() engine.EndpointList {
 	return engine.EndpointList{Version: 1, Full: true, Endpoints: []engine.Endpoint{
 		{ID: "a", Addr: "127.0.0.1:1", State: decision.Ready, Weight: 1},
@@ -102,7 +103,7 @@
 // CheckHealth implements engine.Backend: every check passes.
 func (s *Script) CheckHealth(context.Context) decision.Result { return decision.OK }
 
-// Exchange implements engine.Backend by the next step.
+// Exchange implements engine.Backend. It carries out the step that Next returns for the attempt.
 func (s *Script) Exchange(ctx context.Context, a engine.Attempt) (decision.Result, any) {
 	s.mu.Lock()
 	n := s.attempts
@@ -118,7 +119,7 @@
 			<-timer.C
 			break
 		}
-		return resultOfEnd(ctx), nil
+		return endedContextResult(ctx), nil
 	}
 	if step.Stream != nil {
 		return stream(ctx, a, step.Stream()), nil
@@ -126,21 +127,22 @@
 	return step.Result, step.Response
 }
 
-// stream passes a streamed response on until the attempt's context ends. A response that came too late is no success:
-// the engine would take it for a complete one without a body.
+// stream passes a streamed response to the engine and blocks until the attempt's context ends. If the engine refuses
+// the stream because it came too late, the result is not decision.OK: the engine would take that for a complete
+// response without a body.
 func stream(ctx context.Context, a engine.Attempt, s engine.Stream) decision.Result {
 	if !a.StartStream(s) {
 		return decision.Cancelled
 	}
 	<-ctx.Done()
-	if result := resultOfEnd(ctx); result == decision.Timeout {
+	if result := endedContextResult(ctx); result == decision.Timeout {
 		return result
 	}
 	return decision.OK
 }
 
-// resultOfEnd is the result of an attempt whose context has ended.
-func resultOfEnd(ctx context.Context) decision.Result {
+// endedContextResult returns the result of an attempt whose context has ended.
+func endedContextResult(ctx context.Context) decision.Result {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return decision.Timeout
 	}
@@ -168,7 +170,7 @@
 	return ctx.Err()
 }
 
-// Start runs an engine with an upstream until the test ends.
+// Start creates an engine with an upstream and an endpoint list, and runs it until the test ends.
 func Start(t *testing.T, up engine.Upstream, list engine.EndpointList) *engine.Engine {
 	t.Helper()
 	e, err := engine.New(engine.Options{
@@ -180,7 +182,7 @@
 		Log:              slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("engine.New failed: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -193,16 +195,17 @@
 		select {
 		case <-ended:
 		case <-time.After(stepTimeout):
-			t.Error("the engine does not end")
+			t.Errorf("Engine.Run did not return within %v after its context ended", stepTimeout)
 		}
 	})
 	return e
 }
 
-// errBrokeOff is how a body of BodyReader that breaks off ends.
+// errBrokeOff is the error at the end of a broken body of BodyReader.
 var errBrokeOff = errors.New("the server broke off")
 
-// BodyReader returns a reader of a body; if broken is set, it returns half of the body and then an error.
+// BodyReader returns a reader of a body. If broken is set, the reader returns the first half of the body and then an
+// error.
 func BodyReader(body []byte, broken bool) io.Reader {
 	if !broken {
 		return &bodyReader{rest: body, end: io.EOF}
@@ -210,6 +213,7 @@
 	return &bodyReader{rest: body[:len(body)/2], end: errBrokeOff}
 }
 
+// bodyReader returns rest and then the error end.
 type bodyReader struct {
 	rest []byte
 	end  error
--- a/internal/engine/enginetest/script_test.go
+++ b/internal/engine/enginetest/script_test.go
@@ -8,22 +8,24 @@
 	"lapisspread/internal/engine"
 )
 
+// endedStream is a stream that ignores its end.
 type endedStream struct{}
 
 func (endedStream) End(error) {}
 
-// A streamed response that comes too late is no success: a front end would answer it as complete and empty.
+// A streamed response that comes too late must not end with decision.OK: a front end would answer it as a complete and
+// empty response.
 func TestLateStreamIsNoSuccess(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		started bool // the engine takes the stream at first
-		cause   error
+		started bool  // result of StartStream: whether the engine takes the stream
+		cause   error // cause with which the attempt's context ends
 		want    decision.Result
 	}{
-		{"refused after the timeout", false, context.DeadlineExceeded, decision.Cancelled},
-		{"refused after a cancel", false, context.Canceled, decision.Cancelled},
-		{"timed out before the engine took it", true, context.DeadlineExceeded, decision.Timeout},
-		{"taken to its end", true, context.Canceled, decision.OK},
+		{"stream refused after the timeout", false, context.DeadlineExceeded, decision.Cancelled},
+		{"stream refused after a cancel", false, context.Canceled, decision.Cancelled},
+		{"stream accepted, attempt timed out", true, context.DeadlineExceeded, decision.Timeout},
+		{"stream accepted and delivered", true, context.Canceled, decision.OK},
 	} {
 		script := &Script{Next: func(int, engine.Attempt) Step {
 			return Step{Stream: func() engine.Stream { return endedStream{} }}
@@ -34,7 +36,7 @@
 			return tt.started
 		}}
 		if got, _ := script.Exchange(ctx, attempt); got != tt.want {
-			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
+			t.Errorf("%s: Exchange result = %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
--- a/internal/engine/enginetest/upstream.go
+++ b/internal/engine/enginetest/upstream.go
@@ -11,38 +11,38 @@
 	"lapisspread/internal/engine"
 )
 
-// Behaviour is what a backend of the protocol under test does.
+// Behaviour selects how a test backend of the upstream's protocol responds.
 type Behaviour uint8
 
 // The behaviours.
 const (
 	Serves               Behaviour = iota // responds with "the answer"
 	ReturnsErrors                         // responds with an error
-	RejectsRequests                       // says that it has not run the request
+	RejectsRequests                       // responds that it has not run the request
 	RefusesConnections                    // accepts no connection
 	ClosesBeforeResponse                  // reads a whole request and closes without a response
 	ClosesDuringResponse                  // sends a part of its response and closes
 	SendsGarbage                          // sends a response that cannot be read
 	Stalls                                // reads a request and sends nothing
-	ServesSlowly                          // responds after some 20 ms
-	SendsTrailingBytes                    // sends bytes behind its response that belong to nobody
+	ServesSlowly                          // responds after about 20 ms
+	SendsTrailingBytes                    // sends extra bytes after its response that belong to no response
 )
 
 // Upstream is an upstream under test.
 type Upstream struct {
-	// Start runs one backend that behaves so until the test ends and returns an upstream with the list that names it,
-	// as "a".
+	// Start runs one backend with a behaviour until the test ends. It returns an upstream and the endpoint list with
+	// that backend, under the name "a".
 	Start func(t *testing.T, b Behaviour) (engine.Upstream, engine.EndpointList)
-	// Message makes a message for an attempt.
+	// Message returns a new message for an attempt.
 	Message func() engine.Message
-	// SharesConnections says that many requests share a connection: one that broke may be down for a while, and
-	// attempts at it never run meanwhile.
+	// SharesConnections reports that many requests share a connection. After the connection has broken it may be down
+	// for a while, and attempts fail to connect during that time.
 	SharesConnections bool
 	// Body returns the bytes of a response.
 	Body func(response any) []byte
 }
 
-// Test runs the upstream through all that it must distinguish, as subtests.
+// Test runs all conformance tests of the upstream as subtests.
 func (u Upstream) Test(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -60,25 +60,25 @@
 	} {
 		t.Run(c.name, func(t *testing.T) { u.testResult(t, c.behaviour, c.want) })
 	}
-	t.Run("a timeout is told from a cancel", u.testTimeoutAndCancel)
+	t.Run("timeout differs from cancel", u.testTimeoutAndCancel)
 	t.Run("cancels race responses", u.testCancelsRaceResponses)
-	t.Run("a backend that drains or is gone gets nothing new", u.testDraining)
-	t.Run("an attempt that may not be made any more is not sent", u.testMaySend)
+	t.Run("draining or removed backend gets no new attempt", u.testDraining)
+	t.Run("attempt that MaySend forbids is not sent", u.testMaySend)
 	t.Run("release", u.testRelease)
 }
 
-// testResult makes several attempts, so that the later ones find what is left of the first one's connection.
+// testResult makes three attempts, so that the later ones may reuse the connection of the first one.
 func (u Upstream) testResult(t *testing.T, behaviour Behaviour, want []decision.Result) {
 	up, list := u.Start(t, behaviour)
 	up.Update(list)
 	for n := range 3 {
 		got, response := u.attempt(context.Background(), t, up)
-		down := n > 0 && u.SharesConnections && got == decision.ConnectFailed
-		if !slices.Contains(want, got) && !down {
-			t.Fatalf("attempt %d: %v, want one of %v", n, got, want)
+		connectionDown := n > 0 && u.SharesConnections && got == decision.ConnectFailed
+		if !slices.Contains(want, got) && !connectionDown {
+			t.Fatalf("attempt %d: result %v, want one of %v", n, got, want)
 		}
 		if got == decision.OK && string(u.Body(response)) != "the answer" {
-			t.Errorf("attempt %d: the response is %q", n, u.Body(response))
+			t.Errorf("attempt %d: response body %q, want %q", n, u.Body(response), "the answer")
 		}
 	}
 }
@@ -89,12 +89,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if got, _ := u.attempt(ctx, t, up); got != decision.Timeout {
-		t.Errorf("timeout: %v", got)
+		t.Errorf("attempt at a stalled backend, context timed out: result %v, want %v", got, decision.Timeout)
 	}
 	ctx, cancel = context.WithCancel(context.Background())
 	time.AfterFunc(time.Second, cancel)
 	if got, _ := u.attempt(ctx, t, up); got != decision.Cancelled {
-		t.Errorf("cancel: %v", got)
+		t.Errorf("attempt at a stalled backend, context cancelled: result %v, want %v", got, decision.Cancelled)
 	}
 }
 
@@ -108,10 +108,12 @@
 			time.AfterFunc(10*time.Millisecond+time.Duration(i)*time.Millisecond/2, cancel)
 			got, response := u.attempt(ctx, t, up)
 			if got != decision.Cancelled && got != decision.OK && !got.NeverRan() {
-				t.Errorf("%v", got)
+				t.Errorf("attempt %d, cancelled during the response: result %v, want %v, %v or one that never ran",
+					i, got, decision.Cancelled, decision.OK)
 			}
 			if got == decision.OK && string(u.Body(response)) != "the answer" {
-				t.Errorf("the response is %q", u.Body(response))
+				t.Errorf("attempt %d, cancelled during the response: response body %q, want %q",
+					i, u.Body(response), "the answer")
 			}
 		})
 	}
@@ -122,49 +124,53 @@
 	up, list := u.Start(t, Serves)
 	up.Update(list)
 	id := engine.BackendID("a")
-	held := up.Find(id)
+	earlier := up.Find(id) // found before the backend drains
 	if got, _ := u.attempt(context.Background(), t, up); got != decision.OK {
-		t.Fatalf("before: %v", got)
+		t.Fatalf("attempt at the ready backend: result %v, want %v", got, decision.OK)
 	}
 	attempt := func() engine.Attempt { return engine.Attempt{Message: u.Message(), Timeout: time.Second} }
 	draining := list.Endpoints[0]
 	draining.State = decision.Draining
 	up.Update(engine.EndpointList{Version: 2, Endpoints: []engine.Endpoint{draining}})
-	for name, backend := range map[string]engine.Backend{"found again": up.Find(id), "held from before": held} {
+	for name, backend := range map[string]engine.Backend{
+		"found after the update":  up.Find(id),
+		"found before the update": earlier,
+	} {
 		if got, _ := backend.Exchange(context.Background(), attempt()); !got.NeverRan() {
-			t.Errorf("%s, of a draining backend: %v", name, got)
+			t.Errorf("attempt at a draining backend, %s: result %v, want one that never ran", name, got)
 		}
 	}
 	up.Update(engine.EndpointList{Version: 3, Full: true})
 	if up.Find(id) != nil {
-		t.Error("a backend that is gone is still found")
+		t.Error("Find returned a removed backend, want nil")
 	}
-	if got, _ := held.Exchange(context.Background(), attempt()); !got.NeverRan() {
-		t.Errorf("a backend that is gone: %v", got)
+	if got, _ := earlier.Exchange(context.Background(), attempt()); !got.NeverRan() {
+		t.Errorf("attempt at a removed backend, found before: result %v, want one that never ran", got)
 	}
 }
 
 func (u Upstream) testMaySend(t *testing.T) {
 	up, list := u.Start(t, Serves)
 	up.Update(list)
-	for _, connection := range []string{"a new connection", "one that is there"} {
-		asked := 0
+	for _, connection := range []string{"a new connection", "an existing connection"} {
+		calls := 0
 		attempt := engine.Attempt{
 			Message: u.Message(),
 			Timeout: stepTimeout,
 			MaySend: func() (time.Time, bool) {
-				asked++
+				calls++
 				return time.Time{}, false
 			},
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 		got, _ := up.Find(engine.BackendID("a")).Exchange(ctx, attempt)
 		cancel()
-		if !got.NeverRan() || asked == 0 {
-			t.Errorf("%s: %v, asked %d times", connection, got, asked)
+		if !got.NeverRan() || calls == 0 {
+			t.Errorf("attempt on %s, forbidden by MaySend: result %v after %d calls of MaySend, "+
+				"want one that never ran and at least 1 call", connection, got, calls)
 		}
 		if got, _ := u.attempt(context.Background(), t, up); got != decision.OK {
-			t.Errorf("%s: the next one ends as %v", connection, got)
+			t.Errorf("attempt after a forbidden one on %s: result %v, want %v", connection, got, decision.OK)
 		}
 	}
 }
@@ -175,7 +181,7 @@
 	up.Release(engine.BackendID("a"))
 	up.Release(engine.BackendID("none"))
 	if got, _ := u.attempt(context.Background(), t, up); got != decision.OK {
-		t.Errorf("afterwards: %v", got)
+		t.Errorf("attempt after Release: result %v, want %v", got, decision.OK)
 	}
 }
 
@@ -186,7 +192,7 @@
 	defer cancel()
 	backend := up.Find(engine.BackendID("a"))
 	if backend == nil {
-		t.Error("the backend is not found")
+		t.Error(`Find(BackendID("a")) = nil, want the backend`)
 		return decision.NotSent, nil
 	}
 	return backend.Exchange(ctx, engine.Attempt{
