--- a/cmd/simadapter/frozen_test.go
+++ b/cmd/simadapter/frozen_test.go
@@ -155,7 +155,7 @@
 		case 5: // notify_me: delay, token
 			d.schedule(max(float(body), 0), instance, encode(7, le.Uint64(body[8:])))
 			size = 16
-		case 8: // signal
+		case 8: // signal: goes to the other instance, as the instances are 3 and 5
 			n := le.Uint16(body[4:])
 			d.schedule(2, 8-instance, encode(9, instance, n, string(body[6:6+n])))
 			size = 6 + int(n)
@@ -165,7 +165,7 @@
 			size = 1
 		case 12: // resolve
 			d.schedule(3+d.rng.Float64()*5, instance, d.endpointList(1+d.rng.IntN(4)%3))
-		case 13:
+		case 13: // on_behalf
 			instance = le.Uint16(body)
 			size = 2
 		default:
@@ -239,17 +239,18 @@
 func (d *sessionDriver) addRequest(instance uint16) {
 	d.lastID++
 	id := d.lastID
-	bits, class := d.rng.IntN(4), d.rng.IntN(3)
+	flags, class := d.rng.IntN(4), d.rng.IntN(3)
 	timeout := []float64{500, 900, 300}[class]
 	work := 2 + d.rng.ExpFloat64()*8
 	key := d.rng.Uint64()
 	tenant := uint32(d.rng.IntN(2))
-	d.addRecord(instance, encode(3, id, work, d.now+timeout, bits, class, key, tenant))
+	d.addRecord(instance, encode(3, id, work, d.now+timeout, flags, class, key, tenant))
 	if d.rng.IntN(25) == 0 {
 		d.schedule(d.rng.Float64()*60, instance, encode(6, id))
 	}
 }
 
+// sessionSettings are the settings of both instances. Its verbs are for the rank and the kind of discovery.
 const sessionSettings = "Balancers=2\nZone=0\nTick=5\nRank=%d\nWeights=live\nWorthBy=work\nOverShareWorth=0.5\n" +
 	"Extra.WarmKeys=true\n" +
 	"Clients.MarksRetry=true\nDiscovery=%s\nGoal.Whole=1\nGoal.WorstClass=0.5\nGoal.WorstTenant=0.25\n" +
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -15,8 +15,8 @@
 	startedAt time.Duration
 	permit    Permit
 	ctx       context.Context
-	stop      context.CancelCauseFunc
-	timeout   *time.Timer // nil while the request's body is being uploaded
+	stop      context.CancelCauseFunc // cancels ctx
+	timeout   *time.Timer             // nil while the request's body is being uploaded
 
 	ended  bool
 	result decision.Result // valid once ended is set
@@ -78,7 +78,7 @@
 // attemptEnd returns when an attempt times out, given the time until that the decision module has set for it.
 func (r *Request) attemptEnd(now, until time.Duration) time.Duration {
 	switch {
-	case r.Uploading(): // sent to the backend; the attempt's own timeout is set once the body is complete
+	case r.Uploading(): // only the timeout sent to the backend; the engine sets its own once the body is complete
 		return now + r.Timeout
 	case until <= 0 || until > r.Deadline:
 		return r.Deadline
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -49,18 +49,19 @@
 
 func (message) Consumed() bool { return false }
 
+// testConfig returns settings with two classes: class 0 is idempotent, class 1 is not.
 func testConfig() decision.Config {
 	class := decision.Class{LatencyObjective: 8 * time.Second, ClientTimeout: 20 * time.Second, PriorityWeight: 1}
-	fetch := class
-	fetch.Name = "fetch"
-	fetch.Idempotency = decision.Idempotent
-	handIn := class
-	handIn.Name = "hand-in"
+	idempotent := class
+	idempotent.Name = "fetch"
+	idempotent.Idempotency = decision.Idempotent
+	nonIdempotent := class
+	nonIdempotent.Name = "hand-in"
 	return decision.Config{
 		Instances:        1,
 		Tick:             5 * time.Millisecond,
 		ObjectiveWeights: decision.ObjectiveWeights{Overall: 1},
-		Classes:          []decision.Class{fetch, handIn},
+		Classes:          []decision.Class{idempotent, nonIdempotent},
 		Capabilities: decision.Capabilities{
 			Cancel:                true,
 			RetryAfter:            true,
@@ -127,7 +128,8 @@
 		e.ClientGone(r)
 	})
 	if len(r.result) != 0 || len(e.requests) != 0 {
-		t.Errorf("after the result was read: %d further results, %d requests held, want none", len(r.result), len(e.requests))
+		t.Errorf("after Reject, Fail and ClientGone of an ended request: %d further results, %d requests held, want none",
+			len(r.result), len(e.requests))
 	}
 }
 
--- a/internal/engine/healthcheck.go
+++ b/internal/engine/healthcheck.go
@@ -37,7 +37,7 @@
 	if e.opts.Freshness == nil {
 		return backend.CheckHealth(ctx)
 	}
-	check, _ := e.opts.Freshness.CheckAttempt(id, healthCheckClass) // ignored result: a health check is always allowed
+	check, _ := e.opts.Freshness.CheckAttempt(id, healthCheckClass) // ok is ignored: a health check is always allowed
 	result := backend.CheckHealth(ctx)
 	e.opts.Freshness.AttemptEnded(check, result)
 	return result
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -30,13 +30,14 @@
 }
 
 // host implements decision.Host: it carries out the decision module's actions. None of its methods blocks, and their
-// results are reported by later events. Methods for attempts, health checks and endpoints are in the files for these.
+// results are reported by later events. The methods for attempts, health checks and endpoints are in
+// attempt.go, healthcheck.go and endpoints.go.
 type host struct{ *Engine }
 
 var _ decision.Host = host{}
 
 // Reject ends a request that did not run, so that the client may safely repeat it. retryAfter is passed to the client;
-// 0 means that the client gets no such delay.
+// 0 means no delay.
 func (h host) Reject(id decision.RequestID, retryAfter time.Duration) {
 	if r := h.requests[id]; r != nil {
 		h.complete(r, Result{Outcome: Rejected, RetryAfter: retryAfter})
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -20,11 +20,11 @@
 	Log              *slog.Logger // nil discards all log lines
 
 	// AllowRetry is called before each attempt except a request's first one, and reports whether the attempt may be
-	// made; nil allows all.
+	// made; nil allows all retries.
 	AllowRetry func() bool
-	// Quota is called before each attempt; nil allows all.
+	// Quota is called before each attempt and may forbid it; nil allows all attempts.
 	Quota Quota
-	// Freshness is called before each attempt; nil allows all.
+	// Freshness is called before each attempt and may forbid it; nil allows all attempts.
 	Freshness Freshness
 	// Detached returns the names of the backends that an operator has detached; nil means none.
 	Detached func() []string
--- a/internal/engine/race_test.go
+++ b/internal/engine/race_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// When the client leaves at almost the same time as its attempt fails, no further attempt is started after both events,
-// in either order.
+// If the client leaves at almost the same time as its attempt fails, no further attempt is started after the second of
+// these events, whichever comes first.
 func TestNoAttemptAfterClientGone(t *testing.T) {
 	leave := func(e *Engine, r *Request) { e.ClientGone(r) }
 	fail := func(e *Engine, r *Request) { e.attemptEnded(r, 0, decision.ConnectFailed, nil) }
@@ -79,7 +79,7 @@
 			sent := len(r.attempts)
 			e.handle(func() { order[1](e, r) })
 			if len(r.attempts) > sent {
-				t.Errorf("%d attempts after the second event, want %d as before it", len(r.attempts), sent)
+				t.Errorf("%d attempts started after both events, want %d as after the first event", len(r.attempts), sent)
 			}
 			for i, a := range r.attempts {
 				if a.ctx.Err() == nil {
--- a/internal/engine/sendguard.go
+++ b/internal/engine/sendguard.go
@@ -11,8 +11,8 @@
 // unlimitedRetryWindow is the retry window of a class whose attempts may be sent at any time.
 const unlimitedRetryWindow time.Duration = math.MaxInt64
 
-// retryWindow returns for how long after an attempt that may have run another attempt of the request may be sent; 0
-// means that it must never be sent.
+// retryWindow returns how long a retry is allowed: the time, counted from when an attempt that may have run was sent,
+// during which another attempt of the same request may be sent. 0 means that no other attempt may be sent.
 func retryWindow(c decision.Class) time.Duration {
 	switch c.Idempotency {
 	case decision.Idempotent:
--- a/internal/engine/sendguard_test.go
+++ b/internal/engine/sendguard_test.go
@@ -18,20 +18,20 @@
 
 // dialedAttempt is an attempt that waits for its connection.
 type dialedAttempt struct {
-	attempt Attempt
-	up      chan decision.Result // establishes the connection; if the attempt is sent, it ends with this result
-	sent    chan bool            // reports whether the attempt was sent
-	by      time.Time            // the time until which the attempt may be sent; zero is no limit
+	attempt   Attempt
+	connected chan decision.Result // establishes the connection; if the attempt is sent, it ends with this result
+	sent      chan bool            // reports whether the attempt was sent
+	sendBy    time.Time            // the time until which the attempt may be sent; zero is no limit
 }
 
 func (u *slowUpstream) Find(decision.BackendID) Backend { return u }
 
 func (u *slowUpstream) Exchange(_ context.Context, a Attempt) (decision.Result, any) {
-	d := &dialedAttempt{attempt: a, up: make(chan decision.Result), sent: make(chan bool, 1)}
+	d := &dialedAttempt{attempt: a, connected: make(chan decision.Result), sent: make(chan bool, 1)}
 	u.dialed <- d
-	result := <-d.up
+	result := <-d.connected
 	by, ok := a.SendAllowed()
-	d.by = by
+	d.sendBy = by
 	d.sent <- ok
 	if !ok {
 		return decision.NotSent, nil
@@ -41,7 +41,7 @@
 
 // connect establishes the connection and reports whether the attempt was sent. If so, the attempt ends with result.
 func (d *dialedAttempt) connect(result decision.Result) bool {
-	d.up <- result
+	d.connected <- result
 	return <-d.sent
 }
 
@@ -120,8 +120,8 @@
 			runLateConnectionTest(t, c.class, false, func(t *testing.T, e *Engine, r *Request, dialed <-chan *dialedAttempt) {
 				first := <-dialed
 				time.Sleep(30 * time.Millisecond) // the window starts when the attempt is sent, not when it is ordered
-				if !first.connect(c.first) || !first.by.IsZero() {
-					t.Fatalf("first attempt was not sent, or has the send limit %v; want it sent without a limit", first.by)
+				if !first.connect(c.first) || !first.sendBy.IsZero() {
+					t.Fatalf("first attempt was not sent, or may be sent only until %v; want it sent without a limit", first.sendBy)
 				}
 				firstSentAt := e.Clock().Now()
 				second := <-dialed
@@ -132,8 +132,8 @@
 						e.Clock().Now()-firstSentAt, sent, c.sent)
 				}
 				want := e.Clock().Time(firstSentAt + shortWindow)
-				if sent && (second.by.IsZero() == c.limited || c.limited && !second.by.Equal(want)) {
-					t.Errorf("retry may be sent until %v, want %v if limited = %v, else no limit", second.by, want, c.limited)
+				if sent && (second.sendBy.IsZero() == c.limited || c.limited && !second.sendBy.Equal(want)) {
+					t.Errorf("retry may be sent until %v, want %v if limited = %v, else no limit", second.sendBy, want, c.limited)
 				}
 				connectedAt := time.Now()
 				if result := <-r.Result(); sent != (result.Outcome == Served) || time.Since(connectedAt) > 0 {
@@ -165,10 +165,10 @@
 				time.Sleep(time.Millisecond)
 			}
 			if sent := first.connect(decision.OK); sent == late {
-				t.Errorf("first attempt connected after the window = %v: sent = %v, want %v", late, sent, !late)
+				t.Errorf("first attempt, connected after the end of the window: %v; sent = %v, want %v", late, sent, !late)
 			}
 			if result := <-r.Result(); late == (result.Outcome == Served) {
-				t.Errorf("first attempt connected after the window = %v: outcome %v, want served only before the window ends",
+				t.Errorf("first attempt, connected after the end of the window: %v; outcome %v, want served only if false",
 					late, result.Outcome)
 			}
 		})
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -24,6 +24,7 @@
 	sent chan decision.BackendID
 }
 
+// servingBackend is one backend of a servingUpstream.
 type servingBackend struct {
 	servingUpstream
 	id decision.BackendID
@@ -48,10 +49,10 @@
 		endpoint("b", decision.Ready),
 	}}
 	for name, c := range map[string]struct {
-		stall  time.Duration // how long the loop is blocked
-		polled bool          // whether discovery is polled
-		fetch  func(ctx context.Context) (EndpointList, error)
-		want   string // backend that must get the request
+		stall  time.Duration                                   // how long the loop is blocked
+		polled bool                                            // whether discovery is polled
+		fetch  func(ctx context.Context) (EndpointList, error) // the source's Fetch
+		want   string                                          // backend that must get the request
 	}{
 		"list drains the backend": {time.Second, false, func(context.Context) (EndpointList, error) {
 			return drained, nil
@@ -111,7 +112,7 @@
 				e.Post(func() { e.Submit(r) })
 				stallEnd := time.Now().Add(c.stall)
 				if got := <-r.Result(); got.Outcome != Served {
-					t.Errorf("outcome = %v, want %v", got.Outcome, Served)
+					t.Errorf("outcome of the request after the stall = %v, want %v", got.Outcome, Served)
 				}
 				if to := <-up.sent; to != BackendID(c.want) {
 					t.Errorf("request sent to backend ID %d, want %d (%s)", to, BackendID(c.want), c.want)
--- a/internal/engine/upstream.go
+++ b/internal/engine/upstream.go
@@ -59,7 +59,8 @@
 	return a.MaySend()
 }
 
-// Message is a request in the form that the front end and the Upstream share. The engine passes it on unread.
+// Message is a request in the form that the front end and the Upstream share. The engine only passes it on
+// and calls Consumed.
 type Message interface {
 	// Consumed reports whether the body has been read and can't be sent again, so that no further attempt is possible.
 	Consumed() bool
@@ -80,9 +81,8 @@
 
 // Quota limits attempts across processes. Its methods neither block nor allocate.
 type Quota interface {
-	// Acquire takes one unit for an attempt of a class and a tenant; first marks a request's first attempt. It returns
-	// false if the attempt must not be made. A unit that was taken is used up, whatever the
-	// attempt's result.
+	// Acquire takes one unit for an attempt of a class and a tenant; first reports whether it is the request's first
+	// attempt. It returns false if the attempt must not be made. A unit is used up even if the attempt fails.
 	Acquire(class, tenant int, first bool) (Permit, bool)
 	// Expired is called just before the attempt is made and reports whether the permit is no longer valid.
 	Expired(Permit) bool
@@ -94,7 +94,7 @@
 // Freshness decides whether the endpoint list is recent enough for an attempt. Its methods neither block nor allocate.
 type Freshness interface {
 	// CheckAttempt reports whether an attempt of a class may go to a backend now; a class below 0 is a health check,
-	// which always may. The caller passes check to AttemptEnded.
+	// which is always allowed. The caller passes check, which identifies this call, to AttemptEnded.
 	CheckAttempt(to decision.BackendID, class int) (check any, ok bool)
 	// AttemptEnded records the result of an attempt or a health check. The goroutine that carried it out calls it.
 	AttemptEnded(check any, result decision.Result)
