--- a/internal/processquota/limiter/acquire.go
+++ b/internal/processquota/limiter/acquire.go
@@ -30,24 +30,24 @@
 	if available > 0 && r.Gate != nil {
 		if !r.Gate.Admits(l.pools.requests.InUse(r.Service), available, r.Class, r.Tenant) {
 			l.rejectionCounts(r.Service).PriorityReserve++
-			return "the service's remaining capacity is reserved for request classes of higher value, " +
-				"and for tenants below their share", 0
+			return "the last of the service's places are kept for what is worth more, " +
+				"and for tenants that hold less", 0
 		}
 	}
 	if !l.pools.requests.Acquire(now, r.Service, 1) {
 		l.rejectionCounts(r.Service).Capacity++
-		return "the service's share of this proxy's requests in flight is used up", 0
+		return "the service's share of this proxy is taken", 0
 	}
 	if !l.pools.bytes.Acquire(now, r.Service, r.Bytes) {
 		_ = l.pools.requests.Release(r.Service, 1) // cannot fail: the unit was acquired above
 		l.rejectionCounts(r.Service).Capacity++
-		return "the service's share of this proxy's memory for request bodies is used up", 0
+		return "the service's share of this proxy's bytes is taken", 0
 	}
 	if l.attempts != nil {
 		if ok, retryAfter := l.attempts.Acquire(now, r.Service); !ok {
 			l.release(r)
 			l.rejectionCounts(r.Service).Attempts++
-			return "the service's limit on attempts per second is reached", retryAfter
+			return "the service's attempts of this second are taken", retryAfter
 		}
 	}
 	if r.Gate != nil {
