--- a/internal/consensus/machine_test.go
+++ b/internal/consensus/machine_test.go
@@ -8,7 +8,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// numberList is a Machine: it appends each command's number, and replies with how many there are.
+// numberList is a Machine whose commands are 8-byte numbers. Apply appends the number and replies with the length of
+// the list.
 type numberList struct{ numbers []uint64 }
 
 func (l *numberList) Apply(_ uint64, command []byte) []byte {
@@ -32,10 +33,10 @@
 	return nil
 }
 
-// zeroCommand is a command of a numberList.
+// zeroCommand is the numberList command that appends 0.
 var zeroCommand = make([]byte, 8)
 
-// bootstrappedState is the store of a member of a new fleet.
+// bootstrappedState returns the contents of the store of a member of a new fleet.
 func bootstrappedState(members []uint64, storeID uint64) State {
 	return State{
 		Version:   StoreVersion{StoreID: storeID},
@@ -48,7 +49,7 @@
 	}
 }
 
-// applyBatch is what a store does with a batch. The old state stays as it was.
+// applyBatch returns the state of a store after it has written a batch. It does not modify the state passed in.
 func applyBatch(s State, b Batch) State {
 	s.Version.WriteSeq = b.WriteSeq
 	if b.HardState != nil {
--- a/internal/consensus/rollback_test.go
+++ b/internal/consensus/rollback_test.go
@@ -10,13 +10,13 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// calmSimulation runs three nodes without faults until one of them leads.
-func calmSimulation(t *testing.T, m mutations) (s *simulation, leader, follower, other *simulatedNode) {
+// newFaultFreeSimulation runs three nodes without faults until one of them leads and has applied a command.
+func newFaultFreeSimulation(t *testing.T, m mutations) (s *simulation, leader, follower, other *simulatedNode) {
 	t.Helper()
 	cryptotest.SetGlobalRandom(t, 1)
 	s = newSimulation(0, m)
-	s.calm = true
-	leader = s.leader()
+	s.faultsDisabled = true
+	leader = s.awaitLeader()
 	return s, leader, s.nodes[leader.id%3], s.nodes[(leader.id+1)%3]
 }
 
@@ -28,46 +28,49 @@
 	return slices.ContainsFunc(n.disk.Entries, func(e *pb.Entry) bool { return bytes.HasSuffix(e.GetData(), command) })
 }
 
-// A follower acknowledges an entry, its message is late, and its store is rolled back. No other node has
-// seen the message, so that all confirm the store. Then it arrives, and must not count: nobody but the leader holds
-// the entry.
+// A follower acknowledges an entry, the acknowledgement is delayed, and the follower's store is rolled back. No other
+// node has seen the acknowledgement, so all of them confirm the store. When it then arrives at the leader it must be
+// ignored, because the leader alone holds the entry.
 func TestLateReplyOfFormerIncarnationIsIgnored(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		mutations mutations
-		wrong     bool
-	}{{"guarded", mutations{}, false}, {"mutated", mutations{acceptFormerIncarnations: true}, true}} {
+		name        string
+		mutations   mutations
+		wantApplied bool
+	}{
+		{"late message ignored", mutations{}, false},
+		{"guard disabled", mutations{acceptFormerIncarnations: true}, true},
+	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, leader, follower, other := calmSimulation(t, c.mutations)
-			before := follower.disk
+			s, leader, follower, other := newFaultFreeSimulation(t, c.mutations)
+			oldDisk := follower.disk
 			command := []byte("12345678")
 			if err := leader.core.Propose(1<<40, command); err != nil {
-				t.Fatal(err)
+				t.Fatalf("Propose at the leader = %v, want nil", err)
 			}
-			// Entries reach nobody but the follower, and its messages are held up.
-			var late []Message
-			holdUp := func(p packet) bool {
+			// Entries reach only the follower, and its messages to the leader are kept back.
+			var delayed []Message
+			intercept := func(p packet) bool {
 				fromFollower := p.message.From == follower.id && p.message.Kind == MessageRaft
 				if fromFollower && p.message.To == leader.id {
-					late = append(late, p.message)
+					delayed = append(delayed, p.message)
 				}
 				return fromFollower || carriesEntries(p.message) && p.message.To != follower.id
 			}
-			bound := s.now + 500
-			for s.now < bound && (!follower.hasOnDisk(command) || follower.writing != nil) {
-				s.step()
-				s.inTransit = slices.DeleteFunc(s.inTransit, holdUp)
+			deadline := s.now + 500
+			for s.now < deadline && (!follower.hasOnDisk(command) || follower.writing != nil) {
+				s.runTick()
+				s.inTransit = slices.DeleteFunc(s.inTransit, intercept)
 			}
-			follower.disk = before
+			follower.disk = oldDisk
 			s.start(follower)
-			for s.now < bound && len(follower.core.Status().UnconfirmedPeers) > 0 {
-				s.step()
+			for s.now < deadline && len(follower.core.Status().UnconfirmedPeers) > 0 {
+				s.runTick()
 				s.inTransit = slices.DeleteFunc(s.inTransit, func(p packet) bool { return carriesEntries(p.message) })
 			}
-			applied := len(leader.machine.numbers)
-			for _, m := range late {
+			appliedBefore := len(leader.machine.numbers)
+			for _, m := range delayed {
 				if err := leader.core.Step(m); err != nil {
-					t.Fatal(err)
+					t.Fatalf("Step(delayed message of the follower) = %v, want nil", err)
 				}
 			}
 			s.runReady(leader)
@@ -75,61 +78,67 @@
 				s.now++
 				s.runReady(leader)
 			}
-			if len(late) == 0 || follower.hasOnDisk(command) || other.hasOnDisk(command) {
-				t.Fatalf("the case is not the one meant: %d late", len(late))
+			if len(delayed) == 0 || follower.hasOnDisk(command) || other.hasOnDisk(command) {
+				t.Fatalf("the scenario was not set up: %d delayed messages, want some; command on the disk of the "+
+					"follower %v, of the third node %v, want neither", len(delayed), follower.hasOnDisk(command),
+					other.hasOnDisk(command))
 			}
-			if wrong := len(leader.machine.numbers) > applied; wrong != c.wrong {
-				t.Errorf("the leader has applied what it alone holds: %v, want %v", wrong, c.wrong)
+			if applied := len(leader.machine.numbers) > appliedBefore; applied != c.wantApplied {
+				t.Errorf("the leader applied an entry that it alone holds: %v, want %v", applied, c.wantApplied)
 			}
 		})
 	}
 }
 
-// A leader that has replied to a command has the version of the follower whose acknowledgement that rests on on
-// disk: if the follower's store is rolled back while the leader is down, the leader still shows it.
+// Before a leader replies to a command, the store version of the follower whose acknowledgement committed it is on the
+// leader's disk. If the follower's store is rolled back while the leader is down, the restarted leader detects that.
 func TestWitnessPersistsVersionBeforeReplying(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		mutations mutations
-		wrong     bool
-	}{{"guarded", mutations{}, false}, {"mutated", mutations{deferWitnessWrites: true}, true}} {
+		name         string
+		mutations    mutations
+		wantAccepted bool // the rolled-back store is not detected
+	}{
+		{"version persisted first", mutations{}, false},
+		{"guard disabled", mutations{deferWitnessWrites: true}, true},
+	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, leader, follower, other := calmSimulation(t, c.mutations)
-			s.idle = true
-			s.steps(60) // all is known to all
+			s, leader, follower, other := newFaultFreeSimulation(t, c.mutations)
+			s.clientsDisabled = true
+			s.runTicks(60) // until every node has replicated and applied everything
 			for _, n := range []*simulatedNode{leader, follower} {
 				s.cutUntil[[2]uint64{n.id, other.id}] = foreverTicks
 				s.cutUntil[[2]uint64{other.id, n.id}] = foreverTicks
 			}
-			before := follower.disk
+			oldDisk := follower.disk
 			if err := leader.core.Propose(1<<40, zeroCommand); err != nil {
-				t.Fatal(err)
+				t.Fatalf("Propose at the leader = %v, want nil", err)
 			}
-			for bound := s.now + 500; s.now < bound && !slices.Contains(leader.machine.numbers, 0); {
-				s.step()
+			for deadline := s.now + 500; s.now < deadline && !slices.Contains(leader.machine.numbers, 0); {
+				s.runTick()
 			}
 			if !slices.Contains(leader.machine.numbers, 0) {
-				t.Fatal("the command was not carried out")
+				t.Fatal("the leader has not applied the proposed command after 500 ticks")
 			}
 			clear(s.cutUntil)
 			s.inTransit = nil
-			leader.core = nil // what it has not on disk is forgotten
+			leader.core = nil // a crash: whatever is not on disk is lost
 			leader.startAt = s.now + 1
-			follower.disk = before
+			follower.disk = oldDisk
 			s.start(follower)
 			s.rolledBack = follower.id
 			for range 60 {
-				s.step()
+				s.runTick()
 			}
-			if wrong := !follower.failed(); wrong != c.wrong {
-				t.Errorf("a store that was put back passes: %v, want %v", wrong, c.wrong)
+			if accepted := !follower.failed(); accepted != c.wantAccepted {
+				t.Errorf("the follower runs on its rolled-back store: %v, want %v", accepted, c.wantAccepted)
 			}
 		})
 	}
 }
 
-// A leader of a higher term is away; or commits are known to the nodes that the leader comes back to; or there are
-// leaders of one term on both sides: each with the guard that is for it, and without.
+// After a store was rolled back, nodes with a divergent log reconnect, in three scenarios: the reconnected nodes have a
+// leader of a higher term; the other nodes know that their entries are committed; or both sides have a leader of the
+// same term. Each runs with the guard against it and without.
 func TestDivergentHistoryReturns(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -137,16 +146,16 @@
 		terms       int
 		hideCommits bool
 		mutations   mutations
-		truncations int
-		conflict    bool // a node finds a LogConflictError
-		violation   bool
+		truncations int  // wanted number of truncated logs
+		conflict    bool // whether a node must fail with a LogConflictError
+		violation   bool // whether the simulation must find a violation
 	}{
 		{"acknowledged entries are truncated", 22, 2, true, mutations{}, 1, false, false},
-		{"and the truncated node is not silent", 22, 2, true, mutations{skipTruncationSilence: true}, 1, false, true},
+		{"truncation without silence", 22, 2, true, mutations{skipTruncationSilence: true}, 1, false, true},
 		{"committed entries would be truncated", 9, 2, false, mutations{}, 0, true, false},
-		{"and count as acknowledged", 9, 2, false, mutations{skipDigestChecks: true}, 0, false, true},
-		{"two leaders of one term", 6, 0, false, mutations{}, 0, true, false},
-		{"and no digests are compared", 6, 0, false, mutations{skipDigestChecks: true}, 0, false, true},
+		{"committed entries, no digest checks", 9, 2, false, mutations{skipDigestChecks: true}, 0, false, true},
+		{"two leaders of the same term", 6, 0, false, mutations{}, 0, true, false},
+		{"two leaders of the same term, no digest checks", 6, 0, false, mutations{skipDigestChecks: true}, 0, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cryptotest.SetGlobalRandom(t, c.seed)
@@ -157,7 +166,9 @@
 				return errors.As(n.core.Err(), &LogConflictError{})
 			})
 			if s.truncations != c.truncations || conflict != c.conflict || (s.violation != nil) != c.violation {
-				t.Errorf("%d logs truncated, conflict %v, and %v", s.truncations, conflict, s.violation)
+				t.Errorf("the simulation had %d truncated logs, log conflict %v, violation \"%v\"; "+
+					"want %d truncated logs, log conflict %v, a violation: %v",
+					s.truncations, conflict, s.violation, c.truncations, c.conflict, c.violation)
 			}
 		})
 	}
--- a/internal/consensus/simulation_check_test.go
+++ b/internal/consensus/simulation_check_test.go
@@ -12,26 +12,26 @@
 
 // operation is a request of a client.
 type operation struct {
-	read   bool
-	value  uint64
-	call   int
-	end    int    // 0 is that nobody knows the outcome
-	result uint64 // the length of the list
+	read     bool   // else the command that appends value
+	value    uint64 // also the request ID
+	callTick int    // tick of the request
+	endTick  int    // tick of the reply; 0 while the outcome is unknown
+	result   uint64 // length of the list
 }
 
-// liveGrant is an acknowledged command as a lease: it is in force until the silence has passed since the request.
+// liveGrant is a lease granted by an acknowledged command. It is in force until silenceTicks after the request.
 type liveGrant struct {
-	from, until int
-	history     []uint64 // the list up to it
+	from, until int      // ticks; until is exclusive
+	history     []uint64 // the list up to and including the command
 }
 
-// runClient has a client send a request to a node at times.
+// runClient sends a request of a client to a node, in one of 8 calls on average.
 func (s *simulation) runClient(n *simulatedNode) {
-	if s.idle || s.rng.IntN(8) > 0 {
+	if s.clientsDisabled || s.rng.IntN(8) > 0 {
 		return
 	}
 	id := uint64(len(s.operations) + 1)
-	o := &operation{read: s.rng.IntN(3) == 0, value: id, call: s.now}
+	o := &operation{read: s.rng.IntN(3) == 0, value: id, callTick: s.now}
 	var err error
 	if o.read {
 		err = n.core.ReadIndex(id)
@@ -44,35 +44,38 @@
 	}
 }
 
-// recordGrant compares a grant with those that are in force with it: of each two, one must know the other.
+// recordGrant records a grant. Of two grants that are in force at the same time, the history of one must be a prefix of
+// the history of the other, so that the later one took the earlier one into account.
 func (s *simulation) recordGrant(grant liveGrant) {
 	for _, other := range s.grants {
-		both := min(len(grant.history), len(other.history))
+		commonLength := min(len(grant.history), len(other.history))
 		overlap := other.until > grant.from && other.from < grant.until
-		if overlap && !slices.Equal(grant.history[:both], other.history[:both]) {
-			s.fail("of two grants that are in force neither knows the other: %v, %v", other.history, grant.history)
+		if overlap && !slices.Equal(grant.history[:commonLength], other.history[:commonLength]) {
+			s.recordViolation("two grants in force at the same time have divergent histories %v and %v, "+
+				"want one to be a prefix of the other", other.history, grant.history)
 		}
 	}
 	s.grants = append(s.grants, grant)
 }
 
-// compareApplied checks that all nodes apply beginnings of one list.
+// compareApplied checks that every node has applied a prefix of the same list.
 func (s *simulation) compareApplied(n *simulatedNode) {
 	numbers := n.machine.numbers
-	if len(numbers) == n.compared {
+	if len(numbers) == n.comparedCount {
 		return
 	}
-	n.compared = len(numbers)
-	both := min(len(numbers), len(s.longest))
-	if !slices.Equal(numbers[:both], s.longest[:both]) {
-		s.fail("node %d has applied %v, another %v", n.id, numbers, s.longest)
+	n.comparedCount = len(numbers)
+	commonLength := min(len(numbers), len(s.longestApplied))
+	if !slices.Equal(numbers[:commonLength], s.longestApplied[:commonLength]) {
+		s.recordViolation("node %d has applied %v and another node %v, want one to be a prefix of the other",
+			n.id, numbers, s.longestApplied)
 	}
-	if len(numbers) > len(s.longest) {
-		s.longest = slices.Clone(numbers)
+	if len(numbers) > len(s.longestApplied) {
+		s.longestApplied = slices.Clone(numbers)
 	}
 }
 
-// listModel is the list as its length: the result of an append tells where it belongs.
+// listModel models the list by its length alone: the result of an append is its position in the list.
 var listModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -83,49 +86,51 @@
 	},
 }
 
-// checkHistory checks that the operations are linearizable: nothing that was acknowledged is lost, and what came
-// after came after.
+// checkHistory checks that the operations are linearizable: no acknowledged command is lost, and each operation sees
+// all that ended before it began.
 func (s *simulation) checkHistory() {
 	position := map[uint64]uint64{}
-	for i, n := range s.longest {
+	for i, n := range s.longestApplied {
 		if position[n] > 0 {
-			s.fail("command %d was applied twice", n)
+			s.recordViolation("command %d was applied twice, want once", n)
 		}
 		position[n] = uint64(i + 1)
 	}
 	var history []porcupine.Operation
 	for i, o := range s.operations {
-		at := position[o.value]
-		if o.end > 0 && !o.read && at != o.result {
-			s.fail("command %d was acknowledged as number %d, and is number %d", o.value, o.result, at)
+		at := position[o.value] // from 1; 0 if it was not applied
+		if o.endTick > 0 && !o.read && at != o.result {
+			s.recordViolation("command %d was acknowledged at position %d of the list, and is at position %d "+
+				"(0: not in the list)", o.value, o.result, at)
 		}
 		entry := porcupine.Operation{
 			ClientId: i,
 			Input:    o.read,
-			Call:     int64(o.call),
+			Call:     int64(o.callTick),
 			Output:   o.result,
-			Return:   int64(o.end),
+			Return:   int64(o.endTick),
 		}
-		if o.end == 0 {
+		if o.endTick == 0 {
 			if o.read || at == 0 {
 				continue
 			}
-			// Nobody was told, but it was applied.
+			// The command was applied, but no reply reached the client.
 			entry.Output = at
 			entry.Return = int64(s.now + 1)
 		}
 		history = append(history, entry)
 	}
 	if porcupine.CheckOperationsTimeout(listModel, history, 5*time.Second) != porcupine.Ok {
-		s.fail("the history of %d operations is not linearizable", len(history))
+		s.recordViolation("the history of %d operations was not found to be linearizable within 5 s", len(history))
 	}
 }
 
+// describeNodes returns the status of all nodes that run.
 func (s *simulation) describeNodes() string {
 	var b strings.Builder
 	for _, n := range s.nodes {
 		if n.core != nil {
-			fmt.Fprintf(&b, "%+v; ", n.core.Status())
+			fmt.Fprintf(&b, "status of node %d: %+v; ", n.id, n.core.Status())
 		}
 	}
 	return b.String()
--- a/internal/consensus/simulation_faults_test.go
+++ b/internal/consensus/simulation_faults_test.go
@@ -1,6 +1,6 @@
 package consensus
 
-// injectFaults draws whether a fault happens in this tick, and which.
+// injectFaults injects at most one fault, chosen at random, in this tick.
 func (s *simulation) injectFaults() {
 	running := 0
 	for _, n := range s.nodes {
@@ -10,16 +10,16 @@
 	}
 	until := s.now + 15 + s.rng.IntN(45)
 	switch draw := s.rng.IntN(600); {
-	case draw < 6: // a crash; at times of the whole fleet
-		if n := s.anyNode(); n.core != nil && (running > len(s.nodes)/2+1 || s.rng.IntN(4) == 0) {
+	case draw < 6: // a crash; sometimes one that leaves no majority running
+		if n := s.randomNode(); n.core != nil && (running > len(s.nodes)/2+1 || s.rng.IntN(4) == 0) {
 			s.crash(n)
 		}
 	case draw < 10:
 		s.partition(until)
-	case draw < 16: // a link in one direction
-		s.cutUntil[[2]uint64{s.anyNode().id, s.anyNode().id}] = until
-	case draw < 20: // a pause, of the leader if there is one
-		n := s.anyNode()
+	case draw < 16: // one link is cut in one direction
+		s.cutUntil[[2]uint64{s.randomNode().id, s.randomNode().id}] = until
+	case draw < 20: // a node is paused, the leader if there is one
+		n := s.randomNode()
 		for _, other := range s.nodes {
 			if other.isLeader() {
 				n = other
@@ -27,26 +27,27 @@
 		}
 		n.pausedUntil = until
 	case draw < 24:
-		s.loss = []float64{0, .05, .3}[s.rng.IntN(3)]
-	case draw < 60: // a copy of a store, which may be restored later
-		if n := s.anyNode(); len(n.copies) < 40 {
-			n.copies = append(n.copies, n.disk)
+		s.lossRate = []float64{0, .05, .3}[s.rng.IntN(3)]
+	case draw < 60: // a store is copied; crash may restore the copy later
+		if n := s.randomNode(); len(n.diskCopies) < 40 {
+			n.diskCopies = append(n.diskCopies, n.disk)
 		}
 	}
 }
 
-func (s *simulation) anyNode() *simulatedNode { return s.nodes[s.rng.IntN(len(s.nodes))] }
+// randomNode returns a node chosen at random.
+func (s *simulation) randomNode() *simulatedNode { return s.nodes[s.rng.IntN(len(s.nodes))] }
 
-// partition cuts some nodes off from the others.
+// partition cuts off a random minority of the nodes from the others, until a tick.
 func (s *simulation) partition(until int) {
 	side := map[uint64]bool{}
 	for range 1 + s.rng.IntN(len(s.nodes)/2) {
-		side[s.anyNode().id] = true
+		side[s.randomNode().id] = true
 	}
 	s.cutOff(side, until)
 }
 
-// cutOff cuts all links between some nodes and the others.
+// cutOff cuts all links between the nodes of side and the other nodes, until a tick.
 func (s *simulation) cutOff(side map[uint64]bool, until int) {
 	for _, a := range s.nodes {
 		for _, b := range s.nodes {
@@ -57,16 +58,17 @@
 	}
 }
 
-// crash stops a node at once. A batch that was being written may be on disk or not.
+// crash stops a node at once. A batch that was being written reaches the disk or not, at random. With restoreOldStore
+// the node's store may be rolled back to an older copy, once in a simulation.
 func (s *simulation) crash(n *simulatedNode) {
 	s.truncations += n.core.Status().Truncations
 	if n.writing != nil && s.rng.IntN(2) == 0 {
 		n.persistBatch()
 	}
-	mayRollBack := s.mutations.restoreOldStore && s.rolledBack == 0 && len(n.copies) > 0
+	mayRollBack := s.mutations.restoreOldStore && s.rolledBack == 0 && len(n.diskCopies) > 0
 	if mayRollBack && s.rng.IntN(2) == 0 && s.now > faultTicks/6 {
 		s.rolledBack = n.id
-		n.disk = n.copies[s.rng.IntN(len(n.copies))]
+		n.disk = n.diskCopies[s.rng.IntN(len(n.diskCopies))]
 	}
 	n.core = nil
 	n.writing = nil
--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	faultTicks   = 220 // for which faults are injected
-	silenceTicks = 200
-	// foreverTicks is later than any simulation ends.
+	faultTicks   = 220 // faults are injected until this tick
+	silenceTicks = 200 // Config.SilenceTicks of all nodes, and the length of a lease
+	// foreverTicks is a tick after the end of every simulation.
 	foreverTicks = 1 << 30
-	// maxInTransit bounds the messages under way: where guards are taken out there are storms.
+	// maxInTransit bounds the messages in transit, since disabled guards can cause message storms.
 	maxInTransit = 500
-	// maxInbox is the length at which messages to a node begin to be dropped.
+	// maxInbox is the inbox length from which on half of the messages to a node are dropped.
 	maxInbox = 200
 )
 
-// mutations take guards out, so that the checks must find a violation, or add a hard fault that they must survive.
+// mutations disable guards, so that the checks must find a violation, or add a fault that the nodes must survive.
+// Fields without a comment set the field of Config that has the same name.
 type mutations struct {
-	sendBeforeSync           bool // messages and replies go out before the batch is on disk
+	sendBeforeSync           bool // messages and replies are sent before the batch is on disk
 	skipStoreChecks          bool
 	acceptFormerIncarnations bool
 	deferWitnessWrites       bool
 	skipTruncationSilence    bool
 	skipDigestChecks         bool
-	restoreOldStore          bool // a fault: a store is rolled back
-	partitionWitnesses       bool // a fault: the nodes that know a newer store are away for longer than the silence
+	restoreOldStore          bool // a fault: a crash may roll back a store
+	partitionWitnesses       bool // a fault: runRollbackWhilePartitioned
 }
 
-// config is the Config of a node with these mutations.
+// config returns the Config of a node with these mutations.
 func (m mutations) config(id, nonce uint64) Config {
 	return Config{
 		Fleet:                    "f",
@@ -54,20 +55,21 @@
 	}
 }
 
+// simulatedNode is a server of the simulation. Its times are in ticks.
 type simulatedNode struct {
-	id          uint64
-	core        *Core // nil while it is down
-	machine     *numberList
-	compared    int // commands applied when they were last compared with the other nodes'
-	disk        State
-	copies      []State // of disk, that may be restored
-	writing     *Ready
-	writtenAt   int
-	pausedUntil int
-	sent        bool // what the Ready under way gives has gone out
-	startAt     int  // of a node that is down
-	inbox       []Message
-	inflight    map[uint64]int // operations without a reply, by request ID
+	id            uint64
+	core          *Core // nil while the node is down
+	machine       *numberList
+	comparedCount int // applied commands at the last comparison with the other nodes
+	disk          State
+	diskCopies    []State // older contents of disk, which a crash may restore
+	writing       *Ready  // the round in progress, nil between rounds
+	writtenAt     int     // when the batch of writing is on disk
+	pausedUntil   int
+	outputSent    bool // the messages and replies of writing were sent
+	startAt       int  // when a node that is down starts again
+	inbox         []Message
+	inflight      map[uint64]int // indexes in simulation.operations of those without a reply, by request ID
 }
 
 func (n *simulatedNode) isLeader() bool {
@@ -76,30 +78,31 @@
 
 func (n *simulatedNode) failed() bool { return n.core != nil && n.core.Err() != nil }
 
+// packet is a message in transit.
 type packet struct {
-	arrivesAt int
+	arrivesAt int // tick
 	message   Message
 }
 
-// simulation runs a few nodes in simulated time, with clients, a network, disks and faults that all follow from one
-// seed.
+// simulation runs 3 or 5 nodes in simulated time, with clients, a network, disks and faults. One seed determines all of
+// it.
 type simulation struct {
-	rng         *rand.Rand
-	now         int // ticks
-	nodes       []*simulatedNode
-	inTransit   []packet
-	cutUntil    map[[2]uint64]int // by the link's two ends
-	loss        float64           // the part of the messages that is lost
-	operations  []*operation
-	mutations   mutations
-	rolledBack  uint64   // the node whose store was rolled back
-	longest     []uint64 // the longest list that a node has applied
-	grants      []liveGrant
-	hideCommits bool // nobody hears what is committed
-	truncations int  // of logs, below what was acknowledged
-	calm        bool // no faults
-	idle        bool // no clients
-	violation   error
+	rng             *rand.Rand
+	now             int // ticks
+	nodes           []*simulatedNode
+	inTransit       []packet
+	cutUntil        map[[2]uint64]int // tick at which the link is restored, by sender and receiver
+	lossRate        float64           // fraction of the messages that is lost
+	operations      []*operation
+	mutations       mutations
+	rolledBack      uint64   // ID of the node whose store was rolled back; 0 is none
+	longestApplied  []uint64 // the longest list that a node has applied
+	grants          []liveGrant
+	hideCommits     bool // messages carry no commit index
+	truncations     int  // logs truncated below the index up to which the node had acknowledged
+	faultsDisabled  bool
+	clientsDisabled bool
+	violation       error // the first one; nil is none
 }
 
 func newSimulation(seed uint64, m mutations) *simulation {
@@ -116,9 +119,9 @@
 	return s
 }
 
-// start starts a node on its disk.
+// start starts a node with what its disk holds.
 func (s *simulation) start(n *simulatedNode) {
-	n.disk.Version.Incarnation++ // on disk before all else
+	n.disk.Version.Incarnation++ // as storage.Open does, before the node does anything else
 	n.disk.Version.Nonce = s.rng.Uint64()
 	n.machine = &numberList{}
 	n.writing = nil
@@ -129,19 +132,19 @@
 	state.Entries = slices.Clone(state.Entries)
 	var err error
 	if n.core, err = New(s.mutations.config(n.id, n.disk.Version.Nonce), state, n.machine); err != nil {
-		s.fail("start of %d: %v", n.id, err)
+		s.recordViolation("New at the start of node %d returned %v, want a Core", n.id, err)
 	}
 }
 
-// fail records the first violation.
-func (s *simulation) fail(format string, args ...any) {
+// recordViolation records the first violation; later ones are ignored.
+func (s *simulation) recordViolation(format string, args ...any) {
 	if s.violation == nil {
-		s.violation = fmt.Errorf("at %d: %s", s.now, fmt.Sprintf(format, args...))
+		s.violation = fmt.Errorf("at tick %d: %s", s.now, fmt.Sprintf(format, args...))
 	}
 }
 
-// coreFailed takes an error of a core. It is a violation if the core stops taking part without a fault that
-// calls for it.
+// coreFailed handles an error that a method of Core returned. It is a violation if the core has stopped taking part and
+// no injected fault explains that.
 func (s *simulation) coreFailed(n *simulatedNode, err error) {
 	if errors.As(err, &StoreRolledBackError{}) && n.id == s.rolledBack {
 		return
@@ -150,14 +153,14 @@
 		return
 	}
 	if n.core.Err() != nil {
-		s.fail("%d: %v", n.id, err)
+		s.recordViolation("node %d stopped taking part without a fault that explains it: %v", n.id, err)
 	}
 }
 
-// step runs one tick of all nodes.
-func (s *simulation) step() {
+// runTick runs one tick of all nodes.
+func (s *simulation) runTick() {
 	s.now++
-	if !s.calm {
+	if !s.faultsDisabled {
 		s.injectFaults()
 	}
 	s.deliver()
@@ -172,7 +175,7 @@
 			continue
 		}
 		s.handleInbox(n)
-		if s.rng.IntN(20) > 0 { // clocks drift
+		if s.rng.IntN(20) > 0 { // skipped in one of 20 ticks: clocks drift
 			if err := n.core.Tick(); err != nil {
 				s.coreFailed(n, err)
 			}
@@ -182,14 +185,14 @@
 	}
 }
 
-// steps runs so many ticks, or until there is a violation.
-func (s *simulation) steps(ticks int) {
+// runTicks runs the given number of ticks, but stops at a violation.
+func (s *simulation) runTicks(ticks int) {
 	for end := s.now + ticks; s.now < end && s.violation == nil; {
-		s.step()
+		s.runTick()
 	}
 }
 
-// deliver moves the messages that have arrived into the inboxes.
+// deliver moves the messages that are due into the inboxes. Those to a node that is down are dropped.
 func (s *simulation) deliver() {
 	due, later := s.inTransit, s.inTransit[:0]
 	for _, p := range due {
@@ -211,36 +214,37 @@
 	n.inbox = n.inbox[:0]
 }
 
-// send reports whether a message goes on its way. Some go twice, and some late.
+// send puts a message in transit and reports whether it was not lost. Some messages are duplicated or delayed.
 func (s *simulation) send(m Message) bool {
 	if len(s.inTransit) > maxInTransit {
 		return false
 	}
-	if s.cutUntil[[2]uint64{m.From, m.To}] > s.now || s.rng.Float64() < s.loss {
+	if s.cutUntil[[2]uint64{m.From, m.To}] > s.now || s.rng.Float64() < s.lossRate {
 		return false
 	}
 	if s.hideCommits && m.Raft.GetCommit() > 0 {
 		m.Raft = proto.Clone(m.Raft).(*pb.Message)
 		m.Raft.Commit = new(uint64(0))
 	}
-	times := 1
+	copies := 1
 	if s.rng.IntN(30) == 0 {
-		times = 2
+		copies = 2
 	}
-	for range times {
+	for range copies {
 		delay := 1 + s.rng.IntN(3)
-		if s.rng.IntN(25) == 0 && !s.calm {
+		if s.rng.IntN(25) == 0 && !s.faultsDisabled {
 			delay += s.rng.IntN(90)
 		}
 		s.inTransit = append(s.inTransit, packet{s.now + delay, m})
-		if times > 1 && m.Raft != nil {
+		if copies > 1 && m.Raft != nil {
 			m.Raft = proto.Clone(m.Raft).(*pb.Message)
 		}
 	}
 	return true
 }
 
-// runReady writes what a node has ready, which takes up to two ticks, and sends what comes of it.
+// runReady runs up to 3 rounds of a node: it writes the batch, which takes up to two ticks, and then sends the round's
+// messages and replies.
 func (s *simulation) runReady(n *simulatedNode) {
 	for range 3 {
 		if n.writing == nil {
@@ -250,17 +254,17 @@
 			}
 			n.writing = ready
 			n.writtenAt = s.now + s.rng.IntN(3)
-			n.sent = false
+			n.outputSent = false
 		}
-		if s.mutations.sendBeforeSync && !n.sent {
-			n.sent = true
+		if s.mutations.sendBeforeSync && !n.outputSent {
+			n.outputSent = true
 			s.sendOutbound(n)
 		}
 		if n.writtenAt > s.now {
 			return
 		}
 		n.persistBatch()
-		if !n.sent {
+		if !n.outputSent {
 			s.sendOutbound(n)
 		}
 		n.writing = nil
@@ -273,7 +277,7 @@
 	}
 }
 
-// sendOutbound advances a node's round, sends its messages and takes its replies.
+// sendOutbound calls Advance for the round in progress, sends its messages and handles its replies.
 func (s *simulation) sendOutbound(n *simulatedNode) {
 	outbound, err := n.core.Advance(n.writing)
 	if err != nil {
@@ -287,7 +291,7 @@
 	for _, reply := range outbound.Replies {
 		s.handleReply(n, reply)
 	}
-	if !s.mutations.partitionWitnesses { // else what is no longer granted may be lost
+	if !s.mutations.partitionWitnesses { // there, commands whose grants have expired may be lost
 		s.compareApplied(n)
 	}
 }
@@ -297,11 +301,11 @@
 		return
 	}
 	o := s.operations[n.inflight[reply.RequestID]]
-	o.end = s.now
+	o.endTick = s.now
 	if o.read {
 		o.result = uint64(len(n.machine.numbers))
 		return
 	}
 	o.result = binary.BigEndian.Uint64(reply.Data)
-	s.recordGrant(liveGrant{s.now, o.call + silenceTicks, slices.Clone(n.machine.numbers[:o.result])})
+	s.recordGrant(liveGrant{s.now, o.callTick + silenceTicks, slices.Clone(n.machine.numbers[:o.result])})
 }
--- a/internal/consensus/storage/storage_test.go
+++ b/internal/consensus/storage/storage_test.go
@@ -35,12 +35,12 @@
 	}}
 }
 
-// bootstrapped makes the store of member 2 of 3.
+// bootstrapped makes the store of server 2 of a new fleet "f" with 3 members, in epoch 1.
 func bootstrapped(t *testing.T) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "log")
 	if err := storage.Bootstrap(path, "f", 1, 2, []uint64{1, 2, 3}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Bootstrap = %v, want nil", err)
 	}
 	return path
 }
@@ -50,11 +50,12 @@
 	s, first, err := storage.Open(path, "f", 1, 2)
 	voters := first.Snapshot.GetMetadata().GetConfState().GetVoters()
 	if err != nil || first.Version.Incarnation != 1 || len(voters) != 3 {
-		t.Fatal(first, err)
+		t.Fatalf("Open of a new store returned incarnation %d, voters %v and error %v; want incarnation 1, 3 voters "+
+			"and no error", first.Version.Incarnation, voters, err)
 	}
 	peer1 := consensus.StoreVersion{StoreID: 5, Incarnation: 1, Nonce: 2, WriteSeq: 4}
 	peer3 := consensus.StoreVersion{StoreID: 7, Incarnation: 1, Nonce: 2, WriteSeq: 9}
-	for _, batch := range []consensus.Batch{
+	for i, batch := range []consensus.Batch{
 		{
 			WriteSeq:  1,
 			HardState: &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(2)), Commit: new(uint64(1))},
@@ -70,57 +71,59 @@
 			AcknowledgedIndex: 3,
 		},
 		{WriteSeq: 2, Snapshot: snapshot(2, 2, []byte("s"))},
-		{ // may wait until Close
+		{ // without Sync: Write defers it until Close
 			WriteSeq:     2,
 			HardState:    &pb.HardState{Term: new(uint64(3)), Vote: new(uint64(2)), Commit: new(uint64(3))},
 			PeerVersions: map[uint64]consensus.StoreVersion{1: peer1},
 		},
 	} {
 		if err := s.Write(&batch); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Write(batch %d of the table) = %v, want nil", i, err)
 		}
 	}
 	if _, _, err := storage.Open(path, "f", 1, 2); !errors.As(err, &storage.LockedError{}) {
-		t.Errorf("held: %v", err)
+		t.Errorf("Open of a store that is already open returned %v, want a LockedError", err)
 	}
 	if err := s.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Close = %v, want nil", err)
 	}
 	s, got, err := storage.Open(path, "f", 1, 2)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open of a closed store returned %v, want no error", err)
 	}
 	defer closeStore(t, s)
 	if got.Version.Incarnation != 2 || got.Version.WriteSeq != 2 || got.Version.StoreID != first.Version.StoreID {
-		t.Errorf("version %+v", got.Version)
+		t.Errorf("reopened store: version %+v, want incarnation 2, WriteSeq 2 and store ID %d", got.Version,
+			first.Version.StoreID)
 	}
 	if len(got.Entries) != 1 || string(got.Entries[0].GetData()) != "B" || string(got.Snapshot.GetData()) != "s" {
-		t.Errorf("log %+v after %+v", got.Entries, got.Snapshot)
+		t.Errorf("reopened store: entries %v after snapshot %v, want one entry with data B after a snapshot with data s",
+			got.Entries, got.Snapshot)
 	}
 	if got.HardState.GetVote() != 2 || got.HardState.GetCommit() != 3 {
-		t.Errorf("hard state %+v", got.HardState)
+		t.Errorf("reopened store: hard state %v, want vote 2 and commit 3", got.HardState)
 	}
 	if !got.TruncationSilence || got.AcknowledgedIndex != 3 {
-		t.Errorf("state %+v", got)
+		t.Errorf("reopened store: truncation silence %v and acknowledged index %d, want true and 3",
+			got.TruncationSilence, got.AcknowledgedIndex)
 	}
 	if got.PeerVersions[3].WriteSeq != 9 || got.PeerVersions[1].WriteSeq != 4 {
-		t.Errorf("peers %+v", got.PeerVersions)
+		t.Errorf("reopened store: peer versions %+v, want WriteSeq 4 of peer 1 and 9 of peer 3", got.PeerVersions)
 	}
 	replacement := consensus.Batch{WriteSeq: 3, ReplaceLog: true, Sync: true, Snapshot: snapshot(9, 3, nil)}
 	if err := s.Write(&replacement); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write(snapshot that replaces the log) = %v, want nil", err)
 	}
 }
 
 func closeStore(t *testing.T, s *storage.Store) {
 	t.Helper()
 	if err := s.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("Close = %v, want nil", err)
 	}
 }
 
-// writeNewerIdentity makes a store that a later version has written: its identity says so, with a checksum that is
-// right.
+// writeNewerIdentity gives a store the identity record of a later format version, with a correct checksum.
 func writeNewerIdentity(path string) error {
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
@@ -138,7 +141,7 @@
 	return errors.Join(err, db.Close())
 }
 
-// damageRecords changes each byte of the records, where they are found.
+// damageRecords changes each byte after the first 8192, which hold bbolt's two meta pages.
 func damageRecords(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -165,62 +168,63 @@
 		{"another fleet", nil, "g", 1, 2, &storage.FleetMismatchError{}},
 		{"another epoch", nil, "f", 2, 2, &storage.FleetMismatchError{}},
 		{"another server", nil, "f", 1, 3, &storage.NodeMismatchError{}},
-		{"of a newer version", writeNewerIdentity, "f", 1, 2, &storage.NewerFormatError{}},
-		{"gone", os.Remove, "f", 1, 2, &storage.MissingError{}},
-		{"cut short", truncate(5000), "f", 1, 2, &storage.DamagedError{}},
-		{"empty", truncate(0), "f", 1, 2, &storage.DamagedError{}},
-		{"damaged", damageRecords, "f", 1, 2, &storage.DamagedError{}},
+		{"newer format version", writeNewerIdentity, "f", 1, 2, &storage.NewerFormatError{}},
+		{"missing file", os.Remove, "f", 1, 2, &storage.MissingError{}},
+		{"truncated file", truncate(5000), "f", 1, 2, &storage.DamagedError{}},
+		{"empty file", truncate(0), "f", 1, 2, &storage.DamagedError{}},
+		{"damaged records", damageRecords, "f", 1, 2, &storage.DamagedError{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := bootstrapped(t)
 			if c.damage != nil {
 				if err := c.damage(path); err != nil {
-					t.Fatal(err)
+					t.Fatalf("preparing the store of the case: %v", err)
 				}
 			}
 			_, _, err := storage.Open(path, c.fleet, c.epoch, c.id)
 			if !errors.As(err, c.want) || operatorerror.AdviceOf(err) == "" {
-				t.Errorf("got %v, want a %T", err, c.want)
+				t.Errorf("Open(fleet %s, epoch %d, server %d) returned %v, want a %T with advice", c.fleet, c.epoch,
+					c.id, err, c.want)
 			}
 		})
 	}
 }
 
-// Any one byte of the file that is damaged gives a DamagedError or the whole state, and never another state.
+// If any one byte of the file is damaged, Open returns a DamagedError or the undamaged state, never a different state.
 func TestDamagedByteIsNeverLoaded(t *testing.T) {
 	path := bootstrapped(t)
 	intact, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the store: %v", err)
 	}
-	found := 0
-	for at := 0; at < len(intact); at += 61 {
+	detected := 0
+	for offset := 0; offset < len(intact); offset += 61 {
 		data := bytes.Clone(intact)
-		data[at] ^= 0xff
+		data[offset] ^= 0xff
 		if err := os.WriteFile(path, data, 0o600); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing the store with byte %d damaged: %v", offset, err)
 		}
 		s, state, err := storage.Open(path, "f", 1, 2)
 		if err != nil {
 			if !errors.As(err, &storage.DamagedError{}) {
-				t.Fatalf("byte %d: %v", at, err)
+				t.Fatalf("Open with byte %d damaged returned %v, want a DamagedError or no error", offset, err)
 			}
-			found++
+			detected++
 			continue
 		}
 		voters := state.Snapshot.GetMetadata().GetConfState().GetVoters()
 		if len(voters) != 3 || state.HardState.GetTerm() != 1 || state.Version.Incarnation != 1 {
-			t.Fatalf("byte %d: %+v", at, state)
+			t.Fatalf("Open with byte %d damaged returned voters %v, term %d, incarnation %d; want 3 voters, term 1, "+
+				"incarnation 1, or a DamagedError", offset, voters, state.HardState.GetTerm(), state.Version.Incarnation)
 		}
 		if err := s.Close(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Close with byte %d damaged = %v, want nil", offset, err)
 		}
 	}
-	t.Logf("%d of %d damaged bytes were found", found, len(intact)/61+1)
+	t.Logf("%d of %d damaged bytes were detected", detected, len(intact)/61+1)
 }
 
-// A child of the test has the kernel refuse to let any file grow past a bound, which is all that a disk that is
-// full does.
+// A full disk is simulated in a child process by a limit on the size of its files, which makes writes beyond it fail.
 func TestFullDiskIsTypedError(t *testing.T) {
 	if path := os.Getenv("FULL_DISK_STORE"); path != "" {
 		writeUntilDiskIsFull(t, path)
@@ -230,43 +234,48 @@
 	child := exec.Command(os.Args[0], "-test.run=TestFullDiskIsTypedError", "-test.v")
 	child.Env = append(os.Environ(), "FULL_DISK_STORE="+path)
 	output, err := child.CombinedOutput()
-	_, after, refused := strings.Cut(string(output), "refused after ")
-	if err != nil || !refused {
-		t.Fatalf("%v: %s", err, output)
+	_, after, failed := strings.Cut(string(output), writesBeforeFailure)
+	if err != nil || !failed {
+		t.Fatalf("the child process ended with error %v and output %q, want no error and a line %q", err, output,
+			writesBeforeFailure+"N")
 	}
 	var written int
 	if _, err := fmt.Sscan(after, &written); err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the number of successful writes from the child's output %q: %v", after, err)
 	}
 	s, state, err := storage.Open(path, "f", 1, 2)
 	if err != nil || len(state.Entries) != written || written == 0 {
-		t.Fatalf("after it: %d entries of %d, %v", len(state.Entries), written, err)
+		t.Fatalf("Open after the disk was full returned %d entries and error %v, want the %d (above 0) written before "+
+			"and no error", len(state.Entries), err, written)
 	}
 	if err := s.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Close = %v, want nil", err)
 	}
 }
 
-// writeUntilDiskIsFull prints how many writes there were before one was refused.
+// writesBeforeFailure precedes, in the child's output, the number of writes that succeeded before one failed.
+const writesBeforeFailure = "writes before the failed one: "
+
+// writeUntilDiskIsFull writes until a write fails, and prints how many succeeded before.
 func writeUntilDiskIsFull(t *testing.T, path string) {
 	signal.Ignore(syscall.SIGXFSZ)
 	s, _, err := storage.Open(path, "f", 1, 2)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open in the child process returned %v, want no error", err)
 	}
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: 100_000, Max: 100_000}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("limiting the size of files: %v", err)
 	}
 	for i := range uint64(20) {
 		large := entry(i+2, 1, strings.Repeat("x", 20_000))
 		batch := consensus.Batch{WriteSeq: i + 1, Sync: true, Entries: []*pb.Entry{large}}
 		if err := s.Write(&batch); err != nil {
 			if !errors.As(err, &storage.DiskFullError{}) || operatorerror.AdviceOf(err) == "" {
-				t.Errorf("got %v", err)
+				t.Errorf("Write to a full disk = %v, want a DiskFullError with advice", err)
 			}
-			fmt.Println("refused after", i)
+			fmt.Printf("%s%d\n", writesBeforeFailure, i)
 			return
 		}
 	}
-	t.Fatal("no write was refused")
+	t.Fatal("20 writes of 20000 bytes with a file size limit of 100000 bytes all succeeded, want a DiskFullError")
 }
