--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -87,7 +87,7 @@
 // With a guard disabled the simulation finds a violation, which shows that the checks of the tests above can fail.
 func TestMutationsAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
-		firstSeed uint64 // close to a seed with a violation, to save time
+		firstSeed uint64 // not always 0: later seeds find a violation sooner
 		mutations mutations
 	}{
 		"sent before sync":                   {0, mutations{sendBeforeSync: true}},
--- a/internal/consensus/node/bench_test.go
+++ b/internal/consensus/node/bench_test.go
@@ -10,7 +10,7 @@
 	"lapisspread/internal/consensus"
 )
 
-// BenchmarkCommits is of three servers on loopback with their stores on the machine's disk.
+// BenchmarkCommits measures commits by 3 servers on loopback whose stores are on the machine's disk.
 func BenchmarkCommits(b *testing.B) {
 	for _, callers := range []int{1, 16, 64} {
 		b.Run(fmt.Sprint(callers, "-callers"), func(b *testing.B) { benchmarkCommits(b, callers) })
@@ -20,7 +20,7 @@
 func benchmarkCommits(b *testing.B, callers int) {
 	c := newCluster(b, consensus.Config{})
 	c.propose(nil, "a")
-	leader := c.leader(nil)
+	leader := c.awaitLeader(nil)
 	command := bytes.Repeat([]byte("x"), 200)
 	sentBefore, writesBefore := c.traffic()
 	b.ResetTimer()
@@ -30,7 +30,7 @@
 		workers.Go(func() {
 			for range work {
 				if _, err := leader.Propose(context.Background(), command); err != nil {
-					b.Error(err)
+					b.Errorf("Propose at the leader returned %v, want no error", err)
 				}
 			}
 		})
@@ -47,7 +47,7 @@
 	b.ReportMetric(float64(writes-writesBefore)/float64(b.N), "writes/commit")
 }
 
-// traffic sums what all members have sent, in bytes, and their flushed writes.
+// traffic returns the sums over all members of the bytes sent and of the batches flushed to disk.
 func (c *cluster) traffic() (sentBytes, writes uint64) {
 	for _, m := range c.members {
 		metrics := m.Metrics()
--- a/internal/consensus/node/cluster_test.go
+++ b/internal/consensus/node/cluster_test.go
@@ -24,28 +24,28 @@
 )
 
 func TestMain(m *testing.M) {
-	// net/http waits half a second before it closes on a body that was too long.
+	// net/http keeps a connection open for half a second after it has rejected a body that is too long.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-// textMachine is a Machine that appends the commands.
+// textMachine is a Machine that concatenates its commands and replies with the length of the text.
 type textMachine struct {
 	mu           sync.Mutex
 	text         []byte
-	paddingBytes int // that its snapshots have besides
+	paddingBytes int // zero bytes added to each snapshot, to make it large
 }
 
 func (m *textMachine) Apply(_ uint64, command []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !bytes.HasSuffix(m.text, command) { // propose sends again what it could not learn the end of
+	if !bytes.HasSuffix(m.text, command) { // cluster.propose repeats a command whose outcome is unknown
 		m.text = append(m.text, command...)
 	}
 	return fmt.Append(nil, len(m.text))
 }
 
 func (m *textMachine) Snapshot() ([]byte, error) {
-	return append(m.copy(), make([]byte, m.paddingBytes)...), nil
+	return append(m.textCopy(), make([]byte, m.paddingBytes)...), nil
 }
 
 func (m *textMachine) Restore(snapshot []byte) error {
@@ -55,13 +55,13 @@
 	return nil
 }
 
-func (m *textMachine) copy() []byte {
+func (m *textMachine) textCopy() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return bytes.Clone(m.text)
 }
 
-// linkFaults fails requests over links that are cut.
+// linkFaults is the network between the servers. Requests over a link that is cut fail.
 type linkFaults struct {
 	mu        sync.Mutex
 	cut       map[string]bool // by linkName
@@ -70,7 +70,7 @@
 
 func linkName(from uint64, address string) string { return fmt.Sprint(from, " ", address) }
 
-// link is the transport of one server.
+// link is the HTTP transport of one server.
 type link struct {
 	*linkFaults
 	from uint64
@@ -81,13 +81,14 @@
 	cut := l.cut[linkName(l.from, r.URL.Host)]
 	l.mu.Unlock()
 	if cut {
-		return nil, errors.New("the link is cut")
+		return nil, fmt.Errorf("the test has cut the link from server %d to %s", l.from, r.URL.Host)
 	}
 	return l.transport.RoundTrip(r)
 }
 
+// member is a server of a cluster.
 type member struct {
-	*node.Node // nil while it is down
+	*node.Node // nil while the server is stopped
 	id         uint64
 	storePath  string
 	machine    *textMachine
@@ -95,7 +96,7 @@
 	address    string
 }
 
-// cluster is three servers on loopback.
+// cluster runs 3 servers on loopback.
 type cluster struct {
 	t            testing.TB
 	links        *linkFaults
@@ -104,8 +105,8 @@
 	limits       consensus.Config
 	silence      time.Duration
 	tick         time.Duration
-	paddingBytes int                      // of the machines that are started
-	keys         map[uint64]*tlskeys.Keys // nil is without TLS
+	paddingBytes int                      // textMachine.paddingBytes at the next start
+	keys         map[uint64]*tlskeys.Keys // by server ID; nil is without TLS
 }
 
 func newCluster(t testing.TB, limits consensus.Config) *cluster { return newTLSCluster(t, limits, nil) }
@@ -124,9 +125,9 @@
 	for _, id := range []uint64{1, 2, 3} {
 		m := &member{id: id, storePath: filepath.Join(dir, fmt.Sprint(id))}
 		c.members = append(c.members, m)
-		c.must(storage.Bootstrap(m.storePath, "f", 1, m.id, []uint64{1, 2, 3}))
+		c.must("Bootstrap of a store", storage.Bootstrap(m.storePath, "f", 1, m.id, []uint64{1, 2, 3}))
 		address, err := loopbackaddr.Addr()
-		c.must(err)
+		c.must("choosing a loopback address", err)
 		m.address = address
 		c.urls[m.id] = "http://" + m.address
 		if keys != nil {
@@ -134,7 +135,7 @@
 		}
 	}
 	for _, m := range c.members {
-		c.must(c.start(m))
+		c.mustStart(m)
 	}
 	t.Cleanup(func() {
 		for _, m := range c.members {
@@ -145,14 +146,21 @@
 	return c
 }
 
-func (c *cluster) must(err error) {
+// must fails the test if the named step returned an error.
+func (c *cluster) must(step string, err error) {
 	c.t.Helper()
 	if err != nil {
-		c.t.Fatal(err)
+		c.t.Fatalf("%s returned %v, want no error", step, err)
 	}
 }
 
-// start starts a member on its store.
+// mustStart starts a member, and fails the test if that fails.
+func (c *cluster) mustStart(m *member) {
+	c.t.Helper()
+	c.must(fmt.Sprintf("starting server %d", m.id), c.start(m))
+}
+
+// start starts a member on its store. The error is that of node.Start.
 func (c *cluster) start(m *member) (err error) {
 	m.machine = &textMachine{paddingBytes: c.paddingBytes}
 	config := node.Config{
@@ -177,9 +185,9 @@
 		return err
 	}
 	listener, err := net.Listen("tcp", m.address)
-	c.must(err)
+	c.must("Listen on "+m.address, err)
 	server := &http.Server{Handler: m.Handler()}
-	m.server = server // a later start puts another one here: the goroutines below keep to this one
+	m.server = server // a later start replaces it; the goroutines below use the local variable
 	if c.keys != nil {
 		server.TLSConfig = c.keys[m.id].ServerConfig()
 		server.ErrorLog = log.New(io.Discard, "", 0)
@@ -190,15 +198,15 @@
 	return nil
 }
 
-// stop stops a member without a message to the others.
+// stop stops a member without notifying the others. A stopped member is ignored.
 func (c *cluster) stop(m *member) {
 	if m.Node != nil {
-		c.must(errors.Join(m.server.Close(), m.Close()))
+		c.must(fmt.Sprintf("closing server %d", m.id), errors.Join(m.server.Close(), m.Close()))
 		m.Node = nil
 	}
 }
 
-// setPartitioned cuts a member off from the others, or ends that.
+// setPartitioned cuts the links between a member and the others (cut is true), or restores them.
 func (c *cluster) setPartitioned(m *member, cut bool) {
 	c.links.mu.Lock()
 	defer c.links.mu.Unlock()
@@ -208,25 +216,26 @@
 	}
 }
 
-// eventually waits, generously, for what must come at last.
-func (c *cluster) eventually(what string, holds func() bool) {
+// eventually polls until a condition is true, and fails the test after 40 seconds. The description completes the
+// failure text "want that ...".
+func (c *cluster) eventually(description string, condition func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(40 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(40 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			for _, m := range c.members {
 				if m.Node != nil {
-					c.t.Logf("%+v", m.Status())
+					c.t.Logf("status of server %d: %+v", m.id, m.Status())
 				}
 			}
-			c.t.Fatalf("in vain: %s", what)
+			c.t.Fatalf("not reached within 40 s: want that %s", description)
 		}
 	}
 }
 
-// leader waits for a leader that is not the excluded member.
-func (c *cluster) leader(excluded *member) (leader *member) {
+// awaitLeader waits until a member other than excluded leads, and returns it.
+func (c *cluster) awaitLeader(excluded *member) (leader *member) {
 	c.t.Helper()
-	c.eventually("a leader", func() bool {
+	c.eventually("a server leads", func() bool {
 		for _, m := range c.members {
 			if m.Node != nil && m != excluded && m.Status().Role == "StateLeader" {
 				leader = m
@@ -238,23 +247,23 @@
 	return leader
 }
 
-// propose sends a command to the leader, which is not the excluded member, until it is committed.
+// propose proposes a command to a leader other than excluded, again and again until Propose succeeds.
 func (c *cluster) propose(excluded *member, command string) {
 	c.t.Helper()
-	c.eventually("command "+command, func() bool {
+	c.eventually(fmt.Sprintf("Propose(%q) at the leader succeeds", command), func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		_, err := c.leader(excluded).Propose(ctx, []byte(command))
+		_, err := c.awaitLeader(excluded).Propose(ctx, []byte(command))
 		return err == nil
 	})
 }
 
-// allHold waits until all members that run hold a text.
-func (c *cluster) allHold(want string) {
+// awaitText waits until the machines of all running members hold the text.
+func (c *cluster) awaitText(want string) {
 	c.t.Helper()
-	c.eventually("all hold "+want, func() bool {
+	c.eventually(fmt.Sprintf("the machines of all running servers hold %q", want), func() bool {
 		for _, m := range c.members {
-			if m.Node != nil && string(m.machine.copy()) != want {
+			if m.Node != nil && string(m.machine.textCopy()) != want {
 				return false
 			}
 		}
--- a/internal/consensus/node/frozen_test.go
+++ b/internal/consensus/node/frozen_test.go
@@ -14,15 +14,15 @@
 	"lapisspread/internal/consensus"
 )
 
-// frozenMessages are messages between servers as the code of commit c8fad44 writes them, in hexadecimal, one
-// request a line; made with
+// frozenMessages is a file of messages between servers as the code of commit c8fad44 encodes them: the body of one
+// request per line, in hexadecimal. It was written with
 //
 //	FREEZE_MESSAGES=1 go test ./internal/consensus/node -run TestFrozenMessages
 //
-// They must never be written again: they stand for the messages of servers that run an older program.
+// It must never be regenerated, since it represents the messages of servers that run an older version.
 const frozenMessages = "testdata/c8fad44.messages"
 
-// frozenRequests are what the kept requests hold.
+// frozenRequests returns the messages of each request in the file frozenMessages.
 func frozenRequests() [][]consensus.Message {
 	message := consensus.Message{
 		Fleet:         "north",
@@ -80,24 +80,25 @@
 	return [][]consensus.Message{{query}, {reply}, {mismatch}, {vote, entries}, {snapshot}}
 }
 
-// raftMessage is a message of the Raft library from server 1 to server 2 in term 3.
+// raftMessage returns a message of the Raft library from server 1 to server 2 in term 3.
 func raftMessage(kind pb.MessageType) *pb.Message {
 	return &pb.Message{Type: kind.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(3))}
 }
 
+// encodeRequest returns the body of a request with the given messages.
 func encodeRequest(t *testing.T, messages []consensus.Message) []byte {
 	t.Helper()
 	var body []cbor.RawMessage
 	for _, m := range messages {
 		b, err := encodeMessage(m)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encodeMessage(%+v) returned %v, want no error", m, err)
 		}
 		body = append(body, b)
 	}
 	data, err := cbor.Marshal(body)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encoding a request of %d messages returned %v, want no error", len(messages), err)
 	}
 	return data
 }
@@ -109,51 +110,53 @@
 		lines = append(hex.AppendEncode(lines, encodeRequest(t, messages)), '\n')
 	}
 	if err := os.MkdirAll("testdata", 0o700); err != nil {
-		t.Fatal(err)
+		t.Fatalf("making directory testdata: %v", err)
 	}
 	if err := os.WriteFile(frozenMessages, lines, 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing %s: %v", frozenMessages, err)
 	}
 }
 
 func compareMessages(t *testing.T, got, want consensus.Message) {
 	t.Helper()
 	if !proto.Equal(got.Raft, want.Raft) {
-		t.Errorf("%v, want %v", got.Raft, want.Raft)
+		t.Errorf("decoded message has the Raft message %v, want %v", got.Raft, want.Raft)
 	}
 	got.Raft = want.Raft
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("decoded message is %+v, want %+v", got, want)
 	}
 }
 
+// Frozen messages are decoded to the values that were encoded, and encoding those again gives the same bytes.
 func TestFrozenMessages(t *testing.T) {
 	if os.Getenv("FREEZE_MESSAGES") != "" {
 		writeFrozenMessages(t)
 	}
 	data, err := os.ReadFile(frozenMessages)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading %s: %v", frozenMessages, err)
 	}
 	lines := strings.Fields(string(data))
 	requests := frozenRequests()
 	if len(lines) != len(requests) {
-		t.Fatalf("%d requests, want %d", len(lines), len(requests))
+		t.Fatalf("%s has %d lines, want %d, one per request", frozenMessages, len(lines), len(requests))
 	}
 	for i, want := range requests {
 		body, err := hex.DecodeString(lines[i])
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decoding the hexadecimal of request %d: %v", i, err)
 		}
 		got, err := decodeMessages(body)
 		if err != nil || len(got) != len(want) {
-			t.Fatalf("request %d: %v, %v", i, got, err)
+			t.Fatalf("decodeMessages(request %d) returned %d messages and error %v, want %d messages and no error", i,
+				len(got), err, len(want))
 		}
 		for j := range want {
 			compareMessages(t, got[j], want[j])
 		}
-		if again := hex.EncodeToString(encodeRequest(t, want)); again != lines[i] {
-			t.Errorf("request %d is encoded as %s, want %s", i, again, lines[i])
+		if encoded := hex.EncodeToString(encodeRequest(t, want)); encoded != lines[i] {
+			t.Errorf("request %d is encoded as %s, want %s", i, encoded, lines[i])
 		}
 	}
 }
