--- a/internal/consensus/advance.go
+++ b/internal/consensus/advance.go
@@ -11,14 +11,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Outbound is what may leave the server once a round's Batch is on disk.
+// Outbound holds the messages and replies that may be sent once a round's Batch is on disk.
 type Outbound struct {
 	Messages []Message
 	Replies  []Reply
 }
 
-// Advance ends a round whose Batch is on disk: it applies the entries that are committed, and returns what may go
-// out. The error is also that of Err; replies come with it.
+// Advance ends a round whose Batch is on disk: it applies the committed entries, and returns the messages and replies
+// to send. An error is lasting: Err returns it from then on. The replies must be delivered even if there is an error.
 func (c *Core) Advance(ready *Ready) (outbound Outbound, err error) {
 	c.readyOutstanding = false
 	if ready.raftReady != nil && c.failure == nil {
@@ -32,7 +32,8 @@
 	return outbound, err
 }
 
-// applyReady takes a round of the library into memory and into the Machine. Its error is a lasting failure.
+// applyReady applies a round of the Raft library to the log in memory and to the Machine. An error is lasting (see
+// Fail).
 func (c *Core) applyReady(ready *raft.Ready) (err error) {
 	defer func() {
 		if err != nil {
@@ -56,7 +57,7 @@
 	return c.compactIfDue()
 }
 
-// storeReady takes a round's snapshot, entries and hard state into memory.
+// storeReady adds a round's snapshot, entries and hard state to the log in memory.
 func (c *Core) storeReady(ready *raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := c.installSnapshot(ready.Snapshot); err != nil {
@@ -72,7 +73,7 @@
 	return c.storage.SetHardState(ready.HardState)
 }
 
-// installSnapshot replaces the log and the Machine's state by a snapshot of the leader.
+// installSnapshot replaces the log and the Machine's state by a snapshot received from the leader.
 func (c *Core) installSnapshot(snapshot *pb.Snapshot) error {
 	if err := c.storage.ApplySnapshot(snapshot); err != nil {
 		return err
@@ -114,12 +115,13 @@
 		return LogConflictError{fmt.Sprintf("entry %d: %v", c.appliedIndex, err)}
 	}
 	c.confState = c.raft.ApplyConfChange(&change)
-	// A snapshot becomes due: a new member takes none that does not name it.
+	// Make a snapshot due: a new member ignores a snapshot whose members do not include it.
 	c.bytesSinceSnapshot = max(c.bytesSinceSnapshot, c.config.CompactionBytes)
 	return nil
 }
 
-// applyCommand carries out a command, and answers it if this start of this server has proposed it.
+// applyCommand applies a command to the Machine, and completes its request if this server has proposed it since its
+// start.
 func (c *Core) applyCommand(data []byte) {
 	nonce, requestID, command, ok := decodeProposal(data)
 	if !ok {
@@ -131,7 +133,8 @@
 	}
 }
 
-// completeReads answers the reads whose read index is applied.
+// completeReads registers the reads for which the Raft library has a read index, and completes those whose read index
+// is applied.
 func (c *Core) completeReads(states []raft.ReadState) {
 	for _, state := range states {
 		nonce, requestID, _, ok := decodeProposal(state.RequestCtx)
@@ -150,7 +153,8 @@
 	}
 }
 
-// abandonRequests ends all pending requests of a server that does not lead any more: their outcome is not known.
+// abandonRequests completes all pending requests with an UndecidedError, because this server no longer leads and cannot
+// learn their outcome.
 func (c *Core) abandonRequests(leader uint64) {
 	for _, id := range slices.Sorted(maps.Keys(c.pendingRequests)) {
 		c.completeRequest(Reply{RequestID: id, Err: UndecidedError{leader}})
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -18,7 +18,7 @@
 	defaultCompactionBytes     = 1 << 20
 )
 
-// Config of a Core. Fleet, Epoch, ID and Nonce must be set; the limits have defaults.
+// Config configures a Core. Fleet, Epoch, ID and Nonce must be set; the limits have defaults.
 type Config struct {
 	// Fleet is the name of the fleet. Messages of another fleet are dropped.
 	Fleet string
@@ -33,27 +33,29 @@
 	ElectionTicks int
 	// HeartbeatTicks is the number of ticks between a leader's heartbeats; default 1.
 	HeartbeatTicks int
-	// SilenceTicks bounds the silence after a start, while peers that have not confirmed the store are waited for,
-	// and is the length of the silence after a truncation. 0 is without end.
+	// SilenceTicks is the maximum number of ticks of the silence after a start, in which the server waits for its
+	// peers to confirm its store, and the length of the silence after a truncation. 0 is without limit. The package
+	// documentation explains the silence.
 	SilenceTicks int
 	// MaxCommandBytes is the size of the largest command; default 64 KiB.
 	MaxCommandBytes int
-	// MaxMessageBytes bounds the entries of one message; default 256 KiB. One entry always goes.
+	// MaxMessageBytes limits the total size of the entries in one message; default 256 KiB. A message always has room
+	// for one entry, whatever its size.
 	MaxMessageBytes int
-	// MaxInflightMessages is the number of messages with entries that a peer has not acknowledged; default 64.
+	// MaxInflightMessages is the maximum number of messages with entries that a peer has not acknowledged; default 64.
 	MaxInflightMessages int
-	// MaxPendingRequests is the number of commands and reads without a Reply; default 1024.
+	// MaxPendingRequests is the maximum number of commands and reads without a Reply; default 1024.
 	MaxPendingRequests int
-	// MaxUncommittedBytes bounds the entries that wait for a majority; default 4 MiB.
+	// MaxUncommittedBytes limits the total size of the entries that are not yet committed; default 4 MiB.
 	MaxUncommittedBytes int
-	// CompactionBytes is the size of the entries that are applied between two snapshots; default 1 MiB.
+	// CompactionBytes is the total size of the entries that are applied between two snapshots; default 1 MiB.
 	CompactionBytes int
 
-	// The following take a guard out, so that tests can show that the guard is needed.
+	// The following fields disable a guard, so that tests can show that the guard is needed.
 
 	skipStoreChecks          bool // no silence after a start, no comparison of store versions
-	acceptFormerIncarnations bool // messages of a peer's former starts count
-	deferWitnessWrites       bool // peers' versions may be written after what rests on them
+	acceptFormerIncarnations bool // messages of a peer's former starts are accepted
+	deferWitnessWrites       bool // replies may be sent before the peers' versions that they depend on are on disk
 	skipTruncationSilence    bool // no silence after a truncation
 	skipDigestChecks         bool // no comparison of digests
 }
@@ -74,23 +76,23 @@
 	setDefault(&c.CompactionBytes, defaultCompactionBytes)
 }
 
-// validate returns all that is wrong with a Config whose defaults are set, nil if nothing is.
+// validate checks a Config whose defaults are set, and returns all its faults as one error.
 func (c *Config) validate() error {
 	var errs []error
 	if c.ID == 0 || c.ID > math.MaxInt64 {
-		errs = append(errs, fmt.Errorf("id: %d is no steward's number", c.ID))
+		errs = append(errs, fmt.Errorf("id: %d is not a server's number, which is 1 to %d", c.ID, math.MaxInt64))
 	}
 	if c.HeartbeatTicks < 1 || c.ElectionTicks <= c.HeartbeatTicks {
-		errs = append(errs, fmt.Errorf("ticks: an election after %d, beats every %d",
-			c.ElectionTicks, c.HeartbeatTicks))
+		errs = append(errs, fmt.Errorf("ticks: the heartbeat interval is %d, want at least 1; the election timeout is %d, "+
+			"want more than the heartbeat interval", c.HeartbeatTicks, c.ElectionTicks))
 	}
 	if c.SilenceTicks < 0 {
-		errs = append(errs, fmt.Errorf("silence: %d ticks", c.SilenceTicks))
+		errs = append(errs, fmt.Errorf("silence: %d ticks, want 0 or more", c.SilenceTicks))
 	}
 	smallestLimit := min(c.MaxCommandBytes, c.MaxMessageBytes, c.MaxInflightMessages, c.MaxPendingRequests,
 		c.MaxUncommittedBytes, c.CompactionBytes)
 	if smallestLimit < 0 {
-		errs = append(errs, errors.New("a limit is negative"))
+		errs = append(errs, fmt.Errorf("limits: the smallest is %d, want none below 0", smallestLimit))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -20,8 +20,7 @@
 	Restore(snapshot []byte) error
 }
 
-// Core is one server's part in the replicated log. It is not safe for concurrent use, and none of its methods
-// blocks.
+// Core runs one server's part of the Raft protocol. It is not safe for concurrent use, and none of its methods blocks.
 type Core struct {
 	config    Config
 	machine   Machine
@@ -31,15 +30,15 @@
 
 	version      StoreVersion
 	peerVersions map[uint64]StoreVersion
-	dirtyPeers   map[uint64]bool // peers whose version is not on disk
-	syncNeeded   bool            // the next batch must be flushed before anything goes out
+	dirtyPeers   map[uint64]bool // peers whose version in peerVersions is not yet on disk
+	syncNeeded   bool            // the next batch must be flushed before its round's messages are sent
 	outbox       []Message       // for the next Ready; their SenderVersion is set there
 
 	silent       bool
-	confirmedBy  map[uint64]bool // peers that know of no newer version of the store
+	confirmedBy  map[uint64]bool // peers that confirmed that they remember no newer version of the store
 	elapsedTicks int             // since the start
 
-	truncationSilence        bool // silent since a truncation, until silenceEnd
+	truncationSilence        bool // silent because of a truncation, until silenceEnd
 	silenceEnd               int  // in elapsedTicks
 	truncations              int
 	unsavedTruncationSilence *bool // for the next batch
@@ -47,7 +46,7 @@
 	digests                digestChain // of the log as of the last Ready
 	commitIndex            uint64      // as of the last Ready
 	acknowledgedIndex      uint64      // the last entry that was acknowledged to a leader, or is known to be committed
-	savedAcknowledgedIndex uint64      // the one that is on disk
+	savedAcknowledgedIndex uint64      // acknowledgedIndex as it is on disk
 
 	appliedIndex       uint64
 	bytesSinceSnapshot int // of the entries applied since snapshotIndex
@@ -57,12 +56,12 @@
 	pendingRequests  map[uint64]bool     // commands and reads without a reply, by request ID
 	readsByIndex     map[uint64][]uint64 // reads by the index that must be applied first
 	replies          []Reply             // for the next Outbound
-	readyOutstanding bool                // Advance is to be called before the next Ready
+	readyOutstanding bool                // Advance must be called before the next Ready
 	failure          error
 }
 
-// New makes a Core from what a store holds. The store must already have counted this start. The error is one of
-// Config, of Machine.Restore, or a LogConflictError.
+// New makes a Core from the contents of a store. The store must already have counted this start, as storage.Open does.
+// The error is an invalid Config, an error of Machine.Restore, or a LogConflictError.
 func New(config Config, state State, machine Machine) (c *Core, err error) {
 	config.applyDefaults()
 	if err := config.validate(); err != nil {
@@ -92,7 +91,7 @@
 	return c, nil
 }
 
-// loadLog restores the Machine from the snapshot and takes the entries after it.
+// loadLog restores the Machine from the snapshot and loads the entries after it.
 func (c *Core) loadLog(state State) error {
 	c.digests = newDigestChain(0, 0, 0, nil)
 	if !raft.IsEmptySnap(state.Snapshot) {
@@ -123,7 +122,7 @@
 		return err
 	}
 	c.digests = digests
-	if len(snapshot.GetData()) == 0 { // the one of the bootstrap, which has no state
+	if len(snapshot.GetData()) == 0 { // the snapshot of storage.Bootstrap, which has no state
 		return nil
 	}
 	if err := c.machine.Restore(data); err != nil {
@@ -151,7 +150,8 @@
 	}
 }
 
-// recoverPanic turns a panic of the library, which finds that the log contradicts itself, into a lasting failure.
+// recoverPanic turns a panic into a lasting failure. The Raft library panics when it finds that the log is
+// inconsistent.
 func (c *Core) recoverPanic(err *error) {
 	if r := recover(); r != nil {
 		c.Fail(LogConflictError{fmt.Sprint(r)})
@@ -159,8 +159,8 @@
 	}
 }
 
-// Fail has the server stop taking part, as when its store can't be written. Only the first call counts. All
-// pending requests end with the error.
+// Fail makes the server stop taking part for good, for example because its store can't be written. All pending requests
+// end with the error. Calls after the first have no effect.
 func (c *Core) Fail(err error) {
 	if c.failure != nil {
 		return
@@ -174,7 +174,8 @@
 // Err returns why the server has stopped taking part; nil while it takes part.
 func (c *Core) Err() error { return c.failure }
 
-// Tick is called once for each interval of time that has passed.
+// Tick advances the time by one tick, the unit of election timeouts and heartbeat intervals. The caller calls it at a
+// fixed interval. The error is that of Err.
 func (c *Core) Tick() (err error) {
 	if c.failure != nil {
 		return c.failure
@@ -182,7 +183,7 @@
 	defer c.recoverPanic(&err)
 	c.elapsedTicks++
 	if !c.config.skipStoreChecks && c.elapsedTicks%c.config.ElectionTicks == 0 {
-		// After the silence too: a peer that starts late may still show that the store was rolled back.
+		// Also after the silence: a peer that starts late may still report that the store was rolled back.
 		c.queryVersions()
 	}
 	if c.silent {
@@ -201,8 +202,8 @@
 	}
 }
 
-// ReportSnapshot tells how the sending of a snapshot to a peer has ended. It must be called for each message of
-// that type.
+// ReportSnapshot reports whether a snapshot was delivered to a peer. It must be called for each message with a
+// snapshot, because the Raft library pauses replication to the peer until then.
 func (c *Core) ReportSnapshot(peer uint64, ok bool) {
 	if c.failure != nil {
 		return
--- a/internal/consensus/digestchain.go
+++ b/internal/consensus/digestchain.go
@@ -9,34 +9,34 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// maxTermRuns bounds the terms with commands that a snapshot names. Older ones are no longer known.
+// maxTermRuns is the maximum number of termRuns in a snapshot. Older ones are dropped.
 const maxTermRuns = 1024
 
-// termRun is what remains of a term's entries once they are compacted. Term and Nonce together name one leader,
-// which writes each entry once; the term alone does not once a store was rolled back. It is part of stored
-// snapshots.
+// termRun is the record of a term's commands that remains after their entries are compacted. Term and Nonce together
+// identify one leader, which writes each entry once. The term alone is not enough: after a store was rolled back, a
+// term may have two leaders. It is part of stored snapshots.
 type termRun struct {
 	_     struct{} `cbor:",toarray"`
 	Term  uint64
-	Nonce uint64 // of the leader's start
-	// LastIndex is the entry of the term's last command.
+	Nonce uint64 // Config.Nonce of the leader at the time
+	// LastIndex is the index of the term's last command.
 	LastIndex uint64
 }
 
-// chainLink is what digestChain holds of one entry.
+// chainLink is what digestChain holds about one entry.
 type chainLink struct {
 	term   uint64
-	digest uint64 // of the log up to this entry
-	nonce  uint64 // of the start that proposed the command; 0 of an entry without one
+	digest uint64 // of the log up to and including this entry
+	nonce  uint64 // Config.Nonce of the server that proposed the command; 0 if the entry has no command
 }
 
-// digestChain holds a digest of the log up to each entry. Raft takes entries of equal index and term for the same;
-// two leaders of one term, which a store that was rolled back makes possible, break that, and the digests show it. A
-// digest has 64 bits of xxh3: it finds faults, not attacks. It is computed from the entries, so that only snapshots
-// store one.
+// digestChain holds a digest of the log up to each entry. Raft assumes that entries of equal index and term are the
+// same. After a store was rolled back, a term may have two leaders, which breaks that assumption; the digests detect
+// it. A digest is a 64-bit xxh3 hash: it detects faults, not attacks. Digests are computed from the entries; only
+// snapshots store one.
 type digestChain struct {
-	runs  []termRun // of the entries up to base
-	base  uint64
+	runs  []termRun   // of the entries up to base
+	base  uint64      // index of the entry of links[0]
 	links []chainLink // of entry base and those after it
 }
 
@@ -46,7 +46,7 @@
 
 func (c *digestChain) lastIndex() uint64 { return c.base + uint64(len(c.links)) - 1 }
 
-// lookup gives an entry's term and the digest of the log up to it. ok is false if the chain doesn't reach there.
+// lookup returns an entry's term and the digest of the log up to it. ok is false if the chain does not hold the entry.
 func (c *digestChain) lookup(index uint64) (term, digest uint64, ok bool) {
 	if index < c.base || index > c.lastIndex() {
 		return 0, 0, false
@@ -55,7 +55,7 @@
 	return link.term, link.digest, true
 }
 
-// chainDigest is the digest of a log whose last entry is e and whose digest without it is given.
+// chainDigest returns the digest of a log that ends with e, given the digest of the log before e.
 func chainDigest(before uint64, e *pb.Entry) uint64 {
 	var header [4 * 8]byte
 	for i, n := range [...]uint64{before, e.GetIndex(), e.GetTerm(), uint64(e.GetType())} {
@@ -67,8 +67,8 @@
 	return hash.Sum64()
 }
 
-// replaceFrom puts entries in the place of those from the first one's index on. It panics if there is a gap before
-// them; Core makes a LogConflictError of that.
+// replaceFrom replaces all entries from the index of the first given entry on. It panics if there is a gap before the
+// first one; Core turns the panic into a LogConflictError.
 func (c *digestChain) replaceFrom(entries []*pb.Entry) {
 	if len(entries) == 0 {
 		return
@@ -85,7 +85,7 @@
 	}
 }
 
-// proposerNonce is the nonce of the start that proposed an entry's command; 0 if the entry has none.
+// proposerNonce returns the Config.Nonce of the server that proposed an entry's command, 0 if the entry has no command.
 func proposerNonce(e *pb.Entry) uint64 {
 	if e.GetType() != pb.EntryNormal {
 		return 0
@@ -94,7 +94,7 @@
 	return nonce
 }
 
-// runsUpTo are the runs of all entries up to an index.
+// runsUpTo returns the runs of all entries up to and including an index, at most the last maxTermRuns.
 func (c *digestChain) runsUpTo(index uint64) []termRun {
 	runs := append([]termRun{}, c.runs...) // never nil: snapshots store an empty list as such
 	for i := c.base + 1; i <= min(index, c.lastIndex()); i++ {
@@ -110,7 +110,7 @@
 	return runs[max(0, len(runs)-maxTermRuns):]
 }
 
-// compactTo drops the entries before an index.
+// compactTo drops the links of the entries before an index, and keeps their runs.
 func (c *digestChain) compactTo(index uint64) {
 	if index <= c.base || index > c.lastIndex() {
 		return
@@ -120,7 +120,7 @@
 	c.base = index
 }
 
-// containsLastRun reports whether the last command of own is among those of runs. It is also true if own has none.
+// containsLastRun reports whether the last command of own is also one of runs. It is true if own is empty.
 func containsLastRun(runs, own []termRun) bool {
 	if len(own) == 0 {
 		return true
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -2,14 +2,14 @@
 // Machine.
 //
 // Elections, replication and commitment are those of Raft as go.etcd.io/raft implements them (Ongaro, "Consensus:
-// Bridging Theory and Practice", 2014; pre-vote is section 9.6, check-quorum section 6.2). This package bounds the
-// library, connects it to a Machine, and keeps a server out whose store is not the latest one that it had.
+// Bridging Theory and Practice", 2014; pre-vote is section 9.6, check-quorum section 6.2). This package limits the
+// library's memory, connects it to a Machine, and excludes a server whose store was rolled back to an older state.
 //
 // # Terms
 //
 // Raft's names are used throughout. A Term is a numbered period with at most one leader. An entry is committed once
 // a majority of the voters has it on disk, and applied once the Machine has it; 'commit index' and 'applied index'
-// are the last entries that are. A proposal is a command that a client gave to the leader. A snapshot is the state
+// are the last such entries. A proposal is a command that a client sent to the leader. A snapshot is the state
 // of the Machine at an applied entry and replaces the log up to it. A learner receives the log and does not vote.
 //
 // # The pure core
@@ -23,17 +23,16 @@
 //
 // and drives its output in rounds, one at a time:
 //
-//	ready, ok := core.Ready()            // what is to be written, if there is anything
-//	store.Write(&ready.Batch)            // package storage: all of it or nothing
+//	ready, ok := core.Ready()            // a round, if there is anything to write, send or answer
+//	store.Write(&ready.Batch)            // package storage: atomic
 //	outbound, err := core.Advance(ready) // applies committed entries
 //	// send outbound.Messages, answer outbound.Replies
 //
-// Nothing leaves a server before what it rests on is on disk: messages and replies come from Advance only, after
-// Write.
+// No message or reply is sent before the state that it depends on is on disk: only Advance returns them, after Write.
 //
 // # Proposals
 //
-// A command is written to the log behind the nonce of the proposing server's start and the number of the request.
+// A command is written to the log after the nonce of the proposing server's start and the ID of the request.
 // The server that finds its own nonce in an applied entry answers the request with the Machine's reply. A leader
 // that steps down answers all pending requests with UndecidedError: the entry may still be committed by its
 // successor.
@@ -45,21 +44,23 @@
 // guards cover this:
 //
 //   - Store versions. Each message carries its sender's StoreVersion, and each receiver remembers the highest that
-//     it has seen of every peer, on disk, before anything that rests on the message goes out. After a start a
+//     it has seen of every peer, on disk, before it sends anything that depends on the message. After a start a
 //     server is silent: it neither votes nor answers until every other voter has confirmed that it knows of no
-//     newer version, or until Config.SilenceTicks have passed. A server that is shown a newer version of its own
-//     store fails with StoreRolledBackError.
-//   - Digests. digestChain holds a digest of the log up to each entry. Servers compare the digests of the entries
-//     that a message rests on; Raft itself takes entries of equal index and term for the same entry. A
-//     contradiction with what is committed is a LogConflictError.
-//   - Silence after a truncation. A server whose log is truncated below what it has acknowledged may have lost quota
-//     leases that a majority committed with its acknowledgement. It is silent until the longest of those leases has
-//     ended. See docs/fleet-budgets-design.md, section 7.
+//     newer version, or until Config.SilenceTicks have passed. A server that receives a newer version of its own
+//     store from a peer fails with StoreRolledBackError.
+//   - Digests. digestChain holds a digest of the log up to each entry. Servers compare the digests at the entries
+//     that a message refers to; Raft itself assumes that entries of equal index and term are the same. A difference
+//     from a committed entry is a LogConflictError.
+//   - Silence after a truncation. A server whose log is truncated below the index up to which it has acknowledged it
+//     may have lost quota leases that a majority committed with its acknowledgement. It is silent until the longest of
+//     those leases has ended. See docs/fleet-budgets-design.md, section 7.
 //
-// # Names
+// # Names in error texts
 //
-// The texts of errors are read by operators, whose pages call the control-plane servers stewards.
+// The texts of errors are written for operators, whose documentation calls the control-plane servers stewards.
 //
-// The election timeout is randomized from crypto/rand within the library: a run that must repeat itself seeds that
-// (testing/cryptotest).
+// # Randomness
+//
+// The Raft library randomizes the election timeout from crypto/rand. A test that must be reproducible seeds that with
+// testing/cryptotest.
 package consensus
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// NotLeaderError is returned by a server that does not lead. The request was not taken.
+// NotLeaderError is returned by a server that does not lead. The request was not accepted.
 type NotLeaderError struct {
-	// Leader is the server that this one takes for the leader; 0 is none.
+	// Leader is the leader as far as this server knows; 0 is none.
 	Leader uint64
 }
 
@@ -21,10 +21,10 @@
 	return "Ask the steward that leads; if none does, see that a majority of the stewards run and reach each other."
 }
 
-// UndecidedError ends a request whose leader stepped down before it was committed: it may still be carried out, or
-// never.
+// UndecidedError is the result of a request whose leader stepped down before it was committed. The request may still be
+// carried out.
 type UndecidedError struct {
-	// Leader is the next leader; 0 is not known.
+	// Leader is the next leader; 0 if it is not known.
 	Leader uint64
 }
 
@@ -39,11 +39,12 @@
 		"or send it again if it bears being carried out twice."
 }
 
-// NoQuorumError reports that no majority has agreed within the caller's time: the command may still be carried out.
+// NoQuorumError reports that no majority agreed before the caller's deadline. The command may still be carried out.
 type NoQuorumError struct {
-	// Active is the number of voters that answered lately, this server included.
+	// Active is Status.ActiveVoters: the number of voters that answered within an election timeout, this server
+	// included.
 	Active int
-	// Needed is the majority.
+	// Needed is the number of voters that form a majority.
 	Needed int
 }
 
@@ -59,9 +60,10 @@
 		"If the stores of a majority are lost for good, found the fleet anew under a higher epoch."
 }
 
-// QueueFullError reports that as many requests are pending as may be: this one was not taken.
+// QueueFullError reports that the maximum number of requests is pending, or that the Raft library dropped the proposal,
+// for example because the uncommitted entries reach Config.MaxUncommittedBytes. The request was not accepted.
 type QueueFullError struct {
-	// Limit is the number of requests that may be pending.
+	// Limit is the number of pending requests at which this one was rejected.
 	Limit int
 }
 
@@ -75,7 +77,7 @@
 	return "Ask again later and less often; if it goes on, see what slows the stewards' disks or links."
 }
 
-// CommandTooLargeError reports that a command is larger than the log takes: it was not taken.
+// CommandTooLargeError reports that a command is larger than Config.MaxCommandBytes. It was not accepted.
 type CommandTooLargeError struct {
 	// Size and Limit are in bytes.
 	Size  int
@@ -91,11 +93,11 @@
 func (CommandTooLargeError) Advice() string { return "Split the command." }
 
 // SilentError is returned by a server whose peers have not yet confirmed that its store is the latest, or whose log
-// was truncated below what it had acknowledged. The request was not taken.
+// was truncated below the index up to which it had acknowledged it. The request was not accepted.
 type SilentError struct {
 	// UnconfirmedPeers are the voters that have not confirmed the store.
 	UnconfirmedPeers []uint64
-	// Truncated reports whether the silence is one after a truncation.
+	// Truncated reports whether the server is silent because of a truncation.
 	Truncated bool
 }
 
@@ -118,14 +120,15 @@
 	return "Start the stewards that are missing; without them this one takes part after the silence that is set."
 }
 
-// StoreRolledBackError reports that a peer has seen this server write what its store does not hold: an older copy
-// was put back, or the store was lost. The server stops taking part.
+// StoreRolledBackError reports that a peer remembers a newer version of this server's store, or a different store: an
+// older copy was restored, or the store was lost. The server stops taking part.
 type StoreRolledBackError struct {
-	// Witness is the peer that has seen a newer version.
+	// Witness is the peer that remembers the other version.
 	Witness uint64
-	// Stored is the version of the store, Seen the one that the witness remembers.
+	// Stored is the version of the store.
 	Stored StoreVersion
-	Seen   StoreVersion
+	// Seen is the version that the witness remembers.
+	Seen StoreVersion
 }
 
 // Error implements error.
@@ -144,8 +147,10 @@
 		"as a learner with an empty store."
 }
 
-// FleetMismatchError is returned for a message of another fleet, or of another epoch of this one: it was dropped.
+// FleetMismatchError is returned for a message of another fleet, or of another epoch of this fleet. The message was
+// dropped.
 type FleetMismatchError struct {
+	// Fleet and Epoch are those of the message.
 	Fleet string
 	Epoch uint64
 }
@@ -161,9 +166,10 @@
 		"and that none runs on a store of before the founding anew."
 }
 
-// LogConflictError reports that this server's log contradicts itself or what another server holds. This server takes
-// no part any more.
+// LogConflictError reports that this server's log is inconsistent, or that it differs from another server's log where
+// the two must be equal. The server stops taking part.
 type LogConflictError struct {
+	// Reason names the entry and the difference, or is the text of the Raft library's panic.
 	Reason string
 }
 
--- a/internal/consensus/logger.go
+++ b/internal/consensus/logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// discardLogger drops the Raft library's log: what matters is in Status and in errors. Its panics remain; Core
-// turns them into errors.
+// discardLogger discards the Raft library's log lines, because Status and the errors hold the same information. Fatal
+// and Panic still panic; Core turns the panics into errors.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
--- a/internal/consensus/node/node_test.go
+++ b/internal/consensus/node/node_test.go
@@ -196,7 +196,8 @@
 		}
 		keys[id] = loaded
 	}
-	// The third server never confirms a store, so the other two are silent for all of c.silence, which is set short here.
+	// The third server never confirms a store, so the other two are silent for all of c.silence, which is set short
+	// here.
 	c := newTLSCluster(t, consensus.Config{}, keys)
 	for _, m := range c.members {
 		c.stop(m)
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -8,19 +8,20 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Reply is how a command or a read has ended.
+// Reply is the result of a command or a read.
 type Reply struct {
+	// RequestID is the ID that was passed to Propose or ReadIndex.
 	RequestID uint64
-	// Index is the command's entry, or the entry up to which a read sees the log.
+	// Index is the index of the command's entry, or the applied index at which a read may be served.
 	Index uint64
-	// Data is what Machine.Apply returned.
+	// Data is the result of Machine.Apply for a command.
 	Data []byte
-	// Err is nil if the request was carried out; else UndecidedError, or what Err of the Core returns.
+	// Err is nil if the request was carried out, else an UndecidedError or the error of Core.Err.
 	Err error
 }
 
-// requestHeaderBytes is the length of what stands before a command in its entry, and of a read's context: the nonce
-// of the server's start and the request's ID.
+// requestHeaderBytes is the length of the header before a command in its entry, and of the context of a read. It holds
+// the nonce of the server's start and the ID of the request.
 const requestHeaderBytes = 8 + 8
 
 func encodeProposal(nonce, requestID uint64, command []byte) []byte {
@@ -30,7 +31,7 @@
 	return append(data, command...)
 }
 
-// decodeProposal splits what encodeProposal made; ok is false for an entry without a command.
+// decodeProposal splits the result of encodeProposal. ok is false for an entry without a command.
 func decodeProposal(data []byte) (nonce, requestID uint64, command []byte, ok bool) {
 	if len(data) < requestHeaderBytes {
 		return 0, 0, nil, false
@@ -38,7 +39,8 @@
 	return binary.BigEndian.Uint64(data), binary.BigEndian.Uint64(data[8:]), data[requestHeaderBytes:], true
 }
 
-// checkAccepting returns why no request is taken now, nil if one is: what Err returns, SilentError, NotLeaderError or QueueFullError.
+// checkAccepting returns nil if a request can be accepted, else the reason: the error of Err, SilentError,
+// NotLeaderError or QueueFullError.
 func (c *Core) checkAccepting() error {
 	if c.failure != nil {
 		return c.failure
@@ -55,9 +57,9 @@
 	return nil
 }
 
-// Propose takes a command under a request ID that is not in use. A Reply ends it, unless Forget does. On an error
-// the command was not taken: NotLeaderError, SilentError, QueueFullError, CommandTooLargeError, or what Err returns
-// too.
+// Propose starts to replicate a command under a request ID that no pending request has. A later Outbound holds its
+// Reply, unless Forget is called for it. An error means that the command was not accepted: NotLeaderError,
+// SilentError, QueueFullError, CommandTooLargeError, or the error of Err.
 func (c *Core) Propose(requestID uint64, command []byte) (err error) {
 	if err := c.checkAccepting(); err != nil {
 		return err
@@ -77,8 +79,9 @@
 	return nil
 }
 
-// ReadIndex takes a read under a request ID that is not in use. Its Reply comes once this server has applied all
-// that was committed anywhere when ReadIndex was called, and was still the leader then. Errors are as of Propose.
+// ReadIndex starts a linearizable read under a request ID that no pending request has. Its Reply comes once a majority
+// has confirmed that this server was still the leader, and this server has applied all entries that were committed on
+// any server when ReadIndex was called. Errors are as for Propose.
 func (c *Core) ReadIndex(requestID uint64) (err error) {
 	if err := c.checkAccepting(); err != nil {
 		return err
@@ -89,13 +92,13 @@
 	return nil
 }
 
-// Forget drops a request that nobody waits for any more. Its command may still be carried out.
+// Forget drops a request whose caller no longer waits. Its command may still be carried out.
 func (c *Core) Forget(requestID uint64) {
 	delete(c.pendingRequests, requestID)
 }
 
 // ProposeConfChange proposes to add a learner, to promote it (by adding it as a voter) or to remove a member. Only
-// one change may be under way; Status shows when it is applied. Errors are as of Propose.
+// one change may be in progress; it is applied once Status shows it. Errors are as for Propose.
 func (c *Core) ProposeConfChange(kind pb.ConfChangeType, id uint64) (err error) {
 	if err := c.checkAccepting(); err != nil {
 		return err
@@ -104,7 +107,8 @@
 	return c.raft.ProposeConfChange(&pb.ConfChange{Type: kind.Enum(), NodeId: new(id)})
 }
 
-// completeRequest ends a request, unless it was ended or forgotten before.
+// completeRequest adds the reply to a pending request, which is pending no longer. Replies to other requests are
+// dropped.
 func (c *Core) completeRequest(reply Reply) {
 	if !c.pendingRequests[reply.RequestID] {
 		return
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -8,12 +8,12 @@
 // Ready is one round of output. Its Batch must be on disk before Advance is called with it.
 type Ready struct {
 	Batch     Batch
-	raftReady *raft.Ready // nil if the library had nothing
+	raftReady *raft.Ready // nil if the Raft library had no output
 	messages  []Message
 }
 
-// Ready gives the next round, if there is anything to write, send or answer and the round before was advanced. All
-// methods but Ready may be called between it and Advance.
+// Ready returns the next round. It returns false if there is nothing to write, send or answer, or if Advance was not
+// yet called for the previous round. All other methods may be called between Ready and Advance.
 func (c *Core) Ready() (*Ready, bool) {
 	if c.readyOutstanding {
 		return nil, false
@@ -23,7 +23,7 @@
 	if c.failure == nil {
 		ready.raftReady, truncated = c.takeRaftReady()
 	}
-	if c.failure != nil { // nothing is written any more; pending requests are still answered
+	if c.failure != nil { // nothing more is written, but pending requests still get a reply
 		ready.raftReady = nil
 		ready.Batch.WriteSeq = c.version.WriteSeq
 		c.readyOutstanding = len(c.replies) > 0
@@ -40,16 +40,16 @@
 	return ready, true
 }
 
-// hasOutput reports whether there is anything for a round besides what the library has.
+// hasOutput reports whether there is any output for a round besides that of the Raft library.
 func (c *Core) hasOutput() bool {
 	return len(c.outbox) > 0 || c.syncNeeded || c.unsavedSnapshot != nil || len(c.replies) > 0
 }
 
-// takeRaftReady takes what the library has ready, and reports whether it truncates the log below what was
-// acknowledged.
+// takeRaftReady returns the Raft library's output, nil if there is none, and whether it truncates the log below
+// acknowledgedIndex. A failure is reported through Err.
 func (c *Core) takeRaftReady() (raftReady *raft.Ready, truncated bool) {
 	var err error
-	defer c.recoverPanic(&err) // the error is Err's too
+	defer c.recoverPanic(&err) // which also sets the error of Err
 	if !c.raft.HasReady() {
 		return nil, false
 	}
@@ -60,7 +60,7 @@
 	return &ready, truncated
 }
 
-// addRaftOutput adds the library's part of a round.
+// addRaftOutput adds the Raft library's output to a round.
 func (c *Core) addRaftOutput(ready *Ready, truncated bool) {
 	raftReady := ready.raftReady
 	batch := &ready.Batch
@@ -78,25 +78,26 @@
 	}
 	if truncated {
 		c.truncations++
-		c.acknowledgedIndex = 0 // of the new log nothing is acknowledged yet; observeCommit raises it to what is committed
+		c.acknowledgedIndex = 0 // nothing of the new log is acknowledged; observeCommit raises it to the commit index
 		c.beginTruncationSilence()
 	}
 	c.collectMessages(raftReady.Messages)
 	c.observeCommit()
 }
 
-// collectMessages takes the library's messages, unless a truncation silences the server.
+// collectMessages puts the Raft library's messages into the outbox, or drops them while the server is silent after a
+// truncation.
 func (c *Core) collectMessages(messages []*pb.Message) {
 	term := c.raft.BasicStatus().GetTerm()
 	for _, m := range messages {
-		// What was acknowledged under a former term may have been truncated before it was ever on disk: such a
-		// message is dropped as if the network had lost it.
-		ofFormerTerm := m.GetTerm() > 0 && m.GetTerm() < term
-		if m.GetTo() == c.config.ID || c.truncationSilence || ofFormerTerm {
+		// A message of a former term may acknowledge entries that were truncated before they were on disk. It is
+		// dropped as if the network had lost it.
+		fromFormerTerm := m.GetTerm() > 0 && m.GetTerm() < term
+		if m.GetTo() == c.config.ID || c.truncationSilence || fromFormerTerm {
 			continue
 		}
 		if m.GetType() == pb.MsgAppResp && !m.GetReject() && m.GetIndex() > c.acknowledgedIndex {
-			// That an entry was acknowledged must be on disk before the leader hears so.
+			// The acknowledged index must be on disk before the leader receives the acknowledgement.
 			c.acknowledgedIndex = m.GetIndex()
 			c.syncNeeded = true
 		}
@@ -104,11 +105,11 @@
 	}
 }
 
-// observeCommit takes the commit index of a round.
+// observeCommit takes the Raft library's commit index into commitIndex and acknowledgedIndex.
 func (c *Core) observeCommit() {
 	status := c.raft.BasicStatus()
-	// What a leader has committed must be on disk before anyone is told of it, with the peers' versions that it
-	// rests on.
+	// A leader must have its new commit index on disk before it sends it, together with the store versions of the
+	// peers whose acknowledgements it depends on.
 	if status.GetCommit() > c.commitIndex && status.RaftState == raft.StateLeader && !c.config.deferWitnessWrites {
 		c.syncNeeded = true
 	}
@@ -116,7 +117,7 @@
 	c.acknowledgedIndex = max(c.acknowledgedIndex, c.commitIndex)
 }
 
-// addOwnOutput adds what this package has for a round.
+// addOwnOutput adds the output of this package to a round: the outbox, snapshots, peers' versions and silence.
 func (c *Core) addOwnOutput(ready *Ready) {
 	batch := &ready.Batch
 	batch.TruncationSilence = c.unsavedTruncationSilence
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -7,19 +7,20 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// snapshotEnvelope is the data of a stored or sent snapshot: the Machine's state and what is known of the log
-// before it.
+// snapshotEnvelope is the data of a stored or sent snapshot: the Machine's state, and a summary of the log that the
+// snapshot replaces.
 type snapshotEnvelope struct {
 	_ struct{} `cbor:",toarray"`
-	// Digest is the one of the log up to the snapshot's entry.
+	// Digest is the digest of the log up to and including the snapshot's entry.
 	Digest uint64
-	Runs   []termRun
+	// Runs are the runs of that part of the log.
+	Runs []termRun
 	// Data is the result of Machine.Snapshot.
 	Data []byte
 }
 
-// decodeSnapshot gives the chain that begins at a snapshot, and the Machine's state, which is empty in the snapshot
-// of a bootstrap.
+// decodeSnapshot returns the digest chain that begins at a snapshot, and the Machine's state. The snapshot of
+// storage.Bootstrap has no state.
 func decodeSnapshot(snapshot *pb.Snapshot) (digests digestChain, data []byte, err error) {
 	index := snapshot.GetMetadata().GetIndex()
 	term := snapshot.GetMetadata().GetTerm()
@@ -32,8 +33,8 @@
 	return newDigestChain(index, term, envelope.Digest, envelope.Runs), envelope.Data, nil
 }
 
-// compactIfDue takes a snapshot once enough was applied since the last one. In memory the entries since the last
-// one stay, for peers that lag.
+// compactIfDue takes a snapshot once CompactionBytes of entries were applied since the previous one. The entries
+// after the previous snapshot stay in memory, so that peers that lag need no snapshot.
 func (c *Core) compactIfDue() error {
 	if c.bytesSinceSnapshot < c.config.CompactionBytes {
 		return nil
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -2,10 +2,10 @@
 
 import pb "go.etcd.io/raft/v3/raftpb"
 
-// StoreVersion is how far a server's store has come. Each message carries its sender's version, and the receiver
-// has it on disk before anything that rests on the message goes out.
+// StoreVersion orders the states of a server's store. Each message carries its sender's version, and the receiver
+// writes it to disk before it sends anything that depends on the message.
 type StoreVersion struct {
-	// StoreID is a random number, drawn when the store was made.
+	// StoreID is a random number, drawn when the store was created.
 	StoreID uint64 `cbor:"Store"`
 	// Incarnation counts the starts of a process on the store.
 	Incarnation uint64 `cbor:"Start"`
@@ -15,7 +15,8 @@
 	WriteSeq uint64 `cbor:"Seq"`
 }
 
-// isBehind reports whether a store of this version lacks what a peer that knows the other version has seen of it.
+// isBehind reports whether a store of this version is older than the version known to a peer, or is another store. It
+// is false if known is the zero value.
 func (v StoreVersion) isBehind(known StoreVersion) bool {
 	if known == (StoreVersion{}) {
 		return false
@@ -23,37 +24,41 @@
 	if v.StoreID != known.StoreID || v.Incarnation < known.Incarnation || v.WriteSeq < known.WriteSeq {
 		return true
 	}
-	// Two starts with one number: the count was set back between them.
+	// Two starts have the same number, so the store was rolled back between them.
 	return v.Incarnation == known.Incarnation && v.Nonce != known.Nonce
 }
 
-// sameIncarnation reports whether both are versions of one start of one store.
+// sameIncarnation reports whether both are versions of the same start of the same store.
 func (v StoreVersion) sameIncarnation(o StoreVersion) bool {
 	return v.StoreID == o.StoreID && v.Incarnation == o.Incarnation && v.Nonce == o.Nonce
 }
 
-// State is what a store holds when it is opened.
+// State is the contents of a store when it is opened.
 type State struct {
-	Version   StoreVersion
+	Version StoreVersion
+	// HardState is nil in a store without one.
 	HardState *pb.HardState
-	// Snapshot is the beginning of the log, with the members as of then.
+	// Snapshot replaces the beginning of the log, and names the members at that point. It is nil in a store without
+	// one.
 	Snapshot *pb.Snapshot
-	// Entries follow the snapshot.
-	Entries      []*pb.Entry
+	// Entries are the log after the snapshot.
+	Entries []*pb.Entry
+	// PeerVersions are the highest versions seen of other servers' stores, by server ID.
 	PeerVersions map[uint64]StoreVersion
 	// TruncationSilence reports whether the silence after a truncation had not ended.
 	TruncationSilence bool
-	// AcknowledgedIndex is an entry up to which the server has at least acknowledged the log.
+	// AcknowledgedIndex is an index up to which the server has acknowledged the log to a leader. It may have
+	// acknowledged later entries too.
 	AcknowledgedIndex uint64
 }
 
-// Batch is what must be on disk, all of it or nothing, before Core.Advance is called.
+// Batch is a set of changes to a store that are written atomically. They must be on disk before Core.Advance is called.
 type Batch struct {
 	// WriteSeq becomes the WriteSeq of the store's version.
 	WriteSeq uint64
-	// HardState replaces the stored one; nil leaves it.
+	// HardState replaces the stored one; nil keeps it.
 	HardState *pb.HardState
-	// Snapshot replaces the stored one and removes the entries up to its index; nil leaves both.
+	// Snapshot replaces the stored one and removes the entries up to its index; nil keeps both.
 	Snapshot *pb.Snapshot
 	// ReplaceLog reports whether the snapshot came from another server: it removes all entries.
 	ReplaceLog bool
@@ -61,11 +66,12 @@
 	Entries []*pb.Entry
 	// PeerVersions replace the stored ones of the same peers.
 	PeerVersions map[uint64]StoreVersion
-	// TruncationSilence replaces the stored one; nil leaves it.
+	// TruncationSilence replaces the stored one; nil keeps it.
 	TruncationSilence *bool
-	// AcknowledgedIndex replaces the stored one; 0 leaves it.
+	// AcknowledgedIndex replaces the stored one; 0 keeps it.
 	AcknowledgedIndex uint64
-	// Sync reports whether the batch must outlive a power failure before Core.Advance is called.
+	// Sync reports whether the batch must be flushed to disk, so that it survives a power failure, before Core.Advance
+	// is called.
 	Sync bool
 }
 
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -7,30 +7,30 @@
 	"go.etcd.io/raft/v3"
 )
 
-// roleSilent stands in Status.Role in place of a role of Raft while the server is silent.
+// roleSilent is Status.Role while the server is silent; else Status.Role is a role of Raft.
 const roleSilent = "StateSilent"
 
-// Status is the state of a server; entries are named by their index.
+// Status is the state of a server. Log entries are given by their index, servers by their ID.
 type Status struct {
 	ID uint64
-	// Leader is the server that this one takes for the leader; 0 is none.
+	// Leader is the leader as far as this server knows; 0 is none.
 	Leader uint64
 	Term   uint64
-	// Commit and Applied are the last entries that are committed and applied here.
+	// Commit and Applied are the last entries that this server knows to be committed, and has applied.
 	Commit  uint64
 	Applied uint64
-	// FirstIndex and LastIndex are the log in memory.
+	// FirstIndex and LastIndex are the first and the last entry of the log in memory.
 	FirstIndex uint64
 	LastIndex  uint64
-	// Role is the name of the library's state, such as "StateLeader", or "StateSilent".
+	// Role is the name of the Raft library's state, such as "StateLeader", or "StateSilent" while the server is silent.
 	Role string
 	// UnconfirmedPeers are the voters that have not confirmed the store; set while the server is silent.
 	UnconfirmedPeers []uint64
-	// TruncationSilence reports whether the server is silent since a truncation of its log.
+	// TruncationSilence reports whether the server is silent because of a truncation of its log.
 	TruncationSilence bool
-	// Truncations counts the truncations below what was acknowledged, since the start.
+	// Truncations counts the truncations of the log below the acknowledged index since the start.
 	Truncations int
-	// Match is, at the leader, the last entry that each member is known to hold.
+	// Match is, at the leader, the last entry that each member is known to hold, by the member's ID.
 	Match map[uint64]uint64
 	// ActiveVoters is, at the leader, the number of voters that answered within an election timeout, itself
 	// included.
@@ -43,7 +43,7 @@
 	Err error
 }
 
-// Status returns the server's state as of the last call of one of Core's methods. It may be called after a failure too.
+// Status returns the server's state. It may also be called after a failure.
 func (c *Core) Status() Status {
 	raftStatus := c.raft.Status()
 	status := Status{
--- a/internal/consensus/step.go
+++ b/internal/consensus/step.go
@@ -24,8 +24,8 @@
 	c.outbox = append(c.outbox, m)
 }
 
-// Step takes a message of another server. The error is why the message was dropped: FleetMismatchError,
-// SilentError, one of the Raft library, or what Err returns too, after which the server stops taking part.
+// Step handles a message of another server. An error is the reason why the message was dropped: FleetMismatchError,
+// SilentError, an error of the Raft library, or the error of Err, after which the server takes no part.
 func (c *Core) Step(m Message) (err error) {
 	switch {
 	case c.failure != nil:
@@ -33,7 +33,7 @@
 	case m.Fleet != c.config.Fleet || m.Epoch != c.config.Epoch:
 		return FleetMismatchError{m.Fleet, m.Epoch}
 	case m.To != c.config.ID || m.From == 0 || m.From == c.config.ID:
-		return fmt.Errorf("consensus: a message from %d to %d came to %d", m.From, m.To, c.config.ID)
+		return fmt.Errorf("consensus: server %d received a message from server %d to server %d", c.config.ID, m.From, m.To)
 	}
 	defer c.recoverPanic(&err)
 	if !c.config.skipStoreChecks && !c.observeVersion(m) {
@@ -50,27 +50,27 @@
 	case MessageDigestMismatch:
 		return c.handleDigestMismatch(m)
 	default:
-		return fmt.Errorf("consensus: a message of kind %d", m.Kind)
+		return fmt.Errorf("consensus: message of unknown kind %d", m.Kind)
 	}
 }
 
-// stepRaft hands a message to the Raft library, unless this server is silent or the message contradicts the log here.
+// stepRaft passes a message to the Raft library, unless this server is silent or the message contradicts its log.
 func (c *Core) stepRaft(m Message) error {
 	r := m.Raft
 	if r == nil || r.GetFrom() != m.From || r.GetTo() != m.To {
-		return errors.New("consensus: a message whose cover says otherwise")
+		return errors.New("consensus: the sender or receiver of a message differs from that of the Raft message inside")
 	}
 	if c.silent {
 		return SilentError{c.unconfirmedPeers(), c.truncationSilence}
 	}
 	switch r.GetType() {
 	case pb.MsgVote, pb.MsgPreVote:
-		// A store that has never held the fleet's members must not vote.
+		// A server whose store has never held the fleet's members must not vote.
 		if len(c.confState.GetVoters()) == 0 {
 			return nil
 		}
 	case pb.MsgProp, pb.MsgReadIndex, pb.MsgReadIndexResp, pb.MsgTransferLeader:
-		return fmt.Errorf("consensus: a %v from another steward", r.GetType())
+		return fmt.Errorf("consensus: a message of type %v is not accepted from another server", r.GetType())
 	}
 	if err := c.checkDigests(m); err != nil {
 		return err
--- a/internal/consensus/storage/write.go
+++ b/internal/consensus/storage/write.go
@@ -26,8 +26,8 @@
 	return s.commit(&merged)
 }
 
-// withDeferred adds to a batch what was deferred and is not replaced by it. A deferred batch has no entries, no snapshot
-// and no AcknowledgedIndex: Core sets the last only with Sync.
+// withDeferred adds to a batch what was deferred and is not replaced by it. A deferred batch has no entries, no
+// snapshot and no AcknowledgedIndex: Core sets the last only with Sync.
 func (s *Store) withDeferred(batch *consensus.Batch) consensus.Batch {
 	merged := *batch
 	if merged.HardState == nil {
