--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -80,7 +80,7 @@
 func (c *Config) validate() error {
 	var errs []error
 	if c.ID == 0 || c.ID > math.MaxInt64 {
-		errs = append(errs, fmt.Errorf("id: %d is not a server's number, which is 1 to %d", c.ID, math.MaxInt64))
+		errs = append(errs, fmt.Errorf("id: %d is no steward's number", c.ID))
 	}
 	if c.HeartbeatTicks < 1 || c.ElectionTicks <= c.HeartbeatTicks {
 		errs = append(errs, fmt.Errorf("ticks: the heartbeat interval is %d, want at least 1; the election timeout is %d, "+
--- a/internal/consensus/node/codec.go
+++ b/internal/consensus/node/codec.go
@@ -10,10 +10,11 @@
 	"lapisspread/internal/consensus"
 )
 
-// maxBatchMessages is the number of messages in one request.
+// maxBatchMessages is the maximum number of messages in one request.
 const maxBatchMessages = 64
 
-// wireMessage is a message as it goes over the network: CBOR (RFC 8949), with the Raft library's part in protobuf.
+// wireMessage is the encoding of a consensus.Message on the network: CBOR (RFC 8949), with the Raft library's message
+// as a protobuf byte string.
 type wireMessage struct {
 	Fleet         string                 `cbor:"1,keyasint"`
 	Epoch         uint64                 `cbor:"2,keyasint"`
@@ -28,6 +29,7 @@
 	Digest        uint64                 `cbor:"11,keyasint,omitempty"`
 }
 
+// encodeMessage returns the CBOR of a wireMessage.
 func encodeMessage(m consensus.Message) (cbor.RawMessage, error) {
 	wire := wireMessage{
 		Fleet:         m.Fleet,
@@ -50,7 +52,8 @@
 	return cbor.Marshal(wire)
 }
 
-// decodeMessages decodes the body of a request.
+// decodeMessages decodes the body of a request. It returns an error for a malformed body, or one with more than
+// maxBatchMessages messages.
 func decodeMessages(body []byte) ([]consensus.Message, error) {
 	var received []wireMessage
 	if err := cbor.Unmarshal(body, &received); err != nil {
--- a/internal/consensus/node/config.go
+++ b/internal/consensus/node/config.go
@@ -17,13 +17,14 @@
 	defaultQueueLength  = 512
 )
 
-// minBodyBytes is the least that Config.MaxBodyBytes may be: a batch that is full, and one message more.
+// minBodyBytes is the minimum of Config.MaxBodyBytes: room for a full batch and one more message of the same size.
 const minBodyBytes = 2 * batchSoftBytes
 
-// Config of a Node. Fleet, Epoch, ID, StorePath, Machine and Silence must be set.
+// Config configures a Node. Fleet, Epoch, ID, StorePath, Machine and Silence must be set.
 type Config struct {
+	// Fleet is the name of the fleet. Messages of another fleet are rejected.
 	Fleet string
-	// Epoch counts how often the fleet was bootstrapped.
+	// Epoch counts how often the fleet was bootstrapped. Messages of another epoch are rejected.
 	Epoch uint64
 	// ID is this server's number in the fleet, above 0.
 	ID uint64
@@ -32,24 +33,27 @@
 	// Peers are the base addresses of the other servers, such as "https://10.0.0.1:7400". An entry for ID is
 	// ignored.
 	Peers map[uint64]string
-	// Machine is called by Start, and then by the goroutine that owns the Core. It must not block: heartbeats and
-	// messages wait for it.
+	// Machine is called by Start, and then by the goroutine that owns the Core. It must not block, because heartbeats
+	// and messages wait for it.
 	Machine consensus.Machine
-	// Silence is the longest lease that the Machine grants. After a start the server waits for so long for all
-	// others to confirm its store, and after a truncation of its log in any case.
+	// Silence is the duration of the longest lease that the Machine grants. After a start the server takes no part
+	// until all others have confirmed its store, for at most this time; after a truncation of its log, for exactly
+	// this time.
 	Silence time.Duration
-	// TickInterval is the time between two heartbeats of a leader; default 100 ms. An election comes after 10 to 19
-	// of them without one.
+	// TickInterval is the time between two heartbeats of a leader; default 100 ms. Without a heartbeat an election
+	// starts after 10 to 19 intervals.
 	TickInterval time.Duration
 	// Limits hold the limits of the Core; its Fleet, Epoch, ID, Nonce and SilenceTicks are set by Start.
 	Limits consensus.Config
-	// MaxBodyBytes bounds a request between servers, a snapshot included; default 64 MiB, at least 1 MiB.
+	// MaxBodyBytes limits the body of a request between servers, one with a snapshot included; default 64 MiB, at least
+	// 1 MiB.
 	MaxBodyBytes int
-	// QueueLength is the number of messages that wait for each peer, and of those that arrived; default 512.
+	// QueueLength is the capacity of the queue of messages to each peer, and of the queue of received messages; default
+	// 512.
 	QueueLength int
-	// TLS is used to call the other servers; nil is as their addresses say.
+	// TLS is the configuration of connections to servers with https addresses; nil is Go's default configuration.
 	TLS *tls.Config
-	// Transport replaces the HTTP transport; TLS is ignored then.
+	// Transport replaces the HTTP transport if it is not nil; TLS is ignored then.
 	Transport http.RoundTripper
 }
 
@@ -65,18 +69,19 @@
 	}
 }
 
+// validate checks a Config whose defaults are set.
 func (c *Config) validate() error {
 	if c.Silence <= 0 || c.TickInterval < 0 || c.Machine == nil || c.MaxBodyBytes < 0 || c.QueueLength < 0 {
 		return fmt.Errorf("consensus: silence %v, tick %v, max-body %d, queue %d, machine %v",
 			c.Silence, c.TickInterval, c.MaxBodyBytes, c.QueueLength, c.Machine)
 	}
 	if c.MaxBodyBytes < minBodyBytes {
-		return fmt.Errorf("consensus: max-body: %d is under %d", c.MaxBodyBytes, minBodyBytes)
+		return fmt.Errorf("consensus: max-body: %d bytes, want at least %d", c.MaxBodyBytes, minBodyBytes)
 	}
 	return nil
 }
 
-// coreConfig is the Config of the Core for a start with a nonce.
+// coreConfig returns the Config of the Core. The nonce is that of the store's version at this start.
 func (c *Config) coreConfig(nonce uint64) consensus.Config {
 	config := c.Limits
 	config.Fleet = c.Fleet
@@ -87,7 +92,7 @@
 	return config
 }
 
-// newTransport is the transport to the other servers.
+// newTransport returns the HTTP transport for requests to the other servers.
 func (c *Config) newTransport() http.RoundTripper {
 	if c.Transport != nil {
 		return c.Transport
--- a/internal/consensus/node/handler.go
+++ b/internal/consensus/node/handler.go
@@ -7,11 +7,14 @@
 	"lapisspread/internal/consensus"
 )
 
-// messagesPath is where a server takes messages.
+// messagesPath is the HTTP path at which a server receives messages.
 const messagesPath = "/consensus/v1/messages"
 
-// Handler takes the messages of the other servers. Whoever serves it is responsible for TLS and for who may call.
-// It does not block: a message that finds the queue full is dropped, and the sender is told.
+// Handler returns the HTTP handler that receives the messages of the other servers. Its caller is responsible for TLS
+// and for authorization. The handler does not wait for room in the queue: it answers 204 if all messages of the
+// request were queued, 400 for a malformed body, 409 for a message to another fleet, epoch or server, 413 for a body
+// that exceeds MaxBodyBytes, and 503 if the queue is full or the Node is closed. The messages after the first
+// rejected one are dropped.
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+messagesPath, n.handleMessages)
--- a/internal/consensus/node/metrics.go
+++ b/internal/consensus/node/metrics.go
@@ -2,20 +2,22 @@
 
 import "sync/atomic"
 
-// Metrics count since the start.
+// Metrics holds counts since the start of the Node.
 type Metrics struct {
-	// Sent and SentBytes count messages that peers took, and the bytes of all requests to them.
-	Sent      uint64
+	// Sent counts the messages that peers accepted.
+	Sent uint64
+	// SentBytes is the total size in bytes of the bodies of all requests to peers, failed ones included.
 	SentBytes uint64
-	// Dropped counts messages that this server lost, in either direction.
+	// Dropped counts messages to and from peers that this server dropped or failed to deliver.
 	Dropped uint64
-	// Rejected counts messages that this server did not accept.
+	// Rejected counts messages that were for another fleet, epoch or server, and those for which Core.Step returned an
+	// error.
 	Rejected uint64
-	// SyncedWrites counts batches that were flushed to disk.
+	// SyncedWrites counts the batches with Sync that were passed to the store.
 	SyncedWrites uint64
 }
 
-// counters are Metrics as they are counted.
+// counters holds the counts of Metrics.
 type counters struct {
 	sent         atomic.Uint64
 	sentBytes    atomic.Uint64
--- a/internal/consensus/node/node.go
+++ b/internal/consensus/node/node.go
@@ -11,30 +11,30 @@
 	"lapisspread/internal/consensus/storage"
 )
 
-// ErrClosed is returned by calls on a Node that was closed.
+// ErrClosed is returned by methods of a closed Node.
 var ErrClosed = errors.New("consensus: the node is closed")
 
-// raftCallQueueLength is the number of calls that wait for the goroutine of the Core.
+// raftCallQueueLength is the capacity of the queue of calls to the goroutine that owns the Core.
 const raftCallQueueLength = 64
 
-// Node is a running server. It is safe for concurrent use.
+// Node is a running server of a fleet. It is safe for concurrent use.
 type Node struct {
 	config     Config
-	core       *consensus.Core // only runRaft uses it once the Node runs
-	store      *storage.Store  // only runStore uses it until both have ended
+	core       *consensus.Core // used only by runRaft once the Node runs
+	store      *storage.Store  // used only by runStore until Close has stopped all goroutines
 	peers      map[uint64]*peer
 	httpClient *http.Client
 
-	inbox        chan consensus.Message // from the other servers
-	raftCalls    chan func()
-	writeQueue   chan *consensus.Ready // at most one is under way
-	writeResults chan error
-	waiters      map[uint64]chan consensus.Reply // by request ID; only runRaft uses it
+	inbox        chan consensus.Message          // from the other servers
+	raftCalls    chan func()                     // see onRaftLoop
+	writeQueue   chan *consensus.Ready           // to runStore; at most one round is in progress
+	writeResults chan error                      // from runStore, one for each item of writeQueue
+	waiters      map[uint64]chan consensus.Reply // callers of submit by request ID; used only by runRaft
 	metrics      counters
 
 	lastRequestID atomic.Uint64
 
-	ctx         context.Context // ends with Close
+	ctx         context.Context // canceled by Close
 	cancel      context.CancelFunc
 	goroutines  sync.WaitGroup
 	raftStopped chan struct{}    // closed when runRaft has ended
@@ -43,8 +43,8 @@
 	closeErr    error
 }
 
-// Start opens the store and runs the Node, until Close. The errors are those of Config, storage.Open and
-// consensus.New; the store is closed then.
+// Start opens the store and starts the Node, which runs until Close. The errors are an invalid Config, and those of
+// storage.Open and consensus.New. After an error the store is closed.
 func Start(config Config) (*Node, error) {
 	config.applyDefaults()
 	if err := config.validate(); err != nil {
@@ -85,9 +85,9 @@
 	return n, nil
 }
 
-// Close stops the Node without a message to the others, and closes the store. It waits for the Node's goroutines, a
-// write that is under way included; calls that are under way return ErrClosed. The error is that of closing the store.
-// Calls after the first return the same.
+// Close stops the Node without notifying the other servers, and closes the store. It waits for the Node's goroutines
+// and for a write in progress. Pending calls return ErrClosed. The error is that of closing the store. Further calls
+// return the same error.
 func (n *Node) Close() error {
 	n.closeOnce.Do(func() {
 		n.cancel()
@@ -98,7 +98,8 @@
 	return n.closeErr
 }
 
-// Status returns the server's state, or the last one before Close. It waits for the goroutine of the Core.
+// Status returns the server's state; after Close, the last state before. It blocks until the goroutine that owns the
+// Core has run it.
 func (n *Node) Status() consensus.Status {
 	var status consensus.Status
 	if err := n.onRaftLoop(context.Background(), func() { status = n.core.Status() }); err != nil {
--- a/internal/consensus/node/peer.go
+++ b/internal/consensus/node/peer.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// batchSoftBytes is the size at which a request takes no more messages.
+	// batchSoftBytes is the size from which on no more messages are added to a request.
 	batchSoftBytes = 512 << 10
-	// batchOverheadBytes is more than the CBOR array around the messages takes.
+	// batchOverheadBytes is an upper bound of the size of the CBOR array header before the messages.
 	batchOverheadBytes = 16
-	// requestTimeout bounds a request without a snapshot, snapshotTimeout one with.
+	// requestTimeout limits the time of a request without a snapshot, snapshotTimeout that of one with a snapshot.
 	requestTimeout  = 3 * time.Second
 	snapshotTimeout = 30 * time.Second
-	// maxReplyBytes is what is read of a reply so that its connection can be used again.
+	// maxReplyBytes is how much of a reply's body is read, so that its connection can be reused.
 	maxReplyBytes = 4096
 )
 
-var errMessageTooLarge = errors.New("too large")
+var errMessageTooLarge = errors.New("the message can't be encoded or is larger than a request may be")
 
 // peer sends messages to one other server, one request at a time.
 type peer struct {
@@ -55,10 +55,10 @@
 	}
 }
 
-// batch is the messages of one request.
+// batch holds the encoded messages of one request.
 type batch struct {
 	messages    []cbor.RawMessage
-	bytes       int
+	bytes       int // total size of messages
 	hasSnapshot bool
 }
 
@@ -91,7 +91,8 @@
 	}
 }
 
-// nextBatch waits for a message, and takes what else is queued. ok is false once the Node is closed.
+// nextBatch waits for a message, and adds the other queued messages up to the limits of a batch. ok is false once the
+// Node is closed.
 func (p *peer) nextBatch() (b batch, ok bool) {
 	select {
 	case m := <-p.queue:
@@ -105,7 +106,7 @@
 	return b, true
 }
 
-// addTo adds a message to a batch, or drops it if no request could carry it.
+// addTo adds a message to a batch, or drops it if it is too large for a request.
 func (p *peer) addTo(b *batch, m consensus.Message) {
 	encoded, err := encodeMessage(m)
 	if err != nil || len(encoded) > p.node.config.MaxBodyBytes-batchSoftBytes-batchOverheadBytes {
@@ -118,8 +119,8 @@
 	b.hasSnapshot = b.hasSnapshot || isSnapshot(m)
 }
 
-// backOff waits after a request that failed, and drops what was queued meanwhile: Raft has newer messages by then.
-// It returns false once the Node is closed.
+// backOff waits after a request that failed with err, and drops the messages queued meanwhile, because Raft will send
+// newer ones. It returns false once the Node is closed.
 func (p *peer) backOff(err error) bool {
 	wait := time.NewTimer(p.retry.NextBackOff())
 	defer wait.Stop()
@@ -137,9 +138,9 @@
 	return true
 }
 
-// reportDelivery tells the Core how a delivery has ended.
+// reportDelivery reports to the Core whether a request to the peer, with or without a snapshot, was delivered.
 func (p *peer) reportDelivery(snapshot bool, err error) {
-	_ = p.node.onRaftLoop(p.node.ctx, func() { // a closed node needs no report
+	_ = p.node.onRaftLoop(p.node.ctx, func() { // a closed Node needs no report
 		if err != nil {
 			p.node.core.ReportUnreachable(p.id)
 		}
@@ -149,7 +150,7 @@
 	})
 }
 
-// post sends a batch and waits until the peer has taken it.
+// post sends a batch and waits until the peer has accepted it.
 func (p *peer) post(b batch) error {
 	body, err := cbor.Marshal(b.messages)
 	if err != nil {
@@ -172,9 +173,9 @@
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes)) // only so that the connection is kept
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes)) // so that the connection can be reused
 	if response.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("steward %d answers %s", p.id, response.Status)
+		return fmt.Errorf("server %d responded with status %s, want 204", p.id, response.Status)
 	}
 	return nil
 }
--- a/internal/consensus/node/raftloop.go
+++ b/internal/consensus/node/raftloop.go
@@ -9,7 +9,7 @@
 	"lapisspread/internal/consensus"
 )
 
-// runStore writes batches.
+// runStore writes the batches of writeQueue to the store until the Node is closed.
 func (n *Node) runStore() {
 	for {
 		select {
@@ -18,14 +18,14 @@
 			if ready.Batch.Sync {
 				n.metrics.syncedWrites.Add(1)
 			}
-			n.writeResults <- err // has room: one batch is under way
+			n.writeResults <- err // does not block: only one batch is in progress
 		case <-n.ctx.Done():
 			return
 		}
 	}
 }
 
-// runRaft owns the Core: it gives it ticks, messages and calls, and drives its rounds.
+// runRaft is the goroutine that owns the Core: it passes ticks, messages and calls to it, and runs its rounds.
 func (n *Node) runRaft() {
 	defer close(n.raftStopped)
 	ticker := time.NewTicker(n.config.TickInterval)
@@ -34,11 +34,11 @@
 	for {
 		if ready, ok := n.core.Ready(); ok {
 			writing = ready
-			n.writeQueue <- ready // has room: one batch is under way
+			n.writeQueue <- ready // does not block: only one batch is in progress
 		}
 		select {
 		case <-ticker.C:
-			_ = n.core.Tick() // the error is in Status
+			_ = n.core.Tick() // Status reports the error
 		case m := <-n.inbox:
 			n.step(m)
 			for range len(n.inbox) {
@@ -59,31 +59,34 @@
 	}
 }
 
+// step passes a received message to the Core. A message that is rejected is only counted.
 func (n *Node) step(m consensus.Message) {
 	if err := n.core.Step(m); err != nil {
 		n.metrics.rejected.Add(1)
 	}
 }
 
-// finishRound sends and answers what a round that was written gives.
+// finishRound advances a round whose batch was written, sends its messages and delivers its replies. After a failed
+// write the Core fails, and only replies are left.
 func (n *Node) finishRound(ready *consensus.Ready, writeErr error) {
 	if writeErr != nil {
-		// It is not known what is on disk: nothing may go out from here on.
+		// The contents of the disk are unknown, so no message may be sent from now on.
 		n.core.Fail(writeErr)
 	}
-	outbound, _ := n.core.Advance(ready) // the error is in Status
+	outbound, _ := n.core.Advance(ready) // Status reports the error
 	for _, m := range outbound.Messages {
 		n.send(m)
 	}
 	for _, reply := range outbound.Replies {
 		if waiter := n.waiters[reply.RequestID]; waiter != nil {
 			delete(n.waiters, reply.RequestID)
-			waiter <- reply // has room for one
+			waiter <- reply // does not block: the channel has room for the only reply
 		}
 	}
 }
 
-// send queues a message for its peer, or tells the Core that it is lost.
+// send queues a message for its peer. If the queue is full or the peer has no address, it drops the message and reports
+// that to the Core.
 func (n *Node) send(m consensus.Message) {
 	if p := n.peers[m.To]; p != nil {
 		select {
@@ -101,8 +104,8 @@
 
 func isSnapshot(m consensus.Message) bool { return m.Raft.GetType() == pb.MsgSnap }
 
-// onRaftLoop has the goroutine of the Core call f, and waits for it. It returns ErrClosed, or ctx's cause if that
-// ends before the call is queued.
+// onRaftLoop runs f on the goroutine that owns the Core, and waits until it has returned. It returns ErrClosed if the
+// Node is closed before, or the cause of ctx if ctx ends before the call is queued.
 func (n *Node) onRaftLoop(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	call := func() {
--- a/internal/consensus/storage/errors.go
+++ b/internal/consensus/storage/errors.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// MissingError reports that there is no store. None is made unless an operator says so.
+// MissingError reports that there is no file at the store's path. Open never creates one; that needs a command of an
+// operator (see Bootstrap and Join).
 type MissingError struct{ Path string }
 
 // Error implements error.
@@ -26,8 +27,9 @@
 	return "Stop the steward that runs already, or give this one a store of its own."
 }
 
-// FleetMismatchError reports that the store is of another fleet, or of another epoch of this one.
+// FleetMismatchError reports that the store belongs to another fleet, or to another epoch of this fleet.
 type FleetMismatchError struct {
+	// Path is the store's file; Fleet and Epoch are those in its identity.
 	Path, Fleet string
 	Epoch       uint64
 }
@@ -42,8 +44,9 @@
 	return "Name the store of this fleet; one of before a founding anew is put away."
 }
 
-// NodeMismatchError reports that the store is of another server.
+// NodeMismatchError reports that the store belongs to another server.
 type NodeMismatchError struct {
+	// Path is the store's file; ID is the server in its identity.
 	Path string
 	ID   uint64
 }
@@ -58,9 +61,10 @@
 	return "Name this steward's own store; a copy of another's makes no new one."
 }
 
-// NewerFormatError reports that a newer program has written the store.
+// NewerFormatError reports that the store was written by a newer program, in a format that this one can't read.
 type NewerFormatError struct {
-	Path   string
+	Path string
+	// Format is the store's Identity.Format.
 	Format uint64
 }
 
@@ -73,7 +77,7 @@
 // Advice implements operatorerror.Error.
 func (NewerFormatError) Advice() string { return "Run the newer version of the program." }
 
-// DamagedError reports that the store can't be read.
+// DamagedError reports that the contents of the store are corrupt.
 type DamagedError struct{ Path, Reason string }
 
 // Error implements error.
@@ -87,10 +91,11 @@
 		"as a learner with an empty store."
 }
 
-// DiskFullError reports that a write found no room. What was written before is complete.
+// DiskFullError reports that a write failed for lack of disk space. All earlier writes are complete.
 type DiskFullError struct {
 	Path string
-	Err  error
+	// Err is the error of the write.
+	Err error
 }
 
 // Error implements error.
--- a/internal/consensus/storage/load.go
+++ b/internal/consensus/storage/load.go
@@ -38,11 +38,12 @@
 	return state, err
 }
 
+// damaged returns a DamagedError with the formatted reason.
 func (s *Store) damaged(format string, args ...any) error {
 	return DamagedError{s.path, fmt.Sprintf(format, args...)}
 }
 
-// loadIdentity reads whose store it is, and checks that it is the one asked for.
+// loadIdentity reads the store's identity and version, and checks that the store belongs to the given server.
 func (s *Store) loadIdentity(meta *bbolt.Bucket, fleet string, epoch, id uint64) error {
 	if err := s.readCBOR(meta, identityKey, &s.identity); err != nil {
 		return err
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// loadMeta reads the records of bucket "meta" that a store need not have.
+// loadMeta reads the optional records of bucket "meta".
 func (s *Store) loadMeta(meta *bbolt.Bucket, state *consensus.State) error {
 	if meta.Get(hardStateKey) != nil {
 		state.HardState = &pb.HardState{}
@@ -116,6 +117,7 @@
 	return nil
 }
 
+// loadPeers reads the store versions of other servers.
 func (s *Store) loadPeers(peers *bbolt.Bucket, state *consensus.State) error {
 	state.PeerVersions = map[uint64]consensus.StoreVersion{}
 	return peers.ForEach(func(key, _ []byte) error {
@@ -139,7 +141,7 @@
 	return s.readRecord(bucket, key, func(data []byte) error { return proto.Unmarshal(data, message) })
 }
 
-// readRecord decodes a record that must be there. All its errors are a DamagedError.
+// readRecord verifies and decodes a record that must exist. Any error is a DamagedError.
 func (s *Store) readRecord(bucket *bbolt.Bucket, key []byte, decode func([]byte) error) error {
 	record := bucket.Get(key)
 	if record == nil {
--- a/internal/consensus/storage/record.go
+++ b/internal/consensus/storage/record.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The buckets of a store, and the keys of bucket "meta". The keys are part of the format and stay as they are; some
-// differ from the names in the code.
+// The buckets of a store, and the keys of bucket "meta". The keys are part of the stored format and must not change;
+// some differ from the names in the code.
 var (
 	metaBucket  = []byte("meta")
 	logBucket   = []byte("log")
@@ -30,7 +30,7 @@
 	numberKeyBytes = 8
 )
 
-// numberKey is the key of an entry or of a server. Keys sort as their numbers do.
+// numberKey returns the key of an entry (its index) or of a peer (its ID). Keys sort in the order of their numbers.
 func numberKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 func checksum(key, value []byte) uint64 {
@@ -40,6 +40,7 @@
 	return hash.Sum64()
 }
 
+// putRecord stores a value with its checksum before it.
 func putRecord(bucket *bbolt.Bucket, key, value []byte) error {
 	record := make([]byte, 0, checksumBytes+len(value))
 	record = binary.BigEndian.AppendUint64(record, checksum(key, value))
--- a/internal/consensus/storage/storage.go
+++ b/internal/consensus/storage/storage.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	// formatVersion is the newest form of a store that this program knows.
+	// formatVersion is the newest format of a store that this program can read, and the one that it writes.
 	formatVersion = 1
-	// lockTimeout is how long Open waits for another process to let go of the file.
+	// lockTimeout is how long Open waits for another process to release its lock on the file.
 	lockTimeout = 3 * time.Second
-	// fileMode lets only the owner read a store.
+	// fileMode lets only the file's owner read and write a store.
 	fileMode = 0o600
 )
 
-// Identity is whose store it is. It never changes.
+// Identity names the server that a store belongs to. It never changes.
 type Identity struct {
-	// Format is the form of the records.
+	// Format is the version of the format of the records.
 	Format uint64 `cbor:"Format"`
 	Fleet  string `cbor:"Fleet"`
 	// Epoch counts the bootstraps of the fleet.
 	Epoch uint64 `cbor:"Epoch"`
-	// ID is the server's number.
+	// ID is the server's ID in the fleet, above 0.
 	ID uint64 `cbor:"ID"`
-	// StoreID is a random number, drawn when the store was made.
+	// StoreID is a random number, drawn when the store was created.
 	StoreID uint64 `cbor:"Store"`
 }
 
@@ -47,11 +47,12 @@
 	path     string
 	identity Identity
 	version  consensus.StoreVersion
-	deferred consensus.Batch // of batches that need no flush; the next one that does takes it along
+	deferred consensus.Batch // merged batches that need no flush; written with the next one that does
 }
 
-// Bootstrap makes the store of a member of a new fleet, or of a fleet that begins anew under a higher epoch. It is
-// called on an operator's command, for each member with the same members. It fails if there is a file already.
+// Bootstrap creates the store of a member of a new fleet, or of a fleet that starts over under a higher epoch. It is
+// called at an operator's command, on each member with the same list of members. If the file exists already, the error
+// wraps os.ErrExist.
 func Bootstrap(path, fleet string, epoch, id uint64, members []uint64) error {
 	if !slices.Contains(members, id) {
 		return fmt.Errorf("consensus: steward %d is not among the members %v", id, members)
@@ -63,11 +64,11 @@
 	}})
 }
 
-// Join makes the empty store of a server that the fleet will add as a learner, under a number that no server has
-// had. It fails if there is a file already.
+// Join creates the empty store of a server that the fleet will add as a learner, under an ID that no server has had. If
+// the file exists already, the error wraps os.ErrExist.
 func Join(path, fleet string, epoch, id uint64) error { return create(path, fleet, epoch, id, nil) }
 
-// create makes a store. Without a snapshot it has no members.
+// create creates a store. Without a snapshot the store has no members.
 func create(path, fleet string, epoch, id uint64, snapshot *pb.Snapshot) error {
 	if id == 0 || fleet == "" {
 		return errors.New("consensus: a store needs a fleet's name and a steward's number above 0")
@@ -85,12 +86,12 @@
 	}
 	s := &Store{db: db, path: path, identity: Identity{formatVersion, fleet, epoch, id, randomID()}}
 	s.version.StoreID = s.identity.StoreID
-	err = s.update(func(tx *bbolt.Tx) error { return s.writeFirst(tx, snapshot) })
+	err = s.update(func(tx *bbolt.Tx) error { return s.writeInitialRecords(tx, snapshot) })
 	return errors.Join(err, db.Close())
 }
 
-// writeFirst writes the first records of a store.
-func (s *Store) writeFirst(tx *bbolt.Tx, snapshot *pb.Snapshot) error {
+// writeInitialRecords creates the buckets and writes the records of a new store.
+func (s *Store) writeInitialRecords(tx *bbolt.Tx, snapshot *pb.Snapshot) error {
 	for _, name := range [][]byte{metaBucket, logBucket, peersBucket} {
 		if _, err := tx.CreateBucket(name); err != nil {
 			return err
@@ -105,17 +106,17 @@
 	return errors.Join(errs...)
 }
 
-// randomID draws a number above 0.
+// randomID returns a random odd number, so that it is never 0.
 func randomID() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// Open opens the store of a server, counts the start, and returns what the store holds. The errors are
+// Open opens the store of a server, counts the start, and returns the contents of the store. The errors are
 // MissingError, LockedError, FleetMismatchError, NodeMismatchError, NewerFormatError, DamagedError, DiskFullError,
-// and that of the system where the file may not be read. It waits up to lockTimeout (3 s) for another process to
-// close the store.
+// and an error that wraps os.ErrPermission if the file may not be read. It waits up to lockTimeout (3 s) for another
+// process to close the store.
 func Open(path, fleet string, epoch, id uint64) (*Store, consensus.State, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil, consensus.State{}, MissingError{path}
@@ -135,7 +136,8 @@
 	return s, state, nil
 }
 
-// countStart counts this start in the store's version, on disk, and draws its nonce.
+// countStart increments the number of starts in the store's version, draws the nonce of this start, and writes both to
+// disk.
 func (s *Store) countStart() (consensus.StoreVersion, error) {
 	s.version.Incarnation++
 	s.version.Nonce = randomID()
@@ -157,15 +159,15 @@
 	return db, nil
 }
 
-// recoverDamage turns a panic of bbolt into a DamagedError. bbolt maps the file, so that reading one that was cut
-// short is a memory fault.
+// recoverDamage turns a panic of bbolt into a DamagedError. bbolt maps the file into memory, so reading a truncated
+// file causes a memory fault. The caller enables debug.SetPanicOnFault where that may happen.
 func recoverDamage(path string, err *error) {
 	if r := recover(); r != nil {
 		*err = DamagedError{path, fmt.Sprint(r)}
 	}
 }
 
-// update runs a transaction that writes. An error for want of space is a DiskFullError.
+// update runs a read-write transaction. An error for lack of disk space is a DiskFullError.
 func (s *Store) update(f func(*bbolt.Tx) error) (err error) {
 	defer recoverDamage(s.path, &err)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -180,8 +182,8 @@
 	}
 }
 
-// isDiskFull reports whether the system had no room for a write. bbolt passes on the text alone when its file can't
-// grow.
+// isDiskFull reports whether a write failed for lack of disk space. When bbolt can't grow its file, its error holds
+// only the text of the system's error, so the text is compared too.
 func isDiskFull(err error) bool {
 	for _, cause := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG} {
 		if errors.Is(err, cause) || strings.Contains(err.Error(), cause.Error()) {
@@ -191,10 +193,10 @@
 	return false
 }
 
-// Identity returns whose store it is.
+// Identity returns the store's identity.
 func (s *Store) Identity() Identity { return s.identity }
 
-// Close writes what was deferred, and closes the file. The errors are those of Write and of the file.
+// Close writes the deferred batches and closes the file. The errors are those of Write and of closing the file.
 func (s *Store) Close() error {
 	var err error
 	if !s.deferred.Empty() {
--- a/internal/consensus/storage/write.go
+++ b/internal/consensus/storage/write.go
@@ -10,12 +10,12 @@
 	"lapisspread/internal/consensus"
 )
 
-// Write puts a batch on disk, all of it or nothing. A batch that says so (Sync), or that has entries or a snapshot,
-// outlives a power failure once Write returns nil. Any other is deferred until the next such or Close: Raft finds
-// out anew how far the log was committed.
+// Write writes a batch atomically. A batch with Sync, entries or a snapshot is flushed to disk and survives a power
+// failure once Write returns nil. Any other batch is deferred until the next flush or Close, since Raft determines
+// the commit index again if it is lost.
 //
-// After an error the store must not be used any more, for it is not known what it holds: DamagedError,
-// DiskFullError.
+// The errors are DamagedError, DiskFullError, and other errors of the file. After an error the contents of the store
+// are unknown, and the store must not be used any more.
 func (s *Store) Write(batch *consensus.Batch) error {
 	merged := s.withDeferred(batch)
 	if !merged.Sync && len(merged.Entries) == 0 && merged.Snapshot == nil {
@@ -26,8 +26,8 @@
 	return s.commit(&merged)
 }
 
-// withDeferred adds to a batch what was deferred and is not replaced by it. A deferred batch has no entries, no
-// snapshot and no AcknowledgedIndex: Core sets the last only with Sync.
+// withDeferred returns the batch merged with the deferred ones; where both have a value, that of the batch wins.
+// Deferred batches have no entries, no snapshot and no AcknowledgedIndex: Core sets the last only with Sync.
 func (s *Store) withDeferred(batch *consensus.Batch) consensus.Batch {
 	merged := *batch
 	if merged.HardState == nil {
@@ -63,6 +63,7 @@
 	})
 }
 
+// writeMeta writes the records of bucket "meta" that the batch has.
 func (s *Store) writeMeta(meta *bbolt.Bucket, batch *consensus.Batch) error {
 	if err := putCBOR(meta, versionKey, s.version); err != nil {
 		return err
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// writeLog removes the entries that a snapshot or newer entries replace, and adds the new ones.
+// writeLog deletes the entries that a snapshot or newer entries replace, and adds the new entries.
 func writeLog(log *bbolt.Bucket, batch *consensus.Batch) error {
 	if batch.Snapshot != nil {
 		if err := deleteUpTo(log, batch.Snapshot.GetMetadata().GetIndex(), batch.ReplaceLog); err != nil {
@@ -104,7 +105,7 @@
 	return putEntries(log, batch.Entries)
 }
 
-// deleteUpTo deletes the entries up to an index, or all of them.
+// deleteUpTo deletes the entries up to and including an index, or all entries.
 func deleteUpTo(log *bbolt.Bucket, index uint64, all bool) error {
 	cursor := log.Cursor()
 	for key, _ := cursor.First(); key != nil; key, _ = cursor.First() {
