--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -57,7 +57,9 @@
 //
 // # Names in error texts
 //
-// The texts of errors are written for operators, whose documentation calls the control-plane servers stewards.
+// The texts of errors are written for operators and stay as they are, because replies to clients and peers contain
+// them. They call a control-plane server a steward and the truncation of a log a cut. To found a fleet (anew) is to
+// bootstrap it (under a higher epoch); to join anew is to join under a new ID (see package storage).
 //
 // # Randomness
 //
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -2,6 +2,8 @@
 
 import "fmt"
 
+// The package documentation explains the terms in the texts of these errors.
+
 // NotLeaderError is returned by a server that does not lead. The request was not accepted.
 type NotLeaderError struct {
 	// Leader is the leader as far as this server knows; 0 is none.
--- a/internal/consensus/rollback_test.go
+++ b/internal/consensus/rollback_test.go
@@ -20,10 +20,12 @@
 	return s, leader, s.nodes[leader.id%3], s.nodes[(leader.id+1)%3]
 }
 
-func carriesEntries(m Message) bool {
+// isAppend reports whether a message contains entries from a leader or answers such a message.
+func isAppend(m Message) bool {
 	return m.Kind == MessageRaft && (m.Raft.GetType() == pb.MsgApp || m.Raft.GetType() == pb.MsgAppResp)
 }
 
+// hasOnDisk reports whether an entry with the command is on the node's disk.
 func (n *simulatedNode) hasOnDisk(command []byte) bool {
 	return slices.ContainsFunc(n.disk.Entries, func(e *pb.Entry) bool { return bytes.HasSuffix(e.GetData(), command) })
 }
@@ -54,7 +56,7 @@
 				if fromFollower && p.message.To == leader.id {
 					delayed = append(delayed, p.message)
 				}
-				return fromFollower || carriesEntries(p.message) && p.message.To != follower.id
+				return fromFollower || isAppend(p.message) && p.message.To != follower.id
 			}
 			deadline := s.now + 500
 			for s.now < deadline && (!follower.hasOnDisk(command) || follower.writing != nil) {
@@ -65,7 +67,7 @@
 			s.start(follower)
 			for s.now < deadline && len(follower.core.Status().UnconfirmedPeers) > 0 {
 				s.runTick()
-				s.inTransit = slices.DeleteFunc(s.inTransit, func(p packet) bool { return carriesEntries(p.message) })
+				s.inTransit = slices.DeleteFunc(s.inTransit, func(p packet) bool { return isAppend(p.message) })
 			}
 			appliedBefore := len(leader.machine.numbers)
 			for _, m := range delayed {
@@ -90,8 +92,9 @@
 	}
 }
 
-// Before a leader replies to a command, the store version of the follower whose acknowledgement committed it is on the
-// leader's disk. If the follower's store is rolled back while the leader is down, the restarted leader detects that.
+// Before a leader replies to a command, the store version of the follower whose acknowledgement committed it is on
+// the leader's disk. If the follower's store is rolled back while the leader is down, the restarted leader reports
+// the newer version, and the follower fails.
 func TestWitnessPersistsVersionBeforeReplying(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -143,8 +146,8 @@
 	for _, c := range []struct {
 		name        string
 		seed        uint64
-		terms       int
-		hideCommits bool
+		terms       int  // argument of runRollbackWhilePartitioned
+		hideCommits bool // argument of runRollbackWhilePartitioned
 		mutations   mutations
 		truncations int  // wanted number of truncated logs
 		conflict    bool // whether a node must fail with a LogConflictError
--- a/internal/consensus/simulation_run_test.go
+++ b/internal/consensus/simulation_run_test.go
@@ -86,7 +86,7 @@
 	rolledBack := s.nodes[order[0]]
 	isolated := order[1 : 1+len(s.nodes)/2]
 	copied := rolledBack.disk
-	s.cutOff(s.ids(append([]int{order[0]}, isolated...)), foreverTicks)
+	s.cutOff(s.idSet(append([]int{order[0]}, isolated...)), foreverTicks)
 	s.advanceTerms(terms, append(slices.Clone(isolated), order[0]))
 	s.runTicks(50 + s.rng.IntN(30))
 	s.isolateAndPause(isolated)
@@ -101,9 +101,9 @@
 	})
 	s.reconnect(isolated)
 	if hideCommits && leader >= 0 {
-		s.cutOff(s.ids([]int{leader}), s.now+silenceTicks/2)
+		s.cutOff(s.idSet([]int{leader}), s.now+silenceTicks/2)
 	} else if s.rng.IntN(2) == 0 { // else a version reply may make the rolled-back node fail at once
-		s.cutOff(s.ids(order[:1]), s.now+s.rng.IntN(silenceTicks))
+		s.cutOff(s.idSet(order[:1]), s.now+s.rng.IntN(silenceTicks))
 	}
 	s.runTicks(silenceTicks / 2)
 	clear(s.cutUntil)
@@ -112,8 +112,8 @@
 	s.checkSurvivors(grantsBefore)
 }
 
-// ids returns the set of the IDs of the nodes at the given positions of s.nodes.
-func (s *simulation) ids(positions []int) map[uint64]bool {
+// idSet returns the set of the IDs of the nodes at the given positions of s.nodes.
+func (s *simulation) idSet(positions []int) map[uint64]bool {
 	ids := map[uint64]bool{}
 	for _, i := range positions {
 		ids[s.nodes[i].id] = true
@@ -136,7 +136,7 @@
 // isolateAndPause cuts off and pauses the nodes at the given positions, and restores all other links.
 func (s *simulation) isolateAndPause(isolated []int) {
 	clear(s.cutUntil)
-	s.cutOff(s.ids(isolated), foreverTicks)
+	s.cutOff(s.idSet(isolated), foreverTicks)
 	for _, i := range isolated {
 		s.nodes[i].pausedUntil = foreverTicks
 	}
--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -32,7 +32,7 @@
 	skipTruncationSilence    bool
 	skipDigestChecks         bool
 	restoreOldStore          bool // a fault: a crash may roll back a store
-	partitionWitnesses       bool // a fault: runRollbackWhilePartitioned
+	partitionWitnesses       bool // runs runRollbackWhilePartitioned in place of random faults
 }
 
 // config returns the Config of a node with these mutations.
@@ -99,7 +99,7 @@
 	longestApplied  []uint64 // the longest list that a node has applied
 	grants          []liveGrant
 	hideCommits     bool // messages carry no commit index
-	truncations     int  // logs truncated below the index up to which the node had acknowledged
+	truncations     int  // logs truncated below the acknowledged index, on all nodes
 	faultsDisabled  bool
 	clientsDisabled bool
 	violation       error // the first one; nil is none
@@ -291,7 +291,7 @@
 	for _, reply := range outbound.Replies {
 		s.handleReply(n, reply)
 	}
-	if !s.mutations.partitionWitnesses { // there, commands whose grants have expired may be lost
+	if !s.mutations.partitionWitnesses { // with it, commands whose grants have expired may be lost
 		s.compareApplied(n)
 	}
 }
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -2,8 +2,8 @@
 
 import pb "go.etcd.io/raft/v3/raftpb"
 
-// StoreVersion orders the states of a server's store. Each message carries its sender's version, and the receiver
-// writes it to disk before it sends anything that depends on the message.
+// StoreVersion tells apart older and newer states of a server's store. Each message carries its sender's version, and
+// the receiver writes it to disk before it sends anything that depends on the message.
 type StoreVersion struct {
 	// StoreID is a random number, drawn when the store was created.
 	StoreID uint64 `cbor:"Store"`
--- a/internal/consensus/storage/errors.go
+++ b/internal/consensus/storage/errors.go
@@ -2,6 +2,8 @@
 
 import "fmt"
 
+// The documentation of package consensus explains the terms in the texts of these errors.
+
 // MissingError reports that there is no file at the store's path. Open never creates one; that needs a command of an
 // operator (see Bootstrap and Join).
 type MissingError struct{ Path string }
