--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,9 +1,9 @@
 // Package discovery lets the services of a process share one watch of a discovery service. A Registry has one shared
-// watch for each address; it keeps the full endpoint list as it is now, so that a subscriber which joins late gets it
-// at once, and a poll while the watch is healthy needs no call.
+// watch for each address. The shared watch keeps the current full endpoint list: a late subscriber gets the list at
+// once, and a poll while the watch is healthy needs no call to the discovery service.
 //
-// A Subscription promises its engine what an engine.Source does: every change in the discovery service's order, the
-// full list before changes that depend on one it does not have, and an error once the watch has failed. The Registry
-// promises the discovery service one watch and one poll at a time, however many subscribe, and after failures a backoff
-// that doubles.
+// A Subscription gives its engine the guarantees of an engine.Source: changes arrive in the order in which the
+// discovery service sent them, the full list arrives before any change that depends on it, and a failed watch returns
+// an error. A Registry makes at most one watch call and one poll at a time to each discovery service, however many
+// subscriptions there are. After each failed call it doubles the backoff.
 package discovery
--- a/internal/discovery/endpointset.go
+++ b/internal/discovery/endpointset.go
@@ -9,12 +9,12 @@
 
 // endpointSet is a full endpoint list that changes are applied to.
 type endpointSet struct {
-	known   bool // a list was applied
+	known   bool // reports whether a list was applied
 	version uint32
-	members []engine.Endpoint // in the order in which they came
+	members []engine.Endpoint // in the order in which they were added
 }
 
-// apply takes in a full list, or changes of single endpoints.
+// apply replaces the set by a full list, or applies the changes to single endpoints that a list holds.
 func (s *endpointSet) apply(list engine.EndpointList) {
 	if list.Full {
 		s.members = s.members[:0]
@@ -30,7 +30,7 @@
 		case i < 0:
 			s.members = append(s.members, endpoint)
 		default:
-			if endpoint.Addr == "" { // a change to draining may leave the address out
+			if endpoint.Addr == "" { // a change to draining may omit the address
 				endpoint.Addr = s.members[i].Addr
 			}
 			s.members[i] = endpoint
@@ -38,7 +38,7 @@
 	}
 }
 
-// snapshot returns the full list; it does not share memory with the set.
+// snapshot returns the full list, which shares no memory with the set.
 func (s *endpointSet) snapshot() engine.EndpointList {
 	return engine.EndpointList{Version: s.version, Full: true, Endpoints: slices.Clone(s.members)}
 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -9,11 +9,11 @@
 	"lapisspread/internal/engine"
 )
 
-// ErrUnsubscribed ends the calls of a subscription that was closed. Its text, which stays as it is,
-// calls the Registry a register and a Subscription a follower.
+// ErrUnsubscribed is returned by the calls of a Subscription that was closed. Its text must not change; in it,
+// "register" means the Registry and "follower" means the Subscription.
 var ErrUnsubscribed = errors.New("register: the follower has left")
 
-// Registry has the discovery services that somebody subscribes to, by address. It is safe for concurrent use.
+// Registry holds one shared watch for each discovery service that has a subscription. It is safe for concurrent use.
 type Registry struct {
 	open       func(addr string) engine.Source
 	maxBackoff time.Duration
@@ -22,14 +22,16 @@
 	byAddr map[string]*sharedWatch
 }
 
-// NewRegistry makes an empty registry. open is called for the first subscription to an address; its source is closed
-// with the last one. maxBackoff bounds the pause after a failed call; with 0 there is none.
+// NewRegistry returns an empty registry. open is called for the first subscription to an address; the source that it
+// returns is closed with the last subscription. maxBackoff is the longest pause after a failed call; with 0 there is no
+// pause.
 func NewRegistry(maxBackoff time.Duration, open func(addr string) engine.Source) *Registry {
 	return &Registry{open: open, maxBackoff: maxBackoff, byAddr: map[string]*sharedWatch{}}
 }
 
-// Subscribe adds a subscription to the discovery service at an address; Close ends it. known is the list as the process
-// knows it from elsewhere, for an address without subscriptions; one that is not Full is ignored.
+// Subscribe adds a subscription to the discovery service at addr, which the caller ends with Close. known is an
+// endpoint list from another source, such as a snapshot. It is the initial list if addr has no other subscription; it
+// is ignored if it is not Full.
 func (r *Registry) Subscribe(addr string, known engine.EndpointList) *Subscription {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,8 +49,8 @@
 	return &Subscription{registry: r, watch: w, ctx: ctx, cancel: cancel}
 }
 
-// unsubscribe counts a subscriber less. It holds the registry's lock while the last one closes the source, so that who
-// subscribes at the same time finds it open or not at all.
+// unsubscribe removes one subscriber, and closes the source if it was the last one. It holds the registry's lock while
+// the source closes, so that a concurrent Subscribe never gets a source that is being closed.
 func (r *Registry) unsubscribe(w *sharedWatch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,30 +61,30 @@
 	}
 }
 
-// Subscription is a discovery service as one engine sees it.
+// Subscription is the engine.Source through which one engine uses a shared watch.
 type Subscription struct {
 	registry     *Registry
 	watch        *sharedWatch
 	ctx          context.Context // ends with Close
 	cancel       context.CancelCauseFunc
 	closeOnce    sync.Once
-	seenSequence uint64 // of the last list that Watch has delivered; the watch's lock guards it
+	seenSequence uint64 // sequence of the last list that Watch delivered; guarded by watch.mu
 }
 
 var _ engine.Source = (*Subscription)(nil)
 
-// Addr is the discovery service's address.
+// Addr returns the discovery service's address.
 func (s *Subscription) Addr() string { return s.watch.source.Addr() }
 
-// List returns the full list as it is now; ok is false if there is none yet.
+// List returns the current full list; ok is false if none has arrived yet.
 func (s *Subscription) List() (list engine.EndpointList, ok bool) {
 	s.watch.mu.Lock()
 	defer s.watch.mu.Unlock()
 	return s.watch.endpoints.snapshot(), s.watch.endpoints.known
 }
 
-// Close ends the subscription's calls with ErrUnsubscribed, and with the last subscription the source's own. Calls
-// after the first do nothing.
+// Close ends the subscription: its pending calls return ErrUnsubscribed. Closing the last subscription to an address
+// closes the source too. Calls after the first do nothing.
 func (s *Subscription) Close() {
 	s.closeOnce.Do(func() {
 		s.cancel(ErrUnsubscribed)
@@ -90,9 +92,9 @@
 	})
 }
 
-// Fetch returns the full list: the one at hand while the watch is healthy, else by one call for all that ask at the
-// same time. It blocks until that call has ended, or until ctx or the subscription ends. The error is the call's, the
-// cause of ctx, or ErrUnsubscribed.
+// Fetch returns the full list. While the shared watch is healthy it returns the current list without a call. Otherwise
+// it polls the discovery service, with one call for all concurrent Fetches, and blocks until that call has ended, or
+// until ctx or the subscription ends. The error is that of the call, the cause of ctx, or ErrUnsubscribed.
 func (s *Subscription) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	list, call := s.watch.listOrFetch()
 	if call == nil {
@@ -108,10 +110,10 @@
 	}
 }
 
-// Watch calls deliver with each change until the shared watch fails, or until ctx or the subscription ends; before that
-// with the full list, unless nothing has changed since an earlier Watch has delivered it. The version is ignored: a
-// discovery service that was restarted counts its versions from the beginning. The error is never nil: it is the shared
-// watch's, the cause of ctx, or ErrUnsubscribed.
+// Watch calls deliver with each change until the shared watch fails, or until ctx or the subscription ends. It first
+// delivers the full list, unless an earlier Watch of this subscription delivered it and nothing has changed since. The
+// version is ignored, because a discovery service that was restarted counts its versions from the beginning. The error
+// is never nil: it is that of the shared watch, the cause of ctx, or ErrUnsubscribed.
 func (s *Subscription) Watch(ctx context.Context, _ uint32, deliver func(engine.EndpointList)) error {
 	w, err := s.watch.addWatcher(s)
 	if err != nil {
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -17,18 +17,19 @@
 	"lapisspread/internal/engine"
 )
 
-// fakeSource is a discovery service: what is sent to lists goes to its watch, and an error sent to fail ends that.
+// fakeSource is a discovery service for tests. Its Watch delivers what the test sends to lists, and returns an error
+// that the test sends to fail.
 type fakeSource struct {
 	mu      sync.Mutex
 	list    engine.EndpointList
-	err     error // of the next fetches
+	err     error // returned by later calls of Fetch and Watch; nil is success
 	lists   chan engine.EndpointList
 	fail    chan error
 	fetches int
 	watches int
-	calls   []time.Time
-	open    int // watches now
-	maxOpen int
+	calls   []time.Time // start times of all calls of Fetch and Watch
+	open    int         // Watch calls that are running
+	maxOpen int         // maximum of open so far
 	closed  bool
 }
 
@@ -82,7 +83,7 @@
 	}
 }
 
-// testRegistry is a registry with one discovery service.
+// testRegistry is a registry with one discovery service; known is the list that each subscription starts with.
 type testRegistry struct {
 	*Registry
 	known engine.EndpointList
@@ -102,12 +103,12 @@
 	return l
 }
 
-// subscriber keeps what an engine would know.
+// subscriber stands for an engine: it applies the lists that a subscription delivers.
 type subscriber struct {
 	mu    sync.Mutex
 	list  endpointSet
-	lists int
-	errs  int
+	lists int // lists that were delivered
+	errs  int // failed calls of Watch
 }
 
 func (s *subscriber) deliver(l engine.EndpointList) {
@@ -128,13 +129,13 @@
 	return ids
 }
 
-// run watches again and again until ctx ends, as an engine does.
+// run calls Watch in a loop until ctx ends, as an engine does.
 func (s *subscriber) run(ctx context.Context, src engine.Source) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		from := s.list.version
+		version := s.list.version
 		s.mu.Unlock()
-		if err := src.Watch(ctx, from, s.deliver); err != nil && ctx.Err() == nil {
+		if err := src.Watch(ctx, version, s.deliver); err != nil && ctx.Err() == nil {
 			s.mu.Lock()
 			s.errs++
 			s.mu.Unlock()
@@ -166,30 +167,34 @@
 			{ID: "c", Addr: "c:1", State: decision.Ready},
 		}}
 		synctest.Wait()
-		add() // one that subscribes late gets the list so far
+		add() // a late subscriber gets the current list
 		time.Sleep(100 * time.Millisecond)
 		for i, s := range all {
 			if got := s.ids(); !slices.Equal(got, []string{"b", "c"}) {
-				t.Fatalf("subscriber %d knows %v", i, got)
+				t.Fatalf("subscriber %d has endpoints %q, want [b c]", i, got)
 			}
 		}
 		if src.fetches != 1 || src.watches != 1 {
-			t.Errorf("%d fetches, %d watches for 51 subscribers", src.fetches, src.watches)
+			t.Errorf("51 subscribers caused %d Fetch and %d Watch calls to the source, want 1 and 1",
+				src.fetches, src.watches)
 		}
 		if list, err := subscriptions[0].Fetch(ctx); err != nil || len(list.Endpoints) != 2 || src.fetches != 1 {
-			t.Errorf("while the watch is healthy: %+v, %v, %d fetches", list, err, src.fetches)
+			t.Errorf("Fetch while the watch is healthy = %d endpoints, error %v, %d Fetch calls to the source in all; "+
+				"want 2 endpoints, nil, 1 call", len(list.Endpoints), err, src.fetches)
 		}
 		cancel()
 		synctest.Wait()
 		if src.open != 0 || src.closed {
-			t.Errorf("nobody watches; %d watches are open, closed %v", src.open, src.closed)
+			t.Errorf("after the last Watch returned: %d source watches are running, source closed = %v; want 0 and false",
+				src.open, src.closed)
 		}
 		for _, subscription := range subscriptions {
 			subscription.Close()
-			subscription.Close() // twice is once
+			subscription.Close() // a second Close does nothing
 		}
 		if !src.closed || len(r.byAddr) != 0 {
-			t.Error("the last has unsubscribed, and the source is not closed")
+			t.Errorf("after the last Close: source closed = %v, %d addresses in the registry; want true and 0",
+				src.closed, len(r.byAddr))
 		}
 	})
 }
@@ -215,12 +220,12 @@
 		calls := len(src.calls)
 		src.mu.Unlock()
 		if calls > 20 || calls < 8 {
-			t.Errorf("%d calls in 20 s", calls)
+			t.Errorf("200 subscribers made %d calls to a failing source in 20s, want 8 to 20", calls)
 		}
 		for i, s := range all {
 			s.mu.Lock()
 			if s.errs < 5 {
-				t.Fatalf("subscriber %d got %d failures", i, s.errs)
+				t.Fatalf("subscriber %d got %d errors from Watch, want at least 5", i, s.errs)
 			}
 			s.mu.Unlock()
 		}
@@ -232,16 +237,17 @@
 		synctest.Wait()
 		for i, s := range all {
 			if got := s.ids(); !slices.Equal(got, []string{"z"}) {
-				t.Fatalf("subscriber %d knows %v after the recovery", i, got)
+				t.Fatalf("after the source recovered, subscriber %d has endpoints %q, want [z]", i, got)
 			}
 		}
 		if src.maxOpen != 1 {
-			t.Errorf("%d watches at a time", src.maxOpen)
+			t.Errorf("%d source watches ran at the same time, want 1", src.maxOpen)
 		}
 	})
 }
 
-// A subscriber that leaves, or is slow to take lists, does not block the others; what it missed comes in order.
+// A subscriber that unsubscribes or is slow to process lists does not block the others. A slow one still gets all
+// changes, in order.
 func TestSlowSubscriberBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := newFakeSource(full(1))
@@ -249,50 +255,51 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		slow := &subscriber{list: endpointSet{version: 1}}
-		quick := &subscriber{list: endpointSet{version: 1}}
+		fast := &subscriber{list: endpointSet{version: 1}}
 		watch := func(deliver func(engine.EndpointList)) {
 			if err := r.subscribe().Watch(ctx, 1, deliver); !errors.Is(err, context.Canceled) {
-				t.Errorf("the watch ended: %v", err)
+				t.Errorf("Watch returned %v, want context.Canceled", err)
 			}
 		}
 		go watch(func(l engine.EndpointList) {
 			time.Sleep(time.Second)
 			slow.deliver(l)
 		})
-		go watch(quick.deliver)
-		gone := r.subscribe()
-		left := make(chan error, 1)
-		go func() { left <- gone.Watch(ctx, 1, func(engine.EndpointList) {}) }()
+		go watch(fast.deliver)
+		closing := r.subscribe()
+		watchErr := make(chan error, 1)
+		go func() { watchErr <- closing.Watch(ctx, 1, func(engine.EndpointList) {}) }()
 		synctest.Wait()
-		gone.Close()
-		if err := <-left; !errors.Is(err, ErrUnsubscribed) {
-			t.Errorf("the one that unsubscribed: %v", err)
+		closing.Close()
+		if err := <-watchErr; !errors.Is(err, ErrUnsubscribed) {
+			t.Errorf("Watch of a closed subscription = %v, want ErrUnsubscribed", err)
 		}
 		for v := range uint32(5) {
 			added := engine.Endpoint{ID: fmt.Sprint("n", v), Addr: "x:1", State: decision.Ready}
 			src.lists <- engine.EndpointList{Version: 2 + v, Endpoints: []engine.Endpoint{added}}
 			synctest.Wait()
-			if quick.lists != int(v)+2 { // the full list first
-				t.Errorf("the quick one got %d of %d lists", quick.lists, v+2)
+			if fast.lists != int(v)+2 { // the full list and v+1 changes
+				t.Errorf("after %d changes the fast subscriber got %d lists, want %d", v+1, fast.lists, v+2)
 			}
 		}
 		time.Sleep(10 * time.Second)
 		if got := slow.ids(); len(got) != 5 {
-			t.Errorf("the slow one knows %v", got)
+			t.Errorf("the slow subscriber has endpoints %q, want 5", got)
 		}
 	})
 }
 
-// Whatever changes come, a subscriber that joins at any moment ends up with the list of the discovery service.
+// For random changes, restarts and failures, a subscriber that joins at any moment ends up with the current list of the
+// discovery service.
 func TestSubscribersConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 1, 30).Draw(rt, "steps")
 		ids := rapid.SliceOfN(rapid.IntRange(0, 6), len(steps), len(steps)).Draw(rt, "ids")
-		var wrong []string // rapid must not be failed from within the bubble
+		var mismatches []string // rt.Fatalf must not be called from within the synctest bubble
 		synctest.Test(t, func(t *testing.T) {
-			var truth endpointSet
-			truth.apply(full(1, "n0"))
-			src := newFakeSource(truth.snapshot())
+			var expected endpointSet
+			expected.apply(full(1, "n0"))
+			src := newFakeSource(expected.snapshot())
 			r := newTestRegistry(src, engine.EndpointList{})
 			ctx, cancel := context.WithCancel(t.Context())
 			var all []*subscriber
@@ -312,17 +319,17 @@
 					state := decision.BackendState(step)
 					changed := engine.Endpoint{ID: id, Addr: fmt.Sprint(id, ":", version), State: state}
 					l := engine.EndpointList{Version: version, Endpoints: []engine.Endpoint{changed}}
-					truth.apply(l)
+					expected.apply(l)
 					src.lists <- l
-				case 3: // it restarts, with versions of its own
+				case 3: // the discovery service restarts, and its versions start again
 					version = uint32(i % 3)
-					truth.apply(full(version, id))
-					src.lists <- truth.snapshot()
-				case 4: // it fails; what changes meanwhile is in its next list
+					expected.apply(full(version, id))
+					src.lists <- expected.snapshot()
+				case 4: // the watch fails; changes during the failure are in the next list
 					src.fail <- errors.New("broken")
 					time.Sleep(5 * time.Second)
-					truth.apply(full(version, id))
-					src.lists <- truth.snapshot()
+					expected.apply(full(version, id))
+					src.lists <- expected.snapshot()
 				default:
 					add()
 				}
@@ -330,22 +337,23 @@
 			}
 			for i, s := range all {
 				s.mu.Lock()
-				if fmt.Sprint(s.list.members) != fmt.Sprint(truth.members) {
-					text := fmt.Sprintf("subscriber %d has %v, want %v", i, s.list.members, truth.members)
-					wrong = append(wrong, text)
+				if fmt.Sprint(s.list.members) != fmt.Sprint(expected.members) {
+					mismatch := fmt.Sprintf("subscriber %d has endpoints %+v, want %+v",
+						i, s.list.members, expected.members)
+					mismatches = append(mismatches, mismatch)
 				}
 				s.mu.Unlock()
 			}
 			cancel()
 			synctest.Wait()
 		})
-		if len(wrong) > 0 {
-			rt.Fatalf("%v", wrong)
+		if len(mismatches) > 0 {
+			rt.Fatalf("after all changes: %q", mismatches)
 		}
 	})
 }
 
-// A list's version wraps: changes after the highest version are newer.
+// List versions wrap around: version 0 is newer than the highest version.
 func TestVersionWraps(t *testing.T) {
 	for _, c := range []struct {
 		current  uint32
@@ -362,12 +370,13 @@
 		removed := engine.Endpoint{ID: "a", State: decision.Removed}
 		w.publish(engine.EndpointList{Version: c.received, Endpoints: []engine.Endpoint{removed}})
 		if applied := len(w.endpoints.members) == 0; applied != c.applied {
-			t.Errorf("changes of version %d to a list of version %d are applied: %v", c.received, c.current, applied)
+			t.Errorf("publish(changes of version %d) on a list of version %d: applied = %v, want %v",
+				c.received, c.current, applied, c.applied)
 		}
 	}
 }
 
-// slowFetchSource returns the list as it was when Fetch was called, once it is released.
+// slowFetchSource is a fakeSource whose Fetch takes the list when it is called and returns it when release is closed.
 type slowFetchSource struct {
 	*fakeSource
 	called  chan struct{}
@@ -383,7 +392,8 @@
 	return list, nil
 }
 
-// A list that was fetched before the watch delivered a drain comes after it: the drain stands.
+// A poll takes the list, then the watch delivers that an endpoint is draining, and then the poll returns its older
+// list: the endpoint must stay draining.
 func TestFetchedListDoesNotUndoNewerChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &slowFetchSource{newFakeSource(full(5, "a", "b")), make(chan struct{}), make(chan struct{})}
@@ -395,7 +405,7 @@
 		go func() {
 			list, err := polling.Fetch(ctx)
 			if err != nil {
-				t.Error(err)
+				t.Errorf("Fetch: %v", err)
 			}
 			fetched <- list
 		}()
@@ -410,12 +420,12 @@
 		synctest.Wait()
 		current, _ := watching.List()
 		for name, l := range map[string]engine.EndpointList{
-			"the fetched list": list,
-			"the registry":     current,
-			"the subscriber":   s.list.snapshot(),
+			"Fetch":      list,
+			"List":       current,
+			"subscriber": s.list.snapshot(),
 		} {
 			if l.Version != 6 || len(l.Endpoints) != 2 || l.Endpoints[0].State != decision.Draining {
-				t.Errorf("%s has %+v", name, l)
+				t.Errorf("%s: got list %+v, want version 6 with endpoint a draining and endpoint b", name, l)
 			}
 		}
 		cancel()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,47 +9,47 @@
 	"lapisspread/internal/engine"
 )
 
-// initialBackoff is the pause after the first failed call, unless maxBackoff is shorter.
+// initialBackoff is the pause after the first failed call; maxBackoff bounds it.
 const initialBackoff = 50 * time.Millisecond
 
-// errWatchEnded is the failure of a source's watch that has ended without an error. Its text, which logs show
-// and which stays as it is, calls the Registry a register.
+// errWatchEnded is reported when a source's Watch returns without an error. Its text appears in logs and must not
+// change; in it, "register" means the Registry.
 var errWatchEnded = errors.New("register: the watch has ended")
 
-// sharedWatch is one discovery service with its subscribers.
+// sharedWatch is the watch of one discovery service that all its subscribers share.
 type sharedWatch struct {
 	source      engine.Source
 	maxBackoff  time.Duration
-	subscribers int // the registry's lock guards it
+	subscribers int // guarded by Registry.mu
 
 	mu           sync.Mutex
 	endpoints    endpointSet
-	sequence     uint64 // counts the changes of endpoints
+	sequence     uint64 // incremented with each change to endpoints
 	watchers     map[*watcher]bool
-	stop         context.CancelFunc // ends the source's watch; nil while there is none
-	healthy      bool               // the source's watch has delivered something and has not failed since
+	stop         context.CancelFunc // cancels the source's Watch call; nil while there is none
+	healthy      bool               // the source's Watch call has delivered a list and has not failed since
 	fetching     *fetchCall
-	backoff      time.Duration // after the last call; 0 if that succeeded
-	backoffUntil time.Time
+	backoff      time.Duration // pause after the last call; 0 if that call succeeded
+	backoffUntil time.Time     // no call is made before it
 }
 
-// watcher is one subscription's Watch: what it has not delivered yet, in order.
+// watcher is one call of Subscription.Watch, with the lists that it has not delivered yet.
 type watcher struct {
-	lists    []engine.EndpointList
-	sequence uint64 // of the last list
-	taken    uint64 // sequence as takePending last gave lists out
-	err      error
-	wake     chan struct{} // of capacity 1
+	lists    []engine.EndpointList // in order of arrival
+	sequence uint64                // sequence of the last list that was enqueued
+	taken    uint64                // value of sequence at the last takePending
+	err      error                 // failure of the shared watch, which Watch returns after delivering lists
+	wake     chan struct{}         // capacity 1; signaled when lists or err has changed
 }
 
-// fetchCall is a poll of the full list that all who ask meanwhile wait for. list and err are set when done is closed.
+// fetchCall is a poll of the full list that all concurrent Fetches share. list and err are set before done is closed.
 type fetchCall struct {
 	done chan struct{}
 	list engine.EndpointList
 	err  error
 }
 
-// close ends the source's calls.
+// close cancels the source's Watch call and closes the source.
 func (w *sharedWatch) close() {
 	w.mu.Lock()
 	if w.stop != nil {
@@ -60,7 +60,8 @@
 	w.source.Close()
 }
 
-// listOrFetch returns the list at hand if the watch is healthy, else the call to wait for.
+// listOrFetch returns the current list if the watch is healthy. Otherwise it returns the poll to wait for, which it
+// starts if none is running.
 func (w *sharedWatch) listOrFetch() (engine.EndpointList, *fetchCall) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,8 +75,8 @@
 	return engine.EndpointList{}, w.fetching
 }
 
-// fetch makes a call after a delay. It outlives each of those who wait for it: the source's Close ends the call, but
-// not the delay, which is no longer than maxBackoff.
+// fetch polls the source after a delay. It continues even if all callers that wait for it have returned. Closing the
+// source ends the poll, but not the delay, which is at most maxBackoff.
 func (w *sharedWatch) fetch(call *fetchCall, delay time.Duration) {
 	if delay > 0 {
 		time.Sleep(delay)
@@ -91,8 +92,8 @@
 	switch {
 	case call.err != nil:
 	case w.sequence != before && call.list.OlderThan(w.endpoints.version):
-		// The watch has delivered something newer meanwhile and goes on from there: the older list would make a
-		// draining backend ready again for good.
+		// The watch has delivered a newer list in the meantime and will not repeat it. Publishing the older list
+		// would make a draining backend ready again permanently.
 		call.list = w.endpoints.snapshot()
 	default:
 		w.publish(call.list)
@@ -100,7 +101,7 @@
 	close(call.done)
 }
 
-// recordResult sets the backoff by how a call has ended. The lock is held.
+// recordResult updates the backoff: err is the result of a call, nil for success. The caller holds w.mu.
 func (w *sharedWatch) recordResult(err error) {
 	if err == nil {
 		w.backoff = 0
@@ -110,7 +111,8 @@
 	w.backoffUntil = time.Now().Add(w.backoff)
 }
 
-// addWatcher begins a subscription's Watch, and the source's watch if there is none.
+// addWatcher registers a call of Subscription.Watch, and starts the source's watch if it is not running. It returns
+// ErrUnsubscribed if the subscription is closed.
 func (w *sharedWatch) addWatcher(s *Subscription) (*watcher, error) {
 	added := &watcher{wake: make(chan struct{}, 1)}
 	w.mu.Lock()
@@ -128,24 +130,25 @@
 	return added, nil
 }
 
-// takePending returns what a watcher has not delivered yet, and the failure that comes after it.
-func (w *sharedWatch) takePending(from *watcher) ([]engine.EndpointList, error) {
+// takePending removes and returns the lists that a watcher has not delivered yet, and the failure of the shared watch
+// that follows them, if any.
+func (w *sharedWatch) takePending(watcher *watcher) ([]engine.EndpointList, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	lists := from.lists
-	from.lists = nil
-	from.taken = from.sequence
-	return lists, from.err
+	lists := watcher.lists
+	watcher.lists = nil
+	watcher.taken = watcher.sequence
+	return lists, watcher.err
 }
 
-// markSeen notes that a subscription has delivered what its watcher gave it last.
-func (w *sharedWatch) markSeen(s *Subscription, from *watcher) {
+// markSeen records that a subscription has delivered the lists of its watcher's last takePending.
+func (w *sharedWatch) markSeen(s *Subscription, watcher *watcher) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s.seenSequence = from.taken
+	s.seenSequence = watcher.taken
 }
 
-// removeWatcher ends a subscription's Watch, and the source's watch with the last one.
+// removeWatcher removes a watcher, and stops the source's watch if it was the last one.
 func (w *sharedWatch) removeWatcher(removed *watcher) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -157,11 +160,11 @@
 	}
 }
 
-// enqueue adds a list to what a watcher is to deliver. The lock is held.
+// enqueue appends a list to those that a watcher has to deliver. The caller holds sharedWatch.mu.
 func (w *watcher) enqueue(list engine.EndpointList, sequence uint64) {
 	w.sequence = sequence
 	if list.Full {
-		w.lists = w.lists[:0] // it says all that those before it do
+		w.lists = w.lists[:0] // a full list replaces all earlier ones
 	}
 	w.lists = append(w.lists, list)
 	w.signal()
@@ -174,14 +177,14 @@
 	}
 }
 
-// startWatch starts the source's watch. The lock is held.
+// startWatch starts the source's watch in a goroutine. The caller holds w.mu.
 func (w *sharedWatch) startWatch() {
 	ctx, stop := context.WithCancel(context.Background())
 	w.stop = stop
 	go w.runWatch(ctx, time.Until(w.backoffUntil))
 }
 
-// runWatch watches the source after a delay, until that fails or ctx ends, and reports the failure to the watchers.
+// runWatch watches the source after a delay, until the watch fails or ctx ends. It reports a failure to all watchers.
 func (w *sharedWatch) runWatch(ctx context.Context, delay time.Duration) {
 	if !sleep(ctx, delay) {
 		return
@@ -202,7 +205,7 @@
 	})
 }
 
-// sleep waits for a time and reports whether it passed before ctx ended.
+// sleep waits for d and reports whether d passed before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -217,23 +220,24 @@
 	}
 }
 
-// watchSource fetches the full list if there is none, and publishes it and each change after it.
+// watchSource fetches and publishes the full list if there is none yet, and then publishes each change. It blocks until
+// the source's watch ends.
 func (w *sharedWatch) watchSource(ctx context.Context) error {
 	var known bool
-	var from uint32
+	var version uint32
 	w.whileCurrent(ctx, func() {
 		known = w.endpoints.known
-		from = w.endpoints.version
+		version = w.endpoints.version
 	})
 	if !known {
 		list, err := w.source.Fetch(ctx)
 		if err != nil {
 			return err
 		}
-		from = list.Version
+		version = list.Version
 		w.whileCurrent(ctx, func() { w.publish(list) })
 	}
-	return w.source.Watch(ctx, from, func(list engine.EndpointList) {
+	return w.source.Watch(ctx, version, func(list engine.EndpointList) {
 		w.whileCurrent(ctx, func() {
 			w.healthy = true
 			w.recordResult(nil)
@@ -242,8 +246,8 @@
 	})
 }
 
-// whileCurrent runs a change under the lock, unless the watch that it belongs to was stopped: that may end after the
-// next one has begun, and must change nothing then.
+// whileCurrent calls change with w.mu held, unless ctx, the context of the calling watch, has ended. A stopped watch
+// may return after the next one has started, and must not change the state of that one.
 func (w *sharedWatch) whileCurrent(ctx context.Context, change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -252,8 +256,8 @@
 	}
 }
 
-// publish takes a list in and passes it on to the watchers. Changes to a list that nobody has, or to a newer one, are
-// dropped. The lock is held.
+// publish applies a list and enqueues it for all watchers. Changes are dropped if no full list has arrived yet, or if
+// they are older than the current list. The caller holds w.mu.
 func (w *sharedWatch) publish(list engine.EndpointList) {
 	if !list.Full && (!w.endpoints.known || list.OlderThan(w.endpoints.version)) {
 		return
