--- a/internal/discovery/guardedsource/coordinator.go
+++ b/internal/discovery/guardedsource/coordinator.go
@@ -12,29 +12,30 @@
 	"lapisspread/internal/engine"
 )
 
-// Coordinator has the guards, the pacers and the cached lists of a process. It is safe for concurrent use.
+// Coordinator holds the guards, the pacers and the cached endpoint lists of a process. It is safe for concurrent use.
 type Coordinator struct {
 	file       *File
 	proxies    int
 	seed       uint64
 	now        func() time.Duration
 	log        *slog.Logger
-	maxBackoff time.Duration // bounds the file's, see LimitBackoff; 0 is no bound
+	maxBackoff time.Duration // upper bound for the backoff of the file, see LimitBackoff; 0 is no bound
 
 	mu          sync.Mutex
-	guards      map[string]*lockedGuard     // by name, see Wrap
-	pacers      map[string]*listguard.Pacer // likewise; mu guards the pacers too
+	guards      map[string]*lockedGuard     // by the name given to Wrap
+	pacers      map[string]*listguard.Pacer // by the name given to Wrap; mu guards the pacers too
 	stats       CallStats
-	cachedLists map[string]CachedList // by address
+	cachedLists map[string]CachedList // by address of the discovery service
 }
 
-// CachedList is a list as discovery has delivered it.
+// CachedList is the latest endpoint list of a discovery service, before the guard's rules.
 type CachedList struct {
 	Endpoints  engine.EndpointList `json:"list"`
-	AnsweredAt time.Duration       `json:"at"` // when discovery last answered, by the coordinator's clock; 0 is never
+	AnsweredAt time.Duration       `json:"at"` // last response, by the coordinator's clock; 0 is never
 }
 
-// lockedGuard is a guard with the lock under which lists go through it, so that they keep their order.
+// lockedGuard is a guard with its lock. The lock is held while a list is applied and delivered, which keeps the lists
+// in order.
 type lockedGuard struct {
 	mu    sync.Mutex
 	guard *listguard.Guard
@@ -42,25 +43,25 @@
 
 // CallStats count the calls to discovery.
 type CallStats struct {
-	Calls    int64 `json:"calls"`
+	Calls    int64 `json:"calls"` // including calls that wait for the pacer
 	Failed   int64 `json:"failed"`
-	Deferred int64 `json:"told_to_come_back_later"` // failed with a time after which to retry
+	Deferred int64 `json:"told_to_come_back_later"` // failed calls whose error is a RetryAfterError with a delay
 }
 
-// Report is what the console's COMEBACK command shows: the calls of all discovery services, and what their guards have
-// done.
+// Report holds the sums over all discovery services that the admin command COMEBACK shows: the calls, and the counters
+// of the guards.
 type Report struct {
 	CallStats
-	ConsecutiveFailures int   `json:"failed_in_a_row"` // of the discovery service that has the most
-	SuspectLists        int64 `json:"lists_doubted"`   // this and the next three: see listguard.GuardStats
+	ConsecutiveFailures int   `json:"failed_in_a_row"` // maximum over the discovery services
+	SuspectLists        int64 `json:"lists_doubted"`   // for this and the next three, see listguard.GuardStats
 	Retained            int64 `json:"servers_kept"`
 	Returned            int64 `json:"servers_back"`
 	Dropped             int64 `json:"servers_dropped"`
 	Missing             int   `json:"servers_missing_now"` // see listguard.Guard.Missing
 }
 
-// NewCoordinator makes the coordinator of one of so many proxies. The seed must differ between processes; now is a
-// clock that never goes back.
+// NewCoordinator returns the coordinator of one process in a fleet with the given number of proxies. seed must differ
+// between processes; now must be a monotonic clock.
 func NewCoordinator(f *File, proxies int, seed uint64, now func() time.Duration, log *slog.Logger) *Coordinator {
 	return &Coordinator{
 		file:        f,
@@ -74,33 +75,36 @@
 	}
 }
 
-// LimitBackoff bounds the pause between calls, whatever the file and discovery say: what discovery has said counts as
-// known soon after it could be reached, however many calls it has rejected. It returns c.
+// LimitBackoff bounds the pause between calls, whatever the file and the RetryAfterErrors of discovery require. A
+// process can therefore rely on discovery's information again soon after discovery becomes reachable, however many
+// calls discovery has rejected before. LimitBackoff must be called before Wrap. It returns c.
 func (c *Coordinator) LimitBackoff(limit time.Duration) *Coordinator {
 	c.maxBackoff = limit
 	return c
 }
 
-// Wrap puts the rules before a source. Sources of one name are one discovery service, wherever it has moved, and share
-// a guard and a pacer. known is the list that the process knows of it from elsewhere.
+// Wrap returns a Source that applies the rules to inner. Sources with the same name belong to the same discovery
+// service, even if its address has changed, and share a guard and a pacer. known is an endpoint list from another
+// source, such as a snapshot, with which a new guard starts.
 func (c *Coordinator) Wrap(name string, inner engine.Source, known engine.EndpointList) *Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, cached := c.cachedLists[inner.Addr()]; !cached {
 		c.cachedLists[inner.Addr()] = CachedList{Endpoints: known}
 	}
-	return &Source{Source: inner, coordinator: c, guard: c.guardOf(name, known), pacer: c.pacerOf(name)}
+	return &Source{Source: inner, coordinator: c, guard: c.guardFor(name, known), pacer: c.pacerFor(name)}
 }
 
-// guardOf returns the guard of a name, nil if the file has none. The lock is held.
-func (c *Coordinator) guardOf(name string, known engine.EndpointList) *lockedGuard {
-	settings, on := c.file.guardSettings()
-	if !on {
+// guardFor returns the guard for a discovery service's name, or nil if the file configures no guard. The caller holds
+// c.mu.
+func (c *Coordinator) guardFor(name string, known engine.EndpointList) *lockedGuard {
+	settings, enabled := c.file.guardSettings()
+	if !enabled {
 		return nil
 	}
 	if c.guards[name] == nil {
 		guard, err := listguard.NewGuard(settings, known)
-		if err != nil { // Parse has validated them
+		if err != nil { // cannot happen: Parse has validated the settings
 			panic(err)
 		}
 		c.guards[name] = &lockedGuard{guard: guard}
@@ -108,18 +112,19 @@
 	return c.guards[name]
 }
 
-// pacerOf returns the pacer of a name, nil if the file has none. The lock is held.
-func (c *Coordinator) pacerOf(name string) *listguard.Pacer {
-	settings, on := c.file.pacingSettings(c.proxies, c.seed)
-	if !on {
+// pacerFor returns the pacer for a discovery service's name, or nil if the file configures no pacing. The caller holds
+// c.mu.
+func (c *Coordinator) pacerFor(name string) *listguard.Pacer {
+	settings, enabled := c.file.pacingSettings(c.proxies, c.seed)
+	if !enabled {
 		return nil
 	}
 	if c.pacers[name] == nil {
-		if c.maxBackoff > 0 { // half of it, since a fleet round may be added
+		if c.maxBackoff > 0 { // half of the bound, because a Pacer may add up to a fleet round to a backoff
 			settings.MaxBackoff = max(min(settings.MaxBackoff, c.maxBackoff/2), listguard.MinBackoff)
 		}
 		pacer, err := listguard.NewPacer(settings)
-		if err != nil { // Parse has validated them
+		if err != nil { // cannot happen: Parse has validated the settings
 			panic(err)
 		}
 		c.pacers[name] = pacer
@@ -127,14 +132,14 @@
 	return c.pacers[name]
 }
 
-// CachedLists returns the lists of all discovery services, by address.
+// CachedLists returns the cached lists of all discovery services, by address. The caller must not modify them.
 func (c *Coordinator) CachedLists() map[string]CachedList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.cachedLists)
 }
 
-// cache takes a list into the cached one of an address. Changes that are older than that are dropped.
+// cache applies a list to the cached list of an address. Changes that are older than the cached list are dropped.
 func (c *Coordinator) cache(addr string, list engine.EndpointList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +149,7 @@
 	case list.Full:
 		cached.Endpoints = list
 	case !list.OlderThan(cached.Endpoints.Version):
-		endpoints := slices.Clone(cached.Endpoints.Endpoints) // CachedLists has given the old ones away
+		endpoints := slices.Clone(cached.Endpoints.Endpoints) // callers of CachedLists may still use the old slice
 		for _, changed := range list.Endpoints {
 			isChanged := func(other engine.Endpoint) bool { return other.ID == changed.ID }
 			endpoints = slices.DeleteFunc(endpoints, isChanged)
@@ -157,7 +162,7 @@
 	c.cachedLists[addr] = cached
 }
 
-// Report sums up all discovery services.
+// Report returns the sums over all discovery services.
 func (c *Coordinator) Report() Report {
 	c.mu.Lock()
 	report := Report{CallStats: c.stats}
@@ -172,6 +177,7 @@
 	return report
 }
 
+// addTo adds the guard's counters to a report.
 func (g *lockedGuard) addTo(report *Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/discovery/guardedsource/source.go
+++ b/internal/discovery/guardedsource/source.go
@@ -10,30 +10,31 @@
 	"lapisspread/internal/engine"
 )
 
-// RetryAfterError is an error by which discovery says after which time to call again.
+// RetryAfterError is an error with the delay that discovery requests before the next call.
 type RetryAfterError interface{ RetryAfter() time.Duration }
 
-// Source is a discovery service with the rules before it.
+// Source is a discovery service to which a Coordinator applies its rules. Create it with Coordinator.Wrap.
 type Source struct {
 	engine.Source
 	coordinator *Coordinator
-	guard       *lockedGuard     // nil believes all lists
-	pacer       *listguard.Pacer // nil waits for nothing; the coordinator's lock guards it
+	guard       *lockedGuard     // nil if lists are used as they come
+	pacer       *listguard.Pacer // nil if calls do not wait; guarded by coordinator.mu
 }
 
 var _ engine.Source = (*Source)(nil)
 
-// WatchTimeout returns for how long a watch is to be held; usual is that without the rules.
-func (s *Source) WatchTimeout(usual time.Duration) time.Duration {
+// WatchTimeout returns the maximum duration of the next watch. Without a pacer this is defaultTimeout.
+func (s *Source) WatchTimeout(defaultTimeout time.Duration) time.Duration {
 	if s.pacer == nil {
-		return usual
+		return defaultTimeout
 	}
 	s.coordinator.mu.Lock()
 	defer s.coordinator.mu.Unlock()
 	return s.pacer.WatchTimeout()
 }
 
-// Fetch waits for its turn, polls the full list and returns the one to believe.
+// Fetch waits until the pacer permits a call, polls the full list, and returns it as changed by the guard. It blocks
+// until the poll has ended or ctx ends; the error is the poll's or the cause of ctx.
 func (s *Source) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	if err := s.waitTurn(ctx); err != nil {
 		return engine.EndpointList{}, err
@@ -47,9 +48,10 @@
 	return s.filter(list), nil
 }
 
-// Watch waits for its turn and delivers the list to believe with each change, also where time alone changes it, until
-// the watch fails or ctx ends.
-func (s *Source) Watch(ctx context.Context, from uint32, deliver func(engine.EndpointList)) error {
+// Watch waits until the pacer permits a call and then watches the discovery service, until the watch fails or ctx ends.
+// It calls deliver with each list as changed by the guard, and also with a full list whenever retained endpoints
+// expire.
+func (s *Source) Watch(ctx context.Context, version uint32, deliver func(engine.EndpointList)) error {
 	if err := s.waitTurn(ctx); err != nil {
 		return err
 	}
@@ -63,7 +65,7 @@
 	if s.guard != nil {
 		expiry.Go(func() { s.expireRetained(expiryCtx, applied, deliver) })
 	}
-	err := s.Source.Watch(ctx, from, func(list engine.EndpointList) {
+	err := s.Source.Watch(ctx, version, func(list engine.EndpointList) {
 		s.recordResult(ctx, nil)
 		s.coordinator.cache(s.Addr(), list)
 		if s.guard == nil {
@@ -82,8 +84,8 @@
 	return err
 }
 
-// expireRetained delivers a list whenever retained endpoints expire, until ctx ends. applied wakes it when a list may
-// have changed the next expiry.
+// expireRetained delivers a full list whenever retained endpoints expire, until ctx ends. A value on applied means that
+// a list was applied, which may have changed the time of the next expiry.
 func (s *Source) expireRetained(ctx context.Context, applied <-chan struct{}, deliver func(engine.EndpointList)) {
 	for {
 		var timer <-chan time.Time
@@ -99,7 +101,8 @@
 	}
 }
 
-// expireOnce delivers a list if retained endpoints have expired, and returns when the next ones do.
+// expireOnce delivers a full list if retained endpoints have expired. It returns the time of the next expiry; ok is
+// false if no endpoint is retained.
 func (s *Source) expireOnce(deliver func(engine.EndpointList)) (due time.Duration, ok bool) {
 	s.guard.mu.Lock()
 	defer s.guard.mu.Unlock()
@@ -110,7 +113,7 @@
 	return s.guard.guard.NextExpiry()
 }
 
-// filter returns the list to believe.
+// filter applies the guard to a list and returns the list to use.
 func (s *Source) filter(list engine.EndpointList) engine.EndpointList {
 	if s.guard == nil {
 		return list
@@ -120,24 +123,24 @@
 	return s.filterLocked(list)
 }
 
-// filterLocked is filter with the guard's lock held.
+// filterLocked is filter for a caller that holds s.guard.mu; s.guard must not be nil.
 func (s *Source) filterLocked(list engine.EndpointList) engine.EndpointList {
 	before := s.guard.guard.Stats()
-	believed := s.guard.guard.Apply(s.coordinator.now(), list)
+	filtered := s.guard.guard.Apply(s.coordinator.now(), list)
 	after := s.guard.guard.Stats()
 	if after.SuspectLists != before.SuspectLists {
 		s.coordinator.log.Warn("endpoint list lacks many endpoints, which are retained for a while",
 			"listed", len(list.Endpoints), "retained", after.Retained-before.Retained)
 	}
-	return believed
+	return filtered
 }
 
-// waitTurn blocks until a call may be made.
+// waitTurn counts a call and blocks until the pacer permits it. Its error is that of ctx, if ctx ends first.
 func (s *Source) waitTurn(ctx context.Context) error {
 	if s.pacer == nil {
 		return ctx.Err()
 	}
-	delay := s.coordinator.beginCall(s.pacer)
+	delay := s.coordinator.countCall(s.pacer)
 	if delay == 0 {
 		return ctx.Err()
 	}
@@ -151,15 +154,15 @@
 	}
 }
 
-// beginCall counts a call and returns how long it must wait.
-func (c *Coordinator) beginCall(pacer *listguard.Pacer) time.Duration {
+// countCall counts a call and returns how long it must wait.
+func (c *Coordinator) countCall(pacer *listguard.Pacer) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Calls++
 	return pacer.Wait(c.now())
 }
 
-// recordResult has the pacer take in how a call has ended, unless it was cancelled.
+// recordResult reports the result of a call to the pacer and the counters, unless ctx has ended.
 func (s *Source) recordResult(ctx context.Context, err error) {
 	if s.pacer == nil || ctx.Err() != nil {
 		return
@@ -170,14 +173,14 @@
 		s.pacer.Succeeded()
 		return
 	}
-	var after time.Duration
+	var requestedDelay time.Duration
 	var retryAfter RetryAfterError
 	if errors.As(err, &retryAfter) {
-		after = retryAfter.RetryAfter()
+		requestedDelay = retryAfter.RetryAfter()
 	}
-	if after > 0 {
+	if requestedDelay > 0 {
 		s.coordinator.stats.Deferred++
 	}
 	s.coordinator.stats.Failed++
-	s.pacer.Failed(s.coordinator.now(), after)
+	s.pacer.Failed(s.coordinator.now(), requestedDelay)
 }
--- a/internal/discovery/listguard/doc.go
+++ b/internal/discovery/listguard/doc.go
@@ -1,7 +1,7 @@
-// Package listguard decides what a proxy may believe and call after a mass restart, of proxies or of discovery itself.
-// A Guard keeps backends for a while that a full list suddenly lacks many of; a Pacer says when the next call to
-// discovery may be made, so that the calls of a fleet that starts in one moment are spread.
+// Package listguard protects a proxy and its discovery service after a mass restart, of the proxies or of discovery. If
+// a full endpoint list suddenly lacks many backends, a Guard retains them for a limited time. A Pacer computes when the
+// next call to discovery may be made, so that proxies that start at the same time spread their calls.
 //
-// The package is pure: no I/O, no goroutine, no clock. Lists and results of calls come in, lists and delays go out. A
-// Guard or Pacer is not safe for concurrent use.
+// The package is pure: no I/O, no goroutines, no clock. Its input are lists and results of calls, its output lists and
+// delays. A Guard or Pacer is not safe for concurrent use.
 package listguard
