--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,7 +1,11 @@
-// Package hotrestart is what one process of a proxy leaves to the next: the clients' listening socket, which the
-// platform holds and every process inherits, and a few files in a directory that the processes share.
+// Package hotrestart passes the state of a proxy from one process to the next: the clients' listening socket, which the
+// platform keeps open and every process inherits, and a few files in a directory that the processes share.
 //
-// The files of a proxy are named lapisspread-NAME.WHAT, with its name in hexadecimal: "out" is a JSON array of the
-// backends that an operator has detached, sorted; "serving" names the process that serves; "lock" and "life" are empty
-// and locked, while the first is changed and as long as a process lives.
+// The files of a proxy are named lapisspread-NAME.SUFFIX, where NAME is the proxy's name in hexadecimal. The suffixes
+// are:
+//
+//   - "out" is a sorted JSON array of the IDs of the backends that an operator has detached.
+//   - "serving" contains the ID of the process that serves.
+//   - "lock" is empty. It is locked while a process changes "out".
+//   - "life" is empty. It is locked for as long as a process lives.
 package hotrestart
--- a/internal/hotrestart/listen.go
+++ b/internal/hotrestart/listen.go
@@ -7,8 +7,9 @@
 	"strconv"
 )
 
-// Listen returns the listener of the socket whose descriptor the text names, which it takes over. With an empty text it
-// listens on addr.
+// Listen returns a listener for an inherited socket. descriptor is the decimal number of the socket's file descriptor,
+// which Listen closes, since the listener has a copy of its own. With an empty descriptor Listen listens on the TCP
+// address addr.
 func Listen(descriptor, addr string) (net.Listener, error) {
 	if descriptor == "" {
 		listener, err := net.Listen("tcp", addr)
@@ -19,13 +20,13 @@
 	}
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd <= int(os.Stderr.Fd()) {
-		return nil, fmt.Errorf("the passed socket: %q is no descriptor of one", descriptor)
+		return nil, fmt.Errorf("inherited socket: %q is not the number of a file descriptor above 2", descriptor)
 	}
-	file := os.NewFile(uintptr(fd), "passed socket")
+	file := os.NewFile(uintptr(fd), "inherited socket")
 	defer func() { _ = file.Close() }() // the listener has a copy of its own
 	listener, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("the passed socket, descriptor %d: %w", fd, err)
+		return nil, fmt.Errorf("inherited socket, file descriptor %d: %w", fd, err)
 	}
 	return listener, nil
 }
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -5,7 +5,8 @@
 	"syscall"
 )
 
-// MarkServing marks this process as the one that serves: the newest that takes clients.
+// MarkServing records that this process is the newest one that accepts clients. It returns an error if the file cannot
+// be replaced. Without a directory it does nothing.
 func (s *Store) MarkServing() error {
 	if s.basePath == "" {
 		return nil
@@ -13,7 +14,8 @@
 	return replaceFile(s.path(servingFile), []byte(s.processID))
 }
 
-// Superseded reports whether a later process serves.
+// Superseded reports whether another process was the last one to call MarkServing. It returns false if the file cannot
+// be read.
 func (s *Store) Superseded() bool {
 	if s.basePath == "" {
 		return false
@@ -22,9 +24,9 @@
 	return err == nil && string(text) != s.processID
 }
 
-// OnlyProcess reports whether no other process of this proxy lives. Once it has returned true it does for as long as
-// this process lives, and false in every other one. A file lock decides, which ends with its process however that
-// ends; if the file cannot be opened, it returns true.
+// OnlyProcess reports whether no other process of this proxy is running. Once it has returned true, it returns true for
+// the rest of this process's life, and false in all other processes. It takes a file lock, which the kernel releases
+// when the process ends, even after a crash. If the file cannot be opened, OnlyProcess returns true.
 func (s *Store) OnlyProcess() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// The files of a proxy, by the end of their names.
+// The suffixes of a proxy's file names; see the package comment.
 const (
 	detachedFile = "out"
 	servingFile  = "serving"
@@ -22,22 +22,23 @@
 	lifeFile     = "life"
 )
 
-// fileMode is for the owner alone.
+// fileMode gives access to the owner only.
 const fileMode = 0o600
 
-// Store is the state that outlives a process: which backends are detached, and which process serves. Without a
-// directory it lasts as long as the process. It is safe for concurrent use.
+// Store holds the state that outlives a process: which backends are detached, and which process serves. Without a
+// directory the state is lost when the process ends. It is safe for concurrent use.
 type Store struct {
-	basePath  string // of all files; empty without a directory
-	processID string // names this process in servingFile
+	basePath  string // path of the files without their suffixes; empty without a directory
+	processID string // identifies this process in servingFile
 
 	mu       sync.Mutex
 	detached []string    // IDs, sorted
-	lastFile fs.FileInfo // of the detachedFile that was read or written last
+	lastFile fs.FileInfo // of the version of detachedFile that was last read or written
 	lifeLock *os.File    // locked for as long as this process lives
 }
 
-// Open makes the store of the proxy of a name. Several proxies may use one directory; an empty one is none.
+// Open returns the store of the proxy with the given name. Several proxies may share a directory. With an empty dir the
+// store uses no files.
 func Open(dir, name string) *Store {
 	s := &Store{processID: fmt.Sprintf("%d-%d", os.Getpid(), time.Now().UnixNano())}
 	if dir != "" {
@@ -46,31 +47,33 @@
 	return s
 }
 
-func (s *Store) path(file string) string { return s.basePath + "." + file }
+func (s *Store) path(suffix string) string { return s.basePath + "." + suffix }
 
-// Path returns where another file of the proxy is kept, by the end of its name; empty without a directory.
-func (s *Store) Path(file string) string {
+// Path returns the path of another file of the proxy, whose name ends with the suffix. It returns "" without a
+// directory.
+func (s *Store) Path(suffix string) string {
 	if s.basePath == "" {
 		return ""
 	}
-	return s.path(file)
+	return s.path(suffix)
 }
 
-// Detached returns the IDs of the backends that are detached, as far as this process has read.
+// Detached returns the sorted IDs of the detached backends, as of the last Refresh or SetDetached of this process.
 func (s *Store) Detached() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.detached)
 }
 
-// Refresh reads the detached backends if another process has changed them, and reports whether it had.
+// Refresh reads the detached backends if another process has changed them, and reports whether it has. It returns an
+// error if the file cannot be read or is malformed.
 func (s *Store) Refresh() (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refresh()
 }
 
-// refresh is Refresh with the lock held.
+// refresh is Refresh for a caller that holds s.mu.
 func (s *Store) refresh() (bool, error) {
 	if s.basePath == "" {
 		return false, nil
@@ -81,18 +84,18 @@
 		return false, nil
 	}
 	if err != nil {
-		return false, fmt.Errorf("handover: %w", err)
+		return false, fmt.Errorf("hotrestart: %w", err)
 	}
 	if s.sameAsLast(info) {
 		return false, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return false, fmt.Errorf("handover: %w", err)
+		return false, fmt.Errorf("hotrestart: %w", err)
 	}
 	var detached []string
 	if err := json.Unmarshal(text, &detached); err != nil {
-		return false, fmt.Errorf("handover: %s: %w", path, err)
+		return false, fmt.Errorf("hotrestart: %s: %w", path, err)
 	}
 	slices.Sort(detached)
 	s.lastFile = info
@@ -100,14 +103,14 @@
 	return true, nil
 }
 
-// sameAsLast reports whether a file is the one that was read or written last. Each version is a new file; one that has
-// got the inode of an older version has another time.
+// sameAsLast reports whether info describes the version of the file that was last read or written. Each version is a
+// new file; if it reuses the inode of an older version, its modification time differs.
 func (s *Store) sameAsLast(info fs.FileInfo) bool {
 	return s.lastFile != nil && os.SameFile(s.lastFile, info) && s.lastFile.ModTime().Equal(info.ModTime())
 }
 
-// SetDetached detaches a backend or attaches it again, on top of what other processes have changed. In this process the
-// change holds also where an error says that it could not be written.
+// SetDetached detaches a backend or attaches it again. It first reads the changes of other processes. If it returns an
+// error, the change was not written, but applies in this process. It blocks while another process changes the file.
 func (s *Store) SetDetached(id string, detached bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,43 +134,44 @@
 	return s.writeDetached()
 }
 
-// writeDetached writes detachedFile. Both locks are held.
+// writeDetached replaces detachedFile. The caller holds s.mu and the lock on lockFile.
 func (s *Store) writeDetached() error {
 	text, err := json.Marshal(s.detached)
 	if err != nil {
-		return fmt.Errorf("handover: %w", err)
+		return fmt.Errorf("hotrestart: %w", err)
 	}
 	if err := replaceFile(s.path(detachedFile), text); err != nil {
 		return err
 	}
 	if s.lastFile, err = os.Stat(s.path(detachedFile)); err != nil {
-		return fmt.Errorf("handover: %w", err)
+		return fmt.Errorf("hotrestart: %w", err)
 	}
 	return nil
 }
 
-// lock keeps other processes from changing the state between reading and writing it. It blocks while one does.
+// lock takes the file lock under which a process reads and then writes the state. It blocks while another process holds
+// the lock.
 func (s *Store) lock() (unlock func(), err error) {
 	if s.basePath == "" {
 		return func() {}, nil
 	}
 	f, err := os.OpenFile(s.path(lockFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("hotrestart: %w", err)
 	}
 	unlock = func() { _ = f.Close() } // nothing was written to it
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX); err != nil {
 		unlock()
-		return nil, fmt.Errorf("handover: locking: %w", err)
+		return nil, fmt.Errorf("hotrestart: locking: %w", err)
 	}
 	return unlock, nil
 }
 
-// replaceFile puts a new file in the place of the old one, so that nobody reads half of it.
+// replaceFile replaces a file atomically, so that no process reads a partly written one.
 func replaceFile(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
-		return fmt.Errorf("handover: %w", err)
+		return fmt.Errorf("hotrestart: %w", err)
 	}
 	_, err = f.Write(text)
 	if closeErr := f.Close(); err == nil {
@@ -177,14 +181,15 @@
 		err = os.Rename(f.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(f.Name()) // the first error says more
-		return fmt.Errorf("handover: %w", err)
+		_ = os.Remove(f.Name()) // the earlier error is the one to report
+		return fmt.Errorf("hotrestart: %w", err)
 	}
 	return nil
 }
 
-// Watch calls onChange whenever another process has changed the detached backends, until ctx ends; it looks every
-// interval. onError is called with the first error alone, which would else come again and again.
+// Watch checks once per interval whether another process has changed the detached backends, and calls onChange if so.
+// It blocks until ctx ends. onError is called for the first error only, because the same error would recur at each
+// check.
 func (s *Store) Watch(ctx context.Context, interval time.Duration, onChange func(), onError func(error)) {
 	if s.basePath == "" {
 		return
