--- a/internal/listener/blocks.go
+++ b/internal/listener/blocks.go
@@ -14,7 +14,7 @@
 
 const (
 	blocksFileMode = 0o600
-	// temporarySuffix is that of the file which replaces the blocks in one step.
+	// temporarySuffix is appended to the path of the blocks file to name the new file that atomically replaces it.
 	temporarySuffix = ".new"
 )
 
@@ -24,8 +24,8 @@
 // Error implements error.
 func (e NotBlockedError) Error() string { return fmt.Sprintf("%v is not blocked", e.Prefix) }
 
-// Block rejects new connections of an address or network for a duration. If its error says that the block could not be
-// persisted, it holds in this process all the same; after an admission.InvalidBlockError it does not.
+// Block rejects new connections from an address or network for a duration. An admission.InvalidBlockError means that
+// the block was not set. Any other error means that the block was set in this process but could not be persisted.
 func (l *ConnLimiter) Block(p netip.Prefix, duration time.Duration) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,7 +36,8 @@
 	return l.saveBlocks()
 }
 
-// Unblock ends a block. Its error is a NotBlockedError, or says that the change could not be persisted.
+// Unblock ends a block. It returns a NotBlockedError if p is not blocked. Any other error means that the block has
+// ended in this process but the change could not be persisted.
 func (l *ConnLimiter) Unblock(p netip.Prefix) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,7 +48,7 @@
 	return l.saveBlocks()
 }
 
-// saveBlocks replaces the persisted blocks in one step: a JSON object of expiry times by prefix. The lock is held.
+// saveBlocks atomically replaces the persisted blocks, a JSON object of expiry times by prefix. The caller holds l.mu.
 func (l *ConnLimiter) saveBlocks() error {
 	if l.blocksPath == "" {
 		return nil
@@ -73,7 +74,8 @@
 	return nil
 }
 
-// Restore sets the blocks that an earlier process persisted and that have not expired. A missing file is no error.
+// Restore sets the blocks that an earlier process persisted, except those that have expired. A missing file is no
+// error. An invalid block is skipped and reported in the error.
 func (l *ConnLimiter) Restore() error {
 	if l.blocksPath == "" {
 		return nil
@@ -83,7 +85,7 @@
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("the blocks: %w", err)
+		return fmt.Errorf("reading the persisted blocks: %w", err)
 	}
 	var expiries map[string]time.Time
 	if err := json.Unmarshal(text, &expiries); err != nil {
@@ -92,15 +94,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var errs []error
-	for name, until := range expiries {
-		errs = append(errs, l.restoreBlock(name, until))
+	for prefix, until := range expiries {
+		errs = append(errs, l.restoreBlock(prefix, until))
 	}
 	return errors.Join(errs...)
 }
 
-// restoreBlock sets one persisted block, unless it has expired. The lock is held.
-func (l *ConnLimiter) restoreBlock(name string, until time.Time) error {
-	p, err := ParsePrefix(name)
+// restoreBlock sets one persisted block, unless it has expired. The caller holds l.mu.
+func (l *ConnLimiter) restoreBlock(prefix string, until time.Time) error {
+	p, err := ParsePrefix(prefix)
 	if err != nil {
 		return err
 	}
@@ -108,7 +110,7 @@
 	if remaining <= 0 {
 		return nil
 	}
-	// If the wall clock was set back, the block could otherwise last longer than any may.
+	// If the wall clock was set back, the remaining time could otherwise exceed the maximum duration of a block.
 	if err := l.rules.Block(l.now(), p, min(remaining, admission.MaxBlockDuration)); err != nil {
 		return err
 	}
--- a/internal/listener/connlimiter.go
+++ b/internal/listener/connlimiter.go
@@ -12,34 +12,36 @@
 
 // Conn is a client connection that a ConnLimiter can evict.
 type Conn interface {
-	// Evict closes the connection, unless a request of it is in flight or it has bytes to be read, and reports whether
-	// it did. The limiter calls it without its lock.
+	// Evict closes the connection and returns true, or returns false if a request is in flight on it or it has unread
+	// bytes. The limiter does not hold its lock during the call.
 	Evict() bool
 }
 
-// maxEvictions bounds how many connections one arrival tries to evict: each attempt takes the lock of all arrivals.
+// maxEvictions bounds how many connections one call of Arrive tries to evict, because each attempt takes the lock that
+// all arriving connections share.
 const maxEvictions = 8
 
-// ConnLimiter decides on the client connections of a process. It is safe for concurrent use.
+// ConnLimiter admits, rejects and evicts the client connections of a process. It is safe for concurrent use.
 type ConnLimiter struct {
-	now        func() time.Duration // a monotonic clock: a step of the wall clock changes nothing
-	blocksPath string               // of the persisted blocks; empty persists none
+	now        func() time.Duration // a monotonic clock, unaffected by steps of the wall clock
+	blocksPath string               // file of the persisted blocks; empty persists none
 	seed       uint64
 
 	mu       sync.Mutex
 	rules    *admission.ConnLimiter
 	conns    map[admission.ID]Conn
-	evicting map[admission.ID]bool      // named by a verdict's Evict: their Remove counts as an eviction
-	blocks   map[netip.Prefix]time.Time // when they expire, by the wall clock, for the next process
+	evicting map[admission.ID]bool      // connections to evict; their Remove counts as an eviction
+	blocks   map[netip.Prefix]time.Time // expiry times by the wall clock, which the next process reads
 	file     *File
 	capacity Capacity
-	half     bool // the settings in force are for half of capacity
+	half     bool // whether the current settings are for half of capacity
 
 	descriptorShortages atomic.Int64
 }
 
-// New returns a limiter for a process with a capacity for clients. seed must be secret from clients; now is a
-// monotonic clock. Blocks are persisted at blocksPath, and read by Restore. Its error names each invalid setting.
+// New returns a limiter for a process with the given capacity for clients. Clients must not be able to learn seed. now
+// must be a monotonic clock. Blocks are persisted in the file blocksPath, or not at all if it is empty, and are read by
+// Restore. The error names each invalid setting.
 func New(
 	f *File, capacity Capacity, seed uint64, now func() time.Duration, blocksPath string,
 ) (*ConnLimiter, error) {
@@ -64,22 +66,22 @@
 	}, nil
 }
 
-// Reconfigure sets other settings. Connections that are held go on. On an error nothing changes.
+// Reconfigure applies new settings. Open connections stay open. If it returns an error, nothing changes.
 func (l *ConnLimiter) Reconfigure(f *File) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reconfigure(f, l.half)
 }
 
-// UseHalf limits it to half of its capacity, or to all of it again. During a hot restart two processes share the
-// limits of the machine.
+// UseHalf limits the process to half of its capacity, or to the full capacity again if half is false. It is used during
+// a hot restart, when two processes share the limits of the machine.
 func (l *ConnLimiter) UseHalf(half bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reconfigure(l.file, half)
 }
 
-// reconfigure applies a file. The lock is held.
+// reconfigure applies the settings of a file for all or half of the capacity. The caller holds l.mu.
 func (l *ConnLimiter) reconfigure(f *File, half bool) error {
 	capacity := l.capacity
 	if half {
@@ -98,17 +100,18 @@
 	return nil
 }
 
-// Arrive decides on a connection that was accepted, and evicts others if it needs room for it. If it is admitted, the
-// ID names it until Remove. Otherwise the ID is 0, the reason says why, and the caller closes it. Arrive calls
-// Conn.Evict of other connections on the caller's goroutine, so the caller must hold no lock that Evict takes.
-func (l *ConnLimiter) Arrive(from net.Addr, c Conn) (admission.ID, admission.Reason) {
-	address := addressOf(from)
+// Arrive admits or rejects a connection that was just accepted from an address. To make room it may evict other
+// connections: it calls their Conn.Evict on the caller's goroutine, so the caller must hold no lock that Evict takes.
+// If the connection is admitted, the returned ID identifies it until Remove. Otherwise the ID is 0, and the caller must
+// close the connection; the reason is that of the rejection.
+func (l *ConnLimiter) Arrive(client net.Addr, c Conn) (admission.ID, admission.Reason) {
+	address := clientIP(client)
 	for attempt := range maxEvictions + 1 {
-		verdict, victim, now := l.decide(address, c, attempt > 0)
+		verdict, toEvict, now := l.decide(address, c, attempt > 0)
 		if verdict.Evict == 0 {
 			return verdict.Admitted, verdict.Reason
 		}
-		if victim != nil && victim.Evict() {
+		if toEvict != nil && toEvict.Evict() {
 			l.Remove(verdict.Evict)
 			continue
 		}
@@ -117,26 +120,26 @@
 	return 0, admission.NoCapacity
 }
 
-// decide asks the rules about a connection, and holds it if it is admitted. The victim is the verdict's connection to
-// evict.
+// decide applies the admission rules to a connection, and stores the connection if it is admitted. repeated is false
+// for the first decision on the connection. toEvict is the connection that the verdict chooses to evict, if any.
 func (l *ConnLimiter) decide(
-	address netip.Addr, c Conn, again bool,
-) (verdict admission.Verdict, victim Conn, now time.Duration) {
+	address netip.Addr, c Conn, repeated bool,
+) (verdict admission.Verdict, toEvict Conn, now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now = l.now()
-	verdict = l.rules.Arrive(now, address, again)
+	verdict = l.rules.Arrive(now, address, repeated)
 	if verdict.Admitted != 0 {
 		l.conns[verdict.Admitted] = c
 	}
 	if verdict.Evict != 0 {
-		victim = l.conns[verdict.Evict]
+		toEvict = l.conns[verdict.Evict]
 		l.evicting[verdict.Evict] = true
 	}
-	return verdict, victim, now
+	return verdict, toEvict, now
 }
 
-// evictionRefused records that a connection was not closed.
+// evictionRefused records that a connection could not be evicted. now is the time of the decision to evict it.
 func (l *ConnLimiter) evictionRefused(now time.Duration, id admission.ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,31 +147,32 @@
 	l.rules.EvictionRefused(now, id)
 }
 
-// addressOf returns the IP address of a TCP client; the zero address for any other.
-func addressOf(from net.Addr) netip.Addr {
-	if t, ok := from.(*net.TCPAddr); ok {
-		a, _ := netip.AddrFromSlice(t.IP)
-		return a.Unmap()
+// clientIP returns the IP address of a TCP client, or the zero Addr for any other network.
+func clientIP(client net.Addr) netip.Addr {
+	if tcp, ok := client.(*net.TCPAddr); ok {
+		ip, _ := netip.AddrFromSlice(tcp.IP)
+		return ip.Unmap()
 	}
 	return netip.Addr{}
 }
 
-// RequestStarted records the first byte of a request.
+// RequestStarted records that the first byte of a request has arrived.
 func (l *ConnLimiter) RequestStarted(id admission.ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rules.RequestStarted(l.now(), id)
 }
 
-// RequestReceived records the whole head of a request: its connection is not evicted before RequestDone.
+// RequestReceived records that the complete header of a request has arrived. The connection is not evicted before
+// RequestDone.
 func (l *ConnLimiter) RequestReceived(id admission.ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rules.RequestReceived(l.now(), id)
 }
 
-// AcquireBody counts bytes of a request's body until RequestDone or Remove. It reports whether the client's address
-// may hold them.
+// AcquireBody reserves bytes for a request's body, until RequestDone or Remove. It returns false if the client's
+// address may not hold that many.
 func (l *ConnLimiter) AcquireBody(id admission.ID, bytes int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,7 +186,7 @@
 	l.rules.RequestDone(l.now(), id, served)
 }
 
-// Remove ends a connection that is closed, for whatever reason.
+// Remove records that a connection has closed, for whatever reason.
 func (l *ConnLimiter) Remove(id admission.ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,7 +198,7 @@
 // DescriptorShortages returns how many connections its Listeners closed because no file descriptor was left.
 func (l *ConnLimiter) DescriptorShortages() int64 { return l.descriptorShortages.Load() }
 
-// Report returns the limiter's state.
+// Report returns the limiter's state and counters.
 func (l *ConnLimiter) Report() admission.Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/listener/connlimiter_test.go
+++ b/internal/listener/connlimiter_test.go
@@ -18,7 +18,7 @@
 
 func TestFiles(t *testing.T) {
 	if f, err := Load(filepath.Join("..", "..", "deploy", "admission.toml")); err != nil || f.Requests != nil {
-		t.Errorf("the example: %+v, %v", f, err)
+		t.Errorf("Load of the deployed file = %+v, %v; want no error and no [requests] table", f, err)
 	}
 	const (
 		connections = "version = 1\n[connections]\n"
@@ -35,19 +35,20 @@
 		connections + "rate = 0.0\n[requests]\nin_hand = 9\nper_tenant = 2.0": "rate: 0",
 	} {
 		if _, err := Parse("a.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("Parse(%q) returned error %v, want one that contains %q", text, err, want)
 		}
 	}
 	f, err := Parse("a.toml", []byte(connections+"places = 9000\nknown = [\"127.0.0.0/8\", \"::1\"]\n"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse of a valid file: %v", err)
 	}
 	if s, err := f.Settings(Capacity{Conns: 600}, 1); err != nil || s.MaxConns != 600 || len(s.KnownPrefixes) != 2 {
-		t.Errorf("%+v, %v; want no more connections than the process has", s, err)
+		t.Errorf("Settings for 600 connections, of a file with places = 9000 and two known prefixes, = %+v, %v; "+
+			"want MaxConns 600 and two KnownPrefixes", s, err)
 	}
 }
 
-// stub is a connection that can be evicted, or refuses.
+// stub is a connection that can be evicted, unless refuses is set.
 type stub struct {
 	mu       sync.Mutex
 	closed   bool
@@ -66,100 +67,106 @@
 	return true
 }
 
-// newConnLimiter returns a limiter without a reserve, and its clock.
+// newConnLimiter returns a limiter that reserves no connections for known clients, and the time of its clock.
 func newConnLimiter(t *testing.T, maxConns int, blocksPath string) (*ConnLimiter, *time.Duration) {
 	t.Helper()
 	f, err := Parse("a.toml", []byte("version = 1\n[connections]\nreserve = 0.0\n"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse of a valid file: %v", err)
 	}
 	now := new(time.Duration)
 	l, err := New(f, Capacity{Conns: maxConns}, 1, func() time.Duration { return *now }, blocksPath)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	return l, now
 }
 
-func from(last int) net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(last)), Port: 1} }
+// clientAddr returns the address of a client at 127.0.1.lastByte.
+func clientAddr(lastByte int) net.Addr {
+	return &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(lastByte)), Port: 1}
+}
 
-// A connection that refuses its eviction is passed over. One that is evicted is counted once, whoever removes it first.
+// If a connection refuses its eviction, the next one is evicted in its place. An eviction is counted once, although
+// both the connection and the limiter call Remove.
 func TestRefusedEvictionIsPassedOver(t *testing.T) {
 	l, now := newConnLimiter(t, 3, "")
 	var stubs []*stub
 	for i := range 3 {
 		s := &stub{refuses: i == 0}
-		id, _ := l.Arrive(from(i), s)
+		id, _ := l.Arrive(clientAddr(i), s)
 		s.onClosed = func() { l.Remove(id) }
 		stubs = append(stubs, s)
 		*now += time.Second
 	}
-	if id, reason := l.Arrive(from(9), &stub{refuses: true}); id == 0 {
-		t.Fatalf("rejected: %v", reason)
+	if id, reason := l.Arrive(clientAddr(9), &stub{refuses: true}); id == 0 {
+		t.Fatalf("Arrive of a fourth connection was rejected with reason %v, want it admitted by an eviction", reason)
 	}
 	if stubs[0].closed || !stubs[1].closed || stubs[2].closed {
-		t.Errorf("closed: %v %v %v", stubs[0].closed, stubs[1].closed, stubs[2].closed)
+		t.Errorf("after one eviction, connections 0, 1 and 2 are closed: %v, %v, %v; want false, true, false",
+			stubs[0].closed, stubs[1].closed, stubs[2].closed)
 	}
 	r := l.Report()
 	if r.Open != 3 || r.Rejected["room"] != 1 || r.Counts.Spared != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("Report() = %+v, want Open 3, Rejected[room] 1, Counts.Spared 1", r)
 	}
 	for _, s := range stubs {
 		s.refuses = true
 	}
 	*now += time.Second
-	if id, reason := l.Arrive(from(10), &stub{}); id != 0 && reason == admission.NoCapacity {
-		t.Errorf("%v %v", id, reason)
+	if id, reason := l.Arrive(clientAddr(10), &stub{}); id != 0 && reason == admission.NoCapacity {
+		t.Errorf("Arrive when every eviction is refused = ID %v, reason %v; want reason %v only with ID 0",
+			id, reason, admission.NoCapacity)
 	}
 }
 
-// The next process restores the blocks that have not expired, and reports a damaged file.
+// Restore in the next process sets the blocks that have not expired, and returns an error for a malformed file.
 func TestBlocksAreRestored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "blocks")
 	l, _ := newConnLimiter(t, 3, path)
 	if err := l.Restore(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Restore without a file: %v", err)
 	}
 	long, short := netip.MustParsePrefix("127.0.1.0/24"), netip.MustParsePrefix("127.0.2.0/24")
-	for p, span := range map[netip.Prefix]time.Duration{long: time.Hour, short: time.Nanosecond} {
-		if err := l.Block(p, span); err != nil {
-			t.Fatal(err)
+	for p, duration := range map[netip.Prefix]time.Duration{long: time.Hour, short: time.Nanosecond} {
+		if err := l.Block(p, duration); err != nil {
+			t.Fatalf("Block(%v, %v): %v", p, duration, err)
 		}
 	}
 	next, _ := newConnLimiter(t, 3, path)
 	if err := next.Restore(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Restore in the next process: %v", err)
 	}
-	if _, reason := next.Arrive(from(1), &stub{}); reason != admission.Blocked {
-		t.Errorf("in the next process: %v", reason)
+	if _, reason := next.Arrive(clientAddr(1), &stub{}); reason != admission.Blocked {
+		t.Errorf("Arrive of a blocked client in the next process: reason %v, want %v", reason, admission.Blocked)
 	}
 	var notBlocked NotBlockedError
 	if err := next.Unblock(short); !errors.As(err, &notBlocked) {
-		t.Error("an expired block was restored")
+		t.Errorf("Unblock(%v), whose block had expired before Restore, = %v, want NotBlockedError", short, err)
 	}
 	if err := next.Unblock(long); err != nil {
-		t.Error(err)
+		t.Errorf("Unblock(%v), whose block was restored: %v", long, err)
 	}
-	if id, reason := next.Arrive(from(1), &stub{}); id == 0 {
-		t.Errorf("unblocked: %v", reason)
+	if id, reason := next.Arrive(clientAddr(1), &stub{}); id == 0 {
+		t.Errorf("Arrive after Unblock was rejected with reason %v, want it admitted", reason)
 	}
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing a malformed blocks file: %v", err)
 	}
 	if err := next.Restore(); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("a damaged file: %v", err)
+		t.Errorf("Restore of a malformed file returned error %v, want one that contains %s", err, path)
 	}
 }
 
-// shortListener is a listener whose first accepts fail for want of a descriptor.
-type shortListener struct {
+// failingListener is a listener whose first calls of Accept fail because no file descriptor is left.
+type failingListener struct {
 	net.Listener
 	mu       sync.Mutex
-	failures int // left
+	failures int // number of further calls that fail
 	calls    int
 }
 
-func (s *shortListener) Accept() (net.Conn, error) {
+func (s *failingListener) Accept() (net.Conn, error) {
 	s.mu.Lock()
 	s.calls++
 	if s.failures > 0 {
@@ -171,17 +178,18 @@
 	return s.Listener.Accept()
 }
 
-// Without descriptors Accept neither spins nor stops for good, and it returns other errors.
+// During a descriptor shortage Accept pauses between attempts and works again after the shortage. It returns other
+// errors.
 func TestDescriptorShortage(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("net.Listen: %v", err)
 	}
-	s := &shortListener{Listener: inner, failures: 20}
+	s := &failingListener{Listener: inner, failures: 20}
 	l, _ := newConnLimiter(t, 3, "")
 	accepting := l.NewListener(s, slog.New(slog.DiscardHandler))
 	accepted := make(chan error, 1)
-	began := time.Now()
+	start := time.Now()
 	go func() {
 		c, err := accepting.Accept()
 		if err == nil {
@@ -193,58 +201,59 @@
 	s.mu.Lock()
 	calls := s.calls
 	s.mu.Unlock()
-	if passed := time.Since(began); calls > 2+int(passed/acceptRetryInterval) {
-		t.Errorf("%d calls in %v: it spins", calls, passed)
+	if elapsed := time.Since(start); calls > 2+int(elapsed/acceptRetryInterval) {
+		t.Errorf("%d calls of Accept on the wrapped listener in %v, want at most %d",
+			calls, elapsed, 2+int(elapsed/acceptRetryInterval))
 	}
 	for range 40 { // connections during the shortage may be closed; a later one is accepted
 		c, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("connecting to the listener: %v", err)
 		}
 		defer func() { _ = c.Close() }()
 		select {
 		case err := <-accepted:
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("Accept after the shortage, or closing the accepted connection: %v", err)
 			}
-			if took := time.Since(began); took < 20*acceptRetryInterval {
-				t.Errorf("accepted after %v", took)
+			if took := time.Since(start); took < 20*acceptRetryInterval {
+				t.Errorf("Accept returned after %v, want at least %v for 20 failures", took, 20*acceptRetryInterval)
 			}
 			if err := accepting.Close(); err != nil {
-				t.Error(err)
+				t.Errorf("Close: %v", err)
 			}
 			if _, err := accepting.Accept(); !errors.Is(err, net.ErrClosed) {
-				t.Errorf("after Close: %v", err)
+				t.Errorf("Accept after Close = %v, want net.ErrClosed", err)
 			}
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	t.Error("no connection is accepted any more")
+	t.Error("Accept did not return after the shortage, although 40 clients have connected")
 }
 
-// While two processes share the limits each keeps to half, also after Reconfigure. Connections beyond that go on.
+// With UseHalf(true) the limit is half of the capacity, also after Reconfigure. Open connections above it stay open.
 func TestUseHalf(t *testing.T) {
 	l, _ := newConnLimiter(t, 4, "")
 	for i := range 4 {
-		if id, reason := l.Arrive(from(i), &stub{refuses: true}); id == 0 {
-			t.Fatalf("rejected: %v", reason)
+		if id, reason := l.Arrive(clientAddr(i), &stub{refuses: true}); id == 0 {
+			t.Fatalf("Arrive of connection %d of 4 (limit 4) was rejected with reason %v", i+1, reason)
 		}
 	}
 	f, err := Parse("a.toml", []byte("version = 1\n[connections]\nreserve = 0.5\n"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse of a valid file: %v", err)
 	}
 	if err := errors.Join(l.UseHalf(true), l.Reconfigure(f)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("UseHalf(true) and Reconfigure: %v", err)
 	}
 	if r := l.Report(); r.MaxConns != 2 || r.Open != 4 {
-		t.Errorf("%d of %d connections", r.Open, r.MaxConns)
+		t.Errorf("after UseHalf(true): %d connections open, MaxConns %d; want 4 open, MaxConns 2", r.Open, r.MaxConns)
 	}
-	if id, _ := l.Arrive(from(9), &stub{refuses: true}); id != 0 {
-		t.Error("one more is admitted")
+	if id, _ := l.Arrive(clientAddr(9), &stub{refuses: true}); id != 0 {
+		t.Error("Arrive with 4 connections open and MaxConns 2 was admitted, want it rejected")
 	}
 	if err := l.UseHalf(false); err != nil || l.Report().MaxConns != 4 {
-		t.Errorf("%v, %d connections", err, l.Report().MaxConns)
+		t.Errorf("UseHalf(false) = %v, and then MaxConns = %d; want nil and 4", err, l.Report().MaxConns)
 	}
 }
--- a/internal/listener/doc.go
+++ b/internal/listener/doc.go
@@ -1,8 +1,8 @@
 // Package listener applies the rules of package admission to the client connections of a process.
 //
-//   - ConnLimiter is the lock around admission.ConnLimiter. It evicts connections through the Conn interface, and
-//     persists the blocks that operators set. All frontends of a process share one.
-//   - Listener accepts connections also while the process has no file descriptor left.
-//   - RequestLimiter is the lock around admission.RequestLimiter, for one service.
+//   - ConnLimiter makes admission.ConnLimiter safe for concurrent use. It also closes the connections to evict, through
+//     the Conn interface, and persists the blocks that operators set. All front ends of a process share one.
+//   - Listener keeps accepting connections while the process has no file descriptor left.
+//   - RequestLimiter makes admission.RequestLimiter safe for concurrent use. Each service has its own.
 //   - File is the schema of deploy/admission.toml.
 package listener
--- a/internal/listener/file.go
+++ b/internal/listener/file.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// Version is the format of the file that this program reads.
+	// Version is the only version of the file's format that this program reads.
 	Version = 1
-	// maxFileBytes is the length of the longest file that is read.
+	// maxFileBytes is the maximum size of a file in bytes.
 	maxFileBytes = 1 << 20
 	// defaultRetryAfter is Requests.RetryAfter if it is left out.
 	defaultRetryAfter = time.Second
-	// validationConns is the capacity with which a file is checked: no process has more.
+	// validationConns is the capacity, in connections, for which a file is validated. No process has more.
 	validationConns = 1 << 20
 )
 
@@ -25,12 +25,12 @@
 type File struct {
 	Version     int         `toml:"version"` // 1
 	Connections Connections `toml:"connections"`
-	Requests    *Requests   `toml:"requests"` // left out, requests in flight are not bounded here
+	Requests    *Requests   `toml:"requests"` // if left out, RequestLimiters are not used
 }
 
-// Connections configure admission.Settings, which explains each value.
+// Connections configures the connection limits; admission.Settings explains each value.
 type Connections struct {
-	MaxConns      int                    `toml:"places"` // left out or greater, the process's capacity for clients
+	MaxConns      int                    `toml:"places"` // the default and maximum is the process's capacity
 	KnownReserve  *float64               `toml:"reserve"`
 	GracePeriod   *strictconfig.Duration `toml:"grace"`
 	HalfLife      *strictconfig.Duration `toml:"half_life"`
@@ -42,7 +42,7 @@
 	KnownPrefixes []string               `toml:"known"` // addresses or prefixes
 }
 
-// Requests configure admission.RequestSettings, which explains each value.
+// Requests configures the limits for requests in flight; admission.RequestSettings explains each value.
 type Requests struct {
 	MaxInFlight   int                   `toml:"in_hand"`
 	MaxTenantPart float64               `toml:"per_tenant"`
@@ -53,10 +53,10 @@
 
 // Load reads and checks a file. Its errors name the file, the line if there is one, and the key.
 func Load(path string) (*File, error) {
-	return strictconfig.Load(path, "the admission's settings", maxFileBytes, Parse)
+	return strictconfig.Load(path, "the admission settings", maxFileBytes, Parse)
 }
 
-// Parse reads and checks the text of a file; the path is for errors only.
+// Parse reads and checks the text of a file; path is used in errors only.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{}
 	if err := strictconfig.Decode(path, text, f); err != nil {
@@ -85,13 +85,13 @@
 	return f, nil
 }
 
-// Capacity is what a process has for its clients.
+// Capacity is the capacity of a process for its clients.
 type Capacity struct {
 	Conns     int
-	BodyBytes int64 // of the bodies of all requests in flight; 0 is no bound
+	BodyBytes int64 // sum over the bodies of all requests in flight; 0 is no bound
 }
 
-// Settings returns the settings of the connections, for a process with a capacity. Its error names each invalid key.
+// Settings returns the connection settings for a process with the given capacity. The error names each invalid key.
 func (f *File) Settings(capacity Capacity, seed uint64) (admission.Settings, error) {
 	c := &f.Connections
 	maxConns := capacity.Conns
@@ -123,14 +123,14 @@
 	return s, s.Validate()
 }
 
-// setIfGiven sets a value that the file gives.
+// setIfGiven sets *to to *given, unless the file leaves the key out, so that given is nil.
 func setIfGiven[T any](to, given *T) {
 	if given != nil {
 		*to = *given
 	}
 }
 
-// RequestSettings returns the settings of the requests; File.Requests must be given.
+// RequestSettings returns the request settings. f.Requests must not be nil.
 func (f *File) RequestSettings() admission.RequestSettings {
 	r := f.Requests
 	return admission.RequestSettings{
@@ -142,7 +142,7 @@
 	}
 }
 
-// ParsePrefix reads an address, or a prefix such as 10.0.0.0/8.
+// ParsePrefix parses an IP address, or a prefix such as 10.0.0.0/8. An address becomes a prefix of its full length.
 func ParsePrefix(text string) (netip.Prefix, error) {
 	if p, err := netip.ParsePrefix(text); err == nil {
 		return p.Masked(), nil
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// acceptRetryInterval is the pause between two accepts while no file descriptor is left.
+	// acceptRetryInterval is the pause between two calls of accept while no file descriptor is left.
 	acceptRetryInterval = 5 * time.Millisecond
-	// descriptorReleaseDelay is how long the kernel may take to release the descriptor of a closed connection.
+	// descriptorReleaseDelay is the time given to the kernel to release the descriptor of a closed connection.
 	descriptorReleaseDelay = time.Millisecond
-	// logInterval is the least time between two log lines about a shortage.
+	// logInterval is the minimum time between two log lines about a descriptor shortage.
 	logInterval = time.Second
 )
 
-// Listener goes on accepting while the process, or the machine, has no file descriptor left. It evicts an idle
-// connection to make room. If there is none, it gives up a spare descriptor, accepts one connection with it and closes
-// that at once, so that the client does not wait in the queue forever. It pauses in between, so that it does not spin.
+// Listener keeps accepting connections while the process, or the machine, has no file descriptor left. It evicts an
+// idle connection to free a descriptor. If no connection is idle, it releases a spare descriptor, uses it to accept one
+// connection, and closes that connection at once, so that the client does not wait in the accept queue forever. It
+// pauses between attempts to avoid a busy loop.
 type Listener struct {
 	net.Listener
 	log        *slog.Logger
@@ -33,23 +34,25 @@
 	loggedAt time.Time
 }
 
-// NewListener wraps a listener, and counts the connections that it closes in DescriptorShortages. The limiter's own
-// evictions do not help it. It holds one descriptor more until Close.
+// NewListener wraps a listener for client connections. Connections that it closes because of a descriptor
+// shortage are counted in DescriptorShortages. It does not evict the limiter's connections to free descriptors. It
+// holds one spare descriptor until Close.
 func (l *ConnLimiter) NewListener(inner net.Listener, log *slog.Logger) *Listener {
-	noneIdle := func() bool { return false }
-	return NewListener(inner, log, noneIdle, func() { l.descriptorShortages.Add(1) })
+	neverEvict := func() bool { return false }
+	return NewListener(inner, log, neverEvict, func() { l.descriptorShortages.Add(1) })
 }
 
-// NewListener wraps a listener. evictIdle closes an idle connection and reports whether there was one; onRejected is
-// called for each connection that is closed at once. Accept calls both, and they must not block. It holds one
-// descriptor more until Close.
+// NewListener wraps a listener. evictIdle closes an idle connection and reports whether there was one. onRejected is
+// called for each connection that is closed at once because of a descriptor shortage. Accept calls both functions,
+// which must not block. The Listener holds one spare descriptor until Close.
 func NewListener(inner net.Listener, log *slog.Logger, evictIdle func() bool, onRejected func()) *Listener {
 	l := &Listener{Listener: inner, log: log, evictIdle: evictIdle, onRejected: onRejected}
 	l.openSpare()
 	return l
 }
 
-// openSpare opens the spare descriptor. Without one, clients wait in the queue during a shortage.
+// openSpare opens the spare descriptor if it is not open. If this fails, clients wait in the accept queue during a
+// shortage.
 func (l *Listener) openSpare() {
 	if l.spare == nil {
 		l.spare, _ = os.Open(os.DevNull)
@@ -64,7 +67,7 @@
 	}
 }
 
-// Accept blocks until a connection arrives. It returns all errors but those of a descriptor shortage.
+// Accept blocks until a connection arrives. It handles a descriptor shortage itself and returns all other errors.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -78,7 +81,7 @@
 	}
 }
 
-// relieveShortage evicts an idle connection, or rejects the one that waits for longest.
+// relieveShortage evicts an idle connection, or rejects the oldest connection in the accept queue.
 func (l *Listener) relieveShortage(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,21 +101,21 @@
 	l.openSpare()
 }
 
-// rejectOne accepts a connection with the spare's descriptor and closes it. The deadline is for a client that has left
-// meanwhile.
+// rejectOne accepts a connection with the descriptor that closeSpare released, and closes it. The deadline keeps it
+// from blocking if the waiting client has disconnected in the meantime.
 func (l *Listener) rejectOne() {
-	d, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
+	withDeadline, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return
 	}
-	if err := d.SetDeadline(time.Now().Add(acceptRetryInterval)); err != nil {
-		return // it is closed
+	if err := withDeadline.SetDeadline(time.Now().Add(acceptRetryInterval)); err != nil {
+		return // the listener is closed
 	}
 	if c, err := l.Listener.Accept(); err == nil {
-		_ = c.Close() // it is rejected either way
+		_ = c.Close() // an error does not matter: the connection is rejected either way
 		l.onRejected()
 	}
-	_ = d.SetDeadline(time.Time{}) // it fails on a closed listener only
+	_ = withDeadline.SetDeadline(time.Time{}) // fails only if the listener is closed
 }
 
 // Close closes the listener and releases its spare descriptor.
--- a/internal/listener/requestlimiter.go
+++ b/internal/listener/requestlimiter.go
@@ -8,13 +8,13 @@
 	"lapisspread/internal/processquota"
 )
 
-// RequestLimiter bounds the requests in flight of one service. It is safe for concurrent use.
+// RequestLimiter limits the number of requests in flight of one service. It is safe for concurrent use.
 type RequestLimiter struct {
 	mu    sync.Mutex
 	rules *admission.RequestLimiter
 }
 
-// NewRequestLimiter returns a limiter for a service with a number of tenants; see admission.NewRequestLimiter.
+// NewRequestLimiter returns a limiter for a service with the given number of tenants; see admission.NewRequestLimiter.
 func NewRequestLimiter(
 	s admission.RequestSettings, gate *processquota.Gate, tenants int, seed uint64,
 ) (*RequestLimiter, error) {
@@ -25,23 +25,24 @@
 	return &RequestLimiter{rules: rules}, nil
 }
 
-// Acquire admits a request, which an empty reason says, or returns the reason and after how long the client may retry;
-// see admission.RequestLimiter.Acquire. It does not wait for a request to end. Release must follow for a request that
-// was admitted.
-func (r *RequestLimiter) Acquire(class, tenant, ofConn int) (reason string, retryAfter time.Duration) {
+// Acquire admits a request and returns an empty reason, or rejects it and returns the reason and the time after which
+// the client may retry; see admission.RequestLimiter.Acquire. It does not wait for other requests to end. The caller
+// must call Release once for each admitted request.
+func (r *RequestLimiter) Acquire(class, tenant, connInFlight int) (reason string, retryAfter time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rules.Acquire(class, tenant, ofConn)
+	return r.rules.Acquire(class, tenant, connInFlight)
 }
 
-// Limit returns how many requests may be in flight now, and how many are.
+// Limit returns the current limit for requests in flight, and the number of requests in flight.
 func (r *RequestLimiter) Limit() (limit, inFlight int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rules.Limit()
 }
 
-// Release ends a request that Acquire admitted. latency is that of an answer that was served, 0 for any other end.
+// Release records the end of a request that Acquire admitted. latency is the response's latency if the request was
+// served, and 0 otherwise.
 func (r *RequestLimiter) Release(tenant int, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
