--- a/internal/admin/commands.go
+++ b/internal/admin/commands.go
@@ -9,56 +9,58 @@
 	"time"
 )
 
-// Backend carries out the commands; the proxy implements it. Its methods are called from many goroutines at once. None
-// may block for long: the caller waits for about a second.
+// Backend executes the commands; the proxy implements it. Its methods are called concurrently. None may block for long,
+// because an operator's tool waits only about a second.
 type Backend interface {
-	// Serving reports whether the proxy takes clients.
+	// Serving reports whether the proxy accepts clients.
 	Serving() bool
-	// Counters returns the counters that INFO shows.
+	// Counters returns the counters that INFO replies with.
 	Counters() json.Marshaler
-	// Detach stops new requests and health checks to the backend with this id, whatever the endpoint list says.
+	// Detach stops new requests and health checks to the backend with this id, even if the endpoint list contains it.
 	Detach(id string) error
-	// Attach ends a Detach.
+	// Attach undoes Detach.
 	Attach(id string) error
-	// StartDraining sends clients away while the listener stays open.
+	// StartDraining makes clients leave the proxy while its listener stays open.
 	StartDraining()
-	// StopDraining ends StartDraining.
+	// StopDraining undoes StartDraining.
 	StopDraining()
-	// ReloadRoutes reads the file of services and routes again and describes what then holds. A file that can't be served
-	// changes nothing and gives an error.
+	// ReloadRoutes reads the file of services and routes again and returns a summary of the new configuration. It
+	// returns an error and changes nothing if the file is invalid or cannot be applied.
 	ReloadRoutes() (string, error)
-	// Admission reports who holds client connections, as a value for JSON.
+	// Admission returns a report on the client connections by address, to be encoded as JSON.
 	Admission() (any, error)
-	// Diameter reports the Diameter peers, as a value for JSON.
+	// Diameter returns a report on the Diameter peers, to be encoded as JSON.
 	Diameter() (any, error)
-	// ListGuard reports which endpoints are retained against the endpoint list, as a value for JSON.
+	// ListGuard returns a report on the endpoints that are retained although the endpoint list lacks them, to be
+	// encoded as JSON.
 	ListGuard() (any, error)
-	// QuotaLeases reports the leased parts of the fleet's quotas, as a value for JSON.
+	// QuotaLeases returns a report on the leased parts of the fleet's quotas, to be encoded as JSON.
 	QuotaLeases() (any, error)
-	// Freshness reports how far the endpoint list may be trusted, as a value for JSON.
+	// Freshness returns a report on the freshness of the endpoint list, to be encoded as JSON.
 	Freshness() (any, error)
-	// Block rejects connections from an address or a prefix for the given time.
-	Block(prefix string, span time.Duration) error
-	// Unblock ends a Block.
+	// Block rejects new connections from an address or prefix for a duration.
+	Block(prefix string, duration time.Duration) error
+	// Unblock undoes Block.
 	Unblock(prefix string) error
 }
 
-// A command is one word of the protocol.
+// A command is one command of the protocol. arguments is the number of its arguments; run executes it and returns the
+// reply.
 type command struct {
 	name      string
 	arguments int
 	run       func(s *Server, arguments []string) []byte
 }
 
-// commands are all commands, in the order in which an error names them.
+// commands lists all commands, in the same order as usage.
 var commands = []command{
 	{"PING", 0, (*Server).ping},
 	{"INFO", 0, func(s *Server, _ []string) []byte { return objectReply(s.backend.Counters()) }},
 	{"DETACH", 1, func(s *Server, arguments []string) []byte {
-		return s.order("DETACH", arguments[0], s.backend.Detach)
+		return s.executeLogged("DETACH", arguments[0], s.backend.Detach)
 	}},
 	{"ATTACH", 1, func(s *Server, arguments []string) []byte {
-		return s.order("ATTACH", arguments[0], s.backend.Attach)
+		return s.executeLogged("ATTACH", arguments[0], s.backend.Attach)
 	}},
 	{"LAMEDUCK", 0, (*Server).startDraining},
 	{"REJOIN", 0, (*Server).stopDraining},
@@ -70,15 +72,15 @@
 	{"VIEW", 0, func(s *Server, _ []string) []byte { return reportReply(s.backend.Freshness()) }},
 	{"BLOCK", 2, (*Server).block},
 	{"UNBLOCK", 1, func(s *Server, arguments []string) []byte {
-		return s.order("UNBLOCK", arguments[0], s.backend.Unblock)
+		return s.executeLogged("UNBLOCK", arguments[0], s.backend.Unblock)
 	}},
 }
 
-// usage lists the commands with their arguments.
+// usage lists the commands with their arguments, for the reply to an unknown command.
 const usage = "PING, INFO, DETACH ID, ATTACH ID, LAMEDUCK, REJOIN, ROUTES, ADMISSION, DIAMETER, COMEBACK, FLEET, VIEW, " +
 	"BLOCK ADDRESS SPAN and UNBLOCK ADDRESS"
 
-// execute carries out the command on a line and returns the reply.
+// execute parses and executes the command on a line, and returns the reply.
 func (s *Server) execute(line string) []byte {
 	words := strings.Fields(line)
 	if len(words) == 0 {
@@ -126,29 +128,33 @@
 }
 
 func (s *Server) block(arguments []string) []byte {
-	span, err := time.ParseDuration(arguments[1])
+	duration, err := time.ParseDuration(arguments[1])
 	if err != nil {
 		return errorReply(fmt.Errorf("BLOCK: %.64q is no span of time such as 10m or 2h", arguments[1]))
 	}
-	return s.order("BLOCK", arguments[0], func(prefix string) error { return s.backend.Block(prefix, span) })
+	block := func(prefix string) error { return s.backend.Block(prefix, duration) }
+	return s.executeLogged("BLOCK", arguments[0], block)
 }
 
-// order carries out a command on one backend id or address prefix, and logs it.
-func (s *Server) order(name, subject string, carryOut func(string) error) []byte {
-	if err := carryOut(subject); err != nil {
+// executeLogged calls run with the subject of a command, which is a backend ID or an address prefix. It logs the
+// command if it succeeds.
+func (s *Server) executeLogged(name, subject string, run func(string) error) []byte {
+	if err := run(subject); err != nil {
 		return errorReply(err)
 	}
 	s.log.Info("command carried out for an operator", "command", name, "subject", subject)
 	return okReply(subject)
 }
 
+// okReply returns the reply for success.
 func okReply(text string) []byte { return []byte("200 " + text + "\n") }
 
+// errorReply returns the reply for an error, whose text it puts on one line.
 func errorReply(err error) []byte {
 	return fmt.Appendf(nil, "400 %s\n", strings.ReplaceAll(err.Error(), "\n", " "))
 }
 
-// reportReply is the reply with a report, or with the reason why there is none.
+// reportReply returns the reply with a report, or with the error if there is no report.
 func reportReply(report any, err error) []byte {
 	if err != nil {
 		return errorReply(err)
@@ -156,7 +162,7 @@
 	return objectReply(report)
 }
 
-// objectReply is a JSON object on one line, and a line EOF.
+// objectReply returns the reply with an object: its JSON encoding on one line, followed by the line EOF.
 func objectReply(object any) []byte {
 	text, err := json.Marshal(object)
 	if err != nil {
--- a/internal/admin/frozen_test.go
+++ b/internal/admin/frozen_test.go
@@ -11,18 +11,20 @@
 
 var writeFrozen = flag.Bool("write-frozen", false, "write testdata/replies.txt instead of comparing with it")
 
-// testdata/replies.txt was written by the program of c8fad44 with
-// go test ./internal/console -run TestFrozenReplies -write-frozen
-// Each call's reply stays as it is, byte for byte.
+// The reply to each command must stay the same, byte for byte. testdata/replies.txt was written at commit c8fad44, when
+// this package was internal/console, with
+//
+//	go test ./internal/console -run TestFrozenReplies -write-frozen
 func TestFrozenReplies(t *testing.T) {
-	p := &stub{}
-	s := New(p, slog.New(slog.DiscardHandler))
+	backend := &stub{}
+	s := New(backend, slog.New(slog.DiscardHandler))
 	var all bytes.Buffer
-	for _, line := range []string{"PING", "serve", "PING", "INFO", "ADMISSION", "DIAMETER", "COMEBACK", "FLEET", "VIEW", "ROUTES",
-		"DETACH s-1", "DETACH s-9", "ATTACH s-1", "LAMEDUCK", "REJOIN", "BLOCK 10.0.0.1 10m", "BLOCK 10.0.0.1 soon",
+	for _, line := range []string{"PING", "serve", "PING", "INFO", "ADMISSION", "DIAMETER", "COMEBACK", "FLEET", "VIEW",
+		"ROUTES", "DETACH s-1", "DETACH s-9", "ATTACH s-1", "LAMEDUCK", "REJOIN",
+		"BLOCK 10.0.0.1 10m", "BLOCK 10.0.0.1 soon",
 		"UNBLOCK 10.0.0.1", "  PING  ", "PING now", "DETACH", "BLOCK 10.0.0.1", "", "ping", strings.Repeat("x", 100)} {
-		if line == "serve" { // not a call: from here on the proxy serves
-			p.serving = true
+		if line == "serve" { // not a command: makes the stub serve for the lines after it
+			backend.serving = true
 			continue
 		}
 		all.WriteString("> " + line + "\n")
@@ -30,23 +32,23 @@
 	}
 	for _, text := range []string{strings.Repeat("y", 600), ""} {
 		if _, err := readLine(strings.NewReader(text)); err == nil {
-			t.Errorf("%.9q is taken for a line", text)
+			t.Errorf("readLine of %d bytes, without a line feed, returned no error, want one", len(text))
 		} else {
 			all.WriteString("> unreadable\n")
 			all.Write(errorReply(err))
 		}
 	}
-	all.WriteString("orders: " + strings.Join(p.calls, ", ") + "\n")
+	all.WriteString("orders: " + strings.Join(backend.calls, ", ") + "\n")
 	if *writeFrozen {
 		if err := os.WriteFile("testdata/replies.txt", all.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing the stored replies: %v", err)
 		}
 	}
 	want, err := os.ReadFile("testdata/replies.txt")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the stored replies: %v", err)
 	}
 	if !bytes.Equal(all.Bytes(), want) {
-		t.Errorf("got\n%s\nwant\n%s", all.Bytes(), want)
+		t.Errorf("replies to all commands: got\n%s\nwant, as stored in testdata/replies.txt,\n%s", all.Bytes(), want)
 	}
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// maxSilentConnections bounds the connections that have sent no line yet; one more closes the oldest of them.
+	// maxSilentConnections is the maximum number of connections that have not sent a line yet. One more connection
+	// closes the oldest of them.
 	maxSilentConnections = 16
-	// maxLineBytes bounds the line of a command.
+	// maxLineBytes is the maximum length of a command line.
 	maxLineBytes = 512
 	// readTimeout is how long a connection may take to send its line.
 	readTimeout = 5 * time.Second
 	// writeTimeout is how long a reply may take to be written.
 	writeTimeout = time.Second
-	// acceptRetryDelay is the pause after an Accept that failed.
+	// acceptRetryDelay is the pause after a failed Accept.
 	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// Server answers operators' commands. Make it with New.
+// Server replies to operators' commands. Create it with New. It is safe for concurrent use.
 type Server struct {
 	backend Backend
 	log     *slog.Logger
 
 	mu      sync.Mutex
-	silent  []net.Conn // connections whose line has not arrived, the oldest first
+	silent  []net.Conn // connections whose line has not arrived yet, oldest first
 	running sync.WaitGroup
 }
 
-// New returns a server that has the backend carry out commands.
+// New returns a server that executes commands on a backend.
 func New(backend Backend, log *slog.Logger) *Server {
 	return &Server{backend: backend, log: log}
 }
 
-// Serve answers commands until ctx ends or the listener is closed, and then waits for those under way. It returns nil
-// if ctx has ended.
+// Serve replies to commands until ctx ends or the listener is closed, and then waits for the commands that are still
+// running. It closes the listener when ctx ends. It returns nil if ctx has ended, and else the error of the listener.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	defer s.running.Wait()
 	defer s.closeSilent()
@@ -58,9 +59,9 @@
 		case ctx.Err() != nil:
 			return nil
 		case errors.Is(err, net.ErrClosed):
-			return fmt.Errorf("console: %w", err)
+			return fmt.Errorf("admin server: %w", err)
 		default:
-			// Usually no file descriptor is left, which passes.
+			// The usual cause is a temporary shortage of file descriptors.
 			s.log.Warn("accepting an admin connection failed", "err", err)
 			pause(ctx, acceptRetryDelay)
 		}
@@ -75,12 +76,12 @@
 	}
 }
 
-// track adds a connection to the silent ones, and closes the oldest if there are too many.
+// track adds a connection to the silent ones, and closes the oldest silent one if there are too many.
 func (s *Server) track(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.silent) >= maxSilentConnections {
-		_ = s.silent[0].Close() // its own goroutine handles the error
+		_ = s.silent[0].Close() // the goroutine that reads it gets an error
 		s.silent = s.silent[1:]
 	}
 	s.silent = append(s.silent, conn)
@@ -95,18 +96,19 @@
 	}
 }
 
+// closeSilent closes all silent connections.
 func (s *Server) closeSilent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, conn := range s.silent {
-		_ = conn.Close() // its own goroutine handles the error
+		_ = conn.Close() // the goroutine that reads it gets an error
 	}
 }
 
-// handle serves one connection: a line in, a reply out.
+// handle reads one line from a connection, writes the reply, and closes the connection.
 func (s *Server) handle(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	// A deadline that can't be set means that the connection is closed, which the read and the write report.
+	// Setting a deadline fails only if the connection is closed, and then the read or write returns an error.
 	_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
 	line, err := readLine(conn)
 	s.untrack(conn)
@@ -122,7 +124,8 @@
 	}
 }
 
-// readLine reads one line, which may arrive in pieces and may end with the end of the stream in place of a line feed.
+// readLine reads one line, which may arrive in several pieces, and which may end at the end of the stream instead of a
+// line feed.
 func readLine(r io.Reader) (string, error) {
 	in := bufio.NewReaderSize(io.LimitReader(r, maxLineBytes+1), maxLineBytes+1)
 	line, err := in.ReadString('\n')
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a proxy does, for the console's INFO. Counting takes no lock and reading waits for
-// nobody: the counters of one reading may be some events apart from each other.
+// Package metrics holds the counters of a proxy that the admin command INFO shows. Counting and reading take no lock,
+// so the counters of one reading may differ by the events that happened while they were read.
 package metrics
 
 import (
@@ -9,10 +9,10 @@
 	"sync/atomic"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request for its client.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a request.
 const (
 	Served Outcome = iota
 	Rejected
@@ -20,22 +20,22 @@
 	outcomeCount
 )
 
-// Counters are the counters of one service, or of a process with a single one. Those without a class may be set and
-// added to by any goroutine.
+// Counters holds the counters of one service, or of a process with a single service. It is safe for concurrent use: the
+// exported counters may be set and added to by any goroutine.
 type Counters struct {
 	classes  []string
-	requests [outcomeCount][]atomic.Int64 // by class
+	requests [outcomeCount][]atomic.Int64 // by outcome and index of the class
 
-	Attempts         atomic.Int64 // sent completely to backends
+	Attempts         atomic.Int64 // attempts that were sent completely to a backend
 	InFlight         atomic.Int64 // requests that have not ended
 	BackendsKnown    atomic.Int64 // in the endpoint list
-	BackendsExcluded atomic.Int64 // of these, the ones that get no traffic
-	ReloadsOK        atomic.Int64
+	BackendsExcluded atomic.Int64 // of BackendsKnown, those that get no traffic
+	ReloadsOK        atomic.Int64 // successful reloads of the configuration
 	ReloadsFailed    atomic.Int64
-	InvalidLists     atomic.Int64 // responses of discovery that were no list
+	InvalidLists     atomic.Int64 // responses of discovery that were not a valid endpoint list
 }
 
-// New makes counters for requests of these classes, from 0 on.
+// New returns counters, all 0, for requests of the given classes.
 func New(classes []string) *Counters {
 	c := &Counters{classes: classes}
 	for outcome := range c.requests {
@@ -44,7 +44,8 @@
 	return c
 }
 
-// CountRequest counts a request that has ended, by the index of its class. A class that does not exist is ignored.
+// CountRequest counts a request that has ended. class is the index of the request's class in the argument of New; a
+// class or outcome that does not exist is ignored.
 func (c *Counters) CountRequest(class int, outcome Outcome) {
 	if class < 0 || class >= len(c.classes) || outcome < 0 || outcome >= outcomeCount {
 		return
@@ -52,7 +53,7 @@
 	c.requests[outcome][class].Add(1)
 }
 
-// byClass returns the requests of an outcome by the name of their class.
+// byClass returns the number of requests with an outcome, by name of their class.
 func (c *Counters) byClass(outcome Outcome) map[string]int64 {
 	counts := make(map[string]int64, len(c.classes))
 	for i, name := range c.classes {
@@ -87,12 +88,12 @@
 		InvalidLists:     c.InvalidLists.Load(),
 	})
 	if err != nil {
-		return nil, fmt.Errorf("figures: %w", err)
+		return nil, fmt.Errorf("metrics: %w", err)
 	}
 	return text, nil
 }
 
-// totals is what MarshalTotals returns; its keys are in the order of their names.
+// totals is the object that MarshalTotals encodes. Its fields are in the order of their JSON keys.
 type totals struct {
 	Attempts         int64                `json:"attempts"`
 	BackendsExcluded int64                `json:"backends_excluded"`
@@ -109,15 +110,16 @@
 	Services         map[string]*Counters `json:"services"`
 }
 
-// MarshalTotals returns the sums over several services in the form of one, on one line, with each service's own
-// counters and the use of the process's limits beside them. Reloads and invalid lists are those of own.
-func MarshalTotals(own *Counters, services map[string]*Counters, limits any) ([]byte, error) {
+// MarshalTotals returns one JSON object on one line. It has the keys of Counters with the sums over all services, and
+// in addition each service's own counters and the use of the process's limits. The counters of reloads and invalid
+// lists are those of the process.
+func MarshalTotals(process *Counters, services map[string]*Counters, limits any) ([]byte, error) {
 	t := totals{
 		Goroutines:    runtime.NumGoroutine(),
 		Limits:        limits,
-		InvalidLists:  own.InvalidLists.Load(),
-		ReloadsFailed: own.ReloadsFailed.Load(),
-		ReloadsOK:     own.ReloadsOK.Load(),
+		InvalidLists:  process.InvalidLists.Load(),
+		ReloadsFailed: process.ReloadsFailed.Load(),
+		ReloadsOK:     process.ReloadsOK.Load(),
 		Failed:        sumByClass(services, Failed),
 		Rejected:      sumByClass(services, Rejected),
 		Served:        sumByClass(services, Served),
@@ -131,12 +133,12 @@
 	}
 	text, err := json.Marshal(t)
 	if err != nil {
-		return nil, fmt.Errorf("figures: %w", err)
+		return nil, fmt.Errorf("metrics: %w", err)
 	}
 	return text, nil
 }
 
-// sumByClass adds up the requests of an outcome over services, by the name of their class.
+// sumByClass returns the number of requests with an outcome, summed over all services, by name of their class.
 func sumByClass(services map[string]*Counters, outcome Outcome) map[string]int64 {
 	sums := map[string]int64{}
 	for _, c := range services {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,9 +8,9 @@
 
 func TestCountsFromManyGoroutines(t *testing.T) {
 	c := New([]string{"ride", "payout"})
-	var all sync.WaitGroup
+	var counting sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		counting.Go(func() {
 			for range 100 {
 				c.CountRequest(0, Served)
 				c.CountRequest(1, Failed)
@@ -20,17 +20,17 @@
 			}
 		})
 	}
-	all.Wait()
+	counting.Wait()
 	c.InFlight.Store(14)
 	c.BackendsKnown.Store(9)
 	text, err := json.Marshal(c)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encoding the counters: %v", err)
 	}
 	want := `{"served":{"payout":0,"ride":800},"refused":{"payout":0,"ride":0},"failed":{"payout":800,"ride":0},` +
 		`"attempts":800,"in_flight":14,"backends_known":9,"backends_excluded":0,` +
 		`"reloads_ok":0,"reloads_failed":0,"lists_bad":0}`
 	if string(text) != want {
-		t.Errorf("got  %s\nwant %s", text, want)
+		t.Errorf("counters encoded as JSON: got\n%s\nwant\n%s", text, want)
 	}
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,4 +1,5 @@
-// Package supervisor runs work in a supervised goroutine: a Task that has ended, panicked or is stuck is started again.
+// Package supervisor runs work in a supervised goroutine. The work of a Task is started again if it returns, panics or
+// gets stuck.
 package supervisor
 
 import (
@@ -9,43 +10,46 @@
 )
 
 const (
-	// StuckAfter is how long a task may go without a heartbeat.
+	// StuckAfter is the time without a heartbeat after which a task counts as stuck.
 	StuckAfter = 8 * time.Second
-	// MaxStuck is how many goroutines of a task may be stuck before another one is started only as they end.
+	// MaxStuck is the maximum number of stuck goroutines of a task beside a running one. If more are stuck, the task is
+	// started again only after one of them has ended.
 	MaxStuck = 3
-	// restartDelay is the pause before a task that has ended is started again.
+	// restartDelay is the pause before work that has returned or panicked is started again.
 	restartDelay = 100 * time.Millisecond
-	// stuckPollInterval is how often the number of stuck goroutines is looked at while there are too many.
+	// stuckPollInterval is the interval at which the number of stuck goroutines is checked while it exceeds MaxStuck.
 	stuckPollInterval = time.Second
-	// checkInterval is how often the heartbeat is checked.
+	// checkInterval is the interval at which the heartbeat is checked.
 	checkInterval = StuckAfter / 8
-	// staleChecks is at how many checks in a row the heartbeat must be too old: at a single one the whole process may
-	// have been stopped, and the task has had no turn yet.
+	// staleChecks is the number of consecutive checks at which the heartbeat must be too old. One is not enough: if the
+	// whole process was stopped for a while, the first check may run before the task could send a heartbeat.
 	staleChecks = 2
 )
 
-// Task is one piece of work. All fields must be set before Run and not change after.
+// Task is work that Run supervises. All fields must be set before Run and must not change afterwards.
 type Task struct {
-	// Clock returns a time that never goes back.
+	// Clock returns the time of a monotonic clock.
 	Clock func() time.Duration
-	// OnStart is called before each start; what it returns identifies that start.
+	// OnStart is called before each start of Work. It returns the generation that is passed to that call of Work.
 	OnStart func() uint64
-	// Work does the work until ctx ends, and calls Heartbeat more often than every StuckAfter.
+	// Work runs until ctx ends. It must call Heartbeat more often than once per StuckAfter.
 	Work func(ctx context.Context, generation uint64)
-	// OnPanic is called with the panic that has ended Work, in its goroutine.
+	// OnPanic is called with the value and the stack of a panic in Work, on the goroutine of Work.
 	OnPanic func(cause any, stack []byte)
-	// OnStuck is called when Work has had no heartbeat for a time. Its context ends then, and it is started again.
+	// OnStuck is called when Work is stuck; since is the time since the last heartbeat. After the call the context of
+	// Work ends, and Work is started again in another goroutine.
 	OnStuck func(since time.Duration)
-	// ShutdownGrace is how long Work may take to return after ctx has ended.
+	// ShutdownGrace is how long Run waits for Work to return after ctx has ended.
 	ShutdownGrace time.Duration
 
-	lastHeartbeat atomic.Int64 // by Clock, in nanoseconds
+	lastHeartbeat atomic.Int64 // time by Clock, in nanoseconds
 }
 
-// Heartbeat says that the work goes on. Any goroutine may call it.
+// Heartbeat records that the work makes progress. Any goroutine may call it.
 func (t *Task) Heartbeat() { t.lastHeartbeat.Store(int64(t.Clock())) }
 
-// Run has the work done, again and again, until ctx ends. It blocks until then, and for ShutdownGrace at most after.
+// Run starts Work, and starts it again whenever it ends or is stuck, until ctx ends. It blocks until then, and
+// afterwards at most ShutdownGrace until Work has returned.
 func (t *Task) Run(ctx context.Context) {
 	var running atomic.Int64
 	for ctx.Err() == nil {
@@ -57,7 +61,7 @@
 		go func() {
 			defer close(done)
 			defer running.Add(-1)
-			t.workRecovering(workCtx, generation)
+			t.runWork(workCtx, generation)
 		}()
 		stuck := t.watch(ctx, done)
 		cancel()
@@ -70,8 +74,8 @@
 	}
 }
 
-// workRecovering does the work and reports a panic.
-func (t *Task) workRecovering(ctx context.Context, generation uint64) {
+// runWork calls Work, recovers from a panic, and reports it to OnPanic.
+func (t *Task) runWork(ctx context.Context, generation uint64) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			t.OnPanic(cause, debug.Stack())
@@ -80,7 +84,8 @@
 	t.Work(ctx, generation)
 }
 
-// watch blocks until the work has ended, is stuck, or ctx has ended and it had its ShutdownGrace.
+// watch blocks until Work has ended or is stuck. After ctx has ended it blocks until Work has ended, at most
+// ShutdownGrace. It reports whether Work is stuck.
 func (t *Task) watch(ctx context.Context, done <-chan struct{}) (stuck bool) {
 	checks := time.NewTicker(checkInterval)
 	defer checks.Stop()
@@ -107,6 +112,7 @@
 	}
 }
 
+// awaitShutdown blocks until done is closed, at most ShutdownGrace.
 func (t *Task) awaitShutdown(done <-chan struct{}) {
 	grace := time.NewTimer(t.ShutdownGrace)
 	defer grace.Stop()
@@ -116,7 +122,7 @@
 	}
 }
 
-// Sleep waits for a time, or until ctx ends.
+// Sleep blocks for d, or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// recorder runs a task and records what becomes of it.
+// recorder creates a task and records its starts, panics and stuck goroutines.
 type recorder struct {
 	mu     sync.Mutex
 	starts atomic.Int64
@@ -23,11 +23,11 @@
 	r.events = append(r.events, event)
 }
 
-// task makes a task with a clock of the test's bubble.
-func (r *recorder) task(work func(ctx context.Context, t *Task, generation uint64)) *Task {
-	began := time.Now()
+// newTask returns a task that runs work, with the fake clock of the synctest bubble.
+func (r *recorder) newTask(work func(ctx context.Context, t *Task, generation uint64)) *Task {
+	start := time.Now()
 	t := &Task{
-		Clock:         func() time.Duration { return time.Since(began) },
+		Clock:         func() time.Duration { return time.Since(start) },
 		OnStart:       func() uint64 { return uint64(r.starts.Add(1)) },
 		OnPanic:       func(any, []byte) { r.record("panic") },
 		OnStuck:       func(time.Duration) { r.record("stuck") },
@@ -37,28 +37,28 @@
 	return t
 }
 
-// beat works until ctx ends, with a heartbeat every second.
-func beat(ctx context.Context, t *Task) {
+// sendHeartbeats calls Heartbeat every second until ctx ends.
+func sendHeartbeats(ctx context.Context, t *Task) {
 	for ctx.Err() == nil {
 		t.Heartbeat()
 		Sleep(ctx, time.Second)
 	}
 }
 
-// A task that panics, ends or is stuck is started again; one that has heartbeats is left alone.
+// Work that panics, returns or is stuck is started again. Work that sends heartbeats is not.
 func TestTaskIsStartedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{}
 		stuck := make(chan struct{})
-		task := r.task(func(ctx context.Context, task *Task, generation uint64) {
+		task := r.newTask(func(ctx context.Context, task *Task, generation uint64) {
 			switch generation {
 			case 1:
 				panic("by the test")
-			case 2: // ends
+			case 2: // returns
 			case 3:
 				<-stuck
 			default:
-				beat(ctx, task)
+				sendHeartbeats(ctx, task)
 			}
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -69,10 +69,10 @@
 		}()
 		time.Sleep(time.Hour)
 		if starts := r.starts.Load(); starts != 4 {
-			t.Errorf("%d starts, want 4", starts)
+			t.Errorf("Work was started %d times, want 4", starts)
 		}
 		if !slices.Equal(r.events, []string{"panic", "stuck"}) {
-			t.Errorf("events: %v", r.events)
+			t.Errorf("recorded events %q, want [panic stuck]", r.events)
 		}
 		cancel()
 		<-ended
@@ -80,12 +80,12 @@
 	})
 }
 
-// No more than MaxStuck goroutines hang beside the one that runs.
+// At most MaxStuck goroutines are stuck beside the last one that was started.
 func TestStuckGoroutinesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{}
 		stuck := make(chan struct{})
-		task := r.task(func(context.Context, *Task, uint64) { <-stuck })
+		task := r.newTask(func(context.Context, *Task, uint64) { <-stuck })
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
@@ -94,7 +94,7 @@
 		}()
 		time.Sleep(time.Hour)
 		if starts := r.starts.Load(); starts != MaxStuck+1 {
-			t.Errorf("%d starts, want %d", starts, MaxStuck+1)
+			t.Errorf("Work that is always stuck was started %d times, want %d", starts, MaxStuck+1)
 		}
 		cancel()
 		<-ended
@@ -102,18 +102,18 @@
 	})
 }
 
-// Run returns at most ShutdownGrace after its context has ended.
+// If Work does not return, Run returns ShutdownGrace (1s) after its context has ended.
 func TestShutdownGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{}
 		stuck := make(chan struct{})
-		task := r.task(func(context.Context, *Task, uint64) { <-stuck })
+		task := r.newTask(func(context.Context, *Task, uint64) { <-stuck })
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(time.Second, cancel)
-		began := time.Now()
+		start := time.Now()
 		task.Run(ctx)
-		if took := time.Since(began); took < 2*time.Second || took > 3*time.Second {
-			t.Errorf("Run returned after %v, want 2s", took)
+		if took := time.Since(start); took < 2*time.Second || took > 3*time.Second {
+			t.Errorf("Run returned after %v, want 2s to 3s: its context ends after 1s and ShutdownGrace is 1s", took)
 		}
 		close(stuck)
 	})
