--- a/internal/lograte/lograte_test.go
+++ b/internal/lograte/lograte_test.go
@@ -24,14 +24,14 @@
 func mustWrite(t *testing.T, w *Writer, line string) {
 	t.Helper()
 	if _, err := w.Write([]byte(line)); err != nil {
-		t.Error(err)
+		t.Errorf("Write(%q): %v", line, err)
 	}
 }
 
 func mustClose(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("closing a %T: %v", c, err)
 	}
 }
 
@@ -45,7 +45,7 @@
 	b := &buffer{}
 	w := New(b)
 	for range 10 * maxLines {
-		mustWrite(t, w, "again\n")
+		mustWrite(t, w, "repeated\n")
 	}
 	w.mu.Lock()
 	w.windowStart = time.Now().Add(-2 * window)
@@ -53,33 +53,34 @@
 	mustWrite(t, w, "new\n")
 	mustClose(t, w)
 	<-w.done
-	if n := strings.Count(b.String(), "again\n"); n == 0 || n > 2*maxLines {
-		t.Errorf("%d lines", n)
+	if n := strings.Count(b.String(), "repeated\n"); n == 0 || n > 2*maxLines {
+		t.Errorf("%d of %d lines were written within one window, want 1 to %d", n, 10*maxLines, 2*maxLines)
 	}
 	if !strings.Contains(b.String(), "left out") || !strings.HasSuffix(b.String(), "new\n") {
-		t.Error("the dropped lines are not reported, or nothing is written after that")
+		t.Errorf("the log of %d bytes must report the dropped lines with \"left out\" and end with the line \"new\"; "+
+			"it ends with %q", len(b.String()), b.String()[max(0, len(b.String())-60):])
 	}
 }
 
-// A log reader that stands still does not block writers.
+// Write does not block if the reader of the log has stopped reading.
 func TestWriterNeverBlocks(t *testing.T) {
-	in, out := io.Pipe() // without a reader every write blocks
-	w := New(out)
-	wrote := make(chan bool)
+	reader, writer := io.Pipe() // writes block, since nothing reads
+	w := New(writer)
+	written := make(chan bool)
 	go func() {
 		for range 4 * maxQueuedLines {
 			w.mu.Lock()
 			w.lines = 0
 			w.mu.Unlock()
-			mustWrite(t, w, "again\n")
+			mustWrite(t, w, "repeated\n")
 		}
-		close(wrote)
+		close(written)
 	}()
 	select {
-	case <-wrote:
+	case <-written:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a write waited for the log's reader")
+		t.Fatalf("%d calls of Write did not return within 10s while nothing read the log", 4*maxQueuedLines)
 	}
-	mustClose(t, in)
+	mustClose(t, reader)
 	mustClose(t, w)
 }
--- a/internal/operatorerror/operatorerror_test.go
+++ b/internal/operatorerror/operatorerror_test.go
@@ -19,12 +19,12 @@
 func (e diskFullError) Unwrap() error { return e.error }
 
 func TestAdviceOfFindsEachAdviceOnceInAllWrappedErrors(t *testing.T) {
-	wrapped := diskFullError{fmt.Errorf("of: %w", linkDownError{"a"})}
-	err := fmt.Errorf("both: %w", errors.Join(wrapped, linkDownError{"b"}))
+	wrapped := diskFullError{fmt.Errorf("writing: %w", linkDownError{"a"})}
+	err := fmt.Errorf("two errors: %w", errors.Join(wrapped, linkDownError{"b"}))
 	if got, want := operatorerror.AdviceOf(err), "Free some space. Repair the link."; got != want {
-		t.Errorf("got %q, want %q", got, want)
+		t.Errorf("AdviceOf(%q) = %q, want %q", err, got, want)
 	}
 	if got := operatorerror.AdviceOf(errors.New("plain")); got != "" {
-		t.Errorf("a plain error gives %q", got)
+		t.Errorf("AdviceOf of an error without advice = %q, want \"\"", got)
 	}
 }
--- a/internal/services/file.go
+++ b/internal/services/file.go
@@ -1,6 +1,6 @@
-// Package services reads deploy/services.toml: which services one process serves, how requests are routed to them, and
-// how they divide what the process has. File is the schema. Unknown keys are errors, and an error names the file, the
-// line if there is one, and the key.
+// Package services reads deploy/services.toml, which configures the services of one process, how requests are routed to
+// them, and how they share the process's limits. File is the schema. Unknown keys are errors. An error names the file,
+// the line if there is one, and the key.
 package services
 
 import (
@@ -12,15 +12,15 @@
 )
 
 const (
-	// Version is the format of the file that this program reads.
+	// Version is the only version of the file's format that this program reads.
 	Version = 1
-	// MaxServices is the most services of one process.
+	// MaxServices is the maximum number of services of one process.
 	MaxServices = 256
-	// maxFileBytes is the length of the longest file that is read.
+	// maxFileBytes is the maximum size of a file in bytes.
 	maxFileBytes = 16 << 20
 )
 
-// Values of keys that are left out.
+// Defaults of keys that are left out.
 const (
 	defaultLendRatio    = 0.75
 	defaultRecallDelay  = 3 * time.Second
@@ -30,73 +30,73 @@
 
 // Values of Class.Effect.
 const (
-	// EffectSafe is a class whose requests are idempotent.
+	// EffectSafe means that the requests of a class are idempotent.
 	EffectSafe = "safe"
-	// EffectUnsafe is a class whose requests must never run twice.
+	// EffectUnsafe means that a request of a class must never be executed twice.
 	EffectUnsafe = "unsafe"
 )
 
 // Values of Route.Sticky.
 const (
-	// StickyByKey divides requests by their key. It is the default.
+	// StickyByKey sends all requests with the same key to the same target. It is the default.
 	StickyByKey = "key"
-	// StickyByTenant divides requests by their tenant.
+	// StickyByTenant sends all requests of a tenant to the same target.
 	StickyByTenant = "tenant"
-	// StickyByRequest divides requests one by one.
+	// StickyByRequest chooses the target of each request independently.
 	StickyByRequest = "request"
 )
 
-// Duration is a duration in the file, such as "500ms".
+// Duration is a duration in the file, for example "500ms".
 type Duration = strictconfig.Duration
 
-// File is the whole configuration.
+// File is the schema of the file.
 type File struct {
 	Version  int       `toml:"version"` // 1
-	Default  string    `toml:"default"` // the service of requests that no route matches; left out, these get 404 or 421
+	Default  string    `toml:"default"` // service if no route matches; if left out, the reply is 404 or 421
 	Services []Service `toml:"service"`
 	Routes   []Route   `toml:"route"`
 	Limits   Limits    `toml:"limits"`
 }
 
-// Service is a pool of servers with decisions of its own.
+// Service is a pool of backends with its own classes, limits and load balancing.
 type Service struct {
 	Name       string   `toml:"name"`
-	Discovery  string   `toml:"discovery"` // host:port; left out, the endpoint list of the process's own discovery
-	Kinds      []string `toml:"kinds"`     // kinds of machine that it uses of the endpoint list; left out, all
-	Cells      []int    `toml:"cells"`     // cells that it uses of the endpoint list; left out, all
-	Classes    []Class  `toml:"class"`     // left out, those of the process's settings
-	Upstream   string   `toml:"upstream"`  // the protocol of its servers: "http", which is the default, or "diameter"
+	Discovery  string   `toml:"discovery"` // host:port; if left out, the process's own discovery service
+	Kinds      []string `toml:"kinds"`     // machine kinds whose endpoints it uses; if left out, all
+	Cells      []int    `toml:"cells"`     // cells whose endpoints it uses; if left out, all
+	Classes    []Class  `toml:"class"`     // if left out, the classes of the process's settings
+	Upstream   string   `toml:"upstream"`  // the protocol of its backends: "http", the default, or "diameter"
 	Share      Share    `toml:"share"`
-	RetryRatio float64  `toml:"repeats"` // retries as a part of first attempts, 0 to 1; left out, 0.1
+	RetryRatio float64  `toml:"repeats"` // maximum ratio of retries to first attempts, 0 to 1; if left out, 0.1
 }
 
 // Class is a class of requests of a service.
 type Class struct {
 	Name             string   `toml:"name"`
-	LatencyObjective Duration `toml:"aim"`     // an answer within it has the whole PriorityWeight
-	Timeout          Duration `toml:"give_up"` // how long clients wait
+	LatencyObjective Duration `toml:"aim"`     // a response within it has the full PriorityWeight
+	Timeout          Duration `toml:"give_up"` // how long clients wait for a response
 	Effect           string   `toml:"effect"`  // EffectSafe or EffectUnsafe
-	PriorityWeight   float64  `toml:"worth"`
-	LateValue        float64  `toml:"late"` // part of PriorityWeight of a later answer, 0 to 1
+	PriorityWeight   float64  `toml:"worth"`   // 0 or more
+	LateValue        float64  `toml:"late"`    // part of PriorityWeight that a response after LatencyObjective has, 0 to 1
 }
 
-// Share is a service's part of the process's limits. The minimums of all services sum to 1 at most.
+// Share is a service's part of the process's limits. The sum of Min over all services is at most 1.
 type Share struct {
 	Min    float64 `toml:"min"`    // part of the total, 0 to 1
-	Cap    float64 `toml:"cap"`    // part of the total, 0 to 1; left out, 1
-	Weight float64 `toml:"weight"` // for what is above all minimums; left out, 1
+	Cap    float64 `toml:"cap"`    // part of the total, 0 to 1; if left out, 1
+	Weight float64 `toml:"weight"` // for dividing what remains above all minimums; if left out, 1
 }
 
-// Limits are those of the process, which its services divide.
+// Limits are the limits of the process, which its services share.
 type Limits struct {
-	MaxInFlight    int64    `toml:"in_hand"`  // requests
-	MaxBodyBytes   int64    `toml:"bytes"`    // of the bodies of requests in flight
-	MaxAttemptRate float64  `toml:"attempts"` // requests and retries per second; left out, no limit
-	LendRatio      float64  `toml:"lend"`     // part of an idle minimum that is lent; left out, 0.75
-	RecallDelay    Duration `toml:"recall"`   // within which lent units come back; left out, 3s
+	MaxInFlight    int64    `toml:"in_hand"`  // requests in flight
+	MaxBodyBytes   int64    `toml:"bytes"`    // sum over the bodies of all requests in flight
+	MaxAttemptRate float64  `toml:"attempts"` // first attempts and retries per second; if left out, no limit
+	LendRatio      float64  `toml:"lend"`     // part of an idle minimum that is lent; if left out, 0.75
+	RecallDelay    Duration `toml:"recall"`   // time within which lent units are returned; if left out, 3s
 }
 
-// Route is a rule; see package route for the order of precedence.
+// Route is a routing rule; see package route for the order of precedence.
 type Route struct {
 	Name       string   `toml:"name"`
 	Host       string   `toml:"host"`
@@ -105,28 +105,28 @@
 	Methods    []string `toml:"methods"`
 	Classes    []string `toml:"classes"`
 	Tenants    []string `toml:"tenants"`
-	Sticky     string   `toml:"sticky"` // by what its targets divide requests; left out, StickyByKey
-	To         []Target `toml:"to"`
+	Sticky     string   `toml:"sticky"` // how requests are divided among the targets; if left out, StickyByKey
+	To         []Target `toml:"to"`     // services that get the requests
 }
 
-// Target is a service with its part of a route's requests.
+// Target is a service that gets a part of a route's requests, in proportion to Weight.
 type Target struct {
 	Service string   `toml:"service"`
-	Weight  *float64 `toml:"weight"` // left out, 1
+	Weight  *float64 `toml:"weight"` // if left out, 1
 }
 
-// Config is a valid file and its routes.
+// Config is a valid file with its compiled routes.
 type Config struct {
 	File  *File
 	Table *route.Table
 }
 
-// Load reads and checks a file.
+// Load reads and checks a file. Errors name the file, the line if there is one, and the key.
 func Load(path string) (*Config, error) {
 	return strictconfig.Load(path, "the services", maxFileBytes, Parse)
 }
 
-// Parse reads and checks the text of a file; the path is for errors only.
+// Parse reads and checks the text of a file; path is used in errors only.
 func Parse(path string, text []byte) (*Config, error) {
 	f := &File{Limits: Limits{
 		LendRatio:   defaultLendRatio,
--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -47,26 +47,27 @@
 func TestParseValidFile(t *testing.T) {
 	c, err := Parse("services.toml", []byte(validFile))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse of a valid file: %v", err)
 	}
-	r, v := c.Table.Lookup(&route.Request{Host: "pay.kigali.example.org", Path: "/x"})
-	if v != route.Found || r.Pick(7) != "settlement" {
-		t.Errorf("%v %v", r, v)
+	found, result := c.Table.Lookup(&route.Request{Host: "pay.kigali.example.org", Path: "/x"})
+	if result != route.Found || found.Pick(7) != "settlement" {
+		t.Errorf("Lookup(host pay.kigali.example.org) = %+v, %v; want a route to settlement and %v",
+			found, result, route.Found)
 	}
-	if r, _ := c.Table.Lookup(&route.Request{Host: "else", Path: "/x"}); r.Pick(7) != "dispatch" {
-		t.Errorf("the default service: %v", r)
+	if fallback, _ := c.Table.Lookup(&route.Request{Host: "else", Path: "/x"}); fallback.Pick(7) != "dispatch" {
+		t.Errorf("Lookup of a host without a route = %+v, want a route to the default service dispatch", fallback)
 	}
-	p, err := processquota.NewPool(c.File.PoolSettings(300), c.File.Shares(300))
+	pool, err := processquota.NewPool(c.File.PoolSettings(300), c.File.Shares(300))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("NewPool with 300 units and the shares of the file: %v", err)
 	}
-	if u := p.Usage(0)["settlement"]; u.Min != 75 || u.Cap != 180 {
-		t.Errorf("settlement's share: %+v", u)
+	if usage := pool.Usage(0)["settlement"]; usage.Min != 75 || usage.Cap != 180 {
+		t.Errorf("settlement's share of 300 units = %+v, want Min 75 and Cap 180", usage)
 	}
 }
 
 func TestErrorsNameFileLineAndKey(t *testing.T) {
-	for _, k := range []struct{ from, to, want string }{
+	for _, c := range []struct{ old, replacement, want string }{ // in validFile, old is replaced
 		{"version = 1", "version = 2", "s.toml: version: 2"},
 		{"in_hand = 300", "in_hands = 300", `s.toml:5: unknown key "limits.in_hands"`},
 		{"in_hand = 300", "in_hand = 'many'", "s.toml:5: "},
@@ -89,27 +90,28 @@
 			`route[1] "moving": ties with route[0] "payouts"`,
 		},
 	} {
-		_, err := Parse("s.toml", []byte(strings.Replace(validFile, k.from, k.to, 1)))
-		if err == nil || !strings.HasPrefix(err.Error(), "s.toml") || !strings.Contains(err.Error(), k.want) {
-			t.Errorf("%s: %v, want %q", k.to, err, k.want)
+		_, err := Parse("s.toml", []byte(strings.Replace(validFile, c.old, c.replacement, 1)))
+		if err == nil || !strings.HasPrefix(err.Error(), "s.toml") || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("Parse with %q in place of %q returned error %v, want one that starts with s.toml and contains %q",
+				c.replacement, c.old, err, c.want)
 		}
 	}
 	_, err := Parse("s.toml", []byte("version = 1\n"))
 	if err == nil || !strings.Contains(err.Error(), "nothing would be served") {
-		t.Errorf("an empty file: %v", err)
+		t.Errorf("Parse of a file without services returned error %v, want \"nothing would be served\"", err)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a missing file was read")
+		t.Error("Load of a missing file returned no error")
 	}
 }
 
-// The example that is shipped must be valid.
+// The deployed services.toml is valid.
 func TestShippedFileIsValid(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "services.toml")
 	if _, err := os.Stat(path); err != nil {
-		t.Fatal(err)
+		t.Fatalf("the deployed file is missing: %v", err)
 	}
 	if _, err := Load(path); err != nil {
-		t.Error(err)
+		t.Errorf("Load of the deployed file: %v", err)
 	}
 }
--- a/internal/services/shares.go
+++ b/internal/services/shares.go
@@ -7,7 +7,7 @@
 	"lapisspread/internal/processquota"
 )
 
-// minSum returns the sum of all services' minimums, as a part of the total.
+// minSum returns the sum of Share.Min over all services, as a part of the total.
 func (f *File) minSum() float64 {
 	sum := 0.0
 	for i := range f.Services {
@@ -16,7 +16,8 @@
 	return sum
 }
 
-// Shares returns each service's share of a total. A cap is rounded up, and is 1 at least.
+// Shares returns each service's share of a total, by name. Minimums are rounded down; caps are rounded up and are at
+// least 1.
 func (f *File) Shares(total int64) map[string]processquota.Share {
 	shares := map[string]processquota.Share{}
 	for i := range f.Services {
@@ -30,7 +31,7 @@
 	return shares
 }
 
-// RateShares returns each service's share of a total per second.
+// RateShares returns each service's share of a total rate per second, by name.
 func (f *File) RateShares(total float64) map[string]processquota.RateShare {
 	shares := map[string]processquota.RateShare{}
 	for i := range f.Services {
@@ -44,7 +45,7 @@
 	return shares
 }
 
-// PoolSettings returns the settings of a pool that the services divide.
+// PoolSettings returns the settings of a pool of total units that the services share.
 func (f *File) PoolSettings(total int64) processquota.PoolSettings {
 	return processquota.PoolSettings{
 		Total:  total,
--- a/internal/services/validate.go
+++ b/internal/services/validate.go
@@ -11,20 +11,21 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// sumTolerance is by how much the minimums may sum to more than 1 because of rounding.
+// sumTolerance is how much the sum of the minimums may exceed 1, because of rounding errors.
 const sumTolerance = 1e-9
 
-// validator collects what is invalid in a file.
+// validator collects the errors of a file.
 type validator struct{ errs []error }
 
-// addIf adds an error if a value is invalid.
+// addIf adds an error if invalid is true.
 func (v *validator) addIf(invalid bool, format string, args ...any) {
 	if invalid {
 		v.errs = append(v.errs, fmt.Errorf(format, args...))
 	}
 }
 
-// validate sets values that are left out and returns the compiled routes, or an error that names each invalid key.
+// validate sets the defaults of keys that are left out, and returns the compiled routes, or an error that names each
+// invalid key.
 func (f *File) validate() (*route.Table, error) {
 	if f.Version != Version {
 		return nil, fmt.Errorf("version: %d; this program reads %d", f.Version, Version)
@@ -44,7 +45,7 @@
 	return table, errors.Join(v.errs...)
 }
 
-// services checks all services, and returns their names.
+// services checks all services and returns the set of their names.
 func (v *validator) services(services []Service) map[string]bool {
 	v.addIf(len(services) == 0, "service: none is given")
 	v.addIf(len(services) > MaxServices, "service: %d; %d are the most", len(services), MaxServices)
@@ -60,7 +61,7 @@
 	return names
 }
 
-// service checks one service; at names it in errors.
+// service checks one service and sets its defaults. Errors start with at, its position in the file.
 func (v *validator) service(at string, s *Service) {
 	v.addIf(s.Discovery != "" && !strings.Contains(s.Discovery, ":"),
 		"%s: discovery: %q is no host:port", at, s.Discovery)
@@ -82,7 +83,7 @@
 	}
 }
 
-// class checks one class; at names it in errors.
+// class checks one class. Errors start with at, its position in the file.
 func (v *validator) class(at string, c *Class) {
 	v.addIf(c.LatencyObjective <= 0 || c.Timeout < c.LatencyObjective,
 		"%s: aim %v and give_up %v: wanted 0 < aim <= give_up",
@@ -102,7 +103,7 @@
 	v.addIf(l.RecallDelay <= 0, "limits: recall: %v must be above 0", time.Duration(l.RecallDelay))
 }
 
-// routes checks all routes against the names of the services, and returns their rules.
+// routes checks all routes against the names of the services, and returns the routes as rules of package route.
 func (v *validator) routes(routes []Route, services map[string]bool) []route.Rule {
 	rules := make([]route.Rule, 0, len(routes))
 	for i := range routes {
--- a/internal/strictconfig/strictconfig.go
+++ b/internal/strictconfig/strictconfig.go
@@ -13,13 +13,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxNameLength is the length of the longest valid name.
+// maxNameLength is the maximum length of a valid name in bytes.
 const maxNameLength = 64
 
-// Duration is a duration in a file, such as "500ms", "2s" or "1m30s".
+// Duration is a duration that a file gives as text, such as "500ms", "2s" or "1m30s"; see time.ParseDuration.
 type Duration time.Duration
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns an error if the text is not a valid duration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// ReadFile returns the text of a file, or an error if it is longer than maxBytes. what names the file's content in
-// errors.
+// ReadFile returns the text of a file. It returns an error if the file cannot be read or is longer than maxBytes. what
+// describes the content of the file in errors, for example "the services".
 func ReadFile(path, what string, maxBytes int64) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return text, nil
 }
 
-// Load reads a file like ReadFile and parses it.
+// Load reads a file like ReadFile and returns the result of parse for its text.
 func Load[T any](path, what string, maxBytes int64, parse func(path string, text []byte) (T, error)) (T, error) {
 	text, err := ReadFile(path, what, maxBytes)
 	if err != nil {
@@ -69,7 +69,8 @@
 	return true
 }
 
-// Decode decodes the text of a file into v. The path is for errors only.
+// Decode decodes the TOML text of a file into v, which must be a pointer. An unknown key is an error. path is used in
+// errors only.
 func Decode(path string, text []byte, v any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
--- a/internal/strictconfig/strictconfig_test.go
+++ b/internal/strictconfig/strictconfig_test.go
@@ -20,10 +20,10 @@
 func TestDecode(t *testing.T) {
 	var c config
 	if err := Decode("a.toml", []byte("wait = \"1m30s\"\n[limit]\ncount = 3\n"), &c); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Decode of a valid text: %v", err)
 	}
 	if time.Duration(c.Wait) != 90*time.Second || c.Limit.Count != 3 {
-		t.Errorf("got %+v", c)
+		t.Errorf("Decode of a valid text set %+v, want Wait 1m30s and Limit.Count 3", c)
 	}
 	for text, want := range map[string]string{
 		"wait = \"1s\"\n[limit]\ncounts = 3\n":    `a.toml:3: unknown key "limit.counts"`,
@@ -32,7 +32,7 @@
 		"wait =\n": `a.toml:1: `,
 	} {
 		if err := Decode("a.toml", []byte(text), &config{}); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q: got %v, want %s", text, err, want)
+			t.Errorf("Decode(%q) returned error %v, want one that starts with %q", text, err, want)
 		}
 	}
 }
@@ -40,16 +40,16 @@
 func TestReadFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.toml")
 	if _, err := ReadFile(path, "the settings", 4); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("without a file: %v", err)
+		t.Errorf("ReadFile of a missing file returned error %v, want fs.ErrNotExist", err)
 	}
 	if err := os.WriteFile(path, []byte("a=1\n"), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing a file of 4 bytes: %v", err)
 	}
 	if text, err := ReadFile(path, "the settings", 4); err != nil || string(text) != "a=1\n" {
-		t.Errorf("got %q, %v", text, err)
+		t.Errorf("ReadFile of 4 bytes with limit 4 = %q, %v; want \"a=1\\n\", nil", text, err)
 	}
 	if _, err := ReadFile(path, "the settings", 3); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("a file that is too long: %v", err)
+		t.Errorf("ReadFile of 4 bytes with limit 3 returned error %v, want one that contains %s", err, path)
 	}
 }
 
@@ -59,7 +59,7 @@
 		"": false, "Pay": false, "a.b": false, strings.Repeat("a", 65): false,
 	} {
 		if got := ValidName(name); got != want {
-			t.Errorf("%q: %v", name, got)
+			t.Errorf("ValidName(%q) = %v, want %v", name, got, want)
 		}
 	}
 }
