--- a/internal/durable/file.go
+++ b/internal/durable/file.go
@@ -11,33 +11,34 @@
 	"strings"
 )
 
-// Errors of File.Load and Journal.Load, which errors.Is finds.
+// Errors of File.Load and Journal.Load. The returned errors wrap them; use errors.Is.
 var (
-	// ErrDamaged is returned for a file that is not what was written, or is of another kind.
+	// ErrDamaged is returned for a file that is malformed, fails its checksum, or is of another kind.
 	ErrDamaged = errors.New("it is damaged")
 	// ErrNewerVersion is returned for a file whose version is higher than the reader's.
 	ErrNewerVersion = errors.New("a newer program has written it")
 )
 
-// maxFileBytes is the length of the longest file that is read.
+// maxFileBytes is the maximum size of a file in bytes.
 const maxFileBytes = 64 << 20
 
-// temporaryPattern is appended to the path of a file, for the one that replaces it.
+// temporaryPattern is appended to a file's path to name the temporary file that replaces it; see os.CreateTemp.
 const temporaryPattern = ".*"
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// File is a value on disk. It is not safe for concurrent use, neither by goroutines nor by processes.
+// File is a value that is stored on disk. It is not safe for concurrent use by goroutines or processes.
 type File struct {
 	Path    string
-	Kind    string // names the type of the value, without blanks
-	Version int    // of the value's format, from 1 on; higher ones are not read
+	Kind    string // name of the value's type, without spaces
+	Version int    // version of the value's format, at least 1; files of a higher version are not read
 }
 
-// fileHeader is the format of the first line: kind, version, length of the value in bytes, and its checksum.
+// fileHeader is the format of the first line: kind, version, length of the value in bytes, and the value's checksum.
 const fileHeader = "%s %d %d %08x\n"
 
-// Save replaces the value in one step, so that no reader sees a part of it. The value is stored as JSON.
+// Save atomically replaces the value, so that no reader sees a partial one. The value is stored as JSON. If Save
+// returns an error, the file is unchanged.
 func (f *File) Save(v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// createNext creates the file that will replace another.
+// createNext creates the temporary file that will replace the file at path.
 func createNext(path string) (*os.File, error) {
 	next, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+temporaryPattern)
 	if err != nil {
@@ -63,8 +64,8 @@
 	return next, nil
 }
 
-// replace closes a file and puts it in the place of the one at path. After an error, its own or of writing, it removes
-// the file instead.
+// replace closes the file next and renames it to path. writeErr is the error of writing next; if it is not nil, or if
+// closing or renaming fails, replace removes next and returns the first error.
 func replace(path string, next *os.File, writeErr error) error {
 	err := writeErr
 	if closeErr := next.Close(); err == nil {
@@ -74,13 +75,13 @@
 		err = os.Rename(next.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(next.Name()) // the first error is what matters
+		_ = os.Remove(next.Name()) // the earlier error is the one to report
 	}
 	return err
 }
 
-// Load reads the value into v. Its error is fs.ErrNotExist if none was written, ErrDamaged, or ErrNewerVersion; the
-// content of v is then undefined.
+// Load reads the value into v, which must be a pointer. It returns an error that wraps fs.ErrNotExist if no value was
+// written, ErrDamaged, ErrNewerVersion, or an error of reading the file. After an error the content of v is undefined.
 func (f *File) Load(v any) error {
 	text, err := readFile(f.Path)
 	if err != nil {
@@ -92,13 +93,13 @@
 	return nil
 }
 
-// readFile reads a file, one byte more than maxFileBytes at most.
+// readFile reads at most maxFileBytes+1 bytes of a file, so that the caller can detect a file that is too long.
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("durable: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // an error does not matter: the file was only read
 	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("durable: %w", err)
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// checkHeader compares the kind and version of a file with those that are read.
+// checkHeader checks that the kind of a file is wantKind and that its version is from 1 to maxVersion.
 func checkHeader(kind, wantKind string, version, maxVersion int) error {
 	if kind != wantKind || version < 1 {
 		return ErrDamaged
--- a/internal/durable/journal.go
+++ b/internal/durable/journal.go
@@ -14,62 +14,65 @@
 )
 
 const (
-	// MaxRecordBytes is the length of the longest record of a Journal.
+	// MaxRecordBytes is the maximum length of a record of a Journal.
 	MaxRecordBytes = 1 << 20
-	// writeBufferBytes is how much Rewrite writes at a time.
+	// writeBufferBytes is the size at which Rewrite writes its buffer to the file.
 	writeBufferBytes = 1 << 18
-	// maxHeaderBytes is how much of the first line is parsed.
+	// maxHeaderBytes is the maximum number of bytes of the first line that are parsed.
 	maxHeaderBytes = 128
 )
 
-// The head of each record: the mark, by which the next record is found after damage, the length in bytes, and the
-// checksum of length and record.
+// Layout of the header of each record, in bytes: recordMark, the length of the record, and the checksum of the length
+// and the record.
 const (
 	markLength         = 2
 	lengthEnd          = markLength + 4
 	recordHeaderLength = lengthEnd + 4
 )
 
+// recordMark is the start of each record, by which the next record is found after a damaged one.
 var recordMark = []byte{0xd9, 0x1c}
 
-// ErrModified is returned by Journal.Append if another process has written the journal since this one did, or it was
-// removed. Nothing is appended; read or rewrite it first.
+// ErrModified is returned by Journal.Append if the file was changed by another process or removed since this Journal
+// last read or wrote it, or if Load found damage. Nothing is appended. After Rewrite, or a Load that finds no damage,
+// Append works again.
 var ErrModified = errors.New("another process has written it")
 
 // RecordTooLongError is returned for a record of more than MaxRecordBytes.
 type RecordTooLongError struct{}
 
-// Error implements error.
+// Error returns a text with the maximum length.
 func (RecordTooLongError) Error() string {
 	return fmt.Sprintf("a record of over %d bytes", MaxRecordBytes)
 }
 
-// Journal is a sequence of records on disk. A change costs as much as what changed. Each record has a checksum: a
-// damaged one is left out, and those around it are still read. It is not safe for concurrent use, neither by
-// goroutines nor by processes; Append detects another process.
+// Journal is a sequence of records on disk. The cost of a change is proportional to the size of the changed records.
+// Each record has a checksum: a damaged record is skipped, and the records around it are still read. A Journal is not
+// safe for concurrent use by goroutines or processes, but Append detects changes by another process.
 type Journal struct {
 	Path    string
-	Kind    string // names the type of the records, without blanks
-	Version int    // of the records' format, from 1 on; higher ones are not read
+	Kind    string // name of the records' type, without spaces
+	Version int    // version of the records' format, at least 1; files of a higher version are not read
 
-	size int64 // of the file after the last write or read; 0 is not known
+	size int64 // size of the file after the last successful read or write; 0 if unknown
 }
 
-// appendRecord appends a record with its head to a buffer.
-func appendRecord(to, record []byte) []byte {
-	start := len(to)
-	to = append(to, recordMark...)
-	to = binary.BigEndian.AppendUint32(to, uint32(len(record)))
-	to = binary.BigEndian.AppendUint32(to, recordChecksum(to[start+markLength:], record))
-	return append(to, record...)
+// appendRecord appends a record with its header to a buffer and returns the extended buffer.
+func appendRecord(buffer, record []byte) []byte {
+	start := len(buffer)
+	buffer = append(buffer, recordMark...)
+	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(record)))
+	buffer = binary.BigEndian.AppendUint32(buffer, recordChecksum(buffer[start+markLength:], record))
+	return append(buffer, record...)
 }
 
-// recordChecksum returns the checksum of a record and its encoded length.
+// recordChecksum returns the checksum of a record's encoded length followed by the record.
 func recordChecksum(length, record []byte) uint32 {
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, record)
 }
 
-// Rewrite replaces all records in one step.
+// Rewrite atomically replaces all records. It returns a RecordTooLongError if a record is too long; after any error the
+// file is unchanged, and Append returns ErrModified until the next successful Load or Rewrite.
 func (j *Journal) Rewrite(records iter.Seq[[]byte]) error {
 	j.size = 0
 	next, err := createNext(j.Path)
@@ -84,7 +87,7 @@
 	return nil
 }
 
-// writeRecords writes a header and records, and returns how many bytes these are.
+// writeRecords writes a header and records to a file, and returns the number of bytes written.
 func writeRecords(file *os.File, header []byte, records iter.Seq[[]byte]) (size int64, err error) {
 	buffer := header
 	for r := range records {
@@ -106,8 +109,8 @@
 	return size + int64(n), err
 }
 
-// Append adds records after those that this Journal has read or written. It returns ErrModified if the file is not
-// what it was then, and a RecordTooLongError for a record that is too long; nothing is added in both cases.
+// Append adds records after those that this Journal last read or wrote. It returns ErrModified if the file has changed
+// since then, and a RecordTooLongError if a record is too long; in both cases it adds nothing.
 func (j *Journal) Append(records ...[]byte) error {
 	if j.size == 0 {
 		return fmt.Errorf("durable: %s: %w", j.Path, ErrModified)
@@ -132,25 +135,26 @@
 	}
 	n, err := file.Write(text)
 	if err = errors.Join(err, file.Close()); err != nil {
-		j.size = 0 // a part of a record may be on disk: all must be rewritten
+		j.size = 0 // a partial record may be on disk, so the caller must call Rewrite
 		return fmt.Errorf("durable: %s: %w", j.Path, err)
 	}
 	j.size += int64(n)
 	return nil
 }
 
-// Size returns the length of the file in bytes after the last write or read of this Journal; 0 is not known.
+// Size returns the size of the file in bytes after this Journal's last read or write, or 0 if it is unknown.
 func (j *Journal) Size() int64 { return j.size }
 
-// Unmodified reports whether the file still has the length that this Journal has read or written.
+// Unmodified reports whether the file still has the size that it had after this Journal's last read or write.
 func (j *Journal) Unmodified() bool {
 	info, err := os.Stat(j.Path)
 	return err == nil && j.size > 0 && info.Size() == j.size
 }
 
-// Load returns the undamaged records in the order in which they were written. lost is how many bytes between them are
-// cut off or damaged; Append then returns ErrModified until the next Rewrite. The error is fs.ErrNotExist if nothing
-// was written, ErrDamaged if nothing can be read, or ErrNewerVersion.
+// Load returns the undamaged records in the order in which they were written. lost is the number of bytes that belong
+// to no undamaged record; if it is not 0, Append returns ErrModified until the next Rewrite. The error wraps
+// fs.ErrNotExist if nothing was written, ErrDamaged if the header is damaged or the file is too long, ErrNewerVersion,
+// or an error of reading the file.
 func (j *Journal) Load() (records [][]byte, lost int, err error) {
 	j.size = 0
 	text, err := readFile(j.Path)
@@ -168,7 +172,7 @@
 	return records, lost, nil
 }
 
-// cutHeader checks the header of a file and returns what follows it.
+// cutHeader checks the header of a file and returns the rest of the file.
 func (j *Journal) cutHeader(text []byte) ([]byte, error) {
 	head, body, found := bytes.Cut(text, []byte("\n"))
 	var kind string
@@ -183,7 +187,7 @@
 	return body, nil
 }
 
-// decodeRecords returns the undamaged records of a text, and how many bytes are of none.
+// decodeRecords returns the undamaged records of a text, and the number of bytes that belong to none of them.
 func decodeRecords(text []byte) (records [][]byte, lost int) {
 	for len(text) > 0 {
 		if r, ok := firstRecord(text); ok {
@@ -201,7 +205,7 @@
 	return records, lost
 }
 
-// firstRecord returns the record that a text begins with; ok is false if it begins with none that is undamaged.
+// firstRecord returns the record at the start of a text; ok is false if there is no undamaged record at the start.
 func firstRecord(text []byte) (record []byte, ok bool) {
 	if len(text) < recordHeaderLength || !bytes.HasPrefix(text, recordMark) {
 		return nil, false
--- a/internal/tlskeys/tlskeys.go
+++ b/internal/tlskeys/tlskeys.go
@@ -1,6 +1,6 @@
-// Package tlskeys holds the certificate and key of a process, and the certificates of the authorities that sign its
-// peers', for TLS in which both sides present a certificate (mutual TLS). The files can be read again at any time
-// without closing a connection.
+// Package tlskeys holds the TLS credentials of a process for mutual TLS, in which both sides present a certificate: the
+// process's certificate and key, and the certificates of the authorities (CAs) that sign the peers' certificates. The
+// files can be reloaded at any time without closing connections.
 package tlskeys
 
 import (
@@ -14,9 +14,9 @@
 )
 
 const (
-	// minVersion is the oldest version of TLS that is negotiated.
+	// minVersion is the minimum TLS version of all connections.
 	minVersion = tls.VersionTLS12
-	// expiryWarning is how long before its expiry Watch warns of a certificate.
+	// expiryWarning is the remaining validity below which Watch warns about the process's certificate.
 	expiryWarning = 14 * 24 * time.Hour
 )
 
@@ -24,41 +24,42 @@
 type Files struct {
 	Certificate string
 	Key         string
-	CA          string // the certificates of the authorities
+	CA          string // certificates of the authorities
 }
 
-// Errors of this package, which errors.Is finds.
+// Errors of this package. The returned errors wrap them; use errors.Is.
 var (
 	// ErrExpired is returned for a certificate that has expired.
 	ErrExpired = errors.New("has expired")
-	// ErrNotYetValid is returned for a certificate that is valid from a later time on.
-	ErrNotYetValid = errors.New("holds from")
-	// ErrNoCertificate is returned for a file of authorities without a certificate.
-	ErrNoCertificate = errors.New("no certificate in it")
-	// ErrNoPeerCertificate is returned in the handshake with a server that presents no certificate.
-	ErrNoPeerCertificate = errors.New("the server shows no certificate")
+	// ErrNotYetValid is returned for a certificate whose validity starts in the future.
+	ErrNotYetValid = errors.New("is not valid before")
+	// ErrNoCertificate is returned for a CA file that contains no certificate.
+	ErrNoCertificate = errors.New("the file contains no certificate")
+	// ErrNoPeerCertificate is the error of a handshake with a server that presents no certificate.
+	ErrNoPeerCertificate = errors.New("the server presents no certificate")
 )
 
-// Keys are the certificates of a process. All methods are safe for concurrent use.
+// Keys holds the TLS credentials of a process. Create it with Load. It is safe for concurrent use.
 type Keys struct {
 	files   Files
 	now     func() time.Time
 	current atomic.Pointer[credentials]
 }
 
-// credentials are the content of the files.
+// credentials is the parsed content of the files.
 type credentials struct {
 	certificate tls.Certificate
 	authorities *x509.CertPool
 }
 
-// Load reads the files. Its error names the file.
+// Load reads the files. An error names the file that cannot be read or is invalid.
 func Load(f Files) (*Keys, error) {
 	k := &Keys{files: f, now: time.Now}
 	return k, k.Reload()
 }
 
-// Reload reads the files again, for new connections. On an error, which names the file, nothing changes.
+// Reload reads the files again, for connections that are opened afterwards. An error names the file that cannot be read
+// or is invalid; the previous credentials then stay in use.
 func (k *Keys) Reload() error {
 	certificate, err := k.loadCertificate()
 	if err != nil {
@@ -66,7 +67,7 @@
 	}
 	text, err := os.ReadFile(k.files.CA)
 	if err != nil {
-		return fmt.Errorf("who signs: %w", err)
+		return fmt.Errorf("reading the CA certificates: %w", err)
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(text) {
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// loadCertificate reads the certificate and its key, and checks that it is valid now.
+// loadCertificate reads the certificate and its key, and checks that the certificate is currently valid.
 func (k *Keys) loadCertificate() (tls.Certificate, error) {
 	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
 	if err != nil {
@@ -95,19 +96,20 @@
 			k.files.Certificate, ErrExpired, leaf.NotAfter.Format(time.DateOnly))
 	}
 	if now.Before(leaf.NotBefore) {
-		return tls.Certificate{}, fmt.Errorf("certificate %s %w %s on",
+		return tls.Certificate{}, fmt.Errorf("certificate %s %w %s",
 			k.files.Certificate, ErrNotYetValid, leaf.NotBefore.Format(time.DateOnly))
 	}
 	return certificate, nil
 }
 
-// Remaining returns how long the process's certificate is still valid.
+// Remaining returns the time until the process's certificate expires.
 func (k *Keys) Remaining() time.Duration {
 	return k.current.Load().certificate.Leaf.NotAfter.Sub(k.now())
 }
 
-// ServerConfig returns the configuration of a server. Each connection uses the certificates that are loaded when it
-// arrives, and its client must present one of a known authority.
+// ServerConfig returns the configuration for a server. It can be kept across reloads: each connection uses the
+// credentials that are current when the connection is accepted. Clients must present a certificate signed by a known
+// authority.
 func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: minVersion,
@@ -124,8 +126,10 @@
 	}
 }
 
-// ClientConfig returns the configuration of one connection to a server whose certificate must be for a name. Without
-// a name, any certificate of a known authority is accepted: discovery lists servers by address, without host names.
+// ClientConfig returns the configuration for one connection to a server. The server's certificate must be signed by a
+// known authority and be valid for the given host name. With an empty name the host name is not checked, because
+// discovery lists servers by address, without host names. The configuration keeps the current credentials, so callers
+// request a new one for each connection.
 func (k *Keys) ClientConfig(name string) *tls.Config {
 	c := k.current.Load()
 	config := &tls.Config{
@@ -136,13 +140,13 @@
 		Time:         k.now,
 	}
 	if name == "" {
-		config.InsecureSkipVerify = true // VerifyConnection checks the chain, all but the name
+		config.InsecureSkipVerify = true // VerifyConnection checks the chain, but not the name
 		config.VerifyConnection = func(s tls.ConnectionState) error { return k.verifyChain(s, c.authorities) }
 	}
 	return config
 }
 
-// verifyChain checks that a server's certificate is of a known authority.
+// verifyChain checks that a server's certificate is currently valid and signed by a known authority.
 func (k *Keys) verifyChain(s tls.ConnectionState, authorities *x509.CertPool) error {
 	if len(s.PeerCertificates) == 0 {
 		return ErrNoPeerCertificate
@@ -159,8 +163,9 @@
 	return err
 }
 
-// Watch checks the files at each tick until stop is closed. After a change it reloads them and calls changed with the
-// result; while the certificate expires within 14 days it calls warn. It blocks, and calls both in its goroutine.
+// Watch checks the files at each tick until stop is closed. If a file has changed, it reloads all files and calls
+// changed with the result of Reload. At each tick at which the certificate expires within 14 days, it calls warn. Watch
+// blocks, and calls both functions on the caller's goroutine.
 func (k *Keys) Watch(
 	tick <-chan time.Time, stop <-chan struct{}, changed func(error), warn func(remaining time.Duration),
 ) {
@@ -181,7 +186,7 @@
 	}
 }
 
-// fileStamp returns the sizes and modification times of the files, as a text to compare.
+// fileStamp returns a text that changes when the size or modification time of a file changes.
 func (k *Keys) fileStamp() string {
 	var stamp string
 	for _, path := range []string{k.files.Certificate, k.files.Key, k.files.CA} {
--- a/internal/tlskeys/tlstest/tlstest.go
+++ b/internal/tlskeys/tlstest/tlstest.go
@@ -1,4 +1,4 @@
-// Package tlstest creates certificates for tests while they run, in temporary directories.
+// Package tlstest creates certificates and keys for tests at run time, in temporary directories.
 package tlstest
 
 import (
@@ -17,26 +17,26 @@
 
 const fileMode = 0o600
 
-// Files are the paths of PEM files.
+// Files are the paths of the PEM files of one certificate.
 type Files struct {
 	Certificate string
 	Key         string
-	CA          string
+	CA          string // certificate of the authority that signed Certificate
 }
 
-// CA is an authority that signs certificates.
+// CA is a certificate authority for tests.
 type CA struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	pem         []byte
 }
 
-// NewCA creates an authority.
+// NewCA creates an authority with a new key and a self-signed certificate.
 func NewCA(t testing.TB) *CA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("generating the authority's key: %v", err)
 	}
 	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
@@ -49,11 +49,11 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("creating the authority's certificate: %v", err)
 	}
 	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the authority's certificate: %v", err)
 	}
 	return &CA{certificate: certificate, key: key, pem: encodePEM("CERTIFICATE", der)}
 }
@@ -62,7 +62,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 }
 
-// Issue creates a certificate for a name in new files. It expires after validFor, or has expired if that is negative.
+// Issue creates a certificate for a host name and writes it to new files. The certificate expires after validFor; if
+// validFor is negative, it has already expired.
 func (ca *CA) Issue(t testing.TB, name string, validFor time.Duration) Files {
 	t.Helper()
 	dir := t.TempDir()
@@ -72,15 +73,16 @@
 		CA:          filepath.Join(dir, "ca.pem"),
 	}
 	if err := os.WriteFile(f.CA, ca.pem, fileMode); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the authority's certificate: %v", err)
 	}
 	if err := ca.Replace(t, f, name, validFor); err != nil {
-		t.Fatal(err)
+		t.Fatalf("issuing a certificate for %s: %v", name, err)
 	}
 	return f
 }
 
-// Replace writes another certificate, as Issue creates it, and its key into the files.
+// Replace creates a new key and a certificate like those of Issue, and writes them to existing files. It returns an
+// error if this fails.
 func (ca *CA) Replace(t testing.TB, f Files, name string, validFor time.Duration) error {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
