--- a/internal/admin/commands.go
+++ b/internal/admin/commands.go
@@ -77,8 +77,8 @@
 }
 
 // usage lists the commands with their arguments, for the reply to an unknown command.
-const usage = "PING, INFO, DETACH ID, ATTACH ID, LAMEDUCK, REJOIN, ROUTES, ADMISSION, DIAMETER, COMEBACK, FLEET, VIEW, " +
-	"BLOCK ADDRESS SPAN and UNBLOCK ADDRESS"
+const usage = "PING, INFO, DETACH ID, ATTACH ID, LAMEDUCK, REJOIN, ROUTES, ADMISSION, DIAMETER, COMEBACK, FLEET, " +
+	"VIEW, BLOCK ADDRESS SPAN and UNBLOCK ADDRESS"
 
 // execute parses and executes the command on a line, and returns the reply.
 func (s *Server) execute(line string) []byte {
--- a/internal/discovery/listguard/pacer_test.go
+++ b/internal/discovery/listguard/pacer_test.go
@@ -79,7 +79,8 @@
 		for _, retryAfter := range []time.Duration{0, second} {
 			calls, rejected, done := startFleet(t, proxies, retryAfter)
 			shortest := time.Duration(float64(proxies) / 4 * float64(second)) // at four accepted calls a second
-			later := append(calls[1:], 0)                                     // in the first second all proxies make a call, and most are rejected
+			// In the first second all proxies make a call, and most calls are rejected.
+			later := append(calls[1:], 0)
 			tooMany := calls[0] > 2*proxies || slices.Max(later) > 12
 			if tooMany || proxies == 1 && (done > 0 || len(calls) != 1) {
 				t.Errorf("%d proxies, retry after %v: calls by second %v, all lists after %v; "+
--- a/internal/listener/file.go
+++ b/internal/listener/file.go
@@ -25,7 +25,7 @@
 type File struct {
 	Version     int         `toml:"version"` // 1
 	Connections Connections `toml:"connections"`
-	Requests    *Requests   `toml:"requests"` // if left out, RequestLimiters are not used
+	Requests    *Requests   `toml:"requests"` // if left out, no RequestLimiter bounds the requests
 }
 
 // Connections configures the connection limits; admission.Settings explains each value.
--- a/internal/lograte/lograte_test.go
+++ b/internal/lograte/lograte_test.go
@@ -11,14 +11,14 @@
 
 // buffer is a bytes.Buffer that is safe for concurrent use.
 type buffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu   sync.Mutex
+	text bytes.Buffer
 }
 
 func (b *buffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.Write(p)
+	return b.text.Write(p)
 }
 
 func mustWrite(t *testing.T, w *Writer, line string) {
@@ -38,9 +38,10 @@
 func (b *buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.String()
+	return b.text.String()
 }
 
+// Lines above the rate are dropped, and the number of dropped lines is logged in the next window.
 func TestWriterBoundsTheRate(t *testing.T) {
 	b := &buffer{}
 	w := New(b)
