--- a/internal/discovery/guardedsource/source_test.go
+++ b/internal/discovery/guardedsource/source_test.go
@@ -87,17 +87,17 @@
 func TestMissingEndpointsAreRetained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCoordinator(t, "version = 1\n[list]\nhold = \"10s\"\n", 3)
-		r := &scriptedSource{lists: make(chan engine.EndpointList, 1)}
-		s := c.Wrap("", r, fullList("a", "b", "c"))
+		inner := &scriptedSource{lists: make(chan engine.EndpointList, 1)}
+		s := c.Wrap("", inner, fullList("a", "b", "c"))
 		ctx, cancel := context.WithCancel(t.Context())
 		delivered := make(chan engine.EndpointList, 4)
 		watchErr := make(chan error, 1)
 		go func() { watchErr <- s.Watch(ctx, 0, func(l engine.EndpointList) { delivered <- l }) }()
-		r.lists <- fullList("a")
+		inner.lists <- fullList("a")
 		if l := <-delivered; len(l.Endpoints) != 3 {
 			t.Errorf("after the first list without b and c, Watch delivered %v, want a, b and c", l.Endpoints)
 		}
-		r.lists <- fullList("a")
+		inner.lists <- fullList("a")
 		if l := <-delivered; len(l.Endpoints) != 3 {
 			t.Errorf("after the second list without b and c, Watch delivered %v, want a, b and c", l.Endpoints)
 		}
@@ -109,7 +109,7 @@
 		if r := c.Report(); r.SuspectLists != 1 || r.Retained != 2 || r.Missing != 2 {
 			t.Errorf("Report() = %+v, want SuspectLists 1, Retained 2, Missing 2", r)
 		}
-		if l := <-delivered; len(l.Endpoints) != 1 || time.Since(r.started) == 0 {
+		if l := <-delivered; len(l.Endpoints) != 1 || time.Since(inner.started) == 0 {
 			t.Errorf("after RetainFor, Watch delivered %v, want a only", l.Endpoints)
 		}
 		if r := c.Report(); r.Dropped != 2 || r.Missing != 0 {
@@ -126,13 +126,13 @@
 func TestCallsWaitForTheirTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCoordinator(t, "version = 1\n[calls]\nrate = 2.0\nmost = \"5s\"\n", 4)
-		r := &scriptedSource{
+		inner := &scriptedSource{
 			lists:   make(chan engine.EndpointList, 1),
 			errs:    []error{errors.New("no"), retryLater(3 * time.Second), nil},
 			started: time.Now(),
 		}
-		s := c.Wrap("", r, engine.EndpointList{})
-		r.lists <- fullList("a")
+		s := c.Wrap("", inner, engine.EndpointList{})
+		inner.lists <- fullList("a")
 		for i := range 2 {
 			if _, err := s.Fetch(t.Context()); err == nil {
 				t.Errorf("Fetch %d returned no error although its call to the source failed", i+1)
@@ -141,30 +141,30 @@
 		if l, err := s.Fetch(t.Context()); err != nil || len(l.Endpoints) != 1 {
 			t.Errorf("the third Fetch = %v, %v; want one endpoint and no error", l, err)
 		}
-		if len(r.calls) != 3 {
-			t.Fatalf("the source was called at %v, want 3 calls", r.calls)
+		if len(inner.calls) != 3 {
+			t.Fatalf("the source was called at %v, want 3 calls", inner.calls)
 		}
-		backoff := r.calls[1] - r.calls[0]
-		retryAfter := r.calls[2] - r.calls[1]
-		if r.calls[0] > 1500*time.Millisecond || backoff < 50*time.Millisecond || retryAfter < 3*time.Second {
+		backoff := inner.calls[1] - inner.calls[0]
+		retryAfter := inner.calls[2] - inner.calls[1]
+		if inner.calls[0] > 1500*time.Millisecond || backoff < 50*time.Millisecond || retryAfter < 3*time.Second {
 			t.Errorf("the source was called at %v; want the first call within 1.5s, "+
-				"the second at least 50ms after it, and the third at least 3s after the second", r.calls)
+				"the second at least 50ms after it, and the third at least 3s after the second", inner.calls)
 		}
 		if r := c.Report(); r.Calls != 3 || r.Failed != 2 || r.Deferred != 1 || r.ConsecutiveFailures != 0 {
 			t.Errorf("Report() = %+v, want Calls 3, Failed 2, Deferred 1, ConsecutiveFailures 0", r)
 		}
-		if h := s.WatchTimeout(time.Hour); h < 15*time.Second || h > 20*time.Second {
-			t.Errorf("WatchTimeout(1h) = %v, want 15s to 20s", h)
+		if timeout := s.WatchTimeout(time.Hour); timeout < 15*time.Second || timeout > 20*time.Second {
+			t.Errorf("WatchTimeout(1h) = %v, want 15s to 20s", timeout)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
-		r.errs = []error{errors.New("no")}
+		inner.errs = []error{errors.New("no")}
 		if _, err := s.Fetch(t.Context()); err == nil {
 			t.Error("the fourth Fetch returned no error although its call to the source failed")
 		}
-		if _, err := s.Fetch(ctx); !errors.Is(err, context.DeadlineExceeded) || len(r.calls) != 4 {
+		if _, err := s.Fetch(ctx); !errors.Is(err, context.DeadlineExceeded) || len(inner.calls) != 4 {
 			t.Errorf("Fetch with a deadline before the end of the backoff = %v after %d calls to the source; "+
-				"want context.DeadlineExceeded after 4", err, len(r.calls))
+				"want context.DeadlineExceeded after 4", err, len(inner.calls))
 		}
 	})
 }
--- a/internal/discovery/listguard/guard_test.go
+++ b/internal/discovery/listguard/guard_test.go
@@ -18,6 +18,7 @@
 	return GuardSettings{MaxMissingRatio: 0.3, MinMissing: 2, RetainFor: 30 * second}
 }
 
+// newGuard returns a guard with guardSettings that starts with a known list.
 func newGuard(t *testing.T, known engine.EndpointList) *Guard {
 	t.Helper()
 	g, err := NewGuard(guardSettings(), known)
@@ -119,6 +120,7 @@
 	}
 }
 
+// Endpoints that a suspect list lacks are dropped RetainFor (30s) after that list.
 func TestRetentionExpires(t *testing.T) {
 	g := newGuard(t, newList(7, true, "a", "b", "c"))
 	if at, ok := g.NextExpiry(); ok {
@@ -195,6 +197,7 @@
 	})
 }
 
+// NewGuard returns an error that names the key of an invalid setting.
 func TestGuardSettingsAreValidated(t *testing.T) {
 	for want, s := range map[string]GuardSettings{
 		"shrink: 2": {MaxMissingRatio: 2, MinMissing: 1, RetainFor: second},
--- a/internal/discovery/listguard/pacer_test.go
+++ b/internal/discovery/listguard/pacer_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// pacingSettings returns valid settings for a fleet with the given number of proxies.
 func pacingSettings(proxies int, seed uint64) PacingSettings {
 	return PacingSettings{
 		CallsPerSecond: 4,
@@ -107,16 +108,16 @@
 	}
 	for range 50 {
 		p.Failed(now, 3*second)
-		if w := p.Wait(now); w < 3*second || w > pacingSettings(12, 5).MaxBackoff+p.fleetRound() {
+		if wait := p.Wait(now); wait < 3*second || wait > pacingSettings(12, 5).MaxBackoff+p.fleetRound() {
 			t.Fatalf("Wait after Failed with a retryAfter of 3s = %v, want 3s to MaxBackoff plus a fleet round (%v)",
-				w, pacingSettings(12, 5).MaxBackoff+p.fleetRound())
+				wait, pacingSettings(12, 5).MaxBackoff+p.fleetRound())
 		}
 		p.Failed(now, 0)
-		if w := p.Wait(now); w < MinBackoff || w > 10*second {
-			t.Fatalf("Wait after Failed without a retryAfter = %v, want %v to 10s", w, MinBackoff)
+		if wait := p.Wait(now); wait < MinBackoff || wait > 10*second {
+			t.Fatalf("Wait after Failed without a retryAfter = %v, want %v to 10s", wait, MinBackoff)
 		}
-		if h := p.WatchTimeout(); h < 15*second || h > 20*second {
-			t.Fatalf("WatchTimeout() = %v, want 15s to 20s", h)
+		if timeout := p.WatchTimeout(); timeout < 15*second || timeout > 20*second {
+			t.Fatalf("WatchTimeout() = %v, want 15s to 20s", timeout)
 		}
 	}
 	if p.ConsecutiveFailures() != 100 {
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -20,19 +20,20 @@
 // fakeSource is a discovery service for tests. Its Watch delivers what the test sends to lists, and returns an error
 // that the test sends to fail.
 type fakeSource struct {
-	mu      sync.Mutex
-	list    engine.EndpointList
-	err     error // returned by later calls of Fetch and Watch; nil is success
-	lists   chan engine.EndpointList
-	fail    chan error
-	fetches int
-	watches int
-	calls   []time.Time // start times of all calls of Fetch and Watch
-	open    int         // Watch calls that are running
-	maxOpen int         // maximum of open so far
-	closed  bool
+	mu         sync.Mutex
+	list       engine.EndpointList
+	err        error // returned by later calls of Fetch and Watch; nil is success
+	lists      chan engine.EndpointList
+	fail       chan error
+	fetches    int
+	watches    int
+	calls      []time.Time // start times of all calls of Fetch and Watch
+	running    int         // Watch calls that are running
+	maxRunning int         // maximum of running so far
+	closed     bool
 }
 
+// newFakeSource returns a source whose Fetch returns list.
 func newFakeSource(list engine.EndpointList) *fakeSource {
 	return &fakeSource{list: list, lists: make(chan engine.EndpointList), fail: make(chan error)}
 }
@@ -59,14 +60,14 @@
 	f.mu.Lock()
 	f.watches++
 	f.calls = append(f.calls, time.Now())
-	f.open++
-	f.maxOpen = max(f.maxOpen, f.open)
+	f.running++
+	f.maxRunning = max(f.maxRunning, f.running)
 	err := f.err
 	f.mu.Unlock()
 	defer func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.open--
+		f.running--
 	}()
 	if err != nil {
 		return err
@@ -95,6 +96,7 @@
 
 func (r testRegistry) subscribe() *Subscription { return r.Subscribe("127.0.0.1:1", r.known) }
 
+// full returns a full list with a ready endpoint for each ID.
 func full(version uint32, ids ...string) engine.EndpointList {
 	l := engine.EndpointList{Version: version, Full: true}
 	for _, id := range ids {
@@ -118,6 +120,7 @@
 	s.list.apply(l)
 }
 
+// ids returns the sorted IDs of the endpoints in the subscriber's list.
 func (s *subscriber) ids() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,9 +187,9 @@
 		}
 		cancel()
 		synctest.Wait()
-		if src.open != 0 || src.closed {
+		if src.running != 0 || src.closed {
 			t.Errorf("after the last Watch returned: %d source watches running, source closed = %v; want 0 and false",
-				src.open, src.closed)
+				src.running, src.closed)
 		}
 		for _, subscription := range subscriptions {
 			subscription.Close()
@@ -240,8 +243,8 @@
 				t.Fatalf("after the source recovered, subscriber %d has endpoints %q, want [z]", i, got)
 			}
 		}
-		if src.maxOpen != 1 {
-			t.Errorf("%d source watches ran at the same time, want 1", src.maxOpen)
+		if src.maxRunning != 1 {
+			t.Errorf("%d source watches ran at the same time, want 1", src.maxRunning)
 		}
 	})
 }
--- a/internal/durable/file_test.go
+++ b/internal/durable/file_test.go
@@ -17,6 +17,7 @@
 	return &File{Path: filepath.Join(t.TempDir(), "state"), Kind: "names", Version: 2}
 }
 
+// Load returns the value of the last Save, and a failed Save leaves no temporary file.
 func TestLoadReturnsWhatWasSaved(t *testing.T) {
 	f := newFile(t)
 	var got value
--- a/internal/durable/journal_test.go
+++ b/internal/durable/journal_test.go
@@ -39,6 +39,7 @@
 	return names, lost
 }
 
+// Load returns all records that were written, and a rejected write changes nothing.
 func TestJournalReturnsWhatWasWritten(t *testing.T) {
 	j := newJournal(t)
 	if _, _, err := j.Load(); !errors.Is(err, fs.ErrNotExist) {
--- a/internal/hotrestart/store_test.go
+++ b/internal/hotrestart/store_test.go
@@ -12,6 +12,7 @@
 	"time"
 )
 
+// Two processes of a proxy see each other's changes of the detached backends.
 func TestDetachedBackendsAreShared(t *testing.T) {
 	dir := t.TempDir()
 	first := Open(dir, "n/1")
@@ -73,6 +74,7 @@
 	}
 }
 
+// A process notices that another one serves, and that the other one has ended.
 func TestServingProcess(t *testing.T) {
 	dir := t.TempDir()
 	first := Open(dir, "n1")
@@ -115,6 +117,7 @@
 	}
 }
 
+// Listen uses an inherited socket, rejects invalid descriptors, and opens a socket if there is no descriptor.
 func TestListen(t *testing.T) {
 	original, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/listener/connlimiter_test.go
+++ b/internal/listener/connlimiter_test.go
@@ -16,6 +16,7 @@
 	"lapisspread/internal/admission"
 )
 
+// The deployed file is valid, errors name the invalid key, and Settings bounds the connections by the capacity.
 func TestFiles(t *testing.T) {
 	if f, err := Load(filepath.Join("..", "..", "deploy", "admission.toml")); err != nil || f.Requests != nil {
 		t.Errorf("Load of the deployed file = %+v, %v; want no error and no [requests] table", f, err)
@@ -48,7 +49,7 @@
 	}
 }
 
-// stub is a connection that can be evicted, unless refuses is set.
+// stub is a connection that can be evicted, unless refuses is set. Evict calls onClosed after it has closed the stub.
 type stub struct {
 	mu       sync.Mutex
 	closed   bool
--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -67,7 +67,8 @@
 }
 
 func TestErrorsNameFileLineAndKey(t *testing.T) {
-	for _, c := range []struct{ old, replacement, want string }{ // in validFile, old is replaced
+	// Each case replaces old in validFile; want is a part of the error.
+	for _, c := range []struct{ old, replacement, want string }{
 		{"version = 1", "version = 2", "s.toml: version: 2"},
 		{"in_hand = 300", "in_hands = 300", `s.toml:5: unknown key "limits.in_hands"`},
 		{"in_hand = 300", "in_hand = 'many'", "s.toml:5: "},
--- a/internal/services/validate.go
+++ b/internal/services/validate.go
@@ -52,46 +52,46 @@
 	names := map[string]bool{}
 	for i := range services {
 		s := &services[i]
-		at := fmt.Sprintf("service[%d] %q", i, s.Name)
-		v.addIf(!strictconfig.ValidName(s.Name), "%s: name: wanted small letters, digits and dashes", at)
-		v.addIf(names[s.Name], "%s: name: it is there twice", at)
+		location := fmt.Sprintf("service[%d] %q", i, s.Name)
+		v.addIf(!strictconfig.ValidName(s.Name), "%s: name: wanted small letters, digits and dashes", location)
+		v.addIf(names[s.Name], "%s: name: it is there twice", location)
 		names[s.Name] = true
-		v.service(at, s)
+		v.service(location, s)
 	}
 	return names
 }
 
-// service checks one service and sets its defaults. Errors start with at, its position in the file.
-func (v *validator) service(at string, s *Service) {
+// service checks one service and sets its defaults. Errors start with location, its position in the file.
+func (v *validator) service(location string, s *Service) {
 	v.addIf(s.Discovery != "" && !strings.Contains(s.Discovery, ":"),
-		"%s: discovery: %q is no host:port", at, s.Discovery)
-	v.addIf(!isRatio(s.RetryRatio), "%s: repeats: %v is not within 0 and 1", at, s.RetryRatio)
+		"%s: discovery: %q is no host:port", location, s.Discovery)
+	v.addIf(!isRatio(s.RetryRatio), "%s: repeats: %v is not within 0 and 1", location, s.RetryRatio)
 	share := &s.Share
 	if share.Cap == 0 {
 		share.Cap = defaultShareCap
 	}
 	v.addIf(!(share.Min >= 0 && share.Cap <= 1 && share.Min <= share.Cap),
-		"%s: share: min %v and cap %v: wanted 0 <= min <= cap <= 1", at, share.Min, share.Cap)
-	v.addIf(!(share.Weight >= 0) || math.IsInf(share.Weight, 0), "%s: share: weight: %v", at, share.Weight)
+		"%s: share: min %v and cap %v: wanted 0 <= min <= cap <= 1", location, share.Min, share.Cap)
+	v.addIf(!(share.Weight >= 0) || math.IsInf(share.Weight, 0), "%s: share: weight: %v", location, share.Weight)
 	names := map[string]bool{}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		atClass := fmt.Sprintf("%s: class[%d] %q", at, i, c.Name)
-		v.addIf(c.Name == "" || names[c.Name], "%s: name: missing or there twice", atClass)
+		classLocation := fmt.Sprintf("%s: class[%d] %q", location, i, c.Name)
+		v.addIf(c.Name == "" || names[c.Name], "%s: name: missing or there twice", classLocation)
 		names[c.Name] = true
-		v.class(atClass, c)
+		v.class(classLocation, c)
 	}
 }
 
-// class checks one class. Errors start with at, its position in the file.
-func (v *validator) class(at string, c *Class) {
+// class checks one class. Errors start with location, its position in the file.
+func (v *validator) class(location string, c *Class) {
 	v.addIf(c.LatencyObjective <= 0 || c.Timeout < c.LatencyObjective,
 		"%s: aim %v and give_up %v: wanted 0 < aim <= give_up",
-		at, time.Duration(c.LatencyObjective), time.Duration(c.Timeout))
+		location, time.Duration(c.LatencyObjective), time.Duration(c.Timeout))
 	v.addIf(c.Effect != EffectSafe && c.Effect != EffectUnsafe,
-		"%s: effect: %q is neither safe nor unsafe", at, c.Effect)
+		"%s: effect: %q is neither safe nor unsafe", location, c.Effect)
 	v.addIf(!(c.PriorityWeight >= 0) || !isRatio(c.LateValue),
-		"%s: worth %v or late %v is out of range", at, c.PriorityWeight, c.LateValue)
+		"%s: worth %v or late %v is out of range", location, c.PriorityWeight, c.LateValue)
 }
 
 // limits checks the limits of the process.
@@ -108,7 +108,7 @@
 	rules := make([]route.Rule, 0, len(routes))
 	for i := range routes {
 		r := &routes[i]
-		at := fmt.Sprintf("route[%d] %q", i, r.Name)
+		location := fmt.Sprintf("route[%d] %q", i, r.Name)
 		rule := route.Rule{
 			Name:       r.Name,
 			Host:       r.Host,
@@ -123,13 +123,13 @@
 			if to.Weight != nil {
 				weight = *to.Weight
 			}
-			v.addIf(!services[to.Service], "%s: to[%d]: there is no service %q", at, k, to.Service)
+			v.addIf(!services[to.Service], "%s: to[%d]: there is no service %q", location, k, to.Service)
 			rule.To = append(rule.To, route.Target{Service: to.Service, Weight: weight})
 		}
 		switch r.Sticky {
 		case "", StickyByKey, StickyByTenant, StickyByRequest:
 		default:
-			v.addIf(true, "%s: sticky: %q is none of key, tenant, request", at, r.Sticky)
+			v.addIf(true, "%s: sticky: %q is none of key, tenant, request", location, r.Sticky)
 		}
 		rules = append(rules, rule)
 	}
