--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// With nearly as many requests open as may be, those that bring least for the time that they take are shed at once,
-// and the others are admitted.
+// When nearly MaxOpenRequests are open, requests that earn less than the mean for each millisecond they are open are
+// shed on arrival, and the others are admitted.
 func TestLastOpenRequestsAreForMostValuable(t *testing.T) {
 	cfg := testConfig()
 	cfg.Capabilities.MaxOpenRequests = 20
 	cfg.Classes[2].PriorityWeight = 20 // notIdempotent
 	b, h := newBalancer(t, cfg, 4)
 	id := RequestID(0)
-	ask := func(class int) string {
+	admit := func(class int) string {
 		id++
 		b.Request(second, Request{ID: id, Class: class, Deadline: 4 * second})
 		for _, a := range h.take("reject") {
@@ -25,33 +25,34 @@
 	}
 	for range 9 {
 		for _, class := range []int{notIdempotent, 0} {
-			if got := ask(class); got != "admitted" {
-				t.Fatalf("with %d open: %s", b.openRequests, got)
+			if got := admit(class); got != "admitted" {
+				t.Fatalf("Request(class %s) with %d of 20 open: %s, want admitted", className(class),
+					b.openRequests, got)
 			}
 		}
 	}
-	if got := ask(0); got != "shed" {
-		t.Errorf("one of little weight with %d open: %s", b.openRequests, got)
+	if got := admit(0); got != "shed" {
+		t.Errorf("Request(priority weight 1) with %d of 20 open: %s, want shed", b.openRequests, got)
 	}
-	if got := ask(notIdempotent); got != "admitted" {
-		t.Errorf("one of much weight with %d open: %s", b.openRequests, got)
+	if got := admit(notIdempotent); got != "admitted" {
+		t.Errorf("Request(priority weight 20) with %d of 20 open: %s, want admitted", b.openRequests, got)
 	}
 	for id := range id {
 		b.ClientGone(second, id+1)
 		b.ClientGone(second, id+1)
 	}
 	if b.openRequests != 0 {
-		t.Errorf("%d are counted as open after all have gone", b.openRequests)
+		t.Errorf("%d requests counted as open after all clients left, want 0", b.openRequests)
 	}
 }
 
-// An objective that is stretched past the range of a Duration ends at the deadline, and does not wrap round.
+// A latency objective that would exceed the range of time.Duration ends at the deadline and does not overflow.
 func TestStretchedObjectiveEndsAtDeadline(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[idempotent].ObjectivePerWork = 1e12
 	b, _ := newBalancer(t, cfg, 2)
 	b.Request(second, Request{ID: 1, Class: idempotent, ExpectedWork: time.Hour, Deadline: 5 * second})
 	if r := b.requests[1]; r == nil || r.objectiveAt != 5*second {
-		t.Errorf("%+v", r)
+		t.Errorf("Request(deadline 5s) with an overflowing objective is recorded as %+v, want objectiveAt 5s", r)
 	}
 }
--- a/decision/attempts_test.go
+++ b/decision/attempts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What follows the end of an attempt, by the idempotency of its class.
+// Whether a request is retried, failed or rejected after its attempt ends, by the idempotency of its class.
 func TestRetryByIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		class  int
@@ -23,24 +23,27 @@
 		b.Request(second, Request{ID: 9, Class: c.class, Deadline: 4 * second})
 		first := h.take("send")
 		if len(first) != 1 {
-			t.Fatalf("class %d: %d sends at first", c.class, len(first))
+			t.Fatalf("Request(class %s) caused %d sends, want 1", className(c.class), len(first))
 		}
 		b.Outcome(second+10*milli, Outcome{ID: 9, Backend: first[0].to, Result: c.result, Latency: 10 * milli})
 		next := h.take("send", "fail", "reject")
 		if len(next) != 1 || next[0].verb != c.want {
-			t.Errorf("class %d after result %d: %v, want one %s", c.class, c.result, next, c.want)
+			t.Errorf("class %s: Outcome(%s) caused %v, want one %s", className(c.class), resultName(c.result), next,
+				c.want)
 			continue
 		}
 		if c.want == "send" && next[0].to == first[0].to {
-			t.Errorf("class %d: sent again to the backend that failed", c.class)
+			t.Errorf("class %s: Outcome(%s) from backend %d caused a retry to the same backend, want another",
+				className(c.class), resultName(c.result), first[0].to)
 		}
 		if c.class == keyed && !c.result.NeverRan() && (next[0].to-first[0].to)%2 != 0 {
-			t.Errorf("a keyed request left its zone after it may have run")
+			t.Errorf("class %s: Outcome(%s) from backend %d caused a retry to backend %d, want one in the same zone",
+				className(c.class), resultName(c.result), first[0].to, next[0].to)
 		}
 	}
 }
 
-// send is held back by each guard alone, whatever its callers have checked.
+// Each guard by itself prevents a send, whatever the callers of send have checked.
 func TestSendAsksEveryGuard(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -52,21 +55,25 @@
 		{"past the deadline", idempotent, func(b *Balancer, r *request, _ *target) { b.now = r.Deadline }},
 		{"draining", idempotent, func(_ *Balancer, _ *request, o *target) { o.State = Draining }},
 		{"gone", idempotent, func(_ *Balancer, _ *request, o *target) { o.State = Removed }},
-		{"second copy", idempotent, func(b *Balancer, _ *request,
+		{"hedged requests not allowed", idempotent, func(b *Balancer, _ *request,
 			_ *target) {
 			b.config.Capabilities.HedgedRequests = false
 		}},
-		{"attempts used up", idempotent, func(b *Balancer, _ *request,
+		{"maximum number of attempts reached", idempotent, func(b *Balancer, _ *request,
 			_ *target) {
 			b.config.Capabilities.MaxAttempts = 1
 		}},
-		{"unsafe that may run", notIdempotent, func(*Balancer, *request, *target) {}},
-		{"other zone", keyed, func(_ *Balancer, r *request, o *target) { o.Zone = r.attempts[0].zone + 1 }},
-		{"other cell", keyed, func(b *Balancer, r *request, o *target) {
+		{"not idempotent and may have run", notIdempotent, func(*Balancer, *request, *target) {}},
+		{"outside the deduplication zone", keyed, func(_ *Balancer, r *request, o *target) {
+			o.Zone = r.attempts[0].zone + 1
+		}},
+		{"outside the deduplication cell", keyed, func(b *Balancer, r *request, o *target) {
 			b.config.Classes[keyed].DeduplicationScope, o.Cell = ScopeCell, r.attempts[0].cell+1
 		}},
-		{"after the window", keyedAnywhere, func(b *Balancer, _ *request, _ *target) { b.now += 2 * second }},
-		{"cold without budget", idempotent, func(b *Balancer, _ *request, o *target) {
+		{"after the deduplication window", keyedAnywhere, func(b *Balancer, _ *request, _ *target) {
+			b.now += 2 * second
+		}},
+		{"slow start without tokens", idempotent, func(b *Balancer, _ *request, o *target) {
 			o.lastStart, o.slowStartTokens = b.now, -1
 		}},
 	} {
@@ -81,7 +88,7 @@
 		h.take()
 		c.set(b, r, other)
 		if b.send(r, other) || len(h.take("send")) > 0 {
-			t.Errorf("%s: sent all the same", c.name)
+			t.Errorf("%s: send() sent the request, want it to be prevented", c.name)
 		}
 	}
 	b, h := newBalancer(t, testConfig(), 2)
@@ -93,44 +100,45 @@
 		other = b.targets[1]
 	}
 	if !b.send(r, other) {
-		t.Error("a second copy of a safe request was not sent, so the cases above show nothing")
+		t.Error("send() of a hedged idempotent request = false, want true: the cases above pass for another reason")
 	}
 	b.rejectOrFail(r)
 	b.rejectOrFail(r)
 	if got := h.take("reject", "fail"); len(got) != 1 {
-		t.Errorf("%d final answers", len(got))
+		t.Errorf("two calls of rejectOrFail gave the final answers %v, want one", got)
 	}
 }
 
-// After a reset, for each idempotency and scope, before and after the end of the window, also one that is shorter than
-// a tick, a request is retried only where and as long as the settings allow, and otherwise answered at once.
+// After a reset, a request is retried only where and as long as its class allows, and otherwise gets its final answer
+// at once. The cases are each idempotency and scope, before and after the end of the deduplication window, and windows
+// that are shorter than a tick or missing.
 func TestResetAfterRequestBegan(t *testing.T) {
 	const n = 12 // backends of two zones and three cells
-	place := func(id BackendID) (zone, cell int) { return (int(id) - 1) % 2, (int(id) - 1) % 3 }
+	zoneAndCell := func(id BackendID) (zone, cell int) { return (int(id) - 1) % 2, (int(id) - 1) % 3 }
 	for _, k := range []struct {
-		name   string
-		class  Class
-		after  time.Duration
-		repeat bool
+		name      string
+		class     Class
+		resetAt   time.Duration // since the send
+		wantRetry bool
 	}{
-		{"safe", Class{Idempotency: Idempotent}, 30 * milli, true},
-		{"unsafe", Class{Idempotency: NotIdempotent, DeduplicationWindow: second, DeduplicationScope: ScopeAll},
+		{"idempotent", Class{Idempotency: Idempotent}, 30 * milli, true},
+		{"not idempotent", Class{Idempotency: NotIdempotent, DeduplicationWindow: second, DeduplicationScope: ScopeAll},
 			30 * milli, false},
-		{"all, in time", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll,
+		{"scope all, within the window", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll,
 			DeduplicationWindow: 40 * milli}, 30 * milli, true},
-		{"all, too late", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll,
+		{"scope all, after the window", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll,
 			DeduplicationWindow: 40 * milli}, 40 * milli, false},
-		{"all, within a tick of its end", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll,
+		{"scope all, in the last tick of the window", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll,
 			DeduplicationWindow: 40 * milli}, 36 * milli, false},
-		{"zone, in time", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeZone,
+		{"scope zone, within the window", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeZone,
 			DeduplicationWindow: 40 * milli}, 30 * milli, true},
-		{"zone, too late", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeZone,
+		{"scope zone, after the window", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeZone,
 			DeduplicationWindow: 40 * milli}, 41 * milli, false},
-		{"cell, in time", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeCell,
+		{"scope cell, within the window", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeCell,
 			DeduplicationWindow: 40 * milli}, 30 * milli, true},
-		{"cell, too late", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeCell,
+		{"scope cell, after the window", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeCell,
 			DeduplicationWindow: 40 * milli}, 50 * milli, false},
-		{"a window shorter than a tick", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll,
+		{"window shorter than a tick", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll,
 			DeduplicationWindow: 3 * milli}, milli, false},
 		{"no window", Class{Idempotency: IdempotentByKey, DeduplicationScope: ScopeAll}, 0, false},
 	} {
@@ -142,34 +150,36 @@
 			k.class.PriorityWeight = 1
 			cfg.Classes = []Class{k.class}
 			b, h, to := openedRequest(t, cfg, 0, n)
-			zone, cell := place(to)
-			for _, e := range list(n) { // of its scope it alone is left: any other backend is outside
-				z, c := place(e.ID)
+			zone, cell := zoneAndCell(to)
+			// Detach all other backends of the deduplication scope, so that any other target is outside it.
+			for _, e := range list(n) {
+				z, c := zoneAndCell(e.ID)
 				if e.ID != to && (k.class.DeduplicationScope == ScopeZone && z == zone ||
 					k.class.DeduplicationScope == ScopeCell && c == cell) {
 					b.Detach(second, e.ID)
 				}
 			}
 			h.take()
-			b.Outcome(second+k.after, Outcome{ID: 1, Backend: to, Result: Reset})
+			b.Outcome(second+k.resetAt, Outcome{ID: 1, Backend: to, Result: Reset})
 			got := h.take("send", "reject", "fail")
-			end := "fail"
+			finalAnswer := "fail"
 			if k.class.Idempotency == Idempotent || k.class.Idempotency == IdempotentByKey &&
 				k.class.DeduplicationScope == ScopeAll {
-				end = "reject" // trying again is harmless
+				finalAnswer = "reject" // trying again is harmless
 			}
 			switch {
 			case len(got) != 1:
-				t.Fatalf("%v, want one", got)
-			case !k.repeat && got[0].verb != end:
-				t.Errorf("%v, want %s", got, end)
-			case k.repeat && got[0].verb != "send":
-				t.Errorf("%v, want a repeat", got)
+				t.Fatalf("Outcome(Reset) after %v caused %v, want one action", k.resetAt, got)
+			case !k.wantRetry && got[0].verb != finalAnswer:
+				t.Errorf("Outcome(Reset) after %v caused %v, want %s", k.resetAt, got, finalAnswer)
+			case k.wantRetry && got[0].verb != "send":
+				t.Errorf("Outcome(Reset) after %v caused %v, want a send", k.resetAt, got)
 			}
-			if z, c := place(got[0].to); k.repeat && (k.class.DeduplicationScope == ScopeZone && z != zone &&
+			if z, c := zoneAndCell(got[0].to); k.wantRetry && (k.class.DeduplicationScope == ScopeZone && z != zone &&
 				k.class.Idempotency == IdempotentByKey ||
 				k.class.DeduplicationScope == ScopeCell && c != cell && k.class.Idempotency == IdempotentByKey) {
-				t.Errorf("the repeat of what went to %d goes to %d, outside its group", to, got[0].to)
+				t.Errorf("retry after a reset by backend %d went to backend %d, want one in the deduplication scope",
+					to, got[0].to)
 			}
 		})
 	}
@@ -188,38 +198,39 @@
 		b.Outcome(second+60*milli, Outcome{ID: 1, Backend: to, Result: k.first})
 		next := h.take("send")
 		if len(next) != 1 {
-			t.Fatalf("after %d: %d repeats", k.first, len(next))
+			t.Fatalf("Outcome(%s) 60 ms after the send caused %d retries, want 1", resultName(k.first), len(next))
 		}
 		b.Outcome(second+120*milli, Outcome{ID: 1, Attempt: 1, Backend: next[0].to, Result: Reset})
 		if got := h.take("send", "reject", "fail"); len(got) != 1 || got[0].verb != k.want {
-			t.Errorf("the first ended with %d, the second broke 120 ms after the first was sent: %v, want %s",
-				k.first, got, k.want)
+			t.Errorf("first attempt ended with %s; Outcome(Reset) of the second, 120 ms after the first was sent, "+
+				"caused %v, want %s", resultName(k.first), got, k.want)
 		}
 	}
 }
 
-// A keyed request whose window ends while it is queued can be sent nowhere any more: it is answered then.
+// A keyed request whose deduplication window ends while it is queued may not be sent any more: it gets its final answer
+// then.
 func TestKeyedRequestIsAnsweredOnceWindowEnds(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	b.Request(second, Request{ID: 1, Class: keyed, Deadline: 9 * second})
-	b.requests[1].objectiveAt = 9 * second // much time is left beside the window of 1 s
+	b.requests[1].objectiveAt = 9 * second // far later than the end of the window of 1 s
 	to := h.take("send")[0].to
-	for _, other := range b.targets { // those of its zone have no capacity
+	for _, other := range b.targets { // no target has capacity
 		other.limit.ceiling = 1
 		other.limit.inFlight = 9
 		other.limit.load = 9
 	}
 	b.Outcome(second+900*milli, Outcome{ID: 1, Backend: to, Result: Reset})
 	if got := h.take("send", "reject", "fail"); len(got) != 0 {
-		t.Fatalf("it does not wait: %v", got)
+		t.Fatalf("Outcome(Reset) within the window caused %v, want the request to be queued", got)
 	}
 	b.Timer(2*second+10*milli, dispatchToken)
 	if got := h.take("send", "reject", "fail"); len(got) != 1 || got[0].verb != "fail" {
-		t.Errorf("after the end of its window: %v, want its failure", got)
+		t.Errorf("dispatch after the end of the window caused %v, want one fail", got)
 	}
 }
 
-// The deduplication window starts at the send, also where the body's end comes later.
+// The deduplication window starts at the send, even if a streamed body ends later.
 func TestWindowOfStreamedRequestStartsAtSend(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	b.Request(second, Request{ID: 1, Class: keyed, Deadline: 9 * second, StreamedBody: true})
@@ -227,6 +238,6 @@
 	b.BodyComplete(second+900*milli, 1, 9*second)
 	b.Outcome(2*second+100*milli, Outcome{ID: 1, Backend: to, Result: Reset})
 	if got := h.take("send", "fail"); len(got) != 1 || got[0].verb != "fail" {
-		t.Errorf("1.1 s after its send, with a window of 1 s: %v, want its failure", got)
+		t.Errorf("Outcome(Reset) 1.1 s after the send, with a window of 1 s, caused %v, want one fail", got)
 	}
 }
--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// silentHost is a Host that does nothing but remember the last send.
+// silentHost is a Host that only records the backend of the last send; 0 is none.
 type silentHost struct {
 	recorder
 	to BackendID
@@ -18,7 +18,7 @@
 func (h *silentHost) CheckHealth(BackendID)                           {}
 func (h *silentHost) StartTimer(time.Duration, uint64)                {}
 
-// BenchmarkRequest measures a request from arrival to answer, with a sweep every hundred.
+// BenchmarkRequest measures a request from its arrival to its answer, with a sweep after every 100 requests.
 func BenchmarkRequest(b *testing.B) {
 	for _, backends := range []int{10, 50} {
 		for _, keyed := range []bool{false, true} {
@@ -27,7 +27,7 @@
 				cfg.KeyAffinity = keyed
 				m, err := New(cfg, 1, h)
 				if err != nil {
-					b.Fatal(err)
+					b.Fatalf("New: %v", err)
 				}
 				m.Start(second)
 				m.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Version: 1, Backends: list(backends)})
@@ -48,7 +48,7 @@
 					}
 				}
 				if answered < b.N/2 {
-					b.Fatalf("%d of %d answered", answered, b.N)
+					b.Fatalf("%d of %d requests were sent and answered, want at least half", answered, b.N)
 				}
 			})
 		}
--- a/decision/concurrency_test.go
+++ b/decision/concurrency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A late attempt that was alone at its backend is no sign of overload: it cuts the limit a little only.
+// A late attempt that was alone at its backend is no sign of overload: it reduces the limit only slightly.
 func TestOneLateAttemptCutsLimitLittle(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -13,20 +13,20 @@
 	b.Request(second, Request{ID: 1, Deadline: 4 * second})
 	b.Outcome(second+900*milli, Outcome{ID: 1, Backend: h.take("send")[0].to, Result: OK, Final: true})
 	if only.limit.ceiling >= 20 || only.limit.ceiling < 15 {
-		t.Errorf("limit %v after one late answer", only.limit.ceiling)
+		t.Errorf("limit after one late answer = %v, want at least 15 and under 20, where it was", only.limit.ceiling)
 	}
 }
 
-// Proxies that start together under load must not double their limits past what overloads a server.
+// Proxies that start together under load must not double their limits far beyond what overloads a backend.
 func TestLateAttemptSlowsGrowthOfNewLimit(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		takes float64 // ms, of the first answer
-		most  float64 // growth of the limit by the second, in time
-		least float64
+		name         string
+		firstLatency float64 // ms, of the first answer
+		maxGrowth    float64 // of the limit, by the second answer, which is in time
+		minGrowth    float64
 	}{
-		{"in time", 100, 1.1, 0.9},
-		{"late", 2900, 0.6, 0.01},
+		{"first answer in time", 100, 1.1, 0.9},
+		{"first answer late", 2900, 0.6, 0.01},
 	} {
 		b, h := newBalancer(t, testConfig(), 1)
 		now := second
@@ -34,25 +34,26 @@
 		for id := range RequestID(2) {
 			b.Request(now, Request{ID: id + 1, Class: 2, Deadline: now + 3*second})
 			if got := h.take("send"); len(got) != 1 {
-				t.Fatalf("%s: sends %v", c.name, got)
+				t.Fatalf("%s: Request(%d) caused %d sends, want 1", c.name, id+1, len(got))
 			}
 			before := only.limit.ceiling
 			took := 50 * milli
 			if id == 0 {
-				took = fromMillis(c.takes)
+				took = fromMillis(c.firstLatency)
 			}
 			now += took
 			b.Outcome(now, Outcome{ID: id + 1, Result: OK, Final: true})
-			if grown := only.limit.ceiling - before; id == 1 && (grown > c.most || grown < c.least) {
-				t.Errorf("%s: the limit of %v grew by %v", c.name, before, grown)
+			if growth := only.limit.ceiling - before; id == 1 && (growth > c.maxGrowth || growth < c.minGrowth) {
+				t.Errorf("%s: the second answer raised the limit %v by %v, want %v to %v", c.name, before, growth,
+					c.minGrowth, c.maxGrowth)
 			}
-			// so that the next attempt uses it
+			// The limit grows only while it is in use: make it so low that the next attempt uses it.
 			only.limit.ceiling, b.meanLatency = 1, b.expectedLatency(notIdempotent, 0)
 		}
 	}
 }
 
-// Waiting for a late attempt's end would show an overload too late.
+// A late attempt reduces the limit once, and while it is in flight: its end would show an overload too late.
 func TestAttemptIsLateWhileInFlight(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -61,15 +62,16 @@
 	b.Timer(second+600*milli, sweepToken)
 	once := only.limit.ceiling
 	b.Timer(second+650*milli, sweepToken)
-	if once >= 20 || only.limit.ceiling < once*0.95 { // it may sink a little by itself
-		t.Errorf("limits %v, then %v", once, only.limit.ceiling)
+	if once >= 20 || only.limit.ceiling < once*0.95 { // an unused limit sinks a little by itself
+		t.Errorf("limit after one sweep of a late attempt = %v, after two %v; want under 20, then at least 95%% of it",
+			once, only.limit.ceiling)
 	}
 }
 
-// A backend that rejects requests at once must not look idle.
+// A backend that rejects requests at once has nothing in flight, but must not be treated as idle.
 func TestRejectingBackendDoesNotLookIdle(t *testing.T) {
 	cfg := testConfig()
-	cfg.Zone = 9 // no backend is near
+	cfg.Zone = 9 // no backend is in the proxy's own zone
 	b, h := newBalancer(t, cfg, 2)
 	b.Request(second, Request{ID: 1, Deadline: 4 * second})
 	full := h.take("send")[0].to
@@ -78,15 +80,15 @@
 	b.Request(second+2*milli, Request{ID: 2, Deadline: 4 * second})
 	for _, a := range h.take("send") {
 		if a.to == full {
-			t.Error("sent to a backend that had just said that it is full")
+			t.Errorf("request 2 sent to backend %d, which had just rejected request 1, want the other backend", a.to)
 		}
 	}
-	if now := b.targetsByID[full].limit.ceiling; now >= before {
-		t.Errorf("its limit was %v and is %v", before, now)
+	if after := b.targetsByID[full].limit.ceiling; after >= before {
+		t.Errorf("limit after Outcome(Rejected) = %v, want below %v, where it was", after, before)
 	}
 }
 
-// One attempt in flight from each of many proxies may be too much: a limit below one spaces attempts in time.
+// One attempt in flight from each of many proxies may overload a backend: a limit below one spaces attempts in time.
 func TestLimitBelowOneSpacesAttempts(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -98,18 +100,18 @@
 		b.Timer(at, dispatchToken)
 		for _, a := range h.take("send") {
 			if gap := at - sent; sent > 0 && gap < 380*milli {
-				t.Fatalf("a send %v after the one before", gap)
+				t.Fatalf("two sends %v apart at a limit of 0.5 and a latency of 200 ms, want at least 380ms", gap)
 			}
 			sent = at
 			b.Outcome(at+milli, Outcome{ID: a.id, Attempt: a.attempt, Backend: 1, Result: OK, Final: true})
 		}
 	}
 	if sent < 2*second {
-		t.Errorf("last send at %v", sent)
+		t.Errorf("last send at %v, want one after 2s: attempts continue until 3s", sent)
 	}
 }
 
-// A limit far above its use would let a burst overload the server before answers tell.
+// A limit far above the load in use would let a burst overload the backend before late answers show it.
 func TestUnusedLimitSinks(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -119,11 +121,12 @@
 	}
 	if only.limit.ceiling > 2*newConcurrencyLimit(0.5, targetLimitBackoff, 0).ceiling ||
 		only.limit.ceiling < newConcurrencyLimit(0.5, targetLimitBackoff, 0).ceiling {
-		t.Errorf("limit %v after ten idle seconds", only.limit.ceiling)
+		t.Errorf("limit after ten idle seconds = %v, want once to twice the initial limit of %v", only.limit.ceiling,
+			newConcurrencyLimit(0.5, targetLimitBackoff, 0).ceiling)
 	}
 }
 
-// A shared limit of one or two in flight would be reached by chance, so it holds for the mean load.
+// A shared limit of one or two in flight would often be reached by chance, so it applies to the mean load.
 func TestSharedLimitHoldsForMeanLoad(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 10)
 	b.sharedLimit.ceiling = 1.5
@@ -131,19 +134,19 @@
 		b.sharedLimit.reserve(&attempt{loadWeight: 1}, b.now, 100)
 	}
 	if b.now += 10 * milli; b.sharedLimitReached(1) {
-		t.Error("full as soon as four are out")
+		t.Error("sharedLimitReached 10 ms after four attempts were sent, at a limit of 1.5: true, want false")
 	}
 	if b.now += 10 * second; !b.sharedLimitReached(1) {
-		t.Error("four out for ten seconds, and it is not full")
+		t.Error("sharedLimitReached 10 s after four attempts were sent, at a limit of 1.5: false, want true")
 	}
 }
 
-// Some slow backends are no sign of overload: they must not cut the limit for all.
+// Some slow backends are no sign of overload: they must not reduce the shared limit.
 func TestSlowBackendsDoNotCutSharedLimit(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		slow bool
-	}{{"known to be slow", true}, {"not known to be", false}} {
+	}{{"backend measured as slow", true}, {"backend not measured as slow", false}} {
 		b, _ := newBalancer(t, manyConfig(100), 2)
 		to := b.targets[0]
 		if c.slow {
@@ -155,50 +158,53 @@
 		b.meanWork = 100
 		b.requests[1] = r
 		if !b.send(r, to) {
-			t.Fatal("not sent")
+			t.Fatalf("%s: send() = false, want true", c.name)
 		}
 		limits := [2]float64{to.limit.ceiling, b.sharedLimit.ceiling}
 		b.now += 900 * milli
 		b.adjustLimits(r.attempts[0], Cancelled)
 		if to.limit.ceiling >= limits[0] {
-			t.Errorf("%s: its own limit is not cut", c.name)
+			t.Errorf("%s: target limit after a late attempt = %v, want below %v, where it was", c.name,
+				to.limit.ceiling, limits[0])
 		}
 		if cut := b.sharedLimit.ceiling < limits[1]; cut == c.slow {
-			t.Errorf("%s: the shared limit is cut: %v", c.name, cut)
+			t.Errorf("%s: shared limit reduced by a late attempt: %v, want %v", c.name, cut, !c.slow)
 		}
 	}
 }
 
-// Two unanswered attempts in a row bring the limit of a hanging backend to one in flight over all proxies, as many
-// proxies that each try it now and then lose much together. It recovers with time.
+// Two unanswered attempts in a row reduce the limit of a hanging backend to one in flight over all proxies: many
+// proxies that each try it occasionally would together lose many requests. The limit recovers with time.
 func TestLimitRecoversAfterHang(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 3)
 	to := b.targets[0]
 	first := to.limit.ceiling
 	for i := range 2 {
 		if to.limit.ceiling != first {
-			t.Fatalf("the limit fell after %d", i)
+			t.Fatalf("limit after %d unanswered attempts = %v, want the initial %v until the second", i,
+				to.limit.ceiling, first)
 		}
 		b.recordAttemptHealth(&attempt{request: &request{}, target: to, waitingSince: b.now}, Timeout)
 	}
 	if to.limit.ceiling != to.limit.unit {
-		t.Errorf("limit %v after two attempts without an answer, its floor is %v", to.limit.ceiling, to.limit.unit)
+		t.Errorf("limit after two unanswered attempts = %v, want its minimum of %v", to.limit.ceiling, to.limit.unit)
 	}
 	for range limitRecoveryFactor * decayIntervals * sweepsPerInterval {
 		b.relaxLimit(&to.limit)
 	}
 	if to.limit.ceiling < first/2 || to.limit.ceiling > first {
-		t.Errorf("after a while the limit is %v, it began at %v", to.limit.ceiling, first)
+		t.Errorf("limit after its recovery time = %v, want between half of the initial limit and all of it, %v",
+			to.limit.ceiling, first)
 	}
 }
 
-// A proxy with little traffic seldom has two requests to choose from, so limits are scaled by their gain.
+// A proxy with little traffic seldom has two queued requests to choose from, so limits are scaled by a request's gain.
 func TestHighGainRaisesLimitScale(t *testing.T) {
 	cfg := manyConfig(100)
 	cfg.Classes[keyedAnywhere].PriorityWeight = 20
 	b, h := newBalancer(t, cfg, 10)
 	now := b.now
-	for id := range RequestID(400) { // until the mean gain is known, and no longer that of the first
+	for id := range RequestID(400) { // so many that the first ones hardly count in the mean gain
 		now += 10 * milli
 		b.Request(now, Request{ID: id + 1, Class: []int{idempotent, idempotent, keyedAnywhere}[id%3],
 			Deadline: now + 3*second})
@@ -213,52 +219,56 @@
 	}
 	if low, high := scale(idempotent), scale(keyedAnywhere); low > 1 || low < minLimitScale || high < 1.5 ||
 		high > maxLimitScale {
-		t.Errorf("limit scales: %v for little gain, %v for much", low, high)
+		t.Errorf("limitScale(low gain) = %v, want %v to 1; limitScale(high gain) = %v, want 1.5 to %v", low,
+			minLimitScale, high, float64(maxLimitScale))
 	}
 	b.config.Instances = 2
 	if scale(idempotent) != 1 || scale(keyedAnywhere) != 1 {
-		t.Error("a proxy that sees much of the traffic chooses among what waits instead")
+		t.Errorf("one of two proxies: limitScale = %v and %v, want 1: it can choose among queued requests",
+			scale(idempotent), scale(keyedAnywhere))
 	}
 }
 
-// While none is late, a limit that requests of little gain reach must grow, or they are shed without need.
+// While no attempt is late, a limit that low-gain requests reach must grow, or they are shed unnecessarily.
 func TestLimitGrowsWhereLowGainReachesIt(t *testing.T) {
 	for _, c := range []struct {
-		used  float64
-		grows bool
+		usedShare float64 // of the limit
+		grows     bool
 	}{{0.3, false}, {0.5, true}} {
 		b, _ := newBalancer(t, manyConfig(100), 2)
 		b.sharedLimit.ceiling, b.sharedLimit.growthStep = 4, 0
 		a := &attempt{target: b.targets[0], reservations: []reservation{{limit: &b.sharedLimit,
-			loadAtSend: 4 * c.used, lateAt: time.Hour}}}
+			loadAtSend: 4 * c.usedShare, lateAt: time.Hour}}}
 		b.adjustLimits(a, OK)
 		if grown := b.sharedLimit.ceiling > 4; grown != c.grows {
-			t.Errorf("%v of the limit used: grown is %v", c.used, grown)
+			t.Errorf("limit raised by an answer in time with %v of the limit in use: %v, want %v", c.usedShare,
+				grown, c.grows)
 		}
 	}
 }
 
-// Growth and backoff balance at about one late attempt in five, not at every second one.
+// Growth and backoff balance at about one late attempt in five, not at one in two.
 func TestSharedLimitGrowsByShareOfBackoff(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(400), 2)
 	b.sharedLimit.ceiling, b.sharedLimit.growthStep = 1, 0
-	ends := func(result Result, lateAt time.Duration) {
+	endAttempt := func(result Result, lateAt time.Duration) {
 		b.adjustLimits(&attempt{target: b.targets[0], reservations: []reservation{{limit: &b.sharedLimit,
 			loadAtSend: 9, lateAt: lateAt}}}, result)
 	}
 	for range 30 {
-		ends(OK, 0)
+		endAttempt(OK, 0)
 		for range 3 {
-			ends(OK, time.Hour)
+			endAttempt(OK, time.Hour)
 		}
 	}
 	if b.sharedLimit.ceiling > 0.9 {
-		t.Errorf("limit %v with one late in four, it should have fallen", b.sharedLimit.ceiling)
+		t.Errorf("shared limit = %v after one late attempt in four, want at most 0.9: it began at 1",
+			b.sharedLimit.ceiling)
 	}
 }
 
-// Usual latency under load may exceed the objective; an attempt must count as late before that, or the limit
-// stands while half of all are lost.
+// The usual latency under load may exceed the objective. An attempt must count as late before its objective, or the
+// limit does not fall while half of all requests are lost.
 func TestAttemptIsLateBeforeItsObjective(t *testing.T) {
 	b, h := newBalancer(t, manyConfig(10), 2)
 	for i := range b.tailByClass {
@@ -266,11 +276,12 @@
 	}
 	b.Request(b.now, Request{ID: 1, Class: notIdempotent, Deadline: b.now + 4*second})
 	if len(h.take("send")) != 1 {
-		t.Fatal("nothing was sent")
+		t.Fatal("Request(not idempotent) caused no send, want one")
 	}
 	for _, u := range b.requests[1].attempts[0].reservations {
 		if late := u.lateAt - b.now; late >= b.config.Classes[notIdempotent].LatencyObjective {
-			t.Errorf("late only after %v", late)
+			t.Errorf("attempt counts as late after %v, want less than the objective of %v", late,
+				b.config.Classes[notIdempotent].LatencyObjective)
 		}
 	}
 }
--- a/decision/discovery_test.go
+++ b/decision/discovery_test.go
@@ -11,7 +11,7 @@
 	h := &recorder{}
 	b, err := New(cfg, 1, h)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	b.Start(second)
 	for i := range 10 {
@@ -22,18 +22,19 @@
 			}
 		}
 		if timer.verb == "" || timer.at > cfg.Constraints.MaxListAge {
-			t.Fatalf("round %d: next call after %v", i, timer.at)
+			t.Fatalf("after %d failed calls: timer for the next list call = %v, want one after at most %v", i, timer,
+				cfg.Constraints.MaxListAge)
 		}
 		b.Timer(second, timer.token)
 		if len(h.take("watch")) != 1 {
-			t.Fatalf("round %d: not maxAge", i)
+			t.Fatalf("after %d failed calls: Timer did not call WatchEndpoints once", i)
 		}
 		b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFailed})
 	}
 }
 
-// However seldom a register is polled and however slowly backends connect, its list counts as known 6 s after it could
-// be reached, and that of an agent on this machine at once.
+// Whatever the polling interval and the connect timeout, a polled list counts as known 6 s after the discovery service
+// could be reached again, and a list pushed by an agent on this machine at once. So the backoff has an upper bound.
 func TestListBackoffIsBounded(t *testing.T) {
 	for _, maxAge := range []time.Duration{0, 2 * second, 10 * second, 60 * second} {
 		for _, connect := range []time.Duration{30 * time.Millisecond, second, 5 * second, 20 * second} {
@@ -44,28 +45,29 @@
 					cfg.Capabilities.ConnectTimeout = connect
 					cfg.Constraints.MaxListAge = maxAge
 					cfg.Constraints.DrainGrace = grace
-					most := 2 * second
+					maxWait := 2 * second
 					if !polled {
-						most = grace / 3
+						maxWait = grace / 3
 					}
 					h := &recorder{}
 					b, err := New(cfg, 1, h)
 					if err != nil {
-						t.Fatal(err)
+						t.Fatalf("New: %v", err)
 					}
 					b.Start(second)
 					for _, a := range h.take("timer") {
-						if a.token>>timerKindShift == timerEndpoints && a.at > most {
-							t.Fatalf("polled every %v, connects in %v: the first call comes after %v", maxAge, connect,
-								a.at)
+						if a.token>>timerKindShift == timerEndpoints && a.at > maxWait {
+							t.Fatalf("MaxListAge %v, ConnectTimeout %v: first list call after %v, want at most %v",
+								maxAge, connect, a.at, maxWait)
 						}
 					}
 					for i := range 20 {
 						b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFailed})
-						rests := h.take("timer")
-						if len(rests) != 1 || rests[0].at > most || rests[0].at < 5*time.Millisecond {
-							t.Fatalf("polled every %v, connects in %v, grace %v, polled %v: after %d failed calls %+v",
-								maxAge, connect, grace, polled, i+1, rests)
+						timers := h.take("timer")
+						if len(timers) != 1 || timers[0].at > maxWait || timers[0].at < 5*time.Millisecond {
+							t.Fatalf("MaxListAge %v, ConnectTimeout %v, DrainGrace %v, PolledDiscovery %v: "+
+								"after %d failed calls %v, want one timer of 5ms to %v",
+								maxAge, connect, grace, polled, i+1, timers, maxWait)
 						}
 					}
 				}
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -12,7 +12,7 @@
 		b.Timer(9*second, sweepToken)
 		for _, a := range h.take("send", "check") {
 			if a.to == 2 {
-				t.Fatalf("state %d: %s to backend 2", state, a.verb)
+				t.Fatalf("after backend 2 was listed with state %d: %v, want no send or check for it", state, a)
 			}
 		}
 	}
@@ -36,46 +36,50 @@
 	}
 	for _, a := range h.take("send") {
 		if a.to == 1 {
-			t.Fatal("an unhealthy backend got a request after a list change")
+			t.Fatalf("after an endpoint update: %v, want no send to unhealthy backend 1", a)
 		}
 	}
 }
 
-// A target that left the list while an attempt was in flight is dropped once that has ended, without another list.
+// A target that left the list while an attempt was in flight is dropped after the attempt has ended, without another
+// endpoint update.
 func TestRemovedTargetIsDropped(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	b.Request(second, Request{ID: 1, Class: 0, Deadline: 4 * second})
 	sent := h.take("send")
 	if len(sent) != 1 {
-		t.Fatalf("%d sends, want 1", len(sent))
+		t.Fatalf("Request caused %d sends, want 1", len(sent))
 	}
 	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Version: 2})
 	if len(b.targets) != 1 {
-		t.Fatal("a target with something out was forgotten")
+		t.Fatalf("%d targets recorded after the list dropped the target of an attempt in flight, want 1",
+			len(b.targets))
 	}
 	b.Outcome(2*second, Outcome{ID: 1, Backend: sent[0].to, Result: OK, Final: true})
 	b.Timer(2*second, sweepToken)
 	if len(b.targets) != 0 || len(b.targetsByID) != 0 {
-		t.Errorf("%d targets are still held", len(b.targets))
+		t.Errorf("after the attempt ended and a sweep, targets has %d entries and targetsByID %d, want none",
+			len(b.targets), len(b.targetsByID))
 	}
 }
 
 // A backend that left the list and returns counts as healthy, whether or not a health check was in flight.
 func TestReturningBackendCountsAsHealthy(t *testing.T) {
-	for _, busy := range []bool{false, true} {
+	for _, checkInFlight := range []bool{false, true} {
 		b, _ := newBalancer(t, testConfig(), 2)
 		id := list(2)[0].ID
 		for range unhealthyThreshold {
 			b.startHealthCheck(b.targetsByID[id])
 			b.HealthChecked(second, HealthCheckResult{Backend: id, Result: Timeout})
 		}
-		if busy {
+		if checkInFlight {
 			b.startHealthCheck(b.targetsByID[id])
 		}
 		b.UpdateEndpoints(2*second, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{{ID: id, State: Removed}}})
 		b.UpdateEndpoints(3*second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)})
 		if _, excluded := b.CountBackends(); excluded != 0 {
-			t.Errorf("a check still in flight is %v: %d excluded on its return", busy, excluded)
+			t.Errorf("backend returned to the list, check in flight %v: CountBackends reports %d excluded, want 0",
+				checkInFlight, excluded)
 		}
 	}
 }
@@ -85,7 +89,7 @@
 	twice := append(list(2), list(2)...)
 	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: twice})
 	if len(b.active) != 2 {
-		t.Errorf("%d ready after a list that names each twice", len(b.active))
+		t.Errorf("%d backends active after a list that names each of two backends twice, want 2", len(b.active))
 	}
 	b.Request(second, Request{ID: 1, Class: 99, Tenant: 99, Deadline: 0})
 	b.Request(second, Request{ID: 1})
@@ -96,9 +100,9 @@
 	b.Timer(second, ^uint64(0))
 	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull})
 	if len(b.active) != 0 {
-		t.Error("an empty list leaves ready backends")
+		t.Errorf("%d backends active after an empty full list, want 0", len(b.active))
 	}
 	if got := h.take("send"); len(got) > 0 {
-		t.Errorf("a request past its deadline was sent: %v", got)
+		t.Errorf("requests past their deadline and unknown IDs caused %v, want no send", got)
 	}
 }
--- a/decision/helpers_test.go
+++ b/decision/helpers_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// The classes of testConfig, as indexes into Config.Classes.
 const (
 	idempotent = iota
 	keyed
@@ -13,22 +14,54 @@
 	keyedAnywhere
 )
 
-// recorder is a Host that keeps what it was asked for.
+// recorder is a Host that records the actions that the Balancer requests.
 type recorder struct {
-	acts []action
+	actions []action
 }
 
+// action is one call of a Host method. verb names the method; the other fields are its arguments.
 type action struct {
 	verb    string
 	id      RequestID
 	to      BackendID
 	attempt int
-	at      time.Duration // until, retryAfter or d
+	at      time.Duration // the argument until, retryAfter or d
 	token   uint64
 	text    string
 }
 
-func (h *recorder) add(a action) { h.acts = append(h.acts, a) }
+// String describes the action for failure messages.
+func (a action) String() string {
+	switch a.verb {
+	case "send":
+		return fmt.Sprintf("send request %d to backend %d until %v", a.id, a.to, a.at)
+	case "reject":
+		return fmt.Sprintf("reject request %d with retry after %v", a.id, a.at)
+	case "fail":
+		return fmt.Sprintf("fail request %d", a.id)
+	case "cancel":
+		return fmt.Sprintf("cancel attempt %d of request %d", a.attempt, a.id)
+	case "check", "release":
+		return fmt.Sprintf("%s backend %d", a.verb, a.to)
+	case "timer":
+		return fmt.Sprintf("timer after %v with token %x", a.at, a.token)
+	}
+	return a.verb + " " + a.text
+}
+
+// resultName names a result for failure messages.
+func resultName(r Result) string {
+	return [...]string{OK: "OK", Error: "Error", Rejected: "Rejected", Timeout: "Timeout",
+		ConnectFailed: "ConnectFailed", Reset: "Reset", Cancelled: "Cancelled", NotSent: "NotSent"}[r]
+}
+
+// className names a class of testConfig for failure messages.
+func className(class int) string {
+	return [...]string{idempotent: "idempotent", keyed: "keyed with zone scope", notIdempotent: "not idempotent",
+		keyedAnywhere: "keyed with scope all"}[class]
+}
+
+func (h *recorder) add(a action) { h.actions = append(h.actions, a) }
 
 func (h *recorder) Send(id RequestID, to BackendID, until time.Duration) {
 	h.add(action{verb: "send", id: id, to: to, at: until})
@@ -60,23 +93,23 @@
 
 func (h *recorder) Log(line string) { h.add(action{verb: "log", text: line}) }
 
-// take gives the actions of the verbs since the last call of it, and forgets all.
+// take returns the recorded actions with one of the verbs, in order, and clears the record.
 func (h *recorder) take(verbs ...string) []action {
 	var out []action
-	for _, a := range h.acts {
+	for _, a := range h.actions {
 		for _, v := range verbs {
 			if a.verb == v {
 				out = append(out, a)
 			}
 		}
 	}
-	h.acts = nil
+	h.actions = nil
 	return out
 }
 
 const second, milli = time.Second, time.Millisecond
 
-// testConfig has one class of each idempotency; all capabilities are granted.
+// testConfig returns a configuration with one class for each kind of idempotency and all capabilities enabled.
 func testConfig() Config {
 	return Config{Instances: 2, Tick: 5 * milli, OverQuotaWeight: 1,
 		Classes: []Class{
@@ -99,6 +132,7 @@
 	}
 }
 
+// list returns n ready backends with the IDs 1 to n, in two zones and three cells.
 func list(n int) []Backend {
 	var bs []Backend
 	for i := range n {
@@ -107,12 +141,13 @@
 	return bs
 }
 
+// newBalancer returns a started Balancer with an endpoint list of n backends, and its Host with an empty record.
 func newBalancer(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
 	t.Helper()
 	h := &recorder{}
 	b, err := New(cfg, 1, h)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	b.Start(second)
 	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Version: 1, Backends: list(n)})
@@ -120,26 +155,27 @@
 	return b, h
 }
 
-// manyConfig is the configuration of one of n proxies, each with little traffic.
+// manyConfig returns the configuration of a proxy that shares its backends with n-1 others.
 func manyConfig(n int) Config {
 	cfg := testConfig()
 	cfg.Instances, cfg.Rank = n, 7
 	return cfg
 }
 
-// openedRequest gives a Balancer with one request whose first attempt is in flight at the backend.
-func openedRequest(t *testing.T, cfg Config, class, backends int) (*Balancer, *recorder, BackendID) {
+// openedRequest returns a Balancer with one request, ID 1, whose first attempt is in flight; to is its backend.
+func openedRequest(t *testing.T, cfg Config, class, backends int) (b *Balancer, h *recorder, to BackendID) {
 	t.Helper()
-	b, h := newBalancer(t, cfg, backends)
+	b, h = newBalancer(t, cfg, backends)
 	b.Request(second, Request{ID: 1, Class: class, Deadline: 4 * second})
 	sends := h.take("send")
 	if len(sends) != 1 {
-		t.Fatalf("%d sends at first", len(sends))
+		t.Fatalf("Request(class %d, %d backends) caused %d sends, want 1", class, backends, len(sends))
 	}
 	return b, h, sends[0].to
 }
 
-// fireEverything fires all timers that may run, sends a list and lets time go by, after a request has ended.
+// fireEverything fires every timer that may be running, reports an endpoint list of six backends and lets 5 s pass.
+// Tests call it after request 1 has ended; attempts is the number of attempts that request may have had.
 func fireEverything(b *Balancer, from time.Duration, attempts int) {
 	for n := range attempts {
 		b.Timer(from, attemptToken(1, n))
