--- a/decision/enginehistory_test.go
+++ b/decision/enginehistory_test.go
@@ -17,46 +17,51 @@
 	"lapisspread/internal/engine/enginetest"
 )
 
-// engineHarness runs an engine between random requests, a random endpoint list and scripted servers, with the model
-// beside it. A send counts when a server has it, so of the rule on drains only the grace period is checked.
+// engineHarness runs an engine with random requests, a random endpoint list and scripted servers, and reports each
+// event to the model. A send is reported when a server receives it, after the engine's own delays, so the model's rule
+// on drains is checked with its grace period only.
 type engineHarness struct {
 	enginetest.Script
 	mu      sync.Mutex
 	seed    uint64
-	random  *rand.Rand // of the requests and of the list; what goroutines draw comes from randomFor
+	random  *rand.Rand // for the requests and the list; goroutines use randomFor
 	model   *model
 	engine  *engine.Engine
 	members []engine.Endpoint
 	version uint32
 	changed chan struct{}       // closed at each change of the list
-	update  engine.EndpointList // what changed last
+	update  engine.EndpointList // the latest change
 	trace   []string
 }
 
-type drawnMessage decision.RequestID
+// requestMessage is the message of a request: only its ID.
+type requestMessage decision.RequestID
 
-func (drawnMessage) Consumed() bool { return false }
+func (requestMessage) Consumed() bool { return false }
 
+// lock locks the harness, sets the model's clock to the engine's, and returns the function that unlocks.
 func (g *engineHarness) lock() func() {
 	g.mu.Lock()
 	g.model.now = g.engine.Clock().Now()
 	return g.mu.Unlock
 }
 
-func (g *engineHarness) note(format string, args ...any) {
+// tracef adds a line to the trace. The lock must be held.
+func (g *engineHarness) tracef(format string, args ...any) {
 	g.trace = append(g.trace, fmt.Sprintf("%v ", g.model.now)+fmt.Sprintf(format, args...))
 }
 
-// randomFor gives each purpose a source of its own, as goroutines of one moment run in any order.
-func (g *engineHarness) randomFor(of ...int) *rand.Rand {
+// randomFor returns a random source for a purpose, which is given by numbers. Goroutines that run at the same simulated
+// time run in any order, so a shared source would make runs irreproducible.
+func (g *engineHarness) randomFor(purpose ...int) *rand.Rand {
 	h := g.seed
-	for _, n := range of {
+	for _, n := range purpose {
 		h = h*1_000_003 + uint64(n)
 	}
 	return rand.New(rand.NewPCG(h, 11))
 }
 
-func (g *engineHarness) Addr() string { return "drawn" }
+func (g *engineHarness) Addr() string { return "simulated" }
 func (g *engineHarness) Close()       {}
 
 func (g *engineHarness) Fetch(context.Context) (engine.EndpointList, error) {
@@ -66,7 +71,7 @@
 	return l, nil
 }
 
-func (g *engineHarness) Watch(ctx context.Context, from uint32, tell func(engine.EndpointList)) error {
+func (g *engineHarness) Watch(ctx context.Context, from uint32, onUpdate func(engine.EndpointList)) error {
 	for {
 		unlock := g.lock()
 		l, changed := g.update, g.changed
@@ -88,19 +93,19 @@
 		}
 		unlock()
 		if fails {
-			return errors.New("drawn")
+			return errors.New("simulated failure of the watch")
 		}
-		tell(l)
+		onUpdate(l)
 		from = l.Version
 	}
 }
 
-// fullList is the list as it is now.
+// fullList returns the current list.
 func (g *engineHarness) fullList() engine.EndpointList {
 	return engine.EndpointList{Version: g.version, Full: true, Endpoints: slices.Clone(g.members)}
 }
 
-// reportList tells the model of a list. The lock must be held.
+// reportList reports an endpoint list to the model. The lock must be held.
 func (g *engineHarness) reportList(l engine.EndpointList) {
 	m := decision.EndpointUpdate{Kind: decision.UpdateDelta, Version: l.Version}
 	if l.Full {
@@ -110,11 +115,11 @@
 		m.Backends = append(m.Backends, decision.Backend{ID: engine.BackendID(e.ID), Cell: e.Cell, State: e.State,
 			Started: e.Started})
 	}
-	g.note("list %d full %v:%s", l.Version, l.Full, describeBackends(m.Backends))
+	g.tracef("endpoint list, version %d, full %v:%s", l.Version, l.Full, describeBackends(m.Backends))
 	g.model.endpoints(m)
 }
 
-// changeList makes a random change of the list.
+// changeList makes a random change to the list.
 func (g *engineHarness) changeList() {
 	defer g.lock()()
 	e := &g.members[g.random.IntN(len(g.members))]
@@ -132,7 +137,7 @@
 	g.changed = make(chan struct{})
 }
 
-// Find gives a server whatever the list says: what is sent there is for the engine and the module to decide.
+// Find returns a server for any ID, listed or not: the engine and the Balancer decide what is sent there.
 func (g *engineHarness) Find(id decision.BackendID) engine.Backend { return scriptedPeer{g, id} }
 
 type scriptedPeer struct {
@@ -141,11 +146,11 @@
 }
 
 func (s scriptedPeer) Exchange(ctx context.Context, a engine.Attempt) (decision.Result, any) {
-	id := decision.RequestID(a.Message.(drawnMessage))
+	id := decision.RequestID(a.Message.(requestMessage))
 	unlock := s.lock()
 	rng := s.randomFor(3, int(id), int(s.id), int(s.model.now))
 	unlock()
-	if rng.IntN(4) == 0 { // a new connection is made
+	if rng.IntN(4) == 0 { // the time of a new connection
 		select {
 		case <-time.After(time.Duration(rng.IntN(300)) * milli):
 		case <-ctx.Done():
@@ -153,11 +158,11 @@
 	}
 	unlock = s.lock()
 	_, may := a.SendAllowed()
-	if !may || ctx.Err() != nil { // cancelled before it began, or too late
+	if !may || ctx.Err() != nil { // cancelled before it was sent, or too late
 		unlock()
 		return decision.NotSent, nil
 	}
-	s.note("send %d to %d", id, s.id)
+	s.tracef("send request %d to backend %d", id, s.id)
 	s.model.send(id, s.id)
 	t := &modelAttempt{}
 	if tries := s.model.byID[id].attempts; len(tries) > 0 {
@@ -166,37 +171,36 @@
 	unlock()
 	result, answer := s.Script.Exchange(ctx, a)
 	defer s.lock()()
-	s.note("outcome %d of %d", result, id)
+	s.tracef("outcome %s of request %d", resultName(result), id)
 	t.done, t.result = true, result
 	return result, answer
 }
 
-func (g *engineHarness) sendRequest(id decision.RequestID, class int, give, leave time.Duration) {
-	x := &engine.Request{Message: drawnMessage(id), Class: class, Timeout: give}
+// sendRequest submits a request and waits for its result. If leaveAfter is above 0, the client leaves after it.
+func (g *engineHarness) sendRequest(id decision.RequestID, class int, timeout, leaveAfter time.Duration) {
+	x := &engine.Request{Message: requestMessage(id), Class: class, Timeout: timeout}
 	x.Init()
 	unlock := g.lock()
-	x.Deadline = g.model.now + give
-	g.note("request %d class %d", id, class)
+	x.Deadline = g.model.now + timeout
+	g.tracef("request %d class %d", id, class)
 	g.model.request(decision.Request{ID: id, Class: class, Deadline: x.Deadline}, milli)
 	unlock()
 	g.engine.Post(func() { g.engine.Submit(x) })
-	if leave > 0 {
-		time.Sleep(leave)
+	if leaveAfter > 0 {
+		time.Sleep(leaveAfter)
 		g.engine.Post(func() { g.engine.ClientGone(x) })
 	}
 	end := <-x.Result()
 	unlock = g.lock()
-	g.note("end of request %d: %v", id, end.Outcome)
+	g.tracef("end of request %d: %v", id, end.Outcome)
 	r := g.model.byID[id]
 	switch {
 	case end.ClientGone:
 		r.ended = true
 	case end.Outcome == engine.Served:
-		if r.ended || !slices.ContainsFunc(r.attempts, func(t *modelAttempt) bool {
-			return t.done &&
-				t.result == decision.OK
-		}) {
-			g.model.violation("rule 1", "request %d is served by nobody, or twice", id)
+		if r.ended || !slices.ContainsFunc(r.attempts, (*modelAttempt).succeeded) {
+			g.model.violation(ruleFinalAnswer, "request %d ended as Served, but it already had its final answer or "+
+				"none of its attempts ended with OK", id)
 		}
 		r.ended = true
 	default:
@@ -208,14 +212,14 @@
 	time.Sleep(time.Minute)
 	select {
 	case <-x.Result():
-		t := g.lock()
-		g.model.violation("rule 1", "request %d has a second result", id)
-		t()
+		unlock = g.lock()
+		g.model.violation(ruleFinalAnswer, "request %d got a second result", id)
+		unlock()
 	default:
 	}
 }
 
-// runEngineHistory runs a random history through the engine and gives the violations and the trace.
+// runEngineHistory runs a random history through the engine and returns the model's violations and the trace.
 func runEngineHistory(t *testing.T, seed uint64) (violations, trace []string) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newEngineHarness(t, seed)
@@ -224,15 +228,15 @@
 		all.Go(func() { g.engine.Run(ctx) })
 		for id := range decision.RequestID(600) {
 			unlock := g.lock()
-			class, give, leave := g.random.IntN(len(g.model.config.Classes)),
+			class, timeout, leaveAfter := g.random.IntN(len(g.model.config.Classes)),
 				time.Duration(50+g.random.IntN(1500))*milli,
 				time.Duration(0)
 			if g.random.IntN(20) == 0 {
-				leave = min(give, time.Duration(1+g.random.IntN(100))*milli)
+				leaveAfter = min(timeout, time.Duration(1+g.random.IntN(100))*milli)
 			}
 			gap, change := time.Duration(g.random.IntN(30))*milli, g.random.IntN(15) == 0
 			unlock()
-			all.Go(func() { g.sendRequest(id, class, give, leave) })
+			all.Go(func() { g.sendRequest(id, class, timeout, leaveAfter) })
 			time.Sleep(gap)
 			if change {
 				g.changeList()
@@ -246,11 +250,12 @@
 	return violations, trace
 }
 
-// newEngineHarness starts nothing yet: the engine has its first list, and the model knows it.
+// newEngineHarness returns a harness whose engine is not running yet. The engine and the model have the first list.
 func newEngineHarness(t *testing.T, seed uint64) *engineHarness {
 	t.Helper()
 	cfg := enginetest.Config()
-	cfg.Classes = append(slices.Clone(cfg.Classes), // with windows shorter than a connection may take
+	// The deduplication windows are shorter than a connection may take.
+	cfg.Classes = append(slices.Clone(cfg.Classes),
 		decision.Class{Name: "all", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second,
 			Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll,
 			DeduplicationWindow: 60 * milli, PriorityWeight: 1},
@@ -259,9 +264,10 @@
 			DeduplicationWindow: 150 * milli, PriorityWeight: 1})
 	rng := rand.New(rand.NewPCG(seed, 9))
 	cfg.Capabilities.HedgedRequests, cfg.Capabilities.HealthChecks = rng.IntN(2) == 0, rng.IntN(2) == 0
-	g := &engineHarness{seed: seed, random: rng, version: math.MaxUint32 - 3, changed: make(chan struct{})} // wraps
+	// The list's version wraps around after some changes.
+	g := &engineHarness{seed: seed, random: rng, version: math.MaxUint32 - 3, changed: make(chan struct{})}
 	g.model = newModel(cfg, &backendLoads{speed: map[decision.BackendID]float64{},
-		sent: map[decision.BackendID][]workSent{}, slack: time.Hour})
+		sent: map[decision.BackendID][]sentWork{}, slack: time.Hour})
 	g.model.drainGraceOnly = true
 	for i := range 1 + rng.IntN(6) {
 		g.members = append(g.members, engine.Endpoint{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1",
@@ -272,7 +278,7 @@
 	e, err := engine.New(engine.Options{Decision: cfg, Seed: seed, InitialEndpoints: g.update, Upstream: g,
 		Source: g})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("engine.New: %v", err)
 	}
 	g.engine = e
 	unlock := g.lock()
@@ -281,10 +287,10 @@
 	return g
 }
 
-// nextStep scripts what a server does with an attempt.
+// nextStep returns the random behaviour of a server for an attempt.
 func (g *engineHarness) nextStep(_ int, a engine.Attempt) enginetest.Step {
 	defer g.lock()()
-	id := a.Message.(drawnMessage)
+	id := a.Message.(requestMessage)
 	rng := g.randomFor(2, int(id), len(g.model.byID[decision.RequestID(id)].attempts))
 	r := enginetest.Step{Delay: time.Duration(rng.IntN(80)) * milli, Response: "x",
 		IgnoresCancel: rng.IntN(20) == 0}
@@ -298,10 +304,11 @@
 	return r
 }
 
+// An engine with its Balancer violates none of the model's rules in random histories.
 func TestEngineFollowsModel(t *testing.T) {
 	for seed := range uint64(12) {
-		if broken, trace := runEngineHistory(t, seed); len(broken) > 0 {
-			reportViolation(t, seed, broken[:min(3, len(broken))], trace, len(trace))
+		if violations, trace := runEngineHistory(t, seed); len(violations) > 0 {
+			reportViolation(t, seed, violations[:min(3, len(violations))], trace, len(trace))
 			return
 		}
 	}
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -7,7 +7,7 @@
 	"lapisspread/decision"
 )
 
-// printer is a Host that prints what a proxy would do.
+// printer is a Host that prints the actions that a proxy would carry out.
 type printer struct{}
 
 func (printer) Send(id decision.RequestID, to decision.BackendID, until time.Duration) {
@@ -26,11 +26,11 @@
 func (printer) FetchEndpoints()                           {}
 func (printer) SendToPeer(uint32, []byte)                 {}
 func (printer) StartTimer(time.Duration, uint64) {
-	// A real proxy calls Timer with the token when the time has come.
+	// A real proxy calls Balancer.Timer with the token after the duration.
 }
 func (printer) Log(line string) { fmt.Println(line) }
 
-// A proxy tells its Balancer what happened; the Host carries out what it decides.
+// A proxy reports events to its Balancer; the Host carries out the Balancer's decisions.
 func Example() {
 	cfg := decision.Config{
 		Instances: 1,
--- a/decision/flawed_test.go
+++ b/decision/flawed_test.go
@@ -9,30 +9,30 @@
 	"lapisspread/decision"
 )
 
-// policy is a Balancer whose events may be falsified.
+// policy is a Balancer whose events may be altered before they reach it.
 type policy struct {
 	*decision.Balancer
-	rewriteList   func(decision.EndpointUpdate) []decision.EndpointUpdate // in place of each list
-	ignoresDetach bool                                                    // operators' orders are lost
+	rewriteList   func(decision.EndpointUpdate) []decision.EndpointUpdate // returns the updates that replace one
+	ignoresDetach bool                                                    // Detach does nothing
 }
 
-func (f *policy) UpdateEndpoints(now time.Duration, m decision.EndpointUpdate) {
-	if f.rewriteList == nil {
-		f.Balancer.UpdateEndpoints(now, m)
+func (p *policy) UpdateEndpoints(now time.Duration, update decision.EndpointUpdate) {
+	if p.rewriteList == nil {
+		p.Balancer.UpdateEndpoints(now, update)
 		return
 	}
-	for _, l := range f.rewriteList(m) {
-		f.Balancer.UpdateEndpoints(now, l)
+	for _, l := range p.rewriteList(update) {
+		p.Balancer.UpdateEndpoints(now, l)
 	}
 }
 
-func (f *policy) Detach(now time.Duration, id decision.BackendID) {
-	if !f.ignoresDetach {
-		f.Balancer.Detach(now, id)
+func (p *policy) Detach(now time.Duration, id decision.BackendID) {
+	if !p.ignoresDetach {
+		p.Balancer.Detach(now, id)
 	}
 }
 
-// interferingHost is a Host that may do something else than the policy asks for.
+// interferingHost is a Host whose send and reject, if set, replace the actions that the policy requests.
 type interferingHost struct {
 	decision.Host
 	send   func(h decision.Host, id decision.RequestID, to decision.BackendID, until time.Duration)
@@ -55,63 +55,66 @@
 	h.reject(h.Host, id)
 }
 
-// The model finds the rule that each flawed policy breaks.
+// The model detects the rule that each flawed policy violates.
 func TestModelRejectsFlawedPolicies(t *testing.T) {
-	entries := func(change func(*decision.Backend)) func(*policy, *interferingHost) {
-		return func(f *policy, _ *interferingHost) {
-			f.rewriteList = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
-				var all []decision.Backend
-				for _, e := range m.Backends {
+	changeEntries := func(change func(*decision.Backend)) func(*policy, *interferingHost) {
+		return func(p *policy, _ *interferingHost) {
+			p.rewriteList = func(update decision.EndpointUpdate) []decision.EndpointUpdate {
+				var changed []decision.Backend
+				for _, e := range update.Backends {
 					change(&e)
-					all = append(all, e)
+					changed = append(changed, e)
 				}
-				m.Backends = all
-				return []decision.EndpointUpdate{m}
+				update.Backends = changed
+				return []decision.EndpointUpdate{update}
 			}
 		}
 	}
 	for _, k := range []struct {
-		name, rule string
-		calm       bool
-		cfg        func(*decision.Config)
-		spoil      func(*policy, *interferingHost)
+		name, violation string // the violation begins with this text
+		restartsOnly    bool
+		changeConfig    func(*decision.Config)
+		addFlaw         func(*policy, *interferingHost)
 	}{
-		{"answers twice", "rule 1", false, nil, func(_ *policy, h *interferingHost) {
+		{"answers twice", ruleFinalAnswer, false, nil, func(_ *policy, h *interferingHost) {
 			h.reject = func(h decision.Host, id decision.RequestID) { h.Reject(id, 0); h.Fail(id) }
 		}},
-		{"never rejects", "rule 1", false, nil, func(_ *policy, h *interferingHost) {
+		{"never rejects", ruleFinalAnswer, false, nil, func(_ *policy, h *interferingHost) {
 			h.reject = func(decision.Host, decision.RequestID) {}
 		}},
-		{"repeats what may not be", "rule 2", false, func(c *decision.Config) {
+		{"retries requests that are not idempotent", ruleIdempotency, false, func(c *decision.Config) {
 			for i := range c.Classes {
 				c.Classes[i].Idempotency = decision.Idempotent
 			}
 		}, nil},
-		{"leaves the group of a keyed request", "rule 2", false, func(c *decision.Config) {
+		{"retries outside the deduplication scope", ruleIdempotency, false, func(c *decision.Config) {
 			for i := range c.Classes {
 				c.Classes[i].DeduplicationScope = decision.ScopeAll
 			}
 		}, nil},
-		{"forgets the window", "rule 2", false, func(c *decision.Config) {
+		{"retries after the deduplication window", ruleIdempotency, false, func(c *decision.Config) {
 			for i := range c.Classes {
 				c.Classes[i].DeduplicationWindow = time.Hour
 			}
 		}, nil},
-		{"sends two at once", "rule 2", false, func(c *decision.Config) { c.Capabilities.HedgedRequests = true }, nil},
-		{"sends on to what drains", "rule 3: send", false, nil,
-			entries(func(e *decision.Backend) { e.State = decision.Ready })},
-		{"sends to what is detached", "rule 3: send", false, nil,
-			func(f *policy, _ *interferingHost) { f.ignoresDetach = true }},
-		{"sends to what nobody listed", "listed", false, nil, entries(func(e *decision.Backend) { e.ID += 100 })},
-		{"sends all to the one that started last", "rule 4", true, nil, func(f *policy, h *interferingHost) {
+		{"hedges although that is not allowed", ruleIdempotency, false,
+			func(c *decision.Config) { c.Capabilities.HedgedRequests = true }, nil},
+		{"sends to draining backends", ruleDrain + ": send", false, nil,
+			changeEntries(func(e *decision.Backend) { e.State = decision.Ready })},
+		{"sends to detached backends", ruleDrain + ": send", false, nil,
+			func(p *policy, _ *interferingHost) { p.ignoresDetach = true }},
+		{"sends to unlisted backends", ruleInvalidAction, false, nil,
+			changeEntries(func(e *decision.Backend) { e.ID += 100 })},
+		{"sends everything to the backend that started last", ruleSlowStart, true, nil, func(p *policy,
+			h *interferingHost) {
 			last := decision.Backend{}
-			f.rewriteList = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
-				for _, e := range m.Backends {
+			p.rewriteList = func(update decision.EndpointUpdate) []decision.EndpointUpdate {
+				for _, e := range update.Backends {
 					if e.Started > last.Started {
 						last = e
 					}
 				}
-				return []decision.EndpointUpdate{m}
+				return []decision.EndpointUpdate{update}
 			}
 			h.send = func(h decision.Host, id decision.RequestID, to decision.BackendID, until time.Duration) {
 				if last.ID != 0 {
@@ -120,12 +123,14 @@
 				h.Send(id, to, until)
 			}
 		}},
-		{"builds its checker anew with each list", "health", false, nil, func(f *policy, _ *interferingHost) {
-			f.rewriteList = func(m decision.EndpointUpdate) []decision.EndpointUpdate {
-				return []decision.EndpointUpdate{{Kind: decision.UpdateFull}, m}
+		{"forgets all backends before each endpoint update", ruleHealth, false, nil, func(p *policy,
+			_ *interferingHost) {
+			p.rewriteList = func(update decision.EndpointUpdate) []decision.EndpointUpdate {
+				return []decision.EndpointUpdate{{Kind: decision.UpdateFull}, update}
 			}
 		}},
-		{"keeps an answer back", "parked", false, nil, func(_ *policy, h *interferingHost) {
+		{"delays rejections until shortly before the deadline", ruleUnanswered, false, nil, func(_ *policy,
+			h *interferingHost) {
 			h.reject = func(h decision.Host, id decision.RequestID) {
 				x := h.(*proxy)
 				if r := x.model.byID[id]; !r.StreamedBody {
@@ -138,34 +143,34 @@
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
-			spoiled := func(cfg decision.Config, seed uint64, h decision.Host) (*policy, error) {
-				f, spoilt := &policy{}, &interferingHost{Host: h}
-				if k.spoil != nil {
-					k.spoil(f, spoilt)
+			newFlawedPolicy := func(cfg decision.Config, seed uint64, h decision.Host) (*policy, error) {
+				p, interfering := &policy{}, &interferingHost{Host: h}
+				if k.addFlaw != nil {
+					k.addFlaw(p, interfering)
 				}
 				cfg.Classes = slices.Clone(cfg.Classes)
-				if k.cfg != nil {
-					k.cfg(&cfg)
+				if k.changeConfig != nil {
+					k.changeConfig(&cfg)
 				}
-				b, err := decision.New(cfg, seed, spoilt)
-				f.Balancer = b
-				return f, err
+				b, err := decision.New(cfg, seed, interfering)
+				p.Balancer = b
+				return p, err
 			}
 			found := ""
-			for seed := uint64(0); seed < 40 && !strings.HasPrefix(found, k.rule); seed++ {
-				broken, _, _, err := runHistory(seed, spoiled, runOptions{restartsOnly: k.calm,
-					drainGraceOnly: strings.HasPrefix(k.rule, "rule 3")})
+			for seed := uint64(0); seed < 40 && !strings.HasPrefix(found, k.violation); seed++ {
+				violations, _, _, err := runHistory(seed, newFlawedPolicy, runOptions{restartsOnly: k.restartsOnly,
+					drainGraceOnly: strings.HasPrefix(k.violation, ruleDrain)})
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("runHistory(seed %d): %v", seed, err)
 				}
-				if len(broken) > 0 {
-					found = broken[0]
+				if len(violations) > 0 {
+					found = violations[0]
 				}
 			}
-			if !strings.HasPrefix(found, k.rule) {
-				t.Errorf("one that %s is not found to break %s: %q", k.name, k.rule, found)
+			if !strings.HasPrefix(found, k.violation) {
+				t.Errorf("a policy that %s: last violation in 40 runs = %q, want one of %q", k.name, found, k.violation)
 			} else {
-				t.Logf("one that %s: %s", k.name, found)
+				t.Logf("a policy that %s: %s", k.name, found)
 			}
 		})
 	}
--- a/decision/historysettings_test.go
+++ b/decision/historysettings_test.go
@@ -8,16 +8,17 @@
 	"lapisspread/decision"
 )
 
-// minRequestGap keeps runs with little work in each request short.
+// minRequestGap is the minimum mean time between requests. It keeps runs with little work in each request short.
 const minRequestGap = 10 * milli
 
-// randomizeSettings draws the settings of any kind of site, and gives the mean work of a request that goes with its
+// randomizeSettings draws random settings, as of many kinds of sites. It returns a mean work of a request that fits the
 // latency objectives.
-func randomizeSettings(cfg *decision.Config, rng *rand.Rand) (work time.Duration) {
-	between := func(least, most time.Duration) time.Duration { // each order of magnitude alike
-		return time.Duration(float64(least) * math.Pow(float64(most)/float64(least), rng.Float64()))
+func randomizeSettings(cfg *decision.Config, rng *rand.Rand) (meanWork time.Duration) {
+	// between draws a duration whose logarithm is uniformly distributed.
+	between := func(minimum, maximum time.Duration) time.Duration {
+		return time.Duration(float64(minimum) * math.Pow(float64(maximum)/float64(minimum), rng.Float64()))
 	}
-	if cfg.Instances = 1 + rng.IntN(3); rng.IntN(6) == 0 { // one of many: these runs take long
+	if cfg.Instances = 1 + rng.IntN(3); rng.IntN(6) == 0 { // many proxies are rare, since their runs take long
 		cfg.Instances = 9
 	}
 	cfg.Tick = between(milli/2, 20*milli).Round(milli / 2)
@@ -40,48 +41,50 @@
 	cfg.Weights = decision.WeightKind(rng.IntN(3))
 	cfg.ObjectiveWeights = decision.ObjectiveWeights{Overall: rng.Float64(), WorstClass: rng.Float64(),
 		WorstTenant: rng.Float64(), WorstWindow: rng.Float64()}
-	least := between(50*milli, 2*time.Second) // client timeout; of no class is it more than four times as long
+	minTimeout := between(50*milli, 2*time.Second) // client timeouts are one to four times as long
 	if rng.IntN(8) == 0 {
-		least = 15 * time.Second
+		minTimeout = 15 * time.Second
 	}
-	work = 80 * milli
+	meanWork = 80 * milli
 	for i := range cfg.Classes {
 		k := &cfg.Classes[i]
-		k.ClientTimeout = between(least, 4*least)
+		k.ClientTimeout = between(minTimeout, 4*minTimeout)
 		k.LatencyObjective = between(k.ClientTimeout/8, k.ClientTimeout)
 		k.DeduplicationWindow, k.PriorityWeight = between(10*milli, 10*time.Second),
 			float64(between(milli, time.Second))/float64(20*milli)
-		work = min(work, time.Duration(float64(k.LatencyObjective)*(0.1+0.3*rng.Float64())))
+		meanWork = min(meanWork, time.Duration(float64(k.LatencyObjective)*(0.1+0.3*rng.Float64())))
 	}
 	for i := range cfg.Tenants {
 		cfg.Tenants[i].QuotaPerSecond = float64(between(milli, 10*time.Second)) / float64(10*milli)
 	}
-	return max(work, milli)
+	return max(meanWork, milli)
 }
 
-// randomSiteConfig is the configuration of a site with one class of each idempotency.
+// randomSiteConfig returns a configuration with classes of each kind of idempotency and deduplication scope. Other
+// settings are random.
 func randomSiteConfig(rng *rand.Rand) decision.Config {
 	coin := func() bool { return rng.IntN(2) == 0 }
-	late := func() float64 { return []float64{0, 0.5}[rng.IntN(2)] }
+	lateValueShare := func() float64 { return []float64{0, 0.5}[rng.IntN(2)] }
 	cfg := decision.Config{Instances: 1 + rng.IntN(4), Tick: time.Duration(rng.IntN(3)) * 2 * milli,
 		OverQuotaWeight: 0.1,
 		Classes: []decision.Class{
 			{Name: "safe", LatencyObjective: 250 * milli, ClientTimeout: time.Second,
-				Idempotency: decision.Idempotent, PriorityWeight: 2, LateValueShare: late()},
+				Idempotency: decision.Idempotent, PriorityWeight: 2, LateValueShare: lateValueShare()},
 			{Name: "zone", LatencyObjective: 250 * milli, ClientTimeout: time.Second,
 				Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeZone,
-				DeduplicationWindow: 400 * milli, PriorityWeight: 2, LateValueShare: late()},
+				DeduplicationWindow: 400 * milli, PriorityWeight: 2, LateValueShare: lateValueShare()},
 			{Name: "cell", LatencyObjective: 500 * milli, ClientTimeout: time.Second,
 				Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeCell,
-				DeduplicationWindow: 900 * milli, PriorityWeight: 1, LateValueShare: late()},
+				DeduplicationWindow: 900 * milli, PriorityWeight: 1, LateValueShare: lateValueShare()},
 			{Name: "all", LatencyObjective: 500 * milli, ClientTimeout: time.Second,
 				Idempotency: decision.IdempotentByKey, DeduplicationScope: decision.ScopeAll,
-				DeduplicationWindow: 150 * milli, PriorityWeight: 1, LateValueShare: late()},
+				DeduplicationWindow: 150 * milli, PriorityWeight: 1, LateValueShare: lateValueShare()},
 			{Name: "unsafe", LatencyObjective: 500 * milli, ClientTimeout: 2 * time.Second,
 				Idempotency: decision.NotIdempotent, DeduplicationScope: decision.ScopeAll,
-				DeduplicationWindow: time.Second, PriorityWeight: 10, LateValueShare: late()},
+				DeduplicationWindow: time.Second, PriorityWeight: 10, LateValueShare: lateValueShare()},
 			{Name: "stream", LatencyObjective: 500 * milli, ClientTimeout: 2 * time.Second,
-				Idempotency: decision.Idempotent, StreamedResponse: true, PriorityWeight: 3, LateValueShare: late()},
+				Idempotency: decision.Idempotent, StreamedResponse: true, PriorityWeight: 3,
+				LateValueShare: lateValueShare()},
 		},
 		Tenants: []decision.Tenant{{Name: "a", Share: 0.7, QuotaPerSecond: 100},
 			{Name: "b", Share: 0.3, QuotaPerSecond: 0}},
--- a/decision/model_test.go
+++ b/decision/model_test.go
@@ -8,13 +8,25 @@
 	"lapisspread/decision"
 )
 
-// model states the four rules and the health of backends for one proxy, as simply as can be: it records what happened
-// and looks through all of it each time. It uses the interface of the package under test and none of its code.
+// The rules that the model checks; a violation begins with one of them. The numbers are those of model's comment.
+const (
+	ruleFinalAnswer   = "rule 1 (final answer)"
+	ruleIdempotency   = "rule 2 (idempotency)"
+	ruleDrain         = "rule 3 (drain)"
+	ruleSlowStart     = "rule 4 (slow start)"
+	ruleHealth        = "health"         // health checks and their consequences
+	ruleUnanswered    = "unanswered"     // a request that may not be sent any more is answered at once
+	ruleInvalidAction = "invalid action" // an action for something unknown or beyond the settings
+)
+
+// model checks the actions of one proxy's Balancer. It states four rules and the health of backends as simply as
+// possible: it records all events and searches all of them each time. It uses the interface of the package under test
+// and none of its code.
 //
 //   - Rule 1: each request gets one final answer, in time.
-//   - Rule 2: a request that may have run is repeated only as its class allows, and rejected only if that is harmless.
-//   - Rule 3: a backend that drains, left or is detached gets nothing new.
-//   - Rule 4: a backend that warms up gets no more work than it can bear.
+//   - Rule 2: a request that may have run is retried only as its class allows, and rejected only if that is harmless.
+//   - Rule 3: a backend that is draining, removed or detached gets nothing new.
+//   - Rule 4: a backend that is warming up gets no more work than it can serve.
 type model struct {
 	config     decision.Config
 	now        time.Duration
@@ -25,25 +37,26 @@
 	byID       map[decision.RequestID]*modelRequest
 	violations []string
 
-	// only the rule is checked, not the design, by which a backend that is not ready gets nothing at once
+	// Rule 3 is checked only as it is stated: a send within DrainGrace after the backend stopped being ready is
+	// allowed. Otherwise the stricter behaviour of the Balancer is checked: no send from the update on.
 	drainGraceOnly bool
 }
 
-// modelBackend is what the list and the health checks said of a backend.
+// modelBackend is the state of a backend according to the endpoint list and the health checks.
 type modelBackend struct {
 	decision.Backend
 	notReadySince            time.Duration // if it is not ready
 	unhealthy, checkInFlight bool
-	passes, fails            int // in a row
+	passes, fails            int // consecutive health checks
 }
 
 type modelRequest struct {
 	decision.Request
 	work                       time.Duration
 	attempts                   []*modelAttempt
-	ended, streaming           bool // ended: it has its final answer
+	ended, streaming           bool // ended: has its final answer
 	bodyComplete, bodyConsumed bool
-	reported                   bool
+	reported                   bool // a violation has been reported
 }
 
 type modelAttempt struct {
@@ -54,33 +67,44 @@
 	result     decision.Result
 }
 
-// succeeded reports whether an attempt was answered.
+// succeeded reports whether the attempt ended with OK.
 func (a *modelAttempt) succeeded() bool { return a.done && a.result == decision.OK }
 
-// backendLoads is what all proxies together sent to each backend, and what each can serve.
+// backendLoads records the work that all proxies together sent to each backend, and the speed of each.
 type backendLoads struct {
-	speed map[decision.BackendID]float64 // ms of work in a ms, once warm
-	sent  map[decision.BackendID][]workSent
-	slack time.Duration // for chance
+	speed map[decision.BackendID]float64 // ms of work a ms, once warm
+	sent  map[decision.BackendID][]sentWork
+	slack time.Duration // work beyond the limit that random arrivals may cause
 }
 
-type workSent struct{ at, ms time.Duration }
+// sentWork is the work of one attempt and the time of its send.
+type sentWork struct{ at, work time.Duration }
+
+// resultName names a result for failure messages and traces.
+func resultName(r decision.Result) string {
+	return [...]string{decision.OK: "OK", decision.Error: "Error", decision.Rejected: "Rejected",
+		decision.Timeout: "Timeout", decision.ConnectFailed: "ConnectFailed", decision.Reset: "Reset",
+		decision.Cancelled: "Cancelled", decision.NotSent: "NotSent"}[r]
+}
 
-func newModel(cfg decision.Config, fleet *backendLoads) *model {
-	return &model{config: cfg, loads: fleet, servers: map[decision.BackendID]*modelBackend{},
+// newModel returns the model of one proxy. All proxies of a run share loads.
+func newModel(cfg decision.Config, loads *backendLoads) *model {
+	return &model{config: cfg, loads: loads, servers: map[decision.BackendID]*modelBackend{},
 		detached: map[decision.BackendID]bool{},
 		byID:     map[decision.RequestID]*modelRequest{}}
 }
 
+// violation records that a rule, one of the constants above, was violated.
 func (m *model) violation(rule, format string, args ...any) {
 	m.violations = append(m.violations, rule+": "+fmt.Sprintf(format, args...))
 }
 
+// endpoints records an endpoint update.
 func (m *model) endpoints(l decision.EndpointUpdate) {
 	if l.Kind == decision.UpdateFailed {
 		return
 	}
-	leave := func(s *modelBackend) {
+	remove := func(s *modelBackend) {
 		if s.State == decision.Ready {
 			s.notReadySince = m.now
 		}
@@ -89,7 +113,7 @@
 	if l.Kind != decision.UpdateDelta {
 		for id, s := range m.servers {
 			if !slices.ContainsFunc(l.Backends, func(e decision.Backend) bool { return e.ID == id }) {
-				leave(s)
+				remove(s)
 			}
 		}
 	}
@@ -103,10 +127,10 @@
 			m.servers[e.ID] = s
 		}
 		if e.State == decision.Removed {
-			leave(s)
+			remove(s)
 			continue
 		}
-		if s.State == decision.Removed { // it is new or back: healthy until checks say otherwise
+		if s.State == decision.Removed { // new or returned: healthy until health checks fail
 			s.unhealthy = false
 			s.passes = 0
 			s.fails = 0
@@ -118,6 +142,7 @@
 	}
 }
 
+// healthChecked records the result of a health check.
 func (m *model) healthChecked(id decision.BackendID, r decision.Result) {
 	s := m.servers[id]
 	if s == nil || !s.checkInFlight { // no check is in flight
@@ -138,92 +163,97 @@
 	}
 }
 
-func (m *model) request(q decision.Request, ms time.Duration) {
-	r := &modelRequest{Request: q, work: ms}
+// request records a request with its actual work, which may differ from its expected work.
+func (m *model) request(q decision.Request, work time.Duration) {
+	r := &modelRequest{Request: q, work: work}
 	m.open, m.byID[q.ID] = append(m.open, r), r
 }
 
-// outcome records how an attempt ended, the first time that it is reported.
-func (m *model) outcome(id decision.RequestID, n int, result decision.Result, spent bool) {
+// outcome records how attempt n of a request ended. Only the first report counts.
+func (m *model) outcome(id decision.RequestID, n int, result decision.Result, bodyConsumed bool) {
 	r := m.byID[id]
 	if r == nil || n >= len(r.attempts) || r.attempts[n].done {
 		return
 	}
 	r.attempts[n].done, r.attempts[n].result = true, result
-	r.bodyConsumed = r.bodyConsumed || spent
+	r.bodyConsumed = r.bodyConsumed || bodyConsumed
 	if result == decision.OK || r.streaming {
 		r.ended = true
 	}
 }
 
+// neverRan reports whether the result of an attempt proves that it did not run.
 func neverRan(t *modelAttempt) bool {
 	return t.done && (t.result == decision.Rejected || t.result == decision.ConnectFailed ||
 		t.result == decision.NotSent)
 }
 
-// forbids says why the rule on repeats forbids to send a request to a place; empty is that it doesn't.
-func (m *model) forbids(r *modelRequest, zone, cell int) string {
+// forbiddenReason returns why rule 2 forbids sending a request to a backend of the zone and cell, or "" if it does not.
+func (m *model) forbiddenReason(r *modelRequest, zone, cell int) string {
 	c := m.config.Classes[r.Class]
 	for n, t := range r.attempts {
 		if !t.done && (!m.config.Capabilities.HedgedRequests || r.StreamedBody) {
-			return "two attempts out"
+			return "a second attempt would be in flight"
 		}
 		if neverRan(t) || c.Idempotency == decision.Idempotent {
 			continue
 		}
 		switch {
 		case c.Idempotency == decision.NotIdempotent:
-			return fmt.Sprintf("attempt %d may have run and may not be repeated", n)
+			return fmt.Sprintf("attempt %d may have run and the request is not idempotent", n)
 		case c.DeduplicationScope == decision.ScopeZone && t.zone != zone,
 			c.DeduplicationScope == decision.ScopeCell && t.cell != cell:
-			return fmt.Sprintf("it leaves the group of attempt %d", n)
+			return fmt.Sprintf("the backend is outside the deduplication scope of attempt %d", n)
 		case m.now-t.sent >= c.DeduplicationWindow:
-			return fmt.Sprintf("the window of attempt %d is over", n)
+			return fmt.Sprintf("the deduplication window of attempt %d has ended", n)
 		}
 	}
 	if len(r.attempts) >= m.config.Capabilities.MaxAttempts {
-		return "too many attempts"
+		return "MaxAttempts is reached"
 	}
 	return ""
 }
 
+// send records an attempt and checks it against the rules.
 func (m *model) send(id decision.RequestID, to decision.BackendID) {
 	r, s := m.byID[id], m.servers[to]
 	if r == nil || s == nil {
-		m.violation("listed", "request %d is sent to %d, one of them unknown", id, to)
+		m.violation(ruleInvalidAction, "request %d sent to backend %d, one of which is unknown", id, to)
 		return
 	}
 	if r.ended || r.streaming {
-		m.violation("rule 1", "request %d is sent after its end", id)
+		m.violation(ruleFinalAnswer, "request %d sent to backend %d after its final answer", id, to)
 	}
-	if why := m.forbids(r, s.Zone, s.Cell); why != "" {
-		m.violation("rule 2", "request %d to %d: %s", id, to, why)
+	if reason := m.forbiddenReason(r, s.Zone, s.Cell); reason != "" {
+		m.violation(ruleIdempotency, "request %d sent to backend %d, but %s", id, to, reason)
 	}
-	if away := m.now - s.notReadySince; s.State != decision.Ready && away > m.config.Constraints.DrainGrace {
-		m.violation("rule 3", "send to %d, %v after it was listed as draining or gone", to, away)
+	if elapsed := m.now - s.notReadySince; s.State != decision.Ready && elapsed > m.config.Constraints.DrainGrace {
+		m.violation(ruleDrain, "send to backend %d, %v after it was listed as draining or removed", to, elapsed)
 	} else if s.State != decision.Ready && !m.drainGraceOnly {
-		m.violation("listed", "send to %d, which is not listed as ready", to)
+		m.violation(ruleInvalidAction, "send to backend %d, which is not listed as ready", to)
 	}
 	if m.detached[to] {
-		m.violation("rule 3", "send to %d, which is detached", to)
+		m.violation(ruleDrain, "send to backend %d, which is detached", to)
 	}
 	if s.unhealthy {
 		for _, o := range m.servers {
-			if o.State == decision.Ready && !o.unhealthy && !m.detached[o.ID] && m.forbids(r, o.Zone, o.Cell) == "" {
-				m.violation("health", "send to %d, which fails its checks, while %d is healthy", to, o.ID)
+			if o.State == decision.Ready && !o.unhealthy && !m.detached[o.ID] &&
+				m.forbiddenReason(r, o.Zone, o.Cell) == "" {
+				m.violation(ruleHealth, "send to unhealthy backend %d while backend %d is healthy", to, o.ID)
 				break
 			}
 		}
 	}
-	if why := m.loads.charge(m.config.Constraints, m.now, s.Backend, r.work); why != "" {
-		m.violation("rule 4", "%s", why)
+	if overload := m.loads.add(m.config.Constraints, m.now, s.Backend, r.work); overload != "" {
+		m.violation(ruleSlowStart, "%s", overload)
 	}
 	r.attempts = append(r.attempts, &modelAttempt{target: to, zone: s.Zone, cell: s.Cell, sent: m.now})
 }
 
-// charge enters work at a backend, and says if that is more than it can bear while it warms up.
-func (b *backendLoads) charge(o decision.Constraints, now time.Duration, s decision.Backend, ms time.Duration) string {
-	b.sent[s.ID] = append(b.sent[s.ID], workSent{now, ms})
+// add records work sent to a backend. It returns a description of the overload if the backend is warming up and gets
+// more than it can serve, else "".
+func (b *backendLoads) add(o decision.Constraints, now time.Duration, s decision.Backend, work time.Duration) string {
+	b.sent[s.ID] = append(b.sent[s.ID], sentWork{now, work})
 	age := now - s.Started
 	if s.Started == 0 || age >= o.WarmUp {
 		return ""
@@ -231,121 +261,125 @@
 	sum := time.Duration(0)
 	for _, w := range b.sent[s.ID] {
 		if w.at >= s.Started && now-w.at < o.OverloadWindow {
-			sum += w.ms
+			sum += w.work
 		}
 	}
 	share := o.InitialCapacity + (1-o.InitialCapacity)*float64(max(age, 0))/float64(o.WarmUp)
 	budget := o.OverloadFactor*share*b.speed[s.ID]*float64(o.OverloadWindow) + float64(b.slack)
 	if float64(sum) > budget {
-		return fmt.Sprintf("%d got %v of work within %v, %v after its start; it bears %v", s.ID, sum,
-			o.OverloadWindow, age, time.Duration(budget))
+		return fmt.Sprintf("backend %d got %v of work within %v, %v after its start; it can serve at most %v", s.ID,
+			sum, o.OverloadWindow, age, time.Duration(budget))
 	}
 	return ""
 }
 
-// final takes a rejection or a failure.
+// final records a rejection or a failure as the final answer of a request, and checks it against the rules.
 func (m *model) final(id decision.RequestID, rejected bool) {
 	r := m.byID[id]
 	if r == nil {
-		m.violation("rule 1", "an answer to request %d, which nobody sent", id)
+		m.violation(ruleFinalAnswer, "final answer to unknown request %d", id)
 		return
 	}
 	if r.ended || r.streaming {
-		m.violation("rule 1", "request %d gets a second answer", id)
+		m.violation(ruleFinalAnswer, "request %d got a second final answer", id)
 	}
 	c := m.config.Classes[r.Class]
 	harmless := c.Idempotency == decision.Idempotent || c.Idempotency == decision.IdempotentByKey &&
 		c.DeduplicationScope == decision.ScopeAll
 	for n, t := range r.attempts {
 		if rejected && !harmless && !neverRan(t) {
-			m.violation("rule 2", "request %d is rejected though attempt %d may have run", id, n)
+			m.violation(ruleIdempotency, "request %d rejected although attempt %d may have run", id, n)
 		}
 	}
 	r.ended = true
 }
 
+// cancel checks the cancellation of attempt n of a request.
 func (m *model) cancel(id decision.RequestID, n int) {
 	if r := m.byID[id]; r == nil || n < 0 || n >= len(r.attempts) {
-		m.violation("listed", "attempt %d of request %d is called off, and was never made", n, id)
+		m.violation(ruleInvalidAction, "attempt %d of request %d cancelled, but never sent", n, id)
 	}
 }
 
+// checkHealth records the start of a health check and checks that it is allowed.
 func (m *model) checkHealth(id decision.BackendID) {
 	s := m.servers[id]
 	switch {
 	case m.drainGraceOnly:
 	case s == nil || s.State != decision.Ready || m.detached[id]:
-		m.violation("rule 3", "a check of %d, which is not listed as ready or is detached", id)
+		m.violation(ruleDrain, "health check of backend %d, which is not listed as ready or is detached", id)
 		return
 	case s.checkInFlight:
-		m.violation("health", "two checks of %d at once", id)
+		m.violation(ruleHealth, "two health checks of backend %d in flight at once", id)
 	case !m.config.Capabilities.HealthChecks:
-		m.violation("listed", "a check where none is allowed")
+		m.violation(ruleInvalidAction, "health check of backend %d although HealthChecks is false", id)
 	}
 	if s != nil {
 		s.checkInFlight = true
 	}
 }
 
-// hopeless reports whether a request may have been sent nowhere any more for some ms, whatever lists will say: the
-// proxy dispatches its queue now and then only.
-func (m *model) hopeless(r *modelRequest) bool {
+// undeliverable reports whether rule 2 has forbidden every send of a request for some ms, whatever the endpoint list
+// contains later. The ms are allowed because the proxy dispatches its queue only at intervals.
+func (m *model) undeliverable(r *modelRequest) bool {
 	if r.bodyConsumed {
 		return true
 	}
-	then := *m
-	then.now -= max(25*time.Millisecond, 3*m.config.Tick+time.Millisecond)
-	for _, t := range r.attempts { // a keyed one may go where one went that may have run
-		if then.forbids(r, t.zone, t.cell) == "" {
+	earlier := *m
+	earlier.now -= max(25*time.Millisecond, 3*m.config.Tick+time.Millisecond)
+	for _, t := range r.attempts { // a keyed request may go to the zone and cell of an attempt that may have run
+		if earlier.forbiddenReason(r, t.zone, t.cell) == "" {
 			return false
 		}
 	}
 	return true
 }
 
-// check looks at all open requests once an event has been handled. known and excluded are what the proxy reports.
+// check checks all open requests after an event has been handled, and known and excluded, the numbers of backends that
+// CountBackends reported.
 func (m *model) check(known, excluded int) {
-	wantKnown, wantOut := 0, 0
+	wantKnown, wantExcluded := 0, 0
 	for id, s := range m.servers {
 		if s.State != decision.Removed {
 			wantKnown++
 			if m.detached[id] || s.State == decision.Ready && s.unhealthy {
-				wantOut++
+				wantExcluded++
 			}
 		}
 	}
-	if !m.drainGraceOnly && (known != wantKnown || excluded != wantOut) {
-		m.violation("health", "%d servers known and %d avoided, should be %d and %d", known, excluded, wantKnown,
-			wantOut)
+	if !m.drainGraceOnly && (known != wantKnown || excluded != wantExcluded) {
+		m.violation(ruleHealth, "CountBackends() = %d known, %d excluded; want %d and %d", known, excluded, wantKnown,
+			wantExcluded)
 	}
 	m.checkDeadlines()
 	for _, r := range m.open {
 		if r.ended || r.streaming || r.reported {
 			continue
 		}
-		out := slices.ContainsFunc(r.attempts, func(t *modelAttempt) bool { return !t.done })
-		if out || len(r.attempts) == 0 {
+		inFlight := slices.ContainsFunc(r.attempts, func(t *modelAttempt) bool { return !t.done })
+		if inFlight || len(r.attempts) == 0 {
 			continue
 		}
-		if m.hopeless(r) {
-			m.violation("parked", "request %d may be sent nowhere any more and has no answer", r.ID)
+		if m.undeliverable(r) {
+			m.violation(ruleUnanswered, "request %d may not be sent any more and has no final answer", r.ID)
 			r.reported = true
 		}
 	}
 	m.forget()
 }
 
-// checkDeadlines looks for requests that had no answer in time.
+// checkDeadlines checks that no open request is past its deadline by more than AnswerSlack.
 func (m *model) checkDeadlines() {
 	for _, r := range m.open {
-		timed := !r.ended && !r.streaming && !r.reported && (!r.StreamedBody || r.bodyComplete)
-		if timed && m.now > r.Deadline+m.config.Constraints.AnswerSlack {
-			m.violation("rule 1", "request %d has no answer in time", r.ID)
+		answerDue := !r.ended && !r.streaming && !r.reported && (!r.StreamedBody || r.bodyComplete)
+		if answerDue && m.now > r.Deadline+m.config.Constraints.AnswerSlack {
+			m.violation(ruleFinalAnswer, "request %d has no final answer %v after its deadline", r.ID, m.now-r.Deadline)
 			r.reported = true
 		}
 	}
 }
 
+// forget removes the requests that need no more checks from the open ones.
 func (m *model) forget() {
 	m.open = slices.DeleteFunc(m.open, func(r *modelRequest) bool { return r.ended || r.reported })
 }
