--- a/decision/frozen_test.go
+++ b/decision/frozen_test.go
@@ -13,38 +13,40 @@
 	"time"
 )
 
-// The files in testdata were written by the program of c8fad44 with
+// The files in testdata were written at commit c8fad44 with
 //
 //	FREEZE=1 go test ./decision -run 'KeepsItsBytes|KeepTheirSums'
 //
-// They hold what must not change: the actions for a fixed sequence of events, and the stored form of Snapshot.
+// They hold what must not change: the actions for a fixed sequence of events, and the stored form of Snapshot. The
+// words of the transcripts, such as probe, refuse, tell, vet and whole, are those of that commit and stay as they are.
 
-// checkKept compares text with a kept file, or writes the file if FREEZE is set.
-func checkKept(t *testing.T, name string, text []byte) {
+// checkGoldenFile compares got with a file of testdata. If FREEZE is set, it first writes the file.
+func checkGoldenFile(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if os.Getenv("FREEZE") != "" {
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatalf("writing the golden file: %v", err)
 		}
 	}
-	kept, err := os.ReadFile(path)
+	want, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the golden file: %v", err)
 	}
-	if bytes.Equal(kept, text) {
+	if bytes.Equal(want, got) {
 		return
 	}
-	want, got := bytes.Split(kept, []byte("\n")), bytes.Split(text, []byte("\n"))
-	for i := range min(len(want), len(got)) {
-		if !bytes.Equal(want[i], got[i]) {
-			t.Fatalf("%s, line %d: got %q, want %q", name, i+1, got[i], want[i])
+	wantLines, gotLines := bytes.Split(want, []byte("\n")), bytes.Split(got, []byte("\n"))
+	for i := range min(len(wantLines), len(gotLines)) {
+		if !bytes.Equal(wantLines[i], gotLines[i]) {
+			t.Fatalf("line %d of %s: got %q, want %q", i+1, path, gotLines[i], wantLines[i])
 		}
 	}
-	t.Fatalf("%s: %d lines, want %d", name, len(got), len(want))
+	t.Fatalf("got %d lines, want the %d lines of %s", len(gotLines), len(wantLines), path)
 }
 
-// transcript is a Host that answers a Balancer's actions with events drawn from a seed, and writes down both.
+// transcript is a Host that responds to a Balancer's actions with random events and writes both to text. Equal seeds
+// give equal events.
 type transcript struct {
 	balancer *Balancer
 	rng      *rand.Rand
@@ -66,24 +68,25 @@
 
 func (s *transcript) printf(format string, args ...any) { fmt.Fprintf(&s.text, format+"\n", args...) }
 
-func (s *transcript) schedule(in time.Duration, run func()) {
+func (s *transcript) schedule(delay time.Duration, run func()) {
 	s.order++
-	s.events = append(s.events, transcriptEvent{s.now + in, s.order, run})
+	s.events = append(s.events, transcriptEvent{s.now + delay, s.order, run})
 }
 
-// event schedules a call of the Balancer that is written down with its time.
-func (s *transcript) event(in time.Duration, line string, run func()) {
-	s.schedule(in, func() {
+// event schedules run, which reports an event to the Balancer. When it runs, the time and line are written to text.
+func (s *transcript) event(delay time.Duration, line string, run func()) {
+	s.schedule(delay, func() {
 		s.printf("%d %s", s.now, line)
 		run()
 	})
 }
 
+// play runs the scheduled events that are due up to until, in the order of their times.
 func (s *transcript) play(until time.Duration) {
 	for len(s.events) > 0 {
 		next := 0
 		for i, e := range s.events {
-			if f := s.events[next]; e.at < f.at || e.at == f.at && e.order < f.order {
+			if first := s.events[next]; e.at < first.at || e.at == first.at && e.order < first.order {
 				next = i
 			}
 		}
@@ -101,13 +104,13 @@
 	s.printf("  send %d to %d until %d", id, to, until)
 	attempt := s.attempts[id]
 	s.attempts[id]++
-	took := time.Duration(1+s.rng.IntN(60)) * time.Millisecond
+	latency := time.Duration(1+s.rng.IntN(60)) * time.Millisecond
 	result := OK
 	switch draw := s.rng.IntN(100); {
 	case s.down[to] && draw < 60:
 		result = ConnectFailed
 	case s.down[to] || draw < 4:
-		result, took = Timeout, 400*time.Millisecond
+		result, latency = Timeout, 400*time.Millisecond
 	case draw < 8:
 		result = Error
 	case draw < 11:
@@ -115,21 +118,22 @@
 	case draw < 14:
 		result = Reset
 	case draw < 24:
-		took *= 8
+		latency *= 8
 	}
 	if id%9 == 4 && result == OK {
-		s.event(took/2, fmt.Sprintf("first byte %d/%d from %d", id, attempt, to), func() {
-			s.balancer.FirstByte(s.now, FirstByte{ID: id, Attempt: attempt, Backend: to, Latency: took / 2})
+		s.event(latency/2, fmt.Sprintf("first byte %d/%d from %d", id, attempt, to), func() {
+			s.balancer.FirstByte(s.now, FirstByte{ID: id, Attempt: attempt, Backend: to, Latency: latency / 2})
 		})
 	}
-	s.end(took, Outcome{ID: id, Attempt: attempt, Backend: to, Result: result, Latency: took, Final: result == OK})
+	s.scheduleOutcome(latency, Outcome{ID: id, Attempt: attempt, Backend: to, Result: result, Latency: latency,
+		Final: result == OK})
 }
 
-func (s *transcript) end(in time.Duration, o Outcome) {
+func (s *transcript) scheduleOutcome(delay time.Duration, o Outcome) {
 	o.BodyConsumed = s.streamed[o.ID] && o.Result != OK && o.ID%2 == 0
 	line := fmt.Sprintf("outcome %d/%d from %d: %d final %v spent %v", o.ID, o.Attempt, o.Backend, o.Result, o.Final,
 		o.BodyConsumed)
-	s.event(in, line, func() { s.balancer.Outcome(s.now, o) })
+	s.event(delay, line, func() { s.balancer.Outcome(s.now, o) })
 }
 
 func (s *transcript) Reject(id RequestID, retryAfter time.Duration) {
@@ -138,7 +142,7 @@
 func (s *transcript) Fail(id RequestID) { s.printf("  fail %d", id) }
 func (s *transcript) Cancel(id RequestID, attempt int) {
 	s.printf("  cancel %d/%d", id, attempt)
-	s.end(time.Millisecond, Outcome{ID: id, Attempt: attempt, Result: Cancelled})
+	s.scheduleOutcome(time.Millisecond, Outcome{ID: id, Attempt: attempt, Result: Cancelled})
 }
 
 func (s *transcript) CheckHealth(to BackendID) {
@@ -160,20 +164,20 @@
 	s.event(d, fmt.Sprintf("timer %x", token), func() { s.balancer.Timer(s.now, token) })
 }
 
-// list schedules a list of discovery.
-func (s *transcript) list(in time.Duration, kind UpdateKind, backends ...Backend) {
+// list schedules an endpoint update.
+func (s *transcript) list(delay time.Duration, kind UpdateKind, backends ...Backend) {
 	line := fmt.Sprintf("list of kind %d:", kind)
 	for _, e := range backends {
 		line += fmt.Sprintf(" %d is %d in %d/%d", e.ID, e.State, e.Zone, e.Cell)
 	}
-	s.event(in, line, func() {
+	s.event(delay, line, func() {
 		s.balancer.UpdateEndpoints(s.now, EndpointUpdate{Kind: kind, Backends: backends})
 	})
 }
 
-// request schedules a request, and for some of them the end of a streamed body or the client's leave.
-func (s *transcript) request(in time.Duration) {
-	s.schedule(in, func() {
+// request schedules a request, and for some requests the end of a streamed body or ClientGone.
+func (s *transcript) request(delay time.Duration) {
+	s.schedule(delay, func() {
 		s.nextID++
 		id := s.nextID
 		q := Request{ID: id, Class: s.rng.IntN(4), Tenant: s.rng.IntN(3) - 1, Deadline: s.now + 3*second}
@@ -197,15 +201,15 @@
 	})
 }
 
-// playTranscript plays a fixed scenario: a list that fails at first, a first load, a backend that dies, one that
-// drains, one that starts cold, one that is taken out by an operator, and a burst of requests.
+// playTranscript plays a fixed scenario: a failed endpoint update, requests, a backend that fails and recovers, one
+// that drains, one that has just started, one that is detached and attached, and a burst of requests.
 func playTranscript(t *testing.T, seed uint64, cfg Config, until time.Duration) *transcript {
 	t.Helper()
 	s := &transcript{rng: rand.New(rand.NewPCG(seed, 99)), now: second, attempts: map[RequestID]int{},
 		streamed: map[RequestID]bool{}, down: map[BackendID]bool{}}
 	b, err := New(cfg, seed, s)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("seed %d: New: %v", seed, err)
 	}
 	s.balancer = b
 	b.Start(s.now)
@@ -235,9 +239,9 @@
 	return s
 }
 
-// frozenConfigs are of a proxy that is one of two, and of one that is one of twelve where keys stay warm, the list has
-// to be asked for and further attempts go one by one.
-func frozenConfigs() [2]Config {
+// goldenConfigs returns the configurations of the two transcripts: of one of two proxies, and of one of twelve proxies
+// with key affinity, polled discovery and no hedged requests.
+func goldenConfigs() [2]Config {
 	few := testConfig()
 	few.Classes[1].StreamedResponse = true
 	few.Tenants = []Tenant{{Name: "a", Share: 0.7, QuotaPerSecond: 30}, {Name: "b", Share: 0.3, QuotaPerSecond: 20}}
@@ -257,61 +261,64 @@
 	return [2]Config{few, many}
 }
 
+// The actions for two fixed scenarios are those of the golden files.
 func TestTranscriptKeepsItsBytes(t *testing.T) {
-	for i, cfg := range frozenConfigs() {
+	for i, cfg := range goldenConfigs() {
 		s := playTranscript(t, uint64(i+1), cfg, 6*second)
-		checkKept(t, fmt.Sprintf("transcript-%d.txt", i+1), s.text.Bytes())
+		checkGoldenFile(t, fmt.Sprintf("transcript-%d.txt", i+1), s.text.Bytes())
 	}
 }
 
+// A Snapshot has the JSON form of the golden file, is read back without loss, and can be restored.
 func TestSnapshotKeepsItsBytes(t *testing.T) {
-	b := playTranscript(t, 1, frozenConfigs()[0], 4*second).balancer
+	b := playTranscript(t, 1, goldenConfigs()[0], 4*second).balancer
 	taken, err := json.Marshal(b.Snapshot(4 * second))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("marshalling the snapshot: %v", err)
 	}
-	checkKept(t, "memory.json", taken)
-	kept, err := os.ReadFile(filepath.Join("testdata", "memory.json"))
+	checkGoldenFile(t, "memory.json", taken)
+	stored, err := os.ReadFile(filepath.Join("testdata", "memory.json"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the golden file: %v", err)
 	}
 	var m Snapshot
-	if err := json.Unmarshal(kept, &m); err != nil {
-		t.Fatal(err)
+	if err := json.Unmarshal(stored, &m); err != nil {
+		t.Fatalf("unmarshalling memory.json: %v", err)
 	}
-	checkFrozenSnapshot(t, m)
-	again, err := json.Marshal(m)
-	if err != nil || !bytes.Equal(again, kept) {
-		t.Errorf("written again it is %s, %v", again, err)
+	checkGoldenSnapshot(t, m)
+	marshalled, err := json.Marshal(m)
+	if err != nil || !bytes.Equal(marshalled, stored) {
+		t.Errorf("memory.json unmarshalled and marshalled = %s, error %v, want %s", marshalled, err, stored)
 	}
 
-	// A Balancer that starts in its place goes on from it.
-	next, err := New(frozenConfigs()[0], 2, &recorder{})
+	// A successor restores the snapshot.
+	next, err := New(goldenConfigs()[0], 2, &recorder{})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New(successor): %v", err)
 	}
 	next.Start(4 * second)
 	next.Restore(4*second, m)
 	backends := append(list(7)[:5], Backend{ID: 9, Zone: 1, Cell: 1, State: Ready, Weight: 2, Started: 3 * second})
 	next.UpdateEndpoints(4*second, EndpointUpdate{Kind: UpdateFull, Backends: backends})
-	was := next.Snapshot(4 * second)
-	if !slices.Equal(was.Classes, m.Classes) || !slices.Equal(was.Backends, m.Backends) ||
-		was.SharedLimit != m.SharedLimit {
-		t.Errorf("taken over it is %v, want %v", was, m)
+	restored := next.Snapshot(4 * second)
+	if !slices.Equal(restored.Classes, m.Classes) || !slices.Equal(restored.Backends, m.Backends) ||
+		restored.SharedLimit != m.SharedLimit {
+		t.Errorf("snapshot of the successor right after Restore = %+v, want %+v", restored, m)
 	}
-	if math.Abs(was.RequestRate-m.RequestRate) > 1e-9*m.RequestRate {
-		t.Errorf("a rate of %v is taken over, want %v", was.RequestRate, m.RequestRate)
+	if math.Abs(restored.RequestRate-m.RequestRate) > 1e-9*m.RequestRate {
+		t.Errorf("request rate of the successor right after Restore = %v, want %v", restored.RequestRate, m.RequestRate)
 	}
 	if known, excluded := next.CountBackends(); known != 6 || excluded != 1 {
-		t.Errorf("%d backends known, %d excluded; want 6 and 1", known, excluded)
+		t.Errorf("CountBackends() of the successor = %d known, %d excluded; want 6 and 1", known, excluded)
 	}
 }
 
-// checkFrozenSnapshot compares with the values that memory.json holds.
-func checkFrozenSnapshot(t *testing.T, m Snapshot) {
+// checkGoldenSnapshot compares a snapshot with the values in memory.json.
+func checkGoldenSnapshot(t *testing.T, m Snapshot) {
 	t.Helper()
 	if m.TakenAt != 4*second || m.RequestRate != 68.28571428571429 || m.SharedLimit != 28 {
-		t.Errorf("taken at %v, a rate of %v, a limit of %v", m.TakenAt, m.RequestRate, m.SharedLimit)
+		t.Errorf("snapshot has TakenAt %v, RequestRate %v, SharedLimit %v; want 4s, 68.28571428571429, 28", m.TakenAt,
+			m.RequestRate, m.SharedLimit)
 	}
 	classes := []ClassSnapshot{
 		{"safe", [5]float64{63.639864714994204, 1419.2651774685087, 3576.1380330273228, 285244.16296711215,
@@ -324,11 +331,11 @@
 			66287.67192740779}},
 	}
 	if len(m.Classes) != len(classes) {
-		t.Fatalf("%d classes", len(m.Classes))
+		t.Fatalf("snapshot has %d classes, want %d", len(m.Classes), len(classes))
 	}
 	for i, want := range classes {
 		if got := m.Classes[i]; got.Name != want.Name || got.LatencySums != want.LatencySums {
-			t.Errorf("class %d: got %v, want %v", i, got, want)
+			t.Errorf("snapshot of class %d = %+v, want %+v", i, got, want)
 		}
 	}
 	backends := []BackendSnapshot{
@@ -340,6 +347,6 @@
 		{ID: 9, Started: 3 * second, LastStart: 3 * second, Healthy: true, ServedWork: 76.6658113968397},
 	}
 	if !slices.Equal(m.Backends, backends) {
-		t.Errorf("backends: got %v, want %v", m.Backends, backends)
+		t.Errorf("snapshot of the backends = %+v, want %+v", m.Backends, backends)
 	}
 }
--- a/decision/frozenconfigs_test.go
+++ b/decision/frozenconfigs_test.go
@@ -10,26 +10,28 @@
 	"time"
 )
 
-// frozenSums is how many random configurations there are kept sums of.
-const frozenSums = 250
+// goldenSumCount is the number of random configurations with a sum in testdata.
+const goldenSumCount = 250
 
-// TestTranscriptsKeepTheirSums reaches the rules that the two kept transcripts don't: it compares the SHA-256 sums of
-// transcripts under random configurations. A line that differs begins with its seed; playTranscript with that seed and
-// configuration, printed before and after a change, shows which decision has changed.
+// TestTranscriptsKeepTheirSums compares the SHA-256 sums of transcripts under random configurations with a golden file.
+// These transcripts also reach rules that the two complete transcripts do not. A line that differs begins with the seed
+// of its configuration: print playTranscript with that seed and configuration before and after a change to see which
+// decision has changed.
 func TestTranscriptsKeepTheirSums(t *testing.T) {
 	var sums bytes.Buffer
-	for seed := range uint64(frozenSums) {
-		text := playTranscript(t, seed, frozenRandomConfig(seed), 7*second).text.Bytes()
+	for seed := range uint64(goldenSumCount) {
+		text := playTranscript(t, seed, goldenRandomConfig(seed), 7*second).text.Bytes()
 		fmt.Fprintf(&sums, "%d %x\n", seed, sha256.Sum256(text))
 	}
-	checkKept(t, "transcript-sums.txt", sums.Bytes())
+	checkGoldenFile(t, "transcript-sums.txt", sums.Bytes())
 }
 
-// frozenRandomConfig is a configuration for playTranscript. Its draws must stay as they are.
-func frozenRandomConfig(seed uint64) Config {
+// goldenRandomConfig returns a random configuration for playTranscript. Its random draws and their order must not
+// change, or the sums in testdata no longer match.
+func goldenRandomConfig(seed uint64) Config {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	coin := func() bool { return rng.IntN(2) == 0 }
-	cfg := frozenConfigs()[rng.IntN(2)]
+	cfg := goldenConfigs()[rng.IntN(2)]
 	cfg.Classes = slices.Clone(cfg.Classes)
 	cfg.Instances = []int{1, 2, 5, 8, 9, 12, 40, 300}[rng.IntN(8)]
 	cfg.Rank = rng.IntN(5)
@@ -41,19 +43,19 @@
 	cfg.RetryBudgetRatio = []float64{0, 0.05, 0.5}[rng.IntN(3)]
 	cfg.Tick = time.Duration(rng.IntN(10)) * milli
 	cfg.OverQuotaWeight = rng.Float64()
-	allowed := &cfg.Capabilities
-	allowed.HedgedRequests = coin()
-	allowed.Cancel = coin()
-	allowed.HealthChecks = coin()
-	allowed.RetryAfter = coin()
-	allowed.MaxOpenRequests = []int{0, 3, 12, 1000}[rng.IntN(4)]
-	allowed.MaxAttempts = 1 + rng.IntN(5)
-	allowed.ConnectTimeout = []time.Duration{0, 20 * milli, 250 * milli, 2 * second}[rng.IntN(4)]
-	rules := &cfg.Constraints
-	rules.WarmUp = []time.Duration{0, second, 20 * second}[rng.IntN(3)]
-	rules.OverloadWindow = []time.Duration{0, 100 * milli, 2 * second}[rng.IntN(3)]
-	rules.InitialCapacity = rng.Float64()
-	rules.OverloadFactor = 0.5 + 3*rng.Float64()
+	capabilities := &cfg.Capabilities
+	capabilities.HedgedRequests = coin()
+	capabilities.Cancel = coin()
+	capabilities.HealthChecks = coin()
+	capabilities.RetryAfter = coin()
+	capabilities.MaxOpenRequests = []int{0, 3, 12, 1000}[rng.IntN(4)]
+	capabilities.MaxAttempts = 1 + rng.IntN(5)
+	capabilities.ConnectTimeout = []time.Duration{0, 20 * milli, 250 * milli, 2 * second}[rng.IntN(4)]
+	constraints := &cfg.Constraints
+	constraints.WarmUp = []time.Duration{0, second, 20 * second}[rng.IntN(3)]
+	constraints.OverloadWindow = []time.Duration{0, 100 * milli, 2 * second}[rng.IntN(3)]
+	constraints.InitialCapacity = rng.Float64()
+	constraints.OverloadFactor = 0.5 + 3*rng.Float64()
 	for i := range cfg.Classes {
 		class := &cfg.Classes[i]
 		class.LateValueShare = []float64{0, 0.5}[rng.IntN(2)]
--- a/decision/healthcheck_test.go
+++ b/decision/healthcheck_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Health checks by the clock alone would cost the backends of many proxies more than their requests do.
+// The number of health checks is bounded by a budget. If each of many proxies checked all backends at fixed intervals,
+// checks would cost the backends more than requests.
 func TestHealthChecksStayWithinBudget(t *testing.T) {
 	b, h := newBalancer(t, manyConfig(100), 40)
 	span := 60 * second
@@ -15,7 +16,8 @@
 			b.HealthChecked(now, HealthCheckResult{Backend: p.to, Result: OK})
 		}
 	}
-	// No request came, so only the least is due; what the first budget allows comes once.
+	// Without requests only the minimum number of checks is due. The checks of the first minute, which include those
+	// of the initial budget, are not counted.
 	checks := 0
 	for now := second + span; now < second+2*span; now += b.checkInterval / sweepsPerInterval {
 		b.Timer(now, sweepToken)
@@ -26,11 +28,12 @@
 	}
 	want := int(span/(passingCheckFactor*b.checkInterval)) * minChecksPerSpan
 	if checks < want*8/10 || checks > want*12/10 {
-		t.Errorf("%d checks a minute without requests, %d are due", checks, want)
+		t.Errorf("%d health checks in a minute without requests, want %d within 20 %%", checks, want)
 	}
 }
 
-// Where connections are made fast, check intervals are short, and checks would cost more than requests.
+// With a short connect timeout the check interval is short too, but health checks stay rare: they would cost more than
+// requests.
 func TestShortConnectTimeoutsKeepHealthChecksRare(t *testing.T) {
 	cfg := manyConfig(100)
 	cfg.Capabilities.ConnectTimeout = 50 * milli
@@ -45,11 +48,11 @@
 		}
 	}
 	if checks < 5 || checks > 15 {
-		t.Errorf("%d checks in ten idle seconds", checks)
+		t.Errorf("%d health checks in ten idle seconds, want 5 to 15", checks)
 	}
 }
 
-// Failed health checks of a backend that answers requests meanwhile do not begin a slow start.
+// Failed health checks make a backend unhealthy, but do not begin a slow start if it answers requests meanwhile.
 func TestHealthChecksBesideAnswers(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		b, _ := newBalancer(t, testConfig(), 1)
@@ -61,11 +64,13 @@
 				target.lastSuccess = b.now + 10*milli
 			}
 		}
-		if _, cold := b.warmUpCapacity(target); cold == answers {
-			t.Errorf("answers meanwhile %v: cold %v", answers, cold)
+		if _, warmingUp := b.warmUpCapacity(target); warmingUp == answers {
+			t.Errorf("after two failed checks of a backend that answers meanwhile (%v): warming up = %v, want %v",
+				answers, warmingUp, !answers)
 		}
 		if target.healthy {
-			t.Error("two failed checks in a row did not mark it")
+			t.Errorf("backend that answers meanwhile (%v) is healthy after two failed checks in a row, want unhealthy",
+				answers)
 		}
 	}
 }
--- a/decision/latency_test.go
+++ b/decision/latency_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// While all attempts fail, what a failure counts for must not raise the median that it is measured by.
+// While all attempts fail, the latency that a failure counts as must not raise the median ratio it is derived from, or
+// the median would grow without bound.
 func TestFailuresDoNotRaiseMedianRatio(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	now := second
@@ -17,12 +18,12 @@
 			b.Outcome(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: Error})
 		}
 	}
-	if most := 2 * 1000 / b.expectedLatency(notIdempotent, 0); b.medianRatio < 1 || b.medianRatio > most {
-		t.Errorf("median %v of the expected delay; %v at most", b.medianRatio, most)
+	if limit := 2 * 1000 / b.expectedLatency(notIdempotent, 0); b.medianRatio < 1 || b.medianRatio > limit {
+		t.Errorf("median latency ratio after 400 failed requests = %v, want 1 to %v", b.medianRatio, limit)
 	}
 }
 
-// Answers that come at the very time of their send must leave delays that can be compared.
+// Answers that come at the time of their send, with a latency of 0, must leave expected delays that can be compared.
 func TestInstantAnswersLeaveComparableDelays(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	for id := range RequestID(40) {
@@ -34,11 +35,11 @@
 	slow := b.targets[0]
 	slow.recordRatio(second, b.decaySpan, 8*20, 20)
 	if d, other := b.expectedDelay(&request{}, slow), b.expectedDelay(&request{}, b.targets[1]); !(d > other) {
-		t.Errorf("the slow one counts as %v, the other as %v", d, other)
+		t.Errorf("after instant answers, expectedDelay(slow target) = %v, want more than the other's, %v", d, other)
 	}
 }
 
-// A backend elsewhere that was never measured must not count as slow as those of an overloaded zone.
+// A backend in another zone that was never measured must not be estimated as slow as those of an overloaded own zone.
 func TestUnmeasuredBackendElsewhereIsNotSlow(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(100), 6)
 	for _, to := range b.targets {
@@ -50,18 +51,20 @@
 	b.updateBaselines()
 	for _, to := range b.targets {
 		if got := b.latencyRatio(to); to.Zone != b.config.Zone && got != 1 {
-			t.Errorf("backend %d elsewhere is taken to be %v as slow as usual", to.ID, got)
+			t.Errorf("latencyRatio(unmeasured backend %d in another zone) = %v, want 1", to.ID, got)
 		} else if to.Zone == b.config.Zone && got < 2 {
-			t.Errorf("backend %d: estimate %v", to.ID, got)
+			t.Errorf("latencyRatio(slow backend %d in the own zone) = %v, want at least 2", to.ID, got)
 		}
 	}
 	r := &request{Request: Request{Class: idempotent, Deadline: time.Hour}, objectiveAt: time.Hour}
-	if to := b.selectTarget(r); to == nil || to.Zone == b.config.Zone {
-		t.Error("the request stays in a zone three times as slow")
+	if to := b.selectTarget(r); to == nil {
+		t.Error("selectTarget = nil, want a target outside the own zone")
+	} else if to.Zone == b.config.Zone {
+		t.Errorf("selectTarget = backend %d in the own zone, which is three times as slow, want one outside", to.ID)
 	}
 }
 
-// The first request must not stand for the mean of the next hundreds.
+// The first request must not dominate the overall mean over the next hundreds of requests.
 func TestFirstRequestIsNoMean(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 4)
 	const others = 15
@@ -73,6 +76,6 @@
 		b.Request(second, r)
 	}
 	if want := (100. + others) / (1 + others); b.meanWork < want-0.01 || b.meanWork > want+0.01 {
-		t.Errorf("the mean work is %.1f ms, %.1f is right", b.meanWork, want)
+		t.Errorf("mean work of one request of 100 ms and %d of 1 ms = %.2f ms, want %.2f ms", others, b.meanWork, want)
 	}
 }
--- a/decision/operator_test.go
+++ b/decision/operator_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// A detached backend gets neither requests nor health checks until it is attached, whatever the list says.
+// A detached backend gets neither requests nor health checks until it is attached, whatever the endpoint list contains.
 func TestDetachedBackendGetsNothingNew(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		lists func(b *Balancer)
+		name        string
+		updateLists func(b *Balancer) // endpoint updates while the backend is detached
 	}{
 		{"list unchanged", func(*Balancer) {}},
-		{"listed anew", func(b *Balancer) {
+		{"same list again", func(b *Balancer) {
 			b.UpdateEndpoints(second,
 				EndpointUpdate{Kind: UpdateFull, Backends: list(2)})
 		}},
-		{"gone and back", func(b *Balancer) {
+		{"removed and listed again", func(b *Balancer) {
 			b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)[1:]})
 			b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)})
 		}},
@@ -27,31 +27,33 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out := list(2)[0].ID
+			detached := list(2)[0].ID
 			b, h := newBalancer(t, testConfig(), 2)
-			b.Detach(second, out)
-			if got := h.take("release"); len(got) != 1 || got[0].to != out {
-				t.Errorf("idle connections released: %v", got)
+			b.Detach(second, detached)
+			if got := h.take("release"); len(got) != 1 || got[0].to != detached {
+				t.Errorf("Detach(backend %d) released the idle connections %v, want those of that backend", detached,
+					got)
 			}
-			c.lists(b)
+			c.updateLists(b)
 			if known, excluded := b.CountBackends(); known != 2 || excluded != 1 {
-				t.Errorf("%d known, %d excluded", known, excluded)
+				t.Errorf("CountBackends() with one of two detached = %d known, %d excluded; want 2 and 1", known,
+					excluded)
 			}
-			if n := sendsAndChecks(b, h, out); n > 0 {
-				t.Errorf("%d requests and checks for the detached backend", n)
+			if n := sendsAndChecks(b, h, detached); n > 0 {
+				t.Errorf("detached backend got %d sends and health checks, want none", n)
 			}
-			b.Attach(3*second, out)
-			if _, cold := b.warmUpCapacity(b.targetsByID[out]); !cold {
-				t.Error("it may have been restarted, and is taken for warm")
+			b.Attach(3*second, detached)
+			if _, warmingUp := b.warmUpCapacity(b.targetsByID[detached]); !warmingUp {
+				t.Error("attached backend counts as warm, want it to warm up: it may have been restarted")
 			}
-			if !servesAgain(b, h, out) {
-				t.Error("attached, it gets nothing")
+			if !servesAgain(b, h, detached) {
+				t.Error("attached backend got none of 100 requests, want at least one")
 			}
 		})
 	}
 }
 
-// sendsAndChecks counts what the backend gets of forty requests, which are answered at once.
+// sendsAndChecks sends forty requests, answered at once, and counts the sends and health checks that the backend gets.
 func sendsAndChecks(b *Balancer, h *recorder, to BackendID) (count int) {
 	now := second
 	for id := range RequestID(40) {
@@ -73,7 +75,7 @@
 	return count
 }
 
-// servesAgain reports whether the backend gets one of a hundred requests, which are answered at once.
+// servesAgain reports whether the backend gets one of a hundred requests, which are answered after 1 ms.
 func servesAgain(b *Balancer, h *recorder, to BackendID) bool {
 	b.now = 3 * second
 	for i := range 100 {
@@ -92,19 +94,19 @@
 	return false
 }
 
-// An order may come before the list and twice; one Attach ends it.
+// Detach may be called before the backend is listed, and twice; one Attach ends it.
 func TestDetachBeforeListAndTwice(t *testing.T) {
-	out := list(1)[0].ID
+	detached := list(1)[0].ID
 	b, _ := newBalancer(t, testConfig(), 0)
-	b.Detach(second, out)
-	b.Detach(second, out)
+	b.Detach(second, detached)
+	b.Detach(second, detached)
 	b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(3)})
 	if len(b.active) != 2 {
-		t.Errorf("%d ready, want 2", len(b.active))
+		t.Errorf("%d of 3 backends active after Detach of one was called twice before the list, want 2", len(b.active))
 	}
-	b.Attach(2*second, out)
-	b.Attach(2*second, out)
+	b.Attach(2*second, detached)
+	b.Attach(2*second, detached)
 	if len(b.active) != 3 {
-		t.Errorf("attached: %d ready, want 3", len(b.active))
+		t.Errorf("%d of 3 backends active after Attach, want 3", len(b.active))
 	}
 }
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// Where all attempts fail, retries stay within their share of the requests, whatever it is set to.
+// While all attempts fail, retries stay within RetryBudgetRatio of the requests, for any ratio.
 func TestRetriesStayWithinBudget(t *testing.T) {
-	for _, share := range []float64{0, 0.02, 0.1, 0.5} { // 0 is the default
+	for _, ratio := range []float64{0, 0.02, 0.1, 0.5} { // 0 stands for the default
 		cfg := testConfig()
-		cfg.RetryBudgetRatio = share
+		cfg.RetryBudgetRatio = ratio
 		b, h := newBalancer(t, cfg, 20)
-		want := share
+		want := ratio
 		if want == 0 {
 			want = defaultRetryBudgetRatio
 		}
@@ -20,33 +20,33 @@
 			now += 10 * milli
 			id := RequestID(i + 1)
 			b.Request(now, Request{ID: id, Deadline: now + 3*second})
-			for range 8 { // each send ends in an error at once, which may bring the next
-				out := h.take("send")
-				for _, a := range out {
+			for range 8 { // each send ends in an error at once, which may cause a retry
+				sent := h.take("send")
+				for _, a := range sent {
 					sends++
 					attempts[a.id]++
 					b.Outcome(now, Outcome{ID: a.id, Attempt: attempts[a.id] - 1, Backend: a.to, Result: Error})
 				}
-				if len(out) == 0 {
+				if len(sent) == 0 {
 					break
 				}
 			}
 			b.ClientGone(now, id)
 		}
-		// An attempt after one that broke costs brokenAttemptCost of the budget.
-		most := n + int(want*n/brokenAttemptCost) + maxRetryBudget/brokenAttemptCost + 1
-		if float64(sends) > float64(most) {
-			t.Errorf("share %v: %d sends for %d requests, at most %d", share, sends, n, most)
+		// A retry after an error costs brokenAttemptCost of the budget.
+		limit := n + int(want*n/brokenAttemptCost) + maxRetryBudget/brokenAttemptCost + 1
+		if float64(sends) > float64(limit) {
+			t.Errorf("RetryBudgetRatio %v: %d sends for %d requests, want at most %v", ratio, sends, n, limit)
 		}
 		if want >= 0.1 && sends < n+n/20 {
-			t.Errorf("share %v: only %d sends for %d requests", share, sends, n)
+			t.Errorf("RetryBudgetRatio %v: %d sends for %d requests, want at least %d", ratio, sends, n, n+n/20)
 		}
 	}
 }
 
-// Attempts that broke are retried more often out of a budget than those that timed out.
+// The same budget allows more retries after attempts that ended with a reset than after timeouts.
 func TestBrokenAttemptsAreRetried(t *testing.T) {
-	repeats := func(result Result) int {
+	countRetries := func(result Result) int {
 		cfg := testConfig()
 		cfg.Capabilities.MaxAttempts = 1000
 		b, h := newBalancer(t, cfg, 1)
@@ -60,29 +60,32 @@
 			b.Outcome(b.now, Outcome{ID: 1, Attempt: n, Backend: sent[0].to, Result: result})
 		}
 	}
-	if broken, late := repeats(Reset), repeats(Timeout); late == 0 || broken < 2*late {
-		t.Errorf("%d attempts that broke, %d that timed out", broken, late)
+	if resets, timeouts := countRetries(Reset), countRetries(Timeout); timeouts == 0 || resets < 2*timeouts {
+		t.Errorf("a full retry budget allowed %d attempts that reset and %d that timed out, want at least one timeout "+
+			"and twice as many resets", resets, timeouts)
 	}
 }
 
-// When an attempt fails too late for another to be of use, the request is answered at once.
+// When an attempt fails so late that a retry could not be answered in time, the request gets its final answer at once.
 func TestLateFailureIsAnsweredAtOnce(t *testing.T) {
 	for class, want := range []string{"reject", "fail", "fail", "reject"} {
 		b, h, to := openedRequest(t, testConfig(), class, 6)
-		// an answer after the objective of 1 s earns nothing
+		// An answer after the latency objective of 1 s earns nothing.
 		b.Outcome(2*second-3*milli, Outcome{ID: 1, Backend: to, Result: Timeout})
 		if got := h.take("send", "reject", "fail"); len(got) != 1 || got[0].verb != want {
-			t.Errorf("class %d: %v, want one %s", class, got, want)
+			t.Errorf("class %s: Outcome(Timeout) 3 ms before the objective caused %v, want one %s", className(class),
+				got,
+				want)
 		}
 	}
 }
 
-// An outcome that is reported twice counts once: the request is not queued and sent twice.
+// An outcome that is reported several times counts once: the request is queued and sent only once.
 func TestDuplicateOutcomeCountsOnce(t *testing.T) {
 	for class := range 4 {
 		b, h, to := openedRequest(t, testConfig(), class, 6)
 		for _, o := range b.targets {
-			o.limit.ceiling, o.limit.inFlight, o.limit.load = 1, 9, 9 // no capacity: it waits
+			o.limit.ceiling, o.limit.inFlight, o.limit.load = 1, 9, 9 // no capacity, so the request is queued
 		}
 		for range 3 {
 			b.Outcome(second+milli, Outcome{ID: 1, Backend: to, Result: ConnectFailed})
@@ -92,7 +95,8 @@
 		}
 		b.Timer(second+10*milli, dispatchToken)
 		if got := h.take("send", "reject", "fail"); len(got) != 1 || got[0].verb != "send" {
-			t.Errorf("class %d: %v, want one repeat", class, got)
+			t.Errorf("class %s: dispatch after three reports of one outcome caused %v, want one send", className(class),
+				got)
 		}
 	}
 }
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A heavy request may be too much for a cold backend even if it is alone there.
+// A request of much work may overload a backend that warms up even if it is alone there.
 func TestHeavyRequestNeedsSlowStartTokens(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -10,14 +10,14 @@
 	b.meanWork = 100
 	only.slowStartTokens = 0.1
 	if !b.slowStartAllows(only, 150) {
-		t.Error("a usual request may go alone")
+		t.Error("slowStartAllows(1.5 times the mean work, idle backend) = false, want true")
 	}
 	if b.slowStartAllows(only, 250) {
-		t.Error("a heavy one may not")
+		t.Error("slowStartAllows(2.5 times the mean work, idle backend, 0.1 tokens) = true, want false")
 	}
 }
 
-// What a backend served before it restarted says nothing of what it can do cold.
+// The work that a backend served before a restart does not count for its slow-start rate.
 func TestRestartClearsRecentWork(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	b.targets[0].recentWork.add(5000, second, second)
@@ -25,11 +25,12 @@
 		{ID: b.targets[0].ID, State: Ready, Started: 2 * second}}})
 	b.refillSlowStart()
 	if got := b.targets[0].slowStartRate; got > 100 {
-		t.Errorf("may be sent %v ms of work a second right after its start", got)
+		t.Errorf("slow-start rate right after a restart = %v ms of work a second, want at most 100", got)
 	}
 }
 
-// Light requests would fit any budget of work, but each costs a handshake.
+// A request of little work takes a whole slow-start token, since each may cost a handshake. A budget of work alone
+// would allow any number of them.
 func TestLightRequestTakesWholeSlowStartToken(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -46,46 +47,48 @@
 		}
 	}
 	if sent == 0 || sent > 3 {
-		t.Errorf("%d light requests in a budget of two mean ones", sent)
+		t.Errorf("%d requests of little work sent with 2 slow-start tokens, want 1 to 3", sent)
 	}
 }
 
-// A proxy that has just started knows no mean work, and its first request must wait for its share of the budget like
-// any other: most proxies may have restarted at once.
+// A proxy that has just started has no mean work yet. Its first request to a backend that warms up must still wait for
+// the proxy's share of the slow-start budget: most proxies may have restarted at the same time.
 func TestNewProxyWaitsForItsSlowStartShare(t *testing.T) {
 	for _, c := range []struct {
-		n, least, most int
+		proxies, minSent, maxSent int
 	}{{1, 200, 200}, {30, 0, 20}} {
 		sent := 0
 		for seed := range uint64(200) {
 			h := &recorder{}
-			b, err := New(manyConfig(c.n), seed, h)
+			b, err := New(manyConfig(c.proxies), seed, h)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("New(%d proxies): %v", c.proxies, err)
 			}
 			now := 3000 * second
 			b.Start(now)
-			one := list(1)
-			one[0].Started = now - 2*second
-			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFull, Backends: one})
+			backends := list(1)
+			backends[0].Started = now - 2*second
+			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFull, Backends: backends})
 			now += 5 * milli
 			b.Request(now, Request{ID: 1, Class: idempotent, Deadline: now + second})
 			sent += len(h.take("send"))
 		}
-		if sent < c.least || sent > c.most {
-			t.Errorf("%d proxies: %d of 200 send their first request to a cold backend at once", c.n, sent)
+		if sent < c.minSent || sent > c.maxSent {
+			t.Errorf("%d of 200 runs with %d proxies sent their first request to a backend that warms up at once, "+
+				"want %d to %d", sent, c.proxies, c.minSent, c.maxSent)
 		}
 	}
 }
 
-// Each of many proxies that hear of a start at once has a first request: together these would overload the backend.
+// When an endpoint update reports a start to many proxies, each has a first request for the backend. Together these
+// would overload it, so the proxies send them at different times.
 func TestFirstRequestsToStartedBackendAreSpread(t *testing.T) {
-	for _, c := range []struct{ n, least, most int }{{1, 200, 200}, {100, 0, 20}} {
+	for _, c := range []struct{ proxies, minAllowed, maxAllowed int }{{1, 200, 200}, {100, 0, 20}} {
 		allowed := 0
 		for seed := range uint64(200) {
-			b, err := New(manyConfig(c.n), seed, &recorder{})
+			b, err := New(manyConfig(c.proxies), seed, &recorder{})
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("New(%d proxies): %v", c.proxies, err)
 			}
 			b.Start(second)
 			b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(3)})
@@ -96,26 +99,29 @@
 				allowed++
 			}
 		}
-		if allowed < c.least || allowed > c.most {
-			t.Errorf("%d proxies: %d of 200 may send at once", c.n, allowed)
+		if allowed < c.minAllowed || allowed > c.maxAllowed {
+			t.Errorf("slowStartAllows right after a start = true in %d of 200 runs with %d proxies, want %d to %d",
+				allowed,
+				c.proxies, c.minAllowed, c.maxAllowed)
 		}
 	}
 }
 
-// Of the two estimates of a cold backend's rate, chance makes one large at each of many proxies: the larger of the two
-// at each would add up to twice what it can bear.
+// There are two estimates of the rate that a backend can serve while it warms up, and at each of many proxies one is
+// large by chance. If each used the larger one, together they would send twice what the backend can serve.
 func TestManyProxiesAverageSlowStartRate(t *testing.T) {
 	rates := [2]float64{}
 	for i, n := range [2]int{2, 100} {
 		b, _ := newBalancer(t, manyConfig(n), 3)
 		b.now, b.meanWork = 30*second, 1
-		cold := b.targets[0]
-		b.recordStart(cold, b.now-10*second)
-		cold.recentWork.add(1000, b.now, b.config.Constraints.OverloadWindow)
+		started := b.targets[0]
+		b.recordStart(started, b.now-10*second)
+		started.recentWork.add(1000, b.now, b.config.Constraints.OverloadWindow)
 		b.refillSlowStart()
-		rates[i] = cold.slowStartRate
+		rates[i] = started.slowStartRate
 	}
 	if half := rates[0] / 2; rates[1] > half*1.01 || rates[1] < half*0.99 {
-		t.Errorf("with nothing served by others a proxy of many may send %v, one of two %v", rates[1], rates[0])
+		t.Errorf("slow-start rate without work at other backends: one of 100 proxies %v, one of 2 proxies %v; "+
+			"want half of it at the former", rates[1], rates[0])
 	}
 }
--- a/decision/snapshot_test.go
+++ b/decision/snapshot_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// learnedSnapshot gives a Balancer that has served for a while, with an unhealthy backend and one that may have
-// restarted, and its snapshot as read back from JSON.
+// learnedSnapshot returns a Balancer that has served requests for 2 s, with backend 3 unhealthy and a suspected restart
+// of backend 4, and its snapshot, marshalled to JSON and unmarshalled.
 func learnedSnapshot(t *testing.T) (*Balancer, Snapshot) {
 	t.Helper()
 	b, h := newBalancer(t, testConfig(), 8)
@@ -21,36 +21,38 @@
 		}
 	}
 	b.targetsByID[3].healthy = false
-	b.recordStart(b.targetsByID[4], now-second) // suspected: the list does not say so
+	b.recordStart(b.targetsByID[4], now-second) // only suspected: the endpoint list does not contain it
 	var m Snapshot
 	text, err := json.Marshal(b.Snapshot(now))
 	if err == nil {
 		err = json.Unmarshal(text, &m)
 	}
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("marshalling and unmarshalling the snapshot: %v", err)
 	}
 	return b, m
 }
 
+// A restored snapshot counts less the older it is, and not for backends that have started since.
 func TestSnapshotIsPrior(t *testing.T) {
 	old, m := learnedSnapshot(t)
 	for _, c := range []struct {
-		name            string
-		age             time.Duration
-		started         time.Duration // of all, as the list now says
-		healthy, cold   bool          // of backends 3 and 4
-		least, mostRate float64       // parts of the rate before
+		name             string
+		age              time.Duration
+		started          time.Duration // of all backends in the new list
+		healthy          bool          // backend 3
+		warmingUp        bool          // backend 4
+		minRate, maxRate float64       // shares of the predecessor's request rate
 	}{
-		{"at once", milli, 0, false, true, 0.9, 1.01},
-		{"after the time over which the rate is taken", maxRateSpan, 0, false, false, 0.3, 0.4},
-		{"a backend that has started anew is another", second, m.TakenAt + milli, true, true, 0.9, 1.01},
-		{"of a time that has not come", -second, 0, true, false, 0, 0},
+		{"restored at once", milli, 0, false, true, 0.9, 1.01},
+		{"restored after maxRateSpan", maxRateSpan, 0, false, false, 0.3, 0.4},
+		{"backends restarted since", second, m.TakenAt + milli, true, true, 0.9, 1.01},
+		{"snapshot from the future", -second, 0, true, false, 0, 0},
 	} {
 		h := &recorder{}
 		b, err := New(testConfig(), 1, h)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: New: %v", c.name, err)
 		}
 		now := m.TakenAt + c.age
 		b.Start(now)
@@ -60,28 +62,30 @@
 			backends[i].Started = c.started
 		}
 		b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateCached, Backends: backends})
-		_, cold := b.warmUpCapacity(b.targetsByID[4])
-		if b.targetsByID[3].healthy != c.healthy || cold != c.cold {
-			t.Errorf("%s: healthy %v, cold %v", c.name, b.targetsByID[3].healthy, cold)
+		_, warmingUp := b.warmUpCapacity(b.targetsByID[4])
+		if b.targetsByID[3].healthy != c.healthy || warmingUp != c.warmingUp {
+			t.Errorf("%s: backend 3 healthy = %v, backend 4 warming up = %v; want %v, %v", c.name,
+				b.targetsByID[3].healthy, warmingUp, c.healthy, c.warmingUp)
 		}
-		if share := b.requestRate() / old.requestRate(); share < c.least || share > c.mostRate {
-			t.Errorf("%s: the rate is %.2f of the one before", c.name, share)
+		if share := b.requestRate() / old.requestRate(); share < c.minRate || share > c.maxRate {
+			t.Errorf("%s: request rate after Restore = %.2f times the predecessor's, want %v to %v", c.name, share,
+				c.minRate, c.maxRate)
 		}
 		if c.age >= 0 {
 			if want, got := old.expectedLatency(idempotent, 0), b.expectedLatency(idempotent,
 				0); math.Abs(want-got) > 1e-9*want {
-				t.Errorf("%s: a delay of %v is expected, before it was %v", c.name, got, want)
+				t.Errorf("%s: expectedLatency after Restore = %v ms, want the predecessor's, %v ms", c.name, got, want)
 			}
 		}
 	}
 }
 
-// A suspected restart survives the proxy: its successor must not overload the cold backend.
+// A suspected restart is part of the snapshot: the successor must not overload a backend that may be warming up.
 func TestRestoredColdBackendHasSlowStart(t *testing.T) {
 	_, m := learnedSnapshot(t)
 	b, err := New(testConfig(), 1, &recorder{})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	b.Start(m.TakenAt)
 	b.Restore(m.TakenAt, m)
@@ -95,6 +99,7 @@
 		}
 	}
 	if sent > 3 {
-		t.Errorf("%d requests of 100 ms go to a server that is cold for all that is known", sent)
+		t.Errorf("slowStartAllows(100 ms of work) at a backend with a suspected restart = true %d times, "+
+			"want at most 3", sent)
 	}
 }
--- a/decision/validate_test.go
+++ b/decision/validate_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
+// The error of New for an invalid setting names the setting's path in the settings file and a reason.
 func TestNewNamesInvalidSetting(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, invalidate := range map[string]func(*Config){
 		"Services":                  func(c *Config) { c.Classes = nil },
 		"Services.0.Aim":            func(c *Config) { c.Classes[0].LatencyObjective = 0 },
 		"Services.2.GiveUp":         func(c *Config) { c.Classes[2].ClientTimeout = 0 },
@@ -29,15 +30,17 @@
 		"Caps.MaxAttempts":          func(c *Config) { c.Capabilities.MaxAttempts = 0 },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		_, err := New(cfg, 1, &recorder{})
-		if bad := (*SettingError)(nil); !errors.As(err, &bad) || bad.Field != field || bad.Reason == "" {
-			t.Errorf("%s: error %v", field, err)
+		if settingErr := (*SettingError)(nil); !errors.As(err, &settingErr) || settingErr.Field != field ||
+			settingErr.Reason == "" {
+			t.Errorf("New(invalid %s) = error %v, want a SettingError that names this field and a reason", field, err)
 		}
 	}
 }
 
-// Weights out of range are no error: they are brought to it, and the caller's settings stay as they are.
+// Weights and durations out of range are no error: New clamps them in its copy of the settings, and leaves the caller's
+// settings unchanged.
 func TestWeightsAreNormalized(t *testing.T) {
 	cfg := testConfig()
 	cfg.ObjectiveWeights = ObjectiveWeights{Overall: -1}
@@ -56,19 +59,21 @@
 	cfg.Capabilities.MaxAttempts = math.MaxInt32
 	b, err := New(cfg, 1, &recorder{})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New(settings out of range): %v, want no error", err)
 	}
 	c, o := b.config.Classes[0], b.config.Constraints
 	if b.config.ObjectiveWeights != (ObjectiveWeights{Overall: 1}) || c.PriorityWeight != 0 ||
 		c.LateValueShare != 0 || b.config.Tenants[1].Share != 0 ||
 		math.IsInf(b.config.OverQuotaWeight+b.config.Tenants[0].QuotaPerSecond, 0) ||
 		b.config.Capabilities.MaxAttempts != 255 {
-		t.Errorf("%+v", b.config)
+		t.Errorf("settings after New = %+v, want weights and shares clamped to their ranges and MaxAttempts 255",
+			b.config)
 	}
 	if o.InitialCapacity != 1 || o.OverloadWindow != time.Second || o.WarmUp != maxDuration {
-		t.Errorf("%+v", o)
+		t.Errorf("constraints after New = %+v, want InitialCapacity 1, OverloadWindow 1s, WarmUp %v", o, maxDuration)
 	}
 	if !math.IsNaN(cfg.Classes[0].PriorityWeight) || cfg.Tenants[1].Share != -1 {
-		t.Error("the caller's settings were changed")
+		t.Errorf("the caller's PriorityWeight and Share after New = %v and %v, want NaN and -1, as they were",
+			cfg.Classes[0].PriorityWeight, cfg.Tenants[1].Share)
 	}
 }
