--- a/decision/activeset.go
+++ b/decision/activeset.go
@@ -5,32 +5,35 @@
 	"time"
 )
 
-// A proxy uses only as many of the listed backends as it has requests for. Many proxies with connections to
-// all would fill the backends' connection tables, and know none of them.
+// A proxy uses only as many of the listed backends as its request rate requires. If each of many proxies
+// connected to all backends, the connections would fill the backends' connection tables, and each proxy would
+// send too few requests to a backend to measure its latency.
 const (
-	// As many targets are active as requests come in activeShareOfInterval of a check interval, but at least
-	// minActiveTargets: two to compare after one is lost.
+	// The number of active targets is the number of requests that arrive in the share activeShareOfInterval
+	// of a check interval, but at least minActiveTargets: if one fails, two are left to compare.
 	activeShareOfInterval = 0.5
 	minActiveTargets      = 3
 
-	// localities is the number of values of Balancer.locality: the proxy's own zone, and elsewhere.
+	// localities is the number of values of Balancer.locality: the proxy's own zone and all other zones.
 	localities = 2
 )
 
-// selectActive brings what follows the request rate up to date: the span over which measurements decay, and
-// the active targets.
+// selectActive updates what depends on the request rate: the span over which measurements decay, and the
+// active targets.
 func (b *Balancer) selectActive() {
-	// A long silence in the mean would hide the present rate for thousands of requests.
+	// A long time without requests, if included in the mean, would hide the current rate for thousands of
+	// requests.
 	for b.now-b.countedSince > maxRateSpan {
 		b.decayRequestRate()
 	}
 	rate := b.requestRate()
-	b.decaySpan = b.decaySpanFor(rate) // goes by the targets that were active until now
+	b.decaySpan = b.decaySpanFor(rate) // depends on the number of targets that were active until now
 	b.chooseActive(b.wantedTargets(rate))
 }
 
-// wantedTargets is how many healthy targets of each locality this proxy uses at a rate of requests a second:
-// all if keys choose the target, else as many as it has requests in a part of the check interval.
+// wantedTargets returns how many healthy targets of each locality this proxy uses at a rate of requests a
+// second: all of them if keys determine the target, else the number of requests in activeShareOfInterval of a
+// check interval.
 func (b *Balancer) wantedTargets(rate float64) float64 {
 	if b.config.KeyAffinity {
 		return float64(len(b.listed))
@@ -39,12 +42,13 @@
 }
 
 // chooseActive makes the first listed targets of each locality active, up to wanted healthy ones; unhealthy
-// ones before these are active too. The order of the others stays as some come and go.
+// targets before these are active too. The order of the listed targets does not change as others are added
+// or removed.
 func (b *Balancer) chooseActive(wanted float64) {
 	b.active = b.active[:0]
-	left := [localities]float64{wanted, wanted}
+	remaining := [localities]float64{wanted, wanted}
 	for _, t := range b.listed {
-		if left[b.locality(t)] < 1 {
+		if remaining[b.locality(t)] < 1 {
 			continue
 		}
 		b.active = append(b.active, t)
@@ -53,31 +57,32 @@
 			t.limit = newConcurrencyLimit(t.limit.unit, targetLimitBackoff, 0)
 		}
 		if t.healthy {
-			left[b.locality(t)]--
+			remaining[b.locality(t)]--
 		}
 	}
 }
 
-// limitUnit is this proxy's part of one request in flight at a target, if all proxies want as many targets of
-// each locality: a target is active at only a share of the proxies where there are more than they want.
+// limitUnit returns this proxy's share of one request in flight at a target. It assumes that all proxies want
+// the same number of targets of each locality. If there are more targets than a proxy wants, a target is
+// active at only some of the proxies, and the share of each is larger.
 func (b *Balancer) limitUnit(wanted float64) float64 {
 	return max(1, float64(len(b.listed))/(localities*wanted)) / float64(b.config.Instances)
 }
 
-// decaySpanFor is the span over which measurements decay at a rate of requests a second. A proxy that meets
-// each backend only now and then must not forget a slow one before it comes to it again.
+// decaySpanFor returns the span over which measurements decay at a rate of requests a second. A proxy that
+// sends to each backend only rarely must remember that one is slow until it sends there again.
 func (b *Balancer) decaySpanFor(rate float64) time.Duration {
 	span := decayIntervals * b.checkInterval
 	if rate <= 0 {
 		return span
 	}
-	enough := min(1000*(decayAnswers*float64(len(b.active))/rate), millis(maxRateSpan))
-	return max(span, fromMillis(enough))
+	answersSpan := min(1000*(decayAnswers*float64(len(b.active))/rate), millis(maxRateSpan)) // ms
+	return max(span, fromMillis(answersSpan))
 }
 
-// countRequest counts a request in the request rate, and halves the count once it covers meanRequests and
-// decayIntervals check intervals. Over so few requests that they come within a check
-// interval, the rate would seem a fraction of what it is, and a proxy with much traffic would use too few
+// countRequest counts a request in the request rate, and halves the count once it covers more than
+// meanRequests requests and decayIntervals check intervals. If it covered less than a check interval, the
+// rate would appear as a fraction of the actual rate, and a proxy with much traffic would use too few
 // backends.
 func (b *Balancer) countRequest() {
 	b.requestCount++
@@ -86,12 +91,13 @@
 	}
 }
 
-// requestRate is how many requests come a second.
+// requestRate returns the rate of arriving requests a second.
 func (b *Balancer) requestRate() float64 {
 	return b.requestCount / (b.now - b.countedSince + b.checkInterval).Seconds()
 }
 
-// decayRequestRate halves the requests that the rate is taken from, and the time that it is taken over.
+// decayRequestRate halves the request count and the time that it covers, so that later requests weigh more in
+// the rate.
 func (b *Balancer) decayRequestRate() {
 	b.requestCount /= 2
 	b.countedSince = b.now - (b.now-b.countedSince)/2
--- a/decision/answers.go
+++ b/decision/answers.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// mayReject reports whether a request may be rejected. A rejection promises the client that trying again is
-// harmless: nothing of the request may have run, or repeats of it are harmless everywhere.
+// mayReject reports whether a request may be rejected. A rejection promises the client that a retry is
+// harmless: either no attempt of the request may have run, or repeating it is harmless at every backend.
 func (b *Balancer) mayReject(r *request) bool {
 	class := &b.config.Classes[r.Class]
 	if class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey &&
@@ -13,8 +13,8 @@
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
-// rejectOrFail sends the final answer to a request that is given up, and cancels what is still in flight.
-// The client is to retry after a check interval.
+// rejectOrFail gives the final answer to a request that will not be served, and cancels its attempts in
+// flight. A rejection tells the client to retry after a check interval.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.ended || r.streaming {
 		return
@@ -31,7 +31,8 @@
 	b.complete(r, nil)
 }
 
-// complete marks a request as ended and cancels its attempts but the winner, which may be nil.
+// complete marks a request as ended and cancels its attempts except the winner, whose answer the client got;
+// nil is none. The request is removed once no attempt is in flight.
 func (b *Balancer) complete(r *request, winner *attempt) {
 	if !r.ended {
 		r.ended = true
@@ -43,6 +44,7 @@
 	}
 }
 
+// cancelOthers cancels all attempts of a request in flight except the winner.
 func (b *Balancer) cancelOthers(r *request, winner *attempt) {
 	for _, a := range r.attempts {
 		if a != winner && !a.done {
@@ -51,6 +53,7 @@
 	}
 }
 
+// cancel cancels an attempt if the platform allows it and it has not been cancelled yet.
 func (b *Balancer) cancel(a *attempt) {
 	if b.config.Capabilities.Cancel && !a.cancelled {
 		a.cancelled = true
--- a/decision/attempts.go
+++ b/decision/attempts.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// mayAttempt reports whether a request may be sent, or sent again, to a target: it has no answer, time and
-// attempts are left, only hedged requests have two attempts in flight, and idempotency allows it. A request
-// that may have run is repeated only if it is idempotent, or, by its key, within the scope and the window
-// in which repeats are dropped.
+// mayAttempt reports whether a request may be sent to a target, for the first time or again. It must have no
+// answer yet, the deadline and MaxAttempts must not be reached, and another attempt may be in flight only if
+// hedged requests are allowed. A request that may have run is sent again only if it is idempotent, or
+// idempotent by its key and within the deduplication scope and window.
 func (b *Balancer) mayAttempt(r *request, t *target) bool {
 	if r.ended || r.streaming || len(r.attempts) >= b.config.Capabilities.MaxAttempts || b.now >= r.Deadline {
 		return false
@@ -14,12 +14,12 @@
 		return false
 	}
 	class := &b.config.Classes[r.Class]
-	firstSent := time.Duration(-1) // of those that may have run
+	firstSent := time.Duration(-1) // of the attempts that may have run
 	for _, a := range r.attempts {
 		if !a.mayHaveRun || class.Idempotency == Idempotent {
 			continue
 		}
-		if class.Idempotency == NotIdempotent || !class.dropsRepeats(a, t) {
+		if class.Idempotency == NotIdempotent || !class.deduplicates(a, t) {
 			return false
 		}
 		if firstSent < 0 {
@@ -29,8 +29,9 @@
 	return firstSent < 0 || b.now < firstSent+class.DeduplicationWindow-b.config.Tick
 }
 
-// dropsRepeats reports whether a target drops the repeat of an attempt.
-func (c *Class) dropsRepeats(a *attempt, t *target) bool {
+// deduplicates reports whether a target is within the deduplication scope of an attempt, so that it drops a
+// repetition of it.
+func (c *Class) deduplicates(a *attempt, t *target) bool {
 	switch c.DeduplicationScope {
 	case ScopeZone:
 		return a.zone == t.Zone
@@ -40,8 +41,8 @@
 	return true
 }
 
-// send starts an attempt, unless mayAttempt or mayReceive forbids it. It is the one place where requests
-// leave, so that no path can bypass these guards.
+// send starts an attempt and reports true, unless mayAttempt or mayReceive forbids it. All attempts are sent
+// here, so that no code path can bypass these guards.
 func (b *Balancer) send(r *request, t *target) bool {
 	work := b.workOf(r)
 	if !b.mayAttempt(r, t) || !b.mayReceive(t, work) {
@@ -56,7 +57,8 @@
 	lateAfter := b.lateAfter(r, expected)
 	t.limit.reserve(a, b.now, lateAfter)
 	if b.usesSharedLimit() {
-		// Late is relative to the target's own speed, or some slow machines would cut the limit for all.
+		// For the shared limit an attempt is late relative to the target's own speed, or a few slow machines
+		// would reduce the limit for all targets.
 		b.sharedLimit.reserve(a, b.now, lateAfter*max(1, b.latencyRatio(t)/b.medianRatio))
 	}
 	until := min(r.Deadline, max(b.lastUseful(r)-b.config.Tick, b.now+b.config.Tick))
@@ -65,7 +67,8 @@
 	return true
 }
 
-// Outcome reports the end of an attempt. If the request has no final answer, it is retried or given up.
+// Outcome reports the end of an attempt. If the request has no final answer and no other attempt in flight,
+// it is retried, rejected or failed. Outcomes of unknown or ended attempts are ignored.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	b.now = now
 	r := b.requests[o.ID]
@@ -73,7 +76,7 @@
 		return
 	}
 	a := r.attempts[o.Attempt]
-	if a == r.streamingAttempt { // it was settled with its first byte
+	if a == r.streamingAttempt { // FirstByte has settled it
 		b.complete(r, a)
 		return
 	}
@@ -92,7 +95,7 @@
 	b.retryOrEnd(a, o)
 }
 
-// settle takes an attempt off its target and its limits, and learns from how it ended.
+// settle removes an attempt from its target and its limits, and updates the estimates by its result.
 func (b *Balancer) settle(a *attempt, o Outcome) {
 	a.mayHaveRun = !o.Result.NeverRan()
 	a.release(b.now)
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -5,68 +5,68 @@
 	"time"
 )
 
-// Balancer decides for one proxy. Make it with New, call Start once, then report each event by its method.
-// It is not safe for concurrent use.
+// Balancer makes the decisions of one proxy. Create it with New, call Start once, then report each event by
+// calling its method. It is not safe for concurrent use.
 type Balancer struct {
 	config        Config
 	host          Host
 	random        *rand.Rand
 	now           time.Duration // of the event that is being handled
-	checkInterval time.Duration // between two checks of a target in doubt; much else is paced by it
+	checkInterval time.Duration // between two health checks of a target in doubt; the unit of other periods
 
 	// Targets (endpoints.go, operator.go, activeset.go).
-	targets     []*target // in the list, or left it while something is in flight
+	targets     []*target // in the endpoint list, or removed from it with attempts or checks in flight
 	targetsByID map[BackendID]*target
-	detached    map[BackendID]time.Duration // by an operator, and since when
-	listed      []*target                   // Ready and not detached, in this proxy's order
-	active      []*target                   // those of listed that this proxy uses
-	predecessor *Snapshot                   // nil is none
+	detached    map[BackendID]time.Duration // when an operator detached a backend
+	listed      []*target                   // Ready and not detached, in this proxy's order (hashOrder)
+	active      []*target                   // the targets of listed that this proxy uses
+	predecessor *Snapshot                   // from Restore; nil is none
 
 	// Requests (admission.go, queue.go).
 	requests          map[RequestID]*request
 	openRequests      int // without a final answer
 	queue             []*request
-	dispatchScheduled bool // a timer for the queue runs
+	dispatchScheduled bool // the timer for the next dispatch is running
 
 	// Request rate (activeset.go).
-	requestCount float64 // since countedSince
+	requestCount float64 // requests since countedSince; decayRequestRate halves both
 	countedSince time.Duration
 
 	// Latency (latency.go).
 	decaySpan             time.Duration       // over which measurements decay
 	latencyByClass        []linearFit         // ms over ms of expected work
 	tailByClass           []quantile          // ms, of a request of mean work
-	meanSamples           float64             // requests that overall means are taken over by now
+	meanSamples           float64             // requests that the overall means cover, up to meanRequests
 	meanLatency           float64             // ms, of a request of any class
 	meanWork              float64             // ms, of a request of any class
-	medianRatio           float64             // of the active targets' latency ratios
-	medianRatioByLocality [localities]float64 // in the own zone, and elsewhere
-	longestLatency        float64             // ms, of recent attempts; it decays with each answer
+	medianRatio           float64             // median of the active targets' latency ratios
+	medianRatioByLocality [localities]float64 // the same for the own zone and for all other zones
+	longestLatency        float64             // ms, of recent attempts; decays with each answer
 
 	// Value (valuation.go).
 	totalTally      tally
 	tallyByClass    []tally
 	tallyByTenant   []tally
 	trafficByTenant []decayingSum // requests
-	meanGain        float64       // marginal gain of a request as it comes, times the value that all offer
-	meanDensity     float64       // gain of a request for each ms that it is open, times the same
+	meanGain        float64       // of arriving requests: marginal gain times totalTally.offered
+	meanDensity     float64       // of arriving requests: gain times totalTally.offered, for each ms open
 
 	// Limits and budgets.
-	sharedLimit     concurrencyLimit // on all targets together (concurrency.go)
-	retryBudget     float64          // retries (retry.go)
-	checkBudget     float64          // health checks (healthcheck.go)
-	checkCursor     int              // where in active the next round of checks begins
-	failedListCalls int              // in a row (discovery.go)
+	sharedLimit     concurrencyLimit // on the load in flight at all targets together (concurrency.go)
+	retryBudget     float64          // retries that are allowed now (retry.go)
+	checkBudget     float64          // health checks that are allowed now (healthcheck.go)
+	checkCursor     int              // index into active at which the next round of checks begins
+	failedListCalls int              // consecutive failed calls for the endpoint list (discovery.go)
 
 	lastLogAt time.Duration
 
-	// Buffers that are reused.
+	// Buffers that are reused to avoid allocations.
 	candidates  []*target
 	ratioBuffer []float64
 }
 
-// New makes a Balancer for one proxy. seed seeds its random choices: equal seeds give equal choices. The
-// error is a *SettingError that names a setting that can't be served.
+// New creates a Balancer for one proxy. seed seeds its random choices: equal seeds give equal choices. The
+// error, if any, is a *SettingError that names an invalid setting.
 func New(config Config, seed uint64, host Host) (*Balancer, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -93,13 +93,14 @@
 		trafficByTenant:       make([]decayingSum, tenants),
 		retryBudget:           maxRetryBudget,
 	}
-	for _, c := range config.Classes { // until there are answers
+	for _, c := range config.Classes { // the initial value, until there are answers
 		b.longestLatency = max(b.longestLatency, millis(c.LatencyObjective))
 	}
 	return b, nil
 }
 
-// Start begins the timers, and with polled discovery the calls for the endpoint list.
+// Start starts the sweep timer and, with polled discovery, the timer for the first call for the endpoint
+// list. It must be called once, before any other event.
 func (b *Balancer) Start(now time.Duration) {
 	b.now = now
 	b.countedSince = now
@@ -110,13 +111,13 @@
 	}
 }
 
-// PeerMessage takes a message from another proxy. No rule uses it yet.
+// PeerMessage reports a message from another proxy. It is ignored: no rule uses peer messages yet.
 func (b *Balancer) PeerMessage(now time.Duration, _ PeerMessage) { b.now = now }
 
-// logInterval is the time that passes between two log lines at least.
+// logInterval is the minimum time between two log lines.
 const logInterval = 2 * time.Second
 
-// log prints a line unless one was printed shortly before.
+// log passes a line to Host.Log, unless one was logged less than logInterval before.
 func (b *Balancer) log(line string) {
 	if b.lastLogAt == 0 || b.now-b.lastLogAt >= logInterval {
 		b.lastLogAt = b.now
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -5,53 +5,56 @@
 	"time"
 )
 
-// A concurrency limit bounds the load in flight at one target, or at all of them. It grows while answers
-// come in their usual time, is cut back by each late one, and sinks to what is used. An attempt is late
-// once it takes a multiple of its class's usual tail latency.
+// A concurrency limit bounds the load in flight at one target, or at all targets together. It grows with each
+// answer in time, is reduced by each late one, and sinks slowly towards the load that is used. An attempt is
+// late once it takes longer than a multiple of its class's usual tail latency.
 const (
-	// An attempt is late after lateTailFactor times the tail latency of its class, but no sooner than
-	// minLateShare and no later than maxLateShare of its objective: at the objective itself it is lost.
+	// An attempt is late after lateTailFactor times the tail latency of its class, but not before the share
+	// minLateShare and not after the share maxLateShare of its latency objective: after the objective itself
+	// the answer has lost its value.
 	lateTailFactor = 1.5
 	minLateShare   = 0.3
 	maxLateShare   = 0.7
 
-	// initialLimit is the limit of a target that is new here, over the number of proxies.
+	// initialLimit is the limit of a new target for all proxies together. Each proxy begins with its share.
 	initialLimit = 8
 
-	// targetLimitBackoff is what a late attempt leaves of a target's limit, sharedLimitBackoff of the limit
-	// for all.
+	// A late attempt multiplies a target's limit by targetLimitBackoff and the shared limit by
+	// sharedLimitBackoff.
 	targetLimitBackoff = 0.9
 	sharedLimitBackoff = 0.96
 
-	// increasesPerBackoff is how many attempts in time make up for a late one.
+	// increasesPerBackoff is how many attempts in time make up for the backoff by a late one.
 	increasesPerBackoff = 4
 
-	// targetLimitGrowth is the least growth of a target's limit by an attempt in time, over the number of
-	// proxies.
+	// targetLimitGrowth is the minimum growth of a target's limit by an attempt in time, for all proxies
+	// together.
 	targetLimitGrowth = 0.3
 
 	// limitUtilization is the share of a limit that must be in use for it to grow.
 	limitUtilization = 0.6
 
-	// An unused limit sinks until its part for requests of little gain is limitHeadroom times the mean load.
-	// One below its initial value rises to it limitRecoveryFactor times as slowly. The difference sinks to
-	// 1/e in averagingIntervals check intervals.
+	// An unused limit sinks until its share for requests of little gain is limitHeadroom times the mean load.
+	// A limit below its initial value rises towards it, limitRecoveryFactor times as slowly. While it sinks,
+	// the difference decays to 1/e in averagingIntervals check intervals.
 	limitHeadroom       = 1.5
 	limitRecoveryFactor = 4
 	averagingIntervals  = decayIntervals
 
-	// The share of a limit that holds for requests of little gain, and for those of the most.
+	// The factors of a limit for requests of the lowest and of the highest gain.
 	minLimitScale = 0.5
 	maxLimitScale = 5
 
-	// maxLoadWeight is how many mean requests one request counts for at most.
+	// maxLoadWeight is the maximum load of one request, in requests of mean latency. The minimum is
+	// 1/maxLoadWeight.
 	maxLoadWeight = 8
 
-	// From more proxies than sharedLimitInstances on, there is a limit for all backends beside each one's.
+	// With more than sharedLimitInstances proxies, a shared limit for all targets applies besides that of
+	// each target.
 	sharedLimitInstances = initialLimit
 
-	// smallestMeanGain keeps a quotient finite while no gain is known.
-	smallestMeanGain = 1e-9
+	// minMeanGain keeps a quotient finite while no gain is known.
+	minMeanGain = 1e-9
 )
 
 // concurrencyLimit bounds the load in flight. Loads are in requests of mean latency.
@@ -59,12 +62,12 @@
 	inFlight      int
 	load          float64
 	ceiling       float64 // the limit itself; 0 is not set yet
-	growthStep    float64 // what each answer in time adds; halved by each late one
-	unit          float64 // this proxy's part of one request at each; the ceiling is cut no lower
-	backoffFactor float64 // what a late attempt leaves of the ceiling
+	growthStep    float64 // added by each answer in time; halved by each late one
+	unit          float64 // this proxy's share of one request at each target; the minimum of the ceiling
+	backoffFactor float64 // by which a late attempt multiplies the ceiling
 	lastSent      time.Duration
 
-	averagingSpan time.Duration // over which the load is averaged; 0 takes it as it is
+	averagingSpan time.Duration // over which the load is averaged; 0 is no averaging
 	averageLoad   float64
 	averagedAt    time.Duration
 }
@@ -76,7 +79,8 @@
 	return c
 }
 
-// meanLoad brings the average load to the time now and returns it. It must be called before the load changes.
+// meanLoad updates the average load to the time now and returns it. It must be called before each change of
+// the load.
 func (c *concurrencyLimit) meanLoad(now time.Duration) float64 {
 	if c.averagingSpan == 0 {
 		return c.load
@@ -87,7 +91,7 @@
 	return c.averageLoad
 }
 
-// reserve counts an attempt in, and notes that it is late after so many ms.
+// reserve adds the load of an attempt to the limit. The attempt counts as late after lateAfter, in ms.
 func (c *concurrencyLimit) reserve(a *attempt, now time.Duration, lateAfter float64) {
 	before := c.meanLoad(now)
 	c.inFlight++
@@ -98,27 +102,27 @@
 	a.reservations = append(a.reservations, reserved)
 }
 
-// release takes the load of an attempt off.
+// release removes the load of an attempt.
 func (c *concurrencyLimit) release(loadWeight float64, now time.Duration) {
 	if c.meanLoad(now); c.inFlight > 1 {
 		c.inFlight--
 		c.load -= loadWeight
-	} else { // rounding must leave no trace
+	} else { // without attempts in flight, rounding errors must not leave a load
 		c.inFlight = 0
 		c.load = 0
 	}
 }
 
-// reservation is an attempt's part in a limit.
+// reservation is the load of an attempt in one limit.
 type reservation struct {
 	limit      *concurrencyLimit
-	loadAtSend float64 // with this attempt
+	loadAtSend float64 // of the limit, including this attempt
 	lateAt     time.Duration
-	late       bool
+	late       bool // the limit has been reduced because of this attempt
 }
 
-// startWaiting counts the load of an attempt whose body has gone by, and moves the time from which it is
-// late.
+// startWaiting adds the load of an attempt whose streamed body is now complete, and postpones the time from
+// which the attempt is late by the time of the upload.
 func (reserved *reservation) startWaiting(a *attempt, now time.Duration) {
 	reserved.limit.meanLoad(now)
 	reserved.limit.load += a.loadWeight
@@ -126,47 +130,52 @@
 	reserved.loadAtSend = reserved.limit.load
 }
 
-// isLate reports whether an attempt is late by now; one whose body is on its way is not.
+// isLate reports whether an attempt is late. An attempt whose body is still being uploaded is not.
 func (a *attempt) isLate(reserved *reservation, now time.Duration) bool {
 	return !a.uploading && now >= reserved.lateAt
 }
 
-// lateAfter is after how many ms an attempt to any target counts as late.
+// lateAfter returns the time in ms after which an attempt to any target counts as late. expected is the
+// expected latency of the request in ms.
 func (b *Balancer) lateAfter(r *request, expected float64) float64 {
 	mean := b.expectedLatency(r.Class, 0)
 	objective := millis(r.objectiveAt - r.arrived)
 	usual := max(lateTailFactor*b.tailByClass[r.Class].baselineOr(initialTailFactor*mean),
 		minLateShare*objective)
-	return max(1, expected/mean) * min(usual, maxLateShare*objective) // one of more work may take longer
+	// A request of more work may take longer.
+	return max(1, expected/mean) * min(usual, maxLateShare*objective)
 }
 
-// adjustLimits learns how much may be in flight from whether an attempt takes its usual time. It is called
-// at the end of an attempt and, with Cancelled, by each sweep while it is in flight: an overloaded
-// server answers all late, so its limit must not wait for the answers.
+// adjustLimits raises or reduces the limits of an attempt by whether it takes its usual time. It is
+// called at the end of an attempt and, with the result Cancelled, by each sweep while the attempt is in
+// flight: an overloaded backend answers everything late, so the reduction must not wait for the answers.
 func (b *Balancer) adjustLimits(a *attempt, result Result) {
 	for i := range a.reservations {
 		reserved := &a.reservations[i]
 		c := reserved.limit
 		if !reserved.late && (a.isLate(reserved, b.now) || result == Rejected) {
-			// The ceiling is cut, not the load: an attempt that was late alone is no sign of an overload.
+			// The backoff starts from the ceiling, not from the current load: an attempt that is late
+			// although it is alone at its target is no sign of an overload.
 			reserved.late = true
 			c.ceiling = max(c.unit, c.ceiling*c.backoffFactor)
-			// A proxy that starts under load would double its limits far past what overloads a server.
+			// Otherwise a proxy that starts under load would double its limits far beyond what overloads a
+			// backend.
 			c.growthStep /= 2
 		} else if result == OK && !reserved.late &&
 			reserved.loadAtSend > c.ceiling*limitUtilization*minLimitScale {
-			grow := max(c.growthStep, c.ceiling*(1-c.backoffFactor)/increasesPerBackoff)
-			if c != &b.sharedLimit { // this least growth there would let every second attempt be late
-				grow = max(grow, targetLimitGrowth*c.unit/min(1, c.ceiling))
+			growth := max(c.growthStep, c.ceiling*(1-c.backoffFactor)/increasesPerBackoff)
+			// With this minimum growth of the shared limit, every second attempt would be late.
+			if c != &b.sharedLimit {
+				growth = max(growth, targetLimitGrowth*c.unit/min(1, c.ceiling))
 			}
-			c.ceiling += grow
+			c.ceiling += growth
 		}
 	}
 }
 
-// relaxLimit lets a limit sink to what is used, and rise again to where it began. Far above that, a burst
-// overloads servers before late answers show it; far below, a backend gets no request that could show that
-// it has recovered.
+// relaxLimit moves a limit towards the load in use if it is above, and towards its initial value if it is
+// below. With a limit far above the load, a burst overloads backends before late answers show it. With one
+// far below its initial value, a backend gets no request that could show that it has recovered.
 func (b *Balancer) relaxLimit(c *concurrencyLimit) {
 	initial := initialLimit * c.unit
 	needed := max(1, initial, limitHeadroom/minLimitScale*c.meanLoad(b.now))
@@ -177,19 +186,19 @@
 	}
 }
 
-// usesSharedLimit reports whether there is a limit for all backends beside each one's own. A proxy whose part
-// of an initial limit is under one request sees too little of each backend to learn in time that all are
-// overloaded.
+// usesSharedLimit reports whether a shared limit for all targets applies besides that of each target. A proxy
+// whose share of an initial limit is less than one request sends too few requests to each backend to detect
+// in time that all are overloaded.
 func (b *Balancer) usesSharedLimit() bool { return b.config.Instances > sharedLimitInstances }
 
-// sharedLimitReached reports whether the mean load reaches the limit for all backends. With few in flight the
-// load itself jumps too much.
+// sharedLimitReached reports whether the mean load exceeds the shared limit times scale. The mean is used
+// because with few attempts in flight the load itself varies too much.
 func (b *Balancer) sharedLimitReached(scale float64) bool {
 	return b.usesSharedLimit() && b.sharedLimit.meanLoad(b.now) > b.sharedLimit.ceiling*scale
 }
 
-// hasCapacity reports whether a target may have one more in flight. A limit below one spaces attempts out in
-// time.
+// hasCapacity reports whether the limit of a target, times scale, allows one more attempt in flight. A limit
+// below one spaces attempts in time.
 func (b *Balancer) hasCapacity(t *target, scale float64) bool {
 	c := &t.limit
 	limit := c.ceiling * scale
@@ -199,13 +208,14 @@
 	return c.inFlight == 0 || c.load+1 <= limit
 }
 
-// limitScale scales limits for a request by the root of its gain over the mean, between minLimitScale and
-// maxLimitScale. A proxy with little traffic seldom has two waiting to choose from, and would shed the
-// classes of most weight alike with the rest. It does harm where weights are configured wrongly.
+// limitScale returns the factor of the limits for a request: the square root of its gain divided by the mean
+// gain, between minLimitScale and maxLimitScale. A proxy with little traffic seldom has two queued requests
+// to choose from, and without the factor would shed classes of high weight as often as others. The factor
+// does harm where weights are configured wrongly.
 func (b *Balancer) limitScale(r *request) float64 {
 	if !b.usesSharedLimit() {
 		return 1
 	}
-	gain := b.marginalGain(r) * b.totalTally.offered / max(b.meanGain, smallestMeanGain)
+	gain := b.marginalGain(r) * b.totalTally.offered / max(b.meanGain, minMeanGain)
 	return min(max(math.Sqrt(gain), minLimitScale), maxLimitScale)
 }
--- a/decision/config.go
+++ b/decision/config.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Idempotency says what repeating a request of a class may do.
+// Idempotency says whether a request of a class may be sent again after it may have run.
 type Idempotency uint8
 
-// The kinds of idempotency. The zero value is the careful one.
+// The kinds of idempotency. The zero value is the most restrictive one.
 const (
 	NotIdempotent   Idempotency = iota // must never run twice
-	IdempotentByKey                    // repeats are dropped within a scope and a window
-	Idempotent                         // may be repeated freely
+	IdempotentByKey                    // backends drop repetitions within a deduplication scope and window
+	Idempotent                         // may run any number of times
 )
 
-// DeduplicationScope says which backends drop repeats of a request that is idempotent by its key.
+// DeduplicationScope says which backends drop a repetition of a request that is idempotent by its key:
+// those of the cell or the zone that the first one went to, or all.
 type DeduplicationScope uint8
 
 // The scopes. The zero value is the narrowest one.
@@ -22,21 +23,21 @@
 	ScopeAll
 )
 
-// Class is a kind of request.
+// Class is the configuration of one class of requests.
 type Class struct {
 	Name             string
 	LatencyObjective time.Duration // an answer within it earns the full weight; must be above 0
-	ObjectivePerWork float64       // the objective is longer by this multiple of the request's expected work
+	ObjectivePerWork float64       // this multiple of the request's expected work is added to the objective
 	ClientTimeout    time.Duration // how long a client waits over all its attempts; must be above 0
 	Idempotency      Idempotency
 
-	// DeduplicationScope and DeduplicationWindow hold for IdempotentByKey. The window begins when the first
-	// attempt that may have run is sent.
+	// DeduplicationScope and DeduplicationWindow apply to IdempotentByKey only. The window begins when the
+	// first attempt that may have run is sent.
 	DeduplicationScope  DeduplicationScope
 	DeduplicationWindow time.Duration
 
 	LateValueShare   float64 // share of the weight that an answer after the objective earns
-	StreamedResponse bool    // the answer begins with FirstByte
+	StreamedResponse bool    // the caller reports the start of the answer by Balancer.FirstByte
 	PriorityWeight   float64 // what an answer in time earns
 }
 
@@ -47,8 +48,8 @@
 	QuotaPerSecond float64 // requests a second within its share, over all proxies; 0 is no quota
 }
 
-// ObjectiveWeights weigh the parts of what is to be maximised: the share of the offered value that is
-// served.
+// ObjectiveWeights are the weights of the parts of the objective that the Balancer maximises. Each part is
+// the share of the offered value that is served.
 type ObjectiveWeights struct {
 	Overall     float64 // over all requests
 	WorstClass  float64 // of the class that is served worst
@@ -56,65 +57,66 @@
 	WorstWindow float64 // of the worst span of time
 }
 
-// Penalties are what the platform takes off the result, each times its rate. No rule reads them.
+// Penalties are the weights of the costs that the platform subtracts from the result, each multiplied by the
+// rate of its event. No rule reads them.
 type Penalties struct {
 	Connection, CrossZone, Discovery, Handshake, LateFailure, PeerMessage, HealthCheck, WastedWork float64
 }
 
-// Constraints are the figures of the rules that hold whatever the result.
+// Constraints are limits that must be kept whatever the effect on the objective.
 type Constraints struct {
 	AnswerSlack     time.Duration // how late after the deadline a final answer still counts
 	MaxListAge      time.Duration // how stale a polled endpoint list may become; 0 is no bound
-	WarmUp          time.Duration // a started backend has its full capacity after this
-	DrainGrace      time.Duration // sends to a draining backend must cease within this
+	WarmUp          time.Duration // time after a start until a backend has its full capacity
+	DrainGrace      time.Duration // sends to a draining backend must stop within this time
 	OverloadWindow  time.Duration // over which the load of a backend that warms up is bounded; 0 is a second
-	OverloadFactor  float64       // it falls over beyond this multiple of its capacity
-	InitialCapacity float64       // share of its capacity that a started backend has at once
+	OverloadFactor  float64       // a load above this multiple of its capacity makes such a backend fail
+	InitialCapacity float64       // share of its full capacity that a backend has right after its start
 }
 
-// Capabilities are what the platform allows.
+// Capabilities say what the platform allows, and its limits.
 type Capabilities struct {
-	Cancel         bool // attempts may be called off
-	PeerMessages   bool // proxies may talk to each other; no rule does
-	HealthChecks   bool // backends may be probed
-	RetryAfter     bool // rejections may carry a time
+	Cancel         bool // attempts may be cancelled
+	PeerMessages   bool // proxies may send each other messages; no rule uses them
+	HealthChecks   bool // backends may be health-checked
+	RetryAfter     bool // rejections may contain a time to retry after
 	HedgedRequests bool // two attempts of a request may be in flight at once
 
-	ConnectionIdleTimeout time.Duration // idle connections are closed after it
-	ConnectTimeout        time.Duration // how long a connection may take; health checks are paced by it
-	MaxRetryAfter         time.Duration // the longest time that a rejection may carry
+	ConnectionIdleTimeout time.Duration // idle connections are closed after it; not used by the Balancer
+	ConnectTimeout        time.Duration // for a new connection; the interval of health checks depends on it
+	MaxRetryAfter         time.Duration // the longest time to retry after in a rejection
 	MaxAttempts           int           // of one request; at least 1
-	StreamsPerConnection  int           // requests that a connection carries at once; no rule reads it
-	MaxOpenRequests       int           // at the proxy; more can't come. 0 is no such limit
+	StreamsPerConnection  int           // concurrent requests on a connection; no rule reads it
+	MaxOpenRequests       int           // maximum number of open requests at the proxy; 0 is no maximum
 }
 
-// WeightKind says what Backend.Weight stands for.
+// WeightKind says what Backend.Weight means.
 type WeightKind uint8
 
 // The kinds of weight.
 const (
-	WeightNone    WeightKind = iota // nothing
-	WeightNominal                   // registered size, exact or approximate
-	WeightLive                      // size over load: it varies, and is not used
+	WeightNone    WeightKind = iota // nothing; the weight is ignored
+	WeightNominal                   // registered size of the backend, exact or approximate
+	WeightLive                      // size divided by load, which varies; the weight is ignored
 )
 
-// Config configures a Balancer. Validate rejects what can't be served; Normalized brings the rest to its
-// range.
+// Config configures a Balancer. Validate reports invalid settings; Normalized clamps the others to their
+// ranges.
 type Config struct {
 	Instances       int           // how many proxies share the backends; at least 1
-	Rank            int           // which of them this one is, from 0
-	Zone            int           // where it is
-	Tick            time.Duration // the caller handles events and timers at most once in it
+	Rank            int           // index of this proxy among them, from 0
+	Zone            int           // the zone of this proxy, compared with Backend.Zone
+	Tick            time.Duration // the caller handles events and timers at most once in this time
 	Classes         []Class
 	Tenants         []Tenant
 	OverQuotaWeight float64 // weight of traffic beyond a tenant's quota, as a share of its usual weight
-	WeightByWork    bool    // weight counts by the millisecond of work, not by request
+	WeightByWork    bool    // a request's weight is multiplied by its work in ms
 
-	KeyAffinity        bool // a backend that met a key lately serves it with less work
-	ClientsMarkRetries bool // Request.MarkedRetry is set by clients; no rule reads it
-	PolledDiscovery    bool // the endpoint list comes only on request, and is not pushed
+	KeyAffinity        bool // a backend that served a key recently serves it again with less work
+	ClientsMarkRetries bool // clients set Request.MarkedRetry; no rule reads this setting
+	PolledDiscovery    bool // the endpoint list must be polled; otherwise changes are pushed
 	Weights            WeightKind
-	RetryBudgetRatio   float64 // retries, as a share of the requests; 0 is a tenth
+	RetryBudgetRatio   float64 // maximum retries, as a share of the requests; 0 is a tenth
 
 	ObjectiveWeights ObjectiveWeights
 	Penalties        Penalties
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// UpdateEndpoints reconciles the targets with the endpoint list. Targets that stay keep what was learned of
-// them; one that left and is back counts as healthy until checks say otherwise.
+// UpdateEndpoints reports an endpoint update, and reconciles the targets with it. Targets that stay in the
+// list keep their state; one that was removed and is listed again counts as healthy until health checks fail.
 func (b *Balancer) UpdateEndpoints(now time.Duration, update EndpointUpdate) {
 	b.now = now
 	if update.Kind == UpdateFailed {
@@ -24,11 +24,11 @@
 	b.removeDeparted()
 	b.refreshTargets()
 	if b.sharedLimit.ceiling == 0 { // the first list
-		b.startSharedLimit()
+		b.initSharedLimit()
 	}
 }
 
-// removeUnlisted takes targets that a whole list does not name to have left.
+// removeUnlisted marks targets that are not in a complete list as Removed.
 func (b *Balancer) removeUnlisted(backends []Backend) {
 	for _, t := range b.targets {
 		if !slices.ContainsFunc(backends, func(e Backend) bool { return e.ID == t.ID }) {
@@ -37,6 +37,7 @@
 	}
 }
 
+// applyEntry adds or updates the target of a list entry.
 func (b *Balancer) applyEntry(e Backend) {
 	t := b.targetsByID[e.ID]
 	switch {
@@ -46,7 +47,7 @@
 		t = b.newTarget(e)
 		t.nextCheck = b.now + jitter(b.random, passingCheckFactor*b.checkInterval)
 		b.restoreTarget(t)
-	case t.State == Removed && e.State != Removed: // it left and is back
+	case t.State == Removed && e.State != Removed: // it was removed and is listed again
 		t.healthy = true
 		t.failedChecks = 0
 		t.passedChecks = 0
@@ -55,7 +56,7 @@
 	b.recordStart(t, e.Started)
 }
 
-// removeDeparted drops the targets that left the list, once nothing is in flight at them.
+// removeDeparted deletes the Removed targets without attempts and health checks in flight.
 func (b *Balancer) removeDeparted() {
 	b.targets = slices.DeleteFunc(b.targets, func(t *target) bool {
 		departed := t.State == Removed && len(t.inFlight) == 0 && !t.checkInFlight
@@ -66,14 +67,15 @@
 	})
 }
 
-// refreshTargets sets which targets are listed and which of them are active, after either may have changed.
+// refreshTargets recomputes the listed and the active targets, after the list or the detached backends have
+// changed.
 func (b *Balancer) refreshTargets() {
 	b.rebuildListed()
 	b.selectActive()
 }
 
-// rebuildListed brings the targets that are Ready and not detached into this proxy's order, each with its
-// size over the mean.
+// rebuildListed sets listed to the targets that are Ready and not detached, in this proxy's order, and sets
+// the size of each relative to their mean.
 func (b *Balancer) rebuildListed() {
 	b.listed = b.listed[:0]
 	sizes := 0.0
@@ -91,16 +93,16 @@
 	slices.SortFunc(b.listed, func(x, y *target) int { return cmp.Compare(x.hashOrder, y.hashOrder) })
 }
 
-// startSharedLimit begins the limit for all backends with this proxy's part of them, or with what a
-// predecessor had learned.
-func (b *Balancer) startSharedLimit() {
+// initSharedLimit sets the shared limit for all targets to its initial value, this proxy's share of the
+// limits of all targets, or to the predecessor's if that is higher.
+func (b *Balancer) initSharedLimit() {
 	unit := float64(max(1, len(b.listed))) / float64(b.config.Instances)
 	b.sharedLimit = newConcurrencyLimit(unit, sharedLimitBackoff, averagingIntervals*b.checkInterval)
 	b.sharedLimit.ceiling = max(b.sharedLimit.ceiling, b.restoredSharedLimit())
 }
 
-// CountBackends counts the backends in the list, and those of them that are excluded by order or for their
-// health.
+// CountBackends returns the number of backends in the endpoint list, and how many of them are excluded
+// because an operator detached them or because they are unhealthy.
 func (b *Balancer) CountBackends() (known, excluded int) {
 	for _, t := range b.targets {
 		if t.State == Removed {
--- a/decision/events.go
+++ b/decision/events.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// BackendID names a backend, the same one at every proxy.
+// BackendID identifies a backend. All proxies use the same ID for it.
 type BackendID uint32
 
-// RequestID names one request of a client, with all its attempts.
+// RequestID identifies one request of a client, with all its attempts. IDs are not reused.
 type RequestID uint32
 
-// Request is a request that the proxy has taken from a client.
+// Request is a request that the proxy has received from a client.
 type Request struct {
 	ID           RequestID
-	Class        int           // index into Config.Classes
+	Class        int           // index into Config.Classes; the nearest index if out of range
 	Tenant       int           // index into Config.Tenants; out of range is no tenant
-	Key          uint64        // of the data that it is about; 0 is none
+	Key          uint64        // identifies the data that it reads or writes, for KeyAffinity; 0 is none
 	ExpectedWork time.Duration // 0 is unknown
-	Deadline     time.Duration // the clock time at which the client leaves
-	MarkedRetry  bool          // the client has marked it as a retry of its own
-	StreamedBody bool          // its body passes through while it is sent: its time counts from BodyComplete
+	Deadline     time.Duration // clock time at which the client stops waiting
+	MarkedRetry  bool          // the client has marked it as a retry
+	StreamedBody bool          // its body is forwarded while it arrives; its latency counts from BodyComplete
 }
 
-// BackendState is what the endpoint list says of a backend.
+// BackendState is the state of a backend in the endpoint list.
 type BackendState uint8
 
 // The states of a backend in the list.
@@ -34,44 +34,44 @@
 type Backend struct {
 	ID      BackendID
 	Zone    int // compared with Config.Zone
-	Kind    int // of machine: slow start expects those of one kind and zone to serve alike
-	Cell    int // within which repeats are dropped, see ScopeCell
+	Kind    int // machine kind; slow start expects backends of one kind and zone to serve the same rate
+	Cell    int // deduplication cell, see ScopeCell
 	State   BackendState
 	Weight  float64       // see Config.Weights
 	Started time.Duration // clock time of its last start; 0 is long ago
 }
 
-// UpdateKind says how an EndpointUpdate is to be read.
+// UpdateKind says what an EndpointUpdate contains.
 type UpdateKind uint8
 
 // The kinds of update.
 const (
 	UpdateDelta  UpdateKind = iota // changed entries only
-	UpdateFull                     // the whole list
-	UpdateCached                   // the whole list as last held, maybe stale
-	UpdateFailed                   // a watch or fetch failed; the list stands as it is
+	UpdateFull                     // the complete list
+	UpdateCached                   // the complete list from a cache; it may be stale
+	UpdateFailed                   // a watch or fetch failed; the list stays as it is
 )
 
-// EndpointUpdate is what discovery says of the backends.
+// EndpointUpdate is a change of the endpoint list, or the failure of a call for it.
 type EndpointUpdate struct {
 	Kind     UpdateKind
 	Version  uint32 // of the list; no rule reads it
 	Backends []Backend
 }
 
-// Result is how an attempt or a health check ended.
+// Result says how an attempt or a health check ended.
 type Result uint8
 
 // The results.
 const (
 	OK            Result = iota
 	Error                // answered with an error; it may have run
-	Rejected             // turned down by the backend before it ran
-	Timeout              // no timely answer; it may run
-	ConnectFailed        // no connection; it never ran
-	Reset                // the connection broke; it may have run
-	Cancelled            // called off; it may have run
-	NotSent              // it never left the proxy
+	Rejected             // rejected by the backend before it ran
+	Timeout              // no answer in time; it may have run or still be running
+	ConnectFailed        // no connection was established; it never ran
+	Reset                // the connection was broken; it may have run
+	Cancelled            // cancelled by the Balancer; it may have run
+	NotSent              // never left the proxy; it never ran
 )
 
 // NeverRan reports whether the result proves that the attempt did not run.
@@ -80,12 +80,12 @@
 // Outcome is the end of an attempt.
 type Outcome struct {
 	ID           RequestID
-	Attempt      int // its number, from 0
+	Attempt      int // number of the attempt, from 0
 	Backend      BackendID
 	Result       Result
 	Latency      time.Duration // since the attempt was sent; no rule reads it
-	Final        bool          // the client has its answer; if not set, a final answer is still owed
-	BodyConsumed bool          // the request's body can't be sent again: there can be no further attempt
+	Final        bool          // the client has its final answer; otherwise the Balancer must still give one
+	BodyConsumed bool          // the request's body can't be sent again, so no further attempt is possible
 }
 
 // HealthCheckResult is the end of a health check.
@@ -95,15 +95,15 @@
 	Latency time.Duration // no rule reads it
 }
 
-// FirstByte says that a streamed answer has begun: one of a streamed class, or a long one.
+// FirstByte is the start of a streamed answer: one of a class with StreamedResponse, or a long one.
 type FirstByte struct {
 	ID      RequestID
-	Attempt int // its number, from 0
+	Attempt int // number of the attempt, from 0
 	Backend BackendID
 	Latency time.Duration // since the attempt was sent; no rule reads it
 }
 
-// PeerMessage comes from another proxy.
+// PeerMessage is a message from another proxy.
 type PeerMessage struct {
 	From int
 	Body []byte
--- a/decision/healthcheck.go
+++ b/decision/healthcheck.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// Active health checks. A target starts healthy; unhealthyThreshold failed checks in a row make it
-// unhealthy, and healthyThreshold passed ones healthy again. Unhealthy targets get requests only if no
-// healthy one may have them.
+// Active health checks. A new target counts as healthy; unhealthyThreshold consecutive failed checks make it
+// unhealthy, and healthyThreshold passed ones healthy again. Unhealthy targets get a request only if it may
+// be sent to no healthy one.
 const (
-	// A target in doubt is checked every checkIntervalConnectTimeouts connect timeouts, the platform's own
-	// measure of how soon a backend answers, but at least minIntervalTicks ticks and minCheckInterval apart.
+	// The check interval, between two checks of a target in doubt, is checkIntervalConnectTimeouts times the
+	// connect timeout, which is the platform's measure of how soon a backend answers. It is at least
+	// minIntervalTicks ticks and at least minCheckInterval.
 	checkIntervalConnectTimeouts = 2
 	minIntervalTicks             = 20
 	minCheckInterval             = 100 * time.Millisecond
 
-	// A target that passes is checked passingCheckFactor times as rarely: attempts show more, at no cost.
+	// The interval is passingCheckFactor times as long for a target that passes its checks: attempts give
+	// better evidence of its health, without extra cost.
 	passingCheckFactor = 4
 
-	// One failed check may be chance.
+	// One failed check may happen by chance.
 	unhealthyThreshold = 2
 	healthyThreshold   = 2
 
-	// The budget of checks is checkShareOfRequests, and at least minChecksPerSpan in the time between two
-	// checks of a target that passes, or in minCheckSpan if that is longer.
+	// The budget of checks is the share checkShareOfRequests of the requests, and at least minChecksPerSpan
+	// checks in the interval of a target that passes, or in minCheckSpan if that is longer.
 	checkShareOfRequests = 0.1
 	minChecksPerSpan     = 2
 	minCheckSpan         = 2 * time.Second
 )
 
-// checkIntervalFor is the time between two checks of a target in doubt.
+// checkIntervalFor returns the time between two checks of a target in doubt.
 func checkIntervalFor(c *Config) time.Duration {
 	return max(checkIntervalConnectTimeouts*c.Capabilities.ConnectTimeout, minIntervalTicks*c.Tick,
 		minCheckInterval)
 }
 
-// CheckHealthNow checks at once the backends that the first requests would go to, before connections to
-// them are made.
+// CheckHealthNow starts a health check of each active backend at once. The caller uses it before connections
+// to them are opened, so that the first requests go to healthy backends.
 func (b *Balancer) CheckHealthNow(now time.Duration) {
 	b.now = now
 	for _, t := range b.active {
@@ -46,13 +48,14 @@
 	}
 }
 
+// startHealthCheck starts a health check of a target.
 func (b *Balancer) startHealthCheck(t *target) {
 	t.checkInFlight = true
 	t.nextCheck = b.now + b.checkInterval
 	b.host.CheckHealth(t.ID)
 }
 
-// HealthChecked reports the result of a health check. One that was not started is ignored.
+// HealthChecked reports the result of a health check. It is ignored if no check of the backend is in flight.
 func (b *Balancer) HealthChecked(now time.Duration, result HealthCheckResult) {
 	b.now = now
 	t := b.targetsByID[result.Backend]
@@ -63,7 +66,7 @@
 	switch result.Result {
 	case OK:
 		b.checkPassed(t)
-	case Rejected, Cancelled, NotSent: // it says nothing of the backend's health
+	case Rejected, Cancelled, NotSent: // no evidence of the backend's health
 	default:
 		b.checkFailed(t)
 	}
@@ -88,8 +91,8 @@
 	if t.failedChecks < unhealthyThreshold {
 		return
 	}
-	// It may have died and come back before the list says so. Until it passes again its start counts as
-	// now, unless it has answered requests meanwhile.
+	// It may have restarted before the endpoint list shows it. From here on each failed check counts as its
+	// start, until a check passes, unless it has answered requests since the first failed check.
 	if t.lastSuccess < t.checksFailingSince {
 		b.recordStart(t, b.now)
 	}
@@ -99,9 +102,9 @@
 	}
 }
 
-// startDueHealthChecks checks the targets whose time has come, those in doubt first, as far as the budget
-// goes. Without a budget, checks by many proxies with little traffic each would cost the backends more than
-// requests.
+// startDueHealthChecks starts the health checks that are due, those of targets in doubt first, as far as the
+// budget allows. Without a budget, the checks by many proxies with little traffic each would cost the
+// backends more than the requests.
 func (b *Balancer) startDueHealthChecks() {
 	if !b.config.Capabilities.HealthChecks {
 		return
@@ -110,26 +113,27 @@
 	refill := float64(minChecksPerSpan*b.checkInterval) / sweepsPerInterval / float64(span)
 	b.checkBudget = min(b.checkBudget+refill, float64(len(b.active)))
 	b.checkCursor++
-	b.startDueChecksOf(true)
-	b.startDueChecksOf(false)
+	b.startDueChecks(true)
+	b.startDueChecks(false)
 }
 
-// startDueChecksOf goes round the active targets that are in doubt, or those that are not.
-func (b *Balancer) startDueChecksOf(doubtful bool) {
+// startDueChecks starts the due checks of the active targets that are in doubt, or of those that are not. It
+// begins at checkCursor, so that over time all targets get their turn.
+func (b *Balancer) startDueChecks(inDoubt bool) {
 	for i := 0; i < len(b.active) && b.checkBudget >= 1; i++ {
 		t := b.active[(b.checkCursor+i)%len(b.active)]
-		if t.checkInFlight || b.now < t.nextCheck || t.inDoubt() != doubtful {
+		if t.checkInFlight || b.now < t.nextCheck || t.inDoubt() != inDoubt {
 			continue
 		}
 		b.checkBudget--
 		b.startHealthCheck(t)
-		if !doubtful {
+		if !inDoubt {
 			t.nextCheck = b.now + passingCheckFactor*b.checkInterval
 		}
 	}
 }
 
-// inDoubt reports whether a check or an attempt has failed since the last that passed.
+// inDoubt reports whether a target is unhealthy, or a check or an attempt has failed since the last success.
 func (t *target) inDoubt() bool {
 	return !t.healthy || t.failedChecks > 0 || t.consecutiveFailures > 0
 }
--- a/decision/hedging.go
+++ b/decision/hedging.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// hedgeLatencyFactor is how many expected latencies an attempt may take before it is hedged or replaced.
+// hedgeLatencyFactor is the multiple of the expected latency after which an attempt is hedged or replaced.
 const hedgeLatencyFactor = 3
 
-// scheduleHedge starts the timer after which an attempt takes too long, if it ends before the attempt does.
+// scheduleHedge starts the timer after which hedgeOrReplace handles an attempt as too slow. until is the
+// timeout of the attempt; no timer is started that would end later.
 func (b *Balancer) scheduleHedge(a *attempt, until time.Duration) {
 	wait := fromMillis(hedgeLatencyFactor * a.expectedLatency * max(1, b.medianRatio))
 	if b.now+wait < until {
@@ -13,9 +14,9 @@
 	}
 }
 
-// hedgeOrReplace responds to an attempt that takes too long, as far as the retry budget goes: by a hedged
-// request beside it or, where only one may be in flight, by cancelling it in favour of a retry. The latter
-// is for idempotent requests to targets that have answered nothing since.
+// hedgeOrReplace handles an attempt that takes too long, if the retry budget allows it. It sends a hedged
+// request or, if only one attempt may be in flight, cancels the attempt so that the request is retried. It
+// cancels only attempts of idempotent requests, and only if the target has answered no attempt since.
 func (b *Balancer) hedgeOrReplace(a *attempt) {
 	r := a.request
 	if r.ended || a.done || r.streaming || r.StreamedBody || b.retryBudget < 1 ||
--- a/decision/latency.go
+++ b/decision/latency.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// The latency estimate has two parts. By class, a line through expected work and latency says what a
-// request takes at any backend. By target, the mean ratio of what attempts took to that says how fast the
-// target is: 1 is as expected.
+// The latency estimate has two parts. For each class, a linear fit of latency over expected work gives the
+// latency of a request at any backend. For each target, the mean ratio of actual to expected latency shows
+// how fast the target is: 1 is as expected.
 const (
 	// Measurements decay over decayIntervals check intervals, or over the time in which decayAnswers answers
-	// of each active target come, but over maxRateSpan at most.
+	// of each active target arrive if that is longer, but over maxRateSpan at most.
 	decayIntervals = 4
 	decayAnswers   = 4
 	maxRateSpan    = 5 * time.Minute
 
-	// priorAnswers is how many answers the median of the others counts for in a target's ratio.
+	// priorAnswers is the weight of the median ratio of the other targets in a target's ratio, in answers.
 	priorAnswers = 0.5
 
-	// minLatency is what an answer takes at least, in ms: no expected latency may be 0.
+	// minLatency is the minimum latency of an answer in ms: no expected latency may be 0.
 	minLatency = 0.1
 
-	// classDecay is the weight that a class's earlier latencies keep as each new one comes.
+	// Each new latency multiplies the weight of the earlier ones of its class by classDecay.
 	classDecay = 0.998
 
-	// meanRequests is how many requests overall means are taken over.
+	// meanRequests is the number of requests that the overall means cover.
 	meanRequests = 256
 
-	// longestDecay is the share by which the longest recent latency sinks with each answer.
+	// longestDecay is the share by which the longest recent latency decreases with each answer.
 	longestDecay = 1.0 / meanRequests
 
-	// Until there are answers, a class is expected to take initialLatencyShare of its objective. A
+	// Until there are answers, the expected latency of a class is initialLatencyShare of its objective. A
 	// prediction is at least minPredictionShare of the class's mean.
 	initialLatencyShare = 1.0 / 4
 	minPredictionShare  = 1.0 / 4
 
-	// cancelledWeight is how many answers the age of a cancelled attempt counts for.
+	// cancelledWeight is the weight of the age of a cancelled attempt, in answers.
 	cancelledWeight = 0.5
 
 	// The tail latency of a class is the quantile that the share tailExceedance of its answers exceed. One
-	// answer moves it by the share tailStep at most. It is known after tailMinSamples answers; until then
-	// initialTailFactor times the mean stands in for it.
+	// answer changes it by the share tailStep at most. It is used after tailMinSamples answers; until then
+	// initialTailFactor times the mean is used in its place.
 	tailExceedance    = 0.2
 	tailStep          = 0.02
 	tailMinSamples    = 50
 	initialTailFactor = 1.2
 
-	// A tail's baseline rises by one part in tailBaselineRise a sweep: far more slowly than faults come.
+	// The baseline of a tail latency rises by the share 1/tailBaselineRise in each sweep, so slowly that it
+	// does not follow the latencies during a fault.
 	tailBaselineRise = 4000
 )
 
-// expectedLatency is the latency in ms that class and expected work (ms; 0 is unknown) lead one to expect
-// of any backend.
+// expectedLatency returns the latency in ms that is expected of any backend for a class and an expected work
+// in ms, where 0 is unknown.
 func (b *Balancer) expectedLatency(class int, work float64) float64 {
 	fit := &b.latencyByClass[class]
 	if fit.weight < 1 {
@@ -63,12 +64,13 @@
 	return max(fit.mean()*minPredictionShare, fit.predict(work))
 }
 
-// expectedFor is the latency in ms that is expected for a request of any backend.
+// expectedFor returns the latency in ms that is expected of any backend for a request.
 func (b *Balancer) expectedFor(r *request) float64 {
 	return b.expectedLatency(r.Class, millis(r.ExpectedWork))
 }
 
-// workOf is the work of a request in ms.
+// workOf returns the work of a request in ms: its expected work or, if that is unknown, the expected latency
+// of its class.
 func (b *Balancer) workOf(r *request) float64 {
 	if r.ExpectedWork > 0 {
 		return millis(r.ExpectedWork)
@@ -76,9 +78,9 @@
 	return b.expectedLatency(r.Class, 0)
 }
 
-// latencyRatio is the smoothed latency of a target as a multiple of what is expected of any backend.
-// Attempts in flight count with their age, so silence shows at once. Unmeasured, it is the median of the
-// targets of the own zone, or of those elsewhere, whichever it is one of.
+// latencyRatio returns the smoothed latency of a target as a multiple of the latency expected of any backend.
+// Attempts in flight count with their age, so a target that stops answering shows at once. The ratio of an
+// unmeasured target is the median of the targets of its locality: the own zone or all others.
 func (b *Balancer) latencyRatio(t *target) float64 {
 	age := max(0, millis(b.now)*t.inverseExpected-t.sentOverExpected)
 	sum := t.ratioSum.decay(b.now, b.decaySpan)
@@ -86,17 +88,18 @@
 	return (sum + age + priorAnswers*b.medianRatioByLocality[b.locality(t)]) / (count + priorAnswers)
 }
 
-// typicalLatency is the latency of a request by overall mean and median ratio, in ms, at most the longest
-// of recent attempts. Right after all latencies jump, the mean follows already while the ratios are
-// still to the mean of before; their product would be hundreds of times what anything takes, and one proxy
-// among many would send next to nothing.
+// typicalLatency returns the latency of a request in ms: the overall mean times the median ratio, at most the
+// longest latency of recent attempts. Right after all latencies jump, the mean already follows while the
+// ratios are still relative to the mean before the jump. Their product would be hundreds of times the actual
+// latency, and one proxy among many would send almost nothing.
 func (b *Balancer) typicalLatency() float64 {
 	return min(b.meanLatency*b.medianRatio, b.longestLatency)
 }
 
-// updateBaselines sets what is usual: the tail of each class, and the median ratios of all active targets,
-// and of the own zone's and the others' apart. With one median for both, a target elsewhere would be taken
-// to be as slow as those of an overloaded zone, get no request, and never be measured.
+// updateBaselines updates the baseline of each class's tail latency and the median latency ratios: of all
+// active targets, and of those in the own zone and in other zones separately. With one median for both, an
+// unmeasured target in another zone would be estimated as slow as those of an overloaded own zone, get no
+// request, and never be measured.
 func (b *Balancer) updateBaselines() {
 	b.ratioBuffer = b.ratioBuffer[:0]
 	for locality := range b.medianRatioByLocality {
@@ -116,16 +119,17 @@
 	}
 }
 
-// recordLongest takes a latency in ms into the longest of recent attempts.
+// recordLongest updates the longest latency of recent attempts with a latency in ms.
 func (b *Balancer) recordLongest(latency float64) {
 	b.longestLatency = max(b.longestLatency*(1-longestDecay), latency)
 }
 
-// learnLatency records the latency in ms of an attempt that was answered.
+// learnLatency records the latency in ms of an attempt that was answered. The class's tail latency is that of
+// a request of mean work, so the latency of a request of more work is divided by its relative work.
 func (b *Balancer) learnLatency(a *attempt, latency float64) {
 	class := a.request.Class
-	heaviness := max(1, a.expectedLatency/b.expectedLatency(class, 0))
-	b.tailByClass[class].learn(latency/heaviness, tailExceedance, tailStep)
+	relativeWork := max(1, a.expectedLatency/b.expectedLatency(class, 0))
+	b.tailByClass[class].learn(latency/relativeWork, tailExceedance, tailStep)
 	b.latencyByClass[class].learn(millis(a.request.ExpectedWork), latency, classDecay)
 	a.target.recordRatio(b.now, b.decaySpan, latency/a.expectedLatency, 1)
 	b.recordLongest(latency)
@@ -138,18 +142,18 @@
 	}
 }
 
-// learnFailure records an attempt that failed after so many ms. A failure comes fast; it counts as slow as
-// the objective, or a broken backend would draw all traffic. It is no multiple of the median ratio, which
-// would feed itself while all fail.
+// learnFailure records an attempt that failed at an age in ms. A failure may be fast, but counts as slow as
+// the latency objective, or a failing backend would attract all traffic. It does not count as a multiple of
+// the median ratio, which would grow without bound while all attempts fail.
 func (b *Balancer) learnFailure(a *attempt, age float64) {
-	lost := max(age, millis(b.config.Classes[a.request.Class].LatencyObjective))
-	a.target.recordRatio(b.now, b.decaySpan, max(lost/a.expectedLatency, b.medianRatio), 1)
-	b.recordLongest(lost)
+	latency := max(age, millis(b.config.Classes[a.request.Class].LatencyObjective))
+	a.target.recordRatio(b.now, b.decaySpan, max(latency/a.expectedLatency, b.medianRatio), 1)
+	b.recordLongest(latency)
 }
 
-// learnHint lets a class without answers expect a latency that equals the expected work, if its first
-// request carries it: it learns two points of that line, whose mean is a quarter of the objective, as it is
-// without a hint (initialLatencyShare).
+// learnHint initialises the linear fit of a class from the first request with an expected work, if the class
+// has no answers yet: it adds two points of the line on which latency equals expected work. Their mean is a
+// quarter of the objective, as it is without expected work (initialLatencyShare).
 func (b *Balancer) learnHint(class int, work time.Duration) {
 	fit := &b.latencyByClass[class]
 	if work <= 0 || fit.weight != 0 {
@@ -160,23 +164,23 @@
 	fit.learn(half, half, 1)
 }
 
-// learnArrival takes a request into the overall means of work and latency.
+// learnArrival updates the overall means of work and latency with an arriving request.
 func (b *Balancer) learnArrival(r *request) {
-	// Averaged over meanRequests from the first on, the first would stand for hundreds, and a proxy that has
-	// just started would shed whatever earns less.
+	// If the means covered meanRequests from the first request on, the first would count as hundreds, and a
+	// proxy that has just started would shed every request that earns less.
 	b.meanSamples = min(b.meanSamples+1, meanRequests)
 	b.meanWork = movingAverage(b.meanWork, b.workOf(r), b.meanSamples)
 	b.meanLatency = movingAverage(b.meanLatency, b.expectedFor(r), b.meanSamples)
 }
 
-// meanRequestWork is the mean work of a request in ms.
+// meanRequestWork returns the mean work of a request in ms, never 0.
 func (b *Balancer) meanRequestWork() float64 { return max(b.meanWork, minLatency) }
 
-// inMeanRequests is how many requests of mean work a request of so many ms counts for, at least one: a work
-// budget alone lets small requests through, and handshakes are work too.
+// inMeanRequests converts the work of a request in ms into requests of mean work, at least one. A budget of
+// work alone would allow any number of small requests, and their connection handshakes are work too.
 func (b *Balancer) inMeanRequests(work float64) float64 { return max(work/b.meanRequestWork(), 1) }
 
-// decayOverSweep is what a sweep leaves of sums that decay over a span.
+// decayOverSweep returns the factor by which sums that decay over a span decay between two sweeps.
 func (b *Balancer) decayOverSweep(span time.Duration) float64 {
 	return math.Exp(-float64(b.checkInterval/sweepsPerInterval) / float64(span))
 }
--- a/decision/operator.go
+++ b/decision/operator.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// Detach takes a backend out by an operator's order: it gets nothing new, neither requests nor health
-// checks, whatever the endpoint list says of it or whether it is in the list now. Attempts in flight run
-// on.
+// Detach reports that an operator detached a backend. It gets no new requests or health checks, whatever its
+// state in the endpoint list, also if it is not listed yet. Attempts in flight continue.
 func (b *Balancer) Detach(now time.Duration, id BackendID) {
 	b.now = now
 	if _, detached := b.detached[id]; detached {
@@ -18,8 +17,9 @@
 	}
 }
 
-// Attach ends what Detach began. The backend counts as just started unless the list says when it did since:
-// it may have been restarted meanwhile, and the list may not say so yet.
+// Attach reports that an operator attached a detached backend again. The backend counts as just started,
+// since it may have been restarted without the endpoint list showing it yet. If the list already shows a
+// start after Detach, that start counts.
 func (b *Balancer) Attach(now time.Duration, id BackendID) {
 	b.now = now
 	since, detached := b.detached[id]
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -1,24 +1,25 @@
 package decision
 
-// Attempts are evidence of health beside the health checks. A target that leaves attempts unanswered is
-// checked soon, gets less of the classes that it leaves unanswered, and may be taken to have restarted. It
-// is never ejected by attempts alone: in an overload all attempts fail, and ejection would shift the load
-// to the rest.
+// Attempts are evidence of a target's health, besides the health checks. A target that leaves attempts
+// unanswered is checked soon and gets fewer requests of the unanswered classes, and a restart may be
+// suspected. It is never ejected because of attempts alone: in an overload all attempts fail, and ejection
+// would shift the load to the other targets.
 const (
-	// lossPenalty is by how many expected delays an unanswered attempt of a class raises the target's delay.
+	// Each unanswered attempt of a class raises the expected delay for the class at the target by
+	// lossPenalty times its usual value.
 	lossPenalty = 1
 
-	// Losses decay over lossDecayFactor times the span of other measurements. Below lossFloor they count for
-	// nothing.
+	// Losses decay over lossDecayFactor times the span of other measurements. Below lossFloor they are
+	// ignored.
 	lossDecayFactor = 4
 	lossFloor       = 0.1
 
-	// A restart is suspected once nothing was answered for a check interval divided by
+	// A restart is suspected only after the target has answered nothing for a check interval divided by
 	// restartSilenceDivisor.
 	restartSilenceDivisor = 2
 )
 
-// recordAttemptHealth takes the end of an attempt as evidence of its target's health.
+// recordAttemptHealth updates the evidence of a target's health with the result of an attempt.
 func (b *Balancer) recordAttemptHealth(a *attempt, result Result) {
 	t := a.target
 	losses := &t.lossesByClass[a.request.Class]
@@ -34,7 +35,7 @@
 	if result == Rejected || result == Cancelled || result == NotSent {
 		return
 	}
-	if t.lastSuccess > a.waitingSince { // one that answers others meanwhile is only slow
+	if t.lastSuccess > a.waitingSince { // a target that has answered other attempts since is only slow
 		return
 	}
 	if result == ConnectFailed {
@@ -44,25 +45,26 @@
 		t.nextCheck = b.now
 		t.failingSince = b.now
 	} else if b.usesSharedLimit() {
-		// Many proxies that each try a backend that hangs now and then lose much together.
+		// Many proxies that each try a hanging backend occasionally would together lose many requests.
 		t.limit.ceiling = t.limit.unit
 	}
 }
 
-// suspectRestart takes a target to have just started when a connection fails after a time of silence: it
-// may be up again before the list says so. Without the silence, two failures that come close together by
-// chance would make all backends count as cold, one after the other.
+// suspectRestart records a suspected start of a target when a connection fails after a time without answers:
+// the target may be running again before the endpoint list shows the restart. Without the condition on that
+// time, two failures that are close together by chance would make one backend after the other count as just
+// started.
 func (b *Balancer) suspectRestart(t *target) {
-	silent := b.now-t.failingSince >= b.checkInterval/restartSilenceDivisor
-	if t.consecutiveFailures > 0 && silent {
+	unansweredLong := b.now-t.failingSince >= b.checkInterval/restartSilenceDivisor
+	if t.consecutiveFailures > 0 && unansweredLong {
 		b.recordStart(t, b.now)
 	}
 }
 
-// lossFactor is by how much a target's expected delay counts more for a class that it leaves unanswered,
-// while it may serve the others as usual. A trace of old losses counts for nothing: it would break the tie
-// with an unmeasured target's only neighbour, and the target would get no request and stay unmeasured,
-// however slow the neighbour.
+// lossFactor returns the factor of a target's expected delay for a class, above 1 if the target leaves
+// attempts of the class unanswered. It may serve other classes as usual. A small remainder of old losses is
+// ignored: it would break the tie between an unmeasured target and its only neighbour, and the target would
+// get no request and stay unmeasured, however slow the neighbour is.
 func (b *Balancer) lossFactor(t *target, class int) float64 {
 	losses := t.lossesByClass[class].decay(b.now, lossDecayFactor*b.decaySpan)
 	if losses < lossFloor {
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// queuedPerTarget is how many requests may wait for each active target.
+	// queuedPerTarget is the maximum number of queued requests for each active target.
 	queuedPerTarget = 4
 
-	// maxDispatchMisses is after how many requests that found no target no more are tried.
+	// After maxDispatchMisses requests for which no target was found, a dispatch tries no more requests.
 	maxDispatchMisses = 20
 
-	// The queue is looked at again after dispatchTicks ticks and dispatchPause.
+	// While requests are queued, the next dispatch comes after dispatchTicks ticks plus dispatchPause.
 	dispatchTicks = 2
 	dispatchPause = time.Millisecond
 )
 
-// enqueue lets a request that has nothing in flight wait for the next dispatch, if it may still be sent. It
-// waits for half of the time that it can spare.
+// enqueue queues a request without attempts in flight for the next dispatch, or gives its final answer if it
+// may not be sent any more. It may wait for half of the time left before an answer would come too late.
 func (b *Balancer) enqueue(r *request) {
 	if b.hasNoTarget(r) {
 		b.rejectOrFail(r)
@@ -30,21 +30,22 @@
 	b.queue = append(b.queue, r)
 }
 
-// hasNoTarget reports whether a request that was sent may be sent nowhere any more.
+// hasNoTarget reports whether a request that was sent before may not be sent to any active target.
 func (b *Balancer) hasNoTarget(r *request) bool {
-	may := func(t *target) bool { return b.mayAttempt(r, t) }
-	return len(r.attempts) > 0 && !slices.ContainsFunc(b.active, may)
+	allowed := func(t *target) bool { return b.mayAttempt(r, t) }
+	return len(r.attempts) > 0 && !slices.ContainsFunc(b.active, allowed)
 }
 
-// dispatch sends what waits, the greatest marginal gain first, while there is capacity, and ends what has
-// waited too long. If deciding one request panics, all behind it go on waiting.
+// dispatch sends queued requests while there is capacity, that of the greatest marginal gain first, and gives
+// a final answer to those that have waited too long. If it panics at one request, those behind it stay
+// queued.
 func (b *Balancer) dispatch() {
 	waiting := slices.DeleteFunc(b.queue, func(r *request) bool { return r.ended })
 	b.queue = nil
 	rest := waiting
 	defer func() { b.queue = append(b.queue, rest...) }()
 	b.sortByGain(waiting)
-	misses, most := 0, b.queueCapacity()
+	misses, maxQueued := 0, b.queueCapacity()
 	for i, r := range waiting {
 		rest = waiting[i+1:]
 		if r.ended {
@@ -56,8 +57,8 @@
 			}
 			misses++
 		}
-		// While it waits, a deduplication window may end, and with it the only targets that it may go to.
-		if b.now >= r.waitUntil || len(b.queue) >= most || b.hasNoTarget(r) {
+		// While a request waits, its deduplication window may end, after which it may have no target left.
+		if b.now >= r.waitUntil || len(b.queue) >= maxQueued || b.hasNoTarget(r) {
 			b.rejectOrFail(r)
 			continue
 		}
@@ -69,7 +70,7 @@
 	}
 }
 
-// sortByGain ranks requests by their marginal gain and puts the greatest first; equals keep their order.
+// sortByGain sorts requests by their marginal gain, the greatest first. The sort is stable.
 func (b *Balancer) sortByGain(waiting []*request) {
 	for _, r := range waiting {
 		r.rank = b.marginalGain(r)
@@ -77,8 +78,8 @@
 	slices.SortStableFunc(waiting, func(x, y *request) int { return cmp.Compare(y.rank, x.rank) })
 }
 
-// queueCapacity is how many requests may wait at this proxy. Of many proxies each holds its part only: their
-// queues together must not grow with their number.
+// queueCapacity returns the maximum number of queued requests at this proxy. With many proxies each holds
+// only its share, so that their queues together do not grow with their number.
 func (b *Balancer) queueCapacity() int {
 	instances := b.config.Instances
 	return queuedPerTarget * (len(b.active) + 1) * min(initialLimit, instances) / instances
--- a/decision/request.go
+++ b/decision/request.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// request is a request that has no final answer yet, or one that has attempts in flight after it.
+// request is the record of a request without a final answer, or with attempts in flight after it.
 type request struct {
 	Request
-	arrived      time.Duration // with a streamed body: when its last byte had gone by
-	objectiveAt  time.Duration // an answer after it is late
-	waitUntil    time.Duration // it is given up in the queue from then on
+	arrived      time.Duration // of a streamed body: when its last byte was forwarded
+	objectiveAt  time.Duration // an answer after this time is late
+	waitUntil    time.Duration // from this time on it gets its final answer if it is still queued
 	attempts     []*attempt
 	ended        bool // it has its final answer
-	bodyComplete bool // its streamed body has gone by
+	bodyComplete bool // its streamed body has been forwarded completely
 
 	streaming        bool // its answer has begun
 	streamingAttempt *attempt
 
-	value     float64 // priority weight, by work if so configured, less what exceeds its tenant's quota
+	value     float64 // priority weight, times work if so configured, reduced by overQuota
 	overQuota float64 // share of its tenant's traffic that exceeds the quota
-	rank      float64 // its marginal gain, as last dispatched
+	rank      float64 // its marginal gain at the last dispatch
 }
 
-// attempt is one send of a request to a target.
+// attempt is the record of one send of a request to a target.
 type attempt struct {
 	request       *request
 	number        int // from 0
 	target        *target
-	zone, cell    int           // of the target as it was then
-	sentAt        time.Duration // the deduplication window counts from here
-	waitingSince  time.Duration // an answer is waited for from here on
+	zone, cell    int           // of the target at the time of the send
+	sentAt        time.Duration // the deduplication window counts from this time
+	waitingSince  time.Duration // the latency counts from this time: the send, or the end of a streamed body
 	reservations  []reservation
 	work          float64 // ms
-	loadWeight    float64 // what it counts for in a limit; 1 is a request of mean latency
+	loadWeight    float64 // its load in concurrency limits; 1 is a request of mean latency
 	done          bool
 	mayHaveRun    bool
 	cancelled     bool
-	retryReserved bool // a retry after its end is paid for
+	retryReserved bool // the retry after it has already been taken from the retry budget
 
-	expectedLatency float64 // ms that class and expected work lead one to expect of any backend
+	expectedLatency float64 // ms, expected of any backend by class and expected work
 
-	uploading  bool    // its body is on its way: no answer is waited for yet
-	fullWeight float64 // its loadWeight once the body has gone by
+	uploading  bool    // its streamed body is not complete yet, so no answer is expected
+	fullWeight float64 // its loadWeight once the body is complete
 }
 
 // hasInFlight reports whether an attempt is in flight.
@@ -55,7 +55,7 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.target == t })
 }
 
-// begin enters an attempt at its request and its target.
+// begin adds an attempt to its request and its target.
 func (a *attempt) begin() {
 	r, t := a.request, a.target
 	r.attempts = append(r.attempts, a)
@@ -68,8 +68,9 @@
 	a.startWaiting(a.waitingSince)
 }
 
-// startWaiting notes that an answer is waited for from now on. A body that is still on its way says nothing
-// of how fast the backend answers, and is no load there yet: the backend begins with its last byte.
+// startWaiting records that the latency of an attempt counts from now on. While its body is being uploaded,
+// an attempt shows nothing about how fast the backend answers, and is no load there yet: the backend starts
+// to work after the last byte.
 func (a *attempt) startWaiting(now time.Duration) {
 	t := a.target
 	t.sentOverExpected += millis(now) / a.expectedLatency
@@ -84,7 +85,7 @@
 	a.waitingSince = now
 }
 
-// release takes an attempt off its target and its limits.
+// release marks an attempt as done and removes it from its target and its limits.
 func (a *attempt) release(now time.Duration) {
 	t := a.target
 	a.done = true
@@ -94,7 +95,7 @@
 	for i := range a.reservations {
 		a.reservations[i].limit.release(a.loadWeight, now)
 	}
-	if len(t.inFlight) == 0 { // rounding must leave no trace
+	if len(t.inFlight) == 0 { // without attempts in flight, rounding errors must not leave a sum
 		t.sentOverExpected = 0
 		t.inverseExpected = 0
 	} else if !a.uploading {
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -1,25 +1,28 @@
 package decision
 
-// The retry budget bounds retries and hedged requests to a share of the requests, so that they can't
-// multiply an overload. Each request adds RetryBudgetRatio to it, each retry takes its price from it.
+// The retry budget limits retries and hedged requests to a share of the requests, so that they do not
+// multiply an overload. Each request adds RetryBudgetRatio to the budget, and each retry takes its price from
+// it.
 const (
 	defaultRetryBudgetRatio = 0.1
 
-	// maxRetryBudget is how many retries may be saved up.
+	// maxRetryBudget is the maximum of the budget, in retries of price 1.
 	maxRetryBudget = 10
 
-	// brokenAttemptCost is the price of a retry after an attempt that broke, most often early.
+	// brokenAttemptCost is the price of a retry after an attempt that ended with Reset or Error. Most of
+	// these end early.
 	brokenAttemptCost = 0.4
 )
 
-// refillRetryBudget adds what one request earns for retries.
+// refillRetryBudget adds the share of one request to the retry budget.
 func (b *Balancer) refillRetryBudget() {
 	b.retryBudget = min(b.retryBudget+b.config.RetryBudgetRatio, maxRetryBudget)
 }
 
-// retryPrice is what a retry after this end of an attempt takes from the budget. A connection that failed
-// cost no work, and a reserved retry is paid for: both are free. Broken attempts cost less than timeouts:
-// where connections break here and there, a budget that is meant for overloads would be gone at once.
+// retryPrice returns the price, in the retry budget, of a retry after an attempt ended with a result. A
+// failed connection cost the backend no work, and a reserved retry has already been taken from the budget:
+// both are free. Resets and errors cost less than timeouts: if connections break occasionally, the budget,
+// which is meant for overloads, would be used up at once.
 func retryPrice(a *attempt, result Result) float64 {
 	switch {
 	case result == ConnectFailed || a.retryReserved:
@@ -30,7 +33,7 @@
 	return 1
 }
 
-// retryOrEnd queues a request for a retry, or gives it up, after its last attempt in flight has ended
+// retryOrEnd queues a request for a retry, or rejects or fails it, after its last attempt in flight has ended
 // without an answer.
 func (b *Balancer) retryOrEnd(a *attempt, o Outcome) {
 	r := a.request
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -5,28 +5,30 @@
 	"slices"
 )
 
-// Candidate selection is by power of two choices: of two targets drawn at random, the one of lower expected
-// delay. It needs no view of all targets at once, and proxies that decide alike don't all choose the same
-// target.
+// Targets are selected by power of two choices: of two targets drawn at random, the one with the lower
+// expected delay gets the request. This needs no comparison of all targets, and proxies with the same
+// estimates do not all choose the same target.
 const (
-	// localPreference is how much worse the own zone's choice may be before one elsewhere is taken.
+	// A target in another zone is chosen only if the expected delay in the own zone is higher by more than
+	// the share localPreference.
 	localPreference = 0.5
 
-	// affinityWaitShare is the share of its objective that a request with a key waits for its own targets.
+	// affinityWaitShare is the share of its latency objective for which a request with a key waits for the
+	// key's own targets.
 	affinityWaitShare = 0.15
 
-	// affinityTargetCount is how many targets a key comes first to.
+	// affinityTargetCount is the number of own targets of a key.
 	affinityTargetCount = 2
 )
 
-// mayReceive guards drains, operators' orders and slow start: may a target get a request of so many ms of
-// work?
+// mayReceive reports whether drains, operators' commands and slow start allow sending a target a request of
+// the work in ms.
 func (b *Balancer) mayReceive(t *target, work float64) bool {
 	return t.State == Ready && !t.detached && b.slowStartAllows(t, work)
 }
 
-// selectTarget finds the target for the next attempt of a request, or nil. Unhealthy targets are considered
-// only if no healthy one may have it.
+// selectTarget returns the target for the next attempt of a request, or nil if there is none now. Unhealthy
+// targets are considered only if mayAttempt allows no healthy one.
 func (b *Balancer) selectTarget(r *request) *target {
 	work, scale := b.workOf(r), b.limitScale(r)
 	if b.sharedLimitReached(scale) {
@@ -45,11 +47,12 @@
 	return nil
 }
 
-// collectCandidates sets b.candidates to the targets that may get a request, those not yet tried if there
-// are any. It reports whether there is one that would do but for drains and slow start.
+// collectCandidates sets b.candidates to the targets that may get a request; if some of them have not been
+// tried yet, only to these. found reports whether mayAttempt allows a target, also one that mayReceive
+// forbids.
 func (b *Balancer) collectCandidates(r *request, work float64, healthyOnly bool) (found bool) {
 	b.candidates = b.candidates[:0]
-	fresh := false
+	hasUntried := false
 	for _, t := range b.active {
 		if healthyOnly && !t.healthy || !b.mayAttempt(r, t) {
 			continue
@@ -57,58 +60,59 @@
 		found = true
 		if b.mayReceive(t, work) {
 			b.candidates = append(b.candidates, t)
-			fresh = fresh || !wasAttempted(r, t)
+			hasUntried = hasUntried || !wasAttempted(r, t)
 		}
 	}
-	if fresh {
+	if hasUntried {
 		b.candidates = slices.DeleteFunc(b.candidates, func(t *target) bool { return wasAttempted(r, t) })
 	}
 	return found
 }
 
-// narrowCandidates leaves those with capacity and, for a request with a key, of these the key's own
-// targets. Where all are at their limits, keys that go wherever there is capacity find nothing warm, and
-// the extra work keeps all at their limits. So a key waits for its own two before others are considered.
+// narrowCandidates reduces b.candidates to the targets with capacity and, for a request with a key, to the
+// key's own targets. If all targets are near their limits and requests go wherever there is capacity, they
+// find no cached data there, and the extra work keeps all targets at their limits. So a request with a key
+// waits for the key's own targets for some time before others are considered.
 func (b *Balancer) narrowCandidates(r *request, scale float64) {
-	hasNone := func(t *target) bool { return !b.hasCapacity(t, scale) }
+	isFull := func(t *target) bool { return !b.hasCapacity(t, scale) }
 	hasAffinity := b.hasAffinity(r)
 	if !hasAffinity || b.now >= r.arrived+fromMillis(affinityWaitShare*millis(r.objectiveAt-r.arrived)) {
-		b.candidates = slices.DeleteFunc(b.candidates, hasNone)
+		b.candidates = slices.DeleteFunc(b.candidates, isFull)
 	}
 	if hasAffinity {
 		b.candidates = affinityTargets(b.candidates, r.Key)
 	}
-	b.candidates = slices.DeleteFunc(b.candidates, hasNone)
+	b.candidates = slices.DeleteFunc(b.candidates, isFull)
 }
 
-// hasAffinity reports whether a request goes to its key's own targets.
+// hasAffinity reports whether a request should go to its key's own targets.
 func (b *Balancer) hasAffinity(r *request) bool { return b.config.KeyAffinity && r.Key != 0 }
 
-// expectedDelay is what targets are compared by: the latency at the present load, in multiples of what is
-// expected of any backend.
+// expectedDelay returns the value by which targets are compared: the expected latency of a request at the
+// current load, as a multiple of the latency expected of any backend.
 func (b *Balancer) expectedDelay(r *request, t *target) float64 {
 	return (t.limit.load + 1) * b.latencyRatio(t) * b.lossFactor(t, r.Class)
 }
 
-// chooseByLocality takes one of b.candidates: the better of two in the own zone, unless the better of two
-// of all is better by far.
+// chooseByLocality chooses one of b.candidates: the better of two in the own zone, unless the better of two
+// from all zones is better by more than localPreference.
 func (b *Balancer) chooseByLocality(r *request) *target {
 	best := b.betterOfTwo(r, b.candidates)
 	if b.hasAffinity(r) {
 		return best
 	}
-	near := slices.DeleteFunc(b.candidates, func(t *target) bool { return b.locality(t) > 0 })
-	if len(near) == 0 {
+	inOwnZone := slices.DeleteFunc(b.candidates, func(t *target) bool { return b.locality(t) > 0 })
+	if len(inOwnZone) == 0 {
 		return best
 	}
-	local := b.betterOfTwo(r, near)
+	local := b.betterOfTwo(r, inOwnZone)
 	if b.expectedDelay(r, best)*(1+localPreference) >= b.expectedDelay(r, local) {
 		return local
 	}
 	return best
 }
 
-// betterOfTwo draws two targets at random and takes the one of lower expected delay.
+// betterOfTwo draws two targets at random and returns the one with the lower expected delay.
 func (b *Balancer) betterOfTwo(r *request, candidates []*target) *target {
 	i := b.random.IntN(len(candidates))
 	if len(candidates) == 1 {
@@ -124,9 +128,9 @@
 	return candidates[i]
 }
 
-// affinityTargets leaves the two targets that a key comes first to, in that order, the same at every proxy.
-// It is a weighted rendezvous hash: a target that is registered as twice as large comes first to twice as
-// many keys.
+// affinityTargets returns the own targets of a key, affinityTargetCount of the candidates at most, the first
+// choice first. It overwrites candidates. Every proxy gets the same targets. They are selected by a weighted
+// rendezvous hash: a target of twice the registered size is the first choice of twice as many keys.
 func affinityTargets(candidates []*target, key uint64) []*target {
 	n, ranks := 0, [affinityTargetCount + 1]float64{}
 	for _, t := range candidates {
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// Slow start: a backend that has started, or may have, serves only a share of its capacity and falls over
-// beyond a multiple of it. What it may be sent is a token bucket in requests of mean work, filled at the
-// rate that this proxy's part of its capacity allows.
+// Slow start: a backend that has just started, or may have, can serve only a share of its capacity, and fails
+// under a load above a multiple of that share. Sends to it are limited by a token bucket in requests of mean
+// work, which is filled at the rate of this proxy's share of the reduced capacity.
 const (
-	// servedWorkIntervals is over how many check intervals the work that backends serve is taken.
+	// servedWorkIntervals is the number of check intervals over which the work that a backend served is
+	// averaged.
 	servedWorkIntervals = 8
 
-	// slowStartSafety is the share of what would make a cold backend fall over that it may be sent.
+	// slowStartSafety is the share of the load that would make a backend fail that it may be sent.
 	slowStartSafety = 0.8
 
-	// slowStartBurst is the share of the overload window over which tokens may be saved up.
+	// slowStartBurst is the share of the overload window for which unused tokens accumulate.
 	slowStartBurst = 0.25
 
 	minOverloadWindow = time.Second
 
-	// soleRequestWork is of how many times the mean work a request may be that is alone at a cold backend.
+	// Without enough tokens, a request may still be sent to a backend with nothing else in flight if its work
+	// is at most soleRequestWork times the mean.
 	soleRequestWork = 2
 )
 
-// warmUpCapacity gives the share of its capacity that a backend has at least, and whether it is still warming
-// up.
+// warmUpCapacity returns the share of its full capacity that a backend has at least, and whether it is still
+// warming up.
 func (b *Balancer) warmUpCapacity(t *target) (share float64, warmingUp bool) {
 	c := &b.config.Constraints
 	if age := b.now - t.lastStart; t.lastStart > 0 && age < c.WarmUp {
@@ -31,10 +33,11 @@
 	return 1, false
 }
 
-// recordStart notes a start, known or suspected; what was served before it says nothing. Tokens are in
-// requests, as a proxy that has just started knows no mean work. Each of many proxies that hear of a start
-// at once has a first request for the backend, and these alone could make it fall over: so a proxy's first
-// waits a random part of the time in which all proxies may send one each.
+// recordStart records a start of a backend, known or suspected, and discards the work that it served before.
+// When many proxies learn of a start at once, each has a first request for the backend, and these alone could
+// make it fail. So the tokens begin with a random negative value: the first request waits a random part of
+// the time in which all proxies together may send one request each. Tokens are in requests, not in work,
+// because a proxy that has just started has no mean work yet.
 func (b *Balancer) recordStart(t *target, at time.Duration) {
 	if at <= t.lastStart {
 		return
@@ -45,10 +48,11 @@
 	t.slowStartTokens = -b.random.Float64() * b.otherProxiesShare()
 }
 
-// otherProxiesShare is the share of the other proxies in all requests.
+// otherProxiesShare returns the share of the other proxies in all requests, if all proxies get equal shares.
 func (b *Balancer) otherProxiesShare() float64 { return 1 - 1/float64(b.config.Instances) }
 
-// refillSlowStart sets the rate of each backend that warms up and adds the tokens that are due.
+// refillSlowStart updates the rate of each backend that is warming up, and adds tokens for the time since the
+// last refill.
 func (b *Balancer) refillSlowStart() {
 	window := max(b.config.Constraints.OverloadWindow, minOverloadWindow).Seconds()
 	for _, t := range b.active {
@@ -56,31 +60,32 @@
 		if !warmingUp {
 			continue
 		}
-		t.slowStartRate = b.slowStartRateOf(t, share, window)
+		t.slowStartRate = b.slowStartRateFor(t, share, window)
 		added := t.slowStartRate * (b.now - t.tokensUpdatedAt).Seconds()
-		most := t.slowStartRate * slowStartBurst * window / b.meanRequestWork()
-		t.slowStartTokens = min(t.slowStartTokens+added/b.meanRequestWork(), most)
+		maxTokens := t.slowStartRate * slowStartBurst * window / b.meanRequestWork()
+		t.slowStartTokens = min(t.slowStartTokens+added/b.meanRequestWork(), maxTokens)
 		t.tokensUpdatedAt = b.now
 	}
 }
 
-// slowStartRateOf is the work in ms a second that a backend may be sent while it has a share of its capacity;
-// window is the overload window in seconds. The rate is that share of what similar backends serve of this
-// proxy's requests, or some more than the backend serves itself. All proxies together stay within what it can
-// bear.
-func (b *Balancer) slowStartRateOf(t *target, share, window float64) float64 {
-	least := b.meanWork / window / float64(b.config.Instances) // a request a window teaches enough
+// slowStartRateFor returns the work in ms a second that this proxy may send to a backend which has a share of
+// its full capacity. window is the overload window in seconds. The rate is a multiple of the larger of two
+// estimates: that share of what similar backends serve of this proxy's requests, and what the backend itself
+// has served of them since its start. All proxies together stay within what the backend can serve.
+func (b *Balancer) slowStartRateFor(t *target, share, window float64) float64 {
+	// One request of all proxies in an overload window is enough to measure the backend.
+	minRate := b.meanWork / window / float64(b.config.Instances)
 	expected := b.similarServedRate(t) * share
-	own := t.recentWork.perSecond(b.now, b.config.Constraints.OverloadWindow)
-	rate := max(expected, own)
-	if b.usesSharedLimit() { // among many proxies, chance makes the larger of the two too large at each
-		rate = (expected + own) / 2
+	served := t.recentWork.perSecond(b.now, b.config.Constraints.OverloadWindow)
+	rate := max(expected, served)
+	if b.usesSharedLimit() { // at many proxies the larger estimate would be too large by chance
+		rate = (expected + served) / 2
 	}
-	return max(rate*slowStartSafety*b.config.Constraints.OverloadFactor, least)
+	return max(rate*slowStartSafety*b.config.Constraints.OverloadFactor, minRate)
 }
 
-// similarServedRate is the mean work in ms a second that warm backends of the same kind and zone serve, or
-// all warm ones if there is none.
+// similarServedRate returns the mean work in ms a second that warm, healthy backends of the same kind and
+// zone serve of this proxy's requests or, if there are none, that all warm, healthy backends serve.
 func (b *Balancer) similarServedRate(t *target) float64 {
 	sum, n := 0.0, 0.0
 	for _, anyKind := range [2]bool{false, true} {
@@ -100,9 +105,10 @@
 	return sum / max(n, 1)
 }
 
-// slowStartAllows reports whether a target may be sent a request of so many ms of work: always once it is
-// warm, else within its tokens, or alone if it is not of much more work than the mean. The latter needs
-// tokens too: answers that come fast, or a cancel, would let one request at a time add up.
+// slowStartAllows reports whether slow start allows sending a target a request of the work in ms. A warm
+// target may always get it. Otherwise the tokens must suffice, or nothing else may be in flight at the target
+// and the work must be at most soleRequestWork times the mean. In the latter case the tokens must not be
+// negative: with fast answers or cancels, one request at a time would add up to too much work.
 func (b *Balancer) slowStartAllows(t *target, work float64) bool {
 	if _, warmingUp := b.warmUpCapacity(t); !warmingUp {
 		return true
--- a/decision/snapshot.go
+++ b/decision/snapshot.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Snapshot is what a Balancer has learned, for one that starts in its place. Times are of the caller's
-// clock, which must go on over the restart. Requests are not part of it: they are lost with the process.
-// Nor are tails, tallies and means: they would make the successor shed by how it was before the clients
-// that wait for it came together. The JSON keys are those that earlier releases have written and stay as they
-// are.
+// Snapshot contains the estimates of a Balancer for its successor in a new process. Times are of the caller's
+// clock, which must continue over the restart. It does not contain requests, which are lost with the process,
+// nor tail latencies, tallies and means: all clients that waited for the restart come at once, and the
+// successor would shed their requests by estimates from before. The JSON keys must not change: earlier
+// releases have written them.
 type Snapshot struct {
 	TakenAt     time.Duration     `json:"at"`
-	RequestRate float64           `json:"rate"`  // a second
-	SharedLimit float64           `json:"limit"` // on what is in flight at all backends; 0 is none
+	RequestRate float64           `json:"rate"`  // requests a second
+	SharedLimit float64           `json:"limit"` // on the load in flight at all backends; 0 is none
 	Classes     []ClassSnapshot   `json:"classes"`
 	Backends    []BackendSnapshot `json:"backends"`
 }
 
-// ClassSnapshot is what was learned of a class.
+// ClassSnapshot contains the estimates for a class.
 type ClassSnapshot struct {
 	Name string `json:"name"`
 
-	// LatencySums are the sums of a linear fit of latencies over expected work, both in ms: the weight of
-	// all points, x, y, x*x and x*y.
+	// LatencySums are the weighted sums of a linear fit of latency (y) over expected work (x), both in ms:
+	// the weights of all points, x, y, x*x and x*y.
 	LatencySums [5]float64 `json:"delays"`
 }
 
-// BackendSnapshot is what was learned of a backend in the incarnation that began at Started.
+// BackendSnapshot contains the estimates for a backend in the incarnation that began at Started.
 type BackendSnapshot struct {
 	ID         BackendID     `json:"id"`
-	Started    time.Duration `json:"started"` // as the list said
+	Started    time.Duration `json:"started"` // according to the endpoint list
 	LastStart  time.Duration `json:"cold"`    // known or suspected; 0 is long ago
 	Healthy    bool          `json:"healthy"`
-	ServedWork float64       `json:"served"` // ms, decaying
+	ServedWork float64       `json:"served"` // ms of work, a decaying sum
 }
 
-// Snapshot returns what has been learned.
+// Snapshot returns the current estimates.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
 	b.now = now
 	s := Snapshot{TakenAt: now, RequestRate: b.requestRate(), SharedLimit: b.sharedLimit.ceiling}
@@ -54,8 +54,9 @@
 	return s
 }
 
-// Restore takes over what a predecessor has learned, after Start and before the first endpoint list. It is a
-// prior: its weight decays with its age, and what it says of a backend is void if that has started since.
+// Restore takes over the estimates of a predecessor. It must be called after Start and before the first
+// endpoint update. The older the snapshot is, the less it counts, and the estimates for a backend are ignored
+// if the backend has started since. A snapshot from the future is ignored.
 func (b *Balancer) Restore(now time.Duration, s Snapshot) {
 	b.now = now
 	if age := now - s.TakenAt; age < 0 {
@@ -63,8 +64,9 @@
 	}
 	b.predecessor = &s
 	keep := b.predecessorWeight()
-	// As if requests had come at that rate for an interval: a proxy that has just started would use a few
-	// backends only, while all clients that waited for it come. What comes now soon says more.
+	// Count as if requests had arrived at the predecessor's rate for a check interval. Otherwise a proxy that
+	// has just started would use only a few backends while all clients that waited for it come. Actual
+	// requests soon outweigh this.
 	b.countedSince = now - b.checkInterval
 	b.requestCount = s.RequestRate * keep * 2 * b.checkInterval.Seconds()
 	for i, c := range b.config.Classes {
@@ -76,14 +78,14 @@
 	}
 }
 
-// predecessorWeight is the weight of the predecessor's snapshot by its age.
+// predecessorWeight returns the weight of the predecessor's snapshot, from 0 to 1, by its age.
 func (b *Balancer) predecessorWeight() float64 {
 	return math.Exp(-float64(b.now-b.predecessor.TakenAt) / float64(maxRateSpan))
 }
 
-// restoreTarget sets for a backend that the list names for the first time what the predecessor learned in
-// the same incarnation. A suspected start is no incarnation that the list knows of: the backend warms up
-// though the proxy is new.
+// restoreTarget sets the estimates of a newly listed backend to the predecessor's, if they are for the same
+// incarnation. A suspected start is restored too: the backend may still be warming up although the list does
+// not show the start.
 func (b *Balancer) restoreTarget(t *target) {
 	if b.predecessor == nil {
 		return
@@ -95,14 +97,15 @@
 		t.healthy = old.Healthy
 		t.servedWork = decayingSum{old.ServedWork, b.predecessor.TakenAt}
 		b.recordStart(t, old.LastStart)
-		if !t.healthy { // it may have recovered by now
+		if !t.healthy { // it may have recovered: check it soon
 			t.nextCheck = b.now
 		}
 	}
 }
 
-// restoredSharedLimit is what the predecessor's limit for all backends counts for, as far as they are the
-// same in the same incarnation. One that was learned on warm backends would let too much out at cold ones.
+// restoredSharedLimit returns the predecessor's shared limit, reduced by the snapshot's age and by the share
+// of backends that are no longer listed in the same incarnation. A limit learned with warm backends would be
+// too high for backends that are warming up. It returns 0 without a predecessor.
 func (b *Balancer) restoredSharedLimit() float64 {
 	s, same := b.predecessor, 0
 	if s == nil {
@@ -116,12 +119,12 @@
 	return s.SharedLimit * b.predecessorWeight() * float64(same) / float64(max(1, len(s.Backends)))
 }
 
-// sums are the stored form of a fit.
+// sums returns the stored form of a fit, see ClassSnapshot.LatencySums.
 func (f *linearFit) sums() [5]float64 {
 	return [5]float64{f.weight, f.sumX, f.sumY, f.sumXX, f.sumXY}
 }
 
-// linearFitFrom is a fit from its stored form, with a share of its weight.
+// linearFitFrom returns the fit of a stored form, with its weight multiplied by keep.
 func linearFitFrom(sums [5]float64, keep float64) linearFit {
 	for i := range sums {
 		sums[i] *= keep
--- a/decision/streaming.go
+++ b/decision/streaming.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// FirstByte binds a request whose answer is streamed to its attempt. What follows depends on how fast the
-// client reads: it says nothing of the backend, and counts as no load there.
+// FirstByte reports that a streamed answer has begun. From then on the request is bound to this attempt, and
+// its other attempts are cancelled. The rest of the answer depends on how fast the client reads, so it does
+// not count in the backend's latency or load. It is ignored if the request or the attempt has ended.
 func (b *Balancer) FirstByte(now time.Duration, f FirstByte) {
 	b.now = now
 	r := b.requests[f.ID]
@@ -21,8 +22,8 @@
 	b.dispatch()
 }
 
-// BodyComplete says that the last byte of a streamed body has gone by. The request's time counts from here,
-// up to the new deadline on the caller's clock.
+// BodyComplete reports that the last byte of a streamed request body was forwarded. The request's latency
+// counts from now on, and its deadline on the caller's clock is replaced by deadline.
 func (b *Balancer) BodyComplete(now time.Duration, id RequestID, deadline time.Duration) {
 	b.now = now
 	r := b.requests[id]
@@ -40,7 +41,8 @@
 	}
 }
 
-// ClientGone says that a request's client has left: no answer is owed any more.
+// ClientGone reports that the client of a request has left. The request ends without a final answer, and its
+// attempts in flight are cancelled.
 func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	b.now = now
 	if r := b.requests[id]; r != nil && !r.ended {
--- a/decision/timers.go
+++ b/decision/timers.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// A timer's token says what it is for in its highest byte. That of an attempt holds the attempt's number in
-// the byte from bit 32 on, and the request in its lowest 32 bits.
+// The highest byte of a timer's token is the kind of the timer. The token of an attempt's timer also contains
+// the number of the attempt in the byte from bit 32 on, and the request ID in the lowest 32 bits.
 const (
 	timerSweep     = 1
 	timerEndpoints = 2
@@ -15,22 +15,22 @@
 	timerAttemptMask  = 0xff
 )
 
-// The tokens of timers that need nothing but their kind.
+// The tokens of timers that consist of their kind only.
 const (
 	sweepToken     uint64 = timerSweep << timerKindShift
 	endpointsToken uint64 = timerEndpoints << timerKindShift
 	dispatchToken  uint64 = timerDispatch << timerKindShift
 )
 
-// sweepsPerInterval is how many sweeps there are in a check interval.
+// sweepsPerInterval is the number of sweeps in a check interval.
 const sweepsPerInterval = 10
 
-// attemptToken is the token of the timer of an attempt.
+// attemptToken returns the token of the hedging timer of an attempt.
 func attemptToken(id RequestID, number int) uint64 {
 	return timerAttempt<<timerKindShift | uint64(number)<<timerAttemptShift | uint64(id)
 }
 
-// Timer reports the end of a timer that Host.StartTimer began. Unknown tokens are ignored.
+// Timer reports that a timer of Host.StartTimer has expired. Unknown tokens are ignored.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	b.now = now
 	switch token >> timerKindShift {
@@ -50,11 +50,12 @@
 	}
 }
 
+// scheduleSweep starts the timer for the next sweep.
 func (b *Balancer) scheduleSweep() {
 	b.host.StartTimer(b.checkInterval/sweepsPerInterval, sweepToken)
 }
 
-// sweep applies the rules that depend on time alone.
+// sweep does the periodic work, which does not depend on events.
 func (b *Balancer) sweep() {
 	b.removeDeparted()
 	b.selectActive()
--- a/decision/valuation.go
+++ b/decision/valuation.go
@@ -6,21 +6,24 @@
 	"time"
 )
 
-// A request's value is its class's priority weight, counted by work if so configured, and less for what
-// exceeds its tenant's quota. Tallies hold the value that is offered and the value that is served: over all
-// requests, by class and by tenant. What to serve first follows from the marginal gain: by how much serving a
-// request now raises the weighted shares of offered value that are served, for each ms of its work.
+// The value of a request is the priority weight of its class, multiplied by its work if so configured, and
+// reduced for traffic beyond its tenant's quota. Tallies record the offered and the served value: of all
+// requests, by class and by tenant. Requests are served in the order of their marginal gain: by how much
+// serving a request now raises the weighted shares of the offered value that are served, for each ms of its
+// work.
 const (
-	// Classes or tenants whose served shares differ by no more than worstTolerance are all the worst served.
+	// Classes or tenants whose served shares exceed the lowest by at most worstTolerance count as worst
+	// served too.
 	worstTolerance = 0.02
 
 	// minOffered keeps a quotient finite while nothing is offered.
 	minOffered = 1e-9
 )
 
-// tally is the value that is offered and the value that is served, both decaying.
+// tally is the offered value and the served value of some requests, both decaying.
 type tally struct{ offered, served float64 }
 
+// servedShare returns the share of the offered value that was served, 1 if none was offered.
 func (t *tally) servedShare() float64 {
 	if t.offered <= 0 {
 		return 1
@@ -28,13 +31,14 @@
 	return t.served / t.offered
 }
 
+// decay multiplies both values by keep.
 func (t *tally) decay(keep float64) {
 	t.offered *= keep
 	t.served *= keep
 }
 
-// valueRequest sets a request's value and adds it to the tallies of what is offered. A client's own retry is
-// not offered anew.
+// valueRequest sets the value of a request and adds it to the offered values of its tallies. A request that
+// the client marked as a retry is not counted as offered a second time.
 func (b *Balancer) valueRequest(r *request) {
 	r.value = b.config.Classes[r.Class].PriorityWeight
 	if b.config.WeightByWork {
@@ -49,8 +53,8 @@
 	}
 }
 
-// overQuotaShare counts a request of a tenant and returns the share of the tenant's traffic beyond its quota,
-// if all proxies see as much of it.
+// overQuotaShare counts a request of a tenant and returns the share of the tenant's traffic that exceeds its
+// quota. It assumes that all proxies get an equal share of that traffic.
 func (b *Balancer) overQuotaShare(tenant int) float64 {
 	quota := b.config.Tenants[tenant].QuotaPerSecond / float64(b.config.Instances)
 	traffic, window := &b.trafficByTenant[tenant], b.config.Constraints.OverloadWindow
@@ -61,7 +65,7 @@
 	return 0
 }
 
-// recordServed enters a request that has its answer in the tallies of what is served.
+// recordServed adds the value of an answered request to the served values of its tallies.
 func (b *Balancer) recordServed(r *request) {
 	value := r.value
 	if b.now > r.objectiveAt {
@@ -79,7 +83,7 @@
 	}
 }
 
-// tenantTally is the tally of a request's tenant, nil if it has none.
+// tenantTally returns the tally of a request's tenant, or nil if it has none.
 func (b *Balancer) tenantTally(r *request) *tally {
 	if r.Tenant < 0 || r.Tenant >= len(b.tallyByTenant) {
 		return nil
@@ -87,6 +91,7 @@
 	return &b.tallyByTenant[r.Tenant]
 }
 
+// decayTallies multiplies all tallies by keep.
 func (b *Balancer) decayTallies(keep float64) {
 	b.totalTally.decay(keep)
 	for i := range b.tallyByClass {
@@ -97,42 +102,44 @@
 	}
 }
 
-// marginalGain is what serving a request now adds to the objective for each ms of its work: its part of all
-// offered value, and of its class's and its tenant's if these are served worst, times the share of it that it
-// is expected to earn.
+// marginalGain returns what serving a request now adds to the objective for each ms of its work: its share of
+// all offered value, plus its share of its class's and its tenant's offered value if these are served worst,
+// all multiplied by the share of its value that it is expected to earn.
 func (b *Balancer) marginalGain(r *request) float64 {
 	weights := &b.config.ObjectiveWeights
-	gain := r.partOf(&b.totalTally, weights.Overall+weights.WorstWindow)
+	gain := r.shareOf(&b.totalTally, weights.Overall+weights.WorstWindow)
 	if t := &b.tallyByClass[r.Class]; isWorstServed(t, b.tallyByClass, worstTolerance) {
-		gain += r.partOf(t, weights.WorstClass)
+		gain += r.shareOf(t, weights.WorstClass)
 	}
 	if t := b.tenantTally(r); t != nil && isWorstServed(t, b.tallyByTenant, worstTolerance) {
-		gain += r.partOf(t, weights.WorstTenant) * (1 - r.overQuota)
+		gain += r.shareOf(t, weights.WorstTenant) * (1 - r.overQuota)
 	}
-	return gain * b.chanceInTime(r) / b.workOf(r)
+	return gain * b.expectedValueShare(r) / b.workOf(r)
 }
 
-// partOf is a request's part of a tally, times a weight. A client's retry counts in no tally: one that
-// comes to a tally that has decayed must not count for a thousand others, as the mean that all are compared
-// with would stay up for hours.
-func (r *request) partOf(t *tally, weight float64) float64 {
+// shareOf returns the share of a request's value in a tally's offered value, at most 1, times a weight. A
+// marked retry counts in no tally. If the tally has decayed, the share of such a retry could be a thousand
+// times that of other requests, and would raise the mean that all requests are compared with for hours.
+func (r *request) shareOf(t *tally, weight float64) float64 {
 	return weight * r.value / max(t.offered, r.value, minOffered)
 }
 
-// chanceInTime is the share of its value that a request can be expected to earn if it is sent now.
-// Latencies are taken to be exponentially distributed.
-func (b *Balancer) chanceInTime(r *request) float64 {
+// expectedValueShare returns the share of its value that a request is expected to earn if it is sent now. It
+// assumes that latencies are exponentially distributed.
+func (b *Balancer) expectedValueShare(r *request) float64 {
 	mean := b.expectedFor(r) * b.medianRatio
-	chance := b.chanceUntil(r.objectiveAt, mean)
-	late := b.chanceUntil(r.Deadline, mean)
-	return chance + b.config.Classes[r.Class].LateValueShare*(late-chance)
+	inTime := b.answerProbability(r.objectiveAt, mean)
+	beforeDeadline := b.answerProbability(r.Deadline, mean)
+	return inTime + b.config.Classes[r.Class].LateValueShare*(beforeDeadline-inTime)
 }
 
-func (b *Balancer) chanceUntil(until time.Duration, mean float64) float64 {
+// answerProbability returns the probability that an attempt sent now is answered until a time; mean is its
+// mean latency in ms.
+func (b *Balancer) answerProbability(until time.Duration, mean float64) float64 {
 	return 1 - math.Exp(-max(0, millis(until-b.now))/mean)
 }
 
-// isWorstServed reports whether none of the others is served much less.
+// isWorstServed reports whether no other tally has a served share that is lower by more than tolerance.
 func isWorstServed(t *tally, others []tally, tolerance float64) bool {
 	return t.offered > 0 && !slices.ContainsFunc(others, func(o tally) bool {
 		return o.servedShare() < t.servedShare()-tolerance
