--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -10,7 +10,7 @@
 func TestLastOpenRequestsAreForMostValuable(t *testing.T) {
 	cfg := testConfig()
 	cfg.Capabilities.MaxOpenRequests = 20
-	cfg.Classes[2].PriorityWeight = 20 // notIdempotent
+	cfg.Classes[notIdempotent].PriorityWeight = 20
 	b, h := newBalancer(t, cfg, 4)
 	id := RequestID(0)
 	admit := func(class int) string {
--- a/decision/answers.go
+++ b/decision/answers.go
@@ -3,7 +3,8 @@
 import "slices"
 
 // mayReject reports whether a request may be rejected. A rejection promises the client that a retry is
-// harmless: either no attempt of the request may have run, or repeating it is harmless at every backend.
+// harmless: either it is certain that no attempt of the request has run, or repeating it is harmless at every
+// backend.
 func (b *Balancer) mayReject(r *request) bool {
 	class := &b.config.Classes[r.Class]
 	if class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey &&
--- a/decision/anyconfig_test.go
+++ b/decision/anyconfig_test.go
@@ -165,7 +165,7 @@
 		}
 		sendRequest()
 		if s.attempts[1] == 0 {
-			t.Errorf("seed %d: the first request was not sent on arrival; configuration: %+v", seed, cfg)
+			t.Errorf("seed %d: Request(first request) caused no send, want one at once; configuration: %+v", seed, cfg)
 		}
 		for i := range 60 {
 			sendRequest()
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -11,7 +11,7 @@
 	config        Config
 	host          Host
 	random        *rand.Rand
-	now           time.Duration // of the event that is being handled
+	now           time.Duration // clock time of the event that is being handled
 	checkInterval time.Duration // between two health checks of a target in doubt; the unit of other periods
 
 	// Targets (endpoints.go, operator.go, activeset.go).
@@ -34,7 +34,7 @@
 
 	// Latency (latency.go).
 	decaySpan             time.Duration       // over which measurements decay
-	latencyByClass        []linearFit         // ms over ms of expected work
+	latencyByClass        []linearFit         // latency in ms over expected work in ms
 	tailByClass           []quantile          // ms, of a request of mean work
 	meanSamples           float64             // requests that the overall means cover, up to meanRequests
 	meanLatency           float64             // ms, of a request of any class
@@ -111,7 +111,7 @@
 	}
 }
 
-// PeerMessage reports a message from another proxy. It is ignored: no rule uses peer messages yet.
+// PeerMessage reports a message from another proxy. The Balancer does not use such messages yet.
 func (b *Balancer) PeerMessage(now time.Duration, _ PeerMessage) { b.now = now }
 
 // logInterval is the minimum time between two log lines.
--- a/decision/config.go
+++ b/decision/config.go
@@ -44,29 +44,29 @@
 // Tenant is a customer with a share of the service.
 type Tenant struct {
 	Name           string
-	Share          float64 // of the service; no rule reads it
+	Share          float64 // of the service; not used by the Balancer
 	QuotaPerSecond float64 // requests a second within its share, over all proxies; 0 is no quota
 }
 
 // ObjectiveWeights are the weights of the parts of the objective that the Balancer maximises. Each part is
 // the share of the offered value that is served.
 type ObjectiveWeights struct {
-	Overall     float64 // over all requests
-	WorstClass  float64 // of the class that is served worst
-	WorstTenant float64 // of the tenant that is served worst
-	WorstWindow float64 // of the worst span of time
+	Overall     float64 // for the served share over all requests
+	WorstClass  float64 // for that of the class that is served worst
+	WorstTenant float64 // for that of the tenant that is served worst
+	WorstWindow float64 // for that of the worst window of time
 }
 
 // Penalties are the weights of the costs that the platform subtracts from the result, each multiplied by the
-// rate of its event. No rule reads them.
+// rate of its event. The Balancer does not use them.
 type Penalties struct {
 	Connection, CrossZone, Discovery, Handshake, LateFailure, PeerMessage, HealthCheck, WastedWork float64
 }
 
 // Constraints are limits that must be kept whatever the effect on the objective.
 type Constraints struct {
-	AnswerSlack     time.Duration // how late after the deadline a final answer still counts
-	MaxListAge      time.Duration // how stale a polled endpoint list may become; 0 is no bound
+	AnswerSlack     time.Duration // how long after the deadline a final answer still counts as in time
+	MaxListAge      time.Duration // maximum age of a polled endpoint list; 0 is no maximum
 	WarmUp          time.Duration // time after a start until a backend has its full capacity
 	DrainGrace      time.Duration // sends to a draining backend must stop within this time
 	OverloadWindow  time.Duration // over which the load of a backend that warms up is bounded; 0 is a second
@@ -77,7 +77,7 @@
 // Capabilities say what the platform allows, and its limits.
 type Capabilities struct {
 	Cancel         bool // attempts may be cancelled
-	PeerMessages   bool // proxies may send each other messages; no rule uses them
+	PeerMessages   bool // proxies may send each other messages; not used by the Balancer
 	HealthChecks   bool // backends may be health-checked
 	RetryAfter     bool // rejections may contain a time to retry after
 	HedgedRequests bool // two attempts of a request may be in flight at once
@@ -86,7 +86,7 @@
 	ConnectTimeout        time.Duration // for a new connection; the interval of health checks depends on it
 	MaxRetryAfter         time.Duration // the longest time to retry after in a rejection
 	MaxAttempts           int           // of one request; at least 1
-	StreamsPerConnection  int           // concurrent requests on a connection; no rule reads it
+	StreamsPerConnection  int           // concurrent requests on a connection; not used by the Balancer
 	MaxOpenRequests       int           // maximum number of open requests at the proxy; 0 is no maximum
 }
 
@@ -113,7 +113,7 @@
 	WeightByWork    bool    // a request's weight is multiplied by its work in ms
 
 	KeyAffinity        bool // a backend that served a key recently serves it again with less work
-	ClientsMarkRetries bool // clients set Request.MarkedRetry; no rule reads this setting
+	ClientsMarkRetries bool // clients set Request.MarkedRetry; not used by the Balancer
 	PolledDiscovery    bool // the endpoint list must be polled; otherwise changes are pushed
 	Weights            WeightKind
 	RetryBudgetRatio   float64 // maximum retries, as a share of the requests; 0 is a tenth
--- a/decision/discovery_test.go
+++ b/decision/discovery_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// After each failed call for the endpoint list, a timer for the next call is started.
 func TestListIsRequestedAgainAfterFailure(t *testing.T) {
 	cfg := testConfig()
 	cfg.PolledDiscovery = true
@@ -27,7 +28,7 @@
 		}
 		b.Timer(second, timer.token)
 		if len(h.take("watch")) != 1 {
-			t.Fatalf("after %d failed calls: Timer did not call WatchEndpoints once", i)
+			t.Fatalf("after %d failed calls: Timer did not call WatchEndpoints, want one call", i)
 		}
 		b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFailed})
 	}
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// A backend that is listed as draining or removed gets no new requests or health checks.
 func TestDrainingOrRemovedBackendGetsNothingNew(t *testing.T) {
 	for _, state := range []BackendState{Draining, Removed} {
 		b, h := newBalancer(t, testConfig(), 3)
@@ -12,12 +13,14 @@
 		b.Timer(9*second, sweepToken)
 		for _, a := range h.take("send", "check") {
 			if a.to == 2 {
-				t.Fatalf("after backend 2 was listed with state %d: %v, want no send or check for it", state, a)
+				t.Fatalf("after backend 2 was listed as %s: %v, want no send or check for it",
+					map[BackendState]string{Draining: "draining", Removed: "removed"}[state], a)
 			}
 		}
 	}
 }
 
+// A backend stays unhealthy over an endpoint update.
 func TestHealthSurvivesEndpointUpdate(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 3)
 	for now := second; now < 12*second; now += b.checkInterval / sweepsPerInterval {
@@ -78,12 +81,14 @@
 		b.UpdateEndpoints(2*second, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{{ID: id, State: Removed}}})
 		b.UpdateEndpoints(3*second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)})
 		if _, excluded := b.CountBackends(); excluded != 0 {
-			t.Errorf("backend returned to the list, check in flight %v: CountBackends reports %d excluded, want 0",
-				checkInFlight, excluded)
+			t.Errorf("unhealthy backend removed and listed again, health check in flight: %v, CountBackends() = %d "+
+				"excluded, "+
+				"want 0", checkInFlight, excluded)
 		}
 	}
 }
 
+// Duplicate list entries, and events for unknown requests, attempts and backends, are ignored.
 func TestInvalidInputIsIgnored(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	twice := append(list(2), list(2)...)
--- a/decision/events.go
+++ b/decision/events.go
@@ -25,7 +25,7 @@
 
 // The states of a backend in the list.
 const (
-	Removed  BackendState = iota // not in the list
+	Removed  BackendState = iota // not in the list, or no longer
 	Ready                        // may get requests
 	Draining                     // must get no new requests
 )
@@ -38,7 +38,7 @@
 	Cell    int // deduplication cell, see ScopeCell
 	State   BackendState
 	Weight  float64       // see Config.Weights
-	Started time.Duration // clock time of its last start; 0 is long ago
+	Started time.Duration // clock time of its last start; 0 means long ago
 }
 
 // UpdateKind says what an EndpointUpdate contains.
@@ -55,14 +55,14 @@
 // EndpointUpdate is a change of the endpoint list, or the failure of a call for it.
 type EndpointUpdate struct {
 	Kind     UpdateKind
-	Version  uint32 // of the list; no rule reads it
+	Version  uint32 // of the list; not used by the Balancer
 	Backends []Backend
 }
 
 // Result says how an attempt or a health check ended.
 type Result uint8
 
-// The results.
+// The results of an attempt or a health check.
 const (
 	OK            Result = iota
 	Error                // answered with an error; it may have run
@@ -83,7 +83,7 @@
 	Attempt      int // number of the attempt, from 0
 	Backend      BackendID
 	Result       Result
-	Latency      time.Duration // since the attempt was sent; no rule reads it
+	Latency      time.Duration // since the attempt was sent; not used by the Balancer
 	Final        bool          // the client has its final answer; otherwise the Balancer must still give one
 	BodyConsumed bool          // the request's body can't be sent again, so no further attempt is possible
 }
@@ -92,7 +92,7 @@
 type HealthCheckResult struct {
 	Backend BackendID
 	Result  Result
-	Latency time.Duration // no rule reads it
+	Latency time.Duration // of the health check; not used by the Balancer
 }
 
 // FirstByte is the start of a streamed answer: one of a class with StreamedResponse, or a long one.
@@ -100,7 +100,7 @@
 	ID      RequestID
 	Attempt int // number of the attempt, from 0
 	Backend BackendID
-	Latency time.Duration // since the attempt was sent; no rule reads it
+	Latency time.Duration // since the attempt was sent; not used by the Balancer
 }
 
 // PeerMessage is a message from another proxy.
--- a/decision/healthcheck_test.go
+++ b/decision/healthcheck_test.go
@@ -65,11 +65,11 @@
 			}
 		}
 		if _, warmingUp := b.warmUpCapacity(target); warmingUp == answers {
-			t.Errorf("after two failed checks of a backend that answers meanwhile (%v): warming up = %v, want %v",
+			t.Errorf("after two failed checks, with answers to requests between them: %v, warming up = %v, want %v",
 				answers, warmingUp, !answers)
 		}
 		if target.healthy {
-			t.Errorf("backend that answers meanwhile (%v) is healthy after two failed checks in a row, want unhealthy",
+			t.Errorf("after two failed checks, with answers to requests between them: %v, healthy = true, want false",
 				answers)
 		}
 	}
--- a/decision/historyproxy_test.go
+++ b/decision/historyproxy_test.go
@@ -113,9 +113,9 @@
 		return 0
 	}
 	speed := x.loads.speed[s.ID] / s.slowdown
-	o := x.config.Constraints
-	if age := x.now - s.Started; s.Started > 0 && age < o.WarmUp {
-		speed *= o.InitialCapacity + (1-o.InitialCapacity)*float64(age)/float64(o.WarmUp)
+	c := x.config.Constraints
+	if age := x.now - s.Started; s.Started > 0 && age < c.WarmUp {
+		speed *= c.InitialCapacity + (1-c.InitialCapacity)*float64(age)/float64(c.WarmUp)
 	}
 	s.busyUntil = max(s.busyUntil, x.now) + time.Duration(float64(work)/speed)
 	return s.busyUntil - x.now + milli
--- a/decision/model_test.go
+++ b/decision/model_test.go
@@ -45,7 +45,7 @@
 // modelBackend is the state of a backend according to the endpoint list and the health checks.
 type modelBackend struct {
 	decision.Backend
-	notReadySince            time.Duration // if it is not ready
+	notReadySince            time.Duration // valid if State is not Ready
 	unhealthy, checkInFlight bool
 	passes, fails            int // consecutive health checks
 }
@@ -145,7 +145,7 @@
 // healthChecked records the result of a health check.
 func (m *model) healthChecked(id decision.BackendID, r decision.Result) {
 	s := m.servers[id]
-	if s == nil || !s.checkInFlight { // no check is in flight
+	if s == nil || !s.checkInFlight {
 		return
 	}
 	s.checkInFlight = false
@@ -252,23 +252,23 @@
 
 // add records work sent to a backend. It returns a description of the overload if the backend is warming up and gets
 // more than it can serve, else "".
-func (b *backendLoads) add(o decision.Constraints, now time.Duration, s decision.Backend, work time.Duration) string {
+func (b *backendLoads) add(c decision.Constraints, now time.Duration, s decision.Backend, work time.Duration) string {
 	b.sent[s.ID] = append(b.sent[s.ID], sentWork{now, work})
 	age := now - s.Started
-	if s.Started == 0 || age >= o.WarmUp {
+	if s.Started == 0 || age >= c.WarmUp {
 		return ""
 	}
 	sum := time.Duration(0)
 	for _, w := range b.sent[s.ID] {
-		if w.at >= s.Started && now-w.at < o.OverloadWindow {
+		if w.at >= s.Started && now-w.at < c.OverloadWindow {
 			sum += w.work
 		}
 	}
-	share := o.InitialCapacity + (1-o.InitialCapacity)*float64(max(age, 0))/float64(o.WarmUp)
-	budget := o.OverloadFactor*share*b.speed[s.ID]*float64(o.OverloadWindow) + float64(b.slack)
+	share := c.InitialCapacity + (1-c.InitialCapacity)*float64(max(age, 0))/float64(c.WarmUp)
+	budget := c.OverloadFactor*share*b.speed[s.ID]*float64(c.OverloadWindow) + float64(b.slack)
 	if float64(sum) > budget {
 		return fmt.Sprintf("backend %d got %v of work within %v, %v after its start; it can serve at most %v", s.ID,
-			sum, o.OverloadWindow, age, time.Duration(budget))
+			sum, c.OverloadWindow, age, time.Duration(budget))
 	}
 	return ""
 }
--- a/decision/request.go
+++ b/decision/request.go
@@ -26,13 +26,13 @@
 // attempt is the record of one send of a request to a target.
 type attempt struct {
 	request       *request
-	number        int // from 0
+	number        int // index into request.attempts
 	target        *target
 	zone, cell    int           // of the target at the time of the send
 	sentAt        time.Duration // the deduplication window counts from this time
 	waitingSince  time.Duration // the latency counts from this time: the send, or the end of a streamed body
 	reservations  []reservation
-	work          float64 // ms
+	work          float64 // ms, see Balancer.workOf
 	loadWeight    float64 // its load in concurrency limits; 1 is a request of mean latency
 	done          bool
 	mayHaveRun    bool
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -94,7 +94,7 @@
 			b.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Backends: list(3)})
 			b.now, b.meanWork = 3000*second, 100
 			b.recordStart(b.targets[0], b.now)
-			b.refillSlowStart() // tokens from before its start must not count
+			b.refillSlowStart() // must not add tokens for the time before the start
 			if b.slowStartAllows(b.targets[0], 100) {
 				allowed++
 			}
--- a/decision/snapshot.go
+++ b/decision/snapshot.go
@@ -31,7 +31,7 @@
 type BackendSnapshot struct {
 	ID         BackendID     `json:"id"`
 	Started    time.Duration `json:"started"` // according to the endpoint list
-	LastStart  time.Duration `json:"cold"`    // known or suspected; 0 is long ago
+	LastStart  time.Duration `json:"cold"`    // known or suspected; 0 means long ago
 	Healthy    bool          `json:"healthy"`
 	ServedWork float64       `json:"served"` // ms of work, a decaying sum
 }
--- a/decision/target.go
+++ b/decision/target.go
@@ -35,7 +35,7 @@
 	limit concurrencyLimit // on the load in flight at the target (concurrency.go)
 
 	// Slow start (slowstart.go).
-	lastStart       time.Duration // known or suspected; 0 is long ago
+	lastStart       time.Duration // known or suspected; 0 means long ago
 	slowStartTokens float64       // requests of mean work that it may be sent; below 0, none yet
 	slowStartRate   float64       // ms of work a second at which tokens are added
 	tokensUpdatedAt time.Duration
