--- a/decision/anyconfig_test.go
+++ b/decision/anyconfig_test.go
@@ -54,14 +54,14 @@
 	random       *rand.Rand
 	now          time.Duration
 	queue        eventQueue
-	order        int
-	attempts     map[RequestID]int
-	finalAnswers map[RequestID]int
+	lastOrder    int
+	attempts     map[RequestID]int // number of sends
+	finalAnswers map[RequestID]int // number of final answers, also by the backend
 }
 
 func (s *simulatedServers) schedule(delay time.Duration, run func()) {
-	s.order++
-	heap.Push(&s.queue, scheduledEvent{s.now + max(delay, 0), s.order, run})
+	s.lastOrder++
+	heap.Push(&s.queue, scheduledEvent{s.now + max(delay, 0), s.lastOrder, run})
 }
 
 func (s *simulatedServers) Send(id RequestID, to BackendID, until time.Duration) {
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -61,17 +61,18 @@
 type concurrencyLimit struct {
 	inFlight      int
 	load          float64
-	ceiling       float64 // the limit itself; 0 is not set yet
-	growthStep    float64 // added by each answer in time; halved by each late one
-	unit          float64 // this proxy's share of one request at each target; the minimum of the ceiling
-	backoffFactor float64 // by which a late attempt multiplies the ceiling
-	lastSent      time.Duration
+	ceiling       float64       // the limit itself; 0 means not set yet
+	growthStep    float64       // added by each answer in time; halved by each late one
+	unit          float64       // this proxy's share of one request at each target; the minimum ceiling
+	backoffFactor float64       // by which a late attempt multiplies the ceiling
+	lastSent      time.Duration // time of the last send under this limit
 
-	averagingSpan time.Duration // over which the load is averaged; 0 is no averaging
+	averagingSpan time.Duration // over which the load is averaged; 0 means no averaging
 	averageLoad   float64
 	averagedAt    time.Duration
 }
 
+// newConcurrencyLimit returns a limit at its initial value, initialLimit times unit.
 func newConcurrencyLimit(unit, backoffFactor float64, averagingSpan time.Duration) concurrencyLimit {
 	c := concurrencyLimit{averagingSpan: averagingSpan, unit: unit, backoffFactor: backoffFactor,
 		growthStep: 1}
--- a/decision/frozen_test.go
+++ b/decision/frozen_test.go
@@ -48,16 +48,16 @@
 // transcript is a Host that responds to a Balancer's actions with random events and writes both to text. Equal seeds
 // give equal events.
 type transcript struct {
-	balancer *Balancer
-	rng      *rand.Rand
-	now      time.Duration
-	order    int
-	events   []transcriptEvent
-	text     bytes.Buffer
-	attempts map[RequestID]int
-	streamed map[RequestID]bool
-	down     map[BackendID]bool
-	nextID   RequestID
+	balancer  *Balancer
+	rng       *rand.Rand
+	now       time.Duration
+	lastOrder int // of the last scheduled event
+	events    []transcriptEvent
+	text      bytes.Buffer
+	attempts  map[RequestID]int
+	streamed  map[RequestID]bool
+	down      map[BackendID]bool // backends that do not answer
+	nextID    RequestID
 }
 
 type transcriptEvent struct {
@@ -69,8 +69,8 @@
 func (s *transcript) printf(format string, args ...any) { fmt.Fprintf(&s.text, format+"\n", args...) }
 
 func (s *transcript) schedule(delay time.Duration, run func()) {
-	s.order++
-	s.events = append(s.events, transcriptEvent{s.now + delay, s.order, run})
+	s.lastOrder++
+	s.events = append(s.events, transcriptEvent{s.now + delay, s.lastOrder, run})
 }
 
 // event schedules run, which reports an event to the Balancer. When it runs, the time and line are written to text.
@@ -129,6 +129,7 @@
 		Final: result == OK})
 }
 
+// scheduleOutcome schedules the outcome of an attempt, with a consumed body for some streamed requests.
 func (s *transcript) scheduleOutcome(delay time.Duration, o Outcome) {
 	o.BodyConsumed = s.streamed[o.ID] && o.Result != OK && o.ID%2 == 0
 	line := fmt.Sprintf("outcome %d/%d from %d: %d final %v spent %v", o.ID, o.Attempt, o.Backend, o.Result, o.Final,
--- a/decision/healthcheck.go
+++ b/decision/healthcheck.go
@@ -72,6 +72,7 @@
 	}
 }
 
+// checkPassed records a passed health check of a target.
 func (b *Balancer) checkPassed(t *target) {
 	t.failedChecks = 0
 	t.passedChecks++
@@ -81,6 +82,7 @@
 	}
 }
 
+// checkFailed records a failed health check of a target, and a suspected start.
 func (b *Balancer) checkFailed(t *target) {
 	t.passedChecks = 0
 	t.failedChecks++
--- a/decision/history_test.go
+++ b/decision/history_test.go
@@ -18,6 +18,7 @@
 // policyFactory returns the policy under test: an unaltered Balancer or a flawed policy.
 type policyFactory func(cfg decision.Config, seed uint64, h decision.Host) (*policy, error)
 
+// newBalancerPolicy returns a Balancer whose events are not altered.
 func newBalancerPolicy(cfg decision.Config, seed uint64, h decision.Host) (*policy, error) {
 	b, err := decision.New(cfg, seed, h)
 	return &policy{Balancer: b}, err
