--- a/internal/policy/namespace/bench_test.go
+++ b/internal/policy/namespace/bench_test.go
@@ -7,19 +7,21 @@
 	"testing"
 )
 
-// benchmarkFleet is a declaration of many teams with many rules, and their files.
+// benchmarkFleet is a declaration with many teams, and their policy files with many rules.
 type benchmarkFleet struct {
 	declaration *Declaration
 	files       []*File
-	changed     []*File // new files of the first teams
+	changed     []*File // version 2 of the files of the first teams
 }
 
-// mostSettings is all settings but the class, as a TOML list.
-const mostSettings = `["route", "block", "budget", "order", "service", "staleness"]`
+// settingsWithoutClass is a TOML list of all settings except SettingClass.
+const settingsWithoutClass = `["route", "block", "budget", "order", "service", "staleness"]`
 
-// newBenchmarkFleet makes a fleet in which operations has rules for everything, and each team has a host of its own and
-// a part of a host that all share, by tenant. Every tenth team delegates to the next. Changed teams also write a route
-// that their delegator or their delegate has differently; with noService, one that leads to no service, too.
+// newBenchmarkFleet returns a fleet in which the namespace operations has routes for all hosts, and each team has its
+// own host and, by tenant, a part of a host that all teams share. Every tenth team delegates the path prefix /lent of
+// its host to the next team. The first "changed" teams have a version 2 of their file with one more route under /lent;
+// it contradicts the delegate's route if the team delegates that prefix. With noService, version 2 also has a route to
+// an undefined service.
 func newBenchmarkFleet(t testing.TB, teams, rules, changed int, noService bool) *benchmarkFleet {
 	t.Helper()
 	fleet := &benchmarkFleet{declaration: mustParseDeclaration(t, benchmarkDeclaration(teams))}
@@ -49,15 +51,18 @@
 	return fleet
 }
 
+// benchmarkFile parses a policy file with the given rules in TOML.
 func benchmarkFile(t testing.TB, name string, number int, body string) *File {
 	t.Helper()
 	return mustParse(t, fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n%s", name, number, body))
 }
 
+// benchmarkRoute returns a route in TOML. Match is the lines that say which requests of the host it matches.
 func benchmarkRoute(name, host, match, service string) string {
 	return fmt.Sprintf("[[route]]\nname = %q\nhost = %q\n%s\nto = [{ service = %q }]\n", name, host, match, service)
 }
 
+// benchmarkDeclaration returns the declaration of newBenchmarkFleet in TOML.
 func benchmarkDeclaration(teams int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `version = 1
@@ -70,7 +75,7 @@
 budgets = ["*"]
 zones = ["*"]
 settings = %s
-`, teams*100, mostSettings)
+`, teams*100, settingsWithoutClass)
 	for i := range teams {
 		fmt.Fprintf(&text, `[[namespace]]
 name = "team-%[1]d"
@@ -90,7 +95,7 @@
 hosts = ["shared.org"]
 tenants = ["tenant-%[1]d"]
 settings = ["route"]
-`, i, mostSettings)
+`, i, settingsWithoutClass)
 		if i%10 == 0 {
 			fmt.Fprintf(&text, `[[delegation]]
 from = "team-%[1]d"
@@ -104,7 +109,8 @@
 	return text.String()
 }
 
-// benchmarkRules is the rules of a team: one of each other kind, and routes.
+// benchmarkRules returns the rules of a team's file in TOML: one service, class, quota share, block and override, and
+// routes up to the given number of rules.
 func benchmarkRules(team, rules int) string {
 	const otherRules = 6
 	var text strings.Builder
@@ -147,21 +153,24 @@
 	return text.String()
 }
 
-// The fleet of the benchmarks merges without a conflict, and its changed files as they should.
+// The files of the benchmarks merge without a conflict. Of the changed files, exactly those of the teams that delegate
+// (team-0 and team-10) are withheld.
 func TestBenchmarkFleet(t *testing.T) {
 	fleet := newBenchmarkFleet(t, 20, 40, 20, false)
 	first := Merge(fleet.declaration, nil, fleet.files)
 	if len(first.Withheld) > 0 || len(first.Conflicts) > 0 {
-		t.Fatalf("withheld %v, conflicts %v", first.Withheld, first.Conflicts)
+		t.Fatalf("Merge of the benchmark files = withheld %v, conflicts %v; want none of either",
+			first.Withheld, first.Conflicts)
 	}
 	out := Merge(fleet.declaration, first.Accepted, fleet.changed)
 	if len(out.Withheld) != 2 || out.Withheld[0].Namespace != "team-0" || out.Withheld[1].Namespace != "team-10" {
-		t.Errorf("withheld %v", out.Withheld)
+		t.Errorf("Merge of the changed benchmark files withholds %v, want the files of team-0 and team-10",
+			out.Withheld)
 	}
 }
 
 func BenchmarkMerge(b *testing.B) {
-	for _, bench := range []struct {
+	for _, benchmark := range []struct {
 		name      string
 		changed   int
 		noService bool
@@ -171,11 +180,11 @@
 		{"all changed, 10 withheld", 100, false},
 		{"all changed, all withheld", 100, true},
 	} {
-		b.Run(bench.name, func(b *testing.B) {
-			fleet := newBenchmarkFleet(b, 100, 100, bench.changed, bench.noService)
+		b.Run(benchmark.name, func(b *testing.B) {
+			fleet := newBenchmarkFleet(b, 100, 100, benchmark.changed, benchmark.noService)
 			accepted := fleet.files
 			submitted := fleet.changed
-			if bench.changed == 0 {
+			if benchmark.changed == 0 {
 				accepted = nil
 				submitted = fleet.files
 			}
@@ -193,8 +202,8 @@
 	}
 }
 
-// contradictoryTeams is two teams whose domains overlap by a fault of the declaration. One has routes by path, the
-// other by tenant, and each of one meets each of the other.
+// contradictoryTeams returns a declaration that gives two teams the same domain by mistake, and their files. Team a has
+// routes by path and team b by tenant, so that each route of one contradicts each route of the other.
 func contradictoryTeams(t testing.TB, routes int) (*Declaration, []*File) {
 	t.Helper()
 	d := mustParseDeclaration(t, `version = 1
@@ -218,30 +227,36 @@
 	}
 	for _, f := range []*File{a, b} {
 		if err := f.check(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("check of the file of team %s: %v", f.Name, err)
 		}
 	}
 	return d, []*File{a, b}
 }
 
-// Two teams whose routes contradict each other in many pairs stop nobody and fill no memory.
+// If the routes of two teams contradict each other in many pairs, Merge withholds one team's file or routes, and lists
+// only a bounded number of conflicts, which bounds its memory.
 func TestManyContradictionsAreBounded(t *testing.T) {
 	const routes = 100
 	d, set := contradictoryTeams(t, routes)
 	out := Merge(d, set[:1], set[1:])
-	wantWithheld(t, out, "b", nil)
+	checkOnlyWithheld(t, out, "b", nil)
 	if len(out.Policy.Routes) != routes {
-		t.Errorf("%d routes", len(out.Policy.Routes))
+		t.Errorf("policy after b's file is withheld has %d routes, want the %d routes of a",
+			len(out.Policy.Routes), routes)
 	}
 	hasMore := slices.ContainsFunc(out.Conflicts, func(c Conflict) bool { return c.More })
-	if n := len(out.Conflicts); n > (routes+1)*maxConflictsPerRoute || !hasMore {
-		t.Errorf("%d conflicts listed", n)
+	const maxConflicts = (routes + 1) * maxConflictsPerRoute
+	if listed := len(out.Conflicts); listed > maxConflicts || !hasMore {
+		t.Errorf("Merge lists %d conflicts, one says that there are more: %t; want at most %d conflicts, and true",
+			listed, hasMore, maxConflicts)
 	}
-	// With neither changed, as after a fault of the declaration, the last by precedence loses its routes.
+	// If both files are accepted already and only the declaration is wrong, the last team by precedence loses its
+	// routes.
 	out = Merge(d, set, nil)
-	wantWithheld(t, out, "b", nil)
+	checkOnlyWithheld(t, out, "b", nil)
 	if len(out.Policy.Routes) != routes || len(out.Accepted) != 2 {
-		t.Errorf("%d routes, %d files accepted", len(out.Policy.Routes), len(out.Accepted))
+		t.Errorf("Merge of the two accepted files = %d routes, %d files accepted; want %d routes and both files",
+			len(out.Policy.Routes), len(out.Accepted), routes)
 	}
 }
 
@@ -249,7 +264,7 @@
 	d, set := contradictoryTeams(b, 5000)
 	for b.Loop() {
 		if out := Merge(d, set, nil); len(out.Withheld) != 1 {
-			b.Fatal(out.Withheld)
+			b.Fatalf("Merge withholds %v, want one namespace withheld", out.Withheld)
 		}
 	}
 }
@@ -262,7 +277,7 @@
 	}
 	for b.Loop() {
 		if _, err := Parse("x", []byte(text.String())); err != nil {
-			b.Fatal(err)
+			b.Fatalf("Parse of the benchmark file: %v", err)
 		}
 	}
 }
--- a/internal/policy/namespace/declaration_test.go
+++ b/internal/policy/namespace/declaration_test.go
@@ -51,30 +51,31 @@
 func TestParseDeclaration(t *testing.T) {
 	d := mustParseDeclaration(t, validDeclaration)
 	if got := d.depth["settlement"]; got != 2 {
-		t.Errorf("the depth of settlement is %d, want 2", got)
+		t.Errorf("delegation depth of settlement = %d, want 2 (operations -> dispatch -> settlement)", got)
 	}
 	if got := d.overlaps(); len(got) != 0 {
-		t.Errorf("delegated domains overlap: %v", got)
+		t.Errorf("overlaps() = %v, want none: each shared part is delegated", got)
 	}
-	inside := &Match{Host: "pay.kigali.example.org", Path: "/api/pay/x", Classes: []string{"payout"}}
+	insideDelegation := &Match{Host: "pay.kigali.example.org", Path: "/api/pay/x", Classes: []string{"payout"}}
 	for _, delegator := range []string{"dispatch", "operations"} {
-		if !d.delegated("settlement", delegator, SettingRoute, inside) {
-			t.Errorf("%s does not delegate to settlement", delegator)
+		if !d.delegated("settlement", delegator, SettingRoute, insideDelegation) {
+			t.Errorf("delegated(settlement, %s, route, %+v) = false, want true", delegator, *insideDelegation)
 		}
 	}
-	outside := &Match{Host: "pay.kigali.example.org", PathPrefix: "/api"}
-	if d.delegated("settlement", "dispatch", SettingRoute, outside) {
-		t.Error("more than the delegation is delegated")
+	outsideDelegation := &Match{Host: "pay.kigali.example.org", PathPrefix: "/api"}
+	if d.delegated("settlement", "dispatch", SettingRoute, outsideDelegation) {
+		t.Errorf("delegated(settlement, dispatch, route, %+v) = true, want false: its path is not under /api/pay",
+			*outsideDelegation)
 	}
 }
 
 func TestInvalidDeclarations(t *testing.T) {
-	var cycle DelegationCycleError
-	var wide DelegationTooWideError
-	var unknown UnknownNamespaceError
+	var cycleError DelegationCycleError
+	var tooWideError DelegationTooWideError
+	var unknownError UnknownNamespaceError
 	for _, test := range []struct {
-		old, replacement, want string
-		as                     any
+		old, replacement, wantText string
+		wantType                   any // pointer to an error type that the error wraps; nil is not checked
 	}{
 		{`version = 1`, `version = 2`, "charter.toml:1: version: 2", nil},
 		{`whole = 1000`, `hole = 1000`, `charter.toml:5: unknown key "budget.hole"`, nil},
@@ -83,35 +84,39 @@
 		{`hosts = ["*.example.org"]`, `hosts = ["Example"]`, "charter.toml:7: namespace[0]: hosts", nil},
 		{`name = "settlement"`, `name = "dispatch"`, "charter.toml:20: namespace[2].name", nil},
 		{`to = "dispatch"`, `to = "nobody"`,
-			`charter.toml:25: delegation[0].to: the charter knows no namespace "nobody"`, &unknown},
+			`charter.toml:25: delegation[0].to: the charter knows no namespace "nobody"`, &unknownError},
 		{`hosts = ["*.kigali.example.org"]`, `hosts = ["*.org"]`,
-			"charter.toml:23: delegation[0]: operations delegates to dispatch", &wide},
+			"charter.toml:23: delegation[0]: operations delegates to dispatch", &tooWideError},
 		{`path_prefixes = ["/api/pay"]`, `path_prefixes = ["/apis"]`,
 			`charter.toml:32: delegation[1]: dispatch delegates to settlement what it does not have: path "/apis"`,
-			&wide},
+			&tooWideError},
 		{`settings = ["route", "class"]`, `settings = ["route", "block"]`,
-			`what it does not have: setting "block"`, &wide},
-		{`classes = ["payout"]`, `zones = ["3"]`, `what it does not have: zone "3"`, &wide},
+			`what it does not have: setting "block"`, &tooWideError},
+		{`classes = ["payout"]`, `zones = ["3"]`, `what it does not have: zone "3"`, &tooWideError},
 		{`classes = ["payout"]`, `budgets = ["retries"]`, `there is no budget "retries"`, nil},
 		{`from = "operations"`, `from = "settlement"`,
-			"delegations run in a circle: dispatch, settlement", &cycle},
-		{`to = "settlement"`, `to = "dispatch"`, "delegations run in a circle: dispatch", &cycle},
+			"delegations run in a circle: dispatch, settlement", &cycleError},
+		{`to = "settlement"`, `to = "dispatch"`, "delegations run in a circle: dispatch", &cycleError},
 	} {
 		text := replaceEach(t, validDeclaration, test.old, test.replacement)
 		_, err := ParseDeclaration("charter.toml", []byte(text))
-		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v, want %q", test.replacement, err, test.want)
+		if err == nil || !strings.Contains(err.Error(), test.wantText) {
+			t.Errorf("ParseDeclaration with %q replaced by %q = error %v, want an error that contains %q",
+				test.old, test.replacement, err, test.wantText)
 			continue
 		}
 		if !errors.As(err, new(FileError)) || operatorerror.AdviceOf(err) == "" {
-			t.Errorf("%s: %T has no place or no advice", test.replacement, err)
+			t.Errorf("ParseDeclaration with %q replaced by %q = error of type %T (%v), want a FileError with advice",
+				test.old, test.replacement, err, err)
 		}
-		if test.as != nil && !errors.As(err, test.as) {
-			t.Errorf("%s: %v is no %T", test.replacement, err, test.as)
+		if test.wantType != nil && !errors.As(err, test.wantType) {
+			t.Errorf("ParseDeclaration with %q replaced by %q = error %v, want one that wraps a %T",
+				test.old, test.replacement, err, test.wantType)
 		}
 	}
 }
 
+// overlappingDeclaration gives namespaces a and b domains that overlap without a delegation between them.
 const overlappingDeclaration = `version = 1
 [[namespace]]
 name = "a"
@@ -142,7 +147,8 @@
 		text := replaceEach(t, overlappingDeclaration, test.old, test.replacement)
 		got := mustParseDeclaration(t, text).overlaps()
 		if len(got) != 1 || !strings.Contains(got[0].String(), test.want) {
-			t.Errorf("%s: %v, want %q", test.replacement, got, test.want)
+			t.Errorf("overlaps() with %q replaced by %q = %v, want one conflict that contains %q",
+				test.old, test.replacement, got, test.want)
 		}
 	}
 }
--- a/internal/policy/namespace/file_test.go
+++ b/internal/policy/namespace/file_test.go
@@ -10,7 +10,7 @@
 
 func TestInvalidFilesNameLineAndKey(t *testing.T) {
 	text := newExampleFleet(t).texts["dispatch"]
-	contradiction := "[[order]]\nname = \"x\"\nserver = \"d-17\"\nzone = \"2\"\ndo = \"attach\"\n[[order]]"
+	contradictoryOverride := "[[order]]\nname = \"x\"\nserver = \"d-17\"\nzone = \"2\"\ndo = \"attach\"\n[[order]]"
 	for _, test := range []struct{ old, replacement, want string }{
 		{"version = 1", "version = 3", "f.toml:2: version: 3"},
 		{"number = 7", "", "f.toml: number: left out"},
@@ -28,16 +28,18 @@
 		{`do = "detach"`, `do = "stop"`, `order[0].do: "stop" is neither`},
 		{`until = 2026-12-01T08:00:00Z`, `until = 2026-12-01T05:00:00Z`, "order[0].until: it is not after from"},
 		{`from = 2026-12-01T06:00:00Z`, `from = 2026-12-01T06:00:00`, "order[0].from: a time needs its offset"},
-		{`[[order]]`, contradiction, `order[1]: contradicts order[0] "x"`},
+		{`[[order]]`, contradictoryOverride, `order[1]: contradicts order[0] "x"`},
 		{`path_prefix = "/v0"`, `path_prefix = "v0"`, "block[0]: path_prefix"},
 	} {
 		_, err := Parse("f.toml", []byte(replaceEach(t, text, test.old, test.replacement)))
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v, want %q", test.replacement, err, test.want)
+			t.Errorf("Parse with %q replaced by %q = error %v, want an error that contains %q",
+				test.old, test.replacement, err, test.want)
 			continue
 		}
 		if !errors.As(err, new(FileError)) || operatorerror.AdviceOf(err) == "" {
-			t.Errorf("%s: %T has no place or no advice", test.replacement, err)
+			t.Errorf("Parse with %q replaced by %q = error of type %T (%v), want a FileError with advice",
+				test.old, test.replacement, err, err)
 		}
 	}
 }
--- a/internal/policy/namespace/item_test.go
+++ b/internal/policy/namespace/item_test.go
@@ -18,12 +18,12 @@
 	t.Helper()
 	tree, err := p.Tree()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Policy.Tree: %v", err)
 	}
 	return tree
 }
 
-// The items of a policy give it back, and changed items give the changed policy, whatever the teams write.
+// For random policies, FromTree(p.Tree()) gives p again, and p.With gives the next policy from the changed items alone.
 func TestItemsOfRandomPolicies(t *testing.T) {
 	changed := 0
 	removed := 0
@@ -39,34 +39,38 @@
 			outcome = next
 		}
 	}
-	t.Logf("%d routes changed, %d removed", changed, removed)
+	t.Logf("the random changes set %d routes and removed %d", changed, removed)
 	if changed < 100 || removed < 100 {
-		t.Error("the random changes are too tame")
+		t.Errorf("the random changes set %d routes and removed %d, want at least 100 of each", changed, removed)
 	}
 }
 
-// checkItems checks that a policy from items equals the policy, also after the items change.
+// checkItems checks that a policy built from the items of from equals it, and that applying the items that differ gives
+// to. It returns the diff that With reports.
 func checkItems(t *testing.T, set int, from, to *Policy) *Diff {
 	t.Helper()
 	tree := mustTree(t, from)
 	policy, err := FromTree(tree)
 	if err != nil || !bytes.Equal(policy.Encode(), from.Encode()) {
-		t.Fatalf("set %d: %v: %s\nis no longer\n%s", set, err, policy.Encode(), from.Encode())
+		t.Fatalf("random set %d: FromTree = error %v, policy\n%s\nwant the policy that the tree was built from:\n%s",
+			set, err, policy.Encode(), from.Encode())
 	}
 	nextTree := mustTree(t, to)
-	before := policy.Encode()
+	encodedBefore := policy.Encode()
 	next, diff, err := policy.With(merkle.Changes(tree, nextTree))
 	if err != nil || !bytes.Equal(next.Encode(), to.Encode()) || mustTree(t, next).Root() != nextTree.Root() {
-		t.Fatalf("set %d: %v: %s\ninstead of\n%s", set, err, next.Encode(), to.Encode())
+		t.Fatalf("random set %d: With(the changed items) = error %v, policy\n%s\nwant this policy and its root:\n%s",
+			set, err, next.Encode(), to.Encode())
 	}
-	if !bytes.Equal(policy.Encode(), before) {
-		t.Fatalf("set %d: the policy itself was changed", set)
+	if !bytes.Equal(policy.Encode(), encodedBefore) {
+		t.Fatalf("random set %d: With changed the policy that it was called on, want it unchanged", set)
 	}
 	checkDiff(t, from, to, diff)
 	checkTable(t, next)
 	return diff
 }
 
+// findRoute returns the route of a policy with a name (namespace/name), or nil.
 func findRoute(p *Policy, name string) *PolicyRoute {
 	i := slices.IndexFunc(p.Routes, func(r PolicyRoute) bool { return r.Name == name })
 	if i < 0 {
@@ -75,7 +79,8 @@
 	return &p.Routes[i]
 }
 
-// checkDiff checks that a diff has just the routes that say something else.
+// checkDiff checks that a diff lists exactly the routes that were added, changed or removed. A route whose source has
+// only another file number is not changed.
 func checkDiff(t *testing.T, from, to *Policy, d *Diff) {
 	t.Helper()
 	want := &Diff{}
@@ -93,20 +98,20 @@
 	sameBlock := func(a, b PolicyBlock) bool { return reflect.DeepEqual(a.Block, b.Block) }
 	want.BlocksChanged = !slices.EqualFunc(from.Blocks, to.Blocks, sameBlock)
 	if !reflect.DeepEqual(d, want) {
-		t.Fatalf("the diff is %+v, not %+v", d, want)
+		t.Fatalf("With reports the diff %+v, want %+v", *d, *want)
 	}
 }
 
-// checkTable checks that the table of a policy is that of its routes.
+// checkTable checks that the table of a policy looks requests up as a table that is compiled from all its routes does.
 func checkTable(t *testing.T, p *Policy) {
 	t.Helper()
 	want, err := route.Compile(p.Rules(), "")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("route.Compile of the policy's routes: %v", err)
 	}
 	got, err := p.Table()
 	if err != nil || got.RuleCount() != want.RuleCount() || !slices.Equal(got.Services(), want.Services()) {
-		t.Fatalf("%v: a table of %d rules to %v, not of %d to %v",
+		t.Fatalf("Table() = error %v, %d rules to services %v, want %d rules to services %v",
 			err, got.RuleCount(), got.Services(), want.RuleCount(), want.Services())
 	}
 	for i := range p.Routes {
@@ -115,16 +120,18 @@
 			gotRule, gotVerdict := got.Lookup(&request)
 			wantRule, wantVerdict := want.Lookup(&request)
 			if gotVerdict != wantVerdict || (gotRule == nil) != (wantRule == nil) {
-				t.Fatalf("%+v: %v %v, compiled %v %v", request, gotRule, gotVerdict, wantRule, wantVerdict)
+				t.Fatalf("Table().Lookup(%+v) = rule %+v, verdict %v; want rule %+v, verdict %v, as from route.Compile",
+					request, gotRule, gotVerdict, wantRule, wantVerdict)
 			}
 			if gotRule != nil && (gotRule.Name != wantRule.Name || !slices.Equal(gotRule.To, wantRule.To)) {
-				t.Fatalf("%+v: %v %v, compiled %v %v", request, gotRule, gotVerdict, wantRule, wantVerdict)
+				t.Fatalf("Table().Lookup(%+v) = rule %+v, verdict %v; want rule %+v, verdict %v, as from route.Compile",
+					request, gotRule, gotVerdict, wantRule, wantVerdict)
 			}
 		}
 	}
 }
 
-// A new version of a file costs what it says differently, not all its rules.
+// A new version of a file that changes one route changes two items: that route and the number of the file.
 func TestNewFileVersionChangesFewItems(t *testing.T) {
 	fleet := newBenchmarkFleet(t, 20, 40, 1, false)
 	changed := fleet.changed[0]
@@ -134,11 +141,12 @@
 	first := Merge(fleet.declaration, nil, fleet.files)
 	out := Merge(fleet.declaration, first.Accepted, fleet.changed)
 	if len(out.Withheld) > 0 {
-		t.Fatal(out.Withheld)
+		t.Fatalf("Merge of the changed file withholds %v, want nothing withheld", out.Withheld)
 	}
 	set, removed := merkle.Changes(mustTree(t, first.Policy), mustTree(t, out.Policy))
 	if len(set) != 2 || len(removed) > 0 {
-		t.Errorf("%d set, %d removed", len(set), len(removed))
+		t.Errorf("merkle.Changes = %d items set, %d removed; want 2 set (the route, the file's number), 0 removed",
+			len(set), len(removed))
 	}
 }
 
@@ -149,11 +157,11 @@
 	const key = "team-0/route r0"
 	value, ok := tree.Get(key)
 	if !ok {
-		t.Fatal(key)
+		t.Fatalf("the policy's tree has no item %q", key)
 	}
 	routeText := string(value)
 	replaced := func(old, replacement string) string { return replaceEach(t, routeText, old, replacement) }
-	for _, test := range []struct{ key, value, want string }{
+	for _, test := range []struct{ key, value, wantError string }{
 		{"team-0/route r1", routeText, "it holds the rule of"},
 		{key, " " + routeText, "the one encoding"},
 		{key, routeText + " ", "the one encoding"},
@@ -175,33 +183,35 @@
 		{"team-0/number", `01`, "no number"},
 		{"nobody/number", `1`, "no rule comes from"},
 	} {
-		checkInvalidItems(t, policy, []merkle.Item{{Key: test.key, Value: []byte(test.value)}}, nil, test.want)
+		checkInvalidItems(t, policy, []merkle.Item{{Key: test.key, Value: []byte(test.value)}}, nil, test.wantError)
 	}
 	checkInvalidItems(t, policy, nil, []string{"team-0/number"}, "it is missing")
 	checkInvalidItems(t, policy, nil, []string{"form"}, "missing")
 }
 
-// checkInvalidItems checks that changed items are rejected, both as a change and as a whole policy.
-func checkInvalidItems(t *testing.T, policy *Policy, set []merkle.Item, removed []string, want string) {
+// checkInvalidItems checks that an invalid change of a policy's items is rejected, both by With and, once the change is
+// made to the policy's tree, by FromTree.
+func checkInvalidItems(t *testing.T, policy *Policy, set []merkle.Item, removed []string, wantError string) {
 	t.Helper()
 	_, _, err := policy.With(set, removed)
-	if err == nil || !strings.Contains(err.Error(), want) {
-		t.Errorf("%s %s: %v, want %q", set, removed, err, want)
+	if err == nil || !strings.Contains(err.Error(), wantError) {
+		t.Errorf("With(set %s, removed %q) = error %v, want an error that contains %q", set, removed, err, wantError)
 	}
 	tree, err := mustTree(t, policy).With(set, removed)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("merkle.Tree.With(set %s, removed %q): %v", set, removed, err)
 	}
 	_, err = FromTree(tree)
 	if err == nil {
-		t.Errorf("%s %s: accepted as a whole policy", set, removed)
+		t.Errorf("FromTree of the tree with set %s, removed %q = no error, want an error", set, removed)
 	}
 	if errors.As(err, new(InvalidItemError)) && operatorerror.AdviceOf(err) == "" {
-		t.Errorf("%v has no advice", err)
+		t.Errorf("FromTree of the tree with set %s, removed %q = error %v without advice, want advice",
+			set, removed, err)
 	}
 }
 
-// A name that is too long for a key has an item, too.
+// A rule whose name is too long for a key still has an item: FromTree reads it, and With removes it.
 func TestLongNames(t *testing.T) {
 	name := strings.Repeat("ä", merkle.MaxKeyBytes)
 	weight := &Value[float64]{1, []Source{{"a", 1, "class x"}}}
@@ -211,11 +221,12 @@
 	tree := mustTree(t, policy)
 	got, err := FromTree(tree)
 	if err != nil || !bytes.Equal(got.Encode(), policy.Encode()) {
-		t.Fatal(err)
+		t.Fatalf("FromTree = error %v, policy %.300s; want the policy that the tree was built from", err, got.Encode())
 	}
 	without := &Policy{Format: policyFormat, Classes: policy.Classes[:1]}
 	got, _, err = policy.With(merkle.Changes(tree, mustTree(t, without)))
 	if err != nil || !bytes.Equal(got.Encode(), without.Encode()) {
-		t.Fatalf("%v: %.300s", err, got.Encode())
+		t.Fatalf("With(the class with the long name removed) = error %v, policy %.300s; want %.300s",
+			err, got.Encode(), without.Encode())
 	}
 }
--- a/internal/policy/namespace/merge_test.go
+++ b/internal/policy/namespace/merge_test.go
@@ -12,7 +12,7 @@
 	"lapisspread/internal/route"
 )
 
-// quotedList is a TOML list of some values.
+// quotedList returns a TOML list of count different strings.
 func quotedList(count int) string {
 	var values []string
 	for i := range count {
@@ -21,7 +21,7 @@
 	return "[" + strings.Join(values, ", ") + "]"
 }
 
-// Files that are small enough by themselves can be too much together. Then the one that grew is withheld.
+// Files whose routes are each within maxCombinations can exceed it together. Then the file that grew is withheld.
 func TestTooManyCombinations(t *testing.T) {
 	example := newExampleFleet(t)
 	const (
@@ -39,138 +39,149 @@
 
 	out := Merge(example.declaration, nil, []*File{dispatch, small})
 	if len(out.Withheld) != 0 {
-		t.Fatal(out.Withheld)
+		t.Fatalf("Merge of files within the limit withholds %v, want nothing withheld", out.Withheld)
 	}
 	out = Merge(example.declaration, out.Accepted, []*File{large})
 	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "settlement" || out.Withheld[0].Active != 13 {
-		t.Errorf("withheld %v", out.Withheld)
+		t.Errorf("Merge of the larger file withholds %v, want settlement withheld and its version 13 active",
+			out.Withheld)
 	}
 	if out.Conflicts[0].Kind != TooManyCombinations {
-		t.Errorf("conflicts %v", out.Conflicts)
+		t.Errorf("Merge of the larger file reports the conflicts %v, want first one of kind %s",
+			out.Conflicts, TooManyCombinations)
 	}
 	if _, err := out.Policy.Table(); err != nil {
-		t.Error(err)
+		t.Errorf("Policy.Table after the larger file was withheld: %v", err)
 	}
-	// If both were accepted, as after a declaration granted a domain again, the last by precedence loses its routes.
+	// If both files are accepted already (a changed declaration can return a domain to its namespace), the namespace
+	// that is last by precedence loses its routes.
 	out = Merge(example.declaration, []*File{dispatch, large}, nil)
 	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != "settlement" {
-		t.Fatalf("withheld %v", out.Withheld)
+		t.Fatalf("Merge of two accepted files that exceed the limit withholds %v, want only settlement", out.Withheld)
 	}
 	if !slices.Equal(out.Withheld[0].RemovedRules, []string{"route payouts"}) {
-		t.Errorf("withheld %v", out.Withheld)
+		t.Errorf("Merge of two accepted files that exceed the limit withholds %v, want \"route payouts\" removed",
+			out.Withheld)
 	}
 }
 
-// withholdTest submits files over those of the example.
+// withholdTest merges submitted files when the files of the example are accepted. A nil cause, an empty kind and
+// namespaces that are not in wantActive are not checked.
 type withholdTest struct {
-	name      string
-	submitted []*File
-	withheld  string // namespace:active number; empty is none
-	cause     any    // the type of the cause
-	kind      ConflictKind
-	active    map[string]uint64 // numbers of files that are accepted
-	routes    int               // of the policy
+	name         string
+	submitted    []*File
+	wantWithheld string            // namespace:number of its active file, separated by blanks; empty is none
+	wantCause    any               // pointer to the type of the error that is the cause
+	wantKind     ConflictKind      // of the first conflict
+	wantActive   map[string]uint64 // numbers of the accepted files, by namespace
+	wantRoutes   int               // routes of the merged policy; 0 is as many as the example has
 }
 
 func withholdTests(t *testing.T, example *exampleFleet) []withholdTest {
 	t.Helper()
 	const exampleRoutes = 4
 	files := func(f ...*File) []*File { return f }
-	unreadable := UnreadableFile("settlement", FileError{Path: "s.toml", Line: 3, Err: errors.New("no TOML")})
-	// The delegator's route is for requests that the delegate's is for, too.
-	across := []string{"[[route]]\nname = \"desks\"", "[[route]]\nname = \"grab\"\n" +
+	unreadableFile := UnreadableFile("settlement", FileError{Path: "s.toml", Line: 3, Err: errors.New("no TOML")})
+	// Adds a route of the delegator (dispatch) for a part of the requests that the delegate's (booking-desks) matches.
+	overlappingRouteEdits := []string{"[[route]]\nname = \"desks\"", "[[route]]\nname = \"grab\"\n" +
 		"host = \"*.desks.kigali.example.org\"\npath_prefix = \"/book/vip\"\n" +
 		"to = [{ service = \"dispatch\" }]\n[[route]]\nname = \"desks\""}
-	narrowed := []string{`path_prefix = "/book"`, `path_prefix = "/book/vip/x"`}
+	// Narrows the delegate's route, so that it has precedence over the delegator's.
+	narrowedRouteEdits := []string{`path_prefix = "/book"`, `path_prefix = "/book/vip/x"`}
 	toDispatch := "to = [{ service = \"dispatch\" }]"
 	toDesks := "to = [{ service = \"desks\" }]"
 	allRoute := "name = \"all\"\nhost = \"dispatch.kigali.example.org\"\n"
-	removed := []string{
+	// Removes the service dispatch and leads the routes of its own file elsewhere.
+	removedServiceEdits := []string{
 		"[[service]]\nname = \"dispatch\"", "[[service]]\nname = \"dispatch\"\nremoved = true",
 		allRoute + toDispatch, allRoute + toDesks,
 		toDispatch, toDesks,
 	}
 	tests := []withholdTest{
-		{name: "nothing new", submitted: example.files(),
-			active: map[string]uint64{"dispatch": 7, "settlement": 12, "booking-desks": 3}},
-		{name: "the delegator reaches over the delegate's",
-			submitted: files(example.renumbered("dispatch", "8", across...), example.renumbered("settlement", "13")),
-			withheld:  "dispatch:7", cause: new(ConflictError), kind: Contradiction,
-			active: map[string]uint64{"dispatch": 7, "settlement": 13}},
-		{name: "both changed, one alone is the cause",
-			submitted: files(example.renumbered("dispatch", "8", across...),
+		{name: "the accepted files again", submitted: example.files(),
+			wantActive: map[string]uint64{"dispatch": 7, "settlement": 12, "booking-desks": 3}},
+		{name: "a delegator's route matches requests of its delegate's route",
+			submitted: files(example.renumbered("dispatch", "8", overlappingRouteEdits...),
+				example.renumbered("settlement", "13")),
+			wantWithheld: "dispatch:7", wantCause: new(ConflictError), wantKind: Contradiction,
+			wantActive: map[string]uint64{"dispatch": 7, "settlement": 13}},
+		{name: "two files changed, only one causes the conflict",
+			submitted: files(example.renumbered("dispatch", "8", overlappingRouteEdits...),
 				example.renumbered("booking-desks", "4", `weight = 9.0`, `weight = 8.0`)),
-			withheld: "dispatch:7", cause: new(ConflictError), kind: Contradiction,
-			active: map[string]uint64{"dispatch": 7, "booking-desks": 4}},
-		{name: "both changed, and conflict only as both are new",
+			wantWithheld: "dispatch:7", wantCause: new(ConflictError), wantKind: Contradiction,
+			wantActive: map[string]uint64{"dispatch": 7, "booking-desks": 4}},
+		{name: "two changed files conflict only with each other",
 			submitted: files(example.renumbered("dispatch", "8", "cap = 3000", "cap = 1250"),
 				example.renumbered("booking-desks", "4", "min = 1200", "min = 1300")),
-			withheld: "booking-desks:3", cause: new(ConflictError), kind: CapBelowMinimum,
-			active: map[string]uint64{"dispatch": 8, "booking-desks": 3}},
-		{name: "both changed, and do not conflict",
-			submitted: files(example.renumbered("dispatch", "8", across...),
-				example.renumbered("booking-desks", "4", narrowed...)),
-			active: map[string]uint64{"dispatch": 8, "booking-desks": 4}, routes: exampleRoutes + 1},
-		{name: "outside its domain",
+			wantWithheld: "booking-desks:3", wantCause: new(ConflictError), wantKind: CapBelowMinimum,
+			wantActive: map[string]uint64{"dispatch": 8, "booking-desks": 3}},
+		{name: "two changed files do not conflict",
+			submitted: files(example.renumbered("dispatch", "8", overlappingRouteEdits...),
+				example.renumbered("booking-desks", "4", narrowedRouteEdits...)),
+			wantActive: map[string]uint64{"dispatch": 8, "booking-desks": 4}, wantRoutes: exampleRoutes + 1},
+		{name: "a route outside its namespace's domain",
 			submitted: files(
 				example.renumbered("settlement", "13",
 					`host = "pay.kigali.example.org"`, `host = "*.kigali.example.org"`),
 				example.renumbered("dispatch", "9")),
-			withheld: "settlement:12", cause: new(OutsideDomainError),
-			active: map[string]uint64{"dispatch": 9, "settlement": 12}},
-		{name: "too high a minimum",
+			wantWithheld: "settlement:12", wantCause: new(OutsideDomainError),
+			wantActive: map[string]uint64{"dispatch": 9, "settlement": 12}},
+		{name: "minimums exceed the quota's limit",
 			submitted: files(example.renumbered("settlement", "13", "min = 2400", "min = 5400"),
 				example.renumbered("booking-desks", "4", "min = 1200", "min = 1000")),
-			withheld: "settlement:12", cause: new(MinimumsExceedLimitError), kind: MinimumsExceedLimit,
-			active: map[string]uint64{"booking-desks": 4, "settlement": 12}},
-		{name: "a cap below a minimum",
-			submitted: files(example.renumbered("dispatch", "8", "cap = 3000", "cap = 1000")),
-			withheld:  "dispatch:7", cause: new(ConflictError), kind: CapBelowMinimum,
-			active: map[string]uint64{"dispatch": 7}},
-		{name: "a service is removed that a route leads to",
-			submitted: files(example.renumbered("dispatch", "8", removed...)),
-			withheld:  "dispatch:7", cause: new(ConflictError), kind: ServiceRemoved,
-			active: map[string]uint64{"dispatch": 7}},
-		{name: "a route to no service",
+			wantWithheld: "settlement:12", wantCause: new(MinimumsExceedLimitError), wantKind: MinimumsExceedLimit,
+			wantActive: map[string]uint64{"booking-desks": 4, "settlement": 12}},
+		{name: "a delegator's cap below its delegate's minimum",
+			submitted:    files(example.renumbered("dispatch", "8", "cap = 3000", "cap = 1000")),
+			wantWithheld: "dispatch:7", wantCause: new(ConflictError), wantKind: CapBelowMinimum,
+			wantActive: map[string]uint64{"dispatch": 7}},
+		{name: "a removed service that another namespace's route leads to",
+			submitted:    files(example.renumbered("dispatch", "8", removedServiceEdits...)),
+			wantWithheld: "dispatch:7", wantCause: new(ConflictError), wantKind: ServiceRemoved,
+			wantActive: map[string]uint64{"dispatch": 7}},
+		{name: "a route to an undefined service",
 			submitted: files(example.renumbered("settlement", "13",
 				`to = [{ service = "settlement" }]`, `to = [{ service = "setlement" }]`)),
-			withheld: "settlement:12", cause: new(ConflictError), kind: ServiceRemoved,
-			active: map[string]uint64{"settlement": 12}},
-		{name: "a service of another namespace",
+			wantWithheld: "settlement:12", wantCause: new(ConflictError), wantKind: ServiceRemoved,
+			wantActive: map[string]uint64{"settlement": 12}},
+		{name: "a service that another namespace defines differently",
 			submitted: files(example.renumbered("settlement", "13",
 				"[[route]]", "[[service]]\nname = \"desks\"\nkinds = [\"x\"]\n[[route]]")),
-			withheld: "settlement:12", cause: new(ConflictError), kind: InconsistentDefinition,
-			active: map[string]uint64{"settlement": 12}},
-		{name: "a number used before",
-			submitted: files(example.renumbered("settlement", "12", "cap = 6000", "cap = 5000")),
-			withheld:  "settlement:12", cause: new(VersionTakenError), active: map[string]uint64{"settlement": 12}},
-		{name: "an older number",
-			submitted: files(example.renumbered("settlement", "11", "cap = 6000", "cap = 5000")),
-			withheld:  "settlement:12", cause: new(VersionTakenError), active: map[string]uint64{"settlement": 12}},
-		{name: "one number, two contents",
+			wantWithheld: "settlement:12", wantCause: new(ConflictError), wantKind: InconsistentDefinition,
+			wantActive: map[string]uint64{"settlement": 12}},
+		{name: "the accepted file's number with other content",
+			submitted:    files(example.renumbered("settlement", "12", "cap = 6000", "cap = 5000")),
+			wantWithheld: "settlement:12", wantCause: new(VersionTakenError),
+			wantActive: map[string]uint64{"settlement": 12}},
+		{name: "a number below the accepted file's",
+			submitted:    files(example.renumbered("settlement", "11", "cap = 6000", "cap = 5000")),
+			wantWithheld: "settlement:12", wantCause: new(VersionTakenError),
+			wantActive: map[string]uint64{"settlement": 12}},
+		{name: "two submitted files with the same number and different content",
 			submitted: files(example.renumbered("settlement", "13", "cap = 6000", "cap = 5000"),
 				example.renumbered("settlement", "13")),
-			withheld: "settlement:12", cause: new(VersionTakenError), active: map[string]uint64{"settlement": 12}},
-		{name: "a file that cannot be read",
-			submitted: files(unreadable, example.renumbered("dispatch", "8")),
-			withheld:  "settlement:12", cause: new(FileError),
-			active: map[string]uint64{"settlement": 12, "dispatch": 8}},
-		{name: "an unknown namespace",
+			wantWithheld: "settlement:12", wantCause: new(VersionTakenError),
+			wantActive: map[string]uint64{"settlement": 12}},
+		{name: "an unreadable file",
+			submitted:    files(unreadableFile, example.renumbered("dispatch", "8")),
+			wantWithheld: "settlement:12", wantCause: new(FileError),
+			wantActive: map[string]uint64{"settlement": 12, "dispatch": 8}},
+		{name: "a namespace that the declaration does not have",
 			submitted: files(
 				example.file("settlement", `namespace = "settlement"`, `namespace = "nobody"`),
 				example.renumbered("dispatch", "8")),
-			withheld: "nobody:0", cause: new(UnknownNamespaceError),
-			active: map[string]uint64{"settlement": 12, "dispatch": 8}},
+			wantWithheld: "nobody:0", wantCause: new(UnknownNamespaceError),
+			wantActive: map[string]uint64{"settlement": 12, "dispatch": 8}},
 	}
 	for i := range tests {
-		if tests[i].routes == 0 {
-			tests[i].routes = exampleRoutes
+		if tests[i].wantRoutes == 0 {
+			tests[i].wantRoutes = exampleRoutes
 		}
 	}
 	return tests
 }
 
-// Each test changes the example, and states what is withheld, why, and what goes on.
+// Each case submits changed files of the example, and checks which are withheld, why, and which files stay active.
 func TestWithheldFiles(t *testing.T) {
 	example := newExampleFleet(t)
 	accepted := Merge(example.declaration, nil, example.files()).Accepted
@@ -180,77 +191,85 @@
 			test.check(t, out)
 			for _, c := range Check(example.declaration, out.Accepted, out.Accepted) {
 				if c.Kind.Withholds() {
-					t.Errorf("what goes on conflicts: %v", c)
+					t.Errorf("Check of the accepted files finds %v, want no conflict that withholds a file", c)
 				}
 			}
 		})
 	}
 }
 
+// check compares the outcome of the merge with what the test wants.
 func (test *withholdTest) check(t *testing.T, out Outcome) {
 	t.Helper()
 	var withheld []string
 	for _, w := range out.Withheld {
 		withheld = append(withheld, fmt.Sprintf("%s:%d", w.Namespace, w.Active))
-		if test.cause != nil && (!errors.As(error(w), test.cause) || operatorerror.AdviceOf(w) == "") {
-			t.Errorf("%v is no %T", w, test.cause)
+		if test.wantCause != nil && (!errors.As(error(w), test.wantCause) || operatorerror.AdviceOf(w) == "") {
+			t.Errorf("Merge withholds %v, want an error with advice that wraps a %T", w, test.wantCause)
 		}
 	}
-	if got := strings.Join(withheld, " "); got != test.withheld {
-		t.Errorf("withheld %q, want %q: %v", got, test.withheld, out.Withheld)
+	if got := strings.Join(withheld, " "); got != test.wantWithheld {
+		t.Errorf("Merge withholds (namespace:active number) %q, want %q; errors: %v",
+			got, test.wantWithheld, out.Withheld)
 	}
 	for _, f := range out.Accepted {
-		if want, ok := test.active[f.Name]; ok && f.Number != want {
-			t.Errorf("%s goes on with %d, want %d", f.Name, f.Number, want)
+		if want, ok := test.wantActive[f.Name]; ok && f.Number != want {
+			t.Errorf("accepted file of namespace %s has number %d, want %d", f.Name, f.Number, want)
 		}
 	}
-	if len(out.Policy.Routes) != test.routes {
-		t.Errorf("%d routes, want %d", len(out.Policy.Routes), test.routes)
+	if len(out.Policy.Routes) != test.wantRoutes {
+		t.Errorf("merged policy has %d routes, want %d", len(out.Policy.Routes), test.wantRoutes)
 	}
-	if test.kind == "" {
+	if test.wantKind == "" {
 		return
 	}
-	if len(out.Conflicts) == 0 || out.Conflicts[0].Kind != test.kind || out.Conflicts[0].Withheld == "" {
-		t.Fatalf("conflicts %v, want %s", out.Conflicts, test.kind)
+	if len(out.Conflicts) == 0 || out.Conflicts[0].Kind != test.wantKind || out.Conflicts[0].Withheld == "" {
+		t.Fatalf("Merge reports the conflicts %v, want first one of kind %s that names the withheld namespace",
+			out.Conflicts, test.wantKind)
 	}
-	if test.kind == Contradiction {
-		wantPrefix(t, out.Conflicts[0].Request, "/book/vip")
+	if test.wantKind == Contradiction {
+		checkPathPrefix(t, out.Conflicts[0].Request, "/book/vip")
 	}
 }
 
-// wantWithheld checks that one namespace has something withheld, with a cause of a type if that is not nil.
-func wantWithheld(t *testing.T, out Outcome, namespace string, cause any) {
+// checkOnlyWithheld checks that one namespace alone has something withheld, and that the cause has the type that
+// wantCause points to, unless wantCause is nil.
+func checkOnlyWithheld(t *testing.T, out Outcome, namespace string, wantCause any) {
 	t.Helper()
 	if len(out.Withheld) != 1 || out.Withheld[0].Namespace != namespace {
-		t.Fatalf("withheld %v", out.Withheld)
+		t.Fatalf("Merge withholds %v, want only something of namespace %s withheld", out.Withheld, namespace)
 	}
-	if cause != nil && !errors.As(error(out.Withheld[0]), cause) {
-		t.Errorf("%v is no %T", out.Withheld[0], cause)
+	if wantCause != nil && !errors.As(error(out.Withheld[0]), wantCause) {
+		t.Errorf("Merge withholds %v, want an error that wraps a %T", out.Withheld[0], wantCause)
 	}
 }
 
-// A declaration that withdraws a part of a domain removes the rules in it, and no others; granted again, they return.
+// A declaration that takes a part of a domain from a namespace removes its rules about that part, and no others. They
+// return when the declaration gives the part back.
 func TestDeclarationWithdrawsDomain(t *testing.T) {
 	example := newExampleFleet(t)
 	base := Merge(example.declaration, nil, example.files())
 	narrowed := example.declarationWith(`path_prefixes = ["/book"]`, `path_prefixes = ["/books"]`)
 	out := Merge(narrowed, base.Accepted, nil)
-	wantWithheld(t, out, "booking-desks", new(OutsideDomainError))
+	checkOnlyWithheld(t, out, "booking-desks", new(OutsideDomainError))
 	if !slices.Equal(out.Withheld[0].RemovedRules, []string{"route book"}) {
-		t.Errorf("withheld %v", out.Withheld)
+		t.Errorf("Merge with the narrowed declaration withholds %v, want \"route book\" removed", out.Withheld)
 	}
 	request := route.Request{Host: "n.desks.kigali.example.org", Path: "/book", Class: "booking"}
 	if e, _ := out.Policy.Explain(&request); e.Route == nil || e.Route.Name != "dispatch/desks" {
-		t.Errorf("the delegator's rule is not in force: %+v", e.Route)
+		t.Errorf("Explain(%+v) with the narrowed declaration gives route %+v, want the delegator's, dispatch/desks",
+			request, e.Route)
 	}
 	if again := Merge(example.declaration, out.Accepted, nil); again.Hash != base.Hash || len(again.Withheld) != 0 {
-		t.Errorf("granted again: withheld %v", again.Withheld)
+		t.Errorf("Merge with the first declaration again = policy %s, withheld %v; want policy %s, nothing withheld",
+			again.Hash, again.Withheld, base.Hash)
 	}
-	// A file that is submitted at the same time is outside the domain as well.
+	// A file that is submitted together with the narrowed declaration is outside the domain as well.
 	out = Merge(narrowed, base.Accepted, []*File{example.renumbered("booking-desks", "4")})
-	wantWithheld(t, out, "booking-desks", nil)
+	checkOnlyWithheld(t, out, "booking-desks", nil)
 	if out.Withheld[0].Submitted != 4 || out.Withheld[0].Active != 3 {
-		t.Errorf("withheld %v", out.Withheld)
+		t.Errorf("Merge of version 4 with the narrowed declaration withholds %v, want 4 withheld and 3 active",
+			out.Withheld)
 	}
 }
 
@@ -259,24 +278,25 @@
 	example := newExampleFleet(t)
 	accepted := Merge(example.declaration, nil, example.files()).Accepted
 	lowered := example.declarationWith("whole = 12000", "whole = 9000")
-	wantWithheld(t, Merge(lowered, accepted, nil), "booking-desks", new(MinimumsExceedLimitError))
+	checkOnlyWithheld(t, Merge(lowered, accepted, nil), "booking-desks", new(MinimumsExceedLimitError))
 }
 
-// If a declaration drops a namespace, routes of others to its services are removed.
+// If a declaration no longer has a namespace, routes of others to its services are removed.
 func TestDeclarationDropsNamespace(t *testing.T) {
 	example := newExampleFleet(t)
 	accepted := Merge(example.declaration, nil, example.files()).Accepted
-	renamed := strings.ReplaceAll(example.texts[exampleDeclaration], `"dispatch"`, `"despatch"`)
-	out := Merge(mustParseDeclaration(t, renamed), accepted, nil)
+	renamedNamespace := strings.ReplaceAll(example.texts[exampleDeclaration], `"dispatch"`, `"despatch"`)
+	out := Merge(mustParseDeclaration(t, renamedNamespace), accepted, nil)
 	var names []string
 	for _, w := range out.Withheld {
 		names = append(names, w.Namespace)
 	}
 	if !slices.Equal(names, []string{"booking-desks", "dispatch"}) {
-		t.Fatalf("withheld %v", out.Withheld)
+		t.Fatalf("Merge without the namespace dispatch withholds %v, want booking-desks and dispatch", out.Withheld)
 	}
 	if !slices.Equal(out.Withheld[0].RemovedRules, []string{"route book"}) {
-		t.Errorf("withheld %v", out.Withheld)
+		t.Errorf("Merge without the namespace dispatch withholds %v, want \"route book\" of booking-desks removed",
+			out.Withheld)
 	}
 }
 
@@ -292,15 +312,16 @@
 		{settlement, desks, example.file("dispatch"), dispatch},
 	} {
 		if got := Merge(example.declaration, nil, set); got.Hash != want.Hash || len(got.Withheld) > 0 {
-			t.Errorf("another policy: %v", got.Withheld)
+			t.Errorf("Merge(%s) = policy %s, withheld %v; want policy %s, nothing withheld",
+				fileNames(set), got.Hash, got.Withheld, want.Hash)
 		}
 	}
-	// What has no conflict may be submitted in any parts.
+	// Files without a conflict give the same policy if they are merged one after the other.
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
 		order := rng.Perm(3)
 		if slices.Index(order, 2) < slices.Index(order, 0) {
-			continue // the desks lead to a service of dispatch, and are withheld until it is there
+			continue // booking-desks has a route to a service of dispatch, and is withheld until that is defined
 		}
 		var accepted []*File
 		for _, i := range order {
@@ -308,7 +329,17 @@
 			accepted = Merge(example.declaration, accepted, []*File{submitted}).Accepted
 		}
 		if got := Merge(example.declaration, accepted, nil); got.Hash != want.Hash {
-			t.Errorf("another policy: %v", got.Withheld)
+			t.Errorf("Merge of dispatch, settlement, booking-desks in the order %v = policy %s, withheld %v; want %s",
+				order, got.Hash, got.Withheld, want.Hash)
 		}
 	}
 }
+
+// fileNames returns the namespaces of files, in their order.
+func fileNames(files []*File) string {
+	var names []string
+	for _, f := range files {
+		names = append(names, f.Name)
+	}
+	return strings.Join(names, ", ")
+}
--- a/internal/policy/namespace/policy_test.go
+++ b/internal/policy/namespace/policy_test.go
@@ -16,14 +16,15 @@
 	example := newExampleFleet(t)
 	out := Merge(example.declaration, nil, example.files())
 	if len(out.Withheld) != 0 || len(out.Conflicts) != 0 {
-		t.Fatalf("withheld %v, conflicts %v", out.Withheld, out.Conflicts)
+		t.Fatalf("Merge of the example files = withheld %v, conflicts %v; want none of either",
+			out.Withheld, out.Conflicts)
 	}
 	for _, test := range []struct {
-		request      route.Request
-		route        string
-		deadline     string
-		maxStaleness string
-		blocks       int
+		request          route.Request
+		wantRoute        string
+		wantDeadline     string // empty is not checked
+		wantMaxStaleness string // empty is no staleness bound
+		wantBlocks       int
 	}{
 		{route.Request{Host: "N1.desks.kigali.example.org:80", Path: "/book/7", Class: "booking"},
 			"booking-desks/book", "4s", "ageing", 0},
@@ -34,27 +35,30 @@
 			"settlement/payouts", "2s", "fresh", 0},
 	} {
 		e, err := out.Policy.Explain(&test.request)
-		if err != nil || e.Route == nil || e.Route.Name != test.route || e.Reasons[0].Rule.Name != test.route {
-			t.Errorf("%+v: %+v %v", test.request, e, err)
+		if err != nil || e.Route == nil || e.Route.Name != test.wantRoute || e.Reasons[0].Rule.Name != test.wantRoute {
+			t.Errorf("Explain(%+v) = %+v, error %v; want route %s, also first in Reasons",
+				test.request, e, err, test.wantRoute)
 			continue
 		}
-		if len(e.Blocks) != test.blocks {
-			t.Errorf("%+v: blocks %+v", test.request, e.Blocks)
+		if len(e.Blocks) != test.wantBlocks {
+			t.Errorf("Explain(%+v) gives the blocks %+v, want %d blocks", test.request, e.Blocks, test.wantBlocks)
 		}
-		if test.deadline != "" && e.Class.Deadline.Value.String() != test.deadline {
-			t.Errorf("%+v: deadline %v", test.request, e.Class.Deadline)
+		if test.wantDeadline != "" && e.Class.Deadline.Value.String() != test.wantDeadline {
+			t.Errorf("Explain(%+v) gives deadline %v, want %s", test.request, e.Class.Deadline.Value, test.wantDeadline)
 		}
 		maxStaleness := ""
 		if e.Staleness != nil {
 			maxStaleness = e.Staleness.MaxLevel.Value
 		}
-		if maxStaleness != test.maxStaleness {
-			t.Errorf("%+v: staleness %+v", test.request, e.Staleness)
+		if maxStaleness != test.wantMaxStaleness {
+			t.Errorf("Explain(%+v) gives maximum staleness %q, want %q",
+				test.request, maxStaleness, test.wantMaxStaleness)
 		}
 	}
 	e, _ := out.Policy.Explain(&route.Request{Host: "else.org", Path: "/"})
 	if e.Verdict != route.UnknownHost || e.Route != nil {
-		t.Errorf("a host of nobody: %+v", e)
+		t.Errorf("Explain(host else.org, which no route names) = %+v, want verdict %v and no route",
+			e, route.UnknownHost)
 	}
 }
 
@@ -67,31 +71,40 @@
 			"name = \"all\"\n", "name = \"all\"\nsticky = \"key\"\n"),
 	})
 	if len(out.Withheld) != 0 {
-		t.Fatal(out.Withheld)
+		t.Fatalf("Merge of the changed example files withholds %v, want nothing withheld", out.Withheld)
 	}
 	class := out.Policy.Classes[0]
-	owner := Source{"booking-desks", 3, "class booking"}
-	delegator := Source{"dispatch", 7, "class booking"}
-	ownShare := []Source{{"booking-desks", 3, "budget attempts"}}
+	ownerSource := Source{"booking-desks", 3, "class booking"}
+	delegatorSource := Source{"dispatch", 7, "class booking"}
+	ownShareSources := []Source{{"booking-desks", 3, "budget attempts"}}
 	for name, test := range map[string]struct{ got, want any }{
-		"latency objective: both set it": {
-			class.LatencyObjective, &Value[time.Duration]{800 * time.Millisecond, []Source{owner, delegator}},
+		"latency objective: equal values name both rules": {
+			class.LatencyObjective,
+			&Value[time.Duration]{800 * time.Millisecond, []Source{ownerSource, delegatorSource}},
 		},
-		"deadline: the strictest":    {class.Deadline, &Value[time.Duration]{4 * time.Second, []Source{delegator}}},
-		"effect: unsafe":             {class.Effect, &Value[string]{"unsafe", []Source{delegator}}},
-		"priority weight: the owner": {class.PriorityWeight, &Value[float64]{4, []Source{owner}}},
-		"late fraction: who sets it": {class.LateFraction, &Value[float64]{0.5, []Source{delegator}}},
-		"share": {out.Policy.Shares[0], PolicyShare{
+		"deadline: the shortest": {
+			class.Deadline, &Value[time.Duration]{4 * time.Second, []Source{delegatorSource}},
+		},
+		"effect: unsafe is the strictest": {
+			class.Effect, &Value[string]{"unsafe", []Source{delegatorSource}},
+		},
+		"priority weight: the owner's": {
+			class.PriorityWeight, &Value[float64]{4, []Source{ownerSource}},
+		},
+		"late fraction: from the only rule that sets it": {
+			class.LateFraction, &Value[float64]{0.5, []Source{delegatorSource}},
+		},
+		"quota share: minimum and weight from the owner, cap from the delegator": {out.Policy.Shares[0], PolicyShare{
 			Quota:     "attempts",
 			Limit:     12000,
 			Namespace: "booking-desks",
-			Min:       &Value[int64]{1200, ownShare},
+			Min:       &Value[int64]{1200, ownShareSources},
 			Cap:       &Value[int64]{3000, []Source{{"dispatch", 7, "budget attempts booking-desks"}}},
-			Weight:    &Value[float64]{1, ownShare},
+			Weight:    &Value[float64]{1, ownShareSources},
 		}},
 	} {
 		if !reflect.DeepEqual(test.got, test.want) {
-			t.Errorf("%s: %+v, want %+v", name, test.got, test.want)
+			t.Errorf("%s: merged value = %+v, want %+v", name, test.got, test.want)
 		}
 	}
 }
@@ -102,16 +115,16 @@
 	pool, err := processquota.NewPool(
 		processquota.PoolSettings{Total: 12000, Recall: time.Second, Lend: 0.5}, policy.QuotaShares("attempts"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("processquota.NewPool with the policy's shares: %v", err)
 	}
 	want := map[string]processquota.Share{
 		"dispatch":      {Min: 6000, Weight: 3},
 		"settlement":    {Min: 2400, Cap: 6000, Weight: 1},
 		"booking-desks": {Min: 1200, Cap: 3000, Weight: 1},
 	}
-	for name, use := range pool.Usage(0) {
-		if use.Share != want[name] {
-			t.Errorf("%s: %+v, want %+v", name, use.Share, want[name])
+	for name, usage := range pool.Usage(0) {
+		if usage.Share != want[name] {
+			t.Errorf("quota share of namespace %s = %+v, want %+v", name, usage.Share, want[name])
 		}
 	}
 }
@@ -122,7 +135,7 @@
 	text := string(policy.Encode())
 	decoded, err := Decode([]byte(text))
 	if err != nil || string(decoded.Encode()) != text || decoded.Hash() != policy.Hash() {
-		t.Fatalf("decoded: %v", err)
+		t.Fatalf("Decode(Encode()) = error %v, want a policy with the same encoding and hash", err)
 	}
 	for _, invalid := range []string{
 		"",
@@ -136,55 +149,55 @@
 		replaceEach(t, text, `"weight":9`, `"weight":null`),
 	} {
 		if _, err := Decode([]byte(invalid)); err == nil {
-			t.Errorf("%.80s was decoded", invalid)
+			t.Errorf("Decode(%.80q...) = no error, want an error: Encode does not produce this text", invalid)
 		}
 	}
 }
 
-// frozenPolicy is what commit c8fad44 stores and sends for the example. It was written at that commit, with
-// UPDATE_FROZEN=1, and must never be written again.
+// frozenPolicy holds the policy that commit c8fad44 stores and sends for the example. It was written at that commit,
+// with UPDATE_FROZEN=1, and must never be written again: it shows that the encoding of policies has not changed since.
 const frozenPolicy = "testdata/example.json"
 
-// The policy of the example keeps the encoding, the hash and the tree that commit c8fad44 gives it.
+// The policy of the example has the same encoding, hash and tree as at commit c8fad44.
 func TestFrozenPolicyKeepsItsBytes(t *testing.T) {
 	example := newExampleFleet(t)
 	out := Merge(example.declaration, nil, example.files())
 	text := out.Policy.Encode()
 	if os.Getenv("UPDATE_FROZEN") != "" {
 		if err := os.WriteFile(frozenPolicy, text, 0o644); err != nil {
-			t.Fatal(err)
+			t.Fatalf("write the frozen policy: %v", err)
 		}
 	}
 	frozen, err := os.ReadFile(frozenPolicy)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the frozen policy: %v", err)
 	}
 	if !bytes.Equal(text, frozen) {
-		t.Errorf("it is written\n%s, was\n%s", text, frozen)
+		t.Errorf("Encode of the example's policy gives\n%s\nwant the bytes of %s:\n%s", text, frozenPolicy, frozen)
 	}
 	decoded, err := Decode(frozen)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Decode of the frozen policy: %v", err)
 	}
 	const wantHash = "cc86c7aed4099201fea23407db5a523bef087968c85a4f1e2fd0258bebad110d"
 	if got := decoded.Hash(); got != wantHash || out.Hash != got {
-		t.Errorf("hash %s, %s", got, out.Hash)
+		t.Errorf("hash of the frozen policy = %s, of the merged policy = %s, want %s", got, out.Hash, wantHash)
 	}
 	tree := mustTree(t, decoded)
 	const wantRoot = "bd98ea1026e3e53f4c01649528b894b01abb0745c71b2c65dc61978f3406d895"
 	if got := tree.Root().String(); got != wantRoot {
-		t.Errorf("root %s", got)
+		t.Errorf("root of the frozen policy's tree = %s, want %s", got, wantRoot)
 	}
 	again, err := FromTree(tree)
 	if err != nil || !bytes.Equal(again.Encode(), frozen) {
-		t.Errorf("from its tree: %v, %s", err, again.Encode())
+		t.Errorf("FromTree of the frozen policy's tree = error %v, policy\n%s\nwant\n%s", err, again.Encode(), frozen)
 	}
 }
 
-// wantPrefix checks the path of a request.
-func wantPrefix(t *testing.T, request *route.Request, prefix string) {
+// checkPathPrefix checks that the example request of a conflict has a path under a prefix.
+func checkPathPrefix(t *testing.T, request *route.Request, prefix string) {
 	t.Helper()
 	if request == nil || !strings.HasPrefix(request.Path, prefix) {
-		t.Errorf("the request is %+v, want a path under %s", request, prefix)
+		t.Errorf("example request of the conflict = %+v, want one with a path under %s", request, prefix)
 	}
 }
