--- a/internal/policy/namespace/exhaustive_test.go
+++ b/internal/policy/namespace/exhaustive_test.go
@@ -11,9 +11,10 @@
 	"lapisspread/internal/route"
 )
 
-// The exhaustive search looks at every request over a small alphabet, with tables of package route that have one rule
-// each. The alphabet has a word that no rule names (f) in each place, so a conflict that it does not show does not
-// exist.
+// The exhaustive search is a second, simpler implementation of Check. It tries every request whose host labels, path
+// segments, method, class and tenant come from a small alphabet, and asks package route, with a table of a single rule,
+// whether a rule matches. The alphabet has, in each position, a word that no rule names (f). So each conflict between
+// rules over this alphabet shows in one of these requests.
 
 // exhaustiveKinds are the kinds of conflicts that the exhaustive search finds.
 var exhaustiveKinds = []ConflictKind{
@@ -23,7 +24,7 @@
 // exhaustiveHours are the hours after randomStart at which overrides are compared.
 const exhaustiveHours = 8
 
-// everyRequest is all requests over the alphabet.
+// everyRequest lists all requests over the alphabet.
 var everyRequest = func() []route.Request {
 	var all []route.Request
 	for _, host := range []string{"a", "b", "f", "b.a", "f.a", "f.b.a"} {
@@ -42,14 +43,15 @@
 	return all
 }()
 
-// requestSet is a set of requests: one bit for each of everyRequest.
+// requestSet is a set of requests: one bit for each request of everyRequest.
 type requestSet []uint64
 
-// matchSets caches the requests of matches, by their texts.
-var matchSets = map[string]requestSet{}
+// requestsByMatch caches the results of matchingRequests, by the printed match.
+var requestsByMatch = map[string]requestSet{}
 
 func newRequestSet() requestSet { return make(requestSet, len(everyRequest)/64+1) }
 
+// has reports whether the set has the request everyRequest[i].
 func (s requestSet) has(i int) bool { return s[i/64]&(1<<(i%64)) != 0 }
 
 func (s requestSet) empty() bool {
@@ -57,11 +59,11 @@
 }
 
 func (s requestSet) minus(other requestSet) requestSet {
-	rest := slices.Clone(s)
-	for i := range rest {
-		rest[i] &^= other[i]
+	difference := slices.Clone(s)
+	for i := range difference {
+		difference[i] &^= other[i]
 	}
-	return rest
+	return difference
 }
 
 func (s requestSet) within(other requestSet) bool { return s.minus(other).empty() }
@@ -85,8 +87,8 @@
 	return false
 }
 
-// tableOf returns a table with one rule for a match.
-func tableOf(m *Match) *route.Table {
+// singleRuleTable returns a table whose only rule has the given match.
+func singleRuleTable(m *Match) *route.Table {
 	table, err := route.Compile([]route.Rule{m.probeRule("")}, "")
 	if err != nil {
 		panic(err)
@@ -94,39 +96,40 @@
 	return table
 }
 
-// requestsOf returns all requests of a match, as package route sees it.
-func requestsOf(m *Match) requestSet {
+// matchingRequests returns the requests that package route finds for a match.
+func matchingRequests(m *Match) requestSet {
 	key := fmt.Sprintf("%+v", *m)
-	if set, ok := matchSets[key]; ok {
+	if set, ok := requestsByMatch[key]; ok {
 		return set
 	}
-	table := tableOf(m)
+	table := singleRuleTable(m)
 	set := newRequestSet()
 	for i := range everyRequest {
 		if _, verdict := table.Lookup(&everyRequest[i]); verdict == route.Found {
 			set[i/64] |= 1 << (i % 64)
 		}
 	}
-	matchSets[key] = set
+	requestsByMatch[key] = set
 	return set
 }
 
-// exhaustiveSearch finds the conflicts of a set of files, each as a text of its kind and rules.
+// exhaustiveSearch finds the conflicts of a set of files.
 type exhaustiveSearch struct {
-	declaration *Declaration
-	files       []*File
-	matches     map[*Match]requestSet
-	domains     map[*Domain]requestSet
-	found       map[string]bool
+	declaration       *Declaration
+	files             []*File
+	requestsPerMatch  map[*Match]requestSet  // cache
+	requestsPerDomain map[*Domain]requestSet // cache
+	found             map[string]bool        // conflicts as exhaustiveKey gives them: kind and rules
 }
 
+// searchExhaustively returns the conflicts of a set of files, in the form of exhaustiveKey.
 func searchExhaustively(d *Declaration, files []*File) map[string]bool {
 	s := &exhaustiveSearch{
-		declaration: d,
-		files:       files,
-		matches:     map[*Match]requestSet{},
-		domains:     map[*Domain]requestSet{},
-		found:       map[string]bool{},
+		declaration:       d,
+		files:             files,
+		requestsPerMatch:  map[*Match]requestSet{},
+		requestsPerDomain: map[*Domain]requestSet{},
+		found:             map[string]bool{},
 	}
 	s.searchRoutes()
 	s.searchServices()
@@ -141,17 +144,17 @@
 }
 
 func (s *exhaustiveSearch) requests(m *Match) requestSet {
-	set, ok := s.matches[m]
+	set, ok := s.requestsPerMatch[m]
 	if !ok {
-		set = requestsOf(m)
-		s.matches[m] = set
+		set = matchingRequests(m)
+		s.requestsPerMatch[m] = set
 	}
 	return set
 }
 
-// domainRequests returns the requests of all parts of a domain.
+// domainRequests returns the requests of a domain, for all its combinations of a host and a path prefix.
 func (s *exhaustiveSearch) domainRequests(d *Domain) requestSet {
-	if set, ok := s.domains[d]; ok {
+	if set, ok := s.requestsPerDomain[d]; ok {
 		return set
 	}
 	set := newRequestSet()
@@ -165,17 +168,18 @@
 	}
 	for _, host := range hosts {
 		for _, prefix := range prefixes {
-			part := requestsOf(&Match{Host: host, PathPrefix: prefix, Classes: d.Classes, Tenants: d.Tenants})
-			for i, word := range part {
+			matching := matchingRequests(&Match{Host: host, PathPrefix: prefix, Classes: d.Classes, Tenants: d.Tenants})
+			for i, word := range matching {
 				set[i] |= word
 			}
 		}
 	}
-	s.domains[d] = set
+	s.requestsPerDomain[d] = set
 	return set
 }
 
-// delegated reports whether a route is within what another namespace delegated, directly or through others.
+// delegated reports whether the requests of a route are within what namespace "from" delegated to namespace "to",
+// directly or through others.
 func (s *exhaustiveSearch) delegated(to, from string, m *Match) bool {
 	for i := range s.declaration.Delegations {
 		d := &s.declaration.Delegations[i]
@@ -192,7 +196,7 @@
 	return false
 }
 
-// ownedRoute is a route with the file that it is of.
+// ownedRoute is a route with the file that it is defined in.
 type ownedRoute struct {
 	file  *File
 	route *Route
@@ -200,8 +204,8 @@
 
 func (r ownedRoute) source() Source { return r.file.source(r.route.id()) }
 
-// compareByTable returns 1 if package route chooses the first of two routes for a request, -1 if the second, and 0 if
-// they are of equal precedence.
+// compareByTable returns 1 if a table of both routes gives the first one for a request, -1 if the second one, and 0 if
+// the table does not compile because the routes have equal precedence.
 func compareByTable(a, b *Route, request *route.Request) int {
 	table, err := route.Compile([]route.Rule{a.rule("a", a.targets()), b.rule("b", b.targets())}, "")
 	if err != nil {
@@ -213,7 +217,8 @@
 	return -1
 }
 
-// searchRoutes finds contradictions and unreachable routes.
+// searchRoutes finds contradictions and unreachable routes. A route is unreachable if blocks and routes of higher
+// precedence match all its requests.
 func (s *exhaustiveSearch) searchRoutes() {
 	var routes []ownedRoute
 	var blocks []*Match
@@ -226,12 +231,12 @@
 		}
 	}
 	for i, a := range routes {
-		left := s.requests(&a.route.Match)
+		reachable := s.requests(&a.route.Match)
 		for _, m := range blocks {
-			left = left.minus(s.requests(m))
+			reachable = reachable.minus(s.requests(m))
 		}
-		for k, b := range routes {
-			if i == k {
+		for j, b := range routes {
+			if i == j {
 				continue
 			}
 			request := s.requests(&a.route.Match).common(s.requests(&b.route.Match))
@@ -240,19 +245,20 @@
 			}
 			order := compareByTable(a.route, b.route, request)
 			if order < 0 {
-				left = left.minus(s.requests(&b.route.Match))
+				reachable = reachable.minus(s.requests(&b.route.Match))
 			}
-			if k < i && a.file != b.file && s.contradict(a, b, order) {
+			if j < i && a.file != b.file && s.contradict(a, b, order) {
 				s.add(Contradiction, a.source(), b.source())
 			}
 		}
-		if left.empty() {
+		if reachable.empty() {
 			s.add(UnreachableRule, a.source())
 		}
 	}
 }
 
-// contradict reports whether two routes that meet contradict each other.
+// contradict reports whether two routes that match a common request contradict each other: they have equal precedence,
+// or they have different targets and the one with precedence is not a delegate's. Order is from compareByTable.
 func (s *exhaustiveSearch) contradict(a, b ownedRoute, order int) bool {
 	if order == 0 {
 		return true
@@ -266,7 +272,7 @@
 	return !s.delegated(b.file.Name, a.file.Name, &b.route.Match)
 }
 
-// searchServices finds routes to services that are not there.
+// searchServices finds routes to services that are undefined or removed.
 func (s *exhaustiveSearch) searchServices() {
 	defined := map[string]bool{}
 	removed := map[string]bool{}
@@ -292,6 +298,7 @@
 	return !at.Before(o.From) && (o.Until.IsZero() || at.Before(o.Until))
 }
 
+// searchOverrides finds overrides of two files that contradict each other.
 func (s *exhaustiveSearch) searchOverrides() {
 	for i, a := range s.files {
 		for _, b := range s.files[:i] {
@@ -307,6 +314,7 @@
 	}
 }
 
+// overridesContradict reports whether two overrides set one server to different states in some hour.
 func overridesContradict(a, b *Override) bool {
 	if a.Server != b.Server || a.Action == b.Action {
 		return false
@@ -320,6 +328,7 @@
 	return false
 }
 
+// searchMinimums finds that the minimums of the quota sum to more than its limit.
 func (s *exhaustiveSearch) searchMinimums() {
 	var rules []Source
 	sum := int64(0)
@@ -334,21 +343,23 @@
 	}
 }
 
+// searchOverlaps finds the pairs of namespaces whose domains overlap without a delegation between them.
 func (s *exhaustiveSearch) searchOverlaps() {
 	namespaces := s.declaration.Namespaces
 	for i := range namespaces {
-		for k := range i {
-			if !s.overlap(namespaces[i].Name, namespaces[k].Name) {
+		for j := range i {
+			if !s.overlap(namespaces[i].Name, namespaces[j].Name) {
 				continue
 			}
 			s.add(DomainOverlap,
 				Source{Namespace: namespaces[i].Name, Rule: declarationRule},
-				Source{Namespace: namespaces[k].Name, Rule: declarationRule})
+				Source{Namespace: namespaces[j].Name, Rule: declarationRule})
 		}
 	}
 }
 
-// overlap reports whether two domains have parts that intersect, of which neither came through the other namespace.
+// overlap reports whether the domains of two namespaces have parts that intersect, and neither part was delegated by the
+// other namespace, directly or through others.
 func (s *exhaustiveSearch) overlap(a, b string) bool {
 	for _, x := range s.parts(a, nil, nil) {
 		for _, y := range s.parts(b, nil, nil) {
@@ -363,9 +374,10 @@
 	return false
 }
 
-// parts returns the parts of a namespace's domain that contain a part, or all of them, each with the namespaces that it
-// came through up to its root. A part came through all that its delegator's part did, if it is within that.
-func (s *exhaustiveSearch) parts(name string, part *Domain, through []string) []domainPart {
+// parts returns the ways in which a namespace has a part of a domain, each with the namespaces that delegated the part,
+// up to the namespace whose own domain it is in. With a nil part it does so for all parts of the namespace.
+// Delegators lists the delegations that were followed already.
+func (s *exhaustiveSearch) parts(name string, part *Domain, delegators []string) []domainPart {
 	var all []domainPart
 	contains := func(d *Domain) bool {
 		return part == nil || s.domainRequests(part).within(s.domainRequests(d))
@@ -379,20 +391,21 @@
 	for i := range s.declaration.Namespaces {
 		n := &s.declaration.Namespaces[i]
 		if n.Name == name && len(n.Settings) > 0 && contains(&n.Domain) {
-			all = append(all, domainPart{partOr(&n.Domain), slices.Clone(through)})
+			all = append(all, domainPart{partOr(&n.Domain), slices.Clone(delegators)})
 		}
 	}
 	for i := range s.declaration.Delegations {
 		d := &s.declaration.Delegations[i]
 		if d.To == name && contains(&d.Domain) {
-			delegators := append(slices.Clone(through), d.From)
-			all = append(all, s.parts(d.From, partOr(&d.Domain), delegators)...)
+			withDelegator := append(slices.Clone(delegators), d.From)
+			all = append(all, s.parts(d.From, partOr(&d.Domain), withDelegator)...)
 		}
 	}
 	return all
 }
 
-// exhaustiveKey is a conflict in the form of the exhaustive search.
+// exhaustiveKey returns the kind and the rules of a conflict as a text, as the exhaustive search finds them: without
+// the rules that make a route unreachable, and without those that removed a service.
 func (c Conflict) exhaustiveKey() string {
 	rules := c.Rules
 	switch c.Kind {
@@ -405,46 +418,47 @@
 	return fmt.Sprint(c.Kind, rules)
 }
 
-// compareWithExhaustive returns which conflicts were found too much, were not found, or have no valid request.
+// compareWithExhaustive compares found conflicts with those of the exhaustive search. It returns a text for each
+// conflict that is found but does not exist, that is not found, or whose example request does not match its rules.
 func compareWithExhaustive(d *Declaration, files []*File, found []Conflict) []string {
 	var differences []string
 	want := searchExhaustively(d, files)
 	got := map[string]bool{}
 	for _, c := range found {
 		if c.Kind == InconsistentDefinition {
-			continue // compares texts, and has a test of its own
+			continue // compares the texts of rules; TestWithheldFiles covers it
 		}
 		got[c.exhaustiveKey()] = true
 		if !want[c.exhaustiveKey()] {
-			differences = append(differences, "found, but is none: "+c.String())
+			differences = append(differences, "found, but the exhaustive search does not find it: "+c.String())
 		}
-		differences = append(differences, requestFaults(c, files)...)
+		differences = append(differences, requestErrors(c, files)...)
 	}
 	for key := range want {
 		if !got[key] {
-			differences = append(differences, "not found: "+key)
+			differences = append(differences, "not found, but the exhaustive search finds it: "+key)
 		}
 	}
 	return differences
 }
 
-// requestFaults returns which rules of a conflict do not match its request. Of an unreachable rule that several others
-// take, each takes only a part.
-func requestFaults(c Conflict, files []*File) []string {
+// requestErrors returns a text for each rule of a conflict that does not match the conflict's example request. It does
+// not check an unreachable route whose requests go to several other rules, because each of them matches only a part.
+func requestErrors(c Conflict, files []*File) []string {
 	if (c.Kind == Contradiction || c.Kind == UnreachableRule) && c.Request == nil {
-		return []string{"no request: " + c.String()}
+		return []string{"conflict has no example request: " + c.String()}
 	}
-	var faults []string
+	var mismatches []string
 	for i, s := range c.Rules {
 		m := findMatch(files, s)
 		if m == nil || c.Kind == UnreachableRule && (i > 1 || len(c.Rules) > 2) {
 			continue
 		}
-		if _, verdict := tableOf(m).Lookup(c.Request); verdict != route.Found {
-			faults = append(faults, "its request does not match "+s.String()+": "+c.String())
+		if _, verdict := singleRuleTable(m).Lookup(c.Request); verdict != route.Found {
+			mismatches = append(mismatches, "example request does not match rule "+s.String()+": "+c.String())
 		}
 	}
-	return faults
+	return mismatches
 }
 
 // findMatch returns the match of a route or block, or nil.
@@ -468,32 +482,33 @@
 }
 
 func TestConflictsMatchExhaustiveSearch(t *testing.T) {
-	const maxFaults = 10
+	const maxDifferences = 10
 	counts := map[ConflictKind]int{}
-	advices := map[ConflictKind]string{}
-	faults := 0
+	adviceByKind := map[ConflictKind]string{}
+	differences := 0
 	for i := range randomSetCount {
 		d, files := randomSet(i)
 		found := Check(d, nil, files)
 		for _, c := range found {
 			counts[c.Kind]++
-			advices[c.Kind] = operatorerror.AdviceOf(c.Err())
+			adviceByKind[c.Kind] = operatorerror.AdviceOf(c.Err())
 		}
 		for _, difference := range compareWithExhaustive(d, files, found) {
-			t.Errorf("set %d: %s", i, difference)
-			if faults++; faults > maxFaults {
+			t.Errorf("random set %d: Check: conflict %s", i, difference)
+			if differences++; differences > maxDifferences {
 				t.FailNow()
 			}
 		}
 	}
-	t.Logf("%d sets: %v", randomSetCount, counts)
+	t.Logf("conflicts in %d random sets, by kind: %v", randomSetCount, counts)
 	for _, kind := range exhaustiveKinds {
 		if counts[kind] < 20 {
-			t.Errorf("%s occurred only %d times", kind, counts[kind])
+			t.Errorf("the random sets have %d conflicts of kind %s, want at least 20", counts[kind], kind)
 		}
-		for other, advice := range advices {
-			if advice == "" || other != kind && advice == advices[kind] {
-				t.Errorf("%s and %s have the same advice: %q", kind, other, advice)
+		for other, advice := range adviceByKind {
+			if advice == "" || other != kind && advice == adviceByKind[kind] {
+				t.Errorf("advice for conflicts of kind %s = %q, want one that is not empty and not that of kind %s",
+					other, advice, kind)
 			}
 		}
 	}
--- a/internal/policy/namespace/randommerge_test.go
+++ b/internal/policy/namespace/randommerge_test.go
@@ -10,24 +10,25 @@
 	"testing"
 )
 
-// mergeChecker checks one outcome of a merge.
+// mergeChecker checks the outcome of one merge against what Merge promises.
 type mergeChecker struct {
 	declaration *Declaration
-	before      Outcome // of the merge before
+	previous    Outcome // of the merge whose accepted files this one started from
 	submitted   []*File
 	got         Outcome
 	violations  []string
 }
 
-func (c *mergeChecker) violated(violation bool, format string, args ...any) {
+// addIf adds a violation if the condition holds.
+func (c *mergeChecker) addIf(violation bool, format string, args ...any) {
 	if violation {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// checkOutcome returns all that is wrong with an outcome.
-func checkOutcome(d *Declaration, before Outcome, submitted []*File, got Outcome) []string {
-	c := &mergeChecker{declaration: d, before: before, submitted: submitted, got: got}
+// checkOutcome returns what is wrong with the outcome of a merge, or nothing.
+func checkOutcome(d *Declaration, previous Outcome, submitted []*File, got Outcome) []string {
+	c := &mergeChecker{declaration: d, previous: previous, submitted: submitted, got: got}
 	inForce := c.filesInForce()
 	c.checkPolicy(inForce)
 	for _, w := range got.Withheld {
@@ -38,7 +39,7 @@
 			return a.Name == f.Name && a.Number == f.Number
 		})
 		reported := slices.ContainsFunc(got.Withheld, func(w WithheldError) bool { return w.Namespace == f.Name })
-		c.violated(!accepted && !reported, "%s is withheld and not reported", f.Name)
+		c.addIf(!accepted && !reported, "the file of %s is neither in Accepted nor in Withheld", f.Name)
 	}
 	return c.violations
 }
@@ -61,25 +62,27 @@
 	return files
 }
 
+// checkPolicy checks that the policy consists of the files in force, which have no conflict that withholds a file.
 func (c *mergeChecker) checkPolicy(inForce []*File) {
 	for _, conflict := range Check(c.declaration, nil, inForce) {
-		c.violated(conflict.Kind.Withholds(), "what is in force conflicts: %v", conflict)
+		c.addIf(conflict.Kind.Withholds(), "the files in force have a conflict that withholds a file: %v", conflict)
 	}
-	c.violated(assemble(c.declaration, inForce).Hash() != c.got.Hash, "the policy is not what is in force")
+	want := assemble(c.declaration, inForce).Hash()
+	c.addIf(want != c.got.Hash, "policy hash = %s, want %s, that of the files in force", c.got.Hash, want)
 	_, err := c.got.Policy.Table()
-	c.violated(err != nil, "the policy has no table: %v", err)
+	c.addIf(err != nil, "Policy.Table: %v", err)
 }
 
-// checkWithheld checks that a namespace is withheld only for a conflict that its file would bring.
+// checkWithheld checks that a namespace has a file withheld only for a conflict that the file would cause.
 func (c *mergeChecker) checkWithheld(w WithheldError, inForce []*File) {
-	takesPart := slices.ContainsFunc(c.got.Conflicts, func(conflict Conflict) bool {
-		inRules := func(s Source) bool { return s.Namespace == w.Namespace }
-		return conflict.Kind.Withholds() && slices.ContainsFunc(conflict.Rules, inRules)
+	inConflict := slices.ContainsFunc(c.got.Conflicts, func(conflict Conflict) bool {
+		isWithheld := func(s Source) bool { return s.Namespace == w.Namespace }
+		return conflict.Kind.Withholds() && slices.ContainsFunc(conflict.Rules, isWithheld)
 	})
-	c.violated(!takesPart, "%s is withheld and in no conflict", w.Namespace)
+	c.addIf(!inConflict, "%s has a file withheld, but no reported conflict has a rule of it", w.Namespace)
 	i := slices.IndexFunc(c.submitted, func(f *File) bool { return f.Name == w.Namespace })
 	if i < 0 {
-		c.violated(len(c.before.Withheld) == 0, "%s is withheld and changed nothing", w.Namespace)
+		c.addIf(len(c.previous.Withheld) == 0, "%s has rules withheld, but it submitted no file", w.Namespace)
 		return
 	}
 	if w.Active >= w.Submitted || len(w.RemovedRules) > 0 {
@@ -88,10 +91,11 @@
 	others := slices.DeleteFunc(slices.Clone(inForce), func(f *File) bool { return f.Name == w.Namespace })
 	found := Check(c.declaration, nil, append(others, c.submitted[i]))
 	withholds := func(conflict Conflict) bool { return conflict.Kind.Withholds() }
-	c.violated(!slices.ContainsFunc(found, withholds), "%s is withheld without a conflict", w.Namespace)
+	c.addIf(!slices.ContainsFunc(found, withholds),
+		"%s has its file withheld, but it has no conflict with the files in force", w.Namespace)
 }
 
-// permutations returns all orders of a set of four.
+// permutations returns all orders of a set of four files.
 func permutations(set []*File) [][]*File {
 	var all [][]*File
 	for i := range 256 {
@@ -103,7 +107,8 @@
 	return all
 }
 
-// runRandomMerge merges a random set and a change of it. It returns all that is wrong, and how many were withheld.
+// runRandomMerge merges a random set of files and then a random change of it, also in other orders. It returns what is
+// wrong with the outcomes, and how many files were withheld.
 func runRandomMerge(i int, mutations mutation) ([]string, int) {
 	d, set := randomSet(i)
 	first := merge(d, nil, set, mutations)
@@ -112,27 +117,28 @@
 		for _, order := range permutations(set) {
 			again := merge(d, nil, order, mutations)
 			if again.Hash != first.Hash || !reflect.DeepEqual(again.Withheld, first.Withheld) {
-				violations = append(violations, "another order gives another outcome at first")
+				violations = append(violations,
+					"merging the first files in another order gives another policy or other withheld files")
 			}
 		}
 	}
 	withheld := len(first.Withheld)
 	r := randomRules{rand.New(rand.NewPCG(uint64(i), 25))}
-	before := first
+	previous := first
 	if len(first.Withheld) > 0 {
-		before = merge(d, first.Accepted, nil, 0) // what was withheld is not submitted again
+		previous = merge(d, first.Accepted, nil, 0) // the withheld files are not submitted again
 	}
-	submitted := r.change(d, before.Accepted)
-	got := merge(d, before.Accepted, submitted, mutations)
-	violations = append(violations, checkOutcome(d, before, submitted, got)...)
+	submitted := r.change(d, previous.Accepted)
+	got := merge(d, previous.Accepted, submitted, mutations)
+	violations = append(violations, checkOutcome(d, previous, submitted, got)...)
 	r.Shuffle(len(submitted), func(a, b int) { submitted[a], submitted[b] = submitted[b], submitted[a] })
-	accepted := slices.Clone(before.Accepted)
+	accepted := slices.Clone(previous.Accepted)
 	r.Shuffle(len(accepted), func(a, b int) { accepted[a], accepted[b] = accepted[b], accepted[a] })
 	repeated := append(submitted, submitted[:len(submitted)/2]...)
 	again := merge(d, accepted, repeated, mutations)
 	if again.Hash != got.Hash || !reflect.DeepEqual(again.Withheld, got.Withheld) ||
 		!reflect.DeepEqual(again.Conflicts, got.Conflicts) {
-		violations = append(violations, "another order gives another outcome")
+		violations = append(violations, "merging the changed files in another order, some twice, gives another outcome")
 	}
 	return violations, withheld + len(got.Withheld)
 }
@@ -143,17 +149,17 @@
 		violations, n := runRandomMerge(i, 0)
 		withheld += n
 		for _, violation := range violations {
-			t.Fatalf("set %d: %s", i, violation)
+			t.Fatalf("random set %d: Merge: %s", i, violation)
 		}
 	}
-	t.Logf("%d sets, %d files withheld", randomSetCount, withheld)
+	t.Logf("%d random sets, %d files withheld", randomSetCount, withheld)
 	if withheld < randomSetCount/10 {
-		t.Errorf("only %d files were withheld: the random sets are too tame", withheld)
+		t.Errorf("the random merges withheld %d files, want at least %d", withheld, randomSetCount/10)
 	}
 }
 
-// What has no conflict gives the same bytes in whichever parts it is merged. The namespace of the services comes first,
-// because a route to a service that is not there is withheld.
+// Files without a conflict give the same policy whether they are merged at once or in parts. The namespace that defines
+// the services is merged first, because a file with a route to an undefined service is withheld.
 func TestMergeInPartsGivesTheSame(t *testing.T) {
 	compared := 0
 	for i := range 300 {
@@ -169,16 +175,17 @@
 		got := Merge(d, Merge(d, nil, set[:1]).Accepted, rest[:1+i%2])
 		got = Merge(d, got.Accepted, rest[1+i%2:])
 		if got.Hash != want.Hash || len(got.Withheld) > 0 {
-			t.Fatalf("set %d: in parts another policy, withheld %v", i, got.Withheld)
+			t.Fatalf("random set %d: Merge in parts = policy %s, withheld %v; want policy %s, nothing withheld",
+				i, got.Hash, got.Withheld, want.Hash)
 		}
 	}
-	t.Logf("%d sets without conflict", compared)
+	t.Logf("%d random sets without a conflict", compared)
 	if compared < 100 {
-		t.Errorf("only %d sets have no conflict", compared)
+		t.Errorf("%d random sets have no conflict, want at least 100", compared)
 	}
 }
 
-// The random merges detect each rule of Merge that is switched off.
+// If a rule of Merge is switched off, the checks of the random merges report a violation.
 func TestRandomMergesDetectMutations(t *testing.T) {
 	for name, mutations := range map[string]mutation{
 		"accept all":         acceptAll,
@@ -190,17 +197,17 @@
 		detected := ""
 		for i := 0; i < randomSetCount && detected == ""; i++ {
 			if violations, _ := runRandomMerge(i, mutations); len(violations) > 0 {
-				detected = fmt.Sprintf("set %d: %s", i, violations[0])
+				detected = fmt.Sprintf("random set %d: %s", i, violations[0])
 			}
 		}
-		t.Logf("%s: %s", name, detected)
+		t.Logf("mutation %q of Merge: first violation: %s", name, detected)
 		if detected == "" {
-			t.Errorf("%s: not detected in %d sets", name, randomSetCount)
+			t.Errorf("mutation %q of Merge: no violation in %d random sets, want at least one", name, randomSetCount)
 		}
 	}
 }
 
-// The exhaustive search detects a finder that leaves out a kind of conflicts.
+// The comparison with the exhaustive search detects a finder that misses all conflicts of one kind.
 func TestExhaustiveSearchDetectsMissingKinds(t *testing.T) {
 	for _, kind := range exhaustiveKinds {
 		detected := false
@@ -210,12 +217,13 @@
 			detected = len(compareWithExhaustive(d, set, found)) > 0
 		}
 		if !detected {
-			t.Errorf("a finder without %s is not detected", kind)
+			t.Errorf("conflicts without those of kind %s: no difference from the exhaustive search, want one", kind)
 		}
 	}
 }
 
-// The exhaustive search detects a finder that knows no delegations, and one that takes each for a delegation of all.
+// The comparison with the exhaustive search detects a finder that ignores delegations, and one that takes each
+// delegation to be about all requests.
 func TestExhaustiveSearchDetectsWrongDelegations(t *testing.T) {
 	for name, mutate := range map[string]func(*Declaration) *Declaration{
 		"no delegations": func(d *Declaration) *Declaration {
@@ -223,12 +231,12 @@
 			mutated.delegationsTo = nil
 			return &mutated
 		},
-		"delegations of all": func(d *Declaration) *Declaration {
+		"delegations of all requests": func(d *Declaration) *Declaration {
 			mutated := *d
 			mutated.delegationsTo = map[string][]*Delegation{}
 			for _, delegation := range d.Delegations {
-				wide := &Delegation{delegation.From, delegation.To, Domain{Settings: delegation.Settings}}
-				mutated.delegationsTo[wide.To] = append(mutated.delegationsTo[wide.To], wide)
+				unlimited := &Delegation{delegation.From, delegation.To, Domain{Settings: delegation.Settings}}
+				mutated.delegationsTo[unlimited.To] = append(mutated.delegationsTo[unlimited.To], unlimited)
 			}
 			return &mutated
 		},
@@ -244,27 +252,27 @@
 				}
 			}
 		}
-		t.Logf("%s: %d differences", name, detected)
+		t.Logf("finder with %s: %d differences from the exhaustive search", name, detected)
 		if detected == 0 {
-			t.Errorf("a finder with %s is not detected", name)
+			t.Errorf("finder with %s: no contradiction differs from the exhaustive search, want at least one", name)
 		}
 	}
 }
 
-// damage changes, removes or repeats some bytes of a text.
-func damage(rng *rand.Rand, text []byte) []byte {
+// corrupt changes, removes or repeats some bytes of a text, one to three times.
+func corrupt(rng *rand.Rand, text []byte) []byte {
 	for range 1 + rng.IntN(3) {
 		i := rng.IntN(len(text))
-		k := rng.IntN(len(text))
-		start := min(i, k)
-		rest := len(text) - start
+		j := rng.IntN(len(text))
+		start := min(i, j)
+		bytesLeft := len(text) - start
 		switch rng.IntN(4) {
 		case 0:
-			text[i] = text[k]
+			text[i] = text[j]
 		case 1:
-			text = slices.Delete(text, start, start+min(rest, 1+rng.IntN(8)))
+			text = slices.Delete(text, start, start+min(bytesLeft, 1+rng.IntN(8)))
 		case 2:
-			text = slices.Insert(text, i, text[start:start+min(rest, 40)]...)
+			text = slices.Insert(text, i, text[start:start+min(bytesLeft, 40)]...)
 		default:
 			text[i] = byte(rng.IntN(256))
 		}
@@ -272,7 +280,8 @@
 	return text
 }
 
-// A damaged file is parsed or rejected with its name, and a parsed one merges without harm to the others.
+// A corrupt file is either rejected with a FileError that names it, or parsed and merged; then only its own namespace
+// can have something withheld.
 func TestDamagedFiles(t *testing.T) {
 	example := newExampleFleet(t)
 	accepted := Merge(example.declaration, nil, example.files()).Accepted
@@ -281,8 +290,8 @@
 	rejected := 0
 	for range 1000 {
 		name := []string{"dispatch", "settlement", "booking-desks", exampleDeclaration}[rng.IntN(4)]
-		text := damage(rng, []byte(example.texts[name]))
-		err := mergeDamaged(t, example, accepted, name, text)
+		text := corrupt(rng, []byte(example.texts[name]))
+		err := mergeCorrupt(t, example, accepted, name, text)
 		if err == nil {
 			parsed++
 			continue
@@ -290,17 +299,19 @@
 		rejected++
 		var file FileError
 		if !errors.As(err, &file) || file.Path != "x.toml" || file.Err == nil {
-			t.Fatalf("%v has no place:\n%s", err, text)
+			t.Fatalf("parsing a corrupt file = error %v, want a FileError for x.toml with a cause; the text was:\n%s",
+				err, text)
 		}
 	}
-	t.Logf("%d parsed, %d rejected", parsed, rejected)
+	t.Logf("corrupt files: %d parsed, %d rejected", parsed, rejected)
 	if parsed < 40 || rejected < 40 {
-		t.Errorf("the damage is too tame: %d parsed, %d rejected", parsed, rejected)
+		t.Errorf("corrupt files: %d parsed, %d rejected; want at least 40 of each", parsed, rejected)
 	}
 }
 
-// mergeDamaged merges a damaged file or declaration, or returns the error of its parser.
-func mergeDamaged(t *testing.T, example *exampleFleet, accepted []*File, name string, text []byte) error {
+// mergeCorrupt parses a corrupt file or declaration and merges it with the accepted files. It returns the error of the
+// parser, if any.
+func mergeCorrupt(t *testing.T, example *exampleFleet, accepted []*File, name string, text []byte) error {
 	t.Helper()
 	if name == exampleDeclaration {
 		d, err := ParseDeclaration("x.toml", text)
@@ -315,11 +326,13 @@
 	}
 	out := Merge(example.declaration, accepted, []*File{f})
 	if len(out.Accepted) != len(accepted) {
-		t.Fatalf("%d go on after:\n%s", len(out.Accepted), text)
+		t.Fatalf("Merge with a corrupt file = %d accepted files, want %d; the text was:\n%s",
+			len(out.Accepted), len(accepted), text)
 	}
 	for _, w := range out.Withheld {
 		if w.Namespace != f.Name {
-			t.Fatalf("%v, but %s submitted:\n%s", w, f.Name, text)
+			t.Fatalf("Merge with a corrupt file of namespace %s withholds %v of another namespace; the text was:\n%s",
+				f.Name, w, text)
 		}
 	}
 	return nil
--- a/internal/policy/namespace/randomset_test.go
+++ b/internal/policy/namespace/randomset_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// randomSetCount is how many sets of files the random tests use.
+// randomSetCount is the number of sets of files that the random tests use.
 const randomSetCount = 1000
 
-// The alphabet of random rules. It is small, so that rules meet; an equals sign marks an exact path.
+// The values of random rules. There are few of them, so that rules often match the same requests. A path that starts
+// with an equals sign is exact; any other path is a prefix.
 var (
 	randomNames    = []string{"k", "l", "m", "n"}
 	randomHosts    = []string{"", "a", "*.a", "b.a", "*.b.a", "b"}
@@ -26,11 +27,13 @@
 // randomQuota is the only quota of random declarations.
 const randomQuota = "w"
 
-// randomRules draws declarations and files.
+// randomRules generates random declarations and files.
 type randomRules struct{ *rand.Rand }
 
+// pick returns a random element of a list.
 func pick[T any](r randomRules, list []T) T { return list[r.IntN(len(list))] }
 
+// domain returns a random domain with the given settings, all quotas and all zones.
 func (r randomRules) domain(settings ...string) Domain {
 	domain := Domain{Quotas: []string{anyName}, Zones: []string{anyName}, Settings: settings}
 	if r.IntN(3) > 0 {
@@ -45,7 +48,7 @@
 	return domain
 }
 
-// declaration draws declarations until one is valid.
+// declaration generates declarations until one is valid. A namespace delegates only to later ones of randomNames.
 func (r randomRules) declaration() *Declaration {
 	for {
 		d := &Declaration{Version: FileVersion, Quotas: []Quota{{randomQuota, 10}}}
@@ -65,7 +68,8 @@
 		if d.check("c", nil) != nil {
 			continue
 		}
-		// Any namespace may set overrides, which need no domain of requests.
+		// Any namespace may set overrides, so that overrides of all namespaces can contradict each other. All names
+		// are entered as delegators, so that these parts do not count as overlaps.
 		for _, name := range randomNames {
 			overrides := &Domain{Zones: []string{anyName}, Settings: []string{SettingOverride}}
 			d.parts[name] = append(d.parts[name], domainPart{overrides, randomNames})
@@ -88,7 +92,7 @@
 	return m
 }
 
-// file draws files of a namespace until one is valid, and removes the rules outside its domain.
+// file generates files of a namespace until one is valid, and removes the rules outside the namespace's domain.
 func (r randomRules) file(d *Declaration, name string, number uint64) *File {
 	f := &File{Version: FileVersion, Name: name, Number: number, path: name}
 	for i := range r.IntN(5) {
@@ -110,11 +114,11 @@
 	if f.check() != nil {
 		return r.file(d, name, number)
 	}
-	outside := map[string]bool{}
+	outsideDomain := map[string]bool{}
 	for id := range d.outside(f) {
-		outside[id] = true
+		outsideDomain[id] = true
 	}
-	return f.without(outside)
+	return f.without(outsideDomain)
 }
 
 func (r randomRules) override() Override {
@@ -132,7 +136,8 @@
 	return o
 }
 
-// change draws what namespaces submit after a merge: some a new file, some one without a route, some nothing.
+// change generates the files that are submitted after a merge. At random, a namespace submits a new file, its accepted
+// file without one of its routes, or nothing.
 func (r randomRules) change(d *Declaration, accepted []*File) []*File {
 	var submitted []*File
 	for _, name := range randomNames {
@@ -153,13 +158,13 @@
 	return submitted
 }
 
-// randomSets caches the random sets, which nothing changes.
+// randomSets caches the random sets. Tests do not change them.
 var randomSets [randomSetCount]struct {
 	declaration *Declaration
 	files       []*File
 }
 
-// randomSet returns a declaration and one file of each namespace.
+// randomSet returns a random declaration and one file of each of its namespaces, the same ones for each call with i.
 func randomSet(i int) (*Declaration, []*File) {
 	set := &randomSets[i]
 	if set.declaration == nil {
