--- a/internal/policy/namespace/assemble.go
+++ b/internal/policy/namespace/assemble.go
@@ -10,13 +10,13 @@
 
 // policyBuilder merges the rules of files that have no conflict. The outcome does not depend on the order of the files.
 type policyBuilder struct {
-	declaration *Declaration
-	policy      *Policy
-	services    map[string]*PolicyService
-	classes     map[string]*PolicyClass
-	shares      map[shareKey]*PolicyShare
-	bounds      map[string]*Value[string] // of staleness, by route
-	routes      map[string]bool           // that there are
+	declaration     *Declaration
+	policy          *Policy
+	services        map[string]*PolicyService
+	classes         map[string]*PolicyClass
+	shares          map[shareKey]*PolicyShare
+	stalenessBounds map[string]*Value[string] // of staleness, by route
+	routeNames      map[string]bool           // that there are
 }
 
 // shareKey names a namespace's share of a quota.
@@ -25,13 +25,13 @@
 // assemble merges files into a policy.
 func assemble(d *Declaration, files []*File) *Policy {
 	b := policyBuilder{
-		declaration: d,
-		policy:      &Policy{Format: policyFormat},
-		services:    map[string]*PolicyService{},
-		classes:     map[string]*PolicyClass{},
-		shares:      map[shareKey]*PolicyShare{},
-		bounds:      map[string]*Value[string]{},
-		routes:      map[string]bool{},
+		declaration:     d,
+		policy:          &Policy{Format: policyFormat},
+		services:        map[string]*PolicyService{},
+		classes:         map[string]*PolicyClass{},
+		shares:          map[shareKey]*PolicyShare{},
+		stalenessBounds: map[string]*Value[string]{},
+		routeNames:      map[string]bool{},
 	}
 	for _, f := range files {
 		b.addServices(f)
@@ -72,9 +72,9 @@
 		r := f.Routes[i]
 		source := f.source(r.id())
 		r.Name = f.Name + "/" + r.Name
-		b.routes[r.Name] = true
+		b.routeNames[r.Name] = true
 		if r.MaxStaleness != "" {
-			b.bounds[r.Name] = mergeValue(b.bounds[r.Name], r.MaxStaleness, source, strictestLevel)
+			b.stalenessBounds[r.Name] = mergeValue(b.stalenessBounds[r.Name], r.MaxStaleness, source, preferStricterLevel)
 			r.MaxStaleness = ""
 		}
 		b.policy.Routes = append(b.policy.Routes, PolicyRoute{r, source})
@@ -89,19 +89,19 @@
 		merged.Name = c.Name
 		if c.LatencyObjective > 0 {
 			objective := time.Duration(c.LatencyObjective)
-			merged.LatencyObjective = mergeValue(merged.LatencyObjective, objective, source, lower)
+			merged.LatencyObjective = mergeValue(merged.LatencyObjective, objective, source, preferLower)
 		}
 		if c.Deadline > 0 {
-			merged.Deadline = mergeValue(merged.Deadline, time.Duration(c.Deadline), source, lower)
+			merged.Deadline = mergeValue(merged.Deadline, time.Duration(c.Deadline), source, preferLower)
 		}
 		if c.Effect != "" {
-			merged.Effect = mergeValue(merged.Effect, c.Effect, source, unsafeEffect)
+			merged.Effect = mergeValue(merged.Effect, c.Effect, source, preferUnsafe)
 		}
 		if c.PriorityWeight != nil {
-			merged.PriorityWeight = mergeValue(merged.PriorityWeight, *c.PriorityWeight, source, lower)
+			merged.PriorityWeight = mergeValue(merged.PriorityWeight, *c.PriorityWeight, source, preferLower)
 		}
 		if c.LateFraction != nil {
-			merged.LateFraction = mergeValue(merged.LateFraction, *c.LateFraction, source, lower)
+			merged.LateFraction = mergeValue(merged.LateFraction, *c.LateFraction, source, preferLower)
 		}
 	}
 }
@@ -116,13 +116,13 @@
 		merged.Namespace = namespace
 		merged.Limit = b.declaration.limits[s.Quota]
 		if s.Cap > 0 {
-			merged.Cap = mergeValue(merged.Cap, s.Cap, source, lower)
+			merged.Cap = mergeValue(merged.Cap, s.Cap, source, preferLower)
 		}
 		if s.Min > 0 {
-			merged.Min = mergeValue(merged.Min, s.Min, source, lower)
+			merged.Min = mergeValue(merged.Min, s.Min, source, preferLower)
 		}
 		if s.Weight > 0 {
-			merged.Weight = mergeValue(merged.Weight, s.Weight, source, lower)
+			merged.Weight = mergeValue(merged.Weight, s.Weight, source, preferLower)
 		}
 	}
 }
@@ -148,8 +148,8 @@
 func (b *policyBuilder) addStalenessBounds(f *File) {
 	for i := range f.StalenessBounds {
 		bound := &f.StalenessBounds[i]
-		b.bounds[bound.Route] = mergeValue(
-			b.bounds[bound.Route], bound.MaxLevel, f.source(bound.id()), strictestLevel)
+		b.stalenessBounds[bound.Route] = mergeValue(
+			b.stalenessBounds[bound.Route], bound.MaxLevel, f.source(bound.id()), preferStricterLevel)
 	}
 }
 
@@ -166,9 +166,9 @@
 	for _, s := range b.shares {
 		p.Shares = append(p.Shares, *s)
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.bounds)) {
-		if b.routes[name] {
-			p.StalenessBounds = append(p.StalenessBounds, PolicyStalenessBound{name, b.bounds[name]})
+	for _, name := range slices.Sorted(maps.Keys(b.stalenessBounds)) {
+		if b.routeNames[name] {
+			p.StalenessBounds = append(p.StalenessBounds, PolicyStalenessBound{name, b.stalenessBounds[name]})
 		}
 	}
 	slices.SortFunc(p.Shares, func(a, b PolicyShare) int {
--- a/internal/policy/namespace/conflict.go
+++ b/internal/policy/namespace/conflict.go
@@ -99,7 +99,7 @@
 	activeServices map[string][]Source // who defines which service in the files in force
 	indexes        map[*File]routeIndex
 	contradictions map[[2]*File][]Conflict
-	mayMeet        map[[2]string]bool // namespaces
+	mayIntersect   map[[2]string]bool // namespaces
 }
 
 func newFinder(d *Declaration, active []*File) *finder {
@@ -108,7 +108,7 @@
 		activeServices: map[string][]Source{},
 		indexes:        map[*File]routeIndex{},
 		contradictions: map[[2]*File][]Conflict{},
-		mayMeet:        map[[2]string]bool{},
+		mayIntersect:   map[[2]string]bool{},
 	}
 	for _, file := range active {
 		for i := range file.Services {
@@ -132,7 +132,7 @@
 	var conflicts []Conflict
 	for i, b := range set {
 		for _, a := range set[:i] {
-			conflicts = append(conflicts, f.contradictionsOf(a, b)...)
+			conflicts = append(conflicts, f.contradictionsBetween(a, b)...)
 		}
 	}
 	conflicts = append(conflicts, inconsistentDefinitions(set)...)
--- a/internal/policy/namespace/contradiction.go
+++ b/internal/policy/namespace/contradiction.go
@@ -9,15 +9,15 @@
 // write thousands of routes across each other's would fill the memory.
 const maxConflictsPerRoute = 8
 
-// contradictionsOf returns the routes of two files that meet, lead elsewhere, and have no order by a delegation.
-func (f *finder) contradictionsOf(a, b *File) []Conflict {
+// contradictionsBetween returns the routes of two files that meet, lead elsewhere, and have no order by a delegation.
+func (f *finder) contradictionsBetween(a, b *File) []Conflict {
 	names := [2]string{a.Name, b.Name}
-	mayMeet, known := f.mayMeet[names]
+	mayIntersect, known := f.mayIntersect[names]
 	if !known {
-		mayMeet = f.declaration.routesMayMeet(a.Name, b.Name)
-		f.mayMeet[names] = mayMeet
+		mayIntersect = f.declaration.routesMayIntersect(a.Name, b.Name)
+		f.mayIntersect[names] = mayIntersect
 	}
-	if !mayMeet {
+	if !mayIntersect {
 		return nil
 	}
 	key := [2]*File{a, b}
@@ -42,7 +42,7 @@
 }
 
 func (s *contradictionSearch) run() []Conflict {
-	index := s.finder.indexOf(s.outer)
+	index := s.finder.routeIndexFor(s.outer)
 	for i := range s.inner.Routes {
 		s.compareRoute(&s.inner.Routes[i], index)
 	}
@@ -53,23 +53,23 @@
 // delegation to its namespace settles all pairs at once: a rule for everything is not compared with each below it.
 func (s *contradictionSearch) compareRoute(r *Route, index routeIndex) {
 	delegated := s.finder.declaration.delegated(s.inner.Name, s.outer.Name, SettingRoute, &r.Match)
-	var with []int
+	var conflicting []int
 	eachOuterHost(r.Host, func(host string) {
 		equal := host == r.Host
-		if equal && !s.equalHosts || !equal && delegated || len(with) == maxConflictsPerRoute {
+		if equal && !s.equalHosts || !equal && delegated || len(conflicting) == maxConflictsPerRoute {
 			return
 		}
 		tree := index[host]
 		if tree == nil {
 			return
 		}
-		tree.eachMeeting(&r.Match, func(id int) bool {
+		tree.eachIntersecting(&r.Match, func(id int) bool {
 			conflict, ok := s.compare(r, &s.outer.Routes[id], delegated)
-			if !ok || slices.Contains(with, id) {
+			if !ok || slices.Contains(conflicting, id) {
 				return true
 			}
-			with = append(with, id)
-			conflict.More = len(with) == maxConflictsPerRoute
+			conflicting = append(conflicting, id)
+			conflict.More = len(conflicting) == maxConflictsPerRoute
 			s.conflicts = append(s.conflicts, conflict)
 			return !conflict.More
 		})
@@ -88,7 +88,7 @@
 	order := slices.Compare(innerPrecedence[:], outerPrecedence[:])
 	text := "neither goes before the other"
 	if order != 0 {
-		if inner.leadsLike(outer) || order > 0 && delegated {
+		if inner.hasSameDestination(outer) || order > 0 && delegated {
 			return Conflict{}, false
 		}
 		outerDelegated := s.finder.declaration.delegated(s.outer.Name, s.inner.Name, SettingRoute, &outer.Match)
@@ -112,8 +112,8 @@
 // defaultSticky is what an empty Route.Sticky means.
 const defaultSticky = "key"
 
-// leadsLike reports whether two routes lead to the same services in the same way.
-func (r *Route) leadsLike(other *Route) bool {
+// hasSameDestination reports whether two routes lead to the same services in the same way.
+func (r *Route) hasSameDestination(other *Route) bool {
 	equal := func(a, b Target) bool { return a.Service == b.Service && *a.Weight == *b.Weight }
 	return cmp.Or(r.Sticky, defaultSticky) == cmp.Or(other.Sticky, defaultSticky) &&
 		slices.EqualFunc(r.To, other.To, equal)
--- a/internal/policy/namespace/declaration.go
+++ b/internal/policy/namespace/declaration.go
@@ -76,8 +76,8 @@
 	return errors.Join(errs.list...)
 }
 
-// addUniqueName adds a fault if a name is not plain or is used twice.
-func (e *keyErrors) addUniqueName(key, name string, used bool) {
+// checkUniqueName adds a fault if a name is not plain or is used twice.
+func (e *keyErrors) checkUniqueName(key, name string, used bool) {
 	fault := !strictconfig.ValidName(name) || used
 	e.addIf(fault, key, "%q: wanted small letters, digits and dashes, once", name)
 }
@@ -87,7 +87,7 @@
 	for i, quota := range d.Quotas {
 		key := fmt.Sprintf("budget[%d]", i)
 		_, used := d.limits[quota.Name]
-		errs.addUniqueName(key+".name", quota.Name, used)
+		errs.checkUniqueName(key+".name", quota.Name, used)
 		errs.addIf(quota.Limit < 0, key+".whole", "%d is negative", quota.Limit)
 		d.limits[quota.Name] = quota.Limit
 	}
@@ -99,7 +99,7 @@
 		n := &d.Namespaces[i]
 		key := fmt.Sprintf("namespace[%d]", i)
 		_, used := d.parts[n.Name]
-		errs.addUniqueName(key+".name", n.Name, used)
+		errs.checkUniqueName(key+".name", n.Name, used)
 		errs.addIf(n.Owner == "", key+".owner", "none is given")
 		d.checkDomain(errs, key, &n.Domain)
 		d.parts[n.Name] = nil
--- a/internal/policy/namespace/delegation.go
+++ b/internal/policy/namespace/delegation.go
@@ -17,7 +17,7 @@
 func (d *Declaration) resolveDelegations(errs *keyErrors) {
 	resolved := make([]bool, len(d.Delegations))
 	for left := len(resolved); left > 0; {
-		waiting := d.delegatesWaiting(resolved)
+		waiting := d.unresolvedDelegates(resolved)
 		before := left
 		for i := range d.Delegations {
 			if resolved[i] || waiting[d.Delegations[i].From] {
@@ -34,8 +34,8 @@
 	}
 }
 
-// delegatesWaiting returns the namespaces to which some delegation is not resolved.
-func (d *Declaration) delegatesWaiting(resolved []bool) map[string]bool {
+// unresolvedDelegates returns the namespaces to which some delegation is not resolved.
+func (d *Declaration) unresolvedDelegates(resolved []bool) map[string]bool {
 	waiting := map[string]bool{}
 	for i, delegation := range d.Delegations {
 		if !resolved[i] {
@@ -107,8 +107,8 @@
 	return false
 }
 
-// routesMayMeet reports whether routes of two namespaces can be for one request at all.
-func (d *Declaration) routesMayMeet(a, b string) bool {
+// routesMayIntersect reports whether routes of two namespaces can be for one request at all.
+func (d *Declaration) routesMayIntersect(a, b string) bool {
 	for _, x := range d.parts[a] {
 		for _, y := range d.parts[b] {
 			if !slices.Contains(x.domain.Settings, SettingRoute) || !slices.Contains(y.domain.Settings, SettingRoute) {
--- a/internal/policy/namespace/domain.go
+++ b/internal/policy/namespace/domain.go
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, lists := range []struct {
-		what         string
+		kind         string
 		inner, outer []string
 	}{
 		{"budget", d.Quotas, outer.Quotas},
@@ -125,7 +125,7 @@
 	} {
 		for _, name := range lists.inner {
 			if !includesName(lists.outer, name) {
-				return fmt.Sprintf("%s %q", lists.what, name)
+				return fmt.Sprintf("%s %q", lists.kind, name)
 			}
 		}
 	}
@@ -147,7 +147,7 @@
 			}
 		}
 	}
-	if both(SettingClass) && intersectLists(d.Classes, other.Classes).some {
+	if both(SettingClass) && intersectLists(d.Classes, other.Classes).nonEmpty {
 		settings = append(settings, SettingClass)
 	}
 	if both(SettingOverride) && (anyIncluded(d.Zones, other.Zones) || anyIncluded(other.Zones, d.Zones)) {
--- a/internal/policy/namespace/domaincheck.go
+++ b/internal/policy/namespace/domaincheck.go
@@ -15,8 +15,8 @@
 	outside     map[string]OutsideDomainError // by rule ID
 }
 
-// outside returns the rules of a file that its namespace may not set, by their IDs.
-func (d *Declaration) outside(f *File) map[string]OutsideDomainError {
+// rulesOutsideDomain returns the rules of a file that its namespace may not set, by their IDs.
+func (d *Declaration) rulesOutsideDomain(f *File) map[string]OutsideDomainError {
 	c := domainChecker{d, f, map[string]OutsideDomainError{}}
 	for i := range f.Services {
 		c.check(f.Services[i].id(), SettingService, func(*Domain) string { return "" })
--- a/internal/policy/namespace/file.go
+++ b/internal/policy/namespace/file.go
@@ -240,8 +240,8 @@
 	return 0
 }
 
-// combinations returns how many combinations of a method, a class and a tenant all routes list.
-func (f *File) combinations() int {
+// countCombinations returns how many combinations of a method, a class and a tenant all routes list.
+func (f *File) countCombinations() int {
 	sum := 0
 	for i := range f.Routes {
 		r := &f.Routes[i]
--- a/internal/policy/namespace/filecheck.go
+++ b/internal/policy/namespace/filecheck.go
@@ -23,7 +23,7 @@
 func (f *File) check() error {
 	c := fileChecker{f, &keyErrors{path: f.path, lines: f.lines}}
 	c.errs.addIf(f.Version != FileVersion, "version", "%d; this program reads %d", f.Version, FileVersion)
-	c.errs.addPlainName("namespace", f.Name)
+	c.errs.checkName("namespace", f.Name)
 	c.errs.addIf(f.Number == 0, "number", "left out or 0")
 	if total := f.Rules(); total > maxRules {
 		c.errs.addIf(true, "", "%d rules; %d are the most", total, maxRules)
@@ -38,17 +38,17 @@
 	c.checkBlocks()
 	c.checkOverrides()
 	c.checkStalenessBounds()
-	c.errs.addIf(f.combinations() > maxCombinations, "route",
+	c.errs.addIf(f.countCombinations() > maxCombinations, "route",
 		"they come to %d combinations of methods, classes and tenants; %d are the most",
-		f.combinations(), maxCombinations)
+		f.countCombinations(), maxCombinations)
 	if len(c.errs.list) == 0 {
 		c.checkContradictions()
 	}
 	return errors.Join(c.errs.list...)
 }
 
-// enter enters a rule whose values are final.
-func (c *fileChecker) enter(key, id string, rule any) {
+// addRule adds a rule whose values are final.
+func (c *fileChecker) addRule(key, id string, rule any) {
 	text, err := json.Marshal(rule)
 	if err != nil {
 		c.errs.add(key, err)
@@ -77,14 +77,14 @@
 	for i := range c.Services {
 		s := &c.Services[i]
 		key := fmt.Sprintf("service[%d]", i)
-		c.errs.addPlainName(key+".name", s.Name)
+		c.errs.checkName(key+".name", s.Name)
 		c.errs.addIf(s.Discovery != "" && !strings.Contains(s.Discovery, ":"), key+".discovery",
 			"%q is no host:port", s.Discovery)
 		c.errs.addIf(!slices.Contains([]string{"", "http", "diameter"}, s.Upstream), key+".upstream",
 			"%q is neither http nor diameter", s.Upstream)
 		slices.Sort(s.Kinds)
 		slices.Sort(s.Cells)
-		c.enter(key, s.id(), s)
+		c.addRule(key, s.id(), s)
 	}
 }
 
@@ -92,7 +92,7 @@
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		key := fmt.Sprintf("route[%d]", i)
-		c.errs.addPlainName(key+".name", r.Name)
+		c.errs.checkName(key+".name", r.Name)
 		c.checkMatch(key, &r.Match)
 		c.errs.addIf(!slices.Contains([]string{"", "key", "tenant", "request"}, r.Sticky), key+".sticky",
 			"%q is none of key, tenant, request", r.Sticky)
@@ -102,7 +102,7 @@
 		r.normalizeTargets()
 		_, err := route.Compile([]route.Rule{(&Match{}).rule("", r.targets())}, "")
 		c.errs.addIf(err != nil, key+".to", "no service, one twice, or weights that are negative or all 0")
-		c.enter(key, r.id(), r)
+		c.addRule(key, r.id(), r)
 	}
 }
 
@@ -132,7 +132,7 @@
 		c.errs.addIf(weight != nil && (!(*weight >= 0) || math.IsInf(*weight, 0)), key+".worth", "out of range")
 		late := class.LateFraction
 		c.errs.addIf(late != nil && !(*late >= 0 && *late <= 1), key+".late", "not within 0 and 1")
-		c.enter(key, class.id(), class)
+		c.addRule(key, class.id(), class)
 	}
 }
 
@@ -148,7 +148,7 @@
 		c.errs.addIf(!(s.Weight >= 0) || math.IsInf(s.Weight, 0), key+".weight", "%v", s.Weight)
 		c.errs.addIf(s.Namespace != "" && (s.Min != 0 || s.Weight != 0), key+".for",
 			"for another namespace only a cap may be set")
-		c.enter(key, s.id(), s)
+		c.addRule(key, s.id(), s)
 	}
 }
 
@@ -156,9 +156,9 @@
 	for i := range c.Blocks {
 		b := &c.Blocks[i]
 		key := fmt.Sprintf("block[%d]", i)
-		c.errs.addPlainName(key+".name", b.Name)
+		c.errs.checkName(key+".name", b.Name)
 		c.checkMatch(key, &b.Match)
-		c.enter(key, b.id(), b)
+		c.addRule(key, b.id(), b)
 	}
 }
 
@@ -166,7 +166,7 @@
 	for i := range c.Overrides {
 		o := &c.Overrides[i]
 		key := fmt.Sprintf("order[%d]", i)
-		c.errs.addPlainName(key+".name", o.Name)
+		c.errs.checkName(key+".name", o.Name)
 		c.errs.addIf(o.Server == "" || o.Zone == "", key+".server", "server or zone is not given")
 		c.errs.addIf(o.Action != actionDetach && o.Action != actionAttach, key+".do",
 			"%q is neither detach nor attach", o.Action)
@@ -176,7 +176,7 @@
 		o.From = o.From.UTC()
 		o.Until = o.Until.UTC()
 		c.errs.addIf(!o.Until.IsZero() && !o.From.Before(o.Until), key+".until", "it is not after from")
-		c.enter(key, o.id(), o)
+		c.addRule(key, o.id(), o)
 	}
 }
 
@@ -188,7 +188,7 @@
 			b.Route = c.Name + "/" + b.Route
 		}
 		c.checkStalenessLevel(key, b.MaxLevel)
-		c.enter(key, b.id(), b)
+		c.addRule(key, b.id(), b)
 	}
 }
 
--- a/internal/policy/namespace/itemchange.go
+++ b/internal/policy/namespace/itemchange.go
@@ -50,11 +50,11 @@
 		return nil, nil, err
 	}
 	c := &itemChanges{
-		set:     map[string][]merkle.Item{},
-		removed: map[string][]string{},
-		files:   maps.Clone(origins),
-		touched: map[string]bool{},
-		diff:    &Diff{},
+		set:          map[string][]merkle.Item{},
+		removed:      map[string][]string{},
+		files:        maps.Clone(origins),
+		changedFiles: map[string]bool{},
+		diff:         &Diff{},
 	}
 	for _, key := range removed {
 		if err := c.remove(key); err != nil {
@@ -87,12 +87,12 @@
 
 // itemChanges is a change of a policy's items.
 type itemChanges struct {
-	set        map[string][]merkle.Item // by kind
-	removed    map[string][]string      // keys, by kind
-	files      map[string]fileOrigin    // by namespace, after the change
-	renumbered []string                 // namespaces that have rules, and whose file has another number
-	touched    map[string]bool          // namespaces of which a source or the number changed
-	diff       *Diff
+	set          map[string][]merkle.Item // by kind
+	removed      map[string][]string      // keys, by kind
+	files        map[string]fileOrigin    // by namespace, after the change
+	renumbered   []string                 // namespaces that have rules, and whose file has another number
+	changedFiles map[string]bool          // namespaces of which a source or the number changed
+	diff         *Diff
 }
 
 // remove enters a key that is removed.
@@ -142,7 +142,7 @@
 		c.renumbered = append(c.renumbered, namespace)
 	}
 	c.files[namespace] = fileOrigin{number, f.sources}
-	c.touched[namespace] = true
+	c.changedFiles[namespace] = true
 }
 
 // countSource notes that one more source names a namespace's file, or one less.
@@ -150,17 +150,17 @@
 	f := c.files[namespace]
 	f.sources += delta
 	c.files[namespace] = f
-	c.touched[namespace] = true
+	c.changedFiles[namespace] = true
 }
 
-// isStale reports whether a source has a number that its file no longer has.
-func (c *itemChanges) isStale(s *Source) bool {
+// hasOldNumber reports whether a source has a number that its file no longer has.
+func (c *itemChanges) hasOldNumber(s *Source) bool {
 	return slices.Contains(c.renumbered, s.Namespace) && s.Number != c.files[s.Namespace].number
 }
 
 // checkFiles checks that a file has a number if, and only if, rules come from it.
 func (c *itemChanges) checkFiles() error {
-	for _, namespace := range slices.Sorted(maps.Keys(c.touched)) {
+	for _, namespace := range slices.Sorted(maps.Keys(c.changedFiles)) {
 		switch f := c.files[namespace]; {
 		case f.number == 0 && f.sources == 0:
 			delete(c.files, namespace)
--- a/internal/policy/namespace/match.go
+++ b/internal/policy/namespace/match.go
@@ -74,15 +74,15 @@
 	if !ok {
 		return route.Request{}, false
 	}
-	method, ok := exampleOf(m.Methods, other.Methods, exampleMethod)
+	method, ok := commonValue(m.Methods, other.Methods, exampleMethod)
 	if !ok {
 		return route.Request{}, false
 	}
-	class, ok := exampleOf(m.Classes, other.Classes, exampleValue)
+	class, ok := commonValue(m.Classes, other.Classes, exampleValue)
 	if !ok {
 		return route.Request{}, false
 	}
-	tenant, ok := exampleOf(m.Tenants, other.Tenants, exampleValue)
+	tenant, ok := commonValue(m.Tenants, other.Tenants, exampleValue)
 	if !ok {
 		return route.Request{}, false
 	}
@@ -198,35 +198,35 @@
 
 // listIntersection is the values that two lists have in common.
 type listIntersection struct {
-	least string
-	any   bool // all values
-	some  bool // at least one
+	smallest     string
+	unrestricted bool // all values
+	nonEmpty     bool // at least one
 }
 
 func intersectLists(a, b []string) listIntersection {
 	switch {
 	case len(a) == 0 && len(b) == 0:
-		return listIntersection{any: true, some: true}
+		return listIntersection{unrestricted: true, nonEmpty: true}
 	case len(a) == 0:
-		return listIntersection{least: slices.Min(b), some: true}
+		return listIntersection{smallest: slices.Min(b), nonEmpty: true}
 	case len(b) == 0:
-		return listIntersection{least: slices.Min(a), some: true}
+		return listIntersection{smallest: slices.Min(a), nonEmpty: true}
 	}
 	var common listIntersection
 	for _, v := range a {
-		if slices.Contains(b, v) && (!common.some || v < common.least) {
-			common.least = v
-			common.some = true
+		if slices.Contains(b, v) && (!common.nonEmpty || v < common.smallest) {
+			common.smallest = v
+			common.nonEmpty = true
 		}
 	}
 	return common
 }
 
-// exampleOf returns a value that both lists have; open if both have any.
-func exampleOf(a, b []string, open string) (string, bool) {
+// commonValue returns a value that both lists have; open if both have any.
+func commonValue(a, b []string, open string) (string, bool) {
 	common := intersectLists(a, b)
-	if common.any {
+	if common.unrestricted {
 		return open, true
 	}
-	return common.least, common.some
+	return common.smallest, common.nonEmpty
 }
--- a/internal/policy/namespace/merge.go
+++ b/internal/policy/namespace/merge.go
@@ -42,12 +42,12 @@
 	for found := f.withholding(m.activeFiles()); len(found) > 0; found = f.withholding(m.activeFiles()) {
 		sortConflicts(found)
 		m.report(found)
-		if m.mutated(acceptAll) {
+		if m.hasMutation(acceptAll) {
 			break
 		}
 		m.settle(found)
 	}
-	if !m.mutated(noReinstatement) {
+	if !m.hasMutation(noReinstatement) {
 		m.reinstate(f)
 	}
 	m.report(f.reported(m.activeFiles()))
@@ -56,14 +56,14 @@
 
 // merger is the state of one merge.
 type merger struct {
-	declaration  *Declaration
-	mutations    mutation
-	participants map[string]*participant
-	unknown      map[string]*WithheldError // files of namespaces that the declaration does not have
-	names        []string                  // of participants, by precedence
-	ranks        map[string]int            // in names
-	conflicts    []Conflict
-	reported     map[string]bool // conflicts, by their texts
+	declaration       *Declaration
+	mutations         mutation
+	participants      map[string]*participant
+	unknown           map[string]*WithheldError // files of namespaces that the declaration does not have
+	namesByPrecedence []string                  // of participants, by precedence
+	ranks             map[string]int            // in names
+	conflicts         []Conflict
+	reported          map[string]bool // conflicts, by their texts
 }
 
 // participant is a namespace in a merge. A file is nil where there is none.
@@ -72,7 +72,7 @@
 	lastAccepted *File           // as it was submitted
 	withinDomain *File           // lastAccepted without the rules that are outside the domain now
 	submitted    *File           // what may be accepted
-	displaced    *File           // what was submitted and withheld for a conflict
+	withheldFile *File           // what was submitted and withheld for a conflict
 	active       *File           // what takes part in the policy
 	removedRules map[string]bool // IDs of rules of lastAccepted that do not
 	withheld     *WithheldError
@@ -134,18 +134,18 @@
 // rank orders the namespaces by precedence.
 func (m *merger) rank(accepted, submitted []*File) {
 	depth := m.declaration.depth
-	m.names = slices.SortedFunc(maps.Keys(m.participants), func(a, b string) int {
+	m.namesByPrecedence = slices.SortedFunc(maps.Keys(m.participants), func(a, b string) int {
 		return cmp.Or(cmp.Compare(depth[a], depth[b]), strings.Compare(a, b))
 	})
-	if m.mutated(arrivalOrder) {
-		m.names = nil
+	if m.hasMutation(arrivalOrder) {
+		m.namesByPrecedence = nil
 		for _, f := range append(slices.Clone(submitted), accepted...) {
-			if m.participants[f.Name] != nil && !slices.Contains(m.names, f.Name) {
-				m.names = append(m.names, f.Name)
+			if m.participants[f.Name] != nil && !slices.Contains(m.namesByPrecedence, f.Name) {
+				m.namesByPrecedence = append(m.namesByPrecedence, f.Name)
 			}
 		}
 	}
-	for i, name := range m.names {
+	for i, name := range m.namesByPrecedence {
 		m.ranks[name] = i
 	}
 }
@@ -154,14 +154,14 @@
 // in force without the submitted ones.
 func (m *merger) chooseFiles(submissions map[string][]*File) []*File {
 	var inForce []*File
-	for _, name := range m.names {
+	for _, name := range m.namesByPrecedence {
 		p := m.participants[name]
 		if p.lastAccepted != nil {
-			p.removeOutside(m.declaration)
+			p.removeRulesOutsideDomain(m.declaration)
 			inForce = append(inForce, p.withinDomain)
 		}
 		p.active = p.withinDomain
-		p.choose(m.declaration, submissions[name])
+		p.chooseSubmitted(m.declaration, submissions[name])
 		if p.submitted != nil {
 			p.active = p.submitted
 		}
@@ -169,10 +169,10 @@
 	return inForce
 }
 
-// removeOutside removes the rules of the last accepted file that are outside the domain of a changed declaration.
-func (p *participant) removeOutside(d *Declaration) {
+// removeRulesOutsideDomain removes the rules of the last accepted file that are outside the domain of a changed declaration.
+func (p *participant) removeRulesOutsideDomain(d *Declaration) {
 	p.withinDomain = p.lastAccepted
-	outside := d.outside(p.lastAccepted)
+	outside := d.rulesOutsideDomain(p.lastAccepted)
 	if len(outside) == 0 {
 		return
 	}
@@ -183,8 +183,8 @@
 	p.withinDomain = p.lastAccepted.without(p.removedRules)
 }
 
-// choose takes the submitted file with the highest number, if it may be accepted.
-func (p *participant) choose(d *Declaration, files []*File) {
+// chooseSubmitted takes the submitted file with the highest number, if it may be accepted.
+func (p *participant) chooseSubmitted(d *Declaration, files []*File) {
 	unreadable := p.withholdUnreadable(files)
 	highest, ambiguous := highestNumber(files)
 	switch {
@@ -199,7 +199,7 @@
 		}
 		return
 	}
-	if outside := d.outside(highest); len(outside) > 0 {
+	if outside := d.rulesOutsideDomain(highest); len(outside) > 0 {
 		p.withhold(highest.Number, highest.domainErrors(outside))
 		return
 	}
@@ -250,7 +250,7 @@
 // activeFiles returns the files that take part in the policy, by precedence.
 func (m *merger) activeFiles() []*File {
 	var files []*File
-	for _, name := range m.names {
+	for _, name := range m.namesByPrecedence {
 		if active := m.participants[name].active; active != nil {
 			files = append(files, active)
 		}
@@ -272,9 +272,9 @@
 // outcome collects the results, in an order that does not depend on that of the files.
 func (m *merger) outcome() Outcome {
 	policy := assemble(m.declaration, m.activeFiles())
-	m.nameWithheld()
+	m.setWithheldNamespaces()
 	out := Outcome{Policy: policy, Hash: policy.Hash(), Conflicts: m.conflicts}
-	for _, name := range m.names {
+	for _, name := range m.namesByPrecedence {
 		p := m.participants[name]
 		switch {
 		case p.submitted != nil:
@@ -306,8 +306,8 @@
 	return withheld
 }
 
-// nameWithheld names the namespace that was withheld for each conflict: of several, the last by precedence.
-func (m *merger) nameWithheld() {
+// setWithheldNamespaces names the namespace that was withheld for each conflict: of several, the last by precedence.
+func (m *merger) setWithheldNamespaces() {
 	for i := range m.conflicts {
 		c := &m.conflicts[i]
 		if !c.Kind.Withholds() {
--- a/internal/policy/namespace/mutation.go
+++ b/internal/policy/namespace/mutation.go
@@ -11,5 +11,5 @@
 	withholdUnchanged                      // a file is withheld for rules that it did not change
 )
 
-// mutated reports whether a rule is switched off.
-func (m *merger) mutated(which mutation) bool { return m.mutations&which != 0 }
+// hasMutation reports whether a rule is switched off.
+func (m *merger) hasMutation(which mutation) bool { return m.mutations&which != 0 }
--- a/internal/policy/namespace/policy.go
+++ b/internal/policy/namespace/policy.go
@@ -206,7 +206,7 @@
 		out.Route = p.route(found.Name)
 		out.Staleness = p.stalenessBound(found.Name)
 	}
-	if out.Blocks, err = p.blocksOf(request); err != nil {
+	if out.Blocks, err = p.matchingBlocks(request); err != nil {
 		return Explanation{}, err
 	}
 	for i := range p.Classes {
@@ -235,8 +235,8 @@
 	return nil
 }
 
-// blocksOf returns the blocks that match a request.
-func (p *Policy) blocksOf(request *route.Request) ([]PolicyBlock, error) {
+// matchingBlocks returns the blocks that match a request.
+func (p *Policy) matchingBlocks(request *route.Request) ([]PolicyBlock, error) {
 	var blocks []PolicyBlock
 	for _, b := range p.Blocks {
 		table, err := route.Compile([]route.Rule{b.probeRule(b.Name)}, "")
--- a/internal/policy/namespace/position.go
+++ b/internal/policy/namespace/position.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// addPlainName adds a fault if a name is not plain.
-func (e *keyErrors) addPlainName(key, name string) {
+// checkName adds a fault if a name is not plain.
+func (e *keyErrors) checkName(key, name string) {
 	e.addIf(!strictconfig.ValidName(name), key, "%q: wanted small letters, digits and dashes", name)
 }
 
--- a/internal/policy/namespace/randomset_test.go
+++ b/internal/policy/namespace/randomset_test.go
@@ -115,7 +115,7 @@
 		return r.file(d, name, number)
 	}
 	outsideDomain := map[string]bool{}
-	for id := range d.outside(f) {
+	for id := range d.rulesOutsideDomain(f) {
 		outsideDomain[id] = true
 	}
 	return f.without(outsideDomain)
--- a/internal/policy/namespace/routeindex.go
+++ b/internal/policy/namespace/routeindex.go
@@ -10,8 +10,8 @@
 
 func (x routeIndex) add(m *Match, id int) { getOrCreate(x, m.Host).add(m, id) }
 
-// indexOf returns the index of a file's routes, named by their places in the file.
-func (f *finder) indexOf(file *File) routeIndex {
+// routeIndexFor returns the index of a file's routes, named by their places in the file.
+func (f *finder) routeIndexFor(file *File) routeIndex {
 	index, ok := f.indexes[file]
 	if !ok {
 		index = routeIndex{}
@@ -42,14 +42,14 @@
 
 // pathTree is a tree of path segments: it finds the patterns that contain a path pattern and those within it.
 type pathTree struct {
-	children map[string]*pathTree
-	names    []string // of children, sorted
-	exact    matchBucket
-	prefix   matchBucket
+	children   map[string]*pathTree
+	childNames []string // of children, sorted
+	exact      matchBucket
+	prefix     matchBucket
 }
 
-// segments calls f with each segment of a path until it returns false. It reports whether f never did.
-func (p pathPattern) segments(f func(string) bool) bool {
+// eachSegment calls f with each segment of a path until it returns false. It reports whether f never did.
+func (p pathPattern) eachSegment(f func(string) bool) bool {
 	if p.isAny() {
 		return true
 	}
@@ -63,13 +63,13 @@
 
 func (t *pathTree) add(m *Match, id int) {
 	pattern := m.pathPattern()
-	pattern.segments(func(segment string) bool {
+	pattern.eachSegment(func(segment string) bool {
 		if t.children == nil {
 			t.children = map[string]*pathTree{}
 		}
 		if t.children[segment] == nil {
-			i, _ := slices.BinarySearch(t.names, segment)
-			t.names = slices.Insert(t.names, i, segment)
+			i, _ := slices.BinarySearch(t.childNames, segment)
+			t.childNames = slices.Insert(t.childNames, i, segment)
 		}
 		t = getOrCreate(t.children, segment)
 		return true
@@ -81,9 +81,9 @@
 	}
 }
 
-// eachMeeting calls f for the matches whose paths intersect those of m, and that may intersect it otherwise, until f
+// eachIntersecting calls f for the matches whose paths intersect those of m, and that may intersect it otherwise, until f
 // returns false. It may call f twice for one match.
-func (t *pathTree) eachMeeting(m *Match, f func(int) bool) {
+func (t *pathTree) eachIntersecting(m *Match, f func(int) bool) {
 	node := t.descend(m, f)
 	if node == nil {
 		return
@@ -95,7 +95,7 @@
 	node.eachBelow(m, f)
 }
 
-// eachContaining is like eachMeeting, but only for the matches whose paths contain all of m's.
+// eachContaining is like eachIntersecting, but only for the matches whose paths contain all of m's.
 func (t *pathTree) eachContaining(m *Match, f func(int) bool) {
 	node := t.descend(m, f)
 	if node == nil {
@@ -108,7 +108,7 @@
 // nil if there is none or if f returned false.
 func (t *pathTree) descend(m *Match, f func(int) bool) *pathTree {
 	node := t
-	m.pathPattern().segments(func(segment string) bool {
+	m.pathPattern().eachSegment(func(segment string) bool {
 		if !node.prefix.each(m, f) {
 			node = nil
 			return false
@@ -124,7 +124,7 @@
 	if !t.prefix.each(m, f) || !t.exact.each(m, f) {
 		return false
 	}
-	for _, name := range t.names {
+	for _, name := range t.childNames {
 		if !t.children[name].eachBelow(m, f) {
 			return false
 		}
--- a/internal/policy/namespace/rulecheck.go
+++ b/internal/policy/namespace/rulecheck.go
@@ -163,7 +163,7 @@
 	sum := 0
 	var rules []Source
 	for _, f := range set {
-		if n := f.combinations(); n > 0 {
+		if n := f.countCombinations(); n > 0 {
 			sum += n
 			rules = append(rules, f.source(allRoutes))
 		}
--- a/internal/policy/namespace/rulelist.go
+++ b/internal/policy/namespace/rulelist.go
@@ -24,13 +24,13 @@
 // typedRules is the list of rules of one type, sorted by name.
 type typedRules[T any] struct {
 	kind string
-	of   func(*Policy) *[]T
+	list func(*Policy) *[]T
 	name func(*T) string
-	// sources calls f with each source of a rule. With own, the rule gets copies of its sources first, so that f may
+	// sources calls f with each source of a rule. With copySources, the rule gets copies of its sources first, so that f may
 	// change them.
-	sources func(rule *T, own bool, f func(*Source))
+	sources func(rule *T, copySources bool, f func(*Source))
 	// note enters a change into a diff, if that has rules of this type. Changed is nil for a removed rule.
-	note func(d *Diff, changed *T, name string)
+	record func(d *Diff, changed *T, name string)
 }
 
 func (l *typedRules[T]) ruleKind() string { return l.kind }
@@ -38,14 +38,14 @@
 func (l *typedRules[T]) key(rule *T) string { return ruleKey(l.kind, l.name(rule)) }
 
 func (l *typedRules[T]) eachSource(p *Policy, f func(*Source)) {
-	rules := *l.of(p)
+	rules := *l.list(p)
 	for i := range rules {
 		l.sources(&rules[i], false, f)
 	}
 }
 
 func (l *typedRules[T]) addItems(p *Policy, add func(string, any) error) error {
-	rules := *l.of(p)
+	rules := *l.list(p)
 	for i := range rules {
 		if i > 0 && l.name(&rules[i-1]) >= l.name(&rules[i]) {
 			return InvalidItemError{l.key(&rules[i]), errors.New("it is there twice, or out of order")}
@@ -66,7 +66,7 @@
 }
 
 func (l *typedRules[T]) apply(p *Policy, c *itemChanges) error {
-	rules := *l.of(p)
+	rules := *l.list(p)
 	changes, err := l.changes(rules, c)
 	if err != nil {
 		return err
@@ -77,7 +77,7 @@
 			return err
 		}
 	}
-	*l.of(p) = l.renumber(rules, owned, c)
+	*l.list(p) = l.renumber(rules, owned, c)
 	return nil
 }
 
@@ -155,8 +155,8 @@
 		if change.rule != nil {
 			merged = append(merged, *change.rule)
 		}
-		if l.note != nil {
-			l.note(c.diff, change.rule, change.name)
+		if l.record != nil {
+			l.record(c.diff, change.rule, change.name)
 		}
 	}
 	merged = append(merged, rules...)
@@ -173,7 +173,7 @@
 	}
 	for i := range rules {
 		stale := false
-		l.sources(&rules[i], false, func(s *Source) { stale = stale || c.isStale(s) })
+		l.sources(&rules[i], false, func(s *Source) { stale = stale || c.hasOldNumber(s) })
 		if !stale {
 			continue
 		}
@@ -187,11 +187,11 @@
 }
 
 // valueSources calls f with each source of a value, if there is one.
-func valueSources[T comparable](v **Value[T], own bool, f func(*Source)) {
+func valueSources[T comparable](v **Value[T], copySources bool, f func(*Source)) {
 	if *v == nil {
 		return
 	}
-	if own {
+	if copySources {
 		*v = &Value[T]{(*v).Value, slices.Clone((*v).Sources)}
 	}
 	for i := range (*v).Sources {
@@ -203,54 +203,54 @@
 var ruleLists = []ruleList{
 	&typedRules[PolicyService]{
 		kind:    "service",
-		of:      func(p *Policy) *[]PolicyService { return &p.Services },
+		list:    func(p *Policy) *[]PolicyService { return &p.Services },
 		name:    func(s *PolicyService) string { return s.Name },
 		sources: serviceSources,
 	},
 	&typedRules[PolicyRoute]{
 		kind:    "route",
-		of:      func(p *Policy) *[]PolicyRoute { return &p.Routes },
+		list:    func(p *Policy) *[]PolicyRoute { return &p.Routes },
 		name:    func(r *PolicyRoute) string { return r.Name },
 		sources: func(r *PolicyRoute, _ bool, f func(*Source)) { f(&r.Source) },
-		note:    noteRoute,
+		record:  recordRoute,
 	},
 	&typedRules[PolicyClass]{
 		kind:    "class",
-		of:      func(p *Policy) *[]PolicyClass { return &p.Classes },
+		list:    func(p *Policy) *[]PolicyClass { return &p.Classes },
 		name:    func(c *PolicyClass) string { return c.Name },
 		sources: classSources,
 	},
 	&typedRules[PolicyShare]{
 		kind:    "share",
-		of:      func(p *Policy) *[]PolicyShare { return &p.Shares },
+		list:    func(p *Policy) *[]PolicyShare { return &p.Shares },
 		name:    func(s *PolicyShare) string { return s.Quota + " " + s.Namespace },
 		sources: shareSources,
 	},
 	&typedRules[PolicyBlock]{
 		kind:    "block",
-		of:      func(p *Policy) *[]PolicyBlock { return &p.Blocks },
+		list:    func(p *Policy) *[]PolicyBlock { return &p.Blocks },
 		name:    func(b *PolicyBlock) string { return b.Name },
 		sources: func(b *PolicyBlock, _ bool, f func(*Source)) { f(&b.Source) },
-		note:    func(d *Diff, _ *PolicyBlock, _ string) { d.BlocksChanged = true },
+		record:  func(d *Diff, _ *PolicyBlock, _ string) { d.BlocksChanged = true },
 	},
 	&typedRules[PolicyOverride]{
 		kind:    "order",
-		of:      func(p *Policy) *[]PolicyOverride { return &p.Overrides },
+		list:    func(p *Policy) *[]PolicyOverride { return &p.Overrides },
 		name:    func(o *PolicyOverride) string { return o.Name },
 		sources: func(o *PolicyOverride, _ bool, f func(*Source)) { f(&o.Source) },
 	},
 	&typedRules[PolicyStalenessBound]{
 		kind: "staleness",
-		of:   func(p *Policy) *[]PolicyStalenessBound { return &p.StalenessBounds },
+		list: func(p *Policy) *[]PolicyStalenessBound { return &p.StalenessBounds },
 		name: func(b *PolicyStalenessBound) string { return b.Route },
-		sources: func(b *PolicyStalenessBound, own bool, f func(*Source)) {
-			valueSources(&b.MaxLevel, own, f)
+		sources: func(b *PolicyStalenessBound, copySources bool, f func(*Source)) {
+			valueSources(&b.MaxLevel, copySources, f)
 		},
 	},
 }
 
-func serviceSources(s *PolicyService, own bool, f func(*Source)) {
-	if own {
+func serviceSources(s *PolicyService, copySources bool, f func(*Source)) {
+	if copySources {
 		s.Sources = slices.Clone(s.Sources)
 	}
 	for i := range s.Sources {
@@ -258,21 +258,21 @@
 	}
 }
 
-func classSources(c *PolicyClass, own bool, f func(*Source)) {
-	valueSources(&c.LatencyObjective, own, f)
-	valueSources(&c.Deadline, own, f)
-	valueSources(&c.Effect, own, f)
-	valueSources(&c.PriorityWeight, own, f)
-	valueSources(&c.LateFraction, own, f)
+func classSources(c *PolicyClass, copySources bool, f func(*Source)) {
+	valueSources(&c.LatencyObjective, copySources, f)
+	valueSources(&c.Deadline, copySources, f)
+	valueSources(&c.Effect, copySources, f)
+	valueSources(&c.PriorityWeight, copySources, f)
+	valueSources(&c.LateFraction, copySources, f)
 }
 
-func shareSources(s *PolicyShare, own bool, f func(*Source)) {
-	valueSources(&s.Min, own, f)
-	valueSources(&s.Cap, own, f)
-	valueSources(&s.Weight, own, f)
+func shareSources(s *PolicyShare, copySources bool, f func(*Source)) {
+	valueSources(&s.Min, copySources, f)
+	valueSources(&s.Cap, copySources, f)
+	valueSources(&s.Weight, copySources, f)
 }
 
-func noteRoute(d *Diff, changed *PolicyRoute, name string) {
+func recordRoute(d *Diff, changed *PolicyRoute, name string) {
 	if changed == nil {
 		d.RemovedRoutes = append(d.RemovedRoutes, name)
 		return
--- a/internal/policy/namespace/settle.go
+++ b/internal/policy/namespace/settle.go
@@ -8,35 +8,35 @@
 // settle withholds one file, of the first namespace by precedence among those that lose a conflict: others may have
 // lost only to that file, and are looked at again. If nobody loses one, it removes rules.
 func (m *merger) settle(conflicts []Conflict) {
-	if loser, conflict := m.firstLoser(conflicts); loser != nil {
-		if m.mutated(withholdAll) {
-			m.withholdOthers(loser, conflict)
+	if responsible, conflict := m.firstResponsible(conflicts); responsible != nil {
+		if m.hasMutation(withholdAll) {
+			m.withholdOtherFiles(responsible, conflict)
 		}
-		loser.withholdSubmitted(conflict)
+		responsible.withholdSubmitted(conflict)
 		return
 	}
 	m.removeRules(conflicts)
 }
 
-// firstLoser returns the first namespace by precedence that loses one of the conflicts, with that conflict.
-func (m *merger) firstLoser(conflicts []Conflict) (*participant, *Conflict) {
+// firstResponsible returns the first namespace by precedence that loses one of the conflicts, with that conflict.
+func (m *merger) firstResponsible(conflicts []Conflict) (*participant, *Conflict) {
 	var first *participant
 	var conflict *Conflict
 	for i := range conflicts {
 		c := &conflicts[i]
-		loser, _ := m.lastOf(c, func(p *participant, id string) bool {
-			return p.caused(c.Kind, id) || m.mutated(withholdUnchanged) && p.submitted != nil
+		responsible, _ := m.lastEligible(c, func(p *participant, id string) bool {
+			return p.caused(c.Kind, id) || m.hasMutation(withholdUnchanged) && p.submitted != nil
 		})
-		if loser != nil && (first == nil || m.ranks[loser.name] < m.ranks[first.name]) {
-			first = loser
+		if responsible != nil && (first == nil || m.ranks[responsible.name] < m.ranks[first.name]) {
+			first = responsible
 			conflict = c
 		}
 	}
 	return first, conflict
 }
 
-// lastOf returns the last namespace by precedence of which a rule in a conflict is eligible, and the ID of that rule.
-func (m *merger) lastOf(c *Conflict, eligible func(p *participant, id string) bool) (*participant, string) {
+// lastEligible returns the last namespace by precedence of which a rule in a conflict is eligible, and the ID of that rule.
+func (m *merger) lastEligible(c *Conflict, eligible func(p *participant, id string) bool) (*participant, string) {
 	var last *participant
 	var id string
 	for _, r := range c.Rules {
@@ -63,7 +63,7 @@
 	}
 	switch kind {
 	case TooManyCombinations:
-		return p.active.combinations() > p.lastAccepted.combinations()
+		return p.active.countCombinations() > p.lastAccepted.countCombinations()
 	case MinimumsExceedLimit:
 		return p.active.minimum(id) > p.lastAccepted.minimum(id)
 	}
@@ -73,7 +73,7 @@
 // withholdSubmitted returns to the last accepted file.
 func (p *participant) withholdSubmitted(c *Conflict) {
 	p.withhold(p.submitted.Number, c.Err())
-	p.displaced = p.submitted
+	p.withheldFile = p.submitted
 	p.submitted = nil
 	p.active = p.withinDomain
 	p.removedRules = map[string]bool{}
@@ -87,11 +87,11 @@
 	}
 }
 
-// withholdOthers is a mutation: it withholds all other submitted files in a conflict.
-func (m *merger) withholdOthers(loser *participant, c *Conflict) {
+// withholdOtherFiles is a mutation: it withholds all other submitted files in a conflict.
+func (m *merger) withholdOtherFiles(responsible *participant, c *Conflict) {
 	for _, r := range c.Rules {
 		p := m.participants[r.Namespace]
-		if p == loser || p.submitted == nil {
+		if p == responsible || p.submitted == nil {
 			continue
 		}
 		p.withhold(p.submitted.Number, c.Err())
@@ -114,7 +114,7 @@
 		if slices.ContainsFunc(c.Rules, isRemoved) {
 			continue
 		}
-		p, id := m.lastOf(c, func(p *participant, id string) bool { return p.mayRemove(c.Kind, id) })
+		p, id := m.lastEligible(c, func(p *participant, id string) bool { return p.mayRemove(c.Kind, id) })
 		removed[ruleRef{p.name, id}] = true
 		affected[p.name] = true
 		if c.Kind == TooManyCombinations || c.More {
@@ -151,15 +151,15 @@
 func (m *merger) reinstate(f *finder) {
 	for changed := true; changed; {
 		changed = false
-		for _, name := range m.names {
+		for _, name := range m.namesByPrecedence {
 			p := m.participants[name]
-			if p.displaced == nil {
+			if p.withheldFile == nil {
 				continue
 			}
 			before := *p
-			p.active = p.displaced
-			p.submitted = p.displaced
-			p.displaced = nil
+			p.active = p.withheldFile
+			p.submitted = p.withheldFile
+			p.withheldFile = nil
 			p.withheld = nil
 			p.removedRules = map[string]bool{}
 			if len(f.withholding(m.activeFiles())) > 0 {
--- a/internal/policy/namespace/unreachable.go
+++ b/internal/policy/namespace/unreachable.go
@@ -86,14 +86,14 @@
 	slices.SortFunc(candidates, func(a, b sourcedMatch) int { return compareSources(a.source, b.source) })
 	var takenBy []Source
 	var example *route.Request
-	for cell := range r.cells {
-		i := slices.IndexFunc(candidates, func(c sourcedMatch) bool { return c.match.contains(&cell) })
+	for combination := range r.eachCombination {
+		i := slices.IndexFunc(candidates, func(c sourcedMatch) bool { return c.match.contains(&combination) })
 		if i < 0 {
 			return Conflict{}, false
 		}
 		takenBy = append(takenBy, candidates[i].source)
 		if example == nil {
-			request := s.unnamed.exampleRequest(&cell)
+			request := s.unnamed.exampleRequest(&combination)
 			example = &request
 		}
 	}
@@ -132,7 +132,7 @@
 }
 
 // cells yields the match once for each combination of a listed method, class and tenant.
-func (m *Match) cells(yield func(Match) bool) {
+func (m *Match) eachCombination(yield func(Match) bool) {
 	for _, methods := range singletons(m.Methods) {
 		for _, classes := range singletons(m.Classes) {
 			for _, tenants := range singletons(m.Tenants) {
--- a/internal/policy/namespace/value.go
+++ b/internal/policy/namespace/value.go
@@ -35,10 +35,10 @@
 	Sources []Source `json:"from"`
 }
 
-// mergeValue merges what one rule sets into what others set: the value that better prefers stays. It is commutative,
-// associative and idempotent as long as better is a total order.
-func mergeValue[T comparable](merged *Value[T], value T, source Source, better func(a, b T) bool) *Value[T] {
-	if merged == nil || value != merged.Value && better(value, merged.Value) {
+// mergeValue merges what one rule sets into what others set: the value that preferred prefers stays. It is commutative,
+// associative and idempotent as long as preferred is a total order.
+func mergeValue[T comparable](merged *Value[T], value T, source Source, preferred func(a, b T) bool) *Value[T] {
+	if merged == nil || value != merged.Value && preferred(value, merged.Value) {
 		return &Value[T]{value, []Source{source}}
 	}
 	if value == merged.Value {
@@ -49,13 +49,13 @@
 	return merged
 }
 
-// lower prefers the lower value.
-func lower[T cmp.Ordered](a, b T) bool { return a < b }
+// preferLower prefers the lower value.
+func preferLower[T cmp.Ordered](a, b T) bool { return a < b }
 
-// strictestLevel prefers the stricter staleness level.
-func strictestLevel(a, b string) bool {
+// preferStricterLevel prefers the stricter staleness level.
+func preferStricterLevel(a, b string) bool {
 	return slices.Index(StalenessLevels(), a) < slices.Index(StalenessLevels(), b)
 }
 
-// unsafeEffect prefers effectUnsafe.
-func unsafeEffect(a, b string) bool { return a == effectUnsafe && b != effectUnsafe }
+// preferUnsafe prefers effectUnsafe.
+func preferUnsafe(a, b string) bool { return a == effectUnsafe && b != effectUnsafe }
