--- a/internal/policy/namespace/assemble.go
+++ b/internal/policy/namespace/assemble.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// policyBuilder merges the rules of files that have no conflict. The outcome does not depend on the order of the files.
+// policyBuilder merges the rules of files that have no conflict. The policy does not depend on the order of the files.
 type policyBuilder struct {
 	declaration     *Declaration
 	policy          *Policy
 	services        map[string]*PolicyService
 	classes         map[string]*PolicyClass
 	shares          map[shareKey]*PolicyShare
-	stalenessBounds map[string]*Value[string] // of staleness, by route
-	routeNames      map[string]bool           // that there are
+	stalenessBounds map[string]*Value[string] // by route, as namespace/name
+	routeNames      map[string]bool           // namespace/name of all routes
 }
 
-// shareKey names a namespace's share of a quota.
+// shareKey identifies a namespace's share of a quota.
 type shareKey struct{ quota, namespace string }
 
-// assemble merges files into a policy.
+// assemble merges the rules of files without conflicts into a policy.
 func assemble(d *Declaration, files []*File) *Policy {
 	b := policyBuilder{
 		declaration:     d,
@@ -45,7 +45,7 @@
 	return b.build()
 }
 
-// getOrCreate returns the value of a key, and enters a zero value if there is none.
+// getOrCreate returns the value of a key. If there is none, it first stores a new zero value under the key.
 func getOrCreate[K comparable, T any](values map[K]*T, key K) *T {
 	value := values[key]
 	if value == nil {
@@ -74,7 +74,8 @@
 		r.Name = f.Name + "/" + r.Name
 		b.routeNames[r.Name] = true
 		if r.MaxStaleness != "" {
-			b.stalenessBounds[r.Name] = mergeValue(b.stalenessBounds[r.Name], r.MaxStaleness, source, preferStricterLevel)
+			b.stalenessBounds[r.Name] = mergeValue(
+				b.stalenessBounds[r.Name], r.MaxStaleness, source, preferStricterLevel)
 			r.MaxStaleness = ""
 		}
 		b.policy.Routes = append(b.policy.Routes, PolicyRoute{r, source})
@@ -153,7 +154,7 @@
 	}
 }
 
-// build sorts all lists. Bounds of routes that are not there are left out.
+// build sorts all lists and returns the policy. It leaves out staleness bounds of routes that do not exist.
 func (b *policyBuilder) build() *Policy {
 	p := b.policy
 	for _, name := range slices.Sorted(maps.Keys(b.services)) {
--- a/internal/policy/namespace/conflict.go
+++ b/internal/policy/namespace/conflict.go
@@ -10,39 +10,39 @@
 	"lapisspread/internal/route"
 )
 
-// ConflictKind is what is wrong between rules.
+// ConflictKind says why rules conflict. Its values appear in messages and keep the words of the operators' pages.
 type ConflictKind string
 
 // Kinds of conflicts that withhold a file.
 const (
-	Contradiction          ConflictKind = "contradiction" // one request matches two routes that lead elsewhere
-	ContradictoryOverrides ConflictKind = "orders"        // a server is detached and attached at one time
-	MinimumsExceedLimit    ConflictKind = "minimums"      // of a quota
-	CapBelowMinimum        ConflictKind = "cap"           // a cap that a delegator sets is below the minimum
-	ServiceRemoved         ConflictKind = "removed"       // a route leads to a service that is not there
-	InconsistentDefinition ConflictKind = "said twice"    // what one owner sets is set in two ways
-	TooManyCombinations    ConflictKind = "crowded"       // all routes together are more than a table takes
+	Contradiction          ConflictKind = "contradiction" // two routes match one request, and no delegation orders them
+	ContradictoryOverrides ConflictKind = "orders"        // a server is detached and attached at the same time
+	MinimumsExceedLimit    ConflictKind = "minimums"      // the minimums of a quota sum to more than its limit
+	CapBelowMinimum        ConflictKind = "cap"           // a delegator's cap is below its delegate's minimum
+	ServiceRemoved         ConflictKind = "removed"       // a route leads to a service that is undefined or removed
+	InconsistentDefinition ConflictKind = "said twice"    // two namespaces set a service or priority weight differently
+	TooManyCombinations    ConflictKind = "crowded"       // all routes together list more than maxCombinations
 )
 
 // Kinds of conflicts that are only reported.
 const (
-	DomainOverlap   ConflictKind = "overlap"   // domains intersect without a delegation; rules need not
-	UnreachableRule ConflictKind = "unmatched" // no request can come to a rule
+	DomainOverlap   ConflictKind = "overlap"   // two domains intersect without a delegation, even if no rules do
+	UnreachableRule ConflictKind = "unmatched" // no request can reach a rule
 )
 
-// Withholds reports whether a conflict withholds a file.
+// Withholds reports whether Merge withholds a file for a conflict of this kind.
 func (k ConflictKind) Withholds() bool { return k != DomainOverlap && k != UnreachableRule }
 
-// Conflict is rules that do not go together.
+// Conflict is a set of rules that conflict with each other.
 type Conflict struct {
 	Kind     ConflictKind
-	Rules    []Source       // that take part in it
-	Request  *route.Request // that all these rules match, if the conflict is about requests
-	Time     *time.Time     // at which overrides contradict each other
-	Text     string
-	More     bool   // there are more like it between the two namespaces, which are not listed
-	Withheld string // the namespace whose file was withheld for it; empty is none
-	cause    error
+	Rules    []Source       // the rules that conflict; of a DomainOverlap, the namespaces in the declaration
+	Request  *route.Request // an example request that the rules match; nil if the conflict is not about requests
+	Time     *time.Time     // a time at which overrides contradict each other; nil for other kinds
+	Text     string         // details for messages
+	More     bool           // the two namespaces have more conflicts of this kind, which are not listed
+	Withheld string         // the namespace whose file was withheld for the conflict; empty is none
+	cause    error          // what Err returns instead of a ConflictError; may be nil
 }
 
 // Err returns the conflict as an error with advice: a MinimumsExceedLimitError or a ConflictError.
@@ -53,7 +53,8 @@
 	return ConflictError{c}
 }
 
-// String returns the conflict as messages show it.
+// String returns the conflict as messages show it. The text is stored as the reason why a file is withheld and compared
+// between servers, so it must not change.
 func (c Conflict) String() string {
 	var rules []string
 	for _, s := range c.Rules {
@@ -83,8 +84,9 @@
 	})
 }
 
-// Check returns all conflicts of a set of files, each of which is within its domain. Active is the set that is in
-// force.
+// Check returns all conflicts of a set of files, sorted. Each file must have only rules within its namespace's domain.
+// Active is the files in force: if the set no longer defines one of their services, the conflict also names the rule
+// that defined it.
 func Check(d *Declaration, active, set []*File) []Conflict {
 	f := newFinder(d, active)
 	conflicts := append(f.withholding(set), f.reported(set)...)
@@ -92,14 +94,14 @@
 	return conflicts
 }
 
-// finder finds the conflicts of sets of files under one declaration. It keeps what it found between two files for the
-// next set.
+// finder finds the conflicts of sets of files under one declaration. It caches the contradictions between each two
+// files, so that a set that shares files with an earlier one is checked faster.
 type finder struct {
 	declaration    *Declaration
-	activeServices map[string][]Source // who defines which service in the files in force
+	activeServices map[string][]Source // rules in the files in force that define a service, by its name
 	indexes        map[*File]routeIndex
 	contradictions map[[2]*File][]Conflict
-	mayIntersect   map[[2]string]bool // namespaces
+	mayIntersect   map[[2]string]bool // by a pair of namespaces: routesMayIntersect
 }
 
 func newFinder(d *Declaration, active []*File) *finder {
@@ -126,7 +128,7 @@
 	return sorted
 }
 
-// withholding returns the conflicts that withhold a file.
+// withholding returns the conflicts of a set for which a file is withheld.
 func (f *finder) withholding(set []*File) []Conflict {
 	set = sortedByName(set)
 	var conflicts []Conflict
@@ -142,7 +144,7 @@
 	return append(conflicts, f.removedServices(set)...)
 }
 
-// reported returns the conflicts that withhold no file.
+// reported returns the conflicts of a set that are only reported.
 func (f *finder) reported(set []*File) []Conflict {
 	return append(f.declaration.overlaps(), unreachableRules(sortedByName(set))...)
 }
--- a/internal/policy/namespace/contradiction.go
+++ b/internal/policy/namespace/contradiction.go
@@ -5,15 +5,17 @@
 	"slices"
 )
 
-// maxConflictsPerRoute is how many conflicts of a route with the routes of one namespace are listed: two teams that
-// write thousands of routes across each other's would fill the memory.
+// maxConflictsPerRoute limits the listed conflicts of one route with the routes of one namespace. Without a limit, two
+// teams with thousands of routes that contradict each other would exhaust the memory.
 const maxConflictsPerRoute = 8
 
-// contradictionsBetween returns the routes of two files that meet, lead elsewhere, and have no order by a delegation.
+// contradictionsBetween returns the contradictions between the routes of two files: pairs that match a common request
+// and either have equal precedence or lead to different services without a delegation that gives the first one
+// precedence.
 func (f *finder) contradictionsBetween(a, b *File) []Conflict {
 	names := [2]string{a.Name, b.Name}
-	mayIntersect, known := f.mayIntersect[names]
-	if !known {
+	mayIntersect, cached := f.mayIntersect[names]
+	if !cached {
 		mayIntersect = f.declaration.routesMayIntersect(a.Name, b.Name)
 		f.mayIntersect[names] = mayIntersect
 	}
@@ -24,7 +26,8 @@
 	if conflicts, ok := f.contradictions[key]; ok {
 		return conflicts
 	}
-	// Each pair of routes is compared once, at the host of the inner one; equal hosts count for the first search.
+	// Each pair of routes is compared once: in the search in which the host of the inner route is within that of the
+	// outer one. Pairs with equal hosts are compared in the first search only.
 	first := contradictionSearch{finder: f, inner: b, outer: a, equalHosts: true}
 	second := contradictionSearch{finder: f, inner: a, outer: b}
 	conflicts := append(first.run(), second.run()...)
@@ -32,15 +35,17 @@
 	return conflicts
 }
 
-// contradictionSearch compares the routes of one file with those of another whose hosts contain theirs.
+// contradictionSearch compares each route of the inner file with the routes of the outer file whose host patterns
+// contain the route's.
 type contradictionSearch struct {
 	finder     *finder
 	inner      *File
 	outer      *File
-	equalHosts bool // hosts that are equal are compared, too
+	equalHosts bool // also compare routes with equal host patterns
 	conflicts  []Conflict
 }
 
+// run returns the contradictions of all routes of the inner file.
 func (s *contradictionSearch) run() []Conflict {
 	index := s.finder.routeIndexFor(s.outer)
 	for i := range s.inner.Routes {
@@ -49,8 +54,10 @@
 	return s.conflicts
 }
 
-// compareRoute compares a route with those of the outer file. Where the hosts differ, the route has precedence, so a
-// delegation to its namespace settles all pairs at once: a rule for everything is not compared with each below it.
+// compareRoute compares a route of the inner file with those of the outer file. If the hosts differ, the inner route
+// has precedence; if it is also within what the outer namespace delegated to the inner one, no pair with a different
+// host can contradict, and these pairs are skipped. So a delegator's route for all hosts is not compared with each
+// route of its delegates.
 func (s *contradictionSearch) compareRoute(r *Route, index routeIndex) {
 	delegated := s.finder.declaration.delegated(s.inner.Name, s.outer.Name, SettingRoute, &r.Match)
 	var conflicting []int
@@ -76,8 +83,10 @@
 	})
 }
 
-// compare compares two routes. Delegated tells whether the inner one is within what the outer namespace delegated.
-// Routes go together if they lead alike, or if the delegate's has precedence; of equal precedence they never do.
+// compare returns the contradiction between two routes, if there is one. Delegated says whether the inner route is
+// within what the outer namespace delegated to the inner one. Routes that match a common request do not contradict each
+// other if the one with precedence is a delegate's, or if they have the same destination. Routes of equal precedence
+// always contradict each other.
 func (s *contradictionSearch) compare(inner, outer *Route, delegated bool) (Conflict, bool) {
 	request, ok := inner.intersect(&outer.Match)
 	if !ok {
@@ -109,10 +118,10 @@
 	}, true
 }
 
-// defaultSticky is what an empty Route.Sticky means.
+// defaultSticky is the value that an empty Route.Sticky stands for.
 const defaultSticky = "key"
 
-// hasSameDestination reports whether two routes lead to the same services in the same way.
+// hasSameDestination reports whether two routes lead to the same services, with the same weights and stickiness.
 func (r *Route) hasSameDestination(other *Route) bool {
 	equal := func(a, b Target) bool { return a.Service == b.Service && *a.Weight == *b.Weight }
 	return cmp.Or(r.Sticky, defaultSticky) == cmp.Or(other.Sticky, defaultSticky) &&
--- a/internal/policy/namespace/declaration.go
+++ b/internal/policy/namespace/declaration.go
@@ -9,48 +9,48 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// FileVersion is the version of the format of declarations and files that this program reads.
+// FileVersion is the format version of declarations and policy files that this program reads.
 const FileVersion = 1
 
-// declarationRule stands for the declaration as the source of a conflict.
+// declarationRule is Source.Rule of a conflict that comes from the declaration, not from a rule of a file.
 const declarationRule = "charter"
 
-// Declaration says which namespace may set what.
+// Declaration is the ownership declaration: it says which namespace may set what.
 type Declaration struct {
 	Version     int                 `toml:"version"` // FileVersion
 	Quotas      []Quota             `toml:"budget"`
 	Namespaces  []DeclaredNamespace `toml:"namespace"`
 	Delegations []Delegation        `toml:"delegation"`
 
-	limits        map[string]int64         // of quotas
-	parts         map[string][]domainPart  // domains by namespace, with what is delegated to it
+	limits        map[string]int64         // of quotas, by name
+	parts         map[string][]domainPart  // of each namespace's domain: its own part and the delegated ones
 	delegationsTo map[string][]*Delegation // by delegate
-	depth         map[string]int           // delegations on the longest way from a root
+	depth         map[string]int           // by namespace: number of delegations on the longest path from a root to it
 }
 
-// Quota is how much of something the fleet has, in units that its name says.
+// Quota is a limited amount that the namespaces share, such as attempts. Its name says the unit of the limit.
 type Quota struct {
 	Name  string `toml:"name"`
 	Limit int64  `toml:"whole"`
 }
 
-// DeclaredNamespace is a namespace with its owner and its own domain. With no settings it has only what is delegated
-// to it.
+// DeclaredNamespace is a namespace with its owner and its own domain. If the domain lists no settings, the namespace
+// has only what is delegated to it.
 type DeclaredNamespace struct {
 	Name  string `toml:"name"`
 	Owner string `toml:"owner"`
 	Domain
 }
 
-// Delegation lets To set rules about a part of From's domain, as From may still do.
+// Delegation lets namespace To set rules about a part of From's domain. From may still set rules about it, too.
 type Delegation struct {
 	From string `toml:"from"`
 	To   string `toml:"to"`
 	Domain
 }
 
-// ParseDeclaration parses a declaration and checks it. Its errors are a FileError, which may wrap a
-// DelegationCycleError, a DelegationTooWideError or an UnknownNamespaceError.
+// ParseDeclaration parses a declaration in TOML and checks it. Path is only used in errors. It returns one or several
+// joined FileErrors, which may wrap a DelegationCycleError, a DelegationTooWideError or an UnknownNamespaceError.
 func ParseDeclaration(path string, text []byte) (*Declaration, error) {
 	d := &Declaration{}
 	if err := decodeFile(path, text, d); err != nil {
@@ -62,7 +62,7 @@
 	return d, nil
 }
 
-// check checks a declaration, and works out the parts of all domains.
+// check checks a declaration and computes the parts of all domains. Lines is the line of each key, for errors.
 func (d *Declaration) check(path string, lines map[string]int) error {
 	errs := &keyErrors{path: path, lines: lines}
 	errs.addIf(d.Version != FileVersion, "version", "%d; this program reads %d", d.Version, FileVersion)
@@ -76,12 +76,13 @@
 	return errors.Join(errs.list...)
 }
 
-// checkUniqueName adds a fault if a name is not plain or is used twice.
+// checkUniqueName adds an error if a name is invalid or already used.
 func (e *keyErrors) checkUniqueName(key, name string, used bool) {
-	fault := !strictconfig.ValidName(name) || used
-	e.addIf(fault, key, "%q: wanted small letters, digits and dashes, once", name)
+	invalid := !strictconfig.ValidName(name) || used
+	e.addIf(invalid, key, "%q: wanted small letters, digits and dashes, once", name)
 }
 
+// checkQuotas checks the quotas and sets limits.
 func (d *Declaration) checkQuotas(errs *keyErrors) {
 	d.limits = map[string]int64{}
 	for i, quota := range d.Quotas {
@@ -93,6 +94,7 @@
 	}
 }
 
+// checkNamespaces checks the namespaces and enters their own domains in parts.
 func (d *Declaration) checkNamespaces(errs *keyErrors) {
 	d.parts = map[string][]domainPart{}
 	for i := range d.Namespaces {
@@ -109,6 +111,7 @@
 	}
 }
 
+// checkDelegations checks each delegation by itself and sets delegationsTo.
 func (d *Declaration) checkDelegations(errs *keyErrors) {
 	d.delegationsTo = map[string][]*Delegation{}
 	d.depth = map[string]int{}
@@ -126,6 +129,7 @@
 	}
 }
 
+// checkDomain checks a domain, and that the declaration has its quotas.
 func (d *Declaration) checkDomain(errs *keyErrors, key string, domain *Domain) {
 	if err := domain.validate(); err != nil {
 		errs.add(key, err)
--- a/internal/policy/namespace/delegation.go
+++ b/internal/policy/namespace/delegation.go
@@ -5,47 +5,49 @@
 	"slices"
 )
 
-// domainPart is one part of a namespace's domain, with the namespaces whose delegations it came through; none for its
-// own.
+// domainPart is one part of a namespace's domain. Delegators lists the namespaces that delegated it, from the root to
+// the direct delegator; it is empty for the namespace's own domain.
 type domainPart struct {
 	domain     *Domain
 	delegators []string
 }
 
-// resolveDelegations gives each namespace the parts that are delegated to it. A delegation is resolved once all
-// delegations to its delegator are, because they decide what the delegator has.
+// resolveDelegations adds the delegated parts to each namespace's parts. A delegation is resolved after all delegations
+// to its delegator, because these decide which parts the delegator has. It reports a cycle if none of the remaining
+// delegations can be resolved.
 func (d *Declaration) resolveDelegations(errs *keyErrors) {
 	resolved := make([]bool, len(d.Delegations))
-	for left := len(resolved); left > 0; {
-		waiting := d.unresolvedDelegates(resolved)
-		before := left
+	for remaining := len(resolved); remaining > 0; {
+		unresolved := d.unresolvedDelegates(resolved)
+		remainingBefore := remaining
 		for i := range d.Delegations {
-			if resolved[i] || waiting[d.Delegations[i].From] {
+			if resolved[i] || unresolved[d.Delegations[i].From] {
 				continue
 			}
 			resolved[i] = true
-			left--
+			remaining--
 			d.resolveDelegation(i, errs)
 		}
-		if left == before {
-			d.addCycle(resolved, waiting, errs)
+		if remaining == remainingBefore {
+			d.addCycle(resolved, unresolved, errs)
 			return
 		}
 	}
 }
 
-// unresolvedDelegates returns the namespaces to which some delegation is not resolved.
+// unresolvedDelegates returns the namespaces to which some delegation is not resolved yet.
 func (d *Declaration) unresolvedDelegates(resolved []bool) map[string]bool {
-	waiting := map[string]bool{}
+	unresolved := map[string]bool{}
 	for i, delegation := range d.Delegations {
 		if !resolved[i] {
-			waiting[delegation.To] = true
+			unresolved[delegation.To] = true
 		}
 	}
-	return waiting
+	return unresolved
 }
 
 // resolveDelegation adds a delegation to its delegate's parts, once for each of the delegator's parts that contains it.
+// If none does, it adds a DelegationTooWideError.
 func (d *Declaration) resolveDelegation(index int, errs *keyErrors) {
 	delegation := &d.Delegations[index]
 	from := delegation.From
@@ -53,8 +55,8 @@
 	excess := "it has nothing"
 	contained := false
 	for _, part := range d.parts[from] {
-		if over := delegation.excessOver(part.domain); over != "" {
-			excess = over
+		if outsidePart := delegation.excessOver(part.domain); outsidePart != "" {
+			excess = outsidePart
 			continue
 		}
 		contained = true
@@ -67,24 +69,24 @@
 	}
 }
 
-// addCycle adds the fault that delegations wait for each other.
-func (d *Declaration) addCycle(resolved []bool, waiting map[string]bool, errs *keyErrors) {
-	var through []string
+// addCycle adds a DelegationCycleError for the delegations that cannot be resolved, at the key of the first one.
+func (d *Declaration) addCycle(resolved []bool, unresolved map[string]bool, errs *keyErrors) {
+	var delegators []string
 	first := -1
 	for i, delegation := range d.Delegations {
-		if resolved[i] || !waiting[delegation.From] {
+		if resolved[i] || !unresolved[delegation.From] {
 			continue
 		}
-		through = append(through, delegation.From)
+		delegators = append(delegators, delegation.From)
 		if first < 0 {
 			first = i
 		}
 	}
-	slices.Sort(through)
-	errs.add(fmt.Sprintf("delegation[%d]", first), DelegationCycleError{slices.Compact(through)})
+	slices.Sort(delegators)
+	errs.add(fmt.Sprintf("delegation[%d]", first), DelegationCycleError{slices.Compact(delegators)})
 }
 
-// delegatorsOf returns all namespaces that a namespace has a part of its domain from.
+// delegatorsOf returns the namespaces that delegated a part of their domain to a namespace, directly or through others.
 func (d *Declaration) delegatorsOf(name string) []string {
 	var all []string
 	for _, part := range d.parts[name] {
@@ -93,8 +95,9 @@
 	return all
 }
 
-// delegated reports whether a rule of a namespace is within what another one delegated to it, directly or through
-// others: each delegation on the way has the setting and contains the rule. It ends, because delegations have no cycle.
+// delegated reports whether a rule is within what namespace "from" delegated to namespace "to", directly or through
+// others: each delegation on the path must include the setting and contain the rule's requests. The recursion ends
+// because the delegations of a checked declaration have no cycle.
 func (d *Declaration) delegated(to, from, setting string, rule *Match) bool {
 	for _, delegation := range d.delegationsTo[to] {
 		if !slices.Contains(delegation.Settings, setting) || delegation.excess(rule) != "" {
@@ -107,7 +110,8 @@
 	return false
 }
 
-// routesMayIntersect reports whether routes of two namespaces can be for one request at all.
+// routesMayIntersect reports whether a request exists that routes of both namespaces may match, according to their
+// domains.
 func (d *Declaration) routesMayIntersect(a, b string) bool {
 	for _, x := range d.parts[a] {
 		for _, y := range d.parts[b] {
--- a/internal/policy/namespace/doc.go
+++ b/internal/policy/namespace/doc.go
@@ -1,34 +1,38 @@
-// Package namespace merges the policy files of many teams into one policy, and finds where they conflict.
+// Package namespace merges the policy files of many teams into one policy, and finds the conflicts between them.
 //
 // # Who may set what
 //
-// The ownership declaration (Declaration; the charter, in the operators' pages) gives each team a namespace, and each
-// namespace a domain: the requests, quotas, zones and settings that its rules may be about. A namespace may delegate a
-// part of its domain to another one. Within what was delegated, the rules of the delegate have precedence.
+// The ownership declaration (Declaration; operators call it the charter) gives each team a namespace, and each
+// namespace a domain: the requests, quotas, zones and settings that its rules may be about. A namespace (the delegator)
+// may delegate a part of its domain to another one (the delegate). Within the delegated part, the rules of the delegate
+// have precedence. The root of a delegation is the namespace whose own domain the delegated part belongs to.
 //
 // # Merging
 //
-// Each namespace has one file (File) of numbered content. Merge takes the last accepted files and those that were
-// submitted, and gives the policy (Policy) and the files that are accepted from now on. Each setting is merged in one
-// way, named at its constant (SettingRoute and so on): the strictest value, the union, the owner's value alone, or a
-// sum within a limit. Each value of the policy names the rules that it comes from.
+// Each namespace has one policy file (File). A new version of the file has a higher number. Merge takes the last
+// accepted file of each namespace and the newly submitted files, and returns the policy (Policy) and the files that are
+// accepted from then on. Each setting has one way of merging, described at its constant (SettingRoute and so on): the
+// strictest value, the union, the owner's value alone, or a sum within a limit. Each value of the policy names the
+// rules that it comes from.
 //
 // # Conflicts
 //
-// A conflict that cannot be merged withholds one file, of the namespace that caused it; its last accepted file stays in
-// force, and nobody else waits. Other conflicts are only reported. Check finds all of them. The search is exact: where
-// two rules contradict each other it gives a request that both match, and it misses none.
+// If rules of several files conflict and cannot be merged, the file of the namespace that caused the conflict is
+// withheld: it is not accepted, and the namespace's last accepted file stays in force. Files of other namespaces are
+// not delayed. Other conflicts are only reported. Check finds both kinds. The search is exact: if two rules contradict
+// each other, it returns a request that both match, and it misses no contradiction.
 //
 // # Invariants
 //
 //   - The outcome of a merge depends on the files alone, not on the order in which they are given.
 //   - A policy has no conflict that withholds a file, and its routes compile.
-//   - Equal rules give an equal policy, in one encoding and with one hash. Items and their changes (Policy.Tree,
-//     Policy.With) give the same policy as its encoding does.
+//   - Equal rules give an equal policy, with a single encoding and hash. A policy that is built from items, or by
+//     changes of items (Policy.Tree, FromTree, Policy.With), equals the one that is decoded from the encoding.
 //
 // # Use
 //
-// The package is pure: no I/O, no goroutine, no clock. Files, declarations and policies are not changed once they are
-// made, so any number of goroutines may read them. Errors have types of their own, with a code for messages (Code) and
-// the operator's next step (Advice). The design is in docs/fleet-ownership-design.md.
+// The package is pure: it does no I/O, starts no goroutines and reads no clock. Files, declarations and policies do not
+// change after they are built, so any number of goroutines may read them. Each error type has a code for messages
+// between processes (Code) and a next step for the operator or team (Advice). The design is in
+// docs/fleet-ownership-design.md.
 package namespace
--- a/internal/policy/namespace/domain.go
+++ b/internal/policy/namespace/domain.go
@@ -9,18 +9,18 @@
 	"lapisspread/internal/route"
 )
 
-// anyName in a list of quotas or zones is any of them.
+// anyName in a list of quotas or zones stands for all of them.
 const anyName = "*"
 
-// The settings that a domain may name, each with how it is merged.
+// The settings that a domain may list. Each comment says how the values of several namespaces are merged.
 const (
-	SettingRoute     = "route"     // where requests lead: the owner's alone
-	SettingClass     = "class"     // of classes: the strictest, but the priority weight is the owner's alone
-	SettingQuota     = "budget"    // minimums sum within the limit, caps are the strictest, weights the owner's alone
-	SettingBlock     = "block"     // the union
-	SettingOverride  = "order"     // the union, unless two contradict each other
-	SettingStaleness = "staleness" // the strictest
-	SettingService   = "service"   // the owner's alone
+	SettingRoute     = "route"     // routes: only the owner's value counts
+	SettingClass     = "class"     // classes: the strictest value; of the priority weight only the owner's value
+	SettingQuota     = "budget"    // shares: minimums sum within the limit, the strictest cap, the owner's weight
+	SettingBlock     = "block"     // blocks: the union
+	SettingOverride  = "order"     // overrides: the union, unless two contradict each other
+	SettingStaleness = "staleness" // staleness bounds: the strictest value
+	SettingService   = "service"   // services: only the owner's value counts
 )
 
 // Settings returns the names of all settings, sorted.
@@ -30,8 +30,8 @@
 	}
 }
 
-// Domain is what a namespace may set rules about. An empty list of hosts, path prefixes, classes or tenants is any
-// value; an empty list of the others is none, and "*" is any quota or zone.
+// Domain says what a namespace may set rules about. An empty list of hosts, path prefixes, classes or tenants allows
+// any value. An empty list of quotas, zones or settings allows none; "*" allows any quota or zone.
 type Domain struct {
 	Hosts        []string `toml:"hosts"`
 	PathPrefixes []string `toml:"path_prefixes"`
@@ -42,6 +42,7 @@
 	Settings     []string `toml:"settings"` // of Settings()
 }
 
+// validate returns the first error of the domain's values, or nil.
 func (d *Domain) validate() error {
 	for _, host := range d.Hosts {
 		if err := (&Match{Host: host}).validate(); err != nil || host == "" {
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// hostPatterns returns the hosts of a domain, with any host written out.
+// hostPatterns returns the host patterns of a domain. If it has none, it returns the pattern for any host.
 func (d *Domain) hostPatterns() []string {
 	if len(d.Hosts) == 0 {
 		return []string{""}
@@ -74,7 +75,7 @@
 	return d.Hosts
 }
 
-// prefixPatterns returns the path prefixes of a domain, with any path written out.
+// prefixPatterns returns the path prefixes of a domain. If it has none, it returns the prefix for any path.
 func (d *Domain) prefixPatterns() []string {
 	if len(d.PathPrefixes) == 0 {
 		return []string{"/"}
@@ -82,7 +83,8 @@
 	return d.PathPrefixes
 }
 
-// excess returns what of a match is not in the domain, or an empty text if all its requests are.
+// excess describes the part of a match that is outside the domain, such as "host x". It returns an empty text if the
+// domain contains all requests of the match.
 func (d *Domain) excess(m *Match) string {
 	path := m.pathPattern()
 	hostInside := func(host string) bool { return hostWithin(m.Host, host) }
@@ -100,12 +102,13 @@
 	return ""
 }
 
-// includesName reports whether a list of quotas or zones has a name.
+// includesName reports whether a list of quotas or zones includes a name or "*".
 func includesName(list []string, name string) bool {
 	return slices.Contains(list, name) || slices.Contains(list, anyName)
 }
 
-// excessOver returns what of the domain is not in another one, or an empty text if all of it is.
+// excessOver describes the part of the domain that is outside another one. It returns an empty text if the outer domain
+// contains all of it.
 func (d *Domain) excessOver(outer *Domain) string {
 	for _, host := range d.hostPatterns() {
 		for _, prefix := range d.prefixPatterns() {
@@ -132,37 +135,38 @@
 	return ""
 }
 
-// intersect returns the settings that two domains have on the same thing, and a request where the thing is one.
+// intersect returns the settings, sorted, that both domains allow on a common subject: requests, classes or zones. If
+// the common subject is requests, it also returns an example request.
 func (d *Domain) intersect(other *Domain) ([]string, *route.Request) {
 	var settings []string
 	var example *route.Request
-	both := func(setting string) bool {
+	inBoth := func(setting string) bool {
 		return slices.Contains(d.Settings, setting) && slices.Contains(other.Settings, setting)
 	}
 	if request, ok := d.intersectRequests(other); ok {
 		for _, setting := range []string{SettingBlock, SettingRoute, SettingStaleness} {
-			if both(setting) {
+			if inBoth(setting) {
 				settings = append(settings, setting)
 				example = &request
 			}
 		}
 	}
-	if both(SettingClass) && intersectLists(d.Classes, other.Classes).nonEmpty {
+	if inBoth(SettingClass) && intersectLists(d.Classes, other.Classes).nonEmpty {
 		settings = append(settings, SettingClass)
 	}
-	if both(SettingOverride) && (anyIncluded(d.Zones, other.Zones) || anyIncluded(other.Zones, d.Zones)) {
+	if inBoth(SettingOverride) && (anyIncluded(d.Zones, other.Zones) || anyIncluded(other.Zones, d.Zones)) {
 		settings = append(settings, SettingOverride)
 	}
 	slices.Sort(settings)
 	return settings, example
 }
 
-// anyIncluded reports whether a list has some name of another one.
+// anyIncluded reports whether a list of quotas or zones includes at least one of the names.
 func anyIncluded(names, list []string) bool {
 	return slices.ContainsFunc(names, func(name string) bool { return includesName(list, name) })
 }
 
-// intersectRequests returns a request that is in both domains, if there is one.
+// intersectRequests returns an example request that is in both domains, if there is one.
 func (d *Domain) intersectRequests(other *Domain) (route.Request, bool) {
 	host, ok := firstIntersection(d.hostPatterns(), other.hostPatterns(), hostIntersection)
 	if !ok {
@@ -182,7 +186,8 @@
 	return path.path, ok
 }
 
-// firstIntersection returns the first intersection of patterns of two lists.
+// firstIntersection returns the intersection of the first pair of patterns, one of each list, that intersect. It
+// returns false if there is no such pair.
 func firstIntersection(
 	a, b []string, intersect func(a, b string) (string, bool),
 ) (string, bool) {
--- a/internal/policy/namespace/domaincheck.go
+++ b/internal/policy/namespace/domaincheck.go
@@ -15,7 +15,7 @@
 	outside     map[string]OutsideDomainError // by rule ID
 }
 
-// rulesOutsideDomain returns the rules of a file that its namespace may not set, by their IDs.
+// rulesOutsideDomain returns, by rule ID, the rules of a file that its namespace may not set.
 func (d *Declaration) rulesOutsideDomain(f *File) map[string]OutsideDomainError {
 	c := domainChecker{d, f, map[string]OutsideDomainError{}}
 	for i := range f.Services {
@@ -48,23 +48,24 @@
 	return c.outside
 }
 
-// check notes a rule that no part of the domain contains. Excess returns what of the rule is not in a part, or an empty
-// text.
+// check adds a rule to outside if no part of the namespace's domain contains it. Excess describes what of the rule is
+// outside a part; an empty text means that the part contains the rule.
 func (c *domainChecker) check(id, setting string, excess func(*Domain) string) {
 	reason := "it may not set " + setting
 	for _, part := range c.declaration.parts[c.file.Name] {
 		if !slices.Contains(part.domain.Settings, setting) {
 			continue
 		}
-		over := excess(part.domain)
-		if over == "" {
+		outsidePart := excess(part.domain)
+		if outsidePart == "" {
 			return
 		}
-		reason = over
+		reason = outsidePart
 	}
 	c.outside[id] = OutsideDomainError{c.file.Name, id, reason}
 }
 
+// excess returns the class if it is outside a domain, or an empty text.
 func (c *Class) excess(domain *Domain) string {
 	if len(domain.Classes) == 0 || slices.Contains(domain.Classes, c.Name) {
 		return ""
@@ -72,6 +73,7 @@
 	return fmt.Sprintf("class %q", c.Name)
 }
 
+// excess returns the zone of the override if it is outside a domain, or an empty text.
 func (o *Override) excess(domain *Domain) string {
 	if includesName(domain.Zones, o.Zone) {
 		return ""
@@ -79,6 +81,8 @@
 	return fmt.Sprintf("zone %q", o.Zone)
 }
 
+// quotaExcess allows shares of quotas that are declared and in the domain. A cap on another namespace's share also
+// needs a delegation to that namespace.
 func (c *domainChecker) quotaExcess(s *QuotaShare, domain *Domain) string {
 	if s.Namespace != "" && !slices.Contains(c.declaration.delegatorsOf(s.Namespace), c.file.Name) {
 		return fmt.Sprintf("it delegates nothing to %q", s.Namespace)
@@ -98,7 +102,8 @@
 	return fmt.Sprintf("route %s", b.Route)
 }
 
-// domainErrors returns all rules outside a domain as errors of the file, ordered by their IDs.
+// domainErrors returns the errors of all rules outside the domain, joined, each as a FileError. They are ordered by
+// rule ID, because the text must not depend on the order of a map.
 func (f *File) domainErrors(outside map[string]OutsideDomainError) error {
 	var errs []error
 	for _, id := range slices.Sorted(maps.Keys(outside)) {
--- a/internal/policy/namespace/errors.go
+++ b/internal/policy/namespace/errors.go
@@ -5,15 +5,16 @@
 	"strings"
 )
 
-// The texts, codes and advice of this package's errors are for operators and for other releases. They use the words
-// of the operators' pages: charter for ownership declaration, held back for withheld, budget for quota, whole for
-// limit, order for override.
+// The texts, codes and advice of this package's errors are read by operators, stored, and exchanged with other
+// releases, so they do not change. They use the terms of the operators' pages instead of those of the code: "charter"
+// for ownership declaration, "held back" for withheld, "budget" for quota, "whole" for limit, "order" for override,
+// "version" for the number of a file.
 
-// FileError is a fault in a file: where it is, and what it is.
+// FileError is an error in a policy file or declaration, with its position.
 type FileError struct {
 	Path string
-	Line int    // 0: no single line is at fault
-	Key  string // such as route[2].to; empty if the text is no TOML
+	Line int    // from 1; 0 if the error is not about a single line
+	Key  string // such as route[2].to; empty if the text is not valid TOML
 	Err  error
 }
 
@@ -29,7 +30,7 @@
 	return at + ": " + e.Err.Error()
 }
 
-// Unwrap returns the fault.
+// Unwrap returns the error without its position.
 func (e FileError) Unwrap() error { return e.Err }
 
 // Code returns the name of this error in messages between processes.
@@ -40,12 +41,13 @@
 	return "Mend the file at the line named and offer it again; until then its last good version holds."
 }
 
-// WithheldError reports that a submitted file was not accepted, or that rules of an accepted one were removed.
+// WithheldError reports that a submitted file was not accepted, or that rules of an accepted file were removed from the
+// policy.
 type WithheldError struct {
 	Namespace    string
-	Submitted    uint64   // number of the file that is withheld; 0 if it could not be read
-	Active       uint64   // number of the file that stays in force; 0 is none
-	RemovedRules []string // of the file that stays in force
+	Submitted    uint64   // number of the withheld file; 0 if the file could not be read
+	Active       uint64   // number of the file that stays in force; 0 if there is none
+	RemovedRules []string // IDs of rules of the file that stays in force that are not in the policy
 	Cause        error
 }
 
@@ -75,7 +77,7 @@
 		"is named, and offers a higher version."
 }
 
-// ConflictError is a conflict as an error.
+// ConflictError is the error for a conflict.
 type ConflictError struct{ Conflict Conflict }
 
 // Error implements error.
@@ -133,7 +135,8 @@
 		"A rule must lie within one part of the domain; one that spans two is written twice."
 }
 
-// DelegationCycleError is returned for delegations that lead back to where they began.
+// DelegationCycleError is returned for delegations that form a cycle. Through lists the delegators of the delegations
+// that cannot be resolved because of it, sorted.
 type DelegationCycleError struct{ Through []string }
 
 // Error implements error.
@@ -149,11 +152,11 @@
 	return "Take one of the delegations out of the charter; the charter before goes on."
 }
 
-// DelegationTooWideError is returned for a delegation of more than the delegator has.
+// DelegationTooWideError is returned for a delegation that no single part of the delegator's domain contains.
 type DelegationTooWideError struct {
 	From   string
 	To     string
-	Excess string // what the delegator does not have
+	Excess string // describes what is outside the delegator's domain
 }
 
 // Error implements error.
@@ -205,7 +208,8 @@
 	return "Have the namespace entered in the charter, or mend its name."
 }
 
-// VersionTakenError is returned for a file whose number other content has, or that is below the active one's.
+// VersionTakenError is returned for a file whose number is already used for other content, or is below the number of
+// the accepted file.
 type VersionTakenError struct {
 	Namespace string
 	Submitted uint64
@@ -229,7 +233,7 @@
 		"number."
 }
 
-// InvalidItemError is returned for an item of a policy that cannot be read, or cannot stand among the others.
+// InvalidItemError is returned for an item of a policy that cannot be decoded or that contradicts other items.
 type InvalidItemError struct {
 	Key string // such as "team/route name"
 	Err error
@@ -238,7 +242,7 @@
 // Error implements error.
 func (e InvalidItemError) Error() string { return fmt.Sprintf("policy: item %.100q: %v", e.Key, e.Err) }
 
-// Unwrap returns the fault.
+// Unwrap returns the error without the key.
 func (e InvalidItemError) Unwrap() error { return e.Err }
 
 // Code returns the name of this error in messages between processes.
--- a/internal/policy/namespace/exhaustive_test.go
+++ b/internal/policy/namespace/exhaustive_test.go
@@ -358,8 +358,8 @@
 	}
 }
 
-// overlap reports whether the domains of two namespaces have parts that intersect, and neither part was delegated by the
-// other namespace, directly or through others.
+// overlap reports whether the domains of two namespaces have parts that intersect, and neither part was delegated by
+// the other namespace, directly or through others.
 func (s *exhaustiveSearch) overlap(a, b string) bool {
 	for _, x := range s.parts(a, nil, nil) {
 		for _, y := range s.parts(b, nil, nil) {
--- a/internal/policy/namespace/file.go
+++ b/internal/policy/namespace/file.go
@@ -11,17 +11,18 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// Bounds on a declaration or a file.
+// Limits of a policy file. MaxFileBytes also limits a declaration.
 const (
-	MaxFileBytes = 16 << 20
-	maxRules     = 50_000
+	MaxFileBytes = 16 << 20 // 16 MiB
+	maxRules     = 50_000   // of all kinds together
 )
 
-// File is the policy file of a namespace. Its lists are sorted once it is parsed; nothing changes it afterwards.
+// File is the policy file of a namespace. Parse sorts the lists in which order has no meaning. A parsed file is
+// immutable.
 type File struct {
 	Version         int              `toml:"version"`   // FileVersion
-	Name            string           `toml:"namespace"` // in the declaration
-	Number          uint64           `toml:"number"`    // of this content; each new one is higher
+	Name            string           `toml:"namespace"` // of the namespace
+	Number          uint64           `toml:"number"`    // version of the content, from 1; it increases
 	Services        []Service        `toml:"service"`
 	Routes          []Route          `toml:"route"`
 	Classes         []Class          `toml:"class"`
@@ -30,98 +31,100 @@
 	Overrides       []Override       `toml:"order"`
 	StalenessBounds []StalenessBound `toml:"staleness"`
 
-	path      string
-	lines     map[string]int    // by key
-	ruleTexts map[string]string // the JSON of each rule, by its ID: tells what changed
-	ruleKeys  map[string]string // the key of each rule in the file, by its ID
-	readError error             // of UnreadableFile
+	path      string            // for errors
+	lines     map[string]int    // line of each key, for errors
+	ruleTexts map[string]string // JSON of each rule, by rule ID; compared to find which rules changed
+	ruleKeys  map[string]string // key of each rule in the file, such as route[2], by rule ID
+	readError error             // set by UnreadableFile only
 }
 
-// Service is a target of routes.
+// Service is a group of servers that routes may lead to.
 type Service struct {
 	Name      string   `toml:"name" json:"name"`
 	Discovery string   `toml:"discovery" json:"discovery,omitempty"` // host:port
 	Kinds     []string `toml:"kinds" json:"kinds,omitempty"`         // of servers
 	Cells     []int    `toml:"cells" json:"cells,omitempty"`
 	Upstream  string   `toml:"upstream" json:"upstream,omitempty"` // http or diameter
-	Removed   bool     `toml:"removed" json:"removed,omitempty"`   // no route may lead to it any more
+	Removed   bool     `toml:"removed" json:"removed,omitempty"`   // routes may no longer lead to it
 }
 
-// Route says where requests lead.
+// Route says to which services the requests of a match are sent.
 type Route struct {
 	Name string `toml:"name" json:"name"`
 	Match
 	To           []Target `toml:"to" json:"to"`
-	Sticky       string   `toml:"sticky" json:"sticky,omitempty"` // key, tenant or request; empty is key
-	MaxStaleness string   `toml:"bears" json:"bears,omitempty"`   // of StalenessLevels
+	Sticky       string   `toml:"sticky" json:"sticky,omitempty"` // key, tenant or request; empty means key
+	MaxStaleness string   `toml:"bears" json:"bears,omitempty"`   // one of StalenessLevels; empty sets no bound
 }
 
-// Target is a service with its weight.
+// Target is a service of a route, with its weight relative to the route's other targets.
 type Target struct {
 	Service string   `toml:"service" json:"service"`
-	Weight  *float64 `toml:"weight" json:"weight"` // 1 by default
+	Weight  *float64 `toml:"weight" json:"weight"` // Parse sets 1 if it is left out
 }
 
-// Class is settings of a class of requests. What is left out is left to other namespaces.
+// Class holds settings of a class of requests. A setting that is left out may be set by other namespaces.
 type Class struct {
 	Name             string                `toml:"name" json:"name"`
 	LatencyObjective strictconfig.Duration `toml:"aim" json:"aim,omitempty"`
 	Deadline         strictconfig.Duration `toml:"give_up" json:"give_up,omitempty"`
 	Effect           string                `toml:"effect" json:"effect,omitempty"` // effectSafe or effectUnsafe
 	PriorityWeight   *float64              `toml:"worth" json:"worth,omitempty"`
-	LateFraction     *float64              `toml:"late" json:"late,omitempty"` // of the weight; 0 to 1
+	LateFraction     *float64              `toml:"late" json:"late,omitempty"` // 0 to 1: part of the weight
 }
 
-// The effects of requests: a safe one may run twice, an unsafe one must never.
+// Values of Class.Effect. A safe request may be executed twice, an unsafe one must not.
 const (
 	effectSafe   = "safe"
 	effectUnsafe = "unsafe"
 )
 
-// QuotaShare is a namespace's share of a quota, in the quota's units; or a cap that it sets on a delegate.
+// QuotaShare is a namespace's share of a quota, in the quota's units, or a cap that it sets on a delegate's share.
 type QuotaShare struct {
 	Quota     string  `toml:"name" json:"name"`
-	Namespace string  `toml:"for" json:"for,omitempty"` // the delegate; empty is the file's own namespace
+	Namespace string  `toml:"for" json:"for,omitempty"` // the delegate; empty means the file's own namespace
 	Min       int64   `toml:"min" json:"min,omitempty"`
-	Cap       int64   `toml:"cap" json:"cap,omitempty"` // 0 is none
+	Cap       int64   `toml:"cap" json:"cap,omitempty"` // 0 means no cap
 	Weight    float64 `toml:"weight" json:"weight,omitempty"`
 }
 
-// Block rejects the requests that match.
+// Block rejects the requests of a match.
 type Block struct {
 	Name string `toml:"name" json:"name"`
 	Match
 }
 
-// Override takes a server out of use, or keeps it in use, from one time until before another.
+// Override takes a server out of use (detach), or keeps it in use (attach), from the time From until before Until.
 type Override struct {
 	Name   string    `toml:"name" json:"name"`
 	Server string    `toml:"server" json:"server"`
 	Zone   string    `toml:"zone" json:"zone"`
 	Action string    `toml:"do" json:"do"`       // actionDetach or actionAttach
-	From   time.Time `toml:"from" json:"from"`   // zero: always so far
-	Until  time.Time `toml:"until" json:"until"` // zero: for ever
+	From   time.Time `toml:"from" json:"from"`   // zero: no start
+	Until  time.Time `toml:"until" json:"until"` // zero: no end
 }
 
-// The actions of overrides.
+// Values of Override.Action.
 const (
 	actionDetach = "detach"
 	actionAttach = "attach"
 )
 
-// StalenessBound is the stalest level at which a route is still used.
+// StalenessBound limits how stale the endpoint list of a route may be for the route to be used.
 type StalenessBound struct {
-	Route    string `toml:"route" json:"route"` // of the own file, or namespace/route
-	MaxLevel string `toml:"bears" json:"bears"` // of StalenessLevels
+	Route    string `toml:"route" json:"route"` // a route of the same file, or namespace/route
+	MaxLevel string `toml:"bears" json:"bears"` // the stalest allowed level, one of StalenessLevels
 }
 
-// StalenessLevels returns how stale the endpoint list of a route can be, the strictest bound first.
+// StalenessLevels returns the levels of staleness of an endpoint list, the freshest (as a bound, the strictest) first.
 func StalenessLevels() []string { return []string{"confirmed", "fresh", "ageing", "doubtful", "blind"} }
 
-// UnreadableFile stands for a file that could not be read or parsed, so that Merge reports it.
+// UnreadableFile returns a placeholder for a submitted file that could not be read or parsed. Merge reports it as
+// withheld with the given error.
 func UnreadableFile(name string, err error) *File { return &File{Name: name, readError: err} }
 
-// Parse parses the file of a namespace and checks what needs no declaration. Its errors are a FileError.
+// Parse parses the policy file of a namespace in TOML, and makes all checks that need no declaration. Path is only used
+// in errors. It returns one or several joined FileErrors.
 func Parse(path string, text []byte) (*File, error) {
 	if len(text) > MaxFileBytes {
 		return nil, FileError{Path: path, Err: fmt.Errorf("%d bytes; %d are the most", len(text), MaxFileBytes)}
@@ -138,19 +141,19 @@
 	return f, nil
 }
 
-// Rules returns how many rules of all kinds the file has.
+// Rules returns the number of rules of all kinds in the file.
 func (f *File) Rules() int {
 	return len(f.Services) + len(f.Routes) + len(f.Classes) + len(f.Quotas) + len(f.Blocks) + len(f.Overrides) +
 		len(f.StalenessBounds)
 }
 
-// source is a rule of the file as the source of a value.
+// source returns the Source for the rule with an ID.
 func (f *File) source(id string) Source { return Source{f.Name, f.Number, id} }
 
 // sameRules reports whether two files have equal rules.
 func (f *File) sameRules(other *File) bool { return maps.Equal(f.ruleTexts, other.ruleTexts) }
 
-// rulesText returns all rules as one text, which orders files of one number.
+// rulesText returns all rules as a text. It gives files with the same number a fixed order.
 func (f *File) rulesText() string {
 	var text strings.Builder
 	for _, id := range slices.Sorted(maps.Keys(f.ruleTexts)) {
@@ -159,46 +162,46 @@
 	return text.String()
 }
 
-// without returns the file without some of its rules.
+// without returns a copy of the file without the rules with the given IDs.
 func (f *File) without(ids map[string]bool) *File {
-	rest := *f
-	rest.ruleTexts = map[string]string{}
+	reduced := *f
+	reduced.ruleTexts = map[string]string{}
 	for id, text := range f.ruleTexts {
 		if !ids[id] {
-			rest.ruleTexts[id] = text
+			reduced.ruleTexts[id] = text
 		}
 	}
-	rest.Services = withoutRules(f.Services, ids)
-	rest.Routes = withoutRules(f.Routes, ids)
-	rest.Classes = withoutRules(f.Classes, ids)
-	rest.Quotas = withoutRules(f.Quotas, ids)
-	rest.Blocks = withoutRules(f.Blocks, ids)
-	rest.Overrides = withoutRules(f.Overrides, ids)
-	rest.StalenessBounds = withoutRules(f.StalenessBounds, ids)
-	return &rest
+	reduced.Services = withoutRules(f.Services, ids)
+	reduced.Routes = withoutRules(f.Routes, ids)
+	reduced.Classes = withoutRules(f.Classes, ids)
+	reduced.Quotas = withoutRules(f.Quotas, ids)
+	reduced.Blocks = withoutRules(f.Blocks, ids)
+	reduced.Overrides = withoutRules(f.Overrides, ids)
+	reduced.StalenessBounds = withoutRules(f.StalenessBounds, ids)
+	return &reduced
 }
 
-// rule is a pointer to a rule of a file.
+// rule constrains a type to pointers to T that have a rule ID.
 type rule[T any] interface {
 	*T
 	id() string
 }
 
-// withoutRules returns a list without the rules of some IDs.
+// withoutRules returns a copy of a list without the rules with the given IDs.
 func withoutRules[T any, P rule[T]](list []T, ids map[string]bool) []T {
-	var rest []T
+	var remaining []T
 	for i := range list {
 		if !ids[P(&list[i]).id()] {
-			rest = append(rest, list[i])
+			remaining = append(remaining, list[i])
 		}
 	}
-	return rest
+	return remaining
 }
 
-// routeIDPrefix begins the ID of each route.
+// routeIDPrefix is the prefix of the ID of each route.
 const routeIDPrefix = "route "
 
-// The ID of a rule is its kind and its name, unique in the file.
+// The ID of a rule consists of its kind and its name. It is unique in the file.
 
 func (s *Service) id() string        { return "service " + s.Name }
 func (r *Route) id() string          { return routeIDPrefix + r.Name }
@@ -208,7 +211,7 @@
 func (o *Override) id() string       { return "order " + o.Name }
 func (b *StalenessBound) id() string { return "staleness " + b.Route }
 
-// targets returns the targets of a route in the form of package route.
+// targets returns the targets of a route as package route represents them.
 func (r *Route) targets() []route.Target {
 	var targets []route.Target
 	for _, to := range r.To {
@@ -217,7 +220,8 @@
 	return targets
 }
 
-// contradicts returns the first time at which two overrides contradict each other, if there is one.
+// contradicts returns the first time at which two overrides contradict each other, if there is one: both are in force
+// for the same server with different actions.
 func (o *Override) contradicts(other *Override) (time.Time, bool) {
 	if o.Server != other.Server || o.Action == other.Action {
 		return time.Time{}, false
@@ -226,11 +230,11 @@
 	if other.From.After(from) {
 		from = other.From
 	}
-	before := func(until time.Time) bool { return until.IsZero() || from.Before(until) }
-	return from, before(o.Until) && before(other.Until)
+	fromIsBefore := func(until time.Time) bool { return until.IsZero() || from.Before(until) }
+	return from, fromIsBefore(o.Until) && fromIsBefore(other.Until)
 }
 
-// minimum returns the minimum that a rule sets on a quota; 0 if it sets none.
+// minimum returns the minimum that the quota share with a rule ID sets, or 0 if it sets none.
 func (f *File) minimum(id string) int64 {
 	for i := range f.Quotas {
 		if f.Quotas[i].id() == id {
@@ -240,7 +244,8 @@
 	return 0
 }
 
-// countCombinations returns how many combinations of a method, a class and a tenant all routes list.
+// countCombinations returns the sum, over all routes, of the combinations of a method, a class and a tenant that the
+// route lists. An empty list counts as one value.
 func (f *File) countCombinations() int {
 	sum := 0
 	for i := range f.Routes {
--- a/internal/policy/namespace/filecheck.go
+++ b/internal/policy/namespace/filecheck.go
@@ -13,13 +13,13 @@
 	"lapisspread/internal/route"
 )
 
-// fileChecker checks what needs no declaration, and sorts what has no order.
+// fileChecker makes the checks of a file that need no declaration, and sorts the lists in which order has no meaning.
 type fileChecker struct {
 	*File
 	errs *keyErrors
 }
 
-// check checks the file, sorts its lists and enters its rules.
+// check checks the file, sorts its lists and sets ruleTexts and ruleKeys. It returns all errors, joined.
 func (f *File) check() error {
 	c := fileChecker{f, &keyErrors{path: f.path, lines: f.lines}}
 	c.errs.addIf(f.Version != FileVersion, "version", "%d; this program reads %d", f.Version, FileVersion)
@@ -47,7 +47,8 @@
 	return errors.Join(c.errs.list...)
 }
 
-// addRule adds a rule whose values are final.
+// addRule adds a rule to ruleTexts and ruleKeys. The rule must be normalized already, because its text is compared with
+// that of other versions.
 func (c *fileChecker) addRule(key, id string, rule any) {
 	text, err := json.Marshal(rule)
 	if err != nil {
@@ -106,7 +107,7 @@
 	}
 }
 
-// normalizeTargets sets default weights and sorts the targets.
+// normalizeTargets sets the weight 1 where none is given, and sorts the targets by service.
 func (r *Route) normalizeTargets() {
 	for i := range r.To {
 		if r.To[i].Weight == nil {
@@ -170,7 +171,7 @@
 		c.errs.addIf(o.Server == "" || o.Zone == "", key+".server", "server or zone is not given")
 		c.errs.addIf(o.Action != actionDetach && o.Action != actionAttach, key+".do",
 			"%q is neither detach nor attach", o.Action)
-		// A time without an offset is another time on another machine, and would give the policy another hash.
+		// A time without an offset would depend on the machine's time zone, so that the policy's hash would, too.
 		c.errs.addIf(o.From.Location() == time.Local || o.Until.Location() == time.Local, key+".from",
 			"a time needs its offset, as 2026-12-01T06:00:00Z")
 		o.From = o.From.UTC()
@@ -199,19 +200,19 @@
 		rules[i] = c.Routes[i].rule(c.Routes[i].Name, c.Routes[i].targets())
 	}
 	if _, err := route.Compile(rules, ""); err != nil {
-		// The first route at fault is the last of the shortest list that does not compile.
-		first := sort.Search(len(rules), func(i int) bool {
+		// The first invalid route is the last one of the shortest prefix of the list that does not compile.
+		firstInvalid := sort.Search(len(rules), func(i int) bool {
 			_, err := route.Compile(rules[:i+1], "")
 			return err != nil
 		})
-		_, fault, _ := strings.Cut(err.Error(), ": ")
-		fault, _, _ = strings.Cut(fault, "\n")
-		c.errs.add(fmt.Sprintf("route[%d]", first), errors.New(fault))
+		_, message, _ := strings.Cut(err.Error(), ": ")
+		message, _, _ = strings.Cut(message, "\n")
+		c.errs.add(fmt.Sprintf("route[%d]", firstInvalid), errors.New(message))
 	}
 	for i := range c.Overrides {
-		for k := range i {
-			if _, ok := c.Overrides[i].contradicts(&c.Overrides[k]); ok {
-				c.errs.addIf(true, fmt.Sprintf("order[%d]", i), "contradicts order[%d] %q", k, c.Overrides[k].Name)
+		for j := range i {
+			if _, ok := c.Overrides[i].contradicts(&c.Overrides[j]); ok {
+				c.errs.addIf(true, fmt.Sprintf("order[%d]", i), "contradicts order[%d] %q", j, c.Overrides[j].Name)
 			}
 		}
 	}
--- a/internal/policy/namespace/merge.go
+++ b/internal/policy/namespace/merge.go
@@ -169,7 +169,8 @@
 	return inForce
 }
 
-// removeRulesOutsideDomain removes the rules of the last accepted file that are outside the domain of a changed declaration.
+// removeRulesOutsideDomain removes the rules of the last accepted file that are outside the domain of a changed
+// declaration.
 func (p *participant) removeRulesOutsideDomain(d *Declaration) {
 	p.withinDomain = p.lastAccepted
 	outside := d.rulesOutsideDomain(p.lastAccepted)
--- a/internal/policy/namespace/mutation.go
+++ b/internal/policy/namespace/mutation.go
@@ -1,15 +1,16 @@
 package namespace
 
-// mutation switches rules of Merge off, one bit each. Tests set it to see that a check detects the missing rule.
+// mutation is a set of bits, each of which switches a rule of Merge off. Tests use it to show that their checks detect
+// the missing rule. Merge itself uses none.
 type mutation uint8
 
 const (
-	acceptAll         mutation = 1 << iota // conflicts are reported and nothing is withheld
-	withholdAll                            // all files in a conflict are withheld
-	arrivalOrder                           // the order of arrival is the precedence
-	noReinstatement                        // what was withheld stays so
-	withholdUnchanged                      // a file is withheld for rules that it did not change
+	acceptAll         mutation = 1 << iota // report conflicts, but withhold nothing
+	withholdAll                            // withhold all submitted files of a conflict, not only one
+	arrivalOrder                           // take the order in which files are given as the precedence
+	noReinstatement                        // do not reinstate withheld files whose conflict no longer exists
+	withholdUnchanged                      // withhold a file also for rules that it did not change
 )
 
-// hasMutation reports whether a rule is switched off.
-func (m *merger) hasMutation(which mutation) bool { return m.mutations&which != 0 }
+// hasMutation reports whether a mutation is set.
+func (m *merger) hasMutation(bit mutation) bool { return m.mutations&bit != 0 }
--- a/internal/policy/namespace/overlap.go
+++ b/internal/policy/namespace/overlap.go
@@ -7,12 +7,13 @@
 	"lapisspread/internal/route"
 )
 
-// overlaps returns the domains that intersect without a delegation between their namespaces.
+// overlaps returns a conflict for each two namespaces whose domains intersect, except where one of the intersecting
+// parts was delegated by the other namespace, directly or through others.
 func (d *Declaration) overlaps() []Conflict {
 	var all []Conflict
 	for i := range d.Namespaces {
-		for k := range i {
-			a := d.Namespaces[k].Name
+		for j := range i {
+			a := d.Namespaces[j].Name
 			b := d.Namespaces[i].Name
 			if conflict, ok := d.overlap(min(a, b), max(a, b)); ok {
 				all = append(all, conflict)
@@ -22,7 +23,7 @@
 	return all
 }
 
-// overlap compares the domains of two namespaces.
+// overlap returns the conflict of overlaps for two namespaces, if there is one.
 func (d *Declaration) overlap(a, b string) (Conflict, bool) {
 	shared := map[string]bool{}
 	var example *route.Request
--- a/internal/policy/namespace/routeindex.go
+++ b/internal/policy/namespace/routeindex.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// eachIntersecting calls f for the matches whose paths intersect those of m, and that may intersect it otherwise, until f
-// returns false. It may call f twice for one match.
+// eachIntersecting calls f for the matches whose paths intersect those of m, and that may intersect it otherwise, until
+// f returns false. It may call f twice for one match.
 func (t *pathTree) eachIntersecting(m *Match, f func(int) bool) {
 	node := t.descend(m, f)
 	if node == nil {
--- a/internal/policy/namespace/rulelist.go
+++ b/internal/policy/namespace/rulelist.go
@@ -26,8 +26,8 @@
 	kind string
 	list func(*Policy) *[]T
 	name func(*T) string
-	// sources calls f with each source of a rule. With copySources, the rule gets copies of its sources first, so that f may
-	// change them.
+	// sources calls f with each source of a rule. With copySources, the rule gets copies of its sources first, so that
+	// f may change them.
 	sources func(rule *T, copySources bool, f func(*Source))
 	// note enters a change into a diff, if that has rules of this type. Changed is nil for a removed rule.
 	record func(d *Diff, changed *T, name string)
--- a/internal/policy/namespace/settle.go
+++ b/internal/policy/namespace/settle.go
@@ -35,7 +35,8 @@
 	return first, conflict
 }
 
-// lastEligible returns the last namespace by precedence of which a rule in a conflict is eligible, and the ID of that rule.
+// lastEligible returns the last namespace by precedence of which a rule in a conflict is eligible, and the ID of that
+// rule.
 func (m *merger) lastEligible(c *Conflict, eligible func(p *participant, id string) bool) (*participant, string) {
 	var last *participant
 	var id string
