--- a/internal/policy/namespace/item.go
+++ b/internal/policy/namespace/item.go
@@ -14,24 +14,29 @@
 	"lapisspread/internal/policy/merkle"
 )
 
-// A policy is a set of items. Each rule is one, under its kind and name, such as "service payouts". If its name is that
-// of a namespace's rule, the namespace stands first, such as "dispatch/route r1", so that what a team changes together
-// lies together in the tree. The value is the JSON that the rule has in the policy's encoding, but without the numbers
-// of files: the number of a namespace's file stands once, under "dispatch/number". A new version of a file changes the
-// sources of all its rules, and only the rules that say something else shall be sent to proxies. The item "form" is the
-// policy's format.
+// A policy can be represented as a set of items, each with a key and a value. There is one item for each rule. Its key
+// is the kind and the name of the rule, such as "service payouts". If the name begins with a namespace, the key begins
+// with that namespace, such as "dispatch/route r1", so that rules that a team changes together are close together in
+// the tree.
+//
+// The value is the JSON of the rule in the policy's encoding, but without the file numbers in its sources. The number
+// of a namespace's file has an item of its own, such as "dispatch/number". This is because a new version of a file
+// changes the number in the sources of all its rules, but only rules whose content changed should be sent to proxies.
+//
+// The item "form" is the policy's format.
 const (
 	formatKey  = "form"
 	numberKind = "number"
 )
 
-// longNameBytes is how much of a name stands in a key that would be too long.
+// longNameBytes is the length of the beginning of a name that is kept in a key when the whole name is too long for it.
 const longNameBytes = 64
 
-// numberKey is the key of the number of a namespace's file.
+// numberKey returns the key of the item for the number of a namespace's file.
 func numberKey(namespace string) string { return namespace + "/" + numberKind }
 
-// ruleKey is the key of a rule. A name that would make it too long is replaced by its beginning and its hash.
+// ruleKey returns the key of a rule's item. A name that would make the key too long is replaced by its beginning and
+// its hash.
 func ruleKey(kind, name string) string {
 	if len(kind)+1+len(name) > merkle.MaxKeyBytes {
 		sum := sha256.Sum256([]byte(name))
@@ -43,7 +48,7 @@
 	return kind + " " + name
 }
 
-// splitKey returns the kind of an item and the name of its rule; of a number, its namespace.
+// splitKey returns the kind of an item and the name of its rule. For the number of a file, the name is the namespace.
 func splitKey(key string) (kind, name string) {
 	namespace, rest, ok := strings.Cut(key, "/")
 	if !ok || strings.Contains(namespace, " ") {
@@ -57,7 +62,7 @@
 	return kind, namespace + "/" + name
 }
 
-// encodeJSON returns the JSON of a value without blanks.
+// encodeJSON returns the JSON of a value without whitespace and without HTML escapes.
 func encodeJSON(v any) ([]byte, error) {
 	var text bytes.Buffer
 	encoder := json.NewEncoder(&text)
@@ -68,26 +73,28 @@
 	return bytes.TrimSuffix(text.Bytes(), []byte("\n")), nil
 }
 
-// decodeJSON decodes a value that must be written as encodeJSON writes it.
+// decodeJSON decodes a value. It returns an error if the text is not exactly what encodeJSON gives for the value.
 func decodeJSON(text []byte, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(v); err != nil {
 		return err
 	}
-	if again, err := encodeJSON(v); err != nil || !bytes.Equal(again, text) {
+	if encoded, err := encodeJSON(v); err != nil || !bytes.Equal(encoded, text) {
 		return errors.New("it is not in the one encoding that it has")
 	}
 	return nil
 }
 
-// fileOrigin is the file of a namespace that rules come from.
+// fileOrigin describes the file of a namespace that rules of a policy come from.
 type fileOrigin struct {
-	number  uint64 // 0 is none
-	sources int    // how many sources name the file
+	number  uint64 // 0 if the policy has no number for the file
+	sources int    // number of sources in the policy that name the file
 }
 
-// origins returns the files that rules come from, by namespace. Callers do not change them.
+// origins returns, by namespace, the files that the policy's rules come from. Callers must not change the map. It
+// returns an InvalidItemError if a file has no number, or if the rules of a namespace come from two versions of its
+// file.
 func (p *Policy) origins() (map[string]fileOrigin, error) {
 	if p.files != nil {
 		return p.files, nil
@@ -109,8 +116,9 @@
 	return files, err
 }
 
-// Tree returns the policy's items as a tree, whose root names the content. It returns an InvalidItemError if a list is
-// out of order or if a namespace's rules come from two versions of its file; Merge never gives such a policy.
+// Tree returns the policy's items as a Merkle tree. Its root hash identifies the content. It returns an
+// InvalidItemError if a list is not sorted, or if a namespace's rules come from two versions of its file; Merge never
+// returns such a policy.
 func (p *Policy) Tree() (*merkle.Tree, error) {
 	var items []merkle.Item
 	add := func(key string, v any) error {
@@ -141,8 +149,9 @@
 	return merkle.Build(items)
 }
 
-// FromTree returns the policy of some items. It returns an InvalidItemError for items that Tree does not give, and an
-// error of package route for routes that do not compile.
+// FromTree returns the policy that the items of a tree represent, with its routes compiled. It returns an
+// InvalidItemError for items that Tree does not produce, and wraps an error of package route if the routes do not
+// compile.
 func FromTree(t *merkle.Tree) (*Policy, error) {
 	if _, ok := t.Get(formatKey); !ok {
 		return nil, InvalidItemError{formatKey, errors.New("it is missing")}
--- a/internal/policy/namespace/itemchange.go
+++ b/internal/policy/namespace/itemchange.go
@@ -11,16 +11,18 @@
 	"lapisspread/internal/route"
 )
 
-// Diff is how a change affects the rules that route requests. A rule that only comes from another version of its file
-// is not in it.
+// Diff lists the routes and blocks that a change of a policy affects. A rule of which only the file number in the
+// source changed is not included.
 type Diff struct {
-	Routes        []PolicyRoute // new and changed ones, as they are now
-	RemovedRoutes []string      // by name
-	BlocksChanged bool          // a block was changed, added or removed
+	Routes        []PolicyRoute // added and changed routes, as they are after the change
+	RemovedRoutes []string      // names of removed routes
+	BlocksChanged bool          // whether a block was added, changed or removed
 }
 
-// With returns the policy with items set and keys removed, as FromTree gives it for the outcome, and the difference. It
-// costs what changes, and a copy of each list that does. The policy itself is not changed.
+// With returns the policy after some items are set and some keys are removed, and the difference. The new policy equals
+// the one that FromTree returns for the changed items. The cost is that of the changed items and of a copy of each list
+// that has a change. The receiver is not changed. It returns an InvalidItemError for invalid items, and wraps an error
+// of package route if the routes do not compile.
 func (p *Policy) With(set []merkle.Item, removed []string) (*Policy, *Diff, error) {
 	next, diff, err := p.withItems(set, removed)
 	if err != nil {
@@ -43,7 +45,7 @@
 	return next, diff, nil
 }
 
-// withItems returns the policy without its table, and checks all but that the routes compile.
+// withItems is like With, but it neither compiles the routes nor checks that they compile.
 func (p *Policy) withItems(set []merkle.Item, removed []string) (*Policy, *Diff, error) {
 	origins, err := p.origins()
 	if err != nil {
@@ -85,17 +87,17 @@
 	return &next, c.diff, nil
 }
 
-// itemChanges is a change of a policy's items.
+// itemChanges collects the changes of a policy's items while they are applied.
 type itemChanges struct {
-	set          map[string][]merkle.Item // by kind
-	removed      map[string][]string      // keys, by kind
-	files        map[string]fileOrigin    // by namespace, after the change
-	renumbered   []string                 // namespaces that have rules, and whose file has another number
-	changedFiles map[string]bool          // namespaces of which a source or the number changed
+	set          map[string][]merkle.Item // items of rules to set, by kind
+	removed      map[string][]string      // keys of rules to remove, by kind
+	files        map[string]fileOrigin    // by namespace, as they are after the change
+	renumbered   []string                 // namespaces that have rules and whose file has a new number
+	changedFiles map[string]bool          // namespaces whose number of sources or file number changed
 	diff         *Diff
 }
 
-// remove enters a key that is removed.
+// remove adds the removal of a key to the changes.
 func (c *itemChanges) remove(key string) error {
 	kind, name := splitKey(key)
 	switch kind {
@@ -109,7 +111,7 @@
 	return nil
 }
 
-// add enters an item that is set.
+// add adds the setting of an item to the changes. Format is the policy's format, which the format item must not change.
 func (c *itemChanges) add(item merkle.Item, format int) error {
 	kind, name := splitKey(item.Key)
 	switch {
@@ -131,11 +133,12 @@
 	return nil
 }
 
-// isRuleKind reports whether some list has rules of a kind.
+// isRuleKind reports whether a policy has a list of rules of a kind.
 func isRuleKind(kind string) bool {
 	return slices.ContainsFunc(ruleLists, func(list ruleList) bool { return list.ruleKind() == kind })
 }
 
+// setNumber sets the number of a namespace's file; 0 removes it.
 func (c *itemChanges) setNumber(namespace string, number uint64) {
 	f := c.files[namespace]
 	if f.number != number && f.sources > 0 {
@@ -145,7 +148,7 @@
 	c.changedFiles[namespace] = true
 }
 
-// countSource notes that one more source names a namespace's file, or one less.
+// countSource adds delta (1 or -1) to the number of sources that name a namespace's file.
 func (c *itemChanges) countSource(namespace string, delta int) {
 	f := c.files[namespace]
 	f.sources += delta
@@ -153,12 +156,13 @@
 	c.changedFiles[namespace] = true
 }
 
-// hasOldNumber reports whether a source has a number that its file no longer has.
+// hasOldNumber reports whether a source has the number that its file had before the change.
 func (c *itemChanges) hasOldNumber(s *Source) bool {
 	return slices.Contains(c.renumbered, s.Namespace) && s.Number != c.files[s.Namespace].number
 }
 
-// checkFiles checks that a file has a number if, and only if, rules come from it.
+// checkFiles checks that each changed file has a number if and only if rules come from it. It forgets files with
+// neither.
 func (c *itemChanges) checkFiles() error {
 	for _, namespace := range slices.Sorted(maps.Keys(c.changedFiles)) {
 		switch f := c.files[namespace]; {
--- a/internal/policy/namespace/match.go
+++ b/internal/policy/namespace/match.go
@@ -8,22 +8,24 @@
 	"lapisspread/internal/route"
 )
 
-// The set of hosts of one pattern contains, or is disjoint from, that of any other pattern; so it is with paths. The
-// intersection of two patterns is therefore the inner one, and conflicts are found without sampling requests.
+// Of two host patterns, either one contains the other or they have no host in common. The same holds for path patterns.
+// So the intersection of two patterns, if it is not empty, is the narrower one, and conflicts are found exactly,
+// without sampling requests.
 
-// Values of a request where a match leaves them open.
+// Values of an example request where a match allows any value.
 const (
 	exampleMethod = "GET"
 	exampleValue  = "any"
 )
 
-// Precedence of exact patterns, above that of any wildcard or prefix.
+// Precedences of exact patterns. They are above those of all wildcards and prefixes, which are their lengths plus one.
 const (
 	exactHostPrecedence = 1 << 20
 	exactPathPrecedence = 1 << 30
 )
 
-// Match is the requests that a rule is for, as package route defines them. An empty list is any value.
+// Match says which requests a rule applies to, with the semantics of package route. An empty list or pattern allows any
+// value.
 type Match struct {
 	Host       string   `toml:"host" json:"host,omitempty"`
 	Path       string   `toml:"path" json:"path,omitempty"`
@@ -33,24 +35,26 @@
 	Tenants    []string `toml:"tenants" json:"tenants,omitempty"`
 }
 
-// lists returns the lists of a match.
+// lists returns the methods, classes and tenants of a match.
 func (m *Match) lists() [3][]string { return [...][]string{m.Methods, m.Classes, m.Tenants} }
 
-// validate returns what is wrong with a match, in the words of package route.
+// validate returns the error that package route has for the match, without its prefix, or nil.
 func (m *Match) validate() error {
 	_, err := route.Compile([]route.Rule{m.probeRule("")}, "")
 	if err == nil {
 		return nil
 	}
-	_, fault, _ := strings.Cut(err.Error(), ": ")
-	return errors.New(fault)
+	_, message, _ := strings.Cut(err.Error(), ": ")
+	return errors.New(message)
 }
 
-// probeRule is a rule for the match that leads to a service of no matter.
+// probeRule returns a rule of package route with the match and an arbitrary service. It is only used to check the match
+// and to test whether requests match.
 func (m *Match) probeRule(name string) route.Rule {
 	return m.rule(name, []route.Target{{Service: "x", Weight: 1}})
 }
 
+// rule returns a rule of package route with the match.
 func (m *Match) rule(name string, targets []route.Target) route.Rule {
 	return route.Rule{
 		Name:       name,
@@ -64,7 +68,7 @@
 	}
 }
 
-// intersect returns a request that both match, if there is one.
+// intersect returns an example request that both match, if there is one.
 func (m *Match) intersect(other *Match) (route.Request, bool) {
 	host, ok := hostIntersection(m.Host, other.Host)
 	if !ok {
@@ -98,8 +102,8 @@
 		listWithin(other.Tenants, m.Tenants)
 }
 
-// precedence orders rules as package route does: compared field by field, the higher one is looked at first. The
-// fields are the host, the path, and which lists are given, one bit each.
+// precedence returns the precedence of a match, as in package route. Precedences are compared element by element; the
+// rule with the higher one is tried first. The elements are the host, the path, and a bit for each list that is given.
 func (m *Match) precedence() [3]int {
 	var p [3]int
 	if suffix, wildcard := strings.CutPrefix(m.Host, "*."); wildcard {
@@ -121,7 +125,7 @@
 	return p
 }
 
-// hostWithin reports whether every host of one pattern is one of another. An empty pattern is any host.
+// hostWithin reports whether the outer host pattern contains every host of the inner one. An empty pattern is any host.
 func hostWithin(inner, outer string) bool {
 	if outer == "" || inner == outer {
 		return true
@@ -130,6 +134,7 @@
 	return wildcard && inner != "" && strings.HasSuffix(inner, suffix)
 }
 
+// hostIntersection returns the pattern of the hosts that are in both patterns, if there are any.
 func hostIntersection(a, b string) (string, bool) {
 	switch {
 	case hostWithin(a, b):
@@ -140,7 +145,7 @@
 	return "", false
 }
 
-// exampleHost is a host of a pattern, with a label where the pattern leaves one open.
+// exampleHost returns a host of a pattern. It uses the label where the pattern allows any.
 func exampleHost(pattern, label string) string {
 	switch {
 	case pattern == "":
@@ -151,7 +156,7 @@
 	return pattern
 }
 
-// pathPattern is one path, or all paths under a prefix by segment. The prefix "/" is any path.
+// pathPattern is one path, or all paths that begin with the segments of a prefix. The prefix "/" is any path.
 type pathPattern struct {
 	path  string
 	exact bool
@@ -169,6 +174,7 @@
 
 func (p pathPattern) isAny() bool { return p.path == "/" && !p.exact }
 
+// within reports whether the outer pattern contains every path of p.
 func (p pathPattern) within(outer pathPattern) bool {
 	if outer.exact {
 		return p == outer
@@ -176,6 +182,7 @@
 	return outer.path == "/" || p.path == outer.path || strings.HasPrefix(p.path, outer.path+"/")
 }
 
+// pathIntersection returns the pattern of the paths that are in both patterns, if there are any.
 func pathIntersection(a, b pathPattern) (pathPattern, bool) {
 	switch {
 	case a.within(b):
@@ -186,8 +193,8 @@
 	return pathPattern{}, false
 }
 
-// listWithin reports whether each value of one list is one of another. An empty list is any value, of which there is
-// no end.
+// listWithin reports whether the outer list allows every value that the inner one allows. An empty list allows any
+// value, so it is only within another empty list.
 func listWithin(inner, outer []string) bool {
 	if len(outer) == 0 {
 		return true
@@ -196,11 +203,11 @@
 	return len(inner) > 0 && !slices.ContainsFunc(inner, missing)
 }
 
-// listIntersection is the values that two lists have in common.
+// listIntersection describes the values that two lists both allow.
 type listIntersection struct {
-	smallest     string
-	unrestricted bool // all values
-	nonEmpty     bool // at least one
+	smallest     string // the first common value in string order; empty if unrestricted
+	unrestricted bool   // any value is common
+	nonEmpty     bool   // at least one value is common
 }
 
 func intersectLists(a, b []string) listIntersection {
@@ -222,11 +229,11 @@
 	return common
 }
 
-// commonValue returns a value that both lists have; open if both have any.
-func commonValue(a, b []string, open string) (string, bool) {
+// commonValue returns a value that both lists allow, if there is one. If both allow any value, it returns anyValue.
+func commonValue(a, b []string, anyValue string) (string, bool) {
 	common := intersectLists(a, b)
 	if common.unrestricted {
-		return open, true
+		return anyValue, true
 	}
 	return common.smallest, common.nonEmpty
 }
--- a/internal/policy/namespace/merge.go
+++ b/internal/policy/namespace/merge.go
@@ -11,27 +11,30 @@
 type Outcome struct {
 	Policy    *Policy
 	Hash      string          // of the policy
-	Withheld  []WithheldError // by namespace
-	Conflicts []Conflict
-	Accepted  []*File // by namespace: what the next merge takes as accepted
+	Withheld  []WithheldError // sorted by namespace
+	Conflicts []Conflict      // all conflicts, sorted; those that withheld a file name its namespace
+	Accepted  []*File         // sorted by namespace; the accepted files for the next merge
 }
 
-// Merge merges submitted files over the last accepted ones. A file that is invalid or that brings a conflict is
-// withheld, and its namespace goes on with its last accepted file; nobody else waits. The outcome depends on the files
+// Merge merges the submitted files with the last accepted ones into a policy. A submitted file that is invalid or
+// causes a conflict is withheld: its namespace's last accepted file stays in force, and the files of other namespaces
+// are not delayed. A namespace that submits no file keeps its last accepted one. The outcome depends on the files
 // alone, not on the order in which they are given:
 //
-//   - Of the namespaces in a conflict, one is withheld that added or changed a rule of it and whose last accepted file
-//     would not have the conflict. If that holds for several, it is the last by precedence: those nearer to the root of
-//     the delegations come first, then it is by name.
-//   - If none did (the declaration has changed), the rule of the last one by precedence is removed from its accepted
-//     file. It returns with the first merge in which it conflicts with nothing.
-//   - So the policy has no conflict that withholds a file. The others are in Outcome.Conflicts.
-//
-// A namespace that submits nothing goes on with its last accepted file.
+//   - For each conflict, one submitted file is withheld. It is one that added, changed or removed one of the
+//     conflicting rules, and whose namespace's last accepted file would not have the conflict. If that holds for
+//     several files, it is the one whose namespace is last by precedence. Namespaces with fewer delegations between
+//     them and a root have precedence; namespaces at the same depth are ordered by name.
+//   - If no submitted file did, as after a change of the declaration, the conflicting rule of the namespace that is
+//     last by precedence is removed from the policy. Its file stays accepted, and the rule returns in the first merge
+//     in which it has no conflict.
+//   - So the policy has no conflict that withholds a file. Outcome.Conflicts also has the conflicts that are only
+//     reported.
 func Merge(d *Declaration, accepted, submitted []*File) Outcome {
 	return merge(d, accepted, submitted, 0)
 }
 
+// merge is Merge with some of its rules switched off.
 func merge(d *Declaration, accepted, submitted []*File, mutations mutation) Outcome {
 	m := newMerger(d, mutations)
 	m.addAccepted(accepted)
@@ -59,22 +62,22 @@
 	declaration       *Declaration
 	mutations         mutation
 	participants      map[string]*participant
-	unknown           map[string]*WithheldError // files of namespaces that the declaration does not have
-	namesByPrecedence []string                  // of participants, by precedence
-	ranks             map[string]int            // in names
+	unknown           map[string]*WithheldError // by namespace: files of namespaces that are not declared
+	namesByPrecedence []string                  // of participants, the highest precedence first
+	ranks             map[string]int            // index in namesByPrecedence
 	conflicts         []Conflict
-	reported          map[string]bool // conflicts, by their texts
+	reported          map[string]bool // texts of the conflicts that were added already
 }
 
-// participant is a namespace in a merge. A file is nil where there is none.
+// participant is a namespace in a merge. Files that do not exist are nil.
 type participant struct {
 	name         string
 	lastAccepted *File           // as it was submitted
-	withinDomain *File           // lastAccepted without the rules that are outside the domain now
-	submitted    *File           // what may be accepted
-	withheldFile *File           // what was submitted and withheld for a conflict
-	active       *File           // what takes part in the policy
-	removedRules map[string]bool // IDs of rules of lastAccepted that do not
+	withinDomain *File           // lastAccepted without the rules outside the current domain
+	submitted    *File           // the submitted file, until it is withheld
+	withheldFile *File           // the submitted file, after it was withheld for a conflict
+	active       *File           // the file, or part of it, that is merged into the policy
+	removedRules map[string]bool // IDs of rules that were removed from the active file
 	withheld     *WithheldError
 }
 
@@ -93,7 +96,7 @@
 	return m
 }
 
-// addAccepted notes the last accepted file of each namespace.
+// addAccepted sets the last accepted file of each namespace.
 func (m *merger) addAccepted(files []*File) {
 	for _, f := range files {
 		p := m.participants[f.Name]
@@ -107,16 +110,18 @@
 	}
 }
 
-// newerThan orders files of one namespace. Of two with one number the texts decide, so that their order does not.
+// newerThan orders files of one namespace by number. Files with the same number are ordered by their texts, so that the
+// order in which they are given has no influence.
 func (f *File) newerThan(other *File) bool {
 	return f.Number > other.Number || f.Number == other.Number && f.rulesText() < other.rulesText()
 }
 
+// unknownNamespace returns the error for a file of a namespace that the declaration does not have.
 func unknownNamespace(f *File) *WithheldError {
 	return &WithheldError{Namespace: f.Name, Submitted: f.Number, Cause: UnknownNamespaceError{f.Name}}
 }
 
-// addSubmitted returns the submitted files by namespace.
+// addSubmitted returns the submitted files by namespace. Files of undeclared namespaces are only added to unknown.
 func (m *merger) addSubmitted(files []*File) map[string][]*File {
 	submissions := map[string][]*File{}
 	for _, f := range files {
@@ -131,7 +136,7 @@
 	return submissions
 }
 
-// rank orders the namespaces by precedence.
+// rank sets namesByPrecedence and ranks: namespaces with a smaller delegation depth come first, then it is by name.
 func (m *merger) rank(accepted, submitted []*File) {
 	depth := m.declaration.depth
 	m.namesByPrecedence = slices.SortedFunc(maps.Keys(m.participants), func(a, b string) int {
@@ -150,8 +155,8 @@
 	}
 }
 
-// chooseFiles chooses the active file of each namespace, before conflicts are looked at. It returns the files that are
-// in force without the submitted ones.
+// chooseFiles sets the active file of each namespace before conflicts are considered. It returns the files that are in
+// force if no submitted file is accepted.
 func (m *merger) chooseFiles(submissions map[string][]*File) []*File {
 	var inForce []*File
 	for _, name := range m.namesByPrecedence {
@@ -184,7 +189,9 @@
 	p.withinDomain = p.lastAccepted.without(p.removedRules)
 }
 
-// chooseSubmitted takes the submitted file with the highest number, if it may be accepted.
+// chooseSubmitted sets submitted to the file with the highest number, or withholds that file: if another file has the
+// same number with other rules, if the number is not above that of the last accepted file, or if a rule is outside the
+// domain. The last accepted file may be submitted again.
 func (p *participant) chooseSubmitted(d *Declaration, files []*File) {
 	unreadable := p.withholdUnreadable(files)
 	highest, ambiguous := highestNumber(files)
@@ -207,11 +214,12 @@
 	p.submitted = highest
 	p.removedRules = map[string]bool{}
 	if !unreadable {
-		p.withheld = nil // what was outside the domain is replaced
+		p.withheld = nil // the rules that were outside the domain are no longer in the file
 	}
 }
 
-// withholdUnreadable reports the unreadable file whose error is the least, so that their order does not matter.
+// withholdUnreadable withholds unreadable files, and reports whether there are any. Of several errors it keeps the
+// first in string order, so that the order of the files has no influence.
 func (p *participant) withholdUnreadable(files []*File) bool {
 	var errs []string
 	for _, f := range files {
@@ -226,8 +234,8 @@
 	return len(errs) > 0
 }
 
-// highestNumber returns the readable file with the highest number, and whether another one has that number and other
-// rules.
+// highestNumber returns the readable file with the highest number, and whether another file has the same number but
+// other rules.
 func highestNumber(files []*File) (*File, bool) {
 	var highest *File
 	ambiguous := false
@@ -244,11 +252,12 @@
 	return highest, ambiguous
 }
 
+// withhold records that the file with a number is withheld, and why.
 func (p *participant) withhold(number uint64, cause error) {
 	p.withheld = &WithheldError{Namespace: p.name, Submitted: number, Cause: cause}
 }
 
-// activeFiles returns the files that take part in the policy, by precedence.
+// activeFiles returns the active files of all namespaces, the highest precedence first.
 func (m *merger) activeFiles() []*File {
 	var files []*File
 	for _, name := range m.namesByPrecedence {
@@ -259,7 +268,7 @@
 	return files
 }
 
-// report adds conflicts to the outcome, each once.
+// report adds conflicts to those of the outcome. Conflicts with the same text are added once.
 func (m *merger) report(conflicts []Conflict) {
 	for _, c := range conflicts {
 		text := c.String()
@@ -270,7 +279,7 @@
 	}
 }
 
-// outcome collects the results, in an order that does not depend on that of the files.
+// outcome returns the results, sorted so that they do not depend on the order of the given files.
 func (m *merger) outcome() Outcome {
 	policy := assemble(m.declaration, m.activeFiles())
 	m.setWithheldNamespaces()
@@ -296,7 +305,7 @@
 	return out
 }
 
-// withheldError is what is reported of a namespace of which something was withheld.
+// withheldError returns the error for a namespace that has a file or rules withheld.
 func (p *participant) withheldError() WithheldError {
 	withheld := *p.withheld
 	withheld.RemovedRules = slices.Sorted(maps.Keys(p.removedRules))
@@ -307,7 +316,8 @@
 	return withheld
 }
 
-// setWithheldNamespaces names the namespace that was withheld for each conflict: of several, the last by precedence.
+// setWithheldNamespaces sets Conflict.Withheld of each conflict for which a file was withheld. If several namespaces of
+// a conflict have something withheld, it is the last by precedence.
 func (m *merger) setWithheldNamespaces() {
 	for i := range m.conflicts {
 		c := &m.conflicts[i]
--- a/internal/policy/namespace/policy.go
+++ b/internal/policy/namespace/policy.go
@@ -15,10 +15,11 @@
 	"lapisspread/internal/route"
 )
 
-// policyFormat is the format of policies that this program reads and writes.
+// policyFormat is the format version of the policies that this program reads and writes.
 const policyFormat = 1
 
-// Policy is the merged rules of all namespaces. All lists are sorted, so it has one encoding. It is immutable.
+// Policy holds the merged rules of all namespaces. All lists are sorted, so that it has a single encoding. It is
+// immutable.
 type Policy struct {
 	Format          int                    `json:"form"` // policyFormat
 	Services        []PolicyService        `json:"services"`
@@ -29,9 +30,9 @@
 	Overrides       []PolicyOverride       `json:"orders"`
 	StalenessBounds []PolicyStalenessBound `json:"staleness"`
 
-	// Both are set where the policy was decoded, and nil otherwise.
-	table *route.Table          // of the routes
-	files map[string]fileOrigin // that the rules come from, by namespace
+	// Values derived from the lists. Where they are nil, Table and origins compute them on each call.
+	table *route.Table          // compiled routes; set by Decode, FromTree and With
+	files map[string]fileOrigin // files that the rules come from, by namespace; set by FromTree and With
 }
 
 // PolicyService is a service that routes may lead to.
@@ -40,13 +41,13 @@
 	Sources []Source `json:"from"`
 }
 
-// PolicyRoute is a route under the name namespace/name.
+// PolicyRoute is a route. Its name is namespace/name.
 type PolicyRoute struct {
 	Route
 	Source Source `json:"from"`
 }
 
-// PolicyClass is the merged settings of a class; nil where no rule sets any.
+// PolicyClass holds the merged settings of a class. A setting that no rule sets is nil.
 type PolicyClass struct {
 	Name             string                `json:"name"`
 	LatencyObjective *Value[time.Duration] `json:"aim,omitempty"`
@@ -56,7 +57,7 @@
 	LateFraction     *Value[float64]       `json:"late,omitempty"`
 }
 
-// PolicyShare is a namespace's share of a quota, in the quota's units.
+// PolicyShare is a namespace's merged share of a quota, in the quota's units. A value that no rule sets is nil.
 type PolicyShare struct {
 	Quota     string          `json:"budget"`
 	Limit     int64           `json:"whole"` // of the quota
@@ -66,42 +67,42 @@
 	Weight    *Value[float64] `json:"weight,omitempty"`
 }
 
-// PolicyBlock is a block under the name namespace/name.
+// PolicyBlock is a block. Its name is namespace/name.
 type PolicyBlock struct {
 	Block
 	Source Source `json:"from"`
 }
 
-// PolicyOverride is an override under the name namespace/name.
+// PolicyOverride is an override. Its name is namespace/name.
 type PolicyOverride struct {
 	Override
 	Source Source `json:"from"`
 }
 
-// PolicyStalenessBound is the stalest level at which a route is used.
+// PolicyStalenessBound is the merged staleness bound of a route. Route is namespace/name.
 type PolicyStalenessBound struct {
 	Route    string         `json:"route"`
 	MaxLevel *Value[string] `json:"bears"`
 }
 
-// Encode returns the one encoding of a policy: JSON without blanks, with fields in a fixed order.
+// Encode returns the only valid encoding of the policy: JSON without whitespace, with the fields in a fixed order.
 func (p *Policy) Encode() []byte {
 	text, err := encodeJSON(p)
 	if err != nil {
-		panic(err) // every value was checked when it was parsed
+		panic(err) // cannot happen: every value was checked when it was parsed
 	}
 	return text
 }
 
-// Hash returns the SHA-256 (FIPS 180-4) of the encoding, in hexadecimal. The hash must resist collisions, because teams
-// that do not trust each other write what is hashed, and a proxy installs what a hash names.
+// Hash returns the SHA-256 (FIPS 180-4) of the encoding in hexadecimal. The hash must resist collisions: the hashed
+// content is written by teams that do not trust each other, and proxies install the policy that a hash identifies.
 func (p *Policy) Hash() string {
 	sum := sha256.Sum256(p.Encode())
 	return hex.EncodeToString(sum[:])
 }
 
-// Decode decodes the encoding of a policy. It returns an error for any text that Encode does not give, and for routes
-// that do not compile.
+// Decode decodes a policy and compiles its routes. It returns an error for any text that Encode does not produce, and
+// for routes that do not compile.
 func Decode(text []byte) (*Policy, error) {
 	p := &Policy{}
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -134,7 +135,8 @@
 	return nil
 }
 
-// QuotaShares returns the namespaces' shares of a quota in the form of package processquota.
+// QuotaShares returns the namespaces' shares of a quota, by namespace, as package processquota represents them. Units
+// are those of the quota.
 func (p *Policy) QuotaShares(quota string) map[string]processquota.Share {
 	shares := map[string]processquota.Share{}
 	for _, s := range p.Shares {
@@ -156,7 +158,7 @@
 	return shares
 }
 
-// Rules returns the routes in the form of package route.
+// Rules returns the routes as package route represents them.
 func (p *Policy) Rules() []route.Rule {
 	rules := make([]route.Rule, len(p.Routes))
 	for i := range p.Routes {
@@ -167,7 +169,8 @@
 
 func (r *PolicyRoute) rule() route.Rule { return r.Match.rule(r.Name, r.targets()) }
 
-// Table returns the compiled routes. Those of a policy from Decode, FromTree or With are compiled already.
+// Table returns the compiled routes. It compiles them on each call, unless the policy is from Decode, FromTree or With,
+// which compile them once. It returns an error of package route if the routes do not compile.
 func (p *Policy) Table() (*route.Table, error) {
 	if p.table != nil {
 		return p.table, nil
@@ -175,6 +178,7 @@
 	return route.Compile(p.Rules(), "")
 }
 
+// compile compiles the routes and keeps the table. It is called before the policy is shared with other goroutines.
 func (p *Policy) compile() error {
 	table, err := p.Table()
 	if err != nil {
@@ -184,17 +188,18 @@
 	return nil
 }
 
-// Explanation is what a policy does with a request, and by whose rules.
+// Explanation says how a policy handles a request, and which rules that comes from.
 type Explanation struct {
 	Verdict   route.Verdict
-	Route     *PolicyRoute // nil if none is found
-	Blocks    []PolicyBlock
-	Class     *PolicyClass          // nil if no rule sets any of it
+	Route     *PolicyRoute          // nil if no route matches
+	Blocks    []PolicyBlock         // all blocks that match the request
+	Class     *PolicyClass          // settings of the request's class; nil if no rule sets any
 	Staleness *PolicyStalenessBound // of the route; nil if no rule sets one
-	Reasons   []route.Explanation   // why that route, and why none of the others
+	Reasons   []route.Explanation   // why the route was chosen, and why each other one was not
 }
 
-// Explain returns what becomes of a request. It looks at all rules: it is for operators, not for requests.
+// Explain returns how the policy handles a request. It examines all rules, so it is for questions of operators, not for
+// the handling of requests.
 func (p *Policy) Explain(request *route.Request) (Explanation, error) {
 	table, err := p.Table()
 	if err != nil {
@@ -217,7 +222,7 @@
 	return out, nil
 }
 
-// route returns a route that is there.
+// route returns the route with a name, which must exist.
 func (p *Policy) route(name string) *PolicyRoute {
 	i, _ := slices.BinarySearchFunc(p.Routes, name, func(r PolicyRoute, name string) int {
 		return strings.Compare(r.Name, name)
@@ -225,7 +230,7 @@
 	return &p.Routes[i]
 }
 
-// stalenessBound returns the bound of a route, or nil.
+// stalenessBound returns the staleness bound of a route, or nil if it has none.
 func (p *Policy) stalenessBound(routeName string) *PolicyStalenessBound {
 	for i := range p.StalenessBounds {
 		if p.StalenessBounds[i].Route == routeName {
--- a/internal/policy/namespace/position.go
+++ b/internal/policy/namespace/position.go
@@ -11,7 +11,8 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// keyLines returns the line of each key of a TOML text, under names such as "route[2].to" and "route[2]".
+// keyLines returns the line, from 1, of each key and table of a TOML text. The keys of the map are such as
+// "route[2].to" and "route[2]".
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	counter := lineCounter{text: text, line: 1}
@@ -40,14 +41,14 @@
 	return lines
 }
 
-// lineCounter counts the lines of a text up to offsets that rise.
+// lineCounter returns the lines of offsets in a text. The offsets must be given in increasing order.
 type lineCounter struct {
 	text   []byte
 	offset int
 	line   int
 }
 
-// key returns the key of an expression and its line; 0 if it has no key.
+// key returns the dotted key of a TOML expression and its line, or 0 if the expression has no key.
 func (c *lineCounter) key(expression *unstable.Node) (string, int) {
 	var parts []string
 	line := 0
@@ -60,6 +61,7 @@
 	return strings.Join(parts, "."), line
 }
 
+// lineAt returns the line of an offset.
 func (c *lineCounter) lineAt(offset int) int {
 	if offset > c.offset {
 		c.line += bytes.Count(c.text[c.offset:offset], []byte("\n"))
@@ -68,7 +70,7 @@
 	return c.line
 }
 
-// keyError is a FileError at a key. Its line is that of the key, or that of the table it should be in.
+// keyError returns a FileError for a key. Its line is that of the key or, if the key is missing, that of its table.
 func keyError(path string, lines map[string]int, key string, err error) error {
 	line, ok := lines[key]
 	if i := strings.LastIndexByte(key, '.'); !ok && i >= 0 {
@@ -77,30 +79,32 @@
 	return FileError{path, line, key, err}
 }
 
-// keyErrors collects the faults of one file.
+// keyErrors collects the errors in one policy file or declaration.
 type keyErrors struct {
 	path  string
 	lines map[string]int
 	list  []error
 }
 
+// add adds an error at a key.
 func (e *keyErrors) add(key string, err error) {
 	e.list = append(e.list, keyError(e.path, e.lines, key, err))
 }
 
-// addIf adds a fault if it is one.
-func (e *keyErrors) addIf(fault bool, key, format string, args ...any) {
-	if fault {
+// addIf adds an error at a key if the condition holds.
+func (e *keyErrors) addIf(invalid bool, key, format string, args ...any) {
+	if invalid {
 		e.add(key, fmt.Errorf(format, args...))
 	}
 }
 
-// checkName adds a fault if a name is not plain.
+// checkName adds an error unless a name is valid for strictconfig: 1 to 64 lower-case letters, digits and dashes.
 func (e *keyErrors) checkName(key, name string) {
 	e.addIf(!strictconfig.ValidName(name), key, "%q: wanted small letters, digits and dashes", name)
 }
 
-// decodeFile decodes a TOML text strictly. Its errors are a FileError.
+// decodeFile decodes a TOML text and rejects unknown keys. It returns a FileError with the line that strictconfig
+// reports.
 func decodeFile(path string, text []byte, v any) error {
 	err := strictconfig.Decode(path, text, v)
 	if err == nil {
--- a/internal/policy/namespace/routeindex.go
+++ b/internal/policy/namespace/routeindex.go
@@ -5,12 +5,14 @@
 	"strings"
 )
 
-// routeIndex finds matches by host pattern, then by path. Matches are named by numbers.
+// routeIndex finds matches by host pattern, then by path. The caller identifies each match by a number.
 type routeIndex map[string]*pathTree
 
+// add adds a match under a number.
 func (x routeIndex) add(m *Match, id int) { getOrCreate(x, m.Host).add(m, id) }
 
-// routeIndexFor returns the index of a file's routes, named by their places in the file.
+// routeIndexFor returns the index of a file's routes, identified by their positions in File.Routes. It caches the
+// index.
 func (f *finder) routeIndexFor(file *File) routeIndex {
 	index, ok := f.indexes[file]
 	if !ok {
@@ -23,7 +25,7 @@
 	return index
 }
 
-// eachOuterHost calls f for a host pattern and for each that contains it.
+// eachOuterHost calls f for a host pattern and for each pattern that contains it, the narrowest first.
 func eachOuterHost(host string, f func(string)) {
 	f(host)
 	rest := strings.TrimPrefix(host, "*.")
@@ -40,15 +42,15 @@
 	}
 }
 
-// pathTree is a tree of path segments: it finds the patterns that contain a path pattern and those within it.
+// pathTree is a tree of path segments. It finds the matches whose path patterns contain a given one or are within it.
 type pathTree struct {
-	children   map[string]*pathTree
-	childNames []string // of children, sorted
-	exact      matchBucket
-	prefix     matchBucket
+	children   map[string]*pathTree // by segment
+	childNames []string             // keys of children, sorted
+	exact      matchBucket          // matches for exactly this path
+	prefix     matchBucket          // matches for this path as a prefix
 }
 
-// eachSegment calls f with each segment of a path until it returns false. It reports whether f never did.
+// eachSegment calls f with each segment of a path until f returns false. It returns true if f never returned false.
 func (p pathPattern) eachSegment(f func(string) bool) bool {
 	if p.isAny() {
 		return true
@@ -61,6 +63,7 @@
 	return true
 }
 
+// add adds a match under a number.
 func (t *pathTree) add(m *Match, id int) {
 	pattern := m.pathPattern()
 	pattern.eachSegment(func(segment string) bool {
@@ -81,8 +84,8 @@
 	}
 }
 
-// eachIntersecting calls f for the matches whose paths intersect those of m, and that may intersect it otherwise, until
-// f returns false. It may call f twice for one match.
+// eachIntersecting calls f for the matches whose paths intersect those of m and whose lists may intersect those of m,
+// until f returns false. It may call f twice for the same match.
 func (t *pathTree) eachIntersecting(m *Match, f func(int) bool) {
 	node := t.descend(m, f)
 	if node == nil {
@@ -95,7 +98,7 @@
 	node.eachBelow(m, f)
 }
 
-// eachContaining is like eachIntersecting, but only for the matches whose paths contain all of m's.
+// eachContaining is like eachIntersecting, but only for the matches whose paths contain all paths of m.
 func (t *pathTree) eachContaining(m *Match, f func(int) bool) {
 	node := t.descend(m, f)
 	if node == nil {
@@ -104,8 +107,8 @@
 	_ = node.prefix.each(m, f) && m.pathPattern().exact && node.exact.each(m, f)
 }
 
-// descend calls f for the matches whose paths strictly contain those of m, and returns the node of m's path. It returns
-// nil if there is none or if f returned false.
+// descend calls f for the matches with a shorter prefix that contains all paths of m, and returns the node of m's path.
+// It returns nil if there is no such node or if f returned false.
 func (t *pathTree) descend(m *Match, f func(int) bool) *pathTree {
 	node := t
 	m.pathPattern().eachSegment(func(segment string) bool {
@@ -119,7 +122,8 @@
 	return node
 }
 
-// eachBelow calls f for all matches of a subtree that may intersect m.
+// eachBelow calls f for all matches of a subtree that may intersect m, until f returns false. It returns true if f
+// never returned false.
 func (t *pathTree) eachBelow(m *Match, f func(int) bool) bool {
 	if !t.prefix.each(m, f) || !t.exact.each(m, f) {
 		return false
@@ -132,12 +136,13 @@
 	return true
 }
 
-// matchBucket holds matches of one host pattern and path pattern. Those that list tenants, or else classes, are found
-// by them: many teams have rules for one path that only their tenants tell apart.
+// matchBucket holds the matches with the same host and path patterns. Matches that list tenants are found by tenant,
+// and others that list classes by class. This keeps searches fast when many teams have rules for the same path that
+// differ only in their tenants.
 type matchBucket struct {
-	unlisted []int // neither tenants nor classes
-	byTenant listIndex
-	byClass  listIndex
+	unlisted []int     // matches that list neither tenants nor classes
+	byTenant listIndex // matches that list tenants
+	byClass  listIndex // matches that list classes but no tenants
 }
 
 // listIndex finds matches by the values that they list.
@@ -146,6 +151,7 @@
 	all     []int
 }
 
+// add adds a match under a number.
 func (b *matchBucket) add(m *Match, id int) {
 	switch {
 	case len(m.Tenants) > 0:
@@ -157,11 +163,13 @@
 	}
 }
 
-// each calls f for all matches that may intersect m, some of them twice, until f returns false.
+// each calls f for all matches that may intersect m, for some of them twice, until f returns false. It returns true if
+// f never returned false.
 func (b *matchBucket) each(m *Match, f func(int) bool) bool {
 	return eachID(b.unlisted, f) && b.byTenant.each(m.Tenants, f) && b.byClass.each(m.Classes, f)
 }
 
+// add adds a match that lists the values.
 func (x *listIndex) add(values []string, id int) {
 	if x.byValue == nil {
 		x.byValue = map[string][]int{}
@@ -172,7 +180,8 @@
 	x.all = append(x.all, id)
 }
 
-// each calls f for the matches that list some of the values; no values are any.
+// each calls f for the matches that list at least one of the values, or for all matches if there are no values, until f
+// returns false. It returns true if f never returned false.
 func (x *listIndex) each(values []string, f func(int) bool) bool {
 	if len(values) == 0 {
 		return eachID(x.all, f)
@@ -185,6 +194,7 @@
 	return true
 }
 
+// eachID calls f with each number until f returns false. It returns true if f never returned false.
 func eachID(ids []int, f func(int) bool) bool {
 	for _, id := range ids {
 		if !f(id) {
--- a/internal/policy/namespace/rulecheck.go
+++ b/internal/policy/namespace/rulecheck.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// maxCombinations is how many combinations of a method, a class and a tenant all routes may list. It is well below
-// what package route takes.
+// maxCombinations limits the combinations of a method, a class and a tenant that all routes together may list. It is
+// well below the limit of package route.
 const maxCombinations = 400_000
 
-// allRoutes stands for all routes of a namespace in a conflict.
+// allRoutes is Source.Rule in a conflict that is about all routes of a namespace.
 const allRoutes = "all routes"
 
-// definition is what one namespace sets for something that one owner sets alone.
+// definition is a value that a namespace sets where only one owner's value counts.
 type definition struct {
 	source Source
-	text   string
+	text   string // the value, compared with those of other namespaces and shown in conflicts
 }
 
-// inconsistentDefinitions finds services, and priority weights of classes, that two namespaces set differently.
+// inconsistentDefinitions finds services, and priority weights of classes, that two namespaces set to different values.
 func inconsistentDefinitions(set []*File) []Conflict {
 	definitions := map[string][]definition{}
 	for _, f := range set {
@@ -60,7 +60,7 @@
 	override *Override
 }
 
-// contradictoryOverrides finds overrides of one server that contradict each other at one time.
+// contradictoryOverrides finds overrides of the same server that contradict each other at some time.
 func contradictoryOverrides(set []*File) []Conflict {
 	byServer := map[string][]sourcedOverride{}
 	for _, f := range set {
@@ -89,11 +89,12 @@
 	return conflicts
 }
 
-// quotaConflicts finds minimums that sum to more than the limit, and caps below a minimum.
+// quotaConflicts finds quotas whose minimums sum to more than the limit, and caps below a minimum.
 func (f *finder) quotaConflicts(set []*File) []Conflict {
 	return append(f.excessiveMinimums(set), capsBelowMinimum(set)...)
 }
 
+// excessiveMinimums finds quotas whose minimums sum to more than the limit. It returns one conflict for each quota.
 func (f *finder) excessiveMinimums(set []*File) []Conflict {
 	sums := map[string]int64{}
 	rules := map[string][]Source{}
@@ -120,12 +121,13 @@
 	return conflicts
 }
 
-// sourcedCap is a cap that a delegator sets on a delegate, with the rule that it comes from.
+// sourcedCap is a cap that a delegator sets on a delegate's share, with the rule that it comes from.
 type sourcedCap struct {
 	source Source
 	cap    int64
 }
 
+// capsBelowMinimum finds caps of delegators that are below the minimum in the delegate's own share.
 func capsBelowMinimum(set []*File) []Conflict {
 	caps := map[shareKey][]sourcedCap{}
 	for _, f := range set {
@@ -158,7 +160,8 @@
 	return conflicts
 }
 
-// tooManyCombinations finds that all routes together would not compile. Each file is small enough by itself.
+// tooManyCombinations returns a conflict if all routes together list more than maxCombinations. Parse has checked that
+// no single file does.
 func tooManyCombinations(set []*File) []Conflict {
 	sum := 0
 	var rules []Source
@@ -175,7 +178,8 @@
 	return []Conflict{{Kind: TooManyCombinations, Rules: sources(rules...), Text: text}}
 }
 
-// removedServices finds routes to services that are not there, with the rules that removed them.
+// removedServices finds routes to services that are undefined or marked as removed. The conflict also names the rules
+// that marked the service, or else those that defined it in the files in force.
 func (f *finder) removedServices(set []*File) []Conflict {
 	defined := map[string]bool{}
 	removed := map[string][]Source{}
@@ -207,7 +211,8 @@
 	return conflicts
 }
 
-// formerDefinitions returns the rules that define a service in the files in force, as sources of a new set.
+// formerDefinitions returns the rules that define a service in the files in force. The sources have the numbers of the
+// files in the new set.
 func (f *finder) formerDefinitions(service string, set []*File) []Source {
 	var former []Source
 	for _, s := range f.activeServices[service] {
@@ -219,6 +224,7 @@
 	return former
 }
 
+// removedService returns the conflict of a route that leads to an undefined or removed service.
 func removedService(service string, removers []Source, file *File, r *Route) Conflict {
 	text := fmt.Sprintf("nobody offers service %q", service)
 	if len(removers) > 0 {
--- a/internal/policy/namespace/rulelist.go
+++ b/internal/policy/namespace/rulelist.go
@@ -9,32 +9,34 @@
 	"lapisspread/internal/policy/merkle"
 )
 
-// ruleList is one of a policy's lists of rules, as items.
+// ruleList converts one of a policy's lists of rules to items, and applies changes of items to it.
 type ruleList interface {
-	// ruleKind returns the kind of the rules, as in their keys.
+	// ruleKind returns the kind of the rules as it is in their keys.
 	ruleKind() string
-	// eachSource calls f with each source of all rules. F does not change it.
+	// eachSource calls f with each source of all rules. F must not change the source.
 	eachSource(p *Policy, f func(*Source))
-	// addItems adds the items of all rules.
+	// addItems calls add for the item of each rule.
 	addItems(p *Policy, add func(key string, v any) error) error
-	// apply replaces the list by one with changes. The list itself is not changed.
+	// apply sets the policy's list to one with the changes applied. The old list, which other policies may share, is
+	// not changed.
 	apply(p *Policy, c *itemChanges) error
 }
 
-// typedRules is the list of rules of one type, sorted by name.
+// typedRules is the ruleList for the rules of type T. The lists are sorted by name.
 type typedRules[T any] struct {
-	kind string
-	list func(*Policy) *[]T
-	name func(*T) string
+	kind string               // as in the keys of items
+	list func(*Policy) *[]T   // returns the list of a policy
+	name func(rule *T) string // returns the name of a rule
 	// sources calls f with each source of a rule. With copySources, the rule gets copies of its sources first, so that
 	// f may change them.
 	sources func(rule *T, copySources bool, f func(*Source))
-	// note enters a change into a diff, if that has rules of this type. Changed is nil for a removed rule.
+	// record adds a change to a diff. It is nil for rules that a diff does not have. Changed is nil for a removed rule.
 	record func(d *Diff, changed *T, name string)
 }
 
 func (l *typedRules[T]) ruleKind() string { return l.kind }
 
+// key returns the key of a rule's item.
 func (l *typedRules[T]) key(rule *T) string { return ruleKey(l.kind, l.name(rule)) }
 
 func (l *typedRules[T]) eachSource(p *Policy, f func(*Source)) {
@@ -59,7 +61,7 @@
 	return nil
 }
 
-// ruleChange sets a rule, or removes it if rule is nil.
+// ruleChange is the setting of a rule, or its removal if rule is nil.
 type ruleChange[T any] struct {
 	name string
 	rule *T
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// changes returns the changes of the list, sorted by name.
+// changes returns the changes of the list, sorted by rule name. Removals of rules that do not exist are left out.
 func (l *typedRules[T]) changes(rules []T, c *itemChanges) ([]ruleChange[T], error) {
 	var changes []ruleChange[T]
 	for _, item := range c.set[l.kind] {
@@ -100,7 +102,7 @@
 	return changes, nil
 }
 
-// decode decodes a rule, and sets the numbers of its sources.
+// decode decodes the rule of an item and sets the file numbers of its sources, which items do not have.
 func (l *typedRules[T]) decode(item merkle.Item, c *itemChanges) (*T, error) {
 	rule := new(T)
 	if err := decodeJSON(item.Value, rule); err != nil {
@@ -122,14 +124,15 @@
 	return rule, err
 }
 
-// search returns the index of a name, or where it would stand.
+// search returns the index of the rule with a name and true, or the index at which it would be inserted and false.
 func (l *typedRules[T]) search(rules []T, name string) (int, bool) {
 	return slices.BinarySearchFunc(rules, name, func(rule T, name string) int {
 		return strings.Compare(l.name(&rule), name)
 	})
 }
 
-// find returns the index of the rule with a key, or -1. A name that is too long for a key is found by the key alone.
+// find returns the index of the rule with a key, or -1. If the key has only a part of a long name, it compares the key
+// with those of all rules.
 func (l *typedRules[T]) find(rules []T, key string) int {
 	_, name := splitKey(key)
 	if i, found := l.search(rules, name); found {
@@ -138,7 +141,7 @@
 	return slices.IndexFunc(rules, func(rule T) bool { return l.key(&rule) == key })
 }
 
-// merge returns a new list with changes made. It notes them in the diff.
+// merge returns a new list with the changes made, and records them in the diff.
 func (l *typedRules[T]) merge(rules []T, changes []ruleChange[T], c *itemChanges) ([]T, error) {
 	merged := make([]T, 0, len(rules)+len(changes))
 	for i, change := range changes {
@@ -161,12 +164,13 @@
 	}
 	merged = append(merged, rules...)
 	if len(merged) == 0 {
-		return nil, nil // an empty list has one encoding
+		return nil, nil // an empty list must always be nil, because nil and an empty slice have different encodings
 	}
 	return merged, nil
 }
 
-// renumber sets the numbers of sources whose file has another number now. It copies the list first unless it is owned.
+// renumber sets the new numbers of sources whose file was renumbered. Before it changes the list, it copies it, unless
+// the list is owned, that is, not shared with another policy.
 func (l *typedRules[T]) renumber(rules []T, owned bool, c *itemChanges) []T {
 	if len(c.renumbered) == 0 {
 		return rules
@@ -186,7 +190,7 @@
 	return rules
 }
 
-// valueSources calls f with each source of a value, if there is one.
+// valueSources calls f with each source of a value. It does nothing if the value is nil.
 func valueSources[T comparable](v **Value[T], copySources bool, f func(*Source)) {
 	if *v == nil {
 		return
@@ -249,6 +253,7 @@
 	},
 }
 
+// serviceSources is typedRules.sources for services.
 func serviceSources(s *PolicyService, copySources bool, f func(*Source)) {
 	if copySources {
 		s.Sources = slices.Clone(s.Sources)
@@ -258,6 +263,7 @@
 	}
 }
 
+// classSources is typedRules.sources for classes.
 func classSources(c *PolicyClass, copySources bool, f func(*Source)) {
 	valueSources(&c.LatencyObjective, copySources, f)
 	valueSources(&c.Deadline, copySources, f)
@@ -266,12 +272,14 @@
 	valueSources(&c.LateFraction, copySources, f)
 }
 
+// shareSources is typedRules.sources for quota shares.
 func shareSources(s *PolicyShare, copySources bool, f func(*Source)) {
 	valueSources(&s.Min, copySources, f)
 	valueSources(&s.Cap, copySources, f)
 	valueSources(&s.Weight, copySources, f)
 }
 
+// recordRoute is typedRules.record for routes.
 func recordRoute(d *Diff, changed *PolicyRoute, name string) {
 	if changed == nil {
 		d.RemovedRoutes = append(d.RemovedRoutes, name)
--- a/internal/policy/namespace/settle.go
+++ b/internal/policy/namespace/settle.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// settle withholds one file, of the first namespace by precedence among those that lose a conflict: others may have
-// lost only to that file, and are looked at again. If nobody loses one, it removes rules.
+// settle withholds one submitted file that is responsible for a conflict, or, if there is none, removes rules. Of
+// several files, it is that of the first namespace by precedence. The others are considered again after that, because
+// they may conflict only with the file that was just withheld.
 func (m *merger) settle(conflicts []Conflict) {
 	if responsible, conflict := m.firstResponsible(conflicts); responsible != nil {
 		if m.hasMutation(withholdAll) {
@@ -18,7 +19,9 @@
 	m.removeRules(conflicts)
 }
 
-// firstResponsible returns the first namespace by precedence that loses one of the conflicts, with that conflict.
+// firstResponsible returns the first namespace by precedence whose submitted file is responsible for one of the
+// conflicts, and that conflict. Of the files that caused a conflict, the one of the last namespace by precedence is
+// responsible.
 func (m *merger) firstResponsible(conflicts []Conflict) (*participant, *Conflict) {
 	var first *participant
 	var conflict *Conflict
@@ -35,8 +38,8 @@
 	return first, conflict
 }
 
-// lastEligible returns the last namespace by precedence of which a rule in a conflict is eligible, and the ID of that
-// rule.
+// lastEligible returns, of the namespaces that have an eligible rule in a conflict, the last one by precedence, with
+// the ID of the rule. It returns nil if no rule is eligible.
 func (m *merger) lastEligible(c *Conflict, eligible func(p *participant, id string) bool) (*participant, string) {
 	var last *participant
 	var id string
@@ -53,8 +56,8 @@
 	return last, id
 }
 
-// caused reports whether the submitted file added, changed or removed a rule; of minimums and of combinations, whether
-// it raised them.
+// caused reports whether the submitted file added, changed or removed the rule with an ID in a conflict. For conflicts
+// about minimums or combinations, it reports whether the file raised the minimum or the number of combinations.
 func (p *participant) caused(kind ConflictKind, id string) bool {
 	if p.submitted == nil || p.removedRules[id] {
 		return false
@@ -71,7 +74,7 @@
 	return p.active.ruleTexts[id] != p.lastAccepted.ruleTexts[id]
 }
 
-// withholdSubmitted returns to the last accepted file.
+// withholdSubmitted withholds the submitted file for a conflict and makes the last accepted file active again.
 func (p *participant) withholdSubmitted(c *Conflict) {
 	p.withhold(p.submitted.Number, c.Err())
 	p.withheldFile = p.submitted
@@ -88,7 +91,7 @@
 	}
 }
 
-// withholdOtherFiles is a mutation: it withholds all other submitted files in a conflict.
+// withholdOtherFiles implements the mutation withholdAll: it withholds all other submitted files in a conflict.
 func (m *merger) withholdOtherFiles(responsible *participant, c *Conflict) {
 	for _, r := range c.Rules {
 		p := m.participants[r.Namespace]
@@ -101,11 +104,11 @@
 	}
 }
 
-// ruleRef names a rule of a namespace.
+// ruleRef identifies a rule of a namespace.
 type ruleRef struct{ namespace, id string }
 
-// removeRules removes one rule for each conflict, of the last namespace by precedence. A conflict of which a rule is
-// already removed is settled, or is found again.
+// removeRules removes one rule for each conflict, of the last namespace by precedence. A conflict of which another rule
+// was just removed is skipped: it is resolved by that, or the next search finds it again.
 func (m *merger) removeRules(conflicts []Conflict) {
 	removed := map[ruleRef]bool{}
 	affected := map[string]bool{}
@@ -119,7 +122,7 @@
 		removed[ruleRef{p.name, id}] = true
 		affected[p.name] = true
 		if c.Kind == TooManyCombinations || c.More {
-			p.removeAllRoutes() // the routes that are not listed cannot be removed one by one
+			p.removeAllRoutes() // the unlisted conflicting routes are unknown, so all routes are removed
 		} else {
 			p.removedRules[id] = true
 		}
@@ -133,7 +136,8 @@
 	}
 }
 
-// mayRemove reports whether removing a rule settles a conflict. Of a removed service that is the route to it.
+// mayRemove reports whether removing a rule may resolve a conflict. For a removed service, only removing the route to
+// it does.
 func (p *participant) mayRemove(kind ConflictKind, id string) bool {
 	if p.active == nil || p.active.ruleTexts[id] == "" && kind != TooManyCombinations {
 		return false
@@ -141,14 +145,15 @@
 	return kind != ServiceRemoved || strings.HasPrefix(id, routeIDPrefix)
 }
 
+// removeAllRoutes adds all routes of the active file to removedRules.
 func (p *participant) removeAllRoutes() {
 	for i := range p.active.Routes {
 		p.removedRules[p.active.Routes[i].id()] = true
 	}
 }
 
-// reinstate accepts files that were withheld for a conflict with a file that was itself withheld later. In the end each
-// withheld file would bring a conflict.
+// reinstate accepts withheld files that no longer cause a conflict, because the file that they conflicted with was
+// itself withheld later. When it returns, each file that is still withheld would cause a conflict if it were accepted.
 func (m *merger) reinstate(f *finder) {
 	for changed := true; changed; {
 		changed = false
--- a/internal/policy/namespace/unreachable.go
+++ b/internal/policy/namespace/unreachable.go
@@ -8,29 +8,31 @@
 	"lapisspread/internal/route"
 )
 
-// The search for unreachable routes is exact because requests are open: there are always a host, a path, a method, a
-// class and a tenant that no rule names. Of a route's requests with one listed method, class and tenant (a cell), the
-// one that is unnamed in all else can only be taken by a rule that contains the whole cell. So only such rules are
-// searched: blocks, and routes of higher precedence. A route of higher precedence that contains a whole cell has the
-// same host, and is one for the prefix "/" beside one for any path.
+// A route is unreachable if blocks or routes of higher precedence match all its requests. The search for such routes is
+// exact, for the following reason. The values of requests are unlimited, so there are always a host label, a path
+// segment, a method, a class and a tenant that no rule names. A route's requests are split by its combinations of a
+// listed method, class and tenant. Each combination has a request with unnamed values wherever the route allows any,
+// and only a rule that contains all requests of the combination can match it. So only such rules are searched: blocks,
+// and routes of higher precedence. A route of higher precedence contains all requests of a combination only if it has
+// the same host and the prefix "/", while the other route has no path pattern.
 
-// sourcedMatch is the match of a rule with its source.
+// sourcedMatch is the match of a rule, with the source of the rule.
 type sourcedMatch struct {
 	source Source
 	match  *Match
 }
 
-// unreachableSearch finds rules that no request can come to.
+// unreachableSearch finds rules that no request can reach.
 type unreachableSearch struct {
 	blocks     []sourcedMatch
-	blockIndex routeIndex
+	blockIndex routeIndex                // of blocks, identified by their positions in blocks
 	rootRoutes map[string][]sourcedMatch // routes for the prefix "/", by host
-	routes     map[string]bool           // by namespace/name
+	routes     map[string]bool           // namespace/name of all routes
 	unnamed    unnamedLabel
 }
 
-// unreachableRules finds routes of which other rules take every request, and staleness bounds of routes that are not
-// there.
+// unreachableRules finds routes of which other rules match every request first, and staleness bounds of routes that do
+// not exist.
 func unreachableRules(set []*File) []Conflict {
 	s := newUnreachableSearch(set)
 	var conflicts []Conflict
@@ -77,21 +79,22 @@
 	return s
 }
 
-// unreachable returns a conflict if other rules take every cell of a route.
+// unreachable returns a conflict if, for each combination of a listed method, class and tenant, another rule matches
+// all requests of the route before it.
 func (s *unreachableSearch) unreachable(f *File, r *Route) (Conflict, bool) {
 	candidates := s.candidates(r)
 	if len(candidates) == 0 {
 		return Conflict{}, false
 	}
 	slices.SortFunc(candidates, func(a, b sourcedMatch) int { return compareSources(a.source, b.source) })
-	var takenBy []Source
+	var matchedBy []Source
 	var example *route.Request
 	for combination := range r.eachCombination {
 		i := slices.IndexFunc(candidates, func(c sourcedMatch) bool { return c.match.contains(&combination) })
 		if i < 0 {
 			return Conflict{}, false
 		}
-		takenBy = append(takenBy, candidates[i].source)
+		matchedBy = append(matchedBy, candidates[i].source)
 		if example == nil {
 			request := s.unnamed.exampleRequest(&combination)
 			example = &request
@@ -99,13 +102,14 @@
 	}
 	return Conflict{
 		Kind:    UnreachableRule,
-		Rules:   append([]Source{f.source(r.id())}, sources(takenBy...)...),
+		Rules:   append([]Source{f.source(r.id())}, sources(matchedBy...)...),
 		Request: example,
 		Text:    "nothing comes to the first: the rest take it all",
 	}, true
 }
 
-// candidates returns the rules that may contain a whole cell of a route.
+// candidates returns the rules that may match, before a route, all its requests with one combination of a listed
+// method, class and tenant.
 func (s *unreachableSearch) candidates(r *Route) []sourcedMatch {
 	var candidates []sourcedMatch
 	if r.Path == "" && r.PathPrefix == "" {
@@ -121,7 +125,7 @@
 			return
 		}
 		tree.eachContaining(&r.Match, func(id int) bool {
-			// A block that lists what the route leaves open contains no whole cell.
+			// A block that lists methods, classes or tenants where the route allows any contains no whole combination.
 			if s.blocks[id].match.precedence()[2]&^lists == 0 {
 				candidates = append(candidates, s.blocks[id])
 			}
@@ -131,7 +135,7 @@
 	return candidates
 }
 
-// cells yields the match once for each combination of a listed method, class and tenant.
+// eachCombination yields, for each combination of a listed method, class and tenant, the match with only these values.
 func (m *Match) eachCombination(yield func(Match) bool) {
 	for _, methods := range singletons(m.Methods) {
 		for _, classes := range singletons(m.Classes) {
@@ -144,7 +148,8 @@
 	}
 }
 
-// singletons returns a list of each value of a list; an empty list, which is any value, stands for itself.
+// singletons returns, for each value of a list, a list with only that value. For an empty list, which allows any value,
+// it returns an empty list as the only element.
 func singletons(list []string) [][]string {
 	if len(list) == 0 {
 		return [][]string{nil}
@@ -156,9 +161,10 @@
 	return single
 }
 
-// unnamedLabel is a word that no rule names.
+// unnamedLabel is a word that no rule names, for example requests. It can be a value, a host label or a path segment.
 type unnamedLabel string
 
+// newUnnamedLabel returns a word that no rule of a set of files names.
 func newUnnamedLabel(set []*File) unnamedLabel {
 	named := map[string]bool{}
 	for _, f := range set {
@@ -176,7 +182,7 @@
 	return unnamedLabel(label)
 }
 
-// addNames adds all values, host labels and path segments of a match.
+// addNames adds all listed values, host labels and path segments of a match to names.
 func (m *Match) addNames(names map[string]bool) {
 	for _, list := range m.lists() {
 		for _, v := range list {
@@ -189,7 +195,7 @@
 	}
 }
 
-// exampleRequest is a request of a match that no rule names wherever the match leaves it open.
+// exampleRequest returns a request of a match that has the unnamed label wherever the match allows any value.
 func (l unnamedLabel) exampleRequest(m *Match) route.Request {
 	first := func(list []string) string {
 		if len(list) > 0 {
--- a/internal/policy/namespace/value.go
+++ b/internal/policy/namespace/value.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Source is the rule of a namespace's file that a value comes from.
+// Source identifies the rule of a namespace's file that a value or a conflict comes from.
 type Source struct {
 	Namespace string `json:"namespace"`
-	Number    uint64 `json:"number,omitempty"` // of the file
+	Number    uint64 `json:"number,omitempty"` // of the file; 0 in items, and for the declaration
 	Rule      string `json:"rule"`             // kind and name, such as "route payouts"
 }
 
-// String returns the source as messages show it.
+// String returns the source as messages and conflicts show it, such as "dispatch/7 route r1".
 func (s Source) String() string { return fmt.Sprintf("%s/%d %s", s.Namespace, s.Number, s.Rule) }
 
 func compareSources(a, b Source) int {
@@ -23,20 +23,21 @@
 	)
 }
 
-// sources returns sources sorted and each once.
+// sources sorts a list of sources in place and returns it without duplicates.
 func sources(list ...Source) []Source {
 	slices.SortFunc(list, compareSources)
 	return slices.Compact(list)
 }
 
-// Value is a setting with all the rules that set it so.
+// Value is a merged value of a setting, with all the rules that set this value.
 type Value[T comparable] struct {
 	Value   T        `json:"is"`
 	Sources []Source `json:"from"`
 }
 
-// mergeValue merges what one rule sets into what others set: the value that preferred prefers stays. It is commutative,
-// associative and idempotent as long as preferred is a total order.
+// mergeValue merges the value that one rule sets into the merged value of other rules, which is nil if there are none.
+// The preferred value stays; preferred(a, b) reports whether a takes the place of b. If preferred is a strict total
+// order, the result does not depend on the order of the rules, nor on how often a rule is merged.
 func mergeValue[T comparable](merged *Value[T], value T, source Source, preferred func(a, b T) bool) *Value[T] {
 	if merged == nil || value != merged.Value && preferred(value, merged.Value) {
 		return &Value[T]{value, []Source{source}}
