--- a/internal/policy/namespace/conflict.go
+++ b/internal/policy/namespace/conflict.go
@@ -98,12 +98,13 @@
 // files, so that a set that shares files with an earlier one is checked faster.
 type finder struct {
 	declaration    *Declaration
-	activeServices map[string][]Source // rules in the files in force that define a service, by its name
-	indexes        map[*File]routeIndex
-	contradictions map[[2]*File][]Conflict
-	mayIntersect   map[[2]string]bool // by a pair of namespaces: routesMayIntersect
+	activeServices map[string][]Source     // rules in the files in force that define a service, by its name
+	indexes        map[*File]routeIndex    // cache of routeIndexFor
+	contradictions map[[2]*File][]Conflict // cache of contradictionsBetween
+	mayIntersect   map[[2]string]bool      // cache of Declaration.routesMayIntersect, by namespaces
 }
 
+// newFinder returns a finder. Active is the files in force.
 func newFinder(d *Declaration, active []*File) *finder {
 	f := &finder{
 		declaration:    d,
--- a/internal/policy/namespace/contradiction.go
+++ b/internal/policy/namespace/contradiction.go
@@ -10,8 +10,7 @@
 const maxConflictsPerRoute = 8
 
 // contradictionsBetween returns the contradictions between the routes of two files: pairs that match a common request
-// and either have equal precedence or lead to different services without a delegation that gives the first one
-// precedence.
+// and either have equal precedence, or have different destinations and the one with precedence is not a delegate's.
 func (f *finder) contradictionsBetween(a, b *File) []Conflict {
 	names := [2]string{a.Name, b.Name}
 	mayIntersect, cached := f.mayIntersect[names]
--- a/internal/policy/namespace/example_test.go
+++ b/internal/policy/namespace/example_test.go
@@ -47,6 +47,7 @@
 	return text
 }
 
+// mustParseDeclaration parses a valid declaration.
 func mustParseDeclaration(t testing.TB, text string) *Declaration {
 	t.Helper()
 	d, err := ParseDeclaration("charter.toml", []byte(text))
@@ -56,6 +57,7 @@
 	return d
 }
 
+// mustParse parses a valid policy file.
 func mustParse(t testing.TB, text string) *File {
 	t.Helper()
 	f, err := Parse("f.toml", []byte(text))
--- a/internal/policy/namespace/file.go
+++ b/internal/policy/namespace/file.go
@@ -21,7 +21,7 @@
 // immutable.
 type File struct {
 	Version         int              `toml:"version"`   // FileVersion
-	Name            string           `toml:"namespace"` // of the namespace
+	Name            string           `toml:"namespace"` // the namespace, as in the declaration
 	Number          uint64           `toml:"number"`    // version of the content, from 1; it increases
 	Services        []Service        `toml:"service"`
 	Routes          []Route          `toml:"route"`
@@ -42,10 +42,10 @@
 type Service struct {
 	Name      string   `toml:"name" json:"name"`
 	Discovery string   `toml:"discovery" json:"discovery,omitempty"` // host:port
-	Kinds     []string `toml:"kinds" json:"kinds,omitempty"`         // of servers
-	Cells     []int    `toml:"cells" json:"cells,omitempty"`
-	Upstream  string   `toml:"upstream" json:"upstream,omitempty"` // http or diameter
-	Removed   bool     `toml:"removed" json:"removed,omitempty"`   // routes may no longer lead to it
+	Kinds     []string `toml:"kinds" json:"kinds,omitempty"`         // kinds of servers that it uses; empty is all
+	Cells     []int    `toml:"cells" json:"cells,omitempty"`         // cells of servers that it uses; empty is all
+	Upstream  string   `toml:"upstream" json:"upstream,omitempty"`   // http or diameter
+	Removed   bool     `toml:"removed" json:"removed,omitempty"`     // routes may no longer lead to it
 }
 
 // Route says to which services the requests of a match are sent.
@@ -64,13 +64,15 @@
 }
 
 // Class holds settings of a class of requests. A setting that is left out may be set by other namespaces.
+// PriorityWeight is the weight of an answer within the latency objective; LateFraction is the part of it, 0 to 1, that
+// a later answer has.
 type Class struct {
 	Name             string                `toml:"name" json:"name"`
-	LatencyObjective strictconfig.Duration `toml:"aim" json:"aim,omitempty"`
-	Deadline         strictconfig.Duration `toml:"give_up" json:"give_up,omitempty"`
-	Effect           string                `toml:"effect" json:"effect,omitempty"` // effectSafe or effectUnsafe
+	LatencyObjective strictconfig.Duration `toml:"aim" json:"aim,omitempty"`         // 0 if left out
+	Deadline         strictconfig.Duration `toml:"give_up" json:"give_up,omitempty"` // 0 if left out
+	Effect           string                `toml:"effect" json:"effect,omitempty"`   // effectSafe or effectUnsafe
 	PriorityWeight   *float64              `toml:"worth" json:"worth,omitempty"`
-	LateFraction     *float64              `toml:"late" json:"late,omitempty"` // 0 to 1: part of the weight
+	LateFraction     *float64              `toml:"late" json:"late,omitempty"`
 }
 
 // Values of Class.Effect. A safe request may be executed twice, an unsafe one must not.
@@ -82,10 +84,10 @@
 // QuotaShare is a namespace's share of a quota, in the quota's units, or a cap that it sets on a delegate's share.
 type QuotaShare struct {
 	Quota     string  `toml:"name" json:"name"`
-	Namespace string  `toml:"for" json:"for,omitempty"` // the delegate; empty means the file's own namespace
-	Min       int64   `toml:"min" json:"min,omitempty"`
-	Cap       int64   `toml:"cap" json:"cap,omitempty"` // 0 means no cap
-	Weight    float64 `toml:"weight" json:"weight,omitempty"`
+	Namespace string  `toml:"for" json:"for,omitempty"`       // the delegate; empty means the file's own namespace
+	Min       int64   `toml:"min" json:"min,omitempty"`       // 0 means no minimum
+	Cap       int64   `toml:"cap" json:"cap,omitempty"`       // 0 means no cap
+	Weight    float64 `toml:"weight" json:"weight,omitempty"` // relative to other namespaces; 0 if left out
 }
 
 // Block rejects the requests of a match.
@@ -150,7 +152,7 @@
 // source returns the Source for the rule with an ID.
 func (f *File) source(id string) Source { return Source{f.Name, f.Number, id} }
 
-// sameRules reports whether two files have equal rules.
+// sameRules reports whether two files have equal rules. It ignores their numbers.
 func (f *File) sameRules(other *File) bool { return maps.Equal(f.ruleTexts, other.ruleTexts) }
 
 // rulesText returns all rules as a text. It gives files with the same number a fixed order.
--- a/internal/policy/namespace/item_test.go
+++ b/internal/policy/namespace/item_test.go
@@ -14,6 +14,7 @@
 	"lapisspread/internal/route"
 )
 
+// mustTree returns the tree of a policy.
 func mustTree(t testing.TB, p *Policy) *merkle.Tree {
 	t.Helper()
 	tree, err := p.Tree()
--- a/internal/policy/namespace/merge_test.go
+++ b/internal/policy/namespace/merge_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// withholdTest merges submitted files when the files of the example are accepted. A nil cause, an empty kind and
-// namespaces that are not in wantActive are not checked.
+// withholdTest merges submitted files while the unchanged files of the example are the accepted ones. A nil wantCause,
+// an empty wantKind and namespaces that are not in wantActive are not checked.
 type withholdTest struct {
 	name         string
 	submitted    []*File
@@ -77,13 +77,14 @@
 	wantRoutes   int               // routes of the merged policy; 0 is as many as the example has
 }
 
+// withholdTests returns the cases of TestWithheldFiles.
 func withholdTests(t *testing.T, example *exampleFleet) []withholdTest {
 	t.Helper()
 	const exampleRoutes = 4
 	files := func(f ...*File) []*File { return f }
 	unreadableFile := UnreadableFile("settlement", FileError{Path: "s.toml", Line: 3, Err: errors.New("no TOML")})
 	// Adds a route of the delegator (dispatch) for a part of the requests that the delegate's (booking-desks) matches.
-	overlappingRouteEdits := []string{"[[route]]\nname = \"desks\"", "[[route]]\nname = \"grab\"\n" +
+	overlappingRouteEdits := []string{"[[route]]\nname = \"desks\"", "[[route]]\nname = \"vip\"\n" +
 		"host = \"*.desks.kigali.example.org\"\npath_prefix = \"/book/vip\"\n" +
 		"to = [{ service = \"dispatch\" }]\n[[route]]\nname = \"desks\""}
 	// Narrows the delegate's route, so that it has precedence over the delegator's.
--- a/internal/policy/namespace/overlap.go
+++ b/internal/policy/namespace/overlap.go
@@ -23,7 +23,7 @@
 	return all
 }
 
-// overlap returns the conflict of overlaps for two namespaces, if there is one.
+// overlap returns the conflict between the domains of two namespaces, if there is one, as described at overlaps.
 func (d *Declaration) overlap(a, b string) (Conflict, bool) {
 	shared := map[string]bool{}
 	var example *route.Request
--- a/internal/policy/namespace/policy_test.go
+++ b/internal/policy/namespace/policy_test.go
@@ -104,7 +104,9 @@
 		}},
 	} {
 		if !reflect.DeepEqual(test.got, test.want) {
-			t.Errorf("%s: merged value = %+v, want %+v", name, test.got, test.want)
+			got, gotErr := encodeJSON(test.got)
+			want, wantErr := encodeJSON(test.want)
+			t.Errorf("%s: merged value = %s, want %s (errors of encodeJSON: %v, %v)", name, got, want, gotErr, wantErr)
 		}
 	}
 }
--- a/internal/policy/namespace/randommerge_test.go
+++ b/internal/policy/namespace/randommerge_test.go
@@ -181,7 +181,7 @@
 	}
 	t.Logf("%d random sets without a conflict", compared)
 	if compared < 100 {
-		t.Errorf("%d random sets have no conflict, want at least 100", compared)
+		t.Errorf("%d of the random sets have no conflict, want at least 100", compared)
 	}
 }
 
--- a/internal/policy/namespace/settle.go
+++ b/internal/policy/namespace/settle.go
@@ -122,7 +122,7 @@
 		removed[ruleRef{p.name, id}] = true
 		affected[p.name] = true
 		if c.Kind == TooManyCombinations || c.More {
-			p.removeAllRoutes() // the unlisted conflicting routes are unknown, so all routes are removed
+			p.removeAllRoutes() // the conflict does not name all conflicting routes, so all routes are removed
 		} else {
 			p.removedRules[id] = true
 		}
