--- a/internal/policy/namespace/contradiction.go
+++ b/internal/policy/namespace/contradiction.go
@@ -5,26 +5,28 @@
 	"slices"
 )
 
-// maxConflictsPerRoute is how many conflicts of a route with the routes of one namespace are listed: two teams that
-// write thousands of routes across each other's would fill the memory.
+// maxConflictsPerRoute limits the listed conflicts of one route with the routes of one namespace. Without a limit, two
+// teams with thousands of routes that contradict each other would exhaust the memory.
 const maxConflictsPerRoute = 8
 
-// contradictionsOf returns the routes of two files that meet, lead elsewhere, and have no order by a delegation.
-func (f *finder) contradictionsOf(a, b *File) []Conflict {
+// contradictionsBetween returns the contradictions between the routes of two files: pairs that match a common request
+// and either have equal precedence, or have different destinations and the one with precedence is not a delegate's.
+func (f *finder) contradictionsBetween(a, b *File) []Conflict {
 	names := [2]string{a.Name, b.Name}
-	mayMeet, known := f.mayMeet[names]
-	if !known {
-		mayMeet = f.declaration.routesMayMeet(a.Name, b.Name)
-		f.mayMeet[names] = mayMeet
+	mayIntersect, cached := f.mayIntersect[names]
+	if !cached {
+		mayIntersect = f.declaration.routesMayIntersect(a.Name, b.Name)
+		f.mayIntersect[names] = mayIntersect
 	}
-	if !mayMeet {
+	if !mayIntersect {
 		return nil
 	}
 	key := [2]*File{a, b}
 	if conflicts, ok := f.contradictions[key]; ok {
 		return conflicts
 	}
-	// Each pair of routes is compared once, at the host of the inner one; equal hosts count for the first search.
+	// Each pair of routes is compared once: in the search in which the host of the inner route is within that of the
+	// outer one. Pairs with equal hosts are compared in the first search only.
 	first := contradictionSearch{finder: f, inner: b, outer: a, equalHosts: true}
 	second := contradictionSearch{finder: f, inner: a, outer: b}
 	conflicts := append(first.run(), second.run()...)
@@ -32,52 +34,58 @@
 	return conflicts
 }
 
-// contradictionSearch compares the routes of one file with those of another whose hosts contain theirs.
+// contradictionSearch compares each route of the inner file with the routes of the outer file whose host patterns
+// contain the route's.
 type contradictionSearch struct {
 	finder     *finder
 	inner      *File
 	outer      *File
-	equalHosts bool // hosts that are equal are compared, too
+	equalHosts bool // also compare routes with equal host patterns
 	conflicts  []Conflict
 }
 
+// run returns the contradictions of all routes of the inner file.
 func (s *contradictionSearch) run() []Conflict {
-	index := s.finder.indexOf(s.outer)
+	index := s.finder.routeIndexFor(s.outer)
 	for i := range s.inner.Routes {
 		s.compareRoute(&s.inner.Routes[i], index)
 	}
 	return s.conflicts
 }
 
-// compareRoute compares a route with those of the outer file. Where the hosts differ, the route has precedence, so a
-// delegation to its namespace settles all pairs at once: a rule for everything is not compared with each below it.
+// compareRoute compares a route of the inner file with those of the outer file. If the hosts differ, the inner route
+// has precedence; if it is also within what the outer namespace delegated to the inner one, no pair with a different
+// host can contradict, and these pairs are skipped. So a delegator's route for all hosts is not compared with each
+// route of its delegates.
 func (s *contradictionSearch) compareRoute(r *Route, index routeIndex) {
 	delegated := s.finder.declaration.delegated(s.inner.Name, s.outer.Name, SettingRoute, &r.Match)
-	var with []int
+	var conflicting []int
 	eachOuterHost(r.Host, func(host string) {
 		equal := host == r.Host
-		if equal && !s.equalHosts || !equal && delegated || len(with) == maxConflictsPerRoute {
+		if equal && !s.equalHosts || !equal && delegated || len(conflicting) == maxConflictsPerRoute {
 			return
 		}
 		tree := index[host]
 		if tree == nil {
 			return
 		}
-		tree.eachMeeting(&r.Match, func(id int) bool {
+		tree.eachIntersecting(&r.Match, func(id int) bool {
 			conflict, ok := s.compare(r, &s.outer.Routes[id], delegated)
-			if !ok || slices.Contains(with, id) {
+			if !ok || slices.Contains(conflicting, id) {
 				return true
 			}
-			with = append(with, id)
-			conflict.More = len(with) == maxConflictsPerRoute
+			conflicting = append(conflicting, id)
+			conflict.More = len(conflicting) == maxConflictsPerRoute
 			s.conflicts = append(s.conflicts, conflict)
 			return !conflict.More
 		})
 	})
 }
 
-// compare compares two routes. Delegated tells whether the inner one is within what the outer namespace delegated.
-// Routes go together if they lead alike, or if the delegate's has precedence; of equal precedence they never do.
+// compare returns the contradiction between two routes, if there is one. Delegated says whether the inner route is
+// within what the outer namespace delegated to the inner one. Routes that match a common request do not contradict each
+// other if the one with precedence is a delegate's, or if they have the same destination. Routes of equal precedence
+// always contradict each other.
 func (s *contradictionSearch) compare(inner, outer *Route, delegated bool) (Conflict, bool) {
 	request, ok := inner.intersect(&outer.Match)
 	if !ok {
@@ -88,7 +96,7 @@
 	order := slices.Compare(innerPrecedence[:], outerPrecedence[:])
 	text := "neither goes before the other"
 	if order != 0 {
-		if inner.leadsLike(outer) || order > 0 && delegated {
+		if inner.hasSameDestination(outer) || order > 0 && delegated {
 			return Conflict{}, false
 		}
 		outerDelegated := s.finder.declaration.delegated(s.outer.Name, s.inner.Name, SettingRoute, &outer.Match)
@@ -109,11 +117,11 @@
 	}, true
 }
 
-// defaultSticky is what an empty Route.Sticky means.
+// defaultSticky is the value that an empty Route.Sticky stands for.
 const defaultSticky = "key"
 
-// leadsLike reports whether two routes lead to the same services in the same way.
-func (r *Route) leadsLike(other *Route) bool {
+// hasSameDestination reports whether two routes lead to the same services, with the same weights and stickiness.
+func (r *Route) hasSameDestination(other *Route) bool {
 	equal := func(a, b Target) bool { return a.Service == b.Service && *a.Weight == *b.Weight }
 	return cmp.Or(r.Sticky, defaultSticky) == cmp.Or(other.Sticky, defaultSticky) &&
 		slices.EqualFunc(r.To, other.To, equal)
