--- a/internal/policy/store/bench_test.go
+++ b/internal/policy/store/bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// routesPerTeam is how many routes each file of a benchmark has.
+// routesPerTeam is the number of routes in each file of a benchmark.
 const routesPerTeam = 20
 
-// largeDeclaration declares namespaces t0, t1, ..., each with a host of its own.
+// largeDeclaration returns the command that declares namespaces t0, t1, ..., each with its own host.
 func largeDeclaration(teams int) Command {
 	var text strings.Builder
 	text.WriteString("version = 1\n")
@@ -20,7 +20,8 @@
 	return declareCommand(text.String())
 }
 
-// largeFile is the file of a team with so many tenants in each route. Its number changes only the first route.
+// largeFile returns the text of a team's file, with a number of tenants in each route. Files of a team whose numbers
+// differ by 1 differ only in the number and the first route.
 func largeFile(team, number, tenants int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "version = 1\nnamespace = \"t%d\"\nnumber = %d\n[[service]]\nname = \"s%d\"\n",
@@ -45,10 +46,11 @@
 func mustApply(b *testing.B, m *StateMachine, c Command) {
 	b.Helper()
 	if err := m.Apply(c); err != nil {
-		b.Fatal(err)
+		b.Fatalf("Apply(%s) = %v, want no error", commandText(c), err)
 	}
 }
 
+// completeCandidate reports the candidate's rollout as completed, if there is a candidate.
 func completeCandidate(b *testing.B, m *StateMachine) {
 	b.Helper()
 	candidate := m.Status().Candidate
@@ -60,7 +62,8 @@
 	}))
 }
 
-// addLargeFiles submits the files of all teams with one merge: submitted by themselves, each would merge all.
+// addLargeFiles adds the files of all teams with a single merge. Submitted one by one, each file would cause a merge of
+// all files.
 func addLargeFiles(b *testing.B, m *StateMachine, teams, tenants int) {
 	b.Helper()
 	s := m.cloneState()
@@ -68,11 +71,12 @@
 		s.pending[fmt.Sprint("t", i)] = submittedFile{text: largeFile(i, 1, tenants), number: 1}
 	}
 	if err := m.mergeAndCommit(s); err != nil {
-		b.Fatal(err)
+		b.Fatalf("merging the files of %d teams: %v", teams, err)
 	}
 }
 
-// BenchmarkApply is one submission and the completion of its rollout, for which the log's goroutine is busy.
+// BenchmarkApply measures a submission and the completion of its rollout. The goroutine that applies the log is busy
+// for this time.
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []struct{ teams, tenants int }{{50, 0}, {200, 0}, {160, 12}, {320, 12}, {650, 12}} {
 		routes := size.teams * routesPerTeam
@@ -90,7 +94,7 @@
 			}
 			snapshot, err := m.Snapshot()
 			if err != nil {
-				b.Fatal(err)
+				b.Fatalf("Snapshot() failed after the submissions: %v", err)
 			}
 			b.ReportMetric(float64(len(snapshot)), "snapshot-bytes")
 			b.ReportMetric(float64(m.state.head.tree.Size()), "policy-bytes")
@@ -98,7 +102,7 @@
 	}
 }
 
-// BenchmarkSnapshot writes and reads the state of a large fleet with all policies retained that can be.
+// BenchmarkSnapshot measures Snapshot and Restore for a large fleet that has MaxRetainedPolicies retained policies.
 func BenchmarkSnapshot(b *testing.B) {
 	const (
 		teams   = 650
@@ -113,12 +117,12 @@
 	}
 	snapshot, err := m.Snapshot()
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("Snapshot() failed after the submissions: %v", err)
 	}
 	b.Run("write", func(b *testing.B) {
 		for b.Loop() {
 			if _, err := m.Snapshot(); err != nil {
-				b.Fatal(err)
+				b.Fatalf("Snapshot() failed: %v", err)
 			}
 		}
 		b.ReportMetric(float64(len(snapshot)), "snapshot-bytes")
@@ -126,7 +130,7 @@
 	b.Run("read", func(b *testing.B) {
 		for b.Loop() {
 			if err := New(0).Restore(snapshot); err != nil {
-				b.Fatal(err)
+				b.Fatalf("Restore of a snapshot of %d bytes failed: %v", len(snapshot), err)
 			}
 		}
 	})
--- a/internal/policy/store/frozen_test.go
+++ b/internal/policy/store/frozen_test.go
@@ -5,20 +5,19 @@
 	"encoding/json"
 	"os"
 	"reflect"
-	"strings"
 	"testing"
 
 	"lapisspread/internal/policy/rollout"
 )
 
-// The files of these tests are what commit c8fad44 stores. They were written at that commit, with UPDATE_FROZEN=1, and
-// must never be written again: a change of them is a change of the stored log or of a snapshot.
+// Files with the log and the snapshot that release c8fad44 stores. They were written by its code, with UPDATE_FROZEN=1,
+// and must never be written again: if a test needs other files, the format of stored logs or snapshots has changed.
 const (
 	frozenCommands = "testdata/commands.jsonl"
 	frozenSnapshot = "testdata/form2.cbor"
 )
 
-// frozenLog is the commands of the frozen log, each kind at least once.
+// frozenLog returns the commands of the frozen log. Each kind of command occurs in it.
 func frozenLog() []Command {
 	setDeclaration := Command{SetDeclaration: &SetDeclaration{Text: declarationText("x.org"), Author: "op"}}
 	return []Command{
@@ -41,6 +40,7 @@
 	}
 }
 
+// frozenResult returns a command of the frozen log that ends a rollout. Its texts are stored there and must not change.
 func frozenResult(generation, epoch uint64, completed bool) Command {
 	result := RolloutResult{Generation: generation, Epoch: epoch, Completed: completed, ProxyCount: 5}
 	if !completed {
@@ -50,38 +50,35 @@
 	return resultCommand(result)
 }
 
-// A log and a snapshot of release c8fad44 are written and read unchanged, give the same state, and can be continued.
+// The present code writes the same log and snapshot as release c8fad44 did. It reads those of that release, restores
+// the same state from them, and applies further commands with the same outcome.
 func TestFrozenLogAndSnapshot(t *testing.T) {
 	lines := encodeCommands(t, frozenLog())
 	m := New(7)
-	outcomes := ""
-	for _, line := range lines {
+	for i, line := range lines {
 		if err := m.Apply(decodeCommand(t, line)); err != nil {
-			outcomes += err.Error()
+			t.Errorf("command %d: Apply(%s) = %v, want no error", i, line, err)
 		}
-		outcomes += ";"
-	}
-	if outcomes != strings.Repeat(";", len(lines)) {
-		t.Errorf("outcomes: %s", outcomes)
 	}
 	log := append(bytes.Join(lines, []byte("\n")), '\n')
 	frozen := frozenBytes(t, frozenCommands, log)
 	if !bytes.Equal(frozen, log) {
-		t.Error("commands are written differently")
+		t.Errorf("commands are encoded as\n%s, want the content of %s:\n%s", log, frozenCommands, frozen)
 	}
 	for i, line := range bytes.Split(bytes.TrimSpace(frozen), []byte("\n")) {
-		if c := decodeCommand(t, line); !reflect.DeepEqual(c, frozenLog()[i]) {
-			t.Errorf("command %d: read %+v", i, c)
+		if c, want := decodeCommand(t, line), frozenLog()[i]; !reflect.DeepEqual(c, want) {
+			t.Errorf("line %d of %s is decoded as %s, want %s", i, frozenCommands, commandText(c), commandText(want))
 		}
 	}
 	snapshot := snapshotOf(t, m)
 	frozen = frozenBytes(t, frozenSnapshot, snapshot)
 	if !bytes.Equal(frozen, snapshot) {
-		t.Error("the snapshot is written differently")
+		t.Errorf("Snapshot() after the frozen log differs from %s (%d bytes, want %d equal ones)",
+			frozenSnapshot, len(snapshot), len(frozen))
 	}
 	restored := New(0)
 	if err := restored.Restore(frozen); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Restore of %s failed: %v", frozenSnapshot, err)
 	}
 	checkFrozenStatus(t, restored)
 	for _, c := range []Command{
@@ -92,7 +89,8 @@
 		apply(t, m, c)
 	}
 	if !bytes.Equal(snapshotOf(t, restored), snapshotOf(t, m)) {
-		t.Error("a restored state goes on differently")
+		t.Error("after the same further commands, the restored state and the state that the log gave have different " +
+			"snapshots, want equal ones")
 	}
 }
 
@@ -102,7 +100,7 @@
 	for _, c := range commands {
 		line, err := json.Marshal(c)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding command %+v as JSON: %v", c, err)
 		}
 		lines = append(lines, line)
 	}
@@ -113,26 +111,27 @@
 	t.Helper()
 	var c Command
 	if err := json.Unmarshal(line, &c); err != nil {
-		t.Fatal(err)
+		t.Fatalf("decoding command %s: %v", line, err)
 	}
 	return c
 }
 
-// frozenBytes reads a frozen file. With UPDATE_FROZEN it writes current there first.
+// frozenBytes returns the content of a frozen file. With UPDATE_FROZEN set, it writes current to the file first.
 func frozenBytes(t *testing.T, path string, current []byte) []byte {
 	t.Helper()
 	if os.Getenv("UPDATE_FROZEN") != "" {
 		if err := os.WriteFile(path, current, 0o644); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing the frozen file: %v", err)
 		}
 	}
 	frozen, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the frozen file: %v", err)
 	}
 	return frozen
 }
 
+// checkFrozenStatus checks the status of a state machine that was restored from the frozen snapshot.
 func checkFrozenStatus(t *testing.T, m *StateMachine) {
 	t.Helper()
 	contradiction := `contradiction: alpha/4 route r, beta/2 route r: neither goes before the other; ` +
@@ -164,6 +163,6 @@
 		ProxyCount:     5,
 	}
 	if got := m.Status(); !reflect.DeepEqual(got, want) {
-		t.Errorf("read\n%+v, want\n%+v", got, want)
+		t.Errorf("status restored from %s is\n%+v, want\n%+v", frozenSnapshot, got, want)
 	}
 }
--- a/internal/policy/store/randomrollout_test.go
+++ b/internal/policy/store/randomrollout_test.go
@@ -19,12 +19,12 @@
 	team       int
 	number     int
 	harmful    bool
-	rolledBack bool // an operator rolled back after it
+	rolledBack bool // an operator rolled the fleet back after the submission
 }
 
 func (f submission) namespace() string { return fmt.Sprint("t", f.team) }
 
-// command submits the file.
+// command returns the command that submits the file with one route for a path prefix.
 func (f submission) command(path string) Command {
 	if f.harmful {
 		return submitHarmful(f.team, f.number, path)
@@ -32,7 +32,8 @@
 	return submitTeam(f.team, f.number, path)
 }
 
-// randomRun draws files that are harmless, harmful or in conflict, declarations, false alarms and rollbacks.
+// randomRun applies random commands to a state machine: files that are harmless, harmful or conflict with others,
+// declarations, rollbacks, and results of rollouts, some of which stop a harmless one (false alarms).
 type randomRun struct {
 	t           *testing.T
 	rng         *rand.Rand
@@ -43,7 +44,8 @@
 	falseAlarms int
 }
 
-// runRandomRollouts returns the first violation of an invariant, or an empty text.
+// runRandomRollouts runs random commands and then ends all rollouts. It returns the first violation of an invariant, or
+// an empty text.
 func runRandomRollouts(t *testing.T, seed uint64, mutations mutation) string {
 	t.Helper()
 	r := &randomRun{
@@ -60,7 +62,7 @@
 	}
 	for i := 0; rolloutUnderWay(r.m.Status()); i++ {
 		if i > maxRandomRollouts {
-			return "the rollouts do not end"
+			return fmt.Sprintf("a rollout is still under way after %d more have ended", maxRandomRollouts)
 		}
 		if violation := r.endRollout(); violation != "" {
 			return violation
@@ -71,7 +73,8 @@
 
 func rolloutUnderWay(s Status) bool { return s.Candidate.Epoch != 0 && s.Stopped == nil }
 
-// step applies one random command. Only the end of a rollout and a rollback may replace the candidate.
+// step applies a random command or restores a snapshot. It returns a violation if the candidate was replaced by
+// something other than the end of its rollout or a rollback.
 func (r *randomRun) step(number int) string {
 	before := r.m.Status()
 	switch draw := r.rng.IntN(12); {
@@ -89,7 +92,7 @@
 	}
 	after := r.m.Status()
 	if rolloutUnderWay(before) && after.Candidate != before.Candidate {
-		return fmt.Sprintf("step %d: epoch %d was displaced by %d",
+		return fmt.Sprintf("step %d: the candidate of epoch %d was replaced by epoch %d before its rollout ended",
 			number, before.Candidate.Epoch, after.Candidate.Epoch)
 	}
 	return ""
@@ -117,7 +120,7 @@
 	snapshot := snapshotOf(r.t, r.m)
 	r.m = New(0)
 	if err := r.m.Restore(snapshot); err != nil {
-		r.t.Fatal(err)
+		r.t.Fatalf("restoring a snapshot of the random run's state: %v", err)
 	}
 	r.m.mutations = r.mutations
 }
@@ -132,29 +135,30 @@
 	}
 	endRollout(r.t, r.m, !harmful && !falseAlarm)
 	if harmful && r.m.Status().Active == candidate {
-		return "a harmful policy is in force"
+		return fmt.Sprintf("the harmful policy of epoch %d is active after its rollout was stopped", candidate.Epoch)
 	}
 	return ""
 }
 
-// checkFinal checks that each submission is in force or accounted for once all rollouts have ended.
+// checkFinal checks the state once all rollouts have ended: nothing is queued, and each submission that was neither
+// replaced nor rolled back is active, withheld or reported as failed.
 func (r *randomRun) checkFinal() string {
 	s := r.m.Status()
 	if len(s.Queued) > 0 {
-		return fmt.Sprintf("%v wait for ever", s.Queued)
+		return fmt.Sprintf("changes %v are still queued after all rollouts have ended", s.Queued)
 	}
 	newest := map[int]int{}
 	for _, f := range r.submissions {
 		newest[f.team] = max(newest[f.team], f.number)
 	}
-	inForce := map[string]uint64{}
+	activeNumbers := map[string]uint64{} // numbers of the active files by namespace
 	for _, service := range policyOf(r.t, r.m, s.Active).Services {
 		for _, source := range service.Sources {
-			inForce[source.Namespace] = source.Number
+			activeNumbers[source.Namespace] = source.Number
 		}
 	}
 	for _, f := range r.submissions {
-		if violation := r.checkSubmission(f, s, inForce[f.namespace()], newest[f.team]); violation != "" {
+		if violation := r.checkSubmission(f, s, activeNumbers[f.namespace()], newest[f.team]); violation != "" {
 			return violation
 		}
 	}
@@ -174,16 +178,19 @@
 	inForce := activeNumber == number
 	switch {
 	case failed && (s.FailedChanges[failedIndex].Reason == "" || s.FailedChanges[failedIndex].Advice == ""):
-		return "a failed change without a reason"
+		return fmt.Sprintf("failed change %s %d has no reason or no advice", name, f.number)
 	case inForce && failed:
-		return fmt.Sprintf("%s %d is in force and failed", name, f.number)
+		return fmt.Sprintf("file %d of %s is active and also reported as failed", f.number, name)
 	case !inForce && !withheld && !failed && !f.rolledBack && newest == f.number:
-		return fmt.Sprintf("%s %d is neither in force nor reported", name, f.number)
+		return fmt.Sprintf("file %d, the newest of %s, is neither active nor reported as withheld or failed",
+			f.number, name)
 	}
-	// Inseparable changes fail together, so a harmless one may fail, but not with only harmless ones and no alarm.
+	// A harmless change may fail together with a harmful one from which it cannot be separated, or by a false alarm.
+	// If the run had neither harmful changes nor false alarms, none may fail.
 	anyHarmful := slices.ContainsFunc(r.submissions, func(other submission) bool { return other.harmful })
 	if failed && !anyHarmful && r.falseAlarms == 0 {
-		return fmt.Sprintf("%s %d failed and did no harm", name, f.number)
+		return fmt.Sprintf("file %d of %s is reported as failed, but the run had no harmful file and no false alarm",
+			f.number, name)
 	}
 	return ""
 }
@@ -191,7 +198,7 @@
 func TestRandomRollouts(t *testing.T) {
 	for seed := range uint64(randomRuns) {
 		if violation := runRandomRollouts(t, seed, 0); violation != "" {
-			t.Errorf("seed %d: %s", seed, violation)
+			t.Errorf("random run with seed %d violates an invariant: %s", seed, violation)
 		}
 	}
 }
@@ -206,12 +213,12 @@
 		for seed := uint64(0); seed < randomRuns && violation == ""; seed++ {
 			violation = runRandomRollouts(t, seed, mutations)
 		}
-		t.Logf("%s: %s", name, violation)
+		t.Logf("mutation %q: first violation %q", name, violation)
 		if violation == "" {
-			t.Errorf("not detected: %s", name)
+			t.Errorf("mutation %q: %d random runs found no violation, want at least one", name, randomRuns)
 		}
 	}
-	// A batch that fails as a whole is detected where one of nine changes is harmful.
+	// Without bisection all nine changes of this batch fail, though only that of t4 is harmful.
 	m := newWithTenTeams(t, skipBisection)
 	apply(t, m, submitTeam(9, 2, "/9a"))
 	for team := range 9 {
@@ -224,6 +231,6 @@
 	}
 	endRolloutsByHarm(t, m)
 	if got := failedChangeNames(m); len(got) < 2 {
-		t.Errorf("not detected: all changes of a batch fail: %v", got)
+		t.Errorf("without bisection, failed changes are %v, want several changes of the batch", got)
 	}
 }
--- a/internal/policy/store/rollout_test.go
+++ b/internal/policy/store/rollout_test.go
@@ -9,7 +9,7 @@
 	"lapisspread/internal/operatorerror"
 )
 
-// declareTeams declares namespaces t0, t1, ... on one host, none of which has precedence.
+// declareTeams declares namespaces t0, t1, ... on the same host, none with precedence over another.
 func declareTeams(count int) Command {
 	var text strings.Builder
 	text.WriteString("version = 1\n")
@@ -20,6 +20,7 @@
 	return declareCommand(text.String())
 }
 
+// teamText returns the text of a file of a team's namespace, with one route for a path prefix.
 func teamText(team, number int, path string) string {
 	return policyFile(fmt.Sprint("t", team), number, "x.org", path)
 }
@@ -29,11 +30,13 @@
 	return submitCommand(teamText(team, number, path))
 }
 
-// submitHarmful submits a file that makes proxies do worse: candidateIsHarmful finds its extra service.
+// submitHarmful submits a file whose rollout is to be stopped. It has an extra service by which candidateIsHarmful
+// recognizes it.
 func submitHarmful(team, number int, path string) Command {
 	return submitCommand(teamText(team, number, path) + fmt.Sprintf("[[service]]\nname = \"harm-%d\"\n", team))
 }
 
+// candidateIsHarmful reports whether the candidate contains a file that submitHarmful submitted.
 func candidateIsHarmful(t *testing.T, m *StateMachine) bool {
 	t.Helper()
 	for _, s := range policyOf(t, m, m.Status().Candidate).Services {
@@ -44,21 +47,21 @@
 	return false
 }
 
-// endRolloutsByHarm stops each harmful rollout and completes each other one until none is under way. It returns how
-// many there were.
+// endRolloutsByHarm stops each harmful rollout and completes the others until none is under way. It returns the number
+// of rollouts.
 func endRolloutsByHarm(t *testing.T, m *StateMachine) int {
 	t.Helper()
 	rollouts := 0
 	for s := m.Status(); s.Candidate.Epoch != 0 && s.Stopped == nil; s = m.Status() {
 		if rollouts++; rollouts > 200 {
-			t.Fatalf("the rollouts do not end: %+v", s)
+			t.Fatalf("a rollout is still under way after 200 have ended: status %+v", s)
 		}
 		endRollout(t, m, !candidateIsHarmful(t, m))
 	}
 	return rollouts
 }
 
-// newWithTenTeams has one file of each of ten teams in force.
+// newWithTenTeams returns a state machine in which one file of each of ten teams is in force.
 func newWithTenTeams(t *testing.T, mutations mutation) *StateMachine {
 	t.Helper()
 	m := New(0)
@@ -71,6 +74,7 @@
 	return m
 }
 
+// changeNames returns the namespace and number of each change, written together: t02 is file 2 of namespace t0.
 func changeNames(changes []Change) []string {
 	var names []string
 	for _, c := range changes {
@@ -79,11 +83,13 @@
 	return names
 }
 
+// failedChangeNames returns the names of the failed changes as changeNames does. A change that lacks its reason, advice
+// or author is preceded by a text that says so.
 func failedChangeNames(m *StateMachine) []string {
 	var names []string
 	for _, f := range m.Status().FailedChanges {
 		if f.Reason == "" || f.Advice == "" || f.Author == "" {
-			names = append(names, "without a reason: ")
+			names = append(names, "without reason, advice or author: ")
 		}
 		names = append(names, fmt.Sprint(f.Namespace, f.Number))
 	}
@@ -98,20 +104,22 @@
 		apply(t, m, submitTeam(team, 2, fmt.Sprint("/", team, "a")))
 		s := m.Status()
 		if s.Candidate != first || len(s.Queued) != team || s.Head.Epoch <= first.Epoch {
-			t.Fatalf("%+v", s)
+			t.Fatalf("status after %d submissions during a rollout is %+v, want candidate %+v, %d queued changes "+
+				"and a head with a higher epoch", team, s, first, team)
 		}
-		if !slices.Equal(changeNames(s.Batch), []string{"t02"}) {
-			t.Fatalf("%+v", s)
+		if got := changeNames(s.Batch); !slices.Equal(got, []string{"t02"}) {
+			t.Fatalf("after %d submissions during a rollout its batch is %q, want only t02", team, got)
 		}
 	}
 	endRollout(t, m, true)
 	s := m.Status()
 	if s.Active != first || len(s.Batch) != 9 || len(s.Queued) != 0 || s.Candidate != s.Head {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status after the first rollout is %+v, want active version %+v, the head as candidate, "+
+			"9 changes in the batch and none queued", s, first)
 	}
 	endRollout(t, m, true)
 	if s := m.Status(); s.Active != s.Head || s.Candidate.Epoch != 0 || len(s.FailedChanges) != 0 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status after the second rollout is %+v, want the head active, no candidate and no failed changes", s)
 	}
 }
 
@@ -129,29 +137,31 @@
 		}
 		endRollout(t, m, true)
 		if s := m.Status(); len(s.Batch) != 10 {
-			t.Fatalf("%+v", s)
+			t.Fatalf("status after the declaration's rollout is %+v, want a batch of 10 changes", s)
 		}
 		rollouts := endRolloutsByHarm(t, m)
 		s := m.Status()
-		if !slices.Equal(failedChangeNames(m), []string{fmt.Sprintf("t%d2", harmful)}) {
-			t.Fatalf("%+v", s.FailedChanges)
+		if want := fmt.Sprintf("t%d2", harmful); !slices.Equal(failedChangeNames(m), []string{want}) {
+			t.Fatalf("failed changes are %+v, want only %s", s.FailedChanges, want)
 		}
 		got := routesOf(t, m, s.Active)
 		for team := range 10 {
 			if want := fmt.Sprint("/", team, "a"); strings.Contains(got, want) == (team == harmful) {
-				t.Errorf("the harmful one is %d: %s", harmful, got)
+				t.Errorf("harmful change of t%d: active routes are %q, want the new route of each team but t%d",
+					harmful, got, harmful)
 			}
 		}
 		if rollouts > 9 {
-			t.Errorf("%d rollouts to find one of ten changes", rollouts)
+			t.Errorf("harmful change of t%d among ten was found in %d rollouts, want at most 9", harmful, rollouts)
 		}
-		if err := m.Apply(submitTeam(harmful, 2, "/mended")); err == nil {
-			t.Error("the number of a failed change was accepted again")
+		if err := m.Apply(submitTeam(harmful, 2, "/repaired")); err == nil {
+			t.Errorf("another file of t%d with the number of its failed change was accepted, want an error", harmful)
 		}
-		apply(t, m, submitTeam(harmful, 3, "/mended"))
+		apply(t, m, submitTeam(harmful, 3, "/repaired"))
 		endRolloutsByHarm(t, m)
-		if s := m.Status(); len(s.FailedChanges) != 0 || !strings.Contains(routesOf(t, m, s.Active), "/mended") {
-			t.Errorf("mended: %+v", s)
+		if s := m.Status(); len(s.FailedChanges) != 0 || !strings.Contains(routesOf(t, m, s.Active), "/repaired") {
+			t.Errorf("status after t%d submitted a repaired file is %+v, want no failed changes "+
+				"and route /repaired active", harmful, s)
 		}
 	}
 }
@@ -161,21 +171,21 @@
 	apply(t, m, submitTeam(9, 2, "/9a"))
 	apply(t, m, submitTeam(0, 2, "/0a"), submitTeam(0, 5, "/0b"))
 	if err := m.Apply(submitTeam(0, 3, "/0c")); operatorerror.AdviceOf(err) == "" {
-		t.Errorf("a lower number: %v", err)
+		t.Errorf("submitting file 3 of t0 after file 5 returned %v, want an error with advice", err)
 	}
 	if s := m.Status(); !slices.Equal(changeNames(s.Queued), []string{"t05"}) {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status after files 2 and 5 of t0 is %+v, want only t05 queued", s)
 	}
 	completeRollouts(t, m)
 	if got := routesOf(t, m, m.Status().Active); !strings.Contains(got, "/0b") || strings.Contains(got, "/0a") {
-		t.Errorf("want the later of two submissions, /0b, in force: %s", got)
+		t.Errorf("active routes are %q, want those of t0's later file: /0b and not /0a", got)
 	}
-	// A mended file that is queued replaces the harmful one, and harmless changes with it go on.
+	// A repaired file that is queued replaces the harmful one, and harmless changes queued with it are rolled out too.
 	apply(t, m, submitHarmful(1, 2, "/1a"))
 	apply(t, m, submitTeam(1, 3, "/1b"), submitTeam(2, 3, "/2b"))
 	endRolloutsByHarm(t, m)
 	if got := routesOf(t, m, m.Status().Active); !strings.Contains(got, "/1b") || !strings.Contains(got, "/2b") {
-		t.Errorf("%s: %+v", got, m.Status())
+		t.Errorf("active routes are %q, want /1b and /2b among them; status %+v", got, m.Status())
 	}
 }
 
@@ -188,23 +198,24 @@
 	got := routesOf(t, m, s.Active)
 	for _, want := range []string{"t0/r/same", "t1/r/1", "/2a"} {
 		if !strings.Contains(got, want) {
-			t.Errorf("route %s is not in force: %s", want, got)
+			t.Errorf("active routes are %q, want %s among them", got, want)
 		}
 	}
 	if len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "t1" || s.WithheldFiles[0].Reason == "" {
-		t.Errorf("%+v", s.WithheldFiles)
+		t.Errorf("withheld files are %+v, want one of t1 with a reason", s.WithheldFiles)
 	}
-	// If the earlier of the two fails, the withheld one is accepted without being submitted again.
+	// If the earlier of the two files fails, the withheld file is accepted without being submitted again.
 	m = newWithTenTeams(t, 0)
 	apply(t, m, submitHarmful(0, 2, "/same"), submitTeam(1, 2, "/same"))
 	endRolloutsByHarm(t, m)
 	s = m.Status()
 	got = routesOf(t, m, s.Active)
 	if !strings.Contains(got, "t1/r/same") || len(s.WithheldFiles) != 0 {
-		t.Errorf("%s: %+v", got, s)
+		t.Errorf("after file 2 of t0 failed: active routes are %q, want t1/r/same among them and no withheld files; "+
+			"status %+v", got, s)
 	}
 	if !slices.Equal(failedChangeNames(m), []string{"t02"}) {
-		t.Errorf("%+v", s.FailedChanges)
+		t.Errorf("failed changes are %+v, want only t02", s.FailedChanges)
 	}
 }
 
@@ -213,30 +224,32 @@
 	apply(t, m, submitTeam(0, 2, "/0a"), submitTeam(0, 3, "/0"))
 	s := m.Status()
 	if !slices.Equal(changeNames(s.Batch), []string{"t02"}) || !slices.Equal(changeNames(s.Queued), []string{"t03"}) {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status after files 2 and 3 of t0 is %+v, want t02 in the batch and t03 queued", s)
 	}
 	completeRollouts(t, m)
 	if got := routesOf(t, m, m.Status().Active); !strings.Contains(got, "t0/r/0 ") {
-		t.Errorf("want the route before the reverted change, t0/r/0, in force: %s", got)
+		t.Errorf("active routes are %q, want t0/r/0, the route before the reverted change", got)
 	}
-	// An operator's rollback drops what is queued and what is being rolled out.
+	// An operator's rollback drops the queued changes and the batch that is being rolled out.
 	active := m.Status().Active
 	apply(t, m,
 		submitTeam(0, 4, "/0a"), submitTeam(1, 4, "/1a"), declareTeams(12), rollbackCommand(active.Epoch),
 	)
 	s = m.Status()
 	if s.Active.Epoch != active.Epoch || s.Active.Generation != active.Generation+1 {
-		t.Errorf("%+v", s)
+		t.Errorf("active version after the rollback is %+v, want epoch %d in generation %d",
+			s.Active, active.Epoch, active.Generation+1)
 	}
 	if s.Candidate.Epoch != 0 || s.Head != s.Active || len(s.Queued)+len(s.Batch) != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("status after the rollback is %+v, want no candidate, the active version as head, "+
+			"and nothing queued or in the batch", s)
 	}
 	if err := m.Apply(submitTeam(11, 1, "/11")); err == nil {
-		t.Error("a declaration that was being rolled out is in force after the rollback")
+		t.Error("submitting a file of t11 succeeded, want an error: the rollback dropped the declaration of t11")
 	}
 }
 
-// A declaration is a change like others: if it fails it is excluded, and files that need it are withheld.
+// A declaration is rolled out as files are: if its rollout fails, it is excluded, and files that need it are withheld.
 func TestFailedDeclaration(t *testing.T) {
 	m := newWithTenTeams(t, 0)
 	apply(t, m, submitTeam(9, 2, "/9a"))
@@ -254,55 +267,60 @@
 	s := m.Status()
 	got := routesOf(t, m, s.Active)
 	if !strings.Contains(got, "t0/r") || !strings.Contains(got, "/3a") || strings.Contains(got, "t10") {
-		t.Errorf("%s: %+v", got, s)
+		t.Errorf("after the declaration failed: active routes are %q, want t0/r and /3a but not t10 among them; "+
+			"status %+v", got, s)
 	}
 	failed := s.FailedChanges
 	if len(failed) != 1 || failed[0].Namespace != DeclarationName || failed[0].Author != "admin" {
-		t.Errorf("%+v", failed)
+		t.Errorf("failed changes are %+v, want only the declaration by admin", failed)
 	}
 	if len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "t10" {
-		t.Errorf("%+v", s.WithheldFiles)
+		t.Errorf("withheld files are %+v, want only that of t10", s.WithheldFiles)
 	}
 }
 
-// Two changes that are accepted only together cannot be bisected: both fail.
+// Two changes that can only be merged together cannot be bisected, so both fail. Here each of two namespaces takes over
+// the other's path.
 func TestInseparableChangesFailTogether(t *testing.T) {
 	m := newWithTenTeams(t, 0)
 	apply(t, m, submitHarmful(0, 2, "/1"))
 	if s := m.Status(); len(s.WithheldFiles) != 1 || s.Candidate.Epoch != 0 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status after t0 submitted the path of t1 is %+v, want 1 withheld file and no candidate", s)
 	}
 	apply(t, m, submitTeam(1, 2, "/0"))
 	endRolloutsByHarm(t, m)
 	s := m.Status()
 	if !slices.Equal(failedChangeNames(m), []string{"t02", "t12"}) {
-		t.Errorf("%+v", s)
+		t.Errorf("failed changes are %+v, want t02 and t12", s.FailedChanges)
 	}
-	if !strings.Contains(routesOf(t, m, s.Active), "t0/r/0 t1/r/1 ") {
-		t.Errorf("%+v", s)
+	if got := routesOf(t, m, s.Active); !strings.Contains(got, "t0/r/0 t1/r/1 ") {
+		t.Errorf("active routes are %q, want the former routes t0/r/0 and t1/r/1", got)
 	}
 }
 
-// A change that needs another one is in its batch. If the other fails, it alone is excluded, and the first waits again.
+// A change that can be merged only with another change is in the same batch. If the other change fails, only that one
+// is excluded, and the dependent change is withheld again.
 func TestDependentChangeWaitsAgain(t *testing.T) {
-	for _, dependent := range []int{0, 2} { // before and after the other by name
+	for _, dependent := range []int{0, 2} { // sorts before and after t1, which has the other change
 		m := newWithTenTeams(t, 0)
 		apply(t, m, submitTeam(dependent, 2, "/1"), submitHarmful(1, 2, "/1a"))
 		if s := m.Status(); len(s.Batch) != 2 {
-			t.Fatalf("%+v", s)
+			t.Fatalf("status after files of t%d and t1 is %+v, want both in the batch", dependent, s)
 		}
 		endRolloutsByHarm(t, m)
 		s := m.Status()
 		if !slices.Equal(failedChangeNames(m), []string{"t12"}) {
-			t.Errorf("%+v", s)
+			t.Errorf("failed changes are %+v, want only t12 (the dependent change is of t%d)",
+				s.FailedChanges, dependent)
 		}
-		if len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != fmt.Sprint("t", dependent) {
-			t.Errorf("%+v", s)
+		if want := fmt.Sprint("t", dependent); len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != want {
+			t.Errorf("withheld files are %+v, want only that of %s", s.WithheldFiles, want)
 		}
 	}
 }
 
-// A fleet whose first rollout stops has no active policy; a mended file is rolled out.
+// A fleet whose first rollout is stopped has no active policy. Later files are rolled out nevertheless, and a repaired
+// file replaces one that failed.
 func TestFirstRolloutStopped(t *testing.T) {
 	m := New(7)
 	declare := declareTeams(2)
@@ -310,14 +328,17 @@
 	apply(t, m, declare)
 	endRollout(t, m, false)
 	if s := m.Status(); s.Stopped == nil || s.Candidate.Epoch == 0 || len(s.FailedChanges) != 1 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status after the first rollout was stopped is %+v, want Stopped set, a candidate "+
+			"and 1 failed change", s)
 	}
 	apply(t, m, submitHarmful(0, 1, "/0"), submitTeam(1, 1, "/1"))
 	endRolloutsByHarm(t, m)
 	apply(t, m, submitTeam(0, 2, "/0"))
 	endRolloutsByHarm(t, m)
 	s := m.Status()
-	if routesOf(t, m, s.Active) != "t0/r/0 t1/r/1" || s.Active.Generation != 7 || len(s.FailedChanges) != 0 {
-		t.Errorf("%+v", s)
+	got := routesOf(t, m, s.Active)
+	if got != "t0/r/0 t1/r/1" || s.Active.Generation != 7 || len(s.FailedChanges) != 0 {
+		t.Errorf("active routes are %q and the status is %+v, want routes t0/r/0 t1/r/1, generation 7 "+
+			"and no failed changes", got, s)
 	}
 }
--- a/internal/policy/store/snapshot_test.go
+++ b/internal/policy/store/snapshot_test.go
@@ -12,45 +12,50 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// A snapshot of a release without batches and chunks goes on under the same epochs. In it alpha's second file is being
-// rolled out and beta's is withheld.
+// A snapshot of a release without batches and chunks is restored with its epochs. In this one, alpha's second file is
+// being rolled out and beta's second file is withheld.
 func TestRestoreLegacySnapshot(t *testing.T) {
 	legacy, err := os.ReadFile("testdata/form1.json")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the legacy snapshot: %v", err)
 	}
 	m := New(0)
 	if err := m.Restore(legacy); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Restore of testdata/form1.json failed: %v", err)
 	}
 	s := m.Status()
 	if s.Active.Epoch != 3 || s.Candidate.Epoch != 5 || s.Head != s.Candidate || len(s.WithheldFiles) != 1 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status restored from the legacy snapshot is %+v, want active epoch 3, the head as candidate "+
+			"with epoch 5, and 1 withheld file", s)
 	}
 	if !slices.Equal(changeNames(s.Batch), []string{"alpha2", "gamma1"}) || len(s.Queued) != 0 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status restored from the legacy snapshot is %+v, want a batch of alpha2 and gamma1 "+
+			"and nothing queued", s)
 	}
-	if got := routesOf(t, m, s.Active); got != "alpha/r/a beta/r/b" {
-		t.Errorf("routes of the active policy: %s", got)
+	if got, want := routesOf(t, m, s.Active), "alpha/r/a beta/r/b"; got != want {
+		t.Errorf("active routes restored from the legacy snapshot are %q, want %q", got, want)
 	}
 	snapshot := snapshotOf(t, m)
 	restored := New(0)
 	if err := restored.Restore(snapshot); err != nil {
-		t.Fatal(err)
+		t.Fatalf("restoring a new snapshot of the state from the legacy snapshot: %v", err)
 	}
 	if !bytes.Equal(snapshot, snapshotOf(t, restored)) {
-		t.Error("a restored snapshot is written differently")
+		t.Error("Snapshot() of a restored state differs from the snapshot that it was restored from")
 	}
 	checkLegacyBisection(t, restored)
 	for _, damage := range []string{"s-beta", `"form":1`, "/c"} {
 		damaged := bytes.ReplaceAll(legacy, []byte(damage), []byte("x"+damage[1:]))
 		if err := New(0).Restore(damaged); !errors.As(err, new(InvalidCommandError)) {
-			t.Errorf("damaged at %s: %v", damage, err)
+			t.Errorf("Restore of a legacy snapshot with the first byte of each %q damaged returned %v, "+
+				"want an InvalidCommandError", damage, err)
 		}
 	}
 }
 
-// checkLegacyBisection stops the rollout: its two changes are tried apart, and the withheld file is accepted.
+// checkLegacyBisection stops the rollout that the legacy snapshot contains, and then each rollout with alpha's second
+// file. The two changes of the batch must be rolled out separately, and beta's withheld file must be accepted, since
+// alpha's second file, which conflicts with it, fails.
 func checkLegacyBisection(t *testing.T, m *StateMachine) {
 	t.Helper()
 	endRollout(t, m, false)
@@ -59,12 +64,13 @@
 	}
 	got := routesOf(t, m, m.Status().Active)
 	if got != "alpha/r/a beta/r/c gamma/r/g" || !slices.Equal(failedChangeNames(m), []string{"alpha2"}) {
-		t.Errorf("%s: %+v", got, m.Status())
+		t.Errorf("after the bisection: active routes %q and status %+v, want routes alpha/r/a beta/r/c gamma/r/g "+
+			"and only alpha2 failed", got, m.Status())
 	}
 }
 
-// Log entries of releases in which each submission displaced the candidate give the policy and the epoch that they
-// gave then, and a repeated result changes nothing.
+// In earlier releases each submission replaced the candidate. Their log entries still give the policy and the epoch
+// that they gave then, and late or repeated results change nothing.
 func TestApplyLegacyEntries(t *testing.T) {
 	m := New(0)
 	apply(t, m,
@@ -75,10 +81,11 @@
 	)
 	s := m.Status()
 	if s.Active.Epoch != 3 || s.Candidate.Epoch != 0 || s.Head != s.Active {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status after a result for the head's epoch 3 is %+v, want the head active with epoch 3 "+
+			"and no candidate", s)
 	}
-	if got := routesOf(t, m, s.Active); got != "alpha/r/a beta/r/b" {
-		t.Fatalf("%s: %+v", got, s)
+	if got, want := routesOf(t, m, s.Active), "alpha/r/a beta/r/b"; got != want {
+		t.Fatalf("active routes after a result for the head's epoch 3 are %q, want %q (status %+v)", got, want, s)
 	}
 	apply(t, m,
 		submitCommand(policyFile("alpha", 2, "x.org", "/a2")),
@@ -87,7 +94,8 @@
 	)
 	s = m.Status()
 	if s.Active.Epoch != 3 || s.Candidate.Epoch != 6 || !slices.Equal(changeNames(s.Batch), []string{"alpha2"}) {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status after epoch 5 was stopped is %+v, want active epoch 3, candidate epoch 6 "+
+			"and only alpha2 in the batch", s)
 	}
 	before := snapshotOf(t, m)
 	for epoch := range uint64(6) {
@@ -97,7 +105,7 @@
 		}
 	}
 	if !bytes.Equal(before, snapshotOf(t, m)) {
-		t.Errorf("late results changed something: %+v, %+v", s, m.Status())
+		t.Errorf("late results changed the state: status before %+v, after %+v", s, m.Status())
 	}
 }
 
@@ -112,40 +120,43 @@
 		apply(t, cached, c)
 		apply(t, uncached, c)
 		if !bytes.Equal(snapshotOf(t, cached), snapshotOf(t, uncached)) {
-			t.Error("the states differ")
+			t.Errorf("after Apply(%s) the snapshots with and without the parse cache differ, want equal ones",
+				commandText(c))
 		}
 	}
 }
 
-// Proxies that take no chunks get the encoding, as long as it fits.
+// Unchunked returns the whole encoding of a retained policy, for proxies that do not support chunks, unless it is
+// longer than MaxUnchunkedBytes. TreeByRoot finds only retained policies.
 func TestUnchunked(t *testing.T) {
 	m := newWithTwoTeams(t, 0)
 	active := m.Status().Active
 	text, ok := m.Unchunked(active)
-	if !ok || text != string(policyOf(t, m, active).Encode()) {
-		t.Errorf("%v %s", ok, text)
+	if want := string(policyOf(t, m, active).Encode()); !ok || text != want {
+		t.Errorf("Unchunked(%+v) = %q, %v, want %q, true", active, text, ok, want)
 	}
 	if _, ok := m.Unchunked(rollout.Version{Generation: 9, Epoch: active.Epoch, Hash: active.Hash}); ok {
-		t.Error("a version that is not retained was returned")
+		t.Error("Unchunked of a version with generation 9, which is not retained, returned true, want false")
 	}
 	if tree, ok := m.TreeByRoot(active.Hash); !ok || tree.Root().String() != active.Hash {
-		t.Error("the tree is not found by its root")
+		t.Errorf("TreeByRoot(%s), the active policy's root, did not return a tree with that root", active.Hash)
 	}
 	if _, ok := m.TreeByRoot("none"); ok {
-		t.Error("a root that is not retained was found")
+		t.Error(`TreeByRoot("none") returned true, want false`)
 	}
-	for i, name := range []string{"alpha", "beta", "gamma"} { // two long files fit, three do not
+	for i, name := range []string{"alpha", "beta", "gamma"} { // two files with long lists fit, three do not
 		host := []string{"x.org", "x.org", "g.org"}[i]
 		text := policyFile(name, 2, host, "/"+name) + "tenants = [\"" + tenantList() + "end\"]\n"
 		apply(t, m, submitCommand(text))
 		completeRollouts(t, m)
 		if _, ok := m.Unchunked(m.Status().Active); ok != (i < 2) {
-			t.Errorf("%d long files fit: %v", i+1, ok)
+			t.Errorf("Unchunked of a policy with %d files of about 190 KB returned %v, want %v", i+1, ok, i < 2)
 		}
 	}
 }
 
-// tenantList is 2,000 tenants, some 190 KB, for the inside of a list.
+// tenantList returns 2,000 tenants, about 190 KB, as the start of a TOML list that has its opening quote already. The
+// caller adds the last element and the closing quote.
 func tenantList() string {
 	var list strings.Builder
 	for i := range 2000 {
