--- a/internal/policy/merkle/assembly_test.go
+++ b/internal/policy/merkle/assembly_test.go
@@ -11,33 +11,35 @@
 	"testing"
 )
 
-// Bounds of the random assemblies.
+// Sizes and limits of the tests with random content.
 const (
-	randomAssemblies = 300
-	maxAssemblySteps = 100_000
-	randomChunks     = 30_000
-	distortionSeeds  = 60
-	firstDistortSeed = 1000
-	maxChangeWithin  = 4 * MaxChunkBytes // bytes that a change within a long value may cost
+	randomAssemblies    = 300
+	maxAssemblySteps    = 100_000 // chunks that are added in one assembly
+	randomChunks        = 30_000
+	distortionSeeds     = 60
+	firstDistortSeed    = 1000
+	maxValueChangeBytes = 4 * MaxChunkBytes // of new chunks after a small change within a long value
 )
 
-// assemblyRun assembles a tree out of chunks of which some are damaged, cut off, foreign or malformed.
+// assemblyRun assembles a tree from chunks, some of which are damaged, truncated, malformed or from another tree.
 type assemblyRun struct {
 	t          *testing.T
 	random     randomContent
 	seed       uint64
 	content    map[string][]byte
-	tree       *Tree
-	distortion string // how the tree is malformed; empty if it is not
-	foreign    [][]byte
+	tree       *Tree    // the tree to assemble
+	distortion string   // how the tree is malformed; empty if it is well-formed
+	foreign    [][]byte // chunks of a tree with other content
 	chunks     map[Hash][]byte
 	assembly   *Assembly
 
 	violations []string
-	rejected   int  // chunks that were rejected
+	rejected   int  // number of chunks that were rejected
 	completed  bool // a tree was returned
 }
 
+// newAssemblyRun starts the assembly of a random tree, which is malformed for some seeds. The assembly starts from no
+// tree, an earlier version, or a tree with other content.
 func newAssemblyRun(t *testing.T, seed uint64, mutations mutation) *assemblyRun {
 	t.Helper()
 	d := newRandomContent(seed)
@@ -67,6 +69,7 @@
 	return r
 }
 
+// violated records a violation of an invariant if violation is true.
 func (r *assemblyRun) violated(violation bool, format string, args ...any) {
 	if violation {
 		r.violations = append(r.violations, fmt.Sprintf("seed %d: ", r.seed)+fmt.Sprintf(format, args...))
@@ -85,65 +88,71 @@
 			return
 		}
 	}
-	r.violated(true, "it never ends")
+	r.violated(true, "the assembly neither returned a tree nor rejected its content in %d steps", maxAssemblySteps)
 }
 
-// checkTree reports whether the run is over: a tree was returned or its content rejected.
+// checkTree checks what Assembly.Tree returns. It reports whether the run has ended: a tree was returned, or the
+// content was rejected.
 func (r *assemblyRun) checkTree(missing []Hash) bool {
 	tree, err := r.assembly.Tree()
 	var incomplete IncompleteError
 	switch {
 	case errors.As(err, &incomplete):
-		r.violated(len(missing) == 0 || incomplete.Missing < len(missing), "%v, and %d are missing", err, len(missing))
+		r.violated(len(missing) == 0 || incomplete.Missing < len(missing),
+			"Tree() returned %v, but Missing returned %d hashes", err, len(missing))
 		return false
 	case err != nil:
-		r.violated(r.distortion == "", "well-formed content is rejected: %v", err)
+		r.violated(r.distortion == "", "Tree() rejected well-formed content: %v", err)
 		return true
 	}
 	r.completed = true
 	built, err := Build(slices.Collect(tree.Items()))
-	r.violated(len(missing) > 0, "a tree while %d chunks are missing", len(missing))
-	r.violated(r.distortion != "", "accepted: %s", r.distortion)
-	r.violated(tree.Root() != r.tree.Root(), "a tree of another root")
-	r.violated(err != nil || built.Root() != r.tree.Root(), "content of another root")
+	r.violated(len(missing) > 0, "Tree() returned a tree while %d chunks were missing", len(missing))
+	r.violated(r.distortion != "", "Tree() accepted malformed content: %s", r.distortion)
+	r.violated(tree.Root() != r.tree.Root(), "the assembled tree has root %v, want %v", tree.Root(), r.tree.Root())
+	r.violated(err != nil || built.Root() != r.tree.Root(),
+		"building the assembled items again gave another root than %v, or the error %v", r.tree.Root(), err)
 	if r.distortion == "" {
 		fault := contentFault(tree, r.content)
-		r.violated(fault != "", "%s", fault)
+		r.violated(fault != "", "assembled tree: %s", fault)
 	}
 	return true
 }
 
-// drawChunk returns the right chunk, or one that is damaged, cut off, foreign, too long or random.
-func (r *assemblyRun) drawChunk(right []byte) []byte {
+// drawChunk returns the expected chunk, or instead of it a damaged, truncated or extended copy, a chunk of another
+// tree, or zeros.
+func (r *assemblyRun) drawChunk(expected []byte) []byte {
 	d := r.random
 	switch d.IntN(8) {
 	case 0:
-		damaged := bytes.Clone(right)
+		damaged := bytes.Clone(expected)
 		damaged[d.IntN(len(damaged))] ^= 1 << d.IntN(8)
 		return damaged
 	case 1:
-		return right[:d.IntN(len(right))]
+		return expected[:d.IntN(len(expected))]
 	case 2:
 		return r.foreign[d.IntN(len(r.foreign))]
 	case 3:
-		return append(bytes.Clone(right), 0)
+		return append(bytes.Clone(expected), 0)
 	case 4:
 		return make([]byte, d.IntN(2*MaxChunkBytes))
 	}
-	return right
+	return expected
 }
 
-// add adds a chunk. It reports whether the run is over because malformed content was rejected.
+// add adds a chunk and checks whether the assembly accepts it correctly. It reports whether the run has ended because
+// malformed content was rejected.
 func (r *assemblyRun) add(chunk []byte) bool {
 	before := r.assembly.Missing(math.MaxInt)
 	isMissing := slices.Contains(before, HashOf(chunk))
 	err := r.assembly.Add(bytes.Clone(chunk))
 	after := r.assembly.Missing(math.MaxInt)
-	r.violated(err == nil && !isMissing, "a chunk was accepted that was not missing")
-	r.violated(errors.As(err, new(UnexpectedChunkError)) && isMissing, "a missing chunk was rejected: %v", err)
-	r.violated(err != nil && len(after) != len(before), "a rejected chunk changed what is missing")
+	r.violated(err == nil && !isMissing, "Add accepted chunk %v, which was not missing", HashOf(chunk))
+	r.violated(errors.As(err, new(UnexpectedChunkError)) && isMissing, "Add rejected a missing chunk: %v", err)
+	r.violated(err != nil && len(after) != len(before),
+		"a chunk that Add rejected changed the number of missing hashes from %d to %d", len(before), len(after))
 	if errors.As(err, new(MalformedChunkError)) {
-		r.violated(r.distortion == "", "well-formed content is rejected: %v", err)
+		r.violated(r.distortion == "", "Add rejected a chunk of well-formed content: %v", err)
 		return true
 	}
 	if err != nil {
@@ -169,11 +178,13 @@
 	t.Logf("%d assemblies, %d completed, %d chunks rejected", randomAssemblies, completed, rejected)
 	incomplete := randomAssemblies - completed
 	if completed < randomAssemblies/3 || incomplete < randomAssemblies/5 || rejected < randomAssemblies {
-		t.Error("the random assemblies are too tame")
+		t.Errorf("%d assemblies were completed, %d ended without a tree and %d chunks were rejected, "+
+			"want at least %d, %d and %d, so that all cases occur",
+			completed, incomplete, rejected, randomAssemblies/3, randomAssemblies/5, randomAssemblies)
 	}
 }
 
-// The random assemblies detect each check that is switched off.
+// If one check of an Assembly is switched off, the random assemblies find a violation.
 func TestRandomAssembliesDetectMutations(t *testing.T) {
 	for name, mutations := range map[string]mutation{
 		"no hash check":     skipHashCheck,
@@ -189,14 +200,15 @@
 			violations = r.violations
 		}
 		if len(violations) == 0 {
-			t.Errorf("%s: not detected", name)
+			t.Errorf("mutation %q: %d random assemblies found no violation, want at least one", name, randomAssemblies)
 			continue
 		}
-		t.Logf("%s: detected by assembly %d: %s", name, seed, violations[0])
+		t.Logf("mutation %q: detected after %d random assemblies: %s", name, seed, violations[0])
 	}
 }
 
-// Each distortion occurs and is rejected, and is accepted once its only check is switched off.
+// Content with any of the distortions is rejected. If a single check covers a distortion, the content is accepted once
+// that check is switched off.
 func TestDistortedContentIsRejected(t *testing.T) {
 	for name, distorted := range distortions {
 		occurred := 0
@@ -210,15 +222,18 @@
 			}
 			occurred++
 			if assembleAll(top, 0) == nil {
-				t.Errorf("%s, seed %d: accepted", name, seed)
+				t.Errorf("seed %d: content distorted by %q was accepted, want an error", seed, name)
 			}
 			if assembleAll(top, distorted.check) == nil {
 				accepted++
 			}
 		}
-		t.Logf("%s: occurred %d times, accepted without its check %d times", name, occurred, accepted)
-		if occurred < 5 || distorted.check != 0 && accepted == 0 {
-			t.Errorf("%s: occurred %d times, and accepted without its check %d times", name, occurred, accepted)
+		t.Logf("distortion %q: occurred %d times, accepted without its check %d times", name, occurred, accepted)
+		if occurred < 5 {
+			t.Errorf("distortion %q occurred in %d of %d contents, want at least 5", name, occurred, distortionSeeds)
+		}
+		if distorted.check != 0 && accepted == 0 {
+			t.Errorf("distortion %q was never accepted with its check switched off, want at least once", name)
 		}
 	}
 }
@@ -239,16 +254,16 @@
 	return first
 }
 
-// Whatever stands in a key or a value, no chunk is over its bound, and the content is reassembled.
+// No chunk is longer than MaxChunkBytes, whatever bytes the keys and values have, and the content can be reassembled.
 func TestChunksAreBounded(t *testing.T) {
 	d := newRandomContent(7)
 	random := make([]byte, 3<<20)
 	for i := range random {
 		random[i] = byte(d.Uint32())
 	}
-	zeros := make([]byte, MaxValueBytes) // a value in which no segment ends before its bound
+	zeros := make([]byte, MaxValueBytes) // each segment but the last has the maximum length
 	if n := segmentEnd(zeros); n != maxSegmentBytes {
-		t.Fatalf("a segment of zeros ends at %d", n)
+		t.Fatalf("segmentEnd of zeros = %d, want the maximum %d", n, maxSegmentBytes)
 	}
 	content := map[string][]byte{"random": random, "zeros": zeros, "short": shortSegments(d), "none": nil}
 	for i := range 20 {
@@ -261,19 +276,19 @@
 	}
 	tree := mustBuild(t, d.items(content))
 	if fault := contentFault(tree, content); fault != "" {
-		t.Fatal(fault)
+		t.Fatalf("tree with random keys and long values: %s", fault)
 	}
 	if fault := reassemblyFault(nil, tree, content); fault != "" {
-		t.Fatal(fault)
+		t.Fatalf("reassembling the tree with random keys and long values: %s", fault)
 	}
 	longest := 0
 	for _, chunk := range tree.Chunks() {
 		longest = max(longest, len(chunk))
 	}
-	t.Logf("the longest of all chunks is %d bytes", longest)
+	t.Logf("the longest chunk has %d bytes", longest)
 }
 
-// shortSegments is a value in which each segment ends as early as it may.
+// shortSegments returns a value of about 200 KiB whose segments all have the minimum length.
 func shortSegments(d randomContent) []byte {
 	var value []byte
 	for len(value) < 200<<10 {
@@ -288,7 +303,7 @@
 	return value
 }
 
-// A change within a long value costs the segments about it, wherever it is.
+// A small insertion anywhere in a long value changes only the segments around it and the lists above them.
 func TestChangeWithinLongValue(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 30))
 	value := make([]byte, 1<<20)
@@ -296,27 +311,29 @@
 		value[i] = byte(rng.Uint32())
 	}
 	before := mustBuild(t, []Item{{"long", value}})
-	most := 0
+	maxNewBytes := 0
 	for range 30 {
-		at := rng.IntN(len(value))
-		changed := slices.Concat(value[:at], []byte("tenant"), value[at:])
+		offset := rng.IntN(len(value))
+		changed := slices.Concat(value[:offset], []byte("tenant"), value[offset:])
 		after, err := before.With([]Item{{"long", changed}}, nil)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("With() for 6 bytes inserted at %d of a long value failed: %v", offset, err)
 		}
-		sum := 0
+		newBytes := 0
 		for _, chunk := range after.ChunksNotIn(before) {
-			sum += len(chunk)
+			newBytes += len(chunk)
 		}
-		most = max(most, sum)
+		maxNewBytes = max(maxNewBytes, newBytes)
 	}
-	t.Logf("at most %d bytes of %d", most, before.Size())
-	if most > maxChangeWithin {
-		t.Errorf("a change within took %d bytes of %d", most, before.Size())
+	t.Logf("an insertion changed at most %d bytes of chunks of %d", maxNewBytes, before.Size())
+	if maxNewBytes > maxValueChangeBytes {
+		t.Errorf("inserting 6 bytes in a long value made %d bytes of new chunks of %d, want at most %d",
+			maxNewBytes, before.Size(), maxValueChangeBytes)
 	}
 }
 
-// Arbitrary bytes under their right hash give a tree of that root, or are rejected.
+// Chunks of arbitrary bytes under their correct hash are rejected, or give a tree whose content, built again, has the
+// requested root.
 func TestArbitraryChunks(t *testing.T) {
 	d := newRandomContent(9)
 	tree := mustBuild(t, d.items(d.content(60)))
@@ -326,7 +343,7 @@
 		chunk := d.mutateChunk(all[d.IntN(len(all))])
 		root := HashOf(chunk)
 		chunks := [][]byte{chunk}
-		if d.IntN(3) == 0 { // as a segment or a list of a value
+		if d.IntN(3) == 0 { // a third of the chunks are placed as the segment or list of a value
 			value := &segmentedValue{total: maxInlineBytes + 1 + d.IntN(5000), root: root}
 			leaf := newLeaf([]item{{key: "k", segmented: value}})
 			root = leaf.hash
@@ -339,7 +356,7 @@
 		}
 		got, treeErr := a.Tree()
 		if addErr != nil && treeErr == nil {
-			t.Fatalf("chunk %d: %x is rejected, and there is a tree: %v", i, chunk, addErr)
+			t.Fatalf("chunk %d: Add(%x) returned %v, but Tree() returned a tree, want an error", i, chunk, addErr)
 		}
 		if treeErr != nil {
 			continue
@@ -347,27 +364,30 @@
 		accepted++
 		again, err := Build(slices.Collect(got.Items()))
 		if err != nil || again.Root() != root {
-			t.Fatalf("chunk %d: %x: a tree of another root: %v", i, chunk, err)
+			t.Fatalf("chunk %d: the tree of %x, built again from its items, does not have root %v (error %v)",
+				i, chunk, root, err)
 		}
 	}
-	t.Logf("%d accepted", accepted)
+	t.Logf("%d of %d mutated chunks were accepted", accepted, randomChunks)
 	if accepted < 100 {
-		t.Error("the mutated chunks are too wild")
+		t.Errorf("%d of %d mutated chunks were accepted, want at least 100, so that both outcomes are tested",
+			accepted, randomChunks)
 	}
 }
 
-// mutateChunk changes, inserts or cuts off some bytes, mostly near the beginning.
+// mutateChunk returns a copy of a chunk with up to two random changes, mostly near its start: a byte is overwritten or
+// inserted, or the rest is cut off.
 func (d randomContent) mutateChunk(chunk []byte) []byte {
 	chunk = bytes.Clone(chunk)
 	for range d.IntN(3) {
-		switch at := d.IntN(max(1, min(len(chunk), 1<<d.IntN(10)))); {
+		switch offset := d.IntN(max(1, min(len(chunk), 1<<d.IntN(10)))); {
 		case len(chunk) == 0:
 		case d.IntN(2) == 0:
-			chunk[at] = byte(d.IntN(256))
+			chunk[offset] = byte(d.IntN(256))
 		case d.IntN(2) == 0:
-			chunk = chunk[:at]
+			chunk = chunk[:offset]
 		default:
-			chunk = slices.Insert(chunk, at, byte(d.IntN(8)))
+			chunk = slices.Insert(chunk, offset, byte(d.IntN(8)))
 		}
 	}
 	return chunk
--- a/internal/policy/merkle/distort_test.go
+++ b/internal/policy/merkle/distort_test.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// distortion returns a subtree that is malformed in one way, as a faulty writer would make it, or nil if the subtree
-// has nothing to distort.
+// distortion returns a malformed copy of a subtree, as a faulty writer would make it, or nil if this kind of fault
+// cannot be made in the subtree. The depth is that of the subtree; the root has depth 0.
 type distortion func(d randomContent, n *node, depth int) *node
 
-// distort distorts a random subtree and rehashes what is above it. It returns nil if nothing can be distorted.
+// distort applies a distortion to a random subtree of n and computes the hashes of the nodes above it again. It returns
+// the changed n, or nil if nothing can be distorted.
 func (d randomContent) distort(n *node, depth int, distorted distortion) *node {
 	if n.children == nil || d.IntN(4) == 0 {
 		return distorted(d, n, depth)
@@ -26,7 +27,9 @@
 	return distorted(d, n, depth)
 }
 
-// distortions are the ways to make content wrong, each with the only check that rejects it; 0 if several do.
+// distortions are the tested ways to make a tree malformed, each with the mutation that switches off the only check
+// that rejects it; 0 if several checks do. Random tests draw from the sorted names, so another order of the names
+// changes what they test for a seed.
 var distortions = map[string]struct {
 	check   mutation
 	distort distortion
@@ -71,6 +74,7 @@
 	return newLeaf([]item{n.items[0], n.items[0]})
 }
 
+// splitLeaf puts an inner node with a single child above a leaf.
 func splitLeaf(_ randomContent, n *node, depth int) *node {
 	if len(n.items) == 0 {
 		return nil
@@ -86,6 +90,7 @@
 	return newNode(children)
 }
 
+// mergeNode makes one leaf of all items of an inner node. The leaf still fits in a chunk.
 func mergeNode(_ randomContent, n *node, _ int) *node {
 	if n.children == nil || n.itemBytes > MaxChunkBytes/2 {
 		return nil
@@ -103,13 +108,14 @@
 	return slices.IndexFunc(n.items, func(i item) bool { return i.segmented != nil })
 }
 
-// withSegments returns a leaf with other segments for one item.
+// withSegments returns a copy of a leaf in which one item has another segmented value.
 func withSegments(n *node, index int, value *segmentedValue) *node {
 	items := slices.Clone(n.items)
 	items[index].segmented = value
 	return newLeaf(items)
 }
 
+// splitElsewhere splits a value into segments of a fixed length, under a single list.
 func splitElsewhere(_ randomContent, n *node, _ int) *node {
 	const segmentBytes = 999
 	index := firstSegmented(n)
@@ -130,6 +136,7 @@
 	return withSegments(n, index, value)
 }
 
+// lengthenTotal makes the total of a segmented value one byte longer than the value.
 func lengthenTotal(_ randomContent, n *node, _ int) *node {
 	index := firstSegmented(n)
 	if index < 0 {
--- a/internal/policy/merkle/tree_test.go
+++ b/internal/policy/merkle/tree_test.go
@@ -12,7 +12,8 @@
 	"lapisspread/internal/operatorerror"
 )
 
-// randomContent draws content. Values are of all lengths, so that leaves, segments and lists of several levels occur.
+// randomContent generates random content. Its values have very different lengths, so that leaves, segments and lists of
+// several levels occur.
 type randomContent struct{ *rand.Rand }
 
 func newRandomContent(seed uint64) randomContent {
@@ -38,7 +39,7 @@
 	return value
 }
 
-// content draws a number of items.
+// content returns a number of random items as values by key.
 func (d randomContent) content(count int) map[string][]byte {
 	content := map[string][]byte{}
 	for len(content) < count {
@@ -47,7 +48,8 @@
 	return content
 }
 
-// change draws a change of content: some items are set, some removed, some values changed within.
+// change makes random changes to content: it sets some items, removes some, and inserts a byte in some values. It
+// returns the changes as Tree.With takes them.
 func (d randomContent) change(content map[string][]byte) (set []Item, removed []string) {
 	keys := slices.Sorted(maps.Keys(content))
 	seen := map[string]bool{}
@@ -67,8 +69,8 @@
 			delete(content, key)
 			continue
 		case ok && len(old) > 0 && d.IntN(2) == 0:
-			at := d.IntN(len(old))
-			content[key] = slices.Concat(old[:at], []byte{byte(d.IntN(256))}, old[at:])
+			offset := d.IntN(len(old))
+			content[key] = slices.Concat(old[:offset], []byte{byte(d.IntN(256))}, old[offset:])
 		default:
 			content[key] = d.value()
 		}
@@ -91,26 +93,28 @@
 	t.Helper()
 	tree, err := Build(items)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Build of %d items failed: %v", len(items), err)
 	}
 	return tree
 }
 
-// contentFault returns what is wrong with a tree that should hold some content, or an empty text.
+// contentFault compares a tree with the content that it should hold, and checks its order, chunks and size. It returns
+// the first difference, or an empty text.
 func contentFault(t *Tree, content map[string][]byte) string {
 	if t.Len() != len(content) {
-		return fmt.Sprintf("%d items instead of %d", t.Len(), len(content))
+		return fmt.Sprintf("Len() = %d, want %d", t.Len(), len(content))
 	}
 	for key, value := range content {
 		if got, ok := t.Get(key); !ok || !bytes.Equal(got, value) {
-			return fmt.Sprintf("%q is wrong or not there", key)
+			return fmt.Sprintf("Get(%q) returned %d bytes, %v, want another value of %d bytes, true",
+				key, len(got), ok, len(value))
 		}
 	}
 	previous := Hash{}
 	for i := range t.Items() {
 		position := positionOf(i.Key)
 		if bytes.Compare(previous[:], position[:]) >= 0 || !bytes.Equal(content[i.Key], i.Value) {
-			return fmt.Sprintf("%q is out of order or wrong", i.Key)
+			return fmt.Sprintf("Items() yielded %q out of order or with a wrong value", i.Key)
 		}
 		previous = position
 	}
@@ -119,21 +123,22 @@
 	for hash, chunk := range t.Chunks() {
 		size += len(chunk)
 		if len(chunk) > MaxChunkBytes || HashOf(chunk) != hash || seen[hash] {
-			return fmt.Sprintf("chunk %v of %d bytes is too long, occurs twice, or has another hash", hash, len(chunk))
+			return fmt.Sprintf("Chunks() yielded a chunk of %d bytes under hash %v: it is too long, occurs twice, "+
+				"or has another hash", len(chunk), hash)
 		}
 		seen[hash] = true
 		if got, ok := t.Chunk(hash); !ok || !bytes.Equal(got, chunk) {
-			return fmt.Sprintf("chunk %v is not found by its hash", hash)
+			return fmt.Sprintf("Chunk(%v) did not return the chunk that Chunks() yielded under this hash", hash)
 		}
 	}
 	if size > t.Size() {
-		return fmt.Sprintf("%d bytes of chunks; the size is %d", size, t.Size())
+		return fmt.Sprintf("Size() = %d, want at least the %d bytes of all distinct chunks", t.Size(), size)
 	}
 	return ""
 }
 
-// Trees made by random changes equal those built from the outcome, and what one lacks of another is what an assembly
-// is missing.
+// A tree made by random changes equals the tree that Build makes of the changed content. The chunks that ChunksNotIn
+// yields are those that an Assembly needs.
 func TestRandomVersions(t *testing.T) {
 	for seed := range uint64(25) {
 		d := newRandomContent(seed)
@@ -144,23 +149,25 @@
 			set, removed := d.change(content)
 			next, err := current.With(set, removed)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("seed %d, step %d: With() failed: %v", seed, step, err)
 			}
 			built := mustBuild(t, d.items(content))
 			if built.Root() != next.Root() || built.Size() != next.Size() {
-				t.Fatalf("seed %d, step %d: %v with changes, %v built", seed, step, next.Root(), built.Root())
+				t.Fatalf("seed %d, step %d: With() gave root %v and size %d, Build() of the same content %v and %d",
+					seed, step, next.Root(), next.Size(), built.Root(), built.Size())
 			}
-			for _, fault := range []string{contentFault(next, content), contentFault(current, previousContent)} {
-				if fault != "" {
-					t.Fatalf("seed %d, step %d: %s", seed, step, fault)
-				}
+			if fault := contentFault(next, content); fault != "" {
+				t.Fatalf("seed %d, step %d: tree that With() returned: %s", seed, step, fault)
+			}
+			if fault := contentFault(current, previousContent); fault != "" {
+				t.Fatalf("seed %d, step %d: tree that With() was called on: %s", seed, step, fault)
 			}
 			if fault := changesFault(current, next, len(set), len(removed)); fault != "" {
 				t.Fatalf("seed %d, step %d: %s", seed, step, fault)
 			}
 			for _, existing := range []*Tree{nil, current, newTree(nil)} {
 				if fault := reassemblyFault(existing, next, content); fault != "" {
-					t.Fatalf("seed %d, step %d: %s", seed, step, fault)
+					t.Fatalf("seed %d, step %d: reassembling the new tree: %s", seed, step, fault)
 				}
 			}
 			current = next
@@ -168,33 +175,41 @@
 	}
 }
 
-// changesFault checks Changes against a change of at most so many items, and against an empty tree.
+// changesFault checks that Changes returns at most maxSet and maxRemoved changes that turn one tree into the other, and
+// that from no tree it sets all items. It returns the first fault, or an empty text.
 func changesFault(from, to *Tree, maxSet, maxRemoved int) string {
 	set, removed := Changes(from, to)
 	again, err := from.With(set, removed)
 	if err != nil || again.Root() != to.Root() || len(set) > maxSet || len(removed) > maxRemoved {
-		return fmt.Sprintf("changes are %d and %d, of %d and %d: %v", len(set), len(removed), maxSet, maxRemoved, err)
+		return fmt.Sprintf("Changes() returned %d items to set and %d keys to remove, want at most %d and %d "+
+			"that give the other tree's root (error of With: %v)", len(set), len(removed), maxSet, maxRemoved, err)
 	}
 	if set, removed := Changes(nil, to); len(set) != to.Len() || len(removed) > 0 {
-		return fmt.Sprintf("%d from nothing, of %d", len(set), to.Len())
+		return fmt.Sprintf("Changes() from a nil tree returned %d items to set and %d keys to remove, want %d and 0",
+			len(set), len(removed), to.Len())
 	}
 	return ""
 }
 
-// reassemblyFault adds just the chunks that an existing tree lacks, in their order.
+// reassemblyFault assembles a tree from an existing one and the chunks that ChunksNotIn yields, in their order. It
+// returns the first fault, or an empty text.
 func reassemblyFault(existing, tree *Tree, content map[string][]byte) string {
 	a := NewAssembly(tree.Root(), existing)
 	for hash, chunk := range tree.ChunksNotIn(existing) {
 		if err := a.Add(chunk); err != nil {
-			return fmt.Sprintf("%v: %v", hash, err)
+			return fmt.Sprintf("Add of chunk %v, which ChunksNotIn yielded, failed: %v", hash, err)
 		}
 	}
 	got, err := a.Tree()
-	if err != nil || got.Root() != tree.Root() || got.Size() != tree.Size() {
-		return fmt.Sprintf("assembled: %v", err)
+	if err != nil {
+		return fmt.Sprintf("Tree() failed after all chunks of ChunksNotIn were added: %v", err)
+	}
+	if got.Root() != tree.Root() || got.Size() != tree.Size() {
+		return fmt.Sprintf("the assembled tree has root %v and size %d, want %v and %d",
+			got.Root(), got.Size(), tree.Root(), tree.Size())
 	}
 	if fault := contentFault(got, content); fault != "" {
-		return "assembled: " + fault
+		return "assembled tree: " + fault
 	}
 	return ""
 }
@@ -219,10 +234,10 @@
 		malformed:  new(MalformedChunkError),
 	} {
 		if err == nil || !errors.As(err, want) || operatorerror.AdviceOf(err) == "" {
-			t.Errorf("%v is no %T, or has no advice", err, want)
+			t.Errorf("got error %v, want one of type %T with advice", err, want)
 		}
 	}
 	if got, err := ParseHash(hash.String()); err != nil || got != hash {
-		t.Errorf("%v reads back as %v: %v", hash, got, err)
+		t.Errorf("ParseHash(%q) = %v, %v, want the hash that the text was made of", hash.String(), got, err)
 	}
 }
