--- a/internal/policy/store/bisect.go
+++ b/internal/policy/store/bisect.go
@@ -7,14 +7,14 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// failedChangeAdvice is the next step of the author of a failed change.
+// failedChangeAdvice is the next step for the author of a failed change. It is stored in snapshots.
 const failedChangeAdvice = "It was taken out, and what else was under way goes on without it. " +
 	"Mend it and offer it under a higher number. The few proxies that have it get the next policy first; " +
 	"until there is one, going back to an epoch that is kept takes them along."
 
-// mergeSubset merges some changes over the active policy. It returns the policy, without an epoch, and the changes
-// that were accepted: one may conflict with what another would have removed. It returns none if the outcome equals the
-// active policy.
+// mergeSubset merges some changes into the active policy. It returns the policy, without an epoch, and the changes that
+// were accepted. A change may be rejected because it conflicts with rules that a change outside the subset removes. The
+// result is empty if the merge fails or its outcome equals the active policy.
 func (m *StateMachine) mergeSubset(s *state, subset []trackedChange) (retainedPolicy, []trackedChange) {
 	active := s.active()
 	declaration := active.declaration
@@ -24,7 +24,7 @@
 	submitted := map[string]submittedFile{}
 	for _, c := range subset {
 		switch {
-		case !s.head.contains(c): // its team has submitted another since
+		case !s.head.contains(c): // replaced by a newer submission
 		case c.isDeclaration():
 			declaration = s.head.declaration
 		default:
@@ -56,9 +56,10 @@
 	return policy, accepted
 }
 
-// bisect narrows down which change a stopped batch failed for. A single change has failed. Changes that their teams
-// have replaced since are left out, and the others tried again; with none left out, the batch is split in two parts
-// that are rolled out one after the other. Changes that cannot be merged apart have all failed.
+// bisect narrows down which change of a stopped batch has failed. In a batch of one change, that change has failed. If
+// teams have replaced some of the changes since, the others are rolled out again without them. Otherwise the batch is
+// split into two parts that are rolled out one after the other. If the changes can only be merged together, all have
+// failed.
 func (m *StateMachine) bisect(s *state) {
 	batch := changesBetween(s.active(), s.candidate())
 	if len(batch) <= 1 || m.mutated(skipBisection) {
@@ -66,7 +67,8 @@
 		return
 	}
 	if s.activeIndex == noPolicy {
-		batch = slices.DeleteFunc(batch, trackedChange.isDeclaration) // nothing can be merged without the first one
+		// No file can be merged without the fleet's first declaration, so it is part of every subset.
+		batch = slices.DeleteFunc(batch, trackedChange.isDeclaration)
 	}
 	replaced := func(c trackedChange) bool { return !s.head.contains(c) }
 	current := slices.DeleteFunc(slices.Clone(batch), replaced)
@@ -89,8 +91,9 @@
 	m.excludeChanges(s, batch)
 }
 
-// splitCandidates returns the subsets of a batch to try for a split, the best first: its first half, longer and then
-// shorter heads, and each later change by itself, because an earlier one may need a later one and not the reverse.
+// splitCandidates returns the subsets of a batch to try as the first part of a split, the preferred ones first: the
+// first half, longer and then shorter prefixes, and each change but the first by itself, because an earlier change may
+// need a later one that does not need the earlier one.
 func splitCandidates(batch []trackedChange) [][]trackedChange {
 	var subsets [][]trackedChange
 	half := len(batch) / 2
@@ -107,9 +110,8 @@
 	return subsets
 }
 
-// excludeChanges takes failed changes out of the head and reports them. What their teams have submitted since stays,
-// and withheld files are merged again. With no change to exclude, everything since the active policy is
-// dropped.
+// excludeChanges removes failed changes from the head and reports them. Files that their teams have submitted since are
+// kept, and withheld files are merged again. If no change is given, all changes since the active policy are dropped.
 func (m *StateMachine) excludeChanges(s *state, failed []trackedChange) {
 	active := s.active()
 	accepted, submitted := s.splitByActive()
@@ -118,7 +120,7 @@
 			s.recordFailure(FailedChange{c.Change, c.MergeNumber, s.stopped.Reason, failedChangeAdvice})
 		}
 		switch {
-		case !s.head.contains(c): // its team has submitted another since
+		case !s.head.contains(c): // replaced by a newer submission
 		case !c.isDeclaration():
 			delete(submitted, c.Namespace)
 		case s.activeIndex != noPolicy:
@@ -136,7 +138,8 @@
 	s.accepted = accepted
 	s.pending = submitted
 	if len(submitted) > 0 && len(pending) > 0 {
-		// Files that were accepted are merged before withheld ones, so that they keep precedence.
+		// Files that had been accepted are merged before withheld ones, so that in a conflict the withheld ones stay
+		// so.
 		if m.updateHead(s, false) != nil {
 			s.pending = map[string]submittedFile{}
 		}
@@ -149,8 +152,8 @@
 	}
 }
 
-// splitByActive returns the accepted files with those of the active policy in place of newer ones, and the newer ones
-// by themselves.
+// splitByActive splits the accepted files in two: accepted has the active policy's files in place of newer ones of the
+// head, and newer has those newer files.
 func (s *state) splitByActive() (accepted, newer map[string]submittedFile) {
 	active := s.active()
 	accepted = maps.Clone(s.accepted)
--- a/internal/policy/store/command.go
+++ b/internal/policy/store/command.go
@@ -1,16 +1,16 @@
 package store
 
-// Bounds on what the state machine holds.
+// Limits of the state machine.
 const (
 	MaxFileBytes        = 256 << 10 // bytes of a declaration or of a namespace's file
 	MaxTotalFileBytes   = 16 << 20  // bytes of all accepted and pending files
 	MaxPolicyBytes      = 16 << 20  // bytes of all chunks of a policy
-	MaxUnchunkedBytes   = 512 << 10 // bytes of a policy that is sent unchunked, to proxies that take no chunks
+	MaxUnchunkedBytes   = 512 << 10 // bytes of a policy that is sent to proxies that do not support chunks
 	MaxRetainedPolicies = 16        // policies that the fleet can be rolled back to
-	maxAuthorBytes      = 128       // bytes of the author of a command
+	maxAuthorBytes      = 128       // bytes of the name of a command's author
 	maxConflicts        = 64        // conflicts that are reported
-	maxFailedChanges    = 256       // failed changes that are reported, the newest
-	maxReasonBytes      = 2 << 10   // bytes of one reason or advice
+	maxFailedChanges    = 256       // failed changes that are reported; older ones are dropped
+	maxReasonBytes      = 2 << 10   // bytes of a reason or an advice; longer ones are cut off
 )
 
 // Command is one entry of the replicated log. Exactly one field is set.
@@ -39,19 +39,20 @@
 	Author string `json:"by,omitempty"`
 }
 
-// RolloutResult says how the rollout of the candidate ended. The leader proposes it.
+// RolloutResult reports how the rollout of the candidate ended. The leader proposes it.
 type RolloutResult struct {
-	Generation uint64 `json:"order"`
-	Epoch      uint64 `json:"epoch"`
-	Completed  bool   `json:"done"`           // false: the rollout was stopped
-	Reason     string `json:"why,omitempty"`  // why it was stopped
-	Advice     string `json:"help,omitempty"` // the operator's next step, if it was stopped
+	Generation uint64 `json:"order"`          // of the candidate
+	Epoch      uint64 `json:"epoch"`          // of the candidate
+	Completed  bool   `json:"done"`           // false if the rollout was stopped
+	Reason     string `json:"why,omitempty"`  // why the rollout was stopped
+	Advice     string `json:"help,omitempty"` // the operator's next step if the rollout was stopped
 
-	ProxyCount int `json:"proxies,omitempty"` // proxies that the leader knows; 0 is unknown
+	// ProxyCount is the number of proxies that the leader has seen; 0 if unknown.
+	ProxyCount int `json:"proxies,omitempty"`
 }
 
-// fields returns how many fields of the command are set.
-func (c *Command) fields() int {
+// setFieldCount returns how many fields of the command are set.
+func (c *Command) setFieldCount() int {
 	count := 0
 	for _, set := range []bool{
 		c.SetDeclaration != nil, c.SubmitFile != nil, c.Rollback != nil, c.RolloutResult != nil,
@@ -63,7 +64,8 @@
 	return count
 }
 
-// checkSizes returns a TooLargeError if a text or the name of its author is over its bound.
+// checkSizes returns a TooLargeError if a text or the name of its author is too long. The description of the text in
+// the error is what.
 func checkSizes(what, text, author string) error {
 	if len(text) > MaxFileBytes {
 		return TooLargeError{what, len(text), MaxFileBytes}
@@ -71,6 +73,7 @@
 	return checkAuthor(author)
 }
 
+// checkAuthor returns a TooLargeError if the name of an author is too long.
 func checkAuthor(author string) error {
 	if len(author) > maxAuthorBytes {
 		return TooLargeError{"the name of who gave it", len(author), maxAuthorBytes}
--- a/internal/policy/store/errors.go
+++ b/internal/policy/store/errors.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// The texts, codes and advice of this package's errors are for operators and for other releases. They use the words
-// of the operators' pages: charter for ownership declaration, steward for control-plane server, offer for submit.
+// Operators and other releases see the texts, codes and advice of this package's errors, so they stay as they are. They
+// use the words of the operators' pages: charter for ownership declaration, steward for control-plane server, offer for
+// submit, keep for retain.
 
 // NoDeclarationError is returned for a file that is submitted before the fleet has an ownership declaration.
 type NoDeclarationError struct{}
@@ -19,9 +20,9 @@
 	return "Give the fleet its charter first: lapisspread fleet charter."
 }
 
-// TooLargeError is returned for a command that would exceed a bound on what is stored.
+// TooLargeError is returned for a command that would exceed a limit on the size of stored data.
 type TooLargeError struct {
-	What  string
+	What  string // the text that is too long, for the error's text
 	Bytes int
 	Limit int // in bytes
 }
@@ -42,7 +43,7 @@
 // EpochNotRetainedError is returned for a rollback to an epoch that is not retained.
 type EpochNotRetainedError struct {
 	Epoch    uint64
-	Retained []uint64 // the epochs that are
+	Retained []uint64 // epochs that are retained
 }
 
 // Error implements error.
@@ -58,7 +59,7 @@
 	return "Name one of the epochs that are kept, or have the teams offer the old content under new numbers."
 }
 
-// InvalidCommandError is returned for a command or a snapshot that no correct server writes.
+// InvalidCommandError is returned for a malformed command or snapshot, which a correct server never writes.
 type InvalidCommandError struct{ Reason string }
 
 // Error implements error.
--- a/internal/policy/store/legacy.go
+++ b/internal/policy/store/legacy.go
@@ -11,6 +11,7 @@
 // legacyFormat is the format of snapshots of releases without batches and chunks: JSON with unchunked policies.
 const legacyFormat = 1
 
+// legacySnapshot is a state as snapshots of format 1 encode it. Its fields have the meaning of those of snapshot.
 type legacySnapshot struct {
 	Format         int                   `json:"form"`
 	Declaration    string                `json:"charter"`
@@ -38,8 +39,8 @@
 	Encoded string            `json:"text"`
 }
 
-// decodeLegacySnapshot reads format 1. Policies are chunked and keep their epochs, a rollout that was under way goes
-// on, and nothing is queued.
+// decodeLegacySnapshot decodes a snapshot of format 1. Its policies are chunked and keep their epochs, a rollout that
+// was under way continues, and no changes are queued. It returns an InvalidCommandError for a malformed snapshot.
 func decodeLegacySnapshot(data []byte) (state, error) {
 	var in legacySnapshot
 	if err := json.Unmarshal(data, &in); err != nil {
@@ -78,6 +79,7 @@
 	return s, nil
 }
 
+// decodeLegacyFiles parses files to get their numbers, and adds them to a map by namespace.
 func decodeLegacyFiles(to map[string]submittedFile, files map[string]legacyFile) error {
 	for name, f := range files {
 		if err := addLegacyFile(to, name, f.Text, f.Author); err != nil {
@@ -87,6 +89,7 @@
 	return nil
 }
 
+// addLegacyFile parses a file to get its number, and adds it to a map by namespace.
 func addLegacyFile(to map[string]submittedFile, name, text, author string) error {
 	parsed, err := namespace.Parse(name, []byte(text))
 	if err != nil {
@@ -96,6 +99,8 @@
 	return nil
 }
 
+// decodeLegacyPolicy checks the hash of a policy and chunks it. The hash of its version becomes that of the tree's
+// root.
 func (s *state) decodeLegacyPolicy(in legacyPolicy) (retainedPolicy, error) {
 	epoch := in.Version.Epoch
 	decoded, err := namespace.Decode([]byte(in.Encoded))
--- a/internal/policy/store/merge.go
+++ b/internal/policy/store/merge.go
@@ -10,23 +10,24 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// parsedFilesSlack is how many parsed files the cache may hold beyond twice those of the state.
+// parsedFilesSlack is how many parsed files the cache may hold in addition to twice the number of files in the state.
 const parsedFilesSlack = 64
 
-// WithheldFile reports a namespace's file that is withheld, all or in part. Reasons are texts and not errors, so
-// that the state has the same bytes on every server.
+// WithheldFile reports that a namespace's file, or a part of it, is withheld. The reason is a text and not an error, so
+// that the encoded state is the same on every server.
 type WithheldFile struct {
 	Namespace    string   `json:"namespace"`
 	Submitted    uint64   `json:"offered"` // number of the file that is withheld
-	Active       uint64   `json:"holds"`   // number of the file that stays in force; 0 is none
+	Active       uint64   `json:"holds"`   // number of the file that stays in force; 0 if none does
 	Author       string   `json:"by,omitempty"`
-	RemovedRules []string `json:"cut,omitempty"`
-	Reason       string   `json:"why"` // with an example request, where a conflict is about requests
-	Advice       string   `json:"help"`
+	RemovedRules []string `json:"cut,omitempty"` // rules removed from the file that stays in force
+	Reason       string   `json:"why"`           // has an example request if two rules conflict about requests
+	Advice       string   `json:"help"`          // the next step of the namespace's team
 }
 
-// mergeFiles merges submitted files over accepted ones under a declaration. The tree shares with previous what is
-// the same in both; previous may be nil.
+// mergeFiles merges accepted files and submitted ones, which replace or add to them, under a declaration. The tree
+// shares unchanged parts with previous, which may be nil. It returns an error if a text does not parse or the tree of
+// the policy cannot be built.
 func (m *StateMachine) mergeFiles(
 	declaration submittedFile, accepted, submitted map[string]submittedFile, previous *merkle.Tree,
 ) (namespace.Outcome, *merkle.Tree, error) {
@@ -51,7 +52,7 @@
 	return outcome, tree, err
 }
 
-// parseFiles parses files in the order of their namespaces, and caches the results by text.
+// parseFiles parses files in the order of their namespaces' names, and caches the results by text.
 func (m *StateMachine) parseFiles(files map[string]submittedFile) ([]*namespace.File, error) {
 	var all []*namespace.File
 	for _, name := range slices.Sorted(maps.Keys(files)) {
@@ -72,7 +73,8 @@
 	return all, nil
 }
 
-// pruneCaches drops cached files and encoded policies that nothing refers to any more.
+// pruneCaches drops cached policies that are no longer retained, and cached files that are no longer in the state once
+// there are too many of them.
 func (m *StateMachine) pruneCaches() {
 	if len(m.parsedFiles) > 2*(len(m.state.accepted)+len(m.state.pending))+parsedFilesSlack {
 		m.pruneParsedFiles()
@@ -84,6 +86,7 @@
 	}
 }
 
+// pruneParsedFiles drops parsed files that are neither accepted nor pending nor part of the active policy.
 func (m *StateMachine) pruneParsedFiles() {
 	needed := map[string]*namespace.File{}
 	for _, files := range []map[string]submittedFile{m.state.accepted, m.state.pending, m.state.active().files} {
@@ -96,8 +99,9 @@
 	m.parsedFiles = needed
 }
 
-// updateHead merges what a state holds and makes the outcome its head, under a new epoch if the policy changed. It
-// returns a TooLargeError if enforceLimits is set and a bound is exceeded. On an error s is unchanged.
+// updateHead merges the declaration and files of a state and makes the outcome its head, with a new epoch if the policy
+// changed. It returns an error if a text does not parse, or a TooLargeError if enforceLimits is set and a limit is
+// exceeded. On an error s is unchanged.
 func (m *StateMachine) updateHead(s *state, enforceLimits bool) error {
 	if total := totalBytes(s.accepted) + totalBytes(s.pending); enforceLimits && total > MaxTotalFileBytes {
 		return TooLargeError{"all namespaces' files", total, MaxTotalFileBytes}
@@ -129,7 +133,7 @@
 	return total
 }
 
-// reportConflicts replaces the reports of withheld files and of conflicts by those of a merge.
+// reportConflicts replaces the reports of withheld files and conflicts by those of a merge's outcome.
 func (s *state) reportConflicts(outcome *namespace.Outcome) {
 	s.withheldFiles = nil
 	for _, held := range outcome.Withheld {
@@ -153,7 +157,7 @@
 	}
 }
 
-// acceptFiles moves pending files that a merge accepted to the accepted ones, and makes the merged policy the head.
+// acceptFiles moves the pending files that a merge accepted to the accepted ones, and makes the merged policy the head.
 func (s *state) acceptFiles(accepted []*namespace.File, tree *merkle.Tree) {
 	merged := retainedPolicy{
 		version:     s.head.version,
--- a/internal/policy/store/mutation.go
+++ b/internal/policy/store/mutation.go
@@ -1,18 +1,18 @@
 package store
 
-// mutation switches safeguards off, one bit each. Tests set it to see that a check detects the missing safeguard.
+// mutation is a set of deliberate faults, one bit each. Tests set them to verify that their checks detect each fault.
 type mutation uint8
 
 const (
-	allowReusedNumbers mutation = 1 << iota // the number of a file may be used again
-	withholdEverything                      // one withheld file stops all others
-	keepGeneration                          // a rollback does not raise the generation
+	allowReusedNumbers mutation = 1 << iota // a file number may be used again
+	withholdEverything                      // one withheld file blocks all other submitted files
+	keepGeneration                          // a rollback does not increase the generation
 	displaceCandidate                       // a submission replaces the candidate
 	skipBisection                           // all changes of a stopped batch fail
 	keepFailedChanges                       // a failed change stays in the head
-	skipParseCache                          // files are parsed again each time
-	reportOnlyFirst                         // only the first change of an inseparable batch is reported
+	skipParseCache                          // files are parsed again for each merge
+	reportOnlyFirst                         // of several changes that fail together, only the first is reported
 )
 
-// mutated reports whether a safeguard is switched off.
+// mutated reports whether a deliberate fault is enabled.
 func (m *StateMachine) mutated(which mutation) bool { return m.mutations&which != 0 }
--- a/internal/policy/store/restore.go
+++ b/internal/policy/store/restore.go
@@ -10,10 +10,11 @@
 // errChunkMissing is returned for a snapshot that lacks a chunk of a policy.
 var errChunkMissing = errors.New("a piece is missing")
 
-// chunksPerStep is how many missing chunks an assembly is asked for at once.
+// chunksPerStep is how many missing chunks of an assembly are added before it is asked for further ones.
 const chunksPerStep = 1 << 10
 
-// Restore replaces the state by that of a snapshot. An InvalidCommandError changes nothing.
+// Restore replaces the state by that of a snapshot, of the current or the legacy format. It returns an
+// InvalidCommandError for a damaged snapshot; the state is then unchanged.
 func (m *StateMachine) Restore(data []byte) error {
 	decode := decodeSnapshot
 	if len(data) > 0 && data[0] == '{' {
@@ -32,13 +33,14 @@
 	return InvalidCommandError{"a snapshot " + fmt.Sprintf(format, args...)}
 }
 
-// validIndices reports whether a count of retained policies, and the indices of the active one and of the candidate
-// among them, are possible.
+// validIndices reports whether the number of retained policies is within its limit, and the indices of the active
+// policy and of the candidate each refer to a retained policy or are noPolicy.
 func validIndices(retained, active, candidate int) bool {
 	within := func(index int) bool { return index >= noPolicy && index < retained }
 	return retained <= MaxRetainedPolicies && within(active) && within(candidate)
 }
 
+// decodeSnapshot decodes a snapshot of the current format. It returns an InvalidCommandError for a damaged one.
 func decodeSnapshot(data []byte) (state, error) {
 	var in snapshot
 	if err := decMode.Unmarshal(data, &in); err != nil {
@@ -80,7 +82,7 @@
 	return s, nil
 }
 
-// decodePolicies assembles the retained policies and the head. Trees share what is the same with the one before.
+// decodePolicies assembles the retained policies and the head. Each tree shares unchanged parts with the one before.
 func (s *state) decodePolicies(in *snapshot, files *fileDecoder) error {
 	chunks := map[merkle.Hash][]byte{}
 	for _, chunk := range in.Chunks {
@@ -113,7 +115,8 @@
 	return err
 }
 
-// assembleTree assembles the tree of a root from chunks, and from another tree as far as they are the same.
+// assembleTree assembles the tree with a root, given in hexadecimal, from chunks and from the parts that it has in
+// common with a previous tree, which may be nil.
 func assembleTree(root string, chunks map[merkle.Hash][]byte, previous *merkle.Tree) (*merkle.Tree, error) {
 	name, err := merkle.ParseHash(root)
 	if err != nil {
@@ -137,11 +140,11 @@
 	}
 }
 
-// fileDecoder resolves the indices of a snapshot's files.
+// fileDecoder looks up files by their indices in a snapshot.
 type fileDecoder struct {
-	namespaces []string
-	files      []submittedFile
-	outOfRange bool // an index was: the snapshot is damaged
+	namespaces []string        // of the files, by index
+	files      []submittedFile // by index
+	outOfRange bool            // an invalid index was found, so the snapshot is damaged
 }
 
 func newFileDecoder(in *snapshot) (*fileDecoder, error) {
@@ -161,7 +164,7 @@
 	return d, nil
 }
 
-// valid reports whether an index is in range, and notes one that is not.
+// valid reports whether an index is in range. It sets outOfRange for an index that is not.
 func (d *fileDecoder) valid(index int) bool {
 	if index < 0 || index >= len(d.files) {
 		d.outOfRange = true
--- a/internal/policy/store/rollout.go
+++ b/internal/policy/store/rollout.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// startNextRollout starts a rollout if none is under way: first of the parts of stopped batches, then of the head.
+// startNextRollout starts the next rollout if none is under way. Parts of stopped batches are rolled out before the
+// head.
 func (m *StateMachine) startNextRollout(s *state) {
 	if m.mutated(displaceCandidate) && s.candidate() != nil && s.head.version.Hash != s.candidate().version.Hash {
 		s.startRollout(s.head)
@@ -19,7 +20,8 @@
 	}
 }
 
-// startPart starts the rollout of the first part of a stopped batch, unless merging it changes nothing.
+// startPart removes the first part of a stopped batch from the list, and starts its rollout unless its changes can no
+// longer be merged or make no difference to the active policy.
 func (m *StateMachine) startPart(s *state) {
 	part := s.bisection[0]
 	s.bisection = s.bisection[1:]
@@ -33,8 +35,8 @@
 	s.startRollout(policy)
 }
 
-// startHead starts the rollout of the head. It reports false if there is nothing to roll out: the head is empty, was
-// stopped, or equals the active policy.
+// startHead starts the rollout of the head. It returns false if there is nothing to roll out: the head is empty, its
+// rollout was stopped, or it equals the active policy.
 func (s *state) startHead() bool {
 	switch hash := s.head.version.Hash; {
 	case hash == "":
@@ -42,7 +44,7 @@
 	case s.stopped != nil && hash == s.candidate().version.Hash:
 		return false
 	case hash == s.active().version.Hash:
-		// Other files may merge to the same policy: they are in force without a rollout.
+		// Other files were merged to the same policy. They become active without a rollout.
 		active := s.active()
 		active.declaration = s.head.declaration
 		active.files = s.head.files
@@ -50,7 +52,7 @@
 		return false
 	}
 	if s.head.version.Generation != s.generation || s.rolledOut(s.head.version.Epoch) {
-		s.lastEpoch++ // proxies accept only rising epochs
+		s.lastEpoch++ // proxies accept only increasing epochs
 		s.head.version.Generation = s.generation
 		s.head.version.Epoch = s.lastEpoch
 	}
@@ -58,8 +60,8 @@
 	return true
 }
 
-// startRollout makes a policy the candidate. The active policy stays so until the rollout completes. The oldest
-// retained policies other than the active one are dropped.
+// startRollout makes a policy the candidate and retains it. The active policy stays active until the rollout completes.
+// If more than MaxRetainedPolicies are retained, the oldest ones are dropped, except the active policy.
 func (s *state) startRollout(p retainedPolicy) {
 	s.retained = append(s.retained, p)
 	s.candidateIndex = len(s.retained) - 1
@@ -77,8 +79,8 @@
 	}
 }
 
-// clearSuperseded drops the reports of failed changes that something newer in force has replaced. A fleet's first
-// declaration is never excluded, so its report is dropped once it is in force.
+// clearSuperseded drops the report of each failed change for which a newer file or declaration is active. A fleet's
+// first declaration is never excluded, so its report is dropped once that declaration itself is active.
 func (s *state) clearSuperseded() {
 	active := s.active()
 	s.failedChanges = slices.DeleteFunc(s.failedChanges, func(f FailedChange) bool {
@@ -89,9 +91,10 @@
 	})
 }
 
-// recordFailure reports a failed change, in place of an earlier report of the same namespace.
+// recordFailure adds a failed change to the reports, in place of an earlier one of the same namespace or of the
+// declaration. At most maxFailedChanges reports are kept.
 func (s *state) recordFailure(f FailedChange) {
-	s.failedChanges = slices.DeleteFunc(s.failedChanges, func(o FailedChange) bool { return o.sameKind(&f) })
+	s.failedChanges = slices.DeleteFunc(s.failedChanges, func(other FailedChange) bool { return other.sameSource(&f) })
 	s.failedChanges = append(s.failedChanges, f)
 	s.failedChanges = s.failedChanges[max(0, len(s.failedChanges)-maxFailedChanges):]
 }
--- a/internal/policy/store/snapshot.go
+++ b/internal/policy/store/snapshot.go
@@ -15,14 +15,14 @@
 // snapshotFormat is the format of the snapshots that are written. legacy.go reads format 1.
 const snapshotFormat = 2
 
-// Bounds on the CBOR of a snapshot.
+// Limits for decoding the CBOR of a snapshot.
 const (
 	maxSnapshotArray = 1 << 24 // elements of an array
 	maxSnapshotMap   = 1 << 20 // pairs of a map
 )
 
-// snapshot is the state as it is written: CBOR in its deterministic encoding (RFC 8949, section 4.2). Each text and
-// each chunk stands in it once and is referred to by its hash, so that damage is detected.
+// snapshot is the state as it is stored, in the deterministic encoding of CBOR (RFC 8949, section 4.2). It contains
+// each text and each chunk once and refers to them by their hashes, so that damage is detected.
 type snapshot struct {
 	Format         int               `json:"Form"`
 	Texts          [][]byte          `json:"Texts"`   // of declarations and files
@@ -47,7 +47,7 @@
 	ProxyCount     int               `json:"Proxies"`
 }
 
-// snapshotFile is a declaration or a file. Its text is named by its hash.
+// snapshotFile is a declaration or a file. It refers to its text by the hash.
 type snapshotFile struct {
 	Namespace   string      `json:"Namespace"` // empty for a declaration
 	Text        merkle.Hash `json:"Text"`
@@ -56,7 +56,7 @@
 	MergeNumber uint64      `json:"At"`
 }
 
-// compare orders files by all that tells them apart.
+// compare orders files by all their fields, so that different files never compare equal.
 func (f snapshotFile) compare(other snapshotFile) int {
 	return cmp.Or(
 		strings.Compare(f.Namespace, other.Namespace),
@@ -67,7 +67,7 @@
 	)
 }
 
-// snapshotPolicy is a retained policy. Without a hash in its version there is none.
+// snapshotPolicy is a retained policy or the head. The hash of its version is empty if there is no policy.
 type snapshotPolicy struct {
 	Version     rollout.Version `json:"Offer"`
 	Declaration int             `json:"Charter"` // index of snapshot.Files
@@ -78,20 +78,20 @@
 	encMode = func() cbor.EncMode {
 		mode, err := cbor.CoreDetEncOptions().EncMode()
 		if err != nil {
-			panic(err) // the options are the library's own
+			panic(err) // cannot happen: the options are the library's defaults
 		}
 		return mode
 	}()
 	decMode = func() cbor.DecMode {
 		mode, err := cbor.DecOptions{MaxArrayElements: maxSnapshotArray, MaxMapPairs: maxSnapshotMap}.DecMode()
 		if err != nil {
-			panic(err) // both options are within the library's bounds
+			panic(err) // cannot happen: both options are within the library's limits
 		}
 		return mode
 	}()
 )
 
-// Snapshot returns the encoding of the state. Equal states have equal encodings.
+// Snapshot returns the encoding of the state, which Restore reads. Equal states have equal encodings.
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	s := &m.state
 	files := newFileTable(s)
@@ -126,7 +126,7 @@
 	return encMode.Marshal(&out)
 }
 
-// nilIfEmpty gives an empty list the one encoding that a nil list has.
+// nilIfEmpty returns nil for an empty list, so that empty and nil lists have the same encoding.
 func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
@@ -134,16 +134,16 @@
 	return list
 }
 
-// fileTable collects all declarations and files of a state, each once and in one order.
+// fileTable collects all declarations and files of a state, each once, in the order of snapshotFile.compare.
 type fileTable struct {
-	names   map[string]merkle.Hash // hashes by text
+	hashes  map[string]merkle.Hash // by text
 	list    []snapshotFile
-	indexOf map[snapshotFile]int // in list
-	texts   [][]byte             // in the order of their first files
+	indexOf map[snapshotFile]int // index in list
+	texts   [][]byte             // each once, in the order of the first file in list that has it
 }
 
 func newFileTable(s *state) *fileTable {
-	t := &fileTable{names: map[string]merkle.Hash{}, indexOf: map[snapshotFile]int{}}
+	t := &fileTable{hashes: map[string]merkle.Hash{}, indexOf: map[snapshotFile]int{}}
 	texts := map[snapshotFile]string{}
 	add := func(namespace string, f submittedFile) { texts[t.file(namespace, f)] = f.text }
 	addAll := func(files map[string]submittedFile) {
@@ -170,19 +170,21 @@
 	return t
 }
 
+// file returns a file as the snapshot has it. The namespace of a declaration is empty.
 func (t *fileTable) file(namespace string, f submittedFile) snapshotFile {
-	name, ok := t.names[f.text]
+	hash, ok := t.hashes[f.text]
 	if !ok {
-		name = merkle.HashOf([]byte(f.text))
-		t.names[f.text] = name
+		hash = merkle.HashOf([]byte(f.text))
+		t.hashes[f.text] = hash
 	}
-	return snapshotFile{namespace, name, f.author, f.number, f.mergeNumber}
+	return snapshotFile{namespace, hash, f.author, f.number, f.mergeNumber}
 }
 
 func (t *fileTable) declarationIndex(declaration submittedFile) int {
 	return t.indexOf[t.file("", declaration)]
 }
 
+// indices returns the sorted indices of files that are given by namespace.
 func (t *fileTable) indices(files map[string]submittedFile) []int {
 	var all []int
 	for name, f := range files {
@@ -199,7 +201,8 @@
 	return snapshotPolicy{p.version, t.declarationIndex(p.declaration), t.indices(p.files)}
 }
 
-// chunkTable collects the chunks of trees, each once. Only what differs from the tree before is visited.
+// chunkTable collects the chunks of trees, each once. Of each tree it visits only the parts that differ from the tree
+// that was added before.
 type chunkTable struct {
 	previous *merkle.Tree
 	written  map[merkle.Hash]bool
@@ -213,9 +216,9 @@
 	if t.written == nil {
 		t.written = map[merkle.Hash]bool{}
 	}
-	for name, chunk := range tree.ChunksNotIn(t.previous) {
-		if !t.written[name] {
-			t.written[name] = true
+	for hash, chunk := range tree.ChunksNotIn(t.previous) {
+		if !t.written[hash] {
+			t.written[hash] = true
 			t.list = append(t.list, chunk)
 		}
 	}
--- a/internal/policy/store/state.go
+++ b/internal/policy/store/state.go
@@ -9,26 +9,27 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// noPolicy is the index among the retained policies that stands for none.
+// noPolicy is the value of an index into the retained policies that refers to none.
 const noPolicy = -1
 
 // submittedFile is a declaration or a namespace's file, as it was submitted.
 type submittedFile struct {
 	text        string
 	author      string
-	number      uint64 // of a namespace's file
-	mergeNumber uint64 // the merge that accepted it
+	number      uint64 // number of a namespace's file; 0 for a declaration
+	mergeNumber uint64 // number of the merge that accepted it
 }
 
-// retainedPolicy is a merged policy with what it was merged from. The hash of its version is the root of its tree.
+// retainedPolicy is a merged policy with the declaration and files that it was merged from. The hash of its version is
+// the root of its tree.
 type retainedPolicy struct {
 	version     rollout.Version
 	declaration submittedFile
 	files       map[string]submittedFile // by namespace
-	tree        *merkle.Tree             // nil: nothing was merged yet
+	tree        *merkle.Tree             // nil if nothing has been merged yet
 }
 
-// contains reports whether the policy was merged from a change.
+// contains reports whether a change is among the declaration and files that the policy was merged from.
 func (p *retainedPolicy) contains(c trackedChange) bool {
 	if c.isDeclaration() {
 		return p.declaration.mergeNumber == c.MergeNumber
@@ -36,13 +37,14 @@
 	return p.files[c.Namespace].number == c.Number
 }
 
-// state is what the log replicates. Maps and slices that a clone shares are never written to.
+// state is the replicated state. cloneState copies it shallowly: maps and slices that a clone shares with the original
+// are never modified.
 type state struct {
 	declaration submittedFile
-	// accepted are the files that the head was merged from, and those of namespaces that the declaration dropped.
-	accepted       map[string]submittedFile
-	pending        map[string]submittedFile // withheld; accepted in a later merge once nothing conflicts
-	highestNumbers map[string]uint64        // the highest file number that each namespace has used
+	// accepted has the files that the head was merged from, and those of namespaces that are no longer declared.
+	accepted       map[string]submittedFile // by namespace
+	pending        map[string]submittedFile // by namespace; withheld until a later merge in which they do not conflict
+	highestNumbers map[string]uint64        // highest file number that each namespace has used
 	withheldFiles  []WithheldFile
 	conflicts      []string
 	generation     uint64
@@ -52,13 +54,13 @@
 	retained       []retainedPolicy  // oldest first
 	activeIndex    int               // in retained, or noPolicy
 	candidateIndex int               // in retained, or noPolicy
-	bisection      [][]trackedChange // parts of stopped batches that are rolled out one by one before the head
-	stopped        *RolloutResult    // of the candidate
+	bisection      [][]trackedChange // parts of stopped batches; each is rolled out separately, before the head
+	stopped        *RolloutResult    // result of the candidate's rollout if it was stopped, else nil
 	failedChanges  []FailedChange    // oldest first
 	proxyCount     int
 }
 
-// cloneState returns a copy that can be changed and discarded.
+// cloneState returns a copy of the state that can be changed, and then committed or discarded.
 func (m *StateMachine) cloneState() *state {
 	s := m.state
 	s.accepted = maps.Clone(s.accepted)
@@ -70,7 +72,7 @@
 	return &s
 }
 
-// active returns the policy in force, or an empty one.
+// active returns the active policy, or an empty one if none is active.
 func (s *state) active() *retainedPolicy {
 	if s.activeIndex == noPolicy {
 		return &retainedPolicy{}
@@ -86,7 +88,7 @@
 	return &s.retained[s.candidateIndex]
 }
 
-// rolledOut reports whether the rollout of an epoch, or of a later one, was started.
+// rolledOut reports whether the rollout of an epoch or of a later one has been started.
 func (s *state) rolledOut(epoch uint64) bool {
 	return slices.ContainsFunc(s.retained, func(p retainedPolicy) bool { return p.version.Epoch >= epoch })
 }
@@ -100,7 +102,7 @@
 	return epochs
 }
 
-// newestFirst yields the head and all retained policies.
+// newestFirst yields the head, unless nothing was merged yet, and then all retained policies, the newest first.
 func (s *state) newestFirst() iter.Seq[*retainedPolicy] {
 	return func(yield func(*retainedPolicy) bool) {
 		if s.head.tree != nil && !yield(&s.head) {
--- a/internal/policy/store/statemachine.go
+++ b/internal/policy/store/statemachine.go
@@ -12,14 +12,14 @@
 	state     state
 	mutations mutation
 
-	// The caches below are no part of the state: equal commands give equal results with and without them.
-	cachedStatus *Status                    // nil if the state has changed since
+	// The caches below are not part of the state: equal commands give equal results with and without them.
+	cachedStatus *Status                    // nil if the state has changed since the last call of Status
 	parsedFiles  map[string]*namespace.File // by text
-	unchunked    map[string]string          // encoded policies by root; empty is one that is too long
+	unchunked    map[string]string          // encoded policies by root; empty if the encoding is too long
 }
 
-// New returns an empty state machine whose generations begin at generation. A fleet that is bootstrapped again numbers
-// its epochs from 1, so its generation must be above every one that its proxies know.
+// New returns an empty state machine with a first generation. A fleet that is bootstrapped again numbers its epochs
+// from 1 again, so its first generation must be higher than that of any version that its proxies have received.
 func New(generation uint64) *StateMachine {
 	return &StateMachine{state: state{
 		generation:     generation,
@@ -34,12 +34,12 @@
 // Empty reports whether the fleet has no ownership declaration yet.
 func (m *StateMachine) Empty() bool { return m.state.declaration.text == "" }
 
-// Apply carries a command out. An error changes nothing: NoDeclarationError, TooLargeError, InvalidCommandError,
-// EpochNotRetainedError, or one of package namespace for a file or a declaration that is invalid by itself. A file
-// that is withheld is no error: see WithheldFile.
+// Apply executes a command. On an error the state is unchanged. The error is a NoDeclarationError, TooLargeError,
+// InvalidCommandError or EpochNotRetainedError, or an error of package namespace if the file or declaration is invalid
+// or its namespace or number is. A valid file that is withheld because of a conflict is not an error: see WithheldFile.
 func (m *StateMachine) Apply(c Command) error {
-	if fields := c.fields(); fields != 1 {
-		return InvalidCommandError{fmt.Sprintf("it says %d things", fields)}
+	if count := c.setFieldCount(); count != 1 {
+		return InvalidCommandError{fmt.Sprintf("it says %d things", count)}
 	}
 	m.cachedStatus = nil
 	defer m.pruneCaches()
@@ -56,6 +56,7 @@
 	}
 }
 
+// setDeclaration replaces the declaration and merges all files under it.
 func (m *StateMachine) setDeclaration(c SetDeclaration) error {
 	if err := checkSizes("the charter", c.Text, c.Author); err != nil {
 		return err
@@ -70,6 +71,7 @@
 	return m.mergeAndCommit(next)
 }
 
+// submitFile makes a namespace's file pending, in place of any pending one, and merges all files.
 func (m *StateMachine) submitFile(c SubmitFile) error {
 	if m.Empty() {
 		return NoDeclarationError{}
@@ -86,8 +88,8 @@
 	if err != nil {
 		return err
 	}
-	declared := func(h namespace.DeclaredNamespace) bool { return h.Name == name }
-	if !slices.ContainsFunc(declaration.Namespaces, declared) {
+	hasName := func(n namespace.DeclaredNamespace) bool { return n.Name == name }
+	if !slices.ContainsFunc(declaration.Namespaces, hasName) {
 		return namespace.UnknownNamespaceError{Namespace: name}
 	}
 	if m.state.accepted[name].text == c.Text || m.state.pending[name].text == c.Text {
@@ -117,8 +119,9 @@
 	return nil
 }
 
-// rollBack restores the files of a retained epoch and makes its policy active. Pending files are dropped, because they
-// were written against other files; so is a declaration that is not in force yet.
+// rollBack restores the files of a retained epoch and makes its policy active without a rollout. Pending files are
+// dropped, because they were written to be merged with other files. A declaration that is not active yet is dropped
+// too.
 func (m *StateMachine) rollBack(c Rollback) error {
 	if err := checkAuthor(c.Author); err != nil {
 		return err
@@ -158,8 +161,8 @@
 	return nil
 }
 
-// finishRollout takes the result of the candidate's rollout. A result of any other version, or a second one, is stale
-// and changes nothing.
+// finishRollout applies the result of the candidate's rollout. A result for another version, or a second result for the
+// candidate, is stale and changes nothing.
 func (m *StateMachine) finishRollout(result RolloutResult) {
 	m.adoptLegacyCandidate(result)
 	candidate := m.state.candidate()
@@ -187,8 +190,8 @@
 	m.state = *s
 }
 
-// adoptLegacyCandidate makes the head the candidate if a result is about a head that was never rolled out. Logs of
-// releases without batches have such results: there each submission displaced the candidate.
+// adoptLegacyCandidate makes the head the candidate if a result is about the head and the head was never rolled out.
+// Logs of releases without batches contain these results, because each submission replaced the candidate there.
 func (m *StateMachine) adoptLegacyCandidate(result RolloutResult) {
 	head := m.state.head.version
 	if head.Epoch != result.Epoch || head.Generation != result.Generation || head.Hash == "" {
@@ -203,7 +206,7 @@
 	m.state = *s
 }
 
-// truncate bounds a reason or an advice.
+// truncate cuts a reason or an advice off after maxReasonBytes.
 func truncate(text string) string {
 	return text[:min(len(text), maxReasonBytes)]
 }
--- a/internal/policy/store/status.go
+++ b/internal/policy/store/status.go
@@ -9,27 +9,29 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// encodeTreeFactor bounds which policies are encoded at all to see whether they fit MaxUnchunkedBytes: chunks of one
-// that fits never come to more than this multiple of it.
+// encodeTreeFactor limits which policies Unchunked encodes to find out whether they fit in MaxUnchunkedBytes. The
+// chunks of a policy that fits never have more than this multiple of MaxUnchunkedBytes.
 const encodeTreeFactor = 4
 
-// Status is what is in force, what is being rolled out, and what waits. Callers do not write to its lists.
+// Status reports the active policy, the rollout of the candidate, and the changes that are queued, failed or withheld.
+// Callers must not modify its lists.
 type Status struct {
-	Active    rollout.Version `json:"Base"` // in force; zero if none is
-	Candidate rollout.Version `json:"Next"` // being rolled out; zero if none is
+	Active    rollout.Version `json:"Base"` // version in force; zero if there is none
+	Candidate rollout.Version `json:"Next"` // version being rolled out; zero if there is none
 	// Head is the newest merged policy. It is rolled out under this epoch, or under a higher one if parts of a
 	// stopped batch are rolled out first.
 	Head    rollout.Version `json:"Head"`
-	Stopped *RolloutResult  `json:"Stopped"`  // why the rollout of Candidate stopped; nil if it goes on
+	Stopped *RolloutResult  `json:"Stopped"`  // result of Candidate's rollout if it was stopped, else nil
 	Batch   []Change        `json:"Train"`    // changes from Active to Candidate
 	Queued  []Change        `json:"Gathered"` // changes in Head that wait for the next batch
-	// FailedChanges are the changes that were excluded, the newest last. One of a namespace stays until a higher
-	// number of that namespace is in force.
+	// FailedChanges are the changes that were excluded, the newest last. A failed file is listed until a file of the
+	// same namespace with a higher number is active.
 	FailedChanges  []FailedChange `json:"Faults"`
-	WithheldFiles  []WithheldFile `json:"Held"` // by namespace
-	Conflicts      []string       `json:"Told"`
-	RetainedEpochs []uint64       `json:"Kept"`    // epochs that the fleet can be rolled back to
-	ProxyCount     int            `json:"Proxies"` // that the leader knew at the last result; 0 is unknown
+	WithheldFiles  []WithheldFile `json:"Held"` // ordered by namespace
+	Conflicts      []string       `json:"Told"` // at most maxConflicts descriptions
+	RetainedEpochs []uint64       `json:"Kept"` // epochs that the fleet can be rolled back to
+	// ProxyCount is the number of proxies that the leader had seen at the last rollout result; 0 if unknown.
+	ProxyCount int `json:"Proxies"`
 }
 
 // Status returns the current status. It is cached until the next command.
@@ -64,7 +66,7 @@
 	return status
 }
 
-// Tree returns the tree of a version that is retained or the head.
+// Tree returns the tree of a version, and false if the version is neither retained nor the head.
 func (m *StateMachine) Tree(version rollout.Version) (*merkle.Tree, bool) {
 	for p := range m.state.newestFirst() {
 		if p.version == version {
@@ -74,7 +76,7 @@
 	return nil, false
 }
 
-// TreeByRoot returns the tree with a root, in hexadecimal, that is retained under any epoch.
+// TreeByRoot returns the tree with a root, given in hexadecimal, if any retained policy or the head has it.
 func (m *StateMachine) TreeByRoot(root string) (*merkle.Tree, bool) {
 	for p := range m.state.newestFirst() {
 		if p.version.Hash == root {
@@ -95,8 +97,8 @@
 	}
 }
 
-// Unchunked returns the encoding of a retained policy, for proxies that take no chunks. It returns false if the
-// version is not retained, or its encoding is longer than MaxUnchunkedBytes.
+// Unchunked returns the encoding of a policy in one text, for proxies that do not support chunks. It returns false if
+// the version is neither retained nor the head, or its encoding is longer than MaxUnchunkedBytes.
 func (m *StateMachine) Unchunked(version rollout.Version) (string, bool) {
 	tree, ok := m.Tree(version)
 	if !ok {
@@ -113,7 +115,7 @@
 	return text, text != ""
 }
 
-// encodeUnchunked returns an empty text for a policy that does not fit.
+// encodeUnchunked returns the encoding of a tree's policy, or an empty text if it is longer than MaxUnchunkedBytes.
 func encodeUnchunked(tree *merkle.Tree) string {
 	if tree.Size() > encodeTreeFactor*MaxUnchunkedBytes {
 		return ""
