--- a/internal/policy/merkle/assembly.go
+++ b/internal/policy/merkle/assembly.go
@@ -2,49 +2,51 @@
 
 import "slices"
 
-// Assembly puts the tree of a root together from chunks, which may come from anybody and in any order. It accepts a
-// chunk only if its hash is missing and if the chunk can stand where it is missing; what an existing tree has is never
-// missing. Calls on one Assembly are serialized by the caller.
+// Assembly builds the tree with a known root hash from chunks. The chunks may come from untrusted senders and in any
+// order. Add accepts a chunk only if its hash is missing and its content is valid in each place where it is missing.
+// Chunks that the existing tree has in the same place, or in the value of the same key, are never missing. Callers
+// serialize all calls on one Assembly.
 type Assembly struct {
 	root      Hash
-	existing  *Tree // nil: nothing exists
+	existing  *Tree // nil if there is none
 	top       *subtree
-	missing   map[Hash][]slot
-	order     []Hash          // of missing, oldest first; hashes that have arrived since are still in it
-	segments  map[Hash][]byte // segments and lists that arrived: one may stand in several places
+	missing   map[Hash][]slot // the places of each missing chunk
+	order     []Hash          // missing hashes, oldest first; may still contain hashes whose chunks have arrived
+	segments  map[Hash][]byte // segments and lists that have arrived; each may occur in several places
 	assembled *Tree           // nil until all chunks have arrived
 	mutations mutation
 }
 
 // subtree is a part of the tree that is being assembled.
 type subtree struct {
-	assembled *node // from the existing tree, or joined; nil until then
+	assembled *node // from the existing tree, or joined from its chunks; nil before
 	hash      Hash
-	kind      byte              // 0: its chunk has not arrived
+	kind      byte              // kind of its chunk; 0 if the chunk has not arrived
 	items     []incomingItem    // of a leaf
 	children  *[fanout]*subtree // of an inner node
 }
 
-// incomingItem is an item of a leaf that arrived.
+// incomingItem is an item of a leaf whose chunk has arrived.
 type incomingItem struct {
 	item
-	segments map[Hash][]byte // segments and lists of the value that arrived; nil if the value is complete
-	listed   int             // hashes in the lists that arrived
+	segments map[Hash][]byte // segments and lists of the value that have arrived; nil if the value is complete
+	listed   int             // number of hashes in the lists that have arrived
 }
 
 // slot is a place in which a chunk is missing: a subtree, or a segment or list of a value.
 type slot struct {
-	subtree  *subtree
-	existing *node // what the existing tree has in the same place
-	position Hash  // the digits that lead to the subtree, as many as its depth
+	subtree  *subtree // nil if the place is in a value
+	existing *node    // what the existing tree has in the same place
+	position Hash     // the digits that lead to the subtree; the first depth digits are set
 	depth    int
 
 	value            *incomingItem   // nil if the place is a subtree
 	existingSegments map[Hash][]byte // of the value that the existing tree has under the same key
-	level            int             // of lists above
+	level            int             // number of lists above the place
 }
 
-// NewAssembly starts the assembly of the tree of a root, from an existing tree if that is not nil.
+// NewAssembly starts the assembly of the tree with a root hash. Parts that it has in common with an existing tree are
+// taken from there; existing may be nil.
 func NewAssembly(root Hash, existing *Tree) *Assembly {
 	a := &Assembly{
 		root:     root,
@@ -57,14 +59,14 @@
 	return a
 }
 
-// Missing returns the hashes of at most limit missing chunks, oldest first. More may be missing once these have
-// arrived. It returns none when the tree is complete.
+// Missing returns the hashes of at most limit missing chunks, oldest first. Chunks that arrive may refer to further
+// missing ones. It returns none when the tree is complete.
 func (a *Assembly) Missing(limit int) []Hash {
 	a.order = slices.DeleteFunc(a.order, func(hash Hash) bool { return a.missing[hash] == nil })
 	return slices.Clone(a.order[:min(max(limit, 0), len(a.order))])
 }
 
-// request notes a place in which a chunk belongs, and fills it if the chunk exists.
+// request adds a place to the missing chunks, or fills it if its chunk is already available.
 func (a *Assembly) request(hash Hash, s slot) {
 	if s.value == nil && s.existing != nil && s.existing.hash == hash {
 		s.subtree.assembled = s.existing
@@ -79,7 +81,8 @@
 	a.missing[hash] = append(a.missing[hash], s)
 }
 
-// fillFromExisting fills the place of a segment or list from the existing value or from another value, if it can.
+// fillFromExisting fills the place of a segment or list with a chunk that the same value, the existing value or another
+// value has already. It returns false if there is none.
 func (a *Assembly) fillFromExisting(hash Hash, s slot) bool {
 	if _, ok := s.value.segments[hash]; ok {
 		return true
@@ -91,8 +94,8 @@
 	return ok && a.addSegment(chunk, hash, s)
 }
 
-// Add accepts a missing chunk and keeps its bytes. It returns an UnexpectedChunkError or a MalformedChunkError; neither
-// changes anything.
+// Add accepts a missing chunk and retains the slice, which the caller must not modify afterwards. It returns an
+// UnexpectedChunkError or a MalformedChunkError for a chunk that it rejects; the Assembly is then unchanged.
 func (a *Assembly) Add(chunk []byte) error {
 	if len(chunk) == 0 || len(chunk) > MaxChunkBytes {
 		return UnexpectedChunkError{Bytes: len(chunk)}
@@ -124,7 +127,7 @@
 	return nil
 }
 
-// addSubtree fills the place of a subtree with a chunk that was checked, and requests what it refers to.
+// addSubtree fills the place of a subtree with a chunk that was checked, and requests the chunks that it refers to.
 func (a *Assembly) addSubtree(chunk []byte, s slot) {
 	s.subtree.kind = chunk[0]
 	if s.subtree.kind == kindLeaf {
@@ -146,7 +149,7 @@
 	}
 }
 
-// addLeaf requests the segmented values of a leaf, except those that the existing tree has.
+// addLeaf decodes a leaf and requests the chunks of its segmented values, except values that the existing tree has.
 func (a *Assembly) addLeaf(chunk []byte, leaf *subtree) {
 	leaf.items, _ = decodeLeaf(chunk)
 	for i := range leaf.items {
@@ -167,8 +170,9 @@
 	}
 }
 
-// addSegment adds a segment or a list to its value, and requests what a list names. It returns false if the chunk
-// cannot be one. The check is made here, too: another place of the same chunk may have used up the bound on lists.
+// addSegment adds a segment or a list to its value, and requests the chunks that a list refers to. It returns false if
+// the chunk is not a valid segment or list of the value. Add has checked this already, but the chunk may have been
+// added since to another place in the same value, so that the limit on hashes in lists is exceeded now.
 func (a *Assembly) addSegment(chunk []byte, hash Hash, s slot) bool {
 	if s.segmentFault(chunk) != "" {
 		return false
@@ -187,8 +191,8 @@
 	return true
 }
 
-// Tree returns the tree once all chunks have arrived. It returns an IncompleteError until then, and a
-// MalformedChunkError if the chunks have not the one shape that their content has.
+// Tree returns the tree once all chunks have arrived, and an IncompleteError before. It returns a MalformedChunkError
+// if the chunks do not form the canonical tree of their content.
 func (a *Assembly) Tree() (*Tree, error) {
 	if a.assembled != nil {
 		return a.assembled, nil
@@ -201,14 +205,16 @@
 		return nil, err
 	}
 	t := newTree(top)
-	if t.Root() != a.root && a.mutations == 0 { // with a mutation, the check must be detected by itself
+	// This check is skipped with any mutation: tests must detect the missing check without its help.
+	if t.Root() != a.root && a.mutations == 0 {
 		return nil, MalformedChunkError{a.root, "what came together has another root"}
 	}
 	a.assembled = t
 	return t, nil
 }
 
-// join makes the node of a subtree.
+// join returns the node of a subtree, or nil if s is nil. A subtree whose chunk has not arrived also gives nil, which
+// occurs only in tests that set skipCompleteCheck.
 func (a *Assembly) join(s *subtree) (*node, error) {
 	switch {
 	case s == nil || s.assembled == nil && s.kind == 0:
@@ -233,7 +239,7 @@
 	return n, nil
 }
 
-// joinLeaf makes a leaf and joins its segmented values.
+// joinLeaf returns the node of a leaf, and joins the segments of its values.
 func (a *Assembly) joinLeaf(s *subtree) (*node, error) {
 	items := make([]item, len(s.items))
 	for i := range s.items {
@@ -249,7 +255,8 @@
 	return s.assembled, nil
 }
 
-// joinValue joins a segmented value. Split again, it must have the same segments.
+// joinValue joins a value from its segments. It returns a MalformedChunkError if the value does not have its total
+// length, or is split into other segments when it is split again.
 func (a *Assembly) joinValue(it *incomingItem) error {
 	root := it.segmented.root
 	value, ok := joinSegments(root, it.segmented.total, it.segments)
--- a/internal/policy/merkle/check.go
+++ b/internal/policy/merkle/check.go
@@ -6,7 +6,9 @@
 	"encoding/binary"
 )
 
-// chunkFault returns why a chunk cannot stand in a place, or an empty text.
+// The reasons that the functions below return are texts of MalformedChunkError, which operators and other releases see.
+
+// chunkFault returns the reason why a chunk is not valid in a place, or an empty text.
 func (a *Assembly) chunkFault(chunk []byte, s *slot) string {
 	if s.value != nil {
 		return s.segmentFault(chunk)
@@ -27,7 +29,7 @@
 	return "neither leaf nor node"
 }
 
-// leafFault returns why a leaf cannot stand in a place, or an empty text.
+// leafFault returns the reason why a leaf is not valid in a place, or an empty text.
 func (a *Assembly) leafFault(chunk []byte, s *slot) string {
 	items, ok := decodeLeaf(chunk)
 	if !ok {
@@ -57,7 +59,7 @@
 	return ""
 }
 
-// samePrefix reports whether two positions have their first digits in common.
+// samePrefix reports whether two positions have the same first digits, as many as digits says.
 func samePrefix(a, b *Hash, digits int) bool {
 	for depth := range digits {
 		if a.digit(depth) != b.digit(depth) {
@@ -67,8 +69,8 @@
 	return true
 }
 
-// segmentFault returns why a chunk cannot be a segment or list of the slot's value, or an empty text. The bound on the
-// hashes in lists keeps a malformed value from requesting chunks without end.
+// segmentFault returns the reason why a chunk is not a valid segment or list of the slot's value, or an empty text. The
+// limit on the number of hashes in lists prevents a malformed value from requesting chunks without end.
 func (s *slot) segmentFault(chunk []byte) string {
 	switch chunk[0] {
 	case kindSegment:
@@ -90,7 +92,7 @@
 	return "neither chunk nor list"
 }
 
-// decodeLeaf returns the items of a leaf, and false unless the chunk is their one encoding.
+// decodeLeaf returns the items of a leaf. It returns false unless the chunk is the canonical encoding of its items.
 func decodeLeaf(chunk []byte) ([]incomingItem, bool) {
 	r := leafReader{rest: chunk[1:]}
 	var items []incomingItem
@@ -103,12 +105,13 @@
 	return items, true
 }
 
-// leafReader reads the items of a leaf. After a fault it reads zeros.
+// leafReader decodes the items of a leaf. Once it has found malformed input, it returns zero values.
 type leafReader struct {
-	rest      []byte
+	rest      []byte // bytes that are not decoded yet
 	malformed bool
 }
 
+// item decodes an item. If its value is segmented, it has no segments yet.
 func (r *leafReader) item() incomingItem {
 	var i incomingItem
 	i.key = string(r.bytes(r.length(MaxKeyBytes)))
@@ -132,7 +135,7 @@
 	return i
 }
 
-// length reads a number of bytes in its shortest encoding.
+// length decodes a length, which must not exceed limit and must have its shortest encoding as an unsigned varint.
 func (r *leafReader) length(limit int) int {
 	n, size := binary.Uvarint(r.rest)
 	if size <= 0 || n > uint64(limit) || uvarintLen(int(n)) != size {
@@ -143,6 +146,7 @@
 	return int(n)
 }
 
+// bytes returns the next count bytes, as a part of the chunk.
 func (r *leafReader) bytes(count int) []byte {
 	if count > len(r.rest) {
 		r.malformed = true
--- a/internal/policy/merkle/diff.go
+++ b/internal/policy/merkle/diff.go
@@ -2,9 +2,9 @@
 
 import "iter"
 
-// ChunksNotIn yields the chunks that another tree lacks, by their hashes, each once and after the one that names it.
-// An Assembly that starts from the other tree is missing just these, in this order. The other tree may be nil: it
-// lacks all. It costs what differs.
+// ChunksNotIn yields the chunks that another tree lacks, with their hashes, each once and after a chunk that refers to
+// it. An Assembly that starts from the other tree needs exactly these chunks and accepts them in this order. If other
+// is nil, all chunks are yielded. The cost is proportional to the difference of the trees.
 func (t *Tree) ChunksNotIn(other *Tree) iter.Seq2[Hash, []byte] {
 	return func(yield func(Hash, []byte) bool) {
 		w := chunkWalk{other: other, yield: yield, yielded: map[Hash]bool{}}
@@ -12,7 +12,7 @@
 	}
 }
 
-// root returns the top node; nil has none.
+// root returns the top node, or nil for a nil tree.
 func (t *Tree) root() *node {
 	if t == nil {
 		return nil
@@ -24,10 +24,11 @@
 type chunkWalk struct {
 	other   *Tree
 	yield   func(Hash, []byte) bool
-	yielded map[Hash]bool // segments and lists: one may stand in several places
+	yielded map[Hash]bool // segments and lists, each of which may occur in several places
 }
 
-// walk visits a subtree, with the one of the other tree in the same place. It returns false once yield did.
+// walk visits a subtree, together with the subtree of the other tree in the same place. It returns false once yield has
+// returned false.
 func (w *chunkWalk) walk(n, other *node) bool {
 	if n == nil || other != nil && other.hash == n.hash {
 		return true
@@ -51,7 +52,8 @@
 	return true
 }
 
-// walkValue visits the segments of a value, with those that the other tree has under the same key.
+// walkValue yields the segments and lists of a value that the other tree's value of the same key lacks. It returns
+// false once yield has returned false.
 func (w *chunkWalk) walkValue(i *item) bool {
 	if i.segmented == nil {
 		return true
@@ -72,20 +74,21 @@
 	return true
 }
 
-// Changes returns what makes the tree to of the tree from: items to set and keys to remove, ordered by position. From
-// may be nil: an empty tree. It costs what differs.
+// Changes returns the arguments with which from.With gives the tree to: items to set and keys to remove, both ordered
+// by position. A nil from is compared as an empty tree. The cost is proportional to the difference of the trees.
 func Changes(from, to *Tree) (set []Item, removed []string) {
 	var d treeDiff
 	d.compare(from.root(), to.top)
 	return d.set, d.removed
 }
 
-// treeDiff collects how two trees differ.
+// treeDiff collects the differences of two trees.
 type treeDiff struct {
 	set     []Item
-	removed []string
+	removed []string // keys
 }
 
+// compare adds the differences of two subtrees in the same place; nil is an empty subtree.
 func (d *treeDiff) compare(from, to *node) {
 	switch {
 	case from == to || from != nil && to != nil && from.hash == to.hash:
@@ -96,7 +99,7 @@
 		}
 		return
 	}
-	// One of the two is a leaf or missing: their items are compared one by one.
+	// At least one of the subtrees is a leaf or nil, so their items are compared one by one.
 	old := map[string]*item{}
 	from.each(func(i *item) bool {
 		old[i.key] = i
--- a/internal/policy/merkle/doc.go
+++ b/internal/policy/merkle/doc.go
@@ -1,24 +1,26 @@
-// Package merkle holds content as a canonical Merkle radix tree (Merkle, 1987), so that a change costs only what
-// changed: to make, to send, and to apply.
+// Package merkle holds content as a canonical Merkle radix tree (Merkle, 1987), so that the cost to make, send and
+// apply a change depends only on the size of the change.
 //
 // # The tree
 //
-// Content is a set of items, each a value under a key. The position of an item is the SHA-256 of its key, read digit by
-// digit; the first digits are those of the key's group, so that items that change together lie together. A subtree is a
-// leaf if its items come to MaxLeafBytes at most, or if it has one item. Any other subtree is a node with up to 16
-// children. Each leaf and each node is encoded as a chunk that is named by its SHA-256, and a node's chunk holds the
-// hashes of its children.
+// Content is a set of items, each a value under a key. The position of an item is the SHA-256 of its key, read as
+// hexadecimal digits; the first digits are taken from the hash of the key's group, so that items that change together
+// share most of their path. A subtree is a leaf if its items have at most MaxLeafBytes, or if it has one item. Any
+// other subtree is an inner node with up to 16 children. Each leaf and each inner node is encoded as a chunk that is
+// identified by its SHA-256, and the chunk of an inner node holds the hashes of its children.
 //
-// So the shape follows from the content alone, in whatever order it was written, and one content has one root hash.
+// The shape of the tree therefore depends only on the content, not on the order in which it was written, and equal
+// contents have equal root hashes.
 //
-// A value that is too long for a leaf is split into segments at places that its own bytes give (content-defined
-// chunking: Muthitacharoen, Chen and Mazières, 2001). Segments are chunks of their own, and lists of their hashes are
-// too. No chunk is longer than MaxChunkBytes.
+// A value that is too long for a leaf is split into segments at boundaries that depend on its bytes (content-defined
+// chunking: Muthitacharoen, Chen and Mazières, 2001). Each segment is a chunk, and so is each list of their hashes. No
+// chunk is longer than MaxChunkBytes.
 //
 // # Use
 //
-// A Tree never changes, so any number of goroutines may use it. Tree.With gives a new version that shares with the one
-// before all that is the same. Tree.ChunksNotIn gives what somebody lacks who has another version, and an Assembly puts
-// a version together from chunks that arrive in any order from anybody: it accepts only what it is missing and what can
-// stand in its place. The package is pure: no I/O, no goroutine, no clock. The design is in docs/capacity-pieces.md.
+// A Tree never changes, so any number of goroutines may use it. Tree.With returns a new version that shares all
+// unchanged parts with the version before. Tree.ChunksNotIn yields the chunks that a holder of another version lacks.
+// An Assembly builds a version from chunks that arrive in any order and from untrusted senders: it accepts only chunks
+// that it is missing and that are valid in their place. The package does no I/O, starts no goroutine and reads no
+// clock. The design is in docs/capacity-pieces.md.
 package merkle
--- a/internal/policy/merkle/errors.go
+++ b/internal/policy/merkle/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// The texts, codes and advice of this package's errors are for operators and for other releases. They use the words
-// of the operators' pages: piece for chunk, name for hash, steward for control-plane server.
+// Operators and other releases see the texts, codes and advice of this package's errors, so they stay as they are. They
+// use the words of the operators' pages: piece for chunk, name for hash, steward for control-plane server.
 
 // UnexpectedChunkError is returned for a chunk that is not missing: it is damaged, of other content, or a duplicate.
 type UnexpectedChunkError struct {
-	Hash  Hash // of what arrived
-	Bytes int
+	Hash  Hash // of the chunk; zero if its length is not between 1 and MaxChunkBytes
+	Bytes int  // length of the chunk
 }
 
 // Error implements error.
@@ -28,7 +28,7 @@
 // IncompleteError is returned while chunks are missing.
 type IncompleteError struct {
 	Root    Hash
-	Missing int // chunks whose hashes are known; more may follow
+	Missing int // number of missing chunks whose hashes are known; these may refer to further missing ones
 }
 
 // Error implements error.
@@ -45,9 +45,10 @@
 		"If it goes on, see whether the stewards can be reached."
 }
 
-// MalformedChunkError is returned for a chunk that has a missing hash but cannot stand where it is missing.
+// MalformedChunkError is returned for a chunk that has a missing hash but is not valid in a place where it is missing,
+// and for chunks that do not form the canonical tree of their content.
 type MalformedChunkError struct {
-	Hash   Hash
+	Hash   Hash // of the chunk, or of the subtree, value or tree that is malformed
 	Reason string
 }
 
@@ -63,10 +64,10 @@
 		"Offer the policy again, and see that stewards and proxies run programs that know each other."
 }
 
-// TooLongError is returned for a key or a value that is over its bound.
+// TooLongError is returned for a key longer than MaxKeyBytes or a value longer than MaxValueBytes.
 type TooLongError struct {
-	What  string // key or value
-	Key   string
+	What  string // "key" or "value"
+	Key   string // cut off if it is the key that is too long
 	Bytes int
 	Limit int // in bytes
 }
@@ -82,7 +83,7 @@
 // Advice returns the operator's next step.
 func (TooLongError) Advice() string { return "Split the rule that is named into several." }
 
-// DuplicateKeyError is returned for a key that is given twice.
+// DuplicateKeyError is returned for a key that occurs twice in the arguments of Build or Tree.With.
 type DuplicateKeyError struct{ Key string }
 
 // Error implements error.
@@ -94,7 +95,7 @@
 // Advice returns the operator's next step.
 func (DuplicateKeyError) Advice() string { return "Take one of the two out." }
 
-// InvalidHashError is returned for a text that is no hash.
+// InvalidHashError is returned for a text that is not a hash in hexadecimal.
 type InvalidHashError struct{ Text string }
 
 // Error implements error.
--- a/internal/policy/merkle/hash.go
+++ b/internal/policy/merkle/hash.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// The shape of the tree: each node looks at one digit of a position.
+// The shape of the tree: an inner node at a depth selects the child by the position's digit of that depth.
 const (
 	digitBits     = 4
 	fanout        = 1 << digitBits
 	digitsPerByte = 8 / digitBits
-	maxDepth      = sha256.Size * digitsPerByte // digits of a position
+	maxDepth      = sha256.Size * digitsPerByte // number of digits of a position
 )
 
-// groupBytes is how many bytes of a position come from the key's group.
+// groupBytes is the number of bytes at the start of a position that come from the hash of the key's group.
 const groupBytes = 1
 
-// Hash names a chunk: its SHA-256 (FIPS 180-4).
+// Hash identifies a chunk: it is the SHA-256 (FIPS 180-4) of its bytes.
 type Hash [sha256.Size]byte
 
 // HashOf returns the hash of a chunk.
@@ -26,7 +26,7 @@
 // String returns the hash in hexadecimal.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// ParseHash reads what String returns. It returns an InvalidHashError for anything else.
+// ParseHash parses a hash in the form that String returns. It returns an InvalidHashError for any other text.
 func ParseHash(s string) (Hash, error) {
 	var h Hash
 	if len(s) != 2*len(h) {
@@ -38,8 +38,9 @@
 	return h, nil
 }
 
-// positionOf returns where a key belongs in the tree: first the hash of its group, then its own hash. The group is what
-// stands before the first slash, so items of one group share most of their path from the root.
+// positionOf returns the position of a key in the tree: the hash of the key, with its first groupBytes replaced by
+// those of the hash of the key's group. The group is the part of the key before its first slash, so items of one group
+// share most of their path from the root. A key without a slash has no group.
 func positionOf(key string) Hash {
 	position := Hash(sha256.Sum256([]byte(key)))
 	if group, _, ok := strings.Cut(key, "/"); ok {
@@ -49,15 +50,15 @@
 	return position
 }
 
-// digit returns the digit of a position that a node at a depth looks at.
+// digit returns the digit of a position by which an inner node at a depth selects the child.
 func (h *Hash) digit(depth int) int {
 	return int(h[depth/digitsPerByte]>>digitShift(depth)) & (fanout - 1)
 }
 
-// setDigit sets a digit that is zero.
+// setDigit sets the digit of a depth, which must have been zero.
 func (h *Hash) setDigit(depth, digit int) {
 	h[depth/digitsPerByte] |= byte(digit) << digitShift(depth)
 }
 
-// digitShift is by how many bits the digit of a depth is shifted within its byte.
+// digitShift returns by how many bits the digit of a depth is shifted to the left within its byte.
 func digitShift(depth int) int { return digitBits * (digitsPerByte - 1 - depth%digitsPerByte) }
--- a/internal/policy/merkle/item.go
+++ b/internal/policy/merkle/item.go
@@ -6,27 +6,27 @@
 	"encoding/binary"
 )
 
-// Item is a value under a key. Callers do not change the bytes of one that they give or get.
+// Item is a value under a key. Callers must not modify the value of an Item after they have passed it to this package
+// or received it from there.
 type Item struct {
 	Key   string
 	Value []byte
 }
 
-// How the value of an item is written in a leaf: its length and itself, or its length and the hash of its segment or
-// list of segments.
+// The encodings of an item's value in a leaf.
 const (
-	valueInline    = 0
-	valueSegmented = 1
+	valueInline    = 0 // its length and its bytes
+	valueSegmented = 1 // its length and the hash of its only segment or topmost list of segments
 )
 
-// item is an item as it stands in a leaf.
+// item is an item as a leaf holds it.
 type item struct {
 	key       string
 	value     []byte          // part of the leaf's chunk; nil if the value is segmented
 	segmented *segmentedValue // nil if the value is inline
 }
 
-// newItem splits a value that is too long for a leaf.
+// newItem returns an item for a leaf, with a segmented value if the value is longer than maxInlineBytes.
 func newItem(from Item) *item {
 	if len(from.Value) > maxInlineBytes {
 		return &item{key: from.Key, segmented: splitValue(from.Value)}
@@ -34,7 +34,7 @@
 	return &item{key: from.Key, value: from.Value}
 }
 
-// encodedBytes is the length of the item in a leaf.
+// encodedBytes returns the length of the item's encoding in a leaf.
 func (i *item) encodedBytes() int {
 	n := uvarintLen(len(i.key)) + len(i.key) + 1
 	if i.segmented != nil {
@@ -43,8 +43,10 @@
 	return n + uvarintLen(len(i.value)) + len(i.value)
 }
 
+// uvarintLen returns the length of n as an unsigned varint.
 func uvarintLen(n int) int { return len(binary.AppendUvarint(nil, uint64(n))) }
 
+// appendTo appends the encoding of the item to the chunk of a leaf.
 func (i *item) appendTo(chunk []byte) []byte {
 	chunk = binary.AppendUvarint(chunk, uint64(len(i.key)))
 	chunk = append(chunk, i.key...)
@@ -58,7 +60,7 @@
 	return append(chunk, i.value...)
 }
 
-// sameValue compares the values of two items of one key.
+// sameValue reports whether two items have equal values.
 func (i *item) sameValue(other *item) bool {
 	if i.segmented == nil && other.segmented == nil {
 		return bytes.Equal(i.value, other.value)
@@ -69,6 +71,7 @@
 	return i.segmented.root == other.segmented.root && i.segmented.total == other.segmented.total
 }
 
+// fullValue returns the value, joined from its segments if it is segmented.
 func (i *item) fullValue() []byte {
 	if i.segmented != nil {
 		return i.segmented.join()
--- a/internal/policy/merkle/node.go
+++ b/internal/policy/merkle/node.go
@@ -17,7 +17,7 @@
 	kindSegmentList = 4 // hashes of segments, or of lists, in order
 )
 
-// nodeHeaderBytes is the kind and the bitmap of a node's chunk.
+// nodeHeaderBytes is the length of the kind and the bitmap at the start of an inner node's chunk.
 const nodeHeaderBytes = 3
 
 // node is a leaf or an inner node. It is immutable.
@@ -25,16 +25,16 @@
 	hash      Hash
 	chunk     []byte
 	items     []item         // of a leaf
-	children  *[fanout]*node // of an inner node; nil where there is none
-	count     int            // items in the subtree
-	itemBytes int            // that the items come to in leaves
+	children  *[fanout]*node // of an inner node, by digit; an element is nil if there is no such child
+	count     int            // number of items in the subtree
+	itemBytes int            // bytes of the encoded items of the subtree, without their segments
 	size      int            // bytes of all chunks of the subtree
 }
 
-// isLeafSized reports whether a subtree of so many items, of so many bytes, is a leaf.
+// isLeafSized reports whether a subtree with count items, which have itemBytes in leaves, is a leaf.
 func isLeafSized(count, itemBytes int) bool { return count <= 1 || itemBytes <= MaxLeafBytes }
 
-// newLeaf makes a leaf of items that are in order.
+// newLeaf returns a leaf with items that are ordered by position.
 func newLeaf(items []item) *node {
 	n := &node{count: len(items), items: slices.Clone(items)}
 	for i := range items {
@@ -49,7 +49,7 @@
 			n.size += it.segmented.size
 			continue
 		}
-		// The value refers to the chunk, so that it is in memory once.
+		// The value becomes a part of the chunk, so that its bytes are in memory only once.
 		end := len(n.chunk)
 		it.value = n.chunk[end-len(it.value) : end : end]
 	}
@@ -58,7 +58,7 @@
 	return n
 }
 
-// newNode makes an inner node.
+// newNode returns an inner node with the given children.
 func newNode(children *[fanout]*node) *node {
 	n := &node{children: children}
 	var bitmap uint16
@@ -81,7 +81,7 @@
 	return n
 }
 
-// decodeNode returns the bitmap of children and their hashes, and false if the chunk is malformed.
+// decodeNode returns the bitmap of an inner node's children and their hashes, and false if the chunk is malformed.
 func decodeNode(chunk []byte) (uint16, []Hash, bool) {
 	if len(chunk) < nodeHeaderBytes || (len(chunk)-nodeHeaderBytes)%sha256.Size != 0 {
 		return 0, nil, false
@@ -94,7 +94,8 @@
 	return bitmap, hashes, bits.OnesCount16(bitmap) == len(hashes)
 }
 
-// each yields all items of the subtree in order until yield returns false.
+// each yields all items of the subtree in order until yield returns false. It returns false if yield did. A nil subtree
+// has no items.
 func (n *node) each(yield func(*item) bool) bool {
 	if n == nil {
 		return true
@@ -115,8 +116,8 @@
 	return true
 }
 
-// child returns what a subtree has below a digit. A leaf is its own child: what stood in a leaf may stand in a deeper
-// one of another version.
+// child returns the child of an inner node for a digit, or nil. For a leaf it returns the leaf itself, because items of
+// a leaf may be in a deeper leaf in another version of the tree.
 func (n *node) child(digit int) *node {
 	if n == nil || n.children == nil {
 		return n
@@ -132,7 +133,8 @@
 
 func (c change) removes() bool { return c.item == nil }
 
-// buildSubtree makes the subtree of the items of changes, which are in order and belong below a node at a depth.
+// buildSubtree returns the subtree at a depth that has the items of changes, which are ordered by position and remove
+// no item. It returns nil if there are none.
 func buildSubtree(changes []change, depth int) *node {
 	if len(changes) == 0 {
 		return nil
@@ -155,7 +157,7 @@
 	return newNode(children)
 }
 
-// splitByDigit yields the parts of ordered changes that have one digit at a depth in common.
+// splitByDigit yields the parts of ordered changes whose positions have the same digit at a depth.
 func splitByDigit(changes []change, depth int) iter.Seq[[]change] {
 	return func(yield func([]change) bool) {
 		for len(changes) > 0 {
@@ -172,7 +174,8 @@
 	}
 }
 
-// apply returns the subtree with ordered changes made, or itself if they change nothing.
+// apply returns the subtree at a depth after changes, which are ordered by position. It returns n itself if they change
+// nothing, and nil if no item is left.
 func (n *node) apply(changes []change, depth int) *node {
 	switch {
 	case len(changes) == 0:
@@ -195,7 +198,7 @@
 	return joinChildren(&children)
 }
 
-// applyToLeaf merges the items of a leaf with changes.
+// applyToLeaf is apply for a leaf.
 func (n *node) applyToLeaf(changes []change, depth int) *node {
 	var merged []change
 	for i := range n.items {
@@ -219,7 +222,8 @@
 	return result
 }
 
-// joinChildren makes the subtree of children: none, a leaf or an inner node, as their items come to.
+// joinChildren returns the subtree with the given children. Depending on the number and size of their items, it is nil,
+// a leaf with all items, or an inner node.
 func joinChildren(children *[fanout]*node) *node {
 	count := 0
 	itemBytes := 0
--- a/internal/policy/merkle/tree.go
+++ b/internal/policy/merkle/tree.go
@@ -8,28 +8,30 @@
 	"sync"
 )
 
-// Bounds, in bytes.
+// Size limits, in bytes.
 const (
-	MaxChunkBytes  = 16 << 10 // a chunk is never longer
-	MaxLeafBytes   = 512      // items that come to no more stand together in a leaf
-	MaxKeyBytes    = 4 << 10  // a key is never longer
-	MaxValueBytes  = 16 << 20 // a value is never longer
-	maxInlineBytes = 2 << 10  // a longer value is segmented
+	MaxChunkBytes  = 16 << 10 // of a chunk
+	MaxLeafBytes   = 512      // of the encoded items of a leaf with several items; a subtree that has no more is a leaf
+	MaxKeyBytes    = 4 << 10  // of a key
+	MaxValueBytes  = 16 << 20 // of a value
+	maxInlineBytes = 2 << 10  // of a value in a leaf; a longer value is segmented
 )
 
-// quotedKeyBytes is how much of a key that is too long stands in the error.
+// quotedKeyBytes is how many bytes of a key that is too long are quoted in the error.
 const quotedKeyBytes = 64
 
-// Tree is one version of some content. It is immutable; any number of goroutines may use it.
+// Tree is one version of the content. It is immutable; any number of goroutines may use it.
 type Tree struct {
 	top *node
 
 	once  sync.Once
-	index map[Hash][]byte // all chunks, made by the first call of Chunk
+	index map[Hash][]byte // all chunks, collected by the first call of Chunk
 }
 
+// emptyLeaf is the top node of an empty tree.
 var emptyLeaf = newLeaf(nil)
 
+// newTree returns a tree with a top node; nil gives an empty tree.
 func newTree(top *node) *Tree {
 	if top == nil {
 		top = emptyLeaf
@@ -37,12 +39,13 @@
 	return &Tree{top: top}
 }
 
-// Build makes a tree of items in any order. It returns a TooLongError or a DuplicateKeyError.
+// Build returns the tree of some items, which may be in any order. It returns a TooLongError if a key or value is too
+// long, or a DuplicateKeyError if a key occurs twice.
 func Build(items []Item) (*Tree, error) { return newTree(nil).With(items, nil) }
 
-// With returns the tree with items set and keys removed; a key that is not there may be removed. It costs what changes,
-// and gives the tree that Build gives for the outcome. It returns a TooLongError, or a DuplicateKeyError if a key is
-// given twice.
+// With returns the tree with items set and keys removed. Keys that do not exist may be removed. The result equals the
+// tree that Build returns for the changed content; the cost depends on the size of the change. With returns a
+// TooLongError if a key or value is too long, or a DuplicateKeyError if a key occurs twice.
 func (t *Tree) With(set []Item, removed []string) (*Tree, error) {
 	changes, err := t.changes(set, removed)
 	if err != nil {
@@ -59,7 +62,7 @@
 	return newTree(top), nil
 }
 
-// changes returns what With does, ordered by position.
+// changes returns the arguments of With as changes, ordered by position.
 func (t *Tree) changes(set []Item, removed []string) ([]change, error) {
 	changes := make([]change, 0, len(set)+len(removed))
 	for _, i := range set {
@@ -72,7 +75,7 @@
 		it := newItem(i)
 		if it.segmented != nil {
 			if old := t.find(i.Key); old != nil && old.sameValue(it) {
-				it.segmented = old.segmented // in memory once
+				it.segmented = old.segmented // keeps only one copy of the value in memory
 			}
 		}
 		changes = append(changes, change{positionOf(i.Key), it})
@@ -89,16 +92,16 @@
 	return changes, nil
 }
 
-// Root returns the hash that names the whole content.
+// Root returns the root hash, which identifies the content.
 func (t *Tree) Root() Hash { return t.top.hash }
 
 // Len returns the number of items.
 func (t *Tree) Len() int { return t.top.count }
 
-// Size returns the bytes of all chunks. A segment that stands in several places is counted for each.
+// Size returns the number of bytes of all chunks. A segment that occurs in several places is counted in each.
 func (t *Tree) Size() int { return t.top.size }
 
-// Get returns the value of a key.
+// Get returns the value of a key, and false if there is none. The caller must not modify the value.
 func (t *Tree) Get(key string) ([]byte, bool) {
 	i := t.find(key)
 	if i == nil {
@@ -107,7 +110,7 @@
 	return i.fullValue(), true
 }
 
-// find returns the item of a key, or nil. A nil tree has none.
+// find returns the item of a key, or nil. A nil tree has no items.
 func (t *Tree) find(key string) *item {
 	if t == nil {
 		return nil
@@ -135,10 +138,10 @@
 	}
 }
 
-// Chunks yields all chunks by their hashes, each once and after the one that names it.
+// Chunks yields all chunks with their hashes, each once and after a chunk that refers to it.
 func (t *Tree) Chunks() iter.Seq2[Hash, []byte] { return t.ChunksNotIn(nil) }
 
-// Chunk returns a chunk by its hash. The first call on a tree makes an index of all its chunks.
+// Chunk returns the chunk with a hash, and false if the tree has none. The first call on a tree indexes all its chunks.
 func (t *Tree) Chunk(hash Hash) ([]byte, bool) {
 	t.once.Do(func() {
 		t.index = map[Hash][]byte{}
