--- a/internal/policy/merkle/assembly.go
+++ b/internal/policy/merkle/assembly.go
@@ -171,8 +171,8 @@
 }
 
 // addSegment adds a segment or a list to its value, and requests the chunks that a list refers to. It returns false if
-// the chunk is not a valid segment or list of the value. Add has checked this already, but the chunk may have been
-// added since to another place in the same value, so that the limit on hashes in lists is exceeded now.
+// the chunk is not a valid segment or list of the value. Add checks a chunk for all its places before, but filling one
+// place can exhaust the limit on hashes in lists that another place of the same value has.
 func (a *Assembly) addSegment(chunk []byte, hash Hash, s slot) bool {
 	if s.segmentFault(chunk) != "" {
 		return false
--- a/internal/policy/merkle/assembly_test.go
+++ b/internal/policy/merkle/assembly_test.go
@@ -14,11 +14,11 @@
 // Sizes and limits of the tests with random content.
 const (
 	randomAssemblies    = 300
-	maxAssemblySteps    = 100_000 // chunks that are added in one assembly
+	maxAssemblySteps    = 100_000 // attempts to add a chunk in one assembly
 	randomChunks        = 30_000
 	distortionSeeds     = 60
 	firstDistortSeed    = 1000
-	maxValueChangeBytes = 4 * MaxChunkBytes // of new chunks after a small change within a long value
+	maxValueChangeBytes = 4 * MaxChunkBytes // limit on the new chunks that a short insertion in a long value makes
 )
 
 // assemblyRun assembles a tree from chunks, some of which are damaged, truncated, malformed or from another tree.
@@ -69,9 +69,9 @@
 	return r
 }
 
-// violated records a violation of an invariant if violation is true.
-func (r *assemblyRun) violated(violation bool, format string, args ...any) {
-	if violation {
+// recordViolationIf adds a description to the violations if violated is true.
+func (r *assemblyRun) recordViolationIf(violated bool, format string, args ...any) {
+	if violated {
 		r.violations = append(r.violations, fmt.Sprintf("seed %d: ", r.seed)+fmt.Sprintf(format, args...))
 	}
 }
@@ -88,7 +88,8 @@
 			return
 		}
 	}
-	r.violated(true, "the assembly neither returned a tree nor rejected its content in %d steps", maxAssemblySteps)
+	r.recordViolationIf(true, "the assembly neither returned a tree nor rejected its content in %d steps",
+		maxAssemblySteps)
 }
 
 // checkTree checks what Assembly.Tree returns. It reports whether the run has ended: a tree was returned, or the
@@ -98,23 +99,24 @@
 	var incomplete IncompleteError
 	switch {
 	case errors.As(err, &incomplete):
-		r.violated(len(missing) == 0 || incomplete.Missing < len(missing),
+		r.recordViolationIf(len(missing) == 0 || incomplete.Missing < len(missing),
 			"Tree() returned %v, but Missing returned %d hashes", err, len(missing))
 		return false
 	case err != nil:
-		r.violated(r.distortion == "", "Tree() rejected well-formed content: %v", err)
+		r.recordViolationIf(r.distortion == "", "Tree() rejected well-formed content: %v", err)
 		return true
 	}
 	r.completed = true
 	built, err := Build(slices.Collect(tree.Items()))
-	r.violated(len(missing) > 0, "Tree() returned a tree while %d chunks were missing", len(missing))
-	r.violated(r.distortion != "", "Tree() accepted malformed content: %s", r.distortion)
-	r.violated(tree.Root() != r.tree.Root(), "the assembled tree has root %v, want %v", tree.Root(), r.tree.Root())
-	r.violated(err != nil || built.Root() != r.tree.Root(),
+	r.recordViolationIf(len(missing) > 0, "Tree() returned a tree while %d chunks were missing", len(missing))
+	r.recordViolationIf(r.distortion != "", "Tree() accepted malformed content: %s", r.distortion)
+	r.recordViolationIf(tree.Root() != r.tree.Root(),
+		"the assembled tree has root %v, want %v", tree.Root(), r.tree.Root())
+	r.recordViolationIf(err != nil || built.Root() != r.tree.Root(),
 		"building the assembled items again gave another root than %v, or the error %v", r.tree.Root(), err)
 	if r.distortion == "" {
 		fault := contentFault(tree, r.content)
-		r.violated(fault != "", "assembled tree: %s", fault)
+		r.recordViolationIf(fault != "", "assembled tree: %s", fault)
 	}
 	return true
 }
@@ -147,12 +149,12 @@
 	isMissing := slices.Contains(before, HashOf(chunk))
 	err := r.assembly.Add(bytes.Clone(chunk))
 	after := r.assembly.Missing(math.MaxInt)
-	r.violated(err == nil && !isMissing, "Add accepted chunk %v, which was not missing", HashOf(chunk))
-	r.violated(errors.As(err, new(UnexpectedChunkError)) && isMissing, "Add rejected a missing chunk: %v", err)
-	r.violated(err != nil && len(after) != len(before),
+	r.recordViolationIf(err == nil && !isMissing, "Add accepted chunk %v, which was not missing", HashOf(chunk))
+	r.recordViolationIf(errors.As(err, new(UnexpectedChunkError)) && isMissing, "Add rejected a missing chunk: %v", err)
+	r.recordViolationIf(err != nil && len(after) != len(before),
 		"a chunk that Add rejected changed the number of missing hashes from %d to %d", len(before), len(after))
 	if errors.As(err, new(MalformedChunkError)) {
-		r.violated(r.distortion == "", "Add rejected a chunk of well-formed content: %v", err)
+		r.recordViolationIf(r.distortion == "", "Add rejected a chunk of well-formed content: %v", err)
 		return true
 	}
 	if err != nil {
--- a/internal/policy/merkle/check.go
+++ b/internal/policy/merkle/check.go
@@ -59,9 +59,9 @@
 	return ""
 }
 
-// samePrefix reports whether two positions have the same first digits, as many as digits says.
-func samePrefix(a, b *Hash, digits int) bool {
-	for depth := range digits {
+// samePrefix reports whether the first count digits of two positions are equal.
+func samePrefix(a, b *Hash, count int) bool {
+	for depth := range count {
 		if a.digit(depth) != b.digit(depth) {
 			return false
 		}
--- a/internal/policy/merkle/distort_test.go
+++ b/internal/policy/merkle/distort_test.go
@@ -39,7 +39,7 @@
 	"a leaf with a duplicate item":   {skipPlaceCheck, duplicateItem},
 	"a node that should be a leaf":   {skipShapeCheck, splitLeaf},
 	"a leaf that should be a node":   {skipShapeCheck, mergeNode},
-	"a value split elsewhere":        {skipShapeCheck, splitElsewhere},
+	"a value split elsewhere":        {skipShapeCheck, splitAtFixedLength},
 	"a value shorter than its total": {0, lengthenTotal},
 	"an empty leaf below the root":   {0, addEmptyLeaf},
 }
@@ -115,8 +115,8 @@
 	return newLeaf(items)
 }
 
-// splitElsewhere splits a value into segments of a fixed length, under a single list.
-func splitElsewhere(_ randomContent, n *node, _ int) *node {
+// splitAtFixedLength splits a value into segments of a fixed length, under a single list.
+func splitAtFixedLength(_ randomContent, n *node, _ int) *node {
 	const segmentBytes = 999
 	index := firstSegmented(n)
 	if index < 0 {
--- a/internal/policy/merkle/node.go
+++ b/internal/policy/merkle/node.go
@@ -198,7 +198,8 @@
 	return joinChildren(&children)
 }
 
-// applyToLeaf is apply for a leaf.
+// applyToLeaf returns the subtree that replaces a leaf after changes, which are ordered by position. It returns n
+// itself if they change nothing, and nil if no item is left.
 func (n *node) applyToLeaf(changes []change, depth int) *node {
 	var merged []change
 	for i := range n.items {
--- a/internal/policy/merkle/tree.go
+++ b/internal/policy/merkle/tree.go
@@ -10,11 +10,11 @@
 
 // Size limits, in bytes.
 const (
-	MaxChunkBytes  = 16 << 10 // of a chunk
-	MaxLeafBytes   = 512      // of the encoded items of a leaf with several items; a subtree that has no more is a leaf
-	MaxKeyBytes    = 4 << 10  // of a key
-	MaxValueBytes  = 16 << 20 // of a value
-	maxInlineBytes = 2 << 10  // of a value in a leaf; a longer value is segmented
+	MaxChunkBytes  = 16 << 10 // maximum length of a chunk
+	MaxLeafBytes   = 512      // maximum total of the encoded items of a leaf, unless it has a single item
+	MaxKeyBytes    = 4 << 10  // maximum length of a key
+	MaxValueBytes  = 16 << 20 // maximum length of a value
+	maxInlineBytes = 2 << 10  // maximum length of a value in a leaf; a longer value is segmented
 )
 
 // quotedKeyBytes is how many bytes of a key that is too long are quoted in the error.
--- a/internal/policy/store/bisect.go
+++ b/internal/policy/store/bisect.go
@@ -138,8 +138,8 @@
 	s.accepted = accepted
 	s.pending = submitted
 	if len(submitted) > 0 && len(pending) > 0 {
-		// Files that had been accepted are merged before withheld ones, so that in a conflict the withheld ones stay
-		// so.
+		// Files that had been accepted are merged before withheld ones. So they keep precedence: in a conflict, the
+		// withheld file remains withheld.
 		if m.updateHead(s, false) != nil {
 			s.pending = map[string]submittedFile{}
 		}
--- a/internal/policy/store/command.go
+++ b/internal/policy/store/command.go
@@ -41,8 +41,8 @@
 
 // RolloutResult reports how the rollout of the candidate ended. The leader proposes it.
 type RolloutResult struct {
-	Generation uint64 `json:"order"`          // of the candidate
-	Epoch      uint64 `json:"epoch"`          // of the candidate
+	Generation uint64 `json:"order"`          // generation of the candidate
+	Epoch      uint64 `json:"epoch"`          // epoch of the candidate
 	Completed  bool   `json:"done"`           // false if the rollout was stopped
 	Reason     string `json:"why,omitempty"`  // why the rollout was stopped
 	Advice     string `json:"help,omitempty"` // the operator's next step if the rollout was stopped
--- a/internal/policy/store/frozen_test.go
+++ b/internal/policy/store/frozen_test.go
@@ -73,8 +73,8 @@
 	snapshot := snapshotOf(t, m)
 	frozen = frozenBytes(t, frozenSnapshot, snapshot)
 	if !bytes.Equal(frozen, snapshot) {
-		t.Errorf("Snapshot() after the frozen log differs from %s (%d bytes, want %d equal ones)",
-			frozenSnapshot, len(snapshot), len(frozen))
+		t.Errorf("Snapshot() after the frozen log returned %d bytes that differ from the %d bytes of %s, want the same",
+			len(snapshot), len(frozen), frozenSnapshot)
 	}
 	restored := New(0)
 	if err := restored.Restore(frozen); err != nil {
--- a/internal/policy/store/merge.go
+++ b/internal/policy/store/merge.go
@@ -31,19 +31,19 @@
 func (m *StateMachine) mergeFiles(
 	declaration submittedFile, accepted, submitted map[string]submittedFile, previous *merkle.Tree,
 ) (namespace.Outcome, *merkle.Tree, error) {
-	parsed, err := namespace.ParseDeclaration("charter", []byte(declaration.text))
+	parsedDeclaration, err := namespace.ParseDeclaration("charter", []byte(declaration.text))
 	if err != nil {
 		return namespace.Outcome{}, nil, err
 	}
-	last, err := m.parseFiles(accepted)
+	parsedAccepted, err := m.parseFiles(accepted)
 	if err != nil {
 		return namespace.Outcome{}, nil, err
 	}
-	next, err := m.parseFiles(submitted)
+	parsedSubmitted, err := m.parseFiles(submitted)
 	if err != nil {
 		return namespace.Outcome{}, nil, err
 	}
-	outcome := namespace.Merge(parsed, last, next)
+	outcome := namespace.Merge(parsedDeclaration, parsedAccepted, parsedSubmitted)
 	tree, err := outcome.Policy.Tree()
 	if err != nil || previous == nil {
 		return outcome, tree, err
@@ -125,6 +125,7 @@
 	return nil
 }
 
+// totalBytes returns the sum of the lengths of the files' texts.
 func totalBytes(files map[string]submittedFile) int {
 	total := 0
 	for _, f := range files {
@@ -136,19 +137,19 @@
 // reportConflicts replaces the reports of withheld files and conflicts by those of a merge's outcome.
 func (s *state) reportConflicts(outcome *namespace.Outcome) {
 	s.withheldFiles = nil
-	for _, held := range outcome.Withheld {
-		author := s.accepted[held.Namespace].author
-		if pending, ok := s.pending[held.Namespace]; ok && held.Submitted == pending.number {
+	for _, withheld := range outcome.Withheld {
+		author := s.accepted[withheld.Namespace].author
+		if pending, ok := s.pending[withheld.Namespace]; ok && withheld.Submitted == pending.number {
 			author = pending.author
 		}
 		s.withheldFiles = append(s.withheldFiles, WithheldFile{
-			Namespace:    held.Namespace,
-			Submitted:    held.Submitted,
-			Active:       held.Active,
+			Namespace:    withheld.Namespace,
+			Submitted:    withheld.Submitted,
+			Active:       withheld.Active,
 			Author:       author,
-			RemovedRules: held.RemovedRules,
-			Reason:       truncate(held.Error()),
-			Advice:       operatorerror.AdviceOf(held),
+			RemovedRules: withheld.RemovedRules,
+			Reason:       truncate(withheld.Error()),
+			Advice:       operatorerror.AdviceOf(withheld),
 		})
 	}
 	s.conflicts = nil
--- a/internal/policy/store/randomrollout_test.go
+++ b/internal/policy/store/randomrollout_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Bounds of a random run of commands.
+// The number of random runs of commands, and the limits of each.
 const (
 	randomRuns        = 40
 	randomSteps       = 60
@@ -71,6 +71,7 @@
 	return r.checkFinal()
 }
 
+// rolloutUnderWay reports whether there is a candidate whose rollout has not been stopped.
 func rolloutUnderWay(s Status) bool { return s.Candidate.Epoch != 0 && s.Stopped == nil }
 
 // step applies a random command or restores a snapshot. It returns a violation if the candidate was replaced by
@@ -98,6 +99,7 @@
 	return ""
 }
 
+// submit submits a random file, and records it if the state machine accepts it.
 func (r *randomRun) submit() {
 	r.lastNumber++
 	f := submission{team: r.rng.IntN(10), number: r.lastNumber, harmful: r.rng.IntN(6) == 0}
@@ -106,6 +108,7 @@
 	}
 }
 
+// rollBack rolls the fleet back to its active epoch, which drops everything that is not active yet.
 func (r *randomRun) rollBack(before Status) {
 	apply(r.t, r.m, rollbackCommand(before.Active.Epoch))
 	if r.m.Status().Active == before.Active {
@@ -116,6 +119,7 @@
 	}
 }
 
+// restore replaces the state machine by one that is restored from its snapshot.
 func (r *randomRun) restore() {
 	snapshot := snapshotOf(r.t, r.m)
 	r.m = New(0)
@@ -165,6 +169,8 @@
 	return ""
 }
 
+// checkSubmission checks a submission as checkFinal describes. The number of the namespace's active file is
+// activeNumber, and that of its last submission is newest.
 func (r *randomRun) checkSubmission(f submission, s Status, activeNumber uint64, newest int) string {
 	name := f.namespace()
 	number := uint64(f.number)
--- a/internal/policy/store/restore.go
+++ b/internal/policy/store/restore.go
@@ -36,8 +36,8 @@
 // validIndices reports whether the number of retained policies is within its limit, and the indices of the active
 // policy and of the candidate each refer to a retained policy or are noPolicy.
 func validIndices(retained, active, candidate int) bool {
-	within := func(index int) bool { return index >= noPolicy && index < retained }
-	return retained <= MaxRetainedPolicies && within(active) && within(candidate)
+	inRange := func(index int) bool { return index >= noPolicy && index < retained }
+	return retained <= MaxRetainedPolicies && inRange(active) && inRange(candidate)
 }
 
 // decodeSnapshot decodes a snapshot of the current format. It returns an InvalidCommandError for a damaged one.
@@ -118,18 +118,18 @@
 // assembleTree assembles the tree with a root, given in hexadecimal, from chunks and from the parts that it has in
 // common with a previous tree, which may be nil.
 func assembleTree(root string, chunks map[merkle.Hash][]byte, previous *merkle.Tree) (*merkle.Tree, error) {
-	name, err := merkle.ParseHash(root)
+	rootHash, err := merkle.ParseHash(root)
 	if err != nil {
 		return nil, err
 	}
-	assembly := merkle.NewAssembly(name, previous)
+	assembly := merkle.NewAssembly(rootHash, previous)
 	for {
-		wanted := assembly.Missing(chunksPerStep)
-		if len(wanted) == 0 {
+		missing := assembly.Missing(chunksPerStep)
+		if len(missing) == 0 {
 			return assembly.Tree()
 		}
-		for _, name := range wanted {
-			chunk, ok := chunks[name]
+		for _, hash := range missing {
+			chunk, ok := chunks[hash]
 			if !ok {
 				return nil, errChunkMissing
 			}
--- a/internal/policy/store/rollout.go
+++ b/internal/policy/store/rollout.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// startPart removes the first part of a stopped batch from the list, and starts its rollout unless its changes can no
-// longer be merged or make no difference to the active policy.
+// startPart removes the first part of a stopped batch from s.bisection, and starts its rollout unless its changes can
+// no longer be merged or make no difference to the active policy.
 func (m *StateMachine) startPart(s *state) {
 	part := s.bisection[0]
 	s.bisection = s.bisection[1:]
--- a/internal/policy/store/rollout_test.go
+++ b/internal/policy/store/rollout_test.go
@@ -255,7 +255,7 @@
 	apply(t, m, submitTeam(9, 2, "/9a"))
 	withoutHost := declareTeams(11)
 	withoutHost.SetDeclaration.Author = "admin"
-	withoutHost.SetDeclaration.Text = strings.Replace( // the first team loses its host
+	withoutHost.SetDeclaration.Text = strings.Replace( // t0, the first namespace, loses its host
 		withoutHost.SetDeclaration.Text, `hosts = ["x.org"]`, `hosts = ["y.org"]`, 1)
 	apply(t, m, withoutHost, submitTeam(10, 1, "/10"), submitTeam(3, 2, "/3a"))
 	endRollout(t, m, true)
--- a/internal/policy/store/statemachine.go
+++ b/internal/policy/store/statemachine.go
@@ -35,8 +35,9 @@
 func (m *StateMachine) Empty() bool { return m.state.declaration.text == "" }
 
 // Apply executes a command. On an error the state is unchanged. The error is a NoDeclarationError, TooLargeError,
-// InvalidCommandError or EpochNotRetainedError, or an error of package namespace if the file or declaration is invalid
-// or its namespace or number is. A valid file that is withheld because of a conflict is not an error: see WithheldFile.
+// InvalidCommandError or EpochNotRetainedError, or an error of package namespace if a file or declaration is invalid, a
+// file's namespace is not declared, or its number was used before. A valid file that is withheld because of a conflict
+// is not an error: see WithheldFile.
 func (m *StateMachine) Apply(c Command) error {
 	if count := c.setFieldCount(); count != 1 {
 		return InvalidCommandError{fmt.Sprintf("it says %d things", count)}
--- a/internal/policy/store/statemachine_test.go
+++ b/internal/policy/store/statemachine_test.go
@@ -71,6 +71,7 @@
 	return string(encoded[:min(len(encoded), 300)])
 }
 
+// snapshotOf returns the snapshot of a state machine.
 func snapshotOf(t *testing.T, m *StateMachine) []byte {
 	t.Helper()
 	data, err := m.Snapshot()
@@ -118,6 +119,7 @@
 	apply(t, m, resultCommand(result))
 }
 
+// policyOf returns the policy of a version that must be retained or the head.
 func policyOf(t *testing.T, m *StateMachine, version rollout.Version) *namespace.Policy {
 	t.Helper()
 	tree, ok := m.Tree(version)
@@ -144,6 +146,7 @@
 	return strings.Join(routes, " ")
 }
 
+// headRoutes returns the routes of the head as routesOf does.
 func headRoutes(t *testing.T, m *StateMachine) string {
 	t.Helper()
 	return routesOf(t, m, m.Status().Head)
@@ -231,7 +234,7 @@
 		withheld := 0
 		for i, c := range randomCommands(rand.New(rand.NewPCG(seed, 1)), 40) {
 			before := a.Status()
-			if c.RolloutResult != nil { // three quarters of the results are made to match the candidate
+			if c.RolloutResult != nil { // most results are changed to be about the candidate
 				result := *c.RolloutResult
 				if result.Epoch%4 != 0 {
 					result.Generation = before.Candidate.Generation
@@ -265,8 +268,9 @@
 	}
 }
 
-// checkTransition checks the status after a command: withheld files have a reason and advice, the newest epoch
-// decreases and the active version goes back only by a rollback, and not too many epochs are retained.
+// checkTransition compares the status before and after a command. Withheld files must have a reason and advice, the
+// newest epoch may decrease only by a rollback, the active version may be replaced only by a newer one, and at most
+// MaxRetainedPolicies epochs may be retained.
 func checkTransition(t *testing.T, seed uint64, c Command, before, after Status) {
 	t.Helper()
 	for _, f := range after.WithheldFiles {
