--- a/internal/proxy/adminbackend_test.go
+++ b/internal/proxy/adminbackend_test.go
@@ -13,48 +13,48 @@
 	"lapisspread/internal/metrics"
 )
 
-// During an operator's drain requests are served, each response closes its connection, idle connections are closed, and
-// the drain can be ended.
+// During a drain started by an operator, the proxy still serves requests, closes each connection after its response and
+// closes idle connections. StopDraining restores normal service.
 func TestOperatorDrain(t *testing.T) {
 	got := make(chan *http.Request, 64)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
 	dial := func() (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Dial(%s) of the proxy: %v", p.addr, err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
 		_ = c.SetDeadline(time.Now().Add(patience))
 		return c, bufio.NewReader(c)
 	}
-	kept, keptIn := dial()
-	used, usedIn := dial()
+	idle, idleIn := dial()
+	reused, reusedIn := dial()
 	for _, c := range []struct {
 		c  net.Conn
 		in *bufio.Reader
-	}{{kept, keptIn}, {used, usedIn}} {
+	}{{idle, idleIn}, {reused, reusedIn}} {
 		if resp, _ := mustRespond(t, 200)(requestOn(c.c, c.in, "hand-in", 9000, "x")); resp.Close {
-			t.Fatal("closed in ordinary service")
+			t.Fatal("response before the drain announces the connection's close, want the connection kept open")
 		}
 	}
-	o := adminBackend{p.proxy}
-	o.StartDraining()
-	if resp, _ := mustRespond(t, 200)(requestOn(used, usedIn, "hand-in", 9000, "x")); !resp.Close {
-		t.Error("a response during a drain does not close its connection")
+	admin := adminBackend{p.proxy}
+	admin.StartDraining()
+	if resp, _ := mustRespond(t, 200)(requestOn(reused, reusedIn, "hand-in", 9000, "x")); !resp.Close {
+		t.Error("response during the drain keeps its connection open, want \"Connection: close\"")
 	}
-	if _, err := keptIn.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v, want its end", err)
+	if _, err := idleIn.ReadByte(); err != io.EOF {
+		t.Errorf("read on the idle connection during the drain: error %v, want io.EOF", err)
 	}
-	late, lateIn := dial()
-	mustRespond(t, 200)(requestOn(late, lateIn, "hand-in", 9000, "x"))
-	o.StopDraining()
-	again, againIn := dial()
-	if resp, _ := mustRespond(t, 200)(requestOn(again, againIn, "hand-in", 9000, "x")); resp.Close {
-		t.Error("back at work, it still closes connections")
+	drainConn, drainIn := dial()
+	mustRespond(t, 200)(requestOn(drainConn, drainIn, "hand-in", 9000, "x"))
+	admin.StopDraining()
+	resumed, resumedIn := dial()
+	if resp, _ := mustRespond(t, 200)(requestOn(resumed, resumedIn, "hand-in", 9000, "x")); resp.Close {
+		t.Error("response after StopDraining announces the connection's close, want the connection kept open")
 	}
 }
 
-// The counters count the responses to clients, and the requests written to backends.
+// The admin counters count the responses sent to clients and the requests written to backends.
 func TestCountersFollowResponses(t *testing.T) {
 	got := make(chan *http.Request, 64)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
@@ -63,7 +63,7 @@
 	}
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Dial(%s) of the proxy: %v", p.addr, err)
 	}
 	defer func() { _ = c.Close() }()
 	_, _ = fmt.Fprintf(c,
@@ -75,13 +75,13 @@
 		`"attempts":3,"in_flight":0,"backends_known":1,"backends_excluded":0,"reloads_ok":0,"reloads_failed":1,"lists_bad":0}`
 	p.proxy.ReloadFailed(errors.New("no such file"))
 	text := ""
-	for start := time.Now(); text != want; time.Sleep(time.Millisecond) { // they may lag a little
+	for start := time.Now(); text != want; time.Sleep(time.Millisecond) { // the counters may be updated after the response
 		b, err := adminBackend{p.proxy}.Counters().MarshalJSON()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Counters().MarshalJSON(): %v", err)
 		}
 		if text = string(b); time.Since(start) > patience {
-			t.Fatalf("got  %s\nwant %s", text, want)
+			t.Fatalf("Counters().MarshalJSON()\n got %s\nwant %s", text, want)
 		}
 	}
 }
@@ -90,22 +90,26 @@
 	for status, want := range map[int]metrics.Outcome{200: metrics.Served, 429: metrics.Rejected, 503: metrics.Rejected,
 		502: metrics.Failed, 504: metrics.Failed, 400: metrics.Failed, 413: metrics.Failed} {
 		if got := outcomeForStatus(status); got != want {
-			t.Errorf("%d counts as %v, want %v", status, got, want)
+			t.Errorf("outcomeForStatus(%d) = %v, want %v", status, got, want)
 		}
 	}
 }
 
-// Only what was listed can be taken out, also long after it has left; of very many names the oldest are forgotten.
+// Endpoint names stay known after their endpoints leave the list; beyond maxKnownNames the oldest names are dropped.
 func TestEndpointNamesAreBounded(t *testing.T) {
-	r := newEndpointNames()
-	r.add(List{Endpoints: []Member{{ID: "first"}}})
-	if !r.contains("first") || r.contains("other") {
-		t.Error("it does not know what was listed")
+	names := newEndpointNames()
+	names.add(List{Endpoints: []Member{{ID: "first"}}})
+	if !names.contains("first") || names.contains("other") {
+		t.Errorf("contains(listed name) = %v, contains(unlisted name) = %v, want true and false",
+			names.contains("first"), names.contains("other"))
 	}
 	for i := range maxKnownNames {
-		r.add(List{Endpoints: []Member{{ID: fmt.Sprint(i)}}})
+		names.add(List{Endpoints: []Member{{ID: fmt.Sprint(i)}}})
 	}
-	if r.contains("first") || !r.contains("0") || len(r.names) != maxKnownNames || len(r.order) != maxKnownNames {
-		t.Errorf("%d names are remembered", len(r.names))
+	if names.contains("first") || !names.contains("0") || len(names.names) != maxKnownNames ||
+		len(names.order) != maxKnownNames {
+		t.Errorf("after maxKnownNames+1 names: contains(oldest) = %v, contains(second oldest) = %v, %d names, "+
+			"%d in order; want false, true, %d and %d", names.contains("first"), names.contains("0"), len(names.names),
+			len(names.order), maxKnownNames, maxKnownNames)
 	}
 }
--- a/internal/proxy/attemptraces_test.go
+++ b/internal/proxy/attemptraces_test.go
@@ -15,28 +15,29 @@
 	"lapisspread/decision"
 )
 
-// Bytes that arrive on an idle connection between its choice and the request's first byte are no response, and its
-// close is no failure: nothing was sent, so another connection is used even for a request that is not idempotent.
+// Bytes that arrive on an idle connection after it was chosen and before the request's first byte is sent are not taken
+// for a response, and a close at that time is no failed attempt: nothing was sent, so another connection is used, even
+// for a request that is not idempotent.
 func TestBytesArrivingAsConnectionIsTakenAreNoResponse(t *testing.T) {
 	for name, act := range map[string]func(net.Conn){
-		"a second answer":   func(c net.Conn) { writeText(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong") },
-		"an error":          func(c net.Conn) { writeText(c, "HTTP/1.1 500 Oh\nContent-Length: 0\n\n") },
-		"half a line":       func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 2") },
-		"the close":         func(c net.Conn) { _ = c.Close() },
-		"a reset":           func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
-		"noise and a close": func(c net.Conn) { _, _ = io.WriteString(c, "\x00\x01"); _ = c.Close() },
+		"second response":    func(c net.Conn) { writeText(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong") },
+		"error response":     func(c net.Conn) { writeText(c, "HTTP/1.1 500 Oh\nContent-Length: 0\n\n") },
+		"half a status line": func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 2") },
+		"close":              func(c net.Conn) { _ = c.Close() },
+		"reset":              func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
+		"garbage and close":  func(c net.Conn) { _, _ = io.WriteString(c, "\x00\x01"); _ = c.Close() },
 	} {
 		for _, long := range []bool{false, true} {
 			kind := map[bool]string{false: "short body", true: "long body"}[long]
 			t.Run(name+", "+kind, func(t *testing.T) {
-				cross, reuse := make(chan bool, 1), false
+				trigger, reuse := make(chan bool, 1), false
 				var requests [2]atomic.Int32
 				addr := rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
 					for i := 0; readRequest(in); i++ {
 						requests[min(n, 1)].Add(1)
 						writeText(c, served)
 						if n == 0 && i == 0 {
-							<-cross
+							<-trigger
 							act(c)
 						}
 					}
@@ -44,13 +45,13 @@
 				p, b := hookedPool(t, addr, func(n int, c *hookedConn) {
 					c.chosen = func() {
 						if n == 0 && reuse {
-							cross <- true
+							trigger <- true
 							waitUntilSeen(t, c)
 						}
 					}
 				})
 				if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK {
-					t.Fatalf("first: result %v", result)
+					t.Fatalf("first exchange() = %v, want OK", resultName(result))
 				}
 				reuse = true
 				m := testMessage("POST", []byte("x"))
@@ -58,32 +59,32 @@
 					m.body, m.upload = nil, testUpload()
 				}
 				if result, body := p.exchange(t.Context(), b, m); result != decision.OK || string(body) != "fine" {
-					t.Errorf("result %v, body %q", result, body)
+					t.Errorf("second exchange() = %v, body %q; want OK, body \"fine\"", resultName(result), body)
 				}
-				if a, z := requests[0].Load(), requests[1].Load(); a != 1 || z != 1 {
-					t.Errorf("%d requests on the first connection, %d on others", a, z)
+				if first, other := requests[0].Load(), requests[1].Load(); first != 1 || other != 1 {
+					t.Errorf("%d requests on the first connection, %d on others, want 1 and 1", first, other)
 				}
 				if p.open != 1 {
-					t.Errorf("%d connections are open", p.open)
+					t.Errorf("pool counts %d open connections, want 1", p.open)
 				}
 			})
 		}
 	}
 }
 
-// Nothing is sent for a client that has left, neither on a connection that comes up late nor on an idle one taken just
-// then.
+// Nothing is sent for a client that has left, neither on a connection established after it left nor on an idle
+// connection that was chosen as it left.
 func TestNothingIsSentForClientThatLeft(t *testing.T) {
 	for _, idle := range []bool{false, true} {
 		name := map[bool]string{false: "late connection", true: "idle connection"}[idle]
 		t.Run(name, func(t *testing.T) {
-			for range 20 { // without the look the request goes out in most
+			for range 20 { // without the check the request is sent in most rounds
 				got := make(chan string, 2)
 				addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 					for {
 						req, err := http.ReadRequest(in)
 						if err != nil {
-							got <- "end"
+							got <- "closed"
 							return
 						}
 						got <- req.URL.Path
@@ -91,49 +92,49 @@
 					}
 				})
 				ctx, leave := context.WithCancel(t.Context())
-				now := !idle
+				leaveNext := !idle
 				p, b := hookedPool(t, addr, func(_ int, c *hookedConn) {
-					if now {
-						leave() // after it has come up
+					if leaveNext {
+						leave() // once the connection is established
 					}
 					c.chosen = func() {
-						if idle && now {
+						if idle && leaveNext {
 							leave()
 						}
 					}
 				})
 				if idle {
 					if result, _ := p.exchange(ctx, b, testMessage("GET", nil)); result != decision.OK {
-						t.Fatalf("first: result %v", result)
+						t.Fatalf("first exchange() = %v, want OK", resultName(result))
 					}
-					within(t, got, "no request came")
-					now = true
+					within(t, got, "the backend got no request")
+					leaveNext = true
 				}
 				if result, _ := p.exchange(ctx, b, testMessage("GET", nil)); result != decision.Cancelled {
-					t.Errorf("result %v, want Cancelled", result)
+					t.Errorf("exchange() after the client left = %v, want Cancelled", resultName(result))
 				}
-				if path := within(t, got, "the connection stayed open"); path != "end" {
-					t.Fatalf("%s was sent for a client that had left", path)
+				if path := within(t, got, "the backend connection stayed open"); path != "closed" {
+					t.Fatalf("%s was sent for a client that had left, want a closed connection", path)
 				}
 				if p.open != 0 {
-					t.Errorf("%d connections are still counted", p.open)
+					t.Errorf("pool counts %d open connections, want 0", p.open)
 				}
 			}
 		})
 	}
 }
 
-// A connection that comes up after its client left is closed without a byte, and is not counted any more.
+// A connection that is established after its client left is closed without a byte sent, and is no longer counted.
 func TestLateConnectionIsNotUsed(t *testing.T) {
 	got := make(chan int, 1)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, _ *bufio.Reader) {
 		n, _ := c.Read(make([]byte, 1))
 		got <- n
 	}))
-	dialing, up := make(chan bool), make(chan bool)
+	dialing, connect := make(chan bool), make(chan bool)
 	p.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
-		<-up // the dial ends in its own time, not with the client
+		<-connect // the dial is not cancelled when the client leaves
 		return net.Dial(network, addr)
 	}
 	ctx, leave := context.WithCancel(t.Context())
@@ -142,30 +143,31 @@
 		result, _ := p.exchange(ctx, b, testMessage("POST", []byte("x")))
 		done <- result
 	}()
-	within(t, dialing, "nothing was dialled")
+	within(t, dialing, "the pool did not dial the backend")
 	leave()
-	close(up)
-	if result := within(t, done, "no end"); result != decision.Cancelled {
-		t.Errorf("result %v, want Cancelled", result)
+	close(connect)
+	if result := within(t, done, "exchange() did not return"); result != decision.Cancelled {
+		t.Errorf("exchange() = %v, want Cancelled", resultName(result))
 	}
-	if n := within(t, got, "the connection stayed open"); n != 0 {
-		t.Error("it was written to")
+	if n := within(t, got, "the backend connection stayed open"); n != 0 {
+		t.Errorf("%d bytes were sent on the late connection, want 0", n)
 	}
 	if p.open != 0 {
-		t.Errorf("%d connections are still counted", p.open)
+		t.Errorf("pool counts %d open connections, want 0", p.open)
 	}
 }
 
-// A change of the endpoint list between the choice of an idle connection and the request's first byte takes effect.
+// A change of the endpoint list takes effect if it arrives after an idle connection was chosen and before the request's
+// first byte is sent.
 func TestBackendChangeBetweenChoiceAndSend(t *testing.T) {
 	for name, c := range map[string]struct {
 		state decision.BackendState
 		moved bool
 		want  decision.Result
 	}{
-		"drains": {decision.Draining, false, decision.ConnectFailed},
-		"left":   {decision.Removed, false, decision.ConnectFailed},
-		"moved":  {decision.Ready, true, decision.OK}, // there
+		"draining":    {decision.Draining, false, decision.ConnectFailed},
+		"removed":     {decision.Removed, false, decision.ConnectFailed},
+		"new address": {decision.Ready, true, decision.OK}, // served at the new address
 	} {
 		t.Run(name, func(t *testing.T) {
 			var old, other atomic.Int32
@@ -178,7 +180,7 @@
 				})
 			}
 			member := Member{ID: "a", Addr: count(&old), State: c.state}
-			elsewhere := count(&other)
+			newAddr := count(&other)
 			var p *pool
 			reuse := false
 			p, b := hookedPool(t, member.Addr, func(n int, h *hookedConn) {
@@ -189,69 +191,69 @@
 				}
 			})
 			if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK {
-				t.Fatalf("first: result %v", result)
+				t.Fatalf("first exchange() = %v, want OK", resultName(result))
 			}
 			reuse = true
 			if c.moved {
-				member.Addr = elsewhere
+				member.Addr = newAddr
 			}
 			if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != c.want {
-				t.Errorf("result %v, want %v", result, c.want)
+				t.Errorf("exchange() after the change = %v, want %v", resultName(result), resultName(c.want))
 			}
-			if old.Load() != 1 {
-				t.Error("a request went out after the change was told")
+			if n := old.Load(); n != 1 {
+				t.Errorf("%d requests at the old address, want only the one before the change", n)
 			}
 			if moved := c.want == decision.OK; (other.Load() == 1) != moved {
-				t.Errorf("%d requests at the new address", other.Load())
+				t.Errorf("%d requests at the new address, want one only if the backend moved (%v)", other.Load(), moved)
 			}
 		})
 	}
 }
 
-// An attempt that is cancelled just as the response's last byte arrives ends in either way, but its connection, on
-// which a deadline is set, is not reused.
+// An attempt that is cancelled as the response's last byte arrives may end as OK or as Cancelled, but its connection is
+// not reused, because the cancellation has set a deadline on it.
 func TestCancelAtLastByte(t *testing.T) {
-	for name, long := range map[string]bool{"held whole": false, "passed on": true} {
+	for name, long := range map[string]bool{"buffered": false, "streamed": true} {
 		t.Run(name, func(t *testing.T) {
 			text := served
 			if long {
 				text = "HTTP/1.1 200 OK\nContent-Length: 65537\n\n" + strings.Repeat("x", maxBufferedBody+1)
 			}
-			for range 20 { // a long one's two ends come out in any order
+			for range 20 { // the end of a streamed body and the cancellation arrive in any order
 				addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 					for readRequest(in) {
 						writeText(c, text)
 					}
 				})
-				ctx, giveUp := context.WithCancel(t.Context())
+				ctx, cancel := context.WithCancel(t.Context())
 				p, b := hookedPool(t, addr, func(_ int, c *hookedConn) {
 					c.came = func(n int) {
 						if n > 0 && !long {
-							giveUp()
+							cancel()
 						}
 					}
 				})
 				m := testMessage("POST", []byte("x"))
 				m.startStream = func(d *download) bool {
 					_, err := io.ReadAll(d)
-					giveUp()
+					cancel()
 					d.End(err)
 					return true
 				}
 				if result, _ := p.exchange(ctx, b, m); result != decision.OK && result != decision.Cancelled {
-					t.Errorf("result %v", result)
+					t.Errorf("exchange() = %v, want OK or Cancelled", resultName(result))
 				}
 				if p.open != 0 || len(b.idle) != 0 {
-					t.Fatalf("%d connections are open, %d idle", p.open, len(b.idle))
+					t.Fatalf("%d connections open, %d idle after the cancellation, want 0 and 0", p.open, len(b.idle))
 				}
 			}
 		})
 	}
 }
 
-// A cancelled health check with its response on the way does not affect the next request.
+// A health check is cancelled before its response arrives. The late response is not taken for that of the next request.
 func TestLateHealthCheckResponseIsDiscarded(t *testing.T) {
-	came, late := make(chan bool, 1), make(chan bool)
+	received, sendLate := make(chan bool, 1), make(chan bool)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(in)
@@ -259,8 +261,8 @@
 				return
 			}
 			if req.URL.Path == "/ping" {
-				came <- true
-				<-late
+				received <- true
+				<-sendLate
 				writeText(c, "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong")
 				continue
 			}
@@ -269,45 +271,45 @@
 		}
 	}))
 	if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK {
-		t.Fatalf("first: result %v", result)
+		t.Fatalf("first exchange() = %v, want OK", resultName(result))
 	}
-	ctx, end := context.WithCancelCause(t.Context())
-	probed := make(chan decision.Result, 1)
-	go func() { probed <- p.checkHealth(ctx, b) }()
-	within(t, came, "no probe came")
-	end(context.DeadlineExceeded)
-	if result := within(t, probed, "no end"); result != decision.Timeout {
-		t.Fatalf("the probe: result %v", result)
+	ctx, cancel := context.WithCancelCause(t.Context())
+	checked := make(chan decision.Result, 1)
+	go func() { checked <- p.checkHealth(ctx, b) }()
+	within(t, received, "the backend got no health check")
+	cancel(context.DeadlineExceeded)
+	if result := within(t, checked, "checkHealth() did not return"); result != decision.Timeout {
+		t.Fatalf("checkHealth() = %v, want Timeout", resultName(result))
 	}
-	close(late)
+	close(sendLate)
 	if result, body := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK ||
 		string(body) != "fine" {
-		t.Errorf("result %v, body %q", result, body)
+		t.Errorf("exchange() after the health check = %v, body %q; want OK, body \"fine\"", resultName(result), body)
 	}
 	if p.open != 1 {
-		t.Errorf("%d connections are open", p.open)
+		t.Errorf("pool counts %d open connections, want 1", p.open)
 	}
 }
 
-// A backend that restarts at its address resets its idle connections: none of them is reused, and a request that is not
-// idempotent is sent once, to the new process. A request in flight ends as a reset.
+// A backend that restarts at the same address resets its connections. No idle one is reused, and a request that is not
+// idempotent is sent once, to the new process. The attempt in flight ends as a reset.
 func TestBackendRestartAtSameAddress(t *testing.T) {
-	came, die := make(chan bool), make(chan bool)
+	received, stop := make(chan bool), make(chan bool)
 	var requests atomic.Int32
 	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
 		defer func() { _ = c.(*net.TCPConn).SetLinger(0) }()
 		for i := 0; readRequest(in); i++ {
 			requests.Add(1)
 			if n == 1 || n == 2 {
-				came <- true
-				<-die
+				received <- true
+				<-stop
 				if n == 1 {
-					return // with an attempt out
+					return // while the attempt is in flight
 				}
 			}
 			writeText(c, served)
 			if n == 0 || n == 2 {
-				<-die // while it is idle
+				<-stop // while the connection is idle
 				return
 			}
 		}
@@ -317,34 +319,34 @@
 		return result
 	}
 	if result := send(); result != decision.OK {
-		t.Fatalf("first: result %v", result)
+		t.Fatalf("first exchange() = %v, want OK", resultName(result))
 	}
 	p.mu.Lock()
 	idle := b.idle[0]
-	b.idle = nil // so that the next one needs another
+	b.idle = nil // so that the next attempt opens another connection
 	p.mu.Unlock()
-	out := make(chan decision.Result, 1)
-	go func() { out <- send() }()
-	within(t, came, "no request came")
+	results := make(chan decision.Result, 1)
+	go func() { results <- send() }()
+	within(t, received, "the backend got no request")
 	p.putIdle(b, idle)
-	close(die)
-	if result := within(t, out, "no end"); result != decision.Reset {
-		t.Errorf("what was out: result %v, want Reset", result)
+	close(stop)
+	if result := within(t, results, "exchange() did not return"); result != decision.Reset {
+		t.Errorf("exchange() in flight during the restart = %v, want Reset", resultName(result))
 	}
 	waitUntilSeen(t, idle.Conn)
 	before := requests.Load()
-	go func() { out <- send() }()
-	within(t, came, "no request came to the new life")
-	if result := within(t, out, "no end"); result != decision.OK {
-		t.Errorf("after the restart: result %v", result)
+	go func() { results <- send() }()
+	within(t, received, "the restarted backend got no request")
+	if result := within(t, results, "exchange() did not return"); result != decision.OK {
+		t.Errorf("exchange() after the restart = %v, want OK", resultName(result))
 	}
 	if n := requests.Load() - before; n != 1 {
 		t.Errorf("%d requests after the restart, want 1", n)
 	}
 }
 
-// A client leaves while its first attempt connects. The connection comes up late: nothing is sent on it, and nothing of
-// it remains.
+// A client leaves while its first attempt connects. The connection is established later: nothing is sent on it, and it
+// is closed and no longer counted.
 func TestClientLeavesDuringDial(t *testing.T) {
 	got := make(chan int, 1)
 	addr := rawBackend(t, func(_ int, c net.Conn, _ *bufio.Reader) {
@@ -354,35 +356,35 @@
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), func(c *Config) {
 		c.Decision.Capabilities.ConnectTimeout = patience
 	})
-	resp, err := http.Get("http://" + p.addr + "/_health") // it serves
+	resp, err := http.Get("http://" + p.addr + "/_health") // answered once the proxy serves
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("GET /_health of the proxy: %v", err)
 	}
 	_ = resp.Body.Close()
 	pool := p.proxy.services.current.Load().byName[""].pool
-	dialing, given := make(chan bool, 1), make(chan bool, 1)
+	dialing, cancelled := make(chan bool, 1), make(chan bool, 1)
 	pool.mu.Lock()
 	pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialing <- true
 		<-ctx.Done()
-		given <- errors.Is(context.Cause(ctx), context.Canceled)
+		cancelled <- errors.Is(context.Cause(ctx), context.Canceled)
 		return net.Dial(network, addr)
 	}
 	pool.mu.Unlock()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Dial(%s) of the proxy: %v", p.addr, err)
 	}
 	_, _ = io.WriteString(c,
 		"POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: leaves\r\nX-Priority-Class: hand-in\r\nX-Timeout-Ms: "+
 			"60000\r\nContent-Length: 0\r\n\r\n")
-	within(t, dialing, "nothing was dialled")
+	within(t, dialing, "the pool did not dial the backend")
 	_ = c.Close()
-	if !within(t, given, "the attempt was not given up") {
-		t.Error("it was given up for its time alone")
+	if !within(t, cancelled, "the dial's context was not cancelled") {
+		t.Error("the dial's context ended by its timeout, want a cancellation because the client left")
 	}
-	if n := within(t, got, "the connection stayed open"); n != 0 {
-		t.Error("it was written to")
+	if n := within(t, got, "the backend connection stayed open"); n != 0 {
+		t.Errorf("%d bytes were sent on the late connection, want 0", n)
 	}
 	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		pool.mu.Lock()
@@ -392,7 +394,7 @@
 			break
 		}
 		if time.Since(start) > patience {
-			t.Fatalf("%d connections are still counted", open)
+			t.Fatalf("pool counts %d open connections after the client left, want 0", open)
 		}
 	}
 }
