--- a/internal/proxy/backendpool_test.go
+++ b/internal/proxy/backendpool_test.go
@@ -23,29 +23,29 @@
 	send := func() {
 		t.Helper()
 		if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK {
-			t.Fatalf("result %v", result)
+			t.Fatalf("exchange() = %s, want OK", resultName(result))
 		}
 	}
 	send()
 	send()
 	if n := conns.Load(); n != 1 {
-		t.Fatalf("%d connections for two requests in turn", n)
+		t.Fatalf("%d connections for two consecutive requests, want 1", n)
 	}
-	p.closeExpired(time.Now().Add(p.idleTimeout)) // it has been idle for long
+	p.closeExpired(time.Now().Add(p.idleTimeout)) // the connection has now been idle for too long
 	if p.open != 0 {
-		t.Errorf("%d connections after all were retired", p.open)
+		t.Errorf("pool counts %d open connections after closeExpired(), want 0", p.open)
 	}
 	send()
 	if n := conns.Load(); n != 2 {
-		t.Errorf("%d connections, want a second one", n)
+		t.Errorf("%d connections made after closeExpired(), want 2", n)
 	}
 	p.Release(backendID("a"))
 	if p.open != 0 {
-		t.Errorf("%d connections after the idle ones were released", p.open)
+		t.Errorf("pool counts %d open connections after Release(), want 0", p.open)
 	}
 }
 
-// The backend closes a connection while it is idle: the next attempt takes another one.
+// If the backend closes a connection while it is idle, the next attempt uses another connection.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if readRequest(in) {
@@ -54,9 +54,9 @@
 	}))
 	for i := range 3 {
 		if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.OK {
-			t.Fatalf("attempt %d: result %v", i, result)
+			t.Fatalf("exchange() %d = %s, want OK", i, resultName(result))
 		}
-		for start := time.Now(); ; time.Sleep(time.Millisecond) { // until the close has been noticed
+		for start := time.Now(); ; time.Sleep(time.Millisecond) { // until the close is visible on the socket
 			p.mu.Lock()
 			open := len(b.idle) > 0 && b.idle[0].isSilent()
 			p.mu.Unlock()
@@ -64,14 +64,14 @@
 				break
 			}
 			if time.Since(start) > patience {
-				t.Fatal("the connection's end was not noticed")
+				t.Fatalf("isSilent() of the closed idle connection is still true after %v", patience)
 			}
 		}
 	}
 }
 
-// A backend closes idle connections early: a connection that was idle as long as the one that broke is not reused, and
-// the limit recovers after some time.
+// A backend closes idle connections early. After an idle connection broke on reuse, connections idle for as long are
+// not reused, and the limit recovers after some time.
 func TestReuseLimitFollowsBrokenConnections(t *testing.T) {
 	var conns atomic.Int32
 	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
@@ -80,22 +80,22 @@
 			writeText(c, served)
 		}
 	}))
-	send := func(idle time.Duration, want decision.Result, connsWant int32) {
+	send := func(idle time.Duration, want decision.Result, wantConns int32) {
 		t.Helper()
 		for _, c := range b.idle {
 			c.idleSince = time.Now().Add(-idle)
 		}
 		if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != want ||
-			conns.Load() != connsWant {
-			t.Fatalf("idle for %v: result %v on %d connections, want %v on %d", idle, result, conns.Load(), want,
-				connsWant)
+			conns.Load() != wantConns {
+			t.Fatalf("exchange() after an idle time of %v = %s with %d connections made, want %s with %d", idle,
+				resultName(result), conns.Load(), resultName(want), wantConns)
 		}
 	}
-	p.staleWindow = patience // on a machine of any speed
+	p.staleWindow = patience // long enough for a slow machine
 	send(0, decision.OK, 1)
 	send(10*time.Second, decision.Reset, 1)
 	if p.reuseLimit > 6*time.Second {
-		t.Errorf("after one that had been idle for 10 s broke, the limit is %v", p.reuseLimit)
+		t.Errorf("reuseLimit = %v after a connection idle for 10 s broke, want at most 6 s", p.reuseLimit)
 	}
 	p.reuseLimitAt = time.Now().Add(time.Hour)
 	send(6*time.Second, decision.OK, 2)
@@ -108,11 +108,11 @@
 }
 
 func TestBackendConnectionsAreLimited(t *testing.T) {
-	came, leave := make(chan bool, 8), make(chan bool)
+	received, respond := make(chan bool, 8), make(chan bool)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for readRequest(in) {
-			came <- true
-			<-leave
+			received <- true
+			<-respond
 			writeText(c, served)
 		}
 	}))
@@ -123,33 +123,33 @@
 			result, _ := p.exchange(t.Context(), b, testMessage("GET", nil))
 			results <- result
 		}()
-		within(t, came, "no request came")
+		within(t, received, "the backend got no request")
 	}
 	// A lack of sockets must not count against the backend, for requests or health checks.
 	if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.NotSent {
-		t.Errorf("with no socket left: result %v, want Moot", result)
+		t.Errorf("exchange() at the connection limit = %s, want NotSent", resultName(result))
 	}
 	if result := p.checkHealth(t.Context(), b); result != decision.NotSent {
-		t.Errorf("a probe with no socket left: result %v, want Moot", result)
+		t.Errorf("checkHealth() at the connection limit = %s, want NotSent", resultName(result))
 	}
-	close(leave)
+	close(respond)
 	for range 2 {
-		if result := within(t, results, "no answer"); result != decision.OK {
-			t.Errorf("result %v", result)
+		if result := within(t, results, "exchange() did not return"); result != decision.OK {
+			t.Errorf("exchange() = %s, want OK", resultName(result))
 		}
 	}
-	// Both are idle now, and make room for one to another backend.
+	// Both connections are idle now. One of them is closed to make room for a connection to another backend.
 	p.Update(List{Endpoints: []Member{{ID: "b", State: decision.Ready, Addr: rawBackend(t, func(_ int, c net.Conn,
 		in *bufio.Reader) {
 		readRequest(in)
 		writeText(c, served)
 	})}}})
 	if result, _ := p.exchange(t.Context(), p.lookup(backendID("b")), testMessage("GET", nil)); result != decision.OK {
-		t.Errorf("with idle connections elsewhere: result %v", result)
+		t.Errorf("exchange() with only idle connections to another backend = %s, want OK", resultName(result))
 	}
 }
 
-// Without a free socket the connection that was idle for longest is closed, and no other.
+// At the connection limit only the connection that was idle for longest is closed.
 func TestLongestIdleIsEvicted(t *testing.T) {
 	serveAll := func(_ int, c net.Conn, in *bufio.Reader) {
 		for readRequest(in) {
@@ -163,7 +163,7 @@
 		for range idle {
 			c, err := p.dial(t.Context(), b)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("dial() of backend a: %v", err)
 			}
 			conns = append(conns, c)
 		}
@@ -173,21 +173,22 @@
 		p.Update(List{Endpoints: []Member{{ID: "b", State: decision.Ready, Addr: rawBackend(t, serveAll)}}})
 		if result, _ := p.exchange(t.Context(), p.lookup(backendID("b")), testMessage("GET",
 			nil)); result != decision.OK {
-			t.Errorf("%d idle: result %v", idle, result)
+			t.Errorf("exchange() with %d idle connections to another backend = %s, want OK", idle, resultName(result))
 		}
 		if rawsocket.Silent(conns[0].Conn) || idle > 1 && !rawsocket.Silent(conns[1].Conn) || p.open != idle ||
 			len(b.idle) != idle-1 {
-			t.Errorf("%d idle: %d open, %d left idle", idle, p.open, len(b.idle))
+			t.Errorf("after one of %d idle connections was evicted: %d open, %d idle, want %d and %d, and only the "+
+				"longest idle one closed", idle, p.open, len(b.idle), idle, idle-1)
 		}
 	}
 }
 
-// Bytes behind a valid response are discarded, whether they come with it or while the connection is idle.
+// Bytes after a valid response are discarded, whether they arrive with it or while the connection is idle.
 func TestBytesBehindResponseAreNotServed(t *testing.T) {
 	const second = "HTTP/1.1 200 OK\nContent-Length: 5\n\nwrong"
-	for name, late := range map[string]bool{"at once": false, "while idle": true} {
+	for name, late := range map[string]bool{"with the response": false, "while idle": true} {
 		t.Run(name, func(t *testing.T) {
-			behind := make(chan bool, 1)
+			sendSecond := make(chan bool, 1)
 			var conns atomic.Int32
 			p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
 				conns.Add(1)
@@ -198,7 +199,7 @@
 					}
 					writeText(c, served)
 					if n == 0 {
-						<-behind
+						<-sendSecond
 						writeText(c, second)
 					}
 				}
@@ -206,38 +207,39 @@
 			for i := range 2 {
 				result, body := p.exchange(t.Context(), b, testMessage("POST", []byte("x")))
 				if result != decision.OK || string(body) != "fine" {
-					t.Fatalf("request %d: result %v, body %q", i, result, body)
+					t.Fatalf("exchange() %d = %s, body %q; want OK, body \"fine\"", i, resultName(result), body)
 				}
 				if !late || i > 0 {
 					continue
 				}
 				if len(b.idle) != 1 {
-					t.Fatal("the connection was not kept")
+					t.Fatalf("%d idle connections after the first response, want 1", len(b.idle))
 				}
 				c := b.idle[0]
-				behind <- true
+				sendSecond <- true
 				for start := time.Now(); c.isSilent(); time.Sleep(time.Millisecond) {
 					if time.Since(start) > patience {
-						t.Fatal("what came was not noticed")
+						t.Fatalf("isSilent() is still true %v after the backend sent a second response", patience)
 					}
 				}
 			}
 			if n := conns.Load(); n != 2 {
-				t.Errorf("%d connections, want 2", n)
+				t.Errorf("%d connections made, want 2", n)
 			}
 		})
 	}
 }
 
-// A new ID at the address of a removed backend gets none of that one's connections, not even one that was in use then.
+// A new backend ID at the address of a removed backend reuses none of its connections, not even one that was in use
+// during the removal.
 func TestNewIDGetsNewConnections(t *testing.T) {
 	var conns atomic.Int32
-	came, leave := make(chan bool, 2), make(chan bool, 2)
+	received, respond := make(chan bool, 2), make(chan bool, 2)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		conns.Add(1)
 		for readRequest(in) {
-			came <- true
-			<-leave
+			received <- true
+			<-respond
 			writeText(c, served)
 		}
 	})
@@ -247,28 +249,29 @@
 		result, _ := p.exchange(t.Context(), b, testMessage("GET", nil))
 		done <- result
 	}()
-	within(t, came, "no request came")
+	within(t, received, "the backend got no request")
 	p.Update(List{Full: true, Endpoints: []Member{{ID: "new", Addr: addr, State: decision.Ready}}})
-	leave <- true
-	if result := within(t, done, "no answer"); result != decision.OK {
-		t.Errorf("the request in flight: result %v", result)
+	respond <- true
+	if result := within(t, done, "exchange() did not return"); result != decision.OK {
+		t.Errorf("exchange() in flight during the update = %s, want OK", resultName(result))
 	}
-	leave <- true
+	respond <- true
 	if result, _ := p.exchange(t.Context(), p.lookup(backendID("new")), testMessage("GET",
 		nil)); result != decision.OK {
-		t.Errorf("result %v", result)
+		t.Errorf("exchange() with the new backend = %s, want OK", resultName(result))
 	}
 	if n := conns.Load(); n != 2 {
-		t.Errorf("%d connections, want 2", n)
+		t.Errorf("%d connections made, want 2", n)
 	}
 }
 
-// A drain during a connect takes effect before anything is sent.
+// A backend that drains, is removed or moves while a connection to it is being established gets no request on that
+// connection.
 func TestDrainWhileConnecting(t *testing.T) {
 	for name, change := range map[string]Member{
-		"drains": {ID: "a", State: decision.Draining},
-		"left":   {ID: "a", State: decision.Removed},
-		"moved":  {ID: "a", State: decision.Ready, Addr: "127.0.0.1:1"},
+		"draining":    {ID: "a", State: decision.Draining},
+		"removed":     {ID: "a", State: decision.Removed},
+		"new address": {ID: "a", State: decision.Ready, Addr: "127.0.0.1:1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
@@ -284,10 +287,10 @@
 				return dial(ctx, network, addr)
 			}
 			if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.ConnectFailed {
-				t.Errorf("result %v, want ConnectFailed", result)
+				t.Errorf("exchange() = %s, want ConnectFailed", resultName(result))
 			}
-			if requests.Load() != 0 {
-				t.Error("a request went out after the change was told")
+			if n := requests.Load(); n != 0 {
+				t.Errorf("the backend got %d requests after the change of the list, want 0", n)
 			}
 		})
 	}
@@ -302,24 +305,24 @@
 	p.exchange(t.Context(), b, testMessage("GET", nil))
 	p.Update(List{Endpoints: []Member{{ID: "a", State: decision.Draining}}})
 	if p.open != 0 {
-		t.Errorf("%d connections to a draining backend", p.open)
+		t.Errorf("pool counts %d open connections to a draining backend, want 0", p.open)
 	}
 	if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.ConnectFailed {
-		t.Errorf("result %v, want ConnectFailed", result)
+		t.Errorf("exchange() with a draining backend = %s, want ConnectFailed", resultName(result))
 	}
 }
 
-// For every configured idle timeout a connection is reused within half of it only, and one that broke lowers the limit
-// for a while, never for good.
+// For every configured idle timeout a connection is reused only within half of it. A connection that broke lowers the
+// limit for a while, never permanently.
 func TestReuseLimitsOfManySettings(t *testing.T) {
-	for _, told := range []time.Duration{0, time.Millisecond, 100 * time.Millisecond, time.Second, 10 * time.Second,
+	for _, timeout := range []time.Duration{0, time.Millisecond, 100 * time.Millisecond, time.Second, 10 * time.Second,
 		time.Hour} {
-		t.Run(told.String(), func(t *testing.T) {
-			p := newPool(16, patience, told)
+		t.Run(timeout.String(), func(t *testing.T) {
+			p := newPool(16, patience, timeout)
 			b := &backend{}
 			p.backends[1] = b
 			now := time.Now()
-			taken := func(age time.Duration) bool {
+			reused := func(age time.Duration) bool {
 				near, far := net.Pipe()
 				defer func() { _ = far.Close() }()
 				p.open++
@@ -328,39 +331,45 @@
 				b.idle = []*conn{c}
 				got, err := p.takeIdle(b)
 				if err != nil || p.open != map[bool]int{true: 1, false: 0}[got != nil] {
-					t.Errorf("age %v: %v with %d open", age, err, p.open)
+					t.Errorf("takeIdle() of a connection idle for %v: error %v, connection taken: %v, %d open; want no error and "+
+						"one open only if taken", age, err, got != nil, p.open)
 				}
 				if got != nil {
 					_ = got.Close()
 				}
 				return got != nil
 			}
-			if taken(told / idleTimeoutDivisor) {
-				t.Error("one was taken that the backend may be about to close")
+			if reused(timeout / idleTimeoutDivisor) {
+				t.Errorf("connection idle for %v was reused, want it rejected because the backend may close it",
+					timeout/idleTimeoutDivisor)
 			}
-			if told >= 10*time.Second && !taken(told/idleTimeoutDivisor-told/10) {
-				t.Error("one was not taken that is fresh enough")
+			if timeout >= 10*time.Second && !reused(timeout/idleTimeoutDivisor-timeout/10) {
+				t.Errorf("connection idle for %v was not reused, want it reused", timeout/idleTimeoutDivisor-timeout/10)
 			}
-			for _, age := range []time.Duration{0, told / 4, told / 2, 2 * told} {
+			for _, age := range []time.Duration{0, timeout / 4, timeout / 2, 2 * timeout} {
 				p.noteBrokenIdleConn(age)
-				if p.reuseLimit > told/idleTimeoutDivisor || age > minIdleLimit*idleLimitDivisor &&
+				if p.reuseLimit > timeout/idleTimeoutDivisor || age > minIdleLimit*idleLimitDivisor &&
 					p.reuseLimit > max(age/idleLimitDivisor, minIdleLimit) {
-					t.Errorf("one broke at the age of %v: the limit is %v", age, p.reuseLimit)
+					t.Errorf("reuseLimit = %v after a connection idle for %v broke, want at most %v, and at most %v for longer "+
+						"idle times", p.reuseLimit, age, timeout/idleTimeoutDivisor,
+						max(age/idleLimitDivisor, minIdleLimit))
 				}
 			}
 			p.reuseLimitAt = now.Add(-64 * idleLimitDoubling)
-			if told >= 10*time.Second && !taken(told/idleTimeoutDivisor-told/10) {
-				t.Error("the limit has not come back")
+			if timeout >= 10*time.Second && !reused(timeout/idleTimeoutDivisor-timeout/10) {
+				t.Errorf("connection idle for %v was not reused after the limit's recovery time, want it reused",
+					timeout/idleTimeoutDivisor-timeout/10)
 			}
 		})
 	}
 }
 
-// Closing idle connections, for their age, for lack of sockets or by the engine's order, does not affect one that was
-// just taken; and one on which bytes arrive as it is closed is not reused.
+// Closing idle connections, because of their age, for lack of sockets or because the engine releases the backend, does
+// not affect a connection that was just taken for a request. A connection on which bytes arrive while it is being
+// closed is not reused.
 func TestTakenConnectionIsNotClosed(t *testing.T) {
 	for name, act := range map[string]func(*pool){
-		"retire":  func(p *pool) { p.closeExpired(time.Now().Add(2 * p.idleTimeout)) },
+		"expire":  func(p *pool) { p.closeExpired(time.Now().Add(2 * p.idleTimeout)) },
 		"release": func(p *pool) { p.Release(backendID("a")) },
 		"evict": func(p *pool) {
 			p.setMaxOpen(1)
@@ -390,17 +399,17 @@
 			})
 			for range 2 {
 				if result, _ := p.exchange(t.Context(), b, testMessage("POST", []byte("x"))); result != decision.OK {
-					t.Errorf("result %v", result)
+					t.Errorf("exchange() = %s, want OK", resultName(result))
 				}
 				reuse = true
 			}
 			if n := conns.Load(); n != 1 || p.open != 1 {
-				t.Errorf("%d connections, %d open", n, p.open)
+				t.Errorf("%d connections made, %d open, want 1 and 1", n, p.open)
 			}
 			c := b.idle[0]
-			act(p) // now it is idle
+			act(p) // now the connection is idle
 			if left := len(b.idle); p.open != left || left == 0 && rawsocket.Silent(c.Conn) {
-				t.Errorf("%d idle, %d open", left, p.open)
+				t.Errorf("%d idle, %d open, want equal numbers, and the socket closed if none is idle", left, p.open)
 			}
 		})
 	}
--- a/internal/proxy/conformance_test.go
+++ b/internal/proxy/conformance_test.go
@@ -23,15 +23,15 @@
 	enginetest.Frontend{
 		Start: func(t *testing.T, e *engine.Engine) enginetest.Client {
 			cfg := Config{MemoryMB: 64, Sockets: 1024, Decision: enginetest.Config()}
-			svcs := newServices(New(cfg, slog.New(slog.DiscardHandler)))
+			services := newServices(New(cfg, slog.New(slog.DiscardHandler)))
 			only := &service{engine: e, clock: e.Clock(), module: cfg.Decision, classes: map[string]int{"safe": 0,
 				"unsafe": 1},
 				counters: metrics.New([]string{"safe", "unsafe"})}
-			svcs.current.Store(&routingState{only: only, byName: map[string]*service{"": only}})
-			f := newFrontend(svcs, &cfg, slog.New(slog.DiscardHandler), newClientConns(512))
+			services.current.Store(&routingState{only: only, byName: map[string]*service{"": only}})
+			f := newFrontend(services, &cfg, slog.New(slog.DiscardHandler), newClientConns(512))
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("listening for clients: %v", err)
 			}
 			go func() { _ = f.serve(l) }()
 			t.Cleanup(func() { _ = f.server.Close() })
@@ -69,7 +69,7 @@
 }
 
 func TestHTTPUpstreamConforms(t *testing.T) {
-	answers := map[enginetest.Behaviour]string{
+	responses := map[enginetest.Behaviour]string{
 		enginetest.Serves:       "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answer",
 		enginetest.ServesSlowly: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answer",
 		enginetest.SendsTrailingBytes: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nthe answerHTTP/1.1 200 " +
@@ -83,28 +83,28 @@
 		Start: func(t *testing.T, b enginetest.Behaviour) (engine.Upstream, engine.EndpointList) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("listening for the backend: %v", err)
 			}
 			t.Cleanup(func() { _ = l.Close() })
 			if b == enginetest.RefusesConnections {
 				_ = l.Close()
 			}
-			go serveRaw(l, func(_ int, c net.Conn, in *bufio.Reader) { behave(c, in, b, answers[b]) })
+			go serveRaw(l, func(_ int, c net.Conn, in *bufio.Reader) { behave(c, in, b, responses[b]) })
 			p := newPool(64, 2*time.Second, time.Minute)
 			t.Cleanup(func() { p.Update(List{Full: true}) })
 			return p, List{Version: 1, Full: true, Endpoints: []Member{{ID: "a", Addr: l.Addr().String(),
 				State: decision.Ready}}}
 		},
 		Message: func() engine.Message { return testMessage("POST", []byte("body")) },
-		Body: func(answer any) []byte {
-			b, _ := answer.([]byte)
+		Body: func(response any) []byte {
+			b, _ := response.([]byte)
 			return bytes.Clone(b)
 		},
 	}.Test(t)
 }
 
-// behave is a backend's side of a connection.
-func behave(c net.Conn, in *bufio.Reader, b enginetest.Behaviour, answer string) {
+// behave serves a connection as a backend of the given behaviour. It sends response for each request that it answers.
+func behave(c net.Conn, in *bufio.Reader, b enginetest.Behaviour, response string) {
 	for {
 		req, err := http.ReadRequest(in)
 		if err != nil {
@@ -115,12 +115,12 @@
 		case enginetest.ClosesBeforeResponse:
 			return
 		case enginetest.Stalls:
-			_, _ = in.Peek(1) // until the other side closes
+			_, _ = in.Peek(1) // until the proxy closes the connection
 			return
 		case enginetest.ServesSlowly:
 			time.Sleep(20 * time.Millisecond)
 		}
-		_, _ = io.WriteString(c, answer)
+		_, _ = io.WriteString(c, response)
 		if b == enginetest.ClosesDuringResponse {
 			return
 		}
