--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -41,23 +41,23 @@
 file = "effects.db"
 `
 
-// freeAddr returns an address that nobody listens at or connects from.
+// freeAddr returns a loopback address with no listener, from which no connection is made either.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := loopbackaddr.Addr()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("loopbackaddr.Addr(): %v", err)
 	}
 	return addr
 }
 
-// diameterStage starts a stage that speaks Diameter too, and returns a client of it.
+// diameterStage starts a test stage whose proxy also serves Diameter, and returns a Diameter client of it.
 func diameterStage(t *testing.T, services string, change func(*Config)) (*stage, *diameterpeer.Client) {
 	t.Helper()
 	dir, addr := t.TempDir(), freeAddr(t)
 	path := filepath.Join(dir, "diameter.toml")
 	if err := os.WriteFile(path, []byte(strings.Replace(diameterFile, "ADDR", addr, 1)), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the Diameter settings: %v", err)
 	}
 	s := newStage(t, services, func(c *Config) {
 		c.Diameter, c.StateDir = path, dir
@@ -68,6 +68,7 @@
 	return s, diameterClient(t, addr, 1)
 }
 
+// diameterClient returns a Diameter client of the proxy at addr that sends claims with the given requested action.
 func diameterClient(t *testing.T, addr string, action uint32) *diameterpeer.Client {
 	c := &diameterpeer.Client{Host: "claims.partner.example", Realm: "partner.example", To: "pay.example.org",
 		Action: action, GiveUp: 3 * time.Second,
@@ -78,32 +79,35 @@
 	return c
 }
 
-// Diameter requests reach HTTP servers by the routes; a request that a server never answers may have run.
+// Diameter requests are routed to HTTP servers. A request that a server does not answer in time may have run, so it is
+// answered with UnableToComply and not retried.
 func TestDiameterClientsReachHTTPServers(t *testing.T) {
 	s, client := diameterStage(t, twoServices, nil)
 	for range 3 {
 		if o := client.Claim(t.Context(), 12500); o.Code != diameter.Success || o.Body != "slow-5" {
-			t.Fatalf("%+v", o)
+			t.Fatalf("Claim() = %+v, want code Success and body %q", o, "slow-5")
 		}
 	}
-	if path := s.first["slow-5"].Load(); path == nil || *path != "/claims" {
-		t.Errorf("asked for %v", path)
+	if path := s.first["slow-5"].Load(); path == nil {
+		t.Error("the HTTP server got no request, want one for /claims")
+	} else if *path != "/claims" {
+		t.Errorf("the HTTP server got a request for %q first, want /claims", *path)
 	}
 	s.stall["slow-5"].Store(60_000)
-	// within the client's timeout, which passes once
+	// the proxy answers within the client's timeout, which is reached once
 	if o := client.Claim(t.Context(), 1); o.Code != diameter.UnableToComply || o.Tries != 1 {
-		t.Errorf("%+v", o)
+		t.Errorf("Claim() at a stalled server = %+v, want code UnableToComply after 1 try", o)
 	}
 	report, err := adminBackend{s.proxy}.Diameter()
 	if err != nil || report.(map[string]any)["requests"].(map[string]int64)["served"] != 3 {
-		t.Errorf("%v, %v", report, err)
+		t.Errorf("Diameter() = %v, error %v; want 3 requests served", report, err)
 	}
 	if r := s.proxy.diameter.guard.Report(); !r.Durable || !r.Ready || r.Entries != 4 || r.Flushes == 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("ledger's Report() = %+v, want durable, ready, 4 entries and at least one flush", r)
 	}
 }
 
-// With servers that speak Diameter no request runs twice, and the HTTP front end says that it can't reach them.
+// With servers that speak Diameter no request runs twice, and HTTP requests for them are answered with status 501.
 func TestDiameterServers(t *testing.T) {
 	server := &diameterpeer.Server{Host: "n1.pay.example", Realm: "pay.example.org",
 		Act: func(n int64) diameterpeer.Act {
@@ -112,7 +116,7 @@
 		}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening for the Diameter server: %v", err)
 	}
 	defer func() { _ = l.Close() }()
 	go server.Serve(l)
@@ -121,57 +125,60 @@
 	s, client := diameterStage(t, text, nil)
 	s.lists <- listText(2, true, memberText("id-fast", s.backend["fast-5"], "active"),
 		strings.Replace(memberText("id-slow", l.Addr().String(), "active"), `"fast-5"`, `"slow-5"`, 1))
-	var all sync.WaitGroup
+	var claims sync.WaitGroup
 	for range 60 {
-		all.Go(func() {
+		claims.Go(func() {
 			if o := client.Claim(t.Context(), 100); o.Code != diameter.Success || o.Body != "the answer" {
-				t.Errorf("%+v", o)
+				t.Errorf("Claim() = %+v, want code Success and body %q", o, "the answer")
 			}
 		})
 	}
-	all.Wait()
+	claims.Wait()
 	for name, n := range server.Executed() {
 		if n != 1 {
-			t.Errorf("%v ran %d times", name, n)
+			t.Errorf("request %v ran %d times, want once", name, n)
 		}
 	}
 	if status, body := s.request(clientFrom(t, "127.0.0.1"), "pay.example.org", "/api", "hand-in",
 		2000); status != 501 || !strings.Contains(body, "Diameter") {
-		t.Errorf("by HTTP: %d %q", status, body)
+		t.Errorf("HTTP request for a Diameter service: status %d, body %q; want 501 and a body that names Diameter", status,
+			body)
 	}
 }
 
-// With and without a state directory the next process gets the address, and the ledger where there is one.
+// After a hot restart the next process takes over the Diameter address and reads the ledger: a request that the
+// previous process has answered gets the same response and does not run again.
 func TestNextProcessReadsLedger(t *testing.T) {
 	s, client := diameterStage(t, twoServices, nil)
 	first := client.Claim(t.Context(), 5)
 	if first.Code != diameter.Success {
-		t.Fatalf("%+v", first)
+		t.Fatalf("first Claim() = %+v, want code Success", first)
 	}
 	cfg := s.proxy.cfg
 	next := newStage(t, twoServices, func(c *Config) { c.Diameter, c.StateDir = cfg.Diameter, cfg.StateDir })
 	if next.proxy.diameter.guard.Report().Ready {
-		t.Error("two processes have the ledger")
+		t.Error("the next process's ledger is ready while the previous process holds it")
 	}
 	s.stall["slow-5"].Store(300)
-	inHand := make(chan diameterpeer.Outcome, 1)
-	go func() { inHand <- client.Claim(t.Context(), 6) }()
-	for begun := time.Now(); s.proxy.diameter.guard.Report().InFlight == 0; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > patience {
-			t.Fatal("the claim does not arrive")
+	inFlight := make(chan diameterpeer.Outcome, 1)
+	go func() { inFlight <- client.Claim(t.Context(), 6) }()
+	for startedAt := time.Now(); s.proxy.diameter.guard.Report().InFlight == 0; time.Sleep(time.Millisecond) {
+		if time.Since(startedAt) > patience {
+			t.Fatalf("no claim is in flight at the proxy after %v", patience)
 		}
 	}
 	s.proxy.diameter.drain()
-	if o := <-inHand; o.Code != diameter.Success || o.Unknown {
-		t.Errorf("in flight at the end: %+v", o)
+	if o := <-inFlight; o.Code != diameter.Success || o.Unknown {
+		t.Errorf("Claim() in flight during the drain = %+v, want code Success and a known outcome", o)
 	}
 	if o := client.Claim(t.Context(), 7); o.Code != diameter.Success {
-		t.Errorf("by the next process: %+v", o)
+		t.Errorf("Claim() at the next process = %+v, want code Success", o)
 	}
 	before := next.served["slow-5"].Load()
 	again := client.Again(t.Context(), first, 5)
 	if again.Code != diameter.Success || again.Body != first.Body || next.served["slow-5"].Load() != before {
-		t.Errorf("the first one again: %+v", again)
+		t.Errorf("repeated first claim at the next process = %+v, %d requests at the server; want code Success, body %q and "+
+			"no further request", again, next.served["slow-5"].Load()-before, first.Body)
 	}
 }
 
@@ -179,44 +186,45 @@
 	path := filepath.Join(t.TempDir(), "d.toml")
 	if err := os.WriteFile(path, []byte(strings.NewReplacer(`"ADDR"`, `"127.0.0.1:0"`, `"hand-in"`,
 		`"nothing"`).Replace(diameterFile)), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the Diameter settings: %v", err)
 	}
 	cfg, err := parseConfig(configText(listText(1, true)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parseConfig(): %v", err)
 	}
 	cfg.Diameter = path
 	if err := New(cfg, nil).openDiameter(); err == nil || !strings.Contains(err.Error(),
 		`command[0]: class: there is none by the name of "nothing"`) {
-		t.Errorf("a class that is not there: %v", err)
+		t.Errorf("openDiameter() with an unknown class: error %v, want one that names command[0] and the class", err)
 	}
 	if _, err := (adminBackend{New(cfg, nil)}).Diameter(); err == nil {
-		t.Error("without Diameter")
+		t.Error("Diameter() of a proxy without Diameter succeeded, want an error")
 	}
 }
 
-// With TLS both sides show a certificate; a peer whose certificate has another name is rejected, and a server without a
-// valid certificate gets no request.
+// With TLS both sides present a certificate. A peer whose certificate has another name is rejected, and a server
+// without a valid certificate gets no request.
 func TestDiameterOverTLS(t *testing.T) {
 	ca := tlstest.NewCA(t)
-	ours, theirs, other := ca.Issue(t, "proxy.kigali.example", time.Hour), ca.Issue(t, "claims.partner.example",
+	proxyCert, clientCert, otherCert := ca.Issue(t, "proxy.kigali.example", time.Hour), ca.Issue(t, "claims.partner.example",
 		time.Hour), ca.Issue(t, "x.example", time.Hour)
 	dir, addr := t.TempDir(), freeAddr(t)
 	path := filepath.Join(dir, "diameter.toml")
 	text := strings.NewReplacer("ADDR", addr, "[ledger]",
-		fmt.Sprintf("[tls]\ncertificate = %q\nkey = %q\nca = %q\n[ledger]", ours.Certificate, ours.Key, ours.CA),
+		fmt.Sprintf("[tls]\ncertificate = %q\nkey = %q\nca = %q\n[ledger]", proxyCert.Certificate, proxyCert.Key,
+			proxyCert.CA),
 		`realm = "partner.example"`, "host = \"claims.partner.example\"\nrealm = \"partner.example\"\ncertificate "+
 			"= \"claims.partner.example\"").Replace(diameterFile)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the Diameter settings: %v", err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening for the Diameter server: %v", err)
 	}
 	serverKeys, err := tlskeys.Load(tlskeys.Files(ca.Issue(t, "n1.example", time.Hour)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading the server's certificate: %v", err)
 	}
 	defer func() { _ = l.Close() }()
 	server := &diameterpeer.Server{Host: "n1.example", Realm: "pay.example.org"}
@@ -227,10 +235,10 @@
 		func(c *Config) { c.Diameter, c.StateDir = path, dir })
 	s.lists <- listText(2, true, memberText("id-fast", s.backend["fast-5"], "active"),
 		strings.Replace(memberText("id-slow", l.Addr().String(), "active"), `"fast-5"`, `"slow-5"`, 1))
-	client := func(f tlstest.Files) *diameterpeer.Client {
+	newClient := func(f tlstest.Files) *diameterpeer.Client {
 		keys, err := tlskeys.Load(tlskeys.Files(f))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("loading the client's certificate: %v", err)
 		}
 		c := diameterClient(t, addr, 1)
 		c.Dial = func(ctx context.Context) (net.Conn, error) {
@@ -238,42 +246,42 @@
 		}
 		return c
 	}
-	first := client(theirs)
+	first := newClient(clientCert)
 	if o := first.Claim(t.Context(), 1); o.Code != diameter.Success || o.Body != "the answer" {
-		t.Errorf("%+v", o)
+		t.Errorf("Claim() over TLS = %+v, want code Success and body %q", o, "the answer")
 	}
-	first.Close() // a second connection of one peer is not taken beside the first
-	stranger := client(other)
+	first.Close() // a second connection of the same peer would be rejected while the first is open
+	stranger := newClient(otherCert)
 	stranger.Tries = 2
 	if o := stranger.Claim(t.Context(), 1); o.Code != 0 {
-		t.Errorf("another's certificate: %+v", o)
+		t.Errorf("Claim() with a certificate of another name = %+v, want code 0 because no connection is accepted", o)
 	}
-	if err := ca.Replace(t, ours, "proxy.kigali.example", 99*time.Hour); err != nil {
-		t.Fatal(err)
+	if err := ca.Replace(t, proxyCert, "proxy.kigali.example", 99*time.Hour); err != nil {
+		t.Fatalf("replacing the proxy's certificate: %v", err)
 	}
 	s.proxy.diameter.reload()
 	if left := s.proxy.diameter.keys.Remaining(); left < 98*time.Hour {
-		t.Errorf("%v left after the change", left)
+		t.Errorf("certificate's Remaining() after reload() = %v, want at least 98 h", left)
 	}
-	if o := client(theirs).Claim(t.Context(), 1); o.Code != diameter.Success {
-		t.Errorf("after the change: %+v", o)
+	if o := newClient(clientCert).Claim(t.Context(), 1); o.Code != diameter.Success {
+		t.Errorf("Claim() after the certificate's reload = %+v, want code Success", o)
 	}
 }
 
-// A request in flight at the end of the process gets its response, even after all HTTP requests have ended.
+// A Diameter request in flight when the process drains gets its response, even after all HTTP requests have ended.
 func TestDrainWaitsForDiameterRequests(t *testing.T) {
 	s, client := diameterStage(t, twoServices, nil)
 	s.stall["slow-5"].Store(1600)
 	outcome := make(chan diameterpeer.Outcome, 1)
 	go func() { outcome <- client.Claim(t.Context(), 6) }()
-	for begun := time.Now(); s.proxy.diameter.guard.Report().InFlight == 0; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > patience {
-			t.Fatal("the claim does not arrive")
+	for startedAt := time.Now(); s.proxy.diameter.guard.Report().InFlight == 0; time.Sleep(time.Millisecond) {
+		if time.Since(startedAt) > patience {
+			t.Fatalf("no claim is in flight at the proxy after %v", patience)
 		}
 	}
 	s.stop()
-	// its first try may have come before the ledger was read
+	// the client may have tried more than once: requests are rejected until the ledger has been read
 	if o := <-outcome; o.Code != diameter.Success || o.Unknown {
-		t.Errorf("%+v", o)
+		t.Errorf("Claim() in flight during the drain = %+v, want code Success and a known outcome", o)
 	}
 }
