--- a/internal/proxy/discoverywatch_test.go
+++ b/internal/proxy/discoverywatch_test.go
@@ -51,7 +51,7 @@
 				Constraints: decision.Constraints{MaxListAge: other.asked,
 					DrainGrace: other.grace},
 				Capabilities: decision.Capabilities{ConnectTimeout: other.connect, MaxAttempts: 1}}
-			for _, what := range []discoveryFault{refused, void, hung, rejecting, reset, half, garbled, unordered, slow} {
+			for _, what := range []discoveryFault{refused, unreachable, hung, rejecting, reset, truncated, garbled, outdated, slow} {
 				for _, by := range []string{"alone", "hub", "comeback"} {
 					t.Run(fmt.Sprintf("on request %v/asked every %v/%s/%s", onRequest, other.asked, what, by),
 						func(t *testing.T) {
@@ -60,7 +60,7 @@
 							switch { // where the time of the fault's end within a call matters
 							case by == "comeback" && !onRequest:
 								return
-							case onRequest && by == "alone" && (what == hung || what == void || what == slow):
+							case onRequest && by == "alone" && (what == hung || what == unreachable || what == slow):
 								phases = 8
 							}
 							for phase := range phases {
@@ -76,7 +76,7 @@
 func expectLearnt(t *testing.T, m decision.Config, what discoveryFault, by string, phase int) {
 	p := timingFor(&m)
 	down := p.watchHold + 3*time.Second + time.Duration(phase)*770*time.Millisecond
-	reg, up := newTroubled(), &recordingUpstream{}
+	reg, up := newFaultyDiscovery(), &recordingUpstream{}
 	log := slog.New(slog.DiscardHandler)
 	d := newDiscoveryClient("register.test:1", p, log)
 	d.dial = reg.dial(p.slack)
@@ -104,20 +104,20 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { e.Run(ctx); close(ended) }()
-	defer func() { cancel(); <-ended; reg.turn(reset); time.Sleep(time.Minute) }()
+	defer func() { cancel(); <-ended; reg.setFault(reset); time.Sleep(time.Minute) }()
 	time.Sleep(3 * time.Second)
-	reg.turn(what)
-	before := reg.made()
+	reg.setFault(what)
+	before := reg.callCount()
 	time.Sleep(down)
 	synctest.Wait()
-	made := reg.made() - before
+	made := reg.callCount() - before
 	back := time.Now()
 	most := 5500 * time.Millisecond
-	if !m.PolledDiscovery && what != hung && what != void {
+	if !m.PolledDiscovery && what != hung && what != unreachable {
 		most = m.Constraints.DrainGrace
 	}
 	if what != slow {
-		reg.turn(well)
+		reg.setFault(noFault)
 	} else if !m.PolledDiscovery { // an agent on this machine is never so slow
 		return
 	}
@@ -143,7 +143,7 @@
 			LatencyObjective: time.Second, ClientTimeout: time.Second}},
 			Constraints:  decision.Constraints{DrainGrace: 250 * time.Millisecond},
 			Capabilities: decision.Capabilities{MaxAttempts: 1}}
-		reg, up := newTroubled(), &recordingUpstream{}
+		reg, up := newFaultyDiscovery(), &recordingUpstream{}
 		d := newDiscoveryClient("register.test:1", timingFor(&m), slog.New(slog.DiscardHandler))
 		d.dial = reg.dial(time.Second)
 		known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
@@ -163,9 +163,9 @@
 			t.Error("the drain is not learnt")
 		}
 		up.mu.Unlock()
-		before := reg.made()
+		before := reg.callCount()
 		time.Sleep(10 * time.Second)
-		if made := reg.made() - before; made < 5 || made > 15 {
+		if made := reg.callCount() - before; made < 5 || made > 15 {
 			t.Errorf("%d calls in 10 s after that, each held for a second", made)
 		}
 		cancel()
@@ -319,7 +319,7 @@
 // A backend begins to drain while the watch is silent, cut or rejected, or gets invalid lists. The last valid list
 // holds meanwhile and all requests are served; the drain is learnt once discovery is back.
 func TestMissedDrain(t *testing.T) {
-	for _, what := range []discoveryFault{hung, refused, reset, rejecting, half, garbled, unordered, endless} {
+	for _, what := range []discoveryFault{hung, refused, reset, rejecting, truncated, garbled, outdated, endless} {
 		t.Run(string(what), func(t *testing.T) {
 			t.Parallel()
 			reg, known, onA, _ := startDraining(t)
@@ -327,27 +327,27 @@
 			p := startProxy(t, known, newCatalog(t), func(cfg *Config) { pushed(cfg); cfg.Discovery = addr })
 			until := func(made int) {
 				t.Helper()
-				for start := time.Now(); reg.made() < made; time.Sleep(time.Millisecond) {
+				for start := time.Now(); reg.callCount() < made; time.Sleep(time.Millisecond) {
 					if time.Since(start) > patience {
-						t.Fatalf("%d calls", reg.made())
+						t.Fatalf("%d calls", reg.callCount())
 					}
 				}
 			}
 			until(2) // the probing call, and a watch
-			reg.turn(what)
-			began, before := time.Now(), reg.made()
+			reg.setFault(what)
+			began, before := time.Now(), reg.callCount()
 			reg.drain(9)
 			until(before + 2)
 			mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 			if strings.Contains(p.logs.String(), "state=draining") {
 				t.Error("the drain is learnt from what is no list")
 			}
-			if made, most := reg.made()-before, 20+int(time.Since(began)/(20*time.Millisecond)); made > most {
+			if made, most := reg.callCount()-before, 20+int(time.Since(began)/(20*time.Millisecond)); made > most {
 				t.Errorf("%d calls in %v", made, time.Since(began))
 			}
-			reg.turn(well)
+			reg.setFault(noFault)
 			p.expectAvoided(t, onA)
-			if bad := p.proxy.counters.InvalidLists.Load() > 0; bad != (what == half || what == garbled ||
+			if bad := p.proxy.counters.InvalidLists.Load() > 0; bad != (what == truncated || what == garbled ||
 				what == endless) {
 				t.Errorf("%d bad lists are counted", p.proxy.counters.InvalidLists.Load())
 			}
--- a/internal/proxy/faultydiscovery_test.go
+++ b/internal/proxy/faultydiscovery_test.go
@@ -20,23 +20,23 @@
 type discoveryFault string
 
 const (
-	well      discoveryFault = "well"
-	refused   discoveryFault = "refused"       // no connection
-	void      discoveryFault = "no connection" // it never comes up
-	hung      discoveryFault = "hung"          // it comes up, and nothing is ever sent on it
-	rejecting discoveryFault = "rejected"      // Retry-After of a minute
-	reset     discoveryFault = "reset"
-	half      discoveryFault = "half a list"
-	garbled   discoveryFault = "garbled"
-	unordered discoveryFault = "past changes"
-	slow      discoveryFault = "slow" // each answer takes 3 s
-	endless   discoveryFault = "endless"
+	noFault     discoveryFault = "well"
+	refused     discoveryFault = "refused"       // no connection
+	unreachable discoveryFault = "no connection" // it never comes up
+	hung        discoveryFault = "hung"          // it comes up, and nothing is ever sent on it
+	rejecting   discoveryFault = "rejected"      // Retry-After of a minute
+	reset       discoveryFault = "reset"
+	truncated   discoveryFault = "half a list"
+	garbled     discoveryFault = "garbled"
+	outdated    discoveryFault = "past changes"
+	slow        discoveryFault = "slow" // each answer takes 3 s
+	endless     discoveryFault = "endless"
 )
 
 // faultyDiscovery is a stand-in for discovery within the process, so that it can run in a synctest bubble.
 type faultyDiscovery struct {
 	mu      sync.Mutex
-	now     discoveryFault
+	fault   discoveryFault
 	version int
 	state   string // of its one server
 	changed chan struct{}
@@ -47,17 +47,17 @@
 	more []string // further entries that never change
 }
 
-func newTroubled() *faultyDiscovery {
-	return &faultyDiscovery{addr: "127.0.0.1:1", now: well, version: 7, state: "active", changed: make(chan struct{}),
+func newFaultyDiscovery() *faultyDiscovery {
+	return &faultyDiscovery{addr: "127.0.0.1:1", fault: noFault, version: 7, state: "active", changed: make(chan struct{}),
 		conns: map[net.Conn]bool{}}
 }
 
-// turn begins another fault. Open calls end, or are never answered.
-func (d *faultyDiscovery) turn(now discoveryFault) {
+// setFault begins another fault. Open calls end, or are never answered.
+func (d *faultyDiscovery) setFault(now discoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	was := d.now
-	if d.now = now; now == hung || now == void || was == hung && now == well {
+	was := d.fault
+	if d.fault = now; now == hung || now == unreachable || was == hung && now == noFault {
 		return
 	}
 	for c := range d.conns {
@@ -65,8 +65,8 @@
 	}
 }
 
-// made returns how many calls there were.
-func (d *faultyDiscovery) made() int {
+// callCount returns how many calls there were.
+func (d *faultyDiscovery) callCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
@@ -85,11 +85,11 @@
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		switch d.now {
+		switch d.fault {
 		case refused:
 			d.calls++
 			return nil, syscall.ECONNREFUSED
-		case void:
+		case unreachable:
 			d.calls++
 			d.mu.Unlock()
 			defer d.mu.Lock()
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close(); d.turn(reset) })
+	t.Cleanup(func() { _ = l.Close(); d.setFault(reset) })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -117,7 +117,7 @@
 				return
 			}
 			d.mu.Lock()
-			if d.now == refused {
+			if d.fault == refused {
 				d.calls++
 				_ = c.(*net.TCPConn).SetLinger(0)
 				_ = c.Close()
@@ -146,7 +146,7 @@
 		}
 		d.mu.Lock()
 		d.calls++
-		now, version, state, changed := d.now, d.version, d.state, d.changed
+		now, version, state, changed := d.fault, d.version, d.state, d.changed
 		d.mu.Unlock()
 		query := req.URL.Query()
 		member := func() string {
@@ -157,7 +157,7 @@
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		}
 		switch now {
-		case hung, void:
+		case hung, unreachable:
 			_, _ = in.Peek(1) // until the proxy gives it up
 			return
 		case rejecting:
@@ -165,13 +165,13 @@
 			continue
 		case reset:
 			return
-		case half:
+		case truncated:
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"generation\":9,")
 			return
 		case garbled:
 			ok("<html>")
 			continue
-		case unordered:
+		case outdated:
 			ok(listText(3, false))
 			continue
 		case endless:
@@ -196,7 +196,7 @@
 				changes = append(changes, "") // as of now
 			}
 			d.mu.Lock()
-			silent := d.now == hung || d.now == void
+			silent := d.fault == hung || d.fault == unreachable
 			version, state = d.version, d.state
 			d.mu.Unlock()
 			if changes != nil {
@@ -218,7 +218,7 @@
 // startDraining returns two backends, and a discovery that lists both, the first as draining after drain.
 func startDraining(t *testing.T) (reg *faultyDiscovery, known string, onA, onB chan *http.Request) {
 	onA, onB = make(chan *http.Request, 1024), make(chan *http.Request, 1024)
-	reg = newTroubled()
+	reg = newFaultyDiscovery()
 	reg.addr = countingBackend(t, onA)
 	reg.more = []string{memberText("b", countingBackend(t, onB), "active")}
 	return reg, listText(7, true, memberText("a", reg.addr, "active"), reg.more[0]), onA, onB
@@ -226,7 +226,7 @@
 
 // awaitSecondCall waits until discovery was called twice.
 func awaitSecondCall(r *faultyDiscovery) {
-	for start := time.Now(); r.made() < 2 && time.Since(start) < patience; {
+	for start := time.Now(); r.callCount() < 2 && time.Since(start) < patience; {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -29,26 +29,26 @@
 		},
 		"the same again": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) { to(last); to(last) },
 		"refused at first": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) {
-			last.turn(refused)
+			last.setFault(refused)
 			to(last)
 			awaitSecondCall(last)
-			last.turn(well)
+			last.setFault(noFault)
 		},
 		"hung at first": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) {
-			last.turn(hung)
+			last.setFault(hung)
 			to(last)
 			awaitSecondCall(last)
-			last.turn(well)
+			last.setFault(noFault)
 		},
 		"garbled at first": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) {
-			last.turn(garbled)
+			last.setFault(garbled)
 			to(last)
 			awaitSecondCall(last)
-			last.turn(well)
+			last.setFault(noFault)
 		},
 		"the old one is cut": func(_ *running, to func(*faultyDiscovery), last,
 			other *faultyDiscovery) {
-			other.turn(reset)
+			other.setFault(reset)
 			to(last)
 		},
 	} {
@@ -56,7 +56,7 @@
 			t.Parallel()
 			other, known, onA, _ := startDraining(t) // which says nothing but that all are well, under higher numbers
 			other.version = 900
-			last := newTroubled()
+			last := newFaultyDiscovery()
 			last.addr, last.more, last.version, last.state = other.addr, other.more, 3, "leaving"
 			addrs := map[*faultyDiscovery]string{other: other.listen(t), last: last.listen(t)}
 			p := startProxy(t, strings.Replace(known, `"generation":7`, `"generation":900`, 1), newCatalog(t),
@@ -74,9 +74,9 @@
 			close(other.changed)
 			other.changed = make(chan struct{})
 			other.mu.Unlock()
-			before, asked := len(onA), last.made()
+			before, asked := len(onA), last.callCount()
 			// it goes on to be watched
-			for start := time.Now(); last.made() < asked+2; time.Sleep(20 * time.Millisecond) {
+			for start := time.Now(); last.callCount() < asked+2; time.Sleep(20 * time.Millisecond) {
 				if time.Since(start) > patience {
 					t.Fatal("the new register is watched no more")
 				}
@@ -94,7 +94,7 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			first, second, third := newTroubled(), newTroubled(), newTroubled()
+			first, second, third := newFaultyDiscovery(), newFaultyDiscovery(), newFaultyDiscovery()
 			a, b, c := first.listen(t), second.listen(t), third.listen(t)
 			known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
 			m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c",
@@ -114,7 +114,7 @@
 			go func() { e.Run(ctx); close(ended) }()
 			skipped := at(b)
 			e.Post(func() { e.SwitchSource(skipped); e.SwitchSource(at(c)) })
-			for start := time.Now(); third.made() == 0; time.Sleep(time.Millisecond) {
+			for start := time.Now(); third.callCount() == 0; time.Sleep(time.Millisecond) {
 				if time.Since(start) > patience {
 					t.Fatal("the last one is not asked")
 				}
@@ -122,7 +122,7 @@
 			time.Sleep(600 * time.Millisecond) // a reload that was not cancelled would take effect in this time
 			addr := make(chan string)
 			e.Post(func() { addr <- e.Source().Addr() })
-			if now, n := <-addr, second.made(); now != c || n != 0 || skipped.ctx.Err() == nil {
+			if now, n := <-addr, second.callCount(); now != c || n != 0 || skipped.ctx.Err() == nil {
 				t.Errorf("%s is asked, want %s; the one between was asked %d times, and is closed: %v", now, c, n,
 					skipped.ctx.Err() != nil)
 			}
