--- a/internal/proxy/discoverywatch_test.go
+++ b/internal/proxy/discoverywatch_test.go
@@ -21,50 +21,50 @@
 	"lapisspread/internal/engine"
 )
 
-// recordingUpstream is an upstream that records when it learns that its backend drains.
+// recordingUpstream is an upstream that records when a list first reports a draining backend.
 type recordingUpstream struct {
-	mu sync.Mutex
-	at time.Time
+	mu        sync.Mutex
+	drainedAt time.Time // when the drain was reported; zero before
 }
 
-func (l *recordingUpstream) Update(list List) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (u *recordingUpstream) Update(list List) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	for _, m := range list.Endpoints {
-		if m.State == decision.Draining && l.at.IsZero() {
-			l.at = time.Now()
+		if m.State == decision.Draining && u.drainedAt.IsZero() {
+			u.drainedAt = time.Now()
 		}
 	}
 }
-func (l *recordingUpstream) Find(decision.BackendID) engine.Backend { return nil }
-func (l *recordingUpstream) Release(decision.BackendID)             {}
+func (u *recordingUpstream) Find(decision.BackendID) engine.Backend { return nil }
+func (u *recordingUpstream) Release(decision.BackendID)             {}
 
-// Whatever call for the list has failed, and for however long: a drain is learnt well within 6 s of discovery being
-// back, and within its grace period where lists are pushed. The number of calls is bounded too.
+// After any fault of discovery, of any length, the proxy learns of a drain well within 6 s of discovery's recovery, and
+// within the drain's grace period if lists are pushed. The number of calls during the fault is bounded too.
 func TestDrainIsLearntSoonAfterFault(t *testing.T) {
-	for _, onRequest := range []bool{true, false} {
-		for _, other := range []struct{ asked, connect, grace time.Duration }{
+	for _, polled := range []bool{true, false} {
+		for _, timing := range []struct{ maxListAge, connect, grace time.Duration }{
 			{2 * time.Second, 30 * time.Millisecond, 500 * time.Millisecond}, {60 * time.Second, time.Second,
 				250 * time.Millisecond}} {
-			m := decision.Config{Instances: 24, Tick: 2 * time.Millisecond, PolledDiscovery: onRequest,
+			m := decision.Config{Instances: 24, Tick: 2 * time.Millisecond, PolledDiscovery: polled,
 				Classes: []decision.Class{{Name: "c", LatencyObjective: time.Second, ClientTimeout: time.Second}},
-				Constraints: decision.Constraints{MaxListAge: other.asked,
-					DrainGrace: other.grace},
-				Capabilities: decision.Capabilities{ConnectTimeout: other.connect, MaxAttempts: 1}}
-			for _, what := range []discoveryFault{refused, unreachable, hung, rejecting, reset, truncated, garbled, outdated, slow} {
-				for _, by := range []string{"alone", "hub", "comeback"} {
-					t.Run(fmt.Sprintf("on request %v/asked every %v/%s/%s", onRequest, other.asked, what, by),
+				Constraints: decision.Constraints{MaxListAge: timing.maxListAge,
+					DrainGrace: timing.grace},
+				Capabilities: decision.Capabilities{ConnectTimeout: timing.connect, MaxAttempts: 1}}
+			for _, fault := range []discoveryFault{refused, unreachable, hung, rejecting, reset, truncated, garbled, outdated, slow} {
+				for _, source := range []string{"alone", "hub", "comeback"} {
+					t.Run(fmt.Sprintf("polled %v/list age %v/%s/%s", polled, timing.maxListAge, fault, source),
 						func(t *testing.T) {
 							t.Parallel()
 							phases := 1
-							switch { // where the time of the fault's end within a call matters
-							case by == "comeback" && !onRequest:
+							switch { // several phases where it matters when within a call the fault ends
+							case source == "comeback" && !polled:
 								return
-							case onRequest && by == "alone" && (what == hung || what == unreachable || what == slow):
+							case polled && source == "alone" && (fault == hung || fault == unreachable || fault == slow):
 								phases = 8
 							}
 							for phase := range phases {
-								synctest.Test(t, func(t *testing.T) { expectLearnt(t, m, what, by, phase) })
+								synctest.Test(t, func(t *testing.T) { expectDrainReported(t, m, fault, source, phase) })
 							}
 						})
 				}
@@ -73,7 +73,10 @@
 	}
 }
 
-func expectLearnt(t *testing.T, m decision.Config, what discoveryFault, by string, phase int) {
+// expectDrainReported runs an engine against a faulty discovery and checks how soon after the fault a drain is reported
+// and how many calls are made during the fault. The source of the list is "alone" (a discovery client), "hub" (one
+// shared by services) or "comeback" (one with a list guard). Phase shifts the fault's end.
+func expectDrainReported(t *testing.T, m decision.Config, fault discoveryFault, sourceKind string, phase int) {
 	p := timingFor(&m)
 	down := p.watchHold + 3*time.Second + time.Duration(phase)*770*time.Millisecond
 	reg, up := newFaultyDiscovery(), &recordingUpstream{}
@@ -81,44 +84,44 @@
 	d := newDiscoveryClient("register.test:1", p, log)
 	d.dial = reg.dial(p.slack)
 	known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
-	var asked engine.Source = d
-	switch by {
+	var source engine.Source = d
+	switch sourceKind {
 	case "hub":
-		asked = discovery.NewRegistry(p.maxBackoff, func(string) engine.Source { return d }).Subscribe(d.addr, known)
+		source = discovery.NewRegistry(p.maxBackoff, func(string) engine.Source { return d }).Subscribe(d.addr, known)
 	case "comeback":
-		f, err := guardedsource.Parse("comeback.toml", []byte("version = 1\n[calls]\nrate = 4.0\n"))
+		settings, err := guardedsource.Parse("comeback.toml", []byte("version = 1\n[calls]\nrate = 4.0\n"))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("guardedsource.Parse(): %v", err)
 		}
-		w := guardedsource.NewCoordinator(f, m.Instances, uint64(phase), engine.NewClock().Now,
+		w := guardedsource.NewCoordinator(settings, m.Instances, uint64(phase), engine.NewClock().Now,
 			log).LimitBackoff(p.maxBackoff).Wrap("", d, known)
 		d.watchHold = func() time.Duration { return w.WatchTimeout(p.watchHold) }
-		down += 20 * time.Second // which is how long it holds them
-		asked = w
+		down += 20 * time.Second // the list guard retains endpoints for this long
+		source = w
 	}
 	e, err := engine.New(engine.Options{Decision: m, Seed: uint64(phase), InitialEndpoints: known, Upstream: up,
-		Source: asked, Log: log})
+		Source: source, Log: log})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("engine.New(): %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { e.Run(ctx); close(ended) }()
 	defer func() { cancel(); <-ended; reg.setFault(reset); time.Sleep(time.Minute) }()
 	time.Sleep(3 * time.Second)
-	reg.setFault(what)
+	reg.setFault(fault)
 	before := reg.callCount()
 	time.Sleep(down)
 	synctest.Wait()
-	made := reg.callCount() - before
-	back := time.Now()
-	most := 5500 * time.Millisecond
-	if !m.PolledDiscovery && what != hung && what != unreachable {
-		most = m.Constraints.DrainGrace
+	calls := reg.callCount() - before
+	recoveredAt := time.Now()
+	limit := 5500 * time.Millisecond
+	if !m.PolledDiscovery && fault != hung && fault != unreachable {
+		limit = m.Constraints.DrainGrace
 	}
-	if what != slow {
+	if fault != slow {
 		reg.setFault(noFault)
-	} else if !m.PolledDiscovery { // an agent on this machine is never so slow
+	} else if !m.PolledDiscovery { // an agent on the same machine never takes seconds
 		return
 	}
 	reg.drain(12)
@@ -126,17 +129,18 @@
 	synctest.Wait()
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	if took := up.at.Sub(back); up.at.IsZero() || took > most {
-		t.Errorf("down for %v, with %d calls meanwhile: the drain is learnt after %v, %v at most", down, made, took,
-			most)
+	if took := up.drainedAt.Sub(recoveredAt); up.drainedAt.IsZero() || took > limit {
+		t.Errorf("drain reported %v after a fault of %v with %d calls (reported at all: %v), want at most %v", took, down,
+			calls, !up.drainedAt.IsZero(), limit)
 	}
-	rest := max(p.maxBackoff, 50*time.Millisecond)
-	if bound := 20 + 4*int(down/rest); made > bound {
-		t.Errorf("%d calls in %v, the rest is %v at most", made, down, rest)
+	backoff := max(p.maxBackoff, 50*time.Millisecond)
+	if bound := 20 + 4*int(down/backoff); calls > bound {
+		t.Errorf("%d calls during a fault of %v, want at most %d with a longest backoff of %v", calls, down, bound, backoff)
 	}
 }
 
-// Discovery that restarts its versions is asked for the whole list, and its changes don't count as old ones.
+// If discovery restarts its versions, the proxy fetches the whole list and applies later changes, although their
+// versions are lower than those before the restart.
 func TestDiscoveryVersionRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := decision.Config{Instances: 1, Tick: time.Millisecond, Classes: []decision.Class{{Name: "c",
@@ -149,7 +153,7 @@
 		known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
 		e, err := engine.New(engine.Options{Decision: m, InitialEndpoints: known, Upstream: up, Source: d})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("engine.New(): %v", err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
@@ -159,21 +163,21 @@
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
 		up.mu.Lock()
-		if up.at.IsZero() {
-			t.Error("the drain is not learnt")
+		if up.drainedAt.IsZero() {
+			t.Error("drain under a lower version was not reported within 100 ms")
 		}
 		up.mu.Unlock()
 		before := reg.callCount()
 		time.Sleep(10 * time.Second)
-		if made := reg.callCount() - before; made < 5 || made > 15 {
-			t.Errorf("%d calls in 10 s after that, each held for a second", made)
+		if calls := reg.callCount() - before; calls < 5 || calls > 15 {
+			t.Errorf("%d calls in 10 s after the restart, want 5 to 15, since each is held for a second", calls)
 		}
 		cancel()
 		<-ended
 	})
 }
 
-// Discovery that answers each watch at once without news is polled with pauses; news is taken in at once.
+// If discovery answers each watch at once without news, the proxy pauses between calls.
 func TestAnswersWithoutNewsArePaced(t *testing.T) {
 	for name, answer := range map[string]string{"no changes": listText(7, false), "the same list": listText(7, true),
 		"past changes": listText(3, false, memberText("a", "127.0.0.1:1", "active"))} {
@@ -181,12 +185,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := newDiscoveryClient("register.test:1", discoveryTiming{watchHold: time.Second, slack: time.Second,
 					fetchTimeout: time.Second}, slog.New(slog.DiscardHandler))
-				calls := 0 // of one goroutine at a time
+				calls := 0 // changed by one goroutine at a time
 				d.dial = func(context.Context, string, string) (net.Conn, error) {
-					ours, theirs := net.Pipe()
+					near, far := net.Pipe()
 					go func() {
-						defer func() { _ = theirs.Close() }()
-						in := bufio.NewReader(theirs)
+						defer func() { _ = far.Close() }()
+						in := bufio.NewReader(far)
 						for {
 							req, err := http.ReadRequest(in)
 							if err != nil {
@@ -200,45 +204,46 @@
 							if !req.URL.Query().Has("from") {
 								text = listText(7, true)
 							}
-							_, _ = fmt.Fprintf(theirs, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text),
+							_, _ = fmt.Fprintf(far, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text),
 								text)
 						}
 					}()
-					return ours, nil
+					return near, nil
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
 				if err := d.Watch(ctx, 7, func(List) {}); !errors.Is(err, context.DeadlineExceeded) {
-					t.Error(err)
+					t.Errorf("Watch() ended with %v, want context.DeadlineExceeded", err)
 				}
 				d.Close()
 				synctest.Wait()
 				if calls < 50 || calls > 200 {
-					t.Errorf("%d calls in 10 s", calls)
+					t.Errorf("%d calls in 10 s, want 50 to 200", calls)
 				}
 			})
 		})
 	}
 }
 
-// stoppedReader is a socket whose reader stops before each read, as in a stopped process, until it is released.
+// stoppedReader is a socket whose reader stops before each read until it is released, as in a stopped process.
 type stoppedReader struct {
 	*net.TCPConn
-	stands, goOn chan struct{}
+	stopped chan struct{} // gets a value when a read stops
+	resume  chan struct{} // lets one read go on; closed, it lets all go on
 }
 
 func (c *stoppedReader) Read(p []byte) (int, error) {
-	c.stands <- struct{}{}
-	<-c.goOn
+	c.stopped <- struct{}{}
+	<-c.resume
 	return c.TCPConn.Read(p)
 }
 
-// A process that was stopped past its call's timeout finds the answer in its socket: the answer counts, and the call is
-// not repeated.
+// A process that was stopped past its call's timeout finds the answer in its socket: the answer is used, and the call
+// is not repeated.
 func TestUnreadAnswerIsNoTimeout(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening for discovery: %v", err)
 	}
 	defer func() { _ = l.Close() }()
 	second, written := make(chan struct{}), make(chan struct{})
@@ -257,99 +262,99 @@
 		}
 		answer(listText(7, true))
 		<-second
-		answer(listText(8, false)) // it stands there before the call is made
+		answer(listText(8, false)) // it is in the socket before the call is made
 		close(written)
 		_, _ = io.Copy(io.Discard, in)
 	}()
 	d := newDiscoveryClient(l.Addr().String(), discoveryTiming{slack: patience}, slog.New(slog.DiscardHandler))
 	defer d.Close()
 	d.lateReadGrace = patience
-	stands, goOn, dials := make(chan struct{}, 100), make(chan struct{}, 1), 0
+	stopped, resume, dials := make(chan struct{}, 100), make(chan struct{}, 1), 0
 	d.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dials++
 		nc, err := new(net.Dialer).DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &stoppedReader{nc.(*net.TCPConn), stands, goOn}, nil
+		return &stoppedReader{nc.(*net.TCPConn), stopped, resume}, nil
 	}
-	goOn <- struct{}{}
+	resume <- struct{}{}
 	if _, err := d.call(t.Context(), "", patience); err != nil {
-		t.Fatal(err)
+		t.Fatalf("first call(): %v", err)
 	}
-	within(t, stands, "nothing is read")
-	within(t, stands, "the next answer is not waited for")
+	within(t, stopped, "the client did not read the first answer")
+	within(t, stopped, "the client did not read on after the first answer")
 	close(second)
-	within(t, written, "nothing is written")
+	within(t, written, "the second answer was not written")
 	go func() {
-		time.Sleep(600 * time.Millisecond) // the call's time is up
-		close(goOn)
+		time.Sleep(600 * time.Millisecond) // the call's timeout has passed
+		close(resume)
 	}()
 	list, err := d.call(t.Context(), watchQuery(7, probeHold), 300*time.Millisecond)
 	if err != nil || list.Version != 8 || dials != 1 {
-		t.Errorf("%+v, %v; %d connections", list, err, dials)
+		t.Errorf("call() = %+v, error %v on %d connections; want version 8 on 1 connection", list, err, dials)
 	}
 }
 
-// pushed has a proxy watch an agent on its machine with the timing of its settings.
+// pushed configures a proxy for pushed lists: it watches an agent on its own machine with the timing for that.
 func pushed(cfg *Config) {
 	cfg.Decision.PolledDiscovery = false
 	cfg.timing = timingFor(&cfg.Decision)
 }
 
-// expectAvoided waits until a proxy has learnt that a backend drains, and checks that nothing is sent to it from then
-// on.
-func (p *running) expectAvoided(t *testing.T, on chan *http.Request) {
+// expectAvoided waits until a proxy has logged that a backend drains, and checks that the backend, whose requests
+// arrive on the channel, gets none from then on.
+func (p *running) expectAvoided(t *testing.T, requests chan *http.Request) {
 	t.Helper()
 	for start := time.Now(); !strings.Contains(p.logs.String(), "state=draining"); time.Sleep(time.Millisecond) {
 		if time.Since(start) > patience {
-			t.Fatal("the drain is not learnt")
+			t.Fatalf("the proxy has not logged a draining backend after %v", patience)
 		}
 	}
-	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, "")) // the list was logged just before it was handed on
-	before := len(on)
+	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, "")) // the list is logged just before it is passed to the engine
+	before := len(requests)
 	for range 20 {
 		mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 	}
-	if n := len(on) - before; n != 0 {
-		t.Errorf("%d requests to the draining server", n)
+	if n := len(requests) - before; n != 0 {
+		t.Errorf("%d requests to the draining backend, want 0", n)
 	}
 }
 
-// A backend begins to drain while the watch is silent, cut or rejected, or gets invalid lists. The last valid list
-// holds meanwhile and all requests are served; the drain is learnt once discovery is back.
+// A backend starts to drain while the watch gets no answer, is interrupted or rejected, or gets invalid lists. The last
+// valid list is used meanwhile and all requests are served. The drain is reported once discovery has recovered.
 func TestMissedDrain(t *testing.T) {
-	for _, what := range []discoveryFault{hung, refused, reset, rejecting, truncated, garbled, outdated, endless} {
-		t.Run(string(what), func(t *testing.T) {
+	for _, fault := range []discoveryFault{hung, refused, reset, rejecting, truncated, garbled, outdated, endless} {
+		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
 			reg, known, onA, _ := startDraining(t)
 			addr := reg.listen(t)
 			p := startProxy(t, known, newCatalog(t), func(cfg *Config) { pushed(cfg); cfg.Discovery = addr })
-			until := func(made int) {
+			waitForCalls := func(count int) {
 				t.Helper()
-				for start := time.Now(); reg.callCount() < made; time.Sleep(time.Millisecond) {
+				for start := time.Now(); reg.callCount() < count; time.Sleep(time.Millisecond) {
 					if time.Since(start) > patience {
-						t.Fatalf("%d calls", reg.callCount())
+						t.Fatalf("discovery got %d calls in %v, want %d", reg.callCount(), patience, count)
 					}
 				}
 			}
-			until(2) // the probing call, and a watch
-			reg.setFault(what)
-			began, before := time.Now(), reg.callCount()
+			waitForCalls(2) // the probing call and a watch
+			reg.setFault(fault)
+			startedAt, before := time.Now(), reg.callCount()
 			reg.drain(9)
-			until(before + 2)
+			waitForCalls(before + 2)
 			mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 			if strings.Contains(p.logs.String(), "state=draining") {
-				t.Error("the drain is learnt from what is no list")
+				t.Error("the proxy logged a drain during the fault, want none before discovery has recovered")
 			}
-			if made, most := reg.callCount()-before, 20+int(time.Since(began)/(20*time.Millisecond)); made > most {
-				t.Errorf("%d calls in %v", made, time.Since(began))
+			if calls, limit := reg.callCount()-before, 20+int(time.Since(startedAt)/(20*time.Millisecond)); calls > limit {
+				t.Errorf("%d calls in %v during the fault, want at most %d", calls, time.Since(startedAt), limit)
 			}
 			reg.setFault(noFault)
 			p.expectAvoided(t, onA)
-			if bad := p.proxy.counters.InvalidLists.Load() > 0; bad != (what == truncated || what == garbled ||
-				what == endless) {
-				t.Errorf("%d bad lists are counted", p.proxy.counters.InvalidLists.Load())
+			invalid := fault == truncated || fault == garbled || fault == endless
+			if counted := p.proxy.counters.InvalidLists.Load() > 0; counted != invalid {
+				t.Errorf("InvalidLists = %d, want it above 0: %v", p.proxy.counters.InvalidLists.Load(), invalid)
 			}
 		})
 	}
--- a/internal/proxy/endpointlist_bench_test.go
+++ b/internal/proxy/endpointlist_bench_test.go
@@ -9,8 +9,8 @@
 	config "lapisspread/internal/services"
 )
 
-// listOf returns a whole list of so many endpoints, with one kind for each 38 of them.
-func listOf(servers int) string {
+// fullListText returns a full list with the given number of endpoints, with a machine type of its own for each 38.
+func fullListText(servers int) string {
 	var all []string
 	for i := range servers {
 		text := memberText(fmt.Sprintf("dispatch-r%d-z%02d-%05d", i%7, i%22, i), fmt.Sprintf("10.%d.%d.%d:8080",
@@ -20,16 +20,16 @@
 	return listText(1, true, all...)
 }
 
-// BenchmarkList parses a whole list and filters it for the services that take one kind each.
+// BenchmarkList parses a full list, and filters it for a service that uses one machine type.
 // The metric list-B is the length of the list in bytes.
 func BenchmarkList(b *testing.B) {
 	for _, servers := range []int{1000, 4000, 13_000, 26_000, 53_000} {
 		b.Run(fmt.Sprintf("read=%d", servers), func(b *testing.B) {
-			text := []byte(listOf(servers))
+			text := []byte(fullListText(servers))
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := parseList(text); err != nil {
-					b.Fatal(err)
+					b.Fatalf("parseList(): %v", err)
 				}
 			}
 			b.ReportMetric(float64(len(text)), "list-B")
@@ -37,28 +37,28 @@
 	}
 	for _, servers := range []int{1000, 4000, 13_000, 26_000, 53_000} {
 		b.Run(fmt.Sprintf("picked=%d", servers), func(b *testing.B) {
-			list, err := parseList([]byte(listOf(servers)))
+			list, err := parseList([]byte(fullListText(servers)))
 			if err != nil {
-				b.Fatal(err)
+				b.Fatalf("parseList(): %v", err)
 			}
-			part := filteredSource{nil, config.Service{Kinds: []string{"kind-0007"}}}
+			source := filteredSource{nil, config.Service{Kinds: []string{"kind-0007"}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				if got := part.filter(list); len(got.Endpoints) != 38 {
-					b.Fatal(len(got.Endpoints))
+				if got := source.filter(list); len(got.Endpoints) != 38 {
+					b.Fatalf("filter() kept %d endpoints, want 38", len(got.Endpoints))
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkUpdate takes a whole list into a service's pool.
+// BenchmarkUpdate updates a service's connection pool with a full list.
 func BenchmarkUpdate(b *testing.B) {
 	for _, servers := range []int{38, 150, 600, 2400} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			list, err := parseList([]byte(listOf(servers)))
+			list, err := parseList([]byte(fullListText(servers)))
 			if err != nil {
-				b.Fatal(err)
+				b.Fatalf("parseList(): %v", err)
 			}
 			p := newPool(1000, 1, 1)
 			var up engine.Upstream = p
--- a/internal/proxy/hotrestart_test.go
+++ b/internal/proxy/hotrestart_test.go
@@ -12,37 +12,37 @@
 	"time"
 )
 
-// startSharing starts a process of a proxy on a socket that is passed from one process to the next.
-func startSharing(t *testing.T, held *net.TCPListener, dir, known string) *running {
+// startOnSharedSocket starts a proxy process on a socket that is passed from one process to the next.
+func startOnSharedSocket(t *testing.T, shared *net.TCPListener, dir, known string) *running {
 	t.Helper()
 	cfg, err := parseConfig(configText(known))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parseConfig(): %v", err)
 	}
 	cfg.StateDir, cfg.PassedSocket, cfg.timing = dir, "3", untilTold
-	file, err := held.File()
+	file, err := shared.File()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("duplicating the shared socket: %v", err)
 	}
 	defer func() { _ = file.Close() }()
 	listener, err := net.FileListener(file)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("FileListener() of the shared socket: %v", err)
 	}
 	p := serveOn(t, cfg, listener)
-	eventually(t, "it does not serve", p.proxy.ready.Load)
+	eventually(t, "the proxy is not ready", p.proxy.ready.Load)
 	return p
 }
 
 // During a hot restart with a request in flight, and clients that keep connecting to the shared socket, the old process
 // answers the request and each new client is served by one of the two.
 func TestHotRestartWithRequestInOldProcess(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	shared, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening on the shared socket: %v", err)
 	}
-	defer func() { _ = held.Close() }()
-	came, release := make(chan bool, 1), make(chan bool)
+	defer func() { _ = shared.Close() }()
+	received, release := make(chan bool, 1), make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(in)
@@ -51,57 +51,57 @@
 			}
 			_, _ = io.Copy(io.Discard, req.Body)
 			if req.Method == "POST" {
-				came <- true
+				received <- true
 				<-release
 			}
 			writeText(c, served)
 		}
 	})
 	known, dir := listText(1, true, memberText("a", addr, "active")), t.TempDir()
-	before := startSharing(t, held.(*net.TCPListener), dir, known)
-	idle := silentConns(t, before.addr, 1)[0]
-	answered := make(chan error, 1)
+	previous := startOnSharedSocket(t, shared.(*net.TCPListener), dir, known)
+	idle := silentConns(t, previous.addr, 1)[0]
+	responded := make(chan error, 1)
 	go func() {
-		resp, body, err := before.request(t, "hand-in", 19000, "homework")
+		resp, body, err := previous.request(t, "hand-in", 19000, "homework")
 		if err == nil && (resp.StatusCode != 200 || body != "fine" || !resp.Close) {
-			err = fmt.Errorf("status %d, %q, closes %v", resp.StatusCode, body, resp.Close)
+			err = fmt.Errorf("status %d, body %q, close announced %v; want 200, \"fine\" and a close", resp.StatusCode, body, resp.Close)
 		}
-		answered <- err
+		responded <- err
 	}()
-	within(t, came, "the backend got nothing")
-	comes := func(n int) {
+	within(t, received, "the backend got no request")
+	requestAll := func(n int) {
 		t.Helper()
 		for range n {
-			mustRespond(t, 200)(before.request(t, "fetch-work", 19000, ""))
+			mustRespond(t, 200)(previous.request(t, "fetch-work", 19000, ""))
 		}
 	}
-	after := startSharing(t, held.(*net.TCPListener), dir, known)
-	eventually(t, "the old process is not told of the new one", before.proxy.store.Superseded)
-	if after.proxy.store.Superseded() {
-		t.Error("the new process takes the old one for its successor")
+	next := startOnSharedSocket(t, shared.(*net.TCPListener), dir, known)
+	eventually(t, "the old process has not noticed the new one", previous.proxy.store.Superseded)
+	if next.proxy.store.Superseded() {
+		t.Error("Superseded() of the new process = true, want false")
 	}
-	comes(20)
-	before.ending(t)
-	comes(20)
+	requestAll(20)
+	previous.ending(t)
+	requestAll(20)
 	_ = idle.SetReadDeadline(time.Now().Add(patience))
-	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the old process is past taking connections
-		t.Errorf("the idle connection: %v, want its end", err)
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the old process no longer accepts connections
+		t.Errorf("read on the idle connection of the old process: error %v, want io.EOF", err)
 	}
-	select { // it must not end with that request in flight
-	case err := <-before.done:
-		before.done <- err
-		t.Errorf("the old process has ended before its request has, with %v", err)
+	select { // the old process must not end while the request is in flight
+	case err := <-previous.done:
+		previous.done <- err
+		t.Errorf("the old process ended with a request in flight: error %v, want it to wait for the response", err)
 	case <-time.After(100 * time.Millisecond):
 	}
 	close(release)
-	if err := within(t, answered, "no answer"); err != nil {
+	if err := within(t, responded, "the request in the old process got no response"); err != nil {
 		t.Errorf("the request in the old process: %v", err)
 	}
-	before.ended(t)
-	comes(20)
+	previous.ended(t)
+	requestAll(20)
 }
 
-// A process is ready without discovery: it need not have an endpoint list, nor know a backend.
+// A process becomes ready without discovery, also without an endpoint list or a known backend.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	silent := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	closing := rawBackend(t, func(int, net.Conn, *bufio.Reader) {})
@@ -116,7 +116,7 @@
 				_ = conn.SetReadDeadline(time.Now().Add(patience))
 				resp, body := mustRespond(t, 200)(readFinalResponse(bufio.NewReader(conn)))
 				if strings.TrimSpace(body) != "ok" || resp.Close {
-					t.Errorf("%q, closes %v", body, resp.Close)
+					t.Errorf("GET /_health: body %q, close announced %v; want \"ok\" and an open connection", body, resp.Close)
 				}
 			})
 		}
