--- a/internal/proxy/faultydiscovery_test.go
+++ b/internal/proxy/faultydiscovery_test.go
@@ -16,15 +16,15 @@
 	"time"
 )
 
-// discoveryFault is what happens to calls for the list.
+// discoveryFault is how calls for the endpoint list fail.
 type discoveryFault string
 
 const (
 	noFault     discoveryFault = "well"
 	refused     discoveryFault = "refused"       // no connection
-	unreachable discoveryFault = "no connection" // it never comes up
-	hung        discoveryFault = "hung"          // it comes up, and nothing is ever sent on it
-	rejecting   discoveryFault = "rejected"      // Retry-After of a minute
+	unreachable discoveryFault = "no connection" // a connect gets no reply
+	hung        discoveryFault = "hung"          // connections are accepted, and calls get no answer
+	rejecting   discoveryFault = "rejected"      // status 503 with a Retry-After of a minute
 	reset       discoveryFault = "reset"
 	truncated   discoveryFault = "half a list"
 	garbled     discoveryFault = "garbled"
@@ -33,18 +33,19 @@
 	endless     discoveryFault = "endless"
 )
 
-// faultyDiscovery is a stand-in for discovery within the process, so that it can run in a synctest bubble.
+// faultyDiscovery simulates a discovery service with faults. It runs within the process, so that it can be used in a
+// synctest bubble.
 type faultyDiscovery struct {
 	mu      sync.Mutex
 	fault   discoveryFault
 	version int
-	state   string // of its one server
+	state   string // of its backend
 	changed chan struct{}
 	conns   map[net.Conn]bool
 	calls   int
 
-	addr string   // of its server
-	more []string // further entries that never change
+	addr string   // of its backend
+	more []string // further entries of the list, which never change
 }
 
 func newFaultyDiscovery() *faultyDiscovery {
@@ -52,12 +53,13 @@
 		conns: map[net.Conn]bool{}}
 }
 
-// setFault begins another fault. Open calls end, or are never answered.
-func (d *faultyDiscovery) setFault(now discoveryFault) {
+// setFault switches to another fault. Calls in flight are closed, or stay unanswered if either fault is hung or
+// unreachable.
+func (d *faultyDiscovery) setFault(fault discoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	was := d.fault
-	if d.fault = now; now == hung || now == unreachable || was == hung && now == noFault {
+	previous := d.fault
+	if d.fault = fault; fault == hung || fault == unreachable || previous == hung && fault == noFault {
 		return
 	}
 	for c := range d.conns {
@@ -65,14 +67,14 @@
 	}
 }
 
-// callCount returns how many calls there were.
+// callCount returns the number of calls so far, with refused connects.
 func (d *faultyDiscovery) callCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// drain has the list say that its backend drains.
+// drain lists the backend as draining under the given version, and answers the watches that are held.
 func (d *faultyDiscovery) drain(version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,6 +83,7 @@
 	d.changed = make(chan struct{})
 }
 
+// dial returns a dial function that connects to d, or fails by its fault; an unreachable connect times out after slack.
 func (d *faultyDiscovery) dial(slack time.Duration) func(ctx context.Context, _, _ string) (net.Conn, error) {
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
 		d.mu.Lock()
@@ -95,19 +98,19 @@
 			defer d.mu.Lock()
 			return nil, errors.Join(sleep(ctx, slack), errors.New("i/o timeout"))
 		}
-		ours, theirs := net.Pipe()
-		d.conns[theirs] = true
-		go d.serve(theirs)
-		return ours, nil
+		near, far := net.Pipe()
+		d.conns[far] = true
+		go d.serve(far)
+		return near, nil
 	}
 }
 
-// listen serves on a socket, and returns its address.
+// listen serves on a loopback socket until the test ends and returns its address.
 func (d *faultyDiscovery) listen(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening for the faulty discovery: %v", err)
 	}
 	t.Cleanup(func() { _ = l.Close(); d.setFault(reset) })
 	go func() {
@@ -131,6 +134,7 @@
 	return l.Addr().String()
 }
 
+// serve answers the calls on one connection according to the fault at the time of each.
 func (d *faultyDiscovery) serve(c net.Conn) {
 	defer func() {
 		d.mu.Lock()
@@ -146,7 +150,7 @@
 		}
 		d.mu.Lock()
 		d.calls++
-		now, version, state, changed := d.fault, d.version, d.state, d.changed
+		fault, version, state, changed := d.fault, d.version, d.state, d.changed
 		d.mu.Unlock()
 		query := req.URL.Query()
 		member := func() string {
@@ -156,9 +160,9 @@
 		ok := func(text string) {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		}
-		switch now {
+		switch fault {
 		case hung, unreachable:
-			_, _ = in.Peek(1) // until the proxy gives it up
+			_, _ = in.Peek(1) // until the proxy closes the connection
 			return
 		case rejecting:
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Later\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
@@ -193,7 +197,7 @@
 			case <-gone:
 				return
 			case <-changed:
-				changes = append(changes, "") // as of now
+				changes = append(changes, "") // filled in below with the state at that time
 			}
 			d.mu.Lock()
 			silent := d.fault == hung || d.fault == unreachable
@@ -205,7 +209,7 @@
 			if !silent {
 				ok(listText(version, false, changes...))
 			}
-			<-gone // the next call, or the end of this one
+			<-gone // the next call has arrived, or the connection was closed
 			if silent {
 				return
 			}
@@ -215,7 +219,8 @@
 	}
 }
 
-// startDraining returns two backends, and a discovery that lists both, the first as draining after drain.
+// startDraining starts two backends and a discovery that lists both, the first one as draining once drain is called. It
+// returns the discovery, its first list, and the requests that each backend gets.
 func startDraining(t *testing.T) (reg *faultyDiscovery, known string, onA, onB chan *http.Request) {
 	onA, onB = make(chan *http.Request, 1024), make(chan *http.Request, 1024)
 	reg = newFaultyDiscovery()
@@ -224,7 +229,7 @@
 	return reg, listText(7, true, memberText("a", reg.addr, "active"), reg.more[0]), onA, onB
 }
 
-// awaitSecondCall waits until discovery was called twice.
+// awaitSecondCall waits until discovery has got two calls, for patience at most.
 func awaitSecondCall(r *faultyDiscovery) {
 	for start := time.Now(); r.callCount() < 2 && time.Since(start) < patience; {
 		time.Sleep(time.Millisecond)
--- a/internal/proxy/httpframe/scanner.go
+++ b/internal/proxy/httpframe/scanner.go
@@ -1,8 +1,8 @@
 // Package httpframe finds the boundaries of HTTP/1.1 requests in the bytes that a client sends.
 //
-// net/http silently ignores a Content-Length beside a Transfer-Encoding. A server that goes by the other of the two
+// net/http silently ignores a Content-Length beside a Transfer-Encoding. A server that uses the other of the two
 // would find a second request inside the body (request smuggling). A Scanner therefore reads the same bytes beside
-// net/http and reports what each head said of its body, so that ambiguous requests can be rejected.
+// net/http and reports how each head delimits its body, so that ambiguous requests can be rejected.
 package httpframe
 
 import (
@@ -14,18 +14,18 @@
 type Framing struct {
 	Length    int64 // Content-Length in bytes; -1 if there is none
 	Chunked   bool  // Transfer-Encoding: chunked
-	Ambiguous bool  // the body's end is given more than once, in both ways, or in a form that can't be read
+	Ambiguous bool  // the length is given more than once, in both ways, or in an invalid form
 }
 
 // Scanner follows the requests on one connection. The zero value is ready for the first byte of a connection.
 // It is not safe for concurrent use.
 type Scanner struct {
 	state     scanState
-	line      []byte  // the current line of a head, chunk size or trailer, up to maxLineBytes
-	head      Framing // of the request being read
-	started   bool    // the request line has been read
-	remaining int64   // bytes left of the body or of the current chunk
-	heads     []Framing
+	line      []byte    // the current line of a head, chunk size or trailer, up to maxLineBytes
+	head      Framing   // of the request being read
+	started   bool      // the request line has been read
+	remaining int64     // bytes left of the body or of the current chunk
+	heads     []Framing // of the heads scanned and not yet returned by NextFraming, in order
 }
 
 // scanState is the part of a request that the next byte belongs to.
@@ -38,13 +38,13 @@
 	stateChunk
 	stateChunkEnd
 	stateTrailer
-	stateInvalid // the bytes can't be followed any more: net/http ends the connection
+	stateInvalid // the framing is ambiguous or invalid: net/http closes the connection
 )
 
-// maxLineBytes is how many bytes of a line are kept. The header lines that matter here are short.
+// maxLineBytes is the number of bytes of a line that are kept. The header lines that are evaluated are short.
 const maxLineBytes = 256
 
-// Scan follows b up to the end of the current request and returns how many bytes of b belong to it.
+// Scan scans b up to the end of the current request and returns how many bytes of b belong to it.
 func (s *Scanner) Scan(b []byte) int {
 	for i := 0; i < len(b); {
 		var ended bool
@@ -78,7 +78,7 @@
 	return len(b)
 }
 
-// skip passes over n bytes of a body or chunk and reports whether the request ends with them.
+// skip skips n bytes of a body or chunk and reports whether the request ends with them.
 func (s *Scanner) skip(n int64) bool {
 	s.remaining -= n
 	if s.remaining > 0 {
@@ -96,14 +96,14 @@
 	return s.state == stateHead && !s.started && len(s.line) == 0
 }
 
-// HeadComplete reports whether a whole head has been scanned whose request is not finished: its framing was not
+// HeadComplete reports whether a complete head has been scanned whose request is not finished: its framing was not
 // taken by NextFraming, or its body has not ended.
 func (s *Scanner) HeadComplete() bool {
 	return len(s.heads) > 0 || s.state != stateHead && s.state != stateInvalid
 }
 
-// NextFraming returns the framing of the next request in the order of arrival, once each. It reports false if no
-// further head is complete.
+// NextFraming returns the framing of the next request in the order of arrival, once each. The second result is
+// false if no further head is complete.
 func (s *Scanner) NextFraming() (Framing, bool) {
 	if len(s.heads) == 0 {
 		return Framing{}, false
@@ -119,7 +119,7 @@
 	s.remaining = 0
 }
 
-// endsRequest takes in a whole line outside the body and reports whether the request ends with it.
+// endsRequest processes a complete line outside the body and reports whether the request ends with it.
 func (s *Scanner) endsRequest(line []byte) bool {
 	switch s.state {
 	case stateHead:
--- a/internal/proxy/httpframe/scanner_test.go
+++ b/internal/proxy/httpframe/scanner_test.go
@@ -9,44 +9,44 @@
 	const plainHead = "GET / HTTP/1.1\r\nHost: s\r\n\r\n"
 	for name, c := range map[string]struct {
 		text string
-		ends []int // lengths of the messages
+		ends []int // lengths of the complete requests in bytes
 		want []Framing
 	}{
-		"no body":           {plainHead + plainHead, []int{27, 27}, []Framing{{Length: -1}, {Length: -1}}},
-		"length":            {"POST / HTTP/1.1\r\ncontent-Length: 3\r\n\r\nabc" + plainHead, []int{41, 27}, []Framing{{Length: 3}, {Length: -1}}},
-		"bare line feeds":   {"POST / HTTP/1.1\nContent-Length: 3\n\nabc", []int{38}, []Framing{{Length: 3}}},
-		"chunks":            {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nab\n\r\n0\r\nT: 1\r\n\r\n" + plainHead, []int{70, 27}, []Framing{{Length: -1, Chunked: true}, {Length: -1}}},
-		"both":              {"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + plainHead, nil, []Framing{{Length: 3, Chunked: true, Ambiguous: true}}},
-		"both, other way":   {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", nil, []Framing{{Length: 3, Chunked: true, Ambiguous: true}}},
-		"two lengths":       {"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", nil, []Framing{{Length: 3, Ambiguous: true}}},
-		"negative":          {"POST / HTTP/1.1\r\nContent-Length: -3\r\n\r\nabc", nil, []Framing{{Length: 0, Ambiguous: true}}},
-		"folded":            {"POST / HTTP/1.1\r\nTransfer-Encoding:\r\n chunked\r\n\r\n", nil, []Framing{{Length: -1, Chunked: true, Ambiguous: true}}},
-		"other encoding":    {"POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", nil, []Framing{{Length: -1, Chunked: true, Ambiguous: true}}},
-		"chunk of no size":  {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n" + plainHead, nil, []Framing{{Length: -1, Chunked: true}}},
-		"a name in a value": {"GET / HTTP/1.1\r\nX: Content-Length: 3\r\n\r\n", []int{40}, []Framing{{Length: -1}}},
+		"no body":                    {plainHead + plainHead, []int{27, 27}, []Framing{{Length: -1}, {Length: -1}}},
+		"Content-Length":             {"POST / HTTP/1.1\r\ncontent-Length: 3\r\n\r\nabc" + plainHead, []int{41, 27}, []Framing{{Length: 3}, {Length: -1}}},
+		"bare line feeds":            {"POST / HTTP/1.1\nContent-Length: 3\n\nabc", []int{38}, []Framing{{Length: 3}}},
+		"chunked":                    {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nab\n\r\n0\r\nT: 1\r\n\r\n" + plainHead, []int{70, 27}, []Framing{{Length: -1, Chunked: true}, {Length: -1}}},
+		"Content-Length and chunked": {"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + plainHead, nil, []Framing{{Length: 3, Chunked: true, Ambiguous: true}}},
+		"chunked and Content-Length": {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", nil, []Framing{{Length: 3, Chunked: true, Ambiguous: true}}},
+		"duplicate Content-Length":   {"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", nil, []Framing{{Length: 3, Ambiguous: true}}},
+		"negative Content-Length":    {"POST / HTTP/1.1\r\nContent-Length: -3\r\n\r\nabc", nil, []Framing{{Length: 0, Ambiguous: true}}},
+		"folded header":              {"POST / HTTP/1.1\r\nTransfer-Encoding:\r\n chunked\r\n\r\n", nil, []Framing{{Length: -1, Chunked: true, Ambiguous: true}}},
+		"other encoding":             {"POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", nil, []Framing{{Length: -1, Chunked: true, Ambiguous: true}}},
+		"malformed chunk size":       {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n" + plainHead, nil, []Framing{{Length: -1, Chunked: true}}},
+		"header name in a value":     {"GET / HTTP/1.1\r\nX: Content-Length: 3\r\n\r\n", []int{40}, []Framing{{Length: -1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, step := range []int{len(c.text), 1, 7} { // in pieces of any size
-				f := &Scanner{}
+			for _, step := range []int{len(c.text), 1, 7} { // all at once and in small pieces
+				scanner := &Scanner{}
 				var ends []int
-				at := 0
+				length := 0
 				for rest := []byte(c.text); len(rest) > 0; {
 					piece := rest[:min(step, len(rest))]
-					n := f.Scan(piece)
-					rest, at = rest[n:], at+n
-					if f.BetweenRequests() {
-						ends, at = append(ends, at), 0
+					n := scanner.Scan(piece)
+					rest, length = rest[n:], length+n
+					if scanner.BetweenRequests() {
+						ends, length = append(ends, length), 0
 					}
 				}
 				if !slices.Equal(ends, c.ends) {
-					t.Errorf("pieces of %d: messages of %v bytes, want %v", step, ends, c.ends)
+					t.Errorf("Scan() in pieces of %d bytes found requests of %v bytes, want %v", step, ends, c.ends)
 				}
 				var got []Framing
-				for h, ok := f.NextFraming(); ok; h, ok = f.NextFraming() {
+				for h, ok := scanner.NextFraming(); ok; h, ok = scanner.NextFraming() {
 					got = append(got, h)
 				}
 				if !slices.Equal(got, c.want) {
-					t.Errorf("pieces of %d: %+v, want %+v", step, got, c.want)
+					t.Errorf("NextFraming() after pieces of %d bytes returned %+v, want %+v", step, got, c.want)
 				}
 			}
 		})
--- a/internal/proxy/rawsocket/rawsocket_test.go
+++ b/internal/proxy/rawsocket/rawsocket_test.go
@@ -14,28 +14,28 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Listen(): %v", err)
 	}
 	defer func() { _ = listener.Close() }()
 	near, err = net.Dial("tcp", listener.Addr().String())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Dial(): %v", err)
 	}
 	t.Cleanup(func() { _ = near.Close() })
 	far, err = listener.Accept()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Accept(): %v", err)
 	}
 	t.Cleanup(func() { _ = far.Close() })
 	return near, far
 }
 
-// eventually waits for a condition that the kernel brings about a moment later.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits up to 10 s for a condition that the kernel makes true a moment later.
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
@@ -43,24 +43,24 @@
 func TestSilentAndPeerClosed(t *testing.T) {
 	near, far := connect(t)
 	if !Silent(near) || PeerClosed(near) {
-		t.Fatal("a new connection is not silent and open")
+		t.Fatalf("new connection: Silent() = %v, PeerClosed() = %v, want true and false", Silent(near), PeerClosed(near))
 	}
 	if _, err := io.WriteString(far, "x"); err != nil {
-		t.Fatal(err)
+		t.Fatalf("sending a byte: %v", err)
 	}
-	eventually(t, "a byte that has arrived is not seen", func() bool { return !Silent(near) })
+	eventually(t, "Silent() = true with an unread byte, want false", func() bool { return !Silent(near) })
 	if PeerClosed(near) {
-		t.Fatal("a connection with a byte to be read counts as closed")
+		t.Fatal("PeerClosed() = true with an unread byte, want false")
 	}
 	if _, err := io.ReadFull(near, make([]byte, 1)); err != nil {
-		t.Fatalf("the byte was taken by the look at it: %v", err)
+		t.Fatalf("reading the byte after Silent(): %v; Silent() must not consume it", err)
 	}
 	if err := far.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("closing the peer: %v", err)
 	}
-	eventually(t, "the peer's close is not seen", func() bool { return PeerClosed(near) })
+	eventually(t, "PeerClosed() = false after the peer's close, want true", func() bool { return PeerClosed(near) })
 	if Silent(near) {
-		t.Fatal("a closed connection counts as silent")
+		t.Fatal("Silent() = true after the peer's close, want false")
 	}
 }
 
@@ -68,14 +68,14 @@
 	near, _ := connect(t)
 	raw, err := Conn(near)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Conn(): %v", err)
 	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { _, failed = Read(fd, make([]byte, 1)) }); err != nil {
-		t.Fatal(err)
+	var readErr error
+	if err := raw.Control(func(fd uintptr) { _, readErr = Read(fd, make([]byte, 1)) }); err != nil {
+		t.Fatalf("Control() of the socket: %v", err)
 	}
-	if !errors.Is(failed, syscall.EAGAIN) {
-		t.Errorf("got %v, want %v", failed, syscall.EAGAIN)
+	if !errors.Is(readErr, syscall.EAGAIN) {
+		t.Errorf("Read() with nothing to read: error %v, want %v", readErr, syscall.EAGAIN)
 	}
 }
 
@@ -84,9 +84,9 @@
 	defer func() { _ = near.Close() }()
 	defer func() { _ = far.Close() }()
 	if _, err := Conn(near); err == nil {
-		t.Error("a pipe has a socket")
+		t.Error("Conn() of a net.Pipe succeeded, want an error because it has no socket")
 	}
 	if !Silent(near) || PeerClosed(near) {
-		t.Error("a pipe is not silent and open")
+		t.Errorf("net.Pipe: Silent() = %v, PeerClosed() = %v, want true and false", Silent(near), PeerClosed(near))
 	}
 }
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -13,43 +12,43 @@
 	"lapisspread/decision"
 )
 
-// A connection breaks after a request's last byte, before or within the response: an idempotent request is sent again,
-// one with a deduplication window only within that, and any other fails. Each run is counted.
+// A connection breaks after the request's last byte was sent, before or during the response. An idempotent request is
+// sent again, one with a deduplication window only within that window, and any other fails. Each run is counted.
 func TestFailedAttemptIsRetriedWhereAllowed(t *testing.T) {
 	const window = 300 * time.Millisecond
 	reset := func(nc net.Conn) { _ = nc.(*net.TCPConn).SetLinger(0) }
-	for way, end := range map[string]func(net.Conn){
-		"reset":              reset,
-		"closed":             func(net.Conn) {},
-		"reset in the head":  func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Le"); reset(nc) },
-		"closed in the body": func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Length: 9\n\nfine") },
-		"reset long after":   func(nc net.Conn) { time.Sleep(2 * window); reset(nc) }, // the window is over for sure
-		"invalid": func(nc net.Conn) {
+	for failure, fail := range map[string]func(net.Conn){
+		"reset":                  reset,
+		"closed":                 func(net.Conn) {},
+		"reset during the head":  func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Le"); reset(nc) },
+		"closed during the body": func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Length: 9\n\nfine") },
+		"reset after the window": func(nc net.Conn) { time.Sleep(2 * window); reset(nc) }, // certainly after the window's end
+		"invalid response": func(nc net.Conn) {
 			writeText(nc,
 				"HTTP/1.0 200 OK\nTransfer-Encoding: chunked\n\n4\nfine\n0\n\n")
 		},
-		"rejected, but invalid": func(nc net.Conn) {
+		"invalid rejection": func(nc net.Conn) {
 			writeText(nc, "HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 65537\n\nfine")
 		},
 	} {
 		for _, c := range []struct {
-			name   string
-			effect decision.Idempotency
-			group  decision.DeduplicationScope
-			window time.Duration
-			status int
+			name        string
+			idempotency decision.Idempotency
+			scope       decision.DeduplicationScope
+			window      time.Duration
+			wantStatus  int
 		}{
-			{"unsafe", decision.NotIdempotent, decision.ScopeAll, time.Minute, 502},
-			{"safe", decision.Idempotent, decision.ScopeAll, 0, 200},
-			{"keyed, within its window", decision.IdempotentByKey, decision.ScopeZone, time.Minute, 200},
-			// a client's repeat is harmless
-			{"keyed, past its window", decision.IdempotentByKey, decision.ScopeAll, window, 503},
-			{"keyed in a zone, past its window", decision.IdempotentByKey, decision.ScopeZone, window, 502},
+			{"not idempotent", decision.NotIdempotent, decision.ScopeAll, time.Minute, 502},
+			{"idempotent", decision.Idempotent, decision.ScopeAll, 0, 200},
+			{"idempotency key, within the window", decision.IdempotentByKey, decision.ScopeZone, time.Minute, 200},
+			// 503 and not 502: the scope covers all backends, so a client may safely repeat the request
+			{"idempotency key, after the window", decision.IdempotentByKey, decision.ScopeAll, window, 503},
+			{"idempotency key per zone, after the window", decision.IdempotentByKey, decision.ScopeZone, window, 502},
 		} {
-			if c.window == window && way != "reset long after" {
+			if c.window == window && failure != "reset after the window" {
 				continue
 			}
-			t.Run(c.name+", "+way, func(t *testing.T) {
+			t.Run(c.name+", "+failure, func(t *testing.T) {
 				t.Parallel()
 				var mu sync.Mutex
 				var ids []string
@@ -65,7 +64,7 @@
 						first := len(ids) == 1
 						mu.Unlock()
 						if first {
-							end(nc)
+							fail(nc)
 							return
 						}
 						writeText(nc, served)
@@ -75,21 +74,21 @@
 					rawBackend(t, serve), "active")),
 					newCatalog(t), func(cfg *Config) {
 						class := &cfg.Decision.Classes[0]
-						class.Idempotency = c.effect
-						class.DeduplicationScope = c.group
+						class.Idempotency = c.idempotency
+						class.DeduplicationScope = c.scope
 						class.DeduplicationWindow = c.window
 					})
 				runs := 1
-				if _, body := mustRespond(t, c.status)(p.request(t, "fetch-work", 9000,
-					"")); c.status == http.StatusOK {
+				if _, body := mustRespond(t, c.wantStatus)(p.request(t, "fetch-work", 9000,
+					"")); c.wantStatus == http.StatusOK {
 					if runs = 2; body != "fine" {
-						t.Errorf("body %q", body)
+						t.Errorf("retried request returned body %q, want %q", body, "fine")
 					}
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				if len(ids) != runs || ids[len(ids)-1] != ids[0] {
-					t.Errorf("it ran as %v, want %d times with one id", fmt.Sprint(ids), runs)
+					t.Errorf("backends got attempts with the request IDs %v, want %d with the same ID", ids, runs)
 				}
 			})
 		}
--- a/internal/proxy/senddeadline_test.go
+++ b/internal/proxy/senddeadline_test.go
@@ -13,16 +13,16 @@
 	"lapisspread/internal/engine"
 )
 
-// A connection comes up after its attempt is no longer allowed: not a byte is sent, and the result says so. The check
-// comes after the dial.
+// A connection is established after its attempt is no longer allowed: not a byte is sent, and the result is NotSent.
+// The check is made after the dial.
 func TestNothingIsSentOnLateConnection(t *testing.T) {
-	heard := make(chan int64, 1)
+	received := make(chan int64, 1)
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
 		n, _ := io.Copy(io.Discard, in)
-		heard <- n
+		received <- n
 	})
 	p, _ := testPool(t, addr)
-	late := false // set while the dial is held
+	late := false // set once the dial has returned
 	dial := p.dialer
 	p.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
@@ -30,73 +30,73 @@
 		return c, err
 	}
 	for name, m := range map[string]*message{
-		"a short body": testMessage("POST", []byte("body")),
-		"no body":      testMessage("GET", nil),
+		"short body": testMessage("POST", []byte("body")),
+		"no body":    testMessage("GET", nil),
 	} {
 		late = false
-		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second) // should it go out
+		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second) // bounds the test if the request is sent after all
 		a := engine.Attempt{Message: m, Timeout: time.Second, MaySend: func() (time.Time, bool) {
 			return time.Time{},
 				!late
 		}}
 		if result, _ := p.Find(backendID("a")).Exchange(ctx, a); result != decision.NotSent {
-			t.Errorf("%s: ended as %v", name, result)
+			t.Errorf("%s: Exchange() = %s, want NotSent", name, resultName(result))
 		}
 		cancel()
-		if n := within(t, heard, "the connection is not closed"); n != 0 {
-			t.Errorf("%s: %d bytes went out", name, n)
+		if n := within(t, received, "the backend connection was not closed"); n != 0 {
+			t.Errorf("%s: %d bytes were sent, want 0", name, n)
 		}
 	}
 	if n := p.attempts.Load(); n != 0 {
-		t.Errorf("%d attempts count as written", n)
+		t.Errorf("%d attempts counted as written, want 0", n)
 	}
 }
 
-// An attempt that is no longer allowed is not moved from an idle connection to another one.
+// An attempt that is no longer allowed on an idle connection is not tried on another connection.
 func TestDisallowedAttemptIsNotSentElsewhere(t *testing.T) {
-	asked := make(chan bool, 8)
+	requests := make(chan bool, 8)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for readRequest(in) {
-			asked <- true
+			requests <- true
 			writeText(c, served)
 		}
 	})
 	p, b := testPool(t, addr)
 	if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.OK {
-		t.Fatalf("at first: %v", result)
+		t.Fatalf("first exchange() = %s, want OK", resultName(result))
 	}
-	looks := 0
+	checks := 0
 	a := engine.Attempt{Message: testMessage("GET", nil), Timeout: time.Second, MaySend: func() (time.Time,
 		bool) {
-		looks++
+		checks++
 		return time.Time{}, false
 	}}
-	if result, _ := p.Find(backendID("a")).Exchange(t.Context(), a); result != decision.NotSent || looks != 1 {
-		t.Errorf("ended as %v after %d looks", result, looks)
+	if result, _ := p.Find(backendID("a")).Exchange(t.Context(), a); result != decision.NotSent || checks != 1 {
+		t.Errorf("Exchange() = %s after %d calls of MaySend, want NotSent after 1", resultName(result), checks)
 	}
-	if len(asked) != 1 {
-		t.Errorf("%d requests reached the backend, want the first alone", len(asked))
+	if len(requests) != 1 {
+		t.Errorf("%d requests reached the backend, want only the first", len(requests))
 	}
 }
 
-// The window of a retry ends while it is being written to a backend that does not read: its last byte is not sent after
-// that, and the request never ran.
+// The deduplication window of a retry ends while the retry is being written to a backend that does not read. Its last
+// byte is not sent after that, so the request can't have run.
 func TestRetryIsNotWrittenPastItsDeadline(t *testing.T) {
-	small := func(_, _ string, raw syscall.RawConn) error {
+	setSmallBuffer := func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF,
 				4096)
 		})
 	}
-	listener, err := (&net.ListenConfig{Control: small}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{Control: setSmallBuffer}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening with a small receive buffer: %v", err)
 	}
 	defer func() { _ = listener.Close() }()
-	read, whole := make(chan bool), make(chan bool, 1)
+	read, complete := make(chan bool), make(chan bool, 1)
 	go serveRaw(listener, func(_ int, _ net.Conn, in *bufio.Reader) {
 		<-read
-		whole <- readRequest(in)
+		complete <- readRequest(in)
 	})
 	p, _ := testPool(t, listener.Addr().String())
 	dial := p.dialer
@@ -118,36 +118,38 @@
 	select {
 	case result = <-ended:
 		close(read)
-	case <-time.After(2 * time.Second): // it is being written yet
+	case <-time.After(2 * time.Second): // the request is still being written
 		close(read)
-		result = within(t, ended, "no end")
+		result = within(t, ended, "Exchange() did not return")
 	}
 	if !result.NeverRan() {
-		t.Errorf("ended as %v", result)
+		t.Errorf("Exchange() past the send deadline = %s, want a result that proves that the request did not run",
+			resultName(result))
 	}
-	if within(t, whole, "the backend does not see the end") {
-		t.Error("the whole request went out after its window")
+	if within(t, complete, "the backend connection was not closed") {
+		t.Error("the backend got the complete request after its send deadline")
 	}
 }
 
-// The deadline is for the request's bytes alone: the response may take longer.
+// The send deadline applies only to the request's bytes: the response may take longer.
 func TestResponseMayComeAfterSendDeadline(t *testing.T) {
-	over := make(chan bool)
+	expired := make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if readRequest(in) {
-			<-over
+			<-expired
 			writeText(c, served)
 		}
 	})
 	p, _ := testPool(t, addr)
-	may := func() (time.Time, bool) {
-		by := time.Now().Add(time.Second)
-		time.AfterFunc(time.Until(by)+10*time.Millisecond, func() { close(over) })
-		return by, true
+	maySend := func() (time.Time, bool) {
+		deadline := time.Now().Add(time.Second)
+		time.AfterFunc(time.Until(deadline)+10*time.Millisecond, func() { close(expired) })
+		return deadline, true
 	}
-	a := engine.Attempt{Message: testMessage("POST", []byte("body")), Timeout: patience, MaySend: may}
+	a := engine.Attempt{Message: testMessage("POST", []byte("body")), Timeout: patience, MaySend: maySend}
 	if result, body := p.Find(backendID("a")).Exchange(t.Context(), a); result != decision.OK ||
 		string(body.([]byte)) != "fine" {
-		t.Errorf("ended as %v", result)
+		t.Errorf("Exchange() with a response after the send deadline = %s, body %q; want OK, body \"fine\"",
+			resultName(result), body)
 	}
 }
--- a/internal/proxy/servicefaults_test.go
+++ b/internal/proxy/servicefaults_test.go
@@ -12,12 +12,13 @@
 	"time"
 )
 
-func memberOf(id, addr, kind, state string) string {
+// memberWithKind returns a list entry for a backend of a machine type.
+func memberWithKind(id, addr, kind, state string) string {
 	return strings.Replace(memberText(id, addr, state), `"fast-5"`, fmt.Sprintf("%q", kind), 1)
 }
 
-// A service that a reload adds checks the health of its backends before requests are routed to it; one whose discovery
-// or backends are down starts all the same, soon.
+// A service added by a reload checks the health of its backends before requests are routed to it. A service whose
+// discovery or backends are down is started all the same, after readinessWait.
 func TestNewServiceChecksHealthFirst(t *testing.T) {
 	s := newStage(t, strings.Split(twoServices, "[[service]]\nname = \"settlement\"")[0]+`[[route]]
 name = "all"
@@ -26,32 +27,32 @@
 `, func(c *Config) { c.Decision.Capabilities.HealthChecks = true })
 	if status, body := s.request(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 ||
 		body != "fast-5" {
-		t.Fatalf("before: %d %q", status, body)
+		t.Fatalf("request before the reload: status %d, body %q; want 200, \"fast-5\"", status, body)
 	}
 	if !s.reload(twoServices) {
-		t.Fatal("the change was not taken")
+		t.Fatal("the reload was rejected, want it accepted")
 	}
 	if status, body := s.request(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 ||
 		body != "slow-5" {
-		t.Errorf("after: %d %q", status, body)
+		t.Errorf("request after the reload: status %d, body %q; want 200, \"slow-5\"", status, body)
 	}
-	if p := s.first["slow-5"].Load(); p == nil || *p == "/api" {
-		t.Error("the new service's server got a request before any probe")
+	if path := s.first["slow-5"].Load(); path == nil || *path == "/api" {
+		t.Error("the first request to the new service's backend was not a health check")
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if !s.reload(strings.Replace(twoServices, `kinds = ["slow-5"]`, `kinds = ["no-such"]`, 1)) {
-		t.Fatal("a service without servers was not taken")
+		t.Fatal("the reload with a service without backends was rejected, want it accepted")
 	}
-	if took := time.Since(began); took < readinessWait {
-		t.Errorf("it began after %v", took)
+	if took := time.Since(startedAt); took < readinessWait {
+		t.Errorf("the reload with a service without backends took %v, want at least readinessWait (%v)", took, readinessWait)
 	}
 }
 
-// A discovery address that is down affects only the service that uses it, until it is back.
+// A discovery address that is down affects only the service that uses it, until discovery is back.
 func TestDiscoveryOfOneServiceIsDown(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening on a free port: %v", err)
 	}
 	addr := l.Addr().String()
 	_ = l.Close()
@@ -59,153 +60,155 @@
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	if status, _ := s.request(client, "pay.example.org", "/api", "hand-in", 400); status != 503 {
-		t.Errorf("with nobody known: %d", status)
+		t.Errorf("request for the service without a known backend: status %d, want 503", status)
 	}
 	if status, body := s.request(client, "x.org", "/api", "hand-in", 5000); status != 200 {
-		t.Errorf("the other service: %d %q", status, body)
+		t.Errorf("request for the other service: status %d, body %q; want 200", status, body)
 	}
-	list := listText(9, true, memberOf("id-slow", s.backend["slow-5"], "slow-5", "active"))
+	list := listText(9, true, memberWithKind("id-slow", s.backend["slow-5"], "slow-5", "active"))
 	if l, err = net.Listen("tcp", addr); err != nil {
-		t.Skipf("the port was taken meanwhile: %v", err)
+		t.Skipf("another process has taken the port of discovery: %v", err)
 	}
-	back := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discovery := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "9" {
 			<-r.Context().Done()
 			return
 		}
 		_, _ = io.WriteString(w, list)
 	})}
-	go func() { _ = back.Serve(l) }()
-	defer func() { _ = back.Close() }()
+	go func() { _ = discovery.Serve(l) }()
+	defer func() { _ = discovery.Close() }()
 	for start := time.Now(); ; {
 		if status, body := s.request(client, "pay.example.org", "/api", "hand-in", 1000); status == 200 &&
 			body == "slow-5" {
 			break
 		}
 		if time.Since(start) > patience {
-			t.Fatal("it is not served after its register is back")
+			t.Fatalf("the service does not respond %v after its discovery is back", patience)
 		}
 	}
 }
 
-// Two services that share a backend both send it no new request once it drains.
+// If two services share a backend, neither sends it a new request once it drains.
 func TestSharedBackendDrainsForBothServices(t *testing.T) {
 	s := newStage(t, strings.NewReplacer(`kinds = ["fast-5"]`, "", `kinds = ["slow-5"]`, "").Replace(twoServices), nil)
-	s.lists <- listText(2, false, memberOf("id-slow", s.backend["slow-5"], "slow-5", "leaving"))
+	s.lists <- listText(2, false, memberWithKind("id-slow", s.backend["slow-5"], "slow-5", "leaving"))
 	time.Sleep(500 * time.Millisecond)
 	before := s.served["slow-5"].Load()
 	for i := range 20 {
 		if status, body := s.request(http.DefaultClient, []string{"x.org", "pay.example.org"}[i%2], "/api", "hand-in",
 			5000); status != 200 || body != "fast-5" {
-			t.Errorf("%d %q", status, body)
+			t.Errorf("request after the drain: status %d, body %q; want 200, \"fast-5\"", status, body)
 		}
 	}
 	if got := s.served["slow-5"].Load(); got != before {
-		t.Errorf("the server that drains got %d more", got-before)
+		t.Errorf("the draining backend got %d more requests, want 0", got-before)
 	}
 }
 
-// A reload that removes a service lets its long response in flight come to its end.
+// A reload that removes a service does not interrupt its long response in flight.
 func TestLongResponseOutlivesItsService(t *testing.T) {
 	s := newStage(t, twoServices, nil)
 	req, err := http.NewRequest("POST", "http://"+s.addr+"/api/long", nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("NewRequest(): %v", err)
 	}
 	req.Host = "pay.example.org"
 	req.Header = http.Header{"X-Request-Id": {"long"}, "X-Priority-Class": {"hand-in"}, "X-Timeout-Ms": {"5000"}}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("request to the proxy: %v", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if !s.reload(strings.ReplaceAll(twoServices, "settlement", "payouts")) {
-		t.Fatal("the change was not taken")
+		t.Fatal("the reload was rejected, want it accepted")
 	}
 	if status, body := s.request(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 ||
 		body != "slow-5" {
-		t.Errorf("the service in its place: %d %q", status, body)
+		t.Errorf("request for the service that replaces it: status %d, body %q; want 200, \"slow-5\"", status, body)
 	}
 	close(s.release)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || !strings.HasSuffix(string(body), "end") || len(body) != 2*maxBufferedBody+3 {
-		t.Errorf("%d bytes, %v", len(body), err)
+		t.Errorf("long response of the removed service: %d bytes, error %v; want all %d bytes", len(body), err,
+			2*maxBufferedBody+3)
 	}
 }
 
-// A panic or an endless event in one engine does not affect the other service.
+// A panic or a blocked event in one service's engine does not affect the other service.
 func TestFaultOfOneServiceStaysThere(t *testing.T) {
 	s := newStage(t, twoServices, nil)
-	sick := s.proxy.services.current.Load().byName["settlement"]
+	faulty := s.proxy.services.current.Load().byName["settlement"]
 	stalled := make(chan struct{})
-	sick.engine.Post(func() { panic("out of order") })
-	sick.engine.Post(func() { <-stalled })
+	faulty.engine.Post(func() { panic("out of order") })
+	faulty.engine.Post(func() { <-stalled })
 	for range 20 {
 		if status, body := s.request(http.DefaultClient, "x.org", "/api", "hand-in", 5000); status != 200 {
-			t.Fatalf("%d %q", status, body)
+			t.Fatalf("request for the other service: status %d, body %q; want 200", status, body)
 		}
 	}
 	close(stalled)
 	if status, body := s.request(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 {
-		t.Errorf("after it: %d %q", status, body)
+		t.Errorf("request for the service after its fault: status %d, body %q; want 200", status, body)
 	}
 }
 
-// During a hot restart, when two processes share the limits, a reload keeps to this process's half; it has all again
-// when the other process is gone.
+// During a hot restart two processes share the limits. A reload keeps this process at its half; it has the full limits
+// again once the other process is gone.
 func TestReloadDuringHotRestart(t *testing.T) {
 	s := newStage(t, twoServices, nil)
 	conns := func() int64 { return s.proxy.services.limits.Report().Conns.Total }
-	whole := conns()
+	all := conns()
 	s.proxy.services.setHalfCapacity(true)
 	if !s.reload(strings.ReplaceAll(twoServices, "settlement", "payouts")) {
-		t.Fatal("the change was not taken")
+		t.Fatal("the reload was rejected, want it accepted")
 	}
-	if got := conns(); got != whole/2 {
-		t.Errorf("%d connections of %d while limits are shared", got, whole)
+	if got := conns(); got != all/2 {
+		t.Errorf("limit of %d connections while two processes share %d, want half", got, all)
 	}
 	for _, svc := range s.proxy.services.current.Load().byName {
-		if got := svc.pool.maxOpen; got != int(whole/2) {
-			t.Errorf("%s: %d connections", svc.name, got)
+		if got := svc.pool.maxOpen; got != int(all/2) {
+			t.Errorf("service %s: limit of %d connections while two processes share %d, want half", svc.name, got, all)
 		}
 	}
 	s.proxy.services.setHalfCapacity(false)
-	if got := conns(); got != whole {
-		t.Errorf("%d connections of %d after the upgrade", got, whole)
+	if got := conns(); got != all {
+		t.Errorf("limit of %d connections after the hot restart, want %d", got, all)
 	}
 }
 
-// An operator's reload reads the file again and returns a summary; an invalid file is rejected with the reason, and the
-// old one stays.
+// A reload by an operator reads the file of services again and returns a summary. An invalid file is rejected with the
+// reason, and the previous one stays in use.
 func TestRoutesReloadedByOperator(t *testing.T) {
 	s := newStage(t, twoServices, nil)
-	op := adminBackend{s.proxy}
+	admin := adminBackend{s.proxy}
 	s.write(strings.ReplaceAll(twoServices, "settlement", "payouts"))
-	if text, err := op.ReloadRoutes(); err != nil || text != "2 services, 2 routes" {
-		t.Errorf("%q, %v", text, err)
+	if text, err := admin.ReloadRoutes(); err != nil || text != "2 services, 2 routes" {
+		t.Errorf("ReloadRoutes() = %q, error %v; want %q", text, err, "2 services, 2 routes")
 	}
 	s.write(strings.Replace(twoServices, "cap = 0.5", "cap = 7.0", 1))
-	if _, err := op.ReloadRoutes(); err == nil || !strings.Contains(err.Error(), "services.toml") ||
+	if _, err := admin.ReloadRoutes(); err == nil || !strings.Contains(err.Error(), "services.toml") ||
 		!strings.Contains(err.Error(), "cap 7") {
-		t.Errorf("a bad file: %v", err)
+		t.Errorf("ReloadRoutes() of an invalid file: error %v, want one that names services.toml and cap 7", err)
 	}
 	if s.proxy.services.current.Load().byName["payouts"] == nil || s.proxy.counters.ReloadsFailed.Load() != 1 {
-		t.Error("the file before does not hold")
+		t.Errorf("after the failed reload: service payouts known: %v, ReloadsFailed = %d; want true and 1",
+			s.proxy.services.current.Load().byName["payouts"] != nil, s.proxy.counters.ReloadsFailed.Load())
 	}
 }
 
-// Attempts a second are shared: a service that uses all it can get leaves the other its part, and a rejection has a
-// Retry-After.
+// The services share a quota of attempts a second: a service that uses all it can get leaves the other its share. Its
+// requests beyond that are rejected with status 503 and a Retry-After.
 func TestAttemptQuotaIsShared(t *testing.T) {
 	s := newStage(t, strings.Replace(twoServices, "version = 1", "version = 1\n[limits]\nattempts = 100.0", 1), nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	defer client.CloseIdleConnections()
-	var all sync.WaitGroup
-	var served, refused atomic.Int64
+	var clients sync.WaitGroup
+	var served, rejected atomic.Int64
 	stop := make(chan struct{})
-	began := time.Now()
+	startedAt := time.Now()
 	for range 8 {
-		all.Go(func() {
+		clients.Go(func() {
 			for {
 				select {
 				case <-stop:
@@ -216,22 +219,22 @@
 				case 200:
 					served.Add(1)
 				case 503:
-					refused.Add(1)
+					rejected.Add(1)
 				}
 			}
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
-	for range 20 { // 20 a second: well within its 40
+	for range 20 { // 20 a second, well within its share of 40
 		if status, body := s.request(client, "x.org", "/api", "hand-in", 5000); status != 200 {
-			t.Errorf("dispatch: %d %q", status, body)
+			t.Errorf("request for dispatch: status %d, body %q; want 200", status, body)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	close(stop)
-	all.Wait()
-	most := 50*time.Since(began).Seconds() + 20 // its cap is a half, and a burst
-	if n := float64(served.Load()); n > most || n < 10 || refused.Load() == 0 {
-		t.Errorf("%v served, %d refused; %v at most", n, refused.Load(), most)
+	clients.Wait()
+	limit := 50*time.Since(startedAt).Seconds() + 20 // the service's cap is half of the quota, plus a burst
+	if n := float64(served.Load()); n > limit || n < 10 || rejected.Load() == 0 {
+		t.Errorf("settlement: %v served, %d rejected; want 10 to %v served and some rejected", n, rejected.Load(), limit)
 	}
 }
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -16,12 +16,13 @@
 	"lapisspread/decision"
 )
 
-// echoBackend answers each request with its body, in chunks and with the framing that the path names.
+// echoBackend responds to each request with its body, flushed in parts, and with the framing that the query requests:
+// "chunks", "end" (the connection's close), or a Content-Length otherwise.
 func echoBackend(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening for the backend: %v", err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -51,7 +52,7 @@
 	return listener.Addr().String()
 }
 
-// Bodies of any length and framing pass unchanged, several on one connection.
+// Bodies of any length and framing pass through the proxy unchanged, several on one connection.
 func TestLongBodiesAreStreamed(t *testing.T) {
 	p := startProxy(t, listText(1, true, memberText("a", echoBackend(t), "active")), newCatalog(t), nil)
 	text := strings.Repeat("0123456789abcde\n", 3<<20/16)
@@ -60,7 +61,7 @@
 			t.Run(sent+" to "+framing, func(t *testing.T) {
 				c, err := net.Dial("tcp", p.addr)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("Dial(%s) of the proxy: %v", p.addr, err)
 				}
 				defer func() { _ = c.Close() }()
 				_ = c.SetDeadline(time.Now().Add(patience))
@@ -86,10 +87,10 @@
 					}()
 					_, got := mustRespond(t, 200)(readFinalResponse(in))
 					if got != text[:n] {
-						t.Fatalf("%d bytes came back as %d others", n, len(got))
+						t.Fatalf("body of %d bytes was returned as %d bytes that differ, want it unchanged", n, len(got))
 					}
 					if err := <-wrote; err != nil {
-						t.Fatal(err)
+						t.Fatalf("sending a body of %d bytes: %v", n, err)
 					}
 				}
 			})
@@ -97,7 +98,7 @@
 	}
 }
 
-// A long response is passed on as it comes: its first bytes don't wait for its last.
+// A long response is passed on as it arrives: its first bytes don't wait for its last.
 func TestLongResponseIsNotHeldBack(t *testing.T) {
 	for name, head := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nabc",
@@ -114,7 +115,7 @@
 			p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
 			c, err := net.Dial("tcp", p.addr)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("Dial(%s) of the proxy: %v", p.addr, err)
 			}
 			defer func() { _ = c.Close() }()
 			_ = c.SetDeadline(time.Now().Add(patience))
@@ -123,33 +124,33 @@
 					"X-Timeout-Ms: 9000\r\n\r\n", lastAsked.Add(1))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("reading the response's head: %v", err)
 			}
-			begin := make([]byte, 3)
-			if _, err := io.ReadFull(resp.Body, begin); err != nil || string(begin) != "abc" {
-				t.Errorf("%q, %v", begin, err)
+			start := make([]byte, 3)
+			if _, err := io.ReadFull(resp.Body, start); err != nil || string(start) != "abc" {
+				t.Errorf("first bytes of the body are %q, error %v; want %q", start, err, "abc")
 			}
-			close(more) // the backend breaks off, and the client must be able to tell
+			close(more) // the backend closes the connection early, and the client must be able to detect it
 			if _, err := io.ReadAll(resp.Body); err == nil {
-				t.Error("the answer seems whole")
+				t.Error("reading a truncated response succeeded, want an error")
 			}
 		})
 	}
 }
 
-// A response of unknown length breaks off after its beginning was passed on: the backend's reset is not the end of the
-// body, and the client can tell, even one of HTTP/1.0, for which a close would be the end.
+// A response of unknown length is interrupted after its first bytes were passed on. The backend's reset is not the end
+// of the body, and the client can detect it, even with HTTP/1.0, where a close would be the end of the body.
 func TestResetDuringResponseIsNoEnd(t *testing.T) {
 	for _, version := range []string{"1.1", "1.0"} {
-		for _, whole := range []bool{true, false} {
-			t.Run(fmt.Sprintf("HTTP/%s, whole %v", version, whole), func(t *testing.T) {
+		for _, complete := range []bool{true, false} {
+			t.Run(fmt.Sprintf("HTTP/%s, complete %v", version, complete), func(t *testing.T) {
 				t.Parallel()
-				begun := make(chan bool)
+				finish := make(chan bool)
 				addr := rawBackend(t, func(_ int, nc net.Conn, in *bufio.Reader) {
 					if readRequest(in) {
 						writeText(nc, "HTTP/1.1 200 OK\n\nabc")
-						<-begun
-						if !whole {
+						<-finish
+						if !complete {
 							_ = nc.(*net.TCPConn).SetLinger(0)
 						}
 					}
@@ -157,7 +158,7 @@
 				p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
 				c, err := net.Dial("tcp", p.addr)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("Dial(%s) of the proxy: %v", p.addr, err)
 				}
 				defer func() { _ = c.Close() }()
 				_ = c.SetDeadline(time.Now().Add(patience))
@@ -166,22 +167,23 @@
 						"X-Timeout-Ms: 9000\r\n\r\n", version, lastAsked.Add(1))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("reading the response's head: %v", err)
 				}
-				begin := make([]byte, 3)
-				if _, err := io.ReadFull(resp.Body, begin); err != nil || string(begin) != "abc" {
-					t.Errorf("%q, %v", begin, err)
+				start := make([]byte, 3)
+				if _, err := io.ReadFull(resp.Body, start); err != nil || string(start) != "abc" {
+					t.Errorf("first bytes of the body are %q, error %v; want %q", start, err, "abc")
 				}
-				close(begun)
-				if _, err := io.ReadAll(resp.Body); (err == nil) != whole {
-					t.Errorf("the rest: %v", err)
+				close(finish)
+				if _, err := io.ReadAll(resp.Body); (err == nil) != complete {
+					t.Errorf("reading the rest of the body: error %v, want none only if the response is complete (%v)", err,
+						complete)
 				}
 			})
 		}
 	}
 }
 
-// A long body that the backend rejects early gets its response while it is being sent.
+// If the backend rejects a long body early, the client gets the response while it still sends the body.
 func TestBodyRejectedEarlyGetsResponse(t *testing.T) {
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
@@ -192,7 +194,7 @@
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Dial(%s) of the proxy: %v", p.addr, err)
 	}
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(patience))
@@ -208,11 +210,11 @@
 		}
 	}()
 	if resp, _ := mustRespond(t, 503)(readFinalResponse(bufio.NewReader(c))); resp.Header.Get("Retry-After") == "" {
-		t.Error("it does not say when to come back")
+		t.Error("the 503 response has no Retry-After, want one")
 	}
 }
 
-// A backend that responds as soon as it has the last byte of a long body has not responded early.
+// A response sent as soon as the backend has the last byte of a long body does not count as early.
 func TestResponseAfterLastByteIsNotEarly(t *testing.T) {
 	last := make(chan bool)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
@@ -222,7 +224,7 @@
 	}))
 	c, err := p.dial(t.Context(), b)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("dial() of the backend: %v", err)
 	}
 	defer func() { _ = c.Close() }()
 	body := strings.NewReader("all of it")
@@ -235,12 +237,12 @@
 			}
 		}, failed: make(chan error, 1)}
 	req := testMessage("POST", nil).newRequest("a")
-	if _, whole, err := c.writeStreamedRequest(req, u); !whole {
-		t.Fatalf("not whole: %v", err)
+	if _, complete, err := c.writeStreamedRequest(req, u); !complete {
+		t.Fatalf("writeStreamedRequest() = incomplete, error %v; want the request complete", err)
 	}
 }
 
-// A drain waits for a long response that is being streamed, past all deadlines.
+// A drain waits for a long response that is being streamed, even past all clients' deadlines.
 func TestDrainWaitsForLongResponse(t *testing.T) {
 	first, rest := make(chan bool), make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
@@ -252,7 +254,7 @@
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), func(c *Config) {
-		for i := range c.Decision.Classes { // so that the last deadline is soon past
+		for i := range c.Decision.Classes { // so that the last deadline passes soon
 			c.Decision.Classes[i].ClientTimeout = 10 * time.Millisecond
 		}
 	})
@@ -269,35 +271,35 @@
 	p.stop()
 	select {
 	case err := <-p.done:
-		t.Fatalf("ended with an answer on its way: %v", err)
+		t.Fatalf("the proxy ended with a response in flight: error %v, want it to wait", err)
 	case <-time.After(drainAcceptPeriod + drainMargin + 500*time.Millisecond):
 	}
 	close(rest)
 	if r := <-got; r.err != nil || len(r.body) != 100000 {
-		t.Errorf("%d bytes, %v", len(r.body), r.err)
+		t.Errorf("response streamed during the drain: %d bytes, error %v; want 100000 bytes", len(r.body), r.err)
 	}
 	p.done <- <-p.done
 }
 
-// readerFunc reads the remainder of a body.
+// readerFunc is a function that implements io.Reader.
 type readerFunc func([]byte) (int, error)
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// A response that comes while a long body is being sent is read; an incomplete one counts as a body that broke off
-// before its last byte, which has not run.
+// A response that arrives while a long body is being sent is read. If it is incomplete, the attempt counts as one whose
+// body was not sent completely, which can't have run.
 func TestResponseBeforeBodyEnd(t *testing.T) {
 	for name, c := range map[string]struct {
-		says string
-		want decision.Result
+		response string
+		want     decision.Result
 	}{
-		"rejected":       {"HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n", decision.Rejected},
-		"error":          {"HTTP/1.1 500 Oh\nContent-Length: 2\n\nno", decision.Error},
-		"too long":       {"HTTP/1.1 413 Long\nTransfer-Encoding: chunked\n\n2\nno\n0\n\n", decision.Error},
-		"served already": {served, decision.ConnectFailed}, // it can't have been
-		"noise":          {"\x00\x01\n\n", decision.ConnectFailed},
-		"half a line":    {"HTTP/1.1 5", decision.ConnectFailed},
-		"its end":        {"", decision.ConnectFailed},
+		"rejected":           {"HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n", decision.Rejected},
+		"error":              {"HTTP/1.1 500 Oh\nContent-Length: 2\n\nno", decision.Error},
+		"chunked error":      {"HTTP/1.1 413 Long\nTransfer-Encoding: chunked\n\n2\nno\n0\n\n", decision.Error},
+		"OK":                 {served, decision.ConnectFailed}, // impossible before the body's end
+		"garbage":            {"\x00\x01\n\n", decision.ConnectFailed},
+		"half a status line": {"HTTP/1.1 5", decision.ConnectFailed},
+		"close":              {"", decision.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var to *hookedConn
@@ -305,7 +307,7 @@
 				if _, err := http.ReadRequest(in); err != nil {
 					return
 				}
-				if writeText(nc, c.says); c.says == "" {
+				if writeText(nc, c.response); c.response == "" {
 					_ = nc.(*net.TCPConn).CloseWrite()
 				}
 				_, _ = io.Copy(io.Discard, in)
@@ -315,26 +317,26 @@
 				waitUntilSeen(t, to)
 				return 1, nil
 			})
-			if name == "half a line" {
-				p.connectTimeout = 100 * time.Millisecond // for the rest of it, which does not come
+			if name == "half a status line" {
+				p.connectTimeout = 100 * time.Millisecond // bounds the wait for the rest of the line, which does not arrive
 			}
 			m := testMessage("POST", nil)
 			m.upload = u
 			if result, _ := p.exchange(t.Context(), b, m); result != c.want {
-				t.Errorf("result %v, want %v", result, c.want)
+				t.Errorf("exchange() = %s, want %s", resultName(result), resultName(c.want))
 			}
 			if p.open != 0 {
-				t.Errorf("%d connections are open", p.open)
+				t.Errorf("pool counts %d open connections, want 0", p.open)
 			}
 		})
 	}
 }
 
-// A client that fails its body, or has left, does not count against the backend.
+// A client that does not send its complete body, or leaves, does not count against the backend.
 func TestFailedClientBodyDoesNotCountAgainstBackend(t *testing.T) {
-	for name, leave := range map[string]func(*upload) error{
-		"breaks off": func(*upload) error { return io.ErrUnexpectedEOF },
-		"left":       func(u *upload) error { go u.stop(); return os.ErrDeadlineExceeded },
+	for name, readError := range map[string]func(*upload) error{
+		"truncated body": func(*upload) error { return io.ErrUnexpectedEOF },
+		"client left":    func(u *upload) error { go u.stop(); return os.ErrDeadlineExceeded },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := testPool(t, rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
@@ -342,23 +344,23 @@
 					in)
 			}))
 			u := testUpload()
-			u.remainder = readerFunc(func([]byte) (int, error) { return 0, leave(u) })
+			u.remainder = readerFunc(func([]byte) (int, error) { return 0, readError(u) })
 			m := testMessage("POST", nil)
 			m.upload = u
 			if result, _ := p.exchange(t.Context(), b, m); result != decision.Cancelled {
-				t.Errorf("result %v, want Cancelled", result)
+				t.Errorf("exchange() = %s, want Cancelled", resultName(result))
 			}
 			if p.open != 0 {
-				t.Errorf("%d connections are open", p.open)
+				t.Errorf("pool counts %d open connections, want 0", p.open)
 			}
 		})
 	}
 }
 
-// An endless response is bounded by its bytes, by the time without any, and by the time that is waited for all of it. A
-// client may read it slowly.
+// An endless response is limited in its bytes, in the time without any, and in the total time of waiting for the
+// backend. The time that a client takes to read it does not count.
 func TestEndlessResponseIsBounded(t *testing.T) {
-	read := func(piece int, every, client time.Duration) (n int64, took time.Duration, err error) {
+	read := func(pieceBytes int, interval, clientPause time.Duration) (n int64, took time.Duration, err error) {
 		near, far := net.Pipe()
 		done := make(chan bool)
 		defer func() {
@@ -367,38 +369,39 @@
 		}()
 		go func() {
 			defer close(done)
-			for sent := make([]byte, piece); ; time.Sleep(every) {
+			for sent := make([]byte, pieceBytes); ; time.Sleep(interval) {
 				if _, err := far.Write(sent); err != nil {
 					return
 				}
 			}
 		}()
-		l := &boundedReader{source: near, conn: newConn(near, 0, func() {})}
-		began := time.Now()
-		for p := make([]byte, copyChunkBytes); err == nil && time.Since(began) < 2*time.Hour; time.Sleep(client) {
-			_, err = l.Read(p)
+		reader := &boundedReader{source: near, conn: newConn(near, 0, func() {})}
+		startedAt := time.Now()
+		for p := make([]byte, copyChunkBytes); err == nil && time.Since(startedAt) < 2*time.Hour; time.Sleep(clientPause) {
+			_, err = reader.Read(p)
 		}
-		return l.readBytes, time.Since(began), err
+		return reader.readBytes, time.Since(startedAt), err
 	}
 	for name, c := range map[string]struct {
-		piece         int
-		every, client time.Duration
-		most          time.Duration // until the response is given up
-		whole         bool          // not before maxBodyBytes
+		pieceBytes            int
+		interval, clientPause time.Duration
+		maxDuration           time.Duration // until the read fails
+		limitReached          bool          // the read fails at maxBodyBytes, and not by a timeout
 	}{
-		"a flood":                {copyChunkBytes, 0, 0, time.Second, true},
-		"a trickle":              {1, readStallTimeout - time.Second, 0, 2 * readStallTimeout, false},
-		"many a small piece":     {16, 100 * time.Millisecond, 0, 2 * readStallTimeout, false},
-		"a silence":              {16, time.Hour, 0, 2 * readStallTimeout, false},
-		"at a fair pace":         {copyChunkBytes, time.Second, 0, time.Hour, true},
-		"to a client that rests": {copyChunkBytes, 0, time.Second, time.Hour, true},
+		"no pauses":                  {copyChunkBytes, 0, 0, time.Second, true},
+		"one byte per stall timeout": {1, readStallTimeout - time.Second, 0, 2 * readStallTimeout, false},
+		"many small pieces":          {16, 100 * time.Millisecond, 0, 2 * readStallTimeout, false},
+		"stalled":                    {16, time.Hour, 0, 2 * readStallTimeout, false},
+		"large pieces with pauses":   {copyChunkBytes, time.Second, 0, time.Hour, true},
+		"slow client":                {copyChunkBytes, 0, time.Second, time.Hour, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n, took, err := read(c.piece, c.every, c.client)
-				if took > c.most || (n > maxBodyBytes) != c.whole || c.whole != errors.Is(err, errInvalidResponse) ||
-					c.whole == isTimeout(err) {
-					t.Errorf("%d bytes in %v, then %v", n, took, err)
+				n, took, err := read(c.pieceBytes, c.interval, c.clientPause)
+				if took > c.maxDuration || (n > maxBodyBytes) != c.limitReached ||
+					c.limitReached != errors.Is(err, errInvalidResponse) || c.limitReached == isTimeout(err) {
+					t.Errorf("read %d bytes in %v, then error %v; want an end within %v, by the limit of %d bytes: %v, else by "+
+						"a timeout", n, took, err, c.maxDuration, int64(maxBodyBytes), c.limitReached)
 				}
 			})
 		})
