--- a/internal/proxy/adminbackend.go
+++ b/internal/proxy/adminbackend.go
@@ -15,7 +15,7 @@
 	"lapisspread/internal/processquota/limiter"
 )
 
-// Errors of calls that ask for what the proxy was started without.
+// Errors of admin calls that need a feature the proxy was started without.
 var (
 	errNoAdmission    = errors.New("admission is off: the proxy was started without --admission")
 	errNoDiameter     = errors.New("no Diameter is spoken: the proxy was started without --diameter")
@@ -25,28 +25,33 @@
 		"or the fleet's file has no table view")
 )
 
-// adminBackend is the proxy as package admin uses it. None of its methods waits for an engine's loop.
+// adminBackend implements the proxy's side of the admin console for package admin. No method waits for an engine's
+// loop.
 type adminBackend struct{ *Proxy }
 
-// Serving reports whether clients are served.
+// Serving reports whether the proxy serves clients.
 func (o adminBackend) Serving() bool { return o.ready.Load() }
 
-// Counters returns what INFO shows: the counters of the only service, or of all together and by service.
+// Counters returns what INFO shows: the counters of the only service, or with several services their totals and the
+// counters of each.
 func (o adminBackend) Counters() json.Marshaler { return o.services.countersReport() }
 
-// StartDraining has clients sent away, while new connections are still accepted.
+// StartDraining closes idle client connections, and the others after their next response. New connections are still
+// accepted.
 func (o adminBackend) StartDraining() { o.conns.setOperatorDrain(true) }
 
-// StopDraining ends StartDraining.
+// StopDraining ends the drain that StartDraining began.
 func (o adminBackend) StopDraining() { o.conns.setOperatorDrain(false) }
 
-// Detach takes a backend out of use until Attach, for this process and the next ones.
+// Detach takes a backend out of use until Attach, for this process and the later ones. It returns an error if no
+// backend of that ID was ever listed.
 func (o adminBackend) Detach(id string) error { return o.setDetached(id, true) }
 
-// Attach ends Detach.
+// Attach puts a detached backend into use again. Its errors are those of Detach.
 func (o adminBackend) Attach(id string) error { return o.setDetached(id, false) }
 
-// ReloadRoutes reloads the file of services, without the process's own settings that SIGHUP reloads too.
+// ReloadRoutes reloads the file of services and returns a summary. Unlike SIGHUP it does not reload the process's own
+// settings.
 func (o adminBackend) ReloadRoutes() (string, error) {
 	text, err := o.services.reloadRoutes()
 	if err != nil {
@@ -72,7 +77,8 @@
 	InFlight int `json:"in_hand"`
 }
 
-// Admission reports who holds client connections and why the last ones were rejected.
+// Admission reports which clients hold connections and why the last connections were rejected. The error is
+// errNoAdmission if admission control is off.
 func (o adminBackend) Admission() (any, error) {
 	if o.conns.admission == nil {
 		return nil, errNoAdmission
@@ -81,11 +87,11 @@
 		Report:                   o.conns.admission.Report(),
 		ClosedWithoutDescriptors: o.conns.admission.DescriptorShortages(),
 	}
-	now := o.services.current.Load()
-	if now == nil {
+	state := o.services.current.Load()
+	if state == nil {
 		return r, nil
 	}
-	for name, svc := range now.byName {
+	for name, svc := range state.byName {
 		if svc.requestLimiter == nil {
 			continue
 		}
@@ -99,7 +105,7 @@
 	return r, nil
 }
 
-// Diameter reports the Diameter peers and the state of the idempotency ledger.
+// Diameter reports the Diameter peers and the state of the idempotency ledger, or errNoDiameter.
 func (o adminBackend) Diameter() (any, error) {
 	if o.diameter == nil {
 		return nil, errNoDiameter
@@ -107,7 +113,8 @@
 	return o.diameter.report(), nil
 }
 
-// ListGuard reports which endpoints are retained against the endpoint list, and how the calls for it went.
+// ListGuard reports which endpoints are retained although the endpoint list no longer has them, and how the calls to
+// discovery went, or errNoListGuard.
 func (o adminBackend) ListGuard() (any, error) {
 	if o.listGuard == nil {
 		return nil, errNoListGuard
@@ -122,7 +129,8 @@
 	return r, nil
 }
 
-// QuotaLeases reports this proxy's leases, and the state of its connection to the control plane.
+// QuotaLeases reports this proxy's quota leases and the state of its connection to the control plane, or
+// errNoControlPlane.
 func (o adminBackend) QuotaLeases() (any, error) {
 	quotas := o.quotaClient.Load()
 	if quotas == nil {
@@ -136,7 +144,7 @@
 	return r, nil
 }
 
-// Freshness reports how old this proxy's endpoint lists may be.
+// Freshness reports how old this proxy's endpoint lists may be, or errNoFreshness.
 func (o adminBackend) Freshness() (any, error) {
 	monitor := o.freshness.Load()
 	if monitor == nil {
@@ -145,7 +153,8 @@
 	return monitor.Report(), nil
 }
 
-// Block rejects connections from an address or a prefix for the given time.
+// Block rejects connections from an address or a prefix for the given time. It returns an error if admission control is
+// off or the prefix is invalid.
 func (o adminBackend) Block(prefix string, span time.Duration) error {
 	p, err := o.parsePrefix(prefix)
 	if err != nil {
@@ -154,7 +163,7 @@
 	return o.conns.admission.Block(p, span)
 }
 
-// Unblock ends a Block.
+// Unblock accepts connections from a blocked address or prefix again. Its errors are those of Block.
 func (o adminBackend) Unblock(prefix string) error {
 	p, err := o.parsePrefix(prefix)
 	if err != nil {
@@ -170,8 +179,8 @@
 	return listener.ParsePrefix(text)
 }
 
-// setDetached stores that a backend is detached or attached, and notifies the engines. A failure to store it is only
-// logged: it holds for this process all the same.
+// setDetached stores whether a backend is detached, and notifies the engines. A failure to store it is only logged: the
+// change still applies in this process.
 func (o adminBackend) setDetached(id string, detached bool) error {
 	// The previous process may have known a backend that this one has never seen.
 	if !o.services.knowsEndpoint(id) && !slices.Contains(o.store.Detached(), id) {
@@ -184,23 +193,24 @@
 	return nil
 }
 
-// countersReport returns the counters of the only service, or of all together and by service.
+// countersReport returns the counters of the only service, or with several services their totals and the counters of
+// each.
 func (s *serviceSet) countersReport() json.Marshaler {
-	now := s.current.Load()
-	if now == nil || now.only != nil {
+	state := s.current.Load()
+	if state == nil || state.only != nil {
 		return s.proxy.counters
 	}
-	return combinedCounters{process: s.proxy.counters, byName: now.byName, limits: s.limits}
+	return combinedCounters{process: s.proxy.counters, byName: state.byName, limits: s.limits}
 }
 
-// combinedCounters is the counters of several services.
+// combinedCounters are the counters of several services.
 type combinedCounters struct {
 	process *metrics.Counters
 	byName  map[string]*service
 	limits  *limiter.Limits
 }
 
-// MarshalJSON returns the totals in the form of one service's counters, with each service's own beside them.
+// MarshalJSON returns the totals in the form of one service's counters, and with them the counters of each service.
 func (a combinedCounters) MarshalJSON() ([]byte, error) {
 	services := map[string]*metrics.Counters{}
 	for name, svc := range a.byName {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -15,20 +15,21 @@
 	"lapisspread/internal/engine"
 )
 
-// message is a client's request as it goes to a backend, once for each attempt.
+// message is a client's request as it is sent to backends, once for each attempt.
 type message struct {
 	method      string
 	host        string
 	url         url.URL
 	header      http.Header
-	policyEpoch string // of the policy that the request was routed by; empty without one
+	policyEpoch string // epoch of the policy that routed the request; empty without one
 	body        []byte
-	upload      *upload // in place of body, for a long one
+	upload      *upload // a long body, streamed; body is empty then
 	healthCheck bool
 
-	// startStream takes a long response, or reports that it is too late; nil takes none.
+	// startStream starts to stream a long response to the client, and reports false if it is too late. If it is nil, a
+	// long response is invalid.
 	startStream func(*download) bool
-	// sendAllowed is engine.Attempt's; nil is always.
+	// sendAllowed is engine.Attempt.SendAllowed; nil always allows the send, without a deadline.
 	sendAllowed func() (deadline time.Time, allowed bool)
 }
 
@@ -45,10 +46,10 @@
 	return deadline, nil
 }
 
-// Consumed reports whether there can be no further attempt.
+// Consumed reports whether part of a streamed body has been read, so that there can be no further attempt.
 func (m *message) Consumed() bool { return m.upload.isConsumed() }
 
-// newRequest makes the request of one attempt, on a connection to addr.
+// newRequest returns the request of one attempt on a connection to addr.
 func (m *message) newRequest(addr string) *http.Request {
 	u := m.url
 	u.Scheme = "http"
@@ -68,21 +69,21 @@
 	return req
 }
 
-// poolBackend is a backend as the engine uses it.
+// poolBackend implements engine.Backend for a backend of a pool.
 type poolBackend struct {
 	pool    *pool
 	backend *backend
 }
 
 // Exchange sends a request once. It blocks until the attempt has ended or ctx is cancelled. The second result is the
-// response's body, unless that was streamed.
+// response's body as []byte, empty if the body was streamed.
 func (p poolBackend) Exchange(ctx context.Context, a engine.Attempt) (decision.Result, any) {
 	m := *a.Message.(*message)
 	m.startStream = func(d *download) bool { return a.StartStream(d) }
 	m.sendAllowed = a.SendAllowed
 	m.header = m.header.Clone()
 	m.header.Set("X-Timeout-Ms", strconv.FormatInt(max(1, a.Timeout.Milliseconds()), 10))
-	if p.pool.fleetHeaders { // a client's own would pass for the proxy's
+	if p.pool.fleetHeaders { // a client's own headers must not be taken for the proxy's
 		setOrDelete(m.header, "X-Fleet-Token", a.LeaseToken)
 		setOrDelete(m.header, "X-Fleet-Epoch", m.policyEpoch)
 	}
@@ -98,7 +99,7 @@
 	}
 }
 
-// CheckHealth sends a health check. It blocks for connectTimeout at most.
+// CheckHealth sends a health check. It blocks for at most connectTimeout.
 func (p poolBackend) CheckHealth(ctx context.Context) decision.Result {
 	return p.pool.checkHealth(ctx, p.backend)
 }
@@ -115,10 +116,10 @@
 	return result
 }
 
-// exchange sends a message once and returns how that ended, with the response's body for OK unless that was streamed.
+// exchange sends a message once and returns the result, and for OK the response's body unless that was streamed.
 //
-// A backend may close an idle connection just as it is taken, or send more than its response. As long as not one byte
-// was written to it nothing was sent, and another connection is tried.
+// A backend may close an idle connection just as it is taken, or send bytes after its response. As long as no byte of
+// the request was written to the connection, another connection is tried.
 func (p *pool) exchange(ctx context.Context, b *backend, m *message) (decision.Result, []byte) {
 	for {
 		c, err := p.takeIdle(b)
@@ -136,8 +137,8 @@
 	}
 }
 
-// connectResult returns the result of an attempt that got no connection. A lack of sockets here must not count against
-// the backend: all backends would seem down.
+// connectResult returns the result of an attempt that got no connection. A lack of sockets in this process must not
+// count against the backend, or all backends would appear to be down.
 func connectResult(ctx context.Context, err error) decision.Result {
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
@@ -148,8 +149,8 @@
 	return decision.ConnectFailed
 }
 
-// roundTrip sends a message on one connection and waits for the response; untouched says that not a byte of the message
-// was written. An exchange that can't be finished, or times out, closes the connection.
+// roundTrip sends a message on one connection and waits for the response; untouched reports that no byte of the
+// message was written. If the exchange fails or times out, the connection is closed.
 func (p *pool) roundTrip(ctx context.Context, b *backend, c *conn, m *message) (
 	result decision.Result, body []byte, untouched bool,
 ) {
@@ -162,11 +163,11 @@
 		p.attempts.Add(1)
 	}
 	if err == nil || errors.Is(err, errEarlyResponse) {
-		if err != nil { // there is no read deadline yet, as the body has not ended
+		if err != nil { // no read deadline is set yet, since the request's body was not sent completely
 			c.limitRead(time.Now().Add(p.connectTimeout))
 		}
-		received, failed := p.receive(ctx, c, m, req)
-		if failed == nil && (sent.complete || received.status != http.StatusOK) {
+		received, receiveErr := p.receive(ctx, c, m, req)
+		if receiveErr == nil && (sent.complete || received.status != http.StatusOK) {
 			reusable := stopInterrupt() && received.reusable && sent.complete
 			if !reusable {
 				_ = c.Close()
@@ -177,25 +178,25 @@
 			return received.result, received.body, false
 		}
 		if err == nil {
-			err = failed
+			err = receiveErr
 		}
 	}
 	stopInterrupt()
 	_ = c.Close()
-	if ctx.Err() == nil && !idleSince.IsZero() && time.Since(startedAt) < p.staleWindow && isBreak(err) {
+	if ctx.Err() == nil && !idleSince.IsZero() && time.Since(startedAt) < p.staleWindow && isConnError(err) {
 		p.noteBrokenIdleConn(startedAt.Sub(idleSince))
 	}
 	result, untouched = failedResult(ctx, err, sent)
 	return result, nil, untouched
 }
 
-// transmission is how much of a request was written.
+// transmission records how much of a request was written.
 type transmission struct {
 	bytes    int
-	complete bool
+	complete bool // the last byte was written
 }
 
-// send writes a message if it may be written. An upload can't be sent again once bytes behind its prefix were read.
+// send writes a message if it may still be sent. An upload can't be sent again once bytes beyond its prefix were read.
 func (p *pool) send(ctx context.Context, b *backend, c *conn, m *message, req *http.Request) (transmission, error) {
 	if err := p.checkSendable(ctx, b, c); err != nil {
 		return transmission{}, err
@@ -218,7 +219,7 @@
 	return sent, err
 }
 
-// reception is a final response that was received.
+// reception is the final response to a request.
 type reception struct {
 	status   int
 	result   decision.Result
@@ -226,7 +227,7 @@
 	reusable bool // the connection may carry another request
 }
 
-// receive reads the response to a request, and has a long one streamed to its end.
+// receive reads the response to a request. A long response is streamed to the client until its end.
 func (p *pool) receive(ctx context.Context, c *conn, m *message, req *http.Request) (reception, error) {
 	resp, body, stream, err := c.readResponse(req)
 	if err == nil && stream != nil {
@@ -235,17 +236,17 @@
 	if err != nil {
 		return reception{}, err
 	}
-	cut := stream != nil && resp.StatusCode != http.StatusOK
+	notRead := stream != nil && resp.StatusCode != http.StatusOK
 	result := responseResult(resp)
 	// A body that was not read to its end may be invalid, and an invalid response is no proof that nothing ran.
-	if cut && result == decision.Rejected {
+	if notRead && result == decision.Rejected {
 		result = decision.Error
 	}
-	return reception{status: resp.StatusCode, result: result, body: body, reusable: !resp.Close && !cut}, nil
+	return reception{status: resp.StatusCode, result: result, body: body, reusable: !resp.Close && !notRead}, nil
 }
 
-// deliverStream gives a long response to the request's client, and blocks until that has read it or ctx ends. Of a
-// response that is no success only the status counts.
+// deliverStream streams a long response to the request's client, and blocks until the client has read it or ctx ends.
+// The body of a response that is not a success is discarded.
 func deliverStream(ctx context.Context, resp *http.Response, d *download, m *message) error {
 	defer d.closeBody()
 	if resp.StatusCode != http.StatusOK {
@@ -265,8 +266,9 @@
 	}
 }
 
-// isBreak reports whether an error is one of the connection, rather than a reason not to use it.
-func isBreak(err error) bool {
+// isConnError reports whether an attempt failed because its connection broke. Other errors are an invalid response or a
+// reason not to use the connection.
+func isConnError(err error) bool {
 	for _, reason := range []error{errInvalidResponse, errStaleConn, errBackendClosed, errSendTooLate} {
 		if errors.Is(err, reason) {
 			return false
@@ -275,7 +277,7 @@
 	return true
 }
 
-// failedResult returns the result of an attempt that ended with err, and whether nothing of it was written.
+// failedResult returns the result of an attempt that failed with err, and whether no byte of its request was written.
 func failedResult(ctx context.Context, err error, sent transmission) (result decision.Result, untouched bool) {
 	cause := context.Cause(ctx)
 	untouched = sent.bytes == 0
--- a/internal/proxy/backendconn.go
+++ b/internal/proxy/backendconn.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	maxResponseHeadBytes = 8 << 10          // of one response, with interim responses that came ahead of it
-	maxPooledBuffer      = 16 << 10         // larger request buffers are not pooled
+	maxResponseHeadBytes = 8 << 10          // bytes of one response's head and the interim responses before it
+	maxPooledBuffer      = 16 << 10         // bytes; larger request buffers are not pooled
 	sendStallTimeout     = 10 * time.Second // for a backend to take a chunk of a body
 )
 
 // conn is a connection to a backend that carries one request at a time.
 //
-// net/http's client is not used: its reader takes in the bytes behind a response and may give them to the next request,
-// and http.Transport repeats by itself what it holds to be idempotent.
+// net/http's client is not used: its reader buffers the bytes after a response and may take them for the next response,
+// and http.Transport itself retries requests that it considers idempotent.
 type conn struct {
 	net.Conn
 	reader    *bufio.Reader
-	addrEpoch int // of the backend as the connection was made
-	idleSince time.Time
+	addrEpoch int       // the backend's addrEpoch when the connection was dialed
+	idleSince time.Time // when the connection last became idle; zero before its first request has ended
 	closeOnce sync.Once
-	release   func() // gives the connection back to the pool's count
+	release   func() // removes the connection from the pool's count
 
 	mu          sync.Mutex
-	interrupted bool
+	interrupted bool // the deadlines must not be changed any more
 }
 
 func newConn(nc net.Conn, addrEpoch int, release func()) *conn {
@@ -45,14 +45,14 @@
 	}
 }
 
-// Close closes the connection and gives it back to the pool's count, once.
+// Close closes the connection and removes it from the pool's count. Repeated calls do not count again.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
 	c.closeOnce.Do(c.release)
 	return err
 }
 
-// interrupt ends reads and writes that are in progress, and all later ones.
+// interrupt makes reads and writes in progress and all later ones fail.
 func (c *conn) interrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,15 +60,15 @@
 	_ = c.SetDeadline(time.Unix(1, 0))
 }
 
-// isSilent reports whether the connection is open and nothing has arrived on it that was not read.
+// isSilent reports whether the connection is open and has no unread bytes.
 func (c *conn) isSilent() bool { return c.reader.Buffered() == 0 && rawsocket.Silent(c.Conn) }
 
-// limitWrite sets the deadline of writes, unless the connection was interrupted. The zero time is none.
+// limitWrite sets the deadline of writes, unless the connection was interrupted. The zero time is no deadline.
 func (c *conn) limitWrite(deadline time.Time) {
 	c.unlessInterrupted(func() { _ = c.SetWriteDeadline(deadline) })
 }
 
-// limitRead sets the deadline of reads, unless the connection was interrupted. The zero time is none.
+// limitRead sets the deadline of reads, unless the connection was interrupted. The zero time is no deadline.
 func (c *conn) limitRead(deadline time.Time) {
 	c.unlessInterrupted(func() { _ = c.SetReadDeadline(deadline) })
 }
@@ -81,11 +81,11 @@
 	}
 }
 
-// requestBuffers are reused for requests that are being sent.
+// requestBuffers holds buffers in which requests are formatted.
 var requestBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// writeRequest sends a request in one write. It returns how many bytes were written and whether that was the whole
-// request: a backend can't have run a request that it does not have whole.
+// writeRequest sends a request in one write. It returns how many bytes were written and whether that was the complete
+// request: a backend can't have run a request that it got only in part.
 func (c *conn) writeRequest(req *http.Request) (int, bool, error) {
 	buf := requestBuffers.Get().(*bytes.Buffer)
 	defer func() {
@@ -95,7 +95,7 @@
 	}()
 	buf.Reset()
 	if err := req.Write(buf); err != nil {
-		return 0, false, fmt.Errorf("wording the request: %w", err)
+		return 0, false, fmt.Errorf("formatting the request: %w", err)
 	}
 	n, err := c.Write(buf.Bytes())
 	return n, n == buf.Len(), err
--- a/internal/proxy/backendpool.go
+++ b/internal/proxy/backendpool.go
@@ -13,10 +13,10 @@
 )
 
 var (
-	errNoSockets     = errors.New("no socket is left for another backend connection")
-	errBackendClosed = errors.New("the backend takes nothing new")
-	errStaleConn     = errors.New("something has come on the connection, or its end")
-	errSendTooLate   = errors.New("the attempt may not be made any more")
+	errNoSockets     = errors.New("no socket left for another backend connection")
+	errBackendClosed = errors.New("backend is draining, was removed or has moved")
+	errStaleConn     = errors.New("bytes or a close arrived on the idle connection")
+	errSendTooLate   = errors.New("attempt no longer allowed")
 )
 
 // pool holds the connections to all backends of a service, within a limit on their number. It is the engine's upstream
@@ -24,27 +24,27 @@
 type pool struct {
 	dialer         func(ctx context.Context, network, addr string) (net.Conn, error)
 	connectTimeout time.Duration
-	idleTimeout    time.Duration // after which an idle connection is closed
+	idleTimeout    time.Duration // idle connections are closed after this time
 	staleWindow    time.Duration // see staleConnWindow
-	attempts       *atomic.Int64 // counts the requests that were written whole
-	fleetHeaders   bool          // attempts carry the control plane's headers, or none
-	quota          *connQuota    // of the connections of all services; nil if the service has all of them
+	attempts       *atomic.Int64 // counts the requests that were written completely, without health checks
+	fleetHeaders   bool          // the X-Fleet-* headers of attempts are set by the proxy; a client's own are removed
+	quota          *connQuota    // limits the connections of all services together; nil if the service may use all of them
 
 	mu       sync.Mutex
 	backends map[decision.BackendID]*backend
-	open     int // connections, with those being dialed
+	open     int // number of connections, including those being dialed
 	maxOpen  int
 
-	reuseLimit   time.Duration // how long a connection may have been idle to be reused, as of reuseLimitAt
+	reuseLimit   time.Duration // longest idle time after which a connection is reused, as of reuseLimitAt
 	reuseLimitAt time.Time
 }
 
 // backend is one backend's address and idle connections. The pool's lock guards it.
 type backend struct {
 	addr      string
-	addrEpoch int // counts changes of the address: connections of an earlier one are not kept
+	addrEpoch int // counts changes of the address; connections to an earlier address are not reused
 	draining  bool
-	idle      []*conn // the one used last comes last
+	idle      []*conn // the most recently used connection is last
 }
 
 func newPool(maxOpen int, connectTimeout, idleTimeout time.Duration) *pool {
@@ -60,13 +60,13 @@
 	}
 }
 
-// Update takes in an endpoint list. A backend that drains, is removed or moves to another address loses its idle
-// connections, and attempts that wait for a connection to it are not sent any more.
+// Update applies an endpoint list. The idle connections of a backend that drains, is removed or moves to another
+// address are closed, and attempts that wait for a connection to it are no longer sent.
 func (p *pool) Update(list List) {
 	closeAll(p.update(list))
 }
 
-// update returns the connections that are to be closed.
+// update applies a list and returns the connections that the caller must close.
 func (p *pool) update(list List) (stale []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +104,7 @@
 	return stale
 }
 
-// remove forgets a backend and returns its idle connections. The lock must be held.
+// remove removes a backend and returns its idle connections. The lock must be held.
 func (p *pool) remove(id decision.BackendID) []*conn {
 	b := p.backends[id]
 	if b == nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-// Find returns the backend of that ID, or nil.
+// Find returns the backend with an ID, or nil if there is none.
 func (p *pool) Find(id decision.BackendID) engine.Backend {
 	if b := p.lookup(id); b != nil {
 		return poolBackend{pool: p, backend: b}
@@ -135,7 +135,7 @@
 	return p.backends[id]
 }
 
-// Release closes a backend's idle connections.
+// Release closes the idle connections of a backend.
 func (p *pool) Release(id decision.BackendID) {
 	p.mu.Lock()
 	var stale []*conn
@@ -147,7 +147,7 @@
 	closeAll(stale)
 }
 
-// setMaxOpen sets how many connections there may be. Connections beyond that are not closed for it.
+// setMaxOpen sets the limit on the number of connections. Existing connections beyond a lower limit are not closed.
 func (p *pool) setMaxOpen(maxOpen int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,18 +160,18 @@
 	var evicted *conn
 	defer func() {
 		if evicted != nil {
-			_ = evicted.Close() // without the lock, which a close takes
+			_ = evicted.Close() // after unlocking: Close takes the lock
 		}
 	}()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open >= p.maxOpen {
-		from := p.longestIdle()
-		if from == nil {
+		b := p.longestIdle()
+		if b == nil {
 			return false
 		}
-		evicted = from.idle[0]
-		from.dropIdle(0)
+		evicted = b.idle[0]
+		b.dropIdle(0)
 	}
 	if p.quota != nil && !p.quota.acquire() {
 		return false
@@ -180,7 +180,8 @@
 	return true
 }
 
-// longestIdle returns the backend whose first idle connection was idle for longest, or nil. The lock must be held.
+// longestIdle returns the backend of the connection that was idle for longest, or nil if no connection is idle. The
+// lock must be held.
 func (p *pool) longestIdle() *backend {
 	var found *backend
 	for _, b := range p.backends {
@@ -191,7 +192,7 @@
 	return found
 }
 
-// releaseReservation undoes reserve.
+// releaseReservation removes a connection that reserve counted.
 func (p *pool) releaseReservation() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,7 +202,7 @@
 	}
 }
 
-// dial makes a new connection within connectTimeout.
+// dial opens a new connection to a backend within connectTimeout. The error is errNoSockets at the connection limit.
 func (p *pool) dial(ctx context.Context, b *backend) (*conn, error) {
 	p.mu.Lock()
 	addr := b.addr
@@ -220,9 +221,9 @@
 	return newConn(nc, addrEpoch, p.releaseReservation), nil
 }
 
-// checkSendable returns why a request's first byte must not be written to a connection. It is called right before the
-// write: since the connection was chosen the backend may have begun to drain or have moved, the client may have left,
-// and bytes that came on the connection would be taken for the response.
+// checkSendable returns an error if a request's first byte must not be written to a connection. It is called right
+// before the write: since the connection was chosen the backend may have started to drain or have moved, the client may
+// have left, and bytes that arrived on the connection would be taken for the response.
 func (p *pool) checkSendable(ctx context.Context, b *backend, c *conn) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
--- a/internal/proxy/backendresponse.go
+++ b/internal/proxy/backendresponse.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	maxInterimResponses = 8                     // 1xx responses ahead of the final one
-	readStallTimeout    = 10 * time.Second      // without a byte of a long response
-	responseHoldback    = 25 * time.Millisecond // for a response of unknown length to end before it is passed on
+	maxInterimResponses = 8                     // 1xx responses before the final one
+	readStallTimeout    = 10 * time.Second      // longest wait for the next byte of a long response
+	responseHoldback    = 25 * time.Millisecond // wait for the end of a response of unknown length before it is streamed
 )
 
-// errInvalidResponse says that a backend sent something that can't be used as a response.
-var errInvalidResponse = errors.New("a spoilt answer")
+// errInvalidResponse is the error of a response that is malformed or exceeds a limit.
+var errInvalidResponse = errors.New("invalid response")
 
-// readResponse reads the final response to a request. A short body is returned whole, a long one as a download.
+// readResponse reads the final response to a request. A short body is returned as bytes, a long one as a download.
 func (c *conn) readResponse(req *http.Request) (*http.Response, []byte, *download, error) {
 	for range maxInterimResponses + 1 {
 		if err := c.awaitHead(); err != nil {
@@ -31,7 +31,7 @@
 			return nil, nil, nil, fmt.Errorf("%w: %w", errInvalidResponse, err)
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, nil, nil, fmt.Errorf("%w: other protocols were not asked for", errInvalidResponse)
+			return nil, nil, nil, fmt.Errorf("%w: protocol switch that was not requested", errInvalidResponse)
 		}
 		if resp.ProtoMajor != 1 || resp.StatusCode < http.StatusContinue {
 			return nil, nil, nil, fmt.Errorf("%w: %s with status %q", errInvalidResponse, resp.Proto, resp.Status)
@@ -41,10 +41,10 @@
 			return resp, body, stream, err
 		}
 	}
-	return nil, nil, nil, fmt.Errorf("%w: more than %d ahead of the answer", errInvalidResponse, maxInterimResponses)
+	return nil, nil, nil, fmt.Errorf("%w: more than %d interim responses", errInvalidResponse, maxInterimResponses)
 }
 
-// awaitHead blocks until a whole head is buffered, and checks its length headers. A head must fit into the buffer.
+// awaitHead blocks until a complete head is buffered, and checks its length headers. A head must fit into the buffer.
 func (c *conn) awaitHead() error {
 	lineStart := 0
 	for {
@@ -61,13 +61,14 @@
 			}
 		}
 		if _, err = c.reader.Peek(c.reader.Buffered() + 1); err != nil {
-			return fmt.Errorf("reading an answer's head: %w", err)
+			return fmt.Errorf("reading the response's head: %w", err)
 		}
 	}
 }
 
-// validateLengthHeaders rejects heads that don't give the body's length in exactly one way. net/http ignores a length
-// beside an encoding, and an encoding in HTTP/1.0, whose chunk headers would be taken for the body.
+// validateLengthHeaders rejects heads that give the body's length in more than one way. net/http ignores a
+// Content-Length beside a Transfer-Encoding, and a Transfer-Encoding in HTTP/1.0, where the chunk headers would be
+// taken for the body.
 func validateLengthHeaders(head []byte) error {
 	lengths := 0
 	encodings := 0
@@ -84,19 +85,19 @@
 		}
 		// net/http takes a name with spaces for another header, and would read up to the connection's end.
 		if len(name) < len(rawName) {
-			return fmt.Errorf("%w: there are spaces beside the name %s", errInvalidResponse, name)
+			return fmt.Errorf("%w: spaces around the header name %s", errInvalidResponse, name)
 		}
 	}
 	if lengths > 1 || lengths > 0 && encodings > 0 {
-		return fmt.Errorf("%w: its length is told more than once", errInvalidResponse)
+		return fmt.Errorf("%w: body length given more than once", errInvalidResponse)
 	}
 	if encodings > 0 && bytes.HasPrefix(head, []byte("HTTP/1.0")) {
-		return fmt.Errorf("%w: HTTP/1.0 has no encodings", errInvalidResponse)
+		return fmt.Errorf("%w: Transfer-Encoding in HTTP/1.0", errInvalidResponse)
 	}
 	return nil
 }
 
-// readResponseBody returns a short body whole, and a download for one that is long or of unknown length.
+// readResponseBody returns a short body as bytes, and a long one as a download. A body of unknown length is either.
 func (c *conn) readResponseBody(resp *http.Response) ([]byte, *download, error) {
 	if resp.Request.Method == http.MethodHead {
 		return nil, nil, nil
@@ -104,21 +105,22 @@
 	n := resp.ContentLength
 	switch {
 	case n > maxBodyBytes:
-		return nil, nil, fmt.Errorf("%w: %d bytes are too many", errInvalidResponse, n)
+		return nil, nil, fmt.Errorf("%w: body of %d bytes is too long", errInvalidResponse, n)
 	case n > maxBufferedBody:
 		return nil, newDownload(n, &boundedReader{source: resp.Body, conn: c}), nil
 	case n >= 0:
 		body := make([]byte, n)
 		if _, err := io.ReadFull(resp.Body, body); err != nil && (n != 0 || !errors.Is(err, io.EOF)) {
-			return nil, nil, fmt.Errorf("reading an answer: %w", err)
+			return nil, nil, fmt.Errorf("reading the response's body: %w", err)
 		}
 		return body, nil, nil
 	}
 	return c.readUnknownLength(resp)
 }
 
-// readUnknownLength waits for responseHoldback whether the body ends soon, and streams it otherwise. A rejection is
-// waited for longer: it is never passed on, and only a complete one proves that the request did not run.
+// readUnknownLength waits up to responseHoldback for the end of the body, and streams the body if it has not ended by
+// then. For a rejection it waits up to readStallTimeout: a rejection is never streamed, and only a complete one proves
+// that the request did not run.
 func (c *conn) readUnknownLength(resp *http.Response) ([]byte, *download, error) {
 	holdback := time.Duration(responseHoldback)
 	if responseResult(resp) == decision.Rejected {
@@ -129,7 +131,7 @@
 	switch {
 	case err != nil:
 		source.close()
-		return nil, nil, fmt.Errorf("reading an answer: %w", err)
+		return nil, nil, fmt.Errorf("reading the response's body: %w", err)
 	case complete:
 		c.limitRead(time.Time{})
 		return body, nil, nil
@@ -139,7 +141,7 @@
 	return nil, stream, nil
 }
 
-// responseResult returns the result of an attempt that got this response, if its body is complete.
+// responseResult returns the result of an attempt that got this response with a complete body.
 func responseResult(resp *http.Response) decision.Result {
 	switch code := resp.StatusCode; {
 	case code == http.StatusOK:
--- a/internal/proxy/controlplane.go
+++ b/internal/proxy/controlplane.go
@@ -9,8 +9,9 @@
 	"lapisspread/internal/controlplane/freshness"
 )
 
-// joinControlPlane starts the clients of the control plane: quota leases, and the freshness monitor if the fleet's file
-// asks for it. They run until leave is called, which waits for them.
+// joinControlPlane starts the client for quota leases, and the freshness monitor if the fleet's file configures it.
+// They run until leave is called, which waits for their end. It also creates the policy client, which runPolicyClient
+// runs. Errors are those of reading the fleet's file and its TLS keys.
 func (p *Proxy) joinControlPlane() (leave func(), err error) {
 	file, err := api.Load(p.cfg.Fleet)
 	if err != nil {
@@ -20,10 +21,10 @@
 	if err != nil {
 		return nil, err
 	}
-	config := func() client.Config {
+	newConfig := func() client.Config {
 		return client.Config{File: file, ProxyName: p.cfg.Name, Logger: p.log, Transport: api.NewTransport(keys)}
 	}
-	quotas := client.NewQuotaClient(config())
+	quotas := client.NewQuotaClient(newConfig())
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { quotas.Run(ctx) })
@@ -36,8 +37,8 @@
 		running.Go(func() { monitor.Run(ctx) })
 		p.freshness.Store(monitor)
 	}
-	p.services.policyRoutes = file.Policy.RouteByPolicy // no service runs yet
-	p.policyClient.Store(client.NewPolicyClient(config(), p.services.installPolicy))
+	p.services.policyRoutes = file.Policy.RouteByPolicy // set without a lock: no service runs yet
+	p.policyClient.Store(client.NewPolicyClient(newConfig(), p.services.installPolicy))
 	leave = func() {
 		cancel()
 		running.Wait()
@@ -45,8 +46,8 @@
 	return leave, nil
 }
 
-// runPolicyClient installs the policies that the control plane offers until ctx ends. The state before the first policy
-// is installed too: requests are counted under it, to compare with.
+// runPolicyClient installs the policies that the control plane offers until ctx ends. The initial state without a
+// policy is installed too, so that requests are counted for it and policies can be compared with it.
 func (p *Proxy) runPolicyClient(ctx context.Context) {
 	policies := p.policyClient.Load()
 	if policies == nil {
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	listenRetryInterval  = 50 * time.Millisecond // during a hot restart the previous process still has the address
-	diameterDrainTimeout = 10 * time.Second      // for requests in flight and the peers' disconnects
-	serverDrainTimeout   = 5 * time.Second       // for requests to a server that drains
+	listenRetryInterval  = 50 * time.Millisecond // during a hot restart the previous process still listens on the address
+	diameterDrainTimeout = 10 * time.Second      // limit for requests in flight to end and peers to disconnect
+	serverDrainTimeout   = 5 * time.Second       // limit for requests in flight to a draining server
 
 	serverWatchdog         = 6 * time.Second        // the shortest interval that the RFC allows
-	serverReopenInterval   = 100 * time.Millisecond // between the watchdogs that a server must answer after a reconnect
+	serverReopenInterval   = 100 * time.Millisecond // between watchdogs that a server must answer after a reconnect
 	serverReconnectDelay   = 200 * time.Millisecond
-	serverQueue            = 1 << 20 // the engine limits the requests to a server, not the queue
+	serverQueue            = 1 << 20 // requests; never the limit, since the engine limits the requests to a server
 	certificateCheckPeriod = time.Minute
 )
 
-// diameterService is the Diameter side of a proxy: the node that peers connect to, and what requests need on their way
-// to a service.
+// diameterService is the Diameter front end of a proxy: the node that peers connect to, and the rules, ledger and
+// routing that its requests use on their way to a service.
 type diameterService struct {
 	p     *Proxy
 	file  *claim.File
@@ -43,14 +43,14 @@
 	guard *guard.Guard
 	front *frontend.Front
 	node  *node.Node
-	keys  *tlskeys.Keys // nil is plain TCP
+	keys  *tlskeys.Keys // nil for plain TCP
 
 	mu       sync.Mutex
 	listener net.Listener
 	draining bool
 }
 
-// openDiameter reads the settings of Diameter and makes the node. It opens no socket.
+// openDiameter reads the Diameter settings and creates the node. It opens no socket. Errors are those of the settings.
 func (p *Proxy) openDiameter() error {
 	d := &diameterService{p: p}
 	var err error
@@ -107,13 +107,14 @@
 	for i, class := range d.rules.Classes() {
 		hasName := func(c decision.Class) bool { return c.Name == class }
 		if !slices.ContainsFunc(cfg.Decision.Classes, hasName) {
-			return fmt.Errorf("%s: command[%d]: class: there is none by the name of %q", cfg.Diameter, i, class)
+			return fmt.Errorf("%s: command[%d]: class: no class is named %q", cfg.Diameter, i, class)
 		}
 	}
 	return nil
 }
 
-// loadKeys reads the certificate, if TLS is configured. Its files are relative to the settings' directory.
+// loadKeys reads the certificate and key if TLS is configured. Their paths are relative to the directory of the
+// settings.
 func (d *diameterService) loadKeys() error {
 	t := d.file.TLS
 	if t == nil {
@@ -129,7 +130,7 @@
 	return err
 }
 
-// settings returns the settings that the node for peers and those for servers have in common.
+// settings returns the settings shared by the node for peers and the nodes for servers.
 func (d *diameterService) settings() node.Settings {
 	f := d.file
 	return node.Settings{
@@ -151,7 +152,8 @@
 	}
 }
 
-// diameterUpstream makes the connections to the servers of a service that speak Diameter.
+// diameterUpstream returns the upstream of a service whose servers speak Diameter. It fails without --diameter, whose
+// settings have the proxy's own Diameter host and realm.
 func (p *Proxy) diameterUpstream(module *decision.Config) (*upstream.Upstream, error) {
 	d := p.diameter
 	if d == nil {
@@ -174,7 +176,8 @@
 	return upstream.New(n, connectTimeout, serverDrainTimeout), nil
 }
 
-// run reads the idempotency ledger and serves peers until ctx ends, or drain is called.
+// run reads the idempotency ledger and serves peers until ctx ends or drain is called. It returns after ctx has ended,
+// or earlier if drain was called before the address was free.
 func (d *diameterService) run(ctx context.Context) {
 	log := d.p.log
 	var running sync.WaitGroup
@@ -210,8 +213,8 @@
 	<-ctx.Done()
 }
 
-// listen waits until the address is free: during a hot restart the previous process has it until its end. It returns
-// nil if ctx ends or drain is called before.
+// listen waits until the address is free: during a hot restart the previous process listens on it until it ends. It
+// returns nil if ctx ends or drain is called first.
 func (d *diameterService) listen(ctx context.Context) net.Listener {
 	for logged := false; ; {
 		l, err := net.Listen("tcp", d.file.Listen)
@@ -230,7 +233,7 @@
 	}
 }
 
-// openListener puts admission control and TLS before a listener, and keeps it for drain.
+// openListener wraps a listener with admission control and TLS, and stores it for drain. It returns nil after drain.
 func (d *diameterService) openListener(l net.Listener) net.Listener {
 	l = &peerListener{Listener: l, conns: d.p.conns}
 	if d.keys != nil {
@@ -246,8 +249,8 @@
 	return l
 }
 
-// drain ends the service: requests in flight are answered, peers are disconnected, and the ledger is closed for the
-// next process. It blocks for diameterDrainTimeout at most.
+// drain stops the service: requests in flight are answered, peers are disconnected, and the ledger is closed for the
+// next process. It blocks for at most diameterDrainTimeout and the close of the ledger.
 func (d *diameterService) drain() {
 	d.mu.Lock()
 	d.draining = true
@@ -263,13 +266,14 @@
 	}
 }
 
-// reload reads the certificate again; nothing else of the settings can change. d may be nil.
+// reload reads the certificate again. Other Diameter settings are not reloaded. d may be nil.
 func (d *diameterService) reload() {
 	if d != nil && d.keys != nil {
 		d.certificateReloaded(d.keys.Reload())
 	}
 }
 
+// certificateReloaded logs the result of a reload of the certificate.
 func (d *diameterService) certificateReloaded(err error) {
 	if err != nil {
 		d.p.reloadFailed("keeping the old certificate", err)
@@ -278,33 +282,33 @@
 	d.p.log.Info("certificate reloaded", "holds_for", d.keys.Remaining().Round(time.Hour))
 }
 
-// report returns what DIAMETER shows.
+// report returns what the admin command DIAMETER shows.
 func (d *diameterService) report() any {
 	var peers []node.Status
 	for _, p := range d.node.Peers() {
 		peers = append(peers, p.Status())
 	}
 	slices.SortFunc(peers, func(a, b node.Status) int { return cmp.Compare(a.Host, b.Host) })
-	n := &d.node.Counts
-	f := &d.front.Counts
+	nodeCounts := &d.node.Counts
+	frontCounts := &d.front.Counts
 	return map[string]any{
 		"peers":  peers,
 		"ledger": d.guard.Report(),
 		"connections": map[string]int64{
-			"accepted": n.Accepted.Load(),
-			"rejected": n.Rejected.Load(),
-			"garbage":  n.Garbage.Load(),
-			"slow":     n.Slow.Load(),
-			"suspects": n.Suspects.Load(),
+			"accepted": nodeCounts.Accepted.Load(),
+			"rejected": nodeCounts.Rejected.Load(),
+			"garbage":  nodeCounts.Garbage.Load(),
+			"slow":     nodeCounts.Slow.Load(),
+			"suspects": nodeCounts.Suspects.Load(),
 		},
 		"requests": map[string]int64{
-			"came":     n.Requests.Load(),
-			"busy":     n.Busy.Load(),
-			"wrong":    n.Wrong.Load() + f.Wrong.Load(),
-			"served":   f.Served.Load(),
-			"refused":  f.Refused.Load(),
-			"failed":   f.Failed.Load(),
-			"repeated": f.Repeated.Load(),
+			"came":     nodeCounts.Requests.Load(),
+			"busy":     nodeCounts.Busy.Load(),
+			"wrong":    nodeCounts.Wrong.Load() + frontCounts.Wrong.Load(),
+			"served":   frontCounts.Served.Load(),
+			"refused":  frontCounts.Refused.Load(),
+			"failed":   frontCounts.Failed.Load(),
+			"repeated": frontCounts.Repeated.Load(),
 		},
 	}
 }
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -194,7 +194,7 @@
 	}
 	cfg.Diameter = path
 	if err := New(cfg, nil).openDiameter(); err == nil || !strings.Contains(err.Error(),
-		`command[0]: class: there is none by the name of "nothing"`) {
+		`command[0]: class: no class is named "nothing"`) {
 		t.Errorf("openDiameter() with an unknown class: error %v, want one that names command[0] and the class", err)
 	}
 	if _, err := (adminBackend{New(cfg, nil)}).Diameter(); err == nil {
@@ -206,8 +206,9 @@
 // without a valid certificate gets no request.
 func TestDiameterOverTLS(t *testing.T) {
 	ca := tlstest.NewCA(t)
-	proxyCert, clientCert, otherCert := ca.Issue(t, "proxy.kigali.example", time.Hour), ca.Issue(t, "claims.partner.example",
-		time.Hour), ca.Issue(t, "x.example", time.Hour)
+	proxyCert := ca.Issue(t, "proxy.kigali.example", time.Hour)
+	clientCert := ca.Issue(t, "claims.partner.example", time.Hour)
+	otherCert := ca.Issue(t, "x.example", time.Hour)
 	dir, addr := t.TempDir(), freeAddr(t)
 	path := filepath.Join(dir, "diameter.toml")
 	text := strings.NewReplacer("ADDR", addr, "[ledger]",
--- a/internal/proxy/diameterpeer.go
+++ b/internal/proxy/diameterpeer.go
@@ -15,7 +15,7 @@
 	conns *clientConns
 }
 
-// Accept waits for the next connection that gets a place.
+// Accept waits for the next connection that admission control admits. It closes the others.
 func (l *peerListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
@@ -30,8 +30,8 @@
 	}
 }
 
-// peerConn is a peer's connection under admission control. It counts as in use once the peer's capabilities exchange
-// was answered.
+// peerConn is a peer's connection under admission control. It counts as in use once the proxy has answered the peer's
+// capabilities exchange, with its first write.
 type peerConn struct {
 	net.Conn
 	admission *listener.ConnLimiter
@@ -40,7 +40,7 @@
 	once      sync.Once
 }
 
-// Write sends bytes to the peer.
+// Write sends bytes to the peer. The first successful write marks the connection as in use.
 func (c *peerConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if err == nil && !c.answered.Swap(true) {
@@ -49,7 +49,7 @@
 	return n, err
 }
 
-// Evict closes the connection to make room for another, unless the peer has been answered, and reports whether it did.
+// Evict closes the connection to make room for another, unless it is in use, and reports whether it was closed.
 func (c *peerConn) Evict() bool {
 	if c.answered.Load() {
 		return false
@@ -58,7 +58,7 @@
 	return true
 }
 
-// Close closes the connection and gives its place back, once.
+// Close closes the connection and removes it from admission control. Repeated calls have no further effect there.
 func (c *peerConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() { c.admission.Remove(c.id) })
--- a/internal/proxy/diameterrequest.go
+++ b/internal/proxy/diameterrequest.go
@@ -16,22 +16,23 @@
 	"lapisspread/internal/route"
 )
 
-// diameterOutcomes is what an engine's outcome counts as.
+// diameterOutcomes maps the engine's outcomes to those that the counters use.
 var diameterOutcomes = map[engine.Outcome]metrics.Outcome{
 	engine.Served:   metrics.Served,
 	engine.Rejected: metrics.Rejected,
 	engine.Failed:   metrics.Failed,
 }
 
-// requestID identifies a Diameter request for its backends and for routes that split by request.
+// requestID returns the ID of a Diameter request, for its backends and for routes that split traffic by request.
 func requestID(a *claim.Ask) string { return fmt.Sprintf("%s/%08x", a.Name.Origin, a.Name.ID) }
 
-// route finds the service for a Diameter request and admits the request within the service's limits.
+// route finds the service for a Diameter request and admits the request within the service's limits. The error is a
+// *frontend.Turned with the answer for the peer.
 func (d *diameterService) route(a *claim.Ask, bytes int64) (*frontend.Service, error) {
 	s := d.p.services
-	svc, policy, err := s.acquireService(func(now *routingState) (*service, error) {
+	svc, policy, err := s.acquireService(func(state *routingState) (*service, error) {
 		q := route.Request{Host: a.Realm, Path: a.Path, Method: http.MethodPost, Class: a.Class, Tenant: a.Tenant}
-		return now.lookup(&q, func() string { return a.Session }, requestID(a))
+		return state.lookup(&q, func() string { return a.Session }, requestID(a))
 	})
 	if err != nil {
 		policy.CountRequest(false)
@@ -78,7 +79,8 @@
 	return out, nil
 }
 
-// httpMessage turns a Diameter request into one for an HTTP server: its AVPs as one JSON object, by their names.
+// httpMessage converts a Diameter request to a request for an HTTP server. Its body is a JSON object of the AVPs by
+// name.
 func (d *diameterService) httpMessage(a *claim.Ask, wire diameter.Message) (engine.Message, error) {
 	body, err := d.rules.Dictionary().JSON(wire.AVPs())
 	if err != nil {
--- a/internal/proxy/discoveryclient.go
+++ b/internal/proxy/discoveryclient.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	maxListBytes = 4 << 20 // of an endpoint list; a longer one is invalid
+	maxListBytes = 4 << 20 // length of an endpoint list; a longer one is invalid
 
-	probeHold      = time.Millisecond       // of a watch that only shows whether discovery answers
+	probeHold      = time.Millisecond       // hold of a watch that only checks whether discovery answers
 	minWatchPause  = 10 * time.Millisecond  // the first pause after an answer without news
 	maxWatchPause  = 160 * time.Millisecond // a watch must be renewed within 200 ms
-	maxHedgedCalls = 3                      // calls for one answer that may be in flight
+	maxHedgedCalls = 3                      // calls in flight for one answer
 
-	invalidListBackoffFactor = 10 // times as long as an invalid list took to read is paused after it
+	invalidListBackoffFactor = 10 // the pause after an invalid list, in multiples of the time it took to read
 	maxInvalidListBackoff    = time.Second
 
 	maxIdleDiscoveryConns = 1
 	maxDiscoveryConns     = 4
 )
 
-// errNoResponse says that a call got no answer in its time, though the connection was not closed.
+// errNoResponse is the cause of a call that got no answer within its timeout, while its connection stayed open.
 var errNoResponse = errors.New("discovery: silent")
 
 // discoveryClient polls and watches the endpoint list at one address of discovery. It implements engine.Source.
@@ -40,18 +40,19 @@
 	timing        discoveryTiming
 	log           *slog.Logger
 	client        *http.Client
-	ctx           context.Context // of all calls
+	ctx           context.Context // parent of all calls; ends with Close
 	cancel        context.CancelFunc
 	watchHold     func() time.Duration // how long discovery may hold the next watch
 	dial          func(ctx context.Context, network, addr string) (net.Conn, error)
-	lateReadGrace time.Duration // for reading an answer that has arrived within a call's time
+	lateReadGrace time.Duration // extra time to read an answer that arrived within a call's timeout
 	onInvalidList func()        // called for each list that can't be used
 	answered      atomic.Bool   // the last call was answered
 }
 
 func newDiscoveryClient(addr string, timing discoveryTiming, log *slog.Logger) *discoveryClient {
 	ctx, cancel := context.WithCancel(context.Background())
-	// Without a timeout a connect during an interruption waits for the kernel's next attempt, long after its end.
+	// Without a timeout a connect during a network interruption would wait for the kernel's next SYN, long after the
+	// interruption's end.
 	dialer := &net.Dialer{Timeout: timing.slack}
 	d := &discoveryClient{
 		addr:          addr,
@@ -101,7 +102,8 @@
 // Addr returns the address of discovery.
 func (d *discoveryClient) Addr() string { return d.addr }
 
-// Fetch returns the whole endpoint list. It blocks for timing.fetchTimeout at most.
+// Fetch returns the whole endpoint list. It blocks for at most timing.fetchTimeout. An answer with only changes is an
+// error.
 func (d *discoveryClient) Fetch(ctx context.Context) (List, error) {
 	list, err := d.callHedged(ctx, "")
 	if err == nil && !list.Full {
@@ -116,11 +118,11 @@
 	d.client.CloseIdleConnections()
 }
 
-// Watch calls notify with each answer, one call right after the other, until a call fails or ctx ends. A call that gets
-// no answer in its time is repeated at once on a connection of its own.
+// Watch makes one call after another and calls notify with each answer, until a call fails or ctx ends. A call that
+// gets no answer within its timeout is repeated at once on a new connection.
 //
-// A call made while discovery could not be reached may stay unanswered however long discovery is back. So until a call
-// has been answered, none asks discovery to hold the answer.
+// A call made while discovery could not be reached may stay unanswered for long after discovery is reachable again. So
+// until a call has been answered, no call requests a hold.
 func (d *discoveryClient) Watch(ctx context.Context, from uint32, notify func(List)) error {
 	pause := time.Duration(0)
 	for {
@@ -134,7 +136,8 @@
 		}
 		restarted := err == nil && !list.Full && list.OlderThan(from)
 		if restarted {
-			// Discovery counts versions from the start again: its changes would count as old ones for a long time.
+			// Discovery numbers its versions from the start again. Its changes would be taken for old ones for a long
+			// time.
 			d.log.Warn("discovery restarted its versions, fetching the whole list",
 				"addr", d.addr, "version", from, "now", list.Version)
 			list, err = d.Fetch(ctx)
@@ -183,8 +186,8 @@
 	}
 }
 
-// callHedged makes a call that asks for no hold, with up to two hedged ones beside it if the answer is late: a call may
-// be lost while discovery can't be reached, or discovery is slow. The first answer counts.
+// callHedged makes a call without a hold, and up to two hedged calls if the answer is late: a call may be lost while
+// discovery can't be reached, or discovery may be slow. The first answer is used.
 func (d *discoveryClient) callHedged(ctx context.Context, query string) (List, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -196,12 +199,12 @@
 	startedAt := time.Now()
 	next := time.NewTicker(d.timing.fetchTimeout / maxHedgedCalls)
 	defer next.Stop()
-	made := 0
-	open := 0
+	started := 0
+	inFlight := 0
 	for {
-		if left := d.timing.fetchTimeout - time.Since(startedAt); made < maxHedgedCalls && left > 0 {
-			made++
-			open++
+		if left := d.timing.fetchTimeout - time.Since(startedAt); started < maxHedgedCalls && left > 0 {
+			started++
+			inFlight++
 			go func() {
 				list, err := d.call(ctx, query, left)
 				answers <- answer{list: list, err: err}
@@ -209,26 +212,26 @@
 		}
 		select {
 		case a := <-answers:
-			open--
-			if open == 0 || !errors.Is(a.err, errNoResponse) {
+			inFlight--
+			if inFlight == 0 || !errors.Is(a.err, errNoResponse) {
 				d.answered.Store(a.err == nil)
 				return a.list, a.err
 			}
-			made = maxHedgedCalls // the time is over: no further call
+			started = maxHedgedCalls // the timeout has passed: no further call
 		case <-next.C:
 		}
 	}
 }
 
-// call makes one call and blocks for timeout at most, or a little longer for an answer that has begun to arrive.
+// call makes one call. It blocks for at most timeout, or up to lateReadGrace longer if part of the answer has arrived.
 func (d *discoveryClient) call(ctx context.Context, query string, timeout time.Duration) (_ List, err error) {
-	outer := ctx
+	callerCtx := ctx
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer context.AfterFunc(d.ctx, func() { cancel(context.Canceled) })()
-	ctx, giveUp := d.withTimeout(ctx, cancel, timeout)
-	defer giveUp.Stop()
-	defer func() { // errors.Is finds the cause, which is "context canceled" otherwise
+	ctx, timer := d.withTimeout(ctx, cancel, timeout)
+	defer timer.Stop()
+	defer func() { // wrap the cause, so that errors.Is finds it; err alone says "context canceled"
 		if err != nil && errors.Is(context.Cause(ctx), errNoResponse) {
 			err = fmt.Errorf("%w: %w", errNoResponse, err)
 		}
@@ -245,7 +248,7 @@
 	startedAt := time.Now()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
-		if len(text) > 0 && outer.Err() == nil { // part of a list, or one that goes on past its time
+		if len(text) > 0 && callerCtx.Err() == nil { // a truncated list, or one that did not end within the timeout
 			d.onInvalidList()
 		}
 		return List{}, fmt.Errorf("discovery: reading the list: %w", err)
@@ -255,10 +258,10 @@
 	}
 	list, err := parseList(text)
 	if err != nil {
-		giveUp.Stop()
+		timer.Stop()
 		d.onInvalidList()
-		// Reading invalid lists one after another without a pause would take the whole processor.
-		_ = sleep(outer, min(invalidListBackoffFactor*time.Since(startedAt), maxInvalidListBackoff))
+		// Without a pause, reading invalid lists one after another would use all of a processor.
+		_ = sleep(callerCtx, min(invalidListBackoffFactor*time.Since(startedAt), maxInvalidListBackoff))
 		return List{}, fmt.Errorf("discovery: bad list: %w", err)
 	}
 	return list, nil
@@ -288,7 +291,8 @@
 	return ctx, timer
 }
 
-// statusError returns the error of an answer that is no success, with the time to wait if the answer has one.
+// statusError returns the error of an answer whose status is not 200, as a retryAfterError if it has a valid
+// Retry-After.
 func statusError(resp *http.Response) error {
 	err := fmt.Errorf("discovery: status %d", resp.StatusCode)
 	seconds, malformed := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
@@ -299,11 +303,11 @@
 	return &retryAfterError{error: err, after: after}
 }
 
-// retryAfterError is an answer of discovery that says when to call again.
+// retryAfterError is the error of an answer with a Retry-After header.
 type retryAfterError struct {
 	error
 	after time.Duration
 }
 
-// RetryAfter returns how long to wait.
+// RetryAfter returns how long to wait before the next call.
 func (e *retryAfterError) RetryAfter() time.Duration { return e.after }
--- a/internal/proxy/discoveryclient_test.go
+++ b/internal/proxy/discoveryclient_test.go
@@ -83,7 +83,7 @@
 		}
 	}
 	close(sendList)
-	for !strings.HasPrefix(within(t, queries, "discovery got no watch from version 43 after it sent the list"), "from=43&") {
+	for !strings.HasPrefix(within(t, queries, "discovery got no watch from version 43"), "from=43&") {
 		continue
 	}
 	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
--- a/internal/proxy/discoverytiming.go
+++ b/internal/proxy/discoverytiming.go
@@ -6,36 +6,36 @@
 	"lapisspread/decision"
 )
 
-// Timing of an agent on this machine, which answers at once and at no cost.
+// Timing for a discovery agent on the same machine, which answers at once and whose calls cost little.
 const (
 	agentHold  = time.Second
 	agentSlack = 500 * time.Millisecond
 	agentFetch = 1500 * time.Millisecond
 )
 
-// Timing of a discovery service that the whole fleet polls.
+// Timing for a remote discovery service that the whole fleet polls.
 const (
 	minRemoteHold = 2 * time.Second
 	maxRemoteHold = 20 * time.Second
 	remoteSlack   = time.Second
 	remoteFetch   = 6 * time.Second
-	callsPerAge   = 2 // watches within the time in which an answer grows too old
+	callsPerAge   = 2 // watches within MaxListAge
 )
 
-// discoveryTiming is how discovery is called. A watch that gets no answer while its connection stays open shows only by
-// its time: watchHold and slack together bound how long that goes unnoticed.
+// discoveryTiming holds the timeouts of calls to discovery. A watch that gets no answer while its connection stays open
+// is detected only by its timeout, which is watchHold and slack together.
 type discoveryTiming struct {
 	watchHold    time.Duration // how long discovery may hold a watch
-	slack        time.Duration // how much longer that answer may take, and how long a connect may take
-	fetchTimeout time.Duration // for the answer to a call without a hold; hedged calls follow after each third of it
-	maxBackoff   time.Duration // the longest pause after a failed call
+	slack        time.Duration // how much longer than watchHold the answer may take; also the timeout of a connect
+	fetchTimeout time.Duration // timeout of a call without a hold; a hedged call follows after each third of it
+	maxBackoff   time.Duration // longest pause after a failed call
 }
 
 // timingFor derives the timing from the settings.
 //
-// A change that a watch misses must be noticed within 2 s of the end of its hold, so slack stays well below. After any
-// failed call the list must be current within 6 s of discovery being back (or at once with an agent), so that the next
-// call after fetchTimeout/3 or maxBackoff has half of that time to spare.
+// A change that a watch misses must be noticed within 2 s of the end of the watch's hold, so slack is well below 2 s.
+// After any failed call the list must be current within 6 s of discovery's recovery (or at once with an agent), so the
+// next call follows after fetchTimeout/3 or maxBackoff, which leaves half of that time to spare.
 func timingFor(m *decision.Config) discoveryTiming {
 	timing := discoveryTiming{
 		watchHold:    agentHold,
--- a/internal/proxy/discoverywatch_test.go
+++ b/internal/proxy/discoverywatch_test.go
@@ -51,7 +51,8 @@
 				Constraints: decision.Constraints{MaxListAge: timing.maxListAge,
 					DrainGrace: timing.grace},
 				Capabilities: decision.Capabilities{ConnectTimeout: timing.connect, MaxAttempts: 1}}
-			for _, fault := range []discoveryFault{refused, unreachable, hung, rejecting, reset, truncated, garbled, outdated, slow} {
+			for _, fault := range []discoveryFault{refused, unreachable, hung, rejecting, reset, truncated, garbled,
+				outdated, slow} {
 				for _, source := range []string{"alone", "hub", "comeback"} {
 					t.Run(fmt.Sprintf("polled %v/list age %v/%s/%s", polled, timing.maxListAge, fault, source),
 						func(t *testing.T) {
--- a/internal/proxy/endpointlist.go
+++ b/internal/proxy/endpointlist.go
@@ -10,19 +10,21 @@
 	"lapisspread/internal/engine"
 )
 
-// List is an endpoint list as the engine takes it.
+// List is an endpoint list in the engine's form.
 type List = engine.EndpointList
 
 // Member is one entry of a List.
 type Member = engine.Endpoint
 
-// maxStartedAtMs is far past any date. A later one would overflow the clock's range.
+// maxStartedAtMs bounds start times, in ms since 1970. It is far past any date; a later time would overflow the clock's
+// range.
 const maxStartedAtMs = 1e13
 
+// backendID returns the engine's ID for a backend's name in the list.
 func backendID(name string) decision.BackendID { return engine.BackendID(name) }
 
-// listFile is discovery's JSON form of an endpoint list. It and listInstance are aliases, as encoding/json would put
-// the names of types into its errors, which operators read.
+// listFile is discovery's JSON form of an endpoint list. It and listInstance are aliases of unnamed types, since
+// encoding/json would put the names of types into its errors, which operators read.
 type listFile = struct {
 	Generation *uint32        `json:"generation"`
 	Reset      bool           `json:"reset"`
@@ -40,14 +42,14 @@
 	StartedAtMs float64 `json:"startedAtMs"`
 }
 
-// lifecycles are discovery's words for the states of a backend.
+// lifecycles maps discovery's names for the states of a backend.
 var lifecycles = map[string]decision.BackendState{
 	"active":  decision.Ready,
 	"leaving": decision.Draining,
 	"left":    decision.Removed,
 }
 
-// parseList reads discovery's JSON. One invalid entry makes the whole list invalid.
+// parseList parses discovery's JSON. One invalid entry makes the whole list invalid.
 func parseList(text []byte) (List, error) {
 	var f listFile
 	if err := json.Unmarshal(text, &f); err != nil {
--- a/internal/proxy/endpointsource.go
+++ b/internal/proxy/endpointsource.go
@@ -11,14 +11,15 @@
 	config "lapisspread/internal/services"
 )
 
-// newSource makes the source of the endpoint list at an address: a discovery client, whose answers pass the freshness
-// monitor and the list guard where there are any. The name stays the same where a source moves to another address.
+// newSource returns the source of the endpoint list at an address: a discovery client, wrapped with the freshness
+// monitor and the list guard if they are configured. The name stays the same if a source moves to another address.
 func (s *serviceSet) newSource(name, addr string) engine.Source {
 	p := s.proxy
 	client := newDiscoveryClient(addr, p.cfg.timing, p.log)
 	client.onInvalidList = func() { p.counters.InvalidLists.Add(1) }
 	var source engine.Source = client
-	// The monitor comes before the guard: it judges what discovery said, not what the guard made of it.
+	// The monitor wraps the client directly: it must see discovery's answers, and not the lists that the guard has
+	// changed.
 	if monitor := p.freshness.Load(); monitor != nil {
 		hold := client.timing.watchHold
 		source = monitor.Wrap(freshnessName(name), hold, client, s.initialList(addr), p.snapshots.listAge(addr))
@@ -32,10 +33,10 @@
 }
 
 // freshnessName returns the name under which a source's freshness is monitored. The source of the only service keeps
-// its name where it moves to another address.
+// its name if it moves to another address.
 func freshnessName(source string) string { return cmp.Or(source, "discovery") }
 
-// followFreshness makes a service judge freshness by the list of its source at an address.
+// followFreshness makes a service use the freshness of the endpoint list at an address.
 func (s *service) followFreshness(addr string) {
 	switch {
 	case s.freshness == nil:
@@ -46,7 +47,8 @@
 	}
 }
 
-// initialList returns the endpoint list at an address as it was known at the start.
+// initialList returns the endpoint list of an address known at the process's start, empty for any address but the
+// configured one.
 func (s *serviceSet) initialList(addr string) List {
 	if addr != s.proxy.cfg.Discovery {
 		return List{}
@@ -55,7 +57,8 @@
 	return List{Version: known.Version, Full: true, Endpoints: known.Endpoints}
 }
 
-// switchDiscovery has a service take its endpoint list from another address, unless it does already.
+// switchDiscovery makes a service use the endpoint list at another address. It has no effect if the service already
+// does.
 func (s *serviceSet) switchDiscovery(svc *service, discovery string) {
 	svc.engine.Post(func() {
 		if discovery == svc.engine.Source().Addr() {
@@ -67,7 +70,7 @@
 	})
 }
 
-// subscribe returns a service's source of its endpoint list at an address, and the list as far as it is known already.
+// subscribe returns a service's source for the endpoint list at an address, and the list as far as it is known.
 // Several services at one address share one watch.
 func (s *serviceSet) subscribe(addr string, spec *config.Service) (engine.Source, List) {
 	known := s.initialList(addr)
@@ -83,21 +86,22 @@
 	return filtered, filtered.filter(known)
 }
 
-// filteredSource is a source reduced to the endpoints of one service. Other endpoints are reported as removed, since an
-// endpoint may come to belong to another service.
+// filteredSource is a source reduced to the endpoints of one service. In a change, other endpoints are reported as
+// removed, since an endpoint may have moved to another service.
 type filteredSource struct {
 	engine.Source
 	spec config.Service
 }
 
-// matches reports whether an endpoint belongs to the service.
+// matches reports whether an endpoint's kind and cell belong to the service.
 func (s filteredSource) matches(m *Member) bool {
 	return (len(s.spec.Kinds) == 0 || slices.Contains(s.spec.Kinds, m.Kind)) &&
 		(len(s.spec.Cells) == 0 || slices.Contains(s.spec.Cells, m.Cell))
 }
 
+// filter returns a list reduced to the service's endpoints.
 func (s filteredSource) filter(list List) List {
-	out := List{Version: list.Version, Full: list.Full}
+	filtered := List{Version: list.Version, Full: list.Full}
 	for _, m := range list.Endpoints {
 		if !s.matches(&m) {
 			if list.Full {
@@ -105,18 +109,18 @@
 			}
 			m.State = decision.Removed
 		}
-		out.Endpoints = append(out.Endpoints, m)
+		filtered.Endpoints = append(filtered.Endpoints, m)
 	}
-	return out
+	return filtered
 }
 
-// Fetch fetches the whole list and returns the service's part of it.
+// Fetch fetches the whole list and returns the service's endpoints in it.
 func (s filteredSource) Fetch(ctx context.Context) (List, error) {
 	list, err := s.Source.Fetch(ctx)
 	return s.filter(list), err
 }
 
-// Watch calls notify with the service's part of each change.
+// Watch calls notify with each answer, reduced to the service's endpoints.
 func (s filteredSource) Watch(ctx context.Context, from uint32, notify func(List)) error {
 	return s.Source.Watch(ctx, from, func(list List) { notify(s.filter(list)) })
 }
--- a/internal/proxy/hotrestart_test.go
+++ b/internal/proxy/hotrestart_test.go
@@ -64,7 +64,8 @@
 	go func() {
 		resp, body, err := previous.request(t, "hand-in", 19000, "homework")
 		if err == nil && (resp.StatusCode != 200 || body != "fine" || !resp.Close) {
-			err = fmt.Errorf("status %d, body %q, close announced %v; want 200, \"fine\" and a close", resp.StatusCode, body, resp.Close)
+			err = fmt.Errorf("status %d, body %q, close announced %v; want 200, \"fine\" and a close",
+				resp.StatusCode, body, resp.Close)
 		}
 		responded <- err
 	}()
--- a/internal/proxy/rawsocket/rawsocket.go
+++ b/internal/proxy/rawsocket/rawsocket.go
@@ -13,7 +13,7 @@
 func Conn(nc net.Conn) (syscall.RawConn, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("%T is no socket", nc)
+		return nil, fmt.Errorf("%T has no socket", nc)
 	}
 	return sc.SyscallConn()
 }
--- a/internal/proxy/snapshotstore.go
+++ b/internal/proxy/snapshotstore.go
@@ -20,25 +20,25 @@
 	snapshotFormat = 1
 )
 
-// What a snapshotReport says of the previous process's snapshot, unless that is an error's text.
+// Values of snapshotReport.Recalled. A file that could not be read is reported by its error's text.
 const (
 	recalledYes     = "yes"
 	recalledNone    = "none"
 	recalledExpired = "it is too old, or of a time that has not come"
 )
 
-// persistedState is what a process has learned that the next one can use.
+// persistedState is the state of a process that is stored for the next one.
 type persistedState struct {
 	Lists    map[string]guardedsource.CachedList `json:"lists"`    // by the address of discovery
 	Services map[string]decision.Snapshot        `json:"services"` // by name; the only service has an empty one
 }
 
-// snapshotStore writes what this process has learned to a file, and holds what the previous one has written. All
+// snapshotStore writes this process's state to a file, and holds the state that the previous process has written. All
 // methods may be called by any goroutine.
 type snapshotStore struct {
 	file     *durable.File
-	interval time.Duration // between two writes
-	maxAge   time.Duration // of what is recalled
+	interval time.Duration // between writes
+	maxAge   time.Duration // of state that is used
 	now      func() time.Duration
 
 	mu       sync.Mutex
@@ -49,13 +49,14 @@
 // snapshotReport is the state of a snapshotStore for operators.
 type snapshotReport struct {
 	Recalled    string  `json:"recalled"` // "yes", "none", or why the previous process's snapshot can't be used
-	AgeS        float64 `json:"age_s"`    // of what was recalled, in seconds as the process started
-	Written     int64   `json:"written"`
-	Failed      int64   `json:"failed"`
+	AgeS        float64 `json:"age_s"`    // age of the newest state used, in seconds, when the process started
+	Written     int64   `json:"written"`  // number of writes
+	Failed      int64   `json:"failed"`   // number of writes that failed
 	LastFailure string  `json:"last_failure,omitempty"`
 }
 
-// openSnapshotStore reads the previous process's snapshot. What can't be used is dropped, and the report says why.
+// openSnapshotStore reads the previous process's snapshot. A snapshot that can't be used is dropped, and the report
+// says why.
 func openSnapshotStore(path string, interval, maxAge time.Duration) *snapshotStore {
 	m := &snapshotStore{
 		file:     &durable.File{Path: path, Kind: snapshotKind, Version: snapshotFormat},
@@ -77,7 +78,7 @@
 	return m
 }
 
-// dropExpired drops what is older than maxAge, or of a time in the future: the machine's clock was set back.
+// dropExpired drops state that is older than maxAge, or whose time is in the future because the clock was set back.
 func (m *snapshotStore) dropExpired() {
 	now := m.now()
 	expired := func(at time.Duration) bool { return at > now || now-at > m.maxAge }
@@ -103,8 +104,8 @@
 	}
 }
 
-// initialList returns the endpoint list to start with: the configured one, or the previous process's if its version is
-// not lower. The configured one may be hours old, and its endpoints gone.
+// initialList returns the endpoint list to start with: the previous process's if its version is not lower than that of
+// the configured one, and otherwise the configured one, which may be hours old with endpoints that no longer exist.
 func (m *snapshotStore) initialList(addr string, configured List) List {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -115,7 +116,7 @@
 	return configured
 }
 
-// listAge returns how old the previous process's endpoint list of an address is; negative is unknown. m may be nil.
+// listAge returns the age of the previous process's endpoint list of an address, or -1 if it is unknown. m may be nil.
 func (m *snapshotStore) listAge(addr string) time.Duration {
 	if m == nil {
 		return -1
@@ -128,8 +129,8 @@
 	return -1
 }
 
-// takeSnapshot returns what the previous process's service of that name had learned, or nil. It does so once: a later
-// service of that name is another one.
+// takeSnapshot returns the previous process's snapshot of the service with a name, or nil. It returns each snapshot
+// only once: a service of the same name that is added later is a different service.
 func (m *snapshotStore) takeSnapshot(name string) *decision.Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -141,8 +142,8 @@
 	return &snapshot
 }
 
-// run writes what the process has learned once an interval until ctx ends, unless a later process does that. The first
-// write comes at a random time, since many proxies may share a disk.
+// run writes the state of the process once an interval until ctx ends. It does not write once a later process has taken
+// over. The first write is at a random time, since many proxies may share a disk.
 func (m *snapshotStore) run(ctx context.Context, p *Proxy) {
 	timer := time.NewTimer(m.interval/2 + rand.N(m.interval))
 	defer timer.Stop()
@@ -161,12 +162,12 @@
 
 // write saves the state of all services, and logs a failure unless it is the same as the last one.
 func (m *snapshotStore) write(p *Proxy) {
-	now := p.services.current.Load()
-	if now == nil {
+	routing := p.services.current.Load()
+	if routing == nil {
 		return
 	}
 	state := persistedState{Lists: p.listGuard.CachedLists(), Services: map[string]decision.Snapshot{}}
-	for name, svc := range now.byName {
+	for name, svc := range routing.byName {
 		if snapshot, ok := svc.engine.Snapshot(); ok {
 			state.Services[name] = snapshot
 		}
