--- a/internal/proxy/adminbackend_test.go
+++ b/internal/proxy/adminbackend_test.go
@@ -71,7 +71,8 @@
 			"Content-Length: 5\r\n\r\nhal")
 	_ = c.(*net.TCPConn).CloseWrite()
 	mustRespond(t, 400)(readFinalResponse(bufio.NewReader(c)))
-	want := `{"served":{"fetch-work":0,"hand-in":3},"refused":{"fetch-work":0,"hand-in":0},"failed":{"fetch-work":0,"hand-in":1},` +
+	want := `{"served":{"fetch-work":0,"hand-in":3},"refused":{"fetch-work":0,"hand-in":0},"failed":` +
+		`{"fetch-work":0,"hand-in":1},` +
 		`"attempts":3,"in_flight":0,"backends_known":1,"backends_excluded":0,"reloads_ok":0,"reloads_failed":1,"lists_bad":0}`
 	p.proxy.ReloadFailed(errors.New("no such file"))
 	text := ""
@@ -87,10 +88,11 @@
 }
 
 func TestOutcomeForStatus(t *testing.T) {
+	names := map[metrics.Outcome]string{metrics.Served: "Served", metrics.Rejected: "Rejected", metrics.Failed: "Failed"}
 	for status, want := range map[int]metrics.Outcome{200: metrics.Served, 429: metrics.Rejected, 503: metrics.Rejected,
 		502: metrics.Failed, 504: metrics.Failed, 400: metrics.Failed, 413: metrics.Failed} {
 		if got := outcomeForStatus(status); got != want {
-			t.Errorf("outcomeForStatus(%d) = %v, want %v", status, got, want)
+			t.Errorf("outcomeForStatus(%d) = %q, want %q", status, names[got], names[want])
 		}
 	}
 }
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -165,7 +165,7 @@
 		}
 		return list
 	}
-	// The list's version wraps around. A watch from the previous version gets the last change, any other the whole
+	// The list's version wraps around. A watch from the previous version gets the last change, any other the full
 	// list.
 	version, change, changed := math.MaxUint32-5, "", make(chan struct{})
 	c := &catalog{Server: httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, r *http.Request) {
--- a/internal/proxy/conformance_test.go
+++ b/internal/proxy/conformance_test.go
@@ -115,7 +115,7 @@
 		case enginetest.ClosesBeforeResponse:
 			return
 		case enginetest.Stalls:
-			_, _ = in.Peek(1) // until the proxy closes the connection
+			_, _ = in.Peek(1) // blocks until the proxy closes the connection
 			return
 		case enginetest.ServesSlowly:
 			time.Sleep(20 * time.Millisecond)
--- a/internal/proxy/discoverywatch_test.go
+++ b/internal/proxy/discoverywatch_test.go
@@ -75,15 +75,15 @@
 }
 
 // expectDrainReported runs an engine against a faulty discovery and checks how soon after the fault a drain is reported
-// and how many calls are made during the fault. The source of the list is "alone" (a discovery client), "hub" (one
-// shared by services) or "comeback" (one with a list guard). Phase shifts the fault's end.
+// and how many calls are made during the fault. The kind of the source is "alone" (a discovery client), "hub" (a client
+// shared by services) or "comeback" (a client with a list guard). The fault lasts 770 ms longer for each phase.
 func expectDrainReported(t *testing.T, m decision.Config, fault discoveryFault, sourceKind string, phase int) {
 	p := timingFor(&m)
-	down := p.watchHold + 3*time.Second + time.Duration(phase)*770*time.Millisecond
-	reg, up := newFaultyDiscovery(), &recordingUpstream{}
+	faultDuration := p.watchHold + 3*time.Second + time.Duration(phase)*770*time.Millisecond
+	server, upstream := newFaultyDiscovery(), &recordingUpstream{}
 	log := slog.New(slog.DiscardHandler)
 	d := newDiscoveryClient("register.test:1", p, log)
-	d.dial = reg.dial(p.slack)
+	d.dial = server.dial(p.slack)
 	known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
 	var source engine.Source = d
 	switch sourceKind {
@@ -97,10 +97,10 @@
 		w := guardedsource.NewCoordinator(settings, m.Instances, uint64(phase), engine.NewClock().Now,
 			log).LimitBackoff(p.maxBackoff).Wrap("", d, known)
 		d.watchHold = func() time.Duration { return w.WatchTimeout(p.watchHold) }
-		down += 20 * time.Second // the list guard retains endpoints for this long
+		faultDuration += 20 * time.Second // the list guard makes discovery hold watches for up to 20 s
 		source = w
 	}
-	e, err := engine.New(engine.Options{Decision: m, Seed: uint64(phase), InitialEndpoints: known, Upstream: up,
+	e, err := engine.New(engine.Options{Decision: m, Seed: uint64(phase), InitialEndpoints: known, Upstream: upstream,
 		Source: source, Log: log})
 	if err != nil {
 		t.Fatalf("engine.New(): %v", err)
@@ -108,35 +108,36 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { e.Run(ctx); close(ended) }()
-	defer func() { cancel(); <-ended; reg.setFault(reset); time.Sleep(time.Minute) }()
+	defer func() { cancel(); <-ended; server.setFault(reset); time.Sleep(time.Minute) }()
 	time.Sleep(3 * time.Second)
-	reg.setFault(fault)
-	before := reg.callCount()
-	time.Sleep(down)
+	server.setFault(fault)
+	before := server.callCount()
+	time.Sleep(faultDuration)
 	synctest.Wait()
-	calls := reg.callCount() - before
+	calls := server.callCount() - before
 	recoveredAt := time.Now()
 	limit := 5500 * time.Millisecond
 	if !m.PolledDiscovery && fault != hung && fault != unreachable {
 		limit = m.Constraints.DrainGrace
 	}
 	if fault != slow {
-		reg.setFault(noFault)
+		server.setFault(noFault)
 	} else if !m.PolledDiscovery { // an agent on the same machine never takes seconds
 		return
 	}
-	reg.drain(12)
+	server.drain(12)
 	time.Sleep(10 * time.Second)
 	synctest.Wait()
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	if took := up.drainedAt.Sub(recoveredAt); up.drainedAt.IsZero() || took > limit {
-		t.Errorf("drain reported %v after a fault of %v with %d calls (reported at all: %v), want at most %v", took, down,
-			calls, !up.drainedAt.IsZero(), limit)
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
+	if took := upstream.drainedAt.Sub(recoveredAt); upstream.drainedAt.IsZero() || took > limit {
+		t.Errorf("drain reported %v after a fault of %v with %d calls (reported at all: %v), want at most %v", took,
+			faultDuration, calls, !upstream.drainedAt.IsZero(), limit)
 	}
 	backoff := max(p.maxBackoff, 50*time.Millisecond)
-	if bound := 20 + 4*int(down/backoff); calls > bound {
-		t.Errorf("%d calls during a fault of %v, want at most %d with a longest backoff of %v", calls, down, bound, backoff)
+	if bound := 20 + 4*int(faultDuration/backoff); calls > bound {
+		t.Errorf("%d calls during a fault of %v, want at most %d with a longest backoff of %v", calls, faultDuration,
+			bound, backoff)
 	}
 }
 
@@ -148,11 +149,11 @@
 			LatencyObjective: time.Second, ClientTimeout: time.Second}},
 			Constraints:  decision.Constraints{DrainGrace: 250 * time.Millisecond},
 			Capabilities: decision.Capabilities{MaxAttempts: 1}}
-		reg, up := newFaultyDiscovery(), &recordingUpstream{}
+		server, upstream := newFaultyDiscovery(), &recordingUpstream{}
 		d := newDiscoveryClient("register.test:1", timingFor(&m), slog.New(slog.DiscardHandler))
-		d.dial = reg.dial(time.Second)
+		d.dial = server.dial(time.Second)
 		known, _ := parseList([]byte(listText(7, true, memberText("a", "127.0.0.1:1", "active"))))
-		e, err := engine.New(engine.Options{Decision: m, InitialEndpoints: known, Upstream: up, Source: d})
+		e, err := engine.New(engine.Options{Decision: m, InitialEndpoints: known, Upstream: upstream, Source: d})
 		if err != nil {
 			t.Fatalf("engine.New(): %v", err)
 		}
@@ -160,17 +161,17 @@
 		ended := make(chan struct{})
 		go func() { e.Run(ctx); close(ended) }()
 		time.Sleep(500 * time.Millisecond)
-		reg.drain(3)
+		server.drain(3)
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
-		up.mu.Lock()
-		if up.drainedAt.IsZero() {
+		upstream.mu.Lock()
+		if upstream.drainedAt.IsZero() {
 			t.Error("drain under a lower version was not reported within 100 ms")
 		}
-		up.mu.Unlock()
-		before := reg.callCount()
+		upstream.mu.Unlock()
+		before := server.callCount()
 		time.Sleep(10 * time.Second)
-		if calls := reg.callCount() - before; calls < 5 || calls > 15 {
+		if calls := server.callCount() - before; calls < 5 || calls > 15 {
 			t.Errorf("%d calls in 10 s after the restart, want 5 to 15, since each is held for a second", calls)
 		}
 		cancel()
@@ -328,30 +329,30 @@
 	for _, fault := range []discoveryFault{hung, refused, reset, rejecting, truncated, garbled, outdated, endless} {
 		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
-			reg, known, onA, _ := startDraining(t)
-			addr := reg.listen(t)
+			server, known, onA, _ := startDraining(t)
+			addr := server.listen(t)
 			p := startProxy(t, known, newCatalog(t), func(cfg *Config) { pushed(cfg); cfg.Discovery = addr })
 			waitForCalls := func(count int) {
 				t.Helper()
-				for start := time.Now(); reg.callCount() < count; time.Sleep(time.Millisecond) {
+				for start := time.Now(); server.callCount() < count; time.Sleep(time.Millisecond) {
 					if time.Since(start) > patience {
-						t.Fatalf("discovery got %d calls in %v, want %d", reg.callCount(), patience, count)
+						t.Fatalf("discovery got %d calls in %v, want %d", server.callCount(), patience, count)
 					}
 				}
 			}
 			waitForCalls(2) // the probing call and a watch
-			reg.setFault(fault)
-			startedAt, before := time.Now(), reg.callCount()
-			reg.drain(9)
+			server.setFault(fault)
+			startedAt, before := time.Now(), server.callCount()
+			server.drain(9)
 			waitForCalls(before + 2)
 			mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 			if strings.Contains(p.logs.String(), "state=draining") {
 				t.Error("the proxy logged a drain during the fault, want none before discovery has recovered")
 			}
-			if calls, limit := reg.callCount()-before, 20+int(time.Since(startedAt)/(20*time.Millisecond)); calls > limit {
+			if calls, limit := server.callCount()-before, 20+int(time.Since(startedAt)/(20*time.Millisecond)); calls > limit {
 				t.Errorf("%d calls in %v during the fault, want at most %d", calls, time.Since(startedAt), limit)
 			}
-			reg.setFault(noFault)
+			server.setFault(noFault)
 			p.expectAvoided(t, onA)
 			invalid := fault == truncated || fault == garbled || fault == endless
 			if counted := p.proxy.counters.InvalidLists.Load() > 0; counted != invalid {
--- a/internal/proxy/faultydiscovery_test.go
+++ b/internal/proxy/faultydiscovery_test.go
@@ -189,12 +189,12 @@
 		}
 		if query.Get("from") == strconv.Itoa(version) {
 			hold, _ := strconv.Atoi(query.Get("hold_ms"))
-			gone := make(chan struct{})
-			go func() { _, _ = in.Peek(1); close(gone) }()
+			received := make(chan struct{}) // closed with the next call or the connection's close
+			go func() { _, _ = in.Peek(1); close(received) }()
 			var changes []string
 			select {
 			case <-time.After(time.Duration(hold) * time.Millisecond):
-			case <-gone:
+			case <-received:
 				return
 			case <-changed:
 				changes = append(changes, "") // filled in below with the state at that time
@@ -209,7 +209,7 @@
 			if !silent {
 				ok(listText(version, false, changes...))
 			}
-			<-gone // the next call has arrived, or the connection was closed
+			<-received // the next call, or the connection's close
 			if silent {
 				return
 			}
@@ -221,12 +221,12 @@
 
 // startDraining starts two backends and a discovery that lists both, the first one as draining once drain is called. It
 // returns the discovery, its first list, and the requests that each backend gets.
-func startDraining(t *testing.T) (reg *faultyDiscovery, known string, onA, onB chan *http.Request) {
+func startDraining(t *testing.T) (server *faultyDiscovery, known string, onA, onB chan *http.Request) {
 	onA, onB = make(chan *http.Request, 1024), make(chan *http.Request, 1024)
-	reg = newFaultyDiscovery()
-	reg.addr = countingBackend(t, onA)
-	reg.more = []string{memberText("b", countingBackend(t, onB), "active")}
-	return reg, listText(7, true, memberText("a", reg.addr, "active"), reg.more[0]), onA, onB
+	server = newFaultyDiscovery()
+	server.addr = countingBackend(t, onA)
+	server.more = []string{memberText("b", countingBackend(t, onB), "active")}
+	return server, listText(7, true, memberText("a", server.addr, "active"), server.more[0]), onA, onB
 }
 
 // awaitSecondCall waits until discovery has got two calls, for patience at most.
--- a/internal/proxy/httpframe/scanner_test.go
+++ b/internal/proxy/httpframe/scanner_test.go
@@ -19,7 +19,8 @@
 			[]int{38}, []Framing{{Length: 3}}},
 		"chunked": {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nab\n\r\n0\r\nT: 1\r\n\r\n" + plainHead,
 			[]int{70, 27}, []Framing{{Length: -1, Chunked: true}, {Length: -1}}},
-		"Content-Length and chunked": {"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + plainHead,
+		"Content-Length and chunked": {"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n" +
+			"0\r\n\r\n" + plainHead,
 			nil, []Framing{{Length: 3, Chunked: true, Ambiguous: true}}},
 		"chunked and Content-Length": {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n",
 			nil, []Framing{{Length: 3, Chunked: true, Ambiguous: true}}},
