--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -71,28 +71,28 @@
 }
 
 // open starts the backend at an address that was not used before. The lock must be held.
-func (s *churningBackend) open(t *testing.T) {
+func (b *churningBackend) open(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Errorf("listening for backend %s: %v", s.name, err)
+		t.Errorf("listening for backend %s: %v", b.name, err)
 		return
 	}
-	s.listener, s.addr, s.conns = l, l.Addr().String(), map[net.Conn]bool{}
-	go serveRaw(l, s.serve)
+	b.listener, b.addr, b.conns = l, l.Addr().String(), map[net.Conn]bool{}
+	go serveRaw(l, b.serve)
 }
 
 // kill stops the backend: its listener and connections are closed. The lock must be held.
-func (s *churningBackend) kill() {
-	_ = s.listener.Close()
-	for c := range s.conns {
+func (b *churningBackend) kill() {
+	_ = b.listener.Close()
+	for c := range b.conns {
 		_ = c.Close()
 	}
 }
 
-func (s *churningBackend) serve(_ int, c net.Conn, in *bufio.Reader) {
-	s.mu.Lock()
-	s.conns[c] = true
-	s.mu.Unlock()
+func (b *churningBackend) serve(_ int, c net.Conn, in *bufio.Reader) {
+	b.mu.Lock()
+	b.conns[c] = true
+	b.mu.Unlock()
 	for {
 		req, err := http.ReadRequest(in)
 		if err != nil {
@@ -102,20 +102,20 @@
 			writeText(c, served)
 			continue
 		}
-		s.mu.Lock()
-		s.reached++
-		if !s.inactiveAt.IsZero() && time.Since(s.inactiveAt) > s.machine.extend(drainLimit) {
-			s.late = append(s.late, fmt.Sprintf("backend %s got request %s %v after it was listed as %s, want none", s.name,
-				req.Header.Get("X-Request-ID"), time.Since(s.inactiveAt), s.state))
+		b.mu.Lock()
+		b.reached++
+		if !b.inactiveAt.IsZero() && time.Since(b.inactiveAt) > b.machine.extend(drainLimit) {
+			b.late = append(b.late, fmt.Sprintf("backend %s got request %s %v after it was listed as %s, want none", b.name,
+				req.Header.Get("X-Request-ID"), time.Since(b.inactiveAt), b.state))
 		}
-		action := s.rng.IntN(16)
-		if s.valid {
+		action := b.rng.IntN(16)
+		if b.valid {
 			action = 9
 		}
 		if req.Method == "POST" && action != 0 {
-			s.ran[req.Header.Get("X-Request-ID")]++
+			b.ran[req.Header.Get("X-Request-ID")]++
 		}
-		s.mu.Unlock()
+		b.mu.Unlock()
 		switch action {
 		case 0:
 			writeText(c, "HTTP/1.1 503 Busy\nX-Not-Processed: 1\nContent-Length: 0\n\n")
@@ -142,25 +142,25 @@
 // that is not idempotent runs at most once, and a draining or removed backend gets no new request.
 func TestEndpointListChangesUnderLoad(t *testing.T) {
 	const duration, clients = 3500 * time.Millisecond, 12
-	w := &churn{machine: watchLateness(t), rng: rand.New(rand.NewPCG(1, 2)), ran: map[string]int{}}
+	shared := &churn{machine: watchLateness(t), rng: rand.New(rand.NewPCG(1, 2)), ran: map[string]int{}}
 	var backends []*churningBackend
 	for i := range 5 {
-		s := &churningBackend{churn: w, name: fmt.Sprint("s", i), state: "active"}
-		s.open(t)
-		backends = append(backends, s)
+		b := &churningBackend{churn: shared, name: fmt.Sprint("s", i), state: "active"}
+		b.open(t)
+		backends = append(backends, b)
 	}
 	defer func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		for _, s := range backends {
-			s.kill()
+		shared.mu.Lock()
+		defer shared.mu.Unlock()
+		for _, b := range backends {
+			b.kill()
 		}
 	}()
-	entry := func(s *churningBackend) string { return memberText(s.name, s.addr, s.state) }
+	entry := func(b *churningBackend) string { return memberText(b.name, b.addr, b.state) }
 	entries := func() (list []string) {
-		for _, s := range backends {
-			if s.state != "left" {
-				list = append(list, entry(s))
+		for _, b := range backends {
+			if b.state != "left" {
+				list = append(list, entry(b))
 			}
 		}
 		return list
@@ -171,13 +171,13 @@
 	c := &catalog{Server: httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, r *http.Request) {
 		from := r.URL.Query().Get("from")
 		for {
-			w.mu.Lock()
+			shared.mu.Lock()
 			text, nextChange := listText(version&math.MaxUint32, true, entries()...), changed
 			if from == fmt.Sprint((version-1)&math.MaxUint32) && change != "" {
 				text = change
 			}
 			current := from == fmt.Sprint(version&math.MaxUint32)
-			w.mu.Unlock()
+			shared.mu.Unlock()
 			if !current {
 				_, _ = io.WriteString(to, text)
 				return
@@ -200,42 +200,42 @@
 	running.Go(func() {
 		rng := rand.New(rand.NewPCG(3, 4))
 		for n := 0; time.Now().Before(end); n++ {
-			w.mu.Lock()
-			s := backends[rng.IntN(3)]
-			s.state = []string{"active", "active", "leaving", "left"}[rng.IntN(4)]
+			shared.mu.Lock()
+			b := backends[rng.IntN(3)]
+			b.state = []string{"active", "active", "leaving", "left"}[rng.IntN(4)]
 			if n < 2 { // two backends become inactive for a long time
-				s = backends[3+n]
-				s.state = []string{"leaving", "left"}[n]
+				b = backends[3+n]
+				b.state = []string{"leaving", "left"}[n]
 			}
 			if n >= 2 && rng.IntN(6) == 0 { // restart at another address
-				s.kill()
-				s.open(t)
+				b.kill()
+				b.open(t)
 			}
-			if s.state == "active" {
-				s.inactiveAt = time.Time{}
-			} else if s.inactiveAt.IsZero() {
-				s.inactiveAt = time.Now()
+			if b.state == "active" {
+				b.inactiveAt = time.Time{}
+			} else if b.inactiveAt.IsZero() {
+				b.inactiveAt = time.Now()
 			}
 			version++
-			if change = listText(version&math.MaxUint32, false, entry(s)); rng.IntN(30) == 0 {
+			if change = listText(version&math.MaxUint32, false, entry(b)); rng.IntN(30) == 0 {
 				change = ""
 			}
 			close(changed)
 			changed = make(chan struct{})
-			w.mu.Unlock()
+			shared.mu.Unlock()
 			time.Sleep(time.Duration(rng.IntN(120)) * time.Millisecond)
 		}
-		w.mu.Lock()
-		w.valid = true
-		for _, s := range backends {
-			s.kill()
-			s.open(t)
-			s.state, s.inactiveAt = "active", time.Time{}
+		shared.mu.Lock()
+		shared.valid = true
+		for _, b := range backends {
+			b.kill()
+			b.open(t)
+			b.state, b.inactiveAt = "active", time.Time{}
 		}
 		version, change = version+1, ""
 		close(changed)
 		changed = make(chan struct{})
-		w.mu.Unlock()
+		shared.mu.Unlock()
 	})
 	var mu sync.Mutex
 	responses := map[int]int{}
@@ -254,7 +254,7 @@
 				if resp.StatusCode == 200 && body != "fine" {
 					t.Errorf("client %d: status 200 with body %q, want %q", n, body, "fine")
 				}
-				if took > w.machine.extend(time.Duration(timeout)*time.Millisecond+time.Second) {
+				if took > shared.machine.extend(time.Duration(timeout)*time.Millisecond+time.Second) {
 					t.Errorf("client %d: response after %v, want it within a second of the timeout of %d ms", n, took, timeout)
 				}
 				mu.Lock()
@@ -264,22 +264,22 @@
 		})
 	}
 	running.Wait()
-	w.mu.Lock()
-	for id, n := range w.ran {
+	shared.mu.Lock()
+	for id, n := range shared.ran {
 		if n > 1 {
 			t.Errorf("request %s, which is not idempotent, ran %d times, want at most once", id, n)
 		}
 	}
-	for _, text := range w.late {
+	for _, text := range shared.late {
 		t.Error(text)
 	}
-	t.Logf("%d lists, %d requests at backends, responses by status: %v", version-(math.MaxUint32-5), w.reached,
+	t.Logf("%d lists, %d requests at backends, responses by status: %v", version-(math.MaxUint32-5), shared.reached,
 		responses)
-	if w.reached < 100 || responses[200] < 100 {
-		t.Errorf("%d requests at backends, responses by status: %v; want at least 100 of each for a valid test", w.reached,
+	if shared.reached < 100 || responses[200] < 100 {
+		t.Errorf("%d requests at backends, responses by status: %v; want at least 100 of each for a valid test", shared.reached,
 			responses)
 	}
-	w.mu.Unlock()
+	shared.mu.Unlock()
 	for try := 0; ; try++ { // once all backends are active, requests are served
 		resp, _, err := p.request(t, "fetch-work", 2000, "")
 		if err == nil && resp.StatusCode == 200 {
