--- a/internal/proxy/adminbackend.go
+++ b/internal/proxy/adminbackend.go
@@ -105,7 +105,8 @@
 	return r, nil
 }
 
-// Diameter reports the Diameter peers and the state of the idempotency ledger, or errNoDiameter.
+// Diameter reports the Diameter peers and the state of the idempotency ledger. The error is errNoDiameter if
+// Diameter is off.
 func (o adminBackend) Diameter() (any, error) {
 	if o.diameter == nil {
 		return nil, errNoDiameter
@@ -114,7 +115,7 @@
 }
 
 // ListGuard reports which endpoints are retained although the endpoint list no longer has them, and how the calls to
-// discovery went, or errNoListGuard.
+// discovery went. The error is errNoListGuard if the list guard is off.
 func (o adminBackend) ListGuard() (any, error) {
 	if o.listGuard == nil {
 		return nil, errNoListGuard
@@ -129,8 +130,8 @@
 	return r, nil
 }
 
-// QuotaLeases reports this proxy's quota leases and the state of its connection to the control plane, or
-// errNoControlPlane.
+// QuotaLeases reports this proxy's quota leases and the state of its connection to the control plane.
+// The error is errNoControlPlane if the proxy has not joined one.
 func (o adminBackend) QuotaLeases() (any, error) {
 	quotas := o.quotaClient.Load()
 	if quotas == nil {
@@ -144,7 +145,8 @@
 	return r, nil
 }
 
-// Freshness reports how old this proxy's endpoint lists may be, or errNoFreshness.
+// Freshness reports how old this proxy's endpoint lists may be. The error is errNoFreshness if freshness is not
+// monitored.
 func (o adminBackend) Freshness() (any, error) {
 	monitor := o.freshness.Load()
 	if monitor == nil {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -46,7 +46,7 @@
 	return deadline, nil
 }
 
-// Consumed reports whether part of a streamed body has been read, so that there can be no further attempt.
+// Consumed reports whether a streamed body was read beyond its prefix, so that there can be no further attempt.
 func (m *message) Consumed() bool { return m.upload.isConsumed() }
 
 // newRequest returns the request of one attempt on a connection to addr.
@@ -236,13 +236,13 @@
 	if err != nil {
 		return reception{}, err
 	}
-	notRead := stream != nil && resp.StatusCode != http.StatusOK
+	bodyNotRead := stream != nil && resp.StatusCode != http.StatusOK
 	result := responseResult(resp)
 	// A body that was not read to its end may be invalid, and an invalid response is no proof that nothing ran.
-	if notRead && result == decision.Rejected {
+	if bodyNotRead && result == decision.Rejected {
 		result = decision.Error
 	}
-	return reception{status: resp.StatusCode, result: result, body: body, reusable: !resp.Close && !notRead}, nil
+	return reception{status: resp.StatusCode, result: result, body: body, reusable: !resp.Close && !bodyNotRead}, nil
 }
 
 // deliverStream streams a long response to the request's client, and blocks until the client has read it or ctx ends.
--- a/internal/proxy/backendpool.go
+++ b/internal/proxy/backendpool.go
@@ -104,7 +104,7 @@
 	return stale
 }
 
-// remove removes a backend and returns its idle connections. The lock must be held.
+// remove deletes a backend from the pool and returns its idle connections. The lock must be held.
 func (p *pool) remove(id decision.BackendID) []*conn {
 	b := p.backends[id]
 	if b == nil {
