--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -20,48 +20,50 @@
 	"lapisspread/internal/admin"
 )
 
-// newAdmissionStage starts a stage with admission control by the given settings.
-func newAdmissionStage(t *testing.T, text string, sockets int) *stage {
+// newAdmissionFixture starts a proxy with two services and admission control. text is the admission file without its
+// version line, sockets the limit on descriptors.
+func newAdmissionFixture(t *testing.T, text string, sockets int) *proxyFixture {
 	path := filepath.Join(t.TempDir(), "admission.toml")
 	if err := os.WriteFile(path, []byte("version = 1\n"+text), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the admission file: %v", err)
 	}
-	return newStage(t, twoServices, func(c *Config) { c.Sockets, c.Admission, c.MemoryMB = sockets, path, 32 })
+	return newProxyFixture(t, twoServices, func(c *Config) { c.Sockets, c.Admission, c.MemoryMB = sockets, path, 32 })
 }
 
-func clientFrom(t *testing.T, from string) *http.Client {
-	d := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
+// clientFrom returns an HTTP client whose connections have the given source address.
+func clientFrom(t *testing.T, source string) *http.Client {
+	d := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(source)}}
 	c := &http.Client{Transport: &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 8}}
 	t.Cleanup(c.CloseIdleConnections)
 	return c
 }
 
-// A flood of incomplete heads from many addresses takes no place from clients that send requests, on reused connections
-// and on new ones, and doesn't end a request in flight.
+// A flood of incomplete request heads from many addresses must not displace clients that send complete requests on
+// reused or new connections, and must not end a request in flight.
 func TestFloodOfIncompleteHeadsLeavesRoomForClients(t *testing.T) {
-	s := newAdmissionStage(t, "", 128) // 57 places
+	s := newAdmissionFixture(t, "", 128) // room for 57 client connections
 	kept := clientFrom(t, "127.0.0.1")
 	for range 4 {
 		if status, body := s.request(kept, "x.org", "/api", "hand-in", 5000); status != 200 {
-			t.Fatalf("before: %d %q", status, body)
+			t.Fatalf("request on a kept connection before the flood = status %d, body %q, want 200", status, body)
 		}
 	}
 	s.stall["slow-5"].Store(1200)
-	inHand := make(chan int, 1)
+	inFlightStatus := make(chan int, 1)
 	go func() {
 		status, _ := s.request(clientFrom(t, "127.0.7.7"), "pay.example.org", "/api", "hand-in", 5000)
-		inHand <- status
+		inFlightStatus <- status
 	}()
-	var all sync.WaitGroup
+	var flooders sync.WaitGroup
 	stop := make(chan struct{})
 	var opened atomic.Int64
 	for k := range 8 {
-		all.Go(func() {
-			var mine []net.Conn
+		flooders.Go(func() {
+			var conns []net.Conn
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
-					for _, c := range mine {
+					for _, c := range conns {
 						_ = c.Close()
 					}
 					return
@@ -75,134 +77,137 @@
 				}
 				_, _ = io.WriteString(c, "POST /api HTTP/1.1\r\nHost: x")
 				opened.Add(1)
-				if mine = append(mine, c); len(mine) > 100 {
-					_ = mine[0].Close()
-					mine = mine[1:]
+				if conns = append(conns, c); len(conns) > 100 {
+					_ = conns[0].Close()
+					conns = conns[1:]
 				}
 			}
 		})
 	}
-	for begun := time.Now(); opened.Load() < 200; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > patience {
-			t.Fatal("the flood does not come")
+	for startedAt := time.Now(); opened.Load() < 200; time.Sleep(time.Millisecond) {
+		if time.Since(startedAt) > patience {
+			t.Fatalf("the flood opened %d connections within %v, want 200", opened.Load(), patience)
 		}
 	}
 	for i := range 40 {
 		if status, body := s.request(kept, "x.org", "/api", "hand-in", 5000); status != 200 {
-			t.Errorf("on a kept connection: %d %q", status, body)
+			t.Errorf("request on a kept connection during the flood = status %d, body %q, want 200", status, body)
 		}
-		// A new client that is delayed between its connect and its head for longer than the grace period can't be told
-		// from the flood and may be evicted. It connects again and is served at last.
-		stranger := clientFrom(t, fmt.Sprintf("127.2.%d.1", i))
-		for begun := time.Now(); ; {
-			status, body := s.request(stranger, "x.org", "/api", "hand-in", 5000)
+		// A new client that is delayed between connecting and sending its head for longer than the grace period can't
+		// be distinguished from the flood and may be evicted. It must be served after it connects again.
+		newClient := clientFrom(t, fmt.Sprintf("127.2.%d.1", i))
+		for startedAt := time.Now(); ; {
+			status, body := s.request(newClient, "x.org", "/api", "hand-in", 5000)
 			if status == 200 {
 				break
 			}
-			if time.Since(begun) > patience {
-				t.Fatalf("on new ones, again and again: %d %q", status, body)
+			if time.Since(startedAt) > patience {
+				t.Fatalf("requests on new connections during the flood got no status 200 within %v; last: status %d, body %q",
+					patience, status, body)
 			}
 		}
 	}
 	checkAdminDuringFlood(t, s.proxy)
-	if status := <-inHand; status != 200 {
-		t.Errorf("the request in flight: %d", status)
+	if status := <-inFlightStatus; status != 200 {
+		t.Errorf("the request in flight during the flood = status %d, want 200", status)
 	}
 	close(stop)
-	all.Wait()
+	flooders.Wait()
 	r := s.proxy.conns.admission.Report()
-	t.Logf("%+v", r.Counts)
+	t.Logf("admission counts after the flood: %+v", r.Counts)
 	if r.Open > r.MaxConns || r.Rejected["room"]+r.Rejected["full"] == 0 || len(r.Top) == 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("admission report after the flood = %+v, want Open <= MaxConns, rejections and top addresses", r)
 	}
-	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+	for startedAt := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		if r = s.proxy.conns.admission.Report(); r.Open <= 60 {
 			break
 		}
-		if time.Since(begun) > patience {
-			t.Fatalf("%d places are taken after all have left", r.Open)
+		if time.Since(startedAt) > patience {
+			t.Fatalf("%d connections are counted as open %v after the flood ended, want at most 60", r.Open, patience)
 		}
 	}
 }
 
-// An operator's block rejects an address with a response, and expires. SIGHUP takes in new settings, and keeps the old
-// ones if the new are invalid.
+// A block set by an operator rejects requests of the blocked addresses until the operator removes it. A reload applies
+// new admission settings, and keeps the old ones if the new ones are invalid.
 func TestAdmissionBlocksAndReload(t *testing.T) {
-	s := newAdmissionStage(t, "", 128)
+	s := newAdmissionFixture(t, "", 128)
 	op := adminBackend{s.proxy}
 	if err := op.Block("127.3.0.0/16", time.Hour); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Block(127.3.0.0/16, 1h) = %v, want nil", err)
 	}
 	if status, _ := s.request(clientFrom(t, "127.3.0.9"), "x.org", "/api", "hand-in", 5000); status == 200 {
-		t.Error("a blocked address was served")
+		t.Error("request from 127.3.0.9 while 127.3.0.0/16 is blocked = status 200, want a rejection")
 	}
 	if status, _ := s.request(clientFrom(t, "127.4.0.9"), "x.org", "/api", "hand-in", 5000); status != 200 {
-		t.Errorf("another address: %d", status)
+		t.Errorf("request from 127.4.0.9 while 127.3.0.0/16 is blocked = status %d, want 200", status)
 	}
 	if err := op.Block("nobody", time.Hour); err == nil || !strings.Contains(err.Error(), "nobody") {
-		t.Errorf("a block of nobody: %v", err)
+		t.Errorf("Block(\"nobody\") = %v, want an error that contains \"nobody\"", err)
 	}
 	if err := op.Unblock("127.3.0.0/16"); err != nil {
-		t.Error(err)
+		t.Errorf("Unblock(127.3.0.0/16) = %v, want nil", err)
 	}
 	if status, _ := s.request(clientFrom(t, "127.3.0.9"), "x.org", "/api", "hand-in", 5000); status != 200 {
-		t.Errorf("after the block: %d", status)
+		t.Errorf("request from 127.3.0.9 after the block was removed = status %d, want 200", status)
 	}
 	for text, want := range map[string]int{"version = 1\n[connections]\nplaces = 7\n": 7,
 		"version = 1\n[connections]\nplaces = -7\n": 57} {
 		if err := os.WriteFile(s.proxy.cfg.Admission, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing the admission file: %v", err)
 		}
 		err := s.proxy.reloadAdmission()
 		if r, _ := op.Admission(); (err == nil) != (want == 7) || want == 7 && r.(admissionReport).MaxConns != want {
-			t.Errorf("%q: %v, %+v", text, err, r)
+			t.Errorf("reloadAdmission with %q = %v, report %+v; want success with %d places only for places = 7",
+				text, err, r, want)
 		}
 	}
 	if _, err := (adminBackend{&Proxy{conns: newClientConns(1)}}).Admission(); err == nil {
-		t.Error("without admission")
+		t.Error("Admission() of a proxy without admission control returned no error")
 	}
 	if a := netip.MustParsePrefix("127.3.0.0/16"); s.proxy.conns.admission.Unblock(a) == nil {
-		t.Error("a block is there yet")
+		t.Errorf("Unblock(%v) of a removed block = nil, want an error", a)
 	}
 }
 
-// Requests in flight are limited where the file says so, and a rejection has a Retry-After.
+// The admission file can limit the requests in flight: requests beyond the limit are rejected with status 503.
 func TestRequestsInFlightAreLimited(t *testing.T) {
-	s := newAdmissionStage(t, "[requests]\nin_hand = 4\nretry_after = \"1s\"\n", 512)
+	s := newAdmissionFixture(t, "[requests]\nin_hand = 4\nretry_after = \"1s\"\n", 512)
 	s.stall["fast-5"].Store(300)
-	var all sync.WaitGroup
-	var served, refused atomic.Int64
+	var requests sync.WaitGroup
+	var served, rejected atomic.Int64
 	client := clientFrom(t, "127.0.0.1")
 	for range 12 {
-		all.Go(func() {
+		requests.Go(func() {
 			switch status, _ := s.request(client, "x.org", "/api", "hand-in", 5000); status {
 			case 200:
 				served.Add(1)
 			case 503:
-				refused.Add(1)
+				rejected.Add(1)
 			}
 		})
 	}
-	all.Wait()
-	if served.Load() < 4 || served.Load()+refused.Load() != 12 || refused.Load() < 4 {
-		t.Errorf("%d served, %d refused", served.Load(), refused.Load())
+	requests.Wait()
+	if served.Load() < 4 || served.Load()+rejected.Load() != 12 || rejected.Load() < 4 {
+		t.Errorf("12 concurrent requests, limit 4: %d served, %d rejected; want at least 4 of each and no other result",
+			served.Load(), rejected.Load())
 	}
 	if status, _ := s.request(client, "x.org", "/api", "hand-in", 5000); status != 200 {
-		t.Errorf("after all: %d", status)
+		t.Errorf("request after all others have ended = status %d, want 200", status)
 	}
 }
 
-// Slow bodies of one address don't use up the memory of all: other clients are served, and so is that address once it
-// has released some.
+// Slow request bodies from one address must not use up the memory for all bodies: other clients are still served, and
+// so is that address once its bodies have ended.
 func TestSlowBodiesOfOneAddressAreLimited(t *testing.T) {
-	s := newAdmissionStage(t, "[connections]\nshort = 0.6\n", 512)
+	s := newAdmissionFixture(t, "[connections]\nshort = 0.6\n", 512)
 	var slow []net.Conn
-	refused := 0
-	for i := range 60 { // 64 would fill the room
+	rejected := 0
+	for i := range 60 { // 64 would use up the memory for bodies
 		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 5, 0, 1)}}
 		c, err := d.Dial("tcp4", s.addr)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("connecting slow client %d: %v", i, err)
 		}
 		defer func() { _ = c.Close() }()
 		_, _ = fmt.Fprintf(c,
@@ -210,62 +215,64 @@
 				"X-Timeout-Ms: 5000\r\nContent-Length: %d\r\n\r\nx", i, maxBufferedBody)
 		slow = append(slow, c)
 	}
-	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
-		if refused = int(s.proxy.conns.admission.Report().BodyRejections); refused > 0 {
+	for startedAt := time.Now(); ; time.Sleep(time.Millisecond) {
+		if rejected = int(s.proxy.conns.admission.Report().BodyRejections); rejected > 0 {
 			break
 		}
-		if time.Since(begun) > patience {
-			t.Fatalf("no body was refused: %+v", s.proxy.conns.admission.Report())
+		if time.Since(startedAt) > patience {
+			t.Fatalf("no body was rejected within %v after 60 slow bodies from one address; admission report %+v", patience,
+				s.proxy.conns.admission.Report())
 		}
 	}
 	if status, body := s.request(clientFrom(t, "127.6.0.1"), "x.org", "/api", "hand-in", 5000); status != 200 {
-		t.Errorf("another address: %d %q", status, body)
+		t.Errorf("request from another address beside slow bodies = status %d, body %q, want 200", status, body)
 	}
 	for _, c := range slow {
 		_ = c.Close()
 	}
-	for begun := time.Now(); s.proxy.conns.admission.Report().Bytes > 0; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > patience {
-			t.Fatalf("bytes are left: %+v", s.proxy.conns.admission.Report())
+	for startedAt := time.Now(); s.proxy.conns.admission.Report().Bytes > 0; time.Sleep(time.Millisecond) {
+		if time.Since(startedAt) > patience {
+			t.Fatalf("body bytes still reserved %v after all slow clients closed; admission report %+v, want Bytes 0", patience,
+				s.proxy.conns.admission.Report())
 		}
 	}
 	if status, body := s.request(clientFrom(t, "127.5.0.1"), "x.org", "/api", "hand-in", 5000); status != 200 {
-		t.Errorf("the same address after it: %d %q", status, body)
+		t.Errorf("request from the same address after its slow bodies ended = status %d, body %q, want 200", status, body)
 	}
 }
 
-// checkAdminDuringFlood has an operator read the admission report and block a part of the flood: admin connections
-// don't compete with clients for places.
+// checkAdminDuringFlood reads the admission report and blocks part of the flood through an admin connection: admin
+// connections don't count against the limit on client connections.
 func checkAdminDuringFlood(t *testing.T, p *Proxy) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening for admin connections: %v", err)
 	}
 	go func() { ended <- admin.New(adminBackend{p}, slog.New(slog.DiscardHandler)).Serve(ctx, l) }()
 	defer func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("Serve of the admin server = %v, want nil", err)
 		}
 	}()
 	for call, want := range map[string]string{"ADMISSION": `"top":[{"address":"127.`,
 		"BLOCK 127.1.0.0/16 1m": "200 127.1.0.0/16", "PING": "200 serving"} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("connecting to the admin server: %v", err)
 		}
 		_ = c.SetDeadline(time.Now().Add(patience))
 		_, _ = fmt.Fprintf(c, "%s\n", call)
 		line, err := bufio.NewReader(c).ReadString('\n')
 		if err != nil || !strings.Contains(line, want) {
-			t.Errorf("%s: %.200q, %v", call, line, err)
+			t.Errorf("admin command %s: reply %.200q, error %v; want a line that contains %q", call, line, err, want)
 		}
 		_ = c.Close()
 	}
 	if len(p.conns.admission.Report().Blocks) != 1 {
-		t.Error("the block does not hold")
+		t.Errorf("%d blocks after one BLOCK command, want 1", len(p.conns.admission.Report().Blocks))
 	}
 }
--- a/internal/proxy/attemptraces_test.go
+++ b/internal/proxy/attemptraces_test.go
@@ -42,10 +42,10 @@
 					}
 				})
 				p, b := hookedPool(t, addr, func(n int, c *hookedConn) {
-					c.chosen = func() {
+					c.onChosen = func() {
 						if n == 0 && reuse {
 							cross <- true
-							waitUntilSeen(t, c)
+							waitForInput(t, c)
 						}
 					}
 				})
@@ -96,7 +96,7 @@
 					if now {
 						leave() // after it has come up
 					}
-					c.chosen = func() {
+					c.onChosen = func() {
 						if idle && now {
 							leave()
 						}
@@ -182,7 +182,7 @@
 			var p *pool
 			reuse := false
 			p, b := hookedPool(t, member.Addr, func(n int, h *hookedConn) {
-				h.chosen = func() {
+				h.onChosen = func() {
 					if n == 0 && reuse {
 						p.Update(List{Endpoints: []Member{member}})
 					}
@@ -225,7 +225,7 @@
 				})
 				ctx, giveUp := context.WithCancel(t.Context())
 				p, b := hookedPool(t, addr, func(_ int, c *hookedConn) {
-					c.came = func(n int) {
+					c.onRead = func(n int) {
 						if n > 0 && !long {
 							giveUp()
 						}
@@ -331,7 +331,7 @@
 	if result := within(t, out, "no end"); result != decision.Reset {
 		t.Errorf("what was out: result %v, want Reset", result)
 	}
-	waitUntilSeen(t, idle.Conn)
+	waitForInput(t, idle.Conn)
 	before := requests.Load()
 	go func() { out <- send() }()
 	within(t, came, "no request came to the new life")
--- a/internal/proxy/backendpool_test.go
+++ b/internal/proxy/backendpool_test.go
@@ -382,7 +382,7 @@
 					writeText(c, served)
 				}
 			}), func(_ int, c *hookedConn) {
-				c.chosen = func() {
+				c.onChosen = func() {
 					if reuse {
 						act(p)
 					}
--- a/internal/proxy/clientclose_test.go
+++ b/internal/proxy/clientclose_test.go
@@ -15,107 +15,113 @@
 	"lapisspread/decision"
 )
 
-// ways are those in which a client can be gone, with what it has sent behind its request by then.
-var ways = map[string]struct {
-	behind string
-	leave  func(c *net.TCPConn)
+// clientDepartures are the ways in which a client can end its connection while its request is in flight.
+var clientDepartures = map[string]struct {
+	pipelined string // sent after the request, before the client leaves
+	leave     func(c *net.TCPConn)
 }{
-	"closes":                       {"", func(c *net.TCPConn) { _ = c.Close() }},
-	"resets":                       {"", func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }},
-	"ends its sending":             {"", func(c *net.TCPConn) { _ = c.CloseWrite() }},
-	"closes, a byte behind":        {"G", func(c *net.TCPConn) { _ = c.Close() }},
-	"closes, a request behind":     {hidden, func(c *net.TCPConn) { _ = c.Close() }},
-	"closes, more than is held":    {strings.Repeat("x", 5*maxReadAheadBytes), func(c *net.TCPConn) { _ = c.Close() }},
-	"resets, a request behind":     {hidden, func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }},
-	"ends its sending, bytes left": {hidden, func(c *net.TCPConn) { _ = c.CloseWrite() }},
+	"closes":                                          {"", closeBothSides},
+	"resets":                                          {"", resetConn},
+	"closes its write side":                           {"", closeWriteSide},
+	"closes after one pipelined byte":                 {"G", closeBothSides},
+	"closes after a pipelined request":                {smuggledRequest, closeBothSides},
+	"closes after overrunning the buffer":             {strings.Repeat("x", 5*maxReadAheadBytes), closeBothSides},
+	"resets after a pipelined request":                {smuggledRequest, resetConn},
+	"closes its write side after a pipelined request": {smuggledRequest, closeWriteSide},
 }
 
-// leavingClient sends a request and the bytes behind it.
-func leavingClient(t *testing.T, p *running, class, behind string) *net.TCPConn {
+func closeBothSides(c *net.TCPConn) { _ = c.Close() }
+func resetConn(c *net.TCPConn)      { _ = c.SetLinger(0); _ = c.Close() }
+func closeWriteSide(c *net.TCPConn) { _ = c.CloseWrite() }
+
+// leavingClient sends a request of the given class and the pipelined bytes after it. It returns the connection.
+func leavingClient(t *testing.T, p *running, class, pipelined string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("connecting to the proxy: %v", err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	_, _ = fmt.Fprintf(c,
 		"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: l%d\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: 19000\r\n\r\n%s",
-		lastAsked.Add(1), class, behind)
+		lastRequestID.Add(1), class, pipelined)
 	return c.(*net.TCPConn)
 }
 
-// onlyPool returns the pool of a proxy with one service, once it serves.
+// onlyPool waits until a proxy with one service serves, and returns the service's connection pool.
 func (p *running) onlyPool(t *testing.T) *pool {
 	t.Helper()
-	eventually(t, "it does not serve", p.proxy.ready.Load)
+	eventually(t, "the proxy did not become ready", p.proxy.ready.Load)
 	return p.proxy.services.current.Load().only.pool
 }
 
-// inFlight waits until so many requests are in flight.
-func (p *running) inFlight(t *testing.T, n int64) {
+// waitForInFlight waits until n requests are in flight.
+func (p *running) waitForInFlight(t *testing.T, n int64) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%d requests in flight, want %d", p.proxy.counters.InFlight.Load(), n),
+	eventually(t, fmt.Sprintf("counter InFlight did not become %d", n),
 		func() bool { return p.proxy.counters.InFlight.Load() == n })
 }
 
-func eventually(t *testing.T, missing string, so func() bool) {
+// eventually waits until the condition holds. After patience it fails the test with the text failure.
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for start := time.Now(); !so(); time.Sleep(time.Millisecond) {
+	for start := time.Now(); !condition(); time.Sleep(time.Millisecond) {
 		if time.Since(start) > patience {
-			t.Fatal(missing)
+			t.Fatalf("timed out after %v: %s", patience, failure)
 		}
 	}
 }
 
-// A client's close is noticed whatever unread bytes stand behind its request: its attempt is cancelled.
+// A client's close is detected whatever unread bytes follow its request, and the request's attempt is cancelled.
 func TestClientCloseIsNoticed(t *testing.T) {
-	for name, way := range ways {
+	for name, departure := range clientDepartures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			came, closed := make(chan bool, 1), make(chan bool, 1)
+			received, closed := make(chan bool, 1), make(chan bool, 1)
 			addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
-				came <- readRequest(in)
+				received <- readRequest(in)
 				readRequest(in)
 				closed <- true
 			})
 			p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
-			c := leavingClient(t, p, "hand-in", way.behind)
-			within(t, came, "the backend got nothing")
-			way.leave(c)
-			within(t, closed, "the attempt went on after the client had left")
+			c := leavingClient(t, p, "hand-in", departure.pipelined)
+			within(t, received, "the backend got no request")
+			departure.leave(c)
+			within(t, closed, "the attempt's connection stayed open after the client had left")
 		})
 	}
 }
 
-// A client leaves while its request is queued for lack of a backend: nothing is sent once a backend comes up. Clients
-// that stayed are served.
+// A client leaves while its request is queued because no backend is known: the request must not be sent when a backend
+// becomes known. Requests of clients that stayed are served.
 func TestQueuedRequestOfClientThatLeftIsNotSent(t *testing.T) {
-	for name, way := range ways {
+	for name, departure := range clientDepartures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			got := make(chan *http.Request, 8)
 			catalog := newCatalog(t)
 			p := startProxy(t, listText(1, true), catalog, nil)
-			c := leavingClient(t, p, "fetch-work", way.behind)
-			p.inFlight(t, 1)
-			stays := leavingClient(t, p, "fetch-work", "")
-			p.inFlight(t, 2)
-			way.leave(c)
-			p.inFlight(t, 1)
+			c := leavingClient(t, p, "fetch-work", departure.pipelined)
+			p.waitForInFlight(t, 1)
+			remaining := leavingClient(t, p, "fetch-work", "")
+			p.waitForInFlight(t, 2)
+			departure.leave(c)
+			p.waitForInFlight(t, 1)
 			catalog.lists <- listText(2, true, memberText("a", countingBackend(t, got), "active"))
-			mustRespond(t, 200)(readFinalResponse(bufio.NewReader(stays)))
+			mustRespond(t, 200)(readFinalResponse(bufio.NewReader(remaining)))
 			if len(got) != 1 {
-				t.Errorf("%d requests were sent on, want the one whose client stayed", len(got))
+				t.Errorf("the backend got %d requests, want 1: that of the client that stayed connected", len(got))
 			}
 		})
 	}
 }
 
-// A client leaves while its attempt's connection is being made: nothing is sent once it comes up.
+// A client leaves while a connection to a backend is being established for its attempt: nothing is sent on that
+// connection once it is established.
 func TestLateConnectionDoesNotSendForClientThatLeft(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		for n, state := range []string{"first", "further"} {
-			t.Run(fmt.Sprintf("%s attempt, cancelling %v", state, cancel), func(t *testing.T) {
+		for n, attempt := range []string{"first", "second"} {
+			t.Run(fmt.Sprintf("%s attempt, Cancel %v", attempt, cancel), func(t *testing.T) {
 				t.Parallel()
 				var mu sync.Mutex
 				requests := 0
@@ -137,7 +143,7 @@
 					})
 				pool := p.onlyPool(t)
 				dial, dials := pool.dialer, 0
-				dialling, comeUp, up := make(chan bool, 8), make(chan bool), make(chan net.Conn, 8)
+				dialing, finishDial, dialed := make(chan bool, 8), make(chan bool), make(chan net.Conn, 8)
 				pool.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
 					mu.Lock()
 					dials++
@@ -146,19 +152,19 @@
 					if !last {
 						return dial(context.Background(), network, addr)
 					}
-					dialling <- true
-					<-comeUp
+					dialing <- true
+					<-finishDial
 					c, err := dial(context.Background(), network, addr)
-					up <- c
+					dialed <- c
 					return c, err
 				}
 				c := leavingClient(t, p, "fetch-work", "G")
-				within(t, dialling, "no connection is made")
+				within(t, dialing, "the pool did not dial the backend")
 				_ = c.Close()
-				p.inFlight(t, 0)
-				close(comeUp)
-				within(t, up, "no connection came up")
-				eventually(t, "the attempt does not end", func() bool {
+				p.waitForInFlight(t, 0)
+				close(finishDial)
+				within(t, dialed, "the dial did not end")
+				eventually(t, "not all open connections of the pool became idle", func() bool {
 					pool.mu.Lock()
 					defer pool.mu.Unlock()
 					idle := 0
@@ -170,24 +176,24 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if requests != n {
-					t.Errorf("%d attempts were sent, want the %d from before the client left", requests, n)
+					t.Errorf("the backend got %d requests, want %d: none after the client left", requests, n)
 				}
 			})
 		}
 	}
 }
 
-// An attempt that was cancelled while its connection was being made is not sent.
+// An attempt that is cancelled while its connection is being established is not sent.
 func TestNothingIsSentAfterCancel(t *testing.T) {
-	for name, x := range map[string]struct {
-		give   func(cancel context.CancelCauseFunc, m *message)
-		result decision.Result
+	for name, tc := range map[string]struct {
+		duringDial func(cancel context.CancelCauseFunc, m *message)
+		result     decision.Result
 	}{
 		"cancelled": {func(cancel context.CancelCauseFunc, _ *message) { cancel(context.Canceled) },
 			decision.Cancelled},
-		"overdue": {func(cancel context.CancelCauseFunc, _ *message) { cancel(context.DeadlineExceeded) },
+		"deadline exceeded": {func(cancel context.CancelCauseFunc, _ *message) { cancel(context.DeadlineExceeded) },
 			decision.ConnectFailed},
-		"not wanted": {func(_ context.CancelCauseFunc, m *message) {
+		"sending not allowed": {func(_ context.CancelCauseFunc, m *message) {
 			m.sendAllowed = func() (time.Time, bool) { return time.Time{}, false }
 		}, decision.NotSent},
 	} {
@@ -199,46 +205,47 @@
 				ctx, cancel := context.WithCancelCause(t.Context())
 				m := testMessage("GET", nil)
 				p.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
-					defer x.give(cancel, m)
+					defer tc.duringDial(cancel, m)
 					return dial(context.Background(), network, addr)
 				}
-				if result, _ := p.exchange(ctx, b, m); result != x.result {
-					t.Errorf("result %v, want %v", result, x.result)
+				if result, _ := p.exchange(ctx, b, m); result != tc.result {
+					t.Errorf("exchange cancelled during its dial = %v, want %v", result, tc.result)
 				}
 				cancel(nil)
 				p.Release(backendID("a"))
 			}
 			p.dialer = dial
 			if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.OK {
-				t.Errorf("afterwards: %v", result)
+				t.Errorf("exchange after the cancelled ones = %v, want %v", result, decision.OK)
 			}
 			if len(got) != 1 {
-				t.Errorf("%d requests came, want the last", len(got))
+				t.Errorf("the backend got %d requests, want 1: only the exchange that was not cancelled", len(got))
 			}
 		})
 	}
 }
 
-// A client that has closed only its sending reads no response that no backend gave.
+// A client that has closed only its write side must not get an empty status 200, which no backend has sent.
 func TestHalfClosedClientReadsNoEmptyResponse(t *testing.T) {
-	came := make(chan bool, 1)
+	received := make(chan bool, 1)
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
-		came <- readRequest(in)
+		received <- readRequest(in)
 		readRequest(in)
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
 	c := leavingClient(t, p, "hand-in", "")
-	within(t, came, "the backend got nothing")
+	within(t, received, "the backend got no request")
 	_ = c.CloseWrite()
 	_ = c.SetReadDeadline(time.Now().Add(patience))
 	text, err := io.ReadAll(c)
 	if strings.HasPrefix(string(text), "HTTP/1.1 200") || isTimeout(err) {
-		t.Errorf("read %q, %v", text, err)
+		t.Errorf("client that closed its write side read %q, error %v; want the connection's end without a status 200",
+			text, err)
 	}
 }
 
-// A client that has its response and sends a long next request at once has that served too, whole, though net/http has
-// not finished the first one yet.
+// A client that has its response may send a long next request before net/http has finished the first one. All bytes of
+// that request must be passed on.
 func TestLongPipelinedRequestIsServed(t *testing.T) {
 	conns := newClientConns(4)
 	client, c := clientPair(t, conns)
@@ -246,28 +253,28 @@
 	in := make([]byte, 4096)
 	_, _ = io.WriteString(client, "GET / HTTP/1.1\r\n\r\n")
 	if n, err := c.Read(in); err != nil || string(in[:n]) != "GET / HTTP/1.1\r\n\r\n" {
-		t.Fatalf("read %q, %v", in[:n], err)
+		t.Fatalf("Read of the first request = %q, %v, want the whole request", in[:n], err)
 	}
 	if _, err := io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n"); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the first response: %v", err)
 	}
 	next := fmt.Sprintf("PUT / HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", 4*maxReadAheadBytes, strings.Repeat("x",
 		4*maxReadAheadBytes))
 	go func() { _, _ = io.WriteString(client, next) }()
 	_ = c.SetReadDeadline(time.Now().Add(patience))
-	if _, err := c.Read(in[:1]); err != nil { // the server's look for the client's end
-		t.Fatal(err)
+	if _, err := c.Read(in[:1]); err != nil { // net/http's read that detects a close by the client
+		t.Fatalf("Read while the first request is in flight = %v, want nil", err)
 	}
 	conns.state(c, http.StateIdle)
 	var text []byte
 	for len(text) < len(next) {
 		n, err := c.Read(in)
 		if err != nil {
-			t.Fatalf("after %d of %d bytes: %v", len(text), len(next), err)
+			t.Fatalf("Read after %d of the %d bytes of the second request: %v", len(text), len(next), err)
 		}
 		text = append(text, in[:n]...)
 	}
 	if string(text) != next {
-		t.Error("the bytes are others")
+		t.Error("the bytes read of the second request differ from those sent")
 	}
 }
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// gatedConn is a socket whose reader is stopped between reading bytes and recording them.
+// gatedConn is a connection whose reads stop after they took bytes from the socket, until the test lets them return.
 type gatedConn struct {
 	*net.TCPConn
-	taken, goOn chan struct{}
+	bytesTaken chan struct{} // receives when a read has ended and waits
+	resume     chan struct{} // closed to let reads return
 }
 
-func (h gatedConn) stop() {
-	h.taken <- struct{}{}
-	<-h.goOn
+func (h gatedConn) waitForResume() {
+	h.bytesTaken <- struct{}{}
+	<-h.resume
 }
 
 func (h gatedConn) Read(p []byte) (int, error) {
 	n, err := h.TCPConn.Read(p)
-	h.stop()
+	h.waitForResume()
 	return n, err
 }
 
@@ -31,37 +32,37 @@
 
 type gatedRawConn struct {
 	syscall.RawConn
-	h gatedConn
+	gated gatedConn
 }
 
 func (r gatedRawConn) Read(f func(fd uintptr) bool) error {
 	err := r.RawConn.Read(f)
-	r.h.stop()
+	r.gated.waitForResume()
 	return err
 }
 
-// A request that has come in time does not count as silence while its reader is stopped.
+// A connection must not be closed as idle while a request's bytes have been read from its socket but not yet recorded.
 func TestRequestBeingReadIsNotIdle(t *testing.T) {
-	long := time.Now().Add(-time.Hour)
-	for name, x := range map[string]struct {
-		fresh bool
-		close func(c *clientConn)
+	hourAgo := time.Now().Add(-time.Hour)
+	for name, tc := range map[string]struct {
+		unused bool // no request was read on the connection before
+		close  func(c *clientConn)
 	}{
-		"for one that comes, by the door, new": {true, func(c *clientConn) { c.Evict() }},
-		"for one that comes, by the door":      {false, func(c *clientConn) { c.Evict() }},
-		"for one that comes, new":              {true, func(c *clientConn) { c.evictIfIdle() }},
-		"for one that comes":                   {false, func(c *clientConn) { c.evictIfIdle() }},
-		"as the proxy ends, new":               {true, func(c *clientConn) { c.closeIfIdle(time.Now()) }},
-		"as the proxy ends":                    {false, func(c *clientConn) { c.closeIfIdle(time.Now()) }},
+		"Evict, unused connection":       {true, func(c *clientConn) { c.Evict() }},
+		"Evict, idle connection":         {false, func(c *clientConn) { c.Evict() }},
+		"evictIfIdle, unused connection": {true, func(c *clientConn) { c.evictIfIdle() }},
+		"evictIfIdle, idle connection":   {false, func(c *clientConn) { c.evictIfIdle() }},
+		"closeIfIdle, unused connection": {true, func(c *clientConn) { c.closeIfIdle(time.Now()) }},
+		"closeIfIdle, idle connection":   {false, func(c *clientConn) { c.closeIfIdle(time.Now()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, c := clientPair(t, newClientConns(4))
 			defer func() { _ = c.Close() }()
 			h := gatedConn{c.Conn.(*net.TCPConn), make(chan struct{}), make(chan struct{})}
-			c.Conn, c.unused, c.idle, c.stateSince = h, x.fresh, !x.fresh, long
+			c.Conn, c.unused, c.idle, c.stateSince = h, tc.unused, !tc.unused, hourAgo
 			const text = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 			if _, err := client.Write([]byte(text)); err != nil {
-				t.Fatal(err)
+				t.Fatalf("writing the request: %v", err)
 			}
 			got := make(chan error, 1)
 			buffer := make([]byte, 256)
@@ -71,11 +72,11 @@
 				n, err = c.Read(buffer)
 				got <- err
 			}()
-			<-h.taken
-			x.close(c)
-			close(h.goOn)
+			<-h.bytesTaken
+			tc.close(c)
+			close(h.resume)
 			if err := <-got; err != nil || string(buffer[:n]) != text {
-				t.Errorf("%q, %v", buffer[:n], err)
+				t.Errorf("Read = %q, %v, want %q: the connection was closed while a request was being read", buffer[:n], err, text)
 			}
 		})
 	}
--- a/internal/proxy/clientconns_test.go
+++ b/internal/proxy/clientconns_test.go
@@ -10,66 +10,67 @@
 	"lapisspread/internal/proxy/rawsocket"
 )
 
-// clientPair returns both ends of a client's connection.
+// clientPair returns both ends of a new client connection: the client's and the proxy's, registered in conns.
 func clientPair(t *testing.T, conns *clientConns) (client net.Conn, c *clientConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening: %v", err)
 	}
 	defer func() { _ = listener.Close() }()
 	if client, err = net.Dial("tcp", listener.Addr().String()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("connecting the client: %v", err)
 	}
 	t.Cleanup(func() { _ = client.Close() })
-	taken, err := (&clientListener{listener, conns}).Accept()
+	accepted, err := (&clientListener{listener, conns}).Accept()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("clientListener.Accept() = %v, want a connection", err)
 	}
-	return client, taken.(*clientConn)
+	return client, accepted.(*clientConn)
 }
 
-// Bytes that arrive as an idle connection is closed are not served: the client sends them again elsewhere.
+// Bytes that arrive while an idle connection is being closed are not served: the client sends that request again on
+// another connection.
 func TestClosedBetweenRequestsServesNoMore(t *testing.T) {
 	conns := newClientConns(4)
 	client, c := clientPair(t, conns)
 	_, _ = client.Write([]byte("GET / HTTP/1.1\r\n"))
 	if n, err := c.Read(make([]byte, 4)); n != 4 || err != nil {
-		t.Fatalf("read %d, %v", n, err)
+		t.Fatalf("Read of the request's first bytes = %d, %v, want 4, nil", n, err)
 	}
-	later := time.Now().Add(time.Minute)
-	if conns.closeIdle(later) != 1 {
-		t.Error("closed within a request")
+	inAMinute := time.Now().Add(time.Minute)
+	if conns.closeIdle(inAMinute) != 1 {
+		t.Error("closeIdle closed a connection with a request in flight")
 	}
 	conns.state(c, http.StateIdle)
-	if conns.closeIdle(later) != 1 {
-		t.Error("closed though the next request stands to be read")
+	if conns.closeIdle(inAMinute) != 1 {
+		t.Error("closeIdle closed a connection with an unread request")
 	}
 	if n, err := c.Read(make([]byte, 64)); n != 12 || err != nil {
-		t.Fatalf("read %d, %v", n, err)
+		t.Fatalf("Read of the request's rest = %d, %v, want 12, nil", n, err)
 	}
 	conns.state(c, http.StateActive)
 	conns.state(c, http.StateIdle)
 	if conns.closeIdle(time.Now().Add(-time.Second)) != 1 {
-		t.Error("closed right after an answer")
+		t.Error("closeIdle closed a connection right after its response")
 	}
-	if conns.closeIdle(later) != 0 {
-		t.Error("not closed between two requests")
+	if conns.closeIdle(inAMinute) != 0 {
+		t.Error("closeIdle did not close an idle connection")
 	}
 	_, _ = client.Write([]byte("more"))
 	if n, err := c.Read(make([]byte, 4)); n != 0 || err == nil {
-		t.Errorf("read %d bytes more, %v", n, err)
+		t.Errorf("Read after closeIdle closed the connection = %d, %v, want 0 and an error", n, err)
 	}
 }
 
-// silentConns opens connections that send nothing, until no place is left for clients.
+// silentConns opens n connections that send nothing. They are closed when the test ends.
 func silentConns(t *testing.T, addr string, n int) []net.Conn {
 	t.Helper()
 	var conns []net.Conn
 	for range n {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("connecting a silent client: %v", err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
 		conns = append(conns, c)
@@ -77,14 +78,14 @@
 	return conns
 }
 
-// Silent connections take all places and more: other clients are still served at once, on a new connection and on one
-// with a request begun.
+// More silent connections than the limit allows must not keep other clients from being served, neither on a new
+// connection nor on one with a request in flight.
 func TestUnusedConnectionsAreEvicted(t *testing.T) {
-	came, leave := make(chan bool, 8), make(chan bool, 8)
+	received, release := make(chan bool, 8), make(chan bool, 8)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for readRequest(in) {
-			came <- true
-			<-leave
+			received <- true
+			<-release
 			writeText(c, served)
 		}
 	})
@@ -95,21 +96,21 @@
 		_, _, err := p.request(t, "hand-in", 15000, "homework")
 		answered <- err
 	}()
-	within(t, came, "the first request did not come")
+	within(t, received, "the backend got no first request")
 	silentConns(t, p.addr, 80) // four times the limit
-	leave <- true
-	leave <- true
+	release <- true
+	release <- true
 	mustRespond(t, 200)(p.request(t, "fetch-work", 15000, ""))
-	if err := within(t, answered, "no answer"); err != nil {
-		t.Errorf("the request in flight lost its connection: %v", err)
+	if err := within(t, answered, "the request in flight got no result"); err != nil {
+		t.Errorf("the request in flight while silent connections were opened = %v, want a response", err)
 	}
 }
 
-// Unused connections are evicted first, then idle ones; one with a request begun stays.
+// Unused connections are evicted first, then idle ones. A connection with a request in flight is not evicted.
 func TestEvictionOrder(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening: %v", err)
 	}
 	defer func() { _ = listener.Close() }()
 	conns := newClientConns(3)
@@ -118,77 +119,77 @@
 		t.Helper()
 		client, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("connecting a client: %v", err)
 		}
 		t.Cleanup(func() { _ = client.Close() })
 		c, err := l.Accept()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("clientListener.Accept() = %v, want a connection", err)
 		}
 		return c.(*clientConn), client
 	}
-	begin := func(c *clientConn, client net.Conn) {
+	startRequest := func(c *clientConn, client net.Conn) {
 		t.Helper()
 		_, _ = client.Write([]byte("G"))
 		if _, err := c.Read(make([]byte, 1)); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Read of the request's first byte: %v", err)
 		}
 	}
-	open := func(want ...*clientConn) {
+	expectOpen := func(want ...*clientConn) {
 		t.Helper()
 		for _, c := range want {
 			if !conns.open[c] {
-				t.Error("the wrong connection made place")
+				t.Errorf("the connection from %v was evicted, want it open", c.RemoteAddr())
 			}
 		}
 		if len(conns.open) != len(want) {
-			t.Errorf("%d connections, want %d", len(conns.open), len(want))
+			t.Errorf("%d connections are open, want %d", len(conns.open), len(want))
 		}
 	}
-	busy, b := accept()
-	begin(busy, b)
-	idle, i := accept()
-	begin(idle, i)
+	busy, busyClient := accept()
+	startRequest(busy, busyClient)
+	idle, idleClient := accept()
+	startRequest(idle, idleClient)
 	conns.state(idle, http.StateIdle)
-	accept() // silent
-	fourth, f := accept()
-	open(busy, idle, fourth)
-	begin(fourth, f)
-	fifth, g := accept()
-	open(busy, fourth, fifth)
-	begin(fifth, g)
+	accept() // sends nothing, so it is unused
+	fourth, fourthClient := accept()
+	expectOpen(busy, idle, fourth)
+	startRequest(fourth, fourthClient)
+	fifth, fifthClient := accept()
+	expectOpen(busy, fourth, fifth)
+	startRequest(fifth, fifthClient)
 	if conns.admit(idle.Conn) != nil {
-		t.Error("a connection with a request begun made place")
+		t.Error("admit evicted a connection with a request in flight, want the new connection rejected")
 	}
 }
 
-// The search for a connection to evict is bounded: where all have unread bytes, it does not try each of them.
+// The search for a connection to evict is bounded: if all connections have unread bytes, not all of them are tried.
 func TestEvictionSearchIsBounded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening: %v", err)
 	}
 	defer func() { _ = listener.Close() }()
-	const most = 4 * maxEvictAttempts
-	conns := newClientConns(most)
+	const connCount = 4 * maxEvictAttempts
+	conns := newClientConns(connCount)
 	l := &clientListener{listener, conns}
-	for _, client := range silentConns(t, listener.Addr().String(), most) {
+	for _, client := range silentConns(t, listener.Addr().String(), connCount) {
 		_, _ = client.Write([]byte("G"))
 		c, err := l.Accept()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("clientListener.Accept() = %v, want a connection", err)
 		}
 		defer func() { _ = c.Close() }()
 		for start := time.Now(); rawsocket.Silent(c.(*clientConn).Conn); time.Sleep(time.Millisecond) {
 			if time.Since(start) > patience {
-				t.Fatal("the byte did not come")
+				t.Fatalf("the byte that the client sent did not arrive within %v", patience)
 			}
 		}
 		c.(*clientConn).stateSince = time.Time{}
 	}
 	for c := range conns.open {
 		if conns.admit(c.Conn) != nil {
-			t.Error("a connection with something to read made place")
+			t.Error("admit evicted a connection with unread bytes, want the new connection rejected")
 		}
 		break
 	}
@@ -199,6 +200,6 @@
 		}
 	}
 	if tried > maxEvictAttempts {
-		t.Errorf("%d of %d connections were tried", tried, most)
+		t.Errorf("admit tried to evict %d of %d connections, want at most %d", tried, connCount, maxEvictAttempts)
 	}
 }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -16,22 +16,23 @@
 	"lapisspread/decision"
 )
 
-// editedConfig returns a valid configuration with a part replaced.
+// editedConfig returns a valid configuration file in which the first occurrence of from is replaced by to.
 func editedConfig(t *testing.T, from, to string) string {
 	t.Helper()
 	text := string(configText("null"))
 	if !strings.Contains(text, from) {
-		t.Fatalf("%s is not in it", from)
+		t.Fatalf("the test configuration does not contain %s", from)
 	}
 	return strings.Replace(text, from, to, 1)
 }
 
-// loadConfigText loads a configuration as at the start.
+// loadConfigText writes a configuration file and calls LoadConfig with it, and with env as names and values of further
+// environment variables. It returns the file's path too.
 func loadConfigText(t *testing.T, text string, env ...string) (Config, string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the configuration: %v", err)
 	}
 	vars := map[string]string{"BALANCER_CONFIG": path}
 	for i := 0; i+1 < len(env); i += 2 {
@@ -81,25 +82,27 @@
 		bad := (*ConfigError)(nil)
 		if !errors.As(err, &bad) || bad.File != path || bad.Field != c.field || !strings.Contains(bad.Err.Error(),
 			c.reason) {
-			t.Errorf("%s: error %v, want one for %s: %s", c.to, err, c.field, c.reason)
+			t.Errorf("LoadConfig with %s: error %v, want a ConfigError for field %q that contains %q",
+				c.to, err, c.field, c.reason)
 		}
 		if err != nil && (!strings.Contains(err.Error(), path+": "+c.field) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%s: the error is no line with file and field: %v", c.to, err)
+			t.Errorf("LoadConfig with %s: error %q, want one line with the file and the field %q", c.to, err, c.field)
 		}
 		if c.field == "listen" { // a reload does not check it
 			continue
 		}
-		if _, err := ReloadConfig(func(name string) string { return map[string]string{"BALANCER_CONFIG": path}[name] }); err == nil {
-			t.Errorf("%s: taken at a reload", c.to)
+		getenv := func(name string) string { return map[string]string{"BALANCER_CONFIG": path}[name] }
+		if _, err := ReloadConfig(getenv); err == nil {
+			t.Errorf("ReloadConfig with %s = nil, want an error", c.to)
 		}
 	}
 	if _, _, err := loadConfigText(t, editedConfig(t, `"127.0.0.1:0"`, `""`), "BALANCER_PASSED_SOCKET",
 		"3"); err != nil {
-		t.Errorf("where the socket is passed no address is needed: %v", err)
+		t.Errorf("LoadConfig without a listen address but with a passed socket = %v, want nil", err)
 	}
 }
 
-// Unknown, missing and oddly written keys are no reason to reject a configuration.
+// Unknown keys, missing optional keys and extreme values are no reason to reject a configuration.
 func TestUnusualConfigIsServed(t *testing.T) {
 	for _, c := range []struct{ from, to string }{
 		{`"WorthBy":"work"`, `"WorthBy":"mood","Brand":{"New":[1,{"a":null}],"":5,"a=b":1,"x\ny":2},"Kinds.0":3`},
@@ -132,31 +135,33 @@
 	} {
 		cfg, _, err := loadConfigText(t, editedConfig(t, c.from, c.to))
 		if err != nil {
-			t.Errorf("%s: refused: %v", c.to, err)
+			t.Errorf("LoadConfig with %s = %v, want nil", c.to, err)
 			continue
 		}
 		if bodyMemoryLimit(&cfg) < 1<<20 || maxClientConns(&cfg) < 19 {
-			t.Errorf("%s: no room: %d bytes, %d places", c.to, bodyMemoryLimit(&cfg), maxClientConns(&cfg))
+			t.Errorf("LoadConfig with %s: limits of %d body bytes and %d client connections, want at least %d and 19",
+				c.to, bodyMemoryLimit(&cfg), maxClientConns(&cfg), 1<<20)
 		}
 		if _, err := decision.New(cfg.Decision, 1, nil); err != nil {
-			t.Errorf("%s: %v", c.to, err)
+			t.Errorf("decision.New with %s = %v, want nil", c.to, err)
 		}
 	}
 }
 
-// Settings of which each part may be missing, of another type or extreme are either rejected by field or served.
+// Settings in which random parts are missing, of another type or extreme are either rejected with the field's name, or
+// can be served.
 func TestRandomSettingsAreServedOrRejectedByField(t *testing.T) {
-	odd := []any{nil, true, "", "words, and more", -1, 0, 1e-9, 0.5, 1e9, 1e300, []any{}, []any{1, "a"},
+	replacements := []any{nil, true, "", "words, and more", -1, 0, 1e-9, 0.5, 1e9, 1e300, []any{}, []any{1, "a"},
 		[]any{map[string]any{"Name": "a"}}, map[string]any{"Name": "b"}}
 	served := 0
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 27))
 		var tree map[string]any
 		if err := json.Unmarshal([]byte(settings), &tree); err != nil {
-			t.Fatal(err)
+			t.Fatalf("parsing the test settings: %v", err)
 		}
-		var spoil func(v any)
-		spoil = func(v any) {
+		var corrupt func(v any)
+		corrupt = func(v any) {
 			switch v := v.(type) {
 			case map[string]any:
 				var keys []string
@@ -169,111 +174,115 @@
 					case 0:
 						delete(v, key)
 					case 1:
-						v[key] = odd[rng.IntN(len(odd))]
+						v[key] = replacements[rng.IntN(len(replacements))]
 					default:
-						spoil(v[key])
+						corrupt(v[key])
 					}
 				}
 			case []any:
 				for _, item := range v {
-					spoil(item)
+					corrupt(item)
 				}
 			}
 		}
-		spoil(tree)
+		corrupt(tree)
 		text, err := json.Marshal(tree)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding the settings of seed %d: %v", seed, err)
 		}
 		cfg, err := parseConfig(fmt.Appendf(nil,
 			`{"name":"n0","seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, text))
 		if err != nil {
 			if bad := (*ConfigError)(nil); !errors.As(err, &bad) || !strings.HasPrefix(bad.Field, "settings") {
-				t.Errorf("seed %d: no field: %v", seed, err)
+				t.Errorf("parseConfig with seed %d: error %v, want a ConfigError with a field under settings", seed, err)
 			}
 			continue
 		}
 		served++
 		if _, err := decision.New(cfg.Decision, 1, nil); err != nil {
-			t.Errorf("seed %d: taken, and can't be served: %v\n%s", seed, err, text)
+			t.Errorf("decision.New with the accepted settings of seed %d = %v, want nil; settings:\n%s", seed, err, text)
 		}
 		if _, err := newGate(&cfg.Decision); err != nil {
-			t.Errorf("seed %d: taken, and can't share: %v\n%s", seed, err, text)
+			t.Errorf("newGate with the accepted settings of seed %d = %v, want nil; settings:\n%s", seed, err, text)
 		}
 		if n := len(cfg.Decision.Classes); n != len(cfg.Names.Classes) ||
 			len(cfg.Decision.Tenants) > len(cfg.Names.Tenants) {
-			t.Errorf("seed %d: %d classes and %d tenants, of names %q", seed, n, len(cfg.Decision.Tenants), cfg.Names)
+			t.Errorf("parseConfig with seed %d: %d classes and %d tenants in Decision, Names %q; want as many class names "+
+				"and at least as many tenant names", seed, n, len(cfg.Decision.Tenants), cfg.Names)
 		}
 	}
 	if served < 100 {
-		t.Errorf("of 500 only %d are served", served)
+		t.Errorf("parseConfig accepted %d of 500 random settings, want at least 100", served)
 	}
 }
 
-// Class names that differ by a space or a comma only are two classes: one may be retried, the other must never run
-// twice.
+// Class names that differ only by a space or a comma are distinct classes: one may be idempotent and retried while the
+// other must never run twice.
 func TestNamesDifferingByASpaceAreDistinct(t *testing.T) {
 	text := strings.NewReplacer(`"fetch-work"`, `"close trip"`, `"hand-in"`, `"close_trip"`, `"Tenants":[]`,
-		`"Tenants":[{"Name":"a,b","Share":0.5},{"Name":"a_b","Share":0.4},{"Name":"c d","Share":0.1}]`).Replace(string(configText("null")))
+		`"Tenants":[{"Name":"a,b","Share":0.5},{"Name":"a_b","Share":0.4},{"Name":"c d","Share":0.1}]`).
+		Replace(string(configText("null")))
 	cfg, err := parseConfig([]byte(text))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parseConfig: %v", err)
 	}
-	known := List{Version: 1, Full: true}
-	cfg.InitialEndpoints, cfg.Discovery = known, "127.0.0.1:1"
+	cfg.InitialEndpoints, cfg.Discovery = List{Version: 1, Full: true}, "127.0.0.1:1"
 	c := newCatalog(t)
 	p := startProxy(t, listText(1, true), c, func(to *Config) {
-		cfg.Discovery, cfg.timing = to.Discovery,
-			to.timing
+		cfg.Discovery, cfg.timing = to.Discovery, to.timing
 		*to = cfg
 	})
-	within(t, c.queries, "no watch")
+	within(t, c.queries, "discovery got no call")
 	svc := p.proxy.services.current.Load().only
 	for name, want := range map[string]int{"close trip": 0, "close_trip": 1, "close,trip": 1} {
 		if got, known := lookupName(svc.classes, name); !known || got != want {
-			t.Errorf("class %q is number %d, %v", name, got, known)
+			t.Errorf("lookupName(classes, %q) = %d, %v, want %d, true", name, got, known, want)
 		}
 	}
 	for name, want := range map[string]int{"a,b": 0, "a_b": 1, "c d": 2, "c_d": 2} {
 		if got, known := lookupName(svc.tenants, name); !known || got != want {
-			t.Errorf("tenant %q is number %d, %v", name, got, known)
+			t.Errorf("lookupName(tenants, %q) = %d, %v, want %d, true", name, got, known, want)
 		}
 	}
 	if _, known := lookupName(svc.classes, "open trip"); known {
-		t.Error("a class that there is not")
+		t.Error("lookupName(classes, \"open trip\") found a class, want none")
 	}
 }
 
-// The proxy serves without an invalid initial list, and fetches the list from discovery.
+// A proxy whose configuration has an invalid initial endpoint list serves without it, and fetches the list from
+// discovery.
 func TestInvalidInitialListIsIgnored(t *testing.T) {
 	got := make(chan *http.Request, 8)
 	c := newCatalog(t)
 	p := startProxy(t,
 		`{"generation":7,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"active"},{}]}`, c, nil)
-	if q := within(t, c.queries, "discovery is not asked"); strings.HasPrefix(q, "from=7&") {
-		t.Errorf("asked for %q, as if the list that can't be read were known", q)
+	if q := within(t, c.queries, "discovery got no call"); strings.HasPrefix(q, "from=7&") {
+		t.Errorf("first discovery query %q, want one for the whole list instead of changes since the unreadable list", q)
 	}
 	c.lists <- listText(8, true, memberText("a", countingBackend(t, got), "active"))
-	within(t, c.queries, "no watch after the list")
+	within(t, c.queries, "discovery got no call after it sent the list")
 	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 	if !strings.Contains(p.logs.String(), "the list that the configuration knows can't be read") {
-		t.Errorf("the log says nothing of it:\n%s", p.logs.String())
+		t.Errorf("the log has no message about the unreadable initial list:\n%s", p.logs.String())
 	}
 	if cfg, err := parseConfig(configText(`{"generation":1,"instances":[{}]}`)); err != nil ||
 		cfg.InitialEndpointsError == nil || len(cfg.InitialEndpoints.Endpoints) > 0 {
-		t.Errorf("known %+v, bad %v, error %v", cfg.InitialEndpoints, cfg.InitialEndpointsError, err)
+		t.Errorf("parseConfig with an invalid list: InitialEndpoints %+v, InitialEndpointsError %v, error %v; "+
+			"want no endpoints, an InitialEndpointsError and no error",
+			cfg.InitialEndpoints, cfg.InitialEndpointsError, err)
 	}
 }
 
-// Calls for the endpoint list come in time for every configured age of an answer.
+// The time that discovery may hold a watch stays between 1 s and 20 s whatever AskEvery, the polling interval in
+// milliseconds, is set to.
 func TestDiscoveryTimingStaysWithinBounds(t *testing.T) {
 	for _, every := range []string{"0", "1", "1e12"} {
 		cfg, err := parseConfig([]byte(editedConfig(t, `"AskEvery":10000.0`, `"AskEvery":`+every)))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parseConfig with AskEvery %s: %v", every, err)
 		}
 		if cfg.timing.watchHold < time.Second || cfg.timing.watchHold > 20*time.Second {
-			t.Errorf("AskEvery %s: held for %v", every, cfg.timing.watchHold)
+			t.Errorf("watchHold with AskEvery %s = %v, want 1s to 20s", every, cfg.timing.watchHold)
 		}
 	}
 }
@@ -281,28 +290,28 @@
 func TestConfig(t *testing.T) {
 	c, err := parseConfig(configText(listText(41, true, memberText("a", "127.0.0.1:9", "active"))))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parseConfig: %v", err)
 	}
-	m := c.Decision
-	if m.Classes[1].Name != "hand-in" || m.Classes[1].Idempotency != decision.NotIdempotent ||
-		m.Classes[0].Idempotency != decision.Idempotent ||
-		!m.PolledDiscovery || m.Capabilities.ConnectTimeout != 250*time.Millisecond ||
-		m.Constraints.OverloadFactor != 2.5 {
-		t.Errorf("settings %+v", m)
+	settings := c.Decision
+	if settings.Classes[1].Name != "hand-in" || settings.Classes[1].Idempotency != decision.NotIdempotent ||
+		settings.Classes[0].Idempotency != decision.Idempotent ||
+		!settings.PolledDiscovery || settings.Capabilities.ConnectTimeout != 250*time.Millisecond ||
+		settings.Constraints.OverloadFactor != 2.5 {
+		t.Errorf("parseConfig: decision settings %+v differ from those in the file", settings)
 	}
 	if c.InitialEndpoints.Version != 41 || c.Seed != 0x8c1f30d27a5be964 || c.Kinds[1] != "slow-5" ||
 		c.Zones[0] != "dc one" {
-		t.Errorf("configuration %+v", c)
+		t.Errorf("parseConfig: initial list, seed, kinds or zones differ from those in the file: %+v", c)
 	}
 	for name, text := range map[string]string{
-		"no JSON":      "{",
-		"bad seed":     strings.Replace(string(configText("null")), "8c1f30d27a5be964", "xyz", 1),
-		"no limits":    strings.Replace(string(configText("null")), `"sockets":1024`, `"sockets":0`, 1),
-		"bad settings": strings.Replace(string(configText("null")), `"Tick":5.0`, `"Tick":"often"`, 1),
-		"no connects":  strings.Replace(string(configText("null")), `"ConnectTimeout":250.0,`, "", 1),
+		"invalid JSON":            "{",
+		"seed is not hexadecimal": strings.Replace(string(configText("null")), "8c1f30d27a5be964", "xyz", 1),
+		"no sockets":              strings.Replace(string(configText("null")), `"sockets":1024`, `"sockets":0`, 1),
+		"setting is not a number": strings.Replace(string(configText("null")), `"Tick":5.0`, `"Tick":"often"`, 1),
+		"no connect timeout":      strings.Replace(string(configText("null")), `"ConnectTimeout":250.0,`, "", 1),
 	} {
 		if _, err := parseConfig([]byte(text)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("parseConfig with %s = nil, want an error", name)
 		}
 	}
 }
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -12,16 +12,16 @@
 	"lapisspread/internal/listener"
 )
 
-// narrow is a listener of a process with descriptors for only so many clients.
-type narrow struct {
+// limitedListener fails to accept with EMFILE while maxConns client connections are open.
+type limitedListener struct {
 	net.Listener
-	conns *clientConns
-	most  int
+	conns    *clientConns
+	maxConns int
 }
 
-func (n narrow) Accept() (net.Conn, error) {
+func (n limitedListener) Accept() (net.Conn, error) {
 	n.conns.mu.Lock()
-	full := len(n.conns.open) >= n.most
+	full := len(n.conns.open) >= n.maxConns
 	n.conns.mu.Unlock()
 	if full {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
@@ -34,65 +34,66 @@
 func TestIdleClientsAreEvictedWhenDescriptorsRunOut(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening: %v", err)
 	}
 	conns := newClientConns(100)
-	var turnedAway atomic.Int32
-	l := &clientListener{listener.NewListener(narrow{inner, conns, 3}, slog.New(slog.DiscardHandler), conns.evictIdle,
-		func() { turnedAway.Add(1) }), conns}
+	var closedUnserved atomic.Int32
+	limited := limitedListener{inner, conns, 3}
+	l := &clientListener{listener.NewListener(limited, slog.New(slog.DiscardHandler), conns.evictIdle,
+		func() { closedUnserved.Add(1) }), conns}
 	defer func() { _ = l.Close() }()
-	taken := make(chan net.Conn, 64)
+	accepted := make(chan net.Conn, 64)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			taken <- c
+			accepted <- c
 		}
 	}()
 	for range 20 {
 		client := silentConns(t, inner.Addr().String(), 1)[0]
-		c := within(t, taken, "a client that comes is not taken")
+		c := within(t, accepted, "the new client was not accepted")
 		defer func() { _ = c.Close() }()
 		if got, want := c.RemoteAddr().String(), client.LocalAddr().String(); got != want {
-			t.Fatalf("%s is taken, want %s", got, want)
+			t.Fatalf("accepted the client %s, want %s", got, want)
 		}
 	}
-	if n := turnedAway.Load(); n != 0 {
-		t.Errorf("%d that came were closed", n)
+	if n := closedUnserved.Load(); n != 0 {
+		t.Errorf("%d new connections were closed for lack of a descriptor, want 0", n)
 	}
 }
 
-// During a hot restart two processes share the descriptors: idle clients fill half of the places of each, clients in
-// use all of them.
+// During a hot restart two processes share the descriptors: in each, idle connections fill at most half of the limit,
+// and connections with requests in flight may fill all of it.
 func TestIdleClientsKeepToHalfDuringHotRestart(t *testing.T) {
 	conns := newClientConns(8)
-	begin := func(client net.Conn, c *clientConn) {
+	startRequest := func(client net.Conn, c *clientConn) {
 		t.Helper()
 		_, _ = io.WriteString(client, "G")
 		if _, err := c.Read(make([]byte, 1)); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Read of the request's first byte: %v", err)
 		}
 	}
 	for range 8 {
 		clientPair(t, conns)
 	}
 	if n := conns.count(); n != 8 {
-		t.Fatalf("%d connections alone, want 8", n)
+		t.Fatalf("%d idle connections are open without another process, want 8", n)
 	}
 	conns.setShared(true)
 	if n := conns.count(); n != 4 {
-		t.Errorf("%d idle connections beside another process, want 4", n)
+		t.Errorf("%d idle connections are open after setShared(true), want 4", n)
 	}
-	for i := range 8 { // each evicts an idle one, while there are some
-		begin(clientPair(t, conns))
+	for i := range 8 { // each evicts an idle connection while there is one
+		startRequest(clientPair(t, conns))
 		if n := conns.count(); n != max(4, i+1) {
-			t.Errorf("%d connections, %d of them in use, want %d", n, i+1, max(4, i+1))
+			t.Errorf("%d connections are open, of which %d have a request in flight; want %d open", n, i+1, max(4, i+1))
 		}
 	}
 	conns.setShared(false)
 	if n := conns.count(); n != 8 {
-		t.Errorf("%d connections in use once alone, want 8", n)
+		t.Errorf("%d connections with requests are open after setShared(false), want 8", n)
 	}
 }
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -52,14 +52,14 @@
 }
 
 // diameterStage starts a stage that speaks Diameter too, and returns a client of it.
-func diameterStage(t *testing.T, services string, change func(*Config)) (*stage, *diameterpeer.Client) {
+func diameterStage(t *testing.T, services string, change func(*Config)) (*proxyFixture, *diameterpeer.Client) {
 	t.Helper()
 	dir, addr := t.TempDir(), freeAddr(t)
 	path := filepath.Join(dir, "diameter.toml")
 	if err := os.WriteFile(path, []byte(strings.Replace(diameterFile, "ADDR", addr, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s := newStage(t, services, func(c *Config) {
+	s := newProxyFixture(t, services, func(c *Config) {
 		c.Diameter, c.StateDir = path, dir
 		if change != nil {
 			change(c)
@@ -149,7 +149,7 @@
 		t.Fatalf("%+v", first)
 	}
 	cfg := s.proxy.cfg
-	next := newStage(t, twoServices, func(c *Config) { c.Diameter, c.StateDir = cfg.Diameter, cfg.StateDir })
+	next := newProxyFixture(t, twoServices, func(c *Config) { c.Diameter, c.StateDir = cfg.Diameter, cfg.StateDir })
 	if next.proxy.diameter.guard.Report().Ready {
 		t.Error("two processes have the ledger")
 	}
@@ -222,7 +222,7 @@
 	server := &diameterpeer.Server{Host: "n1.example", Realm: "pay.example.org"}
 	go server.Serve(tls.NewListener(l, serverKeys.ServerConfig()))
 	defer server.Drop()
-	s := newStage(t, strings.Replace(twoServices, `name = "settlement"`,
+	s := newProxyFixture(t, strings.Replace(twoServices, `name = "settlement"`,
 		"name = \"settlement\"\nupstream = \"diameter\"", 1),
 		func(c *Config) { c.Diameter, c.StateDir = path, dir })
 	s.lists <- listText(2, true, memberText("id-fast", s.backend["fast-5"], "active"),
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -16,7 +16,8 @@
 	"time"
 )
 
-// settings are those of a site with an idempotent class and one that is not. Discovery is polled.
+// settings are decision settings with an idempotent class (fetch-work) and a non-idempotent one (hand-in). Discovery
+// is polled.
 const settings = `{"Balancers":1,"Rank":0,"Zone":0,"Tick":5.0,"Discovery":"on_request","FailureDomains":["dc one"],
  "Kinds":["fast-5","slow-5"],"WorthBy":"work","Tenants":[],"Feedback":{"How":"off","Names":[]},
  "Caps":{"Cancel":true,"ConnIdle":15000.0,"ConnectTimeout":250.0,"MaxAttempts":6,"MaxRetryAfter":2000.0,
@@ -26,12 +27,14 @@
   {"Name":"fetch-work","Aim":8000.0,"GiveUp":20000.0,"Effect":"retryable","Group":"all","Value":3.0,"Window":5000.0},
   {"Name":"hand-in","Aim":8000.0,"GiveUp":20000.0,"Effect":"fragile","Group":"all","Value":8.0,"Window":5000.0}]}`
 
+// configText returns a configuration file. known is the JSON of its initial endpoint list, or null.
 func configText(known string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, known, settings)
 }
 
-// catalog is a stand-in for discovery: each list put in is the answer to one watch.
+// catalog is a fake discovery server. Each list sent to lists is the response to one call; queries receives the query
+// of each call.
 type catalog struct {
 	*httptest.Server
 	lists   chan string
@@ -52,16 +55,18 @@
 	return c
 }
 
+// listText returns the JSON of an endpoint list with the given version. full is whether it replaces all endpoints.
 func listText(generation int, full bool, members ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, full, strings.Join(members, ","))
 }
 
+// memberText returns the JSON of one endpoint in a list.
 func memberText(id, addr, state string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"dc one","machineType":"fast-5","cell":0,"lifecycle":%q,"weight":1.0,"startedAtMs":0}`,
 		id, addr, state)
 }
 
-// running is a proxy under test.
+// running is a proxy under test that serves on addr until stop is called. done receives the result of serve.
 type running struct {
 	addr string
 	stop context.CancelFunc
@@ -88,23 +93,26 @@
 	return b.text.String()
 }
 
-// untilTold gives no call up: the catalogues here give each list to one call.
-var untilTold = discoveryTiming{watchHold: time.Minute, slack: time.Minute, fetchTimeout: time.Minute}
+// longWatchTiming lets no discovery call time out during a test: a catalog sends each list to one call only, and a
+// call that timed out would lose it.
+var longWatchTiming = discoveryTiming{watchHold: time.Minute, slack: time.Minute, fetchTimeout: time.Minute}
 
+// startProxy runs a proxy with the initial endpoint list known and the discovery server c until the test ends. change,
+// if not nil, edits its configuration first.
 func startProxy(t *testing.T, known string, c *catalog, change func(*Config)) *running {
 	t.Helper()
 	cfg, err := parseConfig(configText(known))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parseConfig: %v", err)
 	}
 	cfg.Discovery = strings.TrimPrefix(c.URL, "http://")
-	cfg.timing = untilTold
+	cfg.timing = longWatchTiming
 	if change != nil {
 		change(&cfg)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening for the proxy: %v", err)
 	}
 	return serveOn(t, cfg, listener)
 }
@@ -120,14 +128,14 @@
 	t.Cleanup(func() {
 		stop()
 		if err := <-p.done; err != nil {
-			t.Errorf("serve: %v", err)
+			t.Errorf("Proxy.serve = %v, want nil", err)
 		}
 		p.done <- nil
 	})
 	return p
 }
 
-// request sends a request by a client that never retries by itself.
+// request sends a request on a new connection, by a client that never retries.
 func (p *running) request(t *testing.T, class string, timeoutMs int, body string) (*http.Response, string, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
@@ -138,9 +146,10 @@
 	return requestOn(c, bufio.NewReader(c), class, timeoutMs, body)
 }
 
-// lastAsked is the number in the ID of the last request.
-var lastAsked atomic.Int64
+// lastRequestID is the number in the X-Request-ID of the last request sent by a test.
+var lastRequestID atomic.Int64
 
+// requestOn sends a request on a connection and reads its response. hand-in requests are POST, others GET.
 func requestOn(c net.Conn, in *bufio.Reader, class string, timeoutMs int, body string) (*http.Response, string, error) {
 	method := "GET"
 	if class == "hand-in" {
@@ -149,13 +158,14 @@
 	_, err := fmt.Fprintf(c,
 		"%s /api?key=7f%%33 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: r%d\r\nX-Priority-Class: %s\r\n"+
 			"X-Timeout-Ms: %d\r\nX-Cost: 1000\r\nContent-Length: %d\r\n\r\n%s",
-		method, lastAsked.Add(1), class, timeoutMs, len(body), body)
+		method, lastRequestID.Add(1), class, timeoutMs, len(body), body)
 	if err != nil {
 		return nil, "", err
 	}
 	return readFinalResponse(in)
 }
 
+// readFinalResponse reads a response with its body.
 func readFinalResponse(in *bufio.Reader) (*http.Response, string, error) {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -165,21 +175,22 @@
 	return resp, string(text), err
 }
 
+// mustRespond returns a function that fails the test unless the response has the given status.
 func mustRespond(t *testing.T, status int) func(*http.Response, string, error) (*http.Response, string) {
 	t.Helper()
 	return func(resp *http.Response, body string, err error) (*http.Response, string) {
 		t.Helper()
 		if err != nil {
-			t.Fatalf("no answer: %v", err)
+			t.Fatalf("request got no complete response: %v, want status %d", err, status)
 		}
 		if resp.StatusCode != status {
-			t.Fatalf("status %d, want %d", resp.StatusCode, status)
+			t.Fatalf("response status %d, want %d; body %.200q", resp.StatusCode, status, body)
 		}
 		return resp, body
 	}
 }
 
-// countingBackend serves every request and records it.
+// countingBackend serves every request and sends it to got, with its body read. It returns the backend's address.
 func countingBackend(t *testing.T, got chan<- *http.Request) string {
 	return rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for {
--- a/internal/proxy/hookedconn_test.go
+++ b/internal/proxy/hookedconn_test.go
@@ -10,31 +10,31 @@
 	"lapisspread/internal/proxy/rawsocket"
 )
 
-// hookedConn is a connection to a backend that calls the test at a point of an attempt.
+// hookedConn is a connection to a backend that calls the test's hooks during an attempt.
 type hookedConn struct {
 	*net.TCPConn
-	chosen func()    // for an attempt, of which nothing is written yet
-	came   func(int) // so many bytes were read, and are not yet handed over
+	onChosen func()    // called once the connection is chosen for an attempt, before anything is written
+	onRead   func(int) // called after each read with its number of bytes, before they are returned
 }
 
 // RemoteAddr is called once for each attempt, between the choice of the connection and the first byte.
 func (c *hookedConn) RemoteAddr() net.Addr {
-	if c.chosen != nil {
-		c.chosen()
+	if c.onChosen != nil {
+		c.onChosen()
 	}
 	return c.TCPConn.RemoteAddr()
 }
 
 func (c *hookedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if c.came != nil {
-		c.came(n)
+	if c.onRead != nil {
+		c.onRead(n)
 	}
 	return n, err
 }
 
-// hookedPool returns a pool whose connections pass through with, in the order in which they are made.
-func hookedPool(t *testing.T, addr string, with func(n int, c *hookedConn)) (*pool, *backend) {
+// hookedPool returns a pool with one backend. onConnect is called for each new connection with its number, from 0.
+func hookedPool(t *testing.T, addr string, onConnect func(n int, c *hookedConn)) (*pool, *backend) {
 	t.Helper()
 	p, b := testPool(t, addr)
 	dial, n := p.dialer, 0
@@ -44,24 +44,24 @@
 			return nil, err
 		}
 		h := &hookedConn{TCPConn: c.(*net.TCPConn)}
-		with(n, h)
+		onConnect(n, h)
 		n++
 		return h, nil
 	}
 	return p, b
 }
 
-// waitUntilSeen waits until bytes or the peer's close have arrived on a connection.
-func waitUntilSeen(t *testing.T, c net.Conn) {
+// waitForInput waits until unread bytes or the peer's close have arrived on a connection.
+func waitForInput(t *testing.T, c net.Conn) {
 	for start := time.Now(); rawsocket.Silent(c); time.Sleep(time.Millisecond) {
 		if time.Since(start) > patience {
-			t.Error("what came was not noticed")
+			t.Errorf("neither bytes nor a close arrived on the connection within %v", patience)
 			return
 		}
 	}
 }
 
-// testUpload returns a long body that is complete.
+// testUpload returns an upload whose remainder, the last 4 bytes, can be read at once.
 func testUpload() *upload {
 	return &upload{prefix: make([]byte, maxBufferedBody), length: maxBufferedBody + 4, startedAt: time.Now(),
 		remainder:       strings.NewReader("rest"),
--- a/internal/proxy/hotrestart_test.go
+++ b/internal/proxy/hotrestart_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.StateDir, cfg.PassedSocket, cfg.timing = dir, "3", untilTold
+	cfg.StateDir, cfg.PassedSocket, cfg.timing = dir, "3", longWatchTiming
 	file, err := held.File()
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 		t.Error("the new process takes the old one for its successor")
 	}
 	comes(20)
-	before.ending(t)
+	before.stopAndAwaitDrain(t)
 	comes(20)
 	_ = idle.SetReadDeadline(time.Now().Add(patience))
 	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the old process is past taking connections
@@ -97,7 +97,7 @@
 	if err := within(t, answered, "no answer"); err != nil {
 		t.Errorf("the request in the old process: %v", err)
 	}
-	before.ended(t)
+	before.awaitExit(t)
 	comes(20)
 }
 
--- a/internal/proxy/linger_test.go
+++ b/internal/proxy/linger_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"fmt"
 	"io"
 	"lapisspread/internal/proxy/rawsocket"
 	"net"
@@ -12,82 +11,83 @@
 	"time"
 )
 
-// connWithUnreadBytes returns a connection whose response does not fit into the sockets' buffers, with unread bytes
-// behind its request.
-func connWithUnreadBytes(t *testing.T, conns *clientConns, answer string) (client net.Conn, c *clientConn) {
+// connWithUnreadBytes returns a connection on which response has been written and the client has sent unread bytes
+// after its first request. A long response does not fit into the client socket's receive buffer.
+func connWithUnreadBytes(t *testing.T, conns *clientConns, response string) (client net.Conn, c *clientConn) {
 	t.Helper()
 	client, c = clientPair(t, conns)
 	_ = client.(*net.TCPConn).SetReadBuffer(64 << 10)
 	const request = "GET / HTTP/1.1\r\n\r\n"
-	_, _ = io.WriteString(client, request+hidden)
+	_, _ = io.WriteString(client, request+smuggledRequest)
 	if _, err := io.ReadFull(c, make([]byte, len(request))); err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the first request: %v", err)
 	}
 	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(1 << 20)
-	if _, err := io.WriteString(c, answer); err != nil {
-		t.Fatal(err)
+	if _, err := io.WriteString(c, response); err != nil {
+		t.Fatalf("writing the response: %v", err)
 	}
-	_, _ = io.WriteString(client, hidden) // so that something stands unread in the socket itself
-	eventually(t, "nothing comes", func() bool { return !rawsocket.Silent(c.Conn) })
+	_, _ = io.WriteString(client, smuggledRequest) // so that the socket itself has unread bytes
+	eventually(t, "the pipelined request did not arrive at the socket", func() bool { return !rawsocket.Silent(c.Conn) })
 	return client, c
 }
 
-// A connection is closed with unread bytes: its last response arrives whole, and then its end. A new client gets its
-// place at once.
+// When a connection with unread bytes is closed, the client still gets its last response completely, and then EOF. The
+// lingering connection can be evicted for a new client at once.
 func TestCloseWithUnreadBytesLosesNoResponse(t *testing.T) {
-	answer := strings.Repeat("0123456789abcdef", 16<<10)
+	response := strings.Repeat("0123456789abcdef", 16<<10)
 	conns := newClientConns(4)
 	conns.lingerTimeout = patience
-	client, c := connWithUnreadBytes(t, conns, answer)
+	client, c := connWithUnreadBytes(t, conns, response)
 	_ = c.Close()
 	_ = client.SetReadDeadline(time.Now().Add(patience))
-	if got, err := io.ReadAll(client); err != nil || string(got) != answer {
-		t.Errorf("%d bytes of %d came, %v", len(got), len(answer), err)
+	if got, err := io.ReadAll(client); err != nil || string(got) != response {
+		t.Errorf("the client read %d of the response's %d bytes, error %v; want all of them", len(got), len(response), err)
 	}
 	if !conns.open[c] {
-		t.Error("its place is given away though its descriptor is not")
+		t.Error("the lingering connection was removed from the registry while its descriptor is open")
 	}
 	if !conns.evictIdle() || conns.open[c] {
-		t.Error("it makes no place")
+		t.Error("evictIdle did not evict the lingering connection")
 	}
 	client, c = connWithUnreadBytes(t, conns, "short")
 	_ = c.Close()
 	if !c.Evict() || conns.open[c] {
-		t.Error("it makes no place at the door")
+		t.Error("Evict did not close the lingering connection")
 	}
 	_ = client.Close()
 	conns.lingerTimeout = time.Millisecond
 	_, c = connWithUnreadBytes(t, conns, "short")
 	_ = c.Close()
-	eventually(t, "it is never closed", func() bool { return len(conns.snapshot()) == 0 })
+	eventually(t, "the connection was not closed after lingerTimeout", func() bool { return len(conns.snapshot()) == 0 })
 }
 
-// A client sends requests one behind the other while the proxy drains: the one in flight gets a whole response, and
+// A client has sent pipelined requests when the proxy starts to drain: the one in flight gets a complete response, and
 // then the connection ends without a partial response. The next request is not sent to a backend.
 func TestDrainCrossesPipelinedRequests(t *testing.T) {
-	came, release := make(chan bool, 8), make(chan bool)
+	received, release := make(chan bool, 8), make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for readRequest(in) {
-			came <- true
+			received <- true
 			<-release
 			writeText(c, served)
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
-	c := leavingClient(t, p, "fetch-work", fmt.Sprintf("%s%s", hidden, strings.Replace(hidden, "hidden", "third", 1)))
-	within(t, came, "the backend got nothing")
-	p.ending(t)
+	third := strings.Replace(smuggledRequest, "hidden", "third", 1)
+	c := leavingClient(t, p, "fetch-work", smuggledRequest+third)
+	within(t, received, "the backend got no first request")
+	p.stopAndAwaitDrain(t)
 	close(release)
 	_ = c.SetReadDeadline(time.Now().Add(patience))
 	in := bufio.NewReader(c)
 	if resp, _ := mustRespond(t, http.StatusOK)(readFinalResponse(in)); !resp.Close {
-		t.Error("the answer leaves its connection open")
+		t.Error("the response during the drain has no Connection: close")
 	}
 	if rest, err := io.ReadAll(in); len(rest) > 0 || isTimeout(err) {
-		t.Errorf("after the last answer: %q, %v", rest, err)
+		t.Errorf("client read %q, error %v after the last response, want the connection's end", rest, err)
 	}
-	p.ended(t)
-	if len(came) != 0 {
-		t.Error("what stood behind the last answer was sent on")
+	p.awaitExit(t)
+	if len(received) != 0 {
+		t.Errorf("%d pipelined requests were sent to a backend after the drain began, want 0", len(received))
 	}
 }
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newStage(t, twoServices, func(c *Config) { c.Fleet = path })
+	s := newProxyFixture(t, twoServices, func(c *Config) { c.Fleet = path })
 	httpClient := &http.Client{Transport: &http.Transport{}}
 	defer httpClient.CloseIdleConnections()
 	order := func(c store.Command) {
--- a/internal/proxy/servicefaults_test.go
+++ b/internal/proxy/servicefaults_test.go
@@ -19,7 +19,7 @@
 // A service that a reload adds checks the health of its backends before requests are routed to it; one whose discovery
 // or backends are down starts all the same, soon.
 func TestNewServiceChecksHealthFirst(t *testing.T) {
-	s := newStage(t, strings.Split(twoServices, "[[service]]\nname = \"settlement\"")[0]+`[[route]]
+	s := newProxyFixture(t, strings.Split(twoServices, "[[service]]\nname = \"settlement\"")[0]+`[[route]]
 name = "all"
 path_prefix = "/api"
 to = [{ service = "dispatch" }]
@@ -55,7 +55,7 @@
 	}
 	addr := l.Addr().String()
 	_ = l.Close()
-	s := newStage(t, strings.Replace(twoServices, `kinds = ["slow-5"]`, fmt.Sprintf("discovery = %q", addr), 1), nil)
+	s := newProxyFixture(t, strings.Replace(twoServices, `kinds = ["slow-5"]`, fmt.Sprintf("discovery = %q", addr), 1), nil)
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	if status, _ := s.request(client, "pay.example.org", "/api", "hand-in", 400); status != 503 {
@@ -90,7 +90,7 @@
 
 // Two services that share a backend both send it no new request once it drains.
 func TestSharedBackendDrainsForBothServices(t *testing.T) {
-	s := newStage(t, strings.NewReplacer(`kinds = ["fast-5"]`, "", `kinds = ["slow-5"]`, "").Replace(twoServices), nil)
+	s := newProxyFixture(t, strings.NewReplacer(`kinds = ["fast-5"]`, "", `kinds = ["slow-5"]`, "").Replace(twoServices), nil)
 	s.lists <- listText(2, false, memberOf("id-slow", s.backend["slow-5"], "slow-5", "leaving"))
 	time.Sleep(500 * time.Millisecond)
 	before := s.served["slow-5"].Load()
@@ -107,7 +107,7 @@
 
 // A reload that removes a service lets its long response in flight come to its end.
 func TestLongResponseOutlivesItsService(t *testing.T) {
-	s := newStage(t, twoServices, nil)
+	s := newProxyFixture(t, twoServices, nil)
 	req, err := http.NewRequest("POST", "http://"+s.addr+"/api/long", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 
 // A panic or an endless event in one engine does not affect the other service.
 func TestFaultOfOneServiceStaysThere(t *testing.T) {
-	s := newStage(t, twoServices, nil)
+	s := newProxyFixture(t, twoServices, nil)
 	sick := s.proxy.services.current.Load().byName["settlement"]
 	stalled := make(chan struct{})
 	sick.engine.Post(func() { panic("out of order") })
@@ -154,7 +154,7 @@
 // During a hot restart, when two processes share the limits, a reload keeps to this process's half; it has all again
 // when the other process is gone.
 func TestReloadDuringHotRestart(t *testing.T) {
-	s := newStage(t, twoServices, nil)
+	s := newProxyFixture(t, twoServices, nil)
 	conns := func() int64 { return s.proxy.services.limits.Report().Conns.Total }
 	whole := conns()
 	s.proxy.services.setHalfCapacity(true)
@@ -178,7 +178,7 @@
 // An operator's reload reads the file again and returns a summary; an invalid file is rejected with the reason, and the
 // old one stays.
 func TestRoutesReloadedByOperator(t *testing.T) {
-	s := newStage(t, twoServices, nil)
+	s := newProxyFixture(t, twoServices, nil)
 	op := adminBackend{s.proxy}
 	s.write(strings.ReplaceAll(twoServices, "settlement", "payouts"))
 	if text, err := op.ReloadRoutes(); err != nil || text != "2 services, 2 routes" {
@@ -197,7 +197,7 @@
 // Attempts a second are shared: a service that uses all it can get leaves the other its part, and a rejection has a
 // Retry-After.
 func TestAttemptQuotaIsShared(t *testing.T) {
-	s := newStage(t, strings.Replace(twoServices, "version = 1", "version = 1\n[limits]\nattempts = 100.0", 1), nil)
+	s := newProxyFixture(t, strings.Replace(twoServices, "version = 1", "version = 1\n[limits]\nattempts = 100.0", 1), nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	defer client.CloseIdleConnections()
 	var all sync.WaitGroup
--- a/internal/proxy/services_test.go
+++ b/internal/proxy/services_test.go
@@ -21,8 +21,8 @@
 	config "lapisspread/internal/services"
 )
 
-// stage is a proxy with several services before stand-in backends.
-type stage struct {
+// proxyFixture is a proxy with several services before stand-in backends.
+type proxyFixture struct {
 	t       *testing.T
 	addr    string
 	file    string
@@ -38,9 +38,9 @@
 	first   map[string]*atomic.Pointer[string] // the path of the first request to a kind
 }
 
-func newStage(t *testing.T, services string, change func(*Config)) *stage {
+func newProxyFixture(t *testing.T, services string, change func(*Config)) *proxyFixture {
 	t.Helper()
-	s := &stage{t: t, file: filepath.Join(t.TempDir(), "services.toml"), served: map[string]*atomic.Int64{},
+	s := &proxyFixture{t: t, file: filepath.Join(t.TempDir(), "services.toml"), served: map[string]*atomic.Int64{},
 		stall: map[string]*atomic.Int64{},
 		lists: make(chan string), release: make(chan struct{}), backend: map[string]string{},
 		first: map[string]*atomic.Pointer[string]{}}
@@ -91,7 +91,7 @@
 	}
 	cfg.Discovery = strings.TrimPrefix(s.catalog.URL, "http://")
 	cfg.Services = s.file
-	cfg.timing = untilTold
+	cfg.timing = longWatchTiming
 	if change != nil {
 		change(&cfg)
 	}
@@ -119,7 +119,7 @@
 	return s
 }
 
-func (s *stage) write(text string) {
+func (s *proxyFixture) write(text string) {
 	s.t.Helper()
 	if err := os.WriteFile(s.file, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
@@ -127,7 +127,7 @@
 }
 
 // reload installs a file and waits until it was taken in, or rejected as invalid.
-func (s *stage) reload(text string) (ok bool) {
+func (s *proxyFixture) reload(text string) (ok bool) {
 	s.t.Helper()
 	s.write(text)
 	failed, before := s.proxy.counters.ReloadsFailed.Load(), s.proxy.services.current.Load()
@@ -145,7 +145,7 @@
 }
 
 // request sends a request and returns the status and the body.
-func (s *stage) request(client *http.Client, host, path, class string, timeout int) (int, string) {
+func (s *proxyFixture) request(client *http.Client, host, path, class string, timeout int) (int, string) {
 	method := "POST"
 	if class == "fetch-work" {
 		method = "GET"
@@ -190,7 +190,7 @@
 `
 
 func TestRequestsAreRouted(t *testing.T) {
-	s := newStage(t, twoServices, nil)
+	s := newProxyFixture(t, twoServices, nil)
 	for _, k := range []struct {
 		host, path, class string
 		status            int
@@ -233,7 +233,7 @@
 
 // A service whose backends all hang uses its quota and no more: the other service is served at once.
 func TestHangingServiceDoesNotStarveOthers(t *testing.T) {
-	s := newStage(t, twoServices, func(c *Config) { c.Sockets = 300 })
+	s := newProxyFixture(t, twoServices, func(c *Config) { c.Sockets = 300 })
 	s.stall["slow-5"].Store(60_000)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	defer client.CloseIdleConnections()
@@ -269,7 +269,7 @@
 
 // Routes change, and services are added and removed, under load: no request is lost, and nothing is left behind.
 func TestReloadsUnderLoadLoseNothing(t *testing.T) {
-	s := newStage(t, twoServices, nil)
+	s := newProxyFixture(t, twoServices, nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	defer client.CloseIdleConnections()
 	s.stall["slow-5"].Store(20) // so that requests are in flight as their service is removed
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -18,15 +18,15 @@
 	"time"
 )
 
-// ending stops a proxy and waits until it drains.
-func (p *running) ending(t *testing.T) {
+// stopAndAwaitDrain stops a proxy and waits until it drains.
+func (p *running) stopAndAwaitDrain(t *testing.T) {
 	t.Helper()
 	p.stop()
 	eventually(t, "it does not drain", p.proxy.conns.isDraining)
 }
 
-// ended waits for the proxy's end.
-func (p *running) ended(t *testing.T) {
+// awaitExit waits for the proxy's end.
+func (p *running) awaitExit(t *testing.T) {
 	t.Helper()
 	if err := within(t, p.done, "the proxy did not end"); err != nil {
 		t.Errorf("ended with %v", err)
@@ -105,7 +105,7 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = c.Close() }()
-			request := fmt.Sprintf(head, lastAsked.Add(1)) + "homework"
+			request := fmt.Sprintf(head, lastRequestID.Add(1)) + "homework"
 			cut := s.cut
 			if cut <= 0 {
 				cut += len(request)
@@ -128,9 +128,9 @@
 				within(t, came, "the backend got nothing")
 			}
 			if s.inFlight && s.length == 0 {
-				p.inFlight(t, 1)
+				p.waitForInFlight(t, 1)
 			}
-			p.ending(t)
+			p.stopAndAwaitDrain(t)
 			_, _ = io.WriteString(c, request[cut:])
 			close(open)
 			close(release)
@@ -145,7 +145,7 @@
 			if !resp.Close && s.length == 0 { // one that was on its way may have been promised otherwise
 				t.Error("the answer leaves its connection open")
 			}
-			p.ended(t)
+			p.awaitExit(t)
 		})
 	}
 }
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -68,7 +68,7 @@
 				for _, n := range []int{0, 5, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3 << 20} {
 					head := fmt.Sprintf("POST /api?framing=%s HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\n"+
 						"X-Priority-Class: hand-in\r\nX-Timeout-Ms: 10000\r\n",
-						framing, lastAsked.Add(1))
+						framing, lastRequestID.Add(1))
 					wrote := make(chan error, 1)
 					go func() {
 						var err error
@@ -120,7 +120,7 @@
 			_ = c.SetDeadline(time.Now().Add(patience))
 			_, _ = fmt.Fprintf(c,
 				"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\n"+
-					"X-Timeout-Ms: 9000\r\n\r\n", lastAsked.Add(1))
+					"X-Timeout-Ms: 9000\r\n\r\n", lastRequestID.Add(1))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				t.Fatal(err)
@@ -163,7 +163,7 @@
 				_ = c.SetDeadline(time.Now().Add(patience))
 				_, _ = fmt.Fprintf(c,
 					"GET /api HTTP/%s\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: fetch-work\r\n"+
-						"X-Timeout-Ms: 9000\r\n\r\n", version, lastAsked.Add(1))
+						"X-Timeout-Ms: 9000\r\n\r\n", version, lastRequestID.Add(1))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
 					t.Fatal(err)
@@ -198,7 +198,7 @@
 	_ = c.SetDeadline(time.Now().Add(patience))
 	_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: s%d\r\nX-Priority-Class: hand-in\r\n"+
 		"X-Timeout-Ms: 9000\r\nContent-Length: %d\r\n\r\n",
-		lastAsked.Add(1), 8<<20)
+		lastRequestID.Add(1), 8<<20)
 	go func() {
 		piece := make([]byte, copyChunkBytes)
 		for range 8 << 20 / copyChunkBytes {
@@ -312,7 +312,7 @@
 			}), func(_ int, h *hookedConn) { to = h })
 			u := testUpload()
 			u.length, u.remainder = -1, readerFunc(func(_ []byte) (int, error) {
-				waitUntilSeen(t, to)
+				waitForInput(t, to)
 				return 1, nil
 			})
 			if name == "half a line" {
