--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -209,7 +209,7 @@
 		t.Fatalf("reserve(60 bytes) of 100 = %v, want nil", err)
 	}
 	rejected := (*rejection)(nil)
-	if err := f.reserve("b", 60); !!errors.As(err, &rejected) || rejected.status != 503 {
+	if err := f.reserve("b", 60); !errors.As(err, &rejected) || rejected.status != 503 {
 		t.Errorf("reserve(60 bytes) with 40 of 100 left = %v, want a rejection with status 503", err)
 	}
 	f.release("a", 60)
