--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -28,56 +28,56 @@
 settings = ["route", "service", "block"]
 `
 
-// policyRules leads a host to a service, with a block of a path.
-func policyRules(number int, service, more string) string {
+// policyRules returns a policy file of the given number that routes p.example.org to a service, followed by extra.
+func policyRules(number int, service, extra string) string {
 	return fmt.Sprintf("version = 1\nnamespace = \"alpha\"\nnumber = %d\n[[service]]\nname = %q\n[[route]]\nname "+
 		"= \"r\"\nhost = \"p.example.org\"\nto = [{ service = %q }]\n%s",
-		number, service, service, more)
+		number, service, service, extra)
 }
 
-// A policy leads requests once it is taken up, its blocks hold, attempts carry its epoch, and one whose services are
-// not there changes nothing; the file of services goes on until then, and a reload keeps the policy.
+// Requests are routed by a policy once it is installed, and its blocks reject requests. A reload of the services file
+// keeps the policy; a policy or services file that would leave a route without its service is rejected.
 func TestRequestsAreRoutedByPolicy(t *testing.T) {
 	path, _ := startControlPlane(t, 1000, 100)
 	text, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the control-plane file: %v", err)
 	}
 	text = append(text,
 		"[policy]\nroutes = true\nstep = \"100ms\"\nwatch = \"100ms\"\nenough = 1\nsilent = \"500ms\"\n"...)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the control-plane file: %v", err)
 	}
 	f, err := api.Load(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("api.Load(%s): %v", path, err)
 	}
 	s := newProxyFixture(t, twoServices, func(c *Config) { c.Fleet = path })
 	httpClient := &http.Client{Transport: &http.Transport{}}
 	defer httpClient.CloseIdleConnections()
-	order := func(c store.Command) {
+	submit := func(c store.Command) {
 		t.Helper()
 		if err := f.SendPolicyCommand(context.Background(), httpClient, c); err != nil {
-			t.Fatal(err)
+			t.Fatalf("SendPolicyCommand: %v", err)
 		}
 	}
-	report := func() client.Status {
+	quotaStatus := func() client.Status {
 		r, err := adminBackend{s.proxy}.QuotaLeases()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("QuotaLeases() = %v, want a report", err)
 		}
 		return r.(client.Status)
 	}
-	until := func(what string, is func() bool) {
+	waitUntil := func(event string, condition func() bool) {
 		t.Helper()
-		for by := time.Now().Add(30 * time.Second); !is(); time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(by) {
-				t.Fatalf("in vain: %s: %+v", what, report().Policy)
+		for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("timed out after 30s waiting until %s; policy status %+v", event, quotaStatus().Policy)
 			}
 		}
 	}
-	// 503 is the quota, which is not leased before there is demand
-	asked := func(path string) (status int, body string) {
+	// Requests are repeated while they get 503: a quota is leased only once there is demand.
+	request := func(path string) (status int, body string) {
 		for range 300 {
 			if status, body = s.request(httpClient, "p.example.org", path, "fetch-work",
 				5000); status != http.StatusServiceUnavailable {
@@ -87,41 +87,47 @@
 		}
 		return status, body
 	}
-	before, _ := asked("/x")
-	order(store.Command{SetDeclaration: &store.SetDeclaration{Text: policyCharter}})
-	order(store.Command{SubmitFile: &store.SubmitFile{Text: policyRules(1, "settlement",
+	before, _ := request("/x")
+	submit(store.Command{SetDeclaration: &store.SetDeclaration{Text: policyCharter}})
+	submit(store.Command{SubmitFile: &store.SubmitFile{Text: policyRules(1, "settlement",
 		"[[block]]\nname = \"no\"\nhost = \"p.example.org\"\npath_prefix = \"/no\"\n")}})
-	until("the policy holds", func() bool { p := report().Policy; return p.Epoch == 2 && len(p.Hash) == 64 })
-	if status, body := asked("/x"); status != 200 || body != "slow-5" {
-		t.Errorf("%d %q under the policy, %d before", status, body, before)
+	waitUntil("the policy is installed", func() bool {
+		p := quotaStatus().Policy
+		return p.Epoch == 2 && len(p.Hash) == 64
+	})
+	if status, body := request("/x"); status != 200 || body != "slow-5" {
+		t.Errorf("/x under the policy = status %d, body %q, want 200 \"slow-5\"; status before the policy: %d",
+			status, body, before)
 	}
-	if status, body := asked("/no/x"); status != http.StatusForbidden || !strings.Contains(body, "alpha/no") {
-		t.Errorf("a block: %d %q", status, body)
+	if status, body := request("/no/x"); status != http.StatusForbidden || !strings.Contains(body, "alpha/no") {
+		t.Errorf("/no/x, which the policy blocks = status %d, body %q, want 403 that names alpha/no", status, body)
 	}
 	if !s.reload(twoServices) {
-		t.Error("a reload was refused")
+		t.Error("reload of the same services file was rejected, want it applied")
 	}
-	if status, body := asked("/x"); status != 200 || body != "slow-5" {
-		t.Errorf("after a reload: %d %q", status, body)
+	if status, body := request("/x"); status != 200 || body != "slow-5" {
+		t.Errorf("/x after a reload of the services file = status %d, body %q, want 200 \"slow-5\"", status, body)
 	}
 	if s.reload(strings.Replace(strings.ReplaceAll(twoServices, "\"settlement\"", "\"other\""), "other-5", "slow-5",
 		1)) {
-		t.Error("a file without a service that the policy leads to was taken in")
+		t.Error("a services file without a service that the policy routes to was applied, want it rejected")
 	}
-	order(store.Command{SubmitFile: &store.SubmitFile{Text: policyRules(2, "nowhere", "")}})
-	until("it is told that a service is missing", func() bool {
-		for _, tr := range report().Policy.Faults {
-			if strings.Contains(tr.Error, "nowhere") && tr.Advice != "" {
+	submit(store.Command{SubmitFile: &store.SubmitFile{Text: policyRules(2, "nowhere", "")}})
+	waitUntil("the policy status reports the missing service nowhere", func() bool {
+		for _, fault := range quotaStatus().Policy.Faults {
+			if strings.Contains(fault.Error, "nowhere") && fault.Advice != "" {
 				return true
 			}
 		}
 		return false
 	})
-	if status, body := asked("/x"); status != 200 || body != "slow-5" || report().Policy.Epoch != 2 {
-		t.Errorf("after a policy that could not be taken up: %d %q", status, body)
+	if status, body := request("/x"); status != 200 || body != "slow-5" || quotaStatus().Policy.Epoch != 2 {
+		t.Errorf("/x after a policy with a missing service = status %d, body %q at epoch %d, want 200 \"slow-5\" at 2",
+			status, body, quotaStatus().Policy.Epoch)
 	}
 }
 
+// Attempts carry the epoch of the policy that their request was routed by in X-Fleet-Epoch.
 func TestAttemptsCarryPolicyEpoch(t *testing.T) {
 	path, _ := startControlPlane(t, 1000, 100)
 	got := make(chan *http.Request, 4096)
@@ -129,17 +135,17 @@
 		func(c *Config) { c.Fleet = path })
 	f, err := api.Load(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("api.Load(%s): %v", path, err)
 	}
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	if err := f.SendPolicyCommand(context.Background(), client,
 		store.Command{SetDeclaration: &store.SetDeclaration{Text: policyCharter}}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("SendPolicyCommand of the declaration: %v", err)
 	}
-	for by := time.Now().Add(60 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(60 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		if _, _, err := p.request(t, "hand-in", 10000, "homework"); err != nil {
-			t.Fatal(err)
+			t.Fatalf("request while waiting for the policy: %v", err)
 		}
 		epoch := ""
 		for range len(got) {
@@ -148,14 +154,14 @@
 		if epoch == "1" {
 			return
 		}
-		if epoch != "" || time.Now().After(by) {
-			t.Fatalf("epoch %q", epoch)
+		if epoch != "" || time.Now().After(deadline) {
+			t.Fatalf("the backend got X-Fleet-Epoch %q, want 1 within 60s", epoch)
 		}
 	}
 }
 
-// Routes that did not change since the previous policy are taken over; with other services, or after another policy,
-// all are built again.
+// Routes and blocks that did not change since the previous policy are reused. All are built again if the services
+// changed or the new policy's diff is not against the installed policy.
 func TestPolicyUpdateIsIncremental(t *testing.T) {
 	weight := 1.0
 	policy := func(number uint64, path, service string) *namespace.Policy {
@@ -173,64 +179,68 @@
 		p.Blocks = append(p.Blocks, b)
 		return p
 	}
-	taken := func(was *client.InstalledPolicy, p *namespace.Policy) *client.InstalledPolicy {
+	install := func(previous *client.InstalledPolicy, p *namespace.Policy) *client.InstalledPolicy {
 		to, err := p.Tree()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Tree() of the new policy: %v", err)
 		}
 		next := &client.InstalledPolicy{Offer: rollout.Version{Generation: 1, Epoch: p.Routes[0].Source.Number,
 			Hash: to.Root().String()}, Policy: p}
-		if was != nil {
-			from, err := was.Policy.Tree()
+		if previous != nil {
+			from, err := previous.Policy.Tree()
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("Tree() of the previous policy: %v", err)
 			}
-			if next.Policy, next.Diff, err = was.Policy.With(merkle.Changes(from, to)); err != nil {
-				t.Fatal(err)
+			if next.Policy, next.Diff, err = previous.Policy.With(merkle.Changes(from, to)); err != nil {
+				t.Fatalf("With() the changes of the new policy: %v", err)
 			}
-			next.Base = was.Offer
+			next.Base = previous.Offer
 		}
 		return next
 	}
 	services := map[string]*service{"one": {}, "two": {}}
-	first := taken(nil, policy(1, "/b", "one"))
-	n := routingState{byName: services}
-	if err := n.applyPolicy(first, true); err != nil {
-		t.Fatal(err)
+	first := install(nil, policy(1, "/b", "one"))
+	original := routingState{byName: services}
+	if err := original.applyPolicy(first, true); err != nil {
+		t.Fatalf("applyPolicy with the first policy: %v", err)
 	}
-	next := n
-	if err := next.applyPolicy(taken(first, policy(2, "/x", "two")), true); err != nil {
-		t.Fatal(err)
+	updated := original
+	if err := updated.applyPolicy(install(first, policy(2, "/x", "two")), true); err != nil {
+		t.Fatalf("applyPolicy with the second policy: %v", err)
 	}
-	if next.blocks != n.blocks {
-		t.Error("blocks that did not change were built again")
+	if updated.blocks != original.blocks {
+		t.Error("applyPolicy built the blocks again, want the unchanged blocks reused")
 	}
-	finds := func(n *routingState, path string) string {
+	serviceFor := func(n *routingState, path string) string {
 		if r, v := n.table.Lookup(&route.Request{Path: path}); v == route.Found {
 			return r.To[0].Service
 		}
 		return ""
 	}
-	if finds(&next, "/x") != "two" || finds(&next, "/b") != "" || finds(&next, "/a") != "one" || finds(&n,
-		"/b") != "one" {
-		t.Error("the routes are not those of the policy")
+	if serviceFor(&updated, "/x") != "two" || serviceFor(&updated, "/b") != "" ||
+		serviceFor(&updated, "/a") != "one" || serviceFor(&original, "/b") != "one" {
+		t.Errorf("services of /x, /b, /a under the second policy = %q, %q, %q, want two, none, one; "+
+			"of /b under the first = %q, want one",
+			serviceFor(&updated, "/x"), serviceFor(&updated, "/b"), serviceFor(&updated, "/a"),
+			serviceFor(&original, "/b"))
 	}
 	missing := routetable.MissingServicesError{}
-	again := n
-	if err := again.applyPolicy(taken(first, policy(2, "/x", "three")), true); !errors.As(err, &missing) ||
+	incomplete := original
+	if err := incomplete.applyPolicy(install(first, policy(2, "/x", "three")), true); !errors.As(err, &missing) ||
 		missing.Names[0] != "three" {
-		t.Errorf("a route to a service that is not there: %v", err)
+		t.Errorf("applyPolicy with a changed route to the missing service three = %v, want a MissingServicesError", err)
 	}
 	reloaded := routingState{byName: map[string]*service{"two": {}}, policy: nil}
-	if err := reloaded.applyPolicy(next.policy, true); !errors.As(err, &missing) || missing.Names[0] != "one" {
-		t.Errorf("a route that did not change, to a service that is no longer there: %v", err)
-	}
-	// A diff against another policy than the one that holds is none.
-	strange := n
-	odd := taken(first, policy(2, "/x", "two"))
-	odd.Base.Epoch = 7
-	if err := strange.applyPolicy(odd, true); err != nil || strange.blocks == n.blocks || finds(&strange,
-		"/x") != "two" {
-		t.Errorf("%v: built on what it does not follow on", err)
+	if err := reloaded.applyPolicy(updated.policy, true); !errors.As(err, &missing) || missing.Names[0] != "one" {
+		t.Errorf("applyPolicy after a reload without the service one = %v, want a MissingServicesError", err)
+	}
+	// A diff against another policy than the installed one must not be used.
+	rebuilt := original
+	otherBase := install(first, policy(2, "/x", "two"))
+	otherBase.Base.Epoch = 7
+	if err := rebuilt.applyPolicy(otherBase, true); err != nil || rebuilt.blocks == original.blocks ||
+		serviceFor(&rebuilt, "/x") != "two" {
+		t.Errorf("applyPolicy with a diff against another policy = %v, blocks reused %v, service of /x %q; "+
+			"want nil, false, two", err, rebuilt.blocks == original.blocks, serviceFor(&rebuilt, "/x"))
 	}
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -13,48 +13,56 @@
 	"lapisspread/internal/engine"
 )
 
-// SIGHUP several times in a row, back to the old address or to one that can't be used yet: the list of the last address
-// holds at last, whatever its version, and answers of others don't count.
+// Reloads that overlap, also back to the old discovery address or to one that fails at first: the list of the last
+// address is used in the end, whatever its version, and responses from other addresses are ignored.
 func TestReloadsCross(t *testing.T) {
-	for name, play := range map[string]func(p *running, to func(*faultyDiscovery), last, other *faultyDiscovery){
-		"twice in a row": func(_ *running, to func(*faultyDiscovery), last,
+	for name, reloads := range map[string]func(p *running, switchTo func(*faultyDiscovery), last, other *faultyDiscovery){
+		"to the same address, then to another": func(_ *running, switchTo func(*faultyDiscovery), last,
 			other *faultyDiscovery) {
-			to(other)
-			to(last)
+			switchTo(other)
+			switchTo(last)
 		},
-		"there and back": func(_ *running, to func(*faultyDiscovery), last, other *faultyDiscovery) {
-			to(last)
-			to(other)
-			to(last)
+		"to another address, back, and to it again": func(_ *running, switchTo func(*faultyDiscovery), last,
+			other *faultyDiscovery) {
+			switchTo(last)
+			switchTo(other)
+			switchTo(last)
+		},
+		"to another address twice": func(_ *running, switchTo func(*faultyDiscovery), last,
+			_ *faultyDiscovery) {
+			switchTo(last)
+			switchTo(last)
 		},
-		"the same again": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) { to(last); to(last) },
-		"refused at first": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) {
+		"to an address that refuses connections at first": func(_ *running, switchTo func(*faultyDiscovery), last,
+			_ *faultyDiscovery) {
 			last.turn(refused)
-			to(last)
+			switchTo(last)
 			awaitSecondCall(last)
 			last.turn(well)
 		},
-		"hung at first": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) {
+		"to an address that does not respond at first": func(_ *running, switchTo func(*faultyDiscovery), last,
+			_ *faultyDiscovery) {
 			last.turn(hung)
-			to(last)
+			switchTo(last)
 			awaitSecondCall(last)
 			last.turn(well)
 		},
-		"garbled at first": func(_ *running, to func(*faultyDiscovery), last, _ *faultyDiscovery) {
+		"to an address that sends malformed lists at first": func(_ *running, switchTo func(*faultyDiscovery), last,
+			_ *faultyDiscovery) {
 			last.turn(garbled)
-			to(last)
+			switchTo(last)
 			awaitSecondCall(last)
 			last.turn(well)
 		},
-		"the old one is cut": func(_ *running, to func(*faultyDiscovery), last,
+		"while the old address resets connections": func(_ *running, switchTo func(*faultyDiscovery), last,
 			other *faultyDiscovery) {
 			other.turn(reset)
-			to(last)
+			switchTo(last)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			other, known, onA, _ := startDraining(t) // which says nothing but that all are well, under higher numbers
+			other, known, onA, _ := startDraining(t) // whose list has all backends ready, with higher versions
 			other.version = 900
 			last := newTroubled()
 			last.addr, last.more, last.version, last.state = other.addr, other.more, 3, "leaving"
@@ -62,34 +70,35 @@
 			p := startProxy(t, strings.Replace(known, `"generation":7`, `"generation":900`, 1), newCatalog(t),
 				func(cfg *Config) { pushed(cfg); cfg.Discovery = addrs[other] })
 			mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
-			play(p, func(r *faultyDiscovery) {
+			reloads(p, func(discovery *faultyDiscovery) {
 				cfg := p.proxy.cfg
-				cfg.Discovery = addrs[r]
+				cfg.Discovery = addrs[discovery]
 				p.proxy.Reload(cfg)
 			}, last, other)
 			p.expectAvoided(t, onA)
-			// The old one answers with a higher version.
+			// The old discovery server sends a list with a higher version.
 			other.mu.Lock()
 			other.version = 950
 			close(other.changed)
 			other.changed = make(chan struct{})
 			other.mu.Unlock()
-			before, asked := len(onA), last.made()
-			// it goes on to be watched
-			for start := time.Now(); last.made() < asked+2; time.Sleep(20 * time.Millisecond) {
+			before, callsBefore := len(onA), last.made()
+			// The new discovery server must still be watched.
+			for start := time.Now(); last.made() < callsBefore+2; time.Sleep(20 * time.Millisecond) {
 				if time.Since(start) > patience {
-					t.Fatal("the new register is watched no more")
+					t.Fatalf("the new discovery server got %d calls within %v after the old one's list, want 2",
+						last.made()-callsBefore, patience)
 				}
 				mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 			}
 			if n := len(onA) - before; n != 0 {
-				t.Errorf("%d requests to the draining server, which only the old register calls ready", n)
+				t.Errorf("%d requests went to the draining backend, which only the old discovery server lists as ready; want 0", n)
 			}
 		})
 	}
 }
 
-// Two reloads at one moment, through different ways: the later one wins, whatever random times they draw.
+// Of two reloads in one step of the engine the later one wins, whatever random delays the engine draws.
 func TestLastOfTwoReloadsWins(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -101,30 +110,30 @@
 				LatencyObjective: time.Second, ClientTimeout: time.Second}},
 				Constraints:  decision.Constraints{DrainGrace: 250 * time.Millisecond},
 				Capabilities: decision.Capabilities{MaxAttempts: 1}}
-			at := func(addr string) *discoveryClient {
+			clientFor := func(addr string) *discoveryClient {
 				return newDiscoveryClient(addr, timingFor(&m), slog.New(slog.DiscardHandler))
 			}
 			e, err := engine.New(engine.Options{Decision: m, Seed: seed, InitialEndpoints: known,
-				Upstream: &recordingUpstream{}, Source: at(a)})
+				Upstream: &recordingUpstream{}, Source: clientFor(a)})
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("engine.New: %v", err)
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan struct{})
 			go func() { e.Run(ctx); close(ended) }()
-			skipped := at(b)
-			e.Post(func() { e.SwitchSource(skipped); e.SwitchSource(at(c)) })
+			skipped := clientFor(b)
+			e.Post(func() { e.SwitchSource(skipped); e.SwitchSource(clientFor(c)) })
 			for start := time.Now(); third.made() == 0; time.Sleep(time.Millisecond) {
 				if time.Since(start) > patience {
-					t.Fatal("the last one is not asked")
+					t.Fatalf("the last discovery address got no call within %v", patience)
 				}
 			}
 			time.Sleep(600 * time.Millisecond) // a reload that was not cancelled would take effect in this time
 			addr := make(chan string)
 			e.Post(func() { addr <- e.Source().Addr() })
-			if now, n := <-addr, second.made(); now != c || n != 0 || skipped.ctx.Err() == nil {
-				t.Errorf("%s is asked, want %s; the one between was asked %d times, and is closed: %v", now, c, n,
-					skipped.ctx.Err() != nil)
+			if current, n := <-addr, second.made(); current != c || n != 0 || skipped.ctx.Err() == nil {
+				t.Errorf("current discovery address %s, want %s; the address of the earlier reload got %d calls, want 0; its "+
+					"client is closed: %v, want true", current, c, n, skipped.ctx.Err() != nil)
 			}
 			cancel()
 			<-ended
@@ -132,56 +141,59 @@
 	}
 }
 
-// A new configuration names another discovery address. Answers of the old one don't count any more; the new one's list
-// does, though its versions are lower, and the connections to the backends stay open.
+// After a reload with another discovery address, responses from the old address are ignored. The new address's list is
+// used although its version is lower, and the connections to the backends stay open.
 func TestReload(t *testing.T) {
 	onA, onB := make(chan *http.Request, 64), make(chan *http.Request, 64)
 	a, b := countingBackend(t, onA), countingBackend(t, onB)
 	before, after := newCatalog(t), newCatalog(t)
 	p := startProxy(t, listText(41, true, memberText("a", a, "active")), before, nil)
-	if q := within(t, before.queries, "no watch"); !strings.HasPrefix(q, "from=41&") {
-		t.Errorf("the first watch asks for %q", q)
+	if q := within(t, before.queries, "the old discovery server got no call"); !strings.HasPrefix(q, "from=41&") {
+		t.Errorf("first query to the old discovery server %q, want one from version 41", q)
 	}
 	cfg := p.proxy.cfg
 	cfg.Discovery = strings.TrimPrefix(after.URL, "http://")
 	p.proxy.Reload(cfg)
-	if q := within(t, after.queries, "the new discovery is not asked"); q != "" {
-		t.Errorf("the new discovery is asked for %q, want the whole list", q)
+	if q := within(t, after.queries, "the new discovery server got no call"); q != "" {
+		t.Errorf("first query to the new discovery server %q, want an empty one, for the whole list", q)
 	}
-	before.lists <- listText(50, true) // late
+	before.lists <- listText(50, true) // a late response from the old server
 	mustRespond(t, 200)(p.request(t, "hand-in", 10000, "homework"))
 	after.lists <- listText(3, true, memberText("a", a, "leaving"), memberText("b", b, "active"))
-	if q := within(t, after.queries, "no watch after the list"); !strings.HasPrefix(q, "from=3&") {
-		t.Errorf("the new watch asks for %q", q)
+	q := within(t, after.queries, "the new discovery server got no call after its first list")
+	if !strings.HasPrefix(q, "from=3&") {
+		t.Errorf("second query to the new discovery server %q, want one from version 3", q)
 	}
 	for range 10 {
 		mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 	}
 	if len(onA) != 1 || len(onB) != 10 {
-		t.Errorf("%d requests to the draining backend, %d to the other", len(onA), len(onB))
+		t.Errorf("%d requests went to backend a, want the 1 from before it drained; %d to backend b, want 10",
+			len(onA), len(onB))
 	}
-	p.proxy.Reload(cfg) // the same again
+	p.proxy.Reload(cfg) // without a change
 	after.lists <- listText(4, false, memberText("b", b, "active"))
-	if q := within(t, after.queries, "the watch has ended"); !strings.HasPrefix(q, "from=4&") {
-		t.Errorf("after a reload that changes nothing it asks for %q", q)
+	q = within(t, after.queries, "the discovery server got no call after a reload without a change")
+	if !strings.HasPrefix(q, "from=4&") {
+		t.Errorf("query after a reload without a change %q, want one from version 4", q)
 	}
 }
 
-// The new discovery address fails at first: the whole list is fetched again.
+// If the first call to a new discovery address fails, the whole list is requested again.
 func TestReloadIsRetried(t *testing.T) {
 	got := make(chan *http.Request, 64)
 	before, after := newCatalog(t), newCatalog(t)
 	p := startProxy(t, listText(41, true), before, nil)
-	within(t, before.queries, "no watch")
+	within(t, before.queries, "the old discovery server got no call")
 	cfg := p.proxy.cfg
 	cfg.Discovery = strings.TrimPrefix(after.URL, "http://")
 	p.proxy.Reload(cfg)
 	after.lists <- "no list"
-	within(t, after.queries, "the new discovery is not asked")
-	if q := within(t, after.queries, "the new discovery is not asked again"); q != "" {
-		t.Errorf("after a failed call it is asked for %q, want the whole list", q)
+	within(t, after.queries, "the new discovery server got no call")
+	if q := within(t, after.queries, "the new discovery server got no second call"); q != "" {
+		t.Errorf("query after a failed call %q, want an empty one, for the whole list", q)
 	}
 	after.lists <- listText(3, true, memberText("a", countingBackend(t, got), "active"))
-	within(t, after.queries, "no watch after the list")
+	within(t, after.queries, "the new discovery server got no call after its list")
 	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -18,64 +18,64 @@
 	"time"
 )
 
-// stopAndAwaitDrain stops a proxy and waits until it drains.
+// stopAndAwaitDrain stops the proxy as SIGTERM does and waits until it drains.
 func (p *running) stopAndAwaitDrain(t *testing.T) {
 	t.Helper()
 	p.stop()
-	eventually(t, "it does not drain", p.proxy.conns.isDraining)
+	eventually(t, "the proxy did not start to drain", p.proxy.conns.isDraining)
 }
 
-// awaitExit waits for the proxy's end.
+// awaitExit waits until a stopped proxy has ended.
 func (p *running) awaitExit(t *testing.T) {
 	t.Helper()
 	if err := within(t, p.done, "the proxy did not end"); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Proxy.serve = %v, want nil", err)
 	}
 	p.done <- nil
 }
 
-// The process is told to end while a request is in each of its states: it gets its backend's whole response, which
-// closes the connection.
+// The proxy is stopped while a request is in each of its states: the request must still get its backend's complete
+// response, which closes the connection.
 func TestDrainCrossesRequest(t *testing.T) {
 	const head = "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: e%d\r\nX-Priority-Class: fetch-work\r\n" +
 		"X-Timeout-Ms: 19000\r\nContent-Length: 8\r\n\r\n"
 	const short, long = 32 << 10, 16 << 20
 	states := map[string]struct {
-		list     bool // known from the start
-		dials    int  // that come up by themselves; -1 is all
-		cut      int  // bytes of the request that come before, if not 0
-		full     bool // the first attempt is rejected, else
-		hold     bool // its response waits
-		length   int  // of the response, which is not read before
-		inFlight bool
+		listKnown      bool // the endpoint list is known from the start; else it comes after the stop
+		unblockedDials int  // number of dials that don't wait for the stop; -1 is all
+		sentBefore     int  // bytes of the request sent before the stop; negative counts from its end, 0 is all
+		rejectFirst    bool // the backend rejects the first attempt
+		holdResponse   bool // the backend responds only after the stop
+		responseBytes  int  // length of a response whose sending begins before the stop; 0 is a body of 1 byte
+		inFlight       bool // the request counts as in flight before the stop
 	}{
-		"its head half read":                 {list: true, dials: -1, cut: 20},
-		"its body half read":                 {list: true, dials: -1, cut: -4},
-		"queued":                             {dials: -1, inFlight: true},
-		"in its dial":                        {list: true, inFlight: true},
-		"in its attempt":                     {list: true, dials: -1, hold: true, inFlight: true},
-		"between two attempts":               {list: true, dials: 1, full: true, inFlight: true},
-		"its answer half written":            {list: true, dials: -1, length: short, inFlight: true},
-		"its long answer half written":       {list: true, dials: -1, length: long, inFlight: true},
-		"queued, then in its second attempt": {dials: -1, full: true, hold: true, inFlight: true},
+		"head partly read":               {listKnown: true, unblockedDials: -1, sentBefore: 20},
+		"body partly read":               {listKnown: true, unblockedDials: -1, sentBefore: -4},
+		"queued without a backend":       {unblockedDials: -1, inFlight: true},
+		"connecting to the backend":      {listKnown: true, inFlight: true},
+		"waiting for the response":       {listKnown: true, unblockedDials: -1, holdResponse: true, inFlight: true},
+		"connecting for second attempt":  {listKnown: true, unblockedDials: 1, rejectFirst: true, inFlight: true},
+		"buffered response being sent":   {listKnown: true, unblockedDials: -1, responseBytes: short, inFlight: true},
+		"streamed response being sent":   {listKnown: true, unblockedDials: -1, responseBytes: long, inFlight: true},
+		"queued, first attempt rejected": {unblockedDials: -1, rejectFirst: true, holdResponse: true, inFlight: true},
 	}
 	for name, s := range states {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			came, release, open := make(chan bool, 8), make(chan bool), make(chan bool)
+			received, release, allowDials := make(chan bool, 8), make(chan bool), make(chan bool)
 			var attempts, dials atomic.Int32
-			text := strings.Repeat("y", max(s.length, 1))
+			text := strings.Repeat("y", max(s.responseBytes, 1))
 			addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 				if !readRequest(in) {
 					return
 				}
-				if attempts.Add(1) == 1 && s.full {
+				if attempts.Add(1) == 1 && s.rejectFirst {
 					writeText(c, "HTTP/1.1 503 Service Unavailable\nX-Not-Processed: 1\nContent-Length: 0\n"+
 						"Connection: close\n\n")
 					return
 				}
-				came <- true
-				if s.hold {
+				received <- true
+				if s.holdResponse {
 					<-release
 				}
 				writeText(c, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\nConnection: close\n\n%s", len(text),
@@ -83,76 +83,76 @@
 			})
 			members := []string{memberText("a", addr, "active"), memberText("b", addr, "active")}
 			catalog, known := newCatalog(t), listText(1, true)
-			if s.list {
+			if s.listKnown {
 				known = listText(1, true, members...)
 			}
 			p := startProxy(t, known, catalog, func(c *Config) {
-				if s.dials >= 0 {
+				if s.unblockedDials >= 0 {
 					c.Decision.Capabilities.ConnectTimeout = patience
 				}
 			})
 			pool := p.onlyPool(t)
-			dial, dialling := pool.dialer, make(chan bool, 8)
+			dial, dialing := pool.dialer, make(chan bool, 8)
 			pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
-				if s.dials >= 0 && int(dials.Add(1)) > s.dials {
-					dialling <- true
-					<-open
+				if s.unblockedDials >= 0 && int(dials.Add(1)) > s.unblockedDials {
+					dialing <- true
+					<-allowDials
 				}
 				return dial(ctx, network, addr)
 			}
 			c, err := net.Dial("tcp", p.addr)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("connecting to the proxy: %v", err)
 			}
 			defer func() { _ = c.Close() }()
 			request := fmt.Sprintf(head, lastRequestID.Add(1)) + "homework"
-			cut := s.cut
-			if cut <= 0 {
-				cut += len(request)
+			sent := s.sentBefore
+			if sent <= 0 {
+				sent += len(request)
 			}
-			_, _ = io.WriteString(c, request[:cut])
+			_, _ = io.WriteString(c, request[:sent])
 			switch {
-			case cut < len(request):
-				eventually(t, "nothing is read", func() bool {
+			case sent < len(request):
+				eventually(t, "the proxy did not read the start of the request", func() bool {
 					for _, c := range p.proxy.conns.snapshot() {
 						c.mu.Lock()
-						begun := !c.unused
+						started := !c.unused
 						c.mu.Unlock()
-						return begun
+						return started
 					}
 					return false
 				})
-			case s.dials >= 0:
-				within(t, dialling, "no connection is made")
-			case s.hold && s.list, s.length > 0:
-				within(t, came, "the backend got nothing")
+			case s.unblockedDials >= 0:
+				within(t, dialing, "the pool did not dial the backend")
+			case s.holdResponse && s.listKnown, s.responseBytes > 0:
+				within(t, received, "the backend got no request")
 			}
-			if s.inFlight && s.length == 0 {
+			if s.inFlight && s.responseBytes == 0 {
 				p.waitForInFlight(t, 1)
 			}
 			p.stopAndAwaitDrain(t)
-			_, _ = io.WriteString(c, request[cut:])
-			close(open)
+			_, _ = io.WriteString(c, request[sent:])
+			close(allowDials)
 			close(release)
-			if !s.list {
+			if !s.listKnown {
 				catalog.lists <- listText(2, true, members...)
 			}
 			_ = c.SetReadDeadline(time.Now().Add(patience))
 			resp, body := mustRespond(t, 200)(readFinalResponse(bufio.NewReader(c)))
 			if body != text {
-				t.Errorf("%d bytes of %d came", len(body), len(text))
+				t.Errorf("the client got %d bytes of the response's %d, or other bytes", len(body), len(text))
 			}
-			if !resp.Close && s.length == 0 { // one that was on its way may have been promised otherwise
-				t.Error("the answer leaves its connection open")
+			if !resp.Close && s.responseBytes == 0 { // a response begun before the stop may have no Connection: close
+				t.Error("the response after the stop has no Connection: close")
 			}
 			p.awaitExit(t)
 		})
 	}
 }
 
-// newDrainingFrontend returns a front end that began to drain so long ago, before a backend that never responds and
-// records the timeout that it is sent.
-func newDrainingFrontend(t *testing.T, ago, most time.Duration, told chan<- string) *running {
+// newDrainingFrontend returns a front end that began to drain the time elapsed ago and must have responded to late
+// requests within timeout of that. Its backend never responds and sends the X-Timeout-Ms of each request to timeouts.
+func newDrainingFrontend(t *testing.T, elapsed, timeout time.Duration, timeouts chan<- string) *running {
 	t.Helper()
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
 		for {
@@ -161,57 +161,58 @@
 				return
 			}
 			_, _ = io.Copy(io.Discard, req.Body)
-			told <- req.Header.Get("X-Timeout-Ms")
+			timeouts <- req.Header.Get("X-Timeout-Ms")
 		}
 	})
 	list, err := parseList([]byte(listText(1, true, memberText("a", addr, "active"))))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parseList: %v", err)
 	}
 	svcs := testServices(t, list)
 	ctx, cancel := context.WithCancel(t.Context())
 	if err := svcs.start(ctx, &svcs.proxy.cfg); err != nil {
-		t.Fatal(err)
+		t.Fatalf("serviceSet.start: %v", err)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening: %v", err)
 	}
 	conns := newClientConns(8)
 	f := newFrontend(svcs, &svcs.proxy.cfg, slog.New(slog.DiscardHandler), conns)
-	conns.setDraining(f.clock.Now()-ago, most)
+	conns.setDraining(f.clock.Now()-elapsed, timeout)
 	go func() { _ = f.serve(listener) }()
 	t.Cleanup(func() { _ = f.server.Close(); cancel(); svcs.wait() })
 	return &running{addr: listener.Addr().String()}
 }
 
-// A request that comes so late in a drain that its own deadline lies past the process's end is answered before that;
-// one that comes later still is rejected at once and never sent.
+// A request that arrives late in a drain, with a deadline after the process's end, gets a response before that end.
+// One that arrives when no time is left is rejected at once and not sent to a backend.
 func TestLateRequestInDrain(t *testing.T) {
-	told := make(chan string, 64)
-	const left = 300 * time.Millisecond
-	p := newDrainingFrontend(t, drainAcceptPeriod+time.Second, drainAcceptPeriod+time.Second+left, told)
+	timeouts := make(chan string, 64)
+	const timeLeft = 300 * time.Millisecond
+	p := newDrainingFrontend(t, drainAcceptPeriod+time.Second, drainAcceptPeriod+time.Second+timeLeft, timeouts)
 	resp, _, err := p.request(t, "hand-in", 59000, "homework")
 	if err != nil || resp.StatusCode == 200 {
-		t.Fatalf("answer %v, %v", resp, err)
+		t.Fatalf("request late in the drain: response %+v, error %v; want a response other than 200", resp, err)
 	}
-	for len(told) > 0 {
-		if ms, err := strconv.Atoi(<-told); err != nil || ms > int(left.Milliseconds()) {
-			t.Errorf("an attempt is waited for %d ms, %v: past the end", ms, err)
+	for len(timeouts) > 0 {
+		if ms, err := strconv.Atoi(<-timeouts); err != nil || ms > int(timeLeft.Milliseconds()) {
+			t.Errorf("the backend got X-Timeout-Ms %d (parse error %v), want at most %d, the time left in the drain",
+				ms, err, timeLeft.Milliseconds())
 		}
 	}
-	p = newDrainingFrontend(t, time.Minute, drainMargin, told)
+	p = newDrainingFrontend(t, time.Minute, drainMargin, timeouts)
 	if resp, _ := mustRespond(t, http.StatusServiceUnavailable)(p.request(t, "hand-in", 59000,
 		"homework")); !resp.Close {
-		t.Error("the refusal leaves its connection open")
+		t.Error("the rejection has no Connection: close")
 	}
-	if len(told) != 0 {
-		t.Error("what came after the end was sent on")
+	if len(timeouts) != 0 {
+		t.Errorf("the backend got %d requests that arrived when no time was left, want 0", len(timeouts))
 	}
 }
 
-// At the end of a drain connections without a whole head are closed; a whole request in flight stays, and so does one
-// that is not read yet.
+// At the end of a drain, connections without a complete request head are closed. Those with a request in flight or
+// with unread bytes stay open.
 func TestEndOfDrainKeepsRequests(t *testing.T) {
 	conns := newClientConns(8)
 	open := func(text string, read int) (net.Conn, *clientConn) {
@@ -220,49 +221,49 @@
 		_, _ = io.WriteString(client, text)
 		if read > 0 {
 			if _, err := io.ReadFull(c, make([]byte, read)); err != nil {
-				t.Fatal(err)
+				t.Fatalf("reading the first %d bytes: %v", read, err)
 			}
 		}
 		if read < len(text) {
-			eventually(t, "nothing comes", func() bool { return !rawsocket.Silent(c.Conn) })
+			eventually(t, "the client's bytes did not arrive", func() bool { return !rawsocket.Silent(c.Conn) })
 		}
 		return client, c
 	}
-	whole := "GET / HTTP/1.1\r\n\r\n"
-	_, inHand := open(whole, len(whole))
-	_, unread := open(whole, 0)
-	_, body := open("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf",
+	request := "GET / HTTP/1.1\r\n\r\n"
+	_, inFlight := open(request, len(request))
+	_, unread := open(request, 0)
+	_, partialBody := open("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf",
 		len("PUT / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"))
-	_, half := open("GET / HT", 8)
+	_, partialHead := open("GET / HT", 8)
 	_, silent := open("", 0)
 	conns.closeWithoutRequest()
-	for name, x := range map[string]struct {
+	for name, tc := range map[string]struct {
 		c     *clientConn
 		stays bool
-	}{"in flight": {inHand, true}, "unread": {unread, true}, "body half read": {body, true}, "half a head": {half,
-		false}, "silent": {silent, false}} {
+	}{"request in flight": {inFlight, true}, "unread request": {unread, true}, "body partly read": {partialBody, true},
+		"head partly read": {partialHead, false}, "nothing sent": {silent, false}} {
 		conns.mu.Lock()
-		if conns.open[x.c] != x.stays {
-			t.Errorf("%s: stays %v, want %v", name, conns.open[x.c], x.stays)
+		if conns.open[tc.c] != tc.stays {
+			t.Errorf("connection with %s after closeWithoutRequest: open %v, want %v", name, conns.open[tc.c], tc.stays)
 		}
 		conns.mu.Unlock()
 	}
 }
 
-// At SIGTERM requests in flight are finished, and connections that still come are served.
+// When the proxy is stopped, requests in flight are finished, and connections that still arrive are served.
 func TestGracefulShutdown(t *testing.T) {
-	came, leave := make(chan bool, 8), make(chan bool)
+	received, release := make(chan bool, 8), make(chan bool)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for readRequest(in) {
-			came <- true
-			<-leave
+			received <- true
+			<-release
 			writeText(c, served)
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
 	idle, err := net.Dial("tcp", p.addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("connecting the idle client: %v", err)
 	}
 	defer func() { _ = idle.Close() }()
 	type result struct {
@@ -270,55 +271,56 @@
 		err  error
 	}
 	results := make(chan result, 2)
-	ask := func() {
+	sendRequest := func() {
 		resp, _, err := p.request(t, "hand-in", 15000, "homework")
 		results <- result{resp, err}
 	}
-	go ask()
-	within(t, came, "the first request did not come")
+	go sendRequest()
+	within(t, received, "the backend did not get the first request")
 	p.stop()
-	go ask() // comes while it ends
-	within(t, came, "a request that came while the proxy ends was not taken")
-	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // closed once no more connections come
-		t.Errorf("the idle connection: %v, want its end", err)
+	go sendRequest() // arrives while the proxy drains
+	within(t, received, "the backend did not get the request that arrived while the proxy drained")
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // closed once no more connections are accepted
+		t.Errorf("Read from the idle connection = %v, want io.EOF", err)
 	}
-	close(leave)
+	close(release)
 	for range 2 {
-		r := within(t, results, "no answer")
+		r := within(t, results, "a request got no result")
 		if r.err != nil {
-			t.Fatal(r.err)
+			t.Fatalf("request across the stop of the proxy = %v, want a response", r.err)
 		}
 		if r.resp.StatusCode != 200 || !r.resp.Close {
-			t.Errorf("status %d, connection closes: %v", r.resp.StatusCode, r.resp.Close)
+			t.Errorf("response during the drain: status %d, Connection: close %v; want 200, true",
+				r.resp.StatusCode, r.resp.Close)
 		}
 	}
 	if err := within(t, p.done, "the proxy did not end"); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Proxy.serve = %v, want nil", err)
 	}
 	p.done <- nil
 }
 
-// Clients go on using their connections while the proxy shuts down: a request without a response was not sent to a
-// backend, so the client may send it again.
+// Clients keep using their connections while the proxy shuts down: a request that gets no response must not have been
+// sent to a backend, so that the client may send it again.
 func TestShutdownLosesNoRequest(t *testing.T) {
 	const clients, requests = 8, 4000
-	var seen sync.Map
+	var sentToBackend sync.Map // keys are request IDs
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			seen.Store(req.Header.Get("X-Request-ID"), true)
+			sentToBackend.Store(req.Header.Get("X-Request-ID"), true)
 			writeText(c, served)
 		}
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t), nil)
-	var running sync.WaitGroup
+	var clientGroup sync.WaitGroup
 	for n := range clients {
-		running.Go(func() {
-			id, answered := "", 0
-			for range 2 { // a client opens a new connection while it can
+		clientGroup.Go(func() {
+			id, responses := "", 0
+			for range 2 { // each client reconnects once
 				c, err := net.Dial("tcp", p.addr)
 				if err != nil {
 					break
@@ -326,18 +328,18 @@
 				defer func() { _ = c.Close() }()
 				in := bufio.NewReader(c)
 				for i := range requests {
-					id = fmt.Sprintf("%d-%d-%d", n, answered, i)
+					id = fmt.Sprintf("%d-%d-%d", n, responses, i)
 					_, _ = fmt.Fprintf(c,
 						"GET /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: %s\r\nX-Priority-Class: fetch-work\r\n"+
 							"X-Timeout-Ms: 10000\r\n\r\n", id)
 					resp, _, err := readFinalResponse(in)
 					if err != nil {
-						if _, sent := seen.Load(id); sent {
-							t.Errorf("request %s went to a backend and got no answer: %v", id, err)
+						if _, sent := sentToBackend.Load(id); sent {
+							t.Errorf("request %s was sent to a backend but its client got no response: %v", id, err)
 						}
 						break
 					}
-					if answered++; answered == 1 && n == 0 {
+					if responses++; responses == 1 && n == 0 {
 						p.stop()
 					}
 					if resp.Close {
@@ -345,14 +347,14 @@
 					}
 				}
 			}
-			if answered == 0 {
-				t.Errorf("client %d got no answer at all", n)
+			if responses == 0 {
+				t.Errorf("client %d got no response, want at least one", n)
 			}
 		})
 	}
-	running.Wait()
+	clientGroup.Wait()
 	if err := within(t, p.done, "the proxy did not end"); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Proxy.serve = %v, want nil", err)
 	}
 	p.done <- nil
 }
