--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -19,12 +19,13 @@
 	idleCloseDelay    = 5 * time.Millisecond // silence after which an idle connection may be closed
 	newConnCloseDelay = time.Second          // the same for a connection on which nothing has ever arrived
 
-	maxReadAheadBytes   = maxHeaderBytes // that are buffered behind the request in flight; more end the connection
+	// bytes buffered after the end of the request in flight; more end the connection
+	maxReadAheadBytes   = maxHeaderBytes
 	readAheadChunkBytes = 1 << 10
 )
 
-// clientConn is one client's connection. It stands between the socket and net/http, and knows at any time whether the
-// connection is between two requests, so that it can be closed or evicted without losing a request.
+// clientConn is one client's connection. It wraps the socket that net/http reads, and tracks whether the connection is
+// between two requests, so that it can be closed or evicted without losing a request.
 type clientConn struct {
 	net.Conn
 	registry    *clientConns
@@ -36,14 +37,14 @@
 	unused           bool      // no byte has been read at all
 	stateSince       time.Time // start of the idle or unused time, or of the request in flight
 	closed           bool
-	handling         bool // net/http has a whole head and is not done with the request
-	served           bool // the request in flight was answered with success
+	handling         bool // net/http has a whole request head and is not done with the request
+	served           bool // the request in flight got a successful response
 	scanner          httpframe.Scanner
-	buffered         []byte // bytes of later requests: net/http gets one request at a time, after its framing is known
+	buffered         []byte // bytes of later requests: net/http gets one request at a time, so that its framing is known
 	requestInFlight  bool   // net/http has the last byte of a request and is not done with it
 	responseStarted  bool   // part of the response to the request in flight has been written
-	readAheadOverrun bool   // more than maxReadAheadBytes came behind a request
-	lingering        bool   // the last response is on its way out; no further request is served
+	readAheadOverrun bool   // more than maxReadAheadBytes arrived after a request
+	lingering        bool   // closed, but the socket stays open for the last response; no further request is served
 }
 
 // Read returns bytes up to the end of a request. While a request is in flight it blocks until the client closes the
@@ -74,16 +75,17 @@
 	if !between || rawsocket.Silent(c.Conn) {
 		return n, err
 	}
-	// A process that was not scheduled sees the idle timeout and a request at once: closing would lose that request.
+	// A process that was not scheduled for a while sees the idle timeout and a new request at the same time: closing
+	// the connection would lose that request.
 	_ = c.SetReadDeadline(time.Now().Add(headerTimeout))
 	return c.readSocket(p)
 }
 
-// watchForClose buffers what the client sends behind the request in flight, and returns once the client has closed the
+// watchForClose buffers what the client sends after the request in flight, and returns once the client has closed the
 // connection, net/http is done with the request, or the buffer is full.
 //
-// net/http detects a client's close by a read of one byte, and stops looking once it has that byte. Without the buffer
-// a client that sent something behind its request and left would not be noticed.
+// net/http detects a client's close by a read of one byte, and stops watching once it has that byte. Without the
+// buffer, the close of a client that sent something after its request would go undetected.
 func (c *clientConn) watchForClose() error {
 	raw, err := rawsocket.Conn(c.Conn)
 	if err != nil {
@@ -91,7 +93,7 @@
 	}
 	var chunk []byte
 	for full := false; err == nil && !full; {
-		failed := raw.Read(func(fd uintptr) bool {
+		readErr := raw.Read(func(fd uintptr) bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			// A client that has its response may send its next request before net/http is done with this one.
@@ -118,14 +120,14 @@
 			}
 			return true
 		})
-		if failed != nil { // net/http is done with the request, or the connection is closed
-			return readError(failed, c)
+		if readErr != nil { // net/http is done with the request, or the connection is closed
+			return readError(readErr, c)
 		}
 	}
 	return err
 }
 
-// readAhead buffers bytes that came behind the request in flight. The lock must be held.
+// readAhead buffers bytes that arrived after the request in flight. The lock must be held.
 func (c *clientConn) readAhead(b []byte) {
 	if c.readAheadOverrun || len(c.buffered)+len(b) > maxReadAheadBytes {
 		c.readAheadOverrun = true
@@ -136,13 +138,13 @@
 }
 
 // readSocket reads from the socket under the lock. Otherwise bytes could be in neither the socket nor the buffer while
-// another goroutine checks for silence, and a request that came in time would be closed as idle.
+// another goroutine checks for silence, and the connection would be closed as idle although a request has arrived.
 func (c *clientConn) readSocket(p []byte) (n int, err error) {
 	raw, err := rawsocket.Conn(c.Conn)
 	if err != nil {
 		return 0, err
 	}
-	failed := raw.Read(func(fd uintptr) bool {
+	readErr := raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		n, err = rawsocket.Read(fd, p)
@@ -158,19 +160,19 @@
 		n, err = c.recordRead(p[:max(0, n)], err)
 		return true
 	})
-	if failed != nil { // the deadline has passed, or the connection is closed
-		return 0, readError(failed, c)
+	if readErr != nil { // the deadline has passed, or the connection is closed
+		return 0, readError(readErr, c)
 	}
 	return n, err
 }
 
-// readError has the form that net.Conn's Read gives its errors: net/http sends no error response to a client that it
-// knows by it to be gone.
+// readError wraps an error as net.Conn's Read does. net/http recognizes this form as the loss of the client, and then
+// sends no error response.
 func readError(err error, c net.Conn) error {
 	return &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
 }
 
-// recordRead updates the state by bytes that were read, and returns how many of them belong to the current request.
+// recordRead updates the state for bytes that were read, and returns how many of them belong to the current request.
 // The lock must be held. Bytes that arrive after the connection was closed between two requests are dropped: the client
 // sends such a request again on another connection, and it must not run twice.
 func (c *clientConn) recordRead(b []byte, err error) (int, error) {
@@ -203,7 +205,8 @@
 	return c.Conn.Write(p)
 }
 
-// nextFraming returns the framing of the request that net/http handles now. It may be called once a request.
+// nextFraming returns the framing of the request that net/http is handling, or false if it is unknown. It may be called
+// once per request.
 func (c *clientConn) nextFraming() (httpframe.Framing, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -232,9 +235,10 @@
 // held.
 func (c *clientConn) clientLeft() bool { return len(c.buffered) == 0 && rawsocket.PeerClosed(c.Conn) }
 
-// Close closes the connection. A close over unread bytes resets the connection, and the part of the response that has
-// not reached the client would be lost; with unread bytes only the sending is ended, and the rest after lingerTimeout.
-// The unread bytes are not served: the client sends such a request again elsewhere.
+// Close closes the connection. Closing a socket with unread bytes resets the connection, and the part of the response
+// that has not reached the client would be lost. So if there are unread bytes, Close only closes the write side, and
+// the socket is closed after lingerTimeout. Requests in the unread bytes are not served: the client sends them again on
+// another connection.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	linger := c.responseStarted && !c.closed && !c.lingering && c.hasUnread()
@@ -247,12 +251,12 @@
 	return c.finish()
 }
 
-// hasUnread reports whether bytes have arrived that are not read. The lock must be held.
+// hasUnread reports whether bytes have arrived that were not read. The lock must be held.
 func (c *clientConn) hasUnread() bool {
 	return len(c.buffered) > 0 || !rawsocket.Silent(c.Conn) && !rawsocket.PeerClosed(c.Conn)
 }
 
-// CloseWrite ends the sending. net/http calls it before it closes a connection that it has not read to the end.
+// CloseWrite closes the write side. net/http calls it before it closes a connection that it has not read to the end.
 func (c *clientConn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -273,7 +277,7 @@
 }
 
 // closeIfIdle closes the connection if it is between requests and nothing has arrived on it. An unused connection gets
-// more time: its first request is most likely on its way.
+// more time: its first request is probably on its way.
 func (c *clientConn) closeIfIdle(now time.Time) {
 	c.mu.Lock()
 	silence := now.Sub(c.stateSince)
@@ -287,7 +291,7 @@
 }
 
 // evictIfIdle closes the connection to make room for another, if it is between requests and nothing has arrived on it.
-// A connection that stays counts as idle from now on, so that the next search finds another one.
+// It reports whether it did. Otherwise the connection's idle time restarts, so that the next search tries another one.
 func (c *clientConn) evictIfIdle() bool {
 	c.mu.Lock()
 	evicted := c.lingering || (c.idle || c.unused) && c.nothingToRead()
@@ -300,14 +304,14 @@
 	return evicted
 }
 
-// requestStart returns the time from which the request in flight counts.
+// requestStart returns when the request in flight started: at its first byte, or at the start of a new connection.
 func (c *clientConn) requestStart() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stateSince
 }
 
-// setIdle is called as net/http takes up a request (false) or is done with one (true).
+// setIdle is called when net/http starts to handle a request (false) or is done with one (true).
 func (c *clientConn) setIdle(idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -322,20 +326,20 @@
 	}
 }
 
-// requestStarted tells admission control that a whole head has arrived. c may be nil.
+// requestStarted notifies admission control that a whole request head has arrived. c may be nil.
 func (c *clientConn) requestStarted() {
 	if c != nil {
 		c.registry.admission.RequestReceived(c.admissionID)
 	}
 }
 
-// reserveBytes counts a body against the client's address, and reports whether the address may hold so much. c may be
-// nil.
+// reserveBytes counts a body against the limit of the client's address, and reports whether it is within that limit. c
+// may be nil.
 func (c *clientConn) reserveBytes(bytes int64) bool {
 	return c == nil || c.registry.admission.AcquireBody(c.admissionID, bytes)
 }
 
-// markServed records that the request in flight was served, for which requestEnded credits its client. c may be nil.
+// markServed records that the request in flight was served; requestEnded then credits its client. c may be nil.
 func (c *clientConn) markServed() {
 	if c == nil {
 		return
@@ -345,7 +349,7 @@
 	c.mu.Unlock()
 }
 
-// requestEnded tells admission control of the request's end. c may be nil.
+// requestEnded notifies admission control that the request has ended. c may be nil.
 func (c *clientConn) requestEnded() {
 	if c == nil {
 		return
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	maxEvictAttempts       = 4    // bounds the search for an idle connection, whose cost grows with their number
-	maxRejectionsPerSecond = 1000 // connections beyond that are closed without a response: a flood need not be answered
+	maxEvictAttempts       = 4    // bounds the search for an idle connection; each attempt scans all connections
+	maxRejectionsPerSecond = 1000 // more are closed without a response: a flood needs no responses
 )
 
-// clientConns is the set of all clients' connections, within a limit on their number.
+// clientConns is the registry of all client connections. It limits their number.
 type clientConns struct {
 	mu            sync.Mutex
 	open          map[*clientConn]bool
 	maxOpen       int
 	shared        bool          // another process of this proxy has client connections too
-	lingerTimeout time.Duration // for the last response on a connection with unread bytes
+	lingerTimeout time.Duration // how long a closed connection with unread bytes stays open for its last response
 
 	draining           bool          // the process is ending
-	lateAfter          time.Duration // by the front end's clock: requests that arrive after it count as late
-	drainEnd           time.Duration // by the front end's clock: responses to late requests must be out by then
-	operatorDrainSince time.Time     // when an operator had the clients sent away; zero if none did
+	lateAfter          time.Duration // front end's clock; requests that arrive later are late
+	drainEnd           time.Duration // front end's clock; responses to late requests must be sent by then
+	operatorDrainSince time.Time     // when an operator started a drain; zero without one
 
-	admission         *listener.ConnLimiter // nil admits all and evicts the one that was idle for longest
-	rejectionsSent    int                   // within the second that began at rejectionWindow
+	admission         *listener.ConnLimiter // if nil, a full registry evicts the connection idle for longest
+	rejectionsSent    int                   // in the second that began at rejectionWindow
 	rejectionWindow   time.Time
 	rejectionResponse []byte
 }
@@ -40,9 +40,9 @@
 	return &clientConns{open: map[*clientConn]bool{}, maxOpen: maxOpen, lingerTimeout: rejectReadTimeout}
 }
 
-// admit registers a connection, or returns nil if there is no place for it. Without admission control a full registry
-// evicts the connection that was unused for longest, else the one that was idle for longest, but none with a request
-// begun.
+// admit registers a connection, or returns nil if the limit is reached. Without admission control a full registry
+// evicts the connection that was unused for longest, else the one that was idle for longest, but none with a request in
+// flight.
 func (s *clientConns) admit(nc net.Conn) *clientConn {
 	c := &clientConn{Conn: nc, registry: s, unused: true, stateSince: time.Now()}
 	if s.admission != nil {
@@ -84,14 +84,15 @@
 	return true
 }
 
+// remove unregisters a connection.
 func (s *clientConns) remove(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, c)
 }
 
-// idleLimit is how many connections there may be while one of them is idle. During a hot restart two processes share
-// the descriptors, and idle clients must not fill the places of both.
+// idleLimit returns how many connections may be open while one of them is idle. During a hot restart two processes
+// share the descriptors, and idle clients must not use them up in both.
 func (s *clientConns) idleLimit() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +102,8 @@
 	return s.maxOpen
 }
 
-// setShared says whether another process of this proxy has clients too. Idle connections beyond the half are closed.
+// setShared sets whether another process of this proxy has client connections too. If so, idle connections beyond half
+// of the limit are closed.
 func (s *clientConns) setShared(shared bool) {
 	s.mu.Lock()
 	s.shared = shared
@@ -114,6 +116,7 @@
 	}
 }
 
+// count returns the number of open connections.
 func (s *clientConns) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +159,8 @@
 	return victim
 }
 
-// rejectConn sends a short rejection that fits into the send buffer of a new connection, unless too many were sent.
+// rejectConn sends a short rejection, which fits into the send buffer of a new connection, at most
+// maxRejectionsPerSecond times a second.
 func (s *clientConns) rejectConn(nc net.Conn) {
 	s.mu.Lock()
 	if now := time.Now(); now.Sub(s.rejectionWindow) >= time.Second {
@@ -182,12 +186,12 @@
 // connContextKey is the key of a request's connection in its context.
 type connContextKey struct{}
 
-// withConn is the server's ConnContext.
+// withConn is the ConnContext of the HTTP server: it stores the connection in the context of its requests.
 func withConn(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, nc)
 }
 
-// connOf returns the connection of a request, or nil if it did not come by a clientListener.
+// connOf returns the connection of a request, or nil if no clientListener accepted it.
 func connOf(r *http.Request) *clientConn {
 	c, _ := r.Context().Value(connContextKey{}).(*clientConn)
 	return c
@@ -201,11 +205,11 @@
 	return connOf(r)
 }
 
-// state is the server's ConnState. A connection is idle once net/http is done with a request. By then net/http may
-// have read into the next one; it then calls again with StateActive.
+// state is the ConnState of the HTTP server. A connection is idle once net/http is done with a request. net/http may
+// already have read part of the next one; it then calls state again with StateActive.
 func (s *clientConns) state(nc net.Conn, state http.ConnState) {
-	c, ours := nc.(*clientConn)
-	if !ours {
+	c, ok := nc.(*clientConn)
+	if !ok {
 		return
 	}
 	switch state {
@@ -216,14 +220,14 @@
 	}
 }
 
-// clientListener accepts no more connections than there are descriptors for. It never waits for a place: silent
-// connections would shut out all others.
+// clientListener accepts connections within the limit of their registry, so that the process doesn't run out of
+// descriptors. It never waits until a connection closes: otherwise silent connections would keep out all others.
 type clientListener struct {
 	net.Listener
 	conns *clientConns
 }
 
-// Accept waits for the next connection that gets a place.
+// Accept waits for the next connection that the registry admits. It closes the others.
 func (l *clientListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
--- a/internal/proxy/clientdrain.go
+++ b/internal/proxy/clientdrain.go
@@ -16,16 +16,16 @@
 	return s.count()
 }
 
-// closeWithoutRequest closes all connections but those with a whole head or with bytes that are not read yet.
+// closeWithoutRequest closes all connections except those with a whole request head or with unread bytes.
 func (s *clientConns) closeWithoutRequest() {
 	for _, c := range s.snapshot() {
 		c.Evict()
 	}
 }
 
-// setDraining begins the drain at the end of the process: responses close their connections from now on, and responses
+// setDraining starts the drain at the end of the process: from then on responses close their connections, and responses
 // to late requests must be sent within timeout. A request is late if it arrives more than drainAcceptPeriod after now,
-// which is the front end's clock.
+// the time on the front end's clock.
 func (s *clientConns) setDraining(now, timeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,30 +34,30 @@
 	s.drainEnd = now + timeout
 }
 
-// isLate reports whether a request that was received at that time, by the front end's clock, came late in a drain.
+// isLate reports whether a request received at receivedAt, on the front end's clock, arrived late in a drain.
 func (s *clientConns) isLate(receivedAt time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining && receivedAt > s.lateAfter
 }
 
-// timeLeft returns how much time a request that arrives now has at most, and whether it comes late in a drain. The time
-// has no meaning otherwise.
+// timeLeft returns the maximum time for a request that arrives at now, on the front end's clock, and whether it is late
+// in a drain. The time has no meaning if the request is not late.
 func (s *clientConns) timeLeft(now time.Duration) (left time.Duration, late bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.drainEnd - now, s.draining && now > s.lateAfter
 }
 
-// isDraining reports whether responses close their connections, because the process ends or an operator drains it.
+// isDraining reports whether responses close their connections, because the process is ending or an operator drains it.
 func (s *clientConns) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining || !s.operatorDrainSince.IsZero()
 }
 
-// setOperatorDrain begins or ends an operator's drain. Unlike at the end of the process, new connections are accepted:
-// health checks of the proxy need them, and clients must be able to return once the drain is over.
+// setOperatorDrain starts or ends a drain requested by an operator. Unlike at the end of the process, new connections
+// are accepted: health checks of the proxy need them, and clients must be able to return once the drain is over.
 func (s *clientConns) setOperatorDrain(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// runOperatorDrain closes idle connections during an operator's drain, once requests that were on their way have
-// arrived. It returns when ctx ends.
+// runOperatorDrain closes idle connections during an operator's drain. It starts drainAcceptPeriod after the drain did,
+// when requests that were on their way have arrived. It blocks until ctx ends.
 func (s *clientConns) runOperatorDrain(ctx context.Context) {
 	tick := time.NewTicker(operatorDrainInterval)
 	defer tick.Stop()
--- a/internal/proxy/clientrequest.go
+++ b/internal/proxy/clientrequest.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	responseMargin        = 15 * time.Millisecond // before a client's deadline, for the response's way back
-	responseMarginDivisor = 4                     // the margin is at most this part of the timeout
+	responseMargin        = 15 * time.Millisecond // subtracted from a client's timeout, for sending the response
+	responseMarginDivisor = 4                     // the margin is at most the timeout divided by this
 	maxAcceptedTimeout    = time.Hour             // a longer X-Timeout-Ms is an error
 	maxEffectiveTimeout   = time.Minute           // a longer X-Timeout-Ms or Retry-After counts as this
 	maxCostHint           = time.Hour             // a longer X-Cost is ignored
 	maxRequestIDBytes     = 256
 )
 
-// request is a client's request: the engine's part, and the message that goes to a backend.
+// request is a client's request: the part that the engine uses, and the message that is sent to a backend.
 type request struct {
 	engine.Request
 	message  *message
 	service  *service
-	policy   *client.InstalledPolicy // that the request was routed by; nil without a control plane
-	http10   bool                    // a response of unknown length ends with the connection
-	servedIn time.Duration           // from receipt to a successful result; 0 for any other end
+	policy   *client.InstalledPolicy // the policy that routed the request; nil without a control plane
+	http10   bool                    // the client uses HTTP/1.0: a response of unknown length ends with the connection
+	servedIn time.Duration           // time from receipt to a successful result; 0 without one
 }
 
-// countOutcome counts the request's end for its service and for the policy that it was routed by.
+// countOutcome counts the request's outcome for its service and for the policy that routed it.
 func (r *request) countOutcome(o metrics.Outcome) {
 	r.service.counters.CountRequest(r.Class, o)
 	r.policy.CountRequest(o == metrics.Served)
 }
 
-// rejection is an error that is sent to the client as a response. The message is the response's body.
+// rejection is an error that is sent to the client as a response. The message becomes the response's body.
 type rejection struct {
 	status     int
 	message    string
@@ -50,17 +50,17 @@
 // Error returns the text that the client reads.
 func (r *rejection) Error() string { return r.message }
 
-// malformed is a rejection of a request that can't be understood.
+// malformed returns a rejection of an invalid request, with status 400.
 func malformed(format string, args ...any) error {
 	return &rejection{status: http.StatusBadRequest, message: fmt.Sprintf(format, args...)}
 }
 
-// unavailable is a rejection of a request that nothing is wrong with.
+// unavailable returns a rejection of a valid request that can't be served at the moment, with status 503.
 func unavailable(message string) error {
 	return &rejection{status: http.StatusServiceUnavailable, message: message}
 }
 
-// bodyTooLong is a rejection of a body of more than maxBodyBytes.
+// bodyTooLong returns a rejection of a body of more than maxBodyBytes, with status 413.
 func bodyTooLong() error {
 	return &rejection{
 		status:  http.StatusRequestEntityTooLarge,
@@ -68,8 +68,9 @@
 	}
 }
 
-// checkFraming rejects requests whose body's end is ambiguous. net/http ignores a length beside an encoding, and in
-// HTTP/1.0 the encoding; a server behind it that goes by the other one would find a second request inside the body.
+// checkFraming rejects requests whose body's end is ambiguous. net/http ignores Content-Length beside
+// Transfer-Encoding, and ignores Transfer-Encoding in HTTP/1.0. A backend that uses the other one would find a second
+// request inside the body (request smuggling).
 func checkFraming(r *http.Request) error {
 	if c := connOf(r); c != nil {
 		framing, known := c.nextFraming()
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// parseRequest makes a request of a head, or rejects it. The body is read later.
+// parseRequest makes a request from its head. An error is a rejection. The body is read later.
 func (f *httpFrontend) parseRequest(r *http.Request, svc *service) (*request, error) {
 	h := r.Header
 	for _, name := range []string{"X-Request-Id", "X-Priority-Class", "X-Timeout-Ms"} {
@@ -130,7 +131,8 @@
 	return req, nil
 }
 
-// lookupName returns the number of a name, as it is given or else in its normalized form.
+// lookupName returns the number of a name, looked up as it is given and else in its normalized form, and whether the
+// name is known.
 func lookupName(numbers map[string]int, name string) (int, bool) {
 	if i, known := numbers[name]; known {
 		return i, true
@@ -139,7 +141,7 @@
 	return i, known
 }
 
-// parseCostHint reads X-Cost, the expected work in microseconds. Values that make no sense count as none.
+// parseCostHint parses X-Cost, the expected work in microseconds. It returns 0 for invalid values.
 func parseCostHint(text string) time.Duration {
 	us, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(us > 0 && us < float64(maxCostHint/time.Microsecond)) {
@@ -148,7 +150,8 @@
 	return time.Duration(us * float64(time.Microsecond))
 }
 
-// keyHash depends on the key's text alone, so that all proxies send a key to the same backends. 0 is no key.
+// keyHash hashes a request's key; 0 is no key. The hash depends only on the key's text, so that all proxies send
+// requests of a key to the same backends.
 func keyHash(key string) uint64 {
 	if key == "" {
 		return 0
@@ -158,7 +161,7 @@
 	return max(h.Sum64(), 1)
 }
 
-// forwardedHeader returns what of a client's header goes to the backend too: all but hop-by-hop fields.
+// forwardedHeader returns the part of a client's header that is forwarded to the backend: all but hop-by-hop fields.
 func forwardedHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
@@ -170,14 +173,14 @@
 		"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"} {
 		out.Del(name)
 	}
-	// A client may name these in its Connection header, but the backend can't recognize a retry without them.
+	// Forwarded even if the client's Connection header names them: the backend can't recognize a retry without them.
 	for _, name := range []string{"X-Request-Id", "Idempotency-Key"} {
 		if v, found := h[name]; found {
 			out[name] = v
 		}
 	}
 	if _, found := out["User-Agent"]; !found {
-		out["User-Agent"] = nil // net/http would send its own
+		out["User-Agent"] = nil // otherwise net/http would send its own
 	}
 	return out
 }
--- a/internal/proxy/clientresponse.go
+++ b/internal/proxy/clientresponse.go
@@ -13,17 +13,17 @@
 	"lapisspread/internal/metrics"
 )
 
-// copyChunkBytes is how much of a streamed body is passed on at a time.
+// copyChunkBytes is the chunk size in which a streamed body is copied.
 const copyChunkBytes = 32 << 10
 
-// response is a request's final response, held whole.
+// response is the complete final response to a request.
 type response struct {
 	status     int
 	retryAfter time.Duration
 	body       []byte
 }
 
-// responseFor puts an engine's result into HTTP.
+// responseFor returns the HTTP response for an engine's result.
 func responseFor(r engine.Result) response {
 	switch {
 	case r.Outcome == engine.Served:
@@ -37,7 +37,7 @@
 	return response{status: http.StatusBadGateway}
 }
 
-// outcomeForStatus returns what a response of that status counts as.
+// outcomeForStatus returns the outcome that a response with the given status counts as.
 func outcomeForStatus(status int) metrics.Outcome {
 	switch status {
 	case http.StatusOK:
@@ -48,8 +48,8 @@
 	return metrics.Failed
 }
 
-// writeResult sends a request's result to its client. It panics with http.ErrAbortHandler if a streamed response breaks
-// off, so that net/http closes the connection and the client can tell.
+// writeResult sends a request's result to its client. It panics with http.ErrAbortHandler if a streamed response fails
+// midway, so that net/http closes the connection and the client detects that the response is incomplete.
 func (f *httpFrontend) writeResult(w http.ResponseWriter, req *request, result engine.Result) {
 	f.closeIfDraining(w)
 	c := http.NewResponseController(w)
@@ -65,7 +65,7 @@
 		writeResponse(w, resp)
 		return
 	}
-	// The end of a drain could cut off a long response to a late request.
+	// A long response to a late request is not started: the end of the drain could cut it off.
 	if f.conns.isLate(f.clock.Now() - req.service.clock.Now() + req.ReceivedAt()) {
 		stream.End(errAbandoned)
 		req.countOutcome(metrics.Failed)
@@ -90,8 +90,9 @@
 	req.countOutcome(outcomeForStatus(f.reject(w, err)))
 }
 
-// reject sends an error response at once and closes the connection, since the bytes behind it can't be trusted. It
-// returns the status. net/http would read the body to its end before it sends the response; full duplex prevents that.
+// reject sends an error response at once and closes the connection, since the bytes after the request can't be trusted.
+// It returns the status. By default net/http reads the body to its end before it sends the response; full duplex
+// prevents that.
 func (f *httpFrontend) reject(w http.ResponseWriter, err error) int {
 	status := http.StatusBadRequest
 	retryAfter := time.Second
@@ -112,14 +113,14 @@
 	return status
 }
 
-// setRetryAfter sets the Retry-After header in seconds, unless after is 0.
+// setRetryAfter sets the Retry-After header in seconds, unless after is 0 or less.
 func setRetryAfter(h http.Header, after time.Duration) {
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
 }
 
-// writeResponse sends a response. A write error means that the client's connection is gone, and nobody is left to tell.
+// writeResponse sends a response. Write errors are ignored: they mean that the client's connection is gone.
 func writeResponse(w http.ResponseWriter, resp response) {
 	h := w.Header()
 	switch resp.status {
@@ -135,8 +136,8 @@
 	_, _ = w.Write(resp.body)
 }
 
-// streamResponse passes a long response on as it arrives, with timeout for each chunk. An error means that the client
-// does not have all of it.
+// streamResponse copies a long response to the client as it arrives. timeout is for the writing of each chunk. An error
+// means that the client did not get the complete response.
 func streamResponse(w http.ResponseWriter, d *download, timeout time.Duration) error {
 	h := w.Header()
 	h.Set("Content-Type", "application/octet-stream")
@@ -150,8 +151,8 @@
 		n, err := d.body.Read(chunk)
 		_ = c.SetWriteDeadline(time.Now().Add(timeout))
 		if n > 0 {
-			if _, failed := w.Write(chunk[:n]); failed != nil {
-				return fmt.Errorf("writing an answer: %w", failed)
+			if _, writeErr := w.Write(chunk[:n]); writeErr != nil {
+				return fmt.Errorf("writing the response to the client: %w", writeErr)
 			}
 		}
 		left -= int64(n)
@@ -161,16 +162,16 @@
 		case errors.Is(err, io.EOF):
 			return io.ErrUnexpectedEOF
 		case err != nil:
-			return fmt.Errorf("reading an answer: %w", err)
+			return fmt.Errorf("reading the response from the backend: %w", err)
 		}
 		if err := c.Flush(); err != nil {
-			return fmt.Errorf("writing an answer: %w", err)
+			return fmt.Errorf("writing the response to the client: %w", err)
 		}
 	}
 }
 
-// resetClientConn ends a client's connection by a reset. A response that ends with the connection would look complete
-// if it broke off by a plain close.
+// resetClientConn resets a client's connection. A response that ends with the connection would look complete if an
+// ordinary close cut it off.
 func resetClientConn(w http.ResponseWriter) {
 	nc, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -178,7 +179,7 @@
 	}
 	defer func() { _ = nc.Close() }()
 	socket := nc
-	if c, ours := nc.(*clientConn); ours {
+	if c, ok := nc.(*clientConn); ok {
 		socket = c.Conn
 	}
 	if tcp, ok := socket.(*net.TCPConn); ok {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -20,47 +20,47 @@
 	envStateDir     = "TMPDIR"
 )
 
-// Config is all that a proxy is told at its start. Optional files are empty if not used.
+// Config is the configuration of a proxy. Paths of optional files are empty if the file is not used.
 type Config struct {
 	Name      string
 	Listen    string // address for clients
-	Discovery string // address of discovery
+	Discovery string // address of the discovery server
 
-	AdminListen  string // address for operators; none if empty
+	AdminListen  string // address of the admin server; none if empty
 	PassedSocket string // descriptor of the clients' listening socket; none if empty
-	Services     string // file of several services; there is one if empty
-	Admission    string // file of admission control; all connections are admitted if empty
-	Diameter     string // file of Diameter; none is spoken if empty
-	ListGuard    string // file of the list guard; endpoint lists are used as they come if empty
-	Fleet        string // file of the control plane; quotas hold for this process alone if empty
-	StateDir     string // directory for what outlives the process; nothing does if empty
-
-	Seed     uint64
+	Services     string // path of the services and routes file; if empty there is a single service
+	Admission    string // path of the admission control file; if empty there is no admission control
+	Diameter     string // path of the Diameter file; if empty Diameter is disabled
+	ListGuard    string // path of the endpoint list guard's file; if empty endpoint lists are used unchecked
+	Fleet        string // path of the control-plane file; if empty quotas hold for this process alone
+	StateDir     string // directory for state that outlives the process; if empty no state is kept
+
+	Seed     uint64 // for random numbers
 	Cores    float64
-	MemoryMB int
+	MemoryMB int             // memory limit in MiB
 	Sockets  int             // descriptors that the process may use
-	Decision decision.Config // settings of the decisions
+	Decision decision.Config // settings of package decision
 	Zones    []string        // names by number
 	Kinds    []string        // names of machine types by number
 	Names    Names
 
-	InitialEndpoints      List  // the endpoint list as this proxy last had it
-	InitialEndpointsError error // why that list can't be used; nil if it can
+	InitialEndpoints      List  // the last endpoint list of this proxy, with which it starts
+	InitialEndpointsError error // why the configured list is invalid; nil if it is valid
 
 	timing discoveryTiming
 }
 
-// Names are the names of classes and tenants as the configuration gives them, by number. Those in Config.Decision are
-// normalized.
+// Names are the names of classes and tenants as written in the configuration, by number. The names in Config.Decision
+// are normalized.
 type Names struct {
 	Classes []string
 	Tenants []string
 }
 
-// A ConfigError says which field of which file can't be used, and why.
+// A ConfigError reports an invalid field of a configuration file and the reason.
 type ConfigError struct {
 	File  string
-	Field string // path of the field in the file; empty if the error is of the whole file
+	Field string // path of the field in the file; empty if the error concerns the whole file
 	Err   error
 }
 
@@ -75,12 +75,13 @@
 // Unwrap returns the reason.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// badField makes a ConfigError whose file is set later.
+// badField makes a ConfigError for a field. readConfig sets its file.
 func badField(field, format string, args ...any) error {
 	return &ConfigError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-// LoadConfig reads the configuration at the start. Environment variables override what the file says. An error about
+// LoadConfig reads the configuration at the start, from the file that BALANCER_CONFIG names and from other environment
+// variables, which override the file. An error about
 // the file's content is a *ConfigError.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	c, path, err := readConfig(getenv)
@@ -110,8 +111,9 @@
 	return c, nil
 }
 
-// ReloadConfig reads the configuration again after the file was replaced. The file is newer than the environment
-// variables then: these only stand in for what it doesn't say. An error about the file's content is a *ConfigError.
+// ReloadConfig reads the configuration again after the file was replaced. The file is then newer than the environment
+// variables, so BALANCER_DISCOVERY is only used if the file has no discovery address. An error about the file's content
+// is a *ConfigError.
 func ReloadConfig(getenv func(string) string) (Config, error) {
 	c, path, err := readConfig(getenv)
 	if err != nil {
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -262,7 +262,7 @@
 	c.lists <- listText(8, true, memberText("a", countingBackend(t, got), "active"))
 	within(t, c.queries, "discovery got no call after it sent the list")
 	mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
-	if !strings.Contains(p.logs.String(), "the list that the configuration knows can't be read") {
+	if !strings.Contains(p.logs.String(), "initial endpoint list in the configuration is invalid") {
 		t.Errorf("the log has no message about the unreadable initial list:\n%s", p.logs.String())
 	}
 	if cfg, err := parseConfig(configText(`{"generation":1,"instances":[{}]}`)); err != nil ||
--- a/internal/proxy/configfile.go
+++ b/internal/proxy/configfile.go
@@ -13,7 +13,7 @@
 	"lapisspread/internal/wire"
 )
 
-// The least limits that a proxy can work within, and the most that it makes use of.
+// The minimum limits that a proxy needs, and the maximum limits that it uses; higher values in the file count as these.
 const (
 	minSockets  = 64
 	maxSockets  = 1 << 20
@@ -22,7 +22,7 @@
 	maxCores    = 1 << 10
 )
 
-// configFile is the form of config.json. Numbers may be written as integers or not.
+// configFile is the JSON form of the configuration file. Numbers may be written as integers or with a fraction.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -40,7 +40,7 @@
 	Sockets  float64 `json:"sockets"`
 }
 
-// parseConfig reads the text of a configuration file. An error is a *ConfigError without its file.
+// parseConfig parses the text of a configuration file. An error is a *ConfigError without the file's path.
 func parseConfig(text []byte) (Config, error) {
 	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return Config{}, badField("seed", "%w", err)
 	}
-	// The proxy serves without an invalid list: it would be old anyhow, and discovery has the current one.
+	// An invalid list is not an error: the list would be outdated anyway, and discovery has the current one.
 	if len(f.Known) > 0 && string(f.Known) != "null" {
 		c.InitialEndpoints, c.InitialEndpointsError = parseList(f.Known)
 	}
@@ -70,6 +70,7 @@
 	return c, nil
 }
 
+// readLimits sets the limits of the process from the file.
 func (c *Config) readLimits(f *limitsFile) error {
 	c.Cores = min(f.Cores, maxCores)
 	c.MemoryMB = int(min(f.MemoryMB, maxMemoryMB))
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// readSettings reads the settings of the decisions by the parser of package wire, which takes them as lines, and
-// validates them.
+// readSettings sets the decision settings from their JSON object, and validates them. It converts them to lines, since
+// the parser of package wire reads lines.
 func (c *Config) readSettings(text json.RawMessage) error {
 	tree, err := parseTree(text)
 	if err != nil {
@@ -101,14 +102,14 @@
 	if err == nil {
 		err = c.Decision.Validate()
 	}
-	if bad := (*decision.SettingError)(nil); errors.As(err, &bad) { // its line number is not of the file
+	if bad := (*decision.SettingError)(nil); errors.As(err, &bad) { // its line number does not refer to the file
 		return badField("settings."+bad.Field, "%s", bad.Reason)
 	}
 	if err != nil {
 		return badField("settings", "%w", err)
 	}
 	if c.Decision.Capabilities.ConnectTimeout <= 0 {
-		return badField("settings.Caps.ConnectTimeout", "must be above 0: no connection to a backend could come up")
+		return badField("settings.Caps.ConnectTimeout", "must be above 0, or no connection to a backend succeeds")
 	}
 	for i, name := range c.Names.Classes {
 		if first := slices.Index(c.Names.Classes, name); first < i {
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// parseTree reads a JSON object and keeps its numbers as they are written.
+// parseTree parses a JSON object. Its numbers keep the form in which they are written.
 func parseTree(text json.RawMessage) (map[string]any, error) {
 	if len(text) == 0 {
 		return nil, errors.New("none given")
@@ -131,7 +132,7 @@
 	return tree, err
 }
 
-// textItems returns the items of a list as texts.
+// textItems returns the items of a JSON list as texts; nil if value is no list.
 func textItems(value any) []string {
 	items, _ := value.([]any)
 	var texts []string
@@ -141,7 +142,7 @@
 	return texts
 }
 
-// itemNames returns the Name of each object in a list; empty where there is none.
+// itemNames returns the Name of each object in a JSON list; empty for an item without one.
 func itemNames(value any) []string {
 	items, _ := value.([]any)
 	var names []string
@@ -156,8 +157,8 @@
 	return names
 }
 
-// numberNames returns the numbers of names, given and normalized. Two given names may have one normalized form: then a
-// name that is given in just that form comes first.
+// numberNames maps names, in both given and normalized form, to their numbers. If several names share a normalized
+// form, the one that is given exactly in that form takes precedence, else the first.
 func numberNames(normalized, given []string) map[string]int {
 	numbers := map[string]int{}
 	for _, names := range [2][]string{normalized, given} {
@@ -168,14 +169,14 @@
 	return numbers
 }
 
-// flattenSettings writes a value as path=value lines: lists of plain values are joined by commas, lists of objects have
-// their length under .count.
+// flattenSettings writes a JSON value as path=value lines. A list of plain values becomes one line with the items
+// joined by commas; a list of objects gets a line path.count with its length and lines under path.0, path.1 and so on.
 func flattenSettings(to *strings.Builder, path string, value any) {
 	switch v := value.(type) {
 	case nil:
 	case map[string]any:
 		for key, item := range v {
-			if key == "" || strings.ContainsAny(key, "=\r\n") { // no known key, and it would break the line
+			if key == "" || strings.ContainsAny(key, "=\r\n") { // an unknown key, which would corrupt the line
 				continue
 			}
 			flattenSettings(to, strings.TrimPrefix(path+"."+key, "."), item)
@@ -187,6 +188,7 @@
 	}
 }
 
+// flattenList writes a JSON list as lines, as described at flattenSettings.
 func flattenList(to *strings.Builder, path string, list []any) {
 	isObject := func(item any) bool {
 		_, object := item.(map[string]any)
@@ -211,8 +213,8 @@
 	_, _ = fmt.Fprintf(to, "%s=%s\n", path, value)
 }
 
-// nameReplacer replaces the characters that have a meaning in the lines of package wire.
+// nameReplacer replaces the characters that are separators in the lines that package wire parses.
 var nameReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-// normalizeName returns a text as package wire's lines have it.
+// normalizeName replaces the separators in a text by underscores, as in the lines that package wire parses.
 func normalizeName(text string) string { return nameReplacer.Replace(text) }
--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// download is a long response that is streamed to the client. The goroutine that takes it reads it, and calls End.
+// download is a long response that is streamed to the client. The goroutine that receives it must read it and then call
+// End.
 type download struct {
 	length    int64 // Content-Length in bytes; -1 if there is none
 	body      io.Reader
@@ -23,7 +24,7 @@
 // Read reads the response.
 func (d *download) Read(p []byte) (int, error) { return d.body.Read(p) }
 
-// End says how the reading of the response went. It does not block.
+// End reports that the response was read to its end (nil), or why not. It does not block.
 func (d *download) End(err error) {
 	select {
 	case d.result <- err:
@@ -32,7 +33,8 @@
 }
 
 // boundedReader reads a response's body with a deadline for each chunk, a minimum mean rate and maxBodyBytes in all, so
-// that a trickling response ends. Only the time spent waiting here counts, not the client's.
+// that a trickling response ends. Only the time spent waiting for the backend counts, not the time that the client
+// takes.
 type boundedReader struct {
 	source    io.Reader
 	conn      *conn
@@ -54,17 +56,18 @@
 	return n, err
 }
 
-// prefetcher reads ahead of its reader, up to maxBufferedBody, so that it can be seen whether a response of unknown
-// length ends soon.
+// prefetcher reads a response ahead of its reader, up to maxBufferedBody bytes, to find out whether a response of
+// unknown length is short enough to be buffered.
 type prefetcher struct {
 	mu      sync.Mutex
 	changed sync.Cond
 	buf     []byte
-	err     error // that ended the source; io.EOF after the last byte
+	err     error // error of the source; io.EOF after the last byte
 	closed  bool
 }
 
-// startPrefetch begins to read. The goroutine ends with the source's error, or after close with its current read.
+// startPrefetch starts to read in a goroutine. The goroutine ends at the source's error, or when its current read
+// returns after close.
 func startPrefetch(source io.Reader) *prefetcher {
 	p := &prefetcher{}
 	p.changed.L = &p.mu
@@ -82,7 +85,7 @@
 	}
 }
 
-// add takes in what was read, and blocks while the buffer is full. It reports whether to read on.
+// add appends bytes that were read to the buffer, and blocks while the buffer is full. It reports whether to read more.
 func (p *prefetcher) add(chunk []byte, err error) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,8 +98,8 @@
 	return err == nil && !p.closed
 }
 
-// waitForEnd blocks until the source has ended, the buffer is full or the timeout has passed. If the whole body is
-// there by then it is returned, with complete set.
+// waitForEnd blocks until the source has ended, the buffer is full or the timeout has passed. If the whole body has
+// been read by then, it returns the body with complete set. An error is one of the source.
 func (p *prefetcher) waitForEnd(timeout time.Duration) (body []byte, complete bool, err error) {
 	timedOut := false
 	timer := time.AfterFunc(timeout, func() {
@@ -136,7 +139,7 @@
 	return n, nil
 }
 
-// close ends the prefetching. A read in progress ends with the connection.
+// close stops the prefetching. A read in progress ends when the connection is closed.
 func (p *prefetcher) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	headerTimeout     = 2700 * time.Millisecond // for a request's head, from its first byte or its connection's start
-	bodyTimeout       = 2800 * time.Millisecond // for the head and the first byte of the body, likewise
+	headerTimeout     = 2700 * time.Millisecond // for a request's head, from its first byte or a new connection's start
+	bodyTimeout       = 2800 * time.Millisecond // for the head and the first byte of the body, from the same start
 	idleTimeout       = 4 * time.Second         // after which the server closes an idle client connection
-	rejectReadTimeout = 250 * time.Millisecond  // for the unread rest of a rejected request: the client reads why
-	writeTimeout      = 10 * time.Second        // for a response, or for each chunk of a streamed one
+	rejectReadTimeout = 250 * time.Millisecond  // for reading the rest of a rejected request, so that its client gets the response
+	writeTimeout      = 10 * time.Second        // for writing a response, or each chunk of a streamed one
 	maxHeaderBytes    = 16 << 10
 
 	drainAcceptPeriod = 600 * time.Millisecond // after SIGTERM: new connections still arrive for up to 400 ms
-	maxDrainDeadline  = 3 * time.Second        // after SIGTERM: the longest request deadline that is waited for
-	drainMargin       = 650 * time.Millisecond // added to the longest deadline
-	longDrainTimeout  = time.Minute            // after SIGTERM: for long bodies that are being transferred
+	maxDrainDeadline  = 3 * time.Second        // after SIGTERM: maximum request timeout that is waited for
+	drainMargin       = 650 * time.Millisecond // added to the longest timeout that is waited for
+	longDrainTimeout  = time.Minute            // after SIGTERM: maximum wait for long bodies being transferred
 	drainPollInterval = 10 * time.Millisecond
 
 	healthPath = "/_health"
 )
 
-// httpFrontend is the clients' side of the proxy: it takes their requests and gives each one response, by the service
-// that the request is routed to.
+// httpFrontend is the client side of the proxy for HTTP: it receives requests and sends each one response, which the
+// service that the request is routed to produces.
 type httpFrontend struct {
 	services *serviceSet
 	cfg      *Config
@@ -41,7 +41,7 @@
 
 	mu               sync.Mutex
 	openIDs          map[string]bool // X-Request-ID of the requests in flight
-	reservedBytes    int64           // for the bodies of the requests in flight
+	reservedBytes    int64           // memory reserved for the bodies of the requests in flight
 	maxReservedBytes int64
 
 	bodyTimeout  time.Duration
@@ -60,8 +60,8 @@
 		bodyTimeout:      bodyTimeout,
 		writeTimeout:     writeTimeout,
 	}
-	// The server's ReadTimeout and WriteTimeout would run while a request waits for its backend, and end it as if its
-	// client had gone. ServeHTTP sets deadlines of its own.
+	// ReadTimeout and WriteTimeout are not set: they would also run while a request waits for its backend, and end it
+	// as if its client had closed the connection. ServeHTTP sets its own deadlines.
 	f.server = &http.Server{
 		Handler:                      f,
 		ReadHeaderTimeout:            headerTimeout,
@@ -75,7 +75,7 @@
 	return f
 }
 
-// serve accepts connections until drain, or until the listener fails.
+// serve accepts connections until the front end drains (nil), or until the listener fails.
 func (f *httpFrontend) serve(listener net.Listener) error {
 	err := f.server.Serve(&clientListener{Listener: listener, conns: f.conns})
 	if (errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed)) && f.conns.isDraining() {
@@ -84,9 +84,9 @@
 	return err
 }
 
-// drain ends the front end without losing a request, and blocks until that is done. Responses close their connections
-// from now on. New connections are accepted for drainAcceptPeriod, unless a later process accepts from the same socket
-// (superseded). Then idle connections are closed, and requests in flight are waited for.
+// drain shuts the front end down without losing a request, and blocks until that is done. From its start on, responses
+// close their connections. New connections are accepted for drainAcceptPeriod, unless a later process accepts from the
+// same socket (superseded). Then idle connections are closed, and drain waits for the requests in flight.
 func (f *httpFrontend) drain(listener net.Listener, superseded bool) {
 	startedAt := time.Now()
 	timeout := min(f.services.maxClientTimeout(), maxDrainDeadline) + drainMargin
@@ -96,8 +96,8 @@
 	}
 	time.Sleep(drainAcceptPeriod)
 	_ = listener.Close()
-	// Past the longest deadline only long bodies can be in flight. They are waited for, because the end of the process
-	// would cut them off.
+	// After the longest deadline only long bodies can be in flight. drain waits for them, because the end of the
+	// process would cut them off.
 	for f.conns.closeIdle(time.Now()) > 0 {
 		elapsed := time.Since(startedAt)
 		if elapsed >= longDrainTimeout {
@@ -111,7 +111,8 @@
 	_ = f.server.Close()
 }
 
-// ServeHTTP serves one request. net/http calls it in a goroutine of the request's connection.
+// ServeHTTP serves one request and blocks until its response is written. net/http calls it in the goroutine of the
+// request's connection.
 func (f *httpFrontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	receivedAt := time.Now()
 	conn := f.conns.admittedConn(r)
@@ -159,7 +160,7 @@
 	receivedAt time.Time
 }
 
-// serveRequest admits a request, reads its body and gives it the result of its service's engine.
+// serveRequest admits a request, reads its body, submits it to its service's engine and writes the result.
 func (f *httpFrontend) serveRequest(w http.ResponseWriter, r *http.Request, req *request, from requestOrigin) {
 	id := r.Header.Get("X-Request-Id")
 	bytes := bodyReservation(r.ContentLength)
@@ -182,7 +183,7 @@
 		f.rejectRequest(w, req, err)
 		return
 	}
-	// A late request that is unanswered at the end of the drain would be lost with the process.
+	// A late request without a response at the end of the drain would be lost with the process.
 	if left, late := f.conns.timeLeft(f.clock.Now()); late {
 		if left <= 0 {
 			f.rejectRequest(w, req, unavailable("the proxy is ending"))
@@ -190,15 +191,15 @@
 		}
 		req.Timeout = min(req.Timeout, left)
 	}
-	defer f.begin(r, req, from.receivedAt)()
+	defer f.startRequest(r, req, from.receivedAt)()
 	svc := req.service
 	svc.engine.Post(func() { svc.engine.Submit(&req.Request) })
 	f.awaitResult(w, r, req, from)
 }
 
-// begin counts a request as in flight and sets its deadline, unless its body is still on its way: then both follow as
-// the body is complete. The returned function ends that.
-func (f *httpFrontend) begin(r *http.Request, req *request, receivedAt time.Time) (end func()) {
+// startRequest counts a request as in flight and sets its deadline. For a streamed body, both happen once the body is
+// complete. The caller must call the returned function at the request's end, which ends the counting and the upload.
+func (f *httpFrontend) startRequest(r *http.Request, req *request, receivedAt time.Time) (end func()) {
 	svc := req.service
 	upload := req.message.upload
 	if upload != nil {
@@ -216,7 +217,8 @@
 	return func() { svc.counters.InFlight.Add(-1) }
 }
 
-// awaitResult waits for a request's result and writes it, unless the client fails its body or leaves before.
+// awaitResult waits for a request's result and writes it. If reading the body fails or the client leaves before, it
+// abandons the request.
 func (f *httpFrontend) awaitResult(w http.ResponseWriter, r *http.Request, req *request, from requestOrigin) {
 	svc := req.service
 	upload := req.message.upload
@@ -239,15 +241,15 @@
 	case <-r.Context().Done():
 		req.Abandon()
 		svc.engine.Post(func() { svc.engine.ClientGone(&req.Request) })
-		// net/http sends an empty 200 for a handler that writes nothing; a client that closed only its sending reads
-		// it.
+		// net/http sends an empty 200 for a handler that writes nothing, and a client that closed only its write side
+		// would read it.
 		w.Header().Set("Connection", "close")
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(f.writeTimeout))
 		writeResponse(w, response{status: http.StatusBadGateway})
 	}
 }
 
-// closeIfDraining reports whether the proxy drains, and if so makes this response close its connection.
+// closeIfDraining reports whether the proxy is draining, and if so makes this response close its connection.
 func (f *httpFrontend) closeIfDraining(w http.ResponseWriter) bool {
 	draining := f.conns.isDraining()
 	if draining {
@@ -256,7 +258,8 @@
 	return draining
 }
 
-// reserve takes a request in, if no other with its ID is in flight and there is memory for its body.
+// reserve registers a request's ID and reserves memory for its body. It returns a rejection if another request with the
+// ID is in flight or the memory is used up.
 func (f *httpFrontend) reserve(id string, bytes int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proxy/idleconns.go
+++ b/internal/proxy/idleconns.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	maxIdlePerBackend  = 32                    // connections; further ones are closed after their response
-	idleSettleTime     = 10 * time.Millisecond // that a connection should rest before it is reused
-	idleTimeoutDivisor = 2                     // connections are closed after this part of the configured idle timeout
+	maxIdlePerBackend  = 32                    // connections beyond that are closed after their response
+	idleSettleTime     = 10 * time.Millisecond // preferred minimum idle time before a connection is reused
+	idleTimeoutDivisor = 2                     // connections are closed after the configured idle timeout divided by this
 
-	staleConnWindow    = 10 * time.Millisecond // a connection that breaks so soon after a write was closed before it
-	minIdleLimit       = 20 * time.Millisecond // to which the reuse limit falls at least
-	idleLimitDivisor   = 2                     // the reuse limit falls to this part of the idle time at which one broke
-	idleLimitDoubling  = 2 * time.Second       // in which the reuse limit doubles again
-	maxLimitDoublings  = 32                    // more would overflow
+	staleConnWindow    = 10 * time.Millisecond // a connection that breaks within this after a write was closed before it
+	minIdleLimit       = 20 * time.Millisecond // lower bound of the reuse limit
+	idleLimitDivisor   = 2                     // the reuse limit falls to a broken connection's idle time divided by this
+	idleLimitDoubling  = 2 * time.Second       // time in which a lowered reuse limit doubles
+	maxLimitDoublings  = 32                    // more would overflow a time.Duration
 	minCleanupInterval = 10 * time.Millisecond
 	cleanupsPerTimeout = 4
 )
 
 // closeExpired closes connections that were idle for idleTimeout or that the backend has closed. A request written to a
-// connection that the backend has closed ends in a reset, after which nobody knows whether it ran.
+// connection that the backend has closed ends in a reset, after which it is unknown whether the request ran.
 func (p *pool) closeExpired(now time.Time) {
 	var stale []*conn
 	p.mu.Lock()
@@ -39,7 +39,7 @@
 	closeAll(stale)
 }
 
-// runCleanup calls closeExpired until ctx ends, and closes all idle connections then.
+// runCleanup calls closeExpired periodically until ctx ends, and then closes all idle connections. It blocks.
 func (p *pool) runCleanup(ctx context.Context) {
 	tick := time.NewTicker(max(p.idleTimeout/cleanupsPerTimeout, minCleanupInterval))
 	defer tick.Stop()
@@ -54,15 +54,15 @@
 	}
 }
 
-// dropIdle removes the idle connection of that index from the list.
+// dropIdle removes the idle connection with index i from the list.
 func (b *backend) dropIdle(i int) { b.idle = slices.Delete(b.idle, i, i+1) }
 
-// takeIdle returns the idle connection used last of those that have rested for idleSettleTime, else the one that has
-// rested for longest, or nil. A backend's close may follow its response a moment later; checkSendable looks for that
-// right before the write. The error says that nothing may be sent to the backend.
+// takeIdle returns the most recently used connection that has been idle for at least idleSettleTime, else the one idle
+// for longest, or nil. A backend may close a connection shortly after its response; checkSendable looks for that right
+// before the write. An error means that nothing may be sent to the backend.
 func (p *pool) takeIdle(b *backend) (*conn, error) {
 	var stale []*conn
-	defer func() { closeAll(stale) }() // without the lock, which a close takes
+	defer func() { closeAll(stale) }() // after the unlock: closing a connection takes the lock
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b.draining {
@@ -84,9 +84,9 @@
 	return nil, nil
 }
 
-// currentReuseLimit returns how long a connection may have been idle to be reused. Backends may close connections
-// sooner than configured, and a request that meets the close may not be repeated; a new connection costs little beside
-// that. The limit grows exponentially up to idleTimeout. The lock must be held.
+// currentReuseLimit returns the maximum idle time of a connection that is reused. Backends may close connections sooner
+// than configured, and a request that is written to a closing connection may not be retried; a new connection is cheap
+// compared to that. The limit grows exponentially up to idleTimeout. The lock must be held.
 func (p *pool) currentReuseLimit(now time.Time) time.Duration {
 	if p.reuseLimit >= p.idleTimeout {
 		return p.idleTimeout
@@ -98,8 +98,8 @@
 	return p.reuseLimit
 }
 
-// noteBrokenIdleConn lowers the reuse limit after a connection broke right as a request was written to it, when it had
-// been idle for so long.
+// noteBrokenIdleConn lowers the reuse limit after a connection broke while a request was written to it. idle is how
+// long the connection had been idle before.
 func (p *pool) noteBrokenIdleConn(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,8 +108,8 @@
 	p.reuseLimitAt = now
 }
 
-// putIdle keeps a connection for the next request, or closes it. A connection on which more than the response came is
-// of no further use.
+// putIdle keeps a connection for the next request, or closes it. A connection on which bytes arrived after the response
+// can't be reused.
 func (p *pool) putIdle(b *backend, c *conn) {
 	silent := c.isSilent()
 	p.mu.Lock()
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	reservedSockets      = 32      // descriptors for all but connections of clients and backends
-	clientSocketFraction = 0.6     // of the other descriptors, for clients: without one a client's request is lost
-	openRequestFraction  = 1.0 / 3 // of all descriptors: the limit on open requests
-	bodyMemoryFraction   = 1.0 / 8 // of the memory, for the bodies of all requests in flight
+	reservedSockets      = 32      // descriptors for everything except client and backend connections
+	clientSocketFraction = 0.6     // client connections, of the other descriptors: a client without one loses its request
+	openRequestFraction  = 1.0 / 3 // limit on open requests, as a fraction of all descriptors
+	bodyMemoryFraction   = 1.0 / 8 // memory for the bodies of requests in flight, as a fraction of all memory
 )
 
-// bodyMemoryLimit returns how many bytes the bodies of all requests in flight may have.
+// bodyMemoryLimit returns the maximum size in bytes of the bodies of all requests in flight.
 func bodyMemoryLimit(c *Config) int64 {
 	return int64(bodyMemoryFraction * float64(c.MemoryMB) * (1 << 20))
 }
 
-// maxClientConns returns how many connections clients may have open.
+// maxClientConns returns the maximum number of open client connections.
 func maxClientConns(c *Config) int {
 	return int(clientSocketFraction * float64(c.Sockets-reservedSockets))
 }
 
-// maxOpenRequests returns how many requests may be open.
+// maxOpenRequests returns the maximum number of open requests.
 func maxOpenRequests(c *Config) int { return int(openRequestFraction * float64(c.Sockets)) }
 
-// maxBackendConns returns how many connections to backends may be open.
+// maxBackendConns returns the maximum number of open connections to backends.
 func (s *serviceSet) maxBackendConns() int {
 	limit := s.proxy.cfg.Sockets - reservedSockets - maxClientConns(&s.proxy.cfg)
 	if s.halfCapacity {
@@ -39,24 +39,25 @@
 	return limit
 }
 
-// setHalfCapacity limits all services to half of the connections, or to all of them again.
+// setHalfCapacity limits all services to half of the backend connections, or restores the whole limit.
 func (s *serviceSet) setHalfCapacity(half bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.halfCapacity = half
-	now := s.current.Load()
-	for _, svc := range now.byName {
+	state := s.current.Load()
+	for _, svc := range state.byName {
 		svc.pool.setMaxOpen(s.maxBackendConns())
 	}
-	if now.only != nil {
+	if state.only != nil {
 		return
 	}
-	if err := s.limits.Resize(s.processLimits(&now.limits)); err != nil {
+	if err := s.limits.Resize(s.processLimits(&state.limits)); err != nil {
 		s.proxy.log.Error("keeping the old service limits", "err", err)
 	}
 }
 
-// processLimits returns what the services share: what their file sets, and else what the process has.
+// processLimits returns the limits that all services share: those set in the file of services, and for the others the
+// limits of the process.
 func (s *serviceSet) processLimits(l *config.Limits) limiter.Totals {
 	totals := limiter.Totals{
 		Requests: l.MaxInFlight,
@@ -73,7 +74,7 @@
 	return totals
 }
 
-// newGate makes the gate that decides which requests get the last of a service's quota.
+// newGate makes the gate that decides which requests are admitted when a service's quota is nearly used up.
 func newGate(m *decision.Config) (*processquota.Gate, error) {
 	var classes []processquota.GateClass
 	for _, c := range m.Classes {
@@ -127,8 +128,7 @@
 	return &rejection{status: http.StatusServiceUnavailable, message: reason, retryAfter: retryAfter}
 }
 
-// release gives the request's part of the limits back. servedIn is the time to a successful response, and 0 for any
-// other end.
+// release returns the request's part of the limits. servedIn is the time to a successful response, or 0 without one.
 func (t *ticket) release(servedIn time.Duration) {
 	if t.service.requestLimiter != nil {
 		t.service.requestLimiter.Release(t.tenant, servedIn)
@@ -138,7 +138,7 @@
 	}
 }
 
-// connQuota is a service's part of the connections to backends.
+// connQuota is a service's share of the limit on connections to backends.
 type connQuota struct {
 	limits  *limiter.Limits
 	service string
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -17,33 +17,33 @@
 	"lapisspread/internal/metrics"
 )
 
-// storePollInterval is how often the files that processes of one proxy share are looked at.
+// storePollInterval is the interval for polling the files that the processes of one proxy share.
 const storePollInterval = 100 * time.Millisecond
 
 // Proxy is a proxy process. Make it with New and run it once with Run.
 type Proxy struct {
 	cfg      Config
 	log      *slog.Logger
-	reloads  chan Config       // buffered; the newest configuration that was not taken in yet
-	counters *metrics.Counters // of the only service, or of the process where there are several
+	reloads  chan Config       // buffered; the newest configuration that is not applied yet
+	counters *metrics.Counters // of the only service, or of the process if there are several services
 	store    *hotrestart.Store
 	conns    *clientConns
 
 	services     *serviceSet
-	diameter     *diameterService                    // nil if no Diameter is spoken
+	diameter     *diameterService                    // nil if Diameter is disabled
 	quotaClient  atomic.Pointer[client.QuotaClient]  // nil without a control plane
 	policyClient atomic.Pointer[client.PolicyClient] // nil without a control plane
 	freshness    atomic.Pointer[freshness.Monitor]   // nil if the freshness of endpoint lists is not monitored
-	listGuard    *guardedsource.Coordinator          // nil if endpoint lists are used as they come
-	snapshots    *snapshotStore                      // nil if nothing is kept for the next process
-	ready        atomic.Bool                         // clients are served
+	listGuard    *guardedsource.Coordinator          // nil if endpoint lists are used unchecked
+	snapshots    *snapshotStore                      // nil if no snapshot is stored for the next process
+	ready        atomic.Bool                         // true while clients are served, before a drain
 
-	// Shared is called with whether another process of this proxy runs beside this one, at the start and at each
-	// change: the limits are for both together. It may be nil, and must not block.
+	// Shared is called at the start and at each change with whether another process of this proxy runs beside this one.
+	// The configured limits then hold for both together. It may be nil, and must not block.
 	Shared func(bool)
 }
 
-// New makes a proxy. It opens nothing yet.
+// New makes a proxy. It opens no files or sockets.
 func New(cfg Config, log *slog.Logger) *Proxy {
 	p := &Proxy{
 		cfg:      cfg,
@@ -57,12 +57,12 @@
 	return p
 }
 
-// Reload queues a new configuration, in place of one that still waits, and returns before it is applied. It may be
-// called before, during and after Run, by one goroutine at a time. Only the address of discovery and the files that the
-// configuration names can change.
+// Reload queues a new configuration, which replaces one that is still queued, and returns before it is applied. It may
+// be called before, during and after Run, by one goroutine at a time. Only the discovery address and the files that the
+// configuration names are reloaded; other changes have no effect.
 func (p *Proxy) Reload(cfg Config) {
 	select {
-	case <-p.reloads: // an older one
+	case <-p.reloads: // discards an older one
 	default:
 	}
 	p.reloads <- cfg
@@ -80,7 +80,7 @@
 	p.counters.ReloadsFailed.Add(1)
 }
 
-// runReloads takes in new configurations until ctx ends.
+// runReloads applies queued configurations until ctx ends.
 func (p *Proxy) runReloads(ctx context.Context) {
 	for {
 		select {
@@ -112,8 +112,8 @@
 			case <-ctx.Done():
 				return
 			}
-			if now := p.isShared(); now != shared {
-				shared = now
+			if current := p.isShared(); current != shared {
+				shared = current
 				p.setShared(shared)
 			}
 		}
@@ -123,7 +123,7 @@
 // isShared reports whether another process of this proxy runs.
 func (p *Proxy) isShared() bool { return !p.store.OnlyProcess() || p.store.Superseded() }
 
-// setShared halves the limits of services, client connections and admission, or restores them.
+// setShared halves the limits on services, client connections and admission, or restores them.
 func (p *Proxy) setShared(shared bool) {
 	p.services.setHalfCapacity(shared)
 	p.conns.setShared(shared)
@@ -137,7 +137,8 @@
 	}
 }
 
-// Run serves until ctx ends, then drains, and returns once all is done. The error says why the proxy could not serve.
+// Run serves until ctx ends, then drains, and returns once all goroutines have ended. An error means that the proxy
+// could not start or that its listener failed.
 func (p *Proxy) Run(ctx context.Context) error {
 	listener, err := hotrestart.Listen(p.cfg.PassedSocket, p.cfg.Listen)
 	if err != nil {
@@ -151,7 +152,7 @@
 		_ = listener.Close()
 		return fmt.Errorf("the console: listening: %w", err)
 	}
-	inner, cancel := context.WithCancel(context.Background()) // operators are answered to the end of the drain
+	inner, cancel := context.WithCancel(context.Background()) // admin connections are served until the end of the drain
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
--- a/internal/proxy/requestbody.go
+++ b/internal/proxy/requestbody.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	maxBodyBytes            = 32 << 20  // the longest body of a request or a response
-	maxBufferedBody         = 64 << 10  // the longest body that is held whole
-	streamedBodyReservation = 128 << 10 // memory that counts for a longer body, which is streamed
-	bodyGrowBytes           = 512       // by which the buffer for a body grows at least
+	maxBodyBytes            = 32 << 20  // maximum length of a request's or a response's body
+	maxBufferedBody         = 64 << 10  // bytes; longer bodies are streamed instead of buffered
+	streamedBodyReservation = 128 << 10 // bytes of memory reserved for a streamed body
+	bodyGrowBytes           = 512       // minimum growth of the buffer for a body
 
-	bodyStallTimeout = 2500 * time.Millisecond // without a byte of a request's body, after which it is given up
-	bodyGracePeriod  = 5 * time.Second         // before minBodyRate applies
-	minBodyRate      = 16 << 10                // bytes a second that a body must reach on the average
+	bodyStallTimeout = 2500 * time.Millisecond // maximum wait for the next byte of a request's body
+	bodyGracePeriod  = 5 * time.Second         // added to the time that a body may take at minBodyRate
+	minBodyRate      = 16 << 10                // bytes per second: minimum mean rate of a body
 )
 
-// bodyReservation returns the memory to reserve for a body of that Content-Length; negative is unknown.
+// bodyReservation returns the bytes of memory to reserve for a body of the given Content-Length; negative is unknown.
 func bodyReservation(contentLength int64) int64 {
 	if contentLength < 0 || contentLength > maxBufferedBody {
 		return streamedBodyReservation
@@ -28,8 +28,8 @@
 	return contentLength
 }
 
-// bodyReadDeadline returns by when the next byte of a body must arrive: within bodyStallTimeout, and so that the mean
-// rate doesn't fall under minBodyRate.
+// bodyReadDeadline returns the deadline for the next byte of a body: bodyStallTimeout from now, or earlier if the mean
+// rate would fall below minBodyRate.
 func bodyReadDeadline(now, startedAt time.Time, readBytes int64) time.Time {
 	slowest := startedAt.Add(bodyGracePeriod + time.Duration(float64(readBytes)/minBodyRate*float64(time.Second)))
 	if stall := now.Add(bodyStallTimeout); stall.Before(slowest) {
@@ -38,8 +38,8 @@
 	return slowest
 }
 
-// readBody reads a short body whole. Of a long one it reads what may be buffered; the rest is read by the attempt that
-// sends it.
+// readBody reads a short body completely. Of a long one it reads the part that may be buffered; the attempt that sends
+// the body reads the rest.
 func (f *httpFrontend) readBody(w http.ResponseWriter, r *http.Request, req *request) error {
 	deadlines := http.NewResponseController(w)
 	startedAt := time.Now()
@@ -89,7 +89,8 @@
 	return body, r.ContentLength == int64(len(body)), nil
 }
 
-// newUpload makes the upload of a body of which prefix has been read. Its end makes the engine set the deadline.
+// newUpload makes the upload of a body of which prefix has been read. When the body is complete, the engine is notified
+// and sets the request's deadline.
 func newUpload(
 	deadlines *http.ResponseController, r *http.Request, req *request, prefix []byte, startedAt time.Time,
 ) *upload {
@@ -106,7 +107,7 @@
 			_ = deadlines.SetReadDeadline(time.Time{})
 			now := svc.clock.Now()
 			svc.counters.InFlight.Add(1)
-			// In a goroutine: the upload's lock is held here, and the engine may ask for it.
+			// In a goroutine: the upload's lock is held here, and the engine may try to take it.
 			go svc.engine.Post(func() { svc.engine.BodyComplete(&req.Request, now) })
 		},
 	}
--- a/internal/proxy/routing.go
+++ b/internal/proxy/routing.go
@@ -9,22 +9,22 @@
 	config "lapisspread/internal/services"
 )
 
-// routingState is the services and routes of one configuration. It is never changed once it is stored in a serviceSet.
+// routingState holds the services and routes of one configuration. It is immutable once it is stored in a serviceSet.
 type routingState struct {
 	only   *service // the only service; nil if there are several
 	byName map[string]*service
 	table  *route.Table
-	sticky map[string]string // what a route with several services splits by, by the route's name
+	sticky map[string]string // key that a route with several services is split by, by the route's name
 	limits config.Limits
 
-	policy         *client.InstalledPolicy // that requests are routed by; nil without a control plane
-	blocks         *route.Table            // of the policy; nil if nothing is blocked
-	defaultService string                  // of the file, for what no route matches
+	policy         *client.InstalledPolicy // the installed policy; nil without a control plane
+	blocks         *route.Table            // blocks of the policy; nil if nothing is blocked
+	defaultService string                  // from the file of services, for requests that no route matches
 
-	policyRoutes *routetable.Routes // source of table, sticky and blocks; nil if these come from the file
+	policyRoutes *routetable.Routes // source of table, sticky and blocks; nil if the routes come from the file
 }
 
-// newRoutingState takes the routes from a file of services. The services are added by the caller.
+// newRoutingState returns a state with the routes of a file of services. The caller adds the services.
 func newRoutingState(file *config.Config) *routingState {
 	n := &routingState{
 		byName:         map[string]*service{},
@@ -39,8 +39,8 @@
 	return n
 }
 
-// applyPolicy sets the policy, and the routes if they come from it. Routes that did not change since the policy before
-// are taken over. After an error n is incomplete and must be thrown away.
+// applyPolicy sets the policy, and also the routes if they come from the policy. Routes that did not change since the
+// previous policy are reused. After an error n is incomplete and must be discarded.
 func (n *routingState) applyPolicy(policy *client.InstalledPolicy, routesFromPolicy bool) error {
 	previous := n.policy
 	n.policy = policy
@@ -58,12 +58,12 @@
 	return nil
 }
 
-// buildRoutes builds the routes of a policy, by its difference to the previous one where that is possible.
+// buildRoutes builds the routes of a policy: incrementally if its diff is against the previous policy, else completely.
 func (n *routingState) buildRoutes(previous, policy *client.InstalledPolicy) (*routetable.Routes, error) {
 	known := func(service string) bool { return n.byName[service] != nil }
-	follows := n.policyRoutes != nil && policy.Diff != nil &&
+	incremental := n.policyRoutes != nil && policy.Diff != nil &&
 		previous != nil && previous.Policy != nil && previous.Offer == policy.Base
-	if follows {
+	if incremental {
 		return n.policyRoutes.Update(policy.Policy, policy.Diff, known)
 	}
 	return routetable.Build(policy.Policy, n.defaultService, known)
@@ -80,32 +80,32 @@
 	return nil
 }
 
-// route returns the service for a request and the policy that it was routed by; the policy comes with an error too. The
+// route returns the service for a request and the policy that routed it. The policy is valid with an error too. The
 // caller must release the service.
 func (s *serviceSet) route(r *http.Request) (*service, *client.InstalledPolicy, error) {
-	return s.acquireService(func(now *routingState) (*service, error) { return now.serviceFor(r) })
+	return s.acquireService(func(state *routingState) (*service, error) { return state.serviceFor(r) })
 }
 
-// acquireService returns the service that find names, or the only one, and the policy that it was routed by; the policy
-// comes with an error too. The caller must release the service.
-func (s *serviceSet) acquireService(find func(now *routingState) (*service, error)) (
+// acquireService returns the only service, or if there are several the one that find returns, and the policy of that
+// routing state. The policy is valid with an error too. The caller must release the service.
+func (s *serviceSet) acquireService(find func(state *routingState) (*service, error)) (
 	*service, *client.InstalledPolicy, error,
 ) {
 	for {
-		now := s.current.Load()
-		svc := now.only
+		state := s.current.Load()
+		svc := state.only
 		if svc == nil {
 			var err error
-			svc, err = find(now)
+			svc, err = find(state)
 			if err != nil {
-				return nil, now.policy, err
+				return nil, state.policy, err
 			}
 		}
 		if svc.acquire() {
-			return svc, now.policy, nil
+			return svc, state.policy, nil
 		}
-		if s.current.Load() == now { // the service ends with the process
-			return nil, now.policy, unavailable("the service is ending")
+		if s.current.Load() == state { // the service ends with the process
+			return nil, state.policy, unavailable("the service is ending")
 		}
 	}
 }
@@ -130,8 +130,7 @@
 	return svc, err
 }
 
-// lookup returns the service that a request is routed to. key and id are what a route with several services may split
-// by.
+// lookup returns the service that a request is routed to. A route with several services may be split by key or by id.
 func (n *routingState) lookup(q *route.Request, key func() string, id string) (*service, error) {
 	if err := n.checkBlocked(q); err != nil {
 		return nil, err
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -15,15 +15,15 @@
 
 // Files in the state directory.
 const (
-	blocksFile   = "blocks" // prefixes that an operator has blocked
-	snapshotFile = "memory" // what the process has learned
+	blocksFile   = "blocks" // address prefixes that an operator has blocked
+	snapshotFile = "memory" // snapshot of endpoint lists and of what the engines have learned
 )
 
-// serve runs the proxy on a listening socket until ctx ends, drains it and waits for all goroutines.
+// serve runs the proxy on a listening socket until ctx ends, then drains it and waits for all goroutines.
 func (p *Proxy) serve(ctx context.Context, accepting net.Listener) error {
 	p.recoverState()
 	accepting, leave, err := p.prepare(accepting)
-	defer leave() // after all that uses the control plane's quotas has ended
+	defer leave() // after everything that uses the control plane's quotas has ended
 	if err != nil {
 		return closeAfter(accepting, err)
 	}
@@ -43,25 +43,26 @@
 	return err
 }
 
-// closeAfter closes the listener after an error that kept the proxy from serving.
+// closeAfter closes the listener after an error at the start, and returns the error to report.
 func closeAfter(accepting net.Listener, err error) error {
 	_ = accepting.Close()
 	return fmt.Errorf("settings: %w", err)
 }
 
-// recoverState reads what the process before has left, and logs what could not be read.
+// recoverState reads the state that the previous process has stored, and logs what can't be read.
 func (p *Proxy) recoverState() {
 	if _, err := p.store.Refresh(); err != nil {
 		p.log.Error("state of the previous process is unreadable", "err", err)
 	}
 	if err := p.cfg.InitialEndpointsError; err != nil {
-		const message = "the list that the configuration knows can't be read: discovery is asked for all"
+		const message = "initial endpoint list in the configuration is invalid; fetching the whole list from discovery"
 		p.log.Error(message, "err", err)
 	}
 }
 
-// prepare opens what the configuration asks for before the services start. The caller must call leave after they have
-// ended. The listener and leave are valid with an error too.
+// prepare sets up, before the services start, the parts that the configuration enables: admission control, the control
+// plane, the endpoint list guard and Diameter. It returns the wrapped listener. The caller must call leave after the
+// services have ended. The listener and leave are valid with an error too.
 func (p *Proxy) prepare(accepting net.Listener) (_ net.Listener, leave func(), err error) {
 	leave = func() {}
 	p.cfg.Decision.Capabilities.MaxOpenRequests = maxOpenRequests(&p.cfg)
@@ -71,7 +72,8 @@
 		}
 		accepting = p.conns.admission.NewListener(accepting, p.log)
 	} else {
-		// net/http sleeps for up to a second when a descriptor is missing, and all clients would wait meanwhile.
+		// net/http sleeps for up to a second when no descriptor is left, and all new clients would wait. This listener
+		// evicts an idle connection instead.
 		accepting = listener.NewListener(accepting, p.log, p.conns.evictIdle, func() {})
 	}
 	if p.cfg.Fleet != "" {
@@ -92,14 +94,14 @@
 	return accepting, leave, nil
 }
 
-// openAdmission reads the settings of admission control.
+// openAdmission sets up admission control with the settings from its file and the blocks of the previous process.
 func (p *Proxy) openAdmission() error {
 	file, err := listener.Load(p.cfg.Admission)
 	if err != nil {
 		return err
 	}
-	room := listener.Capacity{Conns: maxClientConns(&p.cfg), BodyBytes: bodyMemoryLimit(&p.cfg)}
-	control, err := listener.New(file, room, p.cfg.Seed, engine.NewClock().Now, p.store.Path(blocksFile))
+	capacity := listener.Capacity{Conns: maxClientConns(&p.cfg), BodyBytes: bodyMemoryLimit(&p.cfg)}
+	control, err := listener.New(file, capacity, p.cfg.Seed, engine.NewClock().Now, p.store.Path(blocksFile))
 	if err != nil {
 		return err
 	}
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// rejectionResponse returns the response to connections that get no place.
+// rejectionResponse returns the response that is sent on rejected connections.
 func (p *Proxy) rejectionResponse() []byte {
 	const head = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n"
 	caps := &p.cfg.Decision.Capabilities
@@ -129,8 +131,7 @@
 	return fmt.Appendf(nil, "%sRetry-After: %s\r\n\r\n", head, h.Get("Retry-After"))
 }
 
-// reloadAdmission takes in new settings of admission control. The limits on requests in flight hold from a service's
-// start on.
+// reloadAdmission applies new settings of admission control. Services that run keep their limits on requests in flight.
 func (p *Proxy) reloadAdmission() error {
 	if p.cfg.Admission == "" || p.conns.admission == nil {
 		return nil
@@ -142,7 +143,8 @@
 	return p.conns.admission.Reconfigure(file)
 }
 
-// openListGuard reads the settings of the list guard, and what the process before has learned.
+// openListGuard sets up the endpoint list guard with the settings from its file, and loads the snapshot of the previous
+// process.
 func (p *Proxy) openListGuard() error {
 	if p.cfg.ListGuard == "" {
 		return nil
@@ -151,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	seed := p.cfg.Seed ^ uint64(backendID(p.cfg.Name)) // proxies with one seed must not poll in step
+	seed := p.cfg.Seed ^ uint64(backendID(p.cfg.Name)) // proxies with the same seed must not poll in step
 	instances := max(1, p.cfg.Decision.Instances)
 	guard := guardedsource.NewCoordinator(file, instances, seed, engine.NewClock().Now, p.log)
 	p.listGuard = guard.LimitBackoff(p.cfg.timing.maxBackoff)
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// runBackground starts all that runs beside the front end until ctx ends.
+// runBackground starts the goroutines that run beside the HTTP front end until ctx ends.
 func (p *Proxy) runBackground(ctx context.Context, running *sync.WaitGroup) {
 	running.Go(func() { p.runPolicyClient(ctx) })
 	running.Go(func() { p.runReloads(ctx) })
@@ -186,7 +188,7 @@
 	}
 }
 
-// serveClients runs the front end until ctx ends and drains it then, or until the listener fails.
+// serveClients runs the front ends until ctx ends and then drains them, or until the listener fails.
 func (p *Proxy) serveClients(ctx context.Context, front *httpFrontend, accepting net.Listener) error {
 	served := make(chan error, 1)
 	go func() { served <- front.serve(accepting) }()
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -20,17 +20,17 @@
 	config "lapisspread/internal/services"
 )
 
-// sharedIdleTimeout is after how long one of several services gives back its idle connections, which other services
-// can't use.
+// sharedIdleTimeout is the maximum idle timeout of backend connections if there are several services: idle connections
+// count against the limit that all services share, but other services can't use them.
 const sharedIdleTimeout = 3 * time.Second
 
-// diameterUpstream is the value of a service's upstream setting for servers that speak Diameter.
+// diameterUpstream is the value of a service's upstream setting for backends that speak Diameter.
 const diameterUpstream = "diameter"
 
-// service is one engine with its connections, and what the front ends need to know of it.
+// service is one engine with its backend connections, and the data that the front ends need to send requests to it.
 type service struct {
 	name      string
-	spec      config.Service // as in the file of services; empty for the only one
+	spec      config.Service // as in the file of services; empty for a single service
 	engine    *engine.Engine
 	clock     engine.Clock
 	module    decision.Config
@@ -39,21 +39,21 @@
 	counters  *metrics.Counters
 	pool      *pool
 	endpoints *endpointNames
-	gate      *processquota.Gate // of its quota of the process; nil for the only one
+	gate      *processquota.Gate // gate of its part of the process's quota; nil for a single service
 
-	requestLimiter *listener.RequestLimiter // limits the requests in flight; nil is no limit
-	freshness      *freshness.ServiceView   // of its endpoint list; nil without a control plane that asks for it
-	diameter       *upstream.Upstream       // connections to servers that speak Diameter; nil is HTTP
+	requestLimiter *listener.RequestLimiter // limits the requests in flight; nil if there is no limit
+	freshness      *freshness.ServiceView   // freshness of its endpoint list; nil unless the control plane enables it
+	diameter       *upstream.Upstream       // connections to Diameter backends; nil if the backends speak HTTP
 
 	inFlight atomic.Int64 // requests that have acquired the service
-	retiring atomic.Bool  // no request can acquire it any more
+	retiring atomic.Bool  // true once no more requests can acquire it
 	released chan struct{}
 	cancel   context.CancelFunc
 	done     chan struct{}
 }
 
-// acquire keeps the service running for a request, and reports false if it is being retired. The count comes before the
-// check, because retire sets the flag before it looks at the count.
+// acquire keeps the service running for a request. It returns false if the service is being retired. The count comes
+// before the check, because retire sets the flag before it looks at the count.
 func (s *service) acquire() bool {
 	s.inFlight.Add(1)
 	if s.retiring.Load() {
@@ -73,7 +73,8 @@
 	}
 }
 
-// retire ends the service once no request has acquired it. It blocks until then, or until ctx ends.
+// retire stops the service once all requests that have acquired it have released it. It blocks until then, or until ctx
+// ends.
 func (s *service) retire(ctx context.Context) {
 	s.retiring.Store(true)
 	for s.inFlight.Load() > 0 {
@@ -87,7 +88,8 @@
 	<-s.done
 }
 
-// canKeep reports whether a service can go on under another configuration.
+// canKeep reports whether a running service can be kept under a new configuration, given as its spec and its decision
+// settings.
 func (s *service) canKeep(spec *config.Service, module decision.Config) bool {
 	return s.spec.Upstream == spec.Upstream &&
 		slices.Equal(s.spec.Kinds, spec.Kinds) &&
@@ -97,7 +99,8 @@
 		s.module.RetryBudgetRatio == module.RetryBudgetRatio
 }
 
-// newService starts an engine with its own connections. An empty name in the spec is the only service.
+// newService starts a service: an engine with its own backend connections. An empty name in spec means a single
+// service. discovery is the address of the discovery server, unless spec has its own.
 func (s *serviceSet) newService(
 	ctx context.Context, discovery string, spec config.Service, module decision.Config, counters *metrics.Counters,
 ) (*service, error) {
@@ -155,13 +158,14 @@
 	return svc, nil
 }
 
-// numberNames sets the numbers of the service's classes and tenants, and returns the tenants' normalized names.
+// numberNames assigns numbers to the names of the service's classes and tenants, and returns the tenants' normalized
+// names.
 func (s *service) numberNames(given *Names) (tenants []string) {
 	for _, t := range s.module.Tenants {
 		tenants = append(tenants, t.Name)
 	}
 	givenClasses := given.Classes
-	if len(s.spec.Classes) > 0 { // the service has classes of its own
+	if len(s.spec.Classes) > 0 { // the service defines its own classes
 		givenClasses = nil
 	}
 	s.classes = numberNames(classNames(&s.module), givenClasses)
@@ -169,7 +173,7 @@
 	return tenants
 }
 
-// newServicePool makes a service's connections to HTTP backends.
+// newServicePool makes the pool of a service's connections to HTTP backends.
 func (s *serviceSet) newServicePool(svc *service) *pool {
 	caps := &svc.module.Capabilities
 	idleTimeout := caps.ConnectionIdleTimeout
@@ -184,7 +188,7 @@
 	return p
 }
 
-// openLimits sets up a service's part of the process's quotas, and its limit on the requests in flight.
+// openLimits sets up the gate of a service's part of the process's quota, and its limit on the requests in flight.
 func (s *serviceSet) openLimits(svc *service, seed uint64) error {
 	if svc.name != "" {
 		var err error
@@ -196,7 +200,7 @@
 	if s.requests == nil {
 		return nil
 	}
-	gate, err := newGate(&svc.module) // not the one above: each counts what it admits
+	gate, err := newGate(&svc.module) // a separate gate: each counts the requests that it admits
 	if err != nil {
 		return err
 	}
@@ -206,30 +210,32 @@
 
 // fleetQuota returns the control plane's quota for a service, or nil if there is none.
 func (s *serviceSet) fleetQuota(svc *service, tenants []string) (engine.Quota, error) {
-	link := s.proxy.quotaClient.Load()
-	if link == nil {
+	quotaClient := s.proxy.quotaClient.Load()
+	if quotaClient == nil {
 		return nil, nil
 	}
 	svc.pool.fleetHeaders = true
-	quota, err := link.ForService(svc.name, classNames(&svc.module), tenants)
-	if err != nil || quota == nil { // an interface that holds a nil quota would not be nil
+	quota, err := quotaClient.ForService(svc.name, classNames(&svc.module), tenants)
+	if err != nil || quota == nil { // returning quota itself would make a non-nil interface
 		return nil, err
 	}
 	return quota, nil
 }
 
-// openFreshness returns the freshness of a service's endpoint list, or nil if it is not monitored.
+// openFreshness starts to monitor the freshness of a service's endpoint list. It returns nil if the proxy does not
+// monitor freshness.
 func (s *serviceSet) openFreshness(svc *service, discovery string) engine.Freshness {
 	monitor := s.proxy.freshness.Load()
 	if monitor == nil {
-		return nil // an interface that holds a nil view would not be nil
+		return nil // a nil *ServiceView in the interface would not compare equal to nil
 	}
 	svc.freshness = monitor.ForService(svc.module.Classes)
 	svc.followFreshness(discovery)
 	return svc.freshness
 }
 
-// startEngine completes the options, and runs the engine until ctx ends or the service is cancelled.
+// startEngine completes the options and starts the engine in a goroutine, which runs until ctx ends or the service is
+// cancelled.
 func (s *serviceSet) startEngine(ctx context.Context, svc *service, options engine.Options) error {
 	p := s.proxy
 	if p.snapshots != nil {
@@ -258,7 +264,7 @@
 	return nil
 }
 
-// run runs the service until ctx ends.
+// run runs the service and blocks until ctx ends and its goroutines have ended.
 func (s *service) run(ctx context.Context) {
 	defer close(s.done)
 	var running sync.WaitGroup
@@ -270,7 +276,7 @@
 	}
 }
 
-// allowRetry returns the check that the engine makes before each retry; nil allows all.
+// allowRetry returns the check that the engine calls before each retry; nil allows all retries.
 func (s *service) allowRetry(l *limiter.Limits) func() bool {
 	if s.name == "" {
 		return nil
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -18,25 +18,25 @@
 	config "lapisspread/internal/services"
 )
 
-// readinessWait is how long a reload waits for the first health checks of its new services. An operator's call that
-// reloads waits a second.
+// readinessWait is how long a reload waits for the first health checks of its new services. It is below the second that
+// an operator's admin command to reload waits.
 const readinessWait = 600 * time.Millisecond
 
-// serviceSet is all services that run, and the routes to them. There is one service without a name, or several of a
-// file. Reads of the current state take no lock.
+// serviceSet holds all running services and the routes to them. There is either a single service without a name, or the
+// services of a file. Reads of the current state take no lock.
 type serviceSet struct {
 	proxy   *Proxy
 	current atomic.Pointer[routingState]
 	limits  *limiter.Limits
 	running sync.WaitGroup
 
-	mu                sync.Mutex // held by a reload; guards the fields below
+	mu                sync.Mutex // held during a reload; guards the fields below
 	halfCapacity      bool
-	policyRoutes      bool            // routes come from the control plane's policy, once there is one
-	discovery         string          // the process's endpoint source, as of the last reload
-	ctx               context.Context // ends all services
+	policyRoutes      bool            // routes come from the control plane's policy once one is installed
+	discovery         string          // address of the process's discovery server since the last reload
+	ctx               context.Context // all services stop when it ends
 	discoveryRegistry *discovery.Registry
-	requests          *admission.RequestSettings // limits the requests in flight of each service; nil is no limit
+	requests          *admission.RequestSettings // limits the requests in flight of each service; nil if there is no limit
 }
 
 func newServices(p *Proxy) *serviceSet {
@@ -47,13 +47,13 @@
 	return s
 }
 
-// hasRoutes reports whether there are routes to several services, rather than one service that has all requests.
+// hasRoutes reports whether requests are routed to several services, rather than all to a single service.
 func (s *serviceSet) hasRoutes() bool {
-	now := s.current.Load()
-	return now != nil && now.only == nil
+	state := s.current.Load()
+	return state != nil && state.only == nil
 }
 
-// start brings up the configured services. All of them end with ctx.
+// start starts the configured services. All of them stop when ctx ends.
 func (s *serviceSet) start(ctx context.Context, cfg *Config) error {
 	s.ctx = ctx
 	if cfg.Services != "" {
@@ -76,11 +76,12 @@
 	if err := s.reload(s.ctx, ""); err != nil {
 		return "", err
 	}
-	now := s.current.Load()
-	return fmt.Sprintf("%d services, %d routes", len(now.byName), now.table.RuleCount()), nil
+	state := s.current.Load()
+	return fmt.Sprintf("%d services, %d routes", len(state.byName), state.table.RuleCount()), nil
 }
 
-// reload takes in the address of discovery, unless it is empty, and the file of services. An error changes nothing.
+// reload applies a new discovery address, unless it is empty, and the current file of services. After an error the old
+// state stays in force.
 func (s *serviceSet) reload(ctx context.Context, discovery string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +122,7 @@
 		}
 		s.switchDiscovery(next.byName[spec.Name], addr)
 	}
-	if old != nil { // a process that starts has no clients yet, and a fresh endpoint list
+	if old != nil { // a starting process has no clients yet, and a fresh endpoint list
 		s.checkReadiness(ctx, started)
 	}
 	s.current.Store(next) // requests see the old state or the new one, never a mixture
@@ -136,8 +137,9 @@
 	return nil
 }
 
-// build makes the routing state of a file of services. A service whose decisions stay the same is kept, with what it
-// has learned of its backends; the others are started. After an error none of these runs. The lock must be held.
+// build makes the routing state of a file of services. A service whose decision settings stay the same is kept, with
+// what it has learned about its backends; the others are started. After an error the started ones are cancelled. The
+// lock must be held.
 func (s *serviceSet) build(ctx context.Context, file *config.Config, old *routingState, discovery string) (
 	next *routingState, started []*service, err error,
 ) {
@@ -170,7 +172,7 @@
 	return next, started, nil
 }
 
-// retiredServices returns the services of old that next has no more, by name.
+// retiredServices returns the services of old that next no longer has, by name.
 func retiredServices(old, next *routingState) map[string]*service {
 	retired := map[string]*service{}
 	if old == nil {
@@ -184,14 +186,15 @@
 	return retired
 }
 
+// cancelAll stops services without waiting for their requests.
 func cancelAll(services []*service) {
 	for _, svc := range services {
 		svc.cancel()
 	}
 }
 
-// checkReadiness has new services check the health of their backends before requests are routed to them. It blocks for
-// readinessWait at most.
+// checkReadiness makes new services check the health of their backends before requests are routed to them. It blocks
+// for at most readinessWait.
 func (s *serviceSet) checkReadiness(ctx context.Context, started []*service) {
 	ctx, cancel := context.WithTimeout(ctx, readinessWait)
 	defer cancel()
@@ -205,8 +208,8 @@
 	checks.Wait()
 }
 
-// installPolicy routes requests by a policy from now on. After an error none of it is in force. Requests in flight keep
-// the policy that they were routed by.
+// installPolicy makes requests be routed by a new policy. After an error the old one stays in force. Requests in flight
+// keep the policy that routed them.
 func (s *serviceSet) installPolicy(policy *client.InstalledPolicy) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +225,7 @@
 	return nil
 }
 
-// wait blocks until all services have ended. Their context must be cancelled before, so that no reload can start.
+// wait blocks until all services have ended. Their context must have been cancelled, so that no reload can start.
 func (s *serviceSet) wait() {
 	s.waitForReload()
 	s.running.Wait()
@@ -234,7 +237,8 @@
 	defer s.mu.Unlock()
 }
 
-// decisionConfig returns the settings of a service's decisions: the process's, except for what its file sets.
+// decisionConfig returns the decision settings of a service: those of the process, except for what the service's spec
+// overrides.
 func (s *serviceSet) decisionConfig(spec *config.Service) decision.Config {
 	m := s.proxy.cfg.Decision
 	if len(spec.Classes) > 0 {
@@ -260,6 +264,7 @@
 	return m
 }
 
+// classNames returns the normalized names of the classes, by number.
 func classNames(m *decision.Config) []string {
 	names := make([]string, len(m.Classes))
 	for i, c := range m.Classes {
@@ -279,13 +284,13 @@
 	return longest
 }
 
-// knowsEndpoint reports whether a backend of that name was ever listed to any service.
+// knowsEndpoint reports whether any service has ever had a backend with that ID in its endpoint list.
 func (s *serviceSet) knowsEndpoint(id string) bool {
-	now := s.current.Load()
-	if now == nil {
+	state := s.current.Load()
+	if state == nil {
 		return false
 	}
-	for _, svc := range now.byName {
+	for _, svc := range state.byName {
 		if svc.endpoints.contains(id) {
 			return true
 		}
@@ -293,13 +298,13 @@
 	return false
 }
 
-// notifyAll has all services read again which backends an operator has detached.
+// notifyAll makes all services read again which backends an operator has detached.
 func (s *serviceSet) notifyAll() {
-	now := s.current.Load()
-	if now == nil {
+	state := s.current.Load()
+	if state == nil {
 		return
 	}
-	for _, svc := range now.byName {
+	for _, svc := range state.byName {
 		svc.endpoints.notify()
 	}
 }
--- a/internal/proxy/services_test.go
+++ b/internal/proxy/services_test.go
@@ -341,8 +341,8 @@
 // gone.
 func TestFilteredSource(t *testing.T) {
 	filtered := filteredSource{spec: oneKind()}
-	got := filtered.filter(List{Full: true, Endpoints: []Member{{ID: "a", Kind: "fast-5", Cell: 1}, {ID: "b", Kind: "slow-5",
-		Cell: 1}, {ID: "c", Kind: "fast-5", Cell: 2}}})
+	got := filtered.filter(List{Full: true, Endpoints: []Member{{ID: "a", Kind: "fast-5", Cell: 1},
+		{ID: "b", Kind: "slow-5", Cell: 1}, {ID: "c", Kind: "fast-5", Cell: 2}}})
 	if len(got.Endpoints) != 1 || got.Endpoints[0].ID != "a" {
 		t.Errorf("filter of a full list = %+v, want only endpoint a", got)
 	}
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -13,9 +13,9 @@
 )
 
 var (
-	errEarlyResponse = errors.New("the backend has answered before the body's end")
-	errClientBody    = errors.New("reading the body")
-	errBodyConsumed  = errors.New("the body has passed by")
+	errEarlyResponse = errors.New("the backend responded before the end of the request body")
+	errClientBody    = errors.New("reading the request body from the client")
+	errBodyConsumed  = errors.New("the request body was partly consumed by an earlier attempt")
 	errAbandoned     = engine.ErrAbandoned
 )
 
@@ -28,12 +28,12 @@
 	remainder       io.Reader
 	setReadDeadline func(time.Time) error // for reads from remainder
 	onComplete      func()                // called as the last byte has been read, with the lock held
-	failed          chan error            // buffered; receives why the client did not send the whole body
+	failed          chan error            // buffered; receives the error if reading the body from the client fails
 
 	mu        sync.Mutex // guards the fields below, and the use of remainder and setReadDeadline
 	readBytes int64      // with the prefix
 	consumed  bool       // some of the remainder has been read
-	stopped   bool       // the request is over: remainder and setReadDeadline must not be used any more
+	stopped   bool       // the request has ended: remainder and setReadDeadline must no longer be used
 
 	complete atomic.Bool
 	stopping atomic.Bool
@@ -49,8 +49,8 @@
 	return u.consumed
 }
 
-// stop ends the use of the client's connection for the body, and reports whether the body is complete. No deadline is
-// set on a complete one: net/http reads from the connection then, and takes a timeout for the client's close.
+// stop ends the reading of the body from the client's connection, and reports whether the body is complete. No deadline
+// is set if it is complete: net/http then reads from the connection, and would treat a timeout as the client's close.
 func (u *upload) stop() bool {
 	u.stopping.Store(true)
 	if !u.complete.Load() {
@@ -62,7 +62,8 @@
 	return u.complete.Load()
 }
 
-// readRemainder reads from behind the prefix. It blocks until the client has sent something or is too slow.
+// readRemainder reads the part of the body after the prefix. It blocks until the client has sent something or its
+// deadline has passed.
 func (u *upload) readRemainder(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -101,11 +102,12 @@
 type uploadReader struct {
 	*upload
 	conn   *conn
-	offset int   // in the prefix
-	err    error // that ended the reading before the body's end
+	offset int   // number of bytes of the prefix that were read
+	err    error // error that stopped the reading before the body's end; nil if none
 }
 
-// Read returns errEarlyResponse once the backend has sent something: the rest of the body is of no use then.
+// Read returns errEarlyResponse once the backend has sent something: the backend doesn't need the rest of the body
+// then.
 func (r *uploadReader) Read(p []byte) (n int, err error) {
 	n, err = r.next(p)
 	if !errors.Is(err, io.EOF) {
@@ -115,7 +117,7 @@
 }
 
 func (r *uploadReader) next(p []byte) (int, error) {
-	// Checked first: the backend may respond as soon as it has the last byte, before the sender has seen the end here.
+	// Checked first: the backend may respond as soon as it has the last byte, before the sender has read io.EOF here.
 	if r.complete.Load() {
 		return 0, io.EOF
 	}
@@ -156,12 +158,12 @@
 	req.Body = io.NopCloser(body)
 	err := req.Write(to)
 	if err != nil {
-		// net/http wraps the body's error in a type that errors.Is doesn't look into. A client that fails its body must
-		// not count as a backend that can't be reached.
+		// net/http wraps the body's error in a type that errors.Is can't unwrap. A client that fails to send its body
+		// must not be counted as a failure of the backend.
 		if body.err != nil {
 			err = body.err
 		}
-		return to.written, false, fmt.Errorf("sending a body: %w", err)
+		return to.written, false, fmt.Errorf("sending the request body to the backend: %w", err)
 	}
 	c.limitWrite(time.Time{})
 	return to.written, true, nil
