--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -158,8 +158,8 @@
 		}
 		err := s.proxy.reloadAdmission()
 		if r, _ := op.Admission(); (err == nil) != (want == 7) || want == 7 && r.(admissionReport).MaxConns != want {
-			t.Errorf("reloadAdmission with %q = %v, report %+v; want success with %d places only for places = 7",
-				text, err, r, want)
+			t.Errorf("reloadAdmission with %q = %v, report %+v; want nil and MaxConns 7 for places = 7, an error for -7",
+				text, err, r)
 		}
 	}
 	if _, err := (adminBackend{&Proxy{conns: newClientConns(1)}}).Admission(); err == nil {
@@ -170,7 +170,8 @@
 	}
 }
 
-// The admission file can limit the requests in flight: requests beyond the limit are rejected with status 503.
+// The admission file can limit the requests in flight: requests beyond the limit are rejected with status 503 and a
+// Retry-After.
 func TestRequestsInFlightAreLimited(t *testing.T) {
 	s := newAdmissionFixture(t, "[requests]\nin_hand = 4\nretry_after = \"1s\"\n", 512)
 	s.stall["fast-5"].Store(300)
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -19,7 +19,7 @@
 	idleCloseDelay    = 5 * time.Millisecond // silence after which an idle connection may be closed
 	newConnCloseDelay = time.Second          // the same for a connection on which nothing has ever arrived
 
-	// bytes buffered after the end of the request in flight; more end the connection
+	// limit on the bytes buffered after the end of the request in flight; more end the connection
 	maxReadAheadBytes   = maxHeaderBytes
 	readAheadChunkBytes = 1 << 10
 )
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -14,7 +14,7 @@
 
 const (
 	maxEvictAttempts       = 4    // bounds the search for an idle connection; each attempt scans all connections
-	maxRejectionsPerSecond = 1000 // more are closed without a response: a flood needs no responses
+	maxRejectionsPerSecond = 1000 // further rejected connections get no response: a flood needs none
 )
 
 // clientConns is the registry of all client connections. It limits their number.
@@ -36,6 +36,7 @@
 	rejectionResponse []byte
 }
 
+// newClientConns returns an empty registry of at most maxOpen connections.
 func newClientConns(maxOpen int) *clientConns {
 	return &clientConns{open: map[*clientConn]bool{}, maxOpen: maxOpen, lingerTimeout: rejectReadTimeout}
 }
--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -17,6 +17,7 @@
 	result    chan error // buffered; receives the argument of End
 }
 
+// newDownload returns a download of length bytes, or of unknown length if length is -1.
 func newDownload(length int64, body io.Reader) *download {
 	return &download{length: length, body: body, closeBody: func() {}, result: make(chan error, 1)}
 }
@@ -75,6 +76,7 @@
 	return p
 }
 
+// run reads the source until it ends or the prefetcher is closed.
 func (p *prefetcher) run(source io.Reader) {
 	chunk := make([]byte, copyChunkBytes)
 	for {
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -16,7 +16,7 @@
 	headerTimeout     = 2700 * time.Millisecond // for a request's head, from its first byte or a new connection's start
 	bodyTimeout       = 2800 * time.Millisecond // for the head and the first byte of the body, from the same start
 	idleTimeout       = 4 * time.Second         // after which the server closes an idle client connection
-	rejectReadTimeout = 250 * time.Millisecond  // for reading the rest of a rejected request, so that its client gets the response
+	rejectReadTimeout = 250 * time.Millisecond  // for the rest of a rejected request, so that its client gets the response
 	writeTimeout      = 10 * time.Second        // for writing a response, or each chunk of a streamed one
 	maxHeaderBytes    = 16 << 10
 
@@ -48,6 +48,7 @@
 	writeTimeout time.Duration
 }
 
+// newFrontend returns a front end for the services of s. It accepts no connections before serve.
 func newFrontend(s *serviceSet, cfg *Config, log *slog.Logger, conns *clientConns) *httpFrontend {
 	f := &httpFrontend{
 		services:         s,
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// If the backend never responds, the client gets status 504 instead of a hanging request.
+// If the backend never responds, the client gets status 504 before its deadline.
 func TestDeadline(t *testing.T) {
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
 		for readRequest(in) {
@@ -200,7 +200,8 @@
 	}
 }
 
-// The memory for the bodies of requests in flight is limited: a request beyond the limit is rejected with status 503.
+// The memory for the bodies of requests in flight is limited: a request beyond the limit is rejected with status 503 at
+// once, even if its body is never sent.
 func TestBodyMemoryIsLimited(t *testing.T) {
 	svcs := testServices(t, List{})
 	f := newFrontend(svcs, &svcs.proxy.cfg, slog.New(slog.DiscardHandler), newClientConns(8))
@@ -223,9 +224,9 @@
 func TestSlowRequestsAreRejected(t *testing.T) {
 	p := startProxy(t, listText(1, true), newCatalog(t), nil)
 	for name, text := range map[string]string{
-		"silence":   "",
-		"half head": "GET /api HTTP/1.1\r\nHost: s\r\n",
-		"half body": strings.Replace(smuggledRequest, "\r\n\r\n", "\r\nContent-Length: 20\r\n\r\nhalf", 1),
+		"nothing sent": "",
+		"partial head": "GET /api HTTP/1.1\r\nHost: s\r\n",
+		"partial body": strings.Replace(smuggledRequest, "\r\n\r\n", "\r\nContent-Length: 20\r\n\r\nhalf", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -20,7 +20,8 @@
 	"lapisspread/internal/route"
 )
 
-const policyCharter = `version = 1
+// policyDeclaration declares that namespace alpha may route and block hosts under example.org.
+const policyDeclaration = `version = 1
 [[namespace]]
 name = "alpha"
 owner = "a"
@@ -88,7 +89,7 @@
 		return status, body
 	}
 	before, _ := request("/x")
-	submit(store.Command{SetDeclaration: &store.SetDeclaration{Text: policyCharter}})
+	submit(store.Command{SetDeclaration: &store.SetDeclaration{Text: policyDeclaration}})
 	submit(store.Command{SubmitFile: &store.SubmitFile{Text: policyRules(1, "settlement",
 		"[[block]]\nname = \"no\"\nhost = \"p.example.org\"\npath_prefix = \"/no\"\n")}})
 	waitUntil("the policy is installed", func() bool {
@@ -140,7 +141,7 @@
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	if err := f.SendPolicyCommand(context.Background(), client,
-		store.Command{SetDeclaration: &store.SetDeclaration{Text: policyCharter}}); err != nil {
+		store.Command{SetDeclaration: &store.SetDeclaration{Text: policyDeclaration}}); err != nil {
 		t.Fatalf("SendPolicyCommand of the declaration: %v", err)
 	}
 	for deadline := time.Now().Add(60 * time.Second); ; time.Sleep(5 * time.Millisecond) {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -16,6 +16,7 @@
 // Reloads that overlap, also back to the old discovery address or to one that fails at first: the list of the last
 // address is used in the end, whatever its version, and responses from other addresses are ignored.
 func TestReloadsCross(t *testing.T) {
+	// switchTo reloads the proxy with a discovery server. other is its server at the start, last the one used in the end.
 	for name, reloads := range map[string]func(p *running, switchTo func(*faultyDiscovery), last, other *faultyDiscovery){
 		"to the same address, then to another": func(_ *running, switchTo func(*faultyDiscovery), last,
 			other *faultyDiscovery) {
@@ -92,7 +93,8 @@
 				mustRespond(t, 200)(p.request(t, "fetch-work", 10000, ""))
 			}
 			if n := len(onA) - before; n != 0 {
-				t.Errorf("%d requests went to the draining backend, which only the old discovery server lists as ready; want 0", n)
+				t.Errorf("%d requests went to the draining backend, which only the old discovery server lists as ready; want 0",
+					n)
 			}
 		})
 	}
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -39,6 +39,7 @@
 	requests          *admission.RequestSettings // limits the requests in flight of each service; nil if there is no limit
 }
 
+// newServices returns the service set of a proxy. No service runs before start.
 func newServices(p *Proxy) *serviceSet {
 	s := &serviceSet{proxy: p, limits: limiter.New(engine.NewClock().Now)}
 	s.discoveryRegistry = discovery.NewRegistry(p.cfg.timing.maxBackoff, func(addr string) engine.Source {
--- a/internal/proxy/services_test.go
+++ b/internal/proxy/services_test.go
@@ -122,6 +122,7 @@
 	return s
 }
 
+// write writes the services file.
 func (s *proxyFixture) write(text string) {
 	s.t.Helper()
 	if err := os.WriteFile(s.file, []byte(text), 0o600); err != nil {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -140,7 +140,7 @@
 			_ = c.SetReadDeadline(time.Now().Add(patience))
 			resp, body := mustRespond(t, 200)(readFinalResponse(bufio.NewReader(c)))
 			if body != text {
-				t.Errorf("the client got %d bytes of the response's %d, or other bytes", len(body), len(text))
+				t.Errorf("the client got a body of %d bytes that differs from the backend's body of %d bytes", len(body), len(text))
 			}
 			if !resp.Close && s.responseBytes == 0 { // a response begun before the stop may have no Connection: close
 				t.Error("the response after the stop has no Connection: close")
