--- a/internal/proxy/attemptraces_test.go
+++ b/internal/proxy/attemptraces_test.go
@@ -43,10 +43,10 @@
 					}
 				})
 				p, b := hookedPool(t, addr, func(n int, c *hookedConn) {
-					c.chosen = func() {
+					c.onChosen = func() {
 						if n == 0 && reuse {
 							trigger <- true
-							waitUntilSeen(t, c)
+							waitForInput(t, c)
 						}
 					}
 				})
@@ -97,7 +97,7 @@
 					if leaveNext {
 						leave() // once the connection is established
 					}
-					c.chosen = func() {
+					c.onChosen = func() {
 						if idle && leaveNext {
 							leave()
 						}
@@ -184,7 +184,7 @@
 			var p *pool
 			reuse := false
 			p, b := hookedPool(t, member.Addr, func(n int, h *hookedConn) {
-				h.chosen = func() {
+				h.onChosen = func() {
 					if n == 0 && reuse {
 						p.Update(List{Endpoints: []Member{member}})
 					}
@@ -227,7 +227,7 @@
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				p, b := hookedPool(t, addr, func(_ int, c *hookedConn) {
-					c.came = func(n int) {
+					c.onRead = func(n int) {
 						if n > 0 && !long {
 							cancel()
 						}
@@ -333,7 +333,7 @@
 	if result := within(t, results, "exchange() did not return"); result != decision.Reset {
 		t.Errorf("exchange() in flight during the restart = %v, want Reset", resultName(result))
 	}
-	waitUntilSeen(t, idle.Conn)
+	waitForInput(t, idle.Conn)
 	before := requests.Load()
 	go func() { results <- send() }()
 	within(t, received, "the restarted backend got no request")
--- a/internal/proxy/backendpool_test.go
+++ b/internal/proxy/backendpool_test.go
@@ -391,7 +391,7 @@
 					writeText(c, served)
 				}
 			}), func(_ int, c *hookedConn) {
-				c.chosen = func() {
+				c.onChosen = func() {
 					if reuse {
 						act(p)
 					}
--- a/internal/proxy/hotrestart_test.go
+++ b/internal/proxy/hotrestart_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatalf("parseConfig(): %v", err)
 	}
-	cfg.StateDir, cfg.PassedSocket, cfg.timing = dir, "3", untilTold
+	cfg.StateDir, cfg.PassedSocket, cfg.timing = dir, "3", longWatchTiming
 	file, err := shared.File()
 	if err != nil {
 		t.Fatalf("duplicating the shared socket: %v", err)
@@ -82,7 +82,7 @@
 		t.Error("Superseded() of the new process = true, want false")
 	}
 	requestAll(20)
-	previous.ending(t)
+	previous.stopAndAwaitDrain(t)
 	requestAll(20)
 	_ = idle.SetReadDeadline(time.Now().Add(patience))
 	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the old process no longer accepts connections
@@ -98,7 +98,7 @@
 	if err := within(t, responded, "the request in the old process got no response"); err != nil {
 		t.Errorf("the request in the old process: %v", err)
 	}
-	previous.ended(t)
+	previous.awaitExit(t)
 	requestAll(20)
 }
 
--- a/internal/proxy/servicefaults_test.go
+++ b/internal/proxy/servicefaults_test.go
@@ -20,7 +20,7 @@
 // A service added by a reload checks the health of its backends before requests are routed to it. A service whose
 // discovery or backends are down is started all the same, after readinessWait.
 func TestNewServiceChecksHealthFirst(t *testing.T) {
-	s := newStage(t, strings.Split(twoServices, "[[service]]\nname = \"settlement\"")[0]+`[[route]]
+	s := newProxyFixture(t, strings.Split(twoServices, "[[service]]\nname = \"settlement\"")[0]+`[[route]]
 name = "all"
 path_prefix = "/api"
 to = [{ service = "dispatch" }]
@@ -56,7 +56,7 @@
 	}
 	addr := l.Addr().String()
 	_ = l.Close()
-	s := newStage(t, strings.Replace(twoServices, `kinds = ["slow-5"]`, fmt.Sprintf("discovery = %q", addr), 1), nil)
+	s := newProxyFixture(t, strings.Replace(twoServices, `kinds = ["slow-5"]`, fmt.Sprintf("discovery = %q", addr), 1), nil)
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	if status, _ := s.request(client, "pay.example.org", "/api", "hand-in", 400); status != 503 {
@@ -91,7 +91,7 @@
 
 // If two services share a backend, neither sends it a new request once it drains.
 func TestSharedBackendDrainsForBothServices(t *testing.T) {
-	s := newStage(t, strings.NewReplacer(`kinds = ["fast-5"]`, "", `kinds = ["slow-5"]`, "").Replace(twoServices), nil)
+	s := newProxyFixture(t, strings.NewReplacer(`kinds = ["fast-5"]`, "", `kinds = ["slow-5"]`, "").Replace(twoServices), nil)
 	s.lists <- listText(2, false, memberWithKind("id-slow", s.backend["slow-5"], "slow-5", "leaving"))
 	time.Sleep(500 * time.Millisecond)
 	before := s.served["slow-5"].Load()
@@ -108,7 +108,7 @@
 
 // A reload that removes a service does not interrupt its long response in flight.
 func TestLongResponseOutlivesItsService(t *testing.T) {
-	s := newStage(t, twoServices, nil)
+	s := newProxyFixture(t, twoServices, nil)
 	req, err := http.NewRequest("POST", "http://"+s.addr+"/api/long", nil)
 	if err != nil {
 		t.Fatalf("NewRequest(): %v", err)
@@ -137,7 +137,7 @@
 
 // A panic or a blocked event in one service's engine does not affect the other service.
 func TestFaultOfOneServiceStaysThere(t *testing.T) {
-	s := newStage(t, twoServices, nil)
+	s := newProxyFixture(t, twoServices, nil)
 	faulty := s.proxy.services.current.Load().byName["settlement"]
 	stalled := make(chan struct{})
 	faulty.engine.Post(func() { panic("out of order") })
@@ -156,7 +156,7 @@
 // During a hot restart two processes share the limits. A reload keeps this process at its half; it has the full limits
 // again once the other process is gone.
 func TestReloadDuringHotRestart(t *testing.T) {
-	s := newStage(t, twoServices, nil)
+	s := newProxyFixture(t, twoServices, nil)
 	conns := func() int64 { return s.proxy.services.limits.Report().Conns.Total }
 	all := conns()
 	s.proxy.services.setHalfCapacity(true)
@@ -180,7 +180,7 @@
 // A reload by an operator reads the file of services again and returns a summary. An invalid file is rejected with the
 // reason, and the previous one stays in use.
 func TestRoutesReloadedByOperator(t *testing.T) {
-	s := newStage(t, twoServices, nil)
+	s := newProxyFixture(t, twoServices, nil)
 	admin := adminBackend{s.proxy}
 	s.write(strings.ReplaceAll(twoServices, "settlement", "payouts"))
 	if text, err := admin.ReloadRoutes(); err != nil || text != "2 services, 2 routes" {
@@ -200,7 +200,7 @@
 // The services share a quota of attempts a second: a service that uses all it can get leaves the other its share. Its
 // requests beyond that are rejected with status 503 and a Retry-After.
 func TestAttemptQuotaIsShared(t *testing.T) {
-	s := newStage(t, strings.Replace(twoServices, "version = 1", "version = 1\n[limits]\nattempts = 100.0", 1), nil)
+	s := newProxyFixture(t, strings.Replace(twoServices, "version = 1", "version = 1\n[limits]\nattempts = 100.0", 1), nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	defer client.CloseIdleConnections()
 	var clients sync.WaitGroup
