--- a/internal/policy/distribution/distributor.go
+++ b/internal/policy/distribution/distributor.go
@@ -1,6 +1,6 @@
-// Package distribution serves the chunks of policies (package policy/merkle) to proxies: chunks that a proxy lacks
-// along with the reply to its report, and any chunk by name. It bounds how many proxies fetch a whole policy at one
-// time and tells the others when to retry.
+// Package distribution serves the chunks of policies (package policy/merkle) to proxies. The reply to a proxy's report
+// carries chunks that the proxy lacks, and a proxy can request any chunk by name. The package bounds how many proxies
+// fetch a whole policy at one time and returns to the others how long to wait before they retry.
 //
 // A Distributor is deterministic: it does no I/O, starts no goroutine and reads no clock. Callers pass the time.
 package distribution
@@ -15,24 +15,24 @@
 
 // Settings bound what a Distributor keeps and serves.
 type Settings struct {
-	// RecentTrees is how many trees are remembered besides those that are retained.
+	// RecentTrees is the number of earlier trees that are remembered in addition to the retained ones.
 	RecentTrees int
-	// MaxNames is how many chunks one request may ask for.
+	// MaxNames is the maximum number of chunks in one request.
 	MaxNames int
-	// UnthrottledNames is how many chunks a request may ask for at any time. A request for more counts as part of the
-	// fetch of a whole policy.
+	// UnthrottledNames is the maximum number of chunks in a request that is never deferred. A request for more counts as
+	// part of the fetch of a whole policy.
 	UnthrottledNames int
-	// MaxBytes bounds the chunks in one reply.
+	// MaxBytes bounds the total size of the chunks in one reply.
 	MaxBytes int
-	// MaxFetches is how many proxies may fetch a whole policy at one time.
+	// MaxFetches is the maximum number of proxies that fetch a whole policy at one time.
 	MaxFetches int
 	// FetchIdle is the time without a request after which a fetch counts as ended.
 	FetchIdle time.Duration
-	// MaxWait is the longest time that a proxy is told to wait.
+	// MaxWait is the maximum time that a proxy has to wait before it retries.
 	MaxWait time.Duration
 }
 
-// DefaultSettings suit thousands of proxies at one server: a policy of 5 MB is about twenty replies.
+// DefaultSettings returns settings for thousands of proxies at one server. A policy of 5 MB takes about twenty replies.
 func DefaultSettings() Settings {
 	return Settings{
 		RecentTrees:      32,
@@ -45,8 +45,8 @@
 	}
 }
 
-// maxCachedDiffs bounds the cache of differences between two trees. In a rollout thousands of proxies need the same one
-// or two.
+// maxCachedDiffs bounds the cache of differences between two trees. In a rollout thousands of proxies need the
+// same one or two differences.
 const maxCachedDiffs = 8
 
 // Distributor serves chunks. Its methods are safe for concurrent use.
@@ -55,26 +55,27 @@
 
 	mu       sync.Mutex // never held over I/O
 	retained []*merkle.Tree
-	recent   []*merkle.Tree // the newest last, including those that are retained
-	diffs    []cachedDiff   // the last used last
+	recent   []*merkle.Tree // newest last, including the retained trees
+	diffs    []cachedDiff   // most recently used last
 	throttle throttle
 	counters Counters
 }
 
-// cachedDiff has the first chunks, up to Settings.MaxBytes, that a tree has and another one lacks.
+// cachedDiff holds the first chunks, up to Settings.MaxBytes, that the tree with root to has and the tree with root
+// from lacks.
 type cachedDiff struct {
 	from, to string // roots
 	chunks   [][]byte
 }
 
-// Counters count since the start.
+// Counters are the totals since the Distributor was created.
 type Counters struct {
-	Pushed        uint64 // chunks along with replies to reports
-	Requested     uint64 // chunks by name
-	Bytes         uint64 // of both
-	Missing       uint64 // names that no tree has
-	Deferred      uint64 // requests that were told to retry later
-	DiffsComputed uint64
+	Pushed        uint64 // chunks sent with replies to reports
+	Requested     uint64 // chunks sent because they were requested by name
+	Bytes         uint64 // bytes of the pushed and the requested chunks
+	Missing       uint64 // requested names that no tree has
+	Deferred      uint64 // requests that got a time to retry instead of chunks
+	DiffsComputed uint64 // differences between two trees that were not in the cache
 }
 
 // New returns a distributor without trees.
@@ -82,8 +83,8 @@
 	return &Distributor{settings: settings, throttle: newThrottle(settings)}
 }
 
-// Retain replaces the trees that are served, given with the oldest first. A few of the earlier ones are remembered, so
-// that proxies which still have them get only what they lack.
+// Retain replaces the trees that are served; the oldest tree comes first. Up to Settings.RecentTrees earlier trees are
+// remembered, so that proxies which still have one of them get only the chunks that they lack.
 func (d *Distributor) Retain(trees []*merkle.Tree) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,8 +101,8 @@
 	}
 }
 
-// treeOf returns the tree of a root, nil if it is unknown. The caller holds mu.
-func (d *Distributor) treeOf(root string) *merkle.Tree {
+// treeByRoot returns the remembered tree with the given root, or nil if there is none. The caller holds mu.
+func (d *Distributor) treeByRoot(root string) *merkle.Tree {
 	name, err := merkle.ParseHash(root)
 	if err != nil {
 		return nil
@@ -114,8 +115,9 @@
 	return nil
 }
 
-// ChunksBetween returns chunks of the tree with root to that the tree with root from lacks, parents first, up to
-// maxBytes and Settings.MaxBytes. It returns none if either tree is unknown; then the proxy has to fetch them by name.
+// ChunksBetween returns chunks that the tree with root to has and the tree with root from lacks, parents first, up to
+// maxBytes and Settings.MaxBytes. It returns nil if either tree is unknown; then the proxy has to fetch the chunks by
+// name.
 func (d *Distributor) ChunksBetween(from, to string, maxBytes int) [][]byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -132,8 +134,8 @@
 	return chunks
 }
 
-// diff returns the first chunks that are in a tree and not in another one, from the cache if it can. The caller holds
-// mu.
+// diff returns the first chunks, up to Settings.MaxBytes, that the tree with root to has and the tree with root from
+// lacks. It uses the cache and adds to it. It returns false if either tree is unknown. The caller holds mu.
 func (d *Distributor) diff(from, to string) ([][]byte, bool) {
 	cached := slices.IndexFunc(d.diffs, func(c cachedDiff) bool { return c.from == from && c.to == to })
 	if cached >= 0 {
@@ -141,8 +143,8 @@
 		d.diffs = append(slices.Delete(d.diffs, cached, cached+1), used)
 		return used.chunks, true
 	}
-	fromTree := d.treeOf(from)
-	toTree := d.treeOf(to)
+	fromTree := d.treeByRoot(from)
+	toTree := d.treeByRoot(to)
 	if fromTree == nil || toTree == nil {
 		return nil, false
 	}
@@ -163,7 +165,7 @@
 	return computed.chunks, true
 }
 
-// firstChunks returns as many of the chunks as fit in a size, and their size in bytes.
+// firstChunks returns the leading chunks whose total size is at most maxBytes, and that size in bytes.
 func firstChunks(chunks [][]byte, maxBytes int) (fitting [][]byte, size int) {
 	for i, chunk := range chunks {
 		if size+len(chunk) > maxBytes {
@@ -174,9 +176,10 @@
 	return chunks, size
 }
 
-// ChunksByName returns chunks in the order of their names, until a reply is full. It looks in the tree of root and in
-// all that are retained; missing counts names that none of them has. If too many proxies are fetching whole policies,
-// it returns none, and how long to wait before the next request.
+// ChunksByName returns the chunks with the given names, in that order, until the reply has Settings.MaxBytes. It
+// searches the tree with the given root and all retained trees; missing is the number of names that none of them has.
+// If too many proxies are fetching whole policies, it returns no chunks and how long the proxy has to wait before its
+// next request. Now is the time on the caller's clock.
 func (d *Distributor) ChunksByName(
 	now time.Duration, proxy, root string, names [][]byte,
 ) (chunks [][]byte, missing int, retryAfter time.Duration) {
@@ -192,7 +195,7 @@
 		}
 	}
 	trees := d.retained
-	if tree := d.treeOf(root); tree != nil {
+	if tree := d.treeByRoot(root); tree != nil {
 		trees = append([]*merkle.Tree{tree}, trees...)
 	}
 	size := 0
@@ -214,6 +217,7 @@
 	return chunks, missing, 0
 }
 
+// findChunk returns the chunk with the given name from the first tree that has it, or nil.
 func findChunk(trees []*merkle.Tree, name []byte) []byte {
 	if len(name) != len(merkle.Hash{}) {
 		return nil
@@ -226,7 +230,7 @@
 	return nil
 }
 
-// Counters returns the counters.
+// Counters returns a copy of the current counters.
 func (d *Distributor) Counters() Counters {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/policy/distribution/distributor_test.go
+++ b/internal/policy/distribution/distributor_test.go
@@ -9,173 +9,196 @@
 	"lapisspread/internal/policy/merkle"
 )
 
-func tree(t testing.TB, n int, value func(i int) string) *merkle.Tree {
+// buildTree returns a tree of n items; value returns the value of item i.
+func buildTree(t testing.TB, n int, value func(i int) string) *merkle.Tree {
 	t.Helper()
 	var items []merkle.Item
 	for i := range n {
 		items = append(items, merkle.Item{Key: fmt.Sprint("k", i), Value: []byte(value(i))})
 	}
-	out, err := merkle.Build(items)
+	built, err := merkle.Build(items)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("merkle.Build(%d items) failed: %v", n, err)
 	}
-	return out
+	return built
 }
 
-func with(t testing.TB, tree *merkle.Tree, i int, value string) *merkle.Tree {
+// withItem returns the tree with another value for item i.
+func withItem(t testing.TB, tree *merkle.Tree, i int, value string) *merkle.Tree {
 	t.Helper()
-	out, err := tree.With([]merkle.Item{{Key: fmt.Sprint("k", i), Value: []byte(value)}}, nil)
+	changed, err := tree.With([]merkle.Item{{Key: fmt.Sprint("k", i), Value: []byte(value)}}, nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Tree.With(item %d) failed: %v", i, err)
 	}
-	return out
+	return changed
 }
 
-func long(i int) string { return fmt.Sprintf("%0300d", i) }
+// longValue returns a value of 300 bytes, so that a tree needs many chunks.
+func longValue(i int) string { return fmt.Sprintf("%0300d", i) }
 
-// fetch assembles a tree as a proxy does, from pushed chunks and the rest by name, and returns how many chunks of each.
-func fetch(t testing.TB, d *Distributor, has, to *merkle.Tree, most int) (pushed, requested int) {
+// fetch assembles the tree target as a proxy does that has the tree current (nil for none): from the chunks that
+// ChunksBetween pushes, up to maxPushedBytes, and the remaining ones by name. It returns the number of chunks of each
+// kind.
+func fetch(t testing.TB, d *Distributor, current, target *merkle.Tree, maxPushedBytes int) (pushed, requested int) {
 	t.Helper()
-	a := merkle.NewAssembly(to.Root(), has)
+	assembly := merkle.NewAssembly(target.Root(), current)
 	root := ""
-	if has != nil {
-		root = has.Root().String()
+	if current != nil {
+		root = current.Root().String()
 	}
-	for _, p := range d.ChunksBetween(root, to.Root().String(), most) {
-		if err := a.Add(p); err != nil {
-			t.Fatal(err)
+	for _, chunk := range d.ChunksBetween(root, target.Root().String(), maxPushedBytes) {
+		if err := assembly.Add(chunk); err != nil {
+			t.Fatalf("Assembly.Add(chunk from ChunksBetween) failed: %v", err)
 		}
 		pushed++
 	}
 	now := time.Duration(0)
-	for names := a.Missing(256); len(names) > 0; names = a.Missing(256) {
-		var in [][]byte
-		for _, n := range names {
-			in = append(in, n[:])
+	for missingNames := assembly.Missing(256); len(missingNames) > 0; missingNames = assembly.Missing(256) {
+		var names [][]byte
+		for _, name := range missingNames {
+			names = append(names, name[:])
 		}
-		out, missing, retryAfter := d.ChunksByName(now, "p", to.Root().String(), in)
-		if now += retryAfter; missing > 0 || len(out) == 0 && retryAfter == 0 {
-			t.Fatalf("%d chunks, %d missing", len(out), missing)
+		chunks, missing, retryAfter := d.ChunksByName(now, "p", target.Root().String(), names)
+		if now += retryAfter; missing > 0 || len(chunks) == 0 && retryAfter == 0 {
+			t.Fatalf("ChunksByName(%d names) = %d chunks, %d missing, retry after %v; "+
+				"want none missing, and chunks or a time to retry", len(names), len(chunks), missing, retryAfter)
 		}
 		size := 0
-		for _, p := range out {
-			size += len(p)
-			if err := a.Add(p); err != nil {
-				t.Fatal(err)
+		for _, chunk := range chunks {
+			size += len(chunk)
+			if err := assembly.Add(chunk); err != nil {
+				t.Fatalf("Assembly.Add(chunk from ChunksByName) failed: %v", err)
 			}
 		}
 		if size > d.settings.MaxBytes {
-			t.Fatalf("%d bytes in one answer", size)
+			t.Fatalf("ChunksByName(%d names) returned %d bytes, want at most %d", len(names), size, d.settings.MaxBytes)
 		}
-		requested += len(out)
+		requested += len(chunks)
 	}
-	if got, err := a.Tree(); err != nil || got.Root() != to.Root() {
-		t.Fatal(err)
+	got, err := assembly.Tree()
+	if err != nil {
+		t.Fatalf("Assembly.Tree() failed after all chunks were added: %v", err)
+	}
+	if got.Root() != target.Root() {
+		t.Fatalf("Assembly.Tree() has root %v, want %v", got.Root(), target.Root())
 	}
 	return pushed, requested
 }
 
-// Chunks are pushed if both trees are known; all others are fetched by name, also by a proxy whose tree is forgotten.
+// Chunks are pushed if the distributor knows both trees. All others are fetched by name, also by a proxy whose tree the
+// distributor no longer remembers.
 func TestProxiesGetTheChunksThatTheyLack(t *testing.T) {
 	d := New(DefaultSettings())
-	first := tree(t, 3000, long)
-	second := with(t, first, 7, "other")
+	first := buildTree(t, 3000, longValue)
+	second := withItem(t, first, 7, "other")
 	d.Retain([]*merkle.Tree{first, second})
 	if pushed, requested := fetch(t, d, first, second, 1<<20); pushed == 0 || pushed > 5 || requested != 0 {
-		t.Errorf("one change behind: %d pushed, %d by name", pushed, requested)
+		t.Errorf("proxy one change behind: %d chunks pushed, %d fetched by name; want 1 to 5 pushed and none by name",
+			pushed, requested)
 	}
 	if pushed, requested := fetch(t, d, first, second, 1); pushed != 0 || requested == 0 || requested > 5 {
-		t.Errorf("nothing pushed wanted: %d pushed, %d by name", pushed, requested)
+		t.Errorf("maximum of 1 pushed byte: %d chunks pushed, %d fetched by name; want none pushed and 1 to 5 by name",
+			pushed, requested)
 	}
-	gone := with(t, with(t, first, 9, "gone"), 8, "gone")
-	if pushed, requested := fetch(t, d, gone, second, 1<<20); pushed != 0 || requested == 0 || requested > 15 {
-		t.Errorf("unknown root: %d pushed, %d by name", pushed, requested)
+	unknown := withItem(t, withItem(t, first, 9, "gone"), 8, "gone")
+	if pushed, requested := fetch(t, d, unknown, second, 1<<20); pushed != 0 || requested == 0 || requested > 15 {
+		t.Errorf("proxy with an unknown root: %d chunks pushed, %d fetched by name; want none pushed and 1 to 15 by name",
+			pushed, requested)
 	}
 	if pushed, requested := fetch(t, d, nil, second, 1<<20); pushed != 0 || requested < 500 {
-		t.Errorf("without a tree: %d pushed, %d by name", pushed, requested)
+		t.Errorf("proxy without a tree: %d chunks pushed, %d fetched by name; want none pushed and at least 500 by name",
+			pushed, requested)
 	}
-	for i := range 100 { // only the last few are remembered
-		second = with(t, second, i, fmt.Sprint("more", i))
+	for i := range 100 { // only the last RecentTrees are remembered
+		second = withItem(t, second, i, fmt.Sprint("more", i))
 		d.Retain([]*merkle.Tree{second})
 	}
 	if n := len(d.recent); n > d.settings.RecentTrees+1 {
-		t.Errorf("%d trees are remembered", n)
+		t.Errorf("%d trees are remembered after 100 calls of Retain, want at most %d", n, d.settings.RecentTrees+1)
 	}
 	before := d.Counters().DiffsComputed
 	for range 100 {
 		d.ChunksBetween(d.recent[3].Root().String(), second.Root().String(), 1<<20)
 	}
 	if n := d.Counters().DiffsComputed - before; n != 1 {
-		t.Errorf("one diff was computed %d times", n)
+		t.Errorf("100 calls of ChunksBetween with the same roots computed the difference %d times, want once", n)
 	}
-	if out, missing, _ := d.ChunksByName(
+	if chunks, missing, _ := d.ChunksByName(
 		0, "p", "no root", [][]byte{{1}, bytes.Repeat([]byte{2}, 32)},
-	); len(out) != 0 || missing != 2 {
-		t.Errorf("unknown names: %d chunks, %d missing", len(out), missing)
+	); len(chunks) != 0 || missing != 2 {
+		t.Errorf("ChunksByName(2 unknown names) = %d chunks, %d missing; want 0 and 2", len(chunks), missing)
 	}
-	if out := d.ChunksBetween("no root", "none either", 1<<20); out != nil {
-		t.Errorf("%d chunks of nothing", len(out))
+	if chunks := d.ChunksBetween("no root", "none either", 1<<20); chunks != nil {
+		t.Errorf("ChunksBetween(two malformed roots) = %d chunks, want nil", len(chunks))
 	}
 }
 
-// A whole fleet asks for a policy at one moment: never more proxies than the bound fetch at one time, the others are
-// deferred when to retry, and all get it. Small requests are never deferred.
+// A whole fleet requests a policy at one moment. At most MaxFetches proxies fetch it at a time, the others get a time to
+// retry, and all get the policy in the end. Small requests are never deferred.
 func TestConcurrentFetchesAreBounded(t *testing.T) {
-	set := DefaultSettings()
-	set.MaxFetches = 8
-	d := New(set)
-	policy := tree(t, 2000, long)
+	settings := DefaultSettings()
+	settings.MaxFetches = 8
+	d := New(settings)
+	policy := buildTree(t, 2000, longValue)
 	d.Retain([]*merkle.Tree{policy})
-	const proxies, answers = 300, 6 // that each needs
-	var name [][]byte
-	for n := range policy.Chunks() {
-		if name = append(name, n[:]); len(name) == set.MaxNames {
+	const (
+		proxies         = 300
+		repliesPerProxy = 6
+	)
+	var names [][]byte
+	for name := range policy.Chunks() {
+		if names = append(names, name[:]); len(names) == settings.MaxNames {
 			break
 		}
 	}
-	type one struct {
-		next time.Duration
-		left int
+	type proxyState struct {
+		nextRequest      time.Duration
+		remainingReplies int
 	}
-	all := make([]one, proxies)
-	for i := range all {
-		all[i].left = answers
+	states := make([]proxyState, proxies)
+	for i := range states {
+		states[i].remainingReplies = repliesPerProxy
 	}
-	now, left, deferred := time.Duration(0), proxies, 0
-	for ; left > 0 && now < time.Hour; now += 20 * time.Millisecond {
+	now, unfinished, deferred := time.Duration(0), proxies, 0
+	for ; unfinished > 0 && now < time.Hour; now += 20 * time.Millisecond {
 		fetching := 0
-		for i := range all {
-			p := &all[i]
-			if p.left == 0 || now < p.next {
+		for i := range states {
+			state := &states[i]
+			if state.remainingReplies == 0 || now < state.nextRequest {
 				continue
 			}
-			out, missing, retryAfter := d.ChunksByName(now, fmt.Sprint("p", i), policy.Root().String(), name)
+			chunks, missing, retryAfter := d.ChunksByName(now, fmt.Sprint("p", i), policy.Root().String(), names)
 			switch {
-			case retryAfter > set.MaxWait || missing > 0:
-				t.Fatalf("retry after %v, %d missing", retryAfter, missing)
+			case retryAfter > settings.MaxWait || missing > 0:
+				t.Fatalf("ChunksByName at %v: retry after %v, %d missing; want at most %v and none missing",
+					now, retryAfter, missing, settings.MaxWait)
 			case retryAfter > 0:
 				deferred++
-				p.next = now + retryAfter
-			case len(out) == 0:
-				t.Fatal("neither chunks nor a time to retry")
+				state.nextRequest = now + retryAfter
+			case len(chunks) == 0:
+				t.Fatalf("ChunksByName at %v returned neither chunks nor a time to retry, want one of them", now)
 			default:
 				fetching++
-				if p.left--; p.left == 0 {
-					left--
+				if state.remainingReplies--; state.remainingReplies == 0 {
+					unfinished--
 				}
 			}
 		}
-		if fetching > set.MaxFetches || len(d.throttle.fetches) > set.MaxFetches {
-			t.Fatalf("%d fetch at once", fetching)
+		if fetching > settings.MaxFetches || len(d.throttle.fetches) > settings.MaxFetches {
+			t.Fatalf("at %v: %d proxies got chunks and %d fetches are active, want at most %d of each",
+				now, fetching, len(d.throttle.fetches), settings.MaxFetches)
 		}
-		if out, _, retryAfter := d.ChunksByName(
-			now, "light", policy.Root().String(), name[:set.UnthrottledNames],
-		); len(out) != set.UnthrottledNames || retryAfter != 0 {
-			t.Fatalf("a small request was deferred by %v", retryAfter)
+		if chunks, _, retryAfter := d.ChunksByName(
+			now, "light", policy.Root().String(), names[:settings.UnthrottledNames],
+		); len(chunks) != settings.UnthrottledNames || retryAfter != 0 {
+			t.Fatalf("ChunksByName(%d names) at %v = %d chunks, retry after %v; want all chunks and no wait",
+				settings.UnthrottledNames, now, len(chunks), retryAfter)
 		}
 	}
-	if left > 0 || deferred == 0 {
-		t.Errorf("%d never got it; %d requests were deferred", left, deferred)
+	if unfinished > 0 || deferred == 0 {
+		t.Errorf("after %v: %d proxies lack the policy and %d requests were deferred; want 0 proxies and some deferred",
+			now, unfinished, deferred)
 	}
-	t.Logf("%d proxies by %d at a time: %v, %d requests deferred", proxies, set.MaxFetches, now, deferred)
+	t.Logf("%d proxies, at most %d at a time: %v until all had the policy, %d requests deferred",
+		proxies, settings.MaxFetches, now, deferred)
 }
--- a/internal/policy/distribution/throttle.go
+++ b/internal/policy/distribution/throttle.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	// minRetryStep is the shortest time between the retries of two proxies that wait.
+	// minRetryStep is the minimum time between the scheduled retries of two waiting proxies.
 	minRetryStep = time.Millisecond
-	// minWaitDivisor sets the shortest wait, a part of Settings.FetchIdle, so that a proxy does not ask again at once.
+	// minWaitDivisor sets the minimum wait to Settings.FetchIdle divided by it, so that a proxy does not retry
+	// immediately.
 	minWaitDivisor = 4
-	// meanFetchWeight is how many times as much as the last fetch the earlier ones count in throttle.meanFetch.
+	// meanFetchWeight is the weight of the previous mean in throttle.meanFetch; the latest fetch has weight 1.
 	meanFetchWeight = 3
 )
 
@@ -15,11 +16,11 @@
 type throttle struct {
 	settings  Settings
 	fetches   map[string]*activeFetch // by proxy
-	lastRetry time.Duration           // the latest time at which a proxy was told to retry
-	meanFetch time.Duration           // duration of a whole fetch, exponentially weighted
+	lastRetry time.Duration           // latest retry time that was given to a proxy
+	meanFetch time.Duration           // exponentially weighted mean duration of a whole fetch
 }
 
-// activeFetch is a proxy's fetch of a whole policy, from its first request to FetchIdle after its last one.
+// activeFetch is a proxy's fetch of a whole policy. It lasts from the first request until FetchIdle after the last one.
 type activeFetch struct {
 	started     time.Duration
 	lastRequest time.Duration
@@ -29,9 +30,9 @@
 	return throttle{settings: settings, fetches: map[string]*activeFetch{}, meanFetch: settings.FetchIdle}
 }
 
-// admit returns 0 if a proxy may fetch a whole policy now, and else how long it is to wait. Proxies that wait are
-// spread over time, as slots are expected to come free. Those for which that would be after Settings.MaxWait are told
-// to wait for MaxWait.
+// admit returns 0 if the proxy may fetch a whole policy now, and otherwise how long it has to wait. The retries of
+// waiting proxies are spread over time at the rate at which fetches are expected to end. Proxies whose turn would come
+// later than Settings.MaxWait from now get MaxWait.
 func (t *throttle) admit(now time.Duration, proxy string) (retryAfter time.Duration) {
 	if fetch := t.fetches[proxy]; fetch != nil && now-fetch.lastRequest <= t.settings.FetchIdle {
 		fetch.lastRequest = now
@@ -47,7 +48,8 @@
 	return max(t.lastRetry-now, t.settings.FetchIdle/minWaitDivisor)
 }
 
-// removeIdle ends the fetches without a request for FetchIdle, and takes their duration into the mean.
+// removeIdle removes the fetches that have had no request for more than FetchIdle, and updates meanFetch with their
+// durations.
 func (t *throttle) removeIdle(now time.Duration) {
 	for proxy, fetch := range t.fetches {
 		if now-fetch.lastRequest <= t.settings.FetchIdle {
