--- a/internal/policy/routetable/bench_test.go
+++ b/internal/policy/routetable/bench_test.go
@@ -11,23 +11,23 @@
 	"lapisspread/internal/policy/namespace"
 )
 
-// sizes are the numbers of routes of the measured policies.
-var sizes = []int{1000, 4000, 13_000, 26_000}
+// benchmarkRouteCounts are the numbers of routes in the benchmarked policies.
+var benchmarkRouteCounts = []int{1000, 4000, 13_000, 26_000}
 
-// large returns a policy of many teams: 13 routes per team, 23 tenants in two routes, one service for nine routes, a
-// class and a share for each team. Versions are the numbers of files by team; each version of a file has another
-// weight in its third route.
-func large(routes int, versions map[int]uint64) *namespace.Policy {
+// largePolicy returns a policy of many teams: 13 routes per team, 11 or 12 tenants per route, one service for every
+// nine routes, and a class and a share for each team. Versions maps the index of a team to the version number of its file,
+// by default 1; each version of a file has another weight in its third route.
+func largePolicy(routes int, versions map[int]uint64) *namespace.Policy {
 	rng := rand.New(rand.NewPCG(uint64(routes), 33))
 	p := &namespace.Policy{Format: 1}
 	teams, services := (routes+12)/13, max(1, routes/9)
-	number := func(team int) uint64 { return max(1, versions[team]) }
-	one := 1.0
+	fileVersion := func(team int) uint64 { return max(1, versions[team]) }
+	defaultWeight := 1.0
 	for i := range services {
 		s := namespace.PolicyService{}
 		s.Name = fmt.Sprintf("service-%05d", i)
 		s.Sources = []namespace.Source{
-			{Namespace: fmt.Sprintf("team-%05d", i%teams), Number: number(i % teams), Rule: "service " + s.Name},
+			{Namespace: fmt.Sprintf("team-%05d", i%teams), Number: fileVersion(i % teams), Rule: "service " + s.Name},
 		}
 		p.Services = append(p.Services, s)
 	}
@@ -42,35 +42,36 @@
 		}
 		slices.Sort(r.Tenants)
 		r.Tenants = slices.Compact(r.Tenants)
-		weight := &one
+		weight := &defaultWeight
 		if v := versions[team]; v > 1 && i%13 == 2 {
 			weight = new(float64)
 			*weight = 1 + float64(v)/100
 		}
-		at := rng.IntN(services)
-		r.To = []namespace.Target{{Service: fmt.Sprintf("service-%05d", at), Weight: &one}}
+		service := rng.IntN(services)
+		r.To = []namespace.Target{{Service: fmt.Sprintf("service-%05d", service), Weight: &defaultWeight}}
 		if i%13 == 2 || i%4 == 0 {
-			r.To = append(r.To, namespace.Target{Service: fmt.Sprintf("service-%05d", at+1), Weight: weight})
+			r.To = append(r.To, namespace.Target{Service: fmt.Sprintf("service-%05d", service+1), Weight: weight})
 		}
 		r.Source = namespace.Source{
 			Namespace: fmt.Sprintf("team-%05d", team),
-			Number:    number(team),
+			Number:    fileVersion(team),
 			Rule:      fmt.Sprintf("route route-%02d", i%13),
 		}
 		p.Routes = append(p.Routes, r)
 	}
 	for team := range teams {
-		ns := fmt.Sprintf("team-%05d", team)
-		from := []namespace.Source{{Namespace: ns, Number: number(team), Rule: "class c"}}
-		worth := &namespace.Value[float64]{Value: 1, Sources: from}
-		p.Classes = append(p.Classes, namespace.PolicyClass{Name: "class-" + ns, PriorityWeight: worth})
-		least := &namespace.Value[int64]{Value: 5, Sources: from}
-		share := namespace.PolicyShare{Quota: "attempts", Limit: 1 << 30, Namespace: ns, Min: least}
+		teamName := fmt.Sprintf("team-%05d", team)
+		sources := []namespace.Source{{Namespace: teamName, Number: fileVersion(team), Rule: "class c"}}
+		priorityWeight := &namespace.Value[float64]{Value: 1, Sources: sources}
+		p.Classes = append(p.Classes, namespace.PolicyClass{Name: "class-" + teamName, PriorityWeight: priorityWeight})
+		minShare := &namespace.Value[int64]{Value: 5, Sources: sources}
+		share := namespace.PolicyShare{Quota: "attempts", Limit: 1 << 30, Namespace: teamName, Min: minShare}
 		p.Shares = append(p.Shares, share)
 	}
 	return p
 }
 
+// must returns v, and panics if err is not nil.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -78,156 +79,168 @@
 	return v
 }
 
-// changedRoutes returns versions of a policy, in each of which one team changed one route.
-func changedRoutes(routes, n int) (was *namespace.Policy, next []*namespace.Policy) {
+// changedRoutes returns a policy with the given number of routes, and n changed copies of it; in each copy one team
+// changed one route.
+func changedRoutes(routes, n int) (original *namespace.Policy, changed []*namespace.Policy) {
 	rng := rand.New(rand.NewPCG(uint64(routes), 34))
 	for range n {
-		next = append(next, large(routes, map[int]uint64{rng.IntN((routes + 12) / 13): 2}))
+		changed = append(changed, largePolicy(routes, map[int]uint64{rng.IntN((routes + 12) / 13): 2}))
 	}
-	return large(routes, nil), next
+	return largePolicy(routes, nil), changed
 }
 
-// The bytes that a change of one route costs must stay within their bounds.
+// A change of one route must change few chunks: at most 4 KiB among 13,000 routes, and at most one and a half times as
+// much as among 1000 routes.
 func TestBytesOfOneChangedRoute(t *testing.T) {
-	most := map[int]int{}
+	maxBytes := map[int]int{} // by number of routes
 	for _, routes := range []int{1000, 13_000} {
-		was, next := changedRoutes(routes, 8)
-		from := must(was.Tree())
-		for _, p := range next {
+		original, changed := changedRoutes(routes, 8)
+		from := must(original.Tree())
+		for _, p := range changed {
 			to := must(p.Tree())
 			set, removed := merkle.Changes(from, to)
-			if len(set) != 2 || len(removed) != 0 { // the route and its file's number
-				t.Fatalf("%d items set, %d removed", len(set), len(removed))
+			if len(set) != 2 || len(removed) != 0 { // the route and the version number of its file
+				t.Fatalf("merkle.Changes after a change of one route = %d items set, %d removed; want 2 and 0",
+					len(set), len(removed))
 			}
 			sum := 0
-			for _, piece := range to.ChunksNotIn(from) {
-				sum += len(piece)
+			for _, chunk := range to.ChunksNotIn(from) {
+				sum += len(chunk)
 			}
-			most[routes] = max(most[routes], sum)
+			maxBytes[routes] = max(maxBytes[routes], sum)
 		}
 	}
-	t.Log(most)
-	if most[13_000] > 4<<10 || 2*most[13_000] > 3*most[1000] {
-		t.Errorf(
-			"%v bytes for one changed route: over 4 KiB at 13,000, or over one and a half times what it is at 1,000",
-			most,
-		)
+	t.Logf("maximum bytes of changed chunks by number of routes: %v", maxBytes)
+	if maxBytes[13_000] > 4<<10 || 2*maxBytes[13_000] > 3*maxBytes[1000] {
+		t.Errorf("one changed route changes chunks of up to %d bytes among 13,000 routes and %d bytes among 1000; "+
+			"want at most %d bytes among 13,000, and at most one and a half times the bytes among 1000",
+			maxBytes[13_000], maxBytes[1000], 4<<10)
 	}
 }
 
+// BenchmarkState measures building the tree of a policy, and reports the encoded sizes and the heap that the tree, the
+// policy and its routes use.
 func BenchmarkState(b *testing.B) {
-	for _, routes := range sizes {
+	for _, routes := range benchmarkRouteCounts {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
-			p := large(routes, nil)
-			text := len(p.Encode())
-			heap := func() int {
-				var m runtime.MemStats
+			p := largePolicy(routes, nil)
+			encodedSize := len(p.Encode())
+			heapBytes := func() int {
+				var stats runtime.MemStats
 				runtime.GC()
-				runtime.GC() // what pools keep goes with the second
-				runtime.ReadMemStats(&m)
-				return int(m.HeapAlloc)
+				runtime.GC() // frees the contents of each sync.Pool, which survive the first collection
+				runtime.ReadMemStats(&stats)
+				return int(stats.HeapAlloc)
 			}
 			var built *merkle.Tree
 			for b.Loop() {
 				built = must(p.Tree())
 			}
 			count, longest := 0, 0
-			for _, piece := range built.Chunks() {
+			for _, chunk := range built.Chunks() {
 				count++
-				longest = max(longest, len(piece))
+				longest = max(longest, len(chunk))
 			}
-			before := heap()
+			before := heapBytes()
 			tree := must(merkle.Build(slices.Collect(built.Items())))
-			withTree := heap()
+			withTree := heapBytes()
 			policy := must(namespace.FromTree(tree))
-			withPolicy := heap()
-			r := must(Build(policy, "", func(string) bool { return true }))
-			withRoutes := heap()
-			b.ReportMetric(float64(text), "text-B")
+			withPolicy := heapBytes()
+			routeTables := must(Build(policy, "", func(string) bool { return true }))
+			withRoutes := heapBytes()
+			b.ReportMetric(float64(encodedSize), "text-B")
 			b.ReportMetric(float64(tree.Size()), "tree-B")
 			b.ReportMetric(float64(count), "pieces")
 			b.ReportMetric(float64(longest), "longest-B")
 			b.ReportMetric(float64(withTree-before)/1e6, "tree-MB")
-			b.ReportMetric(float64(withPolicy-withTree)/1e6, "policy-MB") // with its table
+			b.ReportMetric(float64(withPolicy-withTree)/1e6, "policy-MB") // with its compiled route table
 			b.ReportMetric(float64(withRoutes-withPolicy)/1e6, "routes-MB")
 			runtime.KeepAlive(built)
 			runtime.KeepAlive(p)
 			runtime.KeepAlive(tree)
 			runtime.KeepAlive(policy)
-			runtime.KeepAlive(r)
+			runtime.KeepAlive(routeTables)
 		})
 	}
 }
 
-// BenchmarkChangedRoute measures the bytes and chunks of one changed route.
+// BenchmarkChangedRoute measures finding the chunks that differ after a change of one route, and reports their number
+// and bytes.
 func BenchmarkChangedRoute(b *testing.B) {
-	for _, routes := range sizes {
+	for _, routes := range benchmarkRouteCounts {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
-			was, next := changedRoutes(routes, 50)
-			from := must(was.Tree())
-			var bytes, count, most int
-			for _, p := range next {
+			original, changed := changedRoutes(routes, 50)
+			from := must(original.Tree())
+			var totalBytes, chunkCount, maxBytes int
+			for _, p := range changed {
 				sum := 0
-				for _, piece := range must(p.Tree()).ChunksNotIn(from) {
-					sum += len(piece)
-					count++
+				for _, chunk := range must(p.Tree()).ChunksNotIn(from) {
+					sum += len(chunk)
+					chunkCount++
 				}
-				bytes, most = bytes+sum, max(most, sum)
+				totalBytes += sum
+				maxBytes = max(maxBytes, sum)
 			}
-			to := must(next[0].Tree())
+			to := must(changed[0].Tree())
 			for b.Loop() {
 				for range to.ChunksNotIn(from) {
 				}
 			}
-			b.ReportMetric(float64(bytes)/float64(len(next)), "B/change")
-			b.ReportMetric(float64(most), "most-B/change")
-			b.ReportMetric(float64(count)/float64(len(next)), "pieces/change")
+			b.ReportMetric(float64(totalBytes)/float64(len(changed)), "B/change")
+			b.ReportMetric(float64(maxBytes), "most-B/change")
+			b.ReportMetric(float64(chunkCount)/float64(len(changed)), "pieces/change")
 		})
 	}
 }
 
-// BenchmarkTakeUp measures the steps in which a proxy adopts one changed route, and adopting the whole policy.
+// BenchmarkTakeUp measures each step in which a proxy adopts a policy with one changed route (1 to 5), adopting the
+// whole policy from chunks or from text (6 and 7), and how the control-plane server builds the tree of the changed
+// policy (8 and 9).
 func BenchmarkTakeUp(b *testing.B) {
-	has := func(string) bool { return true }
-	for _, routes := range sizes {
-		p, changes := changedRoutes(routes, 1)
-		q := changes[0]
-		from, to := must(p.Tree()), must(q.Tree())
-		was := must(namespace.FromTree(from))
-		r := must(Build(was, "", has))
+	hasService := func(string) bool { return true }
+	for _, routes := range benchmarkRouteCounts {
+		original, changes := changedRoutes(routes, 1)
+		changed := changes[0]
+		from := must(original.Tree())
+		to := must(changed.Tree())
+		policy := must(namespace.FromTree(from))
+		routeTables := must(Build(policy, "", hasService))
 		set, removed := merkle.Changes(from, to)
-		next, diff, err := was.With(set, removed)
-		if err != nil || len(diff.Routes) != 1 {
-			b.Fatal(err, len(diff.Routes))
+		nextPolicy, diff, err := policy.With(set, removed)
+		if err != nil {
+			b.Fatalf("Policy.With(one changed route) failed: %v", err)
 		}
-		text := q.Encode()
+		if len(diff.Routes) != 1 {
+			b.Fatalf("Policy.With(one changed route) reports %d changed routes, want 1", len(diff.Routes))
+		}
+		encoded := changed.Encode()
 		assemble := func(b *testing.B) *merkle.Tree {
-			a := merkle.NewAssembly(to.Root(), from)
-			for _, piece := range to.ChunksNotIn(from) {
-				if err := a.Add(piece); err != nil {
-					b.Fatal(err)
+			assembly := merkle.NewAssembly(to.Root(), from)
+			for _, chunk := range to.ChunksNotIn(from) {
+				if err := assembly.Add(chunk); err != nil {
+					b.Fatalf("Assembly.Add(chunk) failed: %v", err)
 				}
 			}
-			return must(a.Tree())
+			return must(assembly.Tree())
 		}
 		for name, step := range map[string]func(b *testing.B){
 			"1 assembly":          func(b *testing.B) { assemble(b) },
 			"2 changes":           func(*testing.B) { merkle.Changes(from, to) },
-			"3 namespace.With":    func(*testing.B) { _, _, _ = was.With(set, removed) },
-			"4 policyroutes.With": func(*testing.B) { must(r.Update(next, diff, has)) },
+			"3 namespace.With":    func(*testing.B) { _, _, _ = policy.With(set, removed) },
+			"4 policyroutes.With": func(*testing.B) { must(routeTables.Update(nextPolicy, diff, hasService)) },
 			"5 all of it": func(b *testing.B) {
-				n, d, err := was.With(merkle.Changes(from, assemble(b)))
+				updated, updatedDiff, err := policy.With(merkle.Changes(from, assemble(b)))
 				if err != nil {
-					b.Fatal(err)
+					b.Fatalf("Policy.With(changes of the assembled tree) failed: %v", err)
 				}
-				must(r.Update(n, d, has))
+				must(routeTables.Update(updated, updatedDiff, hasService))
 			},
-			"6 whole from pieces": func(*testing.B) { must(Build(must(namespace.FromTree(to)), "", has)) },
-			"7 whole from text":   func(*testing.B) { must(Build(must(namespace.Decode(text)), "", has)) },
+			"6 whole from pieces": func(*testing.B) { must(Build(must(namespace.FromTree(to)), "", hasService)) },
+			"7 whole from text":   func(*testing.B) { must(Build(must(namespace.Decode(encoded)), "", hasService)) },
 			"8 steward: tree.With": func(*testing.B) {
 				must(from.With(set, removed))
 			},
-			"9 steward: whole tree": func(*testing.B) { must(q.Tree()) },
+			"9 steward: whole tree": func(*testing.B) { must(changed.Tree()) },
 		} {
 			b.Run(fmt.Sprintf("%d/%s", routes, name), func(b *testing.B) {
 				b.ReportAllocs()
--- a/internal/policy/routetable/errors.go
+++ b/internal/policy/routetable/errors.go
@@ -5,11 +5,14 @@
 	"strings"
 )
 
-// maxNamedServices bounds the services that the text of a MissingServicesError names.
+// maxNamedServices is the maximum number of services that the text of a MissingServicesError names.
 const maxNamedServices = 20
 
-// MissingServicesError means that routes lead to services that the proxy does not have.
-type MissingServicesError struct{ Names []string }
+// MissingServicesError means that routes have target services that the proxy does not have.
+type MissingServicesError struct {
+	// Names are the missing services in ascending order.
+	Names []string
+}
 
 // Error implements error.
 func (e MissingServicesError) Error() string {
@@ -20,7 +23,7 @@
 	return text + strings.Join(e.Names, ", ")
 }
 
-// Code returns the name of this error in messages between processes.
+// Code returns the identifier of this error in messages between processes.
 func (MissingServicesError) Code() string { return "policyroutes.MissingServices" }
 
 // Advice implements operatorerror.Error.
@@ -31,8 +34,8 @@
 
 // InvalidRulesError means that the rules of a policy cannot be compiled.
 type InvalidRulesError struct {
-	Kind string // "routes" or "blocks"
-	Err  error
+	Kind string // which rules: "routes" or "blocks"
+	Err  error  // cause
 }
 
 // Error implements error.
@@ -41,7 +44,7 @@
 // Unwrap returns the cause.
 func (e InvalidRulesError) Unwrap() error { return e.Err }
 
-// Code returns the name of this error in messages between processes.
+// Code returns the identifier of this error in messages between processes.
 func (InvalidRulesError) Code() string { return "policyroutes.BadRoutes" }
 
 // Advice implements operatorerror.Error.
--- a/internal/policy/routetable/routes.go
+++ b/internal/policy/routetable/routes.go
@@ -1,5 +1,6 @@
-// Package routetable builds what requests are routed by from a policy: the routes, their stickiness, and the blocked
-// requests. It is deterministic: no I/O, no goroutine, no clock. A policy that follows another costs what has changed.
+// Package routetable builds the tables that route requests from a policy: the routes, their stickiness, and the rules
+// that block requests. It is deterministic: no I/O, no goroutine, no clock. The cost of an update from one policy to
+// the next depends only on what changed.
 package routetable
 
 import (
@@ -10,23 +11,26 @@
 	"lapisspread/internal/route"
 )
 
-// blockedTarget is the service name of rules in Routes.Blocks. Nobody resolves it.
+// blockedTarget is the service name in the rules of Routes.Blocks. A rule needs a target; this one is never resolved to
+// a service.
 const blockedTarget = "blocked"
 
-// Routes are what requests are routed by under one policy. They are immutable and safe for concurrent use.
+// Routes holds the routing tables of one policy. It is immutable and safe for concurrent use.
 type Routes struct {
+	// Table maps requests to routes.
 	Table *route.Table
-	// StickyBy is what requests of a route stick by, by route, where it is not the key.
+	// StickyBy maps the name of a route to the request attribute that decides which target a request gets ("key",
+	// "tenant" or "request"). Routes without an entry use the key.
 	StickyBy map[string]string
-	// Blocks matches requests that are blocked. Nil blocks none.
+	// Blocks matches the requests that are blocked. Nil means that none are.
 	Blocks *route.Table
 
 	fallback string
 }
 
-// Build returns the routes of a policy. Fallback is the service for requests that no route matches; empty means none.
-// HasService reports whether the proxy has a service. It fails with a MissingServicesError that names all missing
-// services, or with an InvalidRulesError.
+// Build returns the routes of a policy. Fallback is the service for requests that match no route; empty means none.
+// HasService reports whether the proxy has a service. Build returns a MissingServicesError that names all missing
+// services, or an InvalidRulesError.
 func Build(p *namespace.Policy, fallback string, hasService func(string) bool) (*Routes, error) {
 	if err := checkServices(p.Routes, hasService); err != nil {
 		return nil, err
@@ -48,9 +52,10 @@
 	return r, nil
 }
 
-// Update returns the routes of the policy that follows the one of r; diff is how the two differ. The result and the
-// errors are those of Build with the same fallback, as long as hasService answers as it did for r. If the services
-// have changed, use Build, which checks all routes. Update costs what has changed, and leaves r as it is.
+// Update returns the routes of p, where diff is the difference between the policy of r and p. The result and the errors
+// are those of Build with the same fallback, provided that hasService gives the same results as it did for r. If the
+// services have changed, use Build, which checks all routes; Update checks only the changed ones. The cost of Update
+// depends only on what changed. It does not modify r.
 func (r *Routes) Update(
 	p *namespace.Policy, diff *namespace.Diff, hasService func(string) bool,
 ) (*Routes, error) {
@@ -75,7 +80,7 @@
 	}, nil
 }
 
-// updateSticky returns StickyBy under the next policy. It copies the map only if something changes.
+// updateSticky returns StickyBy with the changes of diff. It copies the map only if an entry changes.
 func (r *Routes) updateSticky(diff *namespace.Diff) map[string]string {
 	sticky := r.StickyBy
 	copied := false
@@ -102,7 +107,7 @@
 	return sticky
 }
 
-// checkServices returns a MissingServicesError if routes lead to services that the proxy does not have.
+// checkServices returns a MissingServicesError if a route has a target service that the proxy does not have.
 func checkServices(routes []namespace.PolicyRoute, hasService func(string) bool) error {
 	var missing []string
 	checked := map[string]bool{}
@@ -124,7 +129,7 @@
 	return MissingServicesError{Names: missing}
 }
 
-// compileBlocks returns a table of the blocked requests, nil if there are none.
+// compileBlocks returns a table that matches the blocked requests, or nil if the policy blocks none.
 func compileBlocks(p *namespace.Policy) (*route.Table, error) {
 	if len(p.Blocks) == 0 {
 		return nil, nil
