--- a/internal/policy/distribution/distributor.go
+++ b/internal/policy/distribution/distributor.go
@@ -19,8 +19,8 @@
 	RecentTrees int
 	// MaxNames is the maximum number of chunks in one request.
 	MaxNames int
-	// UnthrottledNames is the maximum number of chunks in a request that is never deferred. A request for more counts as
-	// part of the fetch of a whole policy.
+	// UnthrottledNames is the maximum number of chunks in a request that is never deferred. A request for more counts
+	// as part of the fetch of a whole policy.
 	UnthrottledNames int
 	// MaxBytes bounds the total size of the chunks in one reply.
 	MaxBytes int
--- a/internal/policy/distribution/distributor_test.go
+++ b/internal/policy/distribution/distributor_test.go
@@ -93,20 +93,20 @@
 	second := withItem(t, first, 7, "other")
 	d.Retain([]*merkle.Tree{first, second})
 	if pushed, requested := fetch(t, d, first, second, 1<<20); pushed == 0 || pushed > 5 || requested != 0 {
-		t.Errorf("proxy one change behind: %d chunks pushed, %d fetched by name; want 1 to 5 pushed and none by name",
+		t.Errorf("proxy one change behind: %d chunks pushed, %d fetched by name; want 1 to 5 pushed, 0 by name",
 			pushed, requested)
 	}
 	if pushed, requested := fetch(t, d, first, second, 1); pushed != 0 || requested == 0 || requested > 5 {
-		t.Errorf("maximum of 1 pushed byte: %d chunks pushed, %d fetched by name; want none pushed and 1 to 5 by name",
+		t.Errorf("maximum of 1 pushed byte: %d chunks pushed, %d fetched by name; want 0 pushed, 1 to 5 by name",
 			pushed, requested)
 	}
 	unknown := withItem(t, withItem(t, first, 9, "gone"), 8, "gone")
 	if pushed, requested := fetch(t, d, unknown, second, 1<<20); pushed != 0 || requested == 0 || requested > 15 {
-		t.Errorf("proxy with an unknown root: %d chunks pushed, %d fetched by name; want none pushed and 1 to 15 by name",
+		t.Errorf("proxy with an unknown root: %d chunks pushed, %d fetched by name; want 0 pushed, 1 to 15 by name",
 			pushed, requested)
 	}
 	if pushed, requested := fetch(t, d, nil, second, 1<<20); pushed != 0 || requested < 500 {
-		t.Errorf("proxy without a tree: %d chunks pushed, %d fetched by name; want none pushed and at least 500 by name",
+		t.Errorf("proxy without a tree: %d chunks pushed, %d fetched by name; want 0 pushed, 500 or more by name",
 			pushed, requested)
 	}
 	for i := range 100 { // only the last RecentTrees are remembered
@@ -133,8 +133,8 @@
 	}
 }
 
-// A whole fleet requests a policy at one moment. At most MaxFetches proxies fetch it at a time, the others get a time to
-// retry, and all get the policy in the end. Small requests are never deferred.
+// A whole fleet requests a policy at one moment. At most MaxFetches proxies fetch it at a time, the others get a time
+// to retry, and all get the policy in the end. Small requests are never deferred.
 func TestConcurrentFetchesAreBounded(t *testing.T) {
 	settings := DefaultSettings()
 	settings.MaxFetches = 8
--- a/internal/policy/rollout/bench_test.go
+++ b/internal/policy/rollout/bench_test.go
@@ -7,14 +7,16 @@
 	"time"
 )
 
-var sizes = []int{300, 1000, 4700, 9400}
+// benchmarkFleetSizes are the numbers of proxies in the benchmarked fleets.
+var benchmarkFleetSizes = []int{300, 1000, 4700, 9400}
 
-// benchFleet returns a rollout in a step without requests, which therefore does not end.
+// benchFleet returns a rollout of epoch 2 among n proxies, and their names. As there are no requests, its step does not
+// end.
 func benchFleet(b *testing.B, n int) (*Rollout, []string) {
 	b.Helper()
 	r, err := New(DefaultSettings(), Version{Epoch: 1, Hash: "a"})
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("New(DefaultSettings()) failed: %v", err)
 	}
 	var names []string
 	for i := range n {
@@ -23,7 +25,7 @@
 	slices.Sort(names)
 	r.SetMembers(0, names)
 	if err := r.Start(0, 2, "b", 2); err != nil {
-		b.Fatal(err)
+		b.Fatalf("Start(epoch 2) failed: %v", err)
 	}
 	return r, names
 }
@@ -31,12 +33,13 @@
 // BenchmarkSecond measures one second at the leader during a step: each proxy reports once, and members are updated ten
 // times.
 func BenchmarkSecond(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r, names := benchFleet(b, n)
-			now, number := time.Duration(0), uint64(0)
+			now := time.Duration(0)
+			sequence := uint64(0)
 			for b.Loop() {
-				number++
+				sequence++
 				for i, name := range names {
 					if i%(n/10) == 0 {
 						now += 100 * time.Millisecond
@@ -44,24 +47,25 @@
 						r.Tick(now)
 					}
 					_ = r.Target(name)
-					r.Report(now, Report{Proxy: name, Sequence: number, Current: Version{Epoch: 1, Hash: "a"}, Good: 0})
+					report := Report{Proxy: name, Sequence: sequence, Current: Version{Epoch: 1, Hash: "a"}, Good: 0}
+					r.Report(now, report)
 				}
 			}
 			if state, _ := r.State(); state != InProgress {
-				b.Fatal(state)
+				b.Fatalf("rollout without requests is %v, want %v", state, InProgress)
 			}
 		})
 	}
 }
 
-// BenchmarkTurn measures one proxy that leaves and one that joins during a step.
+// BenchmarkTurn measures a SetMembers call in which one proxy leaves and one joins during a step.
 func BenchmarkTurn(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range benchmarkFleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r, names := benchFleet(b, n)
 			i := 0
 			for b.Loop() {
-				names = append(names[1:], fmt.Sprintf("later-%09d", i)) // members need not be in order
+				names = append(names[1:], fmt.Sprintf("later-%09d", i)) // SetMembers takes names in any order
 				i++
 				r.SetMembers(0, names)
 			}
@@ -69,33 +73,35 @@
 	}
 }
 
-// BenchmarkLook measures a look that stops a version, which takes all the draws that the level needs, with cells and
-// without, and a look that does not.
+// BenchmarkLook measures a look that does not stop the version ("harmless") and looks that do, which take all draws
+// that the significance level needs: with cells ("harmful") and with proxies drawn one by one ("onebyone").
 func BenchmarkLook(b *testing.B) {
-	for _, n := range sizes {
-		for _, k := range []struct {
+	for _, n := range benchmarkFleetSizes {
+		for _, testCase := range []struct {
 			name      string
-			harm      int64
+			harm      int64 // additional bad requests per report with the new version
 			mutations mutation
 		}{{"harmless", 0, 0}, {"harmful", 50, 0}, {"onebyone", 50, skipCells}} {
-			b.Run(fmt.Sprintf("%s/%d", k.name, n), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/%d", testCase.name, n), func(b *testing.B) {
 				for b.Loop() {
 					b.StopTimer()
 					r, names := benchFleet(b, n)
-					r.step, r.mutations = len(r.settings.Steps)-2, k.mutations
+					r.step, r.mutations = len(r.settings.Steps)-2, testCase.mutations
 					r.startStep(0)
 					for i, name := range names {
-						o, bad := r.Target(name), int64(i%23)
-						if o.Epoch == 2 {
-							bad += k.harm
+						target := r.Target(name)
+						bad := int64(i % 23)
+						if target.Epoch == 2 {
+							bad += testCase.harm
 						}
-						r.Report(100*time.Millisecond, Report{name, 1, o, 1000 - bad, bad})
-						r.Report(r.settings.StepDuration, Report{name, 2, o, 1000 - bad, bad})
+						r.Report(100*time.Millisecond, Report{name, 1, target, 1000 - bad, bad})
+						r.Report(r.settings.StepDuration, Report{name, 2, target, 1000 - bad, bad})
 					}
 					b.StartTimer()
 					r.Tick(r.settings.StepDuration)
-					if state, _ := r.State(); (state == Stopped) != (k.harm > 0) {
-						b.Fatal(state)
+					if state, _ := r.State(); (state == Stopped) != (testCase.harm > 0) {
+						b.Fatalf("%s version: rollout is %v after the look, want stopped only if harmful",
+							testCase.name, state)
 					}
 				}
 			})
@@ -103,36 +109,38 @@
 	}
 }
 
-// BenchmarkTrains reports how many rollouts were stopped, and the mean part of the fleet that had the version by then.
-// In half of the harmless ones a tenth of the fleet dies.
+// BenchmarkTrains simulates rollouts. It reports their number ("trains"), how many were stopped ("stopped"), and the
+// mean fraction of the fleet that had the version when they were stopped ("part"). In half of the harmless ones a tenth
+// of the fleet fails.
 func BenchmarkTrains(b *testing.B) {
-	run := func(name string, plays, n int, harm float64) {
+	run := func(name string, rollouts, n int, harm float64) {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				stops, part := 0, 0.0
-				for seed := range uint64(plays) {
-					l := newFleetSim(b, seed+1000, n, 0)
-					l.start(b, 2+seed)
-					l.extraBadShare = func(m *simProxy) float64 {
-						if m.current.Epoch != 1 {
+				stops := 0
+				adoptedShare := 0.0
+				for seed := range uint64(rollouts) {
+					fleet := newFleetSim(b, seed+1000, n, 0)
+					fleet.start(b, 2+seed)
+					fleet.extraBadShare = func(p *simProxy) float64 {
+						if p.current.Epoch != 1 {
 							return harm
 						}
 						return 0
 					}
 					if harm == 0 && seed%2 == 0 {
-						l.runUntilEnd(time.Duration(l.rng.IntN(40)) * 100 * time.Millisecond)
+						fleet.runUntilEnd(time.Duration(fleet.rng.IntN(40)) * 100 * time.Millisecond)
 						for range n / 10 {
-							l.proxies[l.rng.IntN(n)].nextReport = 1 << 60
+							fleet.proxies[fleet.rng.IntN(n)].nextReport = neverReports
 						}
 					}
-					if l.runUntilEnd(time.Minute) == Stopped {
+					if fleet.runUntilEnd(time.Minute) == Stopped {
 						stops++
-						part += float64(l.countAtEpoch(2+seed)) / float64(n)
+						adoptedShare += float64(fleet.countAtEpoch(2+seed)) / float64(n)
 					}
 				}
-				b.ReportMetric(float64(plays), "trains")
+				b.ReportMetric(float64(rollouts), "trains")
 				b.ReportMetric(float64(stops), "stopped")
-				b.ReportMetric(part/float64(max(1, stops)), "part")
+				b.ReportMetric(adoptedShare/float64(max(1, stops)), "part")
 			}
 		})
 	}
@@ -146,26 +154,26 @@
 	}
 }
 
-// BenchmarkDisplaced reports how many of 400 rollouts complete if each takes the place of the one before, with steps
-// of a minute.
+// BenchmarkDisplaced starts a rollout with steps of a minute every 9 s, so that each replaces the unfinished one before
+// it. It reports how many were started ("begun") and how many completed ("through").
 func BenchmarkDisplaced(b *testing.B) {
 	for b.Loop() {
-		l := newFleetSim(b, 1, 300, 0)
+		fleet := newFleetSim(b, 1, 300, 0)
 		var err error
-		if l.rollout, err = New(minuteSteps(), Version{Epoch: 1, Hash: "1"}); err != nil {
-			b.Fatal(err)
+		if fleet.rollout, err = New(minuteSteps(), Version{Epoch: 1, Hash: "1"}); err != nil {
+			b.Fatalf("New(minuteSteps()) failed: %v", err)
 		}
-		for _, m := range l.proxies {
-			l.rollout.Join(0, m.name)
+		for _, p := range fleet.proxies {
+			fleet.rollout.Join(0, p.name)
 		}
-		through := 0
+		completed := 0
 		for epoch := uint64(2); epoch < 402; epoch++ {
-			l.start(b, epoch)
-			if l.runUntilEnd(9*time.Second) == Done {
-				through++
+			fleet.start(b, epoch)
+			if fleet.runUntilEnd(9*time.Second) == Done {
+				completed++
 			}
 		}
 		b.ReportMetric(400, "begun")
-		b.ReportMetric(float64(through), "through")
+		b.ReportMetric(float64(completed), "through")
 	}
 }
--- a/internal/policy/routetable/bench_test.go
+++ b/internal/policy/routetable/bench_test.go
@@ -15,8 +15,8 @@
 var benchmarkRouteCounts = []int{1000, 4000, 13_000, 26_000}
 
 // largePolicy returns a policy of many teams: 13 routes per team, 11 or 12 tenants per route, one service for every
-// nine routes, and a class and a share for each team. Versions maps the index of a team to the version number of its file,
-// by default 1; each version of a file has another weight in its third route.
+// nine routes, and a class and a share for each team. Versions maps the index of a team to the version number of its
+// file, by default 1; each version of a file has another weight in its third route.
 func largePolicy(routes int, versions map[int]uint64) *namespace.Policy {
 	rng := rand.New(rand.NewPCG(uint64(routes), 33))
 	p := &namespace.Policy{Format: 1}
