--- a/internal/policy/rollout/fleet_scenarios_test.go
+++ b/internal/policy/rollout/fleet_scenarios_test.go
@@ -378,7 +378,8 @@
 		_, rate := r.planLooks(n)
 		if rate > settings.SmallFleetErrorRate || rate < settings.ErrorRate || rate > previousRate {
 			t.Errorf("planLooks(%d proxies) has error rate %v, want between %v and %v, "+
-				"and not above %v, that of a smaller fleet", n, rate, settings.ErrorRate, settings.SmallFleetErrorRate, previousRate)
+				"and not above %v, that of a smaller fleet",
+				n, rate, settings.ErrorRate, settings.SmallFleetErrorRate, previousRate)
 		}
 		if n >= 32 && rate != settings.ErrorRate {
 			t.Errorf("planLooks(%d proxies) has error rate %v, want ErrorRate, %v", n, rate, settings.ErrorRate)
--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -17,36 +17,38 @@
 	"lapisspread/internal/operatorerror"
 )
 
-// TestMain has rapid play the same cases in every run.
+// TestMain gives rapid a fixed seed, so that every run tests the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Set("rapid.seed", "24") != nil || flag.Set("rapid.nofailfile", "true") != nil {
-		panic("rapid has no such flags")
+		panic("package rapid does not define the flags rapid.seed and rapid.nofailfile")
 	}
 	os.Exit(m.Run())
 }
 
-// findViolations plays rollouts in random fleets and returns what is wrong.
+// findViolations simulates rollouts in random fleets and returns descriptions of all violated rules. With mutations it
+// stops at the first.
 func findViolations(t *testing.T, mutations mutation) []string {
-	wrong := playHarmless(t, mutations)
-	if mutations != 0 && len(wrong) > 0 {
-		return wrong
+	violations := checkHarmlessVersions(t, mutations)
+	if mutations != 0 && len(violations) > 0 {
+		return violations
 	}
-	return append(wrong, playHarmful(t, mutations)...)
+	return append(violations, checkHarmfulVersions(t, mutations)...)
 }
 
-// playHarmless checks that harmless versions reach all proxies, and are stopped no more often than the error rate says,
-// within three standard deviations.
-func playHarmless(t *testing.T, mutations mutation) (wrong []string) {
+// checkHarmlessVersions checks that harmless versions reach all proxies, and that they are stopped no more often than
+// the error rate allows, within three standard deviations.
+func checkHarmlessVersions(t *testing.T, mutations mutation) (violations []string) {
 	const errorRate = 0.02
-	plays := 300
+	runs := 300
 	if mutations&(skipTest|ignoreSilent|skipMinRequests) != 0 {
-		plays = 20 // these err towards harmful versions
+		runs = 20 // these mutations show with harmful versions
 	}
-	stops, played := 0, 0
-	for i := range plays {
-		played++
-		w := simulation{
+	stops := 0
+	completedRuns := 0
+	for i := range runs {
+		completedRuns++
+		s := simulation{
 			n:                 60,
 			requestsPerReport: 100,
 			reportInterval:    4 * time.Second,
@@ -55,107 +57,120 @@
 			leaving:           i % 2 * 6,
 			margin:            0.002,
 		}
-		state, _, violation := w.play()
+		state, _, violation := s.run()
 		if violation != "" {
-			wrong = append(wrong, violation)
+			violations = append(violations, violation)
 		}
 		switch state {
 		case Stopped:
 			stops++
 		case InProgress:
-			wrong = append(wrong, "a harmless version never reaches all")
+			violations = append(violations, fmt.Sprintf(
+				"seed %d: rollout of a harmless version is still %v after 10m, want %v", i, state, Done))
 		}
-		if mutations != 0 && (len(wrong) > 0 || stops > 13) {
-			break // detected
+		if mutations != 0 && (len(violations) > 0 || stops > 13) {
+			break // the mutation is detected
 		}
 	}
-	t.Logf("mutations %d: a harmless version was stopped in %d of %d", mutations, stops, played)
-	deviation := math.Sqrt(errorRate * (1 - errorRate) * float64(plays))
-	if float64(stops) > errorRate*float64(plays)+3*deviation {
-		wrong = append(wrong, fmt.Sprintf("a harmless version was stopped in %d of %d", stops, played))
+	t.Logf("mutations %d: harmless versions were stopped in %d of %d rollouts", mutations, stops, completedRuns)
+	deviation := math.Sqrt(errorRate * (1 - errorRate) * float64(runs))
+	maxStops := errorRate*float64(runs) + 3*deviation
+	if float64(stops) > maxStops {
+		violations = append(violations, fmt.Sprintf(
+			"harmless versions were stopped in %d of %d rollouts, want at most %.1f", stops, completedRuns, maxStops))
 	}
-	return wrong
+	return violations
 }
 
-// playHarmful checks that harmful versions are stopped before many proxies have them.
-func playHarmful(t *testing.T, mutations mutation) (wrong []string) {
-	const plays = 20
-	share := map[string]float64{}
+// checkHarmfulVersions checks that harmful versions are stopped before many proxies have them.
+func checkHarmfulVersions(t *testing.T, mutations mutation) (violations []string) {
+	const runs = 20
+	meanShares := map[string]float64{}
 	defer func() {
-		t.Logf("mutations %d: mean share that had the version when it was stopped: %.3v", mutations, share)
+		t.Logf("mutations %d: mean fraction of the fleet that had the version when it was stopped: %.3v",
+			mutations, meanShares)
 	}()
-	for i := range plays {
-		if mutations != 0 && len(wrong) > 0 {
-			return wrong
+	for i := range runs {
+		if mutations != 0 && len(violations) > 0 {
+			return violations
 		}
-		for name, w := range map[string]simulation{
-			"a tenth more goes bad":      {n: 60, extraBadShare: 0.1, requestsPerReport: 100},
-			"half goes bad, small fleet": {n: 4, extraBadShare: 0.5, requestsPerReport: 400},
-			"a tenth, fleet of twenty":   {n: 20, extraBadShare: 0.1, requestsPerReport: 400},
-			"most that adopt it die":     {n: 60, dyingShare: 0.7, requestsPerReport: 100},
-			"3 more of 100 go bad":       {n: 300, extraBadShare: 0.03, requestsPerReport: 50},
+		for name, s := range map[string]simulation{
+			"60 proxies, 10% more bad requests":     {n: 60, extraBadShare: 0.1, requestsPerReport: 100},
+			"4 proxies, 50% more bad requests":      {n: 4, extraBadShare: 0.5, requestsPerReport: 400},
+			"20 proxies, 10% more bad requests":     {n: 20, extraBadShare: 0.1, requestsPerReport: 400},
+			"60 proxies, 70% fail with the version": {n: 60, dyingShare: 0.7, requestsPerReport: 100},
+			"300 proxies, 3% more bad requests":     {n: 300, extraBadShare: 0.03, requestsPerReport: 50},
 		} {
-			w.reportInterval = 4 * time.Second
-			w.seed = uint64(i)
-			w.mutations = mutations
-			w.margin = 0.002
-			state, most, _ := w.play()
-			share[name] += float64(most) / float64(w.n) / plays
-			if state != Stopped || most > w.n*2/5 {
-				wrong = append(wrong, fmt.Sprintf("%s: %v, and %d of %d had it", name, state, most, w.n))
+			s.reportInterval = 4 * time.Second
+			s.seed = uint64(i)
+			s.mutations = mutations
+			s.margin = 0.002
+			state, maxUpdated, _ := s.run()
+			meanShares[name] += float64(maxUpdated) / float64(s.n) / runs
+			if state != Stopped || maxUpdated > s.n*2/5 {
+				violations = append(violations, fmt.Sprintf(
+					"%s, seed %d: rollout is %v and %d of %d proxies had the version; want %v and at most %d",
+					name, i, state, maxUpdated, s.n, Stopped, s.n*2/5))
 			}
 		}
-		w := simulation{n: 60, reportInterval: 4 * time.Second, seed: uint64(i), mutations: mutations}
-		if state, most, _ := w.play(); state != InProgress || most > 10 {
-			wrong = append(wrong, fmt.Sprintf("with no requests: %v, and %d had it", state, most))
+		idle := simulation{n: 60, reportInterval: 4 * time.Second, seed: uint64(i), mutations: mutations}
+		if state, maxUpdated, _ := idle.run(); state != InProgress || maxUpdated > 10 {
+			violations = append(violations, fmt.Sprintf(
+				"60 proxies without requests, seed %d: rollout is %v and %d proxies had the version; "+
+					"want %v and at most 10", i, state, maxUpdated, InProgress))
 		}
 	}
-	return wrong
+	return violations
 }
 
 func TestHarmlessVersionsCompleteAndHarmfulOnesStop(t *testing.T) {
-	if wrong := findViolations(t, 0); len(wrong) > 0 {
-		t.Errorf("%d: %s", len(wrong), wrong[0])
+	if violations := findViolations(t, 0); len(violations) > 0 {
+		t.Errorf("findViolations without mutations found %d violations, want none; the first: %s",
+			len(violations), violations[0])
 	}
 }
 
+// The checks of this package notice when a safeguard is removed.
 func TestMutationsAreDetected(t *testing.T) {
 	for name, mutations := range map[string]mutation{
-		"no test":                           skipTest,
-		"the whole error rate at each look": fullErrorRatePerLook,
-		"requests counted as independent":   poolRequests,
-		"silent ones left out":              ignoreSilent,
-		"looks without requests":            skipMinRequests,
+		"no test at a look":               skipTest,
+		"whole error rate at each look":   fullErrorRatePerLook,
+		"requests treated as independent": poolRequests,
+		"silent proxies left out":         ignoreSilent,
+		"looks without enough requests":   skipMinRequests,
 	} {
-		wrong := findViolations(t, mutations)
-		if len(wrong) == 0 {
-			t.Errorf("%s: not detected", name)
+		violations := findViolations(t, mutations)
+		if len(violations) == 0 {
+			t.Errorf("mutation %q: findViolations found no violation, want at least 1", name)
 			continue
 		}
-		t.Logf("%s: %s", name, wrong[0])
+		t.Logf("mutation %q was detected: %s", name, violations[0])
 	}
 	for name, mutations := range map[string]mutation{
-		"older epochs are adopted": acceptStaleVersion,
-		"any content":              skipHashCheck,
+		"older versions are adopted": acceptStaleVersion,
+		"any content is adopted":     skipHashCheck,
 	} {
 		detected := ""
-		for i := uint64(0); i < 200 && detected == ""; i++ {
-			detected = playCurrentVersion(rand.New(rand.NewPCG(i, 3)), mutations)
+		for seed := uint64(0); seed < 200 && detected == ""; seed++ {
+			detected = checkCurrentVersion(rand.New(rand.NewPCG(seed, 3)), mutations)
 		}
-		t.Logf("%s: %s", name, detected)
 		if detected == "" {
-			t.Errorf("%s: not detected", name)
+			t.Errorf("mutation %q: checkCurrentVersion found no violation with 200 seeds, want at least 1", name)
+			continue
 		}
+		t.Logf("mutation %q was detected: %s", name, detected)
 	}
 }
 
+// A harmful version is stopped, the next version goes first to the proxies that have it, and a rollback returns the
+// fleet to the version before under a new generation.
 func TestStopAndRollback(t *testing.T) {
 	r, err := New(minuteSteps(), Version{Epoch: 4, Hash: "a"})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New(minuteSteps(), epoch 4) failed: %v", err)
 	}
 	if r.Rollback() == nil {
-		t.Error("rolled back without a version before")
+		t.Error("Rollback() before the first rollout succeeded, want an error")
 	}
 	var names []string
 	for i := range 40 {
@@ -164,31 +179,36 @@
 	r.SetMembers(0, names)
 	var stale StaleVersionError
 	if err := r.Start(0, 4, "b", 1); !errors.As(err, &stale) {
-		t.Errorf("a used epoch: %v", err)
+		t.Errorf("Start(epoch 4, which the fleet has) = %v, want a StaleVersionError", err)
 	}
 	if err := r.Start(0, 6, "b", 1); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start(epoch 6) failed: %v", err)
 	}
-	now, first := checkHarmfulStop(t, r, names)
-	checkFixedVersion(t, r, now, names, first)
+	now, stopped := checkHarmfulStop(t, r, names)
+	checkFixedVersion(t, r, now, names, stopped)
 
 	if err := r.Rollback(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Rollback() in the rollout of epoch 7 failed: %v", err)
 	}
 	current := NewCurrentVersion(Version{0, 7, "c"})
 	target := r.Target(names[0])
-	if target != (Version{1, 4, "a"}) || errors.As(current.AdoptText(target, nil), &stale) {
-		t.Errorf("after a rollback: %+v", target)
+	adoptErr := current.AdoptText(target, nil)
+	if target != (Version{1, 4, "a"}) || errors.As(adoptErr, &stale) {
+		t.Errorf("after Rollback(): Target = %+v, and a proxy with epoch 7 adopts it with error %v; "+
+			"want %+v and no StaleVersionError", target, adoptErr, Version{1, 4, "a"})
 	}
 	if err := r.Start(now, 7, "d", 2); !errors.As(err, &stale) {
-		t.Errorf("epoch 7 is accepted again: %v", err)
+		t.Errorf("Start(epoch 7) after its rollback = %v, want a StaleVersionError", err)
+	}
+	if err := r.Start(now, 8, "d", 2); err != nil {
+		t.Fatalf("Start(epoch 8) after the rollback failed: %v", err)
 	}
-	if err := r.Start(now, 8, "d", 2); err != nil || r.Target(targetedAt(r, names, 8)[0]).Generation != 1 {
-		t.Errorf("after the rollback: %v", err)
+	if got := r.Target(targetedAt(r, names, 8)[0]); got.Generation != 1 {
+		t.Errorf("Start(epoch 8) after the rollback: Target of a drawn proxy = %+v, want generation 1", got)
 	}
 }
 
-// targetedAt returns the proxies that are to have an epoch.
+// targetedAt returns the names of the proxies whose target version has the epoch.
 func targetedAt(r *Rollout, names []string, epoch uint64) (targeted []string) {
 	for _, name := range names {
 		if r.Target(name).Epoch == epoch {
@@ -198,11 +218,11 @@
 	return targeted
 }
 
-// checkHarmfulStop plays epoch 6, under which a fifth of the requests is bad, until it stops. It returns the proxies
-// that have it.
-func checkHarmfulStop(t *testing.T, r *Rollout, names []string) (now time.Duration, first []string) {
+// checkHarmfulStop simulates the rollout of epoch 6, with which a fifth of the requests is bad, until it stops. It
+// returns the time and the proxies that have epoch 6.
+func checkHarmfulStop(t *testing.T, r *Rollout, names []string) (now time.Duration, drawn []string) {
 	t.Helper()
-	first = targetedAt(r, names, 6)
+	drawn = targetedAt(r, names, 6)
 	sequence := uint64(0)
 	for range 60 {
 		now += 4 * time.Second
@@ -220,60 +240,67 @@
 	state, err := r.State()
 	var harm HarmDetectedError
 	if state != Stopped || !errors.As(err, &harm) || operatorerror.AdviceOf(err) == "" {
-		t.Fatalf("%v %v", state, err)
+		t.Fatalf("State() = %v, %v (advice %q); want %v with a HarmDetectedError that has advice",
+			state, err, operatorerror.AdviceOf(err), Stopped)
 	}
-	if !strings.Contains(err.Error(), "20.00% of requests go bad") {
-		t.Fatalf("%v %v", state, err)
+	const wantText = "20.00% of requests go bad"
+	if !strings.Contains(err.Error(), wantText) {
+		t.Fatalf("HarmDetectedError reads %q, want it to contain %q", err, wantText)
 	}
 	targeted := targetedAt(r, names, 6)
-	if !slices.Equal(targeted, first) || len(first) >= 20 {
-		t.Errorf("stopped, and %d have it; %d had it first", len(targeted), len(first))
+	if !slices.Equal(targeted, drawn) || len(drawn) >= 20 {
+		t.Errorf("after the stop %v have epoch 6, at the start %v; want the same proxies, fewer than 20",
+			targeted, drawn)
 	}
 	r.SetMembers(now, append(names, "late"))
 	if got := r.Target("late"); got.Epoch != 4 {
-		t.Errorf("a proxy that joins gets a stopped version: %+v", got)
+		t.Errorf("Target(proxy that joins after the stop) = %+v, want epoch 4", got)
 	}
-	return now, first
+	return now, drawn
 }
 
-// checkFixedVersion starts epoch 7. It goes first to the proxies with the stopped version, and to as many others as a
-// first step has, drawn from the rest: only these are compared.
-func checkFixedVersion(t *testing.T, r *Rollout, now time.Duration, names, first []string) {
+// checkFixedVersion starts epoch 7. The proxies with the stopped version get it first, and the same number of other
+// proxies, which are drawn: only the drawn ones are compared.
+func checkFixedVersion(t *testing.T, r *Rollout, now time.Duration, names, stopped []string) {
 	t.Helper()
 	if err := r.Start(now, 7, "c", 2); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start(epoch 7) failed: %v", err)
 	}
 	targeted := targetedAt(r, names, 7)
-	for _, name := range first {
+	for _, name := range stopped {
 		if !slices.Contains(targeted, name) {
-			t.Errorf("the fixed version begins with %v, the stopped one was at %v", targeted, first)
+			t.Errorf("Start(epoch 7) gives it to %v, want also to %s, which has the stopped version", targeted, name)
 		}
 	}
-	if len(targeted) != 2*len(first) {
-		t.Errorf("the fixed version begins with %v: twice as many were wanted as %v", targeted, first)
+	if len(targeted) != 2*len(stopped) {
+		t.Errorf("Start(epoch 7) gives it to %d proxies, want %d, twice as many as have the stopped version",
+			len(targeted), 2*len(stopped))
 	}
 }
 
-// Whatever happens, the target of a proxy goes back only by a rollback of an operator.
+// In any sequence of calls, the target of a proxy goes back only by a rollback.
 func TestTargetsOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, err := New(DefaultSettings(), Version{Epoch: 1, Hash: "1"})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New(DefaultSettings(), epoch 1) failed: %v", err)
 		}
-		now, epoch, number, backs := time.Duration(0), uint64(1), uint64(0), uint64(0)
-		seen := map[string]Version{}
+		now := time.Duration(0)
+		epoch := uint64(1)
+		sequence := uint64(0)
+		rollbacks := uint64(0)
+		lastTargets := map[string]Version{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds")) * time.Second
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				epoch += rapid.Uint64Range(1, 3).Draw(t, "more")
 				if err := r.Start(now, epoch, fmt.Sprint(epoch), epoch); err != nil {
-					t.Fatal(err)
+					t.Fatalf("Start(epoch %d) failed: %v", epoch, err)
 				}
 			case 1:
 				if r.Rollback() == nil {
-					backs++
+					rollbacks++
 				}
 			case 2:
 				var names []string
@@ -284,36 +311,38 @@
 				}
 				r.SetMembers(now, names)
 			default:
-				for name, o := range seen {
-					number++
-					r.Report(now, Report{name, number, o, 1000, int64(rapid.IntRange(0, 500).Draw(t, "bad"))})
+				for name, version := range lastTargets {
+					sequence++
+					bad := int64(rapid.IntRange(0, 500).Draw(t, "bad"))
+					r.Report(now, Report{name, sequence, version, 1000, bad})
 				}
 				r.Tick(now)
 			}
 			for i := range 20 {
 				name := fmt.Sprint("p", i)
 				if r.proxies[name] == nil {
-					delete(seen, name)
+					delete(lastTargets, name)
 					continue
 				}
-				o := r.Target(name)
-				if was, there := seen[name]; there && was.NewerThan(o) {
-					t.Fatalf("%s: %+v after %+v", name, o, was)
+				target := r.Target(name)
+				if previous, found := lastTargets[name]; found && previous.NewerThan(target) {
+					t.Fatalf("Target(%s) = %+v, which is older than the previous target %+v", name, target, previous)
 				}
-				if o.Generation != backs {
-					t.Fatalf("%s: order %d, %d rollbacks", name, o.Generation, backs)
+				if target.Generation != rollbacks {
+					t.Fatalf("Target(%s) has generation %d, want %d, the number of rollbacks",
+						name, target.Generation, rollbacks)
 				}
-				seen[name] = o
+				lastTargets[name] = target
 			}
 		}
 	})
 }
 
-// A fleet of which few proxies are left for a moment does not complete a rollout.
+// A rollout does not complete while only few of the fleet's proxies are members.
 func TestFewMembersAreNotTheFleet(t *testing.T) {
 	r, err := New(DefaultSettings(), Version{Epoch: 1, Hash: "a"})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New(DefaultSettings(), epoch 1) failed: %v", err)
 	}
 	names := []string{"p0", "p1", "p2", "p3", "p4", "p5"}
 	tick := func(now time.Duration, members []string) State {
@@ -324,17 +353,21 @@
 	}
 	r.SetMembers(0, names)
 	if err := r.Start(0, 2, "b", 1); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start(epoch 2) failed: %v", err)
 	}
 	for i, members := range [][]string{names[:1], nil, names[5:], names} {
 		if got := tick(time.Duration(i)*time.Hour, members); got != InProgress {
-			t.Errorf("%d of 6 left: %v", len(members), got)
+			t.Errorf("Tick with %d of 6 proxies as members: rollout is %v, want %v", len(members), got, InProgress)
 		}
 	}
 	r, _ = New(DefaultSettings(), Version{Epoch: 1, Hash: "a"})
 	r.SetMembers(0, names[:1])
-	if err := r.Start(0, 2, "b", 1); err != nil || tick(time.Second, names[:1]) != Done || r.Target("p0").Epoch != 2 {
-		t.Errorf("a fleet of one: %v", err)
+	if err := r.Start(0, 2, "b", 1); err != nil {
+		t.Fatalf("Start(epoch 2) in a fleet of 1 failed: %v", err)
+	}
+	state := tick(time.Second, names[:1])
+	if target := r.Target("p0"); state != Done || target.Epoch != 2 {
+		t.Errorf("Tick in a fleet of 1: rollout is %v and the target is %+v, want %v and epoch 2", state, target, Done)
 	}
 }
 
@@ -352,38 +385,41 @@
 		s := DefaultSettings()
 		change(&s)
 		if _, err := New(s, Version{}); err == nil {
-			t.Errorf("%+v is accepted", s)
+			t.Errorf("New(%+v) succeeded, want an error", s)
 		}
 	}
 	r, err := New(DefaultSettings(), Version{})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New(DefaultSettings()) failed: %v", err)
 	}
 	for n, want := range map[int]bool{1: false, 4: false, 9: false, 10: true, 20: true, 300: true} {
 		if got := r.CanDetect(n); got != want {
-			t.Errorf("a fleet of %d: can detect: %v", n, got)
+			t.Errorf("CanDetect(%d proxies) = %v, want %v", n, got, want)
 		}
 	}
 }
 
-// BenchmarkStops reports how many rollouts were stopped, and the mean part of the fleet that had the version by then.
+// BenchmarkStops simulates rollouts. It reports how many were stopped ("stopped"), and the mean fraction of the fleet
+// that had the version when they were stopped ("part").
 func BenchmarkStops(b *testing.B) {
-	run := func(name string, plays int, w func(i int) simulation) {
+	run := func(name string, rollouts int, newSimulation func(i int) simulation) {
 		b.Run(name, func(b *testing.B) {
-			stops, part := 0, 0.0
+			stops := 0
+			updatedShare := 0.0
 			for b.Loop() {
-				stops, part = 0, 0
-				for i := range plays {
-					x := w(i)
-					x.reportInterval = 4 * time.Second
-					if state, most, _ := x.play(); state == Stopped {
+				stops = 0
+				updatedShare = 0
+				for i := range rollouts {
+					s := newSimulation(i)
+					s.reportInterval = 4 * time.Second
+					if state, maxUpdated, _ := s.run(); state == Stopped {
 						stops++
-						part += float64(most) / float64(x.n)
+						updatedShare += float64(maxUpdated) / float64(s.n)
 					}
 				}
 			}
 			b.ReportMetric(float64(stops), "stopped")
-			b.ReportMetric(part/float64(max(1, stops)), "part")
+			b.ReportMetric(updatedShare/float64(max(1, stops)), "part")
 		})
 	}
 	for _, n := range []int{10, 60} {
--- a/internal/policy/rollout/simulation_test.go
+++ b/internal/policy/rollout/simulation_test.go
@@ -8,42 +8,47 @@
 	"time"
 )
 
-// minuteSteps are settings with steps of a minute and a high error rate.
+// minuteSteps returns settings with steps of a minute and a high error rate.
 func minuteSteps() Settings {
-	s := DefaultSettings()
-	s.Steps, s.StepDuration, s.LooksPerStep, s.MinRequests, s.ErrorRate, s.SmallFleetErrorRate = []float64{0.03, 0.1,
-		0.3, 1}, time.Minute, 4, 2000, 0.02, 0.02
-	return s
+	settings := DefaultSettings()
+	settings.Steps = []float64{0.03, 0.1, 0.3, 1}
+	settings.StepDuration = time.Minute
+	settings.LooksPerStep = 4
+	settings.MinRequests = 2000
+	settings.ErrorRate = 0.02
+	settings.SmallFleetErrorRate = 0.02
+	return settings
 }
 
-// simulation plays one rollout in a fleet whose proxies differ in their share of bad requests.
+// simulation runs one rollout in a fleet whose proxies differ in their share of bad requests.
 type simulation struct {
-	n                 int
-	extraBadShare     float64 // with the new version
-	dyingShare        float64 // of the proxies that adopt it
-	requestsPerReport int64   // 0 is no traffic
+	n                 int     // proxies at the start
+	extraBadShare     float64 // added to the share of bad requests by the new version
+	dyingShare        float64 // probability that a proxy fails when it adopts a version
+	requestsPerReport int64   // 0 means no traffic
 	mutations         mutation
 	seed              uint64
 	reportInterval    time.Duration
-	leaving           int // proxies that leave
-	margin            float64
+	leaving           int     // proxies that leave during the rollout
+	margin            float64 // Settings.Margin
 }
 
-// proxyState is a proxy of a simulation.
+// proxyState is the state of one proxy in a simulation.
 type proxyState struct {
 	name     string
-	badShare float64
+	badShare float64 // share of bad requests with the old version, 0 to 1
 	current  Version
-	dead     bool
+	failed   bool // sends no more reports
 }
 
-// play returns the state at the end, the most proxies that ever had the version, and what must never happen.
-func (w *simulation) play() (end State, most int, violation string) {
-	rng := rand.New(rand.NewPCG(w.seed, 1))
-	r, proxies := w.start(rng)
+// run simulates up to ten minutes. It returns the state at the end, the maximum number of proxies that were to have the
+// new version, and a description of a violated rule, "" if there is none.
+func (s *simulation) run() (end State, maxUpdated int, violation string) {
+	rng := rand.New(rand.NewPCG(s.seed, 1))
+	r, proxies := s.start(rng)
 	sequence := uint64(0)
-	for now := time.Duration(0); now < 10*time.Minute; now += w.reportInterval {
-		if w.leaving > 0 && len(proxies) > w.n-w.leaving && rng.IntN(3) == 0 {
+	for now := time.Duration(0); now < 10*time.Minute; now += s.reportInterval {
+		if s.leaving > 0 && len(proxies) > s.n-s.leaving && rng.IntN(3) == 0 {
 			left := rng.IntN(len(proxies))
 			proxies = slices.Delete(proxies, left, left+1)
 			r.SetMembers(now, namesOf(proxies))
@@ -52,45 +57,46 @@
 		for _, p := range proxies {
 			target := r.Target(p.name)
 			if target.Epoch < p.current.Epoch {
-				return 0, 0, "a proxy goes back without a rollback"
+				return 0, 0, fmt.Sprintf("Target(%s) goes back from %+v to %+v without a rollback",
+					p.name, p.current, target)
 			}
 			if target != p.current {
 				p.current = target
-				p.dead = rng.Float64() < w.dyingShare
+				p.failed = rng.Float64() < s.dyingShare
 			}
 			if target.Epoch == 2 {
 				updated++
 			}
-			if p.dead {
+			if p.failed {
 				continue
 			}
 			sequence++
-			bad := w.badRequests(rng, p)
-			report := Report{p.name, sequence, p.current, w.requestsPerReport - bad, bad}
+			bad := s.badRequests(rng, p)
+			report := Report{p.name, sequence, p.current, s.requestsPerReport - bad, bad}
 			r.Report(now, report)
 			r.Report(now, report) // a repeated report counts once
 		}
-		most = max(most, updated)
+		maxUpdated = max(maxUpdated, updated)
 		r.Tick(now)
 		if state, _ := r.State(); state != InProgress {
-			return state, most, ""
+			return state, maxUpdated, ""
 		}
 	}
-	return InProgress, most, ""
+	return InProgress, maxUpdated, ""
 }
 
-// start begins a rollout of epoch 2 in a fleet that has epoch 1. Most proxies see few bad requests, some many.
-func (w *simulation) start(rng *rand.Rand) (*Rollout, []*proxyState) {
+// start starts a rollout of epoch 2 in a fleet that has epoch 1. Most proxies see few bad requests, some many.
+func (s *simulation) start(rng *rand.Rand) (*Rollout, []*proxyState) {
 	settings := minuteSteps()
-	settings.Margin = w.margin
+	settings.Margin = s.margin
 	old := Version{Epoch: 1, Hash: "old"}
 	r, err := New(settings, old)
 	if err != nil {
-		panic(err)
+		panic(fmt.Sprintf("New(minuteSteps()) failed: %v", err))
 	}
-	r.mutations = w.mutations
+	r.mutations = s.mutations
 	var proxies []*proxyState
-	for i := range w.n {
+	for i := range s.n {
 		proxies = append(proxies, &proxyState{
 			name:     fmt.Sprint("p", i),
 			badShare: 0.01 * rng.ExpFloat64(),
@@ -98,12 +104,13 @@
 		})
 	}
 	r.SetMembers(0, namesOf(proxies))
-	if err := r.Start(0, 2, "new", w.seed); err != nil {
-		panic(err)
+	if err := r.Start(0, 2, "new", s.seed); err != nil {
+		panic(fmt.Sprintf("Start(epoch 2) failed: %v", err))
 	}
 	return r, proxies
 }
 
+// namesOf returns the names of the proxies.
 func namesOf(proxies []*proxyState) (names []string) {
 	for _, p := range proxies {
 		names = append(names, p.name)
@@ -111,18 +118,20 @@
 	return names
 }
 
-func (w *simulation) badRequests(rng *rand.Rand, p *proxyState) (bad int64) {
+// badRequests draws how many requests of a proxy's next report are bad.
+func (s *simulation) badRequests(rng *rand.Rand, p *proxyState) (bad int64) {
 	share := min(1, p.badShare)
 	if p.current.Epoch == 2 {
-		share = min(1, share+w.extraBadShare)
+		share = min(1, share+s.extraBadShare)
 	}
-	for i := goodBeforeBad(rng, share); i < w.requestsPerReport; i += 1 + goodBeforeBad(rng, share) {
+	for i := goodBeforeBad(rng, share); i < s.requestsPerReport; i += 1 + goodBeforeBad(rng, share) {
 		bad++
 	}
 	return bad
 }
 
-// goodBeforeBad returns how many requests succeed before the next bad one, from a geometric distribution.
+// goodBeforeBad draws from a geometric distribution how many requests succeed before the next bad one, if the given
+// share of all requests is bad.
 func goodBeforeBad(rng *rand.Rand, share float64) int64 {
 	if share <= 0 {
 		return math.MaxInt32
