--- a/internal/policy/rollout/errors.go
+++ b/internal/policy/rollout/errors.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// StaleVersionError means that a proxy was offered an older version than it has, without a rollback by an operator.
+// StaleVersionError means that the offered version is older than the current one, and that no operator rolled the fleet
+// back.
 type StaleVersionError struct{ Offered, Current Version }
 
 // Error implements error.
@@ -14,7 +15,7 @@
 		e.Offered.Epoch, e.Offered.Generation, e.Current.Epoch, e.Current.Generation)
 }
 
-// Code returns the name of this error in messages between processes.
+// Code returns the identifier of this error in messages between processes.
 func (StaleVersionError) Code() string { return "rollout.OldEpoch" }
 
 // Advice implements operatorerror.Error.
@@ -22,10 +23,11 @@
 	return "A late word, or a steward that was cut off: nothing to do. To go back on purpose, tell the stewards to."
 }
 
-// EpochConflictError means that one epoch has two contents.
+// EpochConflictError means that a proxy was offered its current epoch with another hash: two policies have the same
+// epoch.
 type EpochConflictError struct {
 	Epoch          uint64
-	Current, Other string // hashes
+	Current, Other string // hashes of the current and of the offered policy
 }
 
 // Error implements error.
@@ -33,7 +35,7 @@
 	return fmt.Sprintf("epoch %d is held with hash %.12s, and offered with %.12s", e.Epoch, e.Current, e.Other)
 }
 
-// Code returns the name of this error in messages between processes.
+// Code returns the identifier of this error in messages between processes.
 func (EpochConflictError) Code() string { return "rollout.EpochTwice" }
 
 // Advice implements operatorerror.Error.
@@ -43,15 +45,18 @@
 		"and offer the right policy under a new epoch."
 }
 
-// HashMismatchError means that a policy's content is not what its version says.
-type HashMismatchError struct{ Expected, Actual string }
+// HashMismatchError means that the content of a policy does not have the hash of its version.
+type HashMismatchError struct {
+	Expected string // hash in the version
+	Actual   string // hash of the content
+}
 
 // Error implements error.
 func (e HashMismatchError) Error() string {
 	return fmt.Sprintf("the policy's hash is %.12s, %.12s was offered", e.Actual, e.Expected)
 }
 
-// Code returns the name of this error in messages between processes.
+// Code returns the identifier of this error in messages between processes.
 func (HashMismatchError) Code() string { return "rollout.WrongContent" }
 
 // Advice implements operatorerror.Error.
@@ -60,14 +65,15 @@
 		"that sent it."
 }
 
-// HarmDetectedError is why a rollout stopped: proxies with the version do worse than the others.
+// HarmDetectedError means that a rollout was stopped because proxies with the version do worse than the others.
 type HarmDetectedError struct {
 	Epoch uint64
 	Step  int // from 0
-	// WithPolicy and WithoutPolicy are mean shares of bad requests of proxies with and without the version, 0 to 1.
+	// WithPolicy and WithoutPolicy are the mean shares of bad requests of proxies with and without the version, 0 to 1.
 	WithPolicy, WithoutPolicy float64
-	// PValue is how likely such a difference is if the version does no harm. 0 if more than half of the proxies with it
-	// did grossly worse.
+	// PValue is the probability of a difference at least as large if the version does no harm. It is 0 if the rollout
+	// was stopped without the test because more than half of the proxies with the version exceed
+	// Settings.GrossMargin.
 	PValue float64
 }
 
@@ -81,7 +87,7 @@
 	return text
 }
 
-// Code returns the name of this error in messages between processes.
+// Code returns the identifier of this error in messages between processes.
 func (HarmDetectedError) Code() string { return "rollout.RolloutStopped" }
 
 // Advice implements operatorerror.Error.
@@ -90,13 +96,13 @@
 		"mended policy, which they get first."
 }
 
-// NotAdoptedError is why a rollout stopped: most proxies that were to have the version first cannot adopt it.
+// NotAdoptedError means that a rollout was stopped because most proxies that were to have the version do not adopt it.
 type NotAdoptedError struct {
 	Epoch    uint64
-	Step     int // from 0
-	Targeted int // proxies that were to have the version
-	Pending  int // of them, those that report and have not adopted it
-	Waited   time.Duration
+	Step     int           // from 0
+	Targeted int           // proxies that were to have the version
+	Pending  int           // targeted proxies that report but have not adopted it
+	Waited   time.Duration // since the start of the step
 }
 
 // Error implements error.
@@ -105,7 +111,7 @@
 	return fmt.Sprintf(format, e.Epoch, e.Step+1, e.Pending, e.Targeted, e.Waited.Round(time.Second))
 }
 
-// Code returns the name of this error in messages between processes.
+// Code returns the identifier of this error in messages between processes.
 func (NotAdoptedError) Code() string { return "rollout.RolloutNotTaken" }
 
 // Advice implements operatorerror.Error.
@@ -114,12 +120,12 @@
 		"leads to: enter it there, and have the team offer the file again under a higher number."
 }
 
-// RegressionError means that the fleet does worse since a rollout than before it.
+// RegressionError means that the fleet has a higher share of bad requests after a rollout than before it.
 type RegressionError struct {
-	Epoch         uint64 // of the rollout after which the difference is greatest
-	Ago           time.Duration
-	Before, After float64  // shares of bad requests, 0 to 1
-	NearbyEpochs  []uint64 // other epochs whose rollouts ended at about that time
+	Epoch         uint64        // of the rollout after which the share rose most
+	Ago           time.Duration // since that rollout was completed
+	Before, After float64       // shares of bad requests, 0 to 1
+	NearbyEpochs  []uint64      // other epochs whose rollouts were completed at about the same time
 }
 
 // Error implements error.
@@ -132,7 +138,7 @@
 	return text
 }
 
-// Code returns the name of this error in messages between processes.
+// Code returns the identifier of this error in messages between processes.
 func (RegressionError) Code() string { return "rollout.WorseAfter" }
 
 // Advice implements operatorerror.Error.
--- a/internal/policy/rollout/mutation.go
+++ b/internal/policy/rollout/mutation.go
@@ -1,21 +1,22 @@
 package rollout
 
-// mutation is a set of safeguards that tests take out, to show that they would notice.
+// mutation is a set of safeguards that are disabled. Tests set it to show that they detect a missing safeguard; outside
+// tests it is 0.
 type mutation uint16
 
 const (
-	acceptStaleVersion    mutation = 1 << iota // a proxy adopts older versions
-	skipHashCheck                              // a proxy adopts any content
-	skipTest                                   // nothing stops a rollout
-	fullErrorRatePerLook                       // each look gets the whole error rate
-	poolRequests                               // requests count as independent, whichever proxy they came by
-	ignoreSilent                               // silent proxies are left out
+	acceptStaleVersion    mutation = 1 << iota // a proxy also adopts older versions
+	skipHashCheck                              // a proxy adopts content with a wrong hash
+	skipTest                                   // looks never stop a rollout
+	fullErrorRatePerLook                       // each look uses the whole error rate as its significance level
+	poolRequests                               // requests are treated as independent, even those of the same proxy
+	ignoreSilent                               // silent proxies do not count as failed
 	skipMinRequests                            // looks are taken without enough requests
 	compareTargeted                            // proxies with a stopped version are compared as if they were drawn
-	compareLate                                // proxies that joined after the draw are compared with those in it
+	compareLate                                // proxies that joined after the draw are compared
 	ignoreSilentControl                        // looks are taken while most proxies without the version are silent
-	skipReportingTest                          // proxies that report are not tested by themselves
-	skipGrossSignificance                      // a few silent proxies stop a step though others are silent too
-	waitForever                                // a step that cannot be looked at never ends
-	skipCells                                  // proxies of a large fleet are drawn one by one
+	skipReportingTest                          // the proxies that report are not tested separately
+	skipGrossSignificance                      // a few silent proxies stop a step although others are silent too
+	waitForever                                // a step without a look never counts as stalled
+	skipCells                                  // the test draws single proxies of a large fleet instead of cells
 )
--- a/internal/policy/rollout/randomisation.go
+++ b/internal/policy/rollout/randomisation.go
@@ -8,19 +8,24 @@
 )
 
 const (
-	// maxCells bounds the cells of the smaller side in the test: more would tell hardly more.
+	// maxCells is the maximum number of cells of the smaller side in the test. More cells would hardly make it more
+	// sensitive.
 	maxCells = 128
-	// grossSignificance is the level of a gross difference while proxies without the version are silent too.
+	// grossSignificance is the significance level of a gross difference while proxies without the version are silent
+	// too.
 	grossSignificance = 1e-4
-	// minGrossDraws bounds that level from below: no draw among few proxies is less likely.
+	// minGrossDraws raises that level in a small fleet to the probability of this many draws: among few proxies no
+	// draw is as unlikely as grossSignificance.
 	minGrossDraws = 10
-	// roundingError is what sums of the same shares in another order may differ by.
+	// roundingError is the maximum difference between sums of the same shares in different orders.
 	roundingError = 1e-12
 )
 
-// badShares are the shares of bad requests of the proxies on both sides, in the order of the draw.
+// badShares holds the share of bad requests of each proxy, 0 to 1, for the proxies with the new version and for those
+// without it, in the order of the draw.
 type badShares struct{ withPolicy, withoutPolicy []float64 }
 
+// add appends the share of a proxy to its side.
 func (s *badShares) add(withPolicy bool, share float64) {
 	if withPolicy {
 		s.withPolicy = append(s.withPolicy, share)
@@ -29,14 +34,14 @@
 	}
 }
 
-// stepSamples are the figures of a look.
+// stepSamples holds the measurements that a look tests.
 type stepSamples struct {
-	reporting badShares // of proxies that are not silent
-	all       badShares // silent ones count as failed
+	reporting badShares // only proxies that are not silent
+	all       badShares // all proxies; silent ones count as failed
 	anySilent bool
 }
 
-// samples returns the shares of all compared proxies that had requests.
+// samples returns the shares of bad requests of all compared proxies that had requests in this step.
 func (r *Rollout) samples(now time.Duration) stepSamples {
 	list := make([]*proxy, 0, len(r.proxies)+len(r.departed))
 	r.forEachCompared(func(p *proxy) { list = append(list, p) })
@@ -57,16 +62,17 @@
 	return out
 }
 
-// grosslyWorse reports whether more than half of the proxies with the version do so much worse that no test is needed.
-// Where proxies without it are silent too, the few of a first step may be silent for the same reason. Then the
-// difference must also be unlikely, as far as so few draws allow.
+// grosslyWorse reports whether more than half of the proxies with the version exceed the mean share of bad requests of
+// the others by more than Settings.GrossMargin, so that the test is not needed. If some proxies without the version are
+// silent too, the few proxies of a first step may be silent for the same reason. Then the difference must also be
+// significant, at a level that the number of possible draws can reach.
 func (r *Rollout) grosslyWorse(shares stepSamples, requests [2]int64) bool {
 	all := shares.all
 	if lowerMedian(all.withPolicy)-mean(all.withoutPolicy) <= r.settings.GrossMargin {
 		return false
 	}
-	othersReport := len(shares.reporting.withoutPolicy) == len(all.withoutPolicy)
-	if othersReport || r.mutations&skipGrossSignificance != 0 {
+	controlReports := len(shares.reporting.withoutPolicy) == len(all.withoutPolicy)
+	if controlReports || r.mutations&skipGrossSignificance != 0 {
 		return true
 	}
 	ways := combinations(len(all.withPolicy)+len(all.withoutPolicy), len(all.withPolicy))
@@ -74,13 +80,13 @@
 	return r.pValue(all, requests, level) <= level
 }
 
-// pValue returns how likely a difference as large as this is if the version raises the share of bad requests by no more
-// than the margin. It is the p-value of a randomisation test on the means of the proxies' shares; see the package
-// comment. The draws are sampled, as many as the level needs. The estimate counts the actual draw, which keeps it valid
-// however few are sampled (Phipson and Smyth 2010).
+// pValue returns the probability of a difference at least as large as the observed one if the version raises the share
+// of bad requests by no more than Settings.Margin. It is the p-value of a randomisation test on the means of the
+// proxies' shares; see the package comment. Only as many of the possible draws are sampled as the significance level
+// needs. The estimate includes the actual draw, which keeps it valid however few are sampled (Phipson and Smyth 2010).
 //
-// In a large fleet, proxies that follow each other in the draw are joined into cells. Cells that were drawn by chance
-// can be drawn anew like proxies, and the mean of all is the same.
+// In a large fleet, proxies that are adjacent in the draw are combined into cells. As the cells are random too, the
+// test can redraw them like proxies, and the mean over all stays the same.
 func (r *Rollout) pValue(shares badShares, requests [2]int64, level float64) float64 {
 	treated := shares.withPolicy
 	control := shares.withoutPolicy
@@ -106,8 +112,8 @@
 	for _, value := range values {
 		total += value
 	}
-	// The sum over one side stands for the difference of the means: the total is the same in all draws. The smaller
-	// side is drawn.
+	// As the total is the same in all draws, the sum over one side determines the difference of the means. The smaller
+	// side is drawn because that takes fewer steps.
 	drawn := len(treated)
 	worse := func(sum float64) bool { return sum >= treatedSum-roundingError }
 	if len(control) < drawn {
@@ -118,9 +124,9 @@
 	return samplePValue(rng, values, drawn, worse, level)
 }
 
-// samplePValue draws a number of the values many times, and returns the estimated probability that their sum is worse.
-// Once too many draws are, no further one can bring the estimate down to the level, and it returns early: a look must
-// be cheap.
+// samplePValue repeatedly draws the given number of values and returns the estimated probability that worse is true for
+// their sum. It reorders values. To keep a look cheap, it returns early once so many draws were worse that further ones
+// cannot bring the estimate down to the level.
 func samplePValue(rng *rand.Rand, values []float64, drawn int, worse func(sum float64) bool, level float64) float64 {
 	draws := int(math.Ceil(1 / level))
 	worseDraws := 0
@@ -149,7 +155,8 @@
 	return math.Erfc(z/math.Sqrt2) / 2
 }
 
-// cellMeans returns the means of cells of the given size; values that are left over stay out.
+// cellMeans returns the means of consecutive cells of the given size. The remaining values, fewer than one cell, are
+// left out.
 func cellMeans(values []float64, size int) []float64 {
 	if size == 1 {
 		return values
@@ -161,7 +168,7 @@
 	return means
 }
 
-// lowerMedian returns the lower median: more than half of the values are as high or higher.
+// lowerMedian returns the lower median: more than half of the values are greater or equal. It returns 0 for no values.
 func lowerMedian(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -170,6 +177,7 @@
 	return sorted[(len(sorted)-1)/2]
 }
 
+// mean returns the arithmetic mean, 0 for no values.
 func mean(values []float64) float64 {
 	sum := 0.0
 	for _, value := range values {
--- a/internal/policy/rollout/regression.go
+++ b/internal/policy/rollout/regression.go
@@ -6,36 +6,45 @@
 )
 
 const (
-	watchIntervals     = 12  // that WatchDuration is divided into
-	minIntervals       = 3   // after a rollout before anything is reported; before it, twice as many
-	maxWatchedRollouts = 256 // at one time
-	maxDeviations      = 3   // standard deviations of the intervals before a rollout that the difference must exceed
+	// watchIntervals is the number of intervals into which Settings.WatchDuration is divided.
+	watchIntervals = 12
+	// minIntervals is the minimum number of intervals with requests after a rollout before a regression is reported.
+	// Before the rollout twice as many are needed.
+	minIntervals = 3
+	// maxWatchedRollouts is the maximum number of rollouts that are watched at one time; the oldest are dropped.
+	maxWatchedRollouts = 256
+	// maxDeviations is how many standard deviations of the intervals before a rollout the rise must exceed, in addition
+	// to Settings.Margin.
+	maxDeviations = 3
 )
 
-// RegressionWatch watches the whole fleet after a rollout. Where nobody is left to compare with, it compares the
-// fleet's share of bad requests with that before the rollout. It reports a regression and does not act on it, because
-// other things than a policy make a fleet worse. Like Rollout it is deterministic and for one goroutine at a time.
+// RegressionWatch watches the whole fleet after a rollout, when there are no proxies without the version to compare
+// with. It compares the fleet's share of bad requests with that before the rollout. It reports a regression and does
+// not act on it, because a fleet can get worse for reasons other than its policy. Like Rollout it is deterministic and
+// must be used by one goroutine at a time.
 type RegressionWatch struct {
 	settings  Settings
 	width     time.Duration       // of an interval
-	intervals map[int64]*interval // by time in widths
-	newest    int64
+	intervals map[int64]*interval // by index: the time divided by width
+	newest    int64               // index of the newest interval
 
-	lastChecked int64              // interval
-	rollouts    []completedRollout // that are watched, the oldest first
-	// ignoreBefore is the first interval that still counts: a regression in earlier ones was reported.
+	lastChecked int64              // index of the last interval that Tick has checked
+	rollouts    []completedRollout // watched rollouts, oldest first
+	// ignoreBefore is the index of the first interval that still counts. A regression that began before it has been
+	// reported.
 	ignoreBefore int64
 }
 
-// interval has the requests of the whole fleet in one interval.
+// interval holds the numbers of good and bad requests of the whole fleet in one interval.
 type interval struct{ good, bad int64 }
 
+// completedRollout is a rollout that has reached all proxies.
 type completedRollout struct {
 	epoch uint64
-	at    time.Duration
+	at    time.Duration // time of completion
 }
 
-// NewRegressionWatch returns a watch of Settings.WatchDuration after each rollout.
+// NewRegressionWatch returns a RegressionWatch that watches each rollout for Settings.WatchDuration.
 func NewRegressionWatch(settings Settings) *RegressionWatch {
 	return &RegressionWatch{
 		settings:     settings,
@@ -45,35 +54,38 @@
 	}
 }
 
-// Report records the requests of a proxy's report, under whatever version.
+// Report records the good and bad requests of a proxy's report, regardless of the proxy's version. Negative numbers are
+// ignored.
 func (w *RegressionWatch) Report(now time.Duration, good, bad int64) {
 	if good < 0 || bad < 0 {
 		return
 	}
-	at := w.intervalAt(now)
-	current := w.intervals[at]
+	index := w.intervalAt(now)
+	current := w.intervals[index]
 	if current == nil {
 		current = &interval{}
-		w.intervals[at] = current
-		w.newest = max(w.newest, at)
+		w.intervals[index] = current
+		w.newest = max(w.newest, index)
 		w.dropOldIntervals()
 	}
 	current.good += good
 	current.bad += bad
 }
 
+// intervalAt returns the index of the interval that contains the time.
 func (w *RegressionWatch) intervalAt(now time.Duration) int64 { return int64(now / w.width) }
 
-// dropOldIntervals keeps those of one WatchDuration before and after a rollout.
+// dropOldIntervals drops the intervals that no comparison needs. Those kept cover Settings.WatchDuration before and
+// after a rollout.
 func (w *RegressionWatch) dropOldIntervals() {
-	for at := range w.intervals {
-		if at < w.newest-2*watchIntervals-1 {
-			delete(w.intervals, at)
+	for index := range w.intervals {
+		if index < w.newest-2*watchIntervals-1 {
+			delete(w.intervals, index)
 		}
 	}
 }
 
-// RolloutCompleted records that all proxies are to have an epoch from now on.
+// RolloutCompleted records that the rollout of an epoch was completed: all proxies are to have it from now on.
 func (w *RegressionWatch) RolloutCompleted(now time.Duration, epoch uint64) {
 	if len(w.rollouts) == maxWatchedRollouts {
 		w.rollouts = w.rollouts[1:]
@@ -81,8 +93,8 @@
 	w.rollouts = append(w.rollouts, completedRollout{epoch: epoch, at: now})
 }
 
-// Tick returns a RegressionError, once for each regression. Nil means that there is none, or that it is too early to
-// tell.
+// Tick checks for a regression whenever an interval has ended. It returns a RegressionError once for each regression,
+// and otherwise nil, also while there are too few intervals to decide.
 func (w *RegressionWatch) Tick(now time.Duration) error {
 	last := w.intervalAt(now) - 1 // the newest complete interval
 	if last <= w.lastChecked {
@@ -103,17 +115,17 @@
 	return regression
 }
 
-// greatestDifference returns the rollout after which the share of bad requests rose most, which is the one after which
-// the regression began. Until that rollout was watched for long enough the result is not significant: otherwise an
-// earlier one would be blamed.
+// greatestDifference finds the rollout after which the share of bad requests rose most, because a regression began with
+// that rollout. It returns the rise and the index of the rollout, -1 if there is none. The result is significant only if that rollout was watched for minIntervals. Otherwise the regression would be attributed to an
+// earlier rollout.
 func (w *RegressionWatch) greatestDifference(
 	now time.Duration, last int64,
 ) (regression RegressionError, cause int, significant bool) {
 	cause = -1
 	for i, rollout := range w.rollouts {
-		middle := w.intervalAt(rollout.at)
-		before := w.badShareOver(max(w.ignoreBefore, middle-watchIntervals), middle-1)
-		after := w.badShareOver(middle+1, last)
+		rolloutIndex := w.intervalAt(rollout.at)
+		before := w.badShareOver(max(w.ignoreBefore, rolloutIndex-watchIntervals), rolloutIndex-1)
+		after := w.badShareOver(rolloutIndex+1, last)
 		if before.intervals < 2*minIntervals || after.intervals == 0 {
 			continue
 		}
@@ -134,7 +146,8 @@
 	return regression, cause, significant
 }
 
-// nearbyEpochs returns the other epochs whose rollouts ended at about the time of one.
+// nearbyEpochs returns the epochs of the other rollouts that were completed at about the same time as the one with the
+// index cause.
 func (w *RegressionWatch) nearbyEpochs(cause int) []uint64 {
 	at := w.rollouts[cause].at
 	var epochs []uint64
@@ -147,20 +160,20 @@
 	return epochs
 }
 
-// intervalStats describes a range of intervals.
+// intervalStats summarises a range of intervals.
 type intervalStats struct {
 	share     float64 // of bad requests, 0 to 1
 	deviation float64 // standard deviation of the intervals' shares
-	intervals int     // with requests
+	intervals int     // number of intervals with requests
 }
 
-// badShareOver describes the intervals of a range, both ends included.
-func (w *RegressionWatch) badShareOver(from, to int64) intervalStats {
+// badShareOver returns the statistics of the intervals with indexes from first to last, both included.
+func (w *RegressionWatch) badShareOver(first, last int64) intervalStats {
 	var good, bad int64
 	var sum, squares float64
 	var stats intervalStats
-	for at := from; at <= to; at++ {
-		requests := w.intervals[at]
+	for index := first; index <= last; index++ {
+		requests := w.intervals[index]
 		if requests == nil || requests.good+requests.bad == 0 {
 			continue
 		}
@@ -177,7 +190,7 @@
 	count := float64(stats.intervals)
 	stats.share = float64(bad) / float64(good+bad)
 	observed := math.Sqrt(max(0, squares/count-sum/count*sum/count))
-	// With few requests, chance alone makes intervals differ by this much.
+	// With few requests, chance alone makes the shares of the intervals differ by this standard deviation.
 	expected := math.Sqrt(stats.share * (1 - stats.share) * count / float64(good+bad))
 	stats.deviation = max(observed, expected)
 	return stats
--- a/internal/policy/rollout/rollout.go
+++ b/internal/policy/rollout/rollout.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Report is what a proxy reports: its requests since its last report, under one version.
+// Report is a proxy's report of its requests since its last report. All of them were handled under one version.
 type Report struct {
-	Proxy string
-	// Sequence rises with each report of a proxy, over its restarts too. A repeated report counts once.
+	Proxy string // name
+	// Sequence rises with each report of a proxy, also across its restarts. A repeated report counts once.
 	Sequence uint64
-	Current  Version
-	Good     int64
-	Bad      int64 // requests that were rejected, failed or late
+	Current  Version // that handled the requests
+	Good     int64   // number of all other requests
+	Bad      int64   // number of requests that were rejected, failed or late
 }
 
 const (
-	// initialReportInterval is taken for the time between two reports until some have arrived, unless
-	// reportsPerSilence of them would not fit in Settings.SilenceTimeout.
+	// initialReportInterval is the assumed time between two reports until some have arrived. It is reduced if
+	// Settings.SilenceTimeout is less than reportsPerSilence such intervals.
 	initialReportInterval = time.Second
 	reportsPerSilence     = 5
-	// reportIntervalSmoothing sets the weight of one report, one in so many, in the smoothed time between two.
+	// reportIntervalSmoothing is the divisor that sets the weight of one report in Rollout.reportInterval: each new
+	// interval has the weight 1/64.
 	reportIntervalSmoothing = 64
 )
 
@@ -30,69 +31,69 @@
 
 // States of a rollout.
 const (
-	Idle       State = iota // nothing is being rolled out
+	Idle       State = iota // no version is being rolled out
 	InProgress              // some proxies have the new version
 	Stopped                 // proxies with the new version keep it, and no others get it, until an operator decides
-	Done                    // all proxies are to have it
+	Done                    // all proxies are to have the new version
 )
 
-// String returns the state as operators see it.
+// String returns the name of the state in logs and in answers to operators.
 func (s State) String() string { return [...]string{"idle", "rolling", "stopped", "done"}[s] }
 
-// Rollout is the control plane's side of rollouts in one fleet. Its state follows from the calls alone: the same calls
-// give the same state. It is for one goroutine at a time.
+// Rollout decides in the control plane which version each proxy of a fleet is to have. It is deterministic: the same
+// calls lead to the same state. It must be used by one goroutine at a time.
 type Rollout struct {
 	settings  Settings
 	mutations mutation
 
-	base         Version // that all had before
-	next         Version // that is rolled out; zero if none
-	highestEpoch uint64  // ever rolled out
+	base         Version // that proxies have before the rollout
+	next         Version // that is being or was rolled out; zero if none
+	highestEpoch uint64  // highest epoch that was ever rolled out
 	state        State
-	stopReason   error
+	stopReason   error  // set while the state is Stopped
 	seed         uint64 // of the draw
 
-	step         int
+	step         int // index in Settings.Steps
 	stepStart    time.Duration
 	fleetSize    int     // proxies at the start of the rollout
-	looksPerStep int     // in this rollout
-	errorRate    float64 // of this rollout
+	looksPerStep int     // planned for this rollout
+	errorRate    float64 // planned for this rollout
 	looksTaken   int     // in this step
-	widenings    int     // how often a step was made wider
+	widenings    int     // how often a step of this rollout was widened to more proxies
 
 	proxies  map[string]*proxy // by name
 	departed map[string]*proxy // proxies that left in this step
 
-	// Proxies that are compared are those of the draw: without those that had got the version before it (excluded) and
-	// those that joined after it (late).
-	comparedCount int
+	// Only proxies that took part in the draw are compared: not those that had got the version before it (excluded),
+	// nor those that joined after it (late).
+	comparedCount int      // compared proxies
 	drawnCount    int      // compared proxies with the new version
 	lateCount     int      // proxies that joined after the draw
-	undrawn       []*proxy // compared proxies without it; some may have left or got it since
-	undrawnSorted bool     // in the order of the draw
-	memberUpdate  uint64   // number of the last SetMembers
+	undrawn       []*proxy // compared proxies without the new version; some may have left or got it since
+	undrawnSorted bool     // undrawn is in the order of the draw
+	memberUpdate  uint64   // number of SetMembers calls
 
 	reportInterval time.Duration // between two reports of a proxy, smoothed
 }
 
-// proxy is what a rollout knows of a proxy.
+// proxy is the state of a proxy in a rollout.
 type proxy struct {
 	name         string
-	targeted     bool // it is to have the new version
-	excluded     bool // it is not compared
-	late         bool // it joined after the draw
+	targeted     bool // the proxy is to have the new version
+	excluded     bool // the proxy is not compared
+	late         bool // the proxy joined after the draw
 	hasLeft      bool
-	drawOrder    uint64
-	memberUpdate uint64        // the last SetMembers that named it
-	sequence     uint64        // of its last report
-	heardInStep  time.Duration // of its last report, of joining or of the step's start, whichever is latest
-	lastReport   time.Duration // 0 is never
-	adopted      bool          // it has reported in this step under the version that it is to have
-	good, bad    int64         // requests in this step, under the version that it is to have
+	drawOrder    uint64        // sort key in the draw
+	memberUpdate uint64        // number of the last SetMembers call that included the proxy
+	sequence     uint64        // of the last report
+	silentSince  time.Duration // time of the last report, of joining or of the start of the step, whichever is latest
+	lastReport   time.Duration // time of the last report; 0 means none
+	adopted      bool          // the proxy has reported in this step under its target version
+	good, bad    int64         // requests in this step under the target version
 }
 
-// New returns the rollout of a fleet whose proxies have a version; the zero Version is none. It fails if the settings
-// are not valid.
+// New returns an idle Rollout of a fleet whose proxies have the version base; the zero Version means none. It returns
+// an error if the settings are not valid.
 func New(settings Settings, base Version) (*Rollout, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("rollout: %w", err)
@@ -109,11 +110,12 @@
 	}, nil
 }
 
-// State returns the state, and for Stopped the reason: a HarmDetectedError or a NotAdoptedError.
+// State returns the state. If it is Stopped, the error is the reason: a HarmDetectedError or a NotAdoptedError.
 func (r *Rollout) State() (State, error) { return r.state, r.stopReason }
 
-// Start rolls out a version. Its epoch must be above all earlier ones, or Start fails with a StaleVersionError. Proxies
-// that have a version which was stopped get this one first. Which others do is drawn from the seed.
+// Start starts the rollout of a version. It returns a StaleVersionError if the epoch is not above all earlier ones.
+// Proxies that have a stopped version get the new one first, and further proxies are drawn with the seed. A rollout in
+// progress is replaced.
 func (r *Rollout) Start(now time.Duration, epoch uint64, hash string, seed uint64) error {
 	generation := max(r.base.Generation, r.next.Generation)
 	target := Version{Generation: generation, Epoch: epoch, Hash: hash}
@@ -133,13 +135,13 @@
 	r.step = 0
 	r.fleetSize = len(r.proxies)
 	r.widenings = 0
-	r.drawAnew()
+	r.redraw()
 	r.startStep(now)
 	return nil
 }
 
-// Rollback ends the rollout, at an operator's command, and returns the fleet to the version before it under a new
-// generation. It fails if there is none.
+// Rollback ends the rollout at an operator's command, and returns the fleet to the version before it under a new
+// generation. It returns an error if there is no version before.
 func (r *Rollout) Rollback() error {
 	if r.next == (Version{}) || r.base.Hash == "" {
 		return errors.New("rollout: there is no policy before")
@@ -153,14 +155,14 @@
 	return nil
 }
 
-// clearTargeted gives all proxies the base version as their target.
+// clearTargeted makes the base version the target of all proxies.
 func (r *Rollout) clearTargeted() {
 	for _, p := range r.proxies {
 		p.targeted = false
 	}
 }
 
-// Target returns the version that a proxy is to have now.
+// Target returns the version that a proxy is to have now. For an unknown proxy that is the base version.
 func (r *Rollout) Target(name string) Version {
 	if p := r.proxies[name]; p != nil {
 		return r.targetOf(p)
@@ -168,6 +170,7 @@
 	return r.base
 }
 
+// targetOf returns the version that a proxy is to have now.
 func (r *Rollout) targetOf(p *proxy) Version {
 	if p.targeted && r.next != (Version{}) {
 		return r.next
@@ -175,7 +178,8 @@
 	return r.base
 }
 
-// Report records a proxy's report. Requests under another version than the proxy is to have now do not count.
+// Report records a proxy's report. It ignores reports of unknown proxies, repeated ones and negative numbers. Requests
+// under a version other than the proxy's target do not count.
 func (r *Rollout) Report(now time.Duration, report Report) {
 	p := r.proxies[report.Proxy]
 	if p == nil || report.Sequence <= p.sequence || report.Good < 0 || report.Bad < 0 {
@@ -186,7 +190,7 @@
 		r.reportInterval += (interval - r.reportInterval) / reportIntervalSmoothing
 	}
 	p.sequence = report.Sequence
-	p.heardInStep = now
+	p.silentSince = now
 	p.lastReport = now
 	if r.hasStoppedVersion(p, report.Current) {
 		r.countProxy(p, -1)
@@ -202,21 +206,21 @@
 	}
 }
 
-// hasStoppedVersion reports whether a proxy has a version between base and next: one that was stopped under a leader
-// before. Such a proxy is to be rid of it first.
+// hasStoppedVersion reports whether a proxy has a version between base and next, which means that its rollout was
+// stopped under an earlier leader. The rollout replaces the version on that proxy first.
 func (r *Rollout) hasStoppedVersion(p *proxy, current Version) bool {
 	return r.state == InProgress && !p.targeted && current != r.next &&
 		current.NewerThan(r.base) && r.next.NewerThan(current)
 }
 
-// Tick advances the rollout as far as the time and the reports allow. It is to be called a few times in the time
-// between two looks.
+// Tick advances the rollout as far as the time and the reports allow. Callers call it several times between two looks,
+// which are Settings.StepDuration divided by Settings.LooksPerStep apart.
 func (r *Rollout) Tick(now time.Duration) {
 	if r.state != InProgress {
 		return
 	}
-	// A fleet that most have just left, or whose members are not known yet, is not a small fleet: without this wait its
-	// last proxy would complete the rollout untested.
+	// A fleet that most proxies have just left, or whose members are not known yet, is not a small fleet. Without this
+	// check its last proxy would complete the rollout untested.
 	if len(r.proxies) == 0 || len(r.proxies) == 1 && r.fleetSize > 1 {
 		return
 	}
@@ -239,7 +243,7 @@
 	r.look(now, counts)
 }
 
-// complete ends the last step, in which nobody is left to compare with.
+// complete ends the rollout and makes next the target of all proxies. No proxies are left to compare with.
 func (r *Rollout) complete() {
 	r.state = Done
 	for _, p := range r.proxies {
@@ -247,7 +251,7 @@
 	}
 }
 
-// look tests the figures of the step. It stops the rollout if they show harm, and starts the next step after the last
+// look tests the reports of the step. It stops the rollout if they show harm, and starts the next step after the last
 // look of this one.
 func (r *Rollout) look(now time.Duration, counts tally) {
 	shares := r.samples(now)
@@ -276,8 +280,9 @@
 	if r.grosslyWorse(shares, counts.requests) {
 		return harm
 	}
-	// A few silent proxies, which count as failed, would hide what the version does to the others. So those that report
-	// are tested by themselves too. Whether any is silent does not depend on the draw, so the level may be split by it.
+	// A few silent proxies, which count as failed, can hide the effect of the version on the others. Therefore the
+	// proxies that report are also tested separately, and each of the two tests gets half of the level. Whether any
+	// proxy is silent does not depend on the draw, so that the level may depend on it.
 	level := r.significance()
 	if shares.anySilent && r.mutations&skipReportingTest == 0 {
 		level /= 2
--- a/internal/policy/rollout/steps.go
+++ b/internal/policy/rollout/steps.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// drawSurplus is by how many times the possible draws must exceed what a level needs: figures tie, and proxies
-	// leave.
+	// drawSurplus is the factor by which the number of possible draws must exceed the inverse of a significance level.
+	// It is above 1 because shares can be equal and proxies can leave.
 	drawSurplus = 1.2
-	// smallFleetSurplus is the same for the error rate of a small fleet. With 1, only the worst of all draws would
-	// stop a rollout.
+	// smallFleetSurplus is the corresponding factor for the error rate of a small fleet. With 1, only the worst of all
+	// possible draws would stop a rollout.
 	smallFleetSurplus = 1000
-	// maxExtraShare bounds by how much of the fleet a step is widened so that its test can stop it.
+	// maxExtraShare is the maximum fraction of the fleet that a step may have if it gets more proxies than configured,
+	// so that its test can stop it.
 	maxExtraShare = 0.1
-	// maxWidenings bounds the shift in stepSize.
+	// maxWidenings is the maximum number of doublings in stepSize, so that the shift does not overflow.
 	maxWidenings = 16
-	// maxCombinations is where combinations stops counting.
+	// maxCombinations is the value from which combinations stops counting, so that it does not overflow.
 	maxCombinations = 1e300
 )
 
@@ -31,7 +32,8 @@
 	splitMixLastFactor = 0x94d049bb133111eb
 )
 
-// startStep starts a step. The figures of both sides begin anew, so that they cover the same time.
+// startStep starts a step. It resets the requests of all proxies, so that those with and without the version are
+// compared over the same time.
 func (r *Rollout) startStep(now time.Duration) {
 	r.stepStart = now
 	r.looksTaken = 0
@@ -39,16 +41,17 @@
 	for _, p := range r.proxies {
 		p.good = 0
 		p.bad = 0
-		p.heardInStep = now
+		p.silentSince = now
 		p.adopted = false
 	}
 	r.expandStep()
 }
 
-// expandStep gives the version to as many proxies as the step is to have, in the order of the draw.
+// expandStep makes the new version the target of further proxies, in the order of the draw, until the step has its
+// size.
 func (r *Rollout) expandStep() {
-	wanted := r.stepSize(r.comparedCount) - r.drawnCount
-	if wanted <= 0 {
+	missing := r.stepSize(r.comparedCount) - r.drawnCount
+	if missing <= 0 {
 		return
 	}
 	unavailable := func(p *proxy) bool { return p.targeted || p.excluded || p.hasLeft }
@@ -57,7 +60,7 @@
 		slices.SortFunc(r.undrawn, compareDrawOrder)
 		r.undrawnSorted = true
 	}
-	for ; wanted > 0 && len(r.undrawn) > 0; r.undrawn = r.undrawn[1:] {
+	for ; missing > 0 && len(r.undrawn) > 0; r.undrawn = r.undrawn[1:] {
 		p := r.undrawn[0]
 		if unavailable(p) {
 			continue
@@ -67,14 +70,14 @@
 		p.bad = 0
 		p.adopted = false
 		r.drawnCount++
-		wanted--
+		missing--
 	}
 }
 
-// drawAnew makes the draw. Proxies that have the version, or one that was stopped, were not drawn now and are excluded
-// from the comparison: otherwise a stop by chance would be repeated with the same proxies, and the versions after it
-// would be blamed. Only a fleet too small to do without them compares them.
-func (r *Rollout) drawAnew() {
+// redraw makes a new draw. Proxies that are to have the new version already, or that have a stopped one, are not part
+// of the draw and are excluded from the comparison. Otherwise a stop by chance would be repeated with the same proxies
+// and attributed to the versions after it. They are compared only in a fleet that is too small without them.
+func (r *Rollout) redraw() {
 	targeted := 0
 	for _, p := range r.proxies {
 		if p.targeted {
@@ -96,11 +99,12 @@
 	r.looksPerStep, r.errorRate = r.planLooks(r.comparedCount)
 }
 
+// compareDrawOrder compares two proxies by the order of the draw, and by name if that is equal.
 func compareDrawOrder(a, b *proxy) int {
 	return cmp.Or(cmp.Compare(a.drawOrder, b.drawOrder), strings.Compare(a.name, b.name))
 }
 
-// drawOrderOf returns a proxy's place in the draw: FNV-1a over seed and name, spread by the finaliser of SplitMix64.
+// drawOrderOf returns a proxy's sort key in the draw: FNV-1a over seed and name, mixed by the finaliser of SplitMix64.
 func (r *Rollout) drawOrderOf(name string) uint64 {
 	hash := uint64(fnvOffsetBasis) ^ r.seed
 	for i := range len(name) {
@@ -111,8 +115,10 @@
 	return hash ^ hash>>31
 }
 
-// stepSize returns how many of n proxies have the version in the current step. A few more than its share have it, up to
-// maxExtraShare, if that lets the test stop the step; up to half in the last step with others to compare with.
+// stepSize returns how many of n proxies have the version in the current step. If the configured fraction is too small
+// for the test to stop the step, stepSize returns the smallest sufficient number, up to maxExtraShare of the proxies,
+// or up to half of them in the last step that still has others to compare with. Each widening doubles the size, up to
+// half.
 func (r *Rollout) stepSize(n int) int {
 	size := min(n, int(math.Ceil(r.settings.Steps[r.step]*float64(n))))
 	if r.widenings > 0 {
@@ -130,7 +136,7 @@
 	return size
 }
 
-// combinations returns in how many ways k of n can be drawn, or a number above maxCombinations.
+// combinations returns the number of ways to draw k of n, or a number of at least maxCombinations.
 func combinations(n, k int) float64 {
 	ways := 1.0
 	for i := 0; i < k && ways < maxCombinations; i++ {
@@ -139,8 +145,8 @@
 	return ways
 }
 
-// significance returns the level of each look: its part of the error rate. By the union bound, all looks together err
-// no more often than the rate.
+// significance returns the significance level of each look: an equal part of the error rate. By the union bound, all
+// looks together stop a harmless version with a probability of at most the error rate.
 func (r *Rollout) significance() float64 {
 	if r.mutations&fullErrorRatePerLook != 0 {
 		return r.errorRate
@@ -148,13 +154,14 @@
 	return r.errorRate / float64(r.comparedSteps()*r.looksPerStep)
 }
 
-// comparedSteps returns the number of steps that have others to compare with.
+// comparedSteps returns the number of steps in which some proxies do not have the version, so that a comparison is
+// possible: all but the last.
 func (r *Rollout) comparedSteps() int { return max(1, len(r.settings.Steps)-1) }
 
-// planLooks returns the looks per step of a rollout among n proxies, and its error rate. There is one look only if the
-// rate divided over more would be below the probability of the unlikeliest draw, so that nothing could stop the
-// rollout. Where draws are so few that one look at the configured rate could detect nothing but the worst, the rate is
-// higher.
+// planLooks returns the looks per step of a rollout among n proxies, and its error rate. There is only one look if the
+// error rate divided among Settings.LooksPerStep would be below the probability of a single draw: then nothing could
+// stop the rollout. The error rate is above Settings.ErrorRate if there are so few possible draws that one look at that
+// rate could detect only the worst of them.
 func (r *Rollout) planLooks(n int) (looks int, errorRate float64) {
 	neededRate := func(surplus float64, looks int) float64 {
 		return surplus * float64(r.comparedSteps()*looks) / combinations(n, n/2)
@@ -167,8 +174,8 @@
 	return looks, min(r.settings.SmallFleetErrorRate, errorRate)
 }
 
-// CanDetect reports whether, among n proxies, the test can stop a harmful version before all have it. If not, only
-// a gross difference stops it.
+// CanDetect reports whether, among n proxies, the statistical test can stop a harmful version before all proxies have
+// it. If not, only a difference above Settings.GrossMargin stops it.
 func (r *Rollout) CanDetect(n int) bool {
 	trial := Rollout{settings: r.settings, step: max(0, len(r.settings.Steps)-2)}
 	trial.looksPerStep, trial.errorRate = trial.planLooks(n)
--- a/internal/policy/rollout/version.go
+++ b/internal/policy/rollout/version.go
@@ -9,39 +9,41 @@
 type Version struct {
 	// Generation is how often an operator has rolled the fleet back.
 	Generation uint64 `json:"Order"`
-	// Epoch is the policy's number; each new policy has a higher one.
+	// Epoch is the number of the policy; each new policy has a higher one.
 	Epoch uint64 `json:"Epoch"`
 	// Hash is the root of the policy's Merkle tree (package policy/merkle) in hexadecimal.
 	Hash string `json:"Hash"`
 }
 
-// NewerThan reports whether v supersedes o.
-func (v Version) NewerThan(o Version) bool {
-	return v.Generation > o.Generation || v.Generation == o.Generation && v.Epoch > o.Epoch
+// NewerThan reports whether v supersedes other: it has a higher generation, or the same and a higher epoch.
+func (v Version) NewerThan(other Version) bool {
+	return v.Generation > other.Generation || v.Generation == other.Generation && v.Epoch > other.Epoch
 }
 
-// CurrentVersion is the version that a proxy runs. The proxy persists it, so that a restart does not forget it.
+// CurrentVersion is the version that a proxy uses. The proxy persists it, so that it survives a restart. Its methods
+// must be called by one goroutine at a time.
 type CurrentVersion struct {
 	version   Version
 	mutations mutation
 }
 
-// NewCurrentVersion returns the version that a proxy ran before; the zero Version is none.
+// NewCurrentVersion returns a CurrentVersion that starts with the version that the proxy persisted; the zero Version
+// means none.
 func NewCurrentVersion(version Version) *CurrentVersion { return &CurrentVersion{version: version} }
 
 // Version returns the current version.
 func (c *CurrentVersion) Version() Version { return c.version }
 
-// AdoptText is Adopt for a policy that came as one text, from a server of an older release. The target's hash is then
-// the SHA-256 of the text.
+// AdoptText is Adopt for a policy that was sent as one text, by a server of an older release. The target's hash is then
+// the SHA-256 of the text in hexadecimal.
 func (c *CurrentVersion) AdoptText(target Version, text []byte) error {
 	sum := sha256.Sum256(text)
 	return c.Adopt(target, hex.EncodeToString(sum[:]))
 }
 
-// Adopt makes target the current version, if it is newer and contentHash, the hash of what was fetched, is the
-// target's. Nil means that target is current now. The errors are StaleVersionError, EpochConflictError and
-// HashMismatchError; they change nothing.
+// Adopt makes target the current version if it is newer and contentHash, the hash of the fetched policy, equals the
+// target's hash. Nil means that target is the current version now. Otherwise Adopt returns a StaleVersionError, an
+// EpochConflictError or a HashMismatchError, and the current version stays.
 func (c *CurrentVersion) Adopt(target Version, contentHash string) error {
 	if target == c.version {
 		return nil
--- a/internal/policy/rollout/version_test.go
+++ b/internal/policy/rollout/version_test.go
@@ -47,7 +47,7 @@
 			return fmt.Sprintf("AdoptText(%+v) returned error %v without advice", offered, err)
 		case key == [2]uint64{offered.Generation, offered.Epoch} && offered.Hash != after.Hash &&
 			!errors.As(err, new(EpochConflictError)):
-			return fmt.Sprintf("AdoptText(%+v) with another hash than current %+v returned %v, want an EpochConflictError",
+			return fmt.Sprintf("AdoptText(%+v) with another hash than current %+v returned %v, want EpochConflictError",
 				offered, after, err)
 		case err != nil && offered.NewerThan(before) && sent == text:
 			return fmt.Sprintf("AdoptText(%+v) rejected a version newer than %+v: %v", offered, before, err)
