--- a/internal/policy/distribution/distributor_test.go
+++ b/internal/policy/distribution/distributor_test.go
@@ -85,8 +85,8 @@
 	return pushed, requested
 }
 
-// Chunks are pushed if the distributor knows both trees. All others are fetched by name, also by a proxy whose tree the
-// distributor no longer remembers.
+// Chunks are pushed if the distributor remembers both trees. All others are fetched by name, also by a proxy whose tree
+// the distributor no longer remembers.
 func TestProxiesGetTheChunksThatTheyLack(t *testing.T) {
 	d := New(DefaultSettings())
 	first := buildTree(t, 3000, longValue)
--- a/internal/policy/rollout/errors.go
+++ b/internal/policy/rollout/errors.go
@@ -5,6 +5,9 @@
 	"time"
 )
 
+// The texts and the advice of the errors in this file are sent in replies or stored in the Raft log, so they must not
+// change. In them "order" is the generation, "steward" a control-plane server, and "held" means current.
+
 // StaleVersionError means that the offered version is older than the current one, and that no operator rolled the fleet
 // back.
 type StaleVersionError struct{ Offered, Current Version }
@@ -18,7 +21,8 @@
 // Code returns the identifier of this error in messages between processes.
 func (StaleVersionError) Code() string { return "rollout.OldEpoch" }
 
-// Advice implements operatorerror.Error.
+// Advice implements operatorerror.Error. The offer was late or came from a partitioned server. Nothing needs to be
+// done, unless the operator wants to roll the fleet back.
 func (e StaleVersionError) Advice() string {
 	return "A late word, or a steward that was cut off: nothing to do. To go back on purpose, tell the stewards to."
 }
@@ -38,7 +42,9 @@
 // Code returns the identifier of this error in messages between processes.
 func (EpochConflictError) Code() string { return "rollout.EpochTwice" }
 
-// Advice implements operatorerror.Error.
+// Advice implements operatorerror.Error. Two control-plane servers number policies independently, as after the
+// cluster was created again. The operator has to find the fleet's own servers and offer the right policy under
+// a new epoch.
 func (e EpochConflictError) Advice() string {
 	return "Two stewards number policies apart from each other, as after a founding anew. " +
 		"Find which are the fleet's own, " +
@@ -59,7 +65,8 @@
 // Code returns the identifier of this error in messages between processes.
 func (HashMismatchError) Code() string { return "rollout.WrongContent" }
 
-// Advice implements operatorerror.Error.
+// Advice implements operatorerror.Error. The policy was corrupted or truncated in transit and is fetched again. If that
+// persists, the operator has to check the server that sent it.
 func (e HashMismatchError) Advice() string {
 	return "The policy was damaged or cut on its way; it is fetched again. If it goes on, look at the steward " +
 		"that sent it."
@@ -90,7 +97,8 @@
 // Code returns the identifier of this error in messages between processes.
 func (HarmDetectedError) Code() string { return "rollout.RolloutStopped" }
 
-// Advice implements operatorerror.Error.
+// Advice implements operatorerror.Error. The rollout is stopped where it is. The operator has to roll the fleet back or
+// offer a corrected policy, which the proxies with the stopped one get first.
 func (e HarmDetectedError) Advice() string {
 	return "Proxies that have the new policy keep it and no more get it. Tell the fleet to go back, or offer a " +
 		"mended policy, which they get first."
@@ -114,7 +122,8 @@
 // Code returns the identifier of this error in messages between processes.
 func (NotAdoptedError) Code() string { return "rollout.RolloutNotTaken" }
 
-// Advice implements operatorerror.Error.
+// Advice implements operatorerror.Error. The command FLEET on the admin console of such a proxy shows the reason.
+// Usually its file of services lacks a service that is a target in the policy.
 func (e NotAdoptedError) Advice() string {
 	return "FLEET on such a proxy's console says why. Mostly its file of services lacks a service that the policy " +
 		"leads to: enter it there, and have the team offer the file again under a higher number."
@@ -141,7 +150,8 @@
 // Code returns the identifier of this error in messages between processes.
 func (RegressionError) Code() string { return "rollout.WorseAfter" }
 
-// Advice implements operatorerror.Error.
+// Advice implements operatorerror.Error. The fleet is not rolled back automatically. The operator has to look for other
+// causes first, then roll back to an earlier stored epoch or have the team offer a corrected file.
 func (e RegressionError) Advice() string {
 	return "All proxies have it, so nothing goes back by itself. See what else began then. If it is the policy, tell " +
 		"the fleet to go back to an epoch before it that is kept, or have the team offer a mended file."
--- a/internal/policy/rollout/randomisation.go
+++ b/internal/policy/rollout/randomisation.go
@@ -43,23 +43,23 @@
 
 // samples returns the shares of bad requests of all compared proxies that had requests in this step.
 func (r *Rollout) samples(now time.Duration) stepSamples {
-	list := make([]*proxy, 0, len(r.proxies)+len(r.departed))
-	r.forEachCompared(func(p *proxy) { list = append(list, p) })
-	slices.SortFunc(list, compareDrawOrder)
-	var out stepSamples
-	for _, p := range list {
+	compared := make([]*proxy, 0, len(r.proxies)+len(r.departed))
+	r.forEachCompared(func(p *proxy) { compared = append(compared, p) })
+	slices.SortFunc(compared, compareDrawOrder)
+	var samples stepSamples
+	for _, p := range compared {
 		share, requests := r.badShare(p, now)
 		if requests == 0 {
 			continue
 		}
-		out.all.add(p.targeted, share)
+		samples.all.add(p.targeted, share)
 		if r.isSilent(p, now) {
-			out.anySilent = true
+			samples.anySilent = true
 		} else {
-			out.reporting.add(p.targeted, share)
+			samples.reporting.add(p.targeted, share)
 		}
 	}
-	return out
+	return samples
 }
 
 // grosslyWorse reports whether more than half of the proxies with the version exceed the mean share of bad requests of
@@ -156,7 +156,7 @@
 }
 
 // cellMeans returns the means of consecutive cells of the given size. The remaining values, fewer than one cell, are
-// left out.
+// left samples.
 func cellMeans(values []float64, size int) []float64 {
 	if size == 1 {
 		return values
--- a/internal/policy/rollout/regression.go
+++ b/internal/policy/rollout/regression.go
@@ -40,8 +40,8 @@
 
 // completedRollout is a rollout that has reached all proxies.
 type completedRollout struct {
-	epoch uint64
-	at    time.Duration // time of completion
+	epoch       uint64
+	completedAt time.Duration
 }
 
 // NewRegressionWatch returns a RegressionWatch that watches each rollout for Settings.WatchDuration.
@@ -90,7 +90,7 @@
 	if len(w.rollouts) == maxWatchedRollouts {
 		w.rollouts = w.rollouts[1:]
 	}
-	w.rollouts = append(w.rollouts, completedRollout{epoch: epoch, at: now})
+	w.rollouts = append(w.rollouts, completedRollout{epoch: epoch, completedAt: now})
 }
 
 // Tick checks for a regression whenever an interval has ended. It returns a RegressionError once for each regression,
@@ -101,31 +101,31 @@
 		return nil
 	}
 	w.lastChecked = last
-	for len(w.rollouts) > 0 && now-w.rollouts[0].at > w.settings.WatchDuration {
+	for len(w.rollouts) > 0 && now-w.rollouts[0].completedAt > w.settings.WatchDuration {
 		w.rollouts = w.rollouts[1:]
 	}
 	regression, cause, significant := w.greatestDifference(now, last)
 	if !significant {
 		return nil
 	}
-	at := w.rollouts[cause].at
+	completedAt := w.rollouts[cause].completedAt
 	regression.NearbyEpochs = w.nearbyEpochs(cause)
-	w.ignoreBefore = w.intervalAt(at) + 1
+	w.ignoreBefore = w.intervalAt(completedAt) + 1
 	w.rollouts = w.rollouts[cause+1:]
 	return regression
 }
 
 // greatestDifference finds the rollout after which the share of bad requests rose most, because a regression began with
-// that rollout. It returns the rise and the index of the rollout, -1 if there is none. The result is significant only if that rollout was watched for minIntervals. Otherwise the regression would be attributed to an
-// earlier rollout.
+// that rollout. It returns the rise and the index of the rollout, -1 if there is none. The result is significant only
+// if that rollout was watched for minIntervals. Otherwise the regression would be attributed to an earlier rollout.
 func (w *RegressionWatch) greatestDifference(
 	now time.Duration, last int64,
 ) (regression RegressionError, cause int, significant bool) {
 	cause = -1
 	for i, rollout := range w.rollouts {
-		rolloutIndex := w.intervalAt(rollout.at)
-		before := w.badShareOver(max(w.ignoreBefore, rolloutIndex-watchIntervals), rolloutIndex-1)
-		after := w.badShareOver(rolloutIndex+1, last)
+		rolloutInterval := w.intervalAt(rollout.completedAt)
+		before := w.badShareOver(max(w.ignoreBefore, rolloutInterval-watchIntervals), rolloutInterval-1)
+		after := w.badShareOver(rolloutInterval+1, last)
 		if before.intervals < 2*minIntervals || after.intervals == 0 {
 			continue
 		}
@@ -136,7 +136,7 @@
 		cause = i
 		regression = RegressionError{
 			Epoch:  rollout.epoch,
-			Ago:    now - rollout.at,
+			Ago:    now - rollout.completedAt,
 			Before: before.share,
 			After:  after.share,
 		}
@@ -149,10 +149,10 @@
 // nearbyEpochs returns the epochs of the other rollouts that were completed at about the same time as the one with the
 // index cause.
 func (w *RegressionWatch) nearbyEpochs(cause int) []uint64 {
-	at := w.rollouts[cause].at
+	completedAt := w.rollouts[cause].completedAt
 	var epochs []uint64
 	for i, rollout := range w.rollouts {
-		distance := max(rollout.at-at, at-rollout.at)
+		distance := max(rollout.completedAt-completedAt, completedAt-rollout.completedAt)
 		if i != cause && distance <= minIntervals*w.width {
 			epochs = append(epochs, rollout.epoch)
 		}
--- a/internal/policy/rollout/regression_test.go
+++ b/internal/policy/rollout/regression_test.go
@@ -19,14 +19,14 @@
 	rng := rand.New(rand.NewPCG(seed, 11))
 	watch := NewRegressionWatch(DefaultSettings())
 	epoch := uint64(0)
-	drift := 0.0 // of the share of bad requests
+	drift := 0.0 // deviation of the share of bad requests from its mean
 	for now := time.Duration(0); now < 4*time.Minute; now += 100 * time.Millisecond {
 		if now%(6*time.Second) == 0 && now > 0 {
 			epoch++
 			watch.RolloutCompleted(now, epoch)
 		}
 		if now%time.Second == 0 {
-			drift = 0.9*drift + 0.0003*rng.NormFloat64() // consecutive seconds resemble each other
+			drift = 0.9*drift + 0.0003*rng.NormFloat64() // depends on the previous second, as load does
 			share := max(0, 0.01+drift)
 			if harmfulFrom > 0 && epoch >= harmfulFrom {
 				share += harm
@@ -76,13 +76,13 @@
 	for now := time.Duration(0); now < 2*time.Minute; now += 100 * time.Millisecond {
 		watch.Report(now, 100, 50)
 		if err := watch.Tick(now); err != nil {
-			t.Fatal(err)
+			t.Fatalf("rollout without earlier requests: Tick(%v) = %v, want nil", now, err)
 		}
 	}
 	watch.RolloutCompleted(2*time.Minute, 2)
 	for now := 2 * time.Minute; now < 4*time.Minute; now += 100 * time.Millisecond {
 		if err := watch.Tick(now); err != nil {
-			t.Fatal(err)
+			t.Fatalf("rollout without later requests: Tick(%v) = %v, want nil", now, err)
 		}
 	}
 }
--- a/internal/policy/rollout/rollout.go
+++ b/internal/policy/rollout/rollout.go
@@ -141,10 +141,10 @@
 }
 
 // Rollback ends the rollout at an operator's command, and returns the fleet to the version before it under a new
-// generation. It returns an error if there is no version before.
+// generation. It returns an error if there is no earlier version.
 func (r *Rollout) Rollback() error {
 	if r.next == (Version{}) || r.base.Hash == "" {
-		return errors.New("rollout: there is no policy before")
+		return errors.New("rollout: there is no earlier version to roll back to")
 	}
 	r.base.Generation = r.next.Generation + 1
 	r.next = Version{}
--- a/internal/policy/rollout/settings.go
+++ b/internal/policy/rollout/settings.go
@@ -61,8 +61,8 @@
 // Validate returns an error that lists all invalid settings, each by its key in the configuration file, or nil.
 func (s *Settings) Validate() error {
 	var errs []error
-	addIf := func(wrong bool, format string, args ...any) {
-		if wrong {
+	addIf := func(invalid bool, format string, args ...any) {
+		if invalid {
 			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
--- a/internal/policy/routetable/errors.go
+++ b/internal/policy/routetable/errors.go
@@ -8,6 +8,8 @@
 // maxNamedServices is the maximum number of services that the text of a MissingServicesError names.
 const maxNamedServices = 20
 
+// The texts and the advice of the errors in this file are sent to the control-plane servers, so they must not change.
+
 // MissingServicesError means that routes have target services that the proxy does not have.
 type MissingServicesError struct {
 	// Names are the missing services in ascending order.
@@ -26,7 +28,8 @@
 // Code returns the identifier of this error in messages between processes.
 func (MissingServicesError) Code() string { return "policyroutes.MissingServices" }
 
-// Advice implements operatorerror.Error.
+// Advice implements operatorerror.Error. The operator has to add the services to the proxy's file of services and
+// reload it. Until then the proxy uses its previous routes.
 func (MissingServicesError) Advice() string {
 	return "Enter the services in the proxy's file of services and have it read again; " +
 		"until then the routes before go on."
@@ -47,7 +50,8 @@
 // Code returns the identifier of this error in messages between processes.
 func (InvalidRulesError) Code() string { return "policyroutes.BadRoutes" }
 
-// Advice implements operatorerror.Error.
+// Advice implements operatorerror.Error. The proxy uses its previous routes until the teams whose rules are named offer
+// corrected files.
 func (InvalidRulesError) Advice() string {
 	return "The routes before go on. Have the teams whose rules are named mend them, and offer their files again."
 }
