--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -42,7 +42,7 @@
 	const errorRate = 0.02
 	runs := 300
 	if mutations&(skipTest|ignoreSilent|skipMinRequests) != 0 {
-		runs = 20 // these mutations show with harmful versions
+		runs = 20 // these mutations are detected with harmful versions
 	}
 	stops := 0
 	completedRuns := 0
@@ -98,7 +98,7 @@
 			"60 proxies, 10% more bad requests":     {n: 60, extraBadShare: 0.1, requestsPerReport: 100},
 			"4 proxies, 50% more bad requests":      {n: 4, extraBadShare: 0.5, requestsPerReport: 400},
 			"20 proxies, 10% more bad requests":     {n: 20, extraBadShare: 0.1, requestsPerReport: 400},
-			"60 proxies, 70% fail with the version": {n: 60, dyingShare: 0.7, requestsPerReport: 100},
+			"60 proxies, 70% fail with the version": {n: 60, failingShare: 0.7, requestsPerReport: 100},
 			"300 proxies, 3% more bad requests":     {n: 300, extraBadShare: 0.03, requestsPerReport: 50},
 		} {
 			s.reportInterval = 4 * time.Second
@@ -130,7 +130,7 @@
 	}
 }
 
-// The checks of this package notice when a safeguard is removed.
+// For each mutation, which disables one safeguard, the checks of this package find a violated rule.
 func TestMutationsAreDetected(t *testing.T) {
 	for name, mutations := range map[string]mutation{
 		"no test at a look":               skipTest,
--- a/internal/policy/rollout/simulation_test.go
+++ b/internal/policy/rollout/simulation_test.go
@@ -24,7 +24,7 @@
 type simulation struct {
 	n                 int     // proxies at the start
 	extraBadShare     float64 // added to the share of bad requests by the new version
-	dyingShare        float64 // probability that a proxy fails when it adopts a version
+	failingShare      float64 // probability that a proxy fails when it adopts a version
 	requestsPerReport int64   // 0 means no traffic
 	mutations         mutation
 	seed              uint64
@@ -49,8 +49,8 @@
 	sequence := uint64(0)
 	for now := time.Duration(0); now < 10*time.Minute; now += s.reportInterval {
 		if s.leaving > 0 && len(proxies) > s.n-s.leaving && rng.IntN(3) == 0 {
-			left := rng.IntN(len(proxies))
-			proxies = slices.Delete(proxies, left, left+1)
+			leavingIndex := rng.IntN(len(proxies))
+			proxies = slices.Delete(proxies, leavingIndex, leavingIndex+1)
 			r.SetMembers(now, namesOf(proxies))
 		}
 		updated := 0
@@ -62,7 +62,7 @@
 			}
 			if target != p.current {
 				p.current = target
-				p.failed = rng.Float64() < s.dyingShare
+				p.failed = rng.Float64() < s.failingShare
 			}
 			if target.Epoch == 2 {
 				updated++
