--- a/internal/quotalease/acknowledge.go
+++ b/internal/quotalease/acknowledge.go
@@ -61,8 +61,9 @@
 	return nil
 }
 
-// raiseTokens ensures that new tokens are above one that a holder has received. If this log never issued that token,
-// its store was restored from an older copy, and the holder would refuse new leases with lower tokens as stale.
+// raiseTokens ensures that new tokens are above holderToken, a token that a holder has received. If this log never
+// issued that token, its store was restored from an older copy, and the holder would refuse new leases with lower
+// tokens as stale.
 func (m *StateMachine) raiseTokens(holderToken Token) {
 	if holderToken.Epoch == m.epoch && holderToken.Index > m.appliedIndex+m.tokenOffset {
 		m.tokenOffset = holderToken.Index - m.appliedIndex
@@ -78,8 +79,8 @@
 		if order < 0 || ack.ended && order == 0 || ack.all || m.mutations.AckDropsNewest {
 			continue
 		}
-		// If an older lease had a longer hold time, units in flight may come from it. Then all of them count as
-		// residual, for the longer time.
+		// If an older lease had a longer hold time, units in flight may have been acquired under it. Then used stays 0,
+		// so all units in flight are counted as a residual for the longer hold time.
 		if order == 0 && lease.MaxHoldTime == entry.MaxHoldTime {
 			used = lease.Amount
 		}
--- a/internal/quotalease/allocator.go
+++ b/internal/quotalease/allocator.go
@@ -42,7 +42,8 @@
 	return a
 }
 
-// Silent reports whether the startup silence lasts: until then the server must not vote, confirm entries or lead.
+// Silent reports whether the startup silence is still in effect. During it the server must not vote, confirm entries or
+// lead.
 func (a *Allocator) Silent(now time.Duration) bool { return now < a.silentUntil }
 
 // RestartTimers restarts the timers of all that the state machine counts as outstanding, with their full durations. The
@@ -162,7 +163,8 @@
 	return commands
 }
 
-// adoptsFloors reports whether a request adopts a configuration version with which an older, larger floor is freed.
+// adoptsFloors reports whether the floors version of a request allows the state machine to drop an older floor of the
+// holder that it still counts.
 func (a *Allocator) adoptsFloors(sender *requester) bool {
 	for _, ledger := range a.state.ledgers {
 		if floors := ledger.floors[sender.Holder]; len(floors) > 1 && floors[1].ConfigVersion <= sender.FloorsVersion {
--- a/internal/quotalease/command.go
+++ b/internal/quotalease/command.go
@@ -138,8 +138,8 @@
 	HolderID
 	// SeenVersion is the newest configuration version that the process has received.
 	SeenVersion uint64 `json:"Seen"`
-	// FloorsVersion is the version whose floors the process has adopted; 0 if it has no claim to the floors of its
-	// name.
+	// FloorsVersion is the configuration version whose floors the process has adopted; 0 if the process may not use
+	// the floors of its holder's name (see Holder.SetFloorClaim).
 	FloorsVersion uint64 `json:"Floors"`
 }
 
--- a/internal/quotalease/divide.go
+++ b/internal/quotalease/divide.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// hysteresis is the fraction of its allocation by which a holder's current amount may differ without being changed.
-// Measured demand varies by a few percent, and units that move to another holder arrive there with an empty token
-// bucket.
+// hysteresis is the maximum difference between a holder's current amount and its computed allocation, as a fraction of
+// the allocation, at which the holder keeps its current amount. Without it, amounts would change all the time: measured
+// demand varies by a few percent, and units that move to another holder arrive there with an empty token bucket.
 const hysteresis = .1
 
 // roundingSlack, in millionths of a unit, is added before rounding down, so that a floating-point error does not cost a
 // whole unit.
 const roundingSlack = 1e-3
 
-// Demand is what one process requests of a quota and what it has leased.
+// Demand is the amount that one process requests of a quota, and the amount of its newest lease.
 type Demand struct {
 	HolderID
 	// Wanted is the requested units a second, or units in flight.
@@ -25,11 +25,11 @@
 }
 
 // Divide returns how much of a quota each process should have, in the order of the demands. It computes weighted
-// max-min fairness (progressive filling; Bertsekas and Gallager, Data Networks, 6.5.2) over the limit minus all
-// floors: minimums are served first, no process gets more than its cap or its demand, and units that a process does
-// not demand go to others. A process whose current amount is within hysteresis of its allocation keeps that amount as
-// far as it fits; this does not lower the sum. The result does not depend on the order of the demands. The amounts
-// never sum to more than the limit minus all floors.
+// max-min fairness (progressive filling; Bertsekas and Gallager, Data Networks, 6.5.2) over the limit minus all floors:
+// minimums are served first, no process gets more than its cap or its demand, and units that a process does not demand
+// go to others. A process whose current amount differs from its allocation by at most the hysteresis keeps its current
+// amount as far as the total permits; this does not lower the sum. The result does not depend on the order of the
+// demands. The amounts never sum to more than the limit minus all floors.
 func Divide(quota *Quota, demands []Demand) []Amount {
 	amounts := make([]Amount, len(demands))
 	total := quota.unreserved()
@@ -54,7 +54,7 @@
 	kind    Kind
 	total   float64 // the limit minus all floors
 	demands []Demand
-	order   []int // for each position in the slices below, the index in demands and in the result
+	order   []int // order[rank] is the index in demands, and in the result, of the process at rank in the slices below
 
 	weights     []float64
 	minimums    []float64 // the minimum, at most the demand
@@ -93,7 +93,7 @@
 }
 
 // scaleMinimums scales the minimums down if their sum is above the total. That happens when two processes with the same
-// holder's name both demand its minimum.
+// holder's name both demand the minimum that is configured for this name.
 func (d *division) scaleMinimums() {
 	if d.sumMinimums <= d.total {
 		return
@@ -103,14 +103,16 @@
 	}
 }
 
-// levelBreakpoint is a common level at which a holder reaches its minimum or its demand.
+// levelBreakpoint is a level (an amount per unit of weight, see fillLevel) at which the allocation of a holder starts
+// to grow, because level*weight exceeds its minimum, or stops growing, because it reaches its demand.
 type levelBreakpoint struct {
 	level float64
 	slope float64 // change, at this level, in the rate at which the sum of all allocations grows with the level
 }
 
-// fillLevel finds the common level at which the total is used up. Each holder gets the level times its weight, but at
-// least its minimum and at most its demand.
+// fillLevel computes the allocations if the demands sum to more than the total. Each holder gets level*weight, but at
+// least its minimum and at most its demand; the level is the same for all holders, and is the one at which the
+// allocations sum to the total.
 func (d *division) fillLevel() {
 	breakpoints := make([]levelBreakpoint, 0, 2*len(d.allocated))
 	sum := 0.0
@@ -141,8 +143,10 @@
 	}
 }
 
-// excess returns the current amount of a process minus its allocation, or 0 if the difference is outside the
-// hysteresis. It is negative if the process has less than its allocation.
+// excess returns by how much the current amount of a process, limited to its cap and raised to its minimum, is above
+// its allocation; the result is negative if it is below. It returns 0 if the process has no current amount, or if the
+// current amount and the allocation differ by more than the hysteresis: then the process does not keep its current
+// amount.
 func (d *division) excess(rank int) float64 {
 	current := min(float64(d.demands[d.order[rank]].Current), d.caps[rank])
 	if current <= 0 || math.Abs(current-d.allocated[rank]) > hysteresis*d.allocated[rank] {
@@ -151,9 +155,10 @@
 	return max(current, d.minimums[rank]) - d.allocated[rank]
 }
 
-// applyHysteresis lets holders whose current amount is near their allocation keep that amount. What some keep above
-// their allocation comes from unallocated units, and from holders that stay slightly below their allocation, so the sum
-// does not fall.
+// applyHysteresis lets holders whose current amount differs from their allocation by at most the hysteresis keep their
+// current amount. Units that a holder keeps above its allocation are taken first from unallocated units, then from
+// holders whose current amount is below their allocation. Those give up only as much as is needed, so the sum of all
+// allocations does not fall.
 func (d *division) applyHysteresis() {
 	sum := 0.0
 	above := 0.0
@@ -167,8 +172,8 @@
 		return
 	}
 	spare := max(0, d.total-sum)
-	keptPart := min(1, (spare+below)/above)
-	yieldedPart := 0.0
+	keptPart := min(1, (spare+below)/above) // the fraction of each positive excess that its holder keeps
+	yieldedPart := 0.0                      // the fraction of each negative excess that its holder gives up
 	if below > 0 {
 		yieldedPart = min(1, max(0, above*keptPart-spare)/below)
 	}
@@ -181,8 +186,9 @@
 	}
 }
 
-// roundAmounts rounds the allocations down to whole millionths, or to whole units for units in flight. Units in flight
-// that rounding leaves over go to the holders with the largest remainders, in the order of the holders among equals.
+// roundAmounts rounds the allocations down to whole millionths of a unit, or to whole units for units in flight. The
+// units in flight that are left after rounding go to the holders with the largest remainders; holders with equal
+// remainders are served in their sort order.
 func (d *division) roundAmounts(amounts []Amount) {
 	remaining := Amount(d.total)
 	if d.kind == InFlight {
@@ -215,8 +221,8 @@
 // burst of the quota.
 const burstRounding = 1 - 1e-12
 
-// divideBurst divides the burst of a quota minus the bursts of its floors: one unit for each holder with an amount
-// above 0 (less if they do not suffice), and the rest in proportion to the amounts.
+// divideBurst divides the burst of a quota minus the bursts of its floors among the holders with an amount above 0: one
+// unit for each (or equal parts if there is less than one unit for each), and the rest in proportion to the amounts.
 func divideBurst(quota *Quota, amounts []Amount) []Amount {
 	bursts := make([]Amount, len(amounts))
 	if quota.Kind != Rate {
--- a/internal/quotalease/divide_test.go
+++ b/internal/quotalease/divide_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// parseDemands reads fields such as a=51/48: holder a wants 51 units and has 48 leased. Without a slash it has none.
+// parseDemands reads fields such as a=51/48: holder a wants 51 units and has a lease of 48. A field without a slash,
+// such as a=51, describes a holder without a lease.
 func parseDemands(text string) (demands []Demand) {
 	for _, field := range strings.Fields(text) {
 		var wanted, current float64
@@ -65,7 +66,8 @@
 	return demands
 }
 
-// drawDivision draws a quota and demands. Two successive demands are of two processes with the same holder's name.
+// drawDivision draws a quota and demands. Each pair of demands (the first two, the next two and so on) belongs to two
+// processes with the same holder's name.
 func drawDivision(t *rapid.T) (*Quota, []Demand) {
 	quota := rateQuota()
 	inFlight := rapid.Bool().Draw(t, "in flight")
@@ -195,7 +197,8 @@
 	})
 }
 
-// Once its own result has been the current amounts twice, Divide no longer changes any amount.
+// If Divide is called again and again with its previous result as the current amounts, the third call changes no amount
+// by more than a rounding tolerance.
 func TestDivideSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota, demands := drawDivision(t)
--- a/internal/quotalease/doc.go
+++ b/internal/quotalease/doc.go
@@ -20,9 +20,10 @@
 //
 // # Who may spend, and when
 //
-// A holder may spend what its newest accepted lease permits, until that lease expires by its own clock, and the floors
-// of its name while it has the exclusive claim to them (Holder.SetFloorClaim). No other process may spend anything. A
-// process that replaces another one under the same name is a different holder, because its incarnation differs.
+// A holder may spend what its newest accepted lease permits, until that lease expires by its own clock. It may also
+// spend the floors that belong to its name, while it is the only process with that name that may use them
+// (Holder.SetFloorClaim). No other process may spend anything. A process that replaces another one under the same name
+// is a different holder, because its incarnation differs.
 //
 // # The invariant
 //
@@ -74,6 +75,6 @@
 // The package does no I/O, starts no goroutines and reads no clock. Callers pass the time, as a duration on their
 // monotonic clock, and serialize all calls on a value. No call blocks. Errors that operators see have their own types,
 // with a code for messages between processes (Code) and the operator's next step (Advice). The full safety argument is
-// in docs/fleet-budgets-design.md. Package modelcheck checks the invariant in small systems, with all safeguards and
-// without single ones.
+// in docs/fleet-budgets-design.md. Package modelcheck checks the invariant in small systems: with all safeguards, and
+// with single safeguards disabled, which must lead to a violation.
 package quotalease
--- a/internal/quotalease/errors.go
+++ b/internal/quotalease/errors.go
@@ -221,7 +221,8 @@
 	return "Name one of the budgets in the fleet's file, or add it."
 }
 
-// FloorClaimedError is returned when another process on the machine has the claim to the floors of a holder's name.
+// FloorClaimedError is returned when another process on the machine has the exclusive right to use the floors that
+// belong to a holder's name (see Holder.SetFloorClaim).
 type FloorClaimedError struct{ Holder string }
 
 // Error implements error.
--- a/internal/quotalease/example_test.go
+++ b/internal/quotalease/example_test.go
@@ -8,7 +8,8 @@
 )
 
 // A server bootstraps a fleet, sets a quota, and leases a part of it to a proxy. The caller provides the log, the
-// transport of the messages and the clocks; here a counter stands for the log, and all processes share one clock.
+// transport of the messages and the clocks. In this example a counter replaces the log, and all processes share a
+// clock.
 func Example() {
 	state := quotalease.NewStateMachine()
 	allocator := quotalease.NewAllocator(0, 0, state)
--- a/internal/quotalease/fingerprint.go
+++ b/internal/quotalease/fingerprint.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// fingerprint encodes the state of a value that decides its future behavior, for model checking: values with equal
+// fingerprint encodes the state of a value that determines its future behavior, for model checking: values with equal
 // fingerprints behave alike.
 type fingerprint []byte
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// AppendState appends an encoding of the state that decides the future behavior of the allocator, without its state
+// AppendState appends an encoding of the state that determines the future behavior of the allocator, without its state
 // machine. It is for model checking.
 func (a *Allocator) AppendState(out []byte) []byte {
 	state := fingerprint(out)
@@ -56,7 +56,7 @@
 	return state
 }
 
-// AppendState appends an encoding of the state that decides the future behavior of the holder. It is for model
+// AppendState appends an encoding of the state that determines the future behavior of the holder. It is for model
 // checking.
 func (h *Holder) AppendState(out []byte) []byte {
 	state := fingerprint(out)
--- a/internal/quotalease/frozen_test.go
+++ b/internal/quotalease/frozen_test.go
@@ -112,19 +112,19 @@
 
 // frozenMessageList returns the messages of the golden file, in its order.
 func frozenMessageList() []frozenMessage {
-	key := HolderID{Holder: "a", Incarnation: 7}
+	id := HolderID{Holder: "a", Incarnation: 7}
 	floor := Floor{Kind: InFlight, Amount: 3 * Unit, Burst: Unit, MaxHoldTime: 2 * time.Second}
 	return []frozenMessage{
 		{"request", "cbor", Request{
-			FleetID: "f", Epoch: 2, HolderID: key, Seq: 3, SeenVersion: 4, FloorsVersion: 5, Leaving: true,
+			FleetID: "f", Epoch: 2, HolderID: id, Seq: 3, SeenVersion: 4, FloorsVersion: 5, Leaving: true,
 			Quotas: []QuotaRequest{{
 				Quota: "r", Wanted: 1500000, Token: Token{Epoch: 2, Index: 9}, Ended: true, InFlight: Unit,
 			}},
 		}, func() any { return new(Request) }},
 		{"reply", "cbor", Reply{
-			FleetID: "f", Epoch: 2, HolderID: key, ConfigVersion: 6,
+			FleetID: "f", Epoch: 2, HolderID: id, ConfigVersion: 6,
 			Leases: []Lease{{
-				FleetID: "f", Epoch: 2, HolderID: key, Quota: "h", Kind: InFlight, Amount: 4 * Unit, Burst: Unit,
+				FleetID: "f", Epoch: 2, HolderID: id, Quota: "h", Kind: InFlight, Amount: 4 * Unit, Burst: Unit,
 				Duration: time.Second, MaxHoldTime: 2 * time.Second, RequestSeq: 3, ConfigVersion: 6,
 				Token: Token{Epoch: 2, Index: 9},
 			}},
@@ -339,7 +339,7 @@
 }
 
 func TestFrozenErrorTexts(t *testing.T) {
-	key := HolderID{Holder: "a", Incarnation: 7}
+	id := HolderID{Holder: "a", Incarnation: 7}
 	var texts strings.Builder
 	for _, err := range []codedError{
 		InvalidCommandError{Reason: "why"},
@@ -353,7 +353,7 @@
 		StaleEpochError{Got: 1, Have: 2},
 		StaleTokenError{Holder: "a", Quota: "r", Got: Token{Epoch: 1, Index: 2}, Have: Token{Epoch: 1, Index: 3}},
 		FleetMismatchError{Ours: "f", Theirs: "g"},
-		HolderMismatchError{Ours: key, Theirs: HolderID{Holder: "b", Incarnation: 8}},
+		HolderMismatchError{Ours: id, Theirs: HolderID{Holder: "b", Incarnation: 8}},
 		LimitExceededError{Quota: "r", Dimension: "whole", Limit: 3 * Unit, Outstanding: 2 * Unit, Requested: 1500000},
 		ExhaustedError{Quota: "r"},
 		BootstrapPendingError{MaxLifetime: time.Second},
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -16,7 +16,8 @@
 	// MaxDrift must be at least that of the fleet's bootstrap.
 	MaxDrift float64
 	// ConfigVersion and Floors are the last result of Holder.Floors that this process or its predecessor stored on
-	// disk. They must not be restored from an older copy, because a floor in it may belong to another holder since.
+	// disk. They must not be restored from an older copy, because its floors may have been assigned to another holder
+	// since.
 	ConfigVersion uint64
 	Floors        map[string]Floor
 }
@@ -35,10 +36,10 @@
 	name string
 	kind Kind
 
-	lease        Lease // the newest lease, expired or not
-	active       bool  // the lease has not expired
-	expiresAt    time.Duration
-	highestToken Token // of all accepted leases
+	lease        Lease         // the newest lease, expired or not
+	active       bool          // false after ReleaseAll, and once leaseActive finds the lease expired
+	expiresAt    time.Duration // when the lease expires, by the holder's clock
+	highestToken Token         // the highest token of all accepted leases
 	bucket       tokenBucket
 	inFlight     Amount // units in flight that leases admitted
 
@@ -63,22 +64,22 @@
 type Holder struct {
 	settings      HolderSettings
 	epoch         uint64
-	configVersion uint64 // the version of the floors that it received
-	adoptedFloors uint64 // the last version of the floors that covered all units in flight
+	configVersion uint64 // the configuration version of the current floors
+	adoptedFloors uint64 // the newest configuration version whose floors were large enough for their units in flight
 	seq           uint64
 	sentRequests  [requestHistory]sentRequest // indexed by request number modulo the length
 	measuredAt    time.Duration               // when the demand was last measured
 	quotas        map[string]*quotaState
-	floorClaim    bool          // this process may use the floors of its name
-	claimedAt     time.Duration // when the claim was set
+	floorClaim    bool          // this process may use the floors of its holder's name, see SetFloorClaim
+	claimedAt     time.Duration // when floorClaim was last set to true
 	leaving       bool          // ReleaseAll was called
 	mutations     mutation.Set
 
 	revalidationFailures uint64
 }
 
-// NewHolder returns a holder without leases. It rejects all units until HandleReply has accepted a lease, except units
-// of its floors once SetFloorClaim has set the claim to them.
+// NewHolder returns a holder without leases and without the claim to its floors. It rejects all units until HandleReply
+// accepts a lease, or until SetFloorClaim permits the use of its floors.
 func NewHolder(settings HolderSettings) *Holder {
 	h := &Holder{settings: settings, configVersion: settings.ConfigVersion, quotas: map[string]*quotaState{}}
 	for _, name := range slices.Sorted(maps.Keys(settings.Floors)) {
@@ -113,10 +114,12 @@
 // drift does not refill them faster than the rate.
 func (h *Holder) slowdown() float64 { return 1 + h.settings.MaxDrift }
 
-// SetFloorClaim sets whether this process has the exclusive claim to the floors of its name. The caller must ensure
-// that no other process on its machine has the claim, and call SetFloorClaim when the claim changes. What the previous
-// process spent is not known, so the bucket of a rate starts empty, and units in flight are admitted only after the
-// maximum hold time, when all units that the previous process had in flight have ended.
+// SetFloorClaim sets whether this process may use its floors. A floor belongs to the holder's name, not to a process,
+// so of all processes with this name only one may use it at a time: the one that has the exclusive claim, for example a
+// lock on a file. The caller must ensure that no other process on its machine has the claim, and call SetFloorClaim
+// when the process gets or loses it. A process that gets the claim cannot find out how much the previous one spent. So
+// the token bucket of a rate starts empty, and units in flight are admitted only after the maximum hold time, when all
+// units that the previous process had in flight have ended.
 func (h *Holder) SetFloorClaim(now time.Duration, claimed bool) {
 	if claimed && !h.floorClaim {
 		h.claimedAt = now
@@ -209,7 +212,8 @@
 	return q.highestToken, nil
 }
 
-// noLeaseError returns the error of Acquire when there is no active lease.
+// noLeaseError returns the error of Acquire when there is no active lease: ExhaustedError if there is a floor, whose
+// units are used up, NoLeaseError if there never was a lease, else LeaseExpiredError.
 func (q *quotaState) noLeaseError(hasFloor bool) error {
 	switch {
 	case hasFloor:
@@ -256,7 +260,7 @@
 	}
 	amount := Amount(units) * Unit
 	if amount > *inFlight {
-		return InvalidCommandError{Reason: "more units of " + quotaName + " are given back than are in hand"}
+		return InvalidCommandError{Reason: "more units of " + quotaName + " are released than are in flight"}
 	}
 	*inFlight -= amount
 	return nil
--- a/internal/quotalease/holder_test.go
+++ b/internal/quotalease/holder_test.go
@@ -34,7 +34,7 @@
 	if _, err := b.Acquire(cluster.now, "r", 1); !errors.As(err, new(LeaseExpiredError)) {
 		t.Errorf("holder b, cut off, without a floor: Acquire(quota r, 1) = error %v, want a LeaseExpiredError", err)
 	}
-	a.SetFloorClaim(cluster.now, false) // the next process of the name has taken the claim, as in an upgrade
+	a.SetFloorClaim(cluster.now, false) // as in an upgrade, the next process of this name has it
 	if _, err := a.Acquire(cluster.now, "r", 1); !errors.As(err, new(LeaseExpiredError)) {
 		t.Errorf("holder a, without the floor claim: Acquire(quota r, 1) = error %v, want a LeaseExpiredError", err)
 	}
--- a/internal/quotalease/message.go
+++ b/internal/quotalease/message.go
@@ -13,7 +13,8 @@
 	Seq uint64 `json:"Seq"`
 	// SeenVersion is the newest configuration version that the process has received.
 	SeenVersion uint64 `json:"Seen"`
-	// FloorsVersion is the version whose floors the process has adopted; 0 if it has no claim to them.
+	// FloorsVersion is the configuration version whose floors the process has adopted; 0 if the process may not use
+	// the floors of its holder's name (see Holder.SetFloorClaim).
 	FloorsVersion uint64 `json:"Floors"`
 	// Leaving reports that the process has stopped spending and releases all leases.
 	Leaving bool           `json:"Leaving"`
@@ -42,7 +43,7 @@
 	ConfigVersion uint64 `json:"Version"`
 	// Leases has the newest lease of each quota.
 	Leases []Lease `json:"Grants"`
-	// Floors are the floors of the holder's name, by quota.
+	// Floors are the floors that belong to the holder's name, by the name of the quota.
 	Floors map[string]Floor `json:"Floors"`
 }
 
--- a/internal/quotalease/modelcheck/cluster.go
+++ b/internal/quotalease/modelcheck/cluster.go
@@ -80,8 +80,8 @@
 	demandUnits  float64         // demand of each process, in units
 
 	orphanedUnits []inFlightUnit    // units in flight of processes that have stopped
-	limits        []configuredLimit // the limits that still count, the newest last
-	sharedBucket  float64           // level of a token bucket of the whole quota: all units spent are taken from it
+	limits        []configuredLimit // limits under which leases may still be outstanding, the newest last
+	sharedBucket  float64           // level of a token bucket for the whole fleet, see acquire; below 0 is a violation
 	filledAt      time.Duration     // when sharedBucket was last refilled
 	spentUnits    float64           // units acquired by all processes so far
 	violation     string            // the first violation of the invariant, "" if there is none
--- a/internal/quotalease/modelcheck/invariant.go
+++ b/internal/quotalease/modelcheck/invariant.go
@@ -10,16 +10,16 @@
 
 const (
 	// Tolerances for floating-point errors, in units.
-	levelTolerance = 1e-3
-	sumTolerance   = 1e-6
+	levelTolerance = 1e-3 // of the level of the shared token bucket
+	sumTolerance   = 1e-6 // of the sum of the outstanding units
 )
 
-// configuredLimit is a limit under which leases were granted. It counts until the last of these leases has expired for
-// certain.
+// configuredLimit is a limit under which leases were granted. The outstanding units may reach it until the last of
+// these leases has expired for certain.
 type configuredLimit struct {
 	units  float64
 	burst  float64
-	endsAt time.Duration // true time until which the limit counts
+	endsAt time.Duration // true time at which the last lease under this limit has expired
 }
 
 // recordLimit records the limit of a leader that may just have committed leases.
@@ -38,8 +38,8 @@
 	c.limits = append(c.limits, limit)
 }
 
-// maxLimit returns the largest limit and burst that count at the current time. The floor always counts, because no
-// configuration removes it.
+// maxLimit returns the largest limit and the largest burst under which leases may be outstanding at the current time.
+// They are at least the floor and its burst, because no configuration removes the floor.
 func (c *cluster) maxLimit() (units, burst float64) {
 	units = c.settings.Floor
 	burst = c.settings.Burst * c.settings.Floor / c.settings.Limit
@@ -52,15 +52,16 @@
 	return units, burst
 }
 
-// fillSharedBucket refills the shared token bucket from which all spent units are taken.
+// fillSharedBucket refills the shared token bucket, from which the units that all proxies acquire are taken, at the
+// rate and up to the burst of maxLimit.
 func (c *cluster) fillSharedBucket() {
 	units, burst := c.maxLimit()
 	c.sharedBucket = min(burst, c.sharedBucket+units*(c.now-c.filledAt).Seconds())
 	c.filledAt = c.now
 }
 
-// acquire has the i-th proxy acquire units until one is rejected, at most the given number. It records a violation if
-// the proxies together spend more than the limit and the burst allow.
+// acquire has the i-th proxy acquire units until one is rejected, at most maxUnits. For a rate it records a violation
+// if the proxies together spend more than the limit and the burst allow.
 func (c *cluster) acquire(i, maxUnits int) {
 	p := c.proxies[i]
 	for range maxUnits {
--- a/internal/quotalease/modelcheck/modelcheck_test.go
+++ b/internal/quotalease/modelcheck/modelcheck_test.go
@@ -58,13 +58,14 @@
 	}
 }
 
-// Fault rates with which a run without a safeguard violates the invariant within few seeds.
+// Fault rates with which random runs without one of the safeguards violate the invariant within 60 seeds
+// from the first seed of the case.
 var (
-	demandShifts   = map[Fault]int{ProxyCutOff: 40, DemandShifted: 100}
-	cutOffs        = map[Fault]int{ProxyCutOff: 60, DemandShifted: 60}
-	proxyDeaths    = map[Fault]int{ProxyCutOff: 60, ProxyKilled: 20, ProxyReplaced: 60}
-	serverCutOffs  = map[Fault]int{ServersCutOff: 60, LinksRepaired: 80, DemandShifted: 60}
-	restoredStores = map[Fault]int{
+	demandShifts      = map[Fault]int{ProxyCutOff: 40, DemandShifted: 100}
+	cutOffs           = map[Fault]int{ProxyCutOff: 60, DemandShifted: 60}
+	proxyReplacements = map[Fault]int{ProxyCutOff: 60, ProxyKilled: 20, ProxyReplaced: 60}
+	serverCutOffs     = map[Fault]int{ServersCutOff: 60, LinksRepaired: 80, DemandShifted: 60}
+	restoredStores    = map[Fault]int{
 		OlderStoreRestored: 60, DemandShifted: 60, ServersCutOff: 30, LinksRepaired: 60,
 	}
 )
@@ -81,8 +82,11 @@
 		mutations mutation.Set
 		firstSeed uint64 // lower seeds do not violate the invariant
 	}{
-		{"drift margin of a lease", shortSteps, proxyDeaths, mutation.Set{NoDriftMargin: true}, 22},
-		{"lease duration counted from the request", rateSettings(), proxyDeaths, mutation.Set{LeaseFromReply: true}, 0},
+		{"drift margin of a lease", shortSteps, proxyReplacements, mutation.Set{NoDriftMargin: true}, 22},
+		{
+			"lease duration counted from the request", rateSettings(), proxyReplacements,
+			mutation.Set{LeaseFromReply: true}, 0,
+		},
 		{"token bucket empty on a new lease", rateSettings(), cutOffs, mutation.Set{FullBucketOnLease: true}, 0},
 		{"leases refused in decreasing token order", shortSteps, demandShifts, mutation.Set{AnyTokenOrder: true}, 49},
 		{"commit before the reply", rateSettings(), serverCutOffs, mutation.Set{ReplyBeforeCommit: true}, 0},
--- a/internal/quotalease/modelcheck/raft.go
+++ b/internal/quotalease/modelcheck/raft.go
@@ -11,7 +11,7 @@
 	"lapisspread/internal/quotalease"
 )
 
-// silent reports whether the startup silence of a server lasts.
+// silent reports whether the startup silence of a server is still in effect.
 func (c *cluster) silent(s *server) bool { return s.allocator.Silent(s.clockTime(c.now)) }
 
 // majority returns the number of servers that form a quorum.
--- a/internal/quotalease/modelcheck/random.go
+++ b/internal/quotalease/modelcheck/random.go
@@ -136,7 +136,7 @@
 	r.replies = deliver(r, r.replies, func(q *reply) int { return q.proxyIndex }, r.deliverReply)
 }
 
-// stepProxy has a proxy send its request if it is time to, acquire units and release some.
+// stepProxy has a proxy send its next request if that is due, acquire units with acquireChance, and release units.
 func (r *randomRun) stepProxy(i int) {
 	if r.nextRequest[i] <= r.now {
 		r.nextRequest[i] = r.now + r.between(r.settings.LeaseDuration/5, r.settings.LeaseDuration/3)
--- a/internal/quotalease/modelcheck/statehash.go
+++ b/internal/quotalease/modelcheck/statehash.go
@@ -7,7 +7,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// appendState appends an encoding of the state that decides the future behavior of the cluster: clusters with equal
+// appendState appends an encoding of the state that determines the future behavior of the cluster: clusters with equal
 // encodings behave alike.
 func (c *cluster) appendState(out []byte) []byte {
 	out = appendNumbers(out, int(c.now), len(c.requests), len(c.replies))
--- a/internal/quotalease/snapshot.go
+++ b/internal/quotalease/snapshot.go
@@ -27,7 +27,7 @@
 	Floors  map[string][]versionedFloor `json:"Floors"`
 }
 
-// Snapshot returns the state as JSON. Equal states have equal snapshots. The error wraps one of encoding/json.
+// Snapshot returns the state as JSON. Equal states have equal snapshots. An error wraps that of json.Marshal.
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	state := snapshot{
 		FleetID:        m.fleetID,
@@ -47,7 +47,7 @@
 	}
 	data, err := json.Marshal(state)
 	if err != nil {
-		return nil, fmt.Errorf("grant: snapshot: %w", err)
+		return nil, fmt.Errorf("quotalease: cannot encode the snapshot: %w", err)
 	}
 	return data, nil
 }
@@ -57,11 +57,11 @@
 func (m *StateMachine) Restore(data []byte) error {
 	var state snapshot
 	if err := json.Unmarshal(data, &state); err != nil {
-		return fmt.Errorf("grant: restore: %w", err)
+		return fmt.Errorf("quotalease: cannot decode the snapshot: %w", err)
 	}
 	if state.Epoch > 0 && state.ConfigVersion > 0 {
 		if err := state.Config.Check(); err != nil {
-			return fmt.Errorf("grant: restore: %w", err)
+			return fmt.Errorf("quotalease: the configuration in the snapshot is invalid: %w", err)
 		}
 	}
 	restored := &StateMachine{
--- a/internal/quotalease/statemachine.go
+++ b/internal/quotalease/statemachine.go
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// waitingAfterBootstrap reports whether the waiting time after a bootstrap lasts: leases of an earlier epoch may not
-// have expired yet.
+// waitingAfterBootstrap reports whether the waiting time after a bootstrap is not over: leases of an earlier epoch may
+// not have expired yet.
 func (m *StateMachine) waitingAfterBootstrap() bool { return m.bootstrapToken != Token{} }
 
 // expire drops the lease, residual or waiting time that a server reports as expired. It does nothing if an
--- a/internal/quotalease/statemachine_test.go
+++ b/internal/quotalease/statemachine_test.go
@@ -155,7 +155,7 @@
 		log.mustGrant("a", "r", 6)
 		return log.grantCommand("b", "r", 5, nil)
 	}},
-	{"burst above the limit of the burst", new(LimitExceededError), func(log *testLog) Command {
+	{"burst above the burst of the quota", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 6)
 		return log.grantCommand("b", "r", 4, func(lease *Lease) { lease.Burst = FromUnits(5) })
 	}},
@@ -330,13 +330,13 @@
 	}
 }
 
-// A store that was restored from an older copy could issue the same tokens twice. An acknowledgement with a token
-// above its log raises all later tokens above that one.
+// A server whose store was restored from an older copy could issue the same tokens twice. If a holder acknowledges a
+// token that is higher than all tokens of the server's log, all later tokens must be above it.
 func TestTokensGoAboveWhatHoldersKnow(t *testing.T) {
 	log := newTestLog(t, nil)
-	known := Token{Epoch: 1, Index: 500}
-	log.mustApply(ackCommand("a", "r", 1, known, 0))
-	if got := log.mustGrant("a", "r", 1); got.Compare(known) <= 0 {
+	reported := Token{Epoch: 1, Index: 500}
+	log.mustApply(ackCommand("a", "r", 1, reported, 0))
+	if got := log.mustGrant("a", "r", 1); got.Compare(reported) <= 0 {
 		t.Errorf("grant after an acknowledgement of token 1.500: token %v, want a token above 1.500", got)
 	}
 }
