--- a/internal/quotalease/allocator.go
+++ b/internal/quotalease/allocator.go
@@ -124,7 +124,8 @@
 	return append(commands, a.grantCommands(now, pending)...)
 }
 
-// dropInactive removes the requests of processes that have sent no request for the longest lifetime.
+// dropInactive removes the requests of processes that have sent no request for longer than the maximum lifetime of a
+// lease (Bootstrap.MaxLifetime).
 func (a *Allocator) dropInactive(now time.Duration) {
 	maps.DeleteFunc(a.requesters, func(_ HolderID, sender *requester) bool {
 		return now-sender.receivedAt > a.state.maxLifetime
--- a/internal/quotalease/config.go
+++ b/internal/quotalease/config.go
@@ -79,7 +79,8 @@
 	minDuration = time.Millisecond // minimum of MaxLifetime, LeaseDuration and MaxHoldTime
 )
 
-// problems collects the errors of a configuration. prefix is put before each message.
+// problems collects the errors of a configuration. prefix is put before each message. The messages use the operators'
+// terms that are listed in errors.go.
 type problems struct {
 	prefix string
 	errs   []error
--- a/internal/quotalease/config_test.go
+++ b/internal/quotalease/config_test.go
@@ -38,7 +38,7 @@
 			f.FleetID = ""
 			f.MaxDrift = math.NaN()
 		}, []string{"no name", "drift: NaN"}},
-		{"two quotas of one name", func(f *FleetConfig) {
+		{"two quotas with the same name", func(f *FleetConfig) {
 			f.Quotas[1].Name = "b"
 		}, []string{"b: two budgets have this name"}},
 		{"negative limit, burst below one unit", func(f *FleetConfig) {
--- a/internal/quotalease/errors.go
+++ b/internal/quotalease/errors.go
@@ -7,7 +7,8 @@
 
 // Each error of this package has its own type, for errors.As. The texts and codes are read by operators and by other
 // releases, and use the terms of the operators' documentation: budget for quota, grant for lease, whole for limit,
-// steward for control-plane server, work in hand for units in flight.
+// steward for control-plane server, work in hand for units in flight, founding for bootstrap, longest for
+// FleetConfig.MaxLifetime, lease for Quota.LeaseDuration, life for Quota.MaxHoldTime, others for Quota.DefaultShare.
 
 // NotBootstrappedError is returned for every command and request until an operator has bootstrapped the fleet.
 type NotBootstrappedError struct{}
@@ -139,7 +140,10 @@
 // StaleTokenError is returned for a fencing token or a request that is older than the last one.
 type StaleTokenError struct {
 	Holder, Quota string
-	Got, Have     Token
+	// Got is the refused token. Have is the newest token of this holder and quota, or the highest token that a Fence
+	// has evicted. If an acknowledgement is refused because its request is not newer than the last one, Have.Index is
+	// the number of that last request.
+	Got, Have Token
 }
 
 // Error implements error.
@@ -158,7 +162,11 @@
 
 // StaleEpochError is returned for a command or message of an earlier epoch, and for a request or
 // acknowledgement whose epoch is newer than the server's own.
-type StaleEpochError struct{ Got, Have uint64 }
+type StaleEpochError struct {
+	// Got is the epoch of the refused command or message, and Have the epoch of the receiver. They are swapped for a
+	// request or acknowledgement whose epoch is newer than the server's, because then the server is out of date.
+	Got, Have uint64
+}
 
 // Error implements error.
 func (e StaleEpochError) Error() string {
@@ -175,7 +183,11 @@
 
 // StaleConfigError is returned for a configuration that is not newer than the last one. It is also returned while a
 // holder has reported a newer configuration than the state machine has, because then the store is an older copy.
-type StaleConfigError struct{ Have, Seen uint64 }
+type StaleConfigError struct {
+	// Have is the version of the refused configuration, or the state machine's version if a lease is refused. Seen is
+	// the newest version that was applied or that a holder has reported.
+	Have, Seen uint64
+}
 
 // Error implements error.
 func (e StaleConfigError) Error() string {
--- a/internal/quotalease/fence_test.go
+++ b/internal/quotalease/fence_test.go
@@ -9,7 +9,7 @@
 // this holder and quota, the token is rejected unless it is higher than all tokens that were evicted at the capacity.
 func TestFenceRejectsStaleTokens(t *testing.T) {
 	fence := NewFence(2)
-	for i, tt := range []struct {
+	for step, tt := range []struct {
 		holder string
 		quota  string
 		index  uint64 // of the token; 0 means the zero token
@@ -40,7 +40,7 @@
 				want = "a StaleTokenError"
 			}
 			t.Errorf("step %d: Admit(holder %s, quota %s, token %v) = error %v, want %s",
-				i, tt.holder, tt.quota, token, err, want)
+				step, tt.holder, tt.quota, token, err, want)
 		}
 	}
 }
--- a/internal/quotalease/frozen_test.go
+++ b/internal/quotalease/frozen_test.go
@@ -153,9 +153,9 @@
 	return data
 }
 
-// frozen returns the content of a golden file. If WRITE_FROZEN is set and current is not nil, it first writes current
-// to the file.
-func frozen(t *testing.T, path string, current []byte) []byte {
+// readFrozen returns the content of a golden file. If WRITE_FROZEN is set and current is not nil, it first writes
+// current to the file.
+func readFrozen(t *testing.T, path string, current []byte) []byte {
 	t.Helper()
 	if current != nil && os.Getenv("WRITE_FROZEN") != "" {
 		if err := os.WriteFile(path, current, 0o644); err != nil {
@@ -202,7 +202,7 @@
 	for _, command := range commands {
 		encoded.Write(append(encodeFrozen(t, "json", command), '\n'))
 	}
-	stored := frozen(t, frozenLog, encoded.Bytes())
+	stored := readFrozen(t, frozenLog, encoded.Bytes())
 	if !bytes.Equal(stored, encoded.Bytes()) {
 		t.Errorf("the encoded log commands are\n%s\nwant, as in %s:\n%s", encoded.Bytes(), frozenLog, stored)
 	}
@@ -219,7 +219,7 @@
 // per line.
 func replayFrozen(t *testing.T, m *StateMachine, first, last int) (results string) {
 	t.Helper()
-	lines := bytes.Split(bytes.TrimSpace(frozen(t, frozenLog, nil)), []byte("\n"))
+	lines := bytes.Split(bytes.TrimSpace(readFrozen(t, frozenLog, nil)), []byte("\n"))
 	for i := first; i < last; i++ {
 		var command Command
 		if err := json.Unmarshal(lines[i], &command); err != nil {
@@ -234,7 +234,7 @@
 func wantFrozenSnapshot(t *testing.T, path string, m *StateMachine) []byte {
 	t.Helper()
 	got := snapshotOf(t, m)
-	stored := frozen(t, path, got)
+	stored := readFrozen(t, path, got)
 	if !bytes.Equal(got, stored) {
 		t.Errorf("Snapshot() =\n%s\nwant, as in %s:\n%s", got, path, stored)
 	}
@@ -248,7 +248,7 @@
 	halfway := wantFrozenSnapshot(t, frozenHalfway, machine)
 	secondHalf := replayFrozen(t, machine, frozenHalfwayIndex, length)
 	results += secondHalf
-	if stored := frozen(t, frozenResults, []byte(results)); string(stored) != results {
+	if stored := readFrozen(t, frozenResults, []byte(results)); string(stored) != results {
 		t.Errorf("results of the commands of %s:\n%s\nwant, as in %s:\n%s", frozenLog, results, frozenResults, stored)
 	}
 	wantFrozenSnapshot(t, frozenRebootstrapped, machine)
@@ -309,7 +309,7 @@
 		data := encodeFrozen(t, m.encoding, m.value)
 		fmt.Fprintf(&encoded, "%s %s %s\n", m.name, m.encoding, hex.EncodeToString(data))
 	}
-	stored := string(frozen(t, frozenMessages, []byte(encoded.String())))
+	stored := string(readFrozen(t, frozenMessages, []byte(encoded.String())))
 	if stored != encoded.String() {
 		t.Errorf("the encoded messages are\n%s\nwant, as in %s:\n%s", encoded.String(), frozenMessages, stored)
 	}
@@ -360,7 +360,7 @@
 	} {
 		fmt.Fprintf(&texts, "%s\n\t%s\n\t%s\n", err.Code(), err, err.Advice())
 	}
-	if stored := string(frozen(t, frozenErrors, []byte(texts.String()))); stored != texts.String() {
+	if stored := string(readFrozen(t, frozenErrors, []byte(texts.String()))); stored != texts.String() {
 		t.Errorf("codes, texts and advice of the errors are\n%s\nwant, as in %s:\n%s",
 			texts.String(), frozenErrors, stored)
 	}
--- a/internal/quotalease/holderrequest.go
+++ b/internal/quotalease/holderrequest.go
@@ -42,6 +42,7 @@
 	if !q.wantedFixed {
 		measured := float64(q.attempted) / span.Seconds()
 		if q.kind == InFlight {
+			// Rejected units count at most as much as the peak plus one unit.
 			measured = float64(q.peakInFlight + min(q.rejected, q.peakInFlight+Unit))
 		}
 		measured *= demandHeadroom
--- a/internal/quotalease/ledger.go
+++ b/internal/quotalease/ledger.go
@@ -8,7 +8,8 @@
 	"lapisspread/internal/quotalease/internal/mutation"
 )
 
-// holderEntry is what one process has outstanding of a quota.
+// holderEntry records what one process has outstanding of a quota: the leases and units in flight that, as far as the
+// state machine can determine, the process may still use.
 type holderEntry struct {
 	HolderID
 	// Leases are the leases that are neither acknowledged as replaced nor expired, in the order of their tokens.
@@ -19,9 +20,9 @@
 	ResidualToken Token `json:"RestBy"`
 	// MaxHoldTime is the maximum hold time of any unit that may be in flight.
 	MaxHoldTime time.Duration `json:"Life"`
-	// LastAck is the number of the request of the last acknowledgement.
+	// LastAck is the number of the request that reported the last acknowledgement.
 	LastAck uint64 `json:"Seq"`
-	// LastGrant is the number of the request that the last lease answers.
+	// LastGrant is the number of the request that the newest lease answers.
 	LastGrant uint64 `json:"Ask"`
 }
 
@@ -130,7 +131,8 @@
 	return f.Amount == other.Amount && f.Burst == other.Burst
 }
 
-// adoptFloors drops the floors of a holder that are older than the one of the version that it has adopted.
+// adoptFloors drops the floors of a holder that it no longer uses, because it has adopted the floors of a newer
+// configuration version.
 func (l *quotaLedger) adoptFloors(holder string, version uint64) {
 	heldFloors := l.floors[holder]
 	adopted := 0
--- a/internal/quotalease/modelcheck/cluster.go
+++ b/internal/quotalease/modelcheck/cluster.go
@@ -56,7 +56,8 @@
 	endsAt time.Duration // when it ends, by its process's clock, or by true time once the process has stopped
 }
 
-// proxy is a proxy with the lease holder of its current process, which stops and is replaced under the same name.
+// proxy is a modelled proxy with the lease holder of its current process. When a process has stopped, a new one with
+// the same holder's name and another incarnation may replace it.
 type proxy struct {
 	driftingClock
 	quotalease.HolderID
@@ -101,8 +102,8 @@
 	leader.term = 1
 	c.makeLeader(leader, 0)
 	c.append(leader, s.bootstrap(1))
-	waitingTime := &quotalease.Expire{Token: quotalease.Token{Epoch: 1, Index: 1}}
-	c.append(leader, quotalease.Command{Expire: waitingTime})
+	waitingTimeExpired := &quotalease.Expire{Token: quotalease.Token{Epoch: 1, Index: 1}} // the token of the bootstrap
+	c.append(leader, quotalease.Command{Expire: waitingTimeExpired})
 	c.append(leader, s.setQuotas(1, s.Limit, s.Burst))
 	for range 2 { // the first round replicates the entries, the second one their commit
 		for _, follower := range c.servers[1:] {
--- a/internal/quotalease/modelcheck/explore.go
+++ b/internal/quotalease/modelcheck/explore.go
@@ -10,12 +10,12 @@
 
 // Bounds limit the events of an exploration. Explore visits every state that is reachable within them.
 type Bounds struct {
-	RequestsPerProxy int
-	Ticks            int           // number of times that the clock advances
-	Tick             time.Duration // by which the clock advances each time
-	Elections        int
-	Restarts         int // of servers, with their whole log, its first half, or an empty log
-	MaxStates        int // maximum number of states; 0 means no maximum
+	RequestsPerProxy int           // maximum number of requests that each proxy sends
+	Ticks            int           // maximum number of times that the clock advances
+	Tick             time.Duration // how far the clock advances each time
+	Elections        int           // maximum number of leader elections
+	Restarts         int           // maximum number of server restarts, with the full log, half of it or none
+	MaxStates        int           // maximum number of states; 0 means no maximum
 }
 
 // Result is the result of Explore.
--- a/internal/quotalease/modelcheck/fault.go
+++ b/internal/quotalease/modelcheck/fault.go
@@ -45,7 +45,8 @@
 	return faultNames[f]
 }
 
-// faultRateSteps is the number of steps of a run to which fault rates refer.
+// faultRateSteps is the number of steps for which fault rates are given: a fault with rate 10 happens on average 10
+// times in faultRateSteps steps.
 const faultRateSteps = 4000
 
 // defaultFaultRates are the average numbers of each fault in faultRateSteps steps.
--- a/internal/quotalease/modelcheck/raft.go
+++ b/internal/quotalease/modelcheck/raft.go
@@ -143,7 +143,7 @@
 	return n > 0 && (len(leader.log) < n || leader.log[n-1].id != s.log[n-1].id)
 }
 
-// advanceCommit commits the entries that a majority has confirmed, up to the last one, which must be of the leader's
+// advanceCommit commits all entries up to the last one that a majority has confirmed, if that one is of the leader's
 // term.
 func (c *cluster) advanceCommit(leader *server) {
 	for n := len(leader.log); n > leader.commit && leader.log[n-1].term == leader.term; n-- {
@@ -176,7 +176,8 @@
 	}
 }
 
-// stepDownWithoutQuorum has each leader step down if no majority has confirmed it within the longest lifetime.
+// stepDownWithoutQuorum has each leader step down if no majority has confirmed it within the maximum lifetime of
+// a lease.
 func (c *cluster) stepDownWithoutQuorum() {
 	for _, s := range c.servers {
 		if !s.leader || !s.running {
--- a/internal/quotalease/modelcheck/random.go
+++ b/internal/quotalease/modelcheck/random.go
@@ -27,21 +27,21 @@
 // enoughGranted is the GrantedShare from which on a run counts as recovered.
 const enoughGranted = .98
 
-// randomSeed is the second word of the random seed of every run.
+// randomSeed is the second word of the random seed of every run; the first word is the seed argument of RunRandom.
 const randomSeed = 24
 
 // Probabilities of the events of one step while faults are injected.
 const (
 	acquireChance    = .5   // that a proxy acquires units
-	electionChance   = .002 // that a server starts an election at any time
+	electionChance   = .002 // that a server starts an election, even if there is a leader
 	noLeaderChance   = .2   // that a server starts an election while there is no leader
 	replicateChance  = .8   // that a leader replicates to a follower
 	replyChance      = .3   // that a server replies to the latest request of a proxy
 	leaderChance     = .8   // that a request goes to a leader
 	deliveryChance   = .4   // that a message is delivered in this step
-	lossChance       = .02  // that an undelivered message is lost
+	lossChance       = .02  // that a message that is not delivered in this step is lost
 	repeatChance     = .05  // that a delivered message is delivered again later
-	cutOffKeepChance = .9   // that a message from or to a proxy that is cut off is not lost
+	cutOffKeepChance = .9   // that a message from or to a proxy that is cut off is not lost in this step
 )
 
 // randomRun is the state of a random run of a cluster.
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -119,8 +119,8 @@
 	ledger  *quotaLedger
 	state   *StateMachine
 	limit   usage // the limit and burst of the quota minus all floors
-	total   usage
-	current usage
+	total   usage // total of the ledger, including the planned grants
+	current usage // current of the ledger, including the planned grants
 }
 
 func newFreeCapacity(quota *Quota, ledger *quotaLedger, state *StateMachine) *freeCapacity {
