--- a/internal/quotalease/command.go
+++ b/internal/quotalease/command.go
@@ -21,7 +21,7 @@
 // Bootstrap is an operator's command that starts a new epoch of the fleet with this log. Epoch must be above all
 // earlier ones. The state machine grants no lease and accepts no configuration until MaxLifetime has passed, because
 // leases of an earlier epoch may still be in use. MaxLifetime and MaxDrift must be at least those of the previous
-// bootstrap.
+// bootstrap; they are the upper bounds of the same fields of all configurations of the epoch (FleetConfig).
 type Bootstrap struct {
 	FleetID     string        `json:"Fleet"`
 	Epoch       uint64        `json:"Epoch"`
@@ -120,9 +120,10 @@
 type AckBatch struct {
 	Epoch uint64 `json:"Epoch"`
 	HolderID
-	RequestSeq uint64     `json:"Seq"`
-	All        bool       `json:"All,omitempty"`
-	Acks       []QuotaAck `json:"Parts"`
+	RequestSeq uint64 `json:"Seq"`
+	// All reports that the holder will not use any lease of the quotas in Acks again.
+	All  bool       `json:"All,omitempty"`
+	Acks []QuotaAck `json:"Parts"`
 }
 
 // QuotaAck is the acknowledgement of one quota in an AckBatch.
@@ -130,7 +131,8 @@
 	Quota    string `json:"b"`
 	Token    Token  `json:"t"`
 	InFlight Amount `json:"h,omitempty"`
-	Ended    bool   `json:"e,omitempty"`
+	// Ended reports that the holder will not use the lease of Token again.
+	Ended bool `json:"e,omitempty"`
 }
 
 // ObserveConfig reports which configuration versions a process has received.
--- a/internal/quotalease/errors.go
+++ b/internal/quotalease/errors.go
@@ -84,9 +84,9 @@
 	Quota string
 	// Dimension is "whole" for the limit, or "burst".
 	Dimension   string
-	Limit       Amount
-	Outstanding Amount
-	Requested   Amount
+	Limit       Amount // the quota's limit or burst
+	Outstanding Amount // leases and floors that are counted; only leases if the command sets floors
+	Requested   Amount // the rejected lease, or the sum of the floors that the command sets
 }
 
 // Error implements error.
@@ -121,7 +121,10 @@
 }
 
 // HolderMismatchError is returned for a reply or lease that is addressed to a different process.
-type HolderMismatchError struct{ Ours, Theirs HolderID }
+type HolderMismatchError struct {
+	Ours   HolderID // of this process
+	Theirs HolderID // to which the reply or lease is addressed
+}
 
 // Error implements error.
 func (e HolderMismatchError) Error() string {
--- a/internal/quotalease/fence_test.go
+++ b/internal/quotalease/fence_test.go
@@ -20,7 +20,7 @@
 		{"a", "r", 4, false},
 		{"a", "h", 3, true},
 		{"a", "r", 0, true},
-		{"b", "r", 9, true}, // evicts the entry with the lowest token: a, h, 1.3
+		{"b", "r", 9, true}, // evicts the entry of holder a and quota h, whose token is the lowest
 		{"a", "h", 3, false},
 		{"a", "r", 4, false},
 		{"a", "r", 6, true},
--- a/internal/quotalease/grant.go
+++ b/internal/quotalease/grant.go
@@ -14,6 +14,7 @@
 	lease.ConfigVersion = m.configVersion
 	lease.Token = m.nextToken()
 	newest := entry.newestLease()
+	// Each request is answered by at most one lease of a quota.
 	answered := entry.LastGrant > 0 && lease.RequestSeq <= entry.LastGrant
 	if answered || newest != nil && lease.Token.Compare(newest.Token) <= 0 {
 		return StaleTokenError{Holder: lease.Holder, Quota: lease.Quota, Got: lease.Token, Have: newest.tokenOrZero()}
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -13,7 +13,7 @@
 	FleetID string
 	// HolderID must have an incarnation that no other process with the same name ever uses.
 	HolderID
-	// MaxDrift must be at least that of the fleet's bootstrap.
+	// MaxDrift is the maximum clock drift as a fraction. It must be at least that of the fleet's bootstrap.
 	MaxDrift float64
 	// ConfigVersion and Floors are the last result of Holder.Floors that this process or its predecessor stored on
 	// disk. They must not be restored from an older copy, because its floors may have been assigned to another holder
--- a/internal/quotalease/holderstatus.go
+++ b/internal/quotalease/holderstatus.go
@@ -17,8 +17,10 @@
 	// FloorInFlight is the units in flight that the floor admitted.
 	FloorInFlight Amount
 	// Remaining is the time until the active lease expires, 0 if there is none.
-	Remaining     time.Duration
-	Epoch         uint64
+	Remaining time.Duration
+	// Epoch is the highest epoch that the process has received.
+	Epoch uint64
+	// ConfigVersion is the configuration version of the current floors.
 	ConfigVersion uint64
 }
 
--- a/internal/quotalease/modelcheck/explore.go
+++ b/internal/quotalease/modelcheck/explore.go
@@ -123,7 +123,7 @@
 	node   *searchNode
 	bounds Bounds
 	yield  func(event string, next *searchNode) bool
-	done   bool
+	done   bool // yield has returned false
 }
 
 // successors calls yield for every state that one event can lead to, until yield returns false.
--- a/internal/quotalease/modelcheck/fault.go
+++ b/internal/quotalease/modelcheck/fault.go
@@ -125,7 +125,7 @@
 	if !s.running || !s.leader {
 		return
 	}
-	part := .5 + r.rng.Float64()/2
+	part := .5 + r.rng.Float64()/2 // the new limit as a fraction of the one in the settings
 	if r.settings.Kind == quotalease.InFlight {
 		part = .5 // units in flight must be whole numbers
 	}
--- a/internal/quotalease/modelcheck/invariant.go
+++ b/internal/quotalease/modelcheck/invariant.go
@@ -28,7 +28,8 @@
 	if len(config.Quotas) == 0 {
 		return
 	}
-	longest := time.Duration(float64(c.settings.maxLifetime()) / (1 - c.settings.MaxDrift)) // by the slowest clock
+	// A process with the slowest clock measures the maximum lifetime in this true time.
+	longest := time.Duration(float64(c.settings.maxLifetime()) / (1 - c.settings.MaxDrift))
 	limit := configuredLimit{
 		units: config.Quotas[0].Limit, burst: config.Quotas[0].Burst, endsAt: c.now + longest + time.Millisecond,
 	}
--- a/internal/quotalease/modelcheck/raft.go
+++ b/internal/quotalease/modelcheck/raft.go
@@ -14,7 +14,7 @@
 // silent reports whether the startup silence of a server is still in effect.
 func (c *cluster) silent(s *server) bool { return s.allocator.Silent(s.clockTime(c.now)) }
 
-// majority returns the number of servers that form a quorum.
+// majority returns the minimum number of servers that form a quorum.
 func (c *cluster) majority() int { return c.settings.Servers/2 + 1 }
 
 // connected reports whether two servers can reach each other.
--- a/internal/quotalease/modelcheck/random.go
+++ b/internal/quotalease/modelcheck/random.go
@@ -108,7 +108,7 @@
 	return r.outstanding() / min(limit.units, demand)
 }
 
-// chance returns true with a probability.
+// chance returns true with the given probability.
 func (r *randomRun) chance(probability float64) bool { return r.rng.Float64() < probability }
 
 // between returns a random duration between low and high.
--- a/internal/quotalease/modelcheck/settings.go
+++ b/internal/quotalease/modelcheck/settings.go
@@ -61,7 +61,7 @@
 // maxLifetime returns the longest time for which a lease or its units in flight can count.
 func (s *Settings) maxLifetime() time.Duration { return s.LeaseDuration + s.MaxHoldTime }
 
-// holderName returns the name of the i-th holder.
+// holderName returns the name of the i-th holder: aa, ba, ca and so on.
 func holderName(i int) string { return string(rune('a'+i%26)) + string(rune('a'+i/26)) }
 
 // driftingClock is a clock with a constant drift.
@@ -70,7 +70,7 @@
 	offset time.Duration // what the clock shows at true time 0
 }
 
-// clockTime returns what the clock shows at a true time.
+// clockTime returns the time that the clock shows at trueTime.
 func (c driftingClock) clockTime(trueTime time.Duration) time.Duration {
 	return c.offset + time.Duration(float64(trueTime)*c.rate)
 }
--- a/internal/quotalease/plan.go
+++ b/internal/quotalease/plan.go
@@ -131,7 +131,7 @@
 }
 
 // usagesOf returns what a process has outstanding: in total, and under the current configuration version.
-func (c *freeCapacity) usagesOf(id HolderID) (own, ownCurrent usage) {
+func (c *freeCapacity) usagesOf(id HolderID) (ownTotal, ownCurrent usage) {
 	entry := c.ledger.entries[id]
 	if entry == nil {
 		return usage{}, usage{}
@@ -142,9 +142,9 @@
 // fit returns the part of a process's allocation that the state machine would accept now. For a rate it returns the
 // zero usage if the burst of that part is too small to spend a unit.
 func (c *freeCapacity) fit(quota *Quota, allocated usage, id HolderID) usage {
-	own, ownCurrent := c.usagesOf(id)
-	amount := grantable(c.limit.amount, c.total.amount, own.amount, c.current.amount, ownCurrent.amount)
-	burst := grantable(c.limit.burst, c.total.burst, own.burst, c.current.burst, ownCurrent.burst)
+	ownTotal, ownCurrent := c.usagesOf(id)
+	amount := grantable(c.limit.amount, c.total.amount, ownTotal.amount, c.current.amount, ownCurrent.amount)
+	burst := grantable(c.limit.burst, c.total.burst, ownTotal.burst, c.current.burst, ownCurrent.burst)
 	granted := usage{amount: min(allocated.amount, amount), burst: min(allocated.burst, burst)}
 	if quota.Kind == InFlight {
 		granted.amount = granted.amount.roundDown()
@@ -157,19 +157,19 @@
 }
 
 // grantable returns the maximum that can be granted to a process such that the leases of the current configuration stay
-// within the limit and the total does not grow above the limit, or above its present value if that is higher. own and
-// ownCurrent are the parts of total and current that the process has.
-func grantable(limit, total, own, current, ownCurrent Amount) Amount {
-	byTotal := max(limit, total) - total + own
+// within the limit and the total does not grow above the limit, or above its present value if that is higher. ownTotal
+// and ownCurrent are the parts of total and current that the process has.
+func grantable(limit, total, ownTotal, current, ownCurrent Amount) Amount {
+	byTotal := max(limit, total) - total + ownTotal
 	byCurrent := limit - current + ownCurrent
 	return max(0, min(byTotal, byCurrent))
 }
 
 // addGrant adds a planned lease to the sums.
 func (c *freeCapacity) addGrant(id HolderID, granted usage) {
-	own, ownCurrent := c.usagesOf(id)
-	c.total.sub(own)
-	c.total.add(own.maxWith(granted))
+	ownTotal, ownCurrent := c.usagesOf(id)
+	c.total.sub(ownTotal)
+	c.total.add(ownTotal.maxWith(granted))
 	c.current.sub(ownCurrent)
 	c.current.add(ownCurrent.maxWith(granted))
 }
