--- a/internal/quotalease/allocator_test.go
+++ b/internal/quotalease/allocator_test.go
@@ -103,7 +103,8 @@
 		t.Errorf("RequestInterval() with a lease of 1s = %v, want 1s/3", interval)
 	}
 	if end, found := cluster.allocator.NextExpiry(); !found || end <= cluster.now-time.Second {
-		t.Errorf("NextExpiry() = %v, %v; want a time after %v, true", end, found, cluster.now-time.Second)
+		t.Errorf("NextExpiry() = time %v, found %v; want a time after %v, found true",
+			end, found, cluster.now-time.Second)
 	}
 	b.SetDemand("r", 20)
 	cluster.exchangeRounds(5)
--- a/internal/quotalease/divide_test.go
+++ b/internal/quotalease/divide_test.go
@@ -131,7 +131,8 @@
 		slices.Reverse(reversed)
 		for i, amount := range Divide(quota, reversed) {
 			if want := amounts[len(amounts)-1-i]; amount != want {
-				t.Fatalf("Divide() with the demands reversed gives %s %v units, want %v as in the original order",
+				t.Fatalf("Divide() with the demands reversed gives holder %s %v units, "+
+					"want %v as in the original order",
 					reversed[i].Holder, amount.Units(), want.Units())
 			}
 		}
@@ -187,8 +188,9 @@
 				otherShare := quota.shareOf(demands[j].Holder)
 				below := amount.Units()/share.Weight < other.Units()/otherShare.Weight-1e-5
 				if below && other > FromUnits(otherShare.Min)+1 {
-					t.Fatalf("Divide() gives holder %s (wants %v, weight %v) %v units and holder %s (weight %v) %v; "+
-						"want no less per weight than a holder above its minimum of %v",
+					t.Fatalf("Divide() gives holder %s (wants %v, weight %v) %v units, "+
+						"less than it wants and than its cap, if it has one, and holder %s (weight %v) %v units, above its minimum of %v; "+
+						"want the first to have at least as many units per weight as the second",
 						demands[i].Holder, demands[i].Wanted.Units(), share.Weight, amount.Units(),
 						demands[j].Holder, otherShare.Weight, other.Units(), otherShare.Min)
 				}
--- a/internal/quotalease/frozen_test.go
+++ b/internal/quotalease/frozen_test.go
@@ -204,7 +204,8 @@
 	}
 	stored := readFrozen(t, frozenLog, encoded.Bytes())
 	if !bytes.Equal(stored, encoded.Bytes()) {
-		t.Errorf("the encoded log commands are\n%s\nwant, as in %s:\n%s", encoded.Bytes(), frozenLog, stored)
+		t.Errorf("json.Marshal of each of frozenCommands() =\n%s\nwant, as in %s:\n%s",
+			encoded.Bytes(), frozenLog, stored)
 	}
 	for i, line := range bytes.Split(bytes.TrimSpace(stored), []byte("\n")) {
 		var command Command
@@ -249,7 +250,8 @@
 	secondHalf := replayFrozen(t, machine, frozenHalfwayIndex, length)
 	results += secondHalf
 	if stored := readFrozen(t, frozenResults, []byte(results)); string(stored) != results {
-		t.Errorf("results of the commands of %s:\n%s\nwant, as in %s:\n%s", frozenLog, results, frozenResults, stored)
+		t.Errorf("results of Apply(each command of %s) =\n%s\nwant, as in %s:\n%s",
+			frozenLog, results, frozenResults, stored)
 	}
 	wantFrozenSnapshot(t, frozenRebootstrapped, machine)
 
@@ -260,7 +262,7 @@
 	wantFrozenSnapshot(t, frozenHalfway, restored)
 	wantFrozenState(t, restored)
 	if got := replayFrozen(t, restored, frozenHalfwayIndex, length); got != secondHalf {
-		t.Errorf("results of the commands after Restore(%s):\n%s\nwant, as without the restore:\n%s",
+		t.Errorf("results of Apply(each later command) after Restore(%s) =\n%s\nwant, as without the restore:\n%s",
 			frozenHalfway, got, secondHalf)
 	}
 	wantFrozenSnapshot(t, frozenRebootstrapped, restored)
@@ -311,7 +313,8 @@
 	}
 	stored := string(readFrozen(t, frozenMessages, []byte(encoded.String())))
 	if stored != encoded.String() {
-		t.Errorf("the encoded messages are\n%s\nwant, as in %s:\n%s", encoded.String(), frozenMessages, stored)
+		t.Errorf("encodings of frozenMessageList() =\n%s\nwant, as in %s:\n%s",
+			encoded.String(), frozenMessages, stored)
 	}
 	for i, line := range strings.Split(strings.TrimSpace(stored), "\n") {
 		m := messages[i]
@@ -361,7 +364,7 @@
 		fmt.Fprintf(&texts, "%s\n\t%s\n\t%s\n", err.Code(), err, err.Advice())
 	}
 	if stored := string(readFrozen(t, frozenErrors, []byte(texts.String()))); stored != texts.String() {
-		t.Errorf("codes, texts and advice of the errors are\n%s\nwant, as in %s:\n%s",
+		t.Errorf("Code(), Error() and Advice() of the errors =\n%s\nwant, as in %s:\n%s",
 			texts.String(), frozenErrors, stored)
 	}
 }
--- a/internal/quotalease/holder_test.go
+++ b/internal/quotalease/holder_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"reflect"
 	"testing"
 	"time"
 )
@@ -34,7 +35,7 @@
 	if _, err := b.Acquire(cluster.now, "r", 1); !errors.As(err, new(LeaseExpiredError)) {
 		t.Errorf("holder b, cut off, without a floor: Acquire(quota r, 1) = error %v, want a LeaseExpiredError", err)
 	}
-	a.SetFloorClaim(cluster.now, false) // as in an upgrade, the next process of this name has it
+	a.SetFloorClaim(cluster.now, false) // as in an upgrade, when the next process with this name claims them
 	if _, err := a.Acquire(cluster.now, "r", 1); !errors.As(err, new(LeaseExpiredError)) {
 		t.Errorf("holder a, without the floor claim: Acquire(quota r, 1) = error %v, want a LeaseExpiredError", err)
 	}
@@ -72,7 +73,8 @@
 		tt.change(&reply)
 		before := holder.Status(cluster.now, "r")
 		if err := holder.HandleReply(cluster.now, cluster.now, reply); err == nil || !errors.As(err, tt.want) {
-			t.Errorf("%s: HandleReply() = error %v, want an error of type %T", tt.name, err, tt.want)
+			t.Errorf("%s: HandleReply() = error %v, want an error of type %v", tt.name, err,
+				reflect.TypeOf(tt.want).Elem())
 		}
 		if after := holder.Status(cluster.now, "r"); after != before {
 			t.Errorf("%s: Status(quota r) after the refused reply = %+v, want %+v as before", tt.name, after, before)
--- a/internal/quotalease/modelcheck/modelcheck_test.go
+++ b/internal/quotalease/modelcheck/modelcheck_test.go
@@ -240,7 +240,8 @@
 				s.mutations = tt.mutations
 				result := Explore(s, tt.bounds)
 				if (result.Violation != "") != tt.violates {
-					b.Fatalf("Explore(bounds %+v) = %+v, want a violation: %v", tt.bounds, result, tt.violates)
+					b.Fatalf("Explore(bounds %+v) = %+v, want that it finds a violation: %v",
+						tt.bounds, result, tt.violates)
 				}
 				complete := 0.0
 				if result.Complete && !tt.violates {
--- a/internal/quotalease/statemachine_test.go
+++ b/internal/quotalease/statemachine_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"reflect"
 	"testing"
 	"time"
 
@@ -262,7 +263,8 @@
 	before, _ := log.Outstanding("r")
 	_, err := log.try(command)
 	if err == nil || !errors.As(err, r.want) {
-		t.Fatalf("Apply(%s) = error %v, want an error of type %T", commandText(t, command), err, r.want)
+		t.Fatalf("Apply(%s) = error %v, want an error of type %v", commandText(t, command), err,
+			reflect.TypeOf(r.want).Elem())
 	}
 	if operatorerror.AdviceOf(err) == "" {
 		t.Errorf("AdviceOf(error %q) is empty, want a text for the operator", err)
