--- a/internal/quotalease/divide.go
+++ b/internal/quotalease/divide.go
@@ -8,7 +8,8 @@
 
 // hysteresis is the maximum difference between a holder's current amount and its computed allocation, as a fraction of
 // the allocation, at which the holder keeps its current amount. Without it, amounts would change all the time: measured
-// demand varies by a few percent, and units that move to another holder arrive there with an empty token bucket.
+// demand varies by a few percent, and a holder that gets units from another one does not get the tokens that have
+// accumulated for these units.
 const hysteresis = .1
 
 // roundingSlack, in millionths of a unit, is added before rounding down, so that a floating-point error does not cost a
--- a/internal/quotalease/divide_test.go
+++ b/internal/quotalease/divide_test.go
@@ -189,7 +189,8 @@
 				below := amount.Units()/share.Weight < other.Units()/otherShare.Weight-1e-5
 				if below && other > FromUnits(otherShare.Min)+1 {
 					t.Fatalf("Divide() gives holder %s (wants %v, weight %v) %v units, "+
-						"less than it wants and than its cap, if it has one, and holder %s (weight %v) %v units, above its minimum of %v; "+
+						"less than it wants and than its cap, if it has one, "+
+						"and holder %s (weight %v) %v units, above its minimum of %v; "+
 						"want the first to have at least as many units per weight as the second",
 						demands[i].Holder, demands[i].Wanted.Units(), share.Weight, amount.Units(),
 						demands[j].Holder, otherShare.Weight, other.Units(), otherShare.Min)
--- a/internal/quotalease/reconfigure.go
+++ b/internal/quotalease/reconfigure.go
@@ -69,9 +69,9 @@
 	return ledger, next.checkReserved(ledger, reserved)
 }
 
-// checkReserved rejects floors that have grown and do not fit beside the outstanding leases. before is the sum of the
-// floors before the change. The holder may use a floor from the commit on, while leases free capacity only when they
-// expire.
+// checkReserved rejects floors whose sum has grown if the floors and the outstanding leases together exceed the limit
+// or the burst. before is the sum of the floors before the change. The holder may use a floor from the commit on, while
+// leases free capacity only when they expire.
 func (q *Quota) checkReserved(ledger *quotaLedger, before usage) error {
 	floors := ledger.reserved
 	limit := FromUnits(q.Limit)
--- a/internal/quotalease/statemachine_test.go
+++ b/internal/quotalease/statemachine_test.go
@@ -172,7 +172,7 @@
 		log.mustApply(ackCommand("a", "r", 1, low, 0))
 		return log.grantCommand("b", "r", 6, nil)
 	}},
-	{"new incarnation beside the lease of the previous one", new(LimitExceededError), func(log *testLog) Command {
+	{"new incarnation while the previous one has a lease", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 6)
 		return log.grantCommand("a", "r", 6, func(lease *Lease) { lease.Incarnation = 2 })
 	}},
@@ -187,7 +187,7 @@
 		log.mustApply(Command{Release: &Release{Ack: ackOf("a", "h", 1, token, 3)}})
 		return log.grantCommand("b", "h", 8, nil)
 	}},
-	{"floor that does not fit beside the outstanding leases", new(LimitExceededError), func(log *testLog) Command {
+	{"floor plus outstanding leases above the limit", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 8)
 		return setQuotasCommand(2, withFloors(map[string]float64{"b": 3}))
 	}},
@@ -310,7 +310,7 @@
 	if _, err := log.try(log.grantCommand("b", "r", 4, nil)); !errors.As(err, new(LimitExceededError)) {
 		t.Errorf("Apply(grants of 3 and 4 units under a limit of 6) = error %v, want a LimitExceededError", err)
 	}
-	log.wantOutstanding("r", 10, "renewals of 3 units beside older leases of 5")
+	log.wantOutstanding("r", 10, "renewals of 3 units each while the older leases of 5 units count")
 	log.mustApply(expireCommand("a", "r", tokenA))
 	log.mustApply(expireCommand("b", "r", tokenB))
 	log.wantOutstanding("r", 6, "the older leases expired")
