--- a/internal/quotalease/divide_test.go
+++ b/internal/quotalease/divide_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// parseDemands reads fields such as a=51/48: holder a wants 51 units and has 48 leased. Without a slash it has none.
+// parseDemands reads fields such as a=51/48: holder a wants 51 units and has a lease of 48. A field without a slash,
+// such as a=51, describes a holder without a lease.
 func parseDemands(text string) (demands []Demand) {
 	for _, field := range strings.Fields(text) {
 		var wanted, current float64
@@ -65,7 +66,8 @@
 	return demands
 }
 
-// drawDivision draws a quota and demands. Two successive demands are of two processes with the same holder's name.
+// drawDivision draws a quota and demands. Each pair of demands (the first two, the next two and so on) belongs to two
+// processes with the same holder's name.
 func drawDivision(t *rapid.T) (*Quota, []Demand) {
 	quota := rateQuota()
 	inFlight := rapid.Bool().Draw(t, "in flight")
@@ -129,7 +131,8 @@
 		slices.Reverse(reversed)
 		for i, amount := range Divide(quota, reversed) {
 			if want := amounts[len(amounts)-1-i]; amount != want {
-				t.Fatalf("Divide() with the demands reversed gives %s %v units, want %v as in the original order",
+				t.Fatalf("Divide() with the demands reversed gives holder %s %v units, "+
+					"want %v as in the original order",
 					reversed[i].Holder, amount.Units(), want.Units())
 			}
 		}
@@ -185,8 +188,10 @@
 				otherShare := quota.shareOf(demands[j].Holder)
 				below := amount.Units()/share.Weight < other.Units()/otherShare.Weight-1e-5
 				if below && other > FromUnits(otherShare.Min)+1 {
-					t.Fatalf("Divide() gives holder %s (wants %v, weight %v) %v units and holder %s (weight %v) %v; "+
-						"want no less per weight than a holder above its minimum of %v",
+					t.Fatalf("Divide() gives holder %s (wants %v, weight %v) %v units, "+
+						"less than it wants and than its cap, if it has one, "+
+						"and holder %s (weight %v) %v units, above its minimum of %v; "+
+						"want the first to have at least as many units per weight as the second",
 						demands[i].Holder, demands[i].Wanted.Units(), share.Weight, amount.Units(),
 						demands[j].Holder, otherShare.Weight, other.Units(), otherShare.Min)
 				}
@@ -195,7 +200,8 @@
 	})
 }
 
-// Once its own result has been the current amounts twice, Divide no longer changes any amount.
+// If Divide is called again and again with its previous result as the current amounts, the third call changes no amount
+// by more than a rounding tolerance.
 func TestDivideSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota, demands := drawDivision(t)
--- a/internal/quotalease/errors.go
+++ b/internal/quotalease/errors.go
@@ -7,7 +7,8 @@
 
 // Each error of this package has its own type, for errors.As. The texts and codes are read by operators and by other
 // releases, and use the terms of the operators' documentation: budget for quota, grant for lease, whole for limit,
-// steward for control-plane server, work in hand for units in flight.
+// steward for control-plane server, work in hand for units in flight, founding for bootstrap, longest for
+// FleetConfig.MaxLifetime, lease for Quota.LeaseDuration, life for Quota.MaxHoldTime, others for Quota.DefaultShare.
 
 // NotBootstrappedError is returned for every command and request until an operator has bootstrapped the fleet.
 type NotBootstrappedError struct{}
@@ -83,9 +84,9 @@
 	Quota string
 	// Dimension is "whole" for the limit, or "burst".
 	Dimension   string
-	Limit       Amount
-	Outstanding Amount
-	Requested   Amount
+	Limit       Amount // the quota's limit or burst
+	Outstanding Amount // leases and floors that are counted; only leases if the command sets floors
+	Requested   Amount // the rejected lease, or the sum of the floors that the command sets
 }
 
 // Error implements error.
@@ -120,7 +121,10 @@
 }
 
 // HolderMismatchError is returned for a reply or lease that is addressed to a different process.
-type HolderMismatchError struct{ Ours, Theirs HolderID }
+type HolderMismatchError struct {
+	Ours   HolderID // of this process
+	Theirs HolderID // to which the reply or lease is addressed
+}
 
 // Error implements error.
 func (e HolderMismatchError) Error() string {
@@ -139,7 +143,10 @@
 // StaleTokenError is returned for a fencing token or a request that is older than the last one.
 type StaleTokenError struct {
 	Holder, Quota string
-	Got, Have     Token
+	// Got is the refused token. Have is the newest token of this holder and quota, or the highest token that a Fence
+	// has evicted. If an acknowledgement is refused because its request is not newer than the last one, Have.Index is
+	// the number of that last request.
+	Got, Have Token
 }
 
 // Error implements error.
@@ -158,7 +165,11 @@
 
 // StaleEpochError is returned for a command or message of an earlier epoch, and for a request or
 // acknowledgement whose epoch is newer than the server's own.
-type StaleEpochError struct{ Got, Have uint64 }
+type StaleEpochError struct {
+	// Got is the epoch of the refused command or message, and Have the epoch of the receiver. They are swapped for a
+	// request or acknowledgement whose epoch is newer than the server's, because then the server is out of date.
+	Got, Have uint64
+}
 
 // Error implements error.
 func (e StaleEpochError) Error() string {
@@ -175,7 +186,11 @@
 
 // StaleConfigError is returned for a configuration that is not newer than the last one. It is also returned while a
 // holder has reported a newer configuration than the state machine has, because then the store is an older copy.
-type StaleConfigError struct{ Have, Seen uint64 }
+type StaleConfigError struct {
+	// Have is the version of the refused configuration, or the state machine's version if a lease is refused. Seen is
+	// the newest version that was applied or that a holder has reported.
+	Have, Seen uint64
+}
 
 // Error implements error.
 func (e StaleConfigError) Error() string {
@@ -221,7 +236,8 @@
 	return "Name one of the budgets in the fleet's file, or add it."
 }
 
-// FloorClaimedError is returned when another process on the machine has the claim to the floors of a holder's name.
+// FloorClaimedError is returned when another process on the machine has the exclusive right to use the floors that
+// belong to a holder's name (see Holder.SetFloorClaim).
 type FloorClaimedError struct{ Holder string }
 
 // Error implements error.
--- a/internal/quotalease/frozen_test.go
+++ b/internal/quotalease/frozen_test.go
@@ -112,19 +112,19 @@
 
 // frozenMessageList returns the messages of the golden file, in its order.
 func frozenMessageList() []frozenMessage {
-	key := HolderID{Holder: "a", Incarnation: 7}
+	id := HolderID{Holder: "a", Incarnation: 7}
 	floor := Floor{Kind: InFlight, Amount: 3 * Unit, Burst: Unit, MaxHoldTime: 2 * time.Second}
 	return []frozenMessage{
 		{"request", "cbor", Request{
-			FleetID: "f", Epoch: 2, HolderID: key, Seq: 3, SeenVersion: 4, FloorsVersion: 5, Leaving: true,
+			FleetID: "f", Epoch: 2, HolderID: id, Seq: 3, SeenVersion: 4, FloorsVersion: 5, Leaving: true,
 			Quotas: []QuotaRequest{{
 				Quota: "r", Wanted: 1500000, Token: Token{Epoch: 2, Index: 9}, Ended: true, InFlight: Unit,
 			}},
 		}, func() any { return new(Request) }},
 		{"reply", "cbor", Reply{
-			FleetID: "f", Epoch: 2, HolderID: key, ConfigVersion: 6,
+			FleetID: "f", Epoch: 2, HolderID: id, ConfigVersion: 6,
 			Leases: []Lease{{
-				FleetID: "f", Epoch: 2, HolderID: key, Quota: "h", Kind: InFlight, Amount: 4 * Unit, Burst: Unit,
+				FleetID: "f", Epoch: 2, HolderID: id, Quota: "h", Kind: InFlight, Amount: 4 * Unit, Burst: Unit,
 				Duration: time.Second, MaxHoldTime: 2 * time.Second, RequestSeq: 3, ConfigVersion: 6,
 				Token: Token{Epoch: 2, Index: 9},
 			}},
@@ -153,9 +153,9 @@
 	return data
 }
 
-// frozen returns the content of a golden file. If WRITE_FROZEN is set and current is not nil, it first writes current
-// to the file.
-func frozen(t *testing.T, path string, current []byte) []byte {
+// readFrozen returns the content of a golden file. If WRITE_FROZEN is set and current is not nil, it first writes
+// current to the file.
+func readFrozen(t *testing.T, path string, current []byte) []byte {
 	t.Helper()
 	if current != nil && os.Getenv("WRITE_FROZEN") != "" {
 		if err := os.WriteFile(path, current, 0o644); err != nil {
@@ -202,9 +202,10 @@
 	for _, command := range commands {
 		encoded.Write(append(encodeFrozen(t, "json", command), '\n'))
 	}
-	stored := frozen(t, frozenLog, encoded.Bytes())
+	stored := readFrozen(t, frozenLog, encoded.Bytes())
 	if !bytes.Equal(stored, encoded.Bytes()) {
-		t.Errorf("the encoded log commands are\n%s\nwant, as in %s:\n%s", encoded.Bytes(), frozenLog, stored)
+		t.Errorf("json.Marshal of each of frozenCommands() =\n%s\nwant, as in %s:\n%s",
+			encoded.Bytes(), frozenLog, stored)
 	}
 	for i, line := range bytes.Split(bytes.TrimSpace(stored), []byte("\n")) {
 		var command Command
@@ -219,7 +220,7 @@
 // per line.
 func replayFrozen(t *testing.T, m *StateMachine, first, last int) (results string) {
 	t.Helper()
-	lines := bytes.Split(bytes.TrimSpace(frozen(t, frozenLog, nil)), []byte("\n"))
+	lines := bytes.Split(bytes.TrimSpace(readFrozen(t, frozenLog, nil)), []byte("\n"))
 	for i := first; i < last; i++ {
 		var command Command
 		if err := json.Unmarshal(lines[i], &command); err != nil {
@@ -234,7 +235,7 @@
 func wantFrozenSnapshot(t *testing.T, path string, m *StateMachine) []byte {
 	t.Helper()
 	got := snapshotOf(t, m)
-	stored := frozen(t, path, got)
+	stored := readFrozen(t, path, got)
 	if !bytes.Equal(got, stored) {
 		t.Errorf("Snapshot() =\n%s\nwant, as in %s:\n%s", got, path, stored)
 	}
@@ -248,8 +249,9 @@
 	halfway := wantFrozenSnapshot(t, frozenHalfway, machine)
 	secondHalf := replayFrozen(t, machine, frozenHalfwayIndex, length)
 	results += secondHalf
-	if stored := frozen(t, frozenResults, []byte(results)); string(stored) != results {
-		t.Errorf("results of the commands of %s:\n%s\nwant, as in %s:\n%s", frozenLog, results, frozenResults, stored)
+	if stored := readFrozen(t, frozenResults, []byte(results)); string(stored) != results {
+		t.Errorf("results of Apply(each command of %s) =\n%s\nwant, as in %s:\n%s",
+			frozenLog, results, frozenResults, stored)
 	}
 	wantFrozenSnapshot(t, frozenRebootstrapped, machine)
 
@@ -260,7 +262,7 @@
 	wantFrozenSnapshot(t, frozenHalfway, restored)
 	wantFrozenState(t, restored)
 	if got := replayFrozen(t, restored, frozenHalfwayIndex, length); got != secondHalf {
-		t.Errorf("results of the commands after Restore(%s):\n%s\nwant, as without the restore:\n%s",
+		t.Errorf("results of Apply(each later command) after Restore(%s) =\n%s\nwant, as without the restore:\n%s",
 			frozenHalfway, got, secondHalf)
 	}
 	wantFrozenSnapshot(t, frozenRebootstrapped, restored)
@@ -309,9 +311,10 @@
 		data := encodeFrozen(t, m.encoding, m.value)
 		fmt.Fprintf(&encoded, "%s %s %s\n", m.name, m.encoding, hex.EncodeToString(data))
 	}
-	stored := string(frozen(t, frozenMessages, []byte(encoded.String())))
+	stored := string(readFrozen(t, frozenMessages, []byte(encoded.String())))
 	if stored != encoded.String() {
-		t.Errorf("the encoded messages are\n%s\nwant, as in %s:\n%s", encoded.String(), frozenMessages, stored)
+		t.Errorf("encodings of frozenMessageList() =\n%s\nwant, as in %s:\n%s",
+			encoded.String(), frozenMessages, stored)
 	}
 	for i, line := range strings.Split(strings.TrimSpace(stored), "\n") {
 		m := messages[i]
@@ -339,7 +342,7 @@
 }
 
 func TestFrozenErrorTexts(t *testing.T) {
-	key := HolderID{Holder: "a", Incarnation: 7}
+	id := HolderID{Holder: "a", Incarnation: 7}
 	var texts strings.Builder
 	for _, err := range []codedError{
 		InvalidCommandError{Reason: "why"},
@@ -353,15 +356,15 @@
 		StaleEpochError{Got: 1, Have: 2},
 		StaleTokenError{Holder: "a", Quota: "r", Got: Token{Epoch: 1, Index: 2}, Have: Token{Epoch: 1, Index: 3}},
 		FleetMismatchError{Ours: "f", Theirs: "g"},
-		HolderMismatchError{Ours: key, Theirs: HolderID{Holder: "b", Incarnation: 8}},
+		HolderMismatchError{Ours: id, Theirs: HolderID{Holder: "b", Incarnation: 8}},
 		LimitExceededError{Quota: "r", Dimension: "whole", Limit: 3 * Unit, Outstanding: 2 * Unit, Requested: 1500000},
 		ExhaustedError{Quota: "r"},
 		BootstrapPendingError{MaxLifetime: time.Second},
 	} {
 		fmt.Fprintf(&texts, "%s\n\t%s\n\t%s\n", err.Code(), err, err.Advice())
 	}
-	if stored := string(frozen(t, frozenErrors, []byte(texts.String()))); stored != texts.String() {
-		t.Errorf("codes, texts and advice of the errors are\n%s\nwant, as in %s:\n%s",
+	if stored := string(readFrozen(t, frozenErrors, []byte(texts.String()))); stored != texts.String() {
+		t.Errorf("Code(), Error() and Advice() of the errors =\n%s\nwant, as in %s:\n%s",
 			texts.String(), frozenErrors, stored)
 	}
 }
--- a/internal/quotalease/modelcheck/fault.go
+++ b/internal/quotalease/modelcheck/fault.go
@@ -45,7 +45,8 @@
 	return faultNames[f]
 }
 
-// faultRateSteps is the number of steps of a run to which fault rates refer.
+// faultRateSteps is the number of steps for which fault rates are given: a fault with rate 10 happens on average 10
+// times in faultRateSteps steps.
 const faultRateSteps = 4000
 
 // defaultFaultRates are the average numbers of each fault in faultRateSteps steps.
@@ -124,7 +125,7 @@
 	if !s.running || !s.leader {
 		return
 	}
-	part := .5 + r.rng.Float64()/2
+	part := .5 + r.rng.Float64()/2 // the new limit as a fraction of the one in the settings
 	if r.settings.Kind == quotalease.InFlight {
 		part = .5 // units in flight must be whole numbers
 	}
--- a/internal/quotalease/statemachine_test.go
+++ b/internal/quotalease/statemachine_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"reflect"
 	"testing"
 	"time"
 
@@ -155,7 +156,7 @@
 		log.mustGrant("a", "r", 6)
 		return log.grantCommand("b", "r", 5, nil)
 	}},
-	{"burst above the limit of the burst", new(LimitExceededError), func(log *testLog) Command {
+	{"burst above the burst of the quota", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 6)
 		return log.grantCommand("b", "r", 4, func(lease *Lease) { lease.Burst = FromUnits(5) })
 	}},
@@ -171,7 +172,7 @@
 		log.mustApply(ackCommand("a", "r", 1, low, 0))
 		return log.grantCommand("b", "r", 6, nil)
 	}},
-	{"new incarnation beside the lease of the previous one", new(LimitExceededError), func(log *testLog) Command {
+	{"new incarnation while the previous one has a lease", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 6)
 		return log.grantCommand("a", "r", 6, func(lease *Lease) { lease.Incarnation = 2 })
 	}},
@@ -186,7 +187,7 @@
 		log.mustApply(Command{Release: &Release{Ack: ackOf("a", "h", 1, token, 3)}})
 		return log.grantCommand("b", "h", 8, nil)
 	}},
-	{"floor that does not fit beside the outstanding leases", new(LimitExceededError), func(log *testLog) Command {
+	{"floor plus outstanding leases above the limit", new(LimitExceededError), func(log *testLog) Command {
 		log.mustGrant("a", "r", 8)
 		return setQuotasCommand(2, withFloors(map[string]float64{"b": 3}))
 	}},
@@ -262,7 +263,8 @@
 	before, _ := log.Outstanding("r")
 	_, err := log.try(command)
 	if err == nil || !errors.As(err, r.want) {
-		t.Fatalf("Apply(%s) = error %v, want an error of type %T", commandText(t, command), err, r.want)
+		t.Fatalf("Apply(%s) = error %v, want an error of type %v", commandText(t, command), err,
+			reflect.TypeOf(r.want).Elem())
 	}
 	if operatorerror.AdviceOf(err) == "" {
 		t.Errorf("AdviceOf(error %q) is empty, want a text for the operator", err)
@@ -308,7 +310,7 @@
 	if _, err := log.try(log.grantCommand("b", "r", 4, nil)); !errors.As(err, new(LimitExceededError)) {
 		t.Errorf("Apply(grants of 3 and 4 units under a limit of 6) = error %v, want a LimitExceededError", err)
 	}
-	log.wantOutstanding("r", 10, "renewals of 3 units beside older leases of 5")
+	log.wantOutstanding("r", 10, "renewals of 3 units each while the older leases of 5 units count")
 	log.mustApply(expireCommand("a", "r", tokenA))
 	log.mustApply(expireCommand("b", "r", tokenB))
 	log.wantOutstanding("r", 6, "the older leases expired")
@@ -330,13 +332,13 @@
 	}
 }
 
-// A store that was restored from an older copy could issue the same tokens twice. An acknowledgement with a token
-// above its log raises all later tokens above that one.
+// A server whose store was restored from an older copy could issue the same tokens twice. If a holder acknowledges a
+// token that is higher than all tokens of the server's log, all later tokens must be above it.
 func TestTokensGoAboveWhatHoldersKnow(t *testing.T) {
 	log := newTestLog(t, nil)
-	known := Token{Epoch: 1, Index: 500}
-	log.mustApply(ackCommand("a", "r", 1, known, 0))
-	if got := log.mustGrant("a", "r", 1); got.Compare(known) <= 0 {
+	reported := Token{Epoch: 1, Index: 500}
+	log.mustApply(ackCommand("a", "r", 1, reported, 0))
+	if got := log.mustGrant("a", "r", 1); got.Compare(reported) <= 0 {
 		t.Errorf("grant after an acknowledgement of token 1.500: token %v, want a token above 1.500", got)
 	}
 }
