--- a/decision/activeset.go
+++ b/decision/activeset.go
@@ -9,8 +9,9 @@
 // connected to all backends, the connections would fill the backends' connection tables, and each proxy would
 // send too few requests to a backend to measure its latency.
 const (
-	// The number of active targets is the number of requests that arrive in the share activeShareOfInterval
-	// of a check interval, but at least minActiveTargets: if one fails, two are left to compare.
+	// In each locality, a proxy uses as many targets as requests arrive in the fraction
+	// activeShareOfInterval of a check interval, but at least minActiveTargets: if one of them fails, two
+	// are left to compare.
 	activeShareOfInterval = 0.5
 	minActiveTargets      = 3
 
@@ -31,9 +32,9 @@
 	b.chooseActive(b.wantedTargets(rate))
 }
 
-// wantedTargets returns how many healthy targets of each locality this proxy uses at a rate of requests a
-// second: all of them if keys determine the target, else the number of requests in activeShareOfInterval of a
-// check interval.
+// wantedTargets returns how many healthy targets of each locality this proxy uses at a request rate, in
+// requests a second: all of them with KeyAffinity, else as many as requests arrive in the fraction
+// activeShareOfInterval of a check interval.
 func (b *Balancer) wantedTargets(rate float64) float64 {
 	if b.config.KeyAffinity {
 		return float64(len(b.listed))
@@ -52,9 +53,9 @@
 			continue
 		}
 		b.active = append(b.active, t)
-		t.limit.unit = b.limitUnit(wanted)
+		t.limit.requestShare = b.requestShare(wanted)
 		if t.limit.ceiling == 0 {
-			t.limit = newConcurrencyLimit(t.limit.unit, targetLimitBackoff, 0)
+			t.limit = newConcurrencyLimit(t.limit.requestShare, targetLimitBackoff, 0)
 		}
 		if t.healthy {
 			remaining[b.locality(t)]--
@@ -62,14 +63,15 @@
 	}
 }
 
-// limitUnit returns this proxy's share of one request in flight at a target. It assumes that all proxies want
-// the same number of targets of each locality. If there are more targets than a proxy wants, a target is
-// active at only some of the proxies, and the share of each is larger.
-func (b *Balancer) limitUnit(wanted float64) float64 {
+// requestShare returns this proxy's share of one request in flight at a target: the share is 0.5 if two
+// proxies use the target. It assumes that all proxies want the same number of targets of each locality. If
+// there are more targets than a proxy wants, a target is active at only some of the proxies, and the share of
+// each of these is larger.
+func (b *Balancer) requestShare(wanted float64) float64 {
 	return max(1, float64(len(b.listed))/(localities*wanted)) / float64(b.config.Instances)
 }
 
-// decaySpanFor returns the span over which measurements decay at a rate of requests a second. A proxy that
+// decaySpanFor returns the span over which measurements decay at a rate in requests a second. A proxy that
 // sends to each backend only rarely must remember that one is slow until it sends there again.
 func (b *Balancer) decaySpanFor(rate float64) time.Duration {
 	span := decayIntervals * b.checkInterval
--- a/decision/answers.go
+++ b/decision/answers.go
@@ -33,7 +33,7 @@
 }
 
 // complete marks a request as ended and cancels its attempts except the winner, whose answer the client got;
-// nil is none. The request is removed once no attempt is in flight.
+// winner is nil if there is none. The request is removed once no attempt is in flight.
 func (b *Balancer) complete(r *request, winner *attempt) {
 	if !r.ended {
 		r.ended = true
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -12,7 +12,7 @@
 	host          Host
 	random        *rand.Rand
 	now           time.Duration // clock time of the event that is being handled
-	checkInterval time.Duration // between two health checks of a target in doubt; the unit of other periods
+	checkInterval time.Duration // between two checks of a target in doubt; other periods are multiples of it
 
 	// Targets (endpoints.go, operator.go, activeset.go).
 	targets     []*target // in the endpoint list, or removed from it with attempts or checks in flight
@@ -20,7 +20,7 @@
 	detached    map[BackendID]time.Duration // when an operator detached a backend
 	listed      []*target                   // Ready and not detached, in this proxy's order (hashOrder)
 	active      []*target                   // the targets of listed that this proxy uses
-	predecessor *Snapshot                   // from Restore; nil is none
+	predecessor *Snapshot                   // from Restore; nil means none
 
 	// Requests (admission.go, queue.go).
 	requests          map[RequestID]*request
@@ -33,23 +33,25 @@
 	countedSince time.Duration
 
 	// Latency (latency.go).
-	decaySpan             time.Duration       // over which measurements decay
-	latencyByClass        []linearFit         // latency in ms over expected work in ms
-	tailByClass           []quantile          // ms, of a request of mean work
-	meanSamples           float64             // requests that the overall means cover, up to meanRequests
+	decaySpan             time.Duration       // measurements decay to 1/e in this time
+	latencyByClass        []linearFit         // latency in ms as a function of expected work in ms
+	tailByClass           []quantile          // tail latency in ms of a request of mean work
+	meanSamples           float64             // number of requests in the overall means, up to meanRequests
 	meanLatency           float64             // ms, of a request of any class
 	meanWork              float64             // ms, of a request of any class
 	medianRatio           float64             // median of the active targets' latency ratios
-	medianRatioByLocality [localities]float64 // the same for the own zone and for all other zones
-	longestLatency        float64             // ms, of recent attempts; decays with each answer
+	medianRatioByLocality [localities]float64 // median latency ratio in the own zone, and in all others
+	longestLatency        float64             // ms, of recent attempts; decreases with each answer
 
 	// Value (valuation.go).
 	totalTally      tally
 	tallyByClass    []tally
 	tallyByTenant   []tally
-	trafficByTenant []decayingSum // requests
-	meanGain        float64       // of arriving requests: marginal gain times totalTally.offered
-	meanDensity     float64       // of arriving requests: gain times totalTally.offered, for each ms open
+	trafficByTenant []decayingSum // number of recent requests
+
+	// Means over arriving requests.
+	meanGain    float64 // of marginalGain * totalTally.offered, where marginalGain is for each ms of work
+	meanDensity float64 // of the same gain, but for each ms that the request is expected to be open
 
 	// Limits and budgets.
 	sharedLimit     concurrencyLimit // on the load in flight at all targets together (concurrency.go)
@@ -58,7 +60,7 @@
 	checkCursor     int              // index into active at which the next round of checks begins
 	failedListCalls int              // consecutive failed calls for the endpoint list (discovery.go)
 
-	lastLogAt time.Duration
+	lastLogAt time.Duration // time of the last log line
 
 	// Buffers that are reused to avoid allocations.
 	candidates  []*target
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -6,7 +6,7 @@
 )
 
 // A concurrency limit bounds the load in flight at one target, or at all targets together. It grows with each
-// answer in time, is reduced by each late one, and sinks slowly towards the load that is used. An attempt is
+// answer in time, is reduced by each late one, and decreases slowly towards the load in use. An attempt is
 // late once it takes longer than a multiple of its class's usual tail latency.
 const (
 	// An attempt is late after lateTailFactor times the tail latency of its class, but not before the share
@@ -34,14 +34,16 @@
 	// limitUtilization is the share of a limit that must be in use for it to grow.
 	limitUtilization = 0.6
 
-	// An unused limit sinks until its share for requests of little gain is limitHeadroom times the mean load.
-	// A limit below its initial value rises towards it, limitRecoveryFactor times as slowly. While it sinks,
-	// the difference decays to 1/e in averagingIntervals check intervals.
+	// A limit far above the load in use decreases until the part of it that requests of the lowest gain may
+	// use, minLimitScale times the limit, is limitHeadroom times the mean load. While it decreases, the
+	// difference decays to 1/e in averagingIntervals check intervals. A limit below its initial value rises
+	// towards it, limitRecoveryFactor times as slowly.
 	limitHeadroom       = 1.5
 	limitRecoveryFactor = 4
 	averagingIntervals  = decayIntervals
 
-	// The factors of a limit for requests of the lowest and of the highest gain.
+	// limitScale multiplies a limit by minLimitScale for requests of the lowest gain, and by maxLimitScale
+	// for those of the highest.
 	minLimitScale = 0.5
 	maxLimitScale = 5
 
@@ -63,7 +65,7 @@
 	load          float64
 	ceiling       float64       // the limit itself; 0 means not set yet
 	growthStep    float64       // added by each answer in time; halved by each late one
-	unit          float64       // this proxy's share of one request at each target; the minimum ceiling
+	requestShare  float64       // this proxy's share of one request at each target; the minimum ceiling
 	backoffFactor float64       // by which a late attempt multiplies the ceiling
 	lastSent      time.Duration // time of the last send under this limit
 
@@ -72,11 +74,11 @@
 	averagedAt    time.Duration
 }
 
-// newConcurrencyLimit returns a limit at its initial value, initialLimit times unit.
-func newConcurrencyLimit(unit, backoffFactor float64, averagingSpan time.Duration) concurrencyLimit {
-	c := concurrencyLimit{averagingSpan: averagingSpan, unit: unit, backoffFactor: backoffFactor,
-		growthStep: 1}
-	c.ceiling = initialLimit * unit
+// newConcurrencyLimit returns a limit at its initial value, initialLimit times requestShare.
+func newConcurrencyLimit(requestShare, backoffFactor float64, averagingSpan time.Duration) concurrencyLimit {
+	c := concurrencyLimit{averagingSpan: averagingSpan, requestShare: requestShare,
+		backoffFactor: backoffFactor, growthStep: 1}
+	c.ceiling = initialLimit * requestShare
 	return c
 }
 
@@ -123,7 +125,7 @@
 }
 
 // startWaiting adds the load of an attempt whose streamed body is now complete, and postpones the time from
-// which the attempt is late by the time of the upload.
+// which the attempt is late by the duration of the upload.
 func (reserved *reservation) startWaiting(a *attempt, now time.Duration) {
 	reserved.limit.meanLoad(now)
 	reserved.limit.load += a.loadWeight
@@ -147,9 +149,10 @@
 	return max(1, expected/mean) * min(usual, maxLateShare*objective)
 }
 
-// adjustLimits raises or reduces the limits of an attempt by whether it takes its usual time. It is
-// called at the end of an attempt and, with the result Cancelled, by each sweep while the attempt is in
-// flight: an overloaded backend answers everything late, so the reduction must not wait for the answers.
+// adjustLimits raises the limits of an attempt that was answered in time, and reduces those of one that is
+// late or was rejected. It is called at the end of an attempt and, with the result Cancelled, by each sweep
+// while the attempt is in flight: an overloaded backend answers everything late, so the reduction must not
+// wait for the answers.
 func (b *Balancer) adjustLimits(a *attempt, result Result) {
 	for i := range a.reservations {
 		reserved := &a.reservations[i]
@@ -158,16 +161,16 @@
 			// The backoff starts from the ceiling, not from the current load: an attempt that is late
 			// although it is alone at its target is no sign of an overload.
 			reserved.late = true
-			c.ceiling = max(c.unit, c.ceiling*c.backoffFactor)
+			c.ceiling = max(c.requestShare, c.ceiling*c.backoffFactor)
 			// Otherwise a proxy that starts under load would double its limits far beyond what overloads a
 			// backend.
 			c.growthStep /= 2
 		} else if result == OK && !reserved.late &&
 			reserved.loadAtSend > c.ceiling*limitUtilization*minLimitScale {
 			growth := max(c.growthStep, c.ceiling*(1-c.backoffFactor)/increasesPerBackoff)
-			// With this minimum growth of the shared limit, every second attempt would be late.
+			// The shared limit has no such minimum growth: with it, every second attempt would be late.
 			if c != &b.sharedLimit {
-				growth = max(growth, targetLimitGrowth*c.unit/min(1, c.ceiling))
+				growth = max(growth, targetLimitGrowth*c.requestShare/min(1, c.ceiling))
 			}
 			c.ceiling += growth
 		}
@@ -178,7 +181,7 @@
 // below. With a limit far above the load, a burst overloads backends before late answers show it. With one
 // far below its initial value, a backend gets no request that could show that it has recovered.
 func (b *Balancer) relaxLimit(c *concurrencyLimit) {
-	initial := initialLimit * c.unit
+	initial := initialLimit * c.requestShare
 	needed := max(1, initial, limitHeadroom/minLimitScale*c.meanLoad(b.now))
 	if c.ceiling > needed {
 		c.ceiling += (needed - c.ceiling) / (averagingIntervals * sweepsPerInterval)
--- a/decision/concurrency_test.go
+++ b/decision/concurrency_test.go
@@ -13,7 +13,7 @@
 	b.Request(second, Request{ID: 1, Deadline: 4 * second})
 	b.Outcome(second+900*milli, Outcome{ID: 1, Backend: h.take("send")[0].to, Result: OK, Final: true})
 	if only.limit.ceiling >= 20 || only.limit.ceiling < 15 {
-		t.Errorf("limit after one late answer = %v, want at least 15 and under 20, where it was", only.limit.ceiling)
+		t.Errorf("limit after one late answer = %v, want at least 15 and less than the earlier 20", only.limit.ceiling)
 	}
 }
 
@@ -22,7 +22,7 @@
 	for _, c := range []struct {
 		name         string
 		firstLatency float64 // ms, of the first answer
-		maxGrowth    float64 // of the limit, by the second answer, which is in time
+		maxGrowth    float64 // of the limit by the second answer, which comes in time
 		minGrowth    float64
 	}{
 		{"first answer in time", 100, 1.1, 0.9},
@@ -44,7 +44,7 @@
 			now += took
 			b.Outcome(now, Outcome{ID: id + 1, Result: OK, Final: true})
 			if growth := only.limit.ceiling - before; id == 1 && (growth > c.maxGrowth || growth < c.minGrowth) {
-				t.Errorf("%s: the second answer raised the limit %v by %v, want %v to %v", c.name, before, growth,
+				t.Errorf("%s: the second answer raised the limit of %v by %v, want %v to %v", c.name, before, growth,
 					c.minGrowth, c.maxGrowth)
 			}
 			// The limit grows only while it is in use: make it so low that the next attempt uses it.
@@ -63,8 +63,8 @@
 	once := only.limit.ceiling
 	b.Timer(second+650*milli, sweepToken)
 	if once >= 20 || only.limit.ceiling < once*0.95 { // an unused limit sinks a little by itself
-		t.Errorf("limit after one sweep of a late attempt = %v, after two %v; want under 20, then at least 95%% of it",
-			once, only.limit.ceiling)
+		t.Errorf("limit after one sweep with a late attempt in flight = %v, after two sweeps = %v; "+
+			"want less than the earlier 20 after one, and at least 95%% of that after two", once, only.limit.ceiling)
 	}
 }
 
@@ -74,17 +74,17 @@
 	cfg.Zone = 9 // no backend is in the proxy's own zone
 	b, h := newBalancer(t, cfg, 2)
 	b.Request(second, Request{ID: 1, Deadline: 4 * second})
-	full := h.take("send")[0].to
-	before := b.targetsByID[full].limit.ceiling
-	b.Outcome(second+milli, Outcome{ID: 1, Backend: full, Result: Rejected})
+	rejecting := h.take("send")[0].to
+	before := b.targetsByID[rejecting].limit.ceiling
+	b.Outcome(second+milli, Outcome{ID: 1, Backend: rejecting, Result: Rejected})
 	b.Request(second+2*milli, Request{ID: 2, Deadline: 4 * second})
 	for _, a := range h.take("send") {
-		if a.to == full {
+		if a.to == rejecting {
 			t.Errorf("request 2 sent to backend %d, which had just rejected request 1, want the other backend", a.to)
 		}
 	}
-	if after := b.targetsByID[full].limit.ceiling; after >= before {
-		t.Errorf("limit after Outcome(Rejected) = %v, want below %v, where it was", after, before)
+	if after := b.targetsByID[rejecting].limit.ceiling; after >= before {
+		t.Errorf("limit after Outcome(Rejected) = %v, want less than the %v before it", after, before)
 	}
 }
 
@@ -107,11 +107,12 @@
 		}
 	}
 	if sent < 2*second {
-		t.Errorf("last send at %v, want one after 2s: attempts continue until 3s", sent)
+		t.Errorf("last send at %v, want one later than 2s, since requests arrive until 3s", sent)
 	}
 }
 
-// A limit far above the load in use would let a burst overload the backend before late answers show it.
+// An unused limit decreases: one far above the load in use would let a burst overload the backend before late answers
+// show it.
 func TestUnusedLimitSinks(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -121,7 +122,7 @@
 	}
 	if only.limit.ceiling > 2*newConcurrencyLimit(0.5, targetLimitBackoff, 0).ceiling ||
 		only.limit.ceiling < newConcurrencyLimit(0.5, targetLimitBackoff, 0).ceiling {
-		t.Errorf("limit after ten idle seconds = %v, want once to twice the initial limit of %v", only.limit.ceiling,
+		t.Errorf("limit after ten idle seconds = %v, want the initial limit of %v to twice that", only.limit.ceiling,
 			newConcurrencyLimit(0.5, targetLimitBackoff, 0).ceiling)
 	}
 }
@@ -134,10 +135,10 @@
 		b.sharedLimit.reserve(&attempt{loadWeight: 1}, b.now, 100)
 	}
 	if b.now += 10 * milli; b.sharedLimitReached(1) {
-		t.Error("sharedLimitReached 10 ms after four attempts were sent, at a limit of 1.5: true, want false")
+		t.Error("sharedLimitReached = true 10 ms after four attempts were sent, at a limit of 1.5, want false")
 	}
 	if b.now += 10 * second; !b.sharedLimitReached(1) {
-		t.Error("sharedLimitReached 10 s after four attempts were sent, at a limit of 1.5: false, want true")
+		t.Error("sharedLimitReached = false 10 s after four attempts were sent, at a limit of 1.5, want true")
 	}
 }
 
@@ -164,7 +165,7 @@
 		b.now += 900 * milli
 		b.adjustLimits(r.attempts[0], Cancelled)
 		if to.limit.ceiling >= limits[0] {
-			t.Errorf("%s: target limit after a late attempt = %v, want below %v, where it was", c.name,
+			t.Errorf("%s: target limit after a late attempt = %v, want less than the %v before it", c.name,
 				to.limit.ceiling, limits[0])
 		}
 		if cut := b.sharedLimit.ceiling < limits[1]; cut == c.slow {
@@ -181,20 +182,21 @@
 	first := to.limit.ceiling
 	for i := range 2 {
 		if to.limit.ceiling != first {
-			t.Fatalf("limit after %d unanswered attempts = %v, want the initial %v until the second", i,
+			t.Fatalf("limit after %d unanswered attempts = %v, want the initial limit of %v until the second one", i,
 				to.limit.ceiling, first)
 		}
 		b.recordAttemptHealth(&attempt{request: &request{}, target: to, waitingSince: b.now}, Timeout)
 	}
-	if to.limit.ceiling != to.limit.unit {
-		t.Errorf("limit after two unanswered attempts = %v, want its minimum of %v", to.limit.ceiling, to.limit.unit)
+	if to.limit.ceiling != to.limit.requestShare {
+		t.Errorf("limit after two unanswered attempts = %v, want its minimum of %v", to.limit.ceiling,
+			to.limit.requestShare)
 	}
 	for range limitRecoveryFactor * decayIntervals * sweepsPerInterval {
 		b.relaxLimit(&to.limit)
 	}
 	if to.limit.ceiling < first/2 || to.limit.ceiling > first {
-		t.Errorf("limit after its recovery time = %v, want between half of the initial limit and all of it, %v",
-			to.limit.ceiling, first)
+		t.Errorf("limit after its recovery time = %v, want %v (half of the initial limit) to %v (the initial limit)",
+			to.limit.ceiling, first/2, first)
 	}
 }
 
@@ -204,7 +206,7 @@
 	cfg.Classes[keyedAnywhere].PriorityWeight = 20
 	b, h := newBalancer(t, cfg, 10)
 	now := b.now
-	for id := range RequestID(400) { // so many that the first ones hardly count in the mean gain
+	for id := range RequestID(400) { // enough for the first ones to hardly count in the mean gain
 		now += 10 * milli
 		b.Request(now, Request{ID: id + 1, Class: []int{idempotent, idempotent, keyedAnywhere}[id%3],
 			Deadline: now + 3*second})
@@ -241,13 +243,13 @@
 			loadAtSend: 4 * c.usedShare, lateAt: time.Hour}}}
 		b.adjustLimits(a, OK)
 		if grown := b.sharedLimit.ceiling > 4; grown != c.grows {
-			t.Errorf("limit raised by an answer in time with %v of the limit in use: %v, want %v", c.usedShare,
+			t.Errorf("answer in time with the share %v of the limit in use raised the limit: %v, want %v", c.usedShare,
 				grown, c.grows)
 		}
 	}
 }
 
-// Growth and backoff balance at about one late attempt in five, not at one in two.
+// The growth and the backoff of the shared limit balance at about one late attempt in five, not at one in two.
 func TestSharedLimitGrowsByShareOfBackoff(t *testing.T) {
 	b, _ := newBalancer(t, manyConfig(400), 2)
 	b.sharedLimit.ceiling, b.sharedLimit.growthStep = 1, 0
@@ -262,7 +264,7 @@
 		}
 	}
 	if b.sharedLimit.ceiling > 0.9 {
-		t.Errorf("shared limit = %v after one late attempt in four, want at most 0.9: it began at 1",
+		t.Errorf("shared limit = %v after 30 late attempts and 90 in time, starting from 1, want at most 0.9",
 			b.sharedLimit.ceiling)
 	}
 }
--- a/decision/config.go
+++ b/decision/config.go
@@ -45,16 +45,16 @@
 type Tenant struct {
 	Name           string
 	Share          float64 // of the service; not used by the Balancer
-	QuotaPerSecond float64 // requests a second within its share, over all proxies; 0 is no quota
+	QuotaPerSecond float64 // requests a second within its share, over all proxies; 0 means no quota
 }
 
 // ObjectiveWeights are the weights of the parts of the objective that the Balancer maximises. Each part is
 // the share of the offered value that is served.
 type ObjectiveWeights struct {
 	Overall     float64 // for the served share over all requests
-	WorstClass  float64 // for that of the class that is served worst
-	WorstTenant float64 // for that of the tenant that is served worst
-	WorstWindow float64 // for that of the worst window of time
+	WorstClass  float64 // for the served share of the worst-served class
+	WorstTenant float64 // for the served share of the worst-served tenant
+	WorstWindow float64 // for the served share in the worst time window
 }
 
 // Penalties are the weights of the costs that the platform subtracts from the result, each multiplied by the
@@ -66,10 +66,10 @@
 // Constraints are limits that must be kept whatever the effect on the objective.
 type Constraints struct {
 	AnswerSlack     time.Duration // how long after the deadline a final answer still counts as in time
-	MaxListAge      time.Duration // maximum age of a polled endpoint list; 0 is no maximum
+	MaxListAge      time.Duration // maximum age of a polled endpoint list; 0 means no maximum
 	WarmUp          time.Duration // time after a start until a backend has its full capacity
 	DrainGrace      time.Duration // sends to a draining backend must stop within this time
-	OverloadWindow  time.Duration // over which the load of a backend that warms up is bounded; 0 is a second
+	OverloadWindow  time.Duration // the load of a backend that warms up is bounded over it; 0 means 1 s
 	OverloadFactor  float64       // a load above this multiple of its capacity makes such a backend fail
 	InitialCapacity float64       // share of its full capacity that a backend has right after its start
 }
@@ -87,7 +87,7 @@
 	MaxRetryAfter         time.Duration // the longest time to retry after in a rejection
 	MaxAttempts           int           // of one request; at least 1
 	StreamsPerConnection  int           // concurrent requests on a connection; not used by the Balancer
-	MaxOpenRequests       int           // maximum number of open requests at the proxy; 0 is no maximum
+	MaxOpenRequests       int           // maximum number of open requests at the proxy; 0 means no maximum
 }
 
 // WeightKind says what Backend.Weight means.
@@ -116,7 +116,7 @@
 	ClientsMarkRetries bool // clients set Request.MarkedRetry; not used by the Balancer
 	PolledDiscovery    bool // the endpoint list must be polled; otherwise changes are pushed
 	Weights            WeightKind
-	RetryBudgetRatio   float64 // maximum retries, as a share of the requests; 0 is a tenth
+	RetryBudgetRatio   float64 // maximum retries, as a share of the requests; 0 means 0.1
 
 	ObjectiveWeights ObjectiveWeights
 	Penalties        Penalties
--- a/decision/discovery.go
+++ b/decision/discovery.go
@@ -6,9 +6,9 @@
 const (
 	maxBackoffDoublings = 4
 
-	// With polled discovery, the proxy must have the current list listFreshnessBound after the discovery
-	// service can be reached again. The maximum backoff is that time divided by listBackoffDivisor, since
-	// the next call takes time too.
+	// With polled discovery, the proxy must have the current list within listFreshnessBound of when the
+	// discovery service can be reached again. The maximum backoff is that time divided by
+	// listBackoffDivisor, since the next call takes time too.
 	listFreshnessBound = 6 * time.Second
 	listBackoffDivisor = 4
 
@@ -22,8 +22,8 @@
 //
 // If the list is pushed, it comes from an agent on this machine: calls cost nothing, and the proxy is
 // expected to have the agent's list at once, so the backoff is a fraction of DrainGrace. If the list is
-// polled, the proxy must have the current list a fixed time after the discovery service can be reached again,
-// whatever the polling interval.
+// polled, the proxy must have the current list within a fixed time after the discovery service can be reached
+// again, whatever the polling interval.
 func (c *Config) MaxListBackoff() time.Duration {
 	if !c.PolledDiscovery {
 		return max(c.Constraints.DrainGrace/drainGraceDivisor, minListBackoff)
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -31,7 +31,7 @@
 //
 //  1. Its value is computed: its contribution to the objective, reduced if its tenant exceeds its quota
 //     (valuation.go).
-//  2. It is shed if nearly MaxOpenRequests are open and it earns less than the mean (admission.go).
+//  2. It is shed if nearly MaxOpenRequests are open and it earns less per ms than the mean (admission.go).
 //  3. It is queued; whenever there may be capacity, the request of the greatest marginal gain is sent first
 //     (queue.go).
 //  4. A target is selected among those that are active (activeset.go), healthy (healthcheck.go), within
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -96,8 +96,8 @@
 // initSharedLimit sets the shared limit for all targets to its initial value, this proxy's share of the
 // limits of all targets, or to the predecessor's if that is higher.
 func (b *Balancer) initSharedLimit() {
-	unit := float64(max(1, len(b.listed))) / float64(b.config.Instances)
-	b.sharedLimit = newConcurrencyLimit(unit, sharedLimitBackoff, averagingIntervals*b.checkInterval)
+	requestShare := float64(max(1, len(b.listed))) / float64(b.config.Instances)
+	b.sharedLimit = newConcurrencyLimit(requestShare, sharedLimitBackoff, averagingIntervals*b.checkInterval)
 	b.sharedLimit.ceiling = max(b.sharedLimit.ceiling, b.restoredSharedLimit())
 }
 
--- a/decision/events.go
+++ b/decision/events.go
@@ -12,9 +12,9 @@
 type Request struct {
 	ID           RequestID
 	Class        int           // index into Config.Classes; the nearest index if out of range
-	Tenant       int           // index into Config.Tenants; out of range is no tenant
-	Key          uint64        // identifies the data that it reads or writes, for KeyAffinity; 0 is none
-	ExpectedWork time.Duration // 0 is unknown
+	Tenant       int           // index into Config.Tenants; out of range means no tenant
+	Key          uint64        // identifies the data that it reads or writes, for KeyAffinity; 0 means none
+	ExpectedWork time.Duration // 0 means unknown
 	Deadline     time.Duration // clock time at which the client stops waiting
 	MarkedRetry  bool          // the client has marked it as a retry
 	StreamedBody bool          // its body is forwarded while it arrives; its latency counts from BodyComplete
--- a/decision/healthcheck.go
+++ b/decision/healthcheck.go
@@ -78,6 +78,7 @@
 	t.passedChecks++
 	if !t.healthy && t.passedChecks >= healthyThreshold {
 		t.healthy = true
+		// Log lines call a health check a probe: the golden transcripts contain them.
 		b.log(fmt.Sprintf("backend %d passes its probes again", t.ID))
 	}
 }
@@ -93,8 +94,9 @@
 	if t.failedChecks < unhealthyThreshold {
 		return
 	}
-	// It may have restarted before the endpoint list shows it. From here on each failed check counts as its
-	// start, until a check passes, unless it has answered requests since the first failed check.
+	// The backend may have restarted before the endpoint list shows it. From this check on, each failed
+	// check is recorded as a start, until a check passes. A backend that has answered requests since the
+	// first failed check has not restarted.
 	if t.lastSuccess < t.checksFailingSince {
 		b.recordStart(t, b.now)
 	}
--- a/decision/hedging.go
+++ b/decision/hedging.go
@@ -6,7 +6,7 @@
 const hedgeLatencyFactor = 3
 
 // scheduleHedge starts the timer after which hedgeOrReplace handles an attempt as too slow. until is the
-// timeout of the attempt; no timer is started that would end later.
+// time at which the attempt times out; no timer is started that would end later.
 func (b *Balancer) scheduleHedge(a *attempt, until time.Duration) {
 	wait := fromMillis(hedgeLatencyFactor * a.expectedLatency * max(1, b.medianRatio))
 	if b.now+wait < until {
@@ -16,7 +16,8 @@
 
 // hedgeOrReplace handles an attempt that takes too long, if the retry budget allows it. It sends a hedged
 // request or, if only one attempt may be in flight, cancels the attempt so that the request is retried. It
-// cancels only attempts of idempotent requests, and only if the target has answered no attempt since.
+// cancels only attempts of idempotent requests, and only if the target has answered no other attempt since
+// this one was sent.
 func (b *Balancer) hedgeOrReplace(a *attempt) {
 	r := a.request
 	if r.ended || a.done || r.streaming || r.StreamedBody || b.retryBudget < 1 ||
--- a/decision/latency.go
+++ b/decision/latency.go
@@ -15,7 +15,7 @@
 	decayAnswers   = 4
 	maxRateSpan    = 5 * time.Minute
 
-	// priorAnswers is the weight of the median ratio of the other targets in a target's ratio, in answers.
+	// In a target's ratio, the median ratio of the targets of its locality counts as priorAnswers answers.
 	priorAnswers = 0.5
 
 	// minLatency is the minimum latency of an answer in ms: no expected latency may be 0.
@@ -52,7 +52,7 @@
 )
 
 // expectedLatency returns the latency in ms that is expected of any backend for a class and an expected work
-// in ms, where 0 is unknown.
+// in ms, where 0 means unknown.
 func (b *Balancer) expectedLatency(class int, work float64) float64 {
 	fit := &b.latencyByClass[class]
 	if fit.weight < 1 {
@@ -79,8 +79,8 @@
 }
 
 // latencyRatio returns the smoothed latency of a target as a multiple of the latency expected of any backend.
-// Attempts in flight count with their age, so a target that stops answering shows at once. The ratio of an
-// unmeasured target is the median of the targets of its locality: the own zone or all others.
+// Attempts in flight count with their age, so that the ratio rises at once when a target stops answering. The
+// ratio of an unmeasured target is the median of the targets of its locality: the own zone or all others.
 func (b *Balancer) latencyRatio(t *target) float64 {
 	age := max(0, millis(b.now)*t.inverseExpected-t.sentOverExpected)
 	sum := t.ratioSum.decay(b.now, b.decaySpan)
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -46,7 +46,7 @@
 		t.failingSince = b.now
 	} else if b.usesSharedLimit() {
 		// Many proxies that each try a hanging backend occasionally would together lose many requests.
-		t.limit.ceiling = t.limit.unit
+		t.limit.ceiling = t.limit.requestShare
 	}
 }
 
--- a/decision/request.go
+++ b/decision/request.go
@@ -8,7 +8,7 @@
 // request is the record of a request without a final answer, or with attempts in flight after it.
 type request struct {
 	Request
-	arrived      time.Duration // of a streamed body: when its last byte was forwarded
+	arrived      time.Duration // later, the time at which the last byte of a streamed body was forwarded
 	objectiveAt  time.Duration // an answer after this time is late
 	waitUntil    time.Duration // from this time on it gets its final answer if it is still queued
 	attempts     []*attempt
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -10,12 +10,13 @@
 	// averaged.
 	servedWorkIntervals = 8
 
-	// slowStartSafety is the share of the load that would make a backend fail that it may be sent.
+	// A backend that is warming up is sent at most slowStartSafety times the load that would make it fail.
 	slowStartSafety = 0.8
 
 	// slowStartBurst is the share of the overload window for which unused tokens accumulate.
 	slowStartBurst = 0.25
 
+	// A shorter overload window counts as minOverloadWindow when tokens are added.
 	minOverloadWindow = time.Second
 
 	// Without enough tokens, a request may still be sent to a backend with nothing else in flight if its work
--- a/decision/snapshot.go
+++ b/decision/snapshot.go
@@ -13,7 +13,7 @@
 type Snapshot struct {
 	TakenAt     time.Duration     `json:"at"`
 	RequestRate float64           `json:"rate"`  // requests a second
-	SharedLimit float64           `json:"limit"` // on the load in flight at all backends; 0 is none
+	SharedLimit float64           `json:"limit"` // on the load in flight at all backends; 0 means none
 	Classes     []ClassSnapshot   `json:"classes"`
 	Backends    []BackendSnapshot `json:"backends"`
 }
--- a/decision/statistics.go
+++ b/decision/statistics.go
@@ -103,8 +103,8 @@
 	return q.baseline
 }
 
-// movingAverage returns the mean over about n values after adding v. A mean of 0 has no values yet: v becomes
-// the mean.
+// movingAverage returns the mean over about n values after adding v. A mean of 0 means that there are no
+// values yet: v becomes the mean.
 func movingAverage(mean, v, n float64) float64 {
 	if mean == 0 {
 		return v
--- a/decision/valuation.go
+++ b/decision/valuation.go
@@ -133,8 +133,8 @@
 	return inTime + b.config.Classes[r.Class].LateValueShare*(beforeDeadline-inTime)
 }
 
-// answerProbability returns the probability that an attempt sent now is answered until a time; mean is its
-// mean latency in ms.
+// answerProbability returns the probability that an attempt sent now is answered by the time until; mean is
+// its mean latency in ms.
 func (b *Balancer) answerProbability(until time.Duration, mean float64) float64 {
 	return 1 - math.Exp(-max(0, millis(until-b.now))/mean)
 }
