--- a/decision/activeset_test.go
+++ b/decision/activeset_test.go
@@ -30,7 +30,7 @@
 		if len(b.active) != c.wantActive {
 			t.Errorf("%s: %d of 40 backends active after 60 requests, want %d", c.name, len(b.active), c.wantActive)
 		}
-		if c.wantActive > len(b.listed)/2 {
+		if c.wantActive > len(b.listed)/2 { // no inactive target is left to take the place of an unhealthy one
 			continue
 		}
 		unhealthy := b.active[0]
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -52,7 +52,11 @@
 	cfg.Classes[idempotent].ObjectivePerWork = 1e12
 	b, _ := newBalancer(t, cfg, 2)
 	b.Request(second, Request{ID: 1, Class: idempotent, ExpectedWork: time.Hour, Deadline: 5 * second})
-	if r := b.requests[1]; r == nil || r.objectiveAt != 5*second {
-		t.Errorf("Request(deadline 5s) with an overflowing objective is recorded as %+v, want objectiveAt 5s", r)
+	r := b.requests[1]
+	if r == nil {
+		t.Fatal("Request(deadline 5s) with an overflowing objective is not recorded as open, want it open")
+	}
+	if r.objectiveAt != 5*second {
+		t.Errorf("Request(deadline 5s) with an overflowing objective: objectiveAt = %v, want 5s", r.objectiveAt)
 	}
 }
--- a/decision/answers_test.go
+++ b/decision/answers_test.go
@@ -18,7 +18,7 @@
 			b, h := newBalancer(t, testConfig(), 0)
 			b.Request(second, Request{ID: 1, Class: class, Deadline: 4 * second})
 			b.ClientGone(second+milli, 1)
-			fireEverything(b, second+2*milli, 0)
+			fireTimersAndUpdateList(b, second+2*milli, 0)
 			wantNoActions(t, h)
 		})
 		for _, result := range []Result{OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent} {
@@ -29,10 +29,10 @@
 				if got := h.take("cancel"); len(got) != 1 {
 					t.Errorf("ClientGone caused the cancels %v, want one, of the attempt in flight", got)
 				}
-				fireEverything(b, second+2*milli, 1)
+				fireTimersAndUpdateList(b, second+2*milli, 1)
 				b.Outcome(second+3*milli, Outcome{ID: 1, Backend: to, Result: result})
 				b.Outcome(second+3*milli, Outcome{ID: 1, Backend: to, Result: result})
-				fireEverything(b, second+4*milli, 1)
+				fireTimersAndUpdateList(b, second+4*milli, 1)
 				wantNoActions(t, h)
 				if len(b.requests) != 0 || b.openRequests != 0 {
 					t.Errorf("after the last outcome %d requests are recorded and %d counted as open, want none",
@@ -52,7 +52,7 @@
 					len(b.queue))
 			}
 			b.ClientGone(second+2*milli, 1)
-			fireEverything(b, second+3*milli, 1)
+			fireTimersAndUpdateList(b, second+3*milli, 1)
 			wantNoActions(t, h)
 		})
 	}
@@ -66,7 +66,7 @@
 			cfg.Capabilities.HedgedRequests = hedged
 			b, h, to := openedRequest(t, cfg, class, 6)
 			b.Outcome(second+50*milli, Outcome{ID: 1, Backend: to, Result: OK, Final: true})
-			fireEverything(b, second+51*milli, 2)
+			fireTimersAndUpdateList(b, second+51*milli, 2)
 			b.Outcome(second+60*milli, Outcome{ID: 1, Backend: to, Result: Reset})
 			if got := h.take("send", "reject", "fail", "cancel"); len(got) != 0 {
 				t.Errorf("class %s, HedgedRequests %v: after the final answer the Balancer called %v, want no action",
--- a/decision/anyconfig_test.go
+++ b/decision/anyconfig_test.go
@@ -11,7 +11,7 @@
 
 // randomConfig returns a valid configuration whose settings are drawn from typical and extreme values.
 func randomConfig(rng *rand.Rand) Config {
-	coin := func() bool { return rng.IntN(2) == 0 }
+	randomBool := func() bool { return rng.IntN(2) == 0 }
 	duration := func(choices ...time.Duration) time.Duration { return choices[rng.IntN(len(choices))] }
 	weight := func(choices ...float64) float64 { return choices[rng.IntN(len(choices))] }
 	long := time.Duration(1e18)
@@ -19,14 +19,16 @@
 		Zone:            rng.IntN(4) - 1,
 		Tick:            duration(0, time.Microsecond, milli, 20*milli, second, long),
 		OverQuotaWeight: weight(0, 0.1, 1, 5, 1e300),
-		WeightByWork:    coin(),
-		KeyAffinity:     coin(), ClientsMarkRetries: coin(), PolledDiscovery: coin(), Weights: WeightKind(rng.IntN(3)),
+		WeightByWork:    randomBool(),
+		KeyAffinity:     randomBool(), ClientsMarkRetries: randomBool(), PolledDiscovery: randomBool(),
+		Weights:          WeightKind(rng.IntN(3)),
 		ObjectiveWeights: ObjectiveWeights{weight(0, 0.5, 1e300), weight(0, 0.2), weight(0, 0.2), weight(0, 0.2)},
 		Constraints: Constraints{MaxListAge: duration(0, second, long), WarmUp: duration(0, milli, 8*second, long),
 			DrainGrace:     duration(0, second),
 			OverloadWindow: duration(0, milli, second, long), OverloadFactor: weight(0, 0.01, 3, 1e300),
 			InitialCapacity: weight(0, 0.1, 1, 34)},
-		Capabilities: Capabilities{Cancel: coin(), HealthChecks: coin(), RetryAfter: coin(), HedgedRequests: coin(),
+		Capabilities: Capabilities{Cancel: randomBool(), HealthChecks: randomBool(), RetryAfter: randomBool(),
+			HedgedRequests:        randomBool(),
 			ConnectionIdleTimeout: duration(0, second),
 			ConnectTimeout:        duration(0, 1, milli, 75*milli, 2*second, long),
 			MaxRetryAfter:         duration(0, second, long),
@@ -71,16 +73,16 @@
 	if s.random.IntN(4) > 0 {
 		o.Result = OK
 	}
-	took := time.Duration(s.random.ExpFloat64() * float64(20*milli))
-	if s.now+took >= until {
-		took, o.Result = until-s.now, Timeout
+	latency := time.Duration(s.random.ExpFloat64() * float64(20*milli))
+	if s.now+latency >= until {
+		latency, o.Result = until-s.now, Timeout
 	}
-	s.schedule(took, func() {
+	s.schedule(latency, func() {
 		if o.Result == OK && s.finalAnswers[id] == 0 {
 			s.finalAnswers[id] = 1
 		}
 		o.Final = s.finalAnswers[id] > 0
-		o.Latency = took
+		o.Latency = latency
 		s.balancer.Outcome(s.now, o)
 	})
 }
--- a/decision/attempts_test.go
+++ b/decision/attempts_test.go
@@ -48,13 +48,13 @@
 	for _, c := range []struct {
 		name  string
 		class int
-		set   func(b *Balancer, r *request, other *target)
+		set   func(b *Balancer, r *request, other *target) // sets the state that forbids the send
 	}{
-		{"ended", idempotent, func(_ *Balancer, r *request, _ *target) { r.ended = true }},
-		{"streaming", idempotent, func(_ *Balancer, r *request, _ *target) { r.streaming = true }},
-		{"past the deadline", idempotent, func(b *Balancer, r *request, _ *target) { b.now = r.Deadline }},
-		{"draining", idempotent, func(_ *Balancer, _ *request, o *target) { o.State = Draining }},
-		{"gone", idempotent, func(_ *Balancer, _ *request, o *target) { o.State = Removed }},
+		{"request ended", idempotent, func(_ *Balancer, r *request, _ *target) { r.ended = true }},
+		{"answer streaming", idempotent, func(_ *Balancer, r *request, _ *target) { r.streaming = true }},
+		{"deadline reached", idempotent, func(b *Balancer, r *request, _ *target) { b.now = r.Deadline }},
+		{"target draining", idempotent, func(_ *Balancer, _ *request, o *target) { o.State = Draining }},
+		{"target removed", idempotent, func(_ *Balancer, _ *request, o *target) { o.State = Removed }},
 		{"hedged requests not allowed", idempotent, func(b *Balancer, _ *request,
 			_ *target) {
 			b.config.Capabilities.HedgedRequests = false
@@ -88,7 +88,7 @@
 		h.take()
 		c.set(b, r, other)
 		if b.send(r, other) || len(h.take("send")) > 0 {
-			t.Errorf("%s: send() sent the request, want it to be prevented", c.name)
+			t.Errorf("%s: send() sent the request to the second target, want no send", c.name)
 		}
 	}
 	b, h := newBalancer(t, testConfig(), 2)
@@ -100,12 +100,12 @@
 		other = b.targets[1]
 	}
 	if !b.send(r, other) {
-		t.Error("send() of a hedged idempotent request = false, want true: the cases above pass for another reason")
+		t.Error("send() of a hedged idempotent request = false, want true, or the cases above prove nothing")
 	}
 	b.rejectOrFail(r)
 	b.rejectOrFail(r)
 	if got := h.take("reject", "fail"); len(got) != 1 {
-		t.Errorf("two calls of rejectOrFail gave the final answers %v, want one", got)
+		t.Errorf("two calls of rejectOrFail caused %v, want one final answer", got)
 	}
 }
 
@@ -169,11 +169,13 @@
 			}
 			switch {
 			case len(got) != 1:
-				t.Fatalf("Outcome(Reset) after %v caused %v, want one action", k.resetAt, got)
+				t.Fatalf("Outcome(Reset) %v after the send caused %v, want one action", k.resetAt, got)
 			case !k.wantRetry && got[0].verb != finalAnswer:
-				t.Errorf("Outcome(Reset) after %v caused %v, want %s", k.resetAt, got, finalAnswer)
+				t.Errorf("Outcome(Reset) %v after the send, with a deduplication window of %v, caused %v, want one %s",
+					k.resetAt, k.class.DeduplicationWindow, got, finalAnswer)
 			case k.wantRetry && got[0].verb != "send":
-				t.Errorf("Outcome(Reset) after %v caused %v, want a send", k.resetAt, got)
+				t.Errorf("Outcome(Reset) %v after the send, with a deduplication window of %v, caused %v, want a send",
+					k.resetAt, k.class.DeduplicationWindow, got)
 			}
 			if z, c := zoneAndCell(got[0].to); k.wantRetry && (k.class.DeduplicationScope == ScopeZone && z != zone &&
 				k.class.Idempotency == IdempotentByKey ||
@@ -203,7 +205,7 @@
 		b.Outcome(second+120*milli, Outcome{ID: 1, Attempt: 1, Backend: next[0].to, Result: Reset})
 		if got := h.take("send", "reject", "fail"); len(got) != 1 || got[0].verb != k.want {
 			t.Errorf("first attempt ended with %s; Outcome(Reset) of the second, 120 ms after the first was sent, "+
-				"caused %v, want %s", resultName(k.first), got, k.want)
+				"with a deduplication window of 100 ms, caused %v, want one %s", resultName(k.first), got, k.want)
 		}
 	}
 }
@@ -213,7 +215,7 @@
 func TestKeyedRequestIsAnsweredOnceWindowEnds(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	b.Request(second, Request{ID: 1, Class: keyed, Deadline: 9 * second})
-	b.requests[1].objectiveAt = 9 * second // far later than the end of the window of 1 s
+	b.requests[1].objectiveAt = 9 * second // far later than the end of the deduplication window of 1 s
 	to := h.take("send")[0].to
 	for _, other := range b.targets { // no target has capacity
 		other.limit.ceiling = 1
@@ -222,11 +224,12 @@
 	}
 	b.Outcome(second+900*milli, Outcome{ID: 1, Backend: to, Result: Reset})
 	if got := h.take("send", "reject", "fail"); len(got) != 0 {
-		t.Fatalf("Outcome(Reset) within the window caused %v, want the request to be queued", got)
+		t.Fatalf("Outcome(Reset) 900 ms after the send, within the deduplication window of 1 s, caused %v, "+
+			"want no action: the request is queued", got)
 	}
 	b.Timer(2*second+10*milli, dispatchToken)
 	if got := h.take("send", "reject", "fail"); len(got) != 1 || got[0].verb != "fail" {
-		t.Errorf("dispatch after the end of the window caused %v, want one fail", got)
+		t.Errorf("dispatch 1.01 s after the send, after the deduplication window of 1 s, caused %v, want one fail", got)
 	}
 }
 
@@ -238,6 +241,7 @@
 	b.BodyComplete(second+900*milli, 1, 9*second)
 	b.Outcome(2*second+100*milli, Outcome{ID: 1, Backend: to, Result: Reset})
 	if got := h.take("send", "fail"); len(got) != 1 || got[0].verb != "fail" {
-		t.Errorf("Outcome(Reset) 1.1 s after the send, with a window of 1 s, caused %v, want one fail", got)
+		t.Errorf("Outcome(Reset) 1.1 s after the send, with a deduplication window of 1 s, caused %v, want one fail",
+			got)
 	}
 }
--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// silentHost is a Host that only records the backend of the last send; 0 is none.
+// silentHost is a Host that only records the backend of the last send; 0 means none.
 type silentHost struct {
 	recorder
 	to BackendID
@@ -25,26 +25,26 @@
 			b.Run(fmt.Sprintf("backends=%d/keyed=%v", backends, keyed), func(b *testing.B) {
 				cfg, h := testConfig(), &silentHost{}
 				cfg.KeyAffinity = keyed
-				m, err := New(cfg, 1, h)
+				balancer, err := New(cfg, 1, h)
 				if err != nil {
 					b.Fatalf("New: %v", err)
 				}
-				m.Start(second)
-				m.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Version: 1, Backends: list(backends)})
+				balancer.Start(second)
+				balancer.UpdateEndpoints(second, EndpointUpdate{Kind: UpdateFull, Version: 1, Backends: list(backends)})
 				b.ReportAllocs()
 				now, answered := second, 0
 				for i := range b.N {
 					now += milli
 					h.to = 0
-					m.Request(now, Request{ID: RequestID(i), Class: i % 4, Key: uint64(i % 100),
+					balancer.Request(now, Request{ID: RequestID(i), Class: i % 4, Key: uint64(i % 100),
 						Deadline: now + 3*second})
 					if h.to != 0 {
-						m.Outcome(now+100*time.Microsecond, Outcome{ID: RequestID(i), Backend: h.to, Result: OK,
+						balancer.Outcome(now+100*time.Microsecond, Outcome{ID: RequestID(i), Backend: h.to, Result: OK,
 							Final: true})
 						answered++
 					}
 					if i%100 == 0 {
-						m.Timer(now, sweepToken)
+						balancer.Timer(now, sweepToken)
 					}
 				}
 				if answered < b.N/2 {
--- a/decision/discovery_test.go
+++ b/decision/discovery_test.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// Whatever the polling interval and the connect timeout, a polled list counts as known 6 s after the discovery service
-// could be reached again, and a list pushed by an agent on this machine at once. So the backoff has an upper bound.
+// The backoff of calls for the endpoint list has an upper bound, whatever the polling interval and the connect timeout:
+// the proxy must have a polled list within 6 s after the discovery service can be reached again, and a list that an
+// agent on the same machine pushes at once.
 func TestListBackoffIsBounded(t *testing.T) {
 	for _, maxAge := range []time.Duration{0, 2 * second, 10 * second, 60 * second} {
 		for _, connect := range []time.Duration{30 * time.Millisecond, second, 5 * second, 20 * second} {
@@ -67,7 +68,7 @@
 						timers := h.take("timer")
 						if len(timers) != 1 || timers[0].at > maxWait || timers[0].at < 5*time.Millisecond {
 							t.Fatalf("MaxListAge %v, ConnectTimeout %v, DrainGrace %v, PolledDiscovery %v: "+
-								"after %d failed calls %v, want one timer of 5ms to %v",
+								"after %d failed calls the Balancer started %v, want one timer of 5ms to %v",
 								maxAge, connect, grace, polled, i+1, timers, maxWait)
 						}
 					}
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// A backend stays unhealthy over an endpoint update.
+// An endpoint update does not make an unhealthy backend healthy.
 func TestHealthSurvivesEndpointUpdate(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 3)
 	for now := second; now < 12*second; now += b.checkInterval / sweepsPerInterval {
@@ -81,9 +81,8 @@
 		b.UpdateEndpoints(2*second, EndpointUpdate{Kind: UpdateDelta, Backends: []Backend{{ID: id, State: Removed}}})
 		b.UpdateEndpoints(3*second, EndpointUpdate{Kind: UpdateFull, Backends: list(2)})
 		if _, excluded := b.CountBackends(); excluded != 0 {
-			t.Errorf("unhealthy backend removed and listed again, health check in flight: %v, CountBackends() = %d "+
-				"excluded, "+
-				"want 0", checkInFlight, excluded)
+			t.Errorf("unhealthy backend removed and listed again, health check in flight: %v; CountBackends() = %d "+
+				"excluded, want 0", checkInFlight, excluded)
 		}
 	}
 }
--- a/decision/enginehistory_test.go
+++ b/decision/enginehistory_test.go
@@ -150,7 +150,7 @@
 	unlock := s.lock()
 	rng := s.randomFor(3, int(id), int(s.id), int(s.model.now))
 	unlock()
-	if rng.IntN(4) == 0 { // the time of a new connection
+	if rng.IntN(4) == 0 { // the time that a new connection takes
 		select {
 		case <-time.After(time.Duration(rng.IntN(300)) * milli):
 		case <-ctx.Done():
@@ -165,8 +165,8 @@
 	s.tracef("send request %d to backend %d", id, s.id)
 	s.model.send(id, s.id)
 	t := &modelAttempt{}
-	if tries := s.model.byID[id].attempts; len(tries) > 0 {
-		t = tries[len(tries)-1]
+	if attempts := s.model.byID[id].attempts; len(attempts) > 0 {
+		t = attempts[len(attempts)-1]
 	}
 	unlock()
 	result, answer := s.Script.Exchange(ctx, a)
@@ -224,8 +224,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newEngineHarness(t, seed)
 		ctx, cancel := context.WithCancel(t.Context())
-		var all sync.WaitGroup
-		all.Go(func() { g.engine.Run(ctx) })
+		var running sync.WaitGroup
+		running.Go(func() { g.engine.Run(ctx) })
 		for id := range decision.RequestID(600) {
 			unlock := g.lock()
 			class, timeout, leaveAfter := g.random.IntN(len(g.model.config.Classes)),
@@ -236,7 +236,7 @@
 			}
 			gap, change := time.Duration(g.random.IntN(30))*milli, g.random.IntN(15) == 0
 			unlock()
-			all.Go(func() { g.sendRequest(id, class, timeout, leaveAfter) })
+			running.Go(func() { g.sendRequest(id, class, timeout, leaveAfter) })
 			time.Sleep(gap)
 			if change {
 				g.changeList()
@@ -244,7 +244,7 @@
 		}
 		time.Sleep(2 * time.Minute)
 		cancel()
-		all.Wait()
+		running.Wait()
 		violations, trace = g.model.violations, g.trace
 	})
 	return violations, trace
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -18,7 +18,7 @@
 }
 func (printer) Fail(id decision.RequestID) { fmt.Printf("fail request %d\n", id) }
 func (printer) Cancel(id decision.RequestID, n int) {
-	fmt.Printf("cancel attempt %d of %d\n", n, id)
+	fmt.Printf("cancel attempt %d of request %d\n", n, id)
 }
 func (printer) CheckHealth(decision.BackendID)            {}
 func (printer) ReleaseIdleConnections(decision.BackendID) {}
--- a/decision/flawed_test.go
+++ b/decision/flawed_test.go
@@ -71,7 +71,7 @@
 		}
 	}
 	for _, k := range []struct {
-		name, violation string // the violation begins with this text
+		name, violation string // the violation starts with this text
 		restartsOnly    bool
 		changeConfig    func(*decision.Config)
 		addFlaw         func(*policy, *interferingHost)
@@ -168,7 +168,8 @@
 				}
 			}
 			if !strings.HasPrefix(found, k.violation) {
-				t.Errorf("a policy that %s: last violation in 40 runs = %q, want one of %q", k.name, found, k.violation)
+				t.Errorf("a policy that %s: last violation in 40 runs = %q, want one that starts with %q", k.name,
+					found, k.violation)
 			} else {
 				t.Logf("a policy that %s: %s", k.name, found)
 			}
--- a/decision/frozen_test.go
+++ b/decision/frozen_test.go
@@ -17,8 +17,9 @@
 //
 //	FREEZE=1 go test ./decision -run 'KeepsItsBytes|KeepTheirSums'
 //
-// They hold what must not change: the actions for a fixed sequence of events, and the stored form of Snapshot. The
-// words of the transcripts, such as probe, refuse, tell, vet and whole, are those of that commit and stay as they are.
+// They contain what must not change: the actions for a fixed sequence of events, and the stored form of Snapshot. The
+// transcripts keep the words of that commit: probe (check health), refuse (reject), tell (send to a peer), vet
+// (CheckHealthNow), whole (BodyComplete), cost (expected work), repeat (marked retry) and spent (body consumed).
 
 // checkGoldenFile compares got with a file of testdata. If FREEZE is set, it first writes the file.
 func checkGoldenFile(t *testing.T, name string, got []byte) {
@@ -240,8 +241,8 @@
 	return s
 }
 
-// goldenConfigs returns the configurations of the two transcripts: of one of two proxies, and of one of twelve proxies
-// with key affinity, polled discovery and no hedged requests.
+// goldenConfigs returns the configurations of the two transcripts. In the first, two proxies share the backends. In the
+// second, twelve proxies do, with key affinity, polled discovery and no hedged requests.
 func goldenConfigs() [2]Config {
 	few := testConfig()
 	few.Classes[1].StreamedResponse = true
@@ -304,7 +305,7 @@
 	restored := next.Snapshot(4 * second)
 	if !slices.Equal(restored.Classes, m.Classes) || !slices.Equal(restored.Backends, m.Backends) ||
 		restored.SharedLimit != m.SharedLimit {
-		t.Errorf("snapshot of the successor right after Restore = %+v, want %+v", restored, m)
+		t.Errorf("snapshot of the successor right after Restore = %+v, want the restored snapshot %+v", restored, m)
 	}
 	if math.Abs(restored.RequestRate-m.RequestRate) > 1e-9*m.RequestRate {
 		t.Errorf("request rate of the successor right after Restore = %v, want %v", restored.RequestRate, m.RequestRate)
--- a/decision/frozenconfigs_test.go
+++ b/decision/frozenconfigs_test.go
@@ -30,24 +30,24 @@
 // change, or the sums in testdata no longer match.
 func goldenRandomConfig(seed uint64) Config {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	coin := func() bool { return rng.IntN(2) == 0 }
+	randomBool := func() bool { return rng.IntN(2) == 0 }
 	cfg := goldenConfigs()[rng.IntN(2)]
 	cfg.Classes = slices.Clone(cfg.Classes)
 	cfg.Instances = []int{1, 2, 5, 8, 9, 12, 40, 300}[rng.IntN(8)]
 	cfg.Rank = rng.IntN(5)
 	cfg.Zone = rng.IntN(3)
-	cfg.KeyAffinity = coin()
-	cfg.PolledDiscovery = coin()
-	cfg.WeightByWork = coin()
+	cfg.KeyAffinity = randomBool()
+	cfg.PolledDiscovery = randomBool()
+	cfg.WeightByWork = randomBool()
 	cfg.Weights = WeightKind(rng.IntN(3))
 	cfg.RetryBudgetRatio = []float64{0, 0.05, 0.5}[rng.IntN(3)]
 	cfg.Tick = time.Duration(rng.IntN(10)) * milli
 	cfg.OverQuotaWeight = rng.Float64()
 	capabilities := &cfg.Capabilities
-	capabilities.HedgedRequests = coin()
-	capabilities.Cancel = coin()
-	capabilities.HealthChecks = coin()
-	capabilities.RetryAfter = coin()
+	capabilities.HedgedRequests = randomBool()
+	capabilities.Cancel = randomBool()
+	capabilities.HealthChecks = randomBool()
+	capabilities.RetryAfter = randomBool()
 	capabilities.MaxOpenRequests = []int{0, 3, 12, 1000}[rng.IntN(4)]
 	capabilities.MaxAttempts = 1 + rng.IntN(5)
 	capabilities.ConnectTimeout = []time.Duration{0, 20 * milli, 250 * milli, 2 * second}[rng.IntN(4)]
--- a/decision/hedging_test.go
+++ b/decision/hedging_test.go
@@ -24,8 +24,10 @@
 		b.Timer(second+400*milli, attemptToken(1, 0))
 		got := h.take("send", "cancel")
 		switch {
-		case c.want == "" && len(got) != 0, c.want != "" && (len(got) != 1 || got[0].verb != c.want):
-			t.Errorf("%s: timer of the slow attempt caused %v, want %q and no other action", c.name, got, c.want)
+		case c.want == "" && len(got) != 0:
+			t.Errorf("%s: timer of the slow attempt caused %v, want no action", c.name, got)
+		case c.want != "" && (len(got) != 1 || got[0].verb != c.want):
+			t.Errorf("%s: timer of the slow attempt caused %v, want one %s", c.name, got, c.want)
 		case c.want == "send" && got[0].to == first:
 			t.Errorf("%s: hedged request sent to backend %d like the first attempt, want another", c.name, first)
 		case c.want == "cancel":
@@ -47,14 +49,14 @@
 		if len(hedges) != 1 {
 			t.Fatalf("timer of the slow attempt caused %d sends, want 1", len(hedges))
 		}
-		at := []BackendID{to, hedges[0].to}
-		b.Outcome(second+500*milli, Outcome{ID: 1, Attempt: winner, Backend: at[winner], Result: OK, Final: true})
+		backends := []BackendID{to, hedges[0].to} // of the two attempts
+		b.Outcome(second+500*milli, Outcome{ID: 1, Attempt: winner, Backend: backends[winner], Result: OK, Final: true})
 		if got := h.take("cancel"); len(got) != 1 || got[0].attempt != 1-winner {
 			t.Errorf("Outcome(OK) of attempt %d caused the cancels %v, want one, of attempt %d", winner, got, 1-winner)
 		}
-		b.Outcome(second+501*milli, Outcome{ID: 1, Attempt: 1 - winner, Backend: at[1-winner], Result: Reset,
+		b.Outcome(second+501*milli, Outcome{ID: 1, Attempt: 1 - winner, Backend: backends[1-winner], Result: Reset,
 			Final: true})
-		fireEverything(b, second+502*milli, 2)
+		fireTimersAndUpdateList(b, second+502*milli, 2)
 		if got := h.take("send", "reject", "fail", "cancel"); len(got) != 0 {
 			t.Errorf("after attempt %d was answered, the outcome of the other caused %v, want no action", winner, got)
 		}
--- a/decision/helpers_test.go
+++ b/decision/helpers_test.go
@@ -174,9 +174,9 @@
 	return b, h, sends[0].to
 }
 
-// fireEverything fires every timer that may be running, reports an endpoint list of six backends and lets 5 s pass.
-// Tests call it after request 1 has ended; attempts is the number of attempts that request may have had.
-func fireEverything(b *Balancer, from time.Duration, attempts int) {
+// fireTimersAndUpdateList fires every timer that may be running, reports an endpoint list of six backends and lets 5 s
+// pass. Tests call it after request 1 has ended; attempts is the number of attempts that request may have had.
+func fireTimersAndUpdateList(b *Balancer, from time.Duration, attempts int) {
 	for n := range attempts {
 		b.Timer(from, attemptToken(1, n))
 	}
--- a/decision/history_test.go
+++ b/decision/history_test.go
@@ -308,7 +308,7 @@
 			}
 		}
 		// With any settings and many proxies fewer may be served: one of many proxies spaces its attempts in time by
-		// means that decay with the number of requests, not with time. See TestLatencyJumpStallsNoProxy.
+		// mean latencies that decay with the number of requests, not with time. See TestLatencyJumpStallsNoProxy.
 		if len(d.violations) == 0 && served < len(requests)*3/4 && (!d.anySettings || len(d.proxies) <= 3) {
 			d.violations = append(d.violations,
 				fmt.Sprintf("recovery: proxy %d had %d of %d requests served by healthy servers, want at least 3/4",
@@ -382,8 +382,8 @@
 	}
 }
 
-// The same with settings of many kinds of sites: deadlines from 50 ms to a minute, ticks from 0.5 ms to 20 ms, warm-up
-// times from none to a minute, and so on.
+// A Balancer violates none of the model's rules with the settings of many kinds of sites: deadlines from 50 ms to a
+// minute, ticks from 0.5 ms to 20 ms, warm-up times from none to a minute, and so on.
 func TestBalancerFollowsModelWithAnySettings(t *testing.T) {
 	for seed := range uint64(21) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/decision/historyproxy_test.go
+++ b/decision/historyproxy_test.go
@@ -239,7 +239,8 @@
 	x.schedule(d, func() { x.reportThenList("timer", func() {}, func() { x.policy.Timer(x.now, token) }) })
 }
 
-// sendRequest reports a random request, and schedules the end of its body or the leave of its client if it has one.
+// sendRequest reports a random request. It schedules the end of the body of a streamed request, and for some other
+// requests that the client leaves early.
 func (x *proxy) sendRequest() {
 	x.lastID++
 	id, class := x.lastID, x.random.IntN(len(x.config.Classes))
--- a/decision/historysettings_test.go
+++ b/decision/historysettings_test.go
@@ -11,8 +11,8 @@
 // minRequestGap is the minimum mean time between requests. It keeps runs with little work in each request short.
 const minRequestGap = 10 * milli
 
-// randomizeSettings draws random settings, as of many kinds of sites. It returns a mean work of a request that fits the
-// latency objectives.
+// randomizeSettings sets cfg to random values, over the range of many kinds of sites. It returns the mean work of a
+// request, short enough for answers within the latency objectives.
 func randomizeSettings(cfg *decision.Config, rng *rand.Rand) (meanWork time.Duration) {
 	// between draws a duration whose logarithm is uniformly distributed.
 	between := func(minimum, maximum time.Duration) time.Duration {
@@ -63,7 +63,7 @@
 // randomSiteConfig returns a configuration with classes of each kind of idempotency and deduplication scope. Other
 // settings are random.
 func randomSiteConfig(rng *rand.Rand) decision.Config {
-	coin := func() bool { return rng.IntN(2) == 0 }
+	randomBool := func() bool { return rng.IntN(2) == 0 }
 	lateValueShare := func() float64 { return []float64{0, 0.5}[rng.IntN(2)] }
 	cfg := decision.Config{Instances: 1 + rng.IntN(4), Tick: time.Duration(rng.IntN(3)) * 2 * milli,
 		OverQuotaWeight: 0.1,
@@ -90,12 +90,12 @@
 			{Name: "b", Share: 0.3, QuotaPerSecond: 0}},
 		ObjectiveWeights: decision.ObjectiveWeights{Overall: 0.55, WorstClass: 0.2, WorstTenant: 0.1,
 			WorstWindow: 0.15},
-		KeyAffinity: rng.IntN(4) == 0, PolledDiscovery: coin(),
+		KeyAffinity: rng.IntN(4) == 0, PolledDiscovery: randomBool(),
 		Constraints: decision.Constraints{AnswerSlack: 8 * milli, MaxListAge: 10 * time.Second,
 			WarmUp: 8 * time.Second, DrainGrace: 500 * milli,
 			OverloadWindow: time.Second, OverloadFactor: 3, InitialCapacity: 0.34},
 		Capabilities: decision.Capabilities{Cancel: rng.IntN(4) > 0, HealthChecks: rng.IntN(5) > 0,
-			RetryAfter: coin(), HedgedRequests: coin(),
+			RetryAfter: randomBool(), HedgedRequests: randomBool(),
 			ConnectionIdleTimeout: time.Minute, ConnectTimeout: 75 * milli, MaxRetryAfter: time.Second,
 			MaxAttempts: 1 + rng.IntN(4), StreamsPerConnection: 1,
 			MaxOpenRequests: []int{0, 0, 20, 20000}[rng.IntN(4)]},
--- a/decision/latency_test.go
+++ b/decision/latency_test.go
@@ -35,7 +35,8 @@
 	slow := b.targets[0]
 	slow.recordRatio(second, b.decaySpan, 8*20, 20)
 	if d, other := b.expectedDelay(&request{}, slow), b.expectedDelay(&request{}, b.targets[1]); !(d > other) {
-		t.Errorf("after instant answers, expectedDelay(slow target) = %v, want more than the other's, %v", d, other)
+		t.Errorf("after instant answers, expectedDelay(slow target) = %v, want more than that of the other target, %v",
+			d, other)
 	}
 }
 
--- a/decision/model_test.go
+++ b/decision/model_test.go
@@ -37,8 +37,8 @@
 	byID       map[decision.RequestID]*modelRequest
 	violations []string
 
-	// Rule 3 is checked only as it is stated: a send within DrainGrace after the backend stopped being ready is
-	// allowed. Otherwise the stricter behaviour of the Balancer is checked: no send from the update on.
+	// If drainGraceOnly is set, rule 3 allows a send within DrainGrace after the backend stopped being ready. Otherwise
+	// the Balancer must be stricter: no send once an endpoint update has reported that the backend is not ready.
 	drainGraceOnly bool
 }
 
@@ -228,7 +228,8 @@
 		m.violation(ruleIdempotency, "request %d sent to backend %d, but %s", id, to, reason)
 	}
 	if elapsed := m.now - s.notReadySince; s.State != decision.Ready && elapsed > m.config.Constraints.DrainGrace {
-		m.violation(ruleDrain, "send to backend %d, %v after it was listed as draining or removed", to, elapsed)
+		m.violation(ruleDrain, "send to backend %d, %v after it was listed as draining or removed, want at most %v", to,
+			elapsed, m.config.Constraints.DrainGrace)
 	} else if s.State != decision.Ready && !m.drainGraceOnly {
 		m.violation(ruleInvalidAction, "send to backend %d, which is not listed as ready", to)
 	}
@@ -319,8 +320,8 @@
 	}
 }
 
-// undeliverable reports whether rule 2 has forbidden every send of a request for some ms, whatever the endpoint list
-// contains later. The ms are allowed because the proxy dispatches its queue only at intervals.
+// undeliverable reports whether rule 2 has forbidden every send of a request for longer than the time between two
+// dispatches, whatever the endpoint list contains later. A queued request gets its final answer only at a dispatch.
 func (m *model) undeliverable(r *modelRequest) bool {
 	if r.bodyConsumed {
 		return true
@@ -335,8 +336,8 @@
 	return true
 }
 
-// check checks all open requests after an event has been handled, and known and excluded, the numbers of backends that
-// CountBackends reported.
+// check checks the state after an event has been handled: all open requests, and the numbers of backends that
+// CountBackends reported, known and excluded.
 func (m *model) check(known, excluded int) {
 	wantKnown, wantExcluded := 0, 0
 	for id, s := range m.servers {
--- a/decision/operator_test.go
+++ b/decision/operator_test.go
@@ -31,7 +31,7 @@
 			b, h := newBalancer(t, testConfig(), 2)
 			b.Detach(second, detached)
 			if got := h.take("release"); len(got) != 1 || got[0].to != detached {
-				t.Errorf("Detach(backend %d) released the idle connections %v, want those of that backend", detached,
+				t.Errorf("Detach(backend %d) caused %v, want one release of that backend's idle connections", detached,
 					got)
 			}
 			c.updateLists(b)
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -40,8 +40,8 @@
 		h.take()
 	}
 	if sends < 500 || toFailing > sends/50 || toFailing < 4 || lateNotIdempotent > 2 {
-		t.Errorf("%d sends, %d of them to the failing backend, of these %d not idempotent ones after 2 s; "+
-			"want at least 500, 4 to %d, and at most 2", sends, toFailing, lateNotIdempotent, sends/50)
+		t.Errorf("%d sends in total, want at least 500; %d sends to the failing backend, %d of them of not idempotent "+
+			"requests after the first 2 s; want 4 to %d, and at most 2", sends, toFailing, lateNotIdempotent, sends/50)
 	}
 }
 
@@ -191,8 +191,8 @@
 		sends[b.selectTarget(r).ID]++
 	}
 	if sends[1] == 0 || sends[2] == 0 {
-		t.Errorf("selectTarget chose the measured backend %d and the unmeasured one %d of 64 times, want both chosen",
-			sends[1], sends[2])
+		t.Errorf("selectTarget in 64 calls chose the measured backend %d times and the unmeasured one %d times, "+
+			"want both chosen", sends[1], sends[2])
 	}
 	lost.lossesByClass[idempotent].add(3, second, lossDecayFactor*b.decaySpan)
 	if b.expectedDelay(r, lost) < 3*b.expectedDelay(r, known) {
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -46,7 +46,7 @@
 
 // The same budget allows more retries after attempts that ended with a reset than after timeouts.
 func TestBrokenAttemptsAreRetried(t *testing.T) {
-	countRetries := func(result Result) int {
+	countAttempts := func(result Result) int {
 		cfg := testConfig()
 		cfg.Capabilities.MaxAttempts = 1000
 		b, h := newBalancer(t, cfg, 1)
@@ -60,9 +60,9 @@
 			b.Outcome(b.now, Outcome{ID: 1, Attempt: n, Backend: sent[0].to, Result: result})
 		}
 	}
-	if resets, timeouts := countRetries(Reset), countRetries(Timeout); timeouts == 0 || resets < 2*timeouts {
-		t.Errorf("a full retry budget allowed %d attempts that reset and %d that timed out, want at least one timeout "+
-			"and twice as many resets", resets, timeouts)
+	if resets, timeouts := countAttempts(Reset), countAttempts(Timeout); timeouts == 0 || resets < 2*timeouts {
+		t.Errorf("a full retry budget allowed %d attempts that ended with Reset, or %d that ended with Timeout; "+
+			"want at least one with Timeout and twice as many with Reset", resets, timeouts)
 	}
 }
 
--- a/decision/selection_test.go
+++ b/decision/selection_test.go
@@ -51,6 +51,7 @@
 		}
 	}
 	if firsts < 1350 || firsts > 1650 {
-		t.Errorf("backend with half of all sizes is the first choice of %d of 3000 keys, want 1350 to 1650", firsts)
+		t.Errorf("backend with half of the registered sizes is the first choice of %d of 3000 keys, want 1350 to 1650",
+			firsts)
 	}
 }
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -121,7 +121,7 @@
 		rates[i] = started.slowStartRate
 	}
 	if half := rates[0] / 2; rates[1] > half*1.01 || rates[1] < half*0.99 {
-		t.Errorf("slow-start rate without work at other backends: one of 100 proxies %v, one of 2 proxies %v; "+
-			"want half of it at the former", rates[1], rates[0])
+		t.Errorf("slow-start rate without work at other backends: at one of 100 proxies %v, at one of 2 proxies %v; "+
+			"want the former to be half of the latter", rates[1], rates[0])
 	}
 }
