--- a/decision/attempts.go
+++ b/decision/attempts.go
@@ -57,8 +57,8 @@
 	lateAfter := b.lateAfter(r, expected)
 	t.limit.reserve(a, b.now, lateAfter)
 	if b.usesSharedLimit() {
-		// For the shared limit an attempt is late relative to the target's own speed, or a few slow machines
-		// would reduce the limit for all targets.
+		// Under the shared limit, a slower target has more time before its attempts are late. Otherwise a few
+		// slow machines would reduce the limit for all targets.
 		b.sharedLimit.reserve(a, b.now, lateAfter*max(1, b.latencyRatio(t)/b.medianRatio))
 	}
 	until := min(r.Deadline, max(b.lastUseful(r)-b.config.Tick, b.now+b.config.Tick))
--- a/decision/concurrency_test.go
+++ b/decision/concurrency_test.go
@@ -60,11 +60,13 @@
 	only.limit.ceiling = 20
 	b.Request(second, Request{ID: 1, Deadline: 4 * second})
 	b.Timer(second+600*milli, sweepToken)
-	once := only.limit.ceiling
+	afterOneSweep := only.limit.ceiling
 	b.Timer(second+650*milli, sweepToken)
-	if once >= 20 || only.limit.ceiling < once*0.95 { // an unused limit sinks a little by itself
+	// Each sweep reduces an unused limit slightly.
+	if afterOneSweep >= 20 || only.limit.ceiling < afterOneSweep*0.95 {
 		t.Errorf("limit after one sweep with a late attempt in flight = %v, after two sweeps = %v; "+
-			"want less than the earlier 20 after one, and at least 95%% of that after two", once, only.limit.ceiling)
+			"want less than the earlier 20 after one, and at least 95%% of that after two", afterOneSweep,
+			only.limit.ceiling)
 	}
 }
 
--- a/decision/config.go
+++ b/decision/config.go
@@ -38,7 +38,7 @@
 
 	LateValueShare   float64 // share of the weight that an answer after the objective earns
 	StreamedResponse bool    // the caller reports the start of the answer by Balancer.FirstByte
-	PriorityWeight   float64 // what an answer in time earns
+	PriorityWeight   float64 // value of an answer within the objective
 }
 
 // Tenant is a customer with a share of the service.
@@ -65,13 +65,17 @@
 
 // Constraints are limits that must be kept whatever the effect on the objective.
 type Constraints struct {
-	AnswerSlack     time.Duration // how long after the deadline a final answer still counts as in time
-	MaxListAge      time.Duration // maximum age of a polled endpoint list; 0 means no maximum
-	WarmUp          time.Duration // time after a start until a backend has its full capacity
-	DrainGrace      time.Duration // sends to a draining backend must stop within this time
-	OverloadWindow  time.Duration // the load of a backend that warms up is bounded over it; 0 means 1 s
-	OverloadFactor  float64       // a load above this multiple of its capacity makes such a backend fail
-	InitialCapacity float64       // share of its full capacity that a backend has right after its start
+	AnswerSlack time.Duration // how long after the deadline a final answer still counts as in time
+	MaxListAge  time.Duration // maximum age of a polled endpoint list; 0 means no maximum
+	WarmUp      time.Duration // time after a start until a backend has its full capacity
+	DrainGrace  time.Duration // sends to a draining backend must stop within this time
+
+	// A backend that warms up fails if its load over OverloadWindow exceeds OverloadFactor times its present
+	// capacity. An OverloadWindow of 0 means 1 s.
+	OverloadWindow time.Duration
+	OverloadFactor float64
+
+	InitialCapacity float64 // share of its full capacity that a backend has right after its start
 }
 
 // Capabilities say what the platform allows, and its limits.
@@ -84,8 +88,8 @@
 
 	ConnectionIdleTimeout time.Duration // idle connections are closed after it; not used by the Balancer
 	ConnectTimeout        time.Duration // for a new connection; the interval of health checks depends on it
-	MaxRetryAfter         time.Duration // the longest time to retry after in a rejection
-	MaxAttempts           int           // of one request; at least 1
+	MaxRetryAfter         time.Duration // maximum time to retry after in a rejection
+	MaxAttempts           int           // maximum number of attempts of a request; at least 1
 	StreamsPerConnection  int           // concurrent requests on a connection; not used by the Balancer
 	MaxOpenRequests       int           // maximum number of open requests at the proxy; 0 means no maximum
 }
@@ -112,7 +116,7 @@
 	OverQuotaWeight float64 // weight of traffic beyond a tenant's quota, as a share of its usual weight
 	WeightByWork    bool    // a request's weight is multiplied by its work in ms
 
-	KeyAffinity        bool // a backend that served a key recently serves it again with less work
+	KeyAffinity        bool // a request with a key costs less work at a backend that served the key recently
 	ClientsMarkRetries bool // clients set Request.MarkedRetry; not used by the Balancer
 	PolledDiscovery    bool // the endpoint list must be polled; otherwise changes are pushed
 	Weights            WeightKind
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -7,9 +7,9 @@
 // responds by calling the methods of its Host within that call.
 //
 //   - A Balancer must be used by one goroutine at a time. It starts no goroutine and takes no lock.
-//   - It uses neither the wall clock nor global state. Each event has the time now, a time.Duration on a
-//     clock with any origin that never goes back. Equal configurations, seeds and events give exactly equal
-//     actions.
+//   - It uses neither the wall clock nor global state. Each event has a time, now: the time.Duration
+//     since any fixed origin, which never decreases. Equal configurations, seeds and events give exactly
+//     equal actions.
 //   - Host methods must not call the Balancer. The caller reports their effects as later events.
 //   - Identifiers are opaque. A backend keeps its identifier over a restart; a RequestID is not reused.
 //   - Events for unknown or ended requests, attempts and backends are ignored: an event may be reported after
--- a/decision/events.go
+++ b/decision/events.go
@@ -34,7 +34,7 @@
 type Backend struct {
 	ID      BackendID
 	Zone    int // compared with Config.Zone
-	Kind    int // machine kind; slow start expects backends of one kind and zone to serve the same rate
+	Kind    int // machine kind; slow start assumes equal served rates within a kind and zone
 	Cell    int // deduplication cell, see ScopeCell
 	State   BackendState
 	Weight  float64       // see Config.Weights
--- a/decision/history_test.go
+++ b/decision/history_test.go
@@ -36,11 +36,11 @@
 	servers        map[decision.BackendID]*backendServer
 	loads          *backendLoads
 	lastID         decision.RequestID
-	oddEvents      bool          // some events are reported twice, late, with odd latencies or for unknown IDs
+	oddEvents      bool          // some events are reported twice, late, with invalid latencies or for unknown IDs
 	instantAnswers bool          // answers take no time
 	workHints      bool          // requests carry their expected work
 	allHealthy     bool          // all servers are healthy until the end
-	anySettings    bool          // see randomizeSettings
+	anySettings    bool          // settings are drawn from a wide range (randomizeSettings)
 	meanWork       time.Duration // of a request
 	trace          []string
 	violations     []string
@@ -58,7 +58,7 @@
 	decision.Backend
 	result    decision.Result // of each attempt and health check
 	busyUntil time.Duration   // when the work in its queue is done
-	slowdown  float64         // its speed is divided by this
+	slowdown  float64         // factor by which its work takes longer
 }
 
 func (d *history) schedule(delay time.Duration, run func()) {
@@ -96,7 +96,7 @@
 // runOptions select what a run tests.
 type runOptions struct {
 	restartsOnly   bool // servers restart one after the other, without other faults: tests slow start
-	drainGraceOnly bool // see model
+	drainGraceOnly bool // see model.drainGraceOnly
 	instantAnswers bool // answers take no time until the servers recover, with any number of proxies
 	anySettings    bool // settings are drawn from a wide range, see randomizeSettings
 }
--- a/decision/model_test.go
+++ b/decision/model_test.go
@@ -74,7 +74,7 @@
 type backendLoads struct {
 	speed map[decision.BackendID]float64 // ms of work a ms, once warm
 	sent  map[decision.BackendID][]sentWork
-	slack time.Duration // work beyond the limit that random arrivals may cause
+	slack time.Duration // work by which random arrivals may exceed what a backend that warms up can serve
 }
 
 // sentWork is the work of one attempt and the time of its send.
--- a/decision/operator_test.go
+++ b/decision/operator_test.go
@@ -94,7 +94,7 @@
 	return false
 }
 
-// Detach may be called before the backend is listed, and twice; one Attach ends it.
+// Detach may be called twice and before the backend is listed. One call of Attach cancels both calls.
 func TestDetachBeforeListAndTwice(t *testing.T) {
 	detached := list(1)[0].ID
 	b, _ := newBalancer(t, testConfig(), 0)
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -109,7 +109,7 @@
 	}
 	b.Timer(second+40*milli, dispatchToken)
 	if sent := h.take("send"); len(sent) != 2 {
-		t.Errorf("dispatch after the panic caused %d sends, want 2, of the requests queued behind", len(sent))
+		t.Errorf("dispatch after the panic caused %d sends, want 2: of the requests that were queued behind it", len(sent))
 	}
 }
 
--- a/decision/request.go
+++ b/decision/request.go
@@ -15,8 +15,8 @@
 	ended        bool // it has its final answer
 	bodyComplete bool // its streamed body has been forwarded completely
 
-	streaming        bool // its answer has begun
-	streamingAttempt *attempt
+	streaming        bool     // the first byte of its answer has arrived
+	streamingAttempt *attempt // the attempt whose answer is streamed
 
 	value     float64 // priority weight, times work if so configured, reduced by overQuota
 	overQuota float64 // share of its tenant's traffic that exceeds the quota
@@ -37,7 +37,7 @@
 	done          bool
 	mayHaveRun    bool
 	cancelled     bool
-	retryReserved bool // the retry after it has already been taken from the retry budget
+	retryReserved bool // the retry budget has already been charged for the retry after this attempt
 
 	expectedLatency float64 // ms, expected of any backend by class and expected work
 
