--- a/decision/frozen_test.go
+++ b/decision/frozen_test.go
@@ -244,23 +244,24 @@
 // goldenConfigs returns the configurations of the two transcripts. In the first, two proxies share the backends. In the
 // second, twelve proxies do, with key affinity, polled discovery and no hedged requests.
 func goldenConfigs() [2]Config {
-	few := testConfig()
-	few.Classes[1].StreamedResponse = true
-	few.Tenants = []Tenant{{Name: "a", Share: 0.7, QuotaPerSecond: 30}, {Name: "b", Share: 0.3, QuotaPerSecond: 20}}
-	few.OverQuotaWeight = 0.2
-	few.ObjectiveWeights = ObjectiveWeights{Overall: 1, WorstClass: 0.5, WorstTenant: 0.5, WorstWindow: 0.2}
-	many := few
-	many.Classes = slices.Clone(few.Classes)
-	many.Classes[0].LateValueShare, many.Classes[2].ObjectivePerWork = 0.3, 2
-	many.Instances = 12
-	many.Rank = 3
-	many.Zone = 1
-	many.Weights = WeightNominal
-	many.KeyAffinity = true
-	many.PolledDiscovery = true
-	many.WeightByWork = true
-	many.Capabilities.HedgedRequests, many.Capabilities.MaxOpenRequests = false, 12
-	return [2]Config{few, many}
+	twoProxies := testConfig()
+	twoProxies.Classes[1].StreamedResponse = true
+	twoProxies.Tenants = []Tenant{{Name: "a", Share: 0.7, QuotaPerSecond: 30},
+		{Name: "b", Share: 0.3, QuotaPerSecond: 20}}
+	twoProxies.OverQuotaWeight = 0.2
+	twoProxies.ObjectiveWeights = ObjectiveWeights{Overall: 1, WorstClass: 0.5, WorstTenant: 0.5, WorstWindow: 0.2}
+	twelveProxies := twoProxies
+	twelveProxies.Classes = slices.Clone(twoProxies.Classes)
+	twelveProxies.Classes[0].LateValueShare, twelveProxies.Classes[2].ObjectivePerWork = 0.3, 2
+	twelveProxies.Instances = 12
+	twelveProxies.Rank = 3
+	twelveProxies.Zone = 1
+	twelveProxies.Weights = WeightNominal
+	twelveProxies.KeyAffinity = true
+	twelveProxies.PolledDiscovery = true
+	twelveProxies.WeightByWork = true
+	twelveProxies.Capabilities.HedgedRequests, twelveProxies.Capabilities.MaxOpenRequests = false, 12
+	return [2]Config{twoProxies, twelveProxies}
 }
 
 // The actions for two fixed scenarios are those of the golden files.
--- a/decision/historysettings_test.go
+++ b/decision/historysettings_test.go
@@ -22,19 +22,19 @@
 		cfg.Instances = 9
 	}
 	cfg.Tick = between(milli/2, 20*milli).Round(milli / 2)
-	c, o := &cfg.Capabilities, &cfg.Constraints
-	c.ConnectTimeout = between(5*milli, 2*time.Second)
-	c.ConnectionIdleTimeout = between(time.Second, time.Minute)
-	c.MaxRetryAfter = between(50*milli, 5*time.Second)
-	c.MaxAttempts = 1 + rng.IntN(6)
-	o.AnswerSlack = 4 * cfg.Tick
-	o.DrainGrace = between(100*milli, 2*time.Second)
-	o.MaxListAge = between(time.Second, 30*time.Second)
-	o.WarmUp, o.OverloadWindow = between(100*milli, time.Minute), between(100*milli, 10*time.Second)
+	capabilities, constraints := &cfg.Capabilities, &cfg.Constraints
+	capabilities.ConnectTimeout = between(5*milli, 2*time.Second)
+	capabilities.ConnectionIdleTimeout = between(time.Second, time.Minute)
+	capabilities.MaxRetryAfter = between(50*milli, 5*time.Second)
+	capabilities.MaxAttempts = 1 + rng.IntN(6)
+	constraints.AnswerSlack = 4 * cfg.Tick
+	constraints.DrainGrace = between(100*milli, 2*time.Second)
+	constraints.MaxListAge = between(time.Second, 30*time.Second)
+	constraints.WarmUp, constraints.OverloadWindow = between(100*milli, time.Minute), between(100*milli, 10*time.Second)
 	if rng.IntN(6) == 0 {
-		o.WarmUp = 0
+		constraints.WarmUp = 0
 	}
-	o.OverloadFactor, o.InitialCapacity = 1.5+3*rng.Float64(), 0.1+0.8*rng.Float64()
+	constraints.OverloadFactor, constraints.InitialCapacity = 1.5+3*rng.Float64(), 0.1+0.8*rng.Float64()
 	cfg.ClientsMarkRetries = rng.IntN(2) == 0
 	cfg.WeightByWork = rng.IntN(3) == 0
 	cfg.OverQuotaWeight = rng.Float64()
@@ -47,12 +47,12 @@
 	}
 	meanWork = 80 * milli
 	for i := range cfg.Classes {
-		k := &cfg.Classes[i]
-		k.ClientTimeout = between(minTimeout, 4*minTimeout)
-		k.LatencyObjective = between(k.ClientTimeout/8, k.ClientTimeout)
-		k.DeduplicationWindow, k.PriorityWeight = between(10*milli, 10*time.Second),
+		class := &cfg.Classes[i]
+		class.ClientTimeout = between(minTimeout, 4*minTimeout)
+		class.LatencyObjective = between(class.ClientTimeout/8, class.ClientTimeout)
+		class.DeduplicationWindow, class.PriorityWeight = between(10*milli, 10*time.Second),
 			float64(between(milli, time.Second))/float64(20*milli)
-		meanWork = min(meanWork, time.Duration(float64(k.LatencyObjective)*(0.1+0.3*rng.Float64())))
+		meanWork = min(meanWork, time.Duration(float64(class.LatencyObjective)*(0.1+0.3*rng.Float64())))
 	}
 	for i := range cfg.Tenants {
 		cfg.Tenants[i].QuotaPerSecond = float64(between(milli, 10*time.Second)) / float64(10*milli)
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -109,7 +109,8 @@
 	}
 	b.Timer(second+40*milli, dispatchToken)
 	if sent := h.take("send"); len(sent) != 2 {
-		t.Errorf("dispatch after the panic caused %d sends, want 2: of the requests that were queued behind it", len(sent))
+		t.Errorf("dispatch after the panic caused %d sends, want 2: those of the requests queued behind the one "+
+			"that panicked", len(sent))
 	}
 }
 
--- a/decision/validate_test.go
+++ b/decision/validate_test.go
@@ -61,20 +61,21 @@
 	if err != nil {
 		t.Fatalf("New(settings out of range): %v, want no error", err)
 	}
-	c, o := b.config.Classes[0], b.config.Constraints
-	if b.config.ObjectiveWeights != (ObjectiveWeights{Overall: 1}) || c.PriorityWeight != 0 ||
-		c.LateValueShare != 0 || b.config.Tenants[1].Share != 0 ||
+	class, constraints := b.config.Classes[0], b.config.Constraints
+	if b.config.ObjectiveWeights != (ObjectiveWeights{Overall: 1}) || class.PriorityWeight != 0 ||
+		class.LateValueShare != 0 || b.config.Tenants[1].Share != 0 ||
 		math.IsInf(b.config.OverQuotaWeight+b.config.Tenants[0].QuotaPerSecond, 0) ||
 		b.config.Capabilities.MaxAttempts != 255 {
 		t.Errorf("after New: ObjectiveWeights = %+v, want Overall 1 and the others 0; PriorityWeight = %v and "+
 			"LateValueShare = %v of class 0, want 0; Share = %v of tenant 1, want 0; OverQuotaWeight = %v and "+
 			"QuotaPerSecond = %v of tenant 0, want finite values; MaxAttempts = %d, want 255",
-			b.config.ObjectiveWeights, c.PriorityWeight, c.LateValueShare, b.config.Tenants[1].Share,
+			b.config.ObjectiveWeights, class.PriorityWeight, class.LateValueShare, b.config.Tenants[1].Share,
 			b.config.OverQuotaWeight, b.config.Tenants[0].QuotaPerSecond, b.config.Capabilities.MaxAttempts)
 	}
-	if o.InitialCapacity != 1 || o.OverloadWindow != time.Second || o.WarmUp != maxDuration {
+	if constraints.InitialCapacity != 1 || constraints.OverloadWindow != time.Second ||
+		constraints.WarmUp != maxDuration {
 		t.Errorf("after New: InitialCapacity = %v, OverloadWindow = %v, WarmUp = %v; want 1, 1s and %v",
-			o.InitialCapacity, o.OverloadWindow, o.WarmUp, maxDuration)
+			constraints.InitialCapacity, constraints.OverloadWindow, constraints.WarmUp, maxDuration)
 	}
 	if !math.IsNaN(cfg.Classes[0].PriorityWeight) || cfg.Tenants[1].Share != -1 {
 		t.Errorf("the caller's PriorityWeight and Share after New = %v and %v, want NaN and -1, as they were",
