--- a/decision/activeset.go
+++ b/decision/activeset.go
@@ -19,8 +19,8 @@
 	localities = 2
 )
 
-// selectActive updates what depends on the request rate: the span over which measurements decay, and the
-// active targets.
+// selectActive recomputes the span over which measurements decay and the active targets. Both depend on the
+// request rate.
 func (b *Balancer) selectActive() {
 	// A long time without requests, if included in the mean, would hide the current rate for thousands of
 	// requests.
--- a/decision/activeset_test.go
+++ b/decision/activeset_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// After a day without requests the request rate is correct again within seconds, and measurements do not last for
-// hours.
+// After a day without requests the request rate is correct again within seconds, and measurements do not take
+// hours to decay.
 func TestRequestRateRecoversAfterSilence(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 400)
 	now := second
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -32,10 +32,10 @@
 		}
 	}
 	if got := admit(0); got != "shed" {
-		t.Errorf("Request(priority weight 1) with %d of 20 open: %s, want shed", b.openRequests, got)
+		t.Errorf("Request(class of priority weight 1) with %d of 20 open: %s, want shed", b.openRequests, got)
 	}
 	if got := admit(notIdempotent); got != "admitted" {
-		t.Errorf("Request(priority weight 20) with %d of 20 open: %s, want admitted", b.openRequests, got)
+		t.Errorf("Request(class of priority weight 20) with %d of 20 open: %s, want admitted", b.openRequests, got)
 	}
 	for id := range id {
 		b.ClientGone(second, id+1)
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -212,10 +212,10 @@
 	return c.inFlight == 0 || c.load+1 <= limit
 }
 
-// limitScale returns the factor of the limits for a request: the square root of its gain divided by the mean
-// gain, between minLimitScale and maxLimitScale. A proxy with little traffic seldom has two queued requests
-// to choose from, and without the factor would shed classes of high weight as often as others. The factor
-// does harm where weights are configured wrongly.
+// limitScale returns the factor by which limits are multiplied for a request: the square root of its gain
+// divided by the mean gain, between minLimitScale and maxLimitScale. A proxy with little traffic seldom has
+// two queued requests to choose from, and without the factor would shed classes of high weight as often as
+// others. The factor does harm where weights are configured wrongly.
 func (b *Balancer) limitScale(r *request) float64 {
 	if !b.usesSharedLimit() {
 		return 1
--- a/decision/hedging_test.go
+++ b/decision/hedging_test.go
@@ -9,7 +9,7 @@
 		name    string
 		hedging bool // HedgedRequests is set
 		class   int
-		want    string // "" is no action
+		want    string // "" means no action
 	}{
 		{"hedging allowed, idempotent", true, idempotent, "send"},
 		{"hedging allowed, not idempotent", true, notIdempotent, ""},
--- a/decision/history_test.go
+++ b/decision/history_test.go
@@ -41,7 +41,7 @@
 	workHints      bool          // requests carry their expected work
 	allHealthy     bool          // all servers are healthy until the end
 	anySettings    bool          // settings are drawn from a wide range (randomizeSettings)
-	meanWork       time.Duration // of a request
+	meanWork       time.Duration // mean work of a request
 	trace          []string
 	violations     []string
 }
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -164,7 +164,7 @@
 	}
 	unanswered, served := &request{}, &request{Request: Request{Class: notIdempotent}}
 	if got, want := b.expectedDelay(unanswered, failing), 2*b.expectedDelay(unanswered, good); got < want {
-		t.Errorf("expectedDelay(unanswered class, failing backend) = %v, want at least twice the good backend's, %v",
+		t.Errorf("expectedDelay(unanswered class, failing backend) = %v, want at least %v, twice the good backend's",
 			got, want)
 	}
 	if got, limit := b.expectedDelay(served, failing), b.expectedDelay(served, good); got > limit {
--- a/decision/target.go
+++ b/decision/target.go
@@ -24,13 +24,13 @@
 	lossesByClass       []decayingSum // unanswered attempts, halved by each answer
 
 	// Latency (latency.go).
-	ratioSum   decayingSum // of the latency ratios of attempts
-	ratioCount decayingSum // of the weights of these ratios
+	ratioSum   decayingSum // decaying sum of the latency ratios of attempts
+	ratioCount decayingSum // decaying sum of the weights of these ratios
 
 	// Attempts in flight, oldest first, and sums over those of them that are not uploading.
 	inFlight         []*attempt
-	sentOverExpected float64 // of waitingSince/expectedLatency
-	inverseExpected  float64 // of 1/expectedLatency, in 1/ms
+	sentOverExpected float64 // sum of waitingSince/expectedLatency
+	inverseExpected  float64 // sum of 1/expectedLatency, in 1/ms
 
 	limit concurrencyLimit // on the load in flight at the target (concurrency.go)
 
