--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -32,10 +32,10 @@
 		}
 	}
 	if got := admit(0); got != "shed" {
-		t.Errorf("Request(priority weight 1) with %d of 20 open: %s, want shed", b.openRequests, got)
+		t.Errorf("Request(class of priority weight 1) with %d of 20 open: %s, want shed", b.openRequests, got)
 	}
 	if got := admit(notIdempotent); got != "admitted" {
-		t.Errorf("Request(priority weight 20) with %d of 20 open: %s, want admitted", b.openRequests, got)
+		t.Errorf("Request(class of priority weight 20) with %d of 20 open: %s, want admitted", b.openRequests, got)
 	}
 	for id := range id {
 		b.ClientGone(second, id+1)
@@ -52,7 +52,11 @@
 	cfg.Classes[idempotent].ObjectivePerWork = 1e12
 	b, _ := newBalancer(t, cfg, 2)
 	b.Request(second, Request{ID: 1, Class: idempotent, ExpectedWork: time.Hour, Deadline: 5 * second})
-	if r := b.requests[1]; r == nil || r.objectiveAt != 5*second {
-		t.Errorf("Request(deadline 5s) with an overflowing objective is recorded as %+v, want objectiveAt 5s", r)
+	r := b.requests[1]
+	if r == nil {
+		t.Fatal("Request(deadline 5s) with an overflowing objective is not recorded as open, want it open")
+	}
+	if r.objectiveAt != 5*second {
+		t.Errorf("Request(deadline 5s) with an overflowing objective: objectiveAt = %v, want 5s", r.objectiveAt)
 	}
 }
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -7,9 +7,9 @@
 // responds by calling the methods of its Host within that call.
 //
 //   - A Balancer must be used by one goroutine at a time. It starts no goroutine and takes no lock.
-//   - It uses neither the wall clock nor global state. Each event has the time now, a time.Duration on a
-//     clock with any origin that never goes back. Equal configurations, seeds and events give exactly equal
-//     actions.
+//   - It uses neither the wall clock nor global state. Each event has a time, now: the time.Duration
+//     since any fixed origin, which never decreases. Equal configurations, seeds and events give exactly
+//     equal actions.
 //   - Host methods must not call the Balancer. The caller reports their effects as later events.
 //   - Identifiers are opaque. A backend keeps its identifier over a restart; a RequestID is not reused.
 //   - Events for unknown or ended requests, attempts and backends are ignored: an event may be reported after
@@ -31,7 +31,7 @@
 //
 //  1. Its value is computed: its contribution to the objective, reduced if its tenant exceeds its quota
 //     (valuation.go).
-//  2. It is shed if nearly MaxOpenRequests are open and it earns less than the mean (admission.go).
+//  2. It is shed if nearly MaxOpenRequests are open and it earns less per ms than the mean (admission.go).
 //  3. It is queued; whenever there may be capacity, the request of the greatest marginal gain is sent first
 //     (queue.go).
 //  4. A target is selected among those that are active (activeset.go), healthy (healthcheck.go), within
--- a/decision/history_test.go
+++ b/decision/history_test.go
@@ -36,12 +36,12 @@
 	servers        map[decision.BackendID]*backendServer
 	loads          *backendLoads
 	lastID         decision.RequestID
-	oddEvents      bool          // some events are reported twice, late, with odd latencies or for unknown IDs
+	oddEvents      bool          // some events are reported twice, late, with invalid latencies or for unknown IDs
 	instantAnswers bool          // answers take no time
 	workHints      bool          // requests carry their expected work
 	allHealthy     bool          // all servers are healthy until the end
-	anySettings    bool          // see randomizeSettings
-	meanWork       time.Duration // of a request
+	anySettings    bool          // settings are drawn from a wide range (randomizeSettings)
+	meanWork       time.Duration // mean work of a request
 	trace          []string
 	violations     []string
 }
@@ -58,7 +58,7 @@
 	decision.Backend
 	result    decision.Result // of each attempt and health check
 	busyUntil time.Duration   // when the work in its queue is done
-	slowdown  float64         // its speed is divided by this
+	slowdown  float64         // factor by which its work takes longer
 }
 
 func (d *history) schedule(delay time.Duration, run func()) {
@@ -96,7 +96,7 @@
 // runOptions select what a run tests.
 type runOptions struct {
 	restartsOnly   bool // servers restart one after the other, without other faults: tests slow start
-	drainGraceOnly bool // see model
+	drainGraceOnly bool // see model.drainGraceOnly
 	instantAnswers bool // answers take no time until the servers recover, with any number of proxies
 	anySettings    bool // settings are drawn from a wide range, see randomizeSettings
 }
@@ -308,7 +308,7 @@
 			}
 		}
 		// With any settings and many proxies fewer may be served: one of many proxies spaces its attempts in time by
-		// means that decay with the number of requests, not with time. See TestLatencyJumpStallsNoProxy.
+		// mean latencies that decay with the number of requests, not with time. See TestLatencyJumpStallsNoProxy.
 		if len(d.violations) == 0 && served < len(requests)*3/4 && (!d.anySettings || len(d.proxies) <= 3) {
 			d.violations = append(d.violations,
 				fmt.Sprintf("recovery: proxy %d had %d of %d requests served by healthy servers, want at least 3/4",
@@ -382,8 +382,8 @@
 	}
 }
 
-// The same with settings of many kinds of sites: deadlines from 50 ms to a minute, ticks from 0.5 ms to 20 ms, warm-up
-// times from none to a minute, and so on.
+// A Balancer violates none of the model's rules with the settings of many kinds of sites: deadlines from 50 ms to a
+// minute, ticks from 0.5 ms to 20 ms, warm-up times from none to a minute, and so on.
 func TestBalancerFollowsModelWithAnySettings(t *testing.T) {
 	for seed := range uint64(21) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/decision/operator_test.go
+++ b/decision/operator_test.go
@@ -31,7 +31,7 @@
 			b, h := newBalancer(t, testConfig(), 2)
 			b.Detach(second, detached)
 			if got := h.take("release"); len(got) != 1 || got[0].to != detached {
-				t.Errorf("Detach(backend %d) released the idle connections %v, want those of that backend", detached,
+				t.Errorf("Detach(backend %d) caused %v, want one release of that backend's idle connections", detached,
 					got)
 			}
 			c.updateLists(b)
@@ -94,7 +94,7 @@
 	return false
 }
 
-// Detach may be called before the backend is listed, and twice; one Attach ends it.
+// Detach may be called twice and before the backend is listed. One call of Attach cancels both calls.
 func TestDetachBeforeListAndTwice(t *testing.T) {
 	detached := list(1)[0].ID
 	b, _ := newBalancer(t, testConfig(), 0)
