--- a/internal/idempotency/guard/guard.go
+++ b/internal/idempotency/guard/guard.go
@@ -129,7 +129,7 @@
 	answer  []byte       // with idempotency.Answered
 	call    *call        // with idempotency.Begin and idempotency.Join
 	store   *store.Store // nil without a path
-	outcome Outcome      // with all other verdicts
+	outcome Outcome      // with all other verdicts; callers of Do ignore it
 }
 
 // admit decides on a request. With idempotency.Begin, the caller must pass the call to run.
@@ -173,14 +173,15 @@
 // run persists the intent of a request, calls work, and persists the outcome. It ends the call even if work panics; the
 // outcome is then unknown.
 func (g *Guard) run(ctx context.Context, key idempotency.Key, c *call, s *store.Store, work Work) {
-	defer g.end(key, c)
+	defer g.finish(key, c)
 	if s != nil {
 		err := g.persist(ctx, func(ctx context.Context) error {
 			return s.Write(ctx, idempotency.Record{Key: key})
 		})
 		if err != nil {
 			// The request is rejected, because without its intent on disk it could run again after a restart.
-			g.options.Log.Error("an intent could not be written: the request is not begun", "err", err)
+			g.options.Log.Error("request rejected: its intent could not be written to the idempotency store",
+				"err", err)
 			c.outcome = NeverRan
 			c.rejected = true
 			return
@@ -203,14 +204,14 @@
 		}
 	})
 	if err != nil {
-		// The outcome of the request could not be written. The answer is valid, but after a restart the outcome of this
-		// request is unknown.
-		g.options.Log.Error("an end could not be written", "err", err)
+		// The answer is valid, but if the outcome is not on disk, it is unknown after a restart.
+		g.options.Log.Error("outcome of a request could not be written to the idempotency store: "+
+			"after a restart, a client that sends it again may get the error that its outcome is unknown", "err", err)
 	}
 }
 
-// end records the outcome of a call in the ledger, and wakes the callers that wait for it.
-func (g *Guard) end(key idempotency.Key, c *call) {
+// finish records the outcome of a call in the ledger, and wakes the callers that wait for it.
+func (g *Guard) finish(key idempotency.Key, c *call) {
 	g.mu.Lock()
 	if g.ledger != nil {
 		switch c.outcome {
--- a/internal/idempotency/guard/open.go
+++ b/internal/idempotency/guard/open.go
@@ -49,8 +49,9 @@
 	if lostAt := s.LostAt(); !lostAt.IsZero() {
 		settings.LostAt = max(0, g.options.Now()-time.Since(lostAt))
 		if g.options.Now()-settings.LostAt < settings.Window {
-			g.options.Log.Warn("the ledger of effects lacks what was known before: "+
-				"retransmissions of requests without an entry are answered as may have run", "since", lostAt)
+			g.options.Log.Warn("idempotency ledger lacks entries of an earlier process: "+
+				"for one window, clients that retransmit a request without an entry "+
+				"get the error that its outcome is unknown", "since", lostAt)
 		}
 	}
 	ledger, err := idempotency.New(settings)
--- a/internal/idempotency/ledger_test.go
+++ b/internal/idempotency/ledger_test.go
@@ -20,13 +20,13 @@
 }
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
-	for want, s := range map[string]Settings{
+	for wantField, s := range map[string]Settings{
 		"window":    {Window: time.Minute, MaxEntries: 1, MaxBytes: 1},
 		"entries":   {Window: MinWindow, UncertainWindow: MinWindow, MaxBytes: 1},
 		"uncertain": {Window: MinWindow, UncertainWindow: time.Minute, MaxEntries: 1, MaxBytes: 1},
 	} {
-		if _, err := New(s); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("New(%+v): error %v, want one that contains %q", s, err, want)
+		if _, err := New(s); err == nil || !strings.Contains(err.Error(), wantField) {
+			t.Errorf("New(%+v): error %v, want one that contains the field name %q", s, err, wantField)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		}
 		v, answer := l.Admit(step.at, k, i%2 == 1)
 		if v != step.want || v == Answered && string(answer) != "2001" {
-			t.Errorf("step %d: Admit after %v = %v with answer %q, want %v (with answer \"2001\" if answered)",
+			t.Errorf("step %d: Admit at %v = %v with answer %q, want %v (with answer \"2001\" if answered)",
 				i, step.at, v, answer, step.want)
 		}
 	}
@@ -113,8 +113,9 @@
 	}
 }
 
-// Random sequences of calls must keep the invariants of the package comment. The ledger is compared with a model that
-// never deletes an entry.
+// A request never runs twice: Admit returns Begin at most once for a request while the ledger remembers it. Random
+// sequences of calls must also keep the other invariants of the package comment. The ledger is compared with a model
+// that never deletes an entry.
 func TestNeverTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Settings{
@@ -150,13 +151,13 @@
 				remembered := m != nil && (m.inFlight || now < m.endedAt+s.UncertainWindow)
 				switch {
 				case v == Begin && !mayBegin:
-					t.Fatalf("Admit(%v) at %v = begin, but the model has an unexpired entry %+v", k, now, m)
+					t.Fatalf("Admit(%v) at %v = begin, but the model has the unexpired entry %+v", k, now, m)
 				case v == Join && (m == nil || !m.inFlight):
 					t.Fatalf("Admit(%v) at %v = join, but the model has no such request in flight", k, now)
 				case v == Answered && (m == nil || m.inFlight || m.answer != string(answer)):
-					t.Fatalf("Admit(%v) at %v = answered with %q, but the model has %+v", k, now, answer, m)
+					t.Fatalf("Admit(%v) at %v = answered with %q, but the model's entry is %+v", k, now, answer, m)
 				case v == MayHaveRun && !remembered, v == Full && !mayBegin:
-					t.Fatalf("Admit(%v) at %v = %v, but the model has %+v", k, now, v, m)
+					t.Fatalf("Admit(%v) at %v = %v, but the model's entry is %+v", k, now, v, m)
 				case v == Begin:
 					model[k] = &modelEntry{inFlight: true}
 				}
--- a/internal/idempotency/store/committer.go
+++ b/internal/idempotency/store/committer.go
@@ -14,15 +14,15 @@
 // maxBatch is the maximum number of records in one transaction.
 const maxBatch = 512
 
-// write is one record that waits to be committed.
-type write struct {
+// pendingWrite is one record that waits to be committed.
+type pendingWrite struct {
 	record idempotency.Record
 	remove bool       // delete the intent of record.Key instead of writing the record
 	done   chan error // buffered for the result, so that the committer never blocks
 }
 
 // submit queues a write and waits for its result.
-func (s *Store) submit(ctx context.Context, w *write) error {
+func (s *Store) submit(ctx context.Context, w *pendingWrite) error {
 	select {
 	case s.queue <- w:
 	case <-s.stop:
@@ -49,7 +49,7 @@
 // runCommitter commits the queued writes, one transaction at a time, until the store is closed.
 func (s *Store) runCommitter() {
 	defer close(s.done)
-	batch := make([]*write, 0, maxBatch)
+	batch := make([]*pendingWrite, 0, maxBatch)
 	for {
 		batch = s.nextBatch(batch[:0])
 		if len(batch) == 0 {
@@ -65,7 +65,7 @@
 
 // nextBatch waits for a write, and returns it with all other queued writes up to maxBatch. It appends to batch, and
 // appends nothing if the store is closed.
-func (s *Store) nextBatch(batch []*write) []*write {
+func (s *Store) nextBatch(batch []*pendingWrite) []*pendingWrite {
 	select {
 	case w := <-s.queue:
 		batch = append(batch, w)
@@ -85,7 +85,7 @@
 }
 
 // commit writes a batch in one transaction, and then records the number of the transaction in the witness.
-func (s *Store) commit(batch []*write) error {
+func (s *Store) commit(batch []*pendingWrite) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		return errors.Join(s.apply(tx, batch), s.advanceSequence(tx))
 	})
@@ -99,7 +99,7 @@
 }
 
 // apply writes a batch within a transaction, and deletes entries that have expired.
-func (s *Store) apply(tx *bbolt.Tx, batch []*write) error {
+func (s *Store) apply(tx *bbolt.Tx, batch []*pendingWrite) error {
 	entries := tx.Bucket(entriesBucket)
 	now := s.now()
 	for _, w := range batch {
--- a/internal/idempotency/store/frozen_test.go
+++ b/internal/idempotency/store/frozen_test.go
@@ -11,7 +11,7 @@
 	"lapisspread/internal/idempotency"
 )
 
-var writeFrozen = flag.Bool("write-frozen", false, "write the files under testdata instead of reading them")
+var writeFrozen = flag.Bool("write-frozen", false, "write the files under testdata before reading them")
 
 // A file of an older version must be readable, and further writes must be added to it. The files under testdata were
 // written by commit c8fad44, in which this package was internal/effects/store, with
@@ -26,7 +26,7 @@
 	intent := idempotency.Record{Key: idempotency.Key{Origin: "c.example", ID: 9}}
 	if *writeFrozen {
 		now := func() time.Time { return writtenAt }
-		s, _, err := Open(frozenPath, Options{Window: window, UncertainWindow: uncertain, Now: now})
+		s, _, err := Open(frozenPath, Options{Window: window, UncertainWindow: uncertainWindow, Now: now})
 		if err != nil {
 			t.Fatalf("Open(%s) to write it: %v", frozenPath, err)
 		}
@@ -50,7 +50,7 @@
 		}
 	}
 	later := func() time.Time { return writtenAt.Add(time.Minute) }
-	s, records, err := Open(path, Options{Window: window, UncertainWindow: uncertain, Now: later})
+	s, records, err := Open(path, Options{Window: window, UncertainWindow: uncertainWindow, Now: later})
 	if err != nil {
 		t.Fatalf("Open of a copy of %s: %v", frozenPath, err)
 	}
@@ -63,7 +63,7 @@
 		t.Errorf("LostAt = %v, want %v, when the file was created", s.LostAt(), writtenAt)
 	}
 	if s.sequence != 5 {
-		t.Errorf("number of the last transaction = %d, want 5", s.sequence)
+		t.Errorf("number of the last transaction after Open = %d, want 5", s.sequence)
 	}
 	next := idempotency.Record{Key: intent.Key, Completed: true, Answer: []byte("late")}
 	if err := s.Write(t.Context(), next); err != nil {
@@ -72,7 +72,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatalf("Close: %v", err)
 	}
-	s, records, err = Open(path, Options{Window: window, UncertainWindow: uncertain, Now: later})
+	s, records, err = Open(path, Options{Window: window, UncertainWindow: uncertainWindow, Now: later})
 	if err != nil {
 		t.Fatalf("Open after Write and Close: %v", err)
 	}
--- a/internal/idempotency/store/layout.go
+++ b/internal/idempotency/store/layout.go
@@ -42,8 +42,8 @@
 // maxExpiredPerCommit is the maximum number of expired entries that one transaction deletes, which bounds its duration.
 const maxExpiredPerCommit = 2048
 
-// errBadKey is returned for bytes that are not a valid key of the entries bucket.
-var errBadKey = errors.New("invalid key")
+// errBadKey is returned for a key of the entries bucket that encodeKey cannot have returned.
+var errBadKey = errors.New("key in bucket \"effects\" is not an origin, a zero byte and a 4-byte identifier")
 
 // encodeKey returns the key in the entries bucket for a request.
 func encodeKey(key idempotency.Key) []byte {
@@ -53,7 +53,7 @@
 	return binary.BigEndian.AppendUint32(b, key.ID)
 }
 
-// decodeKey is the inverse of encodeKey.
+// decodeKey is the inverse of encodeKey. It returns errBadKey for an invalid key.
 func decodeKey(b []byte) (idempotency.Key, error) {
 	originLength := len(b) - 1 - idLength
 	if originLength < 0 || b[originLength] != 0 {
@@ -122,7 +122,8 @@
 func decodeEntry(k, v []byte) (datedRecord, error) {
 	key, err := decodeKey(k)
 	if err != nil || !validValue(v) {
-		return datedRecord{}, fmt.Errorf("corrupt record: key %x, value %x", k, v[:min(len(v), maxShownBytes)])
+		return datedRecord{}, fmt.Errorf("corrupt record in bucket %q: key %x, first bytes of the value %x",
+			entriesBucket, k, v[:min(len(v), maxShownBytes)])
 	}
 	return datedRecord{int64(binary.BigEndian.Uint64(v[1:])), idempotency.Record{
 		Key:       key,
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -43,7 +43,7 @@
 
 	commits atomic.Int64
 
-	queue     chan *write
+	queue     chan *pendingWrite
 	stop      chan struct{} // closed by Close
 	done      chan struct{} // closed when the committer has returned
 	closeOnce sync.Once
@@ -82,7 +82,7 @@
 		window:          o.Window,
 		uncertainWindow: max(o.Window, o.UncertainWindow),
 		now:             o.Now,
-		queue:           make(chan *write, maxBatch),
+		queue:           make(chan *pendingWrite, maxBatch),
 		stop:            make(chan struct{}),
 		done:            make(chan struct{}),
 	}
@@ -106,12 +106,12 @@
 // After an error the record may or may not be on disk: a request whose intent was to be written must not run, and the
 // outcome of a request that has run counts as unknown.
 func (s *Store) Write(ctx context.Context, r idempotency.Record) error {
-	return s.submit(ctx, &write{record: r, done: make(chan error, 1)})
+	return s.submit(ctx, &pendingWrite{record: r, done: make(chan error, 1)})
 }
 
 // Delete removes the intent of a request that has not run and will not run. It blocks and returns errors like Write.
 func (s *Store) Delete(ctx context.Context, key idempotency.Key) error {
-	return s.submit(ctx, &write{record: idempotency.Record{Key: key}, remove: true, done: make(chan error, 1)})
+	return s.submit(ctx, &pendingWrite{record: idempotency.Record{Key: key}, remove: true, done: make(chan error, 1)})
 }
 
 // Size returns the size of the file in bytes.
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	window    = idempotency.MinWindow
-	uncertain = time.Hour
+	window          = idempotency.MinWindow
+	uncertainWindow = time.Hour
 )
 
 // open opens a store that is closed when the test ends, and returns its records by key.
 func open(t testing.TB, path string, now func() time.Time) (*Store, map[idempotency.Key]idempotency.Record) {
 	t.Helper()
-	s, records, err := Open(path, Options{Window: window, UncertainWindow: uncertain, Now: now})
+	s, records, err := Open(path, Options{Window: window, UncertainWindow: uncertainWindow, Now: now})
 	if err != nil {
 		t.Fatalf("Open(%s): %v", path, err)
 	}
@@ -69,7 +69,7 @@
 		t.Fatalf("Delete(%v): %v", c, err)
 	}
 	if _, _, err := Open(path, Options{Window: window}); err == nil {
-		t.Error("Open of a file that another store has open = nil, want an error")
+		t.Error("Open of a file that another store has open: error nil, want an error")
 	}
 	if err := s.Close(); err != nil {
 		t.Fatalf("Close: %v", err)
@@ -91,7 +91,7 @@
 	if len(byKey) != 2 || byKey[a].Completed || !byKey[b].Uncertain {
 		t.Errorf("records one window later: %+v, want %v uncertain, the intent z, and not %v", byKey, b, a)
 	}
-	clock = clock.Add(uncertain + time.Second)
+	clock = clock.Add(uncertainWindow + time.Second)
 	if err := s.Write(ctx, idempotency.Record{Key: y, Uncertain: true}); err != nil {
 		t.Fatalf("Write after the uncertain window: %v", err)
 	}
@@ -153,7 +153,7 @@
 	}
 	wg.Wait()
 	if n := s.Commits(); n > 200 {
-		t.Errorf("%d transactions for 400 concurrent writes, want at most 200", n)
+		t.Errorf("Commits = %d transactions after 400 concurrent calls of Write, want at most 200", n)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -173,10 +173,10 @@
 }
 
 // If a process is killed at any time, all records that Write confirmed are on disk, and Admit does not begin their
-// requests again. The test kills a child process, which runs writeClaims, at random times.
+// requests again. The test kills a child process, which runs writeRecords, at random times.
 func TestKills(t *testing.T) {
 	if path := os.Getenv("EFFECTS_CHILD"); path != "" {
-		writeClaims(path)
+		writeRecords(path)
 		return
 	}
 	rng := rand.New(rand.NewPCG(11, 12))
@@ -242,9 +242,9 @@
 	}
 }
 
-// writeClaims runs in the child process of TestKills. Its goroutines write the intents and answers of requests, and
+// writeRecords runs in the child process of TestKills. Its goroutines write the intents and answers of requests, and
 // print each record once Write has confirmed it.
-func writeClaims(path string) {
+func writeRecords(path string) {
 	s, _, err := Open(path, Options{Window: window})
 	if err != nil {
 		fmt.Println(err)
@@ -278,6 +278,7 @@
 	time.Sleep(20 * time.Second) // the child exits after this time if it is not killed
 }
 
+// BenchmarkClaim measures the writes for one request: its intent, and then its answer.
 func BenchmarkClaim(b *testing.B) {
 	for _, writers := range []int{1, 64} {
 		b.Run(fmt.Sprint(writers, " concurrent writers"), func(b *testing.B) {
@@ -314,7 +315,7 @@
 	if err != nil {
 		b.Fatalf("Open of a new file: %v", err)
 	}
-	answer := make([]byte, 280) // about the length of the answer to a claim request
+	answer := make([]byte, 280) // about the length of the answer to a payout claim
 	startedAt := time.Now()
 	var wg sync.WaitGroup
 	const writers = 512
