--- a/internal/admission/blocks.go
+++ b/internal/admission/blocks.go
@@ -23,7 +23,7 @@
 		return InvalidBlockError{"invalid address or prefix"}
 	case duration <= 0 || duration > MaxBlockDuration:
 		return InvalidBlockError{
-			fmt.Sprintf("block duration %v is not above 0s and at most %v", duration, MaxBlockDuration),
+			fmt.Sprintf("block duration %v must be above 0s and at most %v", duration, MaxBlockDuration),
 		}
 	}
 	for blocked, until := range l.blocks {
--- a/internal/admission/busiest.go
+++ b/internal/admission/busiest.go
@@ -19,7 +19,7 @@
 	prefix    netip.Prefix
 	count     float64 // new connections, decayed until updatedAt
 	updatedAt time.Duration
-	rejected  int64 // connections rejected or evicted since the address was listed
+	rejected  int64 // connections rejected or evicted since the address was added to the list
 }
 
 // record updates the count of an address that opened a connection. An address that is not listed is added; if the list
--- a/internal/admission/conn.go
+++ b/internal/admission/conn.go
@@ -16,12 +16,14 @@
 
 // conn is the state of one open connection in a ConnLimiter.
 type conn struct {
-	id              ID
-	state           state
-	since           time.Duration // when it last entered its state, ended a request, or refused an eviction
-	known           bool          // counted as a connection of a known client
-	proven          bool          // a request on it was served
-	bodyBytes       int64         // body bytes of its request in flight
+	id    ID
+	state state
+	// graceStartedAt is the start of the grace period of an unproven connection: when it last became unproven, ended a
+	// request that was not served, or refused an eviction (EvictionRefused). In other states it has no effect.
+	graceStartedAt  time.Duration
+	known           bool  // counted as a connection of a known client
+	proven          bool  // a request on it was served
+	bodyBytes       int64 // body bytes of its request in flight
 	groups          [tierCount]*group
 	unprovenInGroup [tierCount]*list.Element // in group.unproven, while it is unproven
 	unprovenInAll   *list.Element            // in ConnLimiter.unproven, while it is unproven
@@ -73,12 +75,12 @@
 	return true
 }
 
-// bodyLimited reports whether the bytes of an address are limited: bytes are scarce, and the address already holds
-// some. An address that holds none may always hold one body of any length; otherwise a long body could never be
-// accepted.
+// bodyLimited reports whether the body bytes of a connection's address are limited: body bytes are scarce (see
+// Settings.ScarceBelow), and the address already holds some. An address that holds none may always hold one body of any
+// length; otherwise a long body could never be accepted.
 func (l *ConnLimiter) bodyLimited(c *conn, bytes int64) bool {
 	host := c.groups[hostTier]
-	if host.listed || host.bodyBytes == 0 || l.settings.MaxBodyBytes == 0 {
+	if host.inKnownPrefixes || host.bodyBytes == 0 || l.settings.MaxBodyBytes == 0 {
 		return false
 	}
 	total := float64(l.settings.MaxBodyBytes)
@@ -108,7 +110,7 @@
 			l.tiers[i].addServed(now, g)
 		}
 		host := c.groups[hostTier]
-		if !c.known && (host.listed || l.tiers[hostTier].served(now, host) >= KnownThreshold) {
+		if !c.known && (host.inKnownPrefixes || l.tiers[hostTier].served(now, host) >= KnownThreshold) {
 			l.removeFromIdle(c)
 			c.known = true
 			l.known++
@@ -123,9 +125,9 @@
 
 // setState changes the state of a connection, and moves it to the eviction lists of that state.
 func (l *ConnLimiter) setState(now time.Duration, c *conn, s state) {
-	c.since = now
+	c.graceStartedAt = now
 	if c.state == s {
-		if s == stateIdle && c.idleElement == nil { // RequestDone removed it from the list of unknown clients
+		if s == stateIdle && c.idleElement == nil { // RequestDone removed it from idle[idleUnknown]: it became known
 			c.idleElement = l.idle[c.idleList()].PushBack(c)
 		}
 		return
--- a/internal/admission/conn_test.go
+++ b/internal/admission/conn_test.go
@@ -49,9 +49,9 @@
 		t.Errorf("AcquireBody with the network beyond its share = %t for the first body and %t for the second, "+
 			"want true and false", firstBody, secondBody)
 	}
-	listed := admit(ip(10, 9, 0, 1))
+	knownPrefixConn := admit(ip(10, 9, 0, 1))
 	for range 2 {
-		if !l.AcquireBody(0, listed, 300<<10) {
+		if !l.AcquireBody(0, knownPrefixConn, 300<<10) {
 			t.Error("AcquireBody of an address in KnownPrefixes = false, want true")
 		}
 	}
--- a/internal/admission/connlimiter.go
+++ b/internal/admission/connlimiter.go
@@ -62,7 +62,7 @@
 	Admitted       int64
 	Rejected       [reasonCount]int64 // by reason; the entry of Evicted counts evictions
 	BodyRejections int64              // AcquireBody calls rejected because the address may hold no more bytes
-	Spared         int64              // evictions refused because the connection had unread bytes
+	Spared         int64              // calls of EvictionRefused: the connection to evict had unread bytes
 }
 
 // New returns a limiter without connections. The error names each invalid setting by its key.
@@ -96,15 +96,15 @@
 		t.maxCredit = float64(s.MaxCredit) * t.factor
 		t.maxUnconnected = s.MaxTracked
 		for _, g := range t.groups {
-			g.listed = i == hostTier && slices.ContainsFunc(s.KnownPrefixes, g.prefix.Overlaps)
+			g.inKnownPrefixes = i == hostTier && slices.ContainsFunc(s.KnownPrefixes, g.prefix.Overlaps)
 		}
 		t.refresh(now)
 	}
 	return nil
 }
 
-// isListed reports whether an address is in Settings.KnownPrefixes.
-func (l *ConnLimiter) isListed(address netip.Addr) bool {
+// inKnownPrefixes reports whether an address is in Settings.KnownPrefixes.
+func (l *ConnLimiter) inKnownPrefixes(address netip.Addr) bool {
 	address = address.Unmap()
 	return slices.ContainsFunc(l.settings.KnownPrefixes, func(p netip.Prefix) bool { return p.Contains(address) })
 }
@@ -135,7 +135,7 @@
 	if !repeated {
 		rates := l.countArrival(now, prefixes)
 		scarce := float64(free-reserved) < l.settings.ScarceBelow*float64(l.settings.MaxConns)
-		if scarce && !l.isListed(address) && l.exceedsRate(now, prefixes, rates) {
+		if scarce && !l.inKnownPrefixes(address) && l.exceedsRate(now, prefixes, rates) {
 			return l.reject(prefixes, RateExceeded)
 		}
 	}
@@ -200,10 +200,10 @@
 	t := l.tiers[hostTier]
 	g := t.groups[t.prefix(address)]
 	if g == nil {
-		return l.isListed(address)
+		return l.inKnownPrefixes(address)
 	}
 	credit := t.credit(now, g)
-	return (g.listed || t.served(now, g) >= KnownThreshold) && credit > float64(g.unproven.Len())
+	return (g.inKnownPrefixes || t.served(now, g) >= KnownThreshold) && credit > float64(g.unproven.Len())
 }
 
 // reservedFree returns how many more connections are reserved for known clients.
@@ -216,11 +216,11 @@
 	now time.Duration, address netip.Addr, prefixes [tierCount]netip.Prefix, known bool,
 ) ID {
 	l.lastID++
-	c := &conn{id: l.lastID, since: now, known: known}
+	c := &conn{id: l.lastID, graceStartedAt: now, known: known}
 	l.conns[c.id] = c
 	for i, p := range prefixes {
 		g := l.tiers[i].group(p)
-		g.listed = i == hostTier && l.isListed(address)
+		g.inKnownPrefixes = i == hostTier && l.inKnownPrefixes(address)
 		c.groups[i] = g
 		c.unprovenInGroup[i] = l.tiers[i].addConn(now, g, c)
 	}
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -17,10 +17,11 @@
 //   - It holds no more connections than Settings.MaxConns.
 //   - A connection with a whole request in flight is never evicted.
 //   - While more connections are free than are reserved for known clients, every connection is admitted, except from
-//     blocked addresses and, while connections are scarce, from addresses that exceed their rate of new connections.
+//     blocked addresses and, while connections are scarce (see Settings.ScarceBelow), from addresses that exceed their
+//     rate of new connections.
 //   - A known client is admitted while known clients hold fewer connections than the reserve.
-//   - An address that holds no body bytes may always hold one body. While bytes are not scarce, an address may hold any
-//     number of body bytes.
+//   - An address that holds no body bytes may always hold one body. While body bytes are not scarce (see
+//     Settings.ScarceBelow), an address may hold any number of them.
 //   - The victim of an eviction belongs to the address or network with the most unproven connections beyond its
 //     credit. If all connections of that address or network are within the grace period, the victim is the oldest
 //     unproven connection.
--- a/internal/admission/eviction.go
+++ b/internal/admission/eviction.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// graceExcess is the excess above which the unproven connections of an address or network lose the grace period.
-	// Otherwise a flood so fast that all of its connections are within the grace period would hold all connections.
+	// graceExcess is the value of group.excess above which the unproven connections of an address or network lose the
+	// grace period. Otherwise a flood so fast that all of its connections are within the grace period would hold all
+	// connections.
 	graceExcess = 8
 	// unprovenDivisor defines the share of unproven connections: MaxConns/unprovenDivisor. While there are fewer, all
 	// within their grace period, a new connection evicts an idle connection of an unknown client instead of an unproven
@@ -64,7 +65,7 @@
 
 // pastGrace reports whether the grace period of an unproven connection has ended.
 func (l *ConnLimiter) pastGrace(now time.Duration, c *conn) bool {
-	return now-c.since >= l.settings.GracePeriod
+	return now-c.graceStartedAt >= l.settings.GracePeriod
 }
 
 // EvictionRefused records that the connection named by Verdict.Evict was not closed because it has unread bytes. It
@@ -75,7 +76,7 @@
 		return
 	}
 	l.counts.Spared++
-	c.since = now
+	c.graceStartedAt = now
 	for i, e := range c.unprovenInGroup {
 		if e != nil {
 			c.groups[i].unproven.MoveToBack(e)
--- a/internal/admission/flood_test.go
+++ b/internal/admission/flood_test.go
@@ -17,8 +17,9 @@
 	id        ID            // of its connection; 0 while disconnected
 	stage     clientStage
 
-	requests, lost int
-	lossReasons    map[Reason]int // number of lost requests by reason
+	requests    int            // requests attempted, including those lost
+	lost        int            // requests not sent, because their connection was rejected or evicted first
+	lossReasons map[Reason]int // number of lost requests by reason
 }
 
 // clientStage is the stage of a simulated client in its life cycle.
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -22,8 +22,8 @@
 			t.Fatalf("New(%+v): %v", s, err)
 		}
 		type modelConn struct {
-			busy       bool
-			graceSince time.Duration // when its grace period started
+			busy           bool
+			graceStartedAt time.Duration // when its grace period started
 		}
 		open := map[ID]*modelConn{}
 		var ids []ID
@@ -69,7 +69,7 @@
 				}
 				oldestAge := time.Duration(0) // of an unproven connection
 				if e := l.unproven.Front(); e != nil {
-					oldestAge = now - e.Value.(*conn).since
+					oldestAge = now - e.Value.(*conn).graceStartedAt
 				}
 				id, reason := connect(l, now, a, func(id ID) {
 					evictions++
@@ -80,10 +80,10 @@
 					case c.busy:
 						t.Fatalf("Arrive evicts connection %d, which has a request in flight", id)
 					}
-					inGrace := now-c.graceSince < s.GracePeriod && maxExcess <= graceExcess
+					inGrace := now-c.graceStartedAt < s.GracePeriod && maxExcess <= graceExcess
 					if inGrace && oldestAge >= s.GracePeriod && evictions == 1 && !anyRefused {
 						t.Fatalf("Arrive evicts connection %d of age %v (grace period %v) before one of age %v",
-							id, now-c.graceSince, s.GracePeriod, oldestAge)
+							id, now-c.graceStartedAt, s.GracePeriod, oldestAge)
 					}
 					forget(id)
 				}, func(ID) bool {
@@ -108,7 +108,7 @@
 					if open[id] != nil {
 						t.Fatalf("Arrive admitted a connection with ID %d, which an open connection has", id)
 					}
-					open[id] = &modelConn{graceSince: now}
+					open[id] = &modelConn{graceStartedAt: now}
 					ids = append(ids, id)
 				}
 			case 4:
@@ -121,7 +121,7 @@
 				if id, c := randomConn(); c != nil && c.busy {
 					l.RequestDone(now, id, rng.IntN(4) > 0)
 					c.busy = false
-					c.graceSince = now - s.GracePeriod // a finished request ends the grace period
+					c.graceStartedAt = now - s.GracePeriod // a finished request ends the grace period
 				}
 			case 7:
 				if id, c := randomConn(); c != nil {
@@ -134,7 +134,7 @@
 			}
 			all, known := l.Usage()
 			if all != len(open) || all > s.MaxConns || known > all {
-				t.Fatalf("Usage = %d connections, %d known; want %d connections (MaxConns %d), and no more known ones",
+				t.Fatalf("Usage = %d connections, %d known; want %d connections (MaxConns %d), at most as many known",
 					all, known, len(open), s.MaxConns)
 			}
 		}
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -14,7 +14,7 @@
 	Credit   float64 `json:"earned"`       // in unproven connections
 	Bytes    int64   `json:"bytes"`        // body bytes of requests in flight
 	Rate     float64 `json:"new_a_second"` // new connections per second
-	Rejected int64   `json:"refused"`      // connections rejected or evicted since the address was listed
+	Rejected int64   `json:"refused"`      // connections rejected or evicted since it became one of the busiest
 }
 
 // Report is the state of a ConnLimiter, as encoded in the admin protocol.
--- a/internal/admission/requestlimiter.go
+++ b/internal/admission/requestlimiter.go
@@ -43,7 +43,7 @@
 	errs.addIf(s.Adaptive && (s.MinInFlight < 1 || s.MinInFlight > s.MaxInFlight),
 		"least: %d is not between 1 and in_hand", s.MinInFlight)
 	errs.addIf(s.RetryAfter <= 0 || s.RetryAfter > maxRetryAfter,
-		"retry_after: %v is not above 0s and at most 1h", s.RetryAfter)
+		"retry_after: %v must be above 0s and at most 1h", s.RetryAfter)
 	return errors.Join(errs...)
 }
 
@@ -56,7 +56,7 @@
 	rng           *rand.Rand
 	inFlight      int
 	tenants       []int   // requests in flight, by tenant
-	limit         float64 // of requests in flight; constantly MaxInFlight unless Adaptive is set
+	limit         float64 // maximum number of requests in flight; always MaxInFlight unless Adaptive is set
 	bestLatency   float64 // in seconds; lowest latency, raised slightly by each answer; 0 before the first
 	recentLatency float64 // in seconds; exponentially weighted average
 }
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -96,7 +96,7 @@
 		"half_life: %v is not between 1s and 1h", s.HalfLife)
 	errs.addIf(s.MaxCredit < 1, "earned: %d must be above 0", s.MaxCredit)
 	errs.addIf(!(s.MaxConnRate > 0 && s.MaxConnRate <= maxConnRateLimit),
-		"rate: %v is not above 0 and at most 1000000 connections per second", s.MaxConnRate)
+		"rate: %v must be above 0 and at most 1000000 connections per second", s.MaxConnRate)
 	errs.addIf(!isRatio(s.ScarceBelow), "short: %v is not between 0 and 1", s.ScarceBelow)
 	errs.addIf(s.MaxBodyBytes < 0, "bytes: %d is negative", s.MaxBodyBytes)
 	errs.addIf(!isRatio(s.MaxBodyPart), "bytes_part: %v is not between 0 and 1", s.MaxBodyPart)
--- a/internal/admission/sketch_test.go
+++ b/internal/admission/sketch_test.go
@@ -45,7 +45,7 @@
 		s.decay(now)
 	}
 	if after := s.estimate(anyKey); after > before*1e-6 || s.total > 1 {
-		t.Errorf("100 s of decay: an estimate fell from %v to %v, want at most a millionth; "+
+		t.Errorf("100 s of decay changed an estimate from %v to %v, want at most a millionth of the first value; "+
 			"total of all keys = %v, want at most 1", before, after, s.total)
 	}
 }
--- a/internal/admission/tier.go
+++ b/internal/admission/tier.go
@@ -14,11 +14,11 @@
 
 // group holds the counts of an address or network that has open connections or credit.
 type group struct {
-	prefix    netip.Prefix
-	listed    bool      // in Settings.KnownPrefixes
-	unproven  list.List // of *conn, the longest unproven first
-	open      int       // open connections
-	bodyBytes int64     // body bytes of requests in flight
+	prefix          netip.Prefix
+	inKnownPrefixes bool      // whether the group is an address in Settings.KnownPrefixes
+	unproven        list.List // of *conn, in the order in which they are evicted
+	open            int       // open connections
+	bodyBytes       int64     // body bytes of requests in flight
 
 	servedRequests float64       // number of served requests, decayed until servedAt
 	servedAt       time.Duration // when servedRequests was last updated
@@ -44,7 +44,9 @@
 	maxUnconnected int     // maximum length of unconnected
 	groups         map[netip.Prefix]*group
 	byExcess       excessHeap // the groups with unproven connections
-	unconnected    list.List  // of *group that have credit but no connections, the longest unconnected first
+	// unconnected has the groups (*group) with credit but no connections; first the one whose last connection closed
+	// earliest.
+	unconnected list.List
 }
 
 // newTier returns a tier without groups. ConnLimiter.Reconfigure sets the half-life and the maximums.
@@ -88,7 +90,7 @@
 // credit returns the number of unproven connections that a group may have without excess.
 func (t *tier) credit(now time.Duration, g *group) float64 {
 	served := t.served(now, g)
-	if g.listed {
+	if g.inKnownPrefixes {
 		return t.maxCredit
 	}
 	return min(served, t.maxCredit)
@@ -169,7 +171,7 @@
 }
 
 // excessHeap implements heap.Interface. The group with the greatest excess is first; among groups of equal excess, the
-// group with the longest unproven connection is first.
+// group whose first unproven connection started its grace period earliest.
 type excessHeap []*group
 
 // Len implements heap.Interface.
@@ -180,14 +182,14 @@
 	if h[i].excess != h[j].excess {
 		return h[i].excess > h[j].excess
 	}
-	return h[i].oldestUnprovenSince() < h[j].oldestUnprovenSince()
+	return h[i].oldestGraceStart() < h[j].oldestGraceStart()
 }
 
-// oldestUnprovenSince returns conn.since of the first connection of g.unproven, or the maximum duration if g has no
-// unproven connection.
-func (g *group) oldestUnprovenSince() time.Duration {
+// oldestGraceStart returns conn.graceStartedAt of the first connection of g.unproven, or the maximum duration if g has
+// no unproven connection.
+func (g *group) oldestGraceStart() time.Duration {
 	if e := g.unproven.Front(); e != nil {
-		return e.Value.(*conn).since
+		return e.Value.(*conn).graceStartedAt
 	}
 	return math.MaxInt64
 }
--- a/internal/admission/verdict.go
+++ b/internal/admission/verdict.go
@@ -16,7 +16,7 @@
 	reasonCount
 )
 
-// String returns the name of the reason in reports.
+// String returns the name of the reason in the admin protocol, see Report.Rejected.
 func (r Reason) String() string {
 	return [...]string{"none", "blocked", "rate", "full", "room"}[r]
 }
