--- a/internal/admission/busiest.go
+++ b/internal/admission/busiest.go
@@ -25,7 +25,7 @@
 // record updates the count of an address that opened a connection. An address that is not listed is added; if the list
 // is full, it replaces the listed address with the lowest count, provided that its own count is higher.
 func (b *busiestAddresses) record(now time.Duration, p netip.Prefix, count float64) {
-	replace, lowest := -1, count
+	replaceIndex, lowestCount := -1, count
 	for i := range b.addresses {
 		a := &b.addresses[i]
 		if a.prefix == p {
@@ -34,16 +34,16 @@
 			return
 		}
 		decayed := a.count * math.Exp2(-float64(now-a.updatedAt)/float64(sketchHalfLife))
-		if decayed < lowest {
-			replace, lowest = i, decayed
+		if decayed < lowestCount {
+			replaceIndex, lowestCount = i, decayed
 		}
 	}
 	listed := busyAddress{prefix: p, count: count, updatedAt: now}
 	switch {
 	case len(b.addresses) < maxBusiest:
 		b.addresses = append(b.addresses, listed)
-	case replace >= 0:
-		b.addresses[replace] = listed
+	case replaceIndex >= 0:
+		b.addresses[replaceIndex] = listed
 	}
 }
 
--- a/internal/admission/connlimiter.go
+++ b/internal/admission/connlimiter.go
@@ -47,7 +47,7 @@
 	conns       map[ID]*conn
 	lastID      ID
 	bodyBytes   int64                          // body bytes of all requests in flight
-	known       int                            // connections that count as known clients'
+	known       int                            // open connections counted as those of known clients
 	idle        [idleListCount]list.List       // of *conn, the longest idle first
 	unproven    list.List                      // of *conn, the longest unproven first
 	blocks      map[netip.Prefix]time.Duration // the time at which each block ends
@@ -109,7 +109,7 @@
 	return slices.ContainsFunc(l.settings.KnownPrefixes, func(p netip.Prefix) bool { return p.Contains(address) })
 }
 
-// Usage returns the number of open connections, and how many of them count as known clients'.
+// Usage returns the number of open connections, and the number of those that are counted as known clients'.
 func (l *ConnLimiter) Usage() (all, known int) { return len(l.conns), l.known }
 
 // Arrive decides on a new connection from an address. If the verdict names a connection to evict, the new connection
@@ -206,7 +206,7 @@
 	return (g.inKnownPrefixes || t.served(now, g) >= KnownThreshold) && credit > float64(g.unproven.Len())
 }
 
-// reservedFree returns how many more connections are reserved for known clients.
+// reservedFree returns the number of connections that are reserved for known clients and not yet held by them.
 func (l *ConnLimiter) reservedFree() int {
 	return max(0, int(l.settings.KnownReserve*float64(l.settings.MaxConns))-l.known)
 }
--- a/internal/admission/connlimiter_test.go
+++ b/internal/admission/connlimiter_test.go
@@ -82,7 +82,7 @@
 	if _, reason := connect(l, 2*time.Second, flooder, ignoreEviction, nil); reason != RateExceeded {
 		t.Fatalf("Arrive of the flooding address after 2 s of flood: reason %v, want %v", reason, RateExceeded)
 	}
-	for i := range 90 { // close some connections, so few that connections stay scarce
+	for i := range 90 { // close up to 80; the next loop opens 70, so that connections stay scarce
 		if i < len(open) && i >= 10 {
 			l.Remove(2*time.Second, open[i], false)
 		}
--- a/internal/admission/eviction.go
+++ b/internal/admission/eviction.go
@@ -30,8 +30,8 @@
 		// While unproven connections hold less than their share, an idle connection is evicted instead. Otherwise idle
 		// connections could occupy nearly all capacity while new ones evict each other before they can be served.
 		oldestOfAll := l.unproven.Front().Value.(*conn)
-		unprovenHaveShare := l.unproven.Len() >= l.settings.MaxConns/unprovenDivisor
-		if l.pastGrace(now, oldestOfAll) || unprovenHaveShare || l.idle[idleUnknown].Len() == 0 {
+		unprovenShareReached := l.unproven.Len() >= l.settings.MaxConns/unprovenDivisor
+		if l.pastGrace(now, oldestOfAll) || unprovenShareReached || l.idle[idleUnknown].Len() == 0 {
 			return oldestOfAll
 		}
 	}
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -21,7 +21,7 @@
 type Report struct {
 	MaxConns       int              `json:"places"`
 	Open           int              `json:"open"`          // open connections
-	Known          int              `json:"known"`         // open connections that count as known clients'
+	Known          int              `json:"known"`         // open connections counted as those of known clients
 	Idle           int              `json:"waiting"`       // proven connections without a request in flight
 	Bytes          int64            `json:"bytes"`         // body bytes of requests in flight
 	BodyRejections int64            `json:"bytes_refused"` // AcquireBody calls rejected
--- a/internal/admission/requestlimiter.go
+++ b/internal/admission/requestlimiter.go
@@ -150,8 +150,8 @@
 )
 
 // adapt adjusts the limit to the latency of an answer, in seconds, like Gradient2 of Netflix's concurrency-limits.
-// While the ratio of recent to best latency is within latencyTolerance, the limit moves towards its value plus its
-// square root. Above the tolerance, the value in that sum is multiplied by latencyTolerance divided by the ratio.
+// The limit moves towards limit*gradient + sqrt(limit). The gradient is 1 while the recent latency is at most
+// latencyTolerance times the best latency. Above that it is latencyTolerance*best/recent, but at least minGradient.
 func (r *RequestLimiter) adapt(latency float64) {
 	if r.bestLatency == 0 {
 		r.bestLatency = latency
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -38,7 +38,8 @@
 	// KnownReserve is the share of MaxConns that is reserved for known clients, 0 to 0.9.
 	KnownReserve float64
 	// GracePeriod is the time for which an unproven connection is not evicted while an older unproven one could be
-	// evicted instead. An address or network with too many unproven connections beyond its credit has none.
+	// evicted instead. An address with more than 8 unproven connections beyond its credit, or a network with more than
+	// 64, has no grace period.
 	GracePeriod time.Duration
 	// HalfLife is the half-life of the credit of addresses and networks.
 	HalfLife time.Duration
@@ -53,7 +54,7 @@
 	// bytes with MaxBodyBytes.
 	ScarceBelow float64
 	// MaxBodyBytes is the maximum of the body bytes of all requests in flight, which ScarceBelow and MaxBodyPart refer
-	// to. An address that holds none may exceed it with one body. 0 means unlimited.
+	// to. An address that holds no body bytes may exceed it with one body. 0 means unlimited.
 	MaxBodyBytes int64
 	// MaxBodyPart is the share of MaxBodyBytes, 0 to 1, that an address may hold while bytes are scarce. For a network
 	// it is multiplied by NetworkFactor.
--- a/internal/idempotency/guard/guard_test.go
+++ b/internal/idempotency/guard/guard_test.go
@@ -89,8 +89,8 @@
 				"want 10 started, some joined, some replayed, none in flight", ran.Load(), r)
 		}
 		time.Sleep(idempotency.MinWindow + time.Second)
-		rejecting := func() ([]byte, Outcome) { return nil, NeverRan }
-		if _, _, v := g.Do(t.Context(), key(1), false, rejecting); v != idempotency.Begin {
+		rejectRequest := func() ([]byte, Outcome) { return nil, NeverRan }
+		if _, _, v := g.Do(t.Context(), key(1), false, rejectRequest); v != idempotency.Begin {
 			t.Errorf("Do after the window = %v, want %v", v, idempotency.Begin)
 		}
 	})
@@ -101,9 +101,9 @@
 func TestOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuard(t, "", -1)
-		rejecting := func() ([]byte, Outcome) { return []byte("3004"), NeverRan }
+		rejectRequest := func() ([]byte, Outcome) { return []byte("3004"), NeverRan }
 		for range 2 {
-			answer, outcome, v := g.Do(t.Context(), key(1), false, rejecting)
+			answer, outcome, v := g.Do(t.Context(), key(1), false, rejectRequest)
 			if string(answer) != "3004" || outcome != NeverRan || v != idempotency.Begin {
 				t.Errorf("Do of a request that never ran = answer %q, outcome %d, verdict %v; want \"3004\", %d, %v",
 					answer, outcome, v, NeverRan, idempotency.Begin)
@@ -120,7 +120,7 @@
 			g.Do(t.Context(), key(3), false, func() ([]byte, Outcome) { panic("handler failed") })
 		}()
 		for _, k := range []idempotency.Key{key(2), key(3)} {
-			if _, _, v := g.Do(t.Context(), k, false, rejecting); v != idempotency.MayHaveRun {
+			if _, _, v := g.Do(t.Context(), k, false, rejectRequest); v != idempotency.MayHaveRun {
 				t.Errorf("second Do of %v, which may have run = %v, want %v", k, v, idempotency.MayHaveRun)
 			}
 		}
@@ -132,13 +132,13 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		startedAt := time.Now()
-		answer, _, v := g.Do(ctx, key(4), true, rejecting)
+		answer, _, v := g.Do(ctx, key(4), true, rejectRequest)
 		if waited := time.Since(startedAt); v != idempotency.MayHaveRun || answer != nil || waited != time.Second {
 			t.Errorf("Do whose context ends after 1s = answer %q, verdict %v after %v; want no answer, %v after 1s",
 				answer, v, waited, idempotency.MayHaveRun)
 		}
 		time.Sleep(time.Minute)
-		answer, _, v = g.Do(t.Context(), key(4), true, rejecting)
+		answer, _, v = g.Do(t.Context(), key(4), true, rejectRequest)
 		if v != idempotency.Answered || string(answer) != "late" {
 			t.Errorf("Do after the first copy ended = answer %q, verdict %v; want \"late\", %v",
 				answer, v, idempotency.Answered)
@@ -238,8 +238,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				path := filepath.Join(t.TempDir(), "effects.db")
 				pay := func() ([]byte, Outcome) { return []byte("paid"), Answered }
-				rejecting := func() ([]byte, Outcome) { return nil, NeverRan }
-				// next opens the guard of the next process; the files are as after a kill of the earlier process.
+				rejectRequest := func() ([]byte, Outcome) { return nil, NeverRan }
+				// next opens the guard of the next process. Close writes nothing, so the files are as after the earlier
+				// process was killed.
 				next := func(lostAt time.Duration) *Guard {
 					g := newGuard(t, path, lostAt)
 					t.Cleanup(func() { mustClose(t, g) })
@@ -265,17 +266,17 @@
 				for i := range 2 {
 					g = next(0)
 					if _, _, v := g.Do(t.Context(), key(2), true, pay); v == idempotency.Begin {
-						t.Errorf("process %d: Do of a completed request = %v, want any other verdict", i, v)
+						t.Errorf("later process %d: Do of a completed request = %v, want any other verdict", i, v)
 					}
 					if _, _, v := g.Do(t.Context(), key(10+i), true, pay); v != wantWithoutEntry {
-						t.Errorf("process %d: Do of a retransmission without an entry = %v, want %v",
+						t.Errorf("later process %d: Do of a retransmission without an entry = %v, want %v",
 							i, v, wantWithoutEntry)
 					}
-					if _, _, v := g.Do(t.Context(), key(20+i), false, rejecting); v != idempotency.Begin {
-						t.Errorf("process %d: Do of a first transmission = %v, want %v", i, v, idempotency.Begin)
+					if _, _, v := g.Do(t.Context(), key(20+i), false, rejectRequest); v != idempotency.Begin {
+						t.Errorf("later process %d: Do of a first transmission = %v, want %v", i, v, idempotency.Begin)
 					}
 					if _, _, v := g.Do(t.Context(), key(20+i), true, pay); v != idempotency.Begin {
-						t.Errorf("process %d: Do of a retransmission after a rejected first copy = %v, want %v",
+						t.Errorf("later process %d: Do of a retransmission after a rejected first copy = %v, want %v",
 							i, v, idempotency.Begin)
 					}
 					mustClose(t, g)
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -51,22 +51,22 @@
 	clock := time.Unix(1_800_000_000, 0)
 	now := func() time.Time { return clock }
 	s, _ := open(t, path, now)
-	a := idempotency.Key{Origin: "a", ID: 1}
-	b := idempotency.Key{Origin: "a", ID: 2}
-	c := idempotency.Key{Origin: "b\x00c", ID: 1}
-	y := idempotency.Key{Origin: "y", ID: 9}
+	completedKey := idempotency.Key{Origin: "a", ID: 1}
+	intentKey := idempotency.Key{Origin: "a", ID: 2}
+	deletedKey := idempotency.Key{Origin: "b\x00c", ID: 1}
+	uncertainKey := idempotency.Key{Origin: "y", ID: 9}
 	for _, r := range []idempotency.Record{
-		{Key: a},
-		{Key: b},
-		{Key: a, Completed: true, Answer: []byte("paid")},
-		{Key: c},
+		{Key: completedKey},
+		{Key: intentKey},
+		{Key: completedKey, Completed: true, Answer: []byte("paid")},
+		{Key: deletedKey},
 	} {
 		if err := s.Write(ctx, r); err != nil {
 			t.Fatalf("Write(%+v): %v", r, err)
 		}
 	}
-	if err := s.Delete(ctx, c); err != nil {
-		t.Fatalf("Delete(%v): %v", c, err)
+	if err := s.Delete(ctx, deletedKey); err != nil {
+		t.Fatalf("Delete(%v): %v", deletedKey, err)
 	}
 	if _, _, err := Open(path, Options{Window: window}); err == nil {
 		t.Error("Open of a file that another store has open: error nil, want an error")
@@ -74,30 +74,33 @@
 	if err := s.Close(); err != nil {
 		t.Fatalf("Close: %v", err)
 	}
-	if err := s.Write(ctx, idempotency.Record{Key: a}); !errors.Is(err, ErrClosed) {
+	if err := s.Write(ctx, idempotency.Record{Key: completedKey}); !errors.Is(err, ErrClosed) {
 		t.Errorf("Write after Close = %v, want %v", err, ErrClosed)
 	}
 	s, byKey := open(t, path, now)
-	if len(byKey) != 2 || !byKey[a].Completed || string(byKey[a].Answer) != "paid" || byKey[b].Completed {
-		t.Errorf("records after reopening: %+v, want %v completed with \"paid\", and %v not completed", byKey, a, b)
+	completed := byKey[completedKey]
+	if len(byKey) != 2 || !completed.Completed || string(completed.Answer) != "paid" || byKey[intentKey].Completed {
+		t.Errorf("records after reopening: %+v, want %v completed with \"paid\", and %v not completed",
+			byKey, completedKey, intentKey)
 	}
-	// The window of a has passed. The uncertain window of b started when its intent was found on reopening.
+	// The window of completedKey has passed. The uncertain window of intentKey started when Open found its intent.
 	clock = clock.Add(window + time.Second)
 	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "z", ID: 9}}); err != nil {
 		t.Fatalf("Write one window later: %v", err)
 	}
 	mustClose(t, s)
 	s, byKey = open(t, path, now)
-	if len(byKey) != 2 || byKey[a].Completed || !byKey[b].Uncertain {
-		t.Errorf("records one window later: %+v, want %v uncertain, the intent z, and not %v", byKey, b, a)
+	if len(byKey) != 2 || byKey[completedKey].Completed || !byKey[intentKey].Uncertain {
+		t.Errorf("records one window later: %+v, want %v uncertain, the intent z, and not %v",
+			byKey, intentKey, completedKey)
 	}
 	clock = clock.Add(uncertainWindow + time.Second)
-	if err := s.Write(ctx, idempotency.Record{Key: y, Uncertain: true}); err != nil {
+	if err := s.Write(ctx, idempotency.Record{Key: uncertainKey, Uncertain: true}); err != nil {
 		t.Fatalf("Write after the uncertain window: %v", err)
 	}
 	mustClose(t, s)
-	if _, byKey = open(t, path, now); len(byKey) != 1 || !byKey[y].Uncertain {
-		t.Errorf("records after the uncertain window: %+v, want only %v uncertain", byKey, y)
+	if _, byKey = open(t, path, now); len(byKey) != 1 || !byKey[uncertainKey].Uncertain {
+		t.Errorf("records after the uncertain window: %+v, want only %v uncertain", byKey, uncertainKey)
 	}
 }
 
