--- a/internal/admission/conn.go
+++ b/internal/admission/conn.go
@@ -11,7 +11,7 @@
 const (
 	stateUnproven state = iota // no request on it has been served yet
 	stateIdle                  // a request on it was served, and no request is in flight
-	stateBusy                  // a whole request is in flight, or a proven connection has received part of a request
+	stateBusy                  // a whole request is in flight, or part of a request was received on a proven connection
 )
 
 // conn is the state of one open connection in a ConnLimiter.
--- a/internal/admission/connlimiter.go
+++ b/internal/admission/connlimiter.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Indexes of the tiers of addresses.
+// Indexes of ConnLimiter.tiers.
 const (
-	hostTier = iota
-	networkTier
+	hostTier    = iota // single addresses: IPv4 /32 or IPv6 /64
+	networkTier        // networks: IPv4 /24 or IPv6 /48
 	tierCount
 )
 
--- a/internal/admission/connlimiter_test.go
+++ b/internal/admission/connlimiter_test.go
@@ -138,7 +138,8 @@
 	}
 	for i, tier := range l.tiers {
 		if n := len(tier.groups); n > s.MaxConns+s.MaxTracked {
-			t.Errorf("tier %d holds %d groups, want at most MaxConns+MaxTracked = %d", i, n, s.MaxConns+s.MaxTracked)
+			t.Errorf("tier %d (0 addresses, 1 networks) holds %d groups, want at most MaxConns+MaxTracked = %d",
+				i, n, s.MaxConns+s.MaxTracked)
 		}
 	}
 	if r := l.Report(30 * time.Second); len(r.Top) > maxBusiest || r.Open > 500 || r.Rejected["room"] == 0 {
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -144,7 +144,8 @@
 		for i, tier := range l.tiers {
 			inHeap, groups, unconnected := len(tier.byExcess), len(tier.groups), tier.unconnected.Len()
 			if inHeap != 0 || groups != unconnected || unconnected > s.MaxTracked {
-				t.Fatalf("tier %d after all connections were removed: %d groups in the heap, want 0; "+
+				t.Fatalf("tier %d (0 addresses, 1 networks) after all connections were removed: "+
+					"%d groups in the heap, want 0; "+
 					"%d groups of which %d are in the unconnected list, want all, and at most MaxTracked %d",
 					i, inHeap, groups, unconnected, s.MaxTracked)
 			}
--- a/internal/idempotency/store/frozen_test.go
+++ b/internal/idempotency/store/frozen_test.go
@@ -62,7 +62,7 @@
 	if !s.LostAt().Equal(writtenAt) {
 		t.Errorf("LostAt = %v, want %v, when the file was created", s.LostAt(), writtenAt)
 	}
-	if s.sequence != 5 {
+	if s.sequence != 5 { // one transaction for each of the two calls of Open and the three of Write
 		t.Errorf("number of the last transaction after Open = %d, want 5", s.sequence)
 	}
 	next := idempotency.Record{Key: intent.Key, Completed: true, Answer: []byte("late")}
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -37,9 +37,9 @@
 	window          time.Duration
 	uncertainWindow time.Duration
 	now             func() time.Time
-	witness         *os.File // holds the number of the last committed transaction
-	lostAt          time.Time
-	sequence        uint64 // number of the last transaction; written only by Open and the committer
+	witness         *os.File  // holds the number of the last committed transaction
+	lostAt          time.Time // see LostAt
+	sequence        uint64    // number of the last transaction; written only by Open and the committer
 
 	commits atomic.Int64
 
