--- a/internal/admission/connlimiter.go
+++ b/internal/admission/connlimiter.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Indexes of the tiers of addresses.
+// Indexes of ConnLimiter.tiers.
 const (
-	hostTier = iota
-	networkTier
+	hostTier    = iota // single addresses: IPv4 /32 or IPv6 /64
+	networkTier        // networks: IPv4 /24 or IPv6 /48
 	tierCount
 )
 
@@ -47,7 +47,7 @@
 	conns       map[ID]*conn
 	lastID      ID
 	bodyBytes   int64                          // body bytes of all requests in flight
-	known       int                            // connections that count as known clients'
+	known       int                            // open connections counted as those of known clients
 	idle        [idleListCount]list.List       // of *conn, the longest idle first
 	unproven    list.List                      // of *conn, the longest unproven first
 	blocks      map[netip.Prefix]time.Duration // the time at which each block ends
@@ -62,7 +62,7 @@
 	Admitted       int64
 	Rejected       [reasonCount]int64 // by reason; the entry of Evicted counts evictions
 	BodyRejections int64              // AcquireBody calls rejected because the address may hold no more bytes
-	Spared         int64              // evictions refused because the connection had unread bytes
+	Spared         int64              // calls of EvictionRefused: the connection to evict had unread bytes
 }
 
 // New returns a limiter without connections. The error names each invalid setting by its key.
@@ -96,20 +96,20 @@
 		t.maxCredit = float64(s.MaxCredit) * t.factor
 		t.maxUnconnected = s.MaxTracked
 		for _, g := range t.groups {
-			g.listed = i == hostTier && slices.ContainsFunc(s.KnownPrefixes, g.prefix.Overlaps)
+			g.inKnownPrefixes = i == hostTier && slices.ContainsFunc(s.KnownPrefixes, g.prefix.Overlaps)
 		}
 		t.refresh(now)
 	}
 	return nil
 }
 
-// isListed reports whether an address is in Settings.KnownPrefixes.
-func (l *ConnLimiter) isListed(address netip.Addr) bool {
+// inKnownPrefixes reports whether an address is in Settings.KnownPrefixes.
+func (l *ConnLimiter) inKnownPrefixes(address netip.Addr) bool {
 	address = address.Unmap()
 	return slices.ContainsFunc(l.settings.KnownPrefixes, func(p netip.Prefix) bool { return p.Contains(address) })
 }
 
-// Usage returns the number of open connections, and how many of them count as known clients'.
+// Usage returns the number of open connections, and the number of those that are counted as known clients'.
 func (l *ConnLimiter) Usage() (all, known int) { return len(l.conns), l.known }
 
 // Arrive decides on a new connection from an address. If the verdict names a connection to evict, the new connection
@@ -135,7 +135,7 @@
 	if !repeated {
 		rates := l.countArrival(now, prefixes)
 		scarce := float64(free-reserved) < l.settings.ScarceBelow*float64(l.settings.MaxConns)
-		if scarce && !l.isListed(address) && l.exceedsRate(now, prefixes, rates) {
+		if scarce && !l.inKnownPrefixes(address) && l.exceedsRate(now, prefixes, rates) {
 			return l.reject(prefixes, RateExceeded)
 		}
 	}
@@ -200,13 +200,13 @@
 	t := l.tiers[hostTier]
 	g := t.groups[t.prefix(address)]
 	if g == nil {
-		return l.isListed(address)
+		return l.inKnownPrefixes(address)
 	}
 	credit := t.credit(now, g)
-	return (g.listed || t.served(now, g) >= KnownThreshold) && credit > float64(g.unproven.Len())
+	return (g.inKnownPrefixes || t.served(now, g) >= KnownThreshold) && credit > float64(g.unproven.Len())
 }
 
-// reservedFree returns how many more connections are reserved for known clients.
+// reservedFree returns the number of connections that are reserved for known clients and not yet held by them.
 func (l *ConnLimiter) reservedFree() int {
 	return max(0, int(l.settings.KnownReserve*float64(l.settings.MaxConns))-l.known)
 }
@@ -216,11 +216,11 @@
 	now time.Duration, address netip.Addr, prefixes [tierCount]netip.Prefix, known bool,
 ) ID {
 	l.lastID++
-	c := &conn{id: l.lastID, since: now, known: known}
+	c := &conn{id: l.lastID, graceStartedAt: now, known: known}
 	l.conns[c.id] = c
 	for i, p := range prefixes {
 		g := l.tiers[i].group(p)
-		g.listed = i == hostTier && l.isListed(address)
+		g.inKnownPrefixes = i == hostTier && l.inKnownPrefixes(address)
 		c.groups[i] = g
 		c.unprovenInGroup[i] = l.tiers[i].addConn(now, g, c)
 	}
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -14,14 +14,14 @@
 	Credit   float64 `json:"earned"`       // in unproven connections
 	Bytes    int64   `json:"bytes"`        // body bytes of requests in flight
 	Rate     float64 `json:"new_a_second"` // new connections per second
-	Rejected int64   `json:"refused"`      // connections rejected or evicted since the address was listed
+	Rejected int64   `json:"refused"`      // connections rejected or evicted since it became one of the busiest
 }
 
 // Report is the state of a ConnLimiter, as encoded in the admin protocol.
 type Report struct {
 	MaxConns       int              `json:"places"`
 	Open           int              `json:"open"`          // open connections
-	Known          int              `json:"known"`         // open connections that count as known clients'
+	Known          int              `json:"known"`         // open connections counted as those of known clients
 	Idle           int              `json:"waiting"`       // proven connections without a request in flight
 	Bytes          int64            `json:"bytes"`         // body bytes of requests in flight
 	BodyRejections int64            `json:"bytes_refused"` // AcquireBody calls rejected
--- a/internal/admission/requestlimiter.go
+++ b/internal/admission/requestlimiter.go
@@ -43,7 +43,7 @@
 	errs.addIf(s.Adaptive && (s.MinInFlight < 1 || s.MinInFlight > s.MaxInFlight),
 		"least: %d is not between 1 and in_hand", s.MinInFlight)
 	errs.addIf(s.RetryAfter <= 0 || s.RetryAfter > maxRetryAfter,
-		"retry_after: %v is not above 0s and at most 1h", s.RetryAfter)
+		"retry_after: %v must be above 0s and at most 1h", s.RetryAfter)
 	return errors.Join(errs...)
 }
 
@@ -56,7 +56,7 @@
 	rng           *rand.Rand
 	inFlight      int
 	tenants       []int   // requests in flight, by tenant
-	limit         float64 // of requests in flight; constantly MaxInFlight unless Adaptive is set
+	limit         float64 // maximum number of requests in flight; always MaxInFlight unless Adaptive is set
 	bestLatency   float64 // in seconds; lowest latency, raised slightly by each answer; 0 before the first
 	recentLatency float64 // in seconds; exponentially weighted average
 }
@@ -150,8 +150,8 @@
 )
 
 // adapt adjusts the limit to the latency of an answer, in seconds, like Gradient2 of Netflix's concurrency-limits.
-// While the ratio of recent to best latency is within latencyTolerance, the limit moves towards its value plus its
-// square root. Above the tolerance, the value in that sum is multiplied by latencyTolerance divided by the ratio.
+// The limit moves towards limit*gradient + sqrt(limit). The gradient is 1 while the recent latency is at most
+// latencyTolerance times the best latency. Above that it is latencyTolerance*best/recent, but at least minGradient.
 func (r *RequestLimiter) adapt(latency float64) {
 	if r.bestLatency == 0 {
 		r.bestLatency = latency
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	window    = idempotency.MinWindow
-	uncertain = time.Hour
+	window          = idempotency.MinWindow
+	uncertainWindow = time.Hour
 )
 
 // open opens a store that is closed when the test ends, and returns its records by key.
 func open(t testing.TB, path string, now func() time.Time) (*Store, map[idempotency.Key]idempotency.Record) {
 	t.Helper()
-	s, records, err := Open(path, Options{Window: window, UncertainWindow: uncertain, Now: now})
+	s, records, err := Open(path, Options{Window: window, UncertainWindow: uncertainWindow, Now: now})
 	if err != nil {
 		t.Fatalf("Open(%s): %v", path, err)
 	}
@@ -51,53 +51,56 @@
 	clock := time.Unix(1_800_000_000, 0)
 	now := func() time.Time { return clock }
 	s, _ := open(t, path, now)
-	a := idempotency.Key{Origin: "a", ID: 1}
-	b := idempotency.Key{Origin: "a", ID: 2}
-	c := idempotency.Key{Origin: "b\x00c", ID: 1}
-	y := idempotency.Key{Origin: "y", ID: 9}
+	completedKey := idempotency.Key{Origin: "a", ID: 1}
+	intentKey := idempotency.Key{Origin: "a", ID: 2}
+	deletedKey := idempotency.Key{Origin: "b\x00c", ID: 1}
+	uncertainKey := idempotency.Key{Origin: "y", ID: 9}
 	for _, r := range []idempotency.Record{
-		{Key: a},
-		{Key: b},
-		{Key: a, Completed: true, Answer: []byte("paid")},
-		{Key: c},
+		{Key: completedKey},
+		{Key: intentKey},
+		{Key: completedKey, Completed: true, Answer: []byte("paid")},
+		{Key: deletedKey},
 	} {
 		if err := s.Write(ctx, r); err != nil {
 			t.Fatalf("Write(%+v): %v", r, err)
 		}
 	}
-	if err := s.Delete(ctx, c); err != nil {
-		t.Fatalf("Delete(%v): %v", c, err)
+	if err := s.Delete(ctx, deletedKey); err != nil {
+		t.Fatalf("Delete(%v): %v", deletedKey, err)
 	}
 	if _, _, err := Open(path, Options{Window: window}); err == nil {
-		t.Error("Open of a file that another store has open = nil, want an error")
+		t.Error("Open of a file that another store has open: error nil, want an error")
 	}
 	if err := s.Close(); err != nil {
 		t.Fatalf("Close: %v", err)
 	}
-	if err := s.Write(ctx, idempotency.Record{Key: a}); !errors.Is(err, ErrClosed) {
+	if err := s.Write(ctx, idempotency.Record{Key: completedKey}); !errors.Is(err, ErrClosed) {
 		t.Errorf("Write after Close = %v, want %v", err, ErrClosed)
 	}
 	s, byKey := open(t, path, now)
-	if len(byKey) != 2 || !byKey[a].Completed || string(byKey[a].Answer) != "paid" || byKey[b].Completed {
-		t.Errorf("records after reopening: %+v, want %v completed with \"paid\", and %v not completed", byKey, a, b)
+	completed := byKey[completedKey]
+	if len(byKey) != 2 || !completed.Completed || string(completed.Answer) != "paid" || byKey[intentKey].Completed {
+		t.Errorf("records after reopening: %+v, want %v completed with \"paid\", and %v not completed",
+			byKey, completedKey, intentKey)
 	}
-	// The window of a has passed. The uncertain window of b started when its intent was found on reopening.
+	// The window of completedKey has passed. The uncertain window of intentKey started when Open found its intent.
 	clock = clock.Add(window + time.Second)
 	if err := s.Write(ctx, idempotency.Record{Key: idempotency.Key{Origin: "z", ID: 9}}); err != nil {
 		t.Fatalf("Write one window later: %v", err)
 	}
 	mustClose(t, s)
 	s, byKey = open(t, path, now)
-	if len(byKey) != 2 || byKey[a].Completed || !byKey[b].Uncertain {
-		t.Errorf("records one window later: %+v, want %v uncertain, the intent z, and not %v", byKey, b, a)
+	if len(byKey) != 2 || byKey[completedKey].Completed || !byKey[intentKey].Uncertain {
+		t.Errorf("records one window later: %+v, want %v uncertain, the intent z, and not %v",
+			byKey, intentKey, completedKey)
 	}
-	clock = clock.Add(uncertain + time.Second)
-	if err := s.Write(ctx, idempotency.Record{Key: y, Uncertain: true}); err != nil {
+	clock = clock.Add(uncertainWindow + time.Second)
+	if err := s.Write(ctx, idempotency.Record{Key: uncertainKey, Uncertain: true}); err != nil {
 		t.Fatalf("Write after the uncertain window: %v", err)
 	}
 	mustClose(t, s)
-	if _, byKey = open(t, path, now); len(byKey) != 1 || !byKey[y].Uncertain {
-		t.Errorf("records after the uncertain window: %+v, want only %v uncertain", byKey, y)
+	if _, byKey = open(t, path, now); len(byKey) != 1 || !byKey[uncertainKey].Uncertain {
+		t.Errorf("records after the uncertain window: %+v, want only %v uncertain", byKey, uncertainKey)
 	}
 }
 
@@ -153,7 +156,7 @@
 	}
 	wg.Wait()
 	if n := s.Commits(); n > 200 {
-		t.Errorf("%d transactions for 400 concurrent writes, want at most 200", n)
+		t.Errorf("Commits = %d transactions after 400 concurrent calls of Write, want at most 200", n)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -173,10 +176,10 @@
 }
 
 // If a process is killed at any time, all records that Write confirmed are on disk, and Admit does not begin their
-// requests again. The test kills a child process, which runs writeClaims, at random times.
+// requests again. The test kills a child process, which runs writeRecords, at random times.
 func TestKills(t *testing.T) {
 	if path := os.Getenv("EFFECTS_CHILD"); path != "" {
-		writeClaims(path)
+		writeRecords(path)
 		return
 	}
 	rng := rand.New(rand.NewPCG(11, 12))
@@ -242,9 +245,9 @@
 	}
 }
 
-// writeClaims runs in the child process of TestKills. Its goroutines write the intents and answers of requests, and
+// writeRecords runs in the child process of TestKills. Its goroutines write the intents and answers of requests, and
 // print each record once Write has confirmed it.
-func writeClaims(path string) {
+func writeRecords(path string) {
 	s, _, err := Open(path, Options{Window: window})
 	if err != nil {
 		fmt.Println(err)
@@ -278,6 +281,7 @@
 	time.Sleep(20 * time.Second) // the child exits after this time if it is not killed
 }
 
+// BenchmarkClaim measures the writes for one request: its intent, and then its answer.
 func BenchmarkClaim(b *testing.B) {
 	for _, writers := range []int{1, 64} {
 		b.Run(fmt.Sprint(writers, " concurrent writers"), func(b *testing.B) {
@@ -314,7 +318,7 @@
 	if err != nil {
 		b.Fatalf("Open of a new file: %v", err)
 	}
-	answer := make([]byte, 280) // about the length of the answer to a claim request
+	answer := make([]byte, 280) // about the length of the answer to a payout claim
 	startedAt := time.Now()
 	var wg sync.WaitGroup
 	const writers = 512
