--- a/internal/controlplane/server/codes_test.go
+++ b/internal/controlplane/server/codes_test.go
@@ -20,7 +20,7 @@
 	"lapisspread/internal/staleness"
 )
 
-// wireCodes has each error's name as the program of c8fad44 sends it.
+// wireCodes lists the code of each error as the release built from commit c8fad44 sends it.
 var wireCodes = []struct {
 	err  operatorerror.Error
 	code string
@@ -103,11 +103,11 @@
 	{server.ChunksRequiredError{}, "steward.NeedsPieces"},
 }
 
-// Servers and proxies of two releases know each other's errors by these names.
+// Servers and proxies of different releases identify errors by these codes, so the codes must not change.
 func TestErrorsKeepTheirNamesOnTheWire(t *testing.T) {
 	for _, c := range wireCodes {
 		if got := api.RemoteErrorOf(fmt.Errorf("wrapped: %w", c.err)).Code; got != c.code {
-			t.Errorf("%s is sent as %s", c.code, got)
+			t.Errorf("RemoteErrorOf(%T).Code = %q, want %q", c.err, got, c.code)
 		}
 	}
 }
--- a/internal/controlplane/server/floor_claims_test.go
+++ b/internal/controlplane/server/floor_claims_test.go
@@ -8,31 +8,43 @@
 	"lapisspread/internal/quotalease"
 )
 
+// The tracker reports a duplicate only if a replaced incarnation claims the floors again; restarts and upgrades are not
+// duplicates.
 func TestDuplicateFloorClaimsAreDetected(t *testing.T) {
-	ask := func(incarnation, floors uint64) *quotalease.Request {
+	newRequest := func(incarnation, floorsVersion uint64) *quotalease.Request {
 		return &quotalease.Request{
 			HolderID:      quotalease.HolderID{Holder: "p1", Incarnation: incarnation},
-			FloorsVersion: floors,
+			FloorsVersion: floorsVersion,
 		}
 	}
 	for name, c := range map[string]struct {
-		asks []*quotalease.Request
-		want bool
+		requests []*quotalease.Request
+		want     bool
 	}{
-		"one":                    {[]*quotalease.Request{ask(1, 3), ask(1, 3), ask(1, 4)}, false},
-		"a restart, and another": {[]*quotalease.Request{ask(1, 3), ask(2, 3), ask(2, 3), ask(3, 3)}, false},
-		"an upgrade: the old one asks": {
-			[]*quotalease.Request{ask(1, 3), ask(2, 0), ask(1, 3), ask(2, 3), ask(1, 0)}, false,
+		// One process repeats its claim and then claims a later version of the floors.
+		"one": {
+			[]*quotalease.Request{newRequest(1, 3), newRequest(1, 3), newRequest(1, 4)}, false,
 		},
-		"two": {[]*quotalease.Request{ask(1, 3), ask(2, 3), ask(1, 3)}, true},
+		"the process restarts twice": {
+			[]*quotalease.Request{newRequest(1, 3), newRequest(2, 3), newRequest(2, 3), newRequest(3, 3)}, false,
+		},
+		// Requests with floors version 0 claim no floors: the old process claims none after the new one's first claim.
+		"an upgrade during which the old process still sends requests": {
+			[]*quotalease.Request{
+				newRequest(1, 3), newRequest(2, 0), newRequest(1, 3), newRequest(2, 3), newRequest(1, 0),
+			}, false,
+		},
+		// Two running processes alternate their claims.
+		"two": {[]*quotalease.Request{newRequest(1, 3), newRequest(2, 3), newRequest(1, 3)}, true},
 	} {
-		var all floorClaimTracker
-		found := false
-		for i, r := range c.asks {
-			found = errors.As(all.observe(time.Duration(i)*time.Second, r), &DuplicateFloorClaimError{}) || found
+		var tracker floorClaimTracker
+		detected := false
+		for i, request := range c.requests {
+			err := tracker.observe(time.Duration(i)*time.Second, request)
+			detected = errors.As(err, &DuplicateFloorClaimError{}) || detected
 		}
-		if found != c.want {
-			t.Errorf("%s: found %v", name, found)
+		if detected != c.want {
+			t.Errorf("case %q: observe reported a duplicate floor claim = %v, want %v", name, detected, c.want)
 		}
 	}
 }
--- a/internal/controlplane/server/frozen_test.go
+++ b/internal/controlplane/server/frozen_test.go
@@ -15,17 +15,17 @@
 	"lapisspread/internal/quotalease"
 )
 
-// The files of this test were written by the program of c8fad44, by
+// The release built from commit c8fad44 wrote the golden files of this test, in the package's former directory, by
 // UPDATE_FROZEN=1 go test ./internal/steward -run Frozen
 const (
-	frozenCommands = "testdata/commands.txt" // one a line, in hexadecimal
+	frozenCommands = "testdata/commands.txt" // one per line, in hexadecimal
 	frozenSnapshot = "testdata/snapshot.bin"
-	frozenReplies  = "testdata/replies.txt" // to the commands, in hexadecimal
+	frozenReplies  = "testdata/replies.txt" // to the commands, one per line, in hexadecimal
 )
 
 func frozenNow() time.Duration { return 0 }
 
-var frozenKey = quotalease.HolderID{Holder: "p1", Incarnation: 7}
+var frozenHolderID = quotalease.HolderID{Holder: "p1", Incarnation: 7}
 
 // frozenEntries returns log entries of each kind: quotas, leases, policies, and rejected commands.
 func frozenEntries(t *testing.T) [][]byte {
@@ -35,7 +35,7 @@
 	add := func(prefix string, command any) {
 		text, err := json.Marshal(command)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding a %T as JSON: %v", command, err)
 		}
 		entries = append(entries, append([]byte(prefix), text...))
 	}
@@ -68,7 +68,7 @@
 	addQuota(quotalease.Command{Batch: []quotalease.Command{{Grant: &quotalease.Lease{
 		FleetID:       "north",
 		Epoch:         1,
-		HolderID:      frozenKey,
+		HolderID:      frozenHolderID,
 		Quota:         "attempts",
 		Kind:          quotalease.Rate,
 		Amount:        quotalease.FromUnits(200),
@@ -87,15 +87,17 @@
 	return entries
 }
 
-func hexLines(all [][]byte) []byte {
+// hexLines returns each entry in hexadecimal on a line of its own.
+func hexLines(entries [][]byte) []byte {
 	var b strings.Builder
-	for _, text := range all {
+	for _, text := range entries {
 		b.WriteString(hex.EncodeToString(text) + "\n")
 	}
 	return []byte(b.String())
 }
 
-// A server goes on from a log and a snapshot of the program of c8fad44, and returns the same bytes for each entry.
+// A server continues from a log and a snapshot that the release built from commit c8fad44 wrote, and returns the same
+// bytes for each entry.
 func TestFrozenLogAndSnapshot(t *testing.T) {
 	m := newStateMachine(frozenNow, 1)
 	entries := frozenEntries(t)
@@ -105,7 +107,7 @@
 	}
 	snapshot, err := m.Snapshot()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Snapshot after all entries: %v", err)
 	}
 	for _, f := range []struct {
 		path string
@@ -113,34 +115,34 @@
 	}{{frozenCommands, hexLines(entries)}, {frozenReplies, hexLines(replies)}, {frozenSnapshot, snapshot}} {
 		if os.Getenv("UPDATE_FROZEN") != "" {
 			if err := os.WriteFile(f.path, f.text, 0o644); err != nil {
-				t.Fatal(err)
+				t.Fatalf("updating the golden file: %v", err)
 			}
 		}
-		kept, err := os.ReadFile(f.path)
+		golden, err := os.ReadFile(f.path)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading the golden file: %v", err)
 		}
-		if !bytes.Equal(kept, f.text) {
-			t.Errorf("%s: it is written otherwise", f.path)
+		if !bytes.Equal(golden, f.text) {
+			t.Errorf("encoded data differs from the golden file %s:\ngot  %q\nwant %q", f.path, f.text, golden)
 		}
 	}
-	kept, err := os.ReadFile(frozenSnapshot)
+	golden, err := os.ReadFile(frozenSnapshot)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the golden snapshot: %v", err)
 	}
 	restored := newStateMachine(frozenNow, 9)
-	if err := restored.Restore(kept); err != nil {
-		t.Fatal(err)
+	if err := restored.Restore(golden); err != nil {
+		t.Fatalf("Restore of the golden snapshot: %v", err)
 	}
 	checkFrozenState(t, restored)
-	next := append([]byte{policyEntryMarker}, []byte(`{"back":{"epoch":1,"by":"op"}}`)...)
-	if got, want := restored.Apply(20, next), m.Apply(20, next); !bytes.Equal(got, want) {
-		t.Errorf("answers %x, want %x", got, want)
+	rollback := append([]byte{policyEntryMarker}, []byte(`{"back":{"epoch":1,"by":"op"}}`)...)
+	if got, want := restored.Apply(20, rollback), m.Apply(20, rollback); !bytes.Equal(got, want) {
+		t.Errorf("Apply of a rollback to the restored state = %x, want %x as for the original state", got, want)
 	}
 	got, _ := restored.Snapshot()
 	want, _ := m.Snapshot()
 	if !bytes.Equal(got, want) {
-		t.Error("a restored state goes on otherwise")
+		t.Errorf("snapshot after a rollback: restored state\n%q, want that of the original state\n%q", got, want)
 	}
 }
 
@@ -152,11 +154,11 @@
 	candidate := version(2, "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389")
 	got := m.policyStatus()
 	if len(got.WithheldFiles) != 1 {
-		t.Fatalf("policies: read %+v", got)
+		t.Fatalf("policyStatus after Restore has %d withheld files, want 1: %+v", len(got.WithheldFiles), got)
 	}
 	withheld := got.WithheldFiles[0]
 	if withheld.Namespace != "beta" || withheld.Submitted != 1 || withheld.Active != 0 || withheld.Author != "beta" {
-		t.Errorf("withheld: read %+v", withheld)
+		t.Errorf("withheld file after Restore = %+v, want namespace beta by beta, submitted 1, active 0", withheld)
 	}
 	want := store.Status{
 		Active:         version(1, "8a10529ffc3691e232af7149e3151bf480492604b19e6b0281d70bdc53a370ae"),
@@ -169,17 +171,17 @@
 		ProxyCount:     3,
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("policies: read\n%+v, want\n%+v", got, want)
+		t.Errorf("policyStatus after Restore =\n%+v, want\n%+v", got, want)
 	}
 	reply := quotalease.Reply{
 		FleetID:       "north",
 		Epoch:         1,
-		HolderID:      frozenKey,
+		HolderID:      frozenHolderID,
 		ConfigVersion: 1,
 		Leases: []quotalease.Lease{{
 			FleetID:       "north",
 			Epoch:         1,
-			HolderID:      frozenKey,
+			HolderID:      frozenHolderID,
 			Quota:         "attempts",
 			Kind:          quotalease.Rate,
 			Amount:        quotalease.FromUnits(200),
@@ -193,10 +195,10 @@
 			"attempts": {Kind: quotalease.Rate, Amount: quotalease.FromUnits(50), Burst: quotalease.FromUnits(5)},
 		},
 	}
-	if got := m.quotas.ReplyTo(frozenKey); !reflect.DeepEqual(got, reply) {
-		t.Errorf("leases: read\n%+v, want\n%+v", got, reply)
+	if got := m.quotas.ReplyTo(frozenHolderID); !reflect.DeepEqual(got, reply) {
+		t.Errorf("ReplyTo(%+v) after Restore =\n%+v, want\n%+v", frozenHolderID, got, reply)
 	}
 	if _, epoch, err := m.quotas.Bootstrapped(); err != nil || epoch != 1 {
-		t.Errorf("bootstrapped: read %d, %v", epoch, err)
+		t.Errorf("Bootstrapped after Restore = epoch %d, error %v, want epoch 1 and no error", epoch, err)
 	}
 }
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -14,29 +14,32 @@
 	"lapisspread/internal/policy/store"
 )
 
-func ownershipText(beta string) string {
+// ownershipText returns an ownership declaration that gives x.org to alpha and betaHost to beta.
+func ownershipText(betaHost string) string {
 	text := "version = 1\n"
-	for _, n := range [][2]string{{"alpha", "x.org"}, {"beta", beta}} {
+	for _, namespace := range [][2]string{{"alpha", "x.org"}, {"beta", betaHost}} {
 		text += fmt.Sprintf(
-			"[[namespace]]\nname = %q\nowner = \"o\"\nhosts = [%q]\nsettings = [\"route\", \"service\"]\n", n[0],
-			n[1],
+			"[[namespace]]\nname = %q\nowner = \"o\"\nhosts = [%q]\nsettings = [\"route\", \"service\"]\n",
+			namespace[0], namespace[1],
 		)
 	}
 	return text
 }
 
+// namespaceText returns a namespace file with one route of the path prefix to one service.
 func namespaceText(name string, number int, path string) string {
 	return fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n[[service]]\nname = \"s-%s\"\n"+
 		"[[route]]\nname = \"r\"\nhost = \"x.org\"\npath_prefix = %q\nto = [{ service = \"s-%s\" }]\n",
 		name, number, name, path, name)
 }
 
+// offerCommand returns the command that submits a namespace file.
 func offerCommand(name string, number int, path string) store.Command {
 	return store.Command{SubmitFile: &store.SubmitFile{Text: namespaceText(name, number, path), Author: name}}
 }
 
-// proxyFleet is proxies that report to the leader, 100 requests each. Every other one is of an older release, which
-// does not accept chunks.
+// proxyFleet simulates proxies that report 100 requests each to the leader. Every second proxy runs an older release,
+// which does not accept chunks.
 type proxyFleet struct {
 	*testCluster
 	names         []string
@@ -44,7 +47,7 @@
 	trees         map[string]*merkle.Tree // of proxies that accept chunks
 	sequence      uint64
 	chunkRequests int
-	badRequests   func(epoch uint64) int64 // of 100, under an epoch
+	badRequests   func(epoch uint64) int64 // failed requests of 100 under an epoch
 }
 
 func newProxyFleet(cluster *testCluster, n int) *proxyFleet {
@@ -57,7 +60,8 @@
 	return p
 }
 
-// reportAll has each proxy report once and adopt its target, and checks that no proxy goes back within a generation.
+// reportAll makes each proxy report once and adopt its target. It checks that no proxy returns to an older version
+// within a generation.
 func (p *proxyFleet) reportAll() {
 	p.t.Helper()
 	for i, name := range p.names {
@@ -82,8 +86,9 @@
 			if reply.Chunked != in.AcceptsChunks || len(reply.Text) > 0 && in.AcceptsChunks ||
 				len(reply.Chunks) > 0 && !in.AcceptsChunks {
 				p.t.Fatalf(
-					"%s, which accepts chunks: %v, gets %d bytes and %d chunks", name, in.AcceptsChunks,
-					len(reply.Text), len(reply.Chunks),
+					"proxy %s with AcceptsChunks=%v got Chunked=%v, a text of %d bytes and %d chunks, "+
+						"want chunks only if accepted, and a text only otherwise",
+					name, in.AcceptsChunks, reply.Chunked, len(reply.Text), len(reply.Chunks),
 				)
 			}
 			if in.AcceptsChunks {
@@ -92,24 +97,25 @@
 				_ = current.AdoptText(reply.Target, reply.Text)
 			}
 			if current.Version() != before && !current.Version().NewerThan(before) {
-				p.t.Fatalf("%s went from %+v to %+v", name, before, current.Version())
+				p.t.Fatalf("proxy %s changed from version %+v to %+v, want a newer version",
+					name, before, current.Version())
 			}
 			break
 		}
 	}
 }
 
-// fetchChunks has a proxy fetch its target from any server.
+// fetchChunks makes a proxy fetch its target from the servers in turn and adopt it.
 func (p *proxyFleet) fetchChunks(name string, reply api.PolicyReply) {
 	p.t.Helper()
 	if !reply.Target.NewerThan(p.versions[name].Version()) {
 		return
 	}
 	root, err := merkle.ParseHash(reply.Target.Hash)
-	p.noError(err)
+	p.noError("parsing the target's hash", err)
 	assembly := merkle.NewAssembly(root, p.trees[name])
 	for _, chunk := range reply.Chunks {
-		p.noError(assembly.Add(chunk))
+		p.noError("adding a chunk of the report's reply", assembly.Add(chunk))
 	}
 	for range 100 {
 		names := assembly.Missing(api.MaxChunkNames)
@@ -127,28 +133,31 @@
 			continue
 		}
 		for _, chunk := range out.Chunks {
-			p.noError(assembly.Add(chunk))
+			p.noError("adding a requested chunk", assembly.Add(chunk))
 		}
 	}
 	tree, err := assembly.Tree()
 	if err != nil {
-		return // continued with the next report
+		return // the next report continues the fetch
 	}
-	p.noError(p.versions[name].Adopt(reply.Target, tree.Root().String()))
+	p.noError("adopting the target", p.versions[name].Adopt(reply.Target, tree.Root().String()))
 	p.trees[name] = tree
 }
 
+// countAtEpoch returns how many proxies run a version of the epoch.
 func (p *proxyFleet) countAtEpoch(epoch uint64) (n int) {
-	for _, h := range p.versions {
-		if h.Version().Epoch == epoch {
+	for _, current := range p.versions {
+		if current.Version().Epoch == epoch {
 			n++
 		}
 	}
 	return n
 }
 
+// waitUntilAll makes the proxies report until all of them run a version of the epoch.
 func (p *proxyFleet) waitUntilAll(what string, epoch uint64) {
 	p.t.Helper()
+	what = fmt.Sprintf("%s: all %d proxies run policy epoch %d", what, len(p.names), epoch)
 	p.until(what, func() bool { p.reportAll(); return p.countAtEpoch(epoch) == len(p.names) })
 }
 
@@ -161,11 +170,12 @@
 	)
 }
 
+// policyStatus returns the policy status that server i, counted from 0, has applied.
 func (cluster *testCluster) policyStatus(i int) store.Status {
-	t := cluster.servers[i].replica.Load()
-	return t.state.policyStatus()
+	return cluster.servers[i].replica.Load().state.policyStatus()
 }
 
+// newClusterWithPolicies returns a bootstrapped cluster with an ownership declaration for alpha and beta.
 func newClusterWithPolicies(t *testing.T) *testCluster {
 	cluster := newCluster(t)
 	cluster.bootstrap()
@@ -173,29 +183,31 @@
 	return cluster
 }
 
-// leaderNewestEpoch returns the newest merged epoch. It asks the leader, because a follower may be behind.
+// leaderNewestEpoch returns the newest merged epoch. It requests the status from the leader, because a follower
+// may be behind.
 func (cluster *testCluster) leaderNewestEpoch() (epoch uint64) {
 	cluster.t.Helper()
-	cluster.until("the leader's policy status", func() bool {
-		p, err := cluster.config.PolicyStatus(context.Background(), cluster.client)
-		epoch = p.Policy.Head.Epoch
-		return err == nil && p.IsLeader
+	cluster.until("the leader returns the policy status", func() bool {
+		status, err := cluster.config.PolicyStatus(context.Background(), cluster.client)
+		epoch = status.Policy.Head.Epoch
+		return err == nil && status.IsLeader
 	})
 	return epoch
 }
 
-// Two teams change overlapping rules on two sides of a partition: after it heals, all servers hold back the same one.
-// An ownership declaration that withdraws a domain removes the rules outside it.
+// Two teams submit overlapping rules on the two sides of a partition. After it heals, all servers withhold the same
+// file. An ownership declaration that withdraws a domain from a namespace removes its rules for that domain.
 func TestConflictingRulesAcrossPartition(t *testing.T) {
 	cluster := newClusterWithPolicies(t)
 	cluster.sendPolicyCommand(offerCommand("alpha", 1, "/a"))
 	cluster.sendPolicyCommand(offerCommand("beta", 1, "/b"))
 	offerOnBothSides(t, cluster)
 	cluster.sendPolicyCommand(offerCommand("alpha", 2, "/c"))
-	cluster.until("all servers have the same policy", func() bool {
-		a := cluster.policyStatus(0)
+	cluster.until("all servers have the same policy status with one withheld file", func() bool {
+		first := cluster.policyStatus(0)
 		for i := range 3 {
-			if st := cluster.policyStatus(i); len(st.WithheldFiles) != 1 || fmt.Sprint(st) != fmt.Sprint(a) {
+			status := cluster.policyStatus(i)
+			if len(status.WithheldFiles) != 1 || fmt.Sprint(status) != fmt.Sprint(first) {
 				return false
 			}
 		}
@@ -203,7 +215,7 @@
 	})
 	withheld := cluster.policyStatus(0).WithheldFiles[0]
 	if !strings.Contains(withheld.Reason, "x.org") || withheld.Advice == "" || withheld.Active != 1 {
-		t.Errorf("the request is not written out: %+v", withheld)
+		t.Errorf("withheld file = %+v, want a reason that names x.org, advice, and version 1 active", withheld)
 	}
 	var texts [3][]byte
 	for i := range 3 {
@@ -213,15 +225,15 @@
 		m.policyMu.Unlock()
 	}
 	if !bytes.Equal(texts[0], texts[1]) || !bytes.Equal(texts[0], texts[2]) {
-		t.Error("the servers' policy stores differ")
+		t.Errorf("snapshots of the servers' policy stores differ: %q", texts)
 	}
 
 	cluster.sendPolicyCommand(store.Command{SetDeclaration: &store.SetDeclaration{Text: ownershipText("y.org")}})
-	cluster.until("nobody uses a domain that was taken back", func() bool {
+	cluster.until("no server's policy has beta's route, whose domain was withdrawn, and all have alpha's", func() bool {
 		for i := range 3 {
-			st := cluster.policyStatus(i)
-			w, ok := cluster.servers[i].replica.Load().state.policyEncoding(st.Head)
-			if !ok || strings.Contains(w.text, "beta/r") || !strings.Contains(w.text, "alpha/r") {
+			status := cluster.policyStatus(i)
+			encoded, ok := cluster.servers[i].replica.Load().state.policyEncoding(status.Head)
+			if !ok || strings.Contains(encoded.text, "beta/r") || !strings.Contains(encoded.text, "alpha/r") {
 				return false
 			}
 		}
@@ -229,56 +241,61 @@
 	})
 }
 
-// offerOnBothSides cuts the leader off, and offers alpha's file there and beta's on the other side.
+// offerOnBothSides partitions the leader from the other servers. It submits alpha's file to the leader and beta's to
+// the others.
 func offerOnBothSides(t *testing.T, cluster *testCluster) {
-	lead := cluster.leader()
-	cluster.partitioned.Store(int64(lead + 1))
-	lone := *cluster.config
-	lone.Servers = cluster.config.Servers[lead : lead+1]
-	one := make(chan error, 1)
+	leader := cluster.leader()
+	cluster.partitioned.Store(int64(leader + 1))
+	leaderOnly := *cluster.config
+	leaderOnly.Servers = cluster.config.Servers[leader : leader+1]
+	minorityResult := make(chan error, 1)
 	go func() {
-		one <- lone.SendPolicyCommand(context.Background(), cluster.client, offerCommand("alpha", 2, "/c"))
+		command := offerCommand("alpha", 2, "/c")
+		minorityResult <- leaderOnly.SendPolicyCommand(context.Background(), cluster.client, command)
 	}()
-	cluster.until("the other side takes beta's", func() bool {
-		for i, o := range cluster.config.Servers {
-			if i == lead {
+	cluster.until("the majority accepts beta's file", func() bool {
+		for i, server := range cluster.config.Servers {
+			if i == leader {
 				continue
 			}
-			if cluster.call(o.Address, api.PathPolicyCommand, offerCommand("beta", 2, "/c"), nil) == nil {
+			if cluster.call(server.Address, api.PathPolicyCommand, offerCommand("beta", 2, "/c"), nil) == nil {
 				return true
 			}
 		}
 		return false
 	})
-	if err := <-one; err == nil {
-		t.Error("a minority accepted a command")
+	if err := <-minorityResult; err == nil {
+		t.Error("SendPolicyCommand to the partitioned leader returned no error, want one: it has no quorum")
 	}
 	cluster.partitioned.Store(0)
 }
 
-// A rollout that loses its leader resumes under the next one. One that does harm stops, stays stopped under the next
-// leader, and goes back only on command.
+// A rollout that loses its leader resumes under the next leader. A harmful rollout stops and stays stopped under the
+// next leader, and the proxies return to an earlier version only after an operator's rollback command.
 func TestRolloutResumesStopsAndRollsBack(t *testing.T) {
 	cluster := newClusterWithPolicies(t)
 	p := newProxyFleet(cluster, 24)
 	cluster.sendPolicyCommand(offerCommand("alpha", 1, "/a"))
 	first := cluster.leaderNewestEpoch()
-	p.waitUntilAll("the first policy", first)
-	cluster.until("that is committed", func() bool {
+	p.waitUntilAll("rollout of the first policy", first)
+	cluster.until("the leader has committed the completed rollout", func() bool {
 		return cluster.policyStatus(cluster.leader()).Active.Epoch == first
 	})
 
 	cluster.sendPolicyCommand(offerCommand("alpha", 2, "/c"))
 	second := cluster.leaderNewestEpoch()
-	cluster.until("some have it", func() bool { p.reportAll(); return p.countAtEpoch(second) > 0 })
-	if p.countAtEpoch(second) == len(p.names) {
-		t.Error("all had it at once")
+	cluster.until("some proxies have the second policy", func() bool {
+		p.reportAll()
+		return p.countAtEpoch(second) > 0
+	})
+	if n := p.countAtEpoch(second); n == len(p.names) {
+		t.Errorf("%d of %d proxies had the second policy after its first step, want fewer", n, len(p.names))
 	}
-	lead := cluster.leader()
-	cluster.stop(lead)
-	p.waitUntilAll("the second policy under another leader", second)
-	cluster.start(lead)
-	cluster.until("that is committed", func() bool {
+	leader := cluster.leader()
+	cluster.stop(leader)
+	p.waitUntilAll("rollout of the second policy under another leader", second)
+	cluster.start(leader)
+	cluster.until("the leader has committed the completed rollout", func() bool {
 		return cluster.policyStatus(cluster.leader()).Active.Epoch == second
 	})
 
@@ -290,20 +307,22 @@
 		}
 		return 1
 	}
-	cluster.until(
-		"it stops", func() bool { p.reportAll(); return cluster.policyStatus(cluster.leader()).Stopped != nil },
-	)
-	had := p.countAtEpoch(third)
-	if had == 0 || had > len(p.names)/2 {
-		t.Errorf("%d of %d had the worse policy", had, len(p.names))
+	cluster.until("the harmful rollout stops", func() bool {
+		p.reportAll()
+		return cluster.policyStatus(cluster.leader()).Stopped != nil
+	})
+	updated := p.countAtEpoch(third)
+	if updated == 0 || updated > len(p.names)/2 {
+		t.Errorf("%d of %d proxies have the harmful policy when its rollout stops, want at least 1 and at most half",
+			updated, len(p.names))
 	}
 	cluster.stop(cluster.leader())
 	cluster.leader()
 	for range 20 {
 		p.reportAll()
 	}
-	if n := p.countAtEpoch(third); n != had {
-		t.Errorf("%d have the stopped policy after another leader came, %d before", n, had)
+	if n := p.countAtEpoch(third); n != updated {
+		t.Errorf("%d proxies have the stopped policy under the next leader, want %d as before", n, updated)
 	}
 	for i := range 3 {
 		if cluster.servers[i] == nil {
@@ -312,133 +331,139 @@
 	}
 	cluster.sendPolicyCommand(store.Command{Rollback: &store.Rollback{Epoch: second, Author: "on call"}})
 	p.waitUntilAll("back", second)
-	verdict := store.Command{RolloutResult: &store.RolloutResult{}}
-	if err := cluster.config.SendPolicyCommand(context.Background(), cluster.client, verdict); err == nil {
-		t.Error("an operator ended a rollout")
+	result := store.Command{RolloutResult: &store.RolloutResult{}}
+	if err := cluster.config.SendPolicyCommand(context.Background(), cluster.client, result); err == nil {
+		t.Error("SendPolicyCommand with a rollout result returned no error, want one: only the leader ends a rollout")
 	}
 }
 
-// Snapshots from before there were policies stay readable, and a snapshot with policies restores quotas and policies.
+// Snapshots of releases that had no policies stay readable, and a snapshot with policies restores quotas and policies.
 func TestEntriesWithoutPoliciesStayReadable(t *testing.T) {
 	clock := func() time.Duration { return 0 }
 	m := newStateMachine(clock, 1)
 	m.Apply(1, []byte(`{}`))
 	old, err := m.Snapshot()
 	if err != nil || old[0] == policyEntryMarker {
-		t.Fatal(err, "a fleet without policies has another format")
+		t.Fatalf("Snapshot without policies returned error %v, data %q, want no error and no policy marker", err, old)
 	}
 	m.Apply(
 		2,
 		append([]byte{policyEntryMarker}, []byte(fmt.Sprintf(`{"charter":{"text":%q}}`, ownershipText("x.org")))...),
 	)
 	if m.policies.Empty() {
-		t.Fatal("the ownership declaration was not accepted")
+		t.Fatal("the policy store is empty after Apply of an ownership declaration, want the declaration stored")
 	}
-	both, err := m.Snapshot()
+	combined, err := m.Snapshot()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Snapshot with quotas and policies: %v", err)
 	}
-	for _, text := range [][]byte{old, both} {
-		n := newStateMachine(clock, 1)
-		if err := n.Restore(text); err != nil {
-			t.Fatal(err)
+	for _, text := range [][]byte{old, combined} {
+		restored := newStateMachine(clock, 1)
+		if err := restored.Restore(text); err != nil {
+			t.Fatalf("Restore(%q): %v", text, err)
 		}
-		again, _ := n.Snapshot()
+		again, _ := restored.Snapshot()
 		if !bytes.Equal(again, text) {
-			t.Errorf("%q came back as %q", text, again)
+			t.Errorf("Snapshot after Restore = %q, want the restored snapshot %q", again, text)
 		}
 	}
 	err = newStateMachine(clock, 1).Restore([]byte{policyEntryMarker, 'x'})
 	if api.RemoteErrorOf(err).Help == "" {
-		t.Error(err)
+		t.Errorf("Restore of a malformed snapshot returned %v, want an error with advice", err)
 	}
 }
 
-// The completion of a rollout is committed before it is announced: otherwise a leader that dies in between leaves the
-// next one without proxies to compare with.
+// The completion of a rollout is committed before it is announced to all proxies. Otherwise, if the leader crashes in
+// between, the next leader finds no proxies without the version to compare with, and the rollout never ends.
 func TestCompletionIsCommittedBeforeItIsAnnounced(t *testing.T) {
-	set := rollout.DefaultSettings()
-	set.StepDuration, set.SilenceTimeout, set.MinRequests = 100*time.Millisecond, 50*time.Millisecond, 100
-	run := func(early bool) (ended bool) {
-		book := store.New(1 << 32)
+	settings := rollout.DefaultSettings()
+	settings.StepDuration, settings.SilenceTimeout = 100*time.Millisecond, 50*time.Millisecond
+	settings.MinRequests = 100
+	secondLeaderCompletes := func(announceBeforeCommit bool) bool {
+		policies := store.New(1 << 32)
 		for _, c := range []store.Command{
 			{SetDeclaration: &store.SetDeclaration{Text: ownershipText("x.org")}}, offerCommand("alpha", 1, "/a"),
 		} {
-			if err := book.Apply(c); err != nil {
-				t.Fatal(err)
+			if err := policies.Apply(c); err != nil {
+				t.Fatalf("applying policy command %+v: %v", c, err)
 			}
 		}
-		has, now, number := map[string]rollout.Version{}, time.Duration(0), uint64(0)
-		// lead runs one leader until its rollout completes, and two rounds more, without committing anything.
-		lead := func() (done bool) {
-			r := &rolloutDriver{announceBeforeCommit: early, proxies: map[string]*proxyState{}}
-			for turn, after := 0, 0; turn < 1000 && after < 3; turn++ {
+		versions, now, sequence := map[string]rollout.Version{}, time.Duration(0), uint64(0)
+		// runLeader runs a new leader, for two rounds after its rollout completes, without committing anything. It
+		// reports whether the rollout completed.
+		runLeader := func() (done bool) {
+			driver := &rolloutDriver{announceBeforeCommit: announceBeforeCommit, proxies: map[string]*proxyState{}}
+			for round, roundsDone := 0, 0; round < 1000 && roundsDone < 3; round++ {
 				now += 10 * time.Millisecond
 				for i := range 20 {
 					name := fmt.Sprint("p", i)
-					if r.proxies[name] == nil {
-						r.proxies[name] = &proxyState{}
+					if driver.proxies[name] == nil {
+						driver.proxies[name] = &proxyState{}
 					}
-					r.proxies[name].lastReport = now
+					driver.proxies[name].lastReport = now
 				}
-				st := book.Status()
-				r.syncWithLog(now, set, st)
+				status := policies.Status()
+				driver.syncWithLog(now, settings, status)
 				for i := range 20 {
 					name := fmt.Sprint("p", i)
-					number++
-					had := has[name]
-					if had.Epoch == 0 {
-						had = activeVersion(st)
+					sequence++
+					current := versions[name]
+					if current.Epoch == 0 {
+						current = activeVersion(status)
 					}
-					r.rollout.Report(now, rollout.Report{Proxy: name, Sequence: number, Current: had, Good: 100})
-					if o := r.target(name, st); o.NewerThan(has[name]) {
-						has[name] = o
+					report := rollout.Report{Proxy: name, Sequence: sequence, Current: current, Good: 100}
+					driver.rollout.Report(now, report)
+					if target := driver.target(name, status); target.NewerThan(versions[name]) {
+						versions[name] = target
 					}
 				}
-				r.advance(now)
-				if state, _ := r.rollout.State(); state == rollout.Done {
+				driver.advance(now)
+				if state, _ := driver.rollout.State(); state == rollout.Done {
 					done = true
-					after++
+					roundsDone++
 				}
 			}
 			return done
 		}
-		if !lead() {
-			t.Fatal("the first leader did not complete the rollout")
+		if !runLeader() {
+			t.Fatalf("announceBeforeCommit=%v: the first leader did not complete the rollout in 1000 rounds",
+				announceBeforeCommit)
 		}
-		return lead()
+		return runLeader()
 	}
-	if !run(false) {
-		t.Error("the second leader never ends the rollout")
+	if !secondLeaderCompletes(false) {
+		t.Error("the second leader did not complete the rollout in 1000 rounds")
 	}
-	if run(true) {
-		t.Error("not detected without the safeguard")
+	if secondLeaderCompletes(true) {
+		t.Error("announceBeforeCommit=true: the second leader completed the rollout, want this mutation to prevent it")
 	}
 }
 
-// A new leader does not take the first proxies that report for the whole fleet.
+// A new leader does not treat the first proxies that report as the entire fleet. Otherwise it would give the version to
+// all of them at once.
 func TestFirstProxyToReportIsNotTheFleet(t *testing.T) {
-	set := rollout.DefaultSettings()
-	set.SilenceTimeout = time.Second
-	for _, hasty := range []bool{false, true} {
-		r := &rolloutDriver{startBeforeQuorum: hasty, proxies: map[string]*proxyState{}}
-		st := store.Status{
+	settings := rollout.DefaultSettings()
+	settings.SilenceTimeout = time.Second
+	for _, startBeforeQuorum := range []bool{false, true} {
+		driver := &rolloutDriver{startBeforeQuorum: startBeforeQuorum, proxies: map[string]*proxyState{}}
+		status := store.Status{
 			Active:    rollout.Version{Generation: 1, Epoch: 1, Hash: "a"},
 			Candidate: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"},
 		}
 		done := false
-		for i := range 20 { // one more proxy every 100 ms
+		for i := range 20 { // one more proxy reports every 100 ms
 			now := time.Duration(i) * 100 * time.Millisecond
 			for k := range i + 1 {
-				r.proxies[fmt.Sprint("p", k)] = &proxyState{lastReport: now}
+				driver.proxies[fmt.Sprint("p", k)] = &proxyState{lastReport: now}
 			}
-			r.syncWithLog(now, set, st)
-			r.advance(now)
-			state, _ := r.rollout.State()
+			driver.syncWithLog(now, settings, status)
+			driver.advance(now)
+			state, _ := driver.rollout.State()
 			done = done || state == rollout.Done
 		}
-		if done != hasty {
-			t.Errorf("without the safeguard %v: all got it at once: %v", hasty, done)
+		if done != startBeforeQuorum {
+			t.Errorf("startBeforeQuorum=%v: rollout was done within 2 s = %v, want %v",
+				startBeforeQuorum, done, startBeforeQuorum)
 		}
 	}
 }
@@ -447,8 +472,8 @@
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{30, 300, 1000, 4700, 9400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			set, r, number := rollout.DefaultSettings(), &rolloutDriver{}, uint64(0)
-			st := store.Status{
+			settings, driver, sequence := rollout.DefaultSettings(), &rolloutDriver{}, uint64(0)
+			status := store.Status{
 				Active:    rollout.Version{Generation: 1, Epoch: 1, Hash: "a"},
 				Candidate: rollout.Version{Generation: 1, Epoch: 2, Hash: "b"},
 			}
@@ -458,10 +483,13 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				number++
-				in := api.PolicyReport{Proxy: names[number%uint64(n)], Sequence: number, Current: st.Active, Good: 100}
-				if _, err := r.report(time.Duration(number)*time.Second/time.Duration(n), set, st, in); err != nil {
-					b.Fatal(err)
+				sequence++
+				in := api.PolicyReport{
+					Proxy: names[sequence%uint64(n)], Sequence: sequence, Current: status.Active, Good: 100,
+				}
+				now := time.Duration(sequence) * time.Second / time.Duration(n)
+				if _, err := driver.report(now, settings, status, in); err != nil {
+					b.Fatalf("report %d of %s: %v", sequence, in.Proxy, err)
 				}
 			}
 		})
--- a/internal/controlplane/server/rollout_sim_test.go
+++ b/internal/controlplane/server/rollout_sim_test.go
@@ -15,77 +15,79 @@
 	"lapisspread/internal/policy/store"
 )
 
-// rolloutSim plays the policy store, the rollout driver of the current leader and a fleet of proxies in virtual time.
-// Proxies report once per second, each at its own moment, and differ in how many of their requests go bad.
+// rolloutSim simulates the policy store, the rollout driver of the current leader and a fleet of proxies in virtual
+// time. Each proxy reports once per second at its own offset, and the proxies differ in their share of failed requests.
 type rolloutSim struct {
 	t           testing.TB
 	rng         *rand.Rand
 	store       *store.StateMachine
-	leader      *rolloutDriver // of the current leader; nil if none
+	leader      *rolloutDriver // driver of the current leader; nil without a leader
 	settings    rollout.Settings
 	now         time.Duration
 	proxies     []*simProxy
-	reporters   [stepsPerSecond][]*simProxy
-	adopting    []*simProxy
-	uncommitted *store.RolloutResult // proposed and not committed yet
+	reporters   [stepsPerSecond][]*simProxy // proxies by the step of each second in which they report
+	adopting    []*simProxy                 // proxies that adopt their target in the next step
+	uncommitted *store.RolloutResult        // proposed, but not committed yet
 
 	changes           []*simChange
-	harmfulEpochs     map[uint64]bool // with a harmful change
-	unadoptableEpochs map[uint64]bool // that proxies cannot adopt
-	maxHarmed         int             // most proxies that had a harmful epoch at one time
-	rollouts          int
-	stops             int
+	harmfulEpochs     map[uint64]bool // epochs with a harmful change
+	unadoptableEpochs map[uint64]bool // epochs that proxies cannot adopt
+	maxHarmed         int             // maximum number of proxies that had a harmful epoch at the same time
+	rollouts          int             // started
+	stops             int             // rollouts that were stopped
 	raftEpoch         uint64
 	violations        []string
-	logBlocked        bool // proposals are not committed
-	announceEarly     bool // mutation; see rolloutDriver
-	leastKnown        bool // leastEpoch is up to date
-	leastEpoch        uint64
+	logBlocked        bool   // while true, proposals are not committed
+	announceEarly     bool   // mutation rolloutDriver.announceBeforeCommit of new leaders
+	leastEpochValid   bool   // leastEpoch is up to date
+	leastEpoch        uint64 // lowest policy epoch of the reachable proxies
 }
 
 const (
 	simStep         = 100 * time.Millisecond
 	stepsPerSecond  = int(time.Second / simStep)
-	harmfulBadShare = 0.05 // of the requests under a harmful epoch
+	harmfulBadShare = 0.05 // additional share of failed requests under a harmful epoch, 0 to 1
 )
 
+// simProxy is a simulated proxy.
 type simProxy struct {
 	name        string
 	current     rollout.Version
-	badShare    float64
+	badShare    float64 // share of failed requests under a harmless epoch
 	sequence    uint64
-	adopting    rollout.Version // that it is about to adopt
+	adopting    rollout.Version // target that it adopts in the next step
 	unreachable bool
 }
 
-// simChange is a namespace file that a team offers.
+// simChange is a namespace file that a team submits.
 type simChange struct {
 	team, number int
 	offeredAt    time.Duration
 	harmful      bool
 	unadoptable  bool          // proxies cannot adopt it
-	completedIn  uint64        // the first completed rollout with it
-	inForceAt    time.Duration // when all proxies had it
+	completedIn  uint64        // epoch of the first completed rollout with the change; 0 if none
+	inForceAt    time.Duration // when all reachable proxies had the change; 0 if not yet
 }
 
-func (o *simChange) namespace() string { return fmt.Sprint("t", o.team) }
+func (c *simChange) namespace() string { return fmt.Sprint("t", c.team) }
 
-func newRolloutSim(t testing.TB, seed uint64, n, teams int) *rolloutSim {
+// newRolloutSim returns a simulation with a bootstrapped store, a leader and the given number of proxies.
+func newRolloutSim(t testing.TB, seed uint64, proxies, teams int) *rolloutSim {
 	t.Helper()
-	f := &api.Config{}
 	sim := &rolloutSim{
 		t:                 t,
 		rng:               rand.New(rand.NewPCG(seed, 21)),
-		settings:          f.RolloutSettings(),
+		settings:          (&api.Config{}).RolloutSettings(),
 		harmfulEpochs:     map[uint64]bool{},
 		unadoptableEpochs: map[uint64]bool{},
 	}
 	sim.bootstrap(teams)
-	sim.join(n)
+	sim.addProxies(proxies)
 	return sim
 }
 
-// bootstrap starts a new store, with an ownership declaration and a file of each team.
+// bootstrap replaces the store by a new one, with an ownership declaration and a file of each team, and elects a
+// leader.
 func (sim *rolloutSim) bootstrap(teams int) {
 	sim.t.Helper()
 	sim.raftEpoch++
@@ -99,82 +101,90 @@
 	sim.electLeader()
 }
 
-func ownershipOfTeams(n int) string {
-	var c strings.Builder
-	c.WriteString("version = 1\n")
-	for i := range n {
+// ownershipOfTeams returns an ownership declaration that gives x.org to the namespaces of all teams.
+func ownershipOfTeams(teams int) string {
+	var text strings.Builder
+	text.WriteString("version = 1\n")
+	for i := range teams {
 		fmt.Fprintf(
-			&c,
+			&text,
 			"[[namespace]]\nname = \"t%d\"\nowner = \"o\"\nhosts = [\"x.org\"]\nsettings = [\"route\", \"service\"]\n",
 			i,
 		)
 	}
-	return c.String()
+	return text.String()
 }
 
+// namespaceOfTeam returns a version of a team's namespace file.
 func namespaceOfTeam(team, number int, path string) string {
 	return namespaceText(fmt.Sprint("t", team), number, path)
 }
 
+// apply commits a command to the store.
 func (sim *rolloutSim) apply(c store.Command) {
 	sim.t.Helper()
-	sim.leastKnown = false
+	sim.leastEpochValid = false
 	if err := sim.store.Apply(c); err != nil {
-		sim.t.Fatalf("%v: %s", err, operatorerror.AdviceOf(err))
+		sim.t.Fatalf("at %v: Apply(%+v) returned error %v, advice %q, want no error",
+			sim.now, c, err, operatorerror.AdviceOf(err))
 	}
 }
 
-// electLeader starts a new leader, which knows the store only.
+// electLeader starts a new leader, which has no state except the store.
 func (sim *rolloutSim) electLeader() {
 	sim.leader = &rolloutDriver{proxies: map[string]*proxyState{}, announceBeforeCommit: sim.announceEarly}
 }
 
-func (sim *rolloutSim) join(n int) {
+// addProxies adds proxies with random shares of failed requests and random report times.
+func (sim *rolloutSim) addProxies(n int) {
 	for range n {
 		c := &simProxy{name: fmt.Sprintf("p%05d", len(sim.proxies)), badShare: 0.01 * sim.rng.ExpFloat64()}
 		sim.proxies = append(sim.proxies, c)
 		k := sim.rng.IntN(stepsPerSecond)
 		sim.reporters[k] = append(sim.reporters[k], c)
 	}
-	sim.leastKnown = false
+	sim.leastEpochValid = false
 }
 
-// offer submits a team's file.
-func (sim *rolloutSim) offer(team, number int, path string, harm bool) {
+// offer submits a version of a team's namespace file.
+func (sim *rolloutSim) offer(team, number int, path string, harmful bool) {
 	sim.t.Helper()
 	before := sim.store.Status()
 	sim.apply(store.Command{SubmitFile: &store.SubmitFile{Text: namespaceOfTeam(team, number, path), Author: "t"}})
-	sim.changes = append(sim.changes, &simChange{team: team, number: number, offeredAt: sim.now, harmful: harm})
+	sim.changes = append(sim.changes, &simChange{team: team, number: number, offeredAt: sim.now, harmful: harmful})
 	sim.observeRollout(before, false)
 }
 
-// observeRollout records a rollout that a command started.
-func (sim *rolloutSim) observeRollout(before store.Status, judged bool) {
+// observeRollout records a rollout that a command started. It records a violation if the rollout displaced one in
+// progress. The argument ended says that the command ended the previous rollout.
+func (sim *rolloutSim) observeRollout(before store.Status, ended bool) {
 	after := sim.store.Status()
 	if after.Candidate == before.Candidate || after.Candidate.Epoch == 0 {
 		return
 	}
-	if before.Candidate.Epoch != 0 && before.Stopped == nil && !judged {
-		sim.violate("epoch %d was displaced by %d", before.Candidate.Epoch, after.Candidate.Epoch)
+	if before.Candidate.Epoch != 0 && before.Stopped == nil && !ended {
+		sim.recordViolation("rollout of epoch %d in progress was displaced by epoch %d",
+			before.Candidate.Epoch, after.Candidate.Epoch)
 	}
 	sim.rollouts++
 	sim.harmfulEpochs[after.Candidate.Epoch] = sim.harmfulEpochs[after.Active.Epoch]
-	for _, change := range after.Batch {
-		for _, o := range sim.changes {
-			if change.Namespace != o.namespace() || change.Number != uint64(o.number) {
+	for _, batched := range after.Batch {
+		for _, change := range sim.changes {
+			if batched.Namespace != change.namespace() || batched.Number != uint64(change.number) {
 				continue
 			}
-			if o.unadoptable {
+			if change.unadoptable {
 				sim.unadoptableEpochs[after.Candidate.Epoch] = true
 			}
-			if o.harmful {
+			if change.harmful {
 				sim.harmfulEpochs[after.Candidate.Epoch] = true
 			}
 		}
 	}
 }
 
-func (sim *rolloutSim) violate(format string, args ...any) {
+// recordViolation records that something happened that must never happen.
+func (sim *rolloutSim) recordViolation(format string, args ...any) {
 	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
@@ -189,14 +199,14 @@
 	}
 	sim.advanceLeader(status)
 	sim.updateLeastEpoch(status)
-	for _, o := range sim.changes {
-		if o.completedIn != 0 && o.inForceAt == 0 && sim.leastEpoch >= o.completedIn {
-			o.inForceAt = sim.now
+	for _, change := range sim.changes {
+		if change.completedIn != 0 && change.inForceAt == 0 && sim.leastEpoch >= change.completedIn {
+			change.inForceAt = sim.now
 		}
 	}
 }
 
-// commitProposal commits how a rollout ended, as the leader proposed it in an earlier step.
+// commitProposal commits the rollout result that the leader proposed in an earlier step.
 func (sim *rolloutSim) commitProposal() {
 	if sim.uncommitted == nil || sim.leader == nil || sim.logBlocked {
 		return
@@ -212,21 +222,23 @@
 	sim.observeRollout(before, true)
 }
 
+// completeChanges records which changes the completed rollout contains, and a violation if it is harmful.
 func (sim *rolloutSim) completeChanges(before store.Status) {
 	epoch := before.Candidate.Epoch
-	for _, change := range before.Batch {
-		for _, o := range sim.changes {
-			if o.completedIn == 0 && change.Namespace == o.namespace() && change.Number >= uint64(o.number) {
-				o.completedIn = epoch
+	for _, batched := range before.Batch {
+		for _, change := range sim.changes {
+			if change.completedIn == 0 && batched.Namespace == change.namespace() &&
+				batched.Number >= uint64(change.number) {
+				change.completedIn = epoch
 			}
 		}
 	}
 	if sim.harmfulEpochs[epoch] {
-		sim.violate("epoch %d is harmful and got through", epoch)
+		sim.recordViolation("rollout of harmful epoch %d completed, want it stopped", epoch)
 	}
 }
 
-// adoptTargets has proxies adopt what they learnt in the last step.
+// adoptTargets makes proxies adopt the targets that they received in the previous step.
 func (sim *rolloutSim) adoptTargets() {
 	for _, c := range sim.adopting {
 		if c.adopting.NewerThan(c.current) {
@@ -235,7 +247,7 @@
 	}
 	if len(sim.adopting) > 0 {
 		sim.adopting = sim.adopting[:0]
-		sim.leastKnown = false
+		sim.leastEpochValid = false
 	}
 }
 
@@ -265,13 +277,13 @@
 	}
 }
 
-// updateLeastEpoch finds the epoch that all proxies have at least, and how many have a harmful one.
+// updateLeastEpoch computes the lowest epoch of the reachable proxies, and how many of them have a harmful epoch.
 func (sim *rolloutSim) updateLeastEpoch(st store.Status) {
-	if sim.leastKnown {
+	if sim.leastEpochValid {
 		return
 	}
-	had := 0
-	sim.leastKnown, sim.leastEpoch = true, math.MaxUint64
+	harmed := 0
+	sim.leastEpochValid, sim.leastEpoch = true, math.MaxUint64
 	for _, c := range sim.proxies {
 		switch {
 		case c.unreachable:
@@ -280,51 +292,57 @@
 		default:
 			sim.leastEpoch = min(sim.leastEpoch, c.current.Epoch)
 			if sim.harmfulEpochs[c.current.Epoch] {
-				had++
+				harmed++
 			}
 		}
 	}
-	sim.maxHarmed = max(sim.maxHarmed, had)
+	sim.maxHarmed = max(sim.maxHarmed, harmed)
 }
 
-func (sim *rolloutSim) report(c *simProxy, st store.Status) {
-	if c.unreachable || sim.leader == nil {
+// report sends a proxy's report to the leader and stores the target that the leader returns.
+func (sim *rolloutSim) report(proxy *simProxy, st store.Status) {
+	if proxy.unreachable || sim.leader == nil {
 		return
 	}
-	c.sequence++
-	share := min(1, c.badShare)
-	if sim.harmfulEpochs[c.current.Epoch] {
+	proxy.sequence++
+	share := min(1, proxy.badShare)
+	if sim.harmfulEpochs[proxy.current.Epoch] {
 		share = min(1, share+harmfulBadShare)
 	}
-	const each = 160 // requests per second of a proxy
-	bad := int64(math.Round(each*share + math.Sqrt(each*share*(1-share))*sim.rng.NormFloat64()))
-	bad = max(0, min(each, bad))
-	o, err := sim.leader.report(
+	const requests = 160 // per second of each proxy
+	bad := int64(math.Round(requests*share + math.Sqrt(requests*share*(1-share))*sim.rng.NormFloat64()))
+	bad = max(0, min(requests, bad))
+	target, err := sim.leader.report(
 		sim.now, sim.settings, st,
-		api.PolicyReport{Proxy: c.name, Sequence: c.sequence, Current: c.current, Good: each - bad, Bad: bad},
+		api.PolicyReport{
+			Proxy: proxy.name, Sequence: proxy.sequence, Current: proxy.current, Good: requests - bad, Bad: bad,
+		},
 	)
 	if err != nil {
-		sim.t.Fatal(err)
+		sim.t.Fatalf("at %v: report %d of proxy %s was rejected: %v", sim.now, proxy.sequence, proxy.name, err)
 	}
-	if c.current.NewerThan(o) && o.Generation > c.current.Generation {
-		sim.violate("a target goes back")
+	if proxy.current.NewerThan(target) && target.Generation > proxy.current.Generation {
+		sim.recordViolation("target %+v of proxy %s with version %+v has a newer generation but counts as older",
+			target, proxy.name, proxy.current)
 	}
-	if o.NewerThan(c.current) && !sim.unadoptableEpochs[o.Epoch] {
-		c.adopting = o
-		sim.adopting = append(sim.adopting, c)
+	if target.NewerThan(proxy.current) && !sim.unadoptableEpochs[target.Epoch] {
+		proxy.adopting = target
+		sim.adopting = append(sim.adopting, proxy)
 	}
 }
 
+// run advances the simulation by d.
 func (sim *rolloutSim) run(d time.Duration) {
 	for end := sim.now + d; sim.now < end; {
 		sim.step()
 	}
 }
 
-// settle runs until all rollouts have ended, and records a violation if they never do.
+// settle runs until all rollouts have ended, and records a violation if they have not after maxMinutes.
 func (sim *rolloutSim) settle() {
 	sim.t.Helper()
-	for range 5 * 60 * stepsPerSecond {
+	const maxMinutes = 5
+	for range maxMinutes * 60 * stepsPerSecond {
 		sim.step()
 		st := sim.store.Status()
 		if st.Candidate.Epoch != 0 && st.Stopped == nil || len(st.Queued) > 0 {
@@ -334,64 +352,69 @@
 			return
 		}
 	}
-	sim.violate("it never comes to an end: %+v", sim.store.Status())
+	sim.recordViolation("rollouts have not ended after %d minutes, store status: %+v", maxMinutes, sim.store.Status())
 }
 
-// findViolations returns what must never happen and did: a change that is neither in force nor reported, one that is
-// blamed without having done harm.
+// findViolations returns all recorded violations, and those that the final state shows: a change that is neither in
+// force nor reported, or one that is reported as failed although it did no harm.
 func (sim *rolloutSim) findViolations() []string {
 	st := sim.store.Status()
-	harmless := !slices.ContainsFunc(sim.changes, func(o *simChange) bool { return o.harmful })
-	for _, o := range sim.changes {
-		name := fmt.Sprint("t", o.team)
-		at := slices.IndexFunc(
+	harmless := !slices.ContainsFunc(sim.changes, func(change *simChange) bool { return change.harmful })
+	for _, change := range sim.changes {
+		name := fmt.Sprint("t", change.team)
+		failedIndex := slices.IndexFunc(
 			st.FailedChanges,
-			func(f store.FailedChange) bool { return f.Namespace == name && f.Number == uint64(o.number) },
+			func(f store.FailedChange) bool { return f.Namespace == name && f.Number == uint64(change.number) },
 		)
-		held := slices.ContainsFunc(st.WithheldFiles, func(h store.WithheldFile) bool {
-			return h.Namespace == name && h.Submitted == uint64(o.number) && h.Reason != ""
+		withheld := slices.ContainsFunc(st.WithheldFiles, func(h store.WithheldFile) bool {
+			return h.Namespace == name && h.Submitted == uint64(change.number) && h.Reason != ""
 		})
 		newer := slices.ContainsFunc(
-			sim.changes, func(n *simChange) bool { return n.team == o.team && n.number > o.number },
+			sim.changes, func(n *simChange) bool { return n.team == change.team && n.number > change.number },
 		)
 		switch {
-		case at >= 0 && (st.FailedChanges[at].Reason == "" || st.FailedChanges[at].Advice == "" ||
-			st.FailedChanges[at].Author != "t"):
-			sim.violate("%s %d is at fault without a reason", name, o.number)
-		case at >= 0 && (!o.harmful || harmless):
-			sim.violate("%s %d is blamed and did no harm", name, o.number)
-		case at < 0 && !held && !newer && o.inForceAt == 0:
-			sim.violate("%s %d is neither in force nor reported", name, o.number)
-		case at < 0 && !held && !newer && o.harmful:
-			sim.violate("%s %d is harmful and not reported", name, o.number)
+		case failedIndex >= 0 && (st.FailedChanges[failedIndex].Reason == "" ||
+			st.FailedChanges[failedIndex].Advice == "" || st.FailedChanges[failedIndex].Author != "t"):
+			sim.recordViolation("change %d of %s failed with an incomplete report %+v, want reason, advice, author t",
+				change.number, name, st.FailedChanges[failedIndex])
+		case failedIndex >= 0 && (!change.harmful || harmless):
+			sim.recordViolation("change %d of %s is reported as failed, but did no harm", change.number, name)
+		case failedIndex < 0 && !withheld && !newer && change.inForceAt == 0:
+			sim.recordViolation("change %d of %s is neither in force nor reported as failed or withheld",
+				change.number, name)
+		case failedIndex < 0 && !withheld && !newer && change.harmful:
+			sim.recordViolation("change %d of %s is harmful, but not reported as failed", change.number, name)
 		}
 	}
 	return sim.violations
 }
 
+// check fails the test if there are violations.
 func (sim *rolloutSim) check() {
 	sim.t.Helper()
-	if wrong := sim.findViolations(); len(wrong) > 0 {
-		sim.t.Errorf("%d: %s", len(wrong), wrong[0])
+	if violations := sim.findViolations(); len(violations) > 0 {
+		sim.t.Errorf("simulation has %d violations, want none; the first: %s", len(violations), violations[0])
 	}
 }
 
-// offerRegularly submits a change of a random team at regular times; every harmful-th does harm.
-func (sim *rolloutSim) offerRegularly(d, every time.Duration, harmful int) {
+// offerRegularly submits a change of a random team at each interval for the duration d, and then settles. Changes whose
+// number is a multiple of harmfulEvery are harmful; if it is 0, none is.
+func (sim *rolloutSim) offerRegularly(d, interval time.Duration, harmfulEvery int) {
 	number := 1
 	for end := sim.now + d; sim.now < end; {
 		number++
-		sim.offer(sim.rng.IntN(24), number, fmt.Sprint("/n", number), harmful > 0 && number%harmful == 0)
-		sim.run(every)
+		sim.offer(sim.rng.IntN(24), number, fmt.Sprint("/n", number), harmfulEvery > 0 && number%harmfulEvery == 0)
+		sim.run(interval)
 	}
 	sim.settle()
 }
 
-// completionTimes returns how long harmless changes took to reach all proxies, in ascending order.
+// completionTimes returns how long the harmless changes took from the submission until all reachable proxies had them,
+// in ascending order.
 func (sim *rolloutSim) completionTimes() (all []time.Duration) {
-	for _, o := range sim.changes {
-		if o.inForceAt > 0 && !o.harmful {
-			all = append(all, o.inForceAt-o.offeredAt)
+	for _, change := range sim.changes {
+		if change.inForceAt > 0 && !change.harmful {
+			all = append(all, change.inForceAt-change.offeredAt)
 		}
 	}
 	slices.Sort(all)
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -25,40 +25,44 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testCluster is three servers on loopback, each with its own state directory.
+// testCluster runs three servers on loopback, each with its own state directory.
 type testCluster struct {
 	t           testing.TB
 	config      *api.Config
 	client      *http.Client
 	servers     [3]*runningServer
 	stateDirs   [3]string
-	partitioned atomic.Int64 // the server that is cut off, counted from 1; 0 is none
+	partitioned atomic.Int64 // server that is partitioned from the others, counted from 1; 0 is none
 }
 
-// partitionableTransport carries one server's calls to the others.
+// errPartitioned is the error of requests to and from the partitioned server.
+var errPartitioned = errors.New("cut")
+
+// partitionableTransport carries one server's requests to the others. Requests to or from the partitioned server fail.
 type partitionableTransport struct {
 	http.RoundTripper
 	cluster *testCluster
 	server  int
 }
 
-func (l partitionableTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if cut := int(l.cluster.partitioned.Load()); cut > 0 && (cut == l.server+1 ||
-		r.URL.Host == l.cluster.config.Servers[cut-1].Address) {
-		return nil, errors.New("cut")
+func (t partitionableTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if partitioned := int(t.cluster.partitioned.Load()); partitioned > 0 && (partitioned == t.server+1 ||
+		r.URL.Host == t.cluster.config.Servers[partitioned-1].Address) {
+		return nil, errPartitioned
 	}
-	return l.RoundTripper.RoundTrip(r)
+	return t.RoundTripper.RoundTrip(r)
 }
 
+// runningServer is a server with its Run method running.
 type runningServer struct {
 	*Server
 	cancel context.CancelFunc
-	done   chan error
+	done   chan error // receives the error of Run
 }
 
 func newCluster(t testing.TB) *testCluster { return newClusterWithTLS(t, nil) }
 
-// newClusterConfig returns a configuration with short leases and steps, and no servers yet.
+// newClusterConfig returns a configuration with short leases and rollout steps, and no servers yet.
 func newClusterConfig(files *api.TLSFiles) *api.Config {
 	const lease = strictconfig.Duration(600 * time.Millisecond)
 	const step = strictconfig.Duration(400 * time.Millisecond)
@@ -84,22 +88,23 @@
 	}
 }
 
+// newClusterWithTLS starts three servers, with TLS unless files is nil.
 func newClusterWithTLS(t testing.TB, files *api.TLSFiles) *testCluster {
 	cluster := &testCluster{t: t, client: &http.Client{}, config: newClusterConfig(files)}
 	keys, err := cluster.config.LoadTLSKeys()
-	cluster.noError(err)
+	cluster.noError("loading the TLS keys", err)
 	cluster.client.Transport = api.NewTransport(keys)
-	var reserved []net.Listener
+	var reserved []net.Listener // hold the ports until all addresses are known
 	for i := range 3 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		cluster.noError(err)
-		reserved = append(reserved, l)
-		self := api.Server{Name: fmt.Sprint("s", i+1), ID: uint64(i + 1), Address: l.Addr().String()}
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		cluster.noError("reserving a port", err)
+		reserved = append(reserved, listener)
+		self := api.Server{Name: fmt.Sprint("s", i+1), ID: uint64(i + 1), Address: listener.Addr().String()}
 		cluster.config.Servers = append(cluster.config.Servers, self)
 		cluster.stateDirs[i] = t.TempDir()
 	}
 	for i := range 3 {
-		cluster.noError(reserved[i].Close())
+		cluster.noError("closing a reserved listener", reserved[i].Close())
 		cluster.start(i)
 	}
 	t.Cleanup(func() {
@@ -111,66 +116,72 @@
 	return cluster
 }
 
-func (cluster *testCluster) noError(err error) {
+// noError fails the test if the step failed.
+func (cluster *testCluster) noError(step string, err error) {
 	cluster.t.Helper()
 	if err != nil {
-		cluster.t.Fatal(err)
+		cluster.t.Fatalf("%s: unexpected error: %v", step, err)
 	}
 }
 
+// start starts server i, counted from 0, on its state directory.
 func (cluster *testCluster) start(i int) {
 	cluster.t.Helper()
 	keys, err := cluster.config.LoadTLSKeys()
-	cluster.noError(err)
-	way := &http.Client{Transport: api.NewTransport(keys)}
-	via := partitionableTransport{way.Transport, cluster, i}
-	st, err := New(Config{
+	cluster.noError("loading the TLS keys", err)
+	client := &http.Client{Transport: api.NewTransport(keys)}
+	transport := partitionableTransport{client.Transport, cluster, i}
+	server, err := New(Config{
 		Fleet:        cluster.config,
 		Name:         fmt.Sprint("s", i+1),
 		StateDir:     cluster.stateDirs[i],
 		TickInterval: 20 * time.Millisecond,
-		Transport:    via,
+		Transport:    transport,
 	})
-	cluster.noError(err)
-	l, err := net.Listen("tcp", cluster.config.Servers[i].Address)
-	cluster.noError(err)
+	cluster.noError("New", err)
+	listener, err := net.Listen("tcp", cluster.config.Servers[i].Address)
+	cluster.noError("listening on the server's address", err)
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &runningServer{st, cancel, make(chan error, 1)}
-	go func() { err := st.Run(ctx, l); way.CloseIdleConnections(); p.done <- err }()
-	cluster.servers[i] = p
+	running := &runningServer{server, cancel, make(chan error, 1)}
+	go func() { err := server.Run(ctx, listener); client.CloseIdleConnections(); running.done <- err }()
+	cluster.servers[i] = running
 }
 
+// stop stops server i, counted from 0, if it is running.
 func (cluster *testCluster) stop(i int) {
-	if p := cluster.servers[i]; p != nil {
-		p.cancel()
-		if err := <-p.done; err != nil && !errors.Is(err, http.ErrServerClosed) {
-			cluster.t.Error(err)
+	if server := cluster.servers[i]; server != nil {
+		server.cancel()
+		if err := <-server.done; err != nil && !errors.Is(err, http.ErrServerClosed) {
+			cluster.t.Errorf("Run of server %s returned %v after the stop, want no error", server.self.Name, err)
 		}
 		cluster.servers[i] = nil
 	}
 }
 
-// until waits for a condition that must become true.
-func (cluster *testCluster) until(what string, is func() bool) {
+// until polls a condition and fails the test if it is not true within 40 seconds.
+func (cluster *testCluster) until(what string, condition func() bool) {
 	cluster.t.Helper()
-	for end := time.Now().Add(40 * time.Second); !is(); time.Sleep(10 * time.Millisecond) {
+	const timeout = 40 * time.Second
+	for end := time.Now().Add(timeout); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			for _, p := range cluster.servers {
-				if p != nil {
-					cluster.t.Logf("%+v", *p.status.Load())
+			for i, server := range cluster.servers {
+				if server != nil {
+					cluster.t.Logf("status of server %d: %+v", i, *server.status.Load())
 				}
 			}
-			cluster.t.Fatalf("timed out: %s", what)
+			cluster.t.Fatalf("timed out after %v waiting for: %s", timeout, what)
 		}
 	}
 }
 
+// bootstrap starts epoch 1 and sets the configured quotas.
 func (cluster *testCluster) bootstrap() {
 	cluster.t.Helper()
-	cluster.noError(cluster.config.Bootstrap(context.Background(), cluster.client, 1))
+	cluster.noError("bootstrap of epoch 1", cluster.config.Bootstrap(context.Background(), cluster.client, 1))
 	cluster.setQuotas()
 }
 
+// setQuotas sets the configured quotas, and retries until a leader accepts them.
 func (cluster *testCluster) setQuotas() {
 	cluster.t.Helper()
 	cluster.until(
@@ -184,26 +195,27 @@
 	)
 }
 
+// leader waits until a server is the leader and returns its index.
 func (cluster *testCluster) leader() int {
-	lead := -1
-	cluster.until("a leader", func() bool {
-		for i, p := range cluster.servers {
-			if p != nil && p.status.Load().Role == roleLeader {
-				lead = i
+	leader := -1
+	cluster.until("a server is the leader", func() bool {
+		for i, server := range cluster.servers {
+			if server != nil && server.status.Load().Role == roleLeader {
+				leader = i
 				return true
 			}
 		}
 		return false
 	})
-	return lead
+	return leader
 }
 
-// call sends one request to a server.
+// call sends one request to a server and decodes its reply into out.
 func (cluster *testCluster) call(address, path string, in, out any) error {
 	return api.CallWithTimeout(context.Background(), cluster.client, address, path, in, out)
 }
 
-// testHolder requests leases, from one server after another.
+// testHolder is a proxy that holds leases.
 type testHolder struct {
 	*quotalease.Holder
 	startedAt time.Time
@@ -220,83 +232,93 @@
 	}
 }
 
+// now returns the time since the holder's start.
 func (h *testHolder) now() time.Duration { return time.Since(h.startedAt) }
 
-// requestLease returns the last error if no server granted the request.
+// requestLease sends a lease request to one server after another until one replies. It returns the last error if none
+// does.
 func (cluster *testCluster) requestLease(h *testHolder) (err error) {
 	h.SetDemand("attempts", 1000)
-	at := h.now()
-	r := h.NextRequest(at)
-	for _, o := range cluster.config.Servers {
+	sentAt := h.now()
+	request := h.NextRequest(sentAt)
+	for _, server := range cluster.config.Servers {
 		var reply quotalease.Reply
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		err = api.Call(ctx, cluster.client, o.Address, api.PathLease, r, &reply)
+		err = api.Call(ctx, cluster.client, server.Address, api.PathLease, request, &reply)
 		cancel()
 		if err == nil {
-			return h.HandleReply(at, h.now(), reply)
+			return h.HandleReply(sentAt, h.now(), reply)
 		}
 	}
 	return err
 }
 
+// granted returns the units that the holder has leased.
 func (h *testHolder) granted() float64 { return h.Status(h.now(), "attempts").Amount.Units() }
 
-// requestBothUntil requests leases for both holders until the condition is true, and checks that together they never
-// have more than the limit.
-func (cluster *testCluster) requestBothUntil(what string, a, b *testHolder, is func(a, b float64) bool, whole float64) {
+// requestBothUntil requests leases for both holders until the condition on their granted units is true. It checks that
+// together they never have more than the limit.
+func (cluster *testCluster) requestBothUntil(
+	what string, a, b *testHolder, condition func(a, b float64) bool, limit float64,
+) {
 	cluster.t.Helper()
 	cluster.until(what, func() bool {
 		for _, h := range []*testHolder{a, b} {
 			if err := cluster.requestLease(h); err != nil && operatorerror.AdviceOf(err) == "" {
-				cluster.t.Errorf("an error without advice: %v", err)
+				cluster.t.Errorf("%s: lease request failed with an error without advice: %v", what, err)
 			}
-			x, y := a.granted(), b.granted()
-			if x+y > whole {
-				cluster.t.Fatalf("%s: %v and %v exceed the limit %v", what, x, y, whole)
+			grantedA, grantedB := a.granted(), b.granted()
+			if grantedA+grantedB > limit {
+				cluster.t.Fatalf("%s: holders have %v and %v units, together more than the limit %v",
+					what, grantedA, grantedB, limit)
 			}
 		}
-		return is(a.granted(), b.granted())
+		return condition(a.granted(), b.granted())
 	})
 }
 
 func TestLeasesStayWithinLimitAcrossServerRestarts(t *testing.T) {
 	cluster := newCluster(t)
 	if err := cluster.requestLease(newTestHolder("p1")); api.RemoteErrorOf(err).Code != "grant.NotFounded" {
-		t.Errorf("before the bootstrap: %v", err)
+		t.Errorf("lease request before the bootstrap returned error %v, want code grant.NotFounded", err)
 	}
 	cluster.bootstrap()
 	a, b := newTestHolder("p1"), newTestHolder("p2")
-	cluster.requestBothUntil("both have half", a, b, bothHaveHalf, 1000)
+	cluster.requestBothUntil("both holders have half of the limit", a, b, bothHaveHalf, 1000)
 
-	lead := cluster.leader()
-	cluster.stop(lead)
-	cluster.requestBothUntil("both have half again under another leader", a, b, bothHaveHalf, 1000)
+	firstLeader := cluster.leader()
+	cluster.stop(firstLeader)
+	cluster.requestBothUntil("both holders have half of the limit under another leader", a, b, bothHaveHalf, 1000)
 
-	other := cluster.leader()
-	cluster.stop(other)
+	nextLeader := cluster.leader()
+	cluster.stop(nextLeader)
 	cluster.requestBothUntil(
-		"a minority grants nothing, and leases end", a, b, func(a, b float64) bool { return a+b == 0 }, 1000,
+		"all leases have expired, since a minority of the servers grants none", a, b,
+		func(a, b float64) bool { return a+b == 0 }, 1000,
 	)
 	if err := cluster.requestLease(a); err == nil || operatorerror.AdviceOf(err) == "" || a.granted() != 0 {
-		t.Errorf("a minority says %v, and gives %v", err, a.granted())
+		t.Errorf("lease request to a minority of the servers returned error %v, holder has %v units, "+
+			"want an error with advice and 0 units", err, a.granted())
 	}
-	cluster.start(lead)
-	cluster.start(other)
-	cluster.requestBothUntil("both have half once the servers are back", a, b, bothHaveHalf, 1000)
+	cluster.start(firstLeader)
+	cluster.start(nextLeader)
+	cluster.requestBothUntil("both holders have half of the limit after the restarts", a, b, bothHaveHalf, 1000)
 
 	cluster.config.Quotas[0].Limit = 400
 	cluster.setQuotas()
-	deadline := time.Now().Add(700 * time.Millisecond) // a lease with its margin; then the lower limit holds
+	deadline := time.Now().Add(700 * time.Millisecond) // longer than a lease of 600 ms; then the lower limit applies
 	cluster.requestBothUntil(
-		"leases of the higher limit expire", a, b,
+		"the leases granted under the higher limit expire", a, b,
 		func(float64, float64) bool { return time.Now().After(deadline) }, 1000,
 	)
 	cluster.requestBothUntil(
-		"both have half of the lower limit", a, b, func(a, b float64) bool { return a == 200 && b == 200 }, 400,
+		"both holders have half of the lower limit", a, b, func(a, b float64) bool { return a == 200 && b == 200 }, 400,
 	)
 
 	b.ReleaseAll()
-	cluster.requestBothUntil("the one that stays has all", a, b, func(a, _ float64) bool { return a == 400 }, 400)
+	cluster.requestBothUntil(
+		"the remaining holder has the full limit", a, b, func(a, _ float64) bool { return a == 400 }, 400,
+	)
 }
 
 func TestOperatorCommandsAreValidated(t *testing.T) {
@@ -310,111 +332,113 @@
 
 func checkInvalidCommands(t *testing.T, cluster *testCluster) {
 	ctx := context.Background()
-	rejected := func(what, code string, err error) {
+	checkRejected := func(what, code string, err error) {
 		t.Helper()
 		if remote := api.RemoteErrorOf(err); !strings.Contains(remote.Code, code) || remote.Help == "" {
-			t.Errorf("%s: %s %v, with advice %q", what, remote.Code, err, remote.Help)
+			t.Errorf("%s: got error %v with code %q and advice %q, want a code that contains %q, and advice",
+				what, err, remote.Code, remote.Help, code)
 		}
 	}
-	cluster.noError(cluster.config.Bootstrap(ctx, cluster.client, 1)) // repeated
+	cluster.noError("repeated bootstrap of epoch 1", cluster.config.Bootstrap(ctx, cluster.client, 1))
 	shorter := *cluster.config
 	shorter.MaxLifetime /= 2
-	rejected("a shorter lifetime", "BadCommand", shorter.Bootstrap(ctx, cluster.client, 2))
-	other := *cluster.config
-	other.Fleet = "south"
-	rejected("another fleet's bootstrap", "OtherFleet", other.Bootstrap(ctx, cluster.client, 2))
-	_, err := other.SetQuotas(ctx, cluster.client, 9, nil)
-	rejected("another fleet's quotas", "OtherFleet", err)
+	checkRejected("bootstrap with a shorter maximum lifetime", "BadCommand", shorter.Bootstrap(ctx, cluster.client, 2))
+	otherFleet := *cluster.config
+	otherFleet.Fleet = "south"
+	checkRejected("bootstrap of another fleet", "OtherFleet", otherFleet.Bootstrap(ctx, cluster.client, 2))
+	_, err := otherFleet.SetQuotas(ctx, cluster.client, 9, nil)
+	checkRejected("quotas of another fleet", "OtherFleet", err)
 	_, err = cluster.config.SetQuotas(ctx, cluster.client, 1, nil)
-	rejected("an old version", "OldBudgets", err)
+	checkRejected("quotas with a version already used", "OldBudgets", err)
 
-	stranger := newTestHolder("p1")
-	stranger.Holder = quotalease.NewHolder(quotalease.HolderSettings{
+	otherFleetHolder := newTestHolder("p1")
+	otherFleetHolder.Holder = quotalease.NewHolder(quotalease.HolderSettings{
 		FleetID:  "south",
 		HolderID: quotalease.HolderID{Holder: "p1", Incarnation: 1},
 	})
-	lead := cluster.leader()
-	leader := cluster.config.Servers[lead].Address
-	follower := cluster.config.Servers[(lead+1)%3].Address
-	err = cluster.call(leader, api.PathLease, stranger.NextRequest(0), nil)
-	rejected("another fleet's proxy", "OtherFleet", err)
-	err = cluster.call(follower, api.PathLease, newTestHolder("p2").NextRequest(0), nil)
+	leader := cluster.leader()
+	leaderAddress := cluster.config.Servers[leader].Address
+	followerAddress := cluster.config.Servers[(leader+1)%3].Address
+	err = cluster.call(leaderAddress, api.PathLease, otherFleetHolder.NextRequest(0), nil)
+	checkRejected("lease request of another fleet's proxy", "OtherFleet", err)
+	err = cluster.call(followerAddress, api.PathLease, newTestHolder("p2").NextRequest(0), nil)
 	remote := api.RemoteErrorOf(err)
-	if remote.LeaderAddress != leader || !strings.Contains(remote.Code, "NotLeader") {
-		t.Errorf("a follower says %+v", remote)
+	if remote.LeaderAddress != leaderAddress || !strings.Contains(remote.Code, "NotLeader") {
+		t.Errorf("lease request to a follower returned %+v, want code NotLeader and leader address %s",
+			remote, leaderAddress)
 	}
 }
 
-// checkSecondEpoch bootstraps again: leases of the first epoch have expired before any is granted under the second.
+// checkSecondEpoch bootstraps a second epoch, and checks that all leases of the first epoch have expired before any is
+// granted under the second.
 func checkSecondEpoch(t *testing.T, cluster *testCluster, a, b *testHolder) {
 	ctx := context.Background()
-	cluster.requestBothUntil("p1 has all or half", a, b, func(a, _ float64) bool { return a > 0 }, 1000)
-	cluster.noError(cluster.config.Bootstrap(ctx, cluster.client, 2))
+	cluster.requestBothUntil("p1 has a lease", a, b, func(a, _ float64) bool { return a > 0 }, 1000)
+	cluster.noError("bootstrap of epoch 2", cluster.config.Bootstrap(ctx, cluster.client, 2))
 	cluster.until("quotas are set under the second epoch", func() bool {
 		_, err := cluster.config.SetQuotas(ctx, cluster.client, 0, nil)
 		if err != nil && b.granted() > 0 && api.RemoteErrorOf(err).Code == "" {
-			t.Errorf("an error without a name: %v", err)
+			t.Errorf("SetQuotas under the second epoch returned an error without a code: %v", err)
 		}
 		return err == nil
 	})
-	cluster.requestBothUntil("both have half", a, b, bothHaveHalf, 1000)
+	cluster.requestBothUntil("both holders have half of the limit", a, b, bothHaveHalf, 1000)
 }
 
-// checkRestoredLog restores a server's log from an older copy: it takes no part and reports it; the others go on.
+// checkRestoredLog replaces a server's log by an older copy. The server must stop taking part and report it, while the
+// others continue to grant leases.
 func checkRestoredLog(cluster *testCluster, a, b *testHolder) {
 	cluster.stop(0)
 	path := filepath.Join(cluster.stateDirs[0], "log-2.db")
-	copied, err := os.ReadFile(path)
-	cluster.noError(err)
+	oldLog, err := os.ReadFile(path)
+	cluster.noError("copying the log", err)
 	cluster.start(0)
-	cluster.requestBothUntil("it takes part again", a, b, func(a, b float64) bool {
+	cluster.requestBothUntil("the restarted server applies entries again", a, b, func(a, b float64) bool {
 		return bothHaveHalf(a, b) && cluster.servers[0].status.Load().Applied > 5
 	}, 1000)
 	cluster.stop(0)
-	cluster.noError(os.WriteFile(path, copied, 0o600))
+	cluster.noError("replacing the log by the older copy", os.WriteFile(path, oldLog, 0o600))
 	cluster.start(0)
-	cluster.requestBothUntil("it finds that its log is old", a, b, func(a, b float64) bool {
+	cluster.requestBothUntil("the server reports that its log was rolled back", a, b, func(a, b float64) bool {
 		fault := cluster.servers[0].status.Load().Fault
 		return strings.Contains(fault.Code, "StoreRolledBack") && bothHaveHalf(a, b)
 	}, 1000)
 }
 
+// bothHaveHalf reports whether both holders have half of the limit of 1000.
 func bothHaveHalf(a, b float64) bool { return a == 500 && b == 500 }
 
-// Servers and their callers need a certificate of the fleet's CA; other callers get no answer.
+// Servers accept only callers with a certificate of the fleet's CA. Other callers get no reply.
 func TestMetricsRequireClientCertificate(t *testing.T) {
 	ca := tlstest.NewCA(t)
 	files := ca.Issue(t, "steward", time.Hour)
 	cluster := newClusterWithTLS(t, &api.TLSFiles{Certificate: files.Certificate, Key: files.Key, CA: files.CA})
-	stranger := tlstest.NewCA(t).Issue(t, "stranger", time.Hour)
-	other, err := (&api.Config{
-		TLS: &api.TLSFiles{Certificate: stranger.Certificate, Key: stranger.Key, CA: files.CA},
+	otherCAFiles := tlstest.NewCA(t).Issue(t, "stranger", time.Hour)
+	otherCAKeys, err := (&api.Config{
+		TLS: &api.TLSFiles{Certificate: otherCAFiles.Certificate, Key: otherCAFiles.Key, CA: files.CA},
 	}).LoadTLSKeys()
-	cluster.noError(err)
-	for what, via := range map[string]http.RoundTripper{
-		"in the clear": api.NewTransport(nil),
-		"another CA's": api.NewTransport(other),
+	cluster.noError("loading the keys issued by another CA", err)
+	for what, transport := range map[string]http.RoundTripper{
+		"without TLS":                      api.NewTransport(nil),
+		"with a certificate of another CA": api.NewTransport(otherCAKeys),
 	} {
-		client := &http.Client{Transport: via}
+		client := &http.Client{Transport: transport}
 		err := cluster.config.Bootstrap(context.Background(), client, 1)
 		if !errors.As(err, &api.ServerUnreachableError{}) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("Bootstrap %s returned %v, want a ServerUnreachableError", what, err)
 		}
 		client.CloseIdleConnections()
 	}
 	cluster.bootstrap()
-	cluster.noError(func() error {
-		cluster.until("a lease request", func() bool { return cluster.requestLease(newTestHolder("p1")) == nil })
-		return nil
-	}())
-	lead := cluster.leader()
-	cluster.until("metrics", func() bool {
-		r, err := cluster.client.Get("http://" + cluster.config.Servers[lead].Address + api.PathMetrics)
-		cluster.noError(err)
-		defer func() { _ = r.Body.Close() }()
+	cluster.until("a lease request succeeds", func() bool { return cluster.requestLease(newTestHolder("p1")) == nil })
+	leader := cluster.leader()
+	cluster.until("the leader exports the quota limit and its role as metrics", func() bool {
+		response, err := cluster.client.Get("http://" + cluster.config.Servers[leader].Address + api.PathMetrics)
+		cluster.noError("requesting the metrics", err)
+		defer func() { _ = response.Body.Close() }()
 		var text strings.Builder
 		buf := make([]byte, 1<<16)
-		n, _ := r.Body.Read(buf)
+		n, _ := response.Body.Read(buf)
 		text.Write(buf[:n])
 		return strings.Contains(
 			text.String(), `lapisspread_budget_whole_units{budget="attempts"} 1000`,
@@ -423,39 +447,40 @@
 }
 
 // BenchmarkAsks measures lease requests of many proxies to three servers on loopback, with their logs on disk. Each
-// proxy sends its next request when the last one is answered.
+// proxy sends its next request once the previous one is answered.
 func BenchmarkAsks(b *testing.B) {
 	for _, proxies := range []int{30, 300} {
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
 			cluster := newCluster(b)
 			cluster.config.Quotas[0].Burst = 1000
 			cluster.bootstrap()
-			lead := cluster.config.Servers[cluster.leader()].Address
+			leaderAddress := cluster.config.Servers[cluster.leader()].Address
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: proxies}}
 			defer client.CloseIdleConnections()
 			before := *cluster.servers[cluster.leader()].status.Load()
-			var left, failed atomic.Int64
-			left.Store(int64(b.N))
+			var remaining, failed atomic.Int64
+			remaining.Store(int64(b.N))
 			b.ResetTimer()
-			var all sync.WaitGroup
+			var workers sync.WaitGroup
 			for i := range proxies {
-				all.Go(func() {
-					h := newTestHolder(fmt.Sprint("p", i))
-					for left.Add(-1) >= 0 {
-						h.SetDemand("attempts", 1000)
-						at := h.now()
+				workers.Go(func() {
+					holder := newTestHolder(fmt.Sprint("p", i))
+					for remaining.Add(-1) >= 0 {
+						holder.SetDemand("attempts", 1000)
+						sentAt := holder.now()
 						var reply quotalease.Reply
 						ctx := context.Background()
-						err := api.CallWithTimeout(ctx, client, lead, api.PathLease, h.NextRequest(at), &reply)
+						request := holder.NextRequest(sentAt)
+						err := api.CallWithTimeout(ctx, client, leaderAddress, api.PathLease, request, &reply)
 						if err != nil {
 							failed.Add(1)
 							continue
 						}
-						_ = h.HandleReply(at, h.now(), reply)
+						_ = holder.HandleReply(sentAt, holder.now(), reply)
 					}
 				})
 			}
-			all.Wait()
+			workers.Wait()
 			b.StopTimer()
 			cluster.servers[cluster.leader()].refreshStatus()
 			after := cluster.servers[cluster.leader()].status.Load()
