--- a/internal/controlplane/server/allocator.go
+++ b/internal/controlplane/server/allocator.go
@@ -9,35 +9,39 @@
 )
 
 const (
-	maxQueuedRequests = 1024            // lease requests that wait
-	maxRequestWait    = 3 * time.Second // that a lease request waits
-	// maxIdle bounds the time between two runs of the allocator without a request, which expire leases.
+	maxQueuedRequests = 1024            // lease requests in the queue
+	maxRequestWait    = 3 * time.Second // maximum time that a caller is assumed to wait for its lease
+	// maxIdle is the maximum time between two runs of the allocator without a request. Such runs expire leases.
 	maxIdle = time.Second
-	// minIdle bounds it from below: what is due on a follower stays due until the leader's entry arrives.
+	// minIdle is the minimum time. It prevents a busy loop on a follower, where an expiry stays due until the leader's
+	// log entry arrives.
 	minIdle = 20 * time.Millisecond
-	// maxPlanRounds is how often one run of the allocator plans. A first plan may free what a second one grants.
+	// maxPlanRounds is the maximum number of plans in one run of the allocator. A first plan may free units that a
+	// second one grants.
 	maxPlanRounds = 3
-	// repeatedWarningInterval is the shortest time between two log lines about duplicate floor claims.
+	// repeatedWarningInterval is the minimum time between two log lines about duplicate floor claims.
 	repeatedWarningInterval = 10 * time.Second
 )
 
-// leaseRequest is a request that waits for the allocator.
+// leaseRequest is a request that is queued for the allocator.
 type leaseRequest struct {
 	request quotalease.Request
 	reply   chan leaseReply // capacity 1
 }
 
+// leaseReply is the result of a lease request. The reply is valid only if err is nil.
 type leaseReply struct {
 	reply quotalease.Reply
 	err   error
 }
 
-// requestLease queues a request for the allocator and waits for its reply, no longer than the caller does.
+// requestLease queues a request for the allocator and blocks until its reply. It waits for less time than callerWaits,
+// after which the caller gives up. It returns a QueueFullError if the queue is full and a NoQuorumError on a timeout.
 func (s *Server) requestLease(
 	ctx context.Context, request quotalease.Request, callerWaits time.Duration,
 ) (quotalease.Reply, error) {
 	s.counters.requests.Add(1)
-	ctx, cancel := context.WithTimeout(ctx, callerWaits*4/5) // leaves time for the error to reach the caller
+	ctx, cancel := context.WithTimeout(ctx, callerWaits*4/5) // leaves time to send the error to the caller
 	defer cancel()
 	queued := leaseRequest{request: request, reply: make(chan leaseReply, 1)}
 	select {
@@ -47,14 +51,14 @@
 		return quotalease.Reply{}, consensus.QueueFullError{Limit: maxQueuedRequests}
 	}
 	select {
-	case answer := <-queued.reply:
-		return answer.reply, answer.err
+	case result := <-queued.reply:
+		return result.reply, result.err
 	case <-ctx.Done():
 		return quotalease.Reply{}, s.noQuorum()
 	}
 }
 
-// noQuorum is the error of a request that was not committed in time.
+// noQuorum returns the error for a request that was not committed in time.
 func (s *Server) noQuorum() error {
 	if status := s.status.Load(); status != nil {
 		return consensus.NoQuorumError{Active: status.RespondingVoters, Needed: status.Voters/2 + 1}
@@ -62,8 +66,8 @@
 	return consensus.NoQuorumError{}
 }
 
-// runAllocator serves lease requests until ctx ends. Requests that arrive while a plan is being committed are served
-// together by the next one.
+// runAllocator serves lease requests until ctx is canceled. Requests that arrive while a plan is being committed are
+// served together by the next plan.
 func (s *Server) runAllocator(ctx context.Context) {
 	idle := time.NewTimer(maxIdle)
 	defer idle.Stop()
@@ -85,7 +89,8 @@
 	}
 }
 
-// untilNextExpiry returns how long the allocator may sleep.
+// untilNextExpiry returns how long the allocator may wait without a request: until the next lease expires, but between
+// minIdle and maxIdle.
 func (s *Server) untilNextExpiry() time.Duration {
 	current := s.replica.Load()
 	if current == nil {
@@ -101,7 +106,7 @@
 	return max(minIdle, min(maxIdle, next-s.clock()))
 }
 
-// allocate expires leases that have ended, serves the requests, and replies to each of them.
+// allocate frees leases whose time is over, serves the requests, and replies to each of them.
 func (s *Server) allocate(ctx context.Context, requests []leaseRequest) {
 	current := s.replica.Load()
 	if current == nil {
@@ -126,8 +131,8 @@
 	}
 }
 
-// checkLeader returns an error unless this server leads. On a follower it also has the allocator drop what has ended,
-// so that its memory stays bounded.
+// checkLeader returns an error unless this server is the leader. On a follower it also runs a plan of the allocator,
+// which drops expired entries, so that the allocator's memory stays bounded.
 func (s *Server) checkLeader(current *replica) error {
 	status := current.node.Status()
 	if status.Err != nil {
@@ -145,7 +150,7 @@
 	return consensus.NotLeaderError{Leader: status.Leader}
 }
 
-// ensureBootstrapped commits the epoch's first entry if the log does not have it yet.
+// ensureBootstrapped commits the bootstrap entry of the epoch if the state machine has not applied it yet.
 func (s *Server) ensureBootstrapped(ctx context.Context, current *replica) error {
 	current.state.quotaMu.Lock()
 	_, _, notBootstrapped := current.state.quotas.Bootstrapped()
@@ -161,7 +166,8 @@
 	}})
 }
 
-// handleRequests passes requests to the allocator. It replies to those that it rejects and returns the others.
+// handleRequests passes requests to the allocator. It replies with an error to those that the allocator rejects, and
+// returns the others. It also logs duplicate floor claims.
 func (s *Server) handleRequests(state *stateMachine, requests []leaseRequest) (accepted []leaseRequest) {
 	now := s.clock()
 	state.quotaMu.Lock()
@@ -181,6 +187,7 @@
 	return accepted
 }
 
+// warnDuplicateFloorClaim counts a duplicate floor claim and logs it, at most once per repeatedWarningInterval.
 func (s *Server) warnDuplicateFloorClaim(now time.Duration, err error) {
 	s.counters.duplicateFloorClaims.Add(1)
 	last := s.floorClaims.lastWarning
@@ -190,8 +197,8 @@
 	}
 }
 
-// commitPlans commits what the allocator plans: first what frees leases, then what grants the freed units. What is left
-// after maxPlanRounds waits for the next run.
+// commitPlans commits the allocator's plans: first those that free leases, then those that grant the freed units. Work
+// that remains after maxPlanRounds is left to the next run.
 func (s *Server) commitPlans(ctx context.Context, current *replica) error {
 	for range maxPlanRounds {
 		commands := s.plan(current.state)
@@ -205,7 +212,7 @@
 	return nil
 }
 
-// plan returns the commands that the allocator wants committed now, none if nothing is due.
+// plan returns the commands that the allocator wants to commit, none if nothing is due.
 func (s *Server) plan(state *stateMachine) []quotalease.Command {
 	state.quotaMu.Lock()
 	defer state.quotaMu.Unlock()
@@ -215,7 +222,8 @@
 	return state.allocator.Plan(s.clock())
 }
 
-// replyFromState replies with what the state machine holds for the requester.
+// replyFromState replies with the leases and floors that the state machine holds for the requester. While leases of an
+// earlier epoch may still be valid and no quotas are set, it replies with a BootstrapPendingError.
 func (s *Server) replyFromState(current *replica, request leaseRequest) {
 	state := current.state
 	state.quotaMu.Lock()
@@ -230,14 +238,15 @@
 	s.reply(request, reply, nil)
 }
 
-// reply ends a request, with a reply or an error, and counts it.
+// reply completes a request with a reply or an error, and counts it.
 func (s *Server) reply(request leaseRequest, reply quotalease.Reply, err error) {
 	if err == nil {
 		s.counters.answered.Add(1)
 	} else {
 		s.counters.rejectedRequests.Add(1)
 	}
-	request.reply <- leaseReply{reply: reply, err: err} // never blocks: it is the only reply
+	// Never blocks: each request gets one reply, and the channel has capacity 1.
+	request.reply <- leaseReply{reply: reply, err: err}
 }
 
 // replyAll rejects requests with an error.
--- a/internal/controlplane/server/floor_claims.go
+++ b/internal/controlplane/server/floor_claims.go
@@ -7,25 +7,29 @@
 )
 
 const (
-	// maxTrackedHolders bounds the tracker's memory; beyond it the tracker starts over.
+	// maxTrackedHolders bounds the tracker's memory. When it is reached, the tracker forgets all holders.
 	maxTrackedHolders = 1 << 14
-	// claimMemory is how long an earlier claim counts. Two live processes each send many requests in that time.
-	claimMemory = time.Minute
+	// claimRetention is how long a replaced incarnation is remembered. Two running processes each send many requests in
+	// this time, so a duplicate claim is still detected.
+	claimRetention = time.Minute
 )
 
-// floorClaimTracker detects two processes that spend the floors of one proxy: once another incarnation has claimed
-// them, the earlier one must not claim them again. It is used by one goroutine.
+// floorClaimTracker detects two processes that use the floors of the same proxy: once another incarnation has claimed
+// the floors, the earlier one must not claim them again. It is not safe for concurrent use.
 type floorClaimTracker struct {
 	byHolder    map[string]*floorClaimHistory
-	lastWarning time.Duration // when a duplicate claim was last logged; 0 is never
+	lastWarning time.Duration // when a duplicate claim was last logged; 0 if never
 }
 
+// floorClaimHistory holds the incarnations of one holder that claimed its floors.
 type floorClaimHistory struct {
-	current  uint64                   // incarnation
-	previous map[uint64]time.Duration // when an earlier incarnation was replaced
+	current  uint64                   // incarnation of the last claim
+	previous map[uint64]time.Duration // earlier incarnations and when each was replaced
 }
 
-// observe records a request. It returns a DuplicateFloorClaimError if the request proves a duplicate claim.
+// observe records a request that arrived at now. It returns a DuplicateFloorClaimError if the request claims the floors
+// for an incarnation that another one replaced less than about claimRetention ago. Requests without floors, and those
+// of a leaving holder, claim nothing.
 func (t *floorClaimTracker) observe(now time.Duration, request *quotalease.Request) error {
 	if request.FloorsVersion == 0 || request.Leaving {
 		return nil
@@ -42,7 +46,7 @@
 		return nil
 	}
 	for incarnation, replacedAt := range history.previous {
-		if now-replacedAt > claimMemory {
+		if now-replacedAt > claimRetention {
 			delete(history.previous, incarnation)
 		}
 	}
--- a/internal/controlplane/server/http.go
+++ b/internal/controlplane/server/http.go
@@ -8,7 +8,7 @@
 	"lapisspread/internal/quotalease"
 )
 
-// Handler returns the handler of all calls: of proxies, of operators and of the other servers.
+// Handler returns the HTTP handler for the calls of proxies, operators and the other servers.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.PathLease, s.handleLease)
@@ -29,6 +29,7 @@
 	return mux
 }
 
+// handleLease handles a proxy's lease request.
 func (s *Server) handleLease(w http.ResponseWriter, r *http.Request) {
 	var request quotalease.Request
 	if !s.decodeRequest(w, r, &request) {
@@ -38,6 +39,7 @@
 	s.writeReply(w, reply, err)
 }
 
+// handleBootstrap handles an operator's bootstrap of an epoch.
 func (s *Server) handleBootstrap(w http.ResponseWriter, r *http.Request) {
 	var request api.BootstrapRequest
 	if !s.decodeRequest(w, r, &request) {
@@ -50,7 +52,8 @@
 	s.writeReply(w, struct{}{}, err)
 }
 
-// handleConsensus passes the other servers' Raft messages to the current replica.
+// handleConsensus passes Raft messages of the other servers to the current replica. Without a replica it returns status
+// 503.
 func (s *Server) handleConsensus(w http.ResponseWriter, r *http.Request) {
 	current := s.replica.Load()
 	if current == nil {
@@ -60,7 +63,7 @@
 	current.handler.ServeHTTP(w, r)
 }
 
-// handlePost decodes the request, calls the method and writes its reply or error.
+// handlePost returns a handler that decodes the request, calls the method and writes its reply or error.
 func handlePost[Request, Reply any](
 	s *Server, method func(context.Context, Request) (Reply, error),
 ) http.HandlerFunc {
@@ -81,14 +84,14 @@
 	return func(ctx context.Context, request Request) (struct{}, error) { return struct{}{}, method(ctx, request) }
 }
 
-// withoutContext adapts a method that does not block, and so needs no context.
+// withoutContext adapts a method that does not block and therefore takes no context.
 func withoutContext[Request, Reply any](
 	method func(Request) (Reply, error),
 ) func(context.Context, Request) (Reply, error) {
 	return func(_ context.Context, request Request) (Reply, error) { return method(request) }
 }
 
-// decodeRequest reads the body of a request. If it cannot, it answers the request and returns false.
+// decodeRequest decodes the body of a request. If that fails, it writes a response with status 400 and returns false.
 func (s *Server) decodeRequest(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := api.DecodeBody(r.Body, into); err != nil {
 		api.WriteReply(w, http.StatusBadRequest, s.remoteError(err))
@@ -97,7 +100,7 @@
 	return true
 }
 
-// writeReply answers a request with status 200, or with 409 and a RemoteError if err is not nil.
+// writeReply writes the reply with status 200, or a RemoteError with status 409 if err is not nil.
 func (s *Server) writeReply(w http.ResponseWriter, reply any, err error) {
 	if err != nil {
 		api.WriteReply(w, http.StatusConflict, s.remoteError(err))
--- a/internal/controlplane/server/metrics.go
+++ b/internal/controlplane/server/metrics.go
@@ -10,10 +10,10 @@
 
 const (
 	metricsTimeout     = 5 * time.Second
-	maxMetricsRequests = 4 // at once
+	maxMetricsRequests = 4 // concurrent requests; further ones are rejected
 )
 
-// Metric names and help texts are part of the interface: dashboards and docs/fleet.md use them.
+// Metric names and help texts are part of the public interface: dashboards and docs/fleet.md use them.
 var (
 	quotaLabels = []string{"budget"}
 
@@ -58,6 +58,7 @@
 	}
 }
 
+// boolValue returns 1 for true and 0 for false.
 func boolValue(b bool) float64 {
 	if b {
 		return 1
@@ -65,6 +66,7 @@
 	return 0
 }
 
+// metricsHandler returns a handler that exports the server's metrics in the Prometheus format.
 func (s *Server) metricsHandler() http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{s})
--- a/internal/controlplane/server/policy.go
+++ b/internal/controlplane/server/policy.go
@@ -14,7 +14,8 @@
 // regressionShownFor is how long a regression stays in the policy's status.
 const regressionShownFor = time.Hour
 
-// policyReport records a proxy's report and returns the version that the proxy is to adopt.
+// policyReport records a proxy's report. The reply has the version that the proxy must adopt, with chunks or a text of
+// it if the proxy needs them. It fails if the report is of another fleet or this server is not the leader.
 func (s *Server) policyReport(report api.PolicyReport) (api.PolicyReply, error) {
 	reply := api.PolicyReply{Fleet: s.config.Fleet.Fleet}
 	if report.Fleet != reply.Fleet {
@@ -45,8 +46,9 @@
 	return state.textReply(reply, report.Current, reported, wanted)
 }
 
-// textReply completes a reply to a proxy that does not accept chunks. Such a proxy knows versions by the hash of their
-// text: current is its version by root, reported the same as it said it.
+// textReply completes the reply to a proxy that does not accept chunks. Such a proxy identifies versions by the hash of
+// their text. The argument reported is the proxy's version as it reported it, and current is the same version with the
+// root of its tree as the hash. It returns a ChunksRequiredError if the target is too long or no longer retained.
 func (m *stateMachine) textReply(
 	reply api.PolicyReply, current, reported rollout.Version, wanted bool,
 ) (api.PolicyReply, error) {
@@ -68,8 +70,8 @@
 	return reply, nil
 }
 
-// policyChunks returns chunks by name. Any server answers: one whose log is behind may lack some, and then the proxy
-// asks another.
+// policyChunks returns chunks by name. Leaders and followers both serve chunks. A server whose log is behind may lack
+// some, which the proxy then requests from another server.
 func (s *Server) policyChunks(request api.ChunksRequest) (api.ChunksReply, error) {
 	if request.Fleet != s.config.Fleet.Fleet {
 		err := quotalease.FleetMismatchError{Ours: s.config.Fleet.Fleet, Theirs: request.Fleet}
@@ -88,7 +90,8 @@
 	return api.ChunksReply{Chunks: chunks, Missing: missing, RetryAfterNanos: int64(retryAfter)}, nil
 }
 
-// policyStatus returns the state of the policy, and on the leader that of the rollout.
+// policyStatus returns the state of the policy and, on the leader, the state of the rollout. It fails before the
+// bootstrap.
 func (s *Server) policyStatus() (api.PolicyStatus, error) {
 	current := s.replica.Load()
 	if current == nil {
@@ -96,7 +99,7 @@
 	}
 	status := api.PolicyStatus{Policy: current.state.policyStatus()}
 	if _, err := s.leaderReplica(); err != nil {
-		return status, nil // a follower knows what it has applied
+		return status, nil // a follower has only the state that it has applied
 	}
 	status.IsLeader = true
 	driver := &current.rollouts
@@ -116,7 +119,8 @@
 	return status, nil
 }
 
-// countProxies adds how many proxies run which version. The caller holds the lock.
+// countProxies adds to status how many proxies run the newest version, run an older version or have rejected it. The
+// caller must hold d.mu.
 func (d *rolloutDriver) countProxies(status *api.PolicyStatus) {
 	newest := status.Policy.Candidate
 	if newest.Epoch == 0 {
--- a/internal/controlplane/server/policy_encoding.go
+++ b/internal/controlplane/server/policy_encoding.go
@@ -9,13 +9,14 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// encodedPolicy is a policy as one text, for proxies that do not accept chunks.
+// encodedPolicy is a policy encoded as one text, for proxies that do not accept chunks.
 type encodedPolicy struct {
 	text string
 	hash string // SHA-256 of text in hexadecimal; empty if the text is too long to be sent
 }
 
-// policyEncoding returns a policy as one text. It is false if the policy is not retained, or too long for one reply.
+// policyEncoding returns a policy encoded as one text. It reports false if the policy is not retained or is too long
+// for one reply.
 func (m *stateMachine) policyEncoding(version rollout.Version) (encodedPolicy, bool) {
 	m.encodingMu.Lock()
 	defer m.encodingMu.Unlock()
@@ -39,7 +40,7 @@
 	return encoded, encoded.hash != ""
 }
 
-// dropStaleEncodings forgets texts of policies that are no longer retained. The caller holds encodingMu.
+// dropStaleEncodings removes the cached texts of policies that are no longer retained. The caller must hold encodingMu.
 func (m *stateMachine) dropStaleEncodings() {
 	retained := m.published.Load().versions
 	maps.DeleteFunc(m.encodings, func(root string, _ encodedPolicy) bool {
@@ -47,8 +48,8 @@
 	})
 }
 
-// resolveRoot returns a version with the root of its tree as its hash, where a proxy reports the hash of its text. An
-// unknown version is returned as it is.
+// resolveRoot returns the version with the root of its tree as its hash, if a proxy has reported it with the hash of
+// its text. Unknown versions are returned unchanged.
 func (m *stateMachine) resolveRoot(version rollout.Version) rollout.Version {
 	if version.Epoch == 0 {
 		return version
--- a/internal/controlplane/server/propose.go
+++ b/internal/controlplane/server/propose.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	maxBatchBytes   = 256 << 10       // of commands in one entry
-	proposeTimeout  = 2 * time.Second // for an entry to be committed
-	operatorTimeout = 5 * time.Second // for an operator's command
+	maxBatchBytes   = 256 << 10       // maximum total size of the commands in one log entry
+	proposeTimeout  = 2 * time.Second // maximum time until an entry is committed and applied
+	operatorTimeout = 5 * time.Second // maximum time for an operator's command
 )
 
-// roleLeader is the Raft library's name of the leader's role.
+// roleLeader is the Raft library's name for the role of the leader.
 const roleLeader = "StateLeader"
 
-// leaderReplica returns the current replica if this server leads it, and an error otherwise. When the leadership is
-// lost, it forgets how far the rollout was.
+// leaderReplica returns the current replica if this server is the leader, and an error otherwise. On a server that is
+// not the leader it discards the progress of the rollout.
 func (s *Server) leaderReplica() (*replica, error) {
 	current := s.replica.Load()
 	if current == nil {
@@ -40,7 +40,7 @@
 	return current, nil
 }
 
-// setQuotas commits an operator's quotas.
+// setQuotas commits the quotas that an operator sets. It blocks until they are applied, for at most operatorTimeout.
 func (s *Server) setQuotas(ctx context.Context, command quotalease.SetQuotas) error {
 	current, err := s.leaderReplica()
 	if err != nil {
@@ -49,14 +49,15 @@
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	if err := s.proposeQuotaCommand(ctx, current, quotalease.Command{SetQuotas: &command}); err != nil {
-		s.warn("quotas of an operator not set", err)
+		s.warn("setting quotas failed", err)
 		return err
 	}
 	s.config.Logger.Info("quotas set by an operator", "version", command.Version, "quotas", len(command.Config.Quotas))
 	return nil
 }
 
-// policyCommand commits an operator's command about the policy. How a rollout ended is for the leader alone to say.
+// policyCommand commits an operator's command about the policy. It blocks until the command is applied, for at most
+// operatorTimeout. It rejects rollout results, which only the leader may commit.
 func (s *Server) policyCommand(ctx context.Context, command store.Command) error {
 	if command.RolloutResult != nil {
 		return store.InvalidCommandError{Reason: "how a roll-out ends is the leader's word"}
@@ -68,17 +69,17 @@
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	if err := s.proposePolicyCommand(ctx, current, command); err != nil {
-		s.warn("policy command of an operator rejected", err)
+		s.warn("policy command failed", err)
 		return err
 	}
 	status := current.state.policyStatus()
-	s.config.Logger.Info("policy command of an operator applied",
+	s.config.Logger.Info("policy command applied",
 		"active_epoch", status.Active.Epoch, "candidate_epoch", status.Candidate.Epoch,
 		"generation", status.Active.Generation, "withheld", len(status.WithheldFiles))
 	return nil
 }
 
-// commitPlan commits the commands of a plan in as few entries as they fit in.
+// commitPlan commits the commands of a plan in order, as many in each log entry as fit in maxBatchBytes.
 func (s *Server) commitPlan(ctx context.Context, current *replica, commands []quotalease.Command) error {
 	for len(commands) > 0 {
 		count, err := batchSize(commands)
@@ -94,7 +95,8 @@
 	return nil
 }
 
-// batchSize returns how many of the commands fit in one entry, at least one.
+// batchSize returns how many of the first commands fit in one log entry. It is at least one: a command that is larger
+// than maxBatchBytes gets an entry of its own.
 func batchSize(commands []quotalease.Command) (int, error) {
 	size := 0
 	for i := range commands {
@@ -110,6 +112,7 @@
 	return len(commands), nil
 }
 
+// proposeQuotaCommand commits a command about quotas or leases; see proposeEntry.
 func (s *Server) proposeQuotaCommand(ctx context.Context, current *replica, command quotalease.Command) error {
 	text, err := json.Marshal(command)
 	if err != nil {
@@ -118,6 +121,7 @@
 	return s.proposeEntry(ctx, current, text)
 }
 
+// proposePolicyCommand commits a command about policies; see proposeEntry.
 func (s *Server) proposePolicyCommand(ctx context.Context, current *replica, command store.Command) error {
 	text, err := json.Marshal(command)
 	if err != nil {
@@ -126,8 +130,9 @@
 	return s.proposeEntry(ctx, current, append([]byte{policyEntryMarker}, text...))
 }
 
-// proposeEntry returns once an entry is committed and applied here. A RemoteError means that the state machine rejected
-// the command; with any other error the entry may or may not be committed.
+// proposeEntry proposes a log entry and blocks until it is committed and applied on this server, for at most
+// proposeTimeout. A RemoteError means that the state machine rejected the command. After any other error the entry may
+// or may not be committed.
 func (s *Server) proposeEntry(ctx context.Context, current *replica, entry []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/internal/controlplane/server/replica.go
+++ b/internal/controlplane/server/replica.go
@@ -17,27 +17,30 @@
 	"lapisspread/internal/quotalease"
 )
 
-// maxCommandBytes bounds one log entry.
+// maxCommandBytes is the maximum size of one log entry.
 const maxCommandBytes = api.MaxBodyBytes
 
-// replica is a server's part in one epoch of the fleet.
+// replica holds a server's state of one epoch of the fleet.
 type replica struct {
 	bootstrap api.BootstrapRequest
 	node      *node.Node
-	handler   http.Handler // of the other servers' Raft messages
+	handler   http.Handler // handles Raft messages of the other servers
 	state     *stateMachine
 	rollouts  rolloutDriver
 }
 
+// raftStorePath returns the path of the Raft log of an epoch.
 func (s *Server) raftStorePath(epoch uint64) string {
 	return filepath.Join(s.config.StateDir, fmt.Sprintf("log-%d.db", epoch))
 }
 
+// bootstrapPath returns the path of the file that stores the bootstrap request of an epoch.
 func (s *Server) bootstrapPath(epoch uint64) string {
 	return filepath.Join(s.config.StateDir, fmt.Sprintf("founding-%d", epoch))
 }
 
-// latestBootstrap returns the bootstrap of the highest epoch in the state directory, nil if there is none.
+// latestBootstrap returns the bootstrap of the highest epoch in the state directory, or nil if there
+// is none.
 func (s *Server) latestBootstrap() (*api.BootstrapRequest, error) {
 	paths, err := filepath.Glob(filepath.Join(s.config.StateDir, "founding-*"))
 	if err != nil {
@@ -60,7 +63,7 @@
 	return latest, nil
 }
 
-// bootstrap starts the epoch that an operator asks for. Repeating the latest bootstrap changes nothing. Logs of earlier
+// bootstrap starts the epoch that an operator requests. Repeating the latest bootstrap changes nothing. Logs of earlier
 // epochs stay in the state directory.
 func (s *Server) bootstrap(request api.BootstrapRequest) error {
 	s.bootstrapMu.Lock()
@@ -80,7 +83,7 @@
 			return err
 		}
 	}
-	// Without this the server would still vote in the earlier epoch while the new one begins.
+	// Without this the server would still vote in the earlier epoch while the new one starts.
 	if earlier := s.replica.Swap(nil); earlier != nil {
 		if err := earlier.node.Close(); err != nil {
 			return err
@@ -93,7 +96,8 @@
 	return s.startReplica(request)
 }
 
-// checkBootstrap rejects a request that is not meant for this server or makes no sense.
+// checkBootstrap rejects a request that is for another fleet or server, or whose epoch or maximum lifetime is not
+// positive.
 func (s *Server) checkBootstrap(request api.BootstrapRequest) error {
 	switch {
 	case request.Fleet != s.config.Fleet.Fleet:
@@ -107,13 +111,14 @@
 	return nil
 }
 
-// sameBootstrap reports whether two bootstraps agree in the epoch and the bounds of leases. Members are not compared.
+// sameBootstrap reports whether two bootstraps have the same epoch, maximum lifetime and maximum drift of leases. The
+// servers are not compared.
 func sameBootstrap(a, b api.BootstrapRequest) bool {
 	return a.Epoch == b.Epoch && a.MaxLifetimeNanos == b.MaxLifetimeNanos && a.MaxDrift == b.MaxDrift
 }
 
-// checkSuccessor rejects a request that must not follow the latest bootstrap: leases of the earlier epoch may last as
-// long as its bounds allow, so the bounds must not shrink.
+// checkSuccessor rejects a request that must not follow the latest bootstrap. Its epoch must be higher. Leases of the
+// earlier epoch may last as long as its maximum lifetime and drift allow, so these must not decrease.
 func checkSuccessor(request, latest api.BootstrapRequest) error {
 	if request.Epoch <= latest.Epoch {
 		return quotalease.StaleEpochError{Got: request.Epoch, Have: latest.Epoch}
@@ -126,7 +131,8 @@
 	return nil
 }
 
-// storeBootstrap creates the epoch's Raft log and then persists the bootstrap, which makes it the latest.
+// storeBootstrap creates the Raft log of the epoch and then persists the bootstrap request, which makes the epoch the
+// latest one.
 func (s *Server) storeBootstrap(request api.BootstrapRequest) error {
 	path := s.raftStorePath(request.Epoch)
 	err := storage.Bootstrap(path, request.Fleet, request.Epoch, request.ServerID, request.ServerIDs)
@@ -140,7 +146,7 @@
 	return writeFileDurably(s.bootstrapPath(request.Epoch), text)
 }
 
-// startReplica joins the epoch of a bootstrap.
+// startReplica starts the Raft node of a bootstrapped epoch and notifies the allocator.
 func (s *Server) startReplica(bootstrap api.BootstrapRequest) error {
 	peers := map[uint64]string{}
 	for _, server := range s.config.Fleet.Servers {
@@ -166,12 +172,13 @@
 	s.replica.Store(&replica{bootstrap: bootstrap, node: raftNode, handler: raftNode.Handler(), state: state})
 	select {
 	case s.replicaChanged <- struct{}{}:
-	default: // the allocator has not seen the last change yet
+	default: // the allocator has not handled the previous notification yet
 	}
 	return nil
 }
 
-// writeFileDurably replaces a file atomically, so that the new content survives a power failure.
+// writeFileDurably replaces a file atomically. When it returns without an error, the new content survives a power
+// failure.
 func writeFileDurably(path string, text []byte) error {
 	temporary := path + ".new"
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
--- a/internal/controlplane/server/rollout_driver.go
+++ b/internal/controlplane/server/rollout_driver.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	maxProxies          = 16384       // that one rollout knows; reports of further ones are rejected
-	maxProxyNameBytes   = 128         // reports with a longer name are rejected
-	memberCheckInterval = time.Second // between two removals of proxies that are gone
-	// removalTimeouts is after how many silence timeouts a proxy is removed.
+	maxProxies          = 16384       // maximum number of tracked proxies; reports of further proxies are rejected
+	maxProxyNameBytes   = 128         // reports of proxies with a longer name are rejected
+	memberCheckInterval = time.Second // between two removals of silent proxies
+	// removalTimeouts is the number of silence timeouts without a report after which a proxy is removed.
 	removalTimeouts = 3
 )
 
-// rolloutDriver runs the rollout on the leader. The log has which version is being rolled out and how each rollout
-// ended; how far a rollout is exists here only. A new leader starts it again at the first step, with the same random
-// order of proxies, because the epoch is the seed. Proxies that are further keep what they have: what they are offered
-// is older.
+// rolloutDriver runs the rollout on the leader. The log records which version is being rolled out and how each rollout
+// ended. The progress of a rollout is not in the log: a new leader restarts the rollout at the first step, with the
+// same random order of proxies, because the epoch is the seed. Proxies that already have the new version keep it,
+// because they do not adopt an older target.
 type rolloutDriver struct {
-	mu sync.Mutex // never held over I/O
+	mu sync.Mutex // never held during I/O
 
 	rollout         *rollout.Rollout // nil until syncWithLog
-	active          rollout.Version  // of rollout
-	candidate       rollout.Version  // that rollout has started; zero if none
-	rolloutSince    time.Duration    // when rollout was made
+	active          rollout.Version  // version that rollout is based on
+	candidate       rollout.Version  // version that rollout has started; zero if none
+	rolloutSince    time.Duration    // when rollout was created
 	nextMemberCheck time.Duration
 	proxies         map[string]*proxyState // by name
 
@@ -39,12 +39,12 @@
 	regression   rollout.RegressionError // the last one; zero if none
 	regressionAt time.Duration
 
-	// Mutations for tests: each takes one safeguard out.
-	announceBeforeCommit bool
-	startBeforeQuorum    bool
+	// Mutations for tests: each disables one safeguard.
+	announceBeforeCommit bool // target announces a completed rollout to all before its result is committed
+	startBeforeQuorum    bool // mayStart does not wait for proxies to report
 }
 
-// proxyState is what the leader knows of a proxy.
+// proxyState is the leader's record of a proxy.
 type proxyState struct {
 	lastReport   time.Duration
 	current      rollout.Version
@@ -53,7 +53,7 @@
 	lastSequence uint64 // of the last report that was counted
 }
 
-// reset forgets the rollout. It is called when this server does not lead.
+// reset discards the rollout, the proxies and the last regression. It is called while this server is not the leader.
 func (d *rolloutDriver) reset() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,8 +63,8 @@
 	d.regression = rollout.RegressionError{}
 }
 
-// activeVersion returns the version that all proxies have. In a fleet without a policy it has no epoch, and the
-// generation of the current Raft epoch.
+// activeVersion returns the version that all proxies have and that the next rollout starts from. In a fleet without a
+// policy its epoch is 0, and its generation is the candidate's, which is that of the current Raft epoch.
 func activeVersion(status store.Status) rollout.Version {
 	if status.Active.Epoch == 0 {
 		return rollout.Version{Generation: status.Candidate.Generation}
@@ -72,7 +72,8 @@
 	return status.Active
 }
 
-// syncWithLog brings the rollout in line with what is committed. The caller holds the lock.
+// syncWithLog updates the rollout to the committed status: it restarts it if another version has become active, removes
+// silent proxies, and starts the candidate if possible. The caller must hold d.mu.
 func (d *rolloutDriver) syncWithLog(now time.Duration, settings rollout.Settings, status store.Status) {
 	if d.regressions == nil {
 		d.regressions = rollout.NewRegressionWatch(settings)
@@ -100,16 +101,16 @@
 	}
 }
 
-// startOver replaces the rollout by one from the active version.
+// startOver replaces the rollout by a new one that starts from the active version. It reports whether that succeeded.
 func (d *rolloutDriver) startOver(now time.Duration, settings rollout.Settings, status store.Status) bool {
-	fresh, err := rollout.New(settings, activeVersion(status))
+	newRollout, err := rollout.New(settings, activeVersion(status))
 	if err != nil {
 		return false // cannot happen: Config.Validate has checked the settings
 	}
 	if d.proxies == nil {
 		d.proxies = map[string]*proxyState{}
 	}
-	d.rollout = fresh
+	d.rollout = newRollout
 	d.active = activeVersion(status)
 	d.candidate = rollout.Version{}
 	d.rolloutSince = now
@@ -117,8 +118,8 @@
 	return true
 }
 
-// removeSilent removes proxies that have been silent for long. It walks through all of them, so it is not called for
-// each report.
+// removeSilent removes proxies without a report for removalTimeouts silence timeouts. It iterates over all proxies, so
+// it is not called for each report.
 func (d *rolloutDriver) removeSilent(now time.Duration, settings rollout.Settings) {
 	d.nextMemberCheck = now + memberCheckInterval
 	for name, proxy := range d.proxies {
@@ -129,9 +130,10 @@
 	d.rollout.SetMembers(now, slices.Sorted(maps.Keys(d.proxies)))
 }
 
-// mayStart reports whether the candidate can start to roll out. A new leader does not know its proxies: taking the
-// first ones to report for the whole fleet would give the version to all at once. It waits for nine in ten of the
-// proxies that the last rollout knew, or for the silence timeout.
+// mayStart reports whether the rollout of the candidate may start. A new leader does not know the proxies yet. If it
+// treated the first proxies that report as the entire fleet, it would give the version to all of them at once. It
+// therefore waits until at least 90% of the proxies recorded with the last rollout result have reported, or for the
+// silence timeout.
 func (d *rolloutDriver) mayStart(now time.Duration, settings rollout.Settings, status store.Status) bool {
 	if status.Candidate.Epoch == 0 || status.Candidate == d.candidate || status.Stopped != nil {
 		return false
@@ -140,14 +142,15 @@
 	return known || now-d.rolloutSince > settings.SilenceTimeout || d.startBeforeQuorum
 }
 
-// advance moves the rollout on. The last step has no proxies to compare with, so it starts and ends under one lock: no
-// proxy learns of it in between. The caller holds the lock.
+// advance advances the rollout. It calls Tick twice, because the last step has no proxies to compare with: the step
+// starts and ends in the same call under the lock, and no proxy gets a target in between. The caller must hold d.mu.
 func (d *rolloutDriver) advance(now time.Duration) {
 	d.rollout.Tick(now)
 	d.rollout.Tick(now)
 }
 
-// checkRegression returns a regression that is new. The caller holds the lock.
+// checkRegression returns a newly detected regression and records it. It reports false if there is none. The caller
+// must hold d.mu.
 func (d *rolloutDriver) checkRegression(now time.Duration) (rollout.RegressionError, bool) {
 	var regression rollout.RegressionError
 	if !errors.As(d.regressions.Tick(now), &regression) {
@@ -158,7 +161,7 @@
 	return regression, true
 }
 
-// lockedReport is report under the lock.
+// lockedReport calls report with d.mu held.
 func (d *rolloutDriver) lockedReport(
 	now time.Duration, settings rollout.Settings, status store.Status, report api.PolicyReport,
 ) (rollout.Version, error) {
@@ -167,8 +170,9 @@
 	return d.report(now, settings, status, report)
 }
 
-// report records a proxy's report and returns the version that the proxy is to adopt, zero if none. It fails if the
-// proxy is new and there are too many, or its name is empty or too long. The caller holds the lock.
+// report records a proxy's report and returns the version that the proxy must adopt, zero if none. It returns a
+// QueueFullError if the proxy is not tracked yet and maxProxies are, or its name is empty or longer than
+// maxProxyNameBytes. The caller must hold d.mu.
 func (d *rolloutDriver) report(
 	now time.Duration, settings rollout.Settings, status store.Status, report api.PolicyReport,
 ) (rollout.Version, error) {
@@ -203,6 +207,7 @@
 	return d.target(report.Proxy, status), nil
 }
 
+// addProxy starts to track a proxy and adds it to the rollout. The caller must hold d.mu.
 func (d *rolloutDriver) addProxy(now time.Duration, name string) *proxyState {
 	proxy := &proxyState{}
 	if d.proxies == nil {
@@ -215,10 +220,11 @@
 	return proxy
 }
 
-// target returns the version that a proxy is to have, zero if none. The caller holds the lock.
+// target returns the version that a proxy must have, zero if none. The caller must hold d.mu.
 //
-// A completed rollout is not announced to all before that is committed. Otherwise a leader that dies in between leaves
-// the next one without proxies to compare with, and the rollout never ends.
+// A completed rollout is announced to all proxies only after its result is committed. Otherwise, if the leader crashed
+// in between, the next leader would find no proxies without the version to compare with, and the rollout would never
+// end.
 func (d *rolloutDriver) target(name string, status store.Status) rollout.Version {
 	target := d.rollout.Target(name)
 	state, _ := d.rollout.State()
--- a/internal/controlplane/server/rollouts.go
+++ b/internal/controlplane/server/rollouts.go
@@ -10,25 +10,26 @@
 	"lapisspread/internal/policy/store"
 )
 
+// Bounds of the time between two advances of the rollout.
 const (
 	minRolloutInterval = 10 * time.Millisecond
 	maxRolloutInterval = 100 * time.Millisecond
 )
 
-// rolloutInterval returns the time between two advances of the rollout: several for each look at the requests, because
-// a late look delays the whole rollout.
+// rolloutInterval returns the time between two advances of the rollout. It is a quarter of the time between two looks
+// (tests of the request counts in a step), within the bounds above, because a late look delays the entire rollout.
 func rolloutInterval(settings rollout.Settings) time.Duration {
-	quarterLook := settings.StepDuration / time.Duration(4*settings.LooksPerStep)
-	return min(maxRolloutInterval, max(minRolloutInterval, quarterLook))
+	quarterLookInterval := settings.StepDuration / time.Duration(4*settings.LooksPerStep)
+	return min(maxRolloutInterval, max(minRolloutInterval, quarterLookInterval))
 }
 
 // rolloutProgress is the state of the rollout after an advance.
 type rolloutProgress struct {
-	status     store.Status // at the advance
+	status     store.Status // committed status at the time of the advance
 	candidate  rollout.Version
-	proxies    int // that are known
+	proxies    int // number of tracked proxies
 	state      rollout.State
-	stopReason error // if state is rollout.Stopped
+	stopReason error // set if state is rollout.Stopped
 }
 
 // started reports whether the committed candidate is being rolled out.
@@ -36,7 +37,7 @@
 	return p.candidate == p.status.Candidate && p.candidate.Epoch > 0
 }
 
-// ended reports whether the rollout of the committed candidate has just ended.
+// ended reports whether the rollout of the committed candidate has ended without a committed result yet.
 func (p *rolloutProgress) ended() bool {
 	if !p.started() || p.status.Stopped != nil {
 		return false
@@ -44,11 +45,11 @@
 	return p.state == rollout.Done || p.state == rollout.Stopped
 }
 
-// runRollouts advances the rollout while this server leads, and commits how it ends, until ctx ends.
+// runRollouts advances the rollout while this server is the leader, and commits its result, until ctx is canceled.
 func (s *Server) runRollouts(ctx context.Context) {
 	ticker := time.NewTicker(rolloutInterval(s.config.Fleet.RolloutSettings()))
 	defer ticker.Stop()
-	var announced rollout.Version // whose start was logged
+	var loggedStart rollout.Version // version whose start was logged last
 	for {
 		select {
 		case <-ctx.Done():
@@ -60,8 +61,8 @@
 			continue
 		}
 		progress := s.advanceRollout(current)
-		if progress.candidate != announced && progress.started() {
-			announced = progress.candidate
+		if progress.candidate != loggedStart && progress.started() {
+			loggedStart = progress.candidate
 			s.config.Logger.Info("rollout started",
 				"epoch", progress.candidate.Epoch, "changes", progress.status.Batch, "proxies", progress.proxies)
 		}
@@ -71,7 +72,7 @@
 	}
 }
 
-// advanceRollout advances the rollout and logs a regression that it finds.
+// advanceRollout advances the rollout and logs a newly detected regression.
 func (s *Server) advanceRollout(current *replica) rolloutProgress {
 	now := s.clock()
 	status := current.state.policyStatus()
@@ -95,35 +96,37 @@
 	return progress
 }
 
-// endRollout commits how a rollout ended. If that fails, the next advance tries again.
+// endRollout commits the result of an ended rollout. If that fails, it is called again after the next advance.
 func (s *Server) endRollout(ctx context.Context, current *replica, progress rolloutProgress) {
-	verdict := store.RolloutResult{
+	result := store.RolloutResult{
 		Generation: progress.candidate.Generation,
 		Epoch:      progress.candidate.Epoch,
 		Completed:  progress.state == rollout.Done,
 		ProxyCount: progress.proxies,
 	}
 	if reason := progress.stopReason; reason != nil {
-		verdict.Reason = reason.Error()
-		verdict.Advice = operatorerror.AdviceOf(reason)
+		result.Reason = reason.Error()
+		result.Advice = operatorerror.AdviceOf(reason)
 		s.warn("rollout stopped", reason)
 	}
-	if err := s.proposePolicyCommand(ctx, current, store.Command{RolloutResult: &verdict}); err != nil {
-		s.warn("outcome of a rollout not committed", err)
+	if err := s.proposePolicyCommand(ctx, current, store.Command{RolloutResult: &result}); err != nil {
+		s.warn("committing the rollout result failed", err)
 		return
 	}
 	s.config.Logger.Info("rollout ended",
 		"epoch", progress.candidate.Epoch, "state", progress.state.String(), "changes", progress.status.Batch)
-	s.logNewFaults(progress.status.FailedChanges, current.state.policyStatus().FailedChanges)
+	s.logNewFailedChanges(progress.status.FailedChanges, current.state.policyStatus().FailedChanges)
 }
 
-// logNewFaults logs the changes that were removed from the policy because they made a rollout stop.
-func (s *Server) logNewFaults(before, after []store.FailedChange) {
-	for _, fault := range after {
-		if slices.Contains(before, fault) {
+// logNewFailedChanges logs the changes that were removed from the policy because they made a rollout stop. The
+// arguments are all failed changes before and after the result was committed.
+func (s *Server) logNewFailedChanges(before, after []store.FailedChange) {
+	for _, failed := range after {
+		if slices.Contains(before, failed) {
 			continue
 		}
-		s.config.Logger.Warn("faulty change removed; the other changes go on", "namespace", fault.Namespace,
-			"number", fault.Number, "by", fault.Author, "err", fault.Reason, "advice", fault.Advice)
+		s.config.Logger.Warn("faulty change removed; the rollout of the other changes continues",
+			"namespace", failed.Namespace, "number", failed.Number, "by", failed.Author,
+			"err", failed.Reason, "advice", failed.Advice)
 	}
 }
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -23,13 +23,13 @@
 	Fleet *api.Config
 	// Name is the server's name in Fleet; required.
 	Name string
-	// StateDir is a directory that no other process writes to; required.
+	// StateDir is the directory of the Raft logs and bootstraps. No other process may write to it; required.
 	StateDir string
-	// Logger receives the log. Nil discards it.
+	// Logger receives log messages. Nil discards them.
 	Logger *slog.Logger
-	// TickInterval is Raft's tick; see node.Config. 0 means 100 ms.
+	// TickInterval is the duration of a Raft tick; see node.Config. 0 means 100 ms.
 	TickInterval time.Duration
-	// Transport carries calls to the other servers. Nil makes one, with TLS if Fleet says so.
+	// Transport carries calls to the other servers. Nil means a new transport, with TLS if Fleet configures it.
 	Transport http.RoundTripper
 }
 
@@ -39,7 +39,7 @@
 	writeTimeout    = 15 * time.Second
 	idleTimeout     = 2 * time.Minute
 	maxHeaderBytes  = 16 << 10
-	shutdownTimeout = 2 * time.Second // for requests in flight
+	shutdownTimeout = 2 * time.Second // maximum time for requests in flight to finish
 )
 
 // Server is a control-plane server. Its methods are safe for concurrent use.
@@ -49,30 +49,31 @@
 	tlsKeys   *tlskeys.Keys // nil without TLS
 	startedAt time.Time
 
-	bootstrapMu    sync.Mutex // serializes bootstraps and Close
-	replica        atomic.Pointer[replica]
-	status         atomic.Pointer[api.ServerStatus]
+	bootstrapMu    sync.Mutex                       // serializes bootstrap and Close
+	replica        atomic.Pointer[replica]          // nil before the first bootstrap and after Close
+	status         atomic.Pointer[api.ServerStatus] // refreshed by runStatus
 	leaseRequests  chan leaseRequest
-	replicaChanged chan struct{} // capacity 1
+	replicaChanged chan struct{} // capacity 1; wakes the allocator
 	counters       serverCounters
-	floorClaims    floorClaimTracker // used by the allocator only
+	floorClaims    floorClaimTracker // used by the allocator's goroutine only
 }
 
-// serverCounters count since the server's start.
+// serverCounters count events since the server's start.
 type serverCounters struct {
 	requests             atomic.Uint64 // lease requests
-	answered             atomic.Uint64 // of them, with a reply
-	rejectedRequests     atomic.Uint64 // of them, with an error
-	queueFull            atomic.Uint64 // of them, because too many waited
-	proposals            atomic.Uint64 // log entries
-	failedProposals      atomic.Uint64 // of them, not known to be committed
-	rejectedCommands     atomic.Uint64 // commands that were committed and that the state machine rejected
+	answered             atomic.Uint64 // lease requests that got a reply
+	rejectedRequests     atomic.Uint64 // lease requests that got an error
+	queueFull            atomic.Uint64 // lease requests rejected because the queue was full
+	proposals            atomic.Uint64 // proposed log entries
+	failedProposals      atomic.Uint64 // proposed log entries that are not known to be committed
+	rejectedCommands     atomic.Uint64 // committed commands that the state machine rejected
 	leasesGranted        atomic.Uint64
 	duplicateFloorClaims atomic.Uint64
 }
 
-// New returns a server that resumes the latest epoch that its state directory holds. Without one it waits for a
-// bootstrap. The caller must call Run or Close.
+// New returns a server that resumes the latest epoch in its state directory. Without an epoch the server waits for a
+// bootstrap. New fails if the configuration has no server of that name, or if the TLS keys, the stored bootstraps or
+// the Raft log cannot be read. The caller must call Run or Close.
 func New(config Config) (*Server, error) {
 	self, err := config.Fleet.Server(config.Name)
 	if err != nil {
@@ -109,11 +110,12 @@
 	return s, nil
 }
 
-// clock returns the time since the server's start. It never goes back, and stands still while the machine is suspended:
-// then a lease is counted for too long, never for too short a time.
+// clock returns the time since the server's start. It is monotonic and does not advance while the machine is suspended.
+// A suspension therefore makes the server count a lease as valid for too long, never for too short a time.
 func (s *Server) clock() time.Duration { return time.Since(s.startedAt) }
 
-// Run serves on the listener until ctx ends or serving fails, and then closes the server. It blocks; call it once.
+// Run serves on the listener until ctx is canceled or serving fails, and then closes the server. It blocks and must be
+// called only once. It returns nil after ctx is canceled, unless closing the server fails.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
 	var tasks sync.WaitGroup
 	taskCtx, cancel := context.WithCancel(context.Background())
@@ -130,7 +132,7 @@
 	return errors.Join(err, s.Close())
 }
 
-// serveHTTP serves until ctx ends, and then lets requests in flight finish for a while.
+// serveHTTP serves until ctx is canceled, and then waits for requests in flight, for at most shutdownTimeout.
 func (s *Server) serveHTTP(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{
 		Handler:        s.Handler(),
@@ -152,7 +154,7 @@
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(shutdownCtx) != nil {
-		_ = server.Close() // requests that are still open had their time
+		_ = server.Close() // aborts the requests that are still in flight after shutdownTimeout
 	}
 	if err := <-served; !errors.Is(err, http.ErrServerClosed) {
 		s.config.Logger.Debug("serving failed during the shutdown", "err", err)
@@ -160,7 +162,8 @@
 	return nil
 }
 
-// Close leaves the current epoch and closes its log. Run calls it as well.
+// Close stops taking part in the current epoch and closes its Raft log. Run calls it before it returns. Further calls
+// do nothing.
 func (s *Server) Close() error {
 	s.bootstrapMu.Lock()
 	defer s.bootstrapMu.Unlock()
@@ -170,8 +173,8 @@
 	return nil
 }
 
-// addressOf returns the address and the name of a server; both are empty for an unknown ID.
-func (s *Server) addressOf(id uint64) (address, name string) {
+// addressAndName returns the address and the name of a server; both are empty for an unknown ID.
+func (s *Server) addressAndName(id uint64) (address, name string) {
 	for _, server := range s.config.Fleet.Servers {
 		if server.ID == id {
 			return server.Address, server.Name
@@ -180,12 +183,13 @@
 	return "", ""
 }
 
-// remoteError returns an error as it is sent to a caller, with the leader's address if that is who to call.
+// remoteError converts an error to the form that is sent to callers. A NotLeaderError gets the leader's address, which
+// the caller can call instead.
 func (s *Server) remoteError(err error) api.RemoteError {
 	remote := api.RemoteErrorOf(err)
 	var notLeader consensus.NotLeaderError
 	if errors.As(err, &notLeader) {
-		remote.LeaderAddress, _ = s.addressOf(notLeader.Leader)
+		remote.LeaderAddress, _ = s.addressAndName(notLeader.Leader)
 	}
 	return remote
 }
--- a/internal/controlplane/server/state_machine.go
+++ b/internal/controlplane/server/state_machine.go
@@ -17,39 +17,39 @@
 	"lapisspread/internal/quotalease"
 )
 
-// generationBits is how many bits the number of rollbacks has in a policy's generation. The epoch of the fleet is above
-// them, so a new epoch begins above all generations of earlier ones.
+// generationBits is the number of low bits of a policy's generation that count rollbacks. The bits above hold the epoch
+// of the fleet, so the first generation of a new epoch is above all generations of earlier epochs.
 const generationBits = 32
 
-// policyEntryMarker is the first byte of log entries and snapshots that concern policies. Entries and snapshots that
-// concern quotas only are JSON and begin with a brace.
+// policyEntryMarker is the first byte of log entries about policies and of snapshots with policies. Entries about
+// quotas and snapshots with only quotas are JSON and start with a brace.
 const policyEntryMarker = 0x01
 
-// stateMachine applies the replicated log. The log's goroutine calls Apply, Snapshot and Restore; other goroutines read
-// the result under the locks or from the published view.
+// stateMachine applies the replicated log. The Raft node's goroutine calls Apply, Snapshot and Restore. Other
+// goroutines read the state under the locks or from the published view.
 type stateMachine struct {
 	clock func() time.Duration
 
 	quotaMu   sync.Mutex
 	quotas    *quotalease.StateMachine
-	allocator *quotalease.Allocator // of this server alone: it is not replicated
+	allocator *quotalease.Allocator // local to this server, not replicated
 
-	policyMu  sync.Mutex // apart from quotaMu: merging policies takes longer than a lease request may wait
+	policyMu  sync.Mutex // separate from quotaMu: merging policies takes longer than a lease request may wait
 	policies  *store.StateMachine
 	published atomic.Pointer[policyView] // for readers that must not wait for a merge
 	chunks    *distribution.Distributor
 
 	encodingMu sync.Mutex
-	encodings  map[string]encodedPolicy // by root; cached
+	encodings  map[string]encodedPolicy // cache by the root of the policy's tree
 }
 
-// policyView is the state of the policies after an entry. It is immutable.
+// policyView is the state of the policies after the last applied entry about policies. It is immutable.
 type policyView struct {
 	status   store.Status
-	versions []rollout.Version // of all policies that are retained, the newest first
+	versions []rollout.Version // of all retained policies, the newest first
 }
 
-// combinedSnapshot follows policyEntryMarker in a snapshot that has policies.
+// combinedSnapshot is encoded after policyEntryMarker in a snapshot with policies.
 type combinedSnapshot struct {
 	Quotas   []byte `json:"Grants"`
 	Policies []byte `json:"Policies"`
@@ -57,13 +57,13 @@
 
 // applyOutcome is the result of an entry, as Apply returns it to the proposer.
 type applyOutcome struct {
-	Rejected      api.RemoteError `json:"Refused"` // of the command itself; zero if it was carried out
-	RejectedParts int             `json:"Parts"`   // commands of a batch that were rejected
-	LeasesStarted int             `json:"Born"`
+	Rejected      api.RemoteError `json:"Refused"` // why the command was rejected; zero if it was applied
+	RejectedParts int             `json:"Parts"`   // number of rejected commands of a batch
+	LeasesStarted int             `json:"Born"`    // number of leases that started
 }
 
-// newStateMachine returns the state of an epoch before its first entry. The allocator gets no startup silence: the Raft
-// node keeps it, and ends it early once the other servers confirm that the log is complete.
+// newStateMachine returns the state machine of an epoch before its first entry. The allocator gets no startup silence:
+// the Raft node observes it, and ends it early once the other servers confirm that the log is complete.
 func newStateMachine(clock func() time.Duration, epoch uint64) *stateMachine {
 	quotas := quotalease.NewStateMachine()
 	m := &stateMachine{
@@ -90,11 +90,12 @@
 	return reply
 }
 
-// applyQuotaCommand applies a log entry about quotas, in JSON, and tells this server's allocator. It takes quotaMu.
+// applyQuotaCommand applies a log entry about quotas, in JSON, and passes the result to this server's allocator. It
+// locks quotaMu.
 func (m *stateMachine) applyQuotaCommand(index uint64, text []byte) applyOutcome {
 	var command quotalease.Command
 	if json.Unmarshal(text, &command) != nil {
-		command = quotalease.Command{} // counted as an entry, and rejected as empty
+		command = quotalease.Command{} // an empty command, which still counts as an entry and is rejected
 	}
 	m.quotaMu.Lock()
 	defer m.quotaMu.Unlock()
@@ -107,11 +108,12 @@
 	}
 }
 
-// applyPolicyCommand applies a log entry about policies, in JSON, and publishes the result. It takes policyMu.
+// applyPolicyCommand applies a log entry about policies, in JSON, and publishes the result. It locks
+// policyMu.
 func (m *stateMachine) applyPolicyCommand(text []byte) applyOutcome {
 	var command store.Command
 	if json.Unmarshal(text, &command) != nil {
-		command = store.Command{} // rejected as empty
+		command = store.Command{} // an empty command, which is rejected
 	}
 	m.policyMu.Lock()
 	defer m.policyMu.Unlock()
@@ -120,7 +122,7 @@
 	return applyOutcome{Rejected: api.RemoteErrorOf(err)}
 }
 
-// publishPolicies makes the current policies visible to readers. The caller holds policyMu.
+// publishPolicies makes the current policies visible to readers. The caller must hold policyMu.
 func (m *stateMachine) publishPolicies() {
 	view := &policyView{status: m.policies.Status()}
 	var trees []*merkle.Tree
@@ -128,16 +130,16 @@
 		view.versions = append(view.versions, version)
 		trees = append(trees, tree)
 	}
-	slices.Reverse(trees)
+	slices.Reverse(trees) // Retain takes the oldest first
 	m.chunks.Retain(trees)
 	m.published.Store(view)
 }
 
-// policyStatus returns the status after the last entry that was published. It takes no lock.
+// policyStatus returns the policy status as last published. It takes no lock.
 func (m *stateMachine) policyStatus() store.Status { return m.published.Load().status }
 
-// Snapshot implements consensus.Machine. Without policies a snapshot is that of the quotas alone, which releases from
-// before there were policies can read.
+// Snapshot implements consensus.Machine. Without policies it returns the snapshot of the quotas only, which releases
+// that have no policies can read.
 func (m *stateMachine) Snapshot() ([]byte, error) {
 	quotas, err := m.snapshotQuotas()
 	if err != nil {
@@ -156,13 +158,14 @@
 	return append([]byte{policyEntryMarker}, text...), err
 }
 
+// snapshotQuotas returns a snapshot of the quotas. It locks quotaMu.
 func (m *stateMachine) snapshotQuotas() ([]byte, error) {
 	m.quotaMu.Lock()
 	defer m.quotaMu.Unlock()
 	return m.quotas.Snapshot()
 }
 
-// Restore implements consensus.Machine.
+// Restore implements consensus.Machine. It accepts snapshots with and without policies, and fails if one is malformed.
 func (m *stateMachine) Restore(snapshot []byte) error {
 	parts := combinedSnapshot{Quotas: snapshot}
 	if len(snapshot) > 0 && snapshot[0] == policyEntryMarker {
@@ -185,6 +188,7 @@
 	return nil
 }
 
+// restorePolicies restores the policies from their snapshot and publishes them. It locks policyMu.
 func (m *stateMachine) restorePolicies(snapshot []byte) error {
 	m.policyMu.Lock()
 	defer m.policyMu.Unlock()
@@ -195,7 +199,8 @@
 	return nil
 }
 
-// awaitingExpiry reports whether leases of an earlier epoch may still be valid. The caller holds quotaMu.
+// awaitingExpiry reports whether leases of an earlier epoch may still be valid. The caller must hold
+// quotaMu.
 func (m *stateMachine) awaitingExpiry() bool {
 	for _, expiry := range m.quotas.PendingExpiries() {
 		if expiry.Quota == "" {
--- a/internal/controlplane/server/status.go
+++ b/internal/controlplane/server/status.go
@@ -10,7 +10,8 @@
 // statusInterval is the time between two refreshes of the published status.
 const statusInterval = 200 * time.Millisecond
 
-// runStatus refreshes the status until ctx ends, so that requests for it never wait.
+// runStatus refreshes the published status until ctx is canceled, so that requests for it never wait. It logs when a
+// fault makes this server stop taking part.
 func (s *Server) runStatus(ctx context.Context) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
@@ -30,7 +31,7 @@
 	}
 }
 
-// refreshStatus publishes the status and the counters as they are now.
+// refreshStatus publishes the current status and counters.
 func (s *Server) refreshStatus() {
 	status := &api.ServerStatus{
 		Name:     s.self.Name,
@@ -46,6 +47,7 @@
 	s.status.Store(status)
 }
 
+// addNodeStatus adds the status and the counters of the Raft node.
 func (s *Server) addNodeStatus(status *api.ServerStatus, current *replica) {
 	raft := current.node.Status()
 	status.Epoch = current.bootstrap.Epoch
@@ -57,7 +59,7 @@
 	status.RespondingVoters = raft.ActiveVoters
 	status.Voters = len(raft.Voters)
 	status.Fault = api.RemoteErrorOf(raft.Err)
-	status.Leader, status.LeaderName = s.addressOf(raft.Leader)
+	status.Leader, status.LeaderName = s.addressAndName(raft.Leader)
 
 	metrics := current.node.Metrics()
 	status.Counters["log_sent"] = metrics.Sent
@@ -67,6 +69,7 @@
 	status.Counters["log_writes"] = metrics.SyncedWrites
 }
 
+// addChunkCounters adds the counters of the policy chunks that were sent.
 func addChunkCounters(status *api.ServerStatus, state *stateMachine) {
 	chunks := state.chunks.Counters()
 	status.Counters["pieces_along"] = chunks.Pushed
@@ -76,6 +79,7 @@
 	status.Counters["pieces_later"] = chunks.Deferred
 }
 
+// addQuotaStatus adds the limits of the quotas and the units granted from them. It locks quotaMu.
 func (m *stateMachine) addQuotaStatus(status *api.ServerStatus) {
 	m.quotaMu.Lock()
 	defer m.quotaMu.Unlock()
@@ -96,7 +100,7 @@
 	}
 }
 
-// snapshot returns the counters by the names that stand in the status and in the metrics.
+// snapshot returns the counters by their names in the status and in the metrics.
 func (c *serverCounters) snapshot() map[string]uint64 {
 	return map[string]uint64{
 		"asks":         c.requests.Load(),
