--- a/internal/controlplane/server/chunks_test.go
+++ b/internal/controlplane/server/chunks_test.go
@@ -101,18 +101,18 @@
 			var counter byteCounter
 			transport := counter.transport()
 			defer transport.CloseIdleConnections()
-			p := client.NewPolicyClient(
+			proxy := client.NewPolicyClient(
 				client.Config{File: &config, ProxyName: "p1", Transport: transport},
 				func(*client.InstalledPolicy) error { return nil },
 			)
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
-			go func() { defer close(done); p.Run(ctx) }()
+			go func() { defer close(done); proxy.Run(ctx) }()
 			defer func() { cancel(); <-done }()
 			waitForVersion := func(version rollout.Version) {
-				for end := time.Now().Add(time.Minute); p.Current().Offer != version; time.Sleep(time.Millisecond) {
+				for end := time.Now().Add(time.Minute); proxy.Current().Offer != version; time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
-						b.Fatalf("proxy did not install %+v within 1m; its status: %+v", version, p.PolicyStatus())
+						b.Fatalf("proxy did not install %+v within 1m; its status: %+v", version, proxy.PolicyStatus())
 					}
 				}
 			}
@@ -120,31 +120,31 @@
 			fetch, size := counter.Load(), trees[0].Size()
 			// bytesPerReport waits for the replies to that many reports and returns the mean bytes of each.
 			bytesPerReport := func(reports int64) float64 {
-				answered, bytes := p.PolicyStatus().Answered, counter.Load()
-				for p.PolicyStatus().Answered < answered+reports {
+				answered, bytes := proxy.PolicyStatus().Answered, counter.Load()
+				for proxy.PolicyStatus().Answered < answered+reports {
 					time.Sleep(time.Millisecond)
 				}
-				return float64(counter.Load()-bytes) / float64(p.PolicyStatus().Answered-answered)
+				return float64(counter.Load()-bytes) / float64(proxy.PolicyStatus().Answered-answered)
 			}
 			report := bytesPerReport(20)
-			sum, chunks, changes := 0.0, p.PolicyStatus().ChunksAccepted, 0
+			sum, chunks, changes := 0.0, proxy.PolicyStatus().ChunksAccepted, 0
 			for b.Loop() {
 				trees = append(trees, policyWithRoutes(b, routes, uint64(changes+2)))
 				if len(trees) > 4 {
 					trees = trees[1:]
 				}
 				bytesPerReport(1)
-				answered, bytes := p.PolicyStatus().Answered, counter.Load()
+				answered, bytes := proxy.PolicyStatus().Answered, counter.Load()
 				waitForVersion(leader.publishTreesAt(uint64(changes+2), trees...))
 				bytesPerReport(1)
-				sum += float64(counter.Load()-bytes) - report*float64(p.PolicyStatus().Answered-answered)
+				sum += float64(counter.Load()-bytes) - report*float64(proxy.PolicyStatus().Answered-answered)
 				changes++
 			}
 			b.ReportMetric(float64(fetch), "B/fetch")
 			b.ReportMetric(float64(size), "B/policy")
 			b.ReportMetric(report, "B/report")
 			b.ReportMetric(sum/float64(changes), "B/change")
-			b.ReportMetric(float64(p.PolicyStatus().ChunksAccepted-chunks)/float64(changes), "pieces/change")
+			b.ReportMetric(float64(proxy.PolicyStatus().ChunksAccepted-chunks)/float64(changes), "pieces/change")
 		})
 	}
 }
--- a/internal/controlplane/server/errors.go
+++ b/internal/controlplane/server/errors.go
@@ -15,7 +15,7 @@
 
 // Error implements error.
 func (e DuplicateFloorClaimError) Error() string {
-	return fmt.Sprintf("two processes on two machines go by the floors of %s", e.Holder)
+	return fmt.Sprintf("two processes on two machines use the floors of %s", e.Holder)
 }
 
 // Code returns the error's code in messages between processes.
--- a/internal/controlplane/server/floor_claims_test.go
+++ b/internal/controlplane/server/floor_claims_test.go
@@ -22,7 +22,7 @@
 		want     bool
 	}{
 		// One process repeats its claim and then claims a later version of the floors.
-		"one": {
+		"one process": {
 			[]*quotalease.Request{newRequest(1, 3), newRequest(1, 3), newRequest(1, 4)}, false,
 		},
 		"the process restarts twice": {
@@ -35,7 +35,7 @@
 			}, false,
 		},
 		// Two running processes alternate their claims.
-		"two": {[]*quotalease.Request{newRequest(1, 3), newRequest(2, 3), newRequest(1, 3)}, true},
+		"two running processes": {[]*quotalease.Request{newRequest(1, 3), newRequest(2, 3), newRequest(1, 3)}, true},
 	} {
 		var tracker floorClaimTracker
 		detected := false
--- a/internal/controlplane/server/frozen_test.go
+++ b/internal/controlplane/server/frozen_test.go
@@ -99,13 +99,13 @@
 // A server continues from a log and a snapshot that the release built from commit c8fad44 wrote, and returns the same
 // bytes for each entry.
 func TestFrozenLogAndSnapshot(t *testing.T) {
-	m := newStateMachine(frozenNow, 1)
+	machine := newStateMachine(frozenNow, 1)
 	entries := frozenEntries(t)
 	var replies [][]byte
 	for i, entry := range entries {
-		replies = append(replies, m.Apply(uint64(i+1), entry))
+		replies = append(replies, machine.Apply(uint64(i+1), entry))
 	}
-	snapshot, err := m.Snapshot()
+	snapshot, err := machine.Snapshot()
 	if err != nil {
 		t.Fatalf("Snapshot after all entries: %v", err)
 	}
@@ -136,23 +136,23 @@
 	}
 	checkFrozenState(t, restored)
 	rollback := append([]byte{policyEntryMarker}, []byte(`{"back":{"epoch":1,"by":"op"}}`)...)
-	if got, want := restored.Apply(20, rollback), m.Apply(20, rollback); !bytes.Equal(got, want) {
+	if got, want := restored.Apply(20, rollback), machine.Apply(20, rollback); !bytes.Equal(got, want) {
 		t.Errorf("Apply of a rollback to the restored state = %x, want %x as for the original state", got, want)
 	}
 	got, _ := restored.Snapshot()
-	want, _ := m.Snapshot()
+	want, _ := machine.Snapshot()
 	if !bytes.Equal(got, want) {
 		t.Errorf("snapshot after a rollback: restored state\n%q, want that of the original state\n%q", got, want)
 	}
 }
 
-func checkFrozenState(t *testing.T, m *stateMachine) {
+func checkFrozenState(t *testing.T, machine *stateMachine) {
 	t.Helper()
 	version := func(epoch uint64, hash string) rollout.Version {
 		return rollout.Version{Generation: 1 << 32, Epoch: epoch, Hash: hash}
 	}
 	candidate := version(2, "0895e6c8479c0d58273bbe49f0365868a718a55d872fcd8c94a0143f26710389")
-	got := m.policyStatus()
+	got := machine.policyStatus()
 	if len(got.WithheldFiles) != 1 {
 		t.Fatalf("policyStatus after Restore has %d withheld files, want 1: %+v", len(got.WithheldFiles), got)
 	}
@@ -195,10 +195,10 @@
 			"attempts": {Kind: quotalease.Rate, Amount: quotalease.FromUnits(50), Burst: quotalease.FromUnits(5)},
 		},
 	}
-	if got := m.quotas.ReplyTo(frozenHolderID); !reflect.DeepEqual(got, reply) {
+	if got := machine.quotas.ReplyTo(frozenHolderID); !reflect.DeepEqual(got, reply) {
 		t.Errorf("ReplyTo(%+v) after Restore =\n%+v, want\n%+v", frozenHolderID, got, reply)
 	}
-	if _, epoch, err := m.quotas.Bootstrapped(); err != nil || epoch != 1 {
+	if _, epoch, err := machine.quotas.Bootstrapped(); err != nil || epoch != 1 {
 		t.Errorf("Bootstrapped after Restore = epoch %d, error %v, want epoch 1 and no error", epoch, err)
 	}
 }
--- a/internal/controlplane/server/policy.go
+++ b/internal/controlplane/server/policy.go
@@ -119,8 +119,8 @@
 	return status, nil
 }
 
-// countProxies adds to status how many proxies run the newest version, run an older version or have rejected it. The
-// caller must hold d.mu.
+// countProxies adds to status how many proxies are tracked, have a version older than the active one, accept no chunks,
+// have the newest version, or have rejected the newest version. The caller must hold d.mu.
 func (d *rolloutDriver) countProxies(status *api.PolicyStatus) {
 	newest := status.Policy.Candidate
 	if newest.Epoch == 0 {
--- a/internal/controlplane/server/policy_test.go
+++ b/internal/controlplane/server/policy_test.go
@@ -219,10 +219,10 @@
 	}
 	var texts [3][]byte
 	for i := range 3 {
-		m := cluster.servers[i].replica.Load().state
-		m.policyMu.Lock()
-		texts[i], _ = m.policies.Snapshot()
-		m.policyMu.Unlock()
+		state := cluster.servers[i].replica.Load().state
+		state.policyMu.Lock()
+		texts[i], _ = state.policies.Snapshot()
+		state.policyMu.Unlock()
 	}
 	if !bytes.Equal(texts[0], texts[1]) || !bytes.Equal(texts[0], texts[2]) {
 		t.Errorf("snapshots of the servers' policy stores differ: %q", texts)
@@ -274,10 +274,10 @@
 // next leader, and the proxies return to an earlier version only after an operator's rollback command.
 func TestRolloutResumesStopsAndRollsBack(t *testing.T) {
 	cluster := newClusterWithPolicies(t)
-	p := newProxyFleet(cluster, 24)
+	proxies := newProxyFleet(cluster, 24)
 	cluster.sendPolicyCommand(offerCommand("alpha", 1, "/a"))
 	first := cluster.leaderNewestEpoch()
-	p.waitUntilAll("rollout of the first policy", first)
+	proxies.waitUntilAll("rollout of the first policy", first)
 	cluster.until("the leader has committed the completed rollout", func() bool {
 		return cluster.policyStatus(cluster.leader()).Active.Epoch == first
 	})
@@ -285,15 +285,15 @@
 	cluster.sendPolicyCommand(offerCommand("alpha", 2, "/c"))
 	second := cluster.leaderNewestEpoch()
 	cluster.until("some proxies have the second policy", func() bool {
-		p.reportAll()
-		return p.countAtEpoch(second) > 0
+		proxies.reportAll()
+		return proxies.countAtEpoch(second) > 0
 	})
-	if n := p.countAtEpoch(second); n == len(p.names) {
-		t.Errorf("%d of %d proxies had the second policy after its first step, want fewer", n, len(p.names))
+	if n := proxies.countAtEpoch(second); n == len(proxies.names) {
+		t.Errorf("%d of %d proxies had the second policy when the first one had it, want fewer", n, len(proxies.names))
 	}
 	leader := cluster.leader()
 	cluster.stop(leader)
-	p.waitUntilAll("rollout of the second policy under another leader", second)
+	proxies.waitUntilAll("rollout of the second policy under another leader", second)
 	cluster.start(leader)
 	cluster.until("the leader has committed the completed rollout", func() bool {
 		return cluster.policyStatus(cluster.leader()).Active.Epoch == second
@@ -301,27 +301,27 @@
 
 	cluster.sendPolicyCommand(offerCommand("alpha", 3, "/worse"))
 	third := cluster.leaderNewestEpoch()
-	p.badRequests = func(epoch uint64) int64 {
+	proxies.badRequests = func(epoch uint64) int64 {
 		if epoch == third {
 			return 40
 		}
 		return 1
 	}
 	cluster.until("the harmful rollout stops", func() bool {
-		p.reportAll()
+		proxies.reportAll()
 		return cluster.policyStatus(cluster.leader()).Stopped != nil
 	})
-	updated := p.countAtEpoch(third)
-	if updated == 0 || updated > len(p.names)/2 {
+	updated := proxies.countAtEpoch(third)
+	if updated == 0 || updated > len(proxies.names)/2 {
 		t.Errorf("%d of %d proxies have the harmful policy when its rollout stops, want at least 1 and at most half",
-			updated, len(p.names))
+			updated, len(proxies.names))
 	}
 	cluster.stop(cluster.leader())
 	cluster.leader()
 	for range 20 {
-		p.reportAll()
+		proxies.reportAll()
 	}
-	if n := p.countAtEpoch(third); n != updated {
+	if n := proxies.countAtEpoch(third); n != updated {
 		t.Errorf("%d proxies have the stopped policy under the next leader, want %d as before", n, updated)
 	}
 	for i := range 3 {
@@ -330,7 +330,7 @@
 		}
 	}
 	cluster.sendPolicyCommand(store.Command{Rollback: &store.Rollback{Epoch: second, Author: "on call"}})
-	p.waitUntilAll("back", second)
+	proxies.waitUntilAll("after the rollback", second)
 	result := store.Command{RolloutResult: &store.RolloutResult{}}
 	if err := cluster.config.SendPolicyCommand(context.Background(), cluster.client, result); err == nil {
 		t.Error("SendPolicyCommand with a rollout result returned no error, want one: only the leader ends a rollout")
@@ -340,20 +340,20 @@
 // Snapshots of releases that had no policies stay readable, and a snapshot with policies restores quotas and policies.
 func TestEntriesWithoutPoliciesStayReadable(t *testing.T) {
 	clock := func() time.Duration { return 0 }
-	m := newStateMachine(clock, 1)
-	m.Apply(1, []byte(`{}`))
-	old, err := m.Snapshot()
+	machine := newStateMachine(clock, 1)
+	machine.Apply(1, []byte(`{}`))
+	old, err := machine.Snapshot()
 	if err != nil || old[0] == policyEntryMarker {
 		t.Fatalf("Snapshot without policies returned error %v, data %q, want no error and no policy marker", err, old)
 	}
-	m.Apply(
+	machine.Apply(
 		2,
 		append([]byte{policyEntryMarker}, []byte(fmt.Sprintf(`{"charter":{"text":%q}}`, ownershipText("x.org")))...),
 	)
-	if m.policies.Empty() {
+	if machine.policies.Empty() {
 		t.Fatal("the policy store is empty after Apply of an ownership declaration, want the declaration stored")
 	}
-	combined, err := m.Snapshot()
+	combined, err := machine.Snapshot()
 	if err != nil {
 		t.Fatalf("Snapshot with quotas and policies: %v", err)
 	}
@@ -453,8 +453,8 @@
 		done := false
 		for i := range 20 { // one more proxy reports every 100 ms
 			now := time.Duration(i) * 100 * time.Millisecond
-			for k := range i + 1 {
-				driver.proxies[fmt.Sprint("p", k)] = &proxyState{lastReport: now}
+			for proxy := range i + 1 {
+				driver.proxies[fmt.Sprint("p", proxy)] = &proxyState{lastReport: now}
 			}
 			driver.syncWithLog(now, settings, status)
 			driver.advance(now)
--- a/internal/controlplane/server/rollout_sim_test.go
+++ b/internal/controlplane/server/rollout_sim_test.go
@@ -278,7 +278,7 @@
 }
 
 // updateLeastEpoch computes the lowest epoch of the reachable proxies, and how many of them have a harmful epoch.
-func (sim *rolloutSim) updateLeastEpoch(st store.Status) {
+func (sim *rolloutSim) updateLeastEpoch(status store.Status) {
 	if sim.leastEpochValid {
 		return
 	}
@@ -287,7 +287,7 @@
 	for _, c := range sim.proxies {
 		switch {
 		case c.unreachable:
-		case c.current.Generation != st.Active.Generation:
+		case c.current.Generation != status.Active.Generation:
 			sim.leastEpoch = 0
 		default:
 			sim.leastEpoch = min(sim.leastEpoch, c.current.Epoch)
@@ -300,7 +300,7 @@
 }
 
 // report sends a proxy's report to the leader and stores the target that the leader returns.
-func (sim *rolloutSim) report(proxy *simProxy, st store.Status) {
+func (sim *rolloutSim) report(proxy *simProxy, status store.Status) {
 	if proxy.unreachable || sim.leader == nil {
 		return
 	}
@@ -313,7 +313,7 @@
 	bad := int64(math.Round(requests*share + math.Sqrt(requests*share*(1-share))*sim.rng.NormFloat64()))
 	bad = max(0, min(requests, bad))
 	target, err := sim.leader.report(
-		sim.now, sim.settings, st,
+		sim.now, sim.settings, status,
 		api.PolicyReport{
 			Proxy: proxy.name, Sequence: proxy.sequence, Current: proxy.current, Good: requests - bad, Bad: bad,
 		},
@@ -344,11 +344,11 @@
 	const maxMinutes = 5
 	for range maxMinutes * 60 * stepsPerSecond {
 		sim.step()
-		st := sim.store.Status()
-		if st.Candidate.Epoch != 0 && st.Stopped == nil || len(st.Queued) > 0 {
+		status := sim.store.Status()
+		if status.Candidate.Epoch != 0 && status.Stopped == nil || len(status.Queued) > 0 {
 			continue
 		}
-		if sim.leastEpoch >= st.Active.Epoch {
+		if sim.leastEpoch >= status.Active.Epoch {
 			return
 		}
 	}
@@ -358,25 +358,25 @@
 // findViolations returns all recorded violations, and those that the final state shows: a change that is neither in
 // force nor reported, or one that is reported as failed although it did no harm.
 func (sim *rolloutSim) findViolations() []string {
-	st := sim.store.Status()
+	status := sim.store.Status()
 	harmless := !slices.ContainsFunc(sim.changes, func(change *simChange) bool { return change.harmful })
 	for _, change := range sim.changes {
 		name := fmt.Sprint("t", change.team)
 		failedIndex := slices.IndexFunc(
-			st.FailedChanges,
+			status.FailedChanges,
 			func(f store.FailedChange) bool { return f.Namespace == name && f.Number == uint64(change.number) },
 		)
-		withheld := slices.ContainsFunc(st.WithheldFiles, func(h store.WithheldFile) bool {
+		withheld := slices.ContainsFunc(status.WithheldFiles, func(h store.WithheldFile) bool {
 			return h.Namespace == name && h.Submitted == uint64(change.number) && h.Reason != ""
 		})
 		newer := slices.ContainsFunc(
 			sim.changes, func(n *simChange) bool { return n.team == change.team && n.number > change.number },
 		)
 		switch {
-		case failedIndex >= 0 && (st.FailedChanges[failedIndex].Reason == "" ||
-			st.FailedChanges[failedIndex].Advice == "" || st.FailedChanges[failedIndex].Author != "t"):
+		case failedIndex >= 0 && (status.FailedChanges[failedIndex].Reason == "" ||
+			status.FailedChanges[failedIndex].Advice == "" || status.FailedChanges[failedIndex].Author != "t"):
 			sim.recordViolation("change %d of %s failed with an incomplete report %+v, want reason, advice, author t",
-				change.number, name, st.FailedChanges[failedIndex])
+				change.number, name, status.FailedChanges[failedIndex])
 		case failedIndex >= 0 && (!change.harmful || harmless):
 			sim.recordViolation("change %d of %s is reported as failed, but did no harm", change.number, name)
 		case failedIndex < 0 && !withheld && !newer && change.inForceAt == 0:
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -36,7 +36,7 @@
 }
 
 // errPartitioned is the error of requests to and from the partitioned server.
-var errPartitioned = errors.New("cut")
+var errPartitioned = errors.New("request to or from a partitioned server")
 
 // partitionableTransport carries one server's requests to the others. Requests to or from the partitioned server fail.
 type partitionableTransport struct {
@@ -263,8 +263,8 @@
 ) {
 	cluster.t.Helper()
 	cluster.until(what, func() bool {
-		for _, h := range []*testHolder{a, b} {
-			if err := cluster.requestLease(h); err != nil && operatorerror.AdviceOf(err) == "" {
+		for _, holder := range []*testHolder{a, b} {
+			if err := cluster.requestLease(holder); err != nil && operatorerror.AdviceOf(err) == "" {
 				cluster.t.Errorf("%s: lease request failed with an error without advice: %v", what, err)
 			}
 			grantedA, grantedB := a.granted(), b.granted()
