--- a/internal/controlplane/client/bucket_test.go
+++ b/internal/controlplane/client/bucket_test.go
@@ -10,7 +10,7 @@
 	"lapisspread/internal/quotalease"
 )
 
-// leaseStep is a lease that comes after some milliseconds; a floor if its duration is 0.
+// leaseStep is a lease or a floor that the servers grant after a delay. It is a floor if its duration is 0.
 type leaseStep struct {
 	after    int64 // milliseconds
 	amount   int64 // units a second
@@ -18,8 +18,8 @@
 	duration int64 // milliseconds
 }
 
-// bucketComparison compares the buckets of a client with a Holder that gets the same leases and takes all that it
-// can at each millisecond, which is the most that it could ever admit.
+// bucketComparison compares the buckets of a client with a quotalease.Holder that gets the same leases. The holder is
+// drained every millisecond, so it admits the maximum that is possible with these leases.
 type bucketComparison struct {
 	t       *testing.T
 	now     atomic.Int64 // nanoseconds
@@ -32,9 +32,9 @@
 	leaseIndex    uint64
 	burst         quotalease.Amount // of the last lease
 
-	taken    atomic.Int64 // from the buckets
-	admitted int64        // by the holder
-	excess   error        // the first moment at which more was taken
+	taken    atomic.Int64 // units taken from the buckets
+	admitted int64        // units admitted by the holder
+	excess   error        // describes the first time at which taken exceeded admitted; nil if it never did
 }
 
 func newBucketComparison(t *testing.T, m mutations) *bucketComparison {
@@ -48,7 +48,7 @@
 	var err error
 	c.service, err = c.client.ForService("web", nil, nil)
 	if err != nil || c.service == nil {
-		t.Fatal(c.service, err)
+		t.Fatalf("ForService(web) = %v, error %v; want quotas and no error", c.service, err)
 	}
 	c.holder = quotalease.NewHolder(quotalease.HolderSettings{FleetID: "north", HolderID: c.id, MaxDrift: .001})
 	c.holder.SetFloorClaim(0, true)
@@ -58,7 +58,7 @@
 
 func (c *bucketComparison) clock() time.Duration { return time.Duration(c.now.Load()) }
 
-// takeAll has many goroutines take all that there is while something happens.
+// takeAll takes units from the buckets in several goroutines until they are empty, while during runs.
 func (c *bucketComparison) takeAll(during func()) {
 	var takers sync.WaitGroup
 	for range 8 {
@@ -76,7 +76,7 @@
 	takers.Wait()
 }
 
-// drainHolder has the holder admit all that it can.
+// drainHolder acquires units from the holder until it rejects one.
 func (c *bucketComparison) drainHolder() {
 	for {
 		if _, err := c.holder.Acquire(c.clock(), "all", 1); err != nil {
@@ -86,19 +86,20 @@
 	}
 }
 
-// wait lets time go on, and compares at each millisecond.
+// wait advances the clock and compares the buckets with the holder at each millisecond.
 func (c *bucketComparison) wait(milliseconds int64) {
 	for range milliseconds {
 		c.now.Add(int64(time.Millisecond))
 		c.drainHolder()
 		c.takeAll(func() {})
 		if taken := c.taken.Load(); taken > c.admitted && c.excess == nil {
-			c.excess = fmt.Errorf("at %v %d are taken, a holder admits %d", c.clock(), taken, c.admitted)
+			c.excess = fmt.Errorf("at %v: %d units taken from the buckets, want at most the holder's %d",
+				c.clock(), taken, c.admitted)
 		}
 	}
 }
 
-// reply is the servers' reply with the lease or the floor of a step.
+// reply returns the servers' reply with the lease or the floor of a step.
 func (c *bucketComparison) reply(step leaseStep) quotalease.Reply {
 	amount := quotalease.FromUnits(float64(step.amount))
 	burst := quotalease.FromUnits(float64(step.burst))
@@ -127,12 +128,12 @@
 	return reply
 }
 
-// grant has the holder take a step's reply, and publishes what comes of it while units are taken.
+// grant passes a step's reply to the holder and publishes the resulting buckets while units are taken concurrently.
 func (c *bucketComparison) grant(step leaseStep) {
 	c.t.Helper()
 	now := c.clock()
 	if err := c.holder.HandleReply(now, now, c.reply(step)); err != nil {
-		c.t.Fatal(err)
+		c.t.Fatalf("HandleReply(%+v) = %v, want nil", step, err)
 	}
 	_, floors := c.holder.Floors()
 	lease := c.client.leaseBucket(now, c.id.Incarnation, c.holder.Status(now, "all"), c.burst)
@@ -147,12 +148,12 @@
 		{90, 30, 5, 0}, {100, 300, 40, 150}, {300, 60, 8, 0}, {after: 300},
 	}
 	for _, test := range []struct {
-		name      string
-		mutations mutations
-		excess    bool
+		name       string
+		mutations  mutations
+		wantExcess bool
 	}{
-		{"as it is", mutations{}, false},
-		{"a lease begins full", mutations{startFull: true}, true},
+		{"no mutation", mutations{}, false},
+		{"bucket of a new lease is full", mutations{startFull: true}, true},
 		{"leases do not expire", mutations{neverExpire: true}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -161,17 +162,19 @@
 				c.wait(step.after)
 				c.grant(step)
 			}
-			if (c.excess != nil) != test.excess {
-				t.Errorf("excess: %v, want %v", c.excess, test.excess)
+			if (c.excess != nil) != test.wantExcess {
+				t.Errorf("buckets admitted more than the holder: %v (%v), want %v",
+					c.excess != nil, c.excess, test.wantExcess)
 			}
 			if taken := c.taken.Load(); taken < 100 || taken < c.admitted*95/100 {
-				t.Errorf("%d were taken of %d", taken, c.admitted)
+				t.Errorf("units taken from the buckets: %d, want at least 100 and 95%% of the holder's %d",
+					taken, c.admitted)
 			}
 		})
 	}
 }
 
-// publishLease publishes the bucket of a lease of incarnation 7.
+// publishLease publishes and returns the bucket of a lease of incarnation 7. index is that of its fencing token.
 func publishLease(c *QuotaClient, now, expiresAt time.Duration, index uint64) *bucket {
 	b := newBucket(now, quotalease.FromUnits(100), quotalease.FromUnits(10), .001)
 	b.incarnation = 7
@@ -197,27 +200,30 @@
 		first := publishLease(c, 0, time.Second, 1)
 		second := publishLease(c, 200*time.Millisecond, 1200*time.Millisecond, 2)
 		if got := first.take(int64(300 * time.Millisecond)); got != test.replacedGives {
-			t.Errorf("%+v: of a bucket that was replaced: %v", test.mutations, got)
+			t.Errorf("mutations %+v: take from a replaced bucket = %v, want %v",
+				test.mutations, got, test.replacedGives)
 		}
 		if !second.take(int64(300 * time.Millisecond)) {
-			t.Error("the level of a lease that goes on is lost")
+			t.Error("take from the bucket of a renewed lease = false, want true: it keeps the previous bucket's level")
 		}
-		// The lease had expired before the next came: what was left in its bucket may be another holder's by now.
+		// The lease expired before the next one was granted, so the units left in its bucket may have been leased to
+		// another holder since.
 		publishLease(c, time.Second, 2*time.Second, 1)
 		last := publishLease(c, 3*time.Second, 4*time.Second, 2)
 		if got := last.take(int64(3 * time.Second)); got != test.expiredGives {
-			t.Errorf("%+v: of a lease that came anew: %v", test.mutations, got)
+			t.Errorf("mutations %+v: take from the bucket of a lease granted after the previous one expired = %v, "+
+				"want %v", test.mutations, got, test.expiredGives)
 		}
 		c.publish(1, 8, "all", 3200*time.Millisecond, nil, nil)
 		if !last.take(int64(3300 * time.Millisecond)) {
-			t.Error("a lease ended because another worker was started")
+			t.Error("take after another worker has published no lease = false, want true: the lease has not expired")
 		}
 		c.publish(1, 0, "all", 3400*time.Millisecond, nil, nil)
 		if last.take(int64(3900 * time.Millisecond)) {
-			t.Error("a lease goes on after all was given back")
+			t.Error("take after all leases were released = true, want false")
 		}
 		if c.publish(0, 7, "all", 4*time.Second, nil, nil) {
-			t.Error("a worker that was given up has published")
+			t.Error("publish by a worker of an earlier generation = true, want false")
 		}
 	}
 }
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testFile is the configuration of a fleet with two quotas and a server at each address.
+// testFile returns the configuration of a fleet with two quotas and one control-plane server at each address.
 func testFile(stateDir string, addresses ...string) *api.Config {
 	leaseDuration := strictconfig.Duration(3 * time.Second)
 	file := &api.Config{
@@ -54,17 +54,18 @@
 	return file
 }
 
-// noServer is an address where nobody answers.
+// noServer is an address on which no server listens.
 const noServer = "127.0.0.1:1"
 
-// testConfig is the Config of a proxy without a server.
+// testConfig returns the Config of a proxy whose only control-plane server is unreachable.
 func testConfig(stateDir string) Config {
 	return Config{File: testFile(stateDir, noServer), ProxyName: "p1"}
 }
 
+// always is a mayWrite or mayInstall function of a worker that has not been replaced.
 func always() bool { return true }
 
-// runInBackground runs a client until the returned function is called, which waits for its end.
+// runInBackground runs a client until stop is called. stop waits until run has returned.
 func runInBackground(run func(context.Context)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -78,7 +79,8 @@
 	}
 }
 
-// The fake clock goes on whenever all wait.
+// Workers that panic or stop sending heartbeats are replaced, up to the limit of stuck workers. A worker that makes
+// progress is not replaced.
 func TestCrashedOrStuckWorkerIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
@@ -92,9 +94,9 @@
 			defer alive.Add(-1)
 			switch n := started.Add(1); {
 			case n <= 2:
-				panic("by the test")
+				panic("panic injected by the test")
 			case n <= 20:
-				<-release // without regard to ctx
+				<-release // ignores ctx, as a stuck worker does
 			default:
 				for ctx.Err() == nil {
 					c.worker.Heartbeat()
@@ -106,26 +108,27 @@
 		time.Sleep(10 * time.Minute)
 		crashes, stalls := c.counters.crashes.Load(), c.counters.stalls.Load()
 		if crashes != 2 || mostAlive.Load() != supervisor.MaxStuck+1 || stalls != supervisor.MaxStuck+1 {
-			t.Errorf("%d crashed, %d stalled, %d at once", crashes, stalls, mostAlive.Load())
+			t.Errorf("after 10m: %d workers crashed, %d stalled, at most %d ran at once; want 2, %d and %d",
+				crashes, stalls, mostAlive.Load(), supervisor.MaxStuck+1, supervisor.MaxStuck+1)
 		}
 		close(release)
 		time.Sleep(10 * time.Minute)
 		if alive.Load() != 1 {
-			t.Errorf("%d workers are alive", alive.Load())
+			t.Errorf("10m after the stuck workers were released: %d workers run, want 1", alive.Load())
 		}
 		before := started.Load()
 		time.Sleep(10 * time.Minute)
-		if started.Load() != before {
-			t.Error("a worker that makes progress was replaced")
+		if after := started.Load(); after != before {
+			t.Errorf("workers started while the current worker made progress: %d, want 0", after-before)
 		}
 		status := c.Status()
 		for _, fault := range status.Faults {
 			if fault.Advice == "" {
-				t.Errorf("%q has no advice", fault.Error)
+				t.Errorf("Status().Faults: fault %q has no advice, want some", fault.Error)
 			}
 		}
 		if len(status.Faults) != 2 {
-			t.Errorf("%+v", status.Faults)
+			t.Errorf("Status().Faults = %+v, want 2 faults: crashed and stalled workers", status.Faults)
 		}
 		stop()
 	})
@@ -139,7 +142,7 @@
 		merkle.IncompleteError{},
 	} {
 		if operatorerror.AdviceOf(err) == "" || strings.TrimSpace(err.Error()) == "" {
-			t.Errorf("%T", err)
+			t.Errorf("%T: advice %q, text %q; want neither empty", err, operatorerror.AdviceOf(err), err.Error())
 		}
 	}
 }
--- a/internal/controlplane/client/errors_doc_test.go
+++ b/internal/controlplane/client/errors_doc_test.go
@@ -25,7 +25,7 @@
 	"lapisspread/internal/staleness"
 )
 
-// operatorErrors are all errors of the control plane that say what an operator can do.
+// operatorErrors are all error types of the control plane that have advice for operators.
 var operatorErrors = []operatorerror.Error{
 	consensus.LogConflictError{},
 	consensus.NoQuorumError{},
@@ -109,7 +109,7 @@
 	tableEnd     = "<!-- end of errors -->"
 )
 
-// errorDirs are the packages that may have such errors.
+// errorDirs are the directories of the packages whose error types must be in operatorErrors.
 var errorDirs = []string{
 	".",
 	"../api",
@@ -126,7 +126,7 @@
 	"../../staleness",
 }
 
-// errorCode is the name of an error in messages between processes.
+// errorCode returns the code of an error in messages between processes.
 func errorCode(e operatorerror.Error) string {
 	if coded, ok := e.(interface{ Code() string }); ok {
 		return coded.Code()
@@ -143,33 +143,35 @@
 	return table.String() + "\n" + tableEnd
 }
 
-// The page for operators says of each error what its type says.
+// The table of errors on the operators' page must have the code and the advice of each error type.
 func TestOperatorPageHasEachErrorsAdvice(t *testing.T) {
 	data, err := os.ReadFile(operatorPage)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the operators' page: %v", err)
 	}
 	page := string(data)
 	before, rest, hasBegin := strings.Cut(page, tableBegin)
 	_, after, hasEnd := strings.Cut(rest, tableEnd)
 	if !hasBegin || !hasEnd {
-		t.Fatal("the page has no place for the errors")
+		t.Fatalf("%s has no table of errors: begin marker found: %v, end marker found: %v; want both",
+			operatorPage, hasBegin, hasEnd)
 	}
 	want := before + errorTable() + after
 	if page == want {
 		return
 	}
 	if os.Getenv("UPDATE_DOCS") == "" {
-		t.Error("the page is not what the types say")
+		t.Errorf("the table of errors in %s differs from the advice of the error types; UPDATE_DOCS=1 rewrites it",
+			operatorPage)
 	} else if err := os.WriteFile(operatorPage, []byte(want), 0o644); err != nil {
-		t.Fatal(err)
+		t.Fatalf("rewriting the table of errors: %v", err)
 	}
 }
 
-// The page leaves no error out.
+// Each error type with a method Advice must be in operatorErrors, and so on the operators' page.
 func TestOperatorErrorsAreComplete(t *testing.T) {
 	listed := map[string]bool{
-		fmt.Sprintf("%T", api.RemoteError{}): true, // it passes on another error's advice
+		fmt.Sprintf("%T", api.RemoteError{}): true, // carries the advice of another error
 	}
 	for _, e := range operatorErrors {
 		listed[fmt.Sprintf("%T", e)] = true
@@ -178,18 +180,18 @@
 		names := errorsWithAdvice(t, dir)
 		for _, name := range names {
 			if !listed[name] {
-				t.Errorf("%s is not on the page", name)
+				t.Errorf("error type %s has advice but is not in operatorErrors, want it there", name)
 			}
 		}
 	}
 }
 
-// errorsWithAdvice are the types of a package that have a method Advice.
+// errorsWithAdvice returns the qualified names of the types in a package's directory that have a method Advice.
 func errorsWithAdvice(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil || len(paths) == 0 {
-		t.Fatal(dir, err)
+		t.Fatalf("listing the Go files in %s: %d found, error %v; want at least 1 and no error", dir, len(paths), err)
 	}
 	for _, path := range paths {
 		if strings.HasSuffix(path, "_test.go") {
@@ -197,7 +199,7 @@
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parsing a Go file: %v", err)
 		}
 		for _, declaration := range file.Decls {
 			method, ok := declaration.(*ast.FuncDecl)
--- a/internal/controlplane/client/fetch_test.go
+++ b/internal/controlplane/client/fetch_test.go
@@ -14,8 +14,8 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// A change costs what changed, also for a proxy that missed many versions, or whose kept policy no server knows any
-// more.
+// A proxy fetches only the chunks that differ from its installed policy. This also holds for a proxy that missed many
+// versions, and for one whose stored policy no server has any more.
 func TestOnlyChangedChunksAreFetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, dir := newTestServer(t), t.TempDir()
@@ -25,34 +25,34 @@
 			version++
 			return server.offerPolicy(1, version, policyVersion(1000, version))
 		}
-		proxy.awaitOffer(t, "the first, whole", offerNext())
-		whole := proxy.chunksAccepted.Load()
+		proxy.awaitOffer(t, "the first version, of which all chunks are fetched", offerNext())
+		totalChunks := proxy.chunksAccepted.Load()
 		for range 5 {
 			chunksBefore := proxy.chunksAccepted.Load()
 			var bytesBefore, bytesAfter int
-			server.locked(func() { bytesBefore = server.replyBytes })
-			proxy.awaitOffer(t, "a change", offerNext())
+			server.withLock(func() { bytesBefore = server.replyBytes })
+			proxy.awaitOffer(t, "a version with one changed route", offerNext())
 			if n := proxy.chunksAccepted.Load() - chunksBefore; n == 0 || n > 8 {
-				t.Errorf("a changed route took %d chunks; all are %d", n, whole)
+				t.Errorf("chunks fetched for one changed route: %d of %d, want 1 to 8", n, totalChunks)
 			}
-			server.locked(func() { bytesAfter = server.replyBytes })
+			server.withLock(func() { bytesAfter = server.replyBytes })
 			if n := bytesAfter - bytesBefore; n > 16<<10 {
-				t.Errorf("a changed route took %d bytes", n)
+				t.Errorf("reply bytes for one changed route: %d, want at most %d", n, 16<<10)
 			}
 		}
 		if n := proxy.diffs.Load(); n != 5 {
-			t.Errorf("%d of 5 changes were made of what was there", n)
+			t.Errorf("policies built from the previous one after 5 changes: %d, want 5", n)
 		}
 		chunksBefore := proxy.chunksAccepted.Load()
-		server.locked(func() { server.down = true })
+		server.withLock(func() { server.down = true })
 		for range 20 {
 			offerNext()
 		}
 		last := offerNext()
-		server.locked(func() { server.down = false })
-		proxy.awaitOffer(t, "the last of 21 changes", last)
-		if n := proxy.chunksAccepted.Load() - chunksBefore; n > whole/2 {
-			t.Errorf("21 changes took %d chunks; all are %d", n, whole)
+		server.withLock(func() { server.down = false })
+		proxy.awaitOffer(t, "the last of 21 versions offered while the server was down", last)
+		if n := proxy.chunksAccepted.Load() - chunksBefore; n > totalChunks/2 {
+			t.Errorf("chunks fetched for 21 missed versions: %d of %d, want at most %d", n, totalChunks, totalChunks/2)
 		}
 		proxy.stop()
 		for range 3 {
@@ -62,19 +62,20 @@
 		last = offerNext()
 		next := server.newProxy(dir, nil)
 		if next.restored.Epoch == 0 {
-			t.Error("nothing was kept")
+			t.Error("Restore() after a restart installed no policy, want the stored one")
 		}
-		next.awaitOffer(t, "what is offered now", last)
-		if n := next.chunksAccepted.Load(); n > whole/4 || next.diffs.Load() != 1 {
-			t.Errorf("a kept policy that no server knows was no base: %d chunks; all are %d", n, whole)
+		next.awaitOffer(t, "the newest version after a restart", last)
+		if n := next.chunksAccepted.Load(); n > totalChunks/4 || next.diffs.Load() != 1 {
+			t.Errorf("update from a stored policy that no server has: %d of %d chunks, %d policies built by diff; "+
+				"want at most %d chunks and 1 policy", n, totalChunks, next.diffs.Load(), totalChunks/4)
 		}
 		next.stopAndCheck(t)
 		proxy.checkViolations(t)
 	})
 }
 
-// chunksOf are the chunks that a reply carries.
-func chunksOf(reply any) *[][]byte {
+// replyChunks returns a pointer to the chunks of a reply; nil for a reply without chunks.
+func replyChunks(reply any) *[][]byte {
 	switch reply := reply.(type) {
 	case *api.PolicyReply:
 		return &reply.Chunks
@@ -84,8 +85,9 @@
 	return nil
 }
 
-// damageOne damages, cuts, drops or replaces one chunk of a reply.
-func damageOne(rng *rand.Rand, chunks *[][]byte) {
+// damageRandomChunk flips a bit of a random chunk of a reply, truncates it, drops it with all later chunks, or replaces it by
+// one that is too long.
+func damageRandomChunk(rng *rand.Rand, chunks *[][]byte) {
 	*chunks = slices.Clone(*chunks)
 	at := rng.IntN(len(*chunks))
 	chunk := (*chunks)[at]
@@ -103,31 +105,31 @@
 	}
 }
 
-// Chunks that are damaged on their way are rejected and fetched again, and replies that are cut change nothing.
+// Chunks that are damaged in transit are rejected and fetched again. Truncated replies do no harm.
 func TestDamagedChunkIsFetchedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(t)
 		rng := rand.New(rand.NewPCG(1, 2))
 		server.alter = func(_ *http.Request, reply any) {
-			chunks := chunksOf(reply)
+			chunks := replyChunks(reply)
 			if len(*chunks) > 0 && rng.IntN(2) > 0 {
-				damageOne(rng, chunks)
+				damageRandomChunk(rng, chunks)
 			}
 		}
 		proxy := server.newProxy(t.TempDir(), nil)
-		proxy.awaitOffer(t, "the first", server.offerPolicy(1, 1, policyVersion(300, 1)))
+		proxy.awaitOffer(t, "the first version", server.offerPolicy(1, 1, policyVersion(300, 1)))
 		for version := uint64(2); version < 12; version++ {
-			proxy.awaitOffer(t, "a change", server.offerPolicy(1, version, policyVersion(300, version)))
+			proxy.awaitOffer(t, "a later version", server.offerPolicy(1, version, policyVersion(300, version)))
 		}
 		if proxy.PolicyStatus().ChunksRejected == 0 {
-			t.Error("nothing was damaged: it proves nothing")
+			t.Error("PolicyStatus().ChunksRejected = 0, want above 0: otherwise no chunk was damaged")
 		}
 		proxy.stopAndCheck(t)
 	})
 }
 
-// Over a link on which a reply takes longer than there is between two changes, what came for one version serves the
-// next, and reports go on.
+// On a link so slow that fetching a version takes longer than the time between two versions, chunks fetched for one
+// version are used for the next. Reports continue meanwhile.
 func TestSlowLinks(t *testing.T) {
 	const bytesPerSecond = 20 << 10
 	synctest.Test(t, func(t *testing.T) {
@@ -142,20 +144,22 @@
 			time.Sleep(5 * time.Second)
 		}
 		if proxy.installed.Load() == 0 {
-			t.Errorf("nothing got through while it changed: %d chunks", proxy.chunksAccepted.Load())
+			t.Errorf("policies installed in 2m with a new version every 5s: 0 (%d chunks fetched), want at least 1",
+				proxy.chunksAccepted.Load())
 		}
-		proxy.awaitOffer(t, "the last", server.offerPolicy(1, version, policyVersion(1000, version)))
+		proxy.awaitOffer(t, "the last version", server.offerPolicy(1, version, policyVersion(1000, version)))
 		proxy.stopAndCheck(t)
 		for i := 1; i < len(server.reports); i++ {
 			gap := server.reports[i].Sub(server.reports[i-1])
 			if gap > rollout.DefaultSettings().SilenceTimeout {
-				t.Errorf("no report for %v", gap)
+				t.Errorf("time between reports %d and %d: %v, want at most the silence timeout %v",
+					i-1, i, gap, rollout.DefaultSettings().SilenceTimeout)
 			}
 		}
 	})
 }
 
-// A proxy that is told to retry later does, not before, and goes on reporting.
+// A proxy does not request chunks from a server before the retry time that the server gave, and keeps reporting.
 func TestRetryAfterIsObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(t)
@@ -174,72 +178,74 @@
 			retryAt[r.URL.Host] = time.Now().Add(3 * time.Second)
 		}
 		proxy := server.newProxy("", nil)
-		proxy.awaitOffer(t, "the first", server.offerPolicy(1, 1, policyVersion(300, 1)))
+		proxy.awaitOffer(t, "the first version", server.offerPolicy(1, 1, policyVersion(300, 1)))
 		proxy.stopAndCheck(t)
 		if tooEarly > 0 || deferred < 12 {
-			t.Errorf("it came back %d times too early, told %d times", tooEarly, deferred)
+			t.Errorf("chunk requests before the retry time: %d, deferred requests: %d; want 0 and at least 12",
+				tooEarly, deferred)
 		}
 		if n := len(server.reports); n < 8 {
-			t.Errorf("%d reports meanwhile", n)
+			t.Errorf("reports sent while chunk requests were deferred: %d, want at least 8", n)
 		}
 	})
 }
 
-// What the servers offer that is no policy, or that has no valid hash, is rejected without being fetched again and
-// again; the next version is installed.
+// An offer whose content is not a policy or whose hash is invalid is rejected, and its content is not fetched
+// repeatedly. The next valid version is installed.
 func TestUnreadablePolicyIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(t)
 		proxy := server.newProxy(t.TempDir(), nil)
 		first := server.offerPolicy(1, 1, policyVersion(300, 1))
-		proxy.awaitOffer(t, "the first", first)
+		proxy.awaitOffer(t, "the first version", first)
 		unreadable, err := proxy.Current().Tree.With([]merkle.Item{{Key: "route a/r00001", Value: []byte("{}")}}, nil)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("building a tree with an empty route: Tree.With() = error %v, want nil", err)
 		}
 		server.currentDistributor().Retain([]*merkle.Tree{unreadable})
-		server.locked(func() {
+		server.withLock(func() {
 			server.offer = rollout.Version{Generation: 1, Epoch: 2, Hash: unreadable.Root().String()}
 		})
 		before := proxy.chunksAccepted.Load()
 		time.Sleep(time.Minute)
 		if offer := proxy.Current().Offer; offer != first {
-			t.Fatalf("%+v was installed", offer)
+			t.Fatalf("installed version after an unreadable offer: %+v, want the previous version %+v", offer, first)
 		}
 		if n := proxy.chunksAccepted.Load() - before; n == 0 || n > 40 {
-			t.Errorf("%d chunks came in a minute", n)
+			t.Errorf("chunks fetched in 1m for an unreadable offer: %d, want 1 to 40", n)
 		}
 		if status := proxy.PolicyStatus(); len(status.Faults) == 0 || status.Faults[0].Advice == "" {
-			t.Errorf("nobody is told: %+v", status)
+			t.Errorf("PolicyStatus().Faults after an unreadable offer = %+v, want a fault with advice", status.Faults)
 		}
-		server.locked(func() { server.offer = rollout.Version{Generation: 1, Epoch: 3, Hash: "no root"} })
+		server.withLock(func() { server.offer = rollout.Version{Generation: 1, Epoch: 3, Hash: "no root"} })
 		time.Sleep(10 * time.Second)
-		proxy.awaitOffer(t, "the next", server.offerPolicy(1, 4, policyVersion(300, 4)))
+		proxy.awaitOffer(t, "a valid version after invalid offers", server.offerPolicy(1, 4, policyVersion(300, 4)))
 		proxy.stopAndCheck(t)
 	})
 }
 
-// A proxy takes whole texts from a server of an earlier release and chunks from a newer one, in whatever order they
-// come to lead; a new bootstrap goes before all that is installed.
+// A proxy accepts a policy as one text from a server of an earlier release and as chunks from a newer server, in any
+// order of their leadership. A version of a new bootstrap supersedes every installed version.
 func TestMixedServerReleases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, dir := newTestServer(t), t.TempDir()
 		proxy := server.newProxy(dir, nil)
 		for version := uint64(1); version <= 8; version++ {
-			server.locked(func() { server.textOnly = version%4 >= 2 })
-			proxy.awaitOffer(t, "a change", server.offerPolicy(1, version, policyVersion(200, version)))
+			server.withLock(func() { server.textOnly = version%4 >= 2 })
+			proxy.awaitOffer(t, "a version as text or chunks",
+				server.offerPolicy(1, version, policyVersion(200, version)))
 		}
-		server.locked(func() { server.textOnly = true })
+		server.withLock(func() { server.textOnly = true })
 		last := server.offerPolicy(1, 9, policyVersion(200, 9))
-		proxy.awaitOffer(t, "a text", last)
+		proxy.awaitOffer(t, "a version as text", last)
 		proxy.stop()
 		next := server.newProxy(dir, nil)
 		if next.restored != last {
-			t.Errorf("the next process begins with %+v", next.restored)
+			t.Errorf("version restored after a restart: %+v, want %+v", next.restored, last)
 		}
-		server.locked(func() { server.textOnly = false })
-		next.awaitOffer(t, "of a new bootstrap", server.offerPolicy(1<<32, 1, policyVersion(200, 3)))
-		next.awaitOffer(t, "a change after", server.offerPolicy(1<<32, 2, policyVersion(200, 4)))
+		server.withLock(func() { server.textOnly = false })
+		next.awaitOffer(t, "the first version of a new bootstrap", server.offerPolicy(1<<32, 1, policyVersion(200, 3)))
+		next.awaitOffer(t, "the second version of a new bootstrap", server.offerPolicy(1<<32, 2, policyVersion(200, 4)))
 		next.stopAndCheck(t)
 		proxy.checkViolations(t)
 	})
--- a/internal/controlplane/client/frozen_test.go
+++ b/internal/controlplane/client/frozen_test.go
@@ -17,11 +17,11 @@
 	"lapisspread/internal/quotalease"
 )
 
-// frozenDir holds the files that a proxy of name p1 keeps, as the code of commit c8fad44 writes them; made with
+// frozenDir holds the state files of proxy p1 as the code of commit c8fad44 wrote them, with
 //
 //	FREEZE_KEPT=1 go test ./internal/controlplane/client -run TestFrozenFilesAreWrittenTheSame
 //
-// They must never be written again: they stand for the files of running proxies.
+// They must never be rewritten: running proxies have files of this format.
 const frozenDir = "testdata/c8fad44"
 
 func frozenFloors() map[string]quotalease.Floor {
@@ -31,37 +31,39 @@
 	}
 }
 
-// frozenContents are the policies that are kept one after another.
-func frozenContents(t *testing.T) (one, two policyContent) {
+// frozenContents returns the two policies in the frozen journal, in the order in which they were saved.
+func frozenContents(t *testing.T) (first, second policyContent) {
 	t.Helper()
-	for i, c := range []*policyContent{&one, &two} {
+	for i, c := range []*policyContent{&first, &second} {
 		text := policyText([]string{"one", "two"}[i])
 		var err error
 		if *c, err = contentFromText(textVersion(1, uint64(5+i), text), text); err != nil {
-			t.Fatal(err)
+			t.Fatalf("contentFromText(policy %d of 2) = error %v, want nil", i+1, err)
 		}
 	}
-	return one, two
+	return first, second
 }
 
+// writeFrozenFiles writes the files of frozenDir to a directory with the current code.
 func writeFrozenFiles(t *testing.T, dir string) {
 	t.Helper()
-	one, two := frozenContents(t)
-	k := newPolicyStore(dir, "p1")
+	first, second := frozenContents(t)
+	store := newPolicyStore(dir, "p1")
 	older := textRecord{Offer: textVersion(1, 4, policyText("older")), Text: policyText("older")}
-	c := newFloorClaim(filepath.Join(dir, "floors-p1"), "p1")
-	err := errors.Join(k.textFile.Save(older), k.save(one), k.save(two), c.save(9, frozenFloors(), always))
+	claim := newFloorClaim(filepath.Join(dir, "floors-p1"), "p1")
+	err := errors.Join(
+		store.textFile.Save(older), store.save(first), store.save(second), claim.save(9, frozenFloors(), always))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("saving the policies and floors of the frozen files: %v", err)
 	}
 }
 
-// frozenFiles gives a copy of them.
-func frozenFiles(t *testing.T) string {
+// copyFrozenFiles copies the frozen files to a temporary directory and returns its path.
+func copyFrozenFiles(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(frozenDir)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("copying the frozen files: %v", err)
 	}
 	return dir
 }
@@ -69,7 +71,7 @@
 func TestFrozenFilesAreWrittenTheSame(t *testing.T) {
 	if os.Getenv("FREEZE_KEPT") != "" {
 		if err := os.MkdirAll(frozenDir, 0o700); err != nil {
-			t.Fatal(err)
+			t.Fatalf("creating the directory of the frozen files: %v", err)
 		}
 		writeFrozenFiles(t, frozenDir)
 	}
@@ -78,95 +80,103 @@
 	for _, name := range []string{"floors-p1", "pieces-p1", "policy-p1"} {
 		want, err := os.ReadFile(filepath.Join(frozenDir, name))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading a frozen file: %v", err)
 		}
 		got, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s, %v: %q, want %q", name, err, got, want)
+			t.Errorf("file %s as written now: %q, read error %v; want the frozen content %q", name, got, err, want)
 		}
 	}
 }
 
 func TestGoOnFromFrozenFloors(t *testing.T) {
-	c := newFloorClaim(filepath.Join(frozenFiles(t), "floors-p1"), "p1")
+	c := newFloorClaim(filepath.Join(copyFrozenFiles(t), "floors-p1"), "p1")
 	version, floors, err := c.load()
 	if err != nil || version != 9 || !reflect.DeepEqual(floors, frozenFloors()) {
-		t.Fatalf("%d, %+v, %v", version, floors, err)
+		t.Fatalf("load() of the frozen floors = version %d, floors %+v, error %v; want version 9, floors %+v, nil",
+			version, floors, err, frozenFloors())
 	}
 	held, err := c.tryLock()
 	if err != nil || !held {
-		t.Fatalf("the lock beside the kept floors was not taken: %v, %v", held, err)
+		t.Fatalf("tryLock() beside the frozen floors = %v, %v; want true, nil", held, err)
 	}
 	defer c.release()
 	delete(floors, "held")
-	for version, want := range []uint64{9, 10} { // 9 is kept already
+	for version, want := range []uint64{9, 10} { // version 9 is stored already
 		if err := c.save(uint64(version)+9, floors, always); err != nil {
-			t.Fatal(err)
+			t.Fatalf("save(version %d) = %v, want nil", version+9, err)
 		}
 		if got, _, err := c.load(); err != nil || got != want {
-			t.Errorf("%d, %v; want %d", got, err, want)
+			t.Errorf("load() after save(version %d) = version %d, error %v; want version %d, nil",
+				version+9, got, err, want)
 		}
 	}
 	if _, got, _ := c.load(); !reflect.DeepEqual(got, floors) {
-		t.Errorf("%+v", got)
+		t.Errorf("load() after save(version 10) = floors %+v, want %+v", got, floors)
 	}
 }
 
 func TestGoOnFromFrozenPolicy(t *testing.T) {
-	dir := frozenFiles(t)
-	_, two := frozenContents(t)
-	k := newPolicyStore(dir, "p1")
-	got, loose, err := k.load()
-	want := rollout.Version{Generation: 1, Epoch: 6, Hash: two.hash}
-	if err != nil || len(loose) > 0 || got.offer != want || got.hash != two.hash {
-		t.Fatalf("%+v, %d loose, %v", got, len(loose), err)
+	dir := copyFrozenFiles(t)
+	_, second := frozenContents(t)
+	store := newPolicyStore(dir, "p1")
+	got, chunks, err := store.load()
+	want := rollout.Version{Generation: 1, Epoch: 6, Hash: second.hash}
+	if err != nil || len(chunks) > 0 || got.offer != want || got.hash != second.hash {
+		t.Fatalf("load() of the frozen policy = version %+v, content hash %s, %d chunks, error %v; "+
+			"want version %+v, hash %s, no chunks, nil", got.offer, got.hash, len(chunks), err, want, second.hash)
 	}
 	sameItem := func(a, b merkle.Item) bool { return a.Key == b.Key && bytes.Equal(a.Value, b.Value) }
-	if !slices.EqualFunc(slices.Collect(got.tree.Items()), slices.Collect(two.tree.Items()), sameItem) {
-		t.Fatalf("the content is %v", slices.Collect(got.tree.Items()))
+	gotItems, wantItems := slices.Collect(got.tree.Items()), slices.Collect(second.tree.Items())
+	if !slices.EqualFunc(gotItems, wantItems, sameItem) {
+		t.Fatalf("load() of the frozen policy: tree items %v, want %v", gotItems, wantItems)
 	}
 	text := policyText("three")
-	three, err := contentFromText(textVersion(2, 3, text), text)
+	third, err := contentFromText(textVersion(2, 3, text), text)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("contentFromText(third policy) = error %v, want nil", err)
 	}
-	before := k.journal.Size()
-	if err := k.save(three); err != nil || k.journal.Size() <= before {
-		t.Fatalf("%v: %d bytes after %d", err, k.journal.Size(), before)
+	before := store.journal.Size()
+	if err := store.save(third); err != nil || store.journal.Size() <= before {
+		t.Fatalf("save(third policy) = %v, journal of %d bytes; want nil and more than the %d bytes before",
+			err, store.journal.Size(), before)
 	}
 	got, _, err = newPolicyStore(dir, "p1").load()
-	if err != nil || got.offer != three.offer || got.tree.Root() != three.tree.Root() {
-		t.Errorf("%+v, %v", got, err)
+	if err != nil || got.offer != third.offer || got.tree.Root() != third.tree.Root() {
+		t.Errorf("load() after save(third policy) = version %+v, error %v; want version %+v with its tree, nil",
+			got.offer, err, third.offer)
 	}
 }
 
-// Earlier releases kept a text.
+// A proxy must restore the policy text that earlier releases stored in place of the journal.
 func TestGoOnFromFrozenText(t *testing.T) {
-	dir := frozenFiles(t)
+	dir := copyFrozenFiles(t)
 	if err := os.Remove(filepath.Join(dir, "pieces-p1")); err != nil {
-		t.Fatal(err)
+		t.Fatalf("removing the journal of chunks: %v", err)
 	}
 	p := NewPolicyClient(testConfig(dir), acceptAll)
 	p.Restore()
 	want := textVersion(1, 4, policyText("older"))
 	if current := p.Current(); current.Offer != want || current.Policy.Hash() != want.Hash {
-		t.Errorf("%+v, want %+v", current, want)
+		t.Errorf("Restore() of the frozen text installed version %+v, want %+v with its content", current.Offer, want)
 	}
 	older := durable.File{Path: filepath.Join(dir, "policy-p1"), Kind: "lapisspread-policy", Version: 1}
-	var kept struct {
+	var stored struct {
 		Offer struct {
 			Order, Epoch uint64
 			Hash         string
 		}
 		Text []byte
 	}
-	if err := older.Load(&kept); err != nil {
-		t.Fatal(err)
+	if err := older.Load(&stored); err != nil {
+		t.Fatalf("loading the text file after Restore(): %v", err)
 	}
-	if kept.Offer.Order != 1 || kept.Offer.Epoch != 4 || !bytes.Equal(kept.Text, policyText("older")) {
-		t.Errorf("%+v", kept)
+	if stored.Offer.Order != 1 || stored.Offer.Epoch != 4 || !bytes.Equal(stored.Text, policyText("older")) {
+		t.Errorf("text file after Restore(): order %d, epoch %d, text %q; want order 1, epoch 4, text %q",
+			stored.Offer.Order, stored.Offer.Epoch, stored.Text, policyText("older"))
 	}
 	if _, err := os.Stat(filepath.Join(dir, "pieces-p1")); !errors.Is(err, fs.ErrNotExist) {
-		t.Error(err)
+		t.Errorf("Stat of the journal of chunks after Restore() = error %v, want %v: Restore writes no journal",
+			err, fs.ErrNotExist)
 	}
 }
--- a/internal/controlplane/client/policyclient_test.go
+++ b/internal/controlplane/client/policyclient_test.go
@@ -14,9 +14,9 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// policyText is the text of a policy without routes, with a service of a name.
+// policyText returns the text of a policy with one service of the given name and without routes.
 func policyText(service string) []byte {
-	charter, err := namespace.ParseDeclaration("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\nowner = \"o\"\n"+
+	declaration, err := namespace.ParseDeclaration("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\nowner = \"o\"\n"+
 		"hosts = [\"x.org\"]\nsettings = [\"service\"]\n"))
 	if err != nil {
 		panic(err)
@@ -26,9 +26,10 @@
 	if err != nil {
 		panic(err)
 	}
-	return namespace.Merge(charter, nil, []*namespace.File{team}).Policy.Encode()
+	return namespace.Merge(declaration, nil, []*namespace.File{team}).Policy.Encode()
 }
 
+// textVersion returns the version of a policy text: its hash is the SHA-256 of the text.
 func textVersion(generation, epoch uint64, text []byte) rollout.Version {
 	policy, err := namespace.Decode(text)
 	if err != nil {
@@ -37,7 +38,8 @@
 	return rollout.Version{Generation: generation, Epoch: epoch, Hash: policy.Hash()}
 }
 
-// What is rejected changes nothing; what is installed is installed once, and kept for the next process.
+// A rejected policy leaves the installed one unchanged. A policy is installed only once and is stored for the next
+// process.
 func TestPolicyIsInstalledWholeOrNotAtAll(t *testing.T) {
 	one, two := policyText("one"), policyText("two")
 	reject := false
@@ -55,65 +57,70 @@
 	handle := func(fleet string, offer rollout.Version, text []byte, mayInstall func() bool) error {
 		return c.handleOffer(t.Context(), f, api.PolicyReply{Fleet: fleet, Target: offer, Text: text}, mayInstall)
 	}
-	first, second, back := textVersion(1, 1, one), textVersion(1, 2, two), textVersion(2, 1, one)
+	first, second, rollback := textVersion(1, 1, one), textVersion(1, 2, two), textVersion(2, 1, one)
 	for _, step := range []struct {
-		what    string
+		name    string
 		offer   rollout.Version
 		text    []byte
 		reject  bool
 		want    rollout.Version
 		wantErr bool
 	}{
-		{"the first", first, one, false, first, false},
-		{"with another's content", second, one, false, first, true},
-		{"cut", second, two[:len(two)-1], false, first, true},
-		{"that can't be installed", second, two, true, first, true},
-		{"the second, now that it can, without its text", second, nil, false, second, false},
-		{"the second again", second, two, false, second, false},
-		{"an older one", first, one, false, second, false},
-		{"the older one, by an operator's command", back, one, false, back, false},
-		{"a late one", textVersion(1, 9, two), two, false, back, false},
+		{"first version", first, one, false, first, false},
+		{"second version with the first's content", second, one, false, first, true},
+		{"second version with truncated text", second, two[:len(two)-1], false, first, true},
+		{"second version while install rejects it", second, two, true, first, true},
+		{"second version without text, once install accepts it", second, nil, false, second, false},
+		{"second version again", second, two, false, second, false},
+		{"older version", first, one, false, second, false},
+		{"older content in a new generation, as after a rollback", rollback, one, false, rollback, false},
+		{"newer epoch of an earlier generation", textVersion(1, 9, two), two, false, rollback, false},
 	} {
 		reject = step.reject
 		err := handle("north", step.offer, step.text, always)
 		if (err != nil) != step.wantErr || c.Current().Offer != step.want || c.version.Version() != step.want {
-			t.Errorf("%s: %v, holds %+v", step.what, err, c.Current().Offer)
+			t.Errorf("%s: handleOffer(%+v) = %v, Current() %+v, adopted version %+v; want error: %v, both versions %+v",
+				step.name, step.offer, err, c.Current().Offer, c.version.Version(), step.wantErr, step.want)
 		}
 	}
 	if installed != 3 {
-		t.Errorf("installed %d times", installed)
+		t.Errorf("successful calls of install: %d, want 3", installed)
 	}
 	newest := textVersion(9, 9, two)
 	if err := handle("south", newest, two, always); err == nil || c.Current().Offer == newest {
-		t.Errorf("another fleet's policy: %v, holds %+v", err, c.Current().Offer)
+		t.Errorf("handleOffer of fleet south = %v, Current() %+v; want an error and the previous version",
+			err, c.Current().Offer)
 	}
 	if err := handle("north", newest, two, func() bool { return false }); c.Current().Offer == newest {
-		t.Errorf("a worker that was given up installed a policy: %v", err)
+		t.Errorf("handleOffer by a replaced worker = %v and installed %+v, want the previous version", err, newest)
 	}
 	next := NewPolicyClient(config, install)
 	next.Restore()
-	if next.Current().Offer != back || next.Current().Epoch != "1" {
-		t.Errorf("the next process begins with %+v", next.Current().Offer)
+	if next.Current().Offer != rollback || next.Current().Epoch != "1" {
+		t.Errorf("Restore() in the next process installed %+v with epoch %q, want %+v with epoch \"1\"",
+			next.Current().Offer, next.Current().Epoch, rollback)
 	}
-	if next.lastReportNumber.Load() <= c.lastReportNumber.Load() {
-		t.Error("its reports would be taken for old ones")
+	if got, previous := next.lastReportNumber.Load(), c.lastReportNumber.Load(); got <= previous {
+		t.Errorf("report number of the next process: %d, want above the previous process's %d: "+
+			"servers ignore reports with old numbers", got, previous)
 	}
 }
 
-// Counts get there once over a server that fails, and the worker outlives a panic in install.
+// Request counts reach the server exactly once although every other reply is lost, and a panic in install does not
+// stop the reports.
 func TestReportsOutliveFailures(t *testing.T) {
 	text := policyText("one")
 	var good, lastReport, calls, installs atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var report api.PolicyReport
 		if err := api.DecodeBody(r.Body, &report); err != nil {
-			t.Error(err)
+			t.Errorf("decoding a policy report: %v", err)
 		}
 		if sequence := int64(report.Sequence); sequence > lastReport.Load() { // as the servers count
 			lastReport.Store(sequence)
 			good.Add(report.Good)
 		}
-		if calls.Add(1)%2 == 1 { // it has counted, and its reply is lost
+		if calls.Add(1)%2 == 1 { // the report is counted, but its reply is lost
 			w.WriteHeader(http.StatusBadGateway)
 			return
 		}
@@ -124,25 +131,27 @@
 	file.Policy.SilenceTimeout = 1
 	c := NewPolicyClient(Config{File: file, ProxyName: "p1"}, func(*InstalledPolicy) error {
 		if installs.Add(1) == 1 {
-			panic("in the test")
+			panic("panic injected by the test")
 		}
 		return nil
 	})
-	none := c.Current()
+	initial := c.Current()
 	for range 100 {
-		none.CountRequest(true)
+		initial.CountRequest(true)
 	}
 	stop := runInBackground(c.Run)
 	deadline := time.Now().Add(20 * time.Second)
 	for c.Current().Offer.Epoch != 1 || good.Load() < 100 {
 		if time.Now().After(deadline) {
-			t.Fatalf("%+v, %d counted", c.PolicyStatus(), good.Load())
+			t.Fatalf("waiting 20s for epoch 1 and 100 counted requests: status %+v, %d counted",
+				c.PolicyStatus(), good.Load())
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	stop()
 	status := c.PolicyStatus()
 	if good.Load() != 100 || status.WorkersCrashed != 1 || status.Epoch != 1 || status.Failed == 0 {
-		t.Errorf("%d counted, %+v", good.Load(), status)
+		t.Errorf("requests counted by the server: %d, status %+v; "+
+			"want 100, 1 crashed worker, epoch 1, failed calls above 0", good.Load(), status)
 	}
 }
--- a/internal/controlplane/client/quotaclient_test.go
+++ b/internal/controlplane/client/quotaclient_test.go
@@ -19,31 +19,32 @@
 	c.generation = 1
 	service, err := c.ForService("pay", []string{"a"}, []string{"t"})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ForService(pay) = error %v, want nil", err)
 	}
 	c.publish(1, 7, "all", 0, nil, newBucket(0, quotalease.FromUnits(10), quotalease.FromUnits(1), 0))
 	now = time.Second
-	for range 5 { // a retry without its own quota must not use up the other
+	for range 5 { // a retry that the quota of retries rejects must not use up the quota of all attempts
 		if _, ok := service.Acquire(0, 0, false); ok {
-			t.Fatal("a retry was admitted without its quota")
+			t.Fatal("Acquire(retry) with an empty quota of retries = true, want false")
 		}
 	}
 	if permit, ok := service.Acquire(0, 0, true); !ok || permit.Token != "p1;0.0" || service.Expired(permit) {
-		t.Errorf("a first attempt: %+v, %v", permit, ok)
+		t.Errorf("Acquire(first attempt) = %+v, %v, expired: %v; want token p1;0.0, true, not expired",
+			permit, ok, service.Expired(permit))
 	}
 	if _, ok := service.Acquire(0, 0, true); ok {
-		t.Error("a bucket of one gave two")
+		t.Error("second Acquire(first attempt) from a bucket with a burst of 1 unit = true, want false")
 	}
 	allocs := testing.AllocsPerRun(1000, func() {
 		now += time.Second
 		service.Acquire(0, 0, true)
 	})
 	if allocs > 0 {
-		t.Errorf("Acquire allocates %v times", allocs)
+		t.Errorf("allocations per Acquire: %v, want 0", allocs)
 	}
 }
 
-// foreignReply is a reply of another fleet with a lease and a floor.
+// foreignReply returns a reply of another fleet to a request, with a lease and a floor.
 func foreignReply(request quotalease.Request) quotalease.Reply {
 	amount := quotalease.FromUnits(500)
 	burst := quotalease.FromUnits(50)
@@ -70,15 +71,15 @@
 }
 
 func TestRepliesOfAnotherFleetAreRejected(t *testing.T) {
-	var underWay atomic.Int64
+	var inFlight atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if underWay.Add(1) > 1 {
-			t.Error("two calls are under way at once")
+		if inFlight.Add(1) > 1 {
+			t.Error("calls in flight at the server: more than 1, want at most 1")
 		}
-		defer underWay.Add(-1)
+		defer inFlight.Add(-1)
 		var request quotalease.Request
 		if err := api.DecodeBody(r.Body, &request); err != nil {
-			t.Error(err)
+			t.Errorf("decoding a lease request: %v", err)
 		}
 		api.WriteReply(w, http.StatusOK, foreignReply(request))
 	}))
@@ -86,20 +87,21 @@
 	c := NewQuotaClient(Config{File: testFile(t.TempDir(), server.Listener.Addr().String()), ProxyName: "p1"})
 	service, err := c.ForService("web", nil, nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ForService(web) = error %v, want nil", err)
 	}
 	stop := runInBackground(c.Run)
 	deadline := time.Now().Add(20 * time.Second)
 	for c.counters.failed.Load() < 3 && time.Now().Before(deadline) {
 		if _, ok := service.Acquire(0, 0, true); ok {
-			t.Fatal("another fleet's lease was spent")
+			t.Fatal("Acquire after replies of another fleet only = true, want false")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	status := c.Status()
 	advice := quotalease.FleetMismatchError{}.Advice()
 	if len(status.Faults) != 1 || status.Faults[0].Advice != advice || !status.FloorsClaimed {
-		t.Errorf("%+v", status)
+		t.Errorf("Status() after replies of another fleet = %+v; want 1 fault with advice %q, and floors claimed",
+			status, advice)
 	}
 	stop()
 }
@@ -109,7 +111,7 @@
 	c.generation = 1
 	service, err := c.ForService("web", nil, nil)
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("ForService(web) = error %v, want nil", err)
 	}
 	amount := quotalease.FromUnits(1e9)
 	c.publish(1, 7, "all", c.clock(), nil, newBucket(c.clock(), amount, amount, 0))
--- a/internal/controlplane/client/randomized_test.go
+++ b/internal/controlplane/client/randomized_test.go
@@ -14,11 +14,12 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// incompleteAssembly gives the base as the tree before all chunks are there: an assembly without its guards.
+// incompleteAssembly is a faulty treeAssembly: it reports that no chunks are missing and returns its base as the
+// complete tree. The client's check of the tree's root must reject that tree.
 type incompleteAssembly struct {
 	treeAssembly
 	base  *merkle.Tree
-	calls int // of Wants
+	calls int // calls of Missing
 }
 
 func (a *incompleteAssembly) Tree() (*merkle.Tree, error) {
@@ -36,25 +37,26 @@
 	return a.treeAssembly.Missing(most)
 }
 
-// randomizedRun follows from one seed: the offer changes, goes back and comes of a new bootstrap; links are cut,
-// slow, damage chunks and deliver replies late; the process is killed and begins anew on what it has kept.
+// randomizedRun is a run whose events follow from one seed. The offer changes, returns to an earlier policy or starts a
+// new generation. Links fail, are slow, damage chunks and deliver replies late. The proxy is restarted from its state
+// directory.
 type randomizedRun struct {
 	server     *testServer
 	stateDir   string
 	events     *rand.Rand
 	links      *rand.Rand
-	calm       bool // no faults of links; guarded by the server's mutex
+	linksOK    bool // no link faults any more; guarded by the server's mutex
 	sent       []api.PolicyReply
 	mutations  policyMutations
-	incomplete bool // with an incompleteAssembly
+	incomplete bool // the proxy uses incompleteAssembly
 	generation uint64
 	epoch      uint64
 	proxy      *testProxy
 	violations []string
 }
 
-// change alters a proxy before it starts.
-func (r *randomizedRun) change(c *PolicyClient) {
+// configure sets the mutations of a proxy before it starts.
+func (r *randomizedRun) configure(c *PolicyClient) {
 	c.mutations = r.mutations
 	if r.incomplete {
 		c.newAssembly = func(root merkle.Hash, base *merkle.Tree) treeAssembly {
@@ -63,27 +65,28 @@
 	}
 }
 
+// delay returns a random time below 700 ms, or 0 once links have no faults any more.
 func (r *randomizedRun) delay(string, int) time.Duration {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
-	if r.calm {
+	if r.linksOK {
 		return 0
 	}
 	return time.Duration(r.links.IntN(700)) * time.Millisecond
 }
 
-// alterReply has some replies be late, cut or damaged.
+// alterReply replaces some replies by earlier ones, and truncates or damages the chunks of others.
 func (r *randomizedRun) alterReply(_ *http.Request, reply any) {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
-	if r.calm {
+	if r.linksOK {
 		return
 	}
 	switch reply := reply.(type) {
 	case *api.PolicyReply:
 		r.sent = append(r.sent, *reply)
 		if r.links.IntN(4) == 0 {
-			*reply = r.sent[r.links.IntN(len(r.sent))] // late, or of a server that was stopped
+			*reply = r.sent[r.links.IntN(len(r.sent))] // a late reply, or one of a server that was suspended
 		}
 		if r.links.IntN(3) == 0 {
 			reply.Chunks = reply.Chunks[:r.links.IntN(len(reply.Chunks)+1)]
@@ -100,7 +103,7 @@
 	return r.server.offerPolicy(r.generation, r.epoch, policyVersion(40, 1+r.events.Uint64N(30)))
 }
 
-// step draws one event.
+// step waits for a random time below 2.5 s and then runs a random event.
 func (r *randomizedRun) step() {
 	time.Sleep(time.Duration(r.events.IntN(2500)) * time.Millisecond)
 	switch r.events.IntN(8) {
@@ -112,9 +115,9 @@
 		r.epoch = 1 + r.events.Uint64N(r.epoch)
 		r.offerNext()
 	case 4:
-		r.server.locked(func() { r.server.down = true })
+		r.server.withLock(func() { r.server.down = true })
 	case 5:
-		r.server.locked(func() { r.server.down = false })
+		r.server.withLock(func() { r.server.down = false })
 	case 6:
 		r.server.forgetTrees()
 		r.server.currentDistributor().Retain([]*merkle.Tree{})
@@ -125,35 +128,39 @@
 	}
 }
 
-// restart ends the process. The next one must begin with what it had.
+// restart stops the proxy and starts another one on the same state directory. Without mutations it must restore the
+// version that the stopped proxy had installed last.
 func (r *randomizedRun) restart() {
 	r.endProxy()
 	last := r.proxy.last
-	r.proxy = r.server.newProxy(r.stateDir, r.change)
+	r.proxy = r.server.newProxy(r.stateDir, r.configure)
 	guarded := r.mutations == (policyMutations{}) && !r.incomplete
 	if guarded && last != r.proxy.restored {
 		r.violations = append(r.violations,
-			fmt.Sprintf("the next process begins with %+v, the one before had %+v", r.proxy.restored, last))
+			fmt.Sprintf("proxy restored version %+v after a restart, want the last installed %+v",
+				r.proxy.restored, last))
 	}
 }
 
+// endProxy stops the proxy and collects its violations.
 func (r *randomizedRun) endProxy() {
 	r.proxy.stop()
 	r.violations = append(r.violations, r.proxy.violations...)
 }
 
-// run returns the violations, and whether the proxy has the last version a minute after all faults have ended.
+// run runs 60 random events and then ends all faults. It records violations, and reports whether the proxy installs the
+// last version within a minute.
 func (r *randomizedRun) run() (hasLast bool) {
 	r.server.delay = r.delay
 	r.server.alter = r.alterReply
-	r.proxy = r.server.newProxy(r.stateDir, r.change)
+	r.proxy = r.server.newProxy(r.stateDir, r.configure)
 	r.offerNext()
 	for range 60 {
 		r.step()
 	}
-	r.server.locked(func() {
+	r.server.withLock(func() {
 		r.server.down = false
-		r.calm = true
+		r.linksOK = true
 	})
 	r.epoch++
 	last := r.offerNext()
@@ -165,6 +172,7 @@
 	return hasLast
 }
 
+// runRandomized runs a randomizedRun of a seed in a synctest bubble. incomplete makes the proxy use incompleteAssembly.
 func runRandomized(t *testing.T, seed uint64, m policyMutations, incomplete bool) (violations []string, hasLast bool) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &randomizedRun{
@@ -183,16 +191,19 @@
 	return violations, hasLast
 }
 
-// Nothing is installed that was not offered, and nothing older but of a higher generation; at last the proxy has
-// the newest. Without the check of the root, and without that of the order, there are violations.
+// A proxy installs only offered versions, never a version older than its own, and in the end the newest one. Runs
+// without the check of the tree's root or without the check of the versions' order must show violations, otherwise this
+// test would not detect a missing check.
 func TestRandomizedRuns(t *testing.T) {
 	withoutRootCheck, withoutOrderCheck := 0, 0
 	for seed := range uint64(12) {
 		if violations, hasLast := runRandomized(t, seed, policyMutations{}, false); len(violations) > 0 || !hasLast {
-			t.Errorf("seed %d: %v; it has the last: %v", seed, violations, hasLast)
+			t.Errorf("seed %d: violations %v, last version installed: %v; want none and true",
+				seed, violations, hasLast)
 		}
 		if violations, _ := runRandomized(t, seed, policyMutations{}, true); len(violations) > 0 {
-			t.Errorf("seed %d: incomplete content got past the check of the root: %v", seed, violations)
+			t.Errorf("seed %d with incomplete trees: violations %v, want none: the root check rejects these trees",
+				seed, violations)
 		}
 		if violations, _ := runRandomized(t, seed, policyMutations{skipRootCheck: true}, true); len(violations) > 0 {
 			withoutRootCheck++
@@ -202,7 +213,7 @@
 		}
 	}
 	if withoutRootCheck == 0 || withoutOrderCheck == 0 {
-		t.Errorf("violations in %d runs without the root's check, and in %d without the order's",
+		t.Errorf("runs with violations: %d without the root check, %d without the order check; want at least 1 of each",
 			withoutRootCheck, withoutOrderCheck)
 	}
 }
--- a/internal/controlplane/client/testserver_test.go
+++ b/internal/controlplane/client/testserver_test.go
@@ -17,7 +17,8 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// routePolicy is a policy of so many routes of one team, each with a path.
+// routePolicy returns a policy with the given number of routes, all of namespace "a" in version number. path returns
+// the path prefix of route i.
 func routePolicy(routes int, number uint64, path func(i int) string) *namespace.Policy {
 	weight := 1.0
 	p := &namespace.Policy{Format: 1, Services: []namespace.PolicyService{{
@@ -38,7 +39,8 @@
 	return p
 }
 
-// policyVersion is a policy of so many routes, of which one changes with each version.
+// policyVersion returns a policy with the given number of routes. Each version changes one route of the previous
+// version.
 func policyVersion(routes int, version uint64) *namespace.Policy {
 	return routePolicy(routes, version, func(i int) string {
 		if uint64(i) >= version-1 {
@@ -48,31 +50,32 @@
 	})
 }
 
-func treeOf(t testing.TB, p *namespace.Policy) *merkle.Tree {
+func buildTree(t testing.TB, p *namespace.Policy) *merkle.Tree {
 	t.Helper()
 	tree, err := p.Tree()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("building the Merkle tree of a policy: Policy.Tree() = error %v, want nil", err)
 	}
 	return tree
 }
 
-// testServer stands for all servers, without a network. It answers in the caller's goroutine.
+// testServer simulates all control-plane servers without a network. It is the client's http.RoundTripper and answers
+// in the caller's goroutine.
 type testServer struct {
 	t     testing.TB
 	begin time.Time
-	delay func(path string, bytes int) time.Duration // of a reply; nil is none
-	alter func(r *http.Request, reply any)           // changes a reply on its way; nil leaves it
+	delay func(path string, bytes int) time.Duration // returns how long a reply is delayed; nil means no delay
+	alter func(r *http.Request, reply any)           // modifies a reply before it is sent; nil leaves it unchanged
 
 	mu          sync.Mutex
 	distributor *distribution.Distributor
 	down        bool
-	textOnly    bool // it is of an earlier release, which knows no chunks
+	textOnly    bool // simulates an earlier release, which sends a policy as one text instead of chunks
 	offer       rollout.Version
-	text        []byte
-	offered     map[string]bool // hashes that were ever offered
-	reports     []time.Time
-	replyBytes  int
+	text        []byte          // the offered policy, if textOnly
+	offered     map[string]bool // hashes of all versions offered so far
+	reports     []time.Time     // arrival times of the reports
+	replyBytes  int             // total size of all reply bodies
 }
 
 func newTestServer(t testing.TB) *testServer {
@@ -84,10 +87,10 @@
 	}
 }
 
-// offerPolicy offers a policy from now on.
+// offerPolicy makes the server offer a policy in its replies from this call on, and returns the offered version.
 func (s *testServer) offerPolicy(generation, epoch uint64, p *namespace.Policy) rollout.Version {
 	s.t.Helper()
-	tree := treeOf(s.t, p)
+	tree := buildTree(s.t, p)
 	s.currentDistributor().Retain([]*merkle.Tree{tree})
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,9 +103,9 @@
 	return s.offer
 }
 
-// forgetTrees removes all trees from the server.
+// forgetTrees removes all Merkle trees from the server, as if it had restarted without its earlier policies.
 func (s *testServer) forgetTrees() {
-	s.locked(func() { s.distributor = distribution.New(distribution.DefaultSettings()) })
+	s.withLock(func() { s.distributor = distribution.New(distribution.DefaultSettings()) })
 }
 
 func (s *testServer) currentDistributor() *distribution.Distributor {
@@ -111,7 +114,7 @@
 	return s.distributor
 }
 
-func (s *testServer) locked(f func()) {
+func (s *testServer) withLock(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -134,7 +137,8 @@
 func (s *testServer) replyToReport(r *http.Request) *api.PolicyReply {
 	var report api.PolicyReport
 	if err := api.DecodeBody(r.Body, &report); err != nil || !report.AcceptsChunks {
-		s.t.Errorf("a report that does not accept chunks: %v", err)
+		s.t.Errorf("report received: AcceptsChunks = %v, decoding error %v; want true and no error",
+			report.AcceptsChunks, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,24 +162,25 @@
 func (s *testServer) replyWithChunks(r *http.Request) *api.ChunksReply {
 	var request api.ChunksRequest
 	if err := api.DecodeBody(r.Body, &request); err != nil || len(request.Names) > api.MaxChunkNames {
-		s.t.Errorf("a request for %d chunks: %v", len(request.Names), err)
+		s.t.Errorf("chunk request received: %d names, decoding error %v; want at most %d names and no error",
+			len(request.Names), err, api.MaxChunkNames)
 	}
 	chunks, missing, retryAfter := s.currentDistributor().ChunksByName(
 		time.Since(s.begin), request.Proxy, request.Root, request.Names)
 	return &api.ChunksReply{Chunks: chunks, Missing: missing, RetryAfterNanos: int64(retryAfter)}
 }
 
-// RoundTrip answers after the delay.
+// RoundTrip implements http.RoundTripper. It answers after the delay, or fails while the server is down.
 func (s *testServer) RoundTrip(r *http.Request) (*http.Response, error) {
 	s.mu.Lock()
 	down := s.down
 	s.mu.Unlock()
 	if down {
-		return nil, errors.New("cut off")
+		return nil, errors.New("test server is down")
 	}
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, r)
-	s.locked(func() { s.replyBytes += w.Body.Len() })
+	s.withLock(func() { s.replyBytes += w.Body.Len() })
 	if s.delay != nil {
 		select {
 		case <-time.After(s.delay(r.URL.Path, w.Body.Len())):
@@ -186,21 +191,21 @@
 	return w.Result(), nil
 }
 
-// testProxy is a proxy that follows a testServer. It checks what it installs: only what was offered, complete, and
-// nothing older.
+// testProxy is a PolicyClient that follows a testServer. It checks each policy that it installs: the version must have
+// been offered, the content must be complete, and the version must be newer than the previous one.
 type testProxy struct {
 	*PolicyClient
 	server     *testServer
 	installed  atomic.Int64
-	diffs      atomic.Int64    // policies that were made of the one before
-	restored   rollout.Version // what the process before had kept
-	last       rollout.Version
+	diffs      atomic.Int64    // installed policies that were built from the previous policy and a diff
+	restored   rollout.Version // the version that Restore installed from the state directory
+	last       rollout.Version // the version installed last
 	violations []string
-	stop       func() // ends the process; what it has kept remains
+	stop       func() // stops the client; its state directory remains
 }
 
-// newProxy starts a proxy, which change may alter first.
-func (s *testServer) newProxy(stateDir string, change func(*PolicyClient)) *testProxy {
+// newProxy starts a proxy. configure, if not nil, modifies the client before it starts.
+func (s *testServer) newProxy(stateDir string, configure func(*PolicyClient)) *testProxy {
 	p := &testProxy{server: s}
 	config := Config{
 		File:      testFile(stateDir, "s1.test:1", "s2.test:1", "s3.test:1"),
@@ -209,8 +214,8 @@
 		Clock:     func() time.Duration { return time.Since(s.begin) },
 	}
 	p.PolicyClient = NewPolicyClient(config, p.checkAndInstall)
-	if change != nil {
-		change(p.PolicyClient)
+	if configure != nil {
+		configure(p.PolicyClient)
 	}
 	p.Restore()
 	p.restored = p.Current().Offer
@@ -234,11 +239,13 @@
 	}
 	offer := policy.Offer
 	var offered bool
-	p.server.locked(func() { offered = p.server.offered[offer.Hash] })
-	check(offered, "%+v was never offered", offer)
+	p.server.withLock(func() { offered = p.server.offered[offer.Hash] })
+	check(offered, "proxy installed version %+v, which was never offered", offer)
 	hasContent := root == offer.Hash || policy.Policy.Hash() == offer.Hash
-	check(hasContent, "%+v was installed with the content %.12s", offer, root)
-	check(offer.NewerThan(p.last), "%+v was installed after %+v", offer, p.last)
+	check(hasContent, "proxy installed version %+v with content whose root is %.12s, want the version's hash",
+		offer, root)
+	check(offer.NewerThan(p.last), "proxy installed version %+v after version %+v, want only newer versions",
+		offer, p.last)
 	p.last = offer
 	return nil
 }
@@ -250,18 +257,20 @@
 	}
 }
 
-// awaitOffer waits until the proxy has installed a version.
-func (p *testProxy) awaitOffer(t *testing.T, what string, offer rollout.Version) {
+// awaitOffer waits until the proxy has installed a version, and fails the test after 10 minutes. description says
+// which version it is.
+func (p *testProxy) awaitOffer(t *testing.T, description string, offer rollout.Version) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Minute); p.Current().Offer != offer; time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(end) {
 			p.stop()
-			t.Fatalf("in vain: %s: %+v", what, p.PolicyStatus())
+			t.Fatalf("waiting 10m for the proxy to install %s, version %+v: timed out with status %+v",
+				description, offer, p.PolicyStatus())
 		}
 	}
 }
 
-// stopAndCheck ends the process.
+// stopAndCheck stops the client and fails the test if it has recorded violations.
 func (p *testProxy) stopAndCheck(t *testing.T) {
 	t.Helper()
 	p.stop()
