--- a/internal/controlplane/api/config_frozen_test.go
+++ b/internal/controlplane/api/config_frozen_test.go
@@ -10,13 +10,13 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// The stored file has every key, each with a value of its own.
+// The stored file sets every key, each to a different value. Load must read each value into the same field as before.
 func TestFrozenFileIsReadAsBefore(t *testing.T) {
 	got, err := api.Load(filepath.Join("testdata", "all-keys.toml"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Load(all-keys.toml) = error %v, want nil", err)
 	}
-	in := func(name string) string { return filepath.Join("testdata", name) }
+	testdataPath := func(name string) string { return filepath.Join("testdata", name) }
 	want := &api.Config{
 		Version:     1,
 		Fleet:       "north",
@@ -41,7 +41,7 @@
 				DefaultShare:  api.QuotaShare{Cap: 300, Weight: 2},
 			},
 		},
-		TLS: &api.TLSFiles{Certificate: in("c.pem"), Key: in("k.pem"), CA: in("ca.pem")},
+		TLS: &api.TLSFiles{Certificate: testdataPath("c.pem"), Key: testdataPath("k.pem"), CA: testdataPath("ca.pem")},
 		Policy: api.PolicySettings{
 			RouteByPolicy:  true,
 			StepDuration:   strictconfig.Duration(3 * time.Second),
@@ -49,8 +49,8 @@
 			MinRequests:    900,
 			SilenceTimeout: strictconfig.Duration(9 * time.Second),
 		},
-		OwnershipFile:  in("charter.toml"),
-		NamespaceFiles: []string{in("a.toml")},
+		OwnershipFile:  testdataPath("charter.toml"),
+		NamespaceFiles: []string{testdataPath("a.toml")},
 		Freshness: &api.FreshnessSettings{
 			Enforce:         true,
 			WatchInterval:   strictconfig.Duration(20 * time.Second),
@@ -72,20 +72,20 @@
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read\n%+v, want\n%+v", got, want)
+		t.Errorf("Load(all-keys.toml) =\n%+v, want\n%+v", got, want)
 	}
 	if !reflect.DeepEqual(got.Freshness, want.Freshness) {
-		t.Errorf("view: read\n%+v, want\n%+v", got.Freshness, want.Freshness)
+		t.Errorf("Load(all-keys.toml).Freshness =\n%+v, want\n%+v", got.Freshness, want.Freshness)
 	}
 }
 
-// The example in deploy is read as before.
+// Load must read the example file in deploy into the same configuration as before.
 func TestFrozenExampleIsReadAsBefore(t *testing.T) {
 	got, err := api.Load(exampleFile)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Load(%s) = error %v, want nil", exampleFile, err)
 	}
-	at := filepath.Join(filepath.Dir(exampleFile), "fleet")
+	namespaceDir := filepath.Join(filepath.Dir(exampleFile), "fleet")
 	want := &api.Config{
 		Version:     1,
 		Fleet:       "kigali",
@@ -113,11 +113,11 @@
 				LeaseDuration: strictconfig.Duration(3 * time.Second),
 			},
 		},
-		OwnershipFile: filepath.Join(at, "charter.toml"),
+		OwnershipFile: filepath.Join(namespaceDir, "charter.toml"),
 		NamespaceFiles: []string{
-			filepath.Join(at, "dispatch.toml"),
-			filepath.Join(at, "settlement.toml"),
-			filepath.Join(at, "booking-desks.toml"),
+			filepath.Join(namespaceDir, "dispatch.toml"),
+			filepath.Join(namespaceDir, "settlement.toml"),
+			filepath.Join(namespaceDir, "booking-desks.toml"),
 		},
 		Freshness: &api.FreshnessSettings{
 			MaxTransit: strictconfig.Duration(250 * time.Millisecond),
@@ -125,6 +125,7 @@
 		},
 	}
 	if !reflect.DeepEqual(got, want) || !reflect.DeepEqual(got.Freshness, want.Freshness) {
-		t.Errorf("read\n%+v %+v, want\n%+v %+v", got, got.Freshness, want, want.Freshness)
+		t.Errorf("Load(%s) =\n%+v with Freshness %+v, want\n%+v with Freshness %+v",
+			exampleFile, got, got.Freshness, want, want.Freshness)
 	}
 }
--- a/internal/controlplane/api/config_test.go
+++ b/internal/controlplane/api/config_test.go
@@ -13,25 +13,27 @@
 const exampleFile = "../../../deploy/fleet.toml"
 
 func TestExampleIsValid(t *testing.T) {
-	f, err := api.Load(exampleFile)
+	config, err := api.Load(exampleFile)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Load(%s) = error %v, want nil", exampleFile, err)
 	}
-	if held, err := f.CheckNamespaces(); err != nil || len(held) > 0 {
-		t.Errorf("its namespaces: %v, %v", held, err)
+	if findings, err := config.CheckNamespaces(); err != nil || len(findings) > 0 {
+		t.Errorf("CheckNamespaces() of the example = findings %v, error %v; want none, nil", findings, err)
 	}
-	if g := f.QuotaConfig(); g.Check() != nil || len(g.Quotas) != 2 || g.Quotas[0].Limit != 12000 {
-		t.Errorf("%+v", g)
+	quotas := config.QuotaConfig()
+	if quotas.Check() != nil || len(quotas.Quotas) != 2 || quotas.Quotas[0].Limit != 12000 {
+		t.Errorf("QuotaConfig() of the example = %+v, Check() = %v; want 2 quotas, the first with limit 12000, and nil",
+			quotas, quotas.Check())
 	}
 }
 
-// Each change of the example is rejected, and the error names the place.
+// Parse must reject each invalid change of the example file. The error must name the line or the key.
 func TestErrorsNameKeyAndLine(t *testing.T) {
 	text, err := os.ReadFile(exampleFile)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the example file: %v", err)
 	}
-	for _, c := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{"burst = 1200.0", "bust = 1200.0", `fleet.toml:31: unknown key "budgets.bust"`},
 		{`longest = "10s"`, `longest = "2s"`, "attempts: lease 3s"},
 		{`longest = "10s"`, `longest = "ten"`, "fleet.toml:6: longest"},
@@ -49,23 +51,26 @@
 		{`name = "s3"`, `name = "s1"`, `stewards[2]: name: "s1" is another's too`},
 		{"[[stewards]]\nname = \"s3\"\nnumber = 3\naddress = \"127.0.0.1:7403\"\n", "", "stewards: 2"},
 	} {
-		changed := strings.Replace(string(text), c.old, c.new, 1)
+		changed := strings.Replace(string(text), test.old, test.new, 1)
 		if changed == string(text) {
-			t.Fatalf("the example has no %q", c.old)
+			t.Fatalf("replacing %q by %q left the example file unchanged, want a changed file", test.old, test.new)
 		}
-		if _, err := api.Parse("fleet.toml", []byte(changed)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %q", c.new, err, c.want)
+		_, err := api.Parse("fleet.toml", []byte(changed))
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("Parse of the example with %q replaced by %q = error %v, want one that contains %q",
+				test.old, test.new, err, test.want)
 		}
 	}
 }
 
 func TestBodiesAreBounded(t *testing.T) {
-	var s api.ServerStatus
+	var status api.ServerStatus
 	for _, body := range [][]byte{
 		nil, []byte("x"), make([]byte, api.MaxBodyBytes+1), {0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
 	} {
-		if err := api.DecodeBody(bytes.NewReader(body), &s); !errors.As(err, &api.MalformedMessageError{}) {
-			t.Errorf("%d bytes: %v", len(body), err)
+		if err := api.DecodeBody(bytes.NewReader(body), &status); !errors.As(err, &api.MalformedMessageError{}) {
+			t.Errorf("DecodeBody(%d bytes, first %x) = error %v, want MalformedMessageError",
+				len(body), body[:min(len(body), 9)], err)
 		}
 	}
 }
--- a/internal/controlplane/api/messages_frozen_test.go
+++ b/internal/controlplane/api/messages_frozen_test.go
@@ -15,18 +15,19 @@
 	"lapisspread/internal/policy/store"
 )
 
-// updateFrozen has the tests write their files. The stored ones were written by the program of c8fad44, by
+// updateFrozen makes the tests rewrite the stored messages. The code of commit c8fad44 wrote them, with
 // UPDATE_FROZEN=1 go test ./internal/fleet -run Frozen
 var updateFrozen = os.Getenv("UPDATE_FROZEN") != ""
 
-var frozenProblem = api.RemoteError{
+var frozenRemoteError = api.RemoteError{
 	Code:          "consensus.NotLeader",
 	Message:       "not the leader",
 	Help:          "ask the leader",
 	LeaderAddress: "127.0.0.1:7402",
 }
 
-// frozenMessages has each message between proxies, servers and operators, with no field at its zero value.
+// frozenMessages are the messages between proxies, servers and operators, by the name of the stored file. The full
+// messages set every field; the messages named short or empty omit the optional ones.
 var frozenMessages = map[string]any{
 	"founding": api.BootstrapRequest{
 		Fleet:            "north",
@@ -36,7 +37,7 @@
 		ServerIDs:        []uint64{1, 2, 3},
 		ServerID:         2,
 	},
-	"problem": frozenProblem,
+	"problem": frozenRemoteError,
 	"status": api.ServerStatus{
 		Name:               "s1",
 		Fleet:              "north",
@@ -56,7 +57,7 @@
 		Quotas: []api.QuotaUsage{
 			{Name: "attempts", Limit: 1000, Burst: 100, Granted: 250.5, GrantedBurst: 12.25},
 		},
-		Fault:    frozenProblem,
+		Fault:    frozenRemoteError,
 		Counters: map[string]uint64{"asks": 8},
 	},
 	"counted": api.QuotaUsage{Name: "attempts", Limit: 1000, Burst: 100, Granted: 250.5, GrantedBurst: 12.25},
@@ -162,7 +163,7 @@
 	},
 }
 
-// A release that encodes or decodes a message otherwise cannot be in one fleet with the release before.
+// Messages must be encoded and decoded as before: proxies and servers of two releases run in one fleet.
 func TestFrozenMessagesKeepTheirBytes(t *testing.T) {
 	for name, want := range frozenMessages {
 		path := filepath.Join("testdata", "wire", name+".cbor")
@@ -170,41 +171,41 @@
 		api.WriteReply(sent, 200, want)
 		if updateFrozen {
 			if err := os.WriteFile(path, sent.Body.Bytes(), 0o644); err != nil {
-				t.Fatal(err)
+				t.Fatalf("rewriting a stored message: %v", err)
 			}
 		}
-		kept, err := os.ReadFile(path)
+		stored, err := os.ReadFile(path)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading a stored message: %v", err)
 		}
-		if !bytes.Equal(sent.Body.Bytes(), kept) {
-			t.Errorf("%s is sent as %x, was %x", name, sent.Body.Bytes(), kept)
+		if !bytes.Equal(sent.Body.Bytes(), stored) {
+			t.Errorf("WriteReply(message %s) wrote %x, want the stored bytes %x", name, sent.Body.Bytes(), stored)
 		}
 		got := reflect.New(reflect.TypeOf(want))
-		if err := api.DecodeBody(bytes.NewReader(kept), got.Interface()); err != nil {
-			t.Errorf("%s: %v", name, err)
+		if err := api.DecodeBody(bytes.NewReader(stored), got.Interface()); err != nil {
+			t.Errorf("DecodeBody(stored message %s) = error %v, want nil", name, err)
 		}
 		if !reflect.DeepEqual(got.Elem().Interface(), want) {
-			t.Errorf("%s: read %+v, want %+v", name, got.Elem().Interface(), want)
+			t.Errorf("DecodeBody(stored message %s) decoded %+v, want %+v", name, got.Elem().Interface(), want)
 		}
 	}
 }
 
-// Fields have the names on the wire that they had in c8fad44.
+// The status message must keep the field names that it had on the wire in commit c8fad44.
 func TestFrozenStatusNamesItsFields(t *testing.T) {
-	kept, err := os.ReadFile(filepath.Join("testdata", "wire", "status.cbor"))
+	stored, err := os.ReadFile(filepath.Join("testdata", "wire", "status.cbor"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the stored status message: %v", err)
 	}
 	var fields map[string]any
-	if err := cbor.Unmarshal(kept, &fields); err != nil {
-		t.Fatal(err)
+	if err := cbor.Unmarshal(stored, &fields); err != nil {
+		t.Fatalf("decoding the stored status message into a map: %v", err)
 	}
 	for _, name := range []string{"Name", "Fleet", "ID", "Epoch", "Role", "Leader", "LeaderName", "Term", "Commit",
 		"Applied", "Silent", "Heard", "Voters",
 		"Version", "Unset", "Budgets", "Trouble", "Counts"} {
 		if _, ok := fields[name]; !ok {
-			t.Errorf("%s is missing", name)
+			t.Errorf("the stored status message has no field %q, want it", name)
 		}
 	}
 }
--- a/internal/controlplane/freshness/monitor_test.go
+++ b/internal/controlplane/freshness/monitor_test.go
@@ -29,12 +29,12 @@
 func (s *fakeSource) Watch(ctx context.Context, _ uint32, handle func(engine.EndpointList)) error {
 	for {
 		select {
-		case x := <-s.answers:
-			switch x := x.(type) {
+		case answer := <-s.answers:
+			switch answer := answer.(type) {
 			case error:
-				return x
+				return answer
 			case engine.EndpointList:
-				handle(x)
+				handle(answer)
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -42,12 +42,14 @@
 	}
 }
 
+// endpointList returns a list of ready endpoints with the given names.
 func endpointList(version uint32, full bool, names ...string) engine.EndpointList {
-	l := engine.EndpointList{Version: version, Full: full}
-	for _, n := range names {
-		l.Endpoints = append(l.Endpoints, engine.Endpoint{ID: n, Addr: n + ":1", Kind: "fast", State: decision.Ready})
+	list := engine.EndpointList{Version: version, Full: full}
+	for _, name := range names {
+		list.Endpoints = append(list.Endpoints,
+			engine.Endpoint{ID: name, Addr: name + ":1", Kind: "fast", State: decision.Ready})
 	}
-	return l
+	return list
 }
 
 var classes = []decision.Class{
@@ -55,31 +57,37 @@
 	{Idempotency: decision.NotIdempotent},
 }
 
+// Indices into classes.
 const (
-	idempotentClass = 0
-	keyedClass      = 1
-	onceOnlyClass   = 2
+	idempotentClass    = 0
+	keyedClass         = 1
+	nonIdempotentClass = 2
 )
 
-// fixture is a monitor with one list of four endpoints.
+// fixture is a running monitor with one list of the endpoints a, b, c and d, and a service that follows it.
 type fixture struct {
 	t           *testing.T
 	monitor     *Monitor
 	fakeSource  *fakeSource
 	source      engine.Source
 	view        *ServiceView
-	suspended   atomic.Int64
-	heartbeats  atomic.Bool
-	listVersion atomic.Uint32 // of the last answer
+	suspended   atomic.Int64  // nanoseconds for which the machine was suspended, added to the clock
+	heartbeats  atomic.Bool   // the watch answers every second
+	listVersion atomic.Uint32 // highest version answered so far
 }
 
 // runFixture runs a test in a synctest bubble, with a watch that answers every second while heartbeats is set.
-func runFixture(t *testing.T, act bool, do func(f *fixture)) {
+// enforce makes the monitor forbid attempts.
+func runFixture(t *testing.T, enforce bool, run func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
+		startedAt := time.Now()
 		f := &fixture{t: t, fakeSource: &fakeSource{answers: make(chan any)}}
-		f.monitor = New(Config{Freshness: &api.FreshnessSettings{Enforce: act},
-			Clock: func() time.Duration { return time.Hour + time.Since(begun) + time.Duration(f.suspended.Load()) }})
+		f.monitor = New(Config{
+			Freshness: &api.FreshnessSettings{Enforce: enforce},
+			Clock: func() time.Duration {
+				return time.Hour + time.Since(startedAt) + time.Duration(f.suspended.Load())
+			},
+		})
 		f.fakeSource.list = endpointList(1, true, "a", "b", "c", "d")
 		f.source = f.monitor.Wrap("r", time.Second, f.fakeSource, f.fakeSource.list, -1)
 		f.view = f.monitor.ForService(classes)
@@ -110,99 +118,118 @@
 		}()
 		f.listVersion.Store(1)
 		f.heartbeats.Store(true)
-		do(f)
+		run(f)
 	})
 }
 
-func (f *fixture) answer(x any) {
-	if l, is := x.(engine.EndpointList); is {
-		f.listVersion.Store(max(f.listVersion.Load(), l.Version))
+// answer sends an answer of the watch: an engine.EndpointList, or an error that ends the watch. It gives up after 10 s.
+func (f *fixture) answer(answer any) {
+	if list, ok := answer.(engine.EndpointList); ok {
+		f.listVersion.Store(max(f.listVersion.Load(), list.Version))
 	}
 	select {
-	case f.fakeSource.answers <- x:
+	case f.fakeSource.answers <- answer:
 	case <-time.After(10 * time.Second):
 	}
 }
 
+// level returns the lowest published level of all routes, at most Confirmed.
 func (f *fixture) level() staleness.Level {
-	s := f.view.list.Load().published.Load()
-	if s == nil {
+	state := f.view.list.Load().published.Load()
+	if state == nil {
 		return staleness.Blind
 	}
-	worst := staleness.Confirmed
-	for _, r := range s.report.Routes {
-		for l := range staleness.Confirmed {
-			if l.String() == r.Level {
-				worst = min(worst, l)
+	lowest := staleness.Confirmed
+	for _, route := range state.report.Routes {
+		for level := range staleness.Confirmed {
+			if level.String() == route.Level {
+				lowest = min(lowest, level)
 			}
 		}
 	}
-	return worst
+	return lowest
 }
 
-// waitFor waits for a condition that must become true.
-func (f *fixture) waitFor(what string, yes func() bool) {
+// waitFor waits until a condition holds, and fails the test after an hour of the fake clock. description names the
+// condition.
+func (f *fixture) waitFor(description string, condition func() bool) {
 	f.t.Helper()
 	for range 36000 {
-		if yes() {
+		if condition() {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	f.t.Fatalf("timed out: %s: %+v", what, f.monitor.Report())
+	f.t.Fatalf("waiting 1h for %s: timed out with report %+v", description, f.monitor.Report())
 }
 
 func (f *fixture) waitUntilFresh() {
 	f.t.Helper()
-	f.waitFor("fresh", func() bool { return f.level() >= staleness.Fresh && f.allowed("a", onceOnlyClass) })
+	f.waitFor("level fresh and a non-idempotent attempt at a to be allowed", func() bool {
+		return f.level() >= staleness.Fresh && f.allowed("a", nonIdempotentClass)
+	})
 }
 
+// allowed reports whether CheckAttempt allows an attempt of a class at a server.
 func (f *fixture) allowed(server string, class int) bool {
 	_, ok := f.view.CheckAttempt(engine.BackendID(server), class)
 	return ok
 }
 
+// attemptEnded records the result of an attempt at a server and waits until it is in the published snapshot.
 func (f *fixture) attemptEnded(server string, result decision.Result) {
-	seen, _ := f.view.CheckAttempt(engine.BackendID(server), -1)
-	f.view.AttemptEnded(seen, result)
+	token, _ := f.view.CheckAttempt(engine.BackendID(server), -1)
+	f.view.AttemptEnded(token, result)
 	time.Sleep(3 * snapshotInterval)
 }
 
+// confidence returns the published confidence, 0 to 1, in the list entry of a server.
 func (f *fixture) confidence(server string) float32 {
-	s := f.view.list.Load().published.Load()
-	c, _ := s.snapshot.Entry(s.endpoints[engine.BackendID(server)].handle, staleness.Idempotent)
-	return c
+	state := f.view.list.Load().published.Load()
+	confidence, _ := state.snapshot.Entry(state.endpoints[engine.BackendID(server)].handle, staleness.Idempotent)
+	return confidence
 }
 
 func TestSilentWatchLowersLevelAndAnswersRestoreIt(t *testing.T) {
 	runFixture(t, true, func(f *fixture) {
-		if f.allowed("a", onceOnlyClass) {
-			t.Error("before any answer, an attempt that must not run twice was allowed")
+		if f.allowed("a", nonIdempotentClass) {
+			t.Error("CheckAttempt(a, not idempotent) before any answer of the watch = allowed, want forbidden")
 		}
 		f.waitUntilFresh()
 		time.Sleep(time.Minute)
 		f.heartbeats.Store(false)
-		f.waitFor("doubt", func() bool { return f.level() == staleness.Doubtful })
-		for _, c := range []struct {
+		f.waitFor("level doubtful after the watch fell silent", func() bool { return f.level() == staleness.Doubtful })
+		for _, test := range []struct {
+			name  string
 			class int
-			may   bool
-		}{{idempotentClass, true}, {keyedClass, true}, {onceOnlyClass, false}} {
-			if f.allowed("b", c.class) != c.may {
-				t.Errorf("doubtful: class %d: %v", c.class, !c.may)
+			want  bool
+		}{
+			{"idempotent", idempotentClass, true},
+			{"idempotent by key", keyedClass, true},
+			{"not idempotent", nonIdempotentClass, false},
+		} {
+			if got := f.allowed("b", test.class); got != test.want {
+				t.Errorf("CheckAttempt(b, %s) at level doubtful: allowed %v, want %v", test.name, got, test.want)
 			}
 		}
 		f.attemptEnded("a", decision.OK)
-		if f.level() == staleness.Doubtful && (!f.allowed("a", onceOnlyClass) || f.allowed("b", onceOnlyClass)) {
-			t.Error("an attempt that must not run twice is refused at an endpoint that answered, or allowed at another")
+		if f.level() == staleness.Doubtful &&
+			(!f.allowed("a", nonIdempotentClass) || f.allowed("b", nonIdempotentClass)) {
+			t.Errorf("non-idempotent attempts at level doubtful after a answered: allowed at a %v, at b %v; "+
+				"want true, false", f.allowed("a", nonIdempotentClass), f.allowed("b", nonIdempotentClass))
 		}
-		f.waitFor("blindness", func() bool { return f.level() == staleness.Blind })
-		if f.allowed("a", onceOnlyClass) || f.allowed("b", idempotentClass) || f.allowed("nobody", idempotentClass) {
-			t.Error("blind, and an attempt is allowed")
+		f.waitFor("level blind after the watch fell silent", func() bool { return f.level() == staleness.Blind })
+		if f.allowed("a", nonIdempotentClass) || f.allowed("b", idempotentClass) ||
+			f.allowed("unlisted", idempotentClass) {
+			t.Errorf("attempts at level blind: allowed at a (not idempotent) %v, b (idempotent) %v, "+
+				"an unlisted backend (idempotent) %v; want all false",
+				f.allowed("a", nonIdempotentClass), f.allowed("b", idempotentClass),
+				f.allowed("unlisted", idempotentClass))
 		}
 		f.heartbeats.Store(true)
 		f.waitUntilFresh()
-		if f := f.monitor.Report().ForbiddenAttempts; f["once"] == 0 || f["safe"] == 0 {
-			t.Errorf("forbidden: %v", f)
+		if forbidden := f.monitor.Report().ForbiddenAttempts; forbidden["once"] == 0 || forbidden["safe"] == 0 {
+			t.Errorf("Report().ForbiddenAttempts = %v, want once and safe above 0", forbidden)
 		}
 	})
 }
@@ -211,10 +238,12 @@
 	runFixture(t, false, func(f *fixture) {
 		f.waitUntilFresh()
 		f.heartbeats.Store(false)
-		f.waitFor("blindness", func() bool { return f.level() == staleness.Blind })
-		if !f.allowed("a", onceOnlyClass) || !f.allowed("nobody", onceOnlyClass) ||
+		f.waitFor("level blind after the watch fell silent", func() bool { return f.level() == staleness.Blind })
+		if !f.allowed("a", nonIdempotentClass) || !f.allowed("unlisted", nonIdempotentClass) ||
 			f.monitor.Report().ForbiddenAttempts["once"] > 0 {
-			t.Error("not enforced, and an attempt is forbidden")
+			t.Errorf("not enforced, level blind, non-idempotent attempts: allowed at a %v, at an unlisted backend %v, "+
+				"%d counted as forbidden; want true, true, 0", f.allowed("a", nonIdempotentClass),
+				f.allowed("unlisted", nonIdempotentClass), f.monitor.Report().ForbiddenAttempts["once"])
 		}
 	})
 }
@@ -222,35 +251,40 @@
 func TestRefusedConnectionConcernsOneEndpoint(t *testing.T) {
 	runFixture(t, true, func(f *fixture) {
 		f.waitUntilFresh()
-		was := f.confidence("b")
+		before := f.confidence("b")
 		for range 3 {
 			f.attemptEnded("a", decision.ConnectFailed)
 		}
-		if a, b := f.confidence("a"), f.confidence("b"); a > .5 || b < .9*was {
-			t.Errorf("after a's refusals: a %v, b %v, was %v", a, b, was)
+		if a, b := f.confidence("a"), f.confidence("b"); a > .5 || b < .9*before {
+			t.Errorf("confidence after 3 refused connections at a: a %v, b %v; "+
+				"want a at most 0.5, b at least 90%% of %v", a, b, before)
 		}
 		low := f.confidence("a")
-		f.attemptEnded("a", decision.Timeout) // no evidence either way
-		if f.confidence("a") > low+.05 {
-			t.Error("a time-out was taken for an answer")
+		f.attemptEnded("a", decision.Timeout) // a timeout is evidence neither for nor against the entry
+		if got := f.confidence("a"); got > low+.05 {
+			t.Errorf("confidence in a after a timeout: %v, want at most %v: a timeout is not an answer", got, low+.05)
 		}
 		f.attemptEnded("a", decision.OK)
-		f.waitFor("a trusted again", func() bool { return f.confidence("a") > .95 })
+		f.waitFor("confidence in a above 0.95 after a successful attempt", func() bool {
+			return f.confidence("a") > .95
+		})
 	})
 }
 
-// After a suspension of the process, input that waited in the socket does not count as recent, and the last snapshot is
-// too old.
+// After the process was suspended, input that was queued in the socket must not count as recent, and the last published
+// snapshot is too old to use.
 func TestSuspensionOfTheProcess(t *testing.T) {
 	runFixture(t, true, func(f *fixture) {
 		f.waitUntilFresh()
 		f.suspended.Add(int64(5 * time.Minute))
-		if f.allowed("a", onceOnlyClass) || !f.allowed("a", idempotentClass) {
-			t.Error("right after a suspension an old snapshot allowed what must not run twice, or nothing is allowed")
+		if f.allowed("a", nonIdempotentClass) || !f.allowed("a", idempotentClass) {
+			t.Errorf("attempts at a right after a suspension, with an old snapshot: allowed non-idempotent %v, "+
+				"idempotent %v; want false, true", f.allowed("a", nonIdempotentClass), f.allowed("a", idempotentClass))
 		}
 		time.Sleep(3 * snapshotInterval)
 		if r := f.monitor.Report(); r.Suspensions != 1 || r.StaleLookups == 0 || f.level() >= staleness.Fresh {
-			t.Errorf("after a suspension: %+v", r)
+			t.Errorf("after a suspension: level %v, report %+v; "+
+				"want a level below fresh, 1 suspension, stale lookups above 0", f.level(), r)
 		}
 		f.waitUntilFresh()
 	})
@@ -261,17 +295,19 @@
 		f.waitUntilFresh()
 		f.answer(endpointList(2, false, "e"))
 		time.Sleep(3 * snapshotInterval)
-		gone := endpointList(3, false, "d")
-		gone.Endpoints[0].State = decision.Removed
-		f.answer(gone)
-		f.monitor.observations <- observation{} // without an endpoint: the worker panics
-		f.waitFor("another worker", func() bool { return f.monitor.Report().WorkerDeaths == 1 })
-		f.waitFor("its snapshot", func() bool {
+		removal := endpointList(3, false, "d")
+		removal.Endpoints[0].State = decision.Removed
+		f.answer(removal)
+		f.monitor.observations <- observation{} // has no endpoint, so the worker panics
+		f.waitFor("the worker to panic", func() bool { return f.monitor.Report().WorkerDeaths == 1 })
+		f.waitFor("a snapshot of the second worker", func() bool {
 			return f.view.list.Load().published.Load().endpoints[engine.BackendID("e")].generation == 2
 		})
 		f.waitUntilFresh()
-		if !f.allowed("e", onceOnlyClass) || f.allowed("d", onceOnlyClass) {
-			t.Error("the list is another one after the restart")
+		if !f.allowed("e", nonIdempotentClass) || f.allowed("d", nonIdempotentClass) {
+			t.Errorf("non-idempotent attempts after a restart of the worker: allowed at e (added before) %v, "+
+				"at d (removed before) %v; want true, false",
+				f.allowed("e", nonIdempotentClass), f.allowed("d", nonIdempotentClass))
 		}
 	})
 }
@@ -281,11 +317,11 @@
 		f.waitUntilFresh()
 		f.heartbeats.Store(false)
 		time.Sleep(2 * time.Second)
-		was := f.confidence("a")
-		f.answer(errors.New("broken"))
+		before := f.confidence("a")
+		f.answer(errors.New("watch broken by the test"))
 		time.Sleep(5 * time.Second)
-		if f.confidence("a") >= was {
-			t.Error("a broken watch did not lower the confidence")
+		if got := f.confidence("a"); got >= before {
+			t.Errorf("confidence in a 5s after the watch broke: %v, want below %v", got, before)
 		}
 		f.heartbeats.Store(true)
 		f.waitUntilFresh()
@@ -295,75 +331,80 @@
 func TestOvertakenAnswerIsDropped(t *testing.T) {
 	runFixture(t, true, func(f *fixture) {
 		f.answer(endpointList(5, false, "e"))
-		if _, err := f.source.Fetch(context.Background()); err != nil { // of version 1, without e
-			t.Fatal(err)
+		if _, err := f.source.Fetch(context.Background()); err != nil { // returns version 1, without e
+			t.Fatalf("Fetch() = error %v, want nil", err)
 		}
 		f.waitUntilFresh()
-		if !f.allowed("e", onceOnlyClass) {
-			t.Error("an older list took the place of a newer one")
+		if !f.allowed("e", nonIdempotentClass) {
+			t.Error("CheckAttempt(e) after fetching a list older than the watched one = forbidden, want allowed: " +
+				"the older list must be dropped")
 		}
 	})
 }
 
-// Without a worker the queues are bounded, and no change of the list is lost.
+// While no worker runs, the queues stay bounded and no change of a list is lost.
 func TestQueuesAreBounded(t *testing.T) {
-	l := New(Config{Freshness: &api.FreshnessSettings{}})
+	m := New(Config{Freshness: &api.FreshnessSettings{}})
 	fake := &fakeSource{answers: make(chan any)}
-	src := l.Wrap("r", time.Second, fake, engine.EndpointList{}, -1)
+	source := m.Wrap("r", time.Second, fake, engine.EndpointList{}, -1)
 	ctx, cancel := context.WithCancel(context.Background())
-	told, ended := make(chan struct{}), make(chan struct{})
-	go func() { _ = src.Watch(ctx, 0, func(engine.EndpointList) { told <- struct{}{} }); close(ended) }()
+	handled, ended := make(chan struct{}), make(chan struct{})
+	go func() { _ = source.Watch(ctx, 0, func(engine.EndpointList) { handled <- struct{}{} }); close(ended) }()
 	for i := range 1000 {
 		fake.answers <- endpointList(uint32(i), i == 0, fmt.Sprint("s", i%7))
-		<-told
+		<-handled
 	}
 	cancel()
 	<-ended
-	r := l.lists["r"]
-	if n := r.takePending(); len(n.Changes) != 7 || !n.Complete || n.merged != 999 || n.Version != 999 {
-		t.Errorf("%d changes wait, whole %v, %d merged, version %d", len(n.Changes), n.Complete, n.merged, n.Version)
+	list := m.lists["r"]
+	pending := list.takePending()
+	if len(pending.Changes) != 7 || !pending.Complete || pending.merged != 999 || pending.Version != 999 {
+		t.Errorf("pending after 1000 updates of 7 endpoints: %d changes, complete %v, %d updates merged, version %d; "+
+			"want 7, true, 999, 999", len(pending.Changes), pending.Complete, pending.merged, pending.Version)
 	}
-	sight := l.ForService(classes)
+	view := m.ForService(classes)
 	for range observationQueueSize + 10 {
-		sight.AttemptEnded(&endpoint{list: r}, decision.OK)
+		view.AttemptEnded(&endpoint{list: list}, decision.OK)
 	}
-	if len(l.observations) != observationQueueSize || l.Report().DroppedObservations != 10 {
-		t.Errorf("%d wait, %d dropped", len(l.observations), l.Report().DroppedObservations)
+	if len(m.observations) != observationQueueSize || m.Report().DroppedObservations != 10 {
+		t.Errorf("after %d observations: %d queued, %d dropped; want %d, 10", observationQueueSize+10,
+			len(m.observations), m.Report().DroppedObservations, observationQueueSize)
 	}
 	for i := range maxLists + 5 {
-		l.Wrap(fmt.Sprint(i), time.Second, fake, engine.EndpointList{}, -1)
+		m.Wrap(fmt.Sprint(i), time.Second, fake, engine.EndpointList{}, -1)
 	}
-	if len(l.lists) != maxLists {
-		t.Errorf("%d lists", len(l.lists))
+	if len(m.lists) != maxLists {
+		t.Errorf("lists after %d calls of Wrap with further names: %d, want %d", maxLists+5, len(m.lists), maxLists)
 	}
 }
 
 func TestCheckAttemptDoesNotAllocate(t *testing.T) {
 	runFixture(t, true, func(f *fixture) {
 		f.waitUntilFresh()
-		a, nobody := engine.BackendID("a"), engine.BackendID("nobody")
+		listed, unlisted := engine.BackendID("a"), engine.BackendID("unlisted")
 		allocations := testing.AllocsPerRun(100, func() {
-			f.view.CheckAttempt(a, onceOnlyClass)
-			f.view.CheckAttempt(nobody, idempotentClass)
+			f.view.CheckAttempt(listed, nonIdempotentClass)
+			f.view.CheckAttempt(unlisted, idempotentClass)
 		})
 		if allocations > 0 {
-			t.Errorf("CheckAttempt allocates %v times", allocations)
+			t.Errorf("allocations per 2 calls of CheckAttempt: %v, want 0", allocations)
 		}
 	})
 }
 
+// BenchmarkLook measures CheckAttempt at a listed endpoint.
 func BenchmarkLook(b *testing.B) {
-	l := New(Config{Freshness: &api.FreshnessSettings{Enforce: true}})
-	l.Wrap("r", time.Second, &fakeSource{}, endpointList(1, true, "a", "b"), 0)
+	m := New(Config{Freshness: &api.FreshnessSettings{Enforce: true}})
+	m.Wrap("r", time.Second, &fakeSource{}, endpointList(1, true, "a", "b"), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { l.Run(ctx); close(ended) }()
+	go func() { m.Run(ctx); close(ended) }()
 	defer func() { cancel(); <-ended }()
-	s := l.ForService(classes)
-	s.Follow("r")
+	view := m.ForService(classes)
+	view.Follow("r")
 	id := engine.BackendID("a")
 	b.ReportAllocs()
 	for b.Loop() {
-		s.CheckAttempt(id, idempotentClass)
+		view.CheckAttempt(id, idempotentClass)
 	}
 }
