--- a/internal/controlplane/client/bucket.go
+++ b/internal/controlplane/client/bucket.go
@@ -8,29 +8,31 @@
 	"lapisspread/internal/quotalease"
 )
 
-// bucket is a token bucket that many goroutines take units from without a lock. It is the virtual scheduling
-// algorithm of GCRA (ITU-T I.371, annex A), with one number that only grows: emptyAt, the time at which the bucket
-// was last empty. Its level at a time is what comes in from emptyAt until then, at most its capacity.
+// bucket is a token bucket from which many goroutines take units without a lock. It is the virtual scheduling
+// algorithm of GCRA (ITU-T I.371, annex A). Its state is one number that takes only increase: emptyAt, the time at
+// which the bucket was last empty. Its level at a later time is the amount that arrives between emptyAt and that time,
+// at most its capacity.
 //
-// It never admits more than quotalease.Holder does for the same leases. A unit is taken by one compare-and-swap
-// from emptyAt to max(emptyAt, now-capacity) + cost, and only if that is no later than now. So the units are taken
-// in one order, and each finds the level that the Holder's bucket would have after those before it, but for
-// roundings, which are all against the taker: cost is rounded up and one more, capacity down. A 'now' that was read
-// earlier finds less. Time before a bucket was made can't be taken, as its emptyAt begins there.
+// It never admits more than quotalease.Holder does for the same leases. A unit is taken by one compare-and-swap from
+// emptyAt to max(emptyAt, now-capacity) + cost, and only if the result is no later than now. So takes are totally
+// ordered, and each finds the level that the Holder's bucket would have after the previous takes. Rounding errors only
+// reduce what can be taken: cost is rounded up plus one nanosecond, capacity is rounded down. A take whose now was read
+// earlier finds a lower level. A new bucket accrues nothing for the time before its creation, because its emptyAt
+// starts then.
 //
-// A worker that puts another bucket in its place first closes this one: a later take fails, an earlier one is in
-// the emptyAt that the worker swapped out. The next bucket begins with that level, or empty where the Holder's
-// would be: if the lease has expired in between, of another incarnation, or at a claim just made. So never can two
-// buckets of a quota be taken from, and what is taken from all of them in turn is what one Holder could have
-// admitted.
+// A worker that replaces a bucket closes it first. Later takes from it fail, and earlier takes are included in the
+// emptyAt that the worker swapped out. The next bucket starts with that level, or empty where the Holder's would be:
+// if the lease has expired in between, if it belongs to another incarnation, or after a new claim to the floors. So
+// units can never be taken from two lease buckets, or two floor buckets, of one quota at the same time, and all units
+// taken from successive buckets are units that one Holder could have admitted.
 type bucket struct {
-	nanosPerUnit float64 // by this clock, if it is fast by the greatest drift
-	cost         int64   // of a unit, in nanoseconds: nanosPerUnit rounded up, and one more
+	nanosPerUnit float64 // time in which one unit arrives, by a local clock that is fast by the maximum drift
+	cost         int64   // of one unit, in nanoseconds: nanosPerUnit rounded up, plus one
 	capacity     int64   // nanoseconds in which an empty bucket fills
 	expiresAt    int64   // by the client's clock, in nanoseconds; never for a floor
-	incarnation  uint64  // of the worker's holder; 0 for a floor
+	incarnation  uint64  // of the holder of the lease; 0 for a floor
 	token        quotalease.Token
-	tokenText    string       // the token as it goes out with attempts
+	tokenText    string       // the token as sent with attempts
 	emptyAt      atomic.Int64 // by the client's clock, in nanoseconds; closedBucket after close
 }
 
@@ -41,8 +43,9 @@
 	maxBucketNanos = 1e18
 )
 
-// newBucket makes an empty bucket for an amount of units a second. It is nil if nothing could be taken from it, as
-// from a burst under one unit.
+// newBucket returns an empty bucket that fills by amount units per second up to burst units. drift is the fraction by
+// which the local clock may be fast. It returns nil if no unit could ever be taken, for example with a burst below one
+// unit.
 func newBucket(now time.Duration, amount, burst quotalease.Amount, drift float64) *bucket {
 	if amount <= 0 || burst < quotalease.Unit {
 		return nil
@@ -54,7 +57,7 @@
 	return b
 }
 
-// take takes a unit, unless the bucket is empty, expired or closed.
+// take takes one unit. It returns false if the bucket is empty, expired or closed.
 func (b *bucket) take(now int64) bool {
 	if now >= b.expiresAt {
 		return false
@@ -74,8 +77,8 @@
 	}
 }
 
-// refund undoes a take. The level is then no higher than without it: what came in meanwhile was cut at the capacity
-// in either case.
+// refund undoes a take. The resulting level is no higher than without the take, because the units that arrived in the
+// meantime are limited by the capacity in both cases.
 func (b *bucket) refund() {
 	for {
 		emptyAt := b.emptyAt.Load()
@@ -88,38 +91,39 @@
 // close makes every later take fail.
 func (b *bucket) close() { b.emptyAt.Store(closedBucket) }
 
-// sameAs reports whether both are of one lease.
-func (b *bucket) sameAs(o *bucket) bool {
-	return b.token == o.token && b.incarnation == o.incarnation && b.expiresAt == o.expiresAt &&
-		b.nanosPerUnit == o.nanosPerUnit && b.capacity == o.capacity
+// sameLease reports whether both buckets are of the same lease with the same expiry, rate and burst.
+func (b *bucket) sameLease(other *bucket) bool {
+	return b.token == other.token && b.incarnation == other.incarnation && b.expiresAt == other.expiresAt &&
+		b.nanosPerUnit == other.nanosPerUnit && b.capacity == other.capacity
 }
 
-// takeLevelOf closes a bucket that has not expired, and has this one begin with its level.
-func (b *bucket) takeLevelOf(before *bucket, now time.Duration) {
-	emptyAt := before.emptyAt.Swap(closedBucket)
-	elapsed := min(int64(now)-emptyAt, before.capacity) // below 0 if a taker's now is later
-	level := float64(elapsed) / before.nanosPerUnit
+// inheritLevel closes the previous bucket, which has not expired, and starts b with its level.
+func (b *bucket) inheritLevel(previous *bucket, now time.Duration) {
+	emptyAt := previous.emptyAt.Swap(closedBucket)
+	elapsed := min(int64(now)-emptyAt, previous.capacity) // negative if a concurrent take used a later now
+	level := float64(elapsed) / previous.nanosPerUnit
 	b.emptyAt.Store(int64(now) - int64(math.Floor(level*b.nanosPerUnit)))
 }
 
-// quota is what may be taken of a quota now, and the demand for it.
+// quota holds the current buckets of one quota and counts the demand for it.
 type quota struct {
-	limit   float64 // of the whole fleet, in units a second
+	limit   float64 // of the whole fleet, in units per second
 	buckets atomic.Pointer[bucketPair]
 
 	attempted atomic.Int64 // since the last request for leases
-	admitted  atomic.Int64
-	rejected  atomic.Int64
+	admitted  atomic.Int64 // since the start
+	rejected  atomic.Int64 // since the start
 }
 
-// bucketPair is the buckets of a floor and of a lease. Either may be nil.
+// bucketPair holds the buckets of a quota's floor and of its lease. Either may be nil.
 type bucketPair struct{ floor, lease *bucket }
 
-// maxTakeAttempts bounds how often take looks again while a worker replaces the buckets. It never waits for the
-// worker.
+// maxTakeAttempts bounds how often take tries again while a worker replaces the buckets, so that take never waits for
+// the worker.
 const maxTakeAttempts = 3
 
-// take takes a unit, of the floor first, and returns the bucket that it came from. It is nil if there is none.
+// take takes one unit, from the floor if possible, otherwise from the lease, and returns the bucket that it came from.
+// It returns nil if no unit is available.
 func (q *quota) take(now int64) *bucket {
 	for range maxTakeAttempts {
 		pair := q.buckets.Load()
--- a/internal/controlplane/client/connection.go
+++ b/internal/controlplane/client/connection.go
@@ -18,28 +18,29 @@
 	"lapisspread/internal/supervisor"
 )
 
-// Config of a client.
+// Config configures a QuotaClient or a PolicyClient.
 type Config struct {
 	// File is the fleet's configuration.
 	File *api.Config
-	// ProxyName is the name of this proxy. No other may have it.
+	// ProxyName is the name of this proxy. It must be unique in the fleet.
 	ProxyName string
-	// Logger takes faults and changes of policy; nil discards them.
+	// Logger receives faults and policy changes. Nil discards them.
 	Logger *slog.Logger
-	// Transport leads to the servers; nil is a transport without TLS.
+	// Transport carries the calls to the control-plane servers. Nil is a transport without TLS.
 	Transport http.RoundTripper
-	// Clock never goes back; nil is the machine's, which goes on while the machine is suspended.
+	// Clock returns the current time and must never go back. Nil is the machine's boot time, which includes time that
+	// the machine is suspended.
 	Clock func() time.Duration
 }
 
-// faultLogInterval is the least time between two log lines of one kind of fault.
+// faultLogInterval is the minimum time between two log lines about faults with the same code.
 const faultLogInterval = 10 * time.Second
 
-// shutdownGrace is how long a worker may take once its context has ended.
+// shutdownGrace is how long a worker may run after its context has ended.
 const shutdownGrace = 2 * releaseTimeout
 
-// connection is what both clients share: the calls to the servers, their counts, and the supervised worker that
-// makes them.
+// connection is the state that both clients share: the HTTP client for calls to the servers, counters of calls, and the
+// supervised worker that makes the calls.
 type connection struct {
 	config     Config
 	clock      func() time.Duration
@@ -47,13 +48,13 @@
 	worker     supervisor.Task
 	counters   counters
 
-	mu         sync.Mutex // never held over I/O
-	generation uint64     // of the worker that may publish
-	server     string     // the address of the server that answered last
-	faults     map[string]*Fault
+	mu         sync.Mutex        // never held during I/O
+	generation uint64            // of the current worker, the only one that may publish or install
+	server     string            // the address of the server that answered last
+	faults     map[string]*Fault // by error code
 }
 
-// counters count since the start.
+// counters count events since the client was created.
 type counters struct {
 	requests          atomic.Int64
 	answered          atomic.Int64
@@ -63,7 +64,8 @@
 	expiredBeforeSend atomic.Int64
 }
 
-// initialize sets a connection up, with the work of its workers.
+// initialize prepares a connection whose workers run work. Work must return soon after ctx ends; generation identifies
+// the worker.
 func (c *connection) initialize(config Config, work func(ctx context.Context, generation uint64)) {
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
@@ -97,24 +99,27 @@
 	return c.generation
 }
 
-// isCurrent reports whether no other worker was started since a generation.
+// isCurrent reports whether the worker of a generation is the latest one.
 func (c *connection) isCurrent(generation uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.generation == generation
 }
 
+// workerCrashed counts and reports a worker's panic. The supervisor calls it.
 func (c *connection) workerCrashed(cause any, stack []byte) {
 	c.counters.crashes.Add(1)
 	c.reportFault(WorkerCrashedError{fmt.Sprint(cause)})
 	c.config.Logger.Error("control-plane worker panicked", "cause", cause, "stack", string(stack))
 }
 
+// workerStalled counts and reports that a worker has made no progress for the given time. The supervisor calls it.
 func (c *connection) workerStalled(since time.Duration) {
 	c.counters.stalls.Add(1)
 	c.reportFault(WorkerStalledError{since})
 }
 
+// setServer records the address of the server that answered last.
 func (c *connection) setServer(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,8 +132,8 @@
 	return c.server
 }
 
-// redirectedTo is the address of the leader that a server other than the one at the given address named; empty if
-// there is none.
+// redirectedTo returns the leader's address from an error of the server at address. It returns "" if the error names no
+// leader, or names that same server.
 func redirectedTo(err error, address string) string {
 	var remote api.RemoteError
 	if errors.As(err, &remote) && remote.LeaderAddress != address {
@@ -137,16 +142,17 @@
 	return ""
 }
 
-// Fault is an error that came up, how often, and what an operator can do.
+// Fault describes the latest error with one code, for the admin protocol.
 type Fault struct {
 	Error  string `json:"error"`
-	Advice string `json:"advice"`
-	Count  int64  `json:"count"`
+	Advice string `json:"advice"` // what an operator can do
+	Count  int64  `json:"count"`  // errors with this code since the start
 
 	loggedAt time.Duration
 }
 
-// reportFault counts an error by its code, and logs it unless one of the same code was logged shortly before.
+// reportFault counts an error by its code, and logs it unless an error with the same code was logged within
+// faultLogInterval.
 func (c *connection) reportFault(err error) {
 	code := api.RemoteErrorOf(err).Code
 	now := c.clock()
@@ -171,7 +177,7 @@
 	}
 }
 
-// listFaults copies the faults, in the order of their codes. It is called with mu locked.
+// listFaults returns copies of the faults, sorted by code. The caller must hold mu.
 func (c *connection) listFaults() (faults []Fault) {
 	for _, code := range slices.Sorted(maps.Keys(c.faults)) {
 		faults = append(faults, *c.faults[code])
--- a/internal/controlplane/client/demand.go
+++ b/internal/controlplane/client/demand.go
@@ -7,30 +7,33 @@
 )
 
 const (
-	// demandHeadroom is the factor by which more is requested than was attempted: a demand that grows must be seen
-	// to grow.
+	// demandHeadroom is the ratio of requested to measured demand. It is above 1 so that growing demand can be admitted
+	// and thus measured.
 	demandHeadroom = 1.2
-	// demandSurge is the factor over the requested demand at which a request does not wait for its time.
+	// demandSurge is the ratio of measured to requested demand above which leases are requested before the next request
+	// is due.
 	demandSurge = 1.25
-	// minSurgeDemand is the demand in units a second below which a surge is not told from chance.
+	// minSurgeDemand, in units per second, is the demand below which a surge cannot be told from random variation.
 	minSurgeDemand = 1
-	// demandDecayDivisor sets how fast the requested demand falls: each request closes one part in so many of the gap
-	// to a lower measured demand, because a short lull must not give the lease away.
+	// demandDecayDivisor sets how fast the requested demand falls: each request reduces the gap to a lower measured
+	// demand by 1/demandDecayDivisor, so that a short lull does not give up the lease.
 	demandDecayDivisor = 3
-	// negligibleDemand is requested as 0, in units a second.
+	// negligibleDemand, in units per second, is the demand below which 0 is requested.
 	negligibleDemand = .01
-	// initialDemandDivisor sets the part of a quota's limit, one in so many, that is requested before the demand is
-	// known, so that the first requests find something.
+	// initialDemandDivisor sets the demand that is requested before any is measured, limit/initialDemandDivisor, so
+	// that the first attempts can be admitted.
 	initialDemandDivisor = 50
 )
 
-// demandMeter measures the demand for each quota from what was attempted. Only its worker uses it.
+// demandMeter measures the demand for each quota by the number of attempts. Only the goroutine of its worker uses it.
 type demandMeter struct {
 	quotas     map[string]*quota
-	requested  map[string]float64 // units a second
+	requested  map[string]float64 // the demand last requested for each quota, in units per second
 	measuredAt time.Duration
 }
 
+// newDemandMeter returns a meter whose requested demand is a part of each quota's limit, or the number of attempts
+// so far if that is higher.
 func newDemandMeter(now time.Duration, quotas map[string]*quota) demandMeter {
 	requested := map[string]float64{}
 	for name, q := range quotas {
@@ -39,17 +42,17 @@
 	return demandMeter{quotas: quotas, requested: requested, measuredAt: now}
 }
 
-// since is the time since the last measurement.
-func (d *demandMeter) since(now time.Duration) time.Duration { return now - d.measuredAt }
+// elapsed returns the time since the last measurement.
+func (d *demandMeter) elapsed(now time.Duration) time.Duration { return now - d.measuredAt }
 
-// surged reports whether the demand has risen so much that the next request should not wait.
+// surged reports whether the demand for any quota has risen so much that leases should be requested at once.
 func (d *demandMeter) surged(now time.Duration) bool {
-	since := d.since(now)
-	if since < minRequestInterval {
+	elapsed := d.elapsed(now)
+	if elapsed < minRequestInterval {
 		return false
 	}
 	for name, q := range d.quotas {
-		attempted := float64(q.attempted.Load()) / since.Seconds()
+		attempted := float64(q.attempted.Load()) / elapsed.Seconds()
 		if attempted > demandSurge*max(d.requested[name], minSurgeDemand) {
 			return true
 		}
@@ -57,14 +60,14 @@
 	return false
 }
 
-// measure has the holder request what was attempted since the last measurement, with headroom. The demand rises at
-// once and falls slowly.
+// measure sets the holder's demand from the attempts since the last measurement, with headroom. The demand rises
+// immediately and falls slowly.
 func (d *demandMeter) measure(now time.Duration, holder *quotalease.Holder) {
-	since := max(d.since(now), pollInterval)
+	elapsed := max(d.elapsed(now), pollInterval)
 	for name, q := range d.quotas {
-		measured := demandHeadroom * float64(q.attempted.Swap(0)) / since.Seconds()
-		before := d.requested[name]
-		demand := max(measured, before-(before-measured)/demandDecayDivisor)
+		measured := demandHeadroom * float64(q.attempted.Swap(0)) / elapsed.Seconds()
+		previous := d.requested[name]
+		demand := max(measured, previous-(previous-measured)/demandDecayDivisor)
 		if demand < negligibleDemand {
 			demand = 0
 		}
--- a/internal/controlplane/client/doc.go
+++ b/internal/controlplane/client/doc.go
@@ -1,20 +1,21 @@
-// Package client is a proxy's side of the control plane. It has two clients, each with one supervised goroutine
-// that talks to the servers:
+// Package client implements a proxy's clients of the control plane. There are two, each with one supervised worker
+// goroutine that calls the control-plane servers:
 //
-//   - QuotaClient requests quota leases and holds them (quotalease.Holder). What it holds is published as token
-//     buckets, from which the attempts of requests take units without a lock (ServiceQuotas).
-//   - PolicyClient reports which policy the proxy decides by, fetches the one that the servers offer and has the
-//     proxy install it, all of it or nothing.
+//   - QuotaClient requests quota leases and holds them (quotalease.Holder). It publishes leases and floors as token
+//     buckets, from which ServiceQuotas takes units for attempts without a lock.
+//   - PolicyClient reports which policy the proxy runs, fetches the policy that the servers offer and has the proxy
+//     install it completely or not at all.
 //
-// No request ever waits for these goroutines. One that has panicked or is stuck is replaced by another, and
-// counted; what it published stays in force until it expires. A generation number tells a worker from those before
-// it, so that one that was given up can't publish any more.
+// No request ever waits for these goroutines. A worker that panics or is stuck is replaced and counted. Leases that it
+// published remain in force until they expire. Each worker has a generation number, and a worker of an earlier
+// generation can no longer publish or install.
 //
-// The workers and the requests share no queue. Buckets go one way: a new one takes the place of the one before.
-// Counts of attempts go the other way by atomic additions.
+// Workers and requests share no queue. A worker publishes a bucket by replacing the previous one. Requests count their
+// attempts by atomic additions, which the worker reads.
 //
 // # Files
 //
-// With a state directory a proxy keeps, for the next process of its name: its floors (floorClaim), with a lock that
-// only one process holds at a time, and its policy (policyStore). The forms of these files must not change.
+// In its state directory a proxy stores data for the next process with the same proxy name: its floors (floorClaim),
+// with a lock that only one process holds at a time, and its policy (policyStore). The formats of these files must not
+// change.
 package client
--- a/internal/controlplane/client/errors.go
+++ b/internal/controlplane/client/errors.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// FloorsNotPersistedError reports that the floors of a proxy can't be kept on disk. It requests no leases then, and
-// goes on with what it holds.
+// FloorsNotPersistedError means that the floors of a proxy cannot be read from disk, locked or stored there. While
+// they cannot be stored, the proxy requests no leases and uses only those that it holds.
 type FloorsNotPersistedError struct{ Err error }
 
 // Error implements error.
@@ -22,7 +22,7 @@
 		"what is damaged in it may be removed while no proxy of that name runs: it is told its floors anew."
 }
 
-// WorkerCrashedError reports that a worker has panicked. Another was started.
+// WorkerCrashedError means that a worker has panicked. It was replaced.
 type WorkerCrashedError struct{ Cause string }
 
 // Error implements error.
@@ -34,7 +34,7 @@
 		"If it goes on, serve without --fleet until it is mended."
 }
 
-// WorkerStalledError reports that a worker is stuck. Another was started.
+// WorkerStalledError means that a worker is stuck. It was replaced.
 type WorkerStalledError struct {
 	// For is how long it has made no progress.
 	For fmt.Stringer
@@ -51,8 +51,8 @@
 		"another duty was begun in its place."
 }
 
-// PolicyNotInstalledError reports that this proxy could not install a policy that it was offered. It goes on with
-// the one before.
+// PolicyNotInstalledError means that this proxy could not fetch, install or store an offered policy, or could not
+// restore a stored one. Unless it says that the policy is installed but not stored, the previous policy stays in force.
 type PolicyNotInstalledError struct {
 	Epoch uint64
 	Err   error
--- a/internal/controlplane/client/fetcher.go
+++ b/internal/controlplane/client/fetcher.go
@@ -13,36 +13,38 @@
 )
 
 const (
-	// maxFetchTime bounds the fetching between two reports: a proxy that fetches must not look silent.
+	// maxFetchTime bounds the time spent fetching chunks between two reports, so that the servers do not consider the
+	// proxy silent.
 	maxFetchTime = 500 * time.Millisecond
-	// minChunkNames is the least number of chunks that one request names, over a slow link.
+	// minChunkNames is the minimum to which a slow link reduces the number of chunks per request.
 	minChunkNames = 4
-	// minReportBytes is the least limit of the chunks that come with the reply to a report, over a slow link.
+	// minReportBytes is the minimum to which a slow link reduces the limit on chunks in the reply to a report, in bytes.
 	minReportBytes = 1 << 10
-	// slowLinkDivisor is by how much a report that took too long reduces that limit.
+	// slowLinkDivisor is the divisor of that limit after a report that timed out.
 	slowLinkDivisor = 4
-	// maxRetryAfter bounds the time for which a server may have a proxy wait.
+	// maxRetryAfter bounds the time that a server may ask a proxy to wait before its next chunk request.
 	maxRetryAfter = 10 * time.Second
 )
 
-// treeAssembly puts a tree together from chunks. It is a *merkle.Assembly, or what a test has in its place.
+// treeAssembly assembles a tree from chunks. It is a *merkle.Assembly, except in tests.
 type treeAssembly interface {
-	Missing(most int) []merkle.Hash
+	Missing(limit int) []merkle.Hash
 	Add(chunk []byte) error
 	Tree() (*merkle.Tree, error)
 }
 
-// fetcher puts the content of a policy together, over as many reports as it takes. Only its worker uses it.
+// fetcher assembles the content of an offered policy from chunks, which may take several reports. Only the goroutine of
+// its worker uses it.
 type fetcher struct {
 	client *PolicyClient
 	root   merkle.Hash
-	base   *merkle.Tree // of the installed policy: chunks of it are not fetched
-	target treeAssembly // nil while nothing is fetched
+	base   *merkle.Tree // of the installed policy, whose chunks are not fetched
+	target treeAssembly // nil while nothing is being fetched
 
-	serverIndex     int             // of the server that is asked next
-	retryAt         []time.Duration // when each server may be asked again
+	serverIndex     int             // of the server for the next request
+	retryAt         []time.Duration // the earliest time of the next request to each server
 	namesPerRequest int
-	reportBytes     int // of chunks that may come with the reply to a report; 0 is the servers' own limit
+	reportBytes     int // limit on the chunks in the reply to a report, in bytes; 0 means the servers' own limit
 }
 
 func newFetcher(c *PolicyClient) *fetcher {
@@ -55,7 +57,8 @@
 	}
 }
 
-// adjustReportBytes lowers the limit on chunks in replies to reports while a link is slow, and raises it again after.
+// adjustReportBytes lowers the limit on chunks in replies to reports after a report that timed out (slow), and raises
+// it after one that did not.
 func (f *fetcher) adjustReportBytes(slow bool) {
 	switch {
 	case slow && f.reportBytes == 0:
@@ -69,15 +72,16 @@
 	}
 }
 
-// reset forgets what was being fetched.
+// reset discards the tree that is being assembled and all cached chunks.
 func (f *fetcher) reset() {
 	f.target = nil
 	f.client.cache.clear()
 }
 
-// fetch goes on with the content of an offer: from the chunks that came with it, from those that came before, and
-// from those that servers give by name. It returns nil while some are missing; the next report goes on. The error
-// is a merkle.MalformedChunkError if the content can't be put together, else that of the last server that was asked.
+// fetch continues to assemble the content of an offer, from the chunks in the reply, from cached chunks and from chunks
+// requested by name. It blocks for about maxFetchTime plus one call at most. It returns a nil tree while chunks are
+// missing; the worker calls it again after the next report. The error is a merkle.MalformedChunkError if the content
+// cannot be assembled, otherwise the error of the last server that was called.
 func (f *fetcher) fetch(ctx context.Context, reply api.PolicyReply) (*merkle.Tree, error) {
 	if err := f.begin(reply); err != nil {
 		return nil, err
@@ -114,7 +118,7 @@
 	return nil, lastErr
 }
 
-// begin starts another tree if the offer or the installed policy has changed.
+// begin starts a new assembly if the offer or the installed policy has changed.
 func (f *fetcher) begin(reply api.PolicyReply) error {
 	root, err := merkle.ParseHash(reply.Target.Hash)
 	if err != nil {
@@ -129,16 +133,16 @@
 	return nil
 }
 
-// isMalformed reports whether what the servers have can't be put together, so that no further chunk helps.
+// isMalformed reports whether the offered content cannot be assembled, whatever further chunks arrive.
 func isMalformed(err error) bool {
 	var malformed merkle.MalformedChunkError
 	return errors.As(err, &malformed)
 }
 
-// canFetch reports whether something is being fetched and a server may be asked for it now.
+// canFetch reports whether content is being fetched and at least one server may be called now.
 func (f *fetcher) canFetch() bool { return f.target != nil && f.selectServer() }
 
-// selectServer moves on to a server that may be asked now, and reports whether there is one.
+// selectServer advances serverIndex to a server that may be called now. It returns false if there is none.
 func (f *fetcher) selectServer() bool {
 	now := f.client.clock()
 	for range f.retryAt {
@@ -150,13 +154,14 @@
 	return false
 }
 
-// suspendServer defers the next request to the current server by a random time between least and 1.5 times that, so
-// that proxies do not retry in step.
-func (f *fetcher) suspendServer(least time.Duration) {
-	f.retryAt[f.serverIndex] = f.client.clock() + time.Duration(float64(least)*(1+rand.Float64()/2))
+// suspendServer defers the next request to the current server by a random time between delay and 1.5 times delay, so
+// that proxies do not retry at the same time.
+func (f *fetcher) suspendServer(delay time.Duration) {
+	f.retryAt[f.serverIndex] = f.client.clock() + time.Duration(float64(delay)*(1+rand.Float64()/2))
 }
 
-// requestChunks asks a server for chunks by name. One that fails or does not have all of them is suspended.
+// requestChunks requests chunks by name from the current server. A server that fails or does not have all of them is
+// suspended.
 func (f *fetcher) requestChunks(ctx context.Context, names []merkle.Hash) error {
 	config := f.client.config
 	server := config.File.Servers[f.serverIndex]
@@ -179,7 +184,7 @@
 		f.suspendServer(min(time.Duration(reply.RetryAfterNanos), maxRetryAfter))
 		return nil
 	}
-	if len(reply.Chunks) == 0 || reply.Missing > 0 { // the server is behind, or ahead
+	if len(reply.Chunks) == 0 || reply.Missing > 0 { // the server has an older or a newer policy
 		f.suspendServer(maxReportInterval)
 	}
 	f.namesPerRequest = min(f.namesPerRequest+f.namesPerRequest/8+1, api.MaxChunkNames)
@@ -190,7 +195,8 @@
 	return nil
 }
 
-// addChunks takes chunks that came. One that is not wanted is left out; the error is that of the last of these.
+// addChunks adds received chunks to the tree and to the cache. It skips chunks that the tree rejects and returns the
+// error of the last one. A malformed chunk ends it at once.
 func (f *fetcher) addChunks(chunks [][]byte) (lastErr error) {
 	for _, chunk := range chunks {
 		if f.client.cache.get(merkle.HashOf(chunk)) != nil {
@@ -210,7 +216,7 @@
 	return lastErr
 }
 
-// addCached takes chunks that came before, for this or another version.
+// addCached adds all cached chunks that the tree lacks, which were received earlier for this or another version.
 func (f *fetcher) addCached() error {
 	for added := true; added; {
 		added = false
--- a/internal/controlplane/client/quotaclient.go
+++ b/internal/controlplane/client/quotaclient.go
@@ -96,11 +96,11 @@
 	case next == nil:
 		before.close()
 		return nil
-	case before.sameAs(next):
+	case before.sameLease(next):
 		return before
 	case before.incarnation == next.incarnation && (int64(now) < before.expiresAt || c.mutations.reuseExpired):
 		emptyAt := before.emptyAt.Load()
-		next.takeLevelOf(before, now)
+		next.inheritLevel(before, now)
 		if c.mutations.keepReplacedOpen {
 			before.emptyAt.Store(emptyAt)
 		}
--- a/internal/controlplane/client/quotaworker.go
+++ b/internal/controlplane/client/quotaworker.go
@@ -168,7 +168,7 @@
 	if now < w.nextRequestAt {
 		return false
 	}
-	return w.demand.since(now) >= w.requestInterval || w.demand.surged(now)
+	return w.demand.elapsed(now) >= w.requestInterval || w.demand.surged(now)
 }
 
 // requestLeases calls one server, and the leader that it names instead. Never more than one call is under way.
--- a/internal/controlplane/client/randomized_test.go
+++ b/internal/controlplane/client/randomized_test.go
@@ -29,12 +29,12 @@
 	return a.base, nil
 }
 
-func (a *incompleteAssembly) Missing(most int) []merkle.Hash {
+func (a *incompleteAssembly) Missing(limit int) []merkle.Hash {
 	a.calls++
 	if a.base != nil && a.calls > 1 {
 		return nil
 	}
-	return a.treeAssembly.Missing(most)
+	return a.treeAssembly.Missing(limit)
 }
 
 // randomizedRun is a run whose events follow from one seed. The offer changes, returns to an earlier policy or starts a
