--- a/internal/controlplane/client/floorclaim.go
+++ b/internal/controlplane/client/floorclaim.go
@@ -12,31 +12,33 @@
 	"lapisspread/internal/quotalease"
 )
 
-// floorsFormat is the form of persistedFloors.
+// floorsFormat is the format version of persistedFloors.
 const floorsFormat = 1
 
-// stateFileMode lets only the owner read what a proxy keeps.
+// stateFileMode lets only the owner read a proxy's state files.
 const stateFileMode = 0o600
 
-// floorClaim is a proxy name's claim to its floors on this machine: a lock on a file, which the system releases
-// when the process dies. Two processes of one name never hold it together. Another file holds what the floors are,
-// for the next process.
+// floorClaim is the claim of this process to the floors of its proxy name on this machine: a file lock, which the
+// operating system releases when the process dies. No two processes with the same proxy name hold it at the same time.
+// A second file stores the floors for the next process.
 type floorClaim struct {
 	path, name string
 
 	mu   sync.Mutex
 	lock *os.File // nil while the claim is not held
 
-	saving sync.Mutex
+	saveMu sync.Mutex // held while floors are written
 	file   durable.File
 }
 
-// persistedFloors are kept on disk.
+// persistedFloors is the content of the floors file.
 type persistedFloors struct {
 	Version uint64                      `json:"Version"`
 	Floors  map[string]quotalease.Floor `json:"Floors"`
 }
 
+// newFloorClaim returns a claim that is not held. The floors are stored at path, and the lock is path with the suffix
+// ".lock".
 func newFloorClaim(path, name string) *floorClaim {
 	return &floorClaim{
 		path: path,
@@ -45,15 +47,15 @@
 	}
 }
 
-// tryLock takes the lock if no process has it. It does not block. The error is FloorClaimedError if another process
-// has it.
+// tryLock takes the lock if no other process holds it, and reports whether the lock is held now. It does not block. The
+// error is a quotalease.FloorClaimedError if another process holds the lock, otherwise a FloorsNotPersistedError.
 func (c *floorClaim) tryLock() (bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lock != nil {
 		return true, nil
 	}
-	// The file must never be removed, or two processes could hold locks on two files of one name.
+	// The lock file must never be removed: another process could then create and lock a new file at the same path.
 	file, err := os.OpenFile(c.path+".lock", os.O_CREATE|os.O_RDWR, stateFileMode)
 	if err != nil {
 		return false, FloorsNotPersistedError{err}
@@ -69,7 +71,7 @@
 	return true, nil
 }
 
-// release gives the lock up. Nothing of the floors may be spent any more.
+// release releases the lock. After that the caller must not use the floors any more.
 func (c *floorClaim) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,7 +81,8 @@
 	}
 }
 
-// load returns what was saved, or nothing if nothing was.
+// load returns the stored floors and their version; version 0 and nil if none are stored. The error is a
+// FloorsNotPersistedError.
 func (c *floorClaim) load() (version uint64, floors map[string]quotalease.Floor, err error) {
 	var persisted persistedFloors
 	err = c.file.Load(&persisted)
@@ -92,11 +95,12 @@
 	return persisted.Version, persisted.Floors, nil
 }
 
-// save keeps floors so that they outlive a power failure, unless what is on disk is at least as new. It fails if
-// mayWrite returns false once no other save is under way.
+// save stores floors and flushes them to disk so that they survive a power failure. It does nothing if the stored
+// version is at least as high. It waits for a save in progress, and then fails if mayWrite returns false. Errors are
+// FloorsNotPersistedErrors.
 func (c *floorClaim) save(version uint64, floors map[string]quotalease.Floor, mayWrite func() bool) error {
-	c.saving.Lock()
-	defer c.saving.Unlock()
+	c.saveMu.Lock()
+	defer c.saveMu.Unlock()
 	if !mayWrite() {
 		return FloorsNotPersistedError{errors.New("another duty has taken over")}
 	}
--- a/internal/controlplane/client/policyclient.go
+++ b/internal/controlplane/client/policyclient.go
@@ -15,18 +15,18 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// InstalledPolicy is a policy that the proxy decides by. It never changes but for its counts.
+// InstalledPolicy is a policy that the proxy runs. It is immutable except for its request counts.
 type InstalledPolicy struct {
 	// Offer is the version that the servers offered.
 	Offer rollout.Version
-	// Policy and Tree are the content; both are nil before the first policy.
+	// Policy and Tree are the content. Both are nil before the first policy is installed.
 	Policy *namespace.Policy
 	Tree   *merkle.Tree
-	// Epoch is that of the version as attempts carry it; empty before the first policy.
+	// Epoch is the version's epoch in decimal, as sent with attempts. It is empty before the first policy.
 	Epoch string
 
-	// Base is the version before, and Diff what differs from it. Diff is nil if the policy was not made from the
-	// one before.
+	// Base is the previous version, and Diff the differences from it. Diff is nil if the policy was not built from
+	// the previous one.
 	Base rollout.Version
 	Diff *namespace.Diff
 
@@ -34,8 +34,8 @@
 	badRequests  atomic.Int64
 }
 
-// CountRequest counts a request that was decided under the policy. Requests before the first policy count too: the
-// servers compare.
+// CountRequest counts a request that was handled under the policy, for the next report. Requests before the first
+// policy count too, because the servers compare them with later ones. A nil policy counts nothing.
 func (p *InstalledPolicy) CountRequest(good bool) {
 	switch {
 	case p == nil:
@@ -46,18 +46,18 @@
 	}
 }
 
-// PolicyClient keeps the proxy's policy up to date: it reports to the servers, and has the proxy install what they
-// offer, all of it or nothing. It is safe for concurrent use.
+// PolicyClient keeps the proxy's policy up to date. It reports to the control-plane servers and has the proxy install
+// the policy that they offer, completely or not at all. It is safe for concurrent use.
 type PolicyClient struct {
 	connection
 	install func(*InstalledPolicy) error
 	store   *policyStore // nil without a state directory
 
 	current          atomic.Pointer[InstalledPolicy]
-	installing       sync.Mutex // a worker that is stuck in install holds up the next one, and no request
+	installMu        sync.Mutex // held during install: a worker that is stuck there blocks the next worker, but no request
 	version          *rollout.CurrentVersion
 	lastReportNumber atomic.Uint64
-	rejected         atomic.Pointer[rejectedPolicy]
+	rejected         atomic.Pointer[rejectedPolicy] // nil if the last offer was not rejected
 
 	cache          chunkCache
 	chunksAccepted atomic.Int64
@@ -67,22 +67,22 @@
 	mutations policyMutations
 }
 
-// policyMutations take a guard out, so that tests can show that it is needed.
+// policyMutations disable checks, so that tests can show that each check is needed. Production code sets none.
 type policyMutations struct {
 	skipRootCheck  bool // content is installed whatever its hash is
 	skipOrderCheck bool // older versions are installed over newer ones
 }
 
-// rejectedPolicy is a version that was offered and can't be installed yet.
+// rejectedPolicy is an offered version that cannot be installed yet.
 type rejectedPolicy struct {
-	policyContent               // to be tried again; without a tree the content can't be read at all
-	reason        error         // why it can't be read
-	retryAt       time.Duration // when content that can't be read is fetched again
+	policyContent               // its installation is retried; the tree is nil if the content is unreadable
+	reason        error         // why the content is unreadable
+	retryAt       time.Duration // when unreadable content may be fetched again
 }
 
-// NewPolicyClient makes a client without a policy. It calls install from its worker, one call at a time, with each
-// policy that the proxy is to decide by from then on; install does so and returns nil, or changes nothing and
-// returns why.
+// NewPolicyClient returns a client without a policy. Restore and the worker call install, one call at a time, with each
+// policy that the proxy must run from then on. install must switch the proxy to the policy and return nil, or change
+// nothing and return an error.
 func NewPolicyClient(config Config, install func(*InstalledPolicy) error) *PolicyClient {
 	c := &PolicyClient{
 		install: install,
@@ -92,27 +92,27 @@
 		},
 	}
 	c.initialize(config, c.runWorker)
-	c.lastReportNumber.Store(uint64(time.Now().UnixNano())) // so that it rises over restarts too
+	c.lastReportNumber.Store(uint64(time.Now().UnixNano())) // so that numbers also increase across restarts
 	c.current.Store(&InstalledPolicy{})
 	if dir := config.File.StateDir; dir != "" {
-		_ = os.MkdirAll(dir, 0o700) // if it can't be made, saving says so
+		_ = os.MkdirAll(dir, 0o700) // if this fails, saving the policy reports an error
 		c.store = newPolicyStore(dir, config.ProxyName)
 	}
 	return c
 }
 
-// Run reports and installs policies until ctx ends. It is called once.
+// Run sends reports and installs offered policies until ctx ends. It blocks; call it once.
 func (c *PolicyClient) Run(ctx context.Context) {
 	c.worker.Run(ctx)
-	c.beginGeneration() // no worker installs any more
+	c.beginGeneration() // a worker that is still running can no longer install
 	c.httpClient.CloseIdleConnections()
 }
 
-// Current returns the policy that requests are decided under. It does not block.
+// Current returns the policy that the proxy runs, never nil. It does not block.
 func (c *PolicyClient) Current() *InstalledPolicy { return c.current.Load() }
 
-// Restore installs what the process before has kept. It is called before Run. Chunks of a policy that can't be
-// restored are not fetched again.
+// Restore installs the policy that the previous process stored in the state directory, if any. Call it before Run. If
+// the policy cannot be restored, its chunks are cached so that they are not fetched again.
 func (c *PolicyClient) Restore() {
 	if c.store == nil {
 		return
@@ -134,19 +134,19 @@
 	}
 }
 
-// installContent installs a policy, if mayInstall still says so. The errors are those of package rollout for a
-// version that is older or whose hash is another, unreadableError, and that of install.
+// installContent installs a policy. It does nothing if mayInstall returns false or the version is installed already.
+// Errors are those of package rollout for an older version or a wrong hash, an unreadableError, or the error of install.
 func (c *PolicyClient) installContent(content policyContent, mayInstall func() bool) error {
-	c.installing.Lock()
-	defer c.installing.Unlock()
+	c.installMu.Lock()
+	defer c.installMu.Unlock()
 	if !mayInstall() {
 		return nil
 	}
-	before := c.version.Version()
-	if content.offer == before {
+	current := c.version.Version()
+	if content.offer == current {
 		return nil
 	}
-	adopted, err := c.adopt(before, content)
+	adopted, err := c.adopt(current, content)
 	if err != nil {
 		return err
 	}
@@ -163,36 +163,36 @@
 	return nil
 }
 
-// adopt checks that a version goes before the one before, and that the content is its. It changes nothing, so that
-// a version that can't be installed does not count as had.
-func (c *PolicyClient) adopt(before rollout.Version, content policyContent) (*rollout.CurrentVersion, error) {
+// adopt checks that a version supersedes the current one and that the content has the version's hash. It returns the
+// new current version without changing the client's, so that a version that cannot be installed does not become current.
+func (c *PolicyClient) adopt(current rollout.Version, content policyContent) (*rollout.CurrentVersion, error) {
 	if c.mutations.skipRootCheck {
 		content.hash = content.offer.Hash
 	}
 	if c.mutations.skipOrderCheck {
-		before = rollout.Version{}
+		current = rollout.Version{}
 	}
-	version := rollout.NewCurrentVersion(before)
+	version := rollout.NewCurrentVersion(current)
 	if err := version.Adopt(content.offer, content.hash); err != nil {
 		return nil, err
 	}
 	return version, nil
 }
 
-// newInstalledPolicy makes a policy of the one before and what differs, which costs what changed, or else reads it
-// whole.
-func newInstalledPolicy(before *InstalledPolicy, content policyContent) (*InstalledPolicy, error) {
+// newInstalledPolicy builds a policy from the previous one and their differences, which takes time proportional to the
+// change. If that fails, it decodes the whole content.
+func newInstalledPolicy(previous *InstalledPolicy, content policyContent) (*InstalledPolicy, error) {
 	installed := &InstalledPolicy{
 		Offer: content.offer,
 		Tree:  content.tree,
 		Epoch: strconv.FormatUint(content.offer.Epoch, 10),
 	}
-	if before.Policy != nil {
-		policy, diff, err := before.Policy.With(merkle.Changes(before.Tree, content.tree))
+	if previous.Policy != nil {
+		policy, diff, err := previous.Policy.With(merkle.Changes(previous.Tree, content.tree))
 		if err == nil {
 			installed.Policy = policy
 			installed.Diff = diff
-			installed.Base = before.Offer
+			installed.Base = previous.Offer
 			return installed, nil
 		}
 	}
@@ -204,16 +204,17 @@
 	return installed, nil
 }
 
-// unreadableError reports that content has the offered hash and is no policy.
+// unreadableError means that the content has the offered hash but cannot be decoded as a policy.
 type unreadableError struct{ error }
 
 // Unwrap returns the cause.
 func (e unreadableError) Unwrap() error { return e.error }
 
-// PolicyStatus tells how a PolicyClient stands, for the admin protocol. Counts are since the start.
+// PolicyStatus describes the state of a PolicyClient, for the admin protocol. Counts are since the start.
 type PolicyStatus struct {
-	// Epoch is 0 before the first policy.
+	// Epoch is that of the installed policy; 0 before the first policy.
 	Epoch uint64 `json:"epoch"`
+	// Order is the generation of the installed policy.
 	Order uint64 `json:"order"`
 	Hash  string `json:"hash"`
 	// Server is the address of the server that answered last.
@@ -224,13 +225,14 @@
 	// WorkersCrashed and WorkersStalled count workers that were replaced.
 	WorkersCrashed int64 `json:"duties_died"`
 	WorkersStalled int64 `json:"duties_stuck"`
-	// ChunksAccepted counts chunks that were wanted, ChunksRejected chunks that were not what they should be.
+	// ChunksAccepted counts received chunks that were added to a policy, ChunksRejected those that were not part of it
+	// or were damaged.
 	ChunksAccepted int64   `json:"pieces"`
 	ChunksRejected int64   `json:"pieces_wrong"`
 	Faults         []Fault `json:"troubles,omitempty"`
 }
 
-// PolicyStatus tells how the client stands. It does not wait for the worker.
+// PolicyStatus returns the client's current state. It does not wait for the worker.
 func (c *PolicyClient) PolicyStatus() PolicyStatus {
 	offer := c.current.Load().Offer
 	c.mu.Lock()
--- a/internal/controlplane/client/policystore.go
+++ b/internal/controlplane/client/policystore.go
@@ -14,16 +14,15 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// policyContent is the content of a version, complete.
+// policyContent is the complete content of an offered version.
 type policyContent struct {
 	offer rollout.Version
-	// hash is what the content has: the root of its tree, or the SHA-256 of its text where that is what the offer
-	// names.
+	// hash is that of the content: the root of its tree, or the SHA-256 of its text if the policy was offered as text.
 	hash string
 	tree *merkle.Tree
 }
 
-// contentFromText makes the content of a version from its text. Errors are rollout.HashMismatchError and those of
+// contentFromText decodes the content of a version from its text. Errors are rollout.HashMismatchError and those of
 // package namespace.
 func contentFromText(offer rollout.Version, text []byte) (policyContent, error) {
 	if err := rollout.NewCurrentVersion(rollout.Version{}).AdoptText(offer, text); err != nil {
@@ -37,14 +36,14 @@
 	return policyContent{offer, offer.Hash, tree}, err
 }
 
-// policyStore keeps a policy for the next process of this name, in chunks: a change appends those that it brought,
-// and at times all is written anew.
+// policyStore stores the policy for the next process with the same proxy name, as a journal of chunks. A save appends
+// the chunks that the journal lacks; when the journal gets too long, it is rewritten with the current policy only.
 type policyStore struct {
-	mu       sync.Mutex // held over I/O: save does not wait for it
+	mu       sync.Mutex // held during I/O, so save does not wait for it
 	journal  durable.Journal
-	textFile durable.File // in which earlier releases kept a text
-	offer    rollout.Version
-	tree     *merkle.Tree // that the journal has; nil is not known
+	textFile durable.File    // where earlier releases stored the policy as text
+	offer    rollout.Version // of tree
+	tree     *merkle.Tree    // the latest tree in the journal; nil if unknown
 }
 
 // The kinds of the journal's records, by their first byte.
@@ -53,28 +52,29 @@
 	recordOffer = 'o' // an offerRecord in JSON, after the chunks that it needs
 )
 
-// offerRecord tells what the chunks before it make up.
+// offerRecord identifies the version whose chunks were written before it.
 type offerRecord struct {
 	Offer rollout.Version `json:"Offer"`
-	// Root is the offer's hash, unless the policy came as a text.
+	// Root is the root of the tree. It equals the offer's hash unless the policy was received as text.
 	Root string `json:"Root"`
 }
 
-// textRecord is what earlier releases kept.
+// textRecord is the content of the text file of earlier releases.
 type textRecord struct {
 	Offer rollout.Version `json:"Offer"`
 	Text  []byte          `json:"Text"`
 }
 
 const (
-	// journalFactor and journalSlackBytes bound the journal: it is written anew at so many times the size of the
-	// policy, and so many bytes more.
+	// The journal is rewritten when it reaches journalFactor times the size of the policy plus journalSlackBytes.
 	journalFactor     = 2
 	journalSlackBytes = 64 << 10
 )
 
+// errSaveInProgress is returned by policyStore.save while another save or load runs, for example of a replaced worker.
 var errSaveInProgress = errors.New("a duty before is still writing")
 
+// newPolicyStore returns a store for the proxy of a name in the state directory. It reads and writes nothing yet.
 func newPolicyStore(dir, name string) *policyStore {
 	return &policyStore{
 		journal:  durable.Journal{Path: filepath.Join(dir, "pieces-"+name), Kind: "lapisspread-pieces", Version: 1},
@@ -82,9 +82,9 @@
 	}
 }
 
-// load returns the newest policy that the process before has kept and that is complete. Without one it returns the
-// chunks that can be read. The error is fs.ErrNotExist if nothing was kept; an error may come with what could be
-// read.
+// load returns the newest complete policy that a previous process stored. It also returns the readable chunks if there
+// is no complete policy or part of the journal is unreadable. The error wraps fs.ErrNotExist if nothing was stored.
+// Content or chunks may be returned together with an error.
 func (s *policyStore) load() (content policyContent, chunks [][]byte, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +93,7 @@
 		s.offer = content.offer
 		s.tree = content.tree
 	}
-	// The text is newer if an earlier release has run here since, or never had a journal.
+	// The text is newer if an earlier release ran here after the journal was written, or if there is no journal.
 	var record textRecord
 	if s.textFile.Load(&record) != nil || !record.Offer.NewerThan(content.offer) {
 		return content, chunks, err
@@ -108,9 +108,9 @@
 	return content, chunks, err
 }
 
-// readJournal returns the newest complete policy of the journal; if there is none, or something can't be read, all
-// chunks too.
-func (s *policyStore) readJournal() (content policyContent, loose [][]byte, err error) {
+// readJournal returns the newest complete policy of the journal. If there is none or part of the journal is unreadable,
+// it also returns all readable chunks, and an error.
+func (s *policyStore) readJournal() (content policyContent, readable [][]byte, err error) {
 	records, lostBytes, err := s.journal.Load()
 	if err != nil {
 		return policyContent{}, nil, err
@@ -118,7 +118,7 @@
 	chunks, offers := decodeRecords(records)
 	for i := len(offers) - 1; i >= 0 && content.tree == nil; i-- {
 		if tree := assemble(offers[i].Root, chunks); tree != nil {
-			// That a text has the offer's hash was checked before it was kept.
+			// For a policy received as text, the text's hash was checked before the policy was stored.
 			content = policyContent{offers[i].Offer, offers[i].Offer.Hash, tree}
 		}
 	}
@@ -126,14 +126,14 @@
 		return content, nil, nil
 	}
 	for _, chunk := range chunks {
-		loose = append(loose, chunk)
+		readable = append(readable, chunk)
 	}
 	err = fmt.Errorf("%s: %d bytes of it can't be read: %w", s.journal.Path, lostBytes, durable.ErrDamaged)
-	return content, loose, err
+	return content, readable, err
 }
 
-// decodeRecords returns the chunks by name, and the offers in the order in which they were kept. It leaves out what
-// it does not know.
+// decodeRecords returns the journal's chunks by hash, and its offers in the order in which they were written. It skips
+// unknown and undecodable records.
 func decodeRecords(records [][]byte) (chunks map[merkle.Hash][]byte, offers []offerRecord) {
 	chunks = map[merkle.Hash][]byte{}
 	for _, record := range records {
@@ -154,7 +154,7 @@
 	return chunks, offers
 }
 
-// assemble puts a tree together; nil if chunks are missing.
+// assemble builds the tree with a root from chunks. It returns nil if chunks are missing or the root is invalid.
 func assemble(rootName string, chunks map[merkle.Hash][]byte) *merkle.Tree {
 	root, err := merkle.ParseHash(rootName)
 	if err != nil {
@@ -179,8 +179,8 @@
 	return tree
 }
 
-// save keeps a policy, unless another process of this name has kept a newer one. In the mean it writes as much as
-// changed. It does not wait: errSaveInProgress reports that another save is under way.
+// save stores a policy, unless another process with the same proxy name has stored a newer one. On average it writes
+// about as many bytes as changed. It does not wait for another save or load: it returns errSaveInProgress instead.
 func (s *policyStore) save(content policyContent) error {
 	if !s.mu.TryLock() {
 		return errSaveInProgress
@@ -199,21 +199,23 @@
 			return err
 		}
 	}
-	if s.keepsNewer(content.offer) {
+	if s.loadNewer(content.offer) {
 		return nil
 	}
 	return s.rewrite(content, record)
 }
 
+// encodeOffer returns the journal record of a version.
 func encodeOffer(content policyContent) ([]byte, error) {
 	data, err := json.Marshal(offerRecord{content.offer, content.tree.Root().String()})
 	return append([]byte{recordOffer}, data...), err
 }
 
+// encodeChunk returns the journal record of a chunk.
 func encodeChunk(chunk []byte) []byte { return append([]byte{recordChunk}, chunk...) }
 
-// appendChange appends the chunks that the journal lacks. It fails with durable.ErrOther if another process has
-// written it.
+// appendChange appends the chunks that the journal lacks, and the offer's record. It returns durable.ErrModified if
+// another process has written the journal since it was last read or written here.
 func (s *policyStore) appendChange(content policyContent, offer []byte) error {
 	var records [][]byte
 	for _, chunk := range content.tree.ChunksNotIn(s.tree) {
@@ -227,21 +229,22 @@
 	return nil
 }
 
-// keepsNewer reports whether another process has kept a version that the offer does not go before.
-func (s *policyStore) keepsNewer(offer rollout.Version) bool {
+// loadNewer reports whether another process has stored a version that the offer does not supersede. It then makes that
+// version the store's current one.
+func (s *policyStore) loadNewer(offer rollout.Version) bool {
 	if s.journal.Unmodified() {
 		return false
 	}
-	kept, _, _ := s.readJournal() // what can't be read is written anew
-	if kept.tree == nil || offer.NewerThan(kept.offer) {
+	stored, _, _ := s.readJournal() // an unreadable journal is rewritten
+	if stored.tree == nil || offer.NewerThan(stored.offer) {
 		return false
 	}
-	s.offer = kept.offer
-	s.tree = kept.tree
+	s.offer = stored.offer
+	s.tree = stored.tree
 	return true
 }
 
-// rewrite writes the journal anew.
+// rewrite replaces the journal by one that contains only the given policy.
 func (s *policyStore) rewrite(content policyContent, offer []byte) error {
 	records := func(yield func([]byte) bool) {
 		for _, chunk := range content.tree.Chunks() {
--- a/internal/controlplane/client/policyworker.go
+++ b/internal/controlplane/client/policyworker.go
@@ -17,16 +17,17 @@
 	// minReportInterval and maxReportInterval bound the time between two reports.
 	minReportInterval = 50 * time.Millisecond
 	maxReportInterval = time.Second
-	// reportsPerSilence is how many reports a proxy sends in the time after which the servers take it for silent.
+	// reportsPerSilence is the number of reports that a proxy sends within the silence timeout, after which the servers
+	// consider it failed.
 	reportsPerSilence = 5
-	// reportJitter is the part by which the time between two reports is randomized, so that a fleet does not report
-	// in step.
+	// reportJitter is the fraction by which the time between two reports is randomized, so that the proxies of a fleet
+	// do not report at the same time.
 	reportJitter = .2
-	// minPauseDivisor sets the least pause between two reports: the report interval divided by it.
+	// minPauseDivisor sets the minimum pause between two reports: the report interval divided by it.
 	minPauseDivisor = 8
-	// reportTimeout bounds one call.
+	// reportTimeout bounds one call to a server: a report or a request for chunks.
 	reportTimeout = 2 * time.Second
-	// unreadableRetryInterval is the time until content that can't be read is fetched again.
+	// unreadableRetryInterval is the time after which unreadable content is fetched again.
 	unreadableRetryInterval = 30 * time.Second
 )
 
@@ -36,13 +37,13 @@
 	generation  uint64
 	fetcher     *fetcher
 	serverIndex int
-	address     string // of the server that is called next
-	interval    time.Duration
-	// report is sent again until it is answered. The servers count a report that they get twice once.
+	address     string        // of the server for the next report
+	interval    time.Duration // between reports, before jitter
+	// report is sent repeatedly until it is answered. The servers count a report only once, by its sequence number.
 	report *api.PolicyReport
 }
 
-// runWorker reports until ctx ends, and installs what the servers offer.
+// runWorker sends reports and installs offered policies until ctx ends. The supervisor calls it.
 func (c *PolicyClient) runWorker(ctx context.Context, generation uint64) {
 	servers := c.config.File.Servers
 	silence := c.config.File.RolloutSettings().SilenceTimeout
@@ -65,8 +66,9 @@
 	}
 }
 
-// pause is the time until the next report. Over a slow link the time of the call is part of the interval, else the
-// proxy would look silent; and while something is fetched, a report is due between two turns of fetching, no more.
+// pause returns the time until the next report. begin is when the last report was sent, and err its error. The duration
+// of the call counts as part of the interval, because on a slow link the servers would otherwise consider the proxy
+// silent. While content is being fetched, only the minimum pause is made between two rounds of fetching.
 func (w *policyWorker) pause(begin time.Duration, err error) time.Duration {
 	jitter := 1 - reportJitter + 2*reportJitter*rand.Float64()
 	pause := time.Duration(float64(w.interval)*jitter) - (w.client.clock() - begin)
@@ -76,8 +78,8 @@
 	return max(pause, w.interval/minPauseDivisor)
 }
 
-// sendReport sends a report to one server and handles what the server offers. After an error the next report goes
-// to another server, or to the leader that this one named.
+// sendReport sends a report to one server and handles the offer in its reply. After an error the next report goes to
+// another server, or to the leader that this server named.
 func (w *policyWorker) sendReport(ctx context.Context) error {
 	c := w.client
 	if w.report == nil {
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// reportFailed chooses the server of the next report.
+// reportFailed counts a failed report and selects the server for the next one.
 func (w *policyWorker) reportFailed(err error, timedOut bool) {
 	c := w.client
 	c.counters.failed.Add(1)
@@ -122,7 +124,7 @@
 	w.address = servers[w.serverIndex].Address
 }
 
-// newReport takes the counts of requests since the last report.
+// newReport returns a report with the request counts since the last report, and resets those counts.
 func (c *PolicyClient) newReport() *api.PolicyReport {
 	current := c.current.Load()
 	report := &api.PolicyReport{
@@ -140,7 +142,8 @@
 	return report
 }
 
-// handleOffer installs what a server offers, once all of it is there, and keeps it for the next process.
+// handleOffer fetches the policy that a server offers. Once its content is complete, it installs the policy and stores
+// it for the next process. It returns nil if the offer is not newer than the installed policy or is still being fetched.
 func (c *PolicyClient) handleOffer(
 	ctx context.Context, f *fetcher, reply api.PolicyReply, mayInstall func() bool,
 ) error {
@@ -148,14 +151,14 @@
 		return fmt.Errorf("a steward answers for fleet %q", reply.Fleet)
 	}
 	if !reply.Target.NewerThan(c.current.Load().Offer) && !c.mutations.skipOrderCheck {
-		return nil // a server that has just become the leader may offer the one before
+		return nil // a server that has just become the leader may offer the previous version
 	}
 	if rejected := c.rejected.Load(); rejected.awaitsRetry(reply.Target, c.clock()) {
 		return rejected.reason
 	}
 	content, err := c.offeredContent(ctx, f, reply)
 	if err == nil && content.tree == nil {
-		return nil // it is being fetched
+		return nil // the content is still being fetched
 	}
 	if err == nil {
 		err = c.installContent(content, mayInstall)
@@ -166,7 +169,7 @@
 	}
 	c.rejected.Store(nil)
 	if c.current.Load().Offer != reply.Target {
-		return nil // another worker has taken over: only what is in force is kept
+		return nil // this worker was replaced and has installed nothing, so there is nothing to store
 	}
 	f.reset()
 	if c.store == nil {
@@ -178,13 +181,13 @@
 	return nil
 }
 
-// awaitsRetry reports whether a version was rejected as unreadable, and is not to be fetched again yet.
+// awaitsRetry reports whether a version was rejected as unreadable and must not be fetched again yet.
 func (r *rejectedPolicy) awaitsRetry(version rollout.Version, now time.Duration) bool {
 	return r != nil && r.offer == version && r.tree == nil && now < r.retryAt
 }
 
-// offeredContent returns the content of an offer. Its tree is nil while it is being fetched. The content of a
-// version that was rejected is not fetched again.
+// offeredContent returns the content of an offer, with a nil tree while it is being fetched. Content that was rejected
+// before is returned from memory and not fetched again.
 func (c *PolicyClient) offeredContent(ctx context.Context, f *fetcher, reply api.PolicyReply) (policyContent, error) {
 	if rejected := c.rejected.Load(); rejected != nil && rejected.offer == reply.Target && rejected.tree != nil {
 		return rejected.policyContent, nil
@@ -201,13 +204,14 @@
 	return content, err
 }
 
-// handleInstallError remembers content that can't be installed yet, so that it is not fetched again and again.
+// handleInstallError records a rejected version, with its content if that is readable, so that the content is not
+// fetched repeatedly.
 func (c *PolicyClient) handleInstallError(f *fetcher, reply api.PolicyReply, content policyContent, err error) {
 	var malformed merkle.MalformedChunkError
 	var unreadable unreadableError
 	switch {
 	case errors.As(err, &malformed) || errors.As(err, &unreadable):
-		// What the servers have under the offered hash can't be read.
+		// The servers' content with the offered hash is unreadable.
 		c.rejected.Store(&rejectedPolicy{
 			policyContent: policyContent{offer: reply.Target},
 			reason:        err,
