--- a/internal/controlplane/client/fetch_test.go
+++ b/internal/controlplane/client/fetch_test.go
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// damageRandomChunk flips a bit of a random chunk of a reply, truncates it, drops it with all later chunks, or replaces it by
-// one that is too long.
+// damageRandomChunk flips a bit of a random chunk of a reply, truncates it, drops it with all later chunks, or replaces
+// it by one that is too long.
 func damageRandomChunk(rng *rand.Rand, chunks *[][]byte) {
 	*chunks = slices.Clone(*chunks)
 	at := rng.IntN(len(*chunks))
--- a/internal/controlplane/client/policyclient.go
+++ b/internal/controlplane/client/policyclient.go
@@ -54,7 +54,7 @@
 	store   *policyStore // nil without a state directory
 
 	current          atomic.Pointer[InstalledPolicy]
-	installMu        sync.Mutex // held during install: a worker that is stuck there blocks the next worker, but no request
+	installMu        sync.Mutex // held during install: a worker stuck there blocks the next worker, but no request
 	version          *rollout.CurrentVersion
 	lastReportNumber atomic.Uint64
 	rejected         atomic.Pointer[rejectedPolicy] // nil if the last offer was not rejected
@@ -135,7 +135,7 @@
 }
 
 // installContent installs a policy. It does nothing if mayInstall returns false or the version is installed already.
-// Errors are those of package rollout for an older version or a wrong hash, an unreadableError, or the error of install.
+// Errors are those of package rollout for an older version or a wrong hash, unreadableError, and the error of install.
 func (c *PolicyClient) installContent(content policyContent, mayInstall func() bool) error {
 	c.installMu.Lock()
 	defer c.installMu.Unlock()
@@ -164,7 +164,8 @@
 }
 
 // adopt checks that a version supersedes the current one and that the content has the version's hash. It returns the
-// new current version without changing the client's, so that a version that cannot be installed does not become current.
+// new current version and leaves the client's unchanged, so that a version that cannot be installed never becomes
+// current.
 func (c *PolicyClient) adopt(current rollout.Version, content policyContent) (*rollout.CurrentVersion, error) {
 	if c.mutations.skipRootCheck {
 		content.hash = content.offer.Hash
--- a/internal/controlplane/client/policyclient_test.go
+++ b/internal/controlplane/client/policyclient_test.go
@@ -16,8 +16,8 @@
 
 // policyText returns the text of a policy with one service of the given name and without routes.
 func policyText(service string) []byte {
-	declaration, err := namespace.ParseDeclaration("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\nowner = \"o\"\n"+
-		"hosts = [\"x.org\"]\nsettings = [\"service\"]\n"))
+	declaration, err := namespace.ParseDeclaration("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\n"+
+		"owner = \"o\"\nhosts = [\"x.org\"]\nsettings = [\"service\"]\n"))
 	if err != nil {
 		panic(err)
 	}
--- a/internal/controlplane/client/policyworker.go
+++ b/internal/controlplane/client/policyworker.go
@@ -143,7 +143,8 @@
 }
 
 // handleOffer fetches the policy that a server offers. Once its content is complete, it installs the policy and stores
-// it for the next process. It returns nil if the offer is not newer than the installed policy or is still being fetched.
+// it for the next process. It returns nil if the offer is not newer than the installed policy or is still being
+// fetched.
 func (c *PolicyClient) handleOffer(
 	ctx context.Context, f *fetcher, reply api.PolicyReply, mayInstall func() bool,
 ) error {
--- a/internal/controlplane/client/quotaclient.go
+++ b/internal/controlplane/client/quotaclient.go
@@ -10,12 +10,12 @@
 	"lapisspread/internal/quotalease"
 )
 
-// QuotaClient holds a proxy's quota leases. It is safe for concurrent use.
+// QuotaClient requests and holds a proxy's quota leases. It is safe for concurrent use.
 type QuotaClient struct {
 	connection
 	quotaConfig quotalease.FleetConfig
-	quotas      map[string]*quota // by name; it never changes
-	floorToken  string            // as it goes out with attempts that no lease covers
+	quotas      map[string]*quota // by name; the map never changes
+	floorToken  string            // the token sent with attempts that are covered by floors only
 	floorClaim  *floorClaim       // nil without a state directory
 	mutations   mutations
 
@@ -25,7 +25,7 @@
 	quotaStatuses map[string]QuotaStatus
 }
 
-// NewQuotaClient makes a client that holds nothing yet. Run has it request leases.
+// NewQuotaClient returns a client without leases. It requests leases once Run is called.
 func NewQuotaClient(config Config) *QuotaClient {
 	c := &QuotaClient{
 		quotaConfig:   config.File.QuotaConfig(),
@@ -38,30 +38,30 @@
 		c.quotas[q.Name] = &quota{limit: q.Limit}
 	}
 	if dir := config.File.StateDir; dir != "" {
-		_ = os.MkdirAll(dir, 0o700) // if it can't be made, the claim says so
+		_ = os.MkdirAll(dir, 0o700) // if this fails, claiming the floors reports an error
 		c.floorClaim = newFloorClaim(filepath.Join(dir, "floors-"+config.ProxyName), config.ProxyName)
 	}
 	return c
 }
 
-// Run requests leases until ctx ends, and then gives all back. It is called once.
+// Run requests leases until ctx ends, and then releases all of them. It blocks; call it once.
 func (c *QuotaClient) Run(ctx context.Context) {
 	c.worker.Run(ctx)
-	generation := c.beginGeneration() // no worker publishes any more
+	generation := c.beginGeneration() // a worker that is still running can no longer publish
 	for name := range c.quotas {
 		c.publish(generation, 0, name, c.clock(), nil, nil)
 	}
-	if c.floorClaim != nil { // only now may another process of this name spend the floors
+	if c.floorClaim != nil { // from here on another process with the same proxy name may use the floors
 		c.floorClaim.release()
 	}
 	c.httpClient.CloseIdleConnections()
 }
 
-// publish puts the buckets of what a worker holds in the place of those before. It returns false, and publishes
-// nothing, for a worker that is not the newest.
+// publish replaces the buckets of the quota called name. lease and floor are nil if the worker holds none. It returns
+// false, and publishes nothing, for a worker that is not the current generation.
 //
-// The incarnation is that of the worker's holder. The lease of a worker before stays in force until it expires
-// while the new one has none; incarnation 0 ends it too.
+// incarnation is that of the worker's holder. A lease of a previous worker stays in force until it expires, as long as
+// the new worker has none. Incarnation 0 ends that lease too.
 func (c *QuotaClient) publish(
 	generation, incarnation uint64, name string, now time.Duration, lease, floor *bucket,
 ) bool {
@@ -71,54 +71,56 @@
 	if q == nil || generation != c.generation {
 		return q == nil
 	}
-	before := q.buckets.Load()
-	if before == nil {
-		before = &bucketPair{}
+	previous := q.buckets.Load()
+	if previous == nil {
+		previous = &bucketPair{}
 	}
-	if lease == nil && before.lease != nil && incarnation > 0 && before.lease.incarnation != incarnation {
-		lease = before.lease
+	if lease == nil && previous.lease != nil && incarnation > 0 && previous.lease.incarnation != incarnation {
+		lease = previous.lease
 	}
 	next := &bucketPair{
-		floor: c.replaceBucket(before.floor, floor, now),
-		lease: c.replaceBucket(before.lease, lease, now),
+		floor: c.replaceBucket(previous.floor, floor, now),
+		lease: c.replaceBucket(previous.lease, lease, now),
 	}
-	if *next != *before {
+	if *next != *previous {
 		q.buckets.Store(next)
 	}
 	return true
 }
 
-// replaceBucket closes a bucket and returns the one that takes its place. The level goes over if the lease goes on.
-func (c *QuotaClient) replaceBucket(before, next *bucket, now time.Duration) *bucket {
+// replaceBucket closes the previous bucket and returns the one to use in its place. The next bucket inherits the level
+// if the lease was renewed before it expired. If both are of the same lease, the previous bucket stays open and in use.
+func (c *QuotaClient) replaceBucket(previous, next *bucket, now time.Duration) *bucket {
 	switch {
-	case before == nil || before == next:
+	case previous == nil || previous == next:
 		return next
 	case next == nil:
-		before.close()
+		previous.close()
 		return nil
-	case before.sameLease(next):
-		return before
-	case before.incarnation == next.incarnation && (int64(now) < before.expiresAt || c.mutations.reuseExpired):
-		emptyAt := before.emptyAt.Load()
-		next.inheritLevel(before, now)
+	case previous.sameLease(next):
+		return previous
+	case previous.incarnation == next.incarnation && (int64(now) < previous.expiresAt || c.mutations.reuseExpired):
+		emptyAt := previous.emptyAt.Load()
+		next.inheritLevel(previous, now)
 		if c.mutations.keepReplacedOpen {
-			before.emptyAt.Store(emptyAt)
+			previous.emptyAt.Store(emptyAt)
 		}
 	default:
-		before.close()
+		previous.close()
 	}
 	return next
 }
 
-// mutations take a guard out, so that tests can show that it is needed.
+// mutations disable checks, so that tests can show that each check is needed. Production code sets none.
 type mutations struct {
-	reuseExpired     bool // the level of an expired lease goes over to the next one
+	reuseExpired     bool // the next lease inherits the level of an expired one
 	keepReplacedOpen bool // a bucket that was replaced still gives units
 	startFull        bool // the bucket of a new lease is full
 	neverExpire      bool // leases don't expire
 }
 
-// leaseBucket makes the bucket of a lease; nil if the holder has none.
+// leaseBucket returns a new bucket for the lease in the holder's status; nil if the holder has no lease. burst is that
+// of the lease, and incarnation that of the holder.
 func (c *QuotaClient) leaseBucket(
 	now time.Duration, incarnation uint64, status quotalease.HolderStatus, burst quotalease.Amount,
 ) *bucket {
@@ -139,7 +141,7 @@
 	return lease
 }
 
-// floorBucket makes the bucket of a floor; nil if there is none.
+// floorBucket returns a new bucket for a floor; nil if the floor is 0.
 func (c *QuotaClient) floorBucket(now time.Duration, floor quotalease.Floor) *bucket {
 	return newBucket(now, floor.Amount, floor.Burst, c.quotaConfig.MaxDrift)
 }
--- a/internal/controlplane/client/quotaworker.go
+++ b/internal/controlplane/client/quotaworker.go
@@ -19,23 +19,24 @@
 const (
 	// pollInterval is the time between two checks of whether a request is due.
 	pollInterval = 50 * time.Millisecond
-	// minRequestInterval is the least time between two requests for leases.
+	// minRequestInterval is the minimum time from a request for leases to one that a surge in demand triggers.
 	minRequestInterval = 100 * time.Millisecond
 	// claimRetryInterval is the time between two attempts to claim the floors.
 	claimRetryInterval = 500 * time.Millisecond
-	// releaseTimeout bounds the request that gives all leases back.
+	// releaseTimeout bounds the request that releases all leases.
 	releaseTimeout = 500 * time.Millisecond
-	// maxRetryInterval bounds the backoff after a request that failed.
+	// maxRetryInterval bounds the backoff after a failed request.
 	maxRetryInterval = time.Second
-	// retryJitter is the part by which the backoff is randomized, so that a fleet does not retry in step.
+	// retryJitter is the fraction by which the backoff is randomized, so that the proxies of a fleet do not retry at the
+	// same time.
 	retryJitter = .5
-	// requestJitter is the part by which the time between two requests is randomized, so that a fleet does not
-	// request in step.
+	// requestJitter is the fraction by which the time between two requests is randomized, so that the proxies of a
+	// fleet do not send requests at the same time.
 	requestJitter = .1
-	// minCallTimeout and maxCallTimeout bound the time of one call.
+	// minCallTimeout and maxCallTimeout bound the timeout of one call.
 	minCallTimeout = 100 * time.Millisecond
 	maxCallTimeout = 2 * time.Second
-	// callsPerLease is how many calls fit in the shortest lease.
+	// callsPerLease is the number of calls that may time out, one after another, within the shortest lease.
 	callsPerLease = 4
 	// maxCallsPerRequest bounds the redirections that one request follows.
 	maxCallsPerRequest = 3
@@ -45,28 +46,28 @@
 type quotaWorker struct {
 	client      *QuotaClient
 	generation  uint64
-	incarnation uint64 // of its holder
+	incarnation uint64 // of the holder
 	holder      *quotalease.Holder
-	bursts      map[string]leaseBurst
+	bursts      map[string]leaseBurst // by quota name
 	demand      demandMeter
 
-	serverIndex      int // of the server that is called next
-	requestInterval  time.Duration
+	serverIndex      int           // of the server for the next request
+	requestInterval  time.Duration // between requests, with jitter; 0 after a failure
 	nextRequestAt    time.Duration // the end of the backoff after a failure; 0 after a success
 	retryBackoff     *backoff.ExponentialBackOff
-	persistedVersion uint64 // of the floors that are on disk
+	persistedVersion uint64 // of the floors on disk
 
 	ownsFloors  bool
 	nextClaimAt time.Duration
 }
 
-// leaseBurst is the burst of the lease with a token.
+// leaseBurst is the burst of the lease with the given token.
 type leaseBurst struct {
 	token quotalease.Token
 	burst quotalease.Amount
 }
 
-// runWorker requests leases until ctx ends, and then gives them back.
+// runWorker requests leases until ctx ends, and then releases them. The supervisor calls it.
 func (c *QuotaClient) runWorker(ctx context.Context, generation uint64) {
 	w := c.newWorker(generation)
 	for ctx.Err() == nil {
@@ -81,6 +82,7 @@
 	w.releaseAll()
 }
 
+// newWorker returns a worker with a new holder, which starts with the floors on disk.
 func (c *QuotaClient) newWorker(generation uint64) *quotaWorker {
 	retryBackoff := backoff.NewExponentialBackOff()
 	retryBackoff.InitialInterval = pollInterval
@@ -111,16 +113,19 @@
 	return w
 }
 
-// newIncarnation draws a random number, not 0, that tells this worker's holder from all others of the same name.
+// newIncarnation returns a random number other than 0 that distinguishes a worker's holder from all others with the
+// same proxy name.
 func newIncarnation() uint64 {
 	var b [8]byte
 	_, _ = crand.Read(b[:]) // never fails
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
+// isCurrent reports whether no other worker has replaced this one.
 func (w *quotaWorker) isCurrent() bool { return w.client.isCurrent(w.generation) }
 
-// claimFloors tries to claim the floors if another attempt is due, and publishes them once they are claimed.
+// claimFloors tries to claim the floors, at most once per claimRetryInterval, and publishes them once it holds the
+// claim.
 func (w *quotaWorker) claimFloors() {
 	c := w.client
 	now := c.clock()
@@ -142,7 +147,7 @@
 	}
 }
 
-// publishAll publishes all that the holder has.
+// publishAll publishes the holder's leases and, if this worker holds the claim to them, its floors.
 func (w *quotaWorker) publishAll() {
 	now := w.client.clock()
 	_, floors := w.holder.Floors()
@@ -171,7 +176,8 @@
 	return w.demand.elapsed(now) >= w.requestInterval || w.demand.surged(now)
 }
 
-// requestLeases calls one server, and the leader that it names instead. Never more than one call is under way.
+// requestLeases sends a request to one server and, if that server names another leader, to the leader. Calls are
+// sequential. After a failure the next request is deferred and goes to another server.
 func (w *quotaWorker) requestLeases(ctx context.Context) {
 	if err := w.persistFloors(ctx); err != nil {
 		w.client.reportFault(err)
@@ -204,8 +210,8 @@
 	w.scheduleRetry()
 }
 
-// persistFloors has the floors on disk before the next request tells the servers of them. A process that starts
-// with older floors than the servers were told of spends what may be another holder's.
+// persistFloors writes the floors to disk before the next request confirms them to the servers. Otherwise a process
+// that starts with older floors than the confirmed ones could use units that belong to another holder.
 func (w *quotaWorker) persistFloors(ctx context.Context) error {
 	version, floors := w.holder.Floors()
 	if w.client.floorClaim == nil || version <= w.persistedVersion {
@@ -219,6 +225,7 @@
 	return nil
 }
 
+// requestSucceeded resets the backoff and schedules the next request.
 func (w *quotaWorker) requestSucceeded(address string) {
 	w.retryBackoff.Reset()
 	w.nextRequestAt = 0
@@ -233,7 +240,8 @@
 	w.nextRequestAt = w.client.clock() + w.retryBackoff.NextBackOff()
 }
 
-// callTimeout is for one call.
+// callTimeout returns the timeout of one call: a part of the shortest lease duration, so that several calls can fail
+// before a lease expires.
 func (w *quotaWorker) callTimeout() time.Duration {
 	timeout := maxCallTimeout
 	for _, q := range w.client.quotaConfig.Quotas {
@@ -243,7 +251,7 @@
 }
 
 // callServer sends the holder's request to a server and publishes the leases and floors that the holder has after the
-// reply. After an error the holder has taken nothing from the reply.
+// reply. If it returns an error, the holder has ignored the reply or there was none.
 func (w *quotaWorker) callServer(ctx context.Context, address string) error {
 	c := w.client
 	ctx, cancel := context.WithTimeout(ctx, w.callTimeout())
@@ -273,14 +281,15 @@
 	return nil
 }
 
-// isForeignReply reports whether a reply was for another fleet or process, or of an earlier epoch: another server is
-// called then.
+// isForeignReply reports whether a reply was for another fleet or another holder, or of an earlier epoch, so that
+// another server must be called.
 func isForeignReply(err error) bool {
 	return errors.As(err, &quotalease.FleetMismatchError{}) || errors.As(err, &quotalease.HolderMismatchError{}) ||
 		errors.As(err, &quotalease.StaleEpochError{})
 }
 
-// releaseAll ends all leases, and gives them back if that takes little time; else they expire.
+// releaseAll stops using all leases and tries for at most releaseTimeout to release them at the server that answered
+// last. If that fails, the leases expire.
 func (w *quotaWorker) releaseAll() {
 	if !w.isCurrent() {
 		return
--- a/internal/controlplane/client/servicequotas.go
+++ b/internal/controlplane/client/servicequotas.go
@@ -9,17 +9,17 @@
 	"lapisspread/internal/quotalease"
 )
 
-// maxQuotasPerService is how many quotas may cover one service.
+// maxQuotasPerService is the maximum number of quotas that may cover one service.
 const maxQuotasPerService = 8
 
-// anyIndex stands for any class or any tenant.
+// anyIndex is the class or tenant of a quota that covers every class or tenant.
 const anyIndex = -1
 
-// attemptsRetries is the value of a quota's filter that counts retries only.
+// attemptsRetries is the value of a quota filter's Attempts for a quota that covers only retries.
 const attemptsRetries = "retries"
 
-// ServiceQuotas are the quotas that cover the attempts of a service. It is safe for concurrent use; its methods
-// take no lock and allocate nothing.
+// ServiceQuotas applies the quotas that cover the attempts of one service. It implements engine.Quota. It is safe for
+// concurrent use, and its methods take no lock and allocate nothing.
 type ServiceQuotas struct {
 	client   *QuotaClient
 	covering []coveringQuota
@@ -35,8 +35,8 @@
 
 var _ engine.Quota = (*ServiceQuotas)(nil)
 
-// ForService returns the quotas that cover a service; nil if there is none. It fails if there are more than one
-// attempt can draw on.
+// ForService returns the quotas that cover a service with the given request classes and tenants, or nil if there are
+// none. It fails if more than maxQuotasPerService cover it.
 func (c *QuotaClient) ForService(service string, classes, tenants []string) (*ServiceQuotas, error) {
 	s := &ServiceQuotas{client: c}
 	for _, q := range c.config.File.Quotas {
@@ -63,7 +63,8 @@
 	return s, nil
 }
 
-// filterIndex is where a filter's value stands among names; the empty value is any.
+// filterIndex returns the index of a filter's value in names, or anyIndex for an empty value. ok is false if names does
+// not have the value.
 func filterIndex(value string, names []string) (index int, ok bool) {
 	if value == "" {
 		return anyIndex, true
@@ -72,7 +73,7 @@
 	return index, index >= 0
 }
 
-// covers reports whether an attempt draws on the quota.
+// covers reports whether the quota covers an attempt.
 func (q *coveringQuota) covers(class, tenant int, first bool) bool {
 	if q.class != anyIndex && q.class != class || q.tenant != anyIndex && q.tenant != tenant {
 		return false
@@ -80,8 +81,9 @@
 	return !q.retriesOnly || !first
 }
 
-// Acquire takes a unit of each quota that covers an attempt, or of none. It is called for each attempt, just before
-// it is made; class and tenant are indices into the names that ForService was given.
+// Acquire takes one unit from each quota that covers an attempt. It returns false, and takes none, if one of the quotas
+// has no unit. The engine calls it just before each attempt. class and tenant are indices into the names passed to
+// ForService, and first reports whether it is the request's first attempt.
 func (s *ServiceQuotas) Acquire(class, tenant int, first bool) (engine.Permit, bool) {
 	now := int64(s.client.clock())
 	permit := engine.Permit{Token: s.client.floorToken, Expires: never}
@@ -93,7 +95,7 @@
 			continue
 		}
 		b := covering.quota.take(now)
-		// A rejected first attempt and the retries that follow it are one demand.
+		// A rejected first attempt is retried, so its rejected retries are not additional demand for this quota.
 		if b != nil || first || covering.retriesOnly {
 			covering.quota.attempted.Add(1)
 		}
@@ -116,6 +118,7 @@
 	return permit, true
 }
 
+// refundAll returns the units that were taken from the buckets; nil buckets are skipped.
 func refundAll(taken []*bucket) {
 	for _, b := range taken {
 		if b != nil {
@@ -124,8 +127,9 @@
 	}
 }
 
-// Expired checks a permit once more just before the attempt is sent: the process may have been stopped since
-// Acquire. It can't see a lease that expires between this check and the network; see quotalease.Holder.Revalidate.
+// Expired reports whether a permit has expired. The engine calls it just before the attempt is sent, because the process
+// may have been suspended since Acquire. It cannot detect a lease that expires between this check and the sending; see
+// quotalease.Holder.Revalidate.
 func (s *ServiceQuotas) Expired(permit engine.Permit) bool {
 	if s.client.clock() < permit.Expires {
 		return false
--- a/internal/controlplane/client/status.go
+++ b/internal/controlplane/client/status.go
@@ -1,21 +1,21 @@
 package client
 
-// QuotaStatus tells how a quota stands at this proxy. Amounts are in units a second.
+// QuotaStatus describes the state of a quota at this proxy. Amounts are in units per second.
 type QuotaStatus struct {
-	// Granted is the amount of the lease, Floor the one of the floor, and Wanted the demand that was requested.
+	// Granted is the amount of the lease, Floor that of the floor, and Wanted the requested demand.
 	Granted float64 `json:"granted"`
 	Floor   float64 `json:"floor"`
 	Wanted  float64 `json:"wanted"`
 	// LeaseLeftMillis is the time until the lease expires.
 	LeaseLeftMillis int64  `json:"lease_left_ms"`
 	Token           string `json:"token"`
-	// Attempted counts since the last request for leases; Admitted and Rejected since the start.
+	// Attempted counts units requested since the last request for leases; Admitted and Rejected count since the start.
 	Attempted int64 `json:"tried"`
 	Admitted  int64 `json:"allowed"`
 	Rejected  int64 `json:"refused"`
 }
 
-// Status tells how a QuotaClient stands, for the admin protocol. Counts are since the start.
+// Status describes the state of a QuotaClient, for the admin protocol. Counts are since the start.
 type Status struct {
 	Fleet string `json:"fleet"`
 	Proxy string `json:"proxy"`
@@ -34,11 +34,11 @@
 	ExpiredBeforeSend int64                  `json:"stopped_before_send"`
 	Quotas            map[string]QuotaStatus `json:"budgets"`
 	Faults            []Fault                `json:"troubles,omitempty"`
-	// Policy is set by whoever has a PolicyClient too.
+	// Policy is nil in the result of QuotaClient.Status. A caller that also has a PolicyClient sets it.
 	Policy *PolicyStatus `json:"policy,omitempty"`
 }
 
-// recordStatus keeps how the holder stands, for Status.
+// recordStatus copies the holder's state to where Status reads it.
 func (w *quotaWorker) recordStatus() {
 	c := w.client
 	now := c.clock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// Status tells how the client stands. It does not wait for the worker.
+// Status returns the client's current state. It does not wait for the worker.
 func (c *QuotaClient) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
