--- a/internal/controlplane/api/call.go
+++ b/internal/controlplane/api/call.go
@@ -12,13 +12,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// timeoutHeader says how long the caller waits for an answer, in milliseconds.
+// timeoutHeader is the HTTP header with the time that the caller waits for an answer, in milliseconds.
 const timeoutHeader = "X-Timeout-Ms"
 
 // operatorCallTimeout bounds one call of an operator to one server.
 const operatorCallTimeout = 6 * time.Second
 
-// RequestTimeout returns how long the caller of a request waits: limit if it does not say, or says more.
+// RequestTimeout returns how long the caller of a request waits for an answer, by its timeout header. It returns limit
+// if the header is missing or invalid, or gives a longer time.
 func RequestTimeout(r *http.Request, limit time.Duration) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(timeoutHeader), 10, 32)
 	if err != nil || ms <= 0 {
@@ -78,7 +79,7 @@
 	return request, nil
 }
 
-// CallWithTimeout is Call with the timeout of operators' calls.
+// CallWithTimeout is Call with a timeout of operatorCallTimeout in addition to the deadline of ctx.
 func CallWithTimeout(ctx context.Context, client *http.Client, address, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
 	defer cancel()
--- a/internal/controlplane/api/codec.go
+++ b/internal/controlplane/api/codec.go
@@ -8,7 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// decodeMode bounds what a body can make this process allocate.
+// decodeMode limits the size and nesting of decoded messages, and so the memory that a message can make this process
+// allocate.
 var decodeMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode()
 	if err != nil {
@@ -17,7 +18,8 @@
 	return m
 }()
 
-// DecodeBody reads a CBOR body into v. A body that is too long or malformed gives a MalformedMessageError.
+// DecodeBody decodes a CBOR body into v. It returns a MalformedMessageError if the body is longer than MaxBodyBytes or
+// malformed, and the reader's error if reading fails.
 func DecodeBody(r io.Reader, v any) error {
 	body, err := io.ReadAll(io.LimitReader(r, MaxBodyBytes+1))
 	if err != nil {
@@ -41,5 +43,5 @@
 	}
 	w.Header().Set("Content-Type", "application/cbor")
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a caller that is gone needs no answer
+	_, _ = w.Write(body) // ignored: this fails only if the caller has disconnected
 }
--- a/internal/controlplane/api/config.go
+++ b/internal/controlplane/api/config.go
@@ -21,7 +21,7 @@
 	defaultLeaseDuration = 3 * time.Second
 )
 
-// Config is a fleet's configuration, as deploy/fleet.toml gives it.
+// Config is a fleet's configuration, the content of deploy/fleet.toml.
 type Config struct {
 	// Version is the version of the file format: FileVersion.
 	Version int `toml:"version"`
@@ -29,11 +29,12 @@
 	Fleet string `toml:"fleet"`
 	// MaxDrift is the fraction by which any clock of the fleet may run fast or slow. Default .001.
 	MaxDrift float64 `toml:"drift"`
-	// MaxLifetime bounds every lease. A server that may have lost state waits this long before it takes part.
+	// MaxLifetime is the maximum duration of a lease. A server that may have lost state waits this long before it takes
+	// part again.
 	MaxLifetime strictconfig.Duration `toml:"longest"`
 	// StateDir is the directory where a proxy persists its floors. Without it a proxy has no floors.
 	StateDir string `toml:"state"`
-	// Servers are the control-plane servers, an odd number.
+	// Servers are the control-plane servers. Their number must be odd.
 	Servers []Server `toml:"stewards"`
 	// Quotas are the limits that the fleet shares.
 	Quotas []Quota `toml:"budgets"`
@@ -45,7 +46,7 @@
 	OwnershipFile string `toml:"charter"`
 	// NamespaceFiles are the rule files of the namespaces. Only CheckNamespaces reads them.
 	NamespaceFiles []string `toml:"namespaces"`
-	// Freshness controls how proxies judge the age of their endpoint lists. Nil turns that off.
+	// Freshness controls how proxies estimate whether their endpoint lists are up to date. Nil disables the estimation.
 	Freshness *FreshnessSettings `toml:"view"`
 }
 
@@ -59,13 +60,13 @@
 
 // PolicySettings control how the merged policy is used and rolled out.
 type PolicySettings struct {
-	// RouteByPolicy has proxies route by the policy as soon as they know all services that it routes to.
+	// RouteByPolicy makes proxies route by the policy as soon as all services that it routes to are configured.
 	RouteByPolicy bool `toml:"routes"`
 	// StepDuration is the shortest duration of a rollout step. Default 2.5s.
 	StepDuration strictconfig.Duration `toml:"step"`
-	// WatchDuration is how long the fleet is watched for a regression after a rollout. Default 1m.
+	// WatchDuration is how long the fleet is monitored for a regression after a rollout. Default 1m.
 	WatchDuration strictconfig.Duration `toml:"watch"`
-	// MinRequests is how many requests each side of a comparison needs. Default 1000.
+	// MinRequests is the minimum number of requests under each of two policies before they are compared. Default 1000.
 	MinRequests int64 `toml:"enough"`
 	// SilenceTimeout is the time without a report after which a proxy counts as failed. Default 10s.
 	SilenceTimeout strictconfig.Duration `toml:"silent"`
@@ -90,7 +91,8 @@
 	DefaultShare QuotaShare `toml:"others"`
 }
 
-// QuotaShare is what a proxy may get of a quota; see quotalease.Share. Min and Cap are in attempts per second.
+// QuotaShare limits the part of a quota that a proxy may get; see quotalease.Share. Min and Cap are in attempts per
+// second.
 type QuotaShare struct {
 	Min    float64 `toml:"min"`
 	Cap    float64 `toml:"cap"`
@@ -100,7 +102,7 @@
 // Values of AttemptFilter.Attempts.
 const (
 	AllAttempts = "attempts"
-	RetriesOnly = "retries" // every attempt of a request but its first
+	RetriesOnly = "retries" // every attempt of a request except the first
 )
 
 // AttemptFilter selects the attempts that a quota counts. An empty Service, Class or Tenant matches all.
@@ -132,6 +134,7 @@
 	return c, nil
 }
 
+// resolveFileNames makes relative file names in the configuration relative to dir.
 func (c *Config) resolveFileNames(dir string) {
 	names := []*string{&c.OwnershipFile}
 	for i := range c.NamespaceFiles {
@@ -147,7 +150,7 @@
 	}
 }
 
-// Server returns the server of a name, or an UnknownServerError.
+// Server returns the server with a name, or an UnknownServerError.
 func (c *Config) Server(name string) (Server, error) {
 	for _, s := range c.Servers {
 		if s.Name == name {
@@ -167,7 +170,7 @@
 	return ids
 }
 
-// QuotaConfig returns the quotas in the form that the servers agree on, with defaults filled in.
+// QuotaConfig returns the quotas in the form that the servers store in the Raft log, with defaults filled in.
 func (c *Config) QuotaConfig() quotalease.FleetConfig {
 	out := quotalease.FleetConfig{
 		FleetID:     c.Fleet,
@@ -175,12 +178,13 @@
 		MaxLifetime: time.Duration(c.MaxLifetime),
 	}
 	for i := range c.Quotas {
-		out.Quotas = append(out.Quotas, c.Quotas[i].leased())
+		out.Quotas = append(out.Quotas, c.Quotas[i].toLeaseQuota())
 	}
 	return out
 }
 
-func (q *Quota) leased() quotalease.Quota {
+// toLeaseQuota converts a quota, with defaults filled in.
+func (q *Quota) toLeaseQuota() quotalease.Quota {
 	out := quotalease.Quota{
 		Name:          q.Name,
 		Kind:          quotalease.Rate,
@@ -188,22 +192,23 @@
 		Burst:         q.Burst,
 		LeaseDuration: cmp.Or(time.Duration(q.LeaseDuration), defaultLeaseDuration),
 		Floors:        q.Floors,
-		DefaultShare:  q.DefaultShare.leased(),
+		DefaultShare:  q.DefaultShare.toLeaseShare(),
 	}
 	if len(q.Members) > 0 {
 		out.Members = make(map[string]quotalease.Share, len(q.Members))
 	}
 	for name, share := range q.Members {
-		out.Members[name] = share.leased()
+		out.Members[name] = share.toLeaseShare()
 	}
 	return out
 }
 
-func (s QuotaShare) leased() quotalease.Share {
+// toLeaseShare converts a share.
+func (s QuotaShare) toLeaseShare() quotalease.Share {
 	return quotalease.Share{Min: s.Min, Cap: s.Cap, Weight: s.Weight}
 }
 
-// RolloutSettings returns how policies are rolled out, with defaults filled in.
+// RolloutSettings returns the settings of policy rollouts, with defaults filled in.
 func (c *Config) RolloutSettings() rollout.Settings {
 	s := rollout.DefaultSettings()
 	s.StepDuration = cmp.Or(time.Duration(c.Policy.StepDuration), s.StepDuration)
--- a/internal/controlplane/api/config_test.go
+++ b/internal/controlplane/api/config_test.go
@@ -37,7 +37,7 @@
 		{"burst = 1200.0", "bust = 1200.0", `fleet.toml:31: unknown key "budgets.bust"`},
 		{`longest = "10s"`, `longest = "2s"`, "attempts: lease 3s"},
 		{`longest = "10s"`, `longest = "ten"`, "fleet.toml:6: longest"},
-		{"number = 2", "number = 1", "stewards[1]: number: 1 is another's too"},
+		{"number = 2", "number = 1", "stewards[1]: number: 1 is already used"},
 		{`address = "127.0.0.1:7402"`, `address = "nowhere"`, "stewards[1]: address"},
 		{`counts = "retries"`, `counts = "tries"`, "budgets[1]: of: counts"},
 		{"version = 1", "version = 2", "version: 2"},
@@ -48,7 +48,7 @@
 		{"transit =", "tansit =", `fleet.toml:43: unknown key "view.tansit"`},
 		{`transit = "250ms"`, `transit = "2m"`, "view: staleness: transit: 2m0s"},
 		{"ageing = 0.8", "ageing = 0.98", "view: staleness: levels: must be"},
-		{`name = "s3"`, `name = "s1"`, `stewards[2]: name: "s1" is another's too`},
+		{`name = "s3"`, `name = "s1"`, `stewards[2]: name: "s1" is already used`},
 		{"[[stewards]]\nname = \"s3\"\nnumber = 3\naddress = \"127.0.0.1:7403\"\n", "", "stewards: 2"},
 	} {
 		changed := strings.Replace(string(text), test.old, test.new, 1)
--- a/internal/controlplane/api/doc.go
+++ b/internal/controlplane/api/doc.go
@@ -1,5 +1,5 @@
-// Package api holds what the programs of a fleet share about its control plane: the configuration file, the messages
-// between proxies, control-plane servers and operators, and the calls that carry them.
+// Package api defines the control plane's interface, which all programs of a fleet share: the configuration file, the
+// messages between proxies, control-plane servers and operators, and the calls that carry them.
 //
 // The control plane is a small, odd number of servers that agree by Raft (packages consensus and server) on two
 // things: which proxy holds which quota leases (package quotalease), and which policy the proxies run (packages
--- a/internal/controlplane/api/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -33,7 +33,7 @@
 	return "See that nothing but proxies and stewards of one release speaks to the stewards' addresses."
 }
 
-// ServerUnreachableError is returned when a call got no answer, or none that the server itself gave.
+// ServerUnreachableError is returned when a call got no answer, or an answer that a control-plane server does not send.
 type ServerUnreachableError struct {
 	Address string
 	Err     error
@@ -56,19 +56,20 @@
 		"their leases and floors until then."
 }
 
-// CodedError is an error with a fixed name on the wire, which does not change when its Go type is renamed.
+// CodedError is an error with a fixed code on the wire, which does not change when its Go type is renamed.
 type CodedError interface {
 	operatorerror.Error
-	// Code returns that name, such as "grant.NotFounded".
+	// Code returns the code, such as "grant.NotFounded".
 	Code() string
 }
 
-// RemoteError is an error as a server sends it.
+// RemoteError is the form in which a server sends an error.
 type RemoteError struct {
 	Code    string `json:"Name"` // see CodedError
 	Message string `json:"Text"`
 	Help    string `json:"Help"` // what an operator can do
-	// LeaderAddress is where to send the call instead, if the server is not the leader and knows who is.
+	// LeaderAddress is the leader's address, to which to send the call instead. It is empty unless the server is not
+	// the leader and knows the leader.
 	LeaderAddress string `json:"Leader"`
 }
 
@@ -78,7 +79,7 @@
 // Advice implements operatorerror.Error.
 func (e RemoteError) Advice() string { return e.Help }
 
-// RemoteErrorOf returns an error in the form in which it is sent. Nil gives the zero RemoteError.
+// RemoteErrorOf converts an error to the form in which it is sent. It returns the zero RemoteError for nil.
 func RemoteErrorOf(err error) RemoteError {
 	if err == nil {
 		return RemoteError{}
@@ -90,6 +91,7 @@
 	return RemoteError{Code: codeOf(err), Message: err.Error(), Help: operatorerror.AdviceOf(err)}
 }
 
+// codeOf returns an error's code: its Code if it has one, "error" if it has no advice, otherwise its type name.
 func codeOf(err error) string {
 	var typed operatorerror.Error
 	if !errors.As(err, &typed) {
--- a/internal/controlplane/api/namespaces.go
+++ b/internal/controlplane/api/namespaces.go
@@ -10,8 +10,8 @@
 )
 
 // CheckNamespaces reads the ownership declaration and the namespace files that the configuration names, and merges
-// them. It returns a text for each rule that would be held back and each quota that contradicts the file. An error
-// means that a file cannot be read at all.
+// them. It returns one text for each rule that would be withheld, and for each quota whose limit in the declaration
+// differs from that in the configuration. An error means that a file cannot be read or parsed.
 func (c *Config) CheckNamespaces() (findings []string, err error) {
 	if c.OwnershipFile == "" {
 		return nil, nil
@@ -31,19 +31,20 @@
 	for _, q := range ownership.Quotas {
 		if limit, ok := limits[q.Name]; ok && limit != float64(q.Limit) {
 			findings = append(findings,
-				fmt.Sprintf("budget %s: its whole is %v here and %v in the charter", q.Name, limit, q.Limit))
+				fmt.Sprintf("budget %s: whole is %v in the fleet's file and %v in the charter", q.Name, limit, q.Limit))
 		}
 	}
 	namespaces, err := c.readNamespaces()
 	if err != nil {
 		return nil, err
 	}
-	for _, held := range namespace.Merge(ownership, nil, namespaces).Withheld {
-		findings = append(findings, WithAdvice(held).Error())
+	for _, withheld := range namespace.Merge(ownership, nil, namespaces).Withheld {
+		findings = append(findings, WithAdvice(withheld).Error())
 	}
 	return findings, nil
 }
 
+// readNamespaces reads and parses all namespace files. It returns those that are valid and the errors of the others.
 func (c *Config) readNamespaces() ([]*namespace.File, error) {
 	var namespaces []*namespace.File
 	var errs []error
--- a/internal/controlplane/api/operator.go
+++ b/internal/controlplane/api/operator.go
@@ -11,7 +11,7 @@
 	"lapisspread/internal/quotalease"
 )
 
-// Bootstrap has every server start the fleet under an epoch. It fails unless all of them accept; it may be repeated.
+// Bootstrap makes every server start the fleet under an epoch. It fails unless all of them accept, and may be repeated.
 func (c *Config) Bootstrap(ctx context.Context, client *http.Client, epoch uint64) error {
 	quotas := c.QuotaConfig()
 	var errs []error
@@ -41,14 +41,15 @@
 	return statuses, errs
 }
 
-// SetQuotas has the leader replace the quotas by those of the configuration, and returns their version. Version 0 picks
-// one above all that the servers know. RemovedHolders are proxies whose floors nobody will spend again; the operator
-// vouches for that.
+// SetQuotas makes the leader replace the quotas by those of the configuration, and returns their version. For version 0
+// it selects a version above those of all servers that answer. removedHolders are proxies that have been shut down for
+// good: the caller guarantees that no process uses their floors again.
 func (c *Config) SetQuotas(
 	ctx context.Context, client *http.Client, version uint64, removedHolders []string,
 ) (uint64, error) {
 	if version == 0 {
-		statuses, _ := c.ServerStatuses(ctx, client) // if one out of reach knows more, the leader rejects
+		// Errors are ignored: if an unreachable server has a higher version, the leader rejects the command.
+		statuses, _ := c.ServerStatuses(ctx, client)
 		for _, s := range statuses {
 			version = max(version, s.ConfigVersion)
 		}
@@ -62,13 +63,13 @@
 	return version, nil
 }
 
-// SendPolicyCommand has the leader commit a command of an operator about the policy.
+// SendPolicyCommand makes the leader commit an operator's command about the policy.
 func (c *Config) SendPolicyCommand(ctx context.Context, client *http.Client, command store.Command) error {
 	return c.callUntilAccepted(ctx, client, PathPolicyCommand, command, IsFinalPolicyError)
 }
 
-// callUntilAccepted posts a command to one server after another until one accepts it. An error that isFinal stands for
-// the state machine's own rejection, which every other server would repeat.
+// callUntilAccepted posts a command to one server after another until one accepts it. isFinal reports whether an error
+// is a rejection by the replicated state machine. Every other server would repeat it, so no other server is called.
 func (c *Config) callUntilAccepted(
 	ctx context.Context, client *http.Client, path string, command any, isFinal func(error) bool,
 ) error {
@@ -78,16 +79,17 @@
 		if err == nil {
 			return nil
 		}
-		named := fmt.Errorf("%s: %w", s.Name, err)
+		serverErr := fmt.Errorf("%s: %w", s.Name, err)
 		if isFinal(err) {
-			return named
+			return serverErr
 		}
-		errs = append(errs, named)
+		errs = append(errs, serverErr)
 	}
 	return errors.Join(errs...)
 }
 
-// isFinalQuotaError reports whether the quota state machine rejected a command, other than for lack of a bootstrap.
+// isFinalQuotaError reports whether the quota state machine rejected a command, except because the fleet is not
+// bootstrapped.
 func isFinalQuotaError(err error) bool {
 	code := RemoteErrorOf(err).Code
 	return strings.HasPrefix(code, "grant.") && code != quotalease.NotBootstrappedError{}.Code()
@@ -104,8 +106,8 @@
 	return a.Candidate.NewerThan(b.Candidate) || a.Active.NewerThan(b.Active)
 }
 
-// PolicyStatus returns the leader's status of the policy, or the most recent of the others' if no leader answers. It
-// fails only if no server answers.
+// PolicyStatus returns the leader's status of the policy. If no leader answers, it returns the most recent status of
+// the other servers. It fails only if no server answers.
 func (c *Config) PolicyStatus(ctx context.Context, client *http.Client) (PolicyStatus, error) {
 	var newest PolicyStatus
 	var errs []error
--- a/internal/controlplane/api/tls.go
+++ b/internal/controlplane/api/tls.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	tlsReloadInterval   = 10 * time.Second // between two looks at the certificate's files
+	tlsReloadInterval   = 10 * time.Second // between two checks of the certificate files for changes
 	idleConnTimeout     = time.Minute
 	maxIdleConnsPerHost = 2
 )
 
-// TLSFiles name this machine's certificate files, in PEM. With them, both sides of every call to or between servers
-// show a certificate that the CA has signed.
+// TLSFiles are the names of this machine's certificate files, in PEM. With them, both sides of every call to or between
+// servers must present a certificate that the CA has signed.
 type TLSFiles struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
@@ -31,17 +31,18 @@
 	return tlskeys.Load(tlskeys.Files{Certificate: c.TLS.Certificate, Key: c.TLS.Key, CA: c.TLS.CA})
 }
 
-// NewTransport returns the transport for calls to servers. Nil keys give one that sends in the clear.
+// NewTransport returns the transport for calls to servers. With nil keys it sends without TLS.
 func NewTransport(keys *tlskeys.Keys) http.RoundTripper {
 	t := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: idleConnTimeout}
 	if keys == nil {
 		return t
 	}
-	t.TLSClientConfig = keys.ClientConfig("") // servers are named by address; any certificate of the CA will do
+	// Any certificate of the CA is accepted, whatever name it has, because servers are called by address.
+	t.TLSClientConfig = keys.ClientConfig("")
 	return tlsTransport{t}
 }
 
-// tlsTransport sends every request by TLS, whatever scheme its URL has.
+// tlsTransport sends every request over TLS, whatever scheme its URL has.
 type tlsTransport struct{ *http.Transport }
 
 // RoundTrip implements http.RoundTripper.
@@ -55,15 +56,15 @@
 func WatchTLSKeys(ctx context.Context, keys *tlskeys.Keys, log *slog.Logger) {
 	ticker := time.NewTicker(tlsReloadInterval)
 	defer ticker.Stop()
-	reloaded := func(err error) {
+	onReload := func(err error) {
 		if err != nil {
 			log.Error("reloading the fleet's certificate failed, the old one stays", "err", err)
 			return
 		}
 		log.Info("fleet's certificate reloaded")
 	}
-	expiring := func(left time.Duration) {
+	onExpiring := func(left time.Duration) {
 		log.Warn("fleet's certificate expires soon", "left", left.Round(time.Hour))
 	}
-	keys.Watch(ticker.C, ctx.Done(), reloaded, expiring)
+	keys.Watch(ticker.C, ctx.Done(), onReload, onExpiring)
 }
--- a/internal/controlplane/api/validate.go
+++ b/internal/controlplane/api/validate.go
@@ -9,25 +9,27 @@
 	"lapisspread/internal/staleness"
 )
 
-// maxServerID is the greatest ID of a server.
+// maxServerID is the maximum ID of a server.
 const maxServerID = 1 << 31
 
-// problems collects everything that is wrong with a file, so that one reading tells all of it.
+// problems collects all errors of a file, so that one check reports all of them.
 type problems []error
 
+// addIf adds an error with the formatted text if wrong is true.
 func (p *problems) addIf(wrong bool, format string, args ...any) {
 	if wrong {
 		*p = append(*p, fmt.Errorf(format, args...))
 	}
 }
 
+// add adds an error unless it is nil.
 func (p *problems) add(err error) {
 	if err != nil {
 		*p = append(*p, err)
 	}
 }
 
-// validate returns all problems of the configuration, by key.
+// validate returns all errors of the configuration, joined; nil if it is valid. Each error names the key.
 func (c *Config) validate() error {
 	var all problems
 	c.validateServers(&all)
@@ -48,26 +50,28 @@
 	err := rolloutSettings.Validate()
 	all.addIf(err != nil, "policy: %w", err)
 	all.addIf(c.OwnershipFile == "" && len(c.NamespaceFiles) > 0,
-		"namespaces: without a charter nothing says what they may")
+		"namespaces: charter is missing; it declares what each namespace may set")
 	return errors.Join(all...)
 }
 
+// validateServers adds the errors of the control-plane servers.
 func (c *Config) validateServers(all *problems) {
-	all.addIf(len(c.Servers) == 0, "stewards: there are none")
+	all.addIf(len(c.Servers) == 0, "stewards: none is given, at least one is needed")
 	all.addIf(len(c.Servers) > 0 && len(c.Servers)%2 == 0,
-		"stewards: %d; one more or less is as safe against losses and needs no larger majority", len(c.Servers))
+		"stewards: %d is even; one more or one less tolerates at least as many failures and needs no larger majority",
+		len(c.Servers))
 	names := map[string]bool{}
 	ids := map[uint64]bool{}
 	addresses := map[string]bool{}
 	for i, s := range c.Servers {
 		key := fmt.Sprintf("stewards[%d]", i)
-		all.addIf(s.Name == "", "%s: name: it has none", key)
-		all.addIf(names[s.Name], "%s: name: %q is another's too", key, s.Name)
-		all.addIf(s.ID == 0 || s.ID > maxServerID, "%s: number: %d is not within 1 and 2^31", key, s.ID)
-		all.addIf(ids[s.ID], "%s: number: %d is another's too", key, s.ID)
+		all.addIf(s.Name == "", "%s: name: it is empty", key)
+		all.addIf(names[s.Name], "%s: name: %q is already used", key, s.Name)
+		all.addIf(s.ID == 0 || s.ID > maxServerID, "%s: number: %d is not between 1 and 2^31", key, s.ID)
+		all.addIf(ids[s.ID], "%s: number: %d is already used", key, s.ID)
 		_, port, err := net.SplitHostPort(s.Address)
-		all.addIf(err != nil || port == "" || port == "0", "%s: address: %q is no host:port", key, s.Address)
-		all.addIf(addresses[s.Address], "%s: address: %q is another's too", key, s.Address)
+		all.addIf(err != nil || port == "" || port == "0", "%s: address: %q is not host:port", key, s.Address)
+		all.addIf(addresses[s.Address], "%s: address: %q is already used", key, s.Address)
 		names[s.Name] = true
 		ids[s.ID] = true
 		addresses[s.Address] = true
--- a/internal/controlplane/client/fetcher.go
+++ b/internal/controlplane/client/fetcher.go
@@ -18,7 +18,8 @@
 	maxFetchTime = 500 * time.Millisecond
 	// minChunkNames is the minimum to which a slow link reduces the number of chunks per request.
 	minChunkNames = 4
-	// minReportBytes is the minimum, in bytes, to which a slow link reduces the limit on chunks in the reply to a report.
+	// minReportBytes is the minimum, in bytes, to which a slow link reduces the limit on chunks in the reply to a
+	// report.
 	minReportBytes = 1 << 10
 	// slowLinkDivisor is the divisor of that limit after a report that timed out.
 	slowLinkDivisor = 4
--- a/internal/controlplane/client/quotaworker.go
+++ b/internal/controlplane/client/quotaworker.go
@@ -27,8 +27,8 @@
 	releaseTimeout = 500 * time.Millisecond
 	// maxRetryInterval bounds the backoff after a failed request.
 	maxRetryInterval = time.Second
-	// retryJitter is the fraction by which the backoff is randomized, so that the proxies of a fleet do not retry at the
-	// same time.
+	// retryJitter is the fraction by which the backoff is randomized, so that the proxies of a fleet do not retry at
+	// the same time.
 	retryJitter = .5
 	// requestJitter is the fraction by which the time between two requests is randomized, so that the proxies of a
 	// fleet do not send requests at the same time.
--- a/internal/controlplane/client/servicequotas.go
+++ b/internal/controlplane/client/servicequotas.go
@@ -95,7 +95,7 @@
 			continue
 		}
 		b := covering.quota.take(now)
-		// A rejected first attempt is retried, so its rejected retries are not additional demand for this quota.
+		// A rejected first attempt and the rejected retries that follow it count as one unit of demand.
 		if b != nil || first || covering.retriesOnly {
 			covering.quota.attempted.Add(1)
 		}
@@ -127,9 +127,9 @@
 	}
 }
 
-// Expired reports whether a permit has expired. The engine calls it just before the attempt is sent, because the process
-// may have been suspended since Acquire. It cannot detect a lease that expires between this check and the sending; see
-// quotalease.Holder.Revalidate.
+// Expired reports whether a permit has expired. The engine calls it just before the attempt is sent, because the
+// process may have been suspended since Acquire. It cannot detect a lease that expires between this check and the
+// sending; see quotalease.Holder.Revalidate.
 func (s *ServiceQuotas) Expired(permit engine.Permit) bool {
 	if s.client.clock() < permit.Expires {
 		return false
--- a/internal/controlplane/freshness/errors.go
+++ b/internal/controlplane/freshness/errors.go
@@ -17,7 +17,7 @@
 		"the table view out of the fleet's file until it is mended."
 }
 
-// WorkerStuckError means that the worker has not moved for long. Another one was started.
+// WorkerStuckError means that the worker has sent no heartbeat for the time For. Another one was started.
 type WorkerStuckError struct{ For fmt.Stringer }
 
 // Error implements error.
@@ -33,7 +33,8 @@
 	return "Look at the machine's load; another duty was begun in its place."
 }
 
-// TooManyListsError means that an endpoint list is used without being monitored.
+// TooManyListsError means that an endpoint list is used without being monitored, because Max lists are monitored
+// already.
 type TooManyListsError struct {
 	Name string
 	Max  int
--- a/internal/controlplane/freshness/list.go
+++ b/internal/controlplane/freshness/list.go
@@ -17,8 +17,9 @@
 // List is one endpoint list that the process follows, whichever source it comes from. Its methods are safe for
 // concurrent use.
 //
-// Updates wait here for the worker. A later update is merged into one that still waits. So there is at most one pending
-// change for each endpoint, and no change is lost however long the worker takes: discovery would not repeat it.
+// Updates are queued here for the worker. A later update is merged into the pending one, so there is at most one
+// pending change for each endpoint. No change is lost however long the worker takes, because discovery would not send
+// it again.
 type List struct {
 	name          string
 	monitor       *Monitor
@@ -26,27 +27,27 @@
 	published     atomic.Pointer[publishedState]
 
 	mu           sync.Mutex
-	activeSource *observedSource  // the source that was called last; what others still send is ignored
+	activeSource *observedSource  // the source that was called last; updates of other sources are ignored
 	latestFrom   *observedSource  // the source of latest
-	latest       staleness.Update // the whole list as last heard
-	lastHeard    time.Duration    // 0 is never
-	initialAge   time.Duration    // of latest at initialAt, before anything was heard; negative is unknown
+	latest       staleness.Update // the complete list as last received
+	receivedAt   time.Duration    // when a source last answered; 0 means never
+	initialAge   time.Duration    // of the initial list at initialAt; negative means unknown
 	initialAt    time.Duration
 	pending      pendingUpdate
 }
 
-// pendingUpdate is what the worker has not taken yet.
+// pendingUpdate is the update that the worker has not taken yet.
 type pendingUpdate struct {
 	staleness.Update
-	at          time.Duration
-	heard       bool  // the source has answered
-	changed     bool  // it has sent a list or changes, not only that nothing changed
-	watchBroken bool  // a watch has ended since
-	callFailed  bool  // a call has failed since
-	merged      int64 // updates that were merged into an earlier one
+	at          time.Duration // when the source last answered
+	received    bool          // the source has answered
+	changed     bool          // the source has sent a list or changes, not only that nothing changed
+	watchBroken bool          // a watch has ended since the last answer
+	callFailed  bool          // a call has failed since the last answer
+	merged      int64         // number of updates that were merged into an earlier one
 }
 
-// newList returns a list that the process holds already, of a known age; a negative age is unknown.
+// newList returns a list whose initial content is known, received age ago; a negative age means unknown.
 func newList(m *Monitor, name string, watchInterval time.Duration, known engine.EndpointList, age time.Duration) *List {
 	list := &List{
 		name:          name,
@@ -60,13 +61,13 @@
 	return list
 }
 
-// dropRemoved makes latest a whole list, without entries that are gone. The caller holds mu.
+// dropRemoved deletes removed entries from latest and marks it as a complete list. The caller must hold mu.
 func (l *List) dropRemoved() {
 	l.latest.Complete = true
 	l.latest.Changes = slices.DeleteFunc(l.latest.Changes, func(c staleness.Change) bool { return c.Removed })
 }
 
-// update records what a source has sent. Fetched means that it answers a call, not a watch.
+// update records an update from a source. fetched means that it answers a Fetch, not a Watch.
 func (l *List) update(source *observedSource, update staleness.Update, fetched bool) {
 	now := l.monitor.clock()
 	l.mu.Lock()
@@ -76,15 +77,15 @@
 	}
 	reported := engine.EndpointList{Version: uint32(update.Version)}
 	if (fetched || !update.Complete) && l.latestFrom == source && reported.OlderThan(uint32(l.latest.Version)) {
-		return // an answer that was overtaken by a newer one; the engine drops it too
+		return // this answer is older than one received before it; the engine drops it too
 	}
 	l.latestFrom = source
 	mergeUpdate(&l.latest, update)
 	l.dropRemoved()
-	l.lastHeard = now
+	l.receivedAt = now
 
 	pending := &l.pending
-	if pending.heard {
+	if pending.received {
 		pending.merged++
 	}
 	if update.Complete || len(update.Changes) > 0 {
@@ -92,13 +93,13 @@
 	}
 	mergeUpdate(&pending.Update, update)
 	pending.at = now
-	pending.heard = true
+	pending.received = true
 	pending.watchBroken = false
 	pending.callFailed = false
 	l.monitor.wake()
 }
 
-// sourceFailed records that a call or a watch of a source has failed.
+// sourceFailed records that a watch (watch is true) or a Fetch of a source has failed.
 func (l *List) sourceFailed(source *observedSource, watch bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +114,7 @@
 	l.monitor.wake()
 }
 
-// takePending hands the pending update to the worker.
+// takePending returns the pending update and clears it. The worker calls it.
 func (l *List) takePending() pendingUpdate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,8 +123,8 @@
 	return update
 }
 
-// restartState returns the whole list for a new worker, and how old it was at a time; a negative age is unknown. It
-// includes the pending update.
+// restartState returns the complete list for a new worker, and its age at the time at; a negative age means unknown.
+// The list includes the pending update, which is cleared.
 func (l *List) restartState() (update staleness.Update, at, age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,21 +132,22 @@
 	update = l.latest
 	update.Changes = slices.Clone(update.Changes)
 	update.Complete = true
-	if l.lastHeard == 0 {
+	if l.receivedAt == 0 {
 		return update, l.initialAt, l.initialAge
 	}
 	settings := l.monitor.config.Freshness.StalenessSettings(l.watchInterval)
-	return update, l.lastHeard, settings.MaxTransit + l.watchInterval
+	return update, l.receivedAt, settings.MaxTransit + l.watchInterval
 }
 
-// entries returns what is listed, as last heard.
+// entries returns the entries of the list as last received.
 func (l *List) entries() []staleness.Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.latest.Changes)
 }
 
-// updateFromList converts a list. An endpoint that drains takes no new requests, so it counts as gone.
+// updateFromList converts a list to an update. An endpoint that is not ready counts as removed: a draining endpoint
+// takes no new requests.
 func updateFromList(list engine.EndpointList) staleness.Update {
 	update := staleness.Update{Version: uint64(list.Version), Complete: list.Full}
 	for i := range list.Endpoints {
@@ -158,7 +160,7 @@
 	return update
 }
 
-// incarnation identifies the process that answers for an endpoint, by when it started and where.
+// incarnation returns a hash that identifies an endpoint's process, of its start time and its address.
 func incarnation(e *engine.Endpoint) uint64 {
 	hash := fnv.New64a()
 	_ = binary.Write(hash, binary.LittleEndian, int64(e.Started)) // a hash never fails
@@ -166,7 +168,8 @@
 	return hash.Sum64()
 }
 
-// routeOf returns the route of a kind of server. A release replaces the servers of one kind, so doubt is about a kind.
+// routeOf returns the staleness route of a kind of server. Freshness is tracked by kind, because a release replaces the
+// servers of one kind.
 func routeOf(kind string) string {
 	if kind == "" {
 		return "servers"
--- a/internal/controlplane/freshness/monitor.go
+++ b/internal/controlplane/freshness/monitor.go
@@ -17,20 +17,21 @@
 const (
 	snapshotInterval     = 100 * time.Millisecond // between two snapshots
 	maxSnapshotAge       = 2 * time.Second        // older snapshots are not used
-	observationQueueSize = 1024                   // observations that wait for the worker; further ones are dropped
-	maxLists             = 64                     // lists are never removed, so this bounds the memory
-	minWatchInterval     = 10 * time.Millisecond  // Wrap's watchInterval is cut to this range
-	maxWatchInterval     = time.Hour
-	shutdownGrace        = time.Second // time for the worker to return after its context ended
+	observationQueueSize = 1024                   // observations queued for the worker; further ones are dropped
+	maxLists             = 64                     // bounds the memory, since lists are never removed
+	minWatchInterval     = 10 * time.Millisecond  // lower limit of Wrap's watchInterval
+	maxWatchInterval     = time.Hour              // upper limit of Wrap's watchInterval
+	shutdownGrace        = time.Second            // how long the worker may run after its context has ended
 )
 
 // Config configures a Monitor.
 type Config struct {
-	// Freshness are the fleet's settings; required.
+	// Freshness holds the fleet's settings. It is required.
 	Freshness *api.FreshnessSettings
-	// Logger receives the log. Nil discards it.
+	// Logger receives log messages. Nil discards them.
 	Logger *slog.Logger
-	// Clock must never go back, and must count time that the machine is suspended. Nil is the machine's boot time.
+	// Clock returns the current time. It must never go back and must include time that the machine is suspended. Nil is
+	// the machine's boot time.
 	Clock func() time.Duration
 }
 
@@ -42,11 +43,11 @@
 	wakeups      chan struct{} // capacity 1
 	observations chan observation
 	counters     monitorCounters
-	generation   atomic.Uint64 // of the worker
+	generation   atomic.Uint64 // of the current worker
 
 	mu    sync.Mutex
-	lists map[string]*List
-	order []*List // by the time of their Wrap
+	lists map[string]*List // by name
+	order []*List          // in the order in which Wrap created them
 }
 
 // monitorCounters count since the monitor's start.
@@ -89,7 +90,7 @@
 // Run runs the worker until ctx ends. It blocks; call it once.
 func (m *Monitor) Run(ctx context.Context) { m.supervisor.Run(ctx) }
 
-// wake has the worker look at its input before the next snapshot is due.
+// wake makes the worker apply its input before the next snapshot is due.
 func (m *Monitor) wake() {
 	select {
 	case m.wakeups <- struct{}{}:
@@ -97,34 +98,34 @@
 	}
 }
 
-// workerDied counts and logs a panic of the worker. The supervisor calls it.
+// workerDied counts and logs a worker's panic. The supervisor calls it.
 func (m *Monitor) workerDied(cause any, stack []byte) {
 	m.counters.workerDeaths.Add(1)
 	err := WorkerDiedError{Reason: fmt.Sprint(cause)}
 	m.config.Logger.Error("freshness worker died", "err", err, "advice", err.Advice(), "stack", string(stack))
 }
 
-// workerStuck counts and logs that the worker has sent no heartbeat since a time ago. The supervisor calls it.
+// workerStuck counts and logs that a worker has sent no heartbeat for the given time. The supervisor calls it.
 func (m *Monitor) workerStuck(since time.Duration) {
 	m.counters.workerStalls.Add(1)
 	err := WorkerStuckError{For: since}
 	m.config.Logger.Error("freshness worker stuck", "err", err, "advice", err.Advice())
 }
 
-// RouteReport describes the endpoints of one route: of one kind of server.
+// RouteReport describes the freshness of one route, that is the endpoints of one kind of server.
 type RouteReport struct {
 	Name       string  `json:"name"`
 	Level      string  `json:"level"`
-	Confidence float32 `json:"chance"` // 0 to 1, that acting on the list is right
+	Confidence float32 `json:"chance"` // probability, 0 to 1, that the list is still correct for this route
 	Servers    int     `json:"servers"`
-	Fault      string  `json:"trouble,omitempty"`
-	Advice     string  `json:"advice,omitempty"`
+	Fault      string  `json:"trouble,omitempty"` // why the route is not trusted; empty if it is
+	Advice     string  `json:"advice,omitempty"`  // what an operator can do about the fault
 }
 
 // ListReport describes one endpoint list.
 type ListReport struct {
 	Name    string        `json:"name"`
-	Age     string        `json:"age_at_most"` // a duration, or "unknown"
+	Age     string        `json:"age_at_most"` // upper bound of the list's age: a duration, or "unknown"
 	Servers int           `json:"servers"`
 	Routes  []RouteReport `json:"routes"`
 }
@@ -138,7 +139,7 @@
 	Suspensions         int64            `json:"stops"` // of this process
 	WorkerDeaths        int64            `json:"duties_died"`
 	WorkerStalls        int64            `json:"duties_stuck"`
-	StaleLookups        int64            `json:"looks_at_old"` // lookups without a snapshot that is new enough
+	StaleLookups        int64            `json:"looks_at_old"` // checks of attempts without a recent snapshot
 	ForbiddenAttempts   map[string]int64 `json:"attempts_forbidden"`
 }
 
--- a/internal/controlplane/freshness/service_view.go
+++ b/internal/controlplane/freshness/service_view.go
@@ -38,16 +38,17 @@
 	return staleness.NotIdempotent
 }
 
-// Follow switches to the list of a name. A name without a list leaves the view without one.
+// Follow switches the view to the list with the given name. If there is none, the view has no list afterwards.
 func (v *ServiceView) Follow(name string) {
 	v.monitor.mu.Lock()
 	defer v.monitor.mu.Unlock()
 	v.list.Store(v.monitor.lists[name])
 }
 
-// CheckAttempt reports whether an attempt of a class may go to a backend now. It returns a token for AttemptEnded. A
-// negative class is that of a health check, which is always allowed. Without a list everything is allowed. Without
-// a snapshot that is new enough, attempts that must not run twice are refused.
+// CheckAttempt reports whether an attempt of a class may be sent to a backend now. It also returns a token for
+// AttemptEnded. class is an index into the classes passed to ForService; a negative class means a health check, which
+// is always allowed. Without a list, or unless Enforce is set, everything is allowed. Without a recent snapshot,
+// attempts that must not run twice are refused.
 func (v *ServiceView) CheckAttempt(backend decision.BackendID, class int) (any, bool) {
 	list := v.list.Load()
 	if list == nil {
@@ -72,31 +73,32 @@
 	return listed, allowed
 }
 
-// allowed reports whether a published state permits an attempt. A nil state, or one with an old snapshot, counts as
-// unknown; listed is nil for a backend that the list does not have.
+// allowed reports whether a published state permits an attempt. Without a state, or with a snapshot older than
+// maxSnapshotAge, only attempts that may run twice are allowed. listed is nil for a backend that is not in the list.
 func (v *ServiceView) allowed(state *publishedState, listed *endpoint, idempotency staleness.Idempotency) bool {
 	if state == nil || v.monitor.clock()-state.snapshot.At > maxSnapshotAge {
 		v.monitor.counters.staleLookups.Add(1)
 		return idempotency != staleness.NotIdempotent
 	}
-	if listed == nil { // retained while the list is in doubt, or draining
+	if listed == nil { // the backend is draining, or the engine retains it while the list is in doubt
 		return idempotency != staleness.NotIdempotent && state.mayBeListed
 	}
 	_, allowed := state.snapshot.Entry(listed.handle, idempotency)
 	return allowed
 }
 
-// AttemptEnded records how an attempt or a health check ended. Token is that of CheckAttempt. It never blocks: if the
-// worker's queue is full, the observation is dropped and counted.
+// AttemptEnded records the result of an attempt or a health check. token is that of CheckAttempt. Only successes and
+// failed connections count, at most one of each per endpoint and snapshot interval. It never blocks: if the worker's
+// queue is full, the observation is dropped and counted.
 func (v *ServiceView) AttemptEnded(token any, result decision.Result) {
-	from, _ := token.(*endpoint)
-	if from == nil || result != decision.OK && result != decision.ConnectFailed {
+	target, _ := token.(*endpoint)
+	if target == nil || result != decision.OK && result != decision.ConnectFailed {
 		return
 	}
-	observed := observation{from: from, refused: result == decision.ConnectFailed}
-	last := &from.lastConfirmed
+	observed := observation{target: target, refused: result == decision.ConnectFailed}
+	last := &target.lastConfirmed
 	if observed.refused {
-		last = &from.lastRefused
+		last = &target.lastRefused
 	}
 	now := v.monitor.clock()
 	previous := last.Load()
--- a/internal/controlplane/freshness/source.go
+++ b/internal/controlplane/freshness/source.go
@@ -7,16 +7,16 @@
 	"lapisspread/internal/engine"
 )
 
-// observedSource is a list's source, observed by the monitor.
+// observedSource is a source of endpoint lists whose answers and failures are recorded in a List.
 type observedSource struct {
 	engine.Source
 	list *List
 }
 
-// Wrap returns a source that tells the monitor what the inner one answers. Sources of the same name are one list, also
-// when its address changes. Known is the list that the process holds already, and age how old that is; a negative age
-// is unknown. WatchInterval is the expected time between two answers of a watch. If there are too many lists, Wrap
-// logs a TooManyListsError and returns the inner source.
+// Wrap returns a source that passes calls to inner and reports its answers to the monitor. Sources with the same name
+// provide the same list, even if the address changes. known is the list that the process already has, and age its age;
+// a negative age means unknown. watchInterval is the expected time between two answers of a watch. If there are too
+// many lists, Wrap logs a TooManyListsError and returns inner.
 func (m *Monitor) Wrap(
 	name string, watchInterval time.Duration, inner engine.Source, known engine.EndpointList, age time.Duration,
 ) engine.Source {
@@ -37,7 +37,7 @@
 	return &observedSource{Source: inner, list: list}
 }
 
-// activate makes this the source whose answers count.
+// activate makes this the only source of the list whose answers are recorded.
 func (s *observedSource) activate() {
 	s.list.mu.Lock()
 	defer s.list.mu.Unlock()
@@ -47,13 +47,13 @@
 // Fetch implements engine.Source.
 func (s *observedSource) Fetch(ctx context.Context) (engine.EndpointList, error) {
 	s.activate()
-	asked := s.list.monitor.clock()
+	requestedAt := s.list.monitor.clock()
 	list, err := s.Source.Fetch(ctx)
 	switch {
 	case err == nil:
 		update := updateFromList(list)
 		update.Complete = true
-		update.RequestedAt = asked
+		update.RequestedAt = requestedAt
 		s.list.update(s, update, true)
 	case ctx.Err() == nil:
 		s.list.sourceFailed(s, false)
--- a/internal/controlplane/freshness/worker.go
+++ b/internal/controlplane/freshness/worker.go
@@ -14,7 +14,7 @@
 	"lapisspread/internal/staleness"
 )
 
-// suspensionGap is the time between two steps of the worker after which the process counts as suspended in between.
+// suspensionGap is the time between two steps of the worker above which the process is assumed to have been suspended.
 const suspensionGap = time.Second
 
 // unknownAge is ListReport.Age of a list of unknown age.
@@ -24,46 +24,47 @@
 type publishedState struct {
 	snapshot  *staleness.Snapshot
 	endpoints map[decision.BackendID]*endpoint
-	// mayBeListed allows attempts that may run twice at endpoints that the list does not have.
+	// mayBeListed means that a backend missing from the list may still be valid: attempts that may run twice are
+	// allowed there.
 	mayBeListed bool
 	report      ListReport
 }
 
-// endpoint is a listed endpoint as one worker knows it.
+// endpoint is a worker's record of a listed endpoint.
 type endpoint struct {
 	list       *List
 	generation uint64 // of the worker
 	name       string
 	handle     staleness.Handle
-	// When an attempt last showed that the endpoint answers, or refuses connections. The same within one snapshot's
-	// time says nothing new.
+	// Times, in nanoseconds by the monitor's clock, of the last recorded observation that the endpoint answered, and
+	// that it refused a connection. A repeated observation within snapshotInterval carries no new information.
 	lastConfirmed atomic.Int64
 	lastRefused   atomic.Int64
 }
 
-// observation is what an attempt at an endpoint has shown.
+// observation is the evidence from one attempt or health check at an endpoint.
 type observation struct {
-	from    *endpoint
-	refused bool // the connection was refused; else the endpoint answered
+	target  *endpoint
+	refused bool // true if the connection was refused, false if the endpoint answered
 }
 
-// worker owns the staleness models. A worker that was replaced goes on without effect.
+// worker owns the staleness models. A replaced worker that still runs has no effect.
 type worker struct {
 	*Monitor
 	generation uint64
 	lists      map[*List]*listState
-	lastStep   time.Duration
-	notBefore  time.Duration // when the oldest input of this step can have arrived
+	lastStep   time.Duration // when the latest step began
+	notBefore  time.Duration // earliest time at which the input of this step can have arrived
 }
 
-// listState is a list as one worker knows it.
+// listState is a worker's state of one list.
 type listState struct {
 	list       *List
 	view       *staleness.View
 	endpoints  map[decision.BackendID]*endpoint
-	routes     map[string]int // endpoints of each route
-	indexStale bool           // endpoints and routes are not those of the view
-	levels     map[string]staleness.Level
+	routes     map[string]int             // number of endpoints by route
+	indexStale bool                       // endpoints and routes must be rebuilt from the list
+	levels     map[string]staleness.Level // last logged level by route
 }
 
 // runWorker applies input as it arrives and publishes a snapshot each snapshotInterval. It blocks until ctx ends; the
@@ -88,13 +89,13 @@
 	}
 }
 
-// step applies all input that has arrived, and returns the time.
+// step applies all input that has arrived, and returns the current time.
 func (w *worker) step() time.Duration {
 	now := max(w.clock(), w.lastStep)
 	gap := now - w.lastStep
 	w.notBefore = w.lastStep
 	w.lastStep = now
-	// A suspension comes before all other input, which was sent before it ended.
+	// A suspension is recorded before all other input: input found now may have been sent before the suspension ended.
 	if gap > suspensionGap {
 		w.notBefore = now
 		w.counters.suspensions.Add(1)
@@ -121,30 +122,30 @@
 	}
 }
 
-// applyObservations applies the observations that are queued now; later ones wait for the next step.
+// applyObservations applies the observations that are queued at its start. Later ones wait for the next step.
 func (w *worker) applyObservations(now time.Duration) {
 	for range len(w.observations) {
 		observed := <-w.observations
-		from := observed.from
-		state := w.lists[from.list]
-		if state == nil || from.generation != w.generation || state.view.Handle(from.name) != from.handle {
-			continue // another process is listed under that name by now
+		target := observed.target
+		state := w.lists[target.list]
+		if state == nil || target.generation != w.generation || state.view.Handle(target.name) != target.handle {
+			continue // observed under an earlier worker, or the name now belongs to another process
 		}
-		// These fail for an unknown source only, and the view was made with this one.
+		// These calls fail only for an unknown source, and the view was created with ListSource.
 		if observed.refused {
-			evidence := staleness.Evidence{Kind: staleness.Refused, Entry: from.name}
+			evidence := staleness.Evidence{Kind: staleness.Refused, Entry: target.name}
 			_ = state.view.RecordContradiction(now, api.ListSource, evidence)
 		} else {
-			_ = state.view.RecordConfirmation(now, api.ListSource, from.name)
+			_ = state.view.RecordConfirmation(now, api.ListSource, target.name)
 		}
 	}
 }
 
-// startList begins to track a list, from what was last heard or is known from an earlier process.
+// startList starts to track a list, from the list as last received or as known when it was wrapped.
 func (w *worker) startList(list *List, now time.Duration) {
 	view, err := staleness.New(w.config.Freshness.StalenessSettings(list.watchInterval))
 	if err != nil {
-		panic(err) // the settings were checked when the file was read
+		panic(err) // unreachable: the settings were checked when the file was read
 	}
 	update, at, age := list.restartState()
 	_ = view.ApplyUpdate(now, api.ListSource, update)
@@ -165,7 +166,7 @@
 		if err := state.view.ApplyUpdate(at, api.ListSource, update.Update); err != nil {
 			w.config.Logger.Warn("endpoint list contradicts itself", "err", err, "advice", adviceOf(err))
 		}
-	} else if update.heard {
+	} else if update.received {
 		_ = state.view.RecordHeartbeat(at, api.ListSource)
 	}
 	if update.callFailed {
@@ -176,7 +177,7 @@
 	}
 }
 
-// publish makes a snapshot of every list visible to its services.
+// publish publishes a snapshot of every list to the services that follow it, unless this worker was replaced.
 func (w *worker) publish(now time.Duration) {
 	for _, state := range w.lists {
 		if state.indexStale {
@@ -216,7 +217,8 @@
 	return next
 }
 
-// logLevel logs a route's level if it has changed to or from one that is not trusted.
+// logLevel logs a route's level when it changes: a warning if the new level has a fault, a message if the level rises
+// from Doubtful or lower to one without a fault.
 func (w *worker) logLevel(state *listState, route string, level staleness.Level, fault error) {
 	previous, known := state.levels[route]
 	if known && previous == level {
