--- a/internal/controlplane/api/config.go
+++ b/internal/controlplane/api/config.go
@@ -224,13 +224,13 @@
 	if c.StateDir != "" {
 		floors = "proxies keep their floors in " + c.StateDir
 	}
-	freshness := "their view of the register is not weighed"
+	freshness := "the freshness of their endpoint lists is not tracked"
 	if c.Freshness != nil {
-		freshness = "their view of the register is weighed"
+		freshness = "the freshness of their endpoint lists is tracked"
 		if c.Freshness.Enforce {
-			freshness += ", and attempts go by it"
+			freshness += ", and attempts that need a fresher list are refused"
 		}
 	}
-	return fmt.Sprintf("fleet %q: %d stewards, %d budgets, no lease over %v; %s; %s",
+	return fmt.Sprintf("fleet %q: %d stewards, %d budgets, leases of at most %v; %s; %s",
 		c.Fleet, len(c.Servers), len(c.Quotas), time.Duration(c.MaxLifetime), floors, freshness)
 }
--- a/internal/controlplane/api/tls.go
+++ b/internal/controlplane/api/tls.go
@@ -58,7 +58,7 @@
 	defer ticker.Stop()
 	onReload := func(err error) {
 		if err != nil {
-			log.Error("reloading the fleet's certificate failed, the old one stays", "err", err)
+			log.Error("reloading the fleet's certificate failed, the old one stays in use", "err", err)
 			return
 		}
 		log.Info("fleet's certificate reloaded")
--- a/internal/controlplane/freshness/monitor.go
+++ b/internal/controlplane/freshness/monitor.go
@@ -102,7 +102,7 @@
 func (m *Monitor) workerDied(cause any, stack []byte) {
 	m.counters.workerDeaths.Add(1)
 	err := WorkerDiedError{Reason: fmt.Sprint(cause)}
-	m.config.Logger.Error("freshness worker died", "err", err, "advice", err.Advice(), "stack", string(stack))
+	m.config.Logger.Error("freshness worker panicked", "err", err, "advice", err.Advice(), "stack", string(stack))
 }
 
 // workerStuck counts and logs that a worker has sent no heartbeat for the given time. The supervisor calls it.
