--- a/internal/controlplane/api/doc.go
+++ b/internal/controlplane/api/doc.go
@@ -7,7 +7,8 @@
 //
 // Messages are CBOR over HTTP. Names of fields and paths on the wire are fixed by struct tags and constants: they stay
 // as they are when Go names change, because proxies and servers of two releases run side by side. The keys of the file
-// and the texts that operators read keep their own words as well; docs/GLOSSARY.md maps them to the terms used here.
+// and many texts that operators read use other words, such as steward for a control-plane server and budget for a
+// quota; docs/GLOSSARY.md maps them to the terms used here.
 //
 // A server that rejects a call answers with a [RemoteError]. Callers get that value back as an error; every other
 // failure of a call is a [ServerUnreachableError].
--- a/internal/controlplane/client/bucket_test.go
+++ b/internal/controlplane/client/bucket_test.go
@@ -187,8 +187,8 @@
 func TestReplacedBucketGivesNothing(t *testing.T) {
 	for _, test := range []struct {
 		mutations
-		replacedGives bool
-		expiredGives  bool
+		wantReplaced bool // a take from a replaced bucket succeeds
+		wantExpired  bool // a take from the bucket after an expired lease succeeds
 	}{
 		{mutations{}, false, false},
 		{mutations{keepReplacedOpen: true}, true, false},
@@ -199,9 +199,9 @@
 		c.generation = 1
 		first := publishLease(c, 0, time.Second, 1)
 		second := publishLease(c, 200*time.Millisecond, 1200*time.Millisecond, 2)
-		if got := first.take(int64(300 * time.Millisecond)); got != test.replacedGives {
+		if got := first.take(int64(300 * time.Millisecond)); got != test.wantReplaced {
 			t.Errorf("mutations %+v: take from a replaced bucket = %v, want %v",
-				test.mutations, got, test.replacedGives)
+				test.mutations, got, test.wantReplaced)
 		}
 		if !second.take(int64(300 * time.Millisecond)) {
 			t.Error("take from the bucket of a renewed lease = false, want true: it keeps the previous bucket's level")
@@ -210,9 +210,9 @@
 		// another holder since.
 		publishLease(c, time.Second, 2*time.Second, 1)
 		last := publishLease(c, 3*time.Second, 4*time.Second, 2)
-		if got := last.take(int64(3 * time.Second)); got != test.expiredGives {
+		if got := last.take(int64(3 * time.Second)); got != test.wantExpired {
 			t.Errorf("mutations %+v: take from the bucket of a lease granted after the previous one expired = %v, "+
-				"want %v", test.mutations, got, test.expiredGives)
+				"want %v", test.mutations, got, test.wantExpired)
 		}
 		c.publish(1, 8, "all", 3200*time.Millisecond, nil, nil)
 		if !last.take(int64(3300 * time.Millisecond)) {
--- a/internal/controlplane/client/fetch_test.go
+++ b/internal/controlplane/client/fetch_test.go
@@ -62,7 +62,7 @@
 		last = offerNext()
 		next := server.newProxy(dir, nil)
 		if next.restored.Epoch == 0 {
-			t.Error("Restore() after a restart installed no policy, want the stored one")
+			t.Errorf("version restored after a restart: %+v, want the stored one", next.restored)
 		}
 		next.awaitOffer(t, "the newest version after a restart", last)
 		if n := next.chunksAccepted.Load(); n > totalChunks/4 || next.diffs.Load() != 1 {
--- a/internal/controlplane/freshness/errors.go
+++ b/internal/controlplane/freshness/errors.go
@@ -6,7 +6,7 @@
 type WorkerDiedError struct{ Reason string }
 
 // Error implements error.
-func (e WorkerDiedError) Error() string { return "the duty of the view died: " + e.Reason }
+func (e WorkerDiedError) Error() string { return "freshness worker panicked: " + e.Reason }
 
 // Code returns the name of this error in messages between processes.
 func (WorkerDiedError) Code() string { return "fleetview.DutyDied" }
@@ -22,7 +22,7 @@
 
 // Error implements error.
 func (e WorkerStuckError) Error() string {
-	return fmt.Sprintf("the duty of the view has not moved for %v", e.For)
+	return fmt.Sprintf("freshness worker has sent no heartbeat for %v", e.For)
 }
 
 // Code returns the name of this error in messages between processes.
@@ -33,8 +33,7 @@
 	return "Look at the machine's load; another duty was begun in its place."
 }
 
-// TooManyListsError means that an endpoint list is used without being monitored, because Max lists are monitored
-// already.
+// TooManyListsError means that an endpoint list is used but not monitored, because Max lists are monitored already.
 type TooManyListsError struct {
 	Name string
 	Max  int
@@ -42,7 +41,7 @@
 
 // Error implements error.
 func (e TooManyListsError) Error() string {
-	return fmt.Sprintf("register %q is not weighed: %d are the most", e.Name, e.Max)
+	return fmt.Sprintf("endpoint list %q is not monitored: the maximum of %d lists is reached", e.Name, e.Max)
 }
 
 // Code returns the name of this error in messages between processes.
