--- a/internal/controlplane/client/bucket.go
+++ b/internal/controlplane/client/bucket.go
@@ -9,9 +9,9 @@
 )
 
 // bucket is a token bucket from which many goroutines take units without a lock. It is the virtual scheduling
-// algorithm of GCRA (ITU-T I.371, annex A). Its state is one number that takes only increase: emptyAt, the time at
-// which the bucket was last empty. Its level at a later time is the amount that arrives between emptyAt and that time,
-// at most its capacity.
+// algorithm of GCRA (ITU-T I.371, annex A). Its state is one number: emptyAt, the time at which the bucket was last
+// empty. Every take increases it, and only a refund decreases it. The level at a later time is the amount that arrives
+// between emptyAt and that time, at most the capacity.
 //
 // It never admits more than quotalease.Holder does for the same leases. A unit is taken by one compare-and-swap from
 // emptyAt to max(emptyAt, now-capacity) + cost, and only if the result is no later than now. So takes are totally
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -83,14 +83,14 @@
 // progress is not replaced.
 func TestCrashedOrStuckWorkerIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begin := time.Now()
+		startedAt := time.Now()
 		config := testConfig("")
-		config.Clock = func() time.Duration { return time.Since(begin) }
+		config.Clock = func() time.Duration { return time.Since(startedAt) }
 		c := NewQuotaClient(config)
 		release := make(chan struct{})
-		var started, alive, mostAlive atomic.Int64
+		var started, alive, maxAlive atomic.Int64
 		c.worker.Work = func(ctx context.Context, _ uint64) {
-			mostAlive.Store(max(mostAlive.Load(), alive.Add(1)))
+			maxAlive.Store(max(maxAlive.Load(), alive.Add(1)))
 			defer alive.Add(-1)
 			switch n := started.Add(1); {
 			case n <= 2:
@@ -107,9 +107,9 @@
 		stop := runInBackground(c.Run)
 		time.Sleep(10 * time.Minute)
 		crashes, stalls := c.counters.crashes.Load(), c.counters.stalls.Load()
-		if crashes != 2 || mostAlive.Load() != supervisor.MaxStuck+1 || stalls != supervisor.MaxStuck+1 {
+		if crashes != 2 || maxAlive.Load() != supervisor.MaxStuck+1 || stalls != supervisor.MaxStuck+1 {
 			t.Errorf("after 10m: %d workers crashed, %d stalled, at most %d ran at once; want 2, %d and %d",
-				crashes, stalls, mostAlive.Load(), supervisor.MaxStuck+1, supervisor.MaxStuck+1)
+				crashes, stalls, maxAlive.Load(), supervisor.MaxStuck+1, supervisor.MaxStuck+1)
 		}
 		close(release)
 		time.Sleep(10 * time.Minute)
--- a/internal/controlplane/client/policyclient_test.go
+++ b/internal/controlplane/client/policyclient_test.go
@@ -14,7 +14,7 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// policyText returns the text of a policy with one service of the given name and without routes.
+// policyText returns the text of a policy with firstText service of the given name and without routes.
 func policyText(service string) []byte {
 	declaration, err := namespace.ParseDeclaration("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\n"+
 		"owner = \"o\"\nhosts = [\"x.org\"]\nsettings = [\"service\"]\n"))
@@ -38,10 +38,10 @@
 	return rollout.Version{Generation: generation, Epoch: epoch, Hash: policy.Hash()}
 }
 
-// A rejected policy leaves the installed one unchanged. A policy is installed only once and is stored for the next
+// A rejected policy leaves the installed firstText unchanged. A policy is installed only once and is stored for the next
 // process.
 func TestPolicyIsInstalledWholeOrNotAtAll(t *testing.T) {
-	one, two := policyText("one"), policyText("two")
+	firstText, secondText := policyText("one"), policyText("two")
 	reject := false
 	installed := 0
 	config := testConfig(t.TempDir())
@@ -57,7 +57,7 @@
 	handle := func(fleet string, offer rollout.Version, text []byte, mayInstall func() bool) error {
 		return c.handleOffer(t.Context(), f, api.PolicyReply{Fleet: fleet, Target: offer, Text: text}, mayInstall)
 	}
-	first, second, rollback := textVersion(1, 1, one), textVersion(1, 2, two), textVersion(2, 1, one)
+	first, second, rollback := textVersion(1, 1, firstText), textVersion(1, 2, secondText), textVersion(2, 1, firstText)
 	for _, step := range []struct {
 		name    string
 		offer   rollout.Version
@@ -66,15 +66,15 @@
 		want    rollout.Version
 		wantErr bool
 	}{
-		{"first version", first, one, false, first, false},
-		{"second version with the first's content", second, one, false, first, true},
-		{"second version with truncated text", second, two[:len(two)-1], false, first, true},
-		{"second version while install rejects it", second, two, true, first, true},
+		{"first version", first, firstText, false, first, false},
+		{"second version with the first's content", second, firstText, false, first, true},
+		{"second version with truncated text", second, secondText[:len(secondText)-1], false, first, true},
+		{"second version while install rejects it", second, secondText, true, first, true},
 		{"second version without text, once install accepts it", second, nil, false, second, false},
-		{"second version again", second, two, false, second, false},
-		{"older version", first, one, false, second, false},
-		{"older content in a new generation, as after a rollback", rollback, one, false, rollback, false},
-		{"newer epoch of an earlier generation", textVersion(1, 9, two), two, false, rollback, false},
+		{"second version again", second, secondText, false, second, false},
+		{"older version", first, firstText, false, second, false},
+		{"older content in a new generation, as after a rollback", rollback, firstText, false, rollback, false},
+		{"newer epoch of an earlier generation", textVersion(1, 9, secondText), secondText, false, rollback, false},
 	} {
 		reject = step.reject
 		err := handle("north", step.offer, step.text, always)
@@ -86,12 +86,12 @@
 	if installed != 3 {
 		t.Errorf("successful calls of install: %d, want 3", installed)
 	}
-	newest := textVersion(9, 9, two)
-	if err := handle("south", newest, two, always); err == nil || c.Current().Offer == newest {
+	newest := textVersion(9, 9, secondText)
+	if err := handle("south", newest, secondText, always); err == nil || c.Current().Offer == newest {
 		t.Errorf("handleOffer of fleet south = %v, Current() %+v; want an error and the previous version",
 			err, c.Current().Offer)
 	}
-	if err := handle("north", newest, two, func() bool { return false }); c.Current().Offer == newest {
+	if err := handle("north", newest, secondText, func() bool { return false }); c.Current().Offer == newest {
 		t.Errorf("handleOffer by a replaced worker = %v and installed %+v, want the previous version", err, newest)
 	}
 	next := NewPolicyClient(config, install)
--- a/internal/controlplane/client/policystore_test.go
+++ b/internal/controlplane/client/policystore_test.go
@@ -137,7 +137,7 @@
 				content.offer, content.tree.Root())
 		}
 		if content.tree == nil && err == nil {
-			t.Error("load() of a damaged journal = no policy and no error, want one of them")
+			t.Error("load() of a damaged journal = no policy and no error, want a policy or an error")
 		}
 		headerIntact := bytes.HasPrefix(data, []byte("lapisspread-pieces 1\n"))
 		if !cut && content.tree == nil && headerIntact && len(chunks) < 100 {
--- a/internal/controlplane/client/randomized_test.go
+++ b/internal/controlplane/client/randomized_test.go
@@ -14,8 +14,8 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// incompleteAssembly is a faulty treeAssembly: it reports that no chunks are missing and returns its base as the
-// complete tree. The client's check of the tree's root must reject that tree.
+// incompleteAssembly is a faulty treeAssembly. If it has a base, it reports from the second call of Missing on that no
+// chunks are missing, and returns the base as the complete tree. The client's check of the tree's root must reject it.
 type incompleteAssembly struct {
 	treeAssembly
 	base  *merkle.Tree
@@ -43,10 +43,10 @@
 type randomizedRun struct {
 	server     *testServer
 	stateDir   string
-	events     *rand.Rand
-	links      *rand.Rand
-	linksOK    bool // no link faults any more; guarded by the server's mutex
-	sent       []api.PolicyReply
+	events     *rand.Rand        // draws the events
+	links      *rand.Rand        // draws the link faults; guarded by the server's mutex
+	linksOK    bool              // no link faults any more; guarded by the server's mutex
+	sent       []api.PolicyReply // replies to reports so far, which may be delivered again
 	mutations  policyMutations
 	incomplete bool // the proxy uses incompleteAssembly
 	generation uint64
@@ -99,6 +99,7 @@
 	}
 }
 
+// offerNext makes the server offer a random policy as the run's current generation and epoch.
 func (r *randomizedRun) offerNext() rollout.Version {
 	return r.server.offerPolicy(r.generation, r.epoch, policyVersion(40, 1+r.events.Uint64N(30)))
 }
--- a/internal/controlplane/client/testserver_test.go
+++ b/internal/controlplane/client/testserver_test.go
@@ -50,6 +50,7 @@
 	})
 }
 
+// buildTree returns the Merkle tree of a policy.
 func buildTree(t testing.TB, p *namespace.Policy) *merkle.Tree {
 	t.Helper()
 	tree, err := p.Tree()
@@ -62,10 +63,10 @@
 // testServer simulates all control-plane servers without a network. It is the client's http.RoundTripper and answers
 // in the caller's goroutine.
 type testServer struct {
-	t     testing.TB
-	begin time.Time
-	delay func(path string, bytes int) time.Duration // returns how long a reply is delayed; nil means no delay
-	alter func(r *http.Request, reply any)           // modifies a reply before it is sent; nil leaves it unchanged
+	t         testing.TB
+	startedAt time.Time
+	delay     func(path string, bytes int) time.Duration // returns how long a reply is delayed; nil means no delay
+	alter     func(r *http.Request, reply any)           // modifies a reply before it is sent; nil leaves it unchanged
 
 	mu          sync.Mutex
 	distributor *distribution.Distributor
@@ -81,7 +82,7 @@
 func newTestServer(t testing.TB) *testServer {
 	return &testServer{
 		t:           t,
-		begin:       time.Now(),
+		startedAt:   time.Now(),
 		distributor: distribution.New(distribution.DefaultSettings()),
 		offered:     map[string]bool{},
 	}
@@ -114,6 +115,7 @@
 	return s.distributor
 }
 
+// withLock calls f while holding the server's mutex.
 func (s *testServer) withLock(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +168,7 @@
 			len(request.Names), err, api.MaxChunkNames)
 	}
 	chunks, missing, retryAfter := s.currentDistributor().ChunksByName(
-		time.Since(s.begin), request.Proxy, request.Root, request.Names)
+		time.Since(s.startedAt), request.Proxy, request.Root, request.Names)
 	return &api.ChunksReply{Chunks: chunks, Missing: missing, RetryAfterNanos: int64(retryAfter)}
 }
 
@@ -178,17 +180,17 @@
 	if down {
 		return nil, errors.New("test server is down")
 	}
-	w := httptest.NewRecorder()
-	s.ServeHTTP(w, r)
-	s.withLock(func() { s.replyBytes += w.Body.Len() })
+	recorder := httptest.NewRecorder()
+	s.ServeHTTP(recorder, r)
+	s.withLock(func() { s.replyBytes += recorder.Body.Len() })
 	if s.delay != nil {
 		select {
-		case <-time.After(s.delay(r.URL.Path, w.Body.Len())):
+		case <-time.After(s.delay(r.URL.Path, recorder.Body.Len())):
 		case <-r.Context().Done():
 			return nil, r.Context().Err()
 		}
 	}
-	return w.Result(), nil
+	return recorder.Result(), nil
 }
 
 // testProxy is a PolicyClient that follows a testServer. It checks each policy that it installs: the version must have
@@ -211,7 +213,7 @@
 		File:      testFile(stateDir, "s1.test:1", "s2.test:1", "s3.test:1"),
 		ProxyName: "p1",
 		Transport: s,
-		Clock:     func() time.Duration { return time.Since(s.begin) },
+		Clock:     func() time.Duration { return time.Since(s.startedAt) },
 	}
 	p.PolicyClient = NewPolicyClient(config, p.checkAndInstall)
 	if configure != nil {
@@ -223,6 +225,7 @@
 	return p
 }
 
+// checkAndInstall is the proxy's install function. It records violations instead of returning errors.
 func (p *testProxy) checkAndInstall(policy *InstalledPolicy) error {
 	check := func(ok bool, format string, args ...any) {
 		if !ok {
--- a/internal/controlplane/freshness/monitor_test.go
+++ b/internal/controlplane/freshness/monitor_test.go
@@ -52,6 +52,7 @@
 	return list
 }
 
+// classes are the request classes of the service: one for each kind of idempotency.
 var classes = []decision.Class{
 	{Idempotency: decision.Idempotent}, {Idempotency: decision.IdempotentByKey},
 	{Idempotency: decision.NotIdempotent},
