--- a/internal/controlplane/client/policyclient_test.go
+++ b/internal/controlplane/client/policyclient_test.go
@@ -14,7 +14,7 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// policyText returns the text of a policy with firstText service of the given name and without routes.
+// policyText returns the text of a policy with one service of the given name and without routes.
 func policyText(service string) []byte {
 	declaration, err := namespace.ParseDeclaration("c", []byte("version = 1\n[[namespace]]\nname = \"a\"\n"+
 		"owner = \"o\"\nhosts = [\"x.org\"]\nsettings = [\"service\"]\n"))
@@ -38,7 +38,7 @@
 	return rollout.Version{Generation: generation, Epoch: epoch, Hash: policy.Hash()}
 }
 
-// A rejected policy leaves the installed firstText unchanged. A policy is installed only once and is stored for the next
+// A rejected policy leaves the installed policy unchanged. A policy is installed only once and is stored for the next
 // process.
 func TestPolicyIsInstalledWholeOrNotAtAll(t *testing.T) {
 	firstText, secondText := policyText("one"), policyText("two")
@@ -57,7 +57,8 @@
 	handle := func(fleet string, offer rollout.Version, text []byte, mayInstall func() bool) error {
 		return c.handleOffer(t.Context(), f, api.PolicyReply{Fleet: fleet, Target: offer, Text: text}, mayInstall)
 	}
-	first, second, rollback := textVersion(1, 1, firstText), textVersion(1, 2, secondText), textVersion(2, 1, firstText)
+	first, second := textVersion(1, 1, firstText), textVersion(1, 2, secondText)
+	rollback := textVersion(2, 1, firstText)
 	for _, step := range []struct {
 		name    string
 		offer   rollout.Version
