--- a/internal/staleness/change_rate_test.go
+++ b/internal/staleness/change_rate_test.go
@@ -17,15 +17,18 @@
 			r.Observe(time.Second, 50, changes)
 		}
 		if got := r.LongTerm(); math.Abs(got-.002) > .0005 {
-			t.Errorf("prior %v: %v per second, want .002", prior, got)
+			t.Errorf("prior %+v: LongTerm() = %v changes per second, want .002 (+/- .0005)", prior, got)
 		}
 		before := r.Current()
 		r.Observe(time.Second, 50, 25)
 		if r.Current() < 5*before {
-			t.Errorf("a burst raises the rate from %v to %v only", before, r.Current())
+			t.Errorf("prior %+v: Current() after a burst of 25 changes = %v, want at least 5 times %v",
+				prior, r.Current(), before)
 		}
-		if r.Survival(r.Hazard(time.Minute)) >= r.Survival(r.Hazard(time.Second)) {
-			t.Error("the survival does not fall with time")
+		afterSecond, afterMinute := r.Survival(r.Hazard(time.Second)), r.Survival(r.Hazard(time.Minute))
+		if afterMinute >= afterSecond {
+			t.Errorf("prior %+v: survival over one minute = %v, want less than over one second (%v)",
+				prior, afterMinute, afterSecond)
 		}
 	}
 }
--- a/internal/staleness/fleet_map_test.go
+++ b/internal/staleness/fleet_map_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// newTestMap knows that version 1 of the list was superseded by version 2 at 10 s.
+// newTestMap returns a map in which version 2 of the list superseded version 1 at 10 s.
 func newTestMap(t testing.TB) *FleetMap {
 	t.Helper()
 	m, err := NewFleetMap(MapSettings{
@@ -19,13 +19,13 @@
 		ClockDrift:     .001,
 		ClockJitter:    20 * time.Millisecond,
 	})
-	must(t, err)
+	must(t, "NewFleetMap", err)
 	m.RecordVersion(0, "list", 1)
 	m.RecordVersion(10*sec, "list", 2)
 	return m
 }
 
-// newReport is a report of proxy e, which holds a version of the list that is at most maxAge old.
+// newReport returns a report of proxy e, which claims to hold a version of the list that is at most maxAge old.
 func newReport(clock time.Duration, version uint64, maxAge time.Duration) Report {
 	return Report{
 		Proxy:       "e",
@@ -43,13 +43,13 @@
 		report      Report
 		implausible bool
 	}{
-		"current version":                   {20 * sec, newReport(5*sec, 2, sec), false},
-		"superseded, claimed to be old":     {20 * sec, newReport(5*sec, 1, 10*sec), false},
-		"superseded, claimed to be recent":  {20 * sec, newReport(5*sec, 1, 9*sec), true},
-		"superseded while on its way":       {10*sec + 100*time.Millisecond, newReport(5*sec, 1, 0), false},
-		"later than what the server knows":  {20 * sec, newReport(5*sec, 3, sec), false},
-		"negative age":                      {20 * sec, newReport(5*sec, 2, -1), true},
-		"age that is reported as not known": {20 * sec, unknownAge, false},
+		"current version":                  {20 * sec, newReport(5*sec, 2, sec), false},
+		"superseded, claimed to be old":    {20 * sec, newReport(5*sec, 1, 10*sec), false},
+		"superseded, claimed to be recent": {20 * sec, newReport(5*sec, 1, 9*sec), true},
+		"superseded while in transit":      {10*sec + 100*time.Millisecond, newReport(5*sec, 1, 0), false},
+		"later than the recorded versions": {20 * sec, newReport(5*sec, 3, sec), false},
+		"negative age":                     {20 * sec, newReport(5*sec, 2, -1), true},
+		"unknown age":                      {20 * sec, unknownAge, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newTestMap(t)
@@ -57,10 +57,11 @@
 			var fault ImplausibleClaimError
 			got := errors.As(err, &fault)
 			if got != test.implausible || got && (fault.Proxy != "e" || operatorerror.AdviceOf(err) == "") {
-				t.Errorf("%v", err)
+				t.Errorf("RecordReport = %v (advice %q), want ImplausibleClaimError of proxy e with advice: %v",
+					err, operatorerror.AdviceOf(err), test.implausible)
 			}
 			if faulty := m.Fault("e") != nil; faulty != test.implausible {
-				t.Errorf("fault %v", faulty)
+				t.Errorf("Fault(e) = %v, want a fault: %v", m.Fault("e"), test.implausible)
 			}
 		})
 	}
@@ -69,33 +70,35 @@
 func TestSlowClockIsAFaultUntilReportsArePlausible(t *testing.T) {
 	m := newTestMap(t)
 	now, clock := 20*sec, 100*sec
-	for range 20 { // a clock at half pace makes all ages look smaller
-		must(t, ignoreImplausible(m.RecordReport(now, newReport(clock, 2, sec))))
+	for range 20 { // a clock at half speed makes all ages look smaller
+		must(t, "RecordReport", ignoreImplausible(m.RecordReport(now, newReport(clock, 2, sec))))
 		now += sec
 		clock += sec / 2
 	}
 	if m.Fault("e") == nil {
-		t.Fatal("a clock at half pace is no fault")
+		t.Fatal("Fault(e) = nil after 20 reports with a clock at half speed, want a fault")
 	}
 	if counts := m.Count(now, "r"); counts.Unknown != 1 || counts.ByLevel[Fresh] != 0 {
-		t.Errorf("a faulty proxy counts as %v", counts)
+		t.Errorf("Count(r) with a faulty proxy = %+v, want it counted as unknown and not as fresh", counts)
 	}
 	for range 10 {
-		must(t, ignoreImplausible(m.RecordReport(now, newReport(clock, 2, sec))))
+		must(t, "RecordReport", ignoreImplausible(m.RecordReport(now, newReport(clock, 2, sec))))
 		now += sec
 		clock += sec
 	}
 	if err := m.Fault("e"); err != nil {
-		t.Errorf("still a fault: %v", err)
+		t.Errorf("Fault(e) after ten plausible reports = %v, want nil", err)
 	}
 	if counts := m.Count(now-sec, "r"); counts.ByLevel[Fresh] != 1 {
-		t.Errorf("counts as %v", counts)
+		t.Errorf("Count(r) after ten plausible reports = %+v, want one fresh proxy", counts)
 	}
 	if counts := m.Count(now+10*sec, "r"); counts.Unknown != 1 || m.Age(now+10*sec, "e", "list").Known {
-		t.Errorf("a proxy that has fallen silent counts as %v", counts)
+		t.Errorf("10 s after the last report: Count(r) = %+v, Age(e, list) = %+v, "+
+			"want one unknown proxy and an unknown age", counts, m.Age(now+10*sec, "e", "list"))
 	}
-	if m.Age(now, "nobody", "list").Known || m.Age(now, "e", "leases").Known {
-		t.Error("an age is known that nobody reported")
+	if m.Age(now, "unknown", "list").Known || m.Age(now, "e", "leases").Known {
+		t.Errorf("Age(unknown proxy, list) = %+v, Age(e, unreported source) = %+v, want both unknown",
+			m.Age(now, "unknown", "list"), m.Age(now, "e", "leases"))
 	}
 }
 
@@ -106,8 +109,8 @@
 	return err
 }
 
-// A proxy that reports truly within the errors of clocks and transit never has a fault, and its true age lies within
-// the map's bounds.
+// A proxy whose reports are correct within the tolerances for clock drift, clock jitter and transit never has a fault,
+// and its true age is within the map's bounds.
 func TestTrueReportsAreNeverFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, err := NewFleetMap(MapSettings{
@@ -117,7 +120,7 @@
 			ClockJitter:    10 * time.Millisecond,
 		})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("NewFleetMap: %v", err)
 		}
 		milliseconds := func(least, most int, label string) time.Duration {
 			return time.Duration(rapid.IntRange(least, most).Draw(t, label)) * time.Millisecond
@@ -142,12 +145,14 @@
 			clock := time.Duration(float64(now) * (1 + drift))
 			arrival := now + transit
 			if err := m.RecordReport(arrival, newReport(clock, uint64(version), maxAge)); err != nil {
-				t.Fatalf("fault: %v", err)
+				t.Fatalf("RecordReport of a correct claim (version %d, age at most %v) = %v, want nil",
+					version, maxAge, err)
 			}
 			bounds := m.Age(arrival, "e", "list")
 			drifted := time.Duration(float64(transit) * .01)
 			if !bounds.Known || age+transit < bounds.Min || age+transit > bounds.Max+drifted {
-				t.Fatalf("age %v is not within %v", age+transit, bounds)
+				t.Fatalf("Age(e, list) = %+v, want bounds that contain the true age %v (drift allowance %v)",
+					bounds, age+transit, drifted)
 			}
 		}
 	})
@@ -155,6 +160,6 @@
 
 func TestNewFleetMapRejectsInvalidSettings(t *testing.T) {
 	if _, err := NewFleetMap(MapSettings{ClockDrift: 2, ClockJitter: -1}); !errors.As(err, new(InvalidSettingsError)) {
-		t.Error(err)
+		t.Errorf("NewFleetMap(drift 2, jitter -1) = %v, want InvalidSettingsError", err)
 	}
 }
--- a/internal/staleness/gaps_test.go
+++ b/internal/staleness/gaps_test.go
@@ -15,18 +15,19 @@
 			g.Observe(time.Duration(ms) * time.Millisecond)
 		}
 		if g.SilenceProbability(0) != 1 {
-			t.Fatalf("no silence has probability %v", g.SilenceProbability(0))
+			t.Fatalf("SilenceProbability(0) = %v, want 1", g.SilenceProbability(0))
 		}
 		last := 0.0
 		for silence := time.Duration(0); silence < 20*time.Second; silence += 137 * time.Millisecond {
 			phi := g.Phi(silence)
 			if phi < last-1e-9 || math.IsNaN(phi) {
-				t.Fatalf("phi falls from %v to %v at %v", last, phi, silence)
+				t.Fatalf("Phi(%v) = %v, want a number of at least %v, the phi of a shorter silence", silence, phi, last)
 			}
 			last = phi
 		}
 		if g.count > 3 && g.Phi(g.Percentile90()/2) > 1.5 {
-			t.Fatalf("phi %v within the usual gap", g.Phi(g.Percentile90()/2))
+			t.Fatalf("Phi(half of the 90th percentile, %v) = %v, want at most 1.5",
+				g.Percentile90()/2, g.Phi(g.Percentile90()/2))
 		}
 	})
 }
--- a/internal/staleness/main_test.go
+++ b/internal/staleness/main_test.go
@@ -10,7 +10,7 @@
 
 const sec = time.Second
 
-// TestMain has properties draw from a fixed seed unless another one is given, so that each run gives the same verdict.
+// TestMain sets a fixed seed for the property tests unless -rapid.seed is given, so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -21,14 +21,15 @@
 	os.Exit(m.Run())
 }
 
-func must(t testing.TB, err error) {
+// must fails the test if the named call returned an error.
+func must(t testing.TB, call string, err error) {
 	t.Helper()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("%s = %v, want no error", call, err)
 	}
 }
 
-// listAndPolicy are the sources of most tests: a list of servers, and a policy on which every route depends.
+// listAndPolicy returns the settings of most tests: a list of servers, and a policy on which every route depends.
 func listAndPolicy() Settings {
 	return Settings{Sources: []SourceSettings{
 		{Name: "list", HeartbeatInterval: sec},
@@ -36,18 +37,19 @@
 	}}
 }
 
-// followedView has ten servers on route r and a policy, received at 1 s, with heartbeats until the given time.
+// followedView returns a view with ten servers on route r and a policy, received at 1 s, with heartbeats every second
+// until the given time.
 func followedView(t testing.TB, until time.Duration) *View {
 	t.Helper()
 	v, err := New(listAndPolicy())
-	must(t, err)
-	must(t, v.ApplyUpdate(sec, "list", Update{Version: 1, Complete: true, Changes: servers(10)}))
-	must(t, v.ApplyUpdate(sec, "policy", Update{Version: 7, Complete: true}))
+	must(t, "New", err)
+	must(t, "ApplyUpdate", v.ApplyUpdate(sec, "list", Update{Version: 1, Complete: true, Changes: servers(10)}))
+	must(t, "ApplyUpdate", v.ApplyUpdate(sec, "policy", Update{Version: 7, Complete: true}))
 	sendHeartbeats(t, v, 2*sec, until)
 	return v
 }
 
-// servers lists s0, s1 and so on, all on route r.
+// servers returns n additions: s0, s1 and so on, all on route r.
 func servers(n int) []Change {
 	var all []Change
 	for i := range n {
@@ -63,8 +65,8 @@
 func sendHeartbeats(t testing.TB, v *View, from, to time.Duration) {
 	t.Helper()
 	for now := from; now <= to; now += sec {
-		must(t, v.RecordHeartbeat(now, "list"))
-		must(t, v.RecordHeartbeat(now, "policy"))
+		must(t, "RecordHeartbeat", v.RecordHeartbeat(now, "list"))
+		must(t, "RecordHeartbeat", v.RecordHeartbeat(now, "policy"))
 		v.Tick(now)
 	}
 }
--- a/internal/staleness/permission_test.go
+++ b/internal/staleness/permission_test.go
@@ -13,12 +13,14 @@
 				want = ConfirmedOnly
 			}
 			if got := PermissionFor(level, idempotency); got != want {
-				t.Errorf("%v, idempotency %d: %d, want %d", level, idempotency, got, want)
+				t.Errorf("PermissionFor(%v, idempotency %d) = %d, want %d", level, idempotency, got, want)
 			}
 		}
 		requested := QuotaRequest(level, 100)
 		if level > Blind && requested < QuotaRequest(level-1, 100) || QuotaRequest(Blind, 100) >= 100 {
-			t.Errorf("%v requests %v", level, requested)
+			t.Errorf("QuotaRequest(%v, 100) = %v, QuotaRequest(blind, 100) = %v, "+
+				"want no less than at the next lower level, and below 100 at blind",
+				level, requested, QuotaRequest(Blind, 100))
 		}
 	}
 }
--- a/internal/staleness/settings_test.go
+++ b/internal/staleness/settings_test.go
@@ -22,7 +22,7 @@
 	} {
 		var invalid InvalidSettingsError
 		if _, err := New(settings); !errors.As(err, &invalid) || invalid.Field != field {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("New with an invalid %s = %v, want InvalidSettingsError of that field", field, err)
 		}
 	}
 }
--- a/internal/staleness/view_test.go
+++ b/internal/staleness/view_test.go
@@ -12,24 +12,24 @@
 
 func TestUnknownIsNotFresh(t *testing.T) {
 	empty, err := New(Settings{Sources: []SourceSettings{{Name: "list", HeartbeatInterval: sec}}})
-	must(t, err)
+	must(t, "New", err)
 	if level, confidence := empty.Route(sec, "r"); level != Blind || confidence != 0 {
-		t.Errorf("an unknown route is %v, %v", level, confidence)
+		t.Errorf("Route(unknown) = %v, confidence %v, want blind and 0", level, confidence)
 	}
 	if _, known := empty.Age(sec, "list"); known {
-		t.Error("the age of a source that sent nothing is known")
+		t.Error("Age(list) of a source that sent nothing = known, want unknown")
 	}
 	restored := followedView(t, 30*sec)
 	restored.Restore(31*sec, -1)
 	if _, known := restored.Age(31*sec, "list"); known {
-		t.Error("the age of restored content without one is known")
+		t.Error("Age(list) after Restore with an unknown age = known, want unknown")
 	}
-	for now := 31 * sec; now < 60*sec; now += sec / 5 { // however many servers answer
+	for now := 31 * sec; now < 60*sec; now += sec / 5 { // confirmations by servers do not raise the level
 		for i := range 10 {
-			must(t, restored.RecordConfirmation(now, "list", fmt.Sprint("s", i)))
+			must(t, "RecordConfirmation", restored.RecordConfirmation(now, "list", fmt.Sprint("s", i)))
 		}
 		if level, _ := restored.Route(now, "r"); level > Doubtful {
-			t.Fatalf("%v at %v with an unknown age", level, now)
+			t.Fatalf("Route(r) at %v with a list of unknown age = %v, want at most doubtful", now, level)
 		}
 	}
 }
@@ -42,18 +42,20 @@
 		err := v.ApplyUpdate(30*sec, "list", Update{Version: 2, Changes: []Change{change}})
 		after := v.Confidence(30*sec, "policy")
 		if !errors.As(err, new(NameTakenError)) || after != before {
-			t.Errorf("removed %v: %v, %v after %v", removed, err, after, before)
+			t.Errorf("ApplyUpdate(entry policy, removed %v) = %v, want NameTakenError; "+
+				"Confidence(policy) = %v, want %v as before",
+				removed, err, after, before)
 		}
 	}
 }
 
-// Whatever is observed in whatever order: probabilities stay within 0 and 1, ages are not negative, the snapshot agrees
+// For any observations in any order, probabilities stay within 0 and 1, ages are not negative, the snapshot agrees
 // with the view, and nothing panics.
 func TestAnyOrderOfObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, err := New(listAndPolicy())
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New: %v", err)
 		}
 		now := time.Duration(0)
 		version := uint64(0)
@@ -61,14 +63,15 @@
 			now += time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond
 			source := rapid.SampledFrom([]string{"list", "policy"}).Draw(t, "source")
 			entry := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "entry"))
-			observeAnything(t, v, now, source, entry, &version)
+			recordRandomObservation(t, v, now, source, entry, &version)
 			checkView(t, v, now, source, entry)
 		}
 	})
 }
 
-// observeAnything makes a drawn call. Its error does not matter: it must leave the view consistent.
-func observeAnything(t *rapid.T, v *View, now time.Duration, source, entry string, version *uint64) {
+// recordRandomObservation makes a randomly drawn call. Errors are ignored: after an error, too, the view must be
+// consistent.
+func recordRandomObservation(t *rapid.T, v *View, now time.Duration, source, entry string, version *uint64) {
 	switch rapid.IntRange(0, 8).Draw(t, "operation") {
 	case 0:
 		*version++
@@ -100,20 +103,21 @@
 func checkView(t *rapid.T, v *View, now time.Duration, source, entry string) {
 	for _, name := range []string{entry, "policy"} {
 		if confidence := v.Confidence(now, name); !(confidence >= 0 && confidence <= 1+1e-9) {
-			t.Fatalf("%s: confidence %v", name, confidence)
+			t.Fatalf("Confidence(%s) = %v, want within 0 and 1", name, confidence)
 		}
 	}
 	if age, known := v.Age(now, source); known && age < 0 {
-		t.Fatalf("%s is %v old", source, age)
+		t.Fatalf("Age(%s) = %v, want not negative", source, age)
 	}
 	level, confidence := v.Route(now, "r")
 	if math.IsNaN(confidence) || confidence < 0 || confidence > 1+1e-9 || level > Confirmed {
-		t.Fatalf("route: %v %v", level, confidence)
+		t.Fatalf("Route(r) = %v, confidence %v, want a valid level and a confidence within 0 and 1", level, confidence)
 	}
 	s := v.Tick(now)
 	for idempotency := Idempotent; idempotency <= NotIdempotent; idempotency++ {
 		if _, permitted := s.Entry(v.Handle(entry), idempotency); permitted != v.Permits("r", entry, idempotency) {
-			t.Fatalf("the snapshot says %v of %s for %d", permitted, entry, idempotency)
+			t.Fatalf("Snapshot.Entry(%s, idempotency %d) = permitted %v, want %v as View.Permits returns",
+				entry, idempotency, permitted, !permitted)
 		}
 	}
 }
