--- a/cmd/lapisspread/main_test.go
+++ b/cmd/lapisspread/main_test.go
@@ -17,23 +17,24 @@
 	"time"
 )
 
-// asProgram is the environment variable under which the test binary runs as the program.
-const asProgram = "LAPISSPREAD_TEST_RUN"
+// runAsProgramVariable is the environment variable that makes the test binary run as the program.
+const runAsProgramVariable = "LAPISSPREAD_TEST_RUN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramVariable) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, env ...string) *exec.Cmd {
+// proxyCommand returns a command that runs the proxy with additional environment variables, for at most 30 s.
+func proxyCommand(t *testing.T, env ...string) *exec.Cmd {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	t.Cleanup(cancel)
 	c := exec.CommandContext(ctx, os.Args[0], "serve")
-	c.Env = append(append(os.Environ(), asProgram+"=1", "BALANCER_LISTEN=", "BALANCER_DISCOVERY="), env...)
+	c.Env = append(append(os.Environ(), runAsProgramVariable+"=1", "BALANCER_LISTEN=", "BALANCER_DISCOVERY="), env...)
 	return c
 }
 
@@ -45,33 +46,34 @@
 		 "settings":{"Caps":{"ConnectTimeout":250}}}`),
 		0o600,
 	); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the configuration file: %v", err)
 	}
-	for name, path := range map[string]string{"not set": "", "missing": broken + ".none", "makes no sense": broken} {
+	for name, path := range map[string]string{"not set": "", "missing": broken + ".none", "invalid": broken} {
 		t.Run(name, func(t *testing.T) {
 			var text strings.Builder
-			c := program(t, "BALANCER_CONFIG="+path, "BALANCER_LISTEN=127.0.0.1:0", "BALANCER_DISCOVERY=127.0.0.1:1")
+			c := proxyCommand(t, "BALANCER_CONFIG="+path,
+				"BALANCER_LISTEN=127.0.0.1:0", "BALANCER_DISCOVERY=127.0.0.1:1")
 			c.Stderr = &text
 			err := c.Run()
 			if exit := (*exec.ExitError)(nil); !errors.As(err, &exit) || exit.ExitCode() != 1 {
-				t.Errorf("ended with %v, want code 1", err)
+				t.Errorf("the proxy exited with %v, want code 1", err)
 			}
 			if lines := strings.Split(
 				strings.TrimSpace(text.String()), "\n",
 			); len(lines) != 1 || !strings.HasPrefix(lines[0], "lapisspread: ") {
-				t.Errorf("standard error:\n%s", text.String())
+				t.Errorf("standard error is %q, want one line with the prefix \"lapisspread: \"", text.String())
 			}
 		})
 	}
 }
 
-// A proxy whose log has a dead reader ends in order too.
+// The proxy exits with code 0 at SIGTERM, also if the reader of its log has exited.
 func TestTermEndsWithCodeZero(t *testing.T) {
-	t.Run("log read", func(t *testing.T) { serveAndTerm(t, io.Discard) })
-	t.Run("log's reader dead", func(t *testing.T) {
+	t.Run("log reader runs", func(t *testing.T) { serveAndTerm(t, io.Discard) })
+	t.Run("log reader exited", func(t *testing.T) {
 		in, out, err := os.Pipe()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("creating the log pipe: %v", err)
 		}
 		_ = in.Close()
 		defer func() { _ = out.Close() }()
@@ -79,7 +81,7 @@
 	})
 }
 
-// serveAndTerm replaces the configuration while the proxy serves and while it ends, and ends it by SIGTERM.
+// serveAndTerm starts a proxy, stops it by SIGTERM, and replaces its configuration while it serves and while it stops.
 func serveAndTerm(t *testing.T, log io.Writer) {
 	t.Helper()
 	addr := freeAddr(t)
@@ -89,56 +91,57 @@
 	 "settings":{"Services":[{"Name":"hand-in","Aim":800,"GiveUp":2000}],
 	 "Caps":{"ConnIdle":15000,"ConnectTimeout":250}}}`, addr)
 	writeFile(t, path, text)
-	c := program(t, "BALANCER_CONFIG="+path, "BALANCER_DISCOVERY=127.0.0.1:1") // the file replaces it
+	// A reload uses the discovery address in the file in place of the environment variable.
+	c := proxyCommand(t, "BALANCER_CONFIG="+path, "BALANCER_DISCOVERY=127.0.0.1:1")
 	c.Stderr = log
 	if err := c.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("starting the proxy: %v", err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- c.Wait() }()
-	waitUntilServing(t, addr, ended)
+	exited := make(chan error, 1)
+	go func() { exited <- c.Wait() }()
+	waitUntilServing(t, addr, exited)
 	reload := func(replaced string) {
 		t.Helper()
 		writeFile(t, path, replaced)
-		send(t, c, syscall.SIGHUP)
+		sendSignals(t, c, syscall.SIGHUP)
 	}
 	called := make(chan string, 8)
 	reload("{")
 	reload(strings.Replace(text, "127.0.0.1:1", startDiscovery(t, "new", called), 1))
-	until(t, "the new discovery is called", func() bool { return len(called) > 0 })
-	send(t, c, syscall.SIGTERM)
+	waitUntil(t, "the proxy calls the new discovery address", func() bool { return len(called) > 0 })
+	sendSignals(t, c, syscall.SIGTERM)
 	reload("{")
 	reload(text)
-	if err := <-ended; err != nil {
-		t.Errorf("ended with %v, want code 0", err)
+	if err := <-exited; err != nil {
+		t.Errorf("the proxy exited with %v, want code 0", err)
 	}
 }
 
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the configuration file: %v", err)
 	}
 }
 
-// waitUntilServing waits for the first answer of a proxy that must not end before.
-func waitUntilServing(t *testing.T, addr string, ended <-chan error) {
+// waitUntilServing waits for the first answer to a health check. The test fails if the proxy exits first.
+func waitUntilServing(t *testing.T, addr string, exited <-chan error) {
 	t.Helper()
-	for health(addr) == 0 {
+	for healthStatus(addr) == 0 {
 		select {
-		case err := <-ended:
-			t.Fatalf("ended before it served: %v", err)
+		case err := <-exited:
+			t.Fatalf("the proxy exited before it answered a health check: %v", err)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// startDiscovery starts a discovery with an empty list, which sends its name on called with each call. It returns its
-// address.
+// startDiscovery starts a discovery service with an empty list, which sends its name on called at each call. It returns
+// the address of the service.
 func startDiscovery(t *testing.T, name string, called chan<- string) (addr string) {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		select { // a call that nobody reads must not keep the server from closing
+		select { // do not block: a handler that waits keeps the server from closing
 		case called <- name:
 		default:
 		}
@@ -155,32 +158,32 @@
 		OK     int `json:"reloads_ok"`
 		Failed int `json:"reloads_failed"`
 	}
-	line, _, _ := strings.Cut(say(console, "INFO"), "\n")
+	line, _, _ := strings.Cut(sendConsoleLine(console, "INFO"), "\n")
 	if err := json.Unmarshal([]byte(line), &info); err != nil {
 		t.Fatalf("INFO: %q: %v", line, err)
 	}
 	return info.OK, info.Failed
 }
 
-// An invalid configuration changes nothing: it is counted, the log names its field, and its discovery is never called.
-// A valid one after it is applied.
+// A reload with an invalid configuration changes nothing: the failure is counted, the log names the invalid field, and
+// the discovery address in that file is never called. A valid configuration is then applied.
 func TestABadFileAtSighupLeavesTheOldConfiguration(t *testing.T) {
 	addr, console := freeAddr(t), freeAddr(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := strings.Replace(goodConfig, "127.0.0.1:0", addr, 1)
+	text := strings.Replace(validConfig, "127.0.0.1:0", addr, 1)
 	text = strings.Replace(text, `"seed"`, fmt.Sprintf(`"console":%q,"seed"`, console), 1)
 	writeFile(t, path, text)
-	c := program(t, "BALANCER_CONFIG="+path, "BALANCER_CONSOLE=")
+	c := proxyCommand(t, "BALANCER_CONFIG="+path, "BALANCER_CONSOLE=")
 	logs, err := os.Create(path + ".log")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("creating the log file: %v", err)
 	}
 	defer func() { _ = logs.Close() }()
 	c.Stderr = logs
 	if err := c.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("starting the proxy: %v", err)
 	}
-	until(t, "it serves", func() bool { return health(addr) == 200 })
+	waitUntil(t, "the proxy answers health checks with 200", func() bool { return healthStatus(addr) == 200 })
 	called := make(chan string, 64)
 	withDiscovery := func(addr string) string { return strings.Replace(text, "127.0.0.1:1\"", addr+`"`, 1) }
 	bad := withDiscovery(startDiscovery(t, "bad", called))
@@ -191,32 +194,33 @@
 		withDiscovery("nowhere"),
 	} {
 		writeFile(t, path, invalid)
-		send(t, c, syscall.SIGHUP)
-		until(t, fmt.Sprintf("invalid file %d is counted", i), func() bool {
+		sendSignals(t, c, syscall.SIGHUP)
+		waitUntil(t, fmt.Sprintf("the failed reload of invalid file %d is counted", i), func() bool {
 			_, failed := reloadCounts(t, console)
 			return failed == i+1
 		})
 	}
-	if ok, _ := reloadCounts(t, console); ok != 0 || len(called) > 0 || health(addr) != 200 {
-		t.Errorf("%d invalid files applied, %d calls to their discovery, health %d", ok, len(called), health(addr))
+	if ok, _ := reloadCounts(t, console); ok != 0 || len(called) > 0 || healthStatus(addr) != 200 {
+		t.Errorf("after the invalid files: %d reloads applied, %d calls to their discovery, health status %d, "+
+			"want 0, 0 and 200", ok, len(called), healthStatus(addr))
 	}
 	writeFile(t, path, withDiscovery(startDiscovery(t, "good", called)))
-	send(t, c, syscall.SIGHUP)
-	until(t, "the valid file's discovery is called", func() bool { return len(called) > 0 })
+	sendSignals(t, c, syscall.SIGHUP)
+	waitUntil(t, "the proxy calls the discovery address of the valid file", func() bool { return len(called) > 0 })
 	if name := <-called; name != "good" {
-		t.Errorf("the discovery of the %s file is called", name)
+		t.Errorf("the proxy called the discovery address of the %s file, want only that of the good file", name)
 	}
-	send(t, c, syscall.SIGTERM)
+	sendSignals(t, c, syscall.SIGTERM)
 	if err := c.Wait(); err != nil {
-		t.Errorf("ended with %v, want code 0", err)
+		t.Errorf("the proxy exited with %v, want code 0", err)
 	}
 	written, err := os.ReadFile(path + ".log")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the log: %v", err)
 	}
 	for _, field := range []string{"settings.Services.0.Aim: ", "limits.sockets: ", "discovery: "} {
 		if !strings.Contains(string(written), path+": "+field) {
-			t.Errorf("the log does not name %s\n%s", field, written)
+			t.Errorf("the log does not name field %q:\n%s", field, written)
 		}
 	}
 }
--- a/cmd/lapisspread/oncall_test.go
+++ b/cmd/lapisspread/oncall_test.go
@@ -15,7 +15,8 @@
 // alertingCalls are the functions whose first argument is the message of a warning or an error in the log.
 var alertingCalls = map[string]bool{"Warn": true, "Error": true, "warn": true, "reloadFailed": true}
 
-// logMessages returns the messages of warnings and errors in the Go files below a directory, each with its place.
+// logMessages returns the messages of warnings and errors in the Go files below a directory, each with the path of its
+// file.
 func logMessages(t *testing.T, directory string) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
@@ -42,7 +43,7 @@
 		return nil
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the Go files below %s: %v", directory, err)
 	}
 	return messages
 }
@@ -72,19 +73,19 @@
 	return message
 }
 
-// An engineer on call finds every warning and error of the log on the page for staff on call.
+// Every warning and error message of the log is on the on-call page.
 func TestOnCallPageHasEachWarningAndError(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "on-call.md"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the on-call page: %v", err)
 	}
 	messages := logMessages(t, filepath.Join("..", "..", "internal"))
 	if len(messages) < 50 {
-		t.Fatalf("%d messages found: the search has missed some", len(messages))
+		t.Fatalf("found %d log messages in internal, want at least 50: the search misses calls", len(messages))
 	}
 	for message, path := range messages {
 		if !strings.Contains(string(page), "`"+message) {
-			t.Errorf("%s: %q is not on the page", path, message)
+			t.Errorf("%s: log message %q is missing in docs/on-call.md", path, message)
 		}
 	}
 }
--- a/cmd/lapisspread/operate_test.go
+++ b/cmd/lapisspread/operate_test.go
@@ -17,62 +17,63 @@
 	"lapisspread/internal/faultlab/loopbackaddr"
 )
 
-// patience bounds each wait of the tests.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait of the tests.
+const waitTimeout = 20 * time.Second
 
-// freeAddr returns an address that no other process uses.
+// freeAddr returns a loopback address that no other process uses.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := loopbackaddr.Addr()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("finding a free loopback address: %v", err)
 	}
 	return addr
 }
 
-// until waits for a condition that must become true.
-func until(t *testing.T, what string, ok func() bool) {
+// waitUntil polls a condition and fails the test if it does not become true within waitTimeout. description completes
+// "waiting until".
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for start := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
-		if time.Since(start) > patience {
-			t.Fatalf("timed out: %s", what)
+	for start := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Since(start) > waitTimeout {
+			t.Fatalf("timed out after %v waiting until %s", waitTimeout, description)
 		}
 	}
 }
 
-// say sends a line to an admin console. An empty answer means that none came.
-func say(addr, line string) string {
+// sendConsoleLine sends a line to an admin console and returns the answer, or "" if there is none.
+func sendConsoleLine(addr, line string) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return ""
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	_, _ = fmt.Fprintf(c, "%s\n", line)
 	text, _ := io.ReadAll(c)
 	return string(text)
 }
 
-// excluded returns the metric backends_excluded, -1 before the list has arrived.
-func excluded(t *testing.T, addr string) int {
+// excludedBackends returns the metric backends_excluded, or -1 until both backends are known.
+func excludedBackends(t *testing.T, addr string) int {
 	t.Helper()
-	text, end, _ := strings.Cut(say(addr, "INFO"), "\n")
-	var f struct {
+	text, end, _ := strings.Cut(sendConsoleLine(addr, "INFO"), "\n")
+	var info struct {
 		Known    int `json:"backends_known"`
 		Excluded int `json:"backends_excluded"`
 	}
-	if err := json.Unmarshal([]byte(text), &f); err != nil || end != "EOF\n" {
-		t.Fatalf("INFO: %q, then %q: %v", text, end, err)
+	if err := json.Unmarshal([]byte(text), &info); err != nil || end != "EOF\n" {
+		t.Fatalf("INFO answered %q, then %q (JSON error %v), want a JSON object, then \"EOF\\n\"", text, end, err)
 	}
-	if f.Known != 2 {
+	if info.Known != 2 {
 		return -1
 	}
-	return f.Excluded
+	return info.Excluded
 }
 
-// health returns the status of the health endpoint, on a new connection; 0 without an answer.
-func health(addr string) int {
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+// healthStatus requests the health endpoint on a new connection and returns the HTTP status, or 0 without an answer.
+func healthStatus(addr string) int {
+	client := &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + addr + "/_health")
 	if err != nil {
 		return 0
@@ -81,10 +82,10 @@
 	return resp.StatusCode
 }
 
-// startUpgradable starts a proxy on a passed socket, and waits until it takes clients. Proxies with the same shared
-// directory and socket take over from each other.
+// startUpgradable starts a proxy on an inherited socket and waits until its console answers. A proxy that starts with
+// the same shared directory and socket takes over from the one that runs.
 func startUpgradable(t *testing.T, addr, shared string, socket *os.File) (
-	console string, c *exec.Cmd, ended chan error,
+	console string, c *exec.Cmd, exited chan error,
 ) {
 	t.Helper()
 	console = freeAddr(t)
@@ -95,65 +96,73 @@
 	 {"instanceId":"s-2","hostPort":"127.0.0.1:1","zone":"a","lifecycle":"active"}]},
 	 "settings":{"FailureDomains":["a"],"Services":[{"Name":"hand-in","Aim":800,"GiveUp":2000}],
 	 "Caps":{"ConnIdle":15000,"ConnectTimeout":250}}}`, addr, console))
-	c = program(t, "BALANCER_CONFIG="+path, "BALANCER_CONSOLE=", "BALANCER_PASSED_SOCKET=3", "TMPDIR="+shared)
+	c = proxyCommand(t, "BALANCER_CONFIG="+path, "BALANCER_CONSOLE=", "BALANCER_PASSED_SOCKET=3", "TMPDIR="+shared)
 	c.ExtraFiles = []*os.File{socket}
 	if err := c.Start(); err != nil {
-		t.Fatal(err)
-	}
-	ended = make(chan error, 1)
-	go func() { ended <- c.Wait() }()
-	until(t, "the process takes clients", func() bool { return strings.HasPrefix(say(console, "PING"), "200") })
-	return console, c, ended
+		t.Fatalf("starting the proxy: %v", err)
+	}
+	exited = make(chan error, 1)
+	go func() { exited <- c.Wait() }()
+	waitUntil(t, "the console of the new process answers PING with 200", func() bool {
+		return strings.HasPrefix(sendConsoleLine(console, "PING"), "200")
+	})
+	return console, c, exited
 }
 
-// An operator detaches a backend, makes the proxy a lame duck and back, and upgrades it over a passed socket.
+// An operator detaches a backend, switches lame duck mode on and off, and upgrades the proxy over an inherited socket.
 func TestOperation(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening on a loopback address: %v", err)
 	}
-	defer func() { _ = held.Close() }()
-	socket, err := held.(*net.TCPListener).File()
+	defer func() { _ = listener.Close() }()
+	socket, err := listener.(*net.TCPListener).File()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("duplicating the listening socket: %v", err)
 	}
 	defer func() { _ = socket.Close() }()
-	addr, shared := held.Addr().String(), t.TempDir()
-	first, firstCmd, firstEnded := startUpgradable(t, addr, shared, socket)
-	until(t, "none is out", func() bool { return excluded(t, first) == 0 })
+	addr, shared := listener.Addr().String(), t.TempDir()
+	first, firstCmd, firstExited := startUpgradable(t, addr, shared, socket)
+	waitUntil(t, "no backend is excluded", func() bool { return excludedBackends(t, first) == 0 })
 	for _, c := range []struct{ line, want string }{
 		{"DETACH s-1", "200"}, {"DETACH s-1", "200"}, {"DETACH s-9", "400"}, {"ATTACH s-9", "400"}, {"DETACH", "400"},
 	} {
-		if got := say(first, c.line); !strings.HasPrefix(got, c.want) {
-			t.Errorf("%s: %q, want %s", c.line, got, c.want)
+		if got := sendConsoleLine(first, c.line); !strings.HasPrefix(got, c.want) {
+			t.Errorf("console command %s answered %q, want the prefix %s", c.line, got, c.want)
 		}
 	}
-	until(t, "one is out", func() bool { return excluded(t, first) == 1 })
+	waitUntil(t, "one backend is excluded", func() bool { return excludedBackends(t, first) == 1 })
 
-	say(first, "LAMEDUCK")
-	until(t, "the lame duck's health is no", func() bool { return health(addr) == http.StatusServiceUnavailable })
-	say(first, "REJOIN")
-	until(t, "it is back", func() bool { return health(addr) == http.StatusOK })
+	sendConsoleLine(first, "LAMEDUCK")
+	waitUntil(t, "the health endpoint of the lame duck answers 503", func() bool {
+		return healthStatus(addr) == http.StatusServiceUnavailable
+	})
+	sendConsoleLine(first, "REJOIN")
+	waitUntil(t, "the health endpoint answers 200 after REJOIN", func() bool {
+		return healthStatus(addr) == http.StatusOK
+	})
 
-	second, secondCmd, secondEnded := startUpgradable(t, addr, shared, socket)
-	until(t, "one is out at the next process too", func() bool { return excluded(t, second) == 1 })
+	second, secondCmd, secondExited := startUpgradable(t, addr, shared, socket)
+	waitUntil(t, "one backend is excluded in the new process too", func() bool {
+		return excludedBackends(t, second) == 1
+	})
 	if err := firstCmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+		t.Fatalf("sending SIGTERM to the first process: %v", err)
 	}
-	if err := <-firstEnded; err != nil {
-		t.Errorf("the first process ended with %v", err)
+	if err := <-firstExited; err != nil {
+		t.Errorf("the first process exited with %v at SIGTERM, want code 0", err)
 	}
-	if got := health(addr); got != http.StatusOK {
-		t.Errorf("health after the upgrade: %d", got)
+	if got := healthStatus(addr); got != http.StatusOK {
+		t.Errorf("health status after the upgrade = %d, want 200", got)
 	}
-	if got := say(second, "ATTACH s-1"); !strings.HasPrefix(got, "200") {
-		t.Errorf("ATTACH: %q", got)
+	if got := sendConsoleLine(second, "ATTACH s-1"); !strings.HasPrefix(got, "200") {
+		t.Errorf("console command ATTACH s-1 answered %q, want the prefix 200", got)
 	}
-	until(t, "none is out any more", func() bool { return excluded(t, second) == 0 })
+	waitUntil(t, "no backend is excluded after ATTACH", func() bool { return excludedBackends(t, second) == 0 })
 	if err := secondCmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+		t.Fatalf("sending SIGTERM to the second process: %v", err)
 	}
-	if err := <-secondEnded; err != nil {
-		t.Errorf("the second process ended with %v", err)
+	if err := <-secondExited; err != nil {
+		t.Errorf("the second process exited with %v at SIGTERM, want code 0", err)
 	}
 }
--- a/cmd/lapisspread/policy_test.go
+++ b/cmd/lapisspread/policy_test.go
@@ -16,20 +16,21 @@
 	"lapisspread/internal/policy/rollout"
 )
 
-// fleetFixture is a fleet of one control-plane server, which runs in the test, and the commands about it.
+// fleetFixture is a fleet with one control-plane server, which runs inside the test, and helpers that run commands on
+// it.
 type fleetFixture struct {
 	t       *testing.T
 	dir     string
-	file    string // the fleet's
-	address string // the server's
+	file    string // path of the fleet file
+	address string // host:port of the control-plane server
 }
 
-// newFleetFixture starts the server; it ends with the test.
+// newFleetFixture starts the control-plane server, which stops when the test ends.
 func newFleetFixture(t *testing.T) *fleetFixture {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening as the control-plane server: %v", err)
 	}
 	f := &fleetFixture{t: t, dir: t.TempDir(), address: l.Addr().String()}
 	f.file = f.write("fleet.toml", fmt.Sprintf("version = 1\nfleet = \"north\"\nlongest = \"1s\"\n"+
@@ -38,35 +39,36 @@
 		"[policy]\nsilent = \"200ms\"\n", f.address))
 	fleet, err := api.Load(f.file)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("api.Load: %v", err)
 	}
 	config := server.Config{Fleet: fleet, Name: "s1", StateDir: t.TempDir(), TickInterval: 20 * time.Millisecond}
 	s, err := server.New(config)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("server.New: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- s.Run(ctx, l) }()
+	exited := make(chan error, 1)
+	go func() { exited <- s.Run(ctx, l) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := <-ended; err != nil {
-			t.Error(err)
+		if err := <-exited; err != nil {
+			t.Errorf("Server.Run = %v, want nil after cancellation", err)
 		}
 	})
 	return f
 }
 
+// write creates a file in the test directory and returns its path.
 func (f *fleetFixture) write(name, text string) (path string) {
 	f.t.Helper()
 	path = filepath.Join(f.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		f.t.Fatal(err)
+		f.t.Fatalf("writing %s: %v", name, err)
 	}
 	return path
 }
 
-// namespace writes a namespace file with one route.
+// namespace writes a namespace file with one route and returns its path.
 func (f *fleetFixture) namespace(name string, number int, path string) string {
 	f.t.Helper()
 	return f.write(name+".toml", fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n[[service]]\nname = \"s-%s\"\n"+
@@ -74,42 +76,44 @@
 		name, number, name, path, name))
 }
 
-// run runs a command, and checks its exit code and that it prints all of want.
-func (f *fleetFixture) run(code int, want []string, args ...string) {
+// run runs "lapisspread fleet" with the arguments, and checks its exit code and that it prints all texts of want.
+func (f *fleetFixture) run(exitCode int, want []string, args ...string) {
 	f.t.Helper()
 	var out, errs strings.Builder
-	if got := execute(append([]string{"fleet"}, args...), &out, &errs); got != code {
-		f.t.Errorf("%v: exit code %d, want %d", args, got, code)
+	if got := execute(append([]string{"fleet"}, args...), &out, &errs); got != exitCode {
+		f.t.Errorf("lapisspread fleet %v: exit code %d, want %d:\n%s", args, got, exitCode, errs.String())
 	}
 	for _, text := range want {
 		if !strings.Contains(out.String()+errs.String(), text) {
-			f.t.Errorf("%v does not print %q:\n%s%s", args, text, out.String(), errs.String())
+			f.t.Errorf("lapisspread fleet %v printed, want %q in it:\n%s%s", args, text, out.String(), errs.String())
 		}
 	}
 }
 
-// waitInForce waits until an epoch is in force and nothing is queued.
+// waitInForce waits until a policy epoch is in force and no change is queued.
 func (f *fleetFixture) waitInForce(epoch int) {
 	f.t.Helper()
-	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		var out, errs strings.Builder
 		_ = execute([]string{"fleet", "policy", f.file}, &out, &errs)
 		inForce := strings.Contains(out.String(), fmt.Sprintf("in force: epoch %d,", epoch))
 		if inForce && !strings.Contains(out.String(), "wait for") {
 			return
 		}
-		if time.Now().After(end) {
-			f.t.Fatalf("epoch %d is never in force:\n%s%s", epoch, out.String(), errs.String())
+		if time.Now().After(deadline) {
+			f.t.Fatalf("fleet policy after 30s, want epoch %d in force and nothing queued:\n%s%s",
+				epoch, out.String(), errs.String())
 		}
 	}
 }
 
-// startProxy has a proxy report, and adopt its target, until stop is called.
+// startProxy simulates a proxy that reports its policy version every 20 ms and adopts the target version, until stop is
+// called.
 func (f *fleetFixture) startProxy() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(exited)
 		current := rollout.NewCurrentVersion(rollout.Version{})
 		client := &http.Client{Transport: api.NewTransport(nil)}
 		defer client.CloseIdleConnections()
@@ -124,11 +128,11 @@
 	}()
 	return func() {
 		cancel()
-		<-ended
+		<-exited
 	}
 }
 
-// The commands about the policy, from the bootstrap to a rollback, against one server.
+// Runs all policy commands against one control-plane server, from the bootstrap to a rollback.
 func TestPolicyCommands(t *testing.T) {
 	f := newFleetFixture(t)
 	file := f.file
@@ -144,13 +148,14 @@
 	f.run(1, []string{"charter.toml"}, "charter", file, f.write("charter.toml", "version = 7\n"))
 	f.run(0, []string{"train: epoch 1", "with the charter"}, "charter", file, f.write("charter.toml", ownership))
 	f.run(1, []string{"no policy is in force yet"}, "stop", file)
-	// Without a report the rollout does not end, and what is offered meanwhile is queued.
+	// Without reports of a proxy the rollout does not finish, and files that are submitted meanwhile are queued.
 	f.run(0, []string{"train: epoch 1", `wait for the next train: alpha/1 by "the desks", beta/1 by "the desks"`},
 		"offer", file, f.namespace("alpha", 1, "/a"), f.namespace("beta", 1, "/b"), "--by", "the desks")
 	stop := f.startProxy()
 	f.waitInForce(3)
 
-	// A malformed file stops no other; one that conflicts is held back, with the request.
+	// A malformed file does not block the others. A file that conflicts is withheld, and the output names the request
+	// in conflict.
 	malformed := f.write("bad.toml", "version = 1\nnamespace = \"alpha\"\nnumber = 2\nroute = 3\n")
 	f.run(1, []string{"bad.toml:", "epoch 3", `held: beta, file 2 by "b"; file 1 goes on`, "x.org", "/a"},
 		"offer", file, malformed, f.namespace("beta", 2, "/a"), "--by", "b")
@@ -160,7 +165,7 @@
 	f.run(0, []string{"in force: epoch 1,", "roll-out: idle", "1 proxies are of an older release"}, "policy", file)
 	f.run(0, []string{"in force: epoch 1,"}, "stop", file) // there is nothing to stop
 	f.run(1, []string{"is older than version 2"}, "offer", file, f.namespace("beta", 1, "/c"))
-	stop() // so that the next rollout does not end
+	stop() // without reports the next rollout does not finish
 	f.run(0, []string{"train: epoch", "beta/3"}, "offer", file, f.namespace("beta", 3, "/c"))
 	f.run(0, []string{"in force: epoch 1,", "roll-out: idle"}, "stop", file)
 	f.run(2, []string{"wanted: offer"}, "offer", file)
--- a/cmd/lapisspread/signals_test.go
+++ b/cmd/lapisspread/signals_test.go
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// plainConfig returns a configuration with one known server, and discovery down.
-func plainConfig(listen, server string) string {
+// oneServerConfig returns a configuration with one initial server and an unreachable discovery service.
+func oneServerConfig(listen, server string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
 	 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"generation":1,"reset":true,"instances":[
 	 {"instanceId":"s-1","hostPort":%q,"zone":"a","lifecycle":"active"}]},
@@ -23,80 +23,81 @@
 	 "Caps":{"ConnIdle":15000,"ConnectTimeout":2500,"MaxAttempts":3}}}`, listen, server)
 }
 
-// start starts the proxy; ended receives how it ends.
-func start(t *testing.T, path string) (c *exec.Cmd, ended chan error) {
+// startServing starts the proxy with a configuration file; exited receives the result of Cmd.Wait.
+func startServing(t *testing.T, path string) (c *exec.Cmd, exited chan error) {
 	t.Helper()
-	c = program(t, "BALANCER_CONFIG="+path)
+	c = proxyCommand(t, "BALANCER_CONFIG="+path)
 	if err := c.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("starting the proxy: %v", err)
 	}
-	ended = make(chan error, 1)
-	go func() { ended <- c.Wait() }()
-	return c, ended
+	exited = make(chan error, 1)
+	go func() { exited <- c.Wait() }()
+	return c, exited
 }
 
-// send sends signals in order.
-func send(t *testing.T, c *exec.Cmd, signals ...os.Signal) {
+// sendSignals sends signals to a process in order.
+func sendSignals(t *testing.T, c *exec.Cmd, signals ...os.Signal) {
 	t.Helper()
 	for _, s := range signals {
 		if err := c.Process.Signal(s); err != nil {
-			t.Fatal(err)
+			t.Fatalf("sending %v to the proxy: %v", s, err)
 		}
 	}
 }
 
-// SIGTERM and SIGHUP while the configuration is being read, before any list and any listener: the program ends in
-// order.
+// SIGHUP and SIGTERM arrive while the configuration is being read, before there is an endpoint list or a listener: the
+// program exits with code 0.
 func TestSignalsWhileItStarts(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("creating the configuration FIFO: %v", err)
 	}
-	c, ended := start(t, path)
-	config, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the program reads it
+	c, exited := startServing(t, path)
+	config, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program opens the file for reading
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the configuration FIFO: %v", err)
 	}
-	send(t, c, syscall.SIGHUP, syscall.SIGTERM)
-	_, _ = io.WriteString(config, plainConfig("127.0.0.1:0", "127.0.0.1:1"))
+	sendSignals(t, c, syscall.SIGHUP, syscall.SIGTERM)
+	_, _ = io.WriteString(config, oneServerConfig("127.0.0.1:0", "127.0.0.1:1"))
 	_ = config.Close()
-	_ = os.Remove(path) // SIGHUP finds no file
-	if err := <-ended; err != nil {
-		t.Errorf("ended with %v, want code 0", err)
+	_ = os.Remove(path) // the reload finds no file
+	if err := <-exited; err != nil {
+		t.Errorf("the proxy exited with %v, want code 0", err)
 	}
 }
 
-// A request is in flight at SIGTERM, and more signals arrive while it waits: it is answered, and then the program ends.
+// A request is in flight at SIGTERM, and more signals arrive while it waits: it gets its response, and then the program
+// exits with code 0.
 func TestSignalsWhileItEnds(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening as the backend: %v", err)
 	}
-	came, release := make(chan bool, 1), make(chan bool)
+	received, release := make(chan bool, 1), make(chan bool)
 	backend := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
+		received <- true
 		<-release
 		_, _ = io.WriteString(w, "fine")
 	})}
 	go func() { _ = backend.Serve(server) }()
 	defer func() { _ = backend.Close() }()
 	path, addr := filepath.Join(t.TempDir(), "config.json"), freeAddr(t)
-	if err := os.WriteFile(path, []byte(plainConfig(addr, server.Addr().String())), 0o600); err != nil {
-		t.Fatal(err)
+	if err := os.WriteFile(path, []byte(oneServerConfig(addr, server.Addr().String())), 0o600); err != nil {
+		t.Fatalf("writing the configuration file: %v", err)
 	}
-	c, ended := start(t, path)
-	until(t, "it serves", func() bool { return health(addr) == 200 })
+	c, exited := startServing(t, path)
+	waitUntil(t, "the proxy answers health checks with 200", func() bool { return healthStatus(addr) == 200 })
 	client, err := net.Dial("tcp", addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("connecting to the proxy at %s: %v", addr, err)
 	}
 	defer func() { _ = client.Close() }()
 	sendRequest(client, "r1", 19000)
-	<-came
-	send(t, c, syscall.SIGTERM)
-	until(t, "it ends", func() bool { return health(addr) != 200 })
-	send(t, c, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt, syscall.SIGTERM)
-	until(t, "it takes no more connections", func() bool {
+	<-received
+	sendSignals(t, c, syscall.SIGTERM)
+	waitUntil(t, "the health endpoint no longer answers 200", func() bool { return healthStatus(addr) != 200 })
+	sendSignals(t, c, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt, syscall.SIGTERM)
+	waitUntil(t, "the proxy accepts no more connections", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			_ = c.Close()
@@ -106,13 +107,14 @@
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("reading the response to the request in flight: %v", err)
 	}
 	if body, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || strings.TrimSpace(string(body)) != "fine" ||
 		!resp.Close {
-		t.Errorf("status %d, %q, closes %v", resp.StatusCode, body, resp.Close)
+		t.Errorf("request in flight at SIGTERM: status %d, body %q, Connection: close %v, want 200, \"fine\", true",
+			resp.StatusCode, body, resp.Close)
 	}
-	if err := <-ended; err != nil {
-		t.Errorf("ended with %v, want code 0", err)
+	if err := <-exited; err != nil {
+		t.Errorf("the proxy exited with %v, want code 0", err)
 	}
 }
--- a/internal/staleness/calibrate/calibrate_test.go
+++ b/internal/staleness/calibrate/calibrate_test.go
@@ -10,24 +10,25 @@
 	"lapisspread/internal/staleness"
 )
 
-// The proof takes minutes: go test ./internal/staleness/calibrate -run Proof -v -full
-var full = flag.Bool("full", false, "play the whole proof, seeds 31 to 40 of 9,000 s, and each term left out")
+// full enables TestProof, which takes minutes: go test ./internal/staleness/calibrate -run Proof -v -full
+var full = flag.Bool("full", false, "run TestProof: seeds 31 to 40, 9,000 s each, then again without each term")
 
-func play(t testing.TB, firstSeed, lastSeed uint64, duration time.Duration, view staleness.Settings) *Result {
+// simulate runs one simulation for each seed from firstSeed to lastSeed and returns the sum of their outcomes.
+func simulate(t testing.TB, firstSeed, lastSeed uint64, duration time.Duration, view staleness.Settings) *Result {
 	t.Helper()
 	r := &Result{}
 	for seed := firstSeed; seed <= lastSeed; seed++ {
 		settings := Settings{Seed: seed, Duration: duration, Proxies: 4, View: view, VersionChecks: true}
 		if err := Run(settings, r); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Run(seed %d): %v", seed, err)
 		}
 	}
 	return r
 }
 
-// violations are the bounds that a result does not keep. Short plays have few attempts in the middle deciles, and those
-// come in clusters because an episode of silence is met some forty times: there a decile may deviate by three standard
-// deviations of a quarter of its attempts more.
+// violations returns a text for each limit that a result exceeds. Short simulations have few attempts in the middle
+// deciles, and these attempts are correlated because about forty of them fall into the same silence. If short is set, the
+// bias of a decile may therefore exceed its limit by three standard errors, computed for a quarter of its attempts.
 func violations(r *Result, short bool) []string {
 	var all []string
 	check := func(violated bool, format string, args ...any) {
@@ -44,92 +45,97 @@
 			mean := d.EstimateSum / float64(d.Attempts)
 			maxBias += 3 * math.Sqrt(mean*(1-mean)*4/float64(d.Attempts))
 		}
-		check(math.Abs(d.Bias()) > maxBias, "decile %d has bias %+.3f", i, d.Bias())
+		check(math.Abs(d.Bias()) > maxBias, "decile %d has bias %+.3f, want at most %.3f", i, d.Bias(), maxBias)
 	}
 	top, maxBias := r.SilentWatch.Deciles[9], .005
 	if short {
 		maxBias = .02
 	}
 	e := &r.Estimate
-	check(math.Abs(top.Bias()) > maxBias, "silent watch: .9 and above has bias %+.4f", top.Bias())
+	check(math.Abs(top.Bias()) > maxBias, "top decile at silent watches has bias %+.4f, want at most %.3f", top.Bias(), maxBias)
 	coverage := e.CoverageWithoutStaleAnswers()
-	check(coverage < .999, "bound holds in %.4f without stale answers", coverage)
-	check(e.CoverageOfMissed() < .999, "bound holds in %.4f against missed changes", e.CoverageOfMissed())
-	check(e.MedianRatio() > 2, "median bound is %.2f times the age", e.MedianRatio())
-	check(e.BrierSum >= r.Baseline.BrierSum, "no better than the baseline")
+	check(coverage < .999, "part of age bounds that hold without stale answers is %.4f, want at least .999", coverage)
+	check(e.CoverageOfMissed() < .999,
+		"part of age bounds that hold against missed changes is %.4f, want at least .999", e.CoverageOfMissed())
+	check(e.MedianRatio() > 2, "median ratio of bound to age is %.2f, want at most 2", e.MedianRatio())
+	check(e.BrierSum >= r.Baseline.BrierSum,
+		"Brier sum is %.0f, want less than the baseline's %.0f", e.BrierSum, r.Baseline.BrierSum)
 	return all
 }
 
 func TestEstimateIsCalibratedAndBaselineIsNot(t *testing.T) {
-	r := play(t, 21, 22, 300*time.Second, staleness.Settings{})
+	r := simulate(t, 21, 22, 300*time.Second, staleness.Settings{})
 	t.Logf("\n%s", r)
 	for _, violation := range violations(r, true) {
 		t.Error(violation)
 	}
 	if r.Attempts < 12_000 || r.SilentWatch.Deciles[9].Attempts < 1000 || r.Estimate.Ages < 5_000 {
-		t.Errorf("too little was tried: %d attempts", r.Attempts)
+		t.Errorf("%d attempts, %d at silent watches in the top decile, %d age checks, want at least 12000, 1000 and 5000",
+			r.Attempts, r.SilentWatch.Deciles[9].Attempts, r.Estimate.Ages)
 	}
 	if r.Baseline.Coverage() > .99 {
-		t.Error("the baseline's bound holds: the simulation has too few faults")
+		t.Errorf("Coverage of the baseline = %.4f, want at most .99: the simulation has too few faults",
+			r.Baseline.Coverage())
 	}
 }
 
+// terms are the terms of the estimate that Settings.Without can omit.
 var terms = []string{"phi", "rate", "evidence", "stop", "restart"}
 
-// In a short play an omitted term may also show by a worse Brier score (Brier, "Verification of forecasts", 1950) for
-// the very same attempts.
+// In a short simulation an omitted term may also show as a worse Brier score (Brier, "Verification of forecasts", 1950)
+// for the same attempts.
 func TestOmittingAnyTermFails(t *testing.T) {
-	complete := play(t, 1, 2, 300*time.Second, staleness.Settings{})
+	complete := simulate(t, 1, 2, 300*time.Second, staleness.Settings{})
 	if found := violations(complete, true); len(found) > 0 {
-		t.Fatalf("violations with every term: %v", found)
+		t.Fatalf("limits exceeded with all terms: %v, want none", found)
 	}
 	for _, term := range terms {
 		t.Run(term, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, 1, 2, 300*time.Second, staleness.Settings{}.Without(term))
+			r := simulate(t, 1, 2, 300*time.Second, staleness.Settings{}.Without(term))
 			if r.Attempts != complete.Attempts {
-				t.Fatalf("%d attempts, %d with it: not the same", r.Attempts, complete.Attempts)
+				t.Fatalf("without %s: %d attempts, want the same %d as with all terms", term, r.Attempts, complete.Attempts)
 			}
 			found := violations(r, true)
 			brier, silentBrier := r.Estimate.BrierSum, r.SilentWatch.BrierSum
 			completeBrier, completeSilentBrier := complete.Estimate.BrierSum, complete.SilentWatch.BrierSum
 			if brier > 1.02*completeBrier || silentBrier > 1.02*completeSilentBrier {
-				found = append(found, fmt.Sprintf("Brier sum %.0f after %.0f, at silent watches %.0f after %.0f",
+				found = append(found, fmt.Sprintf("Brier sum %.0f (all terms: %.0f), at silent watches %.0f (all terms: %.0f)",
 					brier, completeBrier, silentBrier, completeSilentBrier))
 			}
 			if len(found) == 0 {
-				t.Errorf("no violation\n%s", r)
+				t.Errorf("without %s no limit is exceeded, want at least one exceeded:\n%s", term, r)
 			}
-			t.Log(found)
+			t.Logf("limits exceeded without %s: %v", term, found)
 		})
 	}
 }
 
 func TestRunIsDeterministic(t *testing.T) {
-	first := play(t, 3, 3, 60*time.Second, staleness.Settings{})
-	second := play(t, 3, 3, 60*time.Second, staleness.Settings{})
+	first := simulate(t, 3, 3, 60*time.Second, staleness.Settings{})
+	second := simulate(t, 3, 3, 60*time.Second, staleness.Settings{})
 	if first.String() != second.String() || first.Attempts == 0 {
-		t.Errorf("two plays of one seed differ:\n%s\n%s", first, second)
+		t.Errorf("two runs with seed 3 returned\n%s\nand\n%s\nwant equal results with attempts", first, second)
 	}
 }
 
 func TestProof(t *testing.T) {
 	if !*full {
-		t.Skip("without -full")
+		t.Skip("takes minutes; runs only with -full")
 	}
-	r := play(t, 31, 40, 9000*time.Second, staleness.Settings{})
+	r := simulate(t, 31, 40, 9000*time.Second, staleness.Settings{})
 	found := violations(r, false)
-	t.Logf("\n%s\nviolations: %v", r, found)
+	t.Logf("\n%s\nlimits exceeded: %v", r, found)
 	for _, violation := range found {
 		t.Error(violation)
 	}
 	for _, term := range terms {
-		r := play(t, 31, 40, 3000*time.Second, staleness.Settings{}.Without(term))
+		r := simulate(t, 31, 40, 3000*time.Second, staleness.Settings{}.Without(term))
 		found := violations(r, false)
-		t.Logf("without %s: worst decile %.3f, bound holds %.5f, missed changes %.5f: %v",
+		t.Logf("without %s: worst decile bias %.3f, coverage %.5f, coverage of missed changes %.5f, limits exceeded: %v",
 			term, r.Estimate.WorstBias(), r.Estimate.Coverage(), r.Estimate.CoverageOfMissed(), found)
 		if len(found) == 0 {
-			t.Errorf("without %s: no violation", term)
+			t.Errorf("without %s no limit is exceeded, want at least one exceeded", term)
 		}
 	}
 }
--- a/internal/staleness/snapshot_test.go
+++ b/internal/staleness/snapshot_test.go
@@ -24,7 +24,8 @@
 	if _, permitted := s.Entry(handle, NotIdempotent); !permitted {
 		t.Error("Entry(s3 of a fresh route, not idempotent) = not permitted, want permitted")
 	}
-	must(t, "ApplyUpdate", v.ApplyUpdate(61*sec, "list", Update{Version: 2, Changes: []Change{{Entry: server("s3", 2)}}}))
+	restarted := Update{Version: 2, Changes: []Change{{Entry: server("s3", 2)}}}
+	must(t, "ApplyUpdate", v.ApplyUpdate(61*sec, "list", restarted))
 	if _, permitted := v.Tick(61*sec).Entry(handle, Idempotent); permitted {
 		t.Error("Entry(handle of the replaced incarnation of s3) = permitted, want not permitted")
 	}
