--- a/internal/staleness/age.go
+++ b/internal/staleness/age.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Age is an upper bound on how old the content of a source is: it was current at some moment that is not longer ago.
-// If known is false the bound has no meaning. It is the age of information of Kaul, Yates and Gruteser (INFOCOM 2012).
+// Age returns an upper bound on the age of a source's content: the content was current at some moment within the last
+// bound. If known is false, bound has no meaning. Age is the age of information as defined by Kaul, Yates and Gruteser
+// (INFOCOM 2012).
 func (v *View) Age(now time.Duration, name string) (bound time.Duration, known bool) {
 	s := v.sourceByName[name]
 	if s == nil || !s.ageKnown {
@@ -15,7 +16,7 @@
 	v.advance(s, now)
 	transit := v.settings.MaxTransit
 	bound = now - s.currentAt + transit
-	// While a later version is known elsewhere, what arrives here does not make the content current.
+	// While another party has a later version, messages from the source do not prove that the content is current.
 	if s.supersededSince != never && s.confirmedAt != never {
 		bound = max(bound, now-s.confirmedAt+transit)
 	}
@@ -30,9 +31,9 @@
 	return bound, true
 }
 
-// RecordSuspension notes that this process did not run for the gap before now (SIGSTOP, a suspended machine), which
-// callers see as a jump of the clock between two ticks. Silence in the gap says nothing about the watch, and what
-// arrives right after it was sent during the gap.
+// RecordSuspension records that this process did not run for the gap before now (SIGSTOP, a suspended machine), which
+// callers detect as a jump of the clock between two ticks. Silence during the gap is no evidence about the watch, and
+// messages that arrive right after the gap were sent during it.
 func (v *View) RecordSuspension(now, gap time.Duration) {
 	if gap <= 0 || v.settings.omitted == termSuspension {
 		return
@@ -55,13 +56,14 @@
 	}
 }
 
+// forgetHeartbeats resets the delay estimate, so that the next heartbeat counts as the first one.
 func (s *trackedSource) forgetHeartbeats() {
 	s.heartbeatAt = never
 	s.heartbeatDelay = 0
 }
 
-// Restore begins with content that an earlier process kept savedAge ago; negative if the age is unknown. What was
-// learned of rates and gaps stays.
+// Restore marks the content as restored from an earlier process, of the given age; a negative savedAge stands for an
+// unknown age. Learned change rates and gaps are kept.
 func (v *View) Restore(now, savedAge time.Duration) {
 	for _, s := range v.sources {
 		if v.settings.omitted == termRestart {
@@ -93,7 +95,7 @@
 	}
 }
 
-// restoreAsCurrent takes restored content for current.
+// restoreAsCurrent treats restored content as current; the calibration uses it to omit termRestart.
 func (s *trackedSource) restoreAsCurrent(now time.Duration) {
 	s.ageKnown = true
 	s.heardAt = now
@@ -107,7 +109,7 @@
 	maxAssumedAge = time.Hour
 )
 
-// assumeUnknownAge spreads the weight over ages from a second to an hour, younger ones likelier.
+// assumeUnknownAge distributes the weight over ages from one second to one hour; younger ages get more weight.
 func (f *filter) assumeUnknownAge(now time.Duration) {
 	f.silent = f.silent[:0]
 	for age := maxAssumedAge; age >= minAssumedAge; age /= 2 {
--- a/internal/staleness/calibrate/calibrate_test.go
+++ b/internal/staleness/calibrate/calibrate_test.go
@@ -27,8 +27,8 @@
 }
 
 // violations returns a text for each limit that a result exceeds. Short simulations have few attempts in the middle
-// deciles, and these attempts are correlated because about forty of them fall into the same silence. If short is set, the
-// bias of a decile may therefore exceed its limit by three standard errors, computed for a quarter of its attempts.
+// deciles, and these attempts are correlated because about forty of them fall into the same silence. If short is set,
+// the bias of a decile may therefore exceed its limit by three standard errors, computed for a quarter of its attempts.
 func violations(r *Result, short bool) []string {
 	var all []string
 	check := func(violated bool, format string, args ...any) {
@@ -45,14 +45,15 @@
 			mean := d.EstimateSum / float64(d.Attempts)
 			maxBias += 3 * math.Sqrt(mean*(1-mean)*4/float64(d.Attempts))
 		}
-		check(math.Abs(d.Bias()) > maxBias, "decile %d has bias %+.3f, want at most %.3f", i, d.Bias(), maxBias)
+		check(math.Abs(d.Bias()) > maxBias, "decile %d has bias %+.3f, want at most %.3f in size", i, d.Bias(), maxBias)
 	}
 	top, maxBias := r.SilentWatch.Deciles[9], .005
 	if short {
 		maxBias = .02
 	}
 	e := &r.Estimate
-	check(math.Abs(top.Bias()) > maxBias, "top decile at silent watches has bias %+.4f, want at most %.3f", top.Bias(), maxBias)
+	check(math.Abs(top.Bias()) > maxBias,
+		"top decile at silent watches has bias %+.4f, want at most %.3f in size", top.Bias(), maxBias)
 	coverage := e.CoverageWithoutStaleAnswers()
 	check(coverage < .999, "part of age bounds that hold without stale answers is %.4f, want at least .999", coverage)
 	check(e.CoverageOfMissed() < .999,
@@ -70,7 +71,8 @@
 		t.Error(violation)
 	}
 	if r.Attempts < 12_000 || r.SilentWatch.Deciles[9].Attempts < 1000 || r.Estimate.Ages < 5_000 {
-		t.Errorf("%d attempts, %d at silent watches in the top decile, %d age checks, want at least 12000, 1000 and 5000",
+		t.Errorf("%d attempts, %d at silent watches in the top decile, %d age checks, "+
+			"want at least 12000, 1000 and 5000",
 			r.Attempts, r.SilentWatch.Deciles[9].Attempts, r.Estimate.Ages)
 	}
 	if r.Baseline.Coverage() > .99 {
@@ -94,13 +96,13 @@
 			t.Parallel()
 			r := simulate(t, 1, 2, 300*time.Second, staleness.Settings{}.Without(term))
 			if r.Attempts != complete.Attempts {
-				t.Fatalf("without %s: %d attempts, want the same %d as with all terms", term, r.Attempts, complete.Attempts)
+				t.Fatalf("without %s: %d attempts, want %d as with all terms", term, r.Attempts, complete.Attempts)
 			}
 			found := violations(r, true)
 			brier, silentBrier := r.Estimate.BrierSum, r.SilentWatch.BrierSum
 			completeBrier, completeSilentBrier := complete.Estimate.BrierSum, complete.SilentWatch.BrierSum
 			if brier > 1.02*completeBrier || silentBrier > 1.02*completeSilentBrier {
-				found = append(found, fmt.Sprintf("Brier sum %.0f (all terms: %.0f), at silent watches %.0f (all terms: %.0f)",
+				found = append(found, fmt.Sprintf("Brier sum %.0f (complete: %.0f), silent watches %.0f (complete: %.0f)",
 					brier, completeBrier, silentBrier, completeSilentBrier))
 			}
 			if len(found) == 0 {
@@ -132,7 +134,7 @@
 	for _, term := range terms {
 		r := simulate(t, 31, 40, 3000*time.Second, staleness.Settings{}.Without(term))
 		found := violations(r, false)
-		t.Logf("without %s: worst decile bias %.3f, coverage %.5f, coverage of missed changes %.5f, limits exceeded: %v",
+		t.Logf("without %s: worst decile bias %.3f, coverage %.5f, of missed changes %.5f, limits exceeded: %v",
 			term, r.Estimate.WorstBias(), r.Estimate.Coverage(), r.Estimate.CoverageOfMissed(), found)
 		if len(found) == 0 {
 			t.Errorf("without %s no limit is exceeded, want at least one exceeded", term)
--- a/internal/staleness/confidence.go
+++ b/internal/staleness/confidence.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// maxAdvance is the longest time that may pass before a filter is advanced. Callers that ask more often get the
-	// filter as it stands, which bounds their cost.
+	// maxAdvance is the maximum time between two advances of a filter. Calls before that use the filter without an
+	// advance, which bounds their cost.
 	maxAdvance = 50 * time.Millisecond
 	// maxAdvanceSteps bounds the steps of one advance after a long time.
 	maxAdvanceSteps = 32
-	// minAdvanceDivisor sets the part of the usual gap that must pass before a filter is advanced, if that is less
+	// minAdvanceDivisor sets the part of the usual gap that must pass before a filter is advanced, if that is shorter
 	// than maxAdvance.
 	minAdvanceDivisor = 20
-	// stepsPerGap is how many steps of an advance the usual gap between two messages has.
+	// stepsPerGap is the number of steps into which an advance divides the usual gap between two messages.
 	stepsPerGap = 4
-	// priorSilentWatches is the weight of Settings.SilentWatchRate, in silent watches.
+	// priorSilentWatches is the weight of Settings.SilentWatchRate, as a number of observed silent watches.
 	priorSilentWatches = .5
 	// priorDelaySeconds is the mean delay of a change, with the weight of one change, before any was observed.
 	priorDelaySeconds = .2
-	// minHypothesisWeight is the weight below which a hypothesis does not change a confidence.
+	// minHypothesisWeight is the weight below which a hypothesis is ignored in a confidence.
 	minHypothesisWeight = 1e-5
 	// maxCertainty keeps a probability below 1, so that evidence can contradict it.
 	maxCertainty = 1 - 1e-6
 )
 
-// Confidence is the probability that an entry is as listed, so that acting on it now is right. It is 0 for an entry
-// that is not listed.
+// Confidence returns the probability that an entry is as listed, so that acting on it now is right. It returns 0 for an
+// entry that is not listed.
 func (v *View) Confidence(now time.Duration, name string) float64 {
 	e := v.entries[name]
 	if e == nil {
@@ -37,12 +37,13 @@
 	return v.confidence(e, now)
 }
 
-// advance brings a source's filter up to now: the silence since the last step makes a silent watch more likely.
+// advance updates a source's filter for the time since the last advance. The silence in it makes a silent watch more
+// likely.
 func (v *View) advance(s *trackedSource, now time.Duration) {
 	if now-s.advancedTo < min(s.gaps.Percentile90()/minAdvanceDivisor, maxAdvance) {
 		return
 	}
-	if s.heardAt == never { // only restored content, which is not followed anyway
+	if s.heardAt == never { // no message yet: restored content is not followed
 		s.advancedTo = now
 		return
 	}
@@ -71,20 +72,20 @@
 	}
 }
 
-// silentWatchRate is the learned rate, per second, at which the source's watch falls silent.
+// silentWatchRate returns the learned rate, per second, at which the source's watch falls silent.
 func (v *View) silentWatchRate(s *trackedSource) float64 {
 	priorSeconds := priorSilentWatches / v.settings.SilentWatchRate
 	return (priorSilentWatches + s.silentWatches) / (priorSeconds + s.watchedSeconds)
 }
 
-// meanDelay is for how many seconds an entry of a live view is wrong before its change arrives, on average over all
-// changes, including those that never arrive.
+// meanDelay returns the mean time, in seconds, for which an entry of a live view is wrong before its change arrives.
+// Changes that never arrive are included.
 func (s *trackedSource) meanDelay() float64 {
 	return (priorDelaySeconds + s.wrongWhileLive) / (1 + s.hazardWhileLive)
 }
 
-// survival is the probability that an entry is unchanged if the content is that of the moment at, and the cumulative
-// hazard that it went through.
+// survival returns the probability that an entry is unchanged if the content was last current at the time at, and the
+// entry's cumulative hazard since then.
 func (v *View) survival(e *trackedEntry, now, at time.Duration) (probability, hazard float64) {
 	checkedAt := max(e.confirmedAt, e.checkedAt)
 	if v.settings.omitted == termRate { // the mean of the default prior for every kind
@@ -100,7 +101,7 @@
 	return e.kind.rate.Survival(hazard), hazard
 }
 
-// survivalLive is the probability that an entry is unchanged if its source is followed live.
+// survivalLive returns the probability that an entry is unchanged if its source is followed live.
 func (v *View) survivalLive(e *trackedEntry, now time.Duration) float64 {
 	delay := e.source.meanDelay()
 	if e.confirmedAt != never {
@@ -109,7 +110,7 @@
 	return math.Exp(-e.kind.rate.Current() * max(0, delay))
 }
 
-// survivalUnfollowed is the probability that an entry is unchanged if its source is not followed.
+// survivalUnfollowed returns the probability that an entry is unchanged if its source is not followed.
 func (v *View) survivalUnfollowed(e *trackedEntry, now time.Duration) float64 {
 	probability, weight := 0.0, 0.0
 	for _, hypotheses := range e.source.filter.unfollowed() {
@@ -134,7 +135,7 @@
 	return factor * probability / (factor*probability + 1 - probability)
 }
 
-// confidence is the probability that an entry is as listed, by the filter as it stands.
+// confidence returns the probability that an entry is as listed, without advancing the filter.
 func (v *View) confidence(e *trackedEntry, now time.Duration) float64 {
 	f := &e.source.filter
 	confidence := f.live * applyOdds(v.survivalLive(e, now), e.odds)
--- a/internal/staleness/evidence.go
+++ b/internal/staleness/evidence.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// FailureKind is how a call or a watch failed.
+// FailureKind says how a call or a watch failed.
 type FailureKind int
 
 const (
-	// WatchBroken is a watch that has ended: nothing arrives until there is a new one.
+	// WatchBroken is a watch whose connection ended: nothing arrives until there is a new watch.
 	WatchBroken FailureKind = iota
-	// CallTimedOut is a call beside the watch that got no answer.
+	// CallTimedOut is a call for the list, outside the watch, that got no answer.
 	CallTimedOut
 )
 
-// EvidenceKind is what contradicts a view.
+// EvidenceKind is a kind of evidence that contradicts a view.
 type EvidenceKind int
 
 const (
 	// Refused is a listed server that refuses the connection or rejects a request as not its own. Servers that are as
-	// believed sometimes do so too.
+	// listed sometimes do so too.
 	Refused EvidenceKind = iota
-	// OtherIncarnation is another process at an entry's address.
+	// OtherIncarnation is an answer by another process at an entry's address.
 	OtherIncarnation
-	// TokenRejected is a server that knows a later fencing token than the one that was sent.
+	// TokenRejected is a server that has seen a later fencing token than the one in the request.
 	TokenRejected
-	// LaterVersion is a control-plane server or peer that knows a later version. It contradicts the source, not an
-	// entry.
+	// LaterVersion is a control-plane server or peer that has a later version of the list. It contradicts the source,
+	// not an entry.
 	LaterVersion
 
 	evidenceKinds = 4
@@ -37,47 +37,49 @@
 type Evidence struct {
 	Kind    EvidenceKind
 	Entry   string // empty for LaterVersion
-	Version uint64 // that the other party knows, for LaterVersion; 0 if it did not say
+	Version uint64 // the other party's version, for LaterVersion; 0 if unknown
 }
 
 const (
-	// falseContradiction is the probability that an entry that is as listed shows another incarnation.
+	// falseContradiction is the probability that an entry that is as listed reports another incarnation.
 	falseContradiction = 1e-9
 	// falseTokenRejection is the probability that an entry that is as listed rejects a token.
 	falseTokenRejection = .005
-	// priorFalseRefusals of priorConfirmations is the part of answers that are false refusals before any was observed.
+	// priorFalseRefusals divided by priorConfirmations is the assumed part of false refusals among the answers of
+	// servers that are as listed, before any was observed.
 	priorFalseRefusals = .5
 	priorConfirmations = 50
 	// priorContradictions is the weight of each kind of contradiction before any was observed.
 	priorContradictions = .5
-	// minOdds is the least factor of an entry's odds.
+	// minOdds is the lower limit of the factor of an entry's odds.
 	minOdds = 1e-9
-	// liveForTrials is the probability of a live source from which attempts show how late changes arrive.
+	// liveForTrials is the probability of a live source above which attempts are used to learn how late changes arrive.
 	liveForTrials = .8
-	// timeoutFactor weighs a live or stale source after a call timed out; a silent one stays as likely.
+	// timeoutFactor multiplies the weights of a live and of a stale source after a call timed out; that of a silent
+	// source stays.
 	timeoutFactor = .05
-	// minSourceSurvival bounds what a confirmation can take from a hypothesis.
+	// minSourceSurvival is the minimum factor by which a confirmation multiplies the weight of a hypothesis.
 	minSourceSurvival = 1e-6
 	// maxSourceHazard bounds the exponent of a source's survival.
 	maxSourceHazard = 20
 )
 
 const (
-	// lateUpdateFactor weighs a live source whose update has been missing for half a usual gap.
+	// lateUpdateFactor multiplies the weight of a live source whose update has been missing for half a usual gap.
 	lateUpdateFactor = .01
-	// minUpdateInTransit is the least probability that a later version is an update on its way.
+	// minUpdateInTransit is the minimum probability that the update to a later version is in transit.
 	minUpdateInTransit = .002
-	// maxUpdateInTransit bounds what the change rate adds to it.
+	// maxUpdateInTransit bounds what the change rate adds to minUpdateInTransit.
 	maxUpdateInTransit = .5
-	// transitSeconds is the mean time that an update is on its way.
+	// transitSeconds is the mean transit time of an update.
 	transitSeconds = .1
 	// staleSourceWeight is the weight of the hypothesis that the source answers with stale data, if there is none yet.
 	staleSourceWeight = .01
-	// maxStaleAge bounds the age of that hypothesis.
+	// maxStaleAge is the maximum age of the hypothesis that gets staleSourceWeight.
 	maxStaleAge = time.Minute
 )
 
-// RecordFailure notes a call or a watch that failed. The error is UnknownSourceError.
+// RecordFailure records that a call to a source or its watch failed. The error is UnknownSourceError.
 func (v *View) RecordFailure(now time.Duration, name string, how FailureKind) error {
 	s, err := v.source(name)
 	if err != nil || !s.ageKnown {
@@ -100,8 +102,8 @@
 	return nil
 }
 
-// RecordContradiction weighs evidence against the view. Evidence about an entry that is not listed is ignored. The
-// error is UnknownSourceError.
+// RecordContradiction updates the view with evidence against it. Evidence about an entry that is not listed is ignored.
+// The error is UnknownSourceError.
 func (v *View) RecordContradiction(now time.Duration, name string, evidence Evidence) error {
 	s, err := v.source(name)
 	if err != nil {
@@ -127,7 +129,7 @@
 func (v *View) contradictEntry(e *trackedEntry, now time.Duration, kind EvidenceKind) {
 	ifUnchanged := v.contradictionIfUnchanged(kind)
 	ifChanged := v.contradictionIfChanged(kind)
-	if e.odds == 1 { // further contradictions of an entry repeat the first: they show nothing new about the source
+	if e.odds == 1 { // later contradictions of the same entry add no evidence about the source
 		e.falseAlarm = applyOdds(v.confidence(e, now), ifUnchanged/ifChanged)
 		e.unfollowedSurvival = v.survivalUnfollowed(e, now)
 		v.contradictions[kind] += 1 - e.falseAlarm
@@ -141,7 +143,7 @@
 	e.checkedAt = now
 }
 
-// contradictionIfUnchanged is the probability of a contradiction by an entry that is as listed.
+// contradictionIfUnchanged returns the probability of this kind of contradiction by an entry that is as listed.
 func (v *View) contradictionIfUnchanged(kind EvidenceKind) float64 {
 	switch kind {
 	case Refused:
@@ -152,7 +154,7 @@
 	return falseContradiction
 }
 
-// contradictionIfChanged is the probability that a changed entry shows itself by this kind of contradiction.
+// contradictionIfChanged returns the probability that a changed entry causes this kind of contradiction.
 func (v *View) contradictionIfChanged(kind EvidenceKind) float64 {
 	total := 1 + v.contradictions[Refused] + v.contradictions[OtherIncarnation] + v.contradictions[TokenRejected]
 	return (priorContradictions + v.contradictions[kind]) / total
@@ -180,8 +182,8 @@
 	}
 }
 
-// recordLaterVersion weighs that another party knows a later version: an update is on its way, or the source is not
-// followed.
+// recordLaterVersion updates the filter after another party reported a later version: either the update is in transit,
+// or the source is not followed.
 func (v *View) recordLaterVersion(s *trackedSource, now time.Duration, version uint64) {
 	if version != 0 && version <= s.version {
 		return
@@ -205,9 +207,9 @@
 	s.filter.update(live, func(hypothesis, bool) float64 { return 1 })
 }
 
-// RecordConfirmation notes that an entry answered as listed: the same process, which accepted the token. With an
-// empty entry, a control-plane server or peer that knows the source by another way holds the same version. The error
-// is UnknownSourceError.
+// RecordConfirmation records that an entry answered as listed: it is the same process, and it accepted the token. An
+// empty entry stands for the source: a control-plane server or peer, which follows the source on its own, has the same
+// version. The error is UnknownSourceError.
 func (v *View) RecordConfirmation(now time.Duration, name, entry string) error {
 	s, err := v.source(name)
 	if err != nil {
@@ -241,7 +243,7 @@
 	e.odds = 1
 }
 
-// confirmSource notes that the content is current, whether the source is followed or not.
+// confirmSource records that the content is current, whether the source is followed or not.
 func (v *View) confirmSource(s *trackedSource, now time.Duration) {
 	s.filter.update(1, func(h hypothesis, _ bool) float64 {
 		survival := 1.0
--- a/internal/staleness/filter.go
+++ b/internal/staleness/filter.go
@@ -6,33 +6,34 @@
 )
 
 const (
-	// maxHypotheses bounds the hypotheses per cause.
+	// maxHypotheses bounds the hypotheses per state (silent or stale).
 	maxHypotheses = 14
 	// minWeight is the weight at which a hypothesis is dropped.
 	minWeight = 1e-9
-	// minTotal is the total weight below which what was observed is impossible under every cause.
+	// minTotal is the total weight below which an observation counts as impossible in every state: the weights are then
+	// not normalized.
 	minTotal = 1e-200
 	// staleAfterChanges is the part of the stale weight that remains when changes arrive: a stale source may send them.
 	staleAfterChanges = .05
 	// mergeAgeSeconds keeps the merge cost of very recent hypotheses finite.
 	mergeAgeSeconds = .1
-	// minMergeWeight makes the merge cost of hypotheses without weight depend on their distance in time.
+	// minMergeWeight makes the merge cost of hypotheses of almost no weight depend on their distance in time.
 	minMergeWeight = 1e-12
 )
 
-// hypothesis is that a view holds the truth of one moment and nothing newer.
+// hypothesis assumes that the content of a source was last current at one moment.
 type hypothesis struct {
-	at     time.Duration
-	weight float64
+	at     time.Duration // the moment at which the content was last current
+	weight float64       // probability
 }
 
 // filter is the posterior over the state of a source. It is the Bayes filter of a Markov chain with transitions from
-// live to silent, from live to stale and from stale back to live, over a bounded number of moments. The weights sum to
-// 1.
+// live to silent, from live to stale and from stale back to live. The silent and the stale state are divided by the
+// moment at which the content was last current, into a bounded number of hypotheses. All weights add up to 1.
 type filter struct {
-	live   float64      // the source is followed
-	silent []hypothesis // nothing arrives: a dead watch, a one-way partition, an outage; by time
-	stale  []hypothesis // answers arrive and carry old data; by time
+	live   float64      // probability that the source is followed live
+	silent []hypothesis // nothing arrives: a dead watch, a one-way partition, an outage; in order of time
+	stale  []hypothesis // answers arrive and carry old data; in order of time
 }
 
 // transitionRates are the filter's hazards, per second.
@@ -42,7 +43,7 @@
 	recovery float64 // stale to live
 }
 
-// unfollowed is the hypotheses under which the source is not followed.
+// unfollowed returns the hypotheses under which the source is not followed.
 func (f *filter) unfollowed() [2][]hypothesis { return [2][]hypothesis{f.silent, f.stale} }
 
 func (f *filter) total() float64 {
@@ -56,7 +57,8 @@
 	return total
 }
 
-// update multiplies each weight by the likelihood of an observation and normalizes.
+// update multiplies each weight by the likelihood of an observation and normalizes. live is the likelihood if the
+// source is followed live.
 func (f *filter) update(live float64, likelihood func(h hypothesis, silent bool) float64) {
 	f.live *= live
 	for i := range f.silent {
@@ -78,7 +80,7 @@
 	f.stale = normalizeHypotheses(f.stale, total)
 }
 
-// normalizeHypotheses divides weights by their total and drops what is too light, in place.
+// normalizeHypotheses divides the weights by the total and drops hypotheses below minWeight, in place.
 func normalizeHypotheses(hypotheses []hypothesis, total float64) []hypothesis {
 	kept := hypotheses[:0]
 	for _, h := range hypotheses {
@@ -91,7 +93,7 @@
 }
 
 // addHypothesis appends a hypothesis, which must not be earlier than the others. Beyond maxHypotheses it merges the two
-// neighbors whose merge changes least.
+// neighbors with the lowest mergeCost.
 func addHypothesis(hypotheses []hypothesis, at time.Duration, weight float64, now time.Duration) []hypothesis {
 	if weight <= 0 {
 		return hypotheses
@@ -110,7 +112,7 @@
 	return append(hypotheses[:cheapest+1], hypotheses[cheapest+2:]...)
 }
 
-// mergeCost grows with the weights and with the distance in time, relative to the age.
+// mergeCost returns a cost that grows with the weights and with the distance in time relative to the age.
 func mergeCost(earlier, later hypothesis, now time.Duration) float64 {
 	weight := earlier.weight*later.weight/(earlier.weight+later.weight) + minMergeWeight
 	distance := (later.at - earlier.at).Seconds() / (mergeAgeSeconds + (now - later.at).Seconds())
@@ -123,8 +125,8 @@
 	return hypothesis{at: earlier.at + offset, weight: weight}
 }
 
-// advance lets a time pass in which nothing arrived. stillSilent is the probability that a live watch is silent
-// throughout.
+// advance updates the weights for a time span without messages. stillSilent is the probability that a live watch sends
+// nothing in the whole span.
 func (f *filter) advance(from, to time.Duration, stillSilent float64, rates transitionRates) {
 	seconds := (to - from).Seconds()
 	if seconds <= 0 {
@@ -146,7 +148,8 @@
 	f.normalize()
 }
 
-// received refutes a silent watch, and if the message carried changes most of the weight of stale answers.
+// received updates the weights after a message: the watch is not silent, and if the message carried changes, most of
+// the weight of the stale hypotheses moves to live.
 func (f *filter) received(changes bool) {
 	for _, h := range f.silent {
 		f.live += h.weight
@@ -161,21 +164,21 @@
 	f.normalize()
 }
 
-// silence turns what was live into silent since the moment at.
+// silence moves the weight of live to the hypothesis that the watch has been silent since the moment at.
 func (f *filter) silence(at, now time.Duration) {
 	f.silent = addHypothesis(f.silent, at, f.live, now)
 	f.live = 0
 	f.normalize()
 }
 
-// collapse puts all weight on the hypothesis that the view holds the truth of one moment.
+// collapse puts all weight on the hypothesis that the content was last current at one moment.
 func (f *filter) collapse(at time.Duration) {
 	f.live = 0
 	f.silent = append(f.silent[:0], hypothesis{at: at, weight: 1})
 	f.stale = f.stale[:0]
 }
 
-// silentWeight is the probability that the watch is silent.
+// silentWeight returns the probability that the watch is silent.
 func (f *filter) silentWeight() float64 {
 	weight := 0.0
 	for _, h := range f.silent {
--- a/internal/staleness/fleet_map.go
+++ b/internal/staleness/fleet_map.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// MapSettings are a control-plane server's settings of a FleetMap.
+// MapSettings are the settings of a FleetMap.
 type MapSettings struct {
-	MaxTransit     time.Duration // the longest time that a report takes; later ones must not be recorded
+	MaxTransit     time.Duration // maximum transit time of a report; later reports must not be recorded
 	ReportInterval time.Duration // between two reports of a proxy
-	ClockDrift     float64       // of one monotonic clock against another, as a fraction such as .001
-	ClockJitter    time.Duration // error of reading a clock; smaller contradictions are no fault
+	ClockDrift     float64       // maximum drift between two monotonic clocks, as a fraction such as .001
+	ClockJitter    time.Duration // maximum error of reading a clock; smaller deviations are no fault
 }
 
 const (
@@ -24,14 +24,14 @@
 	reportsToClear = 3
 	// silentAfterReports is the number of report intervals after which a proxy's last report no longer counts.
 	silentAfterReports = 3
-	// trustPerInterval is the part of a reported confidence that still counts after one report interval.
+	// trustPerInterval is the factor by which trust in a reported confidence decreases in each report interval.
 	trustPerInterval = .9
 )
 
 // supersededVersion is a version that was replaced.
 type supersededVersion struct {
 	version uint64
-	at      time.Duration // from then on a later version was current
+	at      time.Duration // when a later version became current
 }
 
 // proxyState is the last report of a proxy and the faults in it.
@@ -40,18 +40,18 @@
 	receivedAt       time.Duration
 	faults           []error
 	plausibleReports int           // in a row
-	firstClock       time.Duration // the proxy's clock in the report with which its pace is compared
+	firstClock       time.Duration // the proxy's clock in the report with which its speed is compared
 	firstClockAt     time.Duration // when that report arrived
 }
 
-// compareClockFrom begins to compare the pace of a proxy's clock.
+// compareClockFrom sets the report with which the speed of the proxy's clock is compared.
 func (p *proxyState) compareClockFrom(clock, now time.Duration) {
 	p.firstClock = clock
 	p.firstClockAt = now
 }
 
-// FleetMap is a control-plane server's knowledge of the views of all proxies. The time that its methods take is the
-// server's monotonic clock. It must not be used by two goroutines at once.
+// FleetMap holds what a control-plane server knows about the views of all proxies. The now arguments of its methods are
+// times of the server's monotonic clock. It must not be used by two goroutines at once.
 type FleetMap struct {
 	settings   MapSettings
 	current    map[string]uint64              // version by source
@@ -59,7 +59,7 @@
 	proxies    map[string]*proxyState
 }
 
-// NewFleetMap makes a map that knows nothing. Errors are InvalidSettingsError, joined.
+// NewFleetMap returns an empty map. The error joins an InvalidSettingsError for each invalid setting.
 func NewFleetMap(settings MapSettings) (*FleetMap, error) {
 	var c settingsCheck
 	c.reject(settings.MaxTransit <= 0, "transit", "must be above 0")
@@ -77,8 +77,8 @@
 	}, nil
 }
 
-// RecordVersion notes that a version of a source is current now, so that earlier ones are superseded. Learning it late
-// makes claims look better, never worse.
+// RecordVersion records that a version of a source is current now, so that earlier versions are superseded. A late call
+// can make an implausible claim look plausible, but never the reverse.
 func (m *FleetMap) RecordVersion(now time.Duration, source string, version uint64) {
 	previous, known := m.current[source]
 	if known && version <= previous {
@@ -91,7 +91,7 @@
 	m.current[source] = version
 }
 
-// supersededAt is when the server learned that a version was no longer current.
+// supersededAt returns when the server learned that a version was no longer current.
 func (m *FleetMap) supersededAt(source string, version uint64) (at time.Duration, superseded bool) {
 	versions := m.superseded[source]
 	i, _ := slices.BinarySearchFunc(versions, version, func(s supersededVersion, version uint64) int {
@@ -103,8 +103,8 @@
 	return versions[i].at, true
 }
 
-// RecordReport takes in a proxy's report. Errors are ImplausibleClaimError, joined. After one the proxy counts as
-// unknown until three plausible reports in a row.
+// RecordReport stores a proxy's report. The error joins an ImplausibleClaimError for each implausible claim. After an
+// error the proxy counts as unknown until three plausible reports in a row.
 func (m *FleetMap) RecordReport(now time.Duration, report Report) error {
 	p := m.proxies[report.Proxy]
 	if p == nil {
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// checkClock compares the pace of a proxy's clock with the server's. A clock that stands still makes every age look
-// smaller, and nothing else shows it.
+// checkClock compares the speed of a proxy's clock with that of the server's clock. A stopped clock makes every age
+// look smaller, and no other check detects it.
 func (m *FleetMap) checkClock(p *proxyState, now time.Duration, report Report) error {
 	elapsed := now - p.firstClockAt
 	deviation := (report.Clock - p.firstClock - elapsed).Abs()
@@ -178,7 +178,7 @@
 	return fault
 }
 
-// Fault is why a proxy counts as unknown: ImplausibleClaimError, joined, or nil.
+// Fault returns why a proxy counts as unknown: joined ImplausibleClaimErrors, or nil if it has no fault.
 func (m *FleetMap) Fault(proxy string) error {
 	if p := m.proxies[proxy]; p != nil {
 		return errors.Join(p.faults...)
@@ -186,10 +186,10 @@
 	return nil
 }
 
-// Forget drops a proxy that has left the fleet.
+// Forget removes a proxy that has left the fleet.
 func (m *FleetMap) Forget(proxy string) { delete(m.proxies, proxy) }
 
-// trusted is a proxy's state if its last report counts, or nil.
+// trusted returns a proxy's state if its last report is recent and it has no faults, and nil otherwise.
 func (m *FleetMap) trusted(now time.Duration, proxy string) *proxyState {
 	p := m.proxies[proxy]
 	if p == nil || len(p.faults) > 0 || now-p.receivedAt > silentAfterReports*m.settings.ReportInterval {
@@ -198,14 +198,14 @@
 	return p
 }
 
-// AgeRange bounds how old a proxy's content of a source is. If Known is false nothing is known.
+// AgeRange bounds the age of a proxy's content of a source. If Known is false, Min and Max have no meaning.
 type AgeRange struct {
 	Known    bool
 	Min, Max time.Duration
 }
 
-// Age is how old a proxy's content of a source is. Min is above 0 only at the moment of the report, because the proxy
-// may have received an update since.
+// Age returns the bounds of the age of a proxy's content of a source. Min is above 0 only at the time of the report,
+// because the proxy may have received an update since.
 func (m *FleetMap) Age(now time.Duration, proxy, source string) AgeRange {
 	p := m.trusted(now, proxy)
 	if p == nil {
@@ -226,17 +226,17 @@
 	return age
 }
 
-// ProxyRoute is a route at a proxy.
+// ProxyRoute is the state of a route at one proxy.
 type ProxyRoute struct {
 	Proxy string
 	Known bool
-	Level Level // as reported; without meaning if Known is false
-	// MinConfidence and MaxConfidence bound the probability that acting on the route's list there is right.
+	Level Level // as reported; meaningless if Known is false
+	// MinConfidence and MaxConfidence bound the probability that acting on the proxy's list for the route is right.
 	MinConfidence, MaxConfidence float64
 }
 
-// Route is a route at all proxies, by the proxy's name. A proxy that reported nothing of the route, has faults or has
-// fallen silent is not Known. The bounds widen with the time since the report.
+// Route returns the state of a route at all proxies, sorted by the proxy's name. Known is false for a proxy that did
+// not report the route, has faults, or has stopped reporting. The bounds widen with the time since the report.
 func (m *FleetMap) Route(now time.Duration, route string) []ProxyRoute {
 	var all []ProxyRoute
 	for _, name := range slices.Sorted(maps.Keys(m.proxies)) {
@@ -249,7 +249,7 @@
 	return all
 }
 
-// applyClaims takes what a proxy's report says of a route.
+// applyClaims fills entry with the claim for a route in a proxy's last report.
 func (m *FleetMap) applyClaims(entry *ProxyRoute, p *proxyState, now time.Duration, route string) {
 	intervals := (now - p.receivedAt + m.settings.MaxTransit).Seconds() / m.settings.ReportInterval.Seconds()
 	slack := 1 - math.Pow(trustPerInterval, intervals)
@@ -264,13 +264,13 @@
 	}
 }
 
-// LevelCounts are the numbers of proxies by the level of a route, and of those of which nothing is known.
+// LevelCounts holds the number of proxies at each level of a route, and of proxies whose level is unknown.
 type LevelCounts struct {
 	Unknown int
 	ByLevel [Confirmed + 1]int
 }
 
-// Count counts proxies by the level of a route.
+// Count returns the number of proxies at each level of a route.
 func (m *FleetMap) Count(now time.Duration, route string) LevelCounts {
 	var counts LevelCounts
 	for _, p := range m.Route(now, route) {
--- a/internal/staleness/gaps.go
+++ b/internal/staleness/gaps.go
@@ -9,15 +9,15 @@
 const (
 	// gapWindow is the number of gaps that are remembered.
 	gapWindow = 64
-	// minGaps is the number of gaps from which percentiles are taken from them.
+	// minGaps is the number of observed gaps from which percentiles are computed; below it the expected gap is used.
 	minGaps = 4
-	// gapPrior is the weight, in gaps, of the exponential prior: some gap will be longer than all before it.
+	// gapPrior is the weight, in gaps, of the exponential prior, which allows for a gap longer than all observed ones.
 	gapPrior = 0.25
-	// gapBlurFraction is by how much a gap may exceed one that was observed, on average, as a part of the usual gap.
+	// gapBlurFraction is the mean excess of a gap over an observed one, as a part of the usual gap.
 	gapBlurFraction = .1
 	// maxBlurs is the excess, in blurs, beyond which an observed gap no longer counts.
 	maxBlurs = 12
-	// minHeartbeatInterval is the least interval between messages.
+	// minHeartbeatInterval is the minimum interval between messages.
 	minHeartbeatInterval = 10 * time.Millisecond
 	// minStillSilent keeps quotients of silence probabilities finite.
 	minStillSilent = 1e-250
@@ -38,13 +38,13 @@
 	expectedSeconds float64
 }
 
-// NewGapDetector begins with an expected gap, which counts as a quarter of an observed one.
+// NewGapDetector returns a detector for an expected gap, which has the weight of a quarter of an observed gap.
 func NewGapDetector(expected time.Duration) *GapDetector {
 	return &GapDetector{expectedSeconds: max(expected, minHeartbeatInterval).Seconds()}
 }
 
-// Observe adds a gap. Gaps of a watch that is thought silent, or of a suspension of this process, must not be added:
-// long silences would seem usual.
+// Observe adds a gap. Gaps of a watch that is probably silent, or that contain a suspension of this process, must not
+// be added: they would make long silences look usual.
 func (g *GapDetector) Observe(gap time.Duration) {
 	seconds := max(0, gap.Seconds())
 	if g.count == gapWindow {
@@ -61,7 +61,8 @@
 	g.next = (g.next + 1) % gapWindow
 }
 
-// Percentile90 is the usual gap: nine of ten did not exceed it. It is the expected gap until enough were observed.
+// Percentile90 returns the 90th percentile of the gaps, which the package calls the usual gap. It returns the expected
+// gap until four gaps were observed.
 func (g *GapDetector) Percentile90() time.Duration {
 	if g.count < minGaps {
 		return time.Duration(g.expectedSeconds * float64(time.Second))
@@ -69,7 +70,7 @@
 	return max(minHeartbeatInterval, time.Duration(g.sorted[g.count*9/10]*float64(time.Second)))
 }
 
-// Percentile10 is the gap that nine of ten exceeded, or 0 until enough were observed.
+// Percentile10 returns the 10th percentile of the gaps, or 0 until four gaps were observed.
 func (g *GapDetector) Percentile10() time.Duration {
 	if g.count < minGaps {
 		return 0
@@ -77,7 +78,7 @@
 	return time.Duration(g.sorted[g.count/10] * float64(time.Second))
 }
 
-// SilenceProbability is the probability that a live watch is silent for longer than a silence.
+// SilenceProbability returns the probability that a live watch sends nothing for longer than the given silence.
 func (g *GapDetector) SilenceProbability(silence time.Duration) float64 {
 	seconds := silence.Seconds()
 	if seconds <= 0 {
@@ -95,13 +96,14 @@
 	return longer / (float64(g.count) + gapPrior)
 }
 
-// stillSilent is the probability that a live watch that was silent for a time stays so until a longer time.
+// stillSilent returns the probability that a live watch which has sent nothing for the time from sends nothing until
+// the silence has the length to.
 func (g *GapDetector) stillSilent(from, to time.Duration) float64 {
 	until := max(g.SilenceProbability(to), minStillSilent)
 	return min(1, until/max(g.SilenceProbability(from), minStillSilent))
 }
 
-// Phi is -log10 of SilenceProbability.
+// Phi returns -log10 of SilenceProbability: the higher, the less likely the watch is live.
 func (g *GapDetector) Phi(silence time.Duration) float64 {
 	return -math.Log10(max(g.SilenceProbability(silence), minPhiProbability))
 }
--- a/internal/staleness/level.go
+++ b/internal/staleness/level.go
@@ -6,32 +6,34 @@
 	"time"
 )
 
-// Level is how far the content for a route may be trusted. The zero value is Blind: unknown content is not fresh.
+// Level says how far the endpoint list of a route may be trusted. The zero value is Blind: unknown content is not
+// fresh.
 type Level uint8
 
-// The levels, from the worst to the best.
+// The levels, from worst to best.
 const (
-	Blind     Level = iota // so little is known that only the floor is served
+	Blind     Level = iota // the content is too uncertain to use: only the floor is served
 	Doubtful               // requests that are not idempotent go to confirmed servers only
-	Ageing                 // usable, and older than it should be
+	Ageing                 // usable, but older than expected
 	Fresh                  // as recent as the source can be
 	Confirmed              // fresh, and at least half of the entries answered recently
 )
 
 var levelNames = [...]string{"blind", "doubtful", "ageing", "fresh", "confirmed"}
 
-// String is the level's name in reports and logs.
+// String returns the level's name in reports and logs.
 func (l Level) String() string { return levelNames[min(int(l), len(levelNames)-1)] }
 
 // Thresholds separate the levels. The zero value of a field stands for its default.
 type Thresholds struct {
-	Confirmed float64 // least confidence of the level, 0 to 1; default .98
+	Confirmed float64 // minimum confidence for the level, 0 to 1; default .98
 	Fresh     float64 // likewise; default .95
 	Ageing    float64 // likewise; default .8
 	Doubtful  float64 // likewise; default .4
 	// Margin is how far above a threshold the confidence must be for the level to rise. Default .01.
 	Margin float64
-	// RiseDelay is how long the confidence must stay there; levels fall at once. Default 2s.
+	// RiseDelay is how long the confidence must exceed a threshold by Margin before the level rises; levels fall at
+	// once. Default 2s.
 	RiseDelay time.Duration
 	// ConfirmedWithin is how recently an entry must have answered to count as confirmed. Default 10s.
 	ConfirmedWithin time.Duration
@@ -46,7 +48,7 @@
 	t.Margin = cmp.Or(t.Margin, .01)
 	t.RiseDelay = cmp.Or(t.RiseDelay, 2*time.Second)
 	t.ConfirmedWithin = cmp.Or(t.ConfirmedWithin, 10*time.Second)
-	// The conditions are negated so that they also reject what is not a number.
+	// The conditions are negated so that they also reject NaN.
 	var errs []error
 	ascending := t.Doubtful < t.Ageing && t.Ageing < t.Fresh && t.Fresh <= t.Confirmed
 	if !(0 < t.Doubtful && ascending && t.Confirmed < 1) {
@@ -62,8 +64,8 @@
 	return errors.Join(errs...)
 }
 
-// levelOf is the level of a confidence that must exceed the thresholds by a margin. confirmed tells whether enough
-// entries answered recently.
+// levelOf returns the best level whose threshold a confidence reaches by at least margin. confirmed says whether enough
+// entries answered recently for level Confirmed.
 func (t *Thresholds) levelOf(confidence, margin float64, confirmed bool) Level {
 	switch {
 	case confidence >= t.Confirmed+margin && confirmed:
--- a/internal/staleness/permission.go
+++ b/internal/staleness/permission.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Idempotency is what running a request twice does.
+// Idempotency says whether a request may run more than once.
 type Idempotency uint8
 
 // The classes of idempotency.
@@ -14,11 +14,12 @@
 	idempotencyClasses = 3
 )
 
-// Permission is where a request may go.
+// Permission says to which servers a request may go.
 type Permission uint8
 
 const (
-	// FloorOrReject rejects at once with Retry-After, or serves from the static floor of the quota. The zero value.
+	// FloorOrReject rejects at once with Retry-After, or serves from the static floor of the quota. It is the zero
+	// value.
 	FloorOrReject Permission = iota
 	// ConfirmedOnly sends only to servers that answered as listed since the level became Doubtful.
 	ConfirmedOnly
@@ -26,7 +27,7 @@
 	AnyEndpoint
 )
 
-// permissions by level and idempotency class: Idempotent, IdempotentByKey, NotIdempotent.
+// permissions is indexed by level and idempotency class: Idempotent, IdempotentByKey, NotIdempotent.
 var permissions = [...][idempotencyClasses]Permission{
 	Blind:     {FloorOrReject, FloorOrReject, FloorOrReject},
 	Doubtful:  {AnyEndpoint, AnyEndpoint, ConfirmedOnly},
@@ -35,7 +36,7 @@
 	Confirmed: {AnyEndpoint, AnyEndpoint, AnyEndpoint},
 }
 
-// PermissionFor is what a level permits for a request. Values out of range get FloorOrReject.
+// PermissionFor returns what a level permits for a request. For values out of range it returns FloorOrReject.
 func PermissionFor(level Level, idempotency Idempotency) Permission {
 	if int(level) >= len(permissions) || int(idempotency) >= idempotencyClasses {
 		return FloorOrReject
@@ -43,8 +44,9 @@
 	return permissions[level][idempotency]
 }
 
-// QuotaRequest is how much of its demand a proxy requests of a fleet-wide quota at a level: what it cannot use well is
-// left to others. At Blind it keeps a tenth, with which it probes and recovers.
+// QuotaRequest returns how much of its demand a proxy at a level requests from a fleet-wide quota, in the unit of
+// demand: the part that it cannot use well is left to other proxies. At Blind it requests a tenth, for probes and
+// recovery.
 func QuotaRequest(level Level, demand float64) float64 {
 	switch {
 	case level >= Ageing:
@@ -60,8 +62,8 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// RetryAfter is the time after which a rejected request may be worth a retry: two usual gaps of the slowest source,
-// within 1 s and 30 s.
+// RetryAfter returns the time after which a rejected request may be retried: two usual gaps of the slowest source, at
+// least 1 s and at most 30 s.
 func (v *View) RetryAfter() time.Duration {
 	longest := time.Duration(0)
 	for _, s := range v.sources {
--- a/internal/staleness/probes.go
+++ b/internal/staleness/probes.go
@@ -9,21 +9,21 @@
 // PlannedProbe is a health check of an entry, or a call for a source's complete list.
 type PlannedProbe struct {
 	Source string
-	Entry  string  // empty for a call
-	Gain   float64 // by which probes and calls each are ordered
+	Entry  string  // the entry to probe; empty for a call
+	Gain   float64 // the sort key, descending, of probes and of calls
 }
 
 const (
 	// probeCeiling is the confidence above which nothing is probed.
 	probeCeiling = .99
-	// removedProbeWeight has entries that are probably removed probed now and then.
+	// removedProbeWeight keeps the gain of entries that are probably removed above 0, so that they are probed at times.
 	removedProbeWeight = .05
-	// minUnknownGain is the least gain of a call for a source of unknown age.
+	// minUnknownGain is the minimum gain of a call for a source of unknown age.
 	minUnknownGain = 1
 )
 
-// SetPriorityWeight sets what right decisions on a route are worth: demand times the weight of a request. It is 1 until
-// set, and negative weights are ignored.
+// SetPriorityWeight sets the value of right decisions on a route: demand times the weight of a request. The default is
+// 1; negative weights are ignored.
 func (v *View) SetPriorityWeight(route string, weight float64) {
 	if weight >= 0 {
 		v.route(route).priorityWeight = weight
@@ -32,9 +32,10 @@
 
 // PlanProbes distributes a budget of probes and one of list calls to where confidence is low and priority weight high.
 //
-// The gain of a probe is the entry's part of its route's weight times (1-p)(p+.05), where p is the confidence: what is
-// certain either way teaches little. The gain of a call is the sum of the weights that are at risk because the source
-// may not be followed. Nothing is probed or called twice within a usual gap of its source.
+// The gain of a probe is the entry's part of its route's weight times (1-p)(p+.05), where p is the confidence: a probe
+// of an entry that is almost certainly unchanged or changed yields little information. The gain of a call is the sum
+// of the weights that are at risk because the source may not be followed. No entry is probed and no source is called
+// twice within a usual gap of the source.
 func (v *View) PlanProbes(now time.Duration, maxProbes, maxCalls int) []PlannedProbe {
 	probes, atRisk := v.probeCandidates(now)
 	calls := v.callCandidates(now, atRisk)
@@ -49,7 +50,8 @@
 	return append(calls, probes...)
 }
 
-// probeCandidates also returns, by source, the weight that is at risk because the source may not be followed.
+// probeCandidates returns the probes that are due, and by source the weight that is at risk because the source may not
+// be followed.
 func (v *View) probeCandidates(now time.Duration) (probes []PlannedProbe, atRisk map[string]float64) {
 	atRisk = map[string]float64{}
 	for _, e := range v.entryOrder {
@@ -82,7 +84,7 @@
 	return calls
 }
 
-// weightOf is an entry's part of its route's priority weight.
+// weightOf returns an entry's part of its route's priority weight.
 func (v *View) weightOf(e *trackedEntry) float64 {
 	r := v.routeByName[e.Route]
 	if r == nil || len(r.entries) == 0 {
@@ -91,7 +93,7 @@
 	return r.priorityWeight / float64(len(r.entries))
 }
 
-// followed is the probability that the source is followed live.
+// followed returns the probability that the source is followed live.
 func (s *trackedSource) followed() float64 {
 	if !s.ageKnown {
 		return 0
--- a/internal/staleness/receive.go
+++ b/internal/staleness/receive.go
@@ -3,30 +3,32 @@
 import "time"
 
 const (
-	// longGapFactor times the usual gap is a long one: its length says little about the rhythm of the source.
+	// longGapFactor times the usual gap is the limit above which a gap counts as long: its length says little about the
+	// regular interval of the source.
 	longGapFactor = 3
 	// silentCertainty is the probability from which a watch counts as silent.
 	silentCertainty = .9
 	// probablySilent is the probability from which the source is more likely silent than not.
 	probablySilent = .5
-	// heartbeatsToTrust is how many regular heartbeats in a row show that none was queued: a backlog does not keep the
-	// rhythm for so long.
+	// heartbeatsToTrust is the number of regular heartbeats in a row after which their delay counts as 0: heartbeats
+	// from a backlog do not arrive at regular intervals for that long.
 	heartbeatsToTrust = 3
-	// A regular heartbeat follows the one before it after minRegularFifths to maxRegularFifths fifths of the usual gap.
+	// A heartbeat is regular if it arrives between minRegularFifths and maxRegularFifths fifths of the usual gap after
+	// the previous one.
 	minRegularFifths = 4
 	maxRegularFifths = 6
 )
 
-// message is what arrived from a source.
+// message is a message from a source.
 type message struct {
-	requestedAt time.Duration  // when the call was sent that the message answers; used for a complete list only
-	changes     map[string]int // by kind of entry
+	requestedAt time.Duration  // when the call that the message answers was sent; for a complete list only
+	changes     map[string]int // number of changes by kind of entry
 	changed     bool
-	complete    bool // a complete list
-	heartbeat   bool // no changes
+	complete    bool // the message is a complete list
+	heartbeat   bool // the message has no changes
 }
 
-// RecordHeartbeat takes in a heartbeat, or an answer without changes. The error is UnknownSourceError.
+// RecordHeartbeat records a heartbeat, or an answer without changes. The error is UnknownSourceError.
 func (v *View) RecordHeartbeat(now time.Duration, name string) error {
 	s, err := v.source(name)
 	if err != nil {
@@ -36,7 +38,7 @@
 	return nil
 }
 
-// receive updates what is known of a source with a message that arrived now.
+// receive updates the state of a source with a message that arrived now.
 func (v *View) receive(s *trackedSource, now time.Duration, m message) {
 	v.advance(s, now)
 	silentWeight := s.filter.silentWeight()
@@ -93,7 +95,7 @@
 	s.watchedSeconds += gap.Seconds() * (1 - silent)
 }
 
-// receiveCompleteList takes in the answer to a call, whose content was current when the call was sent or later.
+// receiveCompleteList processes the answer to a call, whose content was current when the call was sent or later.
 func (s *trackedSource) receiveCompleteList(now, requestedAt, usualGap time.Duration) {
 	s.currentAt = max(s.currentAt, requestedAt)
 	s.drainingBacklog = s.drainingBacklog && requestedAt < s.resumedAt
@@ -103,8 +105,8 @@
 	}
 }
 
-// receiveBacklog takes in a message that was queued while this process was suspended. A queued heartbeat is later than
-// the one before it by the smallest usual gap at least.
+// receiveBacklog processes a message that was queued while this process was suspended. A queued heartbeat was sent at
+// least one Percentile10 gap after the previous one.
 func (s *trackedSource) receiveBacklog(now time.Duration, heartbeat bool) {
 	if !heartbeat {
 		return
@@ -117,7 +119,7 @@
 func (s *trackedSource) receiveHeartbeat(now, usualGap time.Duration) {
 	s.drainingBacklog = false
 	gap := now - s.heartbeatAt
-	if s.heartbeatAt == never || gap > longGapFactor*usualGap { // the first of a row: its delay is unknown
+	if s.heartbeatAt == never || gap > longGapFactor*usualGap { // the first in a row: its delay is unknown
 		s.heartbeatDelay = min(2*usualGap, now-s.currentAt)
 	} else {
 		s.heartbeatDelay = max(0, s.heartbeatDelay+gap-usualGap)
--- a/internal/staleness/report.go
+++ b/internal/staleness/report.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Report is what a proxy claims of its view.
+// Report is what a proxy reports of its view to a control-plane server.
 type Report struct {
 	Proxy       string
-	Incarnation uint64        // of the process; each has a clock of its own
+	Incarnation uint64        // of the process; each incarnation has its own clock
 	Clock       time.Duration // the proxy's monotonic clock
 	Sources     []SourceClaim
 	Routes      []RouteClaim
 }
 
-// SourceClaim is what a proxy claims of a source: it holds Version, which was current at most MaxAge ago.
+// SourceClaim is a proxy's claim about a source: it holds Version, which was current at most MaxAge ago.
 type SourceClaim struct {
 	Source  string
 	Version uint64
@@ -19,7 +19,7 @@
 	Known   bool // whether MaxAge is known
 }
 
-// RouteClaim is what a proxy claims of a route.
+// RouteClaim is a proxy's claim about a route.
 type RouteClaim struct {
 	Route      string
 	Level      Level
--- a/internal/staleness/route.go
+++ b/internal/staleness/route.go
@@ -13,12 +13,12 @@
 	entries        []*trackedEntry
 	level          Level
 	confidence     float64       // at the last evaluation
-	betterSince    time.Duration // when the confidence began to suffice for a better level; never if it does not
+	betterSince    time.Duration // since when the confidence is sufficient for a better level; never if it is not
 	doubtfulSince  time.Duration // when the level became Doubtful or worse; never if it is better
-	priorityWeight float64       // of right decisions on the route
+	priorityWeight float64       // see View.SetPriorityWeight
 }
 
-// route returns a route, and makes it if it is new.
+// route returns a route, and creates it if it does not exist.
 func (v *View) route(name string) *routeState {
 	if r := v.routeByName[name]; r != nil {
 		return r
@@ -33,7 +33,7 @@
 	return r
 }
 
-// evaluateRoute brings a route's confidence and level up to now. The confidence is the mean of its entries, times that
+// evaluateRoute updates a route's confidence and level. The confidence is the mean over its entries, multiplied by that
 // of each source on which every route depends.
 func (v *View) evaluateRoute(r *routeState, now time.Duration) {
 	confirmed := 0
@@ -60,11 +60,11 @@
 	r.updateLevel(&v.settings.Levels, now, 2*confirmed >= len(r.entries), ageKnown)
 }
 
-// updateLevel lowers the level at once and raises it once the confidence has sufficed for Thresholds.RiseDelay.
+// updateLevel lowers the level at once, and raises it after the confidence was sufficient for Thresholds.RiseDelay.
 func (r *routeState) updateLevel(t *Thresholds, now time.Duration, confirmed, ageKnown bool) {
 	fallTo := t.levelOf(r.confidence, 0, confirmed)
 	riseTo := t.levelOf(r.confidence, t.Margin, confirmed)
-	if !ageKnown { // content of unknown age is not fresh, however many servers answered
+	if !ageKnown { // content of unknown age is not fresh, even if all servers answered
 		fallTo = min(fallTo, Doubtful)
 		riseTo = min(riseTo, Doubtful)
 	}
@@ -93,8 +93,8 @@
 	r.betterSince = never
 }
 
-// Route is the level of a route now, and the probability that acting on its list is right. A route that no source has
-// named is Blind.
+// Route evaluates a route, and returns its level and the probability that acting on its list is right. A route that no
+// source has listed is Blind.
 func (v *View) Route(now time.Duration, name string) (Level, float64) {
 	r := v.routeByName[name]
 	if r == nil {
@@ -104,8 +104,8 @@
 	return r.level, r.confidence
 }
 
-// Fault is what an operator must know of a route: RouteBlindError, RouteDoubtfulError, or nil. It uses the level of the
-// last evaluation.
+// Fault returns a RouteBlindError or RouteDoubtfulError for operators if the route is at one of these levels, and nil
+// otherwise. It uses the level of the last evaluation.
 func (v *View) Fault(now time.Duration, name string) error {
 	r := v.routeByName[name]
 	if r == nil {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// Permits tells whether a request may go to an entry of a route, by the level of the last evaluation.
+// Permits reports whether a request may go to an entry of a route, by the level of the last evaluation.
 func (v *View) Permits(route, entry string, idempotency Idempotency) bool {
 	r := v.routeByName[route]
 	e := v.entries[entry]
--- a/internal/staleness/settings.go
+++ b/internal/staleness/settings.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// SourceSettings describe one source of a view, such as a discovery watch or the policy.
+// SourceSettings describes one source of a view, such as a discovery watch or the policy.
 type SourceSettings struct {
 	Name string
 	// HeartbeatInterval is the expected time between two messages, 10ms to 1h.
@@ -20,7 +20,7 @@
 	AffectsAllRoutes bool
 }
 
-// Settings of a view. The zero value of each field but Sources stands for its default.
+// Settings configure a view. The zero value of each field except Sources stands for its default.
 type Settings struct {
 	Sources []SourceSettings
 	// Kinds are prior change rates by kind of entry. Other kinds have DefaultPrior.
@@ -33,13 +33,14 @@
 	// StaleAnswerRate is the expected rate per second at which a source begins to answer with stale data. Default
 	// 1/1500.
 	StaleAnswerRate float64
-	// StaleAnswerRecoveryRate is the expected rate per second at which it ends to do so. Default 1/15.
+	// StaleAnswerRecoveryRate is the expected rate per second at which a source stops answering with stale data.
+	// Default 1/15.
 	StaleAnswerRecoveryRate float64
-	// MaxTransit is the longest time that a message takes if it is not late. Default 250ms.
+	// MaxTransit is the maximum transit time of a message that is not late, at most 1m. Default 250ms.
 	MaxTransit time.Duration
-	// StaleAnswerThreshold is the probability of stale answers from which Age counts them, 0 to 1. Nothing tells them
-	// from a quiet source until something contradicts them, so a bound that always counted them would be minutes.
-	// Default .05.
+	// StaleAnswerThreshold is the probability of stale answers, 0 to 1, above which Age includes them in its bound.
+	// Stale answers look like those of a source without changes until something contradicts them, so a bound that
+	// always included them would be minutes. Default .05.
 	StaleAnswerThreshold float64
 	// Levels are the thresholds of the levels.
 	Levels Thresholds
@@ -67,8 +68,8 @@
 	"restart":  termRestart,
 }
 
-// Without is a copy of the settings in which a term of the estimate is omitted, for the calibration: phi, rate,
-// evidence, stop or restart. Other names omit nothing.
+// Without returns a copy of the settings that omits a term of the estimate: phi, rate, evidence, stop (suspensions) or
+// restart. Other names omit nothing. The calibration uses it to show that each term is needed.
 func (s Settings) Without(term string) Settings {
 	s.omitted = termByName[term]
 	return s
@@ -81,16 +82,17 @@
 	maxHeartbeatInterval = time.Hour
 )
 
-// settingsCheck collects the faults of settings.
+// settingsCheck collects the errors of invalid settings.
 type settingsCheck struct{ errs []error }
 
+// reject adds an InvalidSettingsError for a field if invalid is set.
 func (c *settingsCheck) reject(invalid bool, field, format string, args ...any) {
 	if invalid {
 		c.errs = append(c.errs, InvalidSettingsError{field, fmt.Sprintf(format, args...)})
 	}
 }
 
-// rate rejects what is not a positive rate; the condition is negated so that it also rejects what is not a number.
+// rate rejects a value that is not above 0 and at most maxRate. The condition is negated so that it also rejects NaN.
 func (c *settingsCheck) rate(field string, value float64) {
 	c.reject(!(value > 0 && value <= maxRate), field, "%v is not above 0 and at most 1000", value)
 }
@@ -117,10 +119,10 @@
 }
 
 func (c *settingsCheck) sources(sources []SourceSettings) {
-	c.reject(len(sources) == 0, "sources", "there is none")
+	c.reject(len(sources) == 0, "sources", "must have at least one source")
 	seen := map[string]bool{}
 	for _, source := range sources {
-		c.reject(source.Name == "" || seen[source.Name], "sources", "%q is empty or named twice", source.Name)
+		c.reject(source.Name == "" || seen[source.Name], "sources", "%q is empty or occurs twice", source.Name)
 		interval := source.HeartbeatInterval
 		c.reject(interval < minHeartbeatInterval || interval > maxHeartbeatInterval,
 			"sources."+source.Name+".beat", "%v is not within %v and 1h", interval, minHeartbeatInterval)
--- a/internal/staleness/snapshot.go
+++ b/internal/staleness/snapshot.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Handle names a listed entry in a Snapshot: a slot, and the slot's generation so that a handle never finds a later
-// entry. 0 names none.
+// Handle identifies a listed entry in a Snapshot. It consists of a slot and the slot's generation, so that a handle
+// never refers to a later entry in the same slot. 0 refers to no entry.
 type Handle uint64
 
 // generationShift is the position of the generation in a Handle.
@@ -16,7 +16,7 @@
 func (h Handle) slot() uint32       { return uint32(h) }
 func (h Handle) generation() uint32 { return uint32(h >> generationShift) }
 
-// assignHandle gives an entry a free slot, or a new one.
+// assignHandle assigns an entry to a free slot, or to a new slot if none is free.
 func (v *View) assignHandle(e *trackedEntry) {
 	if len(v.freeSlots) == 0 {
 		v.freeSlots = append(v.freeSlots, uint32(len(v.slots)))
@@ -37,7 +37,8 @@
 	v.freeSlots = append(v.freeSlots, slot)
 }
 
-// Handle is the handle of a listed entry, 0 if there is none. It ends when the entry changes.
+// Handle returns the handle of a listed entry, or 0 if the entry is not listed. The handle is invalid once the entry
+// changes.
 func (v *View) Handle(name string) Handle {
 	if e := v.entries[name]; e != nil {
 		return e.handle
@@ -45,7 +46,7 @@
 	return 0
 }
 
-// RouteIndex is the index of a route in each later Snapshot, -1 if no source named it.
+// RouteIndex returns the index of a route in each later Snapshot, or -1 if no source has listed the route.
 func (v *View) RouteIndex(name string) int {
 	if r := v.routeByName[name]; r != nil {
 		return r.index
@@ -65,16 +66,16 @@
 	permitted  [idempotencyClasses]bool
 }
 
-// Snapshot is what requests read. It never changes, so any number of goroutines may read it at once; its methods
-// neither allocate nor lock. What it does not contain is Blind.
+// Snapshot is an immutable copy of the levels and confidences of a View, read for each request. Any number of
+// goroutines may read it at once; its methods neither allocate nor lock. Routes that it does not contain are Blind.
 type Snapshot struct {
-	At         time.Duration // when it was made
+	At         time.Duration // the time of the Tick that made it
 	RetryAfter time.Duration // see View.RetryAfter
 	routes     []routeSnapshot
 	entries    []entrySnapshot
 }
 
-// Tick brings all routes up to now and makes a snapshot.
+// Tick evaluates all routes at the time now and returns a snapshot.
 func (v *View) Tick(now time.Duration) *Snapshot {
 	s := &Snapshot{
 		At:         now,
@@ -102,7 +103,7 @@
 	return s
 }
 
-// entrySnapshot uses the evaluation of the entry's route, which must be that of now.
+// entrySnapshot returns the snapshot of an entry. The entry's route must have been evaluated at the time now.
 func (v *View) entrySnapshot(e *trackedEntry, now time.Duration) entrySnapshot {
 	s := entrySnapshot{generation: e.handle.generation()}
 	r := v.routeByName[e.Route]
@@ -117,7 +118,7 @@
 	return s
 }
 
-// Route is a route's level, and the probability that acting on its list is right.
+// Route returns a route's level and the probability that acting on its list is right. index is that of View.RouteIndex.
 func (s *Snapshot) Route(index int) (Level, float32) {
 	if uint(index) >= uint(len(s.routes)) {
 		return Blind, 0
@@ -126,7 +127,7 @@
 	return r.level, r.confidence
 }
 
-// Permission is what a route permits for a request.
+// Permission returns what a route permits for a request.
 func (s *Snapshot) Permission(index int, idempotency Idempotency) Permission {
 	if uint(index) >= uint(len(s.routes)) || idempotency >= idempotencyClasses {
 		return FloorOrReject
@@ -134,7 +135,7 @@
 	return s.routes[index].permissions[idempotency]
 }
 
-// Entry is the probability that an entry is as listed, and whether a request may go to it.
+// Entry returns the probability that an entry is as listed, and whether a request may go to it.
 func (s *Snapshot) Entry(h Handle, idempotency Idempotency) (confidence float32, permitted bool) {
 	if uint(h.slot()) >= uint(len(s.entries)) || idempotency >= idempotencyClasses {
 		return 0, false
--- a/internal/staleness/update.go
+++ b/internal/staleness/update.go
@@ -10,24 +10,24 @@
 type Entry struct {
 	Name        string // unique among all sources, such as an address
 	Kind        string // entries of a kind share a change rate
-	Route       string // that the entry serves; empty for none
-	Incarnation uint64 // of the process at this address; an entry with another one is another entry
+	Route       string // the route that the entry serves; empty for none
+	Incarnation uint64 // of the process at this address; with another incarnation it is another entry
 }
 
-// Change is an entry in its new state, or its removal.
+// Change is the new state of an entry, or its removal.
 type Change struct {
 	Entry
 	Removed bool
 }
 
-// Update is what a source sent: changes, or the complete list as the answer to a call.
+// Update is a message from a source: changes, or the complete list in answer to a call.
 type Update struct {
 	Version       uint64
 	Changes       []Change // all entries if Complete
-	Complete      bool     // entries that are not named are removed
-	LatestVersion uint64   // the highest version that the sender knows of; 0 if it does not say
-	// RequestedAt is when the call that a complete list answers was sent: the list is at least as recent. 0 stands for
-	// the moment of the answer.
+	Complete      bool     // entries that Changes does not contain are removed
+	LatestVersion uint64   // the highest version known to the sender; 0 if not given
+	// RequestedAt is when the call that a complete list answers was sent: the list was current then or later. 0 stands
+	// for the time of the answer.
 	RequestedAt time.Duration
 }
 
@@ -45,8 +45,8 @@
 	c.changed = true
 }
 
-// ApplyUpdate takes in changes, or the complete list. Errors are UnknownSourceError, and NameTakenError for each entry
-// that was left out; the rest is applied.
+// ApplyUpdate applies changes or the complete list. The error is UnknownSourceError, or joins a NameTakenError for each
+// entry that was left out; the other entries are applied.
 func (v *View) ApplyUpdate(now time.Duration, name string, update Update) error {
 	s, err := v.source(name)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return err
 }
 
-// removeUnlisted drops the source's entries that a complete list does not name.
+// removeUnlisted removes the source's entries that a complete list does not contain.
 func (v *View) removeUnlisted(s *trackedSource, complete []Change, count *changeCount) {
 	listed := map[string]bool{}
 	for _, change := range complete {
--- a/internal/staleness/view.go
+++ b/internal/staleness/view.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// never is a moment before all others; sums and differences with it do not overflow.
+// never is a time before all others. Sums and differences with it do not overflow.
 const never = time.Duration(math.MinInt64 / 4)
 
-// entryKind is the entries of a source that share a change rate.
+// entryKind groups the entries of a source that share a change rate.
 type entryKind struct {
 	name    string
 	rate    *ChangeRate
-	entries int
+	entries int // number of listed entries
 }
 
-// trackedEntry is a listed entry with what its server's answers showed.
+// trackedEntry is a listed entry with the evidence from its server's answers.
 type trackedEntry struct {
 	Entry
 	source      *trackedSource
 	kind        *entryKind
 	confirmedAt time.Duration // last answer as listed
 	checkedAt   time.Duration // last attempt that confirmed or contradicted the entry
-	probedAt    time.Duration // last probe that PlanProbes gave out
+	probedAt    time.Duration // last probe that PlanProbes returned
 	// odds is the factor by which contradictions since the last confirmation multiplied the odds that the entry is as
-	// believed; 1 without any.
+	// listed; 1 without contradictions.
 	odds float64
-	// falseAlarm is the probability, at the first contradiction, that the entry was as listed nevertheless.
+	// falseAlarm is the probability, at the first contradiction, that the entry was as listed all the same.
 	falseAlarm float64
 	// unfollowedSurvival is the probability, before the first contradiction, that the entry was as listed if the
 	// source is not followed.
@@ -37,7 +37,7 @@
 	handle             Handle
 }
 
-// trackedSource is a source with all that is known of it.
+// trackedSource is a source with its filter and everything that was learned about it.
 type trackedSource struct {
 	settings   SourceSettings
 	filter     filter
@@ -46,11 +46,11 @@
 	gaps          *GapDetector // between any messages
 	heartbeatGaps *GapDetector
 
-	ageKnown  bool // false until something was heard, or if the restored content has no known age
+	ageKnown  bool // false until the first message, and after a restore of content of unknown age
 	version   uint64
 	currentAt time.Duration // the content was current at this moment or later
 	heardAt   time.Duration // last message
-	calledAt  time.Duration // last call that PlanProbes gave out
+	calledAt  time.Duration // last call that PlanProbes returned
 
 	heartbeatAt       time.Duration // last message without changes
 	heartbeatDelay    time.Duration // how late the last heartbeat was, at most
@@ -60,9 +60,9 @@
 	resumedAt        time.Duration // end of the last suspension
 	backlogCurrentAt time.Duration // the last queued message was sent at this moment or later
 
-	confirmedAt     time.Duration // when another party last knew the same version
-	supersededSince time.Duration // when another party first knew a later version; never if the view has caught up
-	knownVersion    uint64        // that later version
+	confirmedAt     time.Duration // when another party last reported the same version
+	supersededSince time.Duration // when another party first reported a later version; never if the view has caught up
+	knownVersion    uint64        // the later version that another party reported; 0 if none
 
 	silentWatches   float64 // expected number of watches that fell silent
 	watchedSeconds  float64 // time with a live watch
@@ -73,7 +73,8 @@
 	kindOrder []*entryKind // in the order in which they appeared, so that sums are reproducible
 }
 
-// View is what one proxy holds from all its sources. It must not be used by two goroutines at once.
+// View holds the entries that one proxy received from all its sources, with the estimates about them. It must not be
+// used by two goroutines at once.
 type View struct {
 	settings     Settings
 	sources      []*trackedSource
@@ -95,7 +96,7 @@
 	freeSlots   []uint32
 }
 
-// New makes a view that knows nothing. Errors are InvalidSettingsError, joined.
+// New returns a view without content. The error joins an InvalidSettingsError for each invalid setting.
 func New(settings Settings) (*View, error) {
 	if err := settings.fill(); err != nil {
 		return nil, err
@@ -140,7 +141,7 @@
 	return nil, UnknownSourceError{name}
 }
 
-// kind returns a source's kind of entries, and makes it if it is new.
+// kind returns a source's kind of entries, and creates it if it does not exist.
 func (v *View) kind(s *trackedSource, name string) *entryKind {
 	if k := s.kinds[name]; k != nil {
 		return k
@@ -155,7 +156,7 @@
 	return k
 }
 
-// list adds an entry and tells whether it replaced another one of its name.
+// list adds an entry and reports whether it replaced another entry of the same name.
 func (v *View) list(s *trackedSource, e Entry) bool {
 	previous := v.entries[e.Name]
 	if previous != nil && previous.source == s && previous.Entry == e {
@@ -199,7 +200,7 @@
 	}
 }
 
-// orderOf is where an entry of this name is or belongs in entryOrder.
+// orderOf returns the index in entryOrder at which an entry of this name is, or is to be inserted.
 func (v *View) orderOf(name string) int {
 	i, _ := slices.BinarySearchFunc(v.entryOrder, name, func(e *trackedEntry, name string) int {
 		return strings.Compare(e.Name, name)
