--- a/cmd/lapisspread/admission.go
+++ b/cmd/lapisspread/admission.go
@@ -8,27 +8,27 @@
 	"lapisspread/internal/listener"
 )
 
-// checkedPlaces is the capacity of the process for which a file is checked.
-const checkedPlaces = 1 << 16
+// assumedMaxConns is the connection capacity of the process that "admission check" assumes.
+const assumedMaxConns = 1 << 16
 
-// admissionCommand is "admission", whose only command checks a file of package listener.
+// admissionCommand returns "admission", whose only subcommand checks an admission file; see package listener.
 func admissionCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "admission",
-		Short: "Look at files of who is admitted",
+		Short: "Check admission files",
 		Args:  noArguments,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	c.AddCommand(&cobra.Command{
 		Use:   "check FILE",
-		Short: "Tell whether a file of admission is good and what it comes to, or which line or key is wrong",
+		Short: "Check an admission file: print a summary, or the line or key that is wrong",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := listener.Load(args[0])
 			if err != nil {
 				return err
 			}
-			s, err := f.Settings(listener.Capacity{Conns: checkedPlaces}, 0)
+			s, err := f.Settings(listener.Capacity{Conns: assumedMaxConns}, 0)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/cmd/lapisspread/diameter.go
+++ b/cmd/lapisspread/diameter.go
@@ -9,17 +9,17 @@
 	"lapisspread/internal/diameter/claim"
 )
 
-// diameterCommand is "diameter", whose only command checks a file of package diameter/claim.
+// diameterCommand returns "diameter", whose only subcommand checks a Diameter file; see package diameter/claim.
 func diameterCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "diameter",
-		Short: "Look at files of Diameter",
+		Short: "Check Diameter files",
 		Args:  noArguments,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	c.AddCommand(&cobra.Command{
 		Use:   "check FILE",
-		Short: "Tell whether a file of Diameter is good and what it comes to, or which line or key is wrong",
+		Short: "Check a Diameter file: print a summary, or the line or key that is wrong",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, _, err := claim.Load(args[0])
@@ -29,11 +29,11 @@
 			out := cmd.OutOrStdout()
 			printf(out, "%s: good: %s of realm %s, %d peers\n", args[0], f.Host, f.Realm, len(f.Peers))
 			for _, c := range f.Commands {
-				what := c.Name
+				command := c.Name
 				if c.RequestedAction != nil {
-					what += fmt.Sprintf(" with Requested-Action %d", *c.RequestedAction)
+					command += fmt.Sprintf(" with Requested-Action %d", *c.RequestedAction)
 				}
-				printf(out, "  %s is of class %s, its client waits %v\n", what, c.Class, time.Duration(c.GiveUp))
+				printf(out, "  %s is of class %s, its client waits %v\n", command, c.Class, time.Duration(c.GiveUp))
 			}
 			storage := "in memory alone"
 			if f.Ledger.File != "" {
--- a/cmd/lapisspread/fleet.go
+++ b/cmd/lapisspread/fleet.go
@@ -16,11 +16,11 @@
 // setRetryInterval is the time between two attempts of "fleet set --wait".
 const setRetryInterval = 200 * time.Millisecond
 
-// fleetCommand is "fleet": the commands of operators, which call the control-plane servers of a fleet.
+// fleetCommand returns "fleet", the commands for operators, which call the control-plane servers of a fleet.
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "fleet",
-		Short: "Look at the file of a fleet, and give its stewards an operator's word",
+		Short: "Check a fleet file, and send commands to the control-plane servers of the fleet",
 		Args:  noArguments,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
@@ -38,10 +38,10 @@
 	return c
 }
 
-// printf writes to an operator's terminal. A terminal that is gone needs no answer.
+// printf writes to an operator's terminal. Write errors are ignored: a closed terminal cannot show them.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
 
-// withFleet loads a fleet's file and calls do. It appends the advice to an error of do.
+// withFleet loads a fleet file and calls do. If do returns an error, withFleet appends its advice for operators.
 func withFleet(path string, do func(fleet *api.Config, client *http.Client) error) error {
 	fleet, err := api.Load(path)
 	if err != nil {
@@ -56,12 +56,12 @@
 	return api.WithAdvice(do(fleet, client))
 }
 
-// fleetCheckCommand is "fleet check". It reads files only, and fails if it has a finding.
+// fleetCheckCommand returns "fleet check". It only reads files, calls no server, and fails if it has a finding.
 func fleetCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "check FILE",
-		Short: "Tell whether a fleet's file is good, with the charter and the namespaces that it names, " +
-			"or what is wrong",
+		Short: "Check a fleet file, and the ownership declaration and namespaces that it refers to, " +
+			"without calling a server",
 		Args: oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			path := args[0]
@@ -77,7 +77,7 @@
 				printf(cmd.OutOrStdout(), "%s\n", text)
 			}
 			if len(findings) > 0 {
-				return fmt.Errorf("%s: %d of what it names is held back or at odds", path, len(findings))
+				return fmt.Errorf("%s: found %d withheld files or conflicts", path, len(findings))
 			}
 			printf(cmd.OutOrStdout(), "%s: good: %s\n", path, fleet.Summary())
 			return nil
@@ -85,13 +85,13 @@
 	}
 }
 
-// bootstrapCommand is "fleet found": it bootstraps all servers under an epoch; see api.Config.Bootstrap.
+// bootstrapCommand returns "fleet found", which bootstraps all servers under an epoch; see api.Config.Bootstrap.
 func bootstrapCommand() *cobra.Command {
 	var epoch uint64
 	c := &cobra.Command{
 		Use: "found FILE",
-		Short: "Have all stewards begin the fleet, or begin it anew under a higher epoch: " +
-			"nothing is granted for the longest lease",
+		Short: "Bootstrap the fleet on all control-plane servers, or bootstrap it again under a higher epoch: " +
+			"nothing is granted for the duration of the longest lease",
 		Args: oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withFleet(args[0], func(fleet *api.Config, client *http.Client) error {
@@ -105,18 +105,18 @@
 			})
 		},
 	}
-	c.Flags().Uint64Var(&epoch, "epoch", 1, "above all that this fleet was ever founded under")
+	c.Flags().Uint64Var(&epoch, "epoch", 1, "epoch of the fleet, higher than all it was ever founded under")
 	return c
 }
 
-// setQuotasCommand is "fleet set": it replaces the quotas; see api.Config.SetQuotas.
+// setQuotasCommand returns "fleet set", which replaces the quotas; see api.Config.SetQuotas.
 func setQuotasCommand() *cobra.Command {
 	var version uint64
 	var removedHolders []string
 	var wait time.Duration
 	c := &cobra.Command{
 		Use:   "set FILE",
-		Short: "Have the stewards divide the budgets of this file from now on",
+		Short: "Replace the budgets that the control-plane servers divide by those of this file",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withFleet(args[0], func(fleet *api.Config, client *http.Client) error {
@@ -135,18 +135,19 @@
 		},
 	}
 	c.Flags().Uint64Var(&version, "version", 0,
-		"of the budgets, above all that were ever used; 0 is one above what the stewards know")
-	c.Flags().DurationVar(&wait, "wait", 0, "try for so long, such as until the time after a founding is over")
+		"version of the budgets, higher than all used before; 0 stands for the servers' present version plus one")
+	c.Flags().DurationVar(&wait, "wait", 0,
+		"retry for this time, for example until the waiting time after a founding is over")
 	c.Flags().StringSliceVar(&removedHolders, "gone", nil,
-		"proxies whose floors nobody will ever spend again: your word")
+		"proxies that will never use their floors again; the operator vouches for it")
 	return c
 }
 
-// statusCommand is "fleet status": it shows the status of each server.
+// statusCommand returns "fleet status", which shows the status of each server.
 func statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status FILE",
-		Short: "Tell how each steward stands and what is out of each budget",
+		Short: "Show the status of each control-plane server, and how much of each budget is granted",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withFleet(args[0], func(fleet *api.Config, client *http.Client) error {
--- a/cmd/lapisspread/fleet_server.go
+++ b/cmd/lapisspread/fleet_server.go
@@ -25,16 +25,16 @@
 	listen    string
 }
 
-// fleetServerCommand is "steward": it runs a control-plane server and blocks until SIGTERM or an interrupt.
+// fleetServerCommand returns "steward", which runs a control-plane server and blocks until SIGTERM or an interrupt.
 func fleetServerCommand() *cobra.Command {
 	var flags serverFlags
 	c := &cobra.Command{
 		Use:   "steward",
-		Short: "Divide a fleet's budgets, with the other stewards, until SIGTERM",
+		Short: "Run a control-plane server, which divides a fleet's budgets, until SIGTERM",
 		Args:  noArguments,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if flags.fleetFile == "" || flags.name == "" || flags.stateDir == "" {
-				return usageError{errors.New("steward: --fleet, --name and --state are all needed")}
+				return usageError{errors.New("steward: --fleet, --name and --state are all required")}
 			}
 			fleet, err := api.Load(flags.fleetFile)
 			if err != nil {
@@ -43,10 +43,10 @@
 			return api.WithAdvice(runFleetServer(cmd, fleet, flags))
 		},
 	}
-	c.Flags().StringVar(&flags.fleetFile, "fleet", "", "the fleet's file")
-	c.Flags().StringVar(&flags.name, "name", "", "which of its stewards this is")
-	c.Flags().StringVar(&flags.stateDir, "state", "", "a folder for its log, that nobody else writes in")
-	c.Flags().StringVar(&flags.listen, "listen", "", "where to listen; the address in the file if left out")
+	c.Flags().StringVar(&flags.fleetFile, "fleet", "", "path of the fleet file")
+	c.Flags().StringVar(&flags.name, "name", "", "name of this control-plane server in the fleet file")
+	c.Flags().StringVar(&flags.stateDir, "state", "", "directory for the Raft log, which no other process writes to")
+	c.Flags().StringVar(&flags.listen, "listen", "", "address to listen on; default is the address in the fleet file")
 	return c
 }
 
--- a/cmd/lapisspread/list_guard.go
+++ b/cmd/lapisspread/list_guard.go
@@ -6,17 +6,18 @@
 	"lapisspread/internal/discovery/guardedsource"
 )
 
-// listGuardCommand is "comeback", whose only command checks a file of package discovery/guardedsource.
+// listGuardCommand returns "comeback", whose only subcommand checks a file of the endpoint list guard; see package
+// discovery/guardedsource.
 func listGuardCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "comeback",
-		Short: "Look at files of coming back",
+		Short: "Check files of the endpoint list guard",
 		Args:  noArguments,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	c.AddCommand(&cobra.Command{
 		Use:   "check FILE",
-		Short: "Tell whether a file of coming back is good and what it comes to, or which line or key is wrong",
+		Short: "Check a file of the endpoint list guard: print a summary, or the line or key that is wrong",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := guardedsource.Load(args[0])
--- a/cmd/lapisspread/main.go
+++ b/cmd/lapisspread/main.go
@@ -1,4 +1,5 @@
-// Lapisspread is the proxy: the decisions of package decision on real sockets.
+// Lapisspread is an HTTP load-balancing proxy, its control-plane server and the commands for operators. The proxy
+// applies the decisions of package decision to network connections.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	exitUsage  = 2 // the command line itself was wrong
 )
 
-// usageError is an error of the command line itself.
+// usageError is an error in the command line, which ends the process with exitUsage.
 type usageError struct{ error }
 
 func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -48,14 +49,14 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "lapisspread",
-		Short: "An HTTP/1.1 proxy that decides which backend to take, when to try again and when to refuse",
+		Short: "An HTTP/1.1 load-balancing proxy that decides which backend to use, when to retry and when to reject",
 		Long: `lapisspread stands in front of a fleet of dispatch nodes.
 
-It is told what it needs by a JSON file that BALANCER_CONFIG names; BALANCER_NAME, BALANCER_LISTEN,
-BALANCER_DISCOVERY and BALANCER_CONSOLE go before what that file says. SIGHUP reads the file again,
-SIGTERM ends the proxy in order.
+BALANCER_CONFIG is the path of its JSON configuration file. BALANCER_NAME, BALANCER_LISTEN,
+BALANCER_DISCOVERY and BALANCER_CONSOLE override the settings in that file. SIGHUP reloads the file,
+SIGTERM shuts the proxy down gracefully.
 
-Exit codes: 0 ended in order, 1 failed, 2 the command line was wrong.`,
+Exit codes: 0 success, 1 failure, 2 invalid command line.`,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args:          noArguments,
@@ -76,7 +77,7 @@
 	return root
 }
 
-// serveCommand is "serve": it runs the proxy and blocks until SIGTERM.
+// serveCommand returns "serve", which runs the proxy and blocks until SIGTERM.
 func serveCommand() *cobra.Command {
 	var profile string
 	var files serveFiles
@@ -87,31 +88,31 @@
 		RunE:  func(*cobra.Command, []string) error { return serve(profile, files) },
 	}
 	c.Flags().StringVar(&files.services, "services", "",
-		"serve the services of this file in place of a single one; SIGHUP reads it again")
+		"serve the services of this file in place of a single one; SIGHUP reloads it")
 	c.Flags().StringVar(&files.admission, "admission", "",
-		"decide by this file who gets a connection; SIGHUP reads it again")
+		"admit connections by this file; SIGHUP reloads it")
 	c.Flags().StringVar(&files.diameter, "diameter", "",
-		"speak Diameter too, by this file; SIGHUP reads its certificates again")
+		"serve Diameter too, by this file; SIGHUP reloads its certificates")
 	c.Flags().StringVar(&files.listGuard, "comeback", "",
-		"go by this file about lists that are in doubt and calls for them")
+		"use this file for the endpoint list guard: doubtful lists and calls for lists")
 	c.Flags().StringVar(&files.fleet, "fleet", "",
-		"draw on the budgets of this fleet, that its stewards divide")
+		"use the budgets of the fleet in this file, which its control-plane servers divide")
 	c.Flags().StringVar(&profile, "cpu-profile", "",
-		"write a CPU profile (pprof) to this file, with the proxy's name behind it, at the end")
+		"write a CPU profile (pprof) at exit, to this path followed by a dot and the proxy's name")
 	return c
 }
 
-// configCommand is "config", whose only command checks a proxy's configuration.
+// configCommand returns "config", whose only subcommand checks a proxy's configuration.
 func configCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "config",
-		Short: "Look at configurations",
+		Short: "Check configurations",
 		Args:  noArguments,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	c.AddCommand(&cobra.Command{
 		Use:   "check FILE",
-		Short: "Tell whether a configuration could be served, and if not, which field is wrong and why",
+		Short: "Check a configuration: print a summary, or the field that is wrong and why",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := proxy.CheckConfig(args[0], os.Getenv)
@@ -129,11 +130,11 @@
 	return c
 }
 
-// versionCommand is "version".
+// versionCommand returns "version", which prints the build.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Print which build this is",
+		Short: "Print the version of this build",
 		Args:  noArguments,
 		Run: func(cmd *cobra.Command, _ []string) {
 			printf(cmd.OutOrStdout(), "lapisspread %s\n", buildVersion())
@@ -163,10 +164,10 @@
 	return fmt.Sprintf("%s%s%s %s", info.Main.Version, revision, dirty, info.GoVersion)
 }
 
-// noArguments returns a usageError if a command line has arguments.
+// noArguments rejects command lines with arguments by a usageError.
 func noArguments(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return usageError{fmt.Errorf("%s: there is no command or argument %q", cmd.CommandPath(), args[0])}
+		return usageError{fmt.Errorf("%s: unknown command or argument %q", cmd.CommandPath(), args[0])}
 	}
 	return nil
 }
--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -17,26 +17,26 @@
 // maxOfferArguments bounds the arguments of "fleet offer".
 const maxOfferArguments = 1000
 
-// authorFlag adds the flag by which operators say who they are. It is stored and shown; nothing proves it.
+// authorFlag adds the flag with the name of the operator, which is stored and shown but not authenticated.
 func authorFlag(c *cobra.Command) *string {
-	return c.Flags().String("by", os.Getenv("USER"), "who gives this word: it is kept and shown")
+	return c.Flags().String("by", os.Getenv("USER"), "name of the operator, which is stored and shown")
 }
 
-// argumentCount rejects command lines with fewer or more arguments.
-func argumentCount(least, most int) cobra.PositionalArgs {
+// argumentCount rejects command lines with fewer or more arguments by a usageError.
+func argumentCount(minimum, maximum int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
-		if len(args) < least || len(args) > most {
+		if len(args) < minimum || len(args) > maximum {
 			return usageError{fmt.Errorf("%s: %d arguments; wanted: %s", cmd.Name(), len(args), cmd.Use)}
 		}
 		return nil
 	}
 }
 
-// ownershipCommand is "fleet charter": it replaces the ownership declaration; see store.SetDeclaration.
+// ownershipCommand returns "fleet charter", which replaces the ownership declaration; see store.SetDeclaration.
 func ownershipCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "charter FILE CHARTER.toml",
-		Short: "Put a charter in place of the one before: who may speak over what",
+		Short: "Replace the ownership declaration (charter), which says what each namespace may define",
 		Args:  argumentCount(2, 2),
 	}
 	author := authorFlag(c)
@@ -46,7 +46,8 @@
 		if err != nil {
 			return err
 		}
-		if _, err := namespace.ParseDeclaration(path, text); err != nil { // here the error has the file's name
+		// Parsed before it is sent, so that the error has the file's name.
+		if _, err := namespace.ParseDeclaration(path, text); err != nil {
 			return api.WithAdvice(err)
 		}
 		command := store.Command{SetDeclaration: &store.SetDeclaration{Text: string(text), Author: *author}}
@@ -65,13 +66,13 @@
 	return showPolicy(cmd, fleet, client)
 }
 
-// offerCommand is "fleet offer": it submits the files of namespaces; see store.SubmitFile. A file that is rejected does
-// not keep the ones after it from being submitted.
+// offerCommand returns "fleet offer", which submits the files of namespaces; see store.SubmitFile. A file that is
+// rejected does not keep the ones after it from being submitted.
 func offerCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "offer FILE NAMESPACE.toml...",
-		Short: "Offer the files of namespaces: each is taken up, or held back and told why; " +
-			"one that is bad stops no other",
+		Short: "Submit namespace files: each is accepted, or withheld with a reason; " +
+			"an invalid file does not block the others",
 		Args: argumentCount(2, maxOfferArguments),
 	}
 	author := authorFlag(c)
@@ -101,15 +102,15 @@
 	return fleet.SendPolicyCommand(cmd.Context(), client, command)
 }
 
-// rollbackCommand is "fleet back": it rolls the policy back to a retained epoch; see store.Rollback.
+// rollbackCommand returns "fleet back", which rolls the policy back to a retained epoch; see store.Rollback.
 func rollbackCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "back FILE --epoch N",
-		Short: "Tell the fleet to go back to an older policy, all proxies at once; files that wait are dropped",
+		Short: "Roll all proxies back to an older policy at once; queued files are dropped",
 		Args:  oneFile,
 	}
 	author := authorFlag(c)
-	epoch := c.Flags().Uint64("epoch", 0, "of the policy, one of those that are kept")
+	epoch := c.Flags().Uint64("epoch", 0, "epoch of the policy, one of the retained epochs")
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		if *epoch == 0 {
 			return usageError{errors.New("back: --epoch is needed")}
@@ -122,11 +123,11 @@
 	return c
 }
 
-// policyCommand is "fleet policy": it shows the state of the policy and of its rollout.
+// policyCommand returns "fleet policy", which shows the state of the policy and of its rollout.
 func policyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "policy FILE",
-		Short: "Tell the policy's epoch and hash, who is held back and why, and how far the roll-out is",
+		Short: "Show the policy's epoch and hash, the withheld files with reasons, and the progress of the rollout",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withFleet(args[0], func(fleet *api.Config, client *http.Client) error {
@@ -136,12 +137,12 @@
 	}
 }
 
-// stopCommand stops the current rollout by a rollback to the policy in force: no proxy keeps what the rollout brought,
-// and files that wait are dropped.
+// stopCommand returns "fleet stop", which stops the current rollout by a rollback to the policy in force: no proxy
+// keeps the changes of the rollout, and queued files are dropped.
 func stopCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "stop FILE",
-		Short: "Stop the train that is on its way: all proxies go back to what is in force; what waits is dropped",
+		Short: "Stop the current rollout: all proxies return to the policy in force; queued files are dropped",
 		Args:  oneFile,
 	}
 	author := authorFlag(c)
@@ -153,8 +154,8 @@
 			}
 			policy := &status.Policy
 			if policy.Active.Epoch == 0 {
-				return errors.New("stop: no policy is in force yet, to go back to: " +
-					"offer the files that the train shall have instead")
+				return errors.New("stop: no policy is in force yet to which proxies could return: " +
+					"offer the files that the rollout should have instead")
 			}
 			if policy.Candidate.Epoch == 0 && len(policy.Queued) == 0 {
 				return showPolicy(cmd, fleet, client)
--- a/cmd/lapisspread/policy_status.go
+++ b/cmd/lapisspread/policy_status.go
@@ -31,6 +31,7 @@
 	return nil
 }
 
+// printVersions prints the policy in force, the policy being rolled out, and the queued changes.
 func printVersions(out io.Writer, status *api.PolicyStatus) {
 	policy := &status.Policy
 	if !status.IsLeader {
@@ -47,7 +48,7 @@
 	}
 }
 
-// printRollout prints what the leader alone knows.
+// printRollout prints the state of the rollout, which only the leader has.
 func printRollout(out io.Writer, status *api.PolicyStatus) {
 	printf(out, "roll-out: %s, %d of %d proxies have the newest\n",
 		status.RolloutState, status.Updated, status.ProxyCount)
@@ -69,7 +70,8 @@
 	}
 }
 
-// printFindings prints what needs an operator's or a team's attention.
+// printFindings prints findings that an operator or a team must act on: stopped rollouts, failed changes, regressions,
+// withheld files and conflicts.
 func printFindings(out io.Writer, status *api.PolicyStatus) {
 	policy := &status.Policy
 	if policy.Stopped != nil {
@@ -91,7 +93,7 @@
 	}
 }
 
-// describeChanges names changes, at most maxShownChanges of them.
+// describeChanges lists at most maxShownChanges changes, and the number of the others.
 func describeChanges(changes []store.Change) string {
 	var texts []string
 	for _, change := range changes[:min(maxShownChanges, len(changes))] {
--- a/cmd/lapisspread/routes.go
+++ b/cmd/lapisspread/routes.go
@@ -14,11 +14,11 @@
 // maxShownMismatches bounds the routes that do not match which "routes explain" prints without --all.
 const maxShownMismatches = 10
 
-// routesCommand is "routes": commands on a file of services and routes.
+// routesCommand returns "routes", the commands on a file of services and routes.
 func routesCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "routes",
-		Short: "Look at the routes of several services",
+		Short: "Check and explain the routes of a services file",
 		Args:  noArguments,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
@@ -26,11 +26,11 @@
 	return c
 }
 
-// routesCheckCommand is "routes check".
+// routesCheckCommand returns "routes check".
 func routesCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Tell whether a file of services is good, and if not, what is wrong and where",
+		Short: "Check a services file: print a summary, or what is wrong and where",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := services.Load(args[0])
@@ -44,13 +44,13 @@
 	}
 }
 
-// routesExplainCommand is "routes explain": it shows which rule a request matches.
+// routesExplainCommand returns "routes explain", which shows the rule that a request matches.
 func routesExplainCommand() *cobra.Command {
 	var request route.Request
 	var all bool
 	c := &cobra.Command{
 		Use:   "explain FILE",
-		Short: "Tell which route a request gets and why, and why the others lost",
+		Short: "Show which route a request gets, and why the other routes do not apply",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := services.Load(args[0])
@@ -61,11 +61,11 @@
 		},
 	}
 	c.Flags().StringVar(&request.Host, "host", "", "the request's host")
-	c.Flags().StringVar(&request.Path, "path", "/", "its path")
-	c.Flags().StringVar(&request.Method, "method", "GET", "its method")
-	c.Flags().StringVar(&request.Class, "class", "", "its class")
-	c.Flags().StringVar(&request.Tenant, "tenant", "", "its tenant")
-	c.Flags().BoolVar(&all, "all", false, "tell of all routes that do not match")
+	c.Flags().StringVar(&request.Path, "path", "/", "the request's path")
+	c.Flags().StringVar(&request.Method, "method", "GET", "the request's method")
+	c.Flags().StringVar(&request.Class, "class", "", "the request's class")
+	c.Flags().StringVar(&request.Tenant, "tenant", "", "the request's tenant")
+	c.Flags().BoolVar(&all, "all", false, "show all routes that do not match")
 	return c
 }
 
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// oneFile rejects command lines without exactly one argument.
+// oneFile rejects command lines without exactly one argument by a usageError.
 func oneFile(cmd *cobra.Command, args []string) error {
 	if len(args) != 1 {
 		return usageError{fmt.Errorf("%s takes one FILE, not %d", cmd.CommandPath(), len(args))}
--- a/cmd/lapisspread/serve.go
+++ b/cmd/lapisspread/serve.go
@@ -17,7 +17,7 @@
 )
 
 // heapShare is the share of the memory limit, 0 to 1, that the garbage collector keeps the heap within. The rest is for
-// what it does not count, such as the sockets' buffers and the program itself.
+// memory that it does not count, such as the sockets' buffers and the program itself.
 const heapShare = 0.7
 
 // serveFiles are the optional files of "serve". An empty name turns the feature off.
@@ -31,7 +31,7 @@
 
 // serve runs the proxy until SIGTERM, and writes a CPU profile if profile names a file.
 func serve(profile string, files serveFiles) error {
-	// Signals first: an unhandled SIGHUP would end the program.
+	// Signals are handled before anything else: an unhandled SIGHUP would end the program.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	// The handler stays until the end: a second SIGTERM during the drain must not drop requests in flight.
@@ -45,16 +45,16 @@
 	if profile != "" {
 		file, err := os.Create(profile + "." + cfg.Name)
 		if err != nil {
-			return fmt.Errorf("the profile: %w", err)
+			return fmt.Errorf("CPU profile: %w", err)
 		}
 		defer func() { _ = file.Close() }()
 		if err := pprof.StartCPUProfile(file); err != nil {
-			return fmt.Errorf("the profile: %w", err)
+			return fmt.Errorf("CPU profile: %w", err)
 		}
 		defer pprof.StopCPUProfile()
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
-	signal.Ignore(syscall.SIGPIPE) // a log whose reader has died must not take the proxy with it
+	signal.Ignore(syscall.SIGPIPE) // the proxy must not exit when the reader of its log has exited
 	writer := lograte.New(os.Stderr)
 	defer func() { _ = writer.Close() }()
 	log := slog.New(slog.NewTextHandler(writer, nil)).With("proxy", cfg.Name)
@@ -85,7 +85,7 @@
 	cfg.Fleet = f.fleet
 }
 
-// reload reads the configuration again at each SIGHUP until ended is closed. An invalid one changes nothing.
+// reload reloads the configuration at each SIGHUP until ended is closed. An invalid configuration changes nothing.
 func reload(p *proxy.Proxy, hangup <-chan os.Signal, ended <-chan struct{}) {
 	for {
 		select {
--- a/internal/staleness/calibrate/calibrate_test.go
+++ b/internal/staleness/calibrate/calibrate_test.go
@@ -102,7 +102,8 @@
 			brier, silentBrier := r.Estimate.BrierSum, r.SilentWatch.BrierSum
 			completeBrier, completeSilentBrier := complete.Estimate.BrierSum, complete.SilentWatch.BrierSum
 			if brier > 1.02*completeBrier || silentBrier > 1.02*completeSilentBrier {
-				found = append(found, fmt.Sprintf("Brier sum %.0f (complete: %.0f), silent watches %.0f (complete: %.0f)",
+				found = append(found, fmt.Sprintf(
+					"Brier sum %.0f (all terms: %.0f), at silent watches %.0f (all terms: %.0f)",
 					brier, completeBrier, silentBrier, completeSilentBrier))
 			}
 			if len(found) == 0 {
--- a/internal/staleness/calibrate/calls.go
+++ b/internal/staleness/calibrate/calls.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// silenceBeforeCall is the silence of a watch after which a proxy breaks it and calls.
+	// silenceBeforeCall is the silence of a watch after which a proxy closes it and calls for the complete list.
 	silenceBeforeCall = 5 * time.Second
 	resyncInterval    = time.Minute
 	callTimeout       = 2 * time.Second
-	// refusedCallTime is the time after which a call fails during an outage.
+	// refusedCallTime is the time after which a call fails during an outage of the discovery service.
 	refusedCallTime = 100 * time.Millisecond
-	// answerContentAfter is the time from a call to the moment whose list answers it.
+	// answerContentAfter is the time from a call to the moment whose list is in the answer.
 	answerContentAfter   = 40 * time.Millisecond
 	minAnswerTime        = 50 * time.Millisecond
 	maxAnswerTime        = 120 * time.Millisecond
@@ -21,11 +21,11 @@
 	minRetryDelay        = time.Second
 	maxRetryDelay        = 3 * time.Second
 	versionCheckInterval = time.Second
-	// checksBeforeCall is the number of version checks in a row that must know a later version before a proxy calls.
+	// checksBeforeCall is the number of version checks in a row that must report a later version before a proxy calls.
 	checksBeforeCall = 2
 )
 
-// callNow plans a call for now, unless an earlier one is planned.
+// callNow schedules a call for now, unless an earlier one is scheduled.
 func (p *proxy) callNow(now time.Duration) {
 	p.nextCall = min(now, p.nextCall)
 	if p.nextCall < 0 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// stepCalls has a proxy call for the complete list at its start, after a silence, after a lost change and at each
-// resync, and plays the version checks.
+// stepCalls makes a proxy call for the complete list at its start, after a silence, after a lost change and at each
+// resync, and simulates the version checks.
 func (s *simulation) stepCalls(p *proxy, now time.Duration) error {
 	if p.watching() && now < s.outageUntil { // the discovery service closes the connection
 		p.nextHeartbeat = -1
@@ -67,7 +67,7 @@
 	return s.checkVersion(p, now)
 }
 
-// call calls for the complete list, and tells whether the call is going to fail.
+// call requests the complete list, and reports whether the call is going to fail.
 func (s *simulation) call(p *proxy, now time.Duration) (fails bool) {
 	switch {
 	case now < s.outageUntil:
@@ -83,7 +83,7 @@
 	return false
 }
 
-// checkVersion has a control-plane server tell a proxy the current version.
+// checkVersion simulates a control-plane server that reports the current version to a proxy.
 func (s *simulation) checkVersion(p *proxy, now time.Duration) error {
 	reachable := now >= s.outageUntil && p.fault != partition
 	if !s.settings.VersionChecks || now < p.nextVersionCheck || !reachable || p.heardAt < 0 {
--- a/internal/staleness/calibrate/proxy.go
+++ b/internal/staleness/calibrate/proxy.go
@@ -8,12 +8,12 @@
 	"lapisspread/internal/staleness"
 )
 
-// fault is what is wrong between a proxy and the discovery service.
+// fault is a fault between a proxy and the discovery service.
 type fault int
 
 const (
 	noFault     fault = iota
-	silentWatch       // the watch's connection lives and nothing arrives; calls are answered
+	silentWatch       // the watch's connection stays open and nothing arrives; calls are answered
 	partition         // nothing arrives; calls time out
 	staleList         // the discovery service answers with an old list
 )
@@ -26,7 +26,7 @@
 	maxSilentWatch  = 30 * time.Second
 	maxPartition    = 60 * time.Second
 	maxStaleList    = 20 * time.Second
-	// catchUpTransit is the time that the list takes with which a stale discovery service catches up.
+	// catchUpTransit is the transit time of the list that a stale discovery service sends when it has caught up.
 	catchUpTransit = 50 * time.Millisecond
 )
 
@@ -38,9 +38,9 @@
 	maxPause       = 20 * time.Second
 	// backlogSpacing is the time between two queued messages after a suspension.
 	backlogSpacing = 50 * time.Millisecond
-	// lostAgeChance is how often a restarted proxy does not know the age of its list.
+	// lostAgeChance is the probability that a restarted proxy does not know the age of its list.
 	lostAgeChance = .1
-	// busyDiscoveryChance is how often the discovery service is busy after a restart.
+	// busyDiscoveryChance is the probability that the discovery service is busy after a proxy's restart.
 	busyDiscoveryChance = .4
 	maxFirstCallDelay   = 250 * time.Millisecond
 	minBusyDelay        = time.Second
@@ -49,7 +49,7 @@
 
 const (
 	attemptRate = 12.0 // per second
-	// falseRefusalChance is how often a server refuses though it is as listed.
+	// falseRefusalChance is the probability that a server refuses a request although it is as listed.
 	falseRefusalChance = .005
 	// silentHeartbeats is the number of heartbeat intervals after which a watch counts as silent.
 	silentHeartbeats = 1.5
@@ -57,16 +57,16 @@
 	meanChangeRate = .005
 )
 
-// proxy is a simulated proxy with the view under test. Negative times stand for never.
+// proxy is a simulated proxy with the view under test. Negative times mean never.
 type proxy struct {
 	view *staleness.View
 	rng  *rand.Rand
 
-	incarnations []uint64 // by server, as the proxy knows them
+	incarnations []uint64 // by server, as listed at the proxy; 0 if not listed
 	version      uint64
-	contentAt    time.Duration // latest moment whose truth was received
+	contentAt    time.Duration // the latest moment whose true list the proxy received
 	staleAnswer  bool          // the last message came from a discovery service that answers with an old list
-	firstLossAt  time.Duration // the first change that was lost and not made good
+	firstLossAt  time.Duration // when the first change was lost that no complete list has replaced; negative if none
 
 	queue         []message
 	lastArrival   time.Duration // of the last message in the queue
@@ -75,19 +75,19 @@
 
 	fault      fault
 	faultUntil time.Duration
-	staleList  listSnapshot // for the fault of that name
+	staleList  listSnapshot // the old list during a fault staleList
 
 	pausedUntil   time.Duration
 	pausedAt      time.Duration
 	restarting    bool          // the pause is a restart, not a suspension
-	savedAt       time.Duration // the moment to which the saved list goes back, at most
+	savedAt       time.Duration // the saved list was current at this moment or later
 	savedAgeKnown bool
 
-	nextCall         time.Duration // negative if none is planned
+	nextCall         time.Duration // negative if none is scheduled
 	callFailsAt      time.Duration // negative if no call is going to fail
 	nextResync       time.Duration
 	nextVersionCheck time.Duration
-	versionsBehind   int // version checks in a row that knew a later version
+	versionsBehind   int // version checks in a row that reported a later version
 }
 
 func newProxy(settings Settings, stream uint64, servers int) (*proxy, error) {
@@ -108,9 +108,10 @@
 	return p, nil
 }
 
+// watching reports whether the proxy has a watch.
 func (p *proxy) watching() bool { return p.nextHeartbeat >= 0 }
 
-// stepProxy plays one step of a proxy and of its connection.
+// stepProxy simulates one step of a proxy and of its connection.
 func (s *simulation) stepProxy(p *proxy, now time.Duration) error {
 	s.stepFault(p, now)
 	s.sendHeartbeat(p, now)
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// stepFault ends a fault whose time is over, and may begin another one.
+// stepFault ends a fault whose time is over, and may start another fault.
 func (s *simulation) stepFault(p *proxy, now time.Duration) {
 	if now < p.faultUntil {
 		return
@@ -170,7 +171,7 @@
 	}
 }
 
-// pause may suspend or stop the process, and tells whether it did.
+// pause may suspend or stop the process, and reports whether it did.
 func (p *proxy) pause(now time.Duration) bool {
 	switch x := p.rng.Float64() / step.Seconds(); {
 	case x < suspensionRate:
@@ -189,7 +190,7 @@
 	return true
 }
 
-// resume ends a pause: the process goes on, or its successor starts.
+// resume ends a pause: a suspended process continues, a stopped process starts again.
 func (p *proxy) resume(now time.Duration) {
 	if p.restarting {
 		p.restart(now)
@@ -216,7 +217,7 @@
 	}
 }
 
-// wake delivers what was queued during a suspension back to back.
+// wake ends a suspension: messages that were queued during it arrive at intervals of backlogSpacing.
 func (p *proxy) wake(now time.Duration) {
 	p.view.RecordSuspension(now, now-p.pausedAt)
 	p.lastArrival = max(p.lastArrival, now)
@@ -227,7 +228,7 @@
 	}
 }
 
-// attempt sends a request to a random server that the proxy lists.
+// attempt sends a request to a random server, if the proxy lists it, and records the outcome.
 func (s *simulation) attempt(p *proxy, now time.Duration) error {
 	i := p.rng.IntN(len(p.incarnations))
 	if p.incarnations[i] == 0 {
@@ -255,8 +256,8 @@
 	return p.view.RecordContradiction(now, listSource, other)
 }
 
-// checkAge compares the bound of the age with the age of information, which is the time since the proxy's list as a
-// whole was known to be current, and with the age of the first change that the proxy misses.
+// checkAge compares the view's bound of the age with the age of information, which is the time since the complete list
+// of the proxy was last current, and with the age of the first change that the proxy misses.
 func (s *simulation) checkAge(p *proxy, now time.Duration) {
 	contentAt := p.contentAt
 	missed := time.Duration(0)
--- a/internal/staleness/calibrate/result.go
+++ b/internal/staleness/calibrate/result.go
@@ -9,20 +9,20 @@
 const (
 	// deciles is the number of ranges of the estimated probability.
 	deciles = 10
-	// minDecileAttempts is the number of attempts from which a decile counts.
+	// minDecileAttempts is the minimum number of attempts for a decile to be evaluated.
 	minDecileAttempts = 100
 	// baselineTransit is the transit time that the baseline adds to the time since the last message.
 	baselineTransit = 250 * time.Millisecond
 )
 
-// Decile is the attempts whose estimated probability was within a tenth.
+// Decile sums up the attempts whose estimated probability was within one tenth of the range 0 to 1.
 type Decile struct {
 	Attempts    int
-	EstimateSum float64
-	Unchanged   int // servers that were as listed
+	EstimateSum float64 // sum of the estimated probabilities
+	Unchanged   int     // servers that were as listed
 }
 
-// Bias is by how much the observed part of unchanged servers exceeds the mean estimate; 0 without attempts.
+// Bias returns the observed part of unchanged servers minus the mean estimate, or 0 without attempts.
 func (d Decile) Bias() float64 {
 	if d.Attempts == 0 {
 		return 0
@@ -30,7 +30,7 @@
 	return float64(d.Unchanged)/float64(d.Attempts) - d.EstimateSum/float64(d.Attempts)
 }
 
-// Score is how one estimator did.
+// Score is the accuracy of one estimator.
 type Score struct {
 	Deciles  [deciles]Decile
 	BrierSum float64 // sum of squared errors of the probabilities (Brier, 1950)
@@ -45,14 +45,14 @@
 // Result is the outcome of simulations.
 type Result struct {
 	Estimate Score // of package staleness
-	Baseline Score // of the simple rule
-	// SilentWatch is the estimate's attempts while a watch that was not known to be broken was silent.
+	Baseline Score // of the baseline; see the package comment
+	// SilentWatch is the score of package staleness for attempts during which the proxy had a watch that was silent.
 	SilentWatch Score
 	Attempts    int
-	UnknownAges int // looks at which the age was not known
+	UnknownAges int // age checks at which the age was not known
 }
 
-// attemptOutcome is what two estimators said of an attempt, and the truth.
+// attemptOutcome holds the probabilities of two estimators for an attempt, and the true outcome.
 type attemptOutcome struct {
 	estimate  float64
 	baseline  float64
@@ -60,7 +60,7 @@
 	silent    bool // the watch was silent
 }
 
-// ageOutcome is a bound of the age, and the truth.
+// ageOutcome holds a bound of the age, and the true ages.
 type ageOutcome struct {
 	information time.Duration // age of information
 	missed      time.Duration // age of the first missed change
@@ -111,7 +111,7 @@
 	r.Baseline.addAge(a, a.sinceHeard+baselineTransit)
 }
 
-// WorstBias is the largest absolute bias of a decile with at least a hundred attempts.
+// WorstBias returns the largest absolute bias of a decile with at least a hundred attempts.
 func (s *Score) WorstBias() float64 {
 	worst := 0.0
 	for _, d := range s.Deciles {
@@ -122,18 +122,19 @@
 	return worst
 }
 
-// Coverage is the part of bounds that held against the age of information.
+// Coverage returns the part of bounds that held against the age of information, 0 to 1.
 func (s *Score) Coverage() float64 { return float64(s.AgesCovered) / float64(max(1, s.Ages)) }
 
-// CoverageWithoutStaleAnswers is the same without the bounds that a stale discovery service made wrong.
+// CoverageWithoutStaleAnswers returns the same as Coverage, but leaves out the bounds that failed because the discovery
+// service answered with an old list.
 func (s *Score) CoverageWithoutStaleAnswers() float64 {
 	return float64(s.AgesCovered) / float64(max(1, s.Ages-s.StaleAnswers))
 }
 
-// CoverageOfMissed is the part of bounds that held against the age of the first missed change.
+// CoverageOfMissed returns the part of bounds that held against the age of the first missed change.
 func (s *Score) CoverageOfMissed() float64 { return float64(s.MissedCovered) / float64(max(1, s.Ages)) }
 
-// MedianRatio is the median of bound divided by age of information; infinite without any.
+// MedianRatio returns the median of the bound divided by the age of information, or infinity if there is no bound.
 func (s *Score) MedianRatio() float64 {
 	if len(s.ratios) == 0 {
 		return math.Inf(1)
--- a/internal/staleness/calibrate/run.go
+++ b/internal/staleness/calibrate/run.go
@@ -8,24 +8,24 @@
 	"lapisspread/internal/staleness"
 )
 
-// Settings of a simulation.
+// Settings configure a simulation.
 type Settings struct {
 	Seed     uint64
 	Duration time.Duration // in virtual time
 	Proxies  int
 	View     staleness.Settings // the simulation sets Sources
-	// VersionChecks has a control-plane server tell each proxy the current version once a second.
+	// VersionChecks makes a control-plane server report the current version to each proxy once a second.
 	VersionChecks bool
 }
 
 const (
 	// step is the resolution of virtual time.
 	step = 20 * time.Millisecond
-	// ageCheckInterval is the time between two looks at the bound of the age; a multiple of step.
+	// ageCheckInterval is the time between two checks of the bound of the age; a multiple of step.
 	ageCheckInterval = 240 * time.Millisecond
 	// listSource is the name of the views' only source.
 	listSource = "list"
-	// serverStream and firstProxyStream tell apart the random number streams of one seed.
+	// serverStream and firstProxyStream select independent random number streams of one seed.
 	serverStream     = 41
 	firstProxyStream = 100
 )
@@ -46,7 +46,7 @@
 	proxies []*proxy
 }
 
-// Run plays a simulation and adds its outcome to the result. Errors are those of staleness.New and of the views.
+// Run runs a simulation and adds its outcome to the result. The errors are those of staleness.New and of the views.
 func Run(settings Settings, result *Result) error {
 	settings.View.Sources = []staleness.SourceSettings{{Name: listSource, HeartbeatInterval: heartbeatInterval}}
 	s := &simulation{
@@ -85,10 +85,10 @@
 	}
 }
 
-// uniform draws a time between two.
-func uniform(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(rng.Float64()*float64(most-least))
+// uniform draws a time between a minimum and a maximum.
+func uniform(rng *rand.Rand, minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(rng.Float64()*float64(maximum-minimum))
 }
 
-// happens draws whether an event of a rate per second happens within a step.
+// happens draws whether an event with a rate, per second, happens within one step.
 func happens(rng *rand.Rand, rate float64) bool { return rng.Float64() < rate*step.Seconds() }
--- a/internal/staleness/calibrate/servers.go
+++ b/internal/staleness/calibrate/servers.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// kinds of servers. A view learns the name of a kind, and nothing of its rate.
+// kinds are the kinds of servers. A view gets the name of a kind, but not its change rate.
 var kinds = []struct {
 	name       string
 	servers    int
@@ -20,31 +20,32 @@
 	deployRate  = 1. / 300 // per second and kind
 	minDeploy   = 10 * time.Second
 	maxDeploy   = 20 * time.Second
-	leaveChance = .4 // of a change; the others are restarts
+	leaveChance = .4 // probability that a change is a departure; the other changes are restarts
 	minAbsence  = 5 * time.Second
 	maxAbsence  = 20 * time.Second
 	// deployChangeRate is added, per second, to each server's change rate during a deployment of its kind.
 	deployChangeRate = .09
 	// firstLaterIncarnation keeps the incarnations of restarted servers above the initial ones.
 	firstLaterIncarnation = 100_000
-	// incarnationsPerStep is above the number of servers.
+	// incarnationsPerStep separates the incarnations of different steps; it is above the number of servers.
 	incarnationsPerStep = 1000
 )
 
-// server is one address at which processes come and go.
+// server is an address at which processes start and stop.
 type server struct {
 	kind        int
 	incarnation uint64        // 0 while no process runs
 	returnsAt   time.Duration // when the next process starts, if none runs
 }
 
-// listSnapshot is the true list of one moment.
+// listSnapshot is the true list at one moment.
 type listSnapshot struct {
 	version      uint64
 	at           time.Duration
 	incarnations []uint64 // by server
 }
 
+// incarnations returns the current incarnation of each server, 0 while no process runs.
 func (s *simulation) incarnations() []uint64 {
 	all := make([]uint64, len(s.servers))
 	for i := range s.servers {
@@ -53,7 +54,7 @@
 	return all
 }
 
-// stepServers begins outages and deployments, changes servers, and sends the changes to the proxies' watches.
+// stepServers starts outages and deployments, changes servers, and sends the changes to the proxies' watches.
 func (s *simulation) stepServers(now time.Duration) {
 	if s.outageUntil < now && happens(s.rng, outageRate) {
 		s.outageUntil = now + uniform(s.rng, minOutage, maxOutage)
@@ -82,7 +83,7 @@
 	}
 }
 
-// stepServer tells whether the server changed.
+// stepServer may change a server, and reports whether it did.
 func (s *simulation) stepServer(i int, now time.Duration) bool {
 	v := &s.servers[i]
 	rate := kinds[v.kind].changeRate
--- a/internal/staleness/calibrate/table.go
+++ b/internal/staleness/calibrate/table.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// String is a table of both estimators.
+// String returns a table of both estimators with one row per decile: the number of attempts, the mean estimate
+// ("marked"), the observed part of unchanged servers ("right") and the bias ("off").
 func (r *Result) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-9s %9s %7s %7s %7s   %9s %7s %7s %7s\n",
@@ -16,11 +17,12 @@
 		fmt.Fprintf(&b, "%.1f-%.1f   %s   %s\n", low, high, estimate.columns(), r.Baseline.Deciles[i].columns())
 	}
 	top := r.SilentWatch.Deciles[deciles-1]
-	fmt.Fprintf(&b, "silent watch: %d attempts at .9 and above, off %+.4f; worst tenth %.3f\n",
+	fmt.Fprintf(&b, "silent watch: %d attempts estimated at .9 and above, off %+.4f; worst tenth %.3f\n",
 		top.Attempts, top.Bias(), r.SilentWatch.WorstBias())
 	r.writeScore(&b, "view", &r.Estimate)
 	r.writeScore(&b, "plain", &r.Baseline)
-	fmt.Fprintf(&b, "%d attempts, %d looks at ages, %d at an unknown one\n", r.Attempts, r.Estimate.Ages, r.UnknownAges)
+	fmt.Fprintf(&b, "%d attempts, %d checks of a known age, %d of an unknown age\n",
+		r.Attempts, r.Estimate.Ages, r.UnknownAges)
 	return b.String()
 }
 
@@ -30,8 +32,9 @@
 }
 
 func (r *Result) writeScore(b *strings.Builder, name string, s *Score) {
-	fmt.Fprintf(b, "%-6s worst tenth %.3f, Brier %.5f, bound holds %.5f (outside of lies %.5f, missed changes %.5f), ",
-		name, s.WorstBias(), s.BrierSum/float64(max(1, r.Attempts)), s.Coverage(), s.CoverageWithoutStaleAnswers(),
-		s.CoverageOfMissed())
+	fmt.Fprintf(b, "%-6s worst tenth %.3f, Brier %.5f, bound holds %.5f ",
+		name, s.WorstBias(), s.BrierSum/float64(max(1, r.Attempts)), s.Coverage())
+	fmt.Fprintf(b, "(without stale answers %.5f, missed changes %.5f), ",
+		s.CoverageWithoutStaleAnswers(), s.CoverageOfMissed())
 	fmt.Fprintf(b, "median bound/age %.2f\n", s.MedianRatio())
 }
--- a/internal/staleness/calibrate/watch.go
+++ b/internal/staleness/calibrate/watch.go
@@ -14,34 +14,34 @@
 	completeList                    // the answer to a call
 )
 
-// message is on its way from the discovery service to a proxy.
+// message is a message in transit from the discovery service to a proxy.
 type message struct {
 	kind            messageKind
 	arrivesAt       time.Duration
 	requestedAt     time.Duration // of a complete list: when the call was sent
-	contentAt       time.Duration // the moment whose truth it carries
+	contentAt       time.Duration // the moment whose true list it carries
 	staleAnswer     bool          // from a discovery service that answers with an old list
 	version         uint64
-	previousVersion uint64   // of a change
-	server          int      // of a change
-	incarnations    []uint64 // of the server, or of all
+	previousVersion uint64   // of a change: the version before it
+	server          int      // of a change: the index of the changed server
+	incarnations    []uint64 // of the changed server, or of all servers
 }
 
 const (
 	heartbeatInterval = time.Second
-	minHeartbeatPace  = .97 // of the interval
-	heartbeatSpread   = .06
+	minHeartbeatPace  = .97 // shortest time between heartbeats, as a part of heartbeatInterval
+	heartbeatSpread   = .06 // longest minus shortest time, as a part of heartbeatInterval
 	changeLossChance  = .003
 	minTransit        = 15 * time.Millisecond
 	meanExtraTransit  = 25 * time.Millisecond
 	lateChance        = .01
 	minLateness       = 300 * time.Millisecond
 	maxLateness       = 2 * time.Second
-	// requestTransit is the time from a call to the moment at which the answer is made.
+	// requestTransit is the time from a call to the moment at which the discovery service makes the answer.
 	requestTransit = 40 * time.Millisecond
 )
 
-// send puts a message on a proxy's watch, unless there is none or a fault keeps the message back.
+// send sends a message on a proxy's watch, unless there is no watch or a fault blocks the message.
 func (s *simulation) send(p *proxy, now time.Duration, m message) {
 	if !p.watching() || p.fault == silentWatch || p.fault == partition || now < s.outageUntil {
 		return
@@ -67,7 +67,7 @@
 	p.enqueue(m)
 }
 
-// sendHeartbeat sends a heartbeat if it is time.
+// sendHeartbeat sends a heartbeat if one is due.
 func (s *simulation) sendHeartbeat(p *proxy, now time.Duration) {
 	if !p.watching() || now < p.nextHeartbeat {
 		return
@@ -77,7 +77,7 @@
 	p.nextHeartbeat = now + time.Duration(float64(heartbeatInterval)*pace)
 }
 
-// sendCompleteList answers a call with the list of the moment contentAt.
+// sendCompleteList answers a call with the list at the moment contentAt.
 func (s *simulation) sendCompleteList(p *proxy, contentAt, arrivesAt time.Duration) {
 	m := message{
 		kind:         completeList,
@@ -103,12 +103,12 @@
 	p.queue = append(p.queue, m)
 }
 
-// receive has a proxy take in all messages that have arrived.
+// receive applies all messages that have arrived at a proxy.
 func (s *simulation) receive(p *proxy, now time.Duration) error {
 	for len(p.queue) > 0 && p.queue[0].arrivesAt <= now {
 		m := p.queue[0]
 		p.queue = p.queue[1:]
-		if m.kind != completeList && !p.watching() { // of a watch that has ended
+		if m.kind != completeList && !p.watching() { // sent on a watch that has ended
 			continue
 		}
 		p.heardAt = now
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// apply hands a message to the proxy's view.
+// apply passes a message to the proxy's view.
 func (s *simulation) apply(p *proxy, now time.Duration, m message) error {
 	switch m.kind {
 	case heartbeat:
@@ -129,7 +129,7 @@
 	case change:
 		incarnation := m.incarnations[0]
 		p.incarnations[m.server] = incarnation
-		if m.previousVersion != p.version { // a change was lost: call for the complete list
+		if m.previousVersion != p.version { // a change was lost: request the complete list
 			p.callNow(now)
 		}
 		p.version = m.version
