--- a/cmd/lapisspread/fleet.go
+++ b/cmd/lapisspread/fleet.go
@@ -77,7 +77,7 @@
 				printf(cmd.OutOrStdout(), "%s\n", text)
 			}
 			if len(findings) > 0 {
-				return fmt.Errorf("%s: found %d withheld files or conflicts", path, len(findings))
+				return fmt.Errorf("%s: found %d withheld files or budget mismatches", path, len(findings))
 			}
 			printf(cmd.OutOrStdout(), "%s: good: %s\n", path, fleet.Summary())
 			return nil
--- a/internal/staleness/age.go
+++ b/internal/staleness/age.go
@@ -39,7 +39,7 @@
 		return
 	}
 	for _, s := range v.sources {
-		if !s.ageKnown || s.heardAt == never {
+		if !s.ageKnown || s.lastMessageAt == never {
 			continue
 		}
 		v.advance(s, now-gap)
@@ -51,7 +51,7 @@
 		s.drainingBacklog = true
 		s.resumedAt = now
 		s.forgetHeartbeats()
-		s.heardAt = now
+		s.lastMessageAt = now
 		s.advancedTo = now
 	}
 }
@@ -81,14 +81,14 @@
 
 func (s *trackedSource) restore(now, savedAge time.Duration) {
 	s.ageKnown = savedAge >= 0
-	s.heardAt = never
+	s.lastMessageAt = never
 	s.forgetHeartbeats()
 	s.drainingBacklog = false
 	s.currentAt = now - max(0, savedAge)
 	s.advancedTo = now
 	s.confirmedAt = s.currentAt
 	s.supersededSince = never
-	s.knownVersion = 0
+	s.reportedVersion = 0
 	s.filter.collapse(s.currentAt)
 	if !s.ageKnown {
 		s.filter.assumeUnknownAge(now)
@@ -98,7 +98,7 @@
 // restoreAsCurrent treats restored content as current; the calibration uses it to omit termRestart.
 func (s *trackedSource) restoreAsCurrent(now time.Duration) {
 	s.ageKnown = true
-	s.heardAt = now
+	s.lastMessageAt = now
 	s.advancedTo = now
 	s.currentAt = now
 	s.filter = filter{live: 1}
--- a/internal/staleness/calibrate/calls.go
+++ b/internal/staleness/calibrate/calls.go
@@ -45,7 +45,7 @@
 		p.nextCall = now + uniform(p.rng, 0, maxReconnectDelay)
 	}
 	idle := p.nextCall < 0 && p.callFailsAt < 0
-	if idle && (now-p.heardAt > silenceBeforeCall || now > p.nextResync) {
+	if idle && (now-p.lastMessageAt > silenceBeforeCall || now > p.nextResync) {
 		p.nextCall = now
 		p.nextResync = now + resyncInterval
 	}
@@ -58,7 +58,7 @@
 	if p.callFailsAt >= 0 && now >= p.callFailsAt {
 		p.callFailsAt = -1
 		p.nextCall = now + uniform(p.rng, minRetryDelay, maxRetryDelay)
-		if p.heardAt >= 0 {
+		if p.lastMessageAt >= 0 {
 			if err := p.view.RecordFailure(now, listSource, staleness.CallTimedOut); err != nil {
 				return err
 			}
@@ -86,7 +86,7 @@
 // checkVersion simulates a control-plane server that reports the current version to a proxy.
 func (s *simulation) checkVersion(p *proxy, now time.Duration) error {
 	reachable := now >= s.outageUntil && p.fault != partition
-	if !s.settings.VersionChecks || now < p.nextVersionCheck || !reachable || p.heardAt < 0 {
+	if !s.settings.VersionChecks || now < p.nextVersionCheck || !reachable || p.lastMessageAt < 0 {
 		return nil
 	}
 	p.nextVersionCheck = now + versionCheckInterval
--- a/internal/staleness/calibrate/proxy.go
+++ b/internal/staleness/calibrate/proxy.go
@@ -70,7 +70,7 @@
 
 	queue         []message
 	lastArrival   time.Duration // of the last message in the queue
-	heardAt       time.Duration
+	lastMessageAt time.Duration
 	nextHeartbeat time.Duration // negative if there is no watch
 
 	fault      fault
@@ -96,13 +96,13 @@
 		return nil, err
 	}
 	p := &proxy{
-		view:         view,
-		rng:          rand.New(rand.NewPCG(settings.Seed, stream)),
-		incarnations: make([]uint64, servers),
-		firstLossAt:  -1,
-		heardAt:      -1,
-		pausedUntil:  -1,
-		callFailsAt:  -1,
+		view:          view,
+		rng:           rand.New(rand.NewPCG(settings.Seed, stream)),
+		incarnations:  make([]uint64, servers),
+		firstLossAt:   -1,
+		lastMessageAt: -1,
+		pausedUntil:   -1,
+		callFailsAt:   -1,
 	}
 	p.nextResync = uniform(p.rng, 0, resyncInterval)
 	return p, nil
@@ -130,7 +130,7 @@
 	if err := s.stepCalls(p, now); err != nil {
 		return err
 	}
-	if p.heardAt < 0 {
+	if p.lastMessageAt < 0 {
 		return nil
 	}
 	for n := attemptRate * step.Seconds(); n > 0; n-- {
@@ -197,7 +197,7 @@
 	} else {
 		p.wake(now)
 	}
-	p.heardAt = now
+	p.lastMessageAt = now
 	p.pausedUntil = -1
 }
 
@@ -239,9 +239,9 @@
 	unchanged := incarnation == p.incarnations[i]
 	s.result.addAttempt(attemptOutcome{
 		estimate:  p.view.Confidence(now, name),
-		baseline:  math.Exp(-meanChangeRate * max(0, now-p.heardAt).Seconds()),
+		baseline:  math.Exp(-meanChangeRate * max(0, now-p.lastMessageAt).Seconds()),
 		unchanged: unchanged,
-		silent:    float64(now-p.heardAt) > silentHeartbeats*float64(heartbeatInterval) && p.watching(),
+		silent:    float64(now-p.lastMessageAt) > silentHeartbeats*float64(heartbeatInterval) && p.watching(),
 	})
 	refused := staleness.Evidence{Kind: staleness.Refused, Entry: name}
 	switch {
@@ -274,10 +274,10 @@
 		return
 	}
 	s.result.addAge(ageOutcome{
-		information: now - contentAt,
-		missed:      missed,
-		bound:       bound,
-		sinceHeard:  now - p.heardAt,
-		staleAnswer: p.staleAnswer,
+		information:      now - contentAt,
+		missed:           missed,
+		bound:            bound,
+		sinceLastMessage: now - p.lastMessageAt,
+		staleAnswer:      p.staleAnswer,
 	})
 }
--- a/internal/staleness/calibrate/result.go
+++ b/internal/staleness/calibrate/result.go
@@ -62,11 +62,11 @@
 
 // ageOutcome holds a bound of the age, and the true ages.
 type ageOutcome struct {
-	information time.Duration // age of information
-	missed      time.Duration // age of the first missed change
-	bound       time.Duration
-	sinceHeard  time.Duration
-	staleAnswer bool // discovery answered with an old list
+	information      time.Duration // age of information
+	missed           time.Duration // age of the first missed change
+	bound            time.Duration
+	sinceLastMessage time.Duration
+	staleAnswer      bool // discovery answered with an old list
 }
 
 func (s *Score) addAttempt(estimate float64, unchanged bool) {
@@ -108,7 +108,7 @@
 
 func (r *Result) addAge(a ageOutcome) {
 	r.Estimate.addAge(a, a.bound)
-	r.Baseline.addAge(a, a.sinceHeard+baselineTransit)
+	r.Baseline.addAge(a, a.sinceLastMessage+baselineTransit)
 }
 
 // WorstBias returns the largest absolute bias of a decile with at least a hundred attempts.
--- a/internal/staleness/calibrate/run.go
+++ b/internal/staleness/calibrate/run.go
@@ -90,5 +90,5 @@
 	return minimum + time.Duration(rng.Float64()*float64(maximum-minimum))
 }
 
-// happens draws whether an event with a rate, per second, happens within one step.
-func happens(rng *rand.Rand, rate float64) bool { return rng.Float64() < rate*step.Seconds() }
+// eventOccurs draws whether an event with a rate per second occurs within one step.
+func eventOccurs(rng *rand.Rand, rate float64) bool { return rng.Float64() < rate*step.Seconds() }
--- a/internal/staleness/calibrate/servers.go
+++ b/internal/staleness/calibrate/servers.go
@@ -56,11 +56,11 @@
 
 // stepServers starts outages and deployments, changes servers, and sends the changes to the proxies' watches.
 func (s *simulation) stepServers(now time.Duration) {
-	if s.outageUntil < now && happens(s.rng, outageRate) {
+	if s.outageUntil < now && eventOccurs(s.rng, outageRate) {
 		s.outageUntil = now + uniform(s.rng, minOutage, maxOutage)
 	}
 	for k := range kinds {
-		if s.deployUntil[k] < now && happens(s.rng, deployRate) {
+		if s.deployUntil[k] < now && eventOccurs(s.rng, deployRate) {
 			s.deployUntil[k] = now + uniform(s.rng, minDeploy, maxDeploy)
 		}
 	}
@@ -94,7 +94,7 @@
 	switch {
 	case v.incarnation == 0 && now >= v.returnsAt:
 		v.incarnation = started
-	case v.incarnation != 0 && happens(s.rng, rate):
+	case v.incarnation != 0 && eventOccurs(s.rng, rate):
 		if s.rng.Float64() < leaveChance {
 			v.incarnation = 0
 			v.returnsAt = now + uniform(s.rng, minAbsence, maxAbsence)
--- a/internal/staleness/calibrate/watch.go
+++ b/internal/staleness/calibrate/watch.go
@@ -111,7 +111,7 @@
 		if m.kind != completeList && !p.watching() { // sent on a watch that has ended
 			continue
 		}
-		p.heardAt = now
+		p.lastMessageAt = now
 		p.contentAt = max(p.contentAt, m.contentAt)
 		p.staleAnswer = m.staleAnswer
 		if err := s.apply(p, now, m); err != nil {
@@ -133,7 +133,7 @@
 			p.callNow(now)
 		}
 		p.version = m.version
-		changes := []staleness.Change{s.changeOf(m.server, incarnation)}
+		changes := []staleness.Change{s.newChange(m.server, incarnation)}
 		return p.view.ApplyUpdate(now, listSource, staleness.Update{Version: m.version, Changes: changes})
 	}
 	return s.applyCompleteList(p, now, m)
@@ -144,7 +144,7 @@
 	for i, incarnation := range m.incarnations {
 		p.incarnations[i] = incarnation
 		if incarnation != 0 {
-			update.Changes = append(update.Changes, s.changeOf(i, incarnation))
+			update.Changes = append(update.Changes, s.newChange(i, incarnation))
 		}
 	}
 	if m.version < p.version { // an older list replaces a newer one
@@ -158,7 +158,7 @@
 	return p.view.ApplyUpdate(now, listSource, update)
 }
 
-func (s *simulation) changeOf(i int, incarnation uint64) staleness.Change {
+func (s *simulation) newChange(i int, incarnation uint64) staleness.Change {
 	kind := kinds[s.servers[i].kind].name
 	return staleness.Change{
 		Entry:   staleness.Entry{Name: s.names[i], Kind: kind, Route: kind, Incarnation: incarnation},
--- a/internal/staleness/confidence.go
+++ b/internal/staleness/confidence.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxAdvance is the maximum time between two advances of a filter. Calls before that use the filter without an
-	// advance, which bounds their cost.
+	// maxAdvance is the upper limit of the time after which a filter is advanced again. Earlier calls use the filter
+	// without an advance, which bounds their cost.
 	maxAdvance = 50 * time.Millisecond
 	// maxAdvanceSteps bounds the steps of one advance after a long time.
 	maxAdvanceSteps = 32
@@ -43,7 +43,7 @@
 	if now-s.advancedTo < min(s.gaps.Percentile90()/minAdvanceDivisor, maxAdvance) {
 		return
 	}
-	if s.heardAt == never { // no message yet: restored content is not followed
+	if s.lastMessageAt == never { // no message yet: restored content is not followed
 		s.advancedTo = now
 		return
 	}
@@ -60,7 +60,7 @@
 	}
 	for s.advancedTo < now {
 		to := min(now, s.advancedTo+step)
-		stillSilent := s.gaps.stillSilent(s.advancedTo-s.heardAt, to-s.heardAt)
+		stillSilent := s.gaps.stillSilent(s.advancedTo-s.lastMessageAt, to-s.lastMessageAt)
 		if v.settings.omitted == termPhi {
 			stillSilent = 1
 		}
@@ -81,7 +81,7 @@
 // meanDelay returns the mean time, in seconds, for which an entry of a live view is wrong before its change arrives.
 // Changes that never arrive are included.
 func (s *trackedSource) meanDelay() float64 {
-	return (priorDelaySeconds + s.wrongWhileLive) / (1 + s.hazardWhileLive)
+	return (priorDelaySeconds + s.changedWhileLive) / (1 + s.hazardWhileLive)
 }
 
 // survival returns the probability that an entry is unchanged if the content was last current at the time at, and the
--- a/internal/staleness/evidence.go
+++ b/internal/staleness/evidence.go
@@ -80,7 +80,7 @@
 )
 
 // RecordFailure records that a call to a source or its watch failed. The error is UnknownSourceError.
-func (v *View) RecordFailure(now time.Duration, name string, how FailureKind) error {
+func (v *View) RecordFailure(now time.Duration, name string, kind FailureKind) error {
 	s, err := v.source(name)
 	if err != nil || !s.ageKnown {
 		return err
@@ -89,7 +89,7 @@
 	if v.settings.omitted == termEvidence {
 		return nil
 	}
-	if how == WatchBroken {
+	if kind == WatchBroken {
 		s.filter.silence(now, now)
 		return nil
 	}
@@ -167,7 +167,7 @@
 ) {
 	s := e.source
 	if s.filter.live > liveForTrials {
-		s.wrongWhileLive += changed
+		s.changedWhileLive += changed
 		s.hazardWhileLive += e.kind.rate.Current()
 	}
 	hazard, unfollowed := 0.0, 0.0
@@ -188,7 +188,7 @@
 	if version != 0 && version <= s.version {
 		return
 	}
-	s.knownVersion = max(s.knownVersion, version)
+	s.reportedVersion = max(s.reportedVersion, version)
 	live := lateUpdateFactor
 	if s.supersededSince == never || now-s.supersededSince < s.gaps.Percentile90()/2 {
 		changesPerSecond := 0.0
@@ -261,7 +261,7 @@
 	s.currentAt = max(s.currentAt, sentAt)
 	s.confirmedAt = now
 	s.supersededSince = never
-	s.knownVersion = 0
+	s.reportedVersion = 0
 	for _, e := range v.entryOrder {
 		if e.source == s {
 			e.confirmedAt = max(e.confirmedAt, sentAt)
--- a/internal/staleness/filter.go
+++ b/internal/staleness/filter.go
@@ -10,9 +10,9 @@
 	maxHypotheses = 14
 	// minWeight is the weight at which a hypothesis is dropped.
 	minWeight = 1e-9
-	// minTotal is the total weight below which an observation counts as impossible in every state: the weights are then
-	// not normalized.
-	minTotal = 1e-200
+	// minTotalWeight is the total weight below which an observation counts as impossible in every state: the weights
+	// are then not normalized.
+	minTotalWeight = 1e-200
 	// staleAfterChanges is the part of the stale weight that remains when changes arrive: a stale source may send them.
 	staleAfterChanges = .05
 	// mergeAgeSeconds keeps the merge cost of very recent hypotheses finite.
@@ -72,7 +72,7 @@
 
 func (f *filter) normalize() {
 	total := f.total()
-	if !(total > minTotal) { // also if total is not a number
+	if !(total > minTotalWeight) { // also if total is not a number
 		return
 	}
 	f.live /= total
--- a/internal/staleness/fleet_map_test.go
+++ b/internal/staleness/fleet_map_test.go
@@ -122,26 +122,26 @@
 		if err != nil {
 			t.Fatalf("NewFleetMap: %v", err)
 		}
-		milliseconds := func(least, most int, label string) time.Duration {
-			return time.Duration(rapid.IntRange(least, most).Draw(t, label)) * time.Millisecond
+		drawMilliseconds := func(minimum, maximum int, label string) time.Duration {
+			return time.Duration(rapid.IntRange(minimum, maximum).Draw(t, label)) * time.Millisecond
 		}
 		drift := rapid.Float64Range(-.009, .009).Draw(t, "drift")
 		m.RecordVersion(0, "list", 1)
 		currentSince := []time.Duration{0} // by version, from 1
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
-			now += milliseconds(1, 3000, "elapsed")
+			now += drawMilliseconds(1, 3000, "elapsed")
 			if rapid.Bool().Draw(t, "change") {
 				currentSince = append(currentSince, now)
-				m.RecordVersion(now+milliseconds(0, 500, "late"), "list", uint64(len(currentSince)))
+				m.RecordVersion(now+drawMilliseconds(0, 500, "late"), "list", uint64(len(currentSince)))
 			}
 			version := rapid.IntRange(1, len(currentSince)).Draw(t, "version")
 			age := time.Duration(0) // since the version was superseded
 			if version < len(currentSince) {
 				age = now - currentSince[version]
 			}
-			maxAge := age + milliseconds(0, 1000, "slack")
-			transit := milliseconds(0, 999, "transit")
+			maxAge := age + drawMilliseconds(0, 1000, "slack")
+			transit := drawMilliseconds(0, 999, "transit")
 			clock := time.Duration(float64(now) * (1 + drift))
 			arrival := now + transit
 			if err := m.RecordReport(arrival, newReport(clock, uint64(version), maxAge)); err != nil {
--- a/internal/staleness/gaps.go
+++ b/internal/staleness/gaps.go
@@ -15,7 +15,8 @@
 	gapPrior = 0.25
 	// gapBlurFraction is the mean excess of a gap over an observed one, as a part of the usual gap.
 	gapBlurFraction = .1
-	// maxBlurs is the excess, in blurs, beyond which an observed gap no longer counts.
+	// maxBlurs is the excess, in units of gapBlurFraction of the usual gap, beyond which an observed gap no longer
+	// counts.
 	maxBlurs = 12
 	// minHeartbeatInterval is the minimum interval between messages.
 	minHeartbeatInterval = 10 * time.Millisecond
@@ -87,7 +88,7 @@
 	shorter, _ := slices.BinarySearch(g.sorted[:g.count], seconds)
 	usual := max(g.expectedSeconds/4, g.Percentile90().Seconds())
 	longer := float64(g.count-shorter) + gapPrior*math.Exp(-seconds/usual)
-	// Without the blur a message slightly later than all observed ones would make the watch look silent.
+	// Without this term a message slightly later than all observed ones would make the watch look silent.
 	for _, gap := range g.sorted[:shorter] {
 		if blurs := (seconds - gap) / (gapBlurFraction * usual); blurs < maxBlurs {
 			longer += math.Exp(-blurs)
--- a/internal/staleness/level.go
+++ b/internal/staleness/level.go
@@ -64,9 +64,9 @@
 	return errors.Join(errs...)
 }
 
-// levelOf returns the best level whose threshold a confidence reaches by at least margin. confirmed says whether enough
-// entries answered recently for level Confirmed.
-func (t *Thresholds) levelOf(confidence, margin float64, confirmed bool) Level {
+// levelFor returns the best level whose threshold a confidence reaches by at least margin. confirmed says whether
+// enough entries answered recently for level Confirmed.
+func (t *Thresholds) levelFor(confidence, margin float64, confirmed bool) Level {
 	switch {
 	case confidence >= t.Confirmed+margin && confirmed:
 		return Confirmed
--- a/internal/staleness/probes.go
+++ b/internal/staleness/probes.go
@@ -14,7 +14,7 @@
 }
 
 const (
-	// probeCeiling is the confidence above which nothing is probed.
+	// probeCeiling is the confidence above which an entry is not probed.
 	probeCeiling = .99
 	// removedProbeWeight keeps the gain of entries that are probably removed above 0, so that they are probed at times.
 	removedProbeWeight = .05
@@ -60,7 +60,7 @@
 			continue
 		}
 		s := e.source
-		weight := v.weightOf(e)
+		weight := v.routeWeightPerEntry(e)
 		atRisk[s.settings.Name] += weight * (1 - confidence) * (1 - s.followed())
 		if !s.settings.AffectsAllRoutes && now-e.probedAt >= s.gaps.Percentile90() {
 			gain := weight * (1 - confidence) * (confidence + removedProbeWeight)
@@ -84,8 +84,8 @@
 	return calls
 }
 
-// weightOf returns an entry's part of its route's priority weight.
-func (v *View) weightOf(e *trackedEntry) float64 {
+// routeWeightPerEntry returns an entry's part of its route's priority weight.
+func (v *View) routeWeightPerEntry(e *trackedEntry) float64 {
 	r := v.routeByName[e.Route]
 	if r == nil || len(r.entries) == 0 {
 		return 1
--- a/internal/staleness/receive.go
+++ b/internal/staleness/receive.go
@@ -43,8 +43,8 @@
 	v.advance(s, now)
 	silentWeight := s.filter.silentWeight()
 	usualHeartbeatGap := s.heartbeatGaps.Percentile90()
-	if s.heardAt != never {
-		s.learnGap(now-s.heardAt, silentWeight, m.complete)
+	if s.lastMessageAt != never {
+		s.learnGap(now-s.lastMessageAt, silentWeight, m.complete)
 	}
 	for _, k := range s.kindOrder {
 		if n := m.changes[k.name]; n > 0 {
@@ -57,7 +57,7 @@
 	switch {
 	case m.complete:
 		s.receiveCompleteList(now, m.requestedAt, usualHeartbeatGap)
-	case s.drainingBacklog && now-s.heardAt < usualHeartbeatGap/2:
+	case s.drainingBacklog && now-s.lastMessageAt < usualHeartbeatGap/2:
 		s.receiveBacklog(now, m.heartbeat)
 	case m.heartbeat:
 		s.receiveHeartbeat(now, usualHeartbeatGap)
@@ -72,7 +72,7 @@
 		s.filter = filter{live: 1}
 	}
 	s.ageKnown = true
-	s.heardAt = now
+	s.lastMessageAt = now
 	s.advancedTo = now
 }
 
--- a/internal/staleness/route.go
+++ b/internal/staleness/route.go
@@ -62,8 +62,8 @@
 
 // updateLevel lowers the level at once, and raises it after the confidence was sufficient for Thresholds.RiseDelay.
 func (r *routeState) updateLevel(t *Thresholds, now time.Duration, confirmed, ageKnown bool) {
-	fallTo := t.levelOf(r.confidence, 0, confirmed)
-	riseTo := t.levelOf(r.confidence, t.Margin, confirmed)
+	fallTo := t.levelFor(r.confidence, 0, confirmed)
+	riseTo := t.levelFor(r.confidence, t.Margin, confirmed)
 	if !ageKnown { // content of unknown age is not fresh, even if all servers answered
 		fallTo = min(fallTo, Doubtful)
 		riseTo = min(riseTo, Doubtful)
--- a/internal/staleness/update.go
+++ b/internal/staleness/update.go
@@ -66,7 +66,7 @@
 	if update.RequestedAt > 0 {
 		requestedAt = min(now, update.RequestedAt)
 	}
-	caughtUp := s.knownVersion > 0 && update.Version >= s.knownVersion
+	caughtUp := s.reportedVersion > 0 && update.Version >= s.reportedVersion
 	v.receive(s, now, message{
 		requestedAt: requestedAt,
 		changes:     count.byKind,
@@ -74,9 +74,9 @@
 		complete:    update.Complete,
 	})
 	s.version = update.Version
-	if caughtUp || count.changed && s.knownVersion == 0 {
+	if caughtUp || count.changed && s.reportedVersion == 0 {
 		s.supersededSince = never
-		s.knownVersion = 0
+		s.reportedVersion = 0
 	}
 	if update.LatestVersion > update.Version {
 		v.recordLaterVersion(s, now, update.LatestVersion)
--- a/internal/staleness/view.go
+++ b/internal/staleness/view.go
@@ -46,11 +46,11 @@
 	gaps          *GapDetector // between any messages
 	heartbeatGaps *GapDetector
 
-	ageKnown  bool // false until the first message, and after a restore of content of unknown age
-	version   uint64
-	currentAt time.Duration // the content was current at this moment or later
-	heardAt   time.Duration // last message
-	calledAt  time.Duration // last call that PlanProbes returned
+	ageKnown      bool // false until the first message, and after a restore of content of unknown age
+	version       uint64
+	currentAt     time.Duration // the content was current at this moment or later
+	lastMessageAt time.Duration // arrival of the last message
+	calledAt      time.Duration // last call that PlanProbes returned
 
 	heartbeatAt       time.Duration // last message without changes
 	heartbeatDelay    time.Duration // how late the last heartbeat was, at most
@@ -62,12 +62,12 @@
 
 	confirmedAt     time.Duration // when another party last reported the same version
 	supersededSince time.Duration // when another party first reported a later version; never if the view has caught up
-	knownVersion    uint64        // the later version that another party reported; 0 if none
+	reportedVersion uint64        // the later version that another party reported; 0 if none
 
-	silentWatches   float64 // expected number of watches that fell silent
-	watchedSeconds  float64 // time with a live watch
-	wrongWhileLive  float64 // attempts on a live view that found an entry changed
-	hazardWhileLive float64 // sum of the change rates over all attempts on a live view
+	silentWatches    float64 // expected number of watches that fell silent
+	watchedSeconds   float64 // time with a live watch
+	changedWhileLive float64 // attempts on a live view that found an entry changed
+	hazardWhileLive  float64 // sum of the change rates over all attempts on a live view
 
 	kinds     map[string]*entryKind
 	kindOrder []*entryKind // in the order in which they appeared, so that sums are reproducible
@@ -107,12 +107,12 @@
 		entries:      map[string]*trackedEntry{},
 		routeByName:  map[string]*routeState{},
 	}
-	for _, set := range settings.Sources {
-		s := newTrackedSource(set)
+	for _, source := range settings.Sources {
+		s := newTrackedSource(source)
 		v.sources = append(v.sources, s)
-		v.sourceByName[set.Name] = s
-		if set.AffectsAllRoutes {
-			v.list(s, Entry{Name: set.Name, Kind: set.Name})
+		v.sourceByName[source.Name] = s
+		if source.AffectsAllRoutes {
+			v.list(s, Entry{Name: source.Name, Kind: source.Name})
 		}
 	}
 	return v, nil
@@ -124,7 +124,7 @@
 		gaps:            NewGapDetector(settings.HeartbeatInterval),
 		heartbeatGaps:   NewGapDetector(settings.HeartbeatInterval),
 		kinds:           map[string]*entryKind{},
-		heardAt:         never,
+		lastMessageAt:   never,
 		heartbeatAt:     never,
 		currentAt:       never,
 		advancedTo:      never,
@@ -134,6 +134,7 @@
 	}
 }
 
+// source returns a source of the settings. The error is UnknownSourceError.
 func (v *View) source(name string) (*trackedSource, error) {
 	if s := v.sourceByName[name]; s != nil {
 		return s, nil
@@ -181,7 +182,7 @@
 	v.assignHandle(added)
 	added.kind.entries++
 	v.entries[e.Name] = added
-	v.entryOrder = slices.Insert(v.entryOrder, v.orderOf(e.Name), added)
+	v.entryOrder = slices.Insert(v.entryOrder, v.entryIndex(e.Name), added)
 	if e.Route != "" {
 		r := v.route(e.Route)
 		r.entries = append(r.entries, added)
@@ -189,19 +190,20 @@
 	return previous != nil
 }
 
+// unlist removes an entry.
 func (v *View) unlist(e *trackedEntry) {
 	e.kind.entries--
 	v.releaseHandle(e)
 	delete(v.entries, e.Name)
-	i := v.orderOf(e.Name)
+	i := v.entryIndex(e.Name)
 	v.entryOrder = slices.Delete(v.entryOrder, i, i+1)
 	if r := v.routeByName[e.Route]; r != nil {
-		r.entries = slices.DeleteFunc(r.entries, func(x *trackedEntry) bool { return x == e })
+		r.entries = slices.DeleteFunc(r.entries, func(listed *trackedEntry) bool { return listed == e })
 	}
 }
 
-// orderOf returns the index in entryOrder at which an entry of this name is, or is to be inserted.
-func (v *View) orderOf(name string) int {
+// entryIndex returns the index in entryOrder at which an entry of this name is, or is to be inserted.
+func (v *View) entryIndex(name string) int {
 	i, _ := slices.BinarySearchFunc(v.entryOrder, name, func(e *trackedEntry, name string) int {
 		return strings.Compare(e.Name, name)
 	})
