--- a/cmd/lapisspread/main_test.go
+++ b/cmd/lapisspread/main_test.go
@@ -160,7 +160,7 @@
 	}
 	line, _, _ := strings.Cut(sendConsoleLine(console, "INFO"), "\n")
 	if err := json.Unmarshal([]byte(line), &info); err != nil {
-		t.Fatalf("INFO: %q: %v", line, err)
+		t.Fatalf("console command INFO answered %q, want JSON: %v", line, err)
 	}
 	return info.OK, info.Failed
 }
@@ -220,7 +220,7 @@
 	}
 	for _, field := range []string{"settings.Services.0.Aim: ", "limits.sockets: ", "discovery: "} {
 		if !strings.Contains(string(written), path+": "+field) {
-			t.Errorf("the log does not name field %q:\n%s", field, written)
+			t.Errorf("the log has no failed reload that names %q:\n%s", field, written)
 		}
 	}
 }
--- a/cmd/lapisspread/policy_test.go
+++ b/cmd/lapisspread/policy_test.go
@@ -85,7 +85,7 @@
 	}
 	for _, text := range want {
 		if !strings.Contains(out.String()+errs.String(), text) {
-			f.t.Errorf("lapisspread fleet %v printed, want %q in it:\n%s%s", args, text, out.String(), errs.String())
+			f.t.Errorf("lapisspread fleet %v does not print %q; it printed\n%s%s", args, text, out.String(), errs.String())
 		}
 	}
 }
--- a/internal/staleness/level.go
+++ b/internal/staleness/level.go
@@ -39,8 +39,8 @@
 	ConfirmedWithin time.Duration
 }
 
-// fill sets the defaults and checks all fields.
-func (t *Thresholds) fill() error {
+// setDefaultsAndCheck sets the defaults and checks all fields.
+func (t *Thresholds) setDefaultsAndCheck() error {
 	t.Confirmed = cmp.Or(t.Confirmed, .98)
 	t.Fresh = cmp.Or(t.Fresh, .95)
 	t.Ageing = cmp.Or(t.Ageing, .8)
--- a/internal/staleness/probes.go
+++ b/internal/staleness/probes.go
@@ -61,7 +61,7 @@
 		}
 		s := e.source
 		weight := v.routeWeightPerEntry(e)
-		atRisk[s.settings.Name] += weight * (1 - confidence) * (1 - s.followed())
+		atRisk[s.settings.Name] += weight * (1 - confidence) * (1 - s.liveProbability())
 		if !s.settings.AffectsAllRoutes && now-e.probedAt >= s.gaps.Percentile90() {
 			gain := weight * (1 - confidence) * (confidence + removedProbeWeight)
 			probes = append(probes, PlannedProbe{Source: s.settings.Name, Entry: e.Name, Gain: gain})
@@ -93,8 +93,8 @@
 	return r.priorityWeight / float64(len(r.entries))
 }
 
-// followed returns the probability that the source is followed live.
-func (s *trackedSource) followed() float64 {
+// liveProbability returns the probability that the source is followed live.
+func (s *trackedSource) liveProbability() float64 {
 	if !s.ageKnown {
 		return 0
 	}
--- a/internal/staleness/settings.go
+++ b/internal/staleness/settings.go
@@ -97,8 +97,8 @@
 	c.reject(!(value > 0 && value <= maxRate), field, "%v is not above 0 and at most 1000", value)
 }
 
-// fill sets the defaults and checks all fields.
-func (s *Settings) fill() error {
+// setDefaultsAndCheck sets the defaults and checks all fields.
+func (s *Settings) setDefaultsAndCheck() error {
 	s.RateShape = cmp.Or(s.RateShape, 3)
 	s.SilentWatchRate = cmp.Or(s.SilentWatchRate, 1./200)
 	s.StaleAnswerRate = cmp.Or(s.StaleAnswerRate, 1./1500)
@@ -115,7 +115,7 @@
 	c.reject(s.MaxTransit < 0 || s.MaxTransit > maxTransit, "transit", "%v is not within 0s and 1m", s.MaxTransit)
 	c.sources(s.Sources)
 	c.kinds(s.Kinds)
-	return errors.Join(append(c.errs, s.Levels.fill())...)
+	return errors.Join(append(c.errs, s.Levels.setDefaultsAndCheck())...)
 }
 
 func (c *settingsCheck) sources(sources []SourceSettings) {
--- a/internal/staleness/update.go
+++ b/internal/staleness/update.go
@@ -93,7 +93,7 @@
 	for _, e := range slices.Clone(v.entryOrder) {
 		if e.source == s && !listed[e.Name] {
 			count.add(e.Kind, s.ageKnown)
-			v.unlist(e)
+			v.removeEntry(e)
 		}
 	}
 }
@@ -106,12 +106,12 @@
 			continue
 		}
 		if !change.Removed {
-			count.add(change.Kind, v.list(s, change.Entry))
+			count.add(change.Kind, v.addEntry(s, change.Entry))
 			continue
 		}
 		if e := v.entries[change.Name]; e != nil && e.source == s {
 			count.add(e.Kind, true)
-			v.unlist(e)
+			v.removeEntry(e)
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/staleness/view.go
+++ b/internal/staleness/view.go
@@ -98,7 +98,7 @@
 
 // New returns a view without content. The error joins an InvalidSettingsError for each invalid setting.
 func New(settings Settings) (*View, error) {
-	if err := settings.fill(); err != nil {
+	if err := settings.setDefaultsAndCheck(); err != nil {
 		return nil, err
 	}
 	v := &View{
@@ -112,7 +112,7 @@
 		v.sources = append(v.sources, s)
 		v.sourceByName[source.Name] = s
 		if source.AffectsAllRoutes {
-			v.list(s, Entry{Name: source.Name, Kind: source.Name})
+			v.addEntry(s, Entry{Name: source.Name, Kind: source.Name})
 		}
 	}
 	return v, nil
@@ -157,8 +157,8 @@
 	return k
 }
 
-// list adds an entry and reports whether it replaced another entry of the same name.
-func (v *View) list(s *trackedSource, e Entry) bool {
+// addEntry adds an entry and reports whether it replaced another entry of the same name.
+func (v *View) addEntry(s *trackedSource, e Entry) bool {
 	previous := v.entries[e.Name]
 	if previous != nil && previous.source == s && previous.Entry == e {
 		previous.odds = 1
@@ -168,7 +168,7 @@
 		if previous.odds != 1 {
 			v.falseRefusals -= previous.falseAlarm
 		}
-		v.unlist(previous)
+		v.removeEntry(previous)
 	}
 	added := &trackedEntry{
 		Entry:       e,
@@ -190,8 +190,8 @@
 	return previous != nil
 }
 
-// unlist removes an entry.
-func (v *View) unlist(e *trackedEntry) {
+// removeEntry removes a listed entry and releases its handle.
+func (v *View) removeEntry(e *trackedEntry) {
 	e.kind.entries--
 	v.releaseHandle(e)
 	delete(v.entries, e.Name)
