--- a/internal/staleness/view.go
+++ b/internal/staleness/view.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// never is a moment before all others; sums and differences with it do not overflow.
+// never is a time before all others. Sums and differences with it do not overflow.
 const never = time.Duration(math.MinInt64 / 4)
 
-// entryKind is the entries of a source that share a change rate.
+// entryKind groups the entries of a source that share a change rate.
 type entryKind struct {
 	name    string
 	rate    *ChangeRate
-	entries int
+	entries int // number of listed entries
 }
 
-// trackedEntry is a listed entry with what its server's answers showed.
+// trackedEntry is a listed entry with the evidence from its server's answers.
 type trackedEntry struct {
 	Entry
 	source      *trackedSource
 	kind        *entryKind
 	confirmedAt time.Duration // last answer as listed
 	checkedAt   time.Duration // last attempt that confirmed or contradicted the entry
-	probedAt    time.Duration // last probe that PlanProbes gave out
+	probedAt    time.Duration // last probe that PlanProbes returned
 	// odds is the factor by which contradictions since the last confirmation multiplied the odds that the entry is as
-	// believed; 1 without any.
+	// listed; 1 without contradictions.
 	odds float64
-	// falseAlarm is the probability, at the first contradiction, that the entry was as listed nevertheless.
+	// falseAlarm is the probability, at the first contradiction, that the entry was as listed all the same.
 	falseAlarm float64
 	// unfollowedSurvival is the probability, before the first contradiction, that the entry was as listed if the
 	// source is not followed.
@@ -37,7 +37,7 @@
 	handle             Handle
 }
 
-// trackedSource is a source with all that is known of it.
+// trackedSource is a source with its filter and everything that was learned about it.
 type trackedSource struct {
 	settings   SourceSettings
 	filter     filter
@@ -46,11 +46,11 @@
 	gaps          *GapDetector // between any messages
 	heartbeatGaps *GapDetector
 
-	ageKnown  bool // false until something was heard, or if the restored content has no known age
-	version   uint64
-	currentAt time.Duration // the content was current at this moment or later
-	heardAt   time.Duration // last message
-	calledAt  time.Duration // last call that PlanProbes gave out
+	ageKnown      bool // false until the first message, and after a restore of content of unknown age
+	version       uint64
+	currentAt     time.Duration // the content was current at this moment or later
+	lastMessageAt time.Duration // arrival of the last message
+	calledAt      time.Duration // last call that PlanProbes returned
 
 	heartbeatAt       time.Duration // last message without changes
 	heartbeatDelay    time.Duration // how late the last heartbeat was, at most
@@ -60,20 +60,21 @@
 	resumedAt        time.Duration // end of the last suspension
 	backlogCurrentAt time.Duration // the last queued message was sent at this moment or later
 
-	confirmedAt     time.Duration // when another party last knew the same version
-	supersededSince time.Duration // when another party first knew a later version; never if the view has caught up
-	knownVersion    uint64        // that later version
+	confirmedAt     time.Duration // when another party last reported the same version
+	supersededSince time.Duration // when another party first reported a later version; never if the view has caught up
+	reportedVersion uint64        // the later version that another party reported; 0 if none
 
-	silentWatches   float64 // expected number of watches that fell silent
-	watchedSeconds  float64 // time with a live watch
-	wrongWhileLive  float64 // attempts on a live view that found an entry changed
-	hazardWhileLive float64 // sum of the change rates over all attempts on a live view
+	silentWatches    float64 // expected number of watches that fell silent
+	watchedSeconds   float64 // time with a live watch
+	changedWhileLive float64 // attempts on a live view that found an entry changed
+	hazardWhileLive  float64 // sum of the change rates over all attempts on a live view
 
 	kinds     map[string]*entryKind
 	kindOrder []*entryKind // in the order in which they appeared, so that sums are reproducible
 }
 
-// View is what one proxy holds from all its sources. It must not be used by two goroutines at once.
+// View holds the entries that one proxy received from all its sources, with the estimates about them. It must not be
+// used by two goroutines at once.
 type View struct {
 	settings     Settings
 	sources      []*trackedSource
@@ -95,9 +96,9 @@
 	freeSlots   []uint32
 }
 
-// New makes a view that knows nothing. Errors are InvalidSettingsError, joined.
+// New returns a view without content. The error joins an InvalidSettingsError for each invalid setting.
 func New(settings Settings) (*View, error) {
-	if err := settings.fill(); err != nil {
+	if err := settings.setDefaultsAndCheck(); err != nil {
 		return nil, err
 	}
 	v := &View{
@@ -106,12 +107,12 @@
 		entries:      map[string]*trackedEntry{},
 		routeByName:  map[string]*routeState{},
 	}
-	for _, set := range settings.Sources {
-		s := newTrackedSource(set)
+	for _, source := range settings.Sources {
+		s := newTrackedSource(source)
 		v.sources = append(v.sources, s)
-		v.sourceByName[set.Name] = s
-		if set.AffectsAllRoutes {
-			v.list(s, Entry{Name: set.Name, Kind: set.Name})
+		v.sourceByName[source.Name] = s
+		if source.AffectsAllRoutes {
+			v.addEntry(s, Entry{Name: source.Name, Kind: source.Name})
 		}
 	}
 	return v, nil
@@ -123,7 +124,7 @@
 		gaps:            NewGapDetector(settings.HeartbeatInterval),
 		heartbeatGaps:   NewGapDetector(settings.HeartbeatInterval),
 		kinds:           map[string]*entryKind{},
-		heardAt:         never,
+		lastMessageAt:   never,
 		heartbeatAt:     never,
 		currentAt:       never,
 		advancedTo:      never,
@@ -133,6 +134,7 @@
 	}
 }
 
+// source returns a source of the settings. The error is UnknownSourceError.
 func (v *View) source(name string) (*trackedSource, error) {
 	if s := v.sourceByName[name]; s != nil {
 		return s, nil
@@ -140,7 +142,7 @@
 	return nil, UnknownSourceError{name}
 }
 
-// kind returns a source's kind of entries, and makes it if it is new.
+// kind returns a source's kind of entries, and creates it if it does not exist.
 func (v *View) kind(s *trackedSource, name string) *entryKind {
 	if k := s.kinds[name]; k != nil {
 		return k
@@ -155,8 +157,8 @@
 	return k
 }
 
-// list adds an entry and tells whether it replaced another one of its name.
-func (v *View) list(s *trackedSource, e Entry) bool {
+// addEntry adds an entry and reports whether it replaced another entry of the same name.
+func (v *View) addEntry(s *trackedSource, e Entry) bool {
 	previous := v.entries[e.Name]
 	if previous != nil && previous.source == s && previous.Entry == e {
 		previous.odds = 1
@@ -166,7 +168,7 @@
 		if previous.odds != 1 {
 			v.falseRefusals -= previous.falseAlarm
 		}
-		v.unlist(previous)
+		v.removeEntry(previous)
 	}
 	added := &trackedEntry{
 		Entry:       e,
@@ -180,7 +182,7 @@
 	v.assignHandle(added)
 	added.kind.entries++
 	v.entries[e.Name] = added
-	v.entryOrder = slices.Insert(v.entryOrder, v.orderOf(e.Name), added)
+	v.entryOrder = slices.Insert(v.entryOrder, v.entryIndex(e.Name), added)
 	if e.Route != "" {
 		r := v.route(e.Route)
 		r.entries = append(r.entries, added)
@@ -188,19 +190,20 @@
 	return previous != nil
 }
 
-func (v *View) unlist(e *trackedEntry) {
+// removeEntry removes a listed entry and releases its handle.
+func (v *View) removeEntry(e *trackedEntry) {
 	e.kind.entries--
 	v.releaseHandle(e)
 	delete(v.entries, e.Name)
-	i := v.orderOf(e.Name)
+	i := v.entryIndex(e.Name)
 	v.entryOrder = slices.Delete(v.entryOrder, i, i+1)
 	if r := v.routeByName[e.Route]; r != nil {
-		r.entries = slices.DeleteFunc(r.entries, func(x *trackedEntry) bool { return x == e })
+		r.entries = slices.DeleteFunc(r.entries, func(listed *trackedEntry) bool { return listed == e })
 	}
 }
 
-// orderOf is where an entry of this name is or belongs in entryOrder.
-func (v *View) orderOf(name string) int {
+// entryIndex returns the index in entryOrder at which an entry of this name is, or is to be inserted.
+func (v *View) entryIndex(name string) int {
 	i, _ := slices.BinarySearchFunc(v.entryOrder, name, func(e *trackedEntry, name string) int {
 		return strings.Compare(e.Name, name)
 	})
