--- a/internal/admin/commands.go
+++ b/internal/admin/commands.go
@@ -91,11 +91,12 @@
 		if c.name != name {
 			continue
 		}
-		if len(arguments) != c.arguments {
+		if len(arguments) != c.arguments { // in the reply, "words behind the call" are the command's arguments
 			return errorReply(fmt.Errorf("%s: %d words behind the call, want %d", name, len(arguments), c.arguments))
 		}
 		return c.run(s, arguments)
 	}
+	// Operators' tools may match the reply; in it, "call" means the command.
 	return errorReply(fmt.Errorf("unknown call %.32q: %s are known", name, usage))
 }
 
--- a/internal/discovery/guardedsource/coordinator.go
+++ b/internal/discovery/guardedsource/coordinator.go
@@ -19,7 +19,7 @@
 	seed       uint64
 	now        func() time.Duration
 	log        *slog.Logger
-	maxBackoff time.Duration // upper bound for the backoff of the file, see LimitBackoff; 0 is no bound
+	maxBackoff time.Duration // upper bound for the backoff of the file, see LimitBackoff; 0 means no bound
 
 	mu          sync.Mutex
 	guards      map[string]*lockedGuard     // by the name given to Wrap
@@ -28,10 +28,10 @@
 	cachedLists map[string]CachedList // by address of the discovery service
 }
 
-// CachedList is the latest endpoint list of a discovery service, before the guard's rules.
+// CachedList is the latest endpoint list of a discovery service, as received, before a guard changes it.
 type CachedList struct {
 	Endpoints  engine.EndpointList `json:"list"`
-	AnsweredAt time.Duration       `json:"at"` // last response, by the coordinator's clock; 0 is never
+	AnsweredAt time.Duration       `json:"at"` // last response, by the coordinator's clock; 0 if there was none
 }
 
 // lockedGuard is a guard with its lock. The lock is held while a list is applied and delivered, which keeps the lists
--- a/internal/discovery/guardedsource/source.go
+++ b/internal/discovery/guardedsource/source.go
@@ -10,15 +10,15 @@
 	"lapisspread/internal/engine"
 )
 
-// RetryAfterError is an error with the delay that discovery requests before the next call.
+// RetryAfterError is implemented by errors with which the discovery service requests a delay before the next call.
 type RetryAfterError interface{ RetryAfter() time.Duration }
 
 // Source is a discovery service to which a Coordinator applies its rules. Create it with Coordinator.Wrap.
 type Source struct {
 	engine.Source
 	coordinator *Coordinator
-	guard       *lockedGuard     // nil if lists are used as they come
-	pacer       *listguard.Pacer // nil if calls do not wait; guarded by coordinator.mu
+	guard       *lockedGuard     // nil if lists are used unchanged
+	pacer       *listguard.Pacer // nil if calls are made without a delay; guarded by coordinator.mu
 }
 
 var _ engine.Source = (*Source)(nil)
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -16,10 +16,10 @@
 
 // The suffixes of a proxy's file names; see the package comment.
 const (
-	detachedFile = "out"
-	servingFile  = "serving"
-	lockFile     = "lock"
-	lifeFile     = "life"
+	detachedBackendsFile = "out"     // the IDs of the detached backends, as a JSON array
+	servingFile          = "serving" // the ID of the newest process that accepts clients
+	lockFile             = "lock"    // locked by a process while it changes detachedBackendsFile
+	lifeFile             = "life"    // locked by a process from its first successful OnlyProcess until it ends
 )
 
 // fileMode gives access to the owner only.
@@ -32,8 +32,8 @@
 	processID string // identifies this process in servingFile
 
 	mu       sync.Mutex
-	detached []string    // IDs, sorted
-	lastFile fs.FileInfo // of the version of detachedFile that was last read or written
+	detached []string    // IDs of the detached backends, sorted
+	lastFile fs.FileInfo // describes the version of detachedBackendsFile that was last read or written
 	lifeLock *os.File    // locked for as long as this process lives
 }
 
@@ -78,7 +78,7 @@
 	if s.basePath == "" {
 		return false, nil
 	}
-	path := s.path(detachedFile)
+	path := s.path(detachedBackendsFile)
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
@@ -109,8 +109,9 @@
 	return s.lastFile != nil && os.SameFile(s.lastFile, info) && s.lastFile.ModTime().Equal(info.ModTime())
 }
 
-// SetDetached detaches a backend or attaches it again. It first reads the changes of other processes. If it returns an
-// error, the change was not written, but applies in this process. It blocks while another process changes the file.
+// SetDetached detaches the backend with the given ID, or attaches it again if detached is false. It first reads the
+// changes of other processes. If it returns an error, the change was not written, but applies in this process. It
+// blocks while another process changes the file.
 func (s *Store) SetDetached(id string, detached bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,19 +132,20 @@
 	if s.basePath == "" || err != nil {
 		return err
 	}
-	return s.writeDetached()
+	return s.writeDetachedBackends()
 }
 
-// writeDetached replaces detachedFile. The caller holds s.mu and the lock on lockFile.
-func (s *Store) writeDetached() error {
+// writeDetachedBackends writes the IDs of the detached backends to detachedBackendsFile, which it replaces. The caller
+// holds s.mu and the lock on lockFile.
+func (s *Store) writeDetachedBackends() error {
 	text, err := json.Marshal(s.detached)
 	if err != nil {
 		return fmt.Errorf("hotrestart: %w", err)
 	}
-	if err := replaceFile(s.path(detachedFile), text); err != nil {
+	if err := replaceFile(s.path(detachedBackendsFile), text); err != nil {
 		return err
 	}
-	if s.lastFile, err = os.Stat(s.path(detachedFile)); err != nil {
+	if s.lastFile, err = os.Stat(s.path(detachedBackendsFile)); err != nil {
 		return fmt.Errorf("hotrestart: %w", err)
 	}
 	return nil
--- a/internal/hotrestart/store_test.go
+++ b/internal/hotrestart/store_test.go
@@ -58,6 +58,7 @@
 	}
 }
 
+// With a malformed file Refresh and SetDetached return errors, but the change applies in this process.
 func TestUnreadableFileIsAnErrorAndChangesStillHold(t *testing.T) {
 	s := Open(t.TempDir(), "n1")
 	if err := os.WriteFile(s.path("out"), []byte("{"), 0o600); err != nil {
@@ -106,6 +107,7 @@
 	}
 }
 
+// Without a directory the store keeps its state in memory, and the process counts as the only one.
 func TestWithoutDirectory(t *testing.T) {
 	s := Open("", "n1")
 	if err := s.SetDetached("s-1", true); err != nil || len(s.Detached()) != 1 {
--- a/internal/services/file.go
+++ b/internal/services/file.go
@@ -73,18 +73,18 @@
 // Class is a class of requests of a service.
 type Class struct {
 	Name             string   `toml:"name"`
-	LatencyObjective Duration `toml:"aim"`     // a response within it has the full PriorityWeight
+	LatencyObjective Duration `toml:"aim"`     // a response within this time counts with the full PriorityWeight
 	Timeout          Duration `toml:"give_up"` // how long clients wait for a response
 	Effect           string   `toml:"effect"`  // EffectSafe or EffectUnsafe
 	PriorityWeight   float64  `toml:"worth"`   // 0 or more
-	LateValue        float64  `toml:"late"`    // part of PriorityWeight that a response after LatencyObjective has, 0 to 1
+	LateValue        float64  `toml:"late"`    // factor of PriorityWeight for a response after LatencyObjective, 0 to 1
 }
 
 // Share is a service's part of the process's limits. The sum of Min over all services is at most 1.
 type Share struct {
 	Min    float64 `toml:"min"`    // part of the total, 0 to 1
 	Cap    float64 `toml:"cap"`    // part of the total, 0 to 1; if left out, 1
-	Weight float64 `toml:"weight"` // for dividing what remains above all minimums; if left out, 1
+	Weight float64 `toml:"weight"` // for dividing what remains of the total above all minimums; if left out, 1
 }
 
 // Limits are the limits of the process, which its services share.
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -69,10 +69,10 @@
 		}()
 		time.Sleep(time.Hour)
 		if starts := r.starts.Load(); starts != 4 {
-			t.Errorf("Work was started %d times, want 4", starts)
+			t.Errorf("Work that panicked, then returned, then got stuck was started %d times, want 4", starts)
 		}
 		if !slices.Equal(r.events, []string{"panic", "stuck"}) {
-			t.Errorf("recorded events %q, want [panic stuck]", r.events)
+			t.Errorf("calls of OnPanic and OnStuck = %q, want [panic stuck]", r.events)
 		}
 		cancel()
 		<-ended
