--- a/internal/admin/frozen_test.go
+++ b/internal/admin/frozen_test.go
@@ -38,6 +38,7 @@
 			all.Write(errorReply(err))
 		}
 	}
+	// The stored file has the word "orders" for the calls of the backend.
 	all.WriteString("orders: " + strings.Join(backend.calls, ", ") + "\n")
 	if *writeFrozen {
 		if err := os.WriteFile("testdata/replies.txt", all.Bytes(), 0o644); err != nil {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -109,6 +109,7 @@
 	return string(text)
 }
 
+// The server sends the expected reply to each command, and only valid commands reach the backend.
 func TestCalls(t *testing.T) {
 	backend := &stub{serving: true}
 	addr := start(t, backend)
@@ -161,6 +162,7 @@
 	}
 }
 
+// Before the proxy serves, PING gets an error reply.
 func TestNotServingYet(t *testing.T) {
 	if got := send(t, start(t, &stub{}), "PING\n"); got != "400 not serving yet\n" {
 		t.Errorf("reply to PING before the proxy serves = %q, want \"400 not serving yet\\n\"", got)
--- a/internal/discovery/endpointset.go
+++ b/internal/discovery/endpointset.go
@@ -9,7 +9,7 @@
 
 // endpointSet is a full endpoint list that changes are applied to.
 type endpointSet struct {
-	known   bool // reports whether a list was applied
+	known   bool // whether a list was applied
 	version uint32
 	members []engine.Endpoint // in the order in which they were added
 }
--- a/internal/discovery/guardedsource/coordinator.go
+++ b/internal/discovery/guardedsource/coordinator.go
@@ -120,7 +120,7 @@
 		return nil
 	}
 	if c.pacers[name] == nil {
-		if c.maxBackoff > 0 { // half of the bound, because a Pacer may add up to a fleet round to a backoff
+		if c.maxBackoff > 0 { // half of the bound, because a Pacer may add up to a fleet round (see Pacer)
 			settings.MaxBackoff = max(min(settings.MaxBackoff, c.maxBackoff/2), listguard.MinBackoff)
 		}
 		pacer, err := listguard.NewPacer(settings)
--- a/internal/discovery/guardedsource/source_test.go
+++ b/internal/discovery/guardedsource/source_test.go
@@ -16,7 +16,7 @@
 // scriptedSource is a discovery service that returns the lists and errors that a test provides.
 type scriptedSource struct {
 	lists   chan engine.EndpointList
-	errs    []error         // results of its next calls; nil is success
+	errs    []error         // results of its next calls; nil for success
 	calls   []time.Duration // times of all calls since started
 	started time.Time
 }
--- a/internal/discovery/listguard/guard.go
+++ b/internal/discovery/listguard/guard.go
@@ -195,6 +195,7 @@
 		float64(absent.newlyAbsent) > g.settings.MaxMissingRatio*float64(absent.ready)
 }
 
+// add inserts an endpoint or replaces its state. A retained endpoint is then no longer missing.
 func (g *Guard) add(endpoint engine.Endpoint) {
 	known := g.known[endpoint.ID]
 	if known == nil {
@@ -208,6 +209,7 @@
 	*known = guardedEndpoint{Endpoint: endpoint}
 }
 
+// remove deletes an endpoint from the guard's list; an unknown ID is ignored.
 func (g *Guard) remove(id string) {
 	delete(g.known, id)
 	g.order = slices.DeleteFunc(g.order, func(other string) bool { return other == id })
--- a/internal/discovery/listguard/pacer.go
+++ b/internal/discovery/listguard/pacer.go
@@ -48,6 +48,7 @@
 
 // Pacer computes when a proxy may make its next call to discovery. All proxies follow the same rule with different
 // random delays, so that proxies that start at the same time together call about as often as discovery accepts.
+// A fleet round is the time in which each proxy of the fleet may call once, at most MaxBackoff.
 type Pacer struct {
 	settings PacingSettings
 	random   *rand.Rand
@@ -65,7 +66,7 @@
 	return &Pacer{settings: settings, random: rand.New(rand.NewPCG(settings.Seed, pacerStream))}, nil
 }
 
-// fleetRound returns the time in which each proxy of the fleet may call once, at most MaxBackoff.
+// fleetRound returns the duration of a fleet round; see Pacer.
 func (p *Pacer) fleetRound() time.Duration {
 	seconds := float64(p.settings.Proxies-1) / p.settings.CallsPerSecond
 	return min(p.settings.MaxBackoff, time.Duration(seconds*float64(time.Second)))
--- a/internal/discovery/listguard/pacer_test.go
+++ b/internal/discovery/listguard/pacer_test.go
@@ -26,7 +26,7 @@
 	type proxy struct {
 		pacer *Pacer
 		next  time.Duration // time of its next call
-		done  bool          // it got its list
+		done  bool          // whether it got its list
 	}
 	var fleet []*proxy
 	for i := range proxies {
@@ -97,6 +97,8 @@
 	}
 }
 
+// After a failed call the pacer waits at least for the delay that discovery requested, and at most for MaxBackoff plus
+// a fleet round. NewPacer returns an error that names the key of an invalid setting.
 func TestPacerKeepsRetryAfter(t *testing.T) {
 	p, err := NewPacer(pacingSettings(12, 5))
 	if err != nil {
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -9,9 +9,8 @@
 	"lapisspread/internal/engine"
 )
 
-// ErrUnsubscribed is returned by the calls of a Subscription that was closed. Its text must not change; in it,
-// "register" means the Registry and "follower" means the Subscription.
-var ErrUnsubscribed = errors.New("register: the follower has left")
+// ErrUnsubscribed is returned by the calls of a Subscription that was closed.
+var ErrUnsubscribed = errors.New("discovery: the subscription was closed")
 
 // Registry holds one shared watch for each discovery service that has a subscription. It is safe for concurrent use.
 type Registry struct {
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -17,12 +17,12 @@
 	"lapisspread/internal/engine"
 )
 
-// fakeSource is a discovery service for tests. Its Watch delivers what the test sends to lists, and returns an error
-// that the test sends to fail.
+// fakeSource is a discovery service for tests. Its Watch delivers the lists that the test sends on the channel lists,
+// and returns the error that the test sends on the channel fail.
 type fakeSource struct {
 	mu         sync.Mutex
 	list       engine.EndpointList
-	err        error // returned by later calls of Fetch and Watch; nil is success
+	err        error // returned by later calls of Fetch and Watch; nil for success
 	lists      chan engine.EndpointList
 	fail       chan error
 	fetches    int
@@ -105,7 +105,7 @@
 	return l
 }
 
-// subscriber stands for an engine: it applies the lists that a subscription delivers.
+// subscriber simulates an engine: it applies the lists that a subscription delivers.
 type subscriber struct {
 	mu    sync.Mutex
 	list  endpointSet
@@ -147,6 +147,7 @@
 	}
 }
 
+// All subscriptions to an address share one watch of the source, and the last Close closes the source.
 func TestSubscriptionsShareOneWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := newFakeSource(full(7, "a", "b"))
@@ -287,7 +288,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		if got := slow.ids(); len(got) != 5 {
-			t.Errorf("the slow subscriber has endpoints %q, want 5", got)
+			t.Errorf("the slow subscriber has endpoints %q, want the 5 that the changes added", got)
 		}
 	})
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,9 +12,8 @@
 // initialBackoff is the pause after the first failed call; maxBackoff bounds it.
 const initialBackoff = 50 * time.Millisecond
 
-// errWatchEnded is reported when a source's Watch returns without an error. Its text appears in logs and must not
-// change; in it, "register" means the Registry.
-var errWatchEnded = errors.New("register: the watch has ended")
+// errWatchEnded is reported when a source's Watch returns without an error.
+var errWatchEnded = errors.New("discovery: the source's watch ended without an error")
 
 // sharedWatch is the watch of one discovery service that all its subscribers share.
 type sharedWatch struct {
--- a/internal/durable/file_test.go
+++ b/internal/durable/file_test.go
@@ -80,6 +80,7 @@
 	checkRejected(append(bytes.Clone(intact), ' '))
 }
 
+// Load reads files of its own version and of older versions, and rejects those of newer versions.
 func TestLoadRejectsNewerVersions(t *testing.T) {
 	f := newFile(t)
 	if err := f.Save(value{}); err != nil {
--- a/internal/durable/journal_test.go
+++ b/internal/durable/journal_test.go
@@ -91,7 +91,7 @@
 func TestLoadLeavesOutDamagedRecords(t *testing.T) {
 	j := newJournal(t)
 	var names []string
-	for i := range 12 {
+	for i := range 12 { // the names contain copies of recordMark, which must not be taken for the start of a record
 		names = append(names, fmt.Sprintf("record %02d %.*s", i, i, "\xd9\x1c\xd9\x1c\xd9\x1c\xd9\x1c"))
 	}
 	if err := j.Rewrite(slices.Values(records(names...))); err != nil {
--- a/internal/listener/connlimiter_test.go
+++ b/internal/listener/connlimiter_test.go
@@ -68,7 +68,8 @@
 	return true
 }
 
-// newConnLimiter returns a limiter that reserves no connections for known clients, and the time of its clock.
+// newConnLimiter returns a limiter that reserves no connections for known clients, and a pointer to the time of its
+// clock, which the test can advance.
 func newConnLimiter(t *testing.T, maxConns int, blocksPath string) (*ConnLimiter, *time.Duration) {
 	t.Helper()
 	f, err := Parse("a.toml", []byte("version = 1\n[connections]\nreserve = 0.0\n"))
@@ -88,7 +89,7 @@
 	return &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(lastByte)), Port: 1}
 }
 
-// If a connection refuses its eviction, the next one is evicted in its place. An eviction is counted once, although
+// If a connection refuses to be evicted, the next connection is evicted instead. An eviction is counted once, although
 // both the connection and the limiter call Remove.
 func TestRefusedEvictionIsPassedOver(t *testing.T) {
 	l, now := newConnLimiter(t, 3, "")
@@ -116,8 +117,7 @@
 	}
 	*now += time.Second
 	if id, reason := l.Arrive(clientAddr(10), &stub{}); id != 0 && reason == admission.NoCapacity {
-		t.Errorf("Arrive when every eviction is refused = ID %v, reason %v; want reason %v only with ID 0",
-			id, reason, admission.NoCapacity)
+		t.Errorf("Arrive when every eviction is refused = ID %v and reason %v; want ID 0 with this reason", id, reason)
 	}
 }
 
--- a/internal/listener/file.go
+++ b/internal/listener/file.go
@@ -88,7 +88,7 @@
 // Capacity is the capacity of a process for its clients.
 type Capacity struct {
 	Conns     int
-	BodyBytes int64 // sum over the bodies of all requests in flight; 0 is no bound
+	BodyBytes int64 // sum over the bodies of all requests in flight; 0 means no limit
 }
 
 // Settings returns the connection settings for a process with the given capacity. The error names each invalid key.
--- a/internal/listener/frozen_test.go
+++ b/internal/listener/frozen_test.go
@@ -19,7 +19,7 @@
 	until := time.Date(2100, 1, 1, 0, 0, 0, 500, time.UTC)
 	first, second := netip.MustParsePrefix("10.1.0.0/16"), netip.MustParsePrefix("2001:db8::1/128")
 	if *writeFrozen {
-		l := openFrozen(t, "testdata/blocks")
+		l := newFrozenBlocksLimiter(t, "testdata/blocks")
 		l.blocks[first], l.blocks[second] = until, until
 		if err := l.saveBlocks(); err != nil {
 			t.Fatalf("writing testdata/blocks: %v", err)
@@ -33,7 +33,7 @@
 	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatalf("copying testdata/blocks: %v", err)
 	}
-	l := openFrozen(t, path)
+	l := newFrozenBlocksLimiter(t, path)
 	if err := l.Restore(); err != nil {
 		t.Fatalf("Restore: %v", err)
 	}
@@ -58,7 +58,8 @@
 	}
 }
 
-func openFrozen(t *testing.T, path string) *ConnLimiter {
+// newFrozenBlocksLimiter returns a limiter that persists its blocks in the file path.
+func newFrozenBlocksLimiter(t *testing.T, path string) *ConnLimiter {
 	t.Helper()
 	f, err := Parse("a.toml", []byte("version = 1\n"))
 	if err != nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -28,8 +28,8 @@
 
 	Attempts         atomic.Int64 // attempts that were sent completely to a backend
 	InFlight         atomic.Int64 // requests that have not ended
-	BackendsKnown    atomic.Int64 // in the endpoint list
-	BackendsExcluded atomic.Int64 // of BackendsKnown, those that get no traffic
+	BackendsKnown    atomic.Int64 // backends in the endpoint list
+	BackendsExcluded atomic.Int64 // backends in the endpoint list that get no traffic
 	ReloadsOK        atomic.Int64 // successful reloads of the configuration
 	ReloadsFailed    atomic.Int64
 	InvalidLists     atomic.Int64 // responses of discovery that were not a valid endpoint list
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// Concurrent counts are all included in the JSON encoding, and counts of unknown classes are ignored.
 func TestCountsFromManyGoroutines(t *testing.T) {
 	c := New([]string{"ride", "payout"})
 	var counting sync.WaitGroup
--- a/internal/services/validate.go
+++ b/internal/services/validate.go
@@ -48,6 +48,7 @@
 // services checks all services and returns the set of their names.
 func (v *validator) services(services []Service) map[string]bool {
 	v.addIf(len(services) == 0, "service: none is given")
+	// The reply to the admin command ROUTES can contain these texts, which must not change.
 	v.addIf(len(services) > MaxServices, "service: %d; %d are the most", len(services), MaxServices)
 	names := map[string]bool{}
 	for i := range services {
--- a/internal/strictconfig/strictconfig.go
+++ b/internal/strictconfig/strictconfig.go
@@ -37,6 +37,7 @@
 		return nil, fmt.Errorf("reading %s: %w", what, err)
 	}
 	if info.Size() > maxBytes {
+		// The reply to the admin command ROUTES can contain this text, which must not change: maxBytes is the maximum.
 		return nil, fmt.Errorf("%s: %d bytes; %d are the most", path, info.Size(), maxBytes)
 	}
 	text, err := os.ReadFile(path)
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -12,8 +12,8 @@
 const (
 	// StuckAfter is the time without a heartbeat after which a task counts as stuck.
 	StuckAfter = 8 * time.Second
-	// MaxStuck is the maximum number of stuck goroutines of a task beside a running one. If more are stuck, the task is
-	// started again only after one of them has ended.
+	// MaxStuck is the maximum number of stuck goroutines of a task in addition to the running one. If more are stuck,
+	// the task is started again only after one of them has ended.
 	MaxStuck = 3
 	// restartDelay is the pause before work that has returned or panicked is started again.
 	restartDelay = 100 * time.Millisecond
@@ -51,7 +51,7 @@
 // Run starts Work, and starts it again whenever it ends or is stuck, until ctx ends. It blocks until then, and
 // afterwards at most ShutdownGrace until Work has returned.
 func (t *Task) Run(ctx context.Context) {
-	var running atomic.Int64
+	var running atomic.Int64 // goroutines of Work that have not ended, including stuck ones
 	for ctx.Err() == nil {
 		workCtx, cancel := context.WithCancel(ctx)
 		generation := t.OnStart()
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -80,7 +80,7 @@
 	})
 }
 
-// At most MaxStuck goroutines are stuck beside the last one that was started.
+// At most MaxStuck goroutines are stuck in addition to the last one that was started.
 func TestStuckGoroutinesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{}
--- a/internal/tlskeys/tlskeys_test.go
+++ b/internal/tlskeys/tlskeys_test.go
@@ -118,6 +118,7 @@
 	}
 }
 
+// Load of invalid files returns an error that names the file or says what is wrong with it.
 func TestLoadNamesWhatIsInvalid(t *testing.T) {
 	ca := tlstest.NewCA(t)
 	valid := toFiles(ca.Issue(t, "a.example", time.Hour))
