--- a/internal/admin/frozen_test.go
+++ b/internal/admin/frozen_test.go
@@ -16,14 +16,14 @@
 //
 //	go test ./internal/console -run TestFrozenReplies -write-frozen
 func TestFrozenReplies(t *testing.T) {
-	backend := &stub{}
+	backend := &stubBackend{}
 	s := New(backend, slog.New(slog.DiscardHandler))
 	var all bytes.Buffer
 	for _, line := range []string{"PING", "serve", "PING", "INFO", "ADMISSION", "DIAMETER", "COMEBACK", "FLEET", "VIEW",
 		"ROUTES", "DETACH s-1", "DETACH s-9", "ATTACH s-1", "LAMEDUCK", "REJOIN",
 		"BLOCK 10.0.0.1 10m", "BLOCK 10.0.0.1 soon",
 		"UNBLOCK 10.0.0.1", "  PING  ", "PING now", "DETACH", "BLOCK 10.0.0.1", "", "ping", strings.Repeat("x", 100)} {
-		if line == "serve" { // not a command: makes the stub serve for the lines after it
+		if line == "serve" { // not a command: from here on the backend reports that it serves
 			backend.serving = true
 			continue
 		}
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// stub is a Backend that records the calls of the methods that change something.
-type stub struct {
+// stubBackend is a Backend that records the calls of the methods that change something.
+type stubBackend struct {
 	mu      sync.Mutex
 	serving bool
 	calls   []string
@@ -26,34 +26,34 @@
 
 func (r rawJSON) MarshalJSON() ([]byte, error) { return []byte(r), nil }
 
-func (s *stub) record(call string) {
+func (s *stubBackend) record(call string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, call)
 }
-func (s *stub) Serving() bool                 { return s.serving }
-func (s *stub) Counters() json.Marshaler      { return rawJSON(`{"in_flight":3}`) }
-func (s *stub) StartDraining()                { s.record("lameduck") }
-func (s *stub) StopDraining()                 { s.record("rejoin") }
-func (s *stub) ReloadRoutes() (string, error) { return "", errors.New("f.toml: line 3:\nbad") }
-func (s *stub) Admission() (any, error)       { return map[string]int{"open": 3}, nil }
-func (s *stub) Diameter() (any, error)        { return nil, errors.New("no Diameter is spoken") }
-func (s *stub) QuotaLeases() (any, error)     { return nil, errors.New("no fleet") }
-func (s *stub) Freshness() (any, error)       { return nil, errors.New("no view") }
-func (s *stub) ListGuard() (any, error)       { return map[string]int{"servers_kept": 2}, nil }
-func (s *stub) Block(prefix string, duration time.Duration) error {
+func (s *stubBackend) Serving() bool                 { return s.serving }
+func (s *stubBackend) Counters() json.Marshaler      { return rawJSON(`{"in_flight":3}`) }
+func (s *stubBackend) StartDraining()                { s.record("lameduck") }
+func (s *stubBackend) StopDraining()                 { s.record("rejoin") }
+func (s *stubBackend) ReloadRoutes() (string, error) { return "", errors.New("f.toml: line 3:\nbad") }
+func (s *stubBackend) Admission() (any, error)       { return map[string]int{"open": 3}, nil }
+func (s *stubBackend) Diameter() (any, error)        { return nil, errors.New("no Diameter is spoken") }
+func (s *stubBackend) QuotaLeases() (any, error)     { return nil, errors.New("no fleet") }
+func (s *stubBackend) Freshness() (any, error)       { return nil, errors.New("no view") }
+func (s *stubBackend) ListGuard() (any, error)       { return map[string]int{"servers_kept": 2}, nil }
+func (s *stubBackend) Block(prefix string, duration time.Duration) error {
 	s.record("block " + prefix + " " + duration.String())
 	return nil
 }
-func (s *stub) Unblock(prefix string) error { return errors.New(prefix + " is not blocked") }
-func (s *stub) Detach(id string) error {
+func (s *stubBackend) Unblock(prefix string) error { return errors.New(prefix + " is not blocked") }
+func (s *stubBackend) Detach(id string) error {
 	if id != "s-1" {
 		return errors.New("no backend of that id was ever listed")
 	}
 	s.record("detach " + id)
 	return nil
 }
-func (s *stub) Attach(id string) error { s.record("attach " + id); return nil }
+func (s *stubBackend) Attach(id string) error { s.record("attach " + id); return nil }
 
 // start runs a server for a backend until the test ends, and returns its address.
 func start(t *testing.T, backend Backend) string {
@@ -109,9 +109,9 @@
 	return string(text)
 }
 
-// The server sends the expected reply to each command, and only valid commands reach the backend.
+// The server sends the expected reply to each command, and passes valid commands to the backend.
 func TestCalls(t *testing.T) {
-	backend := &stub{serving: true}
+	backend := &stubBackend{serving: true}
 	addr := start(t, backend)
 	for _, c := range []struct {
 		name, want string
@@ -164,7 +164,7 @@
 
 // Before the proxy serves, PING gets an error reply.
 func TestNotServingYet(t *testing.T) {
-	if got := send(t, start(t, &stub{}), "PING\n"); got != "400 not serving yet\n" {
+	if got := send(t, start(t, &stubBackend{}), "PING\n"); got != "400 not serving yet\n" {
 		t.Errorf("reply to PING before the proxy serves = %q, want \"400 not serving yet\\n\"", got)
 	}
 }
@@ -172,7 +172,7 @@
 // Clients that connect and send nothing reach the limit for silent connections. Later clients still get a reply, and
 // the oldest silent connection is closed.
 func TestSilentCallersKeepNobodyWaiting(t *testing.T) {
-	addr := start(t, &stub{serving: true})
+	addr := start(t, &stubBackend{serving: true})
 	first := dial(t, addr)
 	for range 3 * maxSilentConnections {
 		dial(t, addr)
--- a/internal/durable/file.go
+++ b/internal/durable/file.go
@@ -135,7 +135,7 @@
 		return ErrDamaged
 	}
 	if version > maxVersion {
-		return fmt.Errorf("%w: form %d, this one reads up to %d", ErrNewerVersion, version, maxVersion)
+		return fmt.Errorf("%w: version %d; this program reads up to version %d", ErrNewerVersion, version, maxVersion)
 	}
 	return nil
 }
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -31,10 +31,10 @@
 	basePath  string // path of the files without their suffixes; empty without a directory
 	processID string // identifies this process in servingFile
 
-	mu       sync.Mutex
-	detached []string    // IDs of the detached backends, sorted
-	lastFile fs.FileInfo // describes the version of detachedBackendsFile that was last read or written
-	lifeLock *os.File    // locked for as long as this process lives
+	mu          sync.Mutex
+	detached    []string    // IDs of the detached backends, sorted
+	lastVersion fs.FileInfo // describes the version of detachedBackendsFile that was last read or written
+	lifeLock    *os.File    // locked for as long as this process lives
 }
 
 // Open returns the store of the proxy with the given name. Several proxies may share a directory. With an empty dir the
@@ -86,7 +86,7 @@
 	if err != nil {
 		return false, fmt.Errorf("hotrestart: %w", err)
 	}
-	if s.sameAsLast(info) {
+	if s.isLastVersion(info) {
 		return false, nil
 	}
 	text, err := os.ReadFile(path)
@@ -98,15 +98,15 @@
 		return false, fmt.Errorf("hotrestart: %s: %w", path, err)
 	}
 	slices.Sort(detached)
-	s.lastFile = info
+	s.lastVersion = info
 	s.detached = slices.Compact(detached)
 	return true, nil
 }
 
-// sameAsLast reports whether info describes the version of the file that was last read or written. Each version is a
+// isLastVersion reports whether info describes the version of the file that was last read or written. Each version is a
 // new file; if it reuses the inode of an older version, its modification time differs.
-func (s *Store) sameAsLast(info fs.FileInfo) bool {
-	return s.lastFile != nil && os.SameFile(s.lastFile, info) && s.lastFile.ModTime().Equal(info.ModTime())
+func (s *Store) isLastVersion(info fs.FileInfo) bool {
+	return s.lastVersion != nil && os.SameFile(s.lastVersion, info) && s.lastVersion.ModTime().Equal(info.ModTime())
 }
 
 // SetDetached detaches the backend with the given ID, or attaches it again if detached is false. It first reads the
@@ -145,7 +145,7 @@
 	if err := replaceFile(s.path(detachedBackendsFile), text); err != nil {
 		return err
 	}
-	if s.lastFile, err = os.Stat(s.path(detachedBackendsFile)); err != nil {
+	if s.lastVersion, err = os.Stat(s.path(detachedBackendsFile)); err != nil {
 		return fmt.Errorf("hotrestart: %w", err)
 	}
 	return nil
--- a/internal/listener/connlimiter_test.go
+++ b/internal/listener/connlimiter_test.go
@@ -49,15 +49,15 @@
 	}
 }
 
-// stub is a connection that can be evicted, unless refuses is set. Evict calls onClosed after it has closed the stub.
-type stub struct {
+// stubConn is a connection that can be evicted, unless refuses is set. Evict sets closed and then calls onClosed.
+type stubConn struct {
 	mu       sync.Mutex
 	closed   bool
 	refuses  bool
 	onClosed func()
 }
 
-func (s *stub) Evict() bool {
+func (s *stubConn) Evict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refuses || s.closed {
@@ -93,15 +93,15 @@
 // both the connection and the limiter call Remove.
 func TestRefusedEvictionIsPassedOver(t *testing.T) {
 	l, now := newConnLimiter(t, 3, "")
-	var stubs []*stub
+	var stubs []*stubConn
 	for i := range 3 {
-		s := &stub{refuses: i == 0}
+		s := &stubConn{refuses: i == 0}
 		id, _ := l.Arrive(clientAddr(i), s)
 		s.onClosed = func() { l.Remove(id) }
 		stubs = append(stubs, s)
 		*now += time.Second
 	}
-	if id, reason := l.Arrive(clientAddr(9), &stub{refuses: true}); id == 0 {
+	if id, reason := l.Arrive(clientAddr(9), &stubConn{refuses: true}); id == 0 {
 		t.Fatalf("Arrive of a fourth connection was rejected with reason %v, want it admitted by an eviction", reason)
 	}
 	if stubs[0].closed || !stubs[1].closed || stubs[2].closed {
@@ -116,7 +116,7 @@
 		s.refuses = true
 	}
 	*now += time.Second
-	if id, reason := l.Arrive(clientAddr(10), &stub{}); id != 0 && reason == admission.NoCapacity {
+	if id, reason := l.Arrive(clientAddr(10), &stubConn{}); id != 0 && reason == admission.NoCapacity {
 		t.Errorf("Arrive when every eviction is refused = ID %v and reason %v; want ID 0 with this reason", id, reason)
 	}
 }
@@ -138,7 +138,7 @@
 	if err := next.Restore(); err != nil {
 		t.Fatalf("Restore in the next process: %v", err)
 	}
-	if _, reason := next.Arrive(clientAddr(1), &stub{}); reason != admission.Blocked {
+	if _, reason := next.Arrive(clientAddr(1), &stubConn{}); reason != admission.Blocked {
 		t.Errorf("Arrive of a blocked client in the next process: reason %v, want %v", reason, admission.Blocked)
 	}
 	var notBlocked NotBlockedError
@@ -148,7 +148,7 @@
 	if err := next.Unblock(long); err != nil {
 		t.Errorf("Unblock(%v), whose block was restored: %v", long, err)
 	}
-	if id, reason := next.Arrive(clientAddr(1), &stub{}); id == 0 {
+	if id, reason := next.Arrive(clientAddr(1), &stubConn{}); id == 0 {
 		t.Errorf("Arrive after Unblock was rejected with reason %v, want it admitted", reason)
 	}
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
@@ -237,7 +237,7 @@
 func TestUseHalf(t *testing.T) {
 	l, _ := newConnLimiter(t, 4, "")
 	for i := range 4 {
-		if id, reason := l.Arrive(clientAddr(i), &stub{refuses: true}); id == 0 {
+		if id, reason := l.Arrive(clientAddr(i), &stubConn{refuses: true}); id == 0 {
 			t.Fatalf("Arrive of connection %d of 4 (limit 4) was rejected with reason %v", i+1, reason)
 		}
 	}
@@ -251,7 +251,7 @@
 	if r := l.Report(); r.MaxConns != 2 || r.Open != 4 {
 		t.Errorf("after UseHalf(true): %d connections open, MaxConns %d; want 4 open, MaxConns 2", r.Open, r.MaxConns)
 	}
-	if id, _ := l.Arrive(clientAddr(9), &stub{refuses: true}); id != 0 {
+	if id, _ := l.Arrive(clientAddr(9), &stubConn{refuses: true}); id != 0 {
 		t.Error("Arrive with 4 connections open and MaxConns 2 was admitted, want it rejected")
 	}
 	if err := l.UseHalf(false); err != nil || l.Report().MaxConns != 4 {
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -95,15 +95,15 @@
 	}
 	if l.spare != nil {
 		l.closeSpare()
-		l.rejectOne()
+		l.rejectWaiting()
 	}
 	time.Sleep(acceptRetryInterval)
 	l.openSpare()
 }
 
-// rejectOne accepts a connection with the descriptor that closeSpare released, and closes it. The deadline keeps it
-// from blocking if the waiting client has disconnected in the meantime.
-func (l *Listener) rejectOne() {
+// rejectWaiting accepts the oldest connection in the accept queue with the descriptor that closeSpare released, and
+// closes the connection. The deadline keeps Accept from blocking if the client has disconnected in the meantime.
+func (l *Listener) rejectWaiting() {
 	withDeadline, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return
--- a/internal/listener/requestlimiter.go
+++ b/internal/listener/requestlimiter.go
@@ -26,8 +26,9 @@
 }
 
 // Acquire admits a request and returns an empty reason, or rejects it and returns the reason and the time after which
-// the client may retry; see admission.RequestLimiter.Acquire. It does not wait for other requests to end. The caller
-// must call Release once for each admitted request.
+// the client may retry. class and tenant are indexes of the service's classes and tenants; connInFlight is the number
+// of requests in flight on the client's connection. Acquire does not wait for other requests to end. The caller must
+// call Release once for each admitted request.
 func (r *RequestLimiter) Acquire(class, tenant, connInFlight int) (reason string, retryAfter time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,9 +14,9 @@
 
 // The outcomes of a request.
 const (
-	Served Outcome = iota
-	Rejected
-	Failed
+	Served   Outcome = iota // the client got a successful response
+	Rejected                // the request was rejected, for example because of a limit
+	Failed                  // any other result
 	outcomeCount
 )
 
--- a/internal/services/file.go
+++ b/internal/services/file.go
@@ -73,11 +73,11 @@
 // Class is a class of requests of a service.
 type Class struct {
 	Name             string   `toml:"name"`
-	LatencyObjective Duration `toml:"aim"`     // a response within this time counts with the full PriorityWeight
+	LatencyObjective Duration `toml:"aim"`     // a response within this time has the full PriorityWeight as its value
 	Timeout          Duration `toml:"give_up"` // how long clients wait for a response
 	Effect           string   `toml:"effect"`  // EffectSafe or EffectUnsafe
-	PriorityWeight   float64  `toml:"worth"`   // 0 or more
-	LateValue        float64  `toml:"late"`    // factor of PriorityWeight for a response after LatencyObjective, 0 to 1
+	PriorityWeight   float64  `toml:"worth"`   // value of a response within LatencyObjective; 0 or more
+	LateValue        float64  `toml:"late"`    // share of PriorityWeight that a later response is worth, 0 to 1
 }
 
 // Share is a service's part of the process's limits. The sum of Min over all services is at most 1.
