--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// track adds a connection to the silent ones, and closes the oldest silent one if there are too many.
+// track adds a connection to the silent connections, and closes the oldest of them if there are too many.
 func (s *Server) track(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 	s.silent = append(s.silent, conn)
 }
 
-// untrack removes a connection from the silent ones.
+// untrack removes a connection from the silent connections.
 func (s *Server) untrack(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/guardedsource/coordinator.go
+++ b/internal/discovery/guardedsource/coordinator.go
@@ -52,12 +52,12 @@
 // of the guards.
 type Report struct {
 	CallStats
-	ConsecutiveFailures int   `json:"failed_in_a_row"` // maximum over the discovery services
-	SuspectLists        int64 `json:"lists_doubted"`   // for this and the next three, see listguard.GuardStats
-	Retained            int64 `json:"servers_kept"`
-	Returned            int64 `json:"servers_back"`
-	Dropped             int64 `json:"servers_dropped"`
-	Missing             int   `json:"servers_missing_now"` // see listguard.Guard.Missing
+	ConsecutiveFailures int   `json:"failed_in_a_row"`     // maximum over the discovery services
+	SuspectLists        int64 `json:"lists_doubted"`       // full lists that suddenly lacked many endpoints
+	Retained            int64 `json:"servers_kept"`        // endpoints retained because a suspect list lacked them
+	Returned            int64 `json:"servers_back"`        // retained endpoints that were listed again
+	Dropped             int64 `json:"servers_dropped"`     // retained endpoints that were not listed again in time
+	Missing             int   `json:"servers_missing_now"` // endpoints that are currently retained
 }
 
 // NewCoordinator returns the coordinator of one process in a fleet with the given number of proxies. seed must differ
--- a/internal/discovery/listguard/guard_test.go
+++ b/internal/discovery/listguard/guard_test.go
@@ -177,7 +177,8 @@
 				last[listed.ID] = listed.State
 				got, present := used[listed.ID]
 				if present != (listed.State != decision.Removed) || present && got != listed.State {
-					t.Fatalf("endpoint %s was listed with state %v; in the guard's list: present %v, state %v",
+					t.Fatalf("endpoint %s was listed with state %v; in the guard's list: present %v, state %v; "+
+						"want it present with the listed state, or absent if that is removed",
 						listed.ID, listed.State, present, got)
 				}
 			}
--- a/internal/discovery/listguard/pacer_test.go
+++ b/internal/discovery/listguard/pacer_test.go
@@ -84,13 +84,14 @@
 			later := append(calls[1:], 0)
 			tooMany := calls[0] > 2*proxies || slices.Max(later) > 12
 			if tooMany || proxies == 1 && (done > 0 || len(calls) != 1) {
-				t.Errorf("%d proxies, retry after %v: calls by second %v, all lists after %v; "+
+				t.Errorf("%d proxies, retry after %v: %v calls in each second, all proxies had a list after %v; "+
 					"want at most %d calls in the first second and 12 in each later one, "+
 					"and a single proxy to make its only call without delay",
 					proxies, retryAfter, calls, done, 2*proxies)
 			}
 			if done > 6*shortest+2*second {
-				t.Errorf("%d proxies, retry after %v: all lists after %v, want at most %v; rejected calls by second %v",
+				t.Errorf("%d proxies, retry after %v: all proxies had a list after %v, want at most %v; "+
+					"%v calls were rejected in each second",
 					proxies, retryAfter, done, 6*shortest+2*second, rejected)
 			}
 		}
--- a/internal/listener/file.go
+++ b/internal/listener/file.go
@@ -85,9 +85,9 @@
 	return f, nil
 }
 
-// Capacity is the capacity of a process for its clients.
+// Capacity holds the limits for what all clients of a process may use together.
 type Capacity struct {
-	Conns     int
+	Conns     int   // open connections
 	BodyBytes int64 // sum over the bodies of all requests in flight; 0 means no limit
 }
 
@@ -123,7 +123,7 @@
 	return s, s.Validate()
 }
 
-// setIfGiven sets *to to *given, unless the file leaves the key out, so that given is nil.
+// setIfGiven sets *to to *given. It does nothing if given is nil, which means that the file leaves the key out.
 func setIfGiven[T any](to, given *T) {
 	if given != nil {
 		*to = *given
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -21,8 +21,9 @@
 	stuckPollInterval = time.Second
 	// checkInterval is the interval at which the heartbeat is checked.
 	checkInterval = StuckAfter / 8
-	// staleChecks is the number of consecutive checks at which the heartbeat must be too old. One is not enough: if the
-	// whole process was stopped for a while, the first check may run before the task could send a heartbeat.
+	// staleChecks is the number of consecutive checks that must find the heartbeat too old before the task counts as
+	// stuck. One is not enough: if the whole process was stopped for a while, the first check may run before the task
+	// could send a heartbeat.
 	staleChecks = 2
 )
 
