--- a/internal/services/file.go
+++ b/internal/services/file.go
@@ -93,7 +93,7 @@
 	MaxBodyBytes   int64    `toml:"bytes"`    // sum over the bodies of all requests in flight
 	MaxAttemptRate float64  `toml:"attempts"` // first attempts and retries per second; if left out, no limit
 	LendRatio      float64  `toml:"lend"`     // part of a service's unused minimum that others may use; if left out, 0.75
-	RecallDelay    Duration `toml:"recall"`   // time within which others return what they use of a minimum; if left out, 3s
+	RecallDelay    Duration `toml:"recall"`   // time within which others return units of a minimum; if left out, 3s
 }
 
 // Route is a routing rule; see package route for the order of precedence.
