--- a/internal/discovery/guardedsource/coordinator.go
+++ b/internal/discovery/guardedsource/coordinator.go
@@ -19,7 +19,7 @@
 	seed       uint64
 	now        func() time.Duration
 	log        *slog.Logger
-	maxBackoff time.Duration // upper bound for the backoff of the file, see LimitBackoff; 0 is no bound
+	maxBackoff time.Duration // upper bound for the backoff of the file, see LimitBackoff; 0 means no bound
 
 	mu          sync.Mutex
 	guards      map[string]*lockedGuard     // by the name given to Wrap
@@ -28,10 +28,10 @@
 	cachedLists map[string]CachedList // by address of the discovery service
 }
 
-// CachedList is the latest endpoint list of a discovery service, before the guard's rules.
+// CachedList is the latest endpoint list of a discovery service, as received, before a guard changes it.
 type CachedList struct {
 	Endpoints  engine.EndpointList `json:"list"`
-	AnsweredAt time.Duration       `json:"at"` // last response, by the coordinator's clock; 0 is never
+	AnsweredAt time.Duration       `json:"at"` // last response, by the coordinator's clock; 0 if there was none
 }
 
 // lockedGuard is a guard with its lock. The lock is held while a list is applied and delivered, which keeps the lists
@@ -52,12 +52,12 @@
 // of the guards.
 type Report struct {
 	CallStats
-	ConsecutiveFailures int   `json:"failed_in_a_row"` // maximum over the discovery services
-	SuspectLists        int64 `json:"lists_doubted"`   // for this and the next three, see listguard.GuardStats
-	Retained            int64 `json:"servers_kept"`
-	Returned            int64 `json:"servers_back"`
-	Dropped             int64 `json:"servers_dropped"`
-	Missing             int   `json:"servers_missing_now"` // see listguard.Guard.Missing
+	ConsecutiveFailures int   `json:"failed_in_a_row"`     // maximum over the discovery services
+	SuspectLists        int64 `json:"lists_doubted"`       // full lists that suddenly lacked many endpoints
+	Retained            int64 `json:"servers_kept"`        // endpoints retained because a suspect list lacked them
+	Returned            int64 `json:"servers_back"`        // retained endpoints that were listed again
+	Dropped             int64 `json:"servers_dropped"`     // retained endpoints that were not listed again in time
+	Missing             int   `json:"servers_missing_now"` // endpoints that are currently retained
 }
 
 // NewCoordinator returns the coordinator of one process in a fleet with the given number of proxies. seed must differ
@@ -120,7 +120,7 @@
 		return nil
 	}
 	if c.pacers[name] == nil {
-		if c.maxBackoff > 0 { // half of the bound, because a Pacer may add up to a fleet round to a backoff
+		if c.maxBackoff > 0 { // half of the bound, because a Pacer may add up to a fleet round (see Pacer)
 			settings.MaxBackoff = max(min(settings.MaxBackoff, c.maxBackoff/2), listguard.MinBackoff)
 		}
 		pacer, err := listguard.NewPacer(settings)
--- a/internal/services/file.go
+++ b/internal/services/file.go
@@ -73,18 +73,18 @@
 // Class is a class of requests of a service.
 type Class struct {
 	Name             string   `toml:"name"`
-	LatencyObjective Duration `toml:"aim"`     // a response within it has the full PriorityWeight
+	LatencyObjective Duration `toml:"aim"`     // a response within this time has the full PriorityWeight as its value
 	Timeout          Duration `toml:"give_up"` // how long clients wait for a response
 	Effect           string   `toml:"effect"`  // EffectSafe or EffectUnsafe
-	PriorityWeight   float64  `toml:"worth"`   // 0 or more
-	LateValue        float64  `toml:"late"`    // part of PriorityWeight that a response after LatencyObjective has, 0 to 1
+	PriorityWeight   float64  `toml:"worth"`   // value of a response within LatencyObjective; 0 or more
+	LateValue        float64  `toml:"late"`    // share of PriorityWeight that a later response is worth, 0 to 1
 }
 
 // Share is a service's part of the process's limits. The sum of Min over all services is at most 1.
 type Share struct {
 	Min    float64 `toml:"min"`    // part of the total, 0 to 1
 	Cap    float64 `toml:"cap"`    // part of the total, 0 to 1; if left out, 1
-	Weight float64 `toml:"weight"` // for dividing what remains above all minimums; if left out, 1
+	Weight float64 `toml:"weight"` // for dividing what remains of the total above all minimums; if left out, 1
 }
 
 // Limits are the limits of the process, which its services share.
@@ -92,8 +92,8 @@
 	MaxInFlight    int64    `toml:"in_hand"`  // requests in flight
 	MaxBodyBytes   int64    `toml:"bytes"`    // sum over the bodies of all requests in flight
 	MaxAttemptRate float64  `toml:"attempts"` // first attempts and retries per second; if left out, no limit
-	LendRatio      float64  `toml:"lend"`     // part of an idle minimum that is lent; if left out, 0.75
-	RecallDelay    Duration `toml:"recall"`   // time within which lent units are returned; if left out, 3s
+	LendRatio      float64  `toml:"lend"`     // part of a service's unused minimum that others may use; if left out, 0.75
+	RecallDelay    Duration `toml:"recall"`   // time within which others return units of a minimum; if left out, 3s
 }
 
 // Route is a routing rule; see package route for the order of precedence.
