--- a/internal/policy/merkle/assembly_test.go
+++ b/internal/policy/merkle/assembly_test.go
@@ -224,18 +224,19 @@
 			}
 			occurred++
 			if assembleAll(top, 0) == nil {
-				t.Errorf("seed %d: content distorted by %q was accepted, want an error", seed, name)
+				t.Errorf("seed %d: assembling content with the distortion %q returned no error, want one", seed, name)
 			}
-			if assembleAll(top, distorted.check) == nil {
+			if assembleAll(top, distorted.skippedCheck) == nil {
 				accepted++
 			}
 		}
 		t.Logf("distortion %q: occurred %d times, accepted without its check %d times", name, occurred, accepted)
 		if occurred < 5 {
-			t.Errorf("distortion %q occurred in %d of %d contents, want at least 5", name, occurred, distortionSeeds)
+			t.Errorf("distortion %q could be made in %d of %d random contents, want at least 5", name, occurred, distortionSeeds)
 		}
-		if distorted.check != 0 && accepted == 0 {
-			t.Errorf("distortion %q was never accepted with its check switched off, want at least once", name)
+		if distorted.skippedCheck != 0 && accepted == 0 {
+			t.Errorf("distortion %q: assembling always failed with the responsible check switched off, "+
+				"want at least one success", name)
 		}
 	}
 }
--- a/internal/policy/merkle/check.go
+++ b/internal/policy/merkle/check.go
@@ -8,7 +8,7 @@
 
 // The reasons that the functions below return are texts of MalformedChunkError, which operators and other releases see.
 
-// chunkFault returns the reason why a chunk is not valid in a place, or an empty text.
+// chunkFault returns the reason why a chunk is not valid in a slot, or an empty text if it is valid.
 func (a *Assembly) chunkFault(chunk []byte, s *slot) string {
 	if s.value != nil {
 		return s.segmentFault(chunk)
@@ -29,7 +29,7 @@
 	return "neither leaf nor node"
 }
 
-// leafFault returns the reason why a leaf is not valid in a place, or an empty text.
+// leafFault returns the reason why a leaf is not valid in a slot, or an empty text if it is valid.
 func (a *Assembly) leafFault(chunk []byte, s *slot) string {
 	items, ok := decodeLeaf(chunk)
 	if !ok {
--- a/internal/policy/merkle/distort_test.go
+++ b/internal/policy/merkle/distort_test.go
@@ -31,8 +31,8 @@
 // that rejects it; 0 if several checks do. Random tests draw from the sorted names, so another order of the names
 // changes what they test for a seed.
 var distortions = map[string]struct {
-	check   mutation
-	distort distortion
+	skippedCheck mutation
+	distort      distortion
 }{
 	"children swapped":               {skipPlaceCheck, swapChildren},
 	"a leaf out of order":            {skipPlaceCheck, reverseLeaf},
@@ -44,6 +44,7 @@
 	"an empty leaf below the root":   {0, addEmptyLeaf},
 }
 
+// swapChildren swaps two random children of an inner node.
 func swapChildren(d randomContent, n *node, _ int) *node {
 	if n.children == nil {
 		return nil
@@ -58,6 +59,7 @@
 	return newNode(&children)
 }
 
+// reverseLeaf reverses the order of a leaf's items.
 func reverseLeaf(_ randomContent, n *node, _ int) *node {
 	if len(n.items) < 2 {
 		return nil
@@ -67,6 +69,7 @@
 	return newLeaf(items)
 }
 
+// duplicateItem replaces a leaf by one that has its first item twice and still has the size of a leaf.
 func duplicateItem(_ randomContent, n *node, _ int) *node {
 	if len(n.items) == 0 || 2*n.itemBytes > MaxLeafBytes {
 		return nil
@@ -147,6 +150,7 @@
 	return withSegments(n, index, &value)
 }
 
+// addEmptyLeaf adds an empty leaf as a child of an inner node, at the first digit that has none.
 func addEmptyLeaf(_ randomContent, n *node, _ int) *node {
 	if n.children == nil {
 		return nil
--- a/internal/policy/merkle/hash.go
+++ b/internal/policy/merkle/hash.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// The shape of the tree: an inner node at a depth selects the child by the position's digit of that depth.
+// The shape of the tree: an inner node at depth d has one child for each value of digit d of a position. The digits of
+// a position are those of its hexadecimal form, first digit first.
 const (
 	digitBits     = 4
 	fanout        = 1 << digitBits
@@ -50,15 +51,16 @@
 	return position
 }
 
-// digit returns the digit of a position by which an inner node at a depth selects the child.
+// digit returns digit number depth of h, which is the position of an item: an inner node at that depth selects the
+// child by this digit.
 func (h *Hash) digit(depth int) int {
 	return int(h[depth/digitsPerByte]>>digitShift(depth)) & (fanout - 1)
 }
 
-// setDigit sets the digit of a depth, which must have been zero.
+// setDigit sets digit number depth of h, which is a position. The digit must have been zero.
 func (h *Hash) setDigit(depth, digit int) {
 	h[depth/digitsPerByte] |= byte(digit) << digitShift(depth)
 }
 
-// digitShift returns by how many bits the digit of a depth is shifted to the left within its byte.
+// digitShift returns by how many bits digit number depth of a position is shifted to the left within its byte.
 func digitShift(depth int) int { return digitBits * (digitsPerByte - 1 - depth%digitsPerByte) }
--- a/internal/policy/merkle/mutation.go
+++ b/internal/policy/merkle/mutation.go
@@ -5,7 +5,7 @@
 type mutation uint8
 
 const (
-	skipHashCheck     mutation = 1 << iota // an unexpected chunk is taken for the oldest missing one
+	skipHashCheck     mutation = 1 << iota // an unexpected chunk is accepted as the oldest missing chunk
 	skipPlaceCheck                         // keys may be in any place and in any order
 	skipShapeCheck                         // leaves and nodes may have any size, and values any segments
 	skipCompleteCheck                      // a tree is returned before all chunks have arrived
--- a/internal/policy/merkle/node.go
+++ b/internal/policy/merkle/node.go
@@ -24,8 +24,8 @@
 type node struct {
 	hash      Hash
 	chunk     []byte
-	items     []item         // of a leaf
-	children  *[fanout]*node // of an inner node, by digit; an element is nil if there is no such child
+	items     []item         // items of a leaf; nil in an inner node
+	children  *[fanout]*node // children of an inner node by digit, nil where there is none; nil in a leaf
 	count     int            // number of items in the subtree
 	itemBytes int            // bytes of the encoded items of the subtree, without their segments
 	size      int            // bytes of all chunks of the subtree
--- a/internal/policy/merkle/tree.go
+++ b/internal/policy/merkle/tree.go
@@ -25,7 +25,7 @@
 	top *node
 
 	once  sync.Once
-	index map[Hash][]byte // all chunks, collected by the first call of Chunk
+	index map[Hash][]byte // all chunks by hash, collected by the first call of Chunk
 }
 
 // emptyLeaf is the top node of an empty tree.
@@ -39,7 +39,7 @@
 	return &Tree{top: top}
 }
 
-// Build returns the tree of some items, which may be in any order. It returns a TooLongError if a key or value is too
+// Build returns the tree that contains the given items, which may be in any order. It returns a TooLongError if a key or value is too
 // long, or a DuplicateKeyError if a key occurs twice.
 func Build(items []Item) (*Tree, error) { return newTree(nil).With(items, nil) }
 
--- a/internal/policy/store/randomrollout_test.go
+++ b/internal/policy/store/randomrollout_test.go
@@ -33,7 +33,7 @@
 }
 
 // randomRun applies random commands to a state machine: files that are harmless, harmful or conflict with others,
-// declarations, rollbacks, and results of rollouts, some of which stop a harmless one (false alarms).
+// declarations, rollbacks, and results of rollouts, some of which stop the rollout of a harmless policy.
 type randomRun struct {
 	t           *testing.T
 	rng         *rand.Rand
@@ -41,7 +41,7 @@
 	mutations   mutation
 	submissions []submission
 	lastNumber  int
-	falseAlarms int
+	falseStops  int // rollouts of harmless policies that were stopped
 }
 
 // runRandomRollouts runs random commands and then ends all rollouts. It returns the first violation of an invariant, or
@@ -129,15 +129,16 @@
 	r.m.mutations = r.mutations
 }
 
-// endRollout stops a harmful rollout, and sometimes a harmless one by a false alarm.
+// endRollout ends the current rollout: it stops the rollout of a harmful policy, and now and then at random that of a
+// harmless one; all others succeed. It returns a violation if a harmful policy is active afterwards.
 func (r *randomRun) endRollout() string {
 	candidate := r.m.Status().Candidate
 	harmful := candidateIsHarmful(r.t, r.m)
-	falseAlarm := !harmful && r.rng.IntN(20) == 0
-	if falseAlarm {
-		r.falseAlarms++
+	falseStop := !harmful && r.rng.IntN(20) == 0
+	if falseStop {
+		r.falseStops++
 	}
-	endRollout(r.t, r.m, !harmful && !falseAlarm)
+	endRollout(r.t, r.m, !harmful && !falseStop)
 	if harmful && r.m.Status().Active == candidate {
 		return fmt.Sprintf("the harmful policy of epoch %d is active after its rollout was stopped", candidate.Epoch)
 	}
@@ -181,21 +182,22 @@
 		return w.Namespace == name && w.Submitted == number
 	})
 	failed := failedIndex >= 0
-	inForce := activeNumber == number
+	active := activeNumber == number
 	switch {
 	case failed && (s.FailedChanges[failedIndex].Reason == "" || s.FailedChanges[failedIndex].Advice == ""):
 		return fmt.Sprintf("failed change %s %d has no reason or no advice", name, f.number)
-	case inForce && failed:
+	case active && failed:
 		return fmt.Sprintf("file %d of %s is active and also reported as failed", f.number, name)
-	case !inForce && !withheld && !failed && !f.rolledBack && newest == f.number:
+	case !active && !withheld && !failed && !f.rolledBack && newest == f.number:
 		return fmt.Sprintf("file %d, the newest of %s, is neither active nor reported as withheld or failed",
 			f.number, name)
 	}
-	// A harmless change may fail together with a harmful one from which it cannot be separated, or by a false alarm.
-	// If the run had neither harmful changes nor false alarms, none may fail.
+	// A harmless change may fail together with a harmful one from which it cannot be separated, or because a
+	// harmless rollout was stopped. If the run had neither harmful changes nor such stops, none may fail.
 	anyHarmful := slices.ContainsFunc(r.submissions, func(other submission) bool { return other.harmful })
-	if failed && !anyHarmful && r.falseAlarms == 0 {
-		return fmt.Sprintf("file %d of %s is reported as failed, but the run had no harmful file and no false alarm",
+	if failed && !anyHarmful && r.falseStops == 0 {
+		return fmt.Sprintf("file %d of %s is reported as failed, but the run had no harmful file and stopped no "+
+			"harmless rollout",
 			f.number, name)
 	}
 	return ""
