--- a/internal/policy/merkle/assembly.go
+++ b/internal/policy/merkle/assembly.go
@@ -19,29 +19,29 @@
 
 // subtree is a part of the tree that is being assembled.
 type subtree struct {
-	assembled *node // from the existing tree, or joined from its chunks; nil before
+	assembled *node // node taken from the existing tree or joined from chunks; nil until it is available
 	hash      Hash
 	kind      byte              // kind of its chunk; 0 if the chunk has not arrived
-	items     []incomingItem    // of a leaf
-	children  *[fanout]*subtree // of an inner node
+	items     []incomingItem    // items of a leaf
+	children  *[fanout]*subtree // children of an inner node, by digit
 }
 
 // incomingItem is an item of a leaf whose chunk has arrived.
 type incomingItem struct {
 	item
-	segments map[Hash][]byte // segments and lists of the value that have arrived; nil if the value is complete
+	segments map[Hash][]byte // arrived segments and lists, by hash; nil if the value is inline or already complete
 	listed   int             // number of hashes in the lists that have arrived
 }
 
 // slot is a place in which a chunk is missing: a subtree, or a segment or list of a value.
 type slot struct {
 	subtree  *subtree // nil if the place is in a value
-	existing *node    // what the existing tree has in the same place
-	position Hash     // the digits that lead to the subtree; the first depth digits are set
+	existing *node    // subtree of the existing tree in the same place; nil if there is none
+	position Hash     // path to the subtree: its first depth digits are set, the others are 0
 	depth    int
 
 	value            *incomingItem   // nil if the place is a subtree
-	existingSegments map[Hash][]byte // of the value that the existing tree has under the same key
+	existingSegments map[Hash][]byte // chunks of the value that the existing tree has under the same key, by hash
 	level            int             // number of lists above the place
 }
 
@@ -81,8 +81,8 @@
 	a.missing[hash] = append(a.missing[hash], s)
 }
 
-// fillFromExisting fills the place of a segment or list with a chunk that the same value, the existing value or another
-// value has already. It returns false if there is none.
+// fillFromExisting fills the place of a segment or list with a chunk that is already available: of the
+// same value, of the existing tree's value under the same key, or of another value of which it has arrived. It returns false if there is none.
 func (a *Assembly) fillFromExisting(hash Hash, s slot) bool {
 	if _, ok := s.value.segments[hash]; ok {
 		return true
@@ -172,7 +172,7 @@
 
 // addSegment adds a segment or a list to its value, and requests the chunks that a list refers to. It returns false if
 // the chunk is not a valid segment or list of the value. Add checks a chunk for all its places before, but filling one
-// place can exhaust the limit on hashes in lists that another place of the same value has.
+// place uses up part of the limit on hashes in lists, which all places of a value share.
 func (a *Assembly) addSegment(chunk []byte, hash Hash, s slot) bool {
 	if s.segmentFault(chunk) != "" {
 		return false
--- a/internal/policy/merkle/assembly_test.go
+++ b/internal/policy/merkle/assembly_test.go
@@ -174,7 +174,7 @@
 			completed++
 		}
 		for _, violation := range r.violations {
-			t.Error(violation)
+			t.Errorf("random assembly violates an invariant: %s", violation)
 		}
 	}
 	t.Logf("%d assemblies, %d completed, %d chunks rejected", randomAssemblies, completed, rejected)
@@ -232,7 +232,8 @@
 		}
 		t.Logf("distortion %q: occurred %d times, accepted without its check %d times", name, occurred, accepted)
 		if occurred < 5 {
-			t.Errorf("distortion %q could be made in %d of %d random contents, want at least 5", name, occurred, distortionSeeds)
+			t.Errorf("distortion %q could be made in %d of %d random contents, want at least 5",
+				name, occurred, distortionSeeds)
 		}
 		if distorted.skippedCheck != 0 && accepted == 0 {
 			t.Errorf("distortion %q: assembling always failed with the responsible check switched off, "+
--- a/internal/policy/merkle/segment.go
+++ b/internal/policy/merkle/segment.go
@@ -166,8 +166,8 @@
 	value  []byte // joined so far
 }
 
-// joinSegments returns the value whose only segment or topmost list has the hash root. It returns false if a chunk is missing or malformed, or the length of the
-// value is not total.
+// joinSegments returns the value whose only segment or topmost list has the hash root. It returns false if a
+// chunk is missing or malformed, or the length of the value is not total.
 func joinSegments(root Hash, total int, chunks map[Hash][]byte) ([]byte, bool) {
 	j := segmentJoiner{chunks: chunks, total: total, value: make([]byte, 0, min(total, MaxValueBytes))}
 	ok := j.add(root, 0)
--- a/internal/policy/merkle/tree.go
+++ b/internal/policy/merkle/tree.go
@@ -39,8 +39,8 @@
 	return &Tree{top: top}
 }
 
-// Build returns the tree that contains the given items, which may be in any order. It returns a TooLongError if a key or value is too
-// long, or a DuplicateKeyError if a key occurs twice.
+// Build returns the tree that contains the given items, which may be in any order. It returns a TooLongError
+// if a key or value is too long, or a DuplicateKeyError if a key occurs twice.
 func Build(items []Item) (*Tree, error) { return newTree(nil).With(items, nil) }
 
 // With returns the tree with items set and keys removed. Keys that do not exist may be removed. The result equals the
--- a/internal/policy/merkle/tree_test.go
+++ b/internal/policy/merkle/tree_test.go
@@ -16,6 +16,7 @@
 // several levels occur.
 type randomContent struct{ *rand.Rand }
 
+// newRandomContent returns a generator whose content depends only on the seed.
 func newRandomContent(seed uint64) randomContent {
 	return randomContent{rand.New(rand.NewPCG(seed, 30))}
 }
@@ -39,7 +40,7 @@
 	return value
 }
 
-// content returns a number of random items as values by key.
+// content returns count random values, keyed by item key.
 func (d randomContent) content(count int) map[string][]byte {
 	content := map[string][]byte{}
 	for len(content) < count {
@@ -89,6 +90,7 @@
 	return items
 }
 
+// mustBuild returns the tree that Build makes of the items, which must succeed.
 func mustBuild(t testing.TB, items []Item) *Tree {
 	t.Helper()
 	tree, err := Build(items)
@@ -234,7 +236,7 @@
 		malformed:  new(MalformedChunkError),
 	} {
 		if err == nil || !errors.As(err, want) || operatorerror.AdviceOf(err) == "" {
-			t.Errorf("got error %v, want one of type %T with advice", err, want)
+			t.Errorf("a call that must fail returned error %v, want one of type %T with advice", err, want)
 		}
 	}
 	if got, err := ParseHash(hash.String()); err != nil || got != hash {
--- a/internal/policy/store/bench_test.go
+++ b/internal/policy/store/bench_test.go
@@ -43,6 +43,7 @@
 	return text.String()
 }
 
+// mustApply applies a command that must succeed.
 func mustApply(b *testing.B, m *StateMachine, c Command) {
 	b.Helper()
 	if err := m.Apply(c); err != nil {
@@ -75,8 +76,8 @@
 	}
 }
 
-// BenchmarkApply measures a submission and the completion of its rollout. The goroutine that applies the log is busy
-// for this time.
+// BenchmarkApply measures the time to apply a submission and the completion of its rollout. The goroutine that applies
+// the log can apply nothing else during this time.
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []struct{ teams, tenants int }{{50, 0}, {200, 0}, {160, 12}, {320, 12}, {650, 12}} {
 		routes := size.teams * routesPerTeam
--- a/internal/policy/store/bisect.go
+++ b/internal/policy/store/bisect.go
@@ -58,8 +58,8 @@
 
 // bisect narrows down which change of a stopped batch has failed. In a batch of one change, that change has failed. If
 // teams have replaced some of the changes since, the others are rolled out again without them. Otherwise the batch is
-// split into two parts that are rolled out one after the other. If the changes can only be merged together, all have
-// failed.
+// split into two parts that are rolled out one after the other. If the changes can only be merged together, all of them
+// are reported as failed.
 func (m *StateMachine) bisect(s *state) {
 	batch := changesBetween(s.active(), s.candidate())
 	if len(batch) <= 1 || m.mutated(skipBisection) {
--- a/internal/policy/store/change.go
+++ b/internal/policy/store/change.go
@@ -20,7 +20,7 @@
 // again.
 type FailedChange struct {
 	Change
-	MergeNumber uint64 `json:"at"` // the merge that accepted the change; identifies a declaration
+	MergeNumber uint64 `json:"at"` // number of the merge that accepted the change; identifies a declaration
 	Reason      string `json:"why"`
 	Advice      string `json:"help"`
 }
--- a/internal/policy/store/command.go
+++ b/internal/policy/store/command.go
@@ -64,11 +64,11 @@
 	return count
 }
 
-// checkSizes returns a TooLargeError if a text or the name of its author is too long. The description of the text in
-// the error is what.
-func checkSizes(what, text, author string) error {
+// checkSizes returns a TooLargeError if a text or the name of its author is too long. The error
+// for a text has its description.
+func checkSizes(description, text, author string) error {
 	if len(text) > MaxFileBytes {
-		return TooLargeError{what, len(text), MaxFileBytes}
+		return TooLargeError{description, len(text), MaxFileBytes}
 	}
 	return checkAuthor(author)
 }
--- a/internal/policy/store/errors.go
+++ b/internal/policy/store/errors.go
@@ -22,7 +22,7 @@
 
 // TooLargeError is returned for a command that would exceed a limit on the size of stored data.
 type TooLargeError struct {
-	What  string // the text that is too long, for the error's text
+	What  string // description of what is too large, used in the error text
 	Bytes int
 	Limit int // in bytes
 }
--- a/internal/policy/store/frozen_test.go
+++ b/internal/policy/store/frozen_test.go
@@ -94,19 +94,21 @@
 	}
 }
 
+// encodeCommands returns each command as JSON, as the log stores it.
 func encodeCommands(t *testing.T, commands []Command) [][]byte {
 	t.Helper()
 	var lines [][]byte
 	for _, c := range commands {
 		line, err := json.Marshal(c)
 		if err != nil {
-			t.Fatalf("encoding command %+v as JSON: %v", c, err)
+			t.Fatalf("encoding command %+v as JSON failed: %v", c, err)
 		}
 		lines = append(lines, line)
 	}
 	return lines
 }
 
+// decodeCommand decodes a command of the log.
 func decodeCommand(t *testing.T, line []byte) Command {
 	t.Helper()
 	var c Command
@@ -121,12 +123,12 @@
 	t.Helper()
 	if os.Getenv("UPDATE_FROZEN") != "" {
 		if err := os.WriteFile(path, current, 0o644); err != nil {
-			t.Fatalf("writing the frozen file: %v", err)
+			t.Fatalf("writing the frozen file %s failed: %v", path, err)
 		}
 	}
 	frozen, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatalf("reading the frozen file: %v", err)
+		t.Fatalf("reading the frozen file %s failed: %v", path, err)
 	}
 	return frozen
 }
--- a/internal/policy/store/legacy.go
+++ b/internal/policy/store/legacy.go
@@ -28,11 +28,14 @@
 	Stopped        *RolloutResult        `json:"stopped"`
 }
 
+// legacyFile is a file as snapshots of format 1 encode it.
 type legacyFile struct {
 	Text   string `json:"text"`
 	Author string `json:"by"`
 }
 
+// legacyPolicy is a retained policy as snapshots of format 1 encode it: the texts of its files by namespace, and the
+// unchunked encoding of the policy.
 type legacyPolicy struct {
 	Version rollout.Version   `json:"offer"`
 	Files   map[string]string `json:"files"`
--- a/internal/policy/store/mutation.go
+++ b/internal/policy/store/mutation.go
@@ -4,11 +4,11 @@
 type mutation uint8
 
 const (
-	allowReusedNumbers mutation = 1 << iota // a file number may be used again
+	allowReusedNumbers mutation = 1 << iota // a namespace may use a file number again
 	withholdEverything                      // one withheld file blocks all other submitted files
 	keepGeneration                          // a rollback does not increase the generation
-	displaceCandidate                       // a submission replaces the candidate
-	skipBisection                           // all changes of a stopped batch fail
+	displaceCandidate                       // a submission replaces the candidate during its rollout
+	skipBisection                           // all changes of a stopped batch are reported as failed
 	keepFailedChanges                       // a failed change stays in the head
 	skipParseCache                          // files are parsed again for each merge
 	reportOnlyFirst                         // of several changes that fail together, only the first is reported
--- a/internal/policy/store/randomrollout_test.go
+++ b/internal/policy/store/randomrollout_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// The number of random runs of commands, and the limits of each.
+// Sizes and limits of the tests with random commands.
 const (
-	randomRuns        = 40
-	randomSteps       = 60
-	maxRandomRollouts = 200
+	randomRuns        = 40  // runs, each with its own seed
+	randomSteps       = 60  // random steps of a run, before the rollouts that are left are ended
+	maxRandomRollouts = 200 // limit on the rollouts that are ended after the random steps of a run
 )
 
 // submission is a file that was submitted in a random run.
--- a/internal/policy/store/restore.go
+++ b/internal/policy/store/restore.go
@@ -10,7 +10,7 @@
 // errChunkMissing is returned for a snapshot that lacks a chunk of a policy.
 var errChunkMissing = errors.New("a piece is missing")
 
-// chunksPerStep is how many missing chunks of an assembly are added before it is asked for further ones.
+// chunksPerStep is the maximum number of missing chunks that assembleTree requests from an assembly and adds at a time.
 const chunksPerStep = 1 << 10
 
 // Restore replaces the state by that of a snapshot, of the current or the legacy format. It returns an
@@ -142,11 +142,13 @@
 
 // fileDecoder looks up files by their indices in a snapshot.
 type fileDecoder struct {
-	namespaces []string        // of the files, by index
-	files      []submittedFile // by index
-	outOfRange bool            // an invalid index was found, so the snapshot is damaged
+	namespaces []string        // namespaces of the files, by index in snapshot.Files; empty for a declaration
+	files      []submittedFile // the files with their texts, by index in snapshot.Files
+	outOfRange bool            // an index is out of range or a retained policy is empty: the snapshot is damaged
 }
 
+// newFileDecoder joins the files of a snapshot with their texts. It returns an InvalidCommandError if a text is missing
+// or does not have its hash.
 func newFileDecoder(in *snapshot) (*fileDecoder, error) {
 	texts := map[merkle.Hash]string{}
 	for _, text := range in.Texts {
@@ -173,6 +175,8 @@
 	return true
 }
 
+// declaration returns the declaration with an index. It returns an empty one and sets outOfRange if the index is
+// invalid.
 func (d *fileDecoder) declaration(index int) submittedFile {
 	if !d.valid(index) {
 		return submittedFile{}
@@ -180,6 +184,8 @@
 	return d.files[index]
 }
 
+// byNamespace returns the files with the given indices, keyed by namespace. It skips invalid indices and sets
+// outOfRange for them.
 func (d *fileDecoder) byNamespace(indices []int) map[string]submittedFile {
 	files := make(map[string]submittedFile, len(indices))
 	for _, index := range indices {
--- a/internal/policy/store/rollout_test.go
+++ b/internal/policy/store/rollout_test.go
@@ -9,7 +9,7 @@
 	"lapisspread/internal/operatorerror"
 )
 
-// declareTeams declares namespaces t0, t1, ... on the same host, none with precedence over another.
+// declareTeams returns the command that declares namespaces t0, t1, ... on the same host, none with precedence over another.
 func declareTeams(count int) Command {
 	var text strings.Builder
 	text.WriteString("version = 1\n")
@@ -25,13 +25,13 @@
 	return policyFile(fmt.Sprint("t", team), number, "x.org", path)
 }
 
-// submitTeam submits a harmless file of a team.
+// submitTeam returns the command that submits a harmless file of a team.
 func submitTeam(team, number int, path string) Command {
 	return submitCommand(teamText(team, number, path))
 }
 
-// submitHarmful submits a file whose rollout is to be stopped. It has an extra service by which candidateIsHarmful
-// recognizes it.
+// submitHarmful returns the command that submits a file whose rollout is to be stopped. It has an extra service by which
+// candidateIsHarmful recognizes it.
 func submitHarmful(team, number int, path string) Command {
 	return submitCommand(teamText(team, number, path) + fmt.Sprintf("[[service]]\nname = \"harm-%d\"\n", team))
 }
@@ -108,7 +108,7 @@
 				"and a head with a higher epoch", team, s, first, team)
 		}
 		if got := changeNames(s.Batch); !slices.Equal(got, []string{"t02"}) {
-			t.Fatalf("after %d submissions during a rollout its batch is %q, want only t02", team, got)
+			t.Fatalf("after %d submissions during a rollout its batch is %q, want only t02 (file 2 of t0)", team, got)
 		}
 	}
 	endRollout(t, m, true)
@@ -142,7 +142,7 @@
 		rollouts := endRolloutsByHarm(t, m)
 		s := m.Status()
 		if want := fmt.Sprintf("t%d2", harmful); !slices.Equal(failedChangeNames(m), []string{want}) {
-			t.Fatalf("failed changes are %+v, want only %s", s.FailedChanges, want)
+			t.Fatalf("failed changes after all rollouts are %+v, want only file 2 of t%d", s.FailedChanges, harmful)
 		}
 		got := routesOf(t, m, s.Active)
 		for team := range 10 {
@@ -174,7 +174,7 @@
 		t.Errorf("submitting file 3 of t0 after file 5 returned %v, want an error with advice", err)
 	}
 	if s := m.Status(); !slices.Equal(changeNames(s.Queued), []string{"t05"}) {
-		t.Fatalf("status after files 2 and 5 of t0 is %+v, want only t05 queued", s)
+		t.Fatalf("status after files 2 and 5 of t0 is %+v, want only file 5 of t0 queued", s)
 	}
 	completeRollouts(t, m)
 	if got := routesOf(t, m, m.Status().Active); !strings.Contains(got, "/0b") || strings.Contains(got, "/0a") {
@@ -185,7 +185,8 @@
 	apply(t, m, submitTeam(1, 3, "/1b"), submitTeam(2, 3, "/2b"))
 	endRolloutsByHarm(t, m)
 	if got := routesOf(t, m, m.Status().Active); !strings.Contains(got, "/1b") || !strings.Contains(got, "/2b") {
-		t.Errorf("active routes are %q, want /1b and /2b among them; status %+v", got, m.Status())
+		t.Errorf("active routes after t1 repaired its harmful file are %q, want /1b and /2b among them; "+
+			"status %+v", got, m.Status())
 	}
 }
 
@@ -202,7 +203,8 @@
 		}
 	}
 	if len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "t1" || s.WithheldFiles[0].Reason == "" {
-		t.Errorf("withheld files are %+v, want one of t1 with a reason", s.WithheldFiles)
+		t.Errorf("files withheld after t0 and t1 submitted the same path are %+v, want one of t1 with a reason",
+			s.WithheldFiles)
 	}
 	// If the earlier of the two files fails, the withheld file is accepted without being submitted again.
 	m = newWithTenTeams(t, 0)
@@ -215,7 +217,7 @@
 			"status %+v", got, s)
 	}
 	if !slices.Equal(failedChangeNames(m), []string{"t02"}) {
-		t.Errorf("failed changes are %+v, want only t02", s.FailedChanges)
+		t.Errorf("failed changes after all rollouts are %+v, want only file 2 of t0", s.FailedChanges)
 	}
 }
 
@@ -224,7 +226,7 @@
 	apply(t, m, submitTeam(0, 2, "/0a"), submitTeam(0, 3, "/0"))
 	s := m.Status()
 	if !slices.Equal(changeNames(s.Batch), []string{"t02"}) || !slices.Equal(changeNames(s.Queued), []string{"t03"}) {
-		t.Fatalf("status after files 2 and 3 of t0 is %+v, want t02 in the batch and t03 queued", s)
+		t.Fatalf("status after files 2 and 3 of t0 is %+v, want file 2 in the batch and file 3 queued", s)
 	}
 	completeRollouts(t, m)
 	if got := routesOf(t, m, m.Status().Active); !strings.Contains(got, "t0/r/0 ") {
@@ -272,10 +274,11 @@
 	}
 	failed := s.FailedChanges
 	if len(failed) != 1 || failed[0].Namespace != DeclarationName || failed[0].Author != "admin" {
-		t.Errorf("failed changes are %+v, want only the declaration by admin", failed)
+		t.Errorf("failed changes after the declaration failed are %+v, want only the declaration by admin", failed)
 	}
 	if len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != "t10" {
-		t.Errorf("withheld files are %+v, want only that of t10", s.WithheldFiles)
+		t.Errorf("withheld files after the declaration failed are %+v, want only that of t10, "+
+			"which it declared", s.WithheldFiles)
 	}
 }
 
@@ -291,7 +294,7 @@
 	endRolloutsByHarm(t, m)
 	s := m.Status()
 	if !slices.Equal(failedChangeNames(m), []string{"t02", "t12"}) {
-		t.Errorf("failed changes are %+v, want t02 and t12", s.FailedChanges)
+		t.Errorf("failed changes after all rollouts are %+v, want file 2 of t0 and file 2 of t1", s.FailedChanges)
 	}
 	if got := routesOf(t, m, s.Active); !strings.Contains(got, "t0/r/0 t1/r/1 ") {
 		t.Errorf("active routes are %q, want the former routes t0/r/0 and t1/r/1", got)
@@ -310,11 +313,12 @@
 		endRolloutsByHarm(t, m)
 		s := m.Status()
 		if !slices.Equal(failedChangeNames(m), []string{"t12"}) {
-			t.Errorf("failed changes are %+v, want only t12 (the dependent change is of t%d)",
+			t.Errorf("failed changes after all rollouts are %+v, want only file 2 of t1 (dependent change: t%d)",
 				s.FailedChanges, dependent)
 		}
 		if want := fmt.Sprint("t", dependent); len(s.WithheldFiles) != 1 || s.WithheldFiles[0].Namespace != want {
-			t.Errorf("withheld files are %+v, want only that of %s", s.WithheldFiles, want)
+			t.Errorf("withheld files after the change of t1 failed are %+v, want only that of %s",
+				s.WithheldFiles, want)
 		}
 	}
 }
--- a/internal/policy/store/snapshot.go
+++ b/internal/policy/store/snapshot.go
@@ -25,8 +25,8 @@
 // each text and each chunk once and refers to them by their hashes, so that damage is detected.
 type snapshot struct {
 	Format         int               `json:"Form"`
-	Texts          [][]byte          `json:"Texts"`   // of declarations and files
-	Chunks         [][]byte          `json:"Pieces"`  // of all policies
+	Texts          [][]byte          `json:"Texts"`   // texts of all declarations and files
+	Chunks         [][]byte          `json:"Pieces"`  // chunks of all policies
 	Files          []snapshotFile    `json:"Files"`   // declarations and files, each once
 	Declaration    int               `json:"Charter"` // index in Files
 	Accepted       []int             `json:"Good"`    // indices in Files
@@ -136,12 +136,13 @@
 
 // fileTable collects all declarations and files of a state, each once, in the order of snapshotFile.compare.
 type fileTable struct {
-	hashes  map[string]merkle.Hash // by text
+	hashes  map[string]merkle.Hash // hash of each text
 	list    []snapshotFile
 	indexOf map[snapshotFile]int // index in list
-	texts   [][]byte             // each once, in the order of the first file in list that has it
+	texts   [][]byte             // each distinct text once, in the order in which the files of list first use it
 }
 
+// newFileTable returns the table of all declarations and files of a state, including those of retained policies.
 func newFileTable(s *state) *fileTable {
 	t := &fileTable{hashes: map[string]merkle.Hash{}, indexOf: map[snapshotFile]int{}}
 	texts := map[snapshotFile]string{}
@@ -180,11 +181,12 @@
 	return snapshotFile{namespace, hash, f.author, f.number, f.mergeNumber}
 }
 
+// declarationIndex returns the index of a declaration in list.
 func (t *fileTable) declarationIndex(declaration submittedFile) int {
 	return t.indexOf[t.file("", declaration)]
 }
 
-// indices returns the sorted indices of files that are given by namespace.
+// indices returns the sorted indices in list of files, which are keyed by namespace.
 func (t *fileTable) indices(files map[string]submittedFile) []int {
 	var all []int
 	for name, f := range files {
@@ -194,6 +196,7 @@
 	return all
 }
 
+// policy returns a policy as the snapshot has it. It returns the zero value for a policy without a tree.
 func (t *fileTable) policy(p *retainedPolicy) snapshotPolicy {
 	if p.tree == nil {
 		return snapshotPolicy{}
@@ -209,6 +212,7 @@
 	list     [][]byte
 }
 
+// add adds the chunks of a tree that are not in the list yet. A nil tree has none.
 func (t *chunkTable) add(tree *merkle.Tree) {
 	if tree == nil {
 		return
--- a/internal/policy/store/snapshot_test.go
+++ b/internal/policy/store/snapshot_test.go
@@ -29,8 +29,8 @@
 			"with epoch 5, and 1 withheld file", s)
 	}
 	if !slices.Equal(changeNames(s.Batch), []string{"alpha2", "gamma1"}) || len(s.Queued) != 0 {
-		t.Fatalf("status restored from the legacy snapshot is %+v, want a batch of alpha2 and gamma1 "+
-			"and nothing queued", s)
+		t.Fatalf("status restored from the legacy snapshot is %+v, want a batch of file 2 of alpha "+
+			"and file 1 of gamma, and nothing queued", s)
 	}
 	if got, want := routesOf(t, m, s.Active), "alpha/r/a beta/r/b"; got != want {
 		t.Errorf("active routes restored from the legacy snapshot are %q, want %q", got, want)
@@ -65,7 +65,7 @@
 	got := routesOf(t, m, m.Status().Active)
 	if got != "alpha/r/a beta/r/c gamma/r/g" || !slices.Equal(failedChangeNames(m), []string{"alpha2"}) {
 		t.Errorf("after the bisection: active routes %q and status %+v, want routes alpha/r/a beta/r/c gamma/r/g "+
-			"and only alpha2 failed", got, m.Status())
+			"and only file 2 of alpha failed", got, m.Status())
 	}
 }
 
@@ -95,7 +95,7 @@
 	s = m.Status()
 	if s.Active.Epoch != 3 || s.Candidate.Epoch != 6 || !slices.Equal(changeNames(s.Batch), []string{"alpha2"}) {
 		t.Fatalf("status after epoch 5 was stopped is %+v, want active epoch 3, candidate epoch 6 "+
-			"and only alpha2 in the batch", s)
+			"and only file 2 of alpha in the batch", s)
 	}
 	before := snapshotOf(t, m)
 	for epoch := range uint64(6) {
--- a/internal/policy/store/state.go
+++ b/internal/policy/store/state.go
@@ -25,7 +25,7 @@
 type retainedPolicy struct {
 	version     rollout.Version
 	declaration submittedFile
-	files       map[string]submittedFile // by namespace
+	files       map[string]submittedFile // accepted files by namespace
 	tree        *merkle.Tree             // nil if nothing has been merged yet
 }
 
@@ -52,12 +52,12 @@
 	mergeCount     uint64
 	head           retainedPolicy
 	retained       []retainedPolicy  // oldest first
-	activeIndex    int               // in retained, or noPolicy
-	candidateIndex int               // in retained, or noPolicy
+	activeIndex    int               // index of the active policy in retained, or noPolicy
+	candidateIndex int               // index of the candidate in retained, or noPolicy
 	bisection      [][]trackedChange // parts of stopped batches; each is rolled out separately, before the head
 	stopped        *RolloutResult    // result of the candidate's rollout if it was stopped, else nil
 	failedChanges  []FailedChange    // oldest first
-	proxyCount     int
+	proxyCount     int               // proxies that the leader had seen at the last rollout result; 0 if unknown
 }
 
 // cloneState returns a copy of the state that can be changed, and then committed or discarded.
--- a/internal/policy/store/statemachine.go
+++ b/internal/policy/store/statemachine.go
@@ -14,8 +14,8 @@
 
 	// The caches below are not part of the state: equal commands give equal results with and without them.
 	cachedStatus *Status                    // nil if the state has changed since the last call of Status
-	parsedFiles  map[string]*namespace.File // by text
-	unchunked    map[string]string          // encoded policies by root; empty if the encoding is too long
+	parsedFiles  map[string]*namespace.File // parsed files by their texts
+	unchunked    map[string]string          // encoded policies by root hash; an empty text if the encoding is too long
 }
 
 // New returns an empty state machine with a first generation. A fleet that is bootstrapped again numbers its epochs
--- a/internal/policy/store/statemachine_test.go
+++ b/internal/policy/store/statemachine_test.go
@@ -225,8 +225,8 @@
 	return commands
 }
 
-// Two state machines with the same commands have the same snapshot after each command, also if one of them is replaced
-// by a restored snapshot now and then. The newest epoch decreases only by a rollback.
+// Two state machines that apply the same commands have the same snapshot after each command, even if one of them is
+// replaced by a restored snapshot after every fifth command. The newest epoch decreases only by a rollback.
 func TestStateIsDeterministic(t *testing.T) {
 	for seed := range uint64(40) {
 		a := New(0)
