--- a/internal/policy/merkle/assembly.go
+++ b/internal/policy/merkle/assembly.go
@@ -36,7 +36,7 @@
 // slot is a place in which a chunk is missing: a subtree, or a segment or list of a value.
 type slot struct {
 	subtree  *subtree // nil if the place is in a value
-	existing *node    // subtree of the existing tree in the same place; nil if there is none
+	existing *node    // subtree of the existing tree in the same place, or the leaf that covers it; nil if none
 	position Hash     // path to the subtree: its first depth digits are set, the others are 0
 	depth    int
 
@@ -81,8 +81,9 @@
 	a.missing[hash] = append(a.missing[hash], s)
 }
 
-// fillFromExisting fills the place of a segment or list with a chunk that is already available: of the
-// same value, of the existing tree's value under the same key, or of another value of which it has arrived. It returns false if there is none.
+// fillFromExisting fills the place of a segment or list with a chunk that is already available: it has
+// arrived for the same value or another one, or the existing tree's value under the same key has it. It returns false
+// if there is no such chunk.
 func (a *Assembly) fillFromExisting(hash Hash, s slot) bool {
 	if _, ok := s.value.segments[hash]; ok {
 		return true
@@ -171,8 +172,9 @@
 }
 
 // addSegment adds a segment or a list to its value, and requests the chunks that a list refers to. It returns false if
-// the chunk is not a valid segment or list of the value. Add checks a chunk for all its places before, but filling one
-// place uses up part of the limit on hashes in lists, which all places of a value share.
+// the chunk is not a valid segment or list of the value. Add checks a chunk for all its places before it fills
+// any, but all places of one value share the limit on hashes in lists, so filling one place can exhaust the limit that
+// the check of another place relied on.
 func (a *Assembly) addSegment(chunk []byte, hash Hash, s slot) bool {
 	if s.segmentFault(chunk) != "" {
 		return false
--- a/internal/policy/merkle/hash.go
+++ b/internal/policy/merkle/hash.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// The shape of the tree: an inner node at depth d has one child for each value of digit d of a position. The digits of
-// a position are those of its hexadecimal form, first digit first.
+// The shape of the tree: an inner node at depth d has a child for each value of digit d that the positions of its
+// items have. The digits of a position are those of its hexadecimal form, the first of which is digit 0.
 const (
 	digitBits     = 4
 	fanout        = 1 << digitBits
--- a/internal/policy/store/randomrollout_test.go
+++ b/internal/policy/store/randomrollout_test.go
@@ -35,13 +35,13 @@
 // randomRun applies random commands to a state machine: files that are harmless, harmful or conflict with others,
 // declarations, rollbacks, and results of rollouts, some of which stop the rollout of a harmless policy.
 type randomRun struct {
-	t           *testing.T
-	rng         *rand.Rand
-	m           *StateMachine
-	mutations   mutation
-	submissions []submission
-	lastNumber  int
-	falseStops  int // rollouts of harmless policies that were stopped
+	t             *testing.T
+	rng           *rand.Rand
+	m             *StateMachine
+	mutations     mutation
+	submissions   []submission
+	lastNumber    int
+	harmlessStops int // rollouts of harmless policies that were stopped
 }
 
 // runRandomRollouts runs random commands and then ends all rollouts. It returns the first violation of an invariant, or
@@ -134,11 +134,11 @@
 func (r *randomRun) endRollout() string {
 	candidate := r.m.Status().Candidate
 	harmful := candidateIsHarmful(r.t, r.m)
-	falseStop := !harmful && r.rng.IntN(20) == 0
-	if falseStop {
-		r.falseStops++
+	stopHarmless := !harmful && r.rng.IntN(20) == 0
+	if stopHarmless {
+		r.harmlessStops++
 	}
-	endRollout(r.t, r.m, !harmful && !falseStop)
+	endRollout(r.t, r.m, !harmful && !stopHarmless)
 	if harmful && r.m.Status().Active == candidate {
 		return fmt.Sprintf("the harmful policy of epoch %d is active after its rollout was stopped", candidate.Epoch)
 	}
@@ -195,7 +195,7 @@
 	// A harmless change may fail together with a harmful one from which it cannot be separated, or because a
 	// harmless rollout was stopped. If the run had neither harmful changes nor such stops, none may fail.
 	anyHarmful := slices.ContainsFunc(r.submissions, func(other submission) bool { return other.harmful })
-	if failed && !anyHarmful && r.falseStops == 0 {
+	if failed && !anyHarmful && r.harmlessStops == 0 {
 		return fmt.Sprintf("file %d of %s is reported as failed, but the run had no harmful file and stopped no "+
 			"harmless rollout",
 			f.number, name)
--- a/internal/policy/store/rollout_test.go
+++ b/internal/policy/store/rollout_test.go
@@ -9,7 +9,8 @@
 	"lapisspread/internal/operatorerror"
 )
 
-// declareTeams returns the command that declares namespaces t0, t1, ... on the same host, none with precedence over another.
+// declareTeams returns the command that declares namespaces t0, t1, ... on the same host, none with precedence over
+// another.
 func declareTeams(count int) Command {
 	var text strings.Builder
 	text.WriteString("version = 1\n")
@@ -30,8 +31,8 @@
 	return submitCommand(teamText(team, number, path))
 }
 
-// submitHarmful returns the command that submits a file whose rollout is to be stopped. It has an extra service by which
-// candidateIsHarmful recognizes it.
+// submitHarmful returns the command that submits a file whose rollout is to be stopped. It has an extra
+// service by which candidateIsHarmful recognizes it.
 func submitHarmful(team, number int, path string) Command {
 	return submitCommand(teamText(team, number, path) + fmt.Sprintf("[[service]]\nname = \"harm-%d\"\n", team))
 }
