--- a/internal/policy/merkle/check.go
+++ b/internal/policy/merkle/check.go
@@ -146,7 +146,7 @@
 	return int(n)
 }
 
-// bytes returns the next count bytes, as a part of the chunk.
+// bytes returns the next count bytes. They share memory with the chunk.
 func (r *leafReader) bytes(count int) []byte {
 	if count > len(r.rest) {
 		r.malformed = true
--- a/internal/policy/merkle/distort_test.go
+++ b/internal/policy/merkle/distort_test.go
@@ -8,9 +8,9 @@
 
 // distort applies a distortion to a random subtree of n and computes the hashes of the nodes above it again. It returns
 // the changed n, or nil if nothing can be distorted.
-func (d randomContent) distort(n *node, depth int, distorted distortion) *node {
+func (d randomContent) distort(n *node, depth int, apply distortion) *node {
 	if n.children == nil || d.IntN(4) == 0 {
-		return distorted(d, n, depth)
+		return apply(d, n, depth)
 	}
 	first := d.IntN(fanout)
 	for i := range fanout {
@@ -18,13 +18,13 @@
 		if n.children[digit] == nil {
 			continue
 		}
-		if child := d.distort(n.children[digit], depth+1, distorted); child != nil {
+		if child := d.distort(n.children[digit], depth+1, apply); child != nil {
 			children := *n.children
 			children[digit] = child
 			return newNode(&children)
 		}
 	}
-	return distorted(d, n, depth)
+	return apply(d, n, depth)
 }
 
 // distortions are the tested ways to make a tree malformed, each with the mutation that switches off the only check
--- a/internal/policy/merkle/item.go
+++ b/internal/policy/merkle/item.go
@@ -15,8 +15,8 @@
 
 // The encodings of an item's value in a leaf.
 const (
-	valueInline    = 0 // its length and its bytes
-	valueSegmented = 1 // its length and the hash of its only segment or topmost list of segments
+	valueInline    = 0 // followed by the length and the bytes of the value
+	valueSegmented = 1 // followed by the length of the value and the hash of its only segment or topmost list
 )
 
 // item is an item as a leaf holds it.
--- a/internal/policy/store/bisect.go
+++ b/internal/policy/store/bisect.go
@@ -92,8 +92,9 @@
 }
 
 // splitCandidates returns the subsets of a batch to try as the first part of a split, the preferred ones first: the
-// first half, longer and then shorter prefixes, and each change but the first by itself, because an earlier change may
-// need a later one that does not need the earlier one.
+// first half, longer and then shorter prefixes, and each change but the first by itself. Single changes are tried
+// because an earlier change may be mergeable only with a later one that can be merged without it: then it can happen
+// that no prefix splits the batch.
 func splitCandidates(batch []trackedChange) [][]trackedChange {
 	var subsets [][]trackedChange
 	half := len(batch) / 2
@@ -152,8 +153,8 @@
 	}
 }
 
-// splitByActive splits the accepted files in two: accepted has the active policy's files in place of newer ones of the
-// head, and newer has those newer files.
+// splitByActive separates the accepted files from the head's files that are not active yet. It returns those as newer.
+// In accepted, each of them is replaced by the active file of the same namespace, or removed if there is none.
 func (s *state) splitByActive() (accepted, newer map[string]submittedFile) {
 	active := s.active()
 	accepted = maps.Clone(s.accepted)
