--- a/internal/policy/merkle/check.go
+++ b/internal/policy/merkle/check.go
@@ -8,7 +8,7 @@
 
 // The reasons that the functions below return are texts of MalformedChunkError, which operators and other releases see.
 
-// chunkFault returns the reason why a chunk is not valid in a place, or an empty text.
+// chunkFault returns the reason why a chunk is not valid in a slot, or an empty text if it is valid.
 func (a *Assembly) chunkFault(chunk []byte, s *slot) string {
 	if s.value != nil {
 		return s.segmentFault(chunk)
@@ -29,7 +29,7 @@
 	return "neither leaf nor node"
 }
 
-// leafFault returns the reason why a leaf is not valid in a place, or an empty text.
+// leafFault returns the reason why a leaf is not valid in a slot, or an empty text if it is valid.
 func (a *Assembly) leafFault(chunk []byte, s *slot) string {
 	items, ok := decodeLeaf(chunk)
 	if !ok {
@@ -146,7 +146,7 @@
 	return int(n)
 }
 
-// bytes returns the next count bytes, as a part of the chunk.
+// bytes returns the next count bytes. They share memory with the chunk.
 func (r *leafReader) bytes(count int) []byte {
 	if count > len(r.rest) {
 		r.malformed = true
