--- a/internal/proxy/adminbackend.go
+++ b/internal/proxy/adminbackend.go
@@ -15,13 +15,19 @@
 	"lapisspread/internal/processquota/limiter"
 )
 
-// Errors of admin calls that need a feature the proxy was started without.
+// Errors of admin calls that need a feature the proxy was started without. The admin console shows these texts to
+// operators, so they must not change.
 var (
-	errNoAdmission    = errors.New("admission is off: the proxy was started without --admission")
-	errNoDiameter     = errors.New("no Diameter is spoken: the proxy was started without --diameter")
-	errNoListGuard    = errors.New("the rules of coming back are off: the proxy was started without --comeback")
+	// Admission control is off.
+	errNoAdmission = errors.New("admission is off: the proxy was started without --admission")
+	// Diameter is off.
+	errNoDiameter = errors.New("no Diameter is spoken: the proxy was started without --diameter")
+	// The endpoint list guard is off.
+	errNoListGuard = errors.New("the rules of coming back are off: the proxy was started without --comeback")
+	// The proxy has not joined a control plane, so no quotas apply.
 	errNoControlPlane = errors.New("no budgets of a fleet hold: the proxy was started without --fleet")
-	errNoFreshness    = errors.New("the view is not weighed: the proxy was started without --fleet, " +
+	// Freshness is not monitored: there is no fleet's file, or it has no table [view].
+	errNoFreshness = errors.New("the view is not weighed: the proxy was started without --fleet, " +
 		"or the fleet's file has no table view")
 )
 
@@ -184,7 +190,7 @@
 // setDetached stores whether a backend is detached, and notifies the engines. A failure to store it is only logged: the
 // change still applies in this process.
 func (o adminBackend) setDetached(id string, detached bool) error {
-	// The previous process may have known a backend that this one has never seen.
+	// A backend that only the previous process had listed is accepted if it is stored as detached.
 	if !o.services.knowsEndpoint(id) && !slices.Contains(o.store.Detached(), id) {
 		return fmt.Errorf("no backend %.64q was ever listed", id)
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -21,7 +21,7 @@
 	host        string
 	url         url.URL
 	header      http.Header
-	policyEpoch string // epoch of the policy that routed the request; empty without one
+	policyEpoch string // epoch of the policy that routed the request; empty if no policy did
 	body        []byte
 	upload      *upload // a long body, streamed; body is empty then
 	healthCheck bool
@@ -286,7 +286,7 @@
 		return decision.Cancelled, untouched
 	case errors.Is(err, errBodyConsumed), errors.Is(err, errSendTooLate):
 		return decision.NotSent, false
-	case !sent.complete: // the backend can't have run it
+	case !sent.complete: // the backend can't have run an incomplete request
 		return decision.ConnectFailed, untouched
 	case cause != nil:
 		return decision.Timeout, false
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -40,9 +40,9 @@
 		serve func(int, net.Conn, *bufio.Reader)
 		want  decision.Result
 	}{
-		"served": {respond(served), decision.OK},
-		"500":    {respond("HTTP/1.1 500 Oh\nContent-Length: 0\n\n"), decision.Error},
-		"404":    {respond("HTTP/1.1 404 No\nContent-Length: 0\n\n"), decision.Error},
+		"served":     {respond(served), decision.OK},
+		"status 500": {respond("HTTP/1.1 500 Oh\nContent-Length: 0\n\n"), decision.Error},
+		"status 404": {respond("HTTP/1.1 404 No\nContent-Length: 0\n\n"), decision.Error},
 		"503 rejected": {respond("HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n"),
 			decision.Rejected},
 		"504 rejected": {respond("HTTP/1.1 504 Late\nX-Not-Processed: 1\nContent-Length: 0\n\n"),
@@ -117,15 +117,15 @@
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatalf("listening on a free port: %v", err)
+		t.Fatalf("Listen() on a free port: %v", err)
 	}
 	_ = listener.Close()
 	p, b := testPool(t, listener.Addr().String())
 	if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.ConnectFailed {
-		t.Errorf("exchange() = %v, want ConnectFailed", resultName(result))
+		t.Errorf("exchange() with an address that refuses connections = %v, want ConnectFailed", resultName(result))
 	}
 	if p.open != 0 {
-		t.Errorf("pool counts %d open connections after the refused one, want 0", p.open)
+		t.Errorf("pool counts %d open connections after the refused connect, want 0", p.open)
 	}
 }
 
@@ -159,7 +159,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	if result, _ := p.exchange(ctx, b, testMessage("GET", nil)); result != decision.ConnectFailed {
-		t.Errorf("exchange() = %v, want ConnectFailed", resultName(result))
+		t.Errorf("exchange() with an address that drops packets = %v, want ConnectFailed", resultName(result))
 	}
 	if ctx.Err() != nil {
 		t.Errorf("exchange() lasted until the attempt's deadline of %v, want the connect timeout of %v", patience,
@@ -185,7 +185,8 @@
 	// The body exceeds all socket buffers on the path, so the write can't finish before the connection breaks.
 	result, _ := p.exchange(t.Context(), b, testMessage("POST", bytes.Repeat([]byte("x"), 16<<20)))
 	if result != decision.ConnectFailed {
-		t.Errorf("exchange() = %v, want ConnectFailed", resultName(result))
+		t.Errorf("exchange() with a connection broken before the request's last byte = %v, want ConnectFailed",
+			resultName(result))
 	}
 }
 
@@ -226,7 +227,7 @@
 		m.header.Set("Idempotency-Key", "7")
 		for _, want := range []decision.Result{decision.OK, decision.Reset} {
 			if result, _ := p.exchange(t.Context(), b, m); result != want {
-				t.Errorf("%s: exchange() = %v, want %v", method, resultName(result), resultName(want))
+				t.Errorf("exchange() of a %s request = %v, want %v", method, resultName(result), resultName(want))
 			}
 		}
 		if n := requests.Load(); n != 2 {
--- a/internal/proxy/attemptraces_test.go
+++ b/internal/proxy/attemptraces_test.go
@@ -62,7 +62,8 @@
 					t.Errorf("second exchange() = %v, body %q; want OK, body \"fine\"", resultName(result), body)
 				}
 				if first, other := requests[0].Load(), requests[1].Load(); first != 1 || other != 1 {
-					t.Errorf("%d requests on the first connection, %d on others, want 1 and 1", first, other)
+					t.Errorf("backend got %d requests on the first connection, %d on later ones; want 1 and 1", first,
+						other)
 				}
 				if p.open != 1 {
 					t.Errorf("pool counts %d open connections, want 1", p.open)
@@ -76,9 +77,9 @@
 // connection that was chosen as it left.
 func TestNothingIsSentForClientThatLeft(t *testing.T) {
 	for _, idle := range []bool{false, true} {
-		name := map[bool]string{false: "late connection", true: "idle connection"}[idle]
+		name := map[bool]string{false: "connection established after the client left", true: "idle connection"}[idle]
 		t.Run(name, func(t *testing.T) {
-			for range 20 { // without the check the request is sent in most rounds
+			for range 20 { // if the proxy doesn't check that the client has left, most rounds fail
 				got := make(chan string, 2)
 				addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
 					for {
@@ -114,7 +115,8 @@
 					t.Errorf("exchange() after the client left = %v, want Cancelled", resultName(result))
 				}
 				if path := within(t, got, "the backend connection stayed open"); path != "closed" {
-					t.Fatalf("%s was sent for a client that had left, want a closed connection", path)
+					t.Fatalf("backend got a request for %s after the client left, want only the connection's close",
+						path)
 				}
 				if p.open != 0 {
 					t.Errorf("pool counts %d open connections, want 0", p.open)
@@ -147,10 +149,10 @@
 	leave()
 	close(connect)
 	if result := within(t, done, "exchange() did not return"); result != decision.Cancelled {
-		t.Errorf("exchange() = %v, want Cancelled", resultName(result))
+		t.Errorf("exchange() whose client left during the dial = %v, want Cancelled", resultName(result))
 	}
 	if n := within(t, got, "the backend connection stayed open"); n != 0 {
-		t.Errorf("%d bytes were sent on the late connection, want 0", n)
+		t.Errorf("backend got %d bytes on the connection established after the client left, want 0", n)
 	}
 	if p.open != 0 {
 		t.Errorf("pool counts %d open connections, want 0", p.open)
@@ -201,10 +203,10 @@
 				t.Errorf("exchange() after the change = %v, want %v", resultName(result), resultName(c.want))
 			}
 			if n := old.Load(); n != 1 {
-				t.Errorf("%d requests at the old address, want only the one before the change", n)
+				t.Errorf("old address got %d requests, want 1 (the one before the change)", n)
 			}
 			if moved := c.want == decision.OK; (other.Load() == 1) != moved {
-				t.Errorf("%d requests at the new address, want one only if the backend moved (%v)", other.Load(), moved)
+				t.Errorf("new address got %d requests, want 1 if the backend moved (%v), else 0", other.Load(), moved)
 			}
 		})
 	}
@@ -241,17 +243,20 @@
 					return true
 				}
 				if result, _ := p.exchange(ctx, b, m); result != decision.OK && result != decision.Cancelled {
-					t.Errorf("exchange() = %v, want OK or Cancelled", resultName(result))
+					t.Errorf("exchange() cancelled at the response's last byte = %v, want OK or Cancelled",
+						resultName(result))
 				}
 				if p.open != 0 || len(b.idle) != 0 {
-					t.Fatalf("%d connections open, %d idle after the cancellation, want 0 and 0", p.open, len(b.idle))
+					t.Fatalf("pool counts %d open and %d idle connections after the cancellation, want 0 and 0",
+						p.open, len(b.idle))
 				}
 			}
 		})
 	}
 }
 
-// A health check is cancelled before its response arrives. The late response is not taken for that of the next request.
+// A health check is cancelled before its response arrives. Its response, sent
+// after the cancellation, is not taken for that of the next request.
 func TestLateHealthCheckResponseIsDiscarded(t *testing.T) {
 	received, sendLate := make(chan bool, 1), make(chan bool)
 	p, b := testPool(t, rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
@@ -291,8 +296,8 @@
 	}
 }
 
-// A backend that restarts at the same address resets its connections. No idle one is reused, and a request that is not
-// idempotent is sent once, to the new process. The attempt in flight ends as a reset.
+// A backend that restarts at the same address resets its connections. No idle connection is reused, and a request that
+// is not idempotent is sent once, to the new process. The attempt in flight ends as a reset.
 func TestBackendRestartAtSameAddress(t *testing.T) {
 	received, stop := make(chan bool), make(chan bool)
 	var requests atomic.Int32
@@ -341,7 +346,7 @@
 		t.Errorf("exchange() after the restart = %v, want OK", resultName(result))
 	}
 	if n := requests.Load() - before; n != 1 {
-		t.Errorf("%d requests after the restart, want 1", n)
+		t.Errorf("backend got %d requests after its restart, want 1", n)
 	}
 }
 
@@ -384,7 +389,7 @@
 		t.Error("the dial's context ended by its timeout, want a cancellation because the client left")
 	}
 	if n := within(t, got, "the backend connection stayed open"); n != 0 {
-		t.Errorf("%d bytes were sent on the late connection, want 0", n)
+		t.Errorf("backend got %d bytes on the connection established after the client left, want 0", n)
 	}
 	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		pool.mu.Lock()
--- a/internal/proxy/backendconn.go
+++ b/internal/proxy/backendconn.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	maxResponseHeadBytes = 8 << 10          // bytes of one response's head and the interim responses before it
+	maxResponseHeadBytes = 8 << 10          // bytes; limit for each response head, also of an interim response
 	maxPooledBuffer      = 16 << 10         // bytes; larger request buffers are not pooled
-	sendStallTimeout     = 10 * time.Second // for a backend to take a chunk of a body
+	sendStallTimeout     = 10 * time.Second // longest wait for a backend to accept a chunk of a request's body
 )
 
 // conn is a connection to a backend that carries one request at a time.
@@ -33,7 +33,7 @@
 	release   func() // removes the connection from the pool's count
 
 	mu          sync.Mutex
-	interrupted bool // the deadlines must not be changed any more
+	interrupted bool // set by interrupt; the deadlines must not be changed afterwards
 }
 
 func newConn(nc net.Conn, addrEpoch int, release func()) *conn {
--- a/internal/proxy/backendpool.go
+++ b/internal/proxy/backendpool.go
@@ -25,10 +25,10 @@
 	dialer         func(ctx context.Context, network, addr string) (net.Conn, error)
 	connectTimeout time.Duration
 	idleTimeout    time.Duration // idle connections are closed after this time
-	staleWindow    time.Duration // see staleConnWindow
+	staleWindow    time.Duration // a reused connection that breaks within this time was stale; see staleConnWindow
 	attempts       *atomic.Int64 // counts the requests that were written completely, without health checks
 	fleetHeaders   bool          // the X-Fleet-* headers of attempts are set by the proxy; a client's own are removed
-	quota          *connQuota    // limits the connections of all services together; nil if the service may use all of them
+	quota          *connQuota    // limit shared by all services' pools; nil if this pool may use all connections
 
 	mu       sync.Mutex
 	backends map[decision.BackendID]*backend
@@ -111,7 +111,7 @@
 		return nil
 	}
 	delete(p.backends, id)
-	b.draining = true // for attempts that still refer to it
+	b.draining = true // attempts that still refer to this backend must not be sent
 	return b.idle
 }
 
@@ -126,7 +126,7 @@
 	if b := p.lookup(id); b != nil {
 		return poolBackend{pool: p, backend: b}
 	}
-	return nil // an interface that holds a nil backend would not be nil
+	return nil // a poolBackend without a backend would be a non-nil interface value
 }
 
 func (p *pool) lookup(id decision.BackendID) *backend {
--- a/internal/proxy/backendpool_test.go
+++ b/internal/proxy/backendpool_test.go
@@ -29,7 +29,7 @@
 	send()
 	send()
 	if n := conns.Load(); n != 1 {
-		t.Fatalf("%d connections for two consecutive requests, want 1", n)
+		t.Fatalf("backend got %d connections for two consecutive requests, want 1", n)
 	}
 	p.closeExpired(time.Now().Add(p.idleTimeout)) // the connection has now been idle for too long
 	if p.open != 0 {
@@ -37,7 +37,7 @@
 	}
 	send()
 	if n := conns.Load(); n != 2 {
-		t.Errorf("%d connections made after closeExpired(), want 2", n)
+		t.Errorf("backend got %d connections, want 2: one before closeExpired() and one after", n)
 	}
 	p.Release(backendID("a"))
 	if p.open != 0 {
@@ -54,7 +54,7 @@
 	}))
 	for i := range 3 {
 		if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.OK {
-			t.Fatalf("exchange() %d = %s, want OK", i, resultName(result))
+			t.Fatalf("exchange() number %d (from 0) = %s, want OK", i, resultName(result))
 		}
 		for start := time.Now(); ; time.Sleep(time.Millisecond) { // until the close is visible on the socket
 			p.mu.Lock()
@@ -224,7 +224,7 @@
 				}
 			}
 			if n := conns.Load(); n != 2 {
-				t.Errorf("%d connections made, want 2", n)
+				t.Errorf("pool made %d connections, want 2", n)
 			}
 		})
 	}
@@ -261,7 +261,7 @@
 		t.Errorf("exchange() with the new backend = %s, want OK", resultName(result))
 	}
 	if n := conns.Load(); n != 2 {
-		t.Errorf("%d connections made, want 2", n)
+		t.Errorf("pool made %d connections, want 2", n)
 	}
 }
 
@@ -404,12 +404,13 @@
 				reuse = true
 			}
 			if n := conns.Load(); n != 1 || p.open != 1 {
-				t.Errorf("%d connections made, %d open, want 1 and 1", n, p.open)
+				t.Errorf("pool made %d connections, %d are open; want 1 and 1", n, p.open)
 			}
 			c := b.idle[0]
 			act(p) // now the connection is idle
 			if left := len(b.idle); p.open != left || left == 0 && rawsocket.Silent(c.Conn) {
-				t.Errorf("%d idle, %d open, want equal numbers, and the socket closed if none is idle", left, p.open)
+				t.Errorf("pool counts %d idle and %d open connections, want equal numbers, and the "+
+					"socket closed if none is idle", left, p.open)
 			}
 		})
 	}
--- a/internal/proxy/controlplane.go
+++ b/internal/proxy/controlplane.go
@@ -37,7 +37,7 @@
 		running.Go(func() { monitor.Run(ctx) })
 		p.freshness.Store(monitor)
 	}
-	p.services.policyRoutes = file.Policy.RouteByPolicy // set without a lock: no service runs yet
+	p.services.policyRoutes = file.Policy.RouteByPolicy // needs no lock, since no service runs yet
 	p.policyClient.Store(client.NewPolicyClient(newConfig(), p.services.installPolicy))
 	leave = func() {
 		cancel()
@@ -54,7 +54,7 @@
 		return
 	}
 	if err := p.services.installPolicy(policies.Current()); err != nil {
-		p.log.Error("requests are not counted for the policy", "err", err)
+		p.log.Error("installing the initial policy state failed, rollouts can't see this proxy's requests", "err", err)
 	}
 	policies.Restore()
 	policies.Run(ctx)
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	listenRetryInterval  = 50 * time.Millisecond // during a hot restart the previous process still listens on the address
+	listenRetryInterval  = 50 * time.Millisecond // between attempts to listen while the old process holds the address
 	diameterDrainTimeout = 10 * time.Second      // limit for requests in flight to end and peers to disconnect
 	serverDrainTimeout   = 5 * time.Second       // limit for requests in flight to a draining server
 
-	serverWatchdog         = 6 * time.Second        // the shortest interval that the RFC allows
+	serverWatchdog         = 6 * time.Second        // the shortest watchdog interval that RFC 3539 allows
 	serverReopenInterval   = 100 * time.Millisecond // between watchdogs that a server must answer after a reconnect
 	serverReconnectDelay   = 200 * time.Millisecond
-	serverQueue            = 1 << 20 // requests; never the limit, since the engine limits the requests to a server
+	serverQueue            = 1 << 20 // requests; never reached, since the engine limits the requests to a server
 	certificateCheckPeriod = time.Minute
 )
 
@@ -157,6 +157,7 @@
 func (p *Proxy) diameterUpstream(module *decision.Config) (*upstream.Upstream, error) {
 	d := p.diameter
 	if d == nil {
+		// The text means: a service with this upstream requires --diameter, whose file names the proxy's host and realm.
 		return nil, errors.New("upstream: \"diameter\" asks for --diameter: it says who we are")
 	}
 	connectTimeout := module.Capabilities.ConnectTimeout
@@ -233,7 +234,8 @@
 	}
 }
 
-// openListener wraps a listener with admission control and TLS, and stores it for drain. It returns nil after drain.
+// openListener wraps a listener with admission control and TLS, and stores it for drain. If drain was called before,
+// it closes the listener and returns nil.
 func (d *diameterService) openListener(l net.Listener) net.Listener {
 	l = &peerListener{Listener: l, conns: d.p.conns}
 	if d.keys != nil {
@@ -279,6 +281,7 @@
 		d.p.reloadFailed("keeping the old certificate", err)
 		return
 	}
+	// holds_for is the time until the certificate expires.
 	d.p.log.Info("certificate reloaded", "holds_for", d.keys.Remaining().Round(time.Hour))
 }
 
--- a/internal/proxy/diameterrequest.go
+++ b/internal/proxy/diameterrequest.go
@@ -87,6 +87,7 @@
 		return nil, err
 	}
 	if len(body) > maxBufferedBody {
+		// The text means: the request's JSON body exceeds the limit of maxBufferedBody bytes.
 		return nil, fmt.Errorf("a claim of %d bytes; %d are the most", len(body), maxBufferedBody)
 	}
 	id := requestID(a)
--- a/internal/proxy/discoveryclient.go
+++ b/internal/proxy/discoveryclient.go
@@ -20,9 +20,9 @@
 	maxListBytes = 4 << 20 // length of an endpoint list; a longer one is invalid
 
 	probeHold      = time.Millisecond       // hold of a watch that only checks whether discovery answers
-	minWatchPause  = 10 * time.Millisecond  // the first pause after an answer without news
+	minWatchPause  = 10 * time.Millisecond  // the first pause after an answer that changes nothing
 	maxWatchPause  = 160 * time.Millisecond // a watch must be renewed within 200 ms
-	maxHedgedCalls = 3                      // calls in flight for one answer
+	maxHedgedCalls = 3                      // calls in flight for one answer, including the first
 
 	invalidListBackoffFactor = 10 // the pause after an invalid list, in multiples of the time it took to read
 	maxInvalidListBackoff    = time.Second
@@ -32,6 +32,7 @@
 )
 
 // errNoResponse is the cause of a call that got no answer within its timeout, while its connection stayed open.
+// "silent" in its text means that discovery sent no answer.
 var errNoResponse = errors.New("discovery: silent")
 
 // discoveryClient polls and watches the endpoint list at one address of discovery. It implements engine.Source.
@@ -107,6 +108,7 @@
 func (d *discoveryClient) Fetch(ctx context.Context) (List, error) {
 	list, err := d.callHedged(ctx, "")
 	if err == nil && !list.Full {
+		// The text means: discovery answered with changes although the whole list was requested.
 		err = errors.New("discovery: changes in place of the whole list")
 	}
 	return list, err
@@ -136,8 +138,8 @@
 		}
 		restarted := err == nil && !list.Full && list.OlderThan(from)
 		if restarted {
-			// Discovery numbers its versions from the start again. Its changes would be taken for old ones for a long
-			// time.
+			// Discovery numbers its versions from the start again. Until they exceed the previous versions,
+			// its changes would be ignored as outdated, which may take long.
 			d.log.Warn("discovery restarted its versions, fetching the whole list",
 				"addr", d.addr, "version", from, "now", list.Version)
 			list, err = d.Fetch(ctx)
@@ -145,14 +147,14 @@
 		if err != nil {
 			return err
 		}
-		noNews := restarted || list.Version == from || !list.Full && len(list.Endpoints) == 0
+		unchanged := restarted || list.Version == from || !list.Full && len(list.Endpoints) == 0
 		from = list.Version
 		notify(list)
-		if probing || !noNews || time.Since(startedAt) >= hold/2 {
+		if probing || !unchanged || time.Since(startedAt) >= hold/2 {
 			pause = 0
 			continue
 		}
-		// A source that answers at once without news would be polled without a pause.
+		// Without this pause, a source that answers at once without a change would be called in a busy loop.
 		pause = min(max(2*pause, minWatchPause), maxWatchPause)
 		if err := sleep(ctx, pause); err != nil {
 			return err
@@ -160,7 +162,8 @@
 	}
 }
 
-// watchOnce makes one call of a watch.
+// watchOnce makes one call of a watch: while probing a hedged call with the short probeHold, otherwise a single call
+// that discovery may hold for the given time.
 func (d *discoveryClient) watchOnce(ctx context.Context, from uint32, hold time.Duration, probing bool) (List, error) {
 	if probing {
 		return d.callHedged(ctx, watchQuery(from, probeHold))
@@ -174,7 +177,7 @@
 	return fmt.Sprintf("?from=%d&hold_ms=%d", from, hold.Milliseconds())
 }
 
-// sleep waits for d, unless ctx ends before.
+// sleep waits for d. If ctx ends first, it returns ctx's cause.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/proxy/discoverywatch_test.go
+++ b/internal/proxy/discoverywatch_test.go
@@ -220,7 +220,7 @@
 				d.Close()
 				synctest.Wait()
 				if calls < 50 || calls > 200 {
-					t.Errorf("%d calls in 10 s, want 50 to 200", calls)
+					t.Errorf("Watch() made %d calls in 10 s, want 50 to 200", calls)
 				}
 			})
 		})
@@ -231,7 +231,7 @@
 type stoppedReader struct {
 	*net.TCPConn
 	stopped chan struct{} // gets a value when a read stops
-	resume  chan struct{} // lets one read go on; closed, it lets all go on
+	resume  chan struct{} // each value resumes one read; closing it resumes all reads
 }
 
 func (c *stoppedReader) Read(p []byte) (int, error) {
--- a/internal/proxy/endpointlist.go
+++ b/internal/proxy/endpointlist.go
@@ -56,6 +56,7 @@
 		return List{}, err
 	}
 	if f.Generation == nil {
+		// The text means: the list has no version, which the JSON field "generation" must give.
 		return List{}, errors.New("no generation")
 	}
 	list := List{Version: *f.Generation, Full: f.Reset}
@@ -75,6 +76,7 @@
 		return Member{}, fmt.Errorf("instance %q: no id, no address or unknown lifecycle %q", e.ID, e.State)
 	}
 	if !(e.StartedAtMs >= 0 && e.StartedAtMs < maxStartedAtMs) {
+		// The text means: the start time is out of range.
 		return Member{}, fmt.Errorf("instance %q: startedAtMs %v is no time", e.ID, e.StartedAtMs)
 	}
 	return Member{
--- a/internal/proxy/endpointnames.go
+++ b/internal/proxy/endpointnames.go
@@ -41,7 +41,7 @@
 	return n.names[id]
 }
 
-// notify notifies the engine's loop that the detached backends have changed. It does not block.
+// notify wakes the engine's loop because the detached backends have changed. It does not block.
 func (n *endpointNames) notify() {
 	select {
 	case n.changed <- struct{}{}:
--- a/internal/proxy/faultydiscovery_test.go
+++ b/internal/proxy/faultydiscovery_test.go
@@ -39,12 +39,12 @@
 	mu      sync.Mutex
 	fault   discoveryFault
 	version int
-	state   string // of its backend
+	state   string // lifecycle of the backend "a" in the list
 	changed chan struct{}
 	conns   map[net.Conn]bool
 	calls   int
 
-	addr string   // of its backend
+	addr string   // address of the backend "a"
 	more []string // further entries of the list, which never change
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// callCount returns the number of calls so far, with refused connects.
+// callCount returns the number of calls so far, including refused connects.
 func (d *faultyDiscovery) callCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/proxy/freshness_test.go
+++ b/internal/proxy/freshness_test.go
@@ -66,7 +66,7 @@
 	}
 	for deadline := time.Now().Add(30 * time.Second); len(responded) < 21 &&
 		time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		// rejected if the retry budget has no attempt left for another backend
+		// Status 503 is allowed: the retry budget may have no attempt left for another backend.
 		resp, _, err := p.request(t, "hand-in", 10000, "homework")
 		if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
 			t.Fatalf("request to the proxy: response %v, error %v; want status 200, or 503 for lack of a retry", resp, err)
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -22,7 +22,7 @@
 		"closed":                 func(net.Conn) {},
 		"reset during the head":  func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Le"); reset(nc) },
 		"closed during the body": func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Length: 9\n\nfine") },
-		"reset after the window": func(nc net.Conn) { time.Sleep(2 * window); reset(nc) }, // certainly after the window's end
+		"reset after the window": func(nc net.Conn) { time.Sleep(2 * window); reset(nc) }, // the window has ended
 		"invalid response": func(nc net.Conn) {
 			writeText(nc,
 				"HTTP/1.0 200 OK\nTransfer-Encoding: chunked\n\n4\nfine\n0\n\n")
--- a/internal/proxy/senddeadline_test.go
+++ b/internal/proxy/senddeadline_test.go
@@ -44,7 +44,7 @@
 		}
 		cancel()
 		if n := within(t, received, "the backend connection was not closed"); n != 0 {
-			t.Errorf("%s: %d bytes were sent, want 0", name, n)
+			t.Errorf("%s: backend got %d bytes, want 0", name, n)
 		}
 	}
 	if n := p.attempts.Load(); n != 0 {
--- a/internal/proxy/servicefaults_test.go
+++ b/internal/proxy/servicefaults_test.go
@@ -227,7 +227,7 @@
 	time.Sleep(300 * time.Millisecond)
 	for range 20 { // 20 a second, well within its share of 40
 		if status, body := s.request(client, "x.org", "/api", "hand-in", 5000); status != 200 {
-			t.Errorf("request for dispatch: status %d, body %q; want 200", status, body)
+			t.Errorf("request for service dispatch: status %d, body %q; want 200", status, body)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -235,6 +235,7 @@
 	clients.Wait()
 	limit := 50*time.Since(startedAt).Seconds() + 20 // the service's cap is half of the quota, plus a burst
 	if n := float64(served.Load()); n > limit || n < 10 || rejected.Load() == 0 {
-		t.Errorf("settlement: %v served, %d rejected; want 10 to %v served and some rejected", n, rejected.Load(), limit)
+		t.Errorf("requests for service settlement: %v served, %d rejected; want 10 to %v served and some rejected", n,
+			rejected.Load(), limit)
 	}
 }
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -323,7 +323,8 @@
 			m := testMessage("POST", nil)
 			m.upload = u
 			if result, _ := p.exchange(t.Context(), b, m); result != c.want {
-				t.Errorf("exchange() = %s, want %s", resultName(result), resultName(c.want))
+				t.Errorf("exchange() with a response before the request's end = %s, want %s",
+					resultName(result), resultName(c.want))
 			}
 			if p.open != 0 {
 				t.Errorf("pool counts %d open connections, want 0", p.open)
@@ -348,7 +349,7 @@
 			m := testMessage("POST", nil)
 			m.upload = u
 			if result, _ := p.exchange(t.Context(), b, m); result != decision.Cancelled {
-				t.Errorf("exchange() = %s, want Cancelled", resultName(result))
+				t.Errorf("exchange() whose client stalls or leaves = %s, want Cancelled", resultName(result))
 			}
 			if p.open != 0 {
 				t.Errorf("pool counts %d open connections, want 0", p.open)
