--- a/internal/proxy/backendpool_test.go
+++ b/internal/proxy/backendpool_test.go
@@ -135,7 +135,7 @@
 	close(respond)
 	for range 2 {
 		if result := within(t, results, "exchange() did not return"); result != decision.OK {
-			t.Errorf("exchange() = %s, want OK", resultName(result))
+			t.Errorf("exchange() on one of the two allowed connections = %s, want OK", resultName(result))
 		}
 	}
 	// Both connections are idle now. One of them is closed to make room for a connection to another backend.
@@ -207,7 +207,8 @@
 			for i := range 2 {
 				result, body := p.exchange(t.Context(), b, testMessage("POST", []byte("x")))
 				if result != decision.OK || string(body) != "fine" {
-					t.Fatalf("exchange() %d = %s, body %q; want OK, body \"fine\"", i, resultName(result), body)
+					t.Fatalf("exchange() number %d (from 0) = %s, body %q; want OK, body \"fine\"", i,
+						resultName(result), body)
 				}
 				if !late || i > 0 {
 					continue
@@ -287,7 +288,8 @@
 				return dial(ctx, network, addr)
 			}
 			if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.ConnectFailed {
-				t.Errorf("exchange() = %s, want ConnectFailed", resultName(result))
+				t.Errorf("exchange() with a backend changed during the dial = %s, want ConnectFailed",
+					resultName(result))
 			}
 			if n := requests.Load(); n != 0 {
 				t.Errorf("the backend got %d requests after the change of the list, want 0", n)
@@ -407,7 +409,7 @@
 				t.Errorf("pool made %d connections, %d are open; want 1 and 1", n, p.open)
 			}
 			c := b.idle[0]
-			act(p) // now the connection is idle
+			act(p) // this time the connection is idle
 			if left := len(b.idle); p.open != left || left == 0 && rawsocket.Silent(c.Conn) {
 				t.Errorf("pool counts %d idle and %d open connections, want equal numbers, and the "+
 					"socket closed if none is idle", left, p.open)
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -39,8 +39,8 @@
 	reached int // requests that reached a backend
 }
 
-// drainLimit is when a drained backend must get no more requests. It is longer than the required 500 ms; the lateness
-// of this machine is added to it.
+// drainLimit is the time after which a draining backend must get no more requests. It is longer than the
+// required 500 ms; the lateness of this machine is added to it.
 const drainLimit = 1000 * time.Millisecond
 
 // lateness is the longest delay seen so far between a timer's time and the wake-up of its goroutine. On a busy machine
@@ -292,8 +292,8 @@
 	}
 }
 
-// A process that was not scheduled finds both an expired idle timeout and the bytes of a request: the request is
-// served. Without a request the timeout applies, and within a request it always applies.
+// If the process was not scheduled for a while, the idle timeout may have expired although bytes of a request have
+// arrived: the request is served. Without a request the timeout applies, and within a request it always applies.
 func TestRequestInTimeWinsOverIdleTimeout(t *testing.T) {
 	for name, c := range map[string]struct{ sent, idle, unused, wantRead bool }{
 		"between requests":             {true, true, false, true},
@@ -314,7 +314,7 @@
 			}
 			_ = conn.SetReadDeadline(time.Now().Add(-time.Second))
 			if n, err := conn.Read(make([]byte, 64)); (n > 0) != c.wantRead || !c.wantRead && !isTimeout(err) {
-				t.Errorf("Read() after the deadline = %d bytes, error %v; want bytes: %v, otherwise a timeout", n, err,
+				t.Errorf("Read() after the deadline = %d bytes, error %v; want some bytes: %v, else a timeout", n, err,
 					c.wantRead)
 			}
 		})
--- a/internal/proxy/diameter.go
+++ b/internal/proxy/diameter.go
@@ -157,7 +157,7 @@
 func (p *Proxy) diameterUpstream(module *decision.Config) (*upstream.Upstream, error) {
 	d := p.diameter
 	if d == nil {
-		// The text means: a service with this upstream requires --diameter, whose file names the proxy's host and realm.
+		// The text means: a service with this upstream requires --diameter, whose file has the proxy's name.
 		return nil, errors.New("upstream: \"diameter\" asks for --diameter: it says who we are")
 	}
 	connectTimeout := module.Capabilities.ConnectTimeout
--- a/internal/proxy/diameter_test.go
+++ b/internal/proxy/diameter_test.go
@@ -41,7 +41,7 @@
 file = "effects.db"
 `
 
-// freeAddr returns a loopback address with no listener, from which no connection is made either.
+// freeAddr returns a loopback address on which no socket listens and which no outgoing connection has as its source.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := loopbackaddr.Addr()
@@ -51,8 +51,8 @@
 	return addr
 }
 
-// diameterStage starts a proxyFixture whose proxy also serves Diameter, and returns a Diameter client of it.
-func diameterStage(t *testing.T, services string, change func(*Config)) (*proxyFixture, *diameterpeer.Client) {
+// startDiameterProxy starts a proxyFixture whose proxy also serves Diameter, and returns a Diameter client of it.
+func startDiameterProxy(t *testing.T, services string, change func(*Config)) (*proxyFixture, *diameterpeer.Client) {
 	t.Helper()
 	dir, addr := t.TempDir(), freeAddr(t)
 	path := filepath.Join(dir, "diameter.toml")
@@ -82,7 +82,7 @@
 // Diameter requests are routed to HTTP servers. A request that a server does not answer in time may have run, so it is
 // answered with UnableToComply and not retried.
 func TestDiameterClientsReachHTTPServers(t *testing.T) {
-	s, client := diameterStage(t, twoServices, nil)
+	s, client := startDiameterProxy(t, twoServices, nil)
 	for range 3 {
 		if o := client.Claim(t.Context(), 12500); o.Code != diameter.Success || o.Body != "slow-5" {
 			t.Fatalf("Claim() = %+v, want code Success and body %q", o, "slow-5")
@@ -94,7 +94,7 @@
 		t.Errorf("the HTTP server got a request for %q first, want /claims", *path)
 	}
 	s.stall["slow-5"].Store(60_000)
-	// the proxy answers within the client's timeout, which is reached once
+	// The proxy must answer before the client's timeout, so that the client tries only once.
 	if o := client.Claim(t.Context(), 1); o.Code != diameter.UnableToComply || o.Tries != 1 {
 		t.Errorf("Claim() at a stalled server = %+v, want code UnableToComply after 1 try", o)
 	}
@@ -122,7 +122,7 @@
 	go server.Serve(l)
 	defer server.Drop()
 	text := strings.Replace(twoServices, `name = "settlement"`, "name = \"settlement\"\nupstream = \"diameter\"", 1)
-	s, client := diameterStage(t, text, nil)
+	s, client := startDiameterProxy(t, text, nil)
 	s.lists <- listText(2, true, memberText("id-fast", s.backend["fast-5"], "active"),
 		strings.Replace(memberText("id-slow", l.Addr().String(), "active"), `"fast-5"`, `"slow-5"`, 1))
 	var claims sync.WaitGroup
@@ -149,7 +149,7 @@
 // After a hot restart the next process takes over the Diameter address and reads the ledger: a request that the
 // previous process has answered gets the same response and does not run again.
 func TestNextProcessReadsLedger(t *testing.T) {
-	s, client := diameterStage(t, twoServices, nil)
+	s, client := startDiameterProxy(t, twoServices, nil)
 	first := client.Claim(t.Context(), 5)
 	if first.Code != diameter.Success {
 		t.Fatalf("first Claim() = %+v, want code Success", first)
@@ -252,9 +252,9 @@
 		t.Errorf("Claim() over TLS = %+v, want code Success and body %q", o, "the answer")
 	}
 	first.Close() // a second connection of the same peer would be rejected while the first is open
-	stranger := newClient(otherCert)
-	stranger.Tries = 2
-	if o := stranger.Claim(t.Context(), 1); o.Code != 0 {
+	otherClient := newClient(otherCert)
+	otherClient.Tries = 2
+	if o := otherClient.Claim(t.Context(), 1); o.Code != 0 {
 		t.Errorf("Claim() with a certificate of another name = %+v, want code 0 because no connection is accepted", o)
 	}
 	if err := ca.Replace(t, proxyCert, "proxy.kigali.example", 99*time.Hour); err != nil {
@@ -271,7 +271,7 @@
 
 // A Diameter request in flight when the process drains gets its response, even after all HTTP requests have ended.
 func TestDrainWaitsForDiameterRequests(t *testing.T) {
-	s, client := diameterStage(t, twoServices, nil)
+	s, client := startDiameterProxy(t, twoServices, nil)
 	s.stall["slow-5"].Store(1600)
 	outcome := make(chan diameterpeer.Outcome, 1)
 	go func() { outcome <- client.Claim(t.Context(), 6) }()
--- a/internal/proxy/discoveryclient.go
+++ b/internal/proxy/discoveryclient.go
@@ -263,7 +263,7 @@
 	if err != nil {
 		timer.Stop()
 		d.onInvalidList()
-		// Without a pause, reading invalid lists one after another would use all of a processor.
+		// Without a pause, reading invalid lists one after another would use a whole CPU core.
 		_ = sleep(callerCtx, min(invalidListBackoffFactor*time.Since(startedAt), maxInvalidListBackoff))
 		return List{}, fmt.Errorf("discovery: bad list: %w", err)
 	}
--- a/internal/proxy/discoverytiming.go
+++ b/internal/proxy/discoverytiming.go
@@ -19,7 +19,7 @@
 	maxRemoteHold = 20 * time.Second
 	remoteSlack   = time.Second
 	remoteFetch   = 6 * time.Second
-	callsPerAge   = 2 // watches within MaxListAge, after which a list is too old
+	callsPerAge   = 2 // watches that fit into MaxListAge, after which a list is too old
 )
 
 // discoveryTiming holds the timeouts of calls to discovery. A watch that gets no answer while its connection stays open
--- a/internal/proxy/discoverywatch_test.go
+++ b/internal/proxy/discoverywatch_test.go
@@ -58,7 +58,7 @@
 						func(t *testing.T) {
 							t.Parallel()
 							phases := 1
-							switch { // several phases where it matters when within a call the fault ends
+							switch { // several phases if the time within a call at which the fault ends matters
 							case source == "comeback" && !polled:
 								return
 							case polled && source == "alone" && (fault == hung || fault == unreachable || fault == slow):
@@ -264,7 +264,7 @@
 		}
 		answer(listText(7, true))
 		<-second
-		answer(listText(8, false)) // it is in the socket before the call is made
+		answer(listText(8, false)) // written before the client makes its second call
 		close(written)
 		_, _ = io.Copy(io.Discard, in)
 	}()
@@ -356,7 +356,8 @@
 			p.expectAvoided(t, onA)
 			invalid := fault == truncated || fault == garbled || fault == endless
 			if counted := p.proxy.counters.InvalidLists.Load() > 0; counted != invalid {
-				t.Errorf("InvalidLists = %d, want it above 0: %v", p.proxy.counters.InvalidLists.Load(), invalid)
+				t.Errorf("InvalidLists = %d, want above 0 if the fault sends invalid lists (%v), else 0",
+					p.proxy.counters.InvalidLists.Load(), invalid)
 			}
 		})
 	}
--- a/internal/proxy/endpointlist_bench_test.go
+++ b/internal/proxy/endpointlist_bench_test.go
@@ -9,7 +9,7 @@
 	config "lapisspread/internal/services"
 )
 
-// fullListText returns a full list with the given number of endpoints, with a machine type of its own for each 38.
+// fullListText returns a full list with the given number of endpoints, of which every 38 share a machine type.
 func fullListText(servers int) string {
 	var all []string
 	for i := range servers {
--- a/internal/proxy/endpointlist_test.go
+++ b/internal/proxy/endpointlist_test.go
@@ -9,16 +9,16 @@
 
 func TestParseListRejects(t *testing.T) {
 	for name, text := range map[string]string{
-		"not JSON":      `<html>`,
-		"no generation": `{"reset":true,"instances":[]}`,
-		"no id":         listText(1, true, memberText("", "127.0.0.1:1", "active")),
-		"no address":    listText(1, true, memberText("a", "", "active")),
-		"bad lifecycle": listText(1, true, memberText("a", "127.0.0.1:1", "resting")),
-		"bad start": strings.Replace(listText(1, true, memberText("a", "127.0.0.1:1", "active")), `"startedAtMs":0`,
-			`"startedAtMs":1e300`, 1),
+		"not JSON":          `<html>`,
+		"no generation":     `{"reset":true,"instances":[]}`,
+		"no id":             listText(1, true, memberText("", "127.0.0.1:1", "active")),
+		"no address":        listText(1, true, memberText("a", "", "active")),
+		"unknown lifecycle": listText(1, true, memberText("a", "127.0.0.1:1", "resting")),
+		"start time out of range": strings.Replace(listText(1, true, memberText("a", "127.0.0.1:1", "active")),
+			`"startedAtMs":0`, `"startedAtMs":1e300`, 1),
 	} {
 		if list, err := parseList([]byte(text)); err == nil {
-			t.Errorf("parseList(%s) = %+v, want an error", name, list)
+			t.Errorf("case %q: parseList() = %+v, want an error", name, list)
 		}
 	}
 	list, err := parseList([]byte(listText(7, false, memberText("a", "", "left"))))
@@ -28,7 +28,7 @@
 }
 
 func TestBackendIDsComeFromNames(t *testing.T) {
-	// The values are fixed: other proxies, and this one after a restart, must compute the same.
+	// The values are fixed: other proxies, and this one after a restart, must compute the same values.
 	if id := backendID("s-5be2a07c"); id != 0x4caec46a {
 		t.Errorf("backendID(%q) = %#x, want %#x", "s-5be2a07c", id, 0x4caec46a)
 	}
--- a/internal/proxy/endpointsource.go
+++ b/internal/proxy/endpointsource.go
@@ -70,7 +70,7 @@
 	})
 }
 
-// subscribe returns a service's source for the endpoint list at an address, and the list as far as it is known.
+// subscribe returns a service's source for the endpoint list at an address, and the newest list that is known.
 // Several services at one address share one watch.
 func (s *serviceSet) subscribe(addr string, spec *config.Service) (engine.Source, List) {
 	known := s.initialList(addr)
--- a/internal/proxy/httpframe/scanner.go
+++ b/internal/proxy/httpframe/scanner.go
@@ -22,10 +22,10 @@
 type Scanner struct {
 	state     scanState
 	line      []byte    // the current line of a head, chunk size or trailer, up to maxLineBytes
-	head      Framing   // of the request being read
+	head      Framing   // framing of the request being read
 	started   bool      // the request line has been read
 	remaining int64     // bytes left of the body or of the current chunk
-	heads     []Framing // of the heads scanned and not yet returned by NextFraming, in order
+	heads     []Framing // framings of the heads scanned and not yet returned by NextFraming, in order
 }
 
 // scanState is the part of a request that the next byte belongs to.
--- a/internal/proxy/rawsocket/rawsocket_test.go
+++ b/internal/proxy/rawsocket/rawsocket_test.go
@@ -30,7 +30,7 @@
 	return near, far
 }
 
-// eventually waits up to 10 s for a condition that the kernel makes true a moment later.
+// eventually waits up to 10 s until condition is true, since the kernel updates the socket asynchronously.
 func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -13,7 +13,8 @@
 )
 
 // A connection breaks after the request's last byte was sent, before or during the response. An idempotent request is
-// sent again, one with a deduplication window only within that window, and any other fails. Each run is counted.
+// sent again, one with a deduplication window only within that window, and any other fails. The test counts the
+// attempts that reach a backend.
 func TestFailedAttemptIsRetriedWhereAllowed(t *testing.T) {
 	const window = 300 * time.Millisecond
 	reset := func(nc net.Conn) { _ = nc.(*net.TCPConn).SetLinger(0) }
--- a/internal/proxy/senddeadline_test.go
+++ b/internal/proxy/senddeadline_test.go
@@ -13,7 +13,7 @@
 	"lapisspread/internal/engine"
 )
 
-// A connection is established after its attempt is no longer allowed: not a byte is sent, and the result is NotSent.
+// A connection is established after its attempt is no longer allowed: no byte is sent, and the result is NotSent.
 // The check is made after the dial.
 func TestNothingIsSentOnLateConnection(t *testing.T) {
 	received := make(chan int64, 1)
@@ -22,22 +22,22 @@
 		received <- n
 	})
 	p, _ := testPool(t, addr)
-	late := false // set once the dial has returned
+	dialed := false // set once the dial has returned
 	dial := p.dialer
 	p.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		late = true
+		dialed = true
 		return c, err
 	}
 	for name, m := range map[string]*message{
 		"short body": testMessage("POST", []byte("body")),
 		"no body":    testMessage("GET", nil),
 	} {
-		late = false
+		dialed = false
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second) // bounds the test if the request is sent after all
 		a := engine.Attempt{Message: m, Timeout: time.Second, MaySend: func() (time.Time, bool) {
 			return time.Time{},
-				!late
+				!dialed
 		}}
 		if result, _ := p.Find(backendID("a")).Exchange(ctx, a); result != decision.NotSent {
 			t.Errorf("%s: Exchange() = %s, want NotSent", name, resultName(result))
--- a/internal/proxy/servicefaults_test.go
+++ b/internal/proxy/servicefaults_test.go
@@ -125,7 +125,7 @@
 	}
 	if status, body := s.request(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 ||
 		body != "slow-5" {
-		t.Errorf("request for the service that replaces it: status %d, body %q; want 200, \"slow-5\"", status, body)
+		t.Errorf("request for the service that replaced it: status %d, body %q; want 200, \"slow-5\"", status, body)
 	}
 	close(s.release)
 	body, err := io.ReadAll(resp.Body)
@@ -164,7 +164,7 @@
 		t.Fatal("the reload was rejected, want it accepted")
 	}
 	if got := conns(); got != all/2 {
-		t.Errorf("limit of %d connections while two processes share %d, want half", got, all)
+		t.Errorf("proxy: limit of %d connections while two processes share %d, want half", got, all)
 	}
 	for _, svc := range s.proxy.services.current.Load().byName {
 		if got := svc.pool.maxOpen; got != int(all/2) {
@@ -173,7 +173,7 @@
 	}
 	s.proxy.services.setHalfCapacity(false)
 	if got := conns(); got != all {
-		t.Errorf("limit of %d connections after the hot restart, want %d", got, all)
+		t.Errorf("proxy: limit of %d connections after the hot restart, want %d", got, all)
 	}
 }
 
--- a/internal/proxy/snapshotstore.go
+++ b/internal/proxy/snapshotstore.go
@@ -22,15 +22,16 @@
 
 // Values of snapshotReport.Recalled. A file that could not be read is reported by its error's text.
 const (
-	recalledYes     = "yes"
-	recalledNone    = "none"
+	recalledYes  = "yes"
+	recalledNone = "none"
+	// The stored state is older than maxAge, or its time is in the future.
 	recalledExpired = "it is too old, or of a time that has not come"
 )
 
 // persistedState is the state of a process that is stored for the next one.
 type persistedState struct {
 	Lists    map[string]guardedsource.CachedList `json:"lists"`    // by the address of discovery
-	Services map[string]decision.Snapshot        `json:"services"` // by name; the only service has an empty one
+	Services map[string]decision.Snapshot        `json:"services"` // by name; empty for a proxy's only service
 }
 
 // snapshotStore writes this process's state to a file, and holds the state that the previous process has written. All
@@ -38,7 +39,7 @@
 type snapshotStore struct {
 	file     *durable.File
 	interval time.Duration // between writes
-	maxAge   time.Duration // of state that is used
+	maxAge   time.Duration // older state is not used
 	now      func() time.Duration
 
 	mu       sync.Mutex
@@ -142,8 +143,8 @@
 	return &snapshot
 }
 
-// run writes the state of the process once an interval until ctx ends. It does not write once a later process has taken
-// over. The first write is at a random time, since many proxies may share a disk.
+// run writes the state of the process once per interval until ctx ends. It does not write once a later process has
+// taken over. The first write is at a random time, since many proxies may share a disk.
 func (m *snapshotStore) run(ctx context.Context, p *Proxy) {
 	timer := time.NewTimer(m.interval/2 + rand.N(m.interval))
 	defer timer.Stop()
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -175,8 +175,8 @@
 				}
 				close(finish)
 				if _, err := io.ReadAll(resp.Body); (err == nil) != complete {
-					t.Errorf("reading the rest of the body: error %v, want none only if the response is complete (%v)", err,
-						complete)
+					t.Errorf("reading the rest of the body: error %v; want none if the response is complete (%v), else one",
+						err, complete)
 				}
 			})
 		}
@@ -296,7 +296,7 @@
 		"rejected":           {"HTTP/1.1 503 Full\nX-Not-Processed: 1\nContent-Length: 0\n\n", decision.Rejected},
 		"error":              {"HTTP/1.1 500 Oh\nContent-Length: 2\n\nno", decision.Error},
 		"chunked error":      {"HTTP/1.1 413 Long\nTransfer-Encoding: chunked\n\n2\nno\n0\n\n", decision.Error},
-		"OK":                 {served, decision.ConnectFailed}, // impossible before the body's end
+		"OK":                 {served, decision.ConnectFailed}, // no success is accepted before the request's end
 		"garbage":            {"\x00\x01\n\n", decision.ConnectFailed},
 		"half a status line": {"HTTP/1.1 5", decision.ConnectFailed},
 		"close":              {"", decision.ConnectFailed},
@@ -401,8 +401,9 @@
 				n, took, err := read(c.pieceBytes, c.interval, c.clientPause)
 				if took > c.maxDuration || (n > maxBodyBytes) != c.limitReached ||
 					c.limitReached != errors.Is(err, errInvalidResponse) || c.limitReached == isTimeout(err) {
-					t.Errorf("read %d bytes in %v, then error %v; want an end within %v, by the limit of %d bytes: %v, else by "+
-						"a timeout", n, took, err, c.maxDuration, int64(maxBodyBytes), c.limitReached)
+					t.Errorf("reading ended after %d bytes and %v with error %v; want an end within %v, by the "+
+						"limit of %d bytes (%v) or else by a timeout", n, took, err, c.maxDuration, int64(maxBodyBytes),
+						c.limitReached)
 				}
 			})
 		})
