--- a/internal/proxy/attemptraces_test.go
+++ b/internal/proxy/attemptraces_test.go
@@ -66,7 +66,7 @@
 						other)
 				}
 				if p.open != 1 {
-					t.Errorf("pool counts %d open connections, want 1", p.open)
+					t.Errorf("pool counts %d open connections after exchange(), want 1", p.open)
 				}
 			})
 		}
@@ -119,7 +119,7 @@
 						path)
 				}
 				if p.open != 0 {
-					t.Errorf("pool counts %d open connections, want 0", p.open)
+					t.Errorf("pool counts %d open connections after exchange(), want 0", p.open)
 				}
 			}
 		})
@@ -155,7 +155,7 @@
 		t.Errorf("backend got %d bytes on the connection established after the client left, want 0", n)
 	}
 	if p.open != 0 {
-		t.Errorf("pool counts %d open connections, want 0", p.open)
+		t.Errorf("pool counts %d open connections after exchange(), want 0", p.open)
 	}
 }
 
@@ -292,7 +292,7 @@
 		t.Errorf("exchange() after the health check = %v, body %q; want OK, body \"fine\"", resultName(result), body)
 	}
 	if p.open != 1 {
-		t.Errorf("pool counts %d open connections, want 1", p.open)
+		t.Errorf("pool counts %d open connections after exchange(), want 1", p.open)
 	}
 }
 
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -44,8 +44,8 @@
 const drainLimit = 1000 * time.Millisecond
 
 // lateness is the longest delay seen so far between a timer's time and the wake-up of its goroutine. On a busy machine
-// a missed deadline need not be the proxy's fault.
-type lateness struct{ worst atomic.Int64 }
+// the proxy may miss a deadline without a defect.
+type lateness struct{ worst atomic.Int64 } // in nanoseconds
 
 func watchLateness(t *testing.T) *lateness {
 	l, stop := &lateness{}, make(chan struct{})
@@ -65,7 +65,7 @@
 	return l
 }
 
-// extend returns bound plus the delay that the machine may add to some twenty consecutive wake-ups.
+// extend returns bound plus the delay that the machine may add to 20 consecutive wake-ups.
 func (l *lateness) extend(bound time.Duration) time.Duration {
 	return bound + 20*time.Duration(l.worst.Load())
 }
@@ -110,7 +110,7 @@
 		}
 		action := b.rng.IntN(16)
 		if b.valid {
-			action = 9
+			action = 9 // an immediate valid response
 		}
 		if req.Method == "POST" && action != 0 {
 			b.ran[req.Header.Get("X-Request-ID")]++
--- a/internal/proxy/conformance_test.go
+++ b/internal/proxy/conformance_test.go
@@ -103,7 +103,7 @@
 	}.Test(t)
 }
 
-// behave serves a connection as a backend of the given behaviour. It sends response for each request that it answers.
+// behave serves a connection as a backend with the given behaviour. It answers requests with the text in response.
 func behave(c net.Conn, in *bufio.Reader, b enginetest.Behaviour, response string) {
 	for {
 		req, err := http.ReadRequest(in)
--- a/internal/proxy/controlplane_test.go
+++ b/internal/proxy/controlplane_test.go
@@ -116,7 +116,7 @@
 	if report := r.(client.Status); len(got) > 0 || report.Quotas["attempts"].Granted > 0 || len(report.Faults) == 0 ||
 		report.Faults[0].Advice == "" {
 		t.Errorf("without a control plane: %d attempts sent, QuotaLeases() = %+v; want no attempt, no granted units and a "+
-			"fault with an advice", len(got), report)
+			"fault with advice", len(got), report)
 	}
 }
 
--- a/internal/proxy/discoveryclient.go
+++ b/internal/proxy/discoveryclient.go
@@ -147,10 +147,10 @@
 		if err != nil {
 			return err
 		}
-		unchanged := restarted || list.Version == from || !list.Full && len(list.Endpoints) == 0
+		needsPause := restarted || list.Version == from || !list.Full && len(list.Endpoints) == 0
 		from = list.Version
 		notify(list)
-		if probing || !unchanged || time.Since(startedAt) >= hold/2 {
+		if probing || !needsPause || time.Since(startedAt) >= hold/2 {
 			pause = 0
 			continue
 		}
--- a/internal/proxy/faultydiscovery_test.go
+++ b/internal/proxy/faultydiscovery_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// discoveryFault is how calls for the endpoint list fail.
+// discoveryFault is the way in which calls for the endpoint list fail.
 type discoveryFault string
 
 const (
--- a/internal/proxy/freshness_test.go
+++ b/internal/proxy/freshness_test.go
@@ -12,7 +12,7 @@
 	"lapisspread/internal/controlplane/freshness"
 )
 
-// freshnessFile is a fleet's file with freshness monitoring, without quotas.
+// freshnessFile writes a fleet's file that configures freshness monitoring and no quotas, and returns its path.
 func freshnessFile(t *testing.T, act bool) string {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	text := fmt.Sprintf("version = 1\nfleet = \"north\"\nlongest = \"1s\"\n[[stewards]]\nname = \"s1\"\nnumber = "+
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -327,7 +327,7 @@
 					resultName(result), resultName(c.want))
 			}
 			if p.open != 0 {
-				t.Errorf("pool counts %d open connections, want 0", p.open)
+				t.Errorf("pool counts %d open connections after exchange(), want 0", p.open)
 			}
 		})
 	}
@@ -352,7 +352,7 @@
 				t.Errorf("exchange() whose client stalls or leaves = %s, want Cancelled", resultName(result))
 			}
 			if p.open != 0 {
-				t.Errorf("pool counts %d open connections, want 0", p.open)
+				t.Errorf("pool counts %d open connections after exchange(), want 0", p.open)
 			}
 		})
 	}
