--- a/internal/proxy/adminbackend.go
+++ b/internal/proxy/adminbackend.go
@@ -49,8 +49,8 @@
 // StopDraining ends the drain that StartDraining began.
 func (o adminBackend) StopDraining() { o.conns.setOperatorDrain(false) }
 
-// Detach takes a backend out of use until Attach, for this process and the later ones. It returns an error if no
-// backend of that ID was ever listed.
+// Detach takes a backend out of use until Attach is called, also in later processes. It returns an error if no backend
+// with that ID was ever listed.
 func (o adminBackend) Detach(id string) error { return o.setDetached(id, true) }
 
 // Attach puts a detached backend into use again. Its errors are those of Detach.
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -238,7 +238,8 @@
 	}
 	bodyNotRead := stream != nil && resp.StatusCode != http.StatusOK
 	result := responseResult(resp)
-	// A body that was not read to its end may be invalid, and an invalid response is no proof that nothing ran.
+	// A body that was not read completely may be invalid, and an invalid response doesn't prove that the request did
+	// not run.
 	if bodyNotRead && result == decision.Rejected {
 		result = decision.Error
 	}
--- a/internal/proxy/backendpool_test.go
+++ b/internal/proxy/backendpool_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// A backend closes idle connections early. After an idle connection broke on reuse, connections idle for as long are
-// not reused, and the limit recovers after some time.
+// A backend closes idle connections early. After an idle connection broke on reuse, connections that were idle
+// equally long are not reused, and the limit recovers after some time.
 func TestReuseLimitFollowsBrokenConnections(t *testing.T) {
 	var conns atomic.Int32
 	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
--- a/internal/proxy/backendresponse.go
+++ b/internal/proxy/backendresponse.go
@@ -14,7 +14,7 @@
 const (
 	maxInterimResponses = 8                     // 1xx responses before the final one
 	readStallTimeout    = 10 * time.Second      // longest wait for the next byte of a long response
-	responseHoldback    = 25 * time.Millisecond // wait for the end of a response of unknown length before it is streamed
+	responseHoldback    = 25 * time.Millisecond // wait for the end of a body of unknown length before it is streamed
 )
 
 // errInvalidResponse is the error of a response that is malformed or exceeds a limit.
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -17,8 +17,8 @@
 	"lapisspread/internal/proxy/rawsocket"
 )
 
-// churningBackend is a backend that drains, is removed, is listed again, restarts at another address and responds
-// validly or not while it gets requests.
+// churningBackend is a backend that drains, is removed, is listed again, restarts at another address and sends valid
+// and invalid responses while it gets requests.
 type churningBackend struct {
 	*churn
 	name, state string
--- a/internal/proxy/discoveryclient_test.go
+++ b/internal/proxy/discoveryclient_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// A watch without an answer is restarted. Before it a call without a hold checks whether discovery answers.
+// A watch without an answer is restarted. Before the restart, a call without a hold checks whether discovery answers.
 func TestSilentWatchIsRestarted(t *testing.T) {
 	got := make(chan *http.Request, 8)
 	list := listText(43, true, memberText("a", countingBackend(t, got), "active"))
--- a/internal/proxy/discoverywatch_test.go
+++ b/internal/proxy/discoverywatch_test.go
@@ -179,7 +179,7 @@
 	})
 }
 
-// If discovery answers each watch at once without news, the proxy pauses between calls.
+// If discovery answers each watch at once without a change, the proxy pauses between calls.
 func TestAnswersWithoutNewsArePaced(t *testing.T) {
 	for name, answer := range map[string]string{"no changes": listText(7, false), "the same list": listText(7, true),
 		"past changes": listText(3, false, memberText("a", "127.0.0.1:1", "active"))} {
--- a/internal/proxy/hotrestart_test.go
+++ b/internal/proxy/hotrestart_test.go
@@ -35,7 +35,7 @@
 }
 
 // During a hot restart with a request in flight, and clients that keep connecting to the shared socket, the old process
-// answers the request and each new client is served by one of the two.
+// answers the request and each new client is served by one of the two processes.
 func TestHotRestartWithRequestInOldProcess(t *testing.T) {
 	shared, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,13 +96,13 @@
 	}
 	close(release)
 	if err := within(t, responded, "the request in the old process got no response"); err != nil {
-		t.Errorf("the request in the old process: %v", err)
+		t.Errorf("the request in flight in the old process failed: %v", err)
 	}
 	previous.awaitExit(t)
 	requestAll(20)
 }
 
-// A process becomes ready without discovery, also without an endpoint list or a known backend.
+// A process becomes ready although discovery does not answer, even without an endpoint list or a known backend.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	silent := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	closing := rawBackend(t, func(int, net.Conn, *bufio.Reader) {})
--- a/internal/proxy/servicefaults_test.go
+++ b/internal/proxy/servicefaults_test.go
@@ -18,7 +18,7 @@
 }
 
 // A service added by a reload checks the health of its backends before requests are routed to it. A service whose
-// discovery or backends are down is started all the same, after readinessWait.
+// discovery or backends are down is started too, but only after readinessWait.
 func TestNewServiceChecksHealthFirst(t *testing.T) {
 	s := newProxyFixture(t, strings.Split(twoServices, "[[service]]\nname = \"settlement\"")[0]+`[[route]]
 name = "all"
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -358,8 +358,8 @@
 	}
 }
 
-// An endless response is limited in its bytes, in the time without any, and in the total time of waiting for the
-// backend. The time that a client takes to read it does not count.
+// An endless response is limited in its bytes, in the time without a byte, and in the total time of waiting for
+// the backend. The time that a client takes to read it does not count.
 func TestEndlessResponseIsBounded(t *testing.T) {
 	read := func(pieceBytes int, interval, clientPause time.Duration) (n int64, took time.Duration, err error) {
 		near, far := net.Pipe()
