--- a/internal/proxy/backendpool_test.go
+++ b/internal/proxy/backendpool_test.go
@@ -29,7 +29,7 @@
 	send()
 	send()
 	if n := conns.Load(); n != 1 {
-		t.Fatalf("%d connections for two consecutive requests, want 1", n)
+		t.Fatalf("backend got %d connections for two consecutive requests, want 1", n)
 	}
 	p.closeExpired(time.Now().Add(p.idleTimeout)) // the connection has now been idle for too long
 	if p.open != 0 {
@@ -37,7 +37,7 @@
 	}
 	send()
 	if n := conns.Load(); n != 2 {
-		t.Errorf("%d connections made after closeExpired(), want 2", n)
+		t.Errorf("backend got %d connections, want 2: one before closeExpired() and one after", n)
 	}
 	p.Release(backendID("a"))
 	if p.open != 0 {
@@ -54,7 +54,7 @@
 	}))
 	for i := range 3 {
 		if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.OK {
-			t.Fatalf("exchange() %d = %s, want OK", i, resultName(result))
+			t.Fatalf("exchange() number %d (from 0) = %s, want OK", i, resultName(result))
 		}
 		for start := time.Now(); ; time.Sleep(time.Millisecond) { // until the close is visible on the socket
 			p.mu.Lock()
@@ -70,8 +70,8 @@
 	}
 }
 
-// A backend closes idle connections early. After an idle connection broke on reuse, connections idle for as long are
-// not reused, and the limit recovers after some time.
+// A backend closes idle connections early. After an idle connection broke on reuse, connections that were idle
+// equally long are not reused, and the limit recovers after some time.
 func TestReuseLimitFollowsBrokenConnections(t *testing.T) {
 	var conns atomic.Int32
 	p, b := testPool(t, rawBackend(t, func(n int, c net.Conn, in *bufio.Reader) {
@@ -135,7 +135,7 @@
 	close(respond)
 	for range 2 {
 		if result := within(t, results, "exchange() did not return"); result != decision.OK {
-			t.Errorf("exchange() = %s, want OK", resultName(result))
+			t.Errorf("exchange() on one of the two allowed connections = %s, want OK", resultName(result))
 		}
 	}
 	// Both connections are idle now. One of them is closed to make room for a connection to another backend.
@@ -207,7 +207,8 @@
 			for i := range 2 {
 				result, body := p.exchange(t.Context(), b, testMessage("POST", []byte("x")))
 				if result != decision.OK || string(body) != "fine" {
-					t.Fatalf("exchange() %d = %s, body %q; want OK, body \"fine\"", i, resultName(result), body)
+					t.Fatalf("exchange() number %d (from 0) = %s, body %q; want OK, body \"fine\"", i,
+						resultName(result), body)
 				}
 				if !late || i > 0 {
 					continue
@@ -224,7 +225,7 @@
 				}
 			}
 			if n := conns.Load(); n != 2 {
-				t.Errorf("%d connections made, want 2", n)
+				t.Errorf("pool made %d connections, want 2", n)
 			}
 		})
 	}
@@ -261,7 +262,7 @@
 		t.Errorf("exchange() with the new backend = %s, want OK", resultName(result))
 	}
 	if n := conns.Load(); n != 2 {
-		t.Errorf("%d connections made, want 2", n)
+		t.Errorf("pool made %d connections, want 2", n)
 	}
 }
 
@@ -287,7 +288,8 @@
 				return dial(ctx, network, addr)
 			}
 			if result, _ := p.exchange(t.Context(), b, testMessage("GET", nil)); result != decision.ConnectFailed {
-				t.Errorf("exchange() = %s, want ConnectFailed", resultName(result))
+				t.Errorf("exchange() with a backend changed during the dial = %s, want ConnectFailed",
+					resultName(result))
 			}
 			if n := requests.Load(); n != 0 {
 				t.Errorf("the backend got %d requests after the change of the list, want 0", n)
@@ -404,12 +406,13 @@
 				reuse = true
 			}
 			if n := conns.Load(); n != 1 || p.open != 1 {
-				t.Errorf("%d connections made, %d open, want 1 and 1", n, p.open)
+				t.Errorf("pool made %d connections, %d are open; want 1 and 1", n, p.open)
 			}
 			c := b.idle[0]
-			act(p) // now the connection is idle
+			act(p) // this time the connection is idle
 			if left := len(b.idle); p.open != left || left == 0 && rawsocket.Silent(c.Conn) {
-				t.Errorf("%d idle, %d open, want equal numbers, and the socket closed if none is idle", left, p.open)
+				t.Errorf("pool counts %d idle and %d open connections, want equal numbers, and the "+
+					"socket closed if none is idle", left, p.open)
 			}
 		})
 	}
--- a/internal/proxy/churn_test.go
+++ b/internal/proxy/churn_test.go
@@ -17,8 +17,8 @@
 	"lapisspread/internal/proxy/rawsocket"
 )
 
-// churningBackend is a backend that drains, is removed, is listed again, restarts at another address and responds
-// validly or not while it gets requests.
+// churningBackend is a backend that drains, is removed, is listed again, restarts at another address and sends valid
+// and invalid responses while it gets requests.
 type churningBackend struct {
 	*churn
 	name, state string
@@ -39,13 +39,13 @@
 	reached int // requests that reached a backend
 }
 
-// drainLimit is when a drained backend must get no more requests. It is longer than the required 500 ms; the lateness
-// of this machine is added to it.
+// drainLimit is the time after which a draining backend must get no more requests. It is longer than the
+// required 500 ms; the lateness of this machine is added to it.
 const drainLimit = 1000 * time.Millisecond
 
 // lateness is the longest delay seen so far between a timer's time and the wake-up of its goroutine. On a busy machine
-// a missed deadline need not be the proxy's fault.
-type lateness struct{ worst atomic.Int64 }
+// the proxy may miss a deadline without a defect.
+type lateness struct{ worst atomic.Int64 } // in nanoseconds
 
 func watchLateness(t *testing.T) *lateness {
 	l, stop := &lateness{}, make(chan struct{})
@@ -65,7 +65,7 @@
 	return l
 }
 
-// extend returns bound plus the delay that the machine may add to some twenty consecutive wake-ups.
+// extend returns bound plus the delay that the machine may add to 20 consecutive wake-ups.
 func (l *lateness) extend(bound time.Duration) time.Duration {
 	return bound + 20*time.Duration(l.worst.Load())
 }
@@ -110,7 +110,7 @@
 		}
 		action := b.rng.IntN(16)
 		if b.valid {
-			action = 9
+			action = 9 // an immediate valid response
 		}
 		if req.Method == "POST" && action != 0 {
 			b.ran[req.Header.Get("X-Request-ID")]++
@@ -292,8 +292,8 @@
 	}
 }
 
-// A process that was not scheduled finds both an expired idle timeout and the bytes of a request: the request is
-// served. Without a request the timeout applies, and within a request it always applies.
+// If the process was not scheduled for a while, the idle timeout may have expired although bytes of a request have
+// arrived: the request is served. Without a request the timeout applies, and within a request it always applies.
 func TestRequestInTimeWinsOverIdleTimeout(t *testing.T) {
 	for name, c := range map[string]struct{ sent, idle, unused, wantRead bool }{
 		"between requests":             {true, true, false, true},
@@ -314,7 +314,7 @@
 			}
 			_ = conn.SetReadDeadline(time.Now().Add(-time.Second))
 			if n, err := conn.Read(make([]byte, 64)); (n > 0) != c.wantRead || !c.wantRead && !isTimeout(err) {
-				t.Errorf("Read() after the deadline = %d bytes, error %v; want bytes: %v, otherwise a timeout", n, err,
+				t.Errorf("Read() after the deadline = %d bytes, error %v; want some bytes: %v, else a timeout", n, err,
 					c.wantRead)
 			}
 		})
--- a/internal/proxy/discoverywatch_test.go
+++ b/internal/proxy/discoverywatch_test.go
@@ -58,7 +58,7 @@
 						func(t *testing.T) {
 							t.Parallel()
 							phases := 1
-							switch { // several phases where it matters when within a call the fault ends
+							switch { // several phases if the time within a call at which the fault ends matters
 							case source == "comeback" && !polled:
 								return
 							case polled && source == "alone" && (fault == hung || fault == unreachable || fault == slow):
@@ -179,7 +179,7 @@
 	})
 }
 
-// If discovery answers each watch at once without news, the proxy pauses between calls.
+// If discovery answers each watch at once without a change, the proxy pauses between calls.
 func TestAnswersWithoutNewsArePaced(t *testing.T) {
 	for name, answer := range map[string]string{"no changes": listText(7, false), "the same list": listText(7, true),
 		"past changes": listText(3, false, memberText("a", "127.0.0.1:1", "active"))} {
@@ -220,7 +220,7 @@
 				d.Close()
 				synctest.Wait()
 				if calls < 50 || calls > 200 {
-					t.Errorf("%d calls in 10 s, want 50 to 200", calls)
+					t.Errorf("Watch() made %d calls in 10 s, want 50 to 200", calls)
 				}
 			})
 		})
@@ -231,7 +231,7 @@
 type stoppedReader struct {
 	*net.TCPConn
 	stopped chan struct{} // gets a value when a read stops
-	resume  chan struct{} // lets one read go on; closed, it lets all go on
+	resume  chan struct{} // each value resumes one read; closing it resumes all reads
 }
 
 func (c *stoppedReader) Read(p []byte) (int, error) {
@@ -264,7 +264,7 @@
 		}
 		answer(listText(7, true))
 		<-second
-		answer(listText(8, false)) // it is in the socket before the call is made
+		answer(listText(8, false)) // written before the client makes its second call
 		close(written)
 		_, _ = io.Copy(io.Discard, in)
 	}()
@@ -356,7 +356,8 @@
 			p.expectAvoided(t, onA)
 			invalid := fault == truncated || fault == garbled || fault == endless
 			if counted := p.proxy.counters.InvalidLists.Load() > 0; counted != invalid {
-				t.Errorf("InvalidLists = %d, want it above 0: %v", p.proxy.counters.InvalidLists.Load(), invalid)
+				t.Errorf("InvalidLists = %d, want above 0 if the fault sends invalid lists (%v), else 0",
+					p.proxy.counters.InvalidLists.Load(), invalid)
 			}
 		})
 	}
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -13,7 +13,8 @@
 )
 
 // A connection breaks after the request's last byte was sent, before or during the response. An idempotent request is
-// sent again, one with a deduplication window only within that window, and any other fails. Each run is counted.
+// sent again, one with a deduplication window only within that window, and any other fails. The test counts the
+// attempts that reach a backend.
 func TestFailedAttemptIsRetriedWhereAllowed(t *testing.T) {
 	const window = 300 * time.Millisecond
 	reset := func(nc net.Conn) { _ = nc.(*net.TCPConn).SetLinger(0) }
@@ -22,7 +23,7 @@
 		"closed":                 func(net.Conn) {},
 		"reset during the head":  func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Le"); reset(nc) },
 		"closed during the body": func(nc net.Conn) { writeText(nc, "HTTP/1.1 200 OK\nContent-Length: 9\n\nfine") },
-		"reset after the window": func(nc net.Conn) { time.Sleep(2 * window); reset(nc) }, // certainly after the window's end
+		"reset after the window": func(nc net.Conn) { time.Sleep(2 * window); reset(nc) }, // the window has ended
 		"invalid response": func(nc net.Conn) {
 			writeText(nc,
 				"HTTP/1.0 200 OK\nTransfer-Encoding: chunked\n\n4\nfine\n0\n\n")
--- a/internal/proxy/servicefaults_test.go
+++ b/internal/proxy/servicefaults_test.go
@@ -18,7 +18,7 @@
 }
 
 // A service added by a reload checks the health of its backends before requests are routed to it. A service whose
-// discovery or backends are down is started all the same, after readinessWait.
+// discovery or backends are down is started too, but only after readinessWait.
 func TestNewServiceChecksHealthFirst(t *testing.T) {
 	s := newProxyFixture(t, strings.Split(twoServices, "[[service]]\nname = \"settlement\"")[0]+`[[route]]
 name = "all"
@@ -125,7 +125,7 @@
 	}
 	if status, body := s.request(http.DefaultClient, "pay.example.org", "/api", "hand-in", 5000); status != 200 ||
 		body != "slow-5" {
-		t.Errorf("request for the service that replaces it: status %d, body %q; want 200, \"slow-5\"", status, body)
+		t.Errorf("request for the service that replaced it: status %d, body %q; want 200, \"slow-5\"", status, body)
 	}
 	close(s.release)
 	body, err := io.ReadAll(resp.Body)
@@ -164,7 +164,7 @@
 		t.Fatal("the reload was rejected, want it accepted")
 	}
 	if got := conns(); got != all/2 {
-		t.Errorf("limit of %d connections while two processes share %d, want half", got, all)
+		t.Errorf("proxy: limit of %d connections while two processes share %d, want half", got, all)
 	}
 	for _, svc := range s.proxy.services.current.Load().byName {
 		if got := svc.pool.maxOpen; got != int(all/2) {
@@ -173,7 +173,7 @@
 	}
 	s.proxy.services.setHalfCapacity(false)
 	if got := conns(); got != all {
-		t.Errorf("limit of %d connections after the hot restart, want %d", got, all)
+		t.Errorf("proxy: limit of %d connections after the hot restart, want %d", got, all)
 	}
 }
 
@@ -227,7 +227,7 @@
 	time.Sleep(300 * time.Millisecond)
 	for range 20 { // 20 a second, well within its share of 40
 		if status, body := s.request(client, "x.org", "/api", "hand-in", 5000); status != 200 {
-			t.Errorf("request for dispatch: status %d, body %q; want 200", status, body)
+			t.Errorf("request for service dispatch: status %d, body %q; want 200", status, body)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -235,6 +235,7 @@
 	clients.Wait()
 	limit := 50*time.Since(startedAt).Seconds() + 20 // the service's cap is half of the quota, plus a burst
 	if n := float64(served.Load()); n > limit || n < 10 || rejected.Load() == 0 {
-		t.Errorf("settlement: %v served, %d rejected; want 10 to %v served and some rejected", n, rejected.Load(), limit)
+		t.Errorf("requests for service settlement: %v served, %d rejected; want 10 to %v served and some rejected", n,
+			rejected.Load(), limit)
 	}
 }
