--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -109,7 +109,7 @@
 	}
 	checkAdminDuringFlood(t, s.proxy)
 	if status := <-inFlightStatus; status != 200 {
-		t.Errorf("the request in flight during the flood = status %d, want 200", status)
+		t.Errorf("the request that was in flight during the flood = status %d, want 200", status)
 	}
 	close(stop)
 	flooders.Wait()
--- a/internal/proxy/clientclose_test.go
+++ b/internal/proxy/clientclose_test.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// A client's close is detected whatever unread bytes follow its request, and the request's attempt is cancelled.
+// A client closes its connection while its request is in flight: the proxy detects it, also if unread bytes follow the
+// request, and cancels the attempt at the backend.
 func TestClientCloseIsNoticed(t *testing.T) {
 	for name, departure := range clientDepartures {
 		t.Run(name, func(t *testing.T) {
@@ -275,6 +276,6 @@
 		text = append(text, in[:n]...)
 	}
 	if string(text) != next {
-		t.Error("the bytes read of the second request differ from those sent")
+		t.Error("the bytes read of the second request differ from those sent by the client")
 	}
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	idleCloseDelay    = 5 * time.Millisecond // silence after which an idle connection may be closed
-	newConnCloseDelay = time.Second          // the same for a connection on which nothing has ever arrived
+	idleCloseDelay    = 5 * time.Millisecond // time without bytes after which a drain may close an idle connection
+	newConnCloseDelay = time.Second          // the same for a connection on which no byte has ever arrived
 
-	// limit on the bytes buffered after the end of the request in flight; more end the connection
+	// limit on the bytes buffered after the request in flight; if more arrive, the connection is closed after it
 	maxReadAheadBytes   = maxHeaderBytes
 	readAheadChunkBytes = 1 << 10
 )
@@ -47,8 +47,8 @@
 	lingering        bool   // closed, but the socket stays open for the last response; no further request is served
 }
 
-// Read returns bytes up to the end of a request. While a request is in flight it blocks until the client closes the
-// connection or net/http interrupts it with a deadline, and returns no bytes.
+// Read returns bytes up to the end of the current request. While a request is in flight it blocks until the client
+// closes the connection or net/http interrupts it with a deadline, and returns no bytes.
 func (c *clientConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.requestInFlight {
@@ -214,8 +214,8 @@
 	return c.scanner.NextFraming()
 }
 
-// Evict closes the connection to make room for another, and reports whether it did. A connection stays if a whole head
-// has been read from it or something has arrived that is not read yet.
+// Evict closes the connection to make room for another, and reports whether it did. It stays open if a whole request
+// head has been read from it or unread bytes have arrived, unless it is lingering.
 func (c *clientConn) Evict() bool {
 	c.mu.Lock()
 	hasRequest := c.handling || c.scanner.HeadComplete()
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -10,7 +10,7 @@
 // gatedConn is a connection whose reads stop after they took bytes from the socket, until the test lets them return.
 type gatedConn struct {
 	*net.TCPConn
-	bytesTaken chan struct{} // receives when a read has ended and waits
+	bytesTaken chan struct{} // receives when a read has taken its bytes and waits for resume
 	resume     chan struct{} // closed to let reads return
 }
 
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -14,14 +14,14 @@
 
 const (
 	maxEvictAttempts       = 4    // bounds the search for an idle connection; each attempt scans all connections
-	maxRejectionsPerSecond = 1000 // further rejected connections get no response: a flood needs none
+	maxRejectionsPerSecond = 1000 // further rejected connections are closed without a response, to save work in a flood
 )
 
 // clientConns is the registry of all client connections. It limits their number.
 type clientConns struct {
 	mu            sync.Mutex
 	open          map[*clientConn]bool
-	maxOpen       int
+	maxOpen       int           // limit on the number of open connections
 	shared        bool          // another process of this proxy has client connections too
 	lingerTimeout time.Duration // how long a closed connection with unread bytes stays open for its last response
 
@@ -31,9 +31,9 @@
 	operatorDrainSince time.Time     // when an operator started a drain; zero without one
 
 	admission         *listener.ConnLimiter // if nil, a full registry evicts the connection idle for longest
-	rejectionsSent    int                   // in the second that began at rejectionWindow
+	rejectedInWindow  int                   // number of rejected connections in the second from rejectionWindow on
 	rejectionWindow   time.Time
-	rejectionResponse []byte
+	rejectionResponse []byte // complete HTTP response for rejected connections
 }
 
 // newClientConns returns an empty registry of at most maxOpen connections.
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// tryAdd registers a connection if fewer than limit are open.
+// tryAdd registers a connection if fewer than limit are open, and reports whether it did.
 func (s *clientConns) tryAdd(c *clientConn, limit int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,16 +143,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var victim *clientConn
-	var victimFirst bool
+	var victimPreferred bool
 	var victimSince time.Time
 	for c := range s.open {
 		c.mu.Lock()
-		first := c.unused || c.lingering
-		evictable := (c.idle || first) && !c.closed
-		better := victim == nil || first && !victimFirst || first == victimFirst && c.stateSince.Before(victimSince)
+		preferred := c.unused || c.lingering
+		evictable := (c.idle || preferred) && !c.closed
+		better := victim == nil || preferred && !victimPreferred ||
+			preferred == victimPreferred && c.stateSince.Before(victimSince)
 		if evictable && better {
 			victim = c
-			victimFirst = first
+			victimPreferred = preferred
 			victimSince = c.stateSince
 		}
 		c.mu.Unlock()
@@ -165,11 +166,11 @@
 func (s *clientConns) rejectConn(nc net.Conn) {
 	s.mu.Lock()
 	if now := time.Now(); now.Sub(s.rejectionWindow) >= time.Second {
-		s.rejectionsSent = 0
+		s.rejectedInWindow = 0
 		s.rejectionWindow = now
 	}
-	s.rejectionsSent++
-	send := s.rejectionsSent <= maxRejectionsPerSecond
+	s.rejectedInWindow++
+	send := s.rejectedInWindow <= maxRejectionsPerSecond
 	s.mu.Unlock()
 	if send {
 		_ = nc.SetWriteDeadline(time.Now().Add(idleCloseDelay))
--- a/internal/proxy/clientconns_test.go
+++ b/internal/proxy/clientconns_test.go
@@ -40,11 +40,11 @@
 	}
 	inAMinute := time.Now().Add(time.Minute)
 	if conns.closeIdle(inAMinute) != 1 {
-		t.Error("closeIdle closed a connection with a request in flight")
+		t.Error("closeIdle closed a connection with a request in flight, want it open")
 	}
 	conns.state(c, http.StateIdle)
 	if conns.closeIdle(inAMinute) != 1 {
-		t.Error("closeIdle closed a connection with an unread request")
+		t.Error("closeIdle closed a connection with an unread request, want it open")
 	}
 	if n, err := c.Read(make([]byte, 64)); n != 12 || err != nil {
 		t.Fatalf("Read of the request's rest = %d, %v, want 12, nil", n, err)
@@ -52,10 +52,10 @@
 	conns.state(c, http.StateActive)
 	conns.state(c, http.StateIdle)
 	if conns.closeIdle(time.Now().Add(-time.Second)) != 1 {
-		t.Error("closeIdle closed a connection right after its response")
+		t.Error("closeIdle closed a connection right after its response, want it open for idleCloseDelay")
 	}
 	if conns.closeIdle(inAMinute) != 0 {
-		t.Error("closeIdle did not close an idle connection")
+		t.Error("closeIdle left an idle connection open, want it closed")
 	}
 	_, _ = client.Write([]byte("more"))
 	if n, err := c.Read(make([]byte, 4)); n != 0 || err == nil {
@@ -91,17 +91,17 @@
 	})
 	p := startProxy(t, listText(1, true, memberText("a", addr, "active")), newCatalog(t),
 		func(c *Config) { c.Sockets = 64 })
-	answered := make(chan error, 1)
+	firstResult := make(chan error, 1)
 	go func() {
 		_, _, err := p.request(t, "hand-in", 15000, "homework")
-		answered <- err
+		firstResult <- err
 	}()
 	within(t, received, "the backend got no first request")
 	silentConns(t, p.addr, 80) // four times the limit
 	release <- true
 	release <- true
 	mustRespond(t, 200)(p.request(t, "fetch-work", 15000, ""))
-	if err := within(t, answered, "the request in flight got no result"); err != nil {
+	if err := within(t, firstResult, "the request in flight got no result"); err != nil {
 		t.Errorf("the request in flight while silent connections were opened = %v, want a response", err)
 	}
 }
--- a/internal/proxy/clientrequest.go
+++ b/internal/proxy/clientrequest.go
@@ -40,7 +40,8 @@
 	r.policy.CountRequest(o == metrics.Served)
 }
 
-// rejection is an error that is sent to the client as a response. The message becomes the response's body.
+// rejection is an error that is sent to the client as a response. The message becomes the response's body; existing
+// messages stay unchanged, since clients may match them.
 type rejection struct {
 	status     int
 	message    string
@@ -76,6 +77,7 @@
 		framing, known := c.nextFraming()
 		if !known || framing.Ambiguous || framing.Chunked != (len(r.TransferEncoding) > 0) ||
 			!framing.Chunked && max(framing.Length, 0) != r.ContentLength {
+			// The scanner found the framing ambiguous, or net/http reads it differently.
 			return malformed("the body's end is not plainly told")
 		}
 	}
@@ -108,6 +110,7 @@
 		return nil, malformed("X-Timeout-Ms %q is no whole number of milliseconds in range", h.Get("X-Timeout-Ms"))
 	}
 	if r.Method == http.MethodConnect || !strings.HasPrefix(r.URL.Path, "/") {
+		// CONNECT, or a request target that is not a path.
 		return nil, malformed("%s %q is not for a proxy of this kind", r.Method, r.RequestURI)
 	}
 	timeout := min(time.Duration(ms)*time.Millisecond, maxEffectiveTimeout)
--- a/internal/proxy/clientresponse.go
+++ b/internal/proxy/clientresponse.go
@@ -90,7 +90,8 @@
 	req.countOutcome(outcomeForStatus(f.reject(w, err)))
 }
 
-// reject sends an error response at once and closes the connection, since the bytes after the request can't be trusted.
+// reject sends an error response at once and closes the connection, since the bytes
+// after the request's head can't be trusted to start another request.
 // It returns the status. By default net/http reads the body to its end before it sends the response; full duplex
 // prevents that.
 func (f *httpFrontend) reject(w http.ResponseWriter, err error) int {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -35,8 +35,8 @@
 	Fleet        string // path of the control-plane file; if empty quotas hold for this process alone
 	StateDir     string // directory for state that outlives the process; if empty no state is kept
 
-	Seed     uint64 // for random numbers
-	Cores    float64
+	Seed     uint64          // for random numbers
+	Cores    float64         // CPU cores that the process may use
 	MemoryMB int             // memory limit in MiB
 	Sockets  int             // descriptors that the process may use
 	Decision decision.Config // settings of package decision
@@ -75,14 +75,13 @@
 // Unwrap returns the reason.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// badField makes a ConfigError for a field. readConfig sets its file.
+// badField makes a ConfigError for a field. readConfig adds the path of the file.
 func badField(field, format string, args ...any) error {
 	return &ConfigError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
 // LoadConfig reads the configuration at the start, from the file that BALANCER_CONFIG names and from other environment
-// variables, which override the file. An error about
-// the file's content is a *ConfigError.
+// variables, which override the file. An error about the file's content is a *ConfigError.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	c, path, err := readConfig(getenv)
 	if err != nil {
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -287,6 +287,7 @@
 	}
 }
 
+// A valid configuration file is parsed into the values that it contains; invalid files are rejected.
 func TestConfig(t *testing.T) {
 	c, err := parseConfig(configText(listText(41, true, memberText("a", "127.0.0.1:9", "active"))))
 	if err != nil {
@@ -297,11 +298,13 @@
 		settings.Classes[0].Idempotency != decision.Idempotent ||
 		!settings.PolledDiscovery || settings.Capabilities.ConnectTimeout != 250*time.Millisecond ||
 		settings.Constraints.OverloadFactor != 2.5 {
-		t.Errorf("parseConfig: decision settings %+v differ from those in the file", settings)
+		t.Errorf("parseConfig: decision settings %+v, want class 1 hand-in not idempotent, class 0 idempotent, polled "+
+			"discovery, ConnectTimeout 250ms and OverloadFactor 2.5", settings)
 	}
 	if c.InitialEndpoints.Version != 41 || c.Seed != 0x8c1f30d27a5be964 || c.Kinds[1] != "slow-5" ||
 		c.Zones[0] != "dc one" {
-		t.Errorf("parseConfig: initial list, seed, kinds or zones differ from those in the file: %+v", c)
+		t.Errorf("parseConfig: list version %d, seed %x, kinds %q, zones %q; want 41, 8c1f30d27a5be964, "+
+			"slow-5 as kind 1 and \"dc one\" as zone 0", c.InitialEndpoints.Version, c.Seed, c.Kinds, c.Zones)
 	}
 	for name, text := range map[string]string{
 		"invalid JSON":            "{",
--- a/internal/proxy/configfile.go
+++ b/internal/proxy/configfile.go
@@ -102,7 +102,8 @@
 	if err == nil {
 		err = c.Decision.Validate()
 	}
-	if bad := (*decision.SettingError)(nil); errors.As(err, &bad) { // its line number does not refer to the file
+	if bad := (*decision.SettingError)(nil); errors.As(err, &bad) {
+		// Its line number refers to the flattened lines, not to the file, so it is not reported.
 		return badField("settings."+bad.Field, "%s", bad.Reason)
 	}
 	if err != nil {
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -29,8 +29,8 @@
 	return n.Listener.Accept()
 }
 
-// Where descriptors run out before the configured limit, idle clients are evicted for new ones, and no new one is
-// rejected.
+// If the process runs out of descriptors before it reaches the configured limit, idle clients
+// are evicted for new ones, and no new one is rejected.
 func TestIdleClientsAreEvictedWhenDescriptorsRunOut(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -33,14 +33,14 @@
 	}
 }
 
-// boundedReader reads a response's body with a deadline for each chunk, a minimum mean rate and maxBodyBytes in all, so
-// that a trickling response ends. Only the time spent waiting for the backend counts, not the time that the client
-// takes.
+// boundedReader reads a response's body with a deadline for each chunk, a minimum mean rate and a maximum length
+// (maxBodyBytes), so that a backend that sends very slowly can't hold the request
+// forever. Only the time spent waiting for the backend counts, not the time that the client takes.
 type boundedReader struct {
 	source    io.Reader
 	conn      *conn
 	readBytes int64
-	waited    time.Duration
+	waited    time.Duration // total time spent in reads from source
 }
 
 // Read reads the next chunk.
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -18,13 +18,13 @@
 	idleTimeout       = 4 * time.Second         // after which the server closes an idle client connection
 	rejectReadTimeout = 250 * time.Millisecond  // for the rest of a rejected request, so that its client gets the response
 	writeTimeout      = 10 * time.Second        // for writing a response, or each chunk of a streamed one
-	maxHeaderBytes    = 16 << 10
+	maxHeaderBytes    = 16 << 10                // limit on a request's head
 
 	drainAcceptPeriod = 600 * time.Millisecond // after SIGTERM: new connections still arrive for up to 400 ms
-	maxDrainDeadline  = 3 * time.Second        // after SIGTERM: maximum request timeout that is waited for
-	drainMargin       = 650 * time.Millisecond // added to the longest timeout that is waited for
-	longDrainTimeout  = time.Minute            // after SIGTERM: maximum wait for long bodies being transferred
-	drainPollInterval = 10 * time.Millisecond
+	maxDrainDeadline  = 3 * time.Second        // after SIGTERM: maximum request timeout that the drain waits for
+	drainMargin       = 650 * time.Millisecond // added to the longest request timeout that the drain waits for
+	longDrainTimeout  = time.Minute            // maximum duration of the drain, while long bodies are transferred
+	drainPollInterval = 10 * time.Millisecond  // between two searches for idle connections
 
 	healthPath = "/_health"
 )
@@ -42,10 +42,10 @@
 	mu               sync.Mutex
 	openIDs          map[string]bool // X-Request-ID of the requests in flight
 	reservedBytes    int64           // memory reserved for the bodies of the requests in flight
-	maxReservedBytes int64
+	maxReservedBytes int64           // limit on reservedBytes
 
-	bodyTimeout  time.Duration
-	writeTimeout time.Duration
+	bodyTimeout  time.Duration // the constant of that name; tests set less
+	writeTimeout time.Duration // the constant of that name; tests set less
 }
 
 // newFrontend returns a front end for the services of s. It accepts no connections before serve.
@@ -129,7 +129,7 @@
 	}
 	svc, policy, err := f.services.route(r)
 	if err != nil {
-		policy.CountRequest(false) // a policy with broken routes must not look healthy
+		policy.CountRequest(false) // counted as failed: a policy with broken routes must not look healthy
 		f.reject(w, err)
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 // serveRequest admits a request, reads its body, submits it to its service's engine and writes the result.
-func (f *httpFrontend) serveRequest(w http.ResponseWriter, r *http.Request, req *request, from requestOrigin) {
+func (f *httpFrontend) serveRequest(w http.ResponseWriter, r *http.Request, req *request, origin requestOrigin) {
 	id := r.Header.Get("X-Request-Id")
 	bytes := bodyReservation(r.ContentLength)
 	if err := f.reserve(id, bytes); err != nil {
@@ -170,7 +170,7 @@
 		return
 	}
 	defer f.release(id, bytes)
-	if !from.conn.reserveBytes(bytes) {
+	if !origin.conn.reserveBytes(bytes) {
 		f.rejectRequest(w, req, unavailable("too many bytes of this address are in hand"))
 		return
 	}
@@ -192,10 +192,10 @@
 		}
 		req.Timeout = min(req.Timeout, left)
 	}
-	defer f.startRequest(r, req, from.receivedAt)()
+	defer f.startRequest(r, req, origin.receivedAt)()
 	svc := req.service
 	svc.engine.Post(func() { svc.engine.Submit(&req.Request) })
-	f.awaitResult(w, r, req, from)
+	f.awaitResult(w, r, req, origin)
 }
 
 // startRequest counts a request as in flight and sets its deadline. For a streamed body, both happen once the body is
@@ -218,9 +218,9 @@
 	return func() { svc.counters.InFlight.Add(-1) }
 }
 
-// awaitResult waits for a request's result and writes it. If reading the body fails or the client leaves before, it
-// abandons the request.
-func (f *httpFrontend) awaitResult(w http.ResponseWriter, r *http.Request, req *request, from requestOrigin) {
+// awaitResult waits for a request's result and writes it. If reading the body fails or the client closes its
+// connection first, it abandons the request.
+func (f *httpFrontend) awaitResult(w http.ResponseWriter, r *http.Request, req *request, origin requestOrigin) {
 	svc := req.service
 	upload := req.message.upload
 	var bodyFailed chan error
@@ -230,8 +230,8 @@
 	select {
 	case result := <-req.Result():
 		if result.Outcome == engine.Served {
-			from.conn.markServed()
-			req.servedIn = time.Since(from.receivedAt)
+			origin.conn.markServed()
+			req.servedIn = time.Since(origin.receivedAt)
 		}
 		f.writeResult(w, req, result)
 	case err := <-bodyFailed:
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -15,8 +15,9 @@
 	"time"
 )
 
-// A request reaches its backend unchanged except for its timeout, which is reduced, and gets the backend's response.
-// The health path answers 200.
+// A client's request is forwarded to a backend, and the client gets the backend's response. Method, target, host,
+// X-Request-ID and body are forwarded unchanged, X-Timeout-Ms is reduced, and no User-Agent is added. A health check of
+// the proxy gets status 200.
 func TestServed(t *testing.T) {
 	got := make(chan *http.Request, 8)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
@@ -27,7 +28,8 @@
 	req := within(t, got, "the backend got no request")
 	if req.Method != "POST" || req.RequestURI != "/api?key=7f%33" || req.Host != "service.internal" ||
 		!strings.HasPrefix(req.Header.Get("X-Request-ID"), "r") {
-		t.Errorf("the backend got %s %s, host %s, header %v; want POST /api?key=7f%%33, host service.internal, an ID",
+		t.Errorf("the backend got %s %s, host %s, header %v; want POST /api?key=7f%%33, "+
+			"host service.internal, an X-Request-ID that starts with r",
 			req.Method, req.RequestURI, req.Host, req.Header)
 	}
 	if text, _ := io.ReadAll(req.Body); string(text) != "homework" {
@@ -113,7 +115,8 @@
 	}
 }
 
-// A request that was sent to no backend, since none is known, is rejected with status 503 and a Retry-After.
+// A request that is sent to no backend, because no backend is known, is rejected with status 503 and a Retry-After of
+// at most 2 seconds.
 func TestRejection(t *testing.T) {
 	p := startProxy(t, listText(1, true), newCatalog(t), nil)
 	resp, _ := mustRespond(t, http.StatusServiceUnavailable)(p.request(t, "hand-in", 600, "homework"))
@@ -122,7 +125,8 @@
 	}
 }
 
-// If the backend never responds, the client gets status 504 before its deadline.
+// If the backend never responds, the client gets status 504 before its deadline, but not before a quarter of its
+// timeout has passed.
 func TestDeadline(t *testing.T) {
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
 		for readRequest(in) {
@@ -137,7 +141,7 @@
 	}
 }
 
-// When the client closes its connection, the attempt is cancelled.
+// When the client closes its connection while its request is in flight, the attempt at the backend is cancelled.
 func TestClientGone(t *testing.T) {
 	received, closed := make(chan bool, 1), make(chan bool, 1)
 	addr := rawBackend(t, func(_ int, _ net.Conn, in *bufio.Reader) {
@@ -158,7 +162,8 @@
 	within(t, closed, "the attempt's connection stayed open after the client had left")
 }
 
-// A request with the ID of one in flight is rejected, and the first one is not affected.
+// A request with the X-Request-ID of a request in flight is rejected with status 409, and the request in flight is not
+// affected. Once that has ended, the ID can be used again.
 func TestDuplicateRequestID(t *testing.T) {
 	received, release := make(chan bool, 8), make(chan bool, 8)
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
@@ -181,12 +186,12 @@
 	release <- true
 	release <- true
 	mustRespond(t, 200)(readFinalResponse(bufio.NewReader(conns[0])))
-	for start := time.Now(); ; time.Sleep(time.Millisecond) { // the ID is free again soon after the response
+	for start := time.Now(); ; time.Sleep(time.Millisecond) { // the ID is released shortly after the response
 		c := silentConns(t, p.addr, 1)[0]
 		_, _ = io.WriteString(c, request)
 		resp, _, err := readFinalResponse(bufio.NewReader(c))
 		if err != nil {
-			t.Fatalf("request with the ID of one that has ended: %v", err)
+			t.Fatalf("request with the X-Request-ID of a request that has ended: %v, want a response", err)
 		}
 		// On a busy machine the first response may be late, which lowers the only backend's concurrency limit. The
 		// engine may then reject a request although its ID is free.
@@ -194,7 +199,7 @@
 			break
 		}
 		if resp.StatusCode != 409 || time.Since(start) > patience {
-			t.Fatalf("request with the ID of one that has ended: status %d after %v, want 200 or 503",
+			t.Fatalf("request with the X-Request-ID of a request that has ended: status %d after %v, want 200 or 503",
 				resp.StatusCode, time.Since(start))
 		}
 	}
@@ -232,7 +237,7 @@
 			t.Parallel()
 			c := silentConns(t, p.addr, 1)[0]
 			_, _ = io.WriteString(c, text)
-			_ = c.SetReadDeadline(time.Now().Add(patience)) // without a timeout the server would wait forever
+			_ = c.SetReadDeadline(time.Now().Add(patience)) // ends the test if the proxy keeps the connection
 			if _, err := io.Copy(io.Discard, c); isTimeout(err) {
 				t.Errorf("a connection without a complete request is open after %v, want it closed", patience)
 			}
@@ -240,8 +245,8 @@
 	}
 }
 
-// bodyTimeout and writeTimeout end neither a request that waits for its backend nor its response, only a request whose
-// body does not arrive.
+// bodyTimeout and writeTimeout do not run while a request waits for its backend, which may take longer. A request whose
+// body does not arrive within bodyTimeout is rejected with status 408.
 func TestServerTimeouts(t *testing.T) {
 	const short = 100 * time.Millisecond
 	addr := rawBackend(t, func(_ int, c net.Conn, in *bufio.Reader) {
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -34,7 +34,7 @@
 // frozenTime is the time in the frozen files, as a Unix time: 2025-01-01 00:00:00 UTC.
 const frozenTime = 1_735_689_600 * time.Second
 
-// frozenMemory returns the state that testdata/memory contains.
+// frozenMemory returns the state that the snapshot file testdata/memory contains.
 func frozenMemory() persistedState {
 	return persistedState{
 		Lists: map[string]guardedsource.CachedList{"10.0.0.1:8500": {AnsweredAt: frozenTime,
@@ -85,6 +85,7 @@
 	}
 }
 
+// readFile returns the content of a file.
 func readFile(t *testing.T, path string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -41,6 +41,7 @@
 	queries chan string
 }
 
+// newCatalog starts a fake discovery server until the test ends.
 func newCatalog(t *testing.T) *catalog {
 	c := &catalog{lists: make(chan string, 8), queries: make(chan string, 64)}
 	c.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -76,6 +77,7 @@
 	proxy *Proxy
 }
 
+// lockedBuffer is a text buffer that goroutines may write to concurrently.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -117,7 +119,7 @@
 	return serveOn(t, cfg, listener)
 }
 
-// serveOn runs a proxy on a listener until the test ends.
+// serveOn runs a proxy on a listener until the test ends, and fails the test if serve returns an error.
 func serveOn(t *testing.T, cfg Config, listener net.Listener) *running {
 	t.Helper()
 	logs := &lockedBuffer{}
--- a/internal/proxy/hookedconn_test.go
+++ b/internal/proxy/hookedconn_test.go
@@ -55,7 +55,7 @@
 func waitForInput(t *testing.T, c net.Conn) {
 	for start := time.Now(); rawsocket.Silent(c); time.Sleep(time.Millisecond) {
 		if time.Since(start) > patience {
-			t.Errorf("neither bytes nor a close arrived on the connection within %v", patience)
+			t.Errorf("neither bytes nor a close arrived on the connection within %v, want one of them", patience)
 			return
 		}
 	}
--- a/internal/proxy/idleconns.go
+++ b/internal/proxy/idleconns.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	maxIdlePerBackend  = 32                    // connections beyond that are closed after their response
+	maxIdlePerBackend  = 32                    // further connections are closed after their response
 	idleSettleTime     = 10 * time.Millisecond // preferred minimum idle time before a connection is reused
 	idleTimeoutDivisor = 2                     // connections are closed after the configured idle timeout divided by this
 
-	staleConnWindow    = 10 * time.Millisecond // a connection that breaks within this after a write was closed before it
+	staleConnWindow    = 10 * time.Millisecond // a break this soon after a write means that it was closed before
 	minIdleLimit       = 20 * time.Millisecond // lower bound of the reuse limit
 	idleLimitDivisor   = 2                     // the reuse limit falls to a broken connection's idle time divided by this
 	idleLimitDoubling  = 2 * time.Second       // time in which a lowered reuse limit doubles
 	maxLimitDoublings  = 32                    // more would overflow a time.Duration
 	minCleanupInterval = 10 * time.Millisecond
-	cleanupsPerTimeout = 4
+	cleanupsPerTimeout = 4 // calls of closeExpired per idle timeout
 )
 
 // closeExpired closes connections that were idle for idleTimeout or that the backend has closed. A request written to a
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -77,7 +77,7 @@
 			}
 		}
 	}
-	// Requests are repeated while they get 503: a quota is leased only once there is demand.
+	// request repeats a request while it gets status 503: the proxy leases a quota only once there is demand.
 	request := func(path string) (status int, body string) {
 		for range 300 {
 			if status, body = s.request(httpClient, "p.example.org", path, "fetch-work",
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -24,7 +24,7 @@
 type Proxy struct {
 	cfg      Config
 	log      *slog.Logger
-	reloads  chan Config       // buffered; the newest configuration that is not applied yet
+	reloads  chan Config       // buffered, 1 item; the newest configuration that is not applied yet
 	counters *metrics.Counters // of the only service, or of the process if there are several services
 	store    *hotrestart.Store
 	conns    *clientConns
@@ -34,7 +34,7 @@
 	quotaClient  atomic.Pointer[client.QuotaClient]  // nil without a control plane
 	policyClient atomic.Pointer[client.PolicyClient] // nil without a control plane
 	freshness    atomic.Pointer[freshness.Monitor]   // nil if the freshness of endpoint lists is not monitored
-	listGuard    *guardedsource.Coordinator          // nil if endpoint lists are used unchecked
+	listGuard    *guardedsource.Coordinator          // nil if the endpoint list guard is disabled
 	snapshots    *snapshotStore                      // nil if no snapshot is stored for the next process
 	ready        atomic.Bool                         // true while clients are served, before a drain
 
@@ -150,7 +150,7 @@
 	adminListener, err := net.Listen("tcp", p.cfg.AdminListen)
 	if err != nil {
 		_ = listener.Close()
-		return fmt.Errorf("the console: listening: %w", err)
+		return fmt.Errorf("admin server: listening: %w", err)
 	}
 	inner, cancel := context.WithCancel(context.Background()) // admin connections are served until the end of the drain
 	var running sync.WaitGroup
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -13,8 +13,9 @@
 	"lapisspread/internal/engine"
 )
 
-// Reloads that overlap, also back to the old discovery address or to one that fails at first: the list of the last
-// address is used in the end, whatever its version, and responses from other addresses are ignored.
+// Reloads change the discovery address while an earlier change is in progress, also back to the old address or to an
+// address that fails at first. In the end the endpoint list of the last address is used, even if its version is lower,
+// and responses from other addresses are ignored.
 func TestReloadsCross(t *testing.T) {
 	// switchTo reloads the proxy with a discovery server. other is its server at the start, last the one used in the end.
 	for name, reloads := range map[string]func(p *running, switchTo func(*faultyDiscovery), last, other *faultyDiscovery){
@@ -100,7 +101,8 @@
 	}
 }
 
-// Of two reloads in one step of the engine the later one wins, whatever random delays the engine draws.
+// If two reloads are applied in the same step of the engine, the discovery address of the later one is used, for every
+// seed of the engine's random delays.
 func TestLastOfTwoReloadsWins(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/proxy/requestbody.go
+++ b/internal/proxy/requestbody.go
@@ -38,8 +38,8 @@
 	return slowest
 }
 
-// readBody reads a short body completely. Of a long one it reads the part that may be buffered; the attempt that sends
-// the body reads the rest.
+// readBody reads a short body completely. Of a body longer than maxBufferedBody it reads only the first maxBufferedBody
+// bytes; the attempt that sends the body reads the rest.
 func (f *httpFrontend) readBody(w http.ResponseWriter, r *http.Request, req *request) error {
 	deadlines := http.NewResponseController(w)
 	startedAt := time.Now()
--- a/internal/proxy/routing.go
+++ b/internal/proxy/routing.go
@@ -14,7 +14,7 @@
 	only   *service // the only service; nil if there are several
 	byName map[string]*service
 	table  *route.Table
-	sticky map[string]string // key that a route with several services is split by, by the route's name
+	sticky map[string]string // what selects one of a route's several services (tenant, request or key), by route name
 	limits config.Limits
 
 	policy         *client.InstalledPolicy // the installed policy; nil without a control plane
@@ -104,7 +104,7 @@
 		if svc.acquire() {
 			return svc, state.policy, nil
 		}
-		if s.current.Load() == state { // the service ends with the process
+		if s.current.Load() == state { // not replaced by a reload, so the process is ending
 			return nil, state.policy, unavailable("the service is ending")
 		}
 	}
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -15,15 +15,15 @@
 
 // Files in the state directory.
 const (
-	blocksFile   = "blocks" // address prefixes that an operator has blocked
+	blocksFile   = "blocks" // prefixes of client addresses that an operator has blocked
 	snapshotFile = "memory" // snapshot of endpoint lists and of what the engines have learned
 )
 
 // serve runs the proxy on a listening socket until ctx ends, then drains it and waits for all goroutines.
 func (p *Proxy) serve(ctx context.Context, accepting net.Listener) error {
 	p.recoverState()
-	accepting, leave, err := p.prepare(accepting)
-	defer leave() // after everything that uses the control plane's quotas has ended
+	accepting, leaveControlPlane, err := p.prepare(accepting)
+	defer leaveControlPlane() // runs last: the services use the control plane's quotas until they end
 	if err != nil {
 		return closeAfter(accepting, err)
 	}
@@ -43,16 +43,17 @@
 	return err
 }
 
-// closeAfter closes the listener after an error at the start, and returns the error to report.
+// closeAfter closes the listener after an error during startup, and wraps the error.
 func closeAfter(accepting net.Listener, err error) error {
 	_ = accepting.Close()
 	return fmt.Errorf("settings: %w", err)
 }
 
-// recoverState reads the state that the previous process has stored, and logs what can't be read.
+// recoverState reads which backends operators had detached in the previous process. It logs an error if that can't be
+// read or the initial endpoint list is invalid; the proxy starts anyway.
 func (p *Proxy) recoverState() {
 	if _, err := p.store.Refresh(); err != nil {
-		p.log.Error("state of the previous process is unreadable", "err", err)
+		p.log.Error("stored state of the previous process is unreadable; detached backends may be used again", "err", err)
 	}
 	if err := p.cfg.InitialEndpointsError; err != nil {
 		const message = "initial endpoint list in the configuration is invalid; fetching the whole list from discovery"
@@ -61,14 +62,14 @@
 }
 
 // prepare sets up, before the services start, the parts that the configuration enables: admission control, the control
-// plane, the endpoint list guard and Diameter. It returns the wrapped listener. The caller must call leave after the
-// services have ended. The listener and leave are valid with an error too.
-func (p *Proxy) prepare(accepting net.Listener) (_ net.Listener, leave func(), err error) {
-	leave = func() {}
+// plane, the endpoint list guard and Diameter. It returns the wrapped listener. The caller must call
+// leaveControlPlane after the services have ended. The listener and leaveControlPlane are valid with an error too.
+func (p *Proxy) prepare(accepting net.Listener) (_ net.Listener, leaveControlPlane func(), err error) {
+	leaveControlPlane = func() {}
 	p.cfg.Decision.Capabilities.MaxOpenRequests = maxOpenRequests(&p.cfg)
 	if p.cfg.Admission != "" {
 		if err := p.openAdmission(); err != nil {
-			return accepting, leave, err
+			return accepting, leaveControlPlane, err
 		}
 		accepting = p.conns.admission.NewListener(accepting, p.log)
 	} else {
@@ -77,24 +78,25 @@
 		accepting = listener.NewListener(accepting, p.log, p.conns.evictIdle, func() {})
 	}
 	if p.cfg.Fleet != "" {
-		end, err := p.joinControlPlane()
+		leave, err := p.joinControlPlane()
 		if err != nil {
-			return accepting, leave, err
+			return accepting, leaveControlPlane, err
 		}
-		leave = end
+		leaveControlPlane = leave
 	}
 	if err := p.openListGuard(); err != nil {
-		return accepting, leave, err
+		return accepting, leaveControlPlane, err
 	}
 	if p.cfg.Diameter != "" {
 		if err := p.openDiameter(); err != nil {
-			return accepting, leave, err
+			return accepting, leaveControlPlane, err
 		}
 	}
-	return accepting, leave, nil
+	return accepting, leaveControlPlane, nil
 }
 
-// openAdmission sets up admission control with the settings from its file and the blocks of the previous process.
+// openAdmission sets up admission control with the settings from its file, and restores the client address blocks
+// that operators set in the previous process.
 func (p *Proxy) openAdmission() error {
 	file, err := listener.Load(p.cfg.Admission)
 	if err != nil {
@@ -106,7 +108,7 @@
 		return err
 	}
 	if err := control.Restore(); err != nil {
-		p.log.Error("blocks of the previous process are not fully readable", "err", err)
+		p.log.Error("some client address blocks of the previous process are unreadable and no longer apply", "err", err)
 	}
 	if file.Requests != nil {
 		settings := file.RequestSettings()
@@ -131,7 +133,7 @@
 	return fmt.Appendf(nil, "%sRetry-After: %s\r\n\r\n", head, h.Get("Retry-After"))
 }
 
-// reloadAdmission applies new settings of admission control. Services that run keep their limits on requests in flight.
+// reloadAdmission applies the current admission control file. Running services keep their limits on requests in flight.
 func (p *Proxy) reloadAdmission() error {
 	if p.cfg.Admission == "" || p.conns.admission == nil {
 		return nil
@@ -153,7 +155,8 @@
 	if err != nil {
 		return err
 	}
-	seed := p.cfg.Seed ^ uint64(backendID(p.cfg.Name)) // proxies with the same seed must not poll in step
+	// The name is mixed in because proxies with the same seed must not poll discovery at the same moments.
+	seed := p.cfg.Seed ^ uint64(backendID(p.cfg.Name))
 	instances := max(1, p.cfg.Decision.Instances)
 	guard := guardedsource.NewCoordinator(file, instances, seed, engine.NewClock().Now, p.log)
 	p.listGuard = guard.LimitBackoff(p.cfg.timing.maxBackoff)
@@ -177,7 +180,8 @@
 	running.Go(func() { runSharing(ctx) })
 	running.Go(func() {
 		p.store.Watch(ctx, storePollInterval, p.services.notifyAll, func(err error) {
-			p.log.Error("state of the other process is unreadable", "err", err)
+			const message = "stored state of the other process is unreadable; its changes to detached backends are not applied"
+			p.log.Error(message, "err", err)
 		})
 	})
 	if p.diameter != nil {
@@ -190,14 +194,14 @@
 
 // serveClients runs the front ends until ctx ends and then drains them, or until the listener fails.
 func (p *Proxy) serveClients(ctx context.Context, front *httpFrontend, accepting net.Listener) error {
-	served := make(chan error, 1)
-	go func() { served <- front.serve(accepting) }()
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- front.serve(accepting) }()
 	p.ready.Store(true)
 	if err := p.store.MarkServing(); err != nil {
 		p.log.Error("previous process could not be notified", "err", err)
 	}
 	select {
-	case err := <-served:
+	case err := <-serveResult:
 		_ = accepting.Close()
 		return err
 	case <-ctx.Done():
@@ -209,5 +213,5 @@
 	}
 	front.drain(accepting, p.cfg.PassedSocket != "" && p.store.Superseded())
 	draining.Wait()
-	return <-served
+	return <-serveResult
 }
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -37,23 +37,23 @@
 	classes   map[string]int // numbers by name
 	tenants   map[string]int // numbers by name
 	counters  *metrics.Counters
-	pool      *pool
-	endpoints *endpointNames
-	gate      *processquota.Gate // gate of its part of the process's quota; nil for a single service
+	pool      *pool              // connections to HTTP backends
+	endpoints *endpointNames     // IDs of the endpoints that discovery has listed so far
+	gate      *processquota.Gate // admits requests when the service's quota is nearly used up; nil for a single service
 
 	requestLimiter *listener.RequestLimiter // limits the requests in flight; nil if there is no limit
 	freshness      *freshness.ServiceView   // freshness of its endpoint list; nil unless the control plane enables it
 	diameter       *upstream.Upstream       // connections to Diameter backends; nil if the backends speak HTTP
 
-	inFlight atomic.Int64 // requests that have acquired the service
-	retiring atomic.Bool  // true once no more requests can acquire it
-	released chan struct{}
+	inFlight atomic.Int64  // requests that have acquired the service
+	retiring atomic.Bool   // true once no more requests can acquire it
+	released chan struct{} // receives when the last request of a retiring service has released it
 	cancel   context.CancelFunc
-	done     chan struct{}
+	done     chan struct{} // closed when run has returned
 }
 
 // acquire keeps the service running for a request. It returns false if the service is being retired. The count comes
-// before the check, because retire sets the flag before it looks at the count.
+// before the check, because retire sets the flag before it reads the count; so one of the two always sees the other.
 func (s *service) acquire() bool {
 	s.inFlight.Add(1)
 	if s.retiring.Load() {
--- a/internal/proxy/services.go
+++ b/internal/proxy/services.go
@@ -18,8 +18,8 @@
 	config "lapisspread/internal/services"
 )
 
-// readinessWait is how long a reload waits for the first health checks of its new services. It is below the second that
-// an operator's admin command to reload waits.
+// readinessWait is how long a reload waits for the first health checks of its new services. It is less than the
+// 1 s that an operator's reload command waits for its result.
 const readinessWait = 600 * time.Millisecond
 
 // serviceSet holds all running services and the routes to them. There is either a single service without a name, or the
@@ -27,11 +27,11 @@
 type serviceSet struct {
 	proxy   *Proxy
 	current atomic.Pointer[routingState]
-	limits  *limiter.Limits
-	running sync.WaitGroup
+	limits  *limiter.Limits // limits that all services share: requests, body bytes, connections and attempts
+	running sync.WaitGroup  // goroutines that run services or wait for retired ones to end
 
-	mu                sync.Mutex // held during a reload; guards the fields below
-	halfCapacity      bool
+	mu                sync.Mutex      // held during a reload; guards the fields below
+	halfCapacity      bool            // backend connections are limited to half: another process of this proxy runs
 	policyRoutes      bool            // routes come from the control plane's policy once one is installed
 	discovery         string          // address of the process's discovery server since the last reload
 	ctx               context.Context // all services stop when it ends
@@ -123,7 +123,7 @@
 		}
 		s.switchDiscovery(next.byName[spec.Name], addr)
 	}
-	if old != nil { // a starting process has no clients yet, and a fresh endpoint list
+	if old != nil { // no check at startup: there are no clients yet, and the endpoint list is fresh
 		s.checkReadiness(ctx, started)
 	}
 	s.current.Store(next) // requests see the old state or the new one, never a mixture
@@ -209,7 +209,7 @@
 	checks.Wait()
 }
 
-// installPolicy makes requests be routed by a new policy. After an error the old one stays in force. Requests in flight
+// installPolicy routes new requests by a new policy. After an error the old one stays in force. Requests in flight
 // keep the policy that routed them.
 func (s *serviceSet) installPolicy(policy *client.InstalledPolicy) error {
 	s.mu.Lock()
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -34,8 +34,8 @@
 	p.done <- nil
 }
 
-// The proxy is stopped while a request is in each of its states: the request must still get its backend's complete
-// response, which closes the connection.
+// The proxy is stopped while a request is in one of the states below: the client must still get the backend's complete
+// response, and the response closes the connection.
 func TestDrainCrossesRequest(t *testing.T) {
 	const head = "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: e%d\r\nX-Priority-Class: fetch-work\r\n" +
 		"X-Timeout-Ms: 19000\r\nContent-Length: 8\r\n\r\n"
@@ -142,7 +142,7 @@
 			if body != text {
 				t.Errorf("the client got a body of %d bytes that differs from the backend's body of %d bytes", len(body), len(text))
 			}
-			if !resp.Close && s.responseBytes == 0 { // a response begun before the stop may have no Connection: close
+			if !resp.Close && s.responseBytes == 0 { // a response that started before the stop may have no Connection: close
 				t.Error("the response after the stop has no Connection: close")
 			}
 			p.awaitExit(t)
@@ -204,7 +204,7 @@
 	p = newDrainingFrontend(t, time.Minute, drainMargin, timeouts)
 	if resp, _ := mustRespond(t, http.StatusServiceUnavailable)(p.request(t, "hand-in", 59000,
 		"homework")); !resp.Close {
-		t.Error("the rejection has no Connection: close")
+		t.Error("the rejection of a request when no time is left in the drain has no Connection: close")
 	}
 	if len(timeouts) != 0 {
 		t.Errorf("the backend got %d requests that arrived when no time was left, want 0", len(timeouts))
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -19,8 +19,8 @@
 	errAbandoned     = engine.ErrAbandoned
 )
 
-// upload is a long request body that is streamed to a backend. The prefix is buffered and can be sent again; once some
-// of the remainder has been read there can be no further attempt.
+// upload is a long request body that is streamed to a backend. The prefix is buffered and can be sent again by another
+// attempt; the remainder can't, so once some of it has been read there is no further attempt.
 type upload struct {
 	prefix          []byte
 	length          int64 // Content-Length in bytes; -1 if there is none
@@ -31,12 +31,12 @@
 	failed          chan error            // buffered; receives the error if reading the body from the client fails
 
 	mu        sync.Mutex // guards the fields below, and the use of remainder and setReadDeadline
-	readBytes int64      // with the prefix
+	readBytes int64      // bytes read from the client, including the prefix
 	consumed  bool       // some of the remainder has been read
 	stopped   bool       // the request has ended: remainder and setReadDeadline must no longer be used
 
-	complete atomic.Bool
-	stopping atomic.Bool
+	complete atomic.Bool // the whole body has been read from the client
+	stopping atomic.Bool // stop was called; stopped follows once the lock is free
 }
 
 // isConsumed reports whether there can be no further attempt. u may be nil.
