--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// A block set by an operator rejects requests of the blocked addresses until the operator removes it. A reload applies
-// new admission settings, and keeps the old ones if the new ones are invalid.
+// A block set by an operator rejects requests from the blocked client addresses until the operator removes it. A
+// reload applies new admission settings, and keeps the old ones if the new ones are invalid.
 func TestAdmissionBlocksAndReload(t *testing.T) {
 	s := newAdmissionFixture(t, "", 128)
 	op := adminBackend{s.proxy}
--- a/internal/proxy/clientclose_test.go
+++ b/internal/proxy/clientclose_test.go
@@ -34,7 +34,8 @@
 func resetConn(c *net.TCPConn)      { _ = c.SetLinger(0); _ = c.Close() }
 func closeWriteSide(c *net.TCPConn) { _ = c.CloseWrite() }
 
-// leavingClient sends a request of the given class and the pipelined bytes after it. It returns the connection.
+// leavingClient connects to the proxy and sends a request of the given class, followed by the pipelined bytes. It
+// returns the connection, by which the test then lets the client leave.
 func leavingClient(t *testing.T, p *running, class, pipelined string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -44,7 +44,7 @@
 	Kinds    []string        // names of machine types by number
 	Names    Names
 
-	InitialEndpoints      List  // the last endpoint list of this proxy, with which it starts
+	InitialEndpoints      List  // last endpoint list of this proxy, used until discovery sends one
 	InitialEndpointsError error // why the configured list is invalid; nil if it is valid
 
 	timing discoveryTiming
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -153,7 +153,7 @@
 	compareWithFrozen(t, "testdata/reports.txt", append(reports.Bytes(), append(totals, '\n')...), *writeFrozen)
 }
 
-// The replies to admin commands of a running proxy keep their text.
+// The replies of a running proxy to admin commands are those of the version that wrote testdata/console.txt.
 func TestFrozenConsoleReplies(t *testing.T) {
 	got := make(chan *http.Request, 64)
 	p := startProxy(t, listText(1, true, memberText("a", countingBackend(t, got), "active")), newCatalog(t), nil)
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -12,7 +12,7 @@
 
 const (
 	reservedSockets      = 32      // descriptors for everything except client and backend connections
-	clientSocketFraction = 0.6     // client connections, of the other descriptors: a client without one loses its request
+	clientSocketFraction = 0.6     // of the other descriptors, for client connections; a client without one loses its request
 	openRequestFraction  = 1.0 / 3 // limit on open requests, as a fraction of all descriptors
 	bodyMemoryFraction   = 1.0 / 8 // memory for the bodies of requests in flight, as a fraction of all memory
 )
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// Routes and blocks that did not change since the previous policy are reused. All are built again if the services
-// changed or the new policy's diff is not against the installed policy.
+// When a policy is installed, routes and blocks that did not change since the previous policy are reused. All are built
+// again if the services changed, or if the new policy's diff does not start from the installed policy.
 func TestPolicyUpdateIsIncremental(t *testing.T) {
 	weight := 1.0
 	policy := func(number uint64, path, service string) *namespace.Policy {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -186,7 +186,7 @@
 }
 
 // A request that arrives late in a drain, with a deadline after the process's end, gets a response before that end.
-// One that arrives when no time is left is rejected at once and not sent to a backend.
+// A request that arrives when no time is left is rejected at once and not sent to a backend.
 func TestLateRequestInDrain(t *testing.T) {
 	timeouts := make(chan string, 64)
 	const timeLeft = 300 * time.Millisecond
