--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -14,7 +14,7 @@
 
 const (
 	maxEvictAttempts       = 4    // bounds the search for an idle connection; each attempt scans all connections
-	maxRejectionsPerSecond = 1000 // further rejected connections are closed without a response, to save work in a flood
+	maxRejectionsPerSecond = 1000 // further rejected connections get no response: the senders of a flood need none
 )
 
 // clientConns is the registry of all client connections. It limits their number.
