--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -109,7 +109,7 @@
 	}
 	checkAdminDuringFlood(t, s.proxy)
 	if status := <-inFlightStatus; status != 200 {
-		t.Errorf("the request in flight during the flood = status %d, want 200", status)
+		t.Errorf("the request that was in flight during the flood = status %d, want 200", status)
 	}
 	close(stop)
 	flooders.Wait()
@@ -128,8 +128,8 @@
 	}
 }
 
-// A block set by an operator rejects requests of the blocked addresses until the operator removes it. A reload applies
-// new admission settings, and keeps the old ones if the new ones are invalid.
+// A block set by an operator rejects requests from the blocked client addresses until the operator removes it. A
+// reload applies new admission settings, and keeps the old ones if the new ones are invalid.
 func TestAdmissionBlocksAndReload(t *testing.T) {
 	s := newAdmissionFixture(t, "", 128)
 	op := adminBackend{s.proxy}
--- a/internal/proxy/clientclose_test.go
+++ b/internal/proxy/clientclose_test.go
@@ -34,7 +34,8 @@
 func resetConn(c *net.TCPConn)      { _ = c.SetLinger(0); _ = c.Close() }
 func closeWriteSide(c *net.TCPConn) { _ = c.CloseWrite() }
 
-// leavingClient sends a request of the given class and the pipelined bytes after it. It returns the connection.
+// leavingClient connects to the proxy and sends a request of the given class, followed by the pipelined bytes. It
+// returns the connection, by which the test then lets the client leave.
 func leavingClient(t *testing.T, p *running, class, pipelined string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
@@ -72,7 +73,8 @@
 	}
 }
 
-// A client's close is detected whatever unread bytes follow its request, and the request's attempt is cancelled.
+// A client closes its connection while its request is in flight: the proxy detects it, also if unread bytes follow the
+// request, and cancels the attempt at the backend.
 func TestClientCloseIsNoticed(t *testing.T) {
 	for name, departure := range clientDepartures {
 		t.Run(name, func(t *testing.T) {
@@ -275,6 +277,6 @@
 		text = append(text, in[:n]...)
 	}
 	if string(text) != next {
-		t.Error("the bytes read of the second request differ from those sent")
+		t.Error("the bytes read of the second request differ from those sent by the client")
 	}
 }
--- a/internal/proxy/policy_test.go
+++ b/internal/proxy/policy_test.go
@@ -77,7 +77,7 @@
 			}
 		}
 	}
-	// Requests are repeated while they get 503: a quota is leased only once there is demand.
+	// request repeats a request while it gets status 503: the proxy leases a quota only once there is demand.
 	request := func(path string) (status int, body string) {
 		for range 300 {
 			if status, body = s.request(httpClient, "p.example.org", path, "fetch-work",
@@ -161,8 +161,8 @@
 	}
 }
 
-// Routes and blocks that did not change since the previous policy are reused. All are built again if the services
-// changed or the new policy's diff is not against the installed policy.
+// When a policy is installed, routes and blocks that did not change since the previous policy are reused. All are built
+// again if the services changed, or if the new policy's diff does not start from the installed policy.
 func TestPolicyUpdateIsIncremental(t *testing.T) {
 	weight := 1.0
 	policy := func(number uint64, path, service string) *namespace.Policy {
