--- a/internal/policy/namespace/conflict.go
+++ b/internal/policy/namespace/conflict.go
@@ -41,7 +41,7 @@
 	Time     *time.Time     // a time at which overrides contradict each other; nil for other kinds
 	Text     string         // details for messages
 	More     bool           // the two namespaces have more conflicts of this kind, which are not listed
-	Withheld string         // the namespace whose file was withheld for the conflict; empty is none
+	Withheld string         // the namespace whose file was withheld for the conflict; empty if none was withheld
 	cause    error          // what Err returns instead of a ConflictError; may be nil
 }
 
@@ -85,7 +85,7 @@
 }
 
 // Check returns all conflicts of a set of files, sorted. Each file must have only rules within its namespace's domain.
-// Active is the files in force: if the set no longer defines one of their services, the conflict also names the rule
+// Active lists the files in force: if the set no longer defines one of their services, the conflict also names the rule
 // that defined it.
 func Check(d *Declaration, active, set []*File) []Conflict {
 	f := newFinder(d, active)
@@ -104,7 +104,7 @@
 	mayIntersect   map[[2]string]bool      // cache of Declaration.routesMayIntersect, by namespaces
 }
 
-// newFinder returns a finder. Active is the files in force.
+// newFinder returns a finder. Active lists the files in force.
 func newFinder(d *Declaration, active []*File) *finder {
 	f := &finder{
 		declaration:    d,
--- a/internal/policy/namespace/domain.go
+++ b/internal/policy/namespace/domain.go
@@ -46,11 +46,13 @@
 func (d *Domain) validate() error {
 	for _, host := range d.Hosts {
 		if err := (&Match{Host: host}).validate(); err != nil || host == "" {
+			// The text means: the value is neither a host nor a wildcard of the form "*." followed by a host.
 			return fmt.Errorf("hosts: %q is no host, nor *. and one", host)
 		}
 	}
 	for _, prefix := range d.PathPrefixes {
 		if err := (&Match{PathPrefix: prefix}).validate(); err != nil || prefix == "" {
+			// The text means: the value is not a valid path prefix; prefixes match whole path segments.
 			return fmt.Errorf("path_prefixes: %q is no prefix by segment", prefix)
 		}
 	}
@@ -83,7 +85,7 @@
 	return d.PathPrefixes
 }
 
-// excess describes the part of a match that is outside the domain, such as "host x". It returns an empty text if the
+// excess describes the part of a match that is outside the domain, such as "host x". It returns an empty string if the
 // domain contains all requests of the match.
 func (d *Domain) excess(m *Match) string {
 	path := m.pathPattern()
@@ -107,8 +109,8 @@
 	return slices.Contains(list, name) || slices.Contains(list, anyName)
 }
 
-// excessOver describes the part of the domain that is outside another one. It returns an empty text if the outer domain
-// contains all of it.
+// excessOver describes the part of the domain that is outside another one. It returns an empty string if the outer
+// domain contains all of it.
 func (d *Domain) excessOver(outer *Domain) string {
 	for _, host := range d.hostPatterns() {
 		for _, prefix := range d.prefixPatterns() {
--- a/internal/policy/namespace/domaincheck.go
+++ b/internal/policy/namespace/domaincheck.go
@@ -48,8 +48,8 @@
 	return c.outside
 }
 
-// check adds a rule to outside if no part of the namespace's domain contains it. Excess describes what of the rule is
-// outside a part; an empty text means that the part contains the rule.
+// check adds a rule to outside if no part of the namespace's domain contains it. The function excess describes what of
+// the rule is outside a part; it returns an empty string if the part contains the rule.
 func (c *domainChecker) check(id, setting string, excess func(*Domain) string) {
 	reason := "it may not set " + setting
 	for _, part := range c.declaration.parts[c.file.Name] {
@@ -65,7 +65,7 @@
 	c.outside[id] = OutsideDomainError{c.file.Name, id, reason}
 }
 
-// excess returns the class if it is outside a domain, or an empty text.
+// excess describes the class, such as `class "x"`, if it is outside a domain. Otherwise it returns an empty string.
 func (c *Class) excess(domain *Domain) string {
 	if len(domain.Classes) == 0 || slices.Contains(domain.Classes, c.Name) {
 		return ""
@@ -73,7 +73,8 @@
 	return fmt.Sprintf("class %q", c.Name)
 }
 
-// excess returns the zone of the override if it is outside a domain, or an empty text.
+// excess describes the override's zone, such as `zone "x"`, if the zone is outside a domain. Otherwise it returns an
+// empty string.
 func (o *Override) excess(domain *Domain) string {
 	if includesName(domain.Zones, o.Zone) {
 		return ""
@@ -81,8 +82,9 @@
 	return fmt.Sprintf("zone %q", o.Zone)
 }
 
-// quotaExcess allows shares of quotas that are declared and in the domain. A cap on another namespace's share also
-// needs a delegation to that namespace.
+// quotaExcess describes why a domain does not allow a quota share. It returns an empty string if the domain allows the
+// share: the quota must be declared and in the domain, and a cap on another namespace's share also needs a delegation
+// to that namespace.
 func (c *domainChecker) quotaExcess(s *QuotaShare, domain *Domain) string {
 	if s.Namespace != "" && !slices.Contains(c.declaration.delegatorsOf(s.Namespace), c.file.Name) {
 		return fmt.Sprintf("it delegates nothing to %q", s.Namespace)
@@ -93,7 +95,8 @@
 	return fmt.Sprintf("budget %q", s.Quota)
 }
 
-// stalenessExcess allows bounds on the namespace's own routes and on those of its delegates.
+// stalenessExcess describes the route of a staleness bound that the namespace may not set. It returns an empty string
+// for bounds on the namespace's own routes and on those of its delegates, which are allowed.
 func (c *domainChecker) stalenessExcess(b *StalenessBound) string {
 	owner, _, _ := strings.Cut(b.Route, "/")
 	if owner == c.file.Name || slices.Contains(c.declaration.delegatorsOf(owner), c.file.Name) {
--- a/internal/policy/namespace/itemchange.go
+++ b/internal/policy/namespace/itemchange.go
@@ -102,6 +102,7 @@
 	kind, name := splitKey(key)
 	switch kind {
 	case formatKey:
+		// The text means: the policy would lack its format item, which must not be removed.
 		return InvalidItemError{key, errors.New("it is missing")}
 	case numberKind:
 		c.setNumber(name, 0)
@@ -117,17 +118,20 @@
 	switch {
 	case kind == formatKey && item.Key == formatKey:
 		if string(item.Value) != strconv.Itoa(format) {
+			// The text means: the policy's format is the item's value, and this program reads only the other one.
 			return InvalidItemError{item.Key, fmt.Errorf("form %.20s; this program reads %d", item.Value, format)}
 		}
 	case kind == numberKind && item.Key == numberKey(name):
 		number, err := strconv.ParseUint(string(item.Value), 10, 64)
 		if err != nil || number == 0 || strconv.FormatUint(number, 10) != string(item.Value) {
+			// The text means: the value is not a positive decimal integer without leading zeros.
 			return InvalidItemError{item.Key, fmt.Errorf("%.40q is no number of a file", item.Value)}
 		}
 		c.setNumber(name, number)
 	case isRuleKind(kind):
 		c.set[kind] = append(c.set[kind], item)
 	default:
+		// The text means: the key does not start with a kind of rule that this version of the program reads.
 		return InvalidItemError{item.Key, errors.New("this program knows no such rule")}
 	}
 	return nil
@@ -161,18 +165,20 @@
 	return slices.Contains(c.renumbered, s.Namespace) && s.Number != c.files[s.Namespace].number
 }
 
-// checkFiles checks that each changed file has a number if and only if rules come from it. It forgets files with
-// neither.
+// checkFiles checks that each changed file has a number if and only if rules come from it. It deletes files with
+// neither from c.files.
 func (c *itemChanges) checkFiles() error {
 	for _, namespace := range slices.Sorted(maps.Keys(c.changedFiles)) {
 		switch f := c.files[namespace]; {
 		case f.number == 0 && f.sources == 0:
 			delete(c.files, namespace)
 		case f.number == 0:
+			// The text means: the item with the file's number is missing, but rules name the file as their source.
 			return InvalidItemError{
 				numberKey(namespace), errors.New("it is missing, and rules come from the file"),
 			}
 		case f.sources == 0:
+			// The text means: the file has a number, but no rule names the file as its source.
 			return InvalidItemError{numberKey(namespace), errors.New("no rule comes from the file")}
 		}
 	}
--- a/internal/policy/namespace/merge.go
+++ b/internal/policy/namespace/merge.go
@@ -25,7 +25,7 @@
 //     conflicting rules, and whose namespace's last accepted file would not have the conflict. If that holds for
 //     several files, it is the one whose namespace is last by precedence. Namespaces with fewer delegations between
 //     them and a root have precedence; namespaces at the same depth are ordered by name.
-//   - If no submitted file did, as after a change of the declaration, the conflicting rule of the namespace that is
+//   - If no submitted file meets this, as after a change of the declaration, the conflicting rule of the namespace that is
 //     last by precedence is removed from the policy. Its file stays accepted, and the rule returns in the first merge
 //     in which it has no conflict.
 //   - So the policy has no conflict that withholds a file. Outcome.Conflicts also has the conflicts that are only
@@ -34,7 +34,7 @@
 	return merge(d, accepted, submitted, 0)
 }
 
-// merge is Merge with some of its rules switched off.
+// merge is like Merge, but with the given mutations: faults that tests inject to check that they detect them.
 func merge(d *Declaration, accepted, submitted []*File, mutations mutation) Outcome {
 	m := newMerger(d, mutations)
 	m.addAccepted(accepted)
@@ -60,7 +60,7 @@
 // merger is the state of one merge.
 type merger struct {
 	declaration       *Declaration
-	mutations         mutation
+	mutations         mutation // faults injected by tests; 0 in production
 	participants      map[string]*participant
 	unknown           map[string]*WithheldError // by namespace: files of namespaces that are not declared
 	namesByPrecedence []string                  // of participants, the highest precedence first
@@ -136,7 +136,7 @@
 	return submissions
 }
 
-// rank sets namesByPrecedence and ranks: namespaces with a smaller delegation depth come first, then it is by name.
+// rank sets namesByPrecedence and ranks: namespaces with a smaller delegation depth come first; at the same depth, by name.
 func (m *merger) rank(accepted, submitted []*File) {
 	depth := m.declaration.depth
 	m.namesByPrecedence = slices.SortedFunc(maps.Keys(m.participants), func(a, b string) int {
