--- a/internal/policy/namespace/bench_test.go
+++ b/internal/policy/namespace/bench_test.go
@@ -247,7 +247,7 @@
 	hasMore := slices.ContainsFunc(out.Conflicts, func(c Conflict) bool { return c.More })
 	const maxConflicts = (routes + 1) * maxConflictsPerRoute
 	if listed := len(out.Conflicts); listed > maxConflicts || !hasMore {
-		t.Errorf("Merge lists %d conflicts, one says that there are more: %t; want at most %d conflicts, and true",
+		t.Errorf("Merge lists %d conflicts, one has More set: %t; want at most %d conflicts, and true",
 			listed, hasMore, maxConflicts)
 	}
 	// If both files are accepted already and only the declaration is wrong, the last team by precedence loses its
--- a/internal/policy/namespace/conflict.go
+++ b/internal/policy/namespace/conflict.go
@@ -26,7 +26,7 @@
 
 // Kinds of conflicts that are only reported.
 const (
-	DomainOverlap   ConflictKind = "overlap"   // two domains intersect without a delegation, even if no rules do
+	DomainOverlap   ConflictKind = "overlap"   // two domains intersect without a delegation, even if no rules intersect
 	UnreachableRule ConflictKind = "unmatched" // no request can reach a rule
 )
 
--- a/internal/policy/namespace/contradiction.go
+++ b/internal/policy/namespace/contradiction.go
@@ -35,7 +35,7 @@
 }
 
 // contradictionSearch compares each route of the inner file with the routes of the outer file whose host patterns
-// contain the route's.
+// contain that of the inner route.
 type contradictionSearch struct {
 	finder     *finder
 	inner      *File
--- a/internal/policy/namespace/declaration.go
+++ b/internal/policy/namespace/declaration.go
@@ -62,7 +62,7 @@
 	return d, nil
 }
 
-// check checks a declaration and computes the parts of all domains. Lines is the line of each key, for errors.
+// check checks a declaration and computes the parts of all domains. Lines has the line of each key, for errors.
 func (d *Declaration) check(path string, lines map[string]int) error {
 	errs := &keyErrors{path: path, lines: lines}
 	errs.addIf(d.Version != FileVersion, "version", "%d; this program reads %d", d.Version, FileVersion)
@@ -129,7 +129,7 @@
 	}
 }
 
-// checkDomain checks a domain, and that the declaration has its quotas.
+// checkDomain checks a domain, and that the declaration defines the quotas that it lists.
 func (d *Declaration) checkDomain(errs *keyErrors, key string, domain *Domain) {
 	if err := domain.validate(); err != nil {
 		errs.add(key, err)
--- a/internal/policy/namespace/domain.go
+++ b/internal/policy/namespace/domain.go
@@ -15,7 +15,7 @@
 // The settings that a domain may list. Each comment says how the values of several namespaces are merged.
 const (
 	SettingRoute     = "route"     // routes: only the owner's value counts
-	SettingClass     = "class"     // classes: the strictest value; of the priority weight only the owner's value
+	SettingClass     = "class"     // classes: the strictest value; for the priority weight, the owner's
 	SettingQuota     = "budget"    // shares: minimums sum within the limit, the strictest cap, the owner's weight
 	SettingBlock     = "block"     // blocks: the union
 	SettingOverride  = "order"     // overrides: the union, unless two contradict each other
--- a/internal/policy/namespace/exhaustive_test.go
+++ b/internal/policy/namespace/exhaustive_test.go
@@ -328,7 +328,7 @@
 	return false
 }
 
-// searchMinimums finds that the minimums of the quota sum to more than its limit.
+// searchMinimums adds a conflict if the minimums of the quota sum to more than its limit.
 func (s *exhaustiveSearch) searchMinimums() {
 	var rules []Source
 	sum := int64(0)
--- a/internal/policy/namespace/file.go
+++ b/internal/policy/namespace/file.go
@@ -22,7 +22,7 @@
 type File struct {
 	Version         int              `toml:"version"`   // FileVersion
 	Name            string           `toml:"namespace"` // the namespace, as in the declaration
-	Number          uint64           `toml:"number"`    // version of the content, from 1; it increases
+	Number          uint64           `toml:"number"`    // version of the content, from 1; higher is newer
 	Services        []Service        `toml:"service"`
 	Routes          []Route          `toml:"route"`
 	Classes         []Class          `toml:"class"`
@@ -42,8 +42,8 @@
 type Service struct {
 	Name      string   `toml:"name" json:"name"`
 	Discovery string   `toml:"discovery" json:"discovery,omitempty"` // host:port
-	Kinds     []string `toml:"kinds" json:"kinds,omitempty"`         // kinds of servers that it uses; empty is all
-	Cells     []int    `toml:"cells" json:"cells,omitempty"`         // cells of servers that it uses; empty is all
+	Kinds     []string `toml:"kinds" json:"kinds,omitempty"`         // kinds of servers that it uses; empty means all
+	Cells     []int    `toml:"cells" json:"cells,omitempty"`         // cells of servers that it uses; empty means all
 	Upstream  string   `toml:"upstream" json:"upstream,omitempty"`   // http or diameter
 	Removed   bool     `toml:"removed" json:"removed,omitempty"`     // routes may no longer lead to it
 }
@@ -64,8 +64,8 @@
 }
 
 // Class holds settings of a class of requests. A setting that is left out may be set by other namespaces.
-// PriorityWeight is the weight of an answer within the latency objective; LateFraction is the part of it, 0 to 1, that
-// a later answer has.
+// PriorityWeight is the weight of an answer within the latency objective; LateFraction is the fraction of that weight,
+// 0 to 1, that a later answer has.
 type Class struct {
 	Name             string                `toml:"name" json:"name"`
 	LatencyObjective strictconfig.Duration `toml:"aim" json:"aim,omitempty"`         // 0 if left out
@@ -129,6 +129,7 @@
 // in errors. It returns one or several joined FileErrors.
 func Parse(path string, text []byte) (*File, error) {
 	if len(text) > MaxFileBytes {
+		// The text means: the file's size, and the maximum, in bytes.
 		return nil, FileError{Path: path, Err: fmt.Errorf("%d bytes; %d are the most", len(text), MaxFileBytes)}
 	}
 	f := &File{}
@@ -155,7 +156,7 @@
 // sameRules reports whether two files have equal rules. It ignores their numbers.
 func (f *File) sameRules(other *File) bool { return maps.Equal(f.ruleTexts, other.ruleTexts) }
 
-// rulesText returns all rules as a text. It gives files with the same number a fixed order.
+// rulesText returns all rules as a text. It is used to order files with the same number.
 func (f *File) rulesText() string {
 	var text strings.Builder
 	for _, id := range slices.Sorted(maps.Keys(f.ruleTexts)) {
--- a/internal/policy/namespace/item.go
+++ b/internal/policy/namespace/item.go
@@ -81,6 +81,7 @@
 		return err
 	}
 	if encoded, err := encodeJSON(v); err != nil || !bytes.Equal(encoded, text) {
+		// The text means: the value differs from what encodeJSON returns for it, for example in whitespace.
 		return errors.New("it is not in the one encoding that it has")
 	}
 	return nil
@@ -154,6 +155,7 @@
 // compile.
 func FromTree(t *merkle.Tree) (*Policy, error) {
 	if _, ok := t.Get(formatKey); !ok {
+		// The text means: the tree has no item for the policy's format.
 		return nil, InvalidItemError{formatKey, errors.New("it is missing")}
 	}
 	p, _, err := (&Policy{Format: policyFormat}).withItems(slices.Collect(t.Items()), nil)
--- a/internal/policy/namespace/match.go
+++ b/internal/policy/namespace/match.go
@@ -18,7 +18,7 @@
 	exampleValue  = "any"
 )
 
-// Precedences of exact patterns. They are above those of all wildcards and prefixes, which are their lengths plus one.
+// Precedences of exact patterns. The precedence of a wildcard or prefix is its length plus one, which is always lower.
 const (
 	exactHostPrecedence = 1 << 20
 	exactPathPrecedence = 1 << 30
@@ -125,7 +125,8 @@
 	return p
 }
 
-// hostWithin reports whether the outer host pattern contains every host of the inner one. An empty pattern is any host.
+// hostWithin reports whether the outer host pattern contains every host of the inner one. An empty pattern allows any
+// host.
 func hostWithin(inner, outer string) bool {
 	if outer == "" || inner == outer {
 		return true
@@ -145,7 +146,7 @@
 	return "", false
 }
 
-// exampleHost returns a host of a pattern. It uses the label where the pattern allows any.
+// exampleHost returns a host of a pattern. Where the pattern allows any host label, it uses the given one.
 func exampleHost(pattern, label string) string {
 	switch {
 	case pattern == "":
@@ -156,7 +157,7 @@
 	return pattern
 }
 
-// pathPattern is one path, or all paths that begin with the segments of a prefix. The prefix "/" is any path.
+// pathPattern is one path, or all paths that begin with the segments of a prefix. The prefix "/" allows any path.
 type pathPattern struct {
 	path  string
 	exact bool
--- a/internal/policy/namespace/merge.go
+++ b/internal/policy/namespace/merge.go
@@ -25,9 +25,9 @@
 //     conflicting rules, and whose namespace's last accepted file would not have the conflict. If that holds for
 //     several files, it is the one whose namespace is last by precedence. Namespaces with fewer delegations between
 //     them and a root have precedence; namespaces at the same depth are ordered by name.
-//   - If no submitted file meets this, as after a change of the declaration, the conflicting rule of the namespace that is
-//     last by precedence is removed from the policy. Its file stays accepted, and the rule returns in the first merge
-//     in which it has no conflict.
+//   - If no submitted file meets this, as after a change of the declaration, the conflicting rule of the namespace
+//     that is last by precedence is removed from the policy. Its file stays accepted, and the rule returns in the
+//     first merge in which it has no conflict.
 //   - So the policy has no conflict that withholds a file. Outcome.Conflicts also has the conflicts that are only
 //     reported.
 func Merge(d *Declaration, accepted, submitted []*File) Outcome {
@@ -136,7 +136,8 @@
 	return submissions
 }
 
-// rank sets namesByPrecedence and ranks: namespaces with a smaller delegation depth come first; at the same depth, by name.
+// rank sets namesByPrecedence and ranks: namespaces with a smaller delegation depth come first, and those at the same
+// depth are ordered by name.
 func (m *merger) rank(accepted, submitted []*File) {
 	depth := m.declaration.depth
 	m.namesByPrecedence = slices.SortedFunc(maps.Keys(m.participants), func(a, b string) int {
--- a/internal/policy/namespace/merge_test.go
+++ b/internal/policy/namespace/merge_test.go
@@ -51,7 +51,7 @@
 			out.Conflicts, TooManyCombinations)
 	}
 	if _, err := out.Policy.Table(); err != nil {
-		t.Errorf("Policy.Table after the larger file was withheld: %v", err)
+		t.Errorf("Policy.Table after the larger file was withheld = error %v, want none", err)
 	}
 	// If both files are accepted already (a changed declaration can return a domain to its namespace), the namespace
 	// that is last by precedence loses its routes.
@@ -70,11 +70,11 @@
 type withholdTest struct {
 	name         string
 	submitted    []*File
-	wantWithheld string            // namespace:number of its active file, separated by blanks; empty is none
+	wantWithheld string            // namespace:number of its active file, separated by blanks; empty if none
 	wantCause    any               // pointer to the type of the error that is the cause
 	wantKind     ConflictKind      // of the first conflict
 	wantActive   map[string]uint64 // numbers of the accepted files, by namespace
-	wantRoutes   int               // routes of the merged policy; 0 is as many as the example has
+	wantRoutes   int               // routes of the merged policy; 0 means as many as the example has
 }
 
 // withholdTests returns the cases of TestWithheldFiles.
--- a/internal/policy/namespace/policy.go
+++ b/internal/policy/namespace/policy.go
@@ -111,6 +111,7 @@
 		return nil, fmt.Errorf("policy: %w", err)
 	}
 	if p.Format != policyFormat {
+		// The text means: the policy has another format version than the one that this program reads.
 		return nil, fmt.Errorf("policy: form %d; this program reads %d", p.Format, policyFormat)
 	}
 	for i := range p.Routes {
@@ -119,6 +120,7 @@
 		}
 	}
 	if !bytes.Equal(p.Encode(), text) {
+		// The text means: the input differs from what Encode returns for the policy, for example in whitespace.
 		return nil, errors.New("policy: not in the one encoding that a policy has")
 	}
 	if err := p.compile(); err != nil {
@@ -188,7 +190,7 @@
 	return nil
 }
 
-// Explanation says how a policy handles a request, and which rules that comes from.
+// Explanation says how a policy handles a request, and which rules determine this.
 type Explanation struct {
 	Verdict   route.Verdict
 	Route     *PolicyRoute          // nil if no route matches
--- a/internal/policy/namespace/policy_test.go
+++ b/internal/policy/namespace/policy_test.go
@@ -22,8 +22,8 @@
 	for _, test := range []struct {
 		request          route.Request
 		wantRoute        string
-		wantDeadline     string // empty is not checked
-		wantMaxStaleness string // empty is no staleness bound
+		wantDeadline     string // not checked if empty
+		wantMaxStaleness string // empty if the route has no staleness bound
 		wantBlocks       int
 	}{
 		{route.Request{Host: "N1.desks.kigali.example.org:80", Path: "/book/7", Class: "booking"},
--- a/internal/policy/namespace/position.go
+++ b/internal/policy/namespace/position.go
@@ -11,8 +11,8 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// keyLines returns the line, from 1, of each key and table of a TOML text. The keys of the map are such as
-// "route[2].to" and "route[2]".
+// keyLines returns the line, from 1, of each key and table of a TOML text. The keys of the map have
+// the form "route[2].to" or "route[2]".
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	counter := lineCounter{text: text, line: 1}
--- a/internal/policy/namespace/randommerge_test.go
+++ b/internal/policy/namespace/randommerge_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// mergeChecker checks the outcome of one merge against what Merge promises.
+// mergeChecker checks that the outcome of one merge is as the doc comment of Merge says.
 type mergeChecker struct {
 	declaration *Declaration
 	previous    Outcome // of the merge whose accepted files this one started from
@@ -26,7 +26,7 @@
 	}
 }
 
-// checkOutcome returns what is wrong with the outcome of a merge, or nothing.
+// checkOutcome returns a text for each violation that it finds in the outcome of a merge.
 func checkOutcome(d *Declaration, previous Outcome, submitted []*File, got Outcome) []string {
 	c := &mergeChecker{declaration: d, previous: previous, submitted: submitted, got: got}
 	inForce := c.filesInForce()
@@ -39,7 +39,7 @@
 			return a.Name == f.Name && a.Number == f.Number
 		})
 		reported := slices.ContainsFunc(got.Withheld, func(w WithheldError) bool { return w.Namespace == f.Name })
-		c.addIf(!accepted && !reported, "the file of %s is neither in Accepted nor in Withheld", f.Name)
+		c.addIf(!accepted && !reported, "the submitted file of namespace %s is neither in Accepted nor in Withheld", f.Name)
 	}
 	return c.violations
 }
@@ -70,7 +70,7 @@
 	want := assemble(c.declaration, inForce).Hash()
 	c.addIf(want != c.got.Hash, "policy hash = %s, want %s, that of the files in force", c.got.Hash, want)
 	_, err := c.got.Policy.Table()
-	c.addIf(err != nil, "Policy.Table: %v", err)
+	c.addIf(err != nil, "Policy.Table = error %v, want none", err)
 }
 
 // checkWithheld checks that a namespace has a file withheld only for a conflict that the file would cause.
@@ -79,10 +79,10 @@
 		isWithheld := func(s Source) bool { return s.Namespace == w.Namespace }
 		return conflict.Kind.Withholds() && slices.ContainsFunc(conflict.Rules, isWithheld)
 	})
-	c.addIf(!inConflict, "%s has a file withheld, but no reported conflict has a rule of it", w.Namespace)
+	c.addIf(!inConflict, "namespace %s has a file withheld, but no reported conflict has a rule of the namespace", w.Namespace)
 	i := slices.IndexFunc(c.submitted, func(f *File) bool { return f.Name == w.Namespace })
 	if i < 0 {
-		c.addIf(len(c.previous.Withheld) == 0, "%s has rules withheld, but it submitted no file", w.Namespace)
+		c.addIf(len(c.previous.Withheld) == 0, "namespace %s has rules withheld, but it submitted no file", w.Namespace)
 		return
 	}
 	if w.Active >= w.Submitted || len(w.RemovedRules) > 0 {
@@ -92,7 +92,7 @@
 	found := Check(c.declaration, nil, append(others, c.submitted[i]))
 	withholds := func(conflict Conflict) bool { return conflict.Kind.Withholds() }
 	c.addIf(!slices.ContainsFunc(found, withholds),
-		"%s has its file withheld, but it has no conflict with the files in force", w.Namespace)
+		"namespace %s has its file withheld, but the file has no conflict with the files in force", w.Namespace)
 }
 
 // permutations returns all orders of a set of four files.
@@ -107,8 +107,8 @@
 	return all
 }
 
-// runRandomMerge merges a random set of files and then a random change of it, also in other orders. It returns what is
-// wrong with the outcomes, and how many files were withheld.
+// runRandomMerge merges a random set of files and then a random change of it, also in other orders. It returns the
+// violations found in the outcomes, and how many files were withheld.
 func runRandomMerge(i int, mutations mutation) ([]string, int) {
 	d, set := randomSet(i)
 	first := merge(d, nil, set, mutations)
@@ -223,7 +223,7 @@
 }
 
 // The comparison with the exhaustive search detects a finder that ignores delegations, and one that takes each
-// delegation to be about all requests.
+// delegation to cover all requests.
 func TestExhaustiveSearchDetectsWrongDelegations(t *testing.T) {
 	for name, mutate := range map[string]func(*Declaration) *Declaration{
 		"no delegations": func(d *Declaration) *Declaration {
--- a/internal/policy/namespace/rulecheck.go
+++ b/internal/policy/namespace/rulecheck.go
@@ -13,7 +13,8 @@
 // allRoutes is Source.Rule in a conflict that is about all routes of a namespace.
 const allRoutes = "all routes"
 
-// definition is a value that a namespace sets where only one owner's value counts.
+// definition is a namespace's value for a setting that no two namespaces may set differently: a service, or the
+// priority weight of a class.
 type definition struct {
 	source Source
 	text   string // the value, compared with those of other namespaces and shown in conflicts
@@ -160,8 +161,8 @@
 	return conflicts
 }
 
-// tooManyCombinations returns a conflict if all routes together list more than maxCombinations. Parse has checked that
-// no single file does.
+// tooManyCombinations returns a conflict if all routes together list more than maxCombinations. Parse has already
+// checked that no single file exceeds it.
 func tooManyCombinations(set []*File) []Conflict {
 	sum := 0
 	var rules []Source
--- a/internal/policy/namespace/rulelist.go
+++ b/internal/policy/namespace/rulelist.go
@@ -30,7 +30,8 @@
 	// sources calls f with each source of a rule. With copySources, the rule gets copies of its sources first, so that
 	// f may change them.
 	sources func(rule *T, copySources bool, f func(*Source))
-	// record adds a change to a diff. It is nil for rules that a diff does not have. Changed is nil for a removed rule.
+	// record adds a change to a diff. It is nil for kinds of rules that Diff does not list. Changed is nil for a
+	// removed rule.
 	record func(d *Diff, changed *T, name string)
 }
 
@@ -50,6 +51,7 @@
 	rules := *l.list(p)
 	for i := range rules {
 		if i > 0 && l.name(&rules[i-1]) >= l.name(&rules[i]) {
+			// The text means: the list has two rules with this name, or is not sorted by name.
 			return InvalidItemError{l.key(&rules[i]), errors.New("it is there twice, or out of order")}
 		}
 		rule := rules[i]
@@ -109,12 +111,14 @@
 		return nil, InvalidItemError{item.Key, err}
 	}
 	if key := l.key(rule); key != item.Key {
+		// The text means: the value is a rule that belongs under another key.
 		return nil, InvalidItemError{item.Key, fmt.Errorf("it holds the rule of %.100q", key)}
 	}
 	var err error
 	l.sources(rule, false, func(s *Source) {
 		number := c.files[s.Namespace].number
 		if s.Number != 0 || number == 0 {
+			// The text means: the source has a file number, which only the number item may have, or that item is missing.
 			err = InvalidItemError{item.Key, fmt.Errorf(
 				"the number of the file of %q stands in the wrong place or nowhere", s.Namespace)}
 		}
@@ -146,6 +150,7 @@
 	merged := make([]T, 0, len(rules)+len(changes))
 	for i, change := range changes {
 		if i > 0 && changes[i-1].name == change.name {
+			// The text means: the changes have two rules with this name.
 			return nil, InvalidItemError{l.kind + " " + change.name, errors.New("it is there twice")}
 		}
 		index, found := l.search(rules, change.name)
--- a/internal/policy/namespace/unreachable.go
+++ b/internal/policy/namespace/unreachable.go
@@ -161,7 +161,7 @@
 	return single
 }
 
-// unnamedLabel is a word that no rule names, for example requests. It can be a value, a host label or a path segment.
+// unnamedLabel is a word that no rule names. Example requests use it as a value, a host label or a path segment.
 type unnamedLabel string
 
 // newUnnamedLabel returns a word that no rule of a set of files names.
--- a/internal/policy/namespace/value.go
+++ b/internal/policy/namespace/value.go
@@ -36,7 +36,7 @@
 }
 
 // mergeValue merges the value that one rule sets into the merged value of other rules, which is nil if there are none.
-// The preferred value stays; preferred(a, b) reports whether a takes the place of b. If preferred is a strict total
+// The preferred value stays; preferred(a, b) reports whether a replaces b. If preferred is a strict total
 // order, the result does not depend on the order of the rules, nor on how often a rule is merged.
 func mergeValue[T comparable](merged *Value[T], value T, source Source, preferred func(a, b T) bool) *Value[T] {
 	if merged == nil || value != merged.Value && preferred(value, merged.Value) {
