--- a/internal/policy/namespace/conflict.go
+++ b/internal/policy/namespace/conflict.go
@@ -98,7 +98,7 @@
 // files, so that a set that shares files with an earlier one is checked faster.
 type finder struct {
 	declaration    *Declaration
-	activeServices map[string][]Source     // rules in the files in force that define a service, by its name
+	activeServices map[string][]Source     // rules in the files in force that define a service, by service name
 	indexes        map[*File]routeIndex    // cache of routeIndexFor
 	contradictions map[[2]*File][]Conflict // cache of contradictionsBetween
 	mayIntersect   map[[2]string]bool      // cache of Declaration.routesMayIntersect, by namespaces
--- a/internal/policy/namespace/contradiction.go
+++ b/internal/policy/namespace/contradiction.go
@@ -94,6 +94,8 @@
 	innerPrecedence := inner.precedence()
 	outerPrecedence := outer.precedence()
 	order := slices.Compare(innerPrecedence[:], outerPrecedence[:])
+	// "Goes before" in the texts means "has precedence over", "they lead apart" that the routes have different
+	// destinations, and "the giver" the delegator.
 	text := "neither goes before the other"
 	if order != 0 {
 		if inner.hasSameDestination(outer) || order > 0 && delegated {
--- a/internal/policy/namespace/delegation.go
+++ b/internal/policy/namespace/delegation.go
@@ -52,7 +52,7 @@
 	delegation := &d.Delegations[index]
 	from := delegation.From
 	to := delegation.To
-	excess := "it has nothing"
+	excess := "it has nothing" // the reason in the error if the delegator has no parts
 	contained := false
 	for _, part := range d.parts[from] {
 		if outsidePart := delegation.excessOver(part.domain); outsidePart != "" {
--- a/internal/policy/namespace/exhaustive_test.go
+++ b/internal/policy/namespace/exhaustive_test.go
@@ -12,9 +12,9 @@
 )
 
 // The exhaustive search is a second, simpler implementation of Check. It tries every request whose host labels, path
-// segments, method, class and tenant come from a small alphabet, and asks package route, with a table of a single rule,
-// whether a rule matches. The alphabet has, in each position, a word that no rule names (f). So each conflict between
-// rules over this alphabet shows in one of these requests.
+// segments, method, class and tenant come from a small alphabet, and uses package route, with a table of a single
+// rule, to decide whether the rule matches. The alphabet has, in each position, a word that no rule names (f). So each
+// conflict between rules over this alphabet shows in one of these requests.
 
 // exhaustiveKinds are the kinds of conflicts that the exhaustive search finds.
 var exhaustiveKinds = []ConflictKind{
@@ -258,7 +258,8 @@
 }
 
 // contradict reports whether two routes that match a common request contradict each other: they have equal precedence,
-// or they have different targets and the one with precedence is not a delegate's. Order is from compareByTable.
+// or they have different targets and the one with precedence is not a delegate's. Order is
+// the result of compareByTable for a and b.
 func (s *exhaustiveSearch) contradict(a, b ownedRoute, order int) bool {
 	if order == 0 {
 		return true
@@ -375,8 +376,8 @@
 }
 
 // parts returns the ways in which a namespace has a part of a domain, each with the namespaces that delegated the part,
-// up to the namespace whose own domain it is in. With a nil part it does so for all parts of the namespace.
-// Delegators lists the delegations that were followed already.
+// up to the namespace whose own domain it is in. If part is nil, it returns them for all parts of the
+// namespace. Delegators lists the namespaces whose delegations were already followed.
 func (s *exhaustiveSearch) parts(name string, part *Domain, delegators []string) []domainPart {
 	var all []domainPart
 	contains := func(d *Domain) bool {
@@ -426,17 +427,17 @@
 	got := map[string]bool{}
 	for _, c := range found {
 		if c.Kind == InconsistentDefinition {
-			continue // compares the texts of rules; TestWithheldFiles covers it
+			continue // found by the texts of rules, which this search does not compare; TestWithheldFiles covers it
 		}
 		got[c.exhaustiveKey()] = true
 		if !want[c.exhaustiveKey()] {
-			differences = append(differences, "found, but the exhaustive search does not find it: "+c.String())
+			differences = append(differences, "found a conflict that the exhaustive search does not find: "+c.String())
 		}
 		differences = append(differences, requestErrors(c, files)...)
 	}
 	for key := range want {
 		if !got[key] {
-			differences = append(differences, "not found, but the exhaustive search finds it: "+key)
+			differences = append(differences, "did not find a conflict that the exhaustive search finds: "+key)
 		}
 	}
 	return differences
@@ -446,7 +447,7 @@
 // not check an unreachable route whose requests go to several other rules, because each of them matches only a part.
 func requestErrors(c Conflict, files []*File) []string {
 	if (c.Kind == Contradiction || c.Kind == UnreachableRule) && c.Request == nil {
-		return []string{"conflict has no example request: " + c.String()}
+		return []string{"found a conflict without an example request: " + c.String()}
 	}
 	var mismatches []string
 	for i, s := range c.Rules {
@@ -455,7 +456,8 @@
 			continue
 		}
 		if _, verdict := singleRuleTable(m).Lookup(c.Request); verdict != route.Found {
-			mismatches = append(mismatches, "example request does not match rule "+s.String()+": "+c.String())
+			mismatches = append(mismatches,
+				"found a conflict whose example request does not match rule "+s.String()+": "+c.String())
 		}
 	}
 	return mismatches
@@ -481,6 +483,8 @@
 	return nil
 }
 
+// Check finds the same conflicts in random sets of files as the exhaustive search. Conflicts of different kinds have
+// different advice.
 func TestConflictsMatchExhaustiveSearch(t *testing.T) {
 	const maxDifferences = 10
 	counts := map[ConflictKind]int{}
@@ -494,7 +498,7 @@
 			adviceByKind[c.Kind] = operatorerror.AdviceOf(c.Err())
 		}
 		for _, difference := range compareWithExhaustive(d, files, found) {
-			t.Errorf("random set %d: Check: conflict %s", i, difference)
+			t.Errorf("random set %d: Check %s", i, difference)
 			if differences++; differences > maxDifferences {
 				t.FailNow()
 			}
--- a/internal/policy/namespace/filecheck.go
+++ b/internal/policy/namespace/filecheck.go
@@ -14,6 +14,8 @@
 )
 
 // fileChecker makes the checks of a file that need no declaration, and sorts the lists in which order has no meaning.
+// In the texts of its errors, which must not change, "N are the most" means that N is the maximum, and "is there twice"
+// that another rule of the file has the same kind and name.
 type fileChecker struct {
 	*File
 	errs *keyErrors
--- a/internal/policy/namespace/randommerge_test.go
+++ b/internal/policy/namespace/randommerge_test.go
@@ -39,7 +39,8 @@
 			return a.Name == f.Name && a.Number == f.Number
 		})
 		reported := slices.ContainsFunc(got.Withheld, func(w WithheldError) bool { return w.Namespace == f.Name })
-		c.addIf(!accepted && !reported, "the submitted file of namespace %s is neither in Accepted nor in Withheld", f.Name)
+		c.addIf(!accepted && !reported,
+			"the submitted file of namespace %s is neither in Accepted nor in Withheld", f.Name)
 	}
 	return c.violations
 }
@@ -79,7 +80,8 @@
 		isWithheld := func(s Source) bool { return s.Namespace == w.Namespace }
 		return conflict.Kind.Withholds() && slices.ContainsFunc(conflict.Rules, isWithheld)
 	})
-	c.addIf(!inConflict, "namespace %s has a file withheld, but no reported conflict has a rule of the namespace", w.Namespace)
+	c.addIf(!inConflict,
+		"namespace %s has a file withheld, but no reported conflict has a rule of the namespace", w.Namespace)
 	i := slices.IndexFunc(c.submitted, func(f *File) bool { return f.Name == w.Namespace })
 	if i < 0 {
 		c.addIf(len(c.previous.Withheld) == 0, "namespace %s has rules withheld, but it submitted no file", w.Namespace)
@@ -143,6 +145,7 @@
 	return violations, withheld + len(got.Withheld)
 }
 
+// The outcomes of merges of random files have no violations that runRandomMerge detects.
 func TestRandomMerges(t *testing.T) {
 	withheld := 0
 	for i := range randomSetCount {
--- a/internal/policy/namespace/rulecheck.go
+++ b/internal/policy/namespace/rulecheck.go
@@ -82,7 +82,8 @@
 					Kind:  ContradictoryOverrides,
 					Rules: sources(a.source, b.source),
 					Time:  &at,
-					Text:  "server " + server + " shall be in and out",
+					// The text means: one override detaches the server and the other attaches it.
+					Text: "server " + server + " shall be in and out",
 				})
 			}
 		}
@@ -227,6 +228,7 @@
 
 // removedService returns the conflict of a route that leads to an undefined or removed service.
 func removedService(service string, removers []Source, file *File, r *Route) Conflict {
+	// The text means: no file defines the service.
 	text := fmt.Sprintf("nobody offers service %q", service)
 	if len(removers) > 0 {
 		text = fmt.Sprintf("service %q is removed", service)
--- a/internal/policy/namespace/rulelist.go
+++ b/internal/policy/namespace/rulelist.go
@@ -118,7 +118,8 @@
 	l.sources(rule, false, func(s *Source) {
 		number := c.files[s.Namespace].number
 		if s.Number != 0 || number == 0 {
-			// The text means: the source has a file number, which only the number item may have, or that item is missing.
+			// The text means: the source has a file number, which belongs only in the number item, or there is no
+			// number item.
 			err = InvalidItemError{item.Key, fmt.Errorf(
 				"the number of the file of %q stands in the wrong place or nowhere", s.Namespace)}
 		}
--- a/internal/policy/namespace/settle.go
+++ b/internal/policy/namespace/settle.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// settle withholds one submitted file that is responsible for a conflict, or, if there is none, removes rules. Of
-// several files, it is that of the first namespace by precedence. The others are considered again after that, because
-// they may conflict only with the file that was just withheld.
+// settle withholds one submitted file that is responsible for a conflict, or, if there is none, removes rules. If
+// several files are responsible, it withholds that of the first namespace by precedence. The others are considered
+// again after that, because they may conflict only with the file that was just withheld.
 func (m *merger) settle(conflicts []Conflict) {
 	if responsible, conflict := m.firstResponsible(conflicts); responsible != nil {
 		if m.hasMutation(withholdAll) {
