--- a/internal/policy/namespace/declaration.go
+++ b/internal/policy/namespace/declaration.go
@@ -79,6 +79,7 @@
 // checkUniqueName adds an error if a name is invalid or already used.
 func (e *keyErrors) checkUniqueName(key, name string, used bool) {
 	invalid := !strictconfig.ValidName(name) || used
+	// "Once" in the text means that no other entry of the same kind may have the name.
 	e.addIf(invalid, key, "%q: wanted small letters, digits and dashes, once", name)
 }
 
--- a/internal/policy/namespace/routeindex.go
+++ b/internal/policy/namespace/routeindex.go
@@ -147,8 +147,8 @@
 
 // listIndex finds matches by the values that they list.
 type listIndex struct {
-	byValue map[string][]int
-	all     []int
+	byValue map[string][]int // numbers of the matches that list a value
+	all     []int            // numbers of all matches
 }
 
 // add adds a match under a number.
--- a/internal/policy/namespace/unreachable.go
+++ b/internal/policy/namespace/unreachable.go
@@ -79,8 +79,8 @@
 	return s
 }
 
-// unreachable returns a conflict if, for each combination of a listed method, class and tenant, another rule matches
-// all requests of the route before it.
+// unreachable returns a conflict if, for each combination of a listed method, class and tenant, a block or a route of
+// higher precedence matches all requests of the combination.
 func (s *unreachableSearch) unreachable(f *File, r *Route) (Conflict, bool) {
 	candidates := s.candidates(r)
 	if len(candidates) == 0 {
@@ -104,7 +104,8 @@
 		Kind:    UnreachableRule,
 		Rules:   append([]Source{f.source(r.id())}, sources(matchedBy...)...),
 		Request: example,
-		Text:    "nothing comes to the first: the rest take it all",
+		// The text means: the first rule in Rules gets no requests, because the other rules match all of them first.
+		Text: "nothing comes to the first: the rest take it all",
 	}, true
 }
 
