--- a/internal/policy/namespace/itemchange.go
+++ b/internal/policy/namespace/itemchange.go
@@ -118,7 +118,7 @@
 	switch {
 	case kind == formatKey && item.Key == formatKey:
 		if string(item.Value) != strconv.Itoa(format) {
-			// The text means: the policy's format is the item's value, and this program reads only the other one.
+			// The text means: the item's value is a format version that this program does not read.
 			return InvalidItemError{item.Key, fmt.Errorf("form %.20s; this program reads %d", item.Value, format)}
 		}
 	case kind == numberKind && item.Key == numberKey(name):
--- a/internal/policy/namespace/merge.go
+++ b/internal/policy/namespace/merge.go
@@ -34,7 +34,7 @@
 	return merge(d, accepted, submitted, 0)
 }
 
-// merge is like Merge, but with the given mutations: faults that tests inject to check that they detect them.
+// merge is like Merge, but with the given mutations: faults that tests inject to show that their checks detect them.
 func merge(d *Declaration, accepted, submitted []*File, mutations mutation) Outcome {
 	m := newMerger(d, mutations)
 	m.addAccepted(accepted)
