--- a/internal/policy/namespace/conflict.go
+++ b/internal/policy/namespace/conflict.go
@@ -26,7 +26,7 @@
 
 // Kinds of conflicts that are only reported.
 const (
-	DomainOverlap   ConflictKind = "overlap"   // two domains intersect without a delegation, even if no rules do
+	DomainOverlap   ConflictKind = "overlap"   // two domains intersect without a delegation, even if no rules intersect
 	UnreachableRule ConflictKind = "unmatched" // no request can reach a rule
 )
 
@@ -41,7 +41,7 @@
 	Time     *time.Time     // a time at which overrides contradict each other; nil for other kinds
 	Text     string         // details for messages
 	More     bool           // the two namespaces have more conflicts of this kind, which are not listed
-	Withheld string         // the namespace whose file was withheld for the conflict; empty is none
+	Withheld string         // the namespace whose file was withheld for the conflict; empty if none was withheld
 	cause    error          // what Err returns instead of a ConflictError; may be nil
 }
 
@@ -85,7 +85,7 @@
 }
 
 // Check returns all conflicts of a set of files, sorted. Each file must have only rules within its namespace's domain.
-// Active is the files in force: if the set no longer defines one of their services, the conflict also names the rule
+// Active lists the files in force: if the set no longer defines one of their services, the conflict also names the rule
 // that defined it.
 func Check(d *Declaration, active, set []*File) []Conflict {
 	f := newFinder(d, active)
@@ -98,13 +98,13 @@
 // files, so that a set that shares files with an earlier one is checked faster.
 type finder struct {
 	declaration    *Declaration
-	activeServices map[string][]Source     // rules in the files in force that define a service, by its name
+	activeServices map[string][]Source     // rules in the files in force that define a service, by service name
 	indexes        map[*File]routeIndex    // cache of routeIndexFor
 	contradictions map[[2]*File][]Conflict // cache of contradictionsBetween
 	mayIntersect   map[[2]string]bool      // cache of Declaration.routesMayIntersect, by namespaces
 }
 
-// newFinder returns a finder. Active is the files in force.
+// newFinder returns a finder. Active lists the files in force.
 func newFinder(d *Declaration, active []*File) *finder {
 	f := &finder{
 		declaration:    d,
--- a/internal/policy/namespace/declaration.go
+++ b/internal/policy/namespace/declaration.go
@@ -62,7 +62,7 @@
 	return d, nil
 }
 
-// check checks a declaration and computes the parts of all domains. Lines is the line of each key, for errors.
+// check checks a declaration and computes the parts of all domains. Lines has the line of each key, for errors.
 func (d *Declaration) check(path string, lines map[string]int) error {
 	errs := &keyErrors{path: path, lines: lines}
 	errs.addIf(d.Version != FileVersion, "version", "%d; this program reads %d", d.Version, FileVersion)
@@ -79,6 +79,7 @@
 // checkUniqueName adds an error if a name is invalid or already used.
 func (e *keyErrors) checkUniqueName(key, name string, used bool) {
 	invalid := !strictconfig.ValidName(name) || used
+	// "Once" in the text means that no other entry of the same kind may have the name.
 	e.addIf(invalid, key, "%q: wanted small letters, digits and dashes, once", name)
 }
 
@@ -129,7 +130,7 @@
 	}
 }
 
-// checkDomain checks a domain, and that the declaration has its quotas.
+// checkDomain checks a domain, and that the declaration defines the quotas that it lists.
 func (d *Declaration) checkDomain(errs *keyErrors, key string, domain *Domain) {
 	if err := domain.validate(); err != nil {
 		errs.add(key, err)
