--- a/internal/controlplane/api/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -68,8 +68,8 @@
 	Code    string `json:"Name"` // see CodedError
 	Message string `json:"Text"`
 	Help    string `json:"Help"` // what an operator can do
-	// LeaderAddress is the leader's address, to which to send the call instead. It is empty unless the server is not
-	// the leader and knows the leader.
+	// LeaderAddress is the leader's address, to which to send the call instead. Only a server that is not
+	// the leader and has the leader's address sets it.
 	LeaderAddress string `json:"Leader"`
 }
 
--- a/internal/controlplane/api/messages.go
+++ b/internal/controlplane/api/messages.go
@@ -30,7 +30,7 @@
 	ID         uint64 `json:"ID"`
 	Epoch      uint64 `json:"Epoch"`      // 0 before the bootstrap
 	Role       string `json:"Role"`       // the Raft library's name of the server's state, such as StateLeader
-	Leader     string `json:"Leader"`     // address of the leader; empty if the server knows none
+	Leader     string `json:"Leader"`     // address of the leader; empty if unknown to the server
 	LeaderName string `json:"LeaderName"` // name of that leader
 	Term       uint64 `json:"Term"`
 	Commit     uint64 `json:"Commit"`
--- a/internal/controlplane/client/bench_test.go
+++ b/internal/controlplane/client/bench_test.go
@@ -8,6 +8,7 @@
 	"lapisspread/internal/policy/merkle"
 )
 
+// acceptAll is an install function that accepts every policy.
 func acceptAll(*InstalledPolicy) error { return nil }
 
 // missingChunks returns the chunks of tree that are not in base.
@@ -26,6 +27,7 @@
 	}
 }
 
+// benchmarkInstall installs two policies that differ in one route alternately.
 func benchmarkInstall(b *testing.B, routes int) {
 	c := NewPolicyClient(testConfig(b.TempDir()), acceptAll)
 	f := newFetcher(c)
--- a/internal/controlplane/client/bucket_test.go
+++ b/internal/controlplane/client/bucket_test.go
@@ -13,7 +13,7 @@
 // leaseStep is a lease or a floor that the servers grant after a delay. It is a floor if its duration is 0.
 type leaseStep struct {
 	after    int64 // milliseconds
-	amount   int64 // units a second
+	amount   int64 // units per second
 	burst    int64 // units
 	duration int64 // milliseconds
 }
@@ -37,6 +37,7 @@
 	excess   error        // describes the first time at which taken exceeded admitted; nil if it never did
 }
 
+// newBucketComparison returns a comparison whose client has the given checks disabled and which has no leases yet.
 func newBucketComparison(t *testing.T, m mutations) *bucketComparison {
 	t.Helper()
 	c := &bucketComparison{t: t, id: quotalease.HolderID{Holder: "p1", Incarnation: 7}}
@@ -142,6 +143,8 @@
 	c.drainHolder()
 }
 
+// The units taken concurrently from the buckets must never exceed those that a Holder with the same leases admits. Runs
+// with a check disabled must exceed them, otherwise this test would not detect a missing check.
 func TestBucketsNeverAdmitMoreThanHolder(t *testing.T) {
 	steps := []leaseStep{
 		{10, 500, 20, 200}, {150, 900, 60, 200}, {100, 100, 10, 100}, {250, 700, 40, 300},
@@ -163,7 +166,7 @@
 				c.grant(step)
 			}
 			if (c.excess != nil) != test.wantExcess {
-				t.Errorf("buckets admitted more than the holder: %v (%v), want %v",
+				t.Errorf("buckets admitted more than the holder: %v (first excess: %v), want %v",
 					c.excess != nil, c.excess, test.wantExcess)
 			}
 			if taken := c.taken.Load(); taken < 100 || taken < c.admitted*95/100 {
@@ -184,6 +187,8 @@
 	return b
 }
 
+// No unit may be taken from a replaced bucket, and the bucket after an expired lease must start empty. Runs with one of
+// these checks disabled must show the violation, otherwise this test would not detect a missing check.
 func TestReplacedBucketGivesNothing(t *testing.T) {
 	for _, test := range []struct {
 		mutations
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -134,6 +134,7 @@
 	})
 }
 
+// Every error that a policy update may report must have a text and advice for the operator.
 func TestPolicyErrorsHaveAdvice(t *testing.T) {
 	for _, err := range []error{
 		PolicyNotInstalledError{1, errors.New("x")},
--- a/internal/controlplane/client/demand.go
+++ b/internal/controlplane/client/demand.go
@@ -13,7 +13,8 @@
 	// demandSurge is the ratio of measured to requested demand above which leases are requested before the next request
 	// is due.
 	demandSurge = 1.25
-	// minSurgeDemand, in units per second, is the demand below which a surge cannot be told from random variation.
+	// minSurgeDemand, in units per second, is the demand below which a surge cannot be distinguished from random
+	// variation.
 	minSurgeDemand = 1
 	// demandDecayDivisor sets how fast the requested demand falls: each request reduces the gap to a lower measured
 	// demand by 1/demandDecayDivisor, so that a short lull does not give up the lease.
--- a/internal/controlplane/client/errors.go
+++ b/internal/controlplane/client/errors.go
@@ -8,7 +8,7 @@
 // they cannot be stored, the proxy requests no leases and uses only those that it holds.
 type FloorsNotPersistedError struct{ Err error }
 
-// Error implements error.
+// Error implements error. The text is part of the admin protocol and stays as it is; "kept" means stored on disk.
 func (e FloorsNotPersistedError) Error() string {
 	return fmt.Sprintf("floors can't be kept: %v", e.Err)
 }
@@ -25,7 +25,8 @@
 // WorkerCrashedError means that a worker has panicked. It was replaced.
 type WorkerCrashedError struct{ Cause string }
 
-// Error implements error.
+// Error implements error. The text is part of the admin protocol and stays as it is; its "duty" is the worker goroutine
+// of a QuotaClient or PolicyClient, and "died" means panicked.
 func (e WorkerCrashedError) Error() string { return "a duty of the fleet's died: " + e.Cause }
 
 // Advice implements operatorerror.Error.
@@ -36,11 +37,12 @@
 
 // WorkerStalledError means that a worker is stuck. It was replaced.
 type WorkerStalledError struct {
-	// For is how long it has made no progress.
+	// For is the time since the worker last made progress.
 	For fmt.Stringer
 }
 
-// Error implements error.
+// Error implements error. The text is part of the admin protocol and stays as it is; its "duty" is the worker goroutine
+// of a QuotaClient or PolicyClient, and "has not moved" means that it has sent no heartbeat.
 func (e WorkerStalledError) Error() string {
 	return fmt.Sprintf("a duty of the fleet's has not moved for %v", e.For)
 }
@@ -58,7 +60,7 @@
 	Err   error
 }
 
-// Error implements error.
+// Error implements error. The text is part of the admin protocol and stays as it is; "taken up" means installed.
 func (e PolicyNotInstalledError) Error() string {
 	return fmt.Sprintf("the policy of epoch %d was not taken up: %v", e.Epoch, e.Err)
 }
--- a/internal/controlplane/client/errors_doc_test.go
+++ b/internal/controlplane/client/errors_doc_test.go
@@ -134,6 +134,7 @@
 	return fmt.Sprintf("%T", e)
 }
 
+// errorTable returns the table of errors as it must be on the operators' page, with its begin and end markers.
 func errorTable() string {
 	var table strings.Builder
 	table.WriteString(tableBegin + "\n| error | what to do |\n| --- | --- |\n")
@@ -199,7 +200,7 @@
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 		if err != nil {
-			t.Fatalf("parsing a Go file: %v", err)
+			t.Fatalf("parsing %s: %v", path, err)
 		}
 		for _, declaration := range file.Decls {
 			method, ok := declaration.(*ast.FuncDecl)
--- a/internal/controlplane/client/floorclaim.go
+++ b/internal/controlplane/client/floorclaim.go
@@ -102,6 +102,7 @@
 	c.saveMu.Lock()
 	defer c.saveMu.Unlock()
 	if !mayWrite() {
+		// The text is shown in the admin protocol and stays as it is; its "duty" is a newer worker.
 		return FloorsNotPersistedError{errors.New("another duty has taken over")}
 	}
 	if saved, _, err := c.load(); err == nil && saved >= version {
--- a/internal/controlplane/client/floorclaim_test.go
+++ b/internal/controlplane/client/floorclaim_test.go
@@ -9,6 +9,8 @@
 	"lapisspread/internal/quotalease"
 )
 
+// Only one claim at a time holds the lock of a proxy name. An older version of the floors does not replace a newer one,
+// a replaced worker cannot write them, and a corrupt file is reported.
 func TestFloorClaimIsExclusive(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "floors-p1")
 	first, second := newFloorClaim(path, "p1"), newFloorClaim(path, "p1")
--- a/internal/controlplane/client/frozen_test.go
+++ b/internal/controlplane/client/frozen_test.go
@@ -24,6 +24,7 @@
 // They must never be rewritten: running proxies have files of this format.
 const frozenDir = "testdata/c8fad44"
 
+// frozenFloors returns the floors in the frozen floors file, by quota name.
 func frozenFloors() map[string]quotalease.Floor {
 	return map[string]quotalease.Floor{
 		"all":  {Kind: quotalease.Rate, Amount: quotalease.FromUnits(200), Burst: quotalease.FromUnits(20)},
@@ -68,6 +69,7 @@
 	return dir
 }
 
+// The current code must write the same bytes as the release that wrote the frozen files.
 func TestFrozenFilesAreWrittenTheSame(t *testing.T) {
 	if os.Getenv("FREEZE_KEPT") != "" {
 		if err := os.MkdirAll(frozenDir, 0o700); err != nil {
@@ -84,11 +86,13 @@
 		}
 		got, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil || !bytes.Equal(got, want) {
-			t.Errorf("file %s as written now: %q, read error %v; want the frozen content %q", name, got, err, want)
+			t.Errorf("file %s as written by the current code: %q, read error %v; want the frozen content %q",
+				name, got, err, want)
 		}
 	}
 }
 
+// The floors stored by an earlier release must be loaded, and can then be replaced by a higher version.
 func TestGoOnFromFrozenFloors(t *testing.T) {
 	c := newFloorClaim(filepath.Join(copyFrozenFiles(t), "floors-p1"), "p1")
 	version, floors, err := c.load()
@@ -116,6 +120,7 @@
 	}
 }
 
+// The policy in the journal of an earlier release must be loaded, and later policies are appended to that journal.
 func TestGoOnFromFrozenPolicy(t *testing.T) {
 	dir := copyFrozenFiles(t)
 	_, second := frozenContents(t)
@@ -148,7 +153,8 @@
 	}
 }
 
-// A proxy must restore the policy text that earlier releases stored in place of the journal.
+// Earlier releases stored the policy as one text file instead of a journal of chunks. If only that file exists, Restore
+// must install its policy, leave the file as it is and create no journal.
 func TestGoOnFromFrozenText(t *testing.T) {
 	dir := copyFrozenFiles(t)
 	if err := os.Remove(filepath.Join(dir, "pieces-p1")); err != nil {
@@ -158,7 +164,8 @@
 	p.Restore()
 	want := textVersion(1, 4, policyText("older"))
 	if current := p.Current(); current.Offer != want || current.Policy.Hash() != want.Hash {
-		t.Errorf("Restore() of the frozen text installed version %+v, want %+v with its content", current.Offer, want)
+		t.Errorf("Restore() from the text file of an earlier release installed version %+v, want %+v with its content",
+			current.Offer, want)
 	}
 	older := durable.File{Path: filepath.Join(dir, "policy-p1"), Kind: "lapisspread-policy", Version: 1}
 	var stored struct {
--- a/internal/controlplane/client/policyclient_test.go
+++ b/internal/controlplane/client/policyclient_test.go
@@ -111,15 +111,16 @@
 // stop the reports.
 func TestReportsOutliveFailures(t *testing.T) {
 	text := policyText("one")
-	var good, lastReport, calls, installs atomic.Int64
+	var countedRequests, lastReport, calls, installs atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var report api.PolicyReport
 		if err := api.DecodeBody(r.Body, &report); err != nil {
 			t.Errorf("decoding a policy report: %v", err)
 		}
-		if sequence := int64(report.Sequence); sequence > lastReport.Load() { // as the servers count
+		// Like the servers, this counts a repeated report only once.
+		if sequence := int64(report.Sequence); sequence > lastReport.Load() {
 			lastReport.Store(sequence)
-			good.Add(report.Good)
+			countedRequests.Add(report.Good)
 		}
 		if calls.Add(1)%2 == 1 { // the report is counted, but its reply is lost
 			w.WriteHeader(http.StatusBadGateway)
@@ -142,17 +143,17 @@
 	}
 	stop := runInBackground(c.Run)
 	deadline := time.Now().Add(20 * time.Second)
-	for c.Current().Offer.Epoch != 1 || good.Load() < 100 {
+	for c.Current().Offer.Epoch != 1 || countedRequests.Load() < 100 {
 		if time.Now().After(deadline) {
 			t.Fatalf("waiting 20s for epoch 1 and 100 counted requests: status %+v, %d counted",
-				c.PolicyStatus(), good.Load())
+				c.PolicyStatus(), countedRequests.Load())
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	stop()
 	status := c.PolicyStatus()
-	if good.Load() != 100 || status.WorkersCrashed != 1 || status.Epoch != 1 || status.Failed == 0 {
+	if countedRequests.Load() != 100 || status.WorkersCrashed != 1 || status.Epoch != 1 || status.Failed == 0 {
 		t.Errorf("requests counted by the server: %d, status %+v; "+
-			"want 100, 1 crashed worker, epoch 1, failed calls above 0", good.Load(), status)
+			"want 100, 1 crashed worker, epoch 1, failed calls above 0", countedRequests.Load(), status)
 	}
 }
--- a/internal/controlplane/client/policystore.go
+++ b/internal/controlplane/client/policystore.go
@@ -72,6 +72,7 @@
 )
 
 // errSaveInProgress is returned by policyStore.save while another save or load runs, for example of a replaced worker.
+// The text is shown in the admin protocol and stays as it is; its "duty" is that worker.
 var errSaveInProgress = errors.New("a duty before is still writing")
 
 // newPolicyStore returns a store for the proxy of a name in the state directory. It reads and writes nothing yet.
--- a/internal/controlplane/client/policyworker.go
+++ b/internal/controlplane/client/policyworker.go
@@ -57,21 +57,21 @@
 	w.address = servers[w.serverIndex].Address
 	for ctx.Err() == nil {
 		c.worker.Heartbeat()
-		begin := c.clock()
+		sentAt := c.clock()
 		err := w.sendReport(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		supervisor.Sleep(ctx, w.pause(begin, err))
+		supervisor.Sleep(ctx, w.pause(sentAt, err))
 	}
 }
 
-// pause returns the time until the next report. begin is when the last report was sent, and err its error. The duration
-// of the call counts as part of the interval, because on a slow link the servers would otherwise consider the proxy
-// silent. While content is being fetched, only the minimum pause is made between two rounds of fetching.
-func (w *policyWorker) pause(begin time.Duration, err error) time.Duration {
+// pause returns the time until the next report. sentAt is when the last report was sent, and err its error. The
+// duration of the call counts as part of the interval, because on a slow link the servers would otherwise consider the
+// proxy silent. While content is being fetched, only the minimum pause is made between two rounds of fetching.
+func (w *policyWorker) pause(sentAt time.Duration, err error) time.Duration {
 	jitter := 1 - reportJitter + 2*reportJitter*rand.Float64()
-	pause := time.Duration(float64(w.interval)*jitter) - (w.client.clock() - begin)
+	pause := time.Duration(float64(w.interval)*jitter) - (w.client.clock() - sentAt)
 	if err == nil && w.fetcher.canFetch() {
 		pause = 0
 	}
@@ -177,6 +177,8 @@
 		return nil
 	}
 	if err := c.store.save(content); err != nil {
+		// The text is shown in the admin protocol and stays as it is. It means that the policy is installed, but was not
+		// stored for the next process.
 		return fmt.Errorf("it holds, but is not kept for the next process: %w", err)
 	}
 	return nil
--- a/internal/controlplane/client/quotaclient_test.go
+++ b/internal/controlplane/client/quotaclient_test.go
@@ -11,6 +11,8 @@
 	"lapisspread/internal/quotalease"
 )
 
+// Acquire takes a unit from every quota that covers an attempt. If one of them has no unit, it takes none from the
+// others either. It does not allocate.
 func TestAttemptDrawsOnAllCoveringQuotasOrNone(t *testing.T) {
 	now := time.Duration(0)
 	config := testConfig("")
@@ -70,6 +72,8 @@
 	}
 }
 
+// The client must not use leases and floors in the replies of another fleet, and must report the fault with advice. It
+// has at most one call in flight.
 func TestRepliesOfAnotherFleetAreRejected(t *testing.T) {
 	var inFlight atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/controlplane/freshness/monitor_test.go
+++ b/internal/controlplane/freshness/monitor_test.go
@@ -166,7 +166,7 @@
 
 func (f *fixture) waitUntilFresh() {
 	f.t.Helper()
-	f.waitFor("level fresh and a non-idempotent attempt at a to be allowed", func() bool {
+	f.waitFor("level fresh and a non-idempotent attempt at endpoint a to be allowed", func() bool {
 		return f.level() >= staleness.Fresh && f.allowed("a", nonIdempotentClass)
 	})
 }
@@ -191,10 +191,13 @@
 	return confidence
 }
 
+// While the watch delivers nothing, the freshness level falls to doubtful and then to blind. At doubtful, an endpoint
+// that has not answered since gets only attempts that may run twice. At blind its idempotent attempts are refused too.
+// When the watch answers again, the level rises.
 func TestSilentWatchLowersLevelAndAnswersRestoreIt(t *testing.T) {
 	runFixture(t, true, func(f *fixture) {
 		if f.allowed("a", nonIdempotentClass) {
-			t.Error("CheckAttempt(a, not idempotent) before any answer of the watch = allowed, want forbidden")
+			t.Error("CheckAttempt(endpoint a, not idempotent) before any answer of the watch = allowed, want forbidden")
 		}
 		f.waitUntilFresh()
 		time.Sleep(time.Minute)
@@ -210,19 +213,19 @@
 			{"not idempotent", nonIdempotentClass, false},
 		} {
 			if got := f.allowed("b", test.class); got != test.want {
-				t.Errorf("CheckAttempt(b, %s) at level doubtful: allowed %v, want %v", test.name, got, test.want)
+				t.Errorf("CheckAttempt(endpoint b, %s) at level doubtful: allowed %v, want %v", test.name, got, test.want)
 			}
 		}
 		f.attemptEnded("a", decision.OK)
 		if f.level() == staleness.Doubtful &&
 			(!f.allowed("a", nonIdempotentClass) || f.allowed("b", nonIdempotentClass)) {
-			t.Errorf("non-idempotent attempts at level doubtful after a answered: allowed at a %v, at b %v; "+
+			t.Errorf("non-idempotent attempts at level doubtful after endpoint a answered: allowed at endpoint a %v, at b %v; "+
 				"want true, false", f.allowed("a", nonIdempotentClass), f.allowed("b", nonIdempotentClass))
 		}
 		f.waitFor("level blind after the watch fell silent", func() bool { return f.level() == staleness.Blind })
 		if f.allowed("a", nonIdempotentClass) || f.allowed("b", idempotentClass) ||
 			f.allowed("unlisted", idempotentClass) {
-			t.Errorf("attempts at level blind: allowed at a (not idempotent) %v, b (idempotent) %v, "+
+			t.Errorf("attempts at level blind: allowed at endpoint a (not idempotent) %v, at endpoint b (idempotent) %v, "+
 				"an unlisted backend (idempotent) %v; want all false",
 				f.allowed("a", nonIdempotentClass), f.allowed("b", idempotentClass),
 				f.allowed("unlisted", idempotentClass))
@@ -235,6 +238,8 @@
 	})
 }
 
+// Unless the setting Enforce is on, CheckAttempt allows every attempt, however outdated the endpoint list may be, and
+// counts none as forbidden.
 func TestNothingIsForbiddenUnlessEnforced(t *testing.T) {
 	runFixture(t, false, func(f *fixture) {
 		f.waitUntilFresh()
@@ -242,13 +247,15 @@
 		f.waitFor("level blind after the watch fell silent", func() bool { return f.level() == staleness.Blind })
 		if !f.allowed("a", nonIdempotentClass) || !f.allowed("unlisted", nonIdempotentClass) ||
 			f.monitor.Report().ForbiddenAttempts["once"] > 0 {
-			t.Errorf("not enforced, level blind, non-idempotent attempts: allowed at a %v, at an unlisted backend %v, "+
+			t.Errorf("non-idempotent attempts without Enforce, level blind: allowed at endpoint a %v, at an unlisted one %v, "+
 				"%d counted as forbidden; want true, true, 0", f.allowed("a", nonIdempotentClass),
 				f.allowed("unlisted", nonIdempotentClass), f.monitor.Report().ForbiddenAttempts["once"])
 		}
 	})
 }
 
+// Refused connections to one endpoint lower the confidence in its list entry only. A timeout does not raise the
+// confidence, and a successful attempt restores it.
 func TestRefusedConnectionConcernsOneEndpoint(t *testing.T) {
 	runFixture(t, true, func(f *fixture) {
 		f.waitUntilFresh()
@@ -257,16 +264,17 @@
 			f.attemptEnded("a", decision.ConnectFailed)
 		}
 		if a, b := f.confidence("a"), f.confidence("b"); a > .5 || b < .9*before {
-			t.Errorf("confidence after 3 refused connections at a: a %v, b %v; "+
-				"want a at most 0.5, b at least 90%% of %v", a, b, before)
+			t.Errorf("confidence after 3 refused connections to endpoint a: endpoint a %v, endpoint b %v; "+
+				"want a at most 0.5, b at least 90%% of the previous %v", a, b, before)
 		}
 		low := f.confidence("a")
 		f.attemptEnded("a", decision.Timeout) // a timeout is evidence neither for nor against the entry
 		if got := f.confidence("a"); got > low+.05 {
-			t.Errorf("confidence in a after a timeout: %v, want at most %v: a timeout is not an answer", got, low+.05)
+			t.Errorf("confidence in the list entry of endpoint a after a timeout: %v, want at most %v: "+
+				"a timeout is no evidence for the entry", got, low+.05)
 		}
 		f.attemptEnded("a", decision.OK)
-		f.waitFor("confidence in a above 0.95 after a successful attempt", func() bool {
+		f.waitFor("confidence in the list entry of endpoint a above 0.95 after a successful attempt", func() bool {
 			return f.confidence("a") > .95
 		})
 	})
@@ -279,7 +287,7 @@
 		f.waitUntilFresh()
 		f.suspended.Add(int64(5 * time.Minute))
 		if f.allowed("a", nonIdempotentClass) || !f.allowed("a", idempotentClass) {
-			t.Errorf("attempts at a right after a suspension, with an old snapshot: allowed non-idempotent %v, "+
+			t.Errorf("attempts at endpoint a right after a suspension, with an old snapshot: allowed non-idempotent %v, "+
 				"idempotent %v; want false, true", f.allowed("a", nonIdempotentClass), f.allowed("a", idempotentClass))
 		}
 		time.Sleep(3 * snapshotInterval)
@@ -291,6 +299,7 @@
 	})
 }
 
+// A worker that replaces a crashed one starts from the complete list, including earlier additions and removals.
 func TestRestartedWorkerKeepsTheList(t *testing.T) {
 	runFixture(t, true, func(f *fixture) {
 		f.waitUntilFresh()
@@ -306,13 +315,14 @@
 		})
 		f.waitUntilFresh()
 		if !f.allowed("e", nonIdempotentClass) || f.allowed("d", nonIdempotentClass) {
-			t.Errorf("non-idempotent attempts after a restart of the worker: allowed at e (added before) %v, "+
-				"at d (removed before) %v; want true, false",
+			t.Errorf("non-idempotent attempts after a restart of the worker: allowed at endpoint e (added before) %v, "+
+				"at endpoint d (removed before) %v; want true, false",
 				f.allowed("e", nonIdempotentClass), f.allowed("d", nonIdempotentClass))
 		}
 	})
 }
 
+// The confidence in the list must fall after the watch of its source has ended with an error.
 func TestBrokenWatchLowersConfidence(t *testing.T) {
 	runFixture(t, true, func(f *fixture) {
 		f.waitUntilFresh()
@@ -322,13 +332,15 @@
 		f.answer(errors.New("watch broken by the test"))
 		time.Sleep(5 * time.Second)
 		if got := f.confidence("a"); got >= before {
-			t.Errorf("confidence in a 5s after the watch broke: %v, want below %v", got, before)
+			t.Errorf("confidence in the list entry of endpoint a 5s after the watch broke: %v, want below the previous %v",
+				got, before)
 		}
 		f.heartbeats.Store(true)
 		f.waitUntilFresh()
 	})
 }
 
+// If a Fetch returns a list with a lower version than the watch has already delivered, the monitor must ignore it.
 func TestOvertakenAnswerIsDropped(t *testing.T) {
 	runFixture(t, true, func(f *fixture) {
 		f.answer(endpointList(5, false, "e"))
@@ -337,7 +349,7 @@
 		}
 		f.waitUntilFresh()
 		if !f.allowed("e", nonIdempotentClass) {
-			t.Error("CheckAttempt(e) after fetching a list older than the watched one = forbidden, want allowed: " +
+			t.Error("CheckAttempt(endpoint e) after fetching a list older than the watched one = forbidden, want allowed: " +
 				"the older list must be dropped")
 		}
 	})
