--- a/internal/controlplane/api/config_test.go
+++ b/internal/controlplane/api/config_test.go
@@ -12,6 +12,7 @@
 
 const exampleFile = "../../../deploy/fleet.toml"
 
+// The example configuration in deploy, its namespace files and its quotas must be valid.
 func TestExampleIsValid(t *testing.T) {
 	config, err := api.Load(exampleFile)
 	if err != nil {
@@ -63,6 +64,7 @@
 	}
 }
 
+// DecodeBody must reject bodies that are empty, truncated, longer than MaxBodyBytes, or that announce a huge array.
 func TestBodiesAreBounded(t *testing.T) {
 	var status api.ServerStatus
 	for _, body := range [][]byte{
--- a/internal/controlplane/api/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -39,7 +39,8 @@
 	Err     error
 }
 
-// Error implements error.
+// Error implements error. The text is shown in the admin protocol and stays as it is; a steward is a control-plane
+// server.
 func (e ServerUnreachableError) Error() string {
 	return fmt.Sprintf("steward at %s: %v", e.Address, e.Err)
 }
--- a/internal/controlplane/api/validate.go
+++ b/internal/controlplane/api/validate.go
@@ -29,7 +29,9 @@
 	}
 }
 
-// validate returns all errors of the configuration, joined; nil if it is valid. Each error names the key.
+// validate returns all errors of the configuration, joined; nil if it is valid. Each error names the key
+// as the file spells it: stewards are the control-plane servers, budgets the quotas, view the freshness settings, and
+// charter the ownership declaration.
 func (c *Config) validate() error {
 	var all problems
 	c.validateServers(&all)
--- a/internal/controlplane/client/fetch_test.go
+++ b/internal/controlplane/client/fetch_test.go
@@ -105,7 +105,8 @@
 	}
 }
 
-// Chunks that are damaged in transit are rejected and fetched again. Truncated replies do no harm.
+// Chunks that are damaged in transit are rejected and fetched again. After a truncated reply, the
+// missing chunks are fetched too.
 func TestDamagedChunkIsFetchedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(t)
--- a/internal/controlplane/client/fetcher.go
+++ b/internal/controlplane/client/fetcher.go
@@ -191,6 +191,7 @@
 	f.namesPerRequest = min(f.namesPerRequest+f.namesPerRequest/8+1, api.MaxChunkNames)
 	if err := f.addChunks(reply.Chunks); err != nil {
 		f.suspendServer(maxReportInterval)
+		// The text is shown in the admin protocol and stays as it is; a steward is a control-plane server.
 		return fmt.Errorf("steward %s: %w", server.Name, err)
 	}
 	return nil
--- a/internal/controlplane/client/policyworker.go
+++ b/internal/controlplane/client/policyworker.go
@@ -149,6 +149,7 @@
 	ctx context.Context, f *fetcher, reply api.PolicyReply, mayInstall func() bool,
 ) error {
 	if reply.Fleet != c.config.File.Fleet {
+		// The text is shown in the admin protocol and stays as it is; a steward is a control-plane server.
 		return fmt.Errorf("a steward answers for fleet %q", reply.Fleet)
 	}
 	if !reply.Target.NewerThan(c.current.Load().Offer) && !c.mutations.skipOrderCheck {
--- a/internal/controlplane/client/randomized_test.go
+++ b/internal/controlplane/client/randomized_test.go
@@ -48,9 +48,9 @@
 	linksOK    bool              // no link faults any more; guarded by the server's mutex
 	sent       []api.PolicyReply // replies to reports so far, which may be delivered again
 	mutations  policyMutations
-	incomplete bool // the proxy uses incompleteAssembly
-	generation uint64
-	epoch      uint64
+	incomplete bool   // the proxy uses incompleteAssembly
+	generation uint64 // of the current offer
+	epoch      uint64 // of the current offer
 	proxy      *testProxy
 	violations []string
 }
@@ -86,7 +86,7 @@
 	case *api.PolicyReply:
 		r.sent = append(r.sent, *reply)
 		if r.links.IntN(4) == 0 {
-			*reply = r.sent[r.links.IntN(len(r.sent))] // a late reply, or one of a server that was suspended
+			*reply = r.sent[r.links.IntN(len(r.sent))] // as after a delay on the link or a suspension of the server
 		}
 		if r.links.IntN(3) == 0 {
 			reply.Chunks = reply.Chunks[:r.links.IntN(len(reply.Chunks)+1)]
--- a/internal/controlplane/client/servicequotas.go
+++ b/internal/controlplane/client/servicequotas.go
@@ -57,6 +57,7 @@
 		return nil, nil
 	}
 	if len(s.covering) > maxQuotasPerService {
+		// Operators know quotas as budgets, the name of their key in the configuration file.
 		return nil, fmt.Errorf("%d budgets cover service %q; %d are the most",
 			len(s.covering), service, maxQuotasPerService)
 	}
--- a/internal/controlplane/client/testserver_test.go
+++ b/internal/controlplane/client/testserver_test.go
@@ -253,6 +253,7 @@
 	return nil
 }
 
+// checkViolations fails the test with each violation that checkAndInstall recorded.
 func (p *testProxy) checkViolations(t *testing.T) {
 	t.Helper()
 	for _, violation := range p.violations {
--- a/internal/controlplane/freshness/monitor_test.go
+++ b/internal/controlplane/freshness/monitor_test.go
@@ -164,6 +164,7 @@
 	f.t.Fatalf("waiting 1h for %s: timed out with report %+v", description, f.monitor.Report())
 }
 
+// waitUntilFresh waits until the list is fresh and endpoint a gets attempts that must not run twice.
 func (f *fixture) waitUntilFresh() {
 	f.t.Helper()
 	f.waitFor("level fresh and a non-idempotent attempt at endpoint a to be allowed", func() bool {
