--- a/internal/controlplane/api/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -39,7 +39,8 @@
 	Err     error
 }
 
-// Error implements error.
+// Error implements error. The text is shown in the admin protocol and stays as it is; a steward is a control-plane
+// server.
 func (e ServerUnreachableError) Error() string {
 	return fmt.Sprintf("steward at %s: %v", e.Address, e.Err)
 }
@@ -68,8 +69,8 @@
 	Code    string `json:"Name"` // see CodedError
 	Message string `json:"Text"`
 	Help    string `json:"Help"` // what an operator can do
-	// LeaderAddress is the leader's address, to which to send the call instead. It is empty unless the server is not
-	// the leader and knows the leader.
+	// LeaderAddress is the leader's address, to which to send the call instead. Only a server that is not
+	// the leader and has the leader's address sets it.
 	LeaderAddress string `json:"Leader"`
 }
 
