--- a/cmd/lapisspread/fleet.go
+++ b/cmd/lapisspread/fleet.go
@@ -105,7 +105,8 @@
 			})
 		},
 	}
-	c.Flags().Uint64Var(&epoch, "epoch", 1, "epoch of the fleet, higher than all it was ever founded under")
+	c.Flags().Uint64Var(&epoch, "epoch", 1,
+		"epoch of the fleet, higher than all epochs under which it was bootstrapped before")
 	return c
 }
 
@@ -135,11 +136,11 @@
 		},
 	}
 	c.Flags().Uint64Var(&version, "version", 0,
-		"version of the budgets, higher than all used before; 0 stands for the servers' present version plus one")
+		"version of the budgets, higher than all used before; 0 means the servers' current version plus one")
 	c.Flags().DurationVar(&wait, "wait", 0,
-		"retry for this time, for example until the waiting time after a founding is over")
+		"retry failed attempts for this time, for example until the waiting time after a bootstrap is over")
 	c.Flags().StringSliceVar(&removedHolders, "gone", nil,
-		"proxies that will never use their floors again; the operator vouches for it")
+		"proxies that will never use their floors again; the operator must be sure of it")
 	return c
 }
 
--- a/cmd/lapisspread/main.go
+++ b/cmd/lapisspread/main.go
@@ -18,7 +18,7 @@
 // Exit codes, besides 0 for success.
 const (
 	exitFailed = 1 // the command ran and failed: a bad configuration, an address in use
-	exitUsage  = 2 // the command line itself was wrong
+	exitUsage  = 2 // the command line was invalid
 )
 
 // usageError is an error in the command line, which ends the process with exitUsage.
@@ -50,7 +50,7 @@
 	root := &cobra.Command{
 		Use:   "lapisspread",
 		Short: "An HTTP/1.1 load-balancing proxy that decides which backend to use, when to retry and when to reject",
-		Long: `lapisspread stands in front of a fleet of dispatch nodes.
+		Long: `lapisspread forwards HTTP requests to a fleet of dispatch nodes.
 
 BALANCER_CONFIG is the path of its JSON configuration file. BALANCER_NAME, BALANCER_LISTEN,
 BALANCER_DISCOVERY and BALANCER_CONSOLE override the settings in that file. SIGHUP reloads the file,
@@ -164,7 +164,7 @@
 	return fmt.Sprintf("%s%s%s %s", info.Main.Version, revision, dirty, info.GoVersion)
 }
 
-// noArguments rejects command lines with arguments by a usageError.
+// noArguments rejects command lines with arguments and returns a usageError.
 func noArguments(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("%s: unknown command or argument %q", cmd.CommandPath(), args[0])}
--- a/cmd/lapisspread/main_test.go
+++ b/cmd/lapisspread/main_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// startDiscovery starts a discovery service with an empty list, which sends its name on called at each call. It returns
-// the address of the service.
+// startDiscovery starts a discovery service with an empty list, which sends name on the channel called at each request.
+// It returns the address of the service.
 func startDiscovery(t *testing.T, name string, called chan<- string) (addr string) {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/cmd/lapisspread/operate_test.go
+++ b/cmd/lapisspread/operate_test.go
@@ -83,7 +83,7 @@
 }
 
 // startUpgradable starts a proxy on an inherited socket and waits until its console answers. A proxy that starts with
-// the same shared directory and socket takes over from the one that runs.
+// the same shared directory and socket takes over from the running one.
 func startUpgradable(t *testing.T, addr, shared string, socket *os.File) (
 	console string, c *exec.Cmd, exited chan error,
 ) {
--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -22,7 +22,7 @@
 	return c.Flags().String("by", os.Getenv("USER"), "name of the operator, which is stored and shown")
 }
 
-// argumentCount rejects command lines with fewer or more arguments by a usageError.
+// argumentCount rejects command lines with fewer or more arguments and returns a usageError.
 func argumentCount(minimum, maximum int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) < minimum || len(args) > maximum {
@@ -66,8 +66,8 @@
 	return showPolicy(cmd, fleet, client)
 }
 
-// offerCommand returns "fleet offer", which submits the files of namespaces; see store.SubmitFile. A file that is
-// rejected does not keep the ones after it from being submitted.
+// offerCommand returns "fleet offer", which submits the files of namespaces; see store.SubmitFile. A rejected file does
+// not prevent the submission of the files after it.
 func offerCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "offer FILE NAMESPACE.toml...",
--- a/cmd/lapisspread/policy_test.go
+++ b/cmd/lapisspread/policy_test.go
@@ -163,7 +163,7 @@
 	f.run(2, []string{"--epoch is needed"}, "back", file)
 	f.run(0, []string{"in force: epoch 1,"}, "back", file, "--epoch", "1")
 	f.run(0, []string{"in force: epoch 1,", "roll-out: idle", "1 proxies are of an older release"}, "policy", file)
-	f.run(0, []string{"in force: epoch 1,"}, "stop", file) // there is nothing to stop
+	f.run(0, []string{"in force: epoch 1,"}, "stop", file) // no rollout is in progress, so nothing changes
 	f.run(1, []string{"is older than version 2"}, "offer", file, f.namespace("beta", 1, "/c"))
 	stop() // without reports the next rollout does not finish
 	f.run(0, []string{"train: epoch", "beta/3"}, "offer", file, f.namespace("beta", 3, "/c"))
--- a/cmd/lapisspread/routes.go
+++ b/cmd/lapisspread/routes.go
@@ -69,7 +69,9 @@
 	return c
 }
 
-// explainRoute prints the route that a request gets, and how all others compare. It fails if the request gets none.
+// explainRoute prints the services of the route that a request gets, and then, each with the reason, the first route
+// that it matches (*), the other routes that it matches (+) and those that it does not match (-). If all is false, it prints
+// at most maxShownMismatches of the last. It returns an error if no route matches.
 func explainRoute(out io.Writer, table *route.Table, request *route.Request, all bool) error {
 	rule, verdict := table.Lookup(request)
 	if rule != nil {
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// oneFile rejects command lines without exactly one argument by a usageError.
+// oneFile rejects command lines without exactly one argument and returns a usageError.
 func oneFile(cmd *cobra.Command, args []string) error {
 	if len(args) != 1 {
 		return usageError{fmt.Errorf("%s takes one FILE, not %d", cmd.CommandPath(), len(args))}
--- a/cmd/lapisspread/serve.go
+++ b/cmd/lapisspread/serve.go
@@ -16,8 +16,8 @@
 	"lapisspread/internal/proxy"
 )
 
-// heapShare is the share of the memory limit, 0 to 1, that the garbage collector keeps the heap within. The rest is for
-// memory that it does not count, such as the sockets' buffers and the program itself.
+// heapShare is the fraction of the memory limit, 0 to 1, to which the garbage collector limits the heap. The rest is
+// for memory that it does not count, such as the sockets' buffers and the program itself.
 const heapShare = 0.7
 
 // serveFiles are the optional files of "serve". An empty name turns the feature off.
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// apply puts the files into the proxy's configuration.
+// apply sets the files in the proxy's configuration.
 func (f serveFiles) apply(cfg *proxy.Config) {
 	cfg.Services = f.services
 	cfg.Admission = f.admission
--- a/internal/staleness/age.go
+++ b/internal/staleness/age.go
@@ -62,8 +62,8 @@
 	s.heartbeatDelay = 0
 }
 
-// Restore marks the content as restored from an earlier process, of the given age; a negative savedAge stands for an
-// unknown age. Learned change rates and gaps are kept.
+// Restore marks the content as restored from an earlier process, of the given age; a negative savedAge means that
+// the age is unknown. Learned change rates and gaps are kept.
 func (v *View) Restore(now, savedAge time.Duration) {
 	for _, s := range v.sources {
 		if v.settings.omitted == termRestart {
--- a/internal/staleness/calibrate/calibrate_test.go
+++ b/internal/staleness/calibrate/calibrate_test.go
@@ -10,8 +10,9 @@
 	"lapisspread/internal/staleness"
 )
 
-// full enables TestProof, which takes minutes: go test ./internal/staleness/calibrate -run Proof -v -full
-var full = flag.Bool("full", false, "run TestProof: seeds 31 to 40, 9,000 s each, then again without each term")
+// full enables TestProof, which takes minutes. To run it: go test ./internal/staleness/calibrate -run Proof -v -full
+var full = flag.Bool("full", false, "run TestProof: simulate seeds 31 to 40 for 9,000 s each, "+
+	"then for 3,000 s each with one term of the estimate omitted at a time")
 
 // simulate runs one simulation for each seed from firstSeed to lastSeed and returns the sum of their outcomes.
 func simulate(t testing.TB, firstSeed, lastSeed uint64, duration time.Duration, view staleness.Settings) *Result {
@@ -27,13 +28,14 @@
 }
 
 // violations returns a text for each limit that a result exceeds. Short simulations have few attempts in the middle
-// deciles, and these attempts are correlated because about forty of them fall into the same silence. If short is set,
-// the bias of a decile may therefore exceed its limit by three standard errors, computed for a quarter of its attempts.
+// deciles, and these attempts are correlated because about forty of them are made during the same silence of a watch.
+// If short is set, the bias of a decile may therefore exceed its limit by three standard errors, computed for a quarter
+// of its attempts.
 func violations(r *Result, short bool) []string {
-	var all []string
+	var exceeded []string
 	check := func(violated bool, format string, args ...any) {
 		if violated {
-			all = append(all, fmt.Sprintf(format, args...))
+			exceeded = append(exceeded, fmt.Sprintf(format, args...))
 		}
 	}
 	for i, d := range r.Estimate.Deciles {
@@ -55,20 +57,24 @@
 	check(math.Abs(top.Bias()) > maxBias,
 		"top decile at silent watches has bias %+.4f, want at most %.3f in size", top.Bias(), maxBias)
 	coverage := e.CoverageWithoutStaleAnswers()
-	check(coverage < .999, "part of age bounds that hold without stale answers is %.4f, want at least .999", coverage)
+	check(coverage < .999,
+		"fraction of age bounds that hold, without those that failed during stale answers, is %.4f, want at least .999",
+		coverage)
 	check(e.CoverageOfMissed() < .999,
-		"part of age bounds that hold against missed changes is %.4f, want at least .999", e.CoverageOfMissed())
-	check(e.MedianRatio() > 2, "median ratio of bound to age is %.2f, want at most 2", e.MedianRatio())
+		"fraction of age bounds that are no less than the age of the first missed change is %.4f, want at least .999",
+		e.CoverageOfMissed())
+	check(e.MedianRatio() > 2, "median ratio of age bound to true age is %.2f, want at most 2", e.MedianRatio())
 	check(e.BrierSum >= r.Baseline.BrierSum,
-		"Brier sum is %.0f, want less than the baseline's %.0f", e.BrierSum, r.Baseline.BrierSum)
-	return all
+		"sum of squared errors (Brier) of the estimate is %.0f, want less than the baseline's %.0f",
+		e.BrierSum, r.Baseline.BrierSum)
+	return exceeded
 }
 
 func TestEstimateIsCalibratedAndBaselineIsNot(t *testing.T) {
 	r := simulate(t, 21, 22, 300*time.Second, staleness.Settings{})
 	t.Logf("\n%s", r)
 	for _, violation := range violations(r, true) {
-		t.Error(violation)
+		t.Errorf("simulation of seeds 21 to 22, 300 s each, exceeds a limit: %s", violation)
 	}
 	if r.Attempts < 12_000 || r.SilentWatch.Deciles[9].Attempts < 1000 || r.Estimate.Ages < 5_000 {
 		t.Errorf("%d attempts, %d at silent watches in the top decile, %d age checks, "+
@@ -84,8 +90,8 @@
 // terms are the terms of the estimate that Settings.Without can omit.
 var terms = []string{"phi", "rate", "evidence", "stop", "restart"}
 
-// In a short simulation an omitted term may also show as a worse Brier score (Brier, "Verification of forecasts", 1950)
-// for the same attempts.
+// Without any one term the estimate must exceed a limit. In a short simulation a Brier score (Brier, "Verification of
+// forecasts", 1950) that is over 2 % worse for the same attempts counts as well.
 func TestOmittingAnyTermFails(t *testing.T) {
 	complete := simulate(t, 1, 2, 300*time.Second, staleness.Settings{})
 	if found := violations(complete, true); len(found) > 0 {
@@ -130,7 +136,7 @@
 	found := violations(r, false)
 	t.Logf("\n%s\nlimits exceeded: %v", r, found)
 	for _, violation := range found {
-		t.Error(violation)
+		t.Errorf("simulation of seeds 31 to 40, 9,000 s each, exceeds a limit: %s", violation)
 	}
 	for _, term := range terms {
 		r := simulate(t, 31, 40, 3000*time.Second, staleness.Settings{}.Without(term))
--- a/internal/staleness/calibrate/calls.go
+++ b/internal/staleness/calibrate/calls.go
@@ -13,7 +13,7 @@
 	callTimeout       = 2 * time.Second
 	// refusedCallTime is the time after which a call fails during an outage of the discovery service.
 	refusedCallTime = 100 * time.Millisecond
-	// answerContentAfter is the time from a call to the moment whose list is in the answer.
+	// answerContentAfter is the time from a call to the moment whose server list the answer contains.
 	answerContentAfter   = 40 * time.Millisecond
 	minAnswerTime        = 50 * time.Millisecond
 	maxAnswerTime        = 120 * time.Millisecond
@@ -25,7 +25,7 @@
 	checksBeforeCall = 2
 )
 
-// callNow schedules a call for now, unless an earlier one is scheduled.
+// callNow schedules a call at the time now, unless one is scheduled earlier.
 func (p *proxy) callNow(now time.Duration) {
 	p.nextCall = min(now, p.nextCall)
 	if p.nextCall < 0 {
--- a/internal/staleness/calibrate/proxy.go
+++ b/internal/staleness/calibrate/proxy.go
@@ -35,7 +35,7 @@
 	minSuspension  = 2 * time.Second
 	restartRate    = 1. / 240
 	minRestart     = time.Second
-	maxPause       = 20 * time.Second
+	maxPause       = 20 * time.Second // of suspensions and of restarts
 	// backlogSpacing is the time between two queued messages after a suspension.
 	backlogSpacing = 50 * time.Millisecond
 	// lostAgeChance is the probability that a restarted proxy does not know the age of its list.
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// stepFault ends a fault whose time is over, and may start another fault.
+// stepFault ends a fault at its faultUntil, and then may start another fault at random.
 func (s *simulation) stepFault(p *proxy, now time.Duration) {
 	if now < p.faultUntil {
 		return
@@ -171,7 +171,7 @@
 	}
 }
 
-// pause may suspend or stop the process, and reports whether it did.
+// pause suspends or stops the process at random, and reports whether it did.
 func (p *proxy) pause(now time.Duration) bool {
 	switch x := p.rng.Float64() / step.Seconds(); {
 	case x < suspensionRate:
@@ -201,6 +201,7 @@
 	p.pausedUntil = -1
 }
 
+// restart restores the saved list, sometimes without its age, and schedules the first call of the new process.
 func (p *proxy) restart(now time.Duration) {
 	age := now - p.savedAt
 	if lost := p.rng.Float64() < lostAgeChance; !p.savedAgeKnown || lost {
--- a/internal/staleness/calibrate/result.go
+++ b/internal/staleness/calibrate/result.go
@@ -22,7 +22,7 @@
 	Unchanged   int     // servers that were as listed
 }
 
-// Bias returns the observed part of unchanged servers minus the mean estimate, or 0 without attempts.
+// Bias returns the observed fraction of unchanged servers minus the mean estimate, or 0 without attempts.
 func (d Decile) Bias() float64 {
 	if d.Attempts == 0 {
 		return 0
@@ -35,11 +35,11 @@
 	Deciles  [deciles]Decile
 	BrierSum float64 // sum of squared errors of the probabilities (Brier, 1950)
 
-	Ages          int // bounds of the age that were checked
-	AgesCovered   int // bounds that held against the age of information
-	MissedCovered int // bounds that held against the age of the first missed change
-	StaleAnswers  int // bounds that failed against the age of information while discovery answered with an old list
-	ratios        []float64
+	Ages          int       // number of age bounds that were checked
+	AgesCovered   int       // age bounds that were not below the age of information; see checkAge
+	MissedCovered int       // age bounds that were not below the age of the first missed change
+	StaleAnswers  int       // bounds that were below the age of information while discovery answered with an old list
+	ratios        []float64 // age bound divided by age of information, for ages above 0
 }
 
 // Result is the outcome of simulations.
@@ -122,16 +122,16 @@
 	return worst
 }
 
-// Coverage returns the part of bounds that held against the age of information, 0 to 1.
+// Coverage returns the fraction of age bounds that were not below the age of information.
 func (s *Score) Coverage() float64 { return float64(s.AgesCovered) / float64(max(1, s.Ages)) }
 
-// CoverageWithoutStaleAnswers returns the same as Coverage, but leaves out the bounds that failed because the discovery
-// service answered with an old list.
+// CoverageWithoutStaleAnswers returns the same as Coverage, but leaves out the bounds that were too low because the
+// discovery service answered with an old list.
 func (s *Score) CoverageWithoutStaleAnswers() float64 {
 	return float64(s.AgesCovered) / float64(max(1, s.Ages-s.StaleAnswers))
 }
 
-// CoverageOfMissed returns the part of bounds that held against the age of the first missed change.
+// CoverageOfMissed returns the fraction of age bounds that were not below the age of the first missed change.
 func (s *Score) CoverageOfMissed() float64 { return float64(s.MissedCovered) / float64(max(1, s.Ages)) }
 
 // MedianRatio returns the median of the bound divided by the age of information, or infinity if there is no bound.
--- a/internal/staleness/calibrate/servers.go
+++ b/internal/staleness/calibrate/servers.go
@@ -83,23 +83,23 @@
 	}
 }
 
-// stepServer may change a server, and reports whether it did.
+// stepServer stops, starts or restarts a server at random, and reports whether it did.
 func (s *simulation) stepServer(i int, now time.Duration) bool {
 	v := &s.servers[i]
 	rate := kinds[v.kind].changeRate
 	if now < s.deployUntil[v.kind] {
 		rate += deployChangeRate
 	}
-	started := uint64(now/step)*incarnationsPerStep + uint64(i) + firstLaterIncarnation
+	newIncarnation := uint64(now/step)*incarnationsPerStep + uint64(i) + firstLaterIncarnation
 	switch {
 	case v.incarnation == 0 && now >= v.returnsAt:
-		v.incarnation = started
+		v.incarnation = newIncarnation
 	case v.incarnation != 0 && eventOccurs(s.rng, rate):
 		if s.rng.Float64() < leaveChance {
 			v.incarnation = 0
 			v.returnsAt = now + uniform(s.rng, minAbsence, maxAbsence)
 		} else {
-			v.incarnation = started
+			v.incarnation = newIncarnation
 		}
 	default:
 		return false
--- a/internal/staleness/calibrate/table.go
+++ b/internal/staleness/calibrate/table.go
@@ -6,7 +6,8 @@
 )
 
 // String returns a table of both estimators with one row per decile: the number of attempts, the mean estimate
-// ("marked"), the observed part of unchanged servers ("right") and the bias ("off").
+// ("marked"), the observed fraction of unchanged servers ("right") and the bias ("off"). A "tenth" is a decile, "plain"
+// is the baseline and "view" is package staleness.
 func (r *Result) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-9s %9s %7s %7s %7s   %9s %7s %7s %7s\n",
--- a/internal/staleness/calibrate/watch.go
+++ b/internal/staleness/calibrate/watch.go
@@ -6,6 +6,7 @@
 	"lapisspread/internal/staleness"
 )
 
+// messageKind says what a message carries.
 type messageKind int
 
 const (
@@ -29,12 +30,12 @@
 
 const (
 	heartbeatInterval = time.Second
-	minHeartbeatPace  = .97 // shortest time between heartbeats, as a part of heartbeatInterval
-	heartbeatSpread   = .06 // longest minus shortest time, as a part of heartbeatInterval
-	changeLossChance  = .003
+	minHeartbeatPace  = .97  // shortest time between heartbeats, as a fraction of heartbeatInterval
+	heartbeatSpread   = .06  // longest minus shortest time, as a fraction of heartbeatInterval
+	changeLossChance  = .003 // probability that the watch loses a change
 	minTransit        = 15 * time.Millisecond
 	meanExtraTransit  = 25 * time.Millisecond
-	lateChance        = .01
+	lateChance        = .01 // probability that a message is late, by minLateness to maxLateness
 	minLateness       = 300 * time.Millisecond
 	maxLateness       = 2 * time.Second
 	// requestTransit is the time from a call to the moment at which the discovery service makes the answer.
@@ -96,7 +97,7 @@
 	p.enqueue(m)
 }
 
-// enqueue keeps the order of messages: none arrives before the one sent earlier.
+// enqueue adds a message to the proxy's queue. Messages arrive in the order in which they were sent.
 func (p *proxy) enqueue(m message) {
 	m.arrivesAt = max(p.lastArrival, m.arrivesAt)
 	p.lastArrival = m.arrivesAt
@@ -139,6 +140,7 @@
 	return s.applyCompleteList(p, now, m)
 }
 
+// applyCompleteList replaces the proxy's list, starts a watch if there is none, and passes the list to the view.
 func (s *simulation) applyCompleteList(p *proxy, now time.Duration, m message) error {
 	update := staleness.Update{Version: m.version, Complete: true, RequestedAt: m.requestedAt}
 	for i, incarnation := range m.incarnations {
--- a/internal/staleness/change_rate.go
+++ b/internal/staleness/change_rate.go
@@ -39,7 +39,7 @@
 	burstExposure float64 // entries times seconds
 	trialChanges  float64 // entries found changed by attempts while the source was not followed
 	trialHazard   float64 // cumulative hazard of the entries that the attempts found unchanged
-	shape         float64
+	shape         float64 // see NewChangeRate
 }
 
 // NewChangeRate returns an estimator that starts with a prior. shape is the shape of the Gamma distribution with mean 1
--- a/internal/staleness/confidence.go
+++ b/internal/staleness/confidence.go
@@ -26,8 +26,8 @@
 	maxCertainty = 1 - 1e-6
 )
 
-// Confidence returns the probability that an entry is as listed, so that acting on it now is right. It returns 0 for an
-// entry that is not listed.
+// Confidence returns the probability that an entry is as listed: the listed incarnation still runs at its address, so
+// acting on the entry now is right. It returns 0 for an entry that is not listed.
 func (v *View) Confidence(now time.Duration, name string) float64 {
 	e := v.entries[name]
 	if e == nil {
--- a/internal/staleness/doc.go
+++ b/internal/staleness/doc.go
@@ -6,8 +6,9 @@
 // A View has sources, such as a discovery watch. A source lists entries (servers), or is one value on which every
 // route depends. For each source the view keeps a posterior over three states: the source is followed live; the watch
 // is silent (nothing arrives any more); or the source answers with stale data. The last two consist of hypotheses about
-// the time at which the content was last current. Heartbeats, updates, failed calls and the answers of servers update
-// the posterior by Bayes' rule; see filter.
+// the time at which the content was last current. An entry is as listed (unchanged) if the listed incarnation still
+// runs at the entry's address. Heartbeats, updates, failed calls and the answers of servers update the
+// posterior by Bayes' rule; see filter.
 //
 // Three estimates feed it:
 //
--- a/internal/staleness/evidence.go
+++ b/internal/staleness/evidence.go
@@ -51,21 +51,24 @@
 	priorConfirmations = 50
 	// priorContradictions is the weight of each kind of contradiction before any was observed.
 	priorContradictions = .5
-	// minOdds is the lower limit of the factor of an entry's odds.
+	// minOdds is the minimum of trackedEntry.odds.
 	minOdds = 1e-9
-	// liveForTrials is the probability of a live source above which attempts are used to learn how late changes arrive.
+	// liveForTrials is the probability that a source is followed live above which attempts are used to learn how late
+	// changes arrive.
 	liveForTrials = .8
-	// timeoutFactor multiplies the weights of a live and of a stale source after a call timed out; that of a silent
-	// source stays.
+	// timeoutFactor multiplies the weights of the live and the stale state after a call timed out; the weight of the
+	// silent state is not multiplied.
 	timeoutFactor = .05
 	// minSourceSurvival is the minimum factor by which a confirmation multiplies the weight of a hypothesis.
 	minSourceSurvival = 1e-6
-	// maxSourceHazard bounds the exponent of a source's survival.
+	// maxSourceHazard is the maximum cumulative hazard, per kind of entry, that confirmSource uses. The probability that
+	// no entry of the kind changed is exp(-hazard).
 	maxSourceHazard = 20
 )
 
 const (
-	// lateUpdateFactor multiplies the weight of a live source whose update has been missing for half a usual gap.
+	// lateUpdateFactor multiplies the weight of the live state of a source whose update has been missing for
+	// half a usual gap.
 	lateUpdateFactor = .01
 	// minUpdateInTransit is the minimum probability that the update to a later version is in transit.
 	minUpdateInTransit = .002
@@ -75,7 +78,7 @@
 	transitSeconds = .1
 	// staleSourceWeight is the weight of the hypothesis that the source answers with stale data, if there is none yet.
 	staleSourceWeight = .01
-	// maxStaleAge is the maximum age of the hypothesis that gets staleSourceWeight.
+	// maxStaleAge is the maximum age of the content that the hypothesis with staleSourceWeight assumes.
 	maxStaleAge = time.Minute
 )
 
@@ -208,8 +211,8 @@
 }
 
 // RecordConfirmation records that an entry answered as listed: it is the same process, and it accepted the token. An
-// empty entry stands for the source: a control-plane server or peer, which follows the source on its own, has the same
-// version. The error is UnknownSourceError.
+// empty entry means the source itself: a control-plane server or peer, which follows the source on its own, has the
+// same version. The error is UnknownSourceError.
 func (v *View) RecordConfirmation(now time.Duration, name, entry string) error {
 	s, err := v.source(name)
 	if err != nil {
--- a/internal/staleness/filter.go
+++ b/internal/staleness/filter.go
@@ -13,7 +13,8 @@
 	// minTotalWeight is the total weight below which an observation counts as impossible in every state: the weights
 	// are then not normalized.
 	minTotalWeight = 1e-200
-	// staleAfterChanges is the part of the stale weight that remains when changes arrive: a stale source may send them.
+	// staleAfterChanges is the part of the stale weight that remains when changes arrive, because a stale source may
+	// send some too.
 	staleAfterChanges = .05
 	// mergeAgeSeconds keeps the merge cost of very recent hypotheses finite.
 	mergeAgeSeconds = .1
@@ -36,7 +37,7 @@
 	stale  []hypothesis // answers arrive and carry old data; in order of time
 }
 
-// transitionRates are the filter's hazards, per second.
+// transitionRates are the rates of the transitions between states, per second.
 type transitionRates struct {
 	silence  float64 // live to silent
 	stale    float64 // live to stale
@@ -46,6 +47,7 @@
 // unfollowed returns the hypotheses under which the source is not followed.
 func (f *filter) unfollowed() [2][]hypothesis { return [2][]hypothesis{f.silent, f.stale} }
 
+// total returns the sum of all weights.
 func (f *filter) total() float64 {
 	total := f.live
 	for _, h := range f.silent {
@@ -70,6 +72,8 @@
 	f.normalize()
 }
 
+// normalize scales the weights so that they add up to 1, and drops hypotheses below minWeight. It does nothing if
+// the sum is not above minTotalWeight.
 func (f *filter) normalize() {
 	total := f.total()
 	if !(total > minTotalWeight) { // also if total is not a number
@@ -119,6 +123,7 @@
 	return weight * math.Log1p(distance)
 }
 
+// merged returns one hypothesis with the sum of the weights, at the weighted mean of the two moments.
 func merged(earlier, later hypothesis) hypothesis {
 	weight := earlier.weight + later.weight
 	offset := time.Duration(float64(later.at-earlier.at) * later.weight / weight)
--- a/internal/staleness/fleet_map.go
+++ b/internal/staleness/fleet_map.go
@@ -14,7 +14,7 @@
 	MaxTransit     time.Duration // maximum transit time of a report; later reports must not be recorded
 	ReportInterval time.Duration // between two reports of a proxy
 	ClockDrift     float64       // maximum drift between two monotonic clocks, as a fraction such as .001
-	ClockJitter    time.Duration // maximum error of reading a clock; smaller deviations are no fault
+	ClockJitter    time.Duration // maximum error of reading a clock; smaller deviations are not reported as faults
 }
 
 const (
@@ -39,7 +39,7 @@
 	report           Report
 	receivedAt       time.Duration
 	faults           []error
-	plausibleReports int           // in a row
+	plausibleReports int           // number of consecutive plausible reports
 	firstClock       time.Duration // the proxy's clock in the report with which its speed is compared
 	firstClockAt     time.Duration // when that report arrived
 }
@@ -50,8 +50,8 @@
 	p.firstClockAt = now
 }
 
-// FleetMap holds what a control-plane server knows about the views of all proxies. The now arguments of its methods are
-// times of the server's monotonic clock. It must not be used by two goroutines at once.
+// FleetMap holds what the proxies reported to a control-plane server about their views. The now arguments of its
+// methods are times of the server's monotonic clock. It must not be used by two goroutines at once.
 type FleetMap struct {
 	settings   MapSettings
 	current    map[string]uint64              // version by source
--- a/internal/staleness/fleet_map_test.go
+++ b/internal/staleness/fleet_map_test.go
@@ -57,11 +57,11 @@
 			var fault ImplausibleClaimError
 			got := errors.As(err, &fault)
 			if got != test.implausible || got && (fault.Proxy != "e" || operatorerror.AdviceOf(err) == "") {
-				t.Errorf("RecordReport = %v (advice %q), want an ImplausibleClaimError of proxy e with advice = %v",
+				t.Errorf("RecordReport = %v (advice %q); want an ImplausibleClaimError of proxy e with advice: %v",
 					err, operatorerror.AdviceOf(err), test.implausible)
 			}
 			if faulty := m.Fault("e") != nil; faulty != test.implausible {
-				t.Errorf("Fault(e) = %v, want a fault: %v", m.Fault("e"), test.implausible)
+				t.Errorf("Fault(e) after the report = %v, want an error: %v", m.Fault("e"), test.implausible)
 			}
 		})
 	}
--- a/internal/staleness/gaps.go
+++ b/internal/staleness/gaps.go
@@ -20,9 +20,9 @@
 	maxBlurs = 12
 	// minHeartbeatInterval is the minimum interval between messages.
 	minHeartbeatInterval = 10 * time.Millisecond
-	// minStillSilent keeps quotients of silence probabilities finite.
+	// minStillSilent is the minimum of the silence probabilities that stillSilent divides; it avoids a division by 0.
 	minStillSilent = 1e-250
-	// minPhiProbability keeps Phi finite.
+	// minPhiProbability is the minimum of the probability whose logarithm Phi returns; it avoids the logarithm of 0.
 	minPhiProbability = 1e-300
 )
 
@@ -33,13 +33,14 @@
 // distribution fits. The tail beyond the observed gaps is exponential.
 type GapDetector struct {
 	ring            [gapWindow]float64 // seconds, in order of arrival
-	sorted          [gapWindow]float64
-	count           int
-	next            int // index in ring
-	expectedSeconds float64
+	sorted          [gapWindow]float64 // the same gaps in ascending order
+	count           int                // number of gaps in ring and in sorted
+	next            int                // index in ring of the next gap to write
+	expectedSeconds float64            // configured gap; used until minGaps gaps were observed, and for the prior
 }
 
-// NewGapDetector returns a detector for an expected gap, which has the weight of a quarter of an observed gap.
+// NewGapDetector returns a detector for a source whose expected gap between two messages is given. The prior with that
+// gap has the weight of a quarter of an observed gap.
 func NewGapDetector(expected time.Duration) *GapDetector {
 	return &GapDetector{expectedSeconds: max(expected, minHeartbeatInterval).Seconds()}
 }
@@ -97,8 +98,8 @@
 	return longer / (float64(g.count) + gapPrior)
 }
 
-// stillSilent returns the probability that a live watch which has sent nothing for the time from sends nothing until
-// the silence has the length to.
+// stillSilent returns the conditional probability that a live watch that has been silent for the duration from stays
+// silent until its silence has lasted for the duration to.
 func (g *GapDetector) stillSilent(from, to time.Duration) float64 {
 	until := max(g.SilenceProbability(to), minStillSilent)
 	return min(1, until/max(g.SilenceProbability(from), minStillSilent))
--- a/internal/staleness/level.go
+++ b/internal/staleness/level.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Level says how far the endpoint list of a route may be trusted. The zero value is Blind: unknown content is not
+// Level says how much the endpoint list of a route may be trusted. The zero value is Blind: unknown content is not
 // fresh.
 type Level uint8
 
@@ -24,12 +24,12 @@
 // String returns the level's name in reports and logs.
 func (l Level) String() string { return levelNames[min(int(l), len(levelNames)-1)] }
 
-// Thresholds separate the levels. The zero value of a field stands for its default.
+// Thresholds separate the levels. A field that is 0 gets its default.
 type Thresholds struct {
 	Confirmed float64 // minimum confidence for the level, 0 to 1; default .98
-	Fresh     float64 // likewise; default .95
-	Ageing    float64 // likewise; default .8
-	Doubtful  float64 // likewise; default .4
+	Fresh     float64 // minimum confidence for the level, 0 to 1; default .95
+	Ageing    float64 // minimum confidence for the level, 0 to 1; default .8
+	Doubtful  float64 // minimum confidence for the level, 0 to 1; default .4
 	// Margin is how far above a threshold the confidence must be for the level to rise. Default .01.
 	Margin float64
 	// RiseDelay is how long the confidence must exceed a threshold by Margin before the level rises; levels fall at
@@ -56,7 +56,7 @@
 	}
 	if !(t.Margin > 0 && t.Confirmed+t.Margin < 1) {
 		errs = append(errs,
-			InvalidSettingsError{"levels.margin", "must be above 0, and below 1 with the highest level"})
+			InvalidSettingsError{"levels.margin", "must be above 0, and its sum with confirmed must be below 1"})
 	}
 	if t.RiseDelay < 0 || t.ConfirmedWithin < 0 {
 		errs = append(errs, InvalidSettingsError{"levels.rest", "rest and within must not be negative"})
--- a/internal/staleness/permission_test.go
+++ b/internal/staleness/permission_test.go
@@ -13,7 +13,8 @@
 				want = ConfirmedOnly
 			}
 			if got := PermissionFor(level, idempotency); got != want {
-				t.Errorf("PermissionFor(%v, idempotency %d) = %d, want %d", level, idempotency, got, want)
+				t.Errorf("PermissionFor(%v, idempotency %d) = %d, want %d "+
+					"(0: FloorOrReject, 1: ConfirmedOnly, 2: AnyEndpoint)", level, idempotency, got, want)
 			}
 		}
 		requested := QuotaRequest(level, 100)
--- a/internal/staleness/probes.go
+++ b/internal/staleness/probes.go
@@ -22,15 +22,16 @@
 	minUnknownGain = 1
 )
 
-// SetPriorityWeight sets the value of right decisions on a route: demand times the weight of a request. The default is
-// 1; negative weights are ignored.
+// SetPriorityWeight sets how much correct decisions on a route are worth: its demand times the weight of a request. The
+// default is 1; negative weights are ignored.
 func (v *View) SetPriorityWeight(route string, weight float64) {
 	if weight >= 0 {
 		v.route(route).priorityWeight = weight
 	}
 }
 
-// PlanProbes distributes a budget of probes and one of list calls to where confidence is low and priority weight high.
+// PlanProbes distributes a budget of probes and one of list calls to the entries and sources with the highest
+// gain: low confidence and high priority weight.
 //
 // The gain of a probe is the entry's part of its route's weight times (1-p)(p+.05), where p is the confidence: a probe
 // of an entry that is almost certainly unchanged or changed yields little information. The gain of a call is the sum
@@ -70,6 +71,7 @@
 	return probes, atRisk
 }
 
+// callCandidates returns the calls that are due, with the weights at risk as their gains.
 func (v *View) callCandidates(now time.Duration, atRisk map[string]float64) []PlannedProbe {
 	var calls []PlannedProbe
 	for _, s := range v.sources {
@@ -101,6 +103,7 @@
 	return s.filter.live
 }
 
+// topByGain returns at most count probes, those with the highest gain first.
 func topByGain(probes []PlannedProbe, count int) []PlannedProbe {
 	slices.SortStableFunc(probes, func(a, b PlannedProbe) int { return cmp.Compare(b.Gain, a.Gain) })
 	return probes[:min(max(count, 0), len(probes))]
--- a/internal/staleness/probes_test.go
+++ b/internal/staleness/probes_test.go
@@ -20,7 +20,7 @@
 	}
 	again := v.PlanProbes(120*sec, 1, 1)
 	if len(again) != 1 || again[0].Entry == "important" || again[0].Entry == "" {
-		t.Errorf("second PlanProbes(1 probe, 1 call) = %+v, want one probe of another entry than important", again)
+		t.Errorf("second PlanProbes(1 probe, 1 call) = %+v, want one probe of an entry other than important", again)
 	}
 	if none := v.PlanProbes(200*sec, 0, -1); len(none) != 0 {
 		t.Errorf("PlanProbes(0 probes, -1 calls) = %+v, want none", none)
--- a/internal/staleness/receive.go
+++ b/internal/staleness/receive.go
@@ -23,9 +23,9 @@
 type message struct {
 	requestedAt time.Duration  // when the call that the message answers was sent; for a complete list only
 	changes     map[string]int // number of changes by kind of entry
-	changed     bool
-	complete    bool // the message is a complete list
-	heartbeat   bool // the message has no changes
+	changed     bool           // the content changed, or caught up with a later version that another party reported
+	complete    bool           // the message is a complete list
+	heartbeat   bool           // the message has no changes
 }
 
 // RecordHeartbeat records a heartbeat, or an answer without changes. The error is UnknownSourceError.
@@ -76,7 +76,8 @@
 	s.advancedTo = now
 }
 
-// learnGap learns from the time since the previous message. silentWeight is the probability that the watch was silent.
+// learnGap updates the learned gaps and rates with the time since the previous message. silentWeight is the
+// probability that the watch was silent.
 func (s *trackedSource) learnGap(gap time.Duration, silentWeight float64, complete bool) {
 	if s.ageKnown {
 		for _, k := range s.kindOrder {
@@ -115,11 +116,12 @@
 	s.currentAt = max(s.currentAt, s.backlogCurrentAt)
 }
 
-// receiveHeartbeat estimates how late a heartbeat is, and so at which moment the source's content was current.
+// receiveHeartbeat estimates how late a heartbeat is. The source's content was current when the heartbeat was sent.
 func (s *trackedSource) receiveHeartbeat(now, usualGap time.Duration) {
 	s.drainingBacklog = false
 	gap := now - s.heartbeatAt
-	if s.heartbeatAt == never || gap > longGapFactor*usualGap { // the first in a row: its delay is unknown
+	// The delay of the first heartbeat, and of the first one after a long gap, is unknown.
+	if s.heartbeatAt == never || gap > longGapFactor*usualGap {
 		s.heartbeatDelay = min(2*usualGap, now-s.currentAt)
 	} else {
 		s.heartbeatDelay = max(0, s.heartbeatDelay+gap-usualGap)
--- a/internal/staleness/route.go
+++ b/internal/staleness/route.go
@@ -134,6 +134,7 @@
 	return r.permits(e, idempotency)
 }
 
+// permits reports whether a request may go to an entry at the route's current level.
 func (r *routeState) permits(e *trackedEntry, idempotency Idempotency) bool {
 	switch PermissionFor(r.level, idempotency) {
 	case AnyEndpoint:
--- a/internal/staleness/settings.go
+++ b/internal/staleness/settings.go
@@ -20,15 +20,15 @@
 	AffectsAllRoutes bool
 }
 
-// Settings configure a view. The zero value of each field except Sources stands for its default.
+// Settings configure a view. Each field that is 0 gets its default, except Sources.
 type Settings struct {
 	Sources []SourceSettings
 	// Kinds are prior change rates by kind of entry. Other kinds have DefaultPrior.
 	Kinds map[string]Prior
 	// RateShape is the shape of the change rates; see NewChangeRate. Default 3.
 	RateShape float64
-	// SilentWatchRate is the expected rate per second at which a watch falls silent, before any was observed. Default
-	// 1/200.
+	// SilentWatchRate is the expected rate per second at which a watch falls silent, before any silent watch was
+	// observed. Default 1/200.
 	SilentWatchRate float64
 	// StaleAnswerRate is the expected rate per second at which a source begins to answer with stale data. Default
 	// 1/1500.
@@ -42,7 +42,7 @@
 	// Stale answers look like those of a source without changes until something contradicts them, so a bound that
 	// always included them would be minutes. Default .05.
 	StaleAnswerThreshold float64
-	// Levels are the thresholds of the levels.
+	// Levels are the confidence thresholds between the levels of a route.
 	Levels Thresholds
 
 	omitted estimateTerm
--- a/internal/staleness/update.go
+++ b/internal/staleness/update.go
@@ -26,8 +26,8 @@
 	Changes       []Change // all entries if Complete
 	Complete      bool     // entries that Changes does not contain are removed
 	LatestVersion uint64   // the highest version known to the sender; 0 if not given
-	// RequestedAt is when the call that a complete list answers was sent: the list was current then or later. 0 stands
-	// for the time of the answer.
+	// RequestedAt is when the call that a complete list answers was sent: the list was current then or later. 0 means
+	// the time of the answer.
 	RequestedAt time.Duration
 }
 
--- a/internal/staleness/view.go
+++ b/internal/staleness/view.go
@@ -22,9 +22,9 @@
 	Entry
 	source      *trackedSource
 	kind        *entryKind
-	confirmedAt time.Duration // last answer as listed
-	checkedAt   time.Duration // last attempt that confirmed or contradicted the entry
-	probedAt    time.Duration // last probe that PlanProbes returned
+	confirmedAt time.Duration // last time at which the server, or another party for the whole source, confirmed it
+	checkedAt   time.Duration // time of the last attempt that confirmed or contradicted the entry
+	probedAt    time.Duration // time of the last probe that PlanProbes returned
 	// odds is the factor by which contradictions since the last confirmation multiplied the odds that the entry is as
 	// listed; 1 without contradictions.
 	odds float64
@@ -50,11 +50,11 @@
 	version       uint64
 	currentAt     time.Duration // the content was current at this moment or later
 	lastMessageAt time.Duration // arrival of the last message
-	calledAt      time.Duration // last call that PlanProbes returned
+	calledAt      time.Duration // time of the last call that PlanProbes returned
 
-	heartbeatAt       time.Duration // last message without changes
-	heartbeatDelay    time.Duration // how late the last heartbeat was, at most
-	regularHeartbeats int           // in a row
+	heartbeatAt       time.Duration // arrival of the last message without changes
+	heartbeatDelay    time.Duration // upper bound on how late the last heartbeat was
+	regularHeartbeats int           // number of consecutive regular heartbeats
 
 	drainingBacklog  bool          // messages that arrive were queued while the process was suspended
 	resumedAt        time.Duration // end of the last suspension
@@ -81,13 +81,13 @@
 	sourceByName map[string]*trackedSource
 
 	entries    map[string]*trackedEntry
-	entryOrder []*trackedEntry // by name
+	entryOrder []*trackedEntry // sorted by name
 
-	falseRefusals  float64                // expected refusals by servers that were as listed
-	confirmations  float64                // answers by servers as listed
-	contradictions [evidenceKinds]float64 // expected contradictions by changed entries
+	falseRefusals  float64                // expected number of refusals by servers that were as listed
+	confirmations  float64                // number of answers by servers that were as listed
+	contradictions [evidenceKinds]float64 // expected number of contradictions by changed entries, by kind
 
-	routes       []*routeState // by name
+	routes       []*routeState // sorted by name
 	routeByIndex []*routeState
 	routeByName  map[string]*routeState
 
--- a/internal/staleness/view_test.go
+++ b/internal/staleness/view_test.go
@@ -14,7 +14,7 @@
 	empty, err := New(Settings{Sources: []SourceSettings{{Name: "list", HeartbeatInterval: sec}}})
 	must(t, "New", err)
 	if level, confidence := empty.Route(sec, "r"); level != Blind || confidence != 0 {
-		t.Errorf("Route(unknown) = %v, confidence %v, want blind and 0", level, confidence)
+		t.Errorf("Route(r) of a view without content = %v, confidence %v, want blind and 0", level, confidence)
 	}
 	if _, known := empty.Age(sec, "list"); known {
 		t.Error("Age(list) of a source that sent nothing = known, want unknown")
