--- a/cmd/lapisspread/policy.go
+++ b/cmd/lapisspread/policy.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			return err
 		}
-		// Parsed before it is sent, so that the error has the file's name.
+		// Parsed before it is sent, so that the error names the file.
 		if _, err := namespace.ParseDeclaration(path, text); err != nil {
 			return api.WithAdvice(err)
 		}
--- a/cmd/lapisspread/routes.go
+++ b/cmd/lapisspread/routes.go
@@ -70,8 +70,8 @@
 }
 
 // explainRoute prints the services of the route that a request gets, and then, each with the reason, the first route
-// that it matches (*), the other routes that it matches (+) and those that it does not match (-). If all is false, it prints
-// at most maxShownMismatches of the last. It returns an error if no route matches.
+// that it matches (*), the other routes that it matches (+) and those that it does not match (-). If all is false, it
+// prints at most maxShownMismatches of the last group. It returns an error if no route matches.
 func explainRoute(out io.Writer, table *route.Table, request *route.Request, all bool) error {
 	rule, verdict := table.Lookup(request)
 	if rule != nil {
--- a/internal/staleness/calibrate/calibrate_test.go
+++ b/internal/staleness/calibrate/calibrate_test.go
@@ -77,7 +77,7 @@
 		t.Errorf("simulation of seeds 21 to 22, 300 s each, exceeds a limit: %s", violation)
 	}
 	if r.Attempts < 12_000 || r.SilentWatch.Deciles[9].Attempts < 1000 || r.Estimate.Ages < 5_000 {
-		t.Errorf("%d attempts, %d at silent watches in the top decile, %d age checks, "+
+		t.Errorf("simulation of seeds 21 to 22 has %d attempts, %d at silent watches in the top decile, %d age checks, "+
 			"want at least 12000, 1000 and 5000",
 			r.Attempts, r.SilentWatch.Deciles[9].Attempts, r.Estimate.Ages)
 	}
@@ -95,7 +95,7 @@
 func TestOmittingAnyTermFails(t *testing.T) {
 	complete := simulate(t, 1, 2, 300*time.Second, staleness.Settings{})
 	if found := violations(complete, true); len(found) > 0 {
-		t.Fatalf("limits exceeded with all terms: %v, want none", found)
+		t.Fatalf("limits that the estimate with all terms exceeds: %v, want none", found)
 	}
 	for _, term := range terms {
 		t.Run(term, func(t *testing.T) {
@@ -113,7 +113,7 @@
 					brier, completeBrier, silentBrier, completeSilentBrier))
 			}
 			if len(found) == 0 {
-				t.Errorf("without %s no limit is exceeded, want at least one exceeded:\n%s", term, r)
+				t.Errorf("the estimate without term %s exceeds no limit, want at least one exceeded:\n%s", term, r)
 			}
 			t.Logf("limits exceeded without %s: %v", term, found)
 		})
@@ -144,7 +144,7 @@
 		t.Logf("without %s: worst decile bias %.3f, coverage %.5f, of missed changes %.5f, limits exceeded: %v",
 			term, r.Estimate.WorstBias(), r.Estimate.Coverage(), r.Estimate.CoverageOfMissed(), found)
 		if len(found) == 0 {
-			t.Errorf("without %s no limit is exceeded, want at least one exceeded", term)
+			t.Errorf("the estimate without term %s exceeds no limit, want at least one exceeded", term)
 		}
 	}
 }
