--- a/cmd/lapisspread/main_test.go
+++ b/cmd/lapisspread/main_test.go
@@ -201,7 +201,7 @@
 		})
 	}
 	if ok, _ := reloadCounts(t, console); ok != 0 || len(called) > 0 || healthStatus(addr) != 200 {
-		t.Errorf("after the invalid files: %d reloads applied, %d calls to the discovery address in them, health status %d, "+
+		t.Errorf("after the invalid files: %d reloads applied, %d calls to the discovery address in them, status %d, "+
 			"want 0, 0 and 200", ok, len(called), healthStatus(addr))
 	}
 	writeFile(t, path, withDiscovery(startDiscovery(t, "good", called)))
