--- a/internal/staleness/calibrate/calibrate_test.go
+++ b/internal/staleness/calibrate/calibrate_test.go
@@ -77,8 +77,8 @@
 		t.Errorf("simulation of seeds 21 to 22, 300 s each, exceeds a limit: %s", violation)
 	}
 	if r.Attempts < 12_000 || r.SilentWatch.Deciles[9].Attempts < 1000 || r.Estimate.Ages < 5_000 {
-		t.Errorf("simulation of seeds 21 to 22 has %d attempts, %d at silent watches in the top decile, %d age checks, "+
-			"want at least 12000, 1000 and 5000",
+		t.Errorf("simulation of seeds 21 to 22 has %d attempts, %d at silent watches in the top decile, "+
+			"%d age checks, want at least 12000, 1000 and 5000",
 			r.Attempts, r.SilentWatch.Deciles[9].Attempts, r.Estimate.Ages)
 	}
 	if r.Baseline.Coverage() > .99 {
--- a/internal/staleness/change_rate_test.go
+++ b/internal/staleness/change_rate_test.go
@@ -27,7 +27,7 @@
 		}
 		afterSecond, afterMinute := r.Survival(r.Hazard(time.Second)), r.Survival(r.Hazard(time.Minute))
 		if afterMinute >= afterSecond {
-			t.Errorf("prior %+v: Survival(hazard of one minute) = %v, want less than Survival(hazard of one second), %v",
+			t.Errorf("prior %+v: Survival(hazard of one minute) = %v, want less than %v, that of one second",
 				prior, afterMinute, afterSecond)
 		}
 	}
--- a/internal/staleness/evidence.go
+++ b/internal/staleness/evidence.go
@@ -61,8 +61,8 @@
 	timeoutFactor = .05
 	// minSourceSurvival is the minimum factor by which a confirmation multiplies the weight of a hypothesis.
 	minSourceSurvival = 1e-6
-	// maxSourceHazard is the maximum cumulative hazard, per kind of entry, that confirmSource uses. The probability that
-	// no entry of the kind changed is exp(-hazard).
+	// maxSourceHazard is the maximum cumulative hazard, per kind of entry, that confirmSource uses. The probability
+	// that no entry of the kind changed is exp(-hazard).
 	maxSourceHazard = 20
 )
 
