--- a/cmd/lapisspread/main_test.go
+++ b/cmd/lapisspread/main_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// startDiscovery starts a discovery service with an empty list, which sends its name on called at each call. It returns
-// the address of the service.
+// startDiscovery starts a discovery service with an empty list, which sends name on the channel called at each request.
+// It returns the address of the service.
 func startDiscovery(t *testing.T, name string, called chan<- string) (addr string) {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -201,7 +201,7 @@
 		})
 	}
 	if ok, _ := reloadCounts(t, console); ok != 0 || len(called) > 0 || healthStatus(addr) != 200 {
-		t.Errorf("after the invalid files: %d reloads applied, %d calls to their discovery, health status %d, "+
+		t.Errorf("after the invalid files: %d reloads applied, %d calls to the discovery address in them, status %d, "+
 			"want 0, 0 and 200", ok, len(called), healthStatus(addr))
 	}
 	writeFile(t, path, withDiscovery(startDiscovery(t, "good", called)))
