--- a/internal/policy/namespace/assemble.go
+++ b/internal/policy/namespace/assemble.go
@@ -15,8 +15,8 @@
 	services        map[string]*PolicyService
 	classes         map[string]*PolicyClass
 	shares          map[shareKey]*PolicyShare
-	stalenessBounds map[string]*Value[string] // by route, as namespace/name
-	routeNames      map[string]bool           // namespace/name of all routes
+	stalenessBounds map[string]*Value[string] // merged bounds; the key is the route's namespace/name
+	routeNames      map[string]bool           // the set of all routes, each as namespace/name
 }
 
 // shareKey identifies a namespace's share of a quota.
--- a/internal/policy/namespace/bench_test.go
+++ b/internal/policy/namespace/bench_test.go
@@ -11,7 +11,7 @@
 type benchmarkFleet struct {
 	declaration *Declaration
 	files       []*File
-	changed     []*File // version 2 of the files of the first teams
+	changed     []*File // version 2 of the first teams' files, to be merged after version 1
 }
 
 // settingsWithoutClass is a TOML list of all settings except SettingClass.
@@ -57,7 +57,7 @@
 	return mustParse(t, fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n%s", name, number, body))
 }
 
-// benchmarkRoute returns a route in TOML. Match is the lines that say which requests of the host it matches.
+// benchmarkRoute returns a route in TOML. Match has the TOML lines for the path and lists of the match.
 func benchmarkRoute(name, host, match, service string) string {
 	return fmt.Sprintf("[[route]]\nname = %q\nhost = %q\n%s\nto = [{ service = %q }]\n", name, host, match, service)
 }
--- a/internal/policy/namespace/conflict.go
+++ b/internal/policy/namespace/conflict.go
@@ -21,7 +21,7 @@
 	CapBelowMinimum        ConflictKind = "cap"           // a delegator's cap is below its delegate's minimum
 	ServiceRemoved         ConflictKind = "removed"       // a route leads to a service that is undefined or removed
 	InconsistentDefinition ConflictKind = "said twice"    // two namespaces set a service or priority weight differently
-	TooManyCombinations    ConflictKind = "crowded"       // all routes together list more than maxCombinations
+	TooManyCombinations    ConflictKind = "crowded"       // all routes together exceed maxCombinations
 )
 
 // Kinds of conflicts that are only reported.
@@ -36,10 +36,10 @@
 // Conflict is a set of rules that conflict with each other.
 type Conflict struct {
 	Kind     ConflictKind
-	Rules    []Source       // the rules that conflict; of a DomainOverlap, the namespaces in the declaration
+	Rules    []Source       // the rules that conflict; for a DomainOverlap, the overlapping namespaces
 	Request  *route.Request // an example request that the rules match; nil if the conflict is not about requests
 	Time     *time.Time     // a time at which overrides contradict each other; nil for other kinds
-	Text     string         // details for messages
+	Text     string         // what exactly conflicts; part of String
 	More     bool           // the two namespaces have more conflicts of this kind, which are not listed
 	Withheld string         // the namespace whose file was withheld for the conflict; empty if none was withheld
 	cause    error          // what Err returns instead of a ConflictError; may be nil
@@ -74,6 +74,7 @@
 	return text
 }
 
+// sortConflicts sorts conflicts in place by kind, then by rules, then by text.
 func sortConflicts(list []Conflict) {
 	slices.SortFunc(list, func(a, b Conflict) int {
 		return cmp.Or(
@@ -99,9 +100,9 @@
 type finder struct {
 	declaration    *Declaration
 	activeServices map[string][]Source     // rules in the files in force that define a service, by service name
-	indexes        map[*File]routeIndex    // cache of routeIndexFor
-	contradictions map[[2]*File][]Conflict // cache of contradictionsBetween
-	mayIntersect   map[[2]string]bool      // cache of Declaration.routesMayIntersect, by namespaces
+	indexes        map[*File]routeIndex    // cached results of routeIndexFor, by file
+	contradictions map[[2]*File][]Conflict // cached results of contradictionsBetween, by the two files
+	mayIntersect   map[[2]string]bool      // cached results of Declaration.routesMayIntersect, by the two namespaces
 }
 
 // newFinder returns a finder. Active lists the files in force.
@@ -123,6 +124,7 @@
 	return f
 }
 
+// sortedByName returns a copy of a set of files, sorted by namespace.
 func sortedByName(set []*File) []*File {
 	sorted := slices.Clone(set)
 	slices.SortFunc(sorted, func(a, b *File) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/policy/namespace/contradiction.go
+++ b/internal/policy/namespace/contradiction.go
@@ -10,7 +10,8 @@
 const maxConflictsPerRoute = 8
 
 // contradictionsBetween returns the contradictions between the routes of two files: pairs that match a common request
-// and either have equal precedence, or have different destinations and the one with precedence is not a delegate's.
+// and either have equal precedence, or have different destinations and the requests of the one with precedence were not
+// delegated by the namespace of the other.
 func (f *finder) contradictionsBetween(a, b *File) []Conflict {
 	names := [2]string{a.Name, b.Name}
 	mayIntersect, cached := f.mayIntersect[names]
@@ -40,7 +41,7 @@
 	finder     *finder
 	inner      *File
 	outer      *File
-	equalHosts bool // also compare routes with equal host patterns
+	equalHosts bool // whether to compare routes with equal host patterns, too
 	conflicts  []Conflict
 }
 
--- a/internal/policy/namespace/declaration.go
+++ b/internal/policy/namespace/declaration.go
@@ -17,15 +17,15 @@
 
 // Declaration is the ownership declaration: it says which namespace may set what.
 type Declaration struct {
-	Version     int                 `toml:"version"` // FileVersion
+	Version     int                 `toml:"version"` // format version; must be FileVersion
 	Quotas      []Quota             `toml:"budget"`
 	Namespaces  []DeclaredNamespace `toml:"namespace"`
 	Delegations []Delegation        `toml:"delegation"`
 
-	limits        map[string]int64         // of quotas, by name
-	parts         map[string][]domainPart  // of each namespace's domain: its own part and the delegated ones
-	delegationsTo map[string][]*Delegation // by delegate
-	depth         map[string]int           // by namespace: number of delegations on the longest path from a root to it
+	limits        map[string]int64         // limit of each quota, by the quota's name
+	parts         map[string][]domainPart  // parts of each namespace's domain: its own one and the delegated ones
+	delegationsTo map[string][]*Delegation // delegations to each namespace, by the name of the delegate
+	depth         map[string]int           // number of delegations on the longest path from a root to a namespace
 }
 
 // Quota is a limited amount that the namespaces share, such as attempts. Its name says the unit of the limit.
@@ -62,7 +62,8 @@
 	return d, nil
 }
 
-// check checks a declaration and computes the parts of all domains. Lines has the line of each key, for errors.
+// check checks a declaration and computes the parts of all domains. Lines has the line of each key; errors
+// include it.
 func (d *Declaration) check(path string, lines map[string]int) error {
 	errs := &keyErrors{path: path, lines: lines}
 	errs.addIf(d.Version != FileVersion, "version", "%d; this program reads %d", d.Version, FileVersion)
--- a/internal/policy/namespace/domain.go
+++ b/internal/policy/namespace/domain.go
@@ -9,14 +9,14 @@
 	"lapisspread/internal/route"
 )
 
-// anyName in a list of quotas or zones stands for all of them.
+// anyName in a list of quotas or zones allows every name.
 const anyName = "*"
 
 // The settings that a domain may list. Each comment says how the values of several namespaces are merged.
 const (
 	SettingRoute     = "route"     // routes: only the owner's value counts
 	SettingClass     = "class"     // classes: the strictest value; for the priority weight, the owner's
-	SettingQuota     = "budget"    // shares: minimums sum within the limit, the strictest cap, the owner's weight
+	SettingQuota     = "budget"    // shares: the minimums add up within the limit; strictest cap, owner's weight
 	SettingBlock     = "block"     // blocks: the union
 	SettingOverride  = "order"     // overrides: the union, unless two contradict each other
 	SettingStaleness = "staleness" // staleness bounds: the strictest value
@@ -39,7 +39,7 @@
 	Tenants      []string `toml:"tenants"`
 	Quotas       []string `toml:"budgets"`
 	Zones        []string `toml:"zones"`
-	Settings     []string `toml:"settings"` // of Settings()
+	Settings     []string `toml:"settings"` // each is one of the names that Settings returns
 }
 
 // validate returns the first error of the domain's values, or nil.
--- a/internal/policy/namespace/domaincheck.go
+++ b/internal/policy/namespace/domaincheck.go
@@ -12,7 +12,7 @@
 type domainChecker struct {
 	declaration *Declaration
 	file        *File
-	outside     map[string]OutsideDomainError // by rule ID
+	outside     map[string]OutsideDomainError // errors of rules outside the domain, by rule ID
 }
 
 // rulesOutsideDomain returns, by rule ID, the rules of a file that its namespace may not set.
--- a/internal/policy/namespace/errors.go
+++ b/internal/policy/namespace/errors.go
@@ -13,8 +13,8 @@
 // FileError is an error in a policy file or declaration, with its position.
 type FileError struct {
 	Path string
-	Line int    // from 1; 0 if the error is not about a single line
-	Key  string // such as route[2].to; empty if the text is not valid TOML
+	Line int    // line number, starting at 1; 0 if the error is not about a single line
+	Key  string // TOML key, such as route[2].to; empty if the text is not valid TOML
 	Err  error
 }
 
@@ -47,7 +47,7 @@
 	Namespace    string
 	Submitted    uint64   // number of the withheld file; 0 if the file could not be read
 	Active       uint64   // number of the file that stays in force; 0 if there is none
-	RemovedRules []string // IDs of rules of the file that stays in force that are not in the policy
+	RemovedRules []string // IDs of rules that are in the file in force, but not in the policy
 	Cause        error
 }
 
@@ -235,7 +235,7 @@
 
 // InvalidItemError is returned for an item of a policy that cannot be decoded or that contradicts other items.
 type InvalidItemError struct {
-	Key string // such as "team/route name"
+	Key string // key of the item, such as "team/route name"
 	Err error
 }
 
--- a/internal/policy/namespace/exhaustive_test.go
+++ b/internal/policy/namespace/exhaustive_test.go
@@ -96,7 +96,7 @@
 	return table
 }
 
-// matchingRequests returns the requests that package route finds for a match.
+// matchingRequests returns the requests of everyRequest that a match contains according to package route.
 func matchingRequests(m *Match) requestSet {
 	key := fmt.Sprintf("%+v", *m)
 	if set, ok := requestsByMatch[key]; ok {
@@ -117,9 +117,9 @@
 type exhaustiveSearch struct {
 	declaration       *Declaration
 	files             []*File
-	requestsPerMatch  map[*Match]requestSet  // cache
-	requestsPerDomain map[*Domain]requestSet // cache
-	found             map[string]bool        // conflicts as exhaustiveKey gives them: kind and rules
+	requestsPerMatch  map[*Match]requestSet  // requests that a match contains; cached
+	requestsPerDomain map[*Domain]requestSet // requests that a domain contains; cached
+	found             map[string]bool        // found conflicts, each in the form of Conflict.exhaustiveKey
 }
 
 // searchExhaustively returns the conflicts of a set of files, in the form of exhaustiveKey.
@@ -139,6 +139,7 @@
 	return s.found
 }
 
+// add records a conflict of a kind between rules.
 func (s *exhaustiveSearch) add(kind ConflictKind, rules ...Source) {
 	s.found[fmt.Sprint(kind, sources(rules...))] = true
 }
@@ -258,8 +259,8 @@
 }
 
 // contradict reports whether two routes that match a common request contradict each other: they have equal precedence,
-// or they have different targets and the one with precedence is not a delegate's. Order is
-// the result of compareByTable for a and b.
+// or they have different targets and the requests of the one with precedence were not delegated by the namespace
+// of the other. Order is the result of compareByTable for a and b.
 func (s *exhaustiveSearch) contradict(a, b ownedRoute, order int) bool {
 	if order == 0 {
 		return true
@@ -427,7 +428,7 @@
 	got := map[string]bool{}
 	for _, c := range found {
 		if c.Kind == InconsistentDefinition {
-			continue // found by the texts of rules, which this search does not compare; TestWithheldFiles covers it
+			continue // Check finds it by the texts of rules, which this search does not compare; see TestWithheldFiles
 		}
 		got[c.exhaustiveKey()] = true
 		if !want[c.exhaustiveKey()] {
@@ -511,7 +512,8 @@
 		}
 		for other, advice := range adviceByKind {
 			if advice == "" || other != kind && advice == adviceByKind[kind] {
-				t.Errorf("advice for conflicts of kind %s = %q, want one that is not empty and not that of kind %s",
+				t.Errorf("advice for conflicts of kind %s = %q, want advice that is not empty and "+
+					"differs from that of kind %s",
 					other, advice, kind)
 			}
 		}
--- a/internal/policy/namespace/file.go
+++ b/internal/policy/namespace/file.go
@@ -14,14 +14,14 @@
 // Limits of a policy file. MaxFileBytes also limits a declaration.
 const (
 	MaxFileBytes = 16 << 20 // 16 MiB
-	maxRules     = 50_000   // of all kinds together
+	maxRules     = 50_000   // maximum number of rules of all kinds together
 )
 
 // File is the policy file of a namespace. Parse sorts the lists in which order has no meaning. A parsed file is
 // immutable.
 type File struct {
-	Version         int              `toml:"version"`   // FileVersion
-	Name            string           `toml:"namespace"` // the namespace, as in the declaration
+	Version         int              `toml:"version"`   // format version; must be FileVersion
+	Name            string           `toml:"namespace"` // name of the namespace; it must be declared
 	Number          uint64           `toml:"number"`    // version of the content, from 1; higher is newer
 	Services        []Service        `toml:"service"`
 	Routes          []Route          `toml:"route"`
@@ -31,21 +31,21 @@
 	Overrides       []Override       `toml:"order"`
 	StalenessBounds []StalenessBound `toml:"staleness"`
 
-	path      string            // for errors
-	lines     map[string]int    // line of each key, for errors
+	path      string            // path of the file; part of error messages
+	lines     map[string]int    // line of each key; part of error messages
 	ruleTexts map[string]string // JSON of each rule, by rule ID; compared to find which rules changed
 	ruleKeys  map[string]string // key of each rule in the file, such as route[2], by rule ID
-	readError error             // set by UnreadableFile only
+	readError error             // why the file could not be read; set by UnreadableFile only
 }
 
 // Service is a group of servers that routes may lead to.
 type Service struct {
 	Name      string   `toml:"name" json:"name"`
-	Discovery string   `toml:"discovery" json:"discovery,omitempty"` // host:port
+	Discovery string   `toml:"discovery" json:"discovery,omitempty"` // address for service discovery, as host:port
 	Kinds     []string `toml:"kinds" json:"kinds,omitempty"`         // kinds of servers that it uses; empty means all
 	Cells     []int    `toml:"cells" json:"cells,omitempty"`         // cells of servers that it uses; empty means all
-	Upstream  string   `toml:"upstream" json:"upstream,omitempty"`   // http or diameter
-	Removed   bool     `toml:"removed" json:"removed,omitempty"`     // routes may no longer lead to it
+	Upstream  string   `toml:"upstream" json:"upstream,omitempty"`   // protocol of the servers: http or diameter
+	Removed   bool     `toml:"removed" json:"removed,omitempty"`     // whether routes may no longer lead to the service
 }
 
 // Route says to which services the requests of a match are sent.
@@ -87,7 +87,7 @@
 	Namespace string  `toml:"for" json:"for,omitempty"`       // the delegate; empty means the file's own namespace
 	Min       int64   `toml:"min" json:"min,omitempty"`       // 0 means no minimum
 	Cap       int64   `toml:"cap" json:"cap,omitempty"`       // 0 means no cap
-	Weight    float64 `toml:"weight" json:"weight,omitempty"` // relative to other namespaces; 0 if left out
+	Weight    float64 `toml:"weight" json:"weight,omitempty"` // relative to those of other namespaces; 0 if left out
 }
 
 // Block rejects the requests of a match.
@@ -102,8 +102,8 @@
 	Server string    `toml:"server" json:"server"`
 	Zone   string    `toml:"zone" json:"zone"`
 	Action string    `toml:"do" json:"do"`       // actionDetach or actionAttach
-	From   time.Time `toml:"from" json:"from"`   // zero: no start
-	Until  time.Time `toml:"until" json:"until"` // zero: no end
+	From   time.Time `toml:"from" json:"from"`   // start of the override; the zero time means no start
+	Until  time.Time `toml:"until" json:"until"` // end of the override; the zero time means no end
 }
 
 // Values of Override.Action.
--- a/internal/policy/namespace/item_test.go
+++ b/internal/policy/namespace/item_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// checkItems checks that a policy built from the items of from equals it, and that applying the items that differ gives
-// to. It returns the diff that With reports.
+// checkItems checks that FromTree, given the tree of the policy "from", returns an equal policy, and that With, given
+// the items that differ between the trees, returns a policy equal to "to". It returns the diff that With returns.
 func checkItems(t *testing.T, set int, from, to *Policy) *Diff {
 	t.Helper()
 	tree := mustTree(t, from)
@@ -99,7 +99,7 @@
 	sameBlock := func(a, b PolicyBlock) bool { return reflect.DeepEqual(a.Block, b.Block) }
 	want.BlocksChanged = !slices.EqualFunc(from.Blocks, to.Blocks, sameBlock)
 	if !reflect.DeepEqual(d, want) {
-		t.Fatalf("With reports the diff %+v, want %+v", *d, *want)
+		t.Fatalf("Policy.With(the changed items) = diff %+v, want %+v", *d, *want)
 	}
 }
 
@@ -136,7 +136,7 @@
 func TestNewFileVersionChangesFewItems(t *testing.T) {
 	fleet := newBenchmarkFleet(t, 20, 40, 1, false)
 	changed := fleet.changed[0]
-	changed.Routes = changed.Routes[:len(changed.Routes)-1] // the last one would be withheld
+	changed.Routes = changed.Routes[:len(changed.Routes)-1] // with the last route, the file would be withheld
 	weight := 2.0
 	changed.Routes[3].To[0].Weight = &weight
 	first := Merge(fleet.declaration, nil, fleet.files)
@@ -222,7 +222,8 @@
 	tree := mustTree(t, policy)
 	got, err := FromTree(tree)
 	if err != nil || !bytes.Equal(got.Encode(), policy.Encode()) {
-		t.Fatalf("FromTree = error %v, policy %.300s; want the policy that the tree was built from", err, got.Encode())
+		t.Fatalf("FromTree(tree with a long rule name) = error %v, policy %.300s; want %.300s",
+			err, got.Encode(), policy.Encode())
 	}
 	without := &Policy{Format: policyFormat, Classes: policy.Classes[:1]}
 	got, _, err = policy.With(merkle.Changes(tree, mustTree(t, without)))
--- a/internal/policy/namespace/itemchange.go
+++ b/internal/policy/namespace/itemchange.go
@@ -91,7 +91,7 @@
 type itemChanges struct {
 	set          map[string][]merkle.Item // items of rules to set, by kind
 	removed      map[string][]string      // keys of rules to remove, by kind
-	files        map[string]fileOrigin    // by namespace, as they are after the change
+	files        map[string]fileOrigin    // files after the change, by namespace
 	renumbered   []string                 // namespaces that have rules and whose file has a new number
 	changedFiles map[string]bool          // namespaces whose number of sources or file number changed
 	diff         *Diff
@@ -178,7 +178,8 @@
 				numberKey(namespace), errors.New("it is missing, and rules come from the file"),
 			}
 		case f.sources == 0:
-			// The text means: the file has a number, but no rule names the file as its source.
+			// The text means: the policy has an item with the number of this namespace's file, but no rule names the
+			// file as its source. It is an error because a policy only has numbers of files that rules come from.
 			return InvalidItemError{numberKey(namespace), errors.New("no rule comes from the file")}
 		}
 	}
--- a/internal/policy/namespace/match.go
+++ b/internal/policy/namespace/match.go
@@ -150,7 +150,7 @@
 func exampleHost(pattern, label string) string {
 	switch {
 	case pattern == "":
-		return label + ".invalid" // RFC 2606, section 2
+		return label + ".invalid" // .invalid is a reserved top-level domain (RFC 2606, section 2)
 	case strings.HasPrefix(pattern, "*."):
 		return label + pattern[1:]
 	}
@@ -160,9 +160,10 @@
 // pathPattern is one path, or all paths that begin with the segments of a prefix. The prefix "/" allows any path.
 type pathPattern struct {
 	path  string
-	exact bool
+	exact bool // whether the pattern is only this path; otherwise path is a prefix
 }
 
+// pathPattern returns the path pattern of a match. If the match has none, it returns the pattern that allows any path.
 func (m *Match) pathPattern() pathPattern {
 	switch {
 	case m.Path != "":
@@ -173,6 +174,7 @@
 	return pathPattern{"/", false}
 }
 
+// isAny reports whether the pattern allows any path.
 func (p pathPattern) isAny() bool { return p.path == "/" && !p.exact }
 
 // within reports whether the outer pattern contains every path of p.
@@ -207,10 +209,11 @@
 // listIntersection describes the values that two lists both allow.
 type listIntersection struct {
 	smallest     string // the first common value in string order; empty if unrestricted
-	unrestricted bool   // any value is common
+	unrestricted bool   // both lists allow any value
 	nonEmpty     bool   // at least one value is common
 }
 
+// intersectLists returns the values that two lists both allow. An empty list allows any value.
 func intersectLists(a, b []string) listIntersection {
 	switch {
 	case len(a) == 0 && len(b) == 0:
--- a/internal/policy/namespace/merge.go
+++ b/internal/policy/namespace/merge.go
@@ -10,10 +10,10 @@
 // Outcome is the result of a merge.
 type Outcome struct {
 	Policy    *Policy
-	Hash      string          // of the policy
-	Withheld  []WithheldError // sorted by namespace
+	Hash      string          // hash of the policy
+	Withheld  []WithheldError // withheld files and removed rules, sorted by namespace
 	Conflicts []Conflict      // all conflicts, sorted; those that withheld a file name its namespace
-	Accepted  []*File         // sorted by namespace; the accepted files for the next merge
+	Accepted  []*File         // the accepted files to pass to the next merge, sorted by namespace
 }
 
 // Merge merges the submitted files with the last accepted ones into a policy. A submitted file that is invalid or
@@ -25,7 +25,7 @@
 //     conflicting rules, and whose namespace's last accepted file would not have the conflict. If that holds for
 //     several files, it is the one whose namespace is last by precedence. Namespaces with fewer delegations between
 //     them and a root have precedence; namespaces at the same depth are ordered by name.
-//   - If no submitted file meets this, as after a change of the declaration, the conflicting rule of the namespace
+//   - If there is no such file, for example after a change of the declaration, the conflicting rule of the namespace
 //     that is last by precedence is removed from the policy. Its file stays accepted, and the rule returns in the
 //     first merge in which it has no conflict.
 //   - So the policy has no conflict that withholds a file. Outcome.Conflicts also has the conflicts that are only
@@ -62,23 +62,23 @@
 	declaration       *Declaration
 	mutations         mutation // faults injected by tests; 0 in production
 	participants      map[string]*participant
-	unknown           map[string]*WithheldError // by namespace: files of namespaces that are not declared
-	namesByPrecedence []string                  // of participants, the highest precedence first
-	ranks             map[string]int            // index in namesByPrecedence
+	unknown           map[string]*WithheldError // errors for the files of undeclared namespaces, by namespace
+	namesByPrecedence []string                  // names of the participants, the highest precedence first
+	ranks             map[string]int            // index of each namespace in namesByPrecedence
 	conflicts         []Conflict
-	reported          map[string]bool // texts of the conflicts that were added already
+	reported          map[string]bool // texts of the conflicts that are already in the field conflicts
 }
 
 // participant is a namespace in a merge. Files that do not exist are nil.
 type participant struct {
 	name         string
-	lastAccepted *File           // as it was submitted
+	lastAccepted *File           // the last accepted file, as it was submitted
 	withinDomain *File           // lastAccepted without the rules outside the current domain
 	submitted    *File           // the submitted file, until it is withheld
 	withheldFile *File           // the submitted file, after it was withheld for a conflict
 	active       *File           // the file, or part of it, that is merged into the policy
 	removedRules map[string]bool // IDs of rules that were removed from the active file
-	withheld     *WithheldError
+	withheld     *WithheldError  // the error for a withheld file or removed rules; nil if there are none
 }
 
 func newMerger(d *Declaration, mutations mutation) *merger {
--- a/internal/policy/namespace/merge_test.go
+++ b/internal/policy/namespace/merge_test.go
@@ -66,15 +66,16 @@
 }
 
 // withholdTest merges submitted files while the unchanged files of the example are the accepted ones. A nil wantCause,
-// an empty wantKind and namespaces that are not in wantActive are not checked.
+// an empty wantKind and namespaces that are not in wantActive are not checked. WantWithheld is separated by spaces; it
+// is empty if nothing is withheld.
 type withholdTest struct {
 	name         string
 	submitted    []*File
-	wantWithheld string            // namespace:number of its active file, separated by blanks; empty if none
+	wantWithheld string            // withheld namespaces as namespace:number of the active file
 	wantCause    any               // pointer to the type of the error that is the cause
-	wantKind     ConflictKind      // of the first conflict
+	wantKind     ConflictKind      // kind of the first reported conflict
 	wantActive   map[string]uint64 // numbers of the accepted files, by namespace
-	wantRoutes   int               // routes of the merged policy; 0 means as many as the example has
+	wantRoutes   int               // number of routes in the policy; 0 means that of the example
 }
 
 // withholdTests returns the cases of TestWithheldFiles.
@@ -215,11 +216,11 @@
 	}
 	for _, f := range out.Accepted {
 		if want, ok := test.wantActive[f.Name]; ok && f.Number != want {
-			t.Errorf("accepted file of namespace %s has number %d, want %d", f.Name, f.Number, want)
+			t.Errorf("Merge accepts for namespace %s the file with number %d, want %d", f.Name, f.Number, want)
 		}
 	}
 	if len(out.Policy.Routes) != test.wantRoutes {
-		t.Errorf("merged policy has %d routes, want %d", len(out.Policy.Routes), test.wantRoutes)
+		t.Errorf("Merge returns a policy with %d routes, want %d", len(out.Policy.Routes), test.wantRoutes)
 	}
 	if test.wantKind == "" {
 		return
--- a/internal/policy/namespace/policy.go
+++ b/internal/policy/namespace/policy.go
@@ -21,7 +21,7 @@
 // Policy holds the merged rules of all namespaces. All lists are sorted, so that it has a single encoding. It is
 // immutable.
 type Policy struct {
-	Format          int                    `json:"form"` // policyFormat
+	Format          int                    `json:"form"` // format version; must be policyFormat
 	Services        []PolicyService        `json:"services"`
 	Routes          []PolicyRoute          `json:"routes"`
 	Classes         []PolicyClass          `json:"classes"`
@@ -60,7 +60,7 @@
 // PolicyShare is a namespace's merged share of a quota, in the quota's units. A value that no rule sets is nil.
 type PolicyShare struct {
 	Quota     string          `json:"budget"`
-	Limit     int64           `json:"whole"` // of the quota
+	Limit     int64           `json:"whole"` // limit of the quota
 	Namespace string          `json:"namespace"`
 	Min       *Value[int64]   `json:"min,omitempty"`
 	Cap       *Value[int64]   `json:"cap,omitempty"`
@@ -169,6 +169,7 @@
 	return rules
 }
 
+// rule returns the route as package route represents it.
 func (r *PolicyRoute) rule() route.Rule { return r.Match.rule(r.Name, r.targets()) }
 
 // Table returns the compiled routes. It compiles them on each call, unless the policy is from Decode, FromTree or With,
@@ -193,10 +194,10 @@
 // Explanation says how a policy handles a request, and which rules determine this.
 type Explanation struct {
 	Verdict   route.Verdict
-	Route     *PolicyRoute          // nil if no route matches
+	Route     *PolicyRoute          // the route that the request takes; nil if no route matches
 	Blocks    []PolicyBlock         // all blocks that match the request
 	Class     *PolicyClass          // settings of the request's class; nil if no rule sets any
-	Staleness *PolicyStalenessBound // of the route; nil if no rule sets one
+	Staleness *PolicyStalenessBound // staleness bound of the route; nil if no rule sets one
 	Reasons   []route.Explanation   // why the route was chosen, and why each other one was not
 }
 
--- a/internal/policy/namespace/policy_test.go
+++ b/internal/policy/namespace/policy_test.go
@@ -36,7 +36,7 @@
 	} {
 		e, err := out.Policy.Explain(&test.request)
 		if err != nil || e.Route == nil || e.Route.Name != test.wantRoute || e.Reasons[0].Rule.Name != test.wantRoute {
-			t.Errorf("Explain(%+v) = %+v, error %v; want route %s, also first in Reasons",
+			t.Errorf("Explain(%+v) = %+v, error %v; want route %s, and the same route first in Reasons",
 				test.request, e, err, test.wantRoute)
 			continue
 		}
@@ -183,7 +183,8 @@
 	}
 	const wantHash = "cc86c7aed4099201fea23407db5a523bef087968c85a4f1e2fd0258bebad110d"
 	if got := decoded.Hash(); got != wantHash || out.Hash != got {
-		t.Errorf("hash of the frozen policy = %s, of the merged policy = %s, want %s", got, out.Hash, wantHash)
+		t.Errorf("hash of the frozen policy = %s, hash of the merged policy = %s, want both %s",
+			got, out.Hash, wantHash)
 	}
 	tree := mustTree(t, decoded)
 	const wantRoot = "bd98ea1026e3e53f4c01649528b894b01abb0745c71b2c65dc61978f3406d895"
--- a/internal/policy/namespace/position.go
+++ b/internal/policy/namespace/position.go
@@ -11,8 +11,8 @@
 	"lapisspread/internal/strictconfig"
 )
 
-// keyLines returns the line, from 1, of each key and table of a TOML text. The keys of the map have
-// the form "route[2].to" or "route[2]".
+// keyLines returns the line, from 1, of each key and table of a TOML text. The keys of the map have the
+// form "route[2].to" or "route[2]".
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	counter := lineCounter{text: text, line: 1}
@@ -44,8 +44,8 @@
 // lineCounter returns the lines of offsets in a text. The offsets must be given in increasing order.
 type lineCounter struct {
 	text   []byte
-	offset int
-	line   int
+	offset int // the largest offset given so far
+	line   int // line of offset, starting at 1
 }
 
 // key returns the dotted key of a TOML expression and its line, or 0 if the expression has no key.
--- a/internal/policy/namespace/randommerge_test.go
+++ b/internal/policy/namespace/randommerge_test.go
@@ -13,7 +13,7 @@
 // mergeChecker checks that the outcome of one merge is as the doc comment of Merge says.
 type mergeChecker struct {
 	declaration *Declaration
-	previous    Outcome // of the merge whose accepted files this one started from
+	previous    Outcome // outcome of the merge whose accepted files this merge started from
 	submitted   []*File
 	got         Outcome
 	violations  []string
@@ -172,11 +172,11 @@
 			continue
 		}
 		compared++
-		rest := set[1:]
+		others := set[1:]
 		rng := rand.New(rand.NewPCG(uint64(i), 27))
-		rng.Shuffle(len(rest), func(a, b int) { rest[a], rest[b] = rest[b], rest[a] })
-		got := Merge(d, Merge(d, nil, set[:1]).Accepted, rest[:1+i%2])
-		got = Merge(d, got.Accepted, rest[1+i%2:])
+		rng.Shuffle(len(others), func(a, b int) { others[a], others[b] = others[b], others[a] })
+		got := Merge(d, Merge(d, nil, set[:1]).Accepted, others[:1+i%2])
+		got = Merge(d, got.Accepted, others[1+i%2:])
 		if got.Hash != want.Hash || len(got.Withheld) > 0 {
 			t.Fatalf("random set %d: Merge in parts = policy %s, withheld %v; want policy %s, nothing withheld",
 				i, got.Hash, got.Withheld, want.Hash)
@@ -205,7 +205,8 @@
 		}
 		t.Logf("mutation %q of Merge: first violation: %s", name, detected)
 		if detected == "" {
-			t.Errorf("mutation %q of Merge: no violation in %d random sets, want at least one", name, randomSetCount)
+			t.Errorf("runRandomMerge with the mutation %q = no violation in %d random sets, want at least one",
+				name, randomSetCount)
 		}
 	}
 }
@@ -220,7 +221,8 @@
 			detected = len(compareWithExhaustive(d, set, found)) > 0
 		}
 		if !detected {
-			t.Errorf("conflicts without those of kind %s: no difference from the exhaustive search, want one", kind)
+			t.Errorf("compareWithExhaustive of the conflicts without those of kind %s = no difference "+
+				"in all random sets, want at least one", kind)
 		}
 	}
 }
@@ -255,9 +257,12 @@
 				}
 			}
 		}
-		t.Logf("finder with %s: %d differences from the exhaustive search", name, detected)
+		t.Logf("conflict finder whose declaration has the fault %q: %d differences from the exhaustive search",
+			name, detected)
 		if detected == 0 {
-			t.Errorf("finder with %s: no contradiction differs from the exhaustive search, want at least one", name)
+			t.Errorf("conflict finder whose declaration has the fault %q: its contradictions equal those of the "+
+				"exhaustive search in the first 300 random sets, want a difference, which shows that the comparison "+
+				"detects the fault", name)
 		}
 	}
 }
@@ -308,7 +313,7 @@
 	}
 	t.Logf("corrupt files: %d parsed, %d rejected", parsed, rejected)
 	if parsed < 40 || rejected < 40 {
-		t.Errorf("corrupt files: %d parsed, %d rejected; want at least 40 of each", parsed, rejected)
+		t.Errorf("parsing corrupt files: %d parsed, %d rejected; want at least 40 of each", parsed, rejected)
 	}
 }
 
--- a/internal/policy/namespace/randomset_test.go
+++ b/internal/policy/namespace/randomset_test.go
@@ -78,6 +78,7 @@
 	}
 }
 
+// match returns a random match.
 func (r randomRules) match() Match {
 	m := Match{Host: pick(r, randomHosts)}
 	path := pick(r, randomPaths)
@@ -121,6 +122,7 @@
 	return f.without(outsideDomain)
 }
 
+// override returns a random override that starts and ends within exhaustiveHours after randomStart.
 func (r randomRules) override() Override {
 	o := Override{
 		Name:   "o",
--- a/internal/policy/namespace/routeindex.go
+++ b/internal/policy/namespace/routeindex.go
@@ -44,7 +44,7 @@
 
 // pathTree is a tree of path segments. It finds the matches whose path patterns contain a given one or are within it.
 type pathTree struct {
-	children   map[string]*pathTree // by segment
+	children   map[string]*pathTree // child nodes, by path segment
 	childNames []string             // keys of children, sorted
 	exact      matchBucket          // matches for exactly this path
 	prefix     matchBucket          // matches for this path as a prefix
--- a/internal/policy/namespace/rulelist.go
+++ b/internal/policy/namespace/rulelist.go
@@ -11,11 +11,11 @@
 
 // ruleList converts one of a policy's lists of rules to items, and applies changes of items to it.
 type ruleList interface {
-	// ruleKind returns the kind of the rules as it is in their keys.
+	// ruleKind returns the kind of the rules. It is part of the key of each rule's item in the policy's tree.
 	ruleKind() string
 	// eachSource calls f with each source of all rules. F must not change the source.
 	eachSource(p *Policy, f func(*Source))
-	// addItems calls add for the item of each rule.
+	// addItems calls add with the key and the value of each rule's item.
 	addItems(p *Policy, add func(key string, v any) error) error
 	// apply sets the policy's list to one with the changes applied. The old list, which other policies may share, is
 	// not changed.
@@ -24,7 +24,8 @@
 
 // typedRules is the ruleList for the rules of type T. The lists are sorted by name.
 type typedRules[T any] struct {
-	kind string               // as in the keys of items
+	// kind is the kind of the rules. It is part of the key of each rule's item in the policy's tree (see ruleKey).
+	kind string
 	list func(*Policy) *[]T   // returns the list of a policy
 	name func(rule *T) string // returns the name of a rule
 	// sources calls f with each source of a rule. With copySources, the rule gets copies of its sources first, so that
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// ruleChange is the setting of a rule, or its removal if rule is nil.
+// ruleChange says that a rule is set, or, if rule is nil, that the rule with the name is removed.
 type ruleChange[T any] struct {
 	name string
 	rule *T
--- a/internal/policy/namespace/settle.go
+++ b/internal/policy/namespace/settle.go
@@ -107,8 +107,8 @@
 // ruleRef identifies a rule of a namespace.
 type ruleRef struct{ namespace, id string }
 
-// removeRules removes one rule for each conflict, of the last namespace by precedence. A conflict of which another rule
-// was just removed is skipped: it is resolved by that, or the next search finds it again.
+// removeRules removes one rule for each conflict, of the last namespace by precedence. A conflict is skipped if one of
+// its rules was just removed for another conflict: either that resolves it, or the next search finds it again.
 func (m *merger) removeRules(conflicts []Conflict) {
 	removed := map[ruleRef]bool{}
 	affected := map[string]bool{}
--- a/internal/policy/namespace/unreachable.go
+++ b/internal/policy/namespace/unreachable.go
@@ -25,14 +25,14 @@
 // unreachableSearch finds rules that no request can reach.
 type unreachableSearch struct {
 	blocks     []sourcedMatch
-	blockIndex routeIndex                // of blocks, identified by their positions in blocks
+	blockIndex routeIndex                // index of the blocks, identified by their positions in blocks
 	rootRoutes map[string][]sourcedMatch // routes for the prefix "/", by host
-	routes     map[string]bool           // namespace/name of all routes
+	routes     map[string]bool           // the set of all routes, each as namespace/name
 	unnamed    unnamedLabel
 }
 
-// unreachableRules finds routes of which other rules match every request first, and staleness bounds of routes that do
-// not exist.
+// unreachableRules finds routes whose requests are all matched by other rules first, and staleness bounds of routes
+// that do not exist.
 func unreachableRules(set []*File) []Conflict {
 	s := newUnreachableSearch(set)
 	var conflicts []Conflict
--- a/internal/policy/namespace/value.go
+++ b/internal/policy/namespace/value.go
@@ -10,7 +10,7 @@
 // Source identifies the rule of a namespace's file that a value or a conflict comes from.
 type Source struct {
 	Namespace string `json:"namespace"`
-	Number    uint64 `json:"number,omitempty"` // of the file; 0 in items, and for the declaration
+	Number    uint64 `json:"number,omitempty"` // number of the file; 0 in items, and for the declaration
 	Rule      string `json:"rule"`             // kind and name, such as "route payouts"
 }
 
@@ -36,8 +36,8 @@
 }
 
 // mergeValue merges the value that one rule sets into the merged value of other rules, which is nil if there are none.
-// The preferred value stays; preferred(a, b) reports whether a replaces b. If preferred is a strict total
-// order, the result does not depend on the order of the rules, nor on how often a rule is merged.
+// The preferred value stays; preferred(a, b) reports whether a replaces b. If preferred is a strict total order, the
+// result does not depend on the order of the rules, nor on how often a rule is merged.
 func mergeValue[T comparable](merged *Value[T], value T, source Source, preferred func(a, b T) bool) *Value[T] {
 	if merged == nil || value != merged.Value && preferred(value, merged.Value) {
 		return &Value[T]{value, []Source{source}}
