--- a/internal/policy/namespace/bench_test.go
+++ b/internal/policy/namespace/bench_test.go
@@ -227,7 +227,7 @@
 	}
 	for _, f := range []*File{a, b} {
 		if err := f.check(); err != nil {
-			t.Fatalf("check of the file of team %s: %v", f.Name, err)
+			t.Fatalf("File.check of the file of team %s: %v", f.Name, err)
 		}
 	}
 	return d, []*File{a, b}
@@ -241,7 +241,7 @@
 	out := Merge(d, set[:1], set[1:])
 	checkOnlyWithheld(t, out, "b", nil)
 	if len(out.Policy.Routes) != routes {
-		t.Errorf("policy after b's file is withheld has %d routes, want the %d routes of a",
+		t.Errorf("Merge that withholds b's file returns a policy with %d routes, want the %d routes of a",
 			len(out.Policy.Routes), routes)
 	}
 	hasMore := slices.ContainsFunc(out.Conflicts, func(c Conflict) bool { return c.More })
--- a/internal/policy/namespace/exhaustive_test.go
+++ b/internal/policy/namespace/exhaustive_test.go
@@ -49,6 +49,7 @@
 // requestsByMatch caches the results of matchingRequests, by the printed match.
 var requestsByMatch = map[string]requestSet{}
 
+// newRequestSet returns an empty set.
 func newRequestSet() requestSet { return make(requestSet, len(everyRequest)/64+1) }
 
 // has reports whether the set has the request everyRequest[i].
@@ -58,6 +59,7 @@
 	return !slices.ContainsFunc(s, func(word uint64) bool { return word != 0 })
 }
 
+// minus returns the requests of s that are not in other.
 func (s requestSet) minus(other requestSet) requestSet {
 	difference := slices.Clone(s)
 	for i := range difference {
@@ -66,6 +68,7 @@
 	return difference
 }
 
+// within reports whether all requests of s are also in other.
 func (s requestSet) within(other requestSet) bool { return s.minus(other).empty() }
 
 // common returns a request that is in both sets, or nil.
@@ -144,6 +147,7 @@
 	s.found[fmt.Sprint(kind, sources(rules...))] = true
 }
 
+// requests returns the requests of everyRequest that a match contains.
 func (s *exhaustiveSearch) requests(m *Match) requestSet {
 	set, ok := s.requestsPerMatch[m]
 	if !ok {
@@ -508,7 +512,7 @@
 	t.Logf("conflicts in %d random sets, by kind: %v", randomSetCount, counts)
 	for _, kind := range exhaustiveKinds {
 		if counts[kind] < 20 {
-			t.Errorf("the random sets have %d conflicts of kind %s, want at least 20", counts[kind], kind)
+			t.Errorf("Check of the random sets finds %d conflicts of kind %s, want at least 20", counts[kind], kind)
 		}
 		for other, advice := range adviceByKind {
 			if advice == "" || other != kind && advice == adviceByKind[kind] {
--- a/internal/policy/namespace/merge.go
+++ b/internal/policy/namespace/merge.go
@@ -81,6 +81,7 @@
 	withheld     *WithheldError  // the error for a withheld file or removed rules; nil if there are none
 }
 
+// newMerger returns a merger with a participant for each declared namespace, but without files.
 func newMerger(d *Declaration, mutations mutation) *merger {
 	m := &merger{
 		declaration:  d,
--- a/internal/policy/namespace/mutation.go
+++ b/internal/policy/namespace/mutation.go
@@ -1,7 +1,7 @@
 package namespace
 
 // mutation is a set of bits, each of which switches a rule of Merge off. Tests use it to show that their checks detect
-// the missing rule. Merge itself uses none.
+// the missing rule. Merge sets no bit.
 type mutation uint8
 
 const (
--- a/internal/policy/namespace/policy_test.go
+++ b/internal/policy/namespace/policy_test.go
@@ -126,7 +126,7 @@
 	}
 	for name, usage := range pool.Usage(0) {
 		if usage.Share != want[name] {
-			t.Errorf("quota share of namespace %s = %+v, want %+v", name, usage.Share, want[name])
+			t.Errorf("Pool.Usage gives namespace %s the quota share %+v, want %+v", name, usage.Share, want[name])
 		}
 	}
 }
--- a/internal/policy/namespace/position.go
+++ b/internal/policy/namespace/position.go
@@ -82,8 +82,8 @@
 // keyErrors collects the errors in one policy file or declaration.
 type keyErrors struct {
 	path  string
-	lines map[string]int
-	list  []error
+	lines map[string]int // line of each key, as keyLines returns it
+	list  []error        // the collected errors
 }
 
 // add adds an error at a key.
--- a/internal/policy/namespace/randommerge_test.go
+++ b/internal/policy/namespace/randommerge_test.go
@@ -184,7 +184,7 @@
 	}
 	t.Logf("%d random sets without a conflict", compared)
 	if compared < 100 {
-		t.Errorf("%d of the random sets have no conflict, want at least 100", compared)
+		t.Errorf("Merge withholds nothing for %d of the first 300 random sets, want at least 100", compared)
 	}
 }
 
--- a/internal/policy/namespace/unreachable.go
+++ b/internal/policy/namespace/unreachable.go
@@ -28,7 +28,7 @@
 	blockIndex routeIndex                // index of the blocks, identified by their positions in blocks
 	rootRoutes map[string][]sourcedMatch // routes for the prefix "/", by host
 	routes     map[string]bool           // the set of all routes, each as namespace/name
-	unnamed    unnamedLabel
+	unnamed    unnamedLabel              // used in example requests where a route allows any value
 }
 
 // unreachableRules finds routes whose requests are all matched by other rules first, and staleness bounds of routes
@@ -55,6 +55,7 @@
 	return conflicts
 }
 
+// newUnreachableSearch returns a search over the blocks and routes of a set of files.
 func newUnreachableSearch(set []*File) *unreachableSearch {
 	s := &unreachableSearch{
 		blockIndex: routeIndex{},
