--- a/internal/policy/namespace/bench_test.go
+++ b/internal/policy/namespace/bench_test.go
@@ -11,7 +11,7 @@
 type benchmarkFleet struct {
 	declaration *Declaration
 	files       []*File
-	changed     []*File // version 2 of the files of the first teams
+	changed     []*File // version 2 of the first teams' files, to be merged after version 1
 }
 
 // settingsWithoutClass is a TOML list of all settings except SettingClass.
@@ -57,7 +57,7 @@
 	return mustParse(t, fmt.Sprintf("version = 1\nnamespace = %q\nnumber = %d\n%s", name, number, body))
 }
 
-// benchmarkRoute returns a route in TOML. Match is the lines that say which requests of the host it matches.
+// benchmarkRoute returns a route in TOML. Match has the TOML lines for the path and lists of the match.
 func benchmarkRoute(name, host, match, service string) string {
 	return fmt.Sprintf("[[route]]\nname = %q\nhost = %q\n%s\nto = [{ service = %q }]\n", name, host, match, service)
 }
@@ -227,7 +227,7 @@
 	}
 	for _, f := range []*File{a, b} {
 		if err := f.check(); err != nil {
-			t.Fatalf("check of the file of team %s: %v", f.Name, err)
+			t.Fatalf("File.check of the file of team %s: %v", f.Name, err)
 		}
 	}
 	return d, []*File{a, b}
@@ -241,7 +241,7 @@
 	out := Merge(d, set[:1], set[1:])
 	checkOnlyWithheld(t, out, "b", nil)
 	if len(out.Policy.Routes) != routes {
-		t.Errorf("policy after b's file is withheld has %d routes, want the %d routes of a",
+		t.Errorf("Merge that withholds b's file returns a policy with %d routes, want the %d routes of a",
 			len(out.Policy.Routes), routes)
 	}
 	hasMore := slices.ContainsFunc(out.Conflicts, func(c Conflict) bool { return c.More })
--- a/internal/policy/namespace/exhaustive_test.go
+++ b/internal/policy/namespace/exhaustive_test.go
@@ -49,6 +49,7 @@
 // requestsByMatch caches the results of matchingRequests, by the printed match.
 var requestsByMatch = map[string]requestSet{}
 
+// newRequestSet returns an empty set.
 func newRequestSet() requestSet { return make(requestSet, len(everyRequest)/64+1) }
 
 // has reports whether the set has the request everyRequest[i].
@@ -58,6 +59,7 @@
 	return !slices.ContainsFunc(s, func(word uint64) bool { return word != 0 })
 }
 
+// minus returns the requests of s that are not in other.
 func (s requestSet) minus(other requestSet) requestSet {
 	difference := slices.Clone(s)
 	for i := range difference {
@@ -66,6 +68,7 @@
 	return difference
 }
 
+// within reports whether all requests of s are also in other.
 func (s requestSet) within(other requestSet) bool { return s.minus(other).empty() }
 
 // common returns a request that is in both sets, or nil.
@@ -96,7 +99,7 @@
 	return table
 }
 
-// matchingRequests returns the requests that package route finds for a match.
+// matchingRequests returns the requests of everyRequest that a match contains according to package route.
 func matchingRequests(m *Match) requestSet {
 	key := fmt.Sprintf("%+v", *m)
 	if set, ok := requestsByMatch[key]; ok {
@@ -117,9 +120,9 @@
 type exhaustiveSearch struct {
 	declaration       *Declaration
 	files             []*File
-	requestsPerMatch  map[*Match]requestSet  // cache
-	requestsPerDomain map[*Domain]requestSet // cache
-	found             map[string]bool        // conflicts as exhaustiveKey gives them: kind and rules
+	requestsPerMatch  map[*Match]requestSet  // requests that a match contains; cached
+	requestsPerDomain map[*Domain]requestSet // requests that a domain contains; cached
+	found             map[string]bool        // found conflicts, each in the form of Conflict.exhaustiveKey
 }
 
 // searchExhaustively returns the conflicts of a set of files, in the form of exhaustiveKey.
@@ -139,10 +142,12 @@
 	return s.found
 }
 
+// add records a conflict of a kind between rules.
 func (s *exhaustiveSearch) add(kind ConflictKind, rules ...Source) {
 	s.found[fmt.Sprint(kind, sources(rules...))] = true
 }
 
+// requests returns the requests of everyRequest that a match contains.
 func (s *exhaustiveSearch) requests(m *Match) requestSet {
 	set, ok := s.requestsPerMatch[m]
 	if !ok {
@@ -258,8 +263,8 @@
 }
 
 // contradict reports whether two routes that match a common request contradict each other: they have equal precedence,
-// or they have different targets and the one with precedence is not a delegate's. Order is
-// the result of compareByTable for a and b.
+// or they have different targets and the requests of the one with precedence were not delegated by the namespace
+// of the other. Order is the result of compareByTable for a and b.
 func (s *exhaustiveSearch) contradict(a, b ownedRoute, order int) bool {
 	if order == 0 {
 		return true
@@ -427,7 +432,7 @@
 	got := map[string]bool{}
 	for _, c := range found {
 		if c.Kind == InconsistentDefinition {
-			continue // found by the texts of rules, which this search does not compare; TestWithheldFiles covers it
+			continue // Check finds it by the texts of rules, which this search does not compare; see TestWithheldFiles
 		}
 		got[c.exhaustiveKey()] = true
 		if !want[c.exhaustiveKey()] {
@@ -507,11 +512,12 @@
 	t.Logf("conflicts in %d random sets, by kind: %v", randomSetCount, counts)
 	for _, kind := range exhaustiveKinds {
 		if counts[kind] < 20 {
-			t.Errorf("the random sets have %d conflicts of kind %s, want at least 20", counts[kind], kind)
+			t.Errorf("Check of the random sets finds %d conflicts of kind %s, want at least 20", counts[kind], kind)
 		}
 		for other, advice := range adviceByKind {
 			if advice == "" || other != kind && advice == adviceByKind[kind] {
-				t.Errorf("advice for conflicts of kind %s = %q, want one that is not empty and not that of kind %s",
+				t.Errorf("advice for conflicts of kind %s = %q, want advice that is not empty and "+
+					"differs from that of kind %s",
 					other, advice, kind)
 			}
 		}
